--- a/internal/policy/bench/bench.go
+++ b/internal/policy/bench/bench.go
@@ -90,7 +90,7 @@
 func Strict() plan.Planner {
 	order := [...]int{job.Urgent: 0, job.Service: 1, job.Gang: 2, job.Batch: 3}
 	p := fifo.New()
-	p.Before = func(a, b plan.Queued) bool { return order[a.Job.Kind] < order[b.Job.Kind] }
+	p.Less = func(a, b plan.WaitingTask) bool { return order[a.Job.Kind] < order[b.Job.Kind] }
 	return p
 }
 
--- a/internal/policy/cell/cell.go
+++ b/internal/policy/cell/cell.go
@@ -248,8 +248,8 @@
 	return s.State == backend.Suspect || s.State == backend.Gone
 }
 
-// Hold tells that a task was placed; it counts until Release.
-func (p *Planner) Hold(h plan.Held) {
+// SetPlaced tells that a task was placed; it counts until Release.
+func (p *Planner) SetPlaced(h plan.PlacedTask) {
 	if known := p.held[h.ID]; known != nil {
 		p.confirm(known, h)
 		return
@@ -258,9 +258,9 @@
 	p.put(h, p.server(h.Server))
 }
 
-// Use tells what a held task was reported to use. What it uses beyond its
+// SetUsage tells what a held task was reported to use. What it uses beyond its
 // declared size counts against its server and its team like the rest.
-func (p *Planner) Use(id task.ID, used capacity.Size, at time.Duration) {
+func (p *Planner) SetUsage(id task.ID, used capacity.Size, at time.Duration) {
 	h := p.held[id]
 	if h == nil || at < h.usedAt {
 		return
@@ -274,8 +274,8 @@
 	}
 }
 
-// Release tells that an attempt is proved to run no more.
-func (p *Planner) Release(id task.ID, how plan.End) {
+// EndAttempt tells that an attempt is proved to run no more.
+func (p *Planner) EndAttempt(id task.ID, how plan.AttemptEnd) {
 	h := p.held[id]
 	if h == nil {
 		return
@@ -288,9 +288,9 @@
 	p.tidy(h.work)
 }
 
-// Queue tells that a task waits to be placed. All tasks of a job that wait are
+// AddWaiting tells that a task waits to be placed. All tasks of a job that wait are
 // told of before the next Decide, so that a gang is seen whole.
-func (p *Planner) Queue(q plan.Queued) {
+func (p *Planner) AddWaiting(q plan.WaitingTask) {
 	if p.held[q.ID] != nil || p.waits[q.ID] != nil {
 		return
 	}
@@ -301,8 +301,8 @@
 	p.enqueue(w, q)
 }
 
-// Unqueue tells that a task waits no more and was not placed.
-func (p *Planner) Unqueue(id task.ID) {
+// RemoveWaiting tells that a task waits no more and was not placed.
+func (p *Planner) RemoveWaiting(id task.ID) {
 	if u := p.waits[id]; u != nil {
 		p.dequeue(u, id)
 		p.tidy(u.work)
--- a/internal/policy/cell/gang.go
+++ b/internal/policy/cell/gang.go
@@ -48,7 +48,7 @@
 		return nil
 	}
 	need, n := u.work.spec.Size, len(u.tasks)
-	r, _, ok := p.rackIndex.Best(u.size(), fit.Worst, func(r *rack) bool { return p.holds(r, u, need, n) })
+	r, _, ok := p.rackIndex.Best(u.size(), fit.WorstScore, func(r *rack) bool { return p.holds(r, u, need, n) })
 	if !ok {
 		return nil
 	}
@@ -136,10 +136,10 @@
 		}
 		on = append(on, s)
 		taken[s]++
-		s.rack.zone.index.Set(&s.spot, s.room().Sub(need.Times(taken[s])))
+		s.rack.zone.index.Update(&s.spot, s.room().Sub(need.Times(taken[s])))
 	}
 	for _, s := range on {
-		s.rack.zone.index.Set(&s.spot, s.room())
+		s.rack.zone.index.Update(&s.spot, s.room())
 	}
 	if len(on) < len(u.tasks) {
 		return nil
@@ -163,7 +163,7 @@
 	if z == nil {
 		return p.best(need, ok)
 	}
-	s, _, _ := z.index.Best(need, fit.Worst, ok)
+	s, _, _ := z.index.Best(need, fit.WorstScore, ok)
 	return s
 }
 
@@ -242,7 +242,7 @@
 
 // beginFirst lets the team's first gang begin.
 func (p *Planner) beginFirst(c *account) {
-	for _, u := range c.queues[job.Batch].First(p.cfg.Depth, nil) {
+	for _, u := range c.queues[job.Batch].AppendFirst(p.cfg.Depth, nil) {
 		if !u.work.spec.Whole() || !p.eligible(u) {
 			continue
 		}
@@ -301,7 +301,7 @@
 
 // loosen handles the end of one task of a gang: the rest cannot go on without it
 // if it has to run again, and is stopped so that the gang starts anew as a whole.
-func (p *Planner) loosen(h *holding, how plan.End) {
+func (p *Planner) loosen(h *holding, how plan.AttemptEnd) {
 	w := h.work
 	if len(w.held) == 0 {
 		if w.gang != nil {
@@ -309,7 +309,7 @@
 		}
 		return
 	}
-	if (how.Failed || how.Lost || h.Stopping) && !h.Job.Once {
+	if (how.Failed || how.ServerLost || h.Stopping) && !h.Job.Once {
 		p.broken = append(p.broken, w)
 	}
 }
--- a/internal/policy/cell/reclaim.go
+++ b/internal/policy/cell/reclaim.go
@@ -45,8 +45,8 @@
 // reclaimFor makes claims for the team until its lack is covered or left is used
 // up, and returns the rest of left.
 func (p *Planner) reclaimFor(c *account, left int) int {
-	units := c.queues[job.Service].First(mostReclaims, nil)
-	units = c.queues[job.Batch].First(p.cfg.Depth, units)
+	units := c.queues[job.Service].AppendFirst(mostReclaims, nil)
+	units = c.queues[job.Batch].AppendFirst(p.cfg.Depth, units)
 	for _, u := range units {
 		if left == 0 || p.full() || p.lack(c) <= p.cfg.Slack {
 			return left
--- a/internal/policy/cell/urgent.go
+++ b/internal/policy/cell/urgent.go
@@ -40,7 +40,7 @@
 	})
 	searches, vain := 0, 0
 	for _, c := range accounts {
-		waiting := c.queues[job.Urgent].First(urgentDepth, nil)
+		waiting := c.queues[job.Urgent].AppendFirst(urgentDepth, nil)
 		for i, u := range waiting {
 			if p.full() || vain == mostVain {
 				return
--- a/internal/policy/cell/watch.go
+++ b/internal/policy/cell/watch.go
@@ -67,7 +67,7 @@
 	}
 	if h.throttled == 0 && (!hard || h.Job.Once) {
 		h.throttled = max(p.now, 1)
-		p.emit(plan.Decision{Verb: plan.Throttle, Task: h.ID, Reason: "uses more than it declared"})
+		p.emit(plan.Decision{Action: plan.Throttle, Task: h.ID, Reason: "uses more than it declared"})
 		return false
 	}
 	grace := p.cfg.Grace
@@ -79,7 +79,7 @@
 	}
 	p.stop(h)
 	h.curbed = true
-	p.emit(plan.Decision{Verb: plan.Stop, Task: h.ID, Reason: "uses more than it declared"})
+	p.emit(plan.Decision{Action: plan.Stop, Task: h.ID, Reason: "uses more than it declared"})
 	return true
 }
 
@@ -95,25 +95,25 @@
 
 // learn takes note of how an attempt ended. What was stopped on purpose says nothing about
 // job or server, and what went away with its server only where it had just begun.
-func (p *Planner) learn(h *holding, how plan.End) {
-	if h.curbed && !how.Lost {
+func (p *Planner) learn(h *holding, how plan.AttemptEnd) {
+	if h.curbed && !how.ServerLost {
 		h.work.budget.Exceed()
 	}
 	switch {
-	case how.Lost:
-		h.work.budget.Lose(h.ID.Index, h.srv.silent-h.Since)
+	case how.ServerLost:
+		h.work.budget.Lose(h.ID.Index, h.srv.silent-h.PlacedAt)
 		return
-	case !how.Ran || h.Stopping:
+	case !how.Started || h.Stopping:
 		return
 	}
 	h.work.budget.Outlive(h.ID.Index)
 	name := health.NameOf(h.Job)
 	if !how.Failed {
-		p.estimates.Learn(h.Job, how.At-h.Since)
+		p.estimates.Learn(h.Job, how.EndedAt-h.PlacedAt)
 		p.guard.Succeed(name, h.srv.num)
 		return
 	}
-	p.guard.Fail(name, h.srv.num, how.At)
+	p.guard.Fail(name, h.srv.num, how.EndedAt)
 	if h.srv.State != backend.Quarantined {
 		h.work.budget.Fail(h.srv.num)
 	}
@@ -142,7 +142,7 @@
 	for _, s := range p.quarantined {
 		if p.guard.Sound(s.num) && (s.restored == 0 || p.now >= s.restored+again) {
 			s.restored = max(p.now, 1)
-			p.emit(plan.Decision{Verb: plan.Restore, Server: s.ID, Reason: "its probes succeeded"})
+			p.emit(plan.Decision{Action: plan.Restore, Server: s.ID, Reason: "its probes succeeded"})
 		}
 	}
 }
@@ -156,7 +156,7 @@
 	for _, w := range p.works {
 		w.budget.Forgive(s.num)
 	}
-	p.emit(plan.Decision{Verb: plan.Quarantine, Server: s.ID, Reason: "fails what runs elsewhere"})
+	p.emit(plan.Decision{Action: plan.Quarantine, Server: s.ID, Reason: "fails what runs elsewhere"})
 }
 
 // park gives up jobs that failed too often.
@@ -167,7 +167,7 @@
 		}
 		w.given = true
 		p.shelve(w)
-		p.emit(plan.Decision{Verb: plan.Park, Job: w.id, Reason: w.budget.Reason()})
+		p.emit(plan.Decision{Action: plan.Park, Job: w.id, Reason: w.budget.Reason()})
 	}
 	p.spent = p.spent[:0]
 }
@@ -198,7 +198,7 @@
 		}
 		w.given = true
 		p.shelve(w)
-		p.emit(plan.Decision{Verb: plan.Drop, Job: w.id, Reason: "deadline passed"})
+		p.emit(plan.Decision{Action: plan.Drop, Job: w.id, Reason: "deadline passed"})
 	}
 }
 
@@ -222,7 +222,7 @@
 func (p *Planner) probeWith(s *server) *unit {
 	var found *unit
 	p.order.Each(func(c *account) bool {
-		for _, u := range c.queues[job.Batch].First(p.cfg.Depth, nil) {
+		for _, u := range c.queues[job.Batch].AppendFirst(p.cfg.Depth, nil) {
 			spec := u.work.spec
 			if !spec.Once && !spec.Whole() && u.claim == nil && u.work.budget.Failures() == 0 && spec.Size.Fits(s.room()) && p.within(c, spec.Size) {
 				found = u
