--- a/internal/policy/cell/excess.go
+++ b/internal/policy/cell/excess.go
@@ -6,38 +6,38 @@
 	"gypsumreel/internal/domain/capacity"
 )
 
-// trim stops what teams hold above their limit, when the limit was lowered or
+// enforceLimits stops what teams hold above their limit, when the limit was lowered or
 // more use was reported. The rule: repeatable batch and gangs are preempted, the
 // youngest first, then services down to their floor; urgent tasks and tasks that
 // may run only once are left to end.
-func (p *Planner) trim() {
-	if len(p.excess) == 0 {
+func (p *Planner) enforceLimits() {
+	if len(p.overLimitTeams) == 0 {
 		return
 	}
-	seen := map[*account]bool{}
-	p.excess = slices.DeleteFunc(p.excess, func(c *account) bool {
+	seen := map[*teamState]bool{}
+	p.overLimitTeams = slices.DeleteFunc(p.overLimitTeams, func(c *teamState) bool {
 		if seen[c] {
 			return true
 		}
 		seen[c] = true
-		return p.trimmed(c)
+		return p.preemptAboveLimit(c)
 	})
 }
 
-// trimmed stops what it can and tells whether the team is done with.
-func (p *Planner) trimmed(c *account) bool {
-	if !c.known {
+// preemptAboveLimit stops what it can and tells whether the team is done with.
+func (p *Planner) preemptAboveLimit(c *teamState) bool {
+	if !c.inTable {
 		return true
 	}
 	for {
-		over := c.held.Sub(c.leaving)
-		if over.Within(c.row.Limit) {
+		expected := c.allocated.Sub(c.stopping)
+		if expected.Within(c.row.Limit) {
 			return true
 		}
-		if p.full() {
+		if p.atDecisionLimit() {
 			return false
 		}
-		h := p.youngestOver(c, over)
+		h := p.youngestStoppable(c, expected)
 		if h == nil {
 			return true
 		}
@@ -45,12 +45,12 @@
 	}
 }
 
-// youngestOver returns the youngest task that may be stopped and holds something
+// youngestStoppable returns the youngest task that may be stopped and holds something
 // of what the team has too much of.
-func (p *Planner) youngestOver(c *account, over capacity.Size) *holding {
-	var found *holding
-	c.victims.Each(func(h *holding) bool {
-		if helps(h.size, over, c.row.Limit) {
+func (p *Planner) youngestStoppable(c *teamState, expected capacity.Size) *placedTask {
+	var found *placedTask
+	c.preemptibleTasks.Each(func(h *placedTask) bool {
+		if reducesExcess(h.countedSize, expected, c.row.Limit) {
 			found = h
 		}
 		return found == nil
@@ -58,8 +58,8 @@
 	if found != nil {
 		return found
 	}
-	c.steady.Each(func(h *holding) bool {
-		if helps(h.size, over, c.row.Limit) && h.work.spares() {
+	c.serviceTasks.Each(func(h *placedTask) bool {
+		if reducesExcess(h.countedSize, expected, c.row.Limit) && h.jobState.mayStopOne() {
 			found = h
 		}
 		return found == nil
@@ -67,9 +67,9 @@
 	return found
 }
 
-// helps tells whether the size has a part in what exceeds the limit.
-func helps(size, over, limit capacity.Size) bool {
-	field := func(n, over, limit int64) bool { return limit != capacity.Unlimited && over > limit && n > 0 }
-	return field(size.CPU, over.CPU, limit.CPU) || field(size.Memory, over.Memory, limit.Memory) ||
-		field(size.Accel, over.Accel, limit.Accel) || field(size.Slots, over.Slots, limit.Slots)
+// reducesExcess tells whether the size has a part in what exceeds the limit.
+func reducesExcess(size, expected, limit capacity.Size) bool {
+	field := func(n, expected, limit int64) bool { return limit != capacity.Unlimited && expected > limit && n > 0 }
+	return field(size.CPU, expected.CPU, limit.CPU) || field(size.Memory, expected.Memory, limit.Memory) ||
+		field(size.Accel, expected.Accel, limit.Accel) || field(size.Slots, expected.Slots, limit.Slots)
 }
