--- a/internal/policy/cell/books.go
+++ b/internal/policy/cell/books.go
@@ -28,8 +28,8 @@
 	countedFree capacity.Size
 	inTotals    bool
 	element     fit.Element[*server]
-	// reserveBlocks are the pieces of the urgent reserve on the server.
-	reserveBlocks int
+	// reserveBlockCount are the pieces of the urgent reserve on the server.
+	reserveBlockCount int
 	// silentSince is when it was last found silent.
 	silentSince time.Duration
 	// restoreDecidedAt is when bringing it back was last decided.
@@ -53,11 +53,11 @@
 }
 
 type zone struct {
-	name          string
-	racks         []*rack
-	free          capacity.Size
-	reserveBlocks int
-	index         *fit.Index[*server]
+	name              string
+	racks             []*rack
+	free              capacity.Size
+	reserveBlockCount int
+	index             *fit.Index[*server]
 }
 
 // teamState is a team with what it holds and waits for.
@@ -83,8 +83,8 @@
 	preemptibleTasks *queue.Queue[task.ID, *placedTask]
 	// serviceTasks are the tasks of services, the youngest first.
 	serviceTasks *queue.Queue[task.ID, *placedTask]
-	// waitingGangs counts the gangs that wait.
-	waitingGangs int
+	// waitingGangCount counts the gangs that wait.
+	waitingGangCount int
 	// reservingGang is the gang that room is being kept for.
 	reservingGang *unit
 	// waitingSizes counts what waits of each size, urgent work aside.
@@ -112,7 +112,7 @@
 	inOveruseList   bool
 	// stoppedForUsage is true when it was stopped for using more than declared.
 	stoppedForUsage bool
-	jobPos          int
+	jobIndex        int
 }
 
 func byUsageRatio(a, b *teamState) bool {
@@ -130,19 +130,19 @@
 }
 
 func (p *Planner) team(name string) *teamState {
-	if c := p.teams[name]; c != nil {
-		return c
+	if t := p.teams[name]; t != nil {
+		return t
 	}
-	c := &teamState{name: name}
-	c.row, c.inTable = p.table.Row(name)
-	for k := range c.queues {
-		c.queues[k] = queue.New(unitKey, byRank)
+	t := &teamState{name: name}
+	t.row, t.inTable = p.table.Row(name)
+	for k := range t.queues {
+		t.queues[k] = queue.New(unitKey, byRank)
 	}
-	c.preemptibleTasks = queue.New(func(h *placedTask) task.ID { return h.ID }, youngestFirst)
-	c.serviceTasks = queue.New(func(h *placedTask) task.ID { return h.ID }, youngestFirst)
-	p.teams[name] = c
-	p.teamsByNeed.Add(c)
-	return c
+	t.preemptibleTasks = queue.New(func(pt *placedTask) task.ID { return pt.ID }, youngestFirst)
+	t.serviceTasks = queue.New(func(pt *placedTask) task.ID { return pt.ID }, youngestFirst)
+	p.teams[name] = t
+	p.teamsByNeed.Add(t)
+	return t
 }
 
 func (p *Planner) server(id string) *server {
@@ -158,29 +158,29 @@
 
 // assignRack puts the server into its rack.
 func (p *Planner) assignRack(s *server) {
-	name := rackKey{s.Zone, s.Rack}
+	key := rackKey{s.Zone, s.Rack}
 	p.maxServerSize = p.maxServerSize.Max(s.Capacity)
 	for _, z := range p.zones {
 		z.index.Grow(p.maxServerSize)
 	}
-	if s.rack != nil && s.rack.rackKey == name {
+	if s.rack != nil && s.rack.rackKey == key {
 		return
 	}
 	if s.rack != nil {
-		s.rack.servers = slices.DeleteFunc(s.rack.servers, func(o *server) bool { return o == s })
+		s.rack.servers = slices.DeleteFunc(s.rack.servers, func(other *server) bool { return other == s })
 	}
-	r := p.racks[name]
+	r := p.racks[key]
 	if r == nil {
-		r = &rack{rackKey: name, zone: p.zone(s.Zone)}
+		r = &rack{rackKey: key, zone: p.zone(s.Zone)}
 		r.element.Item = r
 		r.zone.racks = append(r.zone.racks, r)
-		p.racks[name] = r
+		p.racks[key] = r
 	}
 	r.servers = append(r.servers, s)
 	s.rack = r
 	rackCapacity := capacity.Size{}
-	for _, o := range r.servers {
-		rackCapacity = rackCapacity.Add(o.Capacity)
+	for _, other := range r.servers {
+		rackCapacity = rackCapacity.Add(other.Capacity)
 	}
 	p.rackIndex.Grow(rackCapacity)
 }
@@ -261,110 +261,110 @@
 }
 
 // addTask counts a task on a server.
-func (p *Planner) addTask(h plan.PlacedTask, s *server) *placedTask {
-	w := p.jobState(h.ID.Job, h.Job)
-	n := &placedTask{PlacedTask: h, jobState: w, team: w.team, server: s, countedSize: h.Job.Size, jobPos: len(w.placed)}
-	w.placed = append(w.placed, n)
-	p.placed[h.ID] = n
-	s.tasks = append(s.tasks, n)
-	s.committed = s.committed.Add(n.countedSize)
+func (p *Planner) addTask(placement plan.PlacedTask, s *server) *placedTask {
+	js := p.jobState(placement.ID.Job, placement.Job)
+	pt := &placedTask{PlacedTask: placement, jobState: js, team: js.team, server: s, countedSize: placement.Job.Size, jobIndex: len(js.placed)}
+	js.placed = append(js.placed, pt)
+	p.placed[placement.ID] = pt
+	s.tasks = append(s.tasks, pt)
+	s.committed = s.committed.Add(pt.countedSize)
 	p.refreshFree(s)
-	p.adjustAllocated(n.team, n.countedSize)
-	if n.Stopping {
-		n.team.stopping = n.team.stopping.Add(n.countedSize)
+	p.adjustAllocated(pt.team, pt.countedSize)
+	if pt.Stopping {
+		pt.team.stopping = pt.team.stopping.Add(pt.countedSize)
 	}
-	n.addToStoppable()
-	return n
+	pt.addToStoppable()
+	return pt
 }
 
 // addToStoppable lists the task among those that may be preempted.
-func (h *placedTask) addToStoppable() {
-	if h.preemptible() {
-		h.team.preemptibleTasks.Add(h)
+func (pt *placedTask) addToStoppable() {
+	if pt.preemptible() {
+		pt.team.preemptibleTasks.Add(pt)
 	}
-	if h.Job.Kind == job.Service && !h.Stopping && !h.Job.Once {
-		h.team.serviceTasks.Add(h)
+	if pt.Job.Kind == job.Service && !pt.Stopping && !pt.Job.Once {
+		pt.team.serviceTasks.Add(pt)
 	}
 }
 
-func (h *placedTask) removeFromStoppable() {
-	h.team.preemptibleTasks.Remove(h.ID)
-	h.team.serviceTasks.Remove(h.ID)
+func (pt *placedTask) removeFromStoppable() {
+	pt.team.preemptibleTasks.Remove(pt.ID)
+	pt.team.serviceTasks.Remove(pt.ID)
 }
 
 // preemptible tells whether the task may be preempted for others.
-func (h *placedTask) preemptible() bool {
-	return !h.Job.Once && !h.Stopping && (h.Job.Kind == job.Batch || h.Job.Kind == job.Gang)
+func (pt *placedTask) preemptible() bool {
+	return !pt.Job.Once && !pt.Stopping && (pt.Job.Kind == job.Batch || pt.Job.Kind == job.Gang)
 }
 
 // removeTask takes a task off its server.
-func (p *Planner) removeTask(h *placedTask) {
-	delete(p.placed, h.ID)
-	h.removeFromStoppable()
-	last := h.jobState.placed[len(h.jobState.placed)-1]
-	h.jobState.placed[h.jobPos], last.jobPos = last, h.jobPos
-	h.jobState.placed = h.jobState.placed[:len(h.jobState.placed)-1]
-	i := slices.Index(h.server.tasks, h)
-	h.server.tasks = slices.Delete(h.server.tasks, i, i+1)
-	h.server.committed = h.server.committed.Sub(h.countedSize)
-	if h.Stopping {
-		h.team.stopping = h.team.stopping.Sub(h.countedSize)
+func (p *Planner) removeTask(pt *placedTask) {
+	delete(p.placed, pt.ID)
+	pt.removeFromStoppable()
+	last := pt.jobState.placed[len(pt.jobState.placed)-1]
+	pt.jobState.placed[pt.jobIndex], last.jobIndex = last, pt.jobIndex
+	pt.jobState.placed = pt.jobState.placed[:len(pt.jobState.placed)-1]
+	i := slices.Index(pt.server.tasks, pt)
+	pt.server.tasks = slices.Delete(pt.server.tasks, i, i+1)
+	pt.server.committed = pt.server.committed.Sub(pt.countedSize)
+	if pt.Stopping {
+		pt.team.stopping = pt.team.stopping.Sub(pt.countedSize)
 	}
-	p.refreshFree(h.server)
-	p.adjustAllocated(h.team, capacity.Size{}.Sub(h.countedSize))
-	h.team.blockedRevision = 0
+	p.refreshFree(pt.server)
+	p.adjustAllocated(pt.team, capacity.Size{}.Sub(pt.countedSize))
+	pt.team.blockedRevision = 0
 }
 
 // adjustAllocated changes what the team holds and its place in the order of need.
-func (p *Planner) adjustAllocated(c *teamState, delta capacity.Size) {
-	p.teamsByNeed.Remove(c.name)
-	c.allocated = c.allocated.Add(delta)
-	c.usageRatio = p.usageRatio(c)
-	p.teamsByNeed.Add(c)
+func (p *Planner) adjustAllocated(t *teamState, delta capacity.Size) {
+	p.teamsByNeed.Remove(t.name)
+	t.allocated = t.allocated.Add(delta)
+	t.usageRatio = p.usageRatio(t)
+	p.teamsByNeed.Add(t)
 }
 
 // setCountedSize changes the size that a task counts with.
-func (p *Planner) setCountedSize(h *placedTask, size capacity.Size) {
-	if h.countedSize == size {
+func (p *Planner) setCountedSize(pt *placedTask, size capacity.Size) {
+	if pt.countedSize == size {
 		return
 	}
-	delta := size.Sub(h.countedSize)
-	h.countedSize = size
-	h.server.committed = h.server.committed.Add(delta)
-	if h.Stopping {
-		h.team.stopping = h.team.stopping.Add(delta)
+	delta := size.Sub(pt.countedSize)
+	pt.countedSize = size
+	pt.server.committed = pt.server.committed.Add(delta)
+	if pt.Stopping {
+		pt.team.stopping = pt.team.stopping.Add(delta)
 	}
-	p.refreshFree(h.server)
-	p.adjustAllocated(h.team, delta)
-	if !h.team.allocated.Within(h.team.row.Limit) {
-		p.overLimitTeams = append(p.overLimitTeams, h.team)
+	p.refreshFree(pt.server)
+	p.adjustAllocated(pt.team, delta)
+	if !pt.team.allocated.Within(pt.team.row.Limit) {
+		p.overLimitTeams = append(p.overLimitTeams, pt.team)
 	}
 }
 
 // confirmPlacement takes over what the ledger says of a task that is held already.
-func (p *Planner) confirmPlacement(h *placedTask, reported plan.PlacedTask) {
-	h.unconfirmed = false
-	if h.server.ID != reported.Server {
-		p.removeTask(h)
-		p.addTask(reported, p.server(reported.Server))
+func (p *Planner) confirmPlacement(pt *placedTask, placement plan.PlacedTask) {
+	pt.unconfirmed = false
+	if pt.server.ID != placement.Server {
+		p.removeTask(pt)
+		p.addTask(placement, p.server(placement.Server))
 		return
 	}
-	if reported.Stopping && !h.Stopping {
-		p.markStopping(h)
+	if placement.Stopping && !pt.Stopping {
+		p.markStopping(pt)
 	}
-	if h.PlacedAt != reported.PlacedAt {
-		h.removeFromStoppable()
-		h.PlacedAt = reported.PlacedAt
-		h.addToStoppable()
+	if pt.PlacedAt != placement.PlacedAt {
+		pt.removeFromStoppable()
+		pt.PlacedAt = placement.PlacedAt
+		pt.addToStoppable()
 	}
 }
 
 // markStopping notes that an order to stop the task is under way.
-func (p *Planner) markStopping(h *placedTask) {
-	if h.Stopping {
+func (p *Planner) markStopping(pt *placedTask) {
+	if pt.Stopping {
 		return
 	}
-	h.removeFromStoppable()
-	h.Stopping = true
-	h.team.stopping = h.team.stopping.Add(h.countedSize)
+	pt.removeFromStoppable()
+	pt.Stopping = true
+	pt.team.stopping = pt.team.stopping.Add(pt.countedSize)
 }
--- a/internal/policy/cell/cell.go
+++ b/internal/policy/cell/cell.go
@@ -133,21 +133,21 @@
 	// What runs and what waits, by task. A unit that waits is new (fresh), not yet
 	// ready (later), larger than any server (never), or in its team's queue; late
 	// orders those with a deadline.
-	jobs             map[uint64]*jobState
-	placed           map[task.ID]*placedTask
-	waiting          map[task.ID]*unit
-	newUnits         []*unit
-	delayedUnits     *queue.Queue[task.ID, *unit]
-	unplaceableUnits *queue.Queue[task.ID, *unit]
-	unitsByDeadline  *queue.Queue[task.ID, *unit]
-	urgentWaiting    int
-	lastSequence     uint64
+	jobs               map[uint64]*jobState
+	placed             map[task.ID]*placedTask
+	waiting            map[task.ID]*unit
+	newUnits           []*unit
+	delayedUnits       *queue.Queue[task.ID, *unit]
+	unplaceableUnits   *queue.Queue[task.ID, *unit]
+	unitsByDeadline    *queue.Queue[task.ID, *unit]
+	urgentWaitingCount int
+	lastSequence       uint64
 
 	// Room that is kept: for urgent work to come, and for units that wait for it.
-	urgentReserve    urgent.Reserve
-	reserveBlocks    []*reserveBlock
-	reservations     []*reservation
-	gangReservations int
+	urgentReserve        urgent.Reserve
+	reserveBlocks        []*reserveBlock
+	reservations         []*reservation
+	gangReservationCount int
 
 	runtimeEstimates *health.Estimates
 	healthGuard      *health.Guard
@@ -189,7 +189,7 @@
 		rackIndex:        fit.NewIndex[*rack](),
 		runtimeEstimates: health.NewEstimates(), healthGuard: health.NewGuard(),
 	}
-	p.teamsByNeed = queue.New(func(c *teamState) string { return c.name }, byUsageRatio)
+	p.teamsByNeed = queue.New(func(t *teamState) string { return t.name }, byUsageRatio)
 	p.delayedUnits = queue.New(unitKey, byReadyTime)
 	p.unplaceableUnits = queue.New(unitKey, bySequence)
 	p.unitsByDeadline = queue.New(unitKey, byDeadline)
@@ -208,10 +208,10 @@
 	for _, r := range t.Rows() {
 		p.team(r.Name)
 	}
-	p.teamsByNeed.Each(func(c *teamState) bool {
-		c.row, c.inTable = t.Row(c.name)
-		c.blockedRevision = 0
-		p.overLimitTeams = append(p.overLimitTeams, c)
+	p.teamsByNeed.Each(func(state *teamState) bool {
+		state.row, state.inTable = t.Row(state.name)
+		state.blockedRevision = 0
+		p.overLimitTeams = append(p.overLimitTeams, state)
 		return true
 	})
 }
@@ -235,7 +235,7 @@
 	if s.State == backend.Quarantined {
 		p.markQuarantined(srv, s.Since)
 	}
-	if s.State != backend.Ready && srv.reserveBlocks > 0 {
+	if s.State != backend.Ready && srv.reserveBlockCount > 0 {
 		p.dropReserveBlocks(func(r *reserveBlock) bool { return r.server == srv })
 	}
 	if s.State == backend.Draining && old.State != s.State {
@@ -249,56 +249,56 @@
 }
 
 // SetPlaced tells that a task was placed; it counts until Release.
-func (p *Planner) SetPlaced(h plan.PlacedTask) {
-	if known := p.placed[h.ID]; known != nil {
-		p.confirmPlacement(known, h)
+func (p *Planner) SetPlaced(placement plan.PlacedTask) {
+	if known := p.placed[placement.ID]; known != nil {
+		p.confirmPlacement(known, placement)
 		return
 	}
-	p.dequeuePlaced(h.ID)
-	p.addTask(h, p.server(h.Server))
+	p.dequeuePlaced(placement.ID)
+	p.addTask(placement, p.server(placement.Server))
 }
 
 // SetUsage tells what a held task was reported to use. What it uses beyond its
 // declared size counts against its server and its team like the rest.
-func (p *Planner) SetUsage(id task.ID, used capacity.Size, at time.Duration) {
-	h := p.placed[id]
-	if h == nil || at < h.usageAt {
+func (p *Planner) SetUsage(id task.ID, usage capacity.Size, measuredAt time.Duration) {
+	pt := p.placed[id]
+	if pt == nil || measuredAt < pt.usageAt {
 		return
 	}
-	h.usageAt = at
-	p.setCountedSize(h, h.Job.Size.Max(used))
-	h.exceedsDeclared = exceedsDeclared(used, h.Job.Size)
-	if h.exceedsDeclared && !h.inOveruseList {
-		h.inOveruseList = true
-		p.overuseTasks = append(p.overuseTasks, h)
+	pt.usageAt = measuredAt
+	p.setCountedSize(pt, pt.Job.Size.Max(usage))
+	pt.exceedsDeclared = exceedsDeclared(usage, pt.Job.Size)
+	if pt.exceedsDeclared && !pt.inOveruseList {
+		pt.inOveruseList = true
+		p.overuseTasks = append(p.overuseTasks, pt)
 	}
 }
 
 // EndAttempt tells that an attempt is proved to run no more.
 func (p *Planner) EndAttempt(id task.ID, end plan.AttemptEnd) {
-	h := p.placed[id]
-	if h == nil {
+	pt := p.placed[id]
+	if pt == nil {
 		return
 	}
-	p.removeTask(h)
-	p.recordEnd(h, end)
-	if h.Job.Whole() {
-		p.handleGangTaskEnd(h, end)
+	p.removeTask(pt)
+	p.recordEnd(pt, end)
+	if pt.Job.Whole() {
+		p.handleGangTaskEnd(pt, end)
 	}
-	p.listIfIdle(h.jobState)
+	p.listIfIdle(pt.jobState)
 }
 
 // AddWaiting tells that a task waits to be placed. All tasks of a job that wait are
 // told of before the next Decide, so that a gang is seen whole.
-func (p *Planner) AddWaiting(q plan.WaitingTask) {
-	if p.placed[q.ID] != nil || p.waiting[q.ID] != nil {
+func (p *Planner) AddWaiting(waiting plan.WaitingTask) {
+	if p.placed[waiting.ID] != nil || p.waiting[waiting.ID] != nil {
 		return
 	}
-	w := p.jobState(q.ID.Job, q.Job)
-	if w.failureBudget.Spent() {
-		p.exhaustedJobs = append(p.exhaustedJobs, w)
+	js := p.jobState(waiting.ID.Job, waiting.Job)
+	if js.failureBudget.Spent() {
+		p.exhaustedJobs = append(p.exhaustedJobs, js)
 	}
-	p.enqueue(w, q)
+	p.enqueue(js, waiting)
 }
 
 // RemoveWaiting tells that a task waits no more and was not placed.
--- a/internal/policy/cell/cell_test.go
+++ b/internal/policy/cell/cell_test.go
@@ -39,8 +39,8 @@
 }
 
 // submit submits a job of n tasks that run for the time given.
-func submit(w *bench.World, spec job.Spec, n int, d time.Duration) uint64 {
-	spec.Count = uint32(n)
+func submit(w *bench.World, spec job.Spec, tasks int, runtime time.Duration) uint64 {
+	spec.Count = uint32(tasks)
 	if spec.Team == "" {
 		spec.Team = "a"
 	}
@@ -50,9 +50,9 @@
 	if spec.Size.IsZero() {
 		spec.Size = taskSize
 	}
-	times := make([]time.Duration, n)
+	times := make([]time.Duration, tasks)
 	for i := range times {
-		times[i] = d
+		times[i] = runtime
 	}
 	return w.Submit(&spec, times, spec.Size, false)
 }
@@ -66,10 +66,10 @@
 	}
 }
 
-func assertEqual[T any](t *testing.T, what string, want, got T) {
+func assertEqual[T any](t *testing.T, label string, want, got T) {
 	t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("%s (-want +got):\n%s", what, diff)
+		t.Errorf("%s (-want +got):\n%s", label, diff)
 	}
 }
 
@@ -78,13 +78,13 @@
 // repeatable task is preempted, and one that may run only once is not.
 func TestUrgentTaskIsPlacedAheadOfBacklog(t *testing.T) {
 	w := newWorld(2)
-	once := submit(w, job.Spec{Once: true, Name: "once"}, 6, time.Hour)
+	onceJob := submit(w, job.Spec{Once: true, Name: "once"}, 6, time.Hour)
 	submit(w, job.Spec{Name: "batch"}, 5000, time.Hour)
 	runUntil(t, w, time.Minute)
 	urgent := submit(w, job.Spec{Kind: job.Urgent}, 1, time.Second)
 	runUntil(t, w, time.Minute+400*time.Millisecond)
 	assertEqual(t, "urgent task placed", 1, len(w.On(urgent)))
-	assertEqual(t, "once tasks untouched", 6, len(w.On(once)))
+	assertEqual(t, "once tasks untouched", 6, len(w.On(onceJob)))
 	assertEqual(t, "preempted", 1, w.Count(plan.Preempt))
 }
 
@@ -107,15 +107,15 @@
 	w := newWorld(2)
 	running := submit(w, job.Spec{Name: "base"}, 8, time.Hour)
 	runUntil(t, w, time.Second)
-	flood := submit(w, job.Spec{Name: "flood"}, 10_000, time.Minute)
+	cancelled := submit(w, job.Spec{Name: "flood"}, 10_000, time.Minute)
 	runUntil(t, w, 2*time.Second)
-	w.Cancel(flood)
+	w.Cancel(cancelled)
 	urgent := submit(w, job.Spec{Kind: job.Urgent}, 1, time.Second)
 	runUntil(t, w, 2400*time.Millisecond)
 	assertEqual(t, "urgent task placed", 1, len(w.On(urgent)))
 	w.Cancel(running)
 	runUntil(t, w, 10*time.Second)
-	assertEqual(t, "nothing of the wave runs", 0, len(w.On(flood)))
+	assertEqual(t, "nothing of the wave runs", 0, len(w.On(cancelled)))
 }
 
 // A team lends its unused half to another. When it needs it back, it gets it
@@ -137,12 +137,12 @@
 	submit(w, job.Spec{Team: "a"}, 100, time.Hour)
 	submit(w, job.Spec{Team: "b"}, 100, time.Hour)
 	runUntil(t, w, 10*time.Second)
-	before := w.Count(plan.Preempt)
+	preemptionsBefore := w.Count(plan.Preempt)
 	w.SetTable(w.Table().With([]team.Row{team.New("a").WithWeight(3)}, nil))
 	runUntil(t, w, 20*time.Second)
 	assertEqual(t, "a's part", int64(18), w.Team("a").Slots)
 	runUntil(t, w, 5*time.Minute)
-	assertEqual(t, "tasks stopped for the edit", 6, w.Count(plan.Preempt)-before)
+	assertEqual(t, "tasks stopped for the edit", 6, w.Count(plan.Preempt)-preemptionsBefore)
 }
 
 // An operator lowers a team's limit below what it runs. New placements stop at
@@ -150,14 +150,14 @@
 // and those that may run only once end by themselves.
 func TestLoweredLimitPreemptsYoungestTasks(t *testing.T) {
 	w := newWorld(4)
-	once := submit(w, job.Spec{Once: true, Name: "once"}, 2, time.Hour)
-	old := submit(w, job.Spec{Name: "old"}, 4, time.Hour)
+	onceJob := submit(w, job.Spec{Once: true, Name: "once"}, 2, time.Hour)
+	oldJob := submit(w, job.Spec{Name: "old"}, 4, time.Hour)
 	runUntil(t, w, time.Minute)
-	young := submit(w, job.Spec{Name: "young"}, 4, time.Hour)
+	youngJob := submit(w, job.Spec{Name: "young"}, 4, time.Hour)
 	runUntil(t, w, 2*time.Minute)
 	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize.Times(6))}, nil))
 	runUntil(t, w, 3*time.Minute)
-	assertEqual(t, "once, old, young", []int{2, 4, 0}, []int{len(w.On(once)), len(w.On(old)), len(w.On(young))})
+	assertEqual(t, "once, old, young", []int{2, 4, 0}, []int{len(w.On(onceJob)), len(w.On(oldJob)), len(w.On(youngJob))})
 }
 
 // The limit is lowered below what a service needs to answer at all. The service is
@@ -202,10 +202,10 @@
 	w := newWorld(1)
 	started := submit(w, job.Spec{Name: "started", Deadline: time.Minute}, 6, time.Hour)
 	runUntil(t, w, time.Second)
-	late := submit(w, job.Spec{Name: "late", Deadline: time.Minute}, 2, time.Hour)
+	expired := submit(w, job.Spec{Name: "late", Deadline: time.Minute}, 2, time.Hour)
 	runUntil(t, w, 2*time.Minute)
 	assertEqual(t, "drops", 1, w.Count(plan.Drop))
-	assertEqual(t, "tasks left of the started and the late job", []int{6, 0}, []int{w.Left(started), w.Left(late)})
+	assertEqual(t, "tasks left of the started and the late job", []int{6, 0}, []int{w.Left(started), w.Left(expired)})
 }
 
 // The control thread loses its term before a placement is committed and decides
--- a/internal/policy/cell/claim.go
+++ b/internal/policy/cell/claim.go
@@ -28,8 +28,8 @@
 	unit      *unit
 	parts     []reservedPart
 	createdAt time.Duration
-	// preemptedAt is when tasks were last preempted for it.
-	preemptedAt time.Duration
+	// lastPreemptionAt is when tasks were last preempted for it.
+	lastPreemptionAt time.Duration
 }
 
 // reservedPart is the room kept for one task.
@@ -44,14 +44,14 @@
 		u.reservation = &reservation{unit: u, createdAt: p.now}
 		p.reservations = append(p.reservations, u.reservation)
 		if u.jobState.spec.Whole() {
-			p.gangReservations++
+			p.gangReservationCount++
 			u.jobState.team.reservingGang = u
 		}
 	}
-	t := reservedPart{server: s, size: u.jobState.spec.Size}
-	u.reservation.parts = append(u.reservation.parts, t)
-	p.adjustServerReserved(s, t.size)
-	p.adjustTeamReserved(u.jobState.team, t.size)
+	part := reservedPart{server: s, size: u.jobState.spec.Size}
+	u.reservation.parts = append(u.reservation.parts, part)
+	p.adjustServerReserved(s, part.size)
+	p.adjustTeamReserved(u.jobState.team, part.size)
 }
 
 // reservedSize is the size of the room kept for the unit.
@@ -62,9 +62,9 @@
 	return u.taskSize.Times(int64(len(u.reservation.parts)))
 }
 
-func (p *Planner) releasePart(u *unit, t reservedPart) {
-	p.adjustServerReserved(t.server, capacity.Size{}.Sub(t.size))
-	p.adjustTeamReserved(u.jobState.team, capacity.Size{}.Sub(t.size))
+func (p *Planner) releasePart(u *unit, part reservedPart) {
+	p.adjustServerReserved(part.server, capacity.Size{}.Sub(part.size))
+	p.adjustTeamReserved(u.jobState.team, capacity.Size{}.Sub(part.size))
 }
 
 func (p *Planner) adjustServerReserved(s *server, delta capacity.Size) {
@@ -74,25 +74,25 @@
 
 // adjustTeamReserved changes the room that is on its way to the team; it counts as held in
 // the order of need.
-func (p *Planner) adjustTeamReserved(c *teamState, delta capacity.Size) {
-	p.teamsByNeed.Remove(c.name)
-	c.reserved = c.reserved.Add(delta)
-	c.usageRatio = p.usageRatio(c)
-	p.teamsByNeed.Add(c)
+func (p *Planner) adjustTeamReserved(t *teamState, delta capacity.Size) {
+	p.teamsByNeed.Remove(t.name)
+	t.reserved = t.reserved.Add(delta)
+	t.usageRatio = p.usageRatio(t)
+	p.teamsByNeed.Add(t)
 }
 
 func (p *Planner) dropReservation(u *unit) {
-	c := u.reservation
-	if c == nil {
+	r := u.reservation
+	if r == nil {
 		return
 	}
 	u.reservation, u.triedRevision = nil, 0
-	p.reservations = slices.DeleteFunc(p.reservations, func(o *reservation) bool { return o == c })
-	for _, t := range c.parts {
-		p.releasePart(u, t)
+	p.reservations = slices.DeleteFunc(p.reservations, func(other *reservation) bool { return other == r })
+	for _, part := range r.parts {
+		p.releasePart(u, part)
 	}
 	if u.jobState.spec.Whole() {
-		p.gangReservations--
+		p.gangReservationCount--
 		u.jobState.team.reservingGang = nil
 	}
 }
@@ -100,57 +100,57 @@
 // startReserved starts the units whose room has become free, urgent ones first.
 func (p *Planner) startReserved() {
 	for _, urgent := range []bool{true, false} {
-		for _, c := range slices.Clone(p.reservations) {
+		for _, r := range slices.Clone(p.reservations) {
 			if p.atDecisionLimit() {
 				return
 			}
-			if (c.unit.jobState.spec.Kind == job.Urgent) == urgent {
-				p.tryReservation(c)
+			if (r.unit.jobState.spec.Kind == job.Urgent) == urgent {
+				p.tryReservation(r)
 			}
 		}
 	}
 }
 
-func (p *Planner) tryReservation(c *reservation) {
-	u := c.unit
-	p.dropUnusableParts(c)
-	if len(c.parts) == 0 || len(c.parts) > len(u.tasks) || u.list != inTeamQueue {
+func (p *Planner) tryReservation(r *reservation) {
+	u := r.unit
+	p.dropUnusableParts(r)
+	if len(r.parts) == 0 || len(r.parts) > len(u.tasks) || u.list != inTeamQueue {
 		p.dropReservation(u)
 		return
 	}
-	if len(c.parts) == len(u.tasks) && c.roomIsFree() && p.limitAllows(u) {
-		servers := make([]*server, 0, len(c.parts))
-		for _, t := range c.parts {
-			servers = append(servers, t.server)
+	if len(r.parts) == len(u.tasks) && r.roomIsFree() && p.limitAllows(u) {
+		servers := make([]*server, 0, len(r.parts))
+		for _, part := range r.parts {
+			servers = append(servers, part.server)
 		}
 		p.startUnit(u, servers)
 		return
 	}
 	switch {
 	case u.jobState.spec.Whole():
-		p.preemptForReservation(c)
-	case p.now-c.createdAt > reservationTimeout:
+		p.preemptForReservation(r)
+	case p.now-r.createdAt > reservationTimeout:
 		p.dropReservation(u)
 	}
 }
 
 // dropUnusableParts gives up the parts on servers that take nothing new.
-func (p *Planner) dropUnusableParts(c *reservation) {
-	c.parts = slices.DeleteFunc(c.parts, func(t reservedPart) bool {
-		if t.server.State == backend.Ready {
+func (p *Planner) dropUnusableParts(r *reservation) {
+	r.parts = slices.DeleteFunc(r.parts, func(part reservedPart) bool {
+		if part.server.State == backend.Ready {
 			return false
 		}
-		p.releasePart(c.unit, t)
+		p.releasePart(r.unit, part)
 		return true
 	})
 }
 
 // roomIsFree tells whether all the room kept is free now.
-func (c *reservation) roomIsFree() bool {
+func (r *reservation) roomIsFree() bool {
 	neededByServer := map[*server]capacity.Size{}
-	for _, t := range c.parts {
-		neededByServer[t.server] = neededByServer[t.server].Add(t.size)
-		if !neededByServer[t.server].Fits(t.server.uncommitted()) {
+	for _, part := range r.parts {
+		neededByServer[part.server] = neededByServer[part.server].Add(part.size)
+		if !neededByServer[part.server].Fits(part.server.uncommitted()) {
 			return false
 		}
 	}
@@ -162,16 +162,16 @@
 
 // aboveShareFilter allows the tasks of teams that hold more than their due.
 func (p *Planner) aboveShareFilter(slack float64) victimFilter {
-	return func(h *placedTask) bool {
-		size := h.countedSize
-		if h.Job.Whole() {
-			if p.now < h.PlacedAt+minGangRuntime {
+	return func(pt *placedTask) bool {
+		size := pt.countedSize
+		if pt.Job.Whole() {
+			if p.now < pt.PlacedAt+minGangRuntime {
 				return false
 			}
-			size = size.Times(int64(len(h.jobState.placed)))
+			size = size.Times(int64(len(pt.jobState.placed)))
 		}
-		remaining := h.team.allocated.Sub(h.team.stopping).Sub(size)
-		return remaining.Dominant(p.totalCapacity) >= h.team.fairShare-slack
+		remaining := pt.team.allocated.Sub(pt.team.stopping).Sub(size)
+		return remaining.Dominant(p.totalCapacity) >= pt.team.fairShare-slack
 	}
 }
 
@@ -183,12 +183,12 @@
 		v.searchTeam(u.jobState.team)
 	}
 	n := 0
-	p.teamsByNeed.EachReverse(func(c *teamState) bool {
-		if c != u.jobState.team && c.preemptibleTasks.Len() > 0 {
-			v.searchTeam(c)
+	p.teamsByNeed.EachReverse(func(t *teamState) bool {
+		if t != u.jobState.team && t.preemptibleTasks.Len() > 0 {
+			v.searchTeam(t)
 			n++
 		}
-		return n < maxVictimTeams && c.usageRatio > 0
+		return n < maxVictimTeams && t.usageRatio > 0
 	})
 	return v.bestServer, v.victims
 }
@@ -206,30 +206,30 @@
 }
 
 // searchTeam weighs the servers on which the team's youngest tasks run.
-func (v *victimSearch) searchTeam(c *teamState) {
+func (v *victimSearch) searchTeam(t *teamState) {
 	n := 0
-	c.preemptibleTasks.Each(func(h *placedTask) bool {
-		if n++; v.filter(h) && !v.evaluated[h.server] && h.server.State == backend.Ready && !v.unit.jobState.failureBudget.Avoids(h.server.number) {
-			v.evaluated[h.server] = true
-			v.evaluateServer(h.server)
+	t.preemptibleTasks.Each(func(pt *placedTask) bool {
+		if n++; v.filter(pt) && !v.evaluated[pt.server] && pt.server.State == backend.Ready && !v.unit.jobState.failureBudget.Avoids(pt.server.number) {
+			v.evaluated[pt.server] = true
+			v.evaluateServer(pt.server)
 		}
 		return n < maxVictimTasks
 	})
 }
 
 func (v *victimSearch) evaluateServer(s *server) {
-	stop, lost, ok := v.planner.chooseVictims(s, v.need, s.available(), v.filter)
-	if ok && (v.bestServer == nil || lost < v.lostWork) {
-		v.bestServer, v.victims, v.lostWork = s, stop, lost
+	victims, lostWork, ok := v.planner.chooseVictims(s, v.need, s.available(), v.filter)
+	if ok && (v.bestServer == nil || lostWork < v.lostWork) {
+		v.bestServer, v.victims, v.lostWork = s, victims, lostWork
 	}
 }
 
 // chooseVictims returns what to stop on the server so that need fits.
 func (p *Planner) chooseVictims(s *server, need, free capacity.Size, filter victimFilter) ([]*placedTask, float64, bool) {
 	var candidates []preempt.Victim[*placedTask]
-	for _, h := range s.tasks {
-		if h.preemptible() && filter(h) {
-			candidates = append(candidates, preempt.Victim[*placedTask]{Item: h, Freed: h.countedSize, LostWork: p.lostWork(h)})
+	for _, pt := range s.tasks {
+		if pt.preemptible() && filter(pt) {
+			candidates = append(candidates, preempt.Victim[*placedTask]{Item: pt, Freed: pt.countedSize, LostWork: p.lostWork(pt)})
 		}
 	}
 	slices.SortStableFunc(candidates, func(a, b preempt.Victim[*placedTask]) int {
@@ -241,40 +241,40 @@
 		}
 		return 0
 	})
-	chosen, lost, ok := preempt.Choose(need, free, candidates)
-	stop := make([]*placedTask, 0, len(chosen))
+	chosen, lostWork, ok := preempt.Choose(need, free, candidates)
+	victims := make([]*placedTask, 0, len(chosen))
 	for _, v := range chosen {
-		stop = append(stop, v.Item)
+		victims = append(victims, v.Item)
 	}
-	return stop, lost, ok
+	return victims, lostWork, ok
 }
 
 // lostWork is the work thrown away by stopping the task; a gang stops as a whole.
 // Each time that a job was preempted before makes it dearer, so that the same
 // youngest job is not stopped again and again.
-func (p *Planner) lostWork(h *placedTask) float64 {
-	one := preempt.LostWork(h.countedSize.Dominant(p.totalCapacity), h.PlacedAt, p.now)
-	if !h.Job.Whole() {
-		return one * float64(1+h.priorAttempts)
+func (p *Planner) lostWork(pt *placedTask) float64 {
+	taskWork := preempt.LostWork(pt.countedSize.Dominant(p.totalCapacity), pt.PlacedAt, p.now)
+	if !pt.Job.Whole() {
+		return taskWork * float64(1+pt.priorAttempts)
 	}
-	return one * float64(len(h.jobState.placed)) * float64(1+h.priorAttempts)
+	return taskWork * float64(len(pt.jobState.placed)) * float64(1+pt.priorAttempts)
 }
 
 // preempt stops the task, and with it the gang that it belongs to.
-func (p *Planner) preempt(h *placedTask, reason string) {
-	if !h.Job.Whole() {
-		p.preemptTask(h, reason)
+func (p *Planner) preempt(pt *placedTask, reason string) {
+	if !pt.Job.Whole() {
+		p.preemptTask(pt, reason)
 		return
 	}
-	for _, o := range h.jobState.placed {
-		p.preemptTask(o, reason)
+	for _, member := range pt.jobState.placed {
+		p.preemptTask(member, reason)
 	}
 }
 
-func (p *Planner) preemptTask(h *placedTask, reason string) {
-	if h.Stopping {
+func (p *Planner) preemptTask(pt *placedTask, reason string) {
+	if pt.Stopping {
 		return
 	}
-	p.markStopping(h)
-	p.emit(plan.Decision{Action: plan.Preempt, Task: h.ID, Reason: reason})
+	p.markStopping(pt)
+	p.emit(plan.Decision{Action: plan.Preempt, Task: pt.ID, Reason: reason})
 }
--- a/internal/policy/cell/decide.go
+++ b/internal/policy/cell/decide.go
@@ -64,14 +64,14 @@
 
 // requeueUnconfirmed queues again what the last call placed and the ledger did not confirm.
 func (p *Planner) requeueUnconfirmed() {
-	assumed := p.unconfirmedTasks
+	unconfirmed := p.unconfirmedTasks
 	p.unconfirmedTasks = p.unconfirmedTasks[:0]
-	for _, h := range assumed {
-		if !h.unconfirmed || p.placed[h.ID] != h {
+	for _, pt := range unconfirmed {
+		if !pt.unconfirmed || p.placed[pt.ID] != pt {
 			continue
 		}
-		p.removeTask(h)
-		p.enqueue(h.jobState, h.waitingTask)
+		p.removeTask(pt)
+		p.enqueue(pt.jobState, pt.waitingTask)
 	}
 }
 
@@ -84,9 +84,9 @@
 	p.urgentReserve.Advance(p.now)
 	teams := make([]*teamState, 0, p.teamsByNeed.Len())
 	shareInputs := make([]share.Team, 0, p.teamsByNeed.Len())
-	p.teamsByNeed.Each(func(c *teamState) bool {
-		teams = append(teams, c)
-		shareInputs = append(shareInputs, p.shareInput(c))
+	p.teamsByNeed.Each(func(t *teamState) bool {
+		teams = append(teams, t)
+		shareInputs = append(shareInputs, p.shareInput(t))
 		return true
 	})
 	minShares := share.MinShares(shareInputs)
@@ -95,14 +95,14 @@
 	}
 }
 
-func (p *Planner) shareInput(c *teamState) share.Team {
-	if !c.inTable {
+func (p *Planner) shareInput(t *teamState) share.Team {
+	if !t.inTable {
 		return share.Team{}
 	}
-	demand := clampToLimit(c.allocated.Add(c.waiting).Sub(c.unplaceable), c.row.Limit)
+	demand := clampToLimit(t.allocated.Add(t.waiting).Sub(t.unplaceable), t.row.Limit)
 	return share.Team{
-		Guarantee: float64(c.row.Share) / shareUnit,
-		Weight:    float64(max(1, c.row.Weight)),
+		Guarantee: float64(t.row.Share) / shareUnit,
+		Weight:    float64(max(1, t.row.Weight)),
 		Demand:    min(1, demand.Dominant(p.totalCapacity)),
 	}
 }
@@ -122,42 +122,42 @@
 }
 
 // setTargetShare gives the team its target and its place in the order of need.
-func (p *Planner) setTargetShare(c *teamState, targetShare, minShare float64) {
-	c.targetShare = targetShare
+func (p *Planner) setTargetShare(t *teamState, targetShare, minShare float64) {
+	t.targetShare = targetShare
 	fairShare := max(targetShare, minShare)
-	if math.Abs(fairShare-c.fairShare) < fairShare/256 {
+	if math.Abs(fairShare-t.fairShare) < fairShare/256 {
 		return
 	}
-	p.teamsByNeed.Remove(c.name)
-	c.fairShare = fairShare
-	c.usageRatio = p.usageRatio(c)
-	p.teamsByNeed.Add(c)
+	p.teamsByNeed.Remove(t.name)
+	t.fairShare = fairShare
+	t.usageRatio = p.usageRatio(t)
+	p.teamsByNeed.Add(t)
 }
 
 // usageRatio is what the team holds, in units of what is fair.
-func (p *Planner) usageRatio(c *teamState) float64 {
-	fraction := c.allocated.Add(c.reserved).Dominant(p.totalCapacity)
+func (p *Planner) usageRatio(t *teamState) float64 {
+	fraction := t.allocated.Add(t.reserved).Dominant(p.totalCapacity)
 	if fraction <= 0 {
 		return 0
 	}
-	if c.fairShare <= 0 {
+	if t.fairShare <= 0 {
 		return math.MaxFloat64
 	}
-	return fraction / c.fairShare
+	return fraction / t.fairShare
 }
 
 // withinLimit tells whether the team may hold that much more beside what it holds and
 // what room is kept for.
-func (p *Planner) withinLimit(c *teamState, more capacity.Size) bool {
-	return c.inTable && c.allocated.Add(c.reserved).Add(more).Within(c.row.Limit)
+func (p *Planner) withinLimit(t *teamState, more capacity.Size) bool {
+	return t.inTable && t.allocated.Add(t.reserved).Add(more).Within(t.row.Limit)
 }
 
 // limitAllows tells whether the limit of its team lets the unit start. Urgent work
 // does not wait for what room is kept for.
 func (p *Planner) limitAllows(u *unit) bool {
 	more := u.totalSize()
-	if c := u.jobState.team; u.jobState.spec.Kind == job.Urgent {
-		return c.inTable && c.allocated.Add(more).Within(c.row.Limit)
+	if t := u.jobState.team; u.jobState.spec.Kind == job.Urgent {
+		return t.inTable && t.allocated.Add(more).Within(t.row.Limit)
 	}
 	return p.withinLimit(u.jobState.team, more.Sub(u.reservedSize()))
 }
@@ -180,9 +180,9 @@
 	u.jobState.everPlaced = true
 	for i, q := range tasks {
 		p.dequeue(u, q.ID)
-		h := p.addTask(plan.PlacedTask{ID: q.ID, Job: q.Job, AcceptedAt: q.AcceptedAt, Server: servers[i].ID, PlacedAt: p.now}, servers[i])
-		h.unconfirmed, h.waitingTask, h.priorAttempts = true, q, q.Attempts
-		p.unconfirmedTasks = append(p.unconfirmedTasks, h)
+		pt := p.addTask(plan.PlacedTask{ID: q.ID, Job: q.Job, AcceptedAt: q.AcceptedAt, Server: servers[i].ID, PlacedAt: p.now}, servers[i])
+		pt.unconfirmed, pt.waitingTask, pt.priorAttempts = true, q, q.Attempts
+		p.unconfirmedTasks = append(p.unconfirmedTasks, pt)
 		placements[i] = plan.Placement{Index: q.ID.Index, Server: servers[i].ID}
 	}
 	p.emit(plan.Decision{Action: plan.Place, Job: u.jobState.id, Placements: placements})
@@ -212,28 +212,28 @@
 
 // bestServer returns the best server of all zones.
 func (p *Planner) bestServer(need capacity.Size, accepts func(*server) bool) *server {
-	var found *server
+	var best *server
 	bound := fit.WorstScore
 	for _, z := range p.zones {
 		if !need.Fits(z.free) {
 			continue
 		}
-		if s, score, held := z.index.Best(need, bound, accepts); held {
-			found, bound = s, score
+		if s, score, ok := z.index.Best(need, bound, accepts); ok {
+			best, bound = s, score
 		}
 	}
-	return found
+	return best
 }
 
 // placeByShare places batch and gangs, the team furthest below its due first.
 func (p *Planner) placeByShare() {
 	for !p.atDecisionLimit() {
-		c := p.nextTeam()
-		if c == nil {
+		t := p.nextTeam()
+		if t == nil {
 			return
 		}
-		if !p.placeFirstFitting(c) {
-			c.blockedRevision = p.freeRevision
+		if !p.placeFirstFitting(t) {
+			t.blockedRevision = p.freeRevision
 		}
 	}
 }
@@ -241,20 +241,20 @@
 // nextTeam returns the neediest team of which something might fit.
 func (p *Planner) nextTeam() *teamState {
 	var found *teamState
-	p.teamsByNeed.Each(func(c *teamState) bool {
-		if c.blockedRevision == p.freeRevision || !c.inTable || !c.waitingSizes.anyPlaceable(&p.unplaceable) {
+	p.teamsByNeed.Each(func(t *teamState) bool {
+		if t.blockedRevision == p.freeRevision || !t.inTable || !t.waitingSizes.anyPlaceable(&p.unplaceable) {
 			return true
 		}
-		found = c
+		found = t
 		return false
 	})
 	return found
 }
 
 // placeFirstFitting places the first unit of the team that fits.
-func (p *Planner) placeFirstFitting(c *teamState) bool {
-	p.unitBuffer = c.queues[job.Service].AppendFirst(p.cfg.ScanDepth, p.unitBuffer[:0])
-	p.unitBuffer = c.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, p.unitBuffer)
+func (p *Planner) placeFirstFitting(t *teamState) bool {
+	p.unitBuffer = t.queues[job.Service].AppendFirst(p.cfg.ScanDepth, p.unitBuffer[:0])
+	p.unitBuffer = t.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, p.unitBuffer)
 	for _, u := range p.unitBuffer {
 		if !p.eligible(u) {
 			continue
--- a/internal/policy/cell/excess.go
+++ b/internal/policy/cell/excess.go
@@ -15,52 +15,52 @@
 		return
 	}
 	seen := map[*teamState]bool{}
-	p.overLimitTeams = slices.DeleteFunc(p.overLimitTeams, func(c *teamState) bool {
-		if seen[c] {
+	p.overLimitTeams = slices.DeleteFunc(p.overLimitTeams, func(t *teamState) bool {
+		if seen[t] {
 			return true
 		}
-		seen[c] = true
-		return p.preemptAboveLimit(c)
+		seen[t] = true
+		return p.preemptAboveLimit(t)
 	})
 }
 
 // preemptAboveLimit stops what it can and tells whether the team is done with.
-func (p *Planner) preemptAboveLimit(c *teamState) bool {
-	if !c.inTable {
+func (p *Planner) preemptAboveLimit(t *teamState) bool {
+	if !t.inTable {
 		return true
 	}
 	for {
-		expected := c.allocated.Sub(c.stopping)
-		if expected.Within(c.row.Limit) {
+		expected := t.allocated.Sub(t.stopping)
+		if expected.Within(t.row.Limit) {
 			return true
 		}
 		if p.atDecisionLimit() {
 			return false
 		}
-		h := p.youngestStoppable(c, expected)
-		if h == nil {
+		pt := p.youngestStoppable(t, expected)
+		if pt == nil {
 			return true
 		}
-		p.preempt(h, "above the team's limit")
+		p.preempt(pt, "above the team's limit")
 	}
 }
 
 // youngestStoppable returns the youngest task that may be stopped and holds something
 // of what the team has too much of.
-func (p *Planner) youngestStoppable(c *teamState, expected capacity.Size) *placedTask {
+func (p *Planner) youngestStoppable(t *teamState, expected capacity.Size) *placedTask {
 	var found *placedTask
-	c.preemptibleTasks.Each(func(h *placedTask) bool {
-		if reducesExcess(h.countedSize, expected, c.row.Limit) {
-			found = h
+	t.preemptibleTasks.Each(func(pt *placedTask) bool {
+		if reducesExcess(pt.countedSize, expected, t.row.Limit) {
+			found = pt
 		}
 		return found == nil
 	})
 	if found != nil {
 		return found
 	}
-	c.serviceTasks.Each(func(h *placedTask) bool {
-		if reducesExcess(h.countedSize, expected, c.row.Limit) && h.jobState.mayStopOne() {
-			found = h
+	t.serviceTasks.Each(func(pt *placedTask) bool {
+		if reducesExcess(pt.countedSize, expected, t.row.Limit) && pt.jobState.mayStopOne() {
+			found = pt
 		}
 		return found == nil
 	})
@@ -69,7 +69,7 @@
 
 // reducesExcess tells whether the size has a part in what exceeds the limit.
 func reducesExcess(size, expected, limit capacity.Size) bool {
-	field := func(n, expected, limit int64) bool { return limit != capacity.Unlimited && expected > limit && n > 0 }
-	return field(size.CPU, expected.CPU, limit.CPU) || field(size.Memory, expected.Memory, limit.Memory) ||
-		field(size.Accel, expected.Accel, limit.Accel) || field(size.Slots, expected.Slots, limit.Slots)
+	fieldExceeds := func(n, expected, limit int64) bool { return limit != capacity.Unlimited && expected > limit && n > 0 }
+	return fieldExceeds(size.CPU, expected.CPU, limit.CPU) || fieldExceeds(size.Memory, expected.Memory, limit.Memory) ||
+		fieldExceeds(size.Accel, expected.Accel, limit.Accel) || fieldExceeds(size.Slots, expected.Slots, limit.Slots)
 }
--- a/internal/policy/cell/fault_test.go
+++ b/internal/policy/cell/fault_test.go
@@ -21,11 +21,11 @@
 	w := newWorld(6)
 	gang := submit(w, job.Spec{Kind: job.Gang}, 8, time.Minute)
 	runUntil(t, w, time.Second)
-	lost := w.On(gang)[0]
-	w.Lose(func(s backend.Server) bool { return s.ID == lost }, time.Hour, true)
+	lostServer := w.On(gang)[0]
+	w.Lose(func(s backend.Server) bool { return s.ID == lostServer }, time.Hour, true)
 	runUntil(t, w, 5*time.Second)
 	assertEqual(t, "tasks running again", 8, len(w.On(gang)))
-	if slices.Contains(w.On(gang), lost) {
+	if slices.Contains(w.On(gang), lostServer) {
 		t.Error("the gang is on the lost server")
 	}
 	assertEqual(t, "attempts of the first and the last task", []uint32{2, 2}, []uint32{w.Attempts(task.ID{Job: gang}), w.Attempts(task.ID{Job: gang, Index: 7})})
@@ -62,22 +62,22 @@
 	w := newWorld(12)
 	service := submit(w, job.Spec{Kind: job.Service, Floor: 5}, 6, 1000*time.Hour)
 	runUntil(t, w, time.Second)
-	zones, racks := map[string]int{}, map[string]int{}
+	tasksByZone, tasksByRack := map[string]int{}, map[string]int{}
 	for _, id := range w.On(service) {
-		zones[w.Server(id).Zone]++
-		racks[w.Server(id).Rack]++
+		tasksByZone[w.Server(id).Zone]++
+		tasksByRack[w.Server(id).Rack]++
 	}
-	assertEqual(t, "tasks by zone", map[string]int{"z0": 2, "z1": 2, "z2": 2}, zones)
-	assertEqual(t, "racks used", 6, len(racks))
+	assertEqual(t, "tasks by zone", map[string]int{"z0": 2, "z1": 2, "z2": 2}, tasksByZone)
+	assertEqual(t, "racks used", 6, len(tasksByRack))
 	for _, id := range w.On(service)[:3] {
 		w.SetServer(w.Server(id).WithState(backend.Draining, time.Second))
 	}
-	least := 6
+	fewestRunning := 6
 	for i := range 100 {
 		runUntil(t, w, time.Second+time.Duration(i)*20*time.Millisecond)
-		least = min(least, w.Running(service))
+		fewestRunning = min(fewestRunning, w.Running(service))
 	}
-	assertEqual(t, "fewest running", 5, least)
+	assertEqual(t, "fewest running", 5, fewestRunning)
 	for _, id := range w.On(service) {
 		assertEqual(t, "state of "+id, backend.Ready, w.Server(id).State)
 	}
@@ -125,14 +125,14 @@
 		submit(w, job.Spec{Team: "b", Kind: job.Urgent}, 1, 100*time.Millisecond)
 	}
 	runUntil(t, w, 100*time.Millisecond)
-	flood := submit(w, job.Spec{}, 4000, time.Second)
+	backlog := submit(w, job.Spec{}, 4000, time.Second)
 	runUntil(t, w, 5*time.Second)
-	full := map[string]int{}
-	for _, id := range w.On(flood) {
-		full[id]++
+	tasksByServer := map[string]int{}
+	for _, id := range w.On(backlog) {
+		tasksByServer[id]++
 	}
 	for _, s := range servers(6) {
-		if full[s.ID] < 4 {
+		if tasksByServer[s.ID] < 4 {
 			w.SetServer(s.WithState(backend.Suspect, w.Now()))
 		}
 	}
@@ -152,8 +152,8 @@
 	w := newWorld(2)
 	first := submit(w, job.Spec{}, 1, time.Hour)
 	runUntil(t, w, time.Second)
-	silent := w.On(first)[0]
-	w.SetServer(w.Server(silent).WithState(backend.Suspect, time.Second))
+	suspect := w.On(first)[0]
+	w.SetServer(w.Server(suspect).WithState(backend.Suspect, time.Second))
 	second := submit(w, job.Spec{}, 7, time.Hour)
 	runUntil(t, w, 10*time.Second)
 	assertEqual(t, "placed beside it", 4, len(w.On(second)))
@@ -166,13 +166,13 @@
 func TestMemoryOveruseStopsTaskAndParksJob(t *testing.T) {
 	w := newWorld(1)
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize}
-	greedy := w.Submit(spec, []time.Duration{time.Hour}, capacity.Size{CPU: 1000, Memory: 2048, Slots: 1}, false)
+	overuser := w.Submit(spec, []time.Duration{time.Hour}, capacity.Size{CPU: 1000, Memory: 2048, Slots: 1}, false)
 	runUntil(t, w, 12*time.Second)
-	rest := submit(w, job.Spec{Team: "b"}, 3, time.Hour)
+	others := submit(w, job.Spec{Team: "b"}, 3, time.Hour)
 	runUntil(t, w, 13*time.Second)
-	assertEqual(t, "placed beside it", 2, len(w.On(rest)))
+	assertEqual(t, "placed beside it", 2, len(w.On(others)))
 	runUntil(t, w, 5*time.Minute)
-	assertEqual(t, "left of it", 0, w.Left(greedy))
+	assertEqual(t, "left of it", 0, w.Left(overuser))
 	assertEqual(t, "stops and parks", []int{3, 1}, []int{w.Count(plan.Stop), w.Count(plan.Park)})
 }
 
@@ -182,13 +182,13 @@
 func TestOveruseOfOnceTaskIsOnlyThrottled(t *testing.T) {
 	w := newWorld(1)
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize, Once: true}
-	greedy := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 1000, Memory: 4096, Slots: 1}, false)
+	overuser := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 1000, Memory: 4096, Slots: 1}, false)
 	runUntil(t, w, 12*time.Second)
-	rest := submit(w, job.Spec{Team: "b"}, 3, time.Hour)
+	others := submit(w, job.Spec{Team: "b"}, 3, time.Hour)
 	runUntil(t, w, 50*time.Second)
-	assertEqual(t, "running of it, placed beside it", []int{1, 0}, []int{w.Running(greedy), len(w.On(rest))})
+	assertEqual(t, "running of it, placed beside it", []int{1, 0}, []int{w.Running(overuser), len(w.On(others))})
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "left of it, placed after it", []int{0, 3}, []int{w.Left(greedy), len(w.On(rest))})
+	assertEqual(t, "left of it, placed after it", []int{0, 3}, []int{w.Left(overuser), len(w.On(others))})
 	assertEqual(t, "throttles, stops", []int{1, 0}, []int{w.Count(plan.Throttle), w.Count(plan.Stop)})
 }
 
@@ -197,9 +197,9 @@
 func TestCPUOveruseIsThrottled(t *testing.T) {
 	w := newWorld(1)
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize}
-	greedy := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 2500, Memory: 1024, Slots: 1}, false)
+	overuser := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 2500, Memory: 1024, Slots: 1}, false)
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "left of it", 0, w.Left(greedy))
+	assertEqual(t, "left of it", 0, w.Left(overuser))
 	assertEqual(t, "throttles, stops", []int{1, 0}, []int{w.Count(plan.Throttle), w.Count(plan.Stop)})
 }
 
@@ -208,7 +208,7 @@
 // once it is sound again a little work proves it and it returns.
 func TestFailingServerIsQuarantinedAndReturns(t *testing.T) {
 	w := newWorld(12)
-	good := submit(w, job.Spec{Name: "good"}, 300, 5*time.Second)
+	goodJob := submit(w, job.Spec{Name: "good"}, 300, 5*time.Second)
 	runUntil(t, w, 10*time.Second)
 	w.Fail("s03", true)
 	runUntil(t, w, 30*time.Second)
@@ -217,7 +217,7 @@
 	submit(w, job.Spec{Name: "good"}, 300, 5*time.Second)
 	runUntil(t, w, 2*time.Minute)
 	assertEqual(t, "state after probes", backend.Ready, w.Server("s03").State)
-	assertEqual(t, "left of the jobs, parked", []int{0, 0}, []int{w.Left(good), w.Count(plan.Park)})
+	assertEqual(t, "left of the jobs, parked", []int{0, 0}, []int{w.Left(goodJob), w.Count(plan.Park)})
 }
 
 // A job of a hundred tasks crashes wherever it runs. It must not take a single
@@ -227,10 +227,10 @@
 	submit(w, job.Spec{Team: "b", Name: "good"}, 200, 5*time.Second)
 	runUntil(t, w, 6*time.Second)
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Name: "bad", Count: 100, Size: taskSize}
-	bad := w.Submit(spec, make([]time.Duration, 100), taskSize, true)
+	crashingJob := w.Submit(spec, make([]time.Duration, 100), taskSize, true)
 	runUntil(t, w, 2*time.Minute)
 	assertEqual(t, "quarantines, parks", []int{0, 1}, []int{w.Count(plan.Quarantine), w.Count(plan.Park)})
-	assertEqual(t, "left of it", 0, w.Left(bad))
+	assertEqual(t, "left of it", 0, w.Left(crashingJob))
 }
 
 // Four servers fail everything at once, and a sound job meets one after the other
@@ -239,12 +239,12 @@
 func TestHealthyJobSurvivesFailingServers(t *testing.T) {
 	p := cell.New(cell.Config{})
 	p.SetTable(table.Restore(1, []team.Row{team.New("a")}))
-	list := servers(40)
-	for _, s := range list {
+	allServers := servers(40)
+	for _, s := range allServers {
 		p.SetServer(s)
 	}
-	next := uint64(1)
-	attempt := func(id uint64, name, server string, failed bool) {
+	lastJob := uint64(1)
+	runAttempt := func(id uint64, name, server string, failed bool) {
 		spec := &job.Spec{Team: "a", Kind: job.Batch, Name: name, Count: 1, Size: taskSize}
 		p.SetPlaced(plan.PlacedTask{ID: task.ID{Job: id}, Job: spec, Server: server})
 		p.EndAttempt(task.ID{Job: id}, plan.AttemptEnd{Started: true, Failed: failed})
@@ -253,25 +253,25 @@
 		}
 	}
 	for range 20 {
-		next++
-		attempt(next, "good", "s39", false)
+		lastJob++
+		runAttempt(lastJob, "good", "s39", false)
 	}
 	for i := range 4 {
 		for range 4 {
-			next++
-			attempt(next, "good", list[i].ID, true)
+			lastJob++
+			runAttempt(lastJob, "good", allServers[i].ID, true)
 		}
-		attempt(1, "sound", list[i].ID, true)
+		runAttempt(1, "sound", allServers[i].ID, true)
 		for range 8 {
-			next++
-			attempt(next, "good", "s39", false)
+			lastJob++
+			runAttempt(lastJob, "good", "s39", false)
 		}
 		for _, d := range p.Decide(time.Duration(i)*time.Millisecond, 100) {
 			if d.Action == plan.Park {
 				t.Fatalf("after %d servers: %+v", i+1, d)
 			}
 			if d.Action == plan.Quarantine {
-				p.SetServer(list[i].WithState(backend.Quarantined, 0))
+				p.SetServer(allServers[i].WithState(backend.Quarantined, 0))
 			}
 		}
 	}
@@ -280,34 +280,34 @@
 // lossesUntilParked plays how servers are lost under a job of so many tasks, again and again, each
 // so long after the tasks were placed there, and tells after which loss it is given up;
 // 0 for never.
-func lossesUntilParked(tasks uint32, age time.Duration) int {
+func lossesUntilParked(tasks uint32, ranFor time.Duration) int {
 	p := cell.New(cell.Config{})
 	p.SetTable(table.Restore(1, []team.Row{team.New("a")}))
-	list := servers(40)
-	for _, s := range list {
+	allServers := servers(40)
+	for _, s := range allServers {
 		p.SetServer(s)
 	}
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Name: "one", Count: tasks, Size: taskSize}
-	now := time.Minute
-	for n := 1; n <= 8; n++ {
+	placedAt := time.Minute
+	for loss := 1; loss <= 8; loss++ {
 		for i := range tasks {
-			p.SetPlaced(plan.PlacedTask{ID: task.ID{Job: 1, Index: i}, Job: spec, Server: list[n*4+int(i)%4].ID, PlacedAt: now})
+			p.SetPlaced(plan.PlacedTask{ID: task.ID{Job: 1, Index: i}, Job: spec, Server: allServers[loss*4+int(i)%4].ID, PlacedAt: placedAt})
 		}
-		silent := now + age
-		now = silent + 15*time.Second
-		for _, s := range list[n*4 : n*4+4] {
-			p.SetServer(s.WithState(backend.Suspect, silent))
-			p.SetServer(s.WithState(backend.Gone, now))
+		silentAt := placedAt + ranFor
+		placedAt = silentAt + 15*time.Second
+		for _, s := range allServers[loss*4 : loss*4+4] {
+			p.SetServer(s.WithState(backend.Suspect, silentAt))
+			p.SetServer(s.WithState(backend.Gone, placedAt))
 		}
 		for i := range tasks {
-			p.EndAttempt(task.ID{Job: 1, Index: i}, plan.AttemptEnd{EndedAt: now, Started: true, ServerLost: true})
+			p.EndAttempt(task.ID{Job: 1, Index: i}, plan.AttemptEnd{EndedAt: placedAt, Started: true, ServerLost: true})
 		}
 		for i := range tasks {
-			p.AddWaiting(plan.WaitingTask{ID: task.ID{Job: 1, Index: i}, Job: spec, Attempts: uint32(n)})
+			p.AddWaiting(plan.WaitingTask{ID: task.ID{Job: 1, Index: i}, Job: spec, Attempts: uint32(loss)})
 		}
-		for _, d := range p.Decide(now, 100) {
+		for _, d := range p.Decide(placedAt, 100) {
 			if d.Action == plan.Park {
-				return n
+				return loss
 			}
 		}
 	}
@@ -345,16 +345,16 @@
 // nobody, counts for no share, and runs when a server that holds it announces.
 func TestUnplaceableTaskDoesNotBlockOthers(t *testing.T) {
 	w := newWorld(2)
-	big := submit(w, job.Spec{Team: "a", Size: taskSize.Times(6)}, 50, time.Minute)
-	rest := submit(w, job.Spec{Team: "b"}, 8, time.Hour)
+	unplaceable := submit(w, job.Spec{Team: "a", Size: taskSize.Times(6)}, 50, time.Minute)
+	others := submit(w, job.Spec{Team: "b"}, 8, time.Hour)
 	runUntil(t, w, time.Minute)
-	assertEqual(t, "others placed", 8, len(w.On(rest)))
+	assertEqual(t, "others placed", 8, len(w.On(others)))
 	assertEqual(t, "preempted", 0, w.Count(plan.Preempt))
-	large := servers(1)[0]
-	large.ID, large.Capacity = "large", taskSize.Times(8)
-	w.SetServer(large)
+	largeServer := servers(1)[0]
+	largeServer.ID, largeServer.Capacity = "large", taskSize.Times(8)
+	w.SetServer(largeServer)
 	runUntil(t, w, time.Minute+time.Second)
-	assertEqual(t, "placed on the large server", []string{"large"}, w.On(big))
+	assertEqual(t, "placed on the large server", []string{"large"}, w.On(unplaceable))
 }
 
 // Declared run times are off by ten times, so that long tasks look short. What
@@ -365,8 +365,8 @@
 	runUntil(t, w, 2*time.Minute)
 	blocker := submit(w, job.Spec{Name: "blocker", Runtime: time.Second}, 4, 10*time.Second)
 	runUntil(t, w, 2*time.Minute+time.Second)
-	liar := submit(w, job.Spec{Name: "liar", Runtime: time.Second}, 4, 30*time.Second)
+	underdeclared := submit(w, job.Spec{Name: "liar", Runtime: time.Second}, 4, 30*time.Second)
 	short := submit(w, job.Spec{Name: "short", Runtime: 5 * time.Second}, 4, 5*time.Second)
 	runUntil(t, w, 2*time.Minute+12*time.Second)
-	assertEqual(t, "blocker, liar, short running", []int{0, 0, 4}, []int{len(w.On(blocker)), len(w.On(liar)), len(w.On(short))})
+	assertEqual(t, "blocker, liar, short running", []int{0, 0, 4}, []int{len(w.On(blocker)), len(w.On(underdeclared)), len(w.On(short))})
 }
--- a/internal/policy/cell/frontier.go
+++ b/internal/policy/cell/frontier.go
@@ -14,9 +14,9 @@
 type unplaceableSizes struct{ sizes []capacity.Size }
 
 // covers tells whether the size is known to fit nowhere.
-func (f *unplaceableSizes) covers(s capacity.Size) bool {
+func (f *unplaceableSizes) covers(size capacity.Size) bool {
 	for _, known := range f.sizes {
-		if known.Fits(s) {
+		if known.Fits(size) {
 			return true
 		}
 	}
@@ -24,10 +24,10 @@
 }
 
 // add notes that the size fits nowhere.
-func (f *unplaceableSizes) add(s capacity.Size) {
-	f.sizes = slices.DeleteFunc(f.sizes, func(known capacity.Size) bool { return s.Fits(known) })
+func (f *unplaceableSizes) add(size capacity.Size) {
+	f.sizes = slices.DeleteFunc(f.sizes, func(known capacity.Size) bool { return size.Fits(known) })
 	if len(f.sizes) < maxUnplaceableSizes {
-		f.sizes = append(f.sizes, s)
+		f.sizes = append(f.sizes, size)
 	}
 }
 
--- a/internal/policy/cell/gang.go
+++ b/internal/policy/cell/gang.go
@@ -87,20 +87,20 @@
 }
 
 // countFitting returns how often need fits into room.
-func countFitting(need, room capacity.Size) int {
-	if !room.Valid() {
+func countFitting(need, free capacity.Size) int {
+	if !free.Valid() {
 		return 0
 	}
 	n := int64(1 << 30)
-	per := func(need, room int64) {
+	limitBy := func(need, free int64) {
 		if need > 0 {
-			n = min(n, room/need)
+			n = min(n, free/need)
 		}
 	}
-	per(need.CPU, room.CPU)
-	per(need.Memory, room.Memory)
-	per(need.Accel, room.Accel)
-	per(need.Slots, room.Slots)
+	limitBy(need.CPU, free.CPU)
+	limitBy(need.Memory, free.Memory)
+	limitBy(need.Accel, free.Accel)
+	limitBy(need.Slots, free.Slots)
 	return int(n)
 }
 
@@ -148,11 +148,11 @@
 }
 
 // findVictimsNear looks for victims in the gang's zone first.
-func (p *Planner) findVictimsNear(home *zone, u *unit, includeOwn bool, filter victimFilter) (*server, []*placedTask) {
-	if home != nil && !p.disabled(RackLocality) {
-		inZone := func(h *placedTask) bool { return h.server.rack.zone == home && filter(h) }
-		if srv, stop := p.findVictims(u, u.taskSize, includeOwn, inZone); srv != nil {
-			return srv, stop
+func (p *Planner) findVictimsNear(preferredZone *zone, u *unit, includeOwn bool, filter victimFilter) (*server, []*placedTask) {
+	if preferredZone != nil && !p.disabled(RackLocality) {
+		inZone := func(pt *placedTask) bool { return pt.server.rack.zone == preferredZone && filter(pt) }
+		if srv, victims := p.findVictims(u, u.taskSize, includeOwn, inZone); srv != nil {
+			return srv, victims
 		}
 	}
 	return p.findVictims(u, u.taskSize, includeOwn, filter)
@@ -179,14 +179,14 @@
 	if p.unplaceable.covers(need) {
 		return false
 	}
-	home := u.reservedZone()
+	preferredZone := u.reservedZone()
 	if p.disabled(RackLocality) {
-		home = nil
+		preferredZone = nil
 	}
-	if home == nil && !p.disabled(RackLocality) {
-		home = p.zoneWithMostFree()
+	if preferredZone == nil && !p.disabled(RackLocality) {
+		preferredZone = p.zoneWithMostFree()
 	}
-	s := p.bestInZone(home, need, u.serverFilter())
+	s := p.bestInZone(preferredZone, need, u.serverFilter())
 	if s == nil {
 		return false
 	}
@@ -196,13 +196,13 @@
 
 // zoneWithMostFree returns the zone with the most free room.
 func (p *Planner) zoneWithMostFree() *zone {
-	var most *zone
+	var best *zone
 	for _, z := range p.zones {
-		if most == nil || z.free.Dominant(p.totalCapacity) > most.free.Dominant(p.totalCapacity) {
-			most = z
+		if best == nil || z.free.Dominant(p.totalCapacity) > best.free.Dominant(p.totalCapacity) {
+			best = z
 		}
 	}
-	return most
+	return best
 }
 
 // mayReserveForGang tells whether the gang may be kept one more piece of room.
@@ -210,7 +210,7 @@
 	if u.reservation != nil {
 		return len(u.reservation.parts) < len(u.tasks)
 	}
-	return u.jobState.team.reservingGang == nil && p.gangReservations < max(minReservations, len(p.serverList)/serversPerReservation)
+	return u.jobState.team.reservingGang == nil && p.gangReservationCount < max(minReservations, len(p.serverList)/serversPerReservation)
 }
 
 // reservedZone is the zone in which the gang gathers, nil before it has begun.
@@ -226,23 +226,23 @@
 // 30 s, and a gang is not hastened before it gathers.
 func (p *Planner) startGangReservations() {
 	var teams []*teamState
-	p.teamsByNeed.Each(func(c *teamState) bool {
-		if c.waitingGangs > 0 && c.reservingGang == nil && c.inTable {
-			teams = append(teams, c)
+	p.teamsByNeed.Each(func(t *teamState) bool {
+		if t.waitingGangCount > 0 && t.reservingGang == nil && t.inTable {
+			teams = append(teams, t)
 		}
 		return true
 	})
-	for _, c := range teams {
+	for _, t := range teams {
 		if p.atDecisionLimit() {
 			return
 		}
-		p.startFirstGangReservation(c)
+		p.startFirstGangReservation(t)
 	}
 }
 
 // startFirstGangReservation lets the team's first gang begin.
-func (p *Planner) startFirstGangReservation(c *teamState) {
-	for _, u := range c.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, nil) {
+func (p *Planner) startFirstGangReservation(t *teamState) {
+	for _, u := range t.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, nil) {
 		if !u.jobState.spec.Whole() || !p.eligible(u) {
 			continue
 		}
@@ -257,26 +257,26 @@
 // room, and for the rest the cheapest tasks of its own team and of teams above
 // their due. Without this a few long tasks would hold up the gang, and the room
 // kept for it, for as long.
-func (p *Planner) preemptForReservation(c *reservation) {
-	if p.now < c.createdAt+p.cfg.GangPreemptDelay || p.now < c.preemptedAt+gangPreemptInterval || p.disabled(SharePreempt) {
+func (p *Planner) preemptForReservation(r *reservation) {
+	if p.now < r.createdAt+p.cfg.GangPreemptDelay || p.now < r.lastPreemptionAt+gangPreemptInterval || p.disabled(SharePreempt) {
 		return
 	}
-	c.preemptedAt = p.now
-	for _, t := range c.parts {
-		p.preemptInPart(t)
+	r.lastPreemptionAt = p.now
+	for _, part := range r.parts {
+		p.preemptInPart(part)
 	}
-	for len(c.parts) < len(c.unit.tasks) && !p.atDecisionLimit() {
-		if !p.reserveByPreemption(c.unit, true) {
+	for len(r.parts) < len(r.unit.tasks) && !p.atDecisionLimit() {
+		if !p.reserveByPreemption(r.unit, true) {
 			return
 		}
 	}
 }
 
 // preemptInPart preempts what runs in kept room.
-func (p *Planner) preemptInPart(t reservedPart) {
-	stop, _, _ := p.chooseVictims(t.server, t.size, t.server.uncommitted(), func(h *placedTask) bool { return !h.Job.Whole() })
-	for _, h := range stop {
-		p.preempt(h, "room for a gang")
+func (p *Planner) preemptInPart(part reservedPart) {
+	victims, _, _ := p.chooseVictims(part.server, part.size, part.server.uncommitted(), func(pt *placedTask) bool { return !pt.Job.Whole() })
+	for _, pt := range victims {
+		p.preempt(pt, "room for a gang")
 	}
 }
 
@@ -284,32 +284,32 @@
 func (p *Planner) reserveByPreemption(u *unit, allowOwn bool) bool {
 	filter := p.aboveShareFilter(p.cfg.ShareSlack / 2)
 	if allowOwn {
-		aboveShare, c := filter, u.jobState.team
-		belowShare := p.withinLimit(c, u.taskSize) && c.allocated.Add(c.reserved).Sub(u.reservedSize()).Sub(c.stopping).Dominant(p.totalCapacity) <= c.fairShare+p.cfg.ShareSlack
-		filter = func(h *placedTask) bool { return h.team == c && !h.Job.Whole() || belowShare && aboveShare(h) }
+		aboveShare, t := filter, u.jobState.team
+		belowShare := p.withinLimit(t, u.taskSize) && t.allocated.Add(t.reserved).Sub(u.reservedSize()).Sub(t.stopping).Dominant(p.totalCapacity) <= t.fairShare+p.cfg.ShareSlack
+		filter = func(pt *placedTask) bool { return pt.team == t && !pt.Job.Whole() || belowShare && aboveShare(pt) }
 	}
-	srv, stop := p.findVictimsNear(u.reservedZone(), u, allowOwn, filter)
+	srv, victims := p.findVictimsNear(u.reservedZone(), u, allowOwn, filter)
 	if srv == nil {
 		return false
 	}
 	p.reserve(u, srv)
-	for _, h := range stop {
-		p.preempt(h, "room for a gang")
+	for _, pt := range victims {
+		p.preempt(pt, "room for a gang")
 	}
 	return true
 }
 
 // handleGangTaskEnd handles the end of one task of a gang: the rest cannot go on without it
 // if it has to run again, and is stopped so that the gang starts anew as a whole.
-func (p *Planner) handleGangTaskEnd(h *placedTask, end plan.AttemptEnd) {
-	w := h.jobState
-	if len(w.placed) == 0 {
-		if w.gangUnit != nil {
-			p.markNew(w.gangUnit)
+func (p *Planner) handleGangTaskEnd(pt *placedTask, end plan.AttemptEnd) {
+	js := pt.jobState
+	if len(js.placed) == 0 {
+		if js.gangUnit != nil {
+			p.markNew(js.gangUnit)
 		}
 		return
 	}
-	if (end.Failed || end.ServerLost || h.Stopping) && !h.Job.Once {
-		p.brokenGangs = append(p.brokenGangs, w)
+	if (end.Failed || end.ServerLost || pt.Stopping) && !pt.Job.Once {
+		p.brokenGangs = append(p.brokenGangs, js)
 	}
 }
--- a/internal/policy/cell/rapid_test.go
+++ b/internal/policy/cell/rapid_test.go
@@ -46,14 +46,14 @@
 
 // drawStep does one thing to the world and returns the job submitted, if any.
 func drawStep(t *rapid.T, w *bench.World) []uint64 {
-	ids := rapid.SampledFrom(servers(6)).Draw(t, "server").ID
+	server := rapid.SampledFrom(servers(6)).Draw(t, "server").ID
 	switch rapid.IntRange(0, 9).Draw(t, "what") {
 	case 0:
-		w.Lose(func(s backend.Server) bool { return s.ID == ids && s.State == backend.Ready }, 20*time.Second, true)
+		w.Lose(func(s backend.Server) bool { return s.ID == server && s.State == backend.Ready }, 20*time.Second, true)
 	case 1:
 		w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize.Times(rapid.Int64Range(8, 24).Draw(t, "limit")))}, nil))
 	case 2:
-		w.Fail(ids, rapid.Bool().Draw(t, "fails"))
+		w.Fail(server, rapid.Bool().Draw(t, "fails"))
 	case 3:
 		w.Replan(cell.New(cell.Config{Seed: 2}))
 	case 4:
--- a/internal/policy/cell/reclaim.go
+++ b/internal/policy/cell/reclaim.go
@@ -23,39 +23,39 @@
 	}
 	p.reclaimedAt = p.now
 	var belowShare []*teamState
-	p.teamsByNeed.Each(func(c *teamState) bool {
-		if c.inTable && p.shareDeficit(c) > p.cfg.ShareSlack && c.queues[job.Batch].Len()+c.queues[job.Service].Len() > 0 {
-			belowShare = append(belowShare, c)
+	p.teamsByNeed.Each(func(t *teamState) bool {
+		if t.inTable && p.shareDeficit(t) > p.cfg.ShareSlack && t.queues[job.Batch].Len()+t.queues[job.Service].Len() > 0 {
+			belowShare = append(belowShare, t)
 		}
-		return c.usageRatio < 1
+		return t.usageRatio < 1
 	})
 	remaining := maxReclaims
-	for _, c := range belowShare {
-		remaining = p.reclaimForTeam(c, remaining)
+	for _, t := range belowShare {
+		remaining = p.reclaimForTeam(t, remaining)
 	}
 	p.startGangReservations()
 }
 
 // shareDeficit is the part of the cell that the team misses of its target, room that is
 // on its way not counted.
-func (p *Planner) shareDeficit(c *teamState) float64 {
-	return c.targetShare - c.allocated.Add(c.reserved).Sub(c.stopping).Dominant(p.totalCapacity)
+func (p *Planner) shareDeficit(t *teamState) float64 {
+	return t.targetShare - t.allocated.Add(t.reserved).Sub(t.stopping).Dominant(p.totalCapacity)
 }
 
 // reclaimForTeam makes claims for the team until its lack is covered or left is used
 // up, and returns the rest of left.
-func (p *Planner) reclaimForTeam(c *teamState, remaining int) int {
-	units := c.queues[job.Service].AppendFirst(maxReclaims, nil)
-	units = c.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, units)
+func (p *Planner) reclaimForTeam(t *teamState, remaining int) int {
+	units := t.queues[job.Service].AppendFirst(maxReclaims, nil)
+	units = t.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, units)
 	for _, u := range units {
-		if remaining == 0 || p.atDecisionLimit() || p.shareDeficit(c) <= p.cfg.ShareSlack {
+		if remaining == 0 || p.atDecisionLimit() || p.shareDeficit(t) <= p.cfg.ShareSlack {
 			return remaining
 		}
 		if !p.eligible(u) {
 			continue
 		}
 		if u.jobState.spec.Whole() {
-			for remaining > 0 && p.shareDeficit(c) > p.cfg.ShareSlack && p.mayReserveForGang(u) && !p.atDecisionLimit() {
+			for remaining > 0 && p.shareDeficit(t) > p.cfg.ShareSlack && p.mayReserveForGang(u) && !p.atDecisionLimit() {
 				remaining--
 				if !p.reserveByPreemption(u, false) {
 					break
@@ -64,13 +64,13 @@
 			continue
 		}
 		remaining--
-		srv, stop := p.findVictims(u, u.jobState.spec.Size, false, p.aboveShareFilter(p.cfg.ShareSlack/2))
+		srv, victims := p.findVictims(u, u.jobState.spec.Size, false, p.aboveShareFilter(p.cfg.ShareSlack/2))
 		if srv == nil {
 			continue
 		}
 		p.reserve(u, srv)
-		for _, h := range stop {
-			p.preempt(h, "taken back for a team below its due")
+		for _, pt := range victims {
+			p.preempt(pt, "taken back for a team below its due")
 		}
 	}
 	return remaining
--- a/internal/policy/cell/service.go
+++ b/internal/policy/cell/service.go
@@ -40,14 +40,14 @@
 		return false
 	}
 	u.triedRevision = p.freeRevision
-	zones, racks := u.jobState.countByZoneAndRack()
-	order := slices.Clone(p.zones)
-	slices.SortStableFunc(order, func(a, b *zone) int { return cmp.Compare(zones[a], zones[b]) })
-	for _, z := range order {
+	tasksByZone, tasksByRack := u.jobState.countByZoneAndRack()
+	zonesByCount := slices.Clone(p.zones)
+	slices.SortStableFunc(zonesByCount, func(a, b *zone) int { return cmp.Compare(tasksByZone[a], tasksByZone[b]) })
+	for _, z := range zonesByCount {
 		if !need.Fits(z.free) {
 			continue
 		}
-		s := p.bestInUnusedRack(u, z, racks)
+		s := p.bestInUnusedRack(u, z, tasksByRack)
 		if s == nil {
 			s = p.bestInZone(z, need, u.serverFilter())
 		}
@@ -63,38 +63,38 @@
 }
 
 // bestInUnusedRack returns the best server of the zone in a rack that holds none of the job.
-func (p *Planner) bestInUnusedRack(u *unit, z *zone, racks map[*rack]int) *server {
-	used := 0
-	for r := range racks {
+func (p *Planner) bestInUnusedRack(u *unit, z *zone, tasksByRack map[*rack]int) *server {
+	usedRacks := 0
+	for r := range tasksByRack {
 		if r.zone == z {
-			used++
+			usedRacks++
 		}
 	}
-	if used == 0 || used == len(z.racks) {
+	if usedRacks == 0 || usedRacks == len(z.racks) {
 		return nil
 	}
 	return p.bestInZone(z, u.jobState.spec.Size, func(s *server) bool {
-		return racks[s.rack] == 0 && !u.jobState.failureBudget.Avoids(s.number)
+		return tasksByRack[s.rack] == 0 && !u.jobState.failureBudget.Avoids(s.number)
 	})
 }
 
 // countByZoneAndRack counts the job's tasks by zone and by rack.
-func (w *jobState) countByZoneAndRack() (map[*zone]int, map[*rack]int) {
-	zones, racks := map[*zone]int{}, map[*rack]int{}
-	for _, h := range w.placed {
-		if h.server.rack != nil {
-			zones[h.server.rack.zone]++
-			racks[h.server.rack]++
+func (js *jobState) countByZoneAndRack() (map[*zone]int, map[*rack]int) {
+	tasksByZone, tasksByRack := map[*zone]int{}, map[*rack]int{}
+	for _, pt := range js.placed {
+		if pt.server.rack != nil {
+			tasksByZone[pt.server.rack.zone]++
+			tasksByRack[pt.server.rack]++
 		}
 	}
-	return zones, racks
+	return tasksByZone, tasksByRack
 }
 
-// runningTasks counts the job's tasks that are not being stopped.
-func (w *jobState) runningTasks() int {
+// runningCount counts the job's tasks that are not being stopped.
+func (js *jobState) runningCount() int {
 	n := 0
-	for _, h := range w.placed {
-		if !h.Stopping {
+	for _, pt := range js.placed {
+		if !pt.Stopping {
 			n++
 		}
 	}
@@ -103,17 +103,17 @@
 
 // mayStopOne tells whether one more of a service's tasks may be stopped on purpose.
 // A floor of all tasks counts as one less, or the service could never move.
-func (w *jobState) mayStopOne() bool {
-	floor := min(int(w.spec.Floor), int(w.spec.Count)-1)
-	return w.runningTasks()-1 >= floor
+func (js *jobState) mayStopOne() bool {
+	floor := min(int(js.spec.Floor), int(js.spec.Count)-1)
+	return js.runningCount()-1 >= floor
 }
 
 // listServicesToMove lists the services of a server that is leaving; tasks that may run only
 // once stay until they end.
 func (p *Planner) listServicesToMove(s *server) {
-	for _, h := range s.tasks {
-		if h.Job.Kind == job.Service && !h.Job.Once {
-			p.servicesToMove = append(p.servicesToMove, h)
+	for _, pt := range s.tasks {
+		if pt.Job.Kind == job.Service && !pt.Job.Once {
+			p.servicesToMove = append(p.servicesToMove, pt)
 		}
 	}
 }
@@ -121,14 +121,14 @@
 // moveServices stops services on servers that are leaving, one task of a job at a
 // time: the next only when the one before runs elsewhere.
 func (p *Planner) moveServices() {
-	p.servicesToMove = slices.DeleteFunc(p.servicesToMove, func(h *placedTask) bool {
-		if p.placed[h.ID] != h || h.Stopping || h.server.State != backend.Draining {
+	p.servicesToMove = slices.DeleteFunc(p.servicesToMove, func(pt *placedTask) bool {
+		if p.placed[pt.ID] != pt || pt.Stopping || pt.server.State != backend.Draining {
 			return true
 		}
-		if p.atDecisionLimit() || h.jobState.waitingTasks > 0 || h.jobState.runningTasks() < len(h.jobState.placed) || !h.jobState.mayStopOne() {
+		if p.atDecisionLimit() || pt.jobState.waitingCount > 0 || pt.jobState.runningCount() < len(pt.jobState.placed) || !pt.jobState.mayStopOne() {
 			return false
 		}
-		p.preemptTask(h, "its server is leaving")
+		p.preemptTask(pt, "its server is leaving")
 		return true
 	})
 }
--- a/internal/policy/cell/urgent.go
+++ b/internal/policy/cell/urgent.go
@@ -22,31 +22,31 @@
 type reserveBlock struct {
 	server *server
 	size   capacity.Size
-	pos    int
+	index  int
 }
 
 // placeUrgent decides urgent work before anything else: into free room, then
 // into the reserve, then into room that the cheapest victims leave.
 func (p *Planner) placeUrgent() {
-	if p.urgentWaiting == 0 {
+	if p.urgentWaitingCount == 0 {
 		return
 	}
 	var teams []*teamState
-	p.teamsByNeed.Each(func(c *teamState) bool {
-		if c.queues[job.Urgent].Len() > 0 && c.inTable {
-			teams = append(teams, c)
+	p.teamsByNeed.Each(func(t *teamState) bool {
+		if t.queues[job.Urgent].Len() > 0 && t.inTable {
+			teams = append(teams, t)
 		}
 		return true
 	})
 	searches, failed := 0, 0
-	for _, c := range teams {
-		waiting := c.queues[job.Urgent].AppendFirst(urgentScanDepth, nil)
+	for _, t := range teams {
+		waiting := t.queues[job.Urgent].AppendFirst(urgentScanDepth, nil)
 		for i, u := range waiting {
 			if p.atDecisionLimit() || failed == maxFailedPlacements {
 				return
 			}
 			if !p.limitAllows(u) {
-				p.preemptOwnForUrgent(c, waiting[i:])
+				p.preemptOwnForUrgent(t, waiting[i:])
 				break
 			}
 			if p.placeWithoutPreemption(u) || u.reservation != nil {
@@ -82,7 +82,7 @@
 
 // preemptOwnForUrgent preempts the team's own youngest batch as long as the team's limit is
 // all that keeps its urgent tasks waiting.
-func (p *Planner) preemptOwnForUrgent(c *teamState, waiting []*unit) {
+func (p *Planner) preemptOwnForUrgent(t *teamState, waiting []*unit) {
 	if p.disabled(UrgentPreempt) {
 		return
 	}
@@ -91,15 +91,15 @@
 		more = more.Add(u.totalSize())
 	}
 	for !p.atDecisionLimit() {
-		expected := c.allocated.Sub(c.stopping).Add(more)
-		if expected.Within(c.row.Limit) {
+		expected := t.allocated.Sub(t.stopping).Add(more)
+		if expected.Within(t.row.Limit) {
 			return
 		}
-		h := p.youngestStoppable(c, expected)
-		if h == nil || !h.preemptible() {
+		pt := p.youngestStoppable(t, expected)
+		if pt == nil || !pt.preemptible() {
 			return
 		}
-		p.preempt(h, "its team's limit is needed for urgent work")
+		p.preempt(pt, "its team's limit is needed for urgent work")
 	}
 }
 
@@ -110,18 +110,18 @@
 	if p.disabled(UrgentPreempt) {
 		return
 	}
-	c := u.jobState.team
-	withinShare := c.allocated.Sub(c.stopping).Dominant(p.totalCapacity) <= c.fairShare+p.cfg.ShareSlack
-	filter := func(h *placedTask) bool {
-		return h.team == c || withinShare && p.aboveShareFilter(2*p.cfg.ShareSlack)(h)
+	t := u.jobState.team
+	withinShare := t.allocated.Sub(t.stopping).Dominant(p.totalCapacity) <= t.fairShare+p.cfg.ShareSlack
+	filter := func(pt *placedTask) bool {
+		return pt.team == t || withinShare && p.aboveShareFilter(2*p.cfg.ShareSlack)(pt)
 	}
-	srv, stop := p.findVictims(u, u.jobState.spec.Size, true, filter)
+	srv, victims := p.findVictims(u, u.jobState.spec.Size, true, filter)
 	if srv == nil {
 		return
 	}
 	p.reserve(u, srv)
-	for _, h := range stop {
-		p.preempt(h, "room for urgent work")
+	for _, pt := range victims {
+		p.preempt(pt, "room for urgent work")
 	}
 }
 
@@ -157,31 +157,31 @@
 		p.unplaceable.add(size)
 		return false
 	}
-	r := &reserveBlock{server: s, size: size, pos: len(p.reserveBlocks)}
+	r := &reserveBlock{server: s, size: size, index: len(p.reserveBlocks)}
 	p.reserveBlocks = append(p.reserveBlocks, r)
-	s.reserveBlocks++
-	s.rack.zone.reserveBlocks++
+	s.reserveBlockCount++
+	s.rack.zone.reserveBlockCount++
 	p.adjustServerReserved(s, size)
 	return true
 }
 
 // zoneWithFewestBlocks returns the zone with the fewest rooms of the reserve.
 func (p *Planner) zoneWithFewestBlocks() *zone {
-	var least *zone
+	var best *zone
 	for _, z := range p.zones {
-		if least == nil || z.reserveBlocks < least.reserveBlocks {
-			least = z
+		if best == nil || z.reserveBlockCount < best.reserveBlockCount {
+			best = z
 		}
 	}
-	return least
+	return best
 }
 
 func (p *Planner) dropReserveBlock(r *reserveBlock) {
 	last := p.reserveBlocks[len(p.reserveBlocks)-1]
-	p.reserveBlocks[r.pos], last.pos = last, r.pos
+	p.reserveBlocks[r.index], last.index = last, r.index
 	p.reserveBlocks = p.reserveBlocks[:len(p.reserveBlocks)-1]
-	r.server.reserveBlocks--
-	r.server.rack.zone.reserveBlocks--
+	r.server.reserveBlockCount--
+	r.server.rack.zone.reserveBlockCount--
 	p.adjustServerReserved(r.server, capacity.Size{}.Sub(r.size))
 }
 
--- a/internal/policy/cell/watch.go
+++ b/internal/policy/cell/watch.go
@@ -24,13 +24,13 @@
 )
 
 // exceedsDeclared tells whether a task uses more than its declared size.
-func exceedsDeclared(used, declared capacity.Size) bool {
-	return float64(used.CPU) > float64(declared.CPU)*(1+cpuTolerance) || exceedsUnthrottled(used, declared)
+func exceedsDeclared(usage, declared capacity.Size) bool {
+	return float64(usage.CPU) > float64(declared.CPU)*(1+cpuTolerance) || exceedsUnthrottleable(usage, declared)
 }
 
-// exceedsUnthrottled tells whether a task uses more of what throttling does not give back.
-func exceedsUnthrottled(used, declared capacity.Size) bool {
-	return used.Memory > declared.Memory || used.Accel > declared.Accel || used.Slots > declared.Slots
+// exceedsUnthrottleable tells whether a task uses more of what throttling does not give back.
+func exceedsUnthrottleable(usage, declared capacity.Size) bool {
+	return usage.Memory > declared.Memory || usage.Accel > declared.Accel || usage.Slots > declared.Slots
 }
 
 // handleMisbehavior decides on tasks, jobs and servers that do not keep to what is expected.
@@ -46,48 +46,48 @@
 // there is none for what throttling does not give back. A task that may run only
 // once is throttled and never stopped: to stop it would be to lose it.
 func (p *Planner) enforceUsage() {
-	p.overuseTasks = slices.DeleteFunc(p.overuseTasks, func(h *placedTask) bool {
-		if p.placed[h.ID] != h || !h.exceedsDeclared || h.Stopping {
-			h.inOveruseList = false
+	p.overuseTasks = slices.DeleteFunc(p.overuseTasks, func(pt *placedTask) bool {
+		if p.placed[pt.ID] != pt || !pt.exceedsDeclared || pt.Stopping {
+			pt.inOveruseList = false
 			return true
 		}
 		if p.atDecisionLimit() {
 			return false
 		}
-		return p.enforceTaskUsage(h)
+		return p.enforceTaskUsage(pt)
 	})
 }
 
 // enforceTaskUsage takes the next step against one task and tells whether it was the last.
-func (p *Planner) enforceTaskUsage(h *placedTask) bool {
-	serverOvercommitted := !h.server.uncommitted().Valid()
-	stopAtOnce := serverOvercommitted && exceedsUnthrottled(h.countedSize, h.Job.Size)
-	if h.Job.Once && h.throttledAt > 0 {
+func (p *Planner) enforceTaskUsage(pt *placedTask) bool {
+	serverOvercommitted := !pt.server.uncommitted().Valid()
+	stopAtOnce := serverOvercommitted && exceedsUnthrottleable(pt.countedSize, pt.Job.Size)
+	if pt.Job.Once && pt.throttledAt > 0 {
 		return true
 	}
-	if h.throttledAt == 0 && (!stopAtOnce || h.Job.Once) {
-		h.throttledAt = max(p.now, 1)
-		p.emit(plan.Decision{Action: plan.Throttle, Task: h.ID, Reason: "uses more than it declared"})
+	if pt.throttledAt == 0 && (!stopAtOnce || pt.Job.Once) {
+		pt.throttledAt = max(p.now, 1)
+		p.emit(plan.Decision{Action: plan.Throttle, Task: pt.ID, Reason: "uses more than it declared"})
 		return false
 	}
 	grace := p.cfg.ThrottleGrace
 	if serverOvercommitted {
 		grace = overcommitGrace
 	}
-	if !stopAtOnce && (h.usageAt < h.throttledAt+grace || p.now < h.throttledAt+grace) {
+	if !stopAtOnce && (pt.usageAt < pt.throttledAt+grace || p.now < pt.throttledAt+grace) {
 		return false
 	}
-	p.markStopping(h)
-	h.stoppedForUsage = true
-	p.emit(plan.Decision{Action: plan.Stop, Task: h.ID, Reason: "uses more than it declared"})
+	p.markStopping(pt)
+	pt.stoppedForUsage = true
+	p.emit(plan.Decision{Action: plan.Stop, Task: pt.ID, Reason: "uses more than it declared"})
 	return true
 }
 
 // stopBrokenGangs stops what is left of gangs that lost a task.
 func (p *Planner) stopBrokenGangs() {
-	for _, w := range p.brokenGangs {
-		for _, h := range w.placed {
-			p.preemptTask(h, "its gang lost a task")
+	for _, js := range p.brokenGangs {
+		for _, pt := range js.placed {
+			p.preemptTask(pt, "its gang lost a task")
 		}
 	}
 	p.brokenGangs = p.brokenGangs[:0]
@@ -95,30 +95,30 @@
 
 // recordEnd takes note of how an attempt ended. What was stopped on purpose says nothing about
 // job or server, and what went away with its server only where it had just begun.
-func (p *Planner) recordEnd(h *placedTask, end plan.AttemptEnd) {
-	if h.stoppedForUsage && !end.ServerLost {
-		h.jobState.failureBudget.Exceed()
+func (p *Planner) recordEnd(pt *placedTask, end plan.AttemptEnd) {
+	if pt.stoppedForUsage && !end.ServerLost {
+		pt.jobState.failureBudget.Exceed()
 	}
 	switch {
 	case end.ServerLost:
-		h.jobState.failureBudget.Lose(h.ID.Index, h.server.silentSince-h.PlacedAt)
+		pt.jobState.failureBudget.Lose(pt.ID.Index, pt.server.silentSince-pt.PlacedAt)
 		return
-	case !end.Started || h.Stopping:
+	case !end.Started || pt.Stopping:
 		return
 	}
-	h.jobState.failureBudget.Outlive(h.ID.Index)
-	name := health.NameOf(h.Job)
+	pt.jobState.failureBudget.Outlive(pt.ID.Index)
+	name := health.NameOf(pt.Job)
 	if !end.Failed {
-		p.runtimeEstimates.Learn(h.Job, end.EndedAt-h.PlacedAt)
-		p.healthGuard.Succeed(name, h.server.number)
+		p.runtimeEstimates.Learn(pt.Job, end.EndedAt-pt.PlacedAt)
+		p.healthGuard.Succeed(name, pt.server.number)
 		return
 	}
-	p.healthGuard.Fail(name, h.server.number, end.EndedAt)
-	if h.server.State != backend.Quarantined {
-		h.jobState.failureBudget.Fail(h.server.number)
+	p.healthGuard.Fail(name, pt.server.number, end.EndedAt)
+	if pt.server.State != backend.Quarantined {
+		pt.jobState.failureBudget.Fail(pt.server.number)
 	}
-	if p.healthGuard.Suspects(h.server.number, len(p.serverList)) {
-		p.suspectServers = append(p.suspectServers, h.server)
+	if p.healthGuard.Suspects(pt.server.number, len(p.serverList)) {
+		p.suspectServers = append(p.suspectServers, pt.server)
 	}
 }
 
@@ -153,29 +153,29 @@
 	s.State, s.restoreDecidedAt = backend.Quarantined, 0
 	p.markQuarantined(s, p.now)
 	p.refreshFree(s)
-	for _, w := range p.jobs {
-		w.failureBudget.Forgive(s.number)
+	for _, js := range p.jobs {
+		js.failureBudget.Forgive(s.number)
 	}
 	p.emit(plan.Decision{Action: plan.Quarantine, Server: s.ID, Reason: "fails what runs elsewhere"})
 }
 
 // parkExhaustedJobs gives up jobs that failed too often.
 func (p *Planner) parkExhaustedJobs() {
-	for _, w := range p.exhaustedJobs {
-		if w.givenUp || !w.failureBudget.Spent() || p.jobs[w.id] != w {
+	for _, js := range p.exhaustedJobs {
+		if js.givenUp || !js.failureBudget.Spent() || p.jobs[js.id] != js {
 			continue
 		}
-		w.givenUp = true
-		p.removeFromQueues(w)
-		p.emit(plan.Decision{Action: plan.Park, Job: w.id, Reason: w.failureBudget.Reason()})
+		js.givenUp = true
+		p.removeFromQueues(js)
+		p.emit(plan.Decision{Action: plan.Park, Job: js.id, Reason: js.failureBudget.Reason()})
 	}
 	p.exhaustedJobs = p.exhaustedJobs[:0]
 }
 
 // removeFromQueues takes everything of the job that waits out of the queues.
-func (p *Planner) removeFromQueues(w *jobState) {
-	for i := range w.spec.Count {
-		u := p.waiting[task.ID{Job: w.id, Index: i}]
+func (p *Planner) removeFromQueues(js *jobState) {
+	for i := range js.spec.Count {
+		u := p.waiting[task.ID{Job: js.id, Index: i}]
 		if u == nil {
 			continue
 		}
@@ -192,13 +192,13 @@
 			return
 		}
 		p.unitsByDeadline.Remove(u.id)
-		w := u.jobState
-		if w.givenUp || w.everPlaced || w.waitingTasks != int(w.spec.Count) {
+		js := u.jobState
+		if js.givenUp || js.everPlaced || js.waitingCount != int(js.spec.Count) {
 			continue
 		}
-		w.givenUp = true
-		p.removeFromQueues(w)
-		p.emit(plan.Decision{Action: plan.Drop, Job: w.id, Reason: "deadline passed"})
+		js.givenUp = true
+		p.removeFromQueues(js)
+		p.emit(plan.Decision{Action: plan.Drop, Job: js.id, Reason: "deadline passed"})
 	}
 }
 
@@ -221,10 +221,10 @@
 // selectProbe returns a waiting task to test the server with.
 func (p *Planner) selectProbe(s *server) *unit {
 	var found *unit
-	p.teamsByNeed.Each(func(c *teamState) bool {
-		for _, u := range c.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, nil) {
+	p.teamsByNeed.Each(func(t *teamState) bool {
+		for _, u := range t.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, nil) {
 			spec := u.jobState.spec
-			if !spec.Once && !spec.Whole() && u.reservation == nil && u.jobState.failureBudget.Failures() == 0 && spec.Size.Fits(s.available()) && p.withinLimit(c, spec.Size) {
+			if !spec.Once && !spec.Whole() && u.reservation == nil && u.jobState.failureBudget.Failures() == 0 && spec.Size.Fits(s.available()) && p.withinLimit(t, spec.Size) {
 				found = u
 				return false
 			}
--- a/internal/policy/cell/work.go
+++ b/internal/policy/cell/work.go
@@ -44,7 +44,7 @@
 	spec          *job.Spec
 	team          *teamState
 	placed        []*placedTask
-	waitingTasks  int
+	waitingCount  int
 	gangUnit      *unit
 	failureBudget health.Budget
 	// everPlaced tells that something of the job was placed before.
@@ -103,54 +103,54 @@
 func (u *unit) totalSize() capacity.Size { return u.taskSize.Times(int64(len(u.tasks))) }
 
 func (p *Planner) jobState(id uint64, spec *job.Spec) *jobState {
-	w := p.jobs[id]
-	if w == nil {
-		w = &jobState{id: id, spec: spec, team: p.team(spec.Team)}
-		p.jobs[id] = w
+	js := p.jobs[id]
+	if js == nil {
+		js = &jobState{id: id, spec: spec, team: p.team(spec.Team)}
+		p.jobs[id] = js
 	}
-	return w
+	return js
 }
 
 // listIfIdle lists a job that may be over; it is forgotten at the next decision, when
 // its retries would have been told of.
-func (p *Planner) listIfIdle(w *jobState) {
-	if len(w.placed) == 0 && w.waitingTasks == 0 && !w.inIdleList {
-		w.inIdleList = true
-		p.idleJobs = append(p.idleJobs, w)
+func (p *Planner) listIfIdle(js *jobState) {
+	if len(js.placed) == 0 && js.waitingCount == 0 && !js.inIdleList {
+		js.inIdleList = true
+		p.idleJobs = append(p.idleJobs, js)
 	}
 }
 
 func (p *Planner) forgetIdleJobs() {
-	for _, w := range p.idleJobs {
-		w.inIdleList = false
-		if len(w.placed) == 0 && w.waitingTasks == 0 && p.jobs[w.id] == w {
-			delete(p.jobs, w.id)
+	for _, js := range p.idleJobs {
+		js.inIdleList = false
+		if len(js.placed) == 0 && js.waitingCount == 0 && p.jobs[js.id] == js {
+			delete(p.jobs, js.id)
 		}
 	}
 	p.idleJobs = p.idleJobs[:0]
 }
 
-func (p *Planner) enqueue(w *jobState, q plan.WaitingTask) {
-	if w.failureBudget.Failures() > 0 {
-		q.ReadyAt = max(q.ReadyAt, p.now+w.failureBudget.Backoff(p.rng))
+func (p *Planner) enqueue(js *jobState, waiting plan.WaitingTask) {
+	if js.failureBudget.Failures() > 0 {
+		waiting.ReadyAt = max(waiting.ReadyAt, p.now+js.failureBudget.Backoff(p.rng))
 	}
-	w.everPlaced = w.everPlaced || q.Attempts > 0
-	w.waitingTasks++
-	w.team.waiting = w.team.waiting.Add(w.spec.Size)
-	u := w.gangUnit
+	js.everPlaced = js.everPlaced || waiting.Attempts > 0
+	js.waitingCount++
+	js.team.waiting = js.team.waiting.Add(js.spec.Size)
+	u := js.gangUnit
 	if u == nil {
 		p.lastSequence++
-		u = &unit{id: q.ID, jobState: w, sequence: p.lastSequence, taskSize: w.spec.Size}
-		if w.spec.Whole() {
+		u = &unit{id: waiting.ID, jobState: js, sequence: p.lastSequence, taskSize: js.spec.Size}
+		if js.spec.Whole() {
 			u.id.Index = gangIndex
-			w.gangUnit = u
+			js.gangUnit = u
 		}
 	} else {
 		p.removeFromList(u)
 	}
-	u.tasks = append(u.tasks, q)
-	u.readyAt = max(u.readyAt, q.ReadyAt)
-	p.waiting[q.ID] = u
+	u.tasks = append(u.tasks, waiting)
+	u.readyAt = max(u.readyAt, waiting.ReadyAt)
+	p.waiting[waiting.ID] = u
 	p.markNew(u)
 }
 
@@ -171,12 +171,12 @@
 		u.jobState.team.queues[queueKind(u.jobState.spec)].Remove(u.id)
 		p.unitsByDeadline.Remove(u.id)
 		if u.jobState.spec.Kind == job.Urgent {
-			p.urgentWaiting--
+			p.urgentWaitingCount--
 		} else {
 			u.jobState.team.waitingSizes.remove(u.taskSize)
 		}
 		if u.jobState.spec.Whole() {
-			u.jobState.team.waitingGangs--
+			u.jobState.team.waitingGangCount--
 		}
 	case inUnplaceableUnits:
 		p.unplaceableUnits.Remove(u.id)
@@ -191,7 +191,7 @@
 // dequeue takes one task out of its unit, and an empty unit out of everything.
 func (p *Planner) dequeue(u *unit, id task.ID) {
 	delete(p.waiting, id)
-	u.jobState.waitingTasks--
+	u.jobState.waitingCount--
 	u.jobState.team.waiting = u.jobState.team.waiting.Sub(u.jobState.spec.Size)
 	if len(u.tasks) == 1 {
 		p.removeFromList(u)
@@ -239,9 +239,9 @@
 
 // queueReadyUnits puts what is ready into its team's queue.
 func (p *Planner) queueReadyUnits() {
-	fresh := p.newUnits
+	newUnits := p.newUnits
 	p.newUnits = p.newUnits[:0]
-	for _, u := range fresh {
+	for _, u := range newUnits {
 		u.list = inNoList
 		if len(u.tasks) > 0 {
 			p.assignList(u)
@@ -286,15 +286,15 @@
 	u.rank = p.queueRank(u)
 	u.queuedAt = p.now
 	u.triedRevision = 0
-	c := u.jobState.team
-	c.queues[queueKind(u.jobState.spec)].Add(u)
-	p.countQueued(c, u)
+	t := u.jobState.team
+	t.queues[queueKind(u.jobState.spec)].Add(u)
+	p.countQueued(t, u)
 }
 
 // countQueued takes note of a new unit in its team's queue.
-func (p *Planner) countQueued(c *teamState, u *unit) {
+func (p *Planner) countQueued(t *teamState, u *unit) {
 	if u.jobState.spec.Kind == job.Urgent {
-		p.urgentWaiting++
+		p.urgentWaitingCount++
 		if !u.jobState.everPlaced {
 			p.urgentReserve.RecordArrival(p.now, u.jobState.spec.Size)
 		}
@@ -304,10 +304,10 @@
 		p.displacedServices = append(p.displacedServices, u)
 	}
 	if u.jobState.spec.Whole() {
-		c.waitingGangs++
+		t.waitingGangCount++
 	}
-	c.blockedRevision = 0
-	c.waitingSizes.add(u.taskSize)
+	t.blockedRevision = 0
+	t.waitingSizes.add(u.taskSize)
 }
 
 // queueRank orders a team's work by age and expected run time: short work goes first,
