--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -32,18 +32,18 @@
 		want  code.Code
 		retry bool
 	}{
-		"is let in":                       {small, view(nil), code.OK, false},
-		"no task":                         {with(func(s *job.Spec) { s.Count = 0 }), view(nil), code.Malformed, false},
-		"larger than any server":          {with(func(s *job.Spec) { s.Size.CPU = 4001 }), view(nil), code.NeverFits, false},
-		"a gang larger than the cell":     {with(func(s *job.Spec) { s.Kind, s.Count = job.Gang, 41 }), view(nil), code.NeverFits, false},
-		"above the team's limit":          {small, view(func(v *admit.View) { v.Row.Limit.CPU = 999 }), code.NeverFits, false},
-		"no server announced yet":         {small, view(func(v *admit.View) { v.ServerSizes = nil }), code.OK, false},
-		"the team's queue is full":        {small, view(func(v *admit.View) { v.TeamWaiting = 100 }), code.QueueFull, true},
-		"the cell's is, by this team":     {small, view(func(v *admit.View) { v.CellWaiting, v.TeamWaiting, v.WaitingTeams = 900, 99, 10 }), code.Overloaded, true},
-		"the cell's is, by others":        {small, view(func(v *admit.View) { v.CellWaiting, v.TeamWaiting, v.WaitingTeams = 900, 10, 10 }), code.OK, false},
-		"would come too late":             {with(func(s *job.Spec) { s.Deadline = time.Second }), view(func(v *admit.View) { v.TeamWaiting, v.DrainRate = 50, 10 }), code.DeadlinePassed, true},
-		"urgent waits behind no queue":    {with(func(s *job.Spec) { s.Deadline, s.Kind = time.Second, job.Urgent }), view(func(v *admit.View) { v.TeamWaiting, v.DrainRate = 50, 10 }), code.OK, false},
-		"a deadline with an unknown pace": {with(func(s *job.Spec) { s.Deadline = time.Second }), view(func(v *admit.View) { v.TeamWaiting = 50 }), code.OK, false},
+		"admitted":                            {small, view(nil), code.OK, false},
+		"no task":                             {with(func(s *job.Spec) { s.Count = 0 }), view(nil), code.Malformed, false},
+		"task larger than any server":         {with(func(s *job.Spec) { s.Size.CPU = 4001 }), view(nil), code.NeverFits, false},
+		"gang larger than the cell":           {with(func(s *job.Spec) { s.Kind, s.Count = job.Gang, 41 }), view(nil), code.NeverFits, false},
+		"above the team limit":                {small, view(func(v *admit.View) { v.Row.Limit.CPU = 999 }), code.NeverFits, false},
+		"no server announced yet":             {small, view(func(v *admit.View) { v.ServerSizes = nil }), code.OK, false},
+		"team queue full":                     {small, view(func(v *admit.View) { v.TeamWaiting = 100 }), code.QueueFull, true},
+		"cell queue nearly full by this team": {small, view(func(v *admit.View) { v.CellWaiting, v.TeamWaiting, v.WaitingTeams = 900, 99, 10 }), code.Overloaded, true},
+		"cell queue nearly full by others":    {small, view(func(v *admit.View) { v.CellWaiting, v.TeamWaiting, v.WaitingTeams = 900, 10, 10 }), code.OK, false},
+		"deadline shorter than the wait":      {with(func(s *job.Spec) { s.Deadline = time.Second }), view(func(v *admit.View) { v.TeamWaiting, v.DrainRate = 50, 10 }), code.DeadlinePassed, true},
+		"urgent does not wait in the queue":   {with(func(s *job.Spec) { s.Deadline, s.Kind = time.Second, job.Urgent }), view(func(v *admit.View) { v.TeamWaiting, v.DrainRate = 50, 10 }), code.OK, false},
+		"deadline with an unknown drain rate": {with(func(s *job.Spec) { s.Deadline = time.Second }), view(func(v *admit.View) { v.TeamWaiting = 50 }), code.OK, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -59,14 +59,14 @@
 	}
 }
 
-// A thousand callers are refused in the same second. If all came back at the
-// same time, they would be refused again together: the hints are spread.
-func TestHintsAreSpread(t *testing.T) {
+// Callers that are refused together must not retry together, because they would be refused
+// again. The retry times are spread by the jitter.
+func TestRetryTimesAreSpread(t *testing.T) {
 	v := view(func(v *admit.View) { v.TeamWaiting, v.DrainRate = 100, 1 })
 	spec := &job.Spec{Team: "a", Count: 1, Size: capacity.Size{CPU: 1}}
 	_, first := admit.Check(spec, v, 0)
 	_, last := admit.Check(spec, v, 0.99)
 	if first < admit.MinRetryAfter || last < first*19/10 {
-		t.Errorf("hints from %v to %v", first, last)
+		t.Errorf("retry times from %v to %v are not spread", first, last)
 	}
 }
--- a/internal/policy/cell/cell.go
+++ b/internal/policy/cell/cell.go
@@ -1,7 +1,7 @@
-// Package cell is the product's planner: it composes the policies for urgent
-// work, services, gangs and batch into one plan.Planner. Files: books.go keeps
-// what runs where, work.go what waits, decide.go the order of decisions, and one
-// file for each kind of decision.
+// Package cell implements the planner of one cell. It combines the policies for
+// urgent work, services, gangs and batch into one plan.Planner. state.go tracks
+// servers, teams and placed tasks, work.go tracks waiting tasks, decide.go sets the
+// order of decisions, and each kind of decision has a file of its own.
 package cell
 
 import (
@@ -22,61 +22,63 @@
 
 // Defaults of Config.
 const (
-	// DefaultScanDepth is the number of a team's waiting units that one decision looks at.
+	// DefaultScanDepth is the number of a team's waiting units that one placement examines.
 	DefaultScanDepth = 16
-	// DefaultShareSlack is the part of the cell by which a team may miss its target
-	// before others are preempted for it.
+	// DefaultShareSlack is the fraction of the cell by which a team may be below its target
+	// share before tasks of other teams are preempted for it.
 	DefaultShareSlack = 0.015
-	// DefaultRebalanceInterval is the time between two computations of the targets.
+	// DefaultRebalanceInterval is the longest time between two computations of the target shares.
 	DefaultRebalanceInterval = 100 * time.Millisecond
-	// DefaultThrottleGrace is the time a throttled task is given to fall back to its size.
+	// DefaultThrottleGrace is how long a throttled task may exceed its declared size before
+	// the planner stops it.
 	DefaultThrottleGrace = 10 * time.Second
-	// DefaultGangPreemptDelay is how long a gang gathers room before it preempts.
+	// DefaultGangPreemptDelay is how long a gang collects free capacity before the planner
+	// preempts other tasks for it.
 	DefaultGangPreemptDelay = time.Second
 )
 
-// Mechanism names a mechanism that a comparison can leave out.
+// Mechanism is a set of planner mechanisms that a comparison run can disable.
 type Mechanism uint32
 
-// The parts.
+// The mechanisms.
 const (
-	// UrgentReserve is the room kept free for urgent work.
+	// UrgentReserve keeps capacity free for urgent work.
 	UrgentReserve Mechanism = 1 << iota
-	// SharePreempt is preemption for teams below their target.
+	// SharePreempt preempts tasks for teams below their target share.
 	SharePreempt
-	// UrgentPreempt is preemption for urgent work.
+	// UrgentPreempt preempts tasks for urgent work and for displaced services.
 	UrgentPreempt
-	// RuntimeEstimates are the learned run times.
+	// RuntimeEstimates replaces declared run times by run times learned from past attempts.
 	RuntimeEstimates
-	// GangReservation holds room together for gangs.
+	// GangReservation collects reserved capacity for gangs until all their tasks fit.
 	GangReservation
-	// Quarantine takes failing servers out of use.
+	// Quarantine stops placements on failing servers.
 	Quarantine
-	// BestFit prefers the tightest server to any.
+	// BestFit selects the server with the least capacity left over instead of the first that fits.
 	BestFit
-	// RackLocality keeps gangs together.
+	// RackLocality places a gang in one rack, or else in one zone, where possible.
 	RackLocality
-	// GangPriority lets gangs go before their team's batch.
+	// GangPriority ranks gangs ahead of their team's batch.
 	GangPriority
-	// ShortestFirst orders a team's work by expected run time as well as by age.
+	// ShortestFirst ranks a team's work by expected run time as well as by age.
 	ShortestFirst
 )
 
-// Config tunes the planner; the zero value works.
+// Config configures the planner. Zero values select the defaults.
 type Config struct {
-	// Seed feeds the jitter of backoff.
+	// Seed initializes the random source for backoff jitter.
 	Seed uint64
-	// ScanDepth is DefaultDepth when 0.
+	// ScanDepth is DefaultScanDepth when 0.
 	ScanDepth int
-	// ShareSlack is DefaultSlack when 0.
+	// ShareSlack is DefaultShareSlack when 0.
 	ShareSlack float64
-	// RebalanceInterval is DefaultRebalance when 0.
+	// RebalanceInterval is DefaultRebalanceInterval when 0.
 	RebalanceInterval time.Duration
-	// ThrottleGrace is DefaultGrace when 0.
+	// ThrottleGrace is DefaultThrottleGrace when 0.
 	ThrottleGrace time.Duration
-	// GangPreemptDelay is DefaultPatience when 0.
+	// GangPreemptDelay is DefaultGangPreemptDelay when 0.
 	GangPreemptDelay time.Duration
-	// Disabled leaves parts out; for comparison only.
+	// Disabled is the set of mechanisms to switch off. It is meant for comparison runs only.
 	Disabled Mechanism
 }
 
@@ -99,14 +101,14 @@
 	return c
 }
 
-// Planner decides for one cell.
+// Planner makes the scheduling decisions of one cell. It implements plan.Planner.
 type Planner struct {
 	cfg Config
 	rng *rand.Rand
 	now time.Duration
 
-	// What the ledger told: teams in the order of their need, servers in the order
-	// of their announcement.
+	// State reported by the ledger. teamsByNeed is ordered by usageRatio, serverList by
+	// the time of announcement.
 	table       table.Table
 	teams       map[string]*teamState
 	teamsByNeed *queue.Queue[string, *teamState]
@@ -115,24 +117,26 @@
 	racks       map[rackKey]*rack
 	zones       []*zone
 
-	// totalCapacity is the capacity that shares are parts of, free what is not taken.
+	// totalCapacity is the capacity that shares are fractions of. freeCapacity is the
+	// available capacity of all ready servers.
 	totalCapacity capacity.Size
 	freeCapacity  capacity.Size
-	// maxServerSize is the largest server's capacity in each field; sizes counts the
+	// maxServerSize is the largest server capacity in each field. serverSizes counts the
 	// servers of each capacity.
 	maxServerSize capacity.Size
 	serverSizes   map[capacity.Size]int
 
-	// rackIndex finds racks for gangs; each zone has an index of its servers.
+	// rackIndex finds racks for gangs. Each zone has an index of its servers.
 	rackIndex *fit.Index[*rack]
-	// unplaceable holds what fits nowhere now, and grown counts the changes that may
-	// let something fit that did not before.
+	// unplaceable holds the sizes that currently fit on no server. freeRevision counts the
+	// changes after which a unit may fit that did not fit before.
 	unplaceable  unplaceableSizes
 	freeRevision uint64
 
-	// What runs and what waits, by task. A unit that waits is new (fresh), not yet
-	// ready (later), larger than any server (never), or in its team's queue; late
-	// orders those with a deadline.
+	// Jobs, placed tasks and waiting tasks. A waiting unit is in newUnits until the next
+	// decision, then in delayedUnits if it is not ready yet, in unplaceableUnits if its tasks
+	// are larger than any server, or in its team's queue. unitsByDeadline orders the units
+	// with a deadline.
 	jobs               map[uint64]*jobState
 	placed             map[task.ID]*placedTask
 	waiting            map[task.ID]*unit
@@ -143,7 +147,8 @@
 	urgentWaitingCount int
 	lastSequence       uint64
 
-	// Room that is kept: for urgent work to come, and for units that wait for it.
+	// Reserved capacity: the urgent reserve for future urgent tasks, and reservations for
+	// units that wait for capacity to become free.
 	urgentReserve        urgent.Reserve
 	reserveBlocks        []*reserveBlock
 	reservations         []*reservation
@@ -152,7 +157,7 @@
 	runtimeEstimates *health.Estimates
 	healthGuard      *health.Guard
 
-	// What the next call of Decide has to look at.
+	// Work lists for the next call of Decide.
 	unconfirmedTasks   []*placedTask
 	pendingDecisions   []plan.Decision
 	overuseTasks       []*placedTask
@@ -165,13 +170,13 @@
 	displacedServices  []*unit
 	idleJobs           []*jobState
 
-	// rebalancedAt and reclaims are when targets were computed and room was taken
-	// back; stale asks for new targets at once.
+	// rebalancedAt is the time of the last computation of target shares, reclaimedAt that of
+	// the last preemption round for shares. targetsStale forces a new computation.
 	rebalancedAt time.Duration
 	reclaimedAt  time.Duration
 	targetsStale bool
 
-	// The call of Decide under way.
+	// State of the current call of Decide.
 	decisions    []plan.Decision
 	maxDecisions int
 	unitBuffer   []*unit
@@ -179,7 +184,7 @@
 
 var _ plan.Planner = (*Planner)(nil)
 
-// New returns a planner that knows nothing yet.
+// New returns a planner without servers, teams or tasks.
 func New(cfg Config) *Planner {
 	cfg = cfg.withDefaults()
 	p := &Planner{
@@ -199,8 +204,8 @@
 
 func (p *Planner) disabled(mechanism Mechanism) bool { return p.cfg.Disabled&mechanism != 0 }
 
-// SetTable puts a new revision of the table in force. New limits bind the next
-// decision; what runs above a lowered one is preempted by the rule in excess.go.
+// SetTable replaces the table. New limits apply from the next decision. Tasks above a
+// lowered limit are preempted as enforceLimits describes.
 func (p *Planner) SetTable(t table.Table) {
 	p.table = t
 	p.targetsStale = true
@@ -216,7 +221,7 @@
 	})
 }
 
-// SetServer tells of a new or changed backend server.
+// SetServer adds or updates a backend server.
 func (p *Planner) SetServer(s backend.Server) {
 	srv := p.server(s.ID)
 	old := srv.Server
@@ -243,12 +248,12 @@
 	}
 }
 
-// unreachable tells whether a server is not heard of.
+// unreachable reports whether the server's heartbeats are missing.
 func unreachable(s backend.Server) bool {
 	return s.State == backend.Suspect || s.State == backend.Gone
 }
 
-// SetPlaced tells that a task was placed; it counts until Release.
+// SetPlaced records that a task was placed. The task takes capacity until EndAttempt.
 func (p *Planner) SetPlaced(placement plan.PlacedTask) {
 	if known := p.placed[placement.ID]; known != nil {
 		p.confirmPlacement(known, placement)
@@ -258,8 +263,8 @@
 	p.addTask(placement, p.server(placement.Server))
 }
 
-// SetUsage tells what a held task was reported to use. What it uses beyond its
-// declared size counts against its server and its team like the rest.
+// SetUsage records the reported usage of a placed task. Usage above the declared size is
+// charged to the server and the team as well.
 func (p *Planner) SetUsage(id task.ID, usage capacity.Size, measuredAt time.Duration) {
 	pt := p.placed[id]
 	if pt == nil || measuredAt < pt.usageAt {
@@ -274,7 +279,7 @@
 	}
 }
 
-// EndAttempt tells that an attempt is proved to run no more.
+// EndAttempt records that an attempt has verifiably stopped running.
 func (p *Planner) EndAttempt(id task.ID, end plan.AttemptEnd) {
 	pt := p.placed[id]
 	if pt == nil {
@@ -288,8 +293,8 @@
 	p.listIfIdle(pt.jobState)
 }
 
-// AddWaiting tells that a task waits to be placed. All tasks of a job that wait are
-// told of before the next Decide, so that a gang is seen whole.
+// AddWaiting adds a task that waits to be placed. The caller adds all waiting tasks of a
+// job before the next Decide, so that a gang is complete.
 func (p *Planner) AddWaiting(waiting plan.WaitingTask) {
 	if p.placed[waiting.ID] != nil || p.waiting[waiting.ID] != nil {
 		return
@@ -301,7 +306,7 @@
 	p.enqueue(js, waiting)
 }
 
-// RemoveWaiting tells that a task waits no more and was not placed.
+// RemoveWaiting removes a task that no longer waits and was not placed.
 func (p *Planner) RemoveWaiting(id task.ID) {
 	if u := p.waiting[id]; u != nil {
 		p.dequeue(u, id)
@@ -309,7 +314,7 @@
 	}
 }
 
-// queueKind names the queue that a job waits in.
+// queueKind returns the kind of the queue that the job waits in. Gangs share the batch queue.
 func queueKind(spec *job.Spec) job.Kind {
 	if spec.Kind == job.Gang {
 		return job.Batch
--- a/internal/policy/cell/decide.go
+++ b/internal/policy/cell/decide.go
@@ -13,14 +13,15 @@
 
 // Bounds of one call of Decide.
 const (
-	// maxDrops bounds the jobs dropped in one call, so that a wave of passed
-	// deadlines does not hold up placements.
+	// maxDrops bounds the jobs dropped in one call, so that many deadlines that expire
+	// together do not delay placements.
 	maxDrops = 64
-	// shareUnit is the unit of guaranteed shares.
+	// shareUnit is the number of units in which the table counts the whole cell. Guaranteed
+	// shares are thousandths.
 	shareUnit = 1000.0
 )
 
-// Decide returns at most limit decisions, the most pressing first.
+// Decide returns at most limit decisions, the most urgent first.
 func (p *Planner) Decide(now time.Duration, limit int) []plan.Decision {
 	p.now, p.maxDecisions, p.decisions = now, limit, nil
 	if limit <= 0 {
@@ -47,6 +48,8 @@
 
 func (p *Planner) atDecisionLimit() bool { return len(p.decisions) >= p.maxDecisions }
 
+// emit adds the decision to the result of this call, or to that of the next call if the
+// limit is reached.
 func (p *Planner) emit(d plan.Decision) {
 	if p.atDecisionLimit() {
 		p.pendingDecisions = append(p.pendingDecisions, d)
@@ -55,14 +58,15 @@
 	p.decisions = append(p.decisions, d)
 }
 
-// emitPending emits what the last call had no room for.
+// emitPending emits the decisions that exceeded the limit of the previous call.
 func (p *Planner) emitPending() {
 	n := min(len(p.pendingDecisions), p.maxDecisions)
 	p.decisions = append(p.decisions, p.pendingDecisions[:n]...)
 	p.pendingDecisions = append(p.pendingDecisions[:0], p.pendingDecisions[n:]...)
 }
 
-// requeueUnconfirmed queues again what the last call placed and the ledger did not confirm.
+// requeueUnconfirmed queues the tasks again that the previous call placed and the ledger did
+// not confirm.
 func (p *Planner) requeueUnconfirmed() {
 	unconfirmed := p.unconfirmedTasks
 	p.unconfirmedTasks = p.unconfirmedTasks[:0]
@@ -75,7 +79,7 @@
 	}
 }
 
-// rebalance computes the targets anew when they may have moved.
+// rebalance computes the target shares if they are stale or RebalanceInterval has passed.
 func (p *Planner) rebalance() {
 	if !p.targetsStale && p.now-p.rebalancedAt < p.cfg.RebalanceInterval {
 		return
@@ -95,6 +99,7 @@
 	}
 }
 
+// shareInput returns the team's input for the computation of target shares.
 func (p *Planner) shareInput(t *teamState) share.Team {
 	if !t.inTable {
 		return share.Team{}
@@ -107,7 +112,7 @@
 	}
 }
 
-// clampToLimit bounds a size by a limit.
+// clampToLimit returns the size with each field reduced to the limit.
 func clampToLimit(s, limit capacity.Size) capacity.Size {
 	clampField := func(n, l int64) int64 {
 		if l == capacity.Unlimited {
@@ -121,7 +126,8 @@
 	}
 }
 
-// setTargetShare gives the team its target and its place in the order of need.
+// setTargetShare sets the team's target share and reorders teamsByNeed if the fair share
+// changed by at least 1/256.
 func (p *Planner) setTargetShare(t *teamState, targetShare, minShare float64) {
 	t.targetShare = targetShare
 	fairShare := max(targetShare, minShare)
@@ -134,7 +140,8 @@
 	p.teamsByNeed.Add(t)
 }
 
-// usageRatio is what the team holds, in units of what is fair.
+// usageRatio returns the team's allocated and reserved fraction of the cell, divided by its
+// fair share.
 func (p *Planner) usageRatio(t *teamState) float64 {
 	fraction := t.allocated.Add(t.reserved).Dominant(p.totalCapacity)
 	if fraction <= 0 {
@@ -146,14 +153,14 @@
 	return fraction / t.fairShare
 }
 
-// withinLimit tells whether the team may hold that much more beside what it holds and
-// what room is kept for.
+// withinLimit reports whether the team's limit allows more on top of its allocated and
+// reserved capacity.
 func (p *Planner) withinLimit(t *teamState, more capacity.Size) bool {
 	return t.inTable && t.allocated.Add(t.reserved).Add(more).Within(t.row.Limit)
 }
 
-// limitAllows tells whether the limit of its team lets the unit start. Urgent work
-// does not wait for what room is kept for.
+// limitAllows reports whether the team's limit allows the unit to start. Capacity reserved
+// for other units of the team does not count against urgent units.
 func (p *Planner) limitAllows(u *unit) bool {
 	more := u.totalSize()
 	if t := u.jobState.team; u.jobState.spec.Kind == job.Urgent {
@@ -162,9 +169,9 @@
 	return p.withinLimit(u.jobState.team, more.Sub(u.reservedSize()))
 }
 
-// eligible tells whether the unit may take a turn of its team. A gang may as long
-// as one more of its tasks is within the limit, or the team's smaller work would
-// use up the limit each time that a part of it becomes free.
+// eligible reports whether the unit may be placed, or may reserve capacity, when its team is
+// served. A gang needs room for only one more task within the team's limit. Otherwise the
+// team's smaller tasks would use up each part of the limit that becomes free.
 func (p *Planner) eligible(u *unit) bool {
 	if !u.jobState.spec.Whole() {
 		return u.reservation == nil && p.limitAllows(u)
@@ -172,7 +179,7 @@
 	return u.totalSize().Within(u.jobState.team.row.Limit) && p.withinLimit(u.jobState.team, u.taskSize)
 }
 
-// startUnit places the unit's tasks on the servers, one each.
+// startUnit places the unit's tasks, each on the server of the same index.
 func (p *Planner) startUnit(u *unit, servers []*server) {
 	p.dropReservation(u)
 	tasks := append([]plan.WaitingTask(nil), u.tasks...)
@@ -188,7 +195,7 @@
 	p.emit(plan.Decision{Action: plan.Place, Job: u.jobState.id, Placements: placements})
 }
 
-// findServer returns the best server for one task of the unit.
+// findServer returns the best server for one task of the unit, or nil if it fits on none.
 func (p *Planner) findServer(u *unit, need capacity.Size) *server {
 	if p.unplaceable.covers(need) {
 		return nil
@@ -201,8 +208,8 @@
 	return s
 }
 
-// serverFilter returns what tells servers on which the unit's job failed from others,
-// or nil if it failed on none.
+// serverFilter returns a filter that rejects the servers on which the unit's job failed, or
+// nil if the job has not failed.
 func (u *unit) serverFilter() func(*server) bool {
 	if u.jobState.failureBudget.Failures() == 0 {
 		return nil
@@ -210,7 +217,7 @@
 	return func(s *server) bool { return !u.jobState.failureBudget.Avoids(s.number) }
 }
 
-// bestServer returns the best server of all zones.
+// bestServer returns the best server of all zones, or nil if need fits on none.
 func (p *Planner) bestServer(need capacity.Size, accepts func(*server) bool) *server {
 	var best *server
 	bound := fit.WorstScore
@@ -225,7 +232,8 @@
 	return best
 }
 
-// placeByShare places batch and gangs, the team furthest below its due first.
+// placeByShare places services, batch and gangs of the team with the lowest usage ratio
+// first, until nothing more fits.
 func (p *Planner) placeByShare() {
 	for !p.atDecisionLimit() {
 		t := p.nextTeam()
@@ -238,7 +246,7 @@
 	}
 }
 
-// nextTeam returns the neediest team of which something might fit.
+// nextTeam returns the team with the lowest usage ratio that has a unit that may fit.
 func (p *Planner) nextTeam() *teamState {
 	var found *teamState
 	p.teamsByNeed.Each(func(t *teamState) bool {
@@ -251,7 +259,8 @@
 	return found
 }
 
-// placeFirstFitting places the first unit of the team that fits.
+// placeFirstFitting places the first of the team's units that fits. It examines ScanDepth
+// units of each queue and reports whether it placed one.
 func (p *Planner) placeFirstFitting(t *teamState) bool {
 	p.unitBuffer = t.queues[job.Service].AppendFirst(p.cfg.ScanDepth, p.unitBuffer[:0])
 	p.unitBuffer = t.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, p.unitBuffer)
@@ -266,7 +275,7 @@
 	return false
 }
 
-// placeUnit starts the unit if it fits now.
+// placeUnit starts the unit if it fits. A gang that does not fit reserves capacity instead.
 func (p *Planner) placeUnit(u *unit) bool {
 	switch u.jobState.spec.Kind {
 	case job.Gang:
--- a/internal/policy/cell/gang.go
+++ b/internal/policy/cell/gang.go
@@ -12,18 +12,18 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// Bounds of the work done for gangs in one call.
+// Bounds of the reservations and preemptions for gangs.
 const (
-	// serversPerReservation is the number of servers for each of which one more
-	// gang may hold a reservation; there may always be minReservations.
+	// serversPerReservation is the number of servers per gang reservation: a cell of n servers
+	// allows n/serversPerReservation reservations, but at least minReservations.
 	serversPerReservation = 10
 	minReservations       = 2
-	// gangPreemptInterval is the time between two attempts to hasten a gang.
+	// gangPreemptInterval is the minimum time between two preemptions for the same gang.
 	gangPreemptInterval = time.Second
 )
 
-// placeGang starts all tasks of the gang or none: in one rack if it fits, else in
-// one zone, else anywhere.
+// placeGang starts all tasks of the gang or none. It tries one rack first, then one zone,
+// then the whole cell.
 func (p *Planner) placeGang(u *unit) bool {
 	if u.triedRevision == p.freeRevision || !u.totalSize().Fits(p.freeCapacity) || !p.limitAllows(u) {
 		return false
@@ -43,6 +43,7 @@
 	return true
 }
 
+// findInRack returns a server for each task of the gang, all in one rack, or nil.
 func (p *Planner) findInRack(u *unit) []*server {
 	if p.disabled(RackLocality) {
 		return nil
@@ -61,7 +62,8 @@
 	return servers
 }
 
-// sortByAvailable returns the servers with the fullest first, so that whole servers stay free.
+// sortByAvailable returns the servers with the least available capacity first, so that empty
+// servers stay empty.
 func sortByAvailable(servers []*server) []*server {
 	sorted := slices.Clone(servers)
 	slices.SortStableFunc(sorted, func(a, b *server) int {
@@ -70,7 +72,7 @@
 	return sorted
 }
 
-// rackHolds tells whether the rack has room for n tasks of the unit.
+// rackHolds reports whether n tasks of the unit fit on the servers of the rack.
 func (p *Planner) rackHolds(r *rack, u *unit, need capacity.Size, n int) bool {
 	for _, s := range r.servers {
 		n -= p.serverHolds(s, u, need)
@@ -78,7 +80,7 @@
 	return n <= 0
 }
 
-// serverHolds returns how many tasks of the unit the server has room for.
+// serverHolds returns how many tasks of the unit fit on the server.
 func (p *Planner) serverHolds(s *server, u *unit, need capacity.Size) int {
 	if s.State != backend.Ready || u.jobState.failureBudget.Avoids(s.number) {
 		return 0
@@ -86,7 +88,7 @@
 	return countFitting(need, s.available())
 }
 
-// countFitting returns how often need fits into room.
+// countFitting returns how many times need fits into free.
 func countFitting(need, free capacity.Size) int {
 	if !free.Valid() {
 		return 0
@@ -104,6 +106,8 @@
 	return int(n)
 }
 
+// findInZone returns a server for each task of the gang, all in one zone, or nil. It tries
+// the zone with the most free capacity first.
 func (p *Planner) findInZone(u *unit) []*server {
 	if p.disabled(RackLocality) {
 		return nil
@@ -123,8 +127,8 @@
 	return nil
 }
 
-// findForAll finds a server for each task, one after the other, in the zone if one is
-// given. The room is taken while it searches and given back at the end.
+// findForAll returns a server for each task of the unit, or nil. The servers are in zone z
+// unless z is nil. During the search the index counts the tasks found so far as placed.
 func (p *Planner) findForAll(u *unit, z *zone) []*server {
 	need := u.jobState.spec.Size
 	servers := make([]*server, 0, len(u.tasks))
@@ -147,7 +151,7 @@
 	return servers
 }
 
-// findVictimsNear looks for victims in the gang's zone first.
+// findVictimsNear searches for victims in the preferred zone first, then in all zones.
 func (p *Planner) findVictimsNear(preferredZone *zone, u *unit, includeOwn bool, filter victimFilter) (*server, []*placedTask) {
 	if preferredZone != nil && !p.disabled(RackLocality) {
 		inZone := func(pt *placedTask) bool { return pt.server.rack.zone == preferredZone && filter(pt) }
@@ -158,7 +162,7 @@
 	return p.findVictims(u, u.taskSize, includeOwn, filter)
 }
 
-// bestInZone returns the best server of the zone, or of all if none is given.
+// bestInZone returns the best server of zone z, or of all zones if z is nil.
 func (p *Planner) bestInZone(z *zone, need capacity.Size, accepts func(*server) bool) *server {
 	if z == nil {
 		return p.bestServer(need, accepts)
@@ -167,10 +171,10 @@
 	return s
 }
 
-// reserveForGang keeps one more piece of room for the gang whose turn it is, in place of
-// starting a task there. It takes its turns like any other work, so that its
-// team pays for the room from its share, and smaller work does not take each
-// piece as it becomes free. A team gathers for one gang at a time.
+// reserveForGang reserves capacity for one more task of the gang. A gang reserves in the
+// order of teamsByNeed like other work is placed, and the reserved capacity counts against
+// its team's share. This keeps smaller tasks from taking each server that becomes free.
+// A team reserves for one gang at a time.
 func (p *Planner) reserveForGang(u *unit) bool {
 	if p.disabled(GangReservation) || !p.mayReserveForGang(u) {
 		return false
@@ -194,7 +198,7 @@
 	return true
 }
 
-// zoneWithMostFree returns the zone with the most free room.
+// zoneWithMostFree returns the zone with the most free capacity.
 func (p *Planner) zoneWithMostFree() *zone {
 	var best *zone
 	for _, z := range p.zones {
@@ -205,7 +209,8 @@
 	return best
 }
 
-// mayReserveForGang tells whether the gang may be kept one more piece of room.
+// mayReserveForGang reports whether the gang may reserve capacity for one more task. The
+// number of gangs with reservations is bounded, by team and in the cell.
 func (p *Planner) mayReserveForGang(u *unit) bool {
 	if u.reservation != nil {
 		return len(u.reservation.parts) < len(u.tasks)
@@ -213,7 +218,7 @@
 	return u.jobState.team.reservingGang == nil && p.gangReservationCount < max(minReservations, len(p.serverList)/serversPerReservation)
 }
 
-// reservedZone is the zone in which the gang gathers, nil before it has begun.
+// reservedZone returns the zone of the unit's first reserved part, nil if it has none.
 func (u *unit) reservedZone() *zone {
 	if u.reservation == nil || len(u.reservation.parts) == 0 {
 		return nil
@@ -221,9 +226,10 @@
 	return u.reservation.parts[0].server.rack.zone
 }
 
-// startGangReservations lets gangs gather that have waited for long and got no first piece in
-// their team's turns: at 90 to 120% load others take what becomes free for 5 to
-// 30 s, and a gang is not hastened before it gathers.
+// startGangReservations preempts tasks to start the reservation of gangs that have waited
+// for GangPreemptDelay. Without it, at 90 to 120% load, other work takes the free capacity
+// for 5 to 30 s before a gang gets its first part, and preemptForReservation only helps
+// gangs that have a reservation.
 func (p *Planner) startGangReservations() {
 	var teams []*teamState
 	p.teamsByNeed.Each(func(t *teamState) bool {
@@ -240,7 +246,7 @@
 	}
 }
 
-// startFirstGangReservation lets the team's first gang begin.
+// startFirstGangReservation starts the reservation of the team's first eligible gang.
 func (p *Planner) startFirstGangReservation(t *teamState) {
 	for _, u := range t.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, nil) {
 		if !u.jobState.spec.Whole() || !p.eligible(u) {
@@ -253,10 +259,11 @@
 	}
 }
 
-// preemptForReservation preempts for a gang that has gathered for long: what still runs in its
-// room, and for the rest the cheapest tasks of its own team and of teams above
-// their due. Without this a few long tasks would hold up the gang, and the room
-// kept for it, for as long.
+// preemptForReservation preempts tasks for a gang whose reservation is older than
+// GangPreemptDelay. It stops the tasks that still run in the reserved capacity. For the
+// missing parts it stops the tasks of the gang's team and of teams above their fair share
+// that lose the least work. Otherwise a few long tasks would block the gang, and the
+// capacity reserved for it, until they end.
 func (p *Planner) preemptForReservation(r *reservation) {
 	if p.now < r.createdAt+p.cfg.GangPreemptDelay || p.now < r.lastPreemptionAt+gangPreemptInterval || p.disabled(SharePreempt) {
 		return
@@ -272,15 +279,19 @@
 	}
 }
 
-// preemptInPart preempts what runs in kept room.
+// preemptInPart preempts tasks that still use the reserved capacity of the part. Tasks of
+// other gangs are not preempted.
 func (p *Planner) preemptInPart(part reservedPart) {
 	victims, _, _ := p.chooseVictims(part.server, part.size, part.server.uncommitted(), func(pt *placedTask) bool { return !pt.Job.Whole() })
 	for _, pt := range victims {
-		p.preempt(pt, "room for a gang")
+		p.preempt(pt, "capacity needed for a gang")
 	}
 }
 
-// reserveByPreemption keeps a piece of room for the gang that victims have to leave.
+// reserveByPreemption reserves capacity for one task of the gang and preempts the tasks that
+// use it. It returns false if no suitable victims exist. With allowOwn set, tasks of the
+// gang's own team may be preempted, and tasks of other teams only while the gang's team is
+// within its share and its limit.
 func (p *Planner) reserveByPreemption(u *unit, allowOwn bool) bool {
 	filter := p.aboveShareFilter(p.cfg.ShareSlack / 2)
 	if allowOwn {
@@ -294,13 +305,13 @@
 	}
 	p.reserve(u, srv)
 	for _, pt := range victims {
-		p.preempt(pt, "room for a gang")
+		p.preempt(pt, "capacity needed for a gang")
 	}
 	return true
 }
 
-// handleGangTaskEnd handles the end of one task of a gang: the rest cannot go on without it
-// if it has to run again, and is stopped so that the gang starts anew as a whole.
+// handleGangTaskEnd handles the end of one task of a gang. If the task has to run again, the
+// other tasks cannot continue without it. They are stopped, so that the whole gang restarts.
 func (p *Planner) handleGangTaskEnd(pt *placedTask, end plan.AttemptEnd) {
 	js := pt.jobState
 	if len(js.placed) == 0 {
--- a/internal/policy/cell/limit.go
+++ b/internal/policy/cell/limit.go
@@ -6,10 +6,10 @@
 	"gypsumreel/internal/domain/capacity"
 )
 
-// enforceLimits stops what teams hold above their limit, when the limit was lowered or
-// more use was reported. The rule: repeatable batch and gangs are preempted, the
-// youngest first, then services down to their floor; urgent tasks and tasks that
-// may run only once are left to end.
+// enforceLimits stops tasks of teams above their limit, after the limit was lowered or
+// higher usage was reported. It preempts repeatable batch and gang tasks, the youngest
+// first, then service tasks down to the floor of their service. Urgent tasks and tasks
+// that may run only once continue to their end.
 func (p *Planner) enforceLimits() {
 	if len(p.overLimitTeams) == 0 {
 		return
@@ -24,7 +24,8 @@
 	})
 }
 
-// preemptAboveLimit stops what it can and tells whether the team is done with.
+// preemptAboveLimit preempts tasks until the team is within its limit. It returns false if
+// the next call of Decide has to continue.
 func (p *Planner) preemptAboveLimit(t *teamState) bool {
 	if !t.inTable {
 		return true
@@ -45,8 +46,9 @@
 	}
 }
 
-// youngestStoppable returns the youngest task that may be stopped and holds something
-// of what the team has too much of.
+// youngestStoppable returns the youngest task that may be stopped and uses a resource of
+// which the team exceeds its limit. Service tasks are considered last. It returns nil if
+// there is no such task.
 func (p *Planner) youngestStoppable(t *teamState, expected capacity.Size) *placedTask {
 	var found *placedTask
 	t.preemptibleTasks.Each(func(pt *placedTask) bool {
@@ -67,7 +69,7 @@
 	return found
 }
 
-// reducesExcess tells whether the size has a part in what exceeds the limit.
+// reducesExcess reports whether the size uses a resource in which expected exceeds the limit.
 func reducesExcess(size, expected, limit capacity.Size) bool {
 	fieldExceeds := func(n, expected, limit int64) bool { return limit != capacity.Unlimited && expected > limit && n > 0 }
 	return fieldExceeds(size.CPU, expected.CPU, limit.CPU) || fieldExceeds(size.Memory, expected.Memory, limit.Memory) ||
--- a/internal/policy/cell/reclaim.go
+++ b/internal/policy/cell/reclaim.go
@@ -6,17 +6,17 @@
 	"gypsumreel/internal/domain/job"
 )
 
-// Bounds of taking back.
+// Bounds of the preemption for shares.
 const (
-	// reclaimInterval is the time between two rounds; a weight edited far is so
-	// reached in steps and not by one wave of preemption.
+	// reclaimInterval is the minimum time between two rounds of preemption. After a large
+	// change of a weight, preemption is therefore spread over several rounds.
 	reclaimInterval = 20 * time.Millisecond
-	// maxReclaims is the number of claims made in one round.
+	// maxReclaims bounds the preemption attempts in one round.
 	maxReclaims = 8
 )
 
-// reclaimShares preempts, for teams below their due, the cheapest tasks of teams above
-// theirs.
+// reclaimShares preempts tasks of teams above their fair share for teams below their target
+// share. It selects the tasks that lose the least work.
 func (p *Planner) reclaimShares() {
 	if p.disabled(SharePreempt) || p.atDecisionLimit() || p.now < p.reclaimedAt+reclaimInterval {
 		return
@@ -36,14 +36,14 @@
 	p.startGangReservations()
 }
 
-// shareDeficit is the part of the cell that the team misses of its target, room that is
-// on its way not counted.
+// shareDeficit returns the fraction of the cell by which the team is below its target share.
+// Reserved capacity counts as allocated, capacity of stopping tasks does not.
 func (p *Planner) shareDeficit(t *teamState) float64 {
 	return t.targetShare - t.allocated.Add(t.reserved).Sub(t.stopping).Dominant(p.totalCapacity)
 }
 
-// reclaimForTeam makes claims for the team until its lack is covered or left is used
-// up, and returns the rest of left.
+// reclaimForTeam preempts for the team until its deficit is within ShareSlack or the
+// remaining attempts are used up. It returns the number of attempts that are left.
 func (p *Planner) reclaimForTeam(t *teamState, remaining int) int {
 	units := t.queues[job.Service].AppendFirst(maxReclaims, nil)
 	units = t.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, units)
@@ -70,7 +70,7 @@
 		}
 		p.reserve(u, srv)
 		for _, pt := range victims {
-			p.preempt(pt, "taken back for a team below its due")
+			p.preempt(pt, "capacity needed for a team below its target share")
 		}
 	}
 	return remaining
--- a/internal/policy/cell/claim.go
+++ b/internal/policy/cell/reservation.go
@@ -11,34 +11,37 @@
 	"gypsumreel/internal/policy/preempt"
 )
 
-// Bounds of claims and of the search for victims.
+// Bounds of reservations and of the search for preemption victims.
 const (
-	// reservationTimeout is how long a claim of one task waits for its victims.
+	// reservationTimeout is how long the reservation of a single task waits for its victims
+	// to stop.
 	reservationTimeout = 15 * time.Second
-	// minGangRuntime is the time that a gang may run before it is preempted for others:
-	// gathering its room was dear, and it may lose the work of all its tasks.
+	// minGangRuntime is how long a gang runs before it may be preempted for other teams.
+	// Collecting its capacity took long, and preemption may lose the work of all its tasks.
 	minGangRuntime = 30 * time.Second
-	// maxVictimTeams and mostTasks bound the victims that are weighed.
+	// maxVictimTeams and maxVictimTasks bound the search for victims to that number of teams
+	// and of tasks per team.
 	maxVictimTeams = 6
 	maxVictimTasks = 12
 )
 
-// reservation is room that is kept for a unit until what is in it has left.
+// reservation is capacity that is held for a unit until the tasks that still use it have
+// stopped.
 type reservation struct {
 	unit      *unit
 	parts     []reservedPart
 	createdAt time.Duration
-	// lastPreemptionAt is when tasks were last preempted for it.
+	// lastPreemptionAt is when tasks were last preempted for the reservation.
 	lastPreemptionAt time.Duration
 }
 
-// reservedPart is the room kept for one task.
+// reservedPart is the capacity reserved on one server for one task.
 type reservedPart struct {
 	server *server
 	size   capacity.Size
 }
 
-// reserve keeps room for one task of the unit on the server.
+// reserve reserves capacity on the server for one task of the unit.
 func (p *Planner) reserve(u *unit, s *server) {
 	if u.reservation == nil {
 		u.reservation = &reservation{unit: u, createdAt: p.now}
@@ -54,7 +57,7 @@
 	p.adjustTeamReserved(u.jobState.team, part.size)
 }
 
-// reservedSize is the size of the room kept for the unit.
+// reservedSize returns the capacity reserved for the unit.
 func (u *unit) reservedSize() capacity.Size {
 	if u.reservation == nil {
 		return capacity.Size{}
@@ -62,6 +65,7 @@
 	return u.taskSize.Times(int64(len(u.reservation.parts)))
 }
 
+// releasePart gives back the capacity of one part of the unit's reservation.
 func (p *Planner) releasePart(u *unit, part reservedPart) {
 	p.adjustServerReserved(part.server, capacity.Size{}.Sub(part.size))
 	p.adjustTeamReserved(u.jobState.team, capacity.Size{}.Sub(part.size))
@@ -72,8 +76,8 @@
 	p.refreshFree(s)
 }
 
-// adjustTeamReserved changes the room that is on its way to the team; it counts as held in
-// the order of need.
+// adjustTeamReserved changes the team's reserved capacity and reorders teamsByNeed, where
+// reserved capacity counts like allocated capacity.
 func (p *Planner) adjustTeamReserved(t *teamState, delta capacity.Size) {
 	p.teamsByNeed.Remove(t.name)
 	t.reserved = t.reserved.Add(delta)
@@ -97,7 +101,7 @@
 	}
 }
 
-// startReserved starts the units whose room has become free, urgent ones first.
+// startReserved starts the units whose reserved capacity has become free, urgent units first.
 func (p *Planner) startReserved() {
 	for _, urgent := range []bool{true, false} {
 		for _, r := range slices.Clone(p.reservations) {
@@ -111,6 +115,9 @@
 	}
 }
 
+// tryReservation starts the unit if all its capacity is reserved and free. Otherwise it
+// preempts for a gang, and drops the reservation of a single task after reservationTimeout.
+// It also drops a reservation that no longer matches its unit.
 func (p *Planner) tryReservation(r *reservation) {
 	u := r.unit
 	p.dropUnusableParts(r)
@@ -134,7 +141,7 @@
 	}
 }
 
-// dropUnusableParts gives up the parts on servers that take nothing new.
+// dropUnusableParts releases the parts on servers that are not ready.
 func (p *Planner) dropUnusableParts(r *reservation) {
 	r.parts = slices.DeleteFunc(r.parts, func(part reservedPart) bool {
 		if part.server.State == backend.Ready {
@@ -145,7 +152,7 @@
 	})
 }
 
-// roomIsFree tells whether all the room kept is free now.
+// roomIsFree reports whether no task uses any of the reserved capacity.
 func (r *reservation) roomIsFree() bool {
 	neededByServer := map[*server]capacity.Size{}
 	for _, part := range r.parts {
@@ -157,10 +164,12 @@
 	return true
 }
 
-// victimFilter tells whether a task may be stopped for a claim.
+// victimFilter reports whether a task may be preempted for a unit.
 type victimFilter func(h *placedTask) bool
 
-// aboveShareFilter allows the tasks of teams that hold more than their due.
+// aboveShareFilter accepts a task if its team remains at or above its fair share, less
+// slack, after the task, or its whole gang, has stopped. Gangs that started less than
+// minGangRuntime ago are not accepted.
 func (p *Planner) aboveShareFilter(slack float64) victimFilter {
 	return func(pt *placedTask) bool {
 		size := pt.countedSize
@@ -175,8 +184,9 @@
 	}
 }
 
-// findVictims returns the server on which the least work is lost to make room for
-// need, and what to stop there.
+// findVictims returns the server on which need can be freed with the least lost work, and
+// the tasks to stop there. It searches the unit's own team if includeOwn is set, then the
+// teams with the highest usage relative to their share.
 func (p *Planner) findVictims(u *unit, need capacity.Size, includeOwn bool, filter victimFilter) (*server, []*placedTask) {
 	v := victimSearch{planner: p, unit: u, need: need, filter: filter, evaluated: map[*server]bool{}}
 	if includeOwn {
@@ -205,7 +215,7 @@
 	lostWork   float64
 }
 
-// searchTeam weighs the servers on which the team's youngest tasks run.
+// searchTeam evaluates the servers on which the team's youngest tasks run.
 func (v *victimSearch) searchTeam(t *teamState) {
 	n := 0
 	t.preemptibleTasks.Each(func(pt *placedTask) bool {
@@ -217,6 +227,7 @@
 	})
 }
 
+// evaluateServer keeps the server as the best if it loses less work than the best so far.
 func (v *victimSearch) evaluateServer(s *server) {
 	victims, lostWork, ok := v.planner.chooseVictims(s, v.need, s.available(), v.filter)
 	if ok && (v.bestServer == nil || lostWork < v.lostWork) {
@@ -224,7 +235,9 @@
 	}
 }
 
-// chooseVictims returns what to stop on the server so that need fits.
+// chooseVictims returns the tasks to stop on the server so that need fits, given that free
+// is available already, and the work lost by stopping them. The last result is false if
+// stopping every accepted task is not enough.
 func (p *Planner) chooseVictims(s *server, need, free capacity.Size, filter victimFilter) ([]*placedTask, float64, bool) {
 	var candidates []preempt.Victim[*placedTask]
 	for _, pt := range s.tasks {
@@ -249,9 +262,8 @@
 	return victims, lostWork, ok
 }
 
-// lostWork is the work thrown away by stopping the task; a gang stops as a whole.
-// Each time that a job was preempted before makes it dearer, so that the same
-// youngest job is not stopped again and again.
+// lostWork returns the work lost by stopping the task, or its whole gang. Earlier attempts
+// of the task increase the result, so that the same young task is not preempted repeatedly.
 func (p *Planner) lostWork(pt *placedTask) float64 {
 	taskWork := preempt.LostWork(pt.countedSize.Dominant(p.totalCapacity), pt.PlacedAt, p.now)
 	if !pt.Job.Whole() {
@@ -260,7 +272,7 @@
 	return taskWork * float64(len(pt.jobState.placed)) * float64(1+pt.priorAttempts)
 }
 
-// preempt stops the task, and with it the gang that it belongs to.
+// preempt stops the task, or all tasks of its gang if it belongs to one.
 func (p *Planner) preempt(pt *placedTask, reason string) {
 	if !pt.Job.Whole() {
 		p.preemptTask(pt, reason)
--- a/internal/policy/cell/service.go
+++ b/internal/policy/cell/service.go
@@ -8,8 +8,8 @@
 	"gypsumreel/internal/domain/job"
 )
 
-// placeDisplacedServices places again the service tasks that lost their server, ahead of
-// all new work; other service tasks take their team's turns.
+// placeDisplacedServices places service tasks again whose job ran before, ahead of all new
+// work except urgent tasks. Tasks of new services are placed by placeByShare.
 func (p *Planner) placeDisplacedServices() {
 	if len(p.displacedServices) == 0 {
 		return
@@ -32,8 +32,8 @@
 	})
 }
 
-// placeService starts a service's task in the zone, and there in the rack, that
-// holds the fewest of its kind.
+// placeService starts a service task in the zone with the fewest tasks of the service, on a
+// rack without any if there is one.
 func (p *Planner) placeService(u *unit) bool {
 	need := u.jobState.spec.Size
 	if u.triedRevision == p.freeRevision || p.unplaceable.covers(need) {
@@ -62,7 +62,8 @@
 	return false
 }
 
-// bestInUnusedRack returns the best server of the zone in a rack that holds none of the job.
+// bestInUnusedRack returns the best server of the zone in a rack without tasks of the job,
+// or nil. It also returns nil if the job uses none of the zone's racks, or all of them.
 func (p *Planner) bestInUnusedRack(u *unit, z *zone, tasksByRack map[*rack]int) *server {
 	usedRacks := 0
 	for r := range tasksByRack {
@@ -78,7 +79,7 @@
 	})
 }
 
-// countByZoneAndRack counts the job's tasks by zone and by rack.
+// countByZoneAndRack counts the job's placed tasks by zone and by rack.
 func (js *jobState) countByZoneAndRack() (map[*zone]int, map[*rack]int) {
 	tasksByZone, tasksByRack := map[*zone]int{}, map[*rack]int{}
 	for _, pt := range js.placed {
@@ -90,7 +91,7 @@
 	return tasksByZone, tasksByRack
 }
 
-// runningCount counts the job's tasks that are not being stopped.
+// runningCount returns the number of the job's placed tasks that are not being stopped.
 func (js *jobState) runningCount() int {
 	n := 0
 	for _, pt := range js.placed {
@@ -101,15 +102,16 @@
 	return n
 }
 
-// mayStopOne tells whether one more of a service's tasks may be stopped on purpose.
-// A floor of all tasks counts as one less, or the service could never move.
+// mayStopOne reports whether one more task of the service may be stopped without falling
+// below its floor. A floor equal to the number of tasks is reduced by one, because otherwise
+// the service could not move off a draining server.
 func (js *jobState) mayStopOne() bool {
 	floor := min(int(js.spec.Floor), int(js.spec.Count)-1)
 	return js.runningCount()-1 >= floor
 }
 
-// listServicesToMove lists the services of a server that is leaving; tasks that may run only
-// once stay until they end.
+// listServicesToMove adds the service tasks of a draining server to servicesToMove. Tasks
+// that may run only once stay until they end.
 func (p *Planner) listServicesToMove(s *server) {
 	for _, pt := range s.tasks {
 		if pt.Job.Kind == job.Service && !pt.Job.Once {
@@ -118,8 +120,8 @@
 	}
 }
 
-// moveServices stops services on servers that are leaving, one task of a job at a
-// time: the next only when the one before runs elsewhere.
+// moveServices stops service tasks on draining servers, one task of a job at a time. The
+// next task is stopped only when the previous one has been placed on another server.
 func (p *Planner) moveServices() {
 	p.servicesToMove = slices.DeleteFunc(p.servicesToMove, func(pt *placedTask) bool {
 		if p.placed[pt.ID] != pt || pt.Stopping || pt.server.State != backend.Draining {
@@ -128,7 +130,7 @@
 		if p.atDecisionLimit() || pt.jobState.waitingCount > 0 || pt.jobState.runningCount() < len(pt.jobState.placed) || !pt.jobState.mayStopOne() {
 			return false
 		}
-		p.preemptTask(pt, "its server is leaving")
+		p.preemptTask(pt, "server is draining")
 		return true
 	})
 }
--- a/internal/policy/cell/sizecounts.go
+++ b/internal/policy/cell/sizecount.go
@@ -6,8 +6,8 @@
 	"gypsumreel/internal/domain/capacity"
 )
 
-// sizeCounts counts what waits of each size, so that a team of which nothing fits is
-// passed over without a look at its queue.
+// sizeCounts counts waiting units by size, so that the planner can skip a team of which no
+// unit fits without scanning its queue.
 type sizeCounts struct {
 	sizes  []capacity.Size
 	counts []int
@@ -31,7 +31,7 @@
 	t.counts = slices.Delete(t.counts, i, i+1)
 }
 
-// anyPlaceable tells whether a size that waits is not among those that fit nowhere.
+// anyPlaceable reports whether some waiting size is not known to fit on no server.
 func (t *sizeCounts) anyPlaceable(f *unplaceableSizes) bool {
 	for _, s := range t.sizes {
 		if !f.covers(s) {
--- a/internal/policy/cell/state.go
+++ b/internal/policy/cell/state.go
@@ -14,32 +14,35 @@
 	"gypsumreel/internal/policy/queue"
 )
 
-// server is a backend server with what is committed on it.
+// server is a backend server with the tasks placed on it and the capacity that they take.
 type server struct {
 	backend.Server
+	// number is the server's index in Planner.serverList.
 	number int32
-	// committed is the sum of max(declared, reported) of all tasks held.
+	// committed is the sum of max(declared size, reported usage) over all placed tasks.
 	committed capacity.Size
-	// reserved is the room promised to claims and to the urgent reserve.
+	// reserved is the capacity held for reservations and for the urgent reserve.
 	reserved capacity.Size
 	tasks    []*placedTask
 	rack     *rack
-	// countedFree is the room that rack, zone and cell have been told of.
+	// countedFree is this server's part of the free totals of its rack, its zone and the cell.
 	countedFree capacity.Size
-	inTotals    bool
-	element     fit.Element[*server]
-	// reserveBlockCount are the pieces of the urgent reserve on the server.
+	// inTotals is true while totalCapacity and serverSizes include the server.
+	inTotals bool
+	element  fit.Element[*server]
+	// reserveBlockCount is the number of blocks of the urgent reserve on the server.
 	reserveBlockCount int
-	// silentSince is when it was last found silent.
+	// silentSince is the time at which the server last became suspect or gone.
 	silentSince time.Duration
-	// restoreDecidedAt is when bringing it back was last decided.
+	// restoreDecidedAt is the time of the last Restore decision for the server, 0 if there is none.
 	restoreDecidedAt time.Duration
 }
 
-// available returns what is neither committed nor reserved; fields may be negative.
+// available returns the capacity that is neither committed nor reserved. Fields may be negative.
 func (s *server) available() capacity.Size { return s.uncommitted().Sub(s.reserved) }
 
-// uncommitted returns what is not committed.
+// uncommitted returns the capacity that no placed task takes, reserved capacity included.
+// Fields may be negative.
 func (s *server) uncommitted() capacity.Size { return s.Capacity.Sub(s.committed) }
 
 type rackKey struct{ zone, rack string }
@@ -60,61 +63,76 @@
 	index             *fit.Index[*server]
 }
 
-// teamState is a team with what it holds and waits for.
+// teamState is a team with its allocated capacity, its waiting work and its share of the cell.
 type teamState struct {
-	name      string
-	row       team.Row
-	inTable   bool
+	name string
+	row  team.Row
+	// inTable is true while the table has a row for the team.
+	inTable bool
+	// allocated is the sum of the counted sizes of the team's placed tasks.
 	allocated capacity.Size
-	// stopping is the part of held that is being stopped.
+	// stopping is the part of allocated that belongs to tasks being stopped.
 	stopping capacity.Size
-	waiting  capacity.Size
-	// unplaceable is the part of wants that no server could hold.
+	// waiting is the total declared size of the team's waiting tasks.
+	waiting capacity.Size
+	// unplaceable is the part of waiting that belongs to tasks larger than any server.
 	unplaceable capacity.Size
-	// reserved is the room that claims hold for the team.
+	// reserved is the capacity that reservations hold for the team's units.
 	reserved capacity.Size
-	// targetShare is the part of the cell that is the team's due with what it wants now.
+	// targetShare is the fraction of the cell that the team should get for its current demand.
 	targetShare float64
-	// fairShare is the target, or what the team could have at least if it wanted more.
-	fairShare  float64
+	// fairShare is the larger of targetShare and the team's minimum share, the fraction that
+	// the team would get if it demanded the whole cell.
+	fairShare float64
+	// usageRatio is allocated and reserved capacity relative to fairShare.
 	usageRatio float64
-	queues     [job.Service + 1]*queue.Queue[task.ID, *unit]
-	// preemptibleTasks are the tasks that may be preempted, the youngest first.
+	// queues holds the units that are ready to be placed, by the kind that queueKind returns.
+	queues [job.Service + 1]*queue.Queue[task.ID, *unit]
+	// preemptibleTasks holds the tasks that may be preempted, the youngest first.
 	preemptibleTasks *queue.Queue[task.ID, *placedTask]
-	// serviceTasks are the tasks of services, the youngest first.
+	// serviceTasks holds the service tasks that may be stopped, the youngest first.
 	serviceTasks *queue.Queue[task.ID, *placedTask]
-	// waitingGangCount counts the gangs that wait.
+	// waitingGangCount is the number of gangs in the team's batch queue.
 	waitingGangCount int
-	// reservingGang is the gang that room is being kept for.
+	// reservingGang is the gang that holds a reservation, nil if there is none.
 	reservingGang *unit
-	// waitingSizes counts what waits of each size, urgent work aside.
-	waitingSizes    sizeCounts
+	// waitingSizes counts the queued units by task size, urgent units excluded.
+	waitingSizes sizeCounts
+	// blockedRevision is the value of Planner.freeRevision at which none of the team's units
+	// could be placed. The team is skipped until freeRevision changes.
 	blockedRevision uint64
 }
 
-// placedTask is a task on a server.
+// placedTask is a task that takes capacity on a server.
 type placedTask struct {
 	plan.PlacedTask
 	jobState *jobState
 	team     *teamState
 	server   *server
-	// countedSize is max(declared, reported).
+	// countedSize is max(declared size, reported usage). Server and team are charged for it.
 	countedSize capacity.Size
-	// waitingTask is the wait that the placement ended.
+	// waitingTask is the queue entry that the placement consumed. It is queued again if the
+	// ledger does not confirm the placement.
 	waitingTask plan.WaitingTask
-	// priorAttempts is the number of attempts made before.
+	// priorAttempts is the number of earlier attempts of the task.
 	priorAttempts uint32
 	// unconfirmed is true until the ledger confirms the placement.
-	unconfirmed     bool
-	usageAt         time.Duration
-	throttledAt     time.Duration
+	unconfirmed bool
+	// usageAt is the time at which the last reported usage was measured.
+	usageAt time.Duration
+	// throttledAt is the time of the Throttle decision, 0 if the task was not throttled.
+	throttledAt time.Duration
+	// exceedsDeclared is true while the reported usage is above the declared size.
 	exceedsDeclared bool
-	inOveruseList   bool
-	// stoppedForUsage is true when it was stopped for using more than declared.
+	// inOveruseList is true while Planner.overuseTasks lists the task.
+	inOveruseList bool
+	// stoppedForUsage is true if the task was stopped because it used more than its declared size.
 	stoppedForUsage bool
-	jobIndex        int
+	// jobIndex is the task's index in jobState.placed.
+	jobIndex int
 }
 
+// byUsageRatio orders teams by usage relative to their fair share, the lowest first.
 func byUsageRatio(a, b *teamState) bool {
 	if a.usageRatio != b.usageRatio {
 		return a.usageRatio < b.usageRatio
@@ -122,6 +140,7 @@
 	return a.name < b.name
 }
 
+// youngestFirst orders tasks by placement time, the latest first.
 func youngestFirst(a, b *placedTask) bool {
 	if a.PlacedAt != b.PlacedAt {
 		return a.PlacedAt > b.PlacedAt
@@ -156,7 +175,8 @@
 	return s
 }
 
-// assignRack puts the server into its rack.
+// assignRack adds the server to its rack and enlarges the indexes if the server or the rack
+// is larger than any before.
 func (p *Planner) assignRack(s *server) {
 	key := rackKey{s.Zone, s.Rack}
 	p.maxServerSize = p.maxServerSize.Max(s.Capacity)
@@ -198,7 +218,7 @@
 	return z
 }
 
-// removeFromTotals takes the server out of every sum.
+// removeFromTotals subtracts the server from all totals and removes it from its zone's index.
 func (p *Planner) removeFromTotals(s *server) {
 	p.updateFreeTotals(s, capacity.Size{})
 	p.removeFromIndex(s)
@@ -209,7 +229,8 @@
 	s.inTotals = false
 }
 
-// addToTotals adds the server to the cell that shares are part of.
+// addToTotals adds the server to the capacity that shares are computed from. Servers that
+// are gone or draining do not count.
 func (p *Planner) addToTotals(s *server) {
 	if s.State == backend.Gone || s.State == backend.Draining {
 		return
@@ -222,7 +243,7 @@
 	}
 }
 
-// refreshFree makes the server's room known after a change.
+// refreshFree updates the indexes and totals after the server's free capacity or state changed.
 func (p *Planner) refreshFree(s *server) {
 	if s.State != backend.Ready {
 		p.updateFreeTotals(s, capacity.Size{})
@@ -241,13 +262,14 @@
 	p.updateFreeTotals(s, free)
 }
 
-// removeFromIndex takes the server out of its zone's index.
+// removeFromIndex removes the server from its zone's index.
 func (p *Planner) removeFromIndex(s *server) {
 	if s.rack != nil {
 		s.rack.zone.index.Remove(&s.element)
 	}
 }
 
+// updateFreeTotals sets the server's part of the free totals of rack, zone and cell.
 func (p *Planner) updateFreeTotals(s *server, free capacity.Size) {
 	if s.rack == nil || s.countedFree == free {
 		return
@@ -260,7 +282,7 @@
 	p.rackIndex.Update(&s.rack.element, s.rack.free)
 }
 
-// addTask counts a task on a server.
+// addTask adds a placed task to its server, job and team.
 func (p *Planner) addTask(placement plan.PlacedTask, s *server) *placedTask {
 	js := p.jobState(placement.ID.Job, placement.Job)
 	pt := &placedTask{PlacedTask: placement, jobState: js, team: js.team, server: s, countedSize: placement.Job.Size, jobIndex: len(js.placed)}
@@ -277,7 +299,7 @@
 	return pt
 }
 
-// addToStoppable lists the task among those that may be preempted.
+// addToStoppable adds the task to its team's lists of tasks that may be stopped.
 func (pt *placedTask) addToStoppable() {
 	if pt.preemptible() {
 		pt.team.preemptibleTasks.Add(pt)
@@ -287,17 +309,19 @@
 	}
 }
 
+// removeFromStoppable removes the task from its team's lists of tasks that may be stopped.
 func (pt *placedTask) removeFromStoppable() {
 	pt.team.preemptibleTasks.Remove(pt.ID)
 	pt.team.serviceTasks.Remove(pt.ID)
 }
 
-// preemptible tells whether the task may be preempted for others.
+// preemptible reports whether the task may be preempted for other work. Only batch and gang
+// tasks are, and only if they may run more than once.
 func (pt *placedTask) preemptible() bool {
 	return !pt.Job.Once && !pt.Stopping && (pt.Job.Kind == job.Batch || pt.Job.Kind == job.Gang)
 }
 
-// removeTask takes a task off its server.
+// removeTask removes a placed task from its server, job and team.
 func (p *Planner) removeTask(pt *placedTask) {
 	delete(p.placed, pt.ID)
 	pt.removeFromStoppable()
@@ -315,7 +339,7 @@
 	pt.team.blockedRevision = 0
 }
 
-// adjustAllocated changes what the team holds and its place in the order of need.
+// adjustAllocated changes the team's allocated capacity and reorders teamsByNeed.
 func (p *Planner) adjustAllocated(t *teamState, delta capacity.Size) {
 	p.teamsByNeed.Remove(t.name)
 	t.allocated = t.allocated.Add(delta)
@@ -323,7 +347,7 @@
 	p.teamsByNeed.Add(t)
 }
 
-// setCountedSize changes the size that a task counts with.
+// setCountedSize changes the size that server and team are charged for the task.
 func (p *Planner) setCountedSize(pt *placedTask, size capacity.Size) {
 	if pt.countedSize == size {
 		return
@@ -341,7 +365,8 @@
 	}
 }
 
-// confirmPlacement takes over what the ledger says of a task that is held already.
+// confirmPlacement updates a task that the planner already counts as placed with the
+// placement recorded in the ledger.
 func (p *Planner) confirmPlacement(pt *placedTask, placement plan.PlacedTask) {
 	pt.unconfirmed = false
 	if pt.server.ID != placement.Server {
@@ -359,7 +384,7 @@
 	}
 }
 
-// markStopping notes that an order to stop the task is under way.
+// markStopping records that an order to stop the task has been issued.
 func (p *Planner) markStopping(pt *placedTask) {
 	if pt.Stopping {
 		return
--- a/internal/policy/cell/unplaceable.go
+++ b/internal/policy/cell/unplaceable.go
@@ -6,14 +6,14 @@
 	"gypsumreel/internal/domain/capacity"
 )
 
-// maxUnplaceableSizes bounds a frontier.
+// maxUnplaceableSizes bounds the number of sizes in unplaceableSizes.
 const maxUnplaceableSizes = 32
 
-// unplaceableSizes holds sizes that were found to fit nowhere, so that a full cell is
-// not searched again for each waiting task of the same or a larger size.
+// unplaceableSizes holds sizes that fit on no server, so that the planner does not search a
+// full cell again for each waiting task of the same or a larger size.
 type unplaceableSizes struct{ sizes []capacity.Size }
 
-// covers tells whether the size is known to fit nowhere.
+// covers reports whether the size, or a smaller one, is known to fit on no server.
 func (f *unplaceableSizes) covers(size capacity.Size) bool {
 	for _, known := range f.sizes {
 		if known.Fits(size) {
@@ -23,7 +23,7 @@
 	return false
 }
 
-// add notes that the size fits nowhere.
+// add records that the size fits on no server. Larger known sizes become redundant.
 func (f *unplaceableSizes) add(size capacity.Size) {
 	f.sizes = slices.DeleteFunc(f.sizes, func(known capacity.Size) bool { return size.Fits(known) })
 	if len(f.sizes) < maxUnplaceableSizes {
@@ -31,7 +31,7 @@
 	}
 }
 
-// removeFitting forgets what may fit into room that became free.
+// removeFitting removes the sizes that fit into the capacity that became free.
 func (f *unplaceableSizes) removeFitting(free capacity.Size) {
 	f.sizes = slices.DeleteFunc(f.sizes, func(s capacity.Size) bool { return s.Fits(free) })
 }
--- a/internal/policy/cell/urgent.go
+++ b/internal/policy/cell/urgent.go
@@ -8,25 +8,27 @@
 
 // Bounds of the work done for urgent tasks in one call.
 const (
-	// maxVictimSearches is the number of searches for victims.
+	// maxVictimSearches bounds the searches for preemption victims.
 	maxVictimSearches = 4
-	// maxFailedPlacements is the number of urgent tasks looked at for which there is no room.
+	// maxFailedPlacements is the number of urgent tasks without free capacity after which the
+	// call stops placing urgent tasks.
 	maxFailedPlacements = 64
-	// urgentScanDepth is the number of a team's urgent tasks looked at.
+	// urgentScanDepth bounds the urgent tasks examined per team.
 	urgentScanDepth = 32
-	// maxReserveRefills is the number of rooms added to the reserve.
+	// maxReserveRefills bounds the blocks added to the urgent reserve.
 	maxReserveRefills = 4
 )
 
-// reserveBlock is a piece of the urgent reserve.
+// reserveBlock is capacity for one task in the urgent reserve. Its index is the position in
+// Planner.reserveBlocks.
 type reserveBlock struct {
 	server *server
 	size   capacity.Size
 	index  int
 }
 
-// placeUrgent decides urgent work before anything else: into free room, then
-// into the reserve, then into room that the cheapest victims leave.
+// placeUrgent places urgent tasks ahead of all work without a reservation. It uses free
+// capacity first, then the urgent reserve, and then preempts other tasks.
 func (p *Planner) placeUrgent() {
 	if p.urgentWaitingCount == 0 {
 		return
@@ -62,7 +64,8 @@
 	}
 }
 
-// placeWithoutPreemption starts an urgent task if there is room for it.
+// placeWithoutPreemption starts an urgent task if it fits into free capacity or into a block
+// of the urgent reserve.
 func (p *Planner) placeWithoutPreemption(u *unit) bool {
 	need := u.jobState.spec.Size
 	if s := p.findServer(u, need); s != nil {
@@ -80,8 +83,8 @@
 	return false
 }
 
-// preemptOwnForUrgent preempts the team's own youngest batch as long as the team's limit is
-// all that keeps its urgent tasks waiting.
+// preemptOwnForUrgent preempts the team's own youngest batch and gang tasks until the
+// waiting urgent tasks fit within the team's limit.
 func (p *Planner) preemptOwnForUrgent(t *teamState, waiting []*unit) {
 	if p.disabled(UrgentPreempt) {
 		return
@@ -99,13 +102,14 @@
 		if pt == nil || !pt.preemptible() {
 			return
 		}
-		p.preempt(pt, "its team's limit is needed for urgent work")
+		p.preempt(pt, "team limit needed for urgent work of the same team")
 	}
 }
 
-// preemptForUnit preempts the cheapest victims for an urgent task: those of its own team,
-// and of teams above their due unless its own team is above its due as well. So
-// a team that calls all its work urgent takes nothing from the others.
+// preemptForUnit reserves capacity for an urgent or displaced service task and preempts the
+// tasks there that lose the least work. Victims are tasks of the same team. Tasks of teams
+// above their fair share are victims too, unless the unit's team is above its own share.
+// A team that declares all its work urgent therefore takes nothing from other teams.
 func (p *Planner) preemptForUnit(u *unit) {
 	if p.disabled(UrgentPreempt) {
 		return
@@ -121,12 +125,12 @@
 	}
 	p.reserve(u, srv)
 	for _, pt := range victims {
-		p.preempt(pt, "room for urgent work")
+		p.preempt(pt, "capacity needed for urgent work")
 	}
 }
 
-// fillUrgentReserve keeps the reserve at its size, spread over the zones, so that the
-// loss of one leaves most of it.
+// fillUrgentReserve adjusts the urgent reserve to its target size. Blocks are spread over
+// the zones, so that most of the reserve survives the loss of a zone.
 func (p *Planner) fillUrgentReserve() {
 	if p.disabled(UrgentReserve) {
 		return
@@ -145,6 +149,8 @@
 	}
 }
 
+// addReserveBlock adds a block in the zone with the fewest blocks, or in another zone if it
+// does not fit there. It returns false if the block fits nowhere.
 func (p *Planner) addReserveBlock(size capacity.Size) bool {
 	if p.unplaceable.covers(size) {
 		return false
@@ -165,7 +171,7 @@
 	return true
 }
 
-// zoneWithFewestBlocks returns the zone with the fewest rooms of the reserve.
+// zoneWithFewestBlocks returns the zone with the fewest blocks of the urgent reserve.
 func (p *Planner) zoneWithFewestBlocks() *zone {
 	var best *zone
 	for _, z := range p.zones {
@@ -185,7 +191,7 @@
 	p.adjustServerReserved(r.server, capacity.Size{}.Sub(r.size))
 }
 
-// dropReserveBlocks gives up the rooms that match.
+// dropReserveBlocks removes the matching blocks from the urgent reserve.
 func (p *Planner) dropReserveBlocks(match func(*reserveBlock) bool) {
 	for i := len(p.reserveBlocks) - 1; i >= 0; i-- {
 		if match(p.reserveBlocks[i]) {
--- a/internal/policy/cell/watch.go
+++ b/internal/policy/cell/watch.go
@@ -13,27 +13,29 @@
 )
 
 const (
-	// cpuTolerance is the part by which reported processor time may exceed the
-	// declared size; it is measured over short windows.
+	// cpuTolerance is the fraction by which reported CPU usage may exceed the declared size.
+	// CPU usage is measured over short windows and fluctuates.
 	cpuTolerance = 0.1
-	// overcommitGrace is the time to fall back to the declared size on a server that is
-	// overcommitted by what is used.
+	// overcommitGrace replaces Config.ThrottleGrace on a server whose tasks use more than its
+	// capacity.
 	overcommitGrace = 2 * time.Second
-	// restoreRetryInterval is the time after which a decision without effect is repeated.
+	// restoreRetryInterval is the time after which a Restore decision without effect is repeated.
 	restoreRetryInterval = 5 * time.Second
 )
 
-// exceedsDeclared tells whether a task uses more than its declared size.
+// exceedsDeclared reports whether the usage is above the declared size.
 func exceedsDeclared(usage, declared capacity.Size) bool {
 	return float64(usage.CPU) > float64(declared.CPU)*(1+cpuTolerance) || exceedsUnthrottleable(usage, declared)
 }
 
-// exceedsUnthrottleable tells whether a task uses more of what throttling does not give back.
+// exceedsUnthrottleable reports whether the usage is above the declared size in a resource
+// that throttling does not reduce.
 func exceedsUnthrottleable(usage, declared capacity.Size) bool {
 	return usage.Memory > declared.Memory || usage.Accel > declared.Accel || usage.Slots > declared.Slots
 }
 
-// handleMisbehavior decides on tasks, jobs and servers that do not keep to what is expected.
+// handleMisbehavior makes the decisions about tasks above their size, gangs that lost a
+// task, failing servers and failing jobs.
 func (p *Planner) handleMisbehavior() {
 	p.enforceUsage()
 	p.stopBrokenGangs()
@@ -41,10 +43,10 @@
 	p.parkExhaustedJobs()
 }
 
-// enforceUsage throttles tasks beyond their declared size, and stops those that stay
-// beyond it. The grace is short where the server has no room for the excess, and
-// there is none for what throttling does not give back. A task that may run only
-// once is throttled and never stopped: to stop it would be to lose it.
+// enforceUsage throttles tasks above their declared size and stops those that stay above it
+// for the grace time. On an overcommitted server the grace time is short, and there is none
+// for excess in a resource that throttling does not reduce. A task that may run only once
+// is throttled but never stopped, because it could not be retried.
 func (p *Planner) enforceUsage() {
 	p.overuseTasks = slices.DeleteFunc(p.overuseTasks, func(pt *placedTask) bool {
 		if p.placed[pt.ID] != pt || !pt.exceedsDeclared || pt.Stopping {
@@ -58,7 +60,8 @@
 	})
 }
 
-// enforceTaskUsage takes the next step against one task and tells whether it was the last.
+// enforceTaskUsage throttles or stops one task if it is due. It returns true if no further
+// step follows.
 func (p *Planner) enforceTaskUsage(pt *placedTask) bool {
 	serverOvercommitted := !pt.server.uncommitted().Valid()
 	stopAtOnce := serverOvercommitted && exceedsUnthrottleable(pt.countedSize, pt.Job.Size)
@@ -67,7 +70,7 @@
 	}
 	if pt.throttledAt == 0 && (!stopAtOnce || pt.Job.Once) {
 		pt.throttledAt = max(p.now, 1)
-		p.emit(plan.Decision{Action: plan.Throttle, Task: pt.ID, Reason: "uses more than it declared"})
+		p.emit(plan.Decision{Action: plan.Throttle, Task: pt.ID, Reason: "usage above the declared size"})
 		return false
 	}
 	grace := p.cfg.ThrottleGrace
@@ -79,22 +82,24 @@
 	}
 	p.markStopping(pt)
 	pt.stoppedForUsage = true
-	p.emit(plan.Decision{Action: plan.Stop, Task: pt.ID, Reason: "uses more than it declared"})
+	p.emit(plan.Decision{Action: plan.Stop, Task: pt.ID, Reason: "usage above the declared size"})
 	return true
 }
 
-// stopBrokenGangs stops what is left of gangs that lost a task.
+// stopBrokenGangs stops the remaining tasks of gangs that lost a task.
 func (p *Planner) stopBrokenGangs() {
 	for _, js := range p.brokenGangs {
 		for _, pt := range js.placed {
-			p.preemptTask(pt, "its gang lost a task")
+			p.preemptTask(pt, "another task of the gang failed or was lost")
 		}
 	}
 	p.brokenGangs = p.brokenGangs[:0]
 }
 
-// recordEnd takes note of how an attempt ended. What was stopped on purpose says nothing about
-// job or server, and what went away with its server only where it had just begun.
+// recordEnd updates failure budget, run time estimate and server health after an attempt.
+// An attempt stopped for its usage counts against the job. Other stopped attempts count
+// neither against the job nor against the server. An attempt lost with its server counts
+// against the job only if it had just started.
 func (p *Planner) recordEnd(pt *placedTask, end plan.AttemptEnd) {
 	if pt.stoppedForUsage && !end.ServerLost {
 		pt.jobState.failureBudget.Exceed()
@@ -122,7 +127,7 @@
 	}
 }
 
-// markQuarantined notes that the server is in quarantine.
+// markQuarantined records that the server is in quarantine.
 func (p *Planner) markQuarantined(s *server, since time.Duration) {
 	p.healthGuard.Enter(s.number, since)
 	if !slices.Contains(p.quarantinedServers, s) {
@@ -130,7 +135,7 @@
 	}
 }
 
-// updateQuarantine takes failing servers out of use and brings sound ones back.
+// updateQuarantine quarantines failing servers and restores those whose probes succeeded.
 func (p *Planner) updateQuarantine() {
 	for _, s := range p.suspectServers {
 		if s.State == backend.Ready && p.healthGuard.Suspects(s.number, len(p.serverList)) && !p.disabled(Quarantine) {
@@ -142,13 +147,13 @@
 	for _, s := range p.quarantinedServers {
 		if p.healthGuard.Sound(s.number) && (s.restoreDecidedAt == 0 || p.now >= s.restoreDecidedAt+restoreRetryInterval) {
 			s.restoreDecidedAt = max(p.now, 1)
-			p.emit(plan.Decision{Action: plan.Restore, Server: s.ID, Reason: "its probes succeeded"})
+			p.emit(plan.Decision{Action: plan.Restore, Server: s.ID, Reason: "probes succeeded"})
 		}
 	}
 }
 
-// quarantineServer takes the server out of use and forgives the jobs that failed there:
-// a server that fails everything must not use up the budgets of sound jobs.
+// quarantineServer quarantines the server and removes the failures on it from the failure
+// budgets of all jobs. Otherwise a faulty server would exhaust the budgets of healthy jobs.
 func (p *Planner) quarantineServer(s *server) {
 	s.State, s.restoreDecidedAt = backend.Quarantined, 0
 	p.markQuarantined(s, p.now)
@@ -156,10 +161,10 @@
 	for _, js := range p.jobs {
 		js.failureBudget.Forgive(s.number)
 	}
-	p.emit(plan.Decision{Action: plan.Quarantine, Server: s.ID, Reason: "fails what runs elsewhere"})
+	p.emit(plan.Decision{Action: plan.Quarantine, Server: s.ID, Reason: "tasks fail here that succeed on other servers"})
 }
 
-// parkExhaustedJobs gives up jobs that failed too often.
+// parkExhaustedJobs parks the jobs that have used up their failure budget.
 func (p *Planner) parkExhaustedJobs() {
 	for _, js := range p.exhaustedJobs {
 		if js.givenUp || !js.failureBudget.Spent() || p.jobs[js.id] != js {
@@ -172,7 +177,8 @@
 	p.exhaustedJobs = p.exhaustedJobs[:0]
 }
 
-// removeFromQueues takes everything of the job that waits out of the queues.
+// removeFromQueues removes the job's waiting units from their lists and drops their
+// reservations.
 func (p *Planner) removeFromQueues(js *jobState) {
 	for i := range js.spec.Count {
 		u := p.waiting[task.ID{Job: js.id, Index: i}]
@@ -184,7 +190,7 @@
 	}
 }
 
-// dropExpired drops jobs whose deadline passed before anything of them was placed.
+// dropExpired drops jobs whose deadline passed before any of their tasks was placed.
 func (p *Planner) dropExpired() {
 	for range maxDrops {
 		u, ok := p.unitsByDeadline.Min()
@@ -202,8 +208,8 @@
 	}
 }
 
-// placeProbes gives a task to a server in quarantine whose time has come: one at a
-// time, and one that may be repeated.
+// placeProbes places a task as a probe on each quarantined server that is due for one. A
+// server gets one probe at a time. Only tasks that may be repeated serve as probes.
 func (p *Planner) placeProbes() {
 	for _, s := range p.quarantinedServers {
 		if p.atDecisionLimit() {
@@ -218,7 +224,7 @@
 	}
 }
 
-// selectProbe returns a waiting task to test the server with.
+// selectProbe returns a waiting batch unit that can run as a probe on the server, or nil.
 func (p *Planner) selectProbe(s *server) *unit {
 	var found *unit
 	p.teamsByNeed.Each(func(t *teamState) bool {
--- a/internal/policy/cell/work.go
+++ b/internal/policy/cell/work.go
@@ -12,22 +12,23 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// gangIndex is the index under which a gang waits as one unit.
+// gangIndex is the task index in the ID of a gang's unit.
 const gangIndex = math.MaxUint32
 
-// gangHeadStart is how much older than a gang batch of its team must be to go first.
-// Gangs take long to gather their room, and longer the later they begin.
+// gangHeadStart is subtracted from a gang's acceptance time in its queue rank, so that
+// gangs start early. A gang needs a long time to collect its capacity.
 const gangHeadStart = time.Hour
 
-// Bounds of what the expected run time counts against age in the order.
+// Parameters of the expected run time in the queue rank.
 const (
-	// runtimeWeight is the time in the queue that a second of it stands for.
+	// runtimeWeight is the delay in rank per unit of expected run time.
 	runtimeWeight = 10
-	// maxRuntimeRank bounds it, whatever is declared.
+	// maxRuntimeRank is the largest delay in rank, so that a long declared run time cannot
+	// starve a job.
 	maxRuntimeRank = 30 * time.Minute
 )
 
-// unitList says which list a unit is in.
+// unitList identifies the planner's list that a unit is in.
 type unitList uint8
 
 const (
@@ -38,7 +39,7 @@
 	inUnplaceableUnits
 )
 
-// jobState is a job of which something waits or runs.
+// jobState is a job with waiting or placed tasks.
 type jobState struct {
 	id            uint64
 	spec          *job.Spec
@@ -47,35 +48,41 @@
 	waitingCount  int
 	gangUnit      *unit
 	failureBudget health.Budget
-	// everPlaced tells that something of the job was placed before.
+	// everPlaced is true if a task of the job was placed at some time.
 	everPlaced bool
+	// inIdleList is true while Planner.idleJobs lists the job.
 	inIdleList bool
-	givenUp    bool
+	// givenUp is true after a Park or Drop decision for the job.
+	givenUp bool
 }
 
-// unit is what is placed in one decision: a task, or all waiting tasks of a gang.
+// unit is a task, or all waiting tasks of a gang, that one decision places together.
 type unit struct {
 	id       task.ID
 	jobState *jobState
 	tasks    []plan.WaitingTask
 	// taskSize is the size of each task.
 	taskSize capacity.Size
-	readyAt  time.Duration
-	// rank is the place in the team's queue.
+	// readyAt is the earliest time of the next attempt.
+	readyAt time.Duration
+	// rank is the sort key in the team's queue.
 	rank     time.Duration
 	sequence uint64
 	list     unitList
-	// queuedAt is when it became ready.
+	// queuedAt is the time at which the unit entered its team's queue.
 	queuedAt    time.Duration
 	reservation *reservation
-	// triedRevision is the count of changes at the last search in vain.
+	// triedRevision is the value of Planner.freeRevision at the last search for capacity.
+	// The search is not repeated until freeRevision changes.
 	triedRevision uint64
 }
 
 func unitKey(u *unit) task.ID { return u.id }
 
+// bySequence orders units by the time of their arrival.
 func bySequence(a, b *unit) bool { return a.sequence < b.sequence }
 
+// byReadyTime orders units by the earliest time of their next attempt.
 func byReadyTime(a, b *unit) bool {
 	if a.readyAt != b.readyAt {
 		return a.readyAt < b.readyAt
@@ -85,6 +92,7 @@
 
 func (u *unit) deadline() time.Duration { return u.tasks[0].AcceptedAt + u.jobState.spec.Deadline }
 
+// byDeadline orders units by their deadline.
 func byDeadline(a, b *unit) bool {
 	if x, y := a.deadline(), b.deadline(); x != y {
 		return x < y
@@ -92,6 +100,7 @@
 	return a.sequence < b.sequence
 }
 
+// byRank orders the units of a team's queue.
 func byRank(a, b *unit) bool {
 	if a.rank != b.rank {
 		return a.rank < b.rank
@@ -99,9 +108,10 @@
 	return a.sequence < b.sequence
 }
 
-// totalSize is the size of the unit's tasks together.
+// totalSize returns the sum of the sizes of the unit's tasks.
 func (u *unit) totalSize() capacity.Size { return u.taskSize.Times(int64(len(u.tasks))) }
 
+// jobState returns the state of the job and creates it if there is none.
 func (p *Planner) jobState(id uint64, spec *job.Spec) *jobState {
 	js := p.jobs[id]
 	if js == nil {
@@ -111,8 +121,8 @@
 	return js
 }
 
-// listIfIdle lists a job that may be over; it is forgotten at the next decision, when
-// its retries would have been told of.
+// listIfIdle adds a job without tasks to idleJobs. The next decision deletes the job if no
+// retry of its tasks was added before.
 func (p *Planner) listIfIdle(js *jobState) {
 	if len(js.placed) == 0 && js.waitingCount == 0 && !js.inIdleList {
 		js.inIdleList = true
@@ -120,6 +130,7 @@
 	}
 }
 
+// forgetIdleJobs deletes the jobs in idleJobs that still have no tasks.
 func (p *Planner) forgetIdleJobs() {
 	for _, js := range p.idleJobs {
 		js.inIdleList = false
@@ -130,6 +141,8 @@
 	p.idleJobs = p.idleJobs[:0]
 }
 
+// enqueue adds a waiting task to a unit: the gang's unit if the job is a gang, otherwise a
+// new one. After failures of the job, the task waits for the backoff time first.
 func (p *Planner) enqueue(js *jobState, waiting plan.WaitingTask) {
 	if js.failureBudget.Failures() > 0 {
 		waiting.ReadyAt = max(waiting.ReadyAt, p.now+js.failureBudget.Backoff(p.rng))
@@ -154,7 +167,7 @@
 	p.markNew(u)
 }
 
-// markNew has the next decision look at the unit.
+// markNew adds a unit that is in no list to newUnits, for the next decision.
 func (p *Planner) markNew(u *unit) {
 	if u.list == inNoList {
 		u.list = inNewUnits
@@ -162,7 +175,7 @@
 	}
 }
 
-// removeFromList takes the unit out of its list; what is in fresh stays there.
+// removeFromList removes the unit from its list. A unit in newUnits stays there.
 func (p *Planner) removeFromList(u *unit) {
 	switch u.list {
 	case inDelayedUnits:
@@ -188,7 +201,8 @@
 	u.list = inNoList
 }
 
-// dequeue takes one task out of its unit, and an empty unit out of everything.
+// dequeue removes one task from its unit. If the unit becomes empty, it is removed from its
+// list and its reservation is dropped.
 func (p *Planner) dequeue(u *unit, id task.ID) {
 	delete(p.waiting, id)
 	u.jobState.waitingCount--
@@ -206,8 +220,9 @@
 	u.tasks = slices.DeleteFunc(u.tasks, func(q plan.WaitingTask) bool { return q.ID == id })
 }
 
-// fitsAnyServer tells whether any server known could hold a task of that size alone.
-// What none could hold waits aside: it counts for no share and costs no search.
+// fitsAnyServer reports whether a task of that size fits on some server when the server is
+// empty. Units that fit on none wait in unplaceableUnits. They do not count as demand in
+// the target shares and are not searched for.
 func (p *Planner) fitsAnyServer(size capacity.Size) bool {
 	for serverSize, n := range p.serverSizes {
 		if n > 0 && size.Fits(serverSize) {
@@ -217,7 +232,8 @@
 	return false
 }
 
-// retryUnplaceable looks again at what waits aside when a new kind of server has come.
+// retryUnplaceable moves all unplaceable units to newUnits. It is called when the first
+// server of a capacity is added.
 func (p *Planner) retryUnplaceable() {
 	for {
 		u, ok := p.unplaceableUnits.Min()
@@ -229,7 +245,7 @@
 	}
 }
 
-// dequeuePlaced removes a waiting task that turned out to be placed.
+// dequeuePlaced removes a waiting task that the ledger reports as placed.
 func (p *Planner) dequeuePlaced(id task.ID) {
 	if u := p.waiting[id]; u != nil {
 		p.dequeue(u, id)
@@ -237,7 +253,7 @@
 	}
 }
 
-// queueReadyUnits puts what is ready into its team's queue.
+// queueReadyUnits assigns new units and delayed units that became ready to their lists.
 func (p *Planner) queueReadyUnits() {
 	newUnits := p.newUnits
 	p.newUnits = p.newUnits[:0]
@@ -257,8 +273,8 @@
 	}
 }
 
-// assignList puts the unit into the list that it belongs to now. A gang of which
-// something still runs is in none: it starts whole or not at all.
+// assignList adds the unit to the list that matches its state. A gang with placed tasks is
+// in no list, because a gang starts all its tasks together or none.
 func (p *Planner) assignList(u *unit) {
 	if u.jobState.givenUp {
 		return
@@ -271,8 +287,8 @@
 		p.delayedUnits.Add(u)
 		return
 	}
-	// Also what no server could hold: the caller of a job that waits for servers
-	// to come is told at its deadline like any other.
+	// Unplaceable units are included, so that a job that waits for a larger server is
+	// dropped at its deadline like any other.
 	if u.jobState.spec.Deadline > 0 && !u.jobState.everPlaced {
 		p.unitsByDeadline.Add(u)
 	}
@@ -291,7 +307,7 @@
 	p.countQueued(t, u)
 }
 
-// countQueued takes note of a new unit in its team's queue.
+// countQueued updates the counters and work lists for a unit that entered its team's queue.
 func (p *Planner) countQueued(t *teamState, u *unit) {
 	if u.jobState.spec.Kind == job.Urgent {
 		p.urgentWaitingCount++
@@ -310,9 +326,10 @@
 	t.waitingSizes.add(u.taskSize)
 }
 
-// queueRank orders a team's work by age and expected run time: short work goes first,
-// but nothing is overtaken by what came later than orderWeight times its own
-// expected run time, or than orderMost. Gangs go before.
+// queueRank returns the unit's sort key in its team's queue. Urgent and service units are
+// ordered by age. Batch is ordered by age plus runtimeWeight times the expected run time,
+// at most maxRuntimeRank. A later job can therefore overtake a unit only if it was accepted
+// within that time after it. Gangs get gangHeadStart.
 func (p *Planner) queueRank(u *unit) time.Duration {
 	rank := u.tasks[0].AcceptedAt
 	switch k := u.jobState.spec.Kind; {
--- a/internal/policy/fifo/fifo.go
+++ b/internal/policy/fifo/fifo.go
@@ -1,5 +1,5 @@
-// Package fifo is the simplest planner: first come, first fit. It is the
-// baseline that the other policies are measured against.
+// Package fifo implements a simple planner: first come, first served, on the first server
+// that fits. It is the baseline for the comparison with other policies.
 package fifo
 
 import (
@@ -15,9 +15,9 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// Planner places in order of arrival on the first server with room.
+// Planner places tasks in order of arrival on the first server with enough free capacity.
 type Planner struct {
-	// Less orders the waiting tasks instead of their arrival, if it is set.
+	// Less orders the waiting tasks. If it is nil, they are in order of arrival.
 	Less func(a, b plan.WaitingTask) bool
 
 	table     table.Table
@@ -27,6 +27,7 @@
 	teamUsage map[string]capacity.Size
 }
 
+// server is a backend server with the capacity of its placed tasks.
 type server struct {
 	backend.Server
 	allocated capacity.Size
@@ -34,15 +35,15 @@
 
 var _ plan.Planner = (*Planner)(nil)
 
-// New returns a planner that knows nothing yet.
+// New returns a planner without servers, teams or tasks.
 func New() *Planner {
 	return &Planner{placed: map[task.ID]plan.PlacedTask{}, teamUsage: map[string]capacity.Size{}}
 }
 
-// SetTable puts a new revision of the table in force.
+// SetTable replaces the table.
 func (p *Planner) SetTable(t table.Table) { p.table = t }
 
-// SetServer adds or changes a server.
+// SetServer adds or updates a backend server.
 func (p *Planner) SetServer(s backend.Server) {
 	i, ok := slices.BinarySearchFunc(p.servers, s.ID, func(e *server, id string) int { return strings.Compare(e.ID, id) })
 	if ok {
@@ -61,12 +62,12 @@
 	p.waiting = slices.Insert(p.waiting, i, q)
 }
 
-// RemoveWaiting forgets a waiting task.
+// RemoveWaiting removes a waiting task.
 func (p *Planner) RemoveWaiting(id task.ID) {
 	p.waiting = slices.DeleteFunc(p.waiting, func(q plan.WaitingTask) bool { return q.ID == id })
 }
 
-// SetPlaced counts a placed task; it waits no more.
+// SetPlaced records a placed task and removes it from the waiting tasks.
 func (p *Planner) SetPlaced(h plan.PlacedTask) {
 	if _, ok := p.placed[h.ID]; ok {
 		p.placed[h.ID] = h
@@ -80,10 +81,10 @@
 	}
 }
 
-// SetUsage is ignored: this planner goes by declared sizes alone.
+// SetUsage does nothing, because this planner uses declared sizes only.
 func (p *Planner) SetUsage(task.ID, capacity.Size, time.Duration) {}
 
-// EndAttempt gives a placed task's capacity back.
+// EndAttempt frees the capacity of a placed task.
 func (p *Planner) EndAttempt(id task.ID, _ plan.AttemptEnd) {
 	h, ok := p.placed[id]
 	if !ok {
@@ -96,7 +97,7 @@
 	}
 }
 
-// Decide places waiting tasks in order, and drops jobs past their deadline.
+// Decide places waiting tasks in order and drops jobs whose deadline has passed.
 func (p *Planner) Decide(now time.Duration, limit int) []plan.Decision {
 	var decisions []plan.Decision
 	takenByServer := map[string]capacity.Size{}
@@ -114,7 +115,8 @@
 	return decisions
 }
 
-// decideUnit handles one unit: a single task, or a gang that waits as a run of tasks.
+// decideUnit returns the decision for one unit, if any: a single task, or the adjacent
+// waiting tasks of a gang.
 func (p *Planner) decideUnit(now time.Duration, unit []plan.WaitingTask, takenByServer, takenByTeam map[string]capacity.Size) (plan.Decision, bool) {
 	spec := unit[0].Job
 	if spec.Deadline > 0 && unit[0].Attempts == 0 && now > unit[0].AcceptedAt+spec.Deadline {
@@ -138,6 +140,7 @@
 	return plan.Decision{Action: plan.Place, Job: unit[0].ID.Job, Placements: placements}, true
 }
 
+// placeAll returns a placement for each task of the unit, or false if one does not fit.
 func (p *Planner) placeAll(unit []plan.WaitingTask, takenByServer map[string]capacity.Size) ([]plan.Placement, bool) {
 	size := unit[0].Job.Size
 	takenByUnit := map[string]capacity.Size{}
@@ -153,6 +156,7 @@
 	return placements, true
 }
 
+// firstFit returns the first ready server with free capacity for size, or nil.
 func (p *Planner) firstFit(size capacity.Size, takenByServer, takenByUnit map[string]capacity.Size) *server {
 	for _, s := range p.servers {
 		if s.State != backend.Ready {
@@ -166,6 +170,7 @@
 	return nil
 }
 
+// withinLimit reports whether the limit of the team allows more capacity.
 func (p *Planner) withinLimit(spec *job.Spec, more capacity.Size) bool {
 	row, ok := p.table.Row(spec.Team)
 	return ok && p.teamUsage[spec.Team].Add(more).Within(row.Limit)
--- a/internal/policy/fit/fit.go
+++ b/internal/policy/fit/fit.go
@@ -1,6 +1,6 @@
-// Package fit finds the place that a task fits best. Places are kept in cells of
-// like free room; a search looks at the cells, whose number is bounded by the
-// levels and not by the number of places.
+// Package fit finds the server or rack that a task fits best. Items are grouped in buckets
+// by free capacity. A search examines the buckets. Their number is bounded by the number of
+// levels and does not grow with the number of items.
 package fit
 
 import (
@@ -9,51 +9,57 @@
 	"gypsumreel/internal/domain/capacity"
 )
 
-// Levels is the number of steps into which the largest room in each field is
-// divided; slots and accelerators are told apart up to this number.
+// Levels is the number of levels into which the largest free capacity of each resource is
+// divided. Slots and accelerators up to this number get a level each.
 const Levels = 16
 
-// accelWastePenalty is added to the score of a place whose free accelerators a task
-// without need of them would block.
+// accelWastePenalty is added to the score of an item with free accelerators if the task needs
+// none, because the task could block their use.
 const accelWastePenalty = 1.0
 
-// WorstScore is a score that every place beats.
+// WorstScore is a score that every item beats.
 var WorstScore = math.Inf(1)
 
-// Element is an item's place in an index.
+// Element is an item together with its position in an index.
 type Element[T any] struct {
-	// Item is what is placed on, a server or a rack.
-	Item      T
-	free      capacity.Size
-	bucket    *bucket[T]
+	// Item is the server or rack.
+	Item   T
+	free   capacity.Size
+	bucket *bucket[T]
+	// bucketPos is the position in bucket.elements.
 	bucketPos int
 }
 
-// Index holds the free room of items.
+// Index holds items by their free capacity.
 type Index[T any] struct {
-	// FirstFit takes the first cell that fits in place of the best; for comparison only.
-	FirstFit  bool
-	maxSize   capacity.Size
+	// FirstFit makes Best return the first fitting item instead of the best one. It is meant
+	// for comparison runs only.
+	FirstFit bool
+	maxSize  capacity.Size
+	// levelSize is the difference in capacity between two levels.
 	levelSize capacity.Size
 	buckets   map[level]*bucket[T]
 	summaries []bucketSummary[T]
 }
 
-// bucketSummary is what a search reads of every cell; heads lie side by side in memory.
+// bucketSummary is the data that a search reads of every bucket. Summaries are contiguous
+// in memory.
 type bucketSummary[T any] struct {
+	// minFree is at most the free capacity of every item in the bucket.
 	minFree capacity.Size
-	// maxFree is at least the free room of every item.
+	// maxFree is at least the free capacity of every item in the bucket.
 	maxFree capacity.Size
 	bucket  *bucket[T]
 }
 
-// level is a free room counted in units.
+// level is a free capacity in multiples of Index.levelSize.
 type level struct{ cpu, memory, accel, slots uint16 }
 
-// bucket holds the items whose free room is on one level.
+// bucket holds the items whose free capacity is on the same level.
 type bucket[T any] struct {
-	level      level
-	elements   []*Element[T]
+	level    level
+	elements []*Element[T]
+	// summaryPos is the position in Index.summaries.
 	summaryPos int
 }
 
@@ -62,7 +68,8 @@
 	return &Index[T]{buckets: map[level]*bucket[T]{}, levelSize: capacity.Size{CPU: 1, Memory: 1, Accel: 1, Slots: 1}}
 }
 
-// Grow prepares for rooms of at most the given size.
+// Grow enlarges the index for free capacities up to maxSize. It assigns all items to new
+// buckets if maxSize is larger than before in some field.
 func (x *Index[T]) Grow(maxSize capacity.Size) {
 	if maxSize.Fits(x.maxSize) {
 		return
@@ -72,74 +79,78 @@
 	old := x.summaries
 	x.buckets, x.summaries = map[level]*bucket[T]{}, nil
 	for _, h := range old {
-		for _, s := range h.bucket.elements {
-			x.insert(s)
+		for _, e := range h.bucket.elements {
+			x.insert(e)
 		}
 	}
 }
 
+// levelStep returns the level size for a resource with the given largest value.
 func levelStep(maxValue int64) int64 { return max(1, (maxValue+Levels-1)/Levels) }
 
-// Update puts the spot's free room in; one with a negative field is never found.
-func (x *Index[T]) Update(s *Element[T], free capacity.Size) {
-	if s.bucket != nil && s.free == free {
+// Update sets the free capacity of the element and adds it to the index if it is not in it.
+// An element with a negative field is removed.
+func (x *Index[T]) Update(e *Element[T], free capacity.Size) {
+	if e.bucket != nil && e.free == free {
 		return
 	}
-	if s.bucket != nil && free.Valid() && x.level(free) == s.bucket.level {
-		s.free = free
-		x.raiseMaxFree(s.bucket, free)
+	if e.bucket != nil && free.Valid() && x.level(free) == e.bucket.level {
+		e.free = free
+		x.raiseMaxFree(e.bucket, free)
 		return
 	}
-	x.Remove(s)
+	x.Remove(e)
 	if free.Valid() {
-		s.free = free
-		x.insert(s)
+		e.free = free
+		x.insert(e)
 	}
 }
 
-// Remove takes the spot out.
-func (x *Index[T]) Remove(s *Element[T]) {
-	c := s.bucket
-	if c == nil {
+// Remove removes the element from the index.
+func (x *Index[T]) Remove(e *Element[T]) {
+	b := e.bucket
+	if b == nil {
 		return
 	}
-	last := c.elements[len(c.elements)-1]
-	c.elements[s.bucketPos] = last
-	last.bucketPos = s.bucketPos
-	c.elements = c.elements[:len(c.elements)-1]
-	s.bucket = nil
-	if len(c.elements) == 0 {
-		x.removeBucket(c)
+	last := b.elements[len(b.elements)-1]
+	b.elements[e.bucketPos] = last
+	last.bucketPos = e.bucketPos
+	b.elements = b.elements[:len(b.elements)-1]
+	e.bucket = nil
+	if len(b.elements) == 0 {
+		x.removeBucket(b)
 	}
 }
 
-func (x *Index[T]) removeBucket(c *bucket[T]) {
+// removeBucket removes an empty bucket.
+func (x *Index[T]) removeBucket(b *bucket[T]) {
 	end := x.summaries[len(x.summaries)-1]
-	x.summaries[c.summaryPos] = end
-	end.bucket.summaryPos = c.summaryPos
+	x.summaries[b.summaryPos] = end
+	end.bucket.summaryPos = b.summaryPos
 	x.summaries = x.summaries[:len(x.summaries)-1]
-	delete(x.buckets, c.level)
+	delete(x.buckets, b.level)
 }
 
-func (x *Index[T]) insert(s *Element[T]) {
-	l := x.level(s.free)
-	c := x.buckets[l]
-	if c == nil {
-		c = &bucket[T]{level: l, summaryPos: len(x.summaries)}
-		x.buckets[l] = c
-		x.summaries = append(x.summaries, bucketSummary[T]{bucket: c, minFree: capacity.Size{
+// insert adds the element to the bucket of its level.
+func (x *Index[T]) insert(e *Element[T]) {
+	l := x.level(e.free)
+	b := x.buckets[l]
+	if b == nil {
+		b = &bucket[T]{level: l, summaryPos: len(x.summaries)}
+		x.buckets[l] = b
+		x.summaries = append(x.summaries, bucketSummary[T]{bucket: b, minFree: capacity.Size{
 			CPU: int64(l.cpu) * x.levelSize.CPU, Memory: int64(l.memory) * x.levelSize.Memory,
 			Accel: int64(l.accel) * x.levelSize.Accel, Slots: int64(l.slots) * x.levelSize.Slots,
 		}})
 	}
-	s.bucket, s.bucketPos = c, len(c.elements)
-	c.elements = append(c.elements, s)
-	x.raiseMaxFree(c, s.free)
+	e.bucket, e.bucketPos = b, len(b.elements)
+	b.elements = append(b.elements, e)
+	x.raiseMaxFree(b, e.free)
 }
 
-// raiseMaxFree lets the bound of a cell hold for one more free room.
-func (x *Index[T]) raiseMaxFree(c *bucket[T], free capacity.Size) {
-	x.summaries[c.summaryPos].maxFree = x.summaries[c.summaryPos].maxFree.Max(free)
+// raiseMaxFree raises the maxFree of the bucket to cover the free capacity of one more item.
+func (x *Index[T]) raiseMaxFree(b *bucket[T], free capacity.Size) {
+	x.summaries[b.summaryPos].maxFree = x.summaries[b.summaryPos].maxFree.Max(free)
 }
 
 func (x *Index[T]) level(free capacity.Size) level {
@@ -149,28 +160,28 @@
 	}
 }
 
-// BucketCount returns the number of cells that a search looks at.
+// BucketCount returns the number of buckets that a search examines.
 func (x *Index[T]) BucketCount() int { return len(x.summaries) }
 
-// Best returns the item on which need leaves the smallest dominant remainder,
-// within the accuracy of a cell, among those that ok accepts, and its score. Only
-// items that score below bound are found; ok may be nil.
-func (x *Index[T]) Best(need capacity.Size, bound float64, ok func(T) bool) (T, float64, bool) {
+// Best returns the item on which need leaves the smallest dominant remainder, to the
+// accuracy of a bucket, and its score. Only items that accepts returns true for and that
+// score below bound are considered. accepts may be nil.
+func (x *Index[T]) Best(need capacity.Size, bound float64, accepts func(T) bool) (T, float64, bool) {
 	var best *Element[T]
 	for i := range x.summaries {
-		h := &x.summaries[i]
-		if !need.Fits(h.maxFree) {
+		summary := &x.summaries[i]
+		if !need.Fits(summary.maxFree) {
 			continue
 		}
-		score := x.score(need, h.minFree)
+		score := x.score(need, summary.minFree)
 		if score >= bound {
 			continue
 		}
-		s := h.findFitting(need, ok)
-		if s == nil {
+		e := summary.findFitting(need, accepts)
+		if e == nil {
 			continue
 		}
-		best, bound = s, score
+		best, bound = e, score
 		if x.FirstFit {
 			break
 		}
@@ -182,25 +193,25 @@
 	return best.Item, bound, true
 }
 
-// findFitting returns a spot of the cell with room for need. When none has it, the
-// cell's bound is set anew, so that the next search passes the cell over.
-func (h *bucketSummary[T]) findFitting(need capacity.Size, ok func(T) bool) *Element[T] {
+// findFitting returns an element of the bucket with free capacity for need, or nil. If there
+// is none, it lowers maxFree to the current maximum, so that later searches skip the bucket.
+func (s *bucketSummary[T]) findFitting(need capacity.Size, accepts func(T) bool) *Element[T] {
 	var maxFree capacity.Size
-	for _, s := range h.bucket.elements {
-		if need.Fits(s.free) && (ok == nil || ok(s.Item)) {
-			return s
+	for _, e := range s.bucket.elements {
+		if need.Fits(e.free) && (accepts == nil || accepts(e.Item)) {
+			return e
 		}
-		maxFree = maxFree.Max(s.free)
+		maxFree = maxFree.Max(e.free)
 	}
-	h.maxFree = maxFree
+	s.maxFree = maxFree
 	return nil
 }
 
-// score is the largest part of the largest room that stays free in any field.
+// score returns the largest fraction of maxSize that stays free in any field.
 func (x *Index[T]) score(need, free capacity.Size) float64 {
-	s := free.Sub(need).Dominant(x.maxSize)
+	score := free.Sub(need).Dominant(x.maxSize)
 	if need.Accel == 0 && free.Accel > 0 {
-		s += accelWastePenalty
+		score += accelWastePenalty
 	}
-	return s
+	return score
 }
--- a/internal/policy/fit/fit_test.go
+++ b/internal/policy/fit/fit_test.go
@@ -10,6 +10,7 @@
 	"gypsumreel/internal/policy/fit"
 )
 
+// maxSize is the capacity of an empty server in the tests.
 var maxSize = capacity.Size{CPU: 16_000, Memory: 32 << 10, Accel: 4, Slots: 8}
 
 func drawSize(t *rapid.T, name string) capacity.Size {
@@ -21,33 +22,34 @@
 	}
 }
 
-// remainder is what a search is to keep small.
+// remainder returns the score that a search minimizes, computed from the exact free capacity.
 func remainder(need, free capacity.Size) float64 {
-	r := free.Sub(need).Dominant(maxSize)
+	score := free.Sub(need).Dominant(maxSize)
 	if need.Accel == 0 && free.Accel > 0 {
-		r++
+		score++
 	}
-	return r
+	return score
 }
 
-// A search finds something whenever a scan of all would, and what it finds is at
-// most one level worse than the best of the scan.
+// A search of the index must find an item whenever a scan of all items does. The item may be
+// at most one level worse than the best of the scan.
 func TestBestMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := fit.NewIndex[int]()
 		x.Grow(maxSize)
 		free := make([]capacity.Size, rapid.IntRange(1, 30).Draw(t, "servers"))
-		spots := make([]fit.Element[int], len(free))
+		elements := make([]fit.Element[int], len(free))
 		for range rapid.IntRange(1, 80).Draw(t, "changes") {
 			i := rapid.IntRange(0, len(free)-1).Draw(t, "server")
-			spots[i].Item = i
+			elements[i].Item = i
 			free[i] = drawSize(t, "free")
-			x.Update(&spots[i], free[i])
+			x.Update(&elements[i], free[i])
 			checkAgainstScan(t, x, free, drawSize(t, "need"))
 		}
 	})
 }
 
+// checkAgainstScan compares the result of a search with a scan of all items.
 func checkAgainstScan(t *rapid.T, x *fit.Index[int], free []capacity.Size, need capacity.Size) {
 	best := fit.WorstScore
 	for _, f := range free {
@@ -55,34 +57,35 @@
 			best = min(best, remainder(need, f))
 		}
 	}
-	got, _, ok := x.Best(need, fit.WorstScore, nil)
+	selected, _, ok := x.Best(need, fit.WorstScore, nil)
 	if need.IsZero() {
 		return
 	}
 	if ok != (best < fit.WorstScore) {
-		t.Fatalf("found %v, a scan finds the score %v", ok, best)
+		t.Fatalf("index search found an item: %v, best score of a full scan: %v", ok, best)
 	}
 	if !ok {
 		return
 	}
-	if !need.Fits(free[got]) {
-		t.Fatalf("%v does not fit into %v", need, free[got])
+	if !need.Fits(free[selected]) {
+		t.Fatalf("need %v does not fit into the free capacity %v of the selected item", need, free[selected])
 	}
-	if r := remainder(need, free[got]); r > best+1.0/4+1e-9 {
-		t.Fatalf("leaves %v, the best leaves %v", r, best)
+	if score := remainder(need, free[selected]); score > best+1.0/4+1e-9 {
+		t.Fatalf("selected item has score %v, best score of a full scan is %v", score, best)
 	}
 }
 
-// A full cell of 4,000 servers is looked at in far fewer places.
+// Items with equal free capacity must share a bucket. Otherwise a search of 4,000 servers
+// would examine each of them.
 func TestEqualSizesShareABucket(t *testing.T) {
 	x := fit.NewIndex[int]()
 	x.Grow(maxSize)
-	spots := make([]fit.Element[int], 4000)
-	for i := range spots {
-		n := int64(i % 7)
-		x.Update(&spots[i], maxSize.Sub(capacity.Size{CPU: 2000, Memory: 4096, Slots: 1}.Times(n)))
+	elements := make([]fit.Element[int], 4000)
+	for i := range elements {
+		tasks := int64(i % 7)
+		x.Update(&elements[i], maxSize.Sub(capacity.Size{CPU: 2000, Memory: 4096, Slots: 1}.Times(tasks)))
 	}
 	if x.BucketCount() != 7 {
-		t.Errorf("%d cells for 7 kinds of room", x.BucketCount())
+		t.Errorf("%d buckets for 7 different free capacities", x.BucketCount())
 	}
 }
--- a/internal/policy/plan/plan.go
+++ b/internal/policy/plan/plan.go
@@ -1,6 +1,7 @@
-// Package plan decides what runs where. It is pure: it sees the ledger only
-// through the notes it is given, keeps no clock, does no I/O, and gives the
-// same decisions for the same notes. Times are durations on the ledger's clock.
+// Package plan defines the interface between the leader and a planner, which decides which
+// task runs on which backend server. Planners are pure: they learn of the ledger only
+// through the calls of Planner, read no clock, do no I/O, and return the same decisions for
+// the same calls. All times are durations on the ledger's clock.
 package plan
 
 import (
@@ -13,108 +14,109 @@
 	"gypsumreel/internal/domain/task"
 )
 
-// Planner decides over what it has been told of the ledger. Its methods are
-// called by one goroutine.
+// Planner makes scheduling decisions from the state that its methods report. One goroutine
+// calls all methods.
 type Planner interface {
-	// SetTable puts a new revision of the table in force.
+	// SetTable replaces the table by a new revision.
 	SetTable(t table.Table)
-	// SetServer tells of a new or changed backend server.
+	// SetServer adds or updates a backend server.
 	SetServer(s backend.Server)
-	// AddWaiting tells that a task waits to be placed, not before ready. All tasks of a
-	// job that wait are told of before the next Decide: those of a new job at once,
-	// and one that is to run again together with its Release. A gang is so seen
-	// whole, and what is not told of again is over.
+	// AddWaiting adds a task that waits to be placed, not before its ReadyAt. The caller adds
+	// all waiting tasks of a job before the next Decide: the tasks of a new job together, and
+	// a task to be retried together with its EndAttempt. A gang is therefore always complete,
+	// and a task that is not added again has ended.
 	AddWaiting(q WaitingTask)
-	// RemoveWaiting tells that a task waits no more and was not placed.
+	// RemoveWaiting removes a task that no longer waits and was not placed.
 	RemoveWaiting(id task.ID)
-	// SetPlaced tells that a task was placed; it counts until Release. It is told again
-	// when an order to stop the task is under way. What Decide placed and Hold does
-	// not confirm before the next Decide waits again.
+	// SetPlaced records that a task was placed. The task takes capacity until EndAttempt. The
+	// caller calls it again when an order to stop the task has been issued. A task that Decide
+	// placed waits again if SetPlaced does not confirm it before the next Decide.
 	SetPlaced(h PlacedTask)
-	// SetUsage tells what a held task was reported to use, and when that was measured.
+	// SetUsage records the usage reported for a placed task and the time of the measurement.
 	SetUsage(id task.ID, used capacity.Size, at time.Duration)
-	// EndAttempt tells that an attempt is proved to run no more.
+	// EndAttempt records that an attempt has verifiably stopped running.
 	EndAttempt(id task.ID, how AttemptEnd)
-	// Decide returns at most limit decisions, the most pressing first. The caller
-	// applies all of them and tells of their effects before it calls again. A
-	// placement of which no Hold tells by then was refused.
+	// Decide returns at most limit decisions, the most urgent first. The caller applies all of
+	// them and reports their effects before it calls Decide again. A placement that SetPlaced
+	// has not reported by then was refused.
 	Decide(now time.Duration, limit int) []Decision
 }
 
-// WaitingTask is a task that waits.
+// WaitingTask is a task that waits to be placed.
 type WaitingTask struct {
 	ID  task.ID
 	Job *job.Spec
-	// AcceptedAt is when the job was accepted.
+	// AcceptedAt is the time at which the job was accepted.
 	AcceptedAt time.Duration
 	// ReadyAt is the earliest time of the next attempt.
 	ReadyAt time.Duration
-	// Attempts is the number of attempts made before.
+	// Attempts is the number of earlier attempts.
 	Attempts uint32
 }
 
-// PlacedTask is a task that takes capacity on a server.
+// PlacedTask is a task that takes capacity on a backend server.
 type PlacedTask struct {
 	ID         task.ID
 	Job        *job.Spec
 	AcceptedAt time.Duration
 	Server     string
-	// PlacedAt is when it was placed.
+	// PlacedAt is the time at which the task was placed.
 	PlacedAt time.Duration
-	// Stopping tells that an order to stop or to checkpoint is under way.
+	// Stopping is true if an order to stop or to checkpoint the task has been issued.
 	Stopping bool
 }
 
-// AttemptEnd says how an attempt ended and when.
+// AttemptEnd describes the end of an attempt.
 type AttemptEnd struct {
 	EndedAt time.Duration
-	// Started is false when the attempt never started.
+	// Started is false if the attempt never started.
 	Started bool
-	// Failed is true when the task ended by itself with an error.
+	// Failed is true if the task ended by itself with an error.
 	Failed bool
-	// ServerLost is true when the server went away under it.
+	// ServerLost is true if the backend server was lost during the attempt.
 	ServerLost bool
 }
 
-// Action says what a Decision does.
+// Action is the kind of a Decision.
 type Action uint8
 
-// The verbs of decisions.
+// The kinds of decisions.
 const (
-	// Place starts the tasks of Places, all or none.
+	// Place starts all tasks of Placements, or none.
 	Place Action = iota + 1
-	// Preempt stops the task with a checkpoint to make room.
+	// Preempt stops the task with a checkpoint to free its capacity.
 	Preempt
-	// Throttle holds the task to its declared size.
+	// Throttle limits the task to its declared size.
 	Throttle
-	// Stop ends an attempt that breaks its declared size; it is retried if it may be.
+	// Stop ends an attempt that exceeds its declared size. The task is retried if it may run
+	// more than once.
 	Stop
-	// Drop refuses the job as not run: its deadline passed before any placement.
+	// Drop ends the job as not run, because its deadline passed before any placement.
 	Drop
-	// Park gives the job up with Reason: it failed on several healthy servers.
+	// Park gives the job up for Reason, because it used up its failure budget.
 	Park
-	// Quarantine takes Server out of use for its failures.
+	// Quarantine stops placements on Server because of its failures.
 	Quarantine
-	// Restore puts Server back into use.
+	// Restore allows placements on Server again.
 	Restore
 )
 
-// Decision is one thing to commit.
+// Decision is one change for the leader to commit.
 type Decision struct {
 	Action Action
-	// Job is the job meant by Place, Drop and Park.
+	// Job is the job that Place, Drop and Park apply to.
 	Job uint64
-	// Placements are the placements of Place, in the order of their indexes.
+	// Placements holds the placements of Place, ordered by task index.
 	Placements []Placement
-	// Task is the task meant by Preempt, Throttle and Stop.
+	// Task is the task that Preempt, Throttle and Stop apply to.
 	Task task.ID
-	// Server is the server meant by Quarantine and Restore.
+	// Server is the ID of the backend server that Quarantine and Restore apply to.
 	Server string
-	// Reason is a short text for people.
+	// Reason is a short explanation for operators.
 	Reason string
 }
 
-// Placement puts one task of the decision's job on a server.
+// Placement assigns one task of the decision's job to a backend server.
 type Placement struct {
 	Index  uint32
 	Server string
--- a/internal/policy/preempt/preempt.go
+++ b/internal/policy/preempt/preempt.go
@@ -1,5 +1,5 @@
-// Package preempt chooses what to stop so that something more pressing can
-// start: the set on one server that loses the least work.
+// Package preempt chooses the tasks to stop on one server so that more urgent work can
+// start there. It prefers the tasks that lose the least work.
 package preempt
 
 import (
@@ -8,19 +8,20 @@
 	"gypsumreel/internal/domain/capacity"
 )
 
-// Victim is something that may be stopped: a task, or a gang as a whole.
+// Victim is a candidate for preemption: a task, or a gang as a whole.
 type Victim[T any] struct {
-	// Item is what the caller knows the victim by.
+	// Item identifies the victim to the caller.
 	Item T
-	// Freed is what stopping it frees on the server looked at.
+	// Freed is the capacity that stopping the victim frees on the server.
 	Freed capacity.Size
-	// LostWork is the work that stopping throws away, in any one unit.
+	// LostWork is the work lost by stopping the victim. All candidates use the same unit.
 	LostWork float64
 }
 
-// Choose returns the victims whose room, with what is free already, holds need,
-// and the work lost by stopping them. Candidates come in the order to be
-// considered; those that turn out not to be needed are left running.
+// Choose returns victims whose freed capacity, together with free, is enough for need, and
+// the work lost by stopping them. It returns false if all candidates together are not
+// enough. Candidates are considered in the given order, and victims that turn out not to be
+// needed are left out of the result.
 func Choose[T any](need, free capacity.Size, candidates []Victim[T]) ([]Victim[T], float64, bool) {
 	if v, ok := cheapestSingle(need, free, candidates); ok {
 		return []Victim[T]{v}, v.LostWork, true
@@ -39,7 +40,7 @@
 	return dropUnneeded(need, free, chosen)
 }
 
-// cheapestSingle returns the cheapest victim that suffices alone.
+// cheapestSingle returns the victim with the least lost work among those that suffice alone.
 func cheapestSingle[T any](need, free capacity.Size, candidates []Victim[T]) (Victim[T], bool) {
 	var best Victim[T]
 	found := false
@@ -51,7 +52,8 @@
 	return best, found
 }
 
-// dropUnneeded drops the dearest victims that the rest can do without.
+// dropUnneeded removes the chosen victims that are not needed, the last ones first. It
+// returns the remaining victims and their lost work.
 func dropUnneeded[T any](need, free capacity.Size, chosen []Victim[T]) ([]Victim[T], float64, bool) {
 	kept := chosen[:0]
 	lost := 0.0
@@ -70,12 +72,12 @@
 	return kept, lost, true
 }
 
-// RestartCost is the time that stopping a task costs in any case: ending it, placing
-// it again, and starting anew.
+// RestartCost is the time lost by each preemption: the task is stopped, placed and started
+// again.
 const RestartCost = 2 * time.Second
 
-// LostWork is the work that stopping a task of the given part of the cell loses, in
-// cell-seconds, if nothing was kept since it was placed.
+// LostWork returns the work lost by stopping a task that uses the given fraction of the
+// cell, in cell-seconds. It assumes that no checkpoint was saved since the task was placed.
 func LostWork(fraction float64, placedAt, now time.Duration) float64 {
 	return fraction * max(0, (now-placedAt+RestartCost).Seconds())
 }
--- a/internal/policy/preempt/preempt_test.go
+++ b/internal/policy/preempt/preempt_test.go
@@ -13,16 +13,18 @@
 
 func cpu(n int64) capacity.Size { return capacity.Size{CPU: n} }
 
-func TestChooseTakesTheCheapestThatSuffices(t *testing.T) {
-	candidates := []preempt.Victim[string]{{"small", cpu(1), 1}, {"large", cpu(4), 3}, {"dear", cpu(4), 9}}
+// A victim that suffices alone must be preferred over several small ones, and the one with
+// the least lost work among those.
+func TestChooseTakesCheapestSufficientVictim(t *testing.T) {
+	candidates := []preempt.Victim[string]{{"small", cpu(1), 1}, {"large", cpu(4), 3}, {"expensive", cpu(4), 9}}
 	got, lost, ok := preempt.Choose(cpu(4), cpu(0), candidates)
 	if diff := cmp.Diff([]preempt.Victim[string]{{"large", cpu(4), 3}}, got); diff != "" || lost != 3 || !ok {
 		t.Error(diff, lost, ok)
 	}
 }
 
-// What is chosen makes room, and nothing chosen could have been left running.
-func TestChooseIsEnoughAndNotTooMuch(t *testing.T) {
+// The chosen victims must free enough capacity, and each of them must be needed for it.
+func TestChooseIsSufficientAndMinimal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var candidates []preempt.Victim[int]
 		sum := cpu(0)
@@ -35,17 +37,17 @@
 		possible := need.Fits(free.Add(sum))
 		chosen, _, ok := preempt.Choose(need, free, candidates)
 		if ok != possible {
-			t.Fatalf("chosen %v, possible %v", ok, possible)
+			t.Fatalf("victims found: %v, enough candidates: %v", ok, possible)
 		}
 		for _, v := range chosen {
 			free = free.Add(v.Freed)
 		}
 		if ok && !need.Fits(free) {
-			t.Fatalf("%v is too little for %v", free, need)
+			t.Fatalf("free capacity %v after preemption is less than %v", free, need)
 		}
 		for _, v := range chosen {
 			if len(chosen) > 1 && need.Fits(free.Sub(v.Freed)) {
-				t.Fatalf("%v need not stop", v)
+				t.Fatalf("victim %v is not needed", v)
 			}
 		}
 	})
--- a/internal/policy/queue/queue_test.go
+++ b/internal/policy/queue/queue_test.go
@@ -21,7 +21,8 @@
 	return a.key - b.key
 }
 
-// The queue holds what a sorted list would hold after the same changes.
+// The queue must hold the same items in the same order as a sorted list after the same
+// random changes.
 func TestQueueKeepsOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := queue.New(func(i item) int { return i.key }, func(a, b item) bool { return compare(a, b) < 0 })
--- a/internal/policy/roster/roster.go
+++ b/internal/policy/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster decides who belongs to a control group that grows and repairs
-// itself. It is pure: the next change follows from the picture it is given.
+// Package roster decides the membership changes of a control group that grows and repairs
+// itself. It is pure: the next change depends only on the GroupView that it is given.
 package roster
 
 import (
@@ -10,52 +10,51 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// Times of the decisions.
+// Time limits of the decisions.
 const (
-	// MinLeaderTime is how long a leader must have led before it takes silence for
-	// absence: whoever lives makes itself known several times in it.
+	// MinLeaderTime is how long a leader must have led before it treats a silent replica as
+	// absent. Every live replica announces itself several times within this time.
 	MinLeaderTime = 1500 * time.Millisecond
-	// AbsentAfter is how long a voter must have been silent before one that waits
-	// with the whole log takes its place. A voter that was only stopped for a
-	// moment loses nothing by that: it comes back as a learner.
+	// AbsentAfter is how long a voter must be silent before a learner with the whole log
+	// replaces it. A voter that was stopped only briefly rejoins as a learner.
 	AbsentAfter = 1500 * time.Millisecond
-	// AliveWithin is the greatest silence of a replica that is taken in.
+	// AliveWithin is how recently a replica must have been heard of to join or to be promoted.
 	AliveWithin = time.Second
 )
 
-// maxExtraLearners is how many learners may wait beside a full group.
+// maxExtraLearners is how many members a group may have beyond its target number of voters.
 const maxExtraLearners = 2
 
-// KnownReplica is a replica that made itself known to the leader.
+// KnownReplica is a replica that has announced itself to the leader.
 type KnownReplica struct {
 	quorum.Member
-	// SilentFor is how long ago it was last heard of.
+	// SilentFor is the time since the replica was last heard of.
 	SilentFor time.Duration
 }
 
-// GroupView is the picture that a decision is made of.
+// GroupView is the input of a decision: the group as the leader sees it.
 type GroupView struct {
-	// Self is the leader.
+	// Self is the identity of the leader.
 	Self    string
 	Members []quorum.Member
 	Known   []KnownReplica
-	// TargetVoters is the number of voters that the group is to have.
+	// TargetVoters is the number of voters that the group should have.
 	TargetVoters int
-	// LeadingFor is how long the leader has led.
+	// LeadingFor is the time since the leader was elected.
 	LeadingFor time.Duration
-	// Synced tells whether a member has the whole log on its disk.
+	// Synced reports whether a member has the whole log on its disk.
 	Synced func(id string) bool
 }
 
-// Change is one change of the membership.
+// Change is one membership change: Member is removed, or else added or updated.
 type Change struct {
 	Member quorum.Member
 	Remove bool
-	// Reason says why, for the log.
+	// Reason explains the change in the log.
 	Reason string
 }
 
-// Decide returns the next change, if there is one to make.
+// Decide returns the next change, or false if no change is needed.
 func Decide(v GroupView) (Change, bool) {
 	slices.SortFunc(v.Known, func(a, b KnownReplica) int { return cmp.Compare(a.ID, b.ID) })
 	for _, nextChange := range []func(GroupView) (Change, bool){removeReplaced, addLearner, promoteLearner, removeAbsentVoter, removeSilentLearner} {
@@ -66,8 +65,8 @@
 	return Change{}, false
 }
 
-// removeReplaced finds a member at whose address another identity lives: its disk is
-// gone, so it will never come back, and it must not be counted on for a quorum.
+// removeReplaced removes a member whose address is now used by a replica with another
+// identity. The member lost its disk and never returns, so it must not count for the quorum.
 func removeReplaced(v GroupView) (Change, bool) {
 	for _, k := range v.Known {
 		if k.SilentFor > AliveWithin || v.isMember(k.ID) {
@@ -75,15 +74,15 @@
 		}
 		for _, m := range v.Members {
 			if m.ID != v.Self && m.Address == k.Address {
-				return Change{Member: m, Remove: true, Reason: "its disk was replaced"}, true
+				return Change{Member: m, Remove: true, Reason: "replica was replaced by a new one at the same address"}, true
 			}
 		}
 	}
 	return Change{}, false
 }
 
-// addLearner takes a replica in as a learner, also beside a full group: it has the
-// log when a voter turns out to be gone.
+// addLearner adds a live replica as a learner. A full group takes learners too, so that one
+// already has the log when a voter is lost.
 func addLearner(v GroupView) (Change, bool) {
 	if len(v.Members) >= v.TargetVoters+maxExtraLearners {
 		return Change{}, false
@@ -92,13 +91,13 @@
 		if k.SilentFor <= AliveWithin && !v.isMember(k.ID) {
 			m := k.Member
 			m.Learner = true
-			return Change{Member: m, Reason: "it asks to be taken in"}, true
+			return Change{Member: m, Reason: "new replica joins as a learner"}, true
 		}
 	}
 	return Change{}, false
 }
 
-// promoteLearner lets a learner vote that has the log, while votes are missing.
+// promoteLearner promotes a live learner with the whole log while the group has too few voters.
 func promoteLearner(v GroupView) (Change, bool) {
 	if v.voterCount() >= v.TargetVoters {
 		return Change{}, false
@@ -106,15 +105,14 @@
 	for _, m := range v.Members {
 		if m.Learner && v.silentFor(m.ID) <= AliveWithin && v.Synced(m.ID) {
 			m.Learner = false
-			return Change{Member: m, Reason: "a voter is missing"}, true
+			return Change{Member: m, Reason: "learner is promoted because the group lacks a voter"}, true
 		}
 	}
 	return Change{}, false
 }
 
-// removeAbsentVoter removes a silent voter of a full group when a learner that has the log
-// can vote in its place. A voter that merely restarts keeps its place while
-// nobody waits for it.
+// removeAbsentVoter removes a silent voter from a full group if a live learner with the whole
+// log can replace it. Without such a learner, a voter that restarts stays a voter.
 func removeAbsentVoter(v GroupView) (Change, bool) {
 	if v.LeadingFor < MinLeaderTime || v.voterCount() < v.TargetVoters {
 		return Change{}, false
@@ -127,21 +125,21 @@
 	}
 	for _, m := range v.Members {
 		if !m.Learner && m.ID != v.Self && v.silentFor(m.ID) > AbsentAfter {
-			return Change{Member: m, Remove: true, Reason: "it is silent and another waits"}, true
+			return Change{Member: m, Remove: true, Reason: "voter is silent and a learner can replace it"}, true
 		}
 	}
 	return Change{}, false
 }
 
-// removeSilentLearner removes a learner that is silent, so that it does not take the place of
-// one that waits.
+// removeSilentLearner removes a silent learner from a group that is at its size limit, so
+// that another replica can join.
 func removeSilentLearner(v GroupView) (Change, bool) {
 	if v.LeadingFor < MinLeaderTime || len(v.Members) < v.TargetVoters+maxExtraLearners {
 		return Change{}, false
 	}
 	for _, m := range v.Members {
 		if m.Learner && v.silentFor(m.ID) > AbsentAfter {
-			return Change{Member: m, Remove: true, Reason: "it is silent"}, true
+			return Change{Member: m, Remove: true, Reason: "learner is silent"}, true
 		}
 	}
 	return Change{}, false
@@ -161,8 +159,8 @@
 	return n
 }
 
-// silentFor returns how long ago a replica was last heard of; as long as the
-// leader leads for one that never was.
+// silentFor returns the time since a replica was last heard of. If it never was, that is the
+// time since the leader was elected.
 func (v GroupView) silentFor(id string) time.Duration {
 	for _, k := range v.Known {
 		if k.ID == id {
--- a/internal/policy/roster/roster_test.go
+++ b/internal/policy/roster/roster_test.go
@@ -52,19 +52,19 @@
 			v := fullGroup()
 			v.Known = append(v.Known, roster.KnownReplica{Member: member("b/2")})
 			return v
-		}, roster.Change{Member: member("b/1"), Remove: true, Reason: "its disk was replaced"}},
+		}, roster.Change{Member: member("b/1"), Remove: true, Reason: "replica was replaced by a new one at the same address"}},
 		"somebody asks to be taken in": {func() roster.GroupView {
 			v := fullGroup()
 			v.Known = append(v.Known, roster.KnownReplica{Member: member("f/1")})
 			return v
-		}, roster.Change{Member: learner("f/1"), Reason: "it asks to be taken in"}},
+		}, roster.Change{Member: learner("f/1"), Reason: "new replica joins as a learner"}},
 		"a learner waits and a voter is silent": {func() roster.GroupView {
 			v := fullGroup()
 			v.Members = append(v.Members, learner("f/1"))
 			v.Known = append(v.Known, roster.KnownReplica{Member: member("f/1")})
 			setSilentFor(&v, "c/1", roster.AbsentAfter+1)
 			return v
-		}, roster.Change{Member: member("c/1"), Remove: true, Reason: "it is silent and another waits"}},
+		}, roster.Change{Member: member("c/1"), Remove: true, Reason: "voter is silent and a learner can replace it"}},
 		"a learner without the log waits": {func() roster.GroupView {
 			v := fullGroup()
 			v.Members = append(v.Members, learner("f/1"))
@@ -77,7 +77,7 @@
 			v := fullGroup()
 			v.Members[4] = learner("e/1")
 			return v
-		}, roster.Change{Member: member("e/1"), Reason: "a voter is missing"}},
+		}, roster.Change{Member: member("e/1"), Reason: "learner is promoted because the group lacks a voter"}},
 		"a leader that has just begun has heard of nobody": {func() roster.GroupView {
 			v := fullGroup()
 			v.Known, v.LeadingFor = nil, roster.MinLeaderTime/2
--- a/internal/policy/share/share.go
+++ b/internal/policy/share/share.go
@@ -1,26 +1,25 @@
-// Package share divides the cell between teams: weighted dominant-resource
-// fairness over guaranteed shares. It is pure arithmetic on what teams hold and
-// want now; nothing is accumulated, so an edited weight moves the targets and
-// leaves no credit or debt behind.
+// Package share divides the cell between teams by weighted dominant-resource fairness with
+// guaranteed shares. The result depends only on the current demand of the teams. No usage
+// is accumulated, so a changed weight moves the target shares and leaves no credit or debt.
 package share
 
 import (
 	"slices"
 )
 
-// Team is what one team may count on and wants, as fractions of the cell.
+// Team is the input for one team, in fractions of the cell.
 type Team struct {
-	// Guarantee is the part that the team is sure of while it wants it.
+	// Guarantee is the share that the team gets whenever it demands it.
 	Guarantee float64
-	// Weight divides what the guarantees leave over.
+	// Weight is the team's weight in the division of the capacity beyond the guarantees.
 	Weight float64
-	// Demand is the part that the team holds and waits for, bounded by its limit.
+	// Demand is the share of the team's placed and waiting tasks, bounded by the team's limit.
 	Demand float64
 }
 
-// Divide returns each team's target, in the order of the claims: no more than it
-// wants, at least its guarantee if it wants that much, and the rest in
-// proportion to the weights. Guarantees beyond the cell are scaled down.
+// Divide returns the target share of each team, in the order of teams. A team gets at most
+// its demand and, if its demand is as large, at least its guarantee. The rest is divided in
+// proportion to the weights. Guarantees are scaled down if their sum exceeds the cell.
 func Divide(teams []Team) []float64 {
 	targets := make([]float64, len(teams))
 	remaining := grantGuarantees(teams, targets)
@@ -28,29 +27,32 @@
 	return targets
 }
 
-// grantGuarantees grants the guarantees that are wanted and returns what is left.
+// grantGuarantees sets each target to the demanded part of the guarantee and returns the
+// remaining fraction of the cell.
 func grantGuarantees(teams []Team, targets []float64) float64 {
 	sum := 0.0
-	for _, c := range teams {
-		sum += c.Guarantee
+	for _, team := range teams {
+		sum += team.Guarantee
 	}
 	scale := 1 / max(1, sum)
 	remaining := 1.0
-	for i, c := range teams {
-		targets[i] = min(c.Demand, c.Guarantee*scale)
+	for i, team := range teams {
+		targets[i] = min(team.Demand, team.Guarantee*scale)
 		remaining -= targets[i]
 	}
 	return max(0, remaining)
 }
 
-// distributeByWeight adds what is left by weight, the soonest satisfied team first.
+// distributeByWeight adds the remaining fraction to the targets by weight. Teams with the
+// smallest unmet demand relative to their weight come first, because what they leave
+// unused goes to the others.
 func distributeByWeight(teams []Team, targets []float64, remaining float64) {
 	order := make([]int, 0, len(teams))
 	weights := 0.0
-	for i, c := range teams {
-		if c.Demand > targets[i] && c.Weight > 0 {
+	for i, team := range teams {
+		if team.Demand > targets[i] && team.Weight > 0 {
 			order = append(order, i)
-			weights += c.Weight
+			weights += team.Weight
 		}
 	}
 	relativeDemand := func(i int) float64 { return (teams[i].Demand - targets[i]) / teams[i].Weight }
@@ -71,20 +73,19 @@
 	}
 }
 
-// MinShares returns what each team could have at least, however much the others
-// want, if it wanted the whole cell.
+// MinShares returns the share that each team would get if all teams demanded the whole cell.
 func MinShares(teams []Team) []float64 {
 	sum, weights := 0.0, 0.0
-	for _, c := range teams {
-		sum += c.Guarantee
-		weights += c.Weight
+	for _, team := range teams {
+		sum += team.Guarantee
+		weights += team.Weight
 	}
 	scale, unguaranteed := 1/max(1, sum), max(0, 1-sum)
 	minShares := make([]float64, len(teams))
-	for i, c := range teams {
-		minShares[i] = c.Guarantee * scale
+	for i, team := range teams {
+		minShares[i] = team.Guarantee * scale
 		if weights > 0 {
-			minShares[i] += unguaranteed * c.Weight / weights
+			minShares[i] += unguaranteed * team.Weight / weights
 		}
 	}
 	return minShares
--- a/internal/policy/urgent/urgent.go
+++ b/internal/policy/urgent/urgent.go
@@ -1,6 +1,6 @@
-// Package urgent sizes the reserve that is kept free for urgent work. The
-// reserve follows what arrived lately: one task's room for each urgent task that
-// arrives while a taken room is made free again.
+// Package urgent sizes the reserve that is kept free for urgent work. The reserve follows
+// recent arrivals: it has one block for each urgent task that arrives within the time in
+// which a used block is freed again.
 package urgent
 
 import (
@@ -10,26 +10,27 @@
 	"gypsumreel/internal/domain/capacity"
 )
 
-// Bounds of the reserve.
+// Parameters of the reserve.
 const (
-	// ArrivalWindow is the time in which arrivals are counted against the reserve.
+	// ArrivalWindow is the length of the window in which arrivals are counted.
 	ArrivalWindow = time.Second
-	// PeakHalfLife is the time after which an old peak counts half.
+	// PeakHalfLife is the half-life of the peak number of arrivals.
 	PeakHalfLife = 2 * time.Minute
-	// MaxReservedFraction is the largest part of the cell that is reserved.
+	// MaxReservedFraction is the largest fraction of the cell that is reserved.
 	MaxReservedFraction = 0.05
 )
 
-// Reserve learns the arrivals and says what to keep free.
+// Reserve tracks the arrivals of urgent tasks and computes the capacity to keep free.
 type Reserve struct {
 	windowStart    time.Duration
 	windowArrivals float64
 	peakArrivals   float64
 	maxTaskSize    capacity.Size
-	decayedAt      time.Duration
+	// decayedAt is the time up to which the decay of peakArrivals is applied.
+	decayedAt time.Duration
 }
 
-// RecordArrival notes an urgent task of the given size.
+// RecordArrival records the arrival of an urgent task of the given size.
 func (r *Reserve) RecordArrival(now time.Duration, size capacity.Size) {
 	r.Advance(now)
 	r.windowArrivals++
@@ -37,7 +38,8 @@
 	r.maxTaskSize = r.maxTaskSize.Max(size)
 }
 
-// Advance lets the peak fade.
+// Advance applies the decay of the peak up to now and starts a new window if the current one
+// has ended.
 func (r *Reserve) Advance(now time.Duration) {
 	if now > r.decayedAt {
 		r.peakArrivals *= math.Exp2(-float64(now-r.decayedAt) / float64(PeakHalfLife))
@@ -48,8 +50,8 @@
 	}
 }
 
-// Target returns the number of rooms to keep free and the size of each. It is
-// never more than Most of total.
+// Target returns the number of blocks to keep free and the size of each block. Together
+// they take at most MaxReservedFraction of total.
 func (r *Reserve) Target(total capacity.Size) (int, capacity.Size) {
 	taskFraction := r.maxTaskSize.Dominant(total)
 	if taskFraction <= 0 {
--- a/internal/policy/urgent/urgent_test.go
+++ b/internal/policy/urgent/urgent_test.go
@@ -8,29 +8,29 @@
 	"gypsumreel/internal/policy/urgent"
 )
 
-// The reserve grows with a burst, fades when none comes, and never takes more
-// than its part of the cell.
+// The reserve must grow with a burst of arrivals, decay without arrivals, and never exceed
+// its maximum fraction of the cell.
 func TestReserveFollowsArrivals(t *testing.T) {
 	var r urgent.Reserve
-	one, cell := capacity.Size{CPU: 1, Slots: 1}, capacity.Size{CPU: 1000, Slots: 1000}
-	target := func() int { n, _ := r.Target(cell); return n }
-	if target() != 0 {
-		t.Error("something is reserved before anything urgent came")
+	taskSize, cellSize := capacity.Size{CPU: 1, Slots: 1}, capacity.Size{CPU: 1000, Slots: 1000}
+	blocks := func() int { n, _ := r.Target(cellSize); return n }
+	if blocks() != 0 {
+		t.Error("blocks are reserved before the first urgent task arrived")
 	}
 	for i := range 10 {
-		r.RecordArrival(time.Duration(i)*10*time.Millisecond, one)
+		r.RecordArrival(time.Duration(i)*10*time.Millisecond, taskSize)
 	}
-	if target() != 10 {
-		t.Errorf("%d rooms after a burst of 10", target())
+	if blocks() != 10 {
+		t.Errorf("%d blocks after a burst of 10, want 10", blocks())
 	}
 	r.Advance(20 * time.Minute)
-	if target() != 0 {
-		t.Errorf("%d rooms after 20 quiet minutes", target())
+	if blocks() != 0 {
+		t.Errorf("%d blocks after 20 minutes without arrivals, want 0", blocks())
 	}
 	for range 500 {
-		r.RecordArrival(20*time.Minute, one)
+		r.RecordArrival(20*time.Minute, taskSize)
 	}
-	if target() != 50 {
-		t.Errorf("%d rooms, the cap is a twentieth of 1000", target())
+	if blocks() != 50 {
+		t.Errorf("%d blocks, want 50, the maximum for a cell of 1000", blocks())
 	}
 }
