--- a/internal/policy/cell/cell_test.go
+++ b/internal/policy/cell/cell_test.go
@@ -18,10 +18,10 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// taskSize is the size of a small task; a server of the tests holds four.
+// taskSize is the size of a small task. A backend server of the tests holds four of them.
 var taskSize = capacity.Size{CPU: 1000, Memory: 1024, Slots: 1}
 
-// servers returns n servers in racks of two over three zones.
+// servers returns n backend servers in racks of two, with the racks spread over three zones.
 func servers(n int) []backend.Server {
 	var list []backend.Server
 	for i := range n {
@@ -33,12 +33,12 @@
 	return list
 }
 
-// newWorld returns a world of n servers with two equal teams, a and b.
+// newWorld returns a simulated cell of n backend servers with two equal teams, a and b.
 func newWorld(n int) *bench.World {
 	return bench.NewWorld(cell.New(cell.Config{}), servers(n), table.Restore(1, []team.Row{team.New("a"), team.New("b")}))
 }
 
-// submit submits a job of n tasks that run for the time given.
+// submit submits a job with the given number of tasks. Each of them runs for runtime.
 func submit(w *bench.World, spec job.Spec, tasks int, runtime time.Duration) uint64 {
 	spec.Count = uint32(tasks)
 	if spec.Team == "" {
@@ -57,7 +57,8 @@
 	return w.Submit(&spec, times, spec.Size, false)
 }
 
-// runUntil plays until the time and reports what was violated.
+// runUntil runs the simulation until the given time and fails the test if an invariant was
+// violated.
 func runUntil(t *testing.T, w *bench.World, until time.Duration) {
 	t.Helper()
 	w.Run(until)
@@ -66,6 +67,7 @@
 	}
 }
 
+// assertEqual reports a difference between want and got as an error.
 func assertEqual[T any](t *testing.T, label string, want, got T) {
 	t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -73,9 +75,8 @@
 	}
 }
 
-// A buyer on the phone asks for a quote while the cell is full of batch and
-// thousands of tasks wait. The quote must not wait behind them: the youngest
-// repeatable task is preempted, and one that may run only once is not.
+// An urgent task must not wait behind a full cell and thousands of queued batch tasks. One
+// repeatable task is preempted for it, and tasks that may run only once are not.
 func TestUrgentTaskIsPlacedAheadOfBacklog(t *testing.T) {
 	w := newWorld(2)
 	onceJob := submit(w, job.Spec{Once: true, Name: "once"}, 6, time.Hour)
@@ -84,12 +85,12 @@
 	urgent := submit(w, job.Spec{Kind: job.Urgent}, 1, time.Second)
 	runUntil(t, w, time.Minute+400*time.Millisecond)
 	assertEqual(t, "urgent task placed", 1, len(w.On(urgent)))
-	assertEqual(t, "once tasks untouched", 6, len(w.On(onceJob)))
-	assertEqual(t, "preempted", 1, w.Count(plan.Preempt))
+	assertEqual(t, "running once tasks", 6, len(w.On(onceJob)))
+	assertEqual(t, "preemptions", 1, w.Count(plan.Preempt))
 }
 
-// A team calls all of its work urgent. Others would be pushed out of their share
-// if urgency alone decided; it takes its own share and no more.
+// A team that declares all its work urgent must not get more than its share. Otherwise its
+// urgent tasks would preempt the other teams below their shares.
 func TestUrgentTasksStayWithinTeamShare(t *testing.T) {
 	w := newWorld(6)
 	submit(w, job.Spec{Team: "b"}, 100, time.Hour)
@@ -97,12 +98,12 @@
 	submit(w, job.Spec{Team: "a", Kind: job.Urgent}, 100, time.Hour)
 	runUntil(t, w, time.Minute)
 	if held := w.Team("a").Slots; held < 11 || held > 13 {
-		t.Errorf("the flooding team holds %d of 24 slots", held)
+		t.Errorf("team a holds %d of 24 slots, want 11 to 13", held)
 	}
 }
 
-// Ten thousand queued tasks are cancelled while a quote comes in. The wave must
-// neither hold the quote up nor leave anything behind that is placed later.
+// The cancellation of ten thousand queued tasks must not delay an urgent task, and none of
+// the cancelled tasks may be placed later.
 func TestMassCancellationDoesNotDelayUrgentTask(t *testing.T) {
 	w := newWorld(2)
 	running := submit(w, job.Spec{Name: "base"}, 8, time.Hour)
@@ -115,23 +116,23 @@
 	assertEqual(t, "urgent task placed", 1, len(w.On(urgent)))
 	w.Cancel(running)
 	runUntil(t, w, 10*time.Second)
-	assertEqual(t, "nothing of the wave runs", 0, len(w.On(cancelled)))
+	assertEqual(t, "running cancelled tasks", 0, len(w.On(cancelled)))
 }
 
-// A team lends its unused half to another. When it needs it back, it gets it
-// within seconds, by preemption with checkpoint, not when the borrower is done.
+// A team whose unused share is borrowed by another team must get it back within seconds, by
+// preemption with a checkpoint. It must not wait for the borrowing tasks to end.
 func TestBorrowedShareIsReclaimed(t *testing.T) {
 	w := newWorld(6)
 	submit(w, job.Spec{Team: "b"}, 100, time.Hour)
 	runUntil(t, w, 10*time.Second)
-	assertEqual(t, "borrowed", int64(24), w.Team("b").Slots)
+	assertEqual(t, "slots of team b with the borrowed share", int64(24), w.Team("b").Slots)
 	submit(w, job.Spec{Team: "a"}, 100, time.Hour)
 	runUntil(t, w, 13*time.Second)
-	assertEqual(t, "taken back", int64(12), w.Team("a").Slots)
+	assertEqual(t, "slots of team a after preemption", int64(12), w.Team("a").Slots)
 }
 
-// An operator triples a weight while both teams have work waiting. The shares
-// move there and stay; nobody is stopped beyond that, and nobody starves.
+// After an operator triples a team's weight, the shares must move to the new targets and stay
+// there. No more tasks are preempted than the change requires.
 func TestWeightChangeMovesShares(t *testing.T) {
 	w := newWorld(6)
 	submit(w, job.Spec{Team: "a"}, 100, time.Hour)
@@ -140,14 +141,13 @@
 	preemptionsBefore := w.Count(plan.Preempt)
 	w.SetTable(w.Table().With([]team.Row{team.New("a").WithWeight(3)}, nil))
 	runUntil(t, w, 20*time.Second)
-	assertEqual(t, "a's part", int64(18), w.Team("a").Slots)
+	assertEqual(t, "slots of team a", int64(18), w.Team("a").Slots)
 	runUntil(t, w, 5*time.Minute)
-	assertEqual(t, "tasks stopped for the edit", 6, w.Count(plan.Preempt)-preemptionsBefore)
+	assertEqual(t, "preemptions after the weight change", 6, w.Count(plan.Preempt)-preemptionsBefore)
 }
 
-// An operator lowers a team's limit below what it runs. New placements stop at
-// once; the youngest repeatable tasks are preempted until the team is within it,
-// and those that may run only once end by themselves.
+// When a team's limit is lowered below its usage, its youngest repeatable tasks must be
+// preempted until it is within the limit. Tasks that may run only once continue to their end.
 func TestLoweredLimitPreemptsYoungestTasks(t *testing.T) {
 	w := newWorld(4)
 	onceJob := submit(w, job.Spec{Once: true, Name: "once"}, 2, time.Hour)
@@ -157,22 +157,22 @@
 	runUntil(t, w, 2*time.Minute)
 	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize.Times(6))}, nil))
 	runUntil(t, w, 3*time.Minute)
-	assertEqual(t, "once, old, young", []int{2, 4, 0}, []int{len(w.On(onceJob)), len(w.On(oldJob)), len(w.On(youngJob))})
+	assertEqual(t, "running tasks of the jobs once, old, young", []int{2, 4, 0}, []int{len(w.On(onceJob)), len(w.On(oldJob)), len(w.On(youngJob))})
 }
 
-// The limit is lowered below what a service needs to answer at all. The service is
-// cut down to its floor and no further, though the team stays above its limit.
+// When a team's limit is lowered below the floor of its service, the service must be reduced
+// to its floor and no further, even though the team stays above its limit.
 func TestLoweredLimitKeepsServiceFloor(t *testing.T) {
 	w := newWorld(4)
 	service := submit(w, job.Spec{Kind: job.Service, Floor: 3}, 6, 1000*time.Hour)
 	runUntil(t, w, time.Second)
 	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize)}, nil))
 	runUntil(t, w, time.Minute)
-	assertEqual(t, "running", 3, w.Running(service))
+	assertEqual(t, "running service tasks", 3, w.Running(service))
 }
 
-// A team at its limit has a quote to answer. Its own batch makes room within the
-// limit; without that the quote would wait for a batch task to end.
+// An urgent task of a team at its limit must preempt batch of the same team. Otherwise it
+// would wait until a batch task ends.
 func TestUrgentTaskAtLimitPreemptsOwnBatch(t *testing.T) {
 	w := newWorld(4)
 	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize.Times(3))}, nil))
@@ -183,9 +183,8 @@
 	assertEqual(t, "urgent task placed", 1, len(w.On(urgent)))
 }
 
-// A team at its limit runs small tasks one after the other and has a gang to
-// start. Each freed part of the limit would go to the next small task; the gang
-// gathers those as well.
+// A gang of a team at its limit must not starve. Without a reservation, each freed part of the
+// limit would go to the team's next small task.
 func TestGangAtLimitIsNotStarved(t *testing.T) {
 	w := newWorld(4)
 	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize.Times(6))}, nil))
@@ -196,8 +195,8 @@
 	assertEqual(t, "gang tasks running", 5, len(w.On(gang)))
 }
 
-// A deadline passes while the cell is full. The job is dropped as not run, and
-// one of which a task ran before is not, for that would not be true.
+// A job whose deadline passes before any of its tasks is placed must be dropped as not run. A
+// job of which a task has been placed must not be dropped, because it did run.
 func TestDeadlineDropsOnlyJobsThatNeverRan(t *testing.T) {
 	w := newWorld(1)
 	started := submit(w, job.Spec{Name: "started", Deadline: time.Minute}, 6, time.Hour)
@@ -205,11 +204,11 @@
 	expired := submit(w, job.Spec{Name: "late", Deadline: time.Minute}, 2, time.Hour)
 	runUntil(t, w, 2*time.Minute)
 	assertEqual(t, "drops", 1, w.Count(plan.Drop))
-	assertEqual(t, "tasks left of the started and the late job", []int{6, 0}, []int{w.Left(started), w.Left(expired)})
+	assertEqual(t, "tasks left of the started and the expired job", []int{6, 0}, []int{w.Left(started), w.Left(expired)})
 }
 
-// The control thread loses its term before a placement is committed and decides
-// again from the same state: the task must wait as before, not be lost or held.
+// If the leader's term ends before a placement is committed, the task must wait again. It must
+// neither be lost nor take capacity.
 func TestUnconfirmedPlacementIsRequeued(t *testing.T) {
 	p := cell.New(cell.Config{})
 	p.SetTable(table.Restore(1, []team.Row{team.New("a")}))
@@ -218,14 +217,14 @@
 	p.AddWaiting(plan.WaitingTask{ID: task.ID{Job: 1}, Job: spec})
 	first := p.Decide(time.Second, 10)
 	second := p.Decide(2*time.Second, 10)
-	assertEqual(t, "the same decision again", first, second)
+	assertEqual(t, "decision repeated after a placement without confirmation", first, second)
 	p.SetPlaced(plan.PlacedTask{ID: task.ID{Job: 1}, Job: spec, Server: "s00", PlacedAt: 2 * time.Second})
-	assertEqual(t, "nothing after it is confirmed", 0, len(p.Decide(3*time.Second, 10)))
+	assertEqual(t, "decisions after the confirmation", 0, len(p.Decide(3*time.Second, 10)))
 }
 
-// The leader fails while a gang is half stopped, a server drains and work waits.
-// The next leader's planner knows only the replayed state; it must go on without
-// a task in two places, a partial gang, or work left behind.
+// After a failover, the planner of the new leader knows only the replayed state. It must
+// continue without a task placed twice, a partial gang or lost work, even if the old leader
+// failed while a gang was being stopped.
 func TestPlannerContinuesFromReplayedState(t *testing.T) {
 	w := newWorld(4)
 	gang := submit(w, job.Spec{Kind: job.Gang, Name: "gang"}, 6, 20*time.Second)
@@ -235,5 +234,5 @@
 	runUntil(t, w, 3*time.Second+1100*time.Millisecond)
 	w.Replan(cell.New(cell.Config{}))
 	runUntil(t, w, 5*time.Minute)
-	assertEqual(t, "left of gang and batch", []int{0, 0}, []int{w.Left(gang), w.Left(batch)})
+	assertEqual(t, "tasks left of the gang and the batch job", []int{0, 0}, []int{w.Left(gang), w.Left(batch)})
 }
--- a/internal/policy/cell/fault_test.go
+++ b/internal/policy/cell/fault_test.go
@@ -15,8 +15,8 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// A server dies under one task of a gang. The others would wait for it for ever
-// and hold their room: they are stopped too, and the gang starts anew as a whole.
+// When a server with one task of a gang is lost, the other tasks must be stopped and the whole
+// gang restarted. Otherwise they would hold their capacity and wait for the lost task.
 func TestGangRestartsWholeAfterServerLoss(t *testing.T) {
 	w := newWorld(6)
 	gang := submit(w, job.Spec{Kind: job.Gang}, 8, time.Minute)
@@ -24,15 +24,15 @@
 	lostServer := w.On(gang)[0]
 	w.Lose(func(s backend.Server) bool { return s.ID == lostServer }, time.Hour, true)
 	runUntil(t, w, 5*time.Second)
-	assertEqual(t, "tasks running again", 8, len(w.On(gang)))
+	assertEqual(t, "running gang tasks", 8, len(w.On(gang)))
 	if slices.Contains(w.On(gang), lostServer) {
-		t.Error("the gang is on the lost server")
+		t.Errorf("a gang task is placed on the lost server %s", lostServer)
 	}
 	assertEqual(t, "attempts of the first and the last task", []uint32{2, 2}, []uint32{w.Attempts(task.ID{Job: gang}), w.Attempts(task.ID{Job: gang, Index: 7})})
 }
 
-// A gang needs a third of a cell that small tasks fill again as fast as they end.
-// Each free piece would go to the next small task; the gang gathers them instead.
+// A gang that needs a third of the cell must start while small tasks keep the cell full.
+// Without a reservation, each server that becomes free would go to the next small task.
 func TestLargeGangIsNotStarvedBySmallTasks(t *testing.T) {
 	w := newWorld(6)
 	submit(w, job.Spec{Team: "b"}, 2000, 10*time.Second)
@@ -43,8 +43,8 @@
 	assertEqual(t, "gang tasks running", 8, len(w.On(gang)))
 }
 
-// A gang fits into one rack and into pieces all over the cell. Its tasks talk to
-// each other, so it goes into the one rack.
+// A gang that fits into one rack must be placed there, because its tasks communicate with each
+// other.
 func TestGangIsPlacedInOneRack(t *testing.T) {
 	w := newWorld(6)
 	gang := submit(w, job.Spec{Kind: job.Gang}, 8, time.Minute)
@@ -56,8 +56,8 @@
 	assertEqual(t, "racks used", 1, len(racks))
 }
 
-// A service must outlive a rack and a zone: its tasks spread over both, and when
-// a server drains, they move one at a time and never fall below the floor.
+// Service tasks must be spread over zones and racks, so that the service survives the loss of
+// one. When servers drain, the tasks move one at a time and never fall below the floor.
 func TestServiceSpreadsAndDrainsOneTaskAtATime(t *testing.T) {
 	w := newWorld(12)
 	service := submit(w, job.Spec{Kind: job.Service, Floor: 5}, 6, 1000*time.Hour)
@@ -77,14 +77,14 @@
 		runUntil(t, w, time.Second+time.Duration(i)*20*time.Millisecond)
 		fewestRunning = min(fewestRunning, w.Running(service))
 	}
-	assertEqual(t, "fewest running", 5, fewestRunning)
+	assertEqual(t, "fewest running service tasks", 5, fewestRunning)
 	for _, id := range w.On(service) {
 		assertEqual(t, "state of "+id, backend.Ready, w.Server(id).State)
 	}
 }
 
-// A service's tasks may run only once, and the team's limit is lowered below them
-// or their server drains. Stopping them would end them for good: they stay.
+// Service tasks that may run only once must not be stopped, because they could not be
+// retried. Neither a lowered limit nor a draining server may stop them.
 func TestOnceServiceIsNeverStopped(t *testing.T) {
 	w := newWorld(2)
 	service := submit(w, job.Spec{Kind: job.Service, Once: true}, 4, time.Hour)
@@ -92,12 +92,11 @@
 	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize)}, nil))
 	w.SetServer(w.Server(w.On(service)[0]).WithState(backend.Draining, time.Second))
 	runUntil(t, w, time.Minute)
-	assertEqual(t, "running", 4, w.Running(service))
+	assertEqual(t, "running service tasks", 4, w.Running(service))
 }
 
-// An availability zone goes at the peak, a third of the cell with it. Everything
-// lost comes back at once; the urgent task and the services go first, and batch
-// of teams above their due makes room for them.
+// After the loss of an availability zone with a third of the cell, urgent and service tasks
+// must be placed again first. Batch of teams above their share is preempted for them.
 func TestUrgentAndServiceTasksAreReplacedFirstAfterZoneLoss(t *testing.T) {
 	w := newWorld(12)
 	service := submit(w, job.Spec{Kind: job.Service}, 6, 1000*time.Hour)
@@ -112,13 +111,13 @@
 	runUntil(t, w, 15*time.Second)
 	assertEqual(t, "service tasks running", 6, len(w.On(service)))
 	if wait := max(w.Longest(job.Urgent), w.Longest(job.Service)); wait > 1300*time.Millisecond {
-		t.Errorf("waited %v to be placed again, 1 s of it for the lease", wait)
+		t.Errorf("urgent or service task was placed %v after the loss, want at most 1.3 s including 1 s for the lease", wait)
 	}
 }
 
-// The servers that hold the urgent reserve go silent. What is reserved there
-// helps nobody: the reserve is built up again elsewhere, and the next quotes need
-// not wait for a checkpoint.
+// When the servers that hold the urgent reserve become suspect, the reserve must be rebuilt on
+// other servers. Otherwise the next urgent tasks would wait for preempted tasks to save their
+// checkpoint.
 func TestUrgentReserveMovesOffSuspectServers(t *testing.T) {
 	w := newWorld(6)
 	for range 2 {
@@ -141,13 +140,12 @@
 	submit(w, job.Spec{Team: "b", Kind: job.Urgent}, 1, time.Second)
 	runUntil(t, w, 11*time.Second)
 	if wait := w.Longest(job.Urgent); wait == 0 || wait > 10*time.Millisecond {
-		t.Errorf("urgent work waits %v", wait)
+		t.Errorf("urgent task waited %v, want more than 0 and at most 10 ms", wait)
 	}
 }
 
-// A silent server may be up still. It takes nothing new from the moment that it
-// is suspect, before the wait for its lease begins, and its tasks count as
-// running until they are proved lost.
+// A suspect server must get no new tasks, even before its lease expires. It may still be
+// running, so its tasks take capacity until they are confirmed lost.
 func TestSuspectServerGetsNoNewTasks(t *testing.T) {
 	w := newWorld(2)
 	first := submit(w, job.Spec{}, 1, time.Hour)
@@ -156,13 +154,13 @@
 	w.SetServer(w.Server(suspect).WithState(backend.Suspect, time.Second))
 	second := submit(w, job.Spec{}, 7, time.Hour)
 	runUntil(t, w, 10*time.Second)
-	assertEqual(t, "placed beside it", 4, len(w.On(second)))
-	assertEqual(t, "held on it", 1, len(w.On(first)))
+	assertEqual(t, "tasks on the other server", 4, len(w.On(second)))
+	assertEqual(t, "tasks on the suspect server", 1, len(w.On(first)))
 }
 
-// A task uses twice the memory that it declared. Its server has no room for the
-// excess: nothing more is placed there, the task is stopped, and after three
-// times the job is given up instead of running for ever without an end.
+// A task that uses twice its declared memory must be stopped when its server is overcommitted,
+// and no task may be placed in the excess. After three stops the job is parked. Otherwise it
+// would be retried without end.
 func TestMemoryOveruseStopsTaskAndParksJob(t *testing.T) {
 	w := newWorld(1)
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize}
@@ -170,15 +168,14 @@
 	runUntil(t, w, 12*time.Second)
 	others := submit(w, job.Spec{Team: "b"}, 3, time.Hour)
 	runUntil(t, w, 13*time.Second)
-	assertEqual(t, "placed beside it", 2, len(w.On(others)))
+	assertEqual(t, "other tasks on the server", 2, len(w.On(others)))
 	runUntil(t, w, 5*time.Minute)
-	assertEqual(t, "left of it", 0, w.Left(overuser))
-	assertEqual(t, "stops and parks", []int{3, 1}, []int{w.Count(plan.Stop), w.Count(plan.Park)})
+	assertEqual(t, "tasks left of the overuser", 0, w.Left(overuser))
+	assertEqual(t, "stop and park decisions", []int{3, 1}, []int{w.Count(plan.Stop), w.Count(plan.Park)})
 }
 
-// The same use by a task that may run only once: stopped, it would be lost, and
-// the ledger refuses the order. It is throttled once, and its server takes nothing
-// more until it has ended.
+// A task that may run only once and exceeds its declared memory must be throttled once and not
+// stopped, because the ledger refuses to stop it. Its server gets no tasks until it has ended.
 func TestOveruseOfOnceTaskIsOnlyThrottled(t *testing.T) {
 	w := newWorld(1)
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize, Once: true}
@@ -186,42 +183,42 @@
 	runUntil(t, w, 12*time.Second)
 	others := submit(w, job.Spec{Team: "b"}, 3, time.Hour)
 	runUntil(t, w, 50*time.Second)
-	assertEqual(t, "running of it, placed beside it", []int{1, 0}, []int{w.Running(overuser), len(w.On(others))})
+	assertEqual(t, "running tasks of the overuser, other tasks on the server", []int{1, 0}, []int{w.Running(overuser), len(w.On(others))})
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "left of it, placed after it", []int{0, 3}, []int{w.Left(overuser), len(w.On(others))})
-	assertEqual(t, "throttles, stops", []int{1, 0}, []int{w.Count(plan.Throttle), w.Count(plan.Stop)})
+	assertEqual(t, "tasks left of the overuser, other tasks placed afterwards", []int{0, 3}, []int{w.Left(overuser), len(w.On(others))})
+	assertEqual(t, "throttle and stop decisions", []int{1, 0}, []int{w.Count(plan.Throttle), w.Count(plan.Stop)})
 }
 
-// A task uses more processor time than it declared. It is throttled, which puts
-// it back into its size, and goes on to its end.
+// A task that uses more CPU than declared must be throttled and then run to its end, because
+// throttling brings its usage back to the declared size.
 func TestCPUOveruseIsThrottled(t *testing.T) {
 	w := newWorld(1)
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize}
 	overuser := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 2500, Memory: 1024, Slots: 1}, false)
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "left of it", 0, w.Left(overuser))
-	assertEqual(t, "throttles, stops", []int{1, 0}, []int{w.Count(plan.Throttle), w.Count(plan.Stop)})
+	assertEqual(t, "tasks left of the overuser", 0, w.Left(overuser))
+	assertEqual(t, "throttle and stop decisions", []int{1, 0}, []int{w.Count(plan.Throttle), w.Count(plan.Stop)})
 }
 
-// A server fails all it starts, at once, and so looks free and draws in more and
-// more work. It is quarantined, the jobs that failed there are not given up, and
-// once it is sound again a little work proves it and it returns.
+// A server that fails every task immediately always has free capacity and attracts more tasks. It
+// must be quarantined without parking the jobs that failed on it. After it is repaired, probes
+// must restore it.
 func TestFailingServerIsQuarantinedAndReturns(t *testing.T) {
 	w := newWorld(12)
 	goodJob := submit(w, job.Spec{Name: "good"}, 300, 5*time.Second)
 	runUntil(t, w, 10*time.Second)
 	w.Fail("s03", true)
 	runUntil(t, w, 30*time.Second)
-	assertEqual(t, "state", backend.Quarantined, w.Server("s03").State)
+	assertEqual(t, "state of the failing server", backend.Quarantined, w.Server("s03").State)
 	w.Fail("s03", false)
 	submit(w, job.Spec{Name: "good"}, 300, 5*time.Second)
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "state after probes", backend.Ready, w.Server("s03").State)
-	assertEqual(t, "left of the jobs, parked", []int{0, 0}, []int{w.Left(goodJob), w.Count(plan.Park)})
+	assertEqual(t, "state of the repaired server", backend.Ready, w.Server("s03").State)
+	assertEqual(t, "tasks left of the job, park decisions", []int{0, 0}, []int{w.Left(goodJob), w.Count(plan.Park)})
 }
 
-// A job of a hundred tasks crashes wherever it runs. It must not take a single
-// server out of use; it is given up after a few, and its retries keep apart.
+// A job whose hundred tasks crash on every server must be parked after a few failures and must
+// not cause the quarantine of any server.
 func TestCrashingJobQuarantinesNoServer(t *testing.T) {
 	w := newWorld(12)
 	submit(w, job.Spec{Team: "b", Name: "good"}, 200, 5*time.Second)
@@ -229,13 +226,12 @@
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Name: "bad", Count: 100, Size: taskSize}
 	crashingJob := w.Submit(spec, make([]time.Duration, 100), taskSize, true)
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "quarantines, parks", []int{0, 1}, []int{w.Count(plan.Quarantine), w.Count(plan.Park)})
-	assertEqual(t, "left of it", 0, w.Left(crashingJob))
+	assertEqual(t, "quarantine and park decisions", []int{0, 1}, []int{w.Count(plan.Quarantine), w.Count(plan.Park)})
+	assertEqual(t, "tasks left of the crashing job", 0, w.Left(crashingJob))
 }
 
-// Four servers fail everything at once, and a sound job meets one after the other
-// before each is found out. Without forgiveness it would be given up, though
-// nothing is wrong with it.
+// A healthy job that fails on four faulty servers, each before its quarantine, must not be
+// parked. The quarantine of a server removes its failures from the job's budget.
 func TestHealthyJobSurvivesFailingServers(t *testing.T) {
 	p := cell.New(cell.Config{})
 	p.SetTable(table.Restore(1, []team.Row{team.New("a")}))
@@ -268,7 +264,7 @@
 		}
 		for _, d := range p.Decide(time.Duration(i)*time.Millisecond, 100) {
 			if d.Action == plan.Park {
-				t.Fatalf("after %d servers: %+v", i+1, d)
+				t.Fatalf("job parked after failures on %d servers: %+v", i+1, d)
 			}
 			if d.Action == plan.Quarantine {
 				p.SetServer(allServers[i].WithState(backend.Quarantined, 0))
@@ -277,9 +273,9 @@
 	}
 }
 
-// lossesUntilParked plays how servers are lost under a job of so many tasks, again and again, each
-// so long after the tasks were placed there, and tells after which loss it is given up;
-// 0 for never.
+// lossesUntilParked simulates the repeated loss of the servers of a job. Each loss happens
+// ranFor after the placement of its tasks. It returns the number of losses after which the job
+// is parked, or 0 if it is not parked.
 func lossesUntilParked(tasks uint32, ranFor time.Duration) int {
 	p := cell.New(cell.Config{})
 	p.SetTable(table.Restore(1, []team.Row{team.New("a")}))
@@ -314,17 +310,17 @@
 	return 0
 }
 
-// A job crashes every server that starts a task of it: it is placed again for ever, and
-// takes down the whole cell. One that worked for long on servers that were lost, or lost
-// several at once, is sound.
+// A job that crashes every server it starts on must be parked. Otherwise it would be placed
+// again and again and crash the whole cell. A job that ran for an hour before each loss, or
+// lost several servers in the same loss, must not be parked for that.
 func TestJobThatCrashesServersIsParked(t *testing.T) {
-	assertEqual(t, "given up: one task", 3, lossesUntilParked(1, time.Second))
-	assertEqual(t, "given up: many tasks, whose servers are lost together", 3, lossesUntilParked(12, time.Second))
-	assertEqual(t, "given up: after an hour each", 0, lossesUntilParked(1, time.Hour))
+	assertEqual(t, "losses until parked, one task", 3, lossesUntilParked(1, time.Second))
+	assertEqual(t, "losses until parked, twelve tasks on servers lost together", 3, lossesUntilParked(12, time.Second))
+	assertEqual(t, "losses until parked, one hour of run time before each loss", 0, lossesUntilParked(1, time.Hour))
 }
 
-// Every server starts to fail everything: a bad image, or a fault of the network.
-// Quarantine of all of them would end the service of the cell; the cap holds.
+// If every server fails all tasks, for example because of a bad image or a network fault, only
+// a limited number of servers may be quarantined. Otherwise the cell would stop working.
 func TestQuarantineIsCapped(t *testing.T) {
 	w := newWorld(20)
 	for i := range 20 {
@@ -338,18 +334,18 @@
 		submit(w, job.Spec{Name: string(rune('a' + i))}, 4, time.Second)
 	}
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "quarantined", 2, w.Count(plan.Quarantine))
+	assertEqual(t, "quarantine decisions", 2, w.Count(plan.Quarantine))
 }
 
-// A task is larger than any server. It waits aside and costs nothing, holds up
-// nobody, counts for no share, and runs when a server that holds it announces.
+// A task larger than any server must wait without blocking other tasks or causing preemptions,
+// and must be placed when a large enough server is announced.
 func TestUnplaceableTaskDoesNotBlockOthers(t *testing.T) {
 	w := newWorld(2)
 	unplaceable := submit(w, job.Spec{Team: "a", Size: taskSize.Times(6)}, 50, time.Minute)
 	others := submit(w, job.Spec{Team: "b"}, 8, time.Hour)
 	runUntil(t, w, time.Minute)
-	assertEqual(t, "others placed", 8, len(w.On(others)))
-	assertEqual(t, "preempted", 0, w.Count(plan.Preempt))
+	assertEqual(t, "placed tasks of the other job", 8, len(w.On(others)))
+	assertEqual(t, "preemptions", 0, w.Count(plan.Preempt))
 	largeServer := servers(1)[0]
 	largeServer.ID, largeServer.Capacity = "large", taskSize.Times(8)
 	w.SetServer(largeServer)
@@ -357,8 +353,8 @@
 	assertEqual(t, "placed on the large server", []string{"large"}, w.On(unplaceable))
 }
 
-// Declared run times are off by ten times, so that long tasks look short. What
-// was learned of their name orders them behind the really short ones.
+// Tasks whose real run time is more than ten times the declared one must be ordered behind
+// tasks that are really short, because the planner uses the run times learned for their name.
 func TestLearnedRuntimeOrdersQueue(t *testing.T) {
 	w := newWorld(1)
 	submit(w, job.Spec{Name: "liar", Runtime: time.Second}, 8, 30*time.Second)
--- a/internal/policy/cell/rapid_test.go
+++ b/internal/policy/cell/rapid_test.go
@@ -16,9 +16,9 @@
 	"gypsumreel/internal/policy/cell"
 )
 
-// Whatever is submitted, cancelled, lost, lowered, drained, replayed and failed,
-// in any order: no server is overcommitted, no team is above its limit, a gang
-// starts whole, and nothing runs twice. In the end all that can run has run.
+// Random submissions, server losses, limit changes, share changes, failovers and server
+// failures must not violate an invariant: no server is overcommitted, no team is placed above
+// its limit, gangs start whole, and no task runs twice. In the end all jobs have ended.
 func TestInvariantsHoldUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(6)
@@ -44,7 +44,7 @@
 	})
 }
 
-// drawStep does one thing to the world and returns the job submitted, if any.
+// drawStep applies one random event to the simulated cell. It returns the submitted job, if any.
 func drawStep(t *rapid.T, w *bench.World) []uint64 {
 	server := rapid.SampledFrom(servers(6)).Draw(t, "server").ID
 	switch rapid.IntRange(0, 9).Draw(t, "what") {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// drawJob submits a job that fits the smallest limit that step sets.
+// drawJob submits a random job that fits the smallest limit that drawStep sets.
 func drawJob(t *rapid.T, w *bench.World) uint64 {
 	spec := job.Spec{
 		Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"),
--- a/internal/policy/roster/roster_test.go
+++ b/internal/policy/roster/roster_test.go
@@ -18,7 +18,7 @@
 	return m
 }
 
-// fullGroup returns a full group that all live in.
+// fullGroup returns a group with five live voters.
 func fullGroup() roster.GroupView {
 	v := roster.GroupView{Self: "a/1", TargetVoters: 5, LeadingFor: time.Minute, Synced: func(string) bool { return true }}
 	for _, id := range []string{"a/1", "b/1", "c/1", "d/1", "e/1"} {
@@ -28,6 +28,7 @@
 	return v
 }
 
+// setSilentFor sets the time since the replica was last heard of.
 func setSilentFor(v *roster.GroupView, id string, d time.Duration) {
 	for i := range v.Known {
 		if v.Known[i].ID == id {
@@ -36,36 +37,36 @@
 	}
 }
 
-// A group decides one change after the other until nothing is left to do.
+// Each state of the group must lead to the one expected change, or to none.
 func TestDecide(t *testing.T) {
-	for what, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		view func() roster.GroupView
 		want roster.Change
 	}{
-		"nothing to do": {fullGroup, roster.Change{}},
-		"a voter restarts and nobody waits": {func() roster.GroupView {
+		"no change needed": {fullGroup, roster.Change{}},
+		"silent voter without a learner to replace it": {func() roster.GroupView {
 			v := fullGroup()
 			setSilentFor(&v, "b/1", time.Minute)
 			return v
 		}, roster.Change{}},
-		"a disk was replaced": {func() roster.GroupView {
+		"replica with a new identity at the address of a voter": {func() roster.GroupView {
 			v := fullGroup()
 			v.Known = append(v.Known, roster.KnownReplica{Member: member("b/2")})
 			return v
 		}, roster.Change{Member: member("b/1"), Remove: true, Reason: "replica was replaced by a new one at the same address"}},
-		"somebody asks to be taken in": {func() roster.GroupView {
+		"new replica": {func() roster.GroupView {
 			v := fullGroup()
 			v.Known = append(v.Known, roster.KnownReplica{Member: member("f/1")})
 			return v
 		}, roster.Change{Member: learner("f/1"), Reason: "new replica joins as a learner"}},
-		"a learner waits and a voter is silent": {func() roster.GroupView {
+		"silent voter with a synced learner to replace it": {func() roster.GroupView {
 			v := fullGroup()
 			v.Members = append(v.Members, learner("f/1"))
 			v.Known = append(v.Known, roster.KnownReplica{Member: member("f/1")})
 			setSilentFor(&v, "c/1", roster.AbsentAfter+1)
 			return v
 		}, roster.Change{Member: member("c/1"), Remove: true, Reason: "voter is silent and a learner can replace it"}},
-		"a learner without the log waits": {func() roster.GroupView {
+		"silent voter with a learner that lacks the log": {func() roster.GroupView {
 			v := fullGroup()
 			v.Members = append(v.Members, learner("f/1"))
 			v.Known = append(v.Known, roster.KnownReplica{Member: member("f/1")})
@@ -73,30 +74,30 @@
 			v.Synced = func(string) bool { return false }
 			return v
 		}, roster.Change{}},
-		"a vote is missing": {func() roster.GroupView {
+		"learner in a group with too few voters": {func() roster.GroupView {
 			v := fullGroup()
 			v.Members[4] = learner("e/1")
 			return v
 		}, roster.Change{Member: member("e/1"), Reason: "learner is promoted because the group lacks a voter"}},
-		"a leader that has just begun has heard of nobody": {func() roster.GroupView {
+		"new leader that has not heard of any replica": {func() roster.GroupView {
 			v := fullGroup()
 			v.Known, v.LeadingFor = nil, roster.MinLeaderTime/2
 			v.Members = append(v.Members, learner("f/1"))
 			return v
 		}, roster.Change{}},
 	} {
-		t.Run(what, func(t *testing.T) {
-			got, ok := roster.Decide(c.view())
-			if diff := cmp.Diff(c.want, got); diff != "" || ok != (c.want != roster.Change{}) {
+		t.Run(name, func(t *testing.T) {
+			got, ok := roster.Decide(test.view())
+			if diff := cmp.Diff(test.want, got); diff != "" || ok != (test.want != roster.Change{}) {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// A replica is lost for good, an empty one comes at another address, and soon
-// after two more lose their disks. Were the first still counted as a voter, two
-// votes of five would be left: nothing could ever be decided again.
+// A voter that is lost for good must be replaced by an empty replica at another address. If it
+// stayed a voter and two more voters lost their disks, two of five votes would be left and the
+// group could never reach a quorum again.
 func TestLostVoterIsReplacedByLearner(t *testing.T) {
 	v := fullGroup()
 	v.Known = append(v.Known[:4:4], roster.KnownReplica{Member: member("f/1")})
@@ -116,20 +117,21 @@
 		}
 	}
 	if diff := cmp.Diff([]string{"a/1", "b/1", "c/1", "d/1", "f/1"}, voters); diff != "" || changes != 3 {
-		t.Errorf("after %d changes: %s", changes, diff)
+		t.Errorf("voters after %d changes, want 3 changes: %s", changes, diff)
 	}
 }
 
+// apply returns the view after the membership change.
 func apply(v roster.GroupView, c roster.Change) roster.GroupView {
-	var out []quorum.Member
+	var members []quorum.Member
 	for _, m := range v.Members {
 		if m.ID != c.Member.ID {
-			out = append(out, m)
+			members = append(members, m)
 		}
 	}
 	if !c.Remove {
-		out = append(out, c.Member)
+		members = append(members, c.Member)
 	}
-	v.Members = out
+	v.Members = members
 	return v
 }
