--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -13,8 +13,10 @@
 	"gypsumreel/internal/policy/admit"
 )
 
+// serverSize is the capacity of each of the ten servers in the tests.
 var serverSize = capacity.Size{CPU: 4000, Memory: 4096, Slots: 4}
 
+// view returns a view that admits small jobs, after the given change.
 func view(change func(*admit.View)) admit.View {
 	v := admit.View{Row: team.New("a").WithQueue(100), WaitingTeams: 1, MaxWaiting: 1000, ServerSizes: []capacity.Size{serverSize}, TotalCapacity: serverSize.Times(10)}
 	if change != nil {
--- a/internal/policy/cell/cell.go
+++ b/internal/policy/cell/cell.go
@@ -1,6 +1,6 @@
 // Package cell implements the planner of one cell. It combines the policies for
 // urgent work, services, gangs and batch into one plan.Planner. state.go tracks
-// servers, teams and placed tasks, work.go tracks waiting tasks, decide.go sets the
+// servers, teams and placed tasks, waiting.go tracks waiting tasks, decide.go sets the
 // order of decisions, and each kind of decision has a file of its own.
 package cell
 
--- a/internal/policy/cell/fault_test.go
+++ b/internal/policy/cell/fault_test.go
@@ -284,24 +284,24 @@
 		p.SetServer(s)
 	}
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Name: "one", Count: tasks, Size: taskSize}
-	placedAt := time.Minute
+	now := time.Minute
 	for loss := 1; loss <= 8; loss++ {
 		for i := range tasks {
-			p.SetPlaced(plan.PlacedTask{ID: task.ID{Job: 1, Index: i}, Job: spec, Server: allServers[loss*4+int(i)%4].ID, PlacedAt: placedAt})
+			p.SetPlaced(plan.PlacedTask{ID: task.ID{Job: 1, Index: i}, Job: spec, Server: allServers[loss*4+int(i)%4].ID, PlacedAt: now})
 		}
-		silentAt := placedAt + ranFor
-		placedAt = silentAt + 15*time.Second
+		silentAt := now + ranFor
+		now = silentAt + 15*time.Second
 		for _, s := range allServers[loss*4 : loss*4+4] {
 			p.SetServer(s.WithState(backend.Suspect, silentAt))
-			p.SetServer(s.WithState(backend.Gone, placedAt))
+			p.SetServer(s.WithState(backend.Gone, now))
 		}
 		for i := range tasks {
-			p.EndAttempt(task.ID{Job: 1, Index: i}, plan.AttemptEnd{EndedAt: placedAt, Started: true, ServerLost: true})
+			p.EndAttempt(task.ID{Job: 1, Index: i}, plan.AttemptEnd{EndedAt: now, Started: true, ServerLost: true})
 		}
 		for i := range tasks {
 			p.AddWaiting(plan.WaitingTask{ID: task.ID{Job: 1, Index: i}, Job: spec, Attempts: uint32(loss)})
 		}
-		for _, d := range p.Decide(placedAt, 100) {
+		for _, d := range p.Decide(now, 100) {
 			if d.Action == plan.Park {
 				return loss
 			}
@@ -311,8 +311,8 @@
 }
 
 // A job that crashes every server it starts on must be parked. Otherwise it would be placed
-// again and again and crash the whole cell. A job that ran for an hour before each loss, or
-// lost several servers in the same loss, must not be parked for that.
+// again and again and crash the whole cell. Several servers lost together count as one loss.
+// A job that ran for an hour before each loss must not be parked.
 func TestJobThatCrashesServersIsParked(t *testing.T) {
 	assertEqual(t, "losses until parked, one task", 3, lossesUntilParked(1, time.Second))
 	assertEqual(t, "losses until parked, twelve tasks on servers lost together", 3, lossesUntilParked(12, time.Second))
--- a/internal/policy/cell/state.go
+++ b/internal/policy/cell/state.go
@@ -45,6 +45,7 @@
 // Fields may be negative.
 func (s *server) uncommitted() capacity.Size { return s.Capacity.Sub(s.committed) }
 
+// rackKey identifies a rack. Racks in different zones may have the same name.
 type rackKey struct{ zone, rack string }
 
 type rack struct {
@@ -148,6 +149,7 @@
 	return a.ID.Compare(b.ID) > 0
 }
 
+// team returns the state of the team and creates it if there is none.
 func (p *Planner) team(name string) *teamState {
 	if t := p.teams[name]; t != nil {
 		return t
@@ -164,6 +166,7 @@
 	return t
 }
 
+// server returns the state of the backend server and creates it if there is none.
 func (p *Planner) server(id string) *server {
 	if s := p.serversByID[id]; s != nil {
 		return s
@@ -205,6 +208,7 @@
 	p.rackIndex.Grow(rackCapacity)
 }
 
+// zone returns the availability zone and creates it if there is none.
 func (p *Planner) zone(name string) *zone {
 	for _, z := range p.zones {
 		if z.name == name {
--- a/internal/policy/share/share_test.go
+++ b/internal/policy/share/share_test.go
@@ -11,7 +11,7 @@
 	"gypsumreel/internal/policy/share"
 )
 
-var near = cmpopts.EquateApprox(0, 1e-9)
+var approx = cmpopts.EquateApprox(0, 1e-9)
 
 func TestDivide(t *testing.T) {
 	tests := map[string]struct {
@@ -27,7 +27,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			if diff := cmp.Diff(test.want, share.Divide(test.teams), near); diff != "" {
+			if diff := cmp.Diff(test.want, share.Divide(test.teams), approx); diff != "" {
 				t.Error(diff)
 			}
 		})
@@ -53,7 +53,7 @@
 			sum += target
 			demand += team.Demand
 		}
-		if diff := cmp.Diff(min(1, demand), sum, near); diff != "" {
+		if diff := cmp.Diff(min(1, demand), sum, approx); diff != "" {
 			t.Fatal(diff)
 		}
 	})
