--- a/internal/policy/cell/cell_test.go
+++ b/internal/policy/cell/cell_test.go
@@ -97,8 +97,8 @@
 	runUntil(t, w, 10*time.Second)
 	submit(w, job.Spec{Team: "a", Kind: job.Urgent}, 100, time.Hour)
 	runUntil(t, w, time.Minute)
-	if held := w.Team("a").Slots; held < 11 || held > 13 {
-		t.Errorf("team a holds %d of 24 slots, want 11 to 13", held)
+	if slots := w.Team("a").Slots; slots < 11 || slots > 13 {
+		t.Errorf("team a holds %d of 24 slots, want 11 to 13", slots)
 	}
 }
 
--- a/internal/policy/cell/limit.go
+++ b/internal/policy/cell/limit.go
@@ -31,14 +31,14 @@
 		return true
 	}
 	for {
-		expected := t.allocated.Sub(t.stopping)
-		if expected.Within(t.row.Limit) {
+		usage := t.allocated.Sub(t.stopping)
+		if usage.Within(t.row.Limit) {
 			return true
 		}
 		if p.atDecisionLimit() {
 			return false
 		}
-		pt := p.youngestStoppable(t, expected)
+		pt := p.youngestStoppable(t, usage)
 		if pt == nil {
 			return true
 		}
@@ -49,10 +49,10 @@
 // youngestStoppable returns the youngest task that may be stopped and uses a resource of
 // which the team exceeds its limit. Service tasks are considered last. It returns nil if
 // there is no such task.
-func (p *Planner) youngestStoppable(t *teamState, expected capacity.Size) *placedTask {
+func (p *Planner) youngestStoppable(t *teamState, usage capacity.Size) *placedTask {
 	var found *placedTask
 	t.preemptibleTasks.Each(func(pt *placedTask) bool {
-		if reducesExcess(pt.countedSize, expected, t.row.Limit) {
+		if reducesExcess(pt.countedSize, usage, t.row.Limit) {
 			found = pt
 		}
 		return found == nil
@@ -61,7 +61,7 @@
 		return found
 	}
 	t.serviceTasks.Each(func(pt *placedTask) bool {
-		if reducesExcess(pt.countedSize, expected, t.row.Limit) && pt.jobState.mayStopOne() {
+		if reducesExcess(pt.countedSize, usage, t.row.Limit) && pt.jobState.mayStopOne() {
 			found = pt
 		}
 		return found == nil
@@ -69,9 +69,9 @@
 	return found
 }
 
-// reducesExcess reports whether the size uses a resource in which expected exceeds the limit.
-func reducesExcess(size, expected, limit capacity.Size) bool {
-	fieldExceeds := func(n, expected, limit int64) bool { return limit != capacity.Unlimited && expected > limit && n > 0 }
-	return fieldExceeds(size.CPU, expected.CPU, limit.CPU) || fieldExceeds(size.Memory, expected.Memory, limit.Memory) ||
-		fieldExceeds(size.Accel, expected.Accel, limit.Accel) || fieldExceeds(size.Slots, expected.Slots, limit.Slots)
+// reducesExcess reports whether the size uses a resource in which usage exceeds the limit.
+func reducesExcess(size, usage, limit capacity.Size) bool {
+	fieldExceeds := func(n, usage, limit int64) bool { return limit != capacity.Unlimited && usage > limit && n > 0 }
+	return fieldExceeds(size.CPU, usage.CPU, limit.CPU) || fieldExceeds(size.Memory, usage.Memory, limit.Memory) ||
+		fieldExceeds(size.Accel, usage.Accel, limit.Accel) || fieldExceeds(size.Slots, usage.Slots, limit.Slots)
 }
--- a/internal/policy/cell/reservation.go
+++ b/internal/policy/cell/reservation.go
@@ -125,7 +125,7 @@
 		p.dropReservation(u)
 		return
 	}
-	if len(r.parts) == len(u.tasks) && r.roomIsFree() && p.limitAllows(u) {
+	if len(r.parts) == len(u.tasks) && r.capacityIsFree() && p.limitAllows(u) {
 		servers := make([]*server, 0, len(r.parts))
 		for _, part := range r.parts {
 			servers = append(servers, part.server)
@@ -152,12 +152,12 @@
 	})
 }
 
-// roomIsFree reports whether no task uses any of the reserved capacity.
-func (r *reservation) roomIsFree() bool {
-	neededByServer := map[*server]capacity.Size{}
+// capacityIsFree reports whether no placed task still takes any of the reserved capacity.
+func (r *reservation) capacityIsFree() bool {
+	reservedByServer := map[*server]capacity.Size{}
 	for _, part := range r.parts {
-		neededByServer[part.server] = neededByServer[part.server].Add(part.size)
-		if !neededByServer[part.server].Fits(part.server.uncommitted()) {
+		reservedByServer[part.server] = reservedByServer[part.server].Add(part.size)
+		if !reservedByServer[part.server].Fits(part.server.uncommitted()) {
 			return false
 		}
 	}
--- a/internal/policy/cell/urgent.go
+++ b/internal/policy/cell/urgent.go
@@ -94,11 +94,11 @@
 		more = more.Add(u.totalSize())
 	}
 	for !p.atDecisionLimit() {
-		expected := t.allocated.Sub(t.stopping).Add(more)
-		if expected.Within(t.row.Limit) {
+		usage := t.allocated.Sub(t.stopping).Add(more)
+		if usage.Within(t.row.Limit) {
 			return
 		}
-		pt := p.youngestStoppable(t, expected)
+		pt := p.youngestStoppable(t, usage)
 		if pt == nil || !pt.preemptible() {
 			return
 		}
--- a/internal/policy/fit/fit.go
+++ b/internal/policy/fit/fit.go
@@ -76,10 +76,10 @@
 	}
 	x.maxSize = x.maxSize.Max(maxSize)
 	x.levelSize = capacity.Size{CPU: levelStep(x.maxSize.CPU), Memory: levelStep(x.maxSize.Memory), Accel: levelStep(x.maxSize.Accel), Slots: levelStep(x.maxSize.Slots)}
-	old := x.summaries
+	oldSummaries := x.summaries
 	x.buckets, x.summaries = map[level]*bucket[T]{}, nil
-	for _, h := range old {
-		for _, e := range h.bucket.elements {
+	for _, summary := range oldSummaries {
+		for _, e := range summary.bucket.elements {
 			x.insert(e)
 		}
 	}
@@ -124,9 +124,9 @@
 
 // removeBucket removes an empty bucket.
 func (x *Index[T]) removeBucket(b *bucket[T]) {
-	end := x.summaries[len(x.summaries)-1]
-	x.summaries[b.summaryPos] = end
-	end.bucket.summaryPos = b.summaryPos
+	last := x.summaries[len(x.summaries)-1]
+	x.summaries[b.summaryPos] = last
+	last.bucket.summaryPos = b.summaryPos
 	x.summaries = x.summaries[:len(x.summaries)-1]
 	delete(x.buckets, b.level)
 }
@@ -187,8 +187,8 @@
 		}
 	}
 	if best == nil {
-		var none T
-		return none, bound, false
+		var zero T
+		return zero, bound, false
 	}
 	return best.Item, bound, true
 }
--- a/internal/policy/plan/plan.go
+++ b/internal/policy/plan/plan.go
@@ -25,17 +25,17 @@
 	// all waiting tasks of a job before the next Decide: the tasks of a new job together, and
 	// a task to be retried together with its EndAttempt. A gang is therefore always complete,
 	// and a task that is not added again has ended.
-	AddWaiting(q WaitingTask)
+	AddWaiting(t WaitingTask)
 	// RemoveWaiting removes a task that no longer waits and was not placed.
 	RemoveWaiting(id task.ID)
 	// SetPlaced records that a task was placed. The task takes capacity until EndAttempt. The
 	// caller calls it again when an order to stop the task has been issued. A task that Decide
 	// placed waits again if SetPlaced does not confirm it before the next Decide.
-	SetPlaced(h PlacedTask)
+	SetPlaced(t PlacedTask)
 	// SetUsage records the usage reported for a placed task and the time of the measurement.
-	SetUsage(id task.ID, used capacity.Size, at time.Duration)
+	SetUsage(id task.ID, usage capacity.Size, measuredAt time.Duration)
 	// EndAttempt records that an attempt has verifiably stopped running.
-	EndAttempt(id task.ID, how AttemptEnd)
+	EndAttempt(id task.ID, end AttemptEnd)
 	// Decide returns at most limit decisions, the most urgent first. The caller applies all of
 	// them and reports their effects before it calls Decide again. A placement that SetPlaced
 	// has not reported by then was refused.
--- a/internal/policy/preempt/preempt.go
+++ b/internal/policy/preempt/preempt.go
@@ -55,21 +55,21 @@
 // dropUnneeded removes the chosen victims that are not needed, the last ones first. It
 // returns the remaining victims and their lost work.
 func dropUnneeded[T any](need, free capacity.Size, chosen []Victim[T]) ([]Victim[T], float64, bool) {
-	kept := chosen[:0]
+	needed := chosen[:0]
 	lost := 0.0
 	for i := len(chosen) - 1; i >= 0; i-- {
-		if rest := free.Sub(chosen[i].Freed); need.Fits(rest) {
-			free = rest
+		if remaining := free.Sub(chosen[i].Freed); need.Fits(remaining) {
+			free = remaining
 			chosen[i].Freed = capacity.Size{}
 		}
 	}
 	for _, v := range chosen {
 		if !v.Freed.IsZero() {
-			kept = append(kept, v)
+			needed = append(needed, v)
 			lost += v.LostWork
 		}
 	}
-	return kept, lost, true
+	return needed, lost, true
 }
 
 // RestartCost is the time lost by each preemption: the task is stopped, placed and started
--- a/internal/policy/preempt/preempt_test.go
+++ b/internal/policy/preempt/preempt_test.go
@@ -34,10 +34,10 @@
 			sum = sum.Add(v.Freed)
 		}
 		need, free := cpu(rapid.Int64Range(1, 20).Draw(t, "need")), cpu(rapid.Int64Range(-3, 3).Draw(t, "free"))
-		possible := need.Fits(free.Add(sum))
+		sufficient := need.Fits(free.Add(sum))
 		chosen, _, ok := preempt.Choose(need, free, candidates)
-		if ok != possible {
-			t.Fatalf("victims found: %v, enough candidates: %v", ok, possible)
+		if ok != sufficient {
+			t.Fatalf("victims found: %v, enough candidates: %v", ok, sufficient)
 		}
 		for _, v := range chosen {
 			free = free.Add(v.Freed)
--- a/internal/policy/queue/queue_test.go
+++ b/internal/policy/queue/queue_test.go
@@ -29,7 +29,7 @@
 		var list []item
 		for range rapid.IntRange(0, 100).Draw(t, "changes") {
 			i := item{rapid.IntRange(0, 20).Draw(t, "key"), rapid.IntRange(0, 5).Draw(t, "rank")}
-			list = slices.DeleteFunc(list, func(o item) bool { return o.key == i.key })
+			list = slices.DeleteFunc(list, func(other item) bool { return other.key == i.key })
 			if rapid.Bool().Draw(t, "remove") {
 				q.Remove(i.key)
 				continue
--- a/internal/policy/roster/roster_test.go
+++ b/internal/policy/roster/roster_test.go
@@ -108,7 +108,7 @@
 		if !ok {
 			break
 		}
-		v = apply(v, c)
+		v = applyChange(v, c)
 	}
 	var voters []string
 	for _, m := range v.Members {
@@ -121,8 +121,8 @@
 	}
 }
 
-// apply returns the view after the membership change.
-func apply(v roster.GroupView, c roster.Change) roster.GroupView {
+// applyChange returns the view after the membership change.
+func applyChange(v roster.GroupView, c roster.Change) roster.GroupView {
 	var members []quorum.Member
 	for _, m := range v.Members {
 		if m.ID != c.Member.ID {
