--- a/internal/policy/admit/admit.go
+++ b/internal/policy/admit/admit.go
@@ -1,6 +1,6 @@
-// Package admit decides whether a submission is taken: what can never run, what no queue has room
-// for, and what would come too late is refused at once, so that "not run" is
-// said early and truly. It is pure; the jitter of hints is passed in.
+// Package admit implements admission control. It refuses jobs that can never run, jobs
+// that exceed a queue limit and jobs that would miss their deadline, so that callers learn
+// early that a job is not run. It is pure: the caller passes the jitter of the retry time.
 package admit
 
 import (
@@ -14,103 +14,108 @@
 
 // Bounds of admission.
 const (
-	// Shed is the part of the cell's queue from which teams are refused that hold
-	// more of it than their part.
-	Shed = 0.8
-	// FirstRetry is the shortest hint.
-	FirstRetry = 200 * time.Millisecond
-	// LongestRetry is the longest hint.
-	LongestRetry = 30 * time.Second
+	// ShedThreshold is the fill level of the cell's queue above which jobs are refused from
+	// teams that have more than an equal part of the waiting jobs.
+	ShedThreshold = 0.8
+	// MinRetryAfter is the shortest retry time returned.
+	MinRetryAfter = 200 * time.Millisecond
+	// MaxRetryAfter is the longest retry time returned, jitter included.
+	MaxRetryAfter = 30 * time.Second
 )
 
-// View is what admission looks at.
+// View is the state of the team and the cell that admission depends on.
 type View struct {
-	// Row is the team's row of the table.
+	// Row is the team's row in the table.
 	Row team.Row
-	// Waiting is the number of the team's jobs that wait.
-	Waiting int
-	// Cell is the number of jobs of all teams that wait.
-	Cell int
-	// Bound is the most that may wait in all.
-	Bound int
-	// Teams is the number of teams with waiting jobs, this one included.
-	Teams int
-	// Largest holds the sizes of the kinds of server announced.
-	Largest []capacity.Size
-	// Total is the room of all announced servers together.
-	Total capacity.Size
-	// Drain is the team's waiting jobs placed a second; 0 when unknown.
-	Drain float64
+	// TeamWaiting is the number of waiting jobs of the team.
+	TeamWaiting int
+	// CellWaiting is the number of waiting jobs of all teams.
+	CellWaiting int
+	// MaxWaiting is the limit of waiting jobs of all teams. No limit applies if it is not positive.
+	MaxWaiting int
+	// WaitingTeams is the number of teams with waiting jobs, including this one.
+	WaitingTeams int
+	// ServerSizes holds the different capacities of the announced backend servers.
+	ServerSizes []capacity.Size
+	// TotalCapacity is the capacity of all announced backend servers together.
+	TotalCapacity capacity.Size
+	// DrainRate is the number of the team's waiting jobs that are placed per second, 0 if unknown.
+	DrainRate float64
 }
 
-// Check refuses the job or returns nil. The duration tells the caller when to
-// come back; 0 means never with this request. Jitter lies in [0, 1).
+// Check returns nil if the job is admitted, otherwise the reason of the refusal. The duration
+// is the time after which the caller may retry. It is 0 if a retry of the same job cannot
+// succeed. Jitter lies in [0, 1).
 func Check(spec *job.Spec, v View, jitter float64) (*code.Error, time.Duration) {
-	if err := possible(spec, v); err != nil {
+	if err := checkFits(spec, v); err != nil {
 		return err, 0
 	}
-	if v.Row.Queue > 0 && v.Waiting >= int(v.Row.Queue) {
-		return code.New(code.QueueFull, "team %s has %d jobs waiting", spec.Team, v.Waiting), hint(v, jitter)
+	if v.Row.Queue > 0 && v.TeamWaiting >= int(v.Row.Queue) {
+		return code.New(code.QueueFull, "team %s already has %d waiting jobs", spec.Team, v.TeamWaiting), retryAfter(v, jitter)
 	}
-	if crowded(v) {
-		return code.New(code.Overloaded, "%d jobs wait in all", v.Cell), hint(v, jitter)
+	if overloaded(v) {
+		return code.New(code.Overloaded, "%d jobs are waiting in the cell", v.CellWaiting), retryAfter(v, jitter)
 	}
-	if late(spec, v) {
-		return code.New(code.DeadlinePassed, "about %s of work waits before it", ahead(v)), hint(v, jitter)
+	if missesDeadline(spec, v) {
+		return code.New(code.DeadlinePassed, "the estimated wait of %s is longer than the deadline", estimatedWait(v)), retryAfter(v, jitter)
 	}
 	return nil, 0
 }
 
-// possible refuses what no server, or no limit of the team, could ever hold.
-func possible(spec *job.Spec, v View) *code.Error {
+// checkFits refuses malformed jobs and jobs that exceed the team limit, the largest server or,
+// for gangs, the cell.
+func checkFits(spec *job.Spec, v View) *code.Error {
 	if spec.Count == 0 || !spec.Size.Valid() {
-		return code.New(code.Malformed, "count %d, size %v", spec.Count, spec.Size)
+		return code.New(code.Malformed, "invalid job: count %d, size %v", spec.Count, spec.Size)
 	}
-	least := spec.Size
+	minSize := spec.Size
 	if spec.Whole() {
-		least = spec.Total()
+		minSize = spec.Total()
 	}
-	if !least.Within(v.Row.Limit) {
-		return code.New(code.NeverFits, "the team's limit is %v", v.Row.Limit)
+	if !minSize.Within(v.Row.Limit) {
+		return code.New(code.NeverFits, "the job exceeds the team limit of %v", v.Row.Limit)
 	}
-	if len(v.Largest) == 0 {
+	if len(v.ServerSizes) == 0 {
 		return nil
 	}
-	if spec.Whole() && !least.Fits(v.Total) {
-		return code.New(code.NeverFits, "the cell has %v in all", v.Total)
+	if spec.Whole() && !minSize.Fits(v.TotalCapacity) {
+		return code.New(code.NeverFits, "the gang exceeds the total cell capacity of %v", v.TotalCapacity)
 	}
-	for _, s := range v.Largest {
+	for _, s := range v.ServerSizes {
 		if spec.Size.Fits(s) {
 			return nil
 		}
 	}
-	return code.New(code.NeverFits, "no server holds %v", spec.Size)
+	return code.New(code.NeverFits, "no server has the capacity for a task of %v", spec.Size)
 }
 
-// crowded refuses, once the cell's queue is nearly full, the teams that take
-// more than an equal part of it; the others are still let in until it is full.
-func crowded(v View) bool {
-	if v.Bound <= 0 || float64(v.Cell) < Shed*float64(v.Bound) {
+// overloaded reports whether the cell's queue is too full for a job of this team. Above
+// ShedThreshold, teams with more than an equal part of the waiting jobs are refused. Other
+// teams are admitted until the queue is full.
+func overloaded(v View) bool {
+	if v.MaxWaiting <= 0 || float64(v.CellWaiting) < ShedThreshold*float64(v.MaxWaiting) {
 		return false
 	}
-	return v.Cell >= v.Bound && v.Waiting > 0 || v.Waiting*max(1, v.Teams) > v.Cell
+	return v.CellWaiting >= v.MaxWaiting && v.TeamWaiting > 0 || v.TeamWaiting*max(1, v.WaitingTeams) > v.CellWaiting
 }
 
-// late refuses batch that would wait beyond its deadline anyway; urgent work does
-// not wait behind the team's queue and is always let in.
-func late(spec *job.Spec, v View) bool {
-	return spec.Deadline > 0 && spec.Kind != job.Urgent && v.Drain > 0 && ahead(v) > spec.Deadline
+// missesDeadline reports whether the job would wait beyond its deadline. Urgent jobs are always
+// admitted, because they do not wait behind the team's queue.
+func missesDeadline(spec *job.Spec, v View) bool {
+	return spec.Deadline > 0 && spec.Kind != job.Urgent && v.DrainRate > 0 && estimatedWait(v) > spec.Deadline
 }
 
-func ahead(v View) time.Duration {
-	if v.Drain <= 0 {
+// estimatedWait returns the time until the team's waiting jobs are placed, 0 if unknown.
+func estimatedWait(v View) time.Duration {
+	if v.DrainRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(v.Waiting) / v.Drain * float64(time.Second))
+	return time.Duration(float64(v.TeamWaiting) / v.DrainRate * float64(time.Second))
 }
 
-// hint spreads the returns over the time in which a tenth of the queue drains.
-func hint(v View, jitter float64) time.Duration {
-	base := min(max(ahead(v)/10, FirstRetry), LongestRetry/2)
+// retryAfter returns a time between one and two tenths of the estimated wait, so that the
+// retries of refused callers are spread out.
+func retryAfter(v View, jitter float64) time.Duration {
+	base := min(max(estimatedWait(v)/10, MinRetryAfter), MaxRetryAfter/2)
 	return base + time.Duration(jitter*float64(base))
 }
--- a/internal/policy/cell/cell.go
+++ b/internal/policy/cell/cell.go
@@ -1,7 +1,7 @@
-// Package cell is the product's planner: it composes the policies for urgent
-// work, services, gangs and batch into one plan.Planner. Files: books.go keeps
-// what runs where, work.go what waits, decide.go the order of decisions, and one
-// file for each kind of decision.
+// Package cell implements the planner of one cell. It combines the policies for
+// urgent work, services, gangs and batch into one plan.Planner. state.go tracks
+// servers, teams and placed tasks, waiting.go tracks waiting tasks, decide.go sets the
+// order of decisions, and each kind of decision has a file of its own.
 package cell
 
 import (
@@ -22,295 +22,300 @@
 
 // Defaults of Config.
 const (
-	// DefaultDepth is the number of a team's waiting units that one decision looks at.
-	DefaultDepth = 16
-	// DefaultSlack is the part of the cell by which a team may miss its target
-	// before others are preempted for it.
-	DefaultSlack = 0.015
-	// DefaultRebalance is the time between two computations of the targets.
-	DefaultRebalance = 100 * time.Millisecond
-	// DefaultGrace is the time a throttled task is given to fall back to its size.
-	DefaultGrace = 10 * time.Second
-	// DefaultPatience is how long a gang gathers room before it preempts.
-	DefaultPatience = time.Second
+	// DefaultScanDepth is the number of a team's waiting units that one placement examines.
+	DefaultScanDepth = 16
+	// DefaultShareSlack is the fraction of the cell by which a team may be below its target
+	// share before tasks of other teams are preempted for it.
+	DefaultShareSlack = 0.015
+	// DefaultRebalanceInterval is the longest time between two computations of the target shares.
+	DefaultRebalanceInterval = 100 * time.Millisecond
+	// DefaultThrottleGrace is how long a throttled task may exceed its declared size before
+	// the planner stops it.
+	DefaultThrottleGrace = 10 * time.Second
+	// DefaultGangPreemptDelay is how long a gang collects free capacity before the planner
+	// preempts other tasks for it.
+	DefaultGangPreemptDelay = time.Second
 )
 
-// Part names a mechanism that a comparison can leave out.
-type Part uint32
+// Mechanism is a set of planner mechanisms that a comparison run can disable.
+type Mechanism uint32
 
-// The parts.
+// The mechanisms.
 const (
-	// Reserve is the room kept free for urgent work.
-	Reserve Part = 1 << iota
-	// Reclaim is preemption for teams below their target.
-	Reclaim
-	// UrgentPreempt is preemption for urgent work.
+	// UrgentReserve keeps capacity free for urgent work.
+	UrgentReserve Mechanism = 1 << iota
+	// SharePreempt preempts tasks for teams below their target share.
+	SharePreempt
+	// UrgentPreempt preempts tasks for urgent work and for displaced services.
 	UrgentPreempt
-	// Estimates are the learned run times.
-	Estimates
-	// Reservation holds room together for gangs.
-	Reservation
-	// Quarantine takes failing servers out of use.
+	// RuntimeEstimates replaces declared run times by run times learned from past attempts.
+	RuntimeEstimates
+	// GangReservation collects reserved capacity for gangs until all their tasks fit.
+	GangReservation
+	// Quarantine stops placements on failing servers.
 	Quarantine
-	// BestFit prefers the tightest server to any.
+	// BestFit selects the server with the least capacity left over instead of the first that fits.
 	BestFit
-	// Racks keeps gangs together.
-	Racks
-	// GangLead lets gangs go before their team's batch.
-	GangLead
-	// Shortest orders a team's work by expected run time as well as by age.
-	Shortest
+	// RackLocality places a gang in one rack, or else in one zone, where possible.
+	RackLocality
+	// GangPriority ranks gangs ahead of their team's batch.
+	GangPriority
+	// ShortestFirst ranks a team's work by expected run time as well as by age.
+	ShortestFirst
 )
 
-// Config tunes the planner; the zero value works.
+// Config configures the planner. Zero values select the defaults.
 type Config struct {
-	// Seed feeds the jitter of backoff.
+	// Seed initializes the random source for backoff jitter.
 	Seed uint64
-	// Depth is DefaultDepth when 0.
-	Depth int
-	// Slack is DefaultSlack when 0.
-	Slack float64
-	// Rebalance is DefaultRebalance when 0.
-	Rebalance time.Duration
-	// Grace is DefaultGrace when 0.
-	Grace time.Duration
-	// Patience is DefaultPatience when 0.
-	Patience time.Duration
-	// Without leaves parts out; for comparison only.
-	Without Part
+	// ScanDepth is DefaultScanDepth when 0.
+	ScanDepth int
+	// ShareSlack is DefaultShareSlack when 0.
+	ShareSlack float64
+	// RebalanceInterval is DefaultRebalanceInterval when 0.
+	RebalanceInterval time.Duration
+	// ThrottleGrace is DefaultThrottleGrace when 0.
+	ThrottleGrace time.Duration
+	// GangPreemptDelay is DefaultGangPreemptDelay when 0.
+	GangPreemptDelay time.Duration
+	// Disabled is the set of mechanisms to switch off. It is meant for comparison runs only.
+	Disabled Mechanism
 }
 
 func (c Config) withDefaults() Config {
-	if c.Depth == 0 {
-		c.Depth = DefaultDepth
+	if c.ScanDepth == 0 {
+		c.ScanDepth = DefaultScanDepth
 	}
-	if c.Slack == 0 {
-		c.Slack = DefaultSlack
+	if c.ShareSlack == 0 {
+		c.ShareSlack = DefaultShareSlack
 	}
-	if c.Rebalance == 0 {
-		c.Rebalance = DefaultRebalance
+	if c.RebalanceInterval == 0 {
+		c.RebalanceInterval = DefaultRebalanceInterval
 	}
-	if c.Grace == 0 {
-		c.Grace = DefaultGrace
+	if c.ThrottleGrace == 0 {
+		c.ThrottleGrace = DefaultThrottleGrace
 	}
-	if c.Patience == 0 {
-		c.Patience = DefaultPatience
+	if c.GangPreemptDelay == 0 {
+		c.GangPreemptDelay = DefaultGangPreemptDelay
 	}
 	return c
 }
 
-// Planner decides for one cell.
+// Planner makes the scheduling decisions of one cell. It implements plan.Planner.
 type Planner struct {
 	cfg Config
 	rng *rand.Rand
 	now time.Duration
 
-	// What the ledger told: teams in the order of their need, servers in the order
-	// of their announcement.
-	table   table.Table
-	teams   map[string]*account
-	order   *queue.Queue[string, *account]
-	servers map[string]*server
-	list    []*server
-	racks   map[rackName]*rack
-	zones   []*zone
+	// State reported by the ledger. teamsByNeed is ordered by usageRatio, serverList by
+	// the time of announcement.
+	table       table.Table
+	teams       map[string]*teamState
+	teamsByNeed *queue.Queue[string, *teamState]
+	serversByID map[string]*server
+	serverList  []*server
+	racks       map[rackKey]*rack
+	zones       []*zone
 
-	// total is the capacity that shares are parts of, free what is not taken.
-	total capacity.Size
-	free  capacity.Size
-	// most is the largest server's capacity in each field; sizes counts the
+	// totalCapacity is the capacity that shares are fractions of. freeCapacity is the
+	// available capacity of all ready servers.
+	totalCapacity capacity.Size
+	freeCapacity  capacity.Size
+	// maxServerSize is the largest server capacity in each field. serverSizes counts the
 	// servers of each capacity.
-	most  capacity.Size
-	sizes map[capacity.Size]int
+	maxServerSize capacity.Size
+	serverSizes   map[capacity.Size]int
 
-	// rackIndex finds racks for gangs; each zone has an index of its servers.
+	// rackIndex finds racks for gangs. Each zone has an index of its servers.
 	rackIndex *fit.Index[*rack]
-	// failed holds what fits nowhere now, and grown counts the changes that may
-	// let something fit that did not before.
-	failed frontier
-	grown  uint64
+	// unplaceable holds the sizes that currently fit on no server. freeRevision counts the
+	// changes after which a unit may fit that did not fit before.
+	unplaceable  unplaceableSizes
+	freeRevision uint64
 
-	// What runs and what waits, by task. A unit that waits is new (fresh), not yet
-	// ready (later), larger than any server (never), or in its team's queue; late
-	// orders those with a deadline.
-	works  map[uint64]*work
-	held   map[task.ID]*holding
-	waits  map[task.ID]*unit
-	fresh  []*unit
-	later  *queue.Queue[task.ID, *unit]
-	never  *queue.Queue[task.ID, *unit]
-	late   *queue.Queue[task.ID, *unit]
-	urgent int
-	seq    uint64
+	// Jobs, placed tasks and waiting tasks. A waiting unit is in newUnits until the next
+	// decision, then in delayedUnits if it is not ready yet, in unplaceableUnits if its tasks
+	// are larger than any server, or in its team's queue. unitsByDeadline orders the units
+	// with a deadline.
+	jobs               map[uint64]*jobState
+	placed             map[task.ID]*placedTask
+	waiting            map[task.ID]*unit
+	newUnits           []*unit
+	delayedUnits       *queue.Queue[task.ID, *unit]
+	unplaceableUnits   *queue.Queue[task.ID, *unit]
+	unitsByDeadline    *queue.Queue[task.ID, *unit]
+	urgentWaitingCount int
+	lastSequence       uint64
 
-	// Room that is kept: for urgent work to come, and for units that wait for it.
-	reserve urgent.Reserve
-	rooms   []*room
-	claims  []*claim
-	gangs   int
+	// Reserved capacity: the urgent reserve for future urgent tasks, and reservations for
+	// units that wait for capacity to become free.
+	urgentReserve        urgent.Reserve
+	reserveBlocks        []*reserveBlock
+	reservations         []*reservation
+	gangReservationCount int
 
-	estimates *health.Estimates
-	guard     *health.Guard
+	runtimeEstimates *health.Estimates
+	healthGuard      *health.Guard
 
-	// What the next call of Decide has to look at.
-	assumed     []*holding
-	pending     []plan.Decision
-	over        []*holding
-	broken      []*work
-	spent       []*work
-	suspects    []*server
-	excess      []*account
-	moving      []*holding
-	quarantined []*server
-	displaced   []*unit
-	idle        []*work
+	// Work lists for the next call of Decide.
+	unconfirmedTasks   []*placedTask
+	pendingDecisions   []plan.Decision
+	overuseTasks       []*placedTask
+	brokenGangs        []*jobState
+	exhaustedJobs      []*jobState
+	suspectServers     []*server
+	overLimitTeams     []*teamState
+	servicesToMove     []*placedTask
+	quarantinedServers []*server
+	displacedServices  []*unit
+	idleJobs           []*jobState
 
-	// balanced and reclaims are when targets were computed and room was taken
-	// back; stale asks for new targets at once.
-	balanced time.Duration
-	reclaims time.Duration
-	stale    bool
+	// rebalancedAt is the time of the last computation of target shares, reclaimedAt that of
+	// the last preemption round for shares. targetsStale forces a new computation.
+	rebalancedAt time.Duration
+	reclaimedAt  time.Duration
+	targetsStale bool
 
-	// The call of Decide under way.
-	out     []plan.Decision
-	limit   int
-	scratch []*unit
+	// State of the current call of Decide.
+	decisions    []plan.Decision
+	maxDecisions int
+	unitBuffer   []*unit
 }
 
 var _ plan.Planner = (*Planner)(nil)
 
-// New returns a planner that knows nothing yet.
+// New returns a planner without servers, teams or tasks.
 func New(cfg Config) *Planner {
 	cfg = cfg.withDefaults()
 	p := &Planner{
-		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), stale: true, grown: 1,
-		teams: map[string]*account{}, servers: map[string]*server{}, racks: map[rackName]*rack{}, sizes: map[capacity.Size]int{},
-		works: map[uint64]*work{}, held: map[task.ID]*holding{}, waits: map[task.ID]*unit{},
-		rackIndex: fit.NewIndex[*rack](),
-		estimates: health.NewEstimates(), guard: health.NewGuard(),
+		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), targetsStale: true, freeRevision: 1,
+		teams: map[string]*teamState{}, serversByID: map[string]*server{}, racks: map[rackKey]*rack{}, serverSizes: map[capacity.Size]int{},
+		jobs: map[uint64]*jobState{}, placed: map[task.ID]*placedTask{}, waiting: map[task.ID]*unit{},
+		rackIndex:        fit.NewIndex[*rack](),
+		runtimeEstimates: health.NewEstimates(), healthGuard: health.NewGuard(),
 	}
-	p.order = queue.New(func(c *account) string { return c.name }, neediest)
-	p.later = queue.New(unitKey, soonest)
-	p.never = queue.New(unitKey, oldest)
-	p.late = queue.New(unitKey, expiresFirst)
-	p.estimates.Off = p.lacks(Estimates)
+	p.teamsByNeed = queue.New(func(t *teamState) string { return t.name }, byUsageRatio)
+	p.delayedUnits = queue.New(unitKey, byReadyTime)
+	p.unplaceableUnits = queue.New(unitKey, bySequence)
+	p.unitsByDeadline = queue.New(unitKey, byDeadline)
+	p.runtimeEstimates.Off = p.disabled(RuntimeEstimates)
 	return p
 }
 
-func (p *Planner) lacks(part Part) bool { return p.cfg.Without&part != 0 }
+func (p *Planner) disabled(mechanism Mechanism) bool { return p.cfg.Disabled&mechanism != 0 }
 
-// SetTable puts a new revision of the table in force. New limits bind the next
-// decision; what runs above a lowered one is preempted by the rule in excess.go.
+// SetTable replaces the table. New limits apply from the next decision. Tasks above a
+// lowered limit are preempted as enforceLimits describes.
 func (p *Planner) SetTable(t table.Table) {
 	p.table = t
-	p.stale = true
-	p.grown++
+	p.targetsStale = true
+	p.freeRevision++
 	for _, r := range t.Rows() {
-		p.account(r.Name)
+		p.team(r.Name)
 	}
-	p.order.Each(func(c *account) bool {
-		c.row, c.known = t.Row(c.name)
-		c.blocked = 0
-		p.excess = append(p.excess, c)
+	p.teamsByNeed.Each(func(state *teamState) bool {
+		state.row, state.inTable = t.Row(state.name)
+		state.blockedRevision = 0
+		p.overLimitTeams = append(p.overLimitTeams, state)
 		return true
 	})
 }
 
-// SetServer tells of a new or changed backend server.
+// SetServer adds or updates a backend server.
 func (p *Planner) SetServer(s backend.Server) {
 	srv := p.server(s.ID)
 	old := srv.Server
-	p.uncount(srv)
+	p.removeFromTotals(srv)
 	srv.Server = s
-	p.settle(srv)
-	p.count(srv)
-	p.touch(srv)
-	p.stale = true
+	p.assignRack(srv)
+	p.addToTotals(srv)
+	p.refreshFree(srv)
+	p.targetsStale = true
 	if s.State != backend.Quarantined && old.State == backend.Quarantined || s.Incarnation != old.Incarnation {
-		p.guard.Leave(srv.num)
+		p.healthGuard.Leave(srv.number)
 	}
-	if missing(s) && !missing(old) {
-		srv.silent = s.Since
+	if unreachable(s) && !unreachable(old) {
+		srv.silentSince = s.Since
 	}
 	if s.State == backend.Quarantined {
-		p.confine(srv, s.Since)
+		p.markQuarantined(srv, s.Since)
 	}
-	if s.State != backend.Ready && srv.rooms > 0 {
-		p.dropRooms(func(r *room) bool { return r.srv == srv })
+	if s.State != backend.Ready && srv.reserveBlockCount > 0 {
+		p.dropReserveBlocks(func(r *reserveBlock) bool { return r.server == srv })
 	}
 	if s.State == backend.Draining && old.State != s.State {
-		p.move(srv)
+		p.listServicesToMove(srv)
 	}
 }
 
-// missing tells whether a server is not heard of.
-func missing(s backend.Server) bool {
+// unreachable reports whether the server's heartbeats are missing.
+func unreachable(s backend.Server) bool {
 	return s.State == backend.Suspect || s.State == backend.Gone
 }
 
-// Hold tells that a task was placed; it counts until Release.
-func (p *Planner) Hold(h plan.Held) {
-	if known := p.held[h.ID]; known != nil {
-		p.confirm(known, h)
+// SetPlaced records that a task was placed. The task takes capacity until EndAttempt.
+func (p *Planner) SetPlaced(placement plan.PlacedTask) {
+	if known := p.placed[placement.ID]; known != nil {
+		p.confirmPlacement(known, placement)
 		return
 	}
-	p.take(h.ID)
-	p.put(h, p.server(h.Server))
+	p.dequeuePlaced(placement.ID)
+	p.addTask(placement, p.server(placement.Server))
 }
 
-// Use tells what a held task was reported to use. What it uses beyond its
-// declared size counts against its server and its team like the rest.
-func (p *Planner) Use(id task.ID, used capacity.Size, at time.Duration) {
-	h := p.held[id]
-	if h == nil || at < h.usedAt {
+// SetUsage records the reported usage of a placed task. Usage above the declared size is
+// charged to the server and the team as well.
+func (p *Planner) SetUsage(id task.ID, usage capacity.Size, measuredAt time.Duration) {
+	pt := p.placed[id]
+	if pt == nil || measuredAt < pt.usageAt {
 		return
 	}
-	h.usedAt = at
-	p.recount(h, h.Job.Size.Max(used))
-	h.exceeds = exceeds(used, h.Job.Size)
-	if h.exceeds && !h.listed {
-		h.listed = true
-		p.over = append(p.over, h)
+	pt.usageAt = measuredAt
+	p.setCountedSize(pt, pt.Job.Size.Max(usage))
+	pt.exceedsDeclared = exceedsDeclared(usage, pt.Job.Size)
+	if pt.exceedsDeclared && !pt.inOveruseList {
+		pt.inOveruseList = true
+		p.overuseTasks = append(p.overuseTasks, pt)
 	}
 }
 
-// Release tells that an attempt is proved to run no more.
-func (p *Planner) Release(id task.ID, how plan.End) {
-	h := p.held[id]
-	if h == nil {
+// EndAttempt records that an attempt has verifiably stopped running.
+func (p *Planner) EndAttempt(id task.ID, end plan.AttemptEnd) {
+	pt := p.placed[id]
+	if pt == nil {
 		return
 	}
-	p.remove(h)
-	p.learn(h, how)
-	if h.Job.Whole() {
-		p.loosen(h, how)
+	p.removeTask(pt)
+	p.recordEnd(pt, end)
+	if pt.Job.Whole() {
+		p.handleGangTaskEnd(pt, end)
 	}
-	p.tidy(h.work)
+	p.listIfIdle(pt.jobState)
 }
 
-// Queue tells that a task waits to be placed. All tasks of a job that wait are
-// told of before the next Decide, so that a gang is seen whole.
-func (p *Planner) Queue(q plan.Queued) {
-	if p.held[q.ID] != nil || p.waits[q.ID] != nil {
+// AddWaiting adds a task that waits to be placed. The caller adds all waiting tasks of a
+// job before the next Decide, so that a gang is complete.
+func (p *Planner) AddWaiting(waiting plan.WaitingTask) {
+	if p.placed[waiting.ID] != nil || p.waiting[waiting.ID] != nil {
 		return
 	}
-	w := p.work(q.ID.Job, q.Job)
-	if w.budget.Spent() {
-		p.spent = append(p.spent, w)
+	js := p.jobState(waiting.ID.Job, waiting.Job)
+	if js.failureBudget.Spent() {
+		p.exhaustedJobs = append(p.exhaustedJobs, js)
 	}
-	p.enqueue(w, q)
+	p.enqueue(js, waiting)
 }
 
-// Unqueue tells that a task waits no more and was not placed.
-func (p *Planner) Unqueue(id task.ID) {
-	if u := p.waits[id]; u != nil {
+// RemoveWaiting removes a task that no longer waits and was not placed.
+func (p *Planner) RemoveWaiting(id task.ID) {
+	if u := p.waiting[id]; u != nil {
 		p.dequeue(u, id)
-		p.tidy(u.work)
+		p.listIfIdle(u.jobState)
 	}
 }
 
-// kindOf names the queue that a job waits in.
-func kindOf(spec *job.Spec) job.Kind {
+// queueKind returns the kind of the queue that the job waits in. Gangs share the batch queue.
+func queueKind(spec *job.Spec) job.Kind {
 	if spec.Kind == job.Gang {
 		return job.Batch
 	}
--- a/internal/policy/cell/urgent.go
+++ b/internal/policy/cell/urgent.go
@@ -8,188 +8,194 @@
 
 // Bounds of the work done for urgent tasks in one call.
 const (
-	// mostSearches is the number of searches for victims.
-	mostSearches = 4
-	// mostVain is the number of urgent tasks looked at for which there is no room.
-	mostVain = 64
-	// urgentDepth is the number of a team's urgent tasks looked at.
-	urgentDepth = 32
-	// mostRefills is the number of rooms added to the reserve.
-	mostRefills = 4
+	// maxVictimSearches bounds the searches for preemption victims.
+	maxVictimSearches = 4
+	// maxFailedPlacements is the number of urgent tasks without free capacity after which the
+	// call stops placing urgent tasks.
+	maxFailedPlacements = 64
+	// urgentScanDepth bounds the urgent tasks examined per team.
+	urgentScanDepth = 32
+	// maxReserveRefills bounds the blocks added to the urgent reserve.
+	maxReserveRefills = 4
 )
 
-// room is a piece of the urgent reserve.
-type room struct {
-	srv  *server
-	size capacity.Size
-	pos  int
+// reserveBlock is capacity for one task in the urgent reserve. Its index is the position in
+// Planner.reserveBlocks.
+type reserveBlock struct {
+	server *server
+	size   capacity.Size
+	index  int
 }
 
-// placeUrgent decides urgent work before anything else: into free room, then
-// into the reserve, then into room that the cheapest victims leave.
+// placeUrgent places urgent tasks ahead of all work without a reservation. It uses free
+// capacity first, then the urgent reserve, and then preempts other tasks.
 func (p *Planner) placeUrgent() {
-	if p.urgent == 0 {
+	if p.urgentWaitingCount == 0 {
 		return
 	}
-	var accounts []*account
-	p.order.Each(func(c *account) bool {
-		if c.queues[job.Urgent].Len() > 0 && c.known {
-			accounts = append(accounts, c)
+	var teams []*teamState
+	p.teamsByNeed.Each(func(t *teamState) bool {
+		if t.queues[job.Urgent].Len() > 0 && t.inTable {
+			teams = append(teams, t)
 		}
 		return true
 	})
-	searches, vain := 0, 0
-	for _, c := range accounts {
-		waiting := c.queues[job.Urgent].First(urgentDepth, nil)
+	searches, failed := 0, 0
+	for _, t := range teams {
+		waiting := t.queues[job.Urgent].AppendFirst(urgentScanDepth, nil)
 		for i, u := range waiting {
-			if p.full() || vain == mostVain {
+			if p.atDecisionLimit() || failed == maxFailedPlacements {
 				return
 			}
-			if !p.allowed(u) {
-				p.yield(c, waiting[i:])
+			if !p.limitAllows(u) {
+				p.preemptOwnForUrgent(t, waiting[i:])
 				break
 			}
-			if p.placeQuick(u) || u.claim != nil {
+			if p.placeWithoutPreemption(u) || u.reservation != nil {
 				continue
 			}
-			vain++
-			if searches < mostSearches && u.tried != p.grown {
+			failed++
+			if searches < maxVictimSearches && u.triedRevision != p.freeRevision {
 				searches++
-				u.tried = p.grown
-				p.clear(u)
+				u.triedRevision = p.freeRevision
+				p.preemptForUnit(u)
 			}
 		}
 	}
 }
 
-// placeQuick starts an urgent task if there is room for it.
-func (p *Planner) placeQuick(u *unit) bool {
-	need := u.work.spec.Size
-	if s := p.find(u, need); s != nil {
-		p.start(u, []*server{s})
+// placeWithoutPreemption starts an urgent task if it fits into free capacity or into a block
+// of the urgent reserve.
+func (p *Planner) placeWithoutPreemption(u *unit) bool {
+	need := u.jobState.spec.Size
+	if s := p.findServer(u, need); s != nil {
+		p.startUnit(u, []*server{s})
 		return true
 	}
-	for _, r := range p.rooms {
-		if r.srv.State != backend.Ready || u.work.budget.Avoids(r.srv.num) || !need.Fits(r.srv.room().Add(r.size)) {
+	for _, r := range p.reserveBlocks {
+		if r.server.State != backend.Ready || u.jobState.failureBudget.Avoids(r.server.number) || !need.Fits(r.server.available().Add(r.size)) {
 			continue
 		}
-		p.dropRoom(r)
-		p.start(u, []*server{r.srv})
+		p.dropReserveBlock(r)
+		p.startUnit(u, []*server{r.server})
 		return true
 	}
 	return false
 }
 
-// yield preempts the team's own youngest batch as long as the team's limit is
-// all that keeps its urgent tasks waiting.
-func (p *Planner) yield(c *account, waiting []*unit) {
-	if p.lacks(UrgentPreempt) {
+// preemptOwnForUrgent preempts the team's own youngest batch and gang tasks until the
+// waiting urgent tasks fit within the team's limit.
+func (p *Planner) preemptOwnForUrgent(t *teamState, waiting []*unit) {
+	if p.disabled(UrgentPreempt) {
 		return
 	}
 	var more capacity.Size
 	for _, u := range waiting {
-		more = more.Add(u.size())
+		more = more.Add(u.totalSize())
 	}
-	for !p.full() {
-		over := c.held.Sub(c.leaving).Add(more)
-		if over.Within(c.row.Limit) {
+	for !p.atDecisionLimit() {
+		usage := t.allocated.Sub(t.stopping).Add(more)
+		if usage.Within(t.row.Limit) {
 			return
 		}
-		h := p.youngestOver(c, over)
-		if h == nil || !h.victim() {
+		pt := p.youngestStoppable(t, usage)
+		if pt == nil || !pt.preemptible() {
 			return
 		}
-		p.preempt(h, "its team's limit is needed for urgent work")
+		p.preempt(pt, "team limit needed for urgent work of the same team")
 	}
 }
 
-// clear preempts the cheapest victims for an urgent task: those of its own team,
-// and of teams above their due unless its own team is above its due as well. So
-// a team that calls all its work urgent takes nothing from the others.
-func (p *Planner) clear(u *unit) {
-	if p.lacks(UrgentPreempt) {
+// preemptForUnit reserves capacity for an urgent or displaced service task and preempts the
+// tasks there that lose the least work. Victims are tasks of the same team. Tasks of teams
+// above their fair share are victims too, unless the unit's team is above its own share.
+// A team that declares all its work urgent therefore takes nothing from other teams.
+func (p *Planner) preemptForUnit(u *unit) {
+	if p.disabled(UrgentPreempt) {
 		return
 	}
-	c := u.work.account
-	poor := c.held.Sub(c.leaving).Dominant(p.total) <= c.fair+p.cfg.Slack
-	may := func(h *holding) bool {
-		return h.account == c || poor && p.overdue(2*p.cfg.Slack)(h)
+	t := u.jobState.team
+	withinShare := t.allocated.Sub(t.stopping).Dominant(p.totalCapacity) <= t.fairShare+p.cfg.ShareSlack
+	filter := func(pt *placedTask) bool {
+		return pt.team == t || withinShare && p.aboveShareFilter(2*p.cfg.ShareSlack)(pt)
 	}
-	srv, stop := p.victims(u, u.work.spec.Size, true, may)
+	srv, victims := p.findVictims(u, u.jobState.spec.Size, true, filter)
 	if srv == nil {
 		return
 	}
-	p.keep(u, srv)
-	for _, h := range stop {
-		p.preempt(h, "room for urgent work")
+	p.reserve(u, srv)
+	for _, pt := range victims {
+		p.preempt(pt, "capacity needed for urgent work")
 	}
 }
 
-// fillReserve keeps the reserve at its size, spread over the zones, so that the
-// loss of one leaves most of it.
-func (p *Planner) fillReserve() {
-	if p.lacks(Reserve) {
+// fillUrgentReserve adjusts the urgent reserve to its target size. Blocks are spread over
+// the zones, so that most of the reserve survives the loss of a zone.
+func (p *Planner) fillUrgentReserve() {
+	if p.disabled(UrgentReserve) {
 		return
 	}
-	n, size := p.reserve.Target(p.total)
-	if len(p.rooms) > 0 && p.rooms[0].size != size {
-		p.dropRooms(func(*room) bool { return true })
+	n, size := p.urgentReserve.Target(p.totalCapacity)
+	if len(p.reserveBlocks) > 0 && p.reserveBlocks[0].size != size {
+		p.dropReserveBlocks(func(*reserveBlock) bool { return true })
 	}
-	for len(p.rooms) > n {
-		p.dropRoom(p.rooms[len(p.rooms)-1])
+	for len(p.reserveBlocks) > n {
+		p.dropReserveBlock(p.reserveBlocks[len(p.reserveBlocks)-1])
 	}
-	for range min(n-len(p.rooms), mostRefills) {
-		if !p.addRoom(size) {
+	for range min(n-len(p.reserveBlocks), maxReserveRefills) {
+		if !p.addReserveBlock(size) {
 			return
 		}
 	}
 }
 
-func (p *Planner) addRoom(size capacity.Size) bool {
-	if p.failed.holds(size) {
+// addReserveBlock adds a block in the zone with the fewest blocks, or in another zone if it
+// does not fit there. It returns false if the block fits nowhere.
+func (p *Planner) addReserveBlock(size capacity.Size) bool {
+	if p.unplaceable.covers(size) {
 		return false
 	}
-	s := p.bestIn(p.emptiest(), size, nil)
+	s := p.bestInZone(p.zoneWithFewestBlocks(), size, nil)
 	if s == nil {
-		s = p.best(size, nil)
+		s = p.bestServer(size, nil)
 	}
 	if s == nil {
-		p.failed.add(size)
+		p.unplaceable.add(size)
 		return false
 	}
-	r := &room{srv: s, size: size, pos: len(p.rooms)}
-	p.rooms = append(p.rooms, r)
-	s.rooms++
-	s.rack.zone.rooms++
-	p.reserveOn(s, size)
+	r := &reserveBlock{server: s, size: size, index: len(p.reserveBlocks)}
+	p.reserveBlocks = append(p.reserveBlocks, r)
+	s.reserveBlockCount++
+	s.rack.zone.reserveBlockCount++
+	p.adjustServerReserved(s, size)
 	return true
 }
 
-// emptiest returns the zone with the fewest rooms of the reserve.
-func (p *Planner) emptiest() *zone {
-	var least *zone
+// zoneWithFewestBlocks returns the zone with the fewest blocks of the urgent reserve.
+func (p *Planner) zoneWithFewestBlocks() *zone {
+	var best *zone
 	for _, z := range p.zones {
-		if least == nil || z.rooms < least.rooms {
-			least = z
+		if best == nil || z.reserveBlockCount < best.reserveBlockCount {
+			best = z
 		}
 	}
-	return least
+	return best
 }
 
-func (p *Planner) dropRoom(r *room) {
-	last := p.rooms[len(p.rooms)-1]
-	p.rooms[r.pos], last.pos = last, r.pos
-	p.rooms = p.rooms[:len(p.rooms)-1]
-	r.srv.rooms--
-	r.srv.rack.zone.rooms--
-	p.reserveOn(r.srv, capacity.Size{}.Sub(r.size))
+func (p *Planner) dropReserveBlock(r *reserveBlock) {
+	last := p.reserveBlocks[len(p.reserveBlocks)-1]
+	p.reserveBlocks[r.index], last.index = last, r.index
+	p.reserveBlocks = p.reserveBlocks[:len(p.reserveBlocks)-1]
+	r.server.reserveBlockCount--
+	r.server.rack.zone.reserveBlockCount--
+	p.adjustServerReserved(r.server, capacity.Size{}.Sub(r.size))
 }
 
-// dropRooms gives up the rooms that match.
-func (p *Planner) dropRooms(match func(*room) bool) {
-	for i := len(p.rooms) - 1; i >= 0; i-- {
-		if match(p.rooms[i]) {
-			p.dropRoom(p.rooms[i])
+// dropReserveBlocks removes the matching blocks from the urgent reserve.
+func (p *Planner) dropReserveBlocks(match func(*reserveBlock) bool) {
+	for i := len(p.reserveBlocks) - 1; i >= 0; i-- {
+		if match(p.reserveBlocks[i]) {
+			p.dropReserveBlock(p.reserveBlocks[i])
 		}
 	}
 }
--- a/internal/policy/cell/watch.go
+++ b/internal/policy/cell/watch.go
@@ -13,218 +13,224 @@
 )
 
 const (
-	// tolerance is the part by which reported processor time may exceed the
-	// declared size; it is measured over short windows.
-	tolerance = 0.1
-	// shortGrace is the time to fall back to the declared size on a server that is
-	// overcommitted by what is used.
-	shortGrace = 2 * time.Second
-	// again is the time after which a decision without effect is repeated.
-	again = 5 * time.Second
+	// cpuTolerance is the fraction by which reported CPU usage may exceed the declared size.
+	// CPU usage is measured over short windows and fluctuates.
+	cpuTolerance = 0.1
+	// overcommitGrace replaces Config.ThrottleGrace on a server whose tasks use more than its
+	// capacity.
+	overcommitGrace = 2 * time.Second
+	// restoreRetryInterval is the time after which a Restore decision without effect is repeated.
+	restoreRetryInterval = 5 * time.Second
 )
 
-// exceeds tells whether a task uses more than its declared size.
-func exceeds(used, declared capacity.Size) bool {
-	return float64(used.CPU) > float64(declared.CPU)*(1+tolerance) || beyond(used, declared)
+// exceedsDeclared reports whether the usage is above the declared size.
+func exceedsDeclared(usage, declared capacity.Size) bool {
+	return float64(usage.CPU) > float64(declared.CPU)*(1+cpuTolerance) || exceedsUnthrottleable(usage, declared)
 }
 
-// beyond tells whether a task uses more of what throttling does not give back.
-func beyond(used, declared capacity.Size) bool {
-	return used.Memory > declared.Memory || used.Accel > declared.Accel || used.Slots > declared.Slots
+// exceedsUnthrottleable reports whether the usage is above the declared size in a resource
+// that throttling does not reduce.
+func exceedsUnthrottleable(usage, declared capacity.Size) bool {
+	return usage.Memory > declared.Memory || usage.Accel > declared.Accel || usage.Slots > declared.Slots
 }
 
-// watch decides on tasks, jobs and servers that do not keep to what is expected.
-func (p *Planner) watch() {
-	p.watchUse()
-	p.watchGangs()
-	p.watchServers()
-	p.park()
+// handleMisbehavior makes the decisions about tasks above their size, gangs that lost a
+// task, failing servers and failing jobs.
+func (p *Planner) handleMisbehavior() {
+	p.enforceUsage()
+	p.stopBrokenGangs()
+	p.updateQuarantine()
+	p.parkExhaustedJobs()
 }
 
-// watchUse throttles tasks beyond their declared size, and stops those that stay
-// beyond it. The grace is short where the server has no room for the excess, and
-// there is none for what throttling does not give back. A task that may run only
-// once is throttled and never stopped: to stop it would be to lose it.
-func (p *Planner) watchUse() {
-	p.over = slices.DeleteFunc(p.over, func(h *holding) bool {
-		if p.held[h.ID] != h || !h.exceeds || h.Stopping {
-			h.listed = false
+// enforceUsage throttles tasks above their declared size and stops those that stay above it
+// for the grace time. On an overcommitted server the grace time is short, and there is none
+// for excess in a resource that throttling does not reduce. A task that may run only once
+// is throttled but never stopped, because it could not be retried.
+func (p *Planner) enforceUsage() {
+	p.overuseTasks = slices.DeleteFunc(p.overuseTasks, func(pt *placedTask) bool {
+		if p.placed[pt.ID] != pt || !pt.exceedsDeclared || pt.Stopping {
+			pt.inOveruseList = false
 			return true
 		}
-		if p.full() {
+		if p.atDecisionLimit() {
 			return false
 		}
-		return p.curb(h)
+		return p.enforceTaskUsage(pt)
 	})
 }
 
-// curb takes the next step against one task and tells whether it was the last.
-func (p *Planner) curb(h *holding) bool {
-	tight := !h.srv.actual().Valid()
-	hard := tight && beyond(h.size, h.Job.Size)
-	if h.Job.Once && h.throttled > 0 {
+// enforceTaskUsage throttles or stops one task if it is due. It returns true if no further
+// step follows.
+func (p *Planner) enforceTaskUsage(pt *placedTask) bool {
+	serverOvercommitted := !pt.server.uncommitted().Valid()
+	stopAtOnce := serverOvercommitted && exceedsUnthrottleable(pt.countedSize, pt.Job.Size)
+	if pt.Job.Once && pt.throttledAt > 0 {
 		return true
 	}
-	if h.throttled == 0 && (!hard || h.Job.Once) {
-		h.throttled = max(p.now, 1)
-		p.emit(plan.Decision{Verb: plan.Throttle, Task: h.ID, Reason: "uses more than it declared"})
+	if pt.throttledAt == 0 && (!stopAtOnce || pt.Job.Once) {
+		pt.throttledAt = max(p.now, 1)
+		p.emit(plan.Decision{Action: plan.Throttle, Task: pt.ID, Reason: "usage above the declared size"})
 		return false
 	}
-	grace := p.cfg.Grace
-	if tight {
-		grace = shortGrace
+	grace := p.cfg.ThrottleGrace
+	if serverOvercommitted {
+		grace = overcommitGrace
 	}
-	if !hard && (h.usedAt < h.throttled+grace || p.now < h.throttled+grace) {
+	if !stopAtOnce && (pt.usageAt < pt.throttledAt+grace || p.now < pt.throttledAt+grace) {
 		return false
 	}
-	p.stop(h)
-	h.curbed = true
-	p.emit(plan.Decision{Verb: plan.Stop, Task: h.ID, Reason: "uses more than it declared"})
+	p.markStopping(pt)
+	pt.stoppedForUsage = true
+	p.emit(plan.Decision{Action: plan.Stop, Task: pt.ID, Reason: "usage above the declared size"})
 	return true
 }
 
-// watchGangs stops what is left of gangs that lost a task.
-func (p *Planner) watchGangs() {
-	for _, w := range p.broken {
-		for _, h := range w.held {
-			p.preemptOne(h, "its gang lost a task")
+// stopBrokenGangs stops the remaining tasks of gangs that lost a task.
+func (p *Planner) stopBrokenGangs() {
+	for _, js := range p.brokenGangs {
+		for _, pt := range js.placed {
+			p.preemptTask(pt, "another task of the gang failed or was lost")
 		}
 	}
-	p.broken = p.broken[:0]
+	p.brokenGangs = p.brokenGangs[:0]
 }
 
-// learn takes note of how an attempt ended. What was stopped on purpose says nothing about
-// job or server, and what went away with its server only where it had just begun.
-func (p *Planner) learn(h *holding, how plan.End) {
-	if h.curbed && !how.Lost {
-		h.work.budget.Exceed()
+// recordEnd updates failure budget, run time estimate and server health after an attempt.
+// An attempt stopped for its usage counts against the job. Other stopped attempts count
+// neither against the job nor against the server. An attempt lost with its server counts
+// against the job only if it had just started.
+func (p *Planner) recordEnd(pt *placedTask, end plan.AttemptEnd) {
+	if pt.stoppedForUsage && !end.ServerLost {
+		pt.jobState.failureBudget.Exceed()
 	}
 	switch {
-	case how.Lost:
-		h.work.budget.Lose(h.ID.Index, h.srv.silent-h.Since)
+	case end.ServerLost:
+		pt.jobState.failureBudget.Lose(pt.ID.Index, pt.server.silentSince-pt.PlacedAt)
 		return
-	case !how.Ran || h.Stopping:
+	case !end.Started || pt.Stopping:
 		return
 	}
-	h.work.budget.Outlive(h.ID.Index)
-	name := health.NameOf(h.Job)
-	if !how.Failed {
-		p.estimates.Learn(h.Job, how.At-h.Since)
-		p.guard.Succeed(name, h.srv.num)
+	pt.jobState.failureBudget.Outlive(pt.ID.Index)
+	name := health.NameOf(pt.Job)
+	if !end.Failed {
+		p.runtimeEstimates.Learn(pt.Job, end.EndedAt-pt.PlacedAt)
+		p.healthGuard.Succeed(name, pt.server.number)
 		return
 	}
-	p.guard.Fail(name, h.srv.num, how.At)
-	if h.srv.State != backend.Quarantined {
-		h.work.budget.Fail(h.srv.num)
+	p.healthGuard.Fail(name, pt.server.number, end.EndedAt)
+	if pt.server.State != backend.Quarantined {
+		pt.jobState.failureBudget.Fail(pt.server.number)
 	}
-	if p.guard.Suspects(h.srv.num, len(p.list)) {
-		p.suspects = append(p.suspects, h.srv)
+	if p.healthGuard.Suspects(pt.server.number, len(p.serverList)) {
+		p.suspectServers = append(p.suspectServers, pt.server)
 	}
 }
 
-// confine notes that the server is in quarantine.
-func (p *Planner) confine(s *server, since time.Duration) {
-	p.guard.Enter(s.num, since)
-	if !slices.Contains(p.quarantined, s) {
-		p.quarantined = append(p.quarantined, s)
+// markQuarantined records that the server is in quarantine.
+func (p *Planner) markQuarantined(s *server, since time.Duration) {
+	p.healthGuard.Enter(s.number, since)
+	if !slices.Contains(p.quarantinedServers, s) {
+		p.quarantinedServers = append(p.quarantinedServers, s)
 	}
 }
 
-// watchServers takes failing servers out of use and brings sound ones back.
-func (p *Planner) watchServers() {
-	for _, s := range p.suspects {
-		if s.State == backend.Ready && p.guard.Suspects(s.num, len(p.list)) && !p.lacks(Quarantine) {
-			p.quarantine(s)
+// updateQuarantine quarantines failing servers and restores those whose probes succeeded.
+func (p *Planner) updateQuarantine() {
+	for _, s := range p.suspectServers {
+		if s.State == backend.Ready && p.healthGuard.Suspects(s.number, len(p.serverList)) && !p.disabled(Quarantine) {
+			p.quarantineServer(s)
 		}
 	}
-	p.suspects = p.suspects[:0]
-	p.quarantined = slices.DeleteFunc(p.quarantined, func(s *server) bool { return s.State != backend.Quarantined })
-	for _, s := range p.quarantined {
-		if p.guard.Sound(s.num) && (s.restored == 0 || p.now >= s.restored+again) {
-			s.restored = max(p.now, 1)
-			p.emit(plan.Decision{Verb: plan.Restore, Server: s.ID, Reason: "its probes succeeded"})
+	p.suspectServers = p.suspectServers[:0]
+	p.quarantinedServers = slices.DeleteFunc(p.quarantinedServers, func(s *server) bool { return s.State != backend.Quarantined })
+	for _, s := range p.quarantinedServers {
+		if p.healthGuard.Sound(s.number) && (s.restoreDecidedAt == 0 || p.now >= s.restoreDecidedAt+restoreRetryInterval) {
+			s.restoreDecidedAt = max(p.now, 1)
+			p.emit(plan.Decision{Action: plan.Restore, Server: s.ID, Reason: "probes succeeded"})
 		}
 	}
 }
 
-// quarantine takes the server out of use and forgives the jobs that failed there:
-// a server that fails everything must not use up the budgets of sound jobs.
-func (p *Planner) quarantine(s *server) {
-	s.State, s.restored = backend.Quarantined, 0
-	p.confine(s, p.now)
-	p.touch(s)
-	for _, w := range p.works {
-		w.budget.Forgive(s.num)
+// quarantineServer quarantines the server and removes the failures on it from the failure
+// budgets of all jobs. Otherwise a faulty server would exhaust the budgets of healthy jobs.
+func (p *Planner) quarantineServer(s *server) {
+	s.State, s.restoreDecidedAt = backend.Quarantined, 0
+	p.markQuarantined(s, p.now)
+	p.refreshFree(s)
+	for _, js := range p.jobs {
+		js.failureBudget.Forgive(s.number)
 	}
-	p.emit(plan.Decision{Verb: plan.Quarantine, Server: s.ID, Reason: "fails what runs elsewhere"})
+	p.emit(plan.Decision{Action: plan.Quarantine, Server: s.ID, Reason: "tasks fail here that succeed on other servers"})
 }
 
-// park gives up jobs that failed too often.
-func (p *Planner) park() {
-	for _, w := range p.spent {
-		if w.given || !w.budget.Spent() || p.works[w.id] != w {
+// parkExhaustedJobs parks the jobs that have used up their failure budget.
+func (p *Planner) parkExhaustedJobs() {
+	for _, js := range p.exhaustedJobs {
+		if js.givenUp || !js.failureBudget.Spent() || p.jobs[js.id] != js {
 			continue
 		}
-		w.given = true
-		p.shelve(w)
-		p.emit(plan.Decision{Verb: plan.Park, Job: w.id, Reason: w.budget.Reason()})
+		js.givenUp = true
+		p.removeFromQueues(js)
+		p.emit(plan.Decision{Action: plan.Park, Job: js.id, Reason: js.failureBudget.Reason()})
 	}
-	p.spent = p.spent[:0]
+	p.exhaustedJobs = p.exhaustedJobs[:0]
 }
 
-// shelve takes everything of the job that waits out of the queues.
-func (p *Planner) shelve(w *work) {
-	for i := range w.spec.Count {
-		u := p.waits[task.ID{Job: w.id, Index: i}]
+// removeFromQueues removes the job's waiting units from their lists and drops their
+// reservations.
+func (p *Planner) removeFromQueues(js *jobState) {
+	for i := range js.spec.Count {
+		u := p.waiting[task.ID{Job: js.id, Index: i}]
 		if u == nil {
 			continue
 		}
-		p.dropClaim(u)
-		p.detach(u)
+		p.dropReservation(u)
+		p.removeFromList(u)
 	}
 }
 
-// expire drops jobs whose deadline passed before anything of them was placed.
-func (p *Planner) expire() {
-	for range mostDrops {
-		u, ok := p.late.Min()
-		if !ok || u.expires() > p.now || p.full() {
+// dropExpired drops jobs whose deadline passed before any of their tasks was placed.
+func (p *Planner) dropExpired() {
+	for range maxDrops {
+		u, ok := p.unitsByDeadline.Min()
+		if !ok || u.deadline() > p.now || p.atDecisionLimit() {
 			return
 		}
-		p.late.Remove(u.id)
-		w := u.work
-		if w.given || w.started || w.waits != int(w.spec.Count) {
+		p.unitsByDeadline.Remove(u.id)
+		js := u.jobState
+		if js.givenUp || js.everPlaced || js.waitingCount != int(js.spec.Count) {
 			continue
 		}
-		w.given = true
-		p.shelve(w)
-		p.emit(plan.Decision{Verb: plan.Drop, Job: w.id, Reason: "deadline passed"})
+		js.givenUp = true
+		p.removeFromQueues(js)
+		p.emit(plan.Decision{Action: plan.Drop, Job: js.id, Reason: "deadline passed"})
 	}
 }
 
-// probe gives a task to a server in quarantine whose time has come: one at a
-// time, and one that may be repeated.
-func (p *Planner) probe() {
-	for _, s := range p.quarantined {
-		if p.full() {
+// placeProbes places a task as a probe on each quarantined server that is due for one. A
+// server gets one probe at a time. Only tasks that may be repeated serve as probes.
+func (p *Planner) placeProbes() {
+	for _, s := range p.quarantinedServers {
+		if p.atDecisionLimit() {
 			return
 		}
-		if s.State != backend.Quarantined || !p.guard.Probe(s.num, p.now) || len(s.tasks) > 0 {
+		if s.State != backend.Quarantined || !p.healthGuard.Probe(s.number, p.now) || len(s.tasks) > 0 {
 			continue
 		}
-		if u := p.probeWith(s); u != nil {
-			p.start(u, []*server{s})
+		if u := p.selectProbe(s); u != nil {
+			p.startUnit(u, []*server{s})
 		}
 	}
 }
 
-// probeWith returns a waiting task to test the server with.
-func (p *Planner) probeWith(s *server) *unit {
+// selectProbe returns a waiting batch unit that can run as a probe on the server, or nil.
+func (p *Planner) selectProbe(s *server) *unit {
 	var found *unit
-	p.order.Each(func(c *account) bool {
-		for _, u := range c.queues[job.Batch].First(p.cfg.Depth, nil) {
-			spec := u.work.spec
-			if !spec.Once && !spec.Whole() && u.claim == nil && u.work.budget.Failures() == 0 && spec.Size.Fits(s.room()) && p.within(c, spec.Size) {
+	p.teamsByNeed.Each(func(t *teamState) bool {
+		for _, u := range t.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, nil) {
+			spec := u.jobState.spec
+			if !spec.Once && !spec.Whole() && u.reservation == nil && u.jobState.failureBudget.Failures() == 0 && spec.Size.Fits(s.available()) && p.withinLimit(t, spec.Size) {
 				found = u
 				return false
 			}
--- a/internal/policy/fit/fit.go
+++ b/internal/policy/fit/fit.go
@@ -1,6 +1,6 @@
-// Package fit finds the place that a task fits best. Places are kept in cells of
-// like free room; a search looks at the cells, whose number is bounded by the
-// levels and not by the number of places.
+// Package fit finds the server or rack that a task fits best. Items are grouped in buckets
+// by free capacity. A search examines the buckets. Their number is bounded by the number of
+// levels and does not grow with the number of items.
 package fit
 
 import (
@@ -9,198 +9,209 @@
 	"gypsumreel/internal/domain/capacity"
 )
 
-// Levels is the number of steps into which the largest room in each field is
-// divided; slots and accelerators are told apart up to this number.
+// Levels is the number of levels into which the largest free capacity of each resource is
+// divided. Slots and accelerators up to this number get a level each.
 const Levels = 16
 
-// accelWaste is added to the score of a place whose free accelerators a task
-// without need of them would block.
-const accelWaste = 1.0
-
-// Worst is a score that every place beats.
-var Worst = math.Inf(1)
-
-// Spot is an item's place in an index.
-type Spot[T any] struct {
-	// Item is what is placed on, a server or a rack.
-	Item T
-	free capacity.Size
-	cell *cell[T]
-	pos  int
+// accelWastePenalty is added to the score of an item with free accelerators if the task needs
+// none, because the task could block their use.
+const accelWastePenalty = 1.0
+
+// WorstScore is a score that every item beats.
+var WorstScore = math.Inf(1)
+
+// Element is an item together with its position in an index.
+type Element[T any] struct {
+	// Item is the server or rack.
+	Item   T
+	free   capacity.Size
+	bucket *bucket[T]
+	// bucketPos is the position in bucket.elements.
+	bucketPos int
 }
 
-// Index holds the free room of items.
+// Index holds items by their free capacity.
 type Index[T any] struct {
-	// Any takes the first cell that fits in place of the best; for comparison only.
-	Any   bool
-	most  capacity.Size
-	unit  capacity.Size
-	cells map[level]*cell[T]
-	heads []head[T]
+	// FirstFit makes Best return the first fitting item instead of the best one. It is meant
+	// for comparison runs only.
+	FirstFit bool
+	maxSize  capacity.Size
+	// levelSize is the difference in capacity between two levels.
+	levelSize capacity.Size
+	buckets   map[level]*bucket[T]
+	summaries []bucketSummary[T]
 }
 
-// head is what a search reads of every cell; heads lie side by side in memory.
-type head[T any] struct {
-	low capacity.Size
-	// high is at least the free room of every item.
-	high capacity.Size
-	cell *cell[T]
+// bucketSummary is the data that a search reads of every bucket. Summaries are contiguous
+// in memory.
+type bucketSummary[T any] struct {
+	// minFree is at most the free capacity of every item in the bucket.
+	minFree capacity.Size
+	// maxFree is at least the free capacity of every item in the bucket.
+	maxFree capacity.Size
+	bucket  *bucket[T]
 }
 
-// level is a free room counted in units.
+// level is a free capacity in multiples of Index.levelSize.
 type level struct{ cpu, memory, accel, slots uint16 }
 
-// cell holds the items whose free room is on one level.
-type cell[T any] struct {
-	level level
-	spots []*Spot[T]
-	pos   int
+// bucket holds the items whose free capacity is on the same level.
+type bucket[T any] struct {
+	level    level
+	elements []*Element[T]
+	// summaryPos is the position in Index.summaries.
+	summaryPos int
 }
 
 // NewIndex returns an empty index.
 func NewIndex[T any]() *Index[T] {
-	return &Index[T]{cells: map[level]*cell[T]{}, unit: capacity.Size{CPU: 1, Memory: 1, Accel: 1, Slots: 1}}
+	return &Index[T]{buckets: map[level]*bucket[T]{}, levelSize: capacity.Size{CPU: 1, Memory: 1, Accel: 1, Slots: 1}}
 }
 
-// Grow prepares for rooms of at most the given size.
-func (x *Index[T]) Grow(most capacity.Size) {
-	if most.Fits(x.most) {
+// Grow enlarges the index for free capacities up to maxSize. It assigns all items to new
+// buckets if maxSize is larger than before in some field.
+func (x *Index[T]) Grow(maxSize capacity.Size) {
+	if maxSize.Fits(x.maxSize) {
 		return
 	}
-	x.most = x.most.Max(most)
-	x.unit = capacity.Size{CPU: step(x.most.CPU), Memory: step(x.most.Memory), Accel: step(x.most.Accel), Slots: step(x.most.Slots)}
-	old := x.heads
-	x.cells, x.heads = map[level]*cell[T]{}, nil
-	for _, h := range old {
-		for _, s := range h.cell.spots {
-			x.insert(s)
+	x.maxSize = x.maxSize.Max(maxSize)
+	x.levelSize = capacity.Size{CPU: levelStep(x.maxSize.CPU), Memory: levelStep(x.maxSize.Memory), Accel: levelStep(x.maxSize.Accel), Slots: levelStep(x.maxSize.Slots)}
+	oldSummaries := x.summaries
+	x.buckets, x.summaries = map[level]*bucket[T]{}, nil
+	for _, summary := range oldSummaries {
+		for _, e := range summary.bucket.elements {
+			x.insert(e)
 		}
 	}
 }
 
-func step(most int64) int64 { return max(1, (most+Levels-1)/Levels) }
+// levelStep returns the level size for a resource with the given largest value.
+func levelStep(maxValue int64) int64 { return max(1, (maxValue+Levels-1)/Levels) }
 
-// Set puts the spot's free room in; one with a negative field is never found.
-func (x *Index[T]) Set(s *Spot[T], free capacity.Size) {
-	if s.cell != nil && s.free == free {
+// Update sets the free capacity of the element and adds it to the index if it is not in it.
+// An element with a negative field is removed.
+func (x *Index[T]) Update(e *Element[T], free capacity.Size) {
+	if e.bucket != nil && e.free == free {
 		return
 	}
-	if s.cell != nil && free.Valid() && x.level(free) == s.cell.level {
-		s.free = free
-		x.raise(s.cell, free)
+	if e.bucket != nil && free.Valid() && x.level(free) == e.bucket.level {
+		e.free = free
+		x.raiseMaxFree(e.bucket, free)
 		return
 	}
-	x.Drop(s)
+	x.Remove(e)
 	if free.Valid() {
-		s.free = free
-		x.insert(s)
+		e.free = free
+		x.insert(e)
 	}
 }
 
-// Drop takes the spot out.
-func (x *Index[T]) Drop(s *Spot[T]) {
-	c := s.cell
-	if c == nil {
+// Remove removes the element from the index.
+func (x *Index[T]) Remove(e *Element[T]) {
+	b := e.bucket
+	if b == nil {
 		return
 	}
-	last := c.spots[len(c.spots)-1]
-	c.spots[s.pos] = last
-	last.pos = s.pos
-	c.spots = c.spots[:len(c.spots)-1]
-	s.cell = nil
-	if len(c.spots) == 0 {
-		x.forget(c)
+	last := b.elements[len(b.elements)-1]
+	b.elements[e.bucketPos] = last
+	last.bucketPos = e.bucketPos
+	b.elements = b.elements[:len(b.elements)-1]
+	e.bucket = nil
+	if len(b.elements) == 0 {
+		x.removeBucket(b)
 	}
 }
 
-func (x *Index[T]) forget(c *cell[T]) {
-	end := x.heads[len(x.heads)-1]
-	x.heads[c.pos] = end
-	end.cell.pos = c.pos
-	x.heads = x.heads[:len(x.heads)-1]
-	delete(x.cells, c.level)
+// removeBucket removes an empty bucket.
+func (x *Index[T]) removeBucket(b *bucket[T]) {
+	last := x.summaries[len(x.summaries)-1]
+	x.summaries[b.summaryPos] = last
+	last.bucket.summaryPos = b.summaryPos
+	x.summaries = x.summaries[:len(x.summaries)-1]
+	delete(x.buckets, b.level)
 }
 
-func (x *Index[T]) insert(s *Spot[T]) {
-	l := x.level(s.free)
-	c := x.cells[l]
-	if c == nil {
-		c = &cell[T]{level: l, pos: len(x.heads)}
-		x.cells[l] = c
-		x.heads = append(x.heads, head[T]{cell: c, low: capacity.Size{
-			CPU: int64(l.cpu) * x.unit.CPU, Memory: int64(l.memory) * x.unit.Memory,
-			Accel: int64(l.accel) * x.unit.Accel, Slots: int64(l.slots) * x.unit.Slots,
+// insert adds the element to the bucket of its level.
+func (x *Index[T]) insert(e *Element[T]) {
+	l := x.level(e.free)
+	b := x.buckets[l]
+	if b == nil {
+		b = &bucket[T]{level: l, summaryPos: len(x.summaries)}
+		x.buckets[l] = b
+		x.summaries = append(x.summaries, bucketSummary[T]{bucket: b, minFree: capacity.Size{
+			CPU: int64(l.cpu) * x.levelSize.CPU, Memory: int64(l.memory) * x.levelSize.Memory,
+			Accel: int64(l.accel) * x.levelSize.Accel, Slots: int64(l.slots) * x.levelSize.Slots,
 		}})
 	}
-	s.cell, s.pos = c, len(c.spots)
-	c.spots = append(c.spots, s)
-	x.raise(c, s.free)
+	e.bucket, e.bucketPos = b, len(b.elements)
+	b.elements = append(b.elements, e)
+	x.raiseMaxFree(b, e.free)
 }
 
-// raise lets the bound of a cell hold for one more free room.
-func (x *Index[T]) raise(c *cell[T], free capacity.Size) {
-	x.heads[c.pos].high = x.heads[c.pos].high.Max(free)
+// raiseMaxFree raises the maxFree of the bucket to cover the free capacity of one more item.
+func (x *Index[T]) raiseMaxFree(b *bucket[T], free capacity.Size) {
+	x.summaries[b.summaryPos].maxFree = x.summaries[b.summaryPos].maxFree.Max(free)
 }
 
 func (x *Index[T]) level(free capacity.Size) level {
 	return level{
-		uint16(free.CPU / x.unit.CPU), uint16(free.Memory / x.unit.Memory),
-		uint16(free.Accel / x.unit.Accel), uint16(free.Slots / x.unit.Slots),
+		uint16(free.CPU / x.levelSize.CPU), uint16(free.Memory / x.levelSize.Memory),
+		uint16(free.Accel / x.levelSize.Accel), uint16(free.Slots / x.levelSize.Slots),
 	}
 }
 
-// Cells returns the number of cells that a search looks at.
-func (x *Index[T]) Cells() int { return len(x.heads) }
-
-// Best returns the item on which need leaves the smallest dominant remainder,
-// within the accuracy of a cell, among those that ok accepts, and its score. Only
-// items that score below bound are found; ok may be nil.
-func (x *Index[T]) Best(need capacity.Size, bound float64, ok func(T) bool) (T, float64, bool) {
-	var best *Spot[T]
-	for i := range x.heads {
-		h := &x.heads[i]
-		if !need.Fits(h.high) {
+// BucketCount returns the number of buckets that a search examines.
+func (x *Index[T]) BucketCount() int { return len(x.summaries) }
+
+// Best returns the item on which need leaves the smallest dominant remainder, to the
+// accuracy of a bucket, and its score. Only items that accepts returns true for and that
+// score below bound are considered. accepts may be nil.
+func (x *Index[T]) Best(need capacity.Size, bound float64, accepts func(T) bool) (T, float64, bool) {
+	var best *Element[T]
+	for i := range x.summaries {
+		summary := &x.summaries[i]
+		if !need.Fits(summary.maxFree) {
 			continue
 		}
-		score := x.score(need, h.low)
+		score := x.score(need, summary.minFree)
 		if score >= bound {
 			continue
 		}
-		s := h.pick(need, ok)
-		if s == nil {
+		e := summary.findFitting(need, accepts)
+		if e == nil {
 			continue
 		}
-		best, bound = s, score
-		if x.Any {
+		best, bound = e, score
+		if x.FirstFit {
 			break
 		}
 	}
 	if best == nil {
-		var none T
-		return none, bound, false
+		var zero T
+		return zero, bound, false
 	}
 	return best.Item, bound, true
 }
 
-// pick returns a spot of the cell with room for need. When none has it, the
-// cell's bound is set anew, so that the next search passes the cell over.
-func (h *head[T]) pick(need capacity.Size, ok func(T) bool) *Spot[T] {
-	var high capacity.Size
-	for _, s := range h.cell.spots {
-		if need.Fits(s.free) && (ok == nil || ok(s.Item)) {
-			return s
+// findFitting returns an element of the bucket with free capacity for need, or nil. If there
+// is none, it lowers maxFree to the current maximum, so that later searches skip the bucket.
+func (s *bucketSummary[T]) findFitting(need capacity.Size, accepts func(T) bool) *Element[T] {
+	var maxFree capacity.Size
+	for _, e := range s.bucket.elements {
+		if need.Fits(e.free) && (accepts == nil || accepts(e.Item)) {
+			return e
 		}
-		high = high.Max(s.free)
+		maxFree = maxFree.Max(e.free)
 	}
-	h.high = high
+	s.maxFree = maxFree
 	return nil
 }
 
-// score is the largest part of the largest room that stays free in any field.
+// score returns the largest fraction of maxSize that stays free in any field.
 func (x *Index[T]) score(need, free capacity.Size) float64 {
-	s := free.Sub(need).Dominant(x.most)
+	score := free.Sub(need).Dominant(x.maxSize)
 	if need.Accel == 0 && free.Accel > 0 {
-		s += accelWaste
+		score += accelWastePenalty
 	}
-	return s
+	return score
 }
--- a/internal/policy/preempt/preempt.go
+++ b/internal/policy/preempt/preempt.go
@@ -1,5 +1,5 @@
-// Package preempt chooses what to stop so that something more pressing can
-// start: the set on one server that loses the least work.
+// Package preempt chooses the tasks to stop on one server so that more urgent work can
+// start there. It prefers the tasks that lose the least work.
 package preempt
 
 import (
@@ -8,22 +8,23 @@
 	"gypsumreel/internal/domain/capacity"
 )
 
-// Victim is something that may be stopped: a task, or a gang as a whole.
+// Victim is a candidate for preemption: a task, or a gang as a whole.
 type Victim[T any] struct {
-	// Item is what the caller knows the victim by.
+	// Item identifies the victim to the caller.
 	Item T
-	// Room is what stopping it frees on the server looked at.
-	Room capacity.Size
-	// Lost is the work that stopping throws away, in any one unit.
-	Lost float64
+	// Freed is the capacity that stopping the victim frees on the server.
+	Freed capacity.Size
+	// LostWork is the work lost by stopping the victim. All candidates use the same unit.
+	LostWork float64
 }
 
-// Choose returns the victims whose room, with what is free already, holds need,
-// and the work lost by stopping them. Candidates come in the order to be
-// considered; those that turn out not to be needed are left running.
+// Choose returns victims whose freed capacity, together with free, is enough for need, and
+// the work lost by stopping them. It returns false if all candidates together are not
+// enough. Candidates are considered in the given order, and victims that turn out not to be
+// needed are left out of the result.
 func Choose[T any](need, free capacity.Size, candidates []Victim[T]) ([]Victim[T], float64, bool) {
-	if v, ok := single(need, free, candidates); ok {
-		return []Victim[T]{v}, v.Lost, true
+	if v, ok := cheapestSingle(need, free, candidates); ok {
+		return []Victim[T]{v}, v.LostWork, true
 	}
 	var chosen []Victim[T]
 	for _, v := range candidates {
@@ -31,51 +32,52 @@
 			break
 		}
 		chosen = append(chosen, v)
-		free = free.Add(v.Room)
+		free = free.Add(v.Freed)
 	}
 	if !need.Fits(free) {
 		return nil, 0, false
 	}
-	return spare(need, free, chosen)
+	return dropUnneeded(need, free, chosen)
 }
 
-// single returns the cheapest victim that suffices alone.
-func single[T any](need, free capacity.Size, candidates []Victim[T]) (Victim[T], bool) {
+// cheapestSingle returns the victim with the least lost work among those that suffice alone.
+func cheapestSingle[T any](need, free capacity.Size, candidates []Victim[T]) (Victim[T], bool) {
 	var best Victim[T]
 	found := false
 	for _, v := range candidates {
-		if need.Fits(free.Add(v.Room)) && (!found || v.Lost < best.Lost) {
+		if need.Fits(free.Add(v.Freed)) && (!found || v.LostWork < best.LostWork) {
 			best, found = v, true
 		}
 	}
 	return best, found
 }
 
-// spare drops the dearest victims that the rest can do without.
-func spare[T any](need, free capacity.Size, chosen []Victim[T]) ([]Victim[T], float64, bool) {
-	kept := chosen[:0]
+// dropUnneeded removes the chosen victims that are not needed, the last ones first. It
+// returns the remaining victims and their lost work.
+func dropUnneeded[T any](need, free capacity.Size, chosen []Victim[T]) ([]Victim[T], float64, bool) {
+	needed := chosen[:0]
 	lost := 0.0
 	for i := len(chosen) - 1; i >= 0; i-- {
-		if rest := free.Sub(chosen[i].Room); need.Fits(rest) {
-			free = rest
-			chosen[i].Room = capacity.Size{}
+		if remaining := free.Sub(chosen[i].Freed); need.Fits(remaining) {
+			free = remaining
+			chosen[i].Freed = capacity.Size{}
 		}
 	}
 	for _, v := range chosen {
-		if !v.Room.IsZero() {
-			kept = append(kept, v)
-			lost += v.Lost
+		if !v.Freed.IsZero() {
+			needed = append(needed, v)
+			lost += v.LostWork
 		}
 	}
-	return kept, lost, true
+	return needed, lost, true
 }
 
-// Restart is the time that stopping a task costs in any case: ending it, placing
-// it again, and starting anew.
-const Restart = 2 * time.Second
+// RestartCost is the time lost by each preemption: the task is stopped, placed and started
+// again.
+const RestartCost = 2 * time.Second
 
-// Work is the work that stopping a task of the given part of the cell loses, in
-// cell-seconds, if nothing was kept since it was placed.
-func Work(part float64, since, now time.Duration) float64 {
-	return part * max(0, (now-since+Restart).Seconds())
+// LostWork returns the work lost by stopping a task that uses the given fraction of the
+// cell, in cell-seconds. It assumes that no checkpoint was saved since the task was placed.
+func LostWork(fraction float64, placedAt, now time.Duration) float64 {
+	return fraction * max(0, (now-placedAt+RestartCost).Seconds())
 }
--- a/internal/policy/queue/queue_test.go
+++ b/internal/policy/queue/queue_test.go
@@ -21,14 +21,15 @@
 	return a.key - b.key
 }
 
-// The queue holds what a sorted list would hold after the same changes.
+// The queue must hold the same items in the same order as a sorted list after the same
+// random changes.
 func TestQueueKeepsOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := queue.New(func(i item) int { return i.key }, func(a, b item) bool { return compare(a, b) < 0 })
 		var list []item
 		for range rapid.IntRange(0, 100).Draw(t, "changes") {
 			i := item{rapid.IntRange(0, 20).Draw(t, "key"), rapid.IntRange(0, 5).Draw(t, "rank")}
-			list = slices.DeleteFunc(list, func(o item) bool { return o.key == i.key })
+			list = slices.DeleteFunc(list, func(other item) bool { return other.key == i.key })
 			if rapid.Bool().Draw(t, "remove") {
 				q.Remove(i.key)
 				continue
@@ -37,7 +38,7 @@
 			list = append(list, i)
 		}
 		slices.SortFunc(list, compare)
-		if diff := cmp.Diff(list, q.First(1000, nil), cmp.AllowUnexported(item{}), cmpopts.EquateEmpty()); diff != "" {
+		if diff := cmp.Diff(list, q.AppendFirst(1000, nil), cmp.AllowUnexported(item{}), cmpopts.EquateEmpty()); diff != "" {
 			t.Fatal(diff)
 		}
 		if q.Len() != len(list) {
--- a/internal/policy/roster/roster_test.go
+++ b/internal/policy/roster/roster_test.go
@@ -18,96 +18,97 @@
 	return m
 }
 
-// five returns a full group that all live in.
-func five() roster.View {
-	v := roster.View{Self: "a/1", Target: 5, Watched: time.Minute, Synced: func(string) bool { return true }}
+// fullGroup returns a group with five live voters.
+func fullGroup() roster.GroupView {
+	v := roster.GroupView{Self: "a/1", TargetVoters: 5, LeadingFor: time.Minute, Synced: func(string) bool { return true }}
 	for _, id := range []string{"a/1", "b/1", "c/1", "d/1", "e/1"} {
 		v.Members = append(v.Members, member(id))
-		v.Known = append(v.Known, roster.Known{Member: member(id)})
+		v.Known = append(v.Known, roster.KnownReplica{Member: member(id)})
 	}
 	return v
 }
 
-func silence(v *roster.View, id string, d time.Duration) {
+// setSilentFor sets the time since the replica was last heard of.
+func setSilentFor(v *roster.GroupView, id string, d time.Duration) {
 	for i := range v.Known {
 		if v.Known[i].ID == id {
-			v.Known[i].Silent = d
+			v.Known[i].SilentFor = d
 		}
 	}
 }
 
-// A group decides one change after the other until nothing is left to do.
-func TestDecisions(t *testing.T) {
-	for what, c := range map[string]struct {
-		view func() roster.View
+// Each state of the group must lead to the one expected change, or to none.
+func TestDecide(t *testing.T) {
+	for name, test := range map[string]struct {
+		view func() roster.GroupView
 		want roster.Change
 	}{
-		"nothing to do": {five, roster.Change{}},
-		"a voter restarts and nobody waits": {func() roster.View {
-			v := five()
-			silence(&v, "b/1", time.Minute)
+		"no change needed": {fullGroup, roster.Change{}},
+		"silent voter without a learner to replace it": {func() roster.GroupView {
+			v := fullGroup()
+			setSilentFor(&v, "b/1", time.Minute)
 			return v
 		}, roster.Change{}},
-		"a disk was replaced": {func() roster.View {
-			v := five()
-			v.Known = append(v.Known, roster.Known{Member: member("b/2")})
+		"replica with a new identity at the address of a voter": {func() roster.GroupView {
+			v := fullGroup()
+			v.Known = append(v.Known, roster.KnownReplica{Member: member("b/2")})
 			return v
-		}, roster.Change{Member: member("b/1"), Remove: true, Cause: "its disk was replaced"}},
-		"somebody asks to be taken in": {func() roster.View {
-			v := five()
-			v.Known = append(v.Known, roster.Known{Member: member("f/1")})
+		}, roster.Change{Member: member("b/1"), Remove: true, Reason: "replica was replaced by a new one at the same address"}},
+		"new replica": {func() roster.GroupView {
+			v := fullGroup()
+			v.Known = append(v.Known, roster.KnownReplica{Member: member("f/1")})
 			return v
-		}, roster.Change{Member: learner("f/1"), Cause: "it asks to be taken in"}},
-		"a learner waits and a voter is silent": {func() roster.View {
-			v := five()
+		}, roster.Change{Member: learner("f/1"), Reason: "new replica joins as a learner"}},
+		"silent voter with a synced learner to replace it": {func() roster.GroupView {
+			v := fullGroup()
 			v.Members = append(v.Members, learner("f/1"))
-			v.Known = append(v.Known, roster.Known{Member: member("f/1")})
-			silence(&v, "c/1", roster.Absent+1)
+			v.Known = append(v.Known, roster.KnownReplica{Member: member("f/1")})
+			setSilentFor(&v, "c/1", roster.AbsentAfter+1)
 			return v
-		}, roster.Change{Member: member("c/1"), Remove: true, Cause: "it is silent and another waits"}},
-		"a learner without the log waits": {func() roster.View {
-			v := five()
+		}, roster.Change{Member: member("c/1"), Remove: true, Reason: "voter is silent and a learner can replace it"}},
+		"silent voter with a learner that lacks the log": {func() roster.GroupView {
+			v := fullGroup()
 			v.Members = append(v.Members, learner("f/1"))
-			v.Known = append(v.Known, roster.Known{Member: member("f/1")})
-			silence(&v, "c/1", time.Minute)
+			v.Known = append(v.Known, roster.KnownReplica{Member: member("f/1")})
+			setSilentFor(&v, "c/1", time.Minute)
 			v.Synced = func(string) bool { return false }
 			return v
 		}, roster.Change{}},
-		"a vote is missing": {func() roster.View {
-			v := five()
+		"learner in a group with too few voters": {func() roster.GroupView {
+			v := fullGroup()
 			v.Members[4] = learner("e/1")
 			return v
-		}, roster.Change{Member: member("e/1"), Cause: "a voter is missing"}},
-		"a leader that has just begun has heard of nobody": {func() roster.View {
-			v := five()
-			v.Known, v.Watched = nil, roster.Settled/2
+		}, roster.Change{Member: member("e/1"), Reason: "learner is promoted because the group lacks a voter"}},
+		"new leader that has not heard of any replica": {func() roster.GroupView {
+			v := fullGroup()
+			v.Known, v.LeadingFor = nil, roster.MinLeaderTime/2
 			v.Members = append(v.Members, learner("f/1"))
 			return v
 		}, roster.Change{}},
 	} {
-		t.Run(what, func(t *testing.T) {
-			got, ok := roster.Decide(c.view())
-			if diff := cmp.Diff(c.want, got); diff != "" || ok != (c.want != roster.Change{}) {
+		t.Run(name, func(t *testing.T) {
+			got, ok := roster.Decide(test.view())
+			if diff := cmp.Diff(test.want, got); diff != "" || ok != (test.want != roster.Change{}) {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// A replica is lost for good, an empty one comes at another address, and soon
-// after two more lose their disks. Were the first still counted as a voter, two
-// votes of five would be left: nothing could ever be decided again.
-func TestLostReplicaIsReplacedBeforeTheNextIsLost(t *testing.T) {
-	v := five()
-	v.Known = append(v.Known[:4:4], roster.Known{Member: member("f/1")})
-	silence(&v, "e/1", time.Hour)
+// A voter that is lost for good must be replaced by an empty replica at another address. If it
+// stayed a voter and two more voters lost their disks, two of five votes would be left and the
+// group could never reach a quorum again.
+func TestLostVoterIsReplacedByLearner(t *testing.T) {
+	v := fullGroup()
+	v.Known = append(v.Known[:4:4], roster.KnownReplica{Member: member("f/1")})
+	setSilentFor(&v, "e/1", time.Hour)
 	changes := 0
 	for ; changes < 10; changes++ {
 		c, ok := roster.Decide(v)
 		if !ok {
 			break
 		}
-		v = apply(v, c)
+		v = applyChange(v, c)
 	}
 	var voters []string
 	for _, m := range v.Members {
@@ -116,20 +117,21 @@
 		}
 	}
 	if diff := cmp.Diff([]string{"a/1", "b/1", "c/1", "d/1", "f/1"}, voters); diff != "" || changes != 3 {
-		t.Errorf("after %d changes: %s", changes, diff)
+		t.Errorf("voters after %d changes, want 3 changes: %s", changes, diff)
 	}
 }
 
-func apply(v roster.View, c roster.Change) roster.View {
-	var out []quorum.Member
+// applyChange returns the view after the membership change.
+func applyChange(v roster.GroupView, c roster.Change) roster.GroupView {
+	var members []quorum.Member
 	for _, m := range v.Members {
 		if m.ID != c.Member.ID {
-			out = append(out, m)
+			members = append(members, m)
 		}
 	}
 	if !c.Remove {
-		out = append(out, c.Member)
+		members = append(members, c.Member)
 	}
-	v.Members = out
+	v.Members = members
 	return v
 }
