--- a/internal/control/dispatch/lease.go
+++ b/internal/control/dispatch/lease.go
@@ -60,10 +60,10 @@
 		}
 		c := d.lead.briefs[pool]
 		if c == nil {
-			c = &brief.Choice{}
+			c = &brief.Selection{}
 			d.lead.briefs[pool] = c
 		}
-		c.Look(all, used[pool])
+		c.Update(all, used[pool])
 	}
 }
 
--- a/internal/control/dispatch/sessions.go
+++ b/internal/control/dispatch/sessions.go
@@ -43,7 +43,7 @@
 func byID(s *session, id string) int { return cmp.Compare(s.id, id) }
 
 // class is how soon a server is asked what it holds.
-func (s *session) class() intake.Class {
+func (s *session) class() intake.Priority {
 	c := intake.Idle
 	for _, r := range s.runs {
 		if r.urgent {
--- a/internal/load/trial/main.go
+++ b/internal/load/trial/main.go
@@ -46,7 +46,7 @@
 // names lists all ways.
 func names() []string {
 	out := []string{"product"}
-	for name := range model.Parts {
+	for name := range model.Mechanisms {
 		out = append(out, "without-"+name)
 	}
 	slices.Sort(out[1:])
@@ -60,11 +60,11 @@
 	switch {
 	case name == "product":
 	case name == "fifo":
-		p.Fifo, p.Without = true, model.InTime|model.Headroom|model.KeptRoom|model.Width|model.SideBySide
+		p.FIFO, p.Disabled = true, model.LateLast|model.Headroom|model.GangReservation|model.QuestionSize|model.ParallelQuestions
 	case name == "strict":
-		p.Strict, p.Without = true, model.InTime|model.Headroom|model.KeptRoom|model.Width|model.SideBySide
-	case without && model.Parts[part] != 0:
-		p.Without = model.Parts[part]
+		p.StrictPriority, p.Disabled = true, model.LateLast|model.Headroom|model.GangReservation|model.QuestionSize|model.ParallelQuestions
+	case without && model.Mechanisms[part] != 0:
+		p.Disabled = model.Mechanisms[part]
 	default:
 		return p, fmt.Errorf("%q is no way to decide; there are %s", name, strings.Join(names(), ", "))
 	}
@@ -94,7 +94,7 @@
 			wg.Go(func() {
 				free <- struct{}{}
 				defer func() { <-free }()
-				results[i][n] = model.New(model.Draw(o.First+uint64(n), o.Servers), policies[i]).Run()
+				results[i][n] = model.New(model.GenerateScenario(o.First+uint64(n), o.Servers), policies[i]).Run()
 				_ = bar.Add(1)
 			})
 		}
@@ -109,19 +109,19 @@
 	name string
 	of   func(model.Result) float64
 }{
-	{"worth", model.Result.Worth},
-	{"whole", func(r model.Result) float64 { return r.Whole.Value() }},
-	{"windows", func(r model.Result) float64 { return r.Windows }},
-	{"tenants", func(r model.Result) float64 { return r.Tenants }},
+	{"worth", model.Result.Score},
+	{"whole", func(r model.Result) float64 { return r.Overall.Value() }},
+	{"windows", func(r model.Result) float64 { return r.WorstWindows }},
+	{"tenants", func(r model.Result) float64 { return r.WorstCustomers }},
 	{"nines", func(r model.Result) float64 { return r.Nines }},
 	{"urgent", func(r model.Result) float64 { return r.Kinds[0].Value() }},
 	{"plan", func(r model.Result) float64 { return r.Kinds[1].Value() }},
 	{"batch", func(r model.Result) float64 { return r.Kinds[2].Value() }},
-	{"never", func(r model.Result) float64 { return float64(r.Never) / float64(r.Asked) }},
-	{"urgent p50 s", func(r model.Result) float64 { return r.Waits[0] }},
-	{"wasted", func(r model.Result) float64 { return r.Wasted }},
-	{"busy", func(r model.Result) float64 { return r.Busy }},
-	{"asking", func(r model.Result) float64 { return r.Asking }},
+	{"never", func(r model.Result) float64 { return float64(r.Unserved) / float64(r.Requests) }},
+	{"urgent p50 s", func(r model.Result) float64 { return r.UrgentLatency[0] }},
+	{"wasted", func(r model.Result) float64 { return r.WastedCoreSeconds }},
+	{"busy", func(r model.Result) float64 { return r.Utilization }},
+	{"asking", func(r model.Result) float64 { return r.BusyHelpers }},
 	{"questions", func(r model.Result) float64 { return float64(r.Questions) }},
 }
 
@@ -145,16 +145,16 @@
 			mean, _ := meanOf(results[i], c.of)
 			fmt.Fprintf(t, "%.3f\t", mean)
 		}
-		_, spread := meanOf(results[i], model.Result.Worth)
+		_, spread := meanOf(results[i], model.Result.Score)
 		n := -1
-		beside, err := meanOf(results[i], func(r model.Result) float64 { n++; return r.Worth() - results[0][n].Worth() })
+		beside, err := meanOf(results[i], func(r model.Result) float64 { n++; return r.Score() - results[0][n].Score() })
 		fmt.Fprintf(t, "%.3f\t%+.4f ± %.4f\t\n", spread, beside, err/math.Sqrt(float64(len(results[i]))))
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	for i, name := range ways {
-		mean, _ := meanOf(results[i], model.Result.Worth)
+		mean, _ := meanOf(results[i], model.Result.Score)
 		fmt.Fprintf(out, "%24s %s %.3f\n", name, strings.Repeat("█", int(math.Round(max(mean, 0)*barWidth))), mean)
 	}
 	return nil
--- a/internal/policy/brief/brief.go
+++ b/internal/policy/brief/brief.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// roomTimes is how many times the room that urgent work takes the chosen servers
+	// capacityFactor is how many times the room that urgent work takes the chosen servers
 	// have: the adviser lets a step run on a part of them only.
-	roomTimes = 2
-	// leastParts and mostParts bound them to one in so many of a pool. Urgent work may
+	capacityFactor = 2
+	// minPartDivisor and mostParts bound them to one in so many of a pool. Urgent work may
 	// come when none was seen yet.
-	leastParts, mostParts = 10, 3
-	// fade is the part that is left of a need after each look: a lull must not
+	minPartDivisor, maxPartDivisor = 10, 3
+	// demandDecay is the part that is left of a need after each look: a lull must not
 	// move the leases to and fro.
-	fade = 0.95
+	demandDecay = 0.95
 )
 
 // Server is one that may be chosen.
@@ -30,30 +30,30 @@
 	Cores int64
 }
 
-// Choice is the servers of one pool on which urgent work is gathered. The zero value
+// Selection is the servers of one pool on which urgent work is gathered. The zero value
 // has none.
-type Choice struct {
-	need   float64
-	chosen map[string]bool
+type Selection struct {
+	demand   float64
+	selected map[string]bool
 }
 
-// Has tells whether urgent work is gathered on a server; on none where no choice is.
-func (c *Choice) Has(id string) bool { return c != nil && c.chosen[id] }
+// Contains tells whether urgent work is gathered on a server; on none where no choice is.
+func (c *Selection) Contains(id string) bool { return c != nil && c.selected[id] }
 
-// Look chooses anew, by the room in use by urgent work now. The order of the
+// Update chooses anew, by the room in use by urgent work now. The order of the
 // servers is always the same, whatever the others are, so that few change.
-func (c *Choice) Look(servers []Server, used int64) {
-	c.need = max(float64(used), c.need*fade)
-	c.chosen = map[string]bool{}
+func (c *Selection) Update(servers []Server, used int64) {
+	c.demand = max(float64(used), c.demand*demandDecay)
+	c.selected = map[string]bool{}
 	slices.SortFunc(servers, func(a, b Server) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID)), cmp.Compare(a.ID, b.ID))
 	})
-	room := 0.0
-	for i, s := range servers[:len(servers)/mostParts] {
-		if i >= len(servers)/leastParts && room >= roomTimes*c.need {
+	capacity := 0.0
+	for i, s := range servers[:len(servers)/maxPartDivisor] {
+		if i >= len(servers)/minPartDivisor && capacity >= capacityFactor*c.demand {
 			break
 		}
-		room += float64(s.Cores)
-		c.chosen[s.ID] = true
+		capacity += float64(s.Cores)
+		c.selected[s.ID] = true
 	}
 }
--- a/internal/policy/brief/brief_test.go
+++ b/internal/policy/brief/brief_test.go
@@ -15,37 +15,37 @@
 	return out
 }
 
-func chosen(c *brief.Choice, n int) map[string]bool {
+func selectedIDs(c *brief.Selection, n int) map[string]bool {
 	out := map[string]bool{}
 	for _, s := range servers(n) {
-		if c.Has(s.ID) {
+		if c.Contains(s.ID) {
 			out[s.ID] = true
 		}
 	}
 	return out
 }
 
-func TestRoomForUrgentWorkTwice(t *testing.T) {
-	for _, test := range []struct{ servers, used, want int }{
+func TestSelectionHasTwiceTheUrgentDemand(t *testing.T) {
+	for _, tc := range []struct{ servers, used, want int }{
 		{48, 0, 4}, {48, 160, 10}, {48, 10000, 16}, {2, 160, 0},
 	} {
-		var c brief.Choice
-		c.Look(servers(test.servers), int64(test.used))
-		if got := len(chosen(&c, test.servers)); got != test.want {
-			t.Errorf("%+v: %d servers", test, got)
+		var c brief.Selection
+		c.Update(servers(tc.servers), int64(tc.used))
+		if got := len(selectedIDs(&c, tc.servers)); got != tc.want {
+			t.Errorf("%+v: %d servers", tc, got)
 		}
 	}
 }
 
 // Urgent work comes in waves and servers come and go. Leases that went to and fro
 // with them would leave urgent work on servers whose long lease is not over yet.
-func TestFewServersChange(t *testing.T) {
-	var c brief.Choice
-	c.Look(servers(48), 160)
-	before := chosen(&c, 48)
-	c.Look(servers(48)[2:], 130)
+func TestSelectionChangesFewServers(t *testing.T) {
+	var c brief.Selection
+	c.Update(servers(48), 160)
+	before := selectedIDs(&c, 48)
+	c.Update(servers(48)[2:], 130)
 	changed := 0
-	for id := range chosen(&c, 48) {
+	for id := range selectedIDs(&c, 48) {
 		if !before[id] {
 			changed++
 		}
--- a/internal/policy/cell/cell.go
+++ b/internal/policy/cell/cell.go
@@ -150,7 +150,7 @@
 	gangs   int
 
 	estimates *health.Estimates
-	guard     *health.Guard
+	guard     *health.FaultDetector
 
 	// What the next call of Decide has to look at.
 	assumed     []*holding
@@ -187,13 +187,13 @@
 		teams: map[string]*account{}, servers: map[string]*server{}, racks: map[rackName]*rack{}, sizes: map[capacity.Size]int{},
 		works: map[uint64]*work{}, held: map[task.ID]*holding{}, waits: map[task.ID]*unit{},
 		rackIndex: fit.NewIndex[*rack](),
-		estimates: health.NewEstimates(), guard: health.NewGuard(),
+		estimates: health.NewEstimates(), guard: health.NewFaultDetector(),
 	}
 	p.order = queue.New(func(c *account) string { return c.name }, neediest)
 	p.later = queue.New(unitKey, soonest)
 	p.never = queue.New(unitKey, oldest)
 	p.late = queue.New(unitKey, expiresFirst)
-	p.estimates.Off = p.lacks(Estimates)
+	p.estimates.Disabled = p.lacks(Estimates)
 	return p
 }
 
@@ -227,7 +227,7 @@
 	p.touch(srv)
 	p.stale = true
 	if s.State != backend.Quarantined && old.State == backend.Quarantined || s.Incarnation != old.Incarnation {
-		p.guard.Leave(srv.num)
+		p.guard.Release(srv.num)
 	}
 	if missing(s) && !missing(old) {
 		srv.silent = s.Since
@@ -295,7 +295,7 @@
 		return
 	}
 	w := p.work(q.ID.Job, q.Job)
-	if w.budget.Spent() {
+	if w.budget.Exhausted() {
 		p.spent = append(p.spent, w)
 	}
 	p.enqueue(w, q)
--- a/internal/policy/cell/claim.go
+++ b/internal/policy/cell/claim.go
@@ -209,7 +209,7 @@
 func (v *search) look(c *account) {
 	n := 0
 	c.victims.Each(func(h *holding) bool {
-		if n++; v.may(h) && !v.seen[h.srv] && h.srv.State == backend.Ready && !v.unit.work.budget.Avoids(h.srv.num) {
+		if n++; v.may(h) && !v.seen[h.srv] && h.srv.State == backend.Ready && !v.unit.work.budget.FailedOn(h.srv.num) {
 			v.seen[h.srv] = true
 			v.weigh(h.srv)
 		}
--- a/internal/policy/cell/decide.go
+++ b/internal/policy/cell/decide.go
@@ -207,7 +207,7 @@
 	if u.work.budget.Failures() == 0 {
 		return nil
 	}
-	return func(s *server) bool { return !u.work.budget.Avoids(s.num) }
+	return func(s *server) bool { return !u.work.budget.FailedOn(s.num) }
 }
 
 // best returns the best server of all zones.
--- a/internal/policy/cell/gang.go
+++ b/internal/policy/cell/gang.go
@@ -80,7 +80,7 @@
 
 // times returns how many tasks of the unit the server has room for.
 func (p *Planner) times(s *server, u *unit, need capacity.Size) int {
-	if s.State != backend.Ready || u.work.budget.Avoids(s.num) {
+	if s.State != backend.Ready || u.work.budget.FailedOn(s.num) {
 		return 0
 	}
 	return times(need, s.room())
--- a/internal/policy/cell/urgent.go
+++ b/internal/policy/cell/urgent.go
@@ -70,7 +70,7 @@
 		return true
 	}
 	for _, r := range p.rooms {
-		if r.srv.State != backend.Ready || u.work.budget.Avoids(r.srv.num) || !need.Fits(r.srv.room().Add(r.size)) {
+		if r.srv.State != backend.Ready || u.work.budget.FailedOn(r.srv.num) || !need.Fits(r.srv.room().Add(r.size)) {
 			continue
 		}
 		p.dropRoom(r)
--- a/internal/policy/cell/watch.go
+++ b/internal/policy/cell/watch.go
@@ -97,34 +97,34 @@
 // job or server, and what went away with its server only where it had just begun.
 func (p *Planner) learn(h *holding, how plan.End) {
 	if h.curbed && !how.Lost {
-		h.work.budget.Exceed()
+		h.work.budget.RecordStop()
 	}
 	switch {
 	case how.Lost:
-		h.work.budget.Lose(h.ID.Index, h.srv.silent-h.Since)
+		h.work.budget.RecordServerLoss(h.ID.Index, h.srv.silent-h.Since)
 		return
 	case !how.Ran || h.Stopping:
 		return
 	}
-	h.work.budget.Outlive(h.ID.Index)
-	name := health.NameOf(h.Job)
+	h.work.budget.ResetCrashes(h.ID.Index)
+	name := health.JobNameOf(h.Job)
 	if !how.Failed {
-		p.estimates.Learn(h.Job, how.At-h.Since)
-		p.guard.Succeed(name, h.srv.num)
+		p.estimates.Observe(h.Job, how.At-h.Since)
+		p.guard.RecordSuccess(name, h.srv.num)
 		return
 	}
-	p.guard.Fail(name, h.srv.num, how.At)
+	p.guard.RecordFailure(name, h.srv.num, how.At)
 	if h.srv.State != backend.Quarantined {
-		h.work.budget.Fail(h.srv.num)
+		h.work.budget.RecordFailure(h.srv.num)
 	}
-	if p.guard.Suspects(h.srv.num, len(p.list)) {
+	if p.guard.ShouldQuarantine(h.srv.num, len(p.list)) {
 		p.suspects = append(p.suspects, h.srv)
 	}
 }
 
 // confine notes that the server is in quarantine.
 func (p *Planner) confine(s *server, since time.Duration) {
-	p.guard.Enter(s.num, since)
+	p.guard.Quarantine(s.num, since)
 	if !slices.Contains(p.quarantined, s) {
 		p.quarantined = append(p.quarantined, s)
 	}
@@ -133,14 +133,14 @@
 // watchServers takes failing servers out of use and brings sound ones back.
 func (p *Planner) watchServers() {
 	for _, s := range p.suspects {
-		if s.State == backend.Ready && p.guard.Suspects(s.num, len(p.list)) && !p.lacks(Quarantine) {
+		if s.State == backend.Ready && p.guard.ShouldQuarantine(s.num, len(p.list)) && !p.lacks(Quarantine) {
 			p.quarantine(s)
 		}
 	}
 	p.suspects = p.suspects[:0]
 	p.quarantined = slices.DeleteFunc(p.quarantined, func(s *server) bool { return s.State != backend.Quarantined })
 	for _, s := range p.quarantined {
-		if p.guard.Sound(s.num) && (s.restored == 0 || p.now >= s.restored+again) {
+		if p.guard.Recovered(s.num) && (s.restored == 0 || p.now >= s.restored+again) {
 			s.restored = max(p.now, 1)
 			p.emit(plan.Decision{Verb: plan.Restore, Server: s.ID, Reason: "its probes succeeded"})
 		}
@@ -154,7 +154,7 @@
 	p.confine(s, p.now)
 	p.touch(s)
 	for _, w := range p.works {
-		w.budget.Forgive(s.num)
+		w.budget.RemoveFailures(s.num)
 	}
 	p.emit(plan.Decision{Verb: plan.Quarantine, Server: s.ID, Reason: "fails what runs elsewhere"})
 }
@@ -162,7 +162,7 @@
 // park gives up jobs that failed too often.
 func (p *Planner) park() {
 	for _, w := range p.spent {
-		if w.given || !w.budget.Spent() || p.works[w.id] != w {
+		if w.given || !w.budget.Exhausted() || p.works[w.id] != w {
 			continue
 		}
 		w.given = true
@@ -209,7 +209,7 @@
 		if p.full() {
 			return
 		}
-		if s.State != backend.Quarantined || !p.guard.Probe(s.num, p.now) || len(s.tasks) > 0 {
+		if s.State != backend.Quarantined || !p.guard.MayProbe(s.num, p.now) || len(s.tasks) > 0 {
 			continue
 		}
 		if u := p.probeWith(s); u != nil {
--- a/internal/policy/cell/work.go
+++ b/internal/policy/cell/work.go
@@ -324,5 +324,5 @@
 	if p.lacks(Shortest) {
 		return at
 	}
-	return at + min(orderWeight*p.estimates.Runtime(u.work.spec), orderMost)
+	return at + min(orderWeight*p.estimates.ExpectedRuntime(u.work.spec), orderMost)
 }
--- a/internal/policy/intake/intake.go
+++ b/internal/policy/intake/intake.go
@@ -7,67 +7,67 @@
 import "time"
 
 const (
-	// most is how many first answers are waited for at once.
-	most = 32
-	// patience is how long one counts: servers that do not answer must not hold up
+	// maxPending is how many first answers are waited for at once.
+	maxPending = 32
+	// pendingTimeout is how long one counts: servers that do not answer must not hold up
 	// those that do.
-	patience = 150 * time.Millisecond
+	pendingTimeout = 150 * time.Millisecond
 )
 
-// Class is how soon a server is asked.
-type Class uint8
+// Priority is how soon a server is asked.
+type Priority uint8
 
 // The classes, the first ones first.
 const (
 	// Urgent is for servers that hold work that somebody waits for.
-	Urgent Class = iota
+	Urgent Priority = iota
 	// Busy is for servers that hold other work.
 	Busy
 	// Idle is for servers that hold none.
 	Idle
-	classes
+	priorityCount
 )
 
 // Queue is what is still to be asked. The zero value is empty.
 type Queue[T comparable] struct {
-	waiting [classes][]T
-	asked   map[T]time.Duration
+	waiting [priorityCount][]T
+	pending map[T]time.Duration
 }
 
 // Add puts one more into the queue.
-func (q *Queue[T]) Add(v T, c Class) { q.waiting[c] = append(q.waiting[c], v) }
+func (q *Queue[T]) Add(v T, p Priority) { q.waiting[p] = append(q.waiting[p], v) }
 
 // Next returns who is asked now; false when nobody is, or enough are.
 func (q *Queue[T]) Next(now time.Duration) (T, bool) {
 	var none T
-	if len(q.asked) >= most {
-		q.forget(now)
+	if len(q.pending) >= maxPending {
+		q.dropTimedOut(now)
 	}
-	if len(q.asked) >= most {
+	if len(q.pending) >= maxPending {
 		return none, false
 	}
-	for c, w := range q.waiting {
-		if len(w) == 0 {
+	for p, servers := range q.waiting {
+		if len(servers) == 0 {
 			continue
 		}
-		q.waiting[c] = w[1:]
-		if q.asked == nil {
-			q.asked = map[T]time.Duration{}
+		q.waiting[p] = servers[1:]
+		if q.pending == nil {
+			q.pending = map[T]time.Duration{}
 		}
-		q.asked[w[0]] = now
-		return w[0], true
+		q.pending[servers[0]] = now
+		return servers[0], true
 	}
 	return none, false
 }
 
 // Done notes that one has answered, or failed.
-func (q *Queue[T]) Done(v T) { delete(q.asked, v) }
+func (q *Queue[T]) Done(v T) { delete(q.pending, v) }
 
-// forget leaves out those that were asked too long ago.
-func (q *Queue[T]) forget(now time.Duration) {
-	for v, at := range q.asked {
-		if now-at >= patience {
-			delete(q.asked, v)
+// dropTimedOut leaves out those that were asked too long ago.
+func (q *Queue[T]) dropTimedOut(now time.Duration) {
+	for v, askedAt := range q.pending {
+		if now-askedAt >= pendingTimeout {
+			delete(q.pending, v)
 		}
 	}
 }
--- a/internal/policy/intake/intake_test.go
+++ b/internal/policy/intake/intake_test.go
@@ -9,8 +9,8 @@
 	"gypsumreel/internal/policy/intake"
 )
 
-// next takes all that may be asked at a time.
-func next(q *intake.Queue[int], now time.Duration) []int {
+// nextAll takes all that may be asked at a time.
+func nextAll(q *intake.Queue[int], now time.Duration) []int {
 	var out []int
 	for v, ok := q.Next(now); ok; v, ok = q.Next(now) {
 		out = append(out, v)
@@ -20,44 +20,44 @@
 
 // Servers on which somebody waits for work must not be asked after a thousand
 // that hold none.
-func TestUrgentWorkIsAskedForFirst(t *testing.T) {
+func TestServersWithUrgentWorkAreAskedFirst(t *testing.T) {
 	var q intake.Queue[int]
 	q.Add(1, intake.Idle)
 	q.Add(2, intake.Busy)
 	q.Add(3, intake.Urgent)
 	q.Add(4, intake.Idle)
-	if d := cmp.Diff([]int{3, 2, 1, 4}, next(&q, 0)); d != "" {
+	if d := cmp.Diff([]int{3, 2, 1, 4}, nextAll(&q, 0)); d != "" {
 		t.Error(d)
 	}
 }
 
 // All servers asked in one moment leave the process no time for its heartbeats.
-func TestFewAreAskedAtOnce(t *testing.T) {
+func TestPendingRequestsAreLimited(t *testing.T) {
 	var q intake.Queue[int]
 	for v := range 1000 {
 		q.Add(v, intake.Idle)
 	}
-	first := next(&q, 0)
+	first := nextAll(&q, 0)
 	if len(first) == 0 || len(first) > 100 {
 		t.Fatalf("%d at once", len(first))
 	}
 	q.Done(first[0])
 	q.Done(first[1])
-	if more := next(&q, time.Millisecond); len(more) != 2 {
+	if more := nextAll(&q, time.Millisecond); len(more) != 2 {
 		t.Errorf("two have answered, and %d more are asked", len(more))
 	}
 }
 
 // Racks went silent: their servers, asked first, must not hold up the others.
-func TestSilentServersHoldNobodyUp(t *testing.T) {
+func TestSilentServersDoNotDelayOthers(t *testing.T) {
 	var q intake.Queue[int]
 	const silent, all = 66, 500
 	for v := range all {
 		q.Add(v, intake.Busy)
 	}
 	answered := 0
-	for at := time.Duration(0); at < 500*time.Millisecond; at += 5 * time.Millisecond {
-		for _, v := range next(&q, at) {
+	for now := time.Duration(0); now < 500*time.Millisecond; now += 5 * time.Millisecond {
+		for _, v := range nextAll(&q, now) {
 			if v >= silent {
 				q.Done(v)
 				answered++
--- a/internal/policy/model/model.go
+++ b/internal/policy/model/model.go
@@ -28,41 +28,41 @@
 	// commitTime is how long a commit takes, callTime a call to a server.
 	commitTime = 12 * time.Millisecond
 	callTime   = 5 * time.Millisecond
-	// noticeTime is how long a server is silent before that is noticed.
-	noticeTime = 300 * time.Millisecond
-	// planEvery is the pause between two plans.
-	planEvery = 20 * time.Millisecond
-	// permitTime is how long a permit holds.
-	permitTime = 1200 * time.Millisecond
+	// detectionTime is how long a server is silent before that is noticed.
+	detectionTime = 300 * time.Millisecond
+	// planInterval is the pause between two plans.
+	planInterval = 20 * time.Millisecond
+	// permitValidity is how long a permit holds.
+	permitValidity = 1200 * time.Millisecond
 	// drainTime is how long flows are waited for after the last arrival.
 	drainTime = 20 * time.Second
 )
 
-// Part is a mechanism that can be left out of a play.
-type Part uint
+// Mechanism is a mechanism that can be left out of a play.
+type Mechanism uint
 
 // The mechanisms.
 const (
-	Headroom Part = 1 << iota
-	KeptRoom
-	InTime
-	Slack
-	Width
-	SideBySide
-	AskOn
+	Headroom Mechanism = 1 << iota
+	GangReservation
+	LateLast
+	SlackOrder
+	QuestionSize
+	ParallelQuestions
+	ImmediateQuestions
 )
 
-// Parts names the mechanisms.
-var Parts = map[string]Part{
-	"headroom": Headroom, "kept-room": KeptRoom, "in-time-first": InTime, "slack": Slack, "width": Width, "side-by-side": SideBySide, "ask-on": AskOn,
+// Mechanisms names the mechanisms.
+var Mechanisms = map[string]Mechanism{
+	"headroom": Headroom, "kept-room": GangReservation, "in-time-first": LateLast, "slack": SlackOrder, "width": QuestionSize, "side-by-side": ParallelQuestions, "ask-on": ImmediateQuestions,
 }
 
 // Policy is how a play decides.
 type Policy struct {
-	// Without are the mechanisms left out.
-	Without Part
-	// Fifo takes everything in the order of arrival, Strict by priority alone.
-	Fifo, Strict bool
+	// Disabled are the mechanisms left out.
+	Disabled Mechanism
+	// FIFO takes everything in the order of arrival, Strict by priority alone.
+	FIFO, StrictPriority bool
 	// Lease is how long a server may run on unheard.
 	Lease time.Duration
 }
@@ -93,49 +93,49 @@
 	return last
 }
 
-// Model is one play.
-type Model struct {
-	setup  Setup
-	policy Policy
-	rng    *rand.Rand
-	now    time.Duration
-	queue  events
-	seq    int
-
-	ledger  *flows.Ledger
-	crew    *crew.Crew
-	servers map[string]*server
-	order   []string
-	// leads tells that somebody leads; back holds what waits for that.
-	leads bool
-	back  []func()
-
-	advice map[flow.StepID]*advice
-	wants  []steps.Want
-	times  map[flow.StepID]steps.Times
-	// usual is how long runs take beside what was declared.
-	usual   float64
-	dirty   bool
-	planned time.Duration
-	plans   int
+// Simulation is one play.
+type Simulation struct {
+	scenario Scenario
+	policy   Policy
+	rng      *rand.Rand
+	now      time.Duration
+	queue    events
+	seq      int
+
+	ledger    *flows.Ledger
+	helpers   *crew.Pool
+	servers   map[string]*server
+	serverIDs []string
+	// hasLeader tells that somebody leads; back holds what waits for that.
+	hasLeader        bool
+	waitingForLeader []func()
+
+	advice    map[flow.StepID]*stepAdvice
+	questions []steps.Question
+	timings   map[flow.StepID]steps.Timing
+	// runtimeRatio is how long runs take beside what was declared.
+	runtimeRatio float64
+	changed      bool
+	plannedAt    time.Duration
+	planCount    int
 
 	requests map[string]*request
-	// Decisions is a hash over all placements: the same seed gives the same.
-	Decisions uint64
-	questions int
-	wasted    float64
-	// busy is the part of the room in use while something waits, asking the
+	// DecisionHash is a hash over all placements: the same seed gives the same.
+	DecisionHash      uint64
+	questionCount     int
+	wastedCoreSeconds float64
+	// utilization is the part of the room in use while something waits, asking the
 	// seconds that helpers spent on questions.
-	busy   Share
-	asking float64
+	utilization   Share
+	helperSeconds float64
 }
 
 // New sets a play up.
-func New(s Setup, p Policy) *Model {
-	m := &Model{
-		setup: s, policy: p, rng: rand.New(rand.NewPCG(s.Seed, 11)), ledger: flows.New(), crew: crew.New(),
-		servers: map[string]*server{}, leads: true, advice: map[flow.StepID]*advice{}, times: map[flow.StepID]steps.Times{},
-		usual: 1, requests: map[string]*request{},
+func New(s Scenario, p Policy) *Simulation {
+	m := &Simulation{
+		scenario: s, policy: p, rng: rand.New(rand.NewPCG(s.Seed, 11)), ledger: flows.New(), helpers: crew.New(),
+		servers: map[string]*server{}, hasLeader: true, advice: map[flow.StepID]*stepAdvice{}, timings: map[flow.StepID]steps.Timing{},
+		runtimeRatio: 1, requests: map[string]*request{},
 	}
 	if m.policy.Lease == 0 {
 		m.policy.Lease = s.Lease
@@ -144,13 +144,13 @@
 }
 
 // Run plays to the end and returns what callers got.
-func (m *Model) Run() Result {
-	m.apply(&record.Flow{What: &record.Flow_Document{Document: m.setup.document()}})
-	m.furnish()
-	m.arrivals()
-	m.troubles()
+func (m *Simulation) Run() Result {
+	m.apply(&record.Flow{What: &record.Flow_Document{Document: m.scenario.document()}})
+	m.addServers()
+	m.scheduleRequests()
+	m.scheduleFaults()
 	m.tick()
-	end := m.setup.Length + drainTime
+	end := m.scenario.Duration + drainTime
 	for len(m.queue) > 0 && m.queue[0].at <= end {
 		e := heap.Pop(&m.queue).(event)
 		m.now = e.at
@@ -159,33 +159,33 @@
 	return m.result()
 }
 
-// at lets fn happen at a time.
-func (m *Model) at(t time.Duration, fn func()) {
+// schedule lets fn happen at a time.
+func (m *Simulation) schedule(t time.Duration, fn func()) {
 	m.seq++
 	heap.Push(&m.queue, event{max(t, m.now), m.seq, fn})
 }
 
-func (m *Model) after(d time.Duration, fn func()) { m.at(m.now+d, fn) }
+func (m *Simulation) scheduleAfter(d time.Duration, fn func()) { m.schedule(m.now+d, fn) }
 
-// led lets fn happen once somebody leads.
-func (m *Model) led(fn func()) {
-	if m.leads {
+// whenLeader lets fn happen once somebody leads.
+func (m *Simulation) whenLeader(fn func()) {
+	if m.hasLeader {
 		fn()
 		return
 	}
-	m.back = append(m.back, fn)
+	m.waitingForLeader = append(m.waitingForLeader, fn)
 }
 
-func (m *Model) apply(f *record.Flow) bool {
-	m.dirty = true
+func (m *Simulation) apply(f *record.Flow) bool {
+	m.changed = true
 	ok := m.ledger.Apply(m.now, f) == nil
-	m.stopUnwanted()
+	m.stopUnwantedRuns()
 	return ok
 }
 
-// stopUnwanted stops the members of gangs that lost one, and what ran for flows
+// stopUnwantedRuns stops the members of gangs that lost one, and what ran for flows
 // that have failed.
-func (m *Model) stopUnwanted() {
+func (m *Simulation) stopUnwantedRuns() {
 	unwanted := m.ledger.Unwanted()
 	for _, id := range slices.SortedFunc(maps.Keys(unwanted), func(a, b flow.TaskID) int {
 		return cmp.Or(cmp.Compare(a.Flow, b.Flow), cmp.Compare(a.Step, b.Step), cmp.Compare(a.Index, b.Index))
@@ -193,42 +193,42 @@
 		h := unwanted[id]
 		s := m.servers[h.Server]
 		if r := s.runs[id]; r != nil {
-			m.wasted += m.spent(r)
+			m.wastedCoreSeconds += m.coreSeconds(r)
 			delete(s.runs, id)
-			m.tell(s, func() { m.end(s, r.RunID, inner.RunEnd_RUN_END_STOPPED) })
+			m.report(s, func() { m.recordEnd(s, r.RunID, inner.RunEnd_RUN_END_STOPPED) })
 		}
 	}
 }
 
 // tick plans as often as the leader does.
-func (m *Model) tick() {
-	if m.leads && m.dirty {
-		m.dirty = false
+func (m *Simulation) tick() {
+	if m.hasLeader && m.changed {
+		m.changed = false
 		m.plan()
 	}
-	if len(m.ledger.Ready()) > 0 && m.now < m.setup.Length {
+	if len(m.ledger.Ready()) > 0 && m.now < m.scenario.Duration {
 		for _, b := range m.ledger.Servers() {
 			if !b.Over && !b.Leaving {
-				m.busy.add(float64(b.Used.CPU), float64(b.Capacity.CPU))
+				m.utilization.add(float64(b.Used.CPU), float64(b.Capacity.CPU))
 			}
 		}
 	}
-	if m.now < m.setup.Length+drainTime {
-		m.after(planEvery, m.tick)
+	if m.now < m.scenario.Duration+drainTime {
+		m.scheduleAfter(planInterval, m.tick)
 	}
 }
 
-// furnish brings the servers and the helpers.
-func (m *Model) furnish() {
-	for _, s := range m.setup.Servers {
-		m.servers[s.id] = &server{spec: s, runs: map[flow.TaskID]*run{}, heard: m.now}
-		m.order = append(m.order, s.id)
+// addServers brings the servers and the helpers.
+func (m *Simulation) addServers() {
+	for _, s := range m.scenario.Servers {
+		m.servers[s.id] = &server{spec: s, runs: map[flow.TaskID]*run{}, lastHeard: m.now}
+		m.serverIDs = append(m.serverIDs, s.id)
 		m.apply(&record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{
 			Id: s.id, Born: 1, Address: s.id, Pool: pool, Machine: s.id, Labels: []string{s.rack},
 			Capacity: &v1.Size{Cpu: s.cores, Memory: 1 << 30},
 		}}})
 	}
-	for i := range m.setup.Helpers {
-		m.crew.Hear(helperName(i), 1<<60)
+	for i := range m.scenario.HelperCount {
+		m.helpers.RecordGreeting(helperName(i), 1<<60)
 	}
 }
--- a/internal/policy/model/model_test.go
+++ b/internal/policy/model/model_test.go
@@ -10,12 +10,12 @@
 
 func TestSameSeedGivesTheSameDecisions(t *testing.T) {
 	for seed := range uint64(3) {
-		a, b := model.New(model.Draw(seed, 48), model.Policy{}), model.New(model.Draw(seed, 48), model.Policy{})
+		a, b := model.New(model.GenerateScenario(seed, 48), model.Policy{}), model.New(model.GenerateScenario(seed, 48), model.Policy{})
 		if diff := cmp.Diff(a.Run(), b.Run()); diff != "" {
 			t.Error(diff)
 		}
-		if a.Decisions != b.Decisions || a.Decisions == 0 {
-			t.Errorf("seed %d: decisions %x and %x", seed, a.Decisions, b.Decisions)
+		if a.DecisionHash != b.DecisionHash || a.DecisionHash == 0 {
+			t.Errorf("seed %d: decisions %x and %x", seed, a.DecisionHash, b.DecisionHash)
 		}
 	}
 }
--- a/internal/policy/model/plan.go
+++ b/internal/policy/model/plan.go
@@ -19,177 +19,177 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// advice is what is known of the adviser's mind about one step.
-type advice struct {
-	may    map[string]bool
-	until  map[string]time.Duration
-	asking int
+// stepAdvice is what is known of the adviser's mind about one step.
+type stepAdvice struct {
+	allowed          map[string]bool
+	permitUntil      map[string]time.Duration
+	pendingQuestions int
 }
 
 // plan decides once.
-func (m *Model) plan() {
-	v := steps.View{Room: m.room, Known: m.known, Share: func(steps.Item) float64 { return m.setup.Share }}
-	if m.policy.Without&KeptRoom == 0 {
-		v.Frees = m.frees
+func (m *Simulation) plan() {
+	v := steps.View{RemainingLimit: m.remainingLimit, Permissions: m.permissions, AllowedShare: func(steps.Item) float64 { return m.scenario.AllowedShare }}
+	if m.policy.Disabled&GangReservation == 0 {
+		v.Releases = m.releases
 	}
-	if m.policy.Without&Headroom == 0 {
+	if m.policy.Disabled&Headroom == 0 {
 		v.Headroom = m.headroom
 	}
 	ready := m.ledger.Ready()
 	for _, id := range slices.SortedFunc(maps.Keys(ready), func(a, b flow.StepID) int { return cmp.Or(cmp.Compare(a.Flow, b.Flow), cmp.Compare(a.Step, b.Step)) }) {
 		v.Items = append(v.Items, m.item(ready[id]))
 	}
-	for _, id := range m.order {
+	for _, id := range m.serverIDs {
 		s := m.servers[id]
-		if b, ok := m.ledger.Server(id); ok && !b.Leaving && !b.Over && !s.noticed {
+		if b, ok := m.ledger.Server(id); ok && !b.Leaving && !b.Over && !s.silenceDetected {
 			v.Servers = append(v.Servers, steps.Server{Server: b, Speed: s.spec.speed})
 		}
 	}
-	m.plans++
-	v.Items = steps.Pick(v, m.plans)
+	m.planCount++
+	v.Items = steps.SelectItems(v, m.planCount)
 	p := steps.Make(v)
-	for _, one := range p.Placements {
-		m.place(one)
+	for _, placement := range p.Placements {
+		m.startTasks(placement)
 	}
-	m.wants = p.Wants
-	m.ask()
+	m.questions = p.Questions
+	m.askPending()
 }
 
 // item describes a ready step, as the policy of the play has it.
-func (m *Model) item(s *flows.Step) steps.Item {
-	q, _ := m.ledger.QueueOf(s.Flow)
-	t, ok := m.times[s.StepID]
+func (m *Simulation) item(s *flows.Step) steps.Item {
+	queue, _ := m.ledger.QueueOf(s.Flow)
+	timing, ok := m.timings[s.StepID]
 	if !ok {
-		t = steps.TimesOf(s, q)
-		m.times[s.StepID] = t
+		timing = steps.TimingOf(s, queue)
+		m.timings[s.StepID] = timing
 	}
-	takes := time.Duration(float64(s.Spec.GetRuntime()) * max(m.usual, 1) * float64(time.Millisecond))
+	runtime := time.Duration(float64(s.Spec.GetRuntime()) * max(m.runtimeRatio, 1) * float64(time.Millisecond))
 	it := steps.Item{
-		Step: s, Pool: pool, Priority: q.GetPriority(), Urgent: q.GetPriority() == 0, Takes: takes,
-		Usual: m.width(q.GetAdvice(), takes), Permits: true, Asked: m.advice[s.StepID] != nil,
+		Step: s, Pool: pool, Priority: queue.GetPriority(), Urgent: queue.GetPriority() == 0, ExpectedRuntime: runtime,
+		QuestionSize: m.questionSize(queue.GetAdvice(), runtime), NeedsPermit: true, AdviserAsked: m.advice[s.StepID] != nil,
 	}
 	age := m.now - s.Flow.Accepted
-	it = it.Judged(t, age)
-	if m.policy.Without&InTime != 0 {
-		it.Late, it.Hopeless = false, false
+	it = it.WithAge(timing, age)
+	if m.policy.Disabled&LateLast != 0 {
+		it.Late, it.Worthless = false, false
 	}
-	if m.policy.Without&Slack != 0 || m.policy.Strict {
+	if m.policy.Disabled&SlackOrder != 0 || m.policy.StrictPriority {
 		it.Slack = -age
 	}
-	if m.policy.Fifo {
+	if m.policy.FIFO {
 		it.Priority, it.Slack = 0, -age
 	}
 	return it
 }
 
-func (m *Model) width(a *v1.Advice, takes time.Duration) int {
-	if m.policy.Without&Width != 0 {
-		return steps.LeastAsked
+func (m *Simulation) questionSize(a *v1.Advice, runtime time.Duration) int {
+	if m.policy.Disabled&QuestionSize != 0 {
+		return steps.MinServersPerQuestion
 	}
-	return steps.Width(a, takes)
+	return steps.QuestionSize(a, runtime)
 }
 
-func (m *Model) room(string) capacity.Size {
+func (m *Simulation) remainingLimit(string) capacity.Size {
 	return capacity.Size{CPU: 1 << 50, Memory: 1 << 50, Accel: 1 << 50}
 }
 
 // headroom leaves a quarter second's worth of urgent starts free.
-func (m *Model) headroom(string) steps.Headroom {
-	k := m.setup.Kinds[0]
-	return steps.Headroom{Size: capacity.Size{CPU: int64(k.CPU), Memory: 1}, Tasks: int64(k.Rate * k.Tasks / 4)}
+func (m *Simulation) headroom(string) steps.Headroom {
+	k := m.scenario.Kinds[0]
+	return steps.Headroom{Size: capacity.Size{CPU: int64(k.CPU), Memory: 1}, Tasks: int64(k.Rate * k.MeanTasks / 4)}
 }
 
-func (m *Model) frees(id string) []steps.Release {
+func (m *Simulation) releases(id string) []steps.Release {
 	var out []steps.Release
 	for _, r := range m.servers[id].runs {
-		takes := time.Duration(float64(r.step.Spec.GetRuntime()) * m.usual * float64(time.Millisecond))
-		out = append(out, steps.Release{In: max(r.began+takes-m.now, 0), Size: flow.SizeOf(r.step.Spec)})
+		runtime := time.Duration(float64(r.step.Spec.GetRuntime()) * m.runtimeRatio * float64(time.Millisecond))
+		out = append(out, steps.Release{After: max(r.startedAt+runtime-m.now, 0), Size: flow.SizeOf(r.step.Spec)})
 	}
 	slices.SortFunc(out, func(a, b steps.Release) int {
-		return cmp.Or(cmp.Compare(a.In, b.In), cmp.Compare(a.Size.CPU, b.Size.CPU))
+		return cmp.Or(cmp.Compare(a.After, b.After), cmp.Compare(a.Size.CPU, b.Size.CPU))
 	})
 	return out
 }
 
-func (m *Model) place(p steps.Placement) {
+func (m *Simulation) startTasks(p steps.Placement) {
 	start := &record.FlowStart{}
-	for _, one := range p.Places {
-		id := flow.RunID{TaskID: one.TaskID, Number: p.Item.Tasks[one.Index].Number + 1}
-		start.Places = append(start.Places, &record.FlowPlace{Run: id.Message(), Server: one.Server})
-		m.Decisions = m.Decisions*31 + xxhash.Sum64String(id.String()+one.Server+m.now.String())
+	for _, place := range p.Assignments {
+		id := flow.RunID{TaskID: place.TaskID, Number: p.Item.Tasks[place.Index].Number + 1}
+		start.Places = append(start.Places, &record.FlowPlace{Run: id.Message(), Server: place.Server})
+		m.DecisionHash = m.DecisionHash*31 + xxhash.Sum64String(id.String()+place.Server+m.now.String())
 	}
 	if !m.apply(&record.Flow{What: &record.Flow_Start{Start: start}}) {
 		return
 	}
-	for _, one := range start.GetPlaces() {
-		s, id := m.servers[one.GetServer()], flow.RunOf(one.GetRun())
-		m.after(commitTime+callTime, func() { m.begin(s, id, p.Item.Step) })
+	for _, place := range start.GetPlaces() {
+		s, id := m.servers[place.GetServer()], flow.RunOf(place.GetRun())
+		m.scheduleAfter(commitTime+callTime, func() { m.startRun(s, id, p.Item.Step) })
 	}
 }
 
-// known tells the planner what is known of a step on servers.
-func (m *Model) known(id flow.StepID) iter.Seq2[string, steps.Permission] {
+// permissions tells the planner what is known of a step on servers.
+func (m *Simulation) permissions(id flow.StepID) iter.Seq2[string, steps.Permission] {
 	a := m.advice[id]
 	if a == nil {
-		a = &advice{}
+		a = &stepAdvice{}
 	}
-	return steps.Permissions(a.may, func(server string) bool { return m.now < a.until[server] })
+	return steps.Permissions(a.allowed, func(server string) bool { return m.now < a.permitUntil[server] })
 }
 
-// ask asks what the plan wants to know, as far as helpers are free.
-func (m *Model) ask() {
-	var left []steps.Want
-	for i, w := range m.wants {
-		if !m.askAbout(w) {
-			left = append(left, w)
+// askPending asks what the plan wants to know, as far as helpers are free.
+func (m *Simulation) askPending() {
+	var unsent []steps.Question
+	for i, question := range m.questions {
+		if !m.askQuestion(question) {
+			unsent = append(unsent, question)
 		}
-		if resting, _ := m.crew.Resting(m.now); resting == 0 {
-			left = append(left, m.wants[i+1:]...)
+		if idle, _ := m.helpers.IdleCount(m.now); idle == 0 {
+			unsent = append(unsent, m.questions[i+1:]...)
 			break
 		}
 	}
-	m.wants = left
+	m.questions = unsent
 }
 
-func (m *Model) askAbout(w steps.Want) bool {
-	a := m.advice[w.Item.StepID]
+func (m *Simulation) askQuestion(question steps.Question) bool {
+	a := m.advice[question.Item.StepID]
 	if a == nil {
-		a = &advice{may: map[string]bool{}, until: map[string]time.Duration{}}
-		m.advice[w.Item.StepID] = a
+		a = &stepAdvice{allowed: map[string]bool{}, permitUntil: map[string]time.Duration{}}
+		m.advice[question.Item.StepID] = a
 	}
-	q, _ := m.ledger.QueueOf(w.Item.Flow)
-	if a.asking > 0 || w.Item.Queued == 0 || w.Item.Flow.Final() {
+	queue, _ := m.ledger.QueueOf(question.Item.Flow)
+	if a.pendingQuestions > 0 || question.Item.Queued == 0 || question.Item.Flow.Final() {
 		return true
 	}
-	shortest := steps.Cost(m.ledger.Config().GetQueues()[0].GetAdvice(), steps.LeastAsked)
-	whole := crew.Long(steps.Cost(q.GetAdvice(), len(w.Servers)), shortest)
-	for _, servers := range m.crew.Split(w.Servers, steps.MostAsked, whole && m.policy.Without&SideBySide == 0, m.now) {
-		takes := steps.Cost(q.GetAdvice(), len(servers))
-		h := m.crew.Take(crew.Long(takes, shortest), m.now)
+	shortest := steps.QuestionDuration(m.ledger.Config().GetQueues()[0].GetAdvice(), steps.MinServersPerQuestion)
+	long := crew.IsLong(steps.QuestionDuration(queue.GetAdvice(), len(question.Servers)), shortest)
+	for _, servers := range m.helpers.SplitServers(question.Servers, steps.MaxServersPerQuestion, long && m.policy.Disabled&ParallelQuestions == 0, m.now) {
+		duration := steps.QuestionDuration(queue.GetAdvice(), len(servers))
+		h := m.helpers.Acquire(crew.IsLong(duration, shortest), m.now)
 		if h == nil {
-			return a.asking > 0
+			return a.pendingQuestions > 0
 		}
-		m.question(a, h, w.Item.StepID, servers, takes)
+		m.sendQuestion(a, h, question.Item.StepID, servers, duration)
 	}
 	return true
 }
 
-func (m *Model) question(a *advice, h *crew.Helper, id flow.StepID, servers []string, takes time.Duration) {
-	a.asking++
-	m.questions++
-	m.asking += takes.Seconds()
-	m.after(takes+2*callTime, func() {
-		m.crew.Free(h, true, m.now)
-		a.asking--
-		m.dirty = true
+func (m *Simulation) sendQuestion(a *stepAdvice, h *crew.Helper, id flow.StepID, servers []string, duration time.Duration) {
+	a.pendingQuestions++
+	m.questionCount++
+	m.helperSeconds += duration.Seconds()
+	m.scheduleAfter(duration+2*callTime, func() {
+		m.helpers.Release(h, true, m.now)
+		a.pendingQuestions--
+		m.changed = true
 		for _, s := range servers {
 			// Which servers may run a step never changes.
-			chance := float64(xxhash.Sum64String(id.String()+s)) / float64(math.MaxUint64)
-			a.may[s] = chance < m.setup.Share
-			a.until[s] = m.now + permitTime
+			draw := float64(xxhash.Sum64String(id.String()+s)) / float64(math.MaxUint64)
+			a.allowed[s] = draw < m.scenario.AllowedShare
+			a.permitUntil[s] = m.now + permitValidity
 		}
-		if m.policy.Without&AskOn == 0 && m.leads {
-			m.ask()
+		if m.policy.Disabled&ImmediateQuestions == 0 && m.hasLeader {
+			m.askPending()
 		}
 	})
 }
--- a/internal/policy/model/request.go
+++ b/internal/policy/model/request.go
@@ -12,146 +12,146 @@
 
 // Callers.
 const (
-	// tries is how often a caller asks in all.
-	tries = 5
-	// comeBack is when a caller returns that found no leader; it spreads by half.
-	comeBack = time.Second
-	// patience is how long a request waits for a leader.
-	patience = 1200 * time.Millisecond
-	// mostWorth bounds a request's worth beside the mean of its kind.
-	mostWorth = 4
-	// spread is that of run times and task counts, off that of declared times, and
+	// maxTries is how often a caller asks in all.
+	maxTries = 5
+	// retryDelay is when a caller returns that found no leader; it spreads by half.
+	retryDelay = time.Second
+	// leaderTimeout is how long a request waits for a leader.
+	leaderTimeout = 1200 * time.Millisecond
+	// maxRelativeValue bounds a request's worth beside the mean of its kind.
+	maxRelativeValue = 4
+	// sizeDeviation is that of run times and task counts, off that of declared times, and
 	// uneven that of the tasks of one step.
-	spread = 0.5
-	off    = 0.4
-	uneven = 0.15
+	sizeDeviation     = 0.5
+	estimateDeviation = 0.4
+	taskDeviation     = 0.15
 )
 
 // request is what one caller wants.
 type request struct {
-	id       string
-	kind     int
-	customer string
-	first    time.Duration
-	spec     *v1.FlowSpec
-	// work is the true run time of each task on a usual server, by step.
-	work [][]time.Duration
+	id          string
+	kind        int
+	customer    string
+	submittedAt time.Duration
+	spec        *v1.FlowSpec
+	// runtimes is the true run time of each task on a usual server, by step.
+	runtimes [][]time.Duration
 	// objective counts from the first try; worth is what it earns in time.
 	objective time.Duration
-	worth     float64
-	size      float64
+	value     float64
+	cpuWork   float64
 	tries     int
 	accepted  bool
-	ended     time.Duration
+	endedAt   time.Duration
 }
 
-// arrivals draws all requests of the play.
-func (m *Model) arrivals() {
-	for i, k := range m.setup.Kinds {
+// scheduleRequests draws all requests of the play.
+func (m *Simulation) scheduleRequests() {
+	for i, k := range m.scenario.Kinds {
 		for t := 0.0; ; {
 			rate := k.Rate
-			for _, s := range m.setup.Surges {
-				if at := time.Duration(t * float64(time.Second)); s.Kind == i && at >= s.At && at < s.Until {
-					rate *= s.Times
+			for _, s := range m.scenario.Surges {
+				if at := time.Duration(t * float64(time.Second)); s.Kind == i && at >= s.Start && at < s.End {
+					rate *= s.Factor
 				}
 			}
 			t += m.rng.ExpFloat64() / rate
 			at := time.Duration(t * float64(time.Second))
-			if at >= m.setup.Length {
+			if at >= m.scenario.Duration {
 				break
 			}
-			q := m.draw(i, at)
-			m.requests[q.id] = q
-			m.at(at, func() { m.try(q) })
+			req := m.generateRequest(i, at)
+			m.requests[req.id] = req
+			m.schedule(at, func() { m.submit(req) })
 		}
 	}
 }
 
-// draw draws one request.
-func (m *Model) draw(kind int, at time.Duration) *request {
-	k := m.setup.Kinds[kind]
-	q := &request{id: fmt.Sprintf("%d-%05d", kind, len(m.requests)), kind: kind, customer: m.customer(), first: at}
-	q.spec = &v1.FlowSpec{Id: q.id}
-	chain := 1
-	if m.rng.Float64() < k.Chain-1 {
-		chain = 2
+// generateRequest draws one request.
+func (m *Simulation) generateRequest(kind int, at time.Duration) *request {
+	k := m.scenario.Kinds[kind]
+	req := &request{id: fmt.Sprintf("%d-%05d", kind, len(m.requests)), kind: kind, customer: m.randomCustomer(), submittedAt: at}
+	req.spec = &v1.FlowSpec{Id: req.id}
+	stepCount := 1
+	if m.rng.Float64() < k.MeanSteps-1 {
+		stepCount = 2
 	}
-	longest := time.Duration(0)
-	question := time.Duration((k.Base + k.Each*steps.LeastAsked) * float64(time.Millisecond))
-	for i := range chain {
-		n := max(1, int(math.Round(k.Tasks*math.Exp(spread*m.rng.NormFloat64()-spread*spread/2))))
-		mean := k.Work * math.Exp(spread*m.rng.NormFloat64()-spread*spread/2)
-		declared := mean * math.Exp(off*m.rng.NormFloat64())
-		step := &v1.FlowStep{Count: uint32(n), Size: &v1.Size{Cpu: int64(k.CPU), Memory: 1}, Runtime: uint64(declared * 1000), Saves: k.Saves}
-		step.Gang = m.rng.Float64() < k.Gang
+	minDuration := time.Duration(0)
+	questionTime := time.Duration((k.QuestionBase + k.QuestionPerServer*steps.MinServersPerQuestion) * float64(time.Millisecond))
+	for i := range stepCount {
+		n := max(1, int(math.Round(k.MeanTasks*math.Exp(sizeDeviation*m.rng.NormFloat64()-sizeDeviation*sizeDeviation/2))))
+		mean := k.MeanRuntime * math.Exp(sizeDeviation*m.rng.NormFloat64()-sizeDeviation*sizeDeviation/2)
+		declared := mean * math.Exp(estimateDeviation*m.rng.NormFloat64())
+		step := &v1.FlowStep{Count: uint32(n), Size: &v1.Size{Cpu: int64(k.CPU), Memory: 1}, Runtime: uint64(declared * 1000), Saves: k.Checkpoints}
+		step.Gang = m.rng.Float64() < k.GangShare
 		if i > 0 {
 			step.After = []uint32{uint32(i - 1)}
 		}
-		var work []time.Duration
-		most := time.Duration(0)
+		var runtimes []time.Duration
+		longestTask := time.Duration(0)
 		for range n {
-			w := time.Duration(mean * math.Exp(uneven*m.rng.NormFloat64()) * float64(time.Second))
-			if step.GetGang() && len(work) > 0 {
-				w = work[0] // the members of a gang end together
+			runtime := time.Duration(mean * math.Exp(taskDeviation*m.rng.NormFloat64()) * float64(time.Second))
+			if step.GetGang() && len(runtimes) > 0 {
+				runtime = runtimes[0] // the members of a gang end together
 			}
-			work, most = append(work, w), max(most, w)
-			q.size += w.Seconds() * k.CPU
+			runtimes, longestTask = append(runtimes, runtime), max(longestTask, runtime)
+			req.cpuWork += runtime.Seconds() * k.CPU
 		}
-		longest += most + question
-		q.work, q.spec.Steps = append(q.work, work), append(q.spec.Steps, step)
+		minDuration += longestTask + questionTime
+		req.runtimes, req.spec.Steps = append(req.runtimes, runtimes), append(req.spec.Steps, step)
 	}
-	q.objective = time.Duration(k.Factor*float64(longest)) + time.Duration(k.Target)*time.Millisecond
-	usual := k.Tasks * k.Work * k.CPU
-	q.worth = k.Worth * min(0.3+0.7*q.size/usual, mostWorth)
-	return q
+	req.objective = time.Duration(k.Factor*float64(minDuration)) + time.Duration(k.Target)*time.Millisecond
+	meanCPUWork := k.MeanTasks * k.MeanRuntime * k.CPU
+	req.value = k.Value * min(0.3+0.7*req.cpuWork/meanCPUWork, maxRelativeValue)
+	return req
 }
 
-// customer draws who sends a request.
-func (m *Model) customer() string {
+// randomCustomer draws who sends a request.
+func (m *Simulation) randomCustomer() string {
 	sum := 0.0
-	for _, c := range m.setup.Customers {
-		sum += c
+	for _, weight := range m.scenario.CustomerWeights {
+		sum += weight
 	}
-	x := m.rng.Float64() * sum
-	for i, c := range m.setup.Customers {
-		if x -= c; x < 0 {
+	remaining := m.rng.Float64() * sum
+	for i, weight := range m.scenario.CustomerWeights {
+		if remaining -= weight; remaining < 0 {
 			return customerName(i)
 		}
 	}
 	return customerName(0)
 }
 
-// try hands a request in; without a leader for long its caller comes back later.
-func (m *Model) try(q *request) {
-	q.tries++
-	if m.leads {
-		m.after(commitTime, func() { m.led(func() { m.accept(q) }) })
+// submit hands a request in; without a leader for long its caller comes back later.
+func (m *Simulation) submit(req *request) {
+	req.tries++
+	if m.hasLeader {
+		m.scheduleAfter(commitTime, func() { m.whenLeader(func() { m.accept(req) }) })
 		return
 	}
-	asked := m.now
+	submittedAt := m.now
 	settled := false
-	m.back = append(m.back, func() {
-		if !settled && m.now-asked <= patience {
+	m.waitingForLeader = append(m.waitingForLeader, func() {
+		if !settled && m.now-submittedAt <= leaderTimeout {
 			settled = true
-			m.accept(q)
+			m.accept(req)
 		}
 	})
-	m.after(patience, func() {
+	m.scheduleAfter(leaderTimeout, func() {
 		if !settled {
 			settled = true
-			m.again(q, comeBack)
+			m.retry(req, retryDelay)
 		}
 	})
 }
 
-// again lets a caller that was refused come back, unless it has tried enough.
-func (m *Model) again(q *request, in time.Duration) {
-	if q.tries < tries {
-		m.after(time.Duration(float64(in)*(0.75+0.5*m.rng.Float64())), func() { m.try(q) })
+// retry lets a caller that was refused come back, unless it has tried enough.
+func (m *Simulation) retry(req *request, delay time.Duration) {
+	if req.tries < maxTries {
+		m.scheduleAfter(time.Duration(float64(delay)*(0.75+0.5*m.rng.Float64())), func() { m.submit(req) })
 	}
 }
 
-func (m *Model) accept(q *request) {
-	q.accepted = true
-	m.apply(&record.Flow{What: &record.Flow_Accept{Accept: &record.FlowAccept{Queue: m.setup.Kinds[q.kind].Name, Customer: q.customer, Spec: q.spec}}})
+func (m *Simulation) accept(req *request) {
+	req.accepted = true
+	m.apply(&record.Flow{What: &record.Flow_Accept{Accept: &record.FlowAccept{Queue: m.scenario.Kinds[req.kind].Name, Customer: req.customer, Spec: req.spec}}})
 }
--- a/internal/policy/model/result.go
+++ b/internal/policy/model/result.go
@@ -9,12 +9,12 @@
 // lateFactor is up to how many objectives a late end is worth something, and
 // latePart how much of it.
 const (
-	lateFactor = 3
-	latePart   = 0.2
+	maxLateObjectives = 3
+	lateValue         = 0.2
 	// window is the span of the worst moments.
 	window = 2 * time.Second
-	// bestUnserved is the unserved part that counts as full service.
-	bestUnserved = 0.001
+	// minUnserved is the unserved part that counts as full service.
+	minUnserved = 0.001
 )
 
 // Share is what was earned of what was owed.
@@ -32,97 +32,97 @@
 
 // Result is what callers got.
 type Result struct {
-	Whole Share
-	Kinds []Share
-	// Windows and Tenants are the two worst windows and the worst tenth of customers.
-	Windows, Tenants float64
-	Worst            float64
+	Overall Share
+	Kinds   []Share
+	// WorstWindows and Tenants are the two worst windows and the worst tenth of customers.
+	WorstWindows, WorstCustomers float64
+	WorstKind                    float64
 	// Nines counts the unserved on a log scale: 1 at a thousandth, 0 for all.
-	Nines                      float64
-	Asked, InTime, Late, Never int
-	Refused                    int
-	// Wasted are core-seconds thrown away, Busy the part of all cores in use while
+	Nines                            float64
+	Requests, InTime, Late, Unserved int
+	Refused                          int
+	// WastedCoreSeconds are core-seconds thrown away, Busy the part of all cores in use while
 	// something waits, Asking the helpers busy with questions on the mean.
-	Wasted, Busy, Asking float64
-	Questions            int
-	// Waits are the median and 90th percentile of the time that urgent requests took
+	WastedCoreSeconds, Utilization, BusyHelpers float64
+	Questions                                   int
+	// UrgentLatency are the median and 90th percentile of the time that urgent requests took
 	// in the worst window, in seconds.
-	Waits [2]float64
+	UrgentLatency [2]float64
 }
 
-// Worth weighs the parts as the users do.
-func (r Result) Worth() float64 {
-	const whole, nines, tenants, windows, worst = 0.4, 0.35, 0.2, 0.15, 0.1
-	sum := whole*r.Whole.Value() + nines*r.Nines + tenants*r.Tenants + windows*r.Windows + worst*r.Worst
-	return sum / (whole + nines + tenants + windows + worst)
+// Score weighs the parts as the users do.
+func (r Result) Score() float64 {
+	const overall, nines, customers, windows, kind = 0.4, 0.35, 0.2, 0.15, 0.1
+	sum := overall*r.Overall.Value() + nines*r.Nines + customers*r.WorstCustomers + windows*r.WorstWindows + kind*r.WorstKind
+	return sum / (overall + nines + customers + windows + kind)
 }
 
-func (m *Model) result() Result {
-	r := Result{Kinds: make([]Share, len(m.setup.Kinds)), Wasted: m.wasted, Busy: m.busy.Value(), Asking: m.asking / m.setup.Length.Seconds(), Questions: m.questions}
+func (m *Simulation) result() Result {
+	r := Result{Kinds: make([]Share, len(m.scenario.Kinds)), WastedCoreSeconds: m.wastedCoreSeconds, Utilization: m.utilization.Value(), BusyHelpers: m.helperSeconds / m.scenario.Duration.Seconds(), Questions: m.questionCount}
 	customers := map[string]*Share{}
-	windows := make([]Share, int(m.setup.Length/window)+1)
-	waits := make([][]float64, len(windows))
+	windows := make([]Share, int(m.scenario.Duration/window)+1)
+	latencies := make([][]float64, len(windows))
 	ids := make([]string, 0, len(m.requests))
 	for id := range m.requests {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		q := m.requests[id]
-		earned := m.earned(q, &r)
-		r.Whole.add(earned, q.worth)
-		r.Kinds[q.kind].add(earned, q.worth)
-		w := int(q.first / window)
-		windows[w].add(earned, q.worth)
-		if q.kind == 0 && q.ended > 0 {
-			waits[w] = append(waits[w], (q.ended - q.first).Seconds())
+		req := m.requests[id]
+		value := m.valueOf(req, &r)
+		r.Overall.add(value, req.value)
+		r.Kinds[req.kind].add(value, req.value)
+		windowIndex := int(req.submittedAt / window)
+		windows[windowIndex].add(value, req.value)
+		if req.kind == 0 && req.endedAt > 0 {
+			latencies[windowIndex] = append(latencies[windowIndex], (req.endedAt - req.submittedAt).Seconds())
 		}
-		if customers[q.customer] == nil {
-			customers[q.customer] = &Share{}
+		if customers[req.customer] == nil {
+			customers[req.customer] = &Share{}
 		}
-		customers[q.customer].add(earned, q.worth)
+		customers[req.customer].add(value, req.value)
 	}
-	r.Windows = worstOf(windows, 2)
+	r.WorstWindows = meanOfWorst(windows, 2)
 	var all []Share
 	for _, c := range customers {
 		all = append(all, *c)
 	}
-	r.Tenants = worstOf(all, (len(all)+9)/10)
-	r.Worst = worstOf(r.Kinds, 1)
-	unserved := max(float64(r.Never)/float64(max(r.Asked, 1)), bestUnserved)
-	r.Nines = math.Log(unserved) / math.Log(bestUnserved)
-	for _, w := range waits {
-		slices.Sort(w)
-		if n := len(w); n > 0 && w[n/2] > r.Waits[0] {
-			r.Waits = [2]float64{w[n/2], w[n*9/10]}
+	r.WorstCustomers = meanOfWorst(all, (len(all)+9)/10)
+	r.WorstKind = meanOfWorst(r.Kinds, 1)
+	unserved := max(float64(r.Unserved)/float64(max(r.Requests, 1)), minUnserved)
+	r.Nines = math.Log(unserved) / math.Log(minUnserved)
+	for _, windowIndex := range latencies {
+		slices.Sort(windowIndex)
+		if n := len(windowIndex); n > 0 && windowIndex[n/2] > r.UrgentLatency[0] {
+			r.UrgentLatency = [2]float64{windowIndex[n/2], windowIndex[n*9/10]}
 		}
 	}
 	return r
 }
 
-// earned returns what a request earned, and counts it.
-func (m *Model) earned(q *request, r *Result) float64 {
-	r.Asked++
-	took := q.ended - q.first
+// valueOf returns what a request earned, and counts it.
+func (m *Simulation) valueOf(req *request, r *Result) float64 {
+	r.Requests++
+	duration := req.endedAt - req.submittedAt
 	switch {
-	case q.ended > 0 && took <= q.objective:
+	case req.endedAt > 0 && duration <= req.objective:
 		r.InTime++
-		return q.worth
-	case q.ended > 0 && took <= lateFactor*q.objective:
+		return req.value
+	case req.endedAt > 0 && duration <= maxLateObjectives*req.objective:
 		r.Late++
-		return q.worth * latePart
+		return req.value * lateValue
 	}
-	r.Never++
-	if !q.accepted {
+	r.Unserved++
+	if !req.accepted {
 		r.Refused++
 	}
 	return 0
 }
 
-// worstOf returns the mean of the n worst shares.
-func worstOf(all []Share, n int) float64 {
+// meanOfWorst returns the mean of the n worst shares.
+func meanOfWorst(shares []Share, n int) float64 {
 	var values []float64
-	for _, s := range all {
+	for _, s := range shares {
 		if s.Owed > 0 {
 			values = append(values, s.Value())
 		}
--- a/internal/policy/model/server.go
+++ b/internal/policy/model/server.go
@@ -11,163 +11,163 @@
 
 // server is a backend server of a play.
 type server struct {
-	spec   serverSpec
-	silent bool
-	// noticed tells that the leader knows of its silence.
-	noticed bool
-	heard   time.Duration
-	runs    map[flow.TaskID]*run
-	// told is what the leader hears when it answers again.
-	told []func()
+	spec         serverSpec
+	disconnected bool
+	// silenceDetected tells that the leader knows of its silence.
+	silenceDetected bool
+	lastHeard       time.Duration
+	runs            map[flow.TaskID]*run
+	// pendingReports is what the leader hears when it answers again.
+	pendingReports []func()
 }
 
 // run is a run on a server.
 type run struct {
 	flow.RunID
-	began, ends time.Duration
-	step        *flows.Step
+	startedAt, endsAt time.Duration
+	step              *flows.Step
 }
 
-// troubles brings what goes wrong.
-func (m *Model) troubles() {
-	for _, g := range m.setup.Absent {
-		m.at(g.At, func() { m.leads = false })
-		m.at(g.Until, m.lead)
+// scheduleFaults brings what goes wrong.
+func (m *Simulation) scheduleFaults() {
+	for _, outage := range m.scenario.LeaderOutages {
+		m.schedule(outage.Start, func() { m.hasLeader = false })
+		m.schedule(outage.End, m.restoreLeader)
 	}
-	for _, i := range sortedKeys(m.setup.Silent) {
-		if i >= len(m.order) {
+	for _, i := range sortedKeys(m.scenario.ServerOutages) {
+		if i >= len(m.serverIDs) {
 			continue
 		}
-		s, g := m.servers[m.order[i]], m.setup.Silent[i]
-		m.at(g.At, func() { m.silence(s, g.Until) })
+		s, outage := m.servers[m.serverIDs[i]], m.scenario.ServerOutages[i]
+		m.schedule(outage.Start, func() { m.disconnect(s, outage.End) })
 	}
-	for _, i := range sortedKeys(m.setup.Leave) {
-		if i >= len(m.order) {
+	for _, i := range sortedKeys(m.scenario.Shutdowns) {
+		if i >= len(m.serverIDs) {
 			continue
 		}
-		s := m.servers[m.order[i]]
-		m.at(m.setup.Leave[i], func() { m.led(func() { m.leave(s) }) })
+		s := m.servers[m.serverIDs[i]]
+		m.schedule(m.scenario.Shutdowns[i], func() { m.whenLeader(func() { m.shutDown(s) }) })
 	}
 }
 
-// lead lets somebody lead again.
-func (m *Model) lead() {
-	for _, g := range m.setup.Absent {
-		if m.now >= g.At && m.now < g.Until {
+// restoreLeader lets somebody lead again.
+func (m *Simulation) restoreLeader() {
+	for _, outage := range m.scenario.LeaderOutages {
+		if m.now >= outage.Start && m.now < outage.End {
 			return // another absence goes on
 		}
 	}
-	m.leads, m.dirty, m.wants = true, true, nil
-	waiting := m.back
-	m.back = nil
+	m.hasLeader, m.changed, m.questions = true, true, nil
+	waiting := m.waitingForLeader
+	m.waitingForLeader = nil
 	for _, fn := range waiting {
 		fn()
 	}
 }
 
-// silence cuts a server off. What it runs goes on until its lease is over.
-func (m *Model) silence(s *server, until time.Duration) {
-	s.silent, s.heard = true, m.now
-	m.after(noticeTime, func() { s.noticed = s.silent })
-	lapse := m.now + m.policy.Lease
-	m.at(lapse, func() {
-		if s.silent && s.heard+m.policy.Lease == lapse {
-			m.led(func() { m.lapse(s) })
+// disconnect cuts a server off. What it runs goes on until its lease is over.
+func (m *Simulation) disconnect(s *server, until time.Duration) {
+	s.disconnected, s.lastHeard = true, m.now
+	m.scheduleAfter(detectionTime, func() { s.silenceDetected = s.disconnected })
+	expiry := m.now + m.policy.Lease
+	m.schedule(expiry, func() {
+		if s.disconnected && s.lastHeard+m.policy.Lease == expiry {
+			m.whenLeader(func() { m.expireLease(s) })
 		}
 	})
-	m.at(until, func() {
-		s.silent, s.noticed = false, false
-		told := s.told
-		s.told = nil
-		for _, fn := range told {
-			m.led(fn)
+	m.schedule(until, func() {
+		s.disconnected, s.silenceDetected = false, false
+		reports := s.pendingReports
+		s.pendingReports = nil
+		for _, fn := range reports {
+			m.whenLeader(fn)
 		}
 	})
 }
 
-// lapse ends all that a silent server ran.
-func (m *Model) lapse(s *server) {
-	if !s.silent {
+// expireLease ends all that a silent server ran.
+func (m *Simulation) expireLease(s *server) {
+	if !s.disconnected {
 		return
 	}
 	for _, r := range s.runs {
-		m.wasted += m.spent(r)
+		m.wastedCoreSeconds += m.coreSeconds(r)
 	}
-	s.runs, s.told = map[flow.TaskID]*run{}, nil
+	s.runs, s.pendingReports = map[flow.TaskID]*run{}, nil
 	m.apply(&record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: s.spec.id, Born: 1}}})
 }
 
-// spent returns the core-seconds that a run has used.
-func (m *Model) spent(r *run) float64 {
-	return (m.now - r.began).Seconds() * float64(r.step.Spec.GetSize().GetCpu()) / 1000
+// coreSeconds returns the core-seconds that a run has used.
+func (m *Simulation) coreSeconds(r *run) float64 {
+	return (m.now - r.startedAt).Seconds() * float64(r.step.Spec.GetSize().GetCpu()) / 1000
 }
 
-// leaveTime is how long a server that leaves works on.
-const leaveTime = 2 * time.Second
+// shutdownTime is how long a server that leaves works on.
+const shutdownTime = 2 * time.Second
 
-func (m *Model) leave(s *server) {
+func (m *Simulation) shutDown(s *server) {
 	b, _ := m.ledger.Server(s.spec.id)
 	m.apply(&record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{
 		Id: b.ID, Born: 1, Address: b.ID, Pool: pool, Machine: b.ID, Labels: b.Labels, Leaving: true, Capacity: sizeMessage(b.Capacity),
 	}}})
-	m.after(leaveTime, func() {
+	m.scheduleAfter(shutdownTime, func() {
 		for _, r := range s.runs {
-			m.wasted += m.spent(r)
+			m.wastedCoreSeconds += m.coreSeconds(r)
 		}
 		s.runs = map[flow.TaskID]*run{}
-		m.led(func() {
+		m.whenLeader(func() {
 			m.apply(&record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: b.ID, Born: 1, Over: true}}})
 		})
 	})
 }
 
-// begin lets a run begin on a server.
-func (m *Model) begin(s *server, id flow.RunID, step *flows.Step) {
+// startRun lets a run begin on a server.
+func (m *Simulation) startRun(s *server, id flow.RunID, step *flows.Step) {
 	f, ok := m.ledger.Flow(id.Flow)
 	unwanted := !ok || f.Final() || step.Tasks[id.Index].Phase != flows.Placed
-	if s.silent || unwanted {
+	if s.disconnected || unwanted {
 		// What does not begin is known to have ended once the server can be asked.
-		m.tell(s, func() { m.end(s, id, inner.RunEnd_RUN_END_LOST) })
+		m.report(s, func() { m.recordEnd(s, id, inner.RunEnd_RUN_END_LOST) })
 		return
 	}
-	q := m.requests[id.Flow]
-	takes := time.Duration(float64(q.work[id.Step][id.Index]) / s.spec.speed)
-	r := &run{RunID: id, began: m.now, ends: m.now + takes, step: step}
+	req := m.requests[id.Flow]
+	runtime := time.Duration(float64(req.runtimes[id.Step][id.Index]) / s.spec.speed)
+	r := &run{RunID: id, startedAt: m.now, endsAt: m.now + runtime, step: step}
 	s.runs[id.TaskID] = r
-	how := inner.RunEnd_RUN_END_DONE
-	if m.rng.Float64() < m.setup.Weak {
-		how, takes = inner.RunEnd_RUN_END_FAILED, takes/2
+	runEnd := inner.RunEnd_RUN_END_DONE
+	if m.rng.Float64() < m.scenario.FailureRate {
+		runEnd, runtime = inner.RunEnd_RUN_END_FAILED, runtime/2
 	}
-	m.after(takes, func() {
+	m.scheduleAfter(runtime, func() {
 		if s.runs[id.TaskID] != r {
 			return
 		}
 		delete(s.runs, id.TaskID)
-		m.tell(s, func() { m.ended(s, r, how) })
+		m.report(s, func() { m.runEnded(s, r, runEnd) })
 	})
 }
 
-// tell lets the leader know something of a server, when it can.
-func (m *Model) tell(s *server, fn func()) {
-	if s.silent {
-		s.told = append(s.told, fn)
+// report lets the leader know something of a server, when it can.
+func (m *Simulation) report(s *server, fn func()) {
+	if s.disconnected {
+		s.pendingReports = append(s.pendingReports, fn)
 		return
 	}
-	m.after(callTime, func() { m.led(fn) })
+	m.scheduleAfter(callTime, func() { m.whenLeader(fn) })
 }
 
-func (m *Model) ended(s *server, r *run, how inner.RunEnd) {
-	if declared := r.step.Spec.GetRuntime(); how == inner.RunEnd_RUN_END_DONE && declared > 0 {
-		m.usual += 0.02 * (float64((r.ends-r.began)/time.Millisecond)/float64(declared) - m.usual)
+func (m *Simulation) runEnded(s *server, r *run, runEnd inner.RunEnd) {
+	if declared := r.step.Spec.GetRuntime(); runEnd == inner.RunEnd_RUN_END_DONE && declared > 0 {
+		m.runtimeRatio += 0.02 * (float64((r.endsAt-r.startedAt)/time.Millisecond)/float64(declared) - m.runtimeRatio)
 	}
-	m.end(s, r.RunID, how)
+	m.recordEnd(s, r.RunID, runEnd)
 }
 
-func (m *Model) end(s *server, id flow.RunID, how inner.RunEnd) {
-	m.apply(&record.Flow{What: &record.Flow_Ends{Ends: &record.FlowEnds{Server: s.spec.id, Born: 1, Ends: []*record.FlowEnd{{Run: id.Message(), How: how}}}}})
+func (m *Simulation) recordEnd(s *server, id flow.RunID, runEnd inner.RunEnd) {
+	m.apply(&record.Flow{What: &record.Flow_Ends{Ends: &record.FlowEnds{Server: s.spec.id, Born: 1, Ends: []*record.FlowEnd{{Run: id.Message(), How: runEnd}}}}})
 	if f, ok := m.ledger.Flow(id.Flow); ok && f.Final() {
-		if q := m.requests[id.Flow]; q.ended == 0 {
-			q.ended = m.now + commitTime
+		if req := m.requests[id.Flow]; req.endedAt == 0 {
+			req.endedAt = m.now + commitTime
 		}
 	}
 }
--- a/internal/policy/pace/pace_test.go
+++ b/internal/policy/pace/pace_test.go
@@ -10,35 +10,35 @@
 // three times as long as they may. The disturbance grows with the pace; looked at
 // twice a second, it must be gone well within four seconds, and what fills must
 // get back most of what does no harm.
-func TestTargetIsMetSoonAndRoomIsUsed(t *testing.T) {
-	tail := func(percent int) float64 { return 50 + 2.5*float64(percent) }
-	now, missed := pace.Full, 0
-	for look := range 60 {
-		if tail(now) > 100 {
+func TestLatencyTargetIsMetAndCapacityIsUsed(t *testing.T) {
+	latencyAt := func(percent int) float64 { return 50 + 2.5*float64(percent) }
+	percent, missed := pace.Full, 0
+	for round := range 60 {
+		if latencyAt(percent) > 100 {
 			missed++
-			if look > 5 {
-				t.Errorf("missed at look %d with a pace of %d", look, now)
+			if round > 5 {
+				t.Errorf("missed at look %d with a pace of %d", round, percent)
 			}
 		}
-		now = pace.Next(now, []pace.Serving{{Tail: tail(now), Target: 100}})
+		percent = pace.Next(percent, []pace.ServiceTask{{TailLatency: latencyAt(percent), TargetLatency: 100}})
 	}
-	if missed > 4 || now < 5 {
-		t.Errorf("missed %d times, the pace is %d in the end", missed, now)
+	if missed > 4 || percent < 5 {
+		t.Errorf("missed %d times, the pace is %d in the end", missed, percent)
 	}
 }
 
-func TestNobodyServesOrNothingHelps(t *testing.T) {
+func TestPaceWithoutServicesAndWithUnreachableTarget(t *testing.T) {
 	if got := pace.Next(pace.Full, nil); got != pace.Full {
 		t.Error(got)
 	}
-	now := pace.Full
+	percent := pace.Full
 	for range 5 {
-		now = pace.Next(now, []pace.Serving{{Tail: 500, Target: 100}})
+		percent = pace.Next(percent, []pace.ServiceTask{{TailLatency: 500, TargetLatency: 100}})
 	}
-	if now != 0 {
-		t.Error(now)
+	if percent != 0 {
+		t.Error(percent)
 	}
-	if got := pace.Next(0, []pace.Serving{{Tail: 1, Target: 100}}); got == 0 {
+	if got := pace.Next(0, []pace.ServiceTask{{TailLatency: 1, TargetLatency: 100}}); got == 0 {
 		t.Error("a stopped task never goes on")
 	}
 }
--- a/internal/policy/steps/gang.go
+++ b/internal/policy/steps/gang.go
@@ -8,167 +8,167 @@
 	"gypsumreel/internal/domain/flow"
 )
 
-// gang places all tasks of a step at once, or none. One that finds no room
+// placeGang places all tasks of a step at once, or none. One that finds no room
 // keeps the servers that will have it soonest from those that come after it.
-func (p *planner) gang(it Item) {
-	if it.Queued < len(it.Tasks) || p.allowed(it) < int64(it.Queued) {
+func (p *planner) placeGang(it Item) {
+	if it.Queued < len(it.Tasks) || p.allowedByLimit(it) < int64(it.Queued) {
 		return
 	}
-	p.next()
-	options := p.options(it)
-	chosen, ok := choose(it, options)
-	if !ok || !p.affords(it, chosen) {
+	p.nextItem()
+	candidates := p.candidates(it)
+	chosen, ok := chooseGangServers(it, candidates)
+	if !ok || !p.leavesHeadroom(it, chosen) {
 		p.reserve(it)
-		p.ask(it)
+		p.askAdviser(it)
 		return
 	}
-	var places []Place
-	var stale, good []string
+	var assignments []Assignment
+	var stale, granted []string
 	next := queuedTasks(it.Step)
 	for _, c := range chosen {
-		p.take(it, c.room, c.count)
+		p.allocate(it, c.serverState, c.taskCount)
 		if c.permission == Granted {
-			good = append(good, c.ID)
+			granted = append(granted, c.ID)
 		} else {
 			stale = append(stale, c.ID)
 		}
-		for range c.count {
-			places = append(places, Place{flow.TaskID{StepID: it.StepID, Index: next()}, c.ID})
+		for range c.taskCount {
+			assignments = append(assignments, Assignment{flow.TaskID{StepID: it.StepID, Index: next()}, c.ID})
 		}
 	}
 	if len(stale) > 0 {
 		// All members need permits that hold at the same time.
-		p.want(it, append(stale, good...), options)
+		p.requestPermits(it, append(stale, granted...), candidates)
 		return
 	}
-	p.keepGang(it, chosen)
-	p.plan.Placements = append(p.plan.Placements, Placement{it, places})
+	p.holdForSuspectGang(it, chosen)
+	p.plan.Placements = append(p.plan.Placements, Placement{it, assignments})
 }
 
-// choose picks servers for all tasks of a gang: of one rack where the tasks are
+// chooseGangServers picks servers for all tasks of a gang: of one rack where the tasks are
 // slower across racks and one has the room, else as few servers as possible.
-func choose(it Item, options []option) ([]option, bool) {
+func chooseGangServers(it Item, candidates []candidate) ([]candidate, bool) {
 	if it.Spec.GetTogether() {
-		for _, rack := range racks(options) {
-			here := slices.DeleteFunc(slices.Clone(options), func(o option) bool { return !slices.Contains(o.Labels, rack) })
-			if c, ok := fill(it.Queued, here); ok {
+		for _, rack := range labelsByRoom(candidates) {
+			inRack := slices.DeleteFunc(slices.Clone(candidates), func(o candidate) bool { return !slices.Contains(o.Labels, rack) })
+			if c, ok := takeCandidates(it.Queued, inRack); ok {
 				return c, true
 			}
 		}
 	}
-	return fill(it.Queued, options)
+	return takeCandidates(it.Queued, candidates)
 }
 
-// racks returns the labels of the options, those with most room first: the rack
+// labelsByRoom returns the labels of the options, those with most room first: the rack
 // is one of a server's labels, and which one does not matter here.
-func racks(options []option) []string {
-	room := map[string]int64{}
-	for _, o := range options {
+func labelsByRoom(candidates []candidate) []string {
+	taskRoom := map[string]int64{}
+	for _, o := range candidates {
 		for _, l := range o.Labels {
-			room[l] += o.count
+			taskRoom[l] += o.taskCount
 		}
 	}
 	var out []string
-	for l := range room {
+	for l := range taskRoom {
 		out = append(out, l)
 	}
-	slices.SortFunc(out, func(a, b string) int { return cmp.Or(cmp.Compare(room[a], room[b]), cmp.Compare(a, b)) })
+	slices.SortFunc(out, func(a, b string) int { return cmp.Or(cmp.Compare(taskRoom[a], taskRoom[b]), cmp.Compare(a, b)) })
 	return out
 }
 
-// fill takes tasks from options in their order; a permit at hand goes first, so
+// takeCandidates takes tasks from options in their order; a permit at hand goes first, so
 // that a gang does not wait for one without need.
-func fill(n int, options []option) ([]option, bool) {
-	options = slices.Clone(options)
-	slices.SortStableFunc(options, func(a, b option) int {
+func takeCandidates(n int, candidates []candidate) ([]candidate, bool) {
+	candidates = slices.Clone(candidates)
+	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		return cmp.Compare(b.permission, a.permission)
 	})
-	left := int64(n)
-	var out []option
-	for _, o := range options {
-		o.count = min(o.count, left)
-		if o.count == 0 {
+	remaining := int64(n)
+	var out []candidate
+	for _, o := range candidates {
+		o.taskCount = min(o.taskCount, remaining)
+		if o.taskCount == 0 {
 			break
 		}
-		left -= o.count
+		remaining -= o.taskCount
 		out = append(out, o)
 	}
-	return out, left == 0
+	return out, remaining == 0
 }
 
 // slot is room for one task, and how long it is until a server has it.
 type slot struct {
-	in time.Duration
-	*room
+	after time.Duration
+	*serverState
 }
 
-// sooner orders slots by when they are there, those of one time by their servers.
-func sooner(a, b slot) int { return cmp.Or(cmp.Compare(a.in, b.in), a.at-b.at) }
+// compareSlots orders slots by when they are there, those of one time by their servers.
+func compareSlots(a, b slot) int { return cmp.Or(cmp.Compare(a.after, b.after), a.index-b.index) }
 
 // reserve keeps room for a gang where it can begin soonest, on the servers that
 // may run it. What ends before then may still use it; whatever runs longer would
 // make the gang wait for ever.
 func (p *planner) reserve(it Item) {
-	if p.waiting[it.Pool] >= leastWaiting+p.sizes[it.Pool]/waitingPart {
+	if p.reservedGangs[it.Pool] >= minReservedGangs+p.poolSizes[it.Pool]/serversPerReservedGang {
 		return
 	}
 	var slots []slot
-	for _, r := range p.listed(it) {
-		perm := p.permission(it, r)
-		if suits(it, r) && (perm == Stale || perm == Granted) {
-			slots = p.slots(slots, it, r)
+	for _, r := range p.knownServersFor(it) {
+		permission := p.permission(it, r)
+		if eligible(it, r) && (permission == Stale || permission == Granted) {
+			slots = p.findSlots(slots, it, r)
 		}
 	}
 	if len(slots) < it.Queued {
 		return // what is known of will never hold it
 	}
-	slices.SortStableFunc(slots, sooner)
+	slices.SortStableFunc(slots, compareSlots)
 	slots = slots[:it.Queued]
-	p.waiting[it.Pool]++
-	begin := slots[len(slots)-1].in
+	p.reservedGangs[it.Pool]++
+	startAfter := slots[len(slots)-1].after
 	var servers []string
 	stale := false
 	for _, s := range slots {
-		s.kept = s.kept.Add(flow.SizeOf(it.Spec))
-		s.until = max(s.until, begin)
+		s.reserved = s.reserved.Add(flow.SizeOf(it.Spec))
+		s.reservedUntil = max(s.reservedUntil, startAfter)
 		if !slices.Contains(servers, s.ID) {
 			servers = append(servers, s.ID)
-			stale = stale || p.permission(it, s.room) == Stale
+			stale = stale || p.permission(it, s.serverState) == Stale
 		}
 	}
-	if stale && begin <= soon {
-		p.plan.Wants = append(p.plan.Wants, Want{it, servers[:min(len(servers), MostWanted)]})
+	if stale && startAfter <= questionLeadTime {
+		p.plan.Questions = append(p.plan.Questions, Question{it, servers[:min(len(servers), MaxServersPerStep)]})
 	}
 }
 
-// frees returns what a server will have free again, the soonest first.
-func (p *planner) frees(r *room) []Release {
-	if !r.freed {
-		r.frees, r.freed = p.view.Frees(r.ID), true
-		slices.SortStableFunc(r.frees, func(a, b Release) int { return cmp.Compare(a.In, b.In) })
+// releases returns what a server will have free again, the soonest first.
+func (p *planner) releases(r *serverState) []Release {
+	if !r.releasesLoaded {
+		r.releases, r.releasesLoaded = p.view.Releases(r.ID), true
+		slices.SortStableFunc(r.releases, func(a, b Release) int { return cmp.Compare(a.After, b.After) })
 	}
-	return r.frees
+	return r.releases
 }
 
-// slots adds the slots that a server has for an item, now and later.
-func (p *planner) slots(out []slot, it Item, r *room) []slot {
-	size, most := flow.SizeOf(it.Spec), int64(it.Queued)
+// findSlots adds the slots that a server has for an item, now and later.
+func (p *planner) findSlots(out []slot, it Item, r *serverState) []slot {
+	size, maxSlots := flow.SizeOf(it.Spec), int64(it.Queued)
 	if apart := it.Spec.GetApart(); apart > 0 {
-		most = min(most, int64(apart))
+		maxSlots = min(maxSlots, int64(apart))
 	}
-	free, have := r.free.Sub(r.kept), int64(0)
-	add := func(in time.Duration) {
-		for n := min(fits(size, free), most); have < n; have++ {
-			out = append(out, slot{in, r})
+	free, found := r.free.Sub(r.reserved), int64(0)
+	add := func(after time.Duration) {
+		for n := min(fittingTasks(size, free), maxSlots); found < n; found++ {
+			out = append(out, slot{after, r})
 		}
 	}
 	add(0)
-	if p.view.Frees == nil || have == most {
+	if p.view.Releases == nil || found == maxSlots {
 		return out
 	}
-	for _, f := range p.frees(r) {
-		free = free.Add(f.Size)
-		add(f.In)
+	for _, release := range p.releases(r) {
+		free = free.Add(release.Size)
+		add(release.After)
 	}
 	return out
 }
--- a/internal/policy/steps/headroom.go
+++ b/internal/policy/steps/headroom.go
@@ -12,44 +12,44 @@
 	Tasks int64
 }
 
-// eager tells whether an item takes the headroom as well: it is what that is for,
+// mayUseHeadroom tells whether an item takes the headroom as well: it is what that is for,
 // or somebody is served by its tasks and missed while they wait.
-func (it Item) eager() bool { return it.Urgent || it.Spec.GetLasting() }
+func (it Item) mayUseHeadroom() bool { return it.Urgent || it.Spec.GetLasting() }
 
-// head counts a pool's room for urgent tasks.
-func (p *planner) head(pool string, rooms []*room) {
+// initHeadroom counts a pool's room for urgent tasks.
+func (p *planner) initHeadroom(pool string, servers []*serverState) {
 	if p.view.Headroom == nil {
 		return
 	}
-	h := p.view.Headroom(pool)
-	spare, ever := -h.Tasks, int64(0)
-	if h.Tasks > 0 {
-		for _, r := range rooms {
-			spare += fits(h.Size, r.free)
-			ever += fits(h.Size, r.Capacity)
+	headroom := p.view.Headroom(pool)
+	spare, total := -headroom.Tasks, int64(0)
+	if headroom.Tasks > 0 {
+		for _, r := range servers {
+			spare += fittingTasks(headroom.Size, r.free)
+			total += fittingTasks(headroom.Size, r.Capacity)
 		}
 	}
-	p.heads[pool], p.spare[pool], p.ever[pool] = h, spare, ever
+	p.headrooms[pool], p.spareHeadroom[pool], p.headroomCapacity[pool] = headroom, spare, total
 }
 
-// cost returns for how many urgent tasks less a server has room once it holds n
+// headroomCost returns for how many urgent tasks less a server has room once it holds n
 // tasks of an item.
-func (p *planner) cost(it Item, r *room, n int64) int64 {
-	h := p.heads[r.Pool]
-	if h.Tasks == 0 {
+func (p *planner) headroomCost(it Item, r *serverState, n int64) int64 {
+	headroom := p.headrooms[r.Pool]
+	if headroom.Tasks == 0 {
 		return 0
 	}
-	return fits(h.Size, r.free) - fits(h.Size, r.free.Sub(flow.SizeOf(it.Spec).Times(n)))
+	return fittingTasks(headroom.Size, r.free) - fittingTasks(headroom.Size, r.free.Sub(flow.SizeOf(it.Spec).Times(n)))
 }
 
-// within returns how many of n tasks an item may start on a server, by the headroom
+// limitByHeadroom returns how many of n tasks an item may start on a server, by the headroom
 // for urgent work: any number in what holds no urgent task.
-func (p *planner) within(it Item, r *room, n int64) int64 {
-	if it.eager() {
+func (p *planner) limitByHeadroom(it Item, r *serverState, n int64) int64 {
+	if it.mayUseHeadroom() {
 		return n
 	}
 	for n > 0 {
-		if cost := p.cost(it, r, n); cost == 0 || cost <= p.spare[r.Pool] {
+		if cost := p.headroomCost(it, r, n); cost == 0 || cost <= p.spareHeadroom[r.Pool] {
 			break
 		}
 		n--
@@ -57,16 +57,16 @@
 	return n
 }
 
-// affords tells whether a gang leaves the headroom for urgent work. One that is so
+// leavesHeadroom tells whether a gang leaves the headroom for urgent work. One that is so
 // large that it never would need not.
-func (p *planner) affords(it Item, chosen []option) bool {
-	if it.eager() {
+func (p *planner) leavesHeadroom(it Item, chosen []candidate) bool {
+	if it.mayUseHeadroom() {
 		return true
 	}
 	total := int64(0)
 	for _, c := range chosen {
-		total += p.cost(it, c.room, c.count)
+		total += p.headroomCost(it, c.serverState, c.taskCount)
 	}
-	never := total > p.ever[it.Pool]-p.heads[it.Pool].Tasks
-	return total == 0 || total <= p.spare[it.Pool] || never
+	exceedsPool := total > p.headroomCapacity[it.Pool]-p.headrooms[it.Pool].Tasks
+	return total == 0 || total <= p.spareHeadroom[it.Pool] || exceedsPool
 }
--- a/internal/policy/steps/option.go
+++ b/internal/policy/steps/option.go
@@ -8,97 +8,97 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// option is a server on which a task could start.
-type option struct {
-	*room
+// candidate is a server on which a task could start.
+type candidate struct {
+	*serverState
 	permission Permission
-	// count is how many tasks of the step it may still take.
-	count int64
-	// last is greater for what comes after all others, by what is known of the
+	// taskCount is how many tasks of the step it may still take.
+	taskCount int64
+	// penalty is greater for what comes after all others, by what is known of the
 	// server and the item; ties go by free room.
-	last int
+	penalty int
 }
 
-// before orders options. It is called for every pair that a plan compares, and
+// compare orders options. It is called for every pair that a plan compares, and
 // what it compares is worked out beforehand.
-func (o option) before(other option) int {
-	return cmp.Or(o.last-other.last, cmp.Compare(o.free.CPU, other.free.CPU), o.at-other.at)
+func (o candidate) compare(other candidate) int {
+	return cmp.Or(o.penalty-other.penalty, cmp.Compare(o.free.CPU, other.free.CPU), o.index-other.index)
 }
 
 // Steps in the order of options: a server on which a task of the step failed comes
 // after all others, one that is slow after its start after all that are not, one that is not near the data after all that are, one whose
 // leases do not suit after those whose leases do, and a slow one after the faster.
 const (
-	slowClasses = 1 << 20
-	leaseStep   = 2 * slowClasses
-	farStep     = 2 * leaseStep
-	coldStep    = 2 * farStep
-	shunnedStep = 2 * coldStep
+	maxSpeedClass = 1 << 20
+	leasePenalty  = 2 * maxSpeedClass
+	farPenalty    = 2 * leasePenalty
+	coldPenalty   = 2 * farPenalty
+	failedPenalty = 2 * coldPenalty
 )
 
-// last works out where a server comes for an item.
-func last(it Item, r *room) int {
-	n := -min(max(r.class, -slowClasses), slowClasses)
-	if !isNear(it, r) {
-		n += farStep
+// penalty works out where a server comes for an item.
+func penalty(it Item, r *serverState) int {
+	points := -min(max(r.speedClass, -maxSpeedClass), maxSpeedClass)
+	if !inPreferredRack(it, r) {
+		points += farPenalty
 	}
-	if it.Urgent != r.Brief {
-		n += leaseStep
+	if it.Urgent != r.ShortLease {
+		points += leasePenalty
 	}
 	if r.Cold {
-		n += coldStep
+		points += coldPenalty
 	}
-	if it.Shunned[r.ID] {
-		n += shunnedStep
+	if it.FailedOn[r.ID] {
+		points += failedPenalty
 	}
-	return n
+	return points
 }
 
-// options returns the servers that may hold a task of the item now, the best
+// candidates returns the servers that may hold a task of the item now, the best
 // first: those on which none of it failed, near the data, then fast, then those
 // that are left fullest, so that large holes stay for large tasks.
-func (p *planner) options(it Item) (out []option) {
+func (p *planner) candidates(it Item) (out []candidate) {
 	size := flow.SizeOf(it.Spec)
-	if p.full(it) {
+	if p.poolFull(it) {
 		return nil
 	}
-	here := map[string]int64{}
+	placedOn := map[string]int64{}
 	for _, t := range it.Tasks {
 		if t.Phase == flows.Placed {
-			here[t.Server]++
+			placedOn[t.Server]++
 		}
 	}
-	for _, r := range p.listed(it) {
-		perm := p.permission(it, r)
-		if perm == Denied || r.probation || !suits(it, r) {
+	for _, r := range p.knownServersFor(it) {
+		permission := p.permission(it, r)
+		if permission == Denied || r.heldForSuspect || !eligible(it, r) {
 			continue
 		}
-		n := fits(size, r.left(it))
-		if most := it.Spec.GetApart(); most > 0 {
-			n = min(n, int64(most)-here[r.ID])
+		n := fittingTasks(size, r.usable(it))
+		if maxPerServer := it.Spec.GetApart(); maxPerServer > 0 {
+			n = min(n, int64(maxPerServer)-placedOn[r.ID])
 		}
 		if n > 0 {
-			out = append(out, option{room: r, permission: perm, count: n, last: last(it, r)})
+			out = append(out, candidate{serverState: r, permission: permission, taskCount: n, penalty: penalty(it, r)})
 		}
 	}
-	slices.SortFunc(out, option.before)
+	slices.SortFunc(out, candidate.compare)
 	return out
 }
 
-// full tells that no server had room for a task of the item when the plan began, and
+// poolFull tells that no server had room for a task of the item when the plan began, and
 // that the adviser was asked already: the usual case where much waits.
-func (p *planner) full(it Item) bool {
-	return (it.Asked || !it.Permits) && it.Spec.GetSize().GetCpu() > p.most[it.Pool]
+func (p *planner) poolFull(it Item) bool {
+	return (it.AdviserAsked || !it.NeedsPermit) && it.Spec.GetSize().GetCpu() > p.maxFreeCPU[it.Pool]
 }
 
 // speedClass groups servers whose speed differs by less than can be told apart
 // from a few runs, so that packing decides among them.
 func speedClass(speed float64) int {
-	const grain = 4 // quarters of the usual speed
-	return int(speed*grain + 0.5)
+	const classesPerUnit = 4 // quarters of the usual speed
+	return int(speed*classesPerUnit + 0.5)
 }
 
-func isNear(it Item, r *room) bool {
+func inPreferredRack(it Item, r *serverState) bool {
 	rack := it.Spec.GetRack()
 	return rack == "" || slices.Contains(r.Labels, rack)
 }
--- a/internal/policy/steps/pacer.go
+++ b/internal/policy/steps/pacer.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// every is the longest time between two plans while something waits.
-	every = 50 * time.Millisecond
-	// rest is how many times as long as it took the last plan must be over before
+	// maxPlanInterval is the longest time between two plans while something waits.
+	maxPlanInterval = 50 * time.Millisecond
+	// pauseFactor is how many times as long as it took the last plan must be over before
 	// the next: planning takes a fifth of its thread at most.
-	rest = 5
+	pauseFactor = 5
 )
 
 // Pacer says when a plan is due. A plan over a long backlog takes long; made
@@ -15,26 +15,28 @@
 // else, the leader would be deposed, and the backlog grow while nobody leads.
 // The zero value has made no plan.
 type Pacer struct {
-	made time.Duration
-	// took is what the latest plan took, before the one before it.
-	took, before time.Duration
+	startedAt time.Duration
+	// latestDuration is what the latest plan took, before the one before it.
+	latestDuration, previousDuration time.Duration
 }
 
 // Due tells whether a plan is to be made now; changed tells that something did
 // since the last.
 func (p *Pacer) Due(now time.Duration, changed bool) bool {
-	since := now - p.made
-	if since < rest*p.usual() {
+	since := now - p.startedAt
+	if since < pauseFactor*p.typicalDuration() {
 		return false
 	}
-	return changed || since >= every
+	return changed || since >= maxPlanInterval
 }
 
-// usual returns how long plans take now. A long backlog makes each plan long; what
+// typicalDuration returns how long plans take now. A long backlog makes each plan long; what
 // stops the whole process for a moment, such as a collection of garbage, only one.
 // Counted as the plan's own time that would leave everything waiting for five times
 // as long again.
-func (p *Pacer) usual() time.Duration { return min(p.took, p.before) }
+func (p *Pacer) typicalDuration() time.Duration { return min(p.latestDuration, p.previousDuration) }
 
-// Made notes a plan that began at a time and took so long.
-func (p *Pacer) Made(at, took time.Duration) { p.made, p.took, p.before = at, took, p.took }
+// Record notes a plan that began at a time and took so long.
+func (p *Pacer) Record(startedAt, duration time.Duration) {
+	p.startedAt, p.latestDuration, p.previousDuration = startedAt, duration, p.latestDuration
+}
--- a/internal/policy/steps/pacer_test.go
+++ b/internal/policy/steps/pacer_test.go
@@ -10,14 +10,14 @@
 // Twice as much comes as can run. Each plan over the backlog takes 20 ms, and
 // something changes at every turn of the thread. The leader that plans at each
 // turn misses its heartbeats and is deposed; planning must leave it most of its time.
-func TestPlanningLeavesTimeForTheRest(t *testing.T) {
+func TestPlanningUsesABoundedPartOfTheThread(t *testing.T) {
 	const turn, plan = time.Millisecond, 20 * time.Millisecond
 	var p steps.Pacer
 	now, planning := time.Hour, time.Duration(0)
 	begin := now
 	for now < begin+10*time.Second {
 		if p.Due(now, true) {
-			p.Made(now, plan)
+			p.Record(now, plan)
 			now += plan
 			planning += plan
 		}
@@ -28,9 +28,9 @@
 	}
 }
 
-func TestShortPlansFollowEachChange(t *testing.T) {
+func TestShortPlansRunAfterEachChange(t *testing.T) {
 	var p steps.Pacer
-	p.Made(time.Hour, 50*time.Microsecond)
+	p.Record(time.Hour, 50*time.Microsecond)
 	if !p.Due(time.Hour+time.Millisecond, true) {
 		t.Error("a change waits although planning is cheap")
 	}
@@ -41,18 +41,18 @@
 
 // The process stood still for a moment while a plan was made. Nothing would start
 // for a second if that counted as the time that plans take.
-func TestStandstillInOnePlanDelaysNoOther(t *testing.T) {
+func TestOneSlowPlanDoesNotDelayTheNext(t *testing.T) {
 	var p steps.Pacer
 	at := time.Second
 	for range 3 {
-		p.Made(at, 2*time.Millisecond)
+		p.Record(at, 2*time.Millisecond)
 		at += 20 * time.Millisecond
 	}
-	p.Made(at, 200*time.Millisecond)
+	p.Record(at, 200*time.Millisecond)
 	if !p.Due(at+220*time.Millisecond, true) {
 		t.Error("the next plan waits for what was no plan's time")
 	}
-	p.Made(at+220*time.Millisecond, 200*time.Millisecond)
+	p.Record(at+220*time.Millisecond, 200*time.Millisecond)
 	if p.Due(at+440*time.Millisecond, true) {
 		t.Error("plans that take long one after the other leave no time for the rest")
 	}
--- a/internal/policy/steps/probation.go
+++ b/internal/policy/steps/probation.go
@@ -7,84 +7,84 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// probationParts bounds the servers of a pool that are kept for suspected tasks at once, to
+// serversPerProbation bounds the servers of a pool that are kept for suspected tasks at once, to
 // one part of so many: after the loss of a rack much is suspected without fault.
-const probationParts = 8
+const serversPerProbation = 8
 
-// probationsOf returns for how many more suspected tasks a server of a pool may be kept.
-func probationsOf(rooms []*room) int {
-	most := max(1, len(rooms)/probationParts)
-	for _, r := range rooms {
-		if r.probation {
-			most--
+// countProbationSlots returns for how many more suspected tasks a server of a pool may be kept.
+func countProbationSlots(servers []*serverState) int {
+	slots := max(1, len(servers)/serversPerProbation)
+	for _, r := range servers {
+		if r.heldForSuspect {
+			slots--
 		}
 	}
-	return most
+	return slots
 }
 
-// suspected tells whether a task may have crashed a server.
-func suspected(t flows.Task) bool { return t.Blamed > 0 }
+// isSuspect tells whether a task may have crashed a server.
+func isSuspect(t flows.Task) bool { return t.Blamed > 0 }
 
-// waits returns so many waiting tasks of a step: those that start wherever there is
+// queuedBySuspicion returns so many waiting tasks of a step: those that start wherever there is
 // room, and those that are to be tried apart from all others. One that is suspected once
 // is not held up for that; one that is suspected again waits for a server of its own, since the
 // next crash decides.
-func (p *planner) waits(it Item, most int) (sound, apart []uint32) {
+func (p *planner) queuedBySuspicion(it Item, limit int) (normal, suspects []uint32) {
 	next := queuedTasks(it.Step)
 	for range it.Queued {
 		i := next()
 		switch t := it.Tasks[i]; {
-		case suspected(t) && len(apart) < p.probations[it.Pool]:
-			apart = append(apart, i)
+		case isSuspect(t) && len(suspects) < p.probationSlots[it.Pool]:
+			suspects = append(suspects, i)
 		case t.Blamed < flows.MostBlamed-1:
-			sound = append(sound, i)
+			normal = append(normal, i)
 		}
 	}
-	sound = sound[:min(len(sound), most)]
-	return sound, apart[:min(len(apart), most-len(sound))]
+	normal = normal[:min(len(normal), limit)]
+	return normal, suspects[:min(len(suspects), limit-len(normal))]
 }
 
-// tryApart starts suspected tasks, each on a server of its own where nothing else
+// placeSuspects starts suspected tasks, each on a server of its own where nothing else
 // begins meanwhile, and returns those that found none. A server that has stood for a
 // while tells more by its crash, and one with much room has less to lose.
-func (p *planner) tryApart(f *filling, options []option, tasks []uint32) []uint32 {
+func (p *planner) placeSuspects(f *stepPlacement, candidates []candidate, tasks []uint32) []uint32 {
 	if len(tasks) == 0 {
 		return nil
 	}
-	roomy := slices.DeleteFunc(slices.Clone(options), func(o option) bool { return o.free.CPU != o.began })
-	slices.SortFunc(roomy, func(a, b option) int {
-		return cmp.Or(compareBool(a.Fresh, b.Fresh), a.last-b.last, cmp.Compare(b.free.CPU, a.free.CPU), a.at-b.at)
+	unused := slices.DeleteFunc(slices.Clone(candidates), func(o candidate) bool { return o.free.CPU != o.initialCPU })
+	slices.SortFunc(unused, func(a, b candidate) int {
+		return cmp.Or(compareBool(a.RecentlyStarted, b.RecentlyStarted), a.penalty-b.penalty, cmp.Compare(b.free.CPU, a.free.CPU), a.index-b.index)
 	})
-	for _, o := range roomy {
+	for _, o := range unused {
 		if len(tasks) == 0 {
 			break
 		}
-		if p.within(f.item, o.room, 1) == 0 {
+		if p.limitByHeadroom(f.item, o.serverState, 1) == 0 {
 			continue
 		}
-		p.put(f, o, tasks[:1])
+		p.placeTasks(f, o, tasks[:1])
 		tasks = tasks[1:]
 		if o.permission == Granted {
-			p.keep(o.room)
+			p.holdForSuspect(o.serverState)
 		}
 	}
 	return tasks
 }
 
-// keep leaves a server to what is tried there.
-func (p *planner) keep(r *room) {
-	r.probation = true
-	p.probations[r.Pool]--
+// holdForSuspect leaves a server to what is tried there.
+func (p *planner) holdForSuspect(r *serverState) {
+	r.heldForSuspect = true
+	p.probationSlots[r.Pool]--
 }
 
-// keepGang leaves the servers of a gang to it while one of its members is suspected.
-func (p *planner) keepGang(it Item, chosen []option) {
-	if !slices.ContainsFunc(it.Tasks, suspected) {
+// holdForSuspectGang leaves the servers of a gang to it while one of its members is suspected.
+func (p *planner) holdForSuspectGang(it Item, chosen []candidate) {
+	if !slices.ContainsFunc(it.Tasks, isSuspect) {
 		return
 	}
 	for _, c := range chosen {
-		if p.probations[it.Pool] > 0 {
-			p.keep(c.room)
+		if p.probationSlots[it.Pool] > 0 {
+			p.holdForSuspect(c.serverState)
 		}
 	}
 }
--- a/internal/policy/steps/probation_test.go
+++ b/internal/policy/steps/probation_test.go
@@ -18,74 +18,74 @@
 
 // Work that may crash its server begins beside other work, takes that down with it, and
 // nobody can tell which of them it was.
-func TestSuspectedTasksBeginApart(t *testing.T) {
+func TestSuspectTasksStartOnSeparateServers(t *testing.T) {
 	var servers []steps.Server
 	for i := range 32 {
 		servers = append(servers, server(fmt.Sprintf("s%02d", i), 4000))
 	}
 	servers[0].Used = capacity.Size{CPU: 1000}
 	plan := steps.Make(view(servers, suspect(item("a", tasks(4, 1000)), 2), item("b", tasks(100, 1000))))
-	began, suspected := map[string]int{}, map[string]bool{}
-	for _, one := range plan.Placements {
-		for _, p := range one.Places {
-			began[p.Server]++
+	startedOn, suspectServers := map[string]int{}, map[string]bool{}
+	for _, placement := range plan.Placements {
+		for _, p := range placement.Assignments {
+			startedOn[p.Server]++
 			if p.Flow == "a" && p.Index < 2 {
-				suspected[p.Server] = true
+				suspectServers[p.Server] = true
 			}
 		}
 	}
-	if len(suspected) != 2 {
-		t.Fatalf("two suspected tasks began on %v", suspected)
+	if len(suspectServers) != 2 {
+		t.Fatalf("two suspected tasks began on %v", suspectServers)
 	}
-	for s := range suspected {
-		if began[s] != 1 || s == "s00" {
-			t.Errorf("%d tasks began on %s, which a suspected one was to have for itself", began[s], s)
+	for s := range suspectServers {
+		if startedOn[s] != 1 || s == "s00" {
+			t.Errorf("%d tasks began on %s, which a suspected one was to have for itself", startedOn[s], s)
 		}
 	}
 }
 
 // Something begins on a server while it is seen there whether a task crashes it.
-func TestNothingBeginsBesideAProbation(t *testing.T) {
+func TestNoTaskStartsOnAServerOnProbation(t *testing.T) {
 	a, b := server("a", 4000), server("b", 4000)
-	a.Probation = true
-	check(t, map[string]int{"x on b": 4}, steps.Make(view([]steps.Server{a, b}, item("x", tasks(8, 1000)))))
-	check(t, map[string]int{"x on b": 4}, steps.Make(view([]steps.Server{a, b}, item("x", gang(4, 1000)))))
+	a.OnProbation = true
+	checkPlaced(t, map[string]int{"x on b": 4}, steps.Make(view([]steps.Server{a, b}, item("x", tasks(8, 1000)))))
+	checkPlaced(t, map[string]int{"x on b": 4}, steps.Make(view([]steps.Server{a, b}, item("x", gang(4, 1000)))))
 }
 
 // After the loss of a rack all that ran there is suspected, and the servers that are
 // left are kept for it while nothing else begins.
-func TestProbationLeavesMostServers(t *testing.T) {
+func TestProbationIsLimitedToAPartOfThePool(t *testing.T) {
 	var servers []steps.Server
 	for i := range 16 {
 		servers = append(servers, server(fmt.Sprintf("s%02d", i), 4000))
 	}
 	plan := steps.Make(view(servers, suspect(item("a", tasks(40, 1000)), 40), item("b", tasks(12, 1000))))
-	n := 0
-	for _, one := range plan.Placements {
-		n += len(one.Places)
+	started := 0
+	for _, placement := range plan.Placements {
+		started += len(placement.Assignments)
 	}
-	if least := 52; n < least {
-		t.Errorf("%d tasks began, there is room for %d beside two such servers", n, least)
+	if minStarted := 52; started < minStarted {
+		t.Errorf("%d tasks began, there is room for %d beside two such servers", started, minStarted)
 	}
 }
 
 // A gang with a suspected member begins beside other work that begins.
-func TestSuspectedGangBeginsApart(t *testing.T) {
+func TestSuspectGangStartsOnSeparateServers(t *testing.T) {
 	var servers []steps.Server
 	for i := range 16 {
 		servers = append(servers, server(fmt.Sprintf("s%02d", i), 4000))
 	}
 	plan := steps.Make(view(servers, suspect(item("a", gang(6, 1000)), 1), item("b", tasks(40, 1000))))
-	of := map[string]map[string]bool{}
-	for _, one := range plan.Placements {
-		for _, p := range one.Places {
-			if of[p.Server] == nil {
-				of[p.Server] = map[string]bool{}
+	flowsByServer := map[string]map[string]bool{}
+	for _, placement := range plan.Placements {
+		for _, p := range placement.Assignments {
+			if flowsByServer[p.Server] == nil {
+				flowsByServer[p.Server] = map[string]bool{}
 			}
-			of[p.Server][p.Flow] = true
+			flowsByServer[p.Server][p.Flow] = true
 		}
 	}
-	for s, flows := range of {
+	for s, flows := range flowsByServer {
 		if flows["a"] && len(flows) > 1 {
 			t.Errorf("work began on %s beside the gang", s)
 		}
@@ -97,13 +97,13 @@
 
 // Work that is to be given up with the next crash begins beside other suspected work,
 // and is given up for what that does.
-func TestTheLastProbationIsWaitedFor(t *testing.T) {
+func TestTaskWithOneCrashLeftWaitsForItsOwnServer(t *testing.T) {
 	servers := []steps.Server{server("a", 4000), server("b", 4000)}
-	servers[0].Probation = true
+	servers[0].OnProbation = true
 	x, y := suspect(item("x", tasks(2, 1000)), 2), item("y", tasks(2, 1000))
 	x.Tasks[1].Blamed = 2
-	check(t, map[string]int{"x on b": 1, "y on b": 2}, steps.Make(view(servers, x, y)))
-	servers[0].Probation = false
+	checkPlaced(t, map[string]int{"x on b": 1, "y on b": 2}, steps.Make(view(servers, x, y)))
+	servers[0].OnProbation = false
 	x.Tasks[0].Blamed = 2
 	plan := steps.Make(view(servers, x, y))
 	if got := placed(plan); got["x on a"]+got["x on b"] != 1 || got["x on a"] == 1 && got["y on a"] > 0 || got["x on b"] == 1 && got["y on b"] > 0 {
@@ -113,8 +113,8 @@
 
 // A suspected task goes to the emptiest server, which is one that has just come back and
 // is about to crash again by itself, and is given up for that.
-func TestProbationIsOnAServerThatStood(t *testing.T) {
+func TestSuspectTasksAvoidRecentlyStartedServers(t *testing.T) {
 	a, b := server("a", 4000), server("b", 4000)
-	a.Fresh, b.Used = true, capacity.Size{CPU: 2000}
-	check(t, map[string]int{"x on b": 1}, steps.Make(view([]steps.Server{a, b}, suspect(item("x", tasks(1, 1000)), 1))))
+	a.RecentlyStarted, b.Used = true, capacity.Size{CPU: 2000}
+	checkPlaced(t, map[string]int{"x on b": 1}, steps.Make(view([]steps.Server{a, b}, suspect(item("x", tasks(1, 1000)), 1))))
 }
--- a/internal/policy/steps/roomy.go
+++ b/internal/policy/steps/roomy.go
@@ -6,68 +6,68 @@
 	"slices"
 )
 
-// roomyChunk is how many servers are put in order at a time: about as many as a
+// sortChunk is how many servers are put in order at a time: about as many as a
 // question names.
-const roomyChunk = 64
+const sortChunk = 64
 
-// shelf is servers of a pool, with or without gathered urgent work.
-type shelf struct {
-	pool  string
-	brief bool
+// serverGroup is servers of a pool, with or without gathered urgent work.
+type serverGroup struct {
+	pool       string
+	shortLease bool
 }
 
-// shelve puts the servers in the order of their room at the beginning of the plan.
-func (p *planner) shelve() {
-	p.shelves = map[shelf][]*room{}
+// groupServers puts the servers in the order of their room at the beginning of the plan.
+func (p *planner) groupServers() {
+	p.serversByGroup = map[serverGroup][]*serverState{}
 	for _, r := range p.servers {
-		s := shelf{r.Pool, r.Brief}
-		p.shelves[s] = append(p.shelves[s], r)
+		group := serverGroup{r.Pool, r.ShortLease}
+		p.serversByGroup[group] = append(p.serversByGroup[group], r)
 	}
-	for _, all := range p.shelves {
-		slices.SortFunc(all, func(a, b *room) int { return cmp.Or(cmp.Compare(b.began, a.began), a.at-b.at) })
+	for _, servers := range p.serversByGroup {
+		slices.SortFunc(servers, func(a, b *serverState) int { return cmp.Or(cmp.Compare(b.initialCPU, a.initialCPU), a.index-b.index) })
 	}
 }
 
-// roomy goes over the servers of an item's pool, those with most room now first; for
+// byFreeRoom goes over the servers of an item's pool, those with most room now first; for
 // urgent work those where it is gathered before the others.
-func (p *planner) roomy(it Item) iter.Seq[*room] {
-	if p.shelves == nil {
-		p.shelve()
+func (p *planner) byFreeRoom(it Item) iter.Seq[*serverState] {
+	if p.serversByGroup == nil {
+		p.groupServers()
 	}
-	brief, usual := p.shelves[shelf{it.Pool, true}], p.shelves[shelf{it.Pool, false}]
-	return func(yield func(*room) bool) {
+	shortLease, others := p.serversByGroup[serverGroup{it.Pool, true}], p.serversByGroup[serverGroup{it.Pool, false}]
+	return func(yield func(*serverState) bool) {
 		if it.Urgent {
-			_ = p.ordered(yield, brief) && p.ordered(yield, usual)
+			_ = p.yieldByFreeRoom(yield, shortLease) && p.yieldByFreeRoom(yield, others)
 			return
 		}
-		p.ordered(yield, brief, usual)
+		p.yieldByFreeRoom(yield, shortLease, others)
 	}
 }
 
-// ordered goes over servers by their room now. Room only becomes less in the course
+// yieldByFreeRoom goes over servers by their room now. Room only becomes less in the course
 // of a plan, so whoever has more than the next one had at its beginning comes first.
-func (p *planner) ordered(yield func(*room) bool, shelves ...[]*room) bool {
-	var some []*room
+func (p *planner) yieldByFreeRoom(yield func(*serverState) bool, groups ...[]*serverState) bool {
+	var batch []*serverState
 	for {
-		most := int64(-1)
-		for i, s := range shelves {
-			n := min(len(s), roomyChunk)
-			some = append(some, s[:n]...)
-			shelves[i] = s[n:]
-			if len(shelves[i]) > 0 {
-				most = max(most, shelves[i][0].began)
+		nextInitialCPU := int64(-1)
+		for i, s := range groups {
+			n := min(len(s), sortChunk)
+			batch = append(batch, s[:n]...)
+			groups[i] = s[n:]
+			if len(groups[i]) > 0 {
+				nextInitialCPU = max(nextInitialCPU, groups[i][0].initialCPU)
 			}
 		}
-		if len(some) == 0 {
+		if len(batch) == 0 {
 			return true
 		}
-		slices.SortFunc(some, func(a, b *room) int { return cmp.Or(cmp.Compare(b.free.CPU, a.free.CPU), a.at-b.at) })
+		slices.SortFunc(batch, func(a, b *serverState) int { return cmp.Or(cmp.Compare(b.free.CPU, a.free.CPU), a.index-b.index) })
 		n := 0
-		for ; n < len(some) && some[n].free.CPU >= most; n++ {
-			if !yield(some[n]) {
+		for ; n < len(batch) && batch[n].free.CPU >= nextInitialCPU; n++ {
+			if !yield(batch[n]) {
 				return false
 			}
 		}
-		some = some[n:]
+		batch = batch[n:]
 	}
 }
--- a/internal/policy/steps/steps.go
+++ b/internal/policy/steps/steps.go
@@ -14,100 +14,100 @@
 
 // Bounds of a plan.
 const (
-	// MostAsked bounds the servers of one question: the adviser takes no more.
-	MostAsked = 100
-	// MostWanted bounds the servers that a plan wants to know about for one step;
+	// MaxServersPerQuestion bounds the servers of one question: the adviser takes no more.
+	MaxServersPerQuestion = 100
+	// MaxServersPerStep bounds the servers that a plan wants to know about for one step;
 	// they are asked about in several questions side by side.
-	MostWanted = 160
-	// LeastAsked is how many servers a question names at the least: of thirty a
+	MaxServersPerStep = 160
+	// MinServersPerQuestion is how many servers a question names at the least: of thirty a
 	// few may usually run a step.
-	LeastAsked = 30
-	// enough is how many times as many tasks as wait the servers of a question
+	MinServersPerQuestion = 30
+	// capacityFactor is how many times as many tasks as wait the servers of a question
 	// should have room for, by what is known: some fill up until the answer comes.
-	enough = 1.5
-	// spare is how many servers more than needed a question for fresh permits
+	capacityFactor = 1.5
+	// spareServers is how many servers more than needed a question for fresh permits
 	// names: some will have filled up when the answer comes.
-	spare = 4
-	// leastWaiting is how many gangs of a pool have room kept for them, and one more
+	spareServers = 4
+	// minReservedGangs is how many gangs of a pool have room kept for them, and one more
 	// for each waitingPart of its servers. Each keeps what it needs idle until the
 	// last of it is free, and a large pool has more of them waiting.
-	leastWaiting = 4
-	waitingPart  = 100
-	// restEvery is how many items are placed between two rests.
-	restEvery = 4
-	// soon is how long before its room is free a gang asks for its permits: about
+	minReservedGangs       = 4
+	serversPerReservedGang = 100
+	// itemsPerYield is how many items are placed between two rests.
+	itemsPerYield = 4
+	// questionLeadTime is how long before its room is free a gang asks for its permits: about
 	// as long as the longest question takes.
-	soon = time.Second
-	// holds is about how long a permit holds.
-	holds = time.Second
+	questionLeadTime = time.Second
+	// permitValidity is about how long a permit holds.
+	permitValidity = time.Second
 )
 
 // planner is the state of making one plan.
 type planner struct {
 	*Planner
 	view View
-	// turn counts the items turned to; looked tells that what is known of the latest
+	// itemNumber counts the items turned to; looked tells that what is known of the latest
 	// was looked up.
-	turn   int
-	looked bool
-	// shelves are the servers in the order of their room; nil until that is asked for.
-	shelves map[shelf][]*room
-	used    map[string]capacity.Size
-	plan    Plan
-	// waiting counts the gangs for which room is kept, by pool, sizes the servers.
-	waiting map[string]int
-	sizes   map[string]int
-	// ahead counts the steps whose permits are asked for before there is room, by pool.
-	ahead map[string]int
-	// most is the most that a server of each pool had free when the plan began.
-	most map[string]int64
-	// heads is each pool's headroom for urgent work, spare for how many tasks of
+	itemNumber        int
+	permissionsLoaded bool
+	// serversByGroup are the servers in the order of their room; nil until that is asked for.
+	serversByGroup map[serverGroup][]*serverState
+	customerUsage  map[string]capacity.Size
+	plan           Plan
+	// reservedGangs counts the gangs for which room is kept, by pool, sizes the servers.
+	reservedGangs map[string]int
+	poolSizes     map[string]int
+	// earlyRequests counts the steps whose permits are asked for before there is room, by pool.
+	earlyRequests map[string]int
+	// maxFreeCPU is the most that a server of each pool had free when the plan began.
+	maxFreeCPU map[string]int64
+	// headrooms is each pool's headroom for urgent work, spare for how many tasks of
 	// its size there is room beyond it, and ever how many the whole pool holds.
-	heads map[string]Headroom
-	spare map[string]int64
-	ever  map[string]int64
-	// probations is for how many more suspected tasks a server of each pool may be kept.
-	probations map[string]int
+	headrooms        map[string]Headroom
+	spareHeadroom    map[string]int64
+	headroomCapacity map[string]int64
+	// probationSlots is for how many more suspected tasks a server of each pool may be kept.
+	probationSlots map[string]int
 }
 
-// room is what is left on a server in the course of a plan.
-type room struct {
+// serverState is what is left on a server in the course of a plan.
+type serverState struct {
 	Server
-	// at is its place in the order of ids, class that of its speed.
-	at    int
-	class int
-	// began is the room of the processor when the plan began.
-	began int64
-	free  capacity.Size
-	mark
-	// frees is what the server will have free again, the soonest first, once it was
+	// index is its place in the order of ids, class that of its speed.
+	index      int
+	speedClass int
+	// initialCPU is the room of the processor when the plan began.
+	initialCPU int64
+	free       capacity.Size
+	itemPermission
+	// releases is what the server will have free again, the soonest first, once it was
 	// asked for.
-	frees []Release
-	freed bool
-	// probation tells that it is left to a task that may crash it.
-	probation bool
-	// kept is what is kept free for gangs that wait, and until when they wait.
-	kept  capacity.Size
-	until time.Duration
+	releases       []Release
+	releasesLoaded bool
+	// heldForSuspect tells that it is left to a task that may crash it.
+	heldForSuspect bool
+	// reserved is what is kept free for gangs that wait, and until when they wait.
+	reserved      capacity.Size
+	reservedUntil time.Duration
 }
 
-// left returns what an item may use now: room that is kept for a gang only if
+// usable returns what an item may use now: room that is kept for a gang only if
 // the item gives it back before the gang can begin, or lasts.
-func (r *room) left(it Item) capacity.Size {
-	if it.Spec.GetLasting() || r.until > 0 && it.Takes > 0 && it.Takes <= r.until {
+func (r *serverState) usable(it Item) capacity.Size {
+	if it.Spec.GetLasting() || r.reservedUntil > 0 && it.ExpectedRuntime > 0 && it.ExpectedRuntime <= r.reservedUntil {
 		return r.free
 	}
-	return r.free.Sub(r.kept)
+	return r.free.Sub(r.reserved)
 }
 
 // Planner makes plans, one after the other; what it keeps is room for the next one.
 // The zero value is ready.
 type Planner struct {
-	rooms   []room
-	servers []*room
-	byID    map[string]*room
-	// known is the room for the servers of which something is known for an item.
-	known []*room
+	states  []serverState
+	servers []*serverState
+	byID    map[string]*serverState
+	// knownServers is the room for the servers of which something is known for an item.
+	knownServers []*serverState
 }
 
 // Make makes one plan.
@@ -118,49 +118,49 @@
 // that it needs from those after it, which would take it for ever otherwise.
 func (m *Planner) Make(v View) Plan {
 	if m.byID == nil {
-		m.byID = map[string]*room{}
+		m.byID = map[string]*serverState{}
 	}
 	clear(m.byID)
-	m.rooms = slices.Grow(m.rooms[:0], len(v.Servers))[:len(v.Servers)]
+	m.states = slices.Grow(m.states[:0], len(v.Servers))[:len(v.Servers)]
 	m.servers = m.servers[:0]
 	p := &planner{
-		Planner: m, view: v, used: map[string]capacity.Size{},
-		waiting: map[string]int{}, sizes: map[string]int{}, ahead: map[string]int{}, most: map[string]int64{},
-		heads: map[string]Headroom{}, spare: map[string]int64{}, ever: map[string]int64{}, probations: map[string]int{},
+		Planner: m, view: v, customerUsage: map[string]capacity.Size{},
+		reservedGangs: map[string]int{}, poolSizes: map[string]int{}, earlyRequests: map[string]int{}, maxFreeCPU: map[string]int64{},
+		headrooms: map[string]Headroom{}, spareHeadroom: map[string]int64{}, headroomCapacity: map[string]int64{}, probationSlots: map[string]int{},
 	}
 	for i, s := range v.Servers {
 		free := s.Free()
-		r := &m.rooms[i]
-		*r = room{Server: s, free: free, began: free.CPU, probation: s.Probation}
+		r := &m.states[i]
+		*r = serverState{Server: s, free: free, initialCPU: free.CPU, heldForSuspect: s.OnProbation}
 		p.servers = append(p.servers, r)
 		p.byID[s.ID] = r
 	}
-	p.count()
-	byID := func(a, b *room) int { return cmp.Compare(a.ID, b.ID) }
+	p.initPools()
+	byID := func(a, b *serverState) int { return cmp.Compare(a.ID, b.ID) }
 	if !slices.IsSortedFunc(p.servers, byID) {
 		slices.SortFunc(p.servers, byID)
 	}
 	for i, r := range p.servers {
-		r.at, r.class = i, speedClass(r.Speed)
+		r.index, r.speedClass = i, speedClass(r.Speed)
 	}
 	items := slices.Clone(v.Items)
 	slices.SortStableFunc(items, Compare)
 	for i, it := range items {
-		if v.Rest != nil && i%restEvery == 0 {
-			v.Rest()
+		if v.Yield != nil && i%itemsPerYield == 0 {
+			v.Yield()
 		}
 		if it.Spec.GetGang() {
-			p.gang(it)
+			p.placeGang(it)
 		} else {
-			p.singles(it)
+			p.placeSingles(it)
 		}
 	}
 	return p.plan
 }
 
-// count works out what is known of each pool when the plan begins.
-func (p *planner) count() {
-	pools := map[string][]*room{}
+// initPools works out what is known of each pool when the plan begins.
+func (p *planner) initPools() {
+	pools := map[string][]*serverState{}
 	for i := 0; i < len(p.servers); {
 		pool, first := p.servers[i].Pool, i
 		for i < len(p.servers) && p.servers[i].Pool == pool {
@@ -168,13 +168,13 @@
 		}
 		pools[pool] = append(pools[pool], p.servers[first:i]...)
 	}
-	for pool, rooms := range pools {
-		p.sizes[pool] = len(rooms)
-		p.probations[pool] = probationsOf(rooms)
-		for _, r := range rooms {
-			p.most[pool] = max(p.most[pool], r.free.CPU)
+	for pool, servers := range pools {
+		p.poolSizes[pool] = len(servers)
+		p.probationSlots[pool] = countProbationSlots(servers)
+		for _, r := range servers {
+			p.maxFreeCPU[pool] = max(p.maxFreeCPU[pool], r.free.CPU)
 		}
-		p.head(pool, rooms)
+		p.initHeadroom(pool, servers)
 	}
 }
 
@@ -183,8 +183,8 @@
 // behind it late as well. Then by priority, then by the least slack.
 func Compare(a, b Item) int {
 	return cmp.Or(
-		compareBool(a.Hopeless, b.Hopeless),
-		compareBool(a.Surplus, b.Surplus),
+		compareBool(a.Worthless, b.Worthless),
+		compareBool(a.OverShare, b.OverShare),
 		compareBool(a.Late, b.Late),
 		cmp.Compare(a.Priority, b.Priority),
 		cmp.Compare(a.Slack, b.Slack),
@@ -204,21 +204,21 @@
 	return -1
 }
 
-// suits tells whether a server may hold a task of the item at all.
-func suits(it Item, r *room) bool {
+// eligible tells whether a server may hold a task of the item at all.
+func eligible(it Item, r *serverState) bool {
 	if r.Pool != it.Pool {
 		return false
 	}
-	return Labelled(it.Spec.GetLabel(), r.Server.Server)
+	return HasLabel(it.Spec.GetLabel(), r.Server.Server)
 }
 
-// Labelled tells whether a server has the label that a step asks for, if any.
-func Labelled(label string, b *flows.Server) bool {
+// HasLabel tells whether a server has the label that a step asks for, if any.
+func HasLabel(label string, b *flows.Server) bool {
 	return label == "" || slices.Contains(b.Labels, label)
 }
 
-// fits returns how many tasks of a size fit into a room.
-func fits(size, free capacity.Size) int64 {
+// fittingTasks returns how many tasks of a size fit into a room.
+func fittingTasks(size, free capacity.Size) int64 {
 	if !size.Fits(capacity.Size{CPU: free.CPU, Memory: free.Memory, Accel: free.Accel, Slots: size.Slots}) {
 		return 0
 	}
@@ -235,69 +235,69 @@
 	return n
 }
 
-// allowed returns how many tasks of the item its customer's limit lets start.
-func (p *planner) allowed(it Item) int64 {
+// allowedByLimit returns how many tasks of the item its customer's limit lets start.
+func (p *planner) allowedByLimit(it Item) int64 {
 	size := flow.SizeOf(it.Spec)
-	left := p.view.Room(it.Flow.Customer).Sub(p.used[it.Flow.Customer])
-	return fits(size, left)
+	remaining := p.view.RemainingLimit(it.Flow.Customer).Sub(p.customerUsage[it.Flow.Customer])
+	return fittingTasks(size, remaining)
 }
 
-func (p *planner) take(it Item, r *room, n int64) {
+func (p *planner) allocate(it Item, r *serverState, n int64) {
 	size := flow.SizeOf(it.Spec).Times(n)
-	p.spare[it.Pool] -= p.cost(it, r, n)
+	p.spareHeadroom[it.Pool] -= p.headroomCost(it, r, n)
 	r.free = r.free.Sub(size)
-	p.used[it.Flow.Customer] = p.used[it.Flow.Customer].Add(size)
+	p.customerUsage[it.Flow.Customer] = p.customerUsage[it.Flow.Customer].Add(size)
 }
 
-// filling is what was found for a step whose tasks start one by one.
-type filling struct {
-	item   Item
-	places []Place
-	// stale are the servers whose permits have to be asked for first.
-	stale []string
+// stepPlacement is what was found for a step whose tasks start one by one.
+type stepPlacement struct {
+	item        Item
+	assignments []Assignment
+	// staleServers are the servers whose permits have to be asked for first.
+	staleServers []string
 }
 
-// put starts tasks on a server, or keeps the room until its permit is there.
-func (p *planner) put(f *filling, o option, tasks []uint32) {
-	p.take(f.item, o.room, int64(len(tasks)))
+// placeTasks starts tasks on a server, or keeps the room until its permit is there.
+func (p *planner) placeTasks(f *stepPlacement, o candidate, tasks []uint32) {
+	p.allocate(f.item, o.serverState, int64(len(tasks)))
 	if o.permission != Granted {
-		f.stale = append(f.stale, o.ID)
+		f.staleServers = append(f.staleServers, o.ID)
 		return
 	}
 	for _, i := range tasks {
-		f.places = append(f.places, Place{flow.TaskID{StepID: f.item.StepID, Index: i}, o.ID})
+		f.assignments = append(f.assignments, Assignment{flow.TaskID{StepID: f.item.StepID, Index: i}, o.ID})
 	}
 }
 
-// singles places the tasks of a step one by one.
-func (p *planner) singles(it Item) {
-	left := min(int64(it.Queued), p.allowed(it))
-	if left <= 0 {
+// placeSingles places the tasks of a step one by one.
+func (p *planner) placeSingles(it Item) {
+	limit := min(int64(it.Queued), p.allowedByLimit(it))
+	if limit <= 0 {
 		return
 	}
-	p.next()
-	options := p.options(it)
-	f := &filling{item: it}
-	sound, suspected := p.waits(it, int(left))
-	for _, o := range options {
-		if len(sound) == 0 {
+	p.nextItem()
+	candidates := p.candidates(it)
+	f := &stepPlacement{item: it}
+	normal, suspects := p.queuedBySuspicion(it, int(limit))
+	for _, o := range candidates {
+		if len(normal) == 0 {
 			break
 		}
-		if n := p.within(it, o.room, min(o.count, int64(len(sound)))); n > 0 {
-			p.put(f, o, sound[:n])
-			sound = sound[n:]
+		if n := p.limitByHeadroom(it, o.serverState, min(o.taskCount, int64(len(normal)))); n > 0 {
+			p.placeTasks(f, o, normal[:n])
+			normal = normal[n:]
 		}
 	}
-	suspected = p.tryApart(f, options, suspected)
-	if len(f.places) > 0 {
-		p.plan.Placements = append(p.plan.Placements, Placement{it, f.places})
+	suspects = p.placeSuspects(f, candidates, suspects)
+	if len(f.assignments) > 0 {
+		p.plan.Placements = append(p.plan.Placements, Placement{it, f.assignments})
 	}
 	switch {
-	case len(f.stale) > 0:
-		p.want(it, f.stale, options)
-	case len(sound)+len(suspected) > 0:
-		if !p.ask(it) {
-			p.foresee(it)
+	case len(f.staleServers) > 0:
+		p.requestPermits(it, f.staleServers, candidates)
+	case len(normal)+len(suspects) > 0:
+		if !p.askAdviser(it) {
+			p.requestPermitsEarly(it)
 		}
 	}
 }
--- a/internal/policy/steps/want.go
+++ b/internal/policy/steps/want.go
@@ -7,114 +7,114 @@
 	"gypsumreel/internal/domain/flow"
 )
 
-// want asks for fresh permits of servers that are known to be allowed, the first
+// requestPermits asks for fresh permits of servers that are known to be allowed, the first
 // ones first where there are too many.
-func (p *planner) want(it Item, servers []string, options []option) {
-	extra := spare
-	for _, o := range options {
-		if extra == 0 || len(servers) >= MostWanted {
+func (p *planner) requestPermits(it Item, servers []string, candidates []candidate) {
+	spares := spareServers
+	for _, o := range candidates {
+		if spares == 0 || len(servers) >= MaxServersPerStep {
 			break
 		}
 		if !slices.Contains(servers, o.ID) {
 			servers = append(servers, o.ID)
-			extra--
+			spares--
 		}
 	}
-	servers = append(servers, p.upcoming(it, servers)...)
-	p.plan.Wants = append(p.plan.Wants, Want{it, servers[:min(len(servers), MostWanted)]})
+	servers = append(servers, p.soonAvailable(it, servers)...)
+	p.plan.Questions = append(p.plan.Questions, Question{it, servers[:min(len(servers), MaxServersPerStep)]})
 }
 
-// foresee asks for fresh permits of servers that are about to have room for the
+// requestPermitsEarly asks for fresh permits of servers that are about to have room for the
 // next steps in turn, so that no room lies idle while the adviser is asked.
-func (p *planner) foresee(it Item) {
-	if !it.Permits || p.ahead[it.Pool] >= leastWaiting+p.sizes[it.Pool]/waitingPart {
+func (p *planner) requestPermitsEarly(it Item) {
+	if !it.NeedsPermit || p.earlyRequests[it.Pool] >= minReservedGangs+p.poolSizes[it.Pool]/serversPerReservedGang {
 		return
 	}
-	p.ahead[it.Pool]++
-	if servers := p.upcoming(it, nil); len(servers) > 0 {
-		p.plan.Wants = append(p.plan.Wants, Want{it, servers[:min(len(servers), MostWanted)]})
+	p.earlyRequests[it.Pool]++
+	if servers := p.soonAvailable(it, nil); len(servers) > 0 {
+		p.plan.Questions = append(p.plan.Questions, Question{it, servers[:min(len(servers), MaxServersPerStep)]})
 	}
 }
 
-// upcoming returns servers beside those given that may run the item, whose permits
+// soonAvailable returns servers beside those given that may run the item, whose permits
 // are over, and that should have room for a task of it while a permit asked for now
 // holds: the soonest first, as many as tasks wait. A step whose tasks start one by
 // one, as room comes, would need a question for each otherwise, and its room would
 // lie idle while that is asked.
-func (p *planner) upcoming(it Item, given []string) []string {
-	most := it.Queued - len(given)
-	if p.view.Frees == nil || most <= 0 {
+func (p *planner) soonAvailable(it Item, exclude []string) []string {
+	limit := it.Queued - len(exclude)
+	if p.view.Releases == nil || limit <= 0 {
 		return nil
 	}
 	var slots []slot
-	for _, r := range p.listed(it) {
-		if suits(it, r) && p.permission(it, r) == Stale && !slices.Contains(given, r.ID) {
-			if in, ok := p.soonest(it, r); ok {
-				slots = append(slots, slot{in, r})
+	for _, r := range p.knownServersFor(it) {
+		if eligible(it, r) && p.permission(it, r) == Stale && !slices.Contains(exclude, r.ID) {
+			if after, ok := p.availableAfter(it, r); ok {
+				slots = append(slots, slot{after, r})
 			}
 		}
 	}
-	slices.SortFunc(slots, sooner)
+	slices.SortFunc(slots, compareSlots)
 	var out []string
-	for _, s := range slots[:min(len(slots), most)] {
+	for _, s := range slots[:min(len(slots), limit)] {
 		out = append(out, s.ID)
 	}
 	return out
 }
 
-// soonest returns when a server should have room for a task of the item, if that is
+// availableAfter returns when a server should have room for a task of the item, if that is
 // while a permit asked for now holds.
-func (p *planner) soonest(it Item, r *room) (time.Duration, bool) {
-	size, free := flow.SizeOf(it.Spec), r.free.Sub(r.kept)
-	for _, f := range p.frees(r) {
-		if f.In > soon+holds {
+func (p *planner) availableAfter(it Item, r *serverState) (time.Duration, bool) {
+	size, free := flow.SizeOf(it.Spec), r.free.Sub(r.reserved)
+	for _, release := range p.releases(r) {
+		if release.After > questionLeadTime+permitValidity {
 			return 0, false
 		}
-		free = free.Add(f.Size)
-		if fits(size, free) > 0 {
-			return f.In, true
+		free = free.Add(release.Size)
+		if fittingTasks(size, free) > 0 {
+			return release.After, true
 		}
 	}
 	return 0, false
 }
 
-// ask asks about servers that nobody asked about yet, those with most room first:
+// askAdviser asks about servers that nobody asked about yet, those with most room first:
 // as many as should have room for all that waits, by the part of them that may
 // run it. A gang whose servers are found one small question after the other
 // begins as much later. It tells whether there are such servers.
-func (p *planner) ask(it Item) bool {
-	if !it.Permits || p.full(it) {
+func (p *planner) askAdviser(it Item) bool {
+	if !it.NeedsPermit || p.poolFull(it) {
 		return false
 	}
-	p.listed(it)
+	p.knownServersFor(it)
 	size := flow.SizeOf(it.Spec)
-	share := 1.0
-	if p.view.Share != nil {
-		share = p.view.Share(it)
+	allowedShare := 1.0
+	if p.view.AllowedShare != nil {
+		allowedShare = p.view.AllowedShare(it)
 	}
-	need, found := enough*float64(it.Queued), 0.0
-	width := max(it.Usual, LeastAsked)
-	w := Want{Item: it}
-	var later []string
-	for r := range p.roomy(it) {
-		if len(w.Servers) >= MostWanted || found >= need && len(w.Servers) >= width {
+	neededTasks, expectedTasks := capacityFactor*float64(it.Queued), 0.0
+	minServers := max(it.QuestionSize, MinServersPerQuestion)
+	question := Question{Item: it}
+	var withoutRoom []string
+	for r := range p.byFreeRoom(it) {
+		if len(question.Servers) >= MaxServersPerStep || expectedTasks >= neededTasks && len(question.Servers) >= minServers {
 			break
 		}
-		if p.permission(it, r) != Unasked || !suits(it, r) {
+		if p.permission(it, r) != NotAsked || !eligible(it, r) {
 			continue
 		}
-		if it.Asked && fits(size, r.left(it)) == 0 {
-			later = append(later, r.ID)
+		if it.AdviserAsked && fittingTasks(size, r.usable(it)) == 0 {
+			withoutRoom = append(withoutRoom, r.ID)
 			continue
 		}
-		found += share * float64(min(fits(size, r.free), int64(it.Queued)))
-		w.Servers = append(w.Servers, r.ID)
+		expectedTasks += allowedShare * float64(min(fittingTasks(size, r.free), int64(it.Queued)))
+		question.Servers = append(question.Servers, r.ID)
 	}
-	if len(w.Servers) == 0 {
+	if len(question.Servers) == 0 {
 		return false
 	}
 	// Servers that have no room yet fill the question up.
-	w.Servers = append(w.Servers, later[:min(len(later), max(width-len(w.Servers), 0))]...)
-	p.plan.Wants = append(p.plan.Wants, w)
+	question.Servers = append(question.Servers, withoutRoom[:min(len(withoutRoom), max(minServers-len(question.Servers), 0))]...)
+	p.plan.Questions = append(p.plan.Questions, question)
 	return true
 }
