--- a/internal/control/dispatch/advice.go
+++ b/internal/control/dispatch/advice.go
@@ -10,7 +10,7 @@
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/base/event"
 	"gypsumreel/internal/domain/flow"
-	"gypsumreel/internal/policy/crew"
+	"gypsumreel/internal/policy/helpers"
 	"gypsumreel/internal/policy/steps"
 )
 
@@ -98,13 +98,13 @@
 	if a.asking > 0 || now < a.next {
 		return true
 	}
-	whole := crew.IsLong(steps.QuestionDuration(q.GetAdvice(), len(w.Servers)), shortest)
+	whole := helpers.IsLong(steps.QuestionDuration(q.GetAdvice(), len(w.Servers)), shortest)
 	if whole && none.long {
 		return false
 	}
 	for i, servers := range d.crew.SplitServers(w.Servers, steps.MaxServersPerQuestion, whole, now) {
 		takes := steps.QuestionDuration(q.GetAdvice(), len(servers))
-		long := crew.IsLong(takes, shortest)
+		long := helpers.IsLong(takes, shortest)
 		h := d.crew.Acquire(long, now)
 		if h == nil {
 			none.long = true
@@ -131,7 +131,7 @@
 }
 
 // question lets a helper ask the adviser.
-func (d *Dispatcher) question(h *crew.Helper, w steps.Question, a *advice, terms *v1.Advice, takes time.Duration) {
+func (d *Dispatcher) question(h *helpers.Helper, w steps.Question, a *advice, terms *v1.Advice, takes time.Duration) {
 	id := w.Item.StepID
 	a.asking++
 	lives := map[string]int64{}
--- a/internal/control/dispatch/lead.go
+++ b/internal/control/dispatch/lead.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"gypsumreel/internal/domain/flow"
-	"gypsumreel/internal/policy/brief"
-	"gypsumreel/internal/policy/intake"
+	"gypsumreel/internal/policy/recovery"
+	"gypsumreel/internal/policy/shortlease"
 	"gypsumreel/internal/policy/steps"
 )
 
@@ -24,7 +24,7 @@
 	// round is the room for going over all of them.
 	round []*session
 	// intake are the servers that were not asked yet what they hold.
-	intake intake.Queue[*session]
+	intake recovery.Queue[*session]
 	// relayed counts the sessions whose calls go through a helper.
 	relayed int
 	advice  map[flow.StepID]*advice
@@ -37,7 +37,7 @@
 	// urgent is what urgent work starts, by pool.
 	urgent map[string]*demand
 	// briefs are the servers on which urgent work is gathered, by pool.
-	briefs map[string]*brief.Selection
+	briefs map[string]*shortlease.Selection
 	// ranks tells which places are urgent by the configuration ranked.
 	ranked  *flow.Config
 	ranks   map[rank]bool
--- a/internal/policy/crew/crew.go
+++ b/internal/policy/helpers/crew.go
@@ -1,7 +1,7 @@
 // Package crew decides which process makes the next call for the leader. The
 // adviser takes one question at a time from each process, so the rate of answers
 // hangs on how soon a process that is free gets the next one.
-package crew
+package helpers
 
 import (
 	"cmp"
--- a/internal/policy/crew/crew_test.go
+++ b/internal/policy/helpers/crew_test.go
@@ -1,17 +1,17 @@
-package crew_test
+package helpers_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"gypsumreel/internal/policy/crew"
+	"gypsumreel/internal/policy/helpers"
 )
 
 const now = time.Hour
 
 func TestHelpersRotateAndTheLeaderComesLast(t *testing.T) {
-	c := crew.New()
+	c := helpers.New()
 	c.RecordGreeting("a", now)
 	c.RecordGreeting("b", now)
 	first, second, third := c.Acquire(false, now), c.Acquire(false, now), c.Acquire(false, now)
@@ -37,13 +37,13 @@
 		// ones may then, of 24.
 		short, want int
 	}{"none": {0, 21}, "some": {2, 19}, "many": {6, 13}} {
-		c := crew.New()
+		c := helpers.New()
 		for i := range 23 {
 			c.RecordGreeting(fmt.Sprint(i), now)
 		}
 		clock := now
 		for range 200 {
-			var busy []*crew.Helper
+			var busy []*helpers.Helper
 			for range tc.short {
 				busy = append(busy, c.Acquire(false, clock))
 			}
@@ -69,7 +69,7 @@
 // longest; asked first again and again, they would cost every flow a failed
 // question.
 func TestHelpersThatFailedComeLast(t *testing.T) {
-	c := crew.New()
+	c := helpers.New()
 	c.RecordGreeting("a", now)
 	c.RecordGreeting("b", now)
 	h := c.Acquire(false, now)
@@ -91,7 +91,7 @@
 }
 
 func TestRetryDelayDoublesUpToItsMaximum(t *testing.T) {
-	c := crew.New()
+	c := helpers.New()
 	c.RecordGreeting("a", now)
 	clock := now
 	var delays []time.Duration
@@ -117,7 +117,7 @@
 }
 
 func TestSilentHelpersAreSkippedAndRemoved(t *testing.T) {
-	c := crew.New()
+	c := helpers.New()
 	c.RecordGreeting("a", now)
 	late := now + 3*time.Second
 	if got := c.Alive(late); len(got) != 0 {
@@ -136,7 +136,7 @@
 // little time for anything else; one that is heard of too seldom counts as gone.
 func TestManyProcessesGreetLessOften(t *testing.T) {
 	for _, n := range []int{1, 10, 150, 1000} {
-		c := crew.New()
+		c := helpers.New()
 		for i := range n {
 			c.RecordGreeting(fmt.Sprint(i), 0)
 		}
--- a/internal/policy/intake/intake.go
+++ b/internal/policy/recovery/intake.go
@@ -2,7 +2,7 @@
 // time what they hold, and how many at once. It is pure. All asked in one moment
 // would keep the process busy for longer than its group waits for a heartbeat, and
 // the leader would lose the lead by its own work.
-package intake
+package recovery
 
 import "time"
 
--- a/internal/policy/brief/brief.go
+++ b/internal/policy/shortlease/brief.go
@@ -3,7 +3,7 @@
 // lease keeps work of minutes alive while nobody leads; urgent work of a second is
 // worth nothing by then. A server has one lease for all that it runs, as long as the
 // longest that any of it needs, so urgent work is kept apart on a few servers.
-package brief
+package shortlease
 
 import (
 	"cmp"
--- a/internal/policy/brief/brief_test.go
+++ b/internal/policy/shortlease/brief_test.go
@@ -1,21 +1,21 @@
-package brief_test
+package shortlease_test
 
 import (
 	"fmt"
 	"testing"
 
-	"gypsumreel/internal/policy/brief"
+	"gypsumreel/internal/policy/shortlease"
 )
 
-func servers(n int) []brief.Server {
-	var out []brief.Server
+func servers(n int) []shortlease.Server {
+	var out []shortlease.Server
 	for i := range n {
-		out = append(out, brief.Server{ID: fmt.Sprint("s", i), Cores: 32})
+		out = append(out, shortlease.Server{ID: fmt.Sprint("s", i), Cores: 32})
 	}
 	return out
 }
 
-func selectedIDs(c *brief.Selection, n int) map[string]bool {
+func selectedIDs(c *shortlease.Selection, n int) map[string]bool {
 	out := map[string]bool{}
 	for _, s := range servers(n) {
 		if c.Contains(s.ID) {
@@ -29,7 +29,7 @@
 	for _, tc := range []struct{ servers, used, want int }{
 		{48, 0, 4}, {48, 160, 10}, {48, 10000, 16}, {2, 160, 0},
 	} {
-		var c brief.Selection
+		var c shortlease.Selection
 		c.Update(servers(tc.servers), int64(tc.used))
 		if got := len(selectedIDs(&c, tc.servers)); got != tc.want {
 			t.Errorf("%+v: %d servers", tc, got)
@@ -40,7 +40,7 @@
 // Urgent work comes in waves and servers come and go. Leases that went to and fro
 // with them would leave urgent work on servers whose long lease is not over yet.
 func TestSelectionChangesFewServers(t *testing.T) {
-	var c brief.Selection
+	var c shortlease.Selection
 	c.Update(servers(48), 160)
 	before := selectedIDs(&c, 48)
 	c.Update(servers(48)[2:], 130)
--- a/internal/policy/model/model.go
+++ b/internal/policy/simulator/model.go
@@ -4,7 +4,7 @@
 // product's own decisions (packages ledger/flows, policy/steps and policy/crew), so
 // that a change of policy is seen over hundreds of seeds before a cell runs it. What it does not model, it cannot show: the processors of our own
 // processes, and anything of the network but delays and silences.
-package model
+package simulator
 
 import (
 	"cmp"
@@ -19,7 +19,7 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/domain/flow"
 	"gypsumreel/internal/ledger/flows"
-	"gypsumreel/internal/policy/crew"
+	"gypsumreel/internal/policy/helpers"
 	"gypsumreel/internal/policy/steps"
 )
 
@@ -103,7 +103,7 @@
 	seq      int
 
 	ledger    *flows.Ledger
-	helpers   *crew.Pool
+	helpers   *helpers.Pool
 	servers   map[string]*server
 	serverIDs []string
 	// hasLeader tells that somebody leads; back holds what waits for that.
@@ -133,7 +133,7 @@
 // New sets a play up.
 func New(s Scenario, p Policy) *Simulation {
 	m := &Simulation{
-		scenario: s, policy: p, rng: rand.New(rand.NewPCG(s.Seed, 11)), ledger: flows.New(), helpers: crew.New(),
+		scenario: s, policy: p, rng: rand.New(rand.NewPCG(s.Seed, 11)), ledger: flows.New(), helpers: helpers.New(),
 		servers: map[string]*server{}, hasLeader: true, advice: map[flow.StepID]*stepAdvice{}, timings: map[flow.StepID]steps.Timing{},
 		runtimeRatio: 1, requests: map[string]*request{},
 	}
--- a/internal/policy/model/model_test.go
+++ b/internal/policy/simulator/model_test.go
@@ -1,16 +1,16 @@
-package model_test
+package simulator_test
 
 import (
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
 
-	"gypsumreel/internal/policy/model"
+	"gypsumreel/internal/policy/simulator"
 )
 
 func TestSameSeedGivesTheSameDecisions(t *testing.T) {
 	for seed := range uint64(3) {
-		a, b := model.New(model.GenerateScenario(seed, 48), model.Policy{}), model.New(model.GenerateScenario(seed, 48), model.Policy{})
+		a, b := simulator.New(simulator.GenerateScenario(seed, 48), simulator.Policy{}), simulator.New(simulator.GenerateScenario(seed, 48), simulator.Policy{})
 		if diff := cmp.Diff(a.Run(), b.Run()); diff != "" {
 			t.Error(diff)
 		}
--- a/internal/policy/model/plan.go
+++ b/internal/policy/simulator/plan.go
@@ -1,4 +1,4 @@
-package model
+package simulator
 
 import (
 	"cmp"
@@ -15,7 +15,7 @@
 	"gypsumreel/internal/domain/capacity"
 	"gypsumreel/internal/domain/flow"
 	"gypsumreel/internal/ledger/flows"
-	"gypsumreel/internal/policy/crew"
+	"gypsumreel/internal/policy/helpers"
 	"gypsumreel/internal/policy/steps"
 )
 
@@ -162,10 +162,10 @@
 		return true
 	}
 	shortest := steps.QuestionDuration(m.ledger.Config().GetQueues()[0].GetAdvice(), steps.MinServersPerQuestion)
-	long := crew.IsLong(steps.QuestionDuration(queue.GetAdvice(), len(question.Servers)), shortest)
+	long := helpers.IsLong(steps.QuestionDuration(queue.GetAdvice(), len(question.Servers)), shortest)
 	for _, servers := range m.helpers.SplitServers(question.Servers, steps.MaxServersPerQuestion, long && m.policy.Disabled&ParallelQuestions == 0, m.now) {
 		duration := steps.QuestionDuration(queue.GetAdvice(), len(servers))
-		h := m.helpers.Acquire(crew.IsLong(duration, shortest), m.now)
+		h := m.helpers.Acquire(helpers.IsLong(duration, shortest), m.now)
 		if h == nil {
 			return a.pendingQuestions > 0
 		}
@@ -174,7 +174,7 @@
 	return true
 }
 
-func (m *Simulation) sendQuestion(a *stepAdvice, h *crew.Helper, id flow.StepID, servers []string, duration time.Duration) {
+func (m *Simulation) sendQuestion(a *stepAdvice, h *helpers.Helper, id flow.StepID, servers []string, duration time.Duration) {
 	a.pendingQuestions++
 	m.questionCount++
 	m.helperSeconds += duration.Seconds()
--- a/internal/policy/model/request.go
+++ b/internal/policy/simulator/request.go
@@ -1,4 +1,4 @@
-package model
+package simulator
 
 import (
 	"fmt"
