--- a/internal/policy/steps/ask.go
+++ b/internal/policy/steps/ask.go
@@ -11,12 +11,12 @@
 // ones first where there are too many.
 func (p *planner) requestPermits(it Item, servers []string, candidates []candidate) {
 	spares := spareServers
-	for _, o := range candidates {
+	for _, c := range candidates {
 		if spares == 0 || len(servers) >= MaxServersPerStep {
 			break
 		}
-		if !slices.Contains(servers, o.ID) {
-			servers = append(servers, o.ID)
+		if !slices.Contains(servers, c.ID) {
+			servers = append(servers, c.ID)
 			spares--
 		}
 	}
--- a/internal/policy/steps/candidate.go
+++ b/internal/policy/steps/candidate.go
@@ -21,8 +21,8 @@
 
 // compare orders options. It is called for every pair that a plan compares, and
 // what it compares is worked out beforehand.
-func (o candidate) compare(other candidate) int {
-	return cmp.Or(o.penalty-other.penalty, cmp.Compare(o.free.CPU, other.free.CPU), o.index-other.index)
+func (c candidate) compare(other candidate) int {
+	return cmp.Or(c.penalty-other.penalty, cmp.Compare(c.free.CPU, other.free.CPU), c.index-other.index)
 }
 
 // Steps in the order of options: a server on which a task of the step failed comes
--- a/internal/policy/steps/gang.go
+++ b/internal/policy/steps/gang.go
@@ -63,9 +63,9 @@
 // is one of a server's labels, and which one does not matter here.
 func labelsByRoom(candidates []candidate) []string {
 	taskRoom := map[string]int64{}
-	for _, o := range candidates {
-		for _, l := range o.Labels {
-			taskRoom[l] += o.taskCount
+	for _, c := range candidates {
+		for _, l := range c.Labels {
+			taskRoom[l] += c.taskCount
 		}
 	}
 	var out []string
@@ -85,13 +85,13 @@
 	})
 	remaining := int64(n)
 	var out []candidate
-	for _, o := range candidates {
-		o.taskCount = min(o.taskCount, remaining)
-		if o.taskCount == 0 {
+	for _, c := range candidates {
+		c.taskCount = min(c.taskCount, remaining)
+		if c.taskCount == 0 {
 			break
 		}
-		remaining -= o.taskCount
-		out = append(out, o)
+		remaining -= c.taskCount
+		out = append(out, c)
 	}
 	return out, remaining == 0
 }
--- a/internal/policy/steps/order.go
+++ b/internal/policy/steps/order.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// sortChunk is how many servers are put in order at a time: about as many as a
+// sortBatchSize is how many servers are put in order at a time: about as many as a
 // question names.
-const sortChunk = 64
+const sortBatchSize = 64
 
 // serverGroup is servers of a pool, with or without gathered urgent work.
 type serverGroup struct {
@@ -51,7 +51,7 @@
 	for {
 		nextInitialCPU := int64(-1)
 		for i, s := range groups {
-			n := min(len(s), sortChunk)
+			n := min(len(s), sortBatchSize)
 			batch = append(batch, s[:n]...)
 			groups[i] = s[n:]
 			if len(groups[i]) > 0 {
--- a/internal/policy/steps/probation.go
+++ b/internal/policy/steps/probation.go
@@ -47,25 +47,25 @@
 // placeSuspects starts suspected tasks, each on a server of its own where nothing else
 // begins meanwhile, and returns those that found none. A server that has stood for a
 // while tells more by its crash, and one with much room has less to lose.
-func (p *planner) placeSuspects(f *stepPlacement, candidates []candidate, tasks []uint32) []uint32 {
+func (p *planner) placeSuspects(placement *stepPlacement, candidates []candidate, tasks []uint32) []uint32 {
 	if len(tasks) == 0 {
 		return nil
 	}
-	unused := slices.DeleteFunc(slices.Clone(candidates), func(o candidate) bool { return o.free.CPU != o.initialCPU })
+	unused := slices.DeleteFunc(slices.Clone(candidates), func(c candidate) bool { return c.free.CPU != c.initialCPU })
 	slices.SortFunc(unused, func(a, b candidate) int {
 		return cmp.Or(compareBool(a.RecentlyStarted, b.RecentlyStarted), a.penalty-b.penalty, cmp.Compare(b.free.CPU, a.free.CPU), a.index-b.index)
 	})
-	for _, o := range unused {
+	for _, c := range unused {
 		if len(tasks) == 0 {
 			break
 		}
-		if p.limitByHeadroom(f.item, o.serverState, 1) == 0 {
+		if p.limitByHeadroom(placement.item, c.serverState, 1) == 0 {
 			continue
 		}
-		p.placeTasks(f, o, tasks[:1])
+		p.placeTasks(placement, c, tasks[:1])
 		tasks = tasks[1:]
-		if o.permission == Granted {
-			p.holdForSuspect(o.serverState)
+		if c.permission == Granted {
+			p.holdForSuspect(c.serverState)
 		}
 	}
 	return tasks
--- a/internal/policy/steps/question.go
+++ b/internal/policy/steps/question.go
@@ -11,10 +11,10 @@
 	return time.Duration((a.GetBase() + a.GetEach()*float64(servers)) * float64(time.Millisecond))
 }
 
-// runtimePerQuestion is the part of a step's run time that a question about it may take
+// questionTimeDivisor is the part of a step's run time that a question about it may take
 // where a shorter one would do: with more servers to choose from, a step waits less
 // for room on one of them.
-const runtimePerQuestion = 20
+const questionTimeDivisor = 20
 
 // QuestionSize returns how many servers a question names about a step whose tasks run so
 // long, where no more are needed: as many as a short part of that time allows for,
@@ -25,7 +25,7 @@
 	if a.GetEach() <= 0 {
 		return MinServersPerQuestion
 	}
-	ms := float64(runtime/runtimePerQuestion) / float64(time.Millisecond)
+	ms := float64(runtime/questionTimeDivisor) / float64(time.Millisecond)
 	byTime, byBaseCost := (ms-a.GetBase())/a.GetEach(), a.GetBase()/a.GetEach()
 	return min(max(int(max(byTime, byBaseCost)), MinServersPerQuestion), MaxServersPerQuestion)
 }
--- a/internal/policy/steps/steps.go
+++ b/internal/policy/steps/steps.go
@@ -258,14 +258,14 @@
 }
 
 // placeTasks starts tasks on a server, or keeps the room until its permit is there.
-func (p *planner) placeTasks(f *stepPlacement, o candidate, tasks []uint32) {
-	p.allocate(f.item, o.serverState, int64(len(tasks)))
-	if o.permission != Granted {
-		f.staleServers = append(f.staleServers, o.ID)
+func (p *planner) placeTasks(placement *stepPlacement, c candidate, tasks []uint32) {
+	p.allocate(placement.item, c.serverState, int64(len(tasks)))
+	if c.permission != Granted {
+		placement.staleServers = append(placement.staleServers, c.ID)
 		return
 	}
 	for _, i := range tasks {
-		f.assignments = append(f.assignments, Assignment{flow.TaskID{StepID: f.item.StepID, Index: i}, o.ID})
+		placement.assignments = append(placement.assignments, Assignment{flow.TaskID{StepID: placement.item.StepID, Index: i}, c.ID})
 	}
 }
 
@@ -277,24 +277,24 @@
 	}
 	p.nextItem()
 	candidates := p.candidates(it)
-	f := &stepPlacement{item: it}
+	placement := &stepPlacement{item: it}
 	normal, suspects := p.queuedBySuspicion(it, int(limit))
-	for _, o := range candidates {
+	for _, c := range candidates {
 		if len(normal) == 0 {
 			break
 		}
-		if n := p.limitByHeadroom(it, o.serverState, min(o.taskCount, int64(len(normal)))); n > 0 {
-			p.placeTasks(f, o, normal[:n])
+		if n := p.limitByHeadroom(it, c.serverState, min(c.taskCount, int64(len(normal)))); n > 0 {
+			p.placeTasks(placement, c, normal[:n])
 			normal = normal[n:]
 		}
 	}
-	suspects = p.placeSuspects(f, candidates, suspects)
-	if len(f.assignments) > 0 {
-		p.plan.Placements = append(p.plan.Placements, Placement{it, f.assignments})
+	suspects = p.placeSuspects(placement, candidates, suspects)
+	if len(placement.assignments) > 0 {
+		p.plan.Placements = append(p.plan.Placements, Placement{it, placement.assignments})
 	}
 	switch {
-	case len(f.staleServers) > 0:
-		p.requestPermits(it, f.staleServers, candidates)
+	case len(placement.staleServers) > 0:
+		p.requestPermits(it, placement.staleServers, candidates)
 	case len(normal)+len(suspects) > 0:
 		if !p.askAdviser(it) {
 			p.requestPermitsEarly(it)
