--- a/internal/control/dispatch/lease.go
+++ b/internal/control/dispatch/lease.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		if d.Host.Flows().Takes(b) && s.closing == "" {
-			servers[b.Pool] = append(servers[b.Pool], shortlease.Server{ID: id, Cores: b.Capacity.CPU})
+			servers[b.Pool] = append(servers[b.Pool], shortlease.Server{ID: id, CPU: b.Capacity.CPU})
 		}
 		for _, r := range s.runs {
 			if r.urgent {
--- a/internal/policy/blame/blame.go
+++ b/internal/policy/blame/blame.go
@@ -1,24 +1,25 @@
-// Package blame decides which of the runs on a backend server may have crashed it. It
-// is pure. A task that crashes its servers does so as it begins, and what works there
-// beside it is lost without fault: counted alike, sound work would be given up with it.
+// Package blame decides which runs on a backend server may have caused its crash. It has no
+// side effects. A task that crashes its servers does so while it starts, and other runs on the
+// server are lost without a fault of their own. If all runs were blamed alike, healthy tasks
+// would be given up together with the faulty one.
 package blame
 
 import "time"
 
-// ProbationPeriod is how long after its order left a run may still crash its server by its
-// beginning. A task that is suspected begins apart from others that begin, for so long.
+// ProbationPeriod is the time after its start order within which a run may crash its server by
+// starting. A suspect task does not start together with other tasks during this period.
 const ProbationPeriod = 250 * time.Millisecond
 
-// Run is one run on a server that crashed.
+// Run is a run on a server that crashed.
 type Run struct {
-	// Age is how long before the crash it was ordered to start, at the most.
+	// Age is the maximum time from the start order of the run to the crash.
 	Age time.Duration
-	// Blamed is how many crashes before this one its task may have caused.
+	// Blamed is the number of earlier crashes that the task may have caused.
 	Blamed uint32
 }
 
-// Suspects returns the places of the runs that may have crashed their server: of those
-// that had just begun, the ones suspected most before.
+// Suspects returns the indices of the runs that may have caused the crash: among the runs that
+// had just started, those that were blamed most often before.
 func Suspects(runs []Run) []int {
 	var out []int
 	maxBlamed := uint32(0)
--- a/internal/policy/health/budget.go
+++ b/internal/policy/health/budget.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Bounds of the budget for failing jobs.
+// Limits of the failure budget of a job.
 const (
-	// MaxFailedServers is the number of different servers after whose failures a job
-	// is given up.
+	// MaxFailedServers is the number of different servers on which the tasks of a job may fail
+	// before it is given up.
 	MaxFailedServers = 4
-	// MaxFailures is the number of failures of one job's tasks after which it is
-	// given up, for cells with fewer servers.
+	// MaxFailures is the number of failed tasks after which a job is given up. It applies to
+	// cells with few servers.
 	MaxFailures = 12
-	// MaxStops is the number of times that a job's tasks are stopped for using
-	// more than it declared before it is given up.
+	// MaxStops is the number of times that tasks of a job are stopped for exceeding their
+	// declared size before the job is given up.
 	MaxStops = 3
-	// MaxCrashes is the number of servers in a row that may be lost just after a task
-	// was placed there before its job is given up: the task may have crashed them.
+	// MaxCrashes is the number of servers in a row that may be lost just after a task was
+	// placed there before its job is given up. The task may have crashed them.
 	MaxCrashes = 3
-	// CrashWindow is how long after its placement a run may still crash its server by its
-	// beginning: it takes a few seconds until a server counts as silent.
+	// CrashWindow is the time after its placement during which a task may crash its server by
+	// starting. It includes the few seconds until a crashed server is detected as silent.
 	CrashWindow = 5 * time.Second
-	// MinBackoff is the wait after the first failure; it doubles with each.
+	// MinBackoff is the delay after the first failure. It doubles with each further failure.
 	MinBackoff = 500 * time.Millisecond
-	// MaxBackoff bounds the wait.
+	// MaxBackoff is the longest delay after a failure.
 	MaxBackoff = 2 * time.Minute
 )
 
@@ -34,13 +34,14 @@
 	failedServers []int32
 	failures      int
 	stops         int
-	// crashesByTask counts the servers in a row that were lost just after a task was placed
-	// there, by the task's index; crashed tells that it was so once too often.
+	// crashesByTask counts, by task index, the servers in a row that were lost within
+	// CrashWindow. crashLimitReached is true once a task has reached MaxCrashes.
 	crashesByTask     map[uint32]int
 	crashLimitReached bool
 }
 
-// RecordServerLoss counts the loss of a server under a task that had been placed there so long before.
+// RecordServerLoss counts the loss of the server of a task. age is the time since the placement
+// of the task.
 func (b *Budget) RecordServerLoss(index uint32, age time.Duration) {
 	if age > CrashWindow {
 		b.ResetCrashes(index)
@@ -53,10 +54,10 @@
 	b.crashLimitReached = b.crashLimitReached || b.crashesByTask[index] >= MaxCrashes
 }
 
-// ResetCrashes notes that a task's server stood while the task ran.
+// ResetCrashes clears the crash count of a task whose server stayed up while the task ran.
 func (b *Budget) ResetCrashes(index uint32) { delete(b.crashesByTask, index) }
 
-// RecordFailure counts a failure on a server.
+// RecordFailure counts a failed task on a server.
 func (b *Budget) RecordFailure(server int32) {
 	b.failures++
 	if !slices.Contains(b.failedServers, server) {
@@ -64,15 +65,15 @@
 	}
 }
 
-// RecordStop counts a stop for using more than was declared.
+// RecordStop counts a task that was stopped for exceeding its declared size.
 func (b *Budget) RecordStop() { b.stops++ }
 
-// Exhausted tells whether the job is to be given up.
+// Exhausted reports whether the job is to be given up.
 func (b *Budget) Exhausted() bool {
 	return len(b.failedServers) >= MaxFailedServers || b.failures >= MaxFailures || b.stops >= MaxStops || b.crashLimitReached
 }
 
-// Reason says for people what the budget was spent on.
+// Reason returns a readable reason for giving up the job.
 func (b *Budget) Reason() string {
 	if b.stops >= MaxStops {
 		return "used more than it declared"
@@ -83,8 +84,8 @@
 	return "failed on several servers"
 }
 
-// RemoveFailures takes back what was counted against the job on a server that turned
-// out to fail everything: a black hole must not use up the budgets of sound jobs.
+// RemoveFailures takes back the failures on a server that turned out to fail every task. Such a
+// server must not exhaust the budgets of jobs without a fault.
 func (b *Budget) RemoveFailures(server int32) {
 	i := slices.Index(b.failedServers, server)
 	if i < 0 {
@@ -94,15 +95,14 @@
 	b.failures = len(b.failedServers)
 }
 
-// Failures returns the failures counted.
 func (b *Budget) Failures() int { return b.failures }
 
-// FailedOn tells whether the job failed on the server before.
+// FailedOn reports whether a task of the job failed on the server.
 func (b *Budget) FailedOn(server int32) bool { return slices.Contains(b.failedServers, server) }
 
-// Backoff returns the wait before the next attempt: between half and all of a
-// time that doubles with each failure, so that tasks that failed together do not
-// come back together.
+// Backoff returns the delay before the next attempt. It is random between half and all of a
+// time that doubles with each failure, so that tasks that failed together are not retried
+// together.
 func (b *Budget) Backoff(rng *rand.Rand) time.Duration {
 	if b.failures == 0 {
 		return 0
--- a/internal/policy/health/estimate.go
+++ b/internal/policy/health/estimate.go
@@ -1,5 +1,5 @@
-// Package health learns what declared numbers and servers are worth: run times,
-// jobs that always fail, and servers that fail what others run.
+// Package health learns from the results of tasks: their run times, which jobs always fail, and
+// which servers fail the tasks of every job.
 package health
 
 import (
@@ -8,34 +8,36 @@
 	"gypsumreel/internal/domain/job"
 )
 
-// Defaults of the estimates.
+// Defaults of the run time estimates.
 const (
-	// DefaultRuntime is expected of a task of which nothing is known.
+	// DefaultRuntime is the expected run time of a task without a declared or observed run
+	// time.
 	DefaultRuntime = time.Minute
-	// MaxNames bounds the names that are learned.
+	// MaxNames limits the job names for which values are stored.
 	MaxNames = 1 << 16
-	// smoothing is the weight of a new observation.
+	// smoothing is the weight of a new observation in the moving average.
 	smoothing = 0.2
 )
 
-// JobName is what runs of the same program are known by.
+// JobName identifies jobs that run the same program.
 type JobName struct{ Team, Name string }
 
-// JobNameOf returns the job's name.
+// JobNameOf returns the name of a job.
 func JobNameOf(spec *job.Spec) JobName { return JobName{spec.Team, spec.Name} }
 
-// Estimates holds what was learned of run times. They order work; nothing is
-// placed on their word beyond a declared size.
+// Estimates holds the average run times of jobs. They affect the order of work only; placement
+// relies on declared sizes.
 type Estimates struct {
-	// Disabled makes every answer the declared one; for comparison only.
+	// Disabled makes ExpectedRuntime return the declared run time. It is used to compare runs
+	// with and without estimates.
 	Disabled    bool
 	meanSeconds map[JobName]float64
 }
 
-// NewEstimates returns estimates that know nothing.
+// NewEstimates returns estimates without observations.
 func NewEstimates() *Estimates { return &Estimates{meanSeconds: map[JobName]float64{}} }
 
-// Observe notes that a run took the given time.
+// Observe updates the average run time of a job with one run.
 func (e *Estimates) Observe(spec *job.Spec, runtime time.Duration) {
 	n, seconds := JobNameOf(spec), runtime.Seconds()
 	mean, known := e.meanSeconds[n]
@@ -47,7 +49,7 @@
 	}
 }
 
-// ExpectedRuntime returns how long a task of the job is expected to run.
+// ExpectedRuntime returns the expected run time of a task of the job.
 func (e *Estimates) ExpectedRuntime(spec *job.Spec) time.Duration {
 	if mean, known := e.meanSeconds[JobNameOf(spec)]; known && !e.Disabled {
 		return time.Duration(mean * float64(time.Second))
@@ -55,6 +57,7 @@
 	return declaredRuntime(spec)
 }
 
+// declaredRuntime returns the declared run time of a job, or the default.
 func declaredRuntime(spec *job.Spec) time.Duration {
 	if spec.Runtime > 0 {
 		return spec.Runtime
--- a/internal/policy/health/health_test.go
+++ b/internal/policy/health/health_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Tasks that failed together must not come back together, nor ever sooner than
-// half of a wait that doubles.
+// Tasks that failed together must not be retried together, and never earlier than half of the
+// doubling delay.
 func TestBackoffDoublesWithJitter(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var b health.Budget
@@ -34,11 +34,11 @@
 		b.RecordFailure(int32(i % 2))
 		full := min(health.MaxBackoff, health.MinBackoff<<i)
 		if d := b.Backoff(rng); d < full/2 || d > full {
-			t.Errorf("after %d failures %v, want within %v and %v", i+1, d, full/2, full)
+			t.Errorf("backoff after %d failures is %v, want %v to %v", i+1, d, full/2, full)
 		}
 	}
 	if !b.Exhausted() {
-		t.Error("twelve failures on two servers do not spend the budget")
+		t.Error("twelve failures on two servers do not exhaust the budget")
 	}
 }
 
@@ -49,19 +49,19 @@
 	}
 	b.RemoveFailures(3)
 	if b.Exhausted() || b.FailedOn(3) || !b.FailedOn(2) {
-		t.Errorf("%+v", b)
+		t.Errorf("removed failures still count: %+v", b)
 	}
 }
 
-// One job that never succeeded fails a thousand times on one server. That says
-// nothing about the server; a few failures of what runs elsewhere do.
+// A thousand failures of a job that has never succeeded are no evidence against the server. A
+// few failures of a job that succeeds on other servers are.
 func TestFaultDetectorDistinguishesBadJobsFromBadServers(t *testing.T) {
 	g := health.NewFaultDetector()
 	for range 1000 {
 		g.RecordFailure(health.JobName{Team: "a", Name: "bad"}, 1, 0)
 	}
 	if g.ShouldQuarantine(1, 100) {
-		t.Error("a bad job made a server suspect")
+		t.Error("a job that always fails causes the quarantine of a server")
 	}
 	good := health.JobName{Team: "a", Name: "good"}
 	for range 20 {
@@ -71,11 +71,11 @@
 		g.RecordFailure(good, 3, 0)
 	}
 	if !g.ShouldQuarantine(3, 100) {
-		t.Error("a server that fails what runs elsewhere is not suspect")
+		t.Error("a server that fails a job which succeeds elsewhere is not quarantined")
 	}
 }
 
-// A probe that fails puts the next one off for twice as long.
+// A failed probe doubles the delay before the next one.
 func TestProbeDelayDoubles(t *testing.T) {
 	g := health.NewFaultDetector()
 	n := health.JobName{Name: "n"}
--- a/internal/policy/helpers/pool.go
+++ b/internal/policy/helpers/pool.go
@@ -1,6 +1,6 @@
-// Package crew decides which process makes the next call for the leader. The
-// adviser takes one question at a time from each process, so the rate of answers
-// hangs on how soon a process that is free gets the next one.
+// Package helpers selects the process that sends the next call for the leader. The adviser
+// accepts one question at a time from each process, so the rate of answers depends on how soon
+// an idle process gets the next question.
 package helpers
 
 import (
@@ -11,41 +11,43 @@
 	"time"
 )
 
-// Bounds of the choice.
+// Limits and time constants of the selection.
 const (
-	// aliveTimeout is how long a process counts after it was heard of, keep how long it is
-	// remembered.
+	// aliveTimeout is the time after its last greeting for which a process counts as alive.
+	// removalTimeout is the time after which it is removed from the pool.
 	aliveTimeout   = 2 * time.Second
 	removalTimeout = 20 * time.Second
-	// minRetryDelay and lastPause bound how long a helper is passed over after a call
-	// that failed; the time doubles with each failure in a row.
+	// minRetryDelay and maxRetryDelay are the limits of the time for which a helper is skipped
+	// after a failed call. The time doubles with each failure in a row.
 	minRetryDelay = 500 * time.Millisecond
 	maxRetryDelay = 4 * time.Second
-	// helpersPerReserved is the part of the helpers, one in so many, that long questions
-	// leave to short ones however few of these come.
+	// helpersPerReserved sets the minimum share of helpers reserved for short questions to one
+	// in eight, however few short questions there are.
 	helpersPerReserved = 8
-	// reserveDeviations is how many standard deviations above the mean number of short
-	// questions at a time, which come by chance, still find a helper free.
+	// reserveDeviations is how many standard deviations above the mean number of concurrent
+	// short questions are covered by the reserved helpers. Short questions arrive at random.
 	reserveDeviations = 2
-	// longFactor tells long questions from short ones: those that take this many
-	// times as long as the shortest kind.
+	// longFactor distinguishes long questions from short ones. A question is long if it takes
+	// more than this multiple of the shortest kind.
 	longFactor = 5
-	// parallelQuestionSize is how many servers a question names, at the most, while more
-	// than one part of restingOf of the helpers rest.
+	// parallelQuestionSize limits the servers in a long question while more than 1/idleDivisor
+	// of the helpers are idle.
 	parallelQuestionSize = 40
 	idleDivisor          = 2
-	// shortLoadWindow is how long it counts how many helpers short questions kept busy.
+	// shortLoadWindow is the time constant of the average number of helpers that are busy with
+	// short questions.
 	shortLoadWindow = 2 * time.Second
-	// greetingGap is the time between two greetings that come in, on the whole, however
-	// many processes there are. leastPause and mostPause bound the time between two
-	// of one process; age is more than twice that.
+	// greetingGap is the target for the average time between two greetings received by the
+	// leader, whatever the number of processes. minGreetingInterval and maxGreetingInterval
+	// limit the time between two greetings of one process. aliveTimeout is more than twice the
+	// maximum.
 	greetingGap         = 4 * time.Millisecond
 	minGreetingInterval = 300 * time.Millisecond
 	maxGreetingInterval = 900 * time.Millisecond
 )
 
-// Helper is a process that makes calls for the leader, one question to the adviser
-// at a time. The one with an empty address is the leader's own.
+// Helper is a process that sends calls for the leader, one question to the adviser at a time.
+// The helper with an empty address is the process of the leader.
 type Helper struct {
 	Address             string
 	lastGreeting        time.Duration
@@ -57,52 +59,54 @@
 	startedAt           time.Duration
 }
 
+// isLeader reports whether the helper is the process of the leader.
 func (h *Helper) isLeader() bool { return h.Address == "" }
 
-// alive tells whether the process was heard of lately; the leader's own always was.
+// alive reports whether the process sent a greeting recently. The process of the leader is
+// always alive.
 func (h *Helper) alive(now time.Duration) bool {
 	return h.isLeader() || now-h.lastGreeting <= aliveTimeout
 }
 
-// available tells whether the process can be asked for something now, busy or not.
+// available reports whether the helper is alive and not waiting for a retry. It may be busy.
 func (h *Helper) available(now time.Duration) bool { return h.alive(now) && now >= h.retryAt }
 
-// Pool is the processes that make calls for the leader.
+// Pool holds the processes that send calls for the leader.
 type Pool struct {
 	helpers map[string]*Helper
-	// shortLoad is how many helpers were busy with short questions, on the whole, by
-	// the time at.
+	// shortLoad is the moving average of helpers busy with short questions, updated at
+	// shortLoadAt.
 	shortLoad   float64
 	shortLoadAt time.Duration
 }
 
-// New returns a crew of the leader's own process alone.
+// New returns a pool that contains only the process of the leader.
 func New() *Pool { return &Pool{helpers: map[string]*Helper{"": {}}} }
 
-// RecordGreeting notes that a process is there.
-func (c *Pool) RecordGreeting(address string, now time.Duration) {
-	h := c.helpers[address]
+// RecordGreeting adds a process to the pool or marks it as alive.
+func (p *Pool) RecordGreeting(address string, now time.Duration) {
+	h := p.helpers[address]
 	if h == nil {
 		h = &Helper{Address: address}
-		c.helpers[address] = h
+		p.helpers[address] = h
 	}
 	h.lastGreeting = now
 }
 
-// GreetingInterval returns how long a process waits before it makes itself known again.
-func (c *Pool) GreetingInterval() time.Duration {
-	return min(max(time.Duration(len(c.helpers))*greetingGap, minGreetingInterval), maxGreetingInterval)
+// GreetingInterval returns the time that a process waits before its next greeting.
+func (p *Pool) GreetingInterval() time.Duration {
+	return min(max(time.Duration(len(p.helpers))*greetingGap, minGreetingInterval), maxGreetingInterval)
 }
 
-// RemoveSilent drops processes that were not heard of for long.
-func (c *Pool) RemoveSilent(now time.Duration) {
-	maps.DeleteFunc(c.helpers, func(_ string, h *Helper) bool { return !h.busy && !h.isLeader() && now-h.lastGreeting > removalTimeout })
+// RemoveSilent removes idle processes that sent no greeting for removalTimeout.
+func (p *Pool) RemoveSilent(now time.Duration) {
+	maps.DeleteFunc(p.helpers, func(_ string, h *Helper) bool { return !h.busy && !h.isLeader() && now-h.lastGreeting > removalTimeout })
 }
 
-// Alive returns the addresses of the other processes that were heard of lately.
-func (c *Pool) Alive(now time.Duration) []string {
+// Alive returns the addresses of the other processes that are alive.
+func (p *Pool) Alive(now time.Duration) []string {
 	var out []string
-	for address, h := range c.helpers {
+	for address, h := range p.helpers {
 		if !h.isLeader() && h.alive(now) {
 			out = append(out, address)
 		}
@@ -110,9 +114,10 @@
 	return out
 }
 
-// IdleCount counts the helpers that are free, and all that can be asked.
-func (c *Pool) IdleCount(now time.Duration) (idle, available int) {
-	for _, h := range c.helpers {
+// IdleCount returns the number of idle helpers and the number of available helpers, idle or
+// busy.
+func (p *Pool) IdleCount(now time.Duration) (idle, available int) {
+	for _, h := range p.helpers {
 		if !h.available(now) {
 			continue
 		}
@@ -124,30 +129,29 @@
 	return idle, available
 }
 
-// IsLong tells whether a question that takes so long is a long one, by the shortest
-// kind there is.
+// IsLong reports whether a question of the given duration is long compared with the shortest
+// kind of question.
 func IsLong(duration, shortest time.Duration) bool { return duration > longFactor*shortest }
 
-// SplitServers divides the servers of a question of which one may name so many at the most:
-// several questions side by side while helpers rest and one would take long, since
-// each server named makes it longer; else as few as may be, since each costs the
-// same besides.
-func (c *Pool) SplitServers(servers []string, maxServers int, long bool, now time.Duration) [][]string {
+// SplitServers divides servers into questions of at most maxServers each. A long question is
+// split further while many helpers are idle, since its duration grows with each server.
+// Otherwise it returns as few questions as possible, since each has a base cost.
+func (p *Pool) SplitServers(servers []string, maxServers int, long bool, now time.Duration) [][]string {
 	size := maxServers
-	if idle, available := c.IdleCount(now); long && idle*idleDivisor > available {
+	if idle, available := p.IdleCount(now); long && idle*idleDivisor > available {
 		size = min(size, parallelQuestionSize)
 	}
 	parts := (len(servers) + size - 1) / size
 	return slices.Collect(slices.Chunk(servers, (len(servers)+parts-1)/max(parts, 1)))
 }
 
-// Acquire returns the process that makes the next call and makes it busy; nil when
-// none is free. Those whose last call went well come first, then those that rested
-// longest, and the leader's own process last, which has enough to do.
-func (c *Pool) Acquire(long bool, now time.Duration) *Helper {
+// Acquire selects the helper for the next call and marks it as busy. It returns nil if no
+// helper is free. It prefers helpers whose last call succeeded, then those that were idle
+// longest. The process of the leader comes last, since it has other work.
+func (p *Pool) Acquire(long bool, now time.Duration) *Helper {
 	var best *Helper
 	available, busyWithLong := 0, 0
-	for _, h := range c.helpers {
+	for _, h := range p.helpers {
 		if !h.available(now) {
 			continue
 		}
@@ -159,26 +163,28 @@
 			best = h
 		}
 	}
-	if best == nil || long && busyWithLong+c.reservedForShort(available, now) >= available {
+	if best == nil || long && busyWithLong+p.reservedForShort(available, now) >= available {
 		return nil
 	}
 	best.busy, best.longQuestion, best.startedAt = true, long, now
 	return best
 }
 
-// reservedForShort returns how many helpers long questions leave free: each is busy for long,
-// and a short question, which somebody waits for, must find one at once.
-func (c *Pool) reservedForShort(available int, now time.Duration) int {
-	c.decayShortLoad(now)
-	return max((available+helpersPerReserved-1)/helpersPerReserved, int(math.Round(c.shortLoad+reserveDeviations*math.Sqrt(c.shortLoad))))
+// reservedForShort returns the number of helpers that long questions must leave free. A long
+// question keeps its helper busy for long, and a short question, whose caller waits for the
+// result, needs a helper at once.
+func (p *Pool) reservedForShort(available int, now time.Duration) int {
+	p.decayShortLoad(now)
+	return max((available+helpersPerReserved-1)/helpersPerReserved, int(math.Round(p.shortLoad+reserveDeviations*math.Sqrt(p.shortLoad))))
 }
 
-// decayShortLoad lets what was asked before count less.
-func (c *Pool) decayShortLoad(now time.Duration) {
-	c.shortLoad *= math.Exp(-float64(now-c.shortLoadAt) / float64(shortLoadWindow))
-	c.shortLoadAt = now
+// decayShortLoad reduces the weight of past short questions in the moving average.
+func (p *Pool) decayShortLoad(now time.Duration) {
+	p.shortLoad *= math.Exp(-float64(now-p.shortLoadAt) / float64(shortLoadWindow))
+	p.shortLoadAt = now
 }
 
+// preferred reports whether helper a is selected before helper b.
 func preferred(a, b *Helper) bool {
 	if a.isLeader() != b.isLeader() {
 		return b.isLeader()
@@ -186,11 +192,12 @@
 	return cmp.Or(cmp.Compare(a.consecutiveFailures, b.consecutiveFailures), cmp.Compare(a.lastUsed, b.lastUsed), cmp.Compare(a.Address, b.Address)) < 0
 }
 
-// Release notes that a helper's call is over, and whether it went well.
-func (c *Pool) Release(h *Helper, succeeded bool, now time.Duration) {
+// Release marks a helper as idle after a call. After a failed call, the helper is skipped for
+// some time.
+func (p *Pool) Release(h *Helper, succeeded bool, now time.Duration) {
 	if !h.longQuestion {
-		c.decayShortLoad(now)
-		c.shortLoad += float64(now-h.startedAt) / float64(shortLoadWindow)
+		p.decayShortLoad(now)
+		p.shortLoad += float64(now-h.startedAt) / float64(shortLoadWindow)
 	}
 	h.busy, h.longQuestion, h.lastUsed = false, false, now
 	if succeeded {
--- a/internal/policy/helpers/pool_test.go
+++ b/internal/policy/helpers/pool_test.go
@@ -16,25 +16,24 @@
 	c.RecordGreeting("b", now)
 	first, second, third := c.Acquire(false, now), c.Acquire(false, now), c.Acquire(false, now)
 	if first.Address != "a" || second.Address != "b" || third.Address != "" {
-		t.Errorf("asked %q, %q and %q", first.Address, second.Address, third.Address)
+		t.Errorf("selected helpers %q, %q and %q, want a, b and the leader", first.Address, second.Address, third.Address)
 	}
 	if h := c.Acquire(false, now); h != nil {
-		t.Errorf("%q was asked twice at a time", h.Address)
+		t.Errorf("busy helper %q was selected again", h.Address)
 	}
 	c.Release(second, true, now+1)
 	c.Release(first, true, now+2)
 	if h := c.Acquire(false, now+3); h.Address != "b" {
-		t.Errorf("asked %q, which rested less", h.Address)
+		t.Errorf("selected helper %q, want b, which has been idle longer", h.Address)
 	}
 }
 
-// Long questions come in a burst and all helpers could be busy with them for a
-// second. An urgent flow then has to find one that is free; where many urgent ones
-// come, several have to be.
+// A burst of long questions can keep all helpers busy for a second. An urgent flow then needs
+// an idle helper, and several are needed if many urgent flows arrive.
 func TestLongQuestionsLeaveHelpersFree(t *testing.T) {
 	for name, tc := range map[string]struct {
-		// short is how many helpers short questions keep busy, want how many long
-		// ones may then, of 24.
+		// short is the number of helpers kept busy by short questions. want is the number of 24
+		// helpers that long questions may then use.
 		short, want int
 	}{"none": {0, 21}, "some": {2, 19}, "many": {6, 13}} {
 		c := helpers.New()
@@ -65,9 +64,8 @@
 	}
 }
 
-// A fault keeps some helpers from being reached. They look as if they had rested
-// longest; asked first again and again, they would cost every flow a failed
-// question.
+// Helpers that cannot be reached seem to have been idle longest. If they were selected first,
+// every flow would pay for a failed question.
 func TestHelpersThatFailedComeLast(t *testing.T) {
 	c := helpers.New()
 	c.RecordGreeting("a", now)
@@ -79,14 +77,14 @@
 	for clock := now + 3; clock < now+time.Second; clock += 50 * time.Millisecond {
 		next := c.Acquire(false, clock)
 		if next.Address == h.Address {
-			t.Fatalf("%q failed %v ago and was asked before %q", h.Address, clock-now, other.Address)
+			t.Fatalf("helper %q failed %v ago and was selected before %q", h.Address, clock-now, other.Address)
 		}
 		c.Release(next, true, clock+1)
 	}
 	c.Acquire(false, now+time.Second)
 	c.Acquire(false, now+time.Second)
 	if c.Acquire(false, now+time.Second) == nil {
-		t.Error("the helper that failed is not asked when nobody else is free")
+		t.Error("the helper that failed is not selected although no other is idle")
 	}
 }
 
@@ -99,7 +97,7 @@
 		c.RecordGreeting("a", clock)
 		h := c.Acquire(false, clock)
 		if h.Address != "a" {
-			t.Fatalf("%q was asked", h.Address)
+			t.Fatalf("selected helper %q, want a", h.Address)
 		}
 		c.Release(h, false, clock)
 		releasedAt := clock
@@ -111,7 +109,7 @@
 	}
 	for i, want := range []time.Duration{500, 1000, 2000, 4000, 4000} {
 		if delays[i] != want*time.Millisecond {
-			t.Errorf("pause %d is %v", i, delays[i])
+			t.Errorf("retry delay %d is %v, want %v", i, delays[i], want*time.Millisecond)
 		}
 	}
 }
@@ -121,19 +119,19 @@
 	c.RecordGreeting("a", now)
 	late := now + 3*time.Second
 	if got := c.Alive(late); len(got) != 0 {
-		t.Errorf("%v count as alive", got)
+		t.Errorf("silent helpers %v count as alive", got)
 	}
 	if h := c.Acquire(false, late); h.Address != "" {
-		t.Errorf("%q was asked", h.Address)
+		t.Errorf("selected helper %q, want the leader", h.Address)
 	}
 	c.RemoveSilent(now + time.Minute)
 	if _, available := c.IdleCount(now); available != 1 {
-		t.Errorf("%d helpers are remembered", available)
+		t.Errorf("%d helpers are left in the pool, want 1", available)
 	}
 }
 
-// Each of a thousand processes that greets three times a second leaves the leader
-// little time for anything else; one that is heard of too seldom counts as gone.
+// A thousand processes that each send three greetings a second would use up the time of the
+// leader. A process that sends them too seldom would count as lost.
 func TestManyProcessesGreetLessOften(t *testing.T) {
 	for _, n := range []int{1, 10, 150, 1000} {
 		c := helpers.New()
@@ -142,10 +140,10 @@
 		}
 		interval := c.GreetingInterval()
 		if n <= 10 && interval > 300*time.Millisecond || n >= 150 && float64(n)/interval.Seconds() > 250 && interval < 900*time.Millisecond {
-			t.Errorf("%d processes greet every %v", n, interval)
+			t.Errorf("with %d processes, the greeting interval is %v", n, interval)
 		}
 		if len(c.Alive(2*interval)) != n {
-			t.Errorf("%d processes that greet every %v count as gone after two pauses", n, interval)
+			t.Errorf("with %d processes and a greeting interval of %v, some do not count as alive after two intervals", n, interval)
 		}
 	}
 }
--- a/internal/policy/pace/pace.go
+++ b/internal/policy/pace/pace.go
@@ -1,33 +1,33 @@
-// Package pace decides how much of a server the tasks that fill it may use beside
-// the tasks that serve there. It is pure.
+// Package pace computes how much CPU the batch tasks on a server may use beside its service
+// tasks. It has no side effects.
 package pace
 
-// Bounds of the control.
+// Parameters of the control loop. The pace is a percentage of full speed.
 const (
-	// Full lets a task work as fast as it can.
+	// Full lets a task run without a limit.
 	Full = 100
-	// raiseThreshold is the part of the target below which more is given out: between
-	// it and the target nothing changes, so that the pace does not swing.
+	// raiseThreshold is the part of the target latency below which the pace is raised. Between
+	// it and the target the pace does not change, which prevents oscillation.
 	raiseThreshold = 0.7
-	// reductionFactor is the part of what proportion allows that is taken when a target
-	// is missed: the disturbance may still be growing.
+	// reductionFactor is an additional reduction of the pace when a target is missed. The
+	// proportional value alone is too high if the disturbance is still growing.
 	reductionFactor = 0.6
-	// raiseStep is what is given out at a time while the targets are met, in percent.
+	// raiseStep is the increase of the pace per update while all targets are met, in percent.
 	raiseStep = 10
-	// minPace is the pace below which a task is stopped altogether: it would only
-	// disturb.
+	// minPace is the pace below which a batch task is stopped. A slower task would disturb the
+	// services without useful progress.
 	minPace = 5
 )
 
-// ServiceTask is a task that serves, as its server listed it.
+// ServiceTask is a service task as reported by its server.
 type ServiceTask struct {
-	// TailLatency and Target are in milliseconds.
+	// TailLatency and TargetLatency are in milliseconds.
 	TailLatency   float64
 	TargetLatency float64
 }
 
-// Next returns the pace, in percent, of the tasks that fill a server, from the
-// one that they have. The task that is worst off decides.
+// Next returns the new pace of the batch tasks on a server, in percent, from their present
+// pace. The service task with the highest ratio of tail latency to target decides.
 func Next(percent int, services []ServiceTask) int {
 	worstRatio := 0.0
 	for _, s := range services {
--- a/internal/policy/pace/pace_test.go
+++ b/internal/policy/pace/pace_test.go
@@ -6,10 +6,9 @@
 	"gypsumreel/internal/policy/pace"
 )
 
-// What fills a server disturbs what serves there so much that its answers take
-// three times as long as they may. The disturbance grows with the pace; looked at
-// twice a second, it must be gone well within four seconds, and what fills must
-// get back most of what does no harm.
+// At full pace, the batch tasks raise the latency of a service to three times its target, and
+// the latency grows with the pace. With two updates a second, the target must be met well
+// within four seconds, and the batch tasks must get back most of the pace that does no harm.
 func TestLatencyTargetIsMetAndCapacityIsUsed(t *testing.T) {
 	latencyAt := func(percent int) float64 { return 50 + 2.5*float64(percent) }
 	percent, missed := pace.Full, 0
@@ -17,13 +16,13 @@
 		if latencyAt(percent) > 100 {
 			missed++
 			if round > 5 {
-				t.Errorf("missed at look %d with a pace of %d", round, percent)
+				t.Errorf("target missed in update %d with a pace of %d", round, percent)
 			}
 		}
 		percent = pace.Next(percent, []pace.ServiceTask{{TailLatency: latencyAt(percent), TargetLatency: 100}})
 	}
 	if missed > 4 || percent < 5 {
-		t.Errorf("missed %d times, the pace is %d in the end", missed, percent)
+		t.Errorf("target missed %d times, the final pace is %d", missed, percent)
 	}
 }
 
@@ -39,6 +38,6 @@
 		t.Error(percent)
 	}
 	if got := pace.Next(0, []pace.ServiceTask{{TailLatency: 1, TargetLatency: 100}}); got == 0 {
-		t.Error("a stopped task never goes on")
+		t.Error("a stopped task is not resumed although the target is met")
 	}
 }
--- a/internal/policy/recovery/queue.go
+++ b/internal/policy/recovery/queue.go
@@ -1,43 +1,44 @@
-// Package intake decides in which order a leader asks backend servers for the first
-// time what they hold, and how many at once. It is pure. All asked in one moment
-// would keep the process busy for longer than its group waits for a heartbeat, and
-// the leader would lose the lead by its own work.
+// Package recovery orders the requests that a new leader sends to the backend servers to learn
+// what they run, and limits how many are sent at a time. It has no side effects. If the leader
+// contacted all servers at once, its process would be busy for longer than the election
+// timeout, and it would lose its leadership.
 package recovery
 
 import "time"
 
 const (
-	// maxPending is how many first answers are waited for at once.
+	// maxPending is the maximum number of requests without an answer.
 	maxPending = 32
-	// pendingTimeout is how long one counts: servers that do not answer must not hold up
-	// those that do.
+	// pendingTimeout is the time for which an unanswered request counts as pending. Silent
+	// servers must not delay the others.
 	pendingTimeout = 150 * time.Millisecond
 )
 
-// Priority is how soon a server is asked.
+// Priority is the class of a server in the queue.
 type Priority uint8
 
-// The classes, the first ones first.
+// Priorities, the highest first.
 const (
-	// Urgent is for servers that hold work that somebody waits for.
+	// Urgent is for servers that run urgent work.
 	Urgent Priority = iota
-	// Busy is for servers that hold other work.
+	// Busy is for servers that run other work only.
 	Busy
-	// Idle is for servers that hold none.
+	// Idle is for servers that run nothing.
 	Idle
 	priorityCount
 )
 
-// Queue is what is still to be asked. The zero value is empty.
+// Queue holds the servers that are still to be contacted. The zero value is empty.
 type Queue[T comparable] struct {
 	waiting [priorityCount][]T
 	pending map[T]time.Duration
 }
 
-// Add puts one more into the queue.
+// Add appends a server with the given priority.
 func (q *Queue[T]) Add(v T, p Priority) { q.waiting[p] = append(q.waiting[p], v) }
 
-// Next returns who is asked now; false when nobody is, or enough are.
+// Next returns the next server to contact. It returns false if there is none or too many
+// requests are pending.
 func (q *Queue[T]) Next(now time.Duration) (T, bool) {
 	var none T
 	if len(q.pending) >= maxPending {
@@ -60,10 +61,10 @@
 	return none, false
 }
 
-// Done notes that one has answered, or failed.
+// Done marks the request to a server as answered or failed.
 func (q *Queue[T]) Done(v T) { delete(q.pending, v) }
 
-// dropTimedOut leaves out those that were asked too long ago.
+// dropTimedOut stops counting requests that were sent at least pendingTimeout ago.
 func (q *Queue[T]) dropTimedOut(now time.Duration) {
 	for v, askedAt := range q.pending {
 		if now-askedAt >= pendingTimeout {
--- a/internal/policy/recovery/queue_test.go
+++ b/internal/policy/recovery/queue_test.go
@@ -9,7 +9,7 @@
 	"gypsumreel/internal/policy/recovery"
 )
 
-// nextAll takes all that may be asked at a time.
+// nextAll returns all servers that may be contacted at the given time.
 func nextAll(q *recovery.Queue[int], now time.Duration) []int {
 	var out []int
 	for v, ok := q.Next(now); ok; v, ok = q.Next(now) {
@@ -18,8 +18,7 @@
 	return out
 }
 
-// Servers on which somebody waits for work must not be asked after a thousand
-// that hold none.
+// Servers with urgent work must not be contacted after a thousand idle servers.
 func TestServersWithUrgentWorkAreAskedFirst(t *testing.T) {
 	var q recovery.Queue[int]
 	q.Add(1, recovery.Idle)
@@ -31,7 +30,7 @@
 	}
 }
 
-// All servers asked in one moment leave the process no time for its heartbeats.
+// If all servers were contacted at once, the process would miss its heartbeats.
 func TestPendingRequestsAreLimited(t *testing.T) {
 	var q recovery.Queue[int]
 	for v := range 1000 {
@@ -39,16 +38,16 @@
 	}
 	first := nextAll(&q, 0)
 	if len(first) == 0 || len(first) > 100 {
-		t.Fatalf("%d at once", len(first))
+		t.Fatalf("%d servers contacted at once, want 1 to 100", len(first))
 	}
 	q.Done(first[0])
 	q.Done(first[1])
 	if more := nextAll(&q, time.Millisecond); len(more) != 2 {
-		t.Errorf("two have answered, and %d more are asked", len(more))
+		t.Errorf("%d more servers contacted after two answers, want 2", len(more))
 	}
 }
 
-// Racks went silent: their servers, asked first, must not hold up the others.
+// Several racks are silent. Their servers are contacted first and must not delay the others.
 func TestSilentServersDoNotDelayOthers(t *testing.T) {
 	var q recovery.Queue[int]
 	const silent, all = 66, 500
@@ -65,6 +64,6 @@
 		}
 	}
 	if answered != all-silent {
-		t.Errorf("%d of %d were asked within half a second", answered, all-silent)
+		t.Errorf("%d of %d healthy servers were contacted within half a second", answered, all-silent)
 	}
 }
--- a/internal/policy/shortlease/selection.go
+++ b/internal/policy/shortlease/selection.go
@@ -1,8 +1,9 @@
-// Package brief chooses the backend servers on which urgent work is gathered. When a server
-// goes silent, what it runs is placed again only once its lease is over. A long
-// lease keeps work of minutes alive while nobody leads; urgent work of a second is
-// worth nothing by then. A server has one lease for all that it runs, as long as the
-// longest that any of it needs, so urgent work is kept apart on a few servers.
+// Package shortlease selects the backend servers of a pool that are set aside for urgent work
+// and get short leases. When a server goes silent, its tasks are placed again only after its
+// lease has expired. A long lease keeps tasks of several minutes running while there is no
+// leader, but urgent tasks of a second have lost their value by then. A server has a single
+// lease with the longest duration that any of its tasks needs, so urgent work is kept on a few
+// separate servers.
 package shortlease
 
 import (
@@ -13,35 +14,36 @@
 )
 
 const (
-	// capacityFactor is how many times the room that urgent work takes the chosen servers
-	// have: the adviser lets a step run on a part of them only.
+	// capacityFactor is the capacity of the selected servers as a multiple of the demand of
+	// urgent work. The adviser allows a step on a part of them only.
 	capacityFactor = 2
-	// minPartDivisor and mostParts bound them to one in so many of a pool. Urgent work may
-	// come when none was seen yet.
+	// minPartDivisor and maxPartDivisor limit the selection to between a tenth and a third of
+	// the pool. The minimum applies without any demand, since urgent work can arrive at any
+	// time.
 	minPartDivisor, maxPartDivisor = 10, 3
-	// demandDecay is the part that is left of a need after each look: a lull must not
-	// move the leases to and fro.
+	// demandDecay is the factor by which the stored demand shrinks with each update. A short
+	// drop in demand must not change the leases back and forth.
 	demandDecay = 0.95
 )
 
-// Server is one that may be chosen.
+// Server is a server that can be selected.
 type Server struct {
-	ID    string
-	Cores int64
+	ID  string
+	CPU int64
 }
 
-// Selection is the servers of one pool on which urgent work is gathered. The zero value
-// has none.
+// Selection holds the selected servers of one pool. The zero value is empty.
 type Selection struct {
 	demand   float64
 	selected map[string]bool
 }
 
-// Contains tells whether urgent work is gathered on a server; on none where no choice is.
+// Contains reports whether the server is selected. A nil Selection contains no servers.
 func (c *Selection) Contains(id string) bool { return c != nil && c.selected[id] }
 
-// Update chooses anew, by the room in use by urgent work now. The order of the
-// servers is always the same, whatever the others are, so that few change.
+// Update selects the servers again. used is the size of the urgent work that is running now.
+// The order of the servers depends only on their IDs, so the selection changes little when
+// servers come and go.
 func (c *Selection) Update(servers []Server, used int64) {
 	c.demand = max(float64(used), c.demand*demandDecay)
 	c.selected = map[string]bool{}
@@ -53,7 +55,7 @@
 		if i >= len(servers)/minPartDivisor && capacity >= capacityFactor*c.demand {
 			break
 		}
-		capacity += float64(s.Cores)
+		capacity += float64(s.CPU)
 		c.selected[s.ID] = true
 	}
 }
--- a/internal/policy/shortlease/selection_test.go
+++ b/internal/policy/shortlease/selection_test.go
@@ -7,14 +7,16 @@
 	"gypsumreel/internal/policy/shortlease"
 )
 
+// servers returns n servers of equal capacity.
 func servers(n int) []shortlease.Server {
 	var out []shortlease.Server
 	for i := range n {
-		out = append(out, shortlease.Server{ID: fmt.Sprint("s", i), Cores: 32})
+		out = append(out, shortlease.Server{ID: fmt.Sprint("s", i), CPU: 32})
 	}
 	return out
 }
 
+// selectedIDs returns the IDs of the selected servers among the first n.
 func selectedIDs(c *shortlease.Selection, n int) map[string]bool {
 	out := map[string]bool{}
 	for _, s := range servers(n) {
@@ -32,13 +34,13 @@
 		var c shortlease.Selection
 		c.Update(servers(tc.servers), int64(tc.used))
 		if got := len(selectedIDs(&c, tc.servers)); got != tc.want {
-			t.Errorf("%+v: %d servers", tc, got)
+			t.Errorf("%+v: %d servers selected", tc, got)
 		}
 	}
 }
 
-// Urgent work comes in waves and servers come and go. Leases that went to and fro
-// with them would leave urgent work on servers whose long lease is not over yet.
+// The urgent demand varies, and servers come and go. If the selection changed with them, urgent
+// tasks would run on servers whose long lease has not expired yet.
 func TestSelectionChangesFewServers(t *testing.T) {
 	var c shortlease.Selection
 	c.Update(servers(48), 160)
@@ -51,6 +53,6 @@
 		}
 	}
 	if changed > 2 {
-		t.Errorf("%d of %d servers changed", changed, len(before))
+		t.Errorf("%d of %d selected servers changed, want at most 2", changed, len(before))
 	}
 }
--- a/internal/policy/steps/ask.go
+++ b/internal/policy/steps/ask.go
@@ -7,8 +7,8 @@
 	"gypsumreel/internal/domain/flow"
 )
 
-// requestPermits asks for fresh permits of servers that are known to be allowed, the first
-// ones first where there are too many.
+// requestPermits asks for new permits on servers that are allowed to run the item. If there are
+// too many servers, the first ones are used.
 func (p *planner) requestPermits(it Item, servers []string, candidates []candidate) {
 	spares := spareServers
 	for _, c := range candidates {
@@ -24,8 +24,8 @@
 	p.plan.Questions = append(p.plan.Questions, Question{it, servers[:min(len(servers), MaxServersPerStep)]})
 }
 
-// requestPermitsEarly asks for fresh permits of servers that are about to have room for the
-// next steps in turn, so that no room lies idle while the adviser is asked.
+// requestPermitsEarly asks for new permits on servers that will soon have room for the next
+// steps, so that the room is not idle while the adviser answers.
 func (p *planner) requestPermitsEarly(it Item) {
 	if !it.NeedsPermit || p.earlyRequests[it.Pool] >= minReservedGangs+p.poolSizes[it.Pool]/serversPerReservedGang {
 		return
@@ -36,11 +36,11 @@
 	}
 }
 
-// soonAvailable returns servers beside those given that may run the item, whose permits
-// are over, and that should have room for a task of it while a permit asked for now
-// holds: the soonest first, as many as tasks wait. A step whose tasks start one by
-// one, as room comes, would need a question for each otherwise, and its room would
-// lie idle while that is asked.
+// soonAvailable returns servers that are allowed to run the item, need a new permit and should
+// have room for a task while a permit requested now is valid. It leaves out the servers in
+// exclude and returns the earliest servers first, at most one for each queued task. If the
+// tasks of a step start one by one as room becomes free, this saves one question for each task,
+// during which the room would be idle.
 func (p *planner) soonAvailable(it Item, exclude []string) []string {
 	limit := it.Queued - len(exclude)
 	if p.view.Releases == nil || limit <= 0 {
@@ -62,8 +62,8 @@
 	return out
 }
 
-// availableAfter returns when a server should have room for a task of the item, if that is
-// while a permit asked for now holds.
+// availableAfter returns the time after which a server should have room for a task of the item.
+// It returns false if a permit requested now expires earlier.
 func (p *planner) availableAfter(it Item, r *serverState) (time.Duration, bool) {
 	size, free := flow.SizeOf(it.Spec), r.free.Sub(r.reserved)
 	for _, release := range p.releases(r) {
@@ -78,10 +78,10 @@
 	return 0, false
 }
 
-// askAdviser asks about servers that nobody asked about yet, those with most room first:
-// as many as should have room for all that waits, by the part of them that may
-// run it. A gang whose servers are found one small question after the other
-// begins as much later. It tells whether there are such servers.
+// askAdviser asks about servers whose permission is unknown, those with the most free room
+// first. It names as many servers as should hold all queued tasks, given the share of servers
+// that the adviser allows. Small questions in sequence would delay the start of a gang by one
+// round trip each. It returns false if there are no such servers.
 func (p *planner) askAdviser(it Item) bool {
 	if !it.NeedsPermit || p.poolFull(it) {
 		return false
@@ -113,7 +113,7 @@
 	if len(question.Servers) == 0 {
 		return false
 	}
-	// Servers that have no room yet fill the question up.
+	// Add servers without free room until the question has its minimum size.
 	question.Servers = append(question.Servers, withoutRoom[:min(len(withoutRoom), max(minServers-len(question.Servers), 0))]...)
 	p.plan.Questions = append(p.plan.Questions, question)
 	return true
--- a/internal/policy/steps/bench_test.go
+++ b/internal/policy/steps/bench_test.go
@@ -12,7 +12,7 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// Few steps before many servers with room: what a leader plans most of the time.
+// A few steps and many servers with room: the most common plan.
 func BenchmarkFewStepsManyServers(b *testing.B) {
 	var servers []steps.Server
 	for i := range 350 {
@@ -34,8 +34,7 @@
 	}
 }
 
-// A backlog of steps before servers that are nearly full: what a leader plans
-// over and over while more comes than can run.
+// A backlog of steps and servers that are nearly full: the usual plan under overload.
 func BenchmarkBacklog(b *testing.B) {
 	var servers []steps.Server
 	for i := range 350 {
@@ -59,8 +58,8 @@
 	}
 }
 
-// A burst at a large cell: many new steps, and as many about which the adviser was
-// asked already, before a thousand servers in use at four fifths.
+// A burst in a large cell: many new steps, as many steps with known permissions, and a thousand
+// servers of which four fifths are in use.
 func BenchmarkBurst(b *testing.B) {
 	const all, most, few = 1100, 150, 60
 	var servers []steps.Server
--- a/internal/policy/steps/candidate.go
+++ b/internal/policy/steps/candidate.go
@@ -8,26 +8,25 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// candidate is a server on which a task could start.
+// candidate is a server on which a task of an item can start.
 type candidate struct {
 	*serverState
 	permission Permission
-	// taskCount is how many tasks of the step it may still take.
+	// taskCount is the number of tasks of the step that the server can still take.
 	taskCount int64
-	// penalty is greater for what comes after all others, by what is known of the
-	// server and the item; ties go by free room.
+	// penalty ranks the server for the item; a higher penalty comes later. Servers with equal
+	// penalties are ordered by free CPU.
 	penalty int
 }
 
-// compare orders options. It is called for every pair that a plan compares, and
-// what it compares is worked out beforehand.
+// compare orders candidates. It runs for every compared pair of a plan, so the penalty is
+// computed beforehand.
 func (c candidate) compare(other candidate) int {
 	return cmp.Or(c.penalty-other.penalty, cmp.Compare(c.free.CPU, other.free.CPU), c.index-other.index)
 }
 
-// Steps in the order of options: a server on which a task of the step failed comes
-// after all others, one that is slow after its start after all that are not, one that is not near the data after all that are, one whose
-// leases do not suit after those whose leases do, and a slow one after the faster.
+// Penalties, the most important first: a task of the step failed on the server; the server is
+// cold; it is outside the preferred rack; its lease does not suit the item; it is slow.
 const (
 	maxSpeedClass = 1 << 20
 	leasePenalty  = 2 * maxSpeedClass
@@ -36,7 +35,7 @@
 	failedPenalty = 2 * coldPenalty
 )
 
-// penalty works out where a server comes for an item.
+// penalty returns the rank of a server for an item. Lower values come first.
 func penalty(it Item, r *serverState) int {
 	points := -min(max(r.speedClass, -maxSpeedClass), maxSpeedClass)
 	if !inPreferredRack(it, r) {
@@ -54,9 +53,9 @@
 	return points
 }
 
-// candidates returns the servers that may hold a task of the item now, the best
-// first: those on which none of it failed, near the data, then fast, then those
-// that are left fullest, so that large holes stay for large tasks.
+// candidates returns the servers on which a task of the item can start now, best first. After
+// the penalty, servers with less free CPU come first, so that large gaps stay free for large
+// tasks.
 func (p *planner) candidates(it Item) (out []candidate) {
 	size := flow.SizeOf(it.Spec)
 	if p.poolFull(it) {
@@ -85,19 +84,22 @@
 	return out
 }
 
-// poolFull tells that no server had room for a task of the item when the plan began, and
-// that the adviser was asked already: the usual case where much waits.
+// poolFull reports whether no server of the pool had enough free CPU for a task of the item
+// when the plan began and no question needs to be sent. This is the common case with a long
+// backlog.
 func (p *planner) poolFull(it Item) bool {
 	return (it.AdviserAsked || !it.NeedsPermit) && it.Spec.GetSize().GetCpu() > p.maxFreeCPU[it.Pool]
 }
 
-// speedClass groups servers whose speed differs by less than can be told apart
-// from a few runs, so that packing decides among them.
+// speedClass groups servers whose speeds cannot be told apart after a few runs, so that free
+// CPU decides among them.
 func speedClass(speed float64) int {
-	const classesPerUnit = 4 // quarters of the usual speed
+	const classesPerUnit = 4 // one class for each quarter of the average speed
 	return int(speed*classesPerUnit + 0.5)
 }
 
+// inPreferredRack reports whether the server is in the rack that holds the data of the step, or
+// the step names no rack.
 func inPreferredRack(it Item, r *serverState) bool {
 	rack := it.Spec.GetRack()
 	return rack == "" || slices.Contains(r.Labels, rack)
--- a/internal/policy/steps/deadline.go
+++ b/internal/policy/steps/deadline.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// worthlessFactor is how many objectives a flow may take before its end is worth
-	// nothing more to its caller.
+	// worthlessFactor is the multiple of its objective after which the end of a flow has no
+	// value to its caller.
 	worthlessFactor = 3
-	// minRemainingFactor is the least part of what was declared that a flow should still
-	// take: declared times are off, and one that is given up too soon ends late.
+	// minRemainingFactor is the part of the declared remaining run time that a flow is expected
+	// to need at least. Declared run times are inaccurate, and a flow that is put back too
+	// early ends late.
 	minRemainingFactor = 0.75
-	// runtimeTolerance is how many times as long as declared a flow may take when it is
-	// asked whether its end is still worth anything: one that is given up by mistake
-	// earns nothing.
+	// runtimeTolerance is the multiple of its declared run time that a flow may need before it
+	// counts as worthless. A flow that is counted as worthless by mistake earns nothing.
 	runtimeTolerance = 2
 )
 
-// Timing is what a step's slack follows from. They stay the same once it is ready.
+// Timing holds the values from which the slack of a step is computed. They do not change once
+// the step is ready.
 type Timing struct {
-	// Objective is how long its flow may take, Hope the same if the flow takes
-	// much longer than was declared, Left what is left of the flow's longest
-	// chain from this step on.
+	// Objective is the time within which the flow should end. TolerantObjective is the
+	// objective of a flow that runs much longer than declared. Remaining is the declared run
+	// time of the unfinished part of the critical path.
 	Objective         time.Duration
 	TolerantObjective time.Duration
 	Remaining         time.Duration
 }
 
-// TimingOf returns the times of a step of a flow in that queue.
+// TimingOf returns the timing of a step whose flow is in the given queue.
 func TimingOf(s *flows.Step, q *v1.Queue) Timing {
 	total, remaining := criticalPath(s.Flow.Spec, nil), criticalPath(s.Flow.Spec, s.Flow.Turns[s.Turn])
 	return Timing{
@@ -39,19 +40,19 @@
 	}
 }
 
-// Objective returns how long a flow of a queue may take.
+// Objective returns the time within which a flow of a queue should end.
 func Objective(spec *v1.FlowSpec, q *v1.Queue) time.Duration {
 	return objective(q, float64(criticalPath(spec, nil)))
 }
 
-// objective returns how long a flow may take whose longest chain is so many
-// milliseconds.
+// objective returns the time within which a flow should end whose critical path has the given
+// run time in milliseconds.
 func objective(q *v1.Queue, runtime float64) time.Duration {
 	return time.Duration((q.GetFactor()*runtime + float64(q.GetTarget())) * float64(time.Millisecond))
 }
 
-// criticalPath returns the declared run time in milliseconds of a flow's longest chain
-// of steps; of what is left of it when a turn is given.
+// criticalPath returns the declared run time in milliseconds of the longest chain of dependent
+// steps of a flow. With a turn, it counts unfinished steps only.
 func criticalPath(spec *v1.FlowSpec, turn *flows.Turn) uint64 {
 	endTimes := make([]uint64, len(spec.GetSteps()))
 	longest := uint64(0)
@@ -69,12 +70,12 @@
 	return longest
 }
 
-// WithAge returns the item with what its flow's age says of its end.
+// WithAge returns the item with Slack, Late and Worthless computed from the age of its flow.
 func (it Item) WithAge(t Timing, age time.Duration) Item {
 	minDuration := age + time.Duration(minRemainingFactor*float64(t.Remaining))
 	finite := !it.Spec.GetLasting()
 	it.Slack = t.Objective - age - t.Remaining
-	// Whoever waits for urgent work waits on, and it is short.
+	// Urgent work is never marked late: its callers keep waiting, and it is short.
 	it.Late = finite && !it.Urgent && minDuration > t.Objective
 	it.Worthless = finite && minDuration > worthlessFactor*t.TolerantObjective
 	return it
--- a/internal/policy/steps/gang.go
+++ b/internal/policy/steps/gang.go
@@ -8,8 +8,8 @@
 	"gypsumreel/internal/domain/flow"
 )
 
-// placeGang places all tasks of a step at once, or none. One that finds no room
-// keeps the servers that will have it soonest from those that come after it.
+// placeGang places all tasks of a step together or none of them. If there is no room, it
+// reserves the servers that will have room earliest.
 func (p *planner) placeGang(it Item) {
 	if it.Queued < len(it.Tasks) || p.allowedByLimit(it) < int64(it.Queued) {
 		return
@@ -37,7 +37,7 @@
 		}
 	}
 	if len(stale) > 0 {
-		// All members need permits that hold at the same time.
+		// All members need permits that are valid at the same time.
 		p.requestPermits(it, append(stale, granted...), candidates)
 		return
 	}
@@ -45,8 +45,9 @@
 	p.plan.Placements = append(p.plan.Placements, Placement{it, assignments})
 }
 
-// chooseGangServers picks servers for all tasks of a gang: of one rack where the tasks are
-// slower across racks and one has the room, else as few servers as possible.
+// chooseGangServers selects servers for all tasks of a gang. If the tasks run slower across
+// racks, it uses a single rack if one has enough room. It returns false if there is not enough
+// room.
 func chooseGangServers(it Item, candidates []candidate) ([]candidate, bool) {
 	if it.Spec.GetTogether() {
 		for _, rack := range labelsByRoom(candidates) {
@@ -59,8 +60,8 @@
 	return takeCandidates(it.Queued, candidates)
 }
 
-// labelsByRoom returns the labels of the options, those with most room first: the rack
-// is one of a server's labels, and which one does not matter here.
+// labelsByRoom returns the labels of the candidates in ascending order of the tasks that fit
+// there. The rack is one of the labels of a server; it does not matter here which one.
 func labelsByRoom(candidates []candidate) []string {
 	taskRoom := map[string]int64{}
 	for _, c := range candidates {
@@ -76,8 +77,9 @@
 	return out
 }
 
-// takeCandidates takes tasks from options in their order; a permit at hand goes first, so
-// that a gang does not wait for one without need.
+// takeCandidates takes n tasks from the candidates in their order, but those with a valid
+// permit first, so that a gang does not wait for a permit that it does not need. It returns
+// false if fewer than n tasks fit.
 func takeCandidates(n int, candidates []candidate) ([]candidate, bool) {
 	candidates = slices.Clone(candidates)
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
@@ -96,18 +98,18 @@
 	return out, remaining == 0
 }
 
-// slot is room for one task, and how long it is until a server has it.
+// slot is room for one task on a server and the time until that room is free.
 type slot struct {
 	after time.Duration
 	*serverState
 }
 
-// compareSlots orders slots by when they are there, those of one time by their servers.
+// compareSlots orders slots by time, then by server.
 func compareSlots(a, b slot) int { return cmp.Or(cmp.Compare(a.after, b.after), a.index-b.index) }
 
-// reserve keeps room for a gang where it can begin soonest, on the servers that
-// may run it. What ends before then may still use it; whatever runs longer would
-// make the gang wait for ever.
+// reserve reserves room for a gang on the allowed servers where it can start earliest. Tasks
+// that end before the start of the gang can still use the room. Longer tasks cannot, since they
+// could make the gang wait forever.
 func (p *planner) reserve(it Item) {
 	if p.reservedGangs[it.Pool] >= minReservedGangs+p.poolSizes[it.Pool]/serversPerReservedGang {
 		return
@@ -120,7 +122,7 @@
 		}
 	}
 	if len(slots) < it.Queued {
-		return // what is known of will never hold it
+		return // the servers with known permissions can never hold the gang
 	}
 	slices.SortStableFunc(slots, compareSlots)
 	slots = slots[:it.Queued]
@@ -141,7 +143,7 @@
 	}
 }
 
-// releases returns what a server will have free again, the soonest first.
+// releases returns the room that a server is expected to release, earliest first.
 func (p *planner) releases(r *serverState) []Release {
 	if !r.releasesLoaded {
 		r.releases, r.releasesLoaded = p.view.Releases(r.ID), true
@@ -150,7 +152,7 @@
 	return r.releases
 }
 
-// findSlots adds the slots that a server has for an item, now and later.
+// findSlots appends the slots for tasks of an item that a server has now and later.
 func (p *planner) findSlots(out []slot, it Item, r *serverState) []slot {
 	size, maxSlots := flow.SizeOf(it.Spec), int64(it.Queued)
 	if apart := it.Spec.GetApart(); apart > 0 {
--- a/internal/policy/steps/headroom.go
+++ b/internal/policy/steps/headroom.go
@@ -5,18 +5,18 @@
 	"gypsumreel/internal/domain/flow"
 )
 
-// Headroom is room for so many tasks of a size: what is left over on many servers
-// and holds none of them is no headroom.
+// Headroom is room for a number of tasks of a given size. Free room that is spread over many
+// servers and too small for such a task on each of them does not count.
 type Headroom struct {
 	Size  capacity.Size
 	Tasks int64
 }
 
-// mayUseHeadroom tells whether an item takes the headroom as well: it is what that is for,
-// or somebody is served by its tasks and missed while they wait.
+// mayUseHeadroom reports whether an item may use the headroom. Urgent items may. So may
+// services, whose users are affected while a task is not running.
 func (it Item) mayUseHeadroom() bool { return it.Urgent || it.Spec.GetLasting() }
 
-// initHeadroom counts a pool's room for urgent tasks.
+// initHeadroom computes the headroom values of a pool.
 func (p *planner) initHeadroom(pool string, servers []*serverState) {
 	if p.view.Headroom == nil {
 		return
@@ -32,8 +32,8 @@
 	p.headrooms[pool], p.spareHeadroom[pool], p.headroomCapacity[pool] = headroom, spare, total
 }
 
-// headroomCost returns for how many urgent tasks less a server has room once it holds n
-// tasks of an item.
+// headroomCost returns by how many urgent tasks the free room of a server shrinks when n tasks
+// of an item start there.
 func (p *planner) headroomCost(it Item, r *serverState, n int64) int64 {
 	headroom := p.headrooms[r.Pool]
 	if headroom.Tasks == 0 {
@@ -42,8 +42,8 @@
 	return fittingTasks(headroom.Size, r.free) - fittingTasks(headroom.Size, r.free.Sub(flow.SizeOf(it.Spec).Times(n)))
 }
 
-// limitByHeadroom returns how many of n tasks an item may start on a server, by the headroom
-// for urgent work: any number in what holds no urgent task.
+// limitByHeadroom returns how many of n tasks of an item may start on a server without using
+// the headroom. Tasks that use only room too small for an urgent task are not limited.
 func (p *planner) limitByHeadroom(it Item, r *serverState, n int64) int64 {
 	if it.mayUseHeadroom() {
 		return n
@@ -57,8 +57,8 @@
 	return n
 }
 
-// leavesHeadroom tells whether a gang leaves the headroom for urgent work. One that is so
-// large that it never would need not.
+// leavesHeadroom reports whether the headroom stays free when a gang starts. It also returns
+// true for a gang that is too large to ever leave the headroom free.
 func (p *planner) leavesHeadroom(it Item, chosen []candidate) bool {
 	if it.mayUseHeadroom() {
 		return true
--- a/internal/policy/steps/order.go
+++ b/internal/policy/steps/order.go
@@ -6,17 +6,18 @@
 	"slices"
 )
 
-// sortBatchSize is how many servers are put in order at a time: about as many as a
-// question names.
+// sortBatchSize is the number of servers that are sorted at a time. It is close to the number
+// of servers in a question.
 const sortBatchSize = 64
 
-// serverGroup is servers of a pool, with or without gathered urgent work.
+// serverGroup identifies the servers of a pool that have, or do not have, a short lease.
 type serverGroup struct {
 	pool       string
 	shortLease bool
 }
 
-// groupServers puts the servers in the order of their room at the beginning of the plan.
+// groupServers groups the servers and sorts each group by the CPU that was free when the plan
+// began.
 func (p *planner) groupServers() {
 	p.serversByGroup = map[serverGroup][]*serverState{}
 	for _, r := range p.servers {
@@ -28,8 +29,8 @@
 	}
 }
 
-// byFreeRoom goes over the servers of an item's pool, those with most room now first; for
-// urgent work those where it is gathered before the others.
+// byFreeRoom iterates over the servers of the pool of an item, those with the most free CPU
+// first. For urgent items, all servers with a short lease come before the others.
 func (p *planner) byFreeRoom(it Item) iter.Seq[*serverState] {
 	if p.serversByGroup == nil {
 		p.groupServers()
@@ -44,8 +45,9 @@
 	}
 }
 
-// yieldByFreeRoom goes over servers by their room now. Room only becomes less in the course
-// of a plan, so whoever has more than the next one had at its beginning comes first.
+// yieldByFreeRoom iterates over the servers of some groups, those with the most free CPU first.
+// Free CPU only shrinks during a plan, so a server of the batch can be yielded as soon as it
+// has at least the initial CPU of the next server outside the batch.
 func (p *planner) yieldByFreeRoom(yield func(*serverState) bool, groups ...[]*serverState) bool {
 	var batch []*serverState
 	for {
--- a/internal/policy/steps/pacer_test.go
+++ b/internal/policy/steps/pacer_test.go
@@ -7,9 +7,8 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// Twice as much comes as can run. Each plan over the backlog takes 20 ms, and
-// something changes at every turn of the thread. The leader that plans at each
-// turn misses its heartbeats and is deposed; planning must leave it most of its time.
+// Under overload, a plan takes 20 ms and the input changes on every turn of the thread. A
+// leader that plans on every turn misses its heartbeats and is deposed.
 func TestPlanningUsesABoundedPartOfTheThread(t *testing.T) {
 	const turn, plan = time.Millisecond, 20 * time.Millisecond
 	var p steps.Pacer
@@ -24,7 +23,7 @@
 		now += turn
 	}
 	if share := planning.Seconds() / (now - begin).Seconds(); share > 0.25 || share < 0.1 {
-		t.Errorf("planning takes %.2f of the thread", share)
+		t.Errorf("planning takes %.2f of the time of the thread, want 0.1 to 0.25", share)
 	}
 }
 
@@ -32,15 +31,15 @@
 	var p steps.Pacer
 	p.Record(time.Hour, 50*time.Microsecond)
 	if !p.Due(time.Hour+time.Millisecond, true) {
-		t.Error("a change waits although planning is cheap")
+		t.Error("a changed input does not cause a plan although plans are short")
 	}
 	if p.Due(time.Hour+time.Millisecond, false) || !p.Due(time.Hour+time.Second, false) {
-		t.Error("without a change a plan is made now and then only")
+		t.Error("without a change, the next plan is not due after the maximum interval, or is due earlier")
 	}
 }
 
-// The process stood still for a moment while a plan was made. Nothing would start
-// for a second if that counted as the time that plans take.
+// The process is paused during one plan. If the pause counted as planning time, nothing would
+// start for a second.
 func TestOneSlowPlanDoesNotDelayTheNext(t *testing.T) {
 	var p steps.Pacer
 	at := time.Second
@@ -50,10 +49,10 @@
 	}
 	p.Record(at, 200*time.Millisecond)
 	if !p.Due(at+220*time.Millisecond, true) {
-		t.Error("the next plan waits for what was no plan's time")
+		t.Error("one slow plan delays the next one")
 	}
 	p.Record(at+220*time.Millisecond, 200*time.Millisecond)
 	if p.Due(at+440*time.Millisecond, true) {
-		t.Error("plans that take long one after the other leave no time for the rest")
+		t.Error("several slow plans in a row do not delay the next one")
 	}
 }
--- a/internal/policy/steps/permission.go
+++ b/internal/policy/steps/permission.go
@@ -2,9 +2,9 @@
 
 import "iter"
 
-// Permissions goes over the servers about which the adviser was asked for a step:
-// may tells what it said, which never changes, and holds whether a permit is at hand
-// that holds long enough.
+// Permissions iterates over the servers about which the adviser was asked for a step. allowed
+// holds the answers of the adviser, which never change. hasPermit reports whether a server has
+// a permit that is valid for long enough.
 func Permissions(allowed map[string]bool, hasPermit func(server string) bool) iter.Seq2[string, Permission] {
 	return func(yield func(string, Permission) bool) {
 		for server, ok := range allowed {
@@ -22,19 +22,19 @@
 	}
 }
 
-// itemPermission is what is known of one item on one server.
+// itemPermission is the permission of a server for the item with the given number.
 type itemPermission struct {
 	itemNumber int
 	permission Permission
 }
 
-// nextItem turns to another item.
+// nextItem starts a new item and discards the permissions of the previous one.
 func (p *planner) nextItem() { p.itemNumber, p.permissionsLoaded = p.itemNumber+1, false }
 
-// knownServersFor returns the servers of which something is known for the item turned to.
-// That is looked up once, and where it is needed: a plan over a long backlog comes
-// to most of its items when no room is left, and a large pool has many more servers
-// than anything is known of.
+// knownServersFor returns the servers with a known permission for the current item. It reads
+// the permissions once and only when they are needed: with a long backlog, most items are
+// reached when there is no room left, and a large pool has many more servers than there are
+// known permissions.
 func (p *planner) knownServersFor(it Item) []*serverState {
 	if !it.NeedsPermit {
 		return p.servers
@@ -52,7 +52,8 @@
 	return p.knownServers
 }
 
-// permission returns what is known of the item on a server, once it was looked up.
+// permission returns the permission of a server for the current item. knownServersFor must have
+// been called before.
 func (p *planner) permission(it Item, r *serverState) Permission {
 	switch {
 	case !it.NeedsPermit:
--- a/internal/policy/steps/probation.go
+++ b/internal/policy/steps/probation.go
@@ -7,11 +7,12 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// serversPerProbation bounds the servers of a pool that are kept for suspected tasks at once, to
-// one part of so many: after the loss of a rack much is suspected without fault.
+// serversPerProbation limits the servers of a pool that are held for suspect tasks to one in
+// eight. After the loss of a rack, many tasks are suspected without a fault of their own.
 const serversPerProbation = 8
 
-// countProbationSlots returns for how many more suspected tasks a server of a pool may be kept.
+// countProbationSlots returns the number of servers of a pool that can still be held for
+// suspect tasks.
 func countProbationSlots(servers []*serverState) int {
 	slots := max(1, len(servers)/serversPerProbation)
 	for _, r := range servers {
@@ -22,13 +23,13 @@
 	return slots
 }
 
-// isSuspect tells whether a task may have crashed a server.
+// isSuspect reports whether the task may have crashed a server.
 func isSuspect(t flows.Task) bool { return t.Blamed > 0 }
 
-// queuedBySuspicion returns so many waiting tasks of a step: those that start wherever there is
-// room, and those that are to be tried apart from all others. One that is suspected once
-// is not held up for that; one that is suspected again waits for a server of its own, since the
-// next crash decides.
+// queuedBySuspicion returns at most limit queued tasks of a step, split into tasks that can
+// start anywhere and suspects that start on a server of their own. If no probation slot is
+// left, a task that was blamed for few crashes starts as a normal task. A task that would be
+// given up after one more crash waits for a slot.
 func (p *planner) queuedBySuspicion(it Item, limit int) (normal, suspects []uint32) {
 	next := queuedTasks(it.Step)
 	for range it.Queued {
@@ -44,9 +45,10 @@
 	return normal, suspects[:min(len(suspects), limit-len(normal))]
 }
 
-// placeSuspects starts suspected tasks, each on a server of its own where nothing else
-// begins meanwhile, and returns those that found none. A server that has stood for a
-// while tells more by its crash, and one with much room has less to lose.
+// placeSuspects starts each suspect task on a server on which no other task starts meanwhile.
+// It returns the tasks for which there was no such server. It prefers servers that have not
+// started recently, since their crash is better evidence against the task, and servers with
+// more free CPU, since fewer other tasks are lost in a crash.
 func (p *planner) placeSuspects(placement *stepPlacement, candidates []candidate, tasks []uint32) []uint32 {
 	if len(tasks) == 0 {
 		return nil
@@ -71,13 +73,14 @@
 	return tasks
 }
 
-// holdForSuspect leaves a server to what is tried there.
+// holdForSuspect keeps other tasks from starting on a server.
 func (p *planner) holdForSuspect(r *serverState) {
 	r.heldForSuspect = true
 	p.probationSlots[r.Pool]--
 }
 
-// holdForSuspectGang leaves the servers of a gang to it while one of its members is suspected.
+// holdForSuspectGang keeps other tasks from starting on the servers of a gang if one of its
+// tasks is a suspect.
 func (p *planner) holdForSuspectGang(it Item, chosen []candidate) {
 	if !slices.ContainsFunc(it.Tasks, isSuspect) {
 		return
--- a/internal/policy/steps/probation_test.go
+++ b/internal/policy/steps/probation_test.go
@@ -8,7 +8,7 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// suspect marks the first tasks of an item as ones that may have crashed a server.
+// suspect marks the first n tasks of an item as suspected of a server crash.
 func suspect(it steps.Item, n int) steps.Item {
 	for i := range n {
 		it.Tasks[i].Blamed = 1
@@ -16,8 +16,8 @@
 	return it
 }
 
-// Work that may crash its server begins beside other work, takes that down with it, and
-// nobody can tell which of them it was.
+// If a task that may crash its server starts beside other tasks, they are lost with it, and the
+// cause of the crash is unclear.
 func TestSuspectTasksStartOnSeparateServers(t *testing.T) {
 	var servers []steps.Server
 	for i := range 32 {
@@ -35,16 +35,16 @@
 		}
 	}
 	if len(suspectServers) != 2 {
-		t.Fatalf("two suspected tasks began on %v", suspectServers)
+		t.Fatalf("two suspect tasks started on %v, want two servers", suspectServers)
 	}
 	for s := range suspectServers {
 		if startedOn[s] != 1 || s == "s00" {
-			t.Errorf("%d tasks began on %s, which a suspected one was to have for itself", startedOn[s], s)
+			t.Errorf("%d tasks started on server %s, want only the suspect task on a server that was idle", startedOn[s], s)
 		}
 	}
 }
 
-// Something begins on a server while it is seen there whether a task crashes it.
+// No task may start on a server while a suspect task is observed there.
 func TestNoTaskStartsOnAServerOnProbation(t *testing.T) {
 	a, b := server("a", 4000), server("b", 4000)
 	a.OnProbation = true
@@ -52,8 +52,8 @@
 	checkPlaced(t, map[string]int{"x on b": 4}, steps.Make(view([]steps.Server{a, b}, item("x", gang(4, 1000)))))
 }
 
-// After the loss of a rack all that ran there is suspected, and the servers that are
-// left are kept for it while nothing else begins.
+// After the loss of a rack all of its tasks are suspects. Holding the remaining servers for
+// them would keep other tasks from starting.
 func TestProbationIsLimitedToAPartOfThePool(t *testing.T) {
 	var servers []steps.Server
 	for i := range 16 {
@@ -65,11 +65,11 @@
 		started += len(placement.Assignments)
 	}
 	if minStarted := 52; started < minStarted {
-		t.Errorf("%d tasks began, there is room for %d beside two such servers", started, minStarted)
+		t.Errorf("%d tasks started, want at least %d with two servers on probation", started, minStarted)
 	}
 }
 
-// A gang with a suspected member begins beside other work that begins.
+// No other task may start beside a gang that has a suspect task.
 func TestSuspectGangStartsOnSeparateServers(t *testing.T) {
 	var servers []steps.Server
 	for i := range 16 {
@@ -87,7 +87,7 @@
 	}
 	for s, flows := range flowsByServer {
 		if flows["a"] && len(flows) > 1 {
-			t.Errorf("work began on %s beside the gang", s)
+			t.Errorf("other tasks started on server %s beside the gang", s)
 		}
 	}
 	if len(plan.Placements) != 2 {
@@ -95,8 +95,8 @@
 	}
 }
 
-// Work that is to be given up with the next crash begins beside other suspected work,
-// and is given up for what that does.
+// A task that is given up after one more crash must not start beside other suspects, whose
+// crash would be blamed on it.
 func TestTaskWithOneCrashLeftWaitsForItsOwnServer(t *testing.T) {
 	servers := []steps.Server{server("a", 4000), server("b", 4000)}
 	servers[0].OnProbation = true
@@ -107,12 +107,12 @@
 	x.Tasks[0].Blamed = 2
 	plan := steps.Make(view(servers, x, y))
 	if got := placed(plan); got["x on a"]+got["x on b"] != 1 || got["x on a"] == 1 && got["y on a"] > 0 || got["x on b"] == 1 && got["y on b"] > 0 {
-		t.Errorf("two tasks that may not crash a server again began, or one beside another: %v", got)
+		t.Errorf("want one of the two tasks with one crash left, on a server without other tasks: %v", got)
 	}
 }
 
-// A suspected task goes to the emptiest server, which is one that has just come back and
-// is about to crash again by itself, and is given up for that.
+// The server with the most room has just restarted and may crash again without a fault of its
+// tasks. A suspect task that starts there would be blamed for that.
 func TestSuspectTasksAvoidRecentlyStartedServers(t *testing.T) {
 	a, b := server("a", 4000), server("b", 4000)
 	a.RecentlyStarted, b.Used = true, capacity.Size{CPU: 2000}
--- a/internal/policy/steps/question.go
+++ b/internal/policy/steps/question.go
@@ -6,21 +6,22 @@
 	v1 "gypsumreel/internal/api/v1"
 )
 
-// QuestionDuration returns how long a question about so many servers should take.
+// QuestionDuration returns the expected duration of a question about the given number of
+// servers.
 func QuestionDuration(a *v1.Advice, servers int) time.Duration {
 	return time.Duration((a.GetBase() + a.GetEach()*float64(servers)) * float64(time.Millisecond))
 }
 
-// questionTimeDivisor is the part of a step's run time that a question about it may take
-// where a shorter one would do: with more servers to choose from, a step waits less
-// for room on one of them.
+// questionTimeDivisor limits the duration of a question that is larger than necessary to one
+// twentieth of the run time of a task. With more allowed servers, a step waits less for room on
+// one of them.
 const questionTimeDivisor = 20
 
-// QuestionSize returns how many servers a question names about a step whose tasks run so
-// long, where no more are needed: as many as a short part of that time allows for,
-// and at least so many that they cost as much as the question itself does. What the
-// adviser says of a server holds for the whole step, and a helper that asks about
-// one server at a time is as busy as one that asks about seventy.
+// QuestionSize returns the number of servers in a question about a step when the step does not
+// need more. It is the number that can be asked about in one twentieth of the run time, or the
+// number whose cost equals the base cost of the question if that is larger. The answer for a
+// server is valid for the whole step. Without the second bound, a helper would be busy for as
+// long with a question about one server as with one about seventy.
 func QuestionSize(a *v1.Advice, runtime time.Duration) int {
 	if a.GetEach() <= 0 {
 		return MinServersPerQuestion
--- a/internal/policy/steps/select.go
+++ b/internal/policy/steps/select.go
@@ -6,20 +6,19 @@
 	"gypsumreel/internal/domain/flow"
 )
 
-// Bounds of what one plan looks at.
+// Limits of the items in one plan.
 const (
-	// maxLeadingItems bounds the steps that every plan looks at, the most pressing
-	// first: many more than start between two plans.
+	// maxLeadingItems limits the first items in the order of Compare, which are part of every
+	// plan. It is far more than the number of items that start between two plans.
 	maxLeadingItems = 128
-	// maxRotatingItems bounds those that it looks at beside them, others with each plan.
+	// maxRotatingItems limits the further items, which differ from plan to plan.
 	maxRotatingItems = 64
 )
 
-// SelectItems returns the items that a plan looks at, in the order of Compare. Those of a
-// customer that may start nothing are passed over. With a long backlog the most
-// pressing are taken, and of the rest a part that changes with each turn: were the
-// most pressing ones waiting for something that never comes, nothing else would
-// ever start.
+// SelectItems returns the items to consider in a plan, in the order of Compare. It leaves out
+// items of customers that have reached their limit. With a long backlog it returns the leading
+// items and a part of the rest that changes with the plan number. Otherwise leading items that
+// can never start would block all others.
 func SelectItems(v View, planNumber int) []Item {
 	items := slices.DeleteFunc(slices.Clone(v.Items), func(it Item) bool {
 		return fittingTasks(flow.SizeOf(it.Spec), v.RemainingLimit(it.Flow.Customer)) == 0
--- a/internal/policy/steps/steps.go
+++ b/internal/policy/steps/steps.go
@@ -1,5 +1,5 @@
-// Package steps decides which tasks of flows start where. It is pure: a plan
-// follows from the picture that it is given and from nothing else.
+// Package steps decides which tasks of flows start on which servers. It has no side effects: a
+// plan depends on its View alone.
 package steps
 
 import (
@@ -12,87 +12,93 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// Bounds of a plan.
+// Limits of a plan.
 const (
-	// MaxServersPerQuestion bounds the servers of one question: the adviser takes no more.
+	// MaxServersPerQuestion limits the servers of one question. The adviser accepts no more.
 	MaxServersPerQuestion = 100
-	// MaxServersPerStep bounds the servers that a plan wants to know about for one step;
-	// they are asked about in several questions side by side.
+	// MaxServersPerStep limits the servers that one plan asks about for one step. They are
+	// split into several parallel questions.
 	MaxServersPerStep = 160
-	// MinServersPerQuestion is how many servers a question names at the least: of thirty a
-	// few may usually run a step.
+	// MinServersPerQuestion is the minimum number of servers in a question. Usually the adviser
+	// allows a step on a few of thirty servers.
 	MinServersPerQuestion = 30
-	// capacityFactor is how many times as many tasks as wait the servers of a question
-	// should have room for, by what is known: some fill up until the answer comes.
+	// capacityFactor is the room that the servers of a question should have, as a multiple of
+	// the queued tasks. Some of these servers fill up before the answer arrives.
 	capacityFactor = 1.5
-	// spareServers is how many servers more than needed a question for fresh permits
-	// names: some will have filled up when the answer comes.
+	// spareServers is the number of additional servers in a request for new permits. Some
+	// servers fill up before the answer arrives.
 	spareServers = 4
-	// minReservedGangs is how many gangs of a pool have room kept for them, and one more
-	// for each waitingPart of its servers. Each keeps what it needs idle until the
-	// last of it is free, and a large pool has more of them waiting.
+	// minReservedGangs is the number of gangs of a pool that can have reservations at a time. A
+	// pool can have one more for every serversPerReservedGang servers, since more gangs wait in
+	// a large pool. Reserved room is idle until the last server of the gang is free.
 	minReservedGangs       = 4
 	serversPerReservedGang = 100
-	// itemsPerYield is how many items are placed between two rests.
+	// itemsPerYield is the number of items that are placed between two calls of Yield.
 	itemsPerYield = 4
-	// questionLeadTime is how long before its room is free a gang asks for its permits: about
-	// as long as the longest question takes.
+	// questionLeadTime is how long before its room is free a gang requests its permits. The
+	// longest question takes about as long.
 	questionLeadTime = time.Second
-	// permitValidity is about how long a permit holds.
+	// permitValidity is the approximate time for which a permit is valid.
 	permitValidity = time.Second
 )
 
-// planner is the state of making one plan.
+// planner is the state of one plan.
 type planner struct {
 	*Planner
 	view View
-	// itemNumber counts the items turned to; looked tells that what is known of the latest
-	// was looked up.
+	// itemNumber counts the items handled so far. permissionsLoaded is true when the
+	// permissions of the current item were read.
 	itemNumber        int
 	permissionsLoaded bool
-	// serversByGroup are the servers in the order of their room; nil until that is asked for.
+	// serversByGroup holds the servers sorted by initial free CPU. It is nil until first
+	// needed.
 	serversByGroup map[serverGroup][]*serverState
-	customerUsage  map[string]capacity.Size
-	plan           Plan
-	// reservedGangs counts the gangs for which room is kept, by pool, sizes the servers.
+	// customerUsage is the size that this plan has allocated, by customer.
+	customerUsage map[string]capacity.Size
+	plan          Plan
+	// reservedGangs counts the gangs with a reservation, and poolSizes the servers, by pool.
 	reservedGangs map[string]int
 	poolSizes     map[string]int
-	// earlyRequests counts the steps whose permits are asked for before there is room, by pool.
+	// earlyRequests counts the steps that requested permits before there was room, by pool.
 	earlyRequests map[string]int
-	// maxFreeCPU is the most that a server of each pool had free when the plan began.
+	// maxFreeCPU is the largest free CPU of any server of a pool when the plan began.
 	maxFreeCPU map[string]int64
-	// headrooms is each pool's headroom for urgent work, spare for how many tasks of
-	// its size there is room beyond it, and ever how many the whole pool holds.
+	// headrooms is the headroom of each pool for urgent work. spareHeadroom is the number of
+	// additional tasks of that size that fit into the free room, headroomCapacity the number
+	// that fit into the whole pool.
 	headrooms        map[string]Headroom
 	spareHeadroom    map[string]int64
 	headroomCapacity map[string]int64
-	// probationSlots is for how many more suspected tasks a server of each pool may be kept.
+	// probationSlots is the number of servers of each pool that can still be held for suspect
+	// tasks.
 	probationSlots map[string]int
 }
 
-// serverState is what is left on a server in the course of a plan.
+// serverState is the state of a server during a plan.
 type serverState struct {
 	Server
-	// index is its place in the order of ids, class that of its speed.
+	// index is the position in the order of server IDs. speedClass is the class of the speed of
+	// the server.
 	index      int
 	speedClass int
-	// initialCPU is the room of the processor when the plan began.
+	// initialCPU is the CPU that was free when the plan began.
 	initialCPU int64
 	free       capacity.Size
 	itemPermission
-	// releases is what the server will have free again, the soonest first, once it was
-	// asked for.
+	// releases is the room that the server is expected to release, earliest first. It is valid
+	// if releasesLoaded is true.
 	releases       []Release
 	releasesLoaded bool
-	// heldForSuspect tells that it is left to a task that may crash it.
+	// heldForSuspect is true when the server is kept for a task that may crash it.
 	heldForSuspect bool
-	// reserved is what is kept free for gangs that wait, and until when they wait.
+	// reserved is the room reserved for waiting gangs, and reservedUntil the time after which
+	// they can start.
 	reserved      capacity.Size
 	reservedUntil time.Duration
 }
 
-// usable returns what an item may use now: room that is kept for a gang only if
-// the item gives it back before the gang can begin, or lasts.
+// usable returns the room that an item can use now. It includes room reserved for a gang only
+// if the item runs as a service or ends before the gang can start.
 func (r *serverState) usable(it Item) capacity.Size {
 	if it.Spec.GetLasting() || r.reservedUntil > 0 && it.ExpectedRuntime > 0 && it.ExpectedRuntime <= r.reservedUntil {
 		return r.free
@@ -100,22 +106,22 @@
 	return r.free.Sub(r.reserved)
 }
 
-// Planner makes plans, one after the other; what it keeps is room for the next one.
-// The zero value is ready.
+// Planner makes plans one after the other and reuses its buffers. The zero value is ready to
+// use.
 type Planner struct {
 	states  []serverState
 	servers []*serverState
 	byID    map[string]*serverState
-	// knownServers is the room for the servers of which something is known for an item.
+	// knownServers is the buffer for the servers whose permission is known for an item.
 	knownServers []*serverState
 }
 
-// Make makes one plan.
+// Make makes a single plan with a new Planner.
 func Make(v View) Plan { return new(Planner).Make(v) }
 
-// Make makes a plan: items in the order of Compare, each placed as far as there
-// is room. What waits for a permit or, as a gang, for more room keeps the room
-// that it needs from those after it, which would take it for ever otherwise.
+// Make makes a plan. It places the items in the order of Compare, as far as there is room. An
+// item that waits for a permit, or a gang that waits for room, keeps the room that it needs.
+// Otherwise later items could take that room again and again, and the item would never start.
 func (m *Planner) Make(v View) Plan {
 	if m.byID == nil {
 		m.byID = map[string]*serverState{}
@@ -158,7 +164,7 @@
 	return p.plan
 }
 
-// initPools works out what is known of each pool when the plan begins.
+// initPools computes the initial state of each pool.
 func (p *planner) initPools() {
 	pools := map[string][]*serverState{}
 	for i := 0; i < len(p.servers); {
@@ -178,9 +184,9 @@
 	}
 }
 
-// Compare orders items: what is worth nothing more last, then what was sent
-// beyond its customer's share, then what will be late anyway: it would make those
-// behind it late as well. Then by priority, then by the least slack.
+// Compare orders items: worthless ones last, before them those over the share of their
+// customer, before these the late ones, which would make the items behind them late as well.
+// The remaining order is by priority, then by slack, least first.
 func Compare(a, b Item) int {
 	return cmp.Or(
 		compareBool(a.Worthless, b.Worthless),
@@ -194,6 +200,7 @@
 	)
 }
 
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -204,7 +211,8 @@
 	return -1
 }
 
-// eligible tells whether a server may hold a task of the item at all.
+// eligible reports whether the server is in the pool of the item and has the label that it
+// requires.
 func eligible(it Item, r *serverState) bool {
 	if r.Pool != it.Pool {
 		return false
@@ -212,12 +220,13 @@
 	return HasLabel(it.Spec.GetLabel(), r.Server.Server)
 }
 
-// HasLabel tells whether a server has the label that a step asks for, if any.
+// HasLabel reports whether a server has the label that a step requires. An empty label matches
+// every server.
 func HasLabel(label string, b *flows.Server) bool {
 	return label == "" || slices.Contains(b.Labels, label)
 }
 
-// fittingTasks returns how many tasks of a size fit into a room.
+// fittingTasks returns how many tasks of a size fit into the free room.
 func fittingTasks(size, free capacity.Size) int64 {
 	if !size.Fits(capacity.Size{CPU: free.CPU, Memory: free.Memory, Accel: free.Accel, Slots: size.Slots}) {
 		return 0
@@ -235,13 +244,14 @@
 	return n
 }
 
-// allowedByLimit returns how many tasks of the item its customer's limit lets start.
+// allowedByLimit returns the number of tasks of the item that the limit of its customer allows.
 func (p *planner) allowedByLimit(it Item) int64 {
 	size := flow.SizeOf(it.Spec)
 	remaining := p.view.RemainingLimit(it.Flow.Customer).Sub(p.customerUsage[it.Flow.Customer])
 	return fittingTasks(size, remaining)
 }
 
+// allocate takes the room of n tasks of an item on a server.
 func (p *planner) allocate(it Item, r *serverState, n int64) {
 	size := flow.SizeOf(it.Spec).Times(n)
 	p.spareHeadroom[it.Pool] -= p.headroomCost(it, r, n)
@@ -249,15 +259,16 @@
 	p.customerUsage[it.Flow.Customer] = p.customerUsage[it.Flow.Customer].Add(size)
 }
 
-// stepPlacement is what was found for a step whose tasks start one by one.
+// stepPlacement collects the assignments of a step whose tasks start independently.
 type stepPlacement struct {
 	item        Item
 	assignments []Assignment
-	// staleServers are the servers whose permits have to be asked for first.
+	// staleServers are servers with room whose permits must be renewed first.
 	staleServers []string
 }
 
-// placeTasks starts tasks on a server, or keeps the room until its permit is there.
+// placeTasks starts tasks on a server. If the server needs a new permit, it only keeps their
+// room.
 func (p *planner) placeTasks(placement *stepPlacement, c candidate, tasks []uint32) {
 	p.allocate(placement.item, c.serverState, int64(len(tasks)))
 	if c.permission != Granted {
@@ -269,7 +280,7 @@
 	}
 }
 
-// placeSingles places the tasks of a step one by one.
+// placeSingles places the tasks of a step independently of each other.
 func (p *planner) placeSingles(it Item) {
 	limit := min(int64(it.Queued), p.allowedByLimit(it))
 	if limit <= 0 {
@@ -302,7 +313,8 @@
 	}
 }
 
-// queuedTasks returns a function that gives the waiting tasks of a step in turn.
+// queuedTasks returns a function that returns the index of the next queued task of a step on
+// each call.
 func queuedTasks(s *flows.Step) func() uint32 {
 	i := -1
 	return func() uint32 {
--- a/internal/policy/steps/steps_test.go
+++ b/internal/policy/steps/steps_test.go
@@ -21,10 +21,12 @@
 	"gypsumreel/internal/policy/steps"
 )
 
+// server returns an idle server with the given CPU and labels.
 func server(id string, cpu int64, labels ...string) steps.Server {
 	return steps.Server{Server: &flows.Server{ID: id, Pool: "pool", Capacity: capacity.Size{CPU: cpu, Memory: 1000}, Labels: labels}, Speed: 1}
 }
 
+// item returns an item whose tasks are all queued.
 func item(id string, spec *v1.FlowStep) steps.Item {
 	s := &flows.Step{StepID: flow.StepID{Flow: id}, Flow: &flows.Flow{ID: id, Customer: "customer"}, Spec: spec, Queued: int(spec.GetCount())}
 	for range spec.GetCount() {
@@ -33,16 +35,19 @@
 	return steps.Item{Step: s, Pool: "pool"}
 }
 
+// tasks returns a step of independent tasks.
 func tasks(count uint32, cpu int64) *v1.FlowStep {
 	return &v1.FlowStep{Count: count, Size: &v1.Size{Cpu: cpu, Memory: 10}}
 }
 
+// gang returns a step whose tasks start together.
 func gang(count uint32, cpu int64) *v1.FlowStep {
 	s := tasks(count, cpu)
 	s.Gang = true
 	return s
 }
 
+// view returns a view without limits in which every permission is granted.
 func view(servers []steps.Server, items ...steps.Item) steps.View {
 	return steps.View{
 		Items: items, Servers: servers,
@@ -51,7 +56,8 @@
 	}
 }
 
-// permissionsOf returns what is known of each step on each server.
+// permissionsOf returns a View.Permissions function that takes each permission from the given
+// function.
 func permissionsOf(servers []steps.Server, permission func(flow.StepID, string) steps.Permission) func(flow.StepID) iter.Seq2[string, steps.Permission] {
 	return func(id flow.StepID) iter.Seq2[string, steps.Permission] {
 		return func(yield func(string, steps.Permission) bool) {
@@ -64,7 +70,7 @@
 	}
 }
 
-// placed returns how many tasks of each flow go to each server.
+// placed returns the number of tasks of each flow on each server.
 func placed(p steps.Plan) map[string]int {
 	out := map[string]int{}
 	for _, placement := range p.Placements {
@@ -75,6 +81,8 @@
 	return out
 }
 
+// checkPlaced compares the placements of a plan with the expected tasks of each flow on each
+// server.
 func checkPlaced(t *testing.T, want map[string]int, p steps.Plan) {
 	t.Helper()
 	if diff := cmp.Diff(want, placed(p)); diff != "" {
@@ -82,6 +90,7 @@
 	}
 }
 
+// Spreading small tasks over all servers leaves no room for large tasks.
 func TestFullestServerIsFilledFirst(t *testing.T) {
 	a, b := server("a", 4000), server("b", 4000)
 	b.Used = capacity.Size{CPU: 2000}
@@ -111,9 +120,8 @@
 	}
 }
 
-// A customer's limit was lowered far below what it sends, and its flows pile up at
-// the head of the line; others wait for a label that no server has. Neither may
-// keep the flows behind them from room that is there.
+// Flows of a customer that has reached its limit and steps that require a missing label come
+// first in the order. They must not keep the flows behind them from free servers.
 func TestBlockedStepsDoNotDelayOtherSteps(t *testing.T) {
 	var items []steps.Item
 	for i := range 400 {
@@ -139,7 +147,7 @@
 			return
 		}
 	}
-	t.Error("the last flow did not start in 20 plans")
+	t.Error("the flow behind the blocked steps did not start within 20 plans")
 }
 
 func TestLabelRackAndApartAreRespected(t *testing.T) {
@@ -162,9 +170,8 @@
 	checkPlaced(t, map[string]int{"x on b": 2, "x on c": 2}, steps.Make(view(servers, item("x", spec))))
 }
 
-// Small work keeps arriving and fills each gap at once. A gang that needs a gap
-// on several servers at the same time would wait for ever; it keeps what it
-// needs from those that come after it.
+// Small tasks keep arriving and fill every gap at once. Without a reservation, a gang that
+// needs room on several servers at the same time would wait forever.
 func TestGangIsNotStarvedBySmallWork(t *testing.T) {
 	servers := []steps.Server{server("a", 4000), server("b", 4000), server("c", 4000), server("d", 4000)}
 	for i := range servers {
@@ -178,19 +185,19 @@
 		return []steps.Release{{After: 3 * time.Second, Size: capacity.Size{CPU: 2000}}}
 	}
 	p := steps.Make(v)
-	left := 0
+	idle := 0
 	for _, id := range []string{"a", "b", "c", "d"} {
 		if placed(p)["small on "+id] == 0 {
-			left++
+			idle++
 		}
 	}
-	if left != 2 {
-		t.Errorf("%d servers were kept free for the gang, want 2: %v", left, placed(p))
+	if idle != 2 {
+		t.Errorf("%d servers are reserved for the gang, want 2: %v", idle, placed(p))
 	}
 }
 
-// Room is kept for a gang until the last of it is free. Left idle meanwhile it
-// would serve nobody; what ends before then may use it.
+// Room reserved for a gang must not be idle until the gang can start. Tasks that end before
+// that can use it.
 func TestShortTasksUseRoomReservedForAGang(t *testing.T) {
 	a, b := server("a", 4000), server("b", 4000)
 	a.Used = capacity.Size{CPU: 3000}
@@ -209,8 +216,8 @@
 	checkPlaced(t, map[string]int{}, steps.Make(v))
 }
 
-// Long work fills every server to the last. A quote would find none with room and
-// wait for seconds; what usually comes of quotes is left free.
+// Long tasks fill every server, and urgent tasks wait seconds for room unless headroom is left
+// for them.
 func TestHeadroomIsLeftForUrgentTasks(t *testing.T) {
 	quote, batch := item("quote", tasks(2, 1000)), item("batch", tasks(20, 1000))
 	quote.Urgent, batch.Priority = true, 2
@@ -223,14 +230,14 @@
 	wide.Priority = 2
 	v.Items = []steps.Item{quote, wide}
 	checkPlaced(t, map[string]int{"quote on a": 2}, steps.Make(v))
-	// What holds no quote is left over, and used.
+	// Room that is too small for an urgent task is not headroom and is used.
 	v.Headroom = func(string) steps.Headroom { return steps.Headroom{Size: capacity.Size{CPU: 3000}, Tasks: 2} }
 	v.Items = []steps.Item{batch}
 	checkPlaced(t, map[string]int{"batch on a": 1, "batch on b": 1}, steps.Make(v))
 }
 
-// A service has lost a task, and its users are served by the others alone. The room
-// that is left is headroom, or kept for a gang; the task must not wait for more.
+// A service has lost a task and serves its users with fewer tasks. Its replacement must not
+// wait because the free room is headroom or reserved for a gang.
 func TestServiceTasksUseHeadroomAndReservedRoom(t *testing.T) {
 	large, lasting, batch := item("gang", gang(2, 4000)), item("lasting", tasks(1, 1000)), item("batch", tasks(1, 1000))
 	lasting.Spec.Lasting, lasting.Priority, batch.Priority = true, 1, 1
@@ -244,8 +251,8 @@
 	checkPlaced(t, map[string]int{"lasting on b": 1}, steps.Make(v))
 }
 
-// A gang takes a whole pool, of which a part is left free for quotes. It would wait
-// for as long as quotes come.
+// A gang that needs a whole pool can never leave the headroom free. It must not wait forever
+// for that.
 func TestGangOfAWholePoolIgnoresHeadroom(t *testing.T) {
 	v := view([]steps.Server{server("a", 4000), server("b", 4000)}, item("gang", gang(2, 4000)))
 	v.Headroom = func(string) steps.Headroom { return steps.Headroom{Size: capacity.Size{CPU: 1000}, Tasks: 1} }
@@ -255,8 +262,8 @@
 	checkPlaced(t, map[string]int{"gang on a": 1, "gang on b": 1}, steps.Make(v))
 }
 
-// A gang needs more servers than one question names, and some of its permits are
-// good. Were those asked about again first, the others would never be.
+// A gang needs more servers than one plan asks about, and some of its permits are valid. If
+// valid permits were renewed first, the expired ones would never be requested.
 func TestExpiredPermitsAreRequestedFirst(t *testing.T) {
 	var servers []steps.Server
 	for i := range 200 {
@@ -277,17 +284,16 @@
 	}
 }
 
-// More comes than can run. What is late already would make all behind it late as
-// well, and in the end nothing would be in time; it goes last, and what the
-// customer was promised nothing for goes behind it.
+// Under overload, a flow that is already late comes after flows that can still end in time.
+// Otherwise all flows would end late.
 func TestLateFlowsDoNotDelayOthers(t *testing.T) {
 	late, fresh := item("late", tasks(4, 1000)), item("fresh", tasks(4, 1000))
 	late.Late, late.Slack, fresh.Priority = true, -time.Second, 2
 	checkPlaced(t, map[string]int{"fresh on a": 4}, steps.Make(view([]steps.Server{server("a", 4000)}, late, fresh)))
 }
 
-// A wide gang needs many servers, of which the adviser allows a few. Found one
-// small question after the other, it would begin seconds later.
+// A gang needs many servers, and the adviser allows only a part of them. Finding them with
+// small questions in sequence would delay the gang by seconds.
 func TestLargeStepsAskAboutMoreServers(t *testing.T) {
 	var servers []steps.Server
 	for i := range 200 {
@@ -306,9 +312,8 @@
 	}
 }
 
-// A permit has run out while a step waited for room. The room is there now, and
-// the question takes time: were it given away meanwhile, the step would ask for
-// ever and never run.
+// The permit of a step expires while it waits for room. If the room were given away while a new
+// permit is requested, the step would ask again and again and never run.
 func TestRoomIsReservedWhileAPermitIsRequested(t *testing.T) {
 	first, second := item("first", gang(2, 2000)), item("second", tasks(4, 1000))
 	first.NeedsPermit, second.Priority = true, 1
@@ -338,8 +343,8 @@
 	}
 }
 
-// Whatever waits: no server is filled beyond its room, no limit is passed, a gang
-// is whole or not at all, and no task is placed twice.
+// For random input, no server is overcommitted, no customer exceeds its limit, a gang is placed
+// completely or not at all, and no task is placed twice.
 func TestPlansRespectAllLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var servers []steps.Server
@@ -368,39 +373,39 @@
 	})
 }
 
+// checkLimits fails the test if a plan violates a limit of its view.
 func checkLimits(t *rapid.T, v steps.View, p steps.Plan) {
 	used, total, placedTasks := map[string]int64{}, int64(0), map[flow.TaskID]bool{}
 	tasksPerServer := map[string]uint32{}
 	for _, placement := range p.Placements {
 		if placement.Item.Spec.GetGang() && len(placement.Assignments) != len(placement.Item.Tasks) {
-			t.Fatalf("part of a gang: %v", placement)
+			t.Fatalf("gang is placed in part: %v", placement)
 		}
 		for _, assignment := range placement.Assignments {
 			if placedTasks[assignment.TaskID] {
-				t.Fatalf("%v twice", assignment)
+				t.Fatalf("%v is placed twice", assignment)
 			}
 			placedTasks[assignment.TaskID] = true
 			used[assignment.Server] += placement.Item.Spec.GetSize().GetCpu()
 			total += placement.Item.Spec.GetSize().GetCpu()
 			key := assignment.Flow + assignment.Server
 			if tasksPerServer[key]++; placement.Item.Spec.GetApart() > 0 && tasksPerServer[key] > placement.Item.Spec.GetApart() {
-				t.Fatalf("%v: too many of a step on one server", assignment)
+				t.Fatalf("%v: too many tasks of a step on one server", assignment)
 			}
 		}
 	}
 	for _, s := range v.Servers {
 		if used[s.ID] > s.Free().CPU {
-			t.Fatalf("%s is given %d, it has %d", s.ID, used[s.ID], s.Free().CPU)
+			t.Fatalf("server %s got tasks with %d CPU, but has %d free", s.ID, used[s.ID], s.Free().CPU)
 		}
 	}
 	if total > v.RemainingLimit("").CPU {
-		t.Fatalf("%d is placed, the limit is %d", total, v.RemainingLimit("").CPU)
+		t.Fatalf("tasks with %d CPU are placed, the customer limit is %d", total, v.RemainingLimit("").CPU)
 	}
 }
 
-// Servers are full, and a step that waits knows which of them may run it; its permits
-// are over. Asked for only once there is room, room after room would lie idle for as
-// long as the adviser takes.
+// All servers are full, and the permits of a waiting step have expired. If new permits were
+// requested only once there is room, the room would be idle while the adviser answers.
 func TestPermitsAreRequestedBeforeServersHaveRoom(t *testing.T) {
 	soon, late, free := server("soon", 4000), server("late", 4000), server("other", 4000)
 	for _, s := range []steps.Server{soon, late, free} {
@@ -421,12 +426,12 @@
 	}
 	p := steps.Make(v)
 	if len(p.Questions) != 1 || !slices.Equal(p.Questions[0].Servers, []string{"soon"}) {
-		t.Errorf("asked for %+v", p.Questions)
+		t.Errorf("questions: %+v, want one question about server soon", p.Questions)
 	}
 }
 
-// Urgent work is gathered where leases are short, and long work keeps away from
-// there while there is room elsewhere, whatever packs better.
+// Urgent tasks belong on servers with short leases. Other tasks stay away from these servers
+// while there is room elsewhere, even if another server packs better.
 func TestTasksPreferServersWithSuitableLeases(t *testing.T) {
 	shortLease, longLease := server("brief", 4000), server("usual", 4000)
 	shortLease.ShortLease = true
@@ -436,8 +441,8 @@
 	checkPlaced(t, map[string]int{"urgent on brief": 1, "long on usual": 3, "long on brief": 1}, steps.Make(view([]steps.Server{shortLease, longLease}, urgent, long)))
 }
 
-// A plan over a long backlog goes over a thousand servers for each step: it takes
-// tens of milliseconds, and the next one waits five times as long.
+// A plan that iterates over a thousand servers for each step of a long backlog takes tens of
+// milliseconds, and the next plan is delayed by five times that duration.
 func TestPlanReadsPermissionsAndReleasesOnce(t *testing.T) {
 	var servers []steps.Server
 	var items []steps.Item
@@ -468,18 +473,18 @@
 	steps.Make(v)
 	for id, n := range permissionCalls {
 		if n > 1 {
-			t.Errorf("what is known of %v was looked up %d times", id, n)
+			t.Errorf("permissions of step %v were read %d times, want at most once", id, n)
 		}
 	}
 	for s, n := range releaseCalls {
 		if n > 1 {
-			t.Errorf("what %s will have free was worked out %d times", s, n)
+			t.Errorf("releases of server %s were read %d times, want at most once", s, n)
 		}
 	}
 }
 
-// Work placed earlier in a plan takes room: a question that names servers by the
-// room that they had before asks for permits where there is none.
+// Tasks placed earlier in a plan use room. A question ordered by the initial room would request
+// permits for servers that are full by now.
 func TestQuestionsOrderServersByRemainingRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var servers []steps.Server
@@ -510,12 +515,12 @@
 			return gocmp.Or(gocmp.Compare(free[b], free[a]), strings.Compare(a, b))
 		})
 		if got := p.Questions[0].Servers; !slices.Equal(got, want[:len(got)]) {
-			t.Fatalf("asked about %v, by room %v", got, want[:len(got)])
+			t.Fatalf("question names servers %v, want %v", got, want[:len(got)])
 		}
 	})
 }
 
-// A plan over a long backlog keeps its thread for long, and what waits beside it with it.
+// A plan over a long backlog must yield, since it delays all other work of its thread.
 func TestLongPlanYields(t *testing.T) {
 	var items []steps.Item
 	for i := range 100 {
@@ -526,13 +531,12 @@
 	v.Yield = func() { yields++ }
 	steps.Make(v)
 	if yields < 20 {
-		t.Errorf("%d rests in a plan over %d steps", yields, len(items))
+		t.Errorf("plan over %d steps yielded %d times, want at least 20", len(items), yields)
 	}
 }
 
-// The adviser takes half a second for a question, however few servers it names. Asked
-// about one server at a time, all helpers are busy with one kind of work, and the others
-// find nobody to ask.
+// The adviser takes half a second for a question even if it names one server. Questions about
+// single servers would keep all helpers busy with one kind of work.
 func TestQuestionsIncludeServersWithoutRoom(t *testing.T) {
 	const free, full = 1, 120
 	var servers []steps.Server
@@ -548,12 +552,12 @@
 	it.NeedsPermit, it.AdviserAsked, it.QuestionSize = true, true, steps.QuestionSize(advice, 6*time.Second)
 	v := view(servers, it)
 	v.Permissions = permissionsOf(servers, func(flow.StepID, string) steps.Permission { return steps.NotAsked })
-	wants := steps.Make(v).Questions
-	if len(wants) != 1 || len(wants[0].Servers) < 60 {
-		t.Fatalf("%d questions, the first about %d servers", len(wants), len(wants[0].Servers))
+	questions := steps.Make(v).Questions
+	if len(questions) != 1 || len(questions[0].Servers) < 60 {
+		t.Fatalf("%d questions, the first about %d servers, want one about at least 60", len(questions), len(questions[0].Servers))
 	}
-	if wants[0].Servers[0] != "s000" {
-		t.Errorf("the server with room comes behind %s", wants[0].Servers[0])
+	if questions[0].Servers[0] != "s000" {
+		t.Errorf("the first server is %s, want s000, the only one with room", questions[0].Servers[0])
 	}
 }
 
@@ -563,16 +567,16 @@
 		takes      time.Duration
 		want       int
 	}{
-		{480, 6.9, 6 * time.Second, 69},                              // each server costs little beside the question
-		{10, 1, 200 * time.Millisecond, steps.MinServersPerQuestion}, // each server costs much
-		{10, 0.5, 2 * time.Second, 100},                              // there is time for more
-		{0, 0, time.Second, steps.MinServersPerQuestion},             // nothing is known of the cost
-		{900, 1, time.Second, steps.MaxServersPerQuestion},           // the adviser takes no more
-		{100, 1.4, 2700 * time.Millisecond, 71},                      // between the two
+		{480, 6.9, 6 * time.Second, 69},                              // each server costs little compared with the question
+		{10, 1, 200 * time.Millisecond, steps.MinServersPerQuestion}, // each server costs much compared with the question
+		{10, 0.5, 2 * time.Second, 100},                              // the run time allows more servers
+		{0, 0, time.Second, steps.MinServersPerQuestion},             // the cost is unknown
+		{900, 1, time.Second, steps.MaxServersPerQuestion},           // the maximum that the adviser accepts
+		{100, 1.4, 2700 * time.Millisecond, 71},                      // between minimum and maximum
 		{5, 0.5, 200 * time.Millisecond, steps.MinServersPerQuestion},
 	} {
 		if got := steps.QuestionSize(&v1.Advice{Base: c.base, Each: c.each}, c.takes); got != c.want {
-			t.Errorf("%v + %v each, runs of %v: %d servers, want %d", c.base, c.each, c.takes, got, c.want)
+			t.Errorf("base %v ms, %v ms per server, run time %v: %d servers, want %d", c.base, c.each, c.takes, got, c.want)
 		}
 	}
 }
--- a/internal/policy/steps/view.go
+++ b/internal/policy/steps/view.go
@@ -9,118 +9,122 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// Item is a step with tasks that may be placed now.
+// Item is a step with queued tasks that can be placed now.
 type Item struct {
 	*flows.Step
-	// Pool is where its queue sends it.
+	// Pool is the server pool that the queue of the flow uses.
 	Pool string
-	// Priority is its queue's; 0 comes first.
+	// Priority is the priority of the queue. 0 is the highest.
 	Priority uint32
-	// Slack is the time that is left for waiting if the flow is to end in time;
-	// negative when it will be late.
+	// Slack is the time that the step can still wait without missing the objective of its flow.
+	// It is negative when the flow will be late.
 	Slack time.Duration
-	// Late tells that the flow cannot end in time any more, and Hopeless that
-	// its end is worth nothing more to its caller.
+	// Late is true when the flow can no longer end within its objective. Worthless is true when
+	// the end of the flow has no value to its caller any more.
 	Late      bool
 	Worthless bool
-	// Urgent tells that no queue of its pool comes before its own.
+	// Urgent is true when no queue of the same pool has a higher priority.
 	Urgent bool
-	// ExpectedRuntime is how long a task of it should run.
+	// ExpectedRuntime is the expected run time of one task.
 	ExpectedRuntime time.Duration
-	// QuestionSize is how many servers a question about it names where no more are needed.
+	// QuestionSize is the number of servers in a question about the step when the step does not
+	// need more.
 	QuestionSize int
-	// OverShare tells that the customer sent it beyond what it can count on.
+	// OverShare is true when the customer submitted the step beyond its guaranteed share.
 	OverShare bool
-	// FailedOn are servers on which a task of the step failed; they come last.
+	// FailedOn holds the servers on which a task of the step failed. They are used last.
 	FailedOn map[string]bool
-	// NeedsPermit tells that only servers with the adviser's permit may run it, and
-	// Asked that the adviser was asked about some of them.
+	// NeedsPermit is true when only servers with a permit from the adviser may run the step.
+	// AdviserAsked is true when the adviser was asked about some servers.
 	NeedsPermit  bool
 	AdviserAsked bool
 }
 
-// Server is a backend server that takes work now.
+// Server is a backend server that accepts new tasks.
 type Server struct {
 	*flows.Server
-	// Speed is how fast it works beside the others; 1 is the usual.
+	// Speed is the speed relative to the other servers; 1 is the average.
 	Speed float64
-	// Cold tells that it is still slow after its start.
+	// Cold is true while the server is slow because it has just started.
 	Cold bool
-	// RecentlyStarted tells that its life began moments ago: it may crash again by itself.
+	// RecentlyStarted is true just after a start of the server, when it may crash again without
+	// a fault of its tasks.
 	RecentlyStarted bool
-	// OnProbation tells that a task has just begun there that may crash it: nothing else is
-	// placed there meanwhile.
+	// OnProbation is true while a task that is suspected of crashing servers starts there.
+	// Nothing else is placed on the server meanwhile.
 	OnProbation bool
-	// ShortLease tells that urgent work is gathered there, where leases stay short.
+	// ShortLease is true when the server is set aside for urgent work and has a short lease.
 	ShortLease bool
 }
 
-// Permission is what is known of one step on one server.
+// Permission is the known answer of the adviser for one step on one server.
 type Permission uint8
 
-// The permissions.
+// Values of Permission.
 const (
 	// NotAsked means that the adviser was not asked yet.
 	NotAsked Permission = iota
-	// Denied means that the step may never run there.
+	// Denied means that the step may never run on the server.
 	Denied
-	// Stale means that it may, with a permit that has to be asked for anew.
+	// Stale means that the step may run on the server but needs a new permit.
 	Stale
-	// Granted means that a permit is at hand that holds long enough.
+	// Granted means that there is a permit that is valid for long enough.
 	Granted
 )
 
-// View is the picture that a plan is made of.
+// View is the input of a plan.
 type View struct {
 	Items   []Item
 	Servers []Server
-	// RemainingLimit is what a customer may still start.
+	// RemainingLimit returns the size of the tasks that a customer may still start.
 	RemainingLimit func(customer string) capacity.Size
-	// Permissions goes over the servers of which something is known for a step that needs
-	// permits; the others are Unasked.
+	// Permissions iterates over the servers with a known permission for a step that needs
+	// permits. All other servers are NotAsked.
 	Permissions func(id flow.StepID) iter.Seq2[string, Permission]
-	// AllowedShare is the part of the servers asked about that the adviser lets run a
-	// step of the item's queue; nil while nothing is known.
+	// AllowedShare returns the share of servers on which the adviser allows steps of the queue
+	// of the item. It is nil while no share is known.
 	AllowedShare func(it Item) float64
-	// Headroom is what work that is not urgent leaves free in a pool; nil for nothing.
+	// Headroom returns the room in a pool that work which is not urgent leaves free. It is nil
+	// if no headroom is kept.
 	Headroom func(pool string) Headroom
-	// Releases tells what a server will have free again, and when; nil while
+	// Releases returns the room that a server is expected to release, and when. It is nil while
 	// nothing is known.
 	Releases func(server string) []Release
-	// Yield is called now and then while a plan is made; nil for never.
+	// Yield is called at intervals during planning so that other work can run. It may be nil.
 	Yield func()
 }
 
-// Release is room that a server has again when a run should have ended.
+// Release is room that becomes free on a server when a run is expected to end.
 type Release struct {
 	After time.Duration
 	Size  capacity.Size
 }
 
-// Assignment is one task and where it starts.
+// Assignment is a task and the server on which it starts.
 type Assignment struct {
 	flow.TaskID
 	Server string
 }
 
-// Placement is what is started at once of one step; a gang's is whole.
+// Placement holds the tasks of one step that start together. A gang is always complete.
 type Placement struct {
 	Item        Item
 	Assignments []Assignment
 }
 
-// Size returns what the placement takes.
+// Size returns the total size of the tasks in the placement.
 func (p Placement) Size() capacity.Size {
 	return flow.SizeOf(p.Item.Spec).Times(int64(len(p.Assignments)))
 }
 
-// Question is a question to the adviser, the most useful servers first.
+// Question asks the adviser for permits of one step. Its servers are ordered by usefulness,
+// best first.
 type Question struct {
 	Item    Item
 	Servers []string
 }
 
-// Plan is what is decided.
+// Plan holds the tasks to start and the questions to send.
 type Plan struct {
 	Placements []Placement
 	Questions  []Question
--- a/internal/policy/watchdog/watchdog.go
+++ b/internal/policy/watchdog/watchdog.go
@@ -1,51 +1,52 @@
-// Package watchdog judges runs and backend servers by what they show: runs that
-// stand still or crawl, and servers that fail what others run. It is pure.
+// Package watchdog detects runs that are stuck or too slow, and backend servers that fail tasks
+// repeatedly. It has no side effects.
 package watchdog
 
 import "time"
 
-// Bounds of the judgement of runs.
+// Parameters for runs.
 const (
-	// minStall is the shortest standstill, between two lists, that tells anything:
-	// a run that goes on from a checkpoint shows no progress for some time. Somebody
-	// may wait for a run that should be over in less, so that of a short run tells
-	// after stillTimes as long as it should take, that of any after stillMost.
+	// minStall is the shortest time without progress that counts as stuck. A run that resumes
+	// from a checkpoint shows no progress for some time. The threshold is stallFactor times the
+	// typical run time, since a caller may be waiting for a short run, and at most maxStall.
 	minStall    = 800 * time.Millisecond
 	stallFactor = 1.25
 	maxStall    = 2500 * time.Millisecond
-	// stallDivisor is the part of a run's typical time in which a sound one shows
-	// progress at least once, in whole percents.
+	// stallDivisor sets the time within which a healthy run shows progress, in whole percents, to
+	// a tenth of its typical run time.
 	stallDivisor = 10
-	// slowdownFactor is how many times as long the rest of a run must take as
-	// starting it over elsewhere. Declared times are off by up to a few times,
-	// so a small factor would stop sound work.
+	// slowdownFactor is how many times longer the rest of a run must take than a restart on
+	// another server. Declared run times can be wrong by a factor of several, so a small value
+	// would stop healthy runs.
 	slowdownFactor = 3
-	// minSlowTime is the least time a run is looked at before it is judged, and
-	// the least time that moving it must save.
+	// minSlowTime is the minimum time before a run is judged and the minimum time that a
+	// restart must save.
 	minSlowTime = 2 * time.Second
 )
 
-// Run is what is known of a run.
+// Run holds the observed progress of a run.
 type Run struct {
-	// Elapsed is how long it has run, Still how long its progress has not moved.
+	// Elapsed is the time since the start of the run. SinceProgress is the time since its
+	// progress last changed.
 	Elapsed       time.Duration
 	SinceProgress time.Duration
-	// ProgressPercent is its progress.
+	// ProgressPercent is the progress of the run, from 0 to 100.
 	ProgressPercent float64
-	// TypicalRuntime is how long such a run takes on a sound server.
+	// TypicalRuntime is the run time of such a run on a healthy server.
 	TypicalRuntime time.Duration
-	// Checkpoints tells that it goes on elsewhere from where it is.
+	// Checkpoints is true when the run can resume on another server from its present progress.
 	Checkpoints bool
 }
 
-// IsStuck tells that a run stands still: its server hangs, and it would never end.
+// IsStuck reports whether a run has made no progress for so long that its server must be
+// hanging. The run would never end.
 func IsStuck(r Run) bool {
 	threshold := min(max(minStall, time.Duration(stallFactor*float64(r.TypicalRuntime))), maxStall)
 	return r.SinceProgress >= max(threshold, r.TypicalRuntime/stallDivisor)
 }
 
-// IsSlow tells that a run is so slow that it ends sooner when it is started over
-// on a sound server.
+// IsSlow reports whether a run is so slow that it ends sooner if it is restarted on a healthy
+// server.
 func IsSlow(r Run) bool {
 	if r.Elapsed < minSlowTime || r.ProgressPercent <= 0 || r.ProgressPercent >= 100 || r.TypicalRuntime <= 0 {
 		return false
@@ -58,26 +59,27 @@
 	return remaining > slowdownFactor*restarted && remaining-restarted > minSlowTime
 }
 
-// Bounds of the judgement of servers.
+// Parameters for servers.
 const (
-	// minFailures is the number of failures in a row, of different flows, from
-	// which a server is passed over. One task in twenty fails by its own fault,
-	// so two in a row on a sound server are one case in four hundred.
+	// minFailures is the number of failures in a row, of different flows, after which a server
+	// is paused. One task in twenty fails by its own fault, so a healthy server has two failures
+	// in a row in one case in four hundred.
 	minFailures = 2
-	// minPause and lastRest bound how long a server is passed over; the time
-	// doubles with each further failure in a row. What it is given after that is
-	// the test whether it is sound again.
+	// minPause and maxPause limit the time for which a server gets no tasks. The time doubles
+	// with each further failure in a row. The first task after a pause tests whether the server
+	// has recovered.
 	minPause = 500 * time.Millisecond
 	maxPause = 8 * time.Second
 )
 
-// FailureStreak is a server's failures in a row. The zero value is none.
+// FailureStreak counts the failures in a row on a server. The zero value has none.
 type FailureStreak struct {
 	count    int
 	lastFlow string
 }
 
-// RecordFailure notes a failed run and returns how long the server is to be passed over.
+// RecordFailure counts a failed run and returns how long the server is to be paused. Several
+// failures of the same flow count once.
 func (s *FailureStreak) RecordFailure(flow string) time.Duration {
 	if s.lastFlow != flow || s.count == 0 {
 		s.count++
@@ -89,5 +91,5 @@
 	return min(minPause<<min(s.count-minFailures, 10), maxPause)
 }
 
-// RecordSuccess notes a run that ended well.
+// RecordSuccess ends the streak after a successful run.
 func (s *FailureStreak) RecordSuccess() { *s = FailureStreak{} }
--- a/internal/policy/watchdog/watchdog_test.go
+++ b/internal/policy/watchdog/watchdog_test.go
@@ -7,8 +7,8 @@
 	"gypsumreel/internal/policy/watchdog"
 )
 
-// A server hangs: what it runs shows the same progress for ever. A long run that
-// shows a percent now and then is sound.
+// The progress of a run on a hanging server never changes. A long run that advances by one
+// percent from time to time is healthy.
 func TestStuck(t *testing.T) {
 	for _, c := range []struct {
 		still, typical time.Duration
@@ -28,8 +28,8 @@
 	}
 }
 
-// A server has turned slow by many times. Its runs end sooner elsewhere, the more
-// so when they go on from a checkpoint; a run that is off by twice is left alone.
+// Runs on a server that has become many times slower end sooner elsewhere, even more so if they
+// resume from a checkpoint. A run that takes twice the expected time is left alone.
 func TestIsSlow(t *testing.T) {
 	for _, c := range []struct {
 		elapsed time.Duration
@@ -51,22 +51,22 @@
 	}
 }
 
-// A server fails all that it starts, and at once, so it always has room: without
-// a pause it would draw in everything that waits and use up its attempts.
+// A server that fails every task at once always has free room. Without a pause it would attract
+// all waiting tasks and use up their attempts.
 func TestFailureStreak(t *testing.T) {
 	var s watchdog.FailureStreak
 	if d := s.RecordFailure("a"); d != 0 {
-		t.Errorf("one failure rests it for %v", d)
+		t.Errorf("one failure pauses the server for %v", d)
 	}
 	if d := s.RecordFailure("a"); d != 0 {
-		t.Errorf("two tasks of one flow rest it for %v", d)
+		t.Errorf("two failed tasks of one flow pause the server for %v", d)
 	}
 	first, second := s.RecordFailure("b"), s.RecordFailure("c")
 	if first == 0 || second != 2*first {
-		t.Errorf("rests of %v and %v", first, second)
+		t.Errorf("pauses of %v and %v, want the second to be twice the first", first, second)
 	}
 	s.RecordSuccess()
 	if d := s.RecordFailure("d"); d != 0 {
-		t.Errorf("one failure after a good end rests it for %v", d)
+		t.Errorf("one failure after a success pauses the server for %v", d)
 	}
 }
