--- a/internal/policy/simulator/plan.go
+++ b/internal/policy/simulator/plan.go
@@ -113,16 +113,16 @@
 
 func (m *Simulation) startTasks(p steps.Placement) {
 	start := &record.FlowStart{}
-	for _, place := range p.Assignments {
-		id := flow.RunID{TaskID: place.TaskID, Number: p.Item.Tasks[place.Index].Number + 1}
-		start.Places = append(start.Places, &record.FlowPlace{Run: id.Message(), Server: place.Server})
-		m.DecisionHash = m.DecisionHash*31 + xxhash.Sum64String(id.String()+place.Server+m.now.String())
+	for _, assignment := range p.Assignments {
+		id := flow.RunID{TaskID: assignment.TaskID, Number: p.Item.Tasks[assignment.Index].Number + 1}
+		start.Places = append(start.Places, &record.FlowPlace{Run: id.Message(), Server: assignment.Server})
+		m.DecisionHash = m.DecisionHash*31 + xxhash.Sum64String(id.String()+assignment.Server+m.now.String())
 	}
 	if !m.apply(&record.Flow{What: &record.Flow_Start{Start: start}}) {
 		return
 	}
-	for _, place := range start.GetPlaces() {
-		s, id := m.servers[place.GetServer()], flow.RunOf(place.GetRun())
+	for _, assignment := range start.GetPlaces() {
+		s, id := m.servers[assignment.GetServer()], flow.RunOf(assignment.GetRun())
 		m.scheduleAfter(commitTime+callTime, func() { m.startRun(s, id, p.Item.Step) })
 	}
 }
--- a/internal/policy/simulator/request.go
+++ b/internal/policy/simulator/request.go
@@ -12,8 +12,8 @@
 
 // Callers.
 const (
-	// maxTries is how often a caller asks in all.
-	maxTries = 5
+	// maxAttempts is how often a caller asks in all.
+	maxAttempts = 5
 	// retryDelay is when a caller returns that found no leader; it spreads by half.
 	retryDelay = time.Second
 	// leaderTimeout is how long a request waits for a leader.
@@ -40,7 +40,7 @@
 	objective time.Duration
 	value     float64
 	cpuWork   float64
-	tries     int
+	attempts  int
 	accepted  bool
 	endedAt   time.Duration
 }
@@ -123,22 +123,22 @@
 
 // submit hands a request in; without a leader for long its caller comes back later.
 func (m *Simulation) submit(req *request) {
-	req.tries++
+	req.attempts++
 	if m.hasLeader {
 		m.scheduleAfter(commitTime, func() { m.whenLeader(func() { m.accept(req) }) })
 		return
 	}
 	submittedAt := m.now
-	settled := false
+	answered := false
 	m.waitingForLeader = append(m.waitingForLeader, func() {
-		if !settled && m.now-submittedAt <= leaderTimeout {
-			settled = true
+		if !answered && m.now-submittedAt <= leaderTimeout {
+			answered = true
 			m.accept(req)
 		}
 	})
 	m.scheduleAfter(leaderTimeout, func() {
-		if !settled {
-			settled = true
+		if !answered {
+			answered = true
 			m.retry(req, retryDelay)
 		}
 	})
@@ -146,7 +146,7 @@
 
 // retry lets a caller that was refused come back, unless it has tried enough.
 func (m *Simulation) retry(req *request, delay time.Duration) {
-	if req.tries < maxTries {
+	if req.attempts < maxAttempts {
 		m.scheduleAfter(time.Duration(float64(delay)*(0.75+0.5*m.rng.Float64())), func() { m.submit(req) })
 	}
 }
--- a/internal/policy/simulator/scenario.go
+++ b/internal/policy/simulator/scenario.go
@@ -47,9 +47,9 @@
 
 // serverSpec is a server as it was drawn.
 type serverSpec struct {
-	id, rack string
-	cores    int64
-	speed    float64
+	id, rack   string
+	milliCores int64
+	speed      float64
 }
 
 // Scenario is what is played; all of it follows from the seed and the size.
--- a/internal/policy/simulator/simulation.go
+++ b/internal/policy/simulator/simulation.go
@@ -69,16 +69,16 @@
 
 // event is something that happens at a time.
 type event struct {
-	at  time.Duration
-	seq int
-	fn  func()
+	time     time.Duration
+	sequence int
+	action   func()
 }
 
 type events []event
 
 func (q events) Len() int { return len(q) }
 func (q events) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+	return q[i].time < q[j].time || q[i].time == q[j].time && q[i].sequence < q[j].sequence
 }
 func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
@@ -95,12 +95,12 @@
 
 // Simulation is one play.
 type Simulation struct {
-	scenario Scenario
-	policy   Policy
-	rng      *rand.Rand
-	now      time.Duration
-	queue    events
-	seq      int
+	scenario     Scenario
+	policy       Policy
+	rng          *rand.Rand
+	now          time.Duration
+	queue        events
+	lastSequence int
 
 	ledger    *flows.Ledger
 	helpers   *helpers.Pool
@@ -151,18 +151,18 @@
 	m.scheduleFaults()
 	m.tick()
 	end := m.scenario.Duration + drainTime
-	for len(m.queue) > 0 && m.queue[0].at <= end {
+	for len(m.queue) > 0 && m.queue[0].time <= end {
 		e := heap.Pop(&m.queue).(event)
-		m.now = e.at
-		e.fn()
+		m.now = e.time
+		e.action()
 	}
 	return m.result()
 }
 
 // schedule lets fn happen at a time.
 func (m *Simulation) schedule(t time.Duration, fn func()) {
-	m.seq++
-	heap.Push(&m.queue, event{max(t, m.now), m.seq, fn})
+	m.lastSequence++
+	heap.Push(&m.queue, event{max(t, m.now), m.lastSequence, fn})
 }
 
 func (m *Simulation) scheduleAfter(d time.Duration, fn func()) { m.schedule(m.now+d, fn) }
@@ -225,7 +225,7 @@
 		m.serverIDs = append(m.serverIDs, s.id)
 		m.apply(&record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{
 			Id: s.id, Born: 1, Address: s.id, Pool: pool, Machine: s.id, Labels: []string{s.rack},
-			Capacity: &v1.Size{Cpu: s.cores, Memory: 1 << 30},
+			Capacity: &v1.Size{Cpu: s.milliCores, Memory: 1 << 30},
 		}}})
 	}
 	for i := range m.scenario.HelperCount {
