--- a/internal/policy/health/budget.go
+++ b/internal/policy/health/budget.go
@@ -95,6 +95,7 @@
 	b.failures = len(b.failedServers)
 }
 
+// Failures returns the number of failed tasks that still count.
 func (b *Budget) Failures() int { return b.failures }
 
 // FailedOn reports whether a task of the job failed on the server.
--- a/internal/policy/simulator/plan.go
+++ b/internal/policy/simulator/plan.go
@@ -19,14 +19,15 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// stepAdvice is what is known of the adviser's mind about one step.
+// stepAdvice holds the answers of the adviser for one step: the allowed servers and the time
+// until which each permit is valid.
 type stepAdvice struct {
 	allowed          map[string]bool
 	permitUntil      map[string]time.Duration
 	pendingQuestions int
 }
 
-// plan decides once.
+// plan makes one plan, starts its placements and sends its questions.
 func (m *Simulation) plan() {
 	v := steps.View{RemainingLimit: m.remainingLimit, Permissions: m.permissions, AllowedShare: func(steps.Item) float64 { return m.scenario.AllowedShare }}
 	if m.policy.Disabled&GangReservation == 0 {
@@ -55,7 +56,7 @@
 	m.askPending()
 }
 
-// item describes a ready step, as the policy of the play has it.
+// item returns the planner input for a ready step under the simulated policy.
 func (m *Simulation) item(s *flows.Step) steps.Item {
 	queue, _ := m.ledger.QueueOf(s.Flow)
 	timing, ok := m.timings[s.StepID]
@@ -82,6 +83,7 @@
 	return it
 }
 
+// questionSize returns the number of servers in a question about a step.
 func (m *Simulation) questionSize(a *v1.Advice, runtime time.Duration) int {
 	if m.policy.Disabled&QuestionSize != 0 {
 		return steps.MinServersPerQuestion
@@ -89,16 +91,18 @@
 	return steps.QuestionSize(a, runtime)
 }
 
+// remainingLimit returns a limit that is never reached.
 func (m *Simulation) remainingLimit(string) capacity.Size {
 	return capacity.Size{CPU: 1 << 50, Memory: 1 << 50, Accel: 1 << 50}
 }
 
-// headroom leaves a quarter second's worth of urgent starts free.
+// headroom returns room for the urgent tasks that arrive in a quarter of a second.
 func (m *Simulation) headroom(string) steps.Headroom {
 	k := m.scenario.Kinds[0]
 	return steps.Headroom{Size: capacity.Size{CPU: int64(k.CPU), Memory: 1}, Tasks: int64(k.Rate * k.MeanTasks / 4)}
 }
 
+// releases returns the expected ends of the runs on a server, earliest first.
 func (m *Simulation) releases(id string) []steps.Release {
 	var out []steps.Release
 	for _, r := range m.servers[id].runs {
@@ -111,6 +115,7 @@
 	return out
 }
 
+// startTasks applies a placement to the ledger and starts its runs.
 func (m *Simulation) startTasks(p steps.Placement) {
 	start := &record.FlowStart{}
 	for _, assignment := range p.Assignments {
@@ -127,7 +132,7 @@
 	}
 }
 
-// permissions tells the planner what is known of a step on servers.
+// permissions iterates over the servers with a known permission for a step.
 func (m *Simulation) permissions(id flow.StepID) iter.Seq2[string, steps.Permission] {
 	a := m.advice[id]
 	if a == nil {
@@ -136,7 +141,7 @@
 	return steps.Permissions(a.allowed, func(server string) bool { return m.now < a.permitUntil[server] })
 }
 
-// askPending asks what the plan wants to know, as far as helpers are free.
+// askPending sends the pending questions while helpers are idle.
 func (m *Simulation) askPending() {
 	var unsent []steps.Question
 	for i, question := range m.questions {
@@ -151,6 +156,8 @@
 	m.questions = unsent
 }
 
+// askQuestion sends a question in one or more parts. It returns false if the question has to be
+// sent later because no helper is idle.
 func (m *Simulation) askQuestion(question steps.Question) bool {
 	a := m.advice[question.Item.StepID]
 	if a == nil {
@@ -174,6 +181,7 @@
 	return true
 }
 
+// sendQuestion sends one question through a helper and schedules its answer.
 func (m *Simulation) sendQuestion(a *stepAdvice, h *helpers.Helper, id flow.StepID, servers []string, duration time.Duration) {
 	a.pendingQuestions++
 	m.questionCount++
@@ -183,7 +191,7 @@
 		a.pendingQuestions--
 		m.changed = true
 		for _, s := range servers {
-			// Which servers may run a step never changes.
+			// The draw depends only on the step and the server, so the answer never changes.
 			draw := float64(xxhash.Sum64String(id.String()+s)) / float64(math.MaxUint64)
 			a.allowed[s] = draw < m.scenario.AllowedShare
 			a.permitUntil[s] = m.now + permitValidity
--- a/internal/policy/simulator/request.go
+++ b/internal/policy/simulator/request.go
@@ -10,42 +10,46 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// Callers.
+// Parameters of callers and requests.
 const (
-	// maxAttempts is how often a caller asks in all.
+	// maxAttempts is the total number of attempts of a caller.
 	maxAttempts = 5
-	// retryDelay is when a caller returns that found no leader; it spreads by half.
+	// retryDelay is the mean delay before a retry when there is no leader. The actual delay
+	// varies by up to a quarter in both directions.
 	retryDelay = time.Second
 	// leaderTimeout is how long a request waits for a leader.
 	leaderTimeout = 1200 * time.Millisecond
-	// maxRelativeValue bounds a request's worth beside the mean of its kind.
+	// maxRelativeValue limits the value of a request as a multiple of the value of its kind.
 	maxRelativeValue = 4
-	// sizeDeviation is that of run times and task counts, off that of declared times, and
-	// uneven that of the tasks of one step.
+	// The standard deviations of the logarithms: sizeDeviation of mean run times and task
+	// counts, estimateDeviation of declared run times, taskDeviation of the run times of the
+	// tasks of one step.
 	sizeDeviation     = 0.5
 	estimateDeviation = 0.4
 	taskDeviation     = 0.15
 )
 
-// request is what one caller wants.
+// request is a simulated request of a caller.
 type request struct {
 	id          string
 	kind        int
 	customer    string
 	submittedAt time.Duration
 	spec        *v1.FlowSpec
-	// runtimes is the true run time of each task on a usual server, by step.
+	// runtimes holds the true run time of each task on a server of speed 1, by step.
 	runtimes [][]time.Duration
-	// objective counts from the first try; worth is what it earns in time.
+	// objective is the time allowed from the first attempt. value is the value of the request
+	// if it ends within that time.
 	objective time.Duration
 	value     float64
-	cpuWork   float64
-	attempts  int
-	accepted  bool
-	endedAt   time.Duration
+	// cpuWork is the total CPU time of the tasks, in thousandths of a core-second.
+	cpuWork  float64
+	attempts int
+	accepted bool
+	endedAt  time.Duration
 }
 
-// scheduleRequests draws all requests of the play.
+// scheduleRequests generates all requests and schedules their arrivals.
 func (m *Simulation) scheduleRequests() {
 	for i, k := range m.scenario.Kinds {
 		for t := 0.0; ; {
@@ -67,7 +71,7 @@
 	}
 }
 
-// generateRequest draws one request.
+// generateRequest generates one random request of a kind.
 func (m *Simulation) generateRequest(kind int, at time.Duration) *request {
 	k := m.scenario.Kinds[kind]
 	req := &request{id: fmt.Sprintf("%d-%05d", kind, len(m.requests)), kind: kind, customer: m.randomCustomer(), submittedAt: at}
@@ -92,7 +96,7 @@
 		for range n {
 			runtime := time.Duration(mean * math.Exp(taskDeviation*m.rng.NormFloat64()) * float64(time.Second))
 			if step.GetGang() && len(runtimes) > 0 {
-				runtime = runtimes[0] // the members of a gang end together
+				runtime = runtimes[0] // tasks of a gang end together
 			}
 			runtimes, longestTask = append(runtimes, runtime), max(longestTask, runtime)
 			req.cpuWork += runtime.Seconds() * k.CPU
@@ -106,7 +110,7 @@
 	return req
 }
 
-// randomCustomer draws who sends a request.
+// randomCustomer returns a random customer in proportion to the weights.
 func (m *Simulation) randomCustomer() string {
 	sum := 0.0
 	for _, weight := range m.scenario.CustomerWeights {
@@ -121,7 +125,8 @@
 	return customerName(0)
 }
 
-// submit hands a request in; without a leader for long its caller comes back later.
+// submit submits a request. If there is no leader within leaderTimeout, the caller retries
+// later.
 func (m *Simulation) submit(req *request) {
 	req.attempts++
 	if m.hasLeader {
@@ -144,13 +149,14 @@
 	})
 }
 
-// retry lets a caller that was refused come back, unless it has tried enough.
+// retry schedules the next attempt of a caller, unless it has used all its attempts.
 func (m *Simulation) retry(req *request, delay time.Duration) {
 	if req.attempts < maxAttempts {
 		m.scheduleAfter(time.Duration(float64(delay)*(0.75+0.5*m.rng.Float64())), func() { m.submit(req) })
 	}
 }
 
+// accept adds the flow of the request to the ledger.
 func (m *Simulation) accept(req *request) {
 	req.accepted = true
 	m.apply(&record.Flow{What: &record.Flow_Accept{Accept: &record.FlowAccept{Queue: m.scenario.Kinds[req.kind].Name, Customer: req.customer, Spec: req.spec}}})
--- a/internal/policy/simulator/result.go
+++ b/internal/policy/simulator/result.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// lateFactor is up to how many objectives a late end is worth something, and
-// latePart how much of it.
+// maxLateObjectives is the multiple of its objective up to which the late end of a request has
+// some value, and lateValue is that value as a part of the full one.
 const (
 	maxLateObjectives = 3
 	lateValue         = 0.2
-	// window is the span of the worst moments.
+	// window is the length of the time windows in the result.
 	window = 2 * time.Second
-	// minUnserved is the unserved part that counts as full service.
+	// minUnserved is the share of unserved requests that counts as full service.
 	minUnserved = 0.001
 )
 
-// Share is what was earned of what was owed.
+// Share is the value earned out of the value that was possible.
 type Share struct{ Earned, Owed float64 }
 
-// Value returns the part that was earned; 1 where nothing was owed.
+// Value returns the earned part of the possible value. It is 1 if no value was possible.
 func (s Share) Value() float64 {
 	if s.Owed == 0 {
 		return 1
@@ -30,33 +30,38 @@
 
 func (s *Share) add(earned, owed float64) { s.Earned += earned; s.Owed += owed }
 
-// Result is what callers got.
+// Result is the outcome of a simulation for the callers.
 type Result struct {
 	Overall Share
 	Kinds   []Share
-	// WorstWindows and Tenants are the two worst windows and the worst tenth of customers.
+	// WorstWindows is the mean share of the two worst time windows, WorstCustomers that of the
+	// worst tenth of the customers.
 	WorstWindows, WorstCustomers float64
 	WorstKind                    float64
-	// Nines counts the unserved on a log scale: 1 at a thousandth, 0 for all.
+	// Nines is the share of unserved requests on a logarithmic scale. It is 1 for one unserved
+	// request in a thousand and 0 if all are unserved.
 	Nines                            float64
 	Requests, InTime, Late, Unserved int
 	Refused                          int
-	// WastedCoreSeconds are core-seconds thrown away, Busy the part of all cores in use while
-	// something waits, Asking the helpers busy with questions on the mean.
+	// WastedCoreSeconds is the CPU time of runs that were lost or stopped. Utilization is the
+	// share of CPU in use while steps are waiting. BusyHelpers is the mean number of helpers
+	// that are busy with questions.
 	WastedCoreSeconds, Utilization, BusyHelpers float64
 	Questions                                   int
-	// UrgentLatency are the median and 90th percentile of the time that urgent requests took
-	// in the worst window, in seconds.
+	// UrgentLatency holds the median and the 90th percentile of the latency of urgent requests
+	// in the worst time window, in seconds.
 	UrgentLatency [2]float64
 }
 
-// Score weighs the parts as the users do.
+// Score returns the weighted mean of the parts of the result. The weights are those of the
+// users.
 func (r Result) Score() float64 {
 	const overall, nines, customers, windows, kind = 0.4, 0.35, 0.2, 0.15, 0.1
 	sum := overall*r.Overall.Value() + nines*r.Nines + customers*r.WorstCustomers + windows*r.WorstWindows + kind*r.WorstKind
 	return sum / (overall + nines + customers + windows + kind)
 }
 
+// result computes the result of the simulation.
 func (m *Simulation) result() Result {
 	r := Result{Kinds: make([]Share, len(m.scenario.Kinds)), WastedCoreSeconds: m.wastedCoreSeconds, Utilization: m.utilization.Value(), BusyHelpers: m.helperSeconds / m.scenario.Duration.Seconds(), Questions: m.questionCount}
 	customers := map[string]*Share{}
@@ -91,16 +96,16 @@
 	r.WorstKind = meanOfWorst(r.Kinds, 1)
 	unserved := max(float64(r.Unserved)/float64(max(r.Requests, 1)), minUnserved)
 	r.Nines = math.Log(unserved) / math.Log(minUnserved)
-	for _, windowIndex := range latencies {
-		slices.Sort(windowIndex)
-		if n := len(windowIndex); n > 0 && windowIndex[n/2] > r.UrgentLatency[0] {
-			r.UrgentLatency = [2]float64{windowIndex[n/2], windowIndex[n*9/10]}
+	for _, sorted := range latencies {
+		slices.Sort(sorted)
+		if n := len(sorted); n > 0 && sorted[n/2] > r.UrgentLatency[0] {
+			r.UrgentLatency = [2]float64{sorted[n/2], sorted[n*9/10]}
 		}
 	}
 	return r
 }
 
-// valueOf returns what a request earned, and counts it.
+// valueOf returns the value earned by a request and counts the request in the result.
 func (m *Simulation) valueOf(req *request, r *Result) float64 {
 	r.Requests++
 	duration := req.endedAt - req.submittedAt
--- a/internal/policy/simulator/scenario.go
+++ b/internal/policy/simulator/scenario.go
@@ -10,71 +10,75 @@
 	v1 "gypsumreel/internal/api/v1"
 )
 
+// pool is the name of the only server pool.
 const pool = "pool"
 
-// Kind is one kind of request.
+// Kind describes one kind of request.
 type Kind struct {
 	Name     string
 	Priority uint32
-	// Rate is requests a second, Chain the steps that follow each other, Tasks
-	// those of a step, Work the seconds a task runs and CPU its thousandths of a core.
+	// Rate is the number of requests per second. MeanSteps is the mean number of consecutive
+	// steps, MeanTasks the mean number of tasks per step, MeanRuntime the mean run time of a
+	// task in seconds. CPU is in thousandths of a core.
 	Rate        float64
 	MeanSteps   float64
 	MeanTasks   float64
 	MeanRuntime float64
 	CPU         float64
 	Checkpoints bool
-	// GangShare is the part of its steps whose tasks start and end together.
+	// GangShare is the share of steps whose tasks start and end together.
 	GangShare float64
-	// Factor and Target (milliseconds) are those of the objective.
+	// Factor and Target set the objective: Factor times the run time, plus Target milliseconds.
 	Factor float64
 	Target uint64
-	// QuestionBase and Each are what a question costs, in milliseconds.
+	// QuestionBase and QuestionPerServer are the duration of a question to the adviser, in
+	// milliseconds: a base and an addition for each server.
 	QuestionBase, QuestionPerServer float64
-	// Value is what one in time is worth.
+	// Value is the mean value of a request that ends within its objective.
 	Value float64
 }
 
-// Surge is a time in which a kind of request comes more often.
+// Surge is a period in which requests of one kind arrive more often, by Factor.
 type Surge struct {
 	Kind       int
 	Start, End time.Duration
 	Factor     float64
 }
 
-// Outage is a time in which something is missing: the leader, some servers, helpers.
+// Outage is a period in which the leader or a server is not available.
 type Outage struct{ Start, End time.Duration }
 
-// serverSpec is a server as it was drawn.
+// serverSpec describes one server of a scenario.
 type serverSpec struct {
 	id, rack   string
 	milliCores int64
 	speed      float64
 }
 
-// Scenario is what is played; all of it follows from the seed and the size.
+// Scenario describes a simulation. It is fully determined by its seed and size.
 type Scenario struct {
 	Seed        uint64
 	Duration    time.Duration
 	Servers     []serverSpec
 	HelperCount int
 	Kinds       []Kind
-	// CustomerWeights are the parts of the traffic that each sends.
+	// CustomerWeights are the relative amounts of traffic of the customers.
 	CustomerWeights []float64
 	Lease           time.Duration
 	Surges          []Surge
-	// LeaderOutages are the times without a leader, Silent those of servers by their
-	// place, Leave when servers leave, Weak is how often a run fails by itself.
+	// LeaderOutages are the periods without a leader. ServerOutages and Shutdowns are the
+	// disconnections and shutdowns of servers, by server index. FailureRate is the probability
+	// that a run fails by its own fault.
 	LeaderOutages []Outage
 	ServerOutages map[int]Outage
 	Shutdowns     map[int]time.Duration
 	FailureRate   float64
-	// AllowedShare is the part of the servers that may run a step.
+	// AllowedShare is the share of servers on which the adviser allows a step.
 	AllowedShare float64
 }
 
-// GenerateScenario returns a set-up of about n servers. Sizes, mixes and troubles follow from
-// the seed.
+// GenerateScenario returns a random scenario with about n servers. Equal seeds give equal
+// scenarios.
 func GenerateScenario(seed uint64, n int) Scenario {
 	r := rand.New(rand.NewPCG(seed, 3))
 	uniform := func(a, b float64) float64 { return a + (b-a)*r.Float64() }
@@ -97,7 +101,8 @@
 	return s
 }
 
-// generateKinds draws the mix, so that it takes between four fifths of the room and somewhat more than all.
+// generateKinds generates the kinds of requests. Their total load is between 80 and 115 percent
+// of the capacity.
 func (s *Scenario) generateKinds(totalCPU float64, uniform func(a, b float64) float64) {
 	load := uniform(0.8, 1.15)
 	sizeFactor := math.Sqrt(float64(len(s.Servers)) / 48)
@@ -117,7 +122,7 @@
 	}
 }
 
-// generateFaults draws what goes wrong.
+// generateFaults generates surges, outages and shutdowns.
 func (s *Scenario) generateFaults(r *rand.Rand, n int, uniform func(a, b float64) float64) {
 	seconds := func(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 	start := uniform(4, 10)
@@ -146,7 +151,7 @@
 	}
 }
 
-// document returns the configuration document.
+// document returns the configuration document of the cell.
 func (s Scenario) document() *v1.Document {
 	d := &v1.Document{Version: 1, Text: []byte("model"), Pools: []*v1.Pool{{Name: pool}}}
 	for _, k := range s.Kinds {
--- a/internal/policy/simulator/server.go
+++ b/internal/policy/simulator/server.go
@@ -9,26 +9,27 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// server is a backend server of a play.
+// server is a simulated backend server.
 type server struct {
 	spec         serverSpec
 	disconnected bool
-	// silenceDetected tells that the leader knows of its silence.
+	// silenceDetected is true when the leader has detected that the server is silent.
 	silenceDetected bool
 	lastHeard       time.Duration
 	runs            map[flow.TaskID]*run
-	// pendingReports is what the leader hears when it answers again.
+	// pendingReports are delivered to the leader when the server is connected again.
 	pendingReports []func()
 }
 
-// run is a run on a server.
+// run is a task that is running on a server.
 type run struct {
 	flow.RunID
 	startedAt, endsAt time.Duration
 	step              *flows.Step
 }
 
-// scheduleFaults brings what goes wrong.
+// scheduleFaults schedules the leader outages, server outages and server shutdowns of the
+// scenario.
 func (m *Simulation) scheduleFaults() {
 	for _, outage := range m.scenario.LeaderOutages {
 		m.schedule(outage.Start, func() { m.hasLeader = false })
@@ -50,11 +51,11 @@
 	}
 }
 
-// restoreLeader lets somebody lead again.
+// restoreLeader ends a leader outage and runs the actions that waited for a leader.
 func (m *Simulation) restoreLeader() {
 	for _, outage := range m.scenario.LeaderOutages {
 		if m.now >= outage.Start && m.now < outage.End {
-			return // another absence goes on
+			return // another outage overlaps
 		}
 	}
 	m.hasLeader, m.changed, m.questions = true, true, nil
@@ -65,7 +66,7 @@
 	}
 }
 
-// disconnect cuts a server off. What it runs goes on until its lease is over.
+// disconnect cuts off a server until the given time. Its runs continue until its lease expires.
 func (m *Simulation) disconnect(s *server, until time.Duration) {
 	s.disconnected, s.lastHeard = true, m.now
 	m.scheduleAfter(detectionTime, func() { s.silenceDetected = s.disconnected })
@@ -85,7 +86,7 @@
 	})
 }
 
-// expireLease ends all that a silent server ran.
+// expireLease ends all runs of a server that is still disconnected.
 func (m *Simulation) expireLease(s *server) {
 	if !s.disconnected {
 		return
@@ -97,14 +98,15 @@
 	m.apply(&record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: s.spec.id, Born: 1}}})
 }
 
-// coreSeconds returns the core-seconds that a run has used.
+// coreSeconds returns the core-seconds that a run has used so far.
 func (m *Simulation) coreSeconds(r *run) float64 {
 	return (m.now - r.startedAt).Seconds() * float64(r.step.Spec.GetSize().GetCpu()) / 1000
 }
 
-// shutdownTime is how long a server that leaves works on.
+// shutdownTime is how long a server keeps running its tasks after the start of its shutdown.
 const shutdownTime = 2 * time.Second
 
+// shutDown starts the shutdown of a server. Runs that do not end within shutdownTime are lost.
 func (m *Simulation) shutDown(s *server) {
 	b, _ := m.ledger.Server(s.spec.id)
 	m.apply(&record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{
@@ -121,12 +123,12 @@
 	})
 }
 
-// startRun lets a run begin on a server.
+// startRun starts a run on a server and schedules its end.
 func (m *Simulation) startRun(s *server, id flow.RunID, step *flows.Step) {
 	f, ok := m.ledger.Flow(id.Flow)
 	unwanted := !ok || f.Final() || step.Tasks[id.Index].Phase != flows.Placed
 	if s.disconnected || unwanted {
-		// What does not begin is known to have ended once the server can be asked.
+		// The run is reported as lost as soon as the server can be reached.
 		m.report(s, func() { m.recordEnd(s, id, inner.RunEnd_RUN_END_LOST) })
 		return
 	}
@@ -147,7 +149,8 @@
 	})
 }
 
-// report lets the leader know something of a server, when it can.
+// report delivers a report from a server to the leader, once the server is connected and there
+// is a leader.
 func (m *Simulation) report(s *server, fn func()) {
 	if s.disconnected {
 		s.pendingReports = append(s.pendingReports, fn)
@@ -156,6 +159,7 @@
 	m.scheduleAfter(callTime, func() { m.whenLeader(fn) })
 }
 
+// runEnded updates runtimeRatio after a successful run and records the end of the run.
 func (m *Simulation) runEnded(s *server, r *run, runEnd inner.RunEnd) {
 	if declared := r.step.Spec.GetRuntime(); runEnd == inner.RunEnd_RUN_END_DONE && declared > 0 {
 		m.runtimeRatio += 0.02 * (float64((r.endsAt-r.startedAt)/time.Millisecond)/float64(declared) - m.runtimeRatio)
@@ -163,6 +167,8 @@
 	m.recordEnd(s, r.RunID, runEnd)
 }
 
+// recordEnd applies the end of a run to the ledger and stores the end time of its flow if the
+// flow is final.
 func (m *Simulation) recordEnd(s *server, id flow.RunID, runEnd inner.RunEnd) {
 	m.apply(&record.Flow{What: &record.Flow_Ends{Ends: &record.FlowEnds{Server: s.spec.id, Born: 1, Ends: []*record.FlowEnd{{Run: id.Message(), How: runEnd}}}}})
 	if f, ok := m.ledger.Flow(id.Flow); ok && f.Final() {
--- a/internal/policy/simulator/simulation.go
+++ b/internal/policy/simulator/simulation.go
@@ -1,9 +1,9 @@
-// Package model plays flows in virtual time: backend servers with speeds, silences
-// and leases, an adviser that takes one question at a time from each process,
-// callers who come back, and a leader that is gone for a while. It drives the
-// product's own decisions (packages ledger/flows, policy/steps and policy/crew), so
-// that a change of policy is seen over hundreds of seeds before a cell runs it. What it does not model, it cannot show: the processors of our own
-// processes, and anything of the network but delays and silences.
+// Package simulator runs flows in virtual time, so that a change of policy can be tested with
+// hundreds of seeds before it is deployed. It simulates backend servers with different speeds,
+// disconnections and leases, an adviser that takes one question at a time from each helper,
+// callers that retry, and leader outages. The decisions are made by the production packages
+// ledger/flows, policy/steps and policy/helpers. The simulator does not cover the CPU use of
+// our own processes or network faults other than delays and silent servers.
 package simulator
 
 import (
@@ -23,25 +23,25 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// Times of the cell.
+// Durations used by the simulated cell.
 const (
-	// commitTime is how long a commit takes, callTime a call to a server.
+	// commitTime is the duration of a commit, callTime that of a call to a server.
 	commitTime = 12 * time.Millisecond
 	callTime   = 5 * time.Millisecond
-	// detectionTime is how long a server is silent before that is noticed.
+	// detectionTime is the time until the leader detects a silent server.
 	detectionTime = 300 * time.Millisecond
-	// planInterval is the pause between two plans.
+	// planInterval is the time between two plans.
 	planInterval = 20 * time.Millisecond
-	// permitValidity is how long a permit holds.
+	// permitValidity is the time for which a permit is valid.
 	permitValidity = 1200 * time.Millisecond
-	// drainTime is how long flows are waited for after the last arrival.
+	// drainTime is the time that the simulation continues after the last request arrives.
 	drainTime = 20 * time.Second
 )
 
-// Mechanism is a mechanism that can be left out of a play.
+// Mechanism is a part of the policy that can be disabled in a simulation.
 type Mechanism uint
 
-// The mechanisms.
+// The mechanisms, as bits of a set.
 const (
 	Headroom Mechanism = 1 << iota
 	GangReservation
@@ -52,34 +52,42 @@
 	ImmediateQuestions
 )
 
-// Mechanisms names the mechanisms.
+// Mechanisms maps the names of the command line to mechanisms.
 var Mechanisms = map[string]Mechanism{
 	"headroom": Headroom, "kept-room": GangReservation, "in-time-first": LateLast, "slack": SlackOrder, "width": QuestionSize, "side-by-side": ParallelQuestions, "ask-on": ImmediateQuestions,
 }
 
-// Policy is how a play decides.
+// Policy selects how a simulation makes its decisions.
 type Policy struct {
-	// Disabled are the mechanisms left out.
+	// Disabled is the set of disabled mechanisms.
 	Disabled Mechanism
-	// FIFO takes everything in the order of arrival, Strict by priority alone.
+	// FIFO orders flows by arrival. StrictPriority orders them by priority, then by arrival.
 	FIFO, StrictPriority bool
-	// Lease is how long a server may run on unheard.
+	// Lease is how long a server keeps running tasks without contact to the leader. Zero
+	// selects the value of the scenario.
 	Lease time.Duration
 }
 
-// event is something that happens at a time.
+// event is an action that is due at a virtual time. Events with the same time run in the order
+// of their sequence numbers.
 type event struct {
 	time     time.Duration
 	sequence int
 	action   func()
 }
 
+// events is a heap of events ordered by time.
 type events []event
 
+// Len is part of heap.Interface.
 func (q events) Len() int { return len(q) }
+
+// Less is part of heap.Interface.
 func (q events) Less(i, j int) bool {
 	return q[i].time < q[j].time || q[i].time == q[j].time && q[i].sequence < q[j].sequence
 }
+
+// Swap is part of heap.Interface.
 func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push is part of heap.Interface.
@@ -93,7 +101,7 @@
 	return last
 }
 
-// Simulation is one play.
+// Simulation is the state of one simulation.
 type Simulation struct {
 	scenario     Scenario
 	policy       Policy
@@ -106,31 +114,32 @@
 	helpers   *helpers.Pool
 	servers   map[string]*server
 	serverIDs []string
-	// hasLeader tells that somebody leads; back holds what waits for that.
+	// hasLeader is true when there is a leader. waitingForLeader holds the actions that wait
+	// for the next one.
 	hasLeader        bool
 	waitingForLeader []func()
 
 	advice    map[flow.StepID]*stepAdvice
 	questions []steps.Question
 	timings   map[flow.StepID]steps.Timing
-	// runtimeRatio is how long runs take beside what was declared.
+	// runtimeRatio is the average ratio of observed to declared run time.
 	runtimeRatio float64
 	changed      bool
 	plannedAt    time.Duration
 	planCount    int
 
 	requests map[string]*request
-	// DecisionHash is a hash over all placements: the same seed gives the same.
+	// DecisionHash is a hash of all placements. Equal seeds give equal hashes.
 	DecisionHash      uint64
 	questionCount     int
 	wastedCoreSeconds float64
-	// utilization is the part of the room in use while something waits, asking the
-	// seconds that helpers spent on questions.
+	// utilization is the share of CPU in use while steps are waiting. helperSeconds is the
+	// total time that helpers spent on questions.
 	utilization   Share
 	helperSeconds float64
 }
 
-// New sets a play up.
+// New returns a simulation of a scenario.
 func New(s Scenario, p Policy) *Simulation {
 	m := &Simulation{
 		scenario: s, policy: p, rng: rand.New(rand.NewPCG(s.Seed, 11)), ledger: flows.New(), helpers: helpers.New(),
@@ -143,7 +152,7 @@
 	return m
 }
 
-// Run plays to the end and returns what callers got.
+// Run runs the simulation to its end and returns the results for the callers.
 func (m *Simulation) Run() Result {
 	m.apply(&record.Flow{What: &record.Flow_Document{Document: m.scenario.document()}})
 	m.addServers()
@@ -159,15 +168,16 @@
 	return m.result()
 }
 
-// schedule lets fn happen at a time.
+// schedule runs fn at virtual time t.
 func (m *Simulation) schedule(t time.Duration, fn func()) {
 	m.lastSequence++
 	heap.Push(&m.queue, event{max(t, m.now), m.lastSequence, fn})
 }
 
+// scheduleAfter runs fn after a virtual delay.
 func (m *Simulation) scheduleAfter(d time.Duration, fn func()) { m.schedule(m.now+d, fn) }
 
-// whenLeader lets fn happen once somebody leads.
+// whenLeader runs fn as soon as there is a leader.
 func (m *Simulation) whenLeader(fn func()) {
 	if m.hasLeader {
 		fn()
@@ -176,6 +186,7 @@
 	m.waitingForLeader = append(m.waitingForLeader, fn)
 }
 
+// apply applies a record to the ledger and reports whether the ledger accepted it.
 func (m *Simulation) apply(f *record.Flow) bool {
 	m.changed = true
 	ok := m.ledger.Apply(m.now, f) == nil
@@ -183,8 +194,8 @@
 	return ok
 }
 
-// stopUnwantedRuns stops the members of gangs that lost one, and what ran for flows
-// that have failed.
+// stopUnwantedRuns stops the remaining runs of gangs that have lost a member and the runs of
+// failed flows.
 func (m *Simulation) stopUnwantedRuns() {
 	unwanted := m.ledger.Unwanted()
 	for _, id := range slices.SortedFunc(maps.Keys(unwanted), func(a, b flow.TaskID) int {
@@ -200,7 +211,8 @@
 	}
 }
 
-// tick plans as often as the leader does.
+// tick makes a plan if something has changed, records the utilization and schedules the next
+// tick.
 func (m *Simulation) tick() {
 	if m.hasLeader && m.changed {
 		m.changed = false
@@ -218,7 +230,7 @@
 	}
 }
 
-// addServers brings the servers and the helpers.
+// addServers adds the servers and helpers of the scenario.
 func (m *Simulation) addServers() {
 	for _, s := range m.scenario.Servers {
 		m.servers[s.id] = &server{spec: s, runs: map[flow.TaskID]*run{}, lastHeard: m.now}
