--- a/internal/load/trial/main.go
+++ b/internal/load/trial/main.go
@@ -113,7 +113,7 @@
 	{"whole", func(r simulator.Result) float64 { return r.Overall.Value() }},
 	{"windows", func(r simulator.Result) float64 { return r.WorstWindows }},
 	{"tenants", func(r simulator.Result) float64 { return r.WorstCustomers }},
-	{"nines", func(r simulator.Result) float64 { return r.Nines }},
+	{"nines", func(r simulator.Result) float64 { return r.UnservedScore }},
 	{"urgent", func(r simulator.Result) float64 { return r.Kinds[0].Value() }},
 	{"plan", func(r simulator.Result) float64 { return r.Kinds[1].Value() }},
 	{"batch", func(r simulator.Result) float64 { return r.Kinds[2].Value() }},
--- a/internal/policy/health/health_test.go
+++ b/internal/policy/health/health_test.go
@@ -56,37 +56,37 @@
 // A thousand failures of a job that has never succeeded are no evidence against the server. A
 // few failures of a job that succeeds on other servers are.
 func TestFaultDetectorDistinguishesBadJobsFromBadServers(t *testing.T) {
-	g := health.NewFaultDetector()
+	detector := health.NewFaultDetector()
 	for range 1000 {
-		g.RecordFailure(health.JobName{Team: "a", Name: "bad"}, 1, 0)
+		detector.RecordFailure(health.JobName{Team: "a", Name: "bad"}, 1, 0)
 	}
-	if g.ShouldQuarantine(1, 100) {
+	if detector.ShouldQuarantine(1, 100) {
 		t.Error("a job that always fails causes the quarantine of a server")
 	}
-	good := health.JobName{Team: "a", Name: "good"}
+	reliableJob := health.JobName{Team: "a", Name: "good"}
 	for range 20 {
-		g.RecordSuccess(good, 2)
+		detector.RecordSuccess(reliableJob, 2)
 	}
 	for range 4 {
-		g.RecordFailure(good, 3, 0)
+		detector.RecordFailure(reliableJob, 3, 0)
 	}
-	if !g.ShouldQuarantine(3, 100) {
+	if !detector.ShouldQuarantine(3, 100) {
 		t.Error("a server that fails a job which succeeds elsewhere is not quarantined")
 	}
 }
 
 // A failed probe doubles the delay before the next one.
 func TestProbeDelayDoubles(t *testing.T) {
-	g := health.NewFaultDetector()
-	n := health.JobName{Name: "n"}
-	g.Quarantine(1, 0)
-	got := []bool{g.MayProbe(1, health.FirstProbeDelay-1), g.MayProbe(1, health.FirstProbeDelay)}
-	g.RecordFailure(n, 1, health.FirstProbeDelay)
-	got = append(got, g.MayProbe(1, 2*health.FirstProbeDelay), g.MayProbe(1, 3*health.FirstProbeDelay))
-	g.RecordSuccess(n, 1)
-	got = append(got, g.Recovered(1))
-	g.RecordSuccess(n, 1)
-	got = append(got, g.Recovered(1))
+	detector := health.NewFaultDetector()
+	job := health.JobName{Name: "n"}
+	detector.Quarantine(1, 0)
+	got := []bool{detector.MayProbe(1, health.FirstProbeDelay-1), detector.MayProbe(1, health.FirstProbeDelay)}
+	detector.RecordFailure(job, 1, health.FirstProbeDelay)
+	got = append(got, detector.MayProbe(1, 2*health.FirstProbeDelay), detector.MayProbe(1, 3*health.FirstProbeDelay))
+	detector.RecordSuccess(job, 1)
+	got = append(got, detector.Recovered(1))
+	detector.RecordSuccess(job, 1)
+	got = append(got, detector.Recovered(1))
 	if diff := cmp.Diff([]bool{false, true, false, true, false, true}, got); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/policy/simulator/result.go
+++ b/internal/policy/simulator/result.go
@@ -38,9 +38,9 @@
 	// worst tenth of the customers.
 	WorstWindows, WorstCustomers float64
 	WorstKind                    float64
-	// Nines is the share of unserved requests on a logarithmic scale. It is 1 for one unserved
+	// UnservedScore is the share of unserved requests on a logarithmic scale. It is 1 for one unserved
 	// request in a thousand and 0 if all are unserved.
-	Nines                            float64
+	UnservedScore                    float64
 	Requests, InTime, Late, Unserved int
 	Refused                          int
 	// WastedCoreSeconds is the CPU time of runs that were lost or stopped. Utilization is the
@@ -56,9 +56,9 @@
 // Score returns the weighted mean of the parts of the result. The weights are those of the
 // users.
 func (r Result) Score() float64 {
-	const overall, nines, customers, windows, kind = 0.4, 0.35, 0.2, 0.15, 0.1
-	sum := overall*r.Overall.Value() + nines*r.Nines + customers*r.WorstCustomers + windows*r.WorstWindows + kind*r.WorstKind
-	return sum / (overall + nines + customers + windows + kind)
+	const overall, unserved, customers, windows, kind = 0.4, 0.35, 0.2, 0.15, 0.1
+	sum := overall*r.Overall.Value() + unserved*r.UnservedScore + customers*r.WorstCustomers + windows*r.WorstWindows + kind*r.WorstKind
+	return sum / (overall + unserved + customers + windows + kind)
 }
 
 // result computes the result of the simulation.
@@ -95,7 +95,7 @@
 	r.WorstCustomers = meanOfWorst(all, (len(all)+9)/10)
 	r.WorstKind = meanOfWorst(r.Kinds, 1)
 	unserved := max(float64(r.Unserved)/float64(max(r.Requests, 1)), minUnserved)
-	r.Nines = math.Log(unserved) / math.Log(minUnserved)
+	r.UnservedScore = math.Log(unserved) / math.Log(minUnserved)
 	for _, sorted := range latencies {
 		slices.Sort(sorted)
 		if n := len(sorted); n > 0 && sorted[n/2] > r.UrgentLatency[0] {
--- a/internal/policy/simulator/scenario.go
+++ b/internal/policy/simulator/scenario.go
@@ -13,8 +13,8 @@
 // pool is the name of the only server pool.
 const pool = "pool"
 
-// Kind describes one kind of request.
-type Kind struct {
+// RequestKind describes one kind of request.
+type RequestKind struct {
 	Name     string
 	Priority uint32
 	// Rate is the number of requests per second. MeanSteps is the mean number of consecutive
@@ -61,7 +61,7 @@
 	Duration    time.Duration
 	Servers     []serverSpec
 	HelperCount int
-	Kinds       []Kind
+	Kinds       []RequestKind
 	// CustomerWeights are the relative amounts of traffic of the customers.
 	CustomerWeights []float64
 	Lease           time.Duration
@@ -106,7 +106,7 @@
 func (s *Scenario) generateKinds(totalCPU float64, uniform func(a, b float64) float64) {
 	load := uniform(0.8, 1.15)
 	sizeFactor := math.Sqrt(float64(len(s.Servers)) / 48)
-	s.Kinds = []Kind{
+	s.Kinds = []RequestKind{
 		{Name: "urgent", Priority: 0, MeanSteps: 1, MeanTasks: uniform(2, 3), MeanRuntime: 0.8, Factor: 1.5, Target: 250, QuestionBase: 7, QuestionPerServer: 0.1, Value: 0.4},
 		{Name: "plan", Priority: 1, MeanSteps: 1.2, MeanTasks: uniform(6, 8) * sizeFactor, MeanRuntime: 6.2, Checkpoints: true, Factor: 2.2, Target: 1000, QuestionBase: 480, QuestionPerServer: 6.9, Value: 15},
 		{Name: "batch", Priority: 2, MeanSteps: 1.5, MeanTasks: 10 * sizeFactor, MeanRuntime: 2.7, Factor: 4, Target: 3000, QuestionBase: 60, QuestionPerServer: 0.8, Value: 2.5},
--- a/internal/policy/steps/bench_test.go
+++ b/internal/policy/steps/bench_test.go
@@ -61,30 +61,30 @@
 // A burst in a large cell: many new steps, as many steps with known permissions, and a thousand
 // servers of which four fifths are in use.
 func BenchmarkBurst(b *testing.B) {
-	const all, most, few = 1100, 150, 60
+	const serverCount, itemCount, knownPerItem = 1100, 150, 60
 	var servers []steps.Server
-	for i := range all {
+	for i := range serverCount {
 		s := server(fmt.Sprintf("s%04d", i), 16000)
 		s.Used = capacity.Size{CPU: int64(i*37*4) % 16000}
 		s.ShortLease = i%5 == 0
 		servers = append(servers, s)
 	}
-	may := map[flow.StepID]map[string]steps.Permission{}
+	permissions := map[flow.StepID]map[string]steps.Permission{}
 	var items []steps.Item
-	for i := range most {
+	for i := range itemCount {
 		it := item(fmt.Sprintf("f%03d", i), tasks(4, 3900))
 		it.NeedsPermit, it.Urgent, it.Priority = true, i%3 > 0, uint32(i%3)
 		if i%2 == 0 {
 			it.AdviserAsked = true
-			may[it.StepID] = map[string]steps.Permission{}
-			for j := range few {
-				may[it.StepID][servers[(i*31+j*17)%all].ID] = steps.Permission(1 + j%3)
+			permissions[it.StepID] = map[string]steps.Permission{}
+			for j := range knownPerItem {
+				permissions[it.StepID][servers[(i*31+j*17)%serverCount].ID] = steps.Permission(1 + j%3)
 			}
 		}
 		items = append(items, it)
 	}
 	v := view(servers, items...)
-	v.Permissions = func(id flow.StepID) iter.Seq2[string, steps.Permission] { return maps.All(may[id]) }
+	v.Permissions = func(id flow.StepID) iter.Seq2[string, steps.Permission] { return maps.All(permissions[id]) }
 	v.AllowedShare = func(steps.Item) float64 { return 0.3 }
 	v.Releases = func(string) []steps.Release {
 		return []steps.Release{{After: time.Second, Size: capacity.Size{CPU: 3000}}, {After: 100 * time.Millisecond, Size: capacity.Size{CPU: 3000}}}
--- a/internal/policy/steps/pacer_test.go
+++ b/internal/policy/steps/pacer_test.go
@@ -10,17 +10,17 @@
 // Under overload, a plan takes 20 ms and the input changes on every turn of the thread. A
 // leader that plans on every turn misses its heartbeats and is deposed.
 func TestPlanningUsesABoundedPartOfTheThread(t *testing.T) {
-	const turn, plan = time.Millisecond, 20 * time.Millisecond
+	const turnTime, planTime = time.Millisecond, 20 * time.Millisecond
 	var p steps.Pacer
 	now, planning := time.Hour, time.Duration(0)
 	begin := now
 	for now < begin+10*time.Second {
 		if p.Due(now, true) {
-			p.Record(now, plan)
-			now += plan
-			planning += plan
+			p.Record(now, planTime)
+			now += planTime
+			planning += planTime
 		}
-		now += turn
+		now += turnTime
 	}
 	if share := planning.Seconds() / (now - begin).Seconds(); share > 0.25 || share < 0.1 {
 		t.Errorf("planning takes %.2f of the time of the thread, want 0.1 to 0.25", share)
--- a/internal/policy/steps/steps_test.go
+++ b/internal/policy/steps/steps_test.go
@@ -104,18 +104,18 @@
 }
 
 func TestCompareOrdersItems(t *testing.T) {
-	urgent, patient, surplus, hopeless := item("urgent", tasks(1, 1)), item("patient", tasks(1, 1)), item("surplus", tasks(1, 1)), item("hopeless", tasks(1, 1))
+	urgent, early, overShare, worthless := item("urgent", tasks(1, 1)), item("early", tasks(1, 1)), item("over share", tasks(1, 1)), item("worthless", tasks(1, 1))
 	late := item("late", tasks(1, 1))
-	patient.Priority, patient.Slack = 1, time.Second
+	early.Priority, early.Slack = 1, time.Second
 	late.Priority, late.Slack = 1, -time.Second
-	surplus.OverShare, hopeless.Worthless = true, true
-	items := []steps.Item{hopeless, surplus, patient, late, urgent}
+	overShare.OverShare, worthless.Worthless = true, true
+	items := []steps.Item{worthless, overShare, early, late, urgent}
 	slices.SortFunc(items, steps.Compare)
 	var got []string
 	for _, it := range items {
 		got = append(got, it.Flow.ID)
 	}
-	if diff := cmp.Diff([]string{"urgent", "late", "patient", "surplus", "hopeless"}, got); diff != "" {
+	if diff := cmp.Diff([]string{"urgent", "late", "early", "over share", "worthless"}, got); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -125,11 +125,11 @@
 func TestBlockedStepsDoNotDelayOtherSteps(t *testing.T) {
 	var items []steps.Item
 	for i := range 400 {
-		it := item(fmt.Sprintf("limited%03d", i), tasks(1, 1000))
-		it.Flow.Customer = "limited"
-		label := item(fmt.Sprintf("label%03d", i), tasks(1, 1000))
-		label.Spec.Label = "nowhere"
-		items = append(items, it, label)
+		limited := item(fmt.Sprintf("limited%03d", i), tasks(1, 1000))
+		limited.Flow.Customer = "limited"
+		unplaceable := item(fmt.Sprintf("label%03d", i), tasks(1, 1000))
+		unplaceable.Spec.Label = "nowhere"
+		items = append(items, limited, unplaceable)
 	}
 	last := item("last", tasks(1, 1000))
 	last.Priority = 9
@@ -140,10 +140,10 @@
 		}
 		return capacity.Size{CPU: 1 << 40, Memory: 1 << 40, Accel: 1 << 40}
 	}
-	for turn := range 20 {
-		w := v
-		w.Items = steps.SelectItems(v, turn)
-		if len(placed(steps.Make(w))) > 0 {
+	for planNumber := range 20 {
+		selected := v
+		selected.Items = steps.SelectItems(v, planNumber)
+		if len(placed(steps.Make(selected))) > 0 {
 			return
 		}
 	}
@@ -201,10 +201,10 @@
 func TestShortTasksUseRoomReservedForAGang(t *testing.T) {
 	a, b := server("a", 4000), server("b", 4000)
 	a.Used = capacity.Size{CPU: 3000}
-	large, short, long := item("gang", gang(2, 4000)), item("short", tasks(9, 1000)), item("long", tasks(9, 1000))
+	gangItem, short, long := item("gang", gang(2, 4000)), item("short", tasks(9, 1000)), item("long", tasks(9, 1000))
 	short.Priority, short.ExpectedRuntime = 1, time.Second
 	long.Priority, long.ExpectedRuntime = 2, 4*time.Second
-	v := view([]steps.Server{a, b}, large, short, long)
+	v := view([]steps.Server{a, b}, gangItem, short, long)
 	v.Releases = func(id string) []steps.Release {
 		if id != "a" {
 			return nil
@@ -212,24 +212,24 @@
 		return []steps.Release{{After: 3 * time.Second, Size: capacity.Size{CPU: 3000}}}
 	}
 	checkPlaced(t, map[string]int{"short on a": 1, "short on b": 4}, steps.Make(v))
-	v.Items = []steps.Item{large, long}
+	v.Items = []steps.Item{gangItem, long}
 	checkPlaced(t, map[string]int{}, steps.Make(v))
 }
 
 // Long tasks fill every server, and urgent tasks wait seconds for room unless headroom is left
 // for them.
 func TestHeadroomIsLeftForUrgentTasks(t *testing.T) {
-	quote, batch := item("quote", tasks(2, 1000)), item("batch", tasks(20, 1000))
-	quote.Urgent, batch.Priority = true, 2
+	urgent, batch := item("urgent", tasks(2, 1000)), item("batch", tasks(20, 1000))
+	urgent.Urgent, batch.Priority = true, 2
 	v := view([]steps.Server{server("a", 4000), server("b", 4000)}, batch)
 	v.Headroom = func(string) steps.Headroom { return steps.Headroom{Size: capacity.Size{CPU: 1000}, Tasks: 2} }
 	checkPlaced(t, map[string]int{"batch on a": 4, "batch on b": 2}, steps.Make(v))
-	v.Items = append(v.Items, quote)
-	checkPlaced(t, map[string]int{"quote on a": 2, "batch on a": 2, "batch on b": 2}, steps.Make(v))
-	wide := item("wide", gang(3, 2000))
-	wide.Priority = 2
-	v.Items = []steps.Item{quote, wide}
-	checkPlaced(t, map[string]int{"quote on a": 2}, steps.Make(v))
+	v.Items = append(v.Items, urgent)
+	checkPlaced(t, map[string]int{"urgent on a": 2, "batch on a": 2, "batch on b": 2}, steps.Make(v))
+	largeGang := item("wide", gang(3, 2000))
+	largeGang.Priority = 2
+	v.Items = []steps.Item{urgent, largeGang}
+	checkPlaced(t, map[string]int{"urgent on a": 2}, steps.Make(v))
 	// Room that is too small for an urgent task is not headroom and is used.
 	v.Headroom = func(string) steps.Headroom { return steps.Headroom{Size: capacity.Size{CPU: 3000}, Tasks: 2} }
 	v.Items = []steps.Item{batch}
@@ -287,9 +287,9 @@
 // Under overload, a flow that is already late comes after flows that can still end in time.
 // Otherwise all flows would end late.
 func TestLateFlowsDoNotDelayOthers(t *testing.T) {
-	late, fresh := item("late", tasks(4, 1000)), item("fresh", tasks(4, 1000))
-	late.Late, late.Slack, fresh.Priority = true, -time.Second, 2
-	checkPlaced(t, map[string]int{"fresh on a": 4}, steps.Make(view([]steps.Server{server("a", 4000)}, late, fresh)))
+	late, onTime := item("late", tasks(4, 1000)), item("on time", tasks(4, 1000))
+	late.Late, late.Slack, onTime.Priority = true, -time.Second, 2
+	checkPlaced(t, map[string]int{"on time on a": 4}, steps.Make(view([]steps.Server{server("a", 4000)}, late, onTime)))
 }
 
 // A gang needs many servers, and the adviser allows only a part of them. Finding them with
@@ -407,13 +407,13 @@
 // All servers are full, and the permits of a waiting step have expired. If new permits were
 // requested only once there is room, the room would be idle while the adviser answers.
 func TestPermitsAreRequestedBeforeServersHaveRoom(t *testing.T) {
-	soon, late, free := server("soon", 4000), server("late", 4000), server("other", 4000)
-	for _, s := range []steps.Server{soon, late, free} {
+	freeSoon, busyForLong, denied := server("soon", 4000), server("late", 4000), server("other", 4000)
+	for _, s := range []steps.Server{freeSoon, busyForLong, denied} {
 		s.Used = capacity.Size{CPU: 4000}
 	}
 	it := item("x", tasks(2, 4000))
 	it.NeedsPermit, it.AdviserAsked = true, true
-	v := view([]steps.Server{soon, late, free}, it)
+	v := view([]steps.Server{freeSoon, busyForLong, denied}, it)
 	v.Permissions = permissionsOf(v.Servers, func(_ flow.StepID, server string) steps.Permission {
 		if server == "other" {
 			return steps.Denied
@@ -421,8 +421,8 @@
 		return steps.Stale
 	})
 	v.Releases = func(server string) []steps.Release {
-		in := map[string]time.Duration{"soon": 500 * time.Millisecond, "late": time.Minute, "other": 0}[server]
-		return []steps.Release{{After: in, Size: capacity.Size{CPU: 4000}}}
+		delays := map[string]time.Duration{"soon": 500 * time.Millisecond, "late": time.Minute, "other": 0}[server]
+		return []steps.Release{{After: delays, Size: capacity.Size{CPU: 4000}}}
 	}
 	p := steps.Make(v)
 	if len(p.Questions) != 1 || !slices.Equal(p.Questions[0].Servers, []string{"soon"}) {
@@ -538,11 +538,11 @@
 // The adviser takes half a second for a question even if it names one server. Questions about
 // single servers would keep all helpers busy with one kind of work.
 func TestQuestionsIncludeServersWithoutRoom(t *testing.T) {
-	const free, full = 1, 120
+	const idleCount, fullCount = 1, 120
 	var servers []steps.Server
-	for i := range free + full {
+	for i := range idleCount + fullCount {
 		s := server(fmt.Sprintf("s%03d", i), 1000)
-		if i >= free {
+		if i >= idleCount {
 			s.Used = s.Capacity
 		}
 		servers = append(servers, s)
