--- a/internal/policy/simulator/result.go
+++ b/internal/policy/simulator/result.go
@@ -38,8 +38,8 @@
 	// worst tenth of the customers.
 	WorstWindows, WorstCustomers float64
 	WorstKind                    float64
-	// UnservedScore is the share of unserved requests on a logarithmic scale. It is 1 for one unserved
-	// request in a thousand and 0 if all are unserved.
+	// UnservedScore is the share of unserved requests on a logarithmic scale. It is 1 if at
+	// most one request in a thousand is unserved and 0 if all are unserved.
 	UnservedScore                    float64
 	Requests, InTime, Late, Unserved int
 	Refused                          int
--- a/internal/policy/steps/candidate.go
+++ b/internal/policy/steps/candidate.go
@@ -25,8 +25,9 @@
 	return cmp.Or(c.penalty-other.penalty, cmp.Compare(c.free.CPU, other.free.CPU), c.index-other.index)
 }
 
-// Penalties, the most important first: a task of the step failed on the server; the server is
-// cold; it is outside the preferred rack; its lease does not suit the item; it is slow.
+// Penalties in ascending order of importance: the server is slow, its lease does not suit the
+// item, it is outside the preferred rack, it is cold, a task of the step failed there. Each
+// penalty outweighs all smaller ones together.
 const (
 	maxSpeedClass = 1 << 20
 	leasePenalty  = 2 * maxSpeedClass
--- a/internal/policy/steps/steps.go
+++ b/internal/policy/steps/steps.go
@@ -30,7 +30,8 @@
 	spareServers = 4
 	// minReservedGangs is the number of gangs of a pool that can have reservations at a time. A
 	// pool can have one more for every serversPerReservedGang servers, since more gangs wait in
-	// a large pool. Reserved room is idle until the last server of the gang is free.
+	// a large pool. Reserved room is idle until the last server of the gang is free. The same
+	// limit applies to the steps that request permits before there is room.
 	minReservedGangs       = 4
 	serversPerReservedGang = 100
 	// itemsPerYield is the number of items that are placed between two calls of Yield.
@@ -184,9 +185,9 @@
 	}
 }
 
-// Compare orders items: worthless ones last, before them those over the share of their
-// customer, before these the late ones, which would make the items behind them late as well.
-// The remaining order is by priority, then by slack, least first.
+// Compare orders items. Late items come after items that can end in time, since they would make
+// those late as well. Items over the share of their customer come after all others, and
+// worthless items come last. The remaining order is by priority, then by slack, least first.
 func Compare(a, b Item) int {
 	return cmp.Or(
 		compareBool(a.Worthless, b.Worthless),
--- a/internal/policy/steps/view.go
+++ b/internal/policy/steps/view.go
@@ -117,8 +117,7 @@
 	return flow.SizeOf(p.Item.Spec).Times(int64(len(p.Assignments)))
 }
 
-// Question asks the adviser for permits of one step. Its servers are ordered by usefulness,
-// best first.
+// Question asks the adviser for permits of one step. The most useful servers come first.
 type Question struct {
 	Item    Item
 	Servers []string
