--- a/internal/control/leader/ask.go
+++ b/internal/control/leader/ask.go
@@ -148,8 +148,8 @@
 	}
 	waits := l.st.Backlog()
 	err, retry := admit.Check(command.Spec(owner, spec), admit.View{
-		Row: row, Waiting: l.st.Waiting(owner), Cell: waits.Jobs, Bound: l.Backlog, Teams: waits.Teams,
-		Largest: l.st.Kinds(), Total: l.st.Total(),
+		Row: row, TeamWaiting: l.st.Waiting(owner), CellWaiting: waits.Jobs, MaxWaiting: l.Backlog, WaitingTeams: waits.Teams,
+		ServerSizes: l.st.Kinds(), TotalCapacity: l.st.Total(),
 	}, rand.Float64())
 	if err != nil {
 		return err.Code, retry
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -119,7 +119,7 @@
 		}
 		if r.GetUsed() != nil {
 			at := l.clock() - time.Duration(r.GetAge())*time.Millisecond
-			l.lead.planner.Use(a.ID, command.Size(r.GetUsed()), at)
+			l.lead.planner.SetUsage(a.ID, command.Size(r.GetUsed()), at)
 		}
 	}
 }
--- a/internal/policy/cell/books.go
+++ b/internal/policy/cell/books.go
@@ -17,172 +17,172 @@
 // server is a backend server with what is committed on it.
 type server struct {
 	backend.Server
-	num int32
+	number int32
 	// committed is the sum of max(declared, reported) of all tasks held.
 	committed capacity.Size
 	// reserved is the room promised to claims and to the urgent reserve.
 	reserved capacity.Size
-	tasks    []*holding
+	tasks    []*placedTask
 	rack     *rack
-	// shown is the room that rack, zone and cell have been told of.
-	shown   capacity.Size
-	counted bool
-	spot    fit.Spot[*server]
-	// rooms are the pieces of the urgent reserve on the server.
-	rooms int
-	// silent is when it was last found silent.
-	silent time.Duration
-	// restored is when bringing it back was last decided.
-	restored time.Duration
+	// countedFree is the room that rack, zone and cell have been told of.
+	countedFree capacity.Size
+	inTotals    bool
+	element     fit.Element[*server]
+	// reserveBlockCount are the pieces of the urgent reserve on the server.
+	reserveBlockCount int
+	// silentSince is when it was last found silent.
+	silentSince time.Duration
+	// restoreDecidedAt is when bringing it back was last decided.
+	restoreDecidedAt time.Duration
 }
 
-// room returns what is neither committed nor reserved; fields may be negative.
-func (s *server) room() capacity.Size { return s.actual().Sub(s.reserved) }
+// available returns what is neither committed nor reserved; fields may be negative.
+func (s *server) available() capacity.Size { return s.uncommitted().Sub(s.reserved) }
 
-// actual returns what is not committed.
-func (s *server) actual() capacity.Size { return s.Capacity.Sub(s.committed) }
+// uncommitted returns what is not committed.
+func (s *server) uncommitted() capacity.Size { return s.Capacity.Sub(s.committed) }
 
-type rackName struct{ zone, rack string }
+type rackKey struct{ zone, rack string }
 
 type rack struct {
-	rackName
-	spot    fit.Spot[*rack]
+	rackKey
+	element fit.Element[*rack]
 	zone    *zone
 	servers []*server
 	free    capacity.Size
 }
 
 type zone struct {
-	name  string
-	racks []*rack
-	free  capacity.Size
-	rooms int
-	index *fit.Index[*server]
+	name              string
+	racks             []*rack
+	free              capacity.Size
+	reserveBlockCount int
+	index             *fit.Index[*server]
 }
 
-// account is a team with what it holds and waits for.
-type account struct {
-	name  string
-	row   team.Row
-	known bool
-	held  capacity.Size
-	// leaving is the part of held that is being stopped.
-	leaving capacity.Size
-	wants   capacity.Size
-	// hopeless is the part of wants that no server could hold.
-	hopeless capacity.Size
-	// coming is the room that claims hold for the team.
-	coming capacity.Size
-	// target is the part of the cell that is the team's due with what it wants now.
-	target float64
-	// fair is the target, or what the team could have at least if it wanted more.
-	fair   float64
-	ratio  float64
-	queues [job.Service + 1]*queue.Queue[task.ID, *unit]
-	// victims are the tasks that may be preempted, the youngest first.
-	victims *queue.Queue[task.ID, *holding]
-	// steady are the tasks of services, the youngest first.
-	steady *queue.Queue[task.ID, *holding]
-	// gangs counts the gangs that wait.
-	gangs int
-	// gathers is the gang that room is being kept for.
-	gathers *unit
-	// sizes counts what waits of each size, urgent work aside.
-	sizes   tally
-	blocked uint64
+// teamState is a team with what it holds and waits for.
+type teamState struct {
+	name      string
+	row       team.Row
+	inTable   bool
+	allocated capacity.Size
+	// stopping is the part of held that is being stopped.
+	stopping capacity.Size
+	waiting  capacity.Size
+	// unplaceable is the part of wants that no server could hold.
+	unplaceable capacity.Size
+	// reserved is the room that claims hold for the team.
+	reserved capacity.Size
+	// targetShare is the part of the cell that is the team's due with what it wants now.
+	targetShare float64
+	// fairShare is the target, or what the team could have at least if it wanted more.
+	fairShare  float64
+	usageRatio float64
+	queues     [job.Service + 1]*queue.Queue[task.ID, *unit]
+	// preemptibleTasks are the tasks that may be preempted, the youngest first.
+	preemptibleTasks *queue.Queue[task.ID, *placedTask]
+	// serviceTasks are the tasks of services, the youngest first.
+	serviceTasks *queue.Queue[task.ID, *placedTask]
+	// waitingGangCount counts the gangs that wait.
+	waitingGangCount int
+	// reservingGang is the gang that room is being kept for.
+	reservingGang *unit
+	// waitingSizes counts what waits of each size, urgent work aside.
+	waitingSizes    sizeCounts
+	blockedRevision uint64
 }
 
-// holding is a task on a server.
-type holding struct {
-	plan.Held
-	work    *work
-	account *account
-	srv     *server
-	// size is max(declared, reported).
-	size capacity.Size
-	// queued is the wait that the placement ended.
-	queued plan.Queued
-	// attempts is the number of attempts made before.
-	attempts uint32
-	// assumed is true until the ledger confirms the placement.
-	assumed   bool
-	usedAt    time.Duration
-	throttled time.Duration
-	exceeds   bool
-	listed    bool
-	// curbed is true when it was stopped for using more than declared.
-	curbed bool
-	pos    int
+// placedTask is a task on a server.
+type placedTask struct {
+	plan.PlacedTask
+	jobState *jobState
+	team     *teamState
+	server   *server
+	// countedSize is max(declared, reported).
+	countedSize capacity.Size
+	// waitingTask is the wait that the placement ended.
+	waitingTask plan.WaitingTask
+	// priorAttempts is the number of attempts made before.
+	priorAttempts uint32
+	// unconfirmed is true until the ledger confirms the placement.
+	unconfirmed     bool
+	usageAt         time.Duration
+	throttledAt     time.Duration
+	exceedsDeclared bool
+	inOveruseList   bool
+	// stoppedForUsage is true when it was stopped for using more than declared.
+	stoppedForUsage bool
+	jobIndex        int
 }
 
-func neediest(a, b *account) bool {
-	if a.ratio != b.ratio {
-		return a.ratio < b.ratio
+func byUsageRatio(a, b *teamState) bool {
+	if a.usageRatio != b.usageRatio {
+		return a.usageRatio < b.usageRatio
 	}
 	return a.name < b.name
 }
 
-func youngest(a, b *holding) bool {
-	if a.Since != b.Since {
-		return a.Since > b.Since
+func youngestFirst(a, b *placedTask) bool {
+	if a.PlacedAt != b.PlacedAt {
+		return a.PlacedAt > b.PlacedAt
 	}
 	return a.ID.Compare(b.ID) > 0
 }
 
-func (p *Planner) account(name string) *account {
-	if c := p.teams[name]; c != nil {
-		return c
+func (p *Planner) team(name string) *teamState {
+	if t := p.teams[name]; t != nil {
+		return t
 	}
-	c := &account{name: name}
-	c.row, c.known = p.table.Row(name)
-	for k := range c.queues {
-		c.queues[k] = queue.New(unitKey, before)
+	t := &teamState{name: name}
+	t.row, t.inTable = p.table.Row(name)
+	for k := range t.queues {
+		t.queues[k] = queue.New(unitKey, byRank)
 	}
-	c.victims = queue.New(func(h *holding) task.ID { return h.ID }, youngest)
-	c.steady = queue.New(func(h *holding) task.ID { return h.ID }, youngest)
-	p.teams[name] = c
-	p.order.Add(c)
-	return c
+	t.preemptibleTasks = queue.New(func(pt *placedTask) task.ID { return pt.ID }, youngestFirst)
+	t.serviceTasks = queue.New(func(pt *placedTask) task.ID { return pt.ID }, youngestFirst)
+	p.teams[name] = t
+	p.teamsByNeed.Add(t)
+	return t
 }
 
 func (p *Planner) server(id string) *server {
-	if s := p.servers[id]; s != nil {
+	if s := p.serversByID[id]; s != nil {
 		return s
 	}
-	s := &server{Server: backend.Server{ID: id, State: backend.Gone}, num: int32(len(p.list))}
-	s.spot.Item = s
-	p.servers[id] = s
-	p.list = append(p.list, s)
+	s := &server{Server: backend.Server{ID: id, State: backend.Gone}, number: int32(len(p.serverList))}
+	s.element.Item = s
+	p.serversByID[id] = s
+	p.serverList = append(p.serverList, s)
 	return s
 }
 
-// settle puts the server into its rack.
-func (p *Planner) settle(s *server) {
-	name := rackName{s.Zone, s.Rack}
-	p.most = p.most.Max(s.Capacity)
+// assignRack puts the server into its rack.
+func (p *Planner) assignRack(s *server) {
+	key := rackKey{s.Zone, s.Rack}
+	p.maxServerSize = p.maxServerSize.Max(s.Capacity)
 	for _, z := range p.zones {
-		z.index.Grow(p.most)
+		z.index.Grow(p.maxServerSize)
 	}
-	if s.rack != nil && s.rack.rackName == name {
+	if s.rack != nil && s.rack.rackKey == key {
 		return
 	}
 	if s.rack != nil {
-		s.rack.servers = slices.DeleteFunc(s.rack.servers, func(o *server) bool { return o == s })
+		s.rack.servers = slices.DeleteFunc(s.rack.servers, func(other *server) bool { return other == s })
 	}
-	r := p.racks[name]
+	r := p.racks[key]
 	if r == nil {
-		r = &rack{rackName: name, zone: p.zone(s.Zone)}
-		r.spot.Item = r
+		r = &rack{rackKey: key, zone: p.zone(s.Zone)}
+		r.element.Item = r
 		r.zone.racks = append(r.zone.racks, r)
-		p.racks[name] = r
+		p.racks[key] = r
 	}
 	r.servers = append(r.servers, s)
 	s.rack = r
-	whole := capacity.Size{}
-	for _, o := range r.servers {
-		whole = whole.Add(o.Capacity)
+	rackCapacity := capacity.Size{}
+	for _, other := range r.servers {
+		rackCapacity = rackCapacity.Add(other.Capacity)
 	}
-	p.rackIndex.Grow(whole)
+	p.rackIndex.Grow(rackCapacity)
 }
 
 func (p *Planner) zone(name string) *zone {
@@ -192,179 +192,179 @@
 		}
 	}
 	z := &zone{name: name, index: fit.NewIndex[*server]()}
-	z.index.Any = p.lacks(BestFit)
-	z.index.Grow(p.most)
+	z.index.FirstFit = p.disabled(BestFit)
+	z.index.Grow(p.maxServerSize)
 	p.zones = append(p.zones, z)
 	return z
 }
 
-// uncount takes the server out of every sum.
-func (p *Planner) uncount(s *server) {
-	p.show(s, capacity.Size{})
-	p.hide(s)
-	if s.counted {
-		p.total = p.total.Sub(s.Capacity)
-		p.sizes[s.Capacity]--
+// removeFromTotals takes the server out of every sum.
+func (p *Planner) removeFromTotals(s *server) {
+	p.updateFreeTotals(s, capacity.Size{})
+	p.removeFromIndex(s)
+	if s.inTotals {
+		p.totalCapacity = p.totalCapacity.Sub(s.Capacity)
+		p.serverSizes[s.Capacity]--
 	}
-	s.counted = false
+	s.inTotals = false
 }
 
-// count adds the server to the cell that shares are part of.
-func (p *Planner) count(s *server) {
+// addToTotals adds the server to the cell that shares are part of.
+func (p *Planner) addToTotals(s *server) {
 	if s.State == backend.Gone || s.State == backend.Draining {
 		return
 	}
-	s.counted = true
-	p.total = p.total.Add(s.Capacity)
-	p.sizes[s.Capacity]++
-	if p.sizes[s.Capacity] == 1 {
-		p.hope()
+	s.inTotals = true
+	p.totalCapacity = p.totalCapacity.Add(s.Capacity)
+	p.serverSizes[s.Capacity]++
+	if p.serverSizes[s.Capacity] == 1 {
+		p.retryUnplaceable()
 	}
 }
 
-// touch makes the server's room known after a change.
-func (p *Planner) touch(s *server) {
+// refreshFree makes the server's room known after a change.
+func (p *Planner) refreshFree(s *server) {
 	if s.State != backend.Ready {
-		p.show(s, capacity.Size{})
-		p.hide(s)
+		p.updateFreeTotals(s, capacity.Size{})
+		p.removeFromIndex(s)
 		return
 	}
-	free := s.room()
-	s.rack.zone.index.Set(&s.spot, free)
+	free := s.available()
+	s.rack.zone.index.Update(&s.element, free)
 	if !free.Valid() {
 		free = capacity.Size{}
 	}
-	if !free.Fits(s.shown) {
-		p.grown++
-		p.failed.shrink(free)
+	if !free.Fits(s.countedFree) {
+		p.freeRevision++
+		p.unplaceable.removeFitting(free)
 	}
-	p.show(s, free)
+	p.updateFreeTotals(s, free)
 }
 
-// hide takes the server out of its zone's index.
-func (p *Planner) hide(s *server) {
+// removeFromIndex takes the server out of its zone's index.
+func (p *Planner) removeFromIndex(s *server) {
 	if s.rack != nil {
-		s.rack.zone.index.Drop(&s.spot)
+		s.rack.zone.index.Remove(&s.element)
 	}
 }
 
-func (p *Planner) show(s *server, free capacity.Size) {
-	if s.rack == nil || s.shown == free {
+func (p *Planner) updateFreeTotals(s *server, free capacity.Size) {
+	if s.rack == nil || s.countedFree == free {
 		return
 	}
-	more := free.Sub(s.shown)
-	s.shown = free
-	s.rack.free = s.rack.free.Add(more)
-	s.rack.zone.free = s.rack.zone.free.Add(more)
-	p.free = p.free.Add(more)
-	p.rackIndex.Set(&s.rack.spot, s.rack.free)
+	delta := free.Sub(s.countedFree)
+	s.countedFree = free
+	s.rack.free = s.rack.free.Add(delta)
+	s.rack.zone.free = s.rack.zone.free.Add(delta)
+	p.freeCapacity = p.freeCapacity.Add(delta)
+	p.rackIndex.Update(&s.rack.element, s.rack.free)
 }
 
-// put counts a task on a server.
-func (p *Planner) put(h plan.Held, s *server) *holding {
-	w := p.work(h.ID.Job, h.Job)
-	n := &holding{Held: h, work: w, account: w.account, srv: s, size: h.Job.Size, pos: len(w.held)}
-	w.held = append(w.held, n)
-	p.held[h.ID] = n
-	s.tasks = append(s.tasks, n)
-	s.committed = s.committed.Add(n.size)
-	p.touch(s)
-	p.weigh(n.account, n.size)
-	if n.Stopping {
-		n.account.leaving = n.account.leaving.Add(n.size)
+// addTask counts a task on a server.
+func (p *Planner) addTask(placement plan.PlacedTask, s *server) *placedTask {
+	js := p.jobState(placement.ID.Job, placement.Job)
+	pt := &placedTask{PlacedTask: placement, jobState: js, team: js.team, server: s, countedSize: placement.Job.Size, jobIndex: len(js.placed)}
+	js.placed = append(js.placed, pt)
+	p.placed[placement.ID] = pt
+	s.tasks = append(s.tasks, pt)
+	s.committed = s.committed.Add(pt.countedSize)
+	p.refreshFree(s)
+	p.adjustAllocated(pt.team, pt.countedSize)
+	if pt.Stopping {
+		pt.team.stopping = pt.team.stopping.Add(pt.countedSize)
 	}
-	n.offer()
-	return n
+	pt.addToStoppable()
+	return pt
 }
 
-// offer lists the task among those that may be preempted.
-func (h *holding) offer() {
-	if h.victim() {
-		h.account.victims.Add(h)
+// addToStoppable lists the task among those that may be preempted.
+func (pt *placedTask) addToStoppable() {
+	if pt.preemptible() {
+		pt.team.preemptibleTasks.Add(pt)
 	}
-	if h.Job.Kind == job.Service && !h.Stopping && !h.Job.Once {
-		h.account.steady.Add(h)
+	if pt.Job.Kind == job.Service && !pt.Stopping && !pt.Job.Once {
+		pt.team.serviceTasks.Add(pt)
 	}
 }
 
-func (h *holding) withdraw() {
-	h.account.victims.Remove(h.ID)
-	h.account.steady.Remove(h.ID)
+func (pt *placedTask) removeFromStoppable() {
+	pt.team.preemptibleTasks.Remove(pt.ID)
+	pt.team.serviceTasks.Remove(pt.ID)
 }
 
-// victim tells whether the task may be preempted for others.
-func (h *holding) victim() bool {
-	return !h.Job.Once && !h.Stopping && (h.Job.Kind == job.Batch || h.Job.Kind == job.Gang)
+// preemptible tells whether the task may be preempted for others.
+func (pt *placedTask) preemptible() bool {
+	return !pt.Job.Once && !pt.Stopping && (pt.Job.Kind == job.Batch || pt.Job.Kind == job.Gang)
 }
 
-// remove takes a task off its server.
-func (p *Planner) remove(h *holding) {
-	delete(p.held, h.ID)
-	h.withdraw()
-	last := h.work.held[len(h.work.held)-1]
-	h.work.held[h.pos], last.pos = last, h.pos
-	h.work.held = h.work.held[:len(h.work.held)-1]
-	at := slices.Index(h.srv.tasks, h)
-	h.srv.tasks = slices.Delete(h.srv.tasks, at, at+1)
-	h.srv.committed = h.srv.committed.Sub(h.size)
-	if h.Stopping {
-		h.account.leaving = h.account.leaving.Sub(h.size)
+// removeTask takes a task off its server.
+func (p *Planner) removeTask(pt *placedTask) {
+	delete(p.placed, pt.ID)
+	pt.removeFromStoppable()
+	last := pt.jobState.placed[len(pt.jobState.placed)-1]
+	pt.jobState.placed[pt.jobIndex], last.jobIndex = last, pt.jobIndex
+	pt.jobState.placed = pt.jobState.placed[:len(pt.jobState.placed)-1]
+	i := slices.Index(pt.server.tasks, pt)
+	pt.server.tasks = slices.Delete(pt.server.tasks, i, i+1)
+	pt.server.committed = pt.server.committed.Sub(pt.countedSize)
+	if pt.Stopping {
+		pt.team.stopping = pt.team.stopping.Sub(pt.countedSize)
 	}
-	p.touch(h.srv)
-	p.weigh(h.account, capacity.Size{}.Sub(h.size))
-	h.account.blocked = 0
+	p.refreshFree(pt.server)
+	p.adjustAllocated(pt.team, capacity.Size{}.Sub(pt.countedSize))
+	pt.team.blockedRevision = 0
 }
 
-// weigh changes what the team holds and its place in the order of need.
-func (p *Planner) weigh(c *account, more capacity.Size) {
-	p.order.Remove(c.name)
-	c.held = c.held.Add(more)
-	c.ratio = p.ratio(c)
-	p.order.Add(c)
+// adjustAllocated changes what the team holds and its place in the order of need.
+func (p *Planner) adjustAllocated(t *teamState, delta capacity.Size) {
+	p.teamsByNeed.Remove(t.name)
+	t.allocated = t.allocated.Add(delta)
+	t.usageRatio = p.usageRatio(t)
+	p.teamsByNeed.Add(t)
 }
 
-// recount changes the size that a task counts with.
-func (p *Planner) recount(h *holding, size capacity.Size) {
-	if h.size == size {
+// setCountedSize changes the size that a task counts with.
+func (p *Planner) setCountedSize(pt *placedTask, size capacity.Size) {
+	if pt.countedSize == size {
 		return
 	}
-	more := size.Sub(h.size)
-	h.size = size
-	h.srv.committed = h.srv.committed.Add(more)
-	if h.Stopping {
-		h.account.leaving = h.account.leaving.Add(more)
+	delta := size.Sub(pt.countedSize)
+	pt.countedSize = size
+	pt.server.committed = pt.server.committed.Add(delta)
+	if pt.Stopping {
+		pt.team.stopping = pt.team.stopping.Add(delta)
 	}
-	p.touch(h.srv)
-	p.weigh(h.account, more)
-	if !h.account.held.Within(h.account.row.Limit) {
-		p.excess = append(p.excess, h.account)
+	p.refreshFree(pt.server)
+	p.adjustAllocated(pt.team, delta)
+	if !pt.team.allocated.Within(pt.team.row.Limit) {
+		p.overLimitTeams = append(p.overLimitTeams, pt.team)
 	}
 }
 
-// confirm takes over what the ledger says of a task that is held already.
-func (p *Planner) confirm(h *holding, told plan.Held) {
-	h.assumed = false
-	if h.srv.ID != told.Server {
-		p.remove(h)
-		p.put(told, p.server(told.Server))
+// confirmPlacement takes over what the ledger says of a task that is held already.
+func (p *Planner) confirmPlacement(pt *placedTask, placement plan.PlacedTask) {
+	pt.unconfirmed = false
+	if pt.server.ID != placement.Server {
+		p.removeTask(pt)
+		p.addTask(placement, p.server(placement.Server))
 		return
 	}
-	if told.Stopping && !h.Stopping {
-		p.stop(h)
+	if placement.Stopping && !pt.Stopping {
+		p.markStopping(pt)
 	}
-	if h.Since != told.Since {
-		h.withdraw()
-		h.Since = told.Since
-		h.offer()
+	if pt.PlacedAt != placement.PlacedAt {
+		pt.removeFromStoppable()
+		pt.PlacedAt = placement.PlacedAt
+		pt.addToStoppable()
 	}
 }
 
-// stop notes that an order to stop the task is under way.
-func (p *Planner) stop(h *holding) {
-	if h.Stopping {
+// markStopping notes that an order to stop the task is under way.
+func (p *Planner) markStopping(pt *placedTask) {
+	if pt.Stopping {
 		return
 	}
-	h.withdraw()
-	h.Stopping = true
-	h.account.leaving = h.account.leaving.Add(h.size)
+	pt.removeFromStoppable()
+	pt.Stopping = true
+	pt.team.stopping = pt.team.stopping.Add(pt.countedSize)
 }
--- a/internal/policy/cell/cell.go
+++ b/internal/policy/cell/cell.go
@@ -22,79 +22,79 @@
 
 // Defaults of Config.
 const (
-	// DefaultDepth is the number of a team's waiting units that one decision looks at.
-	DefaultDepth = 16
-	// DefaultSlack is the part of the cell by which a team may miss its target
+	// DefaultScanDepth is the number of a team's waiting units that one decision looks at.
+	DefaultScanDepth = 16
+	// DefaultShareSlack is the part of the cell by which a team may miss its target
 	// before others are preempted for it.
-	DefaultSlack = 0.015
-	// DefaultRebalance is the time between two computations of the targets.
-	DefaultRebalance = 100 * time.Millisecond
-	// DefaultGrace is the time a throttled task is given to fall back to its size.
-	DefaultGrace = 10 * time.Second
-	// DefaultPatience is how long a gang gathers room before it preempts.
-	DefaultPatience = time.Second
+	DefaultShareSlack = 0.015
+	// DefaultRebalanceInterval is the time between two computations of the targets.
+	DefaultRebalanceInterval = 100 * time.Millisecond
+	// DefaultThrottleGrace is the time a throttled task is given to fall back to its size.
+	DefaultThrottleGrace = 10 * time.Second
+	// DefaultGangPreemptDelay is how long a gang gathers room before it preempts.
+	DefaultGangPreemptDelay = time.Second
 )
 
-// Part names a mechanism that a comparison can leave out.
-type Part uint32
+// Mechanism names a mechanism that a comparison can leave out.
+type Mechanism uint32
 
 // The parts.
 const (
-	// Reserve is the room kept free for urgent work.
-	Reserve Part = 1 << iota
-	// Reclaim is preemption for teams below their target.
-	Reclaim
+	// UrgentReserve is the room kept free for urgent work.
+	UrgentReserve Mechanism = 1 << iota
+	// SharePreempt is preemption for teams below their target.
+	SharePreempt
 	// UrgentPreempt is preemption for urgent work.
 	UrgentPreempt
-	// Estimates are the learned run times.
-	Estimates
-	// Reservation holds room together for gangs.
-	Reservation
+	// RuntimeEstimates are the learned run times.
+	RuntimeEstimates
+	// GangReservation holds room together for gangs.
+	GangReservation
 	// Quarantine takes failing servers out of use.
 	Quarantine
 	// BestFit prefers the tightest server to any.
 	BestFit
-	// Racks keeps gangs together.
-	Racks
-	// GangLead lets gangs go before their team's batch.
-	GangLead
-	// Shortest orders a team's work by expected run time as well as by age.
-	Shortest
+	// RackLocality keeps gangs together.
+	RackLocality
+	// GangPriority lets gangs go before their team's batch.
+	GangPriority
+	// ShortestFirst orders a team's work by expected run time as well as by age.
+	ShortestFirst
 )
 
 // Config tunes the planner; the zero value works.
 type Config struct {
 	// Seed feeds the jitter of backoff.
 	Seed uint64
-	// Depth is DefaultDepth when 0.
-	Depth int
-	// Slack is DefaultSlack when 0.
-	Slack float64
-	// Rebalance is DefaultRebalance when 0.
-	Rebalance time.Duration
-	// Grace is DefaultGrace when 0.
-	Grace time.Duration
-	// Patience is DefaultPatience when 0.
-	Patience time.Duration
-	// Without leaves parts out; for comparison only.
-	Without Part
+	// ScanDepth is DefaultDepth when 0.
+	ScanDepth int
+	// ShareSlack is DefaultSlack when 0.
+	ShareSlack float64
+	// RebalanceInterval is DefaultRebalance when 0.
+	RebalanceInterval time.Duration
+	// ThrottleGrace is DefaultGrace when 0.
+	ThrottleGrace time.Duration
+	// GangPreemptDelay is DefaultPatience when 0.
+	GangPreemptDelay time.Duration
+	// Disabled leaves parts out; for comparison only.
+	Disabled Mechanism
 }
 
 func (c Config) withDefaults() Config {
-	if c.Depth == 0 {
-		c.Depth = DefaultDepth
+	if c.ScanDepth == 0 {
+		c.ScanDepth = DefaultScanDepth
 	}
-	if c.Slack == 0 {
-		c.Slack = DefaultSlack
+	if c.ShareSlack == 0 {
+		c.ShareSlack = DefaultShareSlack
 	}
-	if c.Rebalance == 0 {
-		c.Rebalance = DefaultRebalance
+	if c.RebalanceInterval == 0 {
+		c.RebalanceInterval = DefaultRebalanceInterval
 	}
-	if c.Grace == 0 {
-		c.Grace = DefaultGrace
+	if c.ThrottleGrace == 0 {
+		c.ThrottleGrace = DefaultThrottleGrace
 	}
-	if c.Patience == 0 {
-		c.Patience = DefaultPatience
+	if c.GangPreemptDelay == 0 {
+		c.GangPreemptDelay = DefaultGangPreemptDelay
 	}
 	return c
 }
@@ -107,74 +107,74 @@
 
 	// What the ledger told: teams in the order of their need, servers in the order
 	// of their announcement.
-	table   table.Table
-	teams   map[string]*account
-	order   *queue.Queue[string, *account]
-	servers map[string]*server
-	list    []*server
-	racks   map[rackName]*rack
-	zones   []*zone
+	table       table.Table
+	teams       map[string]*teamState
+	teamsByNeed *queue.Queue[string, *teamState]
+	serversByID map[string]*server
+	serverList  []*server
+	racks       map[rackKey]*rack
+	zones       []*zone
 
-	// total is the capacity that shares are parts of, free what is not taken.
-	total capacity.Size
-	free  capacity.Size
-	// most is the largest server's capacity in each field; sizes counts the
+	// totalCapacity is the capacity that shares are parts of, free what is not taken.
+	totalCapacity capacity.Size
+	freeCapacity  capacity.Size
+	// maxServerSize is the largest server's capacity in each field; sizes counts the
 	// servers of each capacity.
-	most  capacity.Size
-	sizes map[capacity.Size]int
+	maxServerSize capacity.Size
+	serverSizes   map[capacity.Size]int
 
 	// rackIndex finds racks for gangs; each zone has an index of its servers.
 	rackIndex *fit.Index[*rack]
-	// failed holds what fits nowhere now, and grown counts the changes that may
+	// unplaceable holds what fits nowhere now, and grown counts the changes that may
 	// let something fit that did not before.
-	failed frontier
-	grown  uint64
+	unplaceable  unplaceableSizes
+	freeRevision uint64
 
 	// What runs and what waits, by task. A unit that waits is new (fresh), not yet
 	// ready (later), larger than any server (never), or in its team's queue; late
 	// orders those with a deadline.
-	works  map[uint64]*work
-	held   map[task.ID]*holding
-	waits  map[task.ID]*unit
-	fresh  []*unit
-	later  *queue.Queue[task.ID, *unit]
-	never  *queue.Queue[task.ID, *unit]
-	late   *queue.Queue[task.ID, *unit]
-	urgent int
-	seq    uint64
+	jobs               map[uint64]*jobState
+	placed             map[task.ID]*placedTask
+	waiting            map[task.ID]*unit
+	newUnits           []*unit
+	delayedUnits       *queue.Queue[task.ID, *unit]
+	unplaceableUnits   *queue.Queue[task.ID, *unit]
+	unitsByDeadline    *queue.Queue[task.ID, *unit]
+	urgentWaitingCount int
+	lastSequence       uint64
 
 	// Room that is kept: for urgent work to come, and for units that wait for it.
-	reserve urgent.Reserve
-	rooms   []*room
-	claims  []*claim
-	gangs   int
+	urgentReserve        urgent.Reserve
+	reserveBlocks        []*reserveBlock
+	reservations         []*reservation
+	gangReservationCount int
 
-	estimates *health.Estimates
-	guard     *health.FaultDetector
+	runtimeEstimates *health.Estimates
+	healthGuard      *health.FaultDetector
 
 	// What the next call of Decide has to look at.
-	assumed     []*holding
-	pending     []plan.Decision
-	over        []*holding
-	broken      []*work
-	spent       []*work
-	suspects    []*server
-	excess      []*account
-	moving      []*holding
-	quarantined []*server
-	displaced   []*unit
-	idle        []*work
+	unconfirmedTasks   []*placedTask
+	pendingDecisions   []plan.Decision
+	overuseTasks       []*placedTask
+	brokenGangs        []*jobState
+	exhaustedJobs      []*jobState
+	suspectServers     []*server
+	overLimitTeams     []*teamState
+	servicesToMove     []*placedTask
+	quarantinedServers []*server
+	displacedServices  []*unit
+	idleJobs           []*jobState
 
-	// balanced and reclaims are when targets were computed and room was taken
+	// rebalancedAt and reclaims are when targets were computed and room was taken
 	// back; stale asks for new targets at once.
-	balanced time.Duration
-	reclaims time.Duration
-	stale    bool
+	rebalancedAt time.Duration
+	reclaimedAt  time.Duration
+	targetsStale bool
 
 	// The call of Decide under way.
-	out     []plan.Decision
-	limit   int
-	scratch []*unit
+	decisions    []plan.Decision
+	maxDecisions int
+	unitBuffer   []*unit
 }
 
 var _ plan.Planner = (*Planner)(nil)
@@ -183,35 +183,35 @@
 func New(cfg Config) *Planner {
 	cfg = cfg.withDefaults()
 	p := &Planner{
-		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), stale: true, grown: 1,
-		teams: map[string]*account{}, servers: map[string]*server{}, racks: map[rackName]*rack{}, sizes: map[capacity.Size]int{},
-		works: map[uint64]*work{}, held: map[task.ID]*holding{}, waits: map[task.ID]*unit{},
-		rackIndex: fit.NewIndex[*rack](),
-		estimates: health.NewEstimates(), guard: health.NewFaultDetector(),
+		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), targetsStale: true, freeRevision: 1,
+		teams: map[string]*teamState{}, serversByID: map[string]*server{}, racks: map[rackKey]*rack{}, serverSizes: map[capacity.Size]int{},
+		jobs: map[uint64]*jobState{}, placed: map[task.ID]*placedTask{}, waiting: map[task.ID]*unit{},
+		rackIndex:        fit.NewIndex[*rack](),
+		runtimeEstimates: health.NewEstimates(), healthGuard: health.NewFaultDetector(),
 	}
-	p.order = queue.New(func(c *account) string { return c.name }, neediest)
-	p.later = queue.New(unitKey, soonest)
-	p.never = queue.New(unitKey, oldest)
-	p.late = queue.New(unitKey, expiresFirst)
-	p.estimates.Disabled = p.lacks(Estimates)
+	p.teamsByNeed = queue.New(func(t *teamState) string { return t.name }, byUsageRatio)
+	p.delayedUnits = queue.New(unitKey, byReadyTime)
+	p.unplaceableUnits = queue.New(unitKey, bySequence)
+	p.unitsByDeadline = queue.New(unitKey, byDeadline)
+	p.runtimeEstimates.Disabled = p.disabled(RuntimeEstimates)
 	return p
 }
 
-func (p *Planner) lacks(part Part) bool { return p.cfg.Without&part != 0 }
+func (p *Planner) disabled(mechanism Mechanism) bool { return p.cfg.Disabled&mechanism != 0 }
 
 // SetTable puts a new revision of the table in force. New limits bind the next
 // decision; what runs above a lowered one is preempted by the rule in excess.go.
 func (p *Planner) SetTable(t table.Table) {
 	p.table = t
-	p.stale = true
-	p.grown++
+	p.targetsStale = true
+	p.freeRevision++
 	for _, r := range t.Rows() {
-		p.account(r.Name)
+		p.team(r.Name)
 	}
-	p.order.Each(func(c *account) bool {
-		c.row, c.known = t.Row(c.name)
-		c.blocked = 0
-		p.excess = append(p.excess, c)
+	p.teamsByNeed.Each(func(state *teamState) bool {
+		state.row, state.inTable = t.Row(state.name)
+		state.blockedRevision = 0
+		p.overLimitTeams = append(p.overLimitTeams, state)
 		return true
 	})
 }
@@ -220,97 +220,97 @@
 func (p *Planner) SetServer(s backend.Server) {
 	srv := p.server(s.ID)
 	old := srv.Server
-	p.uncount(srv)
+	p.removeFromTotals(srv)
 	srv.Server = s
-	p.settle(srv)
-	p.count(srv)
-	p.touch(srv)
-	p.stale = true
+	p.assignRack(srv)
+	p.addToTotals(srv)
+	p.refreshFree(srv)
+	p.targetsStale = true
 	if s.State != backend.Quarantined && old.State == backend.Quarantined || s.Incarnation != old.Incarnation {
-		p.guard.Release(srv.num)
+		p.healthGuard.Release(srv.number)
 	}
-	if missing(s) && !missing(old) {
-		srv.silent = s.Since
+	if unreachable(s) && !unreachable(old) {
+		srv.silentSince = s.Since
 	}
 	if s.State == backend.Quarantined {
-		p.confine(srv, s.Since)
+		p.markQuarantined(srv, s.Since)
 	}
-	if s.State != backend.Ready && srv.rooms > 0 {
-		p.dropRooms(func(r *room) bool { return r.srv == srv })
+	if s.State != backend.Ready && srv.reserveBlockCount > 0 {
+		p.dropReserveBlocks(func(r *reserveBlock) bool { return r.server == srv })
 	}
 	if s.State == backend.Draining && old.State != s.State {
-		p.move(srv)
+		p.listServicesToMove(srv)
 	}
 }
 
-// missing tells whether a server is not heard of.
-func missing(s backend.Server) bool {
+// unreachable tells whether a server is not heard of.
+func unreachable(s backend.Server) bool {
 	return s.State == backend.Suspect || s.State == backend.Gone
 }
 
-// Hold tells that a task was placed; it counts until Release.
-func (p *Planner) Hold(h plan.Held) {
-	if known := p.held[h.ID]; known != nil {
-		p.confirm(known, h)
+// SetPlaced tells that a task was placed; it counts until Release.
+func (p *Planner) SetPlaced(placement plan.PlacedTask) {
+	if known := p.placed[placement.ID]; known != nil {
+		p.confirmPlacement(known, placement)
 		return
 	}
-	p.take(h.ID)
-	p.put(h, p.server(h.Server))
+	p.dequeuePlaced(placement.ID)
+	p.addTask(placement, p.server(placement.Server))
 }
 
-// Use tells what a held task was reported to use. What it uses beyond its
+// SetUsage tells what a held task was reported to use. What it uses beyond its
 // declared size counts against its server and its team like the rest.
-func (p *Planner) Use(id task.ID, used capacity.Size, at time.Duration) {
-	h := p.held[id]
-	if h == nil || at < h.usedAt {
+func (p *Planner) SetUsage(id task.ID, usage capacity.Size, measuredAt time.Duration) {
+	pt := p.placed[id]
+	if pt == nil || measuredAt < pt.usageAt {
 		return
 	}
-	h.usedAt = at
-	p.recount(h, h.Job.Size.Max(used))
-	h.exceeds = exceeds(used, h.Job.Size)
-	if h.exceeds && !h.listed {
-		h.listed = true
-		p.over = append(p.over, h)
+	pt.usageAt = measuredAt
+	p.setCountedSize(pt, pt.Job.Size.Max(usage))
+	pt.exceedsDeclared = exceedsDeclared(usage, pt.Job.Size)
+	if pt.exceedsDeclared && !pt.inOveruseList {
+		pt.inOveruseList = true
+		p.overuseTasks = append(p.overuseTasks, pt)
 	}
 }
 
-// Release tells that an attempt is proved to run no more.
-func (p *Planner) Release(id task.ID, how plan.End) {
-	h := p.held[id]
-	if h == nil {
+// EndAttempt tells that an attempt is proved to run no more.
+func (p *Planner) EndAttempt(id task.ID, end plan.AttemptEnd) {
+	pt := p.placed[id]
+	if pt == nil {
 		return
 	}
-	p.remove(h)
-	p.learn(h, how)
-	if h.Job.Whole() {
-		p.loosen(h, how)
+	p.removeTask(pt)
+	p.recordEnd(pt, end)
+	if pt.Job.Whole() {
+		p.handleGangTaskEnd(pt, end)
 	}
-	p.tidy(h.work)
+	p.listIfIdle(pt.jobState)
 }
 
-// Queue tells that a task waits to be placed. All tasks of a job that wait are
+// AddWaiting tells that a task waits to be placed. All tasks of a job that wait are
 // told of before the next Decide, so that a gang is seen whole.
-func (p *Planner) Queue(q plan.Queued) {
-	if p.held[q.ID] != nil || p.waits[q.ID] != nil {
+func (p *Planner) AddWaiting(waiting plan.WaitingTask) {
+	if p.placed[waiting.ID] != nil || p.waiting[waiting.ID] != nil {
 		return
 	}
-	w := p.work(q.ID.Job, q.Job)
-	if w.budget.Exhausted() {
-		p.spent = append(p.spent, w)
+	js := p.jobState(waiting.ID.Job, waiting.Job)
+	if js.failureBudget.Exhausted() {
+		p.exhaustedJobs = append(p.exhaustedJobs, js)
 	}
-	p.enqueue(w, q)
+	p.enqueue(js, waiting)
 }
 
-// Unqueue tells that a task waits no more and was not placed.
-func (p *Planner) Unqueue(id task.ID) {
-	if u := p.waits[id]; u != nil {
+// RemoveWaiting tells that a task waits no more and was not placed.
+func (p *Planner) RemoveWaiting(id task.ID) {
+	if u := p.waiting[id]; u != nil {
 		p.dequeue(u, id)
-		p.tidy(u.work)
+		p.listIfIdle(u.jobState)
 	}
 }
 
-// kindOf names the queue that a job waits in.
-func kindOf(spec *job.Spec) job.Kind {
+// queueKind names the queue that a job waits in.
+func queueKind(spec *job.Spec) job.Kind {
 	if spec.Kind == job.Gang {
 		return job.Batch
 	}
--- a/internal/policy/cell/claim.go
+++ b/internal/policy/cell/claim.go
@@ -13,268 +13,268 @@
 
 // Bounds of claims and of the search for victims.
 const (
-	// claimLife is how long a claim of one task waits for its victims.
-	claimLife = 15 * time.Second
-	// gangTerm is the time that a gang may run before it is preempted for others:
+	// reservationTimeout is how long a claim of one task waits for its victims.
+	reservationTimeout = 15 * time.Second
+	// minGangRuntime is the time that a gang may run before it is preempted for others:
 	// gathering its room was dear, and it may lose the work of all its tasks.
-	gangTerm = 30 * time.Second
-	// mostTeams and mostTasks bound the victims that are weighed.
-	mostTeams = 6
-	mostTasks = 12
+	minGangRuntime = 30 * time.Second
+	// maxVictimTeams and mostTasks bound the victims that are weighed.
+	maxVictimTeams = 6
+	maxVictimTasks = 12
 )
 
-// claim is room that is kept for a unit until what is in it has left.
-type claim struct {
-	unit  *unit
-	parts []part
-	made  time.Duration
-	// forced is when tasks were last preempted for it.
-	forced time.Duration
+// reservation is room that is kept for a unit until what is in it has left.
+type reservation struct {
+	unit      *unit
+	parts     []reservedPart
+	createdAt time.Duration
+	// lastPreemptionAt is when tasks were last preempted for it.
+	lastPreemptionAt time.Duration
 }
 
-// part is the room kept for one task.
-type part struct {
-	srv  *server
-	size capacity.Size
+// reservedPart is the room kept for one task.
+type reservedPart struct {
+	server *server
+	size   capacity.Size
 }
 
-// keep keeps room for one task of the unit on the server.
-func (p *Planner) keep(u *unit, s *server) {
-	if u.claim == nil {
-		u.claim = &claim{unit: u, made: p.now}
-		p.claims = append(p.claims, u.claim)
-		if u.work.spec.Whole() {
-			p.gangs++
-			u.work.account.gathers = u
+// reserve keeps room for one task of the unit on the server.
+func (p *Planner) reserve(u *unit, s *server) {
+	if u.reservation == nil {
+		u.reservation = &reservation{unit: u, createdAt: p.now}
+		p.reservations = append(p.reservations, u.reservation)
+		if u.jobState.spec.Whole() {
+			p.gangReservationCount++
+			u.jobState.team.reservingGang = u
 		}
 	}
-	t := part{srv: s, size: u.work.spec.Size}
-	u.claim.parts = append(u.claim.parts, t)
-	p.reserveOn(s, t.size)
-	p.await(u.work.account, t.size)
+	part := reservedPart{server: s, size: u.jobState.spec.Size}
+	u.reservation.parts = append(u.reservation.parts, part)
+	p.adjustServerReserved(s, part.size)
+	p.adjustTeamReserved(u.jobState.team, part.size)
 }
 
-// kept is the size of the room kept for the unit.
-func (u *unit) kept() capacity.Size {
-	if u.claim == nil {
+// reservedSize is the size of the room kept for the unit.
+func (u *unit) reservedSize() capacity.Size {
+	if u.reservation == nil {
 		return capacity.Size{}
 	}
-	return u.need.Times(int64(len(u.claim.parts)))
+	return u.taskSize.Times(int64(len(u.reservation.parts)))
 }
 
-func (p *Planner) unkeep(u *unit, t part) {
-	p.reserveOn(t.srv, capacity.Size{}.Sub(t.size))
-	p.await(u.work.account, capacity.Size{}.Sub(t.size))
+func (p *Planner) releasePart(u *unit, part reservedPart) {
+	p.adjustServerReserved(part.server, capacity.Size{}.Sub(part.size))
+	p.adjustTeamReserved(u.jobState.team, capacity.Size{}.Sub(part.size))
 }
 
-func (p *Planner) reserveOn(s *server, more capacity.Size) {
-	s.reserved = s.reserved.Add(more)
-	p.touch(s)
+func (p *Planner) adjustServerReserved(s *server, delta capacity.Size) {
+	s.reserved = s.reserved.Add(delta)
+	p.refreshFree(s)
 }
 
-// await changes the room that is on its way to the team; it counts as held in
+// adjustTeamReserved changes the room that is on its way to the team; it counts as held in
 // the order of need.
-func (p *Planner) await(c *account, more capacity.Size) {
-	p.order.Remove(c.name)
-	c.coming = c.coming.Add(more)
-	c.ratio = p.ratio(c)
-	p.order.Add(c)
+func (p *Planner) adjustTeamReserved(t *teamState, delta capacity.Size) {
+	p.teamsByNeed.Remove(t.name)
+	t.reserved = t.reserved.Add(delta)
+	t.usageRatio = p.usageRatio(t)
+	p.teamsByNeed.Add(t)
 }
 
-func (p *Planner) dropClaim(u *unit) {
-	c := u.claim
-	if c == nil {
+func (p *Planner) dropReservation(u *unit) {
+	r := u.reservation
+	if r == nil {
 		return
 	}
-	u.claim, u.tried = nil, 0
-	p.claims = slices.DeleteFunc(p.claims, func(o *claim) bool { return o == c })
-	for _, t := range c.parts {
-		p.unkeep(u, t)
+	u.reservation, u.triedRevision = nil, 0
+	p.reservations = slices.DeleteFunc(p.reservations, func(other *reservation) bool { return other == r })
+	for _, part := range r.parts {
+		p.releasePart(u, part)
 	}
-	if u.work.spec.Whole() {
-		p.gangs--
-		u.work.account.gathers = nil
+	if u.jobState.spec.Whole() {
+		p.gangReservationCount--
+		u.jobState.team.reservingGang = nil
 	}
 }
 
-// claimed starts the units whose room has become free, urgent ones first.
-func (p *Planner) claimed() {
+// startReserved starts the units whose room has become free, urgent ones first.
+func (p *Planner) startReserved() {
 	for _, urgent := range []bool{true, false} {
-		for _, c := range slices.Clone(p.claims) {
-			if p.full() {
+		for _, r := range slices.Clone(p.reservations) {
+			if p.atDecisionLimit() {
 				return
 			}
-			if (c.unit.work.spec.Kind == job.Urgent) == urgent {
-				p.tryClaim(c)
+			if (r.unit.jobState.spec.Kind == job.Urgent) == urgent {
+				p.tryReservation(r)
 			}
 		}
 	}
 }
 
-func (p *Planner) tryClaim(c *claim) {
-	u := c.unit
-	p.prune(c)
-	if len(c.parts) == 0 || len(c.parts) > len(u.tasks) || u.where != inQueue {
-		p.dropClaim(u)
+func (p *Planner) tryReservation(r *reservation) {
+	u := r.unit
+	p.dropUnusableParts(r)
+	if len(r.parts) == 0 || len(r.parts) > len(u.tasks) || u.list != inTeamQueue {
+		p.dropReservation(u)
 		return
 	}
-	if len(c.parts) == len(u.tasks) && c.free() && p.allowed(u) {
-		on := make([]*server, 0, len(c.parts))
-		for _, t := range c.parts {
-			on = append(on, t.srv)
+	if len(r.parts) == len(u.tasks) && r.roomIsFree() && p.limitAllows(u) {
+		servers := make([]*server, 0, len(r.parts))
+		for _, part := range r.parts {
+			servers = append(servers, part.server)
 		}
-		p.start(u, on)
+		p.startUnit(u, servers)
 		return
 	}
 	switch {
-	case u.work.spec.Whole():
-		p.hasten(c)
-	case p.now-c.made > claimLife:
-		p.dropClaim(u)
+	case u.jobState.spec.Whole():
+		p.preemptForReservation(r)
+	case p.now-r.createdAt > reservationTimeout:
+		p.dropReservation(u)
 	}
 }
 
-// prune gives up the parts on servers that take nothing new.
-func (p *Planner) prune(c *claim) {
-	c.parts = slices.DeleteFunc(c.parts, func(t part) bool {
-		if t.srv.State == backend.Ready {
+// dropUnusableParts gives up the parts on servers that take nothing new.
+func (p *Planner) dropUnusableParts(r *reservation) {
+	r.parts = slices.DeleteFunc(r.parts, func(part reservedPart) bool {
+		if part.server.State == backend.Ready {
 			return false
 		}
-		p.unkeep(c.unit, t)
+		p.releasePart(r.unit, part)
 		return true
 	})
 }
 
-// free tells whether all the room kept is free now.
-func (c *claim) free() bool {
-	taken := map[*server]capacity.Size{}
-	for _, t := range c.parts {
-		taken[t.srv] = taken[t.srv].Add(t.size)
-		if !taken[t.srv].Fits(t.srv.actual()) {
+// roomIsFree tells whether all the room kept is free now.
+func (r *reservation) roomIsFree() bool {
+	neededByServer := map[*server]capacity.Size{}
+	for _, part := range r.parts {
+		neededByServer[part.server] = neededByServer[part.server].Add(part.size)
+		if !neededByServer[part.server].Fits(part.server.uncommitted()) {
 			return false
 		}
 	}
 	return true
 }
 
-// rule tells whether a task may be stopped for a claim.
-type rule func(h *holding) bool
+// victimFilter tells whether a task may be stopped for a claim.
+type victimFilter func(h *placedTask) bool
 
-// overdue allows the tasks of teams that hold more than their due.
-func (p *Planner) overdue(slack float64) rule {
-	return func(h *holding) bool {
-		size := h.size
-		if h.Job.Whole() {
-			if p.now < h.Since+gangTerm {
+// aboveShareFilter allows the tasks of teams that hold more than their due.
+func (p *Planner) aboveShareFilter(slack float64) victimFilter {
+	return func(pt *placedTask) bool {
+		size := pt.countedSize
+		if pt.Job.Whole() {
+			if p.now < pt.PlacedAt+minGangRuntime {
 				return false
 			}
-			size = size.Times(int64(len(h.work.held)))
+			size = size.Times(int64(len(pt.jobState.placed)))
 		}
-		rest := h.account.held.Sub(h.account.leaving).Sub(size)
-		return rest.Dominant(p.total) >= h.account.fair-slack
+		remaining := pt.team.allocated.Sub(pt.team.stopping).Sub(size)
+		return remaining.Dominant(p.totalCapacity) >= pt.team.fairShare-slack
 	}
 }
 
-// victims returns the server on which the least work is lost to make room for
+// findVictims returns the server on which the least work is lost to make room for
 // need, and what to stop there.
-func (p *Planner) victims(u *unit, need capacity.Size, own bool, may rule) (*server, []*holding) {
-	v := search{p: p, unit: u, need: need, may: may, seen: map[*server]bool{}}
-	if own {
-		v.look(u.work.account)
+func (p *Planner) findVictims(u *unit, need capacity.Size, includeOwn bool, filter victimFilter) (*server, []*placedTask) {
+	v := victimSearch{planner: p, unit: u, need: need, filter: filter, evaluated: map[*server]bool{}}
+	if includeOwn {
+		v.searchTeam(u.jobState.team)
 	}
 	n := 0
-	p.order.EachDown(func(c *account) bool {
-		if c != u.work.account && c.victims.Len() > 0 {
-			v.look(c)
+	p.teamsByNeed.EachReverse(func(t *teamState) bool {
+		if t != u.jobState.team && t.preemptibleTasks.Len() > 0 {
+			v.searchTeam(t)
 			n++
 		}
-		return n < mostTeams && c.ratio > 0
+		return n < maxVictimTeams && t.usageRatio > 0
 	})
-	return v.best, v.stop
+	return v.bestServer, v.victims
 }
 
-// search is the state of one search for victims.
-type search struct {
-	p    *Planner
-	unit *unit
-	need capacity.Size
-	may  rule
-	seen map[*server]bool
-	best *server
-	stop []*holding
-	lost float64
+// victimSearch is the state of one search for victims.
+type victimSearch struct {
+	planner    *Planner
+	unit       *unit
+	need       capacity.Size
+	filter     victimFilter
+	evaluated  map[*server]bool
+	bestServer *server
+	victims    []*placedTask
+	lostWork   float64
 }
 
-// look weighs the servers on which the team's youngest tasks run.
-func (v *search) look(c *account) {
+// searchTeam weighs the servers on which the team's youngest tasks run.
+func (v *victimSearch) searchTeam(t *teamState) {
 	n := 0
-	c.victims.Each(func(h *holding) bool {
-		if n++; v.may(h) && !v.seen[h.srv] && h.srv.State == backend.Ready && !v.unit.work.budget.FailedOn(h.srv.num) {
-			v.seen[h.srv] = true
-			v.weigh(h.srv)
+	t.preemptibleTasks.Each(func(pt *placedTask) bool {
+		if n++; v.filter(pt) && !v.evaluated[pt.server] && pt.server.State == backend.Ready && !v.unit.jobState.failureBudget.FailedOn(pt.server.number) {
+			v.evaluated[pt.server] = true
+			v.evaluateServer(pt.server)
 		}
-		return n < mostTasks
+		return n < maxVictimTasks
 	})
 }
 
-func (v *search) weigh(s *server) {
-	stop, lost, ok := v.p.room(s, v.need, s.room(), v.may)
-	if ok && (v.best == nil || lost < v.lost) {
-		v.best, v.stop, v.lost = s, stop, lost
+func (v *victimSearch) evaluateServer(s *server) {
+	victims, lostWork, ok := v.planner.chooseVictims(s, v.need, s.available(), v.filter)
+	if ok && (v.bestServer == nil || lostWork < v.lostWork) {
+		v.bestServer, v.victims, v.lostWork = s, victims, lostWork
 	}
 }
 
-// room returns what to stop on the server so that need fits.
-func (p *Planner) room(s *server, need, free capacity.Size, may rule) ([]*holding, float64, bool) {
-	var candidates []preempt.Victim[*holding]
-	for _, h := range s.tasks {
-		if h.victim() && may(h) {
-			candidates = append(candidates, preempt.Victim[*holding]{Item: h, Room: h.size, Lost: p.lost(h)})
+// chooseVictims returns what to stop on the server so that need fits.
+func (p *Planner) chooseVictims(s *server, need, free capacity.Size, filter victimFilter) ([]*placedTask, float64, bool) {
+	var candidates []preempt.Victim[*placedTask]
+	for _, pt := range s.tasks {
+		if pt.preemptible() && filter(pt) {
+			candidates = append(candidates, preempt.Victim[*placedTask]{Item: pt, Freed: pt.countedSize, LostWork: p.lostWork(pt)})
 		}
 	}
-	slices.SortStableFunc(candidates, func(a, b preempt.Victim[*holding]) int {
+	slices.SortStableFunc(candidates, func(a, b preempt.Victim[*placedTask]) int {
 		switch {
-		case a.Lost < b.Lost:
+		case a.LostWork < b.LostWork:
 			return -1
-		case a.Lost > b.Lost:
+		case a.LostWork > b.LostWork:
 			return 1
 		}
 		return 0
 	})
-	chosen, lost, ok := preempt.Choose(need, free, candidates)
-	stop := make([]*holding, 0, len(chosen))
+	chosen, lostWork, ok := preempt.Choose(need, free, candidates)
+	victims := make([]*placedTask, 0, len(chosen))
 	for _, v := range chosen {
-		stop = append(stop, v.Item)
+		victims = append(victims, v.Item)
 	}
-	return stop, lost, ok
+	return victims, lostWork, ok
 }
 
-// lost is the work thrown away by stopping the task; a gang stops as a whole.
+// lostWork is the work thrown away by stopping the task; a gang stops as a whole.
 // Each time that a job was preempted before makes it dearer, so that the same
 // youngest job is not stopped again and again.
-func (p *Planner) lost(h *holding) float64 {
-	one := preempt.Work(h.size.Dominant(p.total), h.Since, p.now)
-	if !h.Job.Whole() {
-		return one * float64(1+h.attempts)
+func (p *Planner) lostWork(pt *placedTask) float64 {
+	taskWork := preempt.LostWork(pt.countedSize.Dominant(p.totalCapacity), pt.PlacedAt, p.now)
+	if !pt.Job.Whole() {
+		return taskWork * float64(1+pt.priorAttempts)
 	}
-	return one * float64(len(h.work.held)) * float64(1+h.attempts)
+	return taskWork * float64(len(pt.jobState.placed)) * float64(1+pt.priorAttempts)
 }
 
 // preempt stops the task, and with it the gang that it belongs to.
-func (p *Planner) preempt(h *holding, reason string) {
-	if !h.Job.Whole() {
-		p.preemptOne(h, reason)
+func (p *Planner) preempt(pt *placedTask, reason string) {
+	if !pt.Job.Whole() {
+		p.preemptTask(pt, reason)
 		return
 	}
-	for _, o := range h.work.held {
-		p.preemptOne(o, reason)
+	for _, member := range pt.jobState.placed {
+		p.preemptTask(member, reason)
 	}
 }
 
-func (p *Planner) preemptOne(h *holding, reason string) {
-	if h.Stopping {
+func (p *Planner) preemptTask(pt *placedTask, reason string) {
+	if pt.Stopping {
 		return
 	}
-	p.stop(h)
-	p.emit(plan.Decision{Verb: plan.Preempt, Task: h.ID, Reason: reason})
+	p.markStopping(pt)
+	p.emit(plan.Decision{Action: plan.Preempt, Task: pt.ID, Reason: reason})
 }
--- a/internal/policy/cell/decide.go
+++ b/internal/policy/cell/decide.go
@@ -13,271 +13,271 @@
 
 // Bounds of one call of Decide.
 const (
-	// mostDrops bounds the jobs dropped in one call, so that a wave of passed
+	// maxDrops bounds the jobs dropped in one call, so that a wave of passed
 	// deadlines does not hold up placements.
-	mostDrops = 64
-	// thousandth is the unit of guaranteed shares.
-	thousandth = 1000.0
+	maxDrops = 64
+	// shareUnit is the unit of guaranteed shares.
+	shareUnit = 1000.0
 )
 
 // Decide returns at most limit decisions, the most pressing first.
 func (p *Planner) Decide(now time.Duration, limit int) []plan.Decision {
-	p.now, p.limit, p.out = now, limit, nil
+	p.now, p.maxDecisions, p.decisions = now, limit, nil
 	if limit <= 0 {
 		return nil
 	}
-	p.undo()
-	p.forget()
-	p.wake()
-	p.balance()
-	p.flush()
-	p.claimed()
+	p.requeueUnconfirmed()
+	p.forgetIdleJobs()
+	p.queueReadyUnits()
+	p.rebalance()
+	p.emitPending()
+	p.startReserved()
 	p.placeUrgent()
-	p.watch()
-	p.expire()
-	p.fillReserve()
-	p.placeServices()
-	p.trim()
-	p.replace()
-	p.placeShared()
-	p.reclaim()
-	p.probe()
-	return p.out
+	p.handleMisbehavior()
+	p.dropExpired()
+	p.fillUrgentReserve()
+	p.placeDisplacedServices()
+	p.enforceLimits()
+	p.moveServices()
+	p.placeByShare()
+	p.reclaimShares()
+	p.placeProbes()
+	return p.decisions
 }
 
-func (p *Planner) full() bool { return len(p.out) >= p.limit }
+func (p *Planner) atDecisionLimit() bool { return len(p.decisions) >= p.maxDecisions }
 
 func (p *Planner) emit(d plan.Decision) {
-	if p.full() {
-		p.pending = append(p.pending, d)
+	if p.atDecisionLimit() {
+		p.pendingDecisions = append(p.pendingDecisions, d)
 		return
 	}
-	p.out = append(p.out, d)
+	p.decisions = append(p.decisions, d)
 }
 
-// flush emits what the last call had no room for.
-func (p *Planner) flush() {
-	n := min(len(p.pending), p.limit)
-	p.out = append(p.out, p.pending[:n]...)
-	p.pending = append(p.pending[:0], p.pending[n:]...)
+// emitPending emits what the last call had no room for.
+func (p *Planner) emitPending() {
+	n := min(len(p.pendingDecisions), p.maxDecisions)
+	p.decisions = append(p.decisions, p.pendingDecisions[:n]...)
+	p.pendingDecisions = append(p.pendingDecisions[:0], p.pendingDecisions[n:]...)
 }
 
-// undo queues again what the last call placed and the ledger did not confirm.
-func (p *Planner) undo() {
-	assumed := p.assumed
-	p.assumed = p.assumed[:0]
-	for _, h := range assumed {
-		if !h.assumed || p.held[h.ID] != h {
+// requeueUnconfirmed queues again what the last call placed and the ledger did not confirm.
+func (p *Planner) requeueUnconfirmed() {
+	unconfirmed := p.unconfirmedTasks
+	p.unconfirmedTasks = p.unconfirmedTasks[:0]
+	for _, pt := range unconfirmed {
+		if !pt.unconfirmed || p.placed[pt.ID] != pt {
 			continue
 		}
-		p.remove(h)
-		p.enqueue(h.work, h.queued)
+		p.removeTask(pt)
+		p.enqueue(pt.jobState, pt.waitingTask)
 	}
 }
 
-// balance computes the targets anew when they may have moved.
-func (p *Planner) balance() {
-	if !p.stale && p.now-p.balanced < p.cfg.Rebalance {
+// rebalance computes the targets anew when they may have moved.
+func (p *Planner) rebalance() {
+	if !p.targetsStale && p.now-p.rebalancedAt < p.cfg.RebalanceInterval {
 		return
 	}
-	p.stale, p.balanced = false, p.now
-	p.reserve.Tick(p.now)
-	accounts := make([]*account, 0, p.order.Len())
-	claims := make([]share.Claim, 0, p.order.Len())
-	p.order.Each(func(c *account) bool {
-		accounts = append(accounts, c)
-		claims = append(claims, p.claimOf(c))
+	p.targetsStale, p.rebalancedAt = false, p.now
+	p.urgentReserve.Advance(p.now)
+	teams := make([]*teamState, 0, p.teamsByNeed.Len())
+	shareInputs := make([]share.Team, 0, p.teamsByNeed.Len())
+	p.teamsByNeed.Each(func(t *teamState) bool {
+		teams = append(teams, t)
+		shareInputs = append(shareInputs, p.shareInput(t))
 		return true
 	})
-	floors := share.Floors(claims)
-	for i, target := range share.Divide(claims) {
-		p.aim(accounts[i], target, floors[i])
+	minShares := share.MinShares(shareInputs)
+	for i, target := range share.Divide(shareInputs) {
+		p.setTargetShare(teams[i], target, minShares[i])
 	}
 }
 
-func (p *Planner) claimOf(c *account) share.Claim {
-	if !c.known {
-		return share.Claim{}
+func (p *Planner) shareInput(t *teamState) share.Team {
+	if !t.inTable {
+		return share.Team{}
 	}
-	want := clip(c.held.Add(c.wants).Sub(c.hopeless), c.row.Limit)
-	return share.Claim{
-		Guarantee: float64(c.row.Share) / thousandth,
-		Weight:    float64(max(1, c.row.Weight)),
-		Want:      min(1, want.Dominant(p.total)),
+	demand := clampToLimit(t.allocated.Add(t.waiting).Sub(t.unplaceable), t.row.Limit)
+	return share.Team{
+		Guarantee: float64(t.row.Share) / shareUnit,
+		Weight:    float64(max(1, t.row.Weight)),
+		Demand:    min(1, demand.Dominant(p.totalCapacity)),
 	}
 }
 
-// clip bounds a size by a limit.
-func clip(s, limit capacity.Size) capacity.Size {
-	bound := func(n, l int64) int64 {
+// clampToLimit bounds a size by a limit.
+func clampToLimit(s, limit capacity.Size) capacity.Size {
+	clampField := func(n, l int64) int64 {
 		if l == capacity.Unlimited {
 			return n
 		}
 		return min(n, l)
 	}
 	return capacity.Size{
-		CPU: bound(s.CPU, limit.CPU), Memory: bound(s.Memory, limit.Memory),
-		Accel: bound(s.Accel, limit.Accel), Slots: bound(s.Slots, limit.Slots),
+		CPU: clampField(s.CPU, limit.CPU), Memory: clampField(s.Memory, limit.Memory),
+		Accel: clampField(s.Accel, limit.Accel), Slots: clampField(s.Slots, limit.Slots),
 	}
 }
 
-// aim gives the team its target and its place in the order of need.
-func (p *Planner) aim(c *account, target, floor float64) {
-	c.target = target
-	fair := max(target, floor)
-	if math.Abs(fair-c.fair) < fair/256 {
+// setTargetShare gives the team its target and its place in the order of need.
+func (p *Planner) setTargetShare(t *teamState, targetShare, minShare float64) {
+	t.targetShare = targetShare
+	fairShare := max(targetShare, minShare)
+	if math.Abs(fairShare-t.fairShare) < fairShare/256 {
 		return
 	}
-	p.order.Remove(c.name)
-	c.fair = fair
-	c.ratio = p.ratio(c)
-	p.order.Add(c)
+	p.teamsByNeed.Remove(t.name)
+	t.fairShare = fairShare
+	t.usageRatio = p.usageRatio(t)
+	p.teamsByNeed.Add(t)
 }
 
-// ratio is what the team holds, in units of what is fair.
-func (p *Planner) ratio(c *account) float64 {
-	part := c.held.Add(c.coming).Dominant(p.total)
-	if part <= 0 {
+// usageRatio is what the team holds, in units of what is fair.
+func (p *Planner) usageRatio(t *teamState) float64 {
+	fraction := t.allocated.Add(t.reserved).Dominant(p.totalCapacity)
+	if fraction <= 0 {
 		return 0
 	}
-	if c.fair <= 0 {
+	if t.fairShare <= 0 {
 		return math.MaxFloat64
 	}
-	return part / c.fair
+	return fraction / t.fairShare
 }
 
-// within tells whether the team may hold that much more beside what it holds and
+// withinLimit tells whether the team may hold that much more beside what it holds and
 // what room is kept for.
-func (p *Planner) within(c *account, more capacity.Size) bool {
-	return c.known && c.held.Add(c.coming).Add(more).Within(c.row.Limit)
+func (p *Planner) withinLimit(t *teamState, more capacity.Size) bool {
+	return t.inTable && t.allocated.Add(t.reserved).Add(more).Within(t.row.Limit)
 }
 
-// allowed tells whether the limit of its team lets the unit start. Urgent work
+// limitAllows tells whether the limit of its team lets the unit start. Urgent work
 // does not wait for what room is kept for.
-func (p *Planner) allowed(u *unit) bool {
-	more := u.size()
-	if c := u.work.account; u.work.spec.Kind == job.Urgent {
-		return c.known && c.held.Add(more).Within(c.row.Limit)
+func (p *Planner) limitAllows(u *unit) bool {
+	more := u.totalSize()
+	if t := u.jobState.team; u.jobState.spec.Kind == job.Urgent {
+		return t.inTable && t.allocated.Add(more).Within(t.row.Limit)
 	}
-	return p.within(u.work.account, more.Sub(u.kept()))
+	return p.withinLimit(u.jobState.team, more.Sub(u.reservedSize()))
 }
 
 // eligible tells whether the unit may take a turn of its team. A gang may as long
 // as one more of its tasks is within the limit, or the team's smaller work would
 // use up the limit each time that a part of it becomes free.
 func (p *Planner) eligible(u *unit) bool {
-	if !u.work.spec.Whole() {
-		return u.claim == nil && p.allowed(u)
+	if !u.jobState.spec.Whole() {
+		return u.reservation == nil && p.limitAllows(u)
 	}
-	return u.size().Within(u.work.account.row.Limit) && p.within(u.work.account, u.need)
+	return u.totalSize().Within(u.jobState.team.row.Limit) && p.withinLimit(u.jobState.team, u.taskSize)
 }
 
-// start places the unit's tasks on the servers, one each.
-func (p *Planner) start(u *unit, on []*server) {
-	p.dropClaim(u)
-	tasks := append([]plan.Queued(nil), u.tasks...)
-	places := make([]plan.Placement, len(tasks))
-	u.work.started = true
+// startUnit places the unit's tasks on the servers, one each.
+func (p *Planner) startUnit(u *unit, servers []*server) {
+	p.dropReservation(u)
+	tasks := append([]plan.WaitingTask(nil), u.tasks...)
+	placements := make([]plan.Placement, len(tasks))
+	u.jobState.everPlaced = true
 	for i, q := range tasks {
 		p.dequeue(u, q.ID)
-		h := p.put(plan.Held{ID: q.ID, Job: q.Job, Accepted: q.Accepted, Server: on[i].ID, Since: p.now}, on[i])
-		h.assumed, h.queued, h.attempts = true, q, q.Attempts
-		p.assumed = append(p.assumed, h)
-		places[i] = plan.Placement{Index: q.ID.Index, Server: on[i].ID}
+		pt := p.addTask(plan.PlacedTask{ID: q.ID, Job: q.Job, AcceptedAt: q.AcceptedAt, Server: servers[i].ID, PlacedAt: p.now}, servers[i])
+		pt.unconfirmed, pt.waitingTask, pt.priorAttempts = true, q, q.Attempts
+		p.unconfirmedTasks = append(p.unconfirmedTasks, pt)
+		placements[i] = plan.Placement{Index: q.ID.Index, Server: servers[i].ID}
 	}
-	p.emit(plan.Decision{Verb: plan.Place, Job: u.work.id, Places: places})
+	p.emit(plan.Decision{Action: plan.Place, Job: u.jobState.id, Placements: placements})
 }
 
-// find returns the best server for one task of the unit.
-func (p *Planner) find(u *unit, need capacity.Size) *server {
-	if p.failed.holds(need) {
+// findServer returns the best server for one task of the unit.
+func (p *Planner) findServer(u *unit, need capacity.Size) *server {
+	if p.unplaceable.covers(need) {
 		return nil
 	}
-	ok := u.accepts()
-	s := p.best(need, ok)
-	if s == nil && ok == nil {
-		p.failed.add(need)
+	accepts := u.serverFilter()
+	s := p.bestServer(need, accepts)
+	if s == nil && accepts == nil {
+		p.unplaceable.add(need)
 	}
 	return s
 }
 
-// accepts returns what tells servers on which the unit's job failed from others,
+// serverFilter returns what tells servers on which the unit's job failed from others,
 // or nil if it failed on none.
-func (u *unit) accepts() func(*server) bool {
-	if u.work.budget.Failures() == 0 {
+func (u *unit) serverFilter() func(*server) bool {
+	if u.jobState.failureBudget.Failures() == 0 {
 		return nil
 	}
-	return func(s *server) bool { return !u.work.budget.FailedOn(s.num) }
+	return func(s *server) bool { return !u.jobState.failureBudget.FailedOn(s.number) }
 }
 
-// best returns the best server of all zones.
-func (p *Planner) best(need capacity.Size, ok func(*server) bool) *server {
-	var found *server
-	bound := fit.Worst
+// bestServer returns the best server of all zones.
+func (p *Planner) bestServer(need capacity.Size, accepts func(*server) bool) *server {
+	var best *server
+	bound := fit.WorstScore
 	for _, z := range p.zones {
 		if !need.Fits(z.free) {
 			continue
 		}
-		if s, score, held := z.index.Best(need, bound, ok); held {
-			found, bound = s, score
+		if s, score, ok := z.index.Best(need, bound, accepts); ok {
+			best, bound = s, score
 		}
 	}
-	return found
+	return best
 }
 
-// placeShared places batch and gangs, the team furthest below its due first.
-func (p *Planner) placeShared() {
-	for !p.full() {
-		c := p.next()
-		if c == nil {
+// placeByShare places batch and gangs, the team furthest below its due first.
+func (p *Planner) placeByShare() {
+	for !p.atDecisionLimit() {
+		t := p.nextTeam()
+		if t == nil {
 			return
 		}
-		if !p.serve(c) {
-			c.blocked = p.grown
+		if !p.placeFirstFitting(t) {
+			t.blockedRevision = p.freeRevision
 		}
 	}
 }
 
-// next returns the neediest team of which something might fit.
-func (p *Planner) next() *account {
-	var found *account
-	p.order.Each(func(c *account) bool {
-		if c.blocked == p.grown || !c.known || !c.sizes.any(&p.failed) {
+// nextTeam returns the neediest team of which something might fit.
+func (p *Planner) nextTeam() *teamState {
+	var found *teamState
+	p.teamsByNeed.Each(func(t *teamState) bool {
+		if t.blockedRevision == p.freeRevision || !t.inTable || !t.waitingSizes.anyPlaceable(&p.unplaceable) {
 			return true
 		}
-		found = c
+		found = t
 		return false
 	})
 	return found
 }
 
-// serve places the first unit of the team that fits.
-func (p *Planner) serve(c *account) bool {
-	p.scratch = c.queues[job.Service].First(p.cfg.Depth, p.scratch[:0])
-	p.scratch = c.queues[job.Batch].First(p.cfg.Depth, p.scratch)
-	for _, u := range p.scratch {
+// placeFirstFitting places the first unit of the team that fits.
+func (p *Planner) placeFirstFitting(t *teamState) bool {
+	p.unitBuffer = t.queues[job.Service].AppendFirst(p.cfg.ScanDepth, p.unitBuffer[:0])
+	p.unitBuffer = t.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, p.unitBuffer)
+	for _, u := range p.unitBuffer {
 		if !p.eligible(u) {
 			continue
 		}
-		if p.place(u) {
+		if p.placeUnit(u) {
 			return true
 		}
 	}
 	return false
 }
 
-// place starts the unit if it fits now.
-func (p *Planner) place(u *unit) bool {
-	switch u.work.spec.Kind {
+// placeUnit starts the unit if it fits now.
+func (p *Planner) placeUnit(u *unit) bool {
+	switch u.jobState.spec.Kind {
 	case job.Gang:
-		return p.placeGang(u) || p.gather(u)
+		return p.placeGang(u) || p.reserveForGang(u)
 	case job.Service:
 		return p.placeService(u)
 	}
-	s := p.find(u, u.work.spec.Size)
+	s := p.findServer(u, u.jobState.spec.Size)
 	if s == nil {
 		return false
 	}
-	p.start(u, []*server{s})
+	p.startUnit(u, []*server{s})
 	return true
 }
--- a/internal/policy/cell/gang.go
+++ b/internal/policy/cell/gang.go
@@ -18,298 +18,298 @@
 	// gang may hold a reservation; there may always be minReservations.
 	serversPerReservation = 10
 	minReservations       = 2
-	// forcePeriod is the time between two attempts to hasten a gang.
-	forcePeriod = time.Second
+	// gangPreemptInterval is the time between two attempts to hasten a gang.
+	gangPreemptInterval = time.Second
 )
 
 // placeGang starts all tasks of the gang or none: in one rack if it fits, else in
 // one zone, else anywhere.
 func (p *Planner) placeGang(u *unit) bool {
-	if u.tried == p.grown || !u.size().Fits(p.free) || !p.allowed(u) {
+	if u.triedRevision == p.freeRevision || !u.totalSize().Fits(p.freeCapacity) || !p.limitAllows(u) {
 		return false
 	}
-	u.tried = p.grown
-	on := p.inRack(u)
-	if on == nil {
-		on = p.inZone(u)
+	u.triedRevision = p.freeRevision
+	servers := p.findInRack(u)
+	if servers == nil {
+		servers = p.findInZone(u)
 	}
-	if on == nil {
-		on = p.pack(u, nil)
+	if servers == nil {
+		servers = p.findForAll(u, nil)
 	}
-	if on == nil {
+	if servers == nil {
 		return false
 	}
-	p.start(u, on)
+	p.startUnit(u, servers)
 	return true
 }
 
-func (p *Planner) inRack(u *unit) []*server {
-	if p.lacks(Racks) {
+func (p *Planner) findInRack(u *unit) []*server {
+	if p.disabled(RackLocality) {
 		return nil
 	}
-	need, n := u.work.spec.Size, len(u.tasks)
-	r, _, ok := p.rackIndex.Best(u.size(), fit.Worst, func(r *rack) bool { return p.holds(r, u, need, n) })
+	need, n := u.jobState.spec.Size, len(u.tasks)
+	r, _, ok := p.rackIndex.Best(u.totalSize(), fit.WorstScore, func(r *rack) bool { return p.rackHolds(r, u, need, n) })
 	if !ok {
 		return nil
 	}
-	var on []*server
-	for _, s := range byRoom(r.servers) {
-		for range min(n-len(on), p.times(s, u, need)) {
-			on = append(on, s)
+	var servers []*server
+	for _, s := range sortByAvailable(r.servers) {
+		for range min(n-len(servers), p.serverHolds(s, u, need)) {
+			servers = append(servers, s)
 		}
 	}
-	return on
+	return servers
 }
 
-// byRoom returns the servers with the fullest first, so that whole servers stay free.
-func byRoom(servers []*server) []*server {
+// sortByAvailable returns the servers with the fullest first, so that whole servers stay free.
+func sortByAvailable(servers []*server) []*server {
 	sorted := slices.Clone(servers)
 	slices.SortStableFunc(sorted, func(a, b *server) int {
-		return cmp.Compare(a.room().Dominant(a.Capacity), b.room().Dominant(b.Capacity))
+		return cmp.Compare(a.available().Dominant(a.Capacity), b.available().Dominant(b.Capacity))
 	})
 	return sorted
 }
 
-// holds tells whether the rack has room for n tasks of the unit.
-func (p *Planner) holds(r *rack, u *unit, need capacity.Size, n int) bool {
+// rackHolds tells whether the rack has room for n tasks of the unit.
+func (p *Planner) rackHolds(r *rack, u *unit, need capacity.Size, n int) bool {
 	for _, s := range r.servers {
-		n -= p.times(s, u, need)
+		n -= p.serverHolds(s, u, need)
 	}
 	return n <= 0
 }
 
-// times returns how many tasks of the unit the server has room for.
-func (p *Planner) times(s *server, u *unit, need capacity.Size) int {
-	if s.State != backend.Ready || u.work.budget.FailedOn(s.num) {
+// serverHolds returns how many tasks of the unit the server has room for.
+func (p *Planner) serverHolds(s *server, u *unit, need capacity.Size) int {
+	if s.State != backend.Ready || u.jobState.failureBudget.FailedOn(s.number) {
 		return 0
 	}
-	return times(need, s.room())
+	return countFitting(need, s.available())
 }
 
-// times returns how often need fits into room.
-func times(need, room capacity.Size) int {
-	if !room.Valid() {
+// countFitting returns how often need fits into room.
+func countFitting(need, free capacity.Size) int {
+	if !free.Valid() {
 		return 0
 	}
 	n := int64(1 << 30)
-	per := func(need, room int64) {
+	limitBy := func(need, free int64) {
 		if need > 0 {
-			n = min(n, room/need)
+			n = min(n, free/need)
 		}
 	}
-	per(need.CPU, room.CPU)
-	per(need.Memory, room.Memory)
-	per(need.Accel, room.Accel)
-	per(need.Slots, room.Slots)
+	limitBy(need.CPU, free.CPU)
+	limitBy(need.Memory, free.Memory)
+	limitBy(need.Accel, free.Accel)
+	limitBy(need.Slots, free.Slots)
 	return int(n)
 }
 
-func (p *Planner) inZone(u *unit) []*server {
-	if p.lacks(Racks) {
+func (p *Planner) findInZone(u *unit) []*server {
+	if p.disabled(RackLocality) {
 		return nil
 	}
 	zones := slices.Clone(p.zones)
 	slices.SortStableFunc(zones, func(a, b *zone) int {
-		return cmp.Compare(b.free.Dominant(p.total), a.free.Dominant(p.total))
+		return cmp.Compare(b.free.Dominant(p.totalCapacity), a.free.Dominant(p.totalCapacity))
 	})
 	for _, z := range zones {
-		if !u.size().Fits(z.free) {
+		if !u.totalSize().Fits(z.free) {
 			continue
 		}
-		if on := p.pack(u, z); on != nil {
-			return on
+		if servers := p.findForAll(u, z); servers != nil {
+			return servers
 		}
 	}
 	return nil
 }
 
-// pack finds a server for each task, one after the other, in the zone if one is
+// findForAll finds a server for each task, one after the other, in the zone if one is
 // given. The room is taken while it searches and given back at the end.
-func (p *Planner) pack(u *unit, z *zone) []*server {
-	need := u.work.spec.Size
-	on := make([]*server, 0, len(u.tasks))
-	taken := map[*server]int64{}
+func (p *Planner) findForAll(u *unit, z *zone) []*server {
+	need := u.jobState.spec.Size
+	servers := make([]*server, 0, len(u.tasks))
+	tasksByServer := map[*server]int64{}
 	for range u.tasks {
-		s := p.bestIn(z, need, u.accepts())
+		s := p.bestInZone(z, need, u.serverFilter())
 		if s == nil {
 			break
 		}
-		on = append(on, s)
-		taken[s]++
-		s.rack.zone.index.Set(&s.spot, s.room().Sub(need.Times(taken[s])))
+		servers = append(servers, s)
+		tasksByServer[s]++
+		s.rack.zone.index.Update(&s.element, s.available().Sub(need.Times(tasksByServer[s])))
 	}
-	for _, s := range on {
-		s.rack.zone.index.Set(&s.spot, s.room())
+	for _, s := range servers {
+		s.rack.zone.index.Update(&s.element, s.available())
 	}
-	if len(on) < len(u.tasks) {
+	if len(servers) < len(u.tasks) {
 		return nil
 	}
-	return on
+	return servers
 }
 
-// victimsAt looks for victims in the gang's zone first.
-func (p *Planner) victimsAt(home *zone, u *unit, own bool, may rule) (*server, []*holding) {
-	if home != nil && !p.lacks(Racks) {
-		near := func(h *holding) bool { return h.srv.rack.zone == home && may(h) }
-		if srv, stop := p.victims(u, u.need, own, near); srv != nil {
-			return srv, stop
+// findVictimsNear looks for victims in the gang's zone first.
+func (p *Planner) findVictimsNear(preferredZone *zone, u *unit, includeOwn bool, filter victimFilter) (*server, []*placedTask) {
+	if preferredZone != nil && !p.disabled(RackLocality) {
+		inZone := func(pt *placedTask) bool { return pt.server.rack.zone == preferredZone && filter(pt) }
+		if srv, victims := p.findVictims(u, u.taskSize, includeOwn, inZone); srv != nil {
+			return srv, victims
 		}
 	}
-	return p.victims(u, u.need, own, may)
+	return p.findVictims(u, u.taskSize, includeOwn, filter)
 }
 
-// bestIn returns the best server of the zone, or of all if none is given.
-func (p *Planner) bestIn(z *zone, need capacity.Size, ok func(*server) bool) *server {
+// bestInZone returns the best server of the zone, or of all if none is given.
+func (p *Planner) bestInZone(z *zone, need capacity.Size, accepts func(*server) bool) *server {
 	if z == nil {
-		return p.best(need, ok)
+		return p.bestServer(need, accepts)
 	}
-	s, _, _ := z.index.Best(need, fit.Worst, ok)
+	s, _, _ := z.index.Best(need, fit.WorstScore, accepts)
 	return s
 }
 
-// gather keeps one more piece of room for the gang whose turn it is, in place of
+// reserveForGang keeps one more piece of room for the gang whose turn it is, in place of
 // starting a task there. It takes its turns like any other work, so that its
 // team pays for the room from its share, and smaller work does not take each
 // piece as it becomes free. A team gathers for one gang at a time.
-func (p *Planner) gather(u *unit) bool {
-	if p.lacks(Reservation) || !p.mayGather(u) {
+func (p *Planner) reserveForGang(u *unit) bool {
+	if p.disabled(GangReservation) || !p.mayReserveForGang(u) {
 		return false
 	}
-	need := u.work.spec.Size
-	if p.failed.holds(need) {
+	need := u.jobState.spec.Size
+	if p.unplaceable.covers(need) {
 		return false
 	}
-	home := u.home()
-	if p.lacks(Racks) {
-		home = nil
+	preferredZone := u.reservedZone()
+	if p.disabled(RackLocality) {
+		preferredZone = nil
 	}
-	if home == nil && !p.lacks(Racks) {
-		home = p.roomyZone()
+	if preferredZone == nil && !p.disabled(RackLocality) {
+		preferredZone = p.zoneWithMostFree()
 	}
-	s := p.bestIn(home, need, u.accepts())
+	s := p.bestInZone(preferredZone, need, u.serverFilter())
 	if s == nil {
 		return false
 	}
-	p.keep(u, s)
+	p.reserve(u, s)
 	return true
 }
 
-// roomyZone returns the zone with the most free room.
-func (p *Planner) roomyZone() *zone {
-	var most *zone
+// zoneWithMostFree returns the zone with the most free room.
+func (p *Planner) zoneWithMostFree() *zone {
+	var best *zone
 	for _, z := range p.zones {
-		if most == nil || z.free.Dominant(p.total) > most.free.Dominant(p.total) {
-			most = z
+		if best == nil || z.free.Dominant(p.totalCapacity) > best.free.Dominant(p.totalCapacity) {
+			best = z
 		}
 	}
-	return most
+	return best
 }
 
-// mayGather tells whether the gang may be kept one more piece of room.
-func (p *Planner) mayGather(u *unit) bool {
-	if u.claim != nil {
-		return len(u.claim.parts) < len(u.tasks)
+// mayReserveForGang tells whether the gang may be kept one more piece of room.
+func (p *Planner) mayReserveForGang(u *unit) bool {
+	if u.reservation != nil {
+		return len(u.reservation.parts) < len(u.tasks)
 	}
-	return u.work.account.gathers == nil && p.gangs < max(minReservations, len(p.list)/serversPerReservation)
+	return u.jobState.team.reservingGang == nil && p.gangReservationCount < max(minReservations, len(p.serverList)/serversPerReservation)
 }
 
-// home is the zone in which the gang gathers, nil before it has begun.
-func (u *unit) home() *zone {
-	if u.claim == nil || len(u.claim.parts) == 0 {
+// reservedZone is the zone in which the gang gathers, nil before it has begun.
+func (u *unit) reservedZone() *zone {
+	if u.reservation == nil || len(u.reservation.parts) == 0 {
 		return nil
 	}
-	return u.claim.parts[0].srv.rack.zone
+	return u.reservation.parts[0].server.rack.zone
 }
 
-// beginGangs lets gangs gather that have waited for long and got no first piece in
+// startGangReservations lets gangs gather that have waited for long and got no first piece in
 // their team's turns: at 90 to 120% load others take what becomes free for 5 to
 // 30 s, and a gang is not hastened before it gathers.
-func (p *Planner) beginGangs() {
-	var accounts []*account
-	p.order.Each(func(c *account) bool {
-		if c.gangs > 0 && c.gathers == nil && c.known {
-			accounts = append(accounts, c)
+func (p *Planner) startGangReservations() {
+	var teams []*teamState
+	p.teamsByNeed.Each(func(t *teamState) bool {
+		if t.waitingGangCount > 0 && t.reservingGang == nil && t.inTable {
+			teams = append(teams, t)
 		}
 		return true
 	})
-	for _, c := range accounts {
-		if p.full() {
+	for _, t := range teams {
+		if p.atDecisionLimit() {
 			return
 		}
-		p.beginFirst(c)
+		p.startFirstGangReservation(t)
 	}
 }
 
-// beginFirst lets the team's first gang begin.
-func (p *Planner) beginFirst(c *account) {
-	for _, u := range c.queues[job.Batch].First(p.cfg.Depth, nil) {
-		if !u.work.spec.Whole() || !p.eligible(u) {
+// startFirstGangReservation lets the team's first gang begin.
+func (p *Planner) startFirstGangReservation(t *teamState) {
+	for _, u := range t.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, nil) {
+		if !u.jobState.spec.Whole() || !p.eligible(u) {
 			continue
 		}
-		if p.now >= u.since+p.cfg.Patience && p.mayGather(u) {
-			p.keepByForce(u, true)
+		if p.now >= u.queuedAt+p.cfg.GangPreemptDelay && p.mayReserveForGang(u) {
+			p.reserveByPreemption(u, true)
 		}
 		return
 	}
 }
 
-// hasten preempts for a gang that has gathered for long: what still runs in its
+// preemptForReservation preempts for a gang that has gathered for long: what still runs in its
 // room, and for the rest the cheapest tasks of its own team and of teams above
 // their due. Without this a few long tasks would hold up the gang, and the room
 // kept for it, for as long.
-func (p *Planner) hasten(c *claim) {
-	if p.now < c.made+p.cfg.Patience || p.now < c.forced+forcePeriod || p.lacks(Reclaim) {
+func (p *Planner) preemptForReservation(r *reservation) {
+	if p.now < r.createdAt+p.cfg.GangPreemptDelay || p.now < r.lastPreemptionAt+gangPreemptInterval || p.disabled(SharePreempt) {
 		return
 	}
-	c.forced = p.now
-	for _, t := range c.parts {
-		p.vacate(t)
+	r.lastPreemptionAt = p.now
+	for _, part := range r.parts {
+		p.preemptInPart(part)
 	}
-	for len(c.parts) < len(c.unit.tasks) && !p.full() {
-		if !p.keepByForce(c.unit, true) {
+	for len(r.parts) < len(r.unit.tasks) && !p.atDecisionLimit() {
+		if !p.reserveByPreemption(r.unit, true) {
 			return
 		}
 	}
 }
 
-// vacate preempts what runs in kept room.
-func (p *Planner) vacate(t part) {
-	stop, _, _ := p.room(t.srv, t.size, t.srv.actual(), func(h *holding) bool { return !h.Job.Whole() })
-	for _, h := range stop {
-		p.preempt(h, "room for a gang")
+// preemptInPart preempts what runs in kept room.
+func (p *Planner) preemptInPart(part reservedPart) {
+	victims, _, _ := p.chooseVictims(part.server, part.size, part.server.uncommitted(), func(pt *placedTask) bool { return !pt.Job.Whole() })
+	for _, pt := range victims {
+		p.preempt(pt, "room for a gang")
 	}
 }
 
-// keepByForce keeps a piece of room for the gang that victims have to leave.
-func (p *Planner) keepByForce(u *unit, own bool) bool {
-	may := p.overdue(p.cfg.Slack / 2)
-	if own {
-		due, c := may, u.work.account
-		poor := p.within(c, u.need) && c.held.Add(c.coming).Sub(u.kept()).Sub(c.leaving).Dominant(p.total) <= c.fair+p.cfg.Slack
-		may = func(h *holding) bool { return h.account == c && !h.Job.Whole() || poor && due(h) }
-	}
-	srv, stop := p.victimsAt(u.home(), u, own, may)
+// reserveByPreemption keeps a piece of room for the gang that victims have to leave.
+func (p *Planner) reserveByPreemption(u *unit, allowOwn bool) bool {
+	filter := p.aboveShareFilter(p.cfg.ShareSlack / 2)
+	if allowOwn {
+		aboveShare, t := filter, u.jobState.team
+		belowShare := p.withinLimit(t, u.taskSize) && t.allocated.Add(t.reserved).Sub(u.reservedSize()).Sub(t.stopping).Dominant(p.totalCapacity) <= t.fairShare+p.cfg.ShareSlack
+		filter = func(pt *placedTask) bool { return pt.team == t && !pt.Job.Whole() || belowShare && aboveShare(pt) }
+	}
+	srv, victims := p.findVictimsNear(u.reservedZone(), u, allowOwn, filter)
 	if srv == nil {
 		return false
 	}
-	p.keep(u, srv)
-	for _, h := range stop {
-		p.preempt(h, "room for a gang")
+	p.reserve(u, srv)
+	for _, pt := range victims {
+		p.preempt(pt, "room for a gang")
 	}
 	return true
 }
 
-// loosen handles the end of one task of a gang: the rest cannot go on without it
+// handleGangTaskEnd handles the end of one task of a gang: the rest cannot go on without it
 // if it has to run again, and is stopped so that the gang starts anew as a whole.
-func (p *Planner) loosen(h *holding, how plan.End) {
-	w := h.work
-	if len(w.held) == 0 {
-		if w.gang != nil {
-			p.refresh(w.gang)
+func (p *Planner) handleGangTaskEnd(pt *placedTask, end plan.AttemptEnd) {
+	js := pt.jobState
+	if len(js.placed) == 0 {
+		if js.gangUnit != nil {
+			p.markNew(js.gangUnit)
 		}
 		return
 	}
-	if (how.Failed || how.Lost || h.Stopping) && !h.Job.Once {
-		p.broken = append(p.broken, w)
+	if (end.Failed || end.ServerLost || pt.Stopping) && !pt.Job.Once {
+		p.brokenGangs = append(p.brokenGangs, js)
 	}
 }
--- a/internal/policy/cell/rapid_test.go
+++ b/internal/policy/cell/rapid_test.go
@@ -19,12 +19,12 @@
 // Whatever is submitted, cancelled, lost, lowered, drained, replayed and failed,
 // in any order: no server is overcommitted, no team is above its limit, a gang
 // starts whole, and nothing runs twice. In the end all that can run has run.
-func TestInvariantsHoldUnderAnything(t *testing.T) {
+func TestInvariantsHoldUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := world(6)
+		w := newWorld(6)
 		var jobs []uint64
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			jobs = append(jobs, step(t, w)...)
+			jobs = append(jobs, drawStep(t, w)...)
 			w.Run(w.Now() + time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms"))*time.Millisecond)
 		}
 		w.SetTable(w.Table().With([]team.Row{team.New("a"), team.New("b")}, nil))
@@ -44,28 +44,28 @@
 	})
 }
 
-// step does one thing to the world and returns the job submitted, if any.
-func step(t *rapid.T, w *bench.World) []uint64 {
-	ids := rapid.SampledFrom(servers(6)).Draw(t, "server").ID
+// drawStep does one thing to the world and returns the job submitted, if any.
+func drawStep(t *rapid.T, w *bench.World) []uint64 {
+	server := rapid.SampledFrom(servers(6)).Draw(t, "server").ID
 	switch rapid.IntRange(0, 9).Draw(t, "what") {
 	case 0:
-		w.Lose(func(s backend.Server) bool { return s.ID == ids && s.State == backend.Ready }, 20*time.Second, true)
+		w.Lose(func(s backend.Server) bool { return s.ID == server && s.State == backend.Ready }, 20*time.Second, true)
 	case 1:
-		w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(one.Times(rapid.Int64Range(8, 24).Draw(t, "limit")))}, nil))
+		w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize.Times(rapid.Int64Range(8, 24).Draw(t, "limit")))}, nil))
 	case 2:
-		w.Fail(ids, rapid.Bool().Draw(t, "fails"))
+		w.Fail(server, rapid.Bool().Draw(t, "fails"))
 	case 3:
 		w.Replan(cell.New(cell.Config{Seed: 2}))
 	case 4:
 		w.SetTable(w.Table().With([]team.Row{team.New("b").WithShare(rapid.Uint32Range(0, 1000).Draw(t, "share")).WithWeight(2)}, nil))
 	default:
-		return []uint64{draw(t, w)}
+		return []uint64{drawJob(t, w)}
 	}
 	return nil
 }
 
-// draw submits a job that fits the smallest limit that step sets.
-func draw(t *rapid.T, w *bench.World) uint64 {
+// drawJob submits a job that fits the smallest limit that step sets.
+func drawJob(t *rapid.T, w *bench.World) uint64 {
 	spec := job.Spec{
 		Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"),
 		Kind: rapid.SampledFrom([]job.Kind{job.Urgent, job.Batch, job.Gang, job.Service}).Draw(t, "kind"),
--- a/internal/policy/cell/reclaim.go
+++ b/internal/policy/cell/reclaim.go
@@ -8,70 +8,70 @@
 
 // Bounds of taking back.
 const (
-	// reclaimPeriod is the time between two rounds; a weight edited far is so
+	// reclaimInterval is the time between two rounds; a weight edited far is so
 	// reached in steps and not by one wave of preemption.
-	reclaimPeriod = 20 * time.Millisecond
-	// mostReclaims is the number of claims made in one round.
-	mostReclaims = 8
+	reclaimInterval = 20 * time.Millisecond
+	// maxReclaims is the number of claims made in one round.
+	maxReclaims = 8
 )
 
-// reclaim preempts, for teams below their due, the cheapest tasks of teams above
+// reclaimShares preempts, for teams below their due, the cheapest tasks of teams above
 // theirs.
-func (p *Planner) reclaim() {
-	if p.lacks(Reclaim) || p.full() || p.now < p.reclaims+reclaimPeriod {
+func (p *Planner) reclaimShares() {
+	if p.disabled(SharePreempt) || p.atDecisionLimit() || p.now < p.reclaimedAt+reclaimInterval {
 		return
 	}
-	p.reclaims = p.now
-	var poor []*account
-	p.order.Each(func(c *account) bool {
-		if c.known && p.lack(c) > p.cfg.Slack && c.queues[job.Batch].Len()+c.queues[job.Service].Len() > 0 {
-			poor = append(poor, c)
+	p.reclaimedAt = p.now
+	var belowShare []*teamState
+	p.teamsByNeed.Each(func(t *teamState) bool {
+		if t.inTable && p.shareDeficit(t) > p.cfg.ShareSlack && t.queues[job.Batch].Len()+t.queues[job.Service].Len() > 0 {
+			belowShare = append(belowShare, t)
 		}
-		return c.ratio < 1
+		return t.usageRatio < 1
 	})
-	left := mostReclaims
-	for _, c := range poor {
-		left = p.reclaimFor(c, left)
+	remaining := maxReclaims
+	for _, t := range belowShare {
+		remaining = p.reclaimForTeam(t, remaining)
 	}
-	p.beginGangs()
+	p.startGangReservations()
 }
 
-// lack is the part of the cell that the team misses of its target, room that is
+// shareDeficit is the part of the cell that the team misses of its target, room that is
 // on its way not counted.
-func (p *Planner) lack(c *account) float64 {
-	return c.target - c.held.Add(c.coming).Sub(c.leaving).Dominant(p.total)
+func (p *Planner) shareDeficit(t *teamState) float64 {
+	return t.targetShare - t.allocated.Add(t.reserved).Sub(t.stopping).Dominant(p.totalCapacity)
 }
 
-// reclaimFor makes claims for the team until its lack is covered or left is used
+// reclaimForTeam makes claims for the team until its lack is covered or left is used
 // up, and returns the rest of left.
-func (p *Planner) reclaimFor(c *account, left int) int {
-	units := c.queues[job.Service].First(mostReclaims, nil)
-	units = c.queues[job.Batch].First(p.cfg.Depth, units)
+func (p *Planner) reclaimForTeam(t *teamState, remaining int) int {
+	units := t.queues[job.Service].AppendFirst(maxReclaims, nil)
+	units = t.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, units)
 	for _, u := range units {
-		if left == 0 || p.full() || p.lack(c) <= p.cfg.Slack {
-			return left
+		if remaining == 0 || p.atDecisionLimit() || p.shareDeficit(t) <= p.cfg.ShareSlack {
+			return remaining
 		}
 		if !p.eligible(u) {
 			continue
 		}
-		if u.work.spec.Whole() {
-			for left > 0 && p.lack(c) > p.cfg.Slack && p.mayGather(u) && !p.full() {
-				left--
-				if !p.keepByForce(u, false) {
+		if u.jobState.spec.Whole() {
+			for remaining > 0 && p.shareDeficit(t) > p.cfg.ShareSlack && p.mayReserveForGang(u) && !p.atDecisionLimit() {
+				remaining--
+				if !p.reserveByPreemption(u, false) {
 					break
 				}
 			}
 			continue
 		}
-		left--
-		srv, stop := p.victims(u, u.work.spec.Size, false, p.overdue(p.cfg.Slack/2))
+		remaining--
+		srv, victims := p.findVictims(u, u.jobState.spec.Size, false, p.aboveShareFilter(p.cfg.ShareSlack/2))
 		if srv == nil {
 			continue
 		}
-		p.keep(u, srv)
-		for _, h := range stop {
-			p.preempt(h, "taken back for a team below its due")
+		p.reserve(u, srv)
+		for _, pt := range victims {
+			p.preempt(pt, "taken back for a team below its due")
 		}
 	}
-	return left
+	return remaining
 }
--- a/internal/policy/cell/service.go
+++ b/internal/policy/cell/service.go
@@ -8,26 +8,26 @@
 	"gypsumreel/internal/domain/job"
 )
 
-// placeServices places again the service tasks that lost their server, ahead of
+// placeDisplacedServices places again the service tasks that lost their server, ahead of
 // all new work; other service tasks take their team's turns.
-func (p *Planner) placeServices() {
-	if len(p.displaced) == 0 {
+func (p *Planner) placeDisplacedServices() {
+	if len(p.displacedServices) == 0 {
 		return
 	}
-	p.displaced = slices.DeleteFunc(p.displaced, func(u *unit) bool {
-		if u.where != inQueue || len(u.tasks) == 0 {
+	p.displacedServices = slices.DeleteFunc(p.displacedServices, func(u *unit) bool {
+		if u.list != inTeamQueue || len(u.tasks) == 0 {
 			return true
 		}
-		if u.claim != nil {
+		if u.reservation != nil {
 			return false
 		}
-		if p.full() || !p.allowed(u) {
+		if p.atDecisionLimit() || !p.limitAllows(u) {
 			return false
 		}
 		if p.placeService(u) {
 			return true
 		}
-		p.clear(u)
+		p.preemptForUnit(u)
 		return false
 	})
 }
@@ -35,100 +35,100 @@
 // placeService starts a service's task in the zone, and there in the rack, that
 // holds the fewest of its kind.
 func (p *Planner) placeService(u *unit) bool {
-	need := u.work.spec.Size
-	if u.tried == p.grown || p.failed.holds(need) {
+	need := u.jobState.spec.Size
+	if u.triedRevision == p.freeRevision || p.unplaceable.covers(need) {
 		return false
 	}
-	u.tried = p.grown
-	zones, racks := u.work.spread()
-	order := slices.Clone(p.zones)
-	slices.SortStableFunc(order, func(a, b *zone) int { return cmp.Compare(zones[a], zones[b]) })
-	for _, z := range order {
+	u.triedRevision = p.freeRevision
+	tasksByZone, tasksByRack := u.jobState.countByZoneAndRack()
+	zonesByCount := slices.Clone(p.zones)
+	slices.SortStableFunc(zonesByCount, func(a, b *zone) int { return cmp.Compare(tasksByZone[a], tasksByZone[b]) })
+	for _, z := range zonesByCount {
 		if !need.Fits(z.free) {
 			continue
 		}
-		s := p.apart(u, z, racks)
+		s := p.bestInUnusedRack(u, z, tasksByRack)
 		if s == nil {
-			s = p.bestIn(z, need, u.accepts())
+			s = p.bestInZone(z, need, u.serverFilter())
 		}
 		if s != nil {
-			p.start(u, []*server{s})
+			p.startUnit(u, []*server{s})
 			return true
 		}
 	}
-	if u.accepts() == nil {
-		p.failed.add(need)
+	if u.serverFilter() == nil {
+		p.unplaceable.add(need)
 	}
 	return false
 }
 
-// apart returns the best server of the zone in a rack that holds none of the job.
-func (p *Planner) apart(u *unit, z *zone, racks map[*rack]int) *server {
-	used := 0
-	for r := range racks {
+// bestInUnusedRack returns the best server of the zone in a rack that holds none of the job.
+func (p *Planner) bestInUnusedRack(u *unit, z *zone, tasksByRack map[*rack]int) *server {
+	usedRacks := 0
+	for r := range tasksByRack {
 		if r.zone == z {
-			used++
+			usedRacks++
 		}
 	}
-	if used == 0 || used == len(z.racks) {
+	if usedRacks == 0 || usedRacks == len(z.racks) {
 		return nil
 	}
-	return p.bestIn(z, u.work.spec.Size, func(s *server) bool {
-		return racks[s.rack] == 0 && !u.work.budget.FailedOn(s.num)
+	return p.bestInZone(z, u.jobState.spec.Size, func(s *server) bool {
+		return tasksByRack[s.rack] == 0 && !u.jobState.failureBudget.FailedOn(s.number)
 	})
 }
 
-// spread counts the job's tasks by zone and by rack.
-func (w *work) spread() (map[*zone]int, map[*rack]int) {
-	zones, racks := map[*zone]int{}, map[*rack]int{}
-	for _, h := range w.held {
-		if h.srv.rack != nil {
-			zones[h.srv.rack.zone]++
-			racks[h.srv.rack]++
+// countByZoneAndRack counts the job's tasks by zone and by rack.
+func (js *jobState) countByZoneAndRack() (map[*zone]int, map[*rack]int) {
+	tasksByZone, tasksByRack := map[*zone]int{}, map[*rack]int{}
+	for _, pt := range js.placed {
+		if pt.server.rack != nil {
+			tasksByZone[pt.server.rack.zone]++
+			tasksByRack[pt.server.rack]++
 		}
 	}
-	return zones, racks
+	return tasksByZone, tasksByRack
 }
 
-// running counts the job's tasks that are not being stopped.
-func (w *work) running() int {
+// runningCount counts the job's tasks that are not being stopped.
+func (js *jobState) runningCount() int {
 	n := 0
-	for _, h := range w.held {
-		if !h.Stopping {
+	for _, pt := range js.placed {
+		if !pt.Stopping {
 			n++
 		}
 	}
 	return n
 }
 
-// spares tells whether one more of a service's tasks may be stopped on purpose.
+// mayStopOne tells whether one more of a service's tasks may be stopped on purpose.
 // A floor of all tasks counts as one less, or the service could never move.
-func (w *work) spares() bool {
-	floor := min(int(w.spec.Floor), int(w.spec.Count)-1)
-	return w.running()-1 >= floor
+func (js *jobState) mayStopOne() bool {
+	floor := min(int(js.spec.Floor), int(js.spec.Count)-1)
+	return js.runningCount()-1 >= floor
 }
 
-// move lists the services of a server that is leaving; tasks that may run only
+// listServicesToMove lists the services of a server that is leaving; tasks that may run only
 // once stay until they end.
-func (p *Planner) move(s *server) {
-	for _, h := range s.tasks {
-		if h.Job.Kind == job.Service && !h.Job.Once {
-			p.moving = append(p.moving, h)
+func (p *Planner) listServicesToMove(s *server) {
+	for _, pt := range s.tasks {
+		if pt.Job.Kind == job.Service && !pt.Job.Once {
+			p.servicesToMove = append(p.servicesToMove, pt)
 		}
 	}
 }
 
-// replace stops services on servers that are leaving, one task of a job at a
+// moveServices stops services on servers that are leaving, one task of a job at a
 // time: the next only when the one before runs elsewhere.
-func (p *Planner) replace() {
-	p.moving = slices.DeleteFunc(p.moving, func(h *holding) bool {
-		if p.held[h.ID] != h || h.Stopping || h.srv.State != backend.Draining {
+func (p *Planner) moveServices() {
+	p.servicesToMove = slices.DeleteFunc(p.servicesToMove, func(pt *placedTask) bool {
+		if p.placed[pt.ID] != pt || pt.Stopping || pt.server.State != backend.Draining {
 			return true
 		}
-		if p.full() || h.work.waits > 0 || h.work.running() < len(h.work.held) || !h.work.spares() {
+		if p.atDecisionLimit() || pt.jobState.waitingCount > 0 || pt.jobState.runningCount() < len(pt.jobState.placed) || !pt.jobState.mayStopOne() {
 			return false
 		}
-		p.preemptOne(h, "its server is leaving")
+		p.preemptTask(pt, "its server is leaving")
 		return true
 	})
 }
--- a/internal/policy/cell/tally.go
+++ b/internal/policy/cell/tally.go
@@ -6,14 +6,14 @@
 	"gypsumreel/internal/domain/capacity"
 )
 
-// tally counts what waits of each size, so that a team of which nothing fits is
+// sizeCounts counts what waits of each size, so that a team of which nothing fits is
 // passed over without a look at its queue.
-type tally struct {
+type sizeCounts struct {
 	sizes  []capacity.Size
 	counts []int
 }
 
-func (t *tally) add(s capacity.Size) {
+func (t *sizeCounts) add(s capacity.Size) {
 	if i := slices.Index(t.sizes, s); i >= 0 {
 		t.counts[i]++
 		return
@@ -22,7 +22,7 @@
 	t.counts = append(t.counts, 1)
 }
 
-func (t *tally) remove(s capacity.Size) {
+func (t *sizeCounts) remove(s capacity.Size) {
 	i := slices.Index(t.sizes, s)
 	if t.counts[i]--; t.counts[i] > 0 {
 		return
@@ -31,10 +31,10 @@
 	t.counts = slices.Delete(t.counts, i, i+1)
 }
 
-// any tells whether a size that waits is not among those that fit nowhere.
-func (t *tally) any(f *frontier) bool {
+// anyPlaceable tells whether a size that waits is not among those that fit nowhere.
+func (t *sizeCounts) anyPlaceable(f *unplaceableSizes) bool {
 	for _, s := range t.sizes {
-		if !f.holds(s) {
+		if !f.covers(s) {
 			return true
 		}
 	}
--- a/internal/policy/cell/urgent.go
+++ b/internal/policy/cell/urgent.go
@@ -8,188 +8,188 @@
 
 // Bounds of the work done for urgent tasks in one call.
 const (
-	// mostSearches is the number of searches for victims.
-	mostSearches = 4
-	// mostVain is the number of urgent tasks looked at for which there is no room.
-	mostVain = 64
-	// urgentDepth is the number of a team's urgent tasks looked at.
-	urgentDepth = 32
-	// mostRefills is the number of rooms added to the reserve.
-	mostRefills = 4
+	// maxVictimSearches is the number of searches for victims.
+	maxVictimSearches = 4
+	// maxFailedPlacements is the number of urgent tasks looked at for which there is no room.
+	maxFailedPlacements = 64
+	// urgentScanDepth is the number of a team's urgent tasks looked at.
+	urgentScanDepth = 32
+	// maxReserveRefills is the number of rooms added to the reserve.
+	maxReserveRefills = 4
 )
 
-// room is a piece of the urgent reserve.
-type room struct {
-	srv  *server
-	size capacity.Size
-	pos  int
+// reserveBlock is a piece of the urgent reserve.
+type reserveBlock struct {
+	server *server
+	size   capacity.Size
+	index  int
 }
 
 // placeUrgent decides urgent work before anything else: into free room, then
 // into the reserve, then into room that the cheapest victims leave.
 func (p *Planner) placeUrgent() {
-	if p.urgent == 0 {
+	if p.urgentWaitingCount == 0 {
 		return
 	}
-	var accounts []*account
-	p.order.Each(func(c *account) bool {
-		if c.queues[job.Urgent].Len() > 0 && c.known {
-			accounts = append(accounts, c)
+	var teams []*teamState
+	p.teamsByNeed.Each(func(t *teamState) bool {
+		if t.queues[job.Urgent].Len() > 0 && t.inTable {
+			teams = append(teams, t)
 		}
 		return true
 	})
-	searches, vain := 0, 0
-	for _, c := range accounts {
-		waiting := c.queues[job.Urgent].First(urgentDepth, nil)
+	searches, failed := 0, 0
+	for _, t := range teams {
+		waiting := t.queues[job.Urgent].AppendFirst(urgentScanDepth, nil)
 		for i, u := range waiting {
-			if p.full() || vain == mostVain {
+			if p.atDecisionLimit() || failed == maxFailedPlacements {
 				return
 			}
-			if !p.allowed(u) {
-				p.yield(c, waiting[i:])
+			if !p.limitAllows(u) {
+				p.preemptOwnForUrgent(t, waiting[i:])
 				break
 			}
-			if p.placeQuick(u) || u.claim != nil {
+			if p.placeWithoutPreemption(u) || u.reservation != nil {
 				continue
 			}
-			vain++
-			if searches < mostSearches && u.tried != p.grown {
+			failed++
+			if searches < maxVictimSearches && u.triedRevision != p.freeRevision {
 				searches++
-				u.tried = p.grown
-				p.clear(u)
+				u.triedRevision = p.freeRevision
+				p.preemptForUnit(u)
 			}
 		}
 	}
 }
 
-// placeQuick starts an urgent task if there is room for it.
-func (p *Planner) placeQuick(u *unit) bool {
-	need := u.work.spec.Size
-	if s := p.find(u, need); s != nil {
-		p.start(u, []*server{s})
+// placeWithoutPreemption starts an urgent task if there is room for it.
+func (p *Planner) placeWithoutPreemption(u *unit) bool {
+	need := u.jobState.spec.Size
+	if s := p.findServer(u, need); s != nil {
+		p.startUnit(u, []*server{s})
 		return true
 	}
-	for _, r := range p.rooms {
-		if r.srv.State != backend.Ready || u.work.budget.FailedOn(r.srv.num) || !need.Fits(r.srv.room().Add(r.size)) {
+	for _, r := range p.reserveBlocks {
+		if r.server.State != backend.Ready || u.jobState.failureBudget.FailedOn(r.server.number) || !need.Fits(r.server.available().Add(r.size)) {
 			continue
 		}
-		p.dropRoom(r)
-		p.start(u, []*server{r.srv})
+		p.dropReserveBlock(r)
+		p.startUnit(u, []*server{r.server})
 		return true
 	}
 	return false
 }
 
-// yield preempts the team's own youngest batch as long as the team's limit is
+// preemptOwnForUrgent preempts the team's own youngest batch as long as the team's limit is
 // all that keeps its urgent tasks waiting.
-func (p *Planner) yield(c *account, waiting []*unit) {
-	if p.lacks(UrgentPreempt) {
+func (p *Planner) preemptOwnForUrgent(t *teamState, waiting []*unit) {
+	if p.disabled(UrgentPreempt) {
 		return
 	}
 	var more capacity.Size
 	for _, u := range waiting {
-		more = more.Add(u.size())
+		more = more.Add(u.totalSize())
 	}
-	for !p.full() {
-		over := c.held.Sub(c.leaving).Add(more)
-		if over.Within(c.row.Limit) {
+	for !p.atDecisionLimit() {
+		expected := t.allocated.Sub(t.stopping).Add(more)
+		if expected.Within(t.row.Limit) {
 			return
 		}
-		h := p.youngestOver(c, over)
-		if h == nil || !h.victim() {
+		pt := p.youngestStoppable(t, expected)
+		if pt == nil || !pt.preemptible() {
 			return
 		}
-		p.preempt(h, "its team's limit is needed for urgent work")
+		p.preempt(pt, "its team's limit is needed for urgent work")
 	}
 }
 
-// clear preempts the cheapest victims for an urgent task: those of its own team,
+// preemptForUnit preempts the cheapest victims for an urgent task: those of its own team,
 // and of teams above their due unless its own team is above its due as well. So
 // a team that calls all its work urgent takes nothing from the others.
-func (p *Planner) clear(u *unit) {
-	if p.lacks(UrgentPreempt) {
+func (p *Planner) preemptForUnit(u *unit) {
+	if p.disabled(UrgentPreempt) {
 		return
 	}
-	c := u.work.account
-	poor := c.held.Sub(c.leaving).Dominant(p.total) <= c.fair+p.cfg.Slack
-	may := func(h *holding) bool {
-		return h.account == c || poor && p.overdue(2*p.cfg.Slack)(h)
+	t := u.jobState.team
+	withinShare := t.allocated.Sub(t.stopping).Dominant(p.totalCapacity) <= t.fairShare+p.cfg.ShareSlack
+	filter := func(pt *placedTask) bool {
+		return pt.team == t || withinShare && p.aboveShareFilter(2*p.cfg.ShareSlack)(pt)
 	}
-	srv, stop := p.victims(u, u.work.spec.Size, true, may)
+	srv, victims := p.findVictims(u, u.jobState.spec.Size, true, filter)
 	if srv == nil {
 		return
 	}
-	p.keep(u, srv)
-	for _, h := range stop {
-		p.preempt(h, "room for urgent work")
+	p.reserve(u, srv)
+	for _, pt := range victims {
+		p.preempt(pt, "room for urgent work")
 	}
 }
 
-// fillReserve keeps the reserve at its size, spread over the zones, so that the
+// fillUrgentReserve keeps the reserve at its size, spread over the zones, so that the
 // loss of one leaves most of it.
-func (p *Planner) fillReserve() {
-	if p.lacks(Reserve) {
+func (p *Planner) fillUrgentReserve() {
+	if p.disabled(UrgentReserve) {
 		return
 	}
-	n, size := p.reserve.Target(p.total)
-	if len(p.rooms) > 0 && p.rooms[0].size != size {
-		p.dropRooms(func(*room) bool { return true })
+	n, size := p.urgentReserve.Target(p.totalCapacity)
+	if len(p.reserveBlocks) > 0 && p.reserveBlocks[0].size != size {
+		p.dropReserveBlocks(func(*reserveBlock) bool { return true })
 	}
-	for len(p.rooms) > n {
-		p.dropRoom(p.rooms[len(p.rooms)-1])
+	for len(p.reserveBlocks) > n {
+		p.dropReserveBlock(p.reserveBlocks[len(p.reserveBlocks)-1])
 	}
-	for range min(n-len(p.rooms), mostRefills) {
-		if !p.addRoom(size) {
+	for range min(n-len(p.reserveBlocks), maxReserveRefills) {
+		if !p.addReserveBlock(size) {
 			return
 		}
 	}
 }
 
-func (p *Planner) addRoom(size capacity.Size) bool {
-	if p.failed.holds(size) {
+func (p *Planner) addReserveBlock(size capacity.Size) bool {
+	if p.unplaceable.covers(size) {
 		return false
 	}
-	s := p.bestIn(p.emptiest(), size, nil)
+	s := p.bestInZone(p.zoneWithFewestBlocks(), size, nil)
 	if s == nil {
-		s = p.best(size, nil)
+		s = p.bestServer(size, nil)
 	}
 	if s == nil {
-		p.failed.add(size)
+		p.unplaceable.add(size)
 		return false
 	}
-	r := &room{srv: s, size: size, pos: len(p.rooms)}
-	p.rooms = append(p.rooms, r)
-	s.rooms++
-	s.rack.zone.rooms++
-	p.reserveOn(s, size)
+	r := &reserveBlock{server: s, size: size, index: len(p.reserveBlocks)}
+	p.reserveBlocks = append(p.reserveBlocks, r)
+	s.reserveBlockCount++
+	s.rack.zone.reserveBlockCount++
+	p.adjustServerReserved(s, size)
 	return true
 }
 
-// emptiest returns the zone with the fewest rooms of the reserve.
-func (p *Planner) emptiest() *zone {
-	var least *zone
+// zoneWithFewestBlocks returns the zone with the fewest rooms of the reserve.
+func (p *Planner) zoneWithFewestBlocks() *zone {
+	var best *zone
 	for _, z := range p.zones {
-		if least == nil || z.rooms < least.rooms {
-			least = z
+		if best == nil || z.reserveBlockCount < best.reserveBlockCount {
+			best = z
 		}
 	}
-	return least
+	return best
 }
 
-func (p *Planner) dropRoom(r *room) {
-	last := p.rooms[len(p.rooms)-1]
-	p.rooms[r.pos], last.pos = last, r.pos
-	p.rooms = p.rooms[:len(p.rooms)-1]
-	r.srv.rooms--
-	r.srv.rack.zone.rooms--
-	p.reserveOn(r.srv, capacity.Size{}.Sub(r.size))
+func (p *Planner) dropReserveBlock(r *reserveBlock) {
+	last := p.reserveBlocks[len(p.reserveBlocks)-1]
+	p.reserveBlocks[r.index], last.index = last, r.index
+	p.reserveBlocks = p.reserveBlocks[:len(p.reserveBlocks)-1]
+	r.server.reserveBlockCount--
+	r.server.rack.zone.reserveBlockCount--
+	p.adjustServerReserved(r.server, capacity.Size{}.Sub(r.size))
 }
 
-// dropRooms gives up the rooms that match.
-func (p *Planner) dropRooms(match func(*room) bool) {
-	for i := len(p.rooms) - 1; i >= 0; i-- {
-		if match(p.rooms[i]) {
-			p.dropRoom(p.rooms[i])
+// dropReserveBlocks gives up the rooms that match.
+func (p *Planner) dropReserveBlocks(match func(*reserveBlock) bool) {
+	for i := len(p.reserveBlocks) - 1; i >= 0; i-- {
+		if match(p.reserveBlocks[i]) {
+			p.dropReserveBlock(p.reserveBlocks[i])
 		}
 	}
 }
--- a/internal/policy/cell/watch.go
+++ b/internal/policy/cell/watch.go
@@ -13,218 +13,218 @@
 )
 
 const (
-	// tolerance is the part by which reported processor time may exceed the
+	// cpuTolerance is the part by which reported processor time may exceed the
 	// declared size; it is measured over short windows.
-	tolerance = 0.1
-	// shortGrace is the time to fall back to the declared size on a server that is
+	cpuTolerance = 0.1
+	// overcommitGrace is the time to fall back to the declared size on a server that is
 	// overcommitted by what is used.
-	shortGrace = 2 * time.Second
-	// again is the time after which a decision without effect is repeated.
-	again = 5 * time.Second
+	overcommitGrace = 2 * time.Second
+	// restoreRetryInterval is the time after which a decision without effect is repeated.
+	restoreRetryInterval = 5 * time.Second
 )
 
-// exceeds tells whether a task uses more than its declared size.
-func exceeds(used, declared capacity.Size) bool {
-	return float64(used.CPU) > float64(declared.CPU)*(1+tolerance) || beyond(used, declared)
+// exceedsDeclared tells whether a task uses more than its declared size.
+func exceedsDeclared(usage, declared capacity.Size) bool {
+	return float64(usage.CPU) > float64(declared.CPU)*(1+cpuTolerance) || exceedsUnthrottleable(usage, declared)
 }
 
-// beyond tells whether a task uses more of what throttling does not give back.
-func beyond(used, declared capacity.Size) bool {
-	return used.Memory > declared.Memory || used.Accel > declared.Accel || used.Slots > declared.Slots
+// exceedsUnthrottleable tells whether a task uses more of what throttling does not give back.
+func exceedsUnthrottleable(usage, declared capacity.Size) bool {
+	return usage.Memory > declared.Memory || usage.Accel > declared.Accel || usage.Slots > declared.Slots
 }
 
-// watch decides on tasks, jobs and servers that do not keep to what is expected.
-func (p *Planner) watch() {
-	p.watchUse()
-	p.watchGangs()
-	p.watchServers()
-	p.park()
+// handleMisbehavior decides on tasks, jobs and servers that do not keep to what is expected.
+func (p *Planner) handleMisbehavior() {
+	p.enforceUsage()
+	p.stopBrokenGangs()
+	p.updateQuarantine()
+	p.parkExhaustedJobs()
 }
 
-// watchUse throttles tasks beyond their declared size, and stops those that stay
+// enforceUsage throttles tasks beyond their declared size, and stops those that stay
 // beyond it. The grace is short where the server has no room for the excess, and
 // there is none for what throttling does not give back. A task that may run only
 // once is throttled and never stopped: to stop it would be to lose it.
-func (p *Planner) watchUse() {
-	p.over = slices.DeleteFunc(p.over, func(h *holding) bool {
-		if p.held[h.ID] != h || !h.exceeds || h.Stopping {
-			h.listed = false
+func (p *Planner) enforceUsage() {
+	p.overuseTasks = slices.DeleteFunc(p.overuseTasks, func(pt *placedTask) bool {
+		if p.placed[pt.ID] != pt || !pt.exceedsDeclared || pt.Stopping {
+			pt.inOveruseList = false
 			return true
 		}
-		if p.full() {
+		if p.atDecisionLimit() {
 			return false
 		}
-		return p.curb(h)
+		return p.enforceTaskUsage(pt)
 	})
 }
 
-// curb takes the next step against one task and tells whether it was the last.
-func (p *Planner) curb(h *holding) bool {
-	tight := !h.srv.actual().Valid()
-	hard := tight && beyond(h.size, h.Job.Size)
-	if h.Job.Once && h.throttled > 0 {
+// enforceTaskUsage takes the next step against one task and tells whether it was the last.
+func (p *Planner) enforceTaskUsage(pt *placedTask) bool {
+	serverOvercommitted := !pt.server.uncommitted().Valid()
+	stopAtOnce := serverOvercommitted && exceedsUnthrottleable(pt.countedSize, pt.Job.Size)
+	if pt.Job.Once && pt.throttledAt > 0 {
 		return true
 	}
-	if h.throttled == 0 && (!hard || h.Job.Once) {
-		h.throttled = max(p.now, 1)
-		p.emit(plan.Decision{Verb: plan.Throttle, Task: h.ID, Reason: "uses more than it declared"})
+	if pt.throttledAt == 0 && (!stopAtOnce || pt.Job.Once) {
+		pt.throttledAt = max(p.now, 1)
+		p.emit(plan.Decision{Action: plan.Throttle, Task: pt.ID, Reason: "uses more than it declared"})
 		return false
 	}
-	grace := p.cfg.Grace
-	if tight {
-		grace = shortGrace
+	grace := p.cfg.ThrottleGrace
+	if serverOvercommitted {
+		grace = overcommitGrace
 	}
-	if !hard && (h.usedAt < h.throttled+grace || p.now < h.throttled+grace) {
+	if !stopAtOnce && (pt.usageAt < pt.throttledAt+grace || p.now < pt.throttledAt+grace) {
 		return false
 	}
-	p.stop(h)
-	h.curbed = true
-	p.emit(plan.Decision{Verb: plan.Stop, Task: h.ID, Reason: "uses more than it declared"})
+	p.markStopping(pt)
+	pt.stoppedForUsage = true
+	p.emit(plan.Decision{Action: plan.Stop, Task: pt.ID, Reason: "uses more than it declared"})
 	return true
 }
 
-// watchGangs stops what is left of gangs that lost a task.
-func (p *Planner) watchGangs() {
-	for _, w := range p.broken {
-		for _, h := range w.held {
-			p.preemptOne(h, "its gang lost a task")
+// stopBrokenGangs stops what is left of gangs that lost a task.
+func (p *Planner) stopBrokenGangs() {
+	for _, js := range p.brokenGangs {
+		for _, pt := range js.placed {
+			p.preemptTask(pt, "its gang lost a task")
 		}
 	}
-	p.broken = p.broken[:0]
+	p.brokenGangs = p.brokenGangs[:0]
 }
 
-// learn takes note of how an attempt ended. What was stopped on purpose says nothing about
+// recordEnd takes note of how an attempt ended. What was stopped on purpose says nothing about
 // job or server, and what went away with its server only where it had just begun.
-func (p *Planner) learn(h *holding, how plan.End) {
-	if h.curbed && !how.Lost {
-		h.work.budget.RecordStop()
+func (p *Planner) recordEnd(pt *placedTask, end plan.AttemptEnd) {
+	if pt.stoppedForUsage && !end.ServerLost {
+		pt.jobState.failureBudget.RecordStop()
 	}
 	switch {
-	case how.Lost:
-		h.work.budget.RecordServerLoss(h.ID.Index, h.srv.silent-h.Since)
+	case end.ServerLost:
+		pt.jobState.failureBudget.RecordServerLoss(pt.ID.Index, pt.server.silentSince-pt.PlacedAt)
 		return
-	case !how.Ran || h.Stopping:
+	case !end.Started || pt.Stopping:
 		return
 	}
-	h.work.budget.ResetCrashes(h.ID.Index)
-	name := health.JobNameOf(h.Job)
-	if !how.Failed {
-		p.estimates.Observe(h.Job, how.At-h.Since)
-		p.guard.RecordSuccess(name, h.srv.num)
+	pt.jobState.failureBudget.ResetCrashes(pt.ID.Index)
+	name := health.JobNameOf(pt.Job)
+	if !end.Failed {
+		p.runtimeEstimates.Observe(pt.Job, end.EndedAt-pt.PlacedAt)
+		p.healthGuard.RecordSuccess(name, pt.server.number)
 		return
 	}
-	p.guard.RecordFailure(name, h.srv.num, how.At)
-	if h.srv.State != backend.Quarantined {
-		h.work.budget.RecordFailure(h.srv.num)
+	p.healthGuard.RecordFailure(name, pt.server.number, end.EndedAt)
+	if pt.server.State != backend.Quarantined {
+		pt.jobState.failureBudget.RecordFailure(pt.server.number)
 	}
-	if p.guard.ShouldQuarantine(h.srv.num, len(p.list)) {
-		p.suspects = append(p.suspects, h.srv)
+	if p.healthGuard.ShouldQuarantine(pt.server.number, len(p.serverList)) {
+		p.suspectServers = append(p.suspectServers, pt.server)
 	}
 }
 
-// confine notes that the server is in quarantine.
-func (p *Planner) confine(s *server, since time.Duration) {
-	p.guard.Quarantine(s.num, since)
-	if !slices.Contains(p.quarantined, s) {
-		p.quarantined = append(p.quarantined, s)
+// markQuarantined notes that the server is in quarantine.
+func (p *Planner) markQuarantined(s *server, since time.Duration) {
+	p.healthGuard.Quarantine(s.number, since)
+	if !slices.Contains(p.quarantinedServers, s) {
+		p.quarantinedServers = append(p.quarantinedServers, s)
 	}
 }
 
-// watchServers takes failing servers out of use and brings sound ones back.
-func (p *Planner) watchServers() {
-	for _, s := range p.suspects {
-		if s.State == backend.Ready && p.guard.ShouldQuarantine(s.num, len(p.list)) && !p.lacks(Quarantine) {
-			p.quarantine(s)
+// updateQuarantine takes failing servers out of use and brings sound ones back.
+func (p *Planner) updateQuarantine() {
+	for _, s := range p.suspectServers {
+		if s.State == backend.Ready && p.healthGuard.ShouldQuarantine(s.number, len(p.serverList)) && !p.disabled(Quarantine) {
+			p.quarantineServer(s)
 		}
 	}
-	p.suspects = p.suspects[:0]
-	p.quarantined = slices.DeleteFunc(p.quarantined, func(s *server) bool { return s.State != backend.Quarantined })
-	for _, s := range p.quarantined {
-		if p.guard.Recovered(s.num) && (s.restored == 0 || p.now >= s.restored+again) {
-			s.restored = max(p.now, 1)
-			p.emit(plan.Decision{Verb: plan.Restore, Server: s.ID, Reason: "its probes succeeded"})
+	p.suspectServers = p.suspectServers[:0]
+	p.quarantinedServers = slices.DeleteFunc(p.quarantinedServers, func(s *server) bool { return s.State != backend.Quarantined })
+	for _, s := range p.quarantinedServers {
+		if p.healthGuard.Recovered(s.number) && (s.restoreDecidedAt == 0 || p.now >= s.restoreDecidedAt+restoreRetryInterval) {
+			s.restoreDecidedAt = max(p.now, 1)
+			p.emit(plan.Decision{Action: plan.Restore, Server: s.ID, Reason: "its probes succeeded"})
 		}
 	}
 }
 
-// quarantine takes the server out of use and forgives the jobs that failed there:
+// quarantineServer takes the server out of use and forgives the jobs that failed there:
 // a server that fails everything must not use up the budgets of sound jobs.
-func (p *Planner) quarantine(s *server) {
-	s.State, s.restored = backend.Quarantined, 0
-	p.confine(s, p.now)
-	p.touch(s)
-	for _, w := range p.works {
-		w.budget.RemoveFailures(s.num)
-	}
-	p.emit(plan.Decision{Verb: plan.Quarantine, Server: s.ID, Reason: "fails what runs elsewhere"})
+func (p *Planner) quarantineServer(s *server) {
+	s.State, s.restoreDecidedAt = backend.Quarantined, 0
+	p.markQuarantined(s, p.now)
+	p.refreshFree(s)
+	for _, js := range p.jobs {
+		js.failureBudget.RemoveFailures(s.number)
+	}
+	p.emit(plan.Decision{Action: plan.Quarantine, Server: s.ID, Reason: "fails what runs elsewhere"})
 }
 
-// park gives up jobs that failed too often.
-func (p *Planner) park() {
-	for _, w := range p.spent {
-		if w.given || !w.budget.Exhausted() || p.works[w.id] != w {
+// parkExhaustedJobs gives up jobs that failed too often.
+func (p *Planner) parkExhaustedJobs() {
+	for _, js := range p.exhaustedJobs {
+		if js.givenUp || !js.failureBudget.Exhausted() || p.jobs[js.id] != js {
 			continue
 		}
-		w.given = true
-		p.shelve(w)
-		p.emit(plan.Decision{Verb: plan.Park, Job: w.id, Reason: w.budget.Reason()})
+		js.givenUp = true
+		p.removeFromQueues(js)
+		p.emit(plan.Decision{Action: plan.Park, Job: js.id, Reason: js.failureBudget.Reason()})
 	}
-	p.spent = p.spent[:0]
+	p.exhaustedJobs = p.exhaustedJobs[:0]
 }
 
-// shelve takes everything of the job that waits out of the queues.
-func (p *Planner) shelve(w *work) {
-	for i := range w.spec.Count {
-		u := p.waits[task.ID{Job: w.id, Index: i}]
+// removeFromQueues takes everything of the job that waits out of the queues.
+func (p *Planner) removeFromQueues(js *jobState) {
+	for i := range js.spec.Count {
+		u := p.waiting[task.ID{Job: js.id, Index: i}]
 		if u == nil {
 			continue
 		}
-		p.dropClaim(u)
-		p.detach(u)
+		p.dropReservation(u)
+		p.removeFromList(u)
 	}
 }
 
-// expire drops jobs whose deadline passed before anything of them was placed.
-func (p *Planner) expire() {
-	for range mostDrops {
-		u, ok := p.late.Min()
-		if !ok || u.expires() > p.now || p.full() {
+// dropExpired drops jobs whose deadline passed before anything of them was placed.
+func (p *Planner) dropExpired() {
+	for range maxDrops {
+		u, ok := p.unitsByDeadline.Min()
+		if !ok || u.deadline() > p.now || p.atDecisionLimit() {
 			return
 		}
-		p.late.Remove(u.id)
-		w := u.work
-		if w.given || w.started || w.waits != int(w.spec.Count) {
+		p.unitsByDeadline.Remove(u.id)
+		js := u.jobState
+		if js.givenUp || js.everPlaced || js.waitingCount != int(js.spec.Count) {
 			continue
 		}
-		w.given = true
-		p.shelve(w)
-		p.emit(plan.Decision{Verb: plan.Drop, Job: w.id, Reason: "deadline passed"})
+		js.givenUp = true
+		p.removeFromQueues(js)
+		p.emit(plan.Decision{Action: plan.Drop, Job: js.id, Reason: "deadline passed"})
 	}
 }
 
-// probe gives a task to a server in quarantine whose time has come: one at a
+// placeProbes gives a task to a server in quarantine whose time has come: one at a
 // time, and one that may be repeated.
-func (p *Planner) probe() {
-	for _, s := range p.quarantined {
-		if p.full() {
+func (p *Planner) placeProbes() {
+	for _, s := range p.quarantinedServers {
+		if p.atDecisionLimit() {
 			return
 		}
-		if s.State != backend.Quarantined || !p.guard.MayProbe(s.num, p.now) || len(s.tasks) > 0 {
+		if s.State != backend.Quarantined || !p.healthGuard.MayProbe(s.number, p.now) || len(s.tasks) > 0 {
 			continue
 		}
-		if u := p.probeWith(s); u != nil {
-			p.start(u, []*server{s})
+		if u := p.selectProbe(s); u != nil {
+			p.startUnit(u, []*server{s})
 		}
 	}
 }
 
-// probeWith returns a waiting task to test the server with.
-func (p *Planner) probeWith(s *server) *unit {
+// selectProbe returns a waiting task to test the server with.
+func (p *Planner) selectProbe(s *server) *unit {
 	var found *unit
-	p.order.Each(func(c *account) bool {
-		for _, u := range c.queues[job.Batch].First(p.cfg.Depth, nil) {
-			spec := u.work.spec
-			if !spec.Once && !spec.Whole() && u.claim == nil && u.work.budget.Failures() == 0 && spec.Size.Fits(s.room()) && p.within(c, spec.Size) {
+	p.teamsByNeed.Each(func(t *teamState) bool {
+		for _, u := range t.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, nil) {
+			spec := u.jobState.spec
+			if !spec.Once && !spec.Whole() && u.reservation == nil && u.jobState.failureBudget.Failures() == 0 && spec.Size.Fits(s.available()) && p.withinLimit(t, spec.Size) {
 				found = u
 				return false
 			}
--- a/internal/policy/cell/work.go
+++ b/internal/policy/cell/work.go
@@ -12,317 +12,317 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// whole is the index under which a gang waits as one unit.
-const whole = math.MaxUint32
+// gangIndex is the index under which a gang waits as one unit.
+const gangIndex = math.MaxUint32
 
-// gangLead is how much older than a gang batch of its team must be to go first.
+// gangHeadStart is how much older than a gang batch of its team must be to go first.
 // Gangs take long to gather their room, and longer the later they begin.
-const gangLead = time.Hour
+const gangHeadStart = time.Hour
 
 // Bounds of what the expected run time counts against age in the order.
 const (
-	// orderWeight is the time in the queue that a second of it stands for.
-	orderWeight = 10
-	// orderMost bounds it, whatever is declared.
-	orderMost = 30 * time.Minute
+	// runtimeWeight is the time in the queue that a second of it stands for.
+	runtimeWeight = 10
+	// maxRuntimeRank bounds it, whatever is declared.
+	maxRuntimeRank = 30 * time.Minute
 )
 
-// where says which list a unit is in.
-type where uint8
+// unitList says which list a unit is in.
+type unitList uint8
 
 const (
-	nowhere where = iota
-	inFresh
-	inLater
-	inQueue
-	inNever
+	inNoList unitList = iota
+	inNewUnits
+	inDelayedUnits
+	inTeamQueue
+	inUnplaceableUnits
 )
 
-// work is a job of which something waits or runs.
-type work struct {
-	id      uint64
-	spec    *job.Spec
-	account *account
-	held    []*holding
-	waits   int
-	gang    *unit
-	budget  health.Budget
-	// started tells that something of the job was placed before.
-	started bool
-	listed  bool
-	given   bool
+// jobState is a job of which something waits or runs.
+type jobState struct {
+	id            uint64
+	spec          *job.Spec
+	team          *teamState
+	placed        []*placedTask
+	waitingCount  int
+	gangUnit      *unit
+	failureBudget health.Budget
+	// everPlaced tells that something of the job was placed before.
+	everPlaced bool
+	inIdleList bool
+	givenUp    bool
 }
 
 // unit is what is placed in one decision: a task, or all waiting tasks of a gang.
 type unit struct {
-	id    task.ID
-	work  *work
-	tasks []plan.Queued
-	// need is the size of each task.
-	need  capacity.Size
-	ready time.Duration
+	id       task.ID
+	jobState *jobState
+	tasks    []plan.WaitingTask
+	// taskSize is the size of each task.
+	taskSize capacity.Size
+	readyAt  time.Duration
 	// rank is the place in the team's queue.
-	rank  time.Duration
-	seq   uint64
-	where where
-	// since is when it became ready.
-	since time.Duration
-	claim *claim
-	// tried is the count of changes at the last search in vain.
-	tried uint64
+	rank     time.Duration
+	sequence uint64
+	list     unitList
+	// queuedAt is when it became ready.
+	queuedAt    time.Duration
+	reservation *reservation
+	// triedRevision is the count of changes at the last search in vain.
+	triedRevision uint64
 }
 
 func unitKey(u *unit) task.ID { return u.id }
 
-func oldest(a, b *unit) bool { return a.seq < b.seq }
+func bySequence(a, b *unit) bool { return a.sequence < b.sequence }
 
-func soonest(a, b *unit) bool {
-	if a.ready != b.ready {
-		return a.ready < b.ready
+func byReadyTime(a, b *unit) bool {
+	if a.readyAt != b.readyAt {
+		return a.readyAt < b.readyAt
 	}
-	return a.seq < b.seq
+	return a.sequence < b.sequence
 }
 
-func (u *unit) expires() time.Duration { return u.tasks[0].Accepted + u.work.spec.Deadline }
+func (u *unit) deadline() time.Duration { return u.tasks[0].AcceptedAt + u.jobState.spec.Deadline }
 
-func expiresFirst(a, b *unit) bool {
-	if x, y := a.expires(), b.expires(); x != y {
+func byDeadline(a, b *unit) bool {
+	if x, y := a.deadline(), b.deadline(); x != y {
 		return x < y
 	}
-	return a.seq < b.seq
+	return a.sequence < b.sequence
 }
 
-func before(a, b *unit) bool {
+func byRank(a, b *unit) bool {
 	if a.rank != b.rank {
 		return a.rank < b.rank
 	}
-	return a.seq < b.seq
+	return a.sequence < b.sequence
 }
 
-// size is the size of the unit's tasks together.
-func (u *unit) size() capacity.Size { return u.need.Times(int64(len(u.tasks))) }
+// totalSize is the size of the unit's tasks together.
+func (u *unit) totalSize() capacity.Size { return u.taskSize.Times(int64(len(u.tasks))) }
 
-func (p *Planner) work(id uint64, spec *job.Spec) *work {
-	w := p.works[id]
-	if w == nil {
-		w = &work{id: id, spec: spec, account: p.account(spec.Team)}
-		p.works[id] = w
+func (p *Planner) jobState(id uint64, spec *job.Spec) *jobState {
+	js := p.jobs[id]
+	if js == nil {
+		js = &jobState{id: id, spec: spec, team: p.team(spec.Team)}
+		p.jobs[id] = js
 	}
-	return w
+	return js
 }
 
-// tidy lists a job that may be over; it is forgotten at the next decision, when
+// listIfIdle lists a job that may be over; it is forgotten at the next decision, when
 // its retries would have been told of.
-func (p *Planner) tidy(w *work) {
-	if len(w.held) == 0 && w.waits == 0 && !w.listed {
-		w.listed = true
-		p.idle = append(p.idle, w)
+func (p *Planner) listIfIdle(js *jobState) {
+	if len(js.placed) == 0 && js.waitingCount == 0 && !js.inIdleList {
+		js.inIdleList = true
+		p.idleJobs = append(p.idleJobs, js)
 	}
 }
 
-func (p *Planner) forget() {
-	for _, w := range p.idle {
-		w.listed = false
-		if len(w.held) == 0 && w.waits == 0 && p.works[w.id] == w {
-			delete(p.works, w.id)
+func (p *Planner) forgetIdleJobs() {
+	for _, js := range p.idleJobs {
+		js.inIdleList = false
+		if len(js.placed) == 0 && js.waitingCount == 0 && p.jobs[js.id] == js {
+			delete(p.jobs, js.id)
 		}
 	}
-	p.idle = p.idle[:0]
+	p.idleJobs = p.idleJobs[:0]
 }
 
-func (p *Planner) enqueue(w *work, q plan.Queued) {
-	if w.budget.Failures() > 0 {
-		q.Ready = max(q.Ready, p.now+w.budget.Backoff(p.rng))
+func (p *Planner) enqueue(js *jobState, waiting plan.WaitingTask) {
+	if js.failureBudget.Failures() > 0 {
+		waiting.ReadyAt = max(waiting.ReadyAt, p.now+js.failureBudget.Backoff(p.rng))
 	}
-	w.started = w.started || q.Attempts > 0
-	w.waits++
-	w.account.wants = w.account.wants.Add(w.spec.Size)
-	u := w.gang
+	js.everPlaced = js.everPlaced || waiting.Attempts > 0
+	js.waitingCount++
+	js.team.waiting = js.team.waiting.Add(js.spec.Size)
+	u := js.gangUnit
 	if u == nil {
-		p.seq++
-		u = &unit{id: q.ID, work: w, seq: p.seq, need: w.spec.Size}
-		if w.spec.Whole() {
-			u.id.Index = whole
-			w.gang = u
+		p.lastSequence++
+		u = &unit{id: waiting.ID, jobState: js, sequence: p.lastSequence, taskSize: js.spec.Size}
+		if js.spec.Whole() {
+			u.id.Index = gangIndex
+			js.gangUnit = u
 		}
 	} else {
-		p.detach(u)
+		p.removeFromList(u)
 	}
-	u.tasks = append(u.tasks, q)
-	u.ready = max(u.ready, q.Ready)
-	p.waits[q.ID] = u
-	p.refresh(u)
+	u.tasks = append(u.tasks, waiting)
+	u.readyAt = max(u.readyAt, waiting.ReadyAt)
+	p.waiting[waiting.ID] = u
+	p.markNew(u)
 }
 
-// refresh has the next decision look at the unit.
-func (p *Planner) refresh(u *unit) {
-	if u.where == nowhere {
-		u.where = inFresh
-		p.fresh = append(p.fresh, u)
+// markNew has the next decision look at the unit.
+func (p *Planner) markNew(u *unit) {
+	if u.list == inNoList {
+		u.list = inNewUnits
+		p.newUnits = append(p.newUnits, u)
 	}
 }
 
-// detach takes the unit out of its list; what is in fresh stays there.
-func (p *Planner) detach(u *unit) {
-	switch u.where {
-	case inLater:
-		p.later.Remove(u.id)
-	case inQueue:
-		u.work.account.queues[kindOf(u.work.spec)].Remove(u.id)
-		p.late.Remove(u.id)
-		if u.work.spec.Kind == job.Urgent {
-			p.urgent--
+// removeFromList takes the unit out of its list; what is in fresh stays there.
+func (p *Planner) removeFromList(u *unit) {
+	switch u.list {
+	case inDelayedUnits:
+		p.delayedUnits.Remove(u.id)
+	case inTeamQueue:
+		u.jobState.team.queues[queueKind(u.jobState.spec)].Remove(u.id)
+		p.unitsByDeadline.Remove(u.id)
+		if u.jobState.spec.Kind == job.Urgent {
+			p.urgentWaitingCount--
 		} else {
-			u.work.account.sizes.remove(u.need)
+			u.jobState.team.waitingSizes.remove(u.taskSize)
 		}
-		if u.work.spec.Whole() {
-			u.work.account.gangs--
+		if u.jobState.spec.Whole() {
+			u.jobState.team.waitingGangCount--
 		}
-	case inNever:
-		p.never.Remove(u.id)
-		p.late.Remove(u.id)
-		u.work.account.hopeless = u.work.account.hopeless.Sub(u.size())
-	case inFresh:
+	case inUnplaceableUnits:
+		p.unplaceableUnits.Remove(u.id)
+		p.unitsByDeadline.Remove(u.id)
+		u.jobState.team.unplaceable = u.jobState.team.unplaceable.Sub(u.totalSize())
+	case inNewUnits:
 		return
 	}
-	u.where = nowhere
+	u.list = inNoList
 }
 
 // dequeue takes one task out of its unit, and an empty unit out of everything.
 func (p *Planner) dequeue(u *unit, id task.ID) {
-	delete(p.waits, id)
-	u.work.waits--
-	u.work.account.wants = u.work.account.wants.Sub(u.work.spec.Size)
+	delete(p.waiting, id)
+	u.jobState.waitingCount--
+	u.jobState.team.waiting = u.jobState.team.waiting.Sub(u.jobState.spec.Size)
 	if len(u.tasks) == 1 {
-		p.detach(u)
-		p.dropClaim(u)
+		p.removeFromList(u)
+		p.dropReservation(u)
 		u.tasks = u.tasks[:0]
-		u.work.gang = nil
+		u.jobState.gangUnit = nil
 		return
 	}
-	if u.where == inNever {
-		u.work.account.hopeless = u.work.account.hopeless.Sub(u.work.spec.Size)
+	if u.list == inUnplaceableUnits {
+		u.jobState.team.unplaceable = u.jobState.team.unplaceable.Sub(u.jobState.spec.Size)
 	}
-	u.tasks = slices.DeleteFunc(u.tasks, func(q plan.Queued) bool { return q.ID == id })
+	u.tasks = slices.DeleteFunc(u.tasks, func(q plan.WaitingTask) bool { return q.ID == id })
 }
 
-// possible tells whether any server known could hold a task of that size alone.
+// fitsAnyServer tells whether any server known could hold a task of that size alone.
 // What none could hold waits aside: it counts for no share and costs no search.
-func (p *Planner) possible(size capacity.Size) bool {
-	for have, n := range p.sizes {
-		if n > 0 && size.Fits(have) {
+func (p *Planner) fitsAnyServer(size capacity.Size) bool {
+	for serverSize, n := range p.serverSizes {
+		if n > 0 && size.Fits(serverSize) {
 			return true
 		}
 	}
 	return false
 }
 
-// hope looks again at what waits aside when a new kind of server has come.
-func (p *Planner) hope() {
+// retryUnplaceable looks again at what waits aside when a new kind of server has come.
+func (p *Planner) retryUnplaceable() {
 	for {
-		u, ok := p.never.Min()
+		u, ok := p.unplaceableUnits.Min()
 		if !ok {
 			return
 		}
-		p.detach(u)
-		p.refresh(u)
+		p.removeFromList(u)
+		p.markNew(u)
 	}
 }
 
-// take removes a waiting task that turned out to be placed.
-func (p *Planner) take(id task.ID) {
-	if u := p.waits[id]; u != nil {
+// dequeuePlaced removes a waiting task that turned out to be placed.
+func (p *Planner) dequeuePlaced(id task.ID) {
+	if u := p.waiting[id]; u != nil {
 		p.dequeue(u, id)
-		u.work.started = true
+		u.jobState.everPlaced = true
 	}
 }
 
-// wake puts what is ready into its team's queue.
-func (p *Planner) wake() {
-	fresh := p.fresh
-	p.fresh = p.fresh[:0]
-	for _, u := range fresh {
-		u.where = nowhere
+// queueReadyUnits puts what is ready into its team's queue.
+func (p *Planner) queueReadyUnits() {
+	newUnits := p.newUnits
+	p.newUnits = p.newUnits[:0]
+	for _, u := range newUnits {
+		u.list = inNoList
 		if len(u.tasks) > 0 {
-			p.line(u)
+			p.assignList(u)
 		}
 	}
 	for {
-		u, ok := p.later.Min()
-		if !ok || u.ready > p.now {
+		u, ok := p.delayedUnits.Min()
+		if !ok || u.readyAt > p.now {
 			return
 		}
-		p.detach(u)
-		p.line(u)
+		p.removeFromList(u)
+		p.assignList(u)
 	}
 }
 
-// line puts the unit into the list that it belongs to now. A gang of which
+// assignList puts the unit into the list that it belongs to now. A gang of which
 // something still runs is in none: it starts whole or not at all.
-func (p *Planner) line(u *unit) {
-	if u.work.given {
+func (p *Planner) assignList(u *unit) {
+	if u.jobState.givenUp {
 		return
 	}
-	if u.work.spec.Whole() && len(u.work.held) > 0 {
+	if u.jobState.spec.Whole() && len(u.jobState.placed) > 0 {
 		return
 	}
-	if u.ready > p.now {
-		u.where = inLater
-		p.later.Add(u)
+	if u.readyAt > p.now {
+		u.list = inDelayedUnits
+		p.delayedUnits.Add(u)
 		return
 	}
 	// Also what no server could hold: the caller of a job that waits for servers
 	// to come is told at its deadline like any other.
-	if u.work.spec.Deadline > 0 && !u.work.started {
-		p.late.Add(u)
+	if u.jobState.spec.Deadline > 0 && !u.jobState.everPlaced {
+		p.unitsByDeadline.Add(u)
 	}
-	if !p.possible(u.work.spec.Size) {
-		u.where = inNever
-		p.never.Add(u)
-		u.work.account.hopeless = u.work.account.hopeless.Add(u.size())
+	if !p.fitsAnyServer(u.jobState.spec.Size) {
+		u.list = inUnplaceableUnits
+		p.unplaceableUnits.Add(u)
+		u.jobState.team.unplaceable = u.jobState.team.unplaceable.Add(u.totalSize())
 		return
 	}
-	u.where = inQueue
-	u.rank = p.rank(u)
-	u.since = p.now
-	u.tried = 0
-	c := u.work.account
-	c.queues[kindOf(u.work.spec)].Add(u)
-	p.press(c, u)
+	u.list = inTeamQueue
+	u.rank = p.queueRank(u)
+	u.queuedAt = p.now
+	u.triedRevision = 0
+	t := u.jobState.team
+	t.queues[queueKind(u.jobState.spec)].Add(u)
+	p.countQueued(t, u)
 }
 
-// press takes note of a new unit in its team's queue.
-func (p *Planner) press(c *account, u *unit) {
-	if u.work.spec.Kind == job.Urgent {
-		p.urgent++
-		if !u.work.started {
-			p.reserve.Arrive(p.now, u.work.spec.Size)
+// countQueued takes note of a new unit in its team's queue.
+func (p *Planner) countQueued(t *teamState, u *unit) {
+	if u.jobState.spec.Kind == job.Urgent {
+		p.urgentWaitingCount++
+		if !u.jobState.everPlaced {
+			p.urgentReserve.RecordArrival(p.now, u.jobState.spec.Size)
 		}
 		return
 	}
-	if u.work.spec.Kind == job.Service && u.work.started {
-		p.displaced = append(p.displaced, u)
+	if u.jobState.spec.Kind == job.Service && u.jobState.everPlaced {
+		p.displacedServices = append(p.displacedServices, u)
 	}
-	if u.work.spec.Whole() {
-		c.gangs++
+	if u.jobState.spec.Whole() {
+		t.waitingGangCount++
 	}
-	c.blocked = 0
-	c.sizes.add(u.need)
+	t.blockedRevision = 0
+	t.waitingSizes.add(u.taskSize)
 }
 
-// rank orders a team's work by age and expected run time: short work goes first,
+// queueRank orders a team's work by age and expected run time: short work goes first,
 // but nothing is overtaken by what came later than orderWeight times its own
 // expected run time, or than orderMost. Gangs go before.
-func (p *Planner) rank(u *unit) time.Duration {
-	at := u.tasks[0].Accepted
-	switch k := u.work.spec.Kind; {
+func (p *Planner) queueRank(u *unit) time.Duration {
+	rank := u.tasks[0].AcceptedAt
+	switch k := u.jobState.spec.Kind; {
 	case k == job.Urgent || k == job.Service:
-		return at
-	case k == job.Gang && !p.lacks(GangLead):
-		at -= gangLead
+		return rank
+	case k == job.Gang && !p.disabled(GangPriority):
+		rank -= gangHeadStart
 	}
-	if p.lacks(Shortest) {
-		return at
+	if p.disabled(ShortestFirst) {
+		return rank
 	}
-	return at + min(orderWeight*p.estimates.ExpectedRuntime(u.work.spec), orderMost)
+	return rank + min(runtimeWeight*p.runtimeEstimates.ExpectedRuntime(u.jobState.spec), maxRuntimeRank)
 }
--- a/internal/policy/fifo/fifo.go
+++ b/internal/policy/fifo/fifo.go
@@ -17,26 +17,26 @@
 
 // Planner places in order of arrival on the first server with room.
 type Planner struct {
-	// Before orders the waiting tasks instead of their arrival, if it is set.
-	Before func(a, b plan.Queued) bool
-
-	table   table.Table
-	servers []*server
-	waiting []plan.Queued
-	held    map[task.ID]plan.Held
-	teams   map[string]capacity.Size
+	// Less orders the waiting tasks instead of their arrival, if it is set.
+	Less func(a, b plan.WaitingTask) bool
+
+	table     table.Table
+	servers   []*server
+	waiting   []plan.WaitingTask
+	placed    map[task.ID]plan.PlacedTask
+	teamUsage map[string]capacity.Size
 }
 
 type server struct {
 	backend.Server
-	held capacity.Size
+	allocated capacity.Size
 }
 
 var _ plan.Planner = (*Planner)(nil)
 
 // New returns a planner that knows nothing yet.
 func New() *Planner {
-	return &Planner{held: map[task.ID]plan.Held{}, teams: map[string]capacity.Size{}}
+	return &Planner{placed: map[task.ID]plan.PlacedTask{}, teamUsage: map[string]capacity.Size{}}
 }
 
 // SetTable puts a new revision of the table in force.
@@ -44,137 +44,137 @@
 
 // SetServer adds or changes a server.
 func (p *Planner) SetServer(s backend.Server) {
-	at, ok := slices.BinarySearchFunc(p.servers, s.ID, func(e *server, id string) int { return strings.Compare(e.ID, id) })
+	i, ok := slices.BinarySearchFunc(p.servers, s.ID, func(e *server, id string) int { return strings.Compare(e.ID, id) })
 	if ok {
-		p.servers[at].Server = s
+		p.servers[i].Server = s
 		return
 	}
-	p.servers = slices.Insert(p.servers, at, &server{Server: s})
+	p.servers = slices.Insert(p.servers, i, &server{Server: s})
 }
 
-// Queue adds a waiting task.
-func (p *Planner) Queue(q plan.Queued) {
-	at := len(p.waiting)
-	for p.Before != nil && at > 0 && p.Before(q, p.waiting[at-1]) {
-		at--
+// AddWaiting adds a waiting task.
+func (p *Planner) AddWaiting(q plan.WaitingTask) {
+	i := len(p.waiting)
+	for p.Less != nil && i > 0 && p.Less(q, p.waiting[i-1]) {
+		i--
 	}
-	p.waiting = slices.Insert(p.waiting, at, q)
+	p.waiting = slices.Insert(p.waiting, i, q)
 }
 
-// Unqueue forgets a waiting task.
-func (p *Planner) Unqueue(id task.ID) {
-	p.waiting = slices.DeleteFunc(p.waiting, func(q plan.Queued) bool { return q.ID == id })
+// RemoveWaiting forgets a waiting task.
+func (p *Planner) RemoveWaiting(id task.ID) {
+	p.waiting = slices.DeleteFunc(p.waiting, func(q plan.WaitingTask) bool { return q.ID == id })
 }
 
-// Hold counts a placed task; it waits no more.
-func (p *Planner) Hold(h plan.Held) {
-	if _, ok := p.held[h.ID]; ok {
-		p.held[h.ID] = h
+// SetPlaced counts a placed task; it waits no more.
+func (p *Planner) SetPlaced(h plan.PlacedTask) {
+	if _, ok := p.placed[h.ID]; ok {
+		p.placed[h.ID] = h
 		return
 	}
-	p.Unqueue(h.ID)
-	p.held[h.ID] = h
-	p.teams[h.Job.Team] = p.teams[h.Job.Team].Add(h.Job.Size)
-	if s := p.find(h.Server); s != nil {
-		s.held = s.held.Add(h.Job.Size)
+	p.RemoveWaiting(h.ID)
+	p.placed[h.ID] = h
+	p.teamUsage[h.Job.Team] = p.teamUsage[h.Job.Team].Add(h.Job.Size)
+	if s := p.serverByID(h.Server); s != nil {
+		s.allocated = s.allocated.Add(h.Job.Size)
 	}
 }
 
-// Use is ignored: this planner goes by declared sizes alone.
-func (p *Planner) Use(task.ID, capacity.Size, time.Duration) {}
+// SetUsage is ignored: this planner goes by declared sizes alone.
+func (p *Planner) SetUsage(task.ID, capacity.Size, time.Duration) {}
 
-// Release gives a placed task's capacity back.
-func (p *Planner) Release(id task.ID, _ plan.End) {
-	h, ok := p.held[id]
+// EndAttempt gives a placed task's capacity back.
+func (p *Planner) EndAttempt(id task.ID, _ plan.AttemptEnd) {
+	h, ok := p.placed[id]
 	if !ok {
 		return
 	}
-	delete(p.held, id)
-	p.teams[h.Job.Team] = p.teams[h.Job.Team].Sub(h.Job.Size)
-	if s := p.find(h.Server); s != nil {
-		s.held = s.held.Sub(h.Job.Size)
+	delete(p.placed, id)
+	p.teamUsage[h.Job.Team] = p.teamUsage[h.Job.Team].Sub(h.Job.Size)
+	if s := p.serverByID(h.Server); s != nil {
+		s.allocated = s.allocated.Sub(h.Job.Size)
 	}
 }
 
 // Decide places waiting tasks in order, and drops jobs past their deadline.
 func (p *Planner) Decide(now time.Duration, limit int) []plan.Decision {
-	var out []plan.Decision
-	taken := map[string]capacity.Size{}
-	teams := map[string]capacity.Size{}
-	for at := 0; at < len(p.waiting) && len(out) < limit; {
-		end := at + 1
-		for end < len(p.waiting) && p.waiting[at].Job.Whole() && p.waiting[end].ID.Job == p.waiting[at].ID.Job {
+	var decisions []plan.Decision
+	takenByServer := map[string]capacity.Size{}
+	takenByTeam := map[string]capacity.Size{}
+	for start := 0; start < len(p.waiting) && len(decisions) < limit; {
+		end := start + 1
+		for end < len(p.waiting) && p.waiting[start].Job.Whole() && p.waiting[end].ID.Job == p.waiting[start].ID.Job {
 			end++
 		}
-		if d, ok := p.decide(now, p.waiting[at:end], taken, teams); ok {
-			out = append(out, d)
+		if d, ok := p.decideUnit(now, p.waiting[start:end], takenByServer, takenByTeam); ok {
+			decisions = append(decisions, d)
 		}
-		at = end
+		start = end
 	}
-	return out
+	return decisions
 }
 
-// decide handles one unit: a single task, or a gang that waits as a run of tasks.
-func (p *Planner) decide(now time.Duration, unit []plan.Queued, taken, teams map[string]capacity.Size) (plan.Decision, bool) {
+// decideUnit handles one unit: a single task, or a gang that waits as a run of tasks.
+func (p *Planner) decideUnit(now time.Duration, unit []plan.WaitingTask, takenByServer, takenByTeam map[string]capacity.Size) (plan.Decision, bool) {
 	spec := unit[0].Job
-	if spec.Deadline > 0 && unit[0].Attempts == 0 && now > unit[0].Accepted+spec.Deadline {
-		return plan.Decision{Verb: plan.Drop, Job: unit[0].ID.Job, Reason: "deadline passed"}, true
+	if spec.Deadline > 0 && unit[0].Attempts == 0 && now > unit[0].AcceptedAt+spec.Deadline {
+		return plan.Decision{Action: plan.Drop, Job: unit[0].ID.Job, Reason: "deadline passed"}, true
 	}
-	if unit[0].Ready > now || (spec.Whole() && len(unit) != int(spec.Count)) {
+	if unit[0].ReadyAt > now || (spec.Whole() && len(unit) != int(spec.Count)) {
 		return plan.Decision{}, false
 	}
 	total := spec.Size.Times(int64(len(unit)))
-	if !p.within(spec, total.Add(teams[spec.Team])) {
+	if !p.withinLimit(spec, total.Add(takenByTeam[spec.Team])) {
 		return plan.Decision{}, false
 	}
-	places, ok := p.fit(unit, taken)
+	placements, ok := p.placeAll(unit, takenByServer)
 	if !ok {
 		return plan.Decision{}, false
 	}
-	for _, l := range places {
-		taken[l.Server] = taken[l.Server].Add(spec.Size)
+	for _, placement := range placements {
+		takenByServer[placement.Server] = takenByServer[placement.Server].Add(spec.Size)
 	}
-	teams[spec.Team] = teams[spec.Team].Add(total)
-	return plan.Decision{Verb: plan.Place, Job: unit[0].ID.Job, Places: places}, true
+	takenByTeam[spec.Team] = takenByTeam[spec.Team].Add(total)
+	return plan.Decision{Action: plan.Place, Job: unit[0].ID.Job, Placements: placements}, true
 }
 
-func (p *Planner) fit(unit []plan.Queued, taken map[string]capacity.Size) ([]plan.Placement, bool) {
+func (p *Planner) placeAll(unit []plan.WaitingTask, takenByServer map[string]capacity.Size) ([]plan.Placement, bool) {
 	size := unit[0].Job.Size
-	own := map[string]capacity.Size{}
-	var places []plan.Placement
+	takenByUnit := map[string]capacity.Size{}
+	var placements []plan.Placement
 	for _, q := range unit {
-		s := p.first(size, taken, own)
+		s := p.firstFit(size, takenByServer, takenByUnit)
 		if s == nil {
 			return nil, false
 		}
-		own[s.ID] = own[s.ID].Add(size)
-		places = append(places, plan.Placement{Index: q.ID.Index, Server: s.ID})
+		takenByUnit[s.ID] = takenByUnit[s.ID].Add(size)
+		placements = append(placements, plan.Placement{Index: q.ID.Index, Server: s.ID})
 	}
-	return places, true
+	return placements, true
 }
 
-func (p *Planner) first(size capacity.Size, taken, own map[string]capacity.Size) *server {
+func (p *Planner) firstFit(size capacity.Size, takenByServer, takenByUnit map[string]capacity.Size) *server {
 	for _, s := range p.servers {
 		if s.State != backend.Ready {
 			continue
 		}
-		room := s.Capacity.Sub(s.held).Sub(taken[s.ID]).Sub(own[s.ID])
-		if size.Fits(room) {
+		free := s.Capacity.Sub(s.allocated).Sub(takenByServer[s.ID]).Sub(takenByUnit[s.ID])
+		if size.Fits(free) {
 			return s
 		}
 	}
 	return nil
 }
 
-func (p *Planner) within(spec *job.Spec, more capacity.Size) bool {
+func (p *Planner) withinLimit(spec *job.Spec, more capacity.Size) bool {
 	row, ok := p.table.Row(spec.Team)
-	return ok && p.teams[spec.Team].Add(more).Within(row.Limit)
+	return ok && p.teamUsage[spec.Team].Add(more).Within(row.Limit)
 }
 
-func (p *Planner) find(id string) *server {
-	at, ok := slices.BinarySearchFunc(p.servers, id, func(e *server, id string) int { return strings.Compare(e.ID, id) })
+func (p *Planner) serverByID(id string) *server {
+	i, ok := slices.BinarySearchFunc(p.servers, id, func(e *server, id string) int { return strings.Compare(e.ID, id) })
 	if !ok {
 		return nil
 	}
-	return p.servers[at]
+	return p.servers[i]
 }
--- a/internal/policy/fit/fit_test.go
+++ b/internal/policy/fit/fit_test.go
@@ -10,20 +10,20 @@
 	"gypsumreel/internal/policy/fit"
 )
 
-var most = capacity.Size{CPU: 16_000, Memory: 32 << 10, Accel: 4, Slots: 8}
+var maxSize = capacity.Size{CPU: 16_000, Memory: 32 << 10, Accel: 4, Slots: 8}
 
-func size(t *rapid.T, name string) capacity.Size {
+func drawSize(t *rapid.T, name string) capacity.Size {
 	return capacity.Size{
-		CPU:    rapid.Int64Range(0, most.CPU).Draw(t, name+" cpu"),
-		Memory: rapid.Int64Range(0, most.Memory).Draw(t, name+" memory"),
-		Accel:  rapid.Int64Range(0, most.Accel).Draw(t, name+" accel"),
-		Slots:  rapid.Int64Range(0, most.Slots).Draw(t, name+" slots"),
+		CPU:    rapid.Int64Range(0, maxSize.CPU).Draw(t, name+" cpu"),
+		Memory: rapid.Int64Range(0, maxSize.Memory).Draw(t, name+" memory"),
+		Accel:  rapid.Int64Range(0, maxSize.Accel).Draw(t, name+" accel"),
+		Slots:  rapid.Int64Range(0, maxSize.Slots).Draw(t, name+" slots"),
 	}
 }
 
 // remainder is what a search is to keep small.
 func remainder(need, free capacity.Size) float64 {
-	r := free.Sub(need).Dominant(most)
+	r := free.Sub(need).Dominant(maxSize)
 	if need.Accel == 0 && free.Accel > 0 {
 		r++
 	}
@@ -32,34 +32,34 @@
 
 // A search finds something whenever a scan of all would, and what it finds is at
 // most one level worse than the best of the scan.
-func TestBestAgreesWithAScan(t *testing.T) {
+func TestBestMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := fit.NewIndex[int]()
-		x.Grow(most)
+		x.Grow(maxSize)
 		free := make([]capacity.Size, rapid.IntRange(1, 30).Draw(t, "servers"))
-		spots := make([]fit.Spot[int], len(free))
+		spots := make([]fit.Element[int], len(free))
 		for range rapid.IntRange(1, 80).Draw(t, "changes") {
 			i := rapid.IntRange(0, len(free)-1).Draw(t, "server")
 			spots[i].Item = i
-			free[i] = size(t, "free")
-			x.Set(&spots[i], free[i])
-			check(t, x, free, size(t, "need"))
+			free[i] = drawSize(t, "free")
+			x.Update(&spots[i], free[i])
+			checkAgainstScan(t, x, free, drawSize(t, "need"))
 		}
 	})
 }
 
-func check(t *rapid.T, x *fit.Index[int], free []capacity.Size, need capacity.Size) {
-	best := fit.Worst
+func checkAgainstScan(t *rapid.T, x *fit.Index[int], free []capacity.Size, need capacity.Size) {
+	best := fit.WorstScore
 	for _, f := range free {
 		if need.Fits(f) && !f.IsZero() {
 			best = min(best, remainder(need, f))
 		}
 	}
-	got, _, ok := x.Best(need, fit.Worst, nil)
+	got, _, ok := x.Best(need, fit.WorstScore, nil)
 	if need.IsZero() {
 		return
 	}
-	if ok != (best < fit.Worst) {
+	if ok != (best < fit.WorstScore) {
 		t.Fatalf("found %v, a scan finds the score %v", ok, best)
 	}
 	if !ok {
@@ -74,15 +74,15 @@
 }
 
 // A full cell of 4,000 servers is looked at in far fewer places.
-func TestCellsStayFewerThanItems(t *testing.T) {
+func TestEqualSizesShareABucket(t *testing.T) {
 	x := fit.NewIndex[int]()
-	x.Grow(most)
-	spots := make([]fit.Spot[int], 4000)
+	x.Grow(maxSize)
+	spots := make([]fit.Element[int], 4000)
 	for i := range spots {
 		n := int64(i % 7)
-		x.Set(&spots[i], most.Sub(capacity.Size{CPU: 2000, Memory: 4096, Slots: 1}.Times(n)))
+		x.Update(&spots[i], maxSize.Sub(capacity.Size{CPU: 2000, Memory: 4096, Slots: 1}.Times(n)))
 	}
-	if x.Cells() != 7 {
-		t.Errorf("%d cells for 7 kinds of room", x.Cells())
+	if x.BucketCount() != 7 {
+		t.Errorf("%d cells for 7 kinds of room", x.BucketCount())
 	}
 }
--- a/internal/policy/urgent/urgent.go
+++ b/internal/policy/urgent/urgent.go
@@ -12,49 +12,49 @@
 
 // Bounds of the reserve.
 const (
-	// Window is the time in which arrivals are counted against the reserve.
-	Window = time.Second
-	// HalfLife is the time after which an old peak counts half.
-	HalfLife = 2 * time.Minute
-	// Most is the largest part of the cell that is reserved.
-	Most = 0.05
+	// ArrivalWindow is the time in which arrivals are counted against the reserve.
+	ArrivalWindow = time.Second
+	// PeakHalfLife is the time after which an old peak counts half.
+	PeakHalfLife = 2 * time.Minute
+	// MaxReservedFraction is the largest part of the cell that is reserved.
+	MaxReservedFraction = 0.05
 )
 
 // Reserve learns the arrivals and says what to keep free.
 type Reserve struct {
-	start time.Duration
-	count float64
-	peak  float64
-	size  capacity.Size
-	last  time.Duration
+	windowStart    time.Duration
+	windowArrivals float64
+	peakArrivals   float64
+	maxTaskSize    capacity.Size
+	decayedAt      time.Duration
 }
 
-// Arrive notes an urgent task of the given size.
-func (r *Reserve) Arrive(now time.Duration, size capacity.Size) {
-	r.Tick(now)
-	r.count++
-	r.peak = max(r.peak, r.count)
-	r.size = r.size.Max(size)
+// RecordArrival notes an urgent task of the given size.
+func (r *Reserve) RecordArrival(now time.Duration, size capacity.Size) {
+	r.Advance(now)
+	r.windowArrivals++
+	r.peakArrivals = max(r.peakArrivals, r.windowArrivals)
+	r.maxTaskSize = r.maxTaskSize.Max(size)
 }
 
-// Tick lets the peak fade.
-func (r *Reserve) Tick(now time.Duration) {
-	if now > r.last {
-		r.peak *= math.Exp2(-float64(now-r.last) / float64(HalfLife))
-		r.last = now
+// Advance lets the peak fade.
+func (r *Reserve) Advance(now time.Duration) {
+	if now > r.decayedAt {
+		r.peakArrivals *= math.Exp2(-float64(now-r.decayedAt) / float64(PeakHalfLife))
+		r.decayedAt = now
 	}
-	if now-r.start >= Window {
-		r.start, r.count = now, 0
+	if now-r.windowStart >= ArrivalWindow {
+		r.windowStart, r.windowArrivals = now, 0
 	}
 }
 
 // Target returns the number of rooms to keep free and the size of each. It is
 // never more than Most of total.
 func (r *Reserve) Target(total capacity.Size) (int, capacity.Size) {
-	part := r.size.Dominant(total)
-	if part <= 0 {
+	taskFraction := r.maxTaskSize.Dominant(total)
+	if taskFraction <= 0 {
 		return 0, capacity.Size{}
 	}
-	most := math.Floor(Most / part)
-	return int(min(most, math.Ceil(r.peak-0.5))), r.size
+	maxBlocks := math.Floor(MaxReservedFraction / taskFraction)
+	return int(min(maxBlocks, math.Ceil(r.peakArrivals-0.5))), r.maxTaskSize
 }
