--- a/internal/policy/cell/cell.go
+++ b/internal/policy/cell/cell.go
@@ -155,7 +155,7 @@
 	gangReservationCount int
 
 	runtimeEstimates *health.Estimates
-	healthGuard      *health.Guard
+	healthGuard      *health.FaultDetector
 
 	// Work lists for the next call of Decide.
 	unconfirmedTasks   []*placedTask
@@ -192,13 +192,13 @@
 		teams: map[string]*teamState{}, serversByID: map[string]*server{}, racks: map[rackKey]*rack{}, serverSizes: map[capacity.Size]int{},
 		jobs: map[uint64]*jobState{}, placed: map[task.ID]*placedTask{}, waiting: map[task.ID]*unit{},
 		rackIndex:        fit.NewIndex[*rack](),
-		runtimeEstimates: health.NewEstimates(), healthGuard: health.NewGuard(),
+		runtimeEstimates: health.NewEstimates(), healthGuard: health.NewFaultDetector(),
 	}
 	p.teamsByNeed = queue.New(func(t *teamState) string { return t.name }, byUsageRatio)
 	p.delayedUnits = queue.New(unitKey, byReadyTime)
 	p.unplaceableUnits = queue.New(unitKey, bySequence)
 	p.unitsByDeadline = queue.New(unitKey, byDeadline)
-	p.runtimeEstimates.Off = p.disabled(RuntimeEstimates)
+	p.runtimeEstimates.Disabled = p.disabled(RuntimeEstimates)
 	return p
 }
 
@@ -232,7 +232,7 @@
 	p.refreshFree(srv)
 	p.targetsStale = true
 	if s.State != backend.Quarantined && old.State == backend.Quarantined || s.Incarnation != old.Incarnation {
-		p.healthGuard.Leave(srv.number)
+		p.healthGuard.Release(srv.number)
 	}
 	if unreachable(s) && !unreachable(old) {
 		srv.silentSince = s.Since
@@ -300,7 +300,7 @@
 		return
 	}
 	js := p.jobState(waiting.ID.Job, waiting.Job)
-	if js.failureBudget.Spent() {
+	if js.failureBudget.Exhausted() {
 		p.exhaustedJobs = append(p.exhaustedJobs, js)
 	}
 	p.enqueue(js, waiting)
--- a/internal/policy/cell/decide.go
+++ b/internal/policy/cell/decide.go
@@ -214,7 +214,7 @@
 	if u.jobState.failureBudget.Failures() == 0 {
 		return nil
 	}
-	return func(s *server) bool { return !u.jobState.failureBudget.Avoids(s.number) }
+	return func(s *server) bool { return !u.jobState.failureBudget.FailedOn(s.number) }
 }
 
 // bestServer returns the best server of all zones, or nil if need fits on none.
--- a/internal/policy/cell/gang.go
+++ b/internal/policy/cell/gang.go
@@ -82,7 +82,7 @@
 
 // serverHolds returns how many tasks of the unit fit on the server.
 func (p *Planner) serverHolds(s *server, u *unit, need capacity.Size) int {
-	if s.State != backend.Ready || u.jobState.failureBudget.Avoids(s.number) {
+	if s.State != backend.Ready || u.jobState.failureBudget.FailedOn(s.number) {
 		return 0
 	}
 	return countFitting(need, s.available())
--- a/internal/policy/cell/reservation.go
+++ b/internal/policy/cell/reservation.go
@@ -219,7 +219,7 @@
 func (v *victimSearch) searchTeam(t *teamState) {
 	n := 0
 	t.preemptibleTasks.Each(func(pt *placedTask) bool {
-		if n++; v.filter(pt) && !v.evaluated[pt.server] && pt.server.State == backend.Ready && !v.unit.jobState.failureBudget.Avoids(pt.server.number) {
+		if n++; v.filter(pt) && !v.evaluated[pt.server] && pt.server.State == backend.Ready && !v.unit.jobState.failureBudget.FailedOn(pt.server.number) {
 			v.evaluated[pt.server] = true
 			v.evaluateServer(pt.server)
 		}
--- a/internal/policy/cell/service.go
+++ b/internal/policy/cell/service.go
@@ -75,7 +75,7 @@
 		return nil
 	}
 	return p.bestInZone(z, u.jobState.spec.Size, func(s *server) bool {
-		return tasksByRack[s.rack] == 0 && !u.jobState.failureBudget.Avoids(s.number)
+		return tasksByRack[s.rack] == 0 && !u.jobState.failureBudget.FailedOn(s.number)
 	})
 }
 
--- a/internal/policy/cell/urgent.go
+++ b/internal/policy/cell/urgent.go
@@ -73,7 +73,7 @@
 		return true
 	}
 	for _, r := range p.reserveBlocks {
-		if r.server.State != backend.Ready || u.jobState.failureBudget.Avoids(r.server.number) || !need.Fits(r.server.available().Add(r.size)) {
+		if r.server.State != backend.Ready || u.jobState.failureBudget.FailedOn(r.server.number) || !need.Fits(r.server.available().Add(r.size)) {
 			continue
 		}
 		p.dropReserveBlock(r)
--- a/internal/policy/cell/waiting.go
+++ b/internal/policy/cell/waiting.go
@@ -341,5 +341,5 @@
 	if p.disabled(ShortestFirst) {
 		return rank
 	}
-	return rank + min(runtimeWeight*p.runtimeEstimates.Runtime(u.jobState.spec), maxRuntimeRank)
+	return rank + min(runtimeWeight*p.runtimeEstimates.ExpectedRuntime(u.jobState.spec), maxRuntimeRank)
 }
--- a/internal/policy/cell/watch.go
+++ b/internal/policy/cell/watch.go
@@ -102,34 +102,34 @@
 // against the job only if it had just started.
 func (p *Planner) recordEnd(pt *placedTask, end plan.AttemptEnd) {
 	if pt.stoppedForUsage && !end.ServerLost {
-		pt.jobState.failureBudget.Exceed()
+		pt.jobState.failureBudget.RecordStop()
 	}
 	switch {
 	case end.ServerLost:
-		pt.jobState.failureBudget.Lose(pt.ID.Index, pt.server.silentSince-pt.PlacedAt)
+		pt.jobState.failureBudget.RecordServerLoss(pt.ID.Index, pt.server.silentSince-pt.PlacedAt)
 		return
 	case !end.Started || pt.Stopping:
 		return
 	}
-	pt.jobState.failureBudget.Outlive(pt.ID.Index)
-	name := health.NameOf(pt.Job)
+	pt.jobState.failureBudget.ResetCrashes(pt.ID.Index)
+	name := health.JobNameOf(pt.Job)
 	if !end.Failed {
-		p.runtimeEstimates.Learn(pt.Job, end.EndedAt-pt.PlacedAt)
-		p.healthGuard.Succeed(name, pt.server.number)
+		p.runtimeEstimates.Observe(pt.Job, end.EndedAt-pt.PlacedAt)
+		p.healthGuard.RecordSuccess(name, pt.server.number)
 		return
 	}
-	p.healthGuard.Fail(name, pt.server.number, end.EndedAt)
+	p.healthGuard.RecordFailure(name, pt.server.number, end.EndedAt)
 	if pt.server.State != backend.Quarantined {
-		pt.jobState.failureBudget.Fail(pt.server.number)
+		pt.jobState.failureBudget.RecordFailure(pt.server.number)
 	}
-	if p.healthGuard.Suspects(pt.server.number, len(p.serverList)) {
+	if p.healthGuard.ShouldQuarantine(pt.server.number, len(p.serverList)) {
 		p.suspectServers = append(p.suspectServers, pt.server)
 	}
 }
 
 // markQuarantined records that the server is in quarantine.
 func (p *Planner) markQuarantined(s *server, since time.Duration) {
-	p.healthGuard.Enter(s.number, since)
+	p.healthGuard.Quarantine(s.number, since)
 	if !slices.Contains(p.quarantinedServers, s) {
 		p.quarantinedServers = append(p.quarantinedServers, s)
 	}
@@ -138,14 +138,14 @@
 // updateQuarantine quarantines failing servers and restores those whose probes succeeded.
 func (p *Planner) updateQuarantine() {
 	for _, s := range p.suspectServers {
-		if s.State == backend.Ready && p.healthGuard.Suspects(s.number, len(p.serverList)) && !p.disabled(Quarantine) {
+		if s.State == backend.Ready && p.healthGuard.ShouldQuarantine(s.number, len(p.serverList)) && !p.disabled(Quarantine) {
 			p.quarantineServer(s)
 		}
 	}
 	p.suspectServers = p.suspectServers[:0]
 	p.quarantinedServers = slices.DeleteFunc(p.quarantinedServers, func(s *server) bool { return s.State != backend.Quarantined })
 	for _, s := range p.quarantinedServers {
-		if p.healthGuard.Sound(s.number) && (s.restoreDecidedAt == 0 || p.now >= s.restoreDecidedAt+restoreRetryInterval) {
+		if p.healthGuard.Recovered(s.number) && (s.restoreDecidedAt == 0 || p.now >= s.restoreDecidedAt+restoreRetryInterval) {
 			s.restoreDecidedAt = max(p.now, 1)
 			p.emit(plan.Decision{Action: plan.Restore, Server: s.ID, Reason: "probes succeeded"})
 		}
@@ -159,7 +159,7 @@
 	p.markQuarantined(s, p.now)
 	p.refreshFree(s)
 	for _, js := range p.jobs {
-		js.failureBudget.Forgive(s.number)
+		js.failureBudget.RemoveFailures(s.number)
 	}
 	p.emit(plan.Decision{Action: plan.Quarantine, Server: s.ID, Reason: "tasks fail here that succeed on other servers"})
 }
@@ -167,7 +167,7 @@
 // parkExhaustedJobs parks the jobs that have used up their failure budget.
 func (p *Planner) parkExhaustedJobs() {
 	for _, js := range p.exhaustedJobs {
-		if js.givenUp || !js.failureBudget.Spent() || p.jobs[js.id] != js {
+		if js.givenUp || !js.failureBudget.Exhausted() || p.jobs[js.id] != js {
 			continue
 		}
 		js.givenUp = true
@@ -215,7 +215,7 @@
 		if p.atDecisionLimit() {
 			return
 		}
-		if s.State != backend.Quarantined || !p.healthGuard.Probe(s.number, p.now) || len(s.tasks) > 0 {
+		if s.State != backend.Quarantined || !p.healthGuard.MayProbe(s.number, p.now) || len(s.tasks) > 0 {
 			continue
 		}
 		if u := p.selectProbe(s); u != nil {
--- a/internal/policy/health/estimate.go
+++ b/internal/policy/health/estimate.go
@@ -1,5 +1,5 @@
-// Package health learns what declared numbers and servers are worth: run times,
-// jobs that always fail, and servers that fail what others run.
+// Package health learns from the results of tasks: their run times, which jobs always fail, and
+// which servers fail the tasks of every job.
 package health
 
 import (
@@ -8,54 +8,57 @@
 	"gypsumreel/internal/domain/job"
 )
 
-// Defaults of the estimates.
+// Defaults of the run time estimates.
 const (
-	// DefaultRuntime is expected of a task of which nothing is known.
+	// DefaultRuntime is the expected run time of a task without a declared or observed run
+	// time.
 	DefaultRuntime = time.Minute
-	// MostNames bounds the names that are learned.
-	MostNames = 1 << 16
-	// gain is the weight of a new observation.
-	gain = 0.2
+	// MaxNames limits the job names for which values are stored.
+	MaxNames = 1 << 16
+	// smoothing is the weight of a new observation in the moving average.
+	smoothing = 0.2
 )
 
-// Name is what runs of the same program are known by.
-type Name struct{ Team, Name string }
+// JobName identifies jobs that run the same program.
+type JobName struct{ Team, Name string }
 
-// NameOf returns the job's name.
-func NameOf(spec *job.Spec) Name { return Name{spec.Team, spec.Name} }
+// JobNameOf returns the name of a job.
+func JobNameOf(spec *job.Spec) JobName { return JobName{spec.Team, spec.Name} }
 
-// Estimates holds what was learned of run times. They order work; nothing is
-// placed on their word beyond a declared size.
+// Estimates holds the average run times of jobs. They affect the order of work only; placement
+// relies on declared sizes.
 type Estimates struct {
-	// Off makes every answer the declared one; for comparison only.
-	Off   bool
-	names map[Name]float64
+	// Disabled makes ExpectedRuntime return the declared run time. It is used to compare runs
+	// with and without estimates.
+	Disabled    bool
+	meanSeconds map[JobName]float64
 }
 
-// NewEstimates returns estimates that know nothing.
-func NewEstimates() *Estimates { return &Estimates{names: map[Name]float64{}} }
+// NewEstimates returns estimates without observations.
+func NewEstimates() *Estimates { return &Estimates{meanSeconds: map[JobName]float64{}} }
 
-// Learn notes that a run took the given time.
-func (e *Estimates) Learn(spec *job.Spec, ran time.Duration) {
-	n, s := NameOf(spec), ran.Seconds()
-	mean, known := e.names[n]
+// Observe updates the average run time of a job with one run.
+func (e *Estimates) Observe(spec *job.Spec, runtime time.Duration) {
+	n, seconds := JobNameOf(spec), runtime.Seconds()
+	mean, known := e.meanSeconds[n]
 	switch {
 	case known:
-		e.names[n] = mean + gain*(s-mean)
-	case len(e.names) < MostNames:
-		e.names[n] = s
+		e.meanSeconds[n] = mean + smoothing*(seconds-mean)
+	case len(e.meanSeconds) < MaxNames:
+		e.meanSeconds[n] = seconds
 	}
 }
 
-// Runtime returns how long a task of the job is expected to run.
-func (e *Estimates) Runtime(spec *job.Spec) time.Duration {
-	if mean, known := e.names[NameOf(spec)]; known && !e.Off {
+// ExpectedRuntime returns the expected run time of a task of the job.
+func (e *Estimates) ExpectedRuntime(spec *job.Spec) time.Duration {
+	if mean, known := e.meanSeconds[JobNameOf(spec)]; known && !e.Disabled {
 		return time.Duration(mean * float64(time.Second))
 	}
-	return declared(spec)
+	return declaredRuntime(spec)
 }
 
-func declared(spec *job.Spec) time.Duration {
+// declaredRuntime returns the declared run time of a job, or the default.
+func declaredRuntime(spec *job.Spec) time.Duration {
 	if spec.Runtime > 0 {
 		return spec.Runtime
 	}
--- a/internal/policy/health/health_test.go
+++ b/internal/policy/health/health_test.go
@@ -14,79 +14,79 @@
 func TestEstimatesConvergeFromWrongDeclarations(t *testing.T) {
 	e := health.NewEstimates()
 	spec := &job.Spec{Team: "a", Name: "n", Runtime: time.Second}
-	before := e.Runtime(spec)
+	before := e.ExpectedRuntime(spec)
 	for range 20 {
-		e.Learn(spec, 10*time.Second)
+		e.Observe(spec, 10*time.Second)
 	}
 	other := &job.Spec{Team: "a", Name: "other"}
-	got := []time.Duration{before, e.Runtime(spec).Round(time.Second), e.Runtime(other)}
+	got := []time.Duration{before, e.ExpectedRuntime(spec).Round(time.Second), e.ExpectedRuntime(other)}
 	if diff := cmp.Diff([]time.Duration{time.Second, 10 * time.Second, health.DefaultRuntime}, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Tasks that failed together must not come back together, nor ever sooner than
-// half of a wait that doubles.
+// Tasks that failed together must not be retried together, and never earlier than half of the
+// doubling delay.
 func TestBackoffDoublesWithJitter(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var b health.Budget
 	for i := range 12 {
-		b.Fail(int32(i % 2))
-		full := min(health.LongestBackoff, health.FirstBackoff<<i)
+		b.RecordFailure(int32(i % 2))
+		full := min(health.MaxBackoff, health.MinBackoff<<i)
 		if d := b.Backoff(rng); d < full/2 || d > full {
-			t.Errorf("after %d failures %v, want within %v and %v", i+1, d, full/2, full)
+			t.Errorf("backoff after %d failures is %v, want %v to %v", i+1, d, full/2, full)
 		}
 	}
-	if !b.Spent() {
-		t.Error("twelve failures on two servers do not spend the budget")
+	if !b.Exhausted() {
+		t.Error("twelve failures on two servers do not exhaust the budget")
 	}
 }
 
-func TestForgivenFailuresDoNotCount(t *testing.T) {
+func TestRemovedFailuresDoNotCount(t *testing.T) {
 	var b health.Budget
 	for s := range int32(4) {
-		b.Fail(s)
+		b.RecordFailure(s)
 	}
-	b.Forgive(3)
-	if b.Spent() || b.Avoids(3) || !b.Avoids(2) {
-		t.Errorf("%+v", b)
+	b.RemoveFailures(3)
+	if b.Exhausted() || b.FailedOn(3) || !b.FailedOn(2) {
+		t.Errorf("removed failures still count: %+v", b)
 	}
 }
 
-// One job that never succeeded fails a thousand times on one server. That says
-// nothing about the server; a few failures of what runs elsewhere do.
-func TestGuardTellsBadJobsFromBadServers(t *testing.T) {
-	g := health.NewGuard()
+// A thousand failures of a job that has never succeeded are no evidence against the server. A
+// few failures of a job that succeeds on other servers are.
+func TestFaultDetectorDistinguishesBadJobsFromBadServers(t *testing.T) {
+	detector := health.NewFaultDetector()
 	for range 1000 {
-		g.Fail(health.Name{Team: "a", Name: "bad"}, 1, 0)
+		detector.RecordFailure(health.JobName{Team: "a", Name: "bad"}, 1, 0)
 	}
-	if g.Suspects(1, 100) {
-		t.Error("a bad job made a server suspect")
+	if detector.ShouldQuarantine(1, 100) {
+		t.Error("a job that always fails causes the quarantine of a server")
 	}
-	good := health.Name{Team: "a", Name: "good"}
+	reliableJob := health.JobName{Team: "a", Name: "good"}
 	for range 20 {
-		g.Succeed(good, 2)
+		detector.RecordSuccess(reliableJob, 2)
 	}
 	for range 4 {
-		g.Fail(good, 3, 0)
+		detector.RecordFailure(reliableJob, 3, 0)
 	}
-	if !g.Suspects(3, 100) {
-		t.Error("a server that fails what runs elsewhere is not suspect")
+	if !detector.ShouldQuarantine(3, 100) {
+		t.Error("a server that fails a job which succeeds elsewhere is not quarantined")
 	}
 }
 
-// A probe that fails puts the next one off for twice as long.
-func TestProbationDoubles(t *testing.T) {
-	g := health.NewGuard()
-	n := health.Name{Name: "n"}
-	g.Enter(1, 0)
-	got := []bool{g.Probe(1, health.Probation-1), g.Probe(1, health.Probation)}
-	g.Fail(n, 1, health.Probation)
-	got = append(got, g.Probe(1, 2*health.Probation), g.Probe(1, 3*health.Probation))
-	g.Succeed(n, 1)
-	got = append(got, g.Sound(1))
-	g.Succeed(n, 1)
-	got = append(got, g.Sound(1))
+// A failed probe doubles the delay before the next one.
+func TestProbeDelayDoubles(t *testing.T) {
+	detector := health.NewFaultDetector()
+	job := health.JobName{Name: "n"}
+	detector.Quarantine(1, 0)
+	got := []bool{detector.MayProbe(1, health.FirstProbeDelay-1), detector.MayProbe(1, health.FirstProbeDelay)}
+	detector.RecordFailure(job, 1, health.FirstProbeDelay)
+	got = append(got, detector.MayProbe(1, 2*health.FirstProbeDelay), detector.MayProbe(1, 3*health.FirstProbeDelay))
+	detector.RecordSuccess(job, 1)
+	got = append(got, detector.Recovered(1))
+	detector.RecordSuccess(job, 1)
+	got = append(got, detector.Recovered(1))
 	if diff := cmp.Diff([]bool{false, true, false, true, false, true}, got); diff != "" {
 		t.Error(diff)
 	}
--- /dev/null
+++ b/internal/policy/steps/ask.go
@@ -0,0 +1,120 @@
+package steps
+
+import (
+	"slices"
+	"time"
+
+	"gypsumreel/internal/domain/flow"
+)
+
+// requestPermits asks for new permits on servers that are allowed to run the item. If there are
+// too many servers, the first ones are used.
+func (p *planner) requestPermits(it Item, servers []string, candidates []candidate) {
+	spares := spareServers
+	for _, c := range candidates {
+		if spares == 0 || len(servers) >= MaxServersPerStep {
+			break
+		}
+		if !slices.Contains(servers, c.ID) {
+			servers = append(servers, c.ID)
+			spares--
+		}
+	}
+	servers = append(servers, p.soonAvailable(it, servers)...)
+	p.plan.Questions = append(p.plan.Questions, Question{it, servers[:min(len(servers), MaxServersPerStep)]})
+}
+
+// requestPermitsEarly asks for new permits on servers that will soon have room for the next
+// steps, so that the room is not idle while the adviser answers.
+func (p *planner) requestPermitsEarly(it Item) {
+	if !it.NeedsPermit || p.earlyRequests[it.Pool] >= minReservedGangs+p.poolSizes[it.Pool]/serversPerReservedGang {
+		return
+	}
+	p.earlyRequests[it.Pool]++
+	if servers := p.soonAvailable(it, nil); len(servers) > 0 {
+		p.plan.Questions = append(p.plan.Questions, Question{it, servers[:min(len(servers), MaxServersPerStep)]})
+	}
+}
+
+// soonAvailable returns servers that are allowed to run the item, need a new permit and should
+// have room for a task while a permit requested now is valid. It leaves out the servers in
+// exclude and returns the earliest servers first, at most one for each queued task. If the
+// tasks of a step start one by one as room becomes free, this saves one question for each task,
+// during which the room would be idle.
+func (p *planner) soonAvailable(it Item, exclude []string) []string {
+	limit := it.Queued - len(exclude)
+	if p.view.Releases == nil || limit <= 0 {
+		return nil
+	}
+	var slots []slot
+	for _, r := range p.knownServersFor(it) {
+		if eligible(it, r) && p.permission(it, r) == Stale && !slices.Contains(exclude, r.ID) {
+			if after, ok := p.availableAfter(it, r); ok {
+				slots = append(slots, slot{after, r})
+			}
+		}
+	}
+	slices.SortFunc(slots, compareSlots)
+	var out []string
+	for _, s := range slots[:min(len(slots), limit)] {
+		out = append(out, s.ID)
+	}
+	return out
+}
+
+// availableAfter returns the time after which a server should have room for a task of the item.
+// It returns false if a permit requested now expires earlier.
+func (p *planner) availableAfter(it Item, r *serverState) (time.Duration, bool) {
+	size, free := flow.SizeOf(it.Spec), r.free.Sub(r.reserved)
+	for _, release := range p.releases(r) {
+		if release.After > questionLeadTime+permitValidity {
+			return 0, false
+		}
+		free = free.Add(release.Size)
+		if fittingTasks(size, free) > 0 {
+			return release.After, true
+		}
+	}
+	return 0, false
+}
+
+// askAdviser asks about servers whose permission is unknown, those with the most free room
+// first. It names as many servers as should hold all queued tasks, given the share of servers
+// that the adviser allows. Small questions in sequence would delay the start of a gang by one
+// round trip each. It returns false if there are no such servers.
+func (p *planner) askAdviser(it Item) bool {
+	if !it.NeedsPermit || p.poolFull(it) {
+		return false
+	}
+	p.knownServersFor(it)
+	size := flow.SizeOf(it.Spec)
+	allowedShare := 1.0
+	if p.view.AllowedShare != nil {
+		allowedShare = p.view.AllowedShare(it)
+	}
+	neededTasks, expectedTasks := capacityFactor*float64(it.Queued), 0.0
+	minServers := max(it.QuestionSize, MinServersPerQuestion)
+	question := Question{Item: it}
+	var withoutRoom []string
+	for r := range p.byFreeRoom(it) {
+		if len(question.Servers) >= MaxServersPerStep || expectedTasks >= neededTasks && len(question.Servers) >= minServers {
+			break
+		}
+		if p.permission(it, r) != NotAsked || !eligible(it, r) {
+			continue
+		}
+		if it.AdviserAsked && fittingTasks(size, r.usable(it)) == 0 {
+			withoutRoom = append(withoutRoom, r.ID)
+			continue
+		}
+		expectedTasks += allowedShare * float64(min(fittingTasks(size, r.free), int64(it.Queued)))
+		question.Servers = append(question.Servers, r.ID)
+	}
+	if len(question.Servers) == 0 {
+		return false
+	}
+	// Add servers without free room until the question has its minimum size.
+	question.Servers = append(question.Servers, withoutRoom[:min(len(withoutRoom), max(minServers-len(question.Servers), 0))]...)
+	p.plan.Questions = append(p.plan.Questions, question)
+	return true
+}
--- a/internal/policy/steps/bench_test.go
+++ b/internal/policy/steps/bench_test.go
@@ -12,8 +12,8 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// Few steps before many servers with room: what a leader plans most of the time.
-func BenchmarkFewOfMany(b *testing.B) {
+// A few steps and many servers with room: the most common plan.
+func BenchmarkFewStepsManyServers(b *testing.B) {
 	var servers []steps.Server
 	for i := range 350 {
 		s := server(fmt.Sprintf("s%03d", i), 16000)
@@ -23,7 +23,7 @@
 	var items []steps.Item
 	for i := range 8 {
 		it := item(fmt.Sprintf("f%03d", i), tasks(4, 1500))
-		it.Permits = true
+		it.NeedsPermit = true
 		items = append(items, it)
 	}
 	v := view(servers, items...)
@@ -34,8 +34,7 @@
 	}
 }
 
-// A backlog of steps before servers that are nearly full: what a leader plans
-// over and over while more comes than can run.
+// A backlog of steps and servers that are nearly full: the usual plan under overload.
 func BenchmarkBacklog(b *testing.B) {
 	var servers []steps.Server
 	for i := range 350 {
@@ -48,7 +47,7 @@
 		spec := tasks(8, 1000)
 		spec.Gang = i%2 == 0
 		it := item(fmt.Sprintf("f%03d", i), spec)
-		it.Permits = true
+		it.NeedsPermit = true
 		items = append(items, it)
 	}
 	v := view(servers, items...)
@@ -59,36 +58,36 @@
 	}
 }
 
-// A burst at a large cell: many new steps, and as many about which the adviser was
-// asked already, before a thousand servers in use at four fifths.
+// A burst in a large cell: many new steps, as many steps with known permissions, and a thousand
+// servers of which four fifths are in use.
 func BenchmarkBurst(b *testing.B) {
-	const all, most, few = 1100, 150, 60
+	const serverCount, itemCount, knownPerItem = 1100, 150, 60
 	var servers []steps.Server
-	for i := range all {
+	for i := range serverCount {
 		s := server(fmt.Sprintf("s%04d", i), 16000)
 		s.Used = capacity.Size{CPU: int64(i*37*4) % 16000}
-		s.Brief = i%5 == 0
+		s.ShortLease = i%5 == 0
 		servers = append(servers, s)
 	}
-	may := map[flow.StepID]map[string]steps.Permission{}
+	permissions := map[flow.StepID]map[string]steps.Permission{}
 	var items []steps.Item
-	for i := range most {
+	for i := range itemCount {
 		it := item(fmt.Sprintf("f%03d", i), tasks(4, 3900))
-		it.Permits, it.Urgent, it.Priority = true, i%3 > 0, uint32(i%3)
+		it.NeedsPermit, it.Urgent, it.Priority = true, i%3 > 0, uint32(i%3)
 		if i%2 == 0 {
-			it.Asked = true
-			may[it.StepID] = map[string]steps.Permission{}
-			for j := range few {
-				may[it.StepID][servers[(i*31+j*17)%all].ID] = steps.Permission(1 + j%3)
+			it.AdviserAsked = true
+			permissions[it.StepID] = map[string]steps.Permission{}
+			for j := range knownPerItem {
+				permissions[it.StepID][servers[(i*31+j*17)%serverCount].ID] = steps.Permission(1 + j%3)
 			}
 		}
 		items = append(items, it)
 	}
 	v := view(servers, items...)
-	v.Known = func(id flow.StepID) iter.Seq2[string, steps.Permission] { return maps.All(may[id]) }
-	v.Share = func(steps.Item) float64 { return 0.3 }
-	v.Frees = func(string) []steps.Release {
-		return []steps.Release{{In: time.Second, Size: capacity.Size{CPU: 3000}}, {In: 100 * time.Millisecond, Size: capacity.Size{CPU: 3000}}}
+	v.Permissions = func(id flow.StepID) iter.Seq2[string, steps.Permission] { return maps.All(permissions[id]) }
+	v.AllowedShare = func(steps.Item) float64 { return 0.3 }
+	v.Releases = func(string) []steps.Release {
+		return []steps.Release{{After: time.Second, Size: capacity.Size{CPU: 3000}}, {After: 100 * time.Millisecond, Size: capacity.Size{CPU: 3000}}}
 	}
 	var p steps.Planner
 	b.ReportAllocs()
--- /dev/null
+++ b/internal/policy/steps/candidate.go
@@ -0,0 +1,107 @@
+package steps
+
+import (
+	"cmp"
+	"slices"
+
+	"gypsumreel/internal/domain/flow"
+	"gypsumreel/internal/ledger/flows"
+)
+
+// candidate is a server on which a task of an item can start.
+type candidate struct {
+	*serverState
+	permission Permission
+	// taskCount is the number of tasks of the step that the server can still take.
+	taskCount int64
+	// penalty ranks the server for the item; a higher penalty comes later. Servers with equal
+	// penalties are ordered by free CPU.
+	penalty int
+}
+
+// compare orders candidates. It runs for every compared pair of a plan, so the penalty is
+// computed beforehand.
+func (c candidate) compare(other candidate) int {
+	return cmp.Or(c.penalty-other.penalty, cmp.Compare(c.free.CPU, other.free.CPU), c.index-other.index)
+}
+
+// Penalties in ascending order of importance: the server is slow, its lease does not suit the
+// item, it is outside the preferred rack, it is cold, a task of the step failed there. Each
+// penalty outweighs all smaller ones together.
+const (
+	maxSpeedClass = 1 << 20
+	leasePenalty  = 2 * maxSpeedClass
+	farPenalty    = 2 * leasePenalty
+	coldPenalty   = 2 * farPenalty
+	failedPenalty = 2 * coldPenalty
+)
+
+// penalty returns the rank of a server for an item. Lower values come first.
+func penalty(it Item, r *serverState) int {
+	points := -min(max(r.speedClass, -maxSpeedClass), maxSpeedClass)
+	if !inPreferredRack(it, r) {
+		points += farPenalty
+	}
+	if it.Urgent != r.ShortLease {
+		points += leasePenalty
+	}
+	if r.Cold {
+		points += coldPenalty
+	}
+	if it.FailedOn[r.ID] {
+		points += failedPenalty
+	}
+	return points
+}
+
+// candidates returns the servers on which a task of the item can start now, best first. After
+// the penalty, servers with less free CPU come first, so that large gaps stay free for large
+// tasks.
+func (p *planner) candidates(it Item) (out []candidate) {
+	size := flow.SizeOf(it.Spec)
+	if p.poolFull(it) {
+		return nil
+	}
+	placedOn := map[string]int64{}
+	for _, t := range it.Tasks {
+		if t.Phase == flows.Placed {
+			placedOn[t.Server]++
+		}
+	}
+	for _, r := range p.knownServersFor(it) {
+		permission := p.permission(it, r)
+		if permission == Denied || r.heldForSuspect || !eligible(it, r) {
+			continue
+		}
+		n := fittingTasks(size, r.usable(it))
+		if maxPerServer := it.Spec.GetApart(); maxPerServer > 0 {
+			n = min(n, int64(maxPerServer)-placedOn[r.ID])
+		}
+		if n > 0 {
+			out = append(out, candidate{serverState: r, permission: permission, taskCount: n, penalty: penalty(it, r)})
+		}
+	}
+	slices.SortFunc(out, candidate.compare)
+	return out
+}
+
+// poolFull reports whether no server of the pool had enough free CPU for a task of the item
+// when the plan began and no question needs to be sent. This is the common case with a long
+// backlog.
+func (p *planner) poolFull(it Item) bool {
+	return (it.AdviserAsked || !it.NeedsPermit) && it.Spec.GetSize().GetCpu() > p.maxFreeCPU[it.Pool]
+}
+
+// speedClass groups servers whose speeds cannot be told apart after a few runs, so that free
+// CPU decides among them.
+func speedClass(speed float64) int {
+	const classesPerUnit = 4 // one class for each quarter of the average speed
+	return int(speed*classesPerUnit + 0.5)
+}
+
+// inPreferredRack reports whether the server is in the rack that holds the data of the step, or
+// the step names no rack.
+func inPreferredRack(it Item, r *serverState) bool {
+	rack := it.Spec.GetRack()
+	return rack == "" || slices.Contains(r.Labels, rack)
+}
--- /dev/null
+++ b/internal/policy/steps/deadline.go
@@ -0,0 +1,82 @@
+package steps
+
+import (
+	"time"
+
+	v1 "gypsumreel/internal/api/v1"
+	"gypsumreel/internal/ledger/flows"
+)
+
+const (
+	// worthlessFactor is the multiple of its objective after which the end of a flow has no
+	// value to its caller.
+	worthlessFactor = 3
+	// minRemainingFactor is the part of the declared remaining run time that a flow is expected
+	// to need at least. Declared run times are inaccurate, and a flow that is put back too
+	// early ends late.
+	minRemainingFactor = 0.75
+	// runtimeTolerance is the multiple of its declared run time that a flow may need before it
+	// counts as worthless. A flow that is counted as worthless by mistake earns nothing.
+	runtimeTolerance = 2
+)
+
+// Timing holds the values from which the slack of a step is computed. They do not change once
+// the step is ready.
+type Timing struct {
+	// Objective is the time within which the flow should end. TolerantObjective is the
+	// objective of a flow that runs much longer than declared. Remaining is the declared run
+	// time of the unfinished part of the critical path.
+	Objective         time.Duration
+	TolerantObjective time.Duration
+	Remaining         time.Duration
+}
+
+// TimingOf returns the timing of a step whose flow is in the given queue.
+func TimingOf(s *flows.Step, q *v1.Queue) Timing {
+	total, remaining := criticalPath(s.Flow.Spec, nil), criticalPath(s.Flow.Spec, s.Flow.Turns[s.Turn])
+	return Timing{
+		Objective: objective(q, float64(total)), TolerantObjective: objective(q, runtimeTolerance*float64(total)),
+		Remaining: time.Duration(remaining) * time.Millisecond,
+	}
+}
+
+// Objective returns the time within which a flow of a queue should end.
+func Objective(spec *v1.FlowSpec, q *v1.Queue) time.Duration {
+	return objective(q, float64(criticalPath(spec, nil)))
+}
+
+// objective returns the time within which a flow should end whose critical path has the given
+// run time in milliseconds.
+func objective(q *v1.Queue, runtime float64) time.Duration {
+	return time.Duration((q.GetFactor()*runtime + float64(q.GetTarget())) * float64(time.Millisecond))
+}
+
+// criticalPath returns the declared run time in milliseconds of the longest chain of dependent
+// steps of a flow. With a turn, it counts unfinished steps only.
+func criticalPath(spec *v1.FlowSpec, turn *flows.Turn) uint64 {
+	endTimes := make([]uint64, len(spec.GetSteps()))
+	longest := uint64(0)
+	for i, s := range spec.GetSteps() {
+		if turn == nil || turn.Steps[i].Done < len(turn.Steps[i].Tasks) {
+			endTimes[i] = s.GetRuntime()
+		}
+		startTime := uint64(0)
+		for _, predecessor := range s.GetAfter() {
+			startTime = max(startTime, endTimes[predecessor])
+		}
+		endTimes[i] += startTime
+		longest = max(longest, endTimes[i])
+	}
+	return longest
+}
+
+// WithAge returns the item with Slack, Late and Worthless computed from the age of its flow.
+func (it Item) WithAge(t Timing, age time.Duration) Item {
+	minDuration := age + time.Duration(minRemainingFactor*float64(t.Remaining))
+	finite := !it.Spec.GetLasting()
+	it.Slack = t.Objective - age - t.Remaining
+	// Urgent work is never marked late: its callers keep waiting, and it is short.
+	it.Late = finite && !it.Urgent && minDuration > t.Objective
+	it.Worthless = finite && minDuration > worthlessFactor*t.TolerantObjective
+	return it
+}
--- /dev/null
+++ b/internal/policy/steps/order.go
@@ -0,0 +1,75 @@
+package steps
+
+import (
+	"cmp"
+	"iter"
+	"slices"
+)
+
+// sortBatchSize is the number of servers that are sorted at a time. It is close to the number
+// of servers in a question.
+const sortBatchSize = 64
+
+// serverGroup identifies the servers of a pool that have, or do not have, a short lease.
+type serverGroup struct {
+	pool       string
+	shortLease bool
+}
+
+// groupServers groups the servers and sorts each group by the CPU that was free when the plan
+// began.
+func (p *planner) groupServers() {
+	p.serversByGroup = map[serverGroup][]*serverState{}
+	for _, r := range p.servers {
+		group := serverGroup{r.Pool, r.ShortLease}
+		p.serversByGroup[group] = append(p.serversByGroup[group], r)
+	}
+	for _, servers := range p.serversByGroup {
+		slices.SortFunc(servers, func(a, b *serverState) int { return cmp.Or(cmp.Compare(b.initialCPU, a.initialCPU), a.index-b.index) })
+	}
+}
+
+// byFreeRoom iterates over the servers of the pool of an item, those with the most free CPU
+// first. For urgent items, all servers with a short lease come before the others.
+func (p *planner) byFreeRoom(it Item) iter.Seq[*serverState] {
+	if p.serversByGroup == nil {
+		p.groupServers()
+	}
+	shortLease, others := p.serversByGroup[serverGroup{it.Pool, true}], p.serversByGroup[serverGroup{it.Pool, false}]
+	return func(yield func(*serverState) bool) {
+		if it.Urgent {
+			_ = p.yieldByFreeRoom(yield, shortLease) && p.yieldByFreeRoom(yield, others)
+			return
+		}
+		p.yieldByFreeRoom(yield, shortLease, others)
+	}
+}
+
+// yieldByFreeRoom iterates over the servers of some groups, those with the most free CPU first.
+// Free CPU only shrinks during a plan, so a server of the batch can be yielded as soon as it
+// has at least the initial CPU of the next server outside the batch.
+func (p *planner) yieldByFreeRoom(yield func(*serverState) bool, groups ...[]*serverState) bool {
+	var batch []*serverState
+	for {
+		nextInitialCPU := int64(-1)
+		for i, s := range groups {
+			n := min(len(s), sortBatchSize)
+			batch = append(batch, s[:n]...)
+			groups[i] = s[n:]
+			if len(groups[i]) > 0 {
+				nextInitialCPU = max(nextInitialCPU, groups[i][0].initialCPU)
+			}
+		}
+		if len(batch) == 0 {
+			return true
+		}
+		slices.SortFunc(batch, func(a, b *serverState) int { return cmp.Or(cmp.Compare(b.free.CPU, a.free.CPU), a.index-b.index) })
+		n := 0
+		for ; n < len(batch) && batch[n].free.CPU >= nextInitialCPU; n++ {
+			if !yield(batch[n]) {
+				return false
+			}
+		}
+		batch = batch[n:]
+	}
+}
--- /dev/null
+++ b/internal/policy/steps/select.go
@@ -0,0 +1,34 @@
+package steps
+
+import (
+	"slices"
+
+	"gypsumreel/internal/domain/flow"
+)
+
+// Limits of the items in one plan.
+const (
+	// maxLeadingItems limits the first items in the order of Compare, which are part of every
+	// plan. It is far more than the number of items that start between two plans.
+	maxLeadingItems = 128
+	// maxRotatingItems limits the further items, which differ from plan to plan.
+	maxRotatingItems = 64
+)
+
+// SelectItems returns the items to consider in a plan, in the order of Compare. It leaves out
+// items of customers that have reached their limit. With a long backlog it returns the leading
+// items and a part of the rest that changes with the plan number. Otherwise leading items that
+// can never start would block all others.
+func SelectItems(v View, planNumber int) []Item {
+	items := slices.DeleteFunc(slices.Clone(v.Items), func(it Item) bool {
+		return fittingTasks(flow.SizeOf(it.Spec), v.RemainingLimit(it.Flow.Customer)) == 0
+	})
+	slices.SortFunc(items, Compare)
+	if len(items) <= maxLeadingItems+maxRotatingItems {
+		return items
+	}
+	rest := items[maxLeadingItems:]
+	start := planNumber * maxRotatingItems % len(rest)
+	others := rest[start:min(start+maxRotatingItems, len(rest))]
+	return append(items[:maxLeadingItems:maxLeadingItems], others...)
+}
--- a/internal/policy/steps/steps.go
+++ b/internal/policy/steps/steps.go
@@ -1,5 +1,5 @@
-// Package steps decides which tasks of flows start where. It is pure: a plan
-// follows from the picture that it is given and from nothing else.
+// Package steps decides which tasks of flows start on which servers. It has no side effects: a
+// plan depends on its View alone.
 package steps
 
 import (
@@ -12,155 +12,162 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// Bounds of a plan.
+// Limits of a plan.
 const (
-	// MostAsked bounds the servers of one question: the adviser takes no more.
-	MostAsked = 100
-	// MostWanted bounds the servers that a plan wants to know about for one step;
-	// they are asked about in several questions side by side.
-	MostWanted = 160
-	// LeastAsked is how many servers a question names at the least: of thirty a
-	// few may usually run a step.
-	LeastAsked = 30
-	// enough is how many times as many tasks as wait the servers of a question
-	// should have room for, by what is known: some fill up until the answer comes.
-	enough = 1.5
-	// spare is how many servers more than needed a question for fresh permits
-	// names: some will have filled up when the answer comes.
-	spare = 4
-	// leastWaiting is how many gangs of a pool have room kept for them, and one more
-	// for each waitingPart of its servers. Each keeps what it needs idle until the
-	// last of it is free, and a large pool has more of them waiting.
-	leastWaiting = 4
-	waitingPart  = 100
-	// restEvery is how many items are placed between two rests.
-	restEvery = 4
-	// soon is how long before its room is free a gang asks for its permits: about
-	// as long as the longest question takes.
-	soon = time.Second
-	// holds is about how long a permit holds.
-	holds = time.Second
+	// MaxServersPerQuestion limits the servers of one question. The adviser accepts no more.
+	MaxServersPerQuestion = 100
+	// MaxServersPerStep limits the servers that one plan asks about for one step. They are
+	// split into several parallel questions.
+	MaxServersPerStep = 160
+	// MinServersPerQuestion is the minimum number of servers in a question. Usually the adviser
+	// allows a step on a few of thirty servers.
+	MinServersPerQuestion = 30
+	// capacityFactor is the room that the servers of a question should have, as a multiple of
+	// the queued tasks. Some of these servers fill up before the answer arrives.
+	capacityFactor = 1.5
+	// spareServers is the number of additional servers in a request for new permits. Some
+	// servers fill up before the answer arrives.
+	spareServers = 4
+	// minReservedGangs is the number of gangs of a pool that can have reservations at a time. A
+	// pool can have one more for every serversPerReservedGang servers, since more gangs wait in
+	// a large pool. Reserved room is idle until the last server of the gang is free. The same
+	// limit applies to the steps that request permits before there is room.
+	minReservedGangs       = 4
+	serversPerReservedGang = 100
+	// itemsPerYield is the number of items that are placed between two calls of Yield.
+	itemsPerYield = 4
+	// questionLeadTime is how long before its room is free a gang requests its permits. The
+	// longest question takes about as long.
+	questionLeadTime = time.Second
+	// permitValidity is the approximate time for which a permit is valid.
+	permitValidity = time.Second
 )
 
-// planner is the state of making one plan.
+// planner is the state of one plan.
 type planner struct {
 	*Planner
 	view View
-	// turn counts the items turned to; looked tells that what is known of the latest
-	// was looked up.
-	turn   int
-	looked bool
-	// shelves are the servers in the order of their room; nil until that is asked for.
-	shelves map[shelf][]*room
-	used    map[string]capacity.Size
-	plan    Plan
-	// waiting counts the gangs for which room is kept, by pool, sizes the servers.
-	waiting map[string]int
-	sizes   map[string]int
-	// ahead counts the steps whose permits are asked for before there is room, by pool.
-	ahead map[string]int
-	// most is the most that a server of each pool had free when the plan began.
-	most map[string]int64
-	// heads is each pool's headroom for urgent work, spare for how many tasks of
-	// its size there is room beyond it, and ever how many the whole pool holds.
-	heads map[string]Headroom
-	spare map[string]int64
-	ever  map[string]int64
-	// probations is for how many more suspected tasks a server of each pool may be kept.
-	probations map[string]int
+	// itemNumber counts the items handled so far. permissionsLoaded is true when the
+	// permissions of the current item were read.
+	itemNumber        int
+	permissionsLoaded bool
+	// serversByGroup holds the servers sorted by initial free CPU. It is nil until first
+	// needed.
+	serversByGroup map[serverGroup][]*serverState
+	// customerUsage is the size that this plan has allocated, by customer.
+	customerUsage map[string]capacity.Size
+	plan          Plan
+	// reservedGangs counts the gangs with a reservation, and poolSizes the servers, by pool.
+	reservedGangs map[string]int
+	poolSizes     map[string]int
+	// earlyRequests counts the steps that requested permits before there was room, by pool.
+	earlyRequests map[string]int
+	// maxFreeCPU is the largest free CPU of any server of a pool when the plan began.
+	maxFreeCPU map[string]int64
+	// headrooms is the headroom of each pool for urgent work. spareHeadroom is the number of
+	// additional tasks of that size that fit into the free room, headroomCapacity the number
+	// that fit into the whole pool.
+	headrooms        map[string]Headroom
+	spareHeadroom    map[string]int64
+	headroomCapacity map[string]int64
+	// probationSlots is the number of servers of each pool that can still be held for suspect
+	// tasks.
+	probationSlots map[string]int
 }
 
-// room is what is left on a server in the course of a plan.
-type room struct {
+// serverState is the state of a server during a plan.
+type serverState struct {
 	Server
-	// at is its place in the order of ids, class that of its speed.
-	at    int
-	class int
-	// began is the room of the processor when the plan began.
-	began int64
-	free  capacity.Size
-	mark
-	// frees is what the server will have free again, the soonest first, once it was
-	// asked for.
-	frees []Release
-	freed bool
-	// probation tells that it is left to a task that may crash it.
-	probation bool
-	// kept is what is kept free for gangs that wait, and until when they wait.
-	kept  capacity.Size
-	until time.Duration
+	// index is the position in the order of server IDs. speedClass is the class of the speed of
+	// the server.
+	index      int
+	speedClass int
+	// initialCPU is the CPU that was free when the plan began.
+	initialCPU int64
+	free       capacity.Size
+	itemPermission
+	// releases is the room that the server is expected to release, earliest first. It is valid
+	// if releasesLoaded is true.
+	releases       []Release
+	releasesLoaded bool
+	// heldForSuspect is true when the server is kept for a task that may crash it.
+	heldForSuspect bool
+	// reserved is the room reserved for waiting gangs, and reservedUntil the time after which
+	// they can start.
+	reserved      capacity.Size
+	reservedUntil time.Duration
 }
 
-// left returns what an item may use now: room that is kept for a gang only if
-// the item gives it back before the gang can begin, or lasts.
-func (r *room) left(it Item) capacity.Size {
-	if it.Spec.GetLasting() || r.until > 0 && it.Takes > 0 && it.Takes <= r.until {
+// usable returns the room that an item can use now. It includes room reserved for a gang only
+// if the item runs as a service or ends before the gang can start.
+func (r *serverState) usable(it Item) capacity.Size {
+	if it.Spec.GetLasting() || r.reservedUntil > 0 && it.ExpectedRuntime > 0 && it.ExpectedRuntime <= r.reservedUntil {
 		return r.free
 	}
-	return r.free.Sub(r.kept)
+	return r.free.Sub(r.reserved)
 }
 
-// Planner makes plans, one after the other; what it keeps is room for the next one.
-// The zero value is ready.
+// Planner makes plans one after the other and reuses its buffers. The zero value is ready to
+// use.
 type Planner struct {
-	rooms   []room
-	servers []*room
-	byID    map[string]*room
-	// known is the room for the servers of which something is known for an item.
-	known []*room
+	states  []serverState
+	servers []*serverState
+	byID    map[string]*serverState
+	// knownServers is the buffer for the servers whose permission is known for an item.
+	knownServers []*serverState
 }
 
-// Make makes one plan.
+// Make makes a single plan with a new Planner.
 func Make(v View) Plan { return new(Planner).Make(v) }
 
-// Make makes a plan: items in the order of Compare, each placed as far as there
-// is room. What waits for a permit or, as a gang, for more room keeps the room
-// that it needs from those after it, which would take it for ever otherwise.
+// Make makes a plan. It places the items in the order of Compare, as far as there is room. An
+// item that waits for a permit, or a gang that waits for room, keeps the room that it needs.
+// Otherwise later items could take that room again and again, and the item would never start.
 func (m *Planner) Make(v View) Plan {
 	if m.byID == nil {
-		m.byID = map[string]*room{}
+		m.byID = map[string]*serverState{}
 	}
 	clear(m.byID)
-	m.rooms = slices.Grow(m.rooms[:0], len(v.Servers))[:len(v.Servers)]
+	m.states = slices.Grow(m.states[:0], len(v.Servers))[:len(v.Servers)]
 	m.servers = m.servers[:0]
 	p := &planner{
-		Planner: m, view: v, used: map[string]capacity.Size{},
-		waiting: map[string]int{}, sizes: map[string]int{}, ahead: map[string]int{}, most: map[string]int64{},
-		heads: map[string]Headroom{}, spare: map[string]int64{}, ever: map[string]int64{}, probations: map[string]int{},
+		Planner: m, view: v, customerUsage: map[string]capacity.Size{},
+		reservedGangs: map[string]int{}, poolSizes: map[string]int{}, earlyRequests: map[string]int{}, maxFreeCPU: map[string]int64{},
+		headrooms: map[string]Headroom{}, spareHeadroom: map[string]int64{}, headroomCapacity: map[string]int64{}, probationSlots: map[string]int{},
 	}
 	for i, s := range v.Servers {
 		free := s.Free()
-		r := &m.rooms[i]
-		*r = room{Server: s, free: free, began: free.CPU, probation: s.Probation}
+		r := &m.states[i]
+		*r = serverState{Server: s, free: free, initialCPU: free.CPU, heldForSuspect: s.OnProbation}
 		p.servers = append(p.servers, r)
 		p.byID[s.ID] = r
 	}
-	p.count()
-	byID := func(a, b *room) int { return cmp.Compare(a.ID, b.ID) }
+	p.initPools()
+	byID := func(a, b *serverState) int { return cmp.Compare(a.ID, b.ID) }
 	if !slices.IsSortedFunc(p.servers, byID) {
 		slices.SortFunc(p.servers, byID)
 	}
 	for i, r := range p.servers {
-		r.at, r.class = i, speedClass(r.Speed)
+		r.index, r.speedClass = i, speedClass(r.Speed)
 	}
 	items := slices.Clone(v.Items)
 	slices.SortStableFunc(items, Compare)
 	for i, it := range items {
-		if v.Rest != nil && i%restEvery == 0 {
-			v.Rest()
+		if v.Yield != nil && i%itemsPerYield == 0 {
+			v.Yield()
 		}
 		if it.Spec.GetGang() {
-			p.gang(it)
+			p.placeGang(it)
 		} else {
-			p.singles(it)
+			p.placeSingles(it)
 		}
 	}
 	return p.plan
 }
 
-// count works out what is known of each pool when the plan begins.
-func (p *planner) count() {
-	pools := map[string][]*room{}
+// initPools computes the initial state of each pool.
+func (p *planner) initPools() {
+	pools := map[string][]*serverState{}
 	for i := 0; i < len(p.servers); {
 		pool, first := p.servers[i].Pool, i
 		for i < len(p.servers) && p.servers[i].Pool == pool {
@@ -168,23 +175,23 @@
 		}
 		pools[pool] = append(pools[pool], p.servers[first:i]...)
 	}
-	for pool, rooms := range pools {
-		p.sizes[pool] = len(rooms)
-		p.probations[pool] = probationsOf(rooms)
-		for _, r := range rooms {
-			p.most[pool] = max(p.most[pool], r.free.CPU)
+	for pool, servers := range pools {
+		p.poolSizes[pool] = len(servers)
+		p.probationSlots[pool] = countProbationSlots(servers)
+		for _, r := range servers {
+			p.maxFreeCPU[pool] = max(p.maxFreeCPU[pool], r.free.CPU)
 		}
-		p.head(pool, rooms)
+		p.initHeadroom(pool, servers)
 	}
 }
 
-// Compare orders items: what is worth nothing more last, then what was sent
-// beyond its customer's share, then what will be late anyway: it would make those
-// behind it late as well. Then by priority, then by the least slack.
+// Compare orders items. Late items come after items that can end in time, since they would make
+// those late as well. Items over the share of their customer come after all others, and
+// worthless items come last. The remaining order is by priority, then by slack, least first.
 func Compare(a, b Item) int {
 	return cmp.Or(
-		compareBool(a.Hopeless, b.Hopeless),
-		compareBool(a.Surplus, b.Surplus),
+		compareBool(a.Worthless, b.Worthless),
+		compareBool(a.OverShare, b.OverShare),
 		compareBool(a.Late, b.Late),
 		cmp.Compare(a.Priority, b.Priority),
 		cmp.Compare(a.Slack, b.Slack),
@@ -194,6 +201,7 @@
 	)
 }
 
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -204,21 +212,23 @@
 	return -1
 }
 
-// suits tells whether a server may hold a task of the item at all.
-func suits(it Item, r *room) bool {
+// eligible reports whether the server is in the pool of the item and has the label that it
+// requires.
+func eligible(it Item, r *serverState) bool {
 	if r.Pool != it.Pool {
 		return false
 	}
-	return Labelled(it.Spec.GetLabel(), r.Server.Server)
+	return HasLabel(it.Spec.GetLabel(), r.Server.Server)
 }
 
-// Labelled tells whether a server has the label that a step asks for, if any.
-func Labelled(label string, b *flows.Server) bool {
+// HasLabel reports whether a server has the label that a step requires. An empty label matches
+// every server.
+func HasLabel(label string, b *flows.Server) bool {
 	return label == "" || slices.Contains(b.Labels, label)
 }
 
-// fits returns how many tasks of a size fit into a room.
-func fits(size, free capacity.Size) int64 {
+// fittingTasks returns how many tasks of a size fit into the free room.
+func fittingTasks(size, free capacity.Size) int64 {
 	if !size.Fits(capacity.Size{CPU: free.CPU, Memory: free.Memory, Accel: free.Accel, Slots: size.Slots}) {
 		return 0
 	}
@@ -235,74 +245,77 @@
 	return n
 }
 
-// allowed returns how many tasks of the item its customer's limit lets start.
-func (p *planner) allowed(it Item) int64 {
+// allowedByLimit returns the number of tasks of the item that the limit of its customer allows.
+func (p *planner) allowedByLimit(it Item) int64 {
 	size := flow.SizeOf(it.Spec)
-	left := p.view.Room(it.Flow.Customer).Sub(p.used[it.Flow.Customer])
-	return fits(size, left)
+	remaining := p.view.RemainingLimit(it.Flow.Customer).Sub(p.customerUsage[it.Flow.Customer])
+	return fittingTasks(size, remaining)
 }
 
-func (p *planner) take(it Item, r *room, n int64) {
+// allocate takes the room of n tasks of an item on a server.
+func (p *planner) allocate(it Item, r *serverState, n int64) {
 	size := flow.SizeOf(it.Spec).Times(n)
-	p.spare[it.Pool] -= p.cost(it, r, n)
+	p.spareHeadroom[it.Pool] -= p.headroomCost(it, r, n)
 	r.free = r.free.Sub(size)
-	p.used[it.Flow.Customer] = p.used[it.Flow.Customer].Add(size)
+	p.customerUsage[it.Flow.Customer] = p.customerUsage[it.Flow.Customer].Add(size)
 }
 
-// filling is what was found for a step whose tasks start one by one.
-type filling struct {
-	item   Item
-	places []Place
-	// stale are the servers whose permits have to be asked for first.
-	stale []string
+// stepPlacement collects the assignments of a step whose tasks start independently.
+type stepPlacement struct {
+	item        Item
+	assignments []Assignment
+	// staleServers are servers with room whose permits must be renewed first.
+	staleServers []string
 }
 
-// put starts tasks on a server, or keeps the room until its permit is there.
-func (p *planner) put(f *filling, o option, tasks []uint32) {
-	p.take(f.item, o.room, int64(len(tasks)))
-	if o.permission != Granted {
-		f.stale = append(f.stale, o.ID)
+// placeTasks starts tasks on a server. If the server needs a new permit, it only keeps their
+// room.
+func (p *planner) placeTasks(placement *stepPlacement, c candidate, tasks []uint32) {
+	p.allocate(placement.item, c.serverState, int64(len(tasks)))
+	if c.permission != Granted {
+		placement.staleServers = append(placement.staleServers, c.ID)
 		return
 	}
 	for _, i := range tasks {
-		f.places = append(f.places, Place{flow.TaskID{StepID: f.item.StepID, Index: i}, o.ID})
+		placement.assignments = append(placement.assignments, Assignment{flow.TaskID{StepID: placement.item.StepID, Index: i}, c.ID})
 	}
 }
 
-// singles places the tasks of a step one by one.
-func (p *planner) singles(it Item) {
-	left := min(int64(it.Queued), p.allowed(it))
-	if left <= 0 {
+// placeSingles places the tasks of a step independently of each other.
+func (p *planner) placeSingles(it Item) {
+	limit := min(int64(it.Queued), p.allowedByLimit(it))
+	if limit <= 0 {
 		return
 	}
-	p.next()
-	options := p.options(it)
-	f := &filling{item: it}
-	sound, suspected := p.waits(it, int(left))
-	for _, o := range options {
-		if len(sound) == 0 {
+	p.nextItem()
+	candidates := p.candidates(it)
+	placement := &stepPlacement{item: it}
+	normal, suspects := p.queuedBySuspicion(it, int(limit))
+	for _, c := range candidates {
+		if len(normal) == 0 {
 			break
 		}
-		if n := p.within(it, o.room, min(o.count, int64(len(sound)))); n > 0 {
-			p.put(f, o, sound[:n])
-			sound = sound[n:]
+		if n := p.limitByHeadroom(it, c.serverState, min(c.taskCount, int64(len(normal)))); n > 0 {
+			p.placeTasks(placement, c, normal[:n])
+			normal = normal[n:]
 		}
 	}
-	suspected = p.tryApart(f, options, suspected)
-	if len(f.places) > 0 {
-		p.plan.Placements = append(p.plan.Placements, Placement{it, f.places})
+	suspects = p.placeSuspects(placement, candidates, suspects)
+	if len(placement.assignments) > 0 {
+		p.plan.Placements = append(p.plan.Placements, Placement{it, placement.assignments})
 	}
 	switch {
-	case len(f.stale) > 0:
-		p.want(it, f.stale, options)
-	case len(sound)+len(suspected) > 0:
-		if !p.ask(it) {
-			p.foresee(it)
+	case len(placement.staleServers) > 0:
+		p.requestPermits(it, placement.staleServers, candidates)
+	case len(normal)+len(suspects) > 0:
+		if !p.askAdviser(it) {
+			p.requestPermitsEarly(it)
 		}
 	}
 }
 
-// queuedTasks returns a function that gives the waiting tasks of a step in turn.
+// queuedTasks returns a function that returns the index of the next queued task of a step on
+// each call.
 func queuedTasks(s *flows.Step) func() uint32 {
 	i := -1
 	return func() uint32 {
