--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -167,9 +167,9 @@
 	}
 }
 
-// Elected takes over: what servers hold is asked of them before anything new is
+// OnElected takes over: what servers hold is asked of them before anything new is
 // placed there.
-func (d *Dispatcher) Elected(term uint64, elected time.Duration) {
+func (d *Dispatcher) OnElected(term uint64, elected time.Duration) {
 	if d.meter == nil {
 		d.meter = newMeters(d.Meters)
 	}
@@ -208,9 +208,9 @@
 // proofAge is the greatest age of the proof on which a leader still acts.
 const proofAge = time.Second
 
-// Deposed drops everything. Requests under way learn that the answer is not
+// OnDeposed drops everything. Requests under way learn that the answer is not
 // known here.
-func (d *Dispatcher) Deposed() {
+func (d *Dispatcher) OnDeposed() {
 	ld := d.lead
 	if ld == nil {
 		return
@@ -222,8 +222,8 @@
 	}
 }
 
-// Turn decides once in a turn of the control thread.
-func (d *Dispatcher) Turn() {
+// BeforePropose decides once in a turn of the control thread.
+func (d *Dispatcher) BeforePropose() {
 	if d.lead == nil || !d.Host.Leads() {
 		return
 	}
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -138,7 +138,7 @@
 			}
 		}
 		if h.leads {
-			h.d.Turn()
+			h.d.BeforePropose()
 		}
 	}
 }
@@ -440,7 +440,7 @@
 	w.do(func() {
 		if w.d != nil {
 			w.leads = false
-			w.d.Deposed()
+			w.d.OnDeposed()
 		}
 		l, err := flows.Restore(w.committed)
 		if err != nil {
@@ -453,7 +453,7 @@
 		w.d = dispatch.New()
 		w.d.Host, w.d.Cell, w.d.Now, w.d.Backends, w.d.Helpers = w.host, "cell", w.now, w, w
 		w.d.Machines, w.d.Direct = w, w.direct
-		w.d.Elected(w.term, w.now())
+		w.d.OnElected(w.term, w.now())
 	})
 }
 
@@ -507,7 +507,7 @@
 
 // end stops everything.
 func (w *world) end() {
-	w.do(func() { w.leads = false; w.d.Deposed() })
+	w.do(func() { w.leads = false; w.d.OnDeposed() })
 	close(w.done)
 	w.lives.Wait()
 	w.check()
--- a/internal/control/leader/answer.go
+++ b/internal/control/leader/answer.go
@@ -8,8 +8,8 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// maxHeads bounds the heads of answers that are kept.
-const maxHeads = 4096
+// maxCachedHeads bounds the heads of answers that are kept.
+const maxCachedHeads = 4096
 
 // answers is what the leader keeps of answers beside the ledger.
 type answers struct {
@@ -24,44 +24,44 @@
 	return answers{heads: map[uint64]answer.Head{}, sizes: map[uint64]int{}}
 }
 
-// chunk returns one chunk of a final job's answer; nil when there is none of
+// answerChunk returns one chunk of a final job's answer; nil when there is none of
 // that number. The checksum of the whole is taken once, not for every chunk.
-func (l *Leader) chunk(j *state.Job, number uint32) *v1.Chunk {
-	pieces := l.st.Pieces(j)
-	h, ok := l.lead.answers.heads[j.Number]
+func (l *Leader) answerChunk(j *state.Job, number uint32) *v1.Chunk {
+	pieces := l.ledger.Pieces(j)
+	h, ok := l.leadership.answerCache.heads[j.Number]
 	if !ok {
 		h = answer.NewHead(pieces)
-		if len(l.lead.answers.heads) >= maxHeads {
-			clear(l.lead.answers.heads)
+		if len(l.leadership.answerCache.heads) >= maxCachedHeads {
+			clear(l.leadership.answerCache.heads)
 		}
 		if answer.Count(h.Total) > 1 {
-			l.lead.answers.heads[j.Number] = h
+			l.leadership.answerCache.heads[j.Number] = h
 		}
 	}
 	return h.Cut(pieces, number)
 }
 
-// fitting returns a task's answer, or none when its job's whole answer would
+// withinAnswerLimit returns a task's answer, or none when its job's whole answer would
 // exceed the bound. The job is then given up as too large: a longer answer
 // could not be fetched whole, and part of one must not pass for all of it.
-func (l *Leader) fitting(number uint64, data []byte) []byte {
-	j, ok := l.st.Job(number)
+func (l *Leader) withinAnswerLimit(jobNumber uint64, data []byte) []byte {
+	j, ok := l.ledger.Job(jobNumber)
 	if !ok {
 		return data
 	}
 	if j.Spec.Count <= answer.MaxJob/answer.MaxTotal {
 		return data // no answers of so few tasks exceed it
 	}
-	size, ok := l.lead.answers.sizes[number]
+	size, ok := l.leadership.answerCache.sizes[jobNumber]
 	if !ok {
-		for p := range l.st.Pieces(j) {
+		for p := range l.ledger.Pieces(j) {
 			size += len(p)
 		}
 	}
 	if size+len(data) > answer.MaxJob {
-		l.do(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: number, Code: uint32(code.TooLarge)}}})
+		l.applyAndQueue(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: jobNumber, Code: uint32(code.TooLarge)}}})
 		return nil
 	}
-	l.lead.answers.sizes[number] = size + len(data)
+	l.leadership.answerCache.sizes[jobNumber] = size + len(data)
 	return data
 }
--- a/internal/control/leader/ask.go
+++ b/internal/control/leader/ask.go
@@ -15,25 +15,25 @@
 	"gypsumreel/internal/policy/admit"
 )
 
-// batch handles the items of one Push. Items that come while this replica does
+// handleBatch handles the items of one Push. Items that come while this replica does
 // not lead are dropped: the entry's Pull is redirected and asks the leader.
-func (l *Leader) batch(b Batch) {
-	if l.lead == nil {
+func (l *Leader) handleBatch(b Batch) {
+	if l.leadership == nil {
 		return
 	}
 	for _, it := range b.Items {
-		to := Ticket{Box: b.Box, Seq: it.GetSeq(), Received: b.Received}
+		to := ReplyTarget{Mailbox: b.Mailbox, Seq: it.GetSeq(), ReceivedAt: b.ReceivedAt}
 		if n := it.GetBudget(); n > 0 {
-			to.Until = b.Received + time.Duration(n)*time.Millisecond
+			to.Deadline = b.ReceivedAt + time.Duration(n)*time.Millisecond
 		}
-		l.item(to, it)
+		l.handleItem(to, it)
 	}
 }
 
-// item handles one item. The order of the checks matters: nothing is read or
+// handleItem handles one item. The order of the checks matters: nothing is read or
 // changed before the key that came with it is known to be good now.
-func (l *Leader) item(to Ticket, it *inner.Item) {
-	if !l.current() {
+func (l *Leader) handleItem(to ReplyTarget, it *inner.Item) {
+	if !l.isConfirmedLeader() {
 		l.refuse(to, code.New(code.NoLeader, "try again"))
 		return
 	}
@@ -55,31 +55,31 @@
 	}
 	switch ask := it.GetAsk().(type) {
 	case *inner.Item_Change:
-		l.operator(to, k, func() { l.change(to, k, ask.Change) })
+		l.withOperatorKey(to, k, func() { l.applyChange(to, k, ask.Change) })
 	case *inner.Item_Show:
-		l.operator(to, k, func() { l.show(to, ask.Show) })
+		l.withOperatorKey(to, k, func() { l.handleShow(to, ask.Show) })
 	default:
-		l.caller(to, k, it)
+		l.handleCallerItem(to, k, it)
 	}
 }
 
-// current tells whether a quorum confirmed lately that this replica leads. One
+// isConfirmedLeader tells whether a quorum confirmed lately that this replica leads. One
 // that is cut off silently must stop to answer before long: it does not hear of
 // keys that are withdrawn elsewhere.
-func (l *Leader) current() bool {
-	return l.lead.proved && l.Now()-l.lead.confirmed <= l.Fresh
+func (l *Leader) isConfirmedLeader() bool {
+	return l.leadership.leadershipConfirmed && l.Now()-l.leadership.confirmedAt <= l.MaxConfirmationAge
 }
 
 func (l *Leader) authorize(c *inner.Credential) (key.Key, *code.Error) {
-	k, ok := l.st.Key(c.GetId())
+	k, ok := l.ledger.Key(c.GetId())
 	if !ok || !k.Matches(c.GetDigest()) || k.Withdrawn {
-		l.limit.Log(l.Log, event.KeyRefused, "key", c.GetId(), "withdrawn", k.Withdrawn)
+		l.logLimiter.Log(l.Log, event.KeyRefused, "key", c.GetId(), "withdrawn", k.Withdrawn)
 		return key.Key{}, code.New(code.BadKey, "")
 	}
 	return k, nil
 }
 
-func (l *Leader) operator(to Ticket, k key.Key, fn func()) {
+func (l *Leader) withOperatorKey(to ReplyTarget, k key.Key, fn func()) {
 	if !k.Operator {
 		l.refuse(to, code.New(code.Forbidden, "an operator's key is needed"))
 		return
@@ -87,7 +87,7 @@
 	fn()
 }
 
-func (l *Leader) caller(to Ticket, k key.Key, it *inner.Item) {
+func (l *Leader) handleCallerItem(to ReplyTarget, k key.Key, it *inner.Item) {
 	if k.Operator {
 		l.refuse(to, code.New(code.Forbidden, "a team's key is needed"))
 		return
@@ -96,11 +96,11 @@
 	case *inner.Item_Submit:
 		l.submit(to, k, ask.Submit)
 	case *inner.Item_Wait:
-		l.wait(to, k, ask.Wait)
+		l.handleWait(to, k, ask.Wait)
 	case *inner.Item_Cancel:
 		l.cancel(to, k, ask.Cancel)
 	case *inner.Item_List:
-		l.read(to, func() { l.list(to, k, ask.List) })
+		l.runWhenConfirmed(to, func() { l.listOwnJobs(to, k, ask.List) })
 	case *inner.Item_Acknowledge:
 		l.acknowledge(to, k, ask.Acknowledge)
 	default:
@@ -108,48 +108,48 @@
 	}
 }
 
-func (l *Leader) submit(to Ticket, k key.Key, req *v1.SubmitRequest) {
+func (l *Leader) submit(to ReplyTarget, k key.Key, req *v1.SubmitRequest) {
 	rep := &v1.SubmitReply{}
 	for _, spec := range req.GetJobs() {
-		rep.Jobs = append(rep.Jobs, l.accept(k, spec))
+		rep.Jobs = append(rep.Jobs, l.acceptJob(k, spec))
 	}
-	l.lead.dirty = true
+	l.leadership.planNeeded = true
 	l.reply(to, &inner.Reply{Answer: &inner.Reply_Submit{Submit: rep}})
 }
 
-func (l *Leader) accept(k key.Key, spec *v1.Spec) *v1.Accepted {
+func (l *Leader) acceptJob(k key.Key, spec *v1.Spec) *v1.Accepted {
 	c := &record.Command{What: &record.Command_Accept{Accept: &record.Accept{Team: k.Team, Key: k.ID, Spec: spec}}}
 	var retry time.Duration
-	if _, ok := l.st.Find(state.RequestID{Team: k.Team, ID: spec.GetId()}); !ok {
-		var why code.Code
-		if why, retry = l.admit(k.Team, spec); why != code.OK {
-			c = &record.Command{What: &record.Command_Refuse{Refuse: &record.Refuse{Team: k.Team, Spec: spec, Code: uint32(why)}}}
+	if _, ok := l.ledger.Find(state.RequestID{Team: k.Team, ID: spec.GetId()}); !ok {
+		var refusal code.Code
+		if refusal, retry = l.checkAdmission(k.Team, spec); refusal != code.OK {
+			c = &record.Command{What: &record.Command_Refuse{Refuse: &record.Refuse{Team: k.Team, Spec: spec, Code: uint32(refusal)}}}
 		}
 	}
-	r := l.do(c)
+	r := l.applyAndQueue(c)
 	if r.Code != code.OK {
-		l.judged(k.Team, spec.GetId(), r.Code)
-		return &v1.Accepted{Id: spec.GetId(), Status: status(&code.Error{Code: r.Code, Detail: r.Detail})}
+		l.recordAdmission(k.Team, spec.GetId(), r.Code)
+		return &v1.Accepted{Id: spec.GetId(), Status: statusOf(&code.Error{Code: r.Code, Detail: r.Detail})}
 	}
-	l.judged(k.Team, spec.GetId(), r.Job.Code)
-	st := status(&code.Error{Code: r.Job.Code})
+	l.recordAdmission(k.Team, spec.GetId(), r.Job.Code)
+	st := statusOf(&code.Error{Code: r.Job.Code})
 	st.Retry = uint64(retry / time.Millisecond)
 	return &v1.Accepted{Id: spec.GetId(), Status: st, Outcome: r.Job.Outcome}
 }
 
-// admit says whether new work is taken, and when to come back if not.
-func (l *Leader) admit(owner string, spec *v1.Spec) (code.Code, time.Duration) {
-	row, ok := l.st.Table().Row(owner)
+// checkAdmission says whether new work is taken, and when to come back if not.
+func (l *Leader) checkAdmission(teamName string, spec *v1.Spec) (code.Code, time.Duration) {
+	row, ok := l.ledger.Table().Row(teamName)
 	if !ok {
 		return code.Forbidden, 0
 	}
-	if l.full {
-		return code.DiskFull, fullRetry
+	if l.diskFull {
+		return code.DiskFull, diskFullRetryDelay
 	}
-	waits := l.st.Backlog()
-	err, retry := admit.Check(command.Spec(owner, spec), admit.View{
-		Row: row, Waiting: l.st.Waiting(owner), Cell: waits.Jobs, Bound: l.Backlog, Teams: waits.Teams,
-		Largest: l.st.Kinds(), Total: l.st.Total(),
+	backlog := l.ledger.Backlog()
+	err, retry := admit.Check(command.Spec(teamName, spec), admit.View{
+		Row: row, Waiting: l.ledger.Waiting(teamName), Cell: backlog.Jobs, Bound: l.MaxBacklog, Teams: backlog.Teams,
+		Largest: l.ledger.Kinds(), Total: l.ledger.Total(),
 	}, rand.Float64())
 	if err != nil {
 		return err.Code, retry
@@ -157,102 +157,102 @@
 	return code.OK, 0
 }
 
-// waiter is a Wait that is parked until the job ends.
-type waiter struct {
-	to    Ticket
-	key   string
-	chunk uint32
-	done  bool
+// parkedWait is a Wait that is parked until the job ends.
+type parkedWait struct {
+	target   ReplyTarget
+	keyID    string
+	chunk    uint32
+	answered bool
 }
 
-func (l *Leader) wait(to Ticket, k key.Key, req *v1.WaitRequest) {
+func (l *Leader) handleWait(to ReplyTarget, k key.Key, req *v1.WaitRequest) {
 	id := state.RequestID{Team: k.Team, ID: req.GetId()}
-	j, ok := l.st.Find(id)
+	j, ok := l.ledger.Find(id)
 	if !ok {
-		l.read(to, func() { l.missing(to, id) })
+		l.runWhenConfirmed(to, func() { l.answerUnknownJob(to, id) })
 		return
 	}
 	if j.Final() {
-		l.answer(to, j, req.GetChunk())
+		l.answerWait(to, j, req.GetChunk())
 		return
 	}
-	w := &waiter{to: to, key: k.ID, chunk: req.GetChunk()}
-	l.lead.waits[id] = append(l.lead.waits[id], w)
-	l.at(l.until(to, req.GetPatience()), func() { l.expireWait(id, w) })
+	w := &parkedWait{target: to, keyID: k.ID, chunk: req.GetChunk()}
+	l.leadership.parkedWaits[id] = append(l.leadership.parkedWaits[id], w)
+	l.schedule(l.pollDeadline(to, req.GetPatience()), func() { l.expireWait(id, w) })
 }
 
-// missing answers that a job is not known, after the proof that this is current.
-func (l *Leader) missing(to Ticket, id state.RequestID) {
-	if j, ok := l.st.Find(id); ok {
-		l.answer(to, j, 0)
+// answerUnknownJob answers that a job is not known, after the proof that this is current.
+func (l *Leader) answerUnknownJob(to ReplyTarget, id state.RequestID) {
+	if j, ok := l.ledger.Find(id); ok {
+		l.answerWait(to, j, 0)
 		return
 	}
 	l.refuse(to, code.New(code.Unknown, "%s", id.ID))
 }
 
-// until returns when a long poll ends: after the patience asked for, the bound
+// pollDeadline returns when a long poll ends: after the patience asked for, the bound
 // on patience, or the caller's own deadline, whichever is first.
-func (l *Leader) until(to Ticket, patience uint64) time.Duration {
+func (l *Leader) pollDeadline(to ReplyTarget, patience uint64) time.Duration {
 	// A server renews its lease once a poll: polls as long as the lease would
 	// let it run out between two of them.
-	longest := min(l.Patience, l.Terms.Length/pollsPerLease)
-	d := time.Duration(min(patience, uint64(longest/time.Millisecond))) * time.Millisecond
-	end := to.Received + d
-	if to.Until > 0 {
-		end = min(end, to.Until)
+	maxWait := min(l.MaxPollWait, l.LeaseTerms.Length/minPollsPerLease)
+	wait := time.Duration(min(patience, uint64(maxWait/time.Millisecond))) * time.Millisecond
+	deadline := to.ReceivedAt + wait
+	if to.Deadline > 0 {
+		deadline = min(deadline, to.Deadline)
 	}
-	return end
+	return deadline
 }
 
 // expireWait answers a wait whose patience has ended with how the job stands.
-func (l *Leader) expireWait(id state.RequestID, w *waiter) {
-	if w.done {
+func (l *Leader) expireWait(id state.RequestID, w *parkedWait) {
+	if w.answered {
 		return
 	}
-	w.done = true
-	ws := l.lead.waits[id]
-	for i, o := range ws {
-		if o == w {
-			l.lead.waits[id] = append(ws[:i:i], ws[i+1:]...)
+	w.answered = true
+	waits := l.leadership.parkedWaits[id]
+	for i, other := range waits {
+		if other == w {
+			l.leadership.parkedWaits[id] = append(waits[:i:i], waits[i+1:]...)
 			break
 		}
 	}
-	if len(l.lead.waits[id]) == 0 {
-		delete(l.lead.waits, id)
+	if len(l.leadership.parkedWaits[id]) == 0 {
+		delete(l.leadership.parkedWaits, id)
 	}
-	if j, ok := l.st.Find(id); ok {
-		l.tell(w, j)
+	if j, ok := l.ledger.Find(id); ok {
+		l.answerParkedWait(w, j)
 		return
 	}
-	l.refuse(w.to, code.New(code.Unknown, "%s", id.ID))
+	l.refuse(w.target, code.New(code.Unknown, "%s", id.ID))
 }
 
-// tell answers a parked wait. Its key may have been withdrawn meanwhile: what
+// answerParkedWait answers a parked wait. Its key may have been withdrawn meanwhile: what
 // is asked with a key must not be answered after its end.
-func (l *Leader) tell(w *waiter, j *state.Job) {
-	if k, ok := l.st.Key(w.key); !ok || k.Withdrawn {
-		l.refuse(w.to, code.New(code.BadKey, ""))
+func (l *Leader) answerParkedWait(w *parkedWait, j *state.Job) {
+	if k, ok := l.ledger.Key(w.keyID); !ok || k.Withdrawn {
+		l.refuse(w.target, code.New(code.BadKey, ""))
 		return
 	}
-	l.answer(w.to, j, w.chunk)
+	l.answerWait(w.target, j, w.chunk)
 }
 
-// answerWaits answers the waits for a job that has ended.
-func (l *Leader) answerWaits(j *state.Job) {
+// answerParkedWaits answers the waits for a job that has ended.
+func (l *Leader) answerParkedWaits(j *state.Job) {
 	id := j.Request()
-	for _, w := range l.lead.waits[id] {
-		if !w.done {
-			w.done = true
-			l.tell(w, j)
+	for _, w := range l.leadership.parkedWaits[id] {
+		if !w.answered {
+			w.answered = true
+			l.answerParkedWait(w, j)
 		}
 	}
-	delete(l.lead.waits, id)
+	delete(l.leadership.parkedWaits, id)
 }
 
-func (l *Leader) answer(to Ticket, j *state.Job, chunk uint32) {
-	rep := &v1.WaitReply{Id: j.Spec.ID, Outcome: j.Outcome, Status: status(&code.Error{Code: j.Code})}
+func (l *Leader) answerWait(to ReplyTarget, j *state.Job, chunk uint32) {
+	rep := &v1.WaitReply{Id: j.Spec.ID, Outcome: j.Outcome, Status: statusOf(&code.Error{Code: j.Code})}
 	if j.Outcome == v1.Outcome_OUTCOME_DONE {
-		rep.Chunk = l.chunk(j, chunk)
+		rep.Chunk = l.answerChunk(j, chunk)
 		if rep.Chunk == nil {
 			l.refuse(to, code.New(code.Malformed, "the answer has no chunk %d", chunk))
 			return
@@ -261,28 +261,28 @@
 	l.reply(to, &inner.Reply{Answer: &inner.Reply_Wait{Wait: rep}})
 }
 
-func (l *Leader) cancel(to Ticket, k key.Key, req *v1.CancelRequest) {
+func (l *Leader) cancel(to ReplyTarget, k key.Key, req *v1.CancelRequest) {
 	c := &record.Cancel{}
 	for _, id := range req.GetIds() {
-		if j, ok := l.st.Find(state.RequestID{Team: k.Team, ID: id}); ok && !j.Final() {
+		if j, ok := l.ledger.Find(state.RequestID{Team: k.Team, ID: id}); ok && !j.Final() {
 			c.Jobs = append(c.Jobs, j.Number)
 		}
 	}
 	if len(req.GetLabels()) > 0 {
-		for _, j := range l.st.Jobs(k.Team) {
-			if !j.Final() && carries(j.Spec.Labels, req.GetLabels()) {
+		for _, j := range l.ledger.Jobs(k.Team) {
+			if !j.Final() && hasLabels(j.Spec.Labels, req.GetLabels()) {
 				c.Jobs = append(c.Jobs, j.Number)
 			}
 		}
 	}
-	l.waves(k.Team, c)
+	l.logCancelWave(k.Team, c)
 	if len(c.Jobs) > 0 {
-		l.do(&record.Command{What: &record.Command_Cancel{Cancel: c}})
+		l.applyAndQueue(&record.Command{What: &record.Command_Cancel{Cancel: c}})
 	}
 	l.reply(to, &inner.Reply{Answer: &inner.Reply_Cancel{Cancel: &v1.CancelReply{Status: &v1.Status{}, Count: uint32(len(c.Jobs))}}})
 }
 
-func carries(have, want map[string]string) bool {
+func hasLabels(have, want map[string]string) bool {
 	for k, v := range want {
 		if have[k] != v {
 			return false
@@ -291,39 +291,39 @@
 	return true
 }
 
-func (l *Leader) list(to Ticket, k key.Key, req *v1.ListRequest) {
+func (l *Leader) listOwnJobs(to ReplyTarget, k key.Key, req *v1.ListRequest) {
 	rep := &v1.ListReply{Status: &v1.Status{}}
 	if len(req.GetIds()) > 0 {
 		for _, id := range req.GetIds() {
-			if j, ok := l.st.Find(state.RequestID{Team: k.Team, ID: id}); ok {
-				rep.Jobs = append(rep.Jobs, summary(j))
+			if j, ok := l.ledger.Find(state.RequestID{Team: k.Team, ID: id}); ok {
+				rep.Jobs = append(rep.Jobs, jobSummary(j))
 			}
 		}
 	} else {
 		var err *code.Error
-		if rep.Jobs, err = l.page(k.Team, req.GetAfter(), req.GetLimit()); err != nil {
-			rep.Status = status(err)
+		if rep.Jobs, err = l.listJobs(k.Team, req.GetAfter(), req.GetLimit()); err != nil {
+			rep.Status = statusOf(err)
 		}
 	}
 	l.reply(to, &inner.Reply{Answer: &inner.Reply_List{List: rep}})
 }
 
-func summary(j *state.Job) *v1.Summary {
+func jobSummary(j *state.Job) *v1.Summary {
 	return &v1.Summary{
 		Id: j.Spec.ID, Team: j.Spec.Team, Kind: v1.Kind(j.Spec.Kind), Name: j.Spec.Name, Outcome: j.Outcome,
-		Status: status(&code.Error{Code: j.Code}), Tasks: j.Spec.Count, Running: j.Held, Ended: j.Finals,
+		Status: statusOf(&code.Error{Code: j.Code}), Tasks: j.Spec.Count, Running: j.Held, Ended: j.Finals,
 	}
 }
 
-func (l *Leader) acknowledge(to Ticket, k key.Key, req *v1.AcknowledgeRequest) {
+func (l *Leader) acknowledge(to ReplyTarget, k key.Key, req *v1.AcknowledgeRequest) {
 	f := &record.Forget{}
 	for _, id := range req.GetIds() {
-		if j, ok := l.st.Find(state.RequestID{Team: k.Team, ID: id}); ok && j.Final() {
+		if j, ok := l.ledger.Find(state.RequestID{Team: k.Team, ID: id}); ok && j.Final() {
 			f.Jobs = append(f.Jobs, j.Number)
 		}
 	}
 	if len(f.Jobs) > 0 {
-		l.do(&record.Command{What: &record.Command_Forget{Forget: f}})
+		l.applyAndQueue(&record.Command{What: &record.Command_Forget{Forget: f}})
 	}
 	l.reply(to, &inner.Reply{Answer: &inner.Reply_Acknowledge{Acknowledge: &v1.AcknowledgeReply{Status: &v1.Status{}}}})
 }
--- a/internal/control/leader/bench_test.go
+++ b/internal/control/leader/bench_test.go
@@ -18,74 +18,74 @@
 	"gypsumreel/internal/replica/group"
 )
 
-// instant is a group that commits and confirms at once: what is measured is the
+// instantGroup is a group that commits and confirms at once: what is measured is the
 // control thread alone.
-type instant struct {
-	notes chan group.Note
-	now   func() time.Duration
-	index uint64
-	bytes uint64
+type instantGroup struct {
+	notes         chan group.Note
+	now           func() time.Duration
+	commitIndex   uint64
+	proposedBytes uint64
 }
 
-func (g *instant) Propose(p group.Proposal) bool {
+func (g *instantGroup) Propose(p group.Proposal) bool {
 	for _, c := range p.Commands {
-		g.bytes += uint64(len(c))
+		g.proposedBytes += uint64(len(c))
 	}
-	g.index = p.First + uint64(len(p.Commands)) - 1
-	g.notes <- group.Commit{Index: g.index}
+	g.commitIndex = p.First + uint64(len(p.Commands)) - 1
+	g.notes <- group.Commit{Index: g.commitIndex}
 	return true
 }
-func (g *instant) Notes() <-chan group.Note { return g.notes }
-func (g *instant) Confirm()                 {}
-func (g *instant) Compact(uint64, []byte)   {}
-func (g *instant) Reload()                  {}
+func (g *instantGroup) Notifications() <-chan group.Note { return g.notes }
+func (g *instantGroup) ConfirmLeadership()               {}
+func (g *instantGroup) Compact(uint64, []byte)           {}
+func (g *instantGroup) Reload()                          {}
 
-// rig drives a control thread with many servers on real time.
-type rig struct {
-	b      *testing.B
-	l      *leader.Leader
-	g      *instant
-	box    *mailbox.Mailbox
-	ack    uint64
-	number []uint64
+// benchmarkHarness drives a control thread with many servers on real time.
+type benchmarkHarness struct {
+	b           *testing.B
+	leader      *leader.Leader
+	group       *instantGroup
+	mailbox     *mailbox.Mailbox
+	ack         uint64
+	syncNumbers []uint64
 }
 
-func newRig(b *testing.B, servers int) *rig {
+func newBenchmarkHarness(b *testing.B, servers int) *benchmarkHarness {
 	begin := time.Now()
-	r := &rig{b: b, box: mailbox.New(1), number: make([]uint64, servers)}
-	r.g = &instant{notes: make(chan group.Note, 1<<16), now: func() time.Duration { return time.Since(begin) + time.Hour }}
-	r.l = leader.New()
-	r.l.Group, r.l.Now = r.g, r.g.now
-	r.l.Snapshot = 1 << 62
-	r.l.Planner = func() plan.Planner { return policy.New(policy.Config{}) }
-	r.l.Root = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest()}
+	r := &benchmarkHarness{b: b, mailbox: mailbox.New(1), syncNumbers: make([]uint64, servers)}
+	r.group = &instantGroup{notes: make(chan group.Note, 1<<16), now: func() time.Duration { return time.Since(begin) + time.Hour }}
+	r.leader = leader.New()
+	r.leader.Group, r.leader.Now = r.group, r.group.now
+	r.leader.SnapshotInterval = 1 << 62
+	r.leader.NewPlanner = func() plan.Planner { return policy.New(policy.Config{}) }
+	r.leader.RootKey = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest()}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { _ = r.l.Run(ctx); close(done) }()
+	go func() { _ = r.leader.Run(ctx); close(done) }()
 	b.Cleanup(func() { cancel(); <-done })
 	go func() {
 		for ctx.Err() == nil {
-			r.g.notes <- group.Confirmed{Term: 1, Start: r.g.now()}
+			r.group.notes <- group.Confirmed{Term: 1, Start: r.group.now()}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
-	r.g.notes <- group.Lead{Term: 1, Elected: r.g.now()}
+	r.group.notes <- group.Lead{Term: 1, Elected: r.group.now()}
 	time.Sleep(100 * time.Millisecond)
-	r.ask(&inner.Item{Credential: &inner.Credential{Id: "op", Digest: digest()}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{Id: "t", Change: &v1.ChangeRequest_Table{Table: rows(960)}}}})
-	r.ask(&inner.Item{Credential: &inner.Credential{Id: "op", Digest: digest()}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{Id: "k", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "team0", Digest: digest()}}}}})
+	r.request(&inner.Item{Credential: &inner.Credential{Id: "op", Digest: digest()}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{Id: "t", Change: &v1.ChangeRequest_Table{Table: teamRows(960)}}}})
+	r.request(&inner.Item{Credential: &inner.Credential{Id: "op", Digest: digest()}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{Id: "k", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "team0", Digest: digest()}}}}})
 	for i := range servers {
 		r.push(&inner.Item{Ask: &inner.Item_Announce{Announce: &v1.AnnounceRequest{
-			Server: server0(i), Nonce: 1, Capacity: &v1.Size{Cpu: 32_000, Memory: 128_000, Slots: 64},
+			Server: serverName(i), Nonce: 1, Capacity: &v1.Size{Cpu: 32_000, Memory: 128_000, Slots: 64},
 			Rack: fmt.Sprintf("r%d", i/8), Zone: fmt.Sprintf("z%d", i%21),
 		}}})
 	}
-	r.drain(servers)
+	r.receiveReplies(servers)
 	return r
 }
 
-func server0(i int) string { return fmt.Sprintf("b%05d", i) }
+func serverName(i int) string { return fmt.Sprintf("b%05d", i) }
 
-func rows(n int) *v1.TableChange {
+func teamRows(n int) *v1.TableChange {
 	t := &v1.TableChange{}
 	for i := range n {
 		t.Edits = append(t.Edits, &v1.Edit{Row: &v1.Row{Team: fmt.Sprintf("team%d", i), Weight: 1, Queue: 1 << 30, Limit: &v1.Size{Cpu: -1, Memory: -1, Accel: -1, Slots: -1}}})
@@ -93,20 +93,20 @@
 	return t
 }
 
-func (r *rig) push(items ...*inner.Item) {
-	for !r.l.Push(leader.Batch{Box: r.box, Received: r.g.now(), Items: items}) {
+func (r *benchmarkHarness) push(items ...*inner.Item) {
+	for !r.leader.Push(leader.Batch{Mailbox: r.mailbox, ReceivedAt: r.group.now(), Items: items}) {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// drain takes n replies.
-func (r *rig) drain(n int) (out []*inner.Reply) {
+// receiveReplies takes n replies.
+func (r *benchmarkHarness) receiveReplies(n int) (out []*inner.Reply) {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	for len(out) < n && ctx.Err() == nil {
-		b := r.box.Pull(ctx, 1, r.ack)
+		b := r.mailbox.Pull(ctx, 1, r.ack)
 		if len(b.Replies) > 0 {
-			r.ack = b.First + uint64(len(b.Replies)) - 1
+			r.ack = b.FirstNumber + uint64(len(b.Replies)) - 1
 		}
 		out = append(out, b.Replies...)
 	}
@@ -116,98 +116,98 @@
 	return out
 }
 
-func (r *rig) ask(it *inner.Item) *inner.Reply {
+func (r *benchmarkHarness) request(it *inner.Item) *inner.Reply {
 	r.push(it)
-	return r.drain(1)[0]
+	return r.receiveReplies(1)[0]
 }
 
-func (r *rig) sync(i int, reports ...*v1.Report) *inner.Item {
-	r.number[i]++
+func (r *benchmarkHarness) syncItem(i int, reports ...*v1.Report) *inner.Item {
+	r.syncNumbers[i]++
 	return &inner.Item{Seq: uint64(i), Ask: &inner.Item_Sync{Sync: &v1.SyncRequest{
-		Server: server0(i), Incarnation: 1, Number: r.number[i], Reports: reports, Patience: 1,
+		Server: serverName(i), Incarnation: 1, Number: r.syncNumbers[i], Reports: reports, Patience: 1,
 	}}}
 }
 
-// BenchmarkStart measures the control thread for one job from its submission
+// BenchmarkJobStart measures the control thread for one job from its submission
 // to its end: accept, place, order, report, forget. Run with -benchtime=20000x.
-func BenchmarkStart(b *testing.B) {
+func BenchmarkJobStart(b *testing.B) {
 	for _, servers := range []int{50, 1_000, 16_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			r := newRig(b, servers)
+			r := newBenchmarkHarness(b, servers)
 			b.ResetTimer()
 			const wave = 500
 			for n := 0; n < b.N; n += wave {
-				r.wave(n, wave)
+				r.runJobs(n, wave)
 			}
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "starts/s")
-			b.ReportMetric(float64(r.g.bytes)/float64(b.N), "logbytes/start")
+			b.ReportMetric(float64(r.group.proposedBytes)/float64(b.N), "logbytes/start")
 		})
 	}
 }
 
-// wave submits jobs and plays their servers' parts until all have ended.
-func (r *rig) wave(from, n int) {
+// runJobs submits jobs and plays their servers' parts until all have ended.
+func (r *benchmarkHarness) runJobs(firstJob, n int) {
 	items := make([]*inner.Item, 0, n)
 	for i := range n {
 		items = append(items, &inner.Item{Credential: &inner.Credential{Id: "k", Digest: digest()}, Ask: &inner.Item_Submit{Submit: &v1.SubmitRequest{Jobs: []*v1.Spec{{
-			Id: fmt.Sprintf("j%d", from+i), Kind: v1.Kind_KIND_BATCH, Name: "n", Count: 1, Size: &v1.Size{Cpu: 1000, Memory: 1000, Slots: 1},
+			Id: fmt.Sprintf("j%d", firstJob+i), Kind: v1.Kind_KIND_BATCH, Name: "n", Count: 1, Size: &v1.Size{Cpu: 1000, Memory: 1000, Slots: 1},
 		}}}}})
 	}
 	r.push(items...)
-	r.drain(n)
-	where := map[string]int{}
-	r.must(func(st *state.State) {
+	r.receiveReplies(n)
+	tasksByServer := map[string]int{}
+	r.withLedger(func(st *state.State) {
 		for _, b := range st.Servers() {
 			if n := st.Count(b.ID); n > 0 {
-				where[b.ID] = n
+				tasksByServer[b.ID] = n
 			}
 		}
 	})
 	var syncs []*inner.Item
-	for id := range where {
+	for id := range tasksByServer {
 		var i int
 		_, _ = fmt.Sscanf(id, "b%05d", &i)
-		syncs = append(syncs, r.sync(i))
+		syncs = append(syncs, r.syncItem(i))
 	}
 	r.push(syncs...)
 	var ends []*inner.Item
-	for _, rep := range r.drain(len(syncs)) {
+	for _, rep := range r.receiveReplies(len(syncs)) {
 		var reports []*v1.Report
 		for _, o := range rep.GetSync().GetOrders() {
 			if o.GetVerb() == v1.Verb_VERB_START {
 				reports = append(reports, &v1.Report{Attempt: o.GetAttempt(), Phase: v1.Phase_PHASE_ENDED, Started: true, Chunks: answer.Split([]byte("done"))})
 			}
 		}
-		ends = append(ends, r.sync(int(rep.GetSeq()), reports...))
+		ends = append(ends, r.syncItem(int(rep.GetSeq()), reports...))
 	}
 	r.push(ends...)
-	r.drain(len(ends))
+	r.receiveReplies(len(ends))
 }
 
-func (r *rig) must(fn func(*state.State)) {
-	if err := r.l.Do(context.Background(), fn); err != nil {
+func (r *benchmarkHarness) withLedger(fn func(*state.State)) {
+	if err := r.leader.Execute(context.Background(), fn); err != nil {
 		r.b.Fatal(err)
 	}
 }
 
-// BenchmarkIdle measures the control thread's time for one sync of a server
+// BenchmarkIdleSync measures the control thread's time for one sync of a server
 // that has nothing to do, with all others syncing too.
-func BenchmarkIdle(b *testing.B) {
+func BenchmarkIdleSync(b *testing.B) {
 	for _, servers := range []int{50, 1_000, 16_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			r := newRig(b, servers)
+			r := newBenchmarkHarness(b, servers)
 			b.ResetTimer()
 			for n := 0; n < b.N; n += servers {
 				items := make([]*inner.Item, 0, servers)
 				for i := range servers {
-					items = append(items, r.sync(i))
+					items = append(items, r.syncItem(i))
 				}
 				for len(items) > 0 {
 					k := min(len(items), 500)
 					r.push(items[:k]...)
 					items = items[k:]
 				}
-				r.drain(servers)
+				r.receiveReplies(servers)
 			}
 		})
 	}
@@ -221,7 +221,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			r := newRig(b, 16_000*running/70_000)
+			r := newBenchmarkHarness(b, 16_000*running/70_000)
 			for n := 0; n < running; n += 500 {
 				items := make([]*inner.Item, 0, 500)
 				for i := range 500 {
@@ -230,7 +230,7 @@
 					}}}}})
 				}
 				r.push(items...)
-				r.drain(500)
+				r.receiveReplies(500)
 			}
 			runtime.GC()
 			runtime.ReadMemStats(&after)
@@ -238,7 +238,7 @@
 			var size int
 			var pause, copied, wrote, read time.Duration
 			for range b.N {
-				r.must(func(st *state.State) {
+				r.withLedger(func(st *state.State) {
 					t0 := time.Now()
 					p := st.Picture()
 					longest := time.Since(t0)
@@ -265,7 +265,7 @@
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(1<<20), "MiB/heap")
 			ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 / float64(b.N) }
 			begin := time.Now()
-			if _, err := r.l.Inspect(context.Background()); err != nil {
+			if _, err := r.leader.Inspect(context.Background()); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportMetric(float64(time.Since(begin).Microseconds())/1000, "ms/view")
--- a/internal/control/leader/decide.go
+++ b/internal/control/leader/decide.go
@@ -14,205 +14,205 @@
 
 // Bounds of one turn's decisions.
 const (
-	// decisions bounds what one call of the planner may decide.
-	decisions = 512
-	// rounds bounds the calls in one turn, so that items are not kept waiting.
-	rounds = 4
+	// maxDecisionsPerCall bounds what one call of the planner may decide.
+	maxDecisionsPerCall = 512
+	// maxPlannerCalls bounds the calls in one turn, so that items are not kept waiting.
+	maxPlannerCalls = 4
 )
 
-// decide asks the planner and commits what it says.
-func (l *Leader) decide() {
-	if !l.lead.dirty || len(l.lead.pending) > maxPending {
+// applyDecisions asks the planner and commits what it says.
+func (l *Leader) applyDecisions() {
+	if !l.leadership.planNeeded || len(l.leadership.pendingCommands) > maxPendingCommands {
 		return
 	}
-	for range rounds {
-		ds := l.lead.planner.Decide(l.clock(), decisions)
+	for range maxPlannerCalls {
+		ds := l.leadership.planner.Decide(l.ledgerTime(), maxDecisionsPerCall)
 		for _, d := range ds {
-			l.carryOut(d)
+			l.applyDecision(d)
 		}
 		if len(ds) == 0 {
-			l.lead.dirty = false
+			l.leadership.planNeeded = false
 			return
 		}
 	}
 }
 
-// carryOut turns a decision into a command.
-func (l *Leader) carryOut(d plan.Decision) {
-	l.decided(d)
+// applyDecision turns a decision into a command.
+func (l *Leader) applyDecision(d plan.Decision) {
+	l.recordDecision(d)
 	var r state.Result
 	switch d.Verb {
 	case plan.Place:
-		r = l.place(d)
+		r = l.placeTasks(d)
 	case plan.Preempt:
-		r = l.halt(d.Task, true)
+		r = l.haltTask(d.Task, true)
 	case plan.Stop:
-		r = l.halt(d.Task, false)
+		r = l.haltTask(d.Task, false)
 	case plan.Throttle:
-		l.throttle(d.Task)
+		l.throttleTask(d.Task)
 	case plan.Drop:
-		r = l.drop(d.Job, code.DeadlinePassed)
+		r = l.dropJob(d.Job, code.DeadlinePassed)
 	case plan.Park:
-		r = l.drop(d.Job, code.Parked)
+		r = l.dropJob(d.Job, code.Parked)
 	case plan.Quarantine:
-		r = l.mark(d.Server, backend.Quarantined)
+		r = l.markServer(d.Server, backend.Quarantined)
 	case plan.Restore:
-		r = l.mark(d.Server, backend.Ready)
+		r = l.markServer(d.Server, backend.Ready)
 	}
 	if r.Code != code.OK {
 		// The ledger refused what the planner decided: the promise held, and
 		// the planner's picture is wrong: it would decide the same again at
 		// every turn.
-		l.correct(d)
+		l.resyncPlanner(d)
 		l.Log.Info("decision refused", "verb", d.Verb, "job", d.Job, "code", uint32(r.Code), "detail", r.Detail)
 	}
 }
 
-// correct tells the planner again how the ledger holds what a refused decision
+// resyncPlanner tells the planner again how the ledger holds what a refused decision
 // was about. A placement that no Hold confirms it takes back by itself.
-func (l *Leader) correct(d plan.Decision) {
+func (l *Leader) resyncPlanner(d plan.Decision) {
 	for _, p := range d.Places {
-		if b, ok := l.st.Server(p.Server); ok {
-			watch{l}.Server(b)
+		if b, ok := l.ledger.Server(p.Server); ok {
+			ledgerWatcher{l}.Server(b)
 		}
 	}
-	t, ok := l.st.Task(d.Task)
+	t, ok := l.ledger.Task(d.Task)
 	if !ok || len(d.Places) > 0 {
 		return
 	}
-	if j, known := l.st.Job(t.ID.Job); known && t.Phase.Holds() {
-		l.lead.planner.Hold(heldOf(j, t))
+	if j, known := l.ledger.Job(t.ID.Job); known && t.Phase.Holds() {
+		l.leadership.planner.Hold(heldTask(j, t))
 	}
 }
 
-func (l *Leader) place(d plan.Decision) state.Result {
+func (l *Leader) placeTasks(d plan.Decision) state.Result {
 	p := &record.Place{Job: d.Job}
 	for _, s := range d.Places {
-		b, _ := l.st.Server(s.Server)
+		b, _ := l.ledger.Server(s.Server)
 		p.Spots = append(p.Spots, &record.Spot{Index: s.Index, Server: s.Server, Incarnation: b.Incarnation})
 	}
-	return l.resolve(&record.Command{What: &record.Command_Place{Place: p}})
+	return l.applyIfAccepted(&record.Command{What: &record.Command_Place{Place: p}})
 }
 
-func (l *Leader) halt(id task.ID, save bool) state.Result {
-	return l.resolve(&record.Command{What: &record.Command_Halt{Halt: &record.Halt{Job: id.Job, Indexes: []uint32{id.Index}, Checkpoint: save}}})
+func (l *Leader) haltTask(id task.ID, checkpoint bool) state.Result {
+	return l.applyIfAccepted(&record.Command{What: &record.Command_Halt{Halt: &record.Halt{Job: id.Job, Indexes: []uint32{id.Index}, Checkpoint: checkpoint}}})
 }
 
-// recall takes back what a draining server was given and does not hold. Its
+// recallUnstarted takes back what a draining server was given and does not hold. Its
 // order may have been lost with an answer; given again after the mark it would
 // be new work for a server that is leaving. The server notes the stop of what it
 // does not know, and says that nothing was started.
-func (l *Leader) recall(b state.Server, s *session) {
+func (l *Leader) recallUnstarted(b state.Server, s *session) {
 	if !b.Drains() && b.Server.State != backend.Draining {
 		return
 	}
-	var idle []task.ID
-	l.st.Placed(b.ID, func(t *state.Task) {
-		if _, known := s.reports[t.Current()]; t.Phase == state.Placed && t.Incarnation == s.incarnation && !known {
-			idle = append(idle, t.ID)
+	var unstarted []task.ID
+	l.ledger.Placed(b.ID, func(t *state.Task) {
+		if _, known := s.reportedPhases[t.Current()]; t.Phase == state.Placed && t.Incarnation == s.incarnation && !known {
+			unstarted = append(unstarted, t.ID)
 		}
 	})
-	for _, id := range idle {
-		l.resolve(&record.Command{What: &record.Command_Halt{Halt: &record.Halt{Job: id.Job, Indexes: []uint32{id.Index}, Idle: true}}})
+	for _, id := range unstarted {
+		l.applyIfAccepted(&record.Command{What: &record.Command_Halt{Halt: &record.Halt{Job: id.Job, Indexes: []uint32{id.Index}, Idle: true}}})
 	}
 }
 
-func (l *Leader) drop(job uint64, c code.Code) state.Result {
-	return l.resolve(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: job, Code: uint32(c)}}})
+func (l *Leader) dropJob(job uint64, c code.Code) state.Result {
+	return l.applyIfAccepted(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: job, Code: uint32(c)}}})
 }
 
-func (l *Leader) mark(server string, s backend.State) state.Result {
-	b, _ := l.st.Server(server)
-	return l.resolve(&record.Command{What: &record.Command_Mark{Mark: &record.Mark{Server: server, Incarnation: b.Incarnation, State: uint32(s)}}})
+func (l *Leader) markServer(server string, s backend.State) state.Result {
+	b, _ := l.ledger.Server(server)
+	return l.applyIfAccepted(&record.Command{What: &record.Command_Mark{Mark: &record.Mark{Server: server, Incarnation: b.Incarnation, State: uint32(s)}}})
 }
 
-// watch tells planner, sessions and waiters what a command changed.
-type watch struct{ l *Leader }
+// ledgerWatcher tells planner, sessions and waiters what a command changed.
+type ledgerWatcher struct{ l *Leader }
 
-var _ state.Watch = watch{}
+var _ state.Watch = ledgerWatcher{}
 
 // Table passes a new revision on.
-func (w watch) Table(t table.Table) {
-	w.l.lead.planner.SetTable(t)
-	w.l.lead.tabled = w.l.lead.last + 1 // do counts the command once it is applied
-	w.l.lead.dirty = true
+func (w ledgerWatcher) Table(t table.Table) {
+	w.l.leadership.planner.SetTable(t)
+	w.l.leadership.tableIndex = w.l.leadership.lastIndex + 1 // do counts the command once it is applied
+	w.l.leadership.planNeeded = true
 }
 
 // Server passes a changed server on; a drained one shows as draining.
-func (w watch) Server(b state.Server) {
+func (w ledgerWatcher) Server(b state.Server) {
 	s := b.Server
 	if b.Drains() && s.State != backend.Gone {
 		s.State = backend.Draining
 	}
-	w.l.lead.planner.SetServer(s)
-	w.l.serverSeen(b)
-	w.l.lead.dirty = true
+	w.l.leadership.planner.SetServer(s)
+	w.l.reportServer(b)
+	w.l.leadership.planNeeded = true
 }
 
 // Queue passes a waiting task on.
-func (w watch) Queue(j *state.Job, t *state.Task) {
-	w.l.lead.planner.Queue(plan.Queued{ID: t.ID, Job: j.Spec, Accepted: j.Accepted, Attempts: t.Attempt})
-	w.l.lead.dirty = true
+func (w ledgerWatcher) Queue(j *state.Job, t *state.Task) {
+	w.l.leadership.planner.Queue(plan.Queued{ID: t.ID, Job: j.Spec, Accepted: j.Accepted, Attempts: t.Attempt})
+	w.l.leadership.planNeeded = true
 }
 
 // Unqueue passes on that a task waits no more.
-func (w watch) Unqueue(id task.ID) { w.l.lead.planner.Unqueue(id) }
+func (w ledgerWatcher) Unqueue(id task.ID) { w.l.leadership.planner.Unqueue(id) }
 
 // Hold passes a placement on and lets its server's session know.
-func (w watch) Hold(j *state.Job, t *state.Task) {
-	w.l.lead.planner.Hold(heldOf(j, t))
-	w.l.placed(t)
-	w.l.lead.updated[t.Server] = true
+func (w ledgerWatcher) Hold(j *state.Job, t *state.Task) {
+	w.l.leadership.planner.Hold(heldTask(j, t))
+	w.l.recordPlacement(t)
+	w.l.leadership.updatedServers[t.Server] = true
 }
 
 // Stopping passes on that a task is to stop and lets its server's session know.
-func (w watch) Stopping(j *state.Job, t *state.Task) {
-	w.l.lead.planner.Hold(heldOf(j, t))
-	w.l.lead.updated[t.Server] = true
+func (w ledgerWatcher) Stopping(j *state.Job, t *state.Task) {
+	w.l.leadership.planner.Hold(heldTask(j, t))
+	w.l.leadership.updatedServers[t.Server] = true
 }
 
-func heldOf(j *state.Job, t *state.Task) plan.Held {
+func heldTask(j *state.Job, t *state.Task) plan.Held {
 	return plan.Held{ID: t.ID, Job: j.Spec, Accepted: j.Accepted, Server: t.Server, Since: t.Since, Stopping: t.Phase == state.Stopping}
 }
 
 // Release passes on that an attempt runs no more.
-func (w watch) Release(_ *state.Job, t *state.Task, how state.End) {
-	w.l.released(t, how)
-	w.l.lead.planner.Release(t.ID, plan.End{At: w.l.st.At(), Ran: how.Ran, Failed: how.Failed, Lost: how.Lost})
-	w.l.lead.dirty = true
+func (w ledgerWatcher) Release(_ *state.Job, t *state.Task, end state.End) {
+	w.l.recordRelease(t, end)
+	w.l.leadership.planner.Release(t.ID, plan.End{At: w.l.ledger.At(), Ran: end.Ran, Failed: end.Failed, Lost: end.Lost})
+	w.l.leadership.planNeeded = true
 }
 
 // Ended wakes who waits for the job's outcome.
-func (w watch) Ended(j *state.Job) {
-	w.l.endedSeen(j)
-	w.l.answerWaits(j)
+func (w ledgerWatcher) Ended(j *state.Job) {
+	w.l.recordJobEnd(j)
+	w.l.answerParkedWaits(j)
 }
 
-// watchServers marks servers that went silent and ends sessions whose lease is over.
-func (l *Leader) watchServers(now time.Duration) {
-	ld := l.lead
-	if !ld.proved || now-ld.confirmed > l.Fresh {
+// checkSilentServers marks servers that went silent and ends sessions whose lease is over.
+func (l *Leader) checkSilentServers(now time.Duration) {
+	lead := l.leadership
+	if !lead.leadershipConfirmed || now-lead.confirmedAt > l.MaxConfirmationAge {
 		return // a leader that cannot prove to lead gives up nobody
 	}
-	for id, s := range ld.servers {
-		if now-s.heard <= l.Silence {
+	for id, s := range lead.sessions {
+		if now-s.lastSyncAt <= l.SyncTimeout {
 			continue
 		}
-		b, ok := l.st.Server(id)
+		b, ok := l.ledger.Server(id)
 		if !ok || b.Server.State == backend.Gone || b.Incarnation != s.incarnation {
-			delete(ld.servers, id)
+			delete(lead.sessions, id)
 			continue
 		}
 		if b.Server.State == backend.Ready || b.Server.State == backend.Quarantined {
 			// Unschedulable before the wait for its lease begins: a server
 			// that comes back halfway is not given new work on a lease that
 			// is about to be declared over.
-			l.mark(b.ID, backend.Suspect)
+			l.markServer(b.ID, backend.Suspect)
 		}
-		if ld.book.Over(b.ID, now) {
-			l.do(&record.Command{What: &record.Command_Fence{Fence: &record.Fence{Server: b.ID, Incarnation: b.Incarnation}}})
-			delete(ld.servers, b.ID)
-			ld.book.Forget(b.ID)
+		if lead.leases.Over(b.ID, now) {
+			l.applyAndQueue(&record.Command{What: &record.Command_Fence{Fence: &record.Fence{Server: b.ID, Incarnation: b.Incarnation}}})
+			delete(lead.sessions, b.ID)
+			lead.leases.Forget(b.ID)
 		}
 	}
 }
--- a/internal/control/leader/harness_test.go
+++ b/internal/control/leader/harness_test.go
@@ -28,15 +28,15 @@
 	notes chan group.Note
 	now   func() time.Duration
 	mu    sync.Mutex
-	// held stops commits, cut stops confirmed rounds.
-	held, cut bool
-	term      uint64
-	log       []quorum.Entry
-	committed uint64
-	reloads   int
-	proposals int
-	// compacts are the states of the snapshots that were handed over.
-	compacts [][]byte
+	// commitsHeld stops commits, cut stops confirmed rounds.
+	commitsHeld, confirmationsStopped bool
+	term                              uint64
+	log                               []quorum.Entry
+	committed                         uint64
+	reloads                           int
+	proposals                         int
+	// snapshotStates are the states of the snapshots that were handed over.
+	snapshotStates [][]byte
 }
 
 func (g *fakeGroup) Propose(p group.Proposal) bool {
@@ -49,33 +49,43 @@
 	for _, c := range p.Commands {
 		g.log = append(g.log, quorum.Entry{Index: uint64(len(g.log)) + 1, Term: p.Term, Kind: quorum.Command, Data: c})
 	}
-	if !g.held {
+	if !g.commitsHeld {
 		g.commit()
 	}
 	return true
 }
 
-// count returns the number of proposals so far.
-func (g *fakeGroup) count() int { g.mu.Lock(); defer g.mu.Unlock(); return g.proposals }
+// proposalCount returns the number of proposals so far.
+func (g *fakeGroup) proposalCount() int { g.mu.Lock(); defer g.mu.Unlock(); return g.proposals }
 
-// hold stops commits; cutOff stops confirmed rounds.
-func (g *fakeGroup) hold()   { g.mu.Lock(); defer g.mu.Unlock(); g.held = true }
-func (g *fakeGroup) cutOff() { g.mu.Lock(); defer g.mu.Unlock(); g.cut = true }
+// holdCommits stops commits; cutOff stops confirmed rounds.
+func (g *fakeGroup) holdCommits() { g.mu.Lock(); defer g.mu.Unlock(); g.commitsHeld = true }
 
-// letGo commits what was held.
-func (g *fakeGroup) letGo() { g.mu.Lock(); defer g.mu.Unlock(); g.held = false; g.commit() }
+func (g *fakeGroup) stopConfirmations() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.confirmationsStopped = true
+}
+
+// releaseCommits commits what was held.
+func (g *fakeGroup) releaseCommits() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.commitsHeld = false
+	g.commit()
+}
 
 func (g *fakeGroup) commit() {
 	g.committed = uint64(len(g.log))
 	g.notes <- group.Commit{Index: g.committed}
 }
 
-func (g *fakeGroup) Notes() <-chan group.Note { return g.notes }
+func (g *fakeGroup) Notifications() <-chan group.Note { return g.notes }
 
-func (g *fakeGroup) Confirm() {
+func (g *fakeGroup) ConfirmLeadership() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.cut {
+	if !g.confirmationsStopped {
 		select {
 		case g.notes <- group.Confirmed{Term: g.term, Start: g.now()}:
 		default:
@@ -86,67 +96,67 @@
 func (g *fakeGroup) Compact(_ uint64, data []byte) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.compacts = append(g.compacts, data)
+	g.snapshotStates = append(g.snapshotStates, data)
 }
 
 // snapshots returns the states of the snapshots that were handed over.
-func (g *fakeGroup) snapshots() [][]byte { g.mu.Lock(); defer g.mu.Unlock(); return g.compacts }
+func (g *fakeGroup) snapshots() [][]byte { g.mu.Lock(); defer g.mu.Unlock(); return g.snapshotStates }
 
 func (g *fakeGroup) Reload() { g.mu.Lock(); defer g.mu.Unlock(); g.reloads++ }
 
-// lead starts a term and returns the end of the log.
-func (g *fakeGroup) lead(term uint64) uint64 {
+// startTerm starts a term and returns the end of the log.
+func (g *fakeGroup) startTerm(term uint64) uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.term = term
 	return uint64(len(g.log))
 }
 
-// cell is a control thread under a fake group, an entry's mailbox, and time
+// harness is a control thread under a fake group, an entry's mailbox, and time
 // that only passes when the test sleeps.
-type cell struct {
-	t    *testing.T
-	g    *fakeGroup
-	l    *leader.Leader
-	box  *mailbox.Mailbox
-	term uint64
-	seq  uint64
-	got  map[uint64]*inner.Reply
-	ack  uint64
-	stop context.CancelFunc
+type harness struct {
+	t       *testing.T
+	group   *fakeGroup
+	leader  *leader.Leader
+	mailbox *mailbox.Mailbox
+	term    uint64
+	seq     uint64
+	replies map[uint64]*inner.Reply
+	ack     uint64
+	stop    context.CancelFunc
 }
 
 const secret = "secret"
 
 func digest() []byte { d := sha256.Sum256([]byte(secret)); return d[:] }
 
-// run gives fn a leading control thread with one team, its key and an operator's key.
-func run(t *testing.T, fn func(*cell)) { runWith(t, logr.Discard(), fn) }
+// runWithLeader gives fn a leading control thread with one team, its key and an operator's key.
+func runWithLeader(t *testing.T, fn func(*harness)) { runWithLog(t, logr.Discard(), fn) }
 
-// runWith is run with a log.
-func runWith(t *testing.T, log logr.Logger, fn func(*cell)) {
-	runAs(t, log, func() plan.Planner { return fifo.New() }, fn)
+// runWithLog is run with a log.
+func runWithLog(t *testing.T, log logr.Logger, fn func(*harness)) {
+	runWithPlanner(t, log, func() plan.Planner { return fifo.New() }, fn)
 }
 
-// runAs is run with a log and a planner.
-func runAs(t *testing.T, log logr.Logger, planner func() plan.Planner, fn func(*cell)) {
+// runWithPlanner is run with a log and a planner.
+func runWithPlanner(t *testing.T, log logr.Logger, planner func() plan.Planner, fn func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
 		now := func() time.Duration { return time.Since(begin) + time.Minute }
 		g := &fakeGroup{notes: make(chan group.Note, 4096), now: now, term: 1}
 		ctx, cancel := context.WithCancel(context.Background())
-		c := &cell{t: t, g: g, stop: cancel, got: map[uint64]*inner.Reply{}}
-		c.l = c.newLeader(g)
-		c.l.Log, c.l.Planner = log, planner
+		c := &harness{t: t, group: g, stop: cancel, replies: map[uint64]*inner.Reply{}}
+		c.leader = c.newLeader(g)
+		c.leader.Log, c.leader.NewPlanner = log, planner
 		done := make(chan error, 1)
-		go func() { done <- c.l.Run(ctx) }()
+		go func() { done <- c.leader.Run(ctx) }()
 		beats := make(chan struct{})
-		go func() { c.beat(ctx); close(beats) }()
+		go func() { c.confirmPeriodically(ctx); close(beats) }()
 		c.elect(1)
-		c.change("table", &v1.ChangeRequest{Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
+		c.applyChange("table", &v1.ChangeRequest{Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
 			{Row: &v1.Row{Team: "rail", Weight: 1, Queue: 10, Limit: &v1.Size{Cpu: 4000, Memory: -1, Accel: -1, Slots: -1}}},
 		}}}})
-		c.change("grant", &v1.ChangeRequest{Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "rail1", Team: "rail", Digest: digest()}}})
+		c.applyChange("grant", &v1.ChangeRequest{Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "rail1", Team: "rail", Digest: digest()}}})
 		fn(c)
 		cancel()
 		<-beats
@@ -156,16 +166,16 @@
 	})
 }
 
-func (c *cell) newLeader(g *fakeGroup) *leader.Leader {
+func (c *harness) newLeader(g *fakeGroup) *leader.Leader {
 	l := leader.New()
 	l.Group, l.Now = g, g.now
-	l.Root = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest()}
+	l.RootKey = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest()}
 	return l
 }
 
-func (c *cell) beat(ctx context.Context) {
+func (c *harness) confirmPeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
-		c.g.Confirm()
+		c.group.ConfirmLeadership()
 		select {
 		case <-time.After(100 * time.Millisecond):
 		case <-ctx.Done():
@@ -174,131 +184,131 @@
 }
 
 // elect lets the thread lead in a term, with a fresh mailbox.
-func (c *cell) elect(term uint64) {
+func (c *harness) elect(term uint64) {
 	c.term = term
-	c.box = mailbox.New(term)
+	c.mailbox = mailbox.New(term)
 	c.ack = 0
-	c.g.notes <- group.Lead{Term: term, Last: c.g.lead(term), Elected: c.g.now()}
-	c.g.Confirm()
+	c.group.notes <- group.Lead{Term: term, Last: c.group.startTerm(term), Elected: c.group.now()}
+	c.group.ConfirmLeadership()
 	synctest.Wait()
 }
 
 // push hands an item over and returns its number.
-func (c *cell) push(it *inner.Item) uint64 {
+func (c *harness) push(it *inner.Item) uint64 {
 	c.seq++
 	it.Seq = c.seq
-	if !c.l.Push(leader.Batch{Box: c.box, Received: c.g.now(), Items: []*inner.Item{it}}) {
+	if !c.leader.Push(leader.Batch{Mailbox: c.mailbox, ReceivedAt: c.group.now(), Items: []*inner.Item{it}}) {
 		c.t.Fatal("no room")
 	}
 	synctest.Wait()
 	return c.seq
 }
 
-// reply returns what came for an item so far; nil when nothing did.
-func (c *cell) reply(seq uint64) *inner.Reply {
+// replyTo returns what came for an item so far; nil when nothing did.
+func (c *harness) replyTo(seq uint64) *inner.Reply {
 	synctest.Wait()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	b := c.box.Pull(ctx, c.term, c.ack)
+	b := c.mailbox.Pull(ctx, c.term, c.ack)
 	for i, r := range b.Replies {
-		c.ack = b.First + uint64(i)
-		c.got[r.GetSeq()] = r
+		c.ack = b.FirstNumber + uint64(i)
+		c.replies[r.GetSeq()] = r
 	}
-	return c.got[seq]
+	return c.replies[seq]
 }
 
-func (c *cell) must(seq uint64) *inner.Reply {
+func (c *harness) mustReply(seq uint64) *inner.Reply {
 	c.t.Helper()
-	r := c.reply(seq)
+	r := c.replyTo(seq)
 	if r == nil {
 		c.t.Fatalf("no reply to item %d", seq)
 	}
 	return r
 }
 
-func (c *cell) cred(id string) *inner.Credential {
+func (c *harness) credential(id string) *inner.Credential {
 	return &inner.Credential{Id: id, Digest: digest()}
 }
 
-func (c *cell) change(id string, req *v1.ChangeRequest) *v1.ChangeReply {
+func (c *harness) applyChange(id string, req *v1.ChangeRequest) *v1.ChangeReply {
 	c.t.Helper()
 	req.Id = id
-	r := c.must(c.push(&inner.Item{Credential: c.cred("op"), Ask: &inner.Item_Change{Change: req}}))
+	r := c.mustReply(c.push(&inner.Item{Credential: c.credential("op"), Ask: &inner.Item_Change{Change: req}}))
 	if r.GetStatus().GetCode() != 0 {
 		c.t.Fatalf("change %s: %v", id, r.GetStatus())
 	}
 	return r.GetChange()
 }
 
-func spec(id string) *v1.Spec {
+func batchSpec(id string) *v1.Spec {
 	return &v1.Spec{Id: id, Kind: v1.Kind_KIND_BATCH, Count: 1, Size: &v1.Size{Cpu: 1000}}
 }
 
-func (c *cell) submit(s *v1.Spec) uint64 {
-	return c.push(&inner.Item{Credential: c.cred("rail1"), Ask: &inner.Item_Submit{Submit: &v1.SubmitRequest{Jobs: []*v1.Spec{s}}}})
+func (c *harness) pushSubmit(s *v1.Spec) uint64 {
+	return c.push(&inner.Item{Credential: c.credential("rail1"), Ask: &inner.Item_Submit{Submit: &v1.SubmitRequest{Jobs: []*v1.Spec{s}}}})
 }
 
-func (c *cell) accepted(s *v1.Spec) *v1.Accepted {
+func (c *harness) submitAndReply(s *v1.Spec) *v1.Accepted {
 	c.t.Helper()
-	r := c.must(c.submit(s))
+	r := c.mustReply(c.pushSubmit(s))
 	if r.GetStatus().GetCode() != 0 {
 		return &v1.Accepted{Status: r.GetStatus()}
 	}
 	return r.GetSubmit().GetJobs()[0]
 }
 
-func (c *cell) wait(id string) uint64 {
-	return c.push(&inner.Item{Credential: c.cred("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: id, Patience: 1000}}})
+func (c *harness) pushWait(id string) uint64 {
+	return c.push(&inner.Item{Credential: c.credential("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: id, Patience: 1000}}})
 }
 
-func (c *cell) outcome(id string) *v1.WaitReply {
+func (c *harness) waitOutcome(id string) *v1.WaitReply {
 	c.t.Helper()
-	n := c.wait(id)
+	n := c.pushWait(id)
 	time.Sleep(1100 * time.Millisecond)
-	return c.must(n).GetWait()
+	return c.mustReply(n).GetWait()
 }
 
-// server is a backend server's session as the test drives it.
-type server struct {
-	c           *cell
+// testServer is a backend server's session as the test drives it.
+type testServer struct {
+	harness     *harness
 	name        string
 	incarnation uint64
-	number      uint64
+	syncNumber  uint64
 }
 
 // zoneName is where the servers of these tests are.
 const zoneName = "zone-1"
 
-func (c *cell) announce(name string, cpu int64) *server {
+func (c *harness) announceServer(name string, cpu int64) *testServer {
 	c.t.Helper()
-	r := c.must(c.push(&inner.Item{Ask: &inner.Item_Announce{Announce: &v1.AnnounceRequest{
-		Server: name, Nonce: uint64(c.g.now()), Zone: zoneName, Capacity: &v1.Size{Cpu: cpu, Memory: 1, Accel: 1, Slots: 8},
+	r := c.mustReply(c.push(&inner.Item{Ask: &inner.Item_Announce{Announce: &v1.AnnounceRequest{
+		Server: name, Nonce: uint64(c.group.now()), Zone: zoneName, Capacity: &v1.Size{Cpu: cpu, Memory: 1, Accel: 1, Slots: 8},
 	}}}))
 	if n := r.GetAnnounce().GetStatus().GetCode(); n != 0 {
 		c.t.Fatalf("announce: %d", n)
 	}
-	return &server{c: c, name: name, incarnation: r.GetAnnounce().GetIncarnation()}
+	return &testServer{harness: c, name: name, incarnation: r.GetAnnounce().GetIncarnation()}
 }
 
-func (s *server) send(reports ...*v1.Report) uint64 {
-	s.number++
-	return s.c.push(&inner.Item{Ask: &inner.Item_Sync{Sync: &v1.SyncRequest{
-		Server: s.name, Incarnation: s.incarnation, Number: s.number, Reports: reports, Patience: 500,
+func (s *testServer) sendSync(reports ...*v1.Report) uint64 {
+	s.syncNumber++
+	return s.harness.push(&inner.Item{Ask: &inner.Item_Sync{Sync: &v1.SyncRequest{
+		Server: s.name, Incarnation: s.incarnation, Number: s.syncNumber, Reports: reports, Patience: 500,
 	}}})
 }
 
-func (s *server) sync(reports ...*v1.Report) *v1.SyncReply {
-	s.c.t.Helper()
-	n := s.send(reports...)
-	if r := s.c.reply(n); r != nil {
+func (s *testServer) syncAndWait(reports ...*v1.Report) *v1.SyncReply {
+	s.harness.t.Helper()
+	n := s.sendSync(reports...)
+	if r := s.harness.replyTo(n); r != nil {
 		return r.GetSync()
 	}
 	time.Sleep(600 * time.Millisecond)
-	return s.c.must(n).GetSync()
+	return s.harness.mustReply(n).GetSync()
 }
 
-// starts lists the attempts that a reply orders to start.
-func starts(r *v1.SyncReply) (out []*v1.Attempt) {
+// startOrders lists the attempts that a reply orders to start.
+func startOrders(r *v1.SyncReply) (out []*v1.Attempt) {
 	for _, o := range r.GetOrders() {
 		if o.GetVerb() == v1.Verb_VERB_START {
 			out = append(out, o.GetAttempt())
@@ -307,13 +317,13 @@
 	return out
 }
 
-func report(a *v1.Attempt, p v1.Phase) *v1.Report {
+func attemptReport(a *v1.Attempt, p v1.Phase) *v1.Report {
 	return &v1.Report{Attempt: a, Phase: p, Started: p != v1.Phase_PHASE_HELD}
 }
 
-func (c *cell) ledger(fn func(*state.State)) {
+func (c *harness) withLedger(fn func(*state.State)) {
 	c.t.Helper()
-	if err := c.l.Do(context.Background(), fn); err != nil {
+	if err := c.leader.Execute(context.Background(), fn); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -325,4 +335,4 @@
 	}
 }
 
-func name(n int) string { return fmt.Sprintf("job%d", n) }
+func jobName(n int) string { return fmt.Sprintf("job%d", n) }
--- a/internal/control/leader/inspect.go
+++ b/internal/control/leader/inspect.go
@@ -10,8 +10,8 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// viewLines bounds each list of a View.
-const viewLines = 20
+// maxViewLines bounds each list of a View.
+const maxViewLines = 20
 
 // View is what the control thread holds, for whoever is on duty. Times are in
 // seconds. What belongs to leading is zero while following.
@@ -73,100 +73,100 @@
 // no time until ctx ends.
 func (l *Leader) Inspect(ctx context.Context) (View, error) {
 	var v View
-	err := l.Do(ctx, func(*state.State) { v = l.view() })
+	err := l.Execute(ctx, func(*state.State) { v = l.currentView() })
 	if err != nil {
 		return View{}, err
 	}
 	return v, nil
 }
 
-func (l *Leader) view() View {
+func (l *Leader) currentView() View {
 	v := View{
-		Term: l.status.Load().Term, Applied: l.applied, Saved: l.saved, Full: l.full, Faults: l.st.Faults(),
-		Sum: l.st.Digest(), Revision: l.st.Table().Revision(), Inbox: len(l.inbox), Servers: map[string]int{},
+		Term: l.status.Load().Term, Applied: l.appliedIndex, Saved: l.snapshotIndex, Full: l.diskFull, Faults: l.ledger.Faults(),
+		Sum: l.ledger.Digest(), Revision: l.ledger.Table().Revision(), Inbox: len(l.inbox), Servers: map[string]int{},
 	}
-	l.st.EachServer(func(b state.Server) {
-		v.Servers[shownState(b)]++
-		v.Running += l.st.Count(b.ID)
+	l.ledger.EachServer(func(b state.Server) {
+		v.Servers[displayedState(b)]++
+		v.Running += l.ledger.Count(b.ID)
 	})
-	v.Zones = l.st.Zones()
+	v.Zones = l.ledger.Zones()
 	v.Teams = l.teamViews()
-	v.Oldest = l.oldest()
-	if ld := l.lead; ld != nil {
-		v.Leads, v.Committed, v.Confirmed = true, ld.committed, (l.Now() - ld.confirmed).Seconds()
-		v.Pending, v.Held, v.Reads, v.Waits, v.Timers = len(ld.pending), len(ld.held), len(ld.reads), len(ld.waits), len(ld.due)
+	v.Oldest = l.oldestJobs()
+	if lead := l.leadership; lead != nil {
+		v.Leads, v.Committed, v.Confirmed = true, lead.commitIndex, (l.Now() - lead.confirmedAt).Seconds()
+		v.Pending, v.Held, v.Reads, v.Waits, v.Timers = len(lead.pendingCommands), len(lead.heldReplies), len(lead.pendingReads), len(lead.parkedWaits), len(lead.timers)
 		v.Leases = l.leaseViews()
 	}
 	return v
 }
 
-// first keeps the viewLines least of what is added, in order, without sorting all.
-type first[T any] struct {
+// smallest keeps the viewLines least of what is added, in order, without sorting all.
+type smallest[T any] struct {
 	compare func(a, b T) int
 	items   []T
 }
 
-func (f *first[T]) add(v T) {
-	if len(f.items) == viewLines && f.compare(v, f.items[viewLines-1]) >= 0 {
+func (f *smallest[T]) add(v T) {
+	if len(f.items) == maxViewLines && f.compare(v, f.items[maxViewLines-1]) >= 0 {
 		return
 	}
 	i, _ := slices.BinarySearchFunc(f.items, v, f.compare)
 	f.items = slices.Insert(f.items, i, v)
-	f.items = f.items[:min(len(f.items), viewLines)]
+	f.items = f.items[:min(len(f.items), maxViewLines)]
 }
 
 func (l *Leader) teamViews() []TeamView {
-	out := first[TeamView]{compare: func(a, b TeamView) int { return cmp.Compare(b.Waiting, a.Waiting) }}
-	for _, r := range l.st.Table().Rows() {
-		if n := l.st.Waiting(r.Name); n > 0 {
+	out := smallest[TeamView]{compare: func(a, b TeamView) int { return cmp.Compare(b.Waiting, a.Waiting) }}
+	for _, r := range l.ledger.Table().Rows() {
+		if n := l.ledger.Waiting(r.Name); n > 0 {
 			out.add(TeamView{r.Name, n})
 		}
 	}
 	return out.items
 }
 
-func (l *Leader) oldest() []JobView {
-	oldest := first[*state.Job]{compare: func(a, b *state.Job) int { return cmp.Compare(a.Number, b.Number) }}
-	l.st.EachJob(func(j *state.Job) {
+func (l *Leader) oldestJobs() []JobView {
+	oldest := smallest[*state.Job]{compare: func(a, b *state.Job) int { return cmp.Compare(a.Number, b.Number) }}
+	l.ledger.EachJob(func(j *state.Job) {
 		if !j.Final() && j.Waiting > 0 {
 			oldest.add(j)
 		}
 	})
 	var out []JobView
 	for _, j := range oldest.items {
-		out = append(out, JobView{j.Spec.Team, j.Spec.ID, j.Number, (l.clock() - j.Accepted).Seconds(), j.Waiting})
+		out = append(out, JobView{j.Spec.Team, j.Spec.ID, j.Number, (l.ledgerTime() - j.Accepted).Seconds(), j.Waiting})
 	}
 	return out
 }
 
 func (l *Leader) leaseViews() []LeaseView {
 	now := l.Now()
-	out := first[LeaseView]{compare: func(a, b LeaseView) int {
+	out := smallest[LeaseView]{compare: func(a, b LeaseView) int {
 		return cmp.Or(cmp.Compare(b.Silent, a.Silent), cmp.Compare(a.Server, b.Server))
 	}}
-	for id, s := range l.lead.servers {
-		b, ok := l.st.Server(id)
+	for id, s := range l.leadership.sessions {
+		b, ok := l.ledger.Server(id)
 		if !ok || b.Server.State == backend.Gone {
 			continue
 		}
-		out.add(LeaseView{id, shownState(b), (now - s.heard).Seconds(), l.lead.book.Left(id, now).Seconds(), l.st.Count(id)})
+		out.add(LeaseView{id, displayedState(b), (now - s.lastSyncAt).Seconds(), l.leadership.leases.Left(id, now).Seconds(), l.ledger.Count(id)})
 	}
 	return out.items
 }
 
-// shownState names a server's state; a drain by an operator stands before it.
-func shownState(b state.Server) string {
+// displayedState names a server's state; a drain by an operator stands before it.
+func displayedState(b state.Server) string {
 	if b.Drains() && b.Server.State != backend.Gone {
 		return backend.Draining.String()
 	}
 	return b.Server.State.String()
 }
 
-// silence returns for how long no leader is known.
-func (l *Leader) silence(now time.Duration) time.Duration {
+// leaderlessFor returns for how long no leader is known.
+func (l *Leader) leaderlessFor(now time.Duration) time.Duration {
 	st := l.status.Load()
-	if st.Leads || st.Leader != "" || l.leaderless == 0 {
-		l.leaderless = now
+	if st.Leads || st.Leader != "" || l.leaderlessSince == 0 {
+		l.leaderlessSince = now
 	}
-	return now - l.leaderless
+	return now - l.leaderlessSince
 }
--- a/internal/control/leader/lead.go
+++ b/internal/control/leader/lead.go
@@ -17,364 +17,364 @@
 	"gypsumreel/internal/replica/group"
 )
 
-// lead is what a replica has only while it leads; it is dropped whole when deposed.
-type lead struct {
+// leadership is what a replica has only while it leads; it is dropped whole when deposed.
+type leadership struct {
 	term uint64
-	// elected is when this replica began to lead, begun the ledger's time then.
-	elected time.Duration
-	begun   time.Duration
-	// last is the index of the latest command applied to the working ledger.
-	last      uint64
-	committed uint64
-	// confirmed is the start of the latest heartbeat round that a quorum confirmed.
-	confirmed time.Duration
-	proved    bool
-	planner   plan.Planner
-	book      *lease.Book
-	// pending are the commands that the group has not taken yet.
-	pending [][]byte
-	// gathered is when the last proposal left, waking tells that a turn is set
+	// electedAt is when this replica began to lead, begun the ledger's time then.
+	electedAt         time.Duration
+	initialLedgerTime time.Duration
+	// lastIndex is the index of the latest command applied to the working ledger.
+	lastIndex   uint64
+	commitIndex uint64
+	// confirmedAt is the start of the latest heartbeat round that a quorum confirmed.
+	confirmedAt         time.Duration
+	leadershipConfirmed bool
+	planner             plan.Planner
+	leases              *lease.Book
+	// pendingCommands are the commands that the group has not taken yet.
+	pendingCommands [][]byte
+	// lastProposedAt is when the last proposal left, waking tells that a turn is set
 	// for the next.
-	gathered time.Duration
-	waking   bool
-	held     []heldReply
-	effects  []effect
-	reads    []heldRead
-	waits    map[state.RequestID][]*waiter
-	servers  map[string]*session
-	updated  map[string]bool
-	due      dueHeap
-	checked  time.Duration
-	swept    time.Duration
-	looked   time.Duration
-	promoted time.Duration
-	dirty    bool
-	// proposed are the commands under way, to measure their commits.
-	proposed []proposed
-	// tabled is an index at which the table's current revision is in the log.
-	tabled  uint64
-	seen    seen
-	answers answers
+	lastProposedAt   time.Duration
+	proposalTimerSet bool
+	heldReplies      []heldReply
+	pendingEffects   []effect
+	pendingReads     []pendingRead
+	parkedWaits      map[state.RequestID][]*parkedWait
+	sessions         map[string]*session
+	updatedServers   map[string]bool
+	timers           timerHeap
+	digestCheckedAt  time.Duration
+	sweptAt          time.Duration
+	silenceCheckedAt time.Duration
+	promotionTriedAt time.Duration
+	planNeeded       bool
+	// inFlightProposals are the commands under way, to measure their commits.
+	inFlightProposals []inFlightProposal
+	// tableIndex is an index at which the table's current revision is in the log.
+	tableIndex  uint64
+	reported    reportedState
+	answerCache answers
 }
 
 // heldReply is a reply whose cause is not committed yet.
 type heldReply struct {
-	index uint64
-	to    Ticket
-	reply *inner.Reply
+	index  uint64
+	target ReplyTarget
+	reply  *inner.Reply
 }
 
-// heldRead is a read that waits for proof that this replica still leads.
-type heldRead struct {
-	received time.Duration
-	run      func()
+// pendingRead is a read that waits for proof that this replica still leads.
+type pendingRead struct {
+	receivedAt time.Duration
+	run        func()
 }
 
-// due is something that happens at a time unless it was settled before.
-type due struct {
+// timer is something that happens at a time unless it was settled before.
+type timer struct {
 	at  time.Duration
 	run func()
 }
 
-type dueHeap []due
+type timerHeap []timer
 
-func (h dueHeap) Len() int           { return len(h) }
-func (h dueHeap) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h dueHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push adds an element for container/heap.
-func (h *dueHeap) Push(x any) { *h = append(*h, x.(due)) }
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
 
 // Pop removes the last element for container/heap.
-func (h *dueHeap) Pop() any {
+func (h *timerHeap) Pop() any {
 	old := *h
 	n := len(old) - 1
 	x := old[n]
-	old[n] = due{}
+	old[n] = timer{}
 	*h = old[:n]
 	return x
 }
 
-// elected starts to lead: a planner and a lease book are built from the ledger.
-func (l *Leader) elected(n group.Lead) {
-	l.lead = &lead{
-		term:      n.Term,
-		elected:   n.Elected,
-		begun:     l.st.At(),
-		last:      n.Last,
-		committed: n.Last,
-		planner:   l.Planner(),
-		book:      lease.NewBook(l.Terms, n.Elected),
-		waits:     map[state.RequestID][]*waiter{},
-		servers:   map[string]*session{},
-		updated:   map[string]bool{},
-		checked:   n.Elected,
-		dirty:     true,
-		tabled:    n.Last,
-		answers:   newAnswers(),
-		seen:      seen{servers: map[string]seenServer{}, over: map[string]bool{}, faults: l.st.Faults()},
+// becomeLeader starts to lead: a planner and a lease book are built from the ledger.
+func (l *Leader) becomeLeader(n group.Lead) {
+	l.leadership = &leadership{
+		term:              n.Term,
+		electedAt:         n.Elected,
+		initialLedgerTime: l.ledger.At(),
+		lastIndex:         n.Last,
+		commitIndex:       n.Last,
+		planner:           l.NewPlanner(),
+		leases:            lease.NewBook(l.LeaseTerms, n.Elected),
+		parkedWaits:       map[state.RequestID][]*parkedWait{},
+		sessions:          map[string]*session{},
+		updatedServers:    map[string]bool{},
+		digestCheckedAt:   n.Elected,
+		planNeeded:        true,
+		tableIndex:        n.Last,
+		answerCache:       newAnswers(),
+		reported:          reportedState{servers: map[string]reportedServer{}, teamsOverLimit: map[string]bool{}, chartFaults: l.ledger.Faults()},
 	}
-	l.applied = n.Last
-	l.st.Watch = watch{l}
-	l.replay()
-	if l.Root != nil && len(l.st.Keys()) == 0 {
-		l.do(&record.Command{What: &record.Command_Change{Change: &record.Change{
+	l.appliedIndex = n.Last
+	l.ledger.Watch = ledgerWatcher{l}
+	l.replayLedger()
+	if l.RootKey != nil && len(l.ledger.Keys()) == 0 {
+		l.applyAndQueue(&record.Command{What: &record.Command_Change{Change: &record.Change{
 			By:      "settings",
-			Request: &v1.ChangeRequest{Id: "settings", Change: &v1.ChangeRequest_Grant{Grant: l.Root}},
+			Request: &v1.ChangeRequest{Id: "settings", Change: &v1.ChangeRequest_Grant{Grant: l.RootKey}},
 		}}})
 	}
 	l.status.Store(&Status{Leads: true, Term: n.Term})
 	event.Log(l.Log, event.LeaderElected, "term", n.Term, "index", n.Last)
-	if l.Part != nil {
-		l.Part.Elected(n.Term, n.Elected)
+	if l.Extension != nil {
+		l.Extension.OnElected(n.Term, n.Elected)
 	}
-	if l.lead.seen.running > 0 {
-		event.Log(l.Log, event.RecoveryWait, "wait", l.Terms.Wait().String(), "tasks", l.lead.seen.running)
+	if l.leadership.reported.runningTasks > 0 {
+		event.Log(l.Log, event.RecoveryWait, "wait", l.LeaseTerms.Wait().String(), "tasks", l.leadership.reported.runningTasks)
 	}
 }
 
-// replay tells a new planner everything that the ledger holds.
-func (l *Leader) replay() {
-	l.lead.seen.replaying = true
-	defer func() { l.lead.seen.replaying = false }()
-	p := l.lead.planner
-	p.SetTable(l.st.Table())
-	for _, b := range l.st.Servers() {
-		watch{l}.Server(b)
+// replayLedger tells a new planner everything that the ledger holds.
+func (l *Leader) replayLedger() {
+	l.leadership.reported.replaying = true
+	defer func() { l.leadership.reported.replaying = false }()
+	p := l.leadership.planner
+	p.SetTable(l.ledger.Table())
+	for _, b := range l.ledger.Servers() {
+		ledgerWatcher{l}.Server(b)
 		if b.Server.State != backend.Gone {
-			l.session(b).heard = l.Now()
+			l.sessionOf(b).lastSyncAt = l.Now()
 		}
 	}
-	for _, j := range l.st.Jobs("") {
+	for _, j := range l.ledger.Jobs("") {
 		if j.Final() {
 			continue
 		}
-		l.st.Tasks(j, func(t *state.Task) {
+		l.ledger.Tasks(j, func(t *state.Task) {
 			switch {
 			case t.Phase.Holds():
-				watch{l}.Hold(j, t)
+				ledgerWatcher{l}.Hold(j, t)
 			case t.Phase == state.Queued:
-				watch{l}.Queue(j, t)
+				ledgerWatcher{l}.Queue(j, t)
 			}
 		})
 	}
 }
 
-// follow stops to lead. What the working ledger had ahead of the committed log
+// becomeFollower stops to lead. What the working ledger had ahead of the committed log
 // is dropped, and with it every held effect: nobody was told of them.
-func (l *Leader) follow(n group.Follow) {
-	if ld := l.lead; ld != nil {
-		event.Log(l.Log, event.LeaderLost, "term", ld.term, "next", n.Leader)
-		if n.Leader == "" && n.Term == ld.term {
+func (l *Leader) becomeFollower(n group.Follow) {
+	if lead := l.leadership; lead != nil {
+		event.Log(l.Log, event.LeaderLost, "term", lead.term, "next", n.Leader)
+		if n.Leader == "" && n.Term == lead.term {
 			// The same term and nobody else: this replica gave up by itself.
-			event.Log(l.Log, event.QuorumLost, "term", ld.term)
+			event.Log(l.Log, event.QuorumLost, "term", lead.term)
 		}
-		l.lead = nil
-		l.st.Watch = nil
-		if l.Part != nil {
-			l.Part.Deposed()
+		l.leadership = nil
+		l.ledger.Watch = nil
+		if l.Extension != nil {
+			l.Extension.OnDeposed()
 		}
-		if l.applied > ld.committed {
-			l.abandon()
+		if l.appliedIndex > lead.commitIndex {
+			l.abandonSnapshot()
 			l.Group.Reload()
 		}
 	}
-	if l.Deposed != nil {
-		defer l.Deposed()
+	if l.OnDeposed != nil {
+		defer l.OnDeposed()
 	}
-	l.status.Store(&Status{Term: n.Term, Leader: n.Leader, Address: n.Address, Revision: l.st.Table().Revision(), Full: l.full})
+	l.status.Store(&Status{Term: n.Term, Leader: n.Leader, Address: n.Address, Revision: l.ledger.Table().Revision(), Full: l.diskFull})
 }
 
-// clock returns the ledger's time: the time of day, never going back.
-func (l *Leader) clock() time.Duration { return max(l.st.At(), l.timeOfDay()) }
+// ledgerTime returns the ledger's time: the time of day, never going back.
+func (l *Leader) ledgerTime() time.Duration { return max(l.ledger.At(), l.timeOfDay()) }
 
-// agreeTime is how long a new leader waits for the word of others on the time of
+// timeAgreementWait is how long a new leader waits for the word of others on the time of
 // day: they make themselves known several times in it.
-const agreeTime = 3 * time.Second
+const timeAgreementWait = 3 * time.Second
 
 // timeOfDay returns the time of day that is agreed on; before others were heard, as
 // much after the last time in the ledger as this replica leads. Its own time of day
 // counts only where nobody else tells.
 func (l *Leader) timeOfDay() time.Duration {
-	if l.Agreed == nil || l.lead == nil {
-		return time.Duration(l.Wall().UnixNano())
+	if l.AgreedTime == nil || l.leadership == nil {
+		return time.Duration(l.WallClock().UnixNano())
 	}
 	now := l.Now()
-	if at, ok := l.Agreed(now); ok {
+	if at, ok := l.AgreedTime(now); ok {
 		return at
 	}
-	if led := now - l.lead.elected; l.lead.begun > 0 && led < agreeTime {
-		return l.lead.begun + led
+	if leadTime := now - l.leadership.electedAt; l.leadership.initialLedgerTime > 0 && leadTime < timeAgreementWait {
+		return l.leadership.initialLedgerTime + leadTime
 	}
-	return time.Duration(l.Wall().UnixNano())
+	return time.Duration(l.WallClock().UnixNano())
 }
 
-// do applies a command to the working ledger and queues it for the log.
-func (l *Leader) do(c *record.Command) state.Result {
-	c.At = int64(l.clock())
-	r := l.st.Apply(c)
-	l.queue(c)
+// applyAndQueue applies a command to the working ledger and queues it for the log.
+func (l *Leader) applyAndQueue(c *record.Command) state.Result {
+	c.At = int64(l.ledgerTime())
+	r := l.ledger.Apply(c)
+	l.queueCommand(c)
 	return r
 }
 
-// queue puts an applied command at the end of what is to be proposed.
-func (l *Leader) queue(c *record.Command) {
-	l.lead.pending = append(l.lead.pending, command.Encode(c))
-	l.lead.last++
-	l.applied = l.lead.last
+// queueCommand puts an applied command at the end of what is to be proposed.
+func (l *Leader) queueCommand(c *record.Command) {
+	l.leadership.pendingCommands = append(l.leadership.pendingCommands, command.Encode(c))
+	l.leadership.lastIndex++
+	l.appliedIndex = l.leadership.lastIndex
 }
 
-// resolve is do for a decision of this replica alone: what the ledger refuses
+// applyIfAccepted is do for a decision of this replica alone: what the ledger refuses
 // changed nothing and is not worth a place in the log.
-func (l *Leader) resolve(c *record.Command) state.Result {
-	c.At = int64(l.clock())
-	r := l.st.Apply(c)
+func (l *Leader) applyIfAccepted(c *record.Command) state.Result {
+	c.At = int64(l.ledgerTime())
+	r := l.ledger.Apply(c)
 	if r.Code == code.OK {
-		l.queue(c)
+		l.queueCommand(c)
 	}
 	return r
 }
 
-// propose hands pending commands to the group; what it has no room for stays.
-func (l *Leader) propose() {
-	ld := l.lead
-	if len(ld.pending) == 0 || l.gathers() {
+// proposePending hands pending commands to the group; what it has no room for stays.
+func (l *Leader) proposePending() {
+	lead := l.leadership
+	if len(lead.pendingCommands) == 0 || l.delayProposal() {
 		return
 	}
-	first := ld.last + 1 - uint64(len(ld.pending))
-	if l.Group.Propose(group.Proposal{Term: ld.term, First: first, Commands: ld.pending}) {
-		ld.pending = nil
-		ld.proposed = append(ld.proposed, proposed{ld.last, l.Now()})
+	first := lead.lastIndex + 1 - uint64(len(lead.pendingCommands))
+	if l.Group.Propose(group.Proposal{Term: lead.term, First: first, Commands: lead.pendingCommands}) {
+		lead.pendingCommands = nil
+		lead.inFlightProposals = append(lead.inFlightProposals, inFlightProposal{lead.lastIndex, l.Now()})
 	}
 }
 
-// gathers tells that the next proposal has to wait for more, and sees to it that
+// delayProposal tells that the next proposal has to wait for more, and sees to it that
 // it leaves when its time has come.
-func (l *Leader) gathers() bool {
-	if l.Gather == 0 {
+func (l *Leader) delayProposal() bool {
+	if l.ProposalInterval == 0 {
 		return false
 	}
-	ld := l.lead
+	lead := l.leadership
 	now := l.Now()
-	wait := ld.gathered + l.Gather - now
+	wait := lead.lastProposedAt + l.ProposalInterval - now
 	if wait <= 0 {
-		ld.gathered = now
+		lead.lastProposedAt = now
 		return false
 	}
-	if !ld.waking {
-		ld.waking = true
-		time.AfterFunc(wait, func() { l.Post(func() { ld.waking = false }) })
+	if !lead.proposalTimerSet {
+		lead.proposalTimerSet = true
+		time.AfterFunc(wait, func() { l.Post(func() { lead.proposalTimerSet = false }) })
 	}
 	return true
 }
 
 // reply answers an item once everything that the answer rests on is committed.
-func (l *Leader) reply(to Ticket, r *inner.Reply) {
+func (l *Leader) reply(to ReplyTarget, r *inner.Reply) {
 	r.Seq = to.Seq
-	l.lead.held = append(l.lead.held, heldReply{index: l.lead.last, to: to, reply: r})
+	l.leadership.heldReplies = append(l.leadership.heldReplies, heldReply{index: l.leadership.lastIndex, target: to, reply: r})
 }
 
 // refuse answers an item with a code alone.
-func (l *Leader) refuse(to Ticket, err *code.Error) {
-	l.reply(to, &inner.Reply{Status: status(err)})
+func (l *Leader) refuse(to ReplyTarget, err *code.Error) {
+	l.reply(to, &inner.Reply{Status: statusOf(err)})
 }
 
-func status(err *code.Error) *v1.Status {
+func statusOf(err *code.Error) *v1.Status {
 	if err == nil {
 		return &v1.Status{}
 	}
 	return &v1.Status{Code: uint32(err.Code), Text: err.Error()}
 }
 
-// deliver lets the replies go whose cause is committed.
-func (l *Leader) deliver() {
-	ld := l.lead
+// deliverCommittedReplies lets the replies go whose cause is committed.
+func (l *Leader) deliverCommittedReplies() {
+	lead := l.leadership
 	n := 0
-	for n < len(ld.held) && ld.held[n].index <= ld.committed {
-		h := ld.held[n]
-		h.to.Box.Put(h.reply)
+	for n < len(lead.heldReplies) && lead.heldReplies[n].index <= lead.commitIndex {
+		h := lead.heldReplies[n]
+		h.target.Mailbox.Put(h.reply)
 		n++
 	}
 	if n > 0 {
-		clear(ld.held[:n])
-		ld.held = ld.held[n:]
+		clear(lead.heldReplies[:n])
+		lead.heldReplies = lead.heldReplies[n:]
 	}
 }
 
-// read runs fn once a heartbeat round that began after the read came in is
+// runWhenConfirmed runs fn once a heartbeat round that began after the read came in is
 // confirmed. A leader that was deposed without noticing would otherwise tell
 // of a state that is no longer the current one.
-func (l *Leader) read(to Ticket, fn func()) {
-	l.lead.reads = append(l.lead.reads, heldRead{received: to.Received, run: fn})
+func (l *Leader) runWhenConfirmed(to ReplyTarget, fn func()) {
+	l.leadership.pendingReads = append(l.leadership.pendingReads, pendingRead{receivedAt: to.ReceivedAt, run: fn})
 }
 
-func (l *Leader) serveReads() {
-	ld := l.lead
+func (l *Leader) runConfirmedReads() {
+	lead := l.leadership
 	n := 0
-	for n < len(ld.reads) && ld.proved && ld.reads[n].received <= ld.confirmed {
-		ld.reads[n].run()
+	for n < len(lead.pendingReads) && lead.leadershipConfirmed && lead.pendingReads[n].receivedAt <= lead.confirmedAt {
+		lead.pendingReads[n].run()
 		n++
 	}
-	ld.reads = ld.reads[n:]
-	if len(ld.reads) > 0 {
-		l.Group.Confirm()
+	lead.pendingReads = lead.pendingReads[n:]
+	if len(lead.pendingReads) > 0 {
+		l.Group.ConfirmLeadership()
 	}
 }
 
-// at runs fn at a time on the clock of Now, while this replica still leads.
-func (l *Leader) at(when time.Duration, fn func()) {
-	heap.Push(&l.lead.due, due{at: when, run: fn})
+// schedule runs fn at a time on the clock of Now, while this replica still leads.
+func (l *Leader) schedule(at time.Duration, fn func()) {
+	heap.Push(&l.leadership.timers, timer{at: at, run: fn})
 }
 
-// timers runs what is due.
-func (l *Leader) timers() {
-	ld := l.lead
+// runTimers runs what is due.
+func (l *Leader) runTimers() {
+	lead := l.leadership
 	now := l.Now()
-	if now-l.measured >= measureEvery {
-		l.measured = now
-		l.measure()
+	if now-l.gaugesSetAt >= gaugeInterval {
+		l.gaugesSetAt = now
+		l.setGauges()
 	}
-	if ld == nil {
-		l.alone(now)
+	if lead == nil {
+		l.checkLeaderless(now)
 		return
 	}
-	for len(ld.due) > 0 && ld.due[0].at <= now {
-		heap.Pop(&ld.due).(due).run()
+	for len(lead.timers) > 0 && lead.timers[0].at <= now {
+		heap.Pop(&lead.timers).(timer).run()
 	}
-	ld.dirty = true
-	if l.Part != nil {
-		l.Part.Tick(now)
+	lead.planNeeded = true
+	if l.Extension != nil {
+		l.Extension.Tick(now)
 	}
-	l.promote(now)
-	if now-ld.looked >= lookEvery {
-		ld.looked = now
-		l.watchServers(now)
+	l.promoteLearner(now)
+	if now-lead.silenceCheckedAt >= silenceCheckInterval {
+		lead.silenceCheckedAt = now
+		l.checkSilentServers(now)
 	}
-	if now-ld.checked >= checkEvery {
-		ld.checked = now
-		l.do(&record.Command{What: &record.Command_Check{Check: &record.Check{Digest: l.st.Digest()}}})
+	if now-lead.digestCheckedAt >= digestCheckInterval {
+		lead.digestCheckedAt = now
+		l.applyAndQueue(&record.Command{What: &record.Command_Check{Check: &record.Check{Digest: l.ledger.Digest()}}})
 	}
-	if now-ld.swept >= time.Second {
-		ld.swept = now
-		l.sweep()
-		l.look(now)
-		l.yield()
+	if now-lead.sweptAt >= time.Second {
+		lead.sweptAt = now
+		l.forgetExpired()
+		l.logLimitsAndFaults(now)
+		l.offerLeadership()
 	}
 }
 
-// sweep forgets what retention lets go.
-func (l *Leader) sweep() {
-	const most = 1000
-	f := l.st.Expired(l.clock()-l.Retention, most)
+// forgetExpired forgets what retention lets go.
+func (l *Leader) forgetExpired() {
+	const maxForgotten = 1000
+	f := l.ledger.Expired(l.ledgerTime()-l.Retention, maxForgotten)
 	if len(f.Jobs)+len(f.Changes)+len(f.Servers) > 0 {
-		l.do(&record.Command{What: &record.Command_Forget{Forget: f}})
+		l.applyAndQueue(&record.Command{What: &record.Command_Forget{Forget: f}})
 	}
 }
 
-// yield hands the lead over while this replica's disk is full: it would refuse
+// offerLeadership hands the lead over while this replica's disk is full: it would refuse
 // all new work, although most others can store it.
-func (l *Leader) yield() {
-	if l.full && l.Yield != nil {
-		l.Yield()
+func (l *Leader) offerLeadership() {
+	if l.diskFull && l.TransferLeadership != nil {
+		l.TransferLeadership()
 	}
 }
--- a/internal/control/leader/meter.go
+++ b/internal/control/leader/meter.go
@@ -9,69 +9,69 @@
 	basemeter "gypsumreel/internal/base/meter"
 )
 
-// meter holds the control thread's metrics.
-type meter struct {
-	placements *metrics.Counter
-	decisions  *metrics.Counter
-	preempted  *metrics.Counter
-	lost       *metrics.Counter
-	refused    *metrics.Counter
-	accepted   *metrics.Counter
-	commits    *metrics.PrometheusHistogram
+// controlMetrics holds the control thread's metrics.
+type controlMetrics struct {
+	placements    *metrics.Counter
+	decisions     *metrics.Counter
+	preemptions   *metrics.Counter
+	lostAttempts  *metrics.Counter
+	refusedJobs   *metrics.Counter
+	acceptedJobs  *metrics.Counter
+	commitSeconds *metrics.PrometheusHistogram
 
-	waiting, running, held, servers atomic.Int64
+	waitingJobs, runningTasks, heldReplies, readyServers atomic.Int64
 }
 
-func newMeter(set *metrics.Set) *meter {
+func newControlMetrics(set *metrics.Set) *controlMetrics {
 	if set == nil {
 		set = metrics.NewSet()
 	}
-	counter := func(what string) *metrics.Counter { return set.GetOrCreateCounter(basemeter.Name("control", what)) }
-	m := &meter{
-		placements: counter("placements_total"), decisions: counter("decisions_total"), preempted: counter("preemptions_total"),
-		lost: counter("attempts_lost_total"), refused: counter("refused_total"), accepted: counter("accepted_total"),
-		commits: set.GetOrCreatePrometheusHistogram(basemeter.Name("control", "commit_seconds")),
+	counter := func(metric string) *metrics.Counter { return set.GetOrCreateCounter(basemeter.Name("control", metric)) }
+	m := &controlMetrics{
+		placements: counter("placements_total"), decisions: counter("decisions_total"), preemptions: counter("preemptions_total"),
+		lostAttempts: counter("attempts_lost_total"), refusedJobs: counter("refused_total"), acceptedJobs: counter("accepted_total"),
+		commitSeconds: set.GetOrCreatePrometheusHistogram(basemeter.Name("control", "commit_seconds")),
 	}
-	for what, n := range map[string]*atomic.Int64{
-		"waiting_jobs": &m.waiting, "running_tasks": &m.running, "held_replies": &m.held, "servers_ready": &m.servers,
+	for metric, n := range map[string]*atomic.Int64{
+		"waiting_jobs": &m.waitingJobs, "running_tasks": &m.runningTasks, "held_replies": &m.heldReplies, "servers_ready": &m.readyServers,
 	} {
-		set.GetOrCreateGauge(basemeter.Name("control", what), func() float64 { return float64(n.Load()) })
+		set.GetOrCreateGauge(basemeter.Name("control", metric), func() float64 { return float64(n.Load()) })
 	}
 	return m
 }
 
-// measure sets the gauges; a replica that follows shows zeros.
-func (l *Leader) measure() {
-	m := l.meter
-	if l.lead == nil {
-		for _, n := range []*atomic.Int64{&m.waiting, &m.running, &m.held, &m.servers} {
+// setGauges sets the gauges; a replica that follows shows zeros.
+func (l *Leader) setGauges() {
+	m := l.controlMetrics
+	if l.leadership == nil {
+		for _, n := range []*atomic.Int64{&m.waitingJobs, &m.runningTasks, &m.heldReplies, &m.readyServers} {
 			n.Store(0)
 		}
 		return
 	}
 	waiting := 0
-	for _, r := range l.st.Table().Rows() {
-		waiting += l.st.Waiting(r.Name)
+	for _, r := range l.ledger.Table().Rows() {
+		waiting += l.ledger.Waiting(r.Name)
 	}
-	m.waiting.Store(int64(waiting))
-	m.running.Store(int64(l.lead.seen.running))
-	m.held.Store(int64(len(l.lead.held)))
-	m.servers.Store(int64(l.lead.seen.ready))
+	m.waitingJobs.Store(int64(waiting))
+	m.runningTasks.Store(int64(l.leadership.reported.runningTasks))
+	m.heldReplies.Store(int64(len(l.leadership.heldReplies)))
+	m.readyServers.Store(int64(l.leadership.reported.readyServers))
 }
 
-// proposed is when commands up to an index were handed to the group.
-type proposed struct {
-	index uint64
-	at    time.Duration
+// inFlightProposal is when commands up to an index were handed to the group.
+type inFlightProposal struct {
+	lastIndex  uint64
+	proposedAt time.Duration
 }
 
-// settle measures the commits up to an index.
-func (l *Leader) settle(index uint64) {
-	ld := l.lead
+// measureCommits measures the commits up to an index.
+func (l *Leader) measureCommits(index uint64) {
+	lead := l.leadership
 	n := 0
-	for n < len(ld.proposed) && ld.proposed[n].index <= index {
-		l.meter.commits.Update((l.Now() - ld.proposed[n].at).Seconds())
+	for n < len(lead.inFlightProposals) && lead.inFlightProposals[n].lastIndex <= index {
+		l.controlMetrics.commitSeconds.Update((l.Now() - lead.inFlightProposals[n].proposedAt).Seconds())
 		n++
 	}
-	ld.proposed = ld.proposed[n:]
+	lead.inFlightProposals = lead.inFlightProposals[n:]
 }
--- a/internal/control/leader/note.go
+++ b/internal/control/leader/note.go
@@ -11,50 +11,50 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// note handles one note of the group.
-func (l *Leader) note(n group.Note) error {
+// handleNotification handles one note of the group.
+func (l *Leader) handleNotification(n group.Note) error {
 	switch n := n.(type) {
 	case group.Lead:
-		l.elected(n)
+		l.becomeLeader(n)
 	case group.Follow:
-		l.follow(n)
+		l.becomeFollower(n)
 	case group.Apply:
-		return l.apply(n.Entries)
+		return l.applyEntries(n.Entries)
 	case group.Commit:
-		if l.lead != nil {
-			l.lead.committed = max(l.lead.committed, n.Index)
-			l.settle(n.Index)
+		if l.leadership != nil {
+			l.leadership.commitIndex = max(l.leadership.commitIndex, n.Index)
+			l.measureCommits(n.Index)
 		}
 	case group.Confirmed:
-		if l.lead != nil && n.Term == l.lead.term {
-			l.lead.confirmed = max(l.lead.confirmed, n.Start)
-			l.lead.proved = true
+		if l.leadership != nil && n.Term == l.leadership.term {
+			l.leadership.confirmedAt = max(l.leadership.confirmedAt, n.Start)
+			l.leadership.leadershipConfirmed = true
 		}
 	case group.Restore:
-		return l.restore(n)
+		return l.restoreState(n)
 	case group.Members:
-		l.membersSeen(n)
-		l.members = n
+		l.logMembership(n)
+		l.membership = n
 	case group.Full:
-		l.fullSeen(n.Full)
-		l.full = n.Full
-		if l.lead != nil {
-			l.yield()
+		l.logDiskFull(n.Full)
+		l.diskFull = n.Full
+		if l.leadership != nil {
+			l.offerLeadership()
 		}
 	}
 	return nil
 }
 
-// apply takes committed entries while following.
-func (l *Leader) apply(entries []quorum.Entry) error {
+// applyEntries takes committed entries while following.
+func (l *Leader) applyEntries(entries []quorum.Entry) error {
 	for _, e := range entries {
-		if e.Index <= l.applied {
+		if e.Index <= l.appliedIndex {
 			continue
 		}
-		if e.Index != l.applied+1 {
-			return errors.Newf("the log jumps from %d to %d", l.applied, e.Index)
+		if e.Index != l.appliedIndex+1 {
+			return errors.Newf("the log jumps from %d to %d", l.appliedIndex, e.Index)
 		}
-		l.applied = e.Index
+		l.appliedIndex = e.Index
 		if e.Kind != quorum.Command {
 			continue
 		}
@@ -62,22 +62,22 @@
 		if err != nil {
 			return err
 		}
-		r := l.st.Apply(c)
+		r := l.ledger.Apply(c)
 		if _, ok := c.GetWhat().(*record.Command_Check); ok && r.Code != 0 {
-			event.Log(l.Log, event.StateDiffers, "member", l.members.Self, "index", e.Index, "digest", l.st.Digest())
+			event.Log(l.Log, event.StateDiffers, "member", l.membership.Self, "index", e.Index, "digest", l.ledger.Digest())
 			return ErrDiverged
 		}
 	}
 	return nil
 }
 
-func (l *Leader) restore(n group.Restore) error {
+func (l *Leader) restoreState(n group.Restore) error {
 	st, err := state.Decode(n.State)
 	if err != nil {
 		return err
 	}
-	l.abandon()
-	l.restored(n)
-	l.st, l.applied, l.saved = st, n.Index, n.Index
+	l.abandonSnapshot()
+	l.logRestore(n)
+	l.ledger, l.appliedIndex, l.snapshotIndex = st, n.Index, n.Index
 	return nil
 }
--- a/internal/control/leader/notice.go
+++ b/internal/control/leader/notice.go
@@ -17,66 +17,66 @@
 )
 
 const (
-	// leaderlessAfter is after how long without a leader an alarm is raised.
-	leaderlessAfter = 5 * time.Second
-	// calmAfter is after how long without a refusal an overload is over.
-	calmAfter = 10 * time.Second
-	// wave is from how many jobs on a cancellation is told as a wave.
-	wave = 100
+	// leaderlessAlarmDelay is after how long without a leader an alarm is raised.
+	leaderlessAlarmDelay = 5 * time.Second
+	// overloadQuietPeriod is after how long without a refusal an overload is over.
+	overloadQuietPeriod = 10 * time.Second
+	// cancelWaveSize is from how many jobs on a cancellation is told as a wave.
+	cancelWaveSize = 100
 )
 
-// seen is what was told of the servers and teams while this replica leads.
-type seen struct {
-	servers map[string]seenServer
-	ready   int
-	running int
+// reportedState is what was told of the servers and teams while this replica leads.
+type reportedState struct {
+	servers      map[string]reportedServer
+	readyServers int
+	runningTasks int
 	// replaying holds events back while a new planner is told the ledger.
 	replaying bool
-	// over are the teams above a limit that was lowered.
-	over map[string]bool
-	// refused is when work was last refused for overload; 0 for not lately.
-	refused time.Duration
-	faults  int
+	// teamsOverLimit are the teams above a limit that was lowered.
+	teamsOverLimit map[string]bool
+	// lastRefusalAt is when work was last refused for overload; 0 for not lately.
+	lastRefusalAt time.Duration
+	chartFaults   int
 }
 
-type seenServer struct {
+type reportedServer struct {
 	incarnation uint64
 	state       backend.State
-	drain       bool
-	empty       bool
+	drained     bool
+	idle        bool
 }
 
-func (s seenServer) schedulable() bool { return s.state == backend.Ready && !s.drain }
+func (s reportedServer) schedulable() bool { return s.state == backend.Ready && !s.drained }
 
-// serverSeen tells what changed in a server's state. It tells what was decided,
+// reportServer tells what changed in a server's state. It tells what was decided,
 // which is committed a moment later.
-func (l *Leader) serverSeen(b state.Server) {
-	ld := &l.lead.seen
-	old, known := ld.servers[b.ID]
-	next := seenServer{b.Incarnation, b.Server.State, b.Drains(), l.st.Count(b.ID) == 0}
-	ld.servers[b.ID] = next
+func (l *Leader) reportServer(b state.Server) {
+	reported := &l.leadership.reported
+	old, known := reported.servers[b.ID]
+	next := reportedServer{b.Incarnation, b.Server.State, b.Drains(), l.ledger.Count(b.ID) == 0}
+	reported.servers[b.ID] = next
 	if next.state == backend.Gone {
-		delete(ld.servers, b.ID)
+		delete(reported.servers, b.ID)
 	}
 	if known && old.schedulable() {
-		ld.ready--
+		reported.readyServers--
 	}
 	if next.schedulable() {
-		ld.ready++
+		reported.readyServers++
 	}
-	if ld.replaying {
+	if reported.replaying {
 		return
 	}
-	for _, id := range transitions(old, next, known) {
-		l.limit.Log(l.Log, id, "server", b.ID, "incarnation", b.Incarnation, "tasks", l.st.Count(b.ID))
+	for _, id := range serverEvents(old, next, known) {
+		l.logLimiter.Log(l.Log, id, "server", b.ID, "incarnation", b.Incarnation, "tasks", l.ledger.Count(b.ID))
 	}
-	if known && old.schedulable() && ld.ready == 0 {
+	if known && old.schedulable() && reported.readyServers == 0 {
 		event.Log(l.Log, event.NoServers, "server", b.ID)
 	}
 }
 
-// transitions returns the events of a server's change.
-func transitions(old, next seenServer, known bool) (out []event.ID) {
+// serverEvents returns the events of a server's change.
+func serverEvents(old, next reportedServer, known bool) (out []event.ID) {
 	switch {
 	case !known && next.state != backend.Gone:
 		out = append(out, event.ServerAnnounced)
@@ -89,7 +89,7 @@
 		out = append(out, event.ServerQuarantined)
 	case next.state == backend.Draining:
 		out = append(out, event.ServerDraining)
-	case next.state == backend.Gone && (old.state == backend.Draining || old.drain) && next.empty:
+	case next.state == backend.Gone && (old.state == backend.Draining || old.drained) && next.idle:
 		out = append(out, event.ServerLeft)
 	case next.state == backend.Gone:
 		out = append(out, event.ServerGone)
@@ -98,166 +98,166 @@
 	case old.state == backend.Quarantined:
 		out = append(out, event.ServerRestored)
 	}
-	if known && next.drain && !old.drain {
+	if known && next.drained && !old.drained {
 		out = append(out, event.ServerDraining)
 	}
-	if known && next.leaving() && next.empty && !old.leaving() {
+	if known && next.isDraining() && next.idle && !old.isDraining() {
 		out = append(out, event.ServerDrained)
 	}
 	return out
 }
 
-func (s seenServer) leaving() bool {
-	return s.state != backend.Gone && (s.drain || s.state == backend.Draining)
+func (s reportedServer) isDraining() bool {
+	return s.state != backend.Gone && (s.drained || s.state == backend.Draining)
 }
 
-// released notes that an attempt ended, and tells when a drained server is empty.
-func (l *Leader) released(t *state.Task, how state.End) {
-	ld := &l.lead.seen
-	ld.running--
-	if how.Lost || how.Failed || !how.Ran {
+// recordRelease notes that an attempt ended, and tells when a drained server is empty.
+func (l *Leader) recordRelease(t *state.Task, end state.End) {
+	reported := &l.leadership.reported
+	reported.runningTasks--
+	if end.Lost || end.Failed || !end.Ran {
 		// The task runs again and its answer counts for nothing: counted anew.
-		delete(l.lead.answers.sizes, t.ID.Job)
+		delete(l.leadership.answerCache.sizes, t.ID.Job)
 	}
-	if how.Lost {
-		l.meter.lost.Inc()
-		l.limit.Log(l.Log, event.AttemptLost, "job", t.ID.Job, "task", t.ID.Index, "attempt", t.Attempt, "server", t.Server)
+	if end.Lost {
+		l.controlMetrics.lostAttempts.Inc()
+		l.logLimiter.Log(l.Log, event.AttemptLost, "job", t.ID.Job, "task", t.ID.Index, "attempt", t.Attempt, "server", t.Server)
 	}
-	s, ok := ld.servers[t.Server]
-	if !ok || s.empty || l.st.Count(t.Server) > 0 {
+	s, ok := reported.servers[t.Server]
+	if !ok || s.idle || l.ledger.Count(t.Server) > 0 {
 		return
 	}
-	s.empty = true
-	ld.servers[t.Server] = s
-	if s.leaving() {
+	s.idle = true
+	reported.servers[t.Server] = s
+	if s.isDraining() {
 		event.Log(l.Log, event.ServerDrained, "server", t.Server)
 	}
 }
 
-func (l *Leader) placed(t *state.Task) {
-	ld := &l.lead.seen
-	ld.running++
-	if s, ok := ld.servers[t.Server]; ok && s.empty {
-		s.empty = false
-		ld.servers[t.Server] = s
+func (l *Leader) recordPlacement(t *state.Task) {
+	reported := &l.leadership.reported
+	reported.runningTasks++
+	if s, ok := reported.servers[t.Server]; ok && s.idle {
+		s.idle = false
+		reported.servers[t.Server] = s
 	}
 }
 
-// endedSeen tells of outcomes that someone has to hear of.
-func (l *Leader) endedSeen(j *state.Job) {
-	delete(l.lead.answers.sizes, j.Number)
+// recordJobEnd tells of outcomes that someone has to hear of.
+func (l *Leader) recordJobEnd(j *state.Job) {
+	delete(l.leadership.answerCache.sizes, j.Number)
 	switch {
 	case j.Outcome == v1.Outcome_OUTCOME_UNKNOWN:
-		l.limit.Log(l.Log, event.OutcomeUnknown, "team", j.Spec.Team, "job", j.Spec.ID)
+		l.logLimiter.Log(l.Log, event.OutcomeUnknown, "team", j.Spec.Team, "job", j.Spec.ID)
 	case j.Code == code.Parked:
-		l.limit.Log(l.Log, event.JobParked, "team", j.Spec.Team, "job", j.Spec.ID)
+		l.logLimiter.Log(l.Log, event.JobParked, "team", j.Spec.Team, "job", j.Spec.ID)
 	}
 }
 
-// decided tells of decisions that change what runs.
-func (l *Leader) decided(d plan.Decision) {
-	l.meter.decisions.Inc()
+// recordDecision tells of decisions that change what runs.
+func (l *Leader) recordDecision(d plan.Decision) {
+	l.controlMetrics.decisions.Inc()
 	switch d.Verb {
 	case plan.Place:
-		l.meter.placements.Add(len(d.Places))
+		l.controlMetrics.placements.Add(len(d.Places))
 	case plan.Preempt:
-		l.meter.preempted.Inc()
-		l.limit.Log(l.Log, event.Preempted, "job", d.Task.Job, "task", d.Task.Index)
+		l.controlMetrics.preemptions.Inc()
+		l.logLimiter.Log(l.Log, event.Preempted, "job", d.Task.Job, "task", d.Task.Index)
 	case plan.Throttle:
-		l.limit.Log(l.Log, event.ServerOversized, "job", d.Task.Job, "task", d.Task.Index)
+		l.logLimiter.Log(l.Log, event.ServerOversized, "job", d.Task.Job, "task", d.Task.Index)
 	}
 }
 
-// judged counts what became of a submitted job, and tells of refusals.
-func (l *Leader) judged(owner, id string, c code.Code) {
+// recordAdmission counts what became of a submitted job, and tells of refusals.
+func (l *Leader) recordAdmission(teamName, id string, c code.Code) {
 	switch c {
 	case code.OK:
-		l.meter.accepted.Inc()
+		l.controlMetrics.acceptedJobs.Inc()
 		return
 	case code.QueueFull, code.Overloaded, code.DiskFull:
-		l.lead.seen.refused = l.Now()
-		l.limit.Log(l.Log, event.Overload, "team", owner, "code", uint32(c))
+		l.leadership.reported.lastRefusalAt = l.Now()
+		l.logLimiter.Log(l.Log, event.Overload, "team", teamName, "code", uint32(c))
 	case code.NeverFits:
-		l.limit.Log(l.Log, event.JobNeverFits, "team", owner, "job", id)
+		l.logLimiter.Log(l.Log, event.JobNeverFits, "team", teamName, "job", id)
 	case code.IDReused:
-		l.limit.Log(l.Log, event.IDReused, "team", owner, "id", id)
+		l.logLimiter.Log(l.Log, event.IDReused, "team", teamName, "id", id)
 	}
-	l.meter.refused.Inc()
+	l.controlMetrics.refusedJobs.Inc()
 }
 
-// changed tells of an operator's change; before is the table it started from.
-func (l *Leader) changed(by string, req *v1.ChangeRequest, r state.Result, before []team.Row) {
+// logChange tells of an operator's change; before is the table it started from.
+func (l *Leader) logChange(keyID string, req *v1.ChangeRequest, r state.Result, before []team.Row) {
 	switch r.Code {
 	case code.OK:
 	case code.Conflict:
-		event.Log(l.Log, event.TableConflict, "key", by, "change", req.GetId(), "detail", r.Detail)
+		event.Log(l.Log, event.TableConflict, "key", keyID, "change", req.GetId(), "detail", r.Detail)
 		return
 	case code.IDReused:
-		event.Log(l.Log, event.IDReused, "key", by, "change", req.GetId())
+		event.Log(l.Log, event.IDReused, "key", keyID, "change", req.GetId())
 		return
 	default:
 		return
 	}
 	switch c := req.GetChange().(type) {
 	case *v1.ChangeRequest_Grant:
-		event.Log(l.Log, event.KeyGranted, "key", c.Grant.GetId(), "team", c.Grant.GetTeam(), "by", by)
+		event.Log(l.Log, event.KeyGranted, "key", c.Grant.GetId(), "team", c.Grant.GetTeam(), "by", keyID)
 	case *v1.ChangeRequest_Withdraw:
-		event.Log(l.Log, event.KeyWithdrawn, "key", c.Withdraw.GetId(), "by", by)
+		event.Log(l.Log, event.KeyWithdrawn, "key", c.Withdraw.GetId(), "by", keyID)
 	case *v1.ChangeRequest_Zone:
-		event.Log(l.Log, event.ZoneMarked, "zone", c.Zone.GetZone(), "drain", c.Zone.GetDrain(), "by", by)
+		event.Log(l.Log, event.ZoneMarked, "zone", c.Zone.GetZone(), "drain", c.Zone.GetDrain(), "by", keyID)
 	case *v1.ChangeRequest_Table:
-		event.Log(l.Log, event.TableChanged, "revision", r.Revision, "change", req.GetId(), "by", by)
-		l.lowered(before)
+		event.Log(l.Log, event.TableChanged, "revision", r.Revision, "change", req.GetId(), "by", keyID)
+		l.logLoweredLimits(before)
 	}
 }
 
-// lowered tells of teams that hold more than the table allows them now.
-func (l *Leader) lowered(before []team.Row) {
+// logLoweredLimits tells of teams that hold more than the table allows them now.
+func (l *Leader) logLoweredLimits(before []team.Row) {
 	for _, old := range before {
-		row, ok := l.st.Table().Row(old.Name)
-		if !ok || row.Limit == old.Limit || l.lead.seen.over[row.Name] || l.st.Held(row.Name).Within(row.Limit) {
+		row, ok := l.ledger.Table().Row(old.Name)
+		if !ok || row.Limit == old.Limit || l.leadership.reported.teamsOverLimit[row.Name] || l.ledger.Held(row.Name).Within(row.Limit) {
 			continue
 		}
-		l.lead.seen.over[row.Name] = true
-		event.Log(l.Log, event.LimitLowered, "team", row.Name, "revision", l.st.Table().Revision())
+		l.leadership.reported.teamsOverLimit[row.Name] = true
+		event.Log(l.Log, event.LimitLowered, "team", row.Name, "revision", l.ledger.Table().Revision())
 	}
 }
 
-// look tells what only shows with time.
-func (l *Leader) look(now time.Duration) {
-	ld := &l.lead.seen
-	for name := range ld.over {
-		row, ok := l.st.Table().Row(name)
-		if !ok || l.st.Held(name).Within(row.Limit) {
-			delete(ld.over, name)
+// logLimitsAndFaults tells what only shows with time.
+func (l *Leader) logLimitsAndFaults(now time.Duration) {
+	reported := &l.leadership.reported
+	for name := range reported.teamsOverLimit {
+		row, ok := l.ledger.Table().Row(name)
+		if !ok || l.ledger.Held(name).Within(row.Limit) {
+			delete(reported.teamsOverLimit, name)
 			event.Log(l.Log, event.LimitMet, "team", name)
 		}
 	}
-	if ld.refused > 0 && now-ld.refused > calmAfter {
-		ld.refused = 0
+	if reported.lastRefusalAt > 0 && now-reported.lastRefusalAt > overloadQuietPeriod {
+		reported.lastRefusalAt = 0
 		event.Log(l.Log, event.OverloadOver)
 	}
-	if n := l.st.Faults(); n > ld.faults {
+	if n := l.ledger.Faults(); n > reported.chartFaults {
 		event.Log(l.Log, event.PromiseBroken, "check", "state chart", "faults", n)
-		ld.faults = n
+		reported.chartFaults = n
 	}
 }
 
-// alone raises an alarm once when no leader is known for long.
-func (l *Leader) alone(now time.Duration) {
-	if l.silence(now) <= leaderlessAfter {
-		l.alarmed = false
+// checkLeaderless raises an alarm once when no leader is known for long.
+func (l *Leader) checkLeaderless(now time.Duration) {
+	if l.leaderlessFor(now) <= leaderlessAlarmDelay {
+		l.leaderlessLogged = false
 		return
 	}
-	if !l.alarmed {
-		l.alarmed = true
-		event.Log(l.Log, event.LeaderUnknown, "since", l.silence(now).String())
+	if !l.leaderlessLogged {
+		l.leaderlessLogged = true
+		event.Log(l.Log, event.LeaderUnknown, "since", l.leaderlessFor(now).String())
 	}
 }
 
-// membersSeen tells what a new membership changed.
-func (l *Leader) membersSeen(n group.Members) {
-	old := l.members.Members
+// logMembership tells what a new membership changed.
+func (l *Leader) logMembership(n group.Members) {
+	old := l.membership.Members
 	if len(old) == 0 {
 		return
 	}
@@ -283,42 +283,42 @@
 	}
 }
 
-// strangers tells of an attempt that a server reports and another one holds.
-func (l *Leader) strangers(b state.Server, r *v1.Report) {
-	a := attemptOf(r.GetAttempt())
-	t, ok := l.st.Task(a.ID)
+// logDuplicateAttempt tells of an attempt that a server reports and another one holds.
+func (l *Leader) logDuplicateAttempt(b state.Server, r *v1.Report) {
+	a := attemptFromMessage(r.GetAttempt())
+	t, ok := l.ledger.Task(a.ID)
 	if ok && t.Attempt == a.Number && t.Server != b.ID && t.Server != "" && r.GetStarted() {
-		l.limit.Log(l.Log, event.AttemptTwice, "job", a.Job, "task", a.Index, "attempt", a.Number, "server", b.ID, "holder", t.Server)
+		l.logLimiter.Log(l.Log, event.AttemptTwice, "job", a.Job, "task", a.Index, "attempt", a.Number, "server", b.ID, "holder", t.Server)
 	}
 }
 
-// waves tells of many cancellations at once.
-func (l *Leader) waves(owner string, c *record.Cancel) {
-	if len(c.GetJobs()) >= wave {
-		event.Log(l.Log, event.CancelWave, "team", owner, "jobs", len(c.GetJobs()))
+// logCancelWave tells of many cancellations at once.
+func (l *Leader) logCancelWave(teamName string, c *record.Cancel) {
+	if len(c.GetJobs()) >= cancelWaveSize {
+		event.Log(l.Log, event.CancelWave, "team", teamName, "jobs", len(c.GetJobs()))
 	}
 }
 
-// fullSeen tells when the disk got full, or got room again.
-func (l *Leader) fullSeen(full bool) {
+// logDiskFull tells when the disk got full, or got room again.
+func (l *Leader) logDiskFull(full bool) {
 	switch {
-	case full && !l.full:
+	case full && !l.diskFull:
 		event.Log(l.Log, event.DiskFull)
-	case !full && l.full:
+	case !full && l.diskFull:
 		event.Log(l.Log, event.DiskFree)
 	}
 }
 
-// restored tells where a state came from: the disk at the start, the leader
+// logRestore tells where a state came from: the disk at the start, the leader
 // when this replica lagged too far behind.
-func (l *Leader) restored(n group.Restore) {
+func (l *Leader) logRestore(n group.Restore) {
 	switch {
-	case !l.loaded:
-		l.loaded = true
+	case !l.stateLoaded:
+		l.stateLoaded = true
 		if n.Index > 0 {
 			event.Log(l.Log, event.SnapshotLoaded, "index", n.Index, "bytes", len(n.State))
 		}
-	case n.Index > l.applied:
+	case n.Index > l.appliedIndex:
 		event.Log(l.Log, event.SnapshotFetched, "index", n.Index, "bytes", len(n.State))
 	}
 }
--- a/internal/control/leader/operator.go
+++ b/internal/control/leader/operator.go
@@ -13,51 +13,51 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// change commits an operator's change and answers with what it came to.
-func (l *Leader) change(to Ticket, k key.Key, req *v1.ChangeRequest) {
+// applyChange commits an operator's change and answers with what it came to.
+func (l *Leader) applyChange(to ReplyTarget, k key.Key, req *v1.ChangeRequest) {
 	if req.GetId() == "" {
 		l.refuse(to, code.New(code.Malformed, "a change needs an id"))
 		return
 	}
 	if c := req.GetMember(); c != nil {
-		l.member(to, c)
+		l.handleMemberChange(to, c)
 		return
 	}
 	if c := req.GetZone(); c != nil && !l.KnowsZone(c.GetZone()) {
 		l.refuse(to, code.New(code.Unknown, "zone %q", c.GetZone()))
 		return
 	}
-	before := l.st.Table().Rows()
-	_, resent := l.st.Told(req.GetId())
-	r := l.do(&record.Command{What: &record.Command_Change{Change: &record.Change{By: k.ID, Request: req}}})
-	l.lead.dirty = true
+	before := l.ledger.Table().Rows()
+	_, resent := l.ledger.Told(req.GetId())
+	r := l.applyAndQueue(&record.Command{What: &record.Command_Change{Change: &record.Change{By: k.ID, Request: req}}})
+	l.leadership.planNeeded = true
 	if !resent {
-		l.changed(k.ID, req, r, before)
+		l.logChange(k.ID, req, r, before)
 	}
-	rep := &v1.ChangeReply{Status: status(&code.Error{Code: r.Code, Detail: r.Detail}), Revision: l.st.Table().Revision()}
+	rep := &v1.ChangeReply{Status: statusOf(&code.Error{Code: r.Code, Detail: r.Detail}), Revision: l.ledger.Table().Revision()}
 	if r.Revision > 0 {
 		rep.Revision = r.Revision
 	}
 	l.reply(to, &inner.Reply{Answer: &inner.Reply_Change{Change: rep}})
 }
 
-// show answers a read once it is proved current.
-func (l *Leader) show(to Ticket, req *v1.ShowRequest) {
-	l.read(to, func() {
-		l.reply(to, &inner.Reply{Answer: &inner.Reply_Show{Show: l.shown(req)}})
+// handleShow answers a read once it is proved current.
+func (l *Leader) handleShow(to ReplyTarget, req *v1.ShowRequest) {
+	l.runWhenConfirmed(to, func() {
+		l.reply(to, &inner.Reply{Answer: &inner.Reply_Show{Show: l.showReply(req)}})
 	})
 }
 
-func (l *Leader) shown(req *v1.ShowRequest) *v1.ShowReply {
-	rep := &v1.ShowReply{Status: &v1.Status{}, Revision: l.st.Table().Revision()}
+func (l *Leader) showReply(req *v1.ShowRequest) *v1.ShowReply {
+	rep := &v1.ShowReply{Status: &v1.Status{}, Revision: l.ledger.Table().Revision()}
 	switch req.GetPart() {
 	case v1.Part_PART_TABLE:
-		for _, r := range l.st.Table().Rows() {
+		for _, r := range l.ledger.Table().Rows() {
 			rep.Rows = append(rep.Rows, command.RowMessage(r))
-			rep.Held = append(rep.Held, command.SizeMessage(l.st.Held(r.Name)))
+			rep.Held = append(rep.Held, command.SizeMessage(l.ledger.Held(r.Name)))
 		}
 	case v1.Part_PART_KEYS:
-		for _, k := range l.st.Keys() {
+		for _, k := range l.ledger.Keys() {
 			rep.Keys = append(rep.Keys, &v1.KeyLine{Id: k.ID, Team: k.Team, Operator: k.Operator, Withdrawn: k.Withdrawn})
 		}
 	case v1.Part_PART_SERVERS:
@@ -65,28 +65,28 @@
 	case v1.Part_PART_MEMBERS:
 		rep.Members = l.memberLines()
 	case v1.Part_PART_JOBS:
-		jobs, err := l.page("", req.GetAfter(), req.GetLimit())
-		rep.Jobs, rep.Status = jobs, status(err)
+		jobs, err := l.listJobs("", req.GetAfter(), req.GetLimit())
+		rep.Jobs, rep.Status = jobs, statusOf(err)
 	case v1.Part_PART_ZONES:
 		rep.Zones = l.zoneLines()
 	default:
-		rep.Status = status(code.New(code.Malformed, "no such part"))
+		rep.Status = statusOf(code.New(code.Malformed, "no such part"))
 	}
 	return rep
 }
 
 func (l *Leader) serverLines(after string, limit uint32) []*v1.ServerLine {
 	if limit == 0 {
-		limit = maxLines
+		limit = maxPageSize
 	}
 	var out []*v1.ServerLine
-	for _, b := range l.st.Servers() {
+	for _, b := range l.ledger.Servers() {
 		if b.ID <= after || uint32(len(out)) >= limit {
 			continue
 		}
 		out = append(out, &v1.ServerLine{
-			Server: b.ID, Incarnation: b.Incarnation, State: shownState(b), Rack: b.Rack, Zone: b.Zone,
-			Capacity: command.SizeMessage(b.Capacity), Held: command.SizeMessage(b.Held), Tasks: uint32(l.st.Count(b.ID)),
+			Server: b.ID, Incarnation: b.Incarnation, State: displayedState(b), Rack: b.Rack, Zone: b.Zone,
+			Capacity: command.SizeMessage(b.Capacity), Held: command.SizeMessage(b.Held), Tasks: uint32(l.ledger.Count(b.ID)),
 		})
 	}
 	return out
@@ -97,14 +97,14 @@
 	if len(l.Zones) > 0 {
 		return slices.Contains(l.Zones, name)
 	}
-	return slices.ContainsFunc(l.st.Zones(), func(z state.Zone) bool { return z.Name == name })
+	return slices.ContainsFunc(l.ledger.Zones(), func(z state.Zone) bool { return z.Name == name })
 }
 
 func (l *Leader) zoneLines() (out []*v1.ZoneLine) {
-	for _, z := range l.st.Zones() {
+	for _, z := range l.ledger.Zones() {
 		line := &v1.ZoneLine{Zone: z.Name, Drained: z.Drained, Servers: uint32(z.Servers), Tasks: uint32(z.Tasks)}
 		if z.Drained {
-			line.Since = uint64(max(l.clock()-z.Since, 0) / time.Millisecond)
+			line.Since = uint64(max(l.ledgerTime()-z.Since, 0) / time.Millisecond)
 		}
 		out = append(out, line)
 	}
@@ -116,21 +116,21 @@
 func (l *Leader) memberLines() []*v1.MemberLine {
 	var out []*v1.MemberLine
 	var matches map[string]uint64
-	if l.Matches != nil {
-		matches = l.Matches()
+	if l.MatchIndexes != nil {
+		matches = l.MatchIndexes()
 	}
-	for _, m := range l.members.Members {
-		line := &v1.MemberLine{Name: m.ID, Role: "control", Address: m.Address, State: "voter", Leader: m.ID == l.members.Self}
+	for _, m := range l.membership.Members {
+		line := &v1.MemberLine{Name: m.ID, Role: "control", Address: m.Address, State: "voter", Leader: m.ID == l.membership.Self}
 		if m.Learner {
 			line.State = "learner"
 		}
-		if line.Leader || matches[m.ID] >= l.lead.tabled {
-			line.Revision = l.st.Table().Revision()
+		if line.Leader || matches[m.ID] >= l.leadership.tableIndex {
+			line.Revision = l.ledger.Table().Revision()
 		}
 		out = append(out, line)
 	}
-	if l.Entries != nil {
-		out = append(out, l.Entries()...)
+	if l.EntryMembers != nil {
+		out = append(out, l.EntryMembers()...)
 	}
 	return out
 }
--- a/internal/control/leader/page.go
+++ b/internal/control/leader/page.go
@@ -10,43 +10,43 @@
 
 // Bounds of a list.
 const (
-	defaultLines = 100
-	maxLines     = 1000
+	defaultPageSize = 100
+	maxPageSize     = 1000
 )
 
-// page returns a team's jobs after the one named, in the order of acceptance. An
+// listJobs returns a team's jobs after the one named, in the order of acceptance. An
 // empty owner stands for all teams, whose jobs are named TEAM/ID. A page after
 // a job that is forgotten is refused: beginning anew would give the first page
 // for ever.
-func (l *Leader) page(owner, after string, limit uint32) ([]*v1.Summary, *code.Error) {
+func (l *Leader) listJobs(teamName, after string, limit uint32) ([]*v1.Summary, *code.Error) {
 	if limit == 0 {
-		limit = defaultLines
+		limit = defaultPageSize
 	}
-	limit = min(limit, maxLines)
-	var from uint64
+	limit = min(limit, maxPageSize)
+	var afterNumber uint64
 	if after != "" {
-		j, ok := l.st.Find(requestID(owner, after))
+		j, ok := l.ledger.Find(requestID(teamName, after))
 		if !ok {
 			return nil, code.New(code.Unknown, "no job %s to list from; list anew", after)
 		}
-		from = j.Number
+		afterNumber = j.Number
 	}
 	var out []*v1.Summary
-	for _, j := range l.st.Jobs(owner) {
+	for _, j := range l.ledger.Jobs(teamName) {
 		if uint32(len(out)) == limit {
 			break
 		}
-		if j.Number > from {
-			out = append(out, summary(j))
+		if j.Number > afterNumber {
+			out = append(out, jobSummary(j))
 		}
 	}
 	return out, nil
 }
 
-func requestID(owner, name string) state.RequestID {
-	if owner != "" {
-		return state.RequestID{Team: owner, ID: name}
+func requestID(teamName, name string) state.RequestID {
+	if teamName != "" {
+		return state.RequestID{Team: teamName, ID: name}
 	}
-	of, id, _ := strings.Cut(name, "/")
-	return state.RequestID{Team: of, ID: id}
+	prefix, id, _ := strings.Cut(name, "/")
+	return state.RequestID{Team: prefix, ID: id}
 }
--- a/internal/control/leader/part.go
+++ b/internal/control/leader/part.go
@@ -10,17 +10,17 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// Part is a further part of the control thread: it decides while the replica
+// Extension is a further part of the control thread: it decides while the replica
 // leads, through the methods of the Leader below. All its methods are called on
 // the control thread.
-type Part interface {
-	// Elected is called when the replica begins to lead.
-	Elected(term uint64, elected time.Duration)
-	// Deposed is called when it leads no more; what was decided and not
+type Extension interface {
+	// OnElected is called when the replica begins to lead.
+	OnElected(term uint64, elected time.Duration)
+	// OnDeposed is called when it leads no more; what was decided and not
 	// committed is void.
-	Deposed()
-	// Turn is called at the end of each turn, before its commands are proposed.
-	Turn()
+	OnDeposed()
+	// BeforePropose is called at the end of each turn, before its commands are proposed.
+	BeforePropose()
 	// Tick is called now and then, for what is due.
 	Tick(now time.Duration)
 }
@@ -35,7 +35,7 @@
 // the log. What the ledger refuses changed nothing and is not logged. Only a
 // Part may call it, while the replica leads.
 func (l *Leader) Decide(f *record.Flow) *code.Error {
-	r := l.resolve(&record.Command{What: &record.Command_Flow{Flow: f}})
+	r := l.applyIfAccepted(&record.Command{What: &record.Command_Flow{Flow: f}})
 	if r.Code != code.OK {
 		return &code.Error{Code: r.Code, Detail: r.Detail}
 	}
@@ -45,43 +45,43 @@
 // After runs fn once everything decided so far is committed; never when the
 // replica is deposed before.
 func (l *Leader) After(fn func()) {
-	l.lead.effects = append(l.lead.effects, effect{l.lead.last, fn})
+	l.leadership.pendingEffects = append(l.leadership.pendingEffects, effect{l.leadership.lastIndex, fn})
 }
 
 // Proved runs fn once it is proved that this replica still led at a time after
 // received; never when it is deposed before.
 func (l *Leader) Proved(received time.Duration, fn func()) {
-	l.lead.reads = append(l.lead.reads, heldRead{received: received, run: fn})
+	l.leadership.pendingReads = append(l.leadership.pendingReads, pendingRead{receivedAt: received, run: fn})
 }
 
 // Leads tells whether the replica leads and a quorum confirmed so lately.
-func (l *Leader) Leads() bool { return l.lead != nil && l.current() }
+func (l *Leader) Leads() bool { return l.leadership != nil && l.isConfirmedLeader() }
 
 // Flows returns the working ledger's flows.
-func (l *Leader) Flows() *flows.Ledger { return l.st.Flows() }
+func (l *Leader) Flows() *flows.Ledger { return l.ledger.Flows() }
 
 // Clock returns the ledger's time.
-func (l *Leader) Clock() time.Duration { return l.clock() }
+func (l *Leader) Clock() time.Duration { return l.ledgerTime() }
 
 // Full tells that the journal's disk has too little room for new work.
-func (l *Leader) Full() bool { return l.full }
+func (l *Leader) Full() bool { return l.diskFull }
 
 // Members returns the membership of the control group as it is committed.
-func (l *Leader) Members() group.Members { return l.members }
+func (l *Leader) Members() group.Members { return l.membership }
 
 // Alter proposes one change of the membership; when it cannot be made now,
 // whoever asked asks again.
-func (l *Leader) Alter(m quorum.Member, remove bool) { l.alter(m, remove) }
+func (l *Leader) Alter(m quorum.Member, remove bool) { l.proposeMembership(m, remove) }
 
-// nearly is how many entries a member may lack that counts as synced: those of a
+// maxSyncLag is how many entries a member may lack that counts as synced: those of a
 // moment at full load. The group itself looks more closely before it lets a
 // learner vote.
-const nearly = 256
+const maxSyncLag = 256
 
 // Synced tells whether a member has all but the latest entries on its disk. It
 // asks the group, so it is for rare questions.
 func (l *Leader) Synced(id string) bool {
-	return l.Matches != nil && l.lead != nil && l.Matches()[id]+nearly >= l.lead.committed
+	return l.MatchIndexes != nil && l.leadership != nil && l.MatchIndexes()[id]+maxSyncLag >= l.leadership.commitIndex
 }
 
 // Post runs fn on the control thread. It may be called on any goroutine but
@@ -95,17 +95,17 @@
 	}
 }
 
-// perform runs the effects whose cause is committed.
-func (l *Leader) perform() {
-	ld := l.lead
+// runCommittedEffects runs the effects whose cause is committed.
+func (l *Leader) runCommittedEffects() {
+	lead := l.leadership
 	n := 0
-	for n < len(ld.effects) && ld.effects[n].index <= ld.committed {
-		ld.effects[n].run()
+	for n < len(lead.pendingEffects) && lead.pendingEffects[n].index <= lead.commitIndex {
+		lead.pendingEffects[n].run()
 		n++
 		l.Rest()
 	}
 	if n > 0 {
-		clear(ld.effects[:n])
-		ld.effects = ld.effects[n:]
+		clear(lead.pendingEffects[:n])
+		lead.pendingEffects = lead.pendingEffects[n:]
 	}
 }
--- a/internal/control/leader/rest_test.go
+++ b/internal/control/leader/rest_test.go
@@ -12,17 +12,17 @@
 	"gypsumreel/internal/replica/group"
 )
 
-// quiet is a group that tells nothing.
-type quiet struct{ notes chan group.Note }
+// silentGroup is a group that tells nothing.
+type silentGroup struct{ notes chan group.Note }
 
-func (quiet) Propose(group.Proposal) bool { return true }
-func (q quiet) Notes() <-chan group.Note  { return q.notes }
-func (quiet) Confirm()                    {}
-func (quiet) Compact(uint64, []byte)      {}
-func (quiet) Reload()                     {}
+func (silentGroup) Propose(group.Proposal) bool        { return true }
+func (q silentGroup) Notifications() <-chan group.Note { return q.notes }
+func (silentGroup) ConfirmLeadership()                 {}
+func (silentGroup) Compact(uint64, []byte)             {}
+func (silentGroup) Reload()                            {}
 
-// work keeps the processor busy for so long.
-func work(d time.Duration) {
+// busyLoop keeps the processor busy for so long.
+func busyLoop(d time.Duration) {
 	for begin := time.Now(); time.Since(begin) < d; {
 		continue
 	}
@@ -30,20 +30,20 @@
 
 // A leader on one processor has a long row of requests before it. A heartbeat that
 // waited for all of them would come too late, and the leader be deposed for its load.
-func TestOthersHaveTheirTurnBetweenRequests(t *testing.T) {
+func TestOtherGoroutinesRunBetweenRequests(t *testing.T) {
 	const requests = 50
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	l := leader.New()
-	l.Group, l.Now = quiet{make(chan group.Note)}, func() time.Duration { return time.Hour }
+	l.Group, l.Now = silentGroup{make(chan group.Note)}, func() time.Duration { return time.Hour }
 	held, last := make(chan struct{}), make(chan struct{})
-	ask := func(fn func()) { go func() { _ = l.Do(ctx, func(*state.State) { fn() }) }() }
+	ask := func(fn func()) { go func() { _ = l.Execute(ctx, func(*state.State) { fn() }) }() }
 	ask(func() { <-held })
 	go func() { _ = l.Run(ctx) }()
 	time.Sleep(50 * time.Millisecond)
 	for range requests {
-		ask(func() { work(100 * time.Microsecond) })
+		ask(func() { busyLoop(100 * time.Microsecond) })
 	}
 	time.Sleep(50 * time.Millisecond)
 	var turns, ended atomic.Int64
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -15,267 +15,267 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// again is after how long an order to stop is repeated while the server still
+// stopRetryInterval is after how long an order to stop is repeated while the server still
 // reports the attempt: the answer that carried it may have been lost.
-const again = time.Second
+const stopRetryInterval = time.Second
 
-// maxOrders bounds the inputs and checkpoints in one answer to a sync, in bytes,
+// maxOrderBytes bounds the inputs and checkpoints in one answer to a sync, in bytes,
 // but for the last order. A server that got dozens of tasks in one turn would
 // otherwise be sent more than its connection takes before its patience ends.
-const maxOrders = 4 << 20
+const maxOrderBytes = 4 << 20
 
 // session is what the leader knows of a server's session beyond the ledger. It
 // is rebuilt from the next sync, which is cumulative.
 type session struct {
 	incarnation uint64
-	// heard is when the latest sync came, or when this replica was elected.
-	heard  time.Duration
-	number uint64
-	// reports are the phases of the latest sync.
-	reports map[task.Attempt]v1.Phase
-	parts   map[task.Attempt]*answer.Parts
-	// sent is when an order to stop was last given.
-	sent   map[task.Attempt]time.Duration
-	slow   map[task.Attempt]bool
-	parked *Ticket
-	// until is when the parked sync is answered without orders.
-	until time.Duration
+	// lastSyncAt is when the latest sync came, or when this replica was elected.
+	lastSyncAt time.Duration
+	syncNumber uint64
+	// reportedPhases are the phases of the latest sync.
+	reportedPhases map[task.Attempt]v1.Phase
+	answerParts    map[task.Attempt]*answer.Parts
+	// stopSentAt is when an order to stop was last given.
+	stopSentAt map[task.Attempt]time.Duration
+	throttled  map[task.Attempt]bool
+	parkedSync *ReplyTarget
+	// parkedUntil is when the parked sync is answered without orders.
+	parkedUntil time.Duration
 }
 
-func (l *Leader) session(b state.Server) *session {
-	s := l.lead.servers[b.ID]
+func (l *Leader) sessionOf(b state.Server) *session {
+	s := l.leadership.sessions[b.ID]
 	if s == nil || s.incarnation != b.Incarnation {
 		s = &session{
-			incarnation: b.Incarnation, heard: l.Now(),
-			reports: map[task.Attempt]v1.Phase{}, parts: map[task.Attempt]*answer.Parts{},
-			sent: map[task.Attempt]time.Duration{}, slow: map[task.Attempt]bool{},
+			incarnation: b.Incarnation, lastSyncAt: l.Now(),
+			reportedPhases: map[task.Attempt]v1.Phase{}, answerParts: map[task.Attempt]*answer.Parts{},
+			stopSentAt: map[task.Attempt]time.Duration{}, throttled: map[task.Attempt]bool{},
 		}
-		l.lead.servers[b.ID] = s
+		l.leadership.sessions[b.ID] = s
 	}
 	return s
 }
 
-func (l *Leader) announce(to Ticket, req *v1.AnnounceRequest) {
-	r := l.do(&record.Command{What: &record.Command_Announce{Announce: &record.Announce{
+func (l *Leader) announce(to ReplyTarget, req *v1.AnnounceRequest) {
+	r := l.applyAndQueue(&record.Command{What: &record.Command_Announce{Announce: &record.Announce{
 		Server: req.GetServer(), Nonce: req.GetNonce(), Capacity: req.GetCapacity(),
 		Rack: req.GetRack(), Zone: req.GetZone(), Labels: req.GetLabels(),
 	}}})
-	st := status(&code.Error{Code: r.Code, Detail: r.Detail})
+	st := statusOf(&code.Error{Code: r.Code, Detail: r.Detail})
 	if r.Code == code.Busy {
-		st.Retry = uint64(l.Silence / time.Millisecond)
+		st.Retry = uint64(l.SyncTimeout / time.Millisecond)
 	}
-	if b, ok := l.st.Server(req.GetServer()); ok && r.Code == code.OK {
-		l.session(b).heard = to.Received
+	if b, ok := l.ledger.Server(req.GetServer()); ok && r.Code == code.OK {
+		l.sessionOf(b).lastSyncAt = to.ReceivedAt
 	}
-	rep := &v1.AnnounceReply{Status: st, Incarnation: r.Incarnation, Lease: uint64(l.Terms.Length / time.Millisecond)}
+	rep := &v1.AnnounceReply{Status: st, Incarnation: r.Incarnation, Lease: uint64(l.LeaseTerms.Length / time.Millisecond)}
 	l.reply(to, &inner.Reply{Answer: &inner.Reply_Announce{Announce: rep}})
 }
 
-func (l *Leader) leave(to Ticket, req *v1.LeaveRequest) {
-	r := l.mark(req.GetServer(), backend.Draining)
-	if b, _ := l.st.Server(req.GetServer()); b.Incarnation != req.GetIncarnation() {
+func (l *Leader) leave(to ReplyTarget, req *v1.LeaveRequest) {
+	r := l.markServer(req.GetServer(), backend.Draining)
+	if b, _ := l.ledger.Server(req.GetServer()); b.Incarnation != req.GetIncarnation() {
 		r = state.Result{Code: code.Stale}
 	}
-	l.reply(to, &inner.Reply{Answer: &inner.Reply_Leave{Leave: &v1.LeaveReply{Status: status(&code.Error{Code: r.Code})}}})
+	l.reply(to, &inner.Reply{Answer: &inner.Reply_Leave{Leave: &v1.LeaveReply{Status: statusOf(&code.Error{Code: r.Code})}}})
 }
 
 // sync takes a server's cumulative state and answers with orders and a lease,
 // at once when there are orders and otherwise when there are or patience ends.
-func (l *Leader) sync(to Ticket, req *v1.SyncRequest) {
-	b, ok := l.st.Server(req.GetServer())
+func (l *Leader) sync(to ReplyTarget, req *v1.SyncRequest) {
+	b, ok := l.ledger.Server(req.GetServer())
 	if !ok || b.Incarnation != req.GetIncarnation() || b.Server.State == backend.Gone {
-		l.syncReply(to, &v1.SyncReply{Status: status(code.New(code.Stale, "announce again")), Number: req.GetNumber()})
+		l.replySync(to, &v1.SyncReply{Status: statusOf(code.New(code.Stale, "announce again")), Number: req.GetNumber()})
 		return
 	}
-	s := l.session(b)
-	if req.GetNumber() < s.number {
+	s := l.sessionOf(b)
+	if req.GetNumber() < s.syncNumber {
 		return // a late copy of a request that the server has abandoned
 	}
-	s.number, s.heard = req.GetNumber(), max(s.heard, to.Received)
+	s.syncNumber, s.lastSyncAt = req.GetNumber(), max(s.lastSyncAt, to.ReceivedAt)
 	if b.Server.State == backend.Suspect {
-		l.mark(b.ID, backend.Ready)
+		l.markServer(b.ID, backend.Ready)
 	}
-	l.reports(b, s, req.GetReports())
-	s.parked, s.until = &to, l.until(to, req.GetPatience())
-	l.lead.updated[b.ID] = true
-	l.at(s.until, func() { l.lead.updated[b.ID] = true })
+	l.applyReports(b, s, req.GetReports())
+	s.parkedSync, s.parkedUntil = &to, l.pollDeadline(to, req.GetPatience())
+	l.leadership.updatedServers[b.ID] = true
+	l.schedule(s.parkedUntil, func() { l.leadership.updatedServers[b.ID] = true })
 }
 
-// reports takes the ends of attempts into the ledger and notes the rest.
-func (l *Leader) reports(b state.Server, s *session, rs []*v1.Report) {
-	clear(s.reports)
-	for _, r := range rs {
-		a := attemptOf(r.GetAttempt())
-		s.reports[a] = r.GetPhase()
-		l.strangers(b, r)
-		t, ok := l.st.Task(a.ID)
+// applyReports takes the ends of attempts into the ledger and notes the rest.
+func (l *Leader) applyReports(b state.Server, s *session, reports []*v1.Report) {
+	clear(s.reportedPhases)
+	for _, r := range reports {
+		a := attemptFromMessage(r.GetAttempt())
+		s.reportedPhases[a] = r.GetPhase()
+		l.logDuplicateAttempt(b, r)
+		t, ok := l.ledger.Task(a.ID)
 		if !ok || t.Attempt != a.Number || t.Server != b.ID || !t.Phase.Holds() {
 			continue
 		}
-		if l.ended(s, a, r) {
-			delete(s.parts, a)
-			delete(s.sent, a)
-			delete(s.slow, a)
+		if l.recordAttemptEnd(s, a, r) {
+			delete(s.answerParts, a)
+			delete(s.stopSentAt, a)
+			delete(s.throttled, a)
 		}
 		if r.GetUsed() != nil {
-			at := l.clock() - time.Duration(r.GetAge())*time.Millisecond
-			l.lead.planner.Use(a.ID, command.Size(r.GetUsed()), at)
+			at := l.ledgerTime() - time.Duration(r.GetAge())*time.Millisecond
+			l.leadership.planner.Use(a.ID, command.Size(r.GetUsed()), at)
 		}
 	}
 }
 
-func attemptOf(a *v1.Attempt) task.Attempt {
+func attemptFromMessage(a *v1.Attempt) task.Attempt {
 	return task.Attempt{ID: task.ID{Job: a.GetJob(), Index: a.GetTask()}, Number: a.GetNumber()}
 }
 
-// ended commits an attempt's end once its whole answer is there.
-func (l *Leader) ended(s *session, a task.Attempt, r *v1.Report) bool {
+// recordAttemptEnd commits an attempt's end once its whole answer is there.
+func (l *Leader) recordAttemptEnd(s *session, a task.Attempt, r *v1.Report) bool {
 	e := &record.End{Job: a.Job, Index: a.Index, Attempt: a.Number, Started: r.GetStarted()}
 	switch r.GetPhase() {
 	case v1.Phase_PHASE_ENDED:
-		data, ok := l.whole(s, a, r.GetChunks())
+		data, ok := l.assembleAnswer(s, a, r.GetChunks())
 		if !ok {
 			return false
 		}
-		e.Ended, e.Started, e.Exit, e.Answer = true, true, r.GetExit(), l.fitting(a.Job, data)
+		e.Ended, e.Started, e.Exit, e.Answer = true, true, r.GetExit(), l.withinAnswerLimit(a.Job, data)
 	case v1.Phase_PHASE_STOPPED:
 	case v1.Phase_PHASE_SAVED:
 		e.Started, e.Checkpoint = true, r.GetCheckpoint()
 	default:
 		return false
 	}
-	l.do(&record.Command{What: &record.Command_End{End: e}})
+	l.applyAndQueue(&record.Command{What: &record.Command_End{End: e}})
 	return true
 }
 
-// whole puts the chunks of an answer together; false while some are missing.
+// assembleAnswer puts the chunks of an answer together; false while some are missing.
 // Chunks that do not belong together are dropped, and the server sends all again.
-func (l *Leader) whole(s *session, a task.Attempt, chunks []*v1.Chunk) ([]byte, bool) {
-	p := s.parts[a]
+func (l *Leader) assembleAnswer(s *session, a task.Attempt, chunks []*v1.Chunk) ([]byte, bool) {
+	p := s.answerParts[a]
 	if p == nil {
 		p = &answer.Parts{}
-		s.parts[a] = p
+		s.answerParts[a] = p
 	}
 	for _, c := range chunks {
 		if err := p.Add(c); err != nil {
-			l.limit.Log(l.Log, event.DigestMismatch, "job", a.Job, "task", a.Index, "error", err.Error())
-			delete(s.parts, a)
+			l.logLimiter.Log(l.Log, event.DigestMismatch, "job", a.Job, "task", a.Index, "error", err.Error())
+			delete(s.answerParts, a)
 			return nil, false
 		}
 	}
 	data, ok, err := p.Whole()
 	if err != nil {
-		l.limit.Log(l.Log, event.DigestMismatch, "job", a.Job, "task", a.Index, "error", err.Error())
-		delete(s.parts, a)
+		l.logLimiter.Log(l.Log, event.DigestMismatch, "job", a.Job, "task", a.Index, "error", err.Error())
+		delete(s.answerParts, a)
 		return nil, false
 	}
 	return data, ok
 }
 
-// serveServers answers parked syncs that have orders or whose patience ended.
-func (l *Leader) serveServers() {
-	ld := l.lead
-	if len(ld.updated) == 0 {
+// answerSyncs answers parked syncs that have orders or whose patience ended.
+func (l *Leader) answerSyncs() {
+	lead := l.leadership
+	if len(lead.updatedServers) == 0 {
 		return
 	}
 	now := l.Now()
-	for id := range ld.updated {
-		delete(ld.updated, id)
-		b, ok := l.st.Server(id)
-		s := ld.servers[id]
-		if !ok || s == nil || s.parked == nil || s.incarnation != b.Incarnation {
+	for id := range lead.updatedServers {
+		delete(lead.updatedServers, id)
+		b, ok := l.ledger.Server(id)
+		s := lead.sessions[id]
+		if !ok || s == nil || s.parkedSync == nil || s.incarnation != b.Incarnation {
 			continue
 		}
-		l.recall(b, s)
-		orders := l.orders(b, s, now)
-		if len(orders) == 0 && now < s.until {
+		l.recallUnstarted(b, s)
+		orders := l.buildOrders(b, s, now)
+		if len(orders) == 0 && now < s.parkedUntil {
 			continue
 		}
-		to := *s.parked
-		s.parked = nil
-		grant := ld.book.Renew(id, ld.confirmed, to.Received)
-		l.syncReply(to, &v1.SyncReply{
-			Status: &v1.Status{}, Number: s.number, Orders: orders, Lease: uint64(grant / time.Millisecond),
+		to := *s.parkedSync
+		s.parkedSync = nil
+		grant := lead.leases.Renew(id, lead.confirmedAt, to.ReceivedAt)
+		l.replySync(to, &v1.SyncReply{
+			Status: &v1.Status{}, Number: s.syncNumber, Orders: orders, Lease: uint64(grant / time.Millisecond),
 		})
 	}
 }
 
-func (l *Leader) syncReply(to Ticket, r *v1.SyncReply) {
+func (l *Leader) replySync(to ReplyTarget, r *v1.SyncReply) {
 	l.reply(to, &inner.Reply{Answer: &inner.Reply_Sync{Sync: r}})
 }
 
-// orders lists what the server is to do, from the ledger against its latest
+// buildOrders lists what the server is to do, from the ledger against its latest
 // reports. An order that was lost shows as a difference again and is repeated.
-func (l *Leader) orders(b state.Server, s *session, now time.Duration) []*v1.Order {
+func (l *Leader) buildOrders(b state.Server, s *session, now time.Duration) []*v1.Order {
 	var out []*v1.Order
 	size := 0
-	l.st.Placed(b.ID, func(t *state.Task) {
+	l.ledger.Placed(b.ID, func(t *state.Task) {
 		if t.Incarnation != s.incarnation {
 			return
 		}
-		if size >= maxOrders {
+		if size >= maxOrderBytes {
 			return // the rest goes with the answers to the next syncs
 		}
-		if o := l.order(s, t, now); o != nil {
+		if o := l.orderForTask(s, t, now); o != nil {
 			out = append(out, o)
 			size += len(o.GetInput()) + len(o.GetCheckpoint())
 		}
 	})
-	for a, phase := range s.reports {
-		if o := l.stray(b, s, a, phase, now); o != nil {
+	for a, phase := range s.reportedPhases {
+		if o := l.orderForUnknownAttempt(b, s, a, phase, now); o != nil {
 			out = append(out, o)
 		}
 	}
 	return out
 }
 
-func (l *Leader) order(s *session, t *state.Task, now time.Duration) *v1.Order {
+func (l *Leader) orderForTask(s *session, t *state.Task, now time.Duration) *v1.Order {
 	a := t.Current()
-	_, known := s.reports[a]
-	m := attemptMessage(a)
+	_, known := s.reportedPhases[a]
+	message := attemptMessage(a)
 	switch {
-	case t.Phase == state.Stopping && s.due(a, now):
+	case t.Phase == state.Stopping && s.shouldSendStop(a, now):
 		// A server that does not know the attempt has nothing to save: the
 		// start may be lost on its way, or was never sent. It must note the
 		// stop all the same, and says that nothing was started.
 		if t.Save && known {
-			return &v1.Order{Verb: v1.Verb_VERB_CHECKPOINT, Attempt: m}
+			return &v1.Order{Verb: v1.Verb_VERB_CHECKPOINT, Attempt: message}
 		}
-		return &v1.Order{Verb: v1.Verb_VERB_STOP, Attempt: m}
+		return &v1.Order{Verb: v1.Verb_VERB_STOP, Attempt: message}
 	case t.Phase == state.Placed && !known:
-		j, _ := l.st.Job(t.ID.Job)
+		j, _ := l.ledger.Job(t.ID.Job)
 		return &v1.Order{
-			Verb: v1.Verb_VERB_START, Attempt: m, Size: command.SizeMessage(j.Spec.Size),
+			Verb: v1.Verb_VERB_START, Attempt: message, Size: command.SizeMessage(j.Spec.Size),
 			Input: j.Spec.Input, Name: j.Spec.Name, Checkpoint: t.Checkpoint,
 		}
-	case s.slow[a]:
-		delete(s.slow, a)
-		return &v1.Order{Verb: v1.Verb_VERB_THROTTLE, Attempt: m}
+	case s.throttled[a]:
+		delete(s.throttled, a)
+		return &v1.Order{Verb: v1.Verb_VERB_THROTTLE, Attempt: message}
 	}
 	return nil
 }
 
-// stray handles an attempt that the server reports and the ledger does not hold there.
-func (l *Leader) stray(b state.Server, s *session, a task.Attempt, phase v1.Phase, now time.Duration) *v1.Order {
-	if t, ok := l.st.Task(a.ID); ok && t.Attempt == a.Number && t.Server == b.ID && t.Phase.Holds() {
+// orderForUnknownAttempt handles an attempt that the server reports and the ledger does not hold there.
+func (l *Leader) orderForUnknownAttempt(b state.Server, s *session, a task.Attempt, phase v1.Phase, now time.Duration) *v1.Order {
+	if t, ok := l.ledger.Task(a.ID); ok && t.Attempt == a.Number && t.Server == b.ID && t.Phase.Holds() {
 		return nil
 	}
 	switch phase {
 	case v1.Phase_PHASE_ENDED, v1.Phase_PHASE_STOPPED, v1.Phase_PHASE_SAVED:
 		return &v1.Order{Verb: v1.Verb_VERB_FORGET, Attempt: attemptMessage(a)}
 	}
-	if !s.due(a, now) {
+	if !s.shouldSendStop(a, now) {
 		return nil
 	}
 	return &v1.Order{Verb: v1.Verb_VERB_STOP, Attempt: attemptMessage(a)}
 }
 
-// due tells whether an order to stop is to be given (again), and notes it.
-func (s *session) due(a task.Attempt, now time.Duration) bool {
-	if at, ok := s.sent[a]; ok && now-at < again {
+// shouldSendStop tells whether an order to stop is to be given (again), and notes it.
+func (s *session) shouldSendStop(a task.Attempt, now time.Duration) bool {
+	if at, ok := s.stopSentAt[a]; ok && now-at < stopRetryInterval {
 		return false
 	}
-	s.sent[a] = now
+	s.stopSentAt[a] = now
 	return true
 }
 
@@ -283,14 +283,14 @@
 	return &v1.Attempt{Job: a.Job, Task: a.Index, Number: a.Number}
 }
 
-// throttle lets the server's session know that a task is to be held to its size.
-func (l *Leader) throttle(id task.ID) {
-	t, ok := l.st.Task(id)
+// throttleTask lets the server's session know that a task is to be held to its size.
+func (l *Leader) throttleTask(id task.ID) {
+	t, ok := l.ledger.Task(id)
 	if !ok || !t.Phase.Holds() {
 		return
 	}
-	if s := l.lead.servers[t.Server]; s != nil {
-		s.slow[t.Current()] = true
-		l.lead.updated[t.Server] = true
+	if s := l.leadership.sessions[t.Server]; s != nil {
+		s.throttled[t.Current()] = true
+		l.leadership.updatedServers[t.Server] = true
 	}
 }
--- a/internal/control/leader/snapshot.go
+++ b/internal/control/leader/snapshot.go
@@ -6,73 +6,73 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// pictureStep is the number of records that one turn copies for a snapshot.
-const pictureStep = 2048
+// recordsPerStep is the number of records that one turn copies for a snapshot.
+const recordsPerStep = 2048
 
-// saving is the snapshot that is being made.
-type saving struct {
-	// picture is taken in steps, one a turn, so that no turn takes long.
-	picture *state.Picture
-	index   uint64
-	// busy tells that a snapshot is under way, from the picture's beginning on.
-	busy bool
-	// era counts the states that were dropped: a snapshot of an earlier one is void.
-	era uint64
+// snapshotProgress is the snapshot that is being made.
+type snapshotProgress struct {
+	// stateCopy is taken in steps, one a turn, so that no turn takes long.
+	stateCopy *state.Picture
+	index     uint64
+	// inProgress tells that a snapshot is under way, from the picture's beginning on.
+	inProgress bool
+	// generation counts the states that were dropped: a snapshot of an earlier one is void.
+	generation uint64
 }
 
-// snapshot goes on with the snapshot under way, or begins one when enough
+// advanceSnapshot goes on with the snapshot under way, or begins one when enough
 // commands have come since the last. The encoding, which takes long, is done
 // beside the control thread.
-func (l *Leader) snapshot() {
-	s := &l.saving
-	if !s.busy && l.applied >= l.saved+l.Snapshot {
-		s.busy, s.index, s.picture = true, l.applied, l.st.Picture()
+func (l *Leader) advanceSnapshot() {
+	progress := &l.snapshotProgress
+	if !progress.inProgress && l.appliedIndex >= l.snapshotIndex+l.SnapshotInterval {
+		progress.inProgress, progress.index, progress.stateCopy = true, l.appliedIndex, l.ledger.Picture()
 		return
 	}
-	if s.picture == nil || !s.picture.Step(pictureStep) {
+	if progress.stateCopy == nil || !progress.stateCopy.Step(recordsPerStep) {
 		return
 	}
-	p, index, era := s.picture, s.index, s.era
-	s.picture = nil
+	stateCopy, index, generation := progress.stateCopy, progress.index, progress.generation
+	progress.stateCopy = nil
 	go func() {
-		data, err := p.State().Encode()
+		data, err := stateCopy.State().Encode()
 		select {
-		case l.inbox <- func() { l.encoded(era, index, data, err) }:
+		case l.inbox <- func() { l.handOverSnapshot(generation, index, data, err) }:
 		case <-l.done:
 		}
 	}()
 }
 
-// abandon drops the snapshot under way: its state is dropped. Without this a
+// abandonSnapshot drops the snapshot under way: its state is dropped. Without this a
 // deposed leader would hand over commands that nobody agreed on, once its new
 // state has come as far as the index of the old one.
-func (l *Leader) abandon() {
-	l.saving.picture.Drop()
-	l.saving = saving{era: l.saving.era + 1}
+func (l *Leader) abandonSnapshot() {
+	l.snapshotProgress.stateCopy.Drop()
+	l.snapshotProgress = snapshotProgress{generation: l.snapshotProgress.generation + 1}
 }
 
-// encoded hands a snapshot to the group. A leader's state is ahead of what is
+// handOverSnapshot hands a snapshot to the group. A leader's state is ahead of what is
 // committed; such a snapshot waits, or a deposed leader's would hold commands
 // that nobody agreed on.
-func (l *Leader) encoded(era, index uint64, data []byte, err error) {
-	if era != l.saving.era {
+func (l *Leader) handOverSnapshot(generation, index uint64, data []byte, err error) {
+	if generation != l.snapshotProgress.generation {
 		return
 	}
 	if err != nil {
 		l.Log.Error(err, "snapshot")
-		l.saving.busy = false
+		l.snapshotProgress.inProgress = false
 		return
 	}
-	if l.lead != nil && l.lead.committed < index {
-		time.AfterFunc(tick, func() {
+	if l.leadership != nil && l.leadership.commitIndex < index {
+		time.AfterFunc(tickInterval, func() {
 			select {
-			case l.inbox <- func() { l.encoded(era, index, data, nil) }:
+			case l.inbox <- func() { l.handOverSnapshot(generation, index, data, nil) }:
 			case <-l.done:
 			}
 		})
 		return
 	}
 	l.Group.Compact(index, data)
-	l.saved = index
-	l.saving.busy = false
+	l.snapshotIndex = index
+	l.snapshotProgress.inProgress = false
 }
--- a/internal/control/leader/snapshot_test.go
+++ b/internal/control/leader/snapshot_test.go
@@ -14,27 +14,27 @@
 // other commands. Handed over now, it would bring back a job that was never
 // accepted, and only on this replica.
 func TestADeposedLeadersSnapshotIsDropped(t *testing.T) {
-	run(t, func(c *cell) {
-		c.announce("b1", 1000)
-		agreed := append([]quorum.Entry{}, c.g.entries()...)
-		c.g.hold()
-		c.ledger(func(*state.State) { c.l.Snapshot = 1 })
-		c.submit(spec("ghost"))
+	runWithLeader(t, func(c *harness) {
+		c.announceServer("b1", 1000)
+		agreed := append([]quorum.Entry{}, c.group.entries()...)
+		c.group.holdCommits()
+		c.withLedger(func(*state.State) { c.leader.SnapshotInterval = 1 })
+		c.pushSubmit(batchSpec("ghost"))
 		time.Sleep(time.Second) // the snapshot is written and waits for its commit
 		for i := range 50 {
 			index := uint64(len(agreed)) + 1
 			agreed = append(agreed, quorum.Entry{Index: index, Term: 2, Kind: quorum.Empty})
 			if i == 0 {
-				c.g.notes <- group.Follow{Term: 2, Leader: "c2/1"}
-				c.g.notes <- group.Restore{}
+				c.group.notes <- group.Follow{Term: 2, Leader: "c2/1"}
+				c.group.notes <- group.Restore{}
 			}
 		}
-		c.g.notes <- group.Apply{Entries: agreed}
+		c.group.notes <- group.Apply{Entries: agreed}
 		time.Sleep(time.Second)
-		if len(c.g.snapshots()) == 0 {
+		if len(c.group.snapshots()) == 0 {
 			t.Fatal("no snapshot of the state that was agreed on")
 		}
-		for _, data := range c.g.snapshots() {
+		for _, data := range c.group.snapshots() {
 			st, err := state.Decode(data)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/control/mailbox/mailbox.go
+++ b/internal/control/mailbox/mailbox.go
@@ -16,13 +16,13 @@
 	// MaxReplies bounds what is kept for one entry; an entry that fetches
 	// nothing for so long is dead, and its items are asked again elsewhere.
 	MaxReplies = 1 << 17
-	// MaxHeld bounds the bytes that are kept for one entry, roughly: replies may
+	// MaxBytes bounds the bytes that are kept for one entry, roughly: replies may
 	// carry chunks of answers, and thousands of them would not fit the process.
-	MaxHeld = 64 << 20
-	// MaxBatch bounds the replies of one Pull.
-	MaxBatch = 1024
-	// maxBytes bounds the bytes of one Pull, roughly.
-	maxBytes = 8 << 20
+	MaxBytes = 64 << 20
+	// MaxBatchReplies bounds the replies of one Pull.
+	MaxBatchReplies = 1024
+	// maxBatchBytes bounds the bytes of one Pull, roughly.
+	maxBatchBytes = 8 << 20
 )
 
 // Name names a mailbox: one run of one entry.
@@ -34,20 +34,20 @@
 // Mailbox queues replies with numbers from 1. It is safe for use by the control
 // thread and traffic threads at once.
 type Mailbox struct {
-	mu     sync.Mutex
-	epoch  uint64
-	first  uint64
-	queue  []*inner.Reply
-	held   int
-	wake   chan struct{}
-	wakes  uint64
-	closed bool
-	seen   time.Time
+	mu          sync.Mutex
+	epoch       uint64
+	firstNumber uint64
+	queue       []*inner.Reply
+	queuedBytes int
+	wakeup      chan struct{}
+	wakeCount   uint64
+	closed      bool
+	lastPullAt  time.Time
 }
 
 // New returns an empty mailbox of an epoch. Numbers of different epochs are not comparable.
 func New(epoch uint64) *Mailbox {
-	return &Mailbox{epoch: epoch, first: 1, wake: make(chan struct{}), seen: time.Now()}
+	return &Mailbox{epoch: epoch, firstNumber: 1, wakeup: make(chan struct{}), lastPullAt: time.Now()}
 }
 
 // Put adds a reply. It is dropped when the mailbox is closed or full; the entry
@@ -55,18 +55,18 @@
 func (m *Mailbox) Put(r *inner.Reply) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	w := weigh(r)
-	if m.closed || len(m.queue) >= MaxReplies || len(m.queue) > 0 && m.held+w > MaxHeld {
+	size := approximateSize(r)
+	if m.closed || len(m.queue) >= MaxReplies || len(m.queue) > 0 && m.queuedBytes+size > MaxBytes {
 		return
 	}
-	m.held += w
+	m.queuedBytes += size
 	m.queue = append(m.queue, r)
-	m.signal()
+	m.wakeWaiters()
 }
 
-func (m *Mailbox) signal() {
-	close(m.wake)
-	m.wake = make(chan struct{})
+func (m *Mailbox) wakeWaiters() {
+	close(m.wakeup)
+	m.wakeup = make(chan struct{})
 }
 
 // Close ends the mailbox: waiting fetches return at once.
@@ -75,7 +75,7 @@
 	defer m.mu.Unlock()
 	if !m.closed {
 		m.closed = true
-		m.signal()
+		m.wakeWaiters()
 	}
 }
 
@@ -83,44 +83,44 @@
 func (m *Mailbox) Wake() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.wakes++
-	m.signal()
+	m.wakeCount++
+	m.wakeWaiters()
 }
 
-// Wakes counts the calls of Wake, for PullOrWake.
-func (m *Mailbox) Wakes() uint64 {
+// WakeCount counts the calls of Wake, for PullOrWake.
+func (m *Mailbox) WakeCount() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.wakes
+	return m.wakeCount
 }
 
-// Idle returns how long nobody fetched.
-func (m *Mailbox) Idle() time.Duration {
+// IdleTime returns how long nobody fetched.
+func (m *Mailbox) IdleTime() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Since(m.seen)
+	return time.Since(m.lastPullAt)
 }
 
 // Batch is what one fetch returns.
 type Batch struct {
-	Epoch   uint64
-	First   uint64
-	Replies []*inner.Reply
-	Closed  bool
+	Epoch       uint64
+	FirstNumber uint64
+	Replies     []*inner.Reply
+	Closed      bool
 }
 
 // Pull drops what was acknowledged and returns what is queued; it waits for a
 // first reply until ctx ends. Replies stay until acknowledged, so a lost answer
 // to Pull loses none of them. An ack of another epoch counts for nothing.
 func (m *Mailbox) Pull(ctx context.Context, epoch, ack uint64) Batch {
-	return m.PullOrWake(ctx, epoch, ack, math.MaxUint64)
+	return m.PullUntilWake(ctx, epoch, ack, math.MaxUint64)
 }
 
-// PullOrWake is Pull, but waits only until there were more than wakes calls of Wake.
-func (m *Mailbox) PullOrWake(ctx context.Context, epoch, ack, wakes uint64) Batch {
+// PullUntilWake is Pull, but waits only until there were more than wakes calls of Wake.
+func (m *Mailbox) PullUntilWake(ctx context.Context, epoch, ack, wakeCount uint64) Batch {
 	for {
-		b, wake := m.take(epoch, ack)
-		if b.Closed || len(b.Replies) > 0 || m.Wakes() > wakes {
+		b, wake := m.dropAndCollect(epoch, ack)
+		if b.Closed || len(b.Replies) > 0 || m.WakeCount() > wakeCount {
 			return b
 		}
 		select {
@@ -131,39 +131,39 @@
 	}
 }
 
-func (m *Mailbox) take(epoch, ack uint64) (Batch, <-chan struct{}) {
+func (m *Mailbox) dropAndCollect(epoch, ack uint64) (Batch, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.seen = time.Now()
-	if epoch == m.epoch && ack >= m.first {
-		n := min(int(ack-m.first)+1, len(m.queue))
+	m.lastPullAt = time.Now()
+	if epoch == m.epoch && ack >= m.firstNumber {
+		n := min(int(ack-m.firstNumber)+1, len(m.queue))
 		for _, r := range m.queue[:n] {
-			m.held -= weigh(r)
+			m.queuedBytes -= approximateSize(r)
 		}
 		clear(m.queue[:n])
 		m.queue = m.queue[n:]
-		m.first += uint64(n)
+		m.firstNumber += uint64(n)
 	}
-	b := Batch{Epoch: m.epoch, First: m.first, Closed: m.closed}
+	b := Batch{Epoch: m.epoch, FirstNumber: m.firstNumber, Closed: m.closed}
 	size := 0
-	for _, r := range m.queue[:min(len(m.queue), MaxBatch)] {
-		size += weigh(r)
-		if size > maxBytes && len(b.Replies) > 0 {
+	for _, r := range m.queue[:min(len(m.queue), MaxBatchReplies)] {
+		size += approximateSize(r)
+		if size > maxBatchBytes && len(b.Replies) > 0 {
 			break
 		}
 		b.Replies = append(b.Replies, r)
 	}
-	return b, m.wake
+	return b, m.wakeup
 }
 
-// weigh returns roughly the bytes of the replies that can be large.
-func weigh(r *inner.Reply) int {
-	n := 256
-	n += len(r.GetWait().GetChunk().GetData())
+// approximateSize returns roughly the bytes of the replies that can be large.
+func approximateSize(r *inner.Reply) int {
+	size := 256
+	size += len(r.GetWait().GetChunk().GetData())
 	for _, o := range r.GetSync().GetOrders() {
-		n += len(o.GetInput()) + len(o.GetCheckpoint())
+		size += len(o.GetInput()) + len(o.GetCheckpoint())
 	}
-	return n
+	return size
 }
 
 // Len returns how many replies wait to be fetched or acknowledged.
--- a/internal/control/mailbox/mailbox_test.go
+++ b/internal/control/mailbox/mailbox_test.go
@@ -13,21 +13,21 @@
 	"gypsumreel/internal/control/mailbox"
 )
 
-// fetch returns the numbers of the items that a fetch brings at once.
-func fetch(m *mailbox.Mailbox, epoch, ack uint64) (first uint64, seqs []uint64) {
+// pullNow returns the numbers of the items that a fetch brings at once.
+func pullNow(m *mailbox.Mailbox, epoch, ack uint64) (first uint64, seqs []uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	b := m.Pull(ctx, epoch, ack)
 	for _, r := range b.Replies {
 		seqs = append(seqs, r.GetSeq())
 	}
-	return b.First, seqs
+	return b.FirstNumber, seqs
 }
 
 // The connection breaks under the answer to a fetch. The replies in it come
 // again, until they are acknowledged; an acknowledgement that was meant for the
 // mailbox of an earlier leader drops none of them.
-func TestALostFetchLosesNothing(t *testing.T) {
+func TestLostPullReplyLosesNoReplies(t *testing.T) {
 	m := mailbox.New(7)
 	for i := range uint64(3) {
 		m.Put(&inner.Reply{Seq: 10 + i})
@@ -43,7 +43,7 @@
 		{7, 1, 3, []uint64{12}},
 		{7, 99, 4, nil},
 	} {
-		first, got := fetch(m, c.epoch, c.ack)
+		first, got := pullNow(m, c.epoch, c.ack)
 		if diff := cmp.Diff(c.want, got); diff != "" || first != c.first {
 			t.Errorf("epoch %d ack %d: first %d: %s", c.epoch, c.ack, first, diff)
 		}
@@ -53,7 +53,7 @@
 // An entry stands still while callers fetch large answers through it. What is
 // kept for it is bounded in bytes, or the leader would run out of memory; when
 // it has fetched, there is room again.
-func TestAStalledEntryIsBounded(t *testing.T) {
+func TestMailboxOfStalledEntryIsBounded(t *testing.T) {
 	m := mailbox.New(1)
 	chunk := &v1.Chunk{Data: make([]byte, 1<<20)}
 	put := func() {
@@ -66,11 +66,11 @@
 	if full < 60 || full > 64 {
 		t.Errorf("%d MiB are kept", full)
 	}
-	_, got := fetch(m, 1, 0)
+	_, got := pullNow(m, 1, 0)
 	if len(got) == 0 || len(got) > 8 {
 		t.Errorf("one fetch brings %d MiB", len(got))
 	}
-	fetch(m, 1, uint64(len(got)))
+	pullNow(m, 1, uint64(len(got)))
 	for range 100 {
 		put()
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestAFetchWaitsAndEnds(t *testing.T) {
+func TestPullWaitsForReplyOrClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := mailbox.New(1)
 		begin := time.Now()
