--- a/internal/control/leader/answer.go
+++ b/internal/control/leader/answer.go
@@ -11,31 +11,31 @@
 // maxCachedHeads bounds the heads of answers that are kept.
 const maxCachedHeads = 4096
 
-// answers is what the leader keeps of answers beside the ledger.
-type answers struct {
-	// heads are those of answers that are being fetched, by job. A final job's
+// answerState is what the leader keeps of answers beside the ledger.
+type answerState struct {
+	// headsByJob are those of answers that are being fetched, by job. A final job's
 	// answer never changes.
-	heads map[uint64]answer.Head
-	// sizes are the bytes that jobs under way have answered so far.
-	sizes map[uint64]int
+	headsByJob map[uint64]answer.Head
+	// partialSizes are the bytes that jobs under way have answered so far.
+	partialSizes map[uint64]int
 }
 
-func newAnswers() answers {
-	return answers{heads: map[uint64]answer.Head{}, sizes: map[uint64]int{}}
+func newAnswerState() answerState {
+	return answerState{headsByJob: map[uint64]answer.Head{}, partialSizes: map[uint64]int{}}
 }
 
 // answerChunk returns one chunk of a final job's answer; nil when there is none of
 // that number. The checksum of the whole is taken once, not for every chunk.
 func (l *Leader) answerChunk(j *state.Job, number uint32) *v1.Chunk {
 	pieces := l.ledger.Pieces(j)
-	h, ok := l.leadership.answerCache.heads[j.Number]
+	h, ok := l.leadership.answerCache.headsByJob[j.Number]
 	if !ok {
 		h = answer.NewHead(pieces)
-		if len(l.leadership.answerCache.heads) >= maxCachedHeads {
-			clear(l.leadership.answerCache.heads)
+		if len(l.leadership.answerCache.headsByJob) >= maxCachedHeads {
+			clear(l.leadership.answerCache.headsByJob)
 		}
 		if answer.Count(h.Total) > 1 {
-			l.leadership.answerCache.heads[j.Number] = h
+			l.leadership.answerCache.headsByJob[j.Number] = h
 		}
 	}
 	return h.Cut(pieces, number)
@@ -52,7 +52,7 @@
 	if j.Spec.Count <= answer.MaxJob/answer.MaxTotal {
 		return data // no answers of so few tasks exceed it
 	}
-	size, ok := l.leadership.answerCache.sizes[jobNumber]
+	size, ok := l.leadership.answerCache.partialSizes[jobNumber]
 	if !ok {
 		for p := range l.ledger.Pieces(j) {
 			size += len(p)
@@ -62,6 +62,6 @@
 		l.applyAndQueue(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: jobNumber, Code: uint32(code.TooLarge)}}})
 		return nil
 	}
-	l.leadership.answerCache.sizes[jobNumber] = size + len(data)
+	l.leadership.answerCache.partialSizes[jobNumber] = size + len(data)
 	return data
 }
--- a/internal/control/leader/ask.go
+++ b/internal/control/leader/ask.go
@@ -39,13 +39,13 @@
 	}
 	switch ask := it.GetAsk().(type) {
 	case *inner.Item_Announce:
-		l.announce(to, ask.Announce)
+		l.handleAnnounce(to, ask.Announce)
 		return
 	case *inner.Item_Sync:
-		l.sync(to, ask.Sync)
+		l.handleSync(to, ask.Sync)
 		return
 	case *inner.Item_Leave:
-		l.leave(to, ask.Leave)
+		l.handleLeave(to, ask.Leave)
 		return
 	}
 	k, err := l.authorize(it.GetCredential())
@@ -94,27 +94,27 @@
 	}
 	switch ask := it.GetAsk().(type) {
 	case *inner.Item_Submit:
-		l.submit(to, k, ask.Submit)
+		l.handleSubmit(to, k, ask.Submit)
 	case *inner.Item_Wait:
 		l.handleWait(to, k, ask.Wait)
 	case *inner.Item_Cancel:
-		l.cancel(to, k, ask.Cancel)
+		l.handleCancel(to, k, ask.Cancel)
 	case *inner.Item_List:
-		l.runWhenConfirmed(to, func() { l.listOwnJobs(to, k, ask.List) })
+		l.runWhenConfirmed(to, func() { l.handleList(to, k, ask.List) })
 	case *inner.Item_Acknowledge:
-		l.acknowledge(to, k, ask.Acknowledge)
+		l.handleAcknowledge(to, k, ask.Acknowledge)
 	default:
 		l.refuse(to, code.New(code.Malformed, "empty item"))
 	}
 }
 
-func (l *Leader) submit(to ReplyTarget, k key.Key, req *v1.SubmitRequest) {
+func (l *Leader) handleSubmit(to ReplyTarget, k key.Key, req *v1.SubmitRequest) {
 	rep := &v1.SubmitReply{}
 	for _, spec := range req.GetJobs() {
 		rep.Jobs = append(rep.Jobs, l.acceptJob(k, spec))
 	}
 	l.leadership.planNeeded = true
-	l.reply(to, &inner.Reply{Answer: &inner.Reply_Submit{Submit: rep}})
+	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Submit{Submit: rep}})
 }
 
 func (l *Leader) acceptJob(k key.Key, spec *v1.Spec) *v1.Accepted {
@@ -258,10 +258,10 @@
 			return
 		}
 	}
-	l.reply(to, &inner.Reply{Answer: &inner.Reply_Wait{Wait: rep}})
+	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Wait{Wait: rep}})
 }
 
-func (l *Leader) cancel(to ReplyTarget, k key.Key, req *v1.CancelRequest) {
+func (l *Leader) handleCancel(to ReplyTarget, k key.Key, req *v1.CancelRequest) {
 	c := &record.Cancel{}
 	for _, id := range req.GetIds() {
 		if j, ok := l.ledger.Find(state.RequestID{Team: k.Team, ID: id}); ok && !j.Final() {
@@ -279,7 +279,7 @@
 	if len(c.Jobs) > 0 {
 		l.applyAndQueue(&record.Command{What: &record.Command_Cancel{Cancel: c}})
 	}
-	l.reply(to, &inner.Reply{Answer: &inner.Reply_Cancel{Cancel: &v1.CancelReply{Status: &v1.Status{}, Count: uint32(len(c.Jobs))}}})
+	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Cancel{Cancel: &v1.CancelReply{Status: &v1.Status{}, Count: uint32(len(c.Jobs))}}})
 }
 
 func hasLabels(have, want map[string]string) bool {
@@ -291,7 +291,7 @@
 	return true
 }
 
-func (l *Leader) listOwnJobs(to ReplyTarget, k key.Key, req *v1.ListRequest) {
+func (l *Leader) handleList(to ReplyTarget, k key.Key, req *v1.ListRequest) {
 	rep := &v1.ListReply{Status: &v1.Status{}}
 	if len(req.GetIds()) > 0 {
 		for _, id := range req.GetIds() {
@@ -305,7 +305,7 @@
 			rep.Status = statusOf(err)
 		}
 	}
-	l.reply(to, &inner.Reply{Answer: &inner.Reply_List{List: rep}})
+	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_List{List: rep}})
 }
 
 func jobSummary(j *state.Job) *v1.Summary {
@@ -315,7 +315,7 @@
 	}
 }
 
-func (l *Leader) acknowledge(to ReplyTarget, k key.Key, req *v1.AcknowledgeRequest) {
+func (l *Leader) handleAcknowledge(to ReplyTarget, k key.Key, req *v1.AcknowledgeRequest) {
 	f := &record.Forget{}
 	for _, id := range req.GetIds() {
 		if j, ok := l.ledger.Find(state.RequestID{Team: k.Team, ID: id}); ok && j.Final() {
@@ -325,5 +325,5 @@
 	if len(f.Jobs) > 0 {
 		l.applyAndQueue(&record.Command{What: &record.Command_Forget{Forget: f}})
 	}
-	l.reply(to, &inner.Reply{Answer: &inner.Reply_Acknowledge{Acknowledge: &v1.AcknowledgeReply{Status: &v1.Status{}}}})
+	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Acknowledge{Acknowledge: &v1.AcknowledgeReply{Status: &v1.Status{}}}})
 }
--- a/internal/control/leader/bench_test.go
+++ b/internal/control/leader/bench_test.go
@@ -21,7 +21,7 @@
 // instantGroup is a group that commits and confirms at once: what is measured is the
 // control thread alone.
 type instantGroup struct {
-	notes         chan group.Note
+	notifications chan group.Note
 	now           func() time.Duration
 	commitIndex   uint64
 	proposedBytes uint64
@@ -32,10 +32,10 @@
 		g.proposedBytes += uint64(len(c))
 	}
 	g.commitIndex = p.First + uint64(len(p.Commands)) - 1
-	g.notes <- group.Commit{Index: g.commitIndex}
+	g.notifications <- group.Commit{Index: g.commitIndex}
 	return true
 }
-func (g *instantGroup) Notifications() <-chan group.Note { return g.notes }
+func (g *instantGroup) Notifications() <-chan group.Note { return g.notifications }
 func (g *instantGroup) ConfirmLeadership()               {}
 func (g *instantGroup) Compact(uint64, []byte)           {}
 func (g *instantGroup) Reload()                          {}
@@ -46,41 +46,41 @@
 	leader      *leader.Leader
 	group       *instantGroup
 	mailbox     *mailbox.Mailbox
-	ack         uint64
+	lastPulled  uint64
 	syncNumbers []uint64
 }
 
 func newBenchmarkHarness(b *testing.B, servers int) *benchmarkHarness {
 	begin := time.Now()
-	r := &benchmarkHarness{b: b, mailbox: mailbox.New(1), syncNumbers: make([]uint64, servers)}
-	r.group = &instantGroup{notes: make(chan group.Note, 1<<16), now: func() time.Duration { return time.Since(begin) + time.Hour }}
-	r.leader = leader.New()
-	r.leader.Group, r.leader.Now = r.group, r.group.now
-	r.leader.SnapshotInterval = 1 << 62
-	r.leader.NewPlanner = func() plan.Planner { return policy.New(policy.Config{}) }
-	r.leader.RootKey = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest()}
+	h := &benchmarkHarness{b: b, mailbox: mailbox.New(1), syncNumbers: make([]uint64, servers)}
+	h.group = &instantGroup{notifications: make(chan group.Note, 1<<16), now: func() time.Duration { return time.Since(begin) + time.Hour }}
+	h.leader = leader.New()
+	h.leader.Group, h.leader.Now = h.group, h.group.now
+	h.leader.SnapshotInterval = 1 << 62
+	h.leader.NewPlanner = func() plan.Planner { return policy.New(policy.Config{}) }
+	h.leader.RootKey = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest()}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { _ = r.leader.Run(ctx); close(done) }()
+	go func() { _ = h.leader.Run(ctx); close(done) }()
 	b.Cleanup(func() { cancel(); <-done })
 	go func() {
 		for ctx.Err() == nil {
-			r.group.notes <- group.Confirmed{Term: 1, Start: r.group.now()}
+			h.group.notifications <- group.Confirmed{Term: 1, Start: h.group.now()}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
-	r.group.notes <- group.Lead{Term: 1, Elected: r.group.now()}
+	h.group.notifications <- group.Lead{Term: 1, Elected: h.group.now()}
 	time.Sleep(100 * time.Millisecond)
-	r.request(&inner.Item{Credential: &inner.Credential{Id: "op", Digest: digest()}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{Id: "t", Change: &v1.ChangeRequest_Table{Table: teamRows(960)}}}})
-	r.request(&inner.Item{Credential: &inner.Credential{Id: "op", Digest: digest()}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{Id: "k", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "team0", Digest: digest()}}}}})
+	h.request(&inner.Item{Credential: &inner.Credential{Id: "op", Digest: digest()}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{Id: "t", Change: &v1.ChangeRequest_Table{Table: teamRows(960)}}}})
+	h.request(&inner.Item{Credential: &inner.Credential{Id: "op", Digest: digest()}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{Id: "k", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "team0", Digest: digest()}}}}})
 	for i := range servers {
-		r.push(&inner.Item{Ask: &inner.Item_Announce{Announce: &v1.AnnounceRequest{
+		h.push(&inner.Item{Ask: &inner.Item_Announce{Announce: &v1.AnnounceRequest{
 			Server: serverName(i), Nonce: 1, Capacity: &v1.Size{Cpu: 32_000, Memory: 128_000, Slots: 64},
 			Rack: fmt.Sprintf("r%d", i/8), Zone: fmt.Sprintf("z%d", i%21),
 		}}})
 	}
-	r.receiveReplies(servers)
-	return r
+	h.receiveReplies(servers)
+	return h
 }
 
 func serverName(i int) string { return fmt.Sprintf("b%05d", i) }
@@ -93,38 +93,38 @@
 	return t
 }
 
-func (r *benchmarkHarness) push(items ...*inner.Item) {
-	for !r.leader.Push(leader.Batch{Mailbox: r.mailbox, ReceivedAt: r.group.now(), Items: items}) {
+func (h *benchmarkHarness) push(items ...*inner.Item) {
+	for !h.leader.Push(leader.Batch{Mailbox: h.mailbox, ReceivedAt: h.group.now(), Items: items}) {
 		time.Sleep(time.Millisecond)
 	}
 }
 
 // receiveReplies takes n replies.
-func (r *benchmarkHarness) receiveReplies(n int) (out []*inner.Reply) {
+func (h *benchmarkHarness) receiveReplies(n int) (out []*inner.Reply) {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	for len(out) < n && ctx.Err() == nil {
-		b := r.mailbox.Pull(ctx, 1, r.ack)
+		b := h.mailbox.Pull(ctx, 1, h.lastPulled)
 		if len(b.Replies) > 0 {
-			r.ack = b.FirstNumber + uint64(len(b.Replies)) - 1
+			h.lastPulled = b.FirstNumber + uint64(len(b.Replies)) - 1
 		}
 		out = append(out, b.Replies...)
 	}
 	if len(out) < n {
-		r.b.Fatalf("%d of %d replies", len(out), n)
+		h.b.Fatalf("%d of %d replies", len(out), n)
 	}
 	return out
 }
 
-func (r *benchmarkHarness) request(it *inner.Item) *inner.Reply {
-	r.push(it)
-	return r.receiveReplies(1)[0]
+func (h *benchmarkHarness) request(it *inner.Item) *inner.Reply {
+	h.push(it)
+	return h.receiveReplies(1)[0]
 }
 
-func (r *benchmarkHarness) syncItem(i int, reports ...*v1.Report) *inner.Item {
-	r.syncNumbers[i]++
+func (h *benchmarkHarness) syncItem(i int, reports ...*v1.Report) *inner.Item {
+	h.syncNumbers[i]++
 	return &inner.Item{Seq: uint64(i), Ask: &inner.Item_Sync{Sync: &v1.SyncRequest{
-		Server: serverName(i), Incarnation: 1, Number: r.syncNumbers[i], Reports: reports, Patience: 1,
+		Server: serverName(i), Incarnation: 1, Number: h.syncNumbers[i], Reports: reports, Patience: 1,
 	}}}
 }
 
@@ -133,30 +133,30 @@
 func BenchmarkJobStart(b *testing.B) {
 	for _, servers := range []int{50, 1_000, 16_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			r := newBenchmarkHarness(b, servers)
+			h := newBenchmarkHarness(b, servers)
 			b.ResetTimer()
-			const wave = 500
-			for n := 0; n < b.N; n += wave {
-				r.runJobs(n, wave)
+			const jobsPerRound = 500
+			for n := 0; n < b.N; n += jobsPerRound {
+				h.runJobs(n, jobsPerRound)
 			}
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "starts/s")
-			b.ReportMetric(float64(r.group.proposedBytes)/float64(b.N), "logbytes/start")
+			b.ReportMetric(float64(h.group.proposedBytes)/float64(b.N), "logbytes/start")
 		})
 	}
 }
 
 // runJobs submits jobs and plays their servers' parts until all have ended.
-func (r *benchmarkHarness) runJobs(firstJob, n int) {
+func (h *benchmarkHarness) runJobs(firstJob, n int) {
 	items := make([]*inner.Item, 0, n)
 	for i := range n {
 		items = append(items, &inner.Item{Credential: &inner.Credential{Id: "k", Digest: digest()}, Ask: &inner.Item_Submit{Submit: &v1.SubmitRequest{Jobs: []*v1.Spec{{
 			Id: fmt.Sprintf("j%d", firstJob+i), Kind: v1.Kind_KIND_BATCH, Name: "n", Count: 1, Size: &v1.Size{Cpu: 1000, Memory: 1000, Slots: 1},
 		}}}}})
 	}
-	r.push(items...)
-	r.receiveReplies(n)
+	h.push(items...)
+	h.receiveReplies(n)
 	tasksByServer := map[string]int{}
-	r.withLedger(func(st *state.State) {
+	h.withLedger(func(st *state.State) {
 		for _, b := range st.Servers() {
 			if n := st.Count(b.ID); n > 0 {
 				tasksByServer[b.ID] = n
@@ -167,26 +167,26 @@
 	for id := range tasksByServer {
 		var i int
 		_, _ = fmt.Sscanf(id, "b%05d", &i)
-		syncs = append(syncs, r.syncItem(i))
+		syncs = append(syncs, h.syncItem(i))
 	}
-	r.push(syncs...)
+	h.push(syncs...)
 	var ends []*inner.Item
-	for _, rep := range r.receiveReplies(len(syncs)) {
+	for _, rep := range h.receiveReplies(len(syncs)) {
 		var reports []*v1.Report
 		for _, o := range rep.GetSync().GetOrders() {
 			if o.GetVerb() == v1.Verb_VERB_START {
 				reports = append(reports, &v1.Report{Attempt: o.GetAttempt(), Phase: v1.Phase_PHASE_ENDED, Started: true, Chunks: answer.Split([]byte("done"))})
 			}
 		}
-		ends = append(ends, r.syncItem(int(rep.GetSeq()), reports...))
+		ends = append(ends, h.syncItem(int(rep.GetSeq()), reports...))
 	}
-	r.push(ends...)
-	r.receiveReplies(len(ends))
+	h.push(ends...)
+	h.receiveReplies(len(ends))
 }
 
-func (r *benchmarkHarness) withLedger(fn func(*state.State)) {
-	if err := r.leader.Execute(context.Background(), fn); err != nil {
-		r.b.Fatal(err)
+func (h *benchmarkHarness) withLedger(fn func(*state.State)) {
+	if err := h.leader.Execute(context.Background(), fn); err != nil {
+		h.b.Fatal(err)
 	}
 }
 
@@ -195,19 +195,19 @@
 func BenchmarkIdleSync(b *testing.B) {
 	for _, servers := range []int{50, 1_000, 16_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			r := newBenchmarkHarness(b, servers)
+			h := newBenchmarkHarness(b, servers)
 			b.ResetTimer()
 			for n := 0; n < b.N; n += servers {
 				items := make([]*inner.Item, 0, servers)
 				for i := range servers {
-					items = append(items, r.syncItem(i))
+					items = append(items, h.syncItem(i))
 				}
 				for len(items) > 0 {
 					k := min(len(items), 500)
-					r.push(items[:k]...)
+					h.push(items[:k]...)
 					items = items[k:]
 				}
-				r.receiveReplies(servers)
+				h.receiveReplies(servers)
 			}
 		})
 	}
@@ -221,7 +221,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			r := newBenchmarkHarness(b, 16_000*running/70_000)
+			h := newBenchmarkHarness(b, 16_000*running/70_000)
 			for n := 0; n < running; n += 500 {
 				items := make([]*inner.Item, 0, 500)
 				for i := range 500 {
@@ -229,27 +229,27 @@
 						Id: fmt.Sprintf("j%d", n+i), Kind: v1.Kind_KIND_BATCH, Name: "n", Count: 1, Size: &v1.Size{Cpu: 1000, Memory: 1000, Slots: 1},
 					}}}}})
 				}
-				r.push(items...)
-				r.receiveReplies(500)
+				h.push(items...)
+				h.receiveReplies(500)
 			}
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			b.ResetTimer()
 			var size int
-			var pause, copied, wrote, read time.Duration
+			var totalPause, copyTime, encodeTime, decodeTime time.Duration
 			for range b.N {
-				r.withLedger(func(st *state.State) {
+				h.withLedger(func(st *state.State) {
 					t0 := time.Now()
 					p := st.Picture()
-					longest := time.Since(t0)
+					longestPause := time.Since(t0)
 					for done := false; !done; {
 						begin := time.Now()
 						done = p.Step(2048)
-						longest = max(longest, time.Since(begin))
+						longestPause = max(longestPause, time.Since(begin))
 					}
 					c := p.State()
 					t1 := time.Now()
-					pause += longest
+					totalPause += longestPause
 					data, err := c.Encode()
 					t2 := time.Now()
 					if err != nil {
@@ -259,20 +259,20 @@
 						b.Fatal(err)
 					}
 					size = len(data)
-					copied, wrote, read = copied+t1.Sub(t0), wrote+t2.Sub(t1), read+time.Since(t2)
+					copyTime, encodeTime, decodeTime = copyTime+t1.Sub(t0), encodeTime+t2.Sub(t1), decodeTime+time.Since(t2)
 				})
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(1<<20), "MiB/heap")
 			ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 / float64(b.N) }
 			begin := time.Now()
-			if _, err := r.leader.Inspect(context.Background()); err != nil {
+			if _, err := h.leader.Inspect(context.Background()); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportMetric(float64(time.Since(begin).Microseconds())/1000, "ms/view")
-			b.ReportMetric(ms(pause), "ms/pause")
-			b.ReportMetric(ms(copied), "ms/copy")
-			b.ReportMetric(ms(wrote), "ms/encode")
-			b.ReportMetric(ms(read), "ms/decode")
+			b.ReportMetric(ms(totalPause), "ms/pause")
+			b.ReportMetric(ms(copyTime), "ms/copy")
+			b.ReportMetric(ms(encodeTime), "ms/encode")
+			b.ReportMetric(ms(decodeTime), "ms/decode")
 			b.ReportMetric(float64(size)/float64(1<<20), "MiB/snapshot")
 		})
 	}
--- a/internal/control/leader/clock_test.go
+++ b/internal/control/leader/clock_test.go
@@ -12,25 +12,25 @@
 // jumped ahead was elected, and the ledger's time, which never goes back, with it.
 // It goes on from the ledger until the others have told what time it is.
 func TestLeaderClockJumpDoesNotMoveLedgerTime(t *testing.T) {
-	runWithLeader(t, func(c *harness) {
-		var heard bool
-		on := func(fn func(*state.State)) {
-			if err := c.leader.Execute(context.Background(), fn); err != nil {
+	runWithLeader(t, func(h *harness) {
+		var timeAgreed bool
+		onControlThread := func(fn func(*state.State)) {
+			if err := h.leader.Execute(context.Background(), fn); err != nil {
 				t.Fatal(err)
 			}
 		}
-		on(func(*state.State) {
-			c.leader.WallClock = func() time.Time { return time.Now().Add(time.Hour) }
-			c.leader.AgreedTime = func(time.Duration) (time.Duration, bool) { return time.Duration(time.Now().UnixNano()), heard }
+		onControlThread(func(*state.State) {
+			h.leader.WallClock = func() time.Time { return time.Now().Add(time.Hour) }
+			h.leader.AgreedTime = func(time.Duration) (time.Duration, bool) { return time.Duration(time.Now().UnixNano()), timeAgreed }
 		})
-		c.elect(2)
-		for _, told := range []bool{false, true} {
-			on(func(*state.State) { heard = told })
+		h.elect(2)
+		for _, agreed := range []bool{false, true} {
+			onControlThread(func(*state.State) { timeAgreed = agreed })
 			time.Sleep(time.Second)
-			c.submitAndReply(batchSpec(map[bool]string{false: "before", true: "after"}[told]))
-			on(func(st *state.State) {
-				if off := st.At() - time.Duration(time.Now().UnixNano()); off > 0 || off < -2*time.Second {
-					t.Errorf("told %v: the ledger's time is off by %v", told, off)
+			h.submitAndReply(batchSpec(map[bool]string{false: "before", true: "after"}[agreed]))
+			onControlThread(func(st *state.State) {
+				if offset := st.At() - time.Duration(time.Now().UnixNano()); offset > 0 || offset < -2*time.Second {
+					t.Errorf("told %v: the ledger's time is off by %v", agreed, offset)
 				}
 			})
 		}
--- a/internal/control/leader/decide.go
+++ b/internal/control/leader/decide.go
@@ -127,15 +127,15 @@
 }
 
 // ledgerWatcher tells planner, sessions and waiters what a command changed.
-type ledgerWatcher struct{ l *Leader }
+type ledgerWatcher struct{ leader *Leader }
 
 var _ state.Watch = ledgerWatcher{}
 
 // Table passes a new revision on.
 func (w ledgerWatcher) Table(t table.Table) {
-	w.l.leadership.planner.SetTable(t)
-	w.l.leadership.tableIndex = w.l.leadership.lastIndex + 1 // do counts the command once it is applied
-	w.l.leadership.planNeeded = true
+	w.leader.leadership.planner.SetTable(t)
+	w.leader.leadership.tableIndex = w.leader.leadership.lastIndex + 1 // do counts the command once it is applied
+	w.leader.leadership.planNeeded = true
 }
 
 // Server passes a changed server on; a drained one shows as draining.
@@ -144,31 +144,31 @@
 	if b.Drains() && s.State != backend.Gone {
 		s.State = backend.Draining
 	}
-	w.l.leadership.planner.SetServer(s)
-	w.l.reportServer(b)
-	w.l.leadership.planNeeded = true
+	w.leader.leadership.planner.SetServer(s)
+	w.leader.reportServer(b)
+	w.leader.leadership.planNeeded = true
 }
 
 // Queue passes a waiting task on.
 func (w ledgerWatcher) Queue(j *state.Job, t *state.Task) {
-	w.l.leadership.planner.Queue(plan.Queued{ID: t.ID, Job: j.Spec, Accepted: j.Accepted, Attempts: t.Attempt})
-	w.l.leadership.planNeeded = true
+	w.leader.leadership.planner.Queue(plan.Queued{ID: t.ID, Job: j.Spec, Accepted: j.Accepted, Attempts: t.Attempt})
+	w.leader.leadership.planNeeded = true
 }
 
 // Unqueue passes on that a task waits no more.
-func (w ledgerWatcher) Unqueue(id task.ID) { w.l.leadership.planner.Unqueue(id) }
+func (w ledgerWatcher) Unqueue(id task.ID) { w.leader.leadership.planner.Unqueue(id) }
 
 // Hold passes a placement on and lets its server's session know.
 func (w ledgerWatcher) Hold(j *state.Job, t *state.Task) {
-	w.l.leadership.planner.Hold(heldTask(j, t))
-	w.l.recordPlacement(t)
-	w.l.leadership.updatedServers[t.Server] = true
+	w.leader.leadership.planner.Hold(heldTask(j, t))
+	w.leader.recordPlacement(t)
+	w.leader.leadership.updatedServers[t.Server] = true
 }
 
 // Stopping passes on that a task is to stop and lets its server's session know.
 func (w ledgerWatcher) Stopping(j *state.Job, t *state.Task) {
-	w.l.leadership.planner.Hold(heldTask(j, t))
-	w.l.leadership.updatedServers[t.Server] = true
+	w.leader.leadership.planner.Hold(heldTask(j, t))
+	w.leader.leadership.updatedServers[t.Server] = true
 }
 
 func heldTask(j *state.Job, t *state.Task) plan.Held {
@@ -177,15 +177,15 @@
 
 // Release passes on that an attempt runs no more.
 func (w ledgerWatcher) Release(_ *state.Job, t *state.Task, end state.End) {
-	w.l.recordRelease(t, end)
-	w.l.leadership.planner.Release(t.ID, plan.End{At: w.l.ledger.At(), Ran: end.Ran, Failed: end.Failed, Lost: end.Lost})
-	w.l.leadership.planNeeded = true
+	w.leader.recordRelease(t, end)
+	w.leader.leadership.planner.Release(t.ID, plan.End{At: w.leader.ledger.At(), Ran: end.Ran, Failed: end.Failed, Lost: end.Lost})
+	w.leader.leadership.planNeeded = true
 }
 
 // Ended wakes who waits for the job's outcome.
 func (w ledgerWatcher) Ended(j *state.Job) {
-	w.l.recordJobEnd(j)
-	w.l.answerParkedWaits(j)
+	w.leader.recordJobEnd(j)
+	w.leader.answerParkedWaits(j)
 }
 
 // checkSilentServers marks servers that went silent and ends sessions whose lease is over.
--- a/internal/control/leader/harness_test.go
+++ b/internal/control/leader/harness_test.go
@@ -25,16 +25,16 @@
 
 // fakeGroup is a group of which the test decides what commits and what is confirmed.
 type fakeGroup struct {
-	notes chan group.Note
-	now   func() time.Duration
-	mu    sync.Mutex
+	notifications chan group.Note
+	now           func() time.Duration
+	mu            sync.Mutex
 	// commitsHeld stops commits, cut stops confirmed rounds.
 	commitsHeld, confirmationsStopped bool
 	term                              uint64
 	log                               []quorum.Entry
-	committed                         uint64
-	reloads                           int
-	proposals                         int
+	commitIndex                       uint64
+	reloadCount                       int
+	proposalsMade                     int
 	// snapshotStates are the states of the snapshots that were handed over.
 	snapshotStates [][]byte
 }
@@ -42,7 +42,7 @@
 func (g *fakeGroup) Propose(p group.Proposal) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.proposals++
+	g.proposalsMade++
 	if p.Term != g.term || p.First != uint64(len(g.log))+1 {
 		return true // dropped whole, as the real one does
 	}
@@ -56,7 +56,7 @@
 }
 
 // proposalCount returns the number of proposals so far.
-func (g *fakeGroup) proposalCount() int { g.mu.Lock(); defer g.mu.Unlock(); return g.proposals }
+func (g *fakeGroup) proposalCount() int { g.mu.Lock(); defer g.mu.Unlock(); return g.proposalsMade }
 
 // holdCommits stops commits; cutOff stops confirmed rounds.
 func (g *fakeGroup) holdCommits() { g.mu.Lock(); defer g.mu.Unlock(); g.commitsHeld = true }
@@ -76,33 +76,37 @@
 }
 
 func (g *fakeGroup) commit() {
-	g.committed = uint64(len(g.log))
-	g.notes <- group.Commit{Index: g.committed}
+	g.commitIndex = uint64(len(g.log))
+	g.notifications <- group.Commit{Index: g.commitIndex}
 }
 
-func (g *fakeGroup) Notifications() <-chan group.Note { return g.notes }
+func (g *fakeGroup) Notifications() <-chan group.Note { return g.notifications }
 
 func (g *fakeGroup) ConfirmLeadership() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.confirmationsStopped {
 		select {
-		case g.notes <- group.Confirmed{Term: g.term, Start: g.now()}:
+		case g.notifications <- group.Confirmed{Term: g.term, Start: g.now()}:
 		default:
 		}
 	}
 }
 
-func (g *fakeGroup) Compact(_ uint64, data []byte) {
+func (g *fakeGroup) Compact(_ uint64, snapshot []byte) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.snapshotStates = append(g.snapshotStates, data)
+	g.snapshotStates = append(g.snapshotStates, snapshot)
 }
 
-// snapshots returns the states of the snapshots that were handed over.
-func (g *fakeGroup) snapshots() [][]byte { g.mu.Lock(); defer g.mu.Unlock(); return g.snapshotStates }
+// compactedStates returns the states of the snapshots that were handed over.
+func (g *fakeGroup) compactedStates() [][]byte {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.snapshotStates
+}
 
-func (g *fakeGroup) Reload() { g.mu.Lock(); defer g.mu.Unlock(); g.reloads++ }
+func (g *fakeGroup) Reload() { g.mu.Lock(); defer g.mu.Unlock(); g.reloadCount++ }
 
 // startTerm starts a term and returns the end of the log.
 func (g *fakeGroup) startTerm(term uint64) uint64 {
@@ -115,15 +119,15 @@
 // harness is a control thread under a fake group, an entry's mailbox, and time
 // that only passes when the test sleeps.
 type harness struct {
-	t       *testing.T
-	group   *fakeGroup
-	leader  *leader.Leader
-	mailbox *mailbox.Mailbox
-	term    uint64
-	seq     uint64
-	replies map[uint64]*inner.Reply
-	ack     uint64
-	stop    context.CancelFunc
+	t          *testing.T
+	group      *fakeGroup
+	leader     *leader.Leader
+	mailbox    *mailbox.Mailbox
+	term       uint64
+	lastSeq    uint64
+	replies    map[uint64]*inner.Reply
+	lastPulled uint64
+	stop       context.CancelFunc
 }
 
 const secret = "secret"
@@ -131,51 +135,51 @@
 func digest() []byte { d := sha256.Sum256([]byte(secret)); return d[:] }
 
 // runWithLeader gives fn a leading control thread with one team, its key and an operator's key.
-func runWithLeader(t *testing.T, fn func(*harness)) { runWithLog(t, logr.Discard(), fn) }
+func runWithLeader(t *testing.T, test func(*harness)) { runWithLog(t, logr.Discard(), test) }
 
 // runWithLog is run with a log.
-func runWithLog(t *testing.T, log logr.Logger, fn func(*harness)) {
-	runWithPlanner(t, log, func() plan.Planner { return fifo.New() }, fn)
+func runWithLog(t *testing.T, log logr.Logger, test func(*harness)) {
+	runWithPlanner(t, log, func() plan.Planner { return fifo.New() }, test)
 }
 
 // runWithPlanner is run with a log and a planner.
-func runWithPlanner(t *testing.T, log logr.Logger, planner func() plan.Planner, fn func(*harness)) {
+func runWithPlanner(t *testing.T, log logr.Logger, planner func() plan.Planner, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
 		now := func() time.Duration { return time.Since(begin) + time.Minute }
-		g := &fakeGroup{notes: make(chan group.Note, 4096), now: now, term: 1}
+		g := &fakeGroup{notifications: make(chan group.Note, 4096), now: now, term: 1}
 		ctx, cancel := context.WithCancel(context.Background())
-		c := &harness{t: t, group: g, stop: cancel, replies: map[uint64]*inner.Reply{}}
-		c.leader = c.newLeader(g)
-		c.leader.Log, c.leader.NewPlanner = log, planner
-		done := make(chan error, 1)
-		go func() { done <- c.leader.Run(ctx) }()
-		beats := make(chan struct{})
-		go func() { c.confirmPeriodically(ctx); close(beats) }()
-		c.elect(1)
-		c.applyChange("table", &v1.ChangeRequest{Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
+		h := &harness{t: t, group: g, stop: cancel, replies: map[uint64]*inner.Reply{}}
+		h.leader = h.newLeader(g)
+		h.leader.Log, h.leader.NewPlanner = log, planner
+		runResult := make(chan error, 1)
+		go func() { runResult <- h.leader.Run(ctx) }()
+		confirmationsDone := make(chan struct{})
+		go func() { h.confirmPeriodically(ctx); close(confirmationsDone) }()
+		h.elect(1)
+		h.applyChange("table", &v1.ChangeRequest{Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
 			{Row: &v1.Row{Team: "rail", Weight: 1, Queue: 10, Limit: &v1.Size{Cpu: 4000, Memory: -1, Accel: -1, Slots: -1}}},
 		}}}})
-		c.applyChange("grant", &v1.ChangeRequest{Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "rail1", Team: "rail", Digest: digest()}}})
-		fn(c)
+		h.applyChange("grant", &v1.ChangeRequest{Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "rail1", Team: "rail", Digest: digest()}}})
+		test(h)
 		cancel()
-		<-beats
-		if err := <-done; err != nil {
+		<-confirmationsDone
+		if err := <-runResult; err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-func (c *harness) newLeader(g *fakeGroup) *leader.Leader {
+func (h *harness) newLeader(g *fakeGroup) *leader.Leader {
 	l := leader.New()
 	l.Group, l.Now = g, g.now
 	l.RootKey = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest()}
 	return l
 }
 
-func (c *harness) confirmPeriodically(ctx context.Context) {
+func (h *harness) confirmPeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
-		c.group.ConfirmLeadership()
+		h.group.ConfirmLeadership()
 		select {
 		case <-time.After(100 * time.Millisecond):
 		case <-ctx.Done():
@@ -184,58 +188,58 @@
 }
 
 // elect lets the thread lead in a term, with a fresh mailbox.
-func (c *harness) elect(term uint64) {
-	c.term = term
-	c.mailbox = mailbox.New(term)
-	c.ack = 0
-	c.group.notes <- group.Lead{Term: term, Last: c.group.startTerm(term), Elected: c.group.now()}
-	c.group.ConfirmLeadership()
+func (h *harness) elect(term uint64) {
+	h.term = term
+	h.mailbox = mailbox.New(term)
+	h.lastPulled = 0
+	h.group.notifications <- group.Lead{Term: term, Last: h.group.startTerm(term), Elected: h.group.now()}
+	h.group.ConfirmLeadership()
 	synctest.Wait()
 }
 
 // push hands an item over and returns its number.
-func (c *harness) push(it *inner.Item) uint64 {
-	c.seq++
-	it.Seq = c.seq
-	if !c.leader.Push(leader.Batch{Mailbox: c.mailbox, ReceivedAt: c.group.now(), Items: []*inner.Item{it}}) {
-		c.t.Fatal("no room")
+func (h *harness) push(it *inner.Item) uint64 {
+	h.lastSeq++
+	it.Seq = h.lastSeq
+	if !h.leader.Push(leader.Batch{Mailbox: h.mailbox, ReceivedAt: h.group.now(), Items: []*inner.Item{it}}) {
+		h.t.Fatal("no room")
 	}
 	synctest.Wait()
-	return c.seq
+	return h.lastSeq
 }
 
 // replyTo returns what came for an item so far; nil when nothing did.
-func (c *harness) replyTo(seq uint64) *inner.Reply {
+func (h *harness) replyTo(seq uint64) *inner.Reply {
 	synctest.Wait()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	b := c.mailbox.Pull(ctx, c.term, c.ack)
+	b := h.mailbox.Pull(ctx, h.term, h.lastPulled)
 	for i, r := range b.Replies {
-		c.ack = b.FirstNumber + uint64(i)
-		c.replies[r.GetSeq()] = r
+		h.lastPulled = b.FirstNumber + uint64(i)
+		h.replies[r.GetSeq()] = r
 	}
-	return c.replies[seq]
+	return h.replies[seq]
 }
 
-func (c *harness) mustReply(seq uint64) *inner.Reply {
-	c.t.Helper()
-	r := c.replyTo(seq)
+func (h *harness) mustReply(seq uint64) *inner.Reply {
+	h.t.Helper()
+	r := h.replyTo(seq)
 	if r == nil {
-		c.t.Fatalf("no reply to item %d", seq)
+		h.t.Fatalf("no reply to item %d", seq)
 	}
 	return r
 }
 
-func (c *harness) credential(id string) *inner.Credential {
+func (h *harness) credential(id string) *inner.Credential {
 	return &inner.Credential{Id: id, Digest: digest()}
 }
 
-func (c *harness) applyChange(id string, req *v1.ChangeRequest) *v1.ChangeReply {
-	c.t.Helper()
+func (h *harness) applyChange(id string, req *v1.ChangeRequest) *v1.ChangeReply {
+	h.t.Helper()
 	req.Id = id
-	r := c.mustReply(c.push(&inner.Item{Credential: c.credential("op"), Ask: &inner.Item_Change{Change: req}}))
+	r := h.mustReply(h.push(&inner.Item{Credential: h.credential("op"), Ask: &inner.Item_Change{Change: req}}))
 	if r.GetStatus().GetCode() != 0 {
-		c.t.Fatalf("change %s: %v", id, r.GetStatus())
+		h.t.Fatalf("change %s: %v", id, r.GetStatus())
 	}
 	return r.GetChange()
 }
@@ -244,28 +248,28 @@
 	return &v1.Spec{Id: id, Kind: v1.Kind_KIND_BATCH, Count: 1, Size: &v1.Size{Cpu: 1000}}
 }
 
-func (c *harness) pushSubmit(s *v1.Spec) uint64 {
-	return c.push(&inner.Item{Credential: c.credential("rail1"), Ask: &inner.Item_Submit{Submit: &v1.SubmitRequest{Jobs: []*v1.Spec{s}}}})
+func (h *harness) pushSubmit(s *v1.Spec) uint64 {
+	return h.push(&inner.Item{Credential: h.credential("rail1"), Ask: &inner.Item_Submit{Submit: &v1.SubmitRequest{Jobs: []*v1.Spec{s}}}})
 }
 
-func (c *harness) submitAndReply(s *v1.Spec) *v1.Accepted {
-	c.t.Helper()
-	r := c.mustReply(c.pushSubmit(s))
+func (h *harness) submitAndReply(s *v1.Spec) *v1.Accepted {
+	h.t.Helper()
+	r := h.mustReply(h.pushSubmit(s))
 	if r.GetStatus().GetCode() != 0 {
 		return &v1.Accepted{Status: r.GetStatus()}
 	}
 	return r.GetSubmit().GetJobs()[0]
 }
 
-func (c *harness) pushWait(id string) uint64 {
-	return c.push(&inner.Item{Credential: c.credential("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: id, Patience: 1000}}})
+func (h *harness) pushWait(id string) uint64 {
+	return h.push(&inner.Item{Credential: h.credential("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: id, Patience: 1000}}})
 }
 
-func (c *harness) waitOutcome(id string) *v1.WaitReply {
-	c.t.Helper()
-	n := c.pushWait(id)
+func (h *harness) waitOutcome(id string) *v1.WaitReply {
+	h.t.Helper()
+	n := h.pushWait(id)
 	time.Sleep(1100 * time.Millisecond)
-	return c.mustReply(n).GetWait()
+	return h.mustReply(n).GetWait()
 }
 
 // testServer is a backend server's session as the test drives it.
@@ -279,15 +283,15 @@
 // zoneName is where the servers of these tests are.
 const zoneName = "zone-1"
 
-func (c *harness) announceServer(name string, cpu int64) *testServer {
-	c.t.Helper()
-	r := c.mustReply(c.push(&inner.Item{Ask: &inner.Item_Announce{Announce: &v1.AnnounceRequest{
-		Server: name, Nonce: uint64(c.group.now()), Zone: zoneName, Capacity: &v1.Size{Cpu: cpu, Memory: 1, Accel: 1, Slots: 8},
+func (h *harness) announceServer(name string, cpu int64) *testServer {
+	h.t.Helper()
+	r := h.mustReply(h.push(&inner.Item{Ask: &inner.Item_Announce{Announce: &v1.AnnounceRequest{
+		Server: name, Nonce: uint64(h.group.now()), Zone: zoneName, Capacity: &v1.Size{Cpu: cpu, Memory: 1, Accel: 1, Slots: 8},
 	}}}))
 	if n := r.GetAnnounce().GetStatus().GetCode(); n != 0 {
-		c.t.Fatalf("announce: %d", n)
+		h.t.Fatalf("announce: %d", n)
 	}
-	return &testServer{harness: c, name: name, incarnation: r.GetAnnounce().GetIncarnation()}
+	return &testServer{harness: h, name: name, incarnation: r.GetAnnounce().GetIncarnation()}
 }
 
 func (s *testServer) sendSync(reports ...*v1.Report) uint64 {
@@ -317,18 +321,18 @@
 	return out
 }
 
-func attemptReport(a *v1.Attempt, p v1.Phase) *v1.Report {
-	return &v1.Report{Attempt: a, Phase: p, Started: p != v1.Phase_PHASE_HELD}
+func attemptReport(attempt *v1.Attempt, phase v1.Phase) *v1.Report {
+	return &v1.Report{Attempt: attempt, Phase: phase, Started: phase != v1.Phase_PHASE_HELD}
 }
 
-func (c *harness) withLedger(fn func(*state.State)) {
-	c.t.Helper()
-	if err := c.leader.Execute(context.Background(), fn); err != nil {
-		c.t.Fatal(err)
+func (h *harness) withLedger(fn func(*state.State)) {
+	h.t.Helper()
+	if err := h.leader.Execute(context.Background(), fn); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
-func wantCode(t *testing.T, want code.Code, got *v1.Status) {
+func expectCode(t *testing.T, want code.Code, got *v1.Status) {
 	t.Helper()
 	if got.GetCode() != uint32(want) {
 		t.Errorf("code %d (%s), want %d", got.GetCode(), got.GetText(), want)
--- a/internal/control/leader/inspect.go
+++ b/internal/control/leader/inspect.go
@@ -106,7 +106,7 @@
 	items   []T
 }
 
-func (f *smallest[T]) add(v T) {
+func (f *smallest[T]) insert(v T) {
 	if len(f.items) == maxViewLines && f.compare(v, f.items[maxViewLines-1]) >= 0 {
 		return
 	}
@@ -119,7 +119,7 @@
 	out := smallest[TeamView]{compare: func(a, b TeamView) int { return cmp.Compare(b.Waiting, a.Waiting) }}
 	for _, r := range l.ledger.Table().Rows() {
 		if n := l.ledger.Waiting(r.Name); n > 0 {
-			out.add(TeamView{r.Name, n})
+			out.insert(TeamView{r.Name, n})
 		}
 	}
 	return out.items
@@ -129,7 +129,7 @@
 	oldest := smallest[*state.Job]{compare: func(a, b *state.Job) int { return cmp.Compare(a.Number, b.Number) }}
 	l.ledger.EachJob(func(j *state.Job) {
 		if !j.Final() && j.Waiting > 0 {
-			oldest.add(j)
+			oldest.insert(j)
 		}
 	})
 	var out []JobView
@@ -149,7 +149,7 @@
 		if !ok || b.Server.State == backend.Gone {
 			continue
 		}
-		out.add(LeaseView{id, displayedState(b), (now - s.lastSyncAt).Seconds(), l.leadership.leases.Left(id, now).Seconds(), l.ledger.Count(id)})
+		out.insert(LeaseView{id, displayedState(b), (now - s.lastSyncAt).Seconds(), l.leadership.leases.Left(id, now).Seconds(), l.ledger.Count(id)})
 	}
 	return out.items
 }
--- a/internal/control/leader/lead.go
+++ b/internal/control/leader/lead.go
@@ -54,7 +54,7 @@
 	// tableIndex is an index at which the table's current revision is in the log.
 	tableIndex  uint64
 	reported    reportedState
-	answerCache answers
+	answerCache answerState
 }
 
 // heldReply is a reply whose cause is not committed yet.
@@ -111,7 +111,7 @@
 		digestCheckedAt:   n.Elected,
 		planNeeded:        true,
 		tableIndex:        n.Last,
-		answerCache:       newAnswers(),
+		answerCache:       newAnswerState(),
 		reported:          reportedState{servers: map[string]reportedServer{}, teamsOverLimit: map[string]bool{}, chartFaults: l.ledger.Faults()},
 	}
 	l.appliedIndex = n.Last
@@ -142,7 +142,7 @@
 	for _, b := range l.ledger.Servers() {
 		ledgerWatcher{l}.Server(b)
 		if b.Server.State != backend.Gone {
-			l.sessionOf(b).lastSyncAt = l.Now()
+			l.sessionFor(b).lastSyncAt = l.Now()
 		}
 	}
 	for _, j := range l.ledger.Jobs("") {
@@ -268,15 +268,15 @@
 	return true
 }
 
-// reply answers an item once everything that the answer rests on is committed.
-func (l *Leader) reply(to ReplyTarget, r *inner.Reply) {
+// replyWhenCommitted answers an item once everything that the answer rests on is committed.
+func (l *Leader) replyWhenCommitted(to ReplyTarget, r *inner.Reply) {
 	r.Seq = to.Seq
 	l.leadership.heldReplies = append(l.leadership.heldReplies, heldReply{index: l.leadership.lastIndex, target: to, reply: r})
 }
 
 // refuse answers an item with a code alone.
 func (l *Leader) refuse(to ReplyTarget, err *code.Error) {
-	l.reply(to, &inner.Reply{Status: statusOf(err)})
+	l.replyWhenCommitted(to, &inner.Reply{Status: statusOf(err)})
 }
 
 func statusOf(err *code.Error) *v1.Status {
--- a/internal/control/leader/member.go
+++ b/internal/control/leader/member.go
@@ -49,13 +49,13 @@
 	switch {
 	case l.membershipMatches(c):
 		rep := &v1.ChangeReply{Status: &v1.Status{}, Revision: l.ledger.Table().Revision()}
-		l.reply(to, &inner.Reply{Answer: &inner.Reply_Change{Change: rep}})
+		l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Change{Change: rep}})
 	case l.Now() >= deadline:
 		event.Log(l.Log, event.MemberRefused, "member", c.GetReplica(), "remove", c.GetRemove())
 		st := statusOf(code.New(code.Busy, "not in force yet; ask again"))
 		st.Retry = uint64(promotionInterval / time.Millisecond)
 		rep := &v1.ChangeReply{Status: st, Revision: l.ledger.Table().Revision()}
-		l.reply(to, &inner.Reply{Answer: &inner.Reply_Change{Change: rep}})
+		l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Change{Change: rep}})
 	default:
 		l.schedule(l.Now()+tickInterval, func() { l.awaitMembership(to, c, deadline) })
 	}
--- a/internal/control/leader/note.go
+++ b/internal/control/leader/note.go
@@ -12,8 +12,8 @@
 )
 
 // handleNotification handles one note of the group.
-func (l *Leader) handleNotification(n group.Note) error {
-	switch n := n.(type) {
+func (l *Leader) handleNotification(notification group.Note) error {
+	switch n := notification.(type) {
 	case group.Lead:
 		l.becomeLeader(n)
 	case group.Follow:
--- a/internal/control/leader/notice.go
+++ b/internal/control/leader/notice.go
@@ -46,7 +46,7 @@
 	idle        bool
 }
 
-func (s reportedServer) schedulable() bool { return s.state == backend.Ready && !s.drained }
+func (s reportedServer) isSchedulable() bool { return s.state == backend.Ready && !s.drained }
 
 // reportServer tells what changed in a server's state. It tells what was decided,
 // which is committed a moment later.
@@ -58,10 +58,10 @@
 	if next.state == backend.Gone {
 		delete(reported.servers, b.ID)
 	}
-	if known && old.schedulable() {
+	if known && old.isSchedulable() {
 		reported.readyServers--
 	}
-	if next.schedulable() {
+	if next.isSchedulable() {
 		reported.readyServers++
 	}
 	if reported.replaying {
@@ -70,7 +70,7 @@
 	for _, id := range serverEvents(old, next, known) {
 		l.logLimiter.Log(l.Log, id, "server", b.ID, "incarnation", b.Incarnation, "tasks", l.ledger.Count(b.ID))
 	}
-	if known && old.schedulable() && reported.readyServers == 0 {
+	if known && old.isSchedulable() && reported.readyServers == 0 {
 		event.Log(l.Log, event.NoServers, "server", b.ID)
 	}
 }
@@ -117,7 +117,7 @@
 	reported.runningTasks--
 	if end.Lost || end.Failed || !end.Ran {
 		// The task runs again and its answer counts for nothing: counted anew.
-		delete(l.leadership.answerCache.sizes, t.ID.Job)
+		delete(l.leadership.answerCache.partialSizes, t.ID.Job)
 	}
 	if end.Lost {
 		l.controlMetrics.lostAttempts.Inc()
@@ -145,7 +145,7 @@
 
 // recordJobEnd tells of outcomes that someone has to hear of.
 func (l *Leader) recordJobEnd(j *state.Job) {
-	delete(l.leadership.answerCache.sizes, j.Number)
+	delete(l.leadership.answerCache.partialSizes, j.Number)
 	switch {
 	case j.Outcome == v1.Outcome_OUTCOME_UNKNOWN:
 		l.logLimiter.Log(l.Log, event.OutcomeUnknown, "team", j.Spec.Team, "job", j.Spec.ID)
@@ -155,16 +155,16 @@
 }
 
 // recordDecision tells of decisions that change what runs.
-func (l *Leader) recordDecision(d plan.Decision) {
+func (l *Leader) recordDecision(decision plan.Decision) {
 	l.controlMetrics.decisions.Inc()
-	switch d.Verb {
+	switch decision.Verb {
 	case plan.Place:
-		l.controlMetrics.placements.Add(len(d.Places))
+		l.controlMetrics.placements.Add(len(decision.Places))
 	case plan.Preempt:
 		l.controlMetrics.preemptions.Inc()
-		l.logLimiter.Log(l.Log, event.Preempted, "job", d.Task.Job, "task", d.Task.Index)
+		l.logLimiter.Log(l.Log, event.Preempted, "job", decision.Task.Job, "task", decision.Task.Index)
 	case plan.Throttle:
-		l.logLimiter.Log(l.Log, event.ServerOversized, "job", d.Task.Job, "task", d.Task.Index)
+		l.logLimiter.Log(l.Log, event.ServerOversized, "job", decision.Task.Job, "task", decision.Task.Index)
 	}
 }
 
@@ -186,7 +186,7 @@
 }
 
 // logChange tells of an operator's change; before is the table it started from.
-func (l *Leader) logChange(keyID string, req *v1.ChangeRequest, r state.Result, before []team.Row) {
+func (l *Leader) logChange(keyID string, req *v1.ChangeRequest, r state.Result, oldRows []team.Row) {
 	switch r.Code {
 	case code.OK:
 	case code.Conflict:
@@ -207,15 +207,15 @@
 		event.Log(l.Log, event.ZoneMarked, "zone", c.Zone.GetZone(), "drain", c.Zone.GetDrain(), "by", keyID)
 	case *v1.ChangeRequest_Table:
 		event.Log(l.Log, event.TableChanged, "revision", r.Revision, "change", req.GetId(), "by", keyID)
-		l.logLoweredLimits(before)
+		l.logLoweredLimits(oldRows)
 	}
 }
 
 // logLoweredLimits tells of teams that hold more than the table allows them now.
-func (l *Leader) logLoweredLimits(before []team.Row) {
-	for _, old := range before {
-		row, ok := l.ledger.Table().Row(old.Name)
-		if !ok || row.Limit == old.Limit || l.leadership.reported.teamsOverLimit[row.Name] || l.ledger.Held(row.Name).Within(row.Limit) {
+func (l *Leader) logLoweredLimits(oldRows []team.Row) {
+	for _, oldRow := range oldRows {
+		row, ok := l.ledger.Table().Row(oldRow.Name)
+		if !ok || row.Limit == oldRow.Limit || l.leadership.reported.teamsOverLimit[row.Name] || l.ledger.Held(row.Name).Within(row.Limit) {
 			continue
 		}
 		l.leadership.reported.teamsOverLimit[row.Name] = true
@@ -284,10 +284,10 @@
 }
 
 // logDuplicateAttempt tells of an attempt that a server reports and another one holds.
-func (l *Leader) logDuplicateAttempt(b state.Server, r *v1.Report) {
-	a := attemptFromMessage(r.GetAttempt())
+func (l *Leader) logDuplicateAttempt(b state.Server, report *v1.Report) {
+	a := attemptFromMessage(report.GetAttempt())
 	t, ok := l.ledger.Task(a.ID)
-	if ok && t.Attempt == a.Number && t.Server != b.ID && t.Server != "" && r.GetStarted() {
+	if ok && t.Attempt == a.Number && t.Server != b.ID && t.Server != "" && report.GetStarted() {
 		l.logLimiter.Log(l.Log, event.AttemptTwice, "job", a.Job, "task", a.Index, "attempt", a.Number, "server", b.ID, "holder", t.Server)
 	}
 }
--- a/internal/control/leader/operator.go
+++ b/internal/control/leader/operator.go
@@ -27,24 +27,24 @@
 		l.refuse(to, code.New(code.Unknown, "zone %q", c.GetZone()))
 		return
 	}
-	before := l.ledger.Table().Rows()
-	_, resent := l.ledger.Told(req.GetId())
+	oldRows := l.ledger.Table().Rows()
+	_, isResend := l.ledger.Told(req.GetId())
 	r := l.applyAndQueue(&record.Command{What: &record.Command_Change{Change: &record.Change{By: k.ID, Request: req}}})
 	l.leadership.planNeeded = true
-	if !resent {
-		l.logChange(k.ID, req, r, before)
+	if !isResend {
+		l.logChange(k.ID, req, r, oldRows)
 	}
 	rep := &v1.ChangeReply{Status: statusOf(&code.Error{Code: r.Code, Detail: r.Detail}), Revision: l.ledger.Table().Revision()}
 	if r.Revision > 0 {
 		rep.Revision = r.Revision
 	}
-	l.reply(to, &inner.Reply{Answer: &inner.Reply_Change{Change: rep}})
+	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Change{Change: rep}})
 }
 
 // handleShow answers a read once it is proved current.
 func (l *Leader) handleShow(to ReplyTarget, req *v1.ShowRequest) {
 	l.runWhenConfirmed(to, func() {
-		l.reply(to, &inner.Reply{Answer: &inner.Reply_Show{Show: l.showReply(req)}})
+		l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Show{Show: l.showReply(req)}})
 	})
 }
 
--- a/internal/control/leader/rest_test.go
+++ b/internal/control/leader/rest_test.go
@@ -13,10 +13,10 @@
 )
 
 // silentGroup is a group that tells nothing.
-type silentGroup struct{ notes chan group.Note }
+type silentGroup struct{ notifications chan group.Note }
 
 func (silentGroup) Propose(group.Proposal) bool        { return true }
-func (q silentGroup) Notifications() <-chan group.Note { return q.notes }
+func (q silentGroup) Notifications() <-chan group.Note { return q.notifications }
 func (silentGroup) ConfirmLeadership()                 {}
 func (silentGroup) Compact(uint64, []byte)             {}
 func (silentGroup) Reload()                            {}
@@ -37,17 +37,17 @@
 	defer cancel()
 	l := leader.New()
 	l.Group, l.Now = silentGroup{make(chan group.Note)}, func() time.Duration { return time.Hour }
-	held, last := make(chan struct{}), make(chan struct{})
-	ask := func(fn func()) { go func() { _ = l.Execute(ctx, func(*state.State) { fn() }) }() }
-	ask(func() { <-held })
+	released, lastRequestDone := make(chan struct{}), make(chan struct{})
+	enqueue := func(fn func()) { go func() { _ = l.Execute(ctx, func(*state.State) { fn() }) }() }
+	enqueue(func() { <-released })
 	go func() { _ = l.Run(ctx) }()
 	time.Sleep(50 * time.Millisecond)
 	for range requests {
-		ask(func() { busyLoop(100 * time.Microsecond) })
+		enqueue(func() { busyLoop(100 * time.Microsecond) })
 	}
 	time.Sleep(50 * time.Millisecond)
-	var turns, ended atomic.Int64
-	ask(func() { ended.Store(turns.Load()); close(last) })
+	var turns, turnsAtEnd atomic.Int64
+	enqueue(func() { turnsAtEnd.Store(turns.Load()); close(lastRequestDone) })
 	go func() {
 		for ctx.Err() == nil {
 			turns.Add(1)
@@ -55,10 +55,10 @@
 		}
 	}()
 	time.Sleep(50 * time.Millisecond)
-	begun := turns.Load()
-	close(held)
-	<-last
-	if got := ended.Load() - begun; got < requests/2 {
+	turnsAtStart := turns.Load()
+	close(released)
+	<-lastRequestDone
+	if got := turnsAtEnd.Load() - turnsAtStart; got < requests/2 {
 		t.Errorf("another goroutine had %d turns while %d requests were handled", got, requests)
 	}
 	cancel()
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -42,7 +42,7 @@
 	parkedUntil time.Duration
 }
 
-func (l *Leader) sessionOf(b state.Server) *session {
+func (l *Leader) sessionFor(b state.Server) *session {
 	s := l.leadership.sessions[b.ID]
 	if s == nil || s.incarnation != b.Incarnation {
 		s = &session{
@@ -55,7 +55,7 @@
 	return s
 }
 
-func (l *Leader) announce(to ReplyTarget, req *v1.AnnounceRequest) {
+func (l *Leader) handleAnnounce(to ReplyTarget, req *v1.AnnounceRequest) {
 	r := l.applyAndQueue(&record.Command{What: &record.Command_Announce{Announce: &record.Announce{
 		Server: req.GetServer(), Nonce: req.GetNonce(), Capacity: req.GetCapacity(),
 		Rack: req.GetRack(), Zone: req.GetZone(), Labels: req.GetLabels(),
@@ -65,29 +65,29 @@
 		st.Retry = uint64(l.SyncTimeout / time.Millisecond)
 	}
 	if b, ok := l.ledger.Server(req.GetServer()); ok && r.Code == code.OK {
-		l.sessionOf(b).lastSyncAt = to.ReceivedAt
+		l.sessionFor(b).lastSyncAt = to.ReceivedAt
 	}
 	rep := &v1.AnnounceReply{Status: st, Incarnation: r.Incarnation, Lease: uint64(l.LeaseTerms.Length / time.Millisecond)}
-	l.reply(to, &inner.Reply{Answer: &inner.Reply_Announce{Announce: rep}})
+	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Announce{Announce: rep}})
 }
 
-func (l *Leader) leave(to ReplyTarget, req *v1.LeaveRequest) {
+func (l *Leader) handleLeave(to ReplyTarget, req *v1.LeaveRequest) {
 	r := l.markServer(req.GetServer(), backend.Draining)
 	if b, _ := l.ledger.Server(req.GetServer()); b.Incarnation != req.GetIncarnation() {
 		r = state.Result{Code: code.Stale}
 	}
-	l.reply(to, &inner.Reply{Answer: &inner.Reply_Leave{Leave: &v1.LeaveReply{Status: statusOf(&code.Error{Code: r.Code})}}})
+	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Leave{Leave: &v1.LeaveReply{Status: statusOf(&code.Error{Code: r.Code})}}})
 }
 
-// sync takes a server's cumulative state and answers with orders and a lease,
+// handleSync takes a server's cumulative state and answers with orders and a lease,
 // at once when there are orders and otherwise when there are or patience ends.
-func (l *Leader) sync(to ReplyTarget, req *v1.SyncRequest) {
+func (l *Leader) handleSync(to ReplyTarget, req *v1.SyncRequest) {
 	b, ok := l.ledger.Server(req.GetServer())
 	if !ok || b.Incarnation != req.GetIncarnation() || b.Server.State == backend.Gone {
 		l.replySync(to, &v1.SyncReply{Status: statusOf(code.New(code.Stale, "announce again")), Number: req.GetNumber()})
 		return
 	}
-	s := l.sessionOf(b)
+	s := l.sessionFor(b)
 	if req.GetNumber() < s.syncNumber {
 		return // a late copy of a request that the server has abandoned
 	}
@@ -201,7 +201,7 @@
 }
 
 func (l *Leader) replySync(to ReplyTarget, r *v1.SyncReply) {
-	l.reply(to, &inner.Reply{Answer: &inner.Reply_Sync{Sync: r}})
+	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Sync{Sync: r}})
 }
 
 // buildOrders lists what the server is to do, from the ledger against its latest
--- a/internal/control/leader/snapshot_test.go
+++ b/internal/control/leader/snapshot_test.go
@@ -14,27 +14,27 @@
 // other commands. Handed over now, it would bring back a job that was never
 // accepted, and only on this replica.
 func TestADeposedLeadersSnapshotIsDropped(t *testing.T) {
-	runWithLeader(t, func(c *harness) {
-		c.announceServer("b1", 1000)
-		agreed := append([]quorum.Entry{}, c.group.entries()...)
-		c.group.holdCommits()
-		c.withLedger(func(*state.State) { c.leader.SnapshotInterval = 1 })
-		c.pushSubmit(batchSpec("ghost"))
+	runWithLeader(t, func(h *harness) {
+		h.announceServer("b1", 1000)
+		committedEntries := append([]quorum.Entry{}, h.group.logEntries()...)
+		h.group.holdCommits()
+		h.withLedger(func(*state.State) { h.leader.SnapshotInterval = 1 })
+		h.pushSubmit(batchSpec("ghost"))
 		time.Sleep(time.Second) // the snapshot is written and waits for its commit
 		for i := range 50 {
-			index := uint64(len(agreed)) + 1
-			agreed = append(agreed, quorum.Entry{Index: index, Term: 2, Kind: quorum.Empty})
+			index := uint64(len(committedEntries)) + 1
+			committedEntries = append(committedEntries, quorum.Entry{Index: index, Term: 2, Kind: quorum.Empty})
 			if i == 0 {
-				c.group.notes <- group.Follow{Term: 2, Leader: "c2/1"}
-				c.group.notes <- group.Restore{}
+				h.group.notifications <- group.Follow{Term: 2, Leader: "c2/1"}
+				h.group.notifications <- group.Restore{}
 			}
 		}
-		c.group.notes <- group.Apply{Entries: agreed}
+		h.group.notifications <- group.Apply{Entries: committedEntries}
 		time.Sleep(time.Second)
-		if len(c.group.snapshots()) == 0 {
+		if len(h.group.compactedStates()) == 0 {
 			t.Fatal("no snapshot of the state that was agreed on")
 		}
-		for _, data := range c.group.snapshots() {
+		for _, data := range h.group.compactedStates() {
 			st, err := state.Decode(data)
 			if err != nil {
 				t.Fatal(err)
@@ -46,5 +46,5 @@
 	})
 }
 
-// entries returns the log as it is.
-func (g *fakeGroup) entries() []quorum.Entry { g.mu.Lock(); defer g.mu.Unlock(); return g.log }
+// logEntries returns the log as it is.
+func (g *fakeGroup) logEntries() []quorum.Entry { g.mu.Lock(); defer g.mu.Unlock(); return g.log }
