--- a/internal/control/leader/answer.go
+++ b/internal/control/leader/answer.go
@@ -8,15 +8,16 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// maxCachedHeads bounds the heads of answers that are kept.
+// maxCachedHeads limits the number of cached answer heads.
 const maxCachedHeads = 4096
 
-// answerState is what the leader keeps of answers beside the ledger.
+// answerState is data about job answers that the leader keeps outside the ledger.
 type answerState struct {
-	// headsByJob are those of answers that are being fetched, by job. A final job's
-	// answer never changes.
+	// headsByJob caches the heads of answers that are being fetched, by job number. The
+	// answer of an ended job never changes.
 	headsByJob map[uint64]answer.Head
-	// partialSizes are the bytes that jobs under way have answered so far.
+	// partialSizes are the sizes in bytes of the answers that unfinished jobs have
+	// returned so far, by job number.
 	partialSizes map[uint64]int
 }
 
@@ -24,8 +25,9 @@
 	return answerState{headsByJob: map[uint64]answer.Head{}, partialSizes: map[uint64]int{}}
 }
 
-// answerChunk returns one chunk of a final job's answer; nil when there is none of
-// that number. The checksum of the whole is taken once, not for every chunk.
+// answerChunk returns one chunk of an ended job's answer, or nil when there is no
+// chunk of that number. The checksum of the whole answer is computed once and
+// cached, not repeated for every chunk.
 func (l *Leader) answerChunk(j *state.Job, number uint32) *v1.Chunk {
 	pieces := l.ledger.Pieces(j)
 	h, ok := l.leadership.answerCache.headsByJob[j.Number]
@@ -41,16 +43,17 @@
 	return h.Cut(pieces, number)
 }
 
-// withinAnswerLimit returns a task's answer, or none when its job's whole answer would
-// exceed the bound. The job is then given up as too large: a longer answer
-// could not be fetched whole, and part of one must not pass for all of it.
+// withinAnswerLimit returns a task's answer, or nil when it would make the job's
+// whole answer exceed answer.MaxJob. In that case the job is dropped with the code
+// TooLarge, because a caller could not fetch the whole answer and must not take a
+// part of it for the whole.
 func (l *Leader) withinAnswerLimit(jobNumber uint64, data []byte) []byte {
 	j, ok := l.ledger.Job(jobNumber)
 	if !ok {
 		return data
 	}
 	if j.Spec.Count <= answer.MaxJob/answer.MaxTotal {
-		return data // no answers of so few tasks exceed it
+		return data // so few tasks cannot exceed the limit
 	}
 	size, ok := l.leadership.answerCache.partialSizes[jobNumber]
 	if !ok {
--- a/internal/control/leader/bench_test.go
+++ b/internal/control/leader/bench_test.go
@@ -18,8 +18,8 @@
 	"gypsumreel/internal/replica/group"
 )
 
-// instantGroup is a group that commits and confirms at once: what is measured is the
-// control thread alone.
+// instantGroup is a fake group that commits and confirms at once, so that a
+// benchmark measures the control thread alone.
 type instantGroup struct {
 	notifications chan group.Note
 	now           func() time.Duration
@@ -40,7 +40,7 @@
 func (g *instantGroup) Compact(uint64, []byte)           {}
 func (g *instantGroup) Reload()                          {}
 
-// benchmarkHarness drives a control thread with many servers on real time.
+// benchmarkHarness drives a control thread and many backend servers in real time.
 type benchmarkHarness struct {
 	b           *testing.B
 	leader      *leader.Leader
@@ -99,7 +99,7 @@
 	}
 }
 
-// receiveReplies takes n replies.
+// receiveReplies waits for n replies and returns them.
 func (h *benchmarkHarness) receiveReplies(n int) (out []*inner.Reply) {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -111,7 +111,7 @@
 		out = append(out, b.Replies...)
 	}
 	if len(out) < n {
-		h.b.Fatalf("%d of %d replies", len(out), n)
+		h.b.Fatalf("received %d of %d replies within 30 s", len(out), n)
 	}
 	return out
 }
@@ -128,8 +128,8 @@
 	}}}
 }
 
-// BenchmarkJobStart measures the control thread for one job from its submission
-// to its end: accept, place, order, report, forget. Run with -benchtime=20000x.
+// BenchmarkJobStart measures the control thread's work for one job from submission
+// to end: accept, place, order, report, forget. Run it with -benchtime=20000x.
 func BenchmarkJobStart(b *testing.B) {
 	for _, servers := range []int{50, 1_000, 16_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -145,7 +145,8 @@
 	}
 }
 
-// runJobs submits jobs and plays their servers' parts until all have ended.
+// runJobs submits jobs and sends the syncs of their servers until all jobs have
+// ended.
 func (h *benchmarkHarness) runJobs(firstJob, n int) {
 	items := make([]*inner.Item, 0, n)
 	for i := range n {
@@ -190,8 +191,8 @@
 	}
 }
 
-// BenchmarkIdleSync measures the control thread's time for one sync of a server
-// that has nothing to do, with all others syncing too.
+// BenchmarkIdleSync measures the control thread's work for one sync of an idle
+// server while all other servers sync too.
 func BenchmarkIdleSync(b *testing.B) {
 	for _, servers := range []int{50, 1_000, 16_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -213,8 +214,8 @@
 	}
 }
 
-// BenchmarkLedger measures the memory of the ledger at the two-year size and
-// the time to copy, write and read it.
+// BenchmarkLedger measures the memory that the ledger takes at the cell size
+// expected in two years, and the time to copy, encode and decode it.
 func BenchmarkLedger(b *testing.B) {
 	for _, running := range []int{7_000, 35_000, 70_000} {
 		b.Run(fmt.Sprintf("running=%d", running), func(b *testing.B) {
--- a/internal/control/leader/clock_test.go
+++ b/internal/control/leader/clock_test.go
@@ -8,9 +8,10 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// Work that is due at noon begins seconds early: a replica whose time of day has
-// jumped ahead was elected, and the ledger's time, which never goes back, with it.
-// It goes on from the ledger until the others have told what time it is.
+// Guards against timed work that starts too early. A replica whose time of day has
+// jumped ahead is elected and moves the ledger's time, which never goes back. The
+// new leader must continue from the ledger's time until other processes have
+// reported theirs.
 func TestLeaderClockJumpDoesNotMoveLedgerTime(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		var timeAgreed bool
@@ -30,7 +31,7 @@
 			h.submitAndReply(batchSpec(map[bool]string{false: "before", true: "after"}[agreed]))
 			onControlThread(func(st *state.State) {
 				if offset := st.At() - time.Duration(time.Now().UnixNano()); offset > 0 || offset < -2*time.Second {
-					t.Errorf("told %v: the ledger's time is off by %v", agreed, offset)
+					t.Errorf("with agreed time %v: the ledger's time differs from the time of day by %v", agreed, offset)
 				}
 			})
 		}
--- a/internal/control/leader/decide.go
+++ b/internal/control/leader/decide.go
@@ -12,15 +12,17 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// Bounds of one turn's decisions.
+// Limits on the decisions of one turn.
 const (
-	// maxDecisionsPerCall bounds what one call of the planner may decide.
+	// maxDecisionsPerCall limits the decisions that one call of the planner
+	// returns.
 	maxDecisionsPerCall = 512
-	// maxPlannerCalls bounds the calls in one turn, so that items are not kept waiting.
+	// maxPlannerCalls limits the planner calls in one turn, so that items do not
+	// wait too long.
 	maxPlannerCalls = 4
 )
 
-// applyDecisions asks the planner and commits what it says.
+// applyDecisions calls the planner and applies its decisions to the ledger.
 func (l *Leader) applyDecisions() {
 	if !l.leadership.planNeeded || len(l.leadership.pendingCommands) > maxPendingCommands {
 		return
@@ -37,7 +39,7 @@
 	}
 }
 
-// applyDecision turns a decision into a command.
+// applyDecision turns a planner decision into a command.
 func (l *Leader) applyDecision(d plan.Decision) {
 	l.recordDecision(d)
 	var r state.Result
@@ -60,16 +62,16 @@
 		r = l.markServer(d.Server, backend.Ready)
 	}
 	if r.Code != code.OK {
-		// The ledger refused what the planner decided: the promise held, and
-		// the planner's picture is wrong: it would decide the same again at
-		// every turn.
+		// The ledger refused the decision, so the planner's view of the ledger is
+		// wrong. Without a correction the planner would decide the same at every turn.
 		l.resyncPlanner(d)
-		l.Log.Info("decision refused", "verb", d.Verb, "job", d.Job, "code", uint32(r.Code), "detail", r.Detail)
+		l.Log.Info("the ledger refused a planner decision", "verb", d.Verb, "job", d.Job, "code", uint32(r.Code), "detail", r.Detail)
 	}
 }
 
-// resyncPlanner tells the planner again how the ledger holds what a refused decision
-// was about. A placement that no Hold confirms it takes back by itself.
+// resyncPlanner passes the ledger's state of the servers and tasks of a refused
+// decision to the planner again. The planner reverts a placement by itself when no
+// Hold confirms it.
 func (l *Leader) resyncPlanner(d plan.Decision) {
 	for _, p := range d.Places {
 		if b, ok := l.ledger.Server(p.Server); ok {
@@ -98,10 +100,11 @@
 	return l.applyIfAccepted(&record.Command{What: &record.Command_Halt{Halt: &record.Halt{Job: id.Job, Indexes: []uint32{id.Index}, Checkpoint: checkpoint}}})
 }
 
-// recallUnstarted takes back what a draining server was given and does not hold. Its
-// order may have been lost with an answer; given again after the mark it would
-// be new work for a server that is leaving. The server notes the stop of what it
-// does not know, and says that nothing was started.
+// recallUnstarted halts tasks that were placed on a draining server and that the
+// server has not reported. Their start orders may have been lost with a sync reply.
+// Sending them again would give new work to a server that is leaving. The server
+// records the stop of an attempt that it does not know and reports that nothing was
+// started.
 func (l *Leader) recallUnstarted(b state.Server, s *session) {
 	if !b.Drains() && b.Server.State != backend.Draining {
 		return
@@ -126,19 +129,21 @@
 	return l.applyIfAccepted(&record.Command{What: &record.Command_Mark{Mark: &record.Mark{Server: server, Incarnation: b.Incarnation, State: uint32(s)}}})
 }
 
-// ledgerWatcher tells planner, sessions and waiters what a command changed.
+// ledgerWatcher passes the changes that a command makes in the ledger to the
+// planner, the sessions and the parked waits.
 type ledgerWatcher struct{ leader *Leader }
 
 var _ state.Watch = ledgerWatcher{}
 
-// Table passes a new revision on.
+// Table passes a new table revision to the planner.
 func (w ledgerWatcher) Table(t table.Table) {
 	w.leader.leadership.planner.SetTable(t)
-	w.leader.leadership.tableIndex = w.leader.leadership.lastIndex + 1 // do counts the command once it is applied
+	w.leader.leadership.tableIndex = w.leader.leadership.lastIndex + 1 // lastIndex is incremented after the command is applied
 	w.leader.leadership.planNeeded = true
 }
 
-// Server passes a changed server on; a drained one shows as draining.
+// Server passes a changed server to the planner. A server that is drained by an
+// operator or with its zone is passed on as draining.
 func (w ledgerWatcher) Server(b state.Server) {
 	s := b.Server
 	if b.Drains() && s.State != backend.Gone {
@@ -149,23 +154,25 @@
 	w.leader.leadership.planNeeded = true
 }
 
-// Queue passes a waiting task on.
+// Queue passes a waiting task to the planner.
 func (w ledgerWatcher) Queue(j *state.Job, t *state.Task) {
 	w.leader.leadership.planner.Queue(plan.Queued{ID: t.ID, Job: j.Spec, Accepted: j.Accepted, Attempts: t.Attempt})
 	w.leader.leadership.planNeeded = true
 }
 
-// Unqueue passes on that a task waits no more.
+// Unqueue tells the planner that a task is no longer waiting.
 func (w ledgerWatcher) Unqueue(id task.ID) { w.leader.leadership.planner.Unqueue(id) }
 
-// Hold passes a placement on and lets its server's session know.
+// Hold passes a placement to the planner and marks the session of its server as
+// updated.
 func (w ledgerWatcher) Hold(j *state.Job, t *state.Task) {
 	w.leader.leadership.planner.Hold(heldTask(j, t))
 	w.leader.recordPlacement(t)
 	w.leader.leadership.updatedServers[t.Server] = true
 }
 
-// Stopping passes on that a task is to stop and lets its server's session know.
+// Stopping tells the planner that a task is being stopped and marks the session of
+// its server as updated.
 func (w ledgerWatcher) Stopping(j *state.Job, t *state.Task) {
 	w.leader.leadership.planner.Hold(heldTask(j, t))
 	w.leader.leadership.updatedServers[t.Server] = true
@@ -175,24 +182,25 @@
 	return plan.Held{ID: t.ID, Job: j.Spec, Accepted: j.Accepted, Server: t.Server, Since: t.Since, Stopping: t.Phase == state.Stopping}
 }
 
-// Release passes on that an attempt runs no more.
+// Release tells the planner that an attempt no longer runs.
 func (w ledgerWatcher) Release(_ *state.Job, t *state.Task, end state.End) {
 	w.leader.recordRelease(t, end)
 	w.leader.leadership.planner.Release(t.ID, plan.End{At: w.leader.ledger.At(), Ran: end.Ran, Failed: end.Failed, Lost: end.Lost})
 	w.leader.leadership.planNeeded = true
 }
 
-// Ended wakes who waits for the job's outcome.
+// Ended answers the parked waits for a job that has ended.
 func (w ledgerWatcher) Ended(j *state.Job) {
 	w.leader.recordJobEnd(j)
 	w.leader.answerParkedWaits(j)
 }
 
-// checkSilentServers marks servers that went silent and ends sessions whose lease is over.
+// checkSilentServers marks servers whose sync is overdue as suspect, and fences
+// servers whose lease has expired.
 func (l *Leader) checkSilentServers(now time.Duration) {
 	lead := l.leadership
 	if !lead.leadershipConfirmed || now-lead.confirmedAt > l.MaxConfirmationAge {
-		return // a leader that cannot prove to lead gives up nobody
+		return // without a recent confirmation another replica may already lead
 	}
 	for id, s := range lead.sessions {
 		if now-s.lastSyncAt <= l.SyncTimeout {
@@ -204,9 +212,9 @@
 			continue
 		}
 		if b.Server.State == backend.Ready || b.Server.State == backend.Quarantined {
-			// Unschedulable before the wait for its lease begins: a server
-			// that comes back halfway is not given new work on a lease that
-			// is about to be declared over.
+			// The server gets no new work from now on, before the wait for its
+			// lease begins. A server that returns during that wait must not be given
+			// new work under a lease that is about to expire.
 			l.markServer(b.ID, backend.Suspect)
 		}
 		if lead.leases.Over(b.ID, now) {
--- a/internal/control/leader/notice.go
+++ b/internal/control/leader/eventlog.go
@@ -17,24 +17,29 @@
 )
 
 const (
-	// leaderlessAlarmDelay is after how long without a leader an alarm is raised.
+	// leaderlessAlarmDelay is how long no leader may be known before this is logged
+	// as an event.
 	leaderlessAlarmDelay = 5 * time.Second
-	// overloadQuietPeriod is after how long without a refusal an overload is over.
+	// overloadQuietPeriod is how long after the last refusal an overload counts as
+	// over.
 	overloadQuietPeriod = 10 * time.Second
-	// cancelWaveSize is from how many jobs on a cancellation is told as a wave.
+	// cancelWaveSize is the number of jobs from which one cancellation is logged as
+	// a wave.
 	cancelWaveSize = 100
 )
 
-// reportedState is what was told of the servers and teams while this replica leads.
+// reportedState is the state of servers and teams that this leader has already
+// reported in events.
 type reportedState struct {
 	servers      map[string]reportedServer
 	readyServers int
 	runningTasks int
-	// replaying holds events back while a new planner is told the ledger.
+	// replaying suppresses events while the ledger is replayed to a new planner.
 	replaying bool
-	// teamsOverLimit are the teams above a limit that was lowered.
+	// teamsOverLimit are the teams that hold more than a lowered limit allows.
 	teamsOverLimit map[string]bool
-	// lastRefusalAt is when work was last refused for overload; 0 for not lately.
+	// lastRefusalAt is when work was last refused because of overload; 0 if no
+	// overload is reported.
 	lastRefusalAt time.Duration
 	chartFaults   int
 }
@@ -48,8 +53,8 @@
 
 func (s reportedServer) isSchedulable() bool { return s.state == backend.Ready && !s.drained }
 
-// reportServer tells what changed in a server's state. It tells what was decided,
-// which is committed a moment later.
+// reportServer logs the events of a change in a server's state and updates the
+// counters. The events describe decisions that are committed shortly afterwards.
 func (l *Leader) reportServer(b state.Server) {
 	reported := &l.leadership.reported
 	old, known := reported.servers[b.ID]
@@ -75,7 +80,7 @@
 	}
 }
 
-// serverEvents returns the events of a server's change.
+// serverEvents returns the events for a change in a server's state.
 func serverEvents(old, next reportedServer, known bool) (out []event.ID) {
 	switch {
 	case !known && next.state != backend.Gone:
@@ -111,12 +116,14 @@
 	return s.state != backend.Gone && (s.drained || s.state == backend.Draining)
 }
 
-// recordRelease notes that an attempt ended, and tells when a drained server is empty.
+// recordRelease records that an attempt ended, and logs when a draining server has
+// become idle.
 func (l *Leader) recordRelease(t *state.Task, end state.End) {
 	reported := &l.leadership.reported
 	reported.runningTasks--
 	if end.Lost || end.Failed || !end.Ran {
-		// The task runs again and its answer counts for nothing: counted anew.
+		// The task runs again and the answer of this attempt is void. The size of the
+		// job's answer is computed again.
 		delete(l.leadership.answerCache.partialSizes, t.ID.Job)
 	}
 	if end.Lost {
@@ -143,7 +150,7 @@
 	}
 }
 
-// recordJobEnd tells of outcomes that someone has to hear of.
+// recordJobEnd logs job outcomes that need an operator's attention.
 func (l *Leader) recordJobEnd(j *state.Job) {
 	delete(l.leadership.answerCache.partialSizes, j.Number)
 	switch {
@@ -154,7 +161,7 @@
 	}
 }
 
-// recordDecision tells of decisions that change what runs.
+// recordDecision counts a planner decision and logs preemptions and throttling.
 func (l *Leader) recordDecision(decision plan.Decision) {
 	l.controlMetrics.decisions.Inc()
 	switch decision.Verb {
@@ -168,7 +175,7 @@
 	}
 }
 
-// recordAdmission counts what became of a submitted job, and tells of refusals.
+// recordAdmission counts the admission result of a submitted job and logs refusals.
 func (l *Leader) recordAdmission(teamName, id string, c code.Code) {
 	switch c {
 	case code.OK:
@@ -185,7 +192,8 @@
 	l.controlMetrics.refusedJobs.Inc()
 }
 
-// logChange tells of an operator's change; before is the table it started from.
+// logChange logs an operator's change; oldRows are the table rows before the
+// change.
 func (l *Leader) logChange(keyID string, req *v1.ChangeRequest, r state.Result, oldRows []team.Row) {
 	switch r.Code {
 	case code.OK:
@@ -211,7 +219,7 @@
 	}
 }
 
-// logLoweredLimits tells of teams that hold more than the table allows them now.
+// logLoweredLimits logs the teams that hold more than the changed table allows.
 func (l *Leader) logLoweredLimits(oldRows []team.Row) {
 	for _, oldRow := range oldRows {
 		row, ok := l.ledger.Table().Row(oldRow.Name)
@@ -223,7 +231,8 @@
 	}
 }
 
-// logLimitsAndFaults tells what only shows with time.
+// logLimitsAndFaults logs when a team is within its lowered limit again, when an
+// overload is over, and when new state chart faults were counted.
 func (l *Leader) logLimitsAndFaults(now time.Duration) {
 	reported := &l.leadership.reported
 	for name := range reported.teamsOverLimit {
@@ -243,7 +252,8 @@
 	}
 }
 
-// checkLeaderless raises an alarm once when no leader is known for long.
+// checkLeaderless logs an event once when no leader has been known for longer than
+// leaderlessAlarmDelay.
 func (l *Leader) checkLeaderless(now time.Duration) {
 	if l.leaderlessFor(now) <= leaderlessAlarmDelay {
 		l.leaderlessLogged = false
@@ -255,7 +265,7 @@
 	}
 }
 
-// logMembership tells what a new membership changed.
+// logMembership logs the differences between the previous membership and a new one.
 func (l *Leader) logMembership(n group.Members) {
 	old := l.membership.Members
 	if len(old) == 0 {
@@ -283,7 +293,8 @@
 	}
 }
 
-// logDuplicateAttempt tells of an attempt that a server reports and another one holds.
+// logDuplicateAttempt logs an attempt that one server reports as started and the
+// ledger holds on another server.
 func (l *Leader) logDuplicateAttempt(b state.Server, report *v1.Report) {
 	a := attemptFromMessage(report.GetAttempt())
 	t, ok := l.ledger.Task(a.ID)
@@ -292,14 +303,14 @@
 	}
 }
 
-// logCancelWave tells of many cancellations at once.
+// logCancelWave logs a cancellation of many jobs at once.
 func (l *Leader) logCancelWave(teamName string, c *record.Cancel) {
 	if len(c.GetJobs()) >= cancelWaveSize {
 		event.Log(l.Log, event.CancelWave, "team", teamName, "jobs", len(c.GetJobs()))
 	}
 }
 
-// logDiskFull tells when the disk got full, or got room again.
+// logDiskFull logs when the disk becomes full and when it has free space again.
 func (l *Leader) logDiskFull(full bool) {
 	switch {
 	case full && !l.diskFull:
@@ -309,8 +320,8 @@
 	}
 }
 
-// logRestore tells where a state came from: the disk at the start, the leader
-// when this replica lagged too far behind.
+// logRestore logs whether a restored snapshot came from the local disk at startup
+// or from the leader because this replica lagged too far behind.
 func (l *Leader) logRestore(n group.Restore) {
 	switch {
 	case !l.stateLoaded:
--- a/internal/control/leader/notice_test.go
+++ b/internal/control/leader/eventlog_test.go
@@ -21,7 +21,7 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// eventLog is a log that a test searches for events by name.
+// eventLog records log output, so that a test can search it for event names.
 type eventLog struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -40,14 +40,14 @@
 	defer l.mu.Unlock()
 	for _, n := range names {
 		if strings.Count(l.buffer.String(), `"name":"`+n+`"`) != 1 {
-			t.Errorf("%s is not logged once:\n%s", n, l.buffer.String())
+			t.Errorf("event %s is not logged exactly once:\n%s", n, l.buffer.String())
 		}
 	}
 	l.buffer.Reset()
 }
 
-// An alarm is set on an event, and the event never comes. Each step here is an
-// occasion of one, and must raise it once.
+// Guards against operator alarms that never fire. Each step causes certain events
+// and must log each of them exactly once.
 func TestEventsAreLogged(t *testing.T) {
 	log := &eventLog{}
 	runWithLog(t, event.New(log, "info"), func(h *harness) {
@@ -55,7 +55,7 @@
 		b := h.announceServer("b1", 4000)
 		log.expectOnce(t, "server-announced")
 		if got := h.submitAndReply(batchSpec("big")); got.GetStatus().GetCode() != 0 {
-			t.Fatal(got)
+			t.Fatalf("submission refused: %v", got)
 		}
 		h.submitAndReply(&v1.Spec{Id: "never", Kind: v1.Kind_KIND_BATCH, Count: 1, Size: &v1.Size{Cpu: 1 << 40}})
 		log.expectOnce(t, "job-never-fits")
@@ -78,13 +78,13 @@
 		h.group.notifications <- group.Full{Full: false}
 		log.expectOnce(t, "disk-full", "disk-free")
 		if yields.Load() == 0 {
-			t.Error("a leader with a full disk did not offer the lead to another")
+			t.Error("a leader with a full disk did not offer to transfer the leadership")
 		}
-		time.Sleep(4 * time.Second) // silent, but within its lease
+		time.Sleep(4 * time.Second) // no sync, but the lease has not expired
 		log.expectOnce(t, "server-suspect", "no-servers")
 		b.syncAndWait(attemptReport(a, v1.Phase_PHASE_RUNNING))
 		log.expectOnce(t, "server-back")
-		time.Sleep(20 * time.Second) // its lease is over
+		time.Sleep(20 * time.Second) // the server's lease expires
 		log.expectOnce(t, "server-suspect", "server-gone", "attempt-lost", "limit-met")
 		h.applyChange("withdraw", &v1.ChangeRequest{Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: "rail1"}}})
 		h.pushSubmit(batchSpec("late"))
@@ -101,7 +101,8 @@
 	})
 }
 
-// Someone on duty asks what waits and whose lease ends: the view says so.
+// Guards against a state dump that omits what operators ask for: the waiting jobs
+// and the leases about to expire.
 func TestViewListsWaitingJobsAndLeases(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		b := h.announceServer("b1", 2000)
@@ -115,16 +116,17 @@
 			t.Fatal(err)
 		}
 		if !v.Leads || v.Running != 2 || len(v.Oldest) != 2 || v.Oldest[0].ID != jobName(2) || v.Oldest[0].Waits < 2 || v.Teams[0].Waiting != 2 {
-			t.Errorf("%+v", v)
+			t.Errorf("view of 2 running and 2 waiting jobs: %+v", v)
 		}
 		if len(v.Leases) != 1 || v.Leases[0].Silent < 2 || v.Leases[0].Left <= 0 || v.Servers["ready"] != 1 {
-			t.Errorf("%+v", v.Leases)
+			t.Errorf("leases in the view: %+v; servers by state: %v", v.Leases, v.Servers)
 		}
 	})
 }
 
-// An operator lists the jobs of all teams page by page and sees the first page
-// for ever: ids are unique in a team only, so the page after one was not found.
+// Guards against a listing of all teams that returns its first page again and
+// again. Job ids are unique only within a team, so the last job of a page was not
+// found by its id.
 func TestJobPagesOfAllTeamsAdvance(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		h.announceServer("b1", 1000)
@@ -141,7 +143,7 @@
 			}
 		}
 		if fmt.Sprint(got) != "[job0 job1 job2 job3 job4]" {
-			t.Error(got)
+			t.Errorf("jobs listed: %v", got)
 		}
 		r := h.mustReply(h.pushShow(&v1.ShowRequest{Part: v1.Part_PART_JOBS, After: "rail/none"})).GetShow()
 		expectCode(t, code.Unknown, r.GetStatus())
@@ -154,8 +156,9 @@
 	return n
 }
 
-// The tasks of one job answer more than fits one fetchable answer. The job ends
-// as too large with what was whole by then, and every chunk of it can be had.
+// The answers of one job's tasks exceed the maximum size of a job answer. The job
+// must end with the code TooLarge, keep the answers completed by then, and serve
+// every chunk of them.
 func TestOversizedJobAnswerIsTruncatedWithCode(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		const count = 34
@@ -163,7 +166,7 @@
 		h.submitAndReply(&v1.Spec{Id: "wide", Kind: v1.Kind_KIND_BATCH, Count: count, Size: &v1.Size{Cpu: 10}})
 		data := bytes.Repeat([]byte("q"), answer.MaxTotal)
 		var reports []*v1.Report
-		for range 12 { // the server holds up to 8 at once
+		for range 12 { // the server has 8 slots
 			for _, a := range startOrders(b.syncAndWait(reports...)) {
 				r := attemptReport(a, v1.Phase_PHASE_ENDED)
 				r.Chunks = answer.Split(data)
@@ -173,25 +176,25 @@
 		w := h.waitOutcome("wide")
 		expectCode(t, code.TooLarge, w.GetStatus())
 		if w.GetOutcome() != v1.Outcome_OUTCOME_DONE || w.GetChunk().GetTotal() != answer.MaxJob {
-			t.Fatalf("%v, %d bytes", w.GetOutcome(), w.GetChunk().GetTotal())
+			t.Fatalf("outcome %v, answer of %d bytes", w.GetOutcome(), w.GetChunk().GetTotal())
 		}
 		h.withLedger(func(s *state.State) {
 			j, _ := s.Find(state.RequestID{Team: "rail", ID: "wide"})
 			if len(s.Answer(j)) != answer.MaxJob {
-				t.Error("the ledger holds another length")
+				t.Error("the ledger's answer does not have answer.MaxJob bytes")
 			}
 		})
 		last := answer.Count(answer.MaxJob) - 1
 		n := h.push(&inner.Item{Credential: h.credential("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: "wide", Chunk: last}}})
 		if got := h.mustReply(n).GetWait().GetChunk(); got.GetNumber() != last || got.GetSum() != w.GetChunk().GetSum() || len(got.GetData()) != answer.ChunkSize {
-			t.Error("the last chunk cannot be had")
+			t.Error("the last chunk of the answer is wrong or missing")
 		}
 	})
 }
 
-// A server with room gets many tasks with large inputs in one turn. One answer
-// with all of them is larger than a connection carries in time, and is sent
-// again and again. The orders are spread over several answers instead.
+// Guards against a sync reply that is larger than a connection can carry in time
+// and is therefore sent again and again. This happens when a server gets many tasks
+// with large inputs in one turn. The orders must be spread over several replies.
 func TestOrdersAreSpreadOverAnswers(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		const count = 20
@@ -202,7 +205,7 @@
 		for range 10 {
 			attempts := startOrders(b.syncAndWait(reports...))
 			if len(attempts) > 4 {
-				t.Errorf("%d MiB in one answer", len(attempts))
+				t.Errorf("%d MiB of inputs in one sync reply", len(attempts))
 			}
 			for _, a := range attempts {
 				if started[a.GetTask()] {
@@ -213,7 +216,7 @@
 			}
 		}
 		if len(started) != count {
-			t.Errorf("%d tasks were ordered", len(started))
+			t.Errorf("%d of %d tasks were ordered", len(started), count)
 		}
 	})
 }
--- a/internal/control/leader/rest_test.go
+++ b/internal/control/leader/fairness_test.go
@@ -12,7 +12,7 @@
 	"gypsumreel/internal/replica/group"
 )
 
-// silentGroup is a group that tells nothing.
+// silentGroup is a fake group that sends no notifications.
 type silentGroup struct{ notifications chan group.Note }
 
 func (silentGroup) Propose(group.Proposal) bool        { return true }
@@ -21,15 +21,16 @@
 func (silentGroup) Compact(uint64, []byte)             {}
 func (silentGroup) Reload()                            {}
 
-// busyLoop keeps the processor busy for so long.
+// busyLoop keeps the processor busy for a duration.
 func busyLoop(d time.Duration) {
 	for begin := time.Now(); time.Since(begin) < d; {
 		continue
 	}
 }
 
-// A leader on one processor has a long row of requests before it. A heartbeat that
-// waited for all of them would come too late, and the leader be deposed for its load.
+// Guards against a leader that loses the leadership because of its own load. On one
+// processor, a heartbeat that waits until all queued requests are handled is sent
+// too late.
 func TestOtherGoroutinesRunBetweenRequests(t *testing.T) {
 	const requests = 50
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
@@ -59,7 +60,7 @@
 	close(released)
 	<-lastRequestDone
 	if got := turnsAtEnd.Load() - turnsAtStart; got < requests/2 {
-		t.Errorf("another goroutine had %d turns while %d requests were handled", got, requests)
+		t.Errorf("another goroutine ran %d times while %d requests were handled", got, requests)
 	}
 	cancel()
 	<-l.Done()
--- a/internal/control/leader/harness_test.go
+++ b/internal/control/leader/harness_test.go
@@ -23,19 +23,20 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// fakeGroup is a group of which the test decides what commits and what is confirmed.
+// fakeGroup is a group in which the test controls commits and leadership
+// confirmations.
 type fakeGroup struct {
 	notifications chan group.Note
 	now           func() time.Duration
 	mu            sync.Mutex
-	// commitsHeld stops commits, cut stops confirmed rounds.
+	// commitsHeld suspends commits, confirmationsStopped suspends leadership confirmations.
 	commitsHeld, confirmationsStopped bool
 	term                              uint64
 	log                               []quorum.Entry
 	commitIndex                       uint64
 	reloadCount                       int
 	proposalsMade                     int
-	// snapshotStates are the states of the snapshots that were handed over.
+	// snapshotStates are the encoded snapshots passed to Compact.
 	snapshotStates [][]byte
 }
 
@@ -44,7 +45,7 @@
 	defer g.mu.Unlock()
 	g.proposalsMade++
 	if p.Term != g.term || p.First != uint64(len(g.log))+1 {
-		return true // dropped whole, as the real one does
+		return true // the real group also discards such a proposal as a whole
 	}
 	for _, c := range p.Commands {
 		g.log = append(g.log, quorum.Entry{Index: uint64(len(g.log)) + 1, Term: p.Term, Kind: quorum.Command, Data: c})
@@ -58,7 +59,8 @@
 // proposalCount returns the number of proposals so far.
 func (g *fakeGroup) proposalCount() int { g.mu.Lock(); defer g.mu.Unlock(); return g.proposalsMade }
 
-// holdCommits stops commits; cutOff stops confirmed rounds.
+// holdCommits suspends commits; stopConfirmations suspends leadership
+// confirmations.
 func (g *fakeGroup) holdCommits() { g.mu.Lock(); defer g.mu.Unlock(); g.commitsHeld = true }
 
 func (g *fakeGroup) stopConfirmations() {
@@ -67,7 +69,7 @@
 	g.confirmationsStopped = true
 }
 
-// releaseCommits commits what was held.
+// releaseCommits commits all held entries and resumes commits.
 func (g *fakeGroup) releaseCommits() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -99,7 +101,7 @@
 	g.snapshotStates = append(g.snapshotStates, snapshot)
 }
 
-// compactedStates returns the states of the snapshots that were handed over.
+// compactedStates returns the encoded snapshots passed to Compact.
 func (g *fakeGroup) compactedStates() [][]byte {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -108,7 +110,7 @@
 
 func (g *fakeGroup) Reload() { g.mu.Lock(); defer g.mu.Unlock(); g.reloadCount++ }
 
-// startTerm starts a term and returns the end of the log.
+// startTerm starts a term and returns the last log index.
 func (g *fakeGroup) startTerm(term uint64) uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -116,8 +118,8 @@
 	return uint64(len(g.log))
 }
 
-// harness is a control thread under a fake group, an entry's mailbox, and time
-// that only passes when the test sleeps.
+// harness runs a control thread with a fake group and the mailbox of one entry.
+// Time passes only while the test sleeps.
 type harness struct {
 	t          *testing.T
 	group      *fakeGroup
@@ -134,15 +136,16 @@
 
 func digest() []byte { d := sha256.Sum256([]byte(secret)); return d[:] }
 
-// runWithLeader gives fn a leading control thread with one team, its key and an operator's key.
+// runWithLeader runs a test with a leading control thread. The ledger holds one
+// team, the team's key and an operator key.
 func runWithLeader(t *testing.T, test func(*harness)) { runWithLog(t, logr.Discard(), test) }
 
-// runWithLog is run with a log.
+// runWithLog is like runWithLeader, with a logger.
 func runWithLog(t *testing.T, log logr.Logger, test func(*harness)) {
 	runWithPlanner(t, log, func() plan.Planner { return fifo.New() }, test)
 }
 
-// runWithPlanner is run with a log and a planner.
+// runWithPlanner is like runWithLog, with a planner.
 func runWithPlanner(t *testing.T, log logr.Logger, planner func() plan.Planner, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
@@ -187,7 +190,7 @@
 	}
 }
 
-// elect lets the thread lead in a term, with a fresh mailbox.
+// elect makes the control thread leader of a term, with a new mailbox.
 func (h *harness) elect(term uint64) {
 	h.term = term
 	h.mailbox = mailbox.New(term)
@@ -197,18 +200,18 @@
 	synctest.Wait()
 }
 
-// push hands an item over and returns its number.
+// push sends an item to the control thread and returns the item's sequence number.
 func (h *harness) push(it *inner.Item) uint64 {
 	h.lastSeq++
 	it.Seq = h.lastSeq
 	if !h.leader.Push(leader.Batch{Mailbox: h.mailbox, ReceivedAt: h.group.now(), Items: []*inner.Item{it}}) {
-		h.t.Fatal("no room")
+		h.t.Fatal("the control thread's inbox is full")
 	}
 	synctest.Wait()
 	return h.lastSeq
 }
 
-// replyTo returns what came for an item so far; nil when nothing did.
+// replyTo returns the reply to an item, or nil if there is none yet.
 func (h *harness) replyTo(seq uint64) *inner.Reply {
 	synctest.Wait()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -239,7 +242,7 @@
 	req.Id = id
 	r := h.mustReply(h.push(&inner.Item{Credential: h.credential("op"), Ask: &inner.Item_Change{Change: req}}))
 	if r.GetStatus().GetCode() != 0 {
-		h.t.Fatalf("change %s: %v", id, r.GetStatus())
+		h.t.Fatalf("change %s was refused: %v", id, r.GetStatus())
 	}
 	return r.GetChange()
 }
@@ -272,7 +275,7 @@
 	return h.mustReply(n).GetWait()
 }
 
-// testServer is a backend server's session as the test drives it.
+// testServer is a backend server whose syncs are sent by the test.
 type testServer struct {
 	harness     *harness
 	name        string
@@ -280,7 +283,7 @@
 	syncNumber  uint64
 }
 
-// zoneName is where the servers of these tests are.
+// zoneName is the availability zone of the backend servers in these tests.
 const zoneName = "zone-1"
 
 func (h *harness) announceServer(name string, cpu int64) *testServer {
@@ -289,7 +292,7 @@
 		Server: name, Nonce: uint64(h.group.now()), Zone: zoneName, Capacity: &v1.Size{Cpu: cpu, Memory: 1, Accel: 1, Slots: 8},
 	}}}))
 	if n := r.GetAnnounce().GetStatus().GetCode(); n != 0 {
-		h.t.Fatalf("announce: %d", n)
+		h.t.Fatalf("announcement refused with code %d", n)
 	}
 	return &testServer{harness: h, name: name, incarnation: r.GetAnnounce().GetIncarnation()}
 }
@@ -311,7 +314,7 @@
 	return s.harness.mustReply(n).GetSync()
 }
 
-// startOrders lists the attempts that a reply orders to start.
+// startOrders returns the attempts that a sync reply orders to start.
 func startOrders(r *v1.SyncReply) (out []*v1.Attempt) {
 	for _, o := range r.GetOrders() {
 		if o.GetVerb() == v1.Verb_VERB_START {
@@ -335,7 +338,7 @@
 func expectCode(t *testing.T, want code.Code, got *v1.Status) {
 	t.Helper()
 	if got.GetCode() != uint32(want) {
-		t.Errorf("code %d (%s), want %d", got.GetCode(), got.GetText(), want)
+		t.Errorf("got code %d (%s), want %d", got.GetCode(), got.GetText(), want)
 	}
 }
 
--- a/internal/control/leader/inspect.go
+++ b/internal/control/leader/inspect.go
@@ -10,49 +10,53 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// maxViewLines bounds each list of a View.
+// maxViewLines limits each list of a View.
 const maxViewLines = 20
 
-// View is what the control thread holds, for whoever is on duty. Times are in
-// seconds. What belongs to leading is zero while following.
+// View is a dump of the control thread's state for operators. Times are in seconds.
+// Fields about leadership are zero on a follower.
 type View struct {
 	Leads bool
 	Term  uint64
-	// Applied is the index of the latest command applied, Saved that of the
-	// latest snapshot, Committed what a quorum has.
+	// Applied is the log index of the latest applied command, Saved the index of the
+	// latest snapshot, and Committed the commit index.
 	Applied, Saved, Committed uint64
-	// Confirmed is the age of the latest proof that this replica leads.
+	// Confirmed is the age of the last heartbeat round that a quorum confirmed.
 	Confirmed float64
 	Full      bool
 	Faults    int
-	// Sum is that of the state, to compare replicas at one index.
+	// Sum is the digest of the state. Replicas with the same applied index must have
+	// the same digest.
 	Sum      uint64
 	Revision uint64
 
-	// Inbox are batches that wait for the thread, Pending commands that the group
-	// has not taken, Held replies whose cause is not committed, Reads those that
-	// wait for proof, Waits jobs that callers wait for, Timers what is due later.
+	// Inbox counts the functions queued for the control thread, Pending the commands
+	// not yet handed to the group, Held the replies held until their commands are
+	// committed, Reads the reads that wait for a confirmation of the leadership, Waits
+	// the jobs with parked waits, and Timers the timers that are set.
 	Inbox, Pending, Held, Reads, Waits, Timers int
 
+	// Running counts the tasks placed on backend servers.
 	Running int
-	// Teams with the most waiting jobs, and the jobs that wait longest.
+	// Teams lists the teams with the most waiting jobs, Oldest the jobs that have waited
+	// longest.
 	Teams  []TeamView
 	Oldest []JobView
-	// Servers counts the backend servers by state, Leases lists those that were
-	// not heard from for longest.
+	// Servers counts the backend servers by state. Leases lists the servers with the
+	// oldest syncs.
 	Servers map[string]int
 	Leases  []LeaseView
-	// Zones are the availability zones with their backend servers.
+	// Zones lists the availability zones with the number of their backend servers.
 	Zones []state.Zone
 }
 
-// TeamView is one team's queue.
+// TeamView is the number of waiting jobs of one team.
 type TeamView struct {
 	Team    string
 	Waiting int
 }
 
-// JobView is a job that waits.
+// JobView describes a waiting job.
 type JobView struct {
 	Team, ID string
 	Number   uint64
@@ -60,17 +64,18 @@
 	Tasks    uint32
 }
 
-// LeaseView is a server's lease.
+// LeaseView describes the lease of one backend server.
 type LeaseView struct {
 	Server string
 	State  string
-	// Silent is the time since the latest sync, Left until the lease is over.
+	// Silent is the time since the latest sync, and Left the time until the lease
+	// expires.
 	Silent, Left float64
 	Tasks        int
 }
 
-// Inspect returns what the control thread holds; it fails when the thread has
-// no time until ctx ends.
+// Inspect returns a View of the control thread. It fails when the control thread
+// does not answer before ctx ends.
 func (l *Leader) Inspect(ctx context.Context) (View, error) {
 	var v View
 	err := l.Execute(ctx, func(*state.State) { v = l.currentView() })
@@ -100,7 +105,8 @@
 	return v
 }
 
-// smallest keeps the viewLines least of what is added, in order, without sorting all.
+// smallest keeps the maxViewLines smallest of the inserted items in order, without
+// sorting all of them.
 type smallest[T any] struct {
 	compare func(a, b T) int
 	items   []T
@@ -154,7 +160,8 @@
 	return out.items
 }
 
-// displayedState names a server's state; a drain by an operator stands before it.
+// displayedState returns the name of a server's state. A server drained by an
+// operator or with its zone is displayed as draining.
 func displayedState(b state.Server) string {
 	if b.Drains() && b.Server.State != backend.Gone {
 		return backend.Draining.String()
@@ -162,7 +169,7 @@
 	return b.Server.State.String()
 }
 
-// leaderlessFor returns for how long no leader is known.
+// leaderlessFor returns for how long no leader has been known.
 func (l *Leader) leaderlessFor(now time.Duration) time.Duration {
 	st := l.status.Load()
 	if st.Leads || st.Leader != "" || l.leaderlessSince == 0 {
--- a/internal/control/leader/ask.go
+++ b/internal/control/leader/item.go
@@ -15,8 +15,9 @@
 	"gypsumreel/internal/policy/admit"
 )
 
-// handleBatch handles the items of one Push. Items that come while this replica does
-// not lead are dropped: the entry's Pull is redirected and asks the leader.
+// handleBatch handles the items of one Push. Items that arrive while this replica
+// does not lead are dropped: the entry's Pull is redirected, and the entry sends
+// the items to the leader.
 func (l *Leader) handleBatch(b Batch) {
 	if l.leadership == nil {
 		return
@@ -30,11 +31,11 @@
 	}
 }
 
-// handleItem handles one item. The order of the checks matters: nothing is read or
-// changed before the key that came with it is known to be good now.
+// handleItem handles one item. The key that came with the item is checked before
+// anything is read or changed.
 func (l *Leader) handleItem(to ReplyTarget, it *inner.Item) {
 	if !l.isConfirmedLeader() {
-		l.refuse(to, code.New(code.NoLeader, "try again"))
+		l.refuse(to, code.New(code.NoLeader, "leadership is not confirmed; try again"))
 		return
 	}
 	switch ask := it.GetAsk().(type) {
@@ -63,9 +64,10 @@
 	}
 }
 
-// isConfirmedLeader tells whether a quorum confirmed lately that this replica leads. One
-// that is cut off silently must stop to answer before long: it does not hear of
-// keys that are withdrawn elsewhere.
+// isConfirmedLeader reports whether a quorum has recently confirmed that this
+// replica leads. A partitioned leader must stop answering within
+// MaxConfirmationAge, because it does not learn of keys that another leader
+// withdraws.
 func (l *Leader) isConfirmedLeader() bool {
 	return l.leadership.leadershipConfirmed && l.Now()-l.leadership.confirmedAt <= l.MaxConfirmationAge
 }
@@ -81,7 +83,7 @@
 
 func (l *Leader) withOperatorKey(to ReplyTarget, k key.Key, fn func()) {
 	if !k.Operator {
-		l.refuse(to, code.New(code.Forbidden, "an operator's key is needed"))
+		l.refuse(to, code.New(code.Forbidden, "this request needs an operator key"))
 		return
 	}
 	fn()
@@ -89,7 +91,7 @@
 
 func (l *Leader) handleCallerItem(to ReplyTarget, k key.Key, it *inner.Item) {
 	if k.Operator {
-		l.refuse(to, code.New(code.Forbidden, "a team's key is needed"))
+		l.refuse(to, code.New(code.Forbidden, "this request needs a team key"))
 		return
 	}
 	switch ask := it.GetAsk().(type) {
@@ -104,7 +106,7 @@
 	case *inner.Item_Acknowledge:
 		l.handleAcknowledge(to, k, ask.Acknowledge)
 	default:
-		l.refuse(to, code.New(code.Malformed, "empty item"))
+		l.refuse(to, code.New(code.Malformed, "the item holds no request"))
 	}
 }
 
@@ -137,7 +139,8 @@
 	return &v1.Accepted{Id: spec.GetId(), Status: st, Outcome: r.Job.Outcome}
 }
 
-// checkAdmission says whether new work is taken, and when to come back if not.
+// checkAdmission reports whether a new job is admitted and, if not, when the caller
+// may retry.
 func (l *Leader) checkAdmission(teamName string, spec *v1.Spec) (code.Code, time.Duration) {
 	row, ok := l.ledger.Table().Row(teamName)
 	if !ok {
@@ -157,7 +160,8 @@
 	return code.OK, 0
 }
 
-// parkedWait is a Wait that is parked until the job ends.
+// parkedWait is a Wait request that is held until its job ends or its deadline
+// passes.
 type parkedWait struct {
 	target   ReplyTarget
 	keyID    string
@@ -181,7 +185,8 @@
 	l.schedule(l.pollDeadline(to, req.GetPatience()), func() { l.expireWait(id, w) })
 }
 
-// answerUnknownJob answers that a job is not known, after the proof that this is current.
+// answerUnknownJob answers a Wait for an unknown job. It runs once the leadership
+// is confirmed and looks the job up again.
 func (l *Leader) answerUnknownJob(to ReplyTarget, id state.RequestID) {
 	if j, ok := l.ledger.Find(id); ok {
 		l.answerWait(to, j, 0)
@@ -190,11 +195,11 @@
 	l.refuse(to, code.New(code.Unknown, "%s", id.ID))
 }
 
-// pollDeadline returns when a long poll ends: after the patience asked for, the bound
-// on patience, or the caller's own deadline, whichever is first.
+// pollDeadline returns when a long poll ends. That is the earliest of the requested
+// wait, the limit on poll waits, and the caller's deadline.
 func (l *Leader) pollDeadline(to ReplyTarget, patience uint64) time.Duration {
-	// A server renews its lease once a poll: polls as long as the lease would
-	// let it run out between two of them.
+	// A server renews its lease once per poll. If a poll lasted as long as the lease,
+	// the lease would expire between two polls.
 	maxWait := min(l.MaxPollWait, l.LeaseTerms.Length/minPollsPerLease)
 	wait := time.Duration(min(patience, uint64(maxWait/time.Millisecond))) * time.Millisecond
 	deadline := to.ReceivedAt + wait
@@ -204,7 +209,8 @@
 	return deadline
 }
 
-// expireWait answers a wait whose patience has ended with how the job stands.
+// expireWait answers a parked wait whose deadline has passed with the job's current
+// state.
 func (l *Leader) expireWait(id state.RequestID, w *parkedWait) {
 	if w.answered {
 		return
@@ -227,8 +233,8 @@
 	l.refuse(w.target, code.New(code.Unknown, "%s", id.ID))
 }
 
-// answerParkedWait answers a parked wait. Its key may have been withdrawn meanwhile: what
-// is asked with a key must not be answered after its end.
+// answerParkedWait answers a parked wait. The key of the wait may have been
+// withdrawn since it was parked; a withdrawn key gets no answer.
 func (l *Leader) answerParkedWait(w *parkedWait, j *state.Job) {
 	if k, ok := l.ledger.Key(w.keyID); !ok || k.Withdrawn {
 		l.refuse(w.target, code.New(code.BadKey, ""))
@@ -237,7 +243,7 @@
 	l.answerWait(w.target, j, w.chunk)
 }
 
-// answerParkedWaits answers the waits for a job that has ended.
+// answerParkedWaits answers all waits for a job that has ended.
 func (l *Leader) answerParkedWaits(j *state.Job) {
 	id := j.Request()
 	for _, w := range l.leadership.parkedWaits[id] {
@@ -254,7 +260,7 @@
 	if j.Outcome == v1.Outcome_OUTCOME_DONE {
 		rep.Chunk = l.answerChunk(j, chunk)
 		if rep.Chunk == nil {
-			l.refuse(to, code.New(code.Malformed, "the answer has no chunk %d", chunk))
+			l.refuse(to, code.New(code.Malformed, "the job's answer has no chunk %d", chunk))
 			return
 		}
 	}
--- a/internal/control/leader/leader.go
+++ b/internal/control/leader/leader.go
@@ -1,7 +1,8 @@
-// Package leader is the control thread of a replica. While the replica leads,
-// this one goroutine decides everything: it applies its own commands to the
-// ledger at once and holds back their effects (answers, orders) until the
-// group has committed them. While it follows, it applies what is committed.
+// Package leader implements the control thread of a replica. While the replica
+// leads, this single goroutine makes all decisions. It applies its commands to the
+// ledger at once and holds back their effects (replies and orders) until the group
+// has committed the commands. While the replica follows, the control thread applies
+// committed log entries.
 package leader
 
 import (
@@ -24,124 +25,167 @@
 	"gypsumreel/internal/replica/group"
 )
 
-// Defaults and bounds of the control thread.
+// Defaults and limits of the control thread.
 const (
-	// DefaultSyncTimeout is after how long without a sync a server gets no new work.
+	// DefaultSyncTimeout is how long a backend server may go without a sync before
+	// it gets no new work.
 	DefaultSyncTimeout = 3 * time.Second
-	// DefaultRetention is how long ended jobs and answers to changes are kept.
+	// DefaultRetention is how long ended jobs and the results of operator changes
+	// are kept.
 	DefaultRetention = time.Hour
-	// DefaultMaxPollWait bounds every long poll.
+	// DefaultMaxPollWait limits the wait of every long poll.
 	DefaultMaxPollWait = 2 * time.Second
-	// minPollsPerLease is the least number of polls in a lease.
+	// minPollsPerLease is the minimum number of polls that a server makes during
+	// one lease.
 	minPollsPerLease = 3
-	// DefaultMaxBacklog bounds the jobs that wait in the cell.
+	// DefaultMaxBacklog limits the number of waiting jobs in the cell.
 	DefaultMaxBacklog = 262_144
-	// diskFullRetryDelay is when a caller may come back to a cell whose disk is full.
+	// diskFullRetryDelay is the retry delay given to callers when the journal's
+	// disk is full.
 	diskFullRetryDelay = time.Minute
-	// DefaultSnapshotInterval is the number of commands between snapshots.
+	// DefaultSnapshotInterval is the number of commands between two snapshots.
 	DefaultSnapshotInterval = 20_000
-	// DefaultMaxConfirmationAge is the greatest age of the last confirmed heartbeat round at
-	// which this leader still answers; it bounds how long a withdrawn key works
-	// at a leader that was cut off.
+	// DefaultMaxConfirmationAge is the maximum age of the last heartbeat round that
+	// a quorum confirmed. A leader whose last confirmation is older refuses
+	// requests. This limits how long a withdrawn key still works at a leader that
+	// was partitioned from the group.
 	DefaultMaxConfirmationAge = time.Second
 
-	// inboxCapacity bounds the batches that wait for the control thread.
+	// inboxCapacity limits the number of functions queued for the control thread.
 	inboxCapacity = 1024
-	// maxBatchesPerTurn bounds those handled before decisions are made and proposed.
+	// maxBatchesPerTurn limits the batches handled in one turn before decisions are
+	// made and proposed.
 	maxBatchesPerTurn = 64
-	// tickInterval is how often timers are looked at.
+	// tickInterval is the interval at which expired timers are run.
 	tickInterval = 20 * time.Millisecond
-	// silenceCheckInterval is how often all sessions are looked at for silence.
+	// silenceCheckInterval is the interval at which all sessions are checked for
+	// overdue syncs.
 	silenceCheckInterval = 100 * time.Millisecond
-	// digestCheckInterval is how often the replicas compare the digests of their states.
+	// digestCheckInterval is the interval at which the replicas compare the digests
+	// of their states.
 	digestCheckInterval = 10 * time.Second
-	// gaugeInterval is how often the gauges are set.
+	// gaugeInterval is the interval at which the gauges are set.
 	gaugeInterval = time.Second
-	// maxPendingCommands bounds the commands that the group has not taken yet.
+	// maxPendingCommands is the number of unproposed commands above which no new
+	// decisions are made.
 	maxPendingCommands = 100_000
 )
 
 // Group is the replicated log as the control thread uses it.
 type Group interface {
+	// Propose hands commands to the group; it returns false when the group has no
+	// room for them.
 	Propose(p group.Proposal) bool
+	// Notifications returns the channel on which the group reports elections,
+	// commits and membership.
 	Notifications() <-chan group.Note
+	// ConfirmLeadership asks for a heartbeat round that proves that this replica
+	// still leads.
 	ConfirmLeadership()
+	// Compact hands over a snapshot of the state at index, so that the log before
+	// it can be dropped.
 	Compact(index uint64, state []byte)
+	// Reload makes the group deliver its snapshot and the committed log again.
+	// After it returns, no notification from before is delivered.
 	Reload()
 }
 
-// ReplyTarget is where the reply to an item goes.
+// ReplyTarget identifies the item to which a reply belongs and the mailbox that
+// receives the reply.
 type ReplyTarget struct {
 	Mailbox *mailbox.Mailbox
 	Seq     uint64
-	// ReceivedAt is when the item came, on the clock of Now.
+	// ReceivedAt is the time of receipt on the monotonic clock Leader.Now.
 	ReceivedAt time.Duration
-	// Deadline is when whoever asked gives up; 0 for never.
+	// Deadline is when the caller gives up, on the same clock; 0 means never.
 	Deadline time.Duration
 }
 
-// Batch is what one Push brought.
+// Batch holds the items of one Push call from an entry.
 type Batch struct {
 	Mailbox    *mailbox.Mailbox
 	ReceivedAt time.Duration
 	Items      []*inner.Item
 }
 
-// Status is what traffic threads may know of this replica.
+// Status is the part of a replica's state that goroutines outside the control
+// thread may read.
 type Status struct {
 	Leads   bool
 	Term    uint64
 	Leader  string
 	Address string
-	// Revision of the table in force.
+	// Revision is the committed revision of the team table.
 	Revision uint64
-	// Full tells that the journal's disk has too little room for new work.
+	// Full reports whether the journal's disk has too little free space for new work.
 	Full bool
 }
 
-// Leader is the control thread. The exported fields are set before Run.
+// Leader is the control thread. Its exported fields must be set before Run is
+// called.
 type Leader struct {
 	Group Group
-	// Now is the group's monotonic clock.
+	// Now returns the time of the group's monotonic clock.
 	Now func() time.Duration
-	// WallClock is the time of day, for the ledger's clock.
+	// WallClock returns this process's time of day, from which the ledger's time is
+	// derived.
 	WallClock func() time.Time
-	// AgreedTime returns the time of day by the word of many processes at a time on the
-	// clock of Now, and whether enough are heard; nil for Wall alone. It is called
-	// on the control thread.
+	// AgreedTime returns the time of day agreed on by many processes for a time on
+	// the clock of Now. It returns false while too few processes have reported
+	// their time. If it is nil, WallClock is used alone. AgreedTime is called on
+	// the control thread.
 	AgreedTime func(now time.Duration) (time.Duration, bool)
-	// NewPlanner makes the planner of a new leader.
+	// NewPlanner creates the planner of a newly elected leader.
 	NewPlanner func() plan.Planner
+	// LeaseTerms are the length and clock drift allowance of the leases of backend
+	// servers.
 	LeaseTerms lease.Terms
-	// RootKey is the first operator's key, granted when the ledger has none.
-	RootKey     *v1.KeyGrant
+	// RootKey is the first operator key. The leader grants it when the ledger holds
+	// no keys.
+	RootKey *v1.KeyGrant
+	// SyncTimeout is how long a backend server may go without a sync before it gets
+	// no new work.
 	SyncTimeout time.Duration
-	Retention   time.Duration
+	// Retention is how long ended jobs and the results of operator changes are
+	// kept.
+	Retention time.Duration
+	// MaxPollWait limits the wait of every long poll.
 	MaxPollWait time.Duration
-	// Zones are the availability zones; none for those that backend servers are in.
+	// Zones are the configured availability zones. If empty, the zones are those
+	// that backend servers have announced.
 	Zones []string
-	// MaxBacklog bounds the jobs that wait in the cell.
-	MaxBacklog         int
+	// MaxBacklog limits the number of waiting jobs in the cell.
+	MaxBacklog int
+	// MaxConfirmationAge is the maximum age of the last confirmed heartbeat round
+	// at which this leader still serves requests.
 	MaxConfirmationAge time.Duration
-	SnapshotInterval   uint64
-	// OnDeposed is called when this replica stops to lead; it must not block.
+	// SnapshotInterval is the number of commands between two snapshots.
+	SnapshotInterval uint64
+	// OnDeposed is called when this replica stops leading or learns of another
+	// leader. It must not block.
 	OnDeposed func()
-	// OnTableRevision is called when another revision of the table is in force; it must not block.
+	// OnTableRevision is called when another revision of the team table is in
+	// force. It must not block.
 	OnTableRevision func()
-	// EntryMembers lists the entries as members; nil for none. It must not block.
+	// EntryMembers returns the entries as member lines for operators; it may be
+	// nil. It must not block.
 	EntryMembers func() []*v1.MemberLine
-	// MatchIndexes gives the index up to which each other replica has the log on its
-	// disk; nil when that is not known. It must not wait for the control thread.
+	// MatchIndexes returns, for each other replica, the index up to which the
+	// replica has stored the log on disk. It returns nil when that is unknown. It
+	// must not wait for the control thread.
 	MatchIndexes func() map[string]uint64
-	// ProposalInterval is the least time between two proposals; 0 for none. Each proposal
-	// costs a message to every replica and its answer, so a busy leader spends
-	// less on a few large ones. One that comes after a pause leaves at once.
+	// ProposalInterval is the minimum time between two proposals; 0 means no
+	// minimum. Each proposal costs a message to every replica and its
+	// acknowledgement, so a busy leader saves work by sending few large proposals.
+	// A proposal after a pause is sent at once.
 	ProposalInterval time.Duration
-	// TransferLeadership asks the group to hand the lead over; nil for never. It must not block.
+	// TransferLeadership asks the group to transfer the leadership to another
+	// replica; it may be nil. It must not block.
 	TransferLeadership func()
-	// Extension decides about flows; nil for none.
+	// Extension decides about flows; it may be nil.
 	Extension Extension
-	// Metrics receives the thread's metrics; nil for none.
+	// Metrics is the set in which the control thread registers its metrics; it may
+	// be nil.
 	Metrics *metrics.Set
 	Log     logr.Logger
 
@@ -149,7 +193,7 @@
 	done   chan struct{}
 	status atomic.Pointer[Status]
 
-	// Owned by the control thread.
+	// The fields below are used by the control thread only.
 	processorYield   turn.Turn
 	ledger           *state.State
 	appliedIndex     uint64
@@ -160,17 +204,19 @@
 	diskFull         bool
 	controlMetrics   *controlMetrics
 	logLimiter       event.Limit
-	// leaderlessSince is since when no leader is known, alarmed that it was told.
+	// leaderlessSince is when the last known leader was lost. leaderlessLogged reports
+	// whether the loss has been logged.
 	leaderlessSince  time.Duration
 	leaderlessLogged bool
 	stateLoaded      bool
 	gaugesSetAt      time.Duration
 }
 
-// ErrDiverged ends a replica whose state differs from the leader's.
-var ErrDiverged = errors.New("this replica's state differs from the leader's; remove its data and add it anew")
+// ErrDiverged is returned by Run when this replica's state differs from the
+// leader's.
+var ErrDiverged = errors.New("this replica's state differs from the leader's state; delete its data folder and add it to the group again")
 
-// New returns a control thread with the defaults.
+// New returns a control thread with the default settings.
 func New() *Leader {
 	l := &Leader{
 		LeaseTerms:         lease.Terms{Length: lease.DefaultLength, Drift: lease.DefaultDrift},
@@ -190,14 +236,14 @@
 	return l
 }
 
-// Status returns what is known now; it is safe for any goroutine.
+// Status returns the latest published status. It is safe for concurrent use.
 func (l *Leader) Status() Status { return *l.status.Load() }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (l *Leader) Done() <-chan struct{} { return l.done }
 
-// Push hands a batch to the control thread; false when there is no room, and
-// then nothing of it was looked at.
+// Push queues a batch for the control thread. It returns false when the queue is
+// full; then no item of the batch is processed.
 func (l *Leader) Push(b Batch) bool {
 	return l.tryEnqueue(func() { l.handleBatch(b) })
 }
@@ -211,7 +257,8 @@
 	}
 }
 
-// Execute runs fn on the control thread, for dumps and tests.
+// Execute runs fn on the control thread and waits for it. State dumps and tests use
+// it.
 func (l *Leader) Execute(ctx context.Context, fn func(*state.State)) error {
 	ran := make(chan struct{})
 	select {
@@ -231,7 +278,8 @@
 	}
 }
 
-// Run is the control thread; it returns when ctx ends or the replica must not go on.
+// Run executes the control thread. It returns nil when ctx ends, and an error when
+// the replica must stop.
 func (l *Leader) Run(ctx context.Context) error {
 	defer close(l.done)
 	l.controlMetrics = newControlMetrics(l.Metrics)
@@ -245,7 +293,7 @@
 			return nil
 		case n, ok := <-l.Group.Notifications():
 			if !ok {
-				return errors.New("the group has ended")
+				return errors.New("the replication group has stopped")
 			}
 			if err := l.handleNotification(n); err != nil {
 				return err
@@ -260,12 +308,14 @@
 	}
 }
 
-// Rest lets the other goroutines of the process have their turn: a message of the
-// group takes several of them, and a leader that decided for long at a time would lose
-// its lead to its own load. It is called on the control thread.
+// Rest yields the processor to the other goroutines of the process. A message of
+// the group passes through several goroutines. A leader that computes for a long
+// time without yielding would delay its heartbeats and lose the leadership because
+// of its own load. Rest is called on the control thread.
 func (l *Leader) Rest() { l.processorYield.Rest() }
 
-// drainInbox takes more batches that wait already, so that they share one commit.
+// drainInbox runs further functions that are already queued, so that their commands
+// share one commit.
 func (l *Leader) drainInbox() {
 	for range maxBatchesPerTurn {
 		l.Rest()
@@ -278,7 +328,8 @@
 	}
 }
 
-// finishTurn ends a turn: decide, propose, and let reads and sessions go on.
+// finishTurn ends one iteration of the control thread. A leader makes decisions,
+// proposes commands, and sends the replies whose commands are committed.
 func (l *Leader) finishTurn() {
 	if l.leadership != nil {
 		l.runCommittedEffects()
@@ -298,7 +349,7 @@
 func (l *Leader) publishStatus() {
 	old := l.status.Load()
 	s := *old
-	// A revision that is not committed yet may never come into force.
+	// An uncommitted revision may be lost with this leader, so it is not published.
 	if l.leadership == nil || l.leadership.commitIndex >= l.leadership.tableIndex {
 		s.Revision = l.ledger.Table().Revision()
 	}
--- a/internal/control/leader/leader_test.go
+++ b/internal/control/leader/leader_test.go
@@ -28,29 +28,29 @@
 		s := h.announceServer("b1", 8000)
 		syncSeq := s.sendSync()
 		if a := h.submitAndReply(batchSpec("plan")); a.GetOutcome() != v1.Outcome_OUTCOME_QUEUED {
-			t.Fatalf("accepted as %v", a)
+			t.Fatalf("a submitted job has outcome %v, want queued", a.GetOutcome())
 		}
 		attempts := startOrders(h.mustReply(syncSeq).GetSync())
 		if len(attempts) != 1 {
-			t.Fatalf("%d starts ordered", len(attempts))
+			t.Fatalf("got %d start orders, want 1", len(attempts))
 		}
 		waitSeq := h.pushWait("plan")
 		endReport := attemptReport(attempts[0], v1.Phase_PHASE_ENDED)
 		endReport.Chunks = answer.Split([]byte("forty trucks"))
 		r := s.syncAndWait(endReport)
 		if len(r.GetOrders()) != 1 || r.GetOrders()[0].GetVerb() != v1.Verb_VERB_FORGET {
-			t.Errorf("orders after the end: %v", r.GetOrders())
+			t.Errorf("orders after the attempt ended: %v", r.GetOrders())
 		}
 		want := &v1.WaitReply{Id: "plan", Outcome: v1.Outcome_OUTCOME_DONE, Status: &v1.Status{Text: "0: ok"}, Chunk: answer.Cut([]byte("forty trucks"), 0)}
 		if diff := cmp.Diff(want, h.mustReply(waitSeq).GetWait(), protocmp.Transform()); diff != "" {
-			t.Error(diff)
+			t.Errorf("reply to the wait: %s", diff)
 		}
 	})
 }
 
-// A caller is told "accepted" and an order starts a task, then the leader dies
-// before the log was on a quorum's disks, and the next leader knows of neither.
-// So nothing may leave before its cause is committed.
+// Guards against replies and orders that are sent before their command is
+// committed. If the leader then fails, the next leader does not know the accepted
+// job or the started task.
 func TestRepliesAndOrdersWaitForCommit(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		s := h.announceServer("b1", 8000)
@@ -58,17 +58,18 @@
 		syncSeq, submitSeq := s.sendSync(), h.pushSubmit(batchSpec("plan"))
 		time.Sleep(100 * time.Millisecond)
 		if h.replyTo(syncSeq) != nil || h.replyTo(submitSeq) != nil {
-			t.Fatal("an effect left before its cause was committed")
+			t.Fatal("a reply or order was sent before its command was committed")
 		}
 		h.group.releaseCommits()
 		if h.replyTo(submitSeq) == nil || len(startOrders(h.mustReply(syncSeq).GetSync())) != 1 {
-			t.Error("a committed effect was held back")
+			t.Error("a reply or order was held back after its command was committed")
 		}
 	})
 }
 
-// A deposed leader had decided things that nobody agreed on. It drops its
-// working ledger and answers nothing of it; the next one starts from the log.
+// Guards against a deposed leader that acts on uncommitted commands. It must
+// discard its working ledger and send no replies based on it; the next leader
+// starts from the log.
 func TestDeposedLeaderDropsUncommittedState(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		h.group.holdCommits()
@@ -76,16 +77,17 @@
 		h.group.notifications <- group.Follow{Term: 2, Leader: "other"}
 		synctest.Wait()
 		if h.replyTo(submitSeq) != nil {
-			t.Error("a deposed leader answered")
+			t.Error("a deposed leader sent a reply")
 		}
 		if h.group.reloadCount != 1 {
-			t.Error("the working ledger was kept")
+			t.Error("the working ledger was not reloaded from the log")
 		}
 	})
 }
 
-// A key is withdrawn while this leader is cut off silently: it cannot know. It
-// must stop to accept within the stated bound.
+// Guards against a partitioned leader that still accepts a key withdrawn elsewhere.
+// It must refuse requests once its last confirmation is older than
+// MaxConfirmationAge.
 func TestLeaderWithoutRecentConfirmationRefuses(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		h.announceServer("b1", 8000)
@@ -105,8 +107,8 @@
 	})
 }
 
-// A caller is refused as not run and gives up; a copy of the request that was
-// delayed in a connection arrives when there is room again, and would run.
+// Guards against running a job that its caller was told was not run. A delayed copy
+// of the refused request arrives when the queue has room again.
 func TestALateCopyOfARefusedRequestNeverRuns(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		s := h.announceServer("b1", 4000)
@@ -116,7 +118,7 @@
 		refused := h.submitAndReply(batchSpec("late"))
 		expectCode(t, code.QueueFull, refused.GetStatus())
 		if refused.GetStatus().GetRetry() == 0 {
-			t.Error("no hint when to come back")
+			t.Error("the refusal has no retry delay")
 		}
 		for _, a := range startOrders(s.syncAndWait()) {
 			s.syncAndWait(func() *v1.Report { r := attemptReport(a, v1.Phase_PHASE_ENDED); r.Chunks = answer.Split(nil); return r }())
@@ -124,14 +126,14 @@
 		again := h.submitAndReply(batchSpec("late"))
 		expectCode(t, code.QueueFull, again.GetStatus())
 		if again.GetOutcome() != v1.Outcome_OUTCOME_NOT_RUN {
-			t.Errorf("outcome %v", again.GetOutcome())
+			t.Errorf("a copy of the refused request has outcome %v", again.GetOutcome())
 		}
 	})
 }
 
-// An order is lost with the answer that carried it. The server's next sync does
-// not list the attempt, so it is ordered again under the same number; a copy of
-// the older request that arrives late is not answered.
+// A start order is lost with the sync reply that carried it. The server's next sync
+// does not list the attempt, so the order must be repeated with the same attempt
+// number. A delayed copy of the older sync must not be answered.
 func TestALostOrderIsRepeatedUnderTheSameNumber(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		s := h.announceServer("b1", 8000)
@@ -139,18 +141,18 @@
 		first := startOrders(s.syncAndWait())
 		second := startOrders(s.syncAndWait())
 		if diff := cmp.Diff(first, second, protocmp.Transform()); diff != "" || len(first) != 1 {
-			t.Errorf("repeated order: %s", diff)
+			t.Errorf("the repeated start order differs: %s", diff)
 		}
 		s.syncNumber -= 2
 		if n := s.sendSync(); h.replyTo(n) != nil {
-			t.Error("a late copy of an abandoned sync was answered")
+			t.Error("a delayed copy of an older sync was answered")
 		}
 	})
 }
 
-// A server goes silent with a task. Another place may take the task only when
-// the lease is over on every clock; before that the server is only marked, and
-// a session that was given up is refused when it comes back.
+// Guards against a task that runs on two servers. The task of a silent server may
+// start elsewhere only when the lease has expired on every clock. Before that the
+// server is only marked as suspect. Afterwards its old session is refused.
 func TestASilentServersTaskMovesOnlyAfterItsLease(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		s := h.announceServer("b1", 1000)
@@ -160,7 +162,7 @@
 		other := h.announceServer("b2", 1000)
 		for h.group.now() < silentSince+h.leader.LeaseTerms.Length {
 			if got := startOrders(other.syncAndWait()); len(got) > 0 {
-				t.Fatalf("started elsewhere after %v", h.group.now()-silentSince)
+				t.Fatalf("the task was started elsewhere after %v", h.group.now()-silentSince)
 			}
 		}
 		var movedAttempts []*v1.Attempt
@@ -168,14 +170,15 @@
 			movedAttempts = startOrders(other.syncAndWait())
 		}
 		if len(movedAttempts) != 1 || movedAttempts[0].GetNumber() != 2 {
-			t.Fatalf("moved as %v", movedAttempts)
+			t.Fatalf("attempts started elsewhere: %v, want one with number 2", movedAttempts)
 		}
 		expectCode(t, code.Stale, s.syncAndWait().GetStatus())
 	})
 }
 
-// A new leader cannot know which leases its predecessor renewed last. It waits
-// a full lease from its own election before it gives any server up.
+// Guards against a task that runs on two servers after a failover. A new leader
+// does not know which leases its predecessor renewed last, so it must wait a full
+// lease after its election before it gives up any server.
 func TestANewLeaderWaitsOutItsPredecessorsLeases(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		s := h.announceServer("b1", 1000)
@@ -188,14 +191,15 @@
 		other := h.announceServer("b2", 1000)
 		for h.group.now() < electedAt+h.leader.LeaseTerms.Length {
 			if got := startOrders(other.syncAndWait()); len(got) > 0 {
-				t.Fatalf("started elsewhere %v after the election", h.group.now()-electedAt)
+				t.Fatalf("the task was started elsewhere %v after the election", h.group.now()-electedAt)
 			}
 		}
 	})
 }
 
-// A server dies under a reconciliation that may not be repeated. Its order had
-// left, so it may have run: the outcome is unknown, and no second attempt is made.
+// Guards against a second run of a task that must run at most once. Its server is
+// lost after the start order was sent, so the task may have run. The outcome must
+// be unknown, without a second attempt.
 func TestALostTaskThatMayNotBeRepeatedIsUnknown(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		s := h.announceServer("b1", 1000)
@@ -206,35 +210,36 @@
 		other := h.announceServer("b2", 1000)
 		for range 30 {
 			if got := startOrders(other.syncAndWait()); len(got) > 0 {
-				t.Fatal("started a second time")
+				t.Fatal("the task was started a second time")
 			}
 		}
 		got := h.waitOutcome("stock")
 		if got.GetOutcome() != v1.Outcome_OUTCOME_UNKNOWN {
-			t.Errorf("outcome %v", got.GetOutcome())
+			t.Errorf("the lost task has outcome %v, want unknown", got.GetOutcome())
 		}
 		expectCode(t, code.Lost, got.GetStatus())
 	})
 }
 
-// An operator drains a server while work waits: it gets none of it.
+// An operator drains a server while jobs wait. The server must get none of them,
+// even after it restarts.
 func TestDrainingServerGetsNoNewTasks(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		s := h.announceServer("b1", 8000)
 		h.applyChange("drain", &v1.ChangeRequest{Change: &v1.ChangeRequest_Mark{Mark: &v1.ServerMark{Server: "b1", Drain: true}}})
 		h.submitAndReply(batchSpec("plan"))
 		if got := startOrders(s.syncAndWait()); len(got) > 0 {
-			t.Error("new work for a draining server")
+			t.Error("a draining server got a new task")
 		}
-		// It restarts meanwhile, and is still to be left alone.
+		// The server restarts. It must still get no new tasks.
 		if got := startOrders(h.announceServer("b1", 8000).syncAndWait()); len(got) > 0 {
-			t.Error("the drain was forgotten by a restart")
+			t.Error("a draining server got a new task after its restart")
 		}
 	})
 }
 
-// A zone is drained while work waits: no server there gets any, not even one that
-// comes later, and all do once the zone is taken back.
+// An operator drains a zone while jobs wait. No server of the zone may get any of
+// them, not even a server that joins later, until the drain is undone.
 func TestDrainedZoneGetsNoNewTasks(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		s := h.announceServer("b1", 8000)
@@ -247,20 +252,21 @@
 		mark("drain", zoneName, true)
 		h.submitAndReply(batchSpec("plan"))
 		if got := startOrders(s.syncAndWait()); len(got) > 0 {
-			t.Error("new work for a drained zone")
+			t.Error("a server of a drained zone got a new task")
 		}
 		if got := startOrders(h.announceServer("b2", 8000).syncAndWait()); len(got) > 0 {
-			t.Error("new work for a server that came to a drained zone")
+			t.Error("a server that joined a drained zone got a new task")
 		}
 		mark("undrain", zoneName, false)
 		if got := startOrders(s.syncAndWait()); len(got) != 1 {
-			t.Errorf("taken back: %v", got)
+			t.Errorf("start orders after the drain was undone: %v, want 1", got)
 		}
 	})
 }
 
-// A whole gang is ordered, then one of its servers dies: the rest is stopped,
-// and the gang starts again as a whole or not at all.
+// Guards against a gang that continues with some of its tasks. When a server of the
+// gang is lost, the remaining tasks must be stopped, and the gang may only start
+// again as a whole.
 func TestGangThatLosesATaskRestartsAsAWhole(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		a, b := h.announceServer("b1", 1000), h.announceServer("b2", 2000)
@@ -269,7 +275,7 @@
 		h.submitAndReply(gang)
 		attemptsOnB := startOrders(b.syncAndWait())
 		if len(startOrders(a.syncAndWait())) != 1 || len(attemptsOnB) != 2 {
-			t.Fatal("the gang did not start whole")
+			t.Fatal("not all tasks of the gang were started")
 		}
 		phase := v1.Phase_PHASE_RUNNING
 		for range 40 {
@@ -284,21 +290,21 @@
 				case v1.Verb_VERB_FORGET:
 					attemptsOnB = nil
 				case v1.Verb_VERB_START:
-					t.Fatal("a part of the gang started alone")
+					t.Fatal("some tasks of the gang were started without the others")
 				}
 			}
 		}
 		h.announceServer("b3", 1000)
 		got := startOrders(b.syncAndWait())
 		if len(got) != 2 || got[0].GetNumber() != 2 {
-			t.Errorf("second start: %v", got)
+			t.Errorf("start orders of the second attempt: %v", got)
 		}
 	})
 }
 
-// Two operators start from the same revision, and one of them sends its change
-// again because the answer was lost. One wins, the other is told the current
-// revision, and the resend changes nothing.
+// Two operators change the same revision of the table, and one of them resends its
+// change because the reply was lost. One change must succeed, the other must be
+// refused with the current revision, and the resend must have no effect.
 func TestConcurrentAndResentChanges(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		edit := func(weight uint32) *v1.ChangeRequest {
@@ -311,38 +317,38 @@
 		expectCode(t, code.OK, first.GetStatus())
 		expectCode(t, code.Conflict, second.GetStatus())
 		if second.GetRevision() != 2 {
-			t.Errorf("told revision %d", second.GetRevision())
+			t.Errorf("the conflict names revision %d, want 2", second.GetRevision())
 		}
 		h.group.notifications <- group.Follow{Term: 2}
 		h.elect(2)
 		if diff := cmp.Diff(first, h.applyChange("x", edit(7)), protocmp.Transform()); diff != "" {
-			t.Errorf("a resend after a failover is answered otherwise: %s", diff)
+			t.Errorf("a resent change got another reply after a failover: %s", diff)
 		}
 		h.withLedger(func(st *state.State) {
 			row, _ := st.Table().Row("rail")
 			if row.Weight != 7 || st.Table().Revision() != 2 {
-				t.Errorf("weight %d at revision %d", row.Weight, st.Table().Revision())
+				t.Errorf("got weight %d at revision %d, want 7 at 2", row.Weight, st.Table().Revision())
 			}
 		})
 	})
 }
 
-// A caller's poll ends on time with how the job stands, and a later one gets the outcome.
+// A caller's long poll must end in time with the job's current state.
 func TestALongPollIsBounded(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		h.announceServer("b1", 8000)
 		h.submitAndReply(batchSpec("plan"))
 		if got := h.waitOutcome("plan"); got.GetOutcome() != v1.Outcome_OUTCOME_RUNNING {
-			t.Errorf("outcome %v", got.GetOutcome())
+			t.Errorf("the poll returned outcome %v, want running", got.GetOutcome())
 		}
 		r := h.mustReply(h.push(&inner.Item{Credential: h.credential("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: "none"}}}))
 		expectCode(t, code.Unknown, r.GetStatus())
 	})
 }
 
-// A task is preempted in the same turn in which it was placed, so its server
-// never heard of it. An order to save it would never be answered, and the task
-// would hold its place for ever: it is stopped, and told apart from one that ran.
+// Guards against a task that keeps its placement for ever. The task is preempted in
+// the turn in which it was placed, so its server does not know it and would never
+// answer a checkpoint order. It must be sent a stop order instead.
 func TestTaskHaltedBeforeItsStartOrderIsSentIsStopped(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		s := h.announceServer("b1", 8000)
@@ -352,14 +358,14 @@
 		})
 		r := s.syncAndWait()
 		if len(r.GetOrders()) != 1 || r.GetOrders()[0].GetVerb() != v1.Verb_VERB_STOP {
-			t.Errorf("orders %v", r.GetOrders())
+			t.Errorf("orders %v, want one stop order", r.GetOrders())
 		}
 	})
 }
 
-// A server is drained while the order for a task, lost with its answer, is due
-// to be given again. To the server that would be new work after the mark: the
-// task is taken back, also one that may not be repeated, and runs elsewhere.
+// Guards against new work for a draining server. A start order is lost with its
+// sync reply, and the server is drained before the order is repeated. The task must
+// be recalled, even if it may run only once, and must start on another server.
 func TestADrainingServerIsNotGivenALostOrderAgain(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		s := h.announceServer("b1", 8000)
@@ -370,18 +376,18 @@
 		h.applyChange("drain", &v1.ChangeRequest{Change: &v1.ChangeRequest_Mark{Mark: &v1.ServerMark{Server: "b1", Drain: true}}})
 		r := s.syncAndWait()
 		if len(r.GetOrders()) != 1 || r.GetOrders()[0].GetVerb() != v1.Verb_VERB_STOP {
-			t.Fatalf("orders %v", r.GetOrders())
+			t.Fatalf("orders %v, want one stop order", r.GetOrders())
 		}
 		other := h.announceServer("b2", 8000)
 		s.syncAndWait(&v1.Report{Attempt: lostStarts[0], Phase: v1.Phase_PHASE_STOPPED})
 		if got := startOrders(other.syncAndWait()); len(got) != 1 || got[0].GetNumber() != 2 {
-			t.Errorf("elsewhere: %v", got)
+			t.Errorf("start orders of the other server: %v, want one with number 2", got)
 		}
 	})
 }
 
-// A caller waits on a long poll when its key is withdrawn, and the job ends a
-// moment later: the answer is not for that key any more.
+// Guards against an answer to a withdrawn key. The key is withdrawn while a Wait is
+// parked; when the Wait is answered, it must be refused.
 func TestParkedWaitIsNotAnsweredAfterKeyWithdrawal(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		h.announceServer("b1", 8000)
@@ -393,16 +399,16 @@
 	})
 }
 
-// The planner's picture of a server is out of date, so the ledger refuses its
-// placement. The planner must take it back: a task that it counts as running
-// for ever never gets a place, and its caller no answer.
+// Guards against a task that is never placed. The planner's view of a server is
+// outdated, so the ledger refuses the placement. If the planner still counted the
+// task as running, it would never place the task again.
 func TestRefusedPlacementIsRetried(t *testing.T) {
 	planner := func() plan.Planner { return policy.New(policy.Config{}) }
 	runWithPlanner(t, logr.Discard(), planner, func(h *harness) {
 		s := h.announceServer("b1", 8000)
 		h.withLedger(func(st *state.State) {
 			watch := st.Watch
-			st.Watch = nil // what follows is hidden from the planner
+			st.Watch = nil // hides the next command from the planner
 			st.Apply(&record.Command{What: &record.Command_Mark{Mark: &record.Mark{Server: "b1", Incarnation: 1, State: uint32(backend.Suspect)}}})
 			st.Watch = watch
 		})
@@ -410,15 +416,15 @@
 		if got := startOrders(s.syncAndWait()); len(got) != 1 {
 			time.Sleep(time.Second)
 			if got = startOrders(s.syncAndWait()); len(got) != 1 {
-				t.Errorf("starts once the server is ready: %v", got)
+				t.Errorf("start orders once the server is ready: %v, want 1", got)
 			}
 		}
 	})
 }
 
-// A quote cannot be placed in time, because no server is there at all. Its buyer
-// does not wait for ever: the job ends as not run soon after its deadline, and the
-// parked wait is answered.
+// Guards against a caller that waits for ever. There is no server for an urgent
+// job, so the job must end as not run soon after its deadline, and the parked Wait
+// must be answered.
 func TestAJobPastItsDeadlineIsRefused(t *testing.T) {
 	planner := func() plan.Planner { return policy.New(policy.Config{}) }
 	runWithPlanner(t, logr.Discard(), planner, func(h *harness) {
@@ -430,15 +436,15 @@
 		time.Sleep(300 * time.Millisecond)
 		got := h.mustReply(waitSeq).GetWait()
 		if got.GetOutcome() != v1.Outcome_OUTCOME_NOT_RUN {
-			t.Errorf("outcome %v", got.GetOutcome())
+			t.Errorf("the job has outcome %v, want not run", got.GetOutcome())
 		}
 		expectCode(t, code.DeadlinePassed, got.GetStatus())
 	})
 }
 
-// Many decisions follow each other closely. Each as a proposal of its own would
-// cost a message to every replica; together they cost a few, and the first of
-// them does not wait.
+// Guards against one proposal per change under load, since each proposal costs a
+// message to every replica. Changes in quick succession must share a few proposals,
+// and the first change must be proposed at once.
 func TestProposalsAreBatched(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		if err := h.leader.Execute(context.Background(), func(*state.State) { h.leader.ProposalInterval = 10 * time.Millisecond }); err != nil {
@@ -454,14 +460,14 @@
 			if i == 0 {
 				synctest.Wait()
 				if h.group.proposalCount() == before {
-					t.Error("the first of them waits")
+					t.Error("the first change was not proposed at once")
 				}
 			}
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(100 * time.Millisecond)
 		if n := h.group.proposalCount() - before; n > 5 {
-			t.Errorf("20 changes took %d proposals", n)
+			t.Errorf("20 changes took %d proposals, want at most 5", n)
 		}
 	})
 }
--- a/internal/control/leader/lead.go
+++ b/internal/control/leader/leadership.go
@@ -17,24 +17,29 @@
 	"gypsumreel/internal/replica/group"
 )
 
-// leadership is what a replica has only while it leads; it is dropped whole when deposed.
+// leadership is the state that a replica has only while it leads. It is discarded
+// when the replica is deposed.
 type leadership struct {
 	term uint64
-	// electedAt is when this replica began to lead, begun the ledger's time then.
+	// electedAt is when this replica was elected, on the clock of Leader.Now, and
+	// initialLedgerTime is the ledger's time at that moment.
 	electedAt         time.Duration
 	initialLedgerTime time.Duration
-	// lastIndex is the index of the latest command applied to the working ledger.
+	// lastIndex is the log index of the latest command applied to the working
+	// ledger.
 	lastIndex   uint64
 	commitIndex uint64
-	// confirmedAt is the start of the latest heartbeat round that a quorum confirmed.
+	// confirmedAt is the start of the latest heartbeat round that a quorum
+	// confirmed.
 	confirmedAt         time.Duration
 	leadershipConfirmed bool
 	planner             plan.Planner
 	leases              *lease.Book
-	// pendingCommands are the commands that the group has not taken yet.
+	// pendingCommands are the encoded commands that are not yet handed to the
+	// group.
 	pendingCommands [][]byte
-	// lastProposedAt is when the last proposal left, waking tells that a turn is set
-	// for the next.
+	// lastProposedAt is when the last proposal was sent. proposalTimerSet reports whether
+	// a timer will wake the control thread for the next one.
 	lastProposedAt   time.Duration
 	proposalTimerSet bool
 	heldReplies      []heldReply
@@ -49,43 +54,47 @@
 	silenceCheckedAt time.Duration
 	promotionTriedAt time.Duration
 	planNeeded       bool
-	// inFlightProposals are the commands under way, to measure their commits.
+	// inFlightProposals are the proposals whose commit latency is still to be
+	// measured.
 	inFlightProposals []inFlightProposal
-	// tableIndex is an index at which the table's current revision is in the log.
+	// tableIndex is a log index at or after the command that made the current table
+	// revision.
 	tableIndex  uint64
 	reported    reportedState
 	answerCache answerState
 }
 
-// heldReply is a reply whose cause is not committed yet.
+// heldReply is a reply that is sent once the log is committed up to index.
 type heldReply struct {
 	index  uint64
 	target ReplyTarget
 	reply  *inner.Reply
 }
 
-// pendingRead is a read that waits for proof that this replica still leads.
+// pendingRead is a read that waits for confirmation that this replica still led
+// after receivedAt.
 type pendingRead struct {
 	receivedAt time.Duration
 	run        func()
 }
 
-// timer is something that happens at a time unless it was settled before.
+// timer is a function that runs at a given time on the clock of Leader.Now.
 type timer struct {
 	at  time.Duration
 	run func()
 }
 
+// timerHeap is a min-heap of timers, ordered by time.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
 func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push adds an element for container/heap.
+// Push appends an element; it implements heap.Interface.
 func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
 
-// Pop removes the last element for container/heap.
+// Pop removes the last element; it implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	old := *h
 	n := len(old) - 1
@@ -95,7 +104,8 @@
 	return x
 }
 
-// becomeLeader starts to lead: a planner and a lease book are built from the ledger.
+// becomeLeader starts leading. It builds a planner and the lease records from the
+// ledger.
 func (l *Leader) becomeLeader(n group.Lead) {
 	l.leadership = &leadership{
 		term:              n.Term,
@@ -133,7 +143,7 @@
 	}
 }
 
-// replayLedger tells a new planner everything that the ledger holds.
+// replayLedger passes the contents of the ledger to a new planner.
 func (l *Leader) replayLedger() {
 	l.leadership.reported.replaying = true
 	defer func() { l.leadership.reported.replaying = false }()
@@ -160,13 +170,15 @@
 	}
 }
 
-// becomeFollower stops to lead. What the working ledger had ahead of the committed log
-// is dropped, and with it every held effect: nobody was told of them.
+// becomeFollower stops leading. Commands in the working ledger that are not
+// committed are discarded, together with all held replies and effects. No caller
+// has seen any of them.
 func (l *Leader) becomeFollower(n group.Follow) {
 	if lead := l.leadership; lead != nil {
 		event.Log(l.Log, event.LeaderLost, "term", lead.term, "next", n.Leader)
 		if n.Leader == "" && n.Term == lead.term {
-			// The same term and nobody else: this replica gave up by itself.
+			// The term is the same and there is no other leader, so this replica
+			// stepped down because it lost its quorum.
 			event.Log(l.Log, event.QuorumLost, "term", lead.term)
 		}
 		l.leadership = nil
@@ -185,16 +197,18 @@
 	l.status.Store(&Status{Term: n.Term, Leader: n.Leader, Address: n.Address, Revision: l.ledger.Table().Revision(), Full: l.diskFull})
 }
 
-// ledgerTime returns the ledger's time: the time of day, never going back.
+// ledgerTime returns the ledger's time, which follows the time of day and never
+// goes back.
 func (l *Leader) ledgerTime() time.Duration { return max(l.ledger.At(), l.timeOfDay()) }
 
-// timeAgreementWait is how long a new leader waits for the word of others on the time of
-// day: they make themselves known several times in it.
+// timeAgreementWait is how long a new leader waits for other processes to report
+// their time of day. Each process reports several times within it.
 const timeAgreementWait = 3 * time.Second
 
-// timeOfDay returns the time of day that is agreed on; before others were heard, as
-// much after the last time in the ledger as this replica leads. Its own time of day
-// counts only where nobody else tells.
+// timeOfDay returns the agreed time of day. Until enough processes have reported,
+// it extrapolates from the ledger's time at the election for at most
+// timeAgreementWait. After that, and on a replica that does not lead, it returns
+// this process's own time of day.
 func (l *Leader) timeOfDay() time.Duration {
 	if l.AgreedTime == nil || l.leadership == nil {
 		return time.Duration(l.WallClock().UnixNano())
@@ -217,15 +231,16 @@
 	return r
 }
 
-// queueCommand puts an applied command at the end of what is to be proposed.
+// queueCommand appends an applied command to the commands to be proposed.
 func (l *Leader) queueCommand(c *record.Command) {
 	l.leadership.pendingCommands = append(l.leadership.pendingCommands, command.Encode(c))
 	l.leadership.lastIndex++
 	l.appliedIndex = l.leadership.lastIndex
 }
 
-// applyIfAccepted is do for a decision of this replica alone: what the ledger refuses
-// changed nothing and is not worth a place in the log.
+// applyIfAccepted applies a command that this leader decided on its own, and queues
+// it only if the ledger accepts it. A refused command changes nothing and need not
+// be logged.
 func (l *Leader) applyIfAccepted(c *record.Command) state.Result {
 	c.At = int64(l.ledgerTime())
 	r := l.ledger.Apply(c)
@@ -235,7 +250,8 @@
 	return r
 }
 
-// proposePending hands pending commands to the group; what it has no room for stays.
+// proposePending hands pending commands to the group. They stay pending when the
+// group has no room for them.
 func (l *Leader) proposePending() {
 	lead := l.leadership
 	if len(lead.pendingCommands) == 0 || l.delayProposal() {
@@ -248,8 +264,9 @@
 	}
 }
 
-// delayProposal tells that the next proposal has to wait for more, and sees to it that
-// it leaves when its time has come.
+// delayProposal reports whether the next proposal must wait for ProposalInterval to
+// pass. If so, it sets a timer that wakes the control thread when the interval
+// ends.
 func (l *Leader) delayProposal() bool {
 	if l.ProposalInterval == 0 {
 		return false
@@ -268,13 +285,13 @@
 	return true
 }
 
-// replyWhenCommitted answers an item once everything that the answer rests on is committed.
+// replyWhenCommitted sends a reply once all commands applied so far are committed.
 func (l *Leader) replyWhenCommitted(to ReplyTarget, r *inner.Reply) {
 	r.Seq = to.Seq
 	l.leadership.heldReplies = append(l.leadership.heldReplies, heldReply{index: l.leadership.lastIndex, target: to, reply: r})
 }
 
-// refuse answers an item with a code alone.
+// refuse answers an item with an error status only.
 func (l *Leader) refuse(to ReplyTarget, err *code.Error) {
 	l.replyWhenCommitted(to, &inner.Reply{Status: statusOf(err)})
 }
@@ -286,7 +303,7 @@
 	return &v1.Status{Code: uint32(err.Code), Text: err.Error()}
 }
 
-// deliverCommittedReplies lets the replies go whose cause is committed.
+// deliverCommittedReplies sends the held replies whose commands are committed.
 func (l *Leader) deliverCommittedReplies() {
 	lead := l.leadership
 	n := 0
@@ -301,9 +318,9 @@
 	}
 }
 
-// runWhenConfirmed runs fn once a heartbeat round that began after the read came in is
-// confirmed. A leader that was deposed without noticing would otherwise tell
-// of a state that is no longer the current one.
+// runWhenConfirmed runs fn once a heartbeat round is confirmed that began after the
+// read was received. Without it, a leader that was deposed without noticing would
+// return stale state.
 func (l *Leader) runWhenConfirmed(to ReplyTarget, fn func()) {
 	l.leadership.pendingReads = append(l.leadership.pendingReads, pendingRead{receivedAt: to.ReceivedAt, run: fn})
 }
@@ -321,12 +338,13 @@
 	}
 }
 
-// schedule runs fn at a time on the clock of Now, while this replica still leads.
+// schedule runs fn at the given time on the clock of Leader.Now, if this replica
+// still leads then.
 func (l *Leader) schedule(at time.Duration, fn func()) {
 	heap.Push(&l.leadership.timers, timer{at: at, run: fn})
 }
 
-// runTimers runs what is due.
+// runTimers runs expired timers and periodic work.
 func (l *Leader) runTimers() {
 	lead := l.leadership
 	now := l.Now()
@@ -362,7 +380,7 @@
 	}
 }
 
-// forgetExpired forgets what retention lets go.
+// forgetExpired removes jobs, change results and servers whose retention has ended.
 func (l *Leader) forgetExpired() {
 	const maxForgotten = 1000
 	f := l.ledger.Expired(l.ledgerTime()-l.Retention, maxForgotten)
@@ -371,8 +389,9 @@
 	}
 }
 
-// offerLeadership hands the lead over while this replica's disk is full: it would refuse
-// all new work, although most others can store it.
+// offerLeadership asks to transfer the leadership while this replica's disk is
+// full. As leader it would refuse all new work although most other replicas can
+// store it.
 func (l *Leader) offerLeadership() {
 	if l.diskFull && l.TransferLeadership != nil {
 		l.TransferLeadership()
--- a/internal/control/leader/member.go
+++ b/internal/control/leader/member.go
@@ -13,23 +13,26 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// Times of membership changes.
+// Intervals of membership changes.
 const (
-	// membershipTimeout is how long a change may take before its asker is told to ask again.
+	// membershipTimeout is how long a change may take before the caller is told to
+	// retry.
 	membershipTimeout = 2 * time.Second
-	// promotionInterval is how often a learner is proposed as a voter until it is one.
+	// promotionInterval is the interval at which a learner's promotion to voter is
+	// proposed.
 	promotionInterval = time.Second
 )
 
-// handleMemberChange changes the control group's membership. It needs no record of its own:
-// asking again for what is so already changes nothing.
+// handleMemberChange changes the membership of the control group. A repeated
+// request for a change already in force has no effect, so the request needs no
+// record in the ledger.
 func (l *Leader) handleMemberChange(to ReplyTarget, c *v1.MemberChange) {
 	if !strings.Contains(c.GetReplica(), "/") {
-		l.refuse(to, code.New(code.Malformed, "a replica is named NAME/NONCE, as its /readyz says"))
+		l.refuse(to, code.New(code.Malformed, "the replica's name must have the form NAME/NONCE, as shown by its /readyz"))
 		return
 	}
 	if c.GetRemove() && c.GetReplica() == l.membership.Self {
-		l.refuse(to, code.New(code.InUse, "%s leads; stop it first, so that another takes over", c.GetReplica()))
+		l.refuse(to, code.New(code.InUse, "%s is the leader; stop it first, so that another replica takes over", c.GetReplica()))
 		return
 	}
 	if !l.membershipMatches(c) {
@@ -38,13 +41,14 @@
 	l.awaitMembership(to, c, l.Now()+membershipTimeout)
 }
 
-// membershipMatches tells whether the membership is as the change wants it.
+// membershipMatches reports whether the requested change is already in force.
 func (l *Leader) membershipMatches(c *v1.MemberChange) bool {
 	known := slices.ContainsFunc(l.membership.Members, func(m quorum.Member) bool { return m.ID == c.GetReplica() })
 	return known != c.GetRemove()
 }
 
-// awaitMembership answers a change once it shows in the membership, or when it took too long.
+// awaitMembership answers a change when it is in force or when the deadline has
+// passed. Until then it checks again at every tick.
 func (l *Leader) awaitMembership(to ReplyTarget, c *v1.MemberChange, deadline time.Duration) {
 	switch {
 	case l.membershipMatches(c):
@@ -52,7 +56,7 @@
 		l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Change{Change: rep}})
 	case l.Now() >= deadline:
 		event.Log(l.Log, event.MemberRefused, "member", c.GetReplica(), "remove", c.GetRemove())
-		st := statusOf(code.New(code.Busy, "not in force yet; ask again"))
+		st := statusOf(code.New(code.Busy, "the membership change is not in force yet; retry"))
 		st.Retry = uint64(promotionInterval / time.Millisecond)
 		rep := &v1.ChangeReply{Status: st, Revision: l.ledger.Table().Revision()}
 		l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Change{Change: rep}})
@@ -61,14 +65,15 @@
 	}
 }
 
-// proposeMembership proposes one change of membership. The group gives it the next index,
-// also when it cannot be made now, so that the count of indexes holds.
+// proposeMembership proposes one membership change. The group assigns it the next
+// log index even when the change cannot be made now, so that lastIndex stays equal
+// to the group's last index.
 func (l *Leader) proposeMembership(m quorum.Member, remove bool) {
 	lead := l.leadership
-	lead.lastProposedAt = 0 // the change takes the next index: what is before it leaves now
+	lead.lastProposedAt = 0 // send all pending commands now, since the change takes the next index
 	l.proposePending()
 	if len(lead.pendingCommands) > 0 {
-		return // the group is busy; whoever asked asks again
+		return // the group has no room; the caller retries
 	}
 	if !l.Group.Propose(group.Proposal{Term: lead.term, First: lead.lastIndex + 1, Change: &m, Remove: remove}) {
 		return
@@ -77,12 +82,13 @@
 	l.appliedIndex = lead.lastIndex
 }
 
-// promoteLearner proposes learners as voters. The group takes only one that has synced
-// what is committed; until then each try costs an empty entry.
+// promoteLearner proposes the first learner as a voter. The group promotes only a
+// learner that has stored all committed entries; until then each attempt adds an
+// empty log entry.
 func (l *Leader) promoteLearner(now time.Duration) {
 	lead := l.leadership
 	if l.Extension != nil || now-lead.promotionTriedAt < promotionInterval {
-		return // a Part decides about the membership itself
+		return // the extension manages the membership itself
 	}
 	lead.promotionTriedAt = now
 	for _, m := range l.membership.Members {
--- a/internal/control/leader/meter.go
+++ b/internal/control/leader/metrics.go
@@ -9,7 +9,7 @@
 	basemeter "gypsumreel/internal/base/meter"
 )
 
-// controlMetrics holds the control thread's metrics.
+// controlMetrics holds the metrics of the control thread.
 type controlMetrics struct {
 	placements    *metrics.Counter
 	decisions     *metrics.Counter
@@ -40,7 +40,7 @@
 	return m
 }
 
-// setGauges sets the gauges; a replica that follows shows zeros.
+// setGauges sets the gauges; they are zero on a follower.
 func (l *Leader) setGauges() {
 	m := l.controlMetrics
 	if l.leadership == nil {
@@ -59,13 +59,14 @@
 	m.readyServers.Store(int64(l.leadership.reported.readyServers))
 }
 
-// inFlightProposal is when commands up to an index were handed to the group.
+// inFlightProposal records when the commands up to a log index were handed to the
+// group.
 type inFlightProposal struct {
 	lastIndex  uint64
 	proposedAt time.Duration
 }
 
-// measureCommits measures the commits up to an index.
+// measureCommits records the commit latency of the proposals up to a log index.
 func (l *Leader) measureCommits(index uint64) {
 	lead := l.leadership
 	n := 0
--- a/internal/control/leader/note.go
+++ b/internal/control/leader/notification.go
@@ -11,7 +11,7 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// handleNotification handles one note of the group.
+// handleNotification handles one notification from the group.
 func (l *Leader) handleNotification(notification group.Note) error {
 	switch n := notification.(type) {
 	case group.Lead:
@@ -45,14 +45,14 @@
 	return nil
 }
 
-// applyEntries takes committed entries while following.
+// applyEntries applies committed log entries on a follower.
 func (l *Leader) applyEntries(entries []quorum.Entry) error {
 	for _, e := range entries {
 		if e.Index <= l.appliedIndex {
 			continue
 		}
 		if e.Index != l.appliedIndex+1 {
-			return errors.Newf("the log jumps from %d to %d", l.appliedIndex, e.Index)
+			return errors.Newf("log entry out of order: got index %d after %d", e.Index, l.appliedIndex)
 		}
 		l.appliedIndex = e.Index
 		if e.Kind != quorum.Command {
@@ -71,6 +71,7 @@
 	return nil
 }
 
+// restoreState replaces the ledger by a snapshot.
 func (l *Leader) restoreState(n group.Restore) error {
 	st, err := state.Decode(n.State)
 	if err != nil {
--- a/internal/control/leader/operator.go
+++ b/internal/control/leader/operator.go
@@ -13,10 +13,11 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// applyChange commits an operator's change and answers with what it came to.
+// applyChange applies an operator's change and replies with the result once the
+// change is committed.
 func (l *Leader) applyChange(to ReplyTarget, k key.Key, req *v1.ChangeRequest) {
 	if req.GetId() == "" {
-		l.refuse(to, code.New(code.Malformed, "a change needs an id"))
+		l.refuse(to, code.New(code.Malformed, "the change has no id"))
 		return
 	}
 	if c := req.GetMember(); c != nil {
@@ -41,7 +42,7 @@
 	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Change{Change: rep}})
 }
 
-// handleShow answers a read once it is proved current.
+// handleShow answers an operator's read once the leadership is confirmed.
 func (l *Leader) handleShow(to ReplyTarget, req *v1.ShowRequest) {
 	l.runWhenConfirmed(to, func() {
 		l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Show{Show: l.showReply(req)}})
@@ -70,7 +71,7 @@
 	case v1.Part_PART_ZONES:
 		rep.Zones = l.zoneLines()
 	default:
-		rep.Status = statusOf(code.New(code.Malformed, "no such part"))
+		rep.Status = statusOf(code.New(code.Malformed, "unknown part %d", req.GetPart()))
 	}
 	return rep
 }
@@ -92,7 +93,7 @@
 	return out
 }
 
-// KnowsZone tells whether there is an availability zone of that name.
+// KnowsZone reports whether there is an availability zone of that name.
 func (l *Leader) KnowsZone(name string) bool {
 	if len(l.Zones) > 0 {
 		return slices.Contains(l.Zones, name)
@@ -111,8 +112,8 @@
 	return out
 }
 
-// memberLines lists control replicas and entries. A replica has confirmed the
-// table's revision once it has it on its disk; until then none is told.
+// memberLines lists the control replicas and the entries. A replica's line has the
+// table revision only if the replica has stored that revision on disk.
 func (l *Leader) memberLines() []*v1.MemberLine {
 	var out []*v1.MemberLine
 	var matches map[string]uint64
--- a/internal/control/leader/page.go
+++ b/internal/control/leader/page.go
@@ -8,16 +8,16 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// Bounds of a list.
+// Page sizes of job lists, in jobs.
 const (
 	defaultPageSize = 100
 	maxPageSize     = 1000
 )
 
-// listJobs returns a team's jobs after the one named, in the order of acceptance. An
-// empty owner stands for all teams, whose jobs are named TEAM/ID. A page after
-// a job that is forgotten is refused: beginning anew would give the first page
-// for ever.
+// listJobs returns one page of a team's jobs in the order of acceptance, starting
+// behind the job named after. If teamName is empty, it lists the jobs of all teams,
+// which are named TEAM/ID. It refuses the request when the job after is no longer
+// known. Starting over would return the first page again and again.
 func (l *Leader) listJobs(teamName, after string, limit uint32) ([]*v1.Summary, *code.Error) {
 	if limit == 0 {
 		limit = defaultPageSize
@@ -27,7 +27,7 @@
 	if after != "" {
 		j, ok := l.ledger.Find(requestID(teamName, after))
 		if !ok {
-			return nil, code.New(code.Unknown, "no job %s to list from; list anew", after)
+			return nil, code.New(code.Unknown, "job %s is no longer known; list from the beginning", after)
 		}
 		afterNumber = j.Number
 	}
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -15,30 +15,35 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// stopRetryInterval is after how long an order to stop is repeated while the server still
-// reports the attempt: the answer that carried it may have been lost.
+// stopRetryInterval is the interval at which a stop order is repeated while the
+// server still reports the attempt. The sync reply that carried the order may have
+// been lost.
 const stopRetryInterval = time.Second
 
-// maxOrderBytes bounds the inputs and checkpoints in one answer to a sync, in bytes,
-// but for the last order. A server that got dozens of tasks in one turn would
-// otherwise be sent more than its connection takes before its patience ends.
+// maxOrderBytes limits the inputs and checkpoints in one sync reply; the last order
+// may exceed it. Without the limit, a reply to a server that got dozens of tasks in
+// one turn would be larger than its connection can carry before the poll ends.
 const maxOrderBytes = 4 << 20
 
-// session is what the leader knows of a server's session beyond the ledger. It
-// is rebuilt from the next sync, which is cumulative.
+// session is the leader's state of a server session that is not in the ledger. A
+// new leader rebuilds it from the next sync, which lists all attempts of the
+// server.
 type session struct {
 	incarnation uint64
-	// lastSyncAt is when the latest sync came, or when this replica was elected.
+	// lastSyncAt is when the latest sync or announcement was received, or when the leader
+	// created the session.
 	lastSyncAt time.Duration
 	syncNumber uint64
-	// reportedPhases are the phases of the latest sync.
+	// reportedPhases are the attempt phases listed in the latest sync.
 	reportedPhases map[task.Attempt]v1.Phase
 	answerParts    map[task.Attempt]*answer.Parts
-	// stopSentAt is when an order to stop was last given.
+	// stopSentAt is when a stop order for an attempt was last sent.
 	stopSentAt map[task.Attempt]time.Duration
-	throttled  map[task.Attempt]bool
+	// throttlePending are the attempts whose throttle order is still to be sent.
+	throttlePending map[task.Attempt]bool
+	// parkedSync is the sync that waits for orders; nil if there is none.
 	parkedSync *ReplyTarget
-	// parkedUntil is when the parked sync is answered without orders.
+	// parkedUntil is when the parked sync is answered even if there are no orders.
 	parkedUntil time.Duration
 }
 
@@ -48,7 +53,7 @@
 		s = &session{
 			incarnation: b.Incarnation, lastSyncAt: l.Now(),
 			reportedPhases: map[task.Attempt]v1.Phase{}, answerParts: map[task.Attempt]*answer.Parts{},
-			stopSentAt: map[task.Attempt]time.Duration{}, throttled: map[task.Attempt]bool{},
+			stopSentAt: map[task.Attempt]time.Duration{}, throttlePending: map[task.Attempt]bool{},
 		}
 		l.leadership.sessions[b.ID] = s
 	}
@@ -79,17 +84,18 @@
 	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Leave{Leave: &v1.LeaveReply{Status: statusOf(&code.Error{Code: r.Code})}}})
 }
 
-// handleSync takes a server's cumulative state and answers with orders and a lease,
-// at once when there are orders and otherwise when there are or patience ends.
+// handleSync takes a server's complete list of attempts and replies with orders and
+// a lease. If there are no orders, the sync is parked until there are some or its
+// poll ends.
 func (l *Leader) handleSync(to ReplyTarget, req *v1.SyncRequest) {
 	b, ok := l.ledger.Server(req.GetServer())
 	if !ok || b.Incarnation != req.GetIncarnation() || b.Server.State == backend.Gone {
-		l.replySync(to, &v1.SyncReply{Status: statusOf(code.New(code.Stale, "announce again")), Number: req.GetNumber()})
+		l.replySync(to, &v1.SyncReply{Status: statusOf(code.New(code.Stale, "the session has ended; announce the server again")), Number: req.GetNumber()})
 		return
 	}
 	s := l.sessionFor(b)
 	if req.GetNumber() < s.syncNumber {
-		return // a late copy of a request that the server has abandoned
+		return // delayed duplicate of a request that the server no longer waits for
 	}
 	s.syncNumber, s.lastSyncAt = req.GetNumber(), max(s.lastSyncAt, to.ReceivedAt)
 	if b.Server.State == backend.Suspect {
@@ -101,7 +107,8 @@
 	l.schedule(s.parkedUntil, func() { l.leadership.updatedServers[b.ID] = true })
 }
 
-// applyReports takes the ends of attempts into the ledger and notes the rest.
+// applyReports records ended attempts in the ledger and the phases of the others in
+// the session.
 func (l *Leader) applyReports(b state.Server, s *session, reports []*v1.Report) {
 	clear(s.reportedPhases)
 	for _, r := range reports {
@@ -115,7 +122,7 @@
 		if l.recordAttemptEnd(s, a, r) {
 			delete(s.answerParts, a)
 			delete(s.stopSentAt, a)
-			delete(s.throttled, a)
+			delete(s.throttlePending, a)
 		}
 		if r.GetUsed() != nil {
 			at := l.ledgerTime() - time.Duration(r.GetAge())*time.Millisecond
@@ -128,7 +135,8 @@
 	return task.Attempt{ID: task.ID{Job: a.GetJob(), Index: a.GetTask()}, Number: a.GetNumber()}
 }
 
-// recordAttemptEnd commits an attempt's end once its whole answer is there.
+// recordAttemptEnd records an attempt's end in the ledger. It returns false when
+// the attempt has not ended or its answer is incomplete.
 func (l *Leader) recordAttemptEnd(s *session, a task.Attempt, r *v1.Report) bool {
 	e := &record.End{Job: a.Job, Index: a.Index, Attempt: a.Number, Started: r.GetStarted()}
 	switch r.GetPhase() {
@@ -148,8 +156,9 @@
 	return true
 }
 
-// assembleAnswer puts the chunks of an answer together; false while some are missing.
-// Chunks that do not belong together are dropped, and the server sends all again.
+// assembleAnswer joins the chunks of an answer. It returns false while chunks are
+// missing. Chunks that do not belong to the same answer are discarded, and the
+// server sends all of them again.
 func (l *Leader) assembleAnswer(s *session, a task.Attempt, chunks []*v1.Chunk) ([]byte, bool) {
 	p := s.answerParts[a]
 	if p == nil {
@@ -172,7 +181,7 @@
 	return data, ok
 }
 
-// answerSyncs answers parked syncs that have orders or whose patience ended.
+// answerSyncs answers the parked syncs that have orders or whose poll has ended.
 func (l *Leader) answerSyncs() {
 	lead := l.leadership
 	if len(lead.updatedServers) == 0 {
@@ -204,8 +213,9 @@
 	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Sync{Sync: r}})
 }
 
-// buildOrders lists what the server is to do, from the ledger against its latest
-// reports. An order that was lost shows as a difference again and is repeated.
+// buildOrders lists the orders for a server by comparing the ledger with the
+// server's latest sync. A lost order shows as a difference in the next sync and is
+// sent again.
 func (l *Leader) buildOrders(b state.Server, s *session, now time.Duration) []*v1.Order {
 	var out []*v1.Order
 	size := 0
@@ -214,7 +224,7 @@
 			return
 		}
 		if size >= maxOrderBytes {
-			return // the rest goes with the answers to the next syncs
+			return // the next sync replies carry the remaining orders
 		}
 		if o := l.orderForTask(s, t, now); o != nil {
 			out = append(out, o)
@@ -235,9 +245,9 @@
 	message := attemptMessage(a)
 	switch {
 	case t.Phase == state.Stopping && s.shouldSendStop(a, now):
-		// A server that does not know the attempt has nothing to save: the
-		// start may be lost on its way, or was never sent. It must note the
-		// stop all the same, and says that nothing was started.
+		// A server that does not know the attempt has no state to checkpoint. The
+		// start order was lost or never sent. The stop order is still needed: the server
+		// records it and reports that nothing was started.
 		if t.Save && known {
 			return &v1.Order{Verb: v1.Verb_VERB_CHECKPOINT, Attempt: message}
 		}
@@ -248,14 +258,15 @@
 			Verb: v1.Verb_VERB_START, Attempt: message, Size: command.SizeMessage(j.Spec.Size),
 			Input: j.Spec.Input, Name: j.Spec.Name, Checkpoint: t.Checkpoint,
 		}
-	case s.throttled[a]:
-		delete(s.throttled, a)
+	case s.throttlePending[a]:
+		delete(s.throttlePending, a)
 		return &v1.Order{Verb: v1.Verb_VERB_THROTTLE, Attempt: message}
 	}
 	return nil
 }
 
-// orderForUnknownAttempt handles an attempt that the server reports and the ledger does not hold there.
+// orderForUnknownAttempt returns an order for an attempt that the server reports
+// although the ledger does not place it there. It returns nil if no order is due.
 func (l *Leader) orderForUnknownAttempt(b state.Server, s *session, a task.Attempt, phase v1.Phase, now time.Duration) *v1.Order {
 	if t, ok := l.ledger.Task(a.ID); ok && t.Attempt == a.Number && t.Server == b.ID && t.Phase.Holds() {
 		return nil
@@ -270,7 +281,8 @@
 	return &v1.Order{Verb: v1.Verb_VERB_STOP, Attempt: attemptMessage(a)}
 }
 
-// shouldSendStop tells whether an order to stop is to be given (again), and notes it.
+// shouldSendStop reports whether a stop order is to be sent or repeated now, and
+// records the time.
 func (s *session) shouldSendStop(a task.Attempt, now time.Duration) bool {
 	if at, ok := s.stopSentAt[a]; ok && now-at < stopRetryInterval {
 		return false
@@ -283,14 +295,15 @@
 	return &v1.Attempt{Job: a.Job, Task: a.Index, Number: a.Number}
 }
 
-// throttleTask lets the server's session know that a task is to be held to its size.
+// throttleTask adds an order to the task's server that limits the task to its
+// requested size.
 func (l *Leader) throttleTask(id task.ID) {
 	t, ok := l.ledger.Task(id)
 	if !ok || !t.Phase.Holds() {
 		return
 	}
 	if s := l.leadership.sessions[t.Server]; s != nil {
-		s.throttled[t.Current()] = true
+		s.throttlePending[t.Current()] = true
 		l.leadership.updatedServers[t.Server] = true
 	}
 }
--- a/internal/control/leader/snapshot.go
+++ b/internal/control/leader/snapshot.go
@@ -6,23 +6,26 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// recordsPerStep is the number of records that one turn copies for a snapshot.
+// recordsPerStep is the number of ledger records copied for a snapshot in one turn.
 const recordsPerStep = 2048
 
-// snapshotProgress is the snapshot that is being made.
+// snapshotProgress is the state of the snapshot that is being made.
 type snapshotProgress struct {
-	// stateCopy is taken in steps, one a turn, so that no turn takes long.
+	// stateCopy is the copy of the ledger. One step of it is made per turn, so that
+	// no turn takes long.
 	stateCopy *state.Picture
 	index     uint64
-	// inProgress tells that a snapshot is under way, from the picture's beginning on.
+	// inProgress is true from the start of the copy until the snapshot has been
+	// handed to the group.
 	inProgress bool
-	// generation counts the states that were dropped: a snapshot of an earlier one is void.
+	// generation counts the ledger states that were discarded. A snapshot of an
+	// earlier generation is void.
 	generation uint64
 }
 
-// advanceSnapshot goes on with the snapshot under way, or begins one when enough
-// commands have come since the last. The encoding, which takes long, is done
-// beside the control thread.
+// advanceSnapshot advances the snapshot in progress, or starts one when
+// SnapshotInterval commands were applied since the last. The state is encoded on
+// another goroutine, because encoding takes long.
 func (l *Leader) advanceSnapshot() {
 	progress := &l.snapshotProgress
 	if !progress.inProgress && l.appliedIndex >= l.snapshotIndex+l.SnapshotInterval {
@@ -43,23 +46,23 @@
 	}()
 }
 
-// abandonSnapshot drops the snapshot under way: its state is dropped. Without this a
-// deposed leader would hand over commands that nobody agreed on, once its new
-// state has come as far as the index of the old one.
+// abandonSnapshot discards the snapshot in progress together with its ledger state.
+// Otherwise a deposed leader would hand over uncommitted commands once its new
+// state had reached the index of the old one.
 func (l *Leader) abandonSnapshot() {
 	l.snapshotProgress.stateCopy.Drop()
 	l.snapshotProgress = snapshotProgress{generation: l.snapshotProgress.generation + 1}
 }
 
-// handOverSnapshot hands a snapshot to the group. A leader's state is ahead of what is
-// committed; such a snapshot waits, or a deposed leader's would hold commands
-// that nobody agreed on.
+// handOverSnapshot hands an encoded snapshot to the group. A leader's state may be
+// ahead of the commit index. Such a snapshot waits for the commit, so that it never
+// holds uncommitted commands.
 func (l *Leader) handOverSnapshot(generation, index uint64, data []byte, err error) {
 	if generation != l.snapshotProgress.generation {
 		return
 	}
 	if err != nil {
-		l.Log.Error(err, "snapshot")
+		l.Log.Error(err, "cannot encode the snapshot", "index", index)
 		l.snapshotProgress.inProgress = false
 		return
 	}
--- a/internal/control/leader/snapshot_test.go
+++ b/internal/control/leader/snapshot_test.go
@@ -9,10 +9,10 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// A leader makes a snapshot of a state that is ahead of what a quorum has, and
-// is deposed. The next leader's log reaches the index of that snapshot with
-// other commands. Handed over now, it would bring back a job that was never
-// accepted, and only on this replica.
+// Guards against a snapshot that holds uncommitted commands. A leader encodes a
+// snapshot that is ahead of the commit index and is deposed. When the next leader's
+// log reaches that index with other commands, the old snapshot would bring back a
+// job that was never accepted, on this replica only.
 func TestADeposedLeadersSnapshotIsDropped(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		h.announceServer("b1", 1000)
@@ -20,7 +20,7 @@
 		h.group.holdCommits()
 		h.withLedger(func(*state.State) { h.leader.SnapshotInterval = 1 })
 		h.pushSubmit(batchSpec("ghost"))
-		time.Sleep(time.Second) // the snapshot is written and waits for its commit
+		time.Sleep(time.Second) // the snapshot is encoded and waits for its commit
 		for i := range 50 {
 			index := uint64(len(committedEntries)) + 1
 			committedEntries = append(committedEntries, quorum.Entry{Index: index, Term: 2, Kind: quorum.Empty})
@@ -32,7 +32,7 @@
 		h.group.notifications <- group.Apply{Entries: committedEntries}
 		time.Sleep(time.Second)
 		if len(h.group.compactedStates()) == 0 {
-			t.Fatal("no snapshot of the state that was agreed on")
+			t.Fatal("no snapshot of the committed state was made")
 		}
 		for _, data := range h.group.compactedStates() {
 			st, err := state.Decode(data)
@@ -40,11 +40,11 @@
 				t.Fatal(err)
 			}
 			if _, ok := st.Find(state.RequestID{Team: "rail", ID: "ghost"}); ok {
-				t.Error("a snapshot holds a job that nobody agreed on")
+				t.Error("a snapshot holds a job that was never committed")
 			}
 		}
 	})
 }
 
-// logEntries returns the log as it is.
+// logEntries returns the entries of the log.
 func (g *fakeGroup) logEntries() []quorum.Entry { g.mu.Lock(); defer g.mu.Unlock(); return g.log }
--- a/internal/control/mailbox/mailbox.go
+++ b/internal/control/mailbox/mailbox.go
@@ -1,5 +1,5 @@
-// Package mailbox holds the replies that the leader has for an entry until the
-// entry has fetched and acknowledged them.
+// Package mailbox stores the leader's replies to an entry until the entry has
+// fetched and acknowledged them.
 package mailbox
 
 import (
@@ -11,28 +11,30 @@
 	"gypsumreel/internal/api/inner"
 )
 
-// Bounds of a mailbox.
+// Limits of a mailbox.
 const (
-	// MaxReplies bounds what is kept for one entry; an entry that fetches
-	// nothing for so long is dead, and its items are asked again elsewhere.
+	// MaxReplies limits the replies stored for one entry. An entry that leaves so
+	// many replies unfetched is considered dead; its items are sent again through
+	// another entry.
 	MaxReplies = 1 << 17
-	// MaxBytes bounds the bytes that are kept for one entry, roughly: replies may
-	// carry chunks of answers, and thousands of them would not fit the process.
+	// MaxBytes limits the approximate number of bytes stored for one entry. Replies
+	// may carry chunks of answers, and thousands of them would exhaust the
+	// process's memory.
 	MaxBytes = 64 << 20
-	// MaxBatchReplies bounds the replies of one Pull.
+	// MaxBatchReplies limits the replies returned by one Pull.
 	MaxBatchReplies = 1024
-	// maxBatchBytes bounds the bytes of one Pull, roughly.
+	// maxBatchBytes limits the approximate number of bytes returned by one Pull.
 	maxBatchBytes = 8 << 20
 )
 
-// Name names a mailbox: one run of one entry.
+// Name identifies a mailbox by an entry and one session of its process.
 type Name struct {
 	Entry   string
 	Session uint64
 }
 
-// Mailbox queues replies with numbers from 1. It is safe for use by the control
-// thread and traffic threads at once.
+// Mailbox is a queue of replies numbered from 1. It is safe for concurrent use by
+// the control thread and the goroutines that serve entries.
 type Mailbox struct {
 	mu          sync.Mutex
 	epoch       uint64
@@ -45,13 +47,15 @@
 	lastPullAt  time.Time
 }
 
-// New returns an empty mailbox of an epoch. Numbers of different epochs are not comparable.
+// New returns an empty mailbox for an epoch. Reply numbers of different epochs
+// cannot be compared.
 func New(epoch uint64) *Mailbox {
 	return &Mailbox{epoch: epoch, firstNumber: 1, wakeup: make(chan struct{}), lastPullAt: time.Now()}
 }
 
-// Put adds a reply. It is dropped when the mailbox is closed or full; the entry
-// asks again for what it was not answered, and every item is idempotent.
+// Put appends a reply. It discards the reply when the mailbox is closed or full.
+// The entry then sends the unanswered item again, which is safe because every item
+// is idempotent.
 func (m *Mailbox) Put(r *inner.Reply) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,7 +73,7 @@
 	m.wakeup = make(chan struct{})
 }
 
-// Close ends the mailbox: waiting fetches return at once.
+// Close closes the mailbox and makes waiting Pull calls return at once.
 func (m *Mailbox) Close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,7 +83,7 @@
 	}
 }
 
-// Wake makes fetches that wait return, with replies or without.
+// Wake makes waiting PullUntilWake calls return, with or without replies.
 func (m *Mailbox) Wake() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,21 +91,21 @@
 	m.wakeWaiters()
 }
 
-// WakeCount counts the calls of Wake, for PullOrWake.
+// WakeCount returns the number of calls of Wake, for use with PullUntilWake.
 func (m *Mailbox) WakeCount() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.wakeCount
 }
 
-// IdleTime returns how long nobody fetched.
+// IdleTime returns the time since the last Pull.
 func (m *Mailbox) IdleTime() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Since(m.lastPullAt)
 }
 
-// Batch is what one fetch returns.
+// Batch is the result of one Pull. FirstNumber is the number of the first reply.
 type Batch struct {
 	Epoch       uint64
 	FirstNumber uint64
@@ -109,14 +113,16 @@
 	Closed      bool
 }
 
-// Pull drops what was acknowledged and returns what is queued; it waits for a
-// first reply until ctx ends. Replies stay until acknowledged, so a lost answer
-// to Pull loses none of them. An ack of another epoch counts for nothing.
+// Pull discards the replies acknowledged by ack and returns the queued ones. It
+// waits for a first reply until ctx ends. Replies are kept until they are
+// acknowledged, so a lost response to Pull loses no replies. An ack of another
+// epoch is ignored.
 func (m *Mailbox) Pull(ctx context.Context, epoch, ack uint64) Batch {
 	return m.PullUntilWake(ctx, epoch, ack, math.MaxUint64)
 }
 
-// PullUntilWake is Pull, but waits only until there were more than wakes calls of Wake.
+// PullUntilWake is like Pull, but it also returns once Wake was called more than
+// wakeCount times.
 func (m *Mailbox) PullUntilWake(ctx context.Context, epoch, ack, wakeCount uint64) Batch {
 	for {
 		b, wake := m.dropAndCollect(epoch, ack)
@@ -156,7 +162,8 @@
 	return b, m.wakeup
 }
 
-// approximateSize returns roughly the bytes of the replies that can be large.
+// approximateSize estimates the size of a reply in bytes: a fixed 256 bytes plus
+// the fields that can be large.
 func approximateSize(r *inner.Reply) int {
 	size := 256
 	size += len(r.GetWait().GetChunk().GetData())
@@ -166,7 +173,7 @@
 	return size
 }
 
-// Len returns how many replies wait to be fetched or acknowledged.
+// Len returns the number of replies that are not yet acknowledged.
 func (m *Mailbox) Len() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/control/mailbox/mailbox_test.go
+++ b/internal/control/mailbox/mailbox_test.go
@@ -13,7 +13,8 @@
 	"gypsumreel/internal/control/mailbox"
 )
 
-// pullNow returns the numbers of the items that a fetch brings at once.
+// pullNow pulls without waiting. It returns the number of the first reply and the
+// item numbers of all replies.
 func pullNow(m *mailbox.Mailbox, epoch, ack uint64) (first uint64, seqs []uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -24,9 +25,9 @@
 	return b.FirstNumber, seqs
 }
 
-// The connection breaks under the answer to a fetch. The replies in it come
-// again, until they are acknowledged; an acknowledgement that was meant for the
-// mailbox of an earlier leader drops none of them.
+// Guards against replies lost with a broken connection. Replies must be returned
+// again until they are acknowledged, and an acknowledgement for an earlier leader's
+// mailbox must not discard any.
 func TestLostPullReplyLosesNoReplies(t *testing.T) {
 	m := mailbox.New(7)
 	for i := range uint64(3) {
@@ -45,14 +46,14 @@
 	} {
 		first, got := pullNow(m, c.epoch, c.ack)
 		if diff := cmp.Diff(c.want, got); diff != "" || first != c.first {
-			t.Errorf("epoch %d ack %d: first %d: %s", c.epoch, c.ack, first, diff)
+			t.Errorf("epoch %d, ack %d: got first number %d, want %d; replies: %s", c.epoch, c.ack, first, c.first, diff)
 		}
 	}
 }
 
-// An entry stands still while callers fetch large answers through it. What is
-// kept for it is bounded in bytes, or the leader would run out of memory; when
-// it has fetched, there is room again.
+// Guards against a leader that runs out of memory. An entry stops pulling while
+// callers fetch large answers through it. The bytes stored for it must be limited,
+// and there must be room again once it has pulled.
 func TestMailboxOfStalledEntryIsBounded(t *testing.T) {
 	m := mailbox.New(1)
 	chunk := &v1.Chunk{Data: make([]byte, 1<<20)}
@@ -64,18 +65,18 @@
 	}
 	full := m.Len()
 	if full < 60 || full > 64 {
-		t.Errorf("%d MiB are kept", full)
+		t.Errorf("the mailbox holds %d MiB, want 60 to 64", full)
 	}
 	_, got := pullNow(m, 1, 0)
 	if len(got) == 0 || len(got) > 8 {
-		t.Errorf("one fetch brings %d MiB", len(got))
+		t.Errorf("one Pull returned %d MiB, want 1 to 8", len(got))
 	}
 	pullNow(m, 1, uint64(len(got)))
 	for range 100 {
 		put()
 	}
 	if m.Len() != full {
-		t.Errorf("%d MiB are kept after a fetch, %d before", m.Len(), full)
+		t.Errorf("the mailbox holds %d MiB after a Pull and %d MiB before", m.Len(), full)
 	}
 }
 
@@ -85,11 +86,11 @@
 		begin := time.Now()
 		time.AfterFunc(time.Second, func() { m.Put(&inner.Reply{Seq: 5}) })
 		if b := m.Pull(t.Context(), 1, 0); len(b.Replies) != 1 || time.Since(begin) != time.Second {
-			t.Errorf("%v after %v", b, time.Since(begin))
+			t.Errorf("Pull returned %v after %v, want one reply after 1 s", b, time.Since(begin))
 		}
 		time.AfterFunc(time.Second, m.Close)
 		if b := m.Pull(t.Context(), 1, 1); !b.Closed || time.Since(begin) != 2*time.Second {
-			t.Errorf("%v after %v", b, time.Since(begin))
+			t.Errorf("Pull returned %v after %v, want a closed batch after 2 s", b, time.Since(begin))
 		}
 	})
 }
