--- a/internal/control/leader/bench_test.go
+++ b/internal/control/leader/bench_test.go
@@ -42,12 +42,12 @@
 
 // benchmarkHarness drives a control thread and many backend servers in real time.
 type benchmarkHarness struct {
-	b           *testing.B
-	leader      *leader.Leader
-	group       *instantGroup
-	mailbox     *mailbox.Mailbox
-	lastPulled  uint64
-	syncNumbers []uint64
+	b               *testing.B
+	leader          *leader.Leader
+	group           *instantGroup
+	mailbox         *mailbox.Mailbox
+	lastReplyNumber uint64
+	syncNumbers     []uint64
 }
 
 func newBenchmarkHarness(b *testing.B, servers int) *benchmarkHarness {
@@ -104,9 +104,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	for len(out) < n && ctx.Err() == nil {
-		b := h.mailbox.Pull(ctx, 1, h.lastPulled)
+		b := h.mailbox.Pull(ctx, 1, h.lastReplyNumber)
 		if len(b.Replies) > 0 {
-			h.lastPulled = b.FirstNumber + uint64(len(b.Replies)) - 1
+			h.lastReplyNumber = b.FirstNumber + uint64(len(b.Replies)) - 1
 		}
 		out = append(out, b.Replies...)
 	}
@@ -116,8 +116,8 @@
 	return out
 }
 
-func (h *benchmarkHarness) request(it *inner.Item) *inner.Reply {
-	h.push(it)
+func (h *benchmarkHarness) request(item *inner.Item) *inner.Reply {
+	h.push(item)
 	return h.receiveReplies(1)[0]
 }
 
@@ -172,14 +172,14 @@
 	}
 	h.push(syncs...)
 	var ends []*inner.Item
-	for _, rep := range h.receiveReplies(len(syncs)) {
+	for _, reply := range h.receiveReplies(len(syncs)) {
 		var reports []*v1.Report
-		for _, o := range rep.GetSync().GetOrders() {
+		for _, o := range reply.GetSync().GetOrders() {
 			if o.GetVerb() == v1.Verb_VERB_START {
 				reports = append(reports, &v1.Report{Attempt: o.GetAttempt(), Phase: v1.Phase_PHASE_ENDED, Started: true, Chunks: answer.Split([]byte("done"))})
 			}
 		}
-		ends = append(ends, h.syncItem(int(rep.GetSeq()), reports...))
+		ends = append(ends, h.syncItem(int(reply.GetSeq()), reports...))
 	}
 	h.push(ends...)
 	h.receiveReplies(len(ends))
@@ -219,9 +219,9 @@
 func BenchmarkLedger(b *testing.B) {
 	for _, running := range []int{7_000, 35_000, 70_000} {
 		b.Run(fmt.Sprintf("running=%d", running), func(b *testing.B) {
-			var before, after runtime.MemStats
+			var memBefore, memAfter runtime.MemStats
 			runtime.GC()
-			runtime.ReadMemStats(&before)
+			runtime.ReadMemStats(&memBefore)
 			h := newBenchmarkHarness(b, 16_000*running/70_000)
 			for n := 0; n < running; n += 500 {
 				items := make([]*inner.Item, 0, 500)
@@ -234,25 +234,25 @@
 				h.receiveReplies(500)
 			}
 			runtime.GC()
-			runtime.ReadMemStats(&after)
+			runtime.ReadMemStats(&memAfter)
 			b.ResetTimer()
 			var size int
 			var totalPause, copyTime, encodeTime, decodeTime time.Duration
 			for range b.N {
 				h.withLedger(func(st *state.State) {
-					t0 := time.Now()
+					copyStart := time.Now()
 					p := st.Picture()
-					longestPause := time.Since(t0)
+					longestPause := time.Since(copyStart)
 					for done := false; !done; {
-						begin := time.Now()
+						start := time.Now()
 						done = p.Step(2048)
-						longestPause = max(longestPause, time.Since(begin))
+						longestPause = max(longestPause, time.Since(start))
 					}
 					c := p.State()
-					t1 := time.Now()
+					encodeStart := time.Now()
 					totalPause += longestPause
 					data, err := c.Encode()
-					t2 := time.Now()
+					decodeStart := time.Now()
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -260,20 +260,20 @@
 						b.Fatal(err)
 					}
 					size = len(data)
-					copyTime, encodeTime, decodeTime = copyTime+t1.Sub(t0), encodeTime+t2.Sub(t1), decodeTime+time.Since(t2)
+					copyTime, encodeTime, decodeTime = copyTime+encodeStart.Sub(copyStart), encodeTime+decodeStart.Sub(encodeStart), decodeTime+time.Since(decodeStart)
 				})
 			}
-			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(1<<20), "MiB/heap")
-			ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 / float64(b.N) }
-			begin := time.Now()
+			b.ReportMetric(float64(memAfter.HeapAlloc-memBefore.HeapAlloc)/float64(1<<20), "MiB/heap")
+			milliseconds := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 / float64(b.N) }
+			start := time.Now()
 			if _, err := h.leader.Inspect(context.Background()); err != nil {
 				b.Fatal(err)
 			}
-			b.ReportMetric(float64(time.Since(begin).Microseconds())/1000, "ms/view")
-			b.ReportMetric(ms(totalPause), "ms/pause")
-			b.ReportMetric(ms(copyTime), "ms/copy")
-			b.ReportMetric(ms(encodeTime), "ms/encode")
-			b.ReportMetric(ms(decodeTime), "ms/decode")
+			b.ReportMetric(float64(time.Since(start).Microseconds())/1000, "ms/view")
+			b.ReportMetric(milliseconds(totalPause), "ms/pause")
+			b.ReportMetric(milliseconds(copyTime), "ms/copy")
+			b.ReportMetric(milliseconds(encodeTime), "ms/encode")
+			b.ReportMetric(milliseconds(decodeTime), "ms/decode")
 			b.ReportMetric(float64(size)/float64(1<<20), "MiB/snapshot")
 		})
 	}
--- a/internal/control/leader/decide.go
+++ b/internal/control/leader/decide.go
@@ -28,11 +28,11 @@
 		return
 	}
 	for range maxPlannerCalls {
-		ds := l.leadership.planner.Decide(l.ledgerTime(), maxDecisionsPerCall)
-		for _, d := range ds {
+		decisions := l.leadership.planner.Decide(l.ledgerTime(), maxDecisionsPerCall)
+		for _, d := range decisions {
 			l.applyDecision(d)
 		}
-		if len(ds) == 0 {
+		if len(decisions) == 0 {
 			l.leadership.planNeeded = false
 			return
 		}
@@ -88,12 +88,12 @@
 }
 
 func (l *Leader) placeTasks(d plan.Decision) state.Result {
-	p := &record.Place{Job: d.Job}
+	placement := &record.Place{Job: d.Job}
 	for _, s := range d.Places {
 		b, _ := l.ledger.Server(s.Server)
-		p.Spots = append(p.Spots, &record.Spot{Index: s.Index, Server: s.Server, Incarnation: b.Incarnation})
+		placement.Spots = append(placement.Spots, &record.Spot{Index: s.Index, Server: s.Server, Incarnation: b.Incarnation})
 	}
-	return l.applyIfAccepted(&record.Command{What: &record.Command_Place{Place: p}})
+	return l.applyIfAccepted(&record.Command{What: &record.Command_Place{Place: placement}})
 }
 
 func (l *Leader) haltTask(id task.ID, checkpoint bool) state.Result {
--- a/internal/control/leader/eventlog.go
+++ b/internal/control/leader/eventlog.go
@@ -45,75 +45,75 @@
 }
 
 type reportedServer struct {
-	incarnation uint64
-	state       backend.State
-	drained     bool
-	idle        bool
+	incarnation    uint64
+	state          backend.State
+	drainRequested bool
+	idle           bool
 }
 
-func (s reportedServer) isSchedulable() bool { return s.state == backend.Ready && !s.drained }
+func (s reportedServer) isSchedulable() bool { return s.state == backend.Ready && !s.drainRequested }
 
 // reportServer logs the events of a change in a server's state and updates the
 // counters. The events describe decisions that are committed shortly afterwards.
 func (l *Leader) reportServer(b state.Server) {
 	reported := &l.leadership.reported
-	old, known := reported.servers[b.ID]
-	next := reportedServer{b.Incarnation, b.Server.State, b.Drains(), l.ledger.Count(b.ID) == 0}
-	reported.servers[b.ID] = next
-	if next.state == backend.Gone {
+	previous, wasKnown := reported.servers[b.ID]
+	current := reportedServer{b.Incarnation, b.Server.State, b.Drains(), l.ledger.Count(b.ID) == 0}
+	reported.servers[b.ID] = current
+	if current.state == backend.Gone {
 		delete(reported.servers, b.ID)
 	}
-	if known && old.isSchedulable() {
+	if wasKnown && previous.isSchedulable() {
 		reported.readyServers--
 	}
-	if next.isSchedulable() {
+	if current.isSchedulable() {
 		reported.readyServers++
 	}
 	if reported.replaying {
 		return
 	}
-	for _, id := range serverEvents(old, next, known) {
+	for _, id := range serverEvents(previous, current, wasKnown) {
 		l.logLimiter.Log(l.Log, id, "server", b.ID, "incarnation", b.Incarnation, "tasks", l.ledger.Count(b.ID))
 	}
-	if known && old.isSchedulable() && reported.readyServers == 0 {
+	if wasKnown && previous.isSchedulable() && reported.readyServers == 0 {
 		event.Log(l.Log, event.NoServers, "server", b.ID)
 	}
 }
 
 // serverEvents returns the events for a change in a server's state.
-func serverEvents(old, next reportedServer, known bool) (out []event.ID) {
+func serverEvents(previous, current reportedServer, wasKnown bool) (events []event.ID) {
 	switch {
-	case !known && next.state != backend.Gone:
-		out = append(out, event.ServerAnnounced)
-	case known && old.incarnation != next.incarnation:
-		out = append(out, event.ServerReplaced)
-	case old.state == next.state:
-	case next.state == backend.Suspect:
-		out = append(out, event.ServerSuspect)
-	case next.state == backend.Quarantined:
-		out = append(out, event.ServerQuarantined)
-	case next.state == backend.Draining:
-		out = append(out, event.ServerDraining)
-	case next.state == backend.Gone && (old.state == backend.Draining || old.drained) && next.idle:
-		out = append(out, event.ServerLeft)
-	case next.state == backend.Gone:
-		out = append(out, event.ServerGone)
-	case old.state == backend.Suspect:
-		out = append(out, event.ServerBack)
-	case old.state == backend.Quarantined:
-		out = append(out, event.ServerRestored)
-	}
-	if known && next.drained && !old.drained {
-		out = append(out, event.ServerDraining)
-	}
-	if known && next.isDraining() && next.idle && !old.isDraining() {
-		out = append(out, event.ServerDrained)
-	}
-	return out
+	case !wasKnown && current.state != backend.Gone:
+		events = append(events, event.ServerAnnounced)
+	case wasKnown && previous.incarnation != current.incarnation:
+		events = append(events, event.ServerReplaced)
+	case previous.state == current.state:
+	case current.state == backend.Suspect:
+		events = append(events, event.ServerSuspect)
+	case current.state == backend.Quarantined:
+		events = append(events, event.ServerQuarantined)
+	case current.state == backend.Draining:
+		events = append(events, event.ServerDraining)
+	case current.state == backend.Gone && (previous.state == backend.Draining || previous.drainRequested) && current.idle:
+		events = append(events, event.ServerLeft)
+	case current.state == backend.Gone:
+		events = append(events, event.ServerGone)
+	case previous.state == backend.Suspect:
+		events = append(events, event.ServerBack)
+	case previous.state == backend.Quarantined:
+		events = append(events, event.ServerRestored)
+	}
+	if wasKnown && current.drainRequested && !previous.drainRequested {
+		events = append(events, event.ServerDraining)
+	}
+	if wasKnown && current.isDraining() && current.idle && !previous.isDraining() {
+		events = append(events, event.ServerDrained)
+	}
+	return events
 }
 
 func (s reportedServer) isDraining() bool {
-	return s.state != backend.Gone && (s.drained || s.state == backend.Draining)
+	return s.state != backend.Gone && (s.drainRequested || s.state == backend.Draining)
 }
 
 // recordRelease records that an attempt ended, and logs when a draining server has
@@ -267,23 +267,23 @@
 
 // logMembership logs the differences between the previous membership and a new one.
 func (l *Leader) logMembership(n group.Members) {
-	old := l.membership.Members
-	if len(old) == 0 {
+	oldMembers := l.membership.Members
+	if len(oldMembers) == 0 {
 		return
 	}
-	find := func(ms []quorum.Member, id string) int {
-		return slices.IndexFunc(ms, func(m quorum.Member) bool { return m.ID == id })
+	indexOf := func(members []quorum.Member, id string) int {
+		return slices.IndexFunc(members, func(m quorum.Member) bool { return m.ID == id })
 	}
 	for _, m := range n.Members {
-		switch i := find(old, m.ID); {
+		switch i := indexOf(oldMembers, m.ID); {
 		case i < 0:
 			event.Log(l.Log, event.MemberAdded, "member", m.ID, "address", m.Address, "learner", m.Learner)
-		case old[i].Learner && !m.Learner:
+		case oldMembers[i].Learner && !m.Learner:
 			event.Log(l.Log, event.MemberPromoted, "member", m.ID)
 		}
 	}
-	for _, m := range old {
-		if find(n.Members, m.ID) >= 0 {
+	for _, m := range oldMembers {
+		if indexOf(n.Members, m.ID) >= 0 {
 			continue
 		}
 		event.Log(l.Log, event.MemberRemoved, "member", m.ID)
--- a/internal/control/leader/eventlog_test.go
+++ b/internal/control/leader/eventlog_test.go
@@ -173,10 +173,10 @@
 				reports = append(reports, r)
 			}
 		}
-		w := h.waitOutcome("wide")
-		expectCode(t, code.TooLarge, w.GetStatus())
-		if w.GetOutcome() != v1.Outcome_OUTCOME_DONE || w.GetChunk().GetTotal() != answer.MaxJob {
-			t.Fatalf("outcome %v, answer of %d bytes", w.GetOutcome(), w.GetChunk().GetTotal())
+		waitReply := h.waitOutcome("wide")
+		expectCode(t, code.TooLarge, waitReply.GetStatus())
+		if waitReply.GetOutcome() != v1.Outcome_OUTCOME_DONE || waitReply.GetChunk().GetTotal() != answer.MaxJob {
+			t.Fatalf("outcome %v, answer of %d bytes", waitReply.GetOutcome(), waitReply.GetChunk().GetTotal())
 		}
 		h.withLedger(func(s *state.State) {
 			j, _ := s.Find(state.RequestID{Team: "rail", ID: "wide"})
@@ -185,8 +185,8 @@
 			}
 		})
 		last := answer.Count(answer.MaxJob) - 1
-		n := h.push(&inner.Item{Credential: h.credential("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: "wide", Chunk: last}}})
-		if got := h.mustReply(n).GetWait().GetChunk(); got.GetNumber() != last || got.GetSum() != w.GetChunk().GetSum() || len(got.GetData()) != answer.ChunkSize {
+		waitSeq := h.push(&inner.Item{Credential: h.credential("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: "wide", Chunk: last}}})
+		if got := h.mustReply(waitSeq).GetWait().GetChunk(); got.GetNumber() != last || got.GetSum() != waitReply.GetChunk().GetSum() || len(got.GetData()) != answer.ChunkSize {
 			t.Error("the last chunk of the answer is wrong or missing")
 		}
 	})
--- a/internal/control/leader/harness_test.go
+++ b/internal/control/leader/harness_test.go
@@ -121,15 +121,15 @@
 // harness runs a control thread with a fake group and the mailbox of one entry.
 // Time passes only while the test sleeps.
 type harness struct {
-	t          *testing.T
-	group      *fakeGroup
-	leader     *leader.Leader
-	mailbox    *mailbox.Mailbox
-	term       uint64
-	lastSeq    uint64
-	replies    map[uint64]*inner.Reply
-	lastPulled uint64
-	stop       context.CancelFunc
+	t               *testing.T
+	group           *fakeGroup
+	leader          *leader.Leader
+	mailbox         *mailbox.Mailbox
+	term            uint64
+	lastSeq         uint64
+	replies         map[uint64]*inner.Reply
+	lastReplyNumber uint64
+	stop            context.CancelFunc
 }
 
 const secret = "secret"
@@ -150,10 +150,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
 		now := func() time.Duration { return time.Since(begin) + time.Minute }
-		g := &fakeGroup{notifications: make(chan group.Note, 4096), now: now, term: 1}
+		group := &fakeGroup{notifications: make(chan group.Note, 4096), now: now, term: 1}
 		ctx, cancel := context.WithCancel(context.Background())
-		h := &harness{t: t, group: g, stop: cancel, replies: map[uint64]*inner.Reply{}}
-		h.leader = h.newLeader(g)
+		h := &harness{t: t, group: group, stop: cancel, replies: map[uint64]*inner.Reply{}}
+		h.leader = h.newLeader(group)
 		h.leader.Log, h.leader.NewPlanner = log, planner
 		runResult := make(chan error, 1)
 		go func() { runResult <- h.leader.Run(ctx) }()
@@ -194,17 +194,17 @@
 func (h *harness) elect(term uint64) {
 	h.term = term
 	h.mailbox = mailbox.New(term)
-	h.lastPulled = 0
+	h.lastReplyNumber = 0
 	h.group.notifications <- group.Lead{Term: term, Last: h.group.startTerm(term), Elected: h.group.now()}
 	h.group.ConfirmLeadership()
 	synctest.Wait()
 }
 
 // push sends an item to the control thread and returns the item's sequence number.
-func (h *harness) push(it *inner.Item) uint64 {
+func (h *harness) push(item *inner.Item) uint64 {
 	h.lastSeq++
-	it.Seq = h.lastSeq
-	if !h.leader.Push(leader.Batch{Mailbox: h.mailbox, ReceivedAt: h.group.now(), Items: []*inner.Item{it}}) {
+	item.Seq = h.lastSeq
+	if !h.leader.Push(leader.Batch{Mailbox: h.mailbox, ReceivedAt: h.group.now(), Items: []*inner.Item{item}}) {
 		h.t.Fatal("the control thread's inbox is full")
 	}
 	synctest.Wait()
@@ -216,9 +216,9 @@
 	synctest.Wait()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	b := h.mailbox.Pull(ctx, h.term, h.lastPulled)
+	b := h.mailbox.Pull(ctx, h.term, h.lastReplyNumber)
 	for i, r := range b.Replies {
-		h.lastPulled = b.FirstNumber + uint64(i)
+		h.lastReplyNumber = b.FirstNumber + uint64(i)
 		h.replies[r.GetSeq()] = r
 	}
 	return h.replies[seq]
@@ -270,9 +270,9 @@
 
 func (h *harness) waitOutcome(id string) *v1.WaitReply {
 	h.t.Helper()
-	n := h.pushWait(id)
+	waitSeq := h.pushWait(id)
 	time.Sleep(1100 * time.Millisecond)
-	return h.mustReply(n).GetWait()
+	return h.mustReply(waitSeq).GetWait()
 }
 
 // testServer is a backend server whose syncs are sent by the test.
@@ -306,12 +306,12 @@
 
 func (s *testServer) syncAndWait(reports ...*v1.Report) *v1.SyncReply {
 	s.harness.t.Helper()
-	n := s.sendSync(reports...)
-	if r := s.harness.replyTo(n); r != nil {
+	syncSeq := s.sendSync(reports...)
+	if r := s.harness.replyTo(syncSeq); r != nil {
 		return r.GetSync()
 	}
 	time.Sleep(600 * time.Millisecond)
-	return s.harness.mustReply(n).GetSync()
+	return s.harness.mustReply(syncSeq).GetSync()
 }
 
 // startOrders returns the attempts that a sync reply orders to start.
--- a/internal/control/leader/inspect.go
+++ b/internal/control/leader/inspect.go
@@ -109,16 +109,16 @@
 // sorting all of them.
 type smallest[T any] struct {
 	compare func(a, b T) int
-	items   []T
+	kept    []T
 }
 
 func (f *smallest[T]) insert(v T) {
-	if len(f.items) == maxViewLines && f.compare(v, f.items[maxViewLines-1]) >= 0 {
+	if len(f.kept) == maxViewLines && f.compare(v, f.kept[maxViewLines-1]) >= 0 {
 		return
 	}
-	i, _ := slices.BinarySearchFunc(f.items, v, f.compare)
-	f.items = slices.Insert(f.items, i, v)
-	f.items = f.items[:min(len(f.items), maxViewLines)]
+	i, _ := slices.BinarySearchFunc(f.kept, v, f.compare)
+	f.kept = slices.Insert(f.kept, i, v)
+	f.kept = f.kept[:min(len(f.kept), maxViewLines)]
 }
 
 func (l *Leader) teamViews() []TeamView {
@@ -128,7 +128,7 @@
 			out.insert(TeamView{r.Name, n})
 		}
 	}
-	return out.items
+	return out.kept
 }
 
 func (l *Leader) oldestJobs() []JobView {
@@ -139,7 +139,7 @@
 		}
 	})
 	var out []JobView
-	for _, j := range oldest.items {
+	for _, j := range oldest.kept {
 		out = append(out, JobView{j.Spec.Team, j.Spec.ID, j.Number, (l.ledgerTime() - j.Accepted).Seconds(), j.Waiting})
 	}
 	return out
@@ -157,7 +157,7 @@
 		}
 		out.insert(LeaseView{id, displayedState(b), (now - s.lastSyncAt).Seconds(), l.leadership.leases.Left(id, now).Seconds(), l.ledger.Count(id)})
 	}
-	return out.items
+	return out.kept
 }
 
 // displayedState returns the name of a server's state. A server drained by an
@@ -171,8 +171,8 @@
 
 // leaderlessFor returns for how long no leader has been known.
 func (l *Leader) leaderlessFor(now time.Duration) time.Duration {
-	st := l.status.Load()
-	if st.Leads || st.Leader != "" || l.leaderlessSince == 0 {
+	status := l.status.Load()
+	if status.Leads || status.Leader != "" || l.leaderlessSince == 0 {
 		l.leaderlessSince = now
 	}
 	return now - l.leaderlessSince
--- a/internal/control/leader/item.go
+++ b/internal/control/leader/item.go
@@ -22,45 +22,45 @@
 	if l.leadership == nil {
 		return
 	}
-	for _, it := range b.Items {
-		to := ReplyTarget{Mailbox: b.Mailbox, Seq: it.GetSeq(), ReceivedAt: b.ReceivedAt}
-		if n := it.GetBudget(); n > 0 {
-			to.Deadline = b.ReceivedAt + time.Duration(n)*time.Millisecond
+	for _, item := range b.Items {
+		target := ReplyTarget{Mailbox: b.Mailbox, Seq: item.GetSeq(), ReceivedAt: b.ReceivedAt}
+		if n := item.GetBudget(); n > 0 {
+			target.Deadline = b.ReceivedAt + time.Duration(n)*time.Millisecond
 		}
-		l.handleItem(to, it)
+		l.handleItem(target, item)
 	}
 }
 
 // handleItem handles one item. The key that came with the item is checked before
 // anything is read or changed.
-func (l *Leader) handleItem(to ReplyTarget, it *inner.Item) {
+func (l *Leader) handleItem(target ReplyTarget, item *inner.Item) {
 	if !l.isConfirmedLeader() {
-		l.refuse(to, code.New(code.NoLeader, "leadership is not confirmed; try again"))
+		l.refuse(target, code.New(code.NoLeader, "leadership is not confirmed; try again"))
 		return
 	}
-	switch ask := it.GetAsk().(type) {
+	switch ask := item.GetAsk().(type) {
 	case *inner.Item_Announce:
-		l.handleAnnounce(to, ask.Announce)
+		l.handleAnnounce(target, ask.Announce)
 		return
 	case *inner.Item_Sync:
-		l.handleSync(to, ask.Sync)
+		l.handleSync(target, ask.Sync)
 		return
 	case *inner.Item_Leave:
-		l.handleLeave(to, ask.Leave)
+		l.handleLeave(target, ask.Leave)
 		return
 	}
-	k, err := l.authorize(it.GetCredential())
+	k, err := l.authorize(item.GetCredential())
 	if err != nil {
-		l.refuse(to, err)
+		l.refuse(target, err)
 		return
 	}
-	switch ask := it.GetAsk().(type) {
+	switch ask := item.GetAsk().(type) {
 	case *inner.Item_Change:
-		l.withOperatorKey(to, k, func() { l.applyChange(to, k, ask.Change) })
+		l.withOperatorKey(target, k, func() { l.applyChange(target, k, ask.Change) })
 	case *inner.Item_Show:
-		l.withOperatorKey(to, k, func() { l.handleShow(to, ask.Show) })
+		l.withOperatorKey(target, k, func() { l.handleShow(target, ask.Show) })
 	default:
-		l.handleCallerItem(to, k, it)
+		l.handleCallerItem(target, k, item)
 	}
 }
 
@@ -81,42 +81,42 @@
 	return k, nil
 }
 
-func (l *Leader) withOperatorKey(to ReplyTarget, k key.Key, fn func()) {
+func (l *Leader) withOperatorKey(target ReplyTarget, k key.Key, fn func()) {
 	if !k.Operator {
-		l.refuse(to, code.New(code.Forbidden, "this request needs an operator key"))
+		l.refuse(target, code.New(code.Forbidden, "this request needs an operator key"))
 		return
 	}
 	fn()
 }
 
-func (l *Leader) handleCallerItem(to ReplyTarget, k key.Key, it *inner.Item) {
+func (l *Leader) handleCallerItem(target ReplyTarget, k key.Key, item *inner.Item) {
 	if k.Operator {
-		l.refuse(to, code.New(code.Forbidden, "this request needs a team key"))
+		l.refuse(target, code.New(code.Forbidden, "this request needs a team key"))
 		return
 	}
-	switch ask := it.GetAsk().(type) {
+	switch ask := item.GetAsk().(type) {
 	case *inner.Item_Submit:
-		l.handleSubmit(to, k, ask.Submit)
+		l.handleSubmit(target, k, ask.Submit)
 	case *inner.Item_Wait:
-		l.handleWait(to, k, ask.Wait)
+		l.handleWait(target, k, ask.Wait)
 	case *inner.Item_Cancel:
-		l.handleCancel(to, k, ask.Cancel)
+		l.handleCancel(target, k, ask.Cancel)
 	case *inner.Item_List:
-		l.runWhenConfirmed(to, func() { l.handleList(to, k, ask.List) })
+		l.runWhenConfirmed(target, func() { l.handleList(target, k, ask.List) })
 	case *inner.Item_Acknowledge:
-		l.handleAcknowledge(to, k, ask.Acknowledge)
+		l.handleAcknowledge(target, k, ask.Acknowledge)
 	default:
-		l.refuse(to, code.New(code.Malformed, "the item holds no request"))
+		l.refuse(target, code.New(code.Malformed, "the item holds no request"))
 	}
 }
 
-func (l *Leader) handleSubmit(to ReplyTarget, k key.Key, req *v1.SubmitRequest) {
-	rep := &v1.SubmitReply{}
+func (l *Leader) handleSubmit(target ReplyTarget, k key.Key, req *v1.SubmitRequest) {
+	reply := &v1.SubmitReply{}
 	for _, spec := range req.GetJobs() {
-		rep.Jobs = append(rep.Jobs, l.acceptJob(k, spec))
+		reply.Jobs = append(reply.Jobs, l.acceptJob(k, spec))
 	}
 	l.leadership.planNeeded = true
-	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Submit{Submit: rep}})
+	l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Submit{Submit: reply}})
 }
 
 func (l *Leader) acceptJob(k key.Key, spec *v1.Spec) *v1.Accepted {
@@ -134,9 +134,9 @@
 		return &v1.Accepted{Id: spec.GetId(), Status: statusOf(&code.Error{Code: r.Code, Detail: r.Detail})}
 	}
 	l.recordAdmission(k.Team, spec.GetId(), r.Job.Code)
-	st := statusOf(&code.Error{Code: r.Job.Code})
-	st.Retry = uint64(retry / time.Millisecond)
-	return &v1.Accepted{Id: spec.GetId(), Status: st, Outcome: r.Job.Outcome}
+	status := statusOf(&code.Error{Code: r.Job.Code})
+	status.Retry = uint64(retry / time.Millisecond)
+	return &v1.Accepted{Id: spec.GetId(), Status: status, Outcome: r.Job.Outcome}
 }
 
 // checkAdmission reports whether a new job is admitted and, if not, when the caller
@@ -169,42 +169,42 @@
 	answered bool
 }
 
-func (l *Leader) handleWait(to ReplyTarget, k key.Key, req *v1.WaitRequest) {
+func (l *Leader) handleWait(target ReplyTarget, k key.Key, req *v1.WaitRequest) {
 	id := state.RequestID{Team: k.Team, ID: req.GetId()}
 	j, ok := l.ledger.Find(id)
 	if !ok {
-		l.runWhenConfirmed(to, func() { l.answerUnknownJob(to, id) })
+		l.runWhenConfirmed(target, func() { l.answerUnknownJob(target, id) })
 		return
 	}
 	if j.Final() {
-		l.answerWait(to, j, req.GetChunk())
+		l.answerWait(target, j, req.GetChunk())
 		return
 	}
-	w := &parkedWait{target: to, keyID: k.ID, chunk: req.GetChunk()}
+	w := &parkedWait{target: target, keyID: k.ID, chunk: req.GetChunk()}
 	l.leadership.parkedWaits[id] = append(l.leadership.parkedWaits[id], w)
-	l.schedule(l.pollDeadline(to, req.GetPatience()), func() { l.expireWait(id, w) })
+	l.schedule(l.pollDeadline(target, req.GetPatience()), func() { l.expireWait(id, w) })
 }
 
 // answerUnknownJob answers a Wait for an unknown job. It runs once the leadership
 // is confirmed and looks the job up again.
-func (l *Leader) answerUnknownJob(to ReplyTarget, id state.RequestID) {
+func (l *Leader) answerUnknownJob(target ReplyTarget, id state.RequestID) {
 	if j, ok := l.ledger.Find(id); ok {
-		l.answerWait(to, j, 0)
+		l.answerWait(target, j, 0)
 		return
 	}
-	l.refuse(to, code.New(code.Unknown, "%s", id.ID))
+	l.refuse(target, code.New(code.Unknown, "%s", id.ID))
 }
 
 // pollDeadline returns when a long poll ends. That is the earliest of the requested
 // wait, the limit on poll waits, and the caller's deadline.
-func (l *Leader) pollDeadline(to ReplyTarget, patience uint64) time.Duration {
+func (l *Leader) pollDeadline(target ReplyTarget, patience uint64) time.Duration {
 	// A server renews its lease once per poll. If a poll lasted as long as the lease,
 	// the lease would expire between two polls.
 	maxWait := min(l.MaxPollWait, l.LeaseTerms.Length/minPollsPerLease)
 	wait := time.Duration(min(patience, uint64(maxWait/time.Millisecond))) * time.Millisecond
-	deadline := to.ReceivedAt + wait
-	if to.Deadline > 0 {
-		deadline = min(deadline, to.Deadline)
+	deadline := target.ReceivedAt + wait
+	if target.Deadline > 0 {
+		deadline = min(deadline, target.Deadline)
 	}
 	return deadline
 }
@@ -255,37 +255,37 @@
 	delete(l.leadership.parkedWaits, id)
 }
 
-func (l *Leader) answerWait(to ReplyTarget, j *state.Job, chunk uint32) {
-	rep := &v1.WaitReply{Id: j.Spec.ID, Outcome: j.Outcome, Status: statusOf(&code.Error{Code: j.Code})}
+func (l *Leader) answerWait(target ReplyTarget, j *state.Job, chunk uint32) {
+	reply := &v1.WaitReply{Id: j.Spec.ID, Outcome: j.Outcome, Status: statusOf(&code.Error{Code: j.Code})}
 	if j.Outcome == v1.Outcome_OUTCOME_DONE {
-		rep.Chunk = l.answerChunk(j, chunk)
-		if rep.Chunk == nil {
-			l.refuse(to, code.New(code.Malformed, "the job's answer has no chunk %d", chunk))
+		reply.Chunk = l.answerChunk(j, chunk)
+		if reply.Chunk == nil {
+			l.refuse(target, code.New(code.Malformed, "the job's answer has no chunk %d", chunk))
 			return
 		}
 	}
-	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Wait{Wait: rep}})
+	l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Wait{Wait: reply}})
 }
 
-func (l *Leader) handleCancel(to ReplyTarget, k key.Key, req *v1.CancelRequest) {
-	c := &record.Cancel{}
+func (l *Leader) handleCancel(target ReplyTarget, k key.Key, req *v1.CancelRequest) {
+	cancel := &record.Cancel{}
 	for _, id := range req.GetIds() {
 		if j, ok := l.ledger.Find(state.RequestID{Team: k.Team, ID: id}); ok && !j.Final() {
-			c.Jobs = append(c.Jobs, j.Number)
+			cancel.Jobs = append(cancel.Jobs, j.Number)
 		}
 	}
 	if len(req.GetLabels()) > 0 {
 		for _, j := range l.ledger.Jobs(k.Team) {
 			if !j.Final() && hasLabels(j.Spec.Labels, req.GetLabels()) {
-				c.Jobs = append(c.Jobs, j.Number)
+				cancel.Jobs = append(cancel.Jobs, j.Number)
 			}
 		}
 	}
-	l.logCancelWave(k.Team, c)
-	if len(c.Jobs) > 0 {
-		l.applyAndQueue(&record.Command{What: &record.Command_Cancel{Cancel: c}})
+	l.logCancelWave(k.Team, cancel)
+	if len(cancel.Jobs) > 0 {
+		l.applyAndQueue(&record.Command{What: &record.Command_Cancel{Cancel: cancel}})
 	}
-	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Cancel{Cancel: &v1.CancelReply{Status: &v1.Status{}, Count: uint32(len(c.Jobs))}}})
+	l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Cancel{Cancel: &v1.CancelReply{Status: &v1.Status{}, Count: uint32(len(cancel.Jobs))}}})
 }
 
 func hasLabels(have, want map[string]string) bool {
@@ -297,21 +297,21 @@
 	return true
 }
 
-func (l *Leader) handleList(to ReplyTarget, k key.Key, req *v1.ListRequest) {
-	rep := &v1.ListReply{Status: &v1.Status{}}
+func (l *Leader) handleList(target ReplyTarget, k key.Key, req *v1.ListRequest) {
+	reply := &v1.ListReply{Status: &v1.Status{}}
 	if len(req.GetIds()) > 0 {
 		for _, id := range req.GetIds() {
 			if j, ok := l.ledger.Find(state.RequestID{Team: k.Team, ID: id}); ok {
-				rep.Jobs = append(rep.Jobs, jobSummary(j))
+				reply.Jobs = append(reply.Jobs, jobSummary(j))
 			}
 		}
 	} else {
 		var err *code.Error
-		if rep.Jobs, err = l.listJobs(k.Team, req.GetAfter(), req.GetLimit()); err != nil {
-			rep.Status = statusOf(err)
+		if reply.Jobs, err = l.listJobs(k.Team, req.GetAfter(), req.GetLimit()); err != nil {
+			reply.Status = statusOf(err)
 		}
 	}
-	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_List{List: rep}})
+	l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_List{List: reply}})
 }
 
 func jobSummary(j *state.Job) *v1.Summary {
@@ -321,15 +321,15 @@
 	}
 }
 
-func (l *Leader) handleAcknowledge(to ReplyTarget, k key.Key, req *v1.AcknowledgeRequest) {
-	f := &record.Forget{}
+func (l *Leader) handleAcknowledge(target ReplyTarget, k key.Key, req *v1.AcknowledgeRequest) {
+	forget := &record.Forget{}
 	for _, id := range req.GetIds() {
 		if j, ok := l.ledger.Find(state.RequestID{Team: k.Team, ID: id}); ok && j.Final() {
-			f.Jobs = append(f.Jobs, j.Number)
+			forget.Jobs = append(forget.Jobs, j.Number)
 		}
 	}
-	if len(f.Jobs) > 0 {
-		l.applyAndQueue(&record.Command{What: &record.Command_Forget{Forget: f}})
+	if len(forget.Jobs) > 0 {
+		l.applyAndQueue(&record.Command{What: &record.Command_Forget{Forget: forget}})
 	}
-	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Acknowledge{Acknowledge: &v1.AcknowledgeReply{Status: &v1.Status{}}}})
+	l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Acknowledge{Acknowledge: &v1.AcknowledgeReply{Status: &v1.Status{}}}})
 }
--- a/internal/control/leader/leader.go
+++ b/internal/control/leader/leader.go
@@ -260,16 +260,16 @@
 // Execute runs fn on the control thread and waits for it. State dumps and tests use
 // it.
 func (l *Leader) Execute(ctx context.Context, fn func(*state.State)) error {
-	ran := make(chan struct{})
+	finished := make(chan struct{})
 	select {
-	case l.inbox <- func() { fn(l.ledger); close(ran) }:
+	case l.inbox <- func() { fn(l.ledger); close(finished) }:
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-l.done:
 		return errors.New("the control thread has ended")
 	}
 	select {
-	case <-ran:
+	case <-finished:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/control/leader/leader_test.go
+++ b/internal/control/leader/leader_test.go
@@ -144,7 +144,7 @@
 			t.Errorf("the repeated start order differs: %s", diff)
 		}
 		s.syncNumber -= 2
-		if n := s.sendSync(); h.replyTo(n) != nil {
+		if syncSeq := s.sendSync(); h.replyTo(syncSeq) != nil {
 			t.Error("a delayed copy of an older sync was answered")
 		}
 	})
@@ -159,15 +159,15 @@
 		h.submitAndReply(batchSpec("plan"))
 		s.syncAndWait()
 		silentSince := h.group.now()
-		other := h.announceServer("b2", 1000)
+		otherServer := h.announceServer("b2", 1000)
 		for h.group.now() < silentSince+h.leader.LeaseTerms.Length {
-			if got := startOrders(other.syncAndWait()); len(got) > 0 {
+			if got := startOrders(otherServer.syncAndWait()); len(got) > 0 {
 				t.Fatalf("the task was started elsewhere after %v", h.group.now()-silentSince)
 			}
 		}
 		var movedAttempts []*v1.Attempt
 		for h.group.now() < silentSince+2*h.leader.LeaseTerms.Wait() && movedAttempts == nil {
-			movedAttempts = startOrders(other.syncAndWait())
+			movedAttempts = startOrders(otherServer.syncAndWait())
 		}
 		if len(movedAttempts) != 1 || movedAttempts[0].GetNumber() != 2 {
 			t.Fatalf("attempts started elsewhere: %v, want one with number 2", movedAttempts)
@@ -188,9 +188,9 @@
 		h.group.notifications <- group.Follow{Term: 2}
 		h.elect(2)
 		electedAt := h.group.now()
-		other := h.announceServer("b2", 1000)
+		otherServer := h.announceServer("b2", 1000)
 		for h.group.now() < electedAt+h.leader.LeaseTerms.Length {
-			if got := startOrders(other.syncAndWait()); len(got) > 0 {
+			if got := startOrders(otherServer.syncAndWait()); len(got) > 0 {
 				t.Fatalf("the task was started elsewhere %v after the election", h.group.now()-electedAt)
 			}
 		}
@@ -207,9 +207,9 @@
 		onceSpec.Once = true
 		h.submitAndReply(onceSpec)
 		s.syncAndWait()
-		other := h.announceServer("b2", 1000)
+		otherServer := h.announceServer("b2", 1000)
 		for range 30 {
-			if got := startOrders(other.syncAndWait()); len(got) > 0 {
+			if got := startOrders(otherServer.syncAndWait()); len(got) > 0 {
 				t.Fatal("the task was started a second time")
 			}
 		}
@@ -243,13 +243,13 @@
 func TestDrainedZoneGetsNoNewTasks(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		s := h.announceServer("b1", 8000)
-		mark := func(id, zone string, drain bool) *v1.ChangeReply {
+		setDrain := func(id, zone string, drain bool) *v1.ChangeReply {
 			return h.applyChange(id, &v1.ChangeRequest{Change: &v1.ChangeRequest_Zone{Zone: &v1.ZoneMark{Zone: zone, Drain: drain}}})
 		}
 		unknown := &v1.ChangeRequest{Id: "unknown", Change: &v1.ChangeRequest_Zone{Zone: &v1.ZoneMark{Zone: "nowhere", Drain: true}}}
 		r := h.mustReply(h.push(&inner.Item{Credential: h.credential("op"), Ask: &inner.Item_Change{Change: unknown}}))
 		expectCode(t, code.Unknown, r.GetStatus())
-		mark("drain", zoneName, true)
+		setDrain("drain", zoneName, true)
 		h.submitAndReply(batchSpec("plan"))
 		if got := startOrders(s.syncAndWait()); len(got) > 0 {
 			t.Error("a server of a drained zone got a new task")
@@ -257,7 +257,7 @@
 		if got := startOrders(h.announceServer("b2", 8000).syncAndWait()); len(got) > 0 {
 			t.Error("a server that joined a drained zone got a new task")
 		}
-		mark("undrain", zoneName, false)
+		setDrain("undrain", zoneName, false)
 		if got := startOrders(s.syncAndWait()); len(got) != 1 {
 			t.Errorf("start orders after the drain was undone: %v, want 1", got)
 		}
@@ -269,33 +269,33 @@
 // again as a whole.
 func TestGangThatLosesATaskRestartsAsAWhole(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
-		a, b := h.announceServer("b1", 1000), h.announceServer("b2", 2000)
+		firstServer, secondServer := h.announceServer("b1", 1000), h.announceServer("b2", 2000)
 		gang := batchSpec("sweep")
 		gang.Kind, gang.Count = v1.Kind_KIND_GANG, 3
 		h.submitAndReply(gang)
-		attemptsOnB := startOrders(b.syncAndWait())
-		if len(startOrders(a.syncAndWait())) != 1 || len(attemptsOnB) != 2 {
+		secondAttempts := startOrders(secondServer.syncAndWait())
+		if len(startOrders(firstServer.syncAndWait())) != 1 || len(secondAttempts) != 2 {
 			t.Fatal("not all tasks of the gang were started")
 		}
 		phase := v1.Phase_PHASE_RUNNING
 		for range 40 {
 			var reports []*v1.Report
-			for _, attempt := range attemptsOnB {
+			for _, attempt := range secondAttempts {
 				reports = append(reports, attemptReport(attempt, phase))
 			}
-			for _, o := range b.syncAndWait(reports...).GetOrders() {
+			for _, o := range secondServer.syncAndWait(reports...).GetOrders() {
 				switch o.GetVerb() {
 				case v1.Verb_VERB_CHECKPOINT:
 					phase = v1.Phase_PHASE_SAVED
 				case v1.Verb_VERB_FORGET:
-					attemptsOnB = nil
+					secondAttempts = nil
 				case v1.Verb_VERB_START:
 					t.Fatal("some tasks of the gang were started without the others")
 				}
 			}
 		}
 		h.announceServer("b3", 1000)
-		got := startOrders(b.syncAndWait())
+		got := startOrders(secondServer.syncAndWait())
 		if len(got) != 2 || got[0].GetNumber() != 2 {
 			t.Errorf("start orders of the second attempt: %v", got)
 		}
@@ -378,9 +378,9 @@
 		if len(r.GetOrders()) != 1 || r.GetOrders()[0].GetVerb() != v1.Verb_VERB_STOP {
 			t.Fatalf("orders %v, want one stop order", r.GetOrders())
 		}
-		other := h.announceServer("b2", 8000)
+		otherServer := h.announceServer("b2", 8000)
 		s.syncAndWait(&v1.Report{Attempt: lostStarts[0], Phase: v1.Phase_PHASE_STOPPED})
-		if got := startOrders(other.syncAndWait()); len(got) != 1 || got[0].GetNumber() != 2 {
+		if got := startOrders(otherServer.syncAndWait()); len(got) != 1 || got[0].GetNumber() != 2 {
 			t.Errorf("start orders of the other server: %v, want one with number 2", got)
 		}
 	})
--- a/internal/control/leader/leadership.go
+++ b/internal/control/leader/leadership.go
@@ -80,15 +80,15 @@
 
 // timer is a function that runs at a given time on the clock of Leader.Now.
 type timer struct {
-	at  time.Duration
-	run func()
+	fireAt time.Duration
+	run    func()
 }
 
 // timerHeap is a min-heap of timers, ordered by time.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
-func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Less(i, j int) bool { return h[i].fireAt < h[j].fireAt }
 func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push appends an element; it implements heap.Interface.
@@ -214,11 +214,11 @@
 		return time.Duration(l.WallClock().UnixNano())
 	}
 	now := l.Now()
-	if at, ok := l.AgreedTime(now); ok {
-		return at
+	if agreed, ok := l.AgreedTime(now); ok {
+		return agreed
 	}
-	if leadTime := now - l.leadership.electedAt; l.leadership.initialLedgerTime > 0 && leadTime < timeAgreementWait {
-		return l.leadership.initialLedgerTime + leadTime
+	if sinceElection := now - l.leadership.electedAt; l.leadership.initialLedgerTime > 0 && sinceElection < timeAgreementWait {
+		return l.leadership.initialLedgerTime + sinceElection
 	}
 	return time.Duration(l.WallClock().UnixNano())
 }
@@ -286,14 +286,14 @@
 }
 
 // replyWhenCommitted sends a reply once all commands applied so far are committed.
-func (l *Leader) replyWhenCommitted(to ReplyTarget, r *inner.Reply) {
-	r.Seq = to.Seq
-	l.leadership.heldReplies = append(l.leadership.heldReplies, heldReply{index: l.leadership.lastIndex, target: to, reply: r})
+func (l *Leader) replyWhenCommitted(target ReplyTarget, r *inner.Reply) {
+	r.Seq = target.Seq
+	l.leadership.heldReplies = append(l.leadership.heldReplies, heldReply{index: l.leadership.lastIndex, target: target, reply: r})
 }
 
 // refuse answers an item with an error status only.
-func (l *Leader) refuse(to ReplyTarget, err *code.Error) {
-	l.replyWhenCommitted(to, &inner.Reply{Status: statusOf(err)})
+func (l *Leader) refuse(target ReplyTarget, err *code.Error) {
+	l.replyWhenCommitted(target, &inner.Reply{Status: statusOf(err)})
 }
 
 func statusOf(err *code.Error) *v1.Status {
@@ -321,8 +321,8 @@
 // runWhenConfirmed runs fn once a heartbeat round is confirmed that began after the
 // read was received. Without it, a leader that was deposed without noticing would
 // return stale state.
-func (l *Leader) runWhenConfirmed(to ReplyTarget, fn func()) {
-	l.leadership.pendingReads = append(l.leadership.pendingReads, pendingRead{receivedAt: to.ReceivedAt, run: fn})
+func (l *Leader) runWhenConfirmed(target ReplyTarget, fn func()) {
+	l.leadership.pendingReads = append(l.leadership.pendingReads, pendingRead{receivedAt: target.ReceivedAt, run: fn})
 }
 
 func (l *Leader) runConfirmedReads() {
@@ -341,7 +341,7 @@
 // schedule runs fn at the given time on the clock of Leader.Now, if this replica
 // still leads then.
 func (l *Leader) schedule(at time.Duration, fn func()) {
-	heap.Push(&l.leadership.timers, timer{at: at, run: fn})
+	heap.Push(&l.leadership.timers, timer{fireAt: at, run: fn})
 }
 
 // runTimers runs expired timers and periodic work.
@@ -356,7 +356,7 @@
 		l.checkLeaderless(now)
 		return
 	}
-	for len(lead.timers) > 0 && lead.timers[0].at <= now {
+	for len(lead.timers) > 0 && lead.timers[0].fireAt <= now {
 		heap.Pop(&lead.timers).(timer).run()
 	}
 	lead.planNeeded = true
@@ -383,9 +383,9 @@
 // forgetExpired removes jobs, change results and servers whose retention has ended.
 func (l *Leader) forgetExpired() {
 	const maxForgotten = 1000
-	f := l.ledger.Expired(l.ledgerTime()-l.Retention, maxForgotten)
-	if len(f.Jobs)+len(f.Changes)+len(f.Servers) > 0 {
-		l.applyAndQueue(&record.Command{What: &record.Command_Forget{Forget: f}})
+	expired := l.ledger.Expired(l.ledgerTime()-l.Retention, maxForgotten)
+	if len(expired.Jobs)+len(expired.Changes)+len(expired.Servers) > 0 {
+		l.applyAndQueue(&record.Command{What: &record.Command_Forget{Forget: expired}})
 	}
 }
 
--- a/internal/control/leader/member.go
+++ b/internal/control/leader/member.go
@@ -26,19 +26,19 @@
 // handleMemberChange changes the membership of the control group. A repeated
 // request for a change already in force has no effect, so the request needs no
 // record in the ledger.
-func (l *Leader) handleMemberChange(to ReplyTarget, c *v1.MemberChange) {
+func (l *Leader) handleMemberChange(target ReplyTarget, c *v1.MemberChange) {
 	if !strings.Contains(c.GetReplica(), "/") {
-		l.refuse(to, code.New(code.Malformed, "the replica's name must have the form NAME/NONCE, as shown by its /readyz"))
+		l.refuse(target, code.New(code.Malformed, "the replica's name must have the form NAME/NONCE, as shown by its /readyz"))
 		return
 	}
 	if c.GetRemove() && c.GetReplica() == l.membership.Self {
-		l.refuse(to, code.New(code.InUse, "%s is the leader; stop it first, so that another replica takes over", c.GetReplica()))
+		l.refuse(target, code.New(code.InUse, "%s is the leader; stop it first, so that another replica takes over", c.GetReplica()))
 		return
 	}
 	if !l.membershipMatches(c) {
 		l.proposeMembership(quorum.Member{ID: c.GetReplica(), Address: c.GetAddress(), Learner: true}, c.GetRemove())
 	}
-	l.awaitMembership(to, c, l.Now()+membershipTimeout)
+	l.awaitMembership(target, c, l.Now()+membershipTimeout)
 }
 
 // membershipMatches reports whether the requested change is already in force.
@@ -49,19 +49,19 @@
 
 // awaitMembership answers a change when it is in force or when the deadline has
 // passed. Until then it checks again at every tick.
-func (l *Leader) awaitMembership(to ReplyTarget, c *v1.MemberChange, deadline time.Duration) {
+func (l *Leader) awaitMembership(target ReplyTarget, c *v1.MemberChange, deadline time.Duration) {
 	switch {
 	case l.membershipMatches(c):
-		rep := &v1.ChangeReply{Status: &v1.Status{}, Revision: l.ledger.Table().Revision()}
-		l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Change{Change: rep}})
+		reply := &v1.ChangeReply{Status: &v1.Status{}, Revision: l.ledger.Table().Revision()}
+		l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Change{Change: reply}})
 	case l.Now() >= deadline:
 		event.Log(l.Log, event.MemberRefused, "member", c.GetReplica(), "remove", c.GetRemove())
-		st := statusOf(code.New(code.Busy, "the membership change is not in force yet; retry"))
-		st.Retry = uint64(promotionInterval / time.Millisecond)
-		rep := &v1.ChangeReply{Status: st, Revision: l.ledger.Table().Revision()}
-		l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Change{Change: rep}})
+		status := statusOf(code.New(code.Busy, "the membership change is not in force yet; retry"))
+		status.Retry = uint64(promotionInterval / time.Millisecond)
+		reply := &v1.ChangeReply{Status: status, Revision: l.ledger.Table().Revision()}
+		l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Change{Change: reply}})
 	default:
-		l.schedule(l.Now()+tickInterval, func() { l.awaitMembership(to, c, deadline) })
+		l.schedule(l.Now()+tickInterval, func() { l.awaitMembership(target, c, deadline) })
 	}
 }
 
--- a/internal/control/leader/notification.go
+++ b/internal/control/leader/notification.go
@@ -73,12 +73,12 @@
 
 // restoreState replaces the ledger by a snapshot.
 func (l *Leader) restoreState(n group.Restore) error {
-	st, err := state.Decode(n.State)
+	restored, err := state.Decode(n.State)
 	if err != nil {
 		return err
 	}
 	l.abandonSnapshot()
 	l.logRestore(n)
-	l.ledger, l.appliedIndex, l.snapshotIndex = st, n.Index, n.Index
+	l.ledger, l.appliedIndex, l.snapshotIndex = restored, n.Index, n.Index
 	return nil
 }
--- a/internal/control/leader/operator.go
+++ b/internal/control/leader/operator.go
@@ -15,17 +15,17 @@
 
 // applyChange applies an operator's change and replies with the result once the
 // change is committed.
-func (l *Leader) applyChange(to ReplyTarget, k key.Key, req *v1.ChangeRequest) {
+func (l *Leader) applyChange(target ReplyTarget, k key.Key, req *v1.ChangeRequest) {
 	if req.GetId() == "" {
-		l.refuse(to, code.New(code.Malformed, "the change has no id"))
+		l.refuse(target, code.New(code.Malformed, "the change has no id"))
 		return
 	}
 	if c := req.GetMember(); c != nil {
-		l.handleMemberChange(to, c)
+		l.handleMemberChange(target, c)
 		return
 	}
 	if c := req.GetZone(); c != nil && !l.KnowsZone(c.GetZone()) {
-		l.refuse(to, code.New(code.Unknown, "zone %q", c.GetZone()))
+		l.refuse(target, code.New(code.Unknown, "zone %q", c.GetZone()))
 		return
 	}
 	oldRows := l.ledger.Table().Rows()
@@ -35,45 +35,45 @@
 	if !isResend {
 		l.logChange(k.ID, req, r, oldRows)
 	}
-	rep := &v1.ChangeReply{Status: statusOf(&code.Error{Code: r.Code, Detail: r.Detail}), Revision: l.ledger.Table().Revision()}
+	reply := &v1.ChangeReply{Status: statusOf(&code.Error{Code: r.Code, Detail: r.Detail}), Revision: l.ledger.Table().Revision()}
 	if r.Revision > 0 {
-		rep.Revision = r.Revision
+		reply.Revision = r.Revision
 	}
-	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Change{Change: rep}})
+	l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Change{Change: reply}})
 }
 
 // handleShow answers an operator's read once the leadership is confirmed.
-func (l *Leader) handleShow(to ReplyTarget, req *v1.ShowRequest) {
-	l.runWhenConfirmed(to, func() {
-		l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Show{Show: l.showReply(req)}})
+func (l *Leader) handleShow(target ReplyTarget, req *v1.ShowRequest) {
+	l.runWhenConfirmed(target, func() {
+		l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Show{Show: l.showReply(req)}})
 	})
 }
 
 func (l *Leader) showReply(req *v1.ShowRequest) *v1.ShowReply {
-	rep := &v1.ShowReply{Status: &v1.Status{}, Revision: l.ledger.Table().Revision()}
+	reply := &v1.ShowReply{Status: &v1.Status{}, Revision: l.ledger.Table().Revision()}
 	switch req.GetPart() {
 	case v1.Part_PART_TABLE:
 		for _, r := range l.ledger.Table().Rows() {
-			rep.Rows = append(rep.Rows, command.RowMessage(r))
-			rep.Held = append(rep.Held, command.SizeMessage(l.ledger.Held(r.Name)))
+			reply.Rows = append(reply.Rows, command.RowMessage(r))
+			reply.Held = append(reply.Held, command.SizeMessage(l.ledger.Held(r.Name)))
 		}
 	case v1.Part_PART_KEYS:
 		for _, k := range l.ledger.Keys() {
-			rep.Keys = append(rep.Keys, &v1.KeyLine{Id: k.ID, Team: k.Team, Operator: k.Operator, Withdrawn: k.Withdrawn})
+			reply.Keys = append(reply.Keys, &v1.KeyLine{Id: k.ID, Team: k.Team, Operator: k.Operator, Withdrawn: k.Withdrawn})
 		}
 	case v1.Part_PART_SERVERS:
-		rep.Servers = l.serverLines(req.GetAfter(), req.GetLimit())
+		reply.Servers = l.serverLines(req.GetAfter(), req.GetLimit())
 	case v1.Part_PART_MEMBERS:
-		rep.Members = l.memberLines()
+		reply.Members = l.memberLines()
 	case v1.Part_PART_JOBS:
 		jobs, err := l.listJobs("", req.GetAfter(), req.GetLimit())
-		rep.Jobs, rep.Status = jobs, statusOf(err)
+		reply.Jobs, reply.Status = jobs, statusOf(err)
 	case v1.Part_PART_ZONES:
-		rep.Zones = l.zoneLines()
+		reply.Zones = l.zoneLines()
 	default:
-		rep.Status = statusOf(code.New(code.Malformed, "unknown part %d", req.GetPart()))
+		reply.Status = statusOf(code.New(code.Malformed, "unknown part %d", req.GetPart()))
 	}
-	return rep
+	return reply
 }
 
 func (l *Leader) serverLines(after string, limit uint32) []*v1.ServerLine {
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -60,49 +60,49 @@
 	return s
 }
 
-func (l *Leader) handleAnnounce(to ReplyTarget, req *v1.AnnounceRequest) {
+func (l *Leader) handleAnnounce(target ReplyTarget, req *v1.AnnounceRequest) {
 	r := l.applyAndQueue(&record.Command{What: &record.Command_Announce{Announce: &record.Announce{
 		Server: req.GetServer(), Nonce: req.GetNonce(), Capacity: req.GetCapacity(),
 		Rack: req.GetRack(), Zone: req.GetZone(), Labels: req.GetLabels(),
 	}}})
-	st := statusOf(&code.Error{Code: r.Code, Detail: r.Detail})
+	status := statusOf(&code.Error{Code: r.Code, Detail: r.Detail})
 	if r.Code == code.Busy {
-		st.Retry = uint64(l.SyncTimeout / time.Millisecond)
+		status.Retry = uint64(l.SyncTimeout / time.Millisecond)
 	}
 	if b, ok := l.ledger.Server(req.GetServer()); ok && r.Code == code.OK {
-		l.sessionFor(b).lastSyncAt = to.ReceivedAt
+		l.sessionFor(b).lastSyncAt = target.ReceivedAt
 	}
-	rep := &v1.AnnounceReply{Status: st, Incarnation: r.Incarnation, Lease: uint64(l.LeaseTerms.Length / time.Millisecond)}
-	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Announce{Announce: rep}})
+	reply := &v1.AnnounceReply{Status: status, Incarnation: r.Incarnation, Lease: uint64(l.LeaseTerms.Length / time.Millisecond)}
+	l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Announce{Announce: reply}})
 }
 
-func (l *Leader) handleLeave(to ReplyTarget, req *v1.LeaveRequest) {
+func (l *Leader) handleLeave(target ReplyTarget, req *v1.LeaveRequest) {
 	r := l.markServer(req.GetServer(), backend.Draining)
 	if b, _ := l.ledger.Server(req.GetServer()); b.Incarnation != req.GetIncarnation() {
 		r = state.Result{Code: code.Stale}
 	}
-	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Leave{Leave: &v1.LeaveReply{Status: statusOf(&code.Error{Code: r.Code})}}})
+	l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Leave{Leave: &v1.LeaveReply{Status: statusOf(&code.Error{Code: r.Code})}}})
 }
 
 // handleSync takes a server's complete list of attempts and replies with orders and
 // a lease. If there are no orders, the sync is parked until there are some or its
 // poll ends.
-func (l *Leader) handleSync(to ReplyTarget, req *v1.SyncRequest) {
+func (l *Leader) handleSync(target ReplyTarget, req *v1.SyncRequest) {
 	b, ok := l.ledger.Server(req.GetServer())
 	if !ok || b.Incarnation != req.GetIncarnation() || b.Server.State == backend.Gone {
-		l.replySync(to, &v1.SyncReply{Status: statusOf(code.New(code.Stale, "the session has ended; announce the server again")), Number: req.GetNumber()})
+		l.replySync(target, &v1.SyncReply{Status: statusOf(code.New(code.Stale, "the session has ended; announce the server again")), Number: req.GetNumber()})
 		return
 	}
 	s := l.sessionFor(b)
 	if req.GetNumber() < s.syncNumber {
 		return // delayed duplicate of a request that the server no longer waits for
 	}
-	s.syncNumber, s.lastSyncAt = req.GetNumber(), max(s.lastSyncAt, to.ReceivedAt)
+	s.syncNumber, s.lastSyncAt = req.GetNumber(), max(s.lastSyncAt, target.ReceivedAt)
 	if b.Server.State == backend.Suspect {
 		l.markServer(b.ID, backend.Ready)
 	}
 	l.applyReports(b, s, req.GetReports())
-	s.parkedSync, s.parkedUntil = &to, l.pollDeadline(to, req.GetPatience())
+	s.parkedSync, s.parkedUntil = &target, l.pollDeadline(target, req.GetPatience())
 	l.leadership.updatedServers[b.ID] = true
 	l.schedule(s.parkedUntil, func() { l.leadership.updatedServers[b.ID] = true })
 }
@@ -138,21 +138,21 @@
 // recordAttemptEnd records an attempt's end in the ledger. It returns false when
 // the attempt has not ended or its answer is incomplete.
 func (l *Leader) recordAttemptEnd(s *session, a task.Attempt, r *v1.Report) bool {
-	e := &record.End{Job: a.Job, Index: a.Index, Attempt: a.Number, Started: r.GetStarted()}
+	end := &record.End{Job: a.Job, Index: a.Index, Attempt: a.Number, Started: r.GetStarted()}
 	switch r.GetPhase() {
 	case v1.Phase_PHASE_ENDED:
 		data, ok := l.assembleAnswer(s, a, r.GetChunks())
 		if !ok {
 			return false
 		}
-		e.Ended, e.Started, e.Exit, e.Answer = true, true, r.GetExit(), l.withinAnswerLimit(a.Job, data)
+		end.Ended, end.Started, end.Exit, end.Answer = true, true, r.GetExit(), l.withinAnswerLimit(a.Job, data)
 	case v1.Phase_PHASE_STOPPED:
 	case v1.Phase_PHASE_SAVED:
-		e.Started, e.Checkpoint = true, r.GetCheckpoint()
+		end.Started, end.Checkpoint = true, r.GetCheckpoint()
 	default:
 		return false
 	}
-	l.applyAndQueue(&record.Command{What: &record.Command_End{End: e}})
+	l.applyAndQueue(&record.Command{What: &record.Command_End{End: end}})
 	return true
 }
 
@@ -160,19 +160,19 @@
 // missing. Chunks that do not belong to the same answer are discarded, and the
 // server sends all of them again.
 func (l *Leader) assembleAnswer(s *session, a task.Attempt, chunks []*v1.Chunk) ([]byte, bool) {
-	p := s.answerParts[a]
-	if p == nil {
-		p = &answer.Parts{}
-		s.answerParts[a] = p
+	parts := s.answerParts[a]
+	if parts == nil {
+		parts = &answer.Parts{}
+		s.answerParts[a] = parts
 	}
 	for _, c := range chunks {
-		if err := p.Add(c); err != nil {
+		if err := parts.Add(c); err != nil {
 			l.logLimiter.Log(l.Log, event.DigestMismatch, "job", a.Job, "task", a.Index, "error", err.Error())
 			delete(s.answerParts, a)
 			return nil, false
 		}
 	}
-	data, ok, err := p.Whole()
+	data, ok, err := parts.Whole()
 	if err != nil {
 		l.logLimiter.Log(l.Log, event.DigestMismatch, "job", a.Job, "task", a.Index, "error", err.Error())
 		delete(s.answerParts, a)
@@ -200,17 +200,17 @@
 		if len(orders) == 0 && now < s.parkedUntil {
 			continue
 		}
-		to := *s.parkedSync
+		target := *s.parkedSync
 		s.parkedSync = nil
-		grant := lead.leases.Renew(id, lead.confirmedAt, to.ReceivedAt)
-		l.replySync(to, &v1.SyncReply{
-			Status: &v1.Status{}, Number: s.syncNumber, Orders: orders, Lease: uint64(grant / time.Millisecond),
+		leaseLength := lead.leases.Renew(id, lead.confirmedAt, target.ReceivedAt)
+		l.replySync(target, &v1.SyncReply{
+			Status: &v1.Status{}, Number: s.syncNumber, Orders: orders, Lease: uint64(leaseLength / time.Millisecond),
 		})
 	}
 }
 
-func (l *Leader) replySync(to ReplyTarget, r *v1.SyncReply) {
-	l.replyWhenCommitted(to, &inner.Reply{Answer: &inner.Reply_Sync{Sync: r}})
+func (l *Leader) replySync(target ReplyTarget, r *v1.SyncReply) {
+	l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Sync{Sync: r}})
 }
 
 // buildOrders lists the orders for a server by comparing the ledger with the
