--- a/internal/control/leader/eventlog.go
+++ b/internal/control/leader/eventlog.go
@@ -20,11 +20,11 @@
 	// leaderlessAlarmDelay is how long no leader may be known before this is logged
 	// as an event.
 	leaderlessAlarmDelay = 5 * time.Second
-	// overloadQuietPeriod is how long after the last refusal an overload counts as
-	// over.
+	// overloadQuietPeriod is the time without refusals after which an overload
+	// counts as over.
 	overloadQuietPeriod = 10 * time.Second
-	// cancelWaveSize is the number of jobs from which one cancellation is logged as
-	// a wave.
+	// cancelWaveSize is the minimum number of jobs in a cancellation that is logged
+	// as a cancellation wave.
 	cancelWaveSize = 100
 )
 
@@ -34,7 +34,7 @@
 	servers      map[string]reportedServer
 	readyServers int
 	runningTasks int
-	// replaying suppresses events while the ledger is replayed to a new planner.
+	// replaying is true while the ledger is replayed to a new planner. It suppresses events.
 	replaying bool
 	// teamsOverLimit are the teams that hold more than a lowered limit allows.
 	teamsOverLimit map[string]bool
--- a/internal/control/leader/item.go
+++ b/internal/control/leader/item.go
@@ -38,15 +38,15 @@
 		l.refuse(target, code.New(code.NoLeader, "leadership is not confirmed; try again"))
 		return
 	}
-	switch ask := item.GetAsk().(type) {
+	switch request := item.GetAsk().(type) {
 	case *inner.Item_Announce:
-		l.handleAnnounce(target, ask.Announce)
+		l.handleAnnounce(target, request.Announce)
 		return
 	case *inner.Item_Sync:
-		l.handleSync(target, ask.Sync)
+		l.handleSync(target, request.Sync)
 		return
 	case *inner.Item_Leave:
-		l.handleLeave(target, ask.Leave)
+		l.handleLeave(target, request.Leave)
 		return
 	}
 	k, err := l.authorize(item.GetCredential())
@@ -54,11 +54,11 @@
 		l.refuse(target, err)
 		return
 	}
-	switch ask := item.GetAsk().(type) {
+	switch request := item.GetAsk().(type) {
 	case *inner.Item_Change:
-		l.withOperatorKey(target, k, func() { l.applyChange(target, k, ask.Change) })
+		l.withOperatorKey(target, k, func() { l.applyChange(target, k, request.Change) })
 	case *inner.Item_Show:
-		l.withOperatorKey(target, k, func() { l.handleShow(target, ask.Show) })
+		l.withOperatorKey(target, k, func() { l.handleShow(target, request.Show) })
 	default:
 		l.handleCallerItem(target, k, item)
 	}
@@ -94,17 +94,17 @@
 		l.refuse(target, code.New(code.Forbidden, "this request needs a team key"))
 		return
 	}
-	switch ask := item.GetAsk().(type) {
+	switch request := item.GetAsk().(type) {
 	case *inner.Item_Submit:
-		l.handleSubmit(target, k, ask.Submit)
+		l.handleSubmit(target, k, request.Submit)
 	case *inner.Item_Wait:
-		l.handleWait(target, k, ask.Wait)
+		l.handleWait(target, k, request.Wait)
 	case *inner.Item_Cancel:
-		l.handleCancel(target, k, ask.Cancel)
+		l.handleCancel(target, k, request.Cancel)
 	case *inner.Item_List:
-		l.runWhenConfirmed(target, func() { l.handleList(target, k, ask.List) })
+		l.runWhenConfirmed(target, func() { l.handleList(target, k, request.List) })
 	case *inner.Item_Acknowledge:
-		l.handleAcknowledge(target, k, ask.Acknowledge)
+		l.handleAcknowledge(target, k, request.Acknowledge)
 	default:
 		l.refuse(target, code.New(code.Malformed, "the item holds no request"))
 	}
--- a/internal/control/leader/leader.go
+++ b/internal/control/leader/leader.go
@@ -130,10 +130,10 @@
 	// WallClock returns this process's time of day, from which the ledger's time is
 	// derived.
 	WallClock func() time.Time
-	// AgreedTime returns the time of day agreed on by many processes for a time on
-	// the clock of Now. It returns false while too few processes have reported
-	// their time. If it is nil, WallClock is used alone. AgreedTime is called on
-	// the control thread.
+	// AgreedTime converts a time on the clock of Now to the time of day on which
+	// the processes of the cell agree. It returns false while too few processes
+	// have reported their time. If it is nil, WallClock is used alone. AgreedTime
+	// is called on the control thread.
 	AgreedTime func(now time.Duration) (time.Duration, bool)
 	// NewPlanner creates the planner of a newly elected leader.
 	NewPlanner func() plan.Planner
@@ -248,6 +248,8 @@
 	return l.tryEnqueue(func() { l.handleBatch(b) })
 }
 
+// tryEnqueue queues fn for the control thread. It returns false when the inbox is
+// full.
 func (l *Leader) tryEnqueue(fn func()) bool {
 	select {
 	case l.inbox <- fn:
@@ -328,8 +330,8 @@
 	}
 }
 
-// finishTurn ends one iteration of the control thread. A leader makes decisions,
-// proposes commands, and sends the replies whose commands are committed.
+// finishTurn ends a turn, which is one iteration of the loop in Run. A leader makes
+// decisions, proposes commands, and sends the replies whose commands are committed.
 func (l *Leader) finishTurn() {
 	if l.leadership != nil {
 		l.runCommittedEffects()
@@ -346,6 +348,7 @@
 	l.advanceSnapshot()
 }
 
+// publishStatus updates the status that other goroutines read.
 func (l *Leader) publishStatus() {
 	old := l.status.Load()
 	s := *old
--- a/internal/control/leader/metrics.go
+++ b/internal/control/leader/metrics.go
@@ -22,6 +22,7 @@
 	waitingJobs, runningTasks, heldReplies, readyServers atomic.Int64
 }
 
+// newControlMetrics registers the metrics in set, or in a new set if set is nil.
 func newControlMetrics(set *metrics.Set) *controlMetrics {
 	if set == nil {
 		set = metrics.NewSet()
