--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -19,8 +19,8 @@
 	"gypsumreel/internal/base/event"
 	"gypsumreel/internal/domain/flow"
 	"gypsumreel/internal/ledger/flows"
-	"gypsumreel/internal/policy/brief"
-	"gypsumreel/internal/policy/crew"
+	"gypsumreel/internal/policy/helpers"
+	"gypsumreel/internal/policy/shortlease"
 	"gypsumreel/internal/policy/steps"
 	"gypsumreel/internal/replica/group"
 	"gypsumreel/internal/replica/quorum"
@@ -155,7 +155,7 @@
 	agreed clock.Agreed
 	// crew are the processes that made themselves known, joiners the replicas among
 	// them that may be no members yet, by id.
-	crew    *crew.Crew
+	crew    *helpers.Pool
 	joiners map[string]*joiner
 }
 
@@ -163,7 +163,7 @@
 func New() *Dispatcher {
 	return &Dispatcher{
 		Hold: DefaultHold, Stop: DefaultStop, Gang: DefaultGang, Retention: DefaultRetention, Open: DefaultOpen, Replicas: DefaultReplicas, Log: logr.Discard(),
-		crew: crew.New(), joiners: map[string]*joiner{},
+		crew: helpers.New(), joiners: map[string]*joiner{},
 	}
 }
 
@@ -180,9 +180,9 @@
 		answers:  holdTimeout / answerFactor,
 		sessions: map[string]*session{}, stops: map[*run]*session{},
 		advice: map[flow.StepID]*advice{}, shares: map[string]float64{},
-		urgent: map[string]*demand{}, briefs: map[string]*brief.Choice{}, timed: map[string]bool{},
+		urgent: map[string]*demand{}, briefs: map[string]*shortlease.Selection{}, timed: map[string]bool{},
 		buckets: map[string]*bucket{}, surplus: map[string]bool{},
-		speeds: map[string]*speed{}, times: map[flow.StepID]steps.Times{}, shunned: map[flow.StepID]map[string]bool{},
+		speeds: map[string]*speed{}, times: map[flow.StepID]steps.Timing{}, shunned: map[flow.StepID]map[string]bool{},
 		asked: map[uint64]func(){}, emptied: map[string]bool{}, ordered: map[string]time.Duration{},
 	}
 	ledger := d.Host.Flows()
--- a/internal/control/dispatch/helper.go
+++ b/internal/control/dispatch/helper.go
@@ -44,7 +44,7 @@
 	if g.GetReplica() != "" {
 		d.joiners[g.GetReplica()] = &joiner{address: g.GetAddress(), heard: at}
 	}
-	d.crew.Hear(g.GetAddress(), at)
+	d.crew.RecordGreeting(g.GetAddress(), at)
 	if g.GetClock() > 0 {
 		d.agreed.Hear(g.GetAddress(), time.Duration(g.GetClock()), at)
 	}
@@ -52,7 +52,7 @@
 
 // welcome is what a leader tells a process that makes itself known.
 func (d *Dispatcher) welcome() *inner.Welcome {
-	out := &inner.Welcome{Term: d.lead.term, Leads: true, Version: d.Host.Flows().Config().GetVersion(), Pause: uint32(d.crew.Pause() / time.Millisecond)}
+	out := &inner.Welcome{Term: d.lead.term, Leads: true, Version: d.Host.Flows().Config().GetVersion(), Pause: uint32(d.crew.GreetingInterval() / time.Millisecond)}
 	for _, m := range d.Host.Members().Members {
 		out.Members = append(out.Members, m.Address)
 	}
@@ -90,6 +90,6 @@
 
 // forgetHelpers drops processes that were not heard of for long.
 func (d *Dispatcher) forgetHelpers(now time.Duration) {
-	d.crew.Forget(now)
+	d.crew.RemoveSilent(now)
 	maps.DeleteFunc(d.joiners, func(_ string, j *joiner) bool { return now-j.heard > joinerAge })
 }
--- a/internal/control/dispatch/session.go
+++ b/internal/control/dispatch/session.go
@@ -71,7 +71,7 @@
 	// avoid is until when nothing new is placed there, and why it last failed.
 	avoid  time.Duration
 	unwell int
-	streak watchdog.Streak
+	streak watchdog.FailureStreak
 	// relay is the helper that calls go through since relayed; empty for the direct way.
 	relay   string
 	relayed time.Duration
--- a/internal/control/dispatch/sweep.go
+++ b/internal/control/dispatch/sweep.go
@@ -34,7 +34,7 @@
 			delete(d.lead.advice, id)
 		}
 	}
-	maps.DeleteFunc(d.lead.times, func(id flow.StepID, _ steps.Times) bool {
+	maps.DeleteFunc(d.lead.times, func(id flow.StepID, _ steps.Timing) bool {
 		s, ok := ledger.Step(id)
 		return !ok || s.Done == len(s.Tasks)
 	})
--- a/internal/control/dispatch/zone.go
+++ b/internal/control/dispatch/zone.go
@@ -85,7 +85,7 @@
 	}
 	for _, s := range d.lead.sorted {
 		b, known := ledger.Server(s.id)
-		if known && ledger.Takes(b) && s.usable(now) && b.Pool == q.GetPool() && steps.Labelled(step.Spec.GetLabel(), b) && flow.SizeOf(step.Spec).Fits(b.Free()) {
+		if known && ledger.Takes(b) && s.usable(now) && b.Pool == q.GetPool() && steps.HasLabel(step.Spec.GetLabel(), b) && flow.SizeOf(step.Spec).Fits(b.Free()) {
 			return true
 		}
 	}
--- a/internal/control/leader/decide.go
+++ b/internal/control/leader/decide.go
@@ -43,7 +43,7 @@
 func (l *Leader) applyDecision(d plan.Decision) {
 	l.recordDecision(d)
 	var r state.Result
-	switch d.Verb {
+	switch d.Action {
 	case plan.Place:
 		r = l.placeTasks(d)
 	case plan.Preempt:
@@ -65,7 +65,7 @@
 		// The ledger refused the decision, so the planner's view of the ledger is
 		// wrong. Without a correction the planner would decide the same at every turn.
 		l.resyncPlanner(d)
-		l.Log.Info("the ledger refused a planner decision", "verb", d.Verb, "job", d.Job, "code", uint32(r.Code), "detail", r.Detail)
+		l.Log.Info("the ledger refused a planner decision", "verb", d.Action, "job", d.Job, "code", uint32(r.Code), "detail", r.Detail)
 	}
 }
 
@@ -73,23 +73,23 @@
 // decision to the planner again. The planner reverts a placement by itself when no
 // Hold confirms it.
 func (l *Leader) resyncPlanner(d plan.Decision) {
-	for _, p := range d.Places {
+	for _, p := range d.Placements {
 		if b, ok := l.ledger.Server(p.Server); ok {
 			ledgerWatcher{l}.Server(b)
 		}
 	}
 	t, ok := l.ledger.Task(d.Task)
-	if !ok || len(d.Places) > 0 {
+	if !ok || len(d.Placements) > 0 {
 		return
 	}
 	if j, known := l.ledger.Job(t.ID.Job); known && t.Phase.Holds() {
-		l.leadership.planner.Hold(heldTask(j, t))
+		l.leadership.planner.SetPlaced(heldTask(j, t))
 	}
 }
 
 func (l *Leader) placeTasks(d plan.Decision) state.Result {
 	placement := &record.Place{Job: d.Job}
-	for _, s := range d.Places {
+	for _, s := range d.Placements {
 		b, _ := l.ledger.Server(s.Server)
 		placement.Spots = append(placement.Spots, &record.Spot{Index: s.Index, Server: s.Server, Incarnation: b.Incarnation})
 	}
@@ -156,17 +156,17 @@
 
 // Queue passes a waiting task to the planner.
 func (w ledgerWatcher) Queue(j *state.Job, t *state.Task) {
-	w.leader.leadership.planner.Queue(plan.Queued{ID: t.ID, Job: j.Spec, Accepted: j.Accepted, Attempts: t.Attempt})
+	w.leader.leadership.planner.AddWaiting(plan.WaitingTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.Accepted, Attempts: t.Attempt})
 	w.leader.leadership.planNeeded = true
 }
 
 // Unqueue tells the planner that a task is no longer waiting.
-func (w ledgerWatcher) Unqueue(id task.ID) { w.leader.leadership.planner.Unqueue(id) }
+func (w ledgerWatcher) Unqueue(id task.ID) { w.leader.leadership.planner.RemoveWaiting(id) }
 
 // Hold passes a placement to the planner and marks the session of its server as
 // updated.
 func (w ledgerWatcher) Hold(j *state.Job, t *state.Task) {
-	w.leader.leadership.planner.Hold(heldTask(j, t))
+	w.leader.leadership.planner.SetPlaced(heldTask(j, t))
 	w.leader.recordPlacement(t)
 	w.leader.leadership.updatedServers[t.Server] = true
 }
@@ -174,18 +174,18 @@
 // Stopping tells the planner that a task is being stopped and marks the session of
 // its server as updated.
 func (w ledgerWatcher) Stopping(j *state.Job, t *state.Task) {
-	w.leader.leadership.planner.Hold(heldTask(j, t))
+	w.leader.leadership.planner.SetPlaced(heldTask(j, t))
 	w.leader.leadership.updatedServers[t.Server] = true
 }
 
-func heldTask(j *state.Job, t *state.Task) plan.Held {
-	return plan.Held{ID: t.ID, Job: j.Spec, Accepted: j.Accepted, Server: t.Server, Since: t.Since, Stopping: t.Phase == state.Stopping}
+func heldTask(j *state.Job, t *state.Task) plan.PlacedTask {
+	return plan.PlacedTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.Accepted, Server: t.Server, PlacedAt: t.Since, Stopping: t.Phase == state.Stopping}
 }
 
 // Release tells the planner that an attempt no longer runs.
 func (w ledgerWatcher) Release(_ *state.Job, t *state.Task, end state.End) {
 	w.leader.recordRelease(t, end)
-	w.leader.leadership.planner.Release(t.ID, plan.End{At: w.leader.ledger.At(), Ran: end.Ran, Failed: end.Failed, Lost: end.Lost})
+	w.leader.leadership.planner.EndAttempt(t.ID, plan.AttemptEnd{EndedAt: w.leader.ledger.At(), Started: end.Ran, Failed: end.Failed, ServerLost: end.Lost})
 	w.leader.leadership.planNeeded = true
 }
 
--- a/internal/control/leader/eventlog.go
+++ b/internal/control/leader/eventlog.go
@@ -164,9 +164,9 @@
 // recordDecision counts a planner decision and logs preemptions and throttling.
 func (l *Leader) recordDecision(decision plan.Decision) {
 	l.controlMetrics.decisions.Inc()
-	switch decision.Verb {
+	switch decision.Action {
 	case plan.Place:
-		l.controlMetrics.placements.Add(len(decision.Places))
+		l.controlMetrics.placements.Add(len(decision.Placements))
 	case plan.Preempt:
 		l.controlMetrics.preemptions.Inc()
 		l.logLimiter.Log(l.Log, event.Preempted, "job", decision.Task.Job, "task", decision.Task.Index)
--- a/internal/control/leader/item.go
+++ b/internal/control/leader/item.go
@@ -151,8 +151,8 @@
 	}
 	backlog := l.ledger.Backlog()
 	err, retry := admit.Check(command.Spec(teamName, spec), admit.View{
-		Row: row, Waiting: l.ledger.Waiting(teamName), Cell: backlog.Jobs, Bound: l.MaxBacklog, Teams: backlog.Teams,
-		Largest: l.ledger.Kinds(), Total: l.ledger.Total(),
+		Row: row, TeamWaiting: l.ledger.Waiting(teamName), CellWaiting: backlog.Jobs, MaxWaiting: l.MaxBacklog, WaitingTeams: backlog.Teams,
+		ServerSizes: l.ledger.Kinds(), TotalCapacity: l.ledger.Total(),
 	}, rand.Float64())
 	if err != nil {
 		return err.Code, retry
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -126,7 +126,7 @@
 		}
 		if r.GetUsed() != nil {
 			at := l.ledgerTime() - time.Duration(r.GetAge())*time.Millisecond
-			l.leadership.planner.Use(a.ID, command.Size(r.GetUsed()), at)
+			l.leadership.planner.SetUsage(a.ID, command.Size(r.GetUsed()), at)
 		}
 	}
 }
