--- a/internal/control/leader/answer.go
+++ b/internal/control/leader/answer.go
@@ -8,60 +8,63 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// maxHeads bounds the heads of answers that are kept.
-const maxHeads = 4096
+// maxCachedHeads limits the number of cached answer heads.
+const maxCachedHeads = 4096
 
-// answers is what the leader keeps of answers beside the ledger.
-type answers struct {
-	// heads are those of answers that are being fetched, by job. A final job's
-	// answer never changes.
-	heads map[uint64]answer.Head
-	// sizes are the bytes that jobs under way have answered so far.
-	sizes map[uint64]int
+// answerState is data about job answers that the leader keeps outside the ledger.
+type answerState struct {
+	// headsByJob caches the heads of answers that are being fetched, by job number. The
+	// answer of an ended job never changes.
+	headsByJob map[uint64]answer.Head
+	// partialSizes are the sizes in bytes of the answers that unfinished jobs have
+	// returned so far, by job number.
+	partialSizes map[uint64]int
 }
 
-func newAnswers() answers {
-	return answers{heads: map[uint64]answer.Head{}, sizes: map[uint64]int{}}
+func newAnswerState() answerState {
+	return answerState{headsByJob: map[uint64]answer.Head{}, partialSizes: map[uint64]int{}}
 }
 
-// chunk returns one chunk of a final job's answer; nil when there is none of
-// that number. The checksum of the whole is taken once, not for every chunk.
-func (l *Leader) chunk(j *state.Job, number uint32) *v1.Chunk {
-	pieces := l.st.Pieces(j)
-	h, ok := l.lead.answers.heads[j.Number]
+// answerChunk returns one chunk of an ended job's answer, or nil when there is no
+// chunk of that number. The checksum of the whole answer is computed once and
+// cached, not repeated for every chunk.
+func (l *Leader) answerChunk(j *state.Job, number uint32) *v1.Chunk {
+	pieces := l.ledger.Pieces(j)
+	h, ok := l.leadership.answerCache.headsByJob[j.Number]
 	if !ok {
 		h = answer.NewHead(pieces)
-		if len(l.lead.answers.heads) >= maxHeads {
-			clear(l.lead.answers.heads)
+		if len(l.leadership.answerCache.headsByJob) >= maxCachedHeads {
+			clear(l.leadership.answerCache.headsByJob)
 		}
 		if answer.Count(h.Total) > 1 {
-			l.lead.answers.heads[j.Number] = h
+			l.leadership.answerCache.headsByJob[j.Number] = h
 		}
 	}
 	return h.Cut(pieces, number)
 }
 
-// fitting returns a task's answer, or none when its job's whole answer would
-// exceed the bound. The job is then given up as too large: a longer answer
-// could not be fetched whole, and part of one must not pass for all of it.
-func (l *Leader) fitting(number uint64, data []byte) []byte {
-	j, ok := l.st.Job(number)
+// withinAnswerLimit returns a task's answer, or nil when it would make the job's
+// whole answer exceed answer.MaxJob. In that case the job is dropped with the code
+// TooLarge, because a caller could not fetch the whole answer and must not take a
+// part of it for the whole.
+func (l *Leader) withinAnswerLimit(jobNumber uint64, data []byte) []byte {
+	j, ok := l.ledger.Job(jobNumber)
 	if !ok {
 		return data
 	}
 	if j.Spec.Count <= answer.MaxJob/answer.MaxTotal {
-		return data // no answers of so few tasks exceed it
+		return data // so few tasks cannot exceed the limit
 	}
-	size, ok := l.lead.answers.sizes[number]
+	size, ok := l.leadership.answerCache.partialSizes[jobNumber]
 	if !ok {
-		for p := range l.st.Pieces(j) {
+		for p := range l.ledger.Pieces(j) {
 			size += len(p)
 		}
 	}
 	if size+len(data) > answer.MaxJob {
-		l.do(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: number, Code: uint32(code.TooLarge)}}})
+		l.applyAndQueue(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: jobNumber, Code: uint32(code.TooLarge)}}})
 		return nil
 	}
-	l.lead.answers.sizes[number] = size + len(data)
+	l.leadership.answerCache.partialSizes[jobNumber] = size + len(data)
 	return data
 }
--- a/internal/control/leader/decide.go
+++ b/internal/control/leader/decide.go
@@ -12,207 +12,215 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// Bounds of one turn's decisions.
+// Limits on the decisions of one turn.
 const (
-	// decisions bounds what one call of the planner may decide.
-	decisions = 512
-	// rounds bounds the calls in one turn, so that items are not kept waiting.
-	rounds = 4
+	// maxDecisionsPerCall limits the decisions that one call of the planner
+	// returns.
+	maxDecisionsPerCall = 512
+	// maxPlannerCalls limits the planner calls in one turn, so that items do not
+	// wait too long.
+	maxPlannerCalls = 4
 )
 
-// decide asks the planner and commits what it says.
-func (l *Leader) decide() {
-	if !l.lead.dirty || len(l.lead.pending) > maxPending {
+// applyDecisions calls the planner and applies its decisions to the ledger.
+func (l *Leader) applyDecisions() {
+	if !l.leadership.planNeeded || len(l.leadership.pendingCommands) > maxPendingCommands {
 		return
 	}
-	for range rounds {
-		ds := l.lead.planner.Decide(l.clock(), decisions)
-		for _, d := range ds {
-			l.carryOut(d)
+	for range maxPlannerCalls {
+		decisions := l.leadership.planner.Decide(l.ledgerTime(), maxDecisionsPerCall)
+		for _, d := range decisions {
+			l.applyDecision(d)
 		}
-		if len(ds) == 0 {
-			l.lead.dirty = false
+		if len(decisions) == 0 {
+			l.leadership.planNeeded = false
 			return
 		}
 	}
 }
 
-// carryOut turns a decision into a command.
-func (l *Leader) carryOut(d plan.Decision) {
-	l.decided(d)
+// applyDecision turns a planner decision into a command.
+func (l *Leader) applyDecision(d plan.Decision) {
+	l.recordDecision(d)
 	var r state.Result
 	switch d.Action {
 	case plan.Place:
-		r = l.place(d)
+		r = l.placeTasks(d)
 	case plan.Preempt:
-		r = l.halt(d.Task, true)
+		r = l.haltTask(d.Task, true)
 	case plan.Stop:
-		r = l.halt(d.Task, false)
+		r = l.haltTask(d.Task, false)
 	case plan.Throttle:
-		l.throttle(d.Task)
+		l.throttleTask(d.Task)
 	case plan.Drop:
-		r = l.drop(d.Job, code.DeadlinePassed)
+		r = l.dropJob(d.Job, code.DeadlinePassed)
 	case plan.Park:
-		r = l.drop(d.Job, code.Parked)
+		r = l.dropJob(d.Job, code.Parked)
 	case plan.Quarantine:
-		r = l.mark(d.Server, backend.Quarantined)
+		r = l.markServer(d.Server, backend.Quarantined)
 	case plan.Restore:
-		r = l.mark(d.Server, backend.Ready)
+		r = l.markServer(d.Server, backend.Ready)
 	}
 	if r.Code != code.OK {
-		// The ledger refused what the planner decided: the promise held, and
-		// the planner's picture is wrong: it would decide the same again at
-		// every turn.
-		l.correct(d)
-		l.Log.Info("decision refused", "verb", d.Action, "job", d.Job, "code", uint32(r.Code), "detail", r.Detail)
+		// The ledger refused the decision, so the planner's view of the ledger is
+		// wrong. Without a correction the planner would decide the same at every turn.
+		l.resyncPlanner(d)
+		l.Log.Info("the ledger refused a planner decision", "verb", d.Action, "job", d.Job, "code", uint32(r.Code), "detail", r.Detail)
 	}
 }
 
-// correct tells the planner again how the ledger holds what a refused decision
-// was about. A placement that no Hold confirms it takes back by itself.
-func (l *Leader) correct(d plan.Decision) {
+// resyncPlanner passes the ledger's state of the servers and tasks of a refused
+// decision to the planner again. The planner reverts a placement by itself when no
+// Hold confirms it.
+func (l *Leader) resyncPlanner(d plan.Decision) {
 	for _, p := range d.Placements {
-		if b, ok := l.st.Server(p.Server); ok {
-			watch{l}.Server(b)
+		if b, ok := l.ledger.Server(p.Server); ok {
+			ledgerWatcher{l}.Server(b)
 		}
 	}
-	t, ok := l.st.Task(d.Task)
+	t, ok := l.ledger.Task(d.Task)
 	if !ok || len(d.Placements) > 0 {
 		return
 	}
-	if j, known := l.st.Job(t.ID.Job); known && t.Phase.Holds() {
-		l.lead.planner.SetPlaced(heldOf(j, t))
+	if j, known := l.ledger.Job(t.ID.Job); known && t.Phase.Holds() {
+		l.leadership.planner.SetPlaced(heldTask(j, t))
 	}
 }
 
-func (l *Leader) place(d plan.Decision) state.Result {
-	p := &record.Place{Job: d.Job}
+func (l *Leader) placeTasks(d plan.Decision) state.Result {
+	placement := &record.Place{Job: d.Job}
 	for _, s := range d.Placements {
-		b, _ := l.st.Server(s.Server)
-		p.Spots = append(p.Spots, &record.Spot{Index: s.Index, Server: s.Server, Incarnation: b.Incarnation})
+		b, _ := l.ledger.Server(s.Server)
+		placement.Spots = append(placement.Spots, &record.Spot{Index: s.Index, Server: s.Server, Incarnation: b.Incarnation})
 	}
-	return l.resolve(&record.Command{What: &record.Command_Place{Place: p}})
+	return l.applyIfAccepted(&record.Command{What: &record.Command_Place{Place: placement}})
 }
 
-func (l *Leader) halt(id task.ID, save bool) state.Result {
-	return l.resolve(&record.Command{What: &record.Command_Halt{Halt: &record.Halt{Job: id.Job, Indexes: []uint32{id.Index}, Checkpoint: save}}})
+func (l *Leader) haltTask(id task.ID, checkpoint bool) state.Result {
+	return l.applyIfAccepted(&record.Command{What: &record.Command_Halt{Halt: &record.Halt{Job: id.Job, Indexes: []uint32{id.Index}, Checkpoint: checkpoint}}})
 }
 
-// recall takes back what a draining server was given and does not hold. Its
-// order may have been lost with an answer; given again after the mark it would
-// be new work for a server that is leaving. The server notes the stop of what it
-// does not know, and says that nothing was started.
-func (l *Leader) recall(b state.Server, s *session) {
+// recallUnstarted halts tasks that were placed on a draining server and that the
+// server has not reported. Their start orders may have been lost with a sync reply.
+// Sending them again would give new work to a server that is leaving. The server
+// records the stop of an attempt that it does not know and reports that nothing was
+// started.
+func (l *Leader) recallUnstarted(b state.Server, s *session) {
 	if !b.Drains() && b.Server.State != backend.Draining {
 		return
 	}
-	var idle []task.ID
-	l.st.Placed(b.ID, func(t *state.Task) {
-		if _, known := s.reports[t.Current()]; t.Phase == state.Placed && t.Incarnation == s.incarnation && !known {
-			idle = append(idle, t.ID)
+	var unstarted []task.ID
+	l.ledger.Placed(b.ID, func(t *state.Task) {
+		if _, known := s.reportedPhases[t.Current()]; t.Phase == state.Placed && t.Incarnation == s.incarnation && !known {
+			unstarted = append(unstarted, t.ID)
 		}
 	})
-	for _, id := range idle {
-		l.resolve(&record.Command{What: &record.Command_Halt{Halt: &record.Halt{Job: id.Job, Indexes: []uint32{id.Index}, Idle: true}}})
+	for _, id := range unstarted {
+		l.applyIfAccepted(&record.Command{What: &record.Command_Halt{Halt: &record.Halt{Job: id.Job, Indexes: []uint32{id.Index}, Idle: true}}})
 	}
 }
 
-func (l *Leader) drop(job uint64, c code.Code) state.Result {
-	return l.resolve(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: job, Code: uint32(c)}}})
+func (l *Leader) dropJob(job uint64, c code.Code) state.Result {
+	return l.applyIfAccepted(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: job, Code: uint32(c)}}})
 }
 
-func (l *Leader) mark(server string, s backend.State) state.Result {
-	b, _ := l.st.Server(server)
-	return l.resolve(&record.Command{What: &record.Command_Mark{Mark: &record.Mark{Server: server, Incarnation: b.Incarnation, State: uint32(s)}}})
+func (l *Leader) markServer(server string, s backend.State) state.Result {
+	b, _ := l.ledger.Server(server)
+	return l.applyIfAccepted(&record.Command{What: &record.Command_Mark{Mark: &record.Mark{Server: server, Incarnation: b.Incarnation, State: uint32(s)}}})
 }
 
-// watch tells planner, sessions and waiters what a command changed.
-type watch struct{ l *Leader }
+// ledgerWatcher passes the changes that a command makes in the ledger to the
+// planner, the sessions and the parked waits.
+type ledgerWatcher struct{ leader *Leader }
 
-var _ state.Watch = watch{}
+var _ state.Watch = ledgerWatcher{}
 
-// Table passes a new revision on.
-func (w watch) Table(t table.Table) {
-	w.l.lead.planner.SetTable(t)
-	w.l.lead.tabled = w.l.lead.last + 1 // do counts the command once it is applied
-	w.l.lead.dirty = true
+// Table passes a new table revision to the planner.
+func (w ledgerWatcher) Table(t table.Table) {
+	w.leader.leadership.planner.SetTable(t)
+	w.leader.leadership.tableIndex = w.leader.leadership.lastIndex + 1 // lastIndex is incremented after the command is applied
+	w.leader.leadership.planNeeded = true
 }
 
-// Server passes a changed server on; a drained one shows as draining.
-func (w watch) Server(b state.Server) {
+// Server passes a changed server to the planner. A server that is drained by an
+// operator or with its zone is passed on as draining.
+func (w ledgerWatcher) Server(b state.Server) {
 	s := b.Server
 	if b.Drains() && s.State != backend.Gone {
 		s.State = backend.Draining
 	}
-	w.l.lead.planner.SetServer(s)
-	w.l.serverSeen(b)
-	w.l.lead.dirty = true
+	w.leader.leadership.planner.SetServer(s)
+	w.leader.reportServer(b)
+	w.leader.leadership.planNeeded = true
 }
 
-// Queue passes a waiting task on.
-func (w watch) Queue(j *state.Job, t *state.Task) {
-	w.l.lead.planner.AddWaiting(plan.WaitingTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.Accepted, Attempts: t.Attempt})
-	w.l.lead.dirty = true
+// Queue passes a waiting task to the planner.
+func (w ledgerWatcher) Queue(j *state.Job, t *state.Task) {
+	w.leader.leadership.planner.AddWaiting(plan.WaitingTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.Accepted, Attempts: t.Attempt})
+	w.leader.leadership.planNeeded = true
 }
 
-// Unqueue passes on that a task waits no more.
-func (w watch) Unqueue(id task.ID) { w.l.lead.planner.RemoveWaiting(id) }
+// Unqueue tells the planner that a task is no longer waiting.
+func (w ledgerWatcher) Unqueue(id task.ID) { w.leader.leadership.planner.RemoveWaiting(id) }
 
-// Hold passes a placement on and lets its server's session know.
-func (w watch) Hold(j *state.Job, t *state.Task) {
-	w.l.lead.planner.SetPlaced(heldOf(j, t))
-	w.l.placed(t)
-	w.l.lead.updated[t.Server] = true
+// Hold passes a placement to the planner and marks the session of its server as
+// updated.
+func (w ledgerWatcher) Hold(j *state.Job, t *state.Task) {
+	w.leader.leadership.planner.SetPlaced(heldTask(j, t))
+	w.leader.recordPlacement(t)
+	w.leader.leadership.updatedServers[t.Server] = true
 }
 
-// Stopping passes on that a task is to stop and lets its server's session know.
-func (w watch) Stopping(j *state.Job, t *state.Task) {
-	w.l.lead.planner.SetPlaced(heldOf(j, t))
-	w.l.lead.updated[t.Server] = true
+// Stopping tells the planner that a task is being stopped and marks the session of
+// its server as updated.
+func (w ledgerWatcher) Stopping(j *state.Job, t *state.Task) {
+	w.leader.leadership.planner.SetPlaced(heldTask(j, t))
+	w.leader.leadership.updatedServers[t.Server] = true
 }
 
-func heldOf(j *state.Job, t *state.Task) plan.PlacedTask {
+func heldTask(j *state.Job, t *state.Task) plan.PlacedTask {
 	return plan.PlacedTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.Accepted, Server: t.Server, PlacedAt: t.Since, Stopping: t.Phase == state.Stopping}
 }
 
-// Release passes on that an attempt runs no more.
-func (w watch) Release(_ *state.Job, t *state.Task, how state.End) {
-	w.l.released(t, how)
-	w.l.lead.planner.EndAttempt(t.ID, plan.AttemptEnd{EndedAt: w.l.st.At(), Started: how.Ran, Failed: how.Failed, ServerLost: how.Lost})
-	w.l.lead.dirty = true
+// Release tells the planner that an attempt no longer runs.
+func (w ledgerWatcher) Release(_ *state.Job, t *state.Task, end state.End) {
+	w.leader.recordRelease(t, end)
+	w.leader.leadership.planner.EndAttempt(t.ID, plan.AttemptEnd{EndedAt: w.leader.ledger.At(), Started: end.Ran, Failed: end.Failed, ServerLost: end.Lost})
+	w.leader.leadership.planNeeded = true
 }
 
-// Ended wakes who waits for the job's outcome.
-func (w watch) Ended(j *state.Job) {
-	w.l.endedSeen(j)
-	w.l.answerWaits(j)
+// Ended answers the parked waits for a job that has ended.
+func (w ledgerWatcher) Ended(j *state.Job) {
+	w.leader.recordJobEnd(j)
+	w.leader.answerParkedWaits(j)
 }
 
-// watchServers marks servers that went silent and ends sessions whose lease is over.
-func (l *Leader) watchServers(now time.Duration) {
-	ld := l.lead
-	if !ld.proved || now-ld.confirmed > l.Fresh {
-		return // a leader that cannot prove to lead gives up nobody
+// checkSilentServers marks servers whose sync is overdue as suspect, and fences
+// servers whose lease has expired.
+func (l *Leader) checkSilentServers(now time.Duration) {
+	lead := l.leadership
+	if !lead.leadershipConfirmed || now-lead.confirmedAt > l.MaxConfirmationAge {
+		return // without a recent confirmation another replica may already lead
 	}
-	for id, s := range ld.servers {
-		if now-s.heard <= l.Silence {
+	for id, s := range lead.sessions {
+		if now-s.lastSyncAt <= l.SyncTimeout {
 			continue
 		}
-		b, ok := l.st.Server(id)
+		b, ok := l.ledger.Server(id)
 		if !ok || b.Server.State == backend.Gone || b.Incarnation != s.incarnation {
-			delete(ld.servers, id)
+			delete(lead.sessions, id)
 			continue
 		}
 		if b.Server.State == backend.Ready || b.Server.State == backend.Quarantined {
-			// Unschedulable before the wait for its lease begins: a server
-			// that comes back halfway is not given new work on a lease that
-			// is about to be declared over.
-			l.mark(b.ID, backend.Suspect)
+			// The server gets no new work from now on, before the wait for its
+			// lease begins. A server that returns during that wait must not be given
+			// new work under a lease that is about to expire.
+			l.markServer(b.ID, backend.Suspect)
 		}
-		if ld.book.Over(b.ID, now) {
-			l.do(&record.Command{What: &record.Command_Fence{Fence: &record.Fence{Server: b.ID, Incarnation: b.Incarnation}}})
-			delete(ld.servers, b.ID)
-			ld.book.Forget(b.ID)
+		if lead.leases.Over(b.ID, now) {
+			l.applyAndQueue(&record.Command{What: &record.Command_Fence{Fence: &record.Fence{Server: b.ID, Incarnation: b.Incarnation}}})
+			delete(lead.sessions, b.ID)
+			lead.leases.Forget(b.ID)
 		}
 	}
 }
--- a/internal/control/leader/harness_test.go
+++ b/internal/control/leader/harness_test.go
@@ -23,149 +23,166 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// fakeGroup is a group of which the test decides what commits and what is confirmed.
+// fakeGroup is a group in which the test controls commits and leadership
+// confirmations.
 type fakeGroup struct {
-	notes chan group.Note
-	now   func() time.Duration
-	mu    sync.Mutex
-	// held stops commits, cut stops confirmed rounds.
-	held, cut bool
-	term      uint64
-	log       []quorum.Entry
-	committed uint64
-	reloads   int
-	proposals int
-	// compacts are the states of the snapshots that were handed over.
-	compacts [][]byte
+	notifications chan group.Note
+	now           func() time.Duration
+	mu            sync.Mutex
+	// commitsHeld suspends commits, confirmationsStopped suspends leadership confirmations.
+	commitsHeld, confirmationsStopped bool
+	term                              uint64
+	log                               []quorum.Entry
+	commitIndex                       uint64
+	reloadCount                       int
+	proposalsMade                     int
+	// snapshotStates are the encoded snapshots passed to Compact.
+	snapshotStates [][]byte
 }
 
 func (g *fakeGroup) Propose(p group.Proposal) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.proposals++
+	g.proposalsMade++
 	if p.Term != g.term || p.First != uint64(len(g.log))+1 {
-		return true // dropped whole, as the real one does
+		return true // the real group also discards such a proposal as a whole
 	}
 	for _, c := range p.Commands {
 		g.log = append(g.log, quorum.Entry{Index: uint64(len(g.log)) + 1, Term: p.Term, Kind: quorum.Command, Data: c})
 	}
-	if !g.held {
+	if !g.commitsHeld {
 		g.commit()
 	}
 	return true
 }
 
-// count returns the number of proposals so far.
-func (g *fakeGroup) count() int { g.mu.Lock(); defer g.mu.Unlock(); return g.proposals }
+// proposalCount returns the number of proposals so far.
+func (g *fakeGroup) proposalCount() int { g.mu.Lock(); defer g.mu.Unlock(); return g.proposalsMade }
 
-// hold stops commits; cutOff stops confirmed rounds.
-func (g *fakeGroup) hold()   { g.mu.Lock(); defer g.mu.Unlock(); g.held = true }
-func (g *fakeGroup) cutOff() { g.mu.Lock(); defer g.mu.Unlock(); g.cut = true }
+// holdCommits suspends commits; stopConfirmations suspends leadership
+// confirmations.
+func (g *fakeGroup) holdCommits() { g.mu.Lock(); defer g.mu.Unlock(); g.commitsHeld = true }
 
-// letGo commits what was held.
-func (g *fakeGroup) letGo() { g.mu.Lock(); defer g.mu.Unlock(); g.held = false; g.commit() }
+func (g *fakeGroup) stopConfirmations() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.confirmationsStopped = true
+}
+
+// releaseCommits commits all held entries and resumes commits.
+func (g *fakeGroup) releaseCommits() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.commitsHeld = false
+	g.commit()
+}
 
 func (g *fakeGroup) commit() {
-	g.committed = uint64(len(g.log))
-	g.notes <- group.Commit{Index: g.committed}
+	g.commitIndex = uint64(len(g.log))
+	g.notifications <- group.Commit{Index: g.commitIndex}
 }
 
-func (g *fakeGroup) Notes() <-chan group.Note { return g.notes }
+func (g *fakeGroup) Notifications() <-chan group.Note { return g.notifications }
 
-func (g *fakeGroup) Confirm() {
+func (g *fakeGroup) ConfirmLeadership() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.cut {
+	if !g.confirmationsStopped {
 		select {
-		case g.notes <- group.Confirmed{Term: g.term, Start: g.now()}:
+		case g.notifications <- group.Confirmed{Term: g.term, Start: g.now()}:
 		default:
 		}
 	}
 }
 
-func (g *fakeGroup) Compact(_ uint64, data []byte) {
+func (g *fakeGroup) Compact(_ uint64, snapshot []byte) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.compacts = append(g.compacts, data)
+	g.snapshotStates = append(g.snapshotStates, snapshot)
 }
 
-// snapshots returns the states of the snapshots that were handed over.
-func (g *fakeGroup) snapshots() [][]byte { g.mu.Lock(); defer g.mu.Unlock(); return g.compacts }
+// compactedStates returns the encoded snapshots passed to Compact.
+func (g *fakeGroup) compactedStates() [][]byte {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.snapshotStates
+}
 
-func (g *fakeGroup) Reload() { g.mu.Lock(); defer g.mu.Unlock(); g.reloads++ }
+func (g *fakeGroup) Reload() { g.mu.Lock(); defer g.mu.Unlock(); g.reloadCount++ }
 
-// lead starts a term and returns the end of the log.
-func (g *fakeGroup) lead(term uint64) uint64 {
+// startTerm starts a term and returns the last log index.
+func (g *fakeGroup) startTerm(term uint64) uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.term = term
 	return uint64(len(g.log))
 }
 
-// cell is a control thread under a fake group, an entry's mailbox, and time
-// that only passes when the test sleeps.
-type cell struct {
-	t    *testing.T
-	g    *fakeGroup
-	l    *leader.Leader
-	box  *mailbox.Mailbox
-	term uint64
-	seq  uint64
-	got  map[uint64]*inner.Reply
-	ack  uint64
-	stop context.CancelFunc
+// harness runs a control thread with a fake group and the mailbox of one entry.
+// Time passes only while the test sleeps.
+type harness struct {
+	t               *testing.T
+	group           *fakeGroup
+	leader          *leader.Leader
+	mailbox         *mailbox.Mailbox
+	term            uint64
+	lastSeq         uint64
+	replies         map[uint64]*inner.Reply
+	lastReplyNumber uint64
+	stop            context.CancelFunc
 }
 
 const secret = "secret"
 
 func digest() []byte { d := sha256.Sum256([]byte(secret)); return d[:] }
 
-// run gives fn a leading control thread with one team, its key and an operator's key.
-func run(t *testing.T, fn func(*cell)) { runWith(t, logr.Discard(), fn) }
+// runWithLeader runs a test with a leading control thread. The ledger holds one
+// team, the team's key and an operator key.
+func runWithLeader(t *testing.T, test func(*harness)) { runWithLog(t, logr.Discard(), test) }
 
-// runWith is run with a log.
-func runWith(t *testing.T, log logr.Logger, fn func(*cell)) {
-	runAs(t, log, func() plan.Planner { return fifo.New() }, fn)
+// runWithLog is like runWithLeader, with a logger.
+func runWithLog(t *testing.T, log logr.Logger, test func(*harness)) {
+	runWithPlanner(t, log, func() plan.Planner { return fifo.New() }, test)
 }
 
-// runAs is run with a log and a planner.
-func runAs(t *testing.T, log logr.Logger, planner func() plan.Planner, fn func(*cell)) {
+// runWithPlanner is like runWithLog, with a planner.
+func runWithPlanner(t *testing.T, log logr.Logger, planner func() plan.Planner, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
 		now := func() time.Duration { return time.Since(begin) + time.Minute }
-		g := &fakeGroup{notes: make(chan group.Note, 4096), now: now, term: 1}
+		group := &fakeGroup{notifications: make(chan group.Note, 4096), now: now, term: 1}
 		ctx, cancel := context.WithCancel(context.Background())
-		c := &cell{t: t, g: g, stop: cancel, got: map[uint64]*inner.Reply{}}
-		c.l = c.newLeader(g)
-		c.l.Log, c.l.Planner = log, planner
-		done := make(chan error, 1)
-		go func() { done <- c.l.Run(ctx) }()
-		beats := make(chan struct{})
-		go func() { c.beat(ctx); close(beats) }()
-		c.elect(1)
-		c.change("table", &v1.ChangeRequest{Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
+		h := &harness{t: t, group: group, stop: cancel, replies: map[uint64]*inner.Reply{}}
+		h.leader = h.newLeader(group)
+		h.leader.Log, h.leader.NewPlanner = log, planner
+		runResult := make(chan error, 1)
+		go func() { runResult <- h.leader.Run(ctx) }()
+		confirmationsDone := make(chan struct{})
+		go func() { h.confirmPeriodically(ctx); close(confirmationsDone) }()
+		h.elect(1)
+		h.applyChange("table", &v1.ChangeRequest{Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
 			{Row: &v1.Row{Team: "rail", Weight: 1, Queue: 10, Limit: &v1.Size{Cpu: 4000, Memory: -1, Accel: -1, Slots: -1}}},
 		}}}})
-		c.change("grant", &v1.ChangeRequest{Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "rail1", Team: "rail", Digest: digest()}}})
-		fn(c)
+		h.applyChange("grant", &v1.ChangeRequest{Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "rail1", Team: "rail", Digest: digest()}}})
+		test(h)
 		cancel()
-		<-beats
-		if err := <-done; err != nil {
+		<-confirmationsDone
+		if err := <-runResult; err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-func (c *cell) newLeader(g *fakeGroup) *leader.Leader {
+func (h *harness) newLeader(g *fakeGroup) *leader.Leader {
 	l := leader.New()
 	l.Group, l.Now = g, g.now
-	l.Root = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest()}
+	l.RootKey = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest()}
 	return l
 }
 
-func (c *cell) beat(ctx context.Context) {
+func (h *harness) confirmPeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
-		c.g.Confirm()
+		h.group.ConfirmLeadership()
 		select {
 		case <-time.After(100 * time.Millisecond):
 		case <-ctx.Done():
@@ -173,132 +190,132 @@
 	}
 }
 
-// elect lets the thread lead in a term, with a fresh mailbox.
-func (c *cell) elect(term uint64) {
-	c.term = term
-	c.box = mailbox.New(term)
-	c.ack = 0
-	c.g.notes <- group.Lead{Term: term, Last: c.g.lead(term), Elected: c.g.now()}
-	c.g.Confirm()
+// elect makes the control thread leader of a term, with a new mailbox.
+func (h *harness) elect(term uint64) {
+	h.term = term
+	h.mailbox = mailbox.New(term)
+	h.lastReplyNumber = 0
+	h.group.notifications <- group.Lead{Term: term, Last: h.group.startTerm(term), Elected: h.group.now()}
+	h.group.ConfirmLeadership()
 	synctest.Wait()
 }
 
-// push hands an item over and returns its number.
-func (c *cell) push(it *inner.Item) uint64 {
-	c.seq++
-	it.Seq = c.seq
-	if !c.l.Push(leader.Batch{Box: c.box, Received: c.g.now(), Items: []*inner.Item{it}}) {
-		c.t.Fatal("no room")
+// push sends an item to the control thread and returns the item's sequence number.
+func (h *harness) push(item *inner.Item) uint64 {
+	h.lastSeq++
+	item.Seq = h.lastSeq
+	if !h.leader.Push(leader.Batch{Mailbox: h.mailbox, ReceivedAt: h.group.now(), Items: []*inner.Item{item}}) {
+		h.t.Fatal("the control thread's inbox is full")
 	}
 	synctest.Wait()
-	return c.seq
+	return h.lastSeq
 }
 
-// reply returns what came for an item so far; nil when nothing did.
-func (c *cell) reply(seq uint64) *inner.Reply {
+// replyTo returns the reply to an item, or nil if there is none yet.
+func (h *harness) replyTo(seq uint64) *inner.Reply {
 	synctest.Wait()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	b := c.box.Pull(ctx, c.term, c.ack)
+	b := h.mailbox.Pull(ctx, h.term, h.lastReplyNumber)
 	for i, r := range b.Replies {
-		c.ack = b.First + uint64(i)
-		c.got[r.GetSeq()] = r
+		h.lastReplyNumber = b.FirstNumber + uint64(i)
+		h.replies[r.GetSeq()] = r
 	}
-	return c.got[seq]
+	return h.replies[seq]
 }
 
-func (c *cell) must(seq uint64) *inner.Reply {
-	c.t.Helper()
-	r := c.reply(seq)
+func (h *harness) mustReply(seq uint64) *inner.Reply {
+	h.t.Helper()
+	r := h.replyTo(seq)
 	if r == nil {
-		c.t.Fatalf("no reply to item %d", seq)
+		h.t.Fatalf("no reply to item %d", seq)
 	}
 	return r
 }
 
-func (c *cell) cred(id string) *inner.Credential {
+func (h *harness) credential(id string) *inner.Credential {
 	return &inner.Credential{Id: id, Digest: digest()}
 }
 
-func (c *cell) change(id string, req *v1.ChangeRequest) *v1.ChangeReply {
-	c.t.Helper()
+func (h *harness) applyChange(id string, req *v1.ChangeRequest) *v1.ChangeReply {
+	h.t.Helper()
 	req.Id = id
-	r := c.must(c.push(&inner.Item{Credential: c.cred("op"), Ask: &inner.Item_Change{Change: req}}))
+	r := h.mustReply(h.push(&inner.Item{Credential: h.credential("op"), Ask: &inner.Item_Change{Change: req}}))
 	if r.GetStatus().GetCode() != 0 {
-		c.t.Fatalf("change %s: %v", id, r.GetStatus())
+		h.t.Fatalf("change %s was refused: %v", id, r.GetStatus())
 	}
 	return r.GetChange()
 }
 
-func spec(id string) *v1.Spec {
+func batchSpec(id string) *v1.Spec {
 	return &v1.Spec{Id: id, Kind: v1.Kind_KIND_BATCH, Count: 1, Size: &v1.Size{Cpu: 1000}}
 }
 
-func (c *cell) submit(s *v1.Spec) uint64 {
-	return c.push(&inner.Item{Credential: c.cred("rail1"), Ask: &inner.Item_Submit{Submit: &v1.SubmitRequest{Jobs: []*v1.Spec{s}}}})
+func (h *harness) pushSubmit(s *v1.Spec) uint64 {
+	return h.push(&inner.Item{Credential: h.credential("rail1"), Ask: &inner.Item_Submit{Submit: &v1.SubmitRequest{Jobs: []*v1.Spec{s}}}})
 }
 
-func (c *cell) accepted(s *v1.Spec) *v1.Accepted {
-	c.t.Helper()
-	r := c.must(c.submit(s))
+func (h *harness) submitAndReply(s *v1.Spec) *v1.Accepted {
+	h.t.Helper()
+	r := h.mustReply(h.pushSubmit(s))
 	if r.GetStatus().GetCode() != 0 {
 		return &v1.Accepted{Status: r.GetStatus()}
 	}
 	return r.GetSubmit().GetJobs()[0]
 }
 
-func (c *cell) wait(id string) uint64 {
-	return c.push(&inner.Item{Credential: c.cred("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: id, Patience: 1000}}})
+func (h *harness) pushWait(id string) uint64 {
+	return h.push(&inner.Item{Credential: h.credential("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: id, Patience: 1000}}})
 }
 
-func (c *cell) outcome(id string) *v1.WaitReply {
-	c.t.Helper()
-	n := c.wait(id)
+func (h *harness) waitOutcome(id string) *v1.WaitReply {
+	h.t.Helper()
+	waitSeq := h.pushWait(id)
 	time.Sleep(1100 * time.Millisecond)
-	return c.must(n).GetWait()
+	return h.mustReply(waitSeq).GetWait()
 }
 
-// server is a backend server's session as the test drives it.
-type server struct {
-	c           *cell
+// testServer is a backend server whose syncs are sent by the test.
+type testServer struct {
+	harness     *harness
 	name        string
 	incarnation uint64
-	number      uint64
+	syncNumber  uint64
 }
 
-// zoneName is where the servers of these tests are.
+// zoneName is the availability zone of the backend servers in these tests.
 const zoneName = "zone-1"
 
-func (c *cell) announce(name string, cpu int64) *server {
-	c.t.Helper()
-	r := c.must(c.push(&inner.Item{Ask: &inner.Item_Announce{Announce: &v1.AnnounceRequest{
-		Server: name, Nonce: uint64(c.g.now()), Zone: zoneName, Capacity: &v1.Size{Cpu: cpu, Memory: 1, Accel: 1, Slots: 8},
+func (h *harness) announceServer(name string, cpu int64) *testServer {
+	h.t.Helper()
+	r := h.mustReply(h.push(&inner.Item{Ask: &inner.Item_Announce{Announce: &v1.AnnounceRequest{
+		Server: name, Nonce: uint64(h.group.now()), Zone: zoneName, Capacity: &v1.Size{Cpu: cpu, Memory: 1, Accel: 1, Slots: 8},
 	}}}))
 	if n := r.GetAnnounce().GetStatus().GetCode(); n != 0 {
-		c.t.Fatalf("announce: %d", n)
+		h.t.Fatalf("announcement refused with code %d", n)
 	}
-	return &server{c: c, name: name, incarnation: r.GetAnnounce().GetIncarnation()}
+	return &testServer{harness: h, name: name, incarnation: r.GetAnnounce().GetIncarnation()}
 }
 
-func (s *server) send(reports ...*v1.Report) uint64 {
-	s.number++
-	return s.c.push(&inner.Item{Ask: &inner.Item_Sync{Sync: &v1.SyncRequest{
-		Server: s.name, Incarnation: s.incarnation, Number: s.number, Reports: reports, Patience: 500,
+func (s *testServer) sendSync(reports ...*v1.Report) uint64 {
+	s.syncNumber++
+	return s.harness.push(&inner.Item{Ask: &inner.Item_Sync{Sync: &v1.SyncRequest{
+		Server: s.name, Incarnation: s.incarnation, Number: s.syncNumber, Reports: reports, Patience: 500,
 	}}})
 }
 
-func (s *server) sync(reports ...*v1.Report) *v1.SyncReply {
-	s.c.t.Helper()
-	n := s.send(reports...)
-	if r := s.c.reply(n); r != nil {
+func (s *testServer) syncAndWait(reports ...*v1.Report) *v1.SyncReply {
+	s.harness.t.Helper()
+	syncSeq := s.sendSync(reports...)
+	if r := s.harness.replyTo(syncSeq); r != nil {
 		return r.GetSync()
 	}
 	time.Sleep(600 * time.Millisecond)
-	return s.c.must(n).GetSync()
+	return s.harness.mustReply(syncSeq).GetSync()
 }
 
-// starts lists the attempts that a reply orders to start.
-func starts(r *v1.SyncReply) (out []*v1.Attempt) {
+// startOrders returns the attempts that a sync reply orders to start.
+func startOrders(r *v1.SyncReply) (out []*v1.Attempt) {
 	for _, o := range r.GetOrders() {
 		if o.GetVerb() == v1.Verb_VERB_START {
 			out = append(out, o.GetAttempt())
@@ -307,22 +324,22 @@
 	return out
 }
 
-func report(a *v1.Attempt, p v1.Phase) *v1.Report {
-	return &v1.Report{Attempt: a, Phase: p, Started: p != v1.Phase_PHASE_HELD}
+func attemptReport(attempt *v1.Attempt, phase v1.Phase) *v1.Report {
+	return &v1.Report{Attempt: attempt, Phase: phase, Started: phase != v1.Phase_PHASE_HELD}
 }
 
-func (c *cell) ledger(fn func(*state.State)) {
-	c.t.Helper()
-	if err := c.l.Do(context.Background(), fn); err != nil {
-		c.t.Fatal(err)
+func (h *harness) withLedger(fn func(*state.State)) {
+	h.t.Helper()
+	if err := h.leader.Execute(context.Background(), fn); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
-func wantCode(t *testing.T, want code.Code, got *v1.Status) {
+func expectCode(t *testing.T, want code.Code, got *v1.Status) {
 	t.Helper()
 	if got.GetCode() != uint32(want) {
-		t.Errorf("code %d (%s), want %d", got.GetCode(), got.GetText(), want)
+		t.Errorf("got code %d (%s), want %d", got.GetCode(), got.GetText(), want)
 	}
 }
 
-func name(n int) string { return fmt.Sprintf("job%d", n) }
+func jobName(n int) string { return fmt.Sprintf("job%d", n) }
--- a/internal/control/leader/inspect.go
+++ b/internal/control/leader/inspect.go
@@ -10,49 +10,53 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// viewLines bounds each list of a View.
-const viewLines = 20
+// maxViewLines limits each list of a View.
+const maxViewLines = 20
 
-// View is what the control thread holds, for whoever is on duty. Times are in
-// seconds. What belongs to leading is zero while following.
+// View is a dump of the control thread's state for operators. Times are in seconds.
+// Fields about leadership are zero on a follower.
 type View struct {
 	Leads bool
 	Term  uint64
-	// Applied is the index of the latest command applied, Saved that of the
-	// latest snapshot, Committed what a quorum has.
+	// Applied is the log index of the latest applied command, Saved the index of the
+	// latest snapshot, and Committed the commit index.
 	Applied, Saved, Committed uint64
-	// Confirmed is the age of the latest proof that this replica leads.
+	// Confirmed is the age of the last heartbeat round that a quorum confirmed.
 	Confirmed float64
 	Full      bool
 	Faults    int
-	// Sum is that of the state, to compare replicas at one index.
+	// Sum is the digest of the state. Replicas with the same applied index must have
+	// the same digest.
 	Sum      uint64
 	Revision uint64
 
-	// Inbox are batches that wait for the thread, Pending commands that the group
-	// has not taken, Held replies whose cause is not committed, Reads those that
-	// wait for proof, Waits jobs that callers wait for, Timers what is due later.
+	// Inbox counts the functions queued for the control thread, Pending the commands
+	// not yet handed to the group, Held the replies held until their commands are
+	// committed, Reads the reads that wait for a confirmation of the leadership, Waits
+	// the jobs with parked waits, and Timers the timers that are set.
 	Inbox, Pending, Held, Reads, Waits, Timers int
 
+	// Running counts the tasks placed on backend servers.
 	Running int
-	// Teams with the most waiting jobs, and the jobs that wait longest.
+	// Teams lists the teams with the most waiting jobs, Oldest the jobs that have waited
+	// longest.
 	Teams  []TeamView
 	Oldest []JobView
-	// Servers counts the backend servers by state, Leases lists those that were
-	// not heard from for longest.
+	// Servers counts the backend servers by state. Leases lists the servers with the
+	// oldest syncs.
 	Servers map[string]int
 	Leases  []LeaseView
-	// Zones are the availability zones with their backend servers.
+	// Zones lists the availability zones with the number of their backend servers.
 	Zones []state.Zone
 }
 
-// TeamView is one team's queue.
+// TeamView is the number of waiting jobs of one team.
 type TeamView struct {
 	Team    string
 	Waiting int
 }
 
-// JobView is a job that waits.
+// JobView describes a waiting job.
 type JobView struct {
 	Team, ID string
 	Number   uint64
@@ -60,113 +64,116 @@
 	Tasks    uint32
 }
 
-// LeaseView is a server's lease.
+// LeaseView describes the lease of one backend server.
 type LeaseView struct {
 	Server string
 	State  string
-	// Silent is the time since the latest sync, Left until the lease is over.
+	// Silent is the time since the latest sync, and Left the time until the lease
+	// expires.
 	Silent, Left float64
 	Tasks        int
 }
 
-// Inspect returns what the control thread holds; it fails when the thread has
-// no time until ctx ends.
+// Inspect returns a View of the control thread. It fails when the control thread
+// does not answer before ctx ends.
 func (l *Leader) Inspect(ctx context.Context) (View, error) {
 	var v View
-	err := l.Do(ctx, func(*state.State) { v = l.view() })
+	err := l.Execute(ctx, func(*state.State) { v = l.currentView() })
 	if err != nil {
 		return View{}, err
 	}
 	return v, nil
 }
 
-func (l *Leader) view() View {
+func (l *Leader) currentView() View {
 	v := View{
-		Term: l.status.Load().Term, Applied: l.applied, Saved: l.saved, Full: l.full, Faults: l.st.Faults(),
-		Sum: l.st.Digest(), Revision: l.st.Table().Revision(), Inbox: len(l.inbox), Servers: map[string]int{},
+		Term: l.status.Load().Term, Applied: l.appliedIndex, Saved: l.snapshotIndex, Full: l.diskFull, Faults: l.ledger.Faults(),
+		Sum: l.ledger.Digest(), Revision: l.ledger.Table().Revision(), Inbox: len(l.inbox), Servers: map[string]int{},
 	}
-	l.st.EachServer(func(b state.Server) {
-		v.Servers[shownState(b)]++
-		v.Running += l.st.Count(b.ID)
+	l.ledger.EachServer(func(b state.Server) {
+		v.Servers[displayedState(b)]++
+		v.Running += l.ledger.Count(b.ID)
 	})
-	v.Zones = l.st.Zones()
+	v.Zones = l.ledger.Zones()
 	v.Teams = l.teamViews()
-	v.Oldest = l.oldest()
-	if ld := l.lead; ld != nil {
-		v.Leads, v.Committed, v.Confirmed = true, ld.committed, (l.Now() - ld.confirmed).Seconds()
-		v.Pending, v.Held, v.Reads, v.Waits, v.Timers = len(ld.pending), len(ld.held), len(ld.reads), len(ld.waits), len(ld.due)
+	v.Oldest = l.oldestJobs()
+	if lead := l.leadership; lead != nil {
+		v.Leads, v.Committed, v.Confirmed = true, lead.commitIndex, (l.Now() - lead.confirmedAt).Seconds()
+		v.Pending, v.Held, v.Reads, v.Waits, v.Timers = len(lead.pendingCommands), len(lead.heldReplies), len(lead.pendingReads), len(lead.parkedWaits), len(lead.timers)
 		v.Leases = l.leaseViews()
 	}
 	return v
 }
 
-// first keeps the viewLines least of what is added, in order, without sorting all.
-type first[T any] struct {
+// smallest keeps the maxViewLines smallest of the inserted items in order, without
+// sorting all of them.
+type smallest[T any] struct {
 	compare func(a, b T) int
-	items   []T
+	kept    []T
 }
 
-func (f *first[T]) add(v T) {
-	if len(f.items) == viewLines && f.compare(v, f.items[viewLines-1]) >= 0 {
+func (f *smallest[T]) insert(v T) {
+	if len(f.kept) == maxViewLines && f.compare(v, f.kept[maxViewLines-1]) >= 0 {
 		return
 	}
-	i, _ := slices.BinarySearchFunc(f.items, v, f.compare)
-	f.items = slices.Insert(f.items, i, v)
-	f.items = f.items[:min(len(f.items), viewLines)]
+	i, _ := slices.BinarySearchFunc(f.kept, v, f.compare)
+	f.kept = slices.Insert(f.kept, i, v)
+	f.kept = f.kept[:min(len(f.kept), maxViewLines)]
 }
 
 func (l *Leader) teamViews() []TeamView {
-	out := first[TeamView]{compare: func(a, b TeamView) int { return cmp.Compare(b.Waiting, a.Waiting) }}
-	for _, r := range l.st.Table().Rows() {
-		if n := l.st.Waiting(r.Name); n > 0 {
-			out.add(TeamView{r.Name, n})
+	out := smallest[TeamView]{compare: func(a, b TeamView) int { return cmp.Compare(b.Waiting, a.Waiting) }}
+	for _, r := range l.ledger.Table().Rows() {
+		if n := l.ledger.Waiting(r.Name); n > 0 {
+			out.insert(TeamView{r.Name, n})
 		}
 	}
-	return out.items
+	return out.kept
 }
 
-func (l *Leader) oldest() []JobView {
-	oldest := first[*state.Job]{compare: func(a, b *state.Job) int { return cmp.Compare(a.Number, b.Number) }}
-	l.st.EachJob(func(j *state.Job) {
+func (l *Leader) oldestJobs() []JobView {
+	oldest := smallest[*state.Job]{compare: func(a, b *state.Job) int { return cmp.Compare(a.Number, b.Number) }}
+	l.ledger.EachJob(func(j *state.Job) {
 		if !j.Final() && j.Waiting > 0 {
-			oldest.add(j)
+			oldest.insert(j)
 		}
 	})
 	var out []JobView
-	for _, j := range oldest.items {
-		out = append(out, JobView{j.Spec.Team, j.Spec.ID, j.Number, (l.clock() - j.Accepted).Seconds(), j.Waiting})
+	for _, j := range oldest.kept {
+		out = append(out, JobView{j.Spec.Team, j.Spec.ID, j.Number, (l.ledgerTime() - j.Accepted).Seconds(), j.Waiting})
 	}
 	return out
 }
 
 func (l *Leader) leaseViews() []LeaseView {
 	now := l.Now()
-	out := first[LeaseView]{compare: func(a, b LeaseView) int {
+	out := smallest[LeaseView]{compare: func(a, b LeaseView) int {
 		return cmp.Or(cmp.Compare(b.Silent, a.Silent), cmp.Compare(a.Server, b.Server))
 	}}
-	for id, s := range l.lead.servers {
-		b, ok := l.st.Server(id)
+	for id, s := range l.leadership.sessions {
+		b, ok := l.ledger.Server(id)
 		if !ok || b.Server.State == backend.Gone {
 			continue
 		}
-		out.add(LeaseView{id, shownState(b), (now - s.heard).Seconds(), l.lead.book.Left(id, now).Seconds(), l.st.Count(id)})
+		out.insert(LeaseView{id, displayedState(b), (now - s.lastSyncAt).Seconds(), l.leadership.leases.Left(id, now).Seconds(), l.ledger.Count(id)})
 	}
-	return out.items
+	return out.kept
 }
 
-// shownState names a server's state; a drain by an operator stands before it.
-func shownState(b state.Server) string {
+// displayedState returns the name of a server's state. A server drained by an
+// operator or with its zone is displayed as draining.
+func displayedState(b state.Server) string {
 	if b.Drains() && b.Server.State != backend.Gone {
 		return backend.Draining.String()
 	}
 	return b.Server.State.String()
 }
 
-// silence returns for how long no leader is known.
-func (l *Leader) silence(now time.Duration) time.Duration {
-	st := l.status.Load()
-	if st.Leads || st.Leader != "" || l.leaderless == 0 {
-		l.leaderless = now
+// leaderlessFor returns for how long no leader has been known.
+func (l *Leader) leaderlessFor(now time.Duration) time.Duration {
+	status := l.status.Load()
+	if status.Leads || status.Leader != "" || l.leaderlessSince == 0 {
+		l.leaderlessSince = now
 	}
-	return now - l.leaderless
+	return now - l.leaderlessSince
 }
--- a/internal/control/leader/leader.go
+++ b/internal/control/leader/leader.go
@@ -1,7 +1,8 @@
-// Package leader is the control thread of a replica. While the replica leads,
-// this one goroutine decides everything: it applies its own commands to the
-// ledger at once and holds back their effects (answers, orders) until the
-// group has committed them. While it follows, it applies what is committed.
+// Package leader implements the control thread of a replica. While the replica
+// leads, this single goroutine makes all decisions. It applies its commands to the
+// ledger at once and holds back their effects (replies and orders) until the group
+// has committed the commands. While the replica follows, the control thread applies
+// committed log entries.
 package leader
 
 import (
@@ -24,185 +25,232 @@
 	"gypsumreel/internal/replica/group"
 )
 
-// Defaults and bounds of the control thread.
+// Defaults and limits of the control thread.
 const (
-	// DefaultSilence is after how long without a sync a server gets no new work.
-	DefaultSilence = 3 * time.Second
-	// DefaultRetention is how long ended jobs and answers to changes are kept.
+	// DefaultSyncTimeout is how long a backend server may go without a sync before
+	// it gets no new work.
+	DefaultSyncTimeout = 3 * time.Second
+	// DefaultRetention is how long ended jobs and the results of operator changes
+	// are kept.
 	DefaultRetention = time.Hour
-	// DefaultPatience bounds every long poll.
-	DefaultPatience = 2 * time.Second
-	// pollsPerLease is the least number of polls in a lease.
-	pollsPerLease = 3
-	// DefaultBacklog bounds the jobs that wait in the cell.
-	DefaultBacklog = 262_144
-	// fullRetry is when a caller may come back to a cell whose disk is full.
-	fullRetry = time.Minute
-	// DefaultSnapshot is the number of commands between snapshots.
-	DefaultSnapshot = 20_000
-	// DefaultFresh is the greatest age of the last confirmed heartbeat round at
-	// which this leader still answers; it bounds how long a withdrawn key works
-	// at a leader that was cut off.
-	DefaultFresh = time.Second
+	// DefaultMaxPollWait limits the wait of every long poll.
+	DefaultMaxPollWait = 2 * time.Second
+	// minPollsPerLease is the minimum number of polls that a server makes during
+	// one lease.
+	minPollsPerLease = 3
+	// DefaultMaxBacklog limits the number of waiting jobs in the cell.
+	DefaultMaxBacklog = 262_144
+	// diskFullRetryDelay is the retry delay given to callers when the journal's
+	// disk is full.
+	diskFullRetryDelay = time.Minute
+	// DefaultSnapshotInterval is the number of commands between two snapshots.
+	DefaultSnapshotInterval = 20_000
+	// DefaultMaxConfirmationAge is the maximum age of the last heartbeat round that
+	// a quorum confirmed. A leader whose last confirmation is older refuses
+	// requests. This limits how long a withdrawn key still works at a leader that
+	// was partitioned from the group.
+	DefaultMaxConfirmationAge = time.Second
 
-	// inboxLength bounds the batches that wait for the control thread.
-	inboxLength = 1024
-	// batches bounds those handled before decisions are made and proposed.
-	batches = 64
-	// tick is how often timers are looked at.
-	tick = 20 * time.Millisecond
-	// lookEvery is how often all sessions are looked at for silence.
-	lookEvery = 100 * time.Millisecond
-	// checkEvery is how often the replicas compare the digests of their states.
-	checkEvery = 10 * time.Second
-	// measureEvery is how often the gauges are set.
-	measureEvery = time.Second
-	// maxPending bounds the commands that the group has not taken yet.
-	maxPending = 100_000
+	// inboxCapacity limits the number of functions queued for the control thread.
+	inboxCapacity = 1024
+	// maxBatchesPerTurn limits the batches handled in one turn before decisions are
+	// made and proposed.
+	maxBatchesPerTurn = 64
+	// tickInterval is the interval at which expired timers are run.
+	tickInterval = 20 * time.Millisecond
+	// silenceCheckInterval is the interval at which all sessions are checked for
+	// overdue syncs.
+	silenceCheckInterval = 100 * time.Millisecond
+	// digestCheckInterval is the interval at which the replicas compare the digests
+	// of their states.
+	digestCheckInterval = 10 * time.Second
+	// gaugeInterval is the interval at which the gauges are set.
+	gaugeInterval = time.Second
+	// maxPendingCommands is the number of unproposed commands above which no new
+	// decisions are made.
+	maxPendingCommands = 100_000
 )
 
 // Group is the replicated log as the control thread uses it.
 type Group interface {
+	// Propose hands commands to the group; it returns false when the group has no
+	// room for them.
 	Propose(p group.Proposal) bool
-	Notes() <-chan group.Note
-	Confirm()
+	// Notifications returns the channel on which the group reports elections,
+	// commits and membership.
+	Notifications() <-chan group.Note
+	// ConfirmLeadership asks for a heartbeat round that proves that this replica
+	// still leads.
+	ConfirmLeadership()
+	// Compact hands over a snapshot of the state at index, so that the log before
+	// it can be dropped.
 	Compact(index uint64, state []byte)
+	// Reload makes the group deliver its snapshot and the committed log again.
+	// After it returns, no notification from before is delivered.
 	Reload()
 }
 
-// Ticket is where the reply to an item goes.
-type Ticket struct {
-	Box *mailbox.Mailbox
-	Seq uint64
-	// Received is when the item came, on the clock of Now.
-	Received time.Duration
-	// Until is when whoever asked gives up; 0 for never.
-	Until time.Duration
+// ReplyTarget identifies the item to which a reply belongs and the mailbox that
+// receives the reply.
+type ReplyTarget struct {
+	Mailbox *mailbox.Mailbox
+	Seq     uint64
+	// ReceivedAt is the time of receipt on the monotonic clock Leader.Now.
+	ReceivedAt time.Duration
+	// Deadline is when the caller gives up, on the same clock; 0 means never.
+	Deadline time.Duration
 }
 
-// Batch is what one Push brought.
+// Batch holds the items of one Push call from an entry.
 type Batch struct {
-	Box      *mailbox.Mailbox
-	Received time.Duration
-	Items    []*inner.Item
+	Mailbox    *mailbox.Mailbox
+	ReceivedAt time.Duration
+	Items      []*inner.Item
 }
 
-// Status is what traffic threads may know of this replica.
+// Status is the part of a replica's state that goroutines outside the control
+// thread may read.
 type Status struct {
 	Leads   bool
 	Term    uint64
 	Leader  string
 	Address string
-	// Revision of the table in force.
+	// Revision is the committed revision of the team table.
 	Revision uint64
-	// Full tells that the journal's disk has too little room for new work.
+	// Full reports whether the journal's disk has too little free space for new work.
 	Full bool
 }
 
-// Leader is the control thread. The exported fields are set before Run.
+// Leader is the control thread. Its exported fields must be set before Run is
+// called.
 type Leader struct {
 	Group Group
-	// Now is the group's monotonic clock.
+	// Now returns the time of the group's monotonic clock.
 	Now func() time.Duration
-	// Wall is the time of day, for the ledger's clock.
-	Wall func() time.Time
-	// Agreed returns the time of day by the word of many processes at a time on the
-	// clock of Now, and whether enough are heard; nil for Wall alone. It is called
-	// on the control thread.
-	Agreed func(now time.Duration) (time.Duration, bool)
-	// Planner makes the planner of a new leader.
-	Planner func() plan.Planner
-	Terms   lease.Terms
-	// Root is the first operator's key, granted when the ledger has none.
-	Root      *v1.KeyGrant
-	Silence   time.Duration
+	// WallClock returns this process's time of day, from which the ledger's time is
+	// derived.
+	WallClock func() time.Time
+	// AgreedTime converts a time on the clock of Now to the time of day on which
+	// the processes of the cell agree. It returns false while too few processes
+	// have reported their time. If it is nil, WallClock is used alone. AgreedTime
+	// is called on the control thread.
+	AgreedTime func(now time.Duration) (time.Duration, bool)
+	// NewPlanner creates the planner of a newly elected leader.
+	NewPlanner func() plan.Planner
+	// LeaseTerms are the length and clock drift allowance of the leases of backend
+	// servers.
+	LeaseTerms lease.Terms
+	// RootKey is the first operator key. The leader grants it when the ledger holds
+	// no keys.
+	RootKey *v1.KeyGrant
+	// SyncTimeout is how long a backend server may go without a sync before it gets
+	// no new work.
+	SyncTimeout time.Duration
+	// Retention is how long ended jobs and the results of operator changes are
+	// kept.
 	Retention time.Duration
-	Patience  time.Duration
-	// Zones are the availability zones; none for those that backend servers are in.
+	// MaxPollWait limits the wait of every long poll.
+	MaxPollWait time.Duration
+	// Zones are the configured availability zones. If empty, the zones are those
+	// that backend servers have announced.
 	Zones []string
-	// Backlog bounds the jobs that wait in the cell.
-	Backlog  int
-	Fresh    time.Duration
-	Snapshot uint64
-	// Deposed is called when this replica stops to lead; it must not block.
-	Deposed func()
-	// Revised is called when another revision of the table is in force; it must not block.
-	Revised func()
-	// Entries lists the entries as members; nil for none. It must not block.
-	Entries func() []*v1.MemberLine
-	// Matches gives the index up to which each other replica has the log on its
-	// disk; nil when that is not known. It must not wait for the control thread.
-	Matches func() map[string]uint64
-	// Gather is the least time between two proposals; 0 for none. Each proposal
-	// costs a message to every replica and its answer, so a busy leader spends
-	// less on a few large ones. One that comes after a pause leaves at once.
-	Gather time.Duration
-	// Yield asks the group to hand the lead over; nil for never. It must not block.
-	Yield func()
-	// Part decides about flows; nil for none.
-	Part Part
-	// Meters receives the thread's metrics; nil for none.
-	Meters *metrics.Set
-	Log    logr.Logger
+	// MaxBacklog limits the number of waiting jobs in the cell.
+	MaxBacklog int
+	// MaxConfirmationAge is the maximum age of the last confirmed heartbeat round
+	// at which this leader still serves requests.
+	MaxConfirmationAge time.Duration
+	// SnapshotInterval is the number of commands between two snapshots.
+	SnapshotInterval uint64
+	// OnDeposed is called when this replica stops leading or learns of another
+	// leader. It must not block.
+	OnDeposed func()
+	// OnTableRevision is called when another revision of the team table is in
+	// force. It must not block.
+	OnTableRevision func()
+	// EntryMembers returns the entries as member lines for operators; it may be
+	// nil. It must not block.
+	EntryMembers func() []*v1.MemberLine
+	// MatchIndexes returns, for each other replica, the index up to which the
+	// replica has stored the log on disk. It returns nil when that is unknown. It
+	// must not wait for the control thread.
+	MatchIndexes func() map[string]uint64
+	// ProposalInterval is the minimum time between two proposals; 0 means no
+	// minimum. Each proposal costs a message to every replica and its
+	// acknowledgement, so a busy leader saves work by sending few large proposals.
+	// A proposal after a pause is sent at once.
+	ProposalInterval time.Duration
+	// TransferLeadership asks the group to transfer the leadership to another
+	// replica; it may be nil. It must not block.
+	TransferLeadership func()
+	// Extension decides about flows; it may be nil.
+	Extension Extension
+	// Metrics is the set in which the control thread registers its metrics; it may
+	// be nil.
+	Metrics *metrics.Set
+	Log     logr.Logger
 
 	inbox  chan func()
 	done   chan struct{}
 	status atomic.Pointer[Status]
 
-	// Owned by the control thread.
-	turn    turn.Turn
-	st      *state.State
-	applied uint64
-	saved   uint64
-	saving  saving
-	lead    *lead
-	members group.Members
-	full    bool
-	meter   *meter
-	limit   event.Limit
-	// leaderless is since when no leader is known, alarmed that it was told.
-	leaderless time.Duration
-	alarmed    bool
-	loaded     bool
-	measured   time.Duration
+	// The fields below are used by the control thread only.
+	processorYield   turn.Turn
+	ledger           *state.State
+	appliedIndex     uint64
+	snapshotIndex    uint64
+	snapshotProgress snapshotProgress
+	leadership       *leadership
+	membership       group.Members
+	diskFull         bool
+	controlMetrics   *controlMetrics
+	logLimiter       event.Limit
+	// leaderlessSince is when the last known leader was lost. leaderlessLogged reports
+	// whether the loss has been logged.
+	leaderlessSince  time.Duration
+	leaderlessLogged bool
+	stateLoaded      bool
+	gaugesSetAt      time.Duration
 }
 
-// ErrDiverged ends a replica whose state differs from the leader's.
-var ErrDiverged = errors.New("this replica's state differs from the leader's; remove its data and add it anew")
+// ErrDiverged is returned by Run when this replica's state differs from the
+// leader's.
+var ErrDiverged = errors.New("this replica's state differs from the leader's state; delete its data folder and add it to the group again")
 
-// New returns a control thread with the defaults.
+// New returns a control thread with the default settings.
 func New() *Leader {
 	l := &Leader{
-		Terms:     lease.Terms{Length: lease.DefaultLength, Drift: lease.DefaultDrift},
-		Silence:   DefaultSilence,
-		Retention: DefaultRetention,
-		Patience:  DefaultPatience,
-		Backlog:   DefaultBacklog,
-		Fresh:     DefaultFresh,
-		Snapshot:  DefaultSnapshot,
-		Log:       logr.Discard(),
-		Wall:      time.Now,
-		inbox:     make(chan func(), inboxLength),
-		done:      make(chan struct{}),
-		st:        state.New(),
+		LeaseTerms:         lease.Terms{Length: lease.DefaultLength, Drift: lease.DefaultDrift},
+		SyncTimeout:        DefaultSyncTimeout,
+		Retention:          DefaultRetention,
+		MaxPollWait:        DefaultMaxPollWait,
+		MaxBacklog:         DefaultMaxBacklog,
+		MaxConfirmationAge: DefaultMaxConfirmationAge,
+		SnapshotInterval:   DefaultSnapshotInterval,
+		Log:                logr.Discard(),
+		WallClock:          time.Now,
+		inbox:              make(chan func(), inboxCapacity),
+		done:               make(chan struct{}),
+		ledger:             state.New(),
 	}
 	l.status.Store(&Status{})
 	return l
 }
 
-// Status returns what is known now; it is safe for any goroutine.
+// Status returns the latest published status. It is safe for concurrent use.
 func (l *Leader) Status() Status { return *l.status.Load() }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (l *Leader) Done() <-chan struct{} { return l.done }
 
-// Push hands a batch to the control thread; false when there is no room, and
-// then nothing of it was looked at.
+// Push queues a batch for the control thread. It returns false when the queue is
+// full; then no item of the batch is processed.
 func (l *Leader) Push(b Batch) bool {
-	return l.try(func() { l.batch(b) })
+	return l.tryEnqueue(func() { l.handleBatch(b) })
 }
 
-func (l *Leader) try(fn func()) bool {
+// tryEnqueue queues fn for the control thread. It returns false when the inbox is
+// full.
+func (l *Leader) tryEnqueue(fn func()) bool {
 	select {
 	case l.inbox <- fn:
 		return true
@@ -211,18 +259,19 @@
 	}
 }
 
-// Do runs fn on the control thread, for dumps and tests.
-func (l *Leader) Do(ctx context.Context, fn func(*state.State)) error {
-	ran := make(chan struct{})
+// Execute runs fn on the control thread and waits for it. State dumps and tests use
+// it.
+func (l *Leader) Execute(ctx context.Context, fn func(*state.State)) error {
+	finished := make(chan struct{})
 	select {
-	case l.inbox <- func() { fn(l.st); close(ran) }:
+	case l.inbox <- func() { fn(l.ledger); close(finished) }:
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-l.done:
 		return errors.New("the control thread has ended")
 	}
 	select {
-	case <-ran:
+	case <-finished:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -231,43 +280,46 @@
 	}
 }
 
-// Run is the control thread; it returns when ctx ends or the replica must not go on.
+// Run executes the control thread. It returns nil when ctx ends, and an error when
+// the replica must stop.
 func (l *Leader) Run(ctx context.Context) error {
 	defer close(l.done)
-	l.meter = newMeter(l.Meters)
-	l.limit.Now = l.Wall
-	ticker := time.NewTicker(tick)
+	l.controlMetrics = newControlMetrics(l.Metrics)
+	l.logLimiter.Now = l.WallClock
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			l.follow(group.Follow{})
+			l.becomeFollower(group.Follow{})
 			return nil
-		case n, ok := <-l.Group.Notes():
+		case n, ok := <-l.Group.Notifications():
 			if !ok {
-				return errors.New("the group has ended")
+				return errors.New("the replication group has stopped")
 			}
-			if err := l.note(n); err != nil {
+			if err := l.handleNotification(n); err != nil {
 				return err
 			}
 		case fn := <-l.inbox:
 			fn()
-			l.drain()
+			l.drainInbox()
 		case <-ticker.C:
-			l.timers()
+			l.runTimers()
 		}
-		l.finish()
+		l.finishTurn()
 	}
 }
 
-// Rest lets the other goroutines of the process have their turn: a message of the
-// group takes several of them, and a leader that decided for long at a time would lose
-// its lead to its own load. It is called on the control thread.
-func (l *Leader) Rest() { l.turn.Rest() }
+// Rest yields the processor to the other goroutines of the process. A message of
+// the group passes through several goroutines. A leader that computes for a long
+// time without yielding would delay its heartbeats and lose the leadership because
+// of its own load. Rest is called on the control thread.
+func (l *Leader) Rest() { l.processorYield.Rest() }
 
-// drain takes more batches that wait already, so that they share one commit.
-func (l *Leader) drain() {
-	for range batches {
+// drainInbox runs further functions that are already queued, so that their commands
+// share one commit.
+func (l *Leader) drainInbox() {
+	for range maxBatchesPerTurn {
 		l.Rest()
 		select {
 		case fn := <-l.inbox:
@@ -278,35 +330,37 @@
 	}
 }
 
-// finish ends a turn: decide, propose, and let reads and sessions go on.
-func (l *Leader) finish() {
-	if l.lead != nil {
-		l.perform()
-		l.decide()
-		l.serveServers()
-		l.serveReads()
-		if l.Part != nil {
-			l.Part.Turn()
+// finishTurn ends a turn, which is one iteration of the loop in Run. A leader makes
+// decisions, proposes commands, and sends the replies whose commands are committed.
+func (l *Leader) finishTurn() {
+	if l.leadership != nil {
+		l.runCommittedEffects()
+		l.applyDecisions()
+		l.answerSyncs()
+		l.runConfirmedReads()
+		if l.Extension != nil {
+			l.Extension.BeforePropose()
 		}
-		l.propose()
-		l.deliver()
+		l.proposePending()
+		l.deliverCommittedReplies()
 	}
-	l.publish()
-	l.snapshot()
+	l.publishStatus()
+	l.advanceSnapshot()
 }
 
-func (l *Leader) publish() {
+// publishStatus updates the status that other goroutines read.
+func (l *Leader) publishStatus() {
 	old := l.status.Load()
 	s := *old
-	// A revision that is not committed yet may never come into force.
-	if l.lead == nil || l.lead.committed >= l.lead.tabled {
-		s.Revision = l.st.Table().Revision()
+	// An uncommitted revision may be lost with this leader, so it is not published.
+	if l.leadership == nil || l.leadership.commitIndex >= l.leadership.tableIndex {
+		s.Revision = l.ledger.Table().Revision()
 	}
-	s.Full = l.full
+	s.Full = l.diskFull
 	if s != *old {
 		l.status.Store(&s)
 	}
-	if s.Revision != old.Revision && l.Revised != nil {
-		l.Revised()
+	if s.Revision != old.Revision && l.OnTableRevision != nil {
+		l.OnTableRevision()
 	}
 }
--- a/internal/control/leader/leader_test.go
+++ b/internal/control/leader/leader_test.go
@@ -24,444 +24,450 @@
 )
 
 func TestARequestIsServedFromEndToEnd(t *testing.T) {
-	run(t, func(c *cell) {
-		s := c.announce("b1", 8000)
-		n := s.send()
-		if a := c.accepted(spec("plan")); a.GetOutcome() != v1.Outcome_OUTCOME_QUEUED {
-			t.Fatalf("accepted as %v", a)
-		}
-		got := starts(c.must(n).GetSync())
-		if len(got) != 1 {
-			t.Fatalf("%d starts ordered", len(got))
-		}
-		w := c.wait("plan")
-		ended := report(got[0], v1.Phase_PHASE_ENDED)
-		ended.Chunks = answer.Split([]byte("forty trucks"))
-		r := s.sync(ended)
+	runWithLeader(t, func(h *harness) {
+		s := h.announceServer("b1", 8000)
+		syncSeq := s.sendSync()
+		if a := h.submitAndReply(batchSpec("plan")); a.GetOutcome() != v1.Outcome_OUTCOME_QUEUED {
+			t.Fatalf("a submitted job has outcome %v, want queued", a.GetOutcome())
+		}
+		attempts := startOrders(h.mustReply(syncSeq).GetSync())
+		if len(attempts) != 1 {
+			t.Fatalf("got %d start orders, want 1", len(attempts))
+		}
+		waitSeq := h.pushWait("plan")
+		endReport := attemptReport(attempts[0], v1.Phase_PHASE_ENDED)
+		endReport.Chunks = answer.Split([]byte("forty trucks"))
+		r := s.syncAndWait(endReport)
 		if len(r.GetOrders()) != 1 || r.GetOrders()[0].GetVerb() != v1.Verb_VERB_FORGET {
-			t.Errorf("orders after the end: %v", r.GetOrders())
+			t.Errorf("orders after the attempt ended: %v", r.GetOrders())
 		}
 		want := &v1.WaitReply{Id: "plan", Outcome: v1.Outcome_OUTCOME_DONE, Status: &v1.Status{Text: "0: ok"}, Chunk: answer.Cut([]byte("forty trucks"), 0)}
-		if diff := cmp.Diff(want, c.must(w).GetWait(), protocmp.Transform()); diff != "" {
-			t.Error(diff)
+		if diff := cmp.Diff(want, h.mustReply(waitSeq).GetWait(), protocmp.Transform()); diff != "" {
+			t.Errorf("reply to the wait: %s", diff)
 		}
 	})
 }
 
-// A caller is told "accepted" and an order starts a task, then the leader dies
-// before the log was on a quorum's disks, and the next leader knows of neither.
-// So nothing may leave before its cause is committed.
-func TestNothingLeavesBeforeItIsCommitted(t *testing.T) {
-	run(t, func(c *cell) {
-		s := c.announce("b1", 8000)
-		c.g.hold()
-		n, m := s.send(), c.submit(spec("plan"))
+// Guards against replies and orders that are sent before their command is
+// committed. If the leader then fails, the next leader does not know the accepted
+// job or the started task.
+func TestRepliesAndOrdersWaitForCommit(t *testing.T) {
+	runWithLeader(t, func(h *harness) {
+		s := h.announceServer("b1", 8000)
+		h.group.holdCommits()
+		syncSeq, submitSeq := s.sendSync(), h.pushSubmit(batchSpec("plan"))
 		time.Sleep(100 * time.Millisecond)
-		if c.reply(n) != nil || c.reply(m) != nil {
-			t.Fatal("an effect left before its cause was committed")
+		if h.replyTo(syncSeq) != nil || h.replyTo(submitSeq) != nil {
+			t.Fatal("a reply or order was sent before its command was committed")
 		}
-		c.g.letGo()
-		if c.reply(m) == nil || len(starts(c.must(n).GetSync())) != 1 {
-			t.Error("a committed effect was held back")
+		h.group.releaseCommits()
+		if h.replyTo(submitSeq) == nil || len(startOrders(h.mustReply(syncSeq).GetSync())) != 1 {
+			t.Error("a reply or order was held back after its command was committed")
 		}
 	})
 }
 
-// A deposed leader had decided things that nobody agreed on. It drops its
-// working ledger and answers nothing of it; the next one starts from the log.
-func TestADeposedLeaderDropsWhatWasNotCommitted(t *testing.T) {
-	run(t, func(c *cell) {
-		c.g.hold()
-		m := c.submit(spec("plan"))
-		c.g.notes <- group.Follow{Term: 2, Leader: "other"}
+// Guards against a deposed leader that acts on uncommitted commands. It must
+// discard its working ledger and send no replies based on it; the next leader
+// starts from the log.
+func TestDeposedLeaderDropsUncommittedState(t *testing.T) {
+	runWithLeader(t, func(h *harness) {
+		h.group.holdCommits()
+		submitSeq := h.pushSubmit(batchSpec("plan"))
+		h.group.notifications <- group.Follow{Term: 2, Leader: "other"}
 		synctest.Wait()
-		if c.reply(m) != nil {
-			t.Error("a deposed leader answered")
+		if h.replyTo(submitSeq) != nil {
+			t.Error("a deposed leader sent a reply")
 		}
-		if c.g.reloads != 1 {
-			t.Error("the working ledger was kept")
+		if h.group.reloadCount != 1 {
+			t.Error("the working ledger was not reloaded from the log")
 		}
 	})
 }
 
-// A key is withdrawn while this leader is cut off silently: it cannot know. It
-// must stop to accept within the stated bound.
-func TestALeaderWithoutProofRefuses(t *testing.T) {
-	run(t, func(c *cell) {
-		c.announce("b1", 8000)
-		c.g.cutOff()
+// Guards against a partitioned leader that still accepts a key withdrawn elsewhere.
+// It must refuse requests once its last confirmation is older than
+// MaxConfirmationAge.
+func TestLeaderWithoutRecentConfirmationRefuses(t *testing.T) {
+	runWithLeader(t, func(h *harness) {
+		h.announceServer("b1", 8000)
+		h.group.stopConfirmations()
 		time.Sleep(1100 * time.Millisecond)
-		r := c.must(c.submit(spec("plan")))
-		wantCode(t, code.NoLeader, r.GetStatus())
+		r := h.mustReply(h.pushSubmit(batchSpec("plan")))
+		expectCode(t, code.NoLeader, r.GetStatus())
 	})
 }
 
 func TestAWithdrawnKeyIsRefusedAtOnce(t *testing.T) {
-	run(t, func(c *cell) {
-		c.announce("b1", 8000)
-		c.change("out", &v1.ChangeRequest{Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: "rail1"}}})
-		r := c.must(c.submit(spec("plan")))
-		wantCode(t, code.BadKey, r.GetStatus())
+	runWithLeader(t, func(h *harness) {
+		h.announceServer("b1", 8000)
+		h.applyChange("out", &v1.ChangeRequest{Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: "rail1"}}})
+		r := h.mustReply(h.pushSubmit(batchSpec("plan")))
+		expectCode(t, code.BadKey, r.GetStatus())
 	})
 }
 
-// A caller is refused as not run and gives up; a copy of the request that was
-// delayed in a connection arrives when there is room again, and would run.
+// Guards against running a job that its caller was told was not run. A delayed copy
+// of the refused request arrives when the queue has room again.
 func TestALateCopyOfARefusedRequestNeverRuns(t *testing.T) {
-	run(t, func(c *cell) {
-		s := c.announce("b1", 4000)
+	runWithLeader(t, func(h *harness) {
+		s := h.announceServer("b1", 4000)
 		for n := range 14 {
-			c.accepted(spec(name(n)))
+			h.submitAndReply(batchSpec(jobName(n)))
 		}
-		refused := c.accepted(spec("late"))
-		wantCode(t, code.QueueFull, refused.GetStatus())
+		refused := h.submitAndReply(batchSpec("late"))
+		expectCode(t, code.QueueFull, refused.GetStatus())
 		if refused.GetStatus().GetRetry() == 0 {
-			t.Error("no hint when to come back")
+			t.Error("the refusal has no retry delay")
 		}
-		for _, a := range starts(s.sync()) {
-			s.sync(func() *v1.Report { r := report(a, v1.Phase_PHASE_ENDED); r.Chunks = answer.Split(nil); return r }())
+		for _, a := range startOrders(s.syncAndWait()) {
+			s.syncAndWait(func() *v1.Report { r := attemptReport(a, v1.Phase_PHASE_ENDED); r.Chunks = answer.Split(nil); return r }())
 		}
-		again := c.accepted(spec("late"))
-		wantCode(t, code.QueueFull, again.GetStatus())
+		again := h.submitAndReply(batchSpec("late"))
+		expectCode(t, code.QueueFull, again.GetStatus())
 		if again.GetOutcome() != v1.Outcome_OUTCOME_NOT_RUN {
-			t.Errorf("outcome %v", again.GetOutcome())
+			t.Errorf("a copy of the refused request has outcome %v", again.GetOutcome())
 		}
 	})
 }
 
-// An order is lost with the answer that carried it. The server's next sync does
-// not list the attempt, so it is ordered again under the same number; a copy of
-// the older request that arrives late is not answered.
+// A start order is lost with the sync reply that carried it. The server's next sync
+// does not list the attempt, so the order must be repeated with the same attempt
+// number. A delayed copy of the older sync must not be answered.
 func TestALostOrderIsRepeatedUnderTheSameNumber(t *testing.T) {
-	run(t, func(c *cell) {
-		s := c.announce("b1", 8000)
-		c.accepted(spec("plan"))
-		first := starts(s.sync())
-		second := starts(s.sync())
+	runWithLeader(t, func(h *harness) {
+		s := h.announceServer("b1", 8000)
+		h.submitAndReply(batchSpec("plan"))
+		first := startOrders(s.syncAndWait())
+		second := startOrders(s.syncAndWait())
 		if diff := cmp.Diff(first, second, protocmp.Transform()); diff != "" || len(first) != 1 {
-			t.Errorf("repeated order: %s", diff)
+			t.Errorf("the repeated start order differs: %s", diff)
 		}
-		s.number -= 2
-		if n := s.send(); c.reply(n) != nil {
-			t.Error("a late copy of an abandoned sync was answered")
+		s.syncNumber -= 2
+		if syncSeq := s.sendSync(); h.replyTo(syncSeq) != nil {
+			t.Error("a delayed copy of an older sync was answered")
 		}
 	})
 }
 
-// A server goes silent with a task. Another place may take the task only when
-// the lease is over on every clock; before that the server is only marked, and
-// a session that was given up is refused when it comes back.
+// Guards against a task that runs on two servers. The task of a silent server may
+// start elsewhere only when the lease has expired on every clock. Before that the
+// server is only marked as suspect. Afterwards its old session is refused.
 func TestASilentServersTaskMovesOnlyAfterItsLease(t *testing.T) {
-	run(t, func(c *cell) {
-		s := c.announce("b1", 1000)
-		c.accepted(spec("plan"))
-		s.sync()
-		at := c.g.now()
-		other := c.announce("b2", 1000)
-		for c.g.now() < at+c.l.Terms.Length {
-			if got := starts(other.sync()); len(got) > 0 {
-				t.Fatalf("started elsewhere after %v", c.g.now()-at)
+	runWithLeader(t, func(h *harness) {
+		s := h.announceServer("b1", 1000)
+		h.submitAndReply(batchSpec("plan"))
+		s.syncAndWait()
+		silentSince := h.group.now()
+		otherServer := h.announceServer("b2", 1000)
+		for h.group.now() < silentSince+h.leader.LeaseTerms.Length {
+			if got := startOrders(otherServer.syncAndWait()); len(got) > 0 {
+				t.Fatalf("the task was started elsewhere after %v", h.group.now()-silentSince)
 			}
 		}
-		var moved []*v1.Attempt
-		for c.g.now() < at+2*c.l.Terms.Wait() && moved == nil {
-			moved = starts(other.sync())
+		var movedAttempts []*v1.Attempt
+		for h.group.now() < silentSince+2*h.leader.LeaseTerms.Wait() && movedAttempts == nil {
+			movedAttempts = startOrders(otherServer.syncAndWait())
 		}
-		if len(moved) != 1 || moved[0].GetNumber() != 2 {
-			t.Fatalf("moved as %v", moved)
+		if len(movedAttempts) != 1 || movedAttempts[0].GetNumber() != 2 {
+			t.Fatalf("attempts started elsewhere: %v, want one with number 2", movedAttempts)
 		}
-		wantCode(t, code.Stale, s.sync().GetStatus())
+		expectCode(t, code.Stale, s.syncAndWait().GetStatus())
 	})
 }
 
-// A new leader cannot know which leases its predecessor renewed last. It waits
-// a full lease from its own election before it gives any server up.
+// Guards against a task that runs on two servers after a failover. A new leader
+// does not know which leases its predecessor renewed last, so it must wait a full
+// lease after its election before it gives up any server.
 func TestANewLeaderWaitsOutItsPredecessorsLeases(t *testing.T) {
-	run(t, func(c *cell) {
-		s := c.announce("b1", 1000)
-		c.accepted(spec("plan"))
-		s.sync()
+	runWithLeader(t, func(h *harness) {
+		s := h.announceServer("b1", 1000)
+		h.submitAndReply(batchSpec("plan"))
+		s.syncAndWait()
 		time.Sleep(5 * time.Second)
-		c.g.notes <- group.Follow{Term: 2}
-		c.elect(2)
-		at := c.g.now()
-		other := c.announce("b2", 1000)
-		for c.g.now() < at+c.l.Terms.Length {
-			if got := starts(other.sync()); len(got) > 0 {
-				t.Fatalf("started elsewhere %v after the election", c.g.now()-at)
+		h.group.notifications <- group.Follow{Term: 2}
+		h.elect(2)
+		electedAt := h.group.now()
+		otherServer := h.announceServer("b2", 1000)
+		for h.group.now() < electedAt+h.leader.LeaseTerms.Length {
+			if got := startOrders(otherServer.syncAndWait()); len(got) > 0 {
+				t.Fatalf("the task was started elsewhere %v after the election", h.group.now()-electedAt)
 			}
 		}
 	})
 }
 
-// A server dies under a reconciliation that may not be repeated. Its order had
-// left, so it may have run: the outcome is unknown, and no second attempt is made.
+// Guards against a second run of a task that must run at most once. Its server is
+// lost after the start order was sent, so the task may have run. The outcome must
+// be unknown, without a second attempt.
 func TestALostTaskThatMayNotBeRepeatedIsUnknown(t *testing.T) {
-	run(t, func(c *cell) {
-		s := c.announce("b1", 1000)
-		once := spec("stock")
-		once.Once = true
-		c.accepted(once)
-		s.sync()
-		other := c.announce("b2", 1000)
+	runWithLeader(t, func(h *harness) {
+		s := h.announceServer("b1", 1000)
+		onceSpec := batchSpec("stock")
+		onceSpec.Once = true
+		h.submitAndReply(onceSpec)
+		s.syncAndWait()
+		otherServer := h.announceServer("b2", 1000)
 		for range 30 {
-			if got := starts(other.sync()); len(got) > 0 {
-				t.Fatal("started a second time")
+			if got := startOrders(otherServer.syncAndWait()); len(got) > 0 {
+				t.Fatal("the task was started a second time")
 			}
 		}
-		got := c.outcome("stock")
+		got := h.waitOutcome("stock")
 		if got.GetOutcome() != v1.Outcome_OUTCOME_UNKNOWN {
-			t.Errorf("outcome %v", got.GetOutcome())
+			t.Errorf("the lost task has outcome %v, want unknown", got.GetOutcome())
 		}
-		wantCode(t, code.Lost, got.GetStatus())
+		expectCode(t, code.Lost, got.GetStatus())
 	})
 }
 
-// An operator drains a server while work waits: it gets none of it.
-func TestADrainingServerGetsNothingNew(t *testing.T) {
-	run(t, func(c *cell) {
-		s := c.announce("b1", 8000)
-		c.change("drain", &v1.ChangeRequest{Change: &v1.ChangeRequest_Mark{Mark: &v1.ServerMark{Server: "b1", Drain: true}}})
-		c.accepted(spec("plan"))
-		if got := starts(s.sync()); len(got) > 0 {
-			t.Error("new work for a draining server")
-		}
-		// It restarts meanwhile, and is still to be left alone.
-		if got := starts(c.announce("b1", 8000).sync()); len(got) > 0 {
-			t.Error("the drain was forgotten by a restart")
+// An operator drains a server while jobs wait. The server must get none of them,
+// even after it restarts.
+func TestDrainingServerGetsNoNewTasks(t *testing.T) {
+	runWithLeader(t, func(h *harness) {
+		s := h.announceServer("b1", 8000)
+		h.applyChange("drain", &v1.ChangeRequest{Change: &v1.ChangeRequest_Mark{Mark: &v1.ServerMark{Server: "b1", Drain: true}}})
+		h.submitAndReply(batchSpec("plan"))
+		if got := startOrders(s.syncAndWait()); len(got) > 0 {
+			t.Error("a draining server got a new task")
+		}
+		// The server restarts. It must still get no new tasks.
+		if got := startOrders(h.announceServer("b1", 8000).syncAndWait()); len(got) > 0 {
+			t.Error("a draining server got a new task after its restart")
 		}
 	})
 }
 
-// A zone is drained while work waits: no server there gets any, not even one that
-// comes later, and all do once the zone is taken back.
-func TestADrainedZoneGetsNothingNew(t *testing.T) {
-	run(t, func(c *cell) {
-		s := c.announce("b1", 8000)
-		mark := func(id, zone string, drain bool) *v1.ChangeReply {
-			return c.change(id, &v1.ChangeRequest{Change: &v1.ChangeRequest_Zone{Zone: &v1.ZoneMark{Zone: zone, Drain: drain}}})
+// An operator drains a zone while jobs wait. No server of the zone may get any of
+// them, not even a server that joins later, until the drain is undone.
+func TestDrainedZoneGetsNoNewTasks(t *testing.T) {
+	runWithLeader(t, func(h *harness) {
+		s := h.announceServer("b1", 8000)
+		setDrain := func(id, zone string, drain bool) *v1.ChangeReply {
+			return h.applyChange(id, &v1.ChangeRequest{Change: &v1.ChangeRequest_Zone{Zone: &v1.ZoneMark{Zone: zone, Drain: drain}}})
 		}
 		unknown := &v1.ChangeRequest{Id: "unknown", Change: &v1.ChangeRequest_Zone{Zone: &v1.ZoneMark{Zone: "nowhere", Drain: true}}}
-		r := c.must(c.push(&inner.Item{Credential: c.cred("op"), Ask: &inner.Item_Change{Change: unknown}}))
-		wantCode(t, code.Unknown, r.GetStatus())
-		mark("drain", zoneName, true)
-		c.accepted(spec("plan"))
-		if got := starts(s.sync()); len(got) > 0 {
-			t.Error("new work for a drained zone")
+		r := h.mustReply(h.push(&inner.Item{Credential: h.credential("op"), Ask: &inner.Item_Change{Change: unknown}}))
+		expectCode(t, code.Unknown, r.GetStatus())
+		setDrain("drain", zoneName, true)
+		h.submitAndReply(batchSpec("plan"))
+		if got := startOrders(s.syncAndWait()); len(got) > 0 {
+			t.Error("a server of a drained zone got a new task")
 		}
-		if got := starts(c.announce("b2", 8000).sync()); len(got) > 0 {
-			t.Error("new work for a server that came to a drained zone")
+		if got := startOrders(h.announceServer("b2", 8000).syncAndWait()); len(got) > 0 {
+			t.Error("a server that joined a drained zone got a new task")
 		}
-		mark("undrain", zoneName, false)
-		if got := starts(s.sync()); len(got) != 1 {
-			t.Errorf("taken back: %v", got)
+		setDrain("undrain", zoneName, false)
+		if got := startOrders(s.syncAndWait()); len(got) != 1 {
+			t.Errorf("start orders after the drain was undone: %v, want 1", got)
 		}
 	})
 }
 
-// A whole gang is ordered, then one of its servers dies: the rest is stopped,
-// and the gang starts again as a whole or not at all.
-func TestAGangThatLosesATaskStartsAgainWhole(t *testing.T) {
-	run(t, func(c *cell) {
-		a, b := c.announce("b1", 1000), c.announce("b2", 2000)
-		g := spec("sweep")
-		g.Kind, g.Count = v1.Kind_KIND_GANG, 3
-		c.accepted(g)
-		onB := starts(b.sync())
-		if len(starts(a.sync())) != 1 || len(onB) != 2 {
-			t.Fatal("the gang did not start whole")
+// Guards against a gang that continues with some of its tasks. When a server of the
+// gang is lost, the remaining tasks must be stopped, and the gang may only start
+// again as a whole.
+func TestGangThatLosesATaskRestartsAsAWhole(t *testing.T) {
+	runWithLeader(t, func(h *harness) {
+		firstServer, secondServer := h.announceServer("b1", 1000), h.announceServer("b2", 2000)
+		gang := batchSpec("sweep")
+		gang.Kind, gang.Count = v1.Kind_KIND_GANG, 3
+		h.submitAndReply(gang)
+		secondAttempts := startOrders(secondServer.syncAndWait())
+		if len(startOrders(firstServer.syncAndWait())) != 1 || len(secondAttempts) != 2 {
+			t.Fatal("not all tasks of the gang were started")
 		}
 		phase := v1.Phase_PHASE_RUNNING
 		for range 40 {
-			var rs []*v1.Report
-			for _, at := range onB {
-				rs = append(rs, report(at, phase))
+			var reports []*v1.Report
+			for _, attempt := range secondAttempts {
+				reports = append(reports, attemptReport(attempt, phase))
 			}
-			for _, o := range b.sync(rs...).GetOrders() {
+			for _, o := range secondServer.syncAndWait(reports...).GetOrders() {
 				switch o.GetVerb() {
 				case v1.Verb_VERB_CHECKPOINT:
 					phase = v1.Phase_PHASE_SAVED
 				case v1.Verb_VERB_FORGET:
-					onB = nil
+					secondAttempts = nil
 				case v1.Verb_VERB_START:
-					t.Fatal("a part of the gang started alone")
+					t.Fatal("some tasks of the gang were started without the others")
 				}
 			}
 		}
-		c.announce("b3", 1000)
-		got := starts(b.sync())
+		h.announceServer("b3", 1000)
+		got := startOrders(secondServer.syncAndWait())
 		if len(got) != 2 || got[0].GetNumber() != 2 {
-			t.Errorf("second start: %v", got)
+			t.Errorf("start orders of the second attempt: %v", got)
 		}
 	})
 }
 
-// Two operators start from the same revision, and one of them sends its change
-// again because the answer was lost. One wins, the other is told the current
-// revision, and the resend changes nothing.
-func TestRacingAndResentChanges(t *testing.T) {
-	run(t, func(c *cell) {
+// Two operators change the same revision of the table, and one of them resends its
+// change because the reply was lost. One change must succeed, the other must be
+// refused with the current revision, and the resend must have no effect.
+func TestConcurrentAndResentChanges(t *testing.T) {
+	runWithLeader(t, func(h *harness) {
 		edit := func(weight uint32) *v1.ChangeRequest {
 			return &v1.ChangeRequest{Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Base: 1, Edits: []*v1.Edit{
 				{Row: &v1.Row{Team: "rail", Weight: weight}, Cells: []string{"weight"}},
 			}}}}
 		}
-		first := c.change("x", edit(7))
-		second := c.change("y", edit(9))
-		wantCode(t, code.OK, first.GetStatus())
-		wantCode(t, code.Conflict, second.GetStatus())
+		first := h.applyChange("x", edit(7))
+		second := h.applyChange("y", edit(9))
+		expectCode(t, code.OK, first.GetStatus())
+		expectCode(t, code.Conflict, second.GetStatus())
 		if second.GetRevision() != 2 {
-			t.Errorf("told revision %d", second.GetRevision())
+			t.Errorf("the conflict names revision %d, want 2", second.GetRevision())
 		}
-		c.g.notes <- group.Follow{Term: 2}
-		c.elect(2)
-		if diff := cmp.Diff(first, c.change("x", edit(7)), protocmp.Transform()); diff != "" {
-			t.Errorf("a resend after a failover is answered otherwise: %s", diff)
+		h.group.notifications <- group.Follow{Term: 2}
+		h.elect(2)
+		if diff := cmp.Diff(first, h.applyChange("x", edit(7)), protocmp.Transform()); diff != "" {
+			t.Errorf("a resent change got another reply after a failover: %s", diff)
 		}
-		c.ledger(func(st *state.State) {
+		h.withLedger(func(st *state.State) {
 			row, _ := st.Table().Row("rail")
 			if row.Weight != 7 || st.Table().Revision() != 2 {
-				t.Errorf("weight %d at revision %d", row.Weight, st.Table().Revision())
+				t.Errorf("got weight %d at revision %d, want 7 at 2", row.Weight, st.Table().Revision())
 			}
 		})
 	})
 }
 
-// A caller's poll ends on time with how the job stands, and a later one gets the outcome.
+// A caller's long poll must end in time with the job's current state.
 func TestALongPollIsBounded(t *testing.T) {
-	run(t, func(c *cell) {
-		c.announce("b1", 8000)
-		c.accepted(spec("plan"))
-		if got := c.outcome("plan"); got.GetOutcome() != v1.Outcome_OUTCOME_RUNNING {
-			t.Errorf("outcome %v", got.GetOutcome())
-		}
-		r := c.must(c.push(&inner.Item{Credential: c.cred("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: "none"}}}))
-		wantCode(t, code.Unknown, r.GetStatus())
+	runWithLeader(t, func(h *harness) {
+		h.announceServer("b1", 8000)
+		h.submitAndReply(batchSpec("plan"))
+		if got := h.waitOutcome("plan"); got.GetOutcome() != v1.Outcome_OUTCOME_RUNNING {
+			t.Errorf("the poll returned outcome %v, want running", got.GetOutcome())
+		}
+		r := h.mustReply(h.push(&inner.Item{Credential: h.credential("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: "none"}}}))
+		expectCode(t, code.Unknown, r.GetStatus())
 	})
 }
 
-// A task is preempted in the same turn in which it was placed, so its server
-// never heard of it. An order to save it would never be answered, and the task
-// would hold its place for ever: it is stopped, and told apart from one that ran.
-func TestATaskHaltedBeforeItsOrderLeftIsStopped(t *testing.T) {
-	run(t, func(c *cell) {
-		s := c.announce("b1", 8000)
-		c.accepted(spec("plan"))
-		c.ledger(func(st *state.State) {
+// Guards against a task that keeps its placement for ever. The task is preempted in
+// the turn in which it was placed, so its server does not know it and would never
+// answer a checkpoint order. It must be sent a stop order instead.
+func TestTaskHaltedBeforeItsStartOrderIsSentIsStopped(t *testing.T) {
+	runWithLeader(t, func(h *harness) {
+		s := h.announceServer("b1", 8000)
+		h.submitAndReply(batchSpec("plan"))
+		h.withLedger(func(st *state.State) {
 			st.Apply(&record.Command{What: &record.Command_Halt{Halt: &record.Halt{Job: 1, Indexes: []uint32{0}, Checkpoint: true}}})
 		})
-		r := s.sync()
+		r := s.syncAndWait()
 		if len(r.GetOrders()) != 1 || r.GetOrders()[0].GetVerb() != v1.Verb_VERB_STOP {
-			t.Errorf("orders %v", r.GetOrders())
+			t.Errorf("orders %v, want one stop order", r.GetOrders())
 		}
 	})
 }
 
-// A server is drained while the order for a task, lost with its answer, is due
-// to be given again. To the server that would be new work after the mark: the
-// task is taken back, also one that may not be repeated, and runs elsewhere.
+// Guards against new work for a draining server. A start order is lost with its
+// sync reply, and the server is drained before the order is repeated. The task must
+// be recalled, even if it may run only once, and must start on another server.
 func TestADrainingServerIsNotGivenALostOrderAgain(t *testing.T) {
-	run(t, func(c *cell) {
-		s := c.announce("b1", 8000)
-		once := spec("stock")
-		once.Once = true
-		c.accepted(once)
-		lost := starts(s.sync())
-		c.change("drain", &v1.ChangeRequest{Change: &v1.ChangeRequest_Mark{Mark: &v1.ServerMark{Server: "b1", Drain: true}}})
-		r := s.sync()
+	runWithLeader(t, func(h *harness) {
+		s := h.announceServer("b1", 8000)
+		onceSpec := batchSpec("stock")
+		onceSpec.Once = true
+		h.submitAndReply(onceSpec)
+		lostStarts := startOrders(s.syncAndWait())
+		h.applyChange("drain", &v1.ChangeRequest{Change: &v1.ChangeRequest_Mark{Mark: &v1.ServerMark{Server: "b1", Drain: true}}})
+		r := s.syncAndWait()
 		if len(r.GetOrders()) != 1 || r.GetOrders()[0].GetVerb() != v1.Verb_VERB_STOP {
-			t.Fatalf("orders %v", r.GetOrders())
+			t.Fatalf("orders %v, want one stop order", r.GetOrders())
 		}
-		other := c.announce("b2", 8000)
-		s.sync(&v1.Report{Attempt: lost[0], Phase: v1.Phase_PHASE_STOPPED})
-		if got := starts(other.sync()); len(got) != 1 || got[0].GetNumber() != 2 {
-			t.Errorf("elsewhere: %v", got)
+		otherServer := h.announceServer("b2", 8000)
+		s.syncAndWait(&v1.Report{Attempt: lostStarts[0], Phase: v1.Phase_PHASE_STOPPED})
+		if got := startOrders(otherServer.syncAndWait()); len(got) != 1 || got[0].GetNumber() != 2 {
+			t.Errorf("start orders of the other server: %v, want one with number 2", got)
 		}
 	})
 }
 
-// A caller waits on a long poll when its key is withdrawn, and the job ends a
-// moment later: the answer is not for that key any more.
-func TestAParkedWaitIsNotAnsweredAfterItsKeysEnd(t *testing.T) {
-	run(t, func(c *cell) {
-		c.announce("b1", 8000)
-		c.accepted(spec("plan"))
-		w := c.wait("plan")
-		c.change("out", &v1.ChangeRequest{Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: "rail1"}}})
+// Guards against an answer to a withdrawn key. The key is withdrawn while a Wait is
+// parked; when the Wait is answered, it must be refused.
+func TestParkedWaitIsNotAnsweredAfterKeyWithdrawal(t *testing.T) {
+	runWithLeader(t, func(h *harness) {
+		h.announceServer("b1", 8000)
+		h.submitAndReply(batchSpec("plan"))
+		waitSeq := h.pushWait("plan")
+		h.applyChange("out", &v1.ChangeRequest{Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: "rail1"}}})
 		time.Sleep(1100 * time.Millisecond)
-		wantCode(t, code.BadKey, c.must(w).GetStatus())
+		expectCode(t, code.BadKey, h.mustReply(waitSeq).GetStatus())
 	})
 }
 
-// The planner's picture of a server is out of date, so the ledger refuses its
-// placement. The planner must take it back: a task that it counts as running
-// for ever never gets a place, and its caller no answer.
-func TestARefusedDecisionIsMadeAgain(t *testing.T) {
+// Guards against a task that is never placed. The planner's view of a server is
+// outdated, so the ledger refuses the placement. If the planner still counted the
+// task as running, it would never place the task again.
+func TestRefusedPlacementIsRetried(t *testing.T) {
 	planner := func() plan.Planner { return policy.New(policy.Config{}) }
-	runAs(t, logr.Discard(), planner, func(c *cell) {
-		s := c.announce("b1", 8000)
-		c.ledger(func(st *state.State) {
+	runWithPlanner(t, logr.Discard(), planner, func(h *harness) {
+		s := h.announceServer("b1", 8000)
+		h.withLedger(func(st *state.State) {
 			watch := st.Watch
-			st.Watch = nil // what follows is hidden from the planner
+			st.Watch = nil // hides the next command from the planner
 			st.Apply(&record.Command{What: &record.Command_Mark{Mark: &record.Mark{Server: "b1", Incarnation: 1, State: uint32(backend.Suspect)}}})
 			st.Watch = watch
 		})
-		c.accepted(spec("plan"))
-		if got := starts(s.sync()); len(got) != 1 {
+		h.submitAndReply(batchSpec("plan"))
+		if got := startOrders(s.syncAndWait()); len(got) != 1 {
 			time.Sleep(time.Second)
-			if got = starts(s.sync()); len(got) != 1 {
-				t.Errorf("starts once the server is ready: %v", got)
+			if got = startOrders(s.syncAndWait()); len(got) != 1 {
+				t.Errorf("start orders once the server is ready: %v, want 1", got)
 			}
 		}
 	})
 }
 
-// A quote cannot be placed in time, because no server is there at all. Its buyer
-// does not wait for ever: the job ends as not run soon after its deadline, and the
-// parked wait is answered.
+// Guards against a caller that waits for ever. There is no server for an urgent
+// job, so the job must end as not run soon after its deadline, and the parked Wait
+// must be answered.
 func TestAJobPastItsDeadlineIsRefused(t *testing.T) {
 	planner := func() plan.Planner { return policy.New(policy.Config{}) }
-	runAs(t, logr.Discard(), planner, func(c *cell) {
-		quote := spec("quote")
+	runWithPlanner(t, logr.Discard(), planner, func(h *harness) {
+		quote := batchSpec("quote")
 		quote.Kind, quote.Deadline = v1.Kind_KIND_URGENT, 2000
-		c.accepted(quote)
+		h.submitAndReply(quote)
 		time.Sleep(1900 * time.Millisecond)
-		w := c.wait("quote")
+		waitSeq := h.pushWait("quote")
 		time.Sleep(300 * time.Millisecond)
-		got := c.must(w).GetWait()
+		got := h.mustReply(waitSeq).GetWait()
 		if got.GetOutcome() != v1.Outcome_OUTCOME_NOT_RUN {
-			t.Errorf("outcome %v", got.GetOutcome())
+			t.Errorf("the job has outcome %v, want not run", got.GetOutcome())
 		}
-		wantCode(t, code.DeadlinePassed, got.GetStatus())
+		expectCode(t, code.DeadlinePassed, got.GetStatus())
 	})
 }
 
-// Many decisions follow each other closely. Each as a proposal of its own would
-// cost a message to every replica; together they cost a few, and the first of
-// them does not wait.
-func TestProposalsAreGathered(t *testing.T) {
-	run(t, func(c *cell) {
-		if err := c.l.Do(context.Background(), func(*state.State) { c.l.Gather = 10 * time.Millisecond }); err != nil {
+// Guards against one proposal per change under load, since each proposal costs a
+// message to every replica. Changes in quick succession must share a few proposals,
+// and the first change must be proposed at once.
+func TestProposalsAreBatched(t *testing.T) {
+	runWithLeader(t, func(h *harness) {
+		if err := h.leader.Execute(context.Background(), func(*state.State) { h.leader.ProposalInterval = 10 * time.Millisecond }); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		before := c.g.count()
+		before := h.group.proposalCount()
 		for i := range 20 {
 			id := strconv.Itoa(i)
 			grant := &v1.KeyGrant{Id: "key-" + id, Team: "rail", Digest: digest()}
 			change := &v1.ChangeRequest{Id: "change-" + id, Change: &v1.ChangeRequest_Grant{Grant: grant}}
-			c.push(&inner.Item{Credential: c.cred("op"), Ask: &inner.Item_Change{Change: change}})
+			h.push(&inner.Item{Credential: h.credential("op"), Ask: &inner.Item_Change{Change: change}})
 			if i == 0 {
 				synctest.Wait()
-				if c.g.count() == before {
-					t.Error("the first of them waits")
+				if h.group.proposalCount() == before {
+					t.Error("the first change was not proposed at once")
 				}
 			}
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(100 * time.Millisecond)
-		if n := c.g.count() - before; n > 5 {
-			t.Errorf("20 changes took %d proposals", n)
+		if n := h.group.proposalCount() - before; n > 5 {
+			t.Errorf("20 changes took %d proposals, want at most 5", n)
 		}
 	})
 }
--- /dev/null
+++ b/internal/control/leader/notification.go
@@ -0,0 +1,84 @@
+package leader
+
+import (
+	"github.com/cockroachdb/errors"
+
+	"gypsumreel/internal/api/record"
+	"gypsumreel/internal/base/event"
+	"gypsumreel/internal/ledger/command"
+	"gypsumreel/internal/ledger/state"
+	"gypsumreel/internal/replica/group"
+	"gypsumreel/internal/replica/quorum"
+)
+
+// handleNotification handles one notification from the group.
+func (l *Leader) handleNotification(notification group.Note) error {
+	switch n := notification.(type) {
+	case group.Lead:
+		l.becomeLeader(n)
+	case group.Follow:
+		l.becomeFollower(n)
+	case group.Apply:
+		return l.applyEntries(n.Entries)
+	case group.Commit:
+		if l.leadership != nil {
+			l.leadership.commitIndex = max(l.leadership.commitIndex, n.Index)
+			l.measureCommits(n.Index)
+		}
+	case group.Confirmed:
+		if l.leadership != nil && n.Term == l.leadership.term {
+			l.leadership.confirmedAt = max(l.leadership.confirmedAt, n.Start)
+			l.leadership.leadershipConfirmed = true
+		}
+	case group.Restore:
+		return l.restoreState(n)
+	case group.Members:
+		l.logMembership(n)
+		l.membership = n
+	case group.Full:
+		l.logDiskFull(n.Full)
+		l.diskFull = n.Full
+		if l.leadership != nil {
+			l.offerLeadership()
+		}
+	}
+	return nil
+}
+
+// applyEntries applies committed log entries on a follower.
+func (l *Leader) applyEntries(entries []quorum.Entry) error {
+	for _, e := range entries {
+		if e.Index <= l.appliedIndex {
+			continue
+		}
+		if e.Index != l.appliedIndex+1 {
+			return errors.Newf("log entry out of order: got index %d after %d", e.Index, l.appliedIndex)
+		}
+		l.appliedIndex = e.Index
+		if e.Kind != quorum.Command {
+			continue
+		}
+		c, err := command.Decode(e.Data)
+		if err != nil {
+			return err
+		}
+		r := l.ledger.Apply(c)
+		if _, ok := c.GetWhat().(*record.Command_Check); ok && r.Code != 0 {
+			event.Log(l.Log, event.StateDiffers, "member", l.membership.Self, "index", e.Index, "digest", l.ledger.Digest())
+			return ErrDiverged
+		}
+	}
+	return nil
+}
+
+// restoreState replaces the ledger by a snapshot.
+func (l *Leader) restoreState(n group.Restore) error {
+	restored, err := state.Decode(n.State)
+	if err != nil {
+		return err
+	}
+	l.abandonSnapshot()
+	l.logRestore(n)
+	l.ledger, l.appliedIndex, l.snapshotIndex = restored, n.Index, n.Index
+	return nil
+}
--- a/internal/control/leader/snapshot_test.go
+++ b/internal/control/leader/snapshot_test.go
@@ -9,42 +9,42 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// A leader makes a snapshot of a state that is ahead of what a quorum has, and
-// is deposed. The next leader's log reaches the index of that snapshot with
-// other commands. Handed over now, it would bring back a job that was never
-// accepted, and only on this replica.
+// Guards against a snapshot that holds uncommitted commands. A leader encodes a
+// snapshot that is ahead of the commit index and is deposed. When the next leader's
+// log reaches that index with other commands, the old snapshot would bring back a
+// job that was never accepted, on this replica only.
 func TestADeposedLeadersSnapshotIsDropped(t *testing.T) {
-	run(t, func(c *cell) {
-		c.announce("b1", 1000)
-		agreed := append([]quorum.Entry{}, c.g.entries()...)
-		c.g.hold()
-		c.ledger(func(*state.State) { c.l.Snapshot = 1 })
-		c.submit(spec("ghost"))
-		time.Sleep(time.Second) // the snapshot is written and waits for its commit
+	runWithLeader(t, func(h *harness) {
+		h.announceServer("b1", 1000)
+		committedEntries := append([]quorum.Entry{}, h.group.logEntries()...)
+		h.group.holdCommits()
+		h.withLedger(func(*state.State) { h.leader.SnapshotInterval = 1 })
+		h.pushSubmit(batchSpec("ghost"))
+		time.Sleep(time.Second) // the snapshot is encoded and waits for its commit
 		for i := range 50 {
-			index := uint64(len(agreed)) + 1
-			agreed = append(agreed, quorum.Entry{Index: index, Term: 2, Kind: quorum.Empty})
+			index := uint64(len(committedEntries)) + 1
+			committedEntries = append(committedEntries, quorum.Entry{Index: index, Term: 2, Kind: quorum.Empty})
 			if i == 0 {
-				c.g.notes <- group.Follow{Term: 2, Leader: "c2/1"}
-				c.g.notes <- group.Restore{}
+				h.group.notifications <- group.Follow{Term: 2, Leader: "c2/1"}
+				h.group.notifications <- group.Restore{}
 			}
 		}
-		c.g.notes <- group.Apply{Entries: agreed}
+		h.group.notifications <- group.Apply{Entries: committedEntries}
 		time.Sleep(time.Second)
-		if len(c.g.snapshots()) == 0 {
-			t.Fatal("no snapshot of the state that was agreed on")
+		if len(h.group.compactedStates()) == 0 {
+			t.Fatal("no snapshot of the committed state was made")
 		}
-		for _, data := range c.g.snapshots() {
+		for _, data := range h.group.compactedStates() {
 			st, err := state.Decode(data)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if _, ok := st.Find(state.RequestID{Team: "rail", ID: "ghost"}); ok {
-				t.Error("a snapshot holds a job that nobody agreed on")
+				t.Error("a snapshot holds a job that was never committed")
 			}
 		}
 	})
 }
 
-// entries returns the log as it is.
-func (g *fakeGroup) entries() []quorum.Entry { g.mu.Lock(); defer g.mu.Unlock(); return g.log }
+// logEntries returns the entries of the log.
+func (g *fakeGroup) logEntries() []quorum.Entry { g.mu.Lock(); defer g.mu.Unlock(); return g.log }
--- a/internal/control/mailbox/mailbox.go
+++ b/internal/control/mailbox/mailbox.go
@@ -1,5 +1,5 @@
-// Package mailbox holds the replies that the leader has for an entry until the
-// entry has fetched and acknowledged them.
+// Package mailbox stores the leader's replies to an entry until the entry has
+// fetched and acknowledged them.
 package mailbox
 
 import (
@@ -11,116 +11,122 @@
 	"gypsumreel/internal/api/inner"
 )
 
-// Bounds of a mailbox.
+// Limits of a mailbox.
 const (
-	// MaxReplies bounds what is kept for one entry; an entry that fetches
-	// nothing for so long is dead, and its items are asked again elsewhere.
+	// MaxReplies limits the replies stored for one entry. An entry that leaves so
+	// many replies unfetched is considered dead; its items are sent again through
+	// another entry.
 	MaxReplies = 1 << 17
-	// MaxHeld bounds the bytes that are kept for one entry, roughly: replies may
-	// carry chunks of answers, and thousands of them would not fit the process.
-	MaxHeld = 64 << 20
-	// MaxBatch bounds the replies of one Pull.
-	MaxBatch = 1024
-	// maxBytes bounds the bytes of one Pull, roughly.
-	maxBytes = 8 << 20
+	// MaxBytes limits the approximate number of bytes stored for one entry. Replies
+	// may carry chunks of answers, and thousands of them would exhaust the
+	// process's memory.
+	MaxBytes = 64 << 20
+	// MaxBatchReplies limits the replies returned by one Pull.
+	MaxBatchReplies = 1024
+	// maxBatchBytes limits the approximate number of bytes returned by one Pull.
+	maxBatchBytes = 8 << 20
 )
 
-// Name names a mailbox: one run of one entry.
+// Name identifies a mailbox by an entry and one session of its process.
 type Name struct {
 	Entry   string
 	Session uint64
 }
 
-// Mailbox queues replies with numbers from 1. It is safe for use by the control
-// thread and traffic threads at once.
+// Mailbox is a queue of replies numbered from 1. It is safe for concurrent use by
+// the control thread and the goroutines that serve entries.
 type Mailbox struct {
-	mu     sync.Mutex
-	epoch  uint64
-	first  uint64
-	queue  []*inner.Reply
-	held   int
-	wake   chan struct{}
-	wakes  uint64
-	closed bool
-	seen   time.Time
+	mu          sync.Mutex
+	epoch       uint64
+	firstNumber uint64
+	queue       []*inner.Reply
+	queuedBytes int
+	wakeup      chan struct{}
+	wakeCount   uint64
+	closed      bool
+	lastPullAt  time.Time
 }
 
-// New returns an empty mailbox of an epoch. Numbers of different epochs are not comparable.
+// New returns an empty mailbox for an epoch. Reply numbers of different epochs
+// cannot be compared.
 func New(epoch uint64) *Mailbox {
-	return &Mailbox{epoch: epoch, first: 1, wake: make(chan struct{}), seen: time.Now()}
+	return &Mailbox{epoch: epoch, firstNumber: 1, wakeup: make(chan struct{}), lastPullAt: time.Now()}
 }
 
-// Put adds a reply. It is dropped when the mailbox is closed or full; the entry
-// asks again for what it was not answered, and every item is idempotent.
+// Put appends a reply. It discards the reply when the mailbox is closed or full.
+// The entry then sends the unanswered item again, which is safe because every item
+// is idempotent.
 func (m *Mailbox) Put(r *inner.Reply) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	w := weigh(r)
-	if m.closed || len(m.queue) >= MaxReplies || len(m.queue) > 0 && m.held+w > MaxHeld {
+	size := approximateSize(r)
+	if m.closed || len(m.queue) >= MaxReplies || len(m.queue) > 0 && m.queuedBytes+size > MaxBytes {
 		return
 	}
-	m.held += w
+	m.queuedBytes += size
 	m.queue = append(m.queue, r)
-	m.signal()
+	m.wakeWaiters()
 }
 
-func (m *Mailbox) signal() {
-	close(m.wake)
-	m.wake = make(chan struct{})
+func (m *Mailbox) wakeWaiters() {
+	close(m.wakeup)
+	m.wakeup = make(chan struct{})
 }
 
-// Close ends the mailbox: waiting fetches return at once.
+// Close closes the mailbox and makes waiting Pull calls return at once.
 func (m *Mailbox) Close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.closed {
 		m.closed = true
-		m.signal()
+		m.wakeWaiters()
 	}
 }
 
-// Wake makes fetches that wait return, with replies or without.
+// Wake makes waiting PullUntilWake calls return, with or without replies.
 func (m *Mailbox) Wake() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.wakes++
-	m.signal()
+	m.wakeCount++
+	m.wakeWaiters()
 }
 
-// Wakes counts the calls of Wake, for PullOrWake.
-func (m *Mailbox) Wakes() uint64 {
+// WakeCount returns the number of calls of Wake, for use with PullUntilWake.
+func (m *Mailbox) WakeCount() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.wakes
+	return m.wakeCount
 }
 
-// Idle returns how long nobody fetched.
-func (m *Mailbox) Idle() time.Duration {
+// IdleTime returns the time since the last Pull.
+func (m *Mailbox) IdleTime() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Since(m.seen)
+	return time.Since(m.lastPullAt)
 }
 
-// Batch is what one fetch returns.
+// Batch is the result of one Pull. FirstNumber is the number of the first reply.
 type Batch struct {
-	Epoch   uint64
-	First   uint64
-	Replies []*inner.Reply
-	Closed  bool
+	Epoch       uint64
+	FirstNumber uint64
+	Replies     []*inner.Reply
+	Closed      bool
 }
 
-// Pull drops what was acknowledged and returns what is queued; it waits for a
-// first reply until ctx ends. Replies stay until acknowledged, so a lost answer
-// to Pull loses none of them. An ack of another epoch counts for nothing.
+// Pull discards the replies acknowledged by ack and returns the queued ones. It
+// waits for a first reply until ctx ends. Replies are kept until they are
+// acknowledged, so a lost response to Pull loses no replies. An ack of another
+// epoch is ignored.
 func (m *Mailbox) Pull(ctx context.Context, epoch, ack uint64) Batch {
-	return m.PullOrWake(ctx, epoch, ack, math.MaxUint64)
+	return m.PullUntilWake(ctx, epoch, ack, math.MaxUint64)
 }
 
-// PullOrWake is Pull, but waits only until there were more than wakes calls of Wake.
-func (m *Mailbox) PullOrWake(ctx context.Context, epoch, ack, wakes uint64) Batch {
+// PullUntilWake is like Pull, but it also returns once Wake was called more than
+// wakeCount times.
+func (m *Mailbox) PullUntilWake(ctx context.Context, epoch, ack, wakeCount uint64) Batch {
 	for {
-		b, wake := m.take(epoch, ack)
-		if b.Closed || len(b.Replies) > 0 || m.Wakes() > wakes {
+		b, wake := m.dropAndCollect(epoch, ack)
+		if b.Closed || len(b.Replies) > 0 || m.WakeCount() > wakeCount {
 			return b
 		}
 		select {
@@ -131,42 +137,43 @@
 	}
 }
 
-func (m *Mailbox) take(epoch, ack uint64) (Batch, <-chan struct{}) {
+func (m *Mailbox) dropAndCollect(epoch, ack uint64) (Batch, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.seen = time.Now()
-	if epoch == m.epoch && ack >= m.first {
-		n := min(int(ack-m.first)+1, len(m.queue))
+	m.lastPullAt = time.Now()
+	if epoch == m.epoch && ack >= m.firstNumber {
+		n := min(int(ack-m.firstNumber)+1, len(m.queue))
 		for _, r := range m.queue[:n] {
-			m.held -= weigh(r)
+			m.queuedBytes -= approximateSize(r)
 		}
 		clear(m.queue[:n])
 		m.queue = m.queue[n:]
-		m.first += uint64(n)
+		m.firstNumber += uint64(n)
 	}
-	b := Batch{Epoch: m.epoch, First: m.first, Closed: m.closed}
+	b := Batch{Epoch: m.epoch, FirstNumber: m.firstNumber, Closed: m.closed}
 	size := 0
-	for _, r := range m.queue[:min(len(m.queue), MaxBatch)] {
-		size += weigh(r)
-		if size > maxBytes && len(b.Replies) > 0 {
+	for _, r := range m.queue[:min(len(m.queue), MaxBatchReplies)] {
+		size += approximateSize(r)
+		if size > maxBatchBytes && len(b.Replies) > 0 {
 			break
 		}
 		b.Replies = append(b.Replies, r)
 	}
-	return b, m.wake
+	return b, m.wakeup
 }
 
-// weigh returns roughly the bytes of the replies that can be large.
-func weigh(r *inner.Reply) int {
-	n := 256
-	n += len(r.GetWait().GetChunk().GetData())
+// approximateSize estimates the size of a reply in bytes: a fixed 256 bytes plus
+// the fields that can be large.
+func approximateSize(r *inner.Reply) int {
+	size := 256
+	size += len(r.GetWait().GetChunk().GetData())
 	for _, o := range r.GetSync().GetOrders() {
-		n += len(o.GetInput()) + len(o.GetCheckpoint())
+		size += len(o.GetInput()) + len(o.GetCheckpoint())
 	}
-	return n
+	return size
 }
 
-// Len returns how many replies wait to be fetched or acknowledged.
+// Len returns the number of replies that are not yet acknowledged.
 func (m *Mailbox) Len() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
