--- a/internal/control/dispatch/advice.go
+++ b/internal/control/dispatch/advice.go
@@ -16,108 +16,108 @@
 
 // Bounds of questions to the adviser.
 const (
-	// permitParts is the part of a permit's time that is kept for the commit and
+	// permitMarginDivisor is the part of a permit's time that is kept for the commit and
 	// the way to the server: a start with a permit that is over is refused.
-	permitParts = 5
-	// adviceSlack is what a question may take beyond what it should.
-	adviceSlack = time.Second
-	// askPause is the pause before a question that failed is asked again.
-	askPause = 100 * time.Millisecond
+	permitMarginDivisor = 5
+	// adviceTimeoutMargin is what a question may take beyond what it should.
+	adviceTimeoutMargin = time.Second
+	// adviceRetryPause is the pause before a question that failed is asked again.
+	adviceRetryPause = 100 * time.Millisecond
 )
 
-// advice is what is known of the adviser's mind about one step.
-type advice struct {
-	// may tells which servers may run the step; it never changes.
-	may map[string]bool
+// stepAdvice is what is known of the adviser's mind about one step.
+type stepAdvice struct {
+	// allowedServers tells which servers may run the step; it never changes.
+	allowedServers map[string]bool
 	// permits are those at hand, by server.
 	permits map[string]permit
-	// asking counts the questions under way.
-	asking int
-	next   time.Duration
+	// pendingQuestions counts the questions under way.
+	pendingQuestions int
+	nextQuestionAt   time.Duration
 }
 
 type permit struct {
-	ticket string
-	born   int64
-	until  time.Duration
+	ticket      string
+	incarnation int64
+	validUntil  time.Duration
 }
 
-// known tells the planner what is known of a step on servers.
-func (d *Dispatcher) known(id flow.StepID) iter.Seq2[string, steps.Permission] {
-	a := d.lead.advice[id]
+// permissionsFor tells the planner what is known of a step on servers.
+func (d *Dispatcher) permissionsFor(id flow.StepID) iter.Seq2[string, steps.Permission] {
+	a := d.leader.adviceByStep[id]
 	if a == nil {
-		a = &advice{}
+		a = &stepAdvice{}
 	}
-	return steps.Permissions(a.may, func(server string) bool {
+	return steps.Permissions(a.allowedServers, func(server string) bool {
 		p, ok := a.permits[server]
-		s := d.lead.sessions[server]
-		return ok && d.lead.planned < p.until && s != nil && s.born == p.born
+		s := d.leader.sessions[server]
+		return ok && d.leader.plannedAt < p.validUntil && s != nil && s.incarnation == p.incarnation
 	})
 }
 
-// questions asks what a plan wants to know, as far as helpers are free, and keeps
+// replaceQuestions asks what a plan wants to know, as far as helpers are free, and keeps
 // the rest for those that become free before the next plan.
-func (d *Dispatcher) questions(wants []steps.Want, now time.Duration) {
-	d.lead.wants = wants
-	d.askMore(now)
+func (d *Dispatcher) replaceQuestions(wants []steps.Want, now time.Duration) {
+	d.leader.pendingQuestions = wants
+	d.askPendingQuestions(now)
 }
 
-// askMore asks what the latest plan wants to know, as far as helpers are free. With
+// askPendingQuestions asks what the latest plan wants to know, as far as helpers are free. With
 // much waiting, a helper that rested until the next plan would give one answer a
 // plan, however quick the adviser is.
-func (d *Dispatcher) askMore(now time.Duration) {
+func (d *Dispatcher) askPendingQuestions(now time.Duration) {
 	var left []steps.Want
-	var none busy
-	shortest := d.shortest()
-	for i, w := range d.lead.wants {
-		if none.short {
-			left = append(left, d.lead.wants[i:]...)
+	var none busyHelpers
+	shortest := d.shortestQuestion()
+	for i, w := range d.leader.pendingQuestions {
+		if none.shortQuestions {
+			left = append(left, d.leader.pendingQuestions[i:]...)
 			break
 		}
-		if !d.askAbout(w, shortest, &none, now) {
+		if !d.askAdviserAbout(w, shortest, &none, now) {
 			left = append(left, w)
 		}
 	}
-	d.lead.wants = left
+	d.leader.pendingQuestions = left
 }
 
-// busy tells for which questions no helper is free.
-type busy struct{ short, long bool }
+// busyHelpers tells for which questions no helper is free.
+type busyHelpers struct{ shortQuestions, longQuestions bool }
 
-// askAbout asks what is wanted of a step; false when no helper is free for it.
-func (d *Dispatcher) askAbout(w steps.Want, shortest time.Duration, none *busy, now time.Duration) bool {
+// askAdviserAbout asks what is wanted of a step; false when no helper is free for it.
+func (d *Dispatcher) askAdviserAbout(w steps.Want, shortest time.Duration, none *busyHelpers, now time.Duration) bool {
 	q, ok := d.Host.Flows().QueueOf(w.Item.Flow)
 	if !ok || q.GetAdvice() == nil || w.Item.Flow.Final() || w.Item.Queued == 0 {
 		return true
 	}
-	a := d.lead.advice[w.Item.StepID]
+	a := d.leader.adviceByStep[w.Item.StepID]
 	if a == nil {
-		a = &advice{may: map[string]bool{}, permits: map[string]permit{}}
-		d.lead.advice[w.Item.StepID] = a
+		a = &stepAdvice{allowedServers: map[string]bool{}, permits: map[string]permit{}}
+		d.leader.adviceByStep[w.Item.StepID] = a
 	}
-	if a.asking > 0 || now < a.next {
+	if a.pendingQuestions > 0 || now < a.nextQuestionAt {
 		return true
 	}
 	whole := crew.Long(steps.Cost(q.GetAdvice(), len(w.Servers)), shortest)
-	if whole && none.long {
+	if whole && none.longQuestions {
 		return false
 	}
-	for i, servers := range d.crew.Split(w.Servers, steps.MostAsked, whole, now) {
+	for i, servers := range d.helperPool.Split(w.Servers, steps.MostAsked, whole, now) {
 		takes := steps.Cost(q.GetAdvice(), len(servers))
 		long := crew.Long(takes, shortest)
-		h := d.crew.Take(long, now)
+		h := d.helperPool.Take(long, now)
 		if h == nil {
-			none.long = true
-			none.short = none.short || !long
+			none.longQuestions = true
+			none.shortQuestions = none.shortQuestions || !long
 			return i > 0
 		}
-		d.question(h, steps.Want{Item: w.Item, Servers: servers}, a, q.GetAdvice(), takes)
+		d.sendQuestion(h, steps.Want{Item: w.Item, Servers: servers}, a, q.GetAdvice(), takes)
 	}
 	return true
 }
 
-// shortest returns the time of the shortest kind of question there is.
-func (d *Dispatcher) shortest() time.Duration {
+// shortestQuestion returns the time of the shortest kind of question there is.
+func (d *Dispatcher) shortestQuestion() time.Duration {
 	var least time.Duration
 	for _, q := range d.Host.Flows().Config().GetQueues() {
 		if q.GetAdvice() == nil {
@@ -130,43 +130,43 @@
 	return least
 }
 
-// question lets a helper ask the adviser.
-func (d *Dispatcher) question(h *crew.Helper, w steps.Want, a *advice, terms *v1.Advice, takes time.Duration) {
+// sendQuestion lets a helper ask the adviser.
+func (d *Dispatcher) sendQuestion(h *crew.Helper, w steps.Want, a *stepAdvice, terms *v1.Advice, takes time.Duration) {
 	id := w.Item.StepID
-	a.asking++
+	a.pendingQuestions++
 	lives := map[string]int64{}
 	for _, s := range w.Servers {
-		if one := d.lead.sessions[s]; one != nil {
-			lives[s] = one.born
+		if one := d.leader.sessions[s]; one != nil {
+			lives[s] = one.incarnation
 		}
 	}
-	timeout := takes + adviceSlack
+	timeout := takes + adviceTimeoutMargin
 	req := &inner.AdviseRequest{
 		Cell: d.Cell, Flow: id.Flow, Turn: id.Turn, Step: id.Step, Servers: w.Servers, Budget: uint64(timeout / time.Millisecond),
 	}
-	term, ctx, address, sent := d.lead.term, d.lead.ctx, h.Address, d.Now()
+	term, ctx, address, sent := d.leader.term, d.leader.ctx, h.Address, d.Now()
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		rep := d.Helpers.Advise(ctx, address, req)
 		came := d.Now()
 		d.Host.Post(func() {
-			d.crew.Free(h, code.Code(rep.GetCode()) == code.OK, came)
-			if d.lead != nil && d.lead.term == term {
-				d.advised(id, a, lives, rep, terms, sent, came)
-				d.askMore(came)
+			d.helperPool.Free(h, code.Code(rep.GetCode()) == code.OK, came)
+			if d.leader != nil && d.leader.term == term {
+				d.handleAdvice(id, a, lives, rep, terms, sent, came)
+				d.askPendingQuestions(came)
 			}
 		})
 	}()
 }
 
-// advised takes the adviser's answer.
-func (d *Dispatcher) advised(id flow.StepID, a *advice, lives map[string]int64, rep *inner.AdviseReply, terms *v1.Advice, sent, came time.Duration) {
-	a.asking--
-	d.lead.dirty = true
-	d.meter.advise(code.Code(rep.GetCode()), came-sent)
+// handleAdvice takes the adviser's answer.
+func (d *Dispatcher) handleAdvice(id flow.StepID, a *stepAdvice, lives map[string]int64, rep *inner.AdviseReply, terms *v1.Advice, sent, came time.Duration) {
+	a.pendingQuestions--
+	d.leader.planNeeded = true
+	d.flowMetrics.observeQuestion(code.Code(rep.GetCode()), came-sent)
 	if c := code.Code(rep.GetCode()); c != code.OK {
-		a.next = came + askPause
+		a.nextQuestionAt = came + adviceRetryPause
 		event.Log(d.Log, event.AdviceFailed, "flow", id.Flow, "step", id.String(), "code", uint32(c), "detail", rep.GetDetail(), "took", (came - sent).String())
 		return
 	}
@@ -174,50 +174,50 @@
 	if valid == 0 {
 		valid = terms.GetValid()
 	}
-	until := came + time.Duration(valid)*time.Millisecond*(permitParts-1)/permitParts
+	until := came + time.Duration(valid)*time.Millisecond*(permitMarginDivisor-1)/permitMarginDivisor
 	news, allowed := 0, 0
 	for server := range lives {
-		if _, known := a.may[server]; !known {
-			a.may[server] = false
+		if _, known := a.allowedServers[server]; !known {
+			a.allowedServers[server] = false
 			news++
 		}
 	}
 	for _, p := range rep.GetPermits() {
-		if !a.may[p.GetServer()] {
+		if !a.allowedServers[p.GetServer()] {
 			allowed++
 		}
-		a.may[p.GetServer()] = true
-		a.permits[p.GetServer()] = permit{ticket: p.GetTicket(), born: lives[p.GetServer()], until: until}
+		a.allowedServers[p.GetServer()] = true
+		a.permits[p.GetServer()] = permit{ticket: p.GetTicket(), incarnation: lives[p.GetServer()], validUntil: until}
 	}
-	d.learnShare(id, news, allowed)
+	d.learnPermitShare(id, news, allowed)
 	event.Log(d.Log, event.AdviceTaken, "flow", id.Flow, "step", id.String(), "asked", len(lives), "permits", len(rep.GetPermits()), "took", (came - sent).String())
 }
 
 // usualShare is the part of the servers asked about that may run a step, while
 // nothing is known of its queue; shareWeight is the weight of the latest answer.
 const (
-	usualShare  = 0.5
-	shareWeight = 0.1
+	defaultPermitShare = 0.5
+	permitShareWeight  = 0.1
 )
 
-// learnShare notes which part of the servers that were asked about for the first
+// learnPermitShare notes which part of the servers that were asked about for the first
 // time may run a step.
-func (d *Dispatcher) learnShare(id flow.StepID, asked, permits int) {
+func (d *Dispatcher) learnPermitShare(id flow.StepID, asked, permits int) {
 	f, ok := d.Host.Flows().Flow(id.Flow)
 	if !ok || asked == 0 {
 		return
 	}
-	old, known := d.lead.shares[f.Queue]
+	old, known := d.leader.permitShares[f.Queue]
 	if !known {
-		old = usualShare
+		old = defaultPermitShare
 	}
-	d.lead.shares[f.Queue] = old + shareWeight*(float64(permits)/float64(asked)-old)
+	d.leader.permitShares[f.Queue] = old + permitShareWeight*(float64(permits)/float64(asked)-old)
 }
 
-// granted returns the part of the servers asked about that usually may run a step.
-func (d *Dispatcher) granted(it steps.Item) float64 {
-	if share, ok := d.lead.shares[it.Flow.Queue]; ok {
+// permitShare returns the part of the servers asked about that usually may run a step.
+func (d *Dispatcher) permitShare(it steps.Item) float64 {
+	if share, ok := d.leader.permitShares[it.Flow.Queue]; ok {
 		return share
 	}
-	return usualShare
+	return defaultPermitShare
 }
--- a/internal/control/dispatch/calls.go
+++ b/internal/control/dispatch/calls.go
@@ -2,34 +2,34 @@
 
 import "context"
 
-// calls runs functions on goroutines that are used again: the stack that a call
+// callPool runs functions on goroutines that are used again: the stack that a call
 // over HTTP needs grows in steps, each a copy, and with a goroutine for each of a
 // thousand calls a second that takes a twentieth of the leader's processor time.
-type calls struct {
-	ctx  context.Context
-	idle chan func()
+type callPool struct {
+	ctx         context.Context
+	idleWorkers chan func()
 }
 
-// newCalls returns calls whose idle goroutines end with ctx.
-func newCalls(ctx context.Context) *calls {
-	return &calls{ctx: ctx, idle: make(chan func())}
+// newCallPool returns calls whose idle goroutines end with ctx.
+func newCallPool(ctx context.Context) *callPool {
+	return &callPool{ctx: ctx, idleWorkers: make(chan func())}
 }
 
 // Go runs fn at once, on a goroutine that rests or on a new one.
-func (c *calls) Go(fn func()) {
+func (c *callPool) Go(fn func()) {
 	select {
-	case c.idle <- fn:
+	case c.idleWorkers <- fn:
 	default:
-		go c.run(fn)
+		go c.runWorker(fn)
 	}
 }
 
-// run runs fn, and whatever comes while it rests.
-func (c *calls) run(fn func()) {
+// runWorker runs fn, and whatever comes while it rests.
+func (c *callPool) runWorker(fn func()) {
 	for {
 		fn()
 		select {
-		case fn = <-c.idle:
+		case fn = <-c.idleWorkers:
 		case <-c.ctx.Done():
 			return
 		}
--- a/internal/control/dispatch/crash.go
+++ b/internal/control/dispatch/crash.go
@@ -11,8 +11,8 @@
 	"gypsumreel/internal/policy/blame"
 )
 
-// task returns what the ledger has of the task of a run, if that is its latest.
-func (d *Dispatcher) task(r *run) (flows.Task, bool) {
+// currentTask returns what the ledger has of the task of a run, if that is its latest.
+func (d *Dispatcher) currentTask(r *run) (flows.Task, bool) {
 	step, ok := d.Host.Flows().Step(r.StepID)
 	if !ok || int(r.Index) >= len(step.Tasks) || step.Tasks[r.Index].Number != r.Number {
 		return flows.Task{}, false
@@ -20,42 +20,42 @@
 	return step.Tasks[r.Index], true
 }
 
-// crashed tells whether a life of a server that is over ended without notice.
-func (d *Dispatcher) crashed(s *session) bool {
+// endedUnexpectedly tells whether a life of a server that is over ended without notice.
+func (d *Dispatcher) endedUnexpectedly(s *session) bool {
 	b, ok := d.Host.Flows().Server(s.id)
 	return ok && !d.Host.Flows().Planned(b)
 }
 
-// blamed returns the runs that may have crashed a server.
-func (d *Dispatcher) blamed(s *session) []*inner.Run {
-	all := slices.DeleteFunc(d.wanted(s), func(r *run) bool { return r.placed > 0 && r.sent == 0 })
+// blamedRuns returns the runs that may have crashed a server.
+func (d *Dispatcher) blamedRuns(s *session) []*inner.Run {
+	all := slices.DeleteFunc(d.wantedRuns(s), func(r *run) bool { return r.placedAt > 0 && r.startSentAt == 0 })
 	judged := make([]blame.Run, 0, len(all))
 	for _, r := range all {
-		t, _ := d.task(r)
-		judged = append(judged, blame.Run{Age: d.age(s, r), Blamed: t.Blamed})
+		t, _ := d.currentTask(r)
+		judged = append(judged, blame.Run{Age: d.runAge(s, r), Blamed: t.Blamed})
 	}
 	var out []*inner.Run
 	for _, i := range blame.Suspects(judged) {
-		t, _ := d.task(all[i])
+		t, _ := d.currentTask(all[i])
 		event.Log(d.Log, event.RunBlamed, "flow", all[i].Flow, "run", all[i].String(), "server", s.id, "crashes", t.Crashes+1, "blamed", t.Blamed+1, "beside", len(s.runs)-1)
 		out = append(out, all[i].Message())
 	}
 	return out
 }
 
-// wanted returns the runs on a server whose flows go on.
-func (d *Dispatcher) wanted(s *session) (out []*run) {
+// wantedRuns returns the runs on a server whose flows go on.
+func (d *Dispatcher) wantedRuns(s *session) (out []*run) {
 	for _, r := range s.runs {
-		if _, ok := d.task(r); ok {
+		if _, ok := d.currentTask(r); ok {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// givenUp logs the flows that the crash of a server was one too many for, of those
+// logFailedFlows logs the flows that the crash of a server was one too many for, of those
 // that went on before.
-func (d *Dispatcher) givenUp(s *session, before []*run) {
+func (d *Dispatcher) logFailedFlows(s *session, before []*run) {
 	for _, r := range before {
 		if f, ok := d.Host.Flows().Flow(r.Flow); ok && f.State == v1.FlowState_FLOW_STATE_FAILED {
 			event.Log(d.Log, event.FlowGivenUp, "flow", r.Flow, "run", r.String(), "server", s.id, "customer", f.Customer)
@@ -63,19 +63,19 @@
 	}
 }
 
-// onProbation keeps a server for a suspected task that begins there, until it is seen whether
+// startProbation keeps a server for a suspected task that begins there, until it is seen whether
 // it crashes it.
-func (d *Dispatcher) onProbation(s *session, r *run, now time.Duration) {
-	if t, ok := d.task(r); ok && t.Blamed > 0 {
-		s.probation = max(s.probation, now+blame.Probation)
+func (d *Dispatcher) startProbation(s *session, r *run, now time.Duration) {
+	if t, ok := d.currentTask(r); ok && t.Blamed > 0 {
+		s.probationUntil = max(s.probationUntil, now+blame.Probation)
 	}
 }
 
-// freshTime is how long after its start a server counts as fresh: one that goes down and
+// freshPeriod is how long after its start a server counts as fresh: one that goes down and
 // up by turns does so within seconds.
-const freshTime = 10 * time.Second
+const freshPeriod = 10 * time.Second
 
-// fresh tells whether a server's life began moments ago, by the time of day.
-func fresh(b *flows.Server, clock time.Duration) bool {
-	return clock-time.Duration(b.Born)*time.Millisecond < freshTime
+// isFresh tells whether a server's life began moments ago, by the time of day.
+func isFresh(b *flows.Server, clock time.Duration) bool {
+	return clock-time.Duration(b.Born)*time.Millisecond < freshPeriod
 }
--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -28,75 +28,75 @@
 
 // Defaults and bounds.
 const (
-	// DefaultHold is the longest lease that a backend server gives.
-	DefaultHold = 6 * time.Second
-	// DefaultStop is the longest time that a stop takes.
-	DefaultStop = time.Second
-	// DefaultGang is how long the members of a gang wait for each other.
-	DefaultGang = 3 * time.Second
-	// slowest is the rate of the slowest clock of a backend server beside ours.
-	slowest = 0.98
+	// DefaultMaxLease is the longest lease that a backend server gives.
+	DefaultMaxLease = 6 * time.Second
+	// DefaultMaxStopTime is the longest time that a stop takes.
+	DefaultMaxStopTime = time.Second
+	// DefaultGangTimeout is how long the members of a gang wait for each other.
+	DefaultGangTimeout = 3 * time.Second
+	// minClockRate is the rate of the slowest clock of a backend server beside ours.
+	minClockRate = 0.98
 	// leaseMargin is added to the end of a lease before it counts as over: the
 	// server looks at its clock now and then only.
 	leaseMargin = 100 * time.Millisecond
 
 	// DefaultRetention is how long flows are remembered after their end.
 	DefaultRetention = 150 * time.Second
-	// DefaultOpen bounds the flows that have not ended. At a few hundred bytes a
+	// DefaultMaxOpenFlows bounds the flows that have not ended. At a few hundred bytes a
 	// task it keeps the ledger within tens of megabytes.
-	DefaultOpen = 8_000
+	DefaultMaxOpenFlows = 8_000
 
 	// callTimeout bounds a call to a backend server beyond what it may wait
 	// there: more than the slowest healthy answer, and short beside a lease.
 	callTimeout = time.Second
-	// orderTimeout and holdTimeout are the shortest such bounds; answerFactor is how
+	// minOrderTimeout and holdTimeout are the shortest such bounds; answerFactor is how
 	// many times as long as usual an answer may take before the call is made again.
 	// Every call may be made twice, so a bound that is too short costs a call, and one
 	// that is too long makes somebody wait for an answer that was lost. A server whose
 	// hold fails gets no new work, which costs more.
-	orderTimeout = 80 * time.Millisecond
-	holdTimeout  = 250 * time.Millisecond
-	answerFactor = 10
-	// answerWeight is the weight of the latest answer in what is usual.
-	answerWeight = 0.1
-	// longestWait bounds how long a backend server holds an answer back for news.
-	longestWait = time.Second
-	// waitParts is the number of waits in a lease: a lost answer must not let
+	minOrderTimeout      = 80 * time.Millisecond
+	minHoldTimeout       = 250 * time.Millisecond
+	latencyTimeoutFactor = 10
+	// latencyWeight is the weight of the latest answer in what is usual.
+	latencyWeight = 0.1
+	// maxLongPoll bounds how long a backend server holds an answer back for news.
+	maxLongPoll = time.Second
+	// longPollsPerLease is the number of waits in a lease: a lost answer must not let
 	// the lease run out.
-	waitParts = 4
-	// restEvery is how many servers are looked at before the other goroutines of the
+	longPollsPerLease = 4
+	// sessionsPerYield is how many servers are looked at before the other goroutines of the
 	// process have their turn.
-	restEvery = 64
-	// zoneEvery is how often drained zones are looked at.
-	zoneEvery = 100 * time.Millisecond
-	// sweepEvery is how often what is over is forgotten.
-	sweepEvery = time.Second
+	sessionsPerYield = 64
+	// zoneCheckInterval is how often drained zones are looked at.
+	zoneCheckInterval = 100 * time.Millisecond
+	// sweepInterval is how often what is over is forgotten.
+	sweepInterval = time.Second
 )
 
 // Host is the control thread as this part uses it. But for Post and Status, its
 // methods are called on the control thread only.
 type Host interface {
-	// Decide applies a command and queues it for the log.
-	Decide(f *record.Flow) *code.Error
-	// After runs fn once everything decided so far is committed.
-	After(fn func())
-	// Proved runs fn once it is proved that this replica led at a time after received.
-	Proved(received time.Duration, fn func())
+	// ApplyCommand applies a command and queues it for the log.
+	ApplyCommand(f *record.Flow) *code.Error
+	// AfterCommit runs fn once everything decided so far is committed.
+	AfterCommit(fn func())
+	// AfterLeadershipProof runs fn once it is proved that this replica led at a time after received.
+	AfterLeadershipProof(received time.Duration, fn func())
 	// Leads tells whether this replica leads and a quorum confirmed so lately.
 	Leads() bool
 	Flows() *flows.Ledger
-	// KnowsZone tells whether there is an availability zone of that name.
-	KnowsZone(zone string) bool
-	// Clock is the ledger's time.
-	Clock() time.Duration
-	// Full tells that the disk has too little room for new work.
-	Full() bool
+	// HasZone tells whether there is an availability zone of that name.
+	HasZone(zone string) bool
+	// LedgerTime is the ledger's time.
+	LedgerTime() time.Duration
+	// DiskFull tells that the disk has too little room for new work.
+	DiskFull() bool
 	Members() group.Members
-	Alter(m quorum.Member, remove bool)
-	// Synced tells whether a member has everything committed on its disk.
-	Synced(id string) bool
-	// Rest lets the other goroutines of the process have their turn.
-	Rest()
+	ChangeMember(m quorum.Member, remove bool)
+	// IsSynced tells whether a member has everything committed on its disk.
+	IsSynced(id string) bool
+	// YieldThread lets the other goroutines of the process have their turn.
+	YieldThread()
 	// Post runs fn on the control thread.
 	Post(fn func()) bool
 }
@@ -127,110 +127,110 @@
 	Now      func() time.Duration
 	Backends Backends
 	Helpers  Helpers
-	// Direct returns how many backend servers may be called directly, by the
+	// MaxDirectServers returns how many backend servers may be called directly, by the
 	// connections that this takes; the others are called through helpers. Nil for
 	// any number. Any goroutine may call it.
-	Direct func() int
+	MaxDirectServers func() int
 	// Machines takes machines down for their upkeep; nil for nobody does.
 	Machines Machines
-	// Hold is the longest lease that a backend server gives.
-	Hold time.Duration
-	// Stop is the longest time that a backend server takes to stop a run.
-	Stop time.Duration
-	// Gang is how long the members of a gang wait for each other there.
-	Gang      time.Duration
-	Retention time.Duration
-	// Open bounds the flows that have not ended.
-	Open int
-	// Replicas is the number of voters that the group grows to.
-	Replicas int
-	// Meters receives the metrics; nil for none.
-	Meters *metrics.Set
-	Log    logr.Logger
+	// MaxLease is the longest lease that a backend server gives.
+	MaxLease time.Duration
+	// MaxStopTime is the longest time that a backend server takes to stop a run.
+	MaxStopTime time.Duration
+	// GangTimeout is how long the members of a gang wait for each other there.
+	GangTimeout time.Duration
+	Retention   time.Duration
+	// MaxOpenFlows bounds the flows that have not ended.
+	MaxOpenFlows int
+	// TargetVoters is the number of voters that the group grows to.
+	TargetVoters int
+	// Metrics receives the metrics; nil for none.
+	Metrics *metrics.Set
+	Log     logr.Logger
 
-	meter *meters
+	flowMetrics *flowMetrics
 	// Owned by the control thread.
-	lead *lead
-	// agreed is the time of day by the word of all processes.
-	agreed clock.Agreed
-	// crew are the processes that made themselves known, joiners the replicas among
+	leader *leaderState
+	// agreedTime is the time of day by the word of all processes.
+	agreedTime clock.Agreed
+	// helperPool are the processes that made themselves known, joiners the replicas among
 	// them that may be no members yet, by id.
-	crew    *crew.Crew
-	joiners map[string]*joiner
+	helperPool      *crew.Crew
+	joiningReplicas map[string]*joiningReplica
 }
 
 // New returns a dispatcher with the defaults.
 func New() *Dispatcher {
 	return &Dispatcher{
-		Hold: DefaultHold, Stop: DefaultStop, Gang: DefaultGang, Retention: DefaultRetention, Open: DefaultOpen, Replicas: DefaultReplicas, Log: logr.Discard(),
-		crew: crew.New(), joiners: map[string]*joiner{},
+		MaxLease: DefaultMaxLease, MaxStopTime: DefaultMaxStopTime, GangTimeout: DefaultGangTimeout, Retention: DefaultRetention, MaxOpenFlows: DefaultMaxOpenFlows, TargetVoters: DefaultTargetVoters, Log: logr.Discard(),
+		helperPool: crew.New(), joiningReplicas: map[string]*joiningReplica{},
 	}
 }
 
 // Elected takes over: what servers hold is asked of them before anything new is
 // placed there.
 func (d *Dispatcher) Elected(term uint64, elected time.Duration) {
-	if d.meter == nil {
-		d.meter = newMeters(d.Meters)
+	if d.flowMetrics == nil {
+		d.flowMetrics = newFlowMetrics(d.Metrics)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	d.lead = &lead{
-		term: term, elected: elected, ctx: ctx, cancel: cancel, calls: newCalls(ctx), dirty: true,
+	d.leader = &leaderState{
+		term: term, electedAt: elected, ctx: ctx, cancel: cancel, callPool: newCallPool(ctx), planNeeded: true,
 		// Until it is known how soon answers come, they are waited for.
-		answers:  holdTimeout / answerFactor,
-		sessions: map[string]*session{}, stops: map[*run]*session{},
-		advice: map[flow.StepID]*advice{}, shares: map[string]float64{},
-		urgent: map[string]*demand{}, briefs: map[string]*brief.Choice{}, timed: map[string]bool{},
-		buckets: map[string]*bucket{}, surplus: map[string]bool{},
-		speeds: map[string]*speed{}, times: map[flow.StepID]steps.Times{}, shunned: map[flow.StepID]map[string]bool{},
-		asked: map[uint64]func(){}, emptied: map[string]bool{}, ordered: map[string]time.Duration{},
+		usualLatency: minHoldTimeout / latencyTimeoutFactor,
+		sessions:     map[string]*session{}, pendingStops: map[*run]*session{},
+		adviceByStep: map[flow.StepID]*stepAdvice{}, permitShares: map[string]float64{},
+		urgentDemand: map[string]*startDemand{}, urgentServers: map[string]*brief.Choice{}, recurringFlows: map[string]bool{},
+		rateBuckets: map[string]*rateBucket{}, surplusFlows: map[string]bool{},
+		serverSpeeds: map[string]*serverSpeed{}, stepTimes: map[flow.StepID]steps.Times{}, avoidedServers: map[flow.StepID]map[string]bool{},
+		pendingRequests: map[uint64]func(){}, drainingForUpkeep: map[string]bool{}, upkeepRetryAt: map[string]time.Duration{},
 	}
 	ledger := d.Host.Flows()
 	for _, b := range ledger.Servers() {
 		if b.Over {
 			continue
 		}
-		s := d.open(b)
+		s := d.openSession(b)
 		// The leader before this one may have renewed leases until it noticed
 		// that it was deposed: not later than the proof of its lead could last.
-		s.over = d.Now() + proofAge + d.Hold + leaseMargin
+		s.leaseEndsAt = d.Now() + maxLeadershipProofAge + d.MaxLease + leaseMargin
 	}
-	d.announce()
-	d.takeIn()
+	d.announceLeadership()
+	d.sendFirstHolds()
 	for id, f := range ledger.Flows() {
 		if f.Spec.GetTimes() > 0 && !f.Final() {
-			d.lead.timed[id] = true
+			d.leader.recurringFlows[id] = true
 		}
 	}
-	event.Log(d.Log, event.DispatchBegun, "term", term, "servers", len(d.lead.sessions), "flows", ledger.Open(), "drained", len(ledger.Zones()))
+	event.Log(d.Log, event.DispatchBegun, "term", term, "servers", len(d.leader.sessions), "flows", ledger.Open(), "drained", len(ledger.Zones()))
 }
 
-// proofAge is the greatest age of the proof on which a leader still acts.
-const proofAge = time.Second
+// maxLeadershipProofAge is the greatest age of the proof on which a leader still acts.
+const maxLeadershipProofAge = time.Second
 
 // Deposed drops everything. Requests under way learn that the answer is not
 // known here.
 func (d *Dispatcher) Deposed() {
-	ld := d.lead
+	ld := d.leader
 	if ld == nil {
 		return
 	}
-	d.lead = nil
+	d.leader = nil
 	ld.cancel()
-	for _, fail := range ld.asked {
+	for _, fail := range ld.pendingRequests {
 		fail()
 	}
 }
 
 // Turn decides once in a turn of the control thread.
 func (d *Dispatcher) Turn() {
-	if d.lead == nil || !d.Host.Leads() {
+	if d.leader == nil || !d.Host.Leads() {
 		return
 	}
-	d.stopUnwanted()
+	d.stopUnwantedRuns()
 	now := d.Now()
-	if d.lead.pacer.Due(now, d.lead.dirty) {
-		d.lead.planned, d.lead.dirty = now, false
+	if d.leader.planPacer.Due(now, d.leader.planNeeded) {
+		d.leader.plannedAt, d.leader.planNeeded = now, false
 		d.plan(now)
 	}
 }
@@ -238,48 +238,48 @@
 // Tick does what is due.
 func (d *Dispatcher) Tick(now time.Duration) {
 	d.compareClocks(now)
-	if d.lead == nil || !d.Host.Leads() {
+	if d.leader == nil || !d.Host.Leads() {
 		return
 	}
-	d.takeIn()
+	d.sendFirstHolds()
 	// Looking at one may end its session.
-	d.lead.round = append(d.lead.round[:0], d.lead.sorted...)
-	for i, s := range d.lead.round {
-		if i%restEvery == 0 {
-			d.Host.Rest()
+	d.leader.tickSessions = append(d.leader.tickSessions[:0], d.leader.sortedSessions...)
+	for i, s := range d.leader.tickSessions {
+		if i%sessionsPerYield == 0 {
+			d.Host.YieldThread()
 		}
-		d.watch(s, now)
-		d.inspect(s, now)
+		d.checkSession(s, now)
+		d.moveStuckRuns(s, now)
 	}
-	d.waves(now)
-	if now-d.lead.zoned >= zoneEvery {
-		d.lead.zoned = now
-		d.lookAtZones()
+	d.advanceWaves(now)
+	if now-d.leader.zonesCheckedAt >= zoneCheckInterval {
+		d.leader.zonesCheckedAt = now
+		d.checkZones()
 	}
-	d.beginTurns()
-	if now-d.lead.swept >= sweepEvery {
-		d.lead.swept = now
-		d.sweep(now)
+	d.startDueTurns()
+	if now-d.leader.sweptAt >= sweepInterval {
+		d.leader.sweptAt = now
+		d.removeExpired(now)
 	}
-	d.members(now)
+	d.updateMembership(now)
 }
 
-// post runs fn on the control thread, unless another term has begun there.
-func (d *Dispatcher) post(term uint64, fn func()) {
+// postInTerm runs fn on the control thread, unless another term has begun there.
+func (d *Dispatcher) postInTerm(term uint64, fn func()) {
 	d.Host.Post(func() {
-		if d.lead != nil && d.lead.term == term {
+		if d.leader != nil && d.leader.term == term {
 			fn()
 		}
 	})
 }
 
-// decide is Decide for what may be refused without harm: the refusal is logged,
+// applyOrLog is Decide for what may be refused without harm: the refusal is logged,
 // since it shows that the picture here and the ledger differ.
-func (d *Dispatcher) decide(f *record.Flow) bool {
-	if err := d.Host.Decide(f); err != nil {
-		event.Fail(d.Log, event.DecisionRefused, err, "term", d.lead.term)
+func (d *Dispatcher) applyOrLog(f *record.Flow) bool {
+	if err := d.Host.ApplyCommand(f); err != nil {
+		event.Fail(d.Log, event.DecisionRefused, err, "term", d.leader.term)
 		return false
 	}
-	d.lead.dirty = true
+	d.leader.planNeeded = true
 	return true
 }
--- a/internal/control/dispatch/learn.go
+++ b/internal/control/dispatch/learn.go
@@ -10,11 +10,11 @@
 	"gypsumreel/internal/policy/watchdog"
 )
 
-// speed is how fast a server works: how long runs took there beside what was
+// serverSpeed is how fast a server works: how long runs took there beside what was
 // declared, compared with the same of all servers of its pool.
-type speed struct {
-	ratio float64
-	runs  int
+type serverSpeed struct {
+	runtimeRatio float64
+	runCount     int
 }
 
 // Bounds of what is learned of a server's speed.
@@ -22,121 +22,121 @@
 	// speedWeight is the weight of the latest run: after about ten runs what was
 	// before has little weight left.
 	speedWeight = 0.2
-	// speedRuns is the least number of runs that tell anything.
-	speedRuns = 3
+	// minSpeedRuns is the least number of runs that tell anything.
+	minSpeedRuns = 3
 )
 
-// learn takes the time that a run took.
-func (d *Dispatcher) learn(s *session, r *run, how inner.RunEnd, now time.Duration) {
-	if how != inner.RunEnd_RUN_END_DONE || r.placed == 0 {
+// learnSpeed takes the time that a run took.
+func (d *Dispatcher) learnSpeed(s *session, r *run, how inner.RunEnd, now time.Duration) {
+	if how != inner.RunEnd_RUN_END_DONE || r.placedAt == 0 {
 		return
 	}
 	step, ok := d.Host.Flows().Step(r.StepID)
 	if !ok || step.Spec.GetRuntime() == 0 || r.Number > 1 {
 		return
 	}
-	took := (now - r.placed).Seconds() * float64(time.Second/time.Millisecond) / float64(step.Spec.GetRuntime())
-	p := d.lead.speeds[s.id]
+	took := (now - r.placedAt).Seconds() * float64(time.Second/time.Millisecond) / float64(step.Spec.GetRuntime())
+	p := d.leader.serverSpeeds[s.id]
 	if p == nil {
-		p = &speed{ratio: took}
-		d.lead.speeds[s.id] = p
+		p = &serverSpeed{runtimeRatio: took}
+		d.leader.serverSpeeds[s.id] = p
 	}
-	s.rate = p
-	p.ratio += speedWeight * (took - p.ratio)
-	p.runs++
+	s.speed = p
+	p.runtimeRatio += speedWeight * (took - p.runtimeRatio)
+	p.runCount++
 }
 
-// speed returns how fast a server works beside the others; 1 when nothing is known.
-func (d *Dispatcher) speed(s *session) float64 {
-	p := s.rate
-	if p == nil || p.runs < speedRuns || p.ratio <= 0 || d.lead.usual == 0 {
+// relativeSpeed returns how fast a server works beside the others; 1 when nothing is known.
+func (d *Dispatcher) relativeSpeed(s *session) float64 {
+	p := s.speed
+	if p == nil || p.runCount < minSpeedRuns || p.runtimeRatio <= 0 || d.leader.runtimeRatio == 0 {
 		return 1
 	}
-	return d.lead.usual / p.ratio
+	return d.leader.runtimeRatio / p.runtimeRatio
 }
 
-// average works out how far declared times are off on the whole. It goes over all
+// updateRuntimeRatio works out how far declared times are off on the whole. It goes over all
 // servers, so it is done now and then.
-func (d *Dispatcher) average() {
+func (d *Dispatcher) updateRuntimeRatio() {
 	sum, n := 0.0, 0
-	for _, p := range d.lead.speeds {
-		if p.runs >= speedRuns {
-			sum += p.ratio
+	for _, p := range d.leader.serverSpeeds {
+		if p.runCount >= minSpeedRuns {
+			sum += p.runtimeRatio
 			n++
 		}
 	}
 	if n > 0 {
-		d.lead.usual = sum / float64(n)
+		d.leader.runtimeRatio = sum / float64(n)
 	}
 }
 
-// typical returns how long a run of the step takes on a sound server: what was
+// typicalRuntime returns how long a run of the step takes on a sound server: what was
 // declared, corrected by how far declared times are off on the whole.
-func (d *Dispatcher) typical(s *flows.Step) time.Duration {
+func (d *Dispatcher) typicalRuntime(s *flows.Step) time.Duration {
 	declared := time.Duration(s.Spec.GetRuntime()) * time.Millisecond
-	return time.Duration(float64(declared) * max(d.lead.usual, 1))
+	return time.Duration(float64(declared) * max(d.leader.runtimeRatio, 1))
 }
 
-// trust notes how a run ended for the judgement of its server. The step that
+// judgeRunEnd notes how a run ended for the judgement of its server. The step that
 // failed there is tried elsewhere: whose fault it was is not known, and a
 // server that fails everything would use up all its attempts.
-func (d *Dispatcher) trust(s *session, r *run, how inner.RunEnd, now time.Duration) {
+func (d *Dispatcher) judgeRunEnd(s *session, r *run, how inner.RunEnd, now time.Duration) {
 	switch how {
 	case inner.RunEnd_RUN_END_DONE:
-		s.streak.Done()
+		s.failureStreak.Done()
 	case inner.RunEnd_RUN_END_FAILED:
-		d.shun(s, r)
-		if rest := s.streak.Failed(r.Flow); rest > 0 {
-			s.avoid = max(s.avoid, now+rest)
+		d.avoidServerForStep(s, r)
+		if rest := s.failureStreak.Failed(r.Flow); rest > 0 {
+			s.avoidUntil = max(s.avoidUntil, now+rest)
 			event.Log(d.Log, event.ServerQuarantined, "server", s.id, "flow", r.Flow, "rest", rest.String())
 		}
 	}
 }
 
-// shun notes that a step is better tried elsewhere.
-func (d *Dispatcher) shun(s *session, r *run) {
-	if d.lead.shunned[r.StepID] == nil {
-		d.lead.shunned[r.StepID] = map[string]bool{}
+// avoidServerForStep notes that a step is better tried elsewhere.
+func (d *Dispatcher) avoidServerForStep(s *session, r *run) {
+	if d.leader.avoidedServers[r.StepID] == nil {
+		d.leader.avoidedServers[r.StepID] = map[string]bool{}
 	}
-	d.lead.shunned[r.StepID][s.id] = true
+	d.leader.avoidedServers[r.StepID][s.id] = true
 }
 
-// inspect looks for runs that stand still or crawl, and moves them to another
+// moveStuckRuns looks for runs that stand still or crawl, and moves them to another
 // server: they are stopped, and placed again where they last failed not.
-func (d *Dispatcher) inspect(s *session, now time.Duration) {
-	if s.silent || !s.known || s.closing != "" || s.heard == s.inspected {
+func (d *Dispatcher) moveStuckRuns(s *session, now time.Duration) {
+	if s.unresponsive || !s.listReceived || s.closeReason != "" || s.lastAnswerAt == s.inspectedListAt {
 		return // nothing new was listed since the last look
 	}
-	s.inspected = s.heard
+	s.inspectedListAt = s.lastAnswerAt
 	if b, ok := d.Host.Flows().Server(s.id); ok && b.Leaving {
 		d.evacuate(s, b, now)
 	}
 	for _, r := range s.runs {
-		if r.stopping || !r.there || r.placed == 0 || r.looked == 0 || now-r.looked > longestWait+callTimeout {
+		if r.stopping || !r.reportedByServer || r.placedAt == 0 || r.progressReportedAt == 0 || now-r.progressReportedAt > maxLongPoll+callTimeout {
 			continue
 		}
 		step, ok := d.Host.Flows().Step(r.StepID)
-		if !ok || step.Spec.GetLasting() || step.Spec.GetGang() || step.Spec.GetFills() && s.pace < pace.Full {
+		if !ok || step.Spec.GetLasting() || step.Spec.GetGang() || step.Spec.GetFills() && s.pacePercent < pace.Full {
 			continue // it may stand still by order, or until others are there
 		}
-		w := watchdog.Run{Elapsed: r.looked - r.placed, Still: r.looked - r.moved, Percent: r.percent, Typical: d.typical(step), Saves: step.Spec.GetSaves()}
-		if !(r.Number <= mostStuck && watchdog.Stuck(w)) && !(r.Number <= mostDragged && watchdog.Drags(w)) {
+		w := watchdog.Run{Elapsed: r.progressReportedAt - r.placedAt, Still: r.progressReportedAt - r.progressChangedAt, Percent: r.progressPercent, Typical: d.typicalRuntime(step), Saves: step.Spec.GetSaves()}
+		if !(r.Number <= maxStuckMoves && watchdog.Stuck(w)) && !(r.Number <= maxSlowMoves && watchdog.Drags(w)) {
 			continue
 		}
-		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.percent, "still", w.Still.String(), "elapsed", w.Elapsed.String(), "typical", w.Typical.String())
-		d.shun(s, r)
-		s.avoid = max(s.avoid, now+suspectRest)
-		d.unwant(s, r)
+		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.progressPercent, "still", w.Still.String(), "elapsed", w.Elapsed.String(), "typical", w.Typical.String())
+		d.avoidServerForStep(s, r)
+		s.avoidUntil = max(s.avoidUntil, now+suspectServerPause)
+		d.stopRun(s, r)
 	}
 }
 
 // A task is moved so often at most: what was declared may be far off, and a task
 // that is slow everywhere must come to its end somewhere.
 const (
-	mostStuck   = 3
-	mostDragged = 1
+	maxStuckMoves = 3
+	maxSlowMoves  = 1
 )
 
-// suspectRest is how long a server gets nothing new on which a run stood still or
+// suspectServerPause is how long a server gets nothing new on which a run stood still or
 // crawled; it is renewed while more of them do.
-const suspectRest = 2 * time.Second
+const suspectServerPause = 2 * time.Second
--- a/internal/control/dispatch/life.go
+++ b/internal/control/dispatch/life.go
@@ -9,85 +9,85 @@
 	"gypsumreel/internal/domain/flow"
 )
 
-// watch looks after one session: holds that are due, leases that are over, and
+// checkSession looks after one session: holds that are due, leases that are over, and
 // lives that are being closed.
-func (d *Dispatcher) watch(s *session, now time.Duration) {
-	if s.closing != "" {
-		d.close(s, now)
+func (d *Dispatcher) checkSession(s *session, now time.Duration) {
+	if s.closeReason != "" {
+		d.closeWhenSettled(s, now)
 		return
 	}
-	if s.silent && !s.holding && now >= s.next {
-		d.hold(s)
+	if s.unresponsive && !s.holdPending && now >= s.nextHoldAt {
+		d.sendHold(s)
 	}
-	if now > s.over && len(s.runs) > 0 && now-s.heard > d.lease(s) {
-		event.Log(d.Log, event.ServerGone, "server", s.id, "born", s.born, "heard", (now - s.heard).String(), "held", len(s.runs))
-		d.clear(s, false)
+	if now > s.leaseEndsAt && len(s.runs) > 0 && now-s.lastAnswerAt > d.leaseLength(s) {
+		event.Log(d.Log, event.ServerGone, "server", s.id, "born", s.incarnation, "heard", (now - s.lastAnswerAt).String(), "held", len(s.runs))
+		d.recordLostRuns(s, false)
 	}
 }
 
-// ending begins to close a life that is over. Starts that are on their way may
+// beginClosing begins to close a life that is over. Starts that are on their way may
 // reach whoever listens at the address next, so they are settled first.
-func (d *Dispatcher) ending(s *session, why string) {
-	if s.closing == "" {
-		s.closing, s.closingAt = why, d.Now()
-		event.Log(d.Log, event.ServerGone, "server", s.id, "born", s.born, "cause", why, "held", len(s.runs))
+func (d *Dispatcher) beginClosing(s *session, why string) {
+	if s.closeReason == "" {
+		s.closeReason, s.closingSince = why, d.Now()
+		event.Log(d.Log, event.ServerGone, "server", s.id, "born", s.incarnation, "cause", why, "held", len(s.runs))
 	}
-	d.close(s, d.Now())
+	d.closeWhenSettled(s, d.Now())
 }
 
-// close ends a life once no start can be carried out any more that was sent
+// closeWhenSettled ends a life once no start can be carried out any more that was sent
 // into it: each doubtful one is stopped at the address, or its time is over. What
 // was found there by the stop works on for as long as a stop may take.
-func (d *Dispatcher) close(s *session, now time.Duration) {
-	if now < s.closingAt+d.Hold+2*callTimeout {
+func (d *Dispatcher) closeWhenSettled(s *session, now time.Duration) {
+	if now < s.closingSince+d.MaxLease+2*callTimeout {
 		for _, r := range s.runs {
-			if r.busy > 0 {
+			if r.pendingOrders > 0 {
 				return
 			}
-			if r.ghost {
-				d.stop(s, r)
+			if r.mayReachNextIncarnation {
+				d.sendStop(s, r)
 				return
 			}
-			if r.laid > 0 && now < r.laid+d.Stop+leaseMargin {
+			if r.nextIncarnationStoppedAt > 0 && now < r.nextIncarnationStoppedAt+d.MaxStopTime+leaseMargin {
 				return
 			}
 		}
 	}
-	d.clear(s, true)
-	d.forget(s)
+	d.recordLostRuns(s, true)
+	d.removeSession(s)
 }
 
-// clear records that nothing that a life held runs any more.
-func (d *Dispatcher) clear(s *session, over bool) {
-	c := &record.FlowClear{Id: s.id, Born: s.born, Over: over}
+// recordLostRuns records that nothing that a life held runs any more.
+func (d *Dispatcher) recordLostRuns(s *session, over bool) {
+	c := &record.FlowClear{Id: s.id, Born: s.incarnation, Over: over}
 	how := inner.RunEnd_RUN_END_LOST
-	if over && d.crashed(s) {
-		how, c.Blamed = inner.RunEnd_RUN_END_CRASHED, d.blamed(s)
+	if over && d.endedUnexpectedly(s) {
+		how, c.Blamed = inner.RunEnd_RUN_END_CRASHED, d.blamedRuns(s)
 	}
-	before, beside := d.wanted(s), len(s.runs)-1
+	before, beside := d.wantedRuns(s), len(s.runs)-1
 	for _, r := range s.runs {
-		if r.saved != "" {
-			c.Saved = append(c.Saved, &record.FlowSaved{Run: r.Message(), Checkpoint: r.saved})
+		if r.checkpoint != "" {
+			c.Saved = append(c.Saved, &record.FlowSaved{Run: r.Message(), Checkpoint: r.checkpoint})
 		}
-		event.Log(d.Log, event.AttemptLost, "flow", r.Flow, "run", r.String(), "server", s.id, "how", how.String(), "checkpoint", r.saved, "over", over, "age", d.age(s, r).String(), "beside", beside)
-		d.meter.end(how)
+		event.Log(d.Log, event.AttemptLost, "flow", r.Flow, "run", r.String(), "server", s.id, "how", how.String(), "checkpoint", r.checkpoint, "over", over, "age", d.runAge(s, r).String(), "beside", beside)
+		d.flowMetrics.countRunEnd(how)
 	}
-	if d.decide(&record.Flow{What: &record.Flow_Clear{Clear: c}}) {
-		d.givenUp(s, before)
+	if d.applyOrLog(&record.Flow{What: &record.Flow_Clear{Clear: c}}) {
+		d.logFailedFlows(s, before)
 		s.runs = map[flow.TaskID]*run{}
-		s.known = false
+		s.listReceived = false
 	}
 }
 
-// age returns how long before its server fell silent, or before now where it did not, a
+// runAge returns how long before its server fell silent, or before now where it did not, a
 // run was ordered to start; one that another leader placed, how long it was placed.
-func (d *Dispatcher) age(s *session, r *run) time.Duration {
+func (d *Dispatcher) runAge(s *session, r *run) time.Duration {
 	now := d.Now()
-	if s.silent {
-		now = s.broke
+	if s.unresponsive {
+		now = s.unresponsiveSince
 	}
-	if r.sent > 0 {
-		return max(now-r.sent, 0)
+	if r.startSentAt > 0 {
+		return max(now-r.startSentAt, 0)
 	}
-	return max(d.Host.Clock()-r.held.Since-(d.Now()-now), 0)
+	return max(d.Host.LedgerTime()-r.allocation.Since-(d.Now()-now), 0)
 }
--- a/internal/control/dispatch/plan.go
+++ b/internal/control/dispatch/plan.go
@@ -12,8 +12,8 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// unbounded stands for a limit that binds nothing.
-const unbounded = 1 << 50
+// unlimitedAmount stands for a limit that binds nothing.
+const unlimitedAmount = 1 << 50
 
 // plan decides what starts and carries it out.
 func (d *Dispatcher) plan(now time.Duration) {
@@ -22,40 +22,40 @@
 		return
 	}
 	begin := d.Now()
-	v := steps.View{Items: d.lead.view.Items[:0], Servers: d.lead.view.Servers[:0], Room: d.room, Known: d.known, Share: d.granted, Rest: d.Host.Rest}
-	v.Frees = func(server string) []steps.Release { return d.frees(server, now) }
-	clock := d.Host.Clock()
+	v := steps.View{Items: d.leader.planView.Items[:0], Servers: d.leader.planView.Servers[:0], Room: d.remainingQuota, Known: d.permissionsFor, Share: d.permitShare, Rest: d.Host.YieldThread}
+	v.Frees = func(server string) []steps.Release { return d.expectedReleases(server, now) }
+	clock := d.Host.LedgerTime()
 	for _, s := range ledger.Ready() {
-		if a := d.lead.advice[s.StepID]; a != nil && a.asking > 0 && len(a.permits) == 0 {
+		if a := d.leader.adviceByStep[s.StepID]; a != nil && a.pendingQuestions > 0 && len(a.permits) == 0 {
 			continue // nothing can be decided before the first answer
 		}
-		if it, ok := d.item(s, clock); ok {
+		if it, ok := d.planItem(s, clock); ok {
 			v.Items = append(v.Items, it)
 		}
 	}
-	for _, s := range d.lead.sorted {
+	for _, s := range d.leader.sortedSessions {
 		b, ok := ledger.Server(s.id)
-		if ok && ledger.Takes(b) && b.Born == s.born && s.usable(now) && !d.lead.emptied[s.id] {
-			v.Servers = append(v.Servers, steps.Server{Server: b, Speed: d.speed(s), Cold: clock < b.Warm, Fresh: fresh(b, clock), Probation: now < s.probation, Brief: d.lead.briefs[b.Pool].Has(s.id)})
+		if ok && ledger.Takes(b) && b.Born == s.incarnation && s.isUsable(now) && !d.leader.drainingForUpkeep[s.id] {
+			v.Servers = append(v.Servers, steps.Server{Server: b, Speed: d.relativeSpeed(s), Cold: clock < b.Warm, Fresh: isFresh(b, clock), Probation: now < s.probationUntil, Brief: d.leader.urgentServers[b.Pool].Has(s.id)})
 		}
 	}
-	v.Headroom = func(pool string) steps.Headroom { return d.headroom(pool, total(v.Servers, pool), now) }
-	d.lead.plans++
-	d.lead.view = v // the next plan uses its room
-	v.Items = steps.Pick(v, d.lead.plans)
-	p := d.lead.planner.Make(v)
+	v.Headroom = func(pool string) steps.Headroom { return d.headroom(pool, poolCapacity(v.Servers, pool), now) }
+	d.leader.planCount++
+	d.leader.planView = v // the next plan uses its room
+	v.Items = steps.Pick(v, d.leader.planCount)
+	p := d.leader.planner.Make(v)
 	for _, one := range p.Placements {
-		d.demands(one, now)
-		d.place(one, now)
+		d.recordDemand(one, now)
+		d.commitPlacement(one, now)
 	}
-	d.questions(p.Wants, now)
+	d.replaceQuestions(p.Wants, now)
 	took := d.Now() - begin
-	d.lead.pacer.Made(now, took)
-	d.meter.plan.Update(took.Seconds())
+	d.leader.planPacer.Made(now, took)
+	d.flowMetrics.planSeconds.Update(took.Seconds())
 }
 
-// total returns the size of a pool.
-func total(servers []steps.Server, pool string) capacity.Size {
+// poolCapacity returns the size of a pool.
+func poolCapacity(servers []steps.Server, pool string) capacity.Size {
 	var out capacity.Size
 	for _, s := range servers {
 		if s.Pool == pool {
@@ -65,42 +65,42 @@
 	return out
 }
 
-// room returns what a customer may still start.
-func (d *Dispatcher) room(customer string) capacity.Size {
+// remainingQuota returns what a customer may still start.
+func (d *Dispatcher) remainingQuota(customer string) capacity.Size {
 	limit, used := d.Host.Flows().Limit(customer), d.Host.Flows().Used(customer)
 	left := func(limit, used int64) int64 {
 		if limit == capacity.Unlimited {
-			return unbounded
+			return unlimitedAmount
 		}
 		return limit - used
 	}
 	return capacity.Size{CPU: left(limit.CPU, used.CPU), Memory: left(limit.Memory, used.Memory), Accel: left(limit.Accel, used.Accel)}
 }
 
-// item describes a ready step to the planner.
-func (d *Dispatcher) item(s *flows.Step, clock time.Duration) (steps.Item, bool) {
+// planItem describes a ready step to the planner.
+func (d *Dispatcher) planItem(s *flows.Step, clock time.Duration) (steps.Item, bool) {
 	q, ok := d.Host.Flows().QueueOf(s.Flow)
 	if !ok {
 		return steps.Item{}, false
 	}
-	t := d.times(s, q)
+	t := d.stepTimes(s, q)
 	begun := s.Flow.Accepted
 	if s.Flow.Spec.GetTimes() > 0 {
 		begun = time.Duration(s.Flow.Spec.GetFirst()+int64(s.Turn)*int64(s.Flow.Spec.GetEvery())) * time.Millisecond
 	}
-	takes := d.typical(s)
+	takes := d.typicalRuntime(s)
 	it := steps.Item{
-		Step: s, Pool: q.GetPool(), Priority: q.GetPriority(), Urgent: d.isUrgent(q.GetPool(), q.GetPriority()),
+		Step: s, Pool: q.GetPool(), Priority: q.GetPriority(), Urgent: d.isUrgentRank(q.GetPool(), q.GetPriority()),
 		Takes: takes, Usual: steps.Width(q.GetAdvice(), takes),
-		Surplus: d.lead.surplus[s.Flow.ID], Shunned: d.lead.shunned[s.StepID],
-		Permits: q.GetAdvice() != nil, Asked: d.lead.advice[s.StepID] != nil,
+		Surplus: d.leader.surplusFlows[s.Flow.ID], Shunned: d.leader.avoidedServers[s.StepID],
+		Permits: q.GetAdvice() != nil, Asked: d.leader.adviceByStep[s.StepID] != nil,
 	}
 	return it.Judged(t, clock-begun), true
 }
 
-// frees returns what a server will have free again, by how far its runs are.
-func (d *Dispatcher) frees(server string, now time.Duration) []steps.Release {
-	s := d.lead.sessions[server]
+// expectedReleases returns what a server will have free again, by how far its runs are.
+func (d *Dispatcher) expectedReleases(server string, now time.Duration) []steps.Release {
+	s := d.leader.sessions[server]
 	if s == nil {
 		return nil
 	}
@@ -112,25 +112,25 @@
 		case ok && step.Spec.GetLasting():
 			continue
 		case ok && !r.stopping:
-			in = max(d.rest(step, r, now), 0)
+			in = max(d.remainingTime(step, r, now), 0)
 		}
-		out = append(out, steps.Release{In: in, Size: r.held.Size})
+		out = append(out, steps.Release{In: in, Size: r.allocation.Size})
 	}
 	return out
 }
 
-// times returns a step's times; they stay the same once the step is ready.
-func (d *Dispatcher) times(s *flows.Step, q *v1.Queue) steps.Times {
-	t, ok := d.lead.times[s.StepID]
+// stepTimes returns a step's times; they stay the same once the step is ready.
+func (d *Dispatcher) stepTimes(s *flows.Step, q *v1.Queue) steps.Times {
+	t, ok := d.leader.stepTimes[s.StepID]
 	if !ok {
 		t = steps.TimesOf(s, q)
-		d.lead.times[s.StepID] = t
+		d.leader.stepTimes[s.StepID] = t
 	}
 	return t
 }
 
-// place commits a placement and sends the starts once it is committed.
-func (d *Dispatcher) place(p steps.Placement, now time.Duration) {
+// commitPlacement commits a placement and sends the starts once it is committed.
+func (d *Dispatcher) commitPlacement(p steps.Placement, now time.Duration) {
 	start := &record.FlowStart{}
 	var number uint32
 	for _, t := range p.Item.Tasks {
@@ -144,36 +144,36 @@
 		id := flow.RunID{TaskID: one.TaskID, Number: n + 1}
 		start.Places = append(start.Places, &record.FlowPlace{Run: id.Message(), Server: one.Server})
 	}
-	if !d.decide(&record.Flow{What: &record.Flow_Start{Start: start}}) {
+	if !d.applyOrLog(&record.Flow{What: &record.Flow_Start{Start: start}}) {
 		return
 	}
 	var runs []*run
 	for _, m := range start.GetPlaces() {
-		runs = append(runs, d.placed(m, d.urgent(p.Item.Step), now))
+		runs = append(runs, d.addPlacedRun(m, d.isUrgentStep(p.Item.Step), now))
 	}
-	waited := d.Host.Clock() - p.Item.Since
+	waited := d.Host.LedgerTime() - p.Item.Since
 	q := p.Item.Flow.Queue
-	d.meter.waited(q, waited)
-	d.Host.After(func() {
-		event.Log(d.Log, event.RunsPlaced, "flow", p.Item.Flow.ID, "step", p.Item.StepID.String(), "runs", len(runs), "first", start.Places[0].GetServer(), "queue", q, "waited", waited.String(), "term", d.lead.term)
+	d.flowMetrics.observeWait(q, waited)
+	d.Host.AfterCommit(func() {
+		event.Log(d.Log, event.RunsPlaced, "flow", p.Item.Flow.ID, "step", p.Item.StepID.String(), "runs", len(runs), "first", start.Places[0].GetServer(), "queue", q, "waited", waited.String(), "term", d.leader.term)
 		for _, r := range runs {
-			if s := d.lead.sessions[r.held.Server]; s != nil && s.runs[r.TaskID] == r {
-				d.start(s, r)
+			if s := d.leader.sessions[r.allocation.Server]; s != nil && s.runs[r.TaskID] == r {
+				d.sendStart(s, r)
 			}
 		}
 	})
 }
 
-// placed notes a run that was placed just now.
-func (d *Dispatcher) placed(m *record.FlowPlace, urgent bool, now time.Duration) *run {
+// addPlacedRun notes a run that was placed just now.
+func (d *Dispatcher) addPlacedRun(m *record.FlowPlace, urgent bool, now time.Duration) *run {
 	id := flow.RunOf(m.GetRun())
 	b, _ := d.Host.Flows().Server(m.GetServer())
-	r := &run{RunID: id, held: b.Held[id.TaskID], placed: now, urgent: urgent}
-	if a := d.lead.advice[id.StepID]; a != nil {
+	r := &run{RunID: id, allocation: b.Held[id.TaskID], placedAt: now, urgent: urgent}
+	if a := d.leader.adviceByStep[id.StepID]; a != nil {
 		r.permit = a.permits[m.GetServer()].ticket
 	}
-	s := d.lead.sessions[b.ID]
+	s := d.leader.sessions[b.ID]
 	s.runs[id.TaskID] = r
-	d.onProbation(s, r, now)
+	d.startProbation(s, r, now)
 	return r
 }
--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -15,8 +15,8 @@
 // Report is what a backend server says of itself now and then.
 type Report struct {
 	*record.FlowServer
-	// Call counts the reports of one life; a late one has a lower number.
-	Call uint64
+	// Number counts the reports of one life; a late one has a lower number.
+	Number uint64
 	// Clock is the server's clock in milliseconds; 0 when it is not told.
 	Clock int64
 	// Remaining is the least time in milliseconds that a leaving server has left.
@@ -27,10 +27,10 @@
 // committed: an acknowledged server gets no new work once it leaves.
 func (d *Dispatcher) Report(ctx context.Context, r Report) *code.Error {
 	received := d.Now()
-	rep, err := ask(ctx, d, errDeposed, func(reply func(*code.Error)) {
-		d.report(r, reply)
-		if s := d.lead.sessions[r.GetId()]; s != nil && s.born == r.GetBorn() {
-			s.reported(r, received)
+	rep, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
+		d.handleReport(r, reply)
+		if s := d.leader.sessions[r.GetId()]; s != nil && s.incarnation == r.GetBorn() {
+			s.applyReport(r, received)
 		}
 	})
 	if err != nil {
@@ -39,46 +39,46 @@
 	return rep
 }
 
-func (d *Dispatcher) report(r Report, reply func(*code.Error)) {
+func (d *Dispatcher) handleReport(r Report, reply func(*code.Error)) {
 	ledger := d.Host.Flows()
 	old, known := ledger.Server(r.GetId())
-	s := d.lead.sessions[r.GetId()]
+	s := d.leader.sessions[r.GetId()]
 	switch {
 	case known && r.GetBorn() < old.Born:
 		reply(nil) // a late report of a life before
 		return
-	case known && r.GetBorn() == old.Born && (old.Over || r.Call < old.Call):
+	case known && r.GetBorn() == old.Born && (old.Over || r.Number < old.Call):
 		reply(nil)
 		return
-	case s != nil && s.born < r.GetBorn():
+	case s != nil && s.incarnation < r.GetBorn():
 		// The life before this one has ended. What may still be on its way to
 		// it must not reach the new one unseen, so the new one is taken only
 		// when that is settled.
-		d.ending(s, "another life")
-		if d.lead.sessions[r.GetId()] != nil {
+		d.beginClosing(s, "another life")
+		if d.leader.sessions[r.GetId()] != nil {
 			reply(code.New(code.Busy, "the life before is being closed"))
 			return
 		}
-	case s != nil && s.born == r.GetBorn() && r.Call < s.call:
+	case s != nil && s.incarnation == r.GetBorn() && r.Number < s.reportNumber:
 		reply(nil)
 		return
-	case known && s != nil && same(old, r.FlowServer) && !d.colder(old, r.FlowServer):
+	case known && s != nil && isUnchanged(old, r.FlowServer) && !d.staysColdLonger(old, r.FlowServer):
 		// What it repeats may still be on its way into the log.
-		d.Host.After(func() { reply(nil) })
+		d.Host.AfterCommit(func() { reply(nil) })
 		return
 	}
 	if known && old.Born == r.GetBorn() && old.Leaving {
 		r.Leaving = true
 	}
-	r.FlowServer.Call = r.Call
-	if !d.decide(&record.Flow{What: &record.Flow_Server{Server: r.FlowServer}}) {
+	r.FlowServer.Call = r.Number
+	if !d.applyOrLog(&record.Flow{What: &record.Flow_Server{Server: r.FlowServer}}) {
 		reply(code.New(code.Stale, "%s", r.GetId()))
 		return
 	}
 	now, _ := ledger.Server(r.GetId())
-	if s := d.lead.sessions[r.GetId()]; s == nil {
-		d.open(now)
-		d.takeIn()
+	if s := d.leader.sessions[r.GetId()]; s == nil {
+		d.openSession(now)
+		d.sendFirstHolds()
 		event.Log(d.Log, event.ServerAnnounced, "server", r.GetId(), "born", r.GetBorn(), "pool", r.GetPool(), "address", r.GetAddress(), "cpu", now.Capacity.CPU, "memory", now.Capacity.Memory)
 	} else {
 		s.address = now.Address
@@ -86,20 +86,20 @@
 	if now.Leaving && (!known || !old.Leaving) {
 		event.Log(d.Log, event.ServerDraining, "server", r.GetId(), "born", r.GetBorn(), "remaining", r.Remaining, "held", len(now.Held))
 	}
-	d.Host.After(func() { reply(nil) })
+	d.Host.AfterCommit(func() { reply(nil) })
 }
 
-// coldSlack is how much later than known a server may say that it stops being slow
+// coldMargin is how much later than known a server may say that it stops being slow
 // before that is recorded: what it says is rough, and its report is on its way a while.
-const coldSlack = time.Second
+const coldMargin = time.Second
 
-// colder tells whether a server says that it stays slow for longer than is known.
-func (d *Dispatcher) colder(b *flows.Server, r *record.FlowServer) bool {
-	return d.Host.Clock()+time.Duration(r.GetCold())*time.Millisecond > max(b.Warm, d.Host.Clock())+coldSlack
+// staysColdLonger tells whether a server says that it stays slow for longer than is known.
+func (d *Dispatcher) staysColdLonger(b *flows.Server, r *record.FlowServer) bool {
+	return d.Host.LedgerTime()+time.Duration(r.GetCold())*time.Millisecond > max(b.Warm, d.Host.LedgerTime())+coldMargin
 }
 
-// same tells whether a report says nothing new.
-func same(b *flows.Server, r *record.FlowServer) bool {
+// isUnchanged tells whether a report says nothing new.
+func isUnchanged(b *flows.Server, r *record.FlowServer) bool {
 	size := capacity.Size{CPU: r.GetCapacity().GetCpu(), Memory: r.GetCapacity().GetMemory(), Accel: r.GetCapacity().GetAccel(), Slots: r.GetCapacity().GetSlots()}
 	return b.Born == r.GetBorn() && b.Address == r.GetAddress() && b.Pool == r.GetPool() && b.Machine == r.GetMachine() && b.Zone == r.GetZone() &&
 		b.Capacity == size && slices.Equal(b.Labels, r.GetLabels()) && (b.Leaving || !r.GetLeaving())
@@ -108,21 +108,21 @@
 // Leave takes a server's word that it ends. What it held counts as running
 // until that is proved: the word may be a late one, of a life before.
 func (d *Dispatcher) Leave(ctx context.Context, id string) *code.Error {
-	_, err := ask(ctx, d, errDeposed, func(reply func(struct{})) {
+	_, err := runOnLeader(ctx, d, errDeposed, func(reply func(struct{})) {
 		if b, ok := d.Host.Flows().Server(id); ok && !b.Over && !b.Leaving {
-			leaving := message(b)
+			leaving := serverRecord(b)
 			leaving.Leaving = true
-			d.decide(&record.Flow{What: &record.Flow_Server{Server: leaving}})
+			d.applyOrLog(&record.Flow{What: &record.Flow_Server{Server: leaving}})
 		}
 		event.Log(d.Log, event.ServerLeft, "server", id)
-		d.Host.After(func() { reply(struct{}{}) })
+		d.Host.AfterCommit(func() { reply(struct{}{}) })
 	})
 	return err
 }
 
-func message(b *flows.Server) *record.FlowServer {
+func serverRecord(b *flows.Server) *record.FlowServer {
 	return &record.FlowServer{
 		Id: b.ID, Born: b.Born, Address: b.Address, Zone: b.Zone, Pool: b.Pool, Machine: b.Machine,
-		Capacity: sizeMessage(b.Capacity), Labels: b.Labels, Leaving: b.Leaving, Cursor: b.Cursor, Call: b.Call,
+		Capacity: sizeRecord(b.Capacity), Labels: b.Labels, Leaving: b.Leaving, Cursor: b.Cursor, Call: b.Call,
 	}
 }
--- a/internal/control/dispatch/sessions.go
+++ b/internal/control/dispatch/sessions.go
@@ -10,40 +10,40 @@
 	"gypsumreel/internal/policy/pace"
 )
 
-// open begins a session with a server as the ledger has it.
-func (d *Dispatcher) open(b *flows.Server) *session {
+// openSession begins a session with a server as the ledger has it.
+func (d *Dispatcher) openSession(b *flows.Server) *session {
 	s := &session{
-		id: b.ID, born: b.Born, address: b.Address, cursor: b.Cursor, taken: b.Cursor,
-		heard: d.Now(), runs: map[flow.TaskID]*run{}, pace: pace.Full,
+		id: b.ID, incarnation: b.Born, address: b.Address, lastEndCommitted: b.Cursor, lastEndTaken: b.Cursor,
+		lastAnswerAt: d.Now(), runs: map[flow.TaskID]*run{}, pacePercent: pace.Full,
 	}
 	for id, h := range b.Held {
 		// Whether the start ever arrived is not known to this leader.
 		step, ok := d.Host.Flows().Step(h.StepID)
-		s.runs[id] = &run{RunID: h.RunID, held: h, maybe: true, urgent: ok && d.urgent(step)}
+		s.runs[id] = &run{RunID: h.RunID, allocation: h, startUnconfirmed: true, urgent: ok && d.isUrgentStep(step)}
 	}
-	s.rate = d.lead.speeds[s.id]
-	d.lead.sessions[b.ID] = s
-	at, _ := slices.BinarySearchFunc(d.lead.sorted, s.id, byID)
-	d.lead.sorted = slices.Insert(d.lead.sorted, at, s)
-	d.lead.intake.Add(s, s.class())
+	s.speed = d.leader.serverSpeeds[s.id]
+	d.leader.sessions[b.ID] = s
+	at, _ := slices.BinarySearchFunc(d.leader.sortedSessions, s.id, compareSessionID)
+	d.leader.sortedSessions = slices.Insert(d.leader.sortedSessions, at, s)
+	d.leader.firstHoldQueue.Add(s, s.firstHoldPriority())
 	return s
 }
 
-// forget ends a session.
-func (d *Dispatcher) forget(s *session) {
-	if s.relay != "" {
-		d.lead.relayed--
+// removeSession ends a session.
+func (d *Dispatcher) removeSession(s *session) {
+	if s.relayAddress != "" {
+		d.leader.relayedSessions--
 	}
-	delete(d.lead.sessions, s.id)
-	if at, ok := slices.BinarySearchFunc(d.lead.sorted, s.id, byID); ok {
-		d.lead.sorted = slices.Delete(d.lead.sorted, at, at+1)
+	delete(d.leader.sessions, s.id)
+	if at, ok := slices.BinarySearchFunc(d.leader.sortedSessions, s.id, compareSessionID); ok {
+		d.leader.sortedSessions = slices.Delete(d.leader.sortedSessions, at, at+1)
 	}
 }
 
-func byID(s *session, id string) int { return cmp.Compare(s.id, id) }
+func compareSessionID(s *session, id string) int { return cmp.Compare(s.id, id) }
 
-// class is how soon a server is asked what it holds.
-func (s *session) class() intake.Class {
+// firstHoldPriority is how soon a server is asked what it holds.
+func (s *session) firstHoldPriority() intake.Class {
 	c := intake.Idle
 	for _, r := range s.runs {
 		if r.urgent {
@@ -54,13 +54,13 @@
 	return c
 }
 
-// takeIn asks servers for the first time, as many as may be asked now.
-func (d *Dispatcher) takeIn() {
-	for s, ok := d.lead.intake.Next(d.Now()); ok; s, ok = d.lead.intake.Next(d.Now()) {
-		if d.lead.sessions[s.id] != s {
-			d.lead.intake.Done(s)
+// sendFirstHolds asks servers for the first time, as many as may be asked now.
+func (d *Dispatcher) sendFirstHolds() {
+	for s, ok := d.leader.firstHoldQueue.Next(d.Now()); ok; s, ok = d.leader.firstHoldQueue.Next(d.Now()) {
+		if d.leader.sessions[s.id] != s {
+			d.leader.firstHoldQueue.Done(s)
 			continue
 		}
-		d.hold(s)
+		d.sendHold(s)
 	}
 }
--- a/internal/control/dispatch/sharing.go
+++ b/internal/control/dispatch/sharing.go
@@ -10,49 +10,49 @@
 	"gypsumreel/internal/policy/pace"
 )
 
-// moderate sets the pace of what fills a server beside what serves there, from
+// adjustPace sets the pace of what fills a server beside what serves there, from
 // the list that the server has just given.
-func (d *Dispatcher) moderate(s *session) {
+func (d *Dispatcher) adjustPace(s *session) {
 	var serving []pace.Serving
 	var fills []*run
 	for _, r := range s.runs {
 		step, ok := d.Host.Flows().Step(r.StepID)
 		switch {
-		case !ok || !r.there || r.stopping:
+		case !ok || !r.reportedByServer || r.stopping:
 		case step.Spec.GetFills():
 			fills = append(fills, r)
 		case step.Spec.GetTarget() > 0:
 			serving = append(serving, pace.Serving{Tail: r.load, Target: float64(step.Spec.GetTarget())})
 		}
 	}
-	s.shared = len(fills) > 0 && len(serving) > 0
+	s.servesBesideFill = len(fills) > 0 && len(serving) > 0
 	if len(fills) == 0 {
-		s.pace = pace.Full
+		s.pacePercent = pace.Full
 		return
 	}
-	s.pace = pace.Next(s.pace, serving)
+	s.pacePercent = pace.Next(s.pacePercent, serving)
 	for _, r := range fills {
-		if r.paced != s.pace+1 && r.busy == 0 {
-			d.setPace(s, r, s.pace)
+		if r.sentPacePlusOne != s.pacePercent+1 && r.pendingOrders == 0 {
+			d.setPace(s, r, s.pacePercent)
 		}
 	}
 }
 
 // setPace tells a server how fast a run may work.
 func (d *Dispatcher) setPace(s *session, r *run, percent int) {
-	before := r.paced
-	r.paced = percent + 1 // 0 stands for not known
+	before := r.sentPacePlusOne
+	r.sentPacePlusOne = percent + 1 // 0 stands for not known
 	if before == 0 && percent == pace.Full {
 		return // the pace at which every run begins
 	}
 	event.Log(d.Log, event.RunPaced, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", percent)
-	r.busy++
+	r.pendingOrders++
 	c := &inner.ServerCall{What: &inner.ServerCall_Pace{Pace: &inner.PaceRun{Run: r.Message(), Percent: uint32(percent)}}}
-	d.call(s, c, 0, 0, false, func(a *inner.ServerAnswer, sent, came time.Duration) {
-		r.busy--
-		d.meter.call("pace", a.GetVerdict(), came-sent)
+	d.callServer(s, c, 0, 0, false, func(a *inner.ServerAnswer, sent, came time.Duration) {
+		r.pendingOrders--
+		d.flowMetrics.observeCall("pace", a.GetVerdict(), came-sent)
 		if a.GetVerdict() != inner.Verdict_VERDICT_DONE {
-			r.paced = -1 // told again with the next list
+			r.sentPacePlusOne = -1 // told again with the next list
 		}
 	})
 }
@@ -61,49 +61,51 @@
 // on from a checkpoint loses nothing by that, and lasting tasks are moved as many
 // at a time as their flow can miss.
 func (d *Dispatcher) evacuate(s *session, b *flows.Server, now time.Duration) {
-	if s.leaves == 0 {
+	if s.leavesAt == 0 {
 		return
 	}
-	left := s.leaves - now
+	left := s.leavesAt - now
 	for _, r := range s.runs {
 		step, ok := d.Host.Flows().Step(r.StepID)
-		if !ok || r.stopping || !r.there {
+		if !ok || r.stopping || !r.reportedByServer {
 			continue
 		}
 		switch {
 		case step.Spec.GetLasting():
-			if !d.spares(step) {
+			if !d.canMissTask(step) {
 				continue
 			}
-		case !step.Spec.GetSaves() || r.percent <= 0 || d.rest(step, r, now) <= left:
+		case !step.Spec.GetSaves() || r.progressPercent <= 0 || d.remainingTime(step, r, now) <= left:
 			continue
 		}
-		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.percent, "leaves", left.String(), "born", b.Born)
-		d.unwant(s, r)
+		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.progressPercent, "leaves", left.String(), "born", b.Born)
+		d.stopRun(s, r)
 	}
 }
 
-// rest returns how long a run still takes, by its progress so far.
-func (d *Dispatcher) rest(step *flows.Step, r *run, now time.Duration) time.Duration {
-	if r.placed == 0 || r.percent <= 0 {
-		return d.typical(step)
+// remainingTime returns how long a run still takes, by its progress so far.
+func (d *Dispatcher) remainingTime(step *flows.Step, r *run, now time.Duration) time.Duration {
+	if r.placedAt == 0 || r.progressPercent <= 0 {
+		return d.typicalRuntime(step)
 	}
-	return time.Duration(float64(r.looked-r.placed)*(100-r.percent)/r.percent) - (now - r.looked)
+	return time.Duration(float64(r.progressReportedAt-r.placedAt)*(100-r.progressPercent)/r.progressPercent) - (now - r.progressReportedAt)
 }
 
-// spares tells whether a flow can miss one more task of a lasting step.
-func (d *Dispatcher) spares(step *flows.Step) bool { return d.away(step) < int(step.Spec.GetAbsent()) }
+// canMissTask tells whether a flow can miss one more task of a lasting step.
+func (d *Dispatcher) canMissTask(step *flows.Step) bool {
+	return d.missingTasks(step) < int(step.Spec.GetAbsent())
+}
 
-// away counts the tasks of a lasting step that are not at work.
-func (d *Dispatcher) away(step *flows.Step) int {
+// missingTasks counts the tasks of a lasting step that are not at work.
+func (d *Dispatcher) missingTasks(step *flows.Step) int {
 	n := 0
 	for i, t := range step.Tasks {
-		s := d.lead.sessions[t.Server]
+		s := d.leader.sessions[t.Server]
 		if t.Phase != flows.Placed || s == nil {
 			n++
 			continue
 		}
-		if r := s.runs[flow.TaskID{StepID: step.StepID, Index: uint32(i)}]; r == nil || r.stopping || r.percent < 100 || s.silent {
+		if r := s.runs[flow.TaskID{StepID: step.StepID, Index: uint32(i)}]; r == nil || r.stopping || r.progressPercent < 100 || s.unresponsive {
 			n++
 		}
 	}
--- a/internal/control/dispatch/sweep.go
+++ b/internal/control/dispatch/sweep.go
@@ -10,11 +10,11 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// sweep forgets flows that ended long ago and servers that are over.
-func (d *Dispatcher) sweep(now time.Duration) {
+// removeExpired forgets flows that ended long ago and servers that are over.
+func (d *Dispatcher) removeExpired(now time.Duration) {
 	const most = 500
 	ledger := d.Host.Flows()
-	before := d.Host.Clock() - d.Retention
+	before := d.Host.LedgerTime() - d.Retention
 	f := &record.FlowForget{}
 	for id, one := range ledger.Flows() {
 		if one.Final() && one.Ended < before && one.Held == 0 && len(f.Flows) < most {
@@ -22,50 +22,50 @@
 		}
 	}
 	for id, b := range ledger.Servers() {
-		if b.Over && len(b.Held) == 0 && d.lead.sessions[id] == nil {
+		if b.Over && len(b.Held) == 0 && d.leader.sessions[id] == nil {
 			f.Servers = append(f.Servers, id)
 		}
 	}
 	if len(f.Flows)+len(f.Servers) > 0 {
-		d.decide(&record.Flow{What: &record.Flow_Forget{Forget: f}})
+		d.applyOrLog(&record.Flow{What: &record.Flow_Forget{Forget: f}})
 	}
-	for id := range d.lead.advice {
+	for id := range d.leader.adviceByStep {
 		if s, ok := ledger.Step(id); !ok || s.Flow.Final() || s.Done == len(s.Tasks) {
-			delete(d.lead.advice, id)
+			delete(d.leader.adviceByStep, id)
 		}
 	}
-	maps.DeleteFunc(d.lead.times, func(id flow.StepID, _ steps.Times) bool {
+	maps.DeleteFunc(d.leader.stepTimes, func(id flow.StepID, _ steps.Times) bool {
 		s, ok := ledger.Step(id)
 		return !ok || s.Done == len(s.Tasks)
 	})
-	maps.DeleteFunc(d.lead.shunned, func(id flow.StepID, _ map[string]bool) bool {
+	maps.DeleteFunc(d.leader.avoidedServers, func(id flow.StepID, _ map[string]bool) bool {
 		s, ok := ledger.Step(id)
 		return !ok || s.Done == len(s.Tasks)
 	})
-	for id := range d.lead.surplus {
+	for id := range d.leader.surplusFlows {
 		if f, ok := ledger.Flow(id); !ok || f.Final() {
-			delete(d.lead.surplus, id)
+			delete(d.leader.surplusFlows, id)
 		}
 	}
-	d.average()
-	d.gather()
-	d.forgetHelpers(now)
-	d.meter.look(d)
+	d.updateRuntimeRatio()
+	d.chooseUrgentServers()
+	d.removeExpiredProcesses(now)
+	d.flowMetrics.updateGauges(d)
 }
 
-// beginTurns begins the turns of flows that run at times and are due.
-func (d *Dispatcher) beginTurns() {
+// startDueTurns begins the turns of flows that run at times and are due.
+func (d *Dispatcher) startDueTurns() {
 	ledger := d.Host.Flows()
-	for id := range d.lead.timed {
+	for id := range d.leader.recurringFlows {
 		f, ok := ledger.Flow(id)
 		if !ok || f.Final() || f.Next >= f.Spec.GetTimes() {
-			delete(d.lead.timed, id)
+			delete(d.leader.recurringFlows, id)
 			continue
 		}
 		due := time.Duration(f.Spec.GetFirst()+int64(f.Next)*int64(f.Spec.GetEvery())) * time.Millisecond
-		if due <= d.Host.Clock() {
-			event.Log(d.Log, event.TurnBegun, "flow", id, "turn", f.Next, "late", (d.Host.Clock() - due).String())
-			d.decide(&record.Flow{What: &record.Flow_Due{Due: &record.FlowDue{Id: id}}})
+		if due <= d.Host.LedgerTime() {
+			event.Log(d.Log, event.TurnBegun, "flow", id, "turn", f.Next, "late", (d.Host.LedgerTime() - due).String())
+			d.applyOrLog(&record.Flow{What: &record.Flow_Due{Due: &record.FlowDue{Id: id}}})
 		}
 	}
 }
--- a/internal/control/dispatch/takeover_test.go
+++ b/internal/control/dispatch/takeover_test.go
@@ -127,7 +127,7 @@
 	play(t, 1, func(t *testing.T, w *world) {
 		w.do(func() { w.leads = false; w.d.Deposed() })
 		for _, address := range []string{"entry1", "entry2"} {
-			w.d.Heard(&inner.Greeting{Address: address})
+			w.d.RegisterProcess(&inner.Greeting{Address: address})
 		}
 		w.do(func() {
 			w.term++
--- a/internal/control/flows/flows.go
+++ b/internal/control/flows/flows.go
@@ -15,8 +15,8 @@
 	"gypsumreel/internal/control/leader"
 )
 
-// patience bounds a request whose entry names no budget, or a longer one.
-const patience = 5 * time.Second
+// maxRequestTime bounds a request whose entry names no budget, or a longer one.
+const maxRequestTime = 5 * time.Second
 
 // Server implements inner.Flows. The exported fields are set before use.
 type Server struct {
@@ -32,14 +32,14 @@
 
 // Ask answers a caller's request, or tells who leads.
 func (s *Server) Ask(ctx context.Context, a *inner.FlowAsk) (*inner.FlowAnswer, error) {
-	if err := s.check(a.GetCell()); err != nil {
+	if err := s.checkCell(a.GetCell()); err != nil {
 		return nil, err
 	}
 	st := s.Leader.Status()
 	if !st.Leads {
 		return &inner.FlowAnswer{Code: uint32(code.NoLeader), Leader: st.Address}, nil
 	}
-	limit := patience
+	limit := maxRequestTime
 	if b := time.Duration(a.GetBudget()) * time.Millisecond; b > 0 {
 		limit = min(limit, b)
 	}
@@ -54,11 +54,11 @@
 
 // Greet makes a process known to the leader, or tells who leads.
 func (s *Server) Greet(ctx context.Context, g *inner.Greeting) (*inner.Welcome, error) {
-	if err := s.check(g.GetCell()); err != nil {
+	if err := s.checkCell(g.GetCell()); err != nil {
 		return nil, err
 	}
 	if st := s.Leader.Status(); !st.Leads {
-		s.Dispatcher.Heard(g)
+		s.Dispatcher.RegisterProcess(g)
 		return &inner.Welcome{Leader: st.Address, Term: st.Term}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
@@ -66,7 +66,7 @@
 	return s.Dispatcher.Greet(ctx, g), nil
 }
 
-func (s *Server) check(cell string) error {
+func (s *Server) checkCell(cell string) error {
 	if cell != s.Cell {
 		return twirp.NewError(twirp.PermissionDenied, "this is cell "+s.Cell)
 	}
--- a/internal/control/leader/leader.go
+++ b/internal/control/leader/leader.go
@@ -260,15 +260,15 @@
 	}
 }
 
-// Rest lets the other goroutines of the process have their turn: a message of the
+// YieldThread lets the other goroutines of the process have their turn: a message of the
 // group takes several of them, and a leader that decided for long at a time would lose
 // its lead to its own load. It is called on the control thread.
-func (l *Leader) Rest() { l.turn.Rest() }
+func (l *Leader) YieldThread() { l.turn.Rest() }
 
 // drain takes more batches that wait already, so that they share one commit.
 func (l *Leader) drain() {
 	for range batches {
-		l.Rest()
+		l.YieldThread()
 		select {
 		case fn := <-l.inbox:
 			fn()
--- a/internal/control/leader/operator.go
+++ b/internal/control/leader/operator.go
@@ -23,7 +23,7 @@
 		l.member(to, c)
 		return
 	}
-	if c := req.GetZone(); c != nil && !l.KnowsZone(c.GetZone()) {
+	if c := req.GetZone(); c != nil && !l.HasZone(c.GetZone()) {
 		l.refuse(to, code.New(code.Unknown, "zone %q", c.GetZone()))
 		return
 	}
@@ -92,8 +92,8 @@
 	return out
 }
 
-// KnowsZone tells whether there is an availability zone of that name.
-func (l *Leader) KnowsZone(name string) bool {
+// HasZone tells whether there is an availability zone of that name.
+func (l *Leader) HasZone(name string) bool {
 	if len(l.Zones) > 0 {
 		return slices.Contains(l.Zones, name)
 	}
