--- a/internal/control/dispatch/advice.go
+++ b/internal/control/dispatch/advice.go
@@ -44,14 +44,14 @@
 
 // permissionsFor tells the planner what is known of a step on servers.
 func (d *Dispatcher) permissionsFor(id flow.StepID) iter.Seq2[string, steps.Permission] {
-	a := d.leader.adviceByStep[id]
-	if a == nil {
-		a = &stepAdvice{}
-	}
-	return steps.Permissions(a.allowedServers, func(server string) bool {
-		p, ok := a.permits[server]
-		s := d.leader.sessions[server]
-		return ok && d.leader.plannedAt < p.validUntil && s != nil && s.incarnation == p.incarnation
+	known := d.leader.adviceByStep[id]
+	if known == nil {
+		known = &stepAdvice{}
+	}
+	return steps.Permissions(known.allowedServers, func(server string) bool {
+		held, ok := known.permits[server]
+		sess := d.leader.sessions[server]
+		return ok && d.leader.plannedAt < held.validUntil && sess != nil && sess.incarnation == held.incarnation
 	})
 }
 
@@ -66,131 +66,131 @@
 // much waiting, a helper that rested until the next plan would give one answer a
 // plan, however quick the adviser is.
 func (d *Dispatcher) askPendingQuestions(now time.Duration) {
-	var left []steps.Want
-	var none busyHelpers
+	var remaining []steps.Want
+	var busy busyHelpers
 	shortest := d.shortestQuestion()
-	for i, w := range d.leader.pendingQuestions {
-		if none.shortQuestions {
-			left = append(left, d.leader.pendingQuestions[i:]...)
+	for i, want := range d.leader.pendingQuestions {
+		if busy.shortQuestions {
+			remaining = append(remaining, d.leader.pendingQuestions[i:]...)
 			break
 		}
-		if !d.askAdviserAbout(w, shortest, &none, now) {
-			left = append(left, w)
+		if !d.askAdviserAbout(want, shortest, &busy, now) {
+			remaining = append(remaining, want)
 		}
 	}
-	d.leader.pendingQuestions = left
+	d.leader.pendingQuestions = remaining
 }
 
 // busyHelpers tells for which questions no helper is free.
 type busyHelpers struct{ shortQuestions, longQuestions bool }
 
 // askAdviserAbout asks what is wanted of a step; false when no helper is free for it.
-func (d *Dispatcher) askAdviserAbout(w steps.Want, shortest time.Duration, none *busyHelpers, now time.Duration) bool {
-	q, ok := d.Host.Flows().QueueOf(w.Item.Flow)
-	if !ok || q.GetAdvice() == nil || w.Item.Flow.Final() || w.Item.Queued == 0 {
+func (d *Dispatcher) askAdviserAbout(want steps.Want, shortest time.Duration, busy *busyHelpers, now time.Duration) bool {
+	q, ok := d.Host.Flows().QueueOf(want.Item.Flow)
+	if !ok || q.GetAdvice() == nil || want.Item.Flow.Final() || want.Item.Queued == 0 {
 		return true
 	}
-	a := d.leader.adviceByStep[w.Item.StepID]
-	if a == nil {
-		a = &stepAdvice{allowedServers: map[string]bool{}, permits: map[string]permit{}}
-		d.leader.adviceByStep[w.Item.StepID] = a
+	advice := d.leader.adviceByStep[want.Item.StepID]
+	if advice == nil {
+		advice = &stepAdvice{allowedServers: map[string]bool{}, permits: map[string]permit{}}
+		d.leader.adviceByStep[want.Item.StepID] = advice
 	}
-	if a.pendingQuestions > 0 || now < a.nextQuestionAt {
+	if advice.pendingQuestions > 0 || now < advice.nextQuestionAt {
 		return true
 	}
-	whole := crew.Long(steps.Cost(q.GetAdvice(), len(w.Servers)), shortest)
-	if whole && none.longQuestions {
+	isLong := crew.Long(steps.Cost(q.GetAdvice(), len(want.Servers)), shortest)
+	if isLong && busy.longQuestions {
 		return false
 	}
-	for i, servers := range d.helperPool.Split(w.Servers, steps.MostAsked, whole, now) {
-		takes := steps.Cost(q.GetAdvice(), len(servers))
-		long := crew.Long(takes, shortest)
-		h := d.helperPool.Take(long, now)
-		if h == nil {
-			none.longQuestions = true
-			none.shortQuestions = none.shortQuestions || !long
+	for i, servers := range d.helperPool.Split(want.Servers, steps.MostAsked, isLong, now) {
+		expectedTime := steps.Cost(q.GetAdvice(), len(servers))
+		long := crew.Long(expectedTime, shortest)
+		helper := d.helperPool.Take(long, now)
+		if helper == nil {
+			busy.longQuestions = true
+			busy.shortQuestions = busy.shortQuestions || !long
 			return i > 0
 		}
-		d.sendQuestion(h, steps.Want{Item: w.Item, Servers: servers}, a, q.GetAdvice(), takes)
+		d.sendQuestion(helper, steps.Want{Item: want.Item, Servers: servers}, advice, q.GetAdvice(), expectedTime)
 	}
 	return true
 }
 
 // shortestQuestion returns the time of the shortest kind of question there is.
 func (d *Dispatcher) shortestQuestion() time.Duration {
-	var least time.Duration
+	var shortest time.Duration
 	for _, q := range d.Host.Flows().Config().GetQueues() {
 		if q.GetAdvice() == nil {
 			continue
 		}
-		if c := steps.Cost(q.GetAdvice(), steps.LeastAsked); least == 0 || c < least {
-			least = c
+		if cost := steps.Cost(q.GetAdvice(), steps.LeastAsked); shortest == 0 || cost < shortest {
+			shortest = cost
 		}
 	}
-	return least
+	return shortest
 }
 
 // sendQuestion lets a helper ask the adviser.
-func (d *Dispatcher) sendQuestion(h *crew.Helper, w steps.Want, a *stepAdvice, terms *v1.Advice, takes time.Duration) {
-	id := w.Item.StepID
-	a.pendingQuestions++
-	lives := map[string]int64{}
-	for _, s := range w.Servers {
-		if one := d.leader.sessions[s]; one != nil {
-			lives[s] = one.incarnation
+func (d *Dispatcher) sendQuestion(helper *crew.Helper, want steps.Want, advice *stepAdvice, config *v1.Advice, expectedTime time.Duration) {
+	id := want.Item.StepID
+	advice.pendingQuestions++
+	incarnations := map[string]int64{}
+	for _, s := range want.Servers {
+		if sess := d.leader.sessions[s]; sess != nil {
+			incarnations[s] = sess.incarnation
 		}
 	}
-	timeout := takes + adviceTimeoutMargin
+	timeout := expectedTime + adviceTimeoutMargin
 	req := &inner.AdviseRequest{
-		Cell: d.Cell, Flow: id.Flow, Turn: id.Turn, Step: id.Step, Servers: w.Servers, Budget: uint64(timeout / time.Millisecond),
+		Cell: d.Cell, Flow: id.Flow, Turn: id.Turn, Step: id.Step, Servers: want.Servers, Budget: uint64(timeout / time.Millisecond),
 	}
-	term, ctx, address, sent := d.leader.term, d.leader.ctx, h.Address, d.Now()
+	term, ctx, address, sentAt := d.leader.term, d.leader.ctx, helper.Address, d.Now()
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		rep := d.Helpers.Advise(ctx, address, req)
-		came := d.Now()
+		reply := d.Helpers.Advise(ctx, address, req)
+		receivedAt := d.Now()
 		d.Host.Post(func() {
-			d.helperPool.Free(h, code.Code(rep.GetCode()) == code.OK, came)
+			d.helperPool.Free(helper, code.Code(reply.GetCode()) == code.OK, receivedAt)
 			if d.leader != nil && d.leader.term == term {
-				d.handleAdvice(id, a, lives, rep, terms, sent, came)
-				d.askPendingQuestions(came)
+				d.handleAdvice(id, advice, incarnations, reply, config, sentAt, receivedAt)
+				d.askPendingQuestions(receivedAt)
 			}
 		})
 	}()
 }
 
 // handleAdvice takes the adviser's answer.
-func (d *Dispatcher) handleAdvice(id flow.StepID, a *stepAdvice, lives map[string]int64, rep *inner.AdviseReply, terms *v1.Advice, sent, came time.Duration) {
-	a.pendingQuestions--
+func (d *Dispatcher) handleAdvice(id flow.StepID, advice *stepAdvice, incarnations map[string]int64, reply *inner.AdviseReply, config *v1.Advice, sentAt, receivedAt time.Duration) {
+	advice.pendingQuestions--
 	d.leader.planNeeded = true
-	d.flowMetrics.observeQuestion(code.Code(rep.GetCode()), came-sent)
-	if c := code.Code(rep.GetCode()); c != code.OK {
-		a.nextQuestionAt = came + adviceRetryPause
-		event.Log(d.Log, event.AdviceFailed, "flow", id.Flow, "step", id.String(), "code", uint32(c), "detail", rep.GetDetail(), "took", (came - sent).String())
+	d.flowMetrics.observeQuestion(code.Code(reply.GetCode()), receivedAt-sentAt)
+	if c := code.Code(reply.GetCode()); c != code.OK {
+		advice.nextQuestionAt = receivedAt + adviceRetryPause
+		event.Log(d.Log, event.AdviceFailed, "flow", id.Flow, "step", id.String(), "code", uint32(c), "detail", reply.GetDetail(), "took", (receivedAt - sentAt).String())
 		return
 	}
-	valid := rep.GetValid()
-	if valid == 0 {
-		valid = terms.GetValid()
+	validMillis := reply.GetValid()
+	if validMillis == 0 {
+		validMillis = config.GetValid()
 	}
-	until := came + time.Duration(valid)*time.Millisecond*(permitMarginDivisor-1)/permitMarginDivisor
-	news, allowed := 0, 0
-	for server := range lives {
-		if _, known := a.allowedServers[server]; !known {
-			a.allowedServers[server] = false
-			news++
+	validUntil := receivedAt + time.Duration(validMillis)*time.Millisecond*(permitMarginDivisor-1)/permitMarginDivisor
+	newServers, newlyAllowed := 0, 0
+	for server := range incarnations {
+		if _, known := advice.allowedServers[server]; !known {
+			advice.allowedServers[server] = false
+			newServers++
 		}
 	}
-	for _, p := range rep.GetPermits() {
-		if !a.allowedServers[p.GetServer()] {
-			allowed++
+	for _, granted := range reply.GetPermits() {
+		if !advice.allowedServers[granted.GetServer()] {
+			newlyAllowed++
 		}
-		a.allowedServers[p.GetServer()] = true
-		a.permits[p.GetServer()] = permit{ticket: p.GetTicket(), incarnation: lives[p.GetServer()], validUntil: until}
+		advice.allowedServers[granted.GetServer()] = true
+		advice.permits[granted.GetServer()] = permit{ticket: granted.GetTicket(), incarnation: incarnations[granted.GetServer()], validUntil: validUntil}
 	}
-	d.learnPermitShare(id, news, allowed)
-	event.Log(d.Log, event.AdviceTaken, "flow", id.Flow, "step", id.String(), "asked", len(lives), "permits", len(rep.GetPermits()), "took", (came - sent).String())
+	d.learnPermitShare(id, newServers, newlyAllowed)
+	event.Log(d.Log, event.AdviceTaken, "flow", id.Flow, "step", id.String(), "asked", len(incarnations), "permits", len(reply.GetPermits()), "took", (receivedAt - sentAt).String())
 }
 
 // usualShare is the part of the servers asked about that may run a step, while
@@ -202,21 +202,21 @@
 
 // learnPermitShare notes which part of the servers that were asked about for the first
 // time may run a step.
-func (d *Dispatcher) learnPermitShare(id flow.StepID, asked, permits int) {
+func (d *Dispatcher) learnPermitShare(id flow.StepID, askedServers, permittedServers int) {
 	f, ok := d.Host.Flows().Flow(id.Flow)
-	if !ok || asked == 0 {
+	if !ok || askedServers == 0 {
 		return
 	}
-	old, known := d.leader.permitShares[f.Queue]
+	share, known := d.leader.permitShares[f.Queue]
 	if !known {
-		old = defaultPermitShare
+		share = defaultPermitShare
 	}
-	d.leader.permitShares[f.Queue] = old + permitShareWeight*(float64(permits)/float64(asked)-old)
+	d.leader.permitShares[f.Queue] = share + permitShareWeight*(float64(permittedServers)/float64(askedServers)-share)
 }
 
 // permitShare returns the part of the servers asked about that usually may run a step.
-func (d *Dispatcher) permitShare(it steps.Item) float64 {
-	if share, ok := d.leader.permitShares[it.Flow.Queue]; ok {
+func (d *Dispatcher) permitShare(item steps.Item) float64 {
+	if share, ok := d.leader.permitShares[item.Flow.Queue]; ok {
 		return share
 	}
 	return defaultPermitShare
--- a/internal/control/dispatch/advice_test.go
+++ b/internal/control/dispatch/advice_test.go
@@ -15,11 +15,11 @@
 // A gang needs many servers, of which the adviser allows a few, and takes most of a
 // second for each question. Asked one question after the other, it would begin
 // seconds later; the processes that rest ask about other servers meanwhile.
-func TestWideGangIsAskedAboutSideBySide(t *testing.T) {
-	play(t, 120, func(t *testing.T, w *world) {
+func TestLargeGangQuestionsAreAskedConcurrently(t *testing.T) {
+	runWithCluster(t, 120, func(t *testing.T, w *testCluster) {
 		var mu sync.Mutex
-		var asked []string
-		first := time.Now()
+		var askedServers []string
+		startedAt := time.Now()
 		w.advise = func(r *inner.AdviseRequest) *inner.AdviseReply {
 			if len(r.GetServers()) > 100 {
 				return &inner.AdviseReply{Code: uint32(code.Malformed)}
@@ -27,36 +27,36 @@
 			time.Sleep(500*time.Millisecond + 8*time.Millisecond*time.Duration(len(r.GetServers())))
 			mu.Lock()
 			defer mu.Unlock()
-			rep := &inner.AdviseReply{Valid: 2000}
+			reply := &inner.AdviseReply{Valid: 2000}
 			for _, s := range r.GetServers() {
-				asked = append(asked, s)
-				rep.Permits = append(rep.Permits, &inner.Permit{Server: s, Ticket: "ticket"})
+				askedServers = append(askedServers, s)
+				reply.Permits = append(reply.Permits, &inner.Permit{Server: s, Ticket: "ticket"})
 			}
-			return rep
+			return reply
 		}
-		doc := document()
+		doc := testDocument()
 		doc.Version = 2
 		doc.Queues[0].Advice = &v1.Advice{Base: 500, Each: 8, Valid: 2000}
 		doc.Queues = append(doc.Queues, &v1.Queue{Name: "quick", Host: "host", Path: "/quick/", Pool: "pool", Timeout: 3000, Advice: &v1.Advice{Base: 5, Each: 0.1, Valid: 2000}})
-		if err := w.d.Put(t.Context(), doc); err != nil {
+		if err := w.dispatcher.Put(t.Context(), doc); err != nil {
 			t.Fatal(err)
 		}
 		for i := range 8 {
-			w.d.Greet(t.Context(), &inner.Greeting{Address: fmt.Sprintf("entry%d", i)})
+			w.dispatcher.Greet(t.Context(), &inner.Greeting{Address: fmt.Sprintf("entry%d", i)})
 		}
-		gang := step(30, 4000)
+		gang := newStep(30, 4000)
 		gang.Gang = true
 		w.submit("a", gang)
-		w.await("a", done, 10*time.Second)
+		w.awaitState("a", stateDone, 10*time.Second)
 		mu.Lock()
 		defer mu.Unlock()
 		// A second of work, and one question's time; one long question takes half a second more.
-		if took := time.Since(first); took > 2000*time.Millisecond {
-			t.Errorf("it took %v", took)
+		if elapsed := time.Since(startedAt); elapsed > 2000*time.Millisecond {
+			t.Errorf("it took %v", elapsed)
 		}
-		slices.Sort(asked)
-		if n := len(slices.Compact(slices.Clone(asked))); n != len(asked) {
-			t.Errorf("%d of %d servers were asked about twice", len(asked)-n, len(asked))
+		slices.Sort(askedServers)
+		if n := len(slices.Compact(slices.Clone(askedServers))); n != len(askedServers) {
+			t.Errorf("%d of %d servers were asked about twice", len(askedServers)-n, len(askedServers))
 		}
 	})
 }
@@ -65,46 +65,46 @@
 // each takes long. Urgent flows that a user waits for seconds for had no question
 // asked, although the adviser answers within milliseconds: each process got its next
 // question with the next plan only.
-func TestHelpersAskOnBetweenPlans(t *testing.T) {
-	const waiting, helpers, answer = 60, 4, 10 * time.Millisecond
-	play(t, 120, func(t *testing.T, w *world) {
+func TestHelpersAskNextQuestionBeforeNextPlan(t *testing.T) {
+	const waitingFlows, helpers, answerTime = 60, 4, 10 * time.Millisecond
+	runWithCluster(t, 120, func(t *testing.T, w *testCluster) {
 		var mu sync.Mutex
-		var last time.Time
+		var lastAnswerAt time.Time
 		w.advise = func(r *inner.AdviseRequest) *inner.AdviseReply {
-			time.Sleep(answer)
+			time.Sleep(answerTime)
 			mu.Lock()
 			defer mu.Unlock()
-			last = time.Now()
-			rep := &inner.AdviseReply{Valid: 20000}
+			lastAnswerAt = time.Now()
+			reply := &inner.AdviseReply{Valid: 20000}
 			for _, s := range r.GetServers() {
-				rep.Permits = append(rep.Permits, &inner.Permit{Server: s, Ticket: "ticket"})
+				reply.Permits = append(reply.Permits, &inner.Permit{Server: s, Ticket: "ticket"})
 			}
-			return rep
+			return reply
 		}
-		doc := document()
+		doc := testDocument()
 		doc.Version = 2
 		doc.Queues[0].Advice = &v1.Advice{Base: 5, Each: 0.1, Valid: 20000}
-		if err := w.d.Put(t.Context(), doc); err != nil {
+		if err := w.dispatcher.Put(t.Context(), doc); err != nil {
 			t.Fatal(err)
 		}
 		for i := range helpers {
-			w.d.Greet(t.Context(), &inner.Greeting{Address: fmt.Sprintf("entry%d", i)})
+			w.dispatcher.Greet(t.Context(), &inner.Greeting{Address: fmt.Sprintf("entry%d", i)})
 		}
-		w.do(func() { w.slow = 10 * time.Millisecond })
-		var all sync.WaitGroup
-		for i := range waiting {
-			all.Go(func() { w.submit(fmt.Sprintf("f%d", i), step(1, 1000)) })
+		w.runAndWait(func() { w.startDecisionTime = 10 * time.Millisecond })
+		var submits sync.WaitGroup
+		for i := range waitingFlows {
+			submits.Go(func() { w.submit(fmt.Sprintf("f%d", i), newStep(1, 1000)) })
 		}
-		all.Wait()
-		begin := time.Now()
-		for i := range waiting {
-			w.await(fmt.Sprintf("f%d", i), done, 20*time.Second)
+		submits.Wait()
+		startedAt := time.Now()
+		for i := range waitingFlows {
+			w.awaitState(fmt.Sprintf("f%d", i), stateDone, 20*time.Second)
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		// Twice the time in which the helpers ask all, and one plan's pause.
-		if took := last.Sub(begin); took > 2*waiting/helpers*answer+500*time.Millisecond {
-			t.Errorf("the last answer came after %v", took)
+		if elapsed := lastAnswerAt.Sub(startedAt); elapsed > 2*waitingFlows/helpers*answerTime+500*time.Millisecond {
+			t.Errorf("the last answer came after %v", elapsed)
 		}
 	})
 }
--- a/internal/control/dispatch/ask.go
+++ b/internal/control/dispatch/ask.go
@@ -27,7 +27,7 @@
 // runOnLeader runs fn on the control thread while this replica leads. fn calls reply
 // once, then or later. A request that is still open when the replica is deposed
 // is answered with lost.
-func runOnLeader[T any](ctx context.Context, d *Dispatcher, lost *code.Error, fn func(reply func(T))) (T, *code.Error) {
+func runOnLeader[T any](ctx context.Context, d *Dispatcher, deposedErr *code.Error, fn func(reply func(T))) (T, *code.Error) {
 	type result struct {
 		value T
 		err   *code.Error
@@ -39,14 +39,14 @@
 			answered <- result{err: errNotLeading}
 			return
 		}
-		ld := d.leader
-		ld.lastRequestID++
-		serial := ld.lastRequestID
-		ld.pendingRequests[serial] = func() { answered <- result{err: lost} }
-		fn(func(v T) {
-			if _, open := ld.pendingRequests[serial]; open {
-				delete(ld.pendingRequests, serial)
-				answered <- result{value: v}
+		leader := d.leader
+		leader.lastRequestID++
+		requestID := leader.lastRequestID
+		leader.pendingRequests[requestID] = func() { answered <- result{err: deposedErr} }
+		fn(func(value T) {
+			if _, pending := leader.pendingRequests[requestID]; pending {
+				delete(leader.pendingRequests, requestID)
+				answered <- result{value: value}
 			}
 		})
 	})
@@ -64,7 +64,7 @@
 // Ask answers a caller's request; it may be called on any goroutine.
 func (d *Dispatcher) Ask(ctx context.Context, a *inner.FlowAsk) *inner.FlowAnswer {
 	received := d.Now()
-	rep, err := runOnLeader(ctx, d, errDeposed, func(reply func(*inner.FlowAnswer)) {
+	answer, err := runOnLeader(ctx, d, errDeposed, func(reply func(*inner.FlowAnswer)) {
 		if a.GetTerm() > d.leader.term {
 			// A later leader has answered this entry already: what is said
 			// here could be older than what its callers have seen.
@@ -80,7 +80,7 @@
 	if err != nil {
 		return refusalAnswer(err, 0)
 	}
-	return rep
+	return answer
 }
 
 func refusalAnswer(err *code.Error, retry time.Duration) *inner.FlowAnswer {
@@ -191,8 +191,8 @@
 // deposed unnoticed would deny flows that another has accepted.
 func (d *Dispatcher) replyState(id, owner string, received time.Duration, reply func(*inner.FlowAnswer)) {
 	d.withFlow(id, owner, received, reply, func(f *flows.Flow) {
-		said := stateAnswer(f)
-		d.Host.AfterCommit(func() { reply(said) })
+		answer := stateAnswer(f)
+		d.Host.AfterCommit(func() { reply(answer) })
 	})
 }
 
@@ -232,11 +232,11 @@
 	}
 	received := d.Now()
 	_, err := runOnLeader(ctx, d, errDeposed, func(reply func(struct{})) {
-		held := d.Host.Flows().Config().GetVersion()
-		if doc.GetVersion() > held {
+		currentVersion := d.Host.Flows().Config().GetVersion()
+		if doc.GetVersion() > currentVersion {
 			d.applyOrLog(&record.Flow{What: &record.Flow_Document{Document: doc}})
 		}
-		event.Log(d.Log, event.DocumentTaken, "version", doc.GetVersion(), "held", held, "bytes", len(doc.GetText()), "term", d.leader.term)
+		event.Log(d.Log, event.DocumentTaken, "version", doc.GetVersion(), "held", currentVersion, "bytes", len(doc.GetText()), "term", d.leader.term)
 		d.Host.AfterCommit(func() { d.Host.AfterLeadershipProof(received, func() { reply(struct{}{}) }) })
 	})
 	return err
--- a/internal/control/dispatch/crash.go
+++ b/internal/control/dispatch/crash.go
@@ -28,17 +28,17 @@
 
 // blamedRuns returns the runs that may have crashed a server.
 func (d *Dispatcher) blamedRuns(s *session) []*inner.Run {
-	all := slices.DeleteFunc(d.wantedRuns(s), func(r *run) bool { return r.placedAt > 0 && r.startSentAt == 0 })
-	judged := make([]blame.Run, 0, len(all))
-	for _, r := range all {
+	candidates := slices.DeleteFunc(d.wantedRuns(s), func(r *run) bool { return r.placedAt > 0 && r.startSentAt == 0 })
+	blameRuns := make([]blame.Run, 0, len(candidates))
+	for _, r := range candidates {
 		t, _ := d.currentTask(r)
-		judged = append(judged, blame.Run{Age: d.runAge(s, r), Blamed: t.Blamed})
+		blameRuns = append(blameRuns, blame.Run{Age: d.runAge(s, r), Blamed: t.Blamed})
 	}
 	var out []*inner.Run
-	for _, i := range blame.Suspects(judged) {
-		t, _ := d.currentTask(all[i])
-		event.Log(d.Log, event.RunBlamed, "flow", all[i].Flow, "run", all[i].String(), "server", s.id, "crashes", t.Crashes+1, "blamed", t.Blamed+1, "beside", len(s.runs)-1)
-		out = append(out, all[i].Message())
+	for _, i := range blame.Suspects(blameRuns) {
+		t, _ := d.currentTask(candidates[i])
+		event.Log(d.Log, event.RunBlamed, "flow", candidates[i].Flow, "run", candidates[i].String(), "server", s.id, "crashes", t.Crashes+1, "blamed", t.Blamed+1, "beside", len(s.runs)-1)
+		out = append(out, candidates[i].Message())
 	}
 	return out
 }
@@ -55,8 +55,8 @@
 
 // logFailedFlows logs the flows that the crash of a server was one too many for, of those
 // that went on before.
-func (d *Dispatcher) logFailedFlows(s *session, before []*run) {
-	for _, r := range before {
+func (d *Dispatcher) logFailedFlows(s *session, wantedBefore []*run) {
+	for _, r := range wantedBefore {
 		if f, ok := d.Host.Flows().Flow(r.Flow); ok && f.State == v1.FlowState_FLOW_STATE_FAILED {
 			event.Log(d.Log, event.FlowGivenUp, "flow", r.Flow, "run", r.String(), "server", s.id, "customer", f.Customer)
 		}
--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -211,13 +211,13 @@
 // Deposed drops everything. Requests under way learn that the answer is not
 // known here.
 func (d *Dispatcher) Deposed() {
-	ld := d.leader
-	if ld == nil {
+	leader := d.leader
+	if leader == nil {
 		return
 	}
 	d.leader = nil
-	ld.cancel()
-	for _, fail := range ld.pendingRequests {
+	leader.cancel()
+	for _, fail := range leader.pendingRequests {
 		fail()
 	}
 }
--- a/internal/control/dispatch/dispatch_test.go
+++ b/internal/control/dispatch/dispatch_test.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	running   = v1.FlowState_FLOW_STATE_RUNNING
-	done      = v1.FlowState_FLOW_STATE_DONE
-	failed    = v1.FlowState_FLOW_STATE_FAILED
-	cancelled = v1.FlowState_FLOW_STATE_CANCELLED
+	stateRunning   = v1.FlowState_FLOW_STATE_RUNNING
+	stateDone      = v1.FlowState_FLOW_STATE_DONE
+	stateFailed    = v1.FlowState_FLOW_STATE_FAILED
+	stateCancelled = v1.FlowState_FLOW_STATE_CANCELLED
 )
 
-// play runs a test on virtual time.
-func play(t *testing.T, workers int, fn func(t *testing.T, w *world)) {
+// runWithCluster runs a test on virtual time.
+func runWithCluster(t *testing.T, workers int, fn func(t *testing.T, w *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, workers)
-		defer w.end()
+		w := newTestCluster(t, workers)
+		defer w.shutDown()
 		fn(t, w)
 	})
 }
 
-// after returns a step that waits for others.
-func after(s *v1.FlowStep, steps ...uint32) *v1.FlowStep {
+// withDependencies returns a step that waits for others.
+func withDependencies(s *v1.FlowStep, steps ...uint32) *v1.FlowStep {
 	s.After = steps
 	return s
 }
 
-func TestStepsRunInTheirOrder(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
-		w.submit("a", step(3, 1000), after(step(2, 2000), 0))
-		begin := time.Now()
-		w.await("a", done, 5*time.Second)
-		if took := time.Since(begin); took < 2*time.Second {
-			t.Errorf("two steps of a second each took %v", took)
+func TestStepsRunInDependencyOrder(t *testing.T) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
+		w.submit("a", newStep(3, 1000), withDependencies(newStep(2, 2000), 0))
+		startedAt := time.Now()
+		w.awaitState("a", stateDone, 5*time.Second)
+		if elapsed := time.Since(startedAt); elapsed < 2*time.Second {
+			t.Errorf("two steps of a second each took %v", elapsed)
 		}
 	})
 }
@@ -52,43 +52,43 @@
 // A caller's flow stands still for ever. Its placement was committed, but the
 // leader froze before the start left. The server lists nothing of it, and no
 // start or stop was ever answered that would tell the next leader so.
-func TestNextLeaderSettlesWhatWasNeverStarted(t *testing.T) {
-	play(t, 1, func(_ *testing.T, w *world) {
-		var found atomic.Bool
-		w.change(func(_ string, one *worker.Worker) {
-			one.Fault = func(c *inner.ServerCall) worker.Fault {
-				if c.GetStart() != nil && !found.Load() {
+func TestNextLeaderRestartsRunWhoseStartWasNeverSent(t *testing.T) {
+	runWithCluster(t, 1, func(_ *testing.T, w *testCluster) {
+		var reachable atomic.Bool
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.Fault = func(c *inner.ServerCall) worker.Fault {
+				if c.GetStart() != nil && !reachable.Load() {
 					return worker.Fault{Verdict: inner.Verdict_VERDICT_SILENT}
 				}
 				return worker.Fault{}
 			}
 		})
-		w.submit("a", step(2, 1000))
+		w.submit("a", newStep(2, 1000))
 		time.Sleep(50 * time.Millisecond)
-		w.elect()
-		found.Store(true)
-		w.await("a", done, 5*time.Second)
+		w.electNewLeader()
+		reachable.Store(true)
+		w.awaitState("a", stateDone, 5*time.Second)
 	})
 }
 
 // A server starts a task and its answer is lost. Started again as another run,
 // the work would be done twice.
-func TestLostAnswerStartsOnce(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
-		w.change(func(_ string, one *worker.Worker) {
-			first := true
-			one.Fault = func(c *inner.ServerCall) worker.Fault {
-				if c.GetStart() == nil || !first {
+func TestLostStartAnswerStartsTaskOnce(t *testing.T) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			isFirst := true
+			backend.Fault = func(c *inner.ServerCall) worker.Fault {
+				if c.GetStart() == nil || !isFirst {
 					return worker.Fault{}
 				}
-				first = false
+				isFirst = false
 				return worker.Fault{Lost: true}
 			}
 		})
-		w.submit("a", step(1, 1000))
-		w.await("a", done, 10*time.Second)
-		if began := w.began(); len(began) != 1 {
-			t.Errorf("runs that began: %v", began)
+		w.submit("a", newStep(1, 1000))
+		w.awaitState("a", stateDone, 10*time.Second)
+		if runStarts := w.runStarts(); len(runStarts) != 1 {
+			t.Errorf("runs that began: %v", runStarts)
 		}
 	})
 }
@@ -96,17 +96,17 @@
 // A server starts a task and its answer is lost; a list shows that it runs. The
 // start is asked for again all the same, and refused: its permit is over by now.
 // Taken for a start that failed, the task would be placed elsewhere as well.
-func TestRefusalOfARunThatIsThere(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
+func TestRefusedRetryDoesNotEndReportedRun(t *testing.T) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		var starts atomic.Int32
-		w.change(func(_ string, one *worker.Worker) {
-			one.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
 				if r.Flow == "a" {
 					return 3 * time.Second, inner.RunEnd_RUN_END_DONE
 				}
 				return 100 * time.Millisecond * time.Duration(r.Index+1), inner.RunEnd_RUN_END_DONE
 			}
-			one.Fault = func(c *inner.ServerCall) worker.Fault {
+			backend.Fault = func(c *inner.ServerCall) worker.Fault {
 				if c.GetStart().GetRun().GetFlow() != "a" {
 					return worker.Fault{}
 				}
@@ -119,10 +119,10 @@
 				return worker.Fault{}
 			}
 		})
-		w.submit("b", step(20, 100))
-		w.submit("a", step(1, 1000))
-		w.await("a", done, 10*time.Second)
-		if got := w.began()[flow.RunID{TaskID: flow.TaskID{StepID: flow.StepID{Flow: "a"}}, Number: 2}]; got != 0 {
+		w.submit("b", newStep(20, 100))
+		w.submit("a", newStep(1, 1000))
+		w.awaitState("a", stateDone, 10*time.Second)
+		if got := w.runStarts()[flow.RunID{TaskID: flow.TaskID{StepID: flow.StepID{Flow: "a"}}, Number: 2}]; got != 0 {
 			t.Error("the task was started again although it ran")
 		}
 	})
@@ -130,46 +130,46 @@
 
 // A start is held up in the network for seconds. Its task was given to another
 // server meanwhile; carried out then, it would run in two places.
-func TestLateStartIsNotCarriedOut(t *testing.T) {
-	play(t, 2, func(_ *testing.T, w *world) {
-		var late atomic.Int32
-		w.change(func(_ string, one *worker.Worker) {
-			one.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return 8 * time.Second, inner.RunEnd_RUN_END_DONE }
-			one.Fault = func(c *inner.ServerCall) worker.Fault {
-				if c.GetStart() == nil || late.Add(1) > 2 {
+func TestDelayedStartIsNotExecuted(t *testing.T) {
+	runWithCluster(t, 2, func(_ *testing.T, w *testCluster) {
+		var starts atomic.Int32
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return 8 * time.Second, inner.RunEnd_RUN_END_DONE }
+			backend.Fault = func(c *inner.ServerCall) worker.Fault {
+				if c.GetStart() == nil || starts.Add(1) > 2 {
 					return worker.Fault{}
 				}
 				return worker.Fault{Late: 4 * time.Second}
 			}
 		})
-		w.submit("a", step(1, 1000))
-		w.await("a", done, 20*time.Second)
+		w.submit("a", newStep(1, 1000))
+		w.awaitState("a", stateDone, 20*time.Second)
 	})
 }
 
 // A server is cut off with work on it and runs on. The work may be placed again
 // only when its lease is over there, however slow its clock is.
-func TestWorkOfASilentServerWaitsForItsLease(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
-		w.change(func(_ string, one *worker.Worker) {
-			one.Rate = 0.98
-			one.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
+func TestTaskOfUnresponsiveServerIsPlacedAfterLeaseEnd(t *testing.T) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.Rate = 0.98
+			backend.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
 				if r.Number == 1 {
 					return time.Hour, inner.RunEnd_RUN_END_DONE
 				}
 				return time.Second, inner.RunEnd_RUN_END_DONE
 			}
 		})
-		w.submit("a", step(1, 1000))
+		w.submit("a", newStep(1, 1000))
 		time.Sleep(500 * time.Millisecond)
-		for _, one := range w.busy() {
-			one.Change(func(one *worker.Worker) {
-				one.Fault = func(*inner.ServerCall) worker.Fault { return worker.Fault{Verdict: inner.Verdict_VERDICT_SILENT} }
+		for _, backend := range w.busyWorkers() {
+			backend.Change(func(backend *worker.Worker) {
+				backend.Fault = func(*inner.ServerCall) worker.Fault { return worker.Fault{Verdict: inner.Verdict_VERDICT_SILENT} }
 			})
 		}
-		w.await("a", done, 20*time.Second)
-		if began := w.began(); len(began) != 2 {
-			t.Errorf("runs that began: %v", began)
+		w.awaitState("a", stateDone, 20*time.Second)
+		if runStarts := w.runStarts(); len(runStarts) != 2 {
+			t.Errorf("runs that began: %v", runStarts)
 		}
 	})
 }
@@ -177,41 +177,41 @@
 // A server is cut off with urgent work on it. Whoever waits for that is served only
 // if it is placed again soon; long work elsewhere must keep its long leases, and no
 // task may run in two places for that.
-func TestUrgentWorkOfASilentServerIsPlacedAgainInTime(t *testing.T) {
-	play(t, 12, func(t *testing.T, w *world) {
-		w.do(func() { w.d.MaxLease = 10 * time.Second })
-		w.urgent()
-		w.change(func(_ string, one *worker.Worker) {
-			one.Rate = 0.98
-			one.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
+func TestUrgentTaskOfUnresponsiveServerMeetsDeadline(t *testing.T) {
+	runWithCluster(t, 12, func(t *testing.T, w *testCluster) {
+		w.runAndWait(func() { w.dispatcher.MaxLease = 10 * time.Second })
+		w.putUrgentQueue()
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.Rate = 0.98
+			backend.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
 				if r.Flow == "b" {
 					return time.Minute, inner.RunEnd_RUN_END_DONE
 				}
 				return 2 * time.Second, inner.RunEnd_RUN_END_DONE
 			}
 		})
-		long, urgent := step(6, 4000), step(2, 1000)
+		long, urgent := newStep(6, 4000), newStep(2, 1000)
 		long.Runtime, urgent.Runtime = 60000, 2000
-		rep := w.d.Ask(t.Context(), &inner.FlowAsk{Verb: inner.FlowVerb_FLOW_VERB_SUBMIT, Host: "host", Path: "/later/b", Key: key[:], Spec: &v1.FlowSpec{Id: "b", Steps: []*v1.FlowStep{long}}})
-		if rep.GetCode() != 0 {
-			t.Fatal(rep)
+		answer := w.dispatcher.Ask(t.Context(), &inner.FlowAsk{Verb: inner.FlowVerb_FLOW_VERB_SUBMIT, Host: "host", Path: "/later/b", Key: keyHash[:], Spec: &v1.FlowSpec{Id: "b", Steps: []*v1.FlowStep{long}}})
+		if answer.GetCode() != 0 {
+			t.Fatal(answer)
 		}
 		time.Sleep(5 * time.Second)
 		w.submit("a", urgent)
 		time.Sleep(200 * time.Millisecond)
-		cut := 0
-		for _, one := range w.busy() {
-			if one.Running()[0].Flow == "a" {
-				cut++
-				one.Change(func(one *worker.Worker) {
-					one.Fault = func(*inner.ServerCall) worker.Fault { return worker.Fault{Verdict: inner.Verdict_VERDICT_SILENT} }
+		cutOffServers := 0
+		for _, backend := range w.busyWorkers() {
+			if backend.Running()[0].Flow == "a" {
+				cutOffServers++
+				backend.Change(func(backend *worker.Worker) {
+					backend.Fault = func(*inner.ServerCall) worker.Fault { return worker.Fault{Verdict: inner.Verdict_VERDICT_SILENT} }
 				})
 			}
 		}
-		if cut == 0 {
+		if cutOffServers == 0 {
 			t.Fatal("no server runs urgent work alone")
 		}
-		w.await("a", done, 9500*time.Millisecond) // three times 1.5 x 2 + 0.25 s
+		w.awaitState("a", stateDone, 9500*time.Millisecond) // three times 1.5 x 2 + 0.25 s
 	})
 }
 
@@ -219,58 +219,60 @@
 // before that is committed a stop is answered, which asks for the list again, and the
 // next one tells of another end. Acknowledged with the first, the second is forgotten
 // by the server; the leader dies before it is committed, and nobody knows of it.
-func TestNoEndIsAcknowledgedBeforeItIsCommitted(t *testing.T) {
-	const first, others = time.Second, 10
-	play(t, 1, func(t *testing.T, w *world) {
-		var began atomic.Int64
-		w.change(func(_ string, one *worker.Worker) {
-			one.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
+func TestRunEndIsNotAcknowledgedBeforeCommit(t *testing.T) {
+	const runtime, otherFlows = time.Second, 10
+	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
+		var firstStartedAt atomic.Int64
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
 				switch {
 				case r.Flow != "a":
 					return time.Hour, inner.RunEnd_RUN_END_DONE
 				case r.Index == 0:
-					began.Store(time.Now().UnixNano())
-					return first, inner.RunEnd_RUN_END_DONE
+					firstStartedAt.Store(time.Now().UnixNano())
+					return runtime, inner.RunEnd_RUN_END_DONE
 				}
-				return first + commitTime, inner.RunEnd_RUN_END_DONE
+				return runtime + commitDelay, inner.RunEnd_RUN_END_DONE
 			}
 		})
-		long := step(1, 100)
+		long := newStep(1, 100)
 		long.Runtime = uint64(time.Hour / time.Millisecond)
-		for i := range others {
+		for i := range otherFlows {
 			w.submit(fmt.Sprint("b", i), long)
 		}
 		time.Sleep(time.Second)
-		w.submit("a", step(2, 1000))
+		w.submit("a", newStep(2, 1000))
 		time.Sleep(500 * time.Millisecond)
-		at := func(d time.Duration) { time.Sleep(time.Until(time.Unix(0, began.Load()).Add(d))) }
-		for i := range others {
+		sleepUntil := func(sinceStart time.Duration) {
+			time.Sleep(time.Until(time.Unix(0, firstStartedAt.Load()).Add(sinceStart)))
+		}
+		for i := range otherFlows {
 			// Its stop is answered a commit later, one each millisecond around the ends.
-			at(first - commitTime + time.Duration(i)*time.Millisecond)
-			go w.ask(inner.FlowVerb_FLOW_VERB_CANCEL, fmt.Sprint("b", i))
+			sleepUntil(runtime - commitDelay + time.Duration(i)*time.Millisecond)
+			go w.askFlow(inner.FlowVerb_FLOW_VERB_CANCEL, fmt.Sprint("b", i))
 		}
-		at(first + 2*commitTime - time.Millisecond)
-		w.elect()
-		w.await("a", done, 10*time.Second)
-		if n := len(w.began()); n != others+2 {
-			t.Errorf("%d runs of %d tasks began: %v", n, others+2, w.began())
+		sleepUntil(runtime + 2*commitDelay - time.Millisecond)
+		w.electNewLeader()
+		w.awaitState("a", stateDone, 10*time.Second)
+		if n := len(w.runStarts()); n != otherFlows+2 {
+			t.Errorf("%d runs of %d tasks began: %v", n, otherFlows+2, w.runStarts())
 		}
 	})
 }
 
 // A server's process dies. Nobody listens at its address, so nothing runs there,
 // and its work need not wait for the end of the lease.
-func TestWorkOfADeadServerGoesOnAtOnce(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
-		w.submit("a", step(1, 1000))
+func TestTaskOfCrashedServerIsPlacedImmediately(t *testing.T) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
+		w.submit("a", newStep(1, 1000))
 		time.Sleep(500 * time.Millisecond)
-		for _, one := range w.busy() {
-			one.Crash()
+		for _, backend := range w.busyWorkers() {
+			backend.Crash()
 		}
-		begin := time.Now()
-		w.await("a", done, 10*time.Second)
-		if took := time.Since(begin); took > 3*time.Second {
-			t.Errorf("it took %v", took)
+		startedAt := time.Now()
+		w.awaitState("a", stateDone, 10*time.Second)
+		if elapsed := time.Since(startedAt); elapsed > 3*time.Second {
+			t.Errorf("it took %v", elapsed)
 		}
 	})
 }
@@ -278,49 +280,49 @@
 // A server dies and starts again under its name while a start is on its way. The
 // start reaches the new life, which has seen no fencing token and runs it. The
 // task must not be placed elsewhere before that run is stopped.
-func TestStartThatReachesTheNextLife(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
-		var reborn atomic.Bool
-		w.change(func(id string, one *worker.Worker) {
-			one.Fault = func(c *inner.ServerCall) worker.Fault {
-				if c.GetStart() == nil || reborn.Swap(true) {
+func TestStartThatReachesNextIncarnationIsStopped(t *testing.T) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
+		var restarted atomic.Bool
+		w.changeWorkers(func(id string, backend *worker.Worker) {
+			backend.Fault = func(c *inner.ServerCall) worker.Fault {
+				if c.GetStart() == nil || restarted.Swap(true) {
 					return worker.Fault{}
 				}
 				go func() {
-					one.Crash()
-					next := w.place(id, 2)
-					next.Change(func(next *worker.Worker) {
-						next.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return 5 * time.Second, inner.RunEnd_RUN_END_DONE }
+					backend.Crash()
+					nextIncarnation := w.startWorker(id, 2)
+					nextIncarnation.Change(func(nextIncarnation *worker.Worker) {
+						nextIncarnation.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return 5 * time.Second, inner.RunEnd_RUN_END_DONE }
 					})
-					next.Call(t.Context(), c)
-					w.announce(id, 2)
+					nextIncarnation.Call(t.Context(), c)
+					w.reportUntilAccepted(id, 2)
 				}()
 				return worker.Fault{Verdict: inner.Verdict_VERDICT_SILENT}
 			}
 		})
-		w.submit("a", step(1, 1000))
-		w.await("a", done, 30*time.Second)
+		w.submit("a", newStep(1, 1000))
+		w.awaitState("a", stateDone, 30*time.Second)
 	})
 }
 
 // A member of a gang is refused. The others must be stopped at once and not left
 // to wait for it, and then all start together again.
 func TestRefusedMemberStopsItsGang(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		var refused atomic.Bool
-		w.change(func(_ string, one *worker.Worker) {
-			one.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return 2 * time.Second, inner.RunEnd_RUN_END_DONE }
-			one.Fault = func(c *inner.ServerCall) worker.Fault {
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return 2 * time.Second, inner.RunEnd_RUN_END_DONE }
+			backend.Fault = func(c *inner.ServerCall) worker.Fault {
 				if c.GetStart() == nil || refused.Swap(true) {
 					return worker.Fault{}
 				}
 				return worker.Fault{Verdict: inner.Verdict_VERDICT_UNWELL}
 			}
 		})
-		w.submit("a", gangOf(4, 2000))
-		w.await("a", done, 10*time.Second)
+		w.submit("a", newGangStep(4, 2000))
+		w.awaitState("a", stateDone, 10*time.Second)
 		numbers := map[uint32]int{}
-		for r := range w.began() {
+		for r := range w.runStarts() {
 			numbers[r.Number]++
 		}
 		if numbers[1] != 3 || numbers[2] != 4 {
@@ -332,25 +334,25 @@
 // A server is gone without a word while a gang starts there. Its member is not
 // known to have ended before its lease is over, which is longer than the others
 // wait for it: they would hold their room in vain and end alone.
-func TestGangDoesNotWaitForASilentServer(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
-		w.change(func(id string, one *worker.Worker) {
-			one.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Minute, inner.RunEnd_RUN_END_DONE }
-			gone := false
-			one.Fault = func(c *inner.ServerCall) worker.Fault {
-				if gone = gone || id == "s1" && c.GetStart() != nil; gone {
+func TestGangDoesNotWaitForUnresponsiveServer(t *testing.T) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
+		w.changeWorkers(func(id string, backend *worker.Worker) {
+			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Minute, inner.RunEnd_RUN_END_DONE }
+			isGone := false
+			backend.Fault = func(c *inner.ServerCall) worker.Fault {
+				if isGone = isGone || id == "s1" && c.GetStart() != nil; isGone {
 					return worker.Fault{Late: time.Hour}
 				}
 				return worker.Fault{}
 			}
 		})
-		w.submit("a", gangOf(4, 2000))
+		w.submit("a", newGangStep(4, 2000))
 		time.Sleep(200 * time.Millisecond)
-		if len(w.busy()) != 1 {
-			t.Fatalf("busy servers: %v", w.busy())
+		if len(w.busyWorkers()) != 1 {
+			t.Fatalf("busy servers: %v", w.busyWorkers())
 		}
 		time.Sleep(2500 * time.Millisecond)
-		if len(w.busy()) != 0 {
+		if len(w.busyWorkers()) != 0 {
 			t.Error("the other members still wait")
 		}
 	})
@@ -358,49 +360,49 @@
 
 // Something cuts the leader off from all servers, and entries still reach them.
 // Relayed through one and the same entry, the calls would wait for each other.
-func TestRelayedCallsAreSpread(t *testing.T) {
-	play(t, 12, func(t *testing.T, w *world) {
+func TestRelayedCallsUseDifferentHelpers(t *testing.T) {
+	runWithCluster(t, 12, func(t *testing.T, w *testCluster) {
 		greet := func() {
 			for i := range 6 {
-				w.d.Greet(t.Context(), &inner.Greeting{Address: fmt.Sprintf("entry%d", i)})
+				w.dispatcher.Greet(t.Context(), &inner.Greeting{Address: fmt.Sprintf("entry%d", i)})
 			}
 		}
 		greet()
-		w.cut.Store(true)
+		w.leaderCutOff.Store(true)
 		for range 8 {
 			time.Sleep(500 * time.Millisecond)
 			greet()
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		through := map[string]int{}
-		for _, address := range w.relays {
-			through[address]++
+		serversByRelay := map[string]int{}
+		for _, address := range w.lastRelay {
+			serversByRelay[address]++
 		}
-		if len(w.relays) != 12 || len(through) < 3 {
-			t.Errorf("servers by who relays for them: %v", through)
+		if len(w.lastRelay) != 12 || len(serversByRelay) < 3 {
+			t.Errorf("servers by who relays for them: %v", serversByRelay)
 		}
 	})
 }
 
 // A caller cancels and is told so. Nothing of its flow may start after that, and
 // what runs is stopped.
-func TestCancelStopsWhatRuns(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
-		w.change(func(_ string, one *worker.Worker) {
-			one.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Minute, inner.RunEnd_RUN_END_DONE }
+func TestCancelStopsRunningTasks(t *testing.T) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Minute, inner.RunEnd_RUN_END_DONE }
 		})
-		w.submit("a", step(12, 1000))
+		w.submit("a", newStep(12, 1000))
 		time.Sleep(200 * time.Millisecond)
-		if rep := w.ask(inner.FlowVerb_FLOW_VERB_CANCEL, "a"); rep.GetState() != cancelled {
-			t.Fatal(rep)
+		if answer := w.askFlow(inner.FlowVerb_FLOW_VERB_CANCEL, "a"); answer.GetState() != stateCancelled {
+			t.Fatal(answer)
 		}
-		began := len(w.began())
+		startsBefore := len(w.runStarts())
 		time.Sleep(time.Second)
-		for id, one := range w.busy() {
-			t.Errorf("%s still runs %v", id, one.Running())
+		for id, backend := range w.busyWorkers() {
+			t.Errorf("%s still runs %v", id, backend.Running())
 		}
-		if len(w.began()) != began {
+		if len(w.runStarts()) != startsBefore {
 			t.Error("something started after the cancel was told")
 		}
 	})
@@ -409,39 +411,39 @@
 // A task that always fails has used up its attempts: the flow has failed, and no
 // further run of it begins.
 func TestFailedAttemptsAreCounted(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
-		w.change(func(_ string, one *worker.Worker) {
-			one.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
 				if r.Index == 0 {
 					return 100 * time.Millisecond, inner.RunEnd_RUN_END_FAILED
 				}
 				return time.Minute, inner.RunEnd_RUN_END_DONE
 			}
 		})
-		w.submit("a", step(2, 1000))
-		w.await("a", failed, 5*time.Second)
+		w.submit("a", newStep(2, 1000))
+		w.awaitState("a", stateFailed, 5*time.Second)
 		time.Sleep(time.Second)
-		if began := w.began(); len(began) != 4 {
-			t.Errorf("runs that began: %v", began)
+		if runStarts := w.runStarts(); len(runStarts) != 4 {
+			t.Errorf("runs that began: %v", runStarts)
 		}
 	})
 }
 
 // A server says that it leaves and is acknowledged. From then on it gets nothing
 // new, also from the next leader and after a late report that it is ready.
-func TestLeavingServerGetsNothingNew(t *testing.T) {
-	play(t, 1, func(t *testing.T, w *world) {
-		if err := w.report("s1", 1, true); err != nil {
+func TestLeavingServerGetsNoNewTasks(t *testing.T) {
+	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
+		if err := w.sendReport("s1", 1, true); err != nil {
 			t.Fatal(err)
 		}
-		w.elect()
-		if err := w.report("s1", 1, false); err != nil {
+		w.electNewLeader()
+		if err := w.sendReport("s1", 1, false); err != nil {
 			t.Fatal(err)
 		}
-		w.submit("a", step(1, 1000))
+		w.submit("a", newStep(1, 1000))
 		time.Sleep(3 * time.Second)
-		if began := w.began(); len(began) > 0 {
-			t.Errorf("runs that began: %v", began)
+		if runStarts := w.runStarts(); len(runStarts) > 0 {
+			t.Errorf("runs that began: %v", runStarts)
 		}
 	})
 }
@@ -449,34 +451,34 @@
 // A key is withdrawn by a new document: the next call with it is refused, and
 // what it was refused for is not accepted.
 func TestWithdrawnKeyIsRefusedAtOnce(t *testing.T) {
-	play(t, 1, func(t *testing.T, w *world) {
-		next := document()
+	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
+		next := testDocument()
 		next.Version, next.Customers[0].Keys = 2, nil
-		if err := w.d.Put(t.Context(), next); err != nil {
+		if err := w.dispatcher.Put(t.Context(), next); err != nil {
 			t.Fatal(err)
 		}
-		if rep := w.ask(inner.FlowVerb_FLOW_VERB_SUBMIT, "a", step(1, 1000)); code.Code(rep.GetCode()) != code.BadKey {
-			t.Errorf("got %v", rep)
+		if answer := w.askFlow(inner.FlowVerb_FLOW_VERB_SUBMIT, "a", newStep(1, 1000)); code.Code(answer.GetCode()) != code.BadKey {
+			t.Errorf("got %v", answer)
 		}
 	})
 }
 
 // Two operators send documents with the same or a lower number: both are told
 // yes, and the one in force stays.
-func TestOlderDocumentChangesNothing(t *testing.T) {
-	play(t, 1, func(t *testing.T, w *world) {
-		other := document()
-		other.Text = []byte("other")
-		if err := w.d.Put(t.Context(), other); err != nil {
+func TestOlderDocumentIsIgnored(t *testing.T) {
+	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
+		sameVersion := testDocument()
+		sameVersion.Text = []byte("other")
+		if err := w.dispatcher.Put(t.Context(), sameVersion); err != nil {
 			t.Fatal(err)
 		}
-		text, err := w.d.Read(t.Context())
+		text, err := w.dispatcher.Read(t.Context())
 		if err != nil || string(text) != "one" {
 			t.Errorf("read %q, %v", text, err)
 		}
-		unsound := document()
-		unsound.Queues[0].Pool = "none"
-		if err := w.d.Put(t.Context(), unsound); err == nil || err.Code != code.Malformed {
+		invalid := testDocument()
+		invalid.Queues[0].Pool = "none"
+		if err := w.dispatcher.Put(t.Context(), invalid); err == nil || err.Code != code.Malformed {
 			t.Errorf("an unsound document was answered with %v", err)
 		}
 	})
@@ -485,20 +487,20 @@
 // A server hangs: it takes what it is told to start, and nothing moves there. The
 // caller's flow must not wait for it.
 func TestHangingRunIsMoved(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
-		var first atomic.Bool
-		w.change(func(_ string, one *worker.Worker) {
-			one.Work = func(flow.RunID) (time.Duration, inner.RunEnd) {
-				if !first.Swap(true) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
+		var firstStarted atomic.Bool
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) {
+				if !firstStarted.Swap(true) {
 					return 1000 * time.Hour, inner.RunEnd_RUN_END_DONE
 				}
 				return time.Second, inner.RunEnd_RUN_END_DONE
 			}
 		})
-		w.submit("a", step(1, 1000))
-		w.await("a", done, 8*time.Second)
-		if began := w.began(); len(began) != 2 {
-			t.Errorf("runs that began: %v", began)
+		w.submit("a", newStep(1, 1000))
+		w.awaitState("a", stateDone, 8*time.Second)
+		if runStarts := w.runStarts(); len(runStarts) != 2 {
+			t.Errorf("runs that began: %v", runStarts)
 		}
 	})
 }
@@ -506,76 +508,76 @@
 // A server hangs, and on it a run that somebody waits for and that should take half a
 // second. It has to end elsewhere while its end is still worth something: within
 // three times what such a flow may take, here 3 s.
-func TestHangingUrgentRunIsMovedInTime(t *testing.T) {
-	play(t, 2, func(_ *testing.T, w *world) {
-		w.urgent()
-		var first atomic.Bool
-		w.change(func(_ string, one *worker.Worker) {
-			one.StopTime = 900 * time.Millisecond
-			one.Work = func(flow.RunID) (time.Duration, inner.RunEnd) {
-				if !first.Swap(true) {
+func TestHangingUrgentRunMeetsDeadline(t *testing.T) {
+	runWithCluster(t, 2, func(_ *testing.T, w *testCluster) {
+		w.putUrgentQueue()
+		var firstStarted atomic.Bool
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.StopTime = 900 * time.Millisecond
+			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) {
+				if !firstStarted.Swap(true) {
 					return 1000 * time.Hour, inner.RunEnd_RUN_END_DONE
 				}
 				return 500 * time.Millisecond, inner.RunEnd_RUN_END_DONE
 			}
 		})
-		urgent := step(1, 1000)
+		urgent := newStep(1, 1000)
 		urgent.Runtime = 500
 		w.submit("a", urgent)
-		w.await("a", done, 3*time.Second)
+		w.awaitState("a", stateDone, 3*time.Second)
 	})
 }
 
 // A server fails all that it starts, at once, so that it always has room. A flow
 // that could be done must not use up its attempts there.
-func TestFailingServerIsPassedOver(t *testing.T) {
-	play(t, 2, func(_ *testing.T, w *world) {
-		w.change(func(id string, one *worker.Worker) {
+func TestFailingServerIsAvoided(t *testing.T) {
+	runWithCluster(t, 2, func(_ *testing.T, w *testCluster) {
+		w.changeWorkers(func(id string, backend *worker.Worker) {
 			if id == "s1" {
-				one.Work = func(flow.RunID) (time.Duration, inner.RunEnd) {
+				backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) {
 					return 10 * time.Millisecond, inner.RunEnd_RUN_END_FAILED
 				}
 			}
 		})
 		for _, id := range []string{"a", "b", "c", "d"} {
-			w.submit(id, step(2, 1000))
+			w.submit(id, newStep(2, 1000))
 		}
 		for _, id := range []string{"a", "b", "c", "d"} {
-			w.await(id, done, 15*time.Second)
+			w.awaitState(id, stateDone, 15*time.Second)
 		}
 	})
 }
 
 // Tasks that fill a server make what serves there answer too slowly. They must
 // give way within seconds, and get back what does no harm.
-func TestFillingTasksGiveWay(t *testing.T) {
-	play(t, 1, func(t *testing.T, w *world) {
-		var tail atomic.Int64
-		w.change(func(_ string, one *worker.Worker) {
-			one.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Hour, inner.RunEnd_RUN_END_DONE }
-			one.Load = func(r flow.RunID, paces map[flow.TaskID]uint32) float64 {
+func TestFillTasksAreThrottled(t *testing.T) {
+	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
+		var tailLatency atomic.Int64
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Hour, inner.RunEnd_RUN_END_DONE }
+			backend.Load = func(r flow.RunID, paces map[flow.TaskID]uint32) float64 {
 				if r.Flow == "fill" {
 					return 0
 				}
-				percent, told := paces[flow.TaskID{StepID: flow.StepID{Flow: "fill"}}]
-				if !told {
+				percent, isPaced := paces[flow.TaskID{StepID: flow.StepID{Flow: "fill"}}]
+				if !isPaced {
 					percent = 100
 				}
-				tail.Store(50 + 2*int64(percent))
-				return float64(tail.Load())
+				tailLatency.Store(50 + 2*int64(percent))
+				return float64(tailLatency.Load())
 			}
 		})
-		serve, fill := step(1, 1000), step(1, 3000)
+		serve, fill := newStep(1, 1000), newStep(1, 3000)
 		serve.Lasting, serve.Target = true, 100
 		fill.Fills, fill.Lasting = true, true
 		w.submit("serve", serve)
 		w.submit("fill", fill)
 		time.Sleep(4 * time.Second)
-		if got := tail.Load(); got > 100 {
+		if got := tailLatency.Load(); got > 100 {
 			t.Errorf("the tail is still %d ms", got)
 		}
 		time.Sleep(10 * time.Second)
-		if got := tail.Load(); got > 110 || got < 60 {
+		if got := tailLatency.Load(); got > 110 || got < 60 {
 			t.Errorf("the tail has come to %d ms", got)
 		}
 	})
@@ -584,41 +586,41 @@
 // A server leaves soon with a long run on it. It goes on from its checkpoint
 // elsewhere; left there, what it did since the last one would be lost.
 func TestLeavingServerIsEvacuated(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
-		w.change(func(_ string, one *worker.Worker) {
-			one.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
 				if r.Number == 1 {
 					return time.Hour, inner.RunEnd_RUN_END_DONE
 				}
 				return time.Second, inner.RunEnd_RUN_END_DONE
 			}
 		})
-		long := step(1, 1000)
+		long := newStep(1, 1000)
 		long.Saves, long.Runtime = true, 3_600_000
 		w.submit("a", long)
 		time.Sleep(time.Minute)
-		for id := range w.busy() {
-			if err := w.report(id, 1, true); err != nil {
+		for id := range w.busyWorkers() {
+			if err := w.sendReport(id, 1, true); err != nil {
 				t.Fatal(err)
 			}
 		}
-		w.await("a", done, 5*time.Second)
+		w.awaitState("a", stateDone, 5*time.Second)
 	})
 }
 
 // A lasting task ends, for whatever reason: it is back at work at once, and its
 // flow never fails.
-func TestLastingTaskIsBackAtOnce(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
-		w.change(func(_ string, one *worker.Worker) {
-			one.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Second, inner.RunEnd_RUN_END_FAILED }
+func TestLastingTaskIsRestartedAfterEachEnd(t *testing.T) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Second, inner.RunEnd_RUN_END_FAILED }
 		})
-		lasting := step(1, 1000)
+		lasting := newStep(1, 1000)
 		lasting.Lasting = true
 		w.submit("a", lasting)
 		time.Sleep(20 * time.Second)
-		if n := len(w.began()); n < 10 || w.state("a") != running {
-			t.Errorf("%d runs in 20 s, state %v", n, w.state("a"))
+		if n := len(w.runStarts()); n < 10 || w.flowState("a") != stateRunning {
+			t.Errorf("%d runs in 20 s, state %v", n, w.flowState("a"))
 		}
 	})
 }
@@ -626,33 +628,33 @@
 // An operator asks for a wave of upkeep. No more machines than its cap are down
 // at once, also across a change of leader; what lasts is moved before its machine
 // goes down, one task at a time, and the wave is complete when all are back.
-func TestWaveOfUpkeep(t *testing.T) {
-	play(t, 4, func(t *testing.T, w *world) {
-		lasting := step(3, 1000)
+func TestUpkeepWaveRespectsCap(t *testing.T) {
+	runWithCluster(t, 4, func(t *testing.T, w *testCluster) {
+		lasting := newStep(3, 1000)
 		lasting.Lasting, lasting.Absent = true, 1
-		w.lasting()
+		w.makeRunsLasting()
 		w.submit("a", lasting)
 		time.Sleep(time.Second)
 		wave := &record.Wave{Number: 1, Machines: []string{"m-s1", "m-s2", "m-s3", "m-s4"}, Duration: 60_000, Cap: 1}
-		if err := w.d.Wave(t.Context(), wave); err != nil {
+		if err := w.dispatcher.Wave(t.Context(), wave); err != nil {
 			t.Fatal(err)
 		}
-		least := 3
-		watch := func() {
+		minAtWork := 3
+		updateMinimum := func() {
 			atWork := 0
-			for _, one := range w.busy() {
-				atWork += len(one.Running())
+			for _, backend := range w.busyWorkers() {
+				atWork += len(backend.Running())
 			}
-			least = min(least, atWork)
+			minAtWork = min(minAtWork, atWork)
 		}
 		for range 250 {
 			time.Sleep(20 * time.Millisecond)
-			watch()
+			updateMinimum()
 		}
-		w.elect()
+		w.electNewLeader()
 		for end := time.Now().Add(time.Minute); ; time.Sleep(20 * time.Millisecond) {
-			watch()
-			complete, err := w.d.WaveState(t.Context(), 1)
+			updateMinimum()
+			complete, err := w.dispatcher.WaveState(t.Context(), 1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -665,11 +667,11 @@
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.mostDown != 1 || w.interrupted != 0 {
-			t.Errorf("%d machines were down at once, %d runs were interrupted", w.mostDown, w.interrupted)
+		if w.maxUnderUpkeep != 1 || w.interruptedRuns != 0 {
+			t.Errorf("%d machines were down at once, %d runs were interrupted", w.maxUnderUpkeep, w.interruptedRuns)
 		}
-		if least < 2 {
-			t.Errorf("%d of 3 lasting tasks were at work, one may be missed", least)
+		if minAtWork < 2 {
+			t.Errorf("%d of 3 lasting tasks were at work, one may be missed", minAtWork)
 		}
 	})
 }
@@ -677,47 +679,47 @@
 // A leader has ordered a machine down and is replaced; its order is still on the way.
 // An order of the next one within the lease of that word would make two holders take
 // turns, where fencing tokens are not looked at.
-func TestNextLeaderWaitsBeforeItOrdersMachines(t *testing.T) {
-	play(t, 3, func(t *testing.T, w *world) {
+func TestNewLeaderDelaysUpkeepOrders(t *testing.T) {
+	runWithCluster(t, 3, func(t *testing.T, w *testCluster) {
 		wave := &record.Wave{Number: 1, Machines: []string{"m-s1", "m-s2", "m-s3"}, Duration: 60_000, Cap: 1}
 		time.Sleep(5 * time.Second)
-		if err := w.d.Wave(t.Context(), wave); err != nil {
+		if err := w.dispatcher.Wave(t.Context(), wave); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		elected := w.now()
-		w.elect()
+		electedAt := w.now()
+		w.electNewLeader()
 		time.Sleep(10 * time.Second)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if len(w.orders) != 2 || w.orders[2]-elected < 3*time.Second {
-			t.Errorf("orders at %v, the second leader was elected at %v", w.orders, elected)
+		if len(w.firstUpkeepOrders) != 2 || w.firstUpkeepOrders[2]-electedAt < 3*time.Second {
+			t.Errorf("orders at %v, the second leader was elected at %v", w.firstUpkeepOrders, electedAt)
 		}
 	})
 }
 
 // An operator takes a queue away while flows of it wait. They were accepted, so
 // they still run, also under the next leader; new ones are refused.
-func TestFlowsOutliveTheirQueue(t *testing.T) {
-	play(t, 1, func(t *testing.T, w *world) {
-		w.submit("a", step(12, 1000))
-		next := document()
+func TestAcceptedFlowsCompleteAfterQueueRemoval(t *testing.T) {
+	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
+		w.submit("a", newStep(12, 1000))
+		next := testDocument()
 		next.Version, next.Queues = 2, nil
-		if err := w.d.Put(t.Context(), next); err != nil {
+		if err := w.dispatcher.Put(t.Context(), next); err != nil {
 			t.Fatal(err)
 		}
-		if rep := w.ask(inner.FlowVerb_FLOW_VERB_SUBMIT, "b", step(1, 1000)); code.Code(rep.GetCode()) != code.Forbidden {
-			t.Error(rep)
+		if answer := w.askFlow(inner.FlowVerb_FLOW_VERB_SUBMIT, "b", newStep(1, 1000)); code.Code(answer.GetCode()) != code.Forbidden {
+			t.Error(answer)
 		}
 		time.Sleep(100 * time.Millisecond)
-		w.elect()
+		w.electNewLeader()
 		time.Sleep(8 * time.Second)
-		again := document()
-		again.Version = 3
-		if err := w.d.Put(t.Context(), again); err != nil {
+		restored := testDocument()
+		restored.Version = 3
+		if err := w.dispatcher.Put(t.Context(), restored); err != nil {
 			t.Fatal(err)
 		}
-		if got := w.state("a"); got != done {
+		if got := w.flowState("a"); got != stateDone {
 			t.Errorf("the flow is %v", got)
 		}
 	})
@@ -725,36 +727,36 @@
 
 // Answers came soon, and all take long now, as those of a busy leader do. Asked for again and again, the
 // starts would make it busier still.
-func TestSlowAnswersAreWaitedFor(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
-		const quick = 60
-		for i := range quick {
-			w.submit(fmt.Sprint("q", i), step(1, 500))
-			w.await(fmt.Sprint("q", i), done, 10*time.Second)
-		}
-		cost := func() { time.Sleep(400 * time.Millisecond) }
-		w.cost.Store(&cost)
+func TestTimeoutAdaptsToSlowAnswers(t *testing.T) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
+		const quickFlows = 60
+		for i := range quickFlows {
+			w.submit(fmt.Sprint("q", i), newStep(1, 500))
+			w.awaitState(fmt.Sprint("q", i), stateDone, 10*time.Second)
+		}
+		delay := func() { time.Sleep(400 * time.Millisecond) }
+		w.callDelay.Store(&delay)
 		var starts atomic.Int32
-		w.change(func(_ string, one *worker.Worker) {
-			one.Fault = func(c *inner.ServerCall) worker.Fault {
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.Fault = func(c *inner.ServerCall) worker.Fault {
 				if c.GetStart() != nil {
 					starts.Add(1)
 				}
 				return worker.Fault{}
 			}
 		})
-		const flows, learned = 30, 15
-		for i := range flows {
-			if i == learned {
+		const slowFlows, learningFlows = 30, 15
+		for i := range slowFlows {
+			if i == learningFlows {
 				starts.Store(0)
 			}
-			w.submit(fmt.Sprint("f", i), step(1, 500))
-			w.await(fmt.Sprint("f", i), done, time.Minute)
+			w.submit(fmt.Sprint("f", i), newStep(1, 500))
+			w.awaitState(fmt.Sprint("f", i), stateDone, time.Minute)
 		}
-		if n := starts.Load(); n > flows-learned {
-			t.Errorf("%d starts for %d tasks", n, flows-learned)
+		if n := starts.Load(); n > slowFlows-learningFlows {
+			t.Errorf("%d starts for %d tasks", n, slowFlows-learningFlows)
 		}
-		w.cost.Store(nil)
+		w.callDelay.Store(nil)
 		time.Sleep(3 * time.Second)
 	})
 }
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -24,312 +24,312 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// commitTime is how long a commit takes in these tests.
-const commitTime = 5 * time.Millisecond
+// commitDelay is how long a commit takes in these tests.
+const commitDelay = 5 * time.Millisecond
 
-// members is the group of these tests.
-var members = group.Members{Self: "a/1", Members: []quorum.Member{{ID: "a/1", Address: "a"}}}
+// testMembers is the group of these tests.
+var testMembers = group.Members{Self: "a/1", Members: []quorum.Member{{ID: "a/1", Address: "a"}}}
 
-// host is a control thread with a ledger and no replicas: what is decided is
+// fakeHost is a control thread with a ledger and no replicas: what is decided is
 // committed a little later.
-type host struct {
-	t         *testing.T
-	d         *dispatch.Dispatcher
-	begin     time.Time
-	posts     chan func()
-	done      chan struct{}
-	ledger    *flows.Ledger
-	committed *record.FlowsRecord
-	effects   []effect
-	index     int
-	// sure is the index up to which all is committed.
-	sure  int
-	leads bool
-	term  uint64
-	// slow is how long the control thread takes to decide on starts.
-	slow time.Duration
-}
-
-type effect struct {
+type fakeHost struct {
+	t               *testing.T
+	dispatcher      *dispatch.Dispatcher
+	startedAt       time.Time
+	postedFuncs     chan func()
+	done            chan struct{}
+	ledger          *flows.Ledger
+	committedRecord *record.FlowsRecord
+	commitCallbacks []commitCallback
+	index           int
+	// committedIndex is the index up to which all is committed.
+	committedIndex int
+	isLeader       bool
+	term           uint64
+	// startDecisionTime is how long the control thread takes to decide on starts.
+	startDecisionTime time.Duration
+}
+
+type commitCallback struct {
 	index int
 	run   func()
 }
 
-func (h *host) ApplyCommand(f *record.Flow) *code.Error {
+func (h *fakeHost) ApplyCommand(f *record.Flow) *code.Error {
 	if f.GetStart() != nil {
-		time.Sleep(h.slow)
+		time.Sleep(h.startDecisionTime)
 	}
 	err := h.ledger.Apply(h.LedgerTime(), f)
 	if err != nil {
 		return err
 	}
 	h.index++
-	at, term, record := h.index, h.term, h.ledger.Record()
-	time.AfterFunc(commitTime, func() {
+	index, term, record := h.index, h.term, h.ledger.Record()
+	time.AfterFunc(commitDelay, func() {
 		h.Post(func() {
 			if h.term == term {
-				h.commit(at, record)
+				h.commit(index, record)
 			}
 		})
 	})
 	return nil
 }
 
-func (h *host) commit(at int, record *record.FlowsRecord) {
-	if !h.leads || at < h.sure {
+func (h *fakeHost) commit(index int, record *record.FlowsRecord) {
+	if !h.isLeader || index < h.committedIndex {
 		return // a later one was committed with it
 	}
-	h.committed, h.sure = record, at
-	for len(h.effects) > 0 && h.effects[0].index <= at {
-		run := h.effects[0].run
-		h.effects = h.effects[1:]
+	h.committedRecord, h.committedIndex = record, index
+	for len(h.commitCallbacks) > 0 && h.commitCallbacks[0].index <= index {
+		run := h.commitCallbacks[0].run
+		h.commitCallbacks = h.commitCallbacks[1:]
 		run()
 	}
 }
 
-func (h *host) AfterCommit(fn func()) {
-	if len(h.effects) == 0 && h.committedAll() {
-		h.effects = append(h.effects, effect{h.index, fn})
-		go h.Post(func() { h.commit(h.sure, h.committed) })
+func (h *fakeHost) AfterCommit(fn func()) {
+	if len(h.commitCallbacks) == 0 && h.isFullyCommitted() {
+		h.commitCallbacks = append(h.commitCallbacks, commitCallback{h.index, fn})
+		go h.Post(func() { h.commit(h.committedIndex, h.committedRecord) })
 		return
 	}
-	h.effects = append(h.effects, effect{h.index, fn})
+	h.commitCallbacks = append(h.commitCallbacks, commitCallback{h.index, fn})
 }
 
-func (h *host) committedAll() bool {
-	return h.index == 0 || h.committed.GetDigest() == h.ledger.Digest()
+func (h *fakeHost) isFullyCommitted() bool {
+	return h.index == 0 || h.committedRecord.GetDigest() == h.ledger.Digest()
 }
 
-func (h *host) AfterLeadershipProof(_ time.Duration, fn func()) { go h.Post(fn) }
-func (h *host) Leads() bool                                     { return h.leads }
-func (h *host) Flows() *flows.Ledger                            { return h.ledger }
-func (h *host) LedgerTime() time.Duration                       { return time.Duration(time.Now().UnixNano()) }
-func (h *host) DiskFull() bool                                  { return false }
-func (h *host) Members() group.Members                          { return members }
-func (h *host) ChangeMember(quorum.Member, bool)                {}
-func (h *host) HasZone(zone string) bool                        { return zone == "x" || zone == "y" }
-func (h *host) YieldThread()                                    {}
-func (h *host) IsSynced(string) bool                            { return true }
+func (h *fakeHost) AfterLeadershipProof(_ time.Duration, fn func()) { go h.Post(fn) }
+func (h *fakeHost) Leads() bool                                     { return h.isLeader }
+func (h *fakeHost) Flows() *flows.Ledger                            { return h.ledger }
+func (h *fakeHost) LedgerTime() time.Duration                       { return time.Duration(time.Now().UnixNano()) }
+func (h *fakeHost) DiskFull() bool                                  { return false }
+func (h *fakeHost) Members() group.Members                          { return testMembers }
+func (h *fakeHost) ChangeMember(quorum.Member, bool)                {}
+func (h *fakeHost) HasZone(zone string) bool                        { return zone == "x" || zone == "y" }
+func (h *fakeHost) YieldThread()                                    {}
+func (h *fakeHost) IsSynced(string) bool                            { return true }
 
-func (h *host) Post(fn func()) bool {
+func (h *fakeHost) Post(fn func()) bool {
 	select {
-	case h.posts <- fn:
+	case h.postedFuncs <- fn:
 		return true
 	case <-h.done:
 		return false
 	}
 }
 
-func (h *host) now() time.Duration { return time.Since(h.begin) + time.Hour }
+func (h *fakeHost) now() time.Duration { return time.Since(h.startedAt) + time.Hour }
 
 // run is the control thread.
-func (h *host) run() {
+func (h *fakeHost) run() {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for {
 		select {
 		case <-h.done:
 			return
-		case fn := <-h.posts:
+		case fn := <-h.postedFuncs:
 			fn()
 		case <-tick.C:
-			if h.leads {
-				h.d.Tick(h.now())
+			if h.isLeader {
+				h.dispatcher.Tick(h.now())
 			}
 		}
-		if h.leads {
-			h.d.Turn()
+		if h.isLeader {
+			h.dispatcher.Turn()
 		}
 	}
 }
 
-// do runs fn on the control thread and returns when it has run.
-func (h *host) do(fn func()) {
-	ran := make(chan struct{})
-	h.Post(func() { fn(); close(ran) })
-	<-ran
+// runAndWait runs fn on the control thread and returns when it has run.
+func (h *fakeHost) runAndWait(fn func()) {
+	finished := make(chan struct{})
+	h.Post(func() { fn(); close(finished) })
+	<-finished
 }
 
-// world is a dispatcher with backend servers.
-type world struct {
-	*host
+// testCluster is a dispatcher with backend servers.
+type testCluster struct {
+	*fakeHost
 	mu      sync.Mutex
 	workers map[string]*worker.Worker
-	// begun counts how often each run began.
-	begun map[flow.RunID]int
-	twice []string
+	// startCounts counts how often each run began.
+	startCounts   map[flow.RunID]int
+	duplicateRuns []string
 	// capacity is that of each worker.
 	capacity capacity.Size
-	// crashes tells whether a run takes its worker down as it begins; nil for none.
+	// crashesWorker tells whether a run takes its worker down as it begins; nil for none.
 	// crashed counts the workers that went down, by the task that did it.
-	crashes func(flow.RunID) bool
-	crashed map[flow.TaskID]int
-	// work is what runs do on a new life.
-	work func(flow.RunID) (time.Duration, inner.RunEnd)
-	// lives are the workers that are on their way back.
-	lives sync.WaitGroup
-	// down are the workers under upkeep, mostDown the most at once, and
+	crashesWorker func(flow.RunID) bool
+	crashCounts   map[flow.TaskID]int
+	// runOutcome is what runs do on a new life.
+	runOutcome func(flow.RunID) (time.Duration, inner.RunEnd)
+	// restarts are the workers that are on their way back.
+	restarts sync.WaitGroup
+	// underUpkeep are the workers under upkeep, mostDown the most at once, and
 	// interrupted counts the runs that an upkeep ended.
-	down        map[string]bool
-	mostDown    int
-	interrupted int
-	// orders are the first orders about machines, by their fencing token.
-	orders map[uint64]time.Duration
-	// cut tells that the leader itself reaches no worker, relays through whom it
+	underUpkeep     map[string]bool
+	maxUnderUpkeep  int
+	interruptedRuns int
+	// firstUpkeepOrders are the first orders about machines, by their fencing token.
+	firstUpkeepOrders map[uint64]time.Duration
+	// leaderCutOff tells that the leader itself reaches no worker, relays through whom it
 	// last reached each.
-	cut    atomic.Bool
-	relays map[string]string
-	// announced are the processes that were told of a leader.
-	announced []string
-	advise    func(r *inner.AdviseRequest) *inner.AdviseReply
-	// cost is called for each call of the leader, reached tells when it last called
+	leaderCutOff atomic.Bool
+	lastRelay    map[string]string
+	// announcedTo are the processes that were told of a leader.
+	announcedTo []string
+	advise      func(r *inner.AdviseRequest) *inner.AdviseReply
+	// callDelay is called for each call of the leader, reached tells when it last called
 	// each worker itself, direct is the dispatcher's Direct.
-	cost    atomic.Pointer[func()]
-	reached map[string]time.Duration
-	direct  func() int
+	callDelay        atomic.Pointer[func()]
+	lastDirectCall   map[string]time.Duration
+	maxDirectServers func() int
 }
 
-func (w *world) Call(ctx context.Context, c *inner.ServerCall) *inner.ServerAnswer {
-	if cost := w.cost.Load(); cost != nil {
-		(*cost)()
+func (w *testCluster) Call(ctx context.Context, c *inner.ServerCall) *inner.ServerAnswer {
+	if delay := w.callDelay.Load(); delay != nil {
+		(*delay)()
 	}
 	w.mu.Lock()
-	w.reached[c.GetServer()] = w.now()
+	w.lastDirectCall[c.GetServer()] = w.now()
 	w.mu.Unlock()
-	if w.cut.Load() {
+	if w.leaderCutOff.Load() {
 		<-ctx.Done()
 		return &inner.ServerAnswer{Verdict: inner.Verdict_VERDICT_SILENT}
 	}
-	a := w.reach(ctx, c)
+	a := w.callWorker(ctx, c)
 	if ctx.Err() != nil {
 		return &inner.ServerAnswer{Verdict: inner.Verdict_VERDICT_SILENT}
 	}
 	return a
 }
 
-func (w *world) reach(ctx context.Context, c *inner.ServerCall) *inner.ServerAnswer {
+func (w *testCluster) callWorker(ctx context.Context, c *inner.ServerCall) *inner.ServerAnswer {
 	w.mu.Lock()
-	one := w.workers[c.GetAddress()]
+	backend := w.workers[c.GetAddress()]
 	w.mu.Unlock()
-	if one == nil {
+	if backend == nil {
 		return &inner.ServerAnswer{Verdict: inner.Verdict_VERDICT_ABSENT}
 	}
-	return one.Call(ctx, c)
+	return backend.Call(ctx, c)
 }
 
-func (w *world) Advise(_ context.Context, _ string, r *inner.AdviseRequest) *inner.AdviseReply {
+func (w *testCluster) Advise(_ context.Context, _ string, r *inner.AdviseRequest) *inner.AdviseReply {
 	return w.advise(r)
 }
 
-func (w *world) Announce(_ context.Context, address string, _ *inner.Announcement) *inner.Greeting {
+func (w *testCluster) Announce(_ context.Context, address string, _ *inner.Announcement) *inner.Greeting {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.announced = append(w.announced, address)
+	w.announcedTo = append(w.announcedTo, address)
 	return &inner.Greeting{Address: address}
 }
 
-func (w *world) Relay(ctx context.Context, address string, c *inner.ServerCall) *inner.ServerAnswer {
+func (w *testCluster) Relay(ctx context.Context, address string, c *inner.ServerCall) *inner.ServerAnswer {
 	w.mu.Lock()
-	w.relays[c.GetServer()] = address
+	w.lastRelay[c.GetServer()] = address
 	w.mu.Unlock()
-	return w.reach(ctx, c)
+	return w.callWorker(ctx, c)
 }
 
 // StartUpkeep takes a worker down for two seconds.
-func (w *world) StartUpkeep(_ context.Context, machine string, _, fence uint64) dispatch.UpkeepResult {
+func (w *testCluster) StartUpkeep(_ context.Context, machine string, _, fence uint64) dispatch.UpkeepResult {
 	id := strings.TrimPrefix(machine, "m-")
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, ok := w.orders[fence]; !ok {
-		w.orders[fence] = w.now()
+	if _, ok := w.firstUpkeepOrders[fence]; !ok {
+		w.firstUpkeepOrders[fence] = w.now()
 	}
-	if w.down[id] {
+	if w.underUpkeep[id] {
 		return dispatch.UpkeepStarted
 	}
-	w.down[id] = true
-	now := 0
-	for _, down := range w.down {
+	w.underUpkeep[id] = true
+	downCount := 0
+	for _, down := range w.underUpkeep {
 		if down {
-			now++
+			downCount++
 		}
 	}
-	w.mostDown = max(w.mostDown, now)
-	one := w.workers[id]
-	w.interrupted += len(one.Running())
-	one.Crash()
+	w.maxUnderUpkeep = max(w.maxUnderUpkeep, downCount)
+	backend := w.workers[id]
+	w.interruptedRuns += len(backend.Running())
+	backend.Crash()
 	time.AfterFunc(2*time.Second, func() {
-		w.place(id, one.Born+1)
+		w.startWorker(id, backend.Born+1)
 		w.mu.Lock()
-		w.down[id] = false
+		w.underUpkeep[id] = false
 		w.mu.Unlock()
-		w.announce(id, one.Born+1)
+		w.reportUntilAccepted(id, backend.Born+1)
 	})
 	return dispatch.UpkeepStarted
 }
 
-var key = sha256.Sum256([]byte("key"))
+var keyHash = sha256.Sum256([]byte("key"))
 
-func document() *v1.Document {
+func testDocument() *v1.Document {
 	return &v1.Document{
 		Version: 1, Text: []byte("one"), Pools: []*v1.Pool{{Name: "pool"}},
 		Queues:    []*v1.Queue{{Name: "queue", Host: "host", Path: "/q/", Pool: "pool", Attempts: 3, Factor: 2, Target: 1000, Timeout: 3000}},
-		Customers: []*v1.Customer{{Name: "customer", Keys: [][]byte{key[:]}, Weight: 100}},
+		Customers: []*v1.Customer{{Name: "customer", Keys: [][]byte{keyHash[:]}, Weight: 100}},
 	}
 }
 
-// urgent puts a document in force by which what is submitted comes before another
+// putUrgentQueue puts a document in force by which what is submitted comes before another
 // queue, and somebody waits for it.
-func (w *world) urgent() {
-	doc := document()
+func (w *testCluster) putUrgentQueue() {
+	doc := testDocument()
 	doc.Version = 2
 	doc.Queues[0].Factor, doc.Queues[0].Target = 1.5, 250
 	doc.Queues = append(doc.Queues, &v1.Queue{Name: "later", Host: "host", Path: "/later/", Pool: "pool", Timeout: 3000, Priority: 1})
-	if err := w.d.Put(w.t.Context(), doc); err != nil {
+	if err := w.dispatcher.Put(w.t.Context(), doc); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// newWorld makes a world with n workers and a document in force.
-func newWorld(t *testing.T, n int) *world {
-	w := &world{
-		host:    &host{t: t, begin: time.Now(), posts: make(chan func(), 1024), done: make(chan struct{}), ledger: flows.New()},
-		workers: map[string]*worker.Worker{}, crashed: map[flow.TaskID]int{}, begun: map[flow.RunID]int{}, down: map[string]bool{}, relays: map[string]string{}, reached: map[string]time.Duration{}, orders: map[uint64]time.Duration{},
-		work:     func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Second, inner.RunEnd_RUN_END_DONE },
-		capacity: capacity.Size{CPU: 4000, Memory: 4000},
+// newTestCluster makes a world with n workers and a document in force.
+func newTestCluster(t *testing.T, n int) *testCluster {
+	w := &testCluster{
+		fakeHost: &fakeHost{t: t, startedAt: time.Now(), postedFuncs: make(chan func(), 1024), done: make(chan struct{}), ledger: flows.New()},
+		workers:  map[string]*worker.Worker{}, crashCounts: map[flow.TaskID]int{}, startCounts: map[flow.RunID]int{}, underUpkeep: map[string]bool{}, lastRelay: map[string]string{}, lastDirectCall: map[string]time.Duration{}, firstUpkeepOrders: map[uint64]time.Duration{},
+		runOutcome: func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Second, inner.RunEnd_RUN_END_DONE },
+		capacity:   capacity.Size{CPU: 4000, Memory: 4000},
 	}
-	w.committed = w.ledger.Record()
+	w.committedRecord = w.ledger.Record()
 	go w.run()
-	w.elect()
-	if err := w.d.Put(t.Context(), document()); err != nil {
+	w.electNewLeader()
+	if err := w.dispatcher.Put(t.Context(), testDocument()); err != nil {
 		t.Fatal(err)
 	}
 	for i := range n {
-		w.add(fmt.Sprintf("s%d", i+1), 1)
+		w.addWorker(fmt.Sprintf("s%d", i+1), 1)
 	}
 	return w
 }
 
-// add starts a life of a worker and lets it report.
-func (w *world) add(id string, born int64) {
-	w.place(id, born)
-	w.announce(id, born)
+// addWorker starts a life of a worker and lets it report.
+func (w *testCluster) addWorker(id string, born int64) {
+	w.startWorker(id, born)
+	w.reportUntilAccepted(id, born)
 }
 
-// place starts a life of a worker at its address.
-func (w *world) place(id string, born int64) *worker.Worker {
-	one := &worker.Worker{ID: id, Born: born, StopTime: 50 * time.Millisecond}
-	one.Work = w.work
-	one.Started = func(r flow.RunID) { w.started(id, r) }
+// startWorker starts a life of a worker at its address.
+func (w *testCluster) startWorker(id string, born int64) *worker.Worker {
+	backend := &worker.Worker{ID: id, Born: born, StopTime: 50 * time.Millisecond}
+	backend.Work = w.runOutcome
+	backend.Started = func(r flow.RunID) { w.recordStart(id, r) }
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.workers[id] = one
-	return one
+	w.workers[id] = backend
+	return backend
 }
 
-// announce reports until the report is acknowledged.
-func (w *world) announce(id string, born int64) {
+// reportUntilAccepted reports until the report is acknowledged.
+func (w *testCluster) reportUntilAccepted(id string, born int64) {
 	for {
-		err := w.report(id, born, false)
+		err := w.sendReport(id, born, false)
 		if err == nil {
 			return
 		}
@@ -341,40 +341,40 @@
 	}
 }
 
-// lasting lets every run last, on the lives of workers to come as well.
-func (w *world) lasting() {
-	w.work = func(flow.RunID) (time.Duration, inner.RunEnd) { return 0, inner.RunEnd_RUN_END_UNSPECIFIED }
-	w.change(func(_ string, one *worker.Worker) { one.Work = w.work })
+// makeRunsLasting lets every run last, on the lives of workers to come as well.
+func (w *testCluster) makeRunsLasting() {
+	w.runOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) { return 0, inner.RunEnd_RUN_END_UNSPECIFIED }
+	w.changeWorkers(func(_ string, backend *worker.Worker) { backend.Work = w.runOutcome })
 }
 
-// change changes all workers.
-func (w *world) change(fn func(id string, one *worker.Worker)) {
+// changeWorkers changes all workers.
+func (w *testCluster) changeWorkers(fn func(id string, backend *worker.Worker)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for id, one := range w.workers {
-		one.Change(func(one *worker.Worker) { fn(id, one) })
+	for id, backend := range w.workers {
+		backend.Change(func(backend *worker.Worker) { fn(id, backend) })
 	}
 }
 
-// busy returns the workers that run something.
-func (w *world) busy() map[string]*worker.Worker {
+// busyWorkers returns the workers that run something.
+func (w *testCluster) busyWorkers() map[string]*worker.Worker {
 	w.mu.Lock()
-	all := maps.Clone(w.workers)
+	workers := maps.Clone(w.workers)
 	w.mu.Unlock()
-	maps.DeleteFunc(all, func(_ string, one *worker.Worker) bool { return len(one.Running()) == 0 })
-	return all
+	maps.DeleteFunc(workers, func(_ string, backend *worker.Worker) bool { return len(backend.Running()) == 0 })
+	return workers
 }
 
-// began returns the runs that began, and how often.
-func (w *world) began() map[flow.RunID]int {
+// runStarts returns the runs that began, and how often.
+func (w *testCluster) runStarts() map[flow.RunID]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return maps.Clone(w.begun)
+	return maps.Clone(w.startCounts)
 }
 
-func (w *world) report(id string, born int64, leaving bool) *code.Error {
+func (w *testCluster) sendReport(id string, born int64, leaving bool) *code.Error {
 	size := &v1.Size{Cpu: w.capacity.CPU, Memory: w.capacity.Memory}
-	return w.d.Report(w.t.Context(), dispatch.Report{FlowServer: &record.FlowServer{
+	return w.dispatcher.Report(w.t.Context(), dispatch.Report{FlowServer: &record.FlowServer{
 		Id: id, Born: born, Address: id, Zone: zoneOf(id), Pool: "pool", Machine: "m-" + id, Capacity: size, Leaving: leaving,
 	}, Remaining: 2000})
 }
@@ -387,47 +387,47 @@
 	return "y"
 }
 
-// started notes a run that begins, and one of its task that runs elsewhere.
-func (w *world) started(id string, r flow.RunID) {
+// recordStart notes a run that begins, and one of its task that runs elsewhere.
+func (w *testCluster) recordStart(id string, r flow.RunID) {
 	// The worker is locked while it tells, so the others are asked beside it.
-	go w.compare(id, r)
-	if w.crashes != nil && w.crashes(r) {
-		time.AfterFunc(10*time.Millisecond, func() { w.crash(id, &r.TaskID) })
+	go w.checkDuplicates(id, r)
+	if w.crashesWorker != nil && w.crashesWorker(r) {
+		time.AfterFunc(10*time.Millisecond, func() { w.crashWorker(id, &r.TaskID) })
 	}
 }
 
-// crash takes a worker down, which is back under another name after three seconds.
-func (w *world) crash(id string, by *flow.TaskID) {
+// crashWorker takes a worker down, which is back under another name after three seconds.
+func (w *testCluster) crashWorker(id string, culprit *flow.TaskID) {
 	w.mu.Lock()
-	one := w.workers[id]
-	if by != nil {
-		w.crashed[*by]++
+	backend := w.workers[id]
+	if culprit != nil {
+		w.crashCounts[*culprit]++
 	}
 	w.mu.Unlock()
-	one.Crash()
-	w.lives.Go(func() {
+	backend.Crash()
+	w.restarts.Go(func() {
 		select {
 		case <-w.done:
 		case <-time.After(3 * time.Second):
-			w.add("r"+id, one.Born+1)
+			w.addWorker("r"+id, backend.Born+1)
 		}
 	})
 }
 
-func (w *world) compare(id string, r flow.RunID) {
+func (w *testCluster) checkDuplicates(id string, r flow.RunID) {
 	w.mu.Lock()
-	w.begun[r]++
+	w.startCounts[r]++
 	others := maps.Clone(w.workers)
 	w.mu.Unlock()
-	for other, one := range others {
+	for other, backend := range others {
 		if other == id {
 			continue
 		}
 		func() {
-			for _, x := range one.Running() {
-				if x.TaskID == r.TaskID {
+			for _, otherRun := range backend.Running() {
+				if otherRun.TaskID == r.TaskID {
 					w.mu.Lock()
-					w.twice = append(w.twice, fmt.Sprintf("%s on %s and %s on %s", r, id, x, other))
+					w.duplicateRuns = append(w.duplicateRuns, fmt.Sprintf("%s on %s and %s on %s", r, id, otherRun, other))
 					w.mu.Unlock()
 				}
 			}
@@ -435,52 +435,52 @@
 	}
 }
 
-// elect makes a new leader of what is committed.
-func (w *world) elect() {
-	w.do(func() {
-		if w.d != nil {
-			w.leads = false
-			w.d.Deposed()
+// electNewLeader makes a new leader of what is committed.
+func (w *testCluster) electNewLeader() {
+	w.runAndWait(func() {
+		if w.dispatcher != nil {
+			w.isLeader = false
+			w.dispatcher.Deposed()
 		}
-		l, err := flows.Restore(w.committed)
+		ledger, err := flows.Restore(w.committedRecord)
 		if err != nil {
 			w.t.Error(err)
 			return
 		}
-		w.ledger, w.effects, w.index = l, nil, w.sure
+		w.ledger, w.commitCallbacks, w.index = ledger, nil, w.committedIndex
 		w.term++
-		w.leads = true
-		w.d = dispatch.New()
-		w.d.Host, w.d.Cell, w.d.Now, w.d.Backends, w.d.Helpers = w.host, "cell", w.now, w, w
-		w.d.Machines, w.d.MaxDirectServers = w, w.direct
-		w.d.Elected(w.term, w.now())
+		w.isLeader = true
+		w.dispatcher = dispatch.New()
+		w.dispatcher.Host, w.dispatcher.Cell, w.dispatcher.Now, w.dispatcher.Backends, w.dispatcher.Helpers = w.fakeHost, "cell", w.now, w, w
+		w.dispatcher.Machines, w.dispatcher.MaxDirectServers = w, w.maxDirectServers
+		w.dispatcher.Elected(w.term, w.now())
 	})
 }
 
-func (w *world) ask(verb inner.FlowVerb, id string, steps ...*v1.FlowStep) *inner.FlowAnswer {
-	a := &inner.FlowAsk{Verb: verb, Host: "host", Path: "/q/" + id, Key: key[:]}
+func (w *testCluster) askFlow(verb inner.FlowVerb, id string, steps ...*v1.FlowStep) *inner.FlowAnswer {
+	a := &inner.FlowAsk{Verb: verb, Host: "host", Path: "/q/" + id, Key: keyHash[:]}
 	if verb == inner.FlowVerb_FLOW_VERB_SUBMIT {
 		a.Spec = &v1.FlowSpec{Id: id, Steps: steps}
 	}
-	return w.d.Ask(w.t.Context(), a)
+	return w.dispatcher.Ask(w.t.Context(), a)
 }
 
-func (w *world) submit(id string, steps ...*v1.FlowStep) {
+func (w *testCluster) submit(id string, steps ...*v1.FlowStep) {
 	w.t.Helper()
-	if rep := w.ask(inner.FlowVerb_FLOW_VERB_SUBMIT, id, steps...); rep.GetCode() != 0 {
-		w.t.Fatalf("%s: %v", id, rep)
+	if answer := w.askFlow(inner.FlowVerb_FLOW_VERB_SUBMIT, id, steps...); answer.GetCode() != 0 {
+		w.t.Fatalf("%s: %v", id, answer)
 	}
 }
 
-func (w *world) state(id string) v1.FlowState {
-	return w.ask(inner.FlowVerb_FLOW_VERB_STATE, id).GetState()
+func (w *testCluster) flowState(id string) v1.FlowState {
+	return w.askFlow(inner.FlowVerb_FLOW_VERB_STATE, id).GetState()
 }
 
-// await waits until a flow is in a state.
-func (w *world) await(id string, want v1.FlowState, within time.Duration) {
+// awaitState waits until a flow is in a state.
+func (w *testCluster) awaitState(id string, want v1.FlowState, within time.Duration) {
 	w.t.Helper()
 	for end := time.Now().Add(within); ; time.Sleep(20 * time.Millisecond) {
-		got := w.state(id)
+		got := w.flowState(id)
 		if got == want {
 			return
 		}
@@ -490,35 +490,35 @@
 	}
 }
 
-// check tells what no fault may break.
-func (w *world) check() {
+// checkInvariants tells what no fault may break.
+func (w *testCluster) checkInvariants() {
 	w.t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, what := range w.twice {
-		w.t.Error("in two places: " + what)
+	for _, duplicate := range w.duplicateRuns {
+		w.t.Error("in two places: " + duplicate)
 	}
-	for r, n := range w.begun {
+	for r, n := range w.startCounts {
 		if n > 1 {
 			w.t.Errorf("%s began %d times", r, n)
 		}
 	}
 }
 
-// end stops everything.
-func (w *world) end() {
-	w.do(func() { w.leads = false; w.d.Deposed() })
+// shutDown stops everything.
+func (w *testCluster) shutDown() {
+	w.runAndWait(func() { w.isLeader = false; w.dispatcher.Deposed() })
 	close(w.done)
-	w.lives.Wait()
-	w.check()
+	w.restarts.Wait()
+	w.checkInvariants()
 }
 
-func step(count uint32, cpu int64) *v1.FlowStep {
+func newStep(count uint32, cpu int64) *v1.FlowStep {
 	return &v1.FlowStep{Count: count, Size: &v1.Size{Cpu: cpu, Memory: 100}, Runtime: 1000}
 }
 
-func gangOf(count uint32, cpu int64) *v1.FlowStep {
-	s := step(count, cpu)
+func newGangStep(count uint32, cpu int64) *v1.FlowStep {
+	s := newStep(count, cpu)
 	s.Gang = true
 	return s
 }
--- a/internal/control/dispatch/helper.go
+++ b/internal/control/dispatch/helper.go
@@ -20,43 +20,43 @@
 
 // Greet makes a process known and tells it who leads; any goroutine may call it.
 func (d *Dispatcher) Greet(ctx context.Context, g *inner.Greeting) *inner.Welcome {
-	heard := d.Now()
-	w, err := runOnLeader(ctx, d, errNotLeading, func(reply func(*inner.Welcome)) {
-		d.registerProcess(g, heard)
-		out := d.welcomeMessage()
-		d.Host.AfterCommit(func() { reply(out) })
+	receivedAt := d.Now()
+	welcome, err := runOnLeader(ctx, d, errNotLeading, func(reply func(*inner.Welcome)) {
+		d.registerProcess(g, receivedAt)
+		message := d.welcomeMessage()
+		d.Host.AfterCommit(func() { reply(message) })
 	})
 	if err != nil {
 		return &inner.Welcome{}
 	}
-	return w
+	return welcome
 }
 
 // RegisterProcess notes a process that greeted this replica while another one leads: should this
 // one lead next, it has its helpers at once.
 func (d *Dispatcher) RegisterProcess(g *inner.Greeting) {
-	heard := d.Now()
-	d.Host.Post(func() { d.registerProcess(g, heard) })
+	receivedAt := d.Now()
+	d.Host.Post(func() { d.registerProcess(g, receivedAt) })
 }
 
 // registerProcess notes a process that made itself known.
-func (d *Dispatcher) registerProcess(g *inner.Greeting, at time.Duration) {
+func (d *Dispatcher) registerProcess(g *inner.Greeting, receivedAt time.Duration) {
 	if g.GetReplica() != "" {
-		d.joiningReplicas[g.GetReplica()] = &joiningReplica{address: g.GetAddress(), lastGreetingAt: at}
+		d.joiningReplicas[g.GetReplica()] = &joiningReplica{address: g.GetAddress(), lastGreetingAt: receivedAt}
 	}
-	d.helperPool.Hear(g.GetAddress(), at)
+	d.helperPool.Hear(g.GetAddress(), receivedAt)
 	if g.GetClock() > 0 {
-		d.agreedTime.Hear(g.GetAddress(), time.Duration(g.GetClock()), at)
+		d.agreedTime.Hear(g.GetAddress(), time.Duration(g.GetClock()), receivedAt)
 	}
 }
 
 // welcomeMessage is what a leader tells a process that makes itself known.
 func (d *Dispatcher) welcomeMessage() *inner.Welcome {
-	out := &inner.Welcome{Term: d.leader.term, Leads: true, Version: d.Host.Flows().Config().GetVersion(), Pause: uint32(d.helperPool.Pause() / time.Millisecond)}
+	message := &inner.Welcome{Term: d.leader.term, Leads: true, Version: d.Host.Flows().Config().GetVersion(), Pause: uint32(d.helperPool.Pause() / time.Millisecond)}
 	for _, m := range d.Host.Members().Members {
-		out.Members = append(out.Members, m.Address)
+		message.Members = append(message.Members, m.Address)
 	}
-	return out
+	return message
 }
 
 // announceTimeout bounds the announcement of a new leader to one process.
@@ -66,13 +66,13 @@
 // that neither their callers nor the leader's questions wait for the next greeting.
 func (d *Dispatcher) announceLeadership() {
 	now := d.Now()
-	word := &inner.Announcement{Cell: d.Cell, Welcome: d.welcomeMessage()}
+	announcement := &inner.Announcement{Cell: d.Cell, Welcome: d.welcomeMessage()}
 	for _, m := range d.Host.Members().Members {
 		if m.ID == d.Host.Members().Self {
-			word.Address = m.Address
+			announcement.Address = m.Address
 		}
 	}
-	if word.Address == "" {
+	if announcement.Address == "" {
 		return
 	}
 	term, ctx := d.leader.term, d.leader.ctx
@@ -80,9 +80,9 @@
 		d.leader.callPool.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 			defer cancel()
-			if g := d.Helpers.Announce(ctx, address, word); g.GetAddress() != "" {
-				heard := d.Now()
-				d.postInTerm(term, func() { d.registerProcess(g, heard) })
+			if g := d.Helpers.Announce(ctx, address, announcement); g.GetAddress() != "" {
+				answeredAt := d.Now()
+				d.postInTerm(term, func() { d.registerProcess(g, answeredAt) })
 			}
 		})
 	}
@@ -91,5 +91,5 @@
 // removeExpiredProcesses drops processes that were not heard of for long.
 func (d *Dispatcher) removeExpiredProcesses(now time.Duration) {
 	d.helperPool.Forget(now)
-	maps.DeleteFunc(d.joiningReplicas, func(_ string, j *joiningReplica) bool { return now-j.lastGreetingAt > joiningReplicaTTL })
+	maps.DeleteFunc(d.joiningReplicas, func(_ string, replica *joiningReplica) bool { return now-replica.lastGreetingAt > joiningReplicaTTL })
 }
--- a/internal/control/dispatch/learn.go
+++ b/internal/control/dispatch/learn.go
@@ -27,46 +27,46 @@
 )
 
 // learnSpeed takes the time that a run took.
-func (d *Dispatcher) learnSpeed(s *session, r *run, how inner.RunEnd, now time.Duration) {
-	if how != inner.RunEnd_RUN_END_DONE || r.placedAt == 0 {
+func (d *Dispatcher) learnSpeed(s *session, r *run, end inner.RunEnd, now time.Duration) {
+	if end != inner.RunEnd_RUN_END_DONE || r.placedAt == 0 {
 		return
 	}
 	step, ok := d.Host.Flows().Step(r.StepID)
 	if !ok || step.Spec.GetRuntime() == 0 || r.Number > 1 {
 		return
 	}
-	took := (now - r.placedAt).Seconds() * float64(time.Second/time.Millisecond) / float64(step.Spec.GetRuntime())
-	p := d.leader.serverSpeeds[s.id]
-	if p == nil {
-		p = &serverSpeed{runtimeRatio: took}
-		d.leader.serverSpeeds[s.id] = p
+	ratio := (now - r.placedAt).Seconds() * float64(time.Second/time.Millisecond) / float64(step.Spec.GetRuntime())
+	speed := d.leader.serverSpeeds[s.id]
+	if speed == nil {
+		speed = &serverSpeed{runtimeRatio: ratio}
+		d.leader.serverSpeeds[s.id] = speed
 	}
-	s.speed = p
-	p.runtimeRatio += speedWeight * (took - p.runtimeRatio)
-	p.runCount++
+	s.speed = speed
+	speed.runtimeRatio += speedWeight * (ratio - speed.runtimeRatio)
+	speed.runCount++
 }
 
 // relativeSpeed returns how fast a server works beside the others; 1 when nothing is known.
 func (d *Dispatcher) relativeSpeed(s *session) float64 {
-	p := s.speed
-	if p == nil || p.runCount < minSpeedRuns || p.runtimeRatio <= 0 || d.leader.runtimeRatio == 0 {
+	speed := s.speed
+	if speed == nil || speed.runCount < minSpeedRuns || speed.runtimeRatio <= 0 || d.leader.runtimeRatio == 0 {
 		return 1
 	}
-	return d.leader.runtimeRatio / p.runtimeRatio
+	return d.leader.runtimeRatio / speed.runtimeRatio
 }
 
 // updateRuntimeRatio works out how far declared times are off on the whole. It goes over all
 // servers, so it is done now and then.
 func (d *Dispatcher) updateRuntimeRatio() {
-	sum, n := 0.0, 0
-	for _, p := range d.leader.serverSpeeds {
-		if p.runCount >= minSpeedRuns {
-			sum += p.runtimeRatio
-			n++
+	sum, count := 0.0, 0
+	for _, speed := range d.leader.serverSpeeds {
+		if speed.runCount >= minSpeedRuns {
+			sum += speed.runtimeRatio
+			count++
 		}
 	}
-	if n > 0 {
-		d.leader.runtimeRatio = sum / float64(n)
+	if count > 0 {
+		d.leader.runtimeRatio = sum / float64(count)
 	}
 }
 
@@ -80,15 +80,15 @@
 // judgeRunEnd notes how a run ended for the judgement of its server. The step that
 // failed there is tried elsewhere: whose fault it was is not known, and a
 // server that fails everything would use up all its attempts.
-func (d *Dispatcher) judgeRunEnd(s *session, r *run, how inner.RunEnd, now time.Duration) {
-	switch how {
+func (d *Dispatcher) judgeRunEnd(s *session, r *run, end inner.RunEnd, now time.Duration) {
+	switch end {
 	case inner.RunEnd_RUN_END_DONE:
 		s.failureStreak.Done()
 	case inner.RunEnd_RUN_END_FAILED:
 		d.avoidServerForStep(s, r)
-		if rest := s.failureStreak.Failed(r.Flow); rest > 0 {
-			s.avoidUntil = max(s.avoidUntil, now+rest)
-			event.Log(d.Log, event.ServerQuarantined, "server", s.id, "flow", r.Flow, "rest", rest.String())
+		if pause := s.failureStreak.Failed(r.Flow); pause > 0 {
+			s.avoidUntil = max(s.avoidUntil, now+pause)
+			event.Log(d.Log, event.ServerQuarantined, "server", s.id, "flow", r.Flow, "rest", pause.String())
 		}
 	}
 }
@@ -119,11 +119,11 @@
 		if !ok || step.Spec.GetLasting() || step.Spec.GetGang() || step.Spec.GetFills() && s.pacePercent < pace.Full {
 			continue // it may stand still by order, or until others are there
 		}
-		w := watchdog.Run{Elapsed: r.progressReportedAt - r.placedAt, Still: r.progressReportedAt - r.progressChangedAt, Percent: r.progressPercent, Typical: d.typicalRuntime(step), Saves: step.Spec.GetSaves()}
-		if !(r.Number <= maxStuckMoves && watchdog.Stuck(w)) && !(r.Number <= maxSlowMoves && watchdog.Drags(w)) {
+		progress := watchdog.Run{Elapsed: r.progressReportedAt - r.placedAt, Still: r.progressReportedAt - r.progressChangedAt, Percent: r.progressPercent, Typical: d.typicalRuntime(step), Saves: step.Spec.GetSaves()}
+		if !(r.Number <= maxStuckMoves && watchdog.Stuck(progress)) && !(r.Number <= maxSlowMoves && watchdog.Drags(progress)) {
 			continue
 		}
-		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.progressPercent, "still", w.Still.String(), "elapsed", w.Elapsed.String(), "typical", w.Typical.String())
+		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.progressPercent, "still", progress.Still.String(), "elapsed", progress.Elapsed.String(), "typical", progress.Typical.String())
 		d.avoidServerForStep(s, r)
 		s.avoidUntil = max(s.avoidUntil, now+suspectServerPause)
 		d.stopRun(s, r)
--- a/internal/control/dispatch/lease.go
+++ b/internal/control/dispatch/lease.go
@@ -19,14 +19,14 @@
 // replica runs at all; urgent work a short one, since on a server that goes silent
 // it is placed again only once the lease is over; a server without work needs none.
 func (d *Dispatcher) leaseLength(s *session) time.Duration {
-	most := time.Duration(0)
+	longest := time.Duration(0)
 	for _, r := range s.runs {
 		if !r.urgent {
 			return d.MaxLease
 		}
-		most = min(urgentLease, d.MaxLease)
+		longest = min(urgentLease, d.MaxLease)
 	}
-	return most
+	return longest
 }
 
 // isUrgentStep tells whether a step's tasks are urgent and over soon.
@@ -37,7 +37,7 @@
 
 // chooseUrgentServers chooses the servers of each pool on which urgent work is gathered.
 func (d *Dispatcher) chooseUrgentServers() {
-	used := map[string]int64{}
+	usedCPU := map[string]int64{}
 	servers := map[string][]brief.Server{}
 	for id, s := range d.leader.sessions {
 		b, ok := d.Host.Flows().Server(id)
@@ -49,21 +49,21 @@
 		}
 		for _, r := range s.runs {
 			if r.urgent {
-				used[b.Pool] += r.allocation.Size.CPU
+				usedCPU[b.Pool] += r.allocation.Size.CPU
 			}
 		}
 	}
-	for pool, all := range servers {
+	for pool, poolServers := range servers {
 		if !d.hasUrgentQueue(pool) {
 			delete(d.leader.urgentServers, pool)
 			continue
 		}
-		c := d.leader.urgentServers[pool]
-		if c == nil {
-			c = &brief.Choice{}
-			d.leader.urgentServers[pool] = c
+		choice := d.leader.urgentServers[pool]
+		if choice == nil {
+			choice = &brief.Choice{}
+			d.leader.urgentServers[pool] = choice
 		}
-		c.Look(all, used[pool])
+		choice.Look(poolServers, usedCPU[pool])
 	}
 }
 
--- a/internal/control/dispatch/life.go
+++ b/internal/control/dispatch/life.go
@@ -27,10 +27,10 @@
 
 // beginClosing begins to close a life that is over. Starts that are on their way may
 // reach whoever listens at the address next, so they are settled first.
-func (d *Dispatcher) beginClosing(s *session, why string) {
+func (d *Dispatcher) beginClosing(s *session, reason string) {
 	if s.closeReason == "" {
-		s.closeReason, s.closingSince = why, d.Now()
-		event.Log(d.Log, event.ServerGone, "server", s.id, "born", s.incarnation, "cause", why, "held", len(s.runs))
+		s.closeReason, s.closingSince = reason, d.Now()
+		event.Log(d.Log, event.ServerGone, "server", s.id, "born", s.incarnation, "cause", reason, "held", len(s.runs))
 	}
 	d.closeWhenSettled(s, d.Now())
 }
@@ -58,22 +58,22 @@
 }
 
 // recordLostRuns records that nothing that a life held runs any more.
-func (d *Dispatcher) recordLostRuns(s *session, over bool) {
-	c := &record.FlowClear{Id: s.id, Born: s.incarnation, Over: over}
-	how := inner.RunEnd_RUN_END_LOST
-	if over && d.endedUnexpectedly(s) {
-		how, c.Blamed = inner.RunEnd_RUN_END_CRASHED, d.blamedRuns(s)
+func (d *Dispatcher) recordLostRuns(s *session, closed bool) {
+	cleared := &record.FlowClear{Id: s.id, Born: s.incarnation, Over: closed}
+	end := inner.RunEnd_RUN_END_LOST
+	if closed && d.endedUnexpectedly(s) {
+		end, cleared.Blamed = inner.RunEnd_RUN_END_CRASHED, d.blamedRuns(s)
 	}
-	before, beside := d.wantedRuns(s), len(s.runs)-1
+	wantedBefore, otherRuns := d.wantedRuns(s), len(s.runs)-1
 	for _, r := range s.runs {
 		if r.checkpoint != "" {
-			c.Saved = append(c.Saved, &record.FlowSaved{Run: r.Message(), Checkpoint: r.checkpoint})
+			cleared.Saved = append(cleared.Saved, &record.FlowSaved{Run: r.Message(), Checkpoint: r.checkpoint})
 		}
-		event.Log(d.Log, event.AttemptLost, "flow", r.Flow, "run", r.String(), "server", s.id, "how", how.String(), "checkpoint", r.checkpoint, "over", over, "age", d.runAge(s, r).String(), "beside", beside)
-		d.flowMetrics.countRunEnd(how)
+		event.Log(d.Log, event.AttemptLost, "flow", r.Flow, "run", r.String(), "server", s.id, "how", end.String(), "checkpoint", r.checkpoint, "over", closed, "age", d.runAge(s, r).String(), "beside", otherRuns)
+		d.flowMetrics.countRunEnd(end)
 	}
-	if d.applyOrLog(&record.Flow{What: &record.Flow_Clear{Clear: c}}) {
-		d.logFailedFlows(s, before)
+	if d.applyOrLog(&record.Flow{What: &record.Flow_Clear{Clear: cleared}}) {
+		d.logFailedFlows(s, wantedBefore)
 		s.runs = map[flow.TaskID]*run{}
 		s.listReceived = false
 	}
--- a/internal/control/dispatch/lists.go
+++ b/internal/control/dispatch/lists.go
@@ -10,29 +10,29 @@
 )
 
 // applyRunList takes what a server says it runs and what ended there.
-func (d *Dispatcher) applyRunList(s *session, a *inner.ServerAnswer, sent, came time.Duration) {
+func (d *Dispatcher) applyRunList(s *session, a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
 	s.listCount++
-	for _, m := range a.GetRunning() {
-		id := flow.RunOf(m.GetRun())
+	for _, entry := range a.GetRunning() {
+		id := flow.RunOf(entry.GetRun())
 		r := s.runs[id.TaskID]
 		if r == nil || r.Number != id.Number {
 			d.stopStrayRun(s, id)
 			continue
 		}
-		r.applyListEntry(m, came)
+		r.applyListEntry(entry, receivedAt)
 		r.lastListNumber = s.listCount
 	}
-	e := &record.FlowEnds{Server: s.id, Born: s.incarnation}
-	for _, m := range a.GetEnded() {
-		id := flow.RunOf(m.GetRun())
+	ends := &record.FlowEnds{Server: s.id, Born: s.incarnation}
+	for _, entry := range a.GetEnded() {
+		id := flow.RunOf(entry.GetRun())
 		if r := s.runs[id.TaskID]; r != nil && r.Number == id.Number {
 			r.lastListNumber = s.listCount
 		}
-		if m.GetNumber() <= s.lastEndTaken {
+		if entry.GetNumber() <= s.lastEndTaken {
 			continue
 		}
-		s.lastEndTaken = m.GetNumber()
-		e.Ends = append(e.Ends, &record.FlowEnd{Run: m.GetRun(), How: m.GetHow(), Checkpoint: m.GetCheckpoint()})
+		s.lastEndTaken = entry.GetNumber()
+		ends.Ends = append(ends.Ends, &record.FlowEnd{Run: entry.GetRun(), How: entry.GetHow(), Checkpoint: entry.GetCheckpoint()})
 	}
 	for _, r := range s.runs {
 		if r.lastListNumber == s.listCount {
@@ -46,45 +46,45 @@
 		}
 		// Not listed although its start or its stop was answered before the
 		// list was made: it does not run, and never will.
-		if r.orderAnsweredAt > 0 && r.orderAnsweredAt < sent {
-			e.Ends = append(e.Ends, &record.FlowEnd{Run: r.Message(), How: inner.RunEnd_RUN_END_LOST, Checkpoint: r.checkpoint})
+		if r.orderAnsweredAt > 0 && r.orderAnsweredAt < sentAt {
+			ends.Ends = append(ends.Ends, &record.FlowEnd{Run: r.Message(), How: inner.RunEnd_RUN_END_LOST, Checkpoint: r.checkpoint})
 		}
 	}
-	if len(e.Ends) == 0 {
+	if len(ends.Ends) == 0 {
 		return
 	}
-	e.Cursor = s.lastEndTaken
-	d.recordEnds(s, e, came)
+	ends.Cursor = s.lastEndTaken
+	d.recordEnds(s, ends, receivedAt)
 }
 
 // recordEnds records ends and lets go of their runs.
-func (d *Dispatcher) recordEnds(s *session, e *record.FlowEnds, now time.Duration) {
-	if !d.applyOrLog(&record.Flow{What: &record.Flow_Ends{Ends: e}}) {
+func (d *Dispatcher) recordEnds(s *session, ends *record.FlowEnds, now time.Duration) {
+	if !d.applyOrLog(&record.Flow{What: &record.Flow_Ends{Ends: ends}}) {
 		return
 	}
-	for _, one := range e.GetEnds() {
-		id := flow.RunOf(one.GetRun())
+	for _, end := range ends.GetEnds() {
+		id := flow.RunOf(end.GetRun())
 		r := s.runs[id.TaskID]
 		if r == nil || r.Number != id.Number {
 			continue
 		}
 		delete(s.runs, id.TaskID)
-		d.handleRunEnd(s, r, one, now)
+		d.handleRunEnd(s, r, end, now)
 	}
 }
 
 // handleRunEnd logs an end and learns from it.
-func (d *Dispatcher) handleRunEnd(s *session, r *run, e *record.FlowEnd, now time.Duration) {
+func (d *Dispatcher) handleRunEnd(s *session, r *run, end *record.FlowEnd, now time.Duration) {
 	state := "gone"
 	if f, ok := d.Host.Flows().Flow(r.Flow); ok {
 		state = f.State.String()
 	}
-	took := "since before this leader"
+	elapsed := "since before this leader"
 	if r.placedAt > 0 {
-		took = (now - r.placedAt).String()
+		elapsed = (now - r.placedAt).String()
 	}
-	d.flowMetrics.countRunEnd(e.GetHow())
-	event.Log(d.Log, event.RunEnded, "flow", r.Flow, "run", r.String(), "server", s.id, "how", e.GetHow().String(), "took", took, "state", state)
-	d.learnSpeed(s, r, e.GetHow(), now)
-	d.judgeRunEnd(s, r, e.GetHow(), now)
+	d.flowMetrics.countRunEnd(end.GetHow())
+	event.Log(d.Log, event.RunEnded, "flow", r.Flow, "run", r.String(), "server", s.id, "how", end.GetHow().String(), "took", elapsed, "state", state)
+	d.learnSpeed(s, r, end.GetHow(), now)
+	d.judgeRunEnd(s, r, end.GetHow(), now)
 }
--- a/internal/control/dispatch/member.go
+++ b/internal/control/dispatch/member.go
@@ -24,17 +24,17 @@
 		return
 	}
 	d.leader.membershipCheckedAt = now
-	m := d.Host.Members()
-	v := roster.View{Self: m.Self, Members: m.Members, Target: d.TargetVoters, Synced: d.Host.IsSynced}
-	for id, j := range d.joiningReplicas {
-		v.Known = append(v.Known, roster.Known{Member: quorum.Member{ID: id, Address: j.address}, Silent: now - j.lastGreetingAt})
+	members := d.Host.Members()
+	view := roster.View{Self: members.Self, Members: members.Members, Target: d.TargetVoters, Synced: d.Host.IsSynced}
+	for id, replica := range d.joiningReplicas {
+		view.Known = append(view.Known, roster.Known{Member: quorum.Member{ID: id, Address: replica.address}, Silent: now - replica.lastGreetingAt})
 	}
 	// A leader that has just begun has not heard of anybody yet.
-	v.Watched = now - d.leader.electedAt
-	c, ok := roster.Decide(v)
+	view.Watched = now - d.leader.electedAt
+	change, ok := roster.Decide(view)
 	if !ok {
 		return
 	}
-	event.Log(d.Log, event.MemberChange, "member", c.Member.ID, "address", c.Member.Address, "remove", c.Remove, "cause", c.Cause, "members", len(m.Members), "term", d.leader.term)
-	d.Host.ChangeMember(c.Member, c.Remove)
+	event.Log(d.Log, event.MemberChange, "member", change.Member.ID, "address", change.Member.Address, "remove", change.Remove, "cause", change.Cause, "members", len(members.Members), "term", d.leader.term)
+	d.Host.ChangeMember(change.Member, change.Remove)
 }
--- a/internal/control/dispatch/meter.go
+++ b/internal/control/dispatch/meter.go
@@ -41,30 +41,30 @@
 	}
 }
 
-func (m *flowMetrics) incrementCounter(what string, labels ...meter.Label) {
-	m.set.GetOrCreateCounter(meter.Name(metricArea, what, labels...)).Inc()
+func (m *flowMetrics) incrementCounter(name string, labels ...meter.Label) {
+	m.set.GetOrCreateCounter(meter.Name(metricArea, name, labels...)).Inc()
 }
 
 func (m *flowMetrics) countRefusal(c code.Code) {
 	m.incrementCounter("refused_total", meter.Label{Name: "code", Value: c.String()})
 }
 
-func (m *flowMetrics) countRunEnd(how inner.RunEnd) {
-	m.incrementCounter("ends_total", meter.Label{Name: "how", Value: how.String()})
+func (m *flowMetrics) countRunEnd(end inner.RunEnd) {
+	m.incrementCounter("ends_total", meter.Label{Name: "how", Value: end.String()})
 }
 
-func (m *flowMetrics) observeCall(what string, v inner.Verdict, took time.Duration) {
-	m.incrementCounter("calls_total", meter.Label{Name: "call", Value: what}, meter.Label{Name: "verdict", Value: v.String()})
-	m.set.GetOrCreatePrometheusHistogram(meter.Name(metricArea, "call_seconds", meter.Label{Name: "call", Value: what})).Update(took.Seconds())
+func (m *flowMetrics) observeCall(call string, verdict inner.Verdict, duration time.Duration) {
+	m.incrementCounter("calls_total", meter.Label{Name: "call", Value: call}, meter.Label{Name: "verdict", Value: verdict.String()})
+	m.set.GetOrCreatePrometheusHistogram(meter.Name(metricArea, "call_seconds", meter.Label{Name: "call", Value: call})).Update(duration.Seconds())
 }
 
-func (m *flowMetrics) observeQuestion(c code.Code, took time.Duration) {
+func (m *flowMetrics) observeQuestion(c code.Code, duration time.Duration) {
 	m.incrementCounter("questions_total", meter.Label{Name: "code", Value: c.String()})
-	m.set.GetOrCreatePrometheusHistogram(meter.Name(metricArea, "question_seconds")).Update(took.Seconds())
+	m.set.GetOrCreatePrometheusHistogram(meter.Name(metricArea, "question_seconds")).Update(duration.Seconds())
 }
 
-func (m *flowMetrics) observeWait(queue string, d time.Duration) {
-	m.set.GetOrCreatePrometheusHistogram(meter.Name(metricArea, "wait_seconds", meter.Label{Name: "queue", Value: queue})).Update(d.Seconds())
+func (m *flowMetrics) observeWait(queue string, wait time.Duration) {
+	m.set.GetOrCreatePrometheusHistogram(meter.Name(metricArea, "wait_seconds", meter.Label{Name: "queue", Value: queue})).Update(wait.Seconds())
 }
 
 // updateGauges sets the gauges.
--- a/internal/control/dispatch/order.go
+++ b/internal/control/dispatch/order.go
@@ -73,26 +73,26 @@
 }
 
 // applyListEntry takes what a list tells of the run.
-func (r *run) applyListEntry(m *inner.RunningRun, now time.Duration) {
-	if m.GetCheckpoint() != "" {
-		r.checkpoint = m.GetCheckpoint()
+func (r *run) applyListEntry(entry *inner.RunningRun, now time.Duration) {
+	if entry.GetCheckpoint() != "" {
+		r.checkpoint = entry.GetCheckpoint()
 	}
-	done := math.Floor(m.GetPercent())
+	percent := math.Floor(entry.GetPercent())
 	switch {
-	case r.progressChangedAt == 0 && done == 0 && r.orderAnsweredAt > 0:
+	case r.progressChangedAt == 0 && percent == 0 && r.orderAnsweredAt > 0:
 		r.progressChangedAt = r.orderAnsweredAt // it had made no progress when its start was answered
-	case r.progressChangedAt == 0 || done != math.Floor(r.progressPercent):
+	case r.progressChangedAt == 0 || percent != math.Floor(r.progressPercent):
 		r.progressChangedAt = now
 	}
 	r.reportedByServer, r.startUnconfirmed, r.mayReachNextIncarnation = true, false, false
-	r.progressPercent, r.load, r.progressReportedAt = m.GetPercent(), m.GetLoad(), now
+	r.progressPercent, r.load, r.progressReportedAt = entry.GetPercent(), entry.GetLoad(), now
 }
 
 // sendStart sends the start of a run whose placement is committed.
 func (d *Dispatcher) sendStart(s *session, r *run) {
 	f, ok := d.Host.Flows().Flow(r.Flow)
-	step, known := d.Host.Flows().Step(r.StepID)
-	if !ok || !known || f.Final() || r.stopping || r.reportedByServer {
+	step, stepKnown := d.Host.Flows().Step(r.StepID)
+	if !ok || !stepKnown || f.Final() || r.stopping || r.reportedByServer {
 		return // what became unwanted meanwhile is stopped, or never sent
 	}
 	if s.closeReason != "" {
@@ -109,27 +109,27 @@
 		r.startSentAt = d.Now()
 		d.startProbation(s, r, r.startSentAt)
 	}
-	c := &inner.StartRun{Run: r.Message(), Input: f.Spec.GetInput(), Checkpoint: step.Tasks[r.Index].Checkpoint, Permit: r.permit}
+	start := &inner.StartRun{Run: r.Message(), Input: f.Spec.GetInput(), Checkpoint: step.Tasks[r.Index].Checkpoint, Permit: r.permit}
 	// A server that does not answer may hear all the same: trying again must not
 	// lengthen the lease of what cannot be placed elsewhere before it is over.
 	renew := r.startAttempts == 1
-	d.callServer(s, &inner.ServerCall{What: &inner.ServerCall_Start{Start: c}}, 0, r.startAttempts-1, renew, func(a *inner.ServerAnswer, sent, came time.Duration) {
+	d.callServer(s, &inner.ServerCall{What: &inner.ServerCall_Start{Start: start}}, 0, r.startAttempts-1, renew, func(a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
 		r.pendingOrders--
 		switch a.GetVerdict() {
 		case inner.Verdict_VERDICT_DONE, inner.Verdict_VERDICT_SILENT:
 			// One that did not come in time would have taken longer yet. Left out, a
 			// leader whose answers all come late would never wait for them.
-			d.observeLatency(came - sent)
+			d.observeLatency(receivedAt - sentAt)
 		}
-		d.flowMetrics.observeCall("start", a.GetVerdict(), came-sent)
+		d.flowMetrics.observeCall("start", a.GetVerdict(), receivedAt-sentAt)
 		if d.leader.sessions[s.id] == s && s.runs[r.TaskID] == r {
-			d.handleStartAnswer(s, r, a, came)
+			d.handleStartAnswer(s, r, a, receivedAt)
 		}
 	})
 }
 
 // handleStartAnswer takes the answer to a start.
-func (d *Dispatcher) handleStartAnswer(s *session, r *run, a *inner.ServerAnswer, came time.Duration) {
+func (d *Dispatcher) handleStartAnswer(s *session, r *run, a *inner.ServerAnswer, receivedAt time.Duration) {
 	verdict := a.GetVerdict()
 	if verdict != inner.Verdict_VERDICT_DONE {
 		event.Log(d.Log, event.StartRefused, "flow", r.Flow, "run", r.String(), "server", s.id, "verdict", verdict.String(), "detail", a.GetDetail(), "try", r.startAttempts)
@@ -141,15 +141,15 @@
 	}
 	switch verdict {
 	case inner.Verdict_VERDICT_DONE:
-		r.reportedByServer, r.orderAnsweredAt, r.mayReachNextIncarnation = true, came, s.closeReason != ""
+		r.reportedByServer, r.orderAnsweredAt, r.mayReachNextIncarnation = true, receivedAt, s.closeReason != ""
 		s.refusalsInARow = 0
 		return
 	case inner.Verdict_VERDICT_OLD:
-		r.orderAnsweredAt = came
+		r.orderAnsweredAt = receivedAt
 		return
 	case inner.Verdict_VERDICT_SILENT:
 		// It may have gone; more work there would wait for its lease as well.
-		s.avoidUntil = max(s.avoidUntil, came+minAvoidTime)
+		s.avoidUntil = max(s.avoidUntil, receivedAt+minAvoidTime)
 		r.startUnconfirmed, r.mayReachNextIncarnation = true, true
 		d.retryStart(s, r)
 		return
@@ -158,7 +158,7 @@
 		r.startUnconfirmed = true
 		return
 	}
-	d.handleRefusal(s, r, verdict, came)
+	d.handleRefusal(s, r, verdict, receivedAt)
 	d.withdrawRun(s, r)
 }
 
@@ -174,14 +174,14 @@
 }
 
 // handleRefusal learns from a refusal what not to try again at once.
-func (d *Dispatcher) handleRefusal(s *session, r *run, v inner.Verdict, now time.Duration) {
-	switch v {
+func (d *Dispatcher) handleRefusal(s *session, r *run, verdict inner.Verdict, now time.Duration) {
+	switch verdict {
 	case inner.Verdict_VERDICT_UNWELL, inner.Verdict_VERDICT_ROOM, inner.Verdict_VERDICT_MALFORMED, inner.Verdict_VERDICT_LATE:
 		s.avoidUntil = now + min(minAvoidTime<<min(s.refusalsInARow, 6), maxAvoidTime)
 		s.refusalsInARow++
 	case inner.Verdict_VERDICT_PERMIT:
-		if a := d.leader.adviceByStep[r.StepID]; a != nil {
-			delete(a.permits, s.id)
+		if advice := d.leader.adviceByStep[r.StepID]; advice != nil {
+			delete(advice.permits, s.id)
 		}
 	case inner.Verdict_VERDICT_ABSENT, inner.Verdict_VERDICT_STRANGER, inner.Verdict_VERDICT_UNSENT:
 		s.avoidUntil = now + minAvoidTime
@@ -192,8 +192,8 @@
 // once. A second silence gives the run up.
 func (d *Dispatcher) retryStart(s *session, r *run) {
 	b, ok := d.Host.Flows().Server(s.id)
-	late := r.placedAt > 0 && d.Now()-r.placedAt > d.GangTimeout/gangRetryDivisor && d.gangStep(r) != nil
-	if r.startAttempts >= maxStartAttempts || late || !ok || !d.Host.Flows().Takes(b) || s.closeReason != "" {
+	pastGangLimit := r.placedAt > 0 && d.Now()-r.placedAt > d.GangTimeout/gangRetryDivisor && d.gangStep(r) != nil
+	if r.startAttempts >= maxStartAttempts || pastGangLimit || !ok || !d.Host.Flows().Takes(b) || s.closeReason != "" {
 		d.stopRun(s, r)
 		return
 	}
@@ -225,33 +225,33 @@
 	if step == nil {
 		return
 	}
-	stopped := 0
+	stoppedCount := 0
 	for i, t := range step.Tasks {
 		s := d.leader.sessions[t.Server]
 		if t.Phase != flows.Placed || t.Number != r.Number || s == nil {
 			continue
 		}
-		m := s.runs[flow.TaskID{StepID: r.StepID, Index: uint32(i)}]
-		if m != nil && m.Number == r.Number && !m.stopping {
-			m.stopping = true
-			d.sendStop(s, m)
-			stopped++
+		member := s.runs[flow.TaskID{StepID: r.StepID, Index: uint32(i)}]
+		if member != nil && member.Number == r.Number && !member.stopping {
+			member.stopping = true
+			d.sendStop(s, member)
+			stoppedCount++
 		}
 	}
-	if stopped > 0 {
-		event.Log(d.Log, event.GangDisbanded, "flow", r.Flow, "run", r.String(), "server", r.allocation.Server, "tries", r.startAttempts, "stopped", stopped)
+	if stoppedCount > 0 {
+		event.Log(d.Log, event.GangDisbanded, "flow", r.Flow, "run", r.String(), "server", r.allocation.Server, "tries", r.startAttempts, "stopped", stoppedCount)
 	}
 }
 
 // stopUnwantedRuns orders a stop for every run that the ledger does not want.
 func (d *Dispatcher) stopUnwantedRuns() {
 	now := d.Now()
-	for id, h := range d.Host.Flows().Unwanted() {
-		s := d.leader.sessions[h.Server]
+	for id, allocation := range d.Host.Flows().Unwanted() {
+		s := d.leader.sessions[allocation.Server]
 		if s == nil {
 			continue
 		}
-		if r := s.runs[id]; r != nil && r.Number == h.Number && !r.stopping {
+		if r := s.runs[id]; r != nil && r.Number == allocation.Number && !r.stopping {
 			r.stopping = true
 			d.Host.AfterCommit(func() { d.sendStop(s, r) })
 		}
@@ -277,23 +277,23 @@
 	d.leader.pendingStops[r] = s
 	c := &inner.ServerCall{What: &inner.ServerCall_Stop{Stop: &inner.StopRun{Run: r.Message()}}}
 	r.stopAttempts++
-	d.callServer(s, c, 0, r.stopAttempts-1, false, func(a *inner.ServerAnswer, sent, came time.Duration) {
+	d.callServer(s, c, 0, r.stopAttempts-1, false, func(a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
 		r.pendingOrders--
-		d.flowMetrics.observeCall("stop", a.GetVerdict(), came-sent)
+		d.flowMetrics.observeCall("stop", a.GetVerdict(), receivedAt-sentAt)
 		switch a.GetVerdict() {
 		case inner.Verdict_VERDICT_DONE, inner.Verdict_VERDICT_OLD:
 			if r.mayReachNextIncarnation {
-				r.nextIncarnationStoppedAt = came
+				r.nextIncarnationStoppedAt = receivedAt
 			}
-			r.orderAnsweredAt, r.mayReachNextIncarnation = came, false
+			r.orderAnsweredAt, r.mayReachNextIncarnation = receivedAt, false
 			if !s.holdPending {
 				d.sendHold(s)
 			}
 		case inner.Verdict_VERDICT_ABSENT, inner.Verdict_VERDICT_STRANGER:
 			r.mayReachNextIncarnation = false
-			r.nextOrderAt = came + orderRetryPause
+			r.nextOrderAt = receivedAt + orderRetryPause
 		default:
-			r.nextOrderAt = came + orderRetryPause
+			r.nextOrderAt = receivedAt + orderRetryPause
 		}
 	})
 }
@@ -303,7 +303,7 @@
 func (d *Dispatcher) stopStrayRun(s *session, id flow.RunID) {
 	event.Log(d.Log, event.RunStray, "flow", id.Flow, "run", id.String(), "server", s.id)
 	c := &inner.ServerCall{What: &inner.ServerCall_Stop{Stop: &inner.StopRun{Run: id.Message()}}}
-	d.callServer(s, c, 0, 0, false, func(a *inner.ServerAnswer, sent, came time.Duration) {
-		d.flowMetrics.observeCall("stop", a.GetVerdict(), came-sent)
+	d.callServer(s, c, 0, 0, false, func(a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
+		d.flowMetrics.observeCall("stop", a.GetVerdict(), receivedAt-sentAt)
 	})
 }
--- a/internal/control/dispatch/plan.go
+++ b/internal/control/dispatch/plan.go
@@ -21,60 +21,60 @@
 	if len(ledger.Ready()) == 0 {
 		return
 	}
-	begin := d.Now()
-	v := steps.View{Items: d.leader.planView.Items[:0], Servers: d.leader.planView.Servers[:0], Room: d.remainingQuota, Known: d.permissionsFor, Share: d.permitShare, Rest: d.Host.YieldThread}
-	v.Frees = func(server string) []steps.Release { return d.expectedReleases(server, now) }
+	startedAt := d.Now()
+	view := steps.View{Items: d.leader.planView.Items[:0], Servers: d.leader.planView.Servers[:0], Room: d.remainingQuota, Known: d.permissionsFor, Share: d.permitShare, Rest: d.Host.YieldThread}
+	view.Frees = func(server string) []steps.Release { return d.expectedReleases(server, now) }
 	clock := d.Host.LedgerTime()
 	for _, s := range ledger.Ready() {
-		if a := d.leader.adviceByStep[s.StepID]; a != nil && a.pendingQuestions > 0 && len(a.permits) == 0 {
+		if advice := d.leader.adviceByStep[s.StepID]; advice != nil && advice.pendingQuestions > 0 && len(advice.permits) == 0 {
 			continue // nothing can be decided before the first answer
 		}
-		if it, ok := d.planItem(s, clock); ok {
-			v.Items = append(v.Items, it)
+		if item, ok := d.planItem(s, clock); ok {
+			view.Items = append(view.Items, item)
 		}
 	}
 	for _, s := range d.leader.sortedSessions {
 		b, ok := ledger.Server(s.id)
 		if ok && ledger.Takes(b) && b.Born == s.incarnation && s.isUsable(now) && !d.leader.drainingForUpkeep[s.id] {
-			v.Servers = append(v.Servers, steps.Server{Server: b, Speed: d.relativeSpeed(s), Cold: clock < b.Warm, Fresh: isFresh(b, clock), Probation: now < s.probationUntil, Brief: d.leader.urgentServers[b.Pool].Has(s.id)})
+			view.Servers = append(view.Servers, steps.Server{Server: b, Speed: d.relativeSpeed(s), Cold: clock < b.Warm, Fresh: isFresh(b, clock), Probation: now < s.probationUntil, Brief: d.leader.urgentServers[b.Pool].Has(s.id)})
 		}
 	}
-	v.Headroom = func(pool string) steps.Headroom { return d.headroom(pool, poolCapacity(v.Servers, pool), now) }
+	view.Headroom = func(pool string) steps.Headroom { return d.headroom(pool, poolCapacity(view.Servers, pool), now) }
 	d.leader.planCount++
-	d.leader.planView = v // the next plan uses its room
-	v.Items = steps.Pick(v, d.leader.planCount)
-	p := d.leader.planner.Make(v)
-	for _, one := range p.Placements {
-		d.recordDemand(one, now)
-		d.commitPlacement(one, now)
-	}
-	d.replaceQuestions(p.Wants, now)
-	took := d.Now() - begin
-	d.leader.planPacer.Made(now, took)
-	d.flowMetrics.planSeconds.Update(took.Seconds())
+	d.leader.planView = view // the next plan uses its room
+	view.Items = steps.Pick(view, d.leader.planCount)
+	result := d.leader.planner.Make(view)
+	for _, placement := range result.Placements {
+		d.recordDemand(placement, now)
+		d.commitPlacement(placement, now)
+	}
+	d.replaceQuestions(result.Wants, now)
+	elapsed := d.Now() - startedAt
+	d.leader.planPacer.Made(now, elapsed)
+	d.flowMetrics.planSeconds.Update(elapsed.Seconds())
 }
 
 // poolCapacity returns the size of a pool.
 func poolCapacity(servers []steps.Server, pool string) capacity.Size {
-	var out capacity.Size
+	var sum capacity.Size
 	for _, s := range servers {
 		if s.Pool == pool {
-			out = out.Add(s.Capacity)
+			sum = sum.Add(s.Capacity)
 		}
 	}
-	return out
+	return sum
 }
 
 // remainingQuota returns what a customer may still start.
 func (d *Dispatcher) remainingQuota(customer string) capacity.Size {
 	limit, used := d.Host.Flows().Limit(customer), d.Host.Flows().Used(customer)
-	left := func(limit, used int64) int64 {
+	remaining := func(limit, used int64) int64 {
 		if limit == capacity.Unlimited {
 			return unlimitedAmount
 		}
 		return limit - used
 	}
-	return capacity.Size{CPU: left(limit.CPU, used.CPU), Memory: left(limit.Memory, used.Memory), Accel: left(limit.Accel, used.Accel)}
+	return capacity.Size{CPU: remaining(limit.CPU, used.CPU), Memory: remaining(limit.Memory, used.Memory), Accel: remaining(limit.Accel, used.Accel)}
 }
 
 // planItem describes a ready step to the planner.
@@ -83,19 +83,19 @@
 	if !ok {
 		return steps.Item{}, false
 	}
-	t := d.stepTimes(s, q)
-	begun := s.Flow.Accepted
+	times := d.stepTimes(s, q)
+	startedAt := s.Flow.Accepted
 	if s.Flow.Spec.GetTimes() > 0 {
-		begun = time.Duration(s.Flow.Spec.GetFirst()+int64(s.Turn)*int64(s.Flow.Spec.GetEvery())) * time.Millisecond
+		startedAt = time.Duration(s.Flow.Spec.GetFirst()+int64(s.Turn)*int64(s.Flow.Spec.GetEvery())) * time.Millisecond
 	}
-	takes := d.typicalRuntime(s)
-	it := steps.Item{
+	runtime := d.typicalRuntime(s)
+	item := steps.Item{
 		Step: s, Pool: q.GetPool(), Priority: q.GetPriority(), Urgent: d.isUrgentRank(q.GetPool(), q.GetPriority()),
-		Takes: takes, Usual: steps.Width(q.GetAdvice(), takes),
+		Takes: runtime, Usual: steps.Width(q.GetAdvice(), runtime),
 		Surplus: d.leader.surplusFlows[s.Flow.ID], Shunned: d.leader.avoidedServers[s.StepID],
 		Permits: q.GetAdvice() != nil, Asked: d.leader.adviceByStep[s.StepID] != nil,
 	}
-	return it.Judged(t, clock-begun), true
+	return item.Judged(times, clock-startedAt), true
 }
 
 // expectedReleases returns what a server will have free again, by how far its runs are.
@@ -104,58 +104,58 @@
 	if s == nil {
 		return nil
 	}
-	out := make([]steps.Release, 0, len(s.runs))
+	releases := make([]steps.Release, 0, len(s.runs))
 	for _, r := range s.runs {
 		step, ok := d.Host.Flows().Step(r.StepID)
-		in := time.Duration(0) // of a flow that has ended: it is being stopped
+		remaining := time.Duration(0) // of a flow that has ended: it is being stopped
 		switch {
 		case ok && step.Spec.GetLasting():
 			continue
 		case ok && !r.stopping:
-			in = max(d.remainingTime(step, r, now), 0)
+			remaining = max(d.remainingTime(step, r, now), 0)
 		}
-		out = append(out, steps.Release{In: in, Size: r.allocation.Size})
+		releases = append(releases, steps.Release{In: remaining, Size: r.allocation.Size})
 	}
-	return out
+	return releases
 }
 
 // stepTimes returns a step's times; they stay the same once the step is ready.
 func (d *Dispatcher) stepTimes(s *flows.Step, q *v1.Queue) steps.Times {
-	t, ok := d.leader.stepTimes[s.StepID]
+	times, ok := d.leader.stepTimes[s.StepID]
 	if !ok {
-		t = steps.TimesOf(s, q)
-		d.leader.stepTimes[s.StepID] = t
+		times = steps.TimesOf(s, q)
+		d.leader.stepTimes[s.StepID] = times
 	}
-	return t
+	return times
 }
 
 // commitPlacement commits a placement and sends the starts once it is committed.
-func (d *Dispatcher) commitPlacement(p steps.Placement, now time.Duration) {
+func (d *Dispatcher) commitPlacement(placement steps.Placement, now time.Duration) {
 	start := &record.FlowStart{}
-	var number uint32
-	for _, t := range p.Item.Tasks {
-		number = max(number, t.Number)
-	}
-	for _, one := range p.Places {
-		n := p.Item.Tasks[one.Index].Number
-		if p.Item.Spec.GetGang() {
-			n = number // the members of a gang share a number
+	var highestNumber uint32
+	for _, task := range placement.Item.Tasks {
+		highestNumber = max(highestNumber, task.Number)
+	}
+	for _, place := range placement.Places {
+		lastNumber := placement.Item.Tasks[place.Index].Number
+		if placement.Item.Spec.GetGang() {
+			lastNumber = highestNumber // the members of a gang share a number
 		}
-		id := flow.RunID{TaskID: one.TaskID, Number: n + 1}
-		start.Places = append(start.Places, &record.FlowPlace{Run: id.Message(), Server: one.Server})
+		id := flow.RunID{TaskID: place.TaskID, Number: lastNumber + 1}
+		start.Places = append(start.Places, &record.FlowPlace{Run: id.Message(), Server: place.Server})
 	}
 	if !d.applyOrLog(&record.Flow{What: &record.Flow_Start{Start: start}}) {
 		return
 	}
 	var runs []*run
-	for _, m := range start.GetPlaces() {
-		runs = append(runs, d.addPlacedRun(m, d.isUrgentStep(p.Item.Step), now))
+	for _, placed := range start.GetPlaces() {
+		runs = append(runs, d.addPlacedRun(placed, d.isUrgentStep(placement.Item.Step), now))
 	}
-	waited := d.Host.LedgerTime() - p.Item.Since
-	q := p.Item.Flow.Queue
-	d.flowMetrics.observeWait(q, waited)
+	waited := d.Host.LedgerTime() - placement.Item.Since
+	queue := placement.Item.Flow.Queue
+	d.flowMetrics.observeWait(queue, waited)
 	d.Host.AfterCommit(func() {
-		event.Log(d.Log, event.RunsPlaced, "flow", p.Item.Flow.ID, "step", p.Item.StepID.String(), "runs", len(runs), "first", start.Places[0].GetServer(), "queue", q, "waited", waited.String(), "term", d.leader.term)
+		event.Log(d.Log, event.RunsPlaced, "flow", placement.Item.Flow.ID, "step", placement.Item.StepID.String(), "runs", len(runs), "first", start.Places[0].GetServer(), "queue", queue, "waited", waited.String(), "term", d.leader.term)
 		for _, r := range runs {
 			if s := d.leader.sessions[r.allocation.Server]; s != nil && s.runs[r.TaskID] == r {
 				d.sendStart(s, r)
@@ -165,12 +165,12 @@
 }
 
 // addPlacedRun notes a run that was placed just now.
-func (d *Dispatcher) addPlacedRun(m *record.FlowPlace, urgent bool, now time.Duration) *run {
-	id := flow.RunOf(m.GetRun())
-	b, _ := d.Host.Flows().Server(m.GetServer())
+func (d *Dispatcher) addPlacedRun(place *record.FlowPlace, urgent bool, now time.Duration) *run {
+	id := flow.RunOf(place.GetRun())
+	b, _ := d.Host.Flows().Server(place.GetServer())
 	r := &run{RunID: id, allocation: b.Held[id.TaskID], placedAt: now, urgent: urgent}
-	if a := d.leader.adviceByStep[id.StepID]; a != nil {
-		r.permit = a.permits[m.GetServer()].ticket
+	if advice := d.leader.adviceByStep[id.StepID]; advice != nil {
+		r.permit = advice.permits[place.GetServer()].ticket
 	}
 	s := d.leader.sessions[b.ID]
 	s.runs[id.TaskID] = r
--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -27,7 +27,7 @@
 // committed: an acknowledged server gets no new work once it leaves.
 func (d *Dispatcher) Report(ctx context.Context, r Report) *code.Error {
 	received := d.Now()
-	rep, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
+	fault, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
 		d.handleReport(r, reply)
 		if s := d.leader.sessions[r.GetId()]; s != nil && s.incarnation == r.GetBorn() {
 			s.applyReport(r, received)
@@ -36,18 +36,18 @@
 	if err != nil {
 		return err
 	}
-	return rep
+	return fault
 }
 
 func (d *Dispatcher) handleReport(r Report, reply func(*code.Error)) {
 	ledger := d.Host.Flows()
-	old, known := ledger.Server(r.GetId())
+	previous, known := ledger.Server(r.GetId())
 	s := d.leader.sessions[r.GetId()]
 	switch {
-	case known && r.GetBorn() < old.Born:
+	case known && r.GetBorn() < previous.Born:
 		reply(nil) // a late report of a life before
 		return
-	case known && r.GetBorn() == old.Born && (old.Over || r.Number < old.Call):
+	case known && r.GetBorn() == previous.Born && (previous.Over || r.Number < previous.Call):
 		reply(nil)
 		return
 	case s != nil && s.incarnation < r.GetBorn():
@@ -62,12 +62,12 @@
 	case s != nil && s.incarnation == r.GetBorn() && r.Number < s.reportNumber:
 		reply(nil)
 		return
-	case known && s != nil && isUnchanged(old, r.FlowServer) && !d.staysColdLonger(old, r.FlowServer):
+	case known && s != nil && isUnchanged(previous, r.FlowServer) && !d.staysColdLonger(previous, r.FlowServer):
 		// What it repeats may still be on its way into the log.
 		d.Host.AfterCommit(func() { reply(nil) })
 		return
 	}
-	if known && old.Born == r.GetBorn() && old.Leaving {
+	if known && previous.Born == r.GetBorn() && previous.Leaving {
 		r.Leaving = true
 	}
 	r.FlowServer.Call = r.Number
@@ -75,16 +75,16 @@
 		reply(code.New(code.Stale, "%s", r.GetId()))
 		return
 	}
-	now, _ := ledger.Server(r.GetId())
+	current, _ := ledger.Server(r.GetId())
 	if s := d.leader.sessions[r.GetId()]; s == nil {
-		d.openSession(now)
+		d.openSession(current)
 		d.sendFirstHolds()
-		event.Log(d.Log, event.ServerAnnounced, "server", r.GetId(), "born", r.GetBorn(), "pool", r.GetPool(), "address", r.GetAddress(), "cpu", now.Capacity.CPU, "memory", now.Capacity.Memory)
+		event.Log(d.Log, event.ServerAnnounced, "server", r.GetId(), "born", r.GetBorn(), "pool", r.GetPool(), "address", r.GetAddress(), "cpu", current.Capacity.CPU, "memory", current.Capacity.Memory)
 	} else {
-		s.address = now.Address
+		s.address = current.Address
 	}
-	if now.Leaving && (!known || !old.Leaving) {
-		event.Log(d.Log, event.ServerDraining, "server", r.GetId(), "born", r.GetBorn(), "remaining", r.Remaining, "held", len(now.Held))
+	if current.Leaving && (!known || !previous.Leaving) {
+		event.Log(d.Log, event.ServerDraining, "server", r.GetId(), "born", r.GetBorn(), "remaining", r.Remaining, "held", len(current.Held))
 	}
 	d.Host.AfterCommit(func() { reply(nil) })
 }
--- a/internal/control/dispatch/session.go
+++ b/internal/control/dispatch/session.go
@@ -103,51 +103,51 @@
 }
 
 // observeClock notes that the server's clock showed at least clock at a time on ours.
-func (s *session) observeClock(clock int64, at time.Duration) {
-	if at > s.serverClockReadAt {
-		s.serverClock, s.serverClockReadAt = clock, at
+func (s *session) observeClock(serverTime int64, readAt time.Duration) {
+	if readAt > s.serverClockReadAt {
+		s.serverClock, s.serverClockReadAt = serverTime, readAt
 	}
 }
 
 // leaseEndOnServerClock returns the time on the server's clock that is reached by end on ours
 // at the latest, however slow its clock is; 0 when its clock is not known.
-func (s *session) leaseEndOnServerClock(end time.Duration) int64 {
+func (s *session) leaseEndOnServerClock(leaseEnd time.Duration) int64 {
 	if s.serverClock == 0 {
 		return 0
 	}
-	return s.serverClock + int64(minClockRate*float64(end-s.serverClockReadAt)/float64(time.Millisecond))
+	return s.serverClock + int64(minClockRate*float64(leaseEnd-s.serverClockReadAt)/float64(time.Millisecond))
 }
 
 // answerTimeout returns how long an answer is waited for: less than the longest time
 // while answers usually come soon, and twice as long with each try.
-func (d *Dispatcher) answerTimeout(least time.Duration, tries int) time.Duration {
-	usual := max(latencyTimeoutFactor*d.leader.usualLatency, least)
-	return min(usual<<min(tries, 4), callTimeout)
+func (d *Dispatcher) answerTimeout(minimum time.Duration, attempts int) time.Duration {
+	usual := max(latencyTimeoutFactor*d.leader.usualLatency, minimum)
+	return min(usual<<min(attempts, 4), callTimeout)
 }
 
 // observeLatency takes the time of an answer into what is usual.
-func (d *Dispatcher) observeLatency(took time.Duration) {
-	d.leader.usualLatency += time.Duration(latencyWeight * float64(took-d.leader.usualLatency))
+func (d *Dispatcher) observeLatency(latency time.Duration) {
+	d.leader.usualLatency += time.Duration(latencyWeight * float64(latency-d.leader.usualLatency))
 }
 
 // callServer makes a call to a server, the one after so many tries, and hands the answer to fn on the control
 // thread, with the times on our clock at which it left and came back.
-func (d *Dispatcher) callServer(s *session, c *inner.ServerCall, wait time.Duration, tries int, renew bool, fn func(a *inner.ServerAnswer, sent, came time.Duration)) {
-	now := d.Now()
+func (d *Dispatcher) callServer(s *session, c *inner.ServerCall, wait time.Duration, attempts int, renewLease bool, handle func(a *inner.ServerAnswer, sent, receivedAt time.Duration)) {
+	sentAt := d.Now()
 	c.Cell, c.Server, c.Address, c.Fence = d.Cell, s.id, s.address, d.leader.term
-	if lease := d.leaseLength(s); renew && lease > 0 {
-		end := now + lease
-		if c.Until = s.leaseEndOnServerClock(end); c.Until > 0 {
-			s.leaseEndsAt = max(s.leaseEndsAt, end+leaseMargin)
+	if length := d.leaseLength(s); renewLease && length > 0 {
+		leaseEnd := sentAt + length
+		if c.Until = s.leaseEndOnServerClock(leaseEnd); c.Until > 0 {
+			s.leaseEndsAt = max(s.leaseEndsAt, leaseEnd+leaseMargin)
 		}
 	} else if c.GetStart() != nil {
 		c.Until = s.leaseEndOnServerClock(s.leaseEndsAt - leaseMargin) // what was granted before, no more
 	}
-	least := minOrderTimeout
+	minTimeout := minOrderTimeout
 	if c.GetHold() != nil {
-		least = minHoldTimeout
+		minTimeout = minHoldTimeout
 	}
-	timeout := wait + d.answerTimeout(least, tries)
+	timeout := wait + d.answerTimeout(minTimeout, attempts)
 	c.Budget = uint64(timeout / time.Millisecond)
 	term, ctx, relay := d.leader.term, d.leader.ctx, s.relayAddress
 	d.leader.callPool.Go(func() {
@@ -159,12 +159,12 @@
 		} else {
 			a = d.Helpers.Relay(ctx, relay, c)
 		}
-		came := d.Now()
+		receivedAt := d.Now()
 		d.postInTerm(term, func() {
 			if a.GetClock() > 0 {
-				s.observeClock(a.GetClock(), came)
+				s.observeClock(a.GetClock(), receivedAt)
 			}
-			fn(a, now, came)
+			handle(a, sentAt, receivedAt)
 		})
 	})
 }
@@ -178,8 +178,8 @@
 	s.holdPending = true
 	d.chooseRoute(s)
 	wait := maxLongPoll
-	if lease := d.leaseLength(s); lease > 0 {
-		wait = min(wait, lease/longPollsPerLease)
+	if length := d.leaseLength(s); length > 0 {
+		wait = min(wait, length/longPollsPerLease)
 	}
 	if s.servesBesideFill {
 		wait = min(wait, sharedLongPoll)
@@ -193,14 +193,14 @@
 	c := &inner.ServerCall{What: &inner.ServerCall_Hold{Hold: &inner.HoldRuns{Ack: s.lastEndCommitted, Wait: uint64(wait / time.Millisecond)}}}
 	// A server that does not answer may hear all the same. Renewing its lease with
 	// each try would keep its work from everybody else for ever.
-	d.callServer(s, c, wait, s.failedHolds, !s.unresponsive, func(a *inner.ServerAnswer, sent, came time.Duration) {
+	d.callServer(s, c, wait, s.failedHolds, !s.unresponsive, func(a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
 		s.holdPending = false
 		d.leader.firstHoldQueue.Done(s)
 		defer d.sendFirstHolds()
 		if d.leader.sessions[s.id] != s || s.closeReason != "" {
 			return
 		}
-		d.handleHoldAnswer(s, a, sent, came)
+		d.handleHoldAnswer(s, a, sentAt, receivedAt)
 	})
 }
 
@@ -226,8 +226,8 @@
 // expectsListChange tells whether something is to be learned soon from the next list.
 func (s *session) expectsListChange() bool {
 	for _, r := range s.runs {
-		stopped := r.stopping && r.startUnconfirmed && r.startAttempts == 0 // placed by the last leader
-		if (r.orderAnsweredAt > 0 || stopped) && !r.reportedByServer {
+		stopOfPreviousLeader := r.stopping && r.startUnconfirmed && r.startAttempts == 0 // placed by the last leader
+		if (r.orderAnsweredAt > 0 || stopOfPreviousLeader) && !r.reportedByServer {
 			return true
 		}
 	}
@@ -235,18 +235,18 @@
 }
 
 // handleHoldAnswer takes the answer to a hold.
-func (d *Dispatcher) handleHoldAnswer(s *session, a *inner.ServerAnswer, sent, came time.Duration) {
+func (d *Dispatcher) handleHoldAnswer(s *session, a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
 	switch a.GetVerdict() {
 	case inner.Verdict_VERDICT_DONE:
 	case inner.Verdict_VERDICT_ABSENT, inner.Verdict_VERDICT_STRANGER:
 		s.absentAnswers++
-		d.handleFailedHold(s, a, came)
+		d.handleFailedHold(s, a, receivedAt)
 		if s.absentAnswers >= absentAnswersToClose {
 			d.beginClosing(s, a.GetVerdict().String())
 		}
 		return
 	default:
-		d.handleFailedHold(s, a, came)
+		d.handleFailedHold(s, a, receivedAt)
 		return
 	}
 	if a.GetBorn() != 0 && a.GetBorn() != s.incarnation {
@@ -254,22 +254,22 @@
 		return
 	}
 	if s.unresponsive {
-		event.Log(d.Log, event.ServerBack, "server", s.id, "born", s.incarnation, "silent", (came - s.lastAnswerAt).String())
+		event.Log(d.Log, event.ServerBack, "server", s.id, "born", s.incarnation, "silent", (receivedAt - s.lastAnswerAt).String())
 	}
-	s.lastAnswerAt, s.unresponsive, s.failedHolds, s.absentAnswers = came, false, 0, 0
-	first := !s.listReceived
+	s.lastAnswerAt, s.unresponsive, s.failedHolds, s.absentAnswers = receivedAt, false, 0, 0
+	isFirstList := !s.listReceived
 	s.listReceived = true
-	d.applyRunList(s, a, sent, came)
+	d.applyRunList(s, a, sentAt, receivedAt)
 	d.adjustPace(s)
-	if first {
+	if isFirstList {
 		d.leader.planNeeded = true
 	}
 	// Another list may be taken before this one's ends are committed; what that one
 	// tells is not committed with them, and the server forgets what is acknowledged.
-	taken := s.lastEndTaken
+	lastTaken := s.lastEndTaken
 	d.Host.AfterCommit(func() {
 		if d.leader != nil && d.leader.sessions[s.id] == s {
-			s.lastEndCommitted = max(s.lastEndCommitted, taken)
+			s.lastEndCommitted = max(s.lastEndCommitted, lastTaken)
 			d.scheduleNextHold(s)
 		}
 	})
@@ -287,9 +287,9 @@
 }
 
 // handleFailedHold notes a failed hold and when the next one is due.
-func (d *Dispatcher) handleFailedHold(s *session, a *inner.ServerAnswer, came time.Duration) {
+func (d *Dispatcher) handleFailedHold(s *session, a *inner.ServerAnswer, receivedAt time.Duration) {
 	if !s.unresponsive {
-		s.unresponsiveSince = came
+		s.unresponsiveSince = receivedAt
 		event.Log(d.Log, event.ServerSuspect, "server", s.id, "born", s.incarnation, "verdict", a.GetVerdict().String(), "detail", a.GetDetail(), "held", len(s.runs), "lease", (s.leaseEndsAt - s.unresponsiveSince).String())
 	}
 	s.unresponsive = true
--- a/internal/control/dispatch/sessions.go
+++ b/internal/control/dispatch/sessions.go
@@ -16,15 +16,15 @@
 		id: b.ID, incarnation: b.Born, address: b.Address, lastEndCommitted: b.Cursor, lastEndTaken: b.Cursor,
 		lastAnswerAt: d.Now(), runs: map[flow.TaskID]*run{}, pacePercent: pace.Full,
 	}
-	for id, h := range b.Held {
+	for id, allocation := range b.Held {
 		// Whether the start ever arrived is not known to this leader.
-		step, ok := d.Host.Flows().Step(h.StepID)
-		s.runs[id] = &run{RunID: h.RunID, allocation: h, startUnconfirmed: true, urgent: ok && d.isUrgentStep(step)}
+		step, ok := d.Host.Flows().Step(allocation.StepID)
+		s.runs[id] = &run{RunID: allocation.RunID, allocation: allocation, startUnconfirmed: true, urgent: ok && d.isUrgentStep(step)}
 	}
 	s.speed = d.leader.serverSpeeds[s.id]
 	d.leader.sessions[b.ID] = s
-	at, _ := slices.BinarySearchFunc(d.leader.sortedSessions, s.id, compareSessionID)
-	d.leader.sortedSessions = slices.Insert(d.leader.sortedSessions, at, s)
+	index, _ := slices.BinarySearchFunc(d.leader.sortedSessions, s.id, compareSessionID)
+	d.leader.sortedSessions = slices.Insert(d.leader.sortedSessions, index, s)
 	d.leader.firstHoldQueue.Add(s, s.firstHoldPriority())
 	return s
 }
@@ -35,8 +35,8 @@
 		d.leader.relayedSessions--
 	}
 	delete(d.leader.sessions, s.id)
-	if at, ok := slices.BinarySearchFunc(d.leader.sortedSessions, s.id, compareSessionID); ok {
-		d.leader.sortedSessions = slices.Delete(d.leader.sortedSessions, at, at+1)
+	if index, ok := slices.BinarySearchFunc(d.leader.sortedSessions, s.id, compareSessionID); ok {
+		d.leader.sortedSessions = slices.Delete(d.leader.sortedSessions, index, index+1)
 	}
 }
 
@@ -44,14 +44,14 @@
 
 // firstHoldPriority is how soon a server is asked what it holds.
 func (s *session) firstHoldPriority() intake.Class {
-	c := intake.Idle
+	class := intake.Idle
 	for _, r := range s.runs {
 		if r.urgent {
 			return intake.Urgent
 		}
-		c = intake.Busy
+		class = intake.Busy
 	}
-	return c
+	return class
 }
 
 // sendFirstHolds asks servers for the first time, as many as may be asked now.
--- a/internal/control/dispatch/share.go
+++ b/internal/control/dispatch/share.go
@@ -16,22 +16,22 @@
 
 // markSurplusFlow notes whether a flow was sent beyond what its customer can count on.
 // Such flows are served from what the others leave.
-func (d *Dispatcher) markSurplusFlow(owner, id string) {
-	c, ok := d.Host.Flows().Config().Customer(owner)
-	if !ok || c.GetWeight() <= 0 {
+func (d *Dispatcher) markSurplusFlow(customerName, id string) {
+	customer, ok := d.Host.Flows().Config().Customer(customerName)
+	if !ok || customer.GetWeight() <= 0 {
 		return
 	}
 	now := d.Now()
-	b := d.leader.rateBuckets[owner]
-	if b == nil {
-		b = &rateBucket{tokens: c.GetWeight() * burstSeconds, refilledAt: now}
-		d.leader.rateBuckets[owner] = b
+	bucket := d.leader.rateBuckets[customerName]
+	if bucket == nil {
+		bucket = &rateBucket{tokens: customer.GetWeight() * burstSeconds, refilledAt: now}
+		d.leader.rateBuckets[customerName] = bucket
 	}
-	b.tokens = min(b.tokens+c.GetWeight()*(now-b.refilledAt).Seconds(), c.GetWeight()*burstSeconds)
-	b.refilledAt = now
-	if b.tokens < 1 {
+	bucket.tokens = min(bucket.tokens+customer.GetWeight()*(now-bucket.refilledAt).Seconds(), customer.GetWeight()*burstSeconds)
+	bucket.refilledAt = now
+	if bucket.tokens < 1 {
 		d.leader.surplusFlows[id] = true
 		return
 	}
-	b.tokens--
+	bucket.tokens--
 }
--- a/internal/control/dispatch/sharing.go
+++ b/internal/control/dispatch/sharing.go
@@ -14,24 +14,24 @@
 // the list that the server has just given.
 func (d *Dispatcher) adjustPace(s *session) {
 	var serving []pace.Serving
-	var fills []*run
+	var fillRuns []*run
 	for _, r := range s.runs {
 		step, ok := d.Host.Flows().Step(r.StepID)
 		switch {
 		case !ok || !r.reportedByServer || r.stopping:
 		case step.Spec.GetFills():
-			fills = append(fills, r)
+			fillRuns = append(fillRuns, r)
 		case step.Spec.GetTarget() > 0:
 			serving = append(serving, pace.Serving{Tail: r.load, Target: float64(step.Spec.GetTarget())})
 		}
 	}
-	s.servesBesideFill = len(fills) > 0 && len(serving) > 0
-	if len(fills) == 0 {
+	s.servesBesideFill = len(fillRuns) > 0 && len(serving) > 0
+	if len(fillRuns) == 0 {
 		s.pacePercent = pace.Full
 		return
 	}
 	s.pacePercent = pace.Next(s.pacePercent, serving)
-	for _, r := range fills {
+	for _, r := range fillRuns {
 		if r.sentPacePlusOne != s.pacePercent+1 && r.pendingOrders == 0 {
 			d.setPace(s, r, s.pacePercent)
 		}
@@ -40,17 +40,17 @@
 
 // setPace tells a server how fast a run may work.
 func (d *Dispatcher) setPace(s *session, r *run, percent int) {
-	before := r.sentPacePlusOne
+	previous := r.sentPacePlusOne
 	r.sentPacePlusOne = percent + 1 // 0 stands for not known
-	if before == 0 && percent == pace.Full {
+	if previous == 0 && percent == pace.Full {
 		return // the pace at which every run begins
 	}
 	event.Log(d.Log, event.RunPaced, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", percent)
 	r.pendingOrders++
 	c := &inner.ServerCall{What: &inner.ServerCall_Pace{Pace: &inner.PaceRun{Run: r.Message(), Percent: uint32(percent)}}}
-	d.callServer(s, c, 0, 0, false, func(a *inner.ServerAnswer, sent, came time.Duration) {
+	d.callServer(s, c, 0, 0, false, func(a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
 		r.pendingOrders--
-		d.flowMetrics.observeCall("pace", a.GetVerdict(), came-sent)
+		d.flowMetrics.observeCall("pace", a.GetVerdict(), receivedAt-sentAt)
 		if a.GetVerdict() != inner.Verdict_VERDICT_DONE {
 			r.sentPacePlusOne = -1 // told again with the next list
 		}
@@ -64,7 +64,7 @@
 	if s.leavesAt == 0 {
 		return
 	}
-	left := s.leavesAt - now
+	remaining := s.leavesAt - now
 	for _, r := range s.runs {
 		step, ok := d.Host.Flows().Step(r.StepID)
 		if !ok || r.stopping || !r.reportedByServer {
@@ -75,10 +75,10 @@
 			if !d.canMissTask(step) {
 				continue
 			}
-		case !step.Spec.GetSaves() || r.progressPercent <= 0 || d.remainingTime(step, r, now) <= left:
+		case !step.Spec.GetSaves() || r.progressPercent <= 0 || d.remainingTime(step, r, now) <= remaining:
 			continue
 		}
-		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.progressPercent, "leaves", left.String(), "born", b.Born)
+		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.progressPercent, "leaves", remaining.String(), "born", b.Born)
 		d.stopRun(s, r)
 	}
 }
@@ -98,16 +98,16 @@
 
 // missingTasks counts the tasks of a lasting step that are not at work.
 func (d *Dispatcher) missingTasks(step *flows.Step) int {
-	n := 0
+	missing := 0
 	for i, t := range step.Tasks {
 		s := d.leader.sessions[t.Server]
 		if t.Phase != flows.Placed || s == nil {
-			n++
+			missing++
 			continue
 		}
 		if r := s.runs[flow.TaskID{StepID: step.StepID, Index: uint32(i)}]; r == nil || r.stopping || r.progressPercent < 100 || s.unresponsive {
-			n++
+			missing++
 		}
 	}
-	return n
+	return missing
 }
--- a/internal/control/dispatch/sweep.go
+++ b/internal/control/dispatch/sweep.go
@@ -12,22 +12,22 @@
 
 // removeExpired forgets flows that ended long ago and servers that are over.
 func (d *Dispatcher) removeExpired(now time.Duration) {
-	const most = 500
+	const maxRemoved = 500
 	ledger := d.Host.Flows()
-	before := d.Host.LedgerTime() - d.Retention
-	f := &record.FlowForget{}
-	for id, one := range ledger.Flows() {
-		if one.Final() && one.Ended < before && one.Held == 0 && len(f.Flows) < most {
-			f.Flows = append(f.Flows, id)
+	cutoff := d.Host.LedgerTime() - d.Retention
+	expired := &record.FlowForget{}
+	for id, candidate := range ledger.Flows() {
+		if candidate.Final() && candidate.Ended < cutoff && candidate.Held == 0 && len(expired.Flows) < maxRemoved {
+			expired.Flows = append(expired.Flows, id)
 		}
 	}
 	for id, b := range ledger.Servers() {
 		if b.Over && len(b.Held) == 0 && d.leader.sessions[id] == nil {
-			f.Servers = append(f.Servers, id)
+			expired.Servers = append(expired.Servers, id)
 		}
 	}
-	if len(f.Flows)+len(f.Servers) > 0 {
-		d.applyOrLog(&record.Flow{What: &record.Flow_Forget{Forget: f}})
+	if len(expired.Flows)+len(expired.Servers) > 0 {
+		d.applyOrLog(&record.Flow{What: &record.Flow_Forget{Forget: expired}})
 	}
 	for id := range d.leader.adviceByStep {
 		if s, ok := ledger.Step(id); !ok || s.Flow.Final() || s.Done == len(s.Tasks) {
@@ -43,7 +43,7 @@
 		return !ok || s.Done == len(s.Tasks)
 	})
 	for id := range d.leader.surplusFlows {
-		if f, ok := ledger.Flow(id); !ok || f.Final() {
+		if expired, ok := ledger.Flow(id); !ok || expired.Final() {
 			delete(d.leader.surplusFlows, id)
 		}
 	}
--- a/internal/control/dispatch/takeover_test.go
+++ b/internal/control/dispatch/takeover_test.go
@@ -20,18 +20,18 @@
 	queue chan func()
 }
 
-// burden gives a world's leader a processor, until end is called.
-func burden(w *world) (p *processor, end func()) {
+// limitLeaderProcessor gives a world's leader a processor, until end is called.
+func limitLeaderProcessor(w *testCluster) (p *processor, end func()) {
 	p = &processor{queue: make(chan func(), 100_000)}
 	go func() {
 		for fn := range p.queue {
 			fn()
 		}
 	}()
-	cost := func() { p.work(callCost) }
-	w.cost.Store(&cost)
+	delay := func() { p.work(takeoverCallCost) }
+	w.callDelay.Store(&delay)
 	return p, func() {
-		w.cost.Store(nil)
+		w.callDelay.Store(nil)
 		time.Sleep(3 * time.Second)
 		close(p.queue)
 	}
@@ -46,76 +46,76 @@
 
 // A cell whose leader needs most of its processor to hold its servers.
 const (
-	manyServers = 400
-	callCost    = 2 * time.Millisecond
+	takeoverServers  = 400
+	takeoverCallCost = 2 * time.Millisecond
 )
 
 // A leader that asks a thousand servers at once keeps its heartbeats waiting behind
 // the calls, is deposed for it, and so is the next.
-func TestTakeoverLeavesTimeForHeartbeats(t *testing.T) {
-	play(t, manyServers, func(t *testing.T, w *world) {
-		p, end := burden(w)
+func TestTakeoverDoesNotDelayHeartbeats(t *testing.T) {
+	runWithCluster(t, takeoverServers, func(t *testing.T, w *testCluster) {
+		p, end := limitLeaderProcessor(w)
 		defer end()
-		w.elect()
-		worst := time.Duration(0)
+		w.electNewLeader()
+		longestWait := time.Duration(0)
 		for range 40 {
-			begin := time.Now()
+			startedAt := time.Now()
 			p.work(0)
-			worst = max(worst, time.Since(begin))
+			longestWait = max(longestWait, time.Since(startedAt))
 			time.Sleep(50 * time.Millisecond)
 		}
-		if worst > quorum.DefaultElection/2 {
-			t.Errorf("a heartbeat waited for %v", worst)
+		if longestWait > quorum.DefaultElection/2 {
+			t.Errorf("a heartbeat waited for %v", longestWait)
 		}
 	})
 }
 
 // A request that comes right after an election must not wait until a thousand
 // servers have said what they hold: those that have are enough.
-func TestPlacementsBeginOnServersThatAnswered(t *testing.T) {
-	play(t, manyServers, func(t *testing.T, w *world) {
-		_, end := burden(w)
+func TestPlacementStartsBeforeAllServersAnswered(t *testing.T) {
+	runWithCluster(t, takeoverServers, func(t *testing.T, w *testCluster) {
+		_, end := limitLeaderProcessor(w)
 		defer end()
-		w.elect()
-		begin := time.Now()
-		w.submit("a", step(4, 1000))
-		for len(w.began()) < 4 && time.Since(begin) < 3*time.Second {
+		w.electNewLeader()
+		startedAt := time.Now()
+		w.submit("a", newStep(4, 1000))
+		for len(w.runStarts()) < 4 && time.Since(startedAt) < 3*time.Second {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if took := time.Since(begin); took > 500*time.Millisecond {
-			t.Errorf("the first tasks began after %v", took)
+		if elapsed := time.Since(startedAt); elapsed > 500*time.Millisecond {
+			t.Errorf("the first tasks began after %v", elapsed)
 		}
 	})
 }
 
 // A process may open fewer connections than there are servers. Those beyond are
 // called through helpers, and none is taken for silent.
-func TestServersBeyondTheConnectionsAreRelayed(t *testing.T) {
-	play(t, 30, func(t *testing.T, w *world) {
-		w.direct = func() int { return 10 }
-		w.elect()
+func TestServersBeyondConnectionLimitAreRelayed(t *testing.T) {
+	runWithCluster(t, 30, func(t *testing.T, w *testCluster) {
+		w.maxDirectServers = func() int { return 10 }
+		w.electNewLeader()
 		for range 10 {
 			for i := range 5 {
-				w.d.Greet(t.Context(), &inner.Greeting{Address: fmt.Sprintf("entry%d", i)})
+				w.dispatcher.Greet(t.Context(), &inner.Greeting{Address: fmt.Sprintf("entry%d", i)})
 			}
 			time.Sleep(time.Second)
 		}
-		lately := 0
+		directCount := 0
 		w.mu.Lock()
-		for _, at := range w.reached {
-			if w.now()-at < 3*time.Second {
-				lately++
+		for _, calledAt := range w.lastDirectCall {
+			if w.now()-calledAt < 3*time.Second {
+				directCount++
 			}
 		}
-		if len(w.relays) < 20 || lately > 10 {
-			t.Errorf("%d servers are called through helpers, %d directly", len(w.relays), lately)
+		if len(w.lastRelay) < 20 || directCount > 10 {
+			t.Errorf("%d servers are called through helpers, %d directly", len(w.lastRelay), directCount)
 		}
 		w.mu.Unlock()
 		for i := range 30 {
-			w.submit(fmt.Sprint("f", i), step(1, 4000))
+			w.submit(fmt.Sprint("f", i), newStep(1, 4000))
 		}
 		for i := range 30 {
-			w.await(fmt.Sprint("f", i), done, 5*time.Second)
+			w.awaitState(fmt.Sprint("f", i), stateDone, 5*time.Second)
 		}
 	})
 }
@@ -124,21 +124,21 @@
 // it would have nobody to ask the adviser, and their callers would wait for the next
 // greeting.
 func TestNewLeaderAnnouncesItself(t *testing.T) {
-	play(t, 1, func(t *testing.T, w *world) {
-		w.do(func() { w.leads = false; w.d.Deposed() })
+	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
+		w.runAndWait(func() { w.isLeader = false; w.dispatcher.Deposed() })
 		for _, address := range []string{"entry1", "entry2"} {
-			w.d.RegisterProcess(&inner.Greeting{Address: address})
+			w.dispatcher.RegisterProcess(&inner.Greeting{Address: address})
 		}
-		w.do(func() {
+		w.runAndWait(func() {
 			w.term++
-			w.leads = true
-			w.d.Elected(w.term, w.now())
+			w.isLeader = true
+			w.dispatcher.Elected(w.term, w.now())
 		})
 		time.Sleep(10 * time.Millisecond)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		slices.Sort(w.announced)
-		if diff := cmp.Diff([]string{"entry1", "entry2"}, w.announced); diff != "" {
+		slices.Sort(w.announcedTo)
+		if diff := cmp.Diff([]string{"entry1", "entry2"}, w.announcedTo); diff != "" {
 			t.Error(diff)
 		}
 	})
@@ -146,29 +146,29 @@
 
 // The last leader's start is still on its way when the next one has read that the server
 // does not run it. Carried out then, the task would run in two places.
-func TestStartOfTheLastLeaderComesAfterTheList(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
-		w.work = func(flow.RunID) (time.Duration, inner.RunEnd) { return 5 * time.Second, inner.RunEnd_RUN_END_DONE }
-		var late atomic.Int32
-		w.change(func(_ string, one *worker.Worker) {
-			one.Work = w.work
-			one.Fault = func(c *inner.ServerCall) worker.Fault {
-				if c.GetStart() != nil && late.Add(1) <= 2 {
+func TestDelayedStartOfPreviousLeaderIsNotExecuted(t *testing.T) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
+		w.runOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) { return 5 * time.Second, inner.RunEnd_RUN_END_DONE }
+		var starts atomic.Int32
+		w.changeWorkers(func(_ string, backend *worker.Worker) {
+			backend.Work = w.runOutcome
+			backend.Fault = func(c *inner.ServerCall) worker.Fault {
+				if c.GetStart() != nil && starts.Add(1) <= 2 {
 					return worker.Fault{Late: 300 * time.Millisecond}
 				}
 				return worker.Fault{}
 			}
 		})
-		w.submit("a", step(2, 3000))
+		w.submit("a", newStep(2, 3000))
 		time.Sleep(20 * time.Millisecond)
-		w.elect()
-		begin := time.Now()
-		for len(w.began()) < 2 && time.Since(begin) < 3*time.Second {
+		w.electNewLeader()
+		startedAt := time.Now()
+		for len(w.runStarts()) < 2 && time.Since(startedAt) < 3*time.Second {
 			time.Sleep(5 * time.Millisecond)
 		}
-		if took := time.Since(begin); took > 150*time.Millisecond {
-			t.Errorf("the tasks that never started began %v after the election", took)
+		if elapsed := time.Since(startedAt); elapsed > 150*time.Millisecond {
+			t.Errorf("the tasks that never started began %v after the election", elapsed)
 		}
-		w.await("a", done, 15*time.Second)
+		w.awaitState("a", stateDone, 15*time.Second)
 	})
 }
--- a/internal/control/dispatch/timeofday.go
+++ b/internal/control/dispatch/timeofday.go
@@ -17,12 +17,12 @@
 // compareClocks adds this machine's time of day to the others', and tells once when
 // it is off from theirs.
 func (d *Dispatcher) compareClocks(now time.Duration) {
-	own := time.Duration(time.Now().UnixNano())
-	d.agreedTime.Hear("", own, now)
+	localTime := time.Duration(time.Now().UnixNano())
+	d.agreedTime.Hear("", localTime, now)
 	agreed, ok := d.agreedTime.At(now)
-	off := ok && (own-agreed).Abs() > maxClockSkew
-	if off && !d.leader.clockSkewed {
-		event.Log(d.Log, event.TimeDiffers, "own", own.String(), "agreed", agreed.String())
+	skewed := ok && (localTime-agreed).Abs() > maxClockSkew
+	if skewed && !d.leader.clockSkewed {
+		event.Log(d.Log, event.TimeDiffers, "own", localTime.String(), "agreed", agreed.String())
 	}
-	d.leader.clockSkewed = off
+	d.leader.clockSkewed = skewed
 }
--- a/internal/control/dispatch/urgent.go
+++ b/internal/control/dispatch/urgent.go
@@ -29,45 +29,45 @@
 
 // decay lets what was started before count less.
 func (m *startDemand) decay(now time.Duration) {
-	keep := math.Exp(-float64(now-m.decayedAt) / float64(demandDecayTime))
-	m.tasks, m.cpu, m.memory, m.accel, m.decayedAt = m.tasks*keep, m.cpu*keep, m.memory*keep, m.accel*keep, now
+	factor := math.Exp(-float64(now-m.decayedAt) / float64(demandDecayTime))
+	m.tasks, m.cpu, m.memory, m.accel, m.decayedAt = m.tasks*factor, m.cpu*factor, m.memory*factor, m.accel*factor, now
 }
 
 // recordDemand notes what a placement of urgent work starts.
-func (d *Dispatcher) recordDemand(p steps.Placement, now time.Duration) {
-	if !p.Item.Urgent {
+func (d *Dispatcher) recordDemand(placement steps.Placement, now time.Duration) {
+	if !placement.Item.Urgent {
 		return
 	}
-	m := d.leader.urgentDemand[p.Item.Pool]
-	if m == nil {
-		m = &startDemand{decayedAt: now}
-		d.leader.urgentDemand[p.Item.Pool] = m
+	demand := d.leader.urgentDemand[placement.Item.Pool]
+	if demand == nil {
+		demand = &startDemand{decayedAt: now}
+		d.leader.urgentDemand[placement.Item.Pool] = demand
 	}
-	m.decay(now)
-	size := p.Size()
-	m.tasks += float64(len(p.Places))
-	m.cpu += float64(size.CPU)
-	m.memory += float64(size.Memory)
-	m.accel += float64(size.Accel)
+	demand.decay(now)
+	size := placement.Size()
+	demand.tasks += float64(len(placement.Places))
+	demand.cpu += float64(size.CPU)
+	demand.memory += float64(size.Memory)
+	demand.accel += float64(size.Accel)
 }
 
 // headroom returns what work that is not urgent leaves free in a pool: room for as
 // many usual urgent tasks as usually start in a moment.
 func (d *Dispatcher) headroom(pool string, total capacity.Size, now time.Duration) steps.Headroom {
-	m := d.leader.urgentDemand[pool]
-	if m == nil {
+	demand := d.leader.urgentDemand[pool]
+	if demand == nil {
 		return steps.Headroom{}
 	}
-	m.decay(now)
-	if m.tasks < 1 {
+	demand.decay(now)
+	if demand.tasks < 1 {
 		return steps.Headroom{}
 	}
-	mean := capacity.Size{CPU: int64(m.cpu / m.tasks), Memory: int64(m.memory / m.tasks), Accel: int64(m.accel / m.tasks)}
-	n := int64(m.tasks * headroomPeriod.Seconds() / demandDecayTime.Seconds())
-	for n > 0 && !mean.Times(n*headroomDivisor).Fits(total) {
-		n /= 2
+	meanSize := capacity.Size{CPU: int64(demand.cpu / demand.tasks), Memory: int64(demand.memory / demand.tasks), Accel: int64(demand.accel / demand.tasks)}
+	tasks := int64(demand.tasks * headroomPeriod.Seconds() / demandDecayTime.Seconds())
+	for tasks > 0 && !meanSize.Times(tasks*headroomDivisor).Fits(total) {
+		tasks /= 2
 	}
-	return steps.Headroom{Size: mean, Tasks: n}
+	return steps.Headroom{Size: meanSize, Tasks: tasks}
 }
 
 // queueRank is a place among the queues of a pool.
@@ -83,26 +83,26 @@
 	if d.leader.ranksConfig != config {
 		d.leader.ranksConfig, d.leader.urgentRanks = config, map[queueRank]bool{}
 	}
-	r := queueRank{pool, priority}
-	known, ok := d.leader.urgentRanks[r]
+	rank := queueRank{pool, priority}
+	urgent, ok := d.leader.urgentRanks[rank]
 	if !ok {
-		known = isFirstRank(config.GetQueues(), r)
-		d.leader.urgentRanks[r] = known
+		urgent = isFirstRank(config.GetQueues(), rank)
+		d.leader.urgentRanks[rank] = urgent
 	}
-	return known
+	return urgent
 }
 
 // isFirstRank tells whether a rank comes first among queues of its pool, and not alone.
-func isFirstRank(queues []*v1.Queue, r queueRank) bool {
-	after := false
+func isFirstRank(queues []*v1.Queue, rank queueRank) bool {
+	hasLowerRank := false
 	for _, q := range queues {
 		switch {
-		case q.GetPool() != r.pool:
-		case q.GetPriority() < r.priority:
+		case q.GetPool() != rank.pool:
+		case q.GetPriority() < rank.priority:
 			return false
-		case q.GetPriority() > r.priority:
-			after = true
+		case q.GetPriority() > rank.priority:
+			hasLowerRank = true
 		}
 	}
-	return after
+	return hasLowerRank
 }
--- a/internal/control/dispatch/wave.go
+++ b/internal/control/dispatch/wave.go
@@ -69,8 +69,8 @@
 	r, err := runOnLeader(ctx, d, errNotLeading, func(reply func(result)) {
 		d.Host.AfterLeadershipProof(received, func() {
 			w, ok := d.Host.Flows().Wave(number)
-			said := result{known: ok, complete: ok && w.Complete()}
-			d.Host.AfterCommit(func() { reply(said) })
+			answer := result{known: ok, complete: ok && w.Complete()}
+			d.Host.AfterCommit(func() { reply(answer) })
 		})
 	})
 	if err == nil && !r.known {
@@ -173,13 +173,13 @@
 
 // isWaveLate tells whether a wave would be late if its next machine were waited for.
 func (d *Dispatcher) isWaveLate(w *flows.Wave) bool {
-	left := 0
+	remaining := 0
 	for _, m := range w.Machines {
 		if !m.Done {
-			left++
+			remaining++
 		}
 	}
-	rounds := (left + w.Cap - 1) / w.Cap
+	rounds := (remaining + w.Cap - 1) / w.Cap
 	return d.Host.LedgerTime()-w.Began+time.Duration(rounds)*upkeepDuration >= w.Duration
 }
 
@@ -190,10 +190,10 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, upkeepOrderTimeout)
 		defer cancel()
-		got := d.Machines.StartUpkeep(ctx, name, number, term)
+		outcome := d.Machines.StartUpkeep(ctx, name, number, term)
 		d.postInTerm(term, func() {
-			event.Log(d.Log, event.MachineOrdered, "wave", number, "machine", name, "outcome", int(got))
-			if got == UpkeepUnknownMachine {
+			event.Log(d.Log, event.MachineOrdered, "wave", number, "machine", name, "outcome", int(outcome))
+			if outcome == UpkeepUnknownMachine {
 				d.recordUpkeepDone(w, m)
 			}
 		})
--- a/internal/control/dispatch/way.go
+++ b/internal/control/dispatch/way.go
@@ -19,17 +19,17 @@
 )
 
 // setRelay changes the way to a server; empty for the direct one.
-func (d *Dispatcher) setRelay(s *session, through string) {
-	if s.relayAddress != through {
-		event.Log(d.Log, event.ServerRelayed, "server", s.id, "from", s.relayAddress, "to", through, "fails", s.failedHolds, "heard", (d.Now() - s.lastAnswerAt).String())
+func (d *Dispatcher) setRelay(s *session, address string) {
+	if s.relayAddress != address {
+		event.Log(d.Log, event.ServerRelayed, "server", s.id, "from", s.relayAddress, "to", address, "fails", s.failedHolds, "heard", (d.Now() - s.lastAnswerAt).String())
 	}
 	if s.relayAddress != "" {
 		d.leader.relayedSessions--
 	}
-	if through != "" {
+	if address != "" {
 		d.leader.relayedSessions++
 	}
-	s.relayAddress, s.relayChangedAt = through, d.Now()
+	s.relayAddress, s.relayChangedAt = address, d.Now()
 }
 
 // chooseRoute changes the way to a server where it should be another one: through a
@@ -46,22 +46,22 @@
 
 // canCallDirectly tells whether the servers that are called directly, and so many more, may
 // be: each takes connections, and a process may open only so many.
-func (d *Dispatcher) canCallDirectly(more int) bool {
-	return d.MaxDirectServers == nil || len(d.leader.sessions)-d.leader.relayedSessions+more <= d.MaxDirectServers()
+func (d *Dispatcher) canCallDirectly(additional int) bool {
+	return d.MaxDirectServers == nil || len(d.leader.sessions)-d.leader.relayedSessions+additional <= d.MaxDirectServers()
 }
 
 // nextRelay returns the next way to a server that could not be reached: through
 // each helper in turn, then directly again. Every server has an order of its own:
 // one helper that relayed for all of them would run out of connections, since
 // each relayed call waits at its server.
-func (d *Dispatcher) nextRelay(server, now string) string {
-	turn := func(address string) uint64 { return xxhash.Sum64String(server + " " + address) }
+func (d *Dispatcher) nextRelay(server, current string) string {
+	order := func(address string) uint64 { return xxhash.Sum64String(server + " " + address) }
 	next, found := "", false
 	for _, address := range d.helperPool.Alive(d.Now()) {
-		if now != "" && turn(address) <= turn(now) {
+		if current != "" && order(address) <= order(current) {
 			continue
 		}
-		if !found || turn(address) < turn(next) {
+		if !found || order(address) < order(next) {
 			next, found = address, true
 		}
 	}
--- a/internal/control/dispatch/zone_test.go
+++ b/internal/control/dispatch/zone_test.go
@@ -17,85 +17,85 @@
 	"gypsumreel/internal/fake/worker"
 )
 
-// drain marks a zone and fails the test when that is refused.
-func (w *world) drain(zone string, drain bool) {
+// markZone marks a zone and fails the test when that is refused.
+func (w *testCluster) markZone(zone string, drain bool) {
 	w.t.Helper()
-	if err := w.d.Zone(w.t.Context(), zone, drain); err != nil {
+	if err := w.dispatcher.Zone(w.t.Context(), zone, drain); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// strays returns the runs on the servers of a zone.
-func (w *world) strays(zone string) (out []string) {
-	for id, one := range w.busy() {
+// runsInZone returns the runs on the servers of a zone.
+func (w *testCluster) runsInZone(zone string) (runs []string) {
+	for id, backend := range w.busyWorkers() {
 		if zoneOf(id) != zone {
 			continue
 		}
-		for _, r := range one.Running() {
-			out = append(out, fmt.Sprintf("%s on %s", r, id))
+		for _, r := range backend.Running() {
+			runs = append(runs, fmt.Sprintf("%s on %s", r, id))
 		}
 	}
-	return out
+	return runs
 }
 
 // Work that is placed in a drained zone runs there when its power goes.
-func TestDrainedZoneGetsNothingNew(t *testing.T) {
-	play(t, 4, func(t *testing.T, w *world) {
-		w.drain("x", true)
-		w.drain("x", true) // the same order again is one
-		w.submit("a", step(8, 1000))
-		w.submit("g", gangOf(4, 1000))
+func TestDrainedZoneGetsNoNewTasks(t *testing.T) {
+	runWithCluster(t, 4, func(t *testing.T, w *testCluster) {
+		w.markZone("x", true)
+		w.markZone("x", true) // the same order again is one
+		w.submit("a", newStep(8, 1000))
+		w.submit("g", newGangStep(4, 1000))
 		time.Sleep(500 * time.Millisecond)
-		if got := w.strays("x"); len(got) > 0 {
+		if got := w.runsInZone("x"); len(got) > 0 {
 			t.Error("in the drained zone:", got)
 		}
-		w.await("a", done, 10*time.Second)
-		w.await("g", done, 10*time.Second)
-		w.drain("x", false)
-		w.submit("b", step(16, 1000))
+		w.awaitState("a", stateDone, 10*time.Second)
+		w.awaitState("g", stateDone, 10*time.Second)
+		w.markZone("x", false)
+		w.submit("b", newStep(16, 1000))
 		time.Sleep(500 * time.Millisecond)
-		if len(w.strays("x")) == 0 {
+		if len(w.runsInZone("x")) == 0 {
 			t.Error("the zone was taken back and gets nothing")
 		}
 	})
 }
 
 // A drain that was acknowledged is forgotten with the leader that took it.
-func TestDrainOutlivesTheLeader(t *testing.T) {
-	play(t, 4, func(t *testing.T, w *world) {
-		w.drain("x", true)
-		w.elect()
+func TestZoneDrainSurvivesLeaderChange(t *testing.T) {
+	runWithCluster(t, 4, func(t *testing.T, w *testCluster) {
+		w.markZone("x", true)
+		w.electNewLeader()
 		time.Sleep(time.Second)
-		w.submit("a", step(6, 1000))
+		w.submit("a", newStep(6, 1000))
 		time.Sleep(500 * time.Millisecond)
-		if got := w.strays("x"); len(got) > 0 {
+		if got := w.runsInZone("x"); len(got) > 0 {
 			t.Error("in the drained zone:", got)
 		}
-		w.await("a", done, 10*time.Second)
+		w.awaitState("a", stateDone, 10*time.Second)
 	})
 }
 
 // A server comes to a zone after it was drained, and is given work.
-func TestServerThatComesToADrainedZone(t *testing.T) {
-	play(t, 1, func(t *testing.T, w *world) {
-		w.drain("x", true)
-		w.add("s3", 1)
-		w.add("s2", 1)
-		w.submit("a", step(4, 1000))
+func TestNewServerInDrainedZoneGetsNoTasks(t *testing.T) {
+	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
+		w.markZone("x", true)
+		w.addWorker("s3", 1)
+		w.addWorker("s2", 1)
+		w.submit("a", newStep(4, 1000))
 		time.Sleep(500 * time.Millisecond)
-		if got := w.strays("x"); len(got) > 0 {
+		if got := w.runsInZone("x"); len(got) > 0 {
 			t.Error("in the drained zone:", got)
 		}
-		w.await("a", done, 5*time.Second)
+		w.awaitState("a", stateDone, 5*time.Second)
 	})
 }
 
 // A start is not answered and asked for again after its zone was drained.
-func TestStartOnItsWayIntoADrainedZone(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
+func TestStartIsNotRetriedInDrainedZone(t *testing.T) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		var drained atomic.Bool
-		w.change(func(id string, one *worker.Worker) {
-			one.Fault = func(c *inner.ServerCall) worker.Fault {
+		w.changeWorkers(func(id string, backend *worker.Worker) {
+			backend.Fault = func(c *inner.ServerCall) worker.Fault {
 				if c.GetStart() != nil && zoneOf(id) == "x" {
 					if drained.Load() {
 						t.Error("a start was sent into the drained zone")
@@ -105,21 +105,21 @@
 				return worker.Fault{}
 			}
 		})
-		w.submit("a", step(8, 1000))
+		w.submit("a", newStep(8, 1000))
 		time.Sleep(8 * time.Millisecond)
-		w.drain("x", true)
+		w.markZone("x", true)
 		drained.Store(true)
-		w.await("a", done, 20*time.Second)
+		w.awaitState("a", stateDone, 20*time.Second)
 	})
 }
 
 // A placement is committed together with the drain of its zone, and its start
 // leaves after that.
-func TestPlacementCommittedWithTheDrain(t *testing.T) {
-	play(t, 4, func(t *testing.T, w *world) {
+func TestPlacementCommittedWithDrainIsNotStarted(t *testing.T) {
+	runWithCluster(t, 4, func(t *testing.T, w *testCluster) {
 		var drained atomic.Bool
-		w.change(func(id string, one *worker.Worker) {
-			one.Fault = func(c *inner.ServerCall) worker.Fault {
+		w.changeWorkers(func(id string, backend *worker.Worker) {
+			backend.Fault = func(c *inner.ServerCall) worker.Fault {
 				if c.GetStart() != nil && zoneOf(id) == "x" && drained.Load() {
 					t.Error("a start was sent into the drained zone")
 				}
@@ -127,62 +127,62 @@
 			}
 		})
 		for i := range 20 {
-			w.submit(fmt.Sprint("f", i), step(1, 500))
-			w.submit(fmt.Sprint("g", i), gangOf(3, 500))
+			w.submit(fmt.Sprint("f", i), newStep(1, 500))
+			w.submit(fmt.Sprint("g", i), newGangStep(3, 500))
 			drained.Store(false)
-			marked := make(chan struct{})
-			go func() { w.drain("x", true); drained.Store(true); close(marked) }()
-			<-marked
+			drainCommitted := make(chan struct{})
+			go func() { w.markZone("x", true); drained.Store(true); close(drainCommitted) }()
+			<-drainCommitted
 			time.Sleep(100 * time.Millisecond)
 			drained.Store(false)
-			w.drain("x", false)
+			w.markZone("x", false)
 		}
 		for i := range 20 {
-			w.await(fmt.Sprint("f", i), done, 30*time.Second)
-			w.await(fmt.Sprint("g", i), done, 30*time.Second)
+			w.awaitState(fmt.Sprint("f", i), stateDone, 30*time.Second)
+			w.awaitState(fmt.Sprint("g", i), stateDone, 30*time.Second)
 		}
 	})
 }
 
 // Drains, takings back, elections and work come in any order: whatever it is, no
 // run begins in a zone between the answer to a drain and the next taking back.
-func TestNoStartAfterADrainInAnyOrder(t *testing.T) {
-	play(t, 6, func(t *testing.T, w *world) {
+func TestNoRunStartsInDrainedZoneUnderRandomOperations(t *testing.T) {
+	runWithCluster(t, 6, func(t *testing.T, w *testCluster) {
 		var drained [2]atomic.Bool
 		zones := []string{"x", "y"}
-		w.change(func(id string, one *worker.Worker) {
-			at := &drained[map[string]int{"x": 0, "y": 1}[zoneOf(id)]]
-			one.Started = func(r flow.RunID) {
-				w.started(id, r)
-				if at.Load() {
+		w.changeWorkers(func(id string, backend *worker.Worker) {
+			zoneDrained := &drained[map[string]int{"x": 0, "y": 1}[zoneOf(id)]]
+			backend.Started = func(r flow.RunID) {
+				w.recordStart(id, r)
+				if zoneDrained.Load() {
 					t.Errorf("%s began on %s in a drained zone", r, id)
 				}
 			}
 		})
 		random := rand.New(rand.NewPCG(7, 0))
 		for i := range 120 {
-			n := random.IntN(2)
+			zone := random.IntN(2)
 			switch random.IntN(6) {
 			case 0:
-				w.drain(zones[n], true)
+				w.markZone(zones[zone], true)
 				// What was sent before the answer may still be on its way.
 				time.Sleep(20 * time.Millisecond)
-				drained[n].Store(true)
+				drained[zone].Store(true)
 			case 1:
-				drained[n].Store(false)
-				w.drain(zones[n], false)
+				drained[zone].Store(false)
+				w.markZone(zones[zone], false)
 			case 2:
-				w.elect()
+				w.electNewLeader()
 			default:
-				if a := w.ask(inner.FlowVerb_FLOW_VERB_SUBMIT, fmt.Sprint("f", i), step(uint32(1+random.IntN(4)), 1000)); a.GetCode() != 0 && a.GetCode() != uint32(code.Overloaded) {
+				if a := w.askFlow(inner.FlowVerb_FLOW_VERB_SUBMIT, fmt.Sprint("f", i), newStep(uint32(1+random.IntN(4)), 1000)); a.GetCode() != 0 && a.GetCode() != uint32(code.Overloaded) {
 					t.Error(a)
 				}
 			}
 			time.Sleep(time.Duration(random.IntN(200)) * time.Millisecond)
 		}
-		for n := range zones {
-			drained[n].Store(false)
-			w.drain(zones[n], false)
+		for zone := range zones {
+			drained[zone].Store(false)
+			w.markZone(zones[zone], false)
 		}
 		time.Sleep(5 * time.Second)
 	})
@@ -190,26 +190,26 @@
 
 // All zones are drained. What is handed in would wait for an operator, and its
 // caller would not know.
-func TestAllZonesDrainedRefusesAtOnce(t *testing.T) {
-	play(t, 4, func(t *testing.T, w *world) {
-		w.drain("x", true)
-		w.drain("y", true)
-		begin := time.Now()
-		a := w.ask(inner.FlowVerb_FLOW_VERB_SUBMIT, "a", step(1, 1000))
-		if a.GetCode() != uint32(code.Overloaded) || a.GetRetry() == 0 || time.Since(begin) > 100*time.Millisecond {
-			t.Errorf("%v after %v", a, time.Since(begin))
+func TestSubmitIsRefusedWhenAllZonesAreDrained(t *testing.T) {
+	runWithCluster(t, 4, func(t *testing.T, w *testCluster) {
+		w.markZone("x", true)
+		w.markZone("y", true)
+		startedAt := time.Now()
+		a := w.askFlow(inner.FlowVerb_FLOW_VERB_SUBMIT, "a", newStep(1, 1000))
+		if a.GetCode() != uint32(code.Overloaded) || a.GetRetry() == 0 || time.Since(startedAt) > 100*time.Millisecond {
+			t.Errorf("%v after %v", a, time.Since(startedAt))
 		}
-		w.drain("y", false)
-		w.submit("a", step(1, 1000))
-		w.await("a", done, 5*time.Second)
+		w.markZone("y", false)
+		w.submit("a", newStep(1, 1000))
+		w.awaitState("a", stateDone, 5*time.Second)
 	})
 }
 
 // An order about a zone that is not there would be acknowledged and hold for nothing.
 func TestUnknownZoneIsRefused(t *testing.T) {
-	play(t, 1, func(t *testing.T, w *world) {
+	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		for _, name := range []string{"", "nowhere"} {
-			if err := w.d.Zone(t.Context(), name, true); err == nil || err.Code != code.Unknown {
+			if err := w.dispatcher.Zone(t.Context(), name, true); err == nil || err.Code != code.Unknown {
 				t.Errorf("zone %q: %v", name, err)
 			}
 		}
@@ -217,19 +217,19 @@
 }
 
 // An order whose sender has given up is carried out after the opposite one.
-func TestOrderThatWasGivenUpIsNotCarriedOut(t *testing.T) {
-	play(t, 2, func(t *testing.T, w *world) {
+func TestAbandonedDrainRequestIsNotExecuted(t *testing.T) {
+	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		ctx, cancel := context.WithCancel(t.Context())
-		held := make(chan struct{})
-		w.Post(func() { <-held })
+		release := make(chan struct{})
+		w.Post(func() { <-release })
 		answered := make(chan struct{})
-		go func() { _ = w.d.Zone(ctx, "x", true); close(answered) }()
+		go func() { _ = w.dispatcher.Zone(ctx, "x", true); close(answered) }()
 		time.Sleep(time.Millisecond)
 		cancel()
 		<-answered
-		close(held)
+		close(release)
 		time.Sleep(50 * time.Millisecond)
-		w.do(func() {
+		w.runAndWait(func() {
 			if w.ledger.Drained("x") {
 				t.Error("the order was carried out after its sender had given up")
 			}
@@ -239,34 +239,34 @@
 
 // What runs in a zone that is drained runs on; tasks that last are moved out one by
 // one, since their flow can miss only one of them.
-func TestLastingTasksLeaveADrainedZone(t *testing.T) {
-	play(t, 4, func(t *testing.T, w *world) {
-		w.lasting()
+func TestLastingTasksMoveOutOfDrainedZone(t *testing.T) {
+	runWithCluster(t, 4, func(t *testing.T, w *testCluster) {
+		w.makeRunsLasting()
 		service := &v1.FlowStep{Count: 4, Size: &v1.Size{Cpu: 1500, Memory: 100}, Lasting: true, Absent: 1}
 		w.submit("svc", service)
 		time.Sleep(3 * time.Second)
-		w.drain("x", true)
+		w.markZone("x", true)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			n := 0
-			for _, one := range w.busy() {
-				n += len(one.Running())
+			for _, backend := range w.busyWorkers() {
+				n += len(backend.Running())
 			}
 			if n < 3 {
 				t.Fatalf("%d of 4 tasks are at work", n)
 			}
 		}
-		if got := w.strays("x"); len(got) > 0 {
+		if got := w.runsInZone("x"); len(got) > 0 {
 			t.Error("still in the drained zone:", got)
 		}
 	})
 }
 
 // A server that is slow after its start gets urgent work although others have room.
-func TestColdServerComesLast(t *testing.T) {
-	play(t, 0, func(t *testing.T, w *world) {
+func TestSlowStartingServerIsUsedLast(t *testing.T) {
+	runWithCluster(t, 0, func(t *testing.T, w *testCluster) {
 		for _, id := range []string{"s1", "s2"} {
-			w.place(id, 1)
+			w.startWorker(id, 1)
 			r := dispatch.Report{FlowServer: &record.FlowServer{
 				Id: id, Born: 1, Address: id, Zone: zoneOf(id), Pool: "pool", Machine: "m-" + id,
 				Capacity: &v1.Size{Cpu: w.capacity.CPU, Memory: w.capacity.Memory},
@@ -274,19 +274,19 @@
 			if id == "s1" {
 				r.Cold = 5000
 			}
-			if err := w.d.Report(t.Context(), r); err != nil {
+			if err := w.dispatcher.Report(t.Context(), r); err != nil {
 				t.Fatal(err)
 			}
 		}
 		time.Sleep(100 * time.Millisecond)
-		w.submit("a", step(4, 1000))
+		w.submit("a", newStep(4, 1000))
 		time.Sleep(100 * time.Millisecond)
-		if got := w.strays("x"); len(got) > 0 {
+		if got := w.runsInZone("x"); len(got) > 0 {
 			t.Error("on the cold server:", got)
 		}
-		w.submit("b", step(2, 1000))
+		w.submit("b", newStep(2, 1000))
 		time.Sleep(100 * time.Millisecond)
-		if len(w.strays("x")) == 0 {
+		if len(w.runsInZone("x")) == 0 {
 			t.Error("work waits although only the cold server has room")
 		}
 	})
--- a/internal/control/flows/flows.go
+++ b/internal/control/flows/flows.go
@@ -35,9 +35,9 @@
 	if err := s.checkCell(a.GetCell()); err != nil {
 		return nil, err
 	}
-	st := s.Leader.Status()
-	if !st.Leads {
-		return &inner.FlowAnswer{Code: uint32(code.NoLeader), Leader: st.Address}, nil
+	status := s.Leader.Status()
+	if !status.Leads {
+		return &inner.FlowAnswer{Code: uint32(code.NoLeader), Leader: status.Address}, nil
 	}
 	limit := maxRequestTime
 	if b := time.Duration(a.GetBudget()) * time.Millisecond; b > 0 {
@@ -45,11 +45,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	rep := s.Dispatcher.Ask(ctx, a)
-	if code.Code(rep.GetCode()) == code.NoLeader {
-		rep.Leader = s.Leader.Status().Address
+	answer := s.Dispatcher.Ask(ctx, a)
+	if code.Code(answer.GetCode()) == code.NoLeader {
+		answer.Leader = s.Leader.Status().Address
 	}
-	return rep, nil
+	return answer, nil
 }
 
 // Greet makes a process known to the leader, or tells who leads.
@@ -57,9 +57,9 @@
 	if err := s.checkCell(g.GetCell()); err != nil {
 		return nil, err
 	}
-	if st := s.Leader.Status(); !st.Leads {
+	if status := s.Leader.Status(); !status.Leads {
 		s.Dispatcher.RegisterProcess(g)
-		return &inner.Welcome{Leader: st.Address, Term: st.Term}, nil
+		return &inner.Welcome{Leader: status.Address, Term: status.Term}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
