--- a/internal/control/dispatch/advice.go
+++ b/internal/control/dispatch/advice.go
@@ -14,24 +14,27 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// Bounds of questions to the adviser.
+// Limits of questions to the adviser.
 const (
-	// permitMarginDivisor is the part of a permit's time that is kept for the commit and
-	// the way to the server: a start with a permit that is over is refused.
+	// permitMarginDivisor is the divisor of a permit's validity that gives the time
+	// reserved for the commit and the call to the server. A server refuses a start whose
+	// permit has expired.
 	permitMarginDivisor = 5
-	// adviceTimeoutMargin is what a question may take beyond what it should.
+	// adviceTimeoutMargin is added to the expected duration of a question to obtain its
+	// timeout.
 	adviceTimeoutMargin = time.Second
-	// adviceRetryPause is the pause before a question that failed is asked again.
+	// adviceRetryPause is the pause before a failed question is sent again.
 	adviceRetryPause = 100 * time.Millisecond
 )
 
-// stepAdvice is what is known of the adviser's mind about one step.
+// stepAdvice holds the adviser's answers about one step.
 type stepAdvice struct {
-	// allowedServers tells which servers may run the step; it never changes.
+	// allowedServers tells for each server asked about whether it may run the step. The
+	// adviser never changes that answer.
 	allowedServers map[string]bool
-	// permits are those at hand, by server.
+	// permits holds the latest permit of each server.
 	permits map[string]permit
-	// pendingQuestions counts the questions under way.
+	// pendingQuestions is the number of questions that are not answered yet.
 	pendingQuestions int
 	nextQuestionAt   time.Duration
 }
@@ -42,7 +45,7 @@
 	validUntil  time.Duration
 }
 
-// permissionsFor tells the planner what is known of a step on servers.
+// permissionsFor returns the known permissions of a step by server, for the planner.
 func (d *Dispatcher) permissionsFor(id flow.StepID) iter.Seq2[string, steps.Permission] {
 	known := d.leader.adviceByStep[id]
 	if known == nil {
@@ -55,16 +58,17 @@
 	})
 }
 
-// replaceQuestions asks what a plan wants to know, as far as helpers are free, and keeps
-// the rest for those that become free before the next plan.
+// replaceQuestions replaces the pending questions by those of a new plan and sends as many
+// as there are free helpers. The rest is sent when helpers become free before the next
+// plan.
 func (d *Dispatcher) replaceQuestions(wants []steps.Want, now time.Duration) {
 	d.leader.pendingQuestions = wants
 	d.askPendingQuestions(now)
 }
 
-// askPendingQuestions asks what the latest plan wants to know, as far as helpers are free. With
-// much waiting, a helper that rested until the next plan would give one answer a
-// plan, however quick the adviser is.
+// askPendingQuestions sends pending questions of the latest plan while helpers are free. It
+// also runs after each answer. Otherwise a helper would answer only one question per plan
+// under high load, even if the adviser is fast.
 func (d *Dispatcher) askPendingQuestions(now time.Duration) {
 	var remaining []steps.Want
 	var busy busyHelpers
@@ -81,10 +85,11 @@
 	d.leader.pendingQuestions = remaining
 }
 
-// busyHelpers tells for which questions no helper is free.
+// busyHelpers records for which kinds of questions no helper is free.
 type busyHelpers struct{ shortQuestions, longQuestions bool }
 
-// askAdviserAbout asks what is wanted of a step; false when no helper is free for it.
+// askAdviserAbout sends the questions about one step. It returns false when no helper is
+// free for them.
 func (d *Dispatcher) askAdviserAbout(want steps.Want, shortest time.Duration, busy *busyHelpers, now time.Duration) bool {
 	q, ok := d.Host.Flows().QueueOf(want.Item.Flow)
 	if !ok || q.GetAdvice() == nil || want.Item.Flow.Final() || want.Item.Queued == 0 {
@@ -116,7 +121,7 @@
 	return true
 }
 
-// shortestQuestion returns the time of the shortest kind of question there is.
+// shortestQuestion returns the shortest expected duration of a question over all queues.
 func (d *Dispatcher) shortestQuestion() time.Duration {
 	var shortest time.Duration
 	for _, q := range d.Host.Flows().Config().GetQueues() {
@@ -130,7 +135,7 @@
 	return shortest
 }
 
-// sendQuestion lets a helper ask the adviser.
+// sendQuestion asks the adviser through a helper.
 func (d *Dispatcher) sendQuestion(helper *crew.Helper, want steps.Want, advice *stepAdvice, config *v1.Advice, expectedTime time.Duration) {
 	id := want.Item.StepID
 	advice.pendingQuestions++
@@ -160,7 +165,7 @@
 	}()
 }
 
-// handleAdvice takes the adviser's answer.
+// handleAdvice processes the adviser's answer.
 func (d *Dispatcher) handleAdvice(id flow.StepID, advice *stepAdvice, incarnations map[string]int64, reply *inner.AdviseReply, config *v1.Advice, sentAt, receivedAt time.Duration) {
 	advice.pendingQuestions--
 	d.leader.planNeeded = true
@@ -193,15 +198,16 @@
 	event.Log(d.Log, event.AdviceTaken, "flow", id.Flow, "step", id.String(), "asked", len(incarnations), "permits", len(reply.GetPermits()), "took", (receivedAt - sentAt).String())
 }
 
-// usualShare is the part of the servers asked about that may run a step, while
-// nothing is known of its queue; shareWeight is the weight of the latest answer.
+// defaultPermitShare is the assumed share of servers that are permitted to run a step while
+// a queue has no answers yet. permitShareWeight is the weight of the latest answer in the
+// moving average.
 const (
 	defaultPermitShare = 0.5
 	permitShareWeight  = 0.1
 )
 
-// learnPermitShare notes which part of the servers that were asked about for the first
-// time may run a step.
+// learnPermitShare updates a queue's share of permitted servers from an answer. Only
+// servers that were asked about for the first time count.
 func (d *Dispatcher) learnPermitShare(id flow.StepID, askedServers, permittedServers int) {
 	f, ok := d.Host.Flows().Flow(id.Flow)
 	if !ok || askedServers == 0 {
@@ -214,7 +220,7 @@
 	d.leader.permitShares[f.Queue] = share + permitShareWeight*(float64(permittedServers)/float64(askedServers)-share)
 }
 
-// permitShare returns the part of the servers asked about that usually may run a step.
+// permitShare returns the expected share of servers that are permitted to run a step.
 func (d *Dispatcher) permitShare(item steps.Item) float64 {
 	if share, ok := d.leader.permitShares[item.Flow.Queue]; ok {
 		return share
--- a/internal/control/dispatch/advice_test.go
+++ b/internal/control/dispatch/advice_test.go
@@ -12,9 +12,10 @@
 	"gypsumreel/internal/base/code"
 )
 
-// A gang needs many servers, of which the adviser allows a few, and takes most of a
-// second for each question. Asked one question after the other, it would begin
-// seconds later; the processes that rest ask about other servers meanwhile.
+// Guards against asking the adviser about a large gang one question after the other. The
+// gang needs many servers, the adviser permits a few of them and takes more than half a
+// second for each question, so the start would be delayed by seconds. Free helpers have to
+// ask about different servers at the same time.
 func TestLargeGangQuestionsAreAskedConcurrently(t *testing.T) {
 	runWithCluster(t, 120, func(t *testing.T, w *testCluster) {
 		var mu sync.Mutex
@@ -50,9 +51,10 @@
 		w.awaitState("a", stateDone, 10*time.Second)
 		mu.Lock()
 		defer mu.Unlock()
-		// A second of work, and one question's time; one long question takes half a second more.
+		// The limit covers one second of work and one question. Another sequential question
+		// would add half a second.
 		if elapsed := time.Since(startedAt); elapsed > 2000*time.Millisecond {
-			t.Errorf("it took %v", elapsed)
+			t.Errorf("the gang took %v to complete", elapsed)
 		}
 		slices.Sort(askedServers)
 		if n := len(slices.Compact(slices.Clone(askedServers))); n != len(askedServers) {
@@ -61,10 +63,9 @@
 	})
 }
 
-// After an outage many urgent flows wait at once, and plans are made seldom, since
-// each takes long. Urgent flows that a user waits for seconds for had no question
-// asked, although the adviser answers within milliseconds: each process got its next
-// question with the next plan only.
+// Guards against helpers that get their next question only with the next plan. After an
+// outage many urgent flows wait and plans are slow and rare. Urgent flows then waited
+// seconds without a question, although the adviser answers within milliseconds.
 func TestHelpersAskNextQuestionBeforeNextPlan(t *testing.T) {
 	const waitingFlows, helpers, answerTime = 60, 4, 10 * time.Millisecond
 	runWithCluster(t, 120, func(t *testing.T, w *testCluster) {
@@ -102,7 +103,8 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		// Twice the time in which the helpers ask all, and one plan's pause.
+		// The limit is twice the time that the helpers need for all questions, and the
+		// pause of one plan.
 		if elapsed := lastAnswerAt.Sub(startedAt); elapsed > 2*waitingFlows/helpers*answerTime+500*time.Millisecond {
 			t.Errorf("the last answer came after %v", elapsed)
 		}
--- a/internal/control/dispatch/ask.go
+++ b/internal/control/dispatch/ask.go
@@ -14,19 +14,21 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// retryDelay is when a caller may return to a cell that is full: about the time
-// in which a second's worth of short flows ends.
+// retryDelay is sent to callers that a full cell refuses. In about this time as many short
+// flows end as arrive in a second.
 const retryDelay = time.Second
 
-// errNotLeading tells that nothing was done here.
+// errNotLeading is returned when this replica does not lead and has not executed the
+// request.
 var errNotLeading = code.New(code.NoLeader, "this replica does not lead")
 
-// errDeposed tells that it is not known here what becomes of a request.
-var errDeposed = code.New(code.Unanswered, "the leader changed meanwhile")
+// errDeposed is returned when the outcome of a request is unknown because the replica was
+// deposed.
+var errDeposed = code.New(code.Unanswered, "the leader changed before the request was committed; its outcome is unknown")
 
-// runOnLeader runs fn on the control thread while this replica leads. fn calls reply
-// once, then or later. A request that is still open when the replica is deposed
-// is answered with lost.
+// runOnLeader runs fn on the control thread if this replica leads, and waits for the reply.
+// fn calls reply once, immediately or later. A request without a reply fails with
+// deposedErr when the replica is deposed.
 func runOnLeader[T any](ctx context.Context, d *Dispatcher, deposedErr *code.Error, fn func(reply func(T))) (T, *code.Error) {
 	type result struct {
 		value T
@@ -57,17 +59,17 @@
 	case r := <-answered:
 		return r.value, r.err
 	case <-ctx.Done():
-		return zero, code.New(code.Unanswered, "no decision in time")
+		return zero, code.New(code.Unanswered, "no decision before the timeout of the request")
 	}
 }
 
-// Ask answers a caller's request; it may be called on any goroutine.
+// Ask answers a caller's request. It is safe for concurrent use.
 func (d *Dispatcher) Ask(ctx context.Context, a *inner.FlowAsk) *inner.FlowAnswer {
 	received := d.Now()
 	answer, err := runOnLeader(ctx, d, errDeposed, func(reply func(*inner.FlowAnswer)) {
 		if a.GetTerm() > d.leader.term {
-			// A later leader has answered this entry already: what is said
-			// here could be older than what its callers have seen.
+			// A later leader has already answered this entry. An answer of this replica
+			// could be older than that answer.
 			reply(refusalAnswer(errNotLeading, 0))
 			return
 		}
@@ -87,17 +89,17 @@
 	return &inner.FlowAnswer{Code: uint32(err.Code), Detail: err.Detail, Retry: uint64(retry / time.Millisecond)}
 }
 
-// handleAsk handles one request. Place and key are checked against the document
-// that is in force now, before anything of the request is looked at.
+// handleAsk handles one request. The path and the key are checked against the active
+// configuration before the content of the request is used.
 func (d *Dispatcher) handleAsk(a *inner.FlowAsk, received time.Duration, reply func(*inner.FlowAnswer)) {
 	ledger := d.Host.Flows()
 	config := ledger.Config()
 	if config.GetVersion() == 0 {
-		reply(refusalAnswer(code.New(code.NoLeader, "no configuration yet"), retryDelay))
+		reply(refusalAnswer(code.New(code.NoLeader, "no configuration document has been put"), retryDelay))
 		return
 	}
-	// A refusal tells of the document; it must not tell of one that is not
-	// committed yet, and may never be.
+	// A refusal depends on the configuration. It is sent after the commit of that
+	// configuration, which may otherwise never take effect.
 	refuse := func(err *code.Error) { d.Host.AfterCommit(func() { reply(refusalAnswer(err, 0)) }) }
 	q, id, ok := config.At(a.GetHost(), a.GetPath())
 	if !ok {
@@ -115,7 +117,7 @@
 	switch a.GetVerb() {
 	case inner.FlowVerb_FLOW_VERB_SUBMIT:
 		if a.GetSpec().GetId() != id {
-			refuse(code.New(code.Malformed, "the flow is named %q, its place %q", a.GetSpec().GetId(), id))
+			refuse(code.New(code.Malformed, "flow id %q does not match the id %q in the request path", a.GetSpec().GetId(), id))
 			return
 		}
 		d.submitFlow(a, q, owner, reply)
@@ -126,12 +128,12 @@
 	case inner.FlowVerb_FLOW_VERB_PENDING:
 		d.Host.AfterCommit(func() { reply(&inner.FlowAnswer{Pending: uint32(d.Host.Flows().Pending(q.GetName()))}) })
 	default:
-		reply(refusalAnswer(code.New(code.Malformed, "no such call"), 0))
+		reply(refusalAnswer(code.New(code.Malformed, "unknown request verb %d", a.GetVerb()), 0))
 	}
 }
 
-// submitFlow accepts a flow once it is in the ledger. The same id again is the same
-// flow.
+// submitFlow adds a flow to the ledger and replies after the commit. A repeated submit with
+// the same id is idempotent.
 func (d *Dispatcher) submitFlow(a *inner.FlowAsk, q *v1.Queue, owner string, reply func(*inner.FlowAnswer)) {
 	ledger := d.Host.Flows()
 	id := a.GetSpec().GetId()
@@ -167,7 +169,8 @@
 	})
 }
 
-// checkAdmission tells why a flow is not taken, or nil, and when to come back.
+// checkAdmission returns why a flow is refused and the time after which the caller may
+// retry, or nil if the flow is admitted.
 func (d *Dispatcher) checkAdmission(a *inner.FlowAsk, q *v1.Queue) (*code.Error, time.Duration) {
 	if err := flow.Check(a.GetSpec()); err != nil {
 		return err, 0
@@ -176,7 +179,7 @@
 		return code.New(code.DiskFull, ""), retryDelay
 	}
 	if d.Host.Flows().Open() >= d.MaxOpenFlows {
-		return code.New(code.Overloaded, "%d flows wait or run", d.MaxOpenFlows), retryDelay
+		return code.New(code.Overloaded, "the limit of %d open flows is reached", d.MaxOpenFlows), retryDelay
 	}
 	if d.allZonesDrained(q.GetPool()) {
 		return code.New(code.Overloaded, "every zone of pool %s is drained", q.GetPool()), retryDelay
@@ -186,9 +189,9 @@
 
 func stateAnswer(f *flows.Flow) *inner.FlowAnswer { return &inner.FlowAnswer{State: f.State} }
 
-// replyState tells how a flow stands once that is committed. That a flow is not
-// known is told only with a proof that this replica leads now: a leader that was
-// deposed unnoticed would deny flows that another has accepted.
+// replyState replies with the state of a flow after that state is committed. The reply that
+// a flow is unknown requires a proof of leadership: a deposed leader would not know the
+// flows that its successor accepted.
 func (d *Dispatcher) replyState(id, owner string, received time.Duration, reply func(*inner.FlowAnswer)) {
 	d.withFlow(id, owner, received, reply, func(f *flows.Flow) {
 		answer := stateAnswer(f)
@@ -196,7 +199,8 @@
 	})
 }
 
-// withFlow calls fn with a flow of the customer, or refuses.
+// withFlow calls fn with the flow if it exists and belongs to the customer, and refuses the
+// request otherwise.
 func (d *Dispatcher) withFlow(id, owner string, received time.Duration, reply func(*inner.FlowAnswer), fn func(*flows.Flow)) {
 	if f, ok := d.Host.Flows().Flow(id); ok && f.Customer == owner {
 		fn(f)
@@ -211,8 +215,8 @@
 	})
 }
 
-// cancelFlow ends a flow; it is told once it is committed, and binds every start
-// that is decided after.
+// cancelFlow cancels a flow and replies after the commit. No task of the flow is started
+// after the cancellation is applied.
 func (d *Dispatcher) cancelFlow(id, owner string, received time.Duration, reply func(*inner.FlowAnswer)) {
 	d.withFlow(id, owner, received, reply, func(f *flows.Flow) {
 		if !f.Final() {
@@ -223,8 +227,8 @@
 	})
 }
 
-// Put puts a configuration document in force. One that is not newer than that
-// in force is acknowledged without effect; an unsound one is refused.
+// Put activates a configuration document. A document that is not newer than the active one
+// is acknowledged without effect. An invalid document is refused.
 func (d *Dispatcher) Put(ctx context.Context, doc *v1.Document) *code.Error {
 	if err := flow.CheckDocument(doc); err != nil {
 		event.Fail(d.Log, event.DocumentRefused, err, "version", doc.GetVersion())
@@ -242,7 +246,8 @@
 	return err
 }
 
-// Read returns the document in force as it was sent, proved to be the newest.
+// Read returns the text of the active configuration document as it was sent. A proof of
+// leadership ensures that it is the newest one.
 func (d *Dispatcher) Read(ctx context.Context) ([]byte, *code.Error) {
 	received := d.Now()
 	text, err := runOnLeader(ctx, d, errNotLeading, func(reply func([]byte)) {
@@ -251,7 +256,7 @@
 		})
 	})
 	if err == nil && text == nil {
-		return nil, code.New(code.NoLeader, "no configuration yet")
+		return nil, code.New(code.NoLeader, "no configuration document has been put")
 	}
 	return text, err
 }
--- a/internal/control/dispatch/calls.go
+++ b/internal/control/dispatch/calls.go
@@ -2,20 +2,20 @@
 
 import "context"
 
-// callPool runs functions on goroutines that are used again: the stack that a call
-// over HTTP needs grows in steps, each a copy, and with a goroutine for each of a
-// thousand calls a second that takes a twentieth of the leader's processor time.
+// callPool runs functions on reused goroutines. The stack that an HTTP call needs grows in
+// steps, and each step copies it. With a new goroutine for each of a thousand calls a
+// second this takes a twentieth of the leader's CPU time.
 type callPool struct {
 	ctx         context.Context
 	idleWorkers chan func()
 }
 
-// newCallPool returns calls whose idle goroutines end with ctx.
+// newCallPool returns a pool whose idle goroutines exit when ctx is done.
 func newCallPool(ctx context.Context) *callPool {
 	return &callPool{ctx: ctx, idleWorkers: make(chan func())}
 }
 
-// Go runs fn at once, on a goroutine that rests or on a new one.
+// Go runs fn asynchronously on an idle goroutine, or on a new one if none is idle.
 func (c *callPool) Go(fn func()) {
 	select {
 	case c.idleWorkers <- fn:
@@ -24,7 +24,7 @@
 	}
 }
 
-// runWorker runs fn, and whatever comes while it rests.
+// runWorker runs fn and then the functions that it receives while idle.
 func (c *callPool) runWorker(fn func()) {
 	for {
 		fn()
--- a/internal/control/dispatch/capacity_test.go
+++ b/internal/control/dispatch/capacity_test.go
@@ -12,7 +12,8 @@
 	"gypsumreel/internal/fake/worker"
 )
 
-// reportCapacity lets a server say how much it holds, by the report of that number.
+// reportCapacity sends a report with the given report number in which the server has that
+// CPU capacity.
 func (w *testCluster) reportCapacity(id string, cpu int64, call uint64) {
 	w.t.Helper()
 	err := w.dispatcher.Report(w.t.Context(), dispatch.Report{FlowServer: &record.FlowServer{
@@ -23,14 +24,14 @@
 	}
 }
 
-// newLastingStep is a step whose tasks run until their flow is cancelled.
+// newLastingStep returns a step whose tasks run until their flow is cancelled.
 func newLastingStep(count uint32, cpu int64) *v1.FlowStep {
 	s := newStep(count, cpu)
 	s.Lasting = true
 	return s
 }
 
-// countRunning counts what runs on the workers.
+// countRunning returns the number of runs on all workers.
 func (w *testCluster) countRunning() (n int) {
 	for _, backend := range w.busyWorkers() {
 		n += len(backend.Running())
@@ -38,8 +39,8 @@
 	return n
 }
 
-// A server that has become smaller gets work beyond what it holds now, and one that
-// has grown again gets none.
+// Guards against ignoring a changed capacity: a server whose capacity was reduced would be
+// overcommitted, and one whose capacity was increased would stay idle.
 func TestPlacementFollowsReportedCapacity(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		w.makeRunsLasting()
@@ -50,23 +51,23 @@
 		w.submit("b", newLastingStep(2, 1000))
 		time.Sleep(2 * time.Second)
 		if n := w.countRunning(); n != 2 {
-			t.Errorf("%d tasks run on a server that holds one by now, two of them from before", n)
+			t.Errorf("%d tasks run after the capacity was reduced, want the 2 earlier ones", n)
 		}
 		w.askFlow(inner.FlowVerb_FLOW_VERB_CANCEL, "a")
 		time.Sleep(2 * time.Second)
 		if n := w.countRunning(); n != 1 {
-			t.Errorf("%d tasks run on a server that holds one", n)
+			t.Errorf("%d tasks run on a server with capacity for one", n)
 		}
 		w.reportCapacity("s1", 4000, 4)
 		time.Sleep(2 * time.Second)
 		if n := w.countRunning(); n != 2 {
-			t.Errorf("%d tasks run on a server that has grown again, want both", n)
+			t.Errorf("%d tasks run after the capacity was increased, want 2", n)
 		}
 	})
 }
 
-// A report that was held up on its way comes after a later one, at a leader that has
-// not seen that: the server grows back to what it was.
+// Guards against a delayed report that arrives after a newer one at a leader that has not
+// received the newer one. The server would get its old, larger capacity back.
 func TestLateReportDoesNotRestoreOldCapacity(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		w.makeRunsLasting()
@@ -77,13 +78,13 @@
 		w.submit("a", newLastingStep(3, 1000))
 		time.Sleep(2 * time.Second)
 		if n := w.countRunning(); n != 1 {
-			t.Errorf("%d tasks run on a server that holds one", n)
+			t.Errorf("%d tasks run on a server with capacity for one", n)
 		}
 	})
 }
 
-// A start is on its way while its server becomes smaller. Sent again, it would take the
-// server beyond what it holds.
+// Guards against retrying a start after the server reported a smaller capacity. The retry
+// would overcommit the server.
 func TestStartIsNotRetriedAfterCapacityReduction(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		var starts atomic.Int32
@@ -109,13 +110,13 @@
 		w.reportCapacity("s1", 2000, 3)
 		time.Sleep(2 * time.Second)
 		if n := w.countRunning(); n != 1 || starts.Load() != 1 {
-			t.Errorf("%d tasks run on a server that holds one of them, a start was sent %d times", n, starts.Load())
+			t.Errorf("%d tasks run on a server with capacity for one, and %d starts were sent, want 1", n, starts.Load())
 		}
 		w.reportCapacity("s1", 4000, 4)
 		w.awaitState("b", stateRunning, 5*time.Second)
 		time.Sleep(2 * time.Second)
 		if n := w.countRunning(); n != 2 {
-			t.Errorf("%d tasks run on a server that has grown again, want both", n)
+			t.Errorf("%d tasks run after the capacity was increased, want 2", n)
 		}
 	})
 }
--- a/internal/control/dispatch/closing.go
+++ b/internal/control/dispatch/closing.go
@@ -9,8 +9,7 @@
 	"gypsumreel/internal/domain/flow"
 )
 
-// checkSession looks after one session: holds that are due, leases that are over, and
-// lives that are being closed.
+// checkSession handles due holds, expired leases and sessions that are being closed.
 func (d *Dispatcher) checkSession(s *session, now time.Duration) {
 	if s.closeReason != "" {
 		d.closeWhenSettled(s, now)
@@ -25,8 +24,8 @@
 	}
 }
 
-// beginClosing begins to close a life that is over. Starts that are on their way may
-// reach whoever listens at the address next, so they are settled first.
+// beginClosing starts to close the session of an incarnation that has ended. Starts in
+// transit may reach the next incarnation at the same address, so they are settled first.
 func (d *Dispatcher) beginClosing(s *session, reason string) {
 	if s.closeReason == "" {
 		s.closeReason, s.closingSince = reason, d.Now()
@@ -35,9 +34,9 @@
 	d.closeWhenSettled(s, d.Now())
 }
 
-// closeWhenSettled ends a life once no start can be carried out any more that was sent
-// into it: each doubtful one is stopped at the address, or its time is over. What
-// was found there by the stop works on for as long as a stop may take.
+// closeWhenSettled closes a session when no start sent to it can still be executed. Each
+// unconfirmed start is stopped at the address, or its time limit passes. A run that such a
+// stop found on the next incarnation may continue for as long as a stop takes.
 func (d *Dispatcher) closeWhenSettled(s *session, now time.Duration) {
 	if now < s.closingSince+d.MaxLease+2*callTimeout {
 		for _, r := range s.runs {
@@ -57,7 +56,8 @@
 	d.removeSession(s)
 }
 
-// recordLostRuns records that nothing that a life held runs any more.
+// recordLostRuns records in the ledger that none of the runs of a session is running any
+// more.
 func (d *Dispatcher) recordLostRuns(s *session, closed bool) {
 	cleared := &record.FlowClear{Id: s.id, Born: s.incarnation, Over: closed}
 	end := inner.RunEnd_RUN_END_LOST
@@ -79,8 +79,9 @@
 	}
 }
 
-// runAge returns how long before its server fell silent, or before now where it did not, a
-// run was ordered to start; one that another leader placed, how long it was placed.
+// runAge returns how long a run had been started when its server became unresponsive, or
+// until now if the server responds. For a run that another leader placed, the time since
+// its placement is used.
 func (d *Dispatcher) runAge(s *session, r *run) time.Duration {
 	now := d.Now()
 	if s.unresponsive {
--- a/internal/control/dispatch/crash.go
+++ b/internal/control/dispatch/crash.go
@@ -11,7 +11,7 @@
 	"gypsumreel/internal/policy/blame"
 )
 
-// currentTask returns what the ledger has of the task of a run, if that is its latest.
+// currentTask returns the ledger's task of a run if the run is the latest one of that task.
 func (d *Dispatcher) currentTask(r *run) (flows.Task, bool) {
 	step, ok := d.Host.Flows().Step(r.StepID)
 	if !ok || int(r.Index) >= len(step.Tasks) || step.Tasks[r.Index].Number != r.Number {
@@ -20,13 +20,13 @@
 	return step.Tasks[r.Index], true
 }
 
-// endedUnexpectedly tells whether a life of a server that is over ended without notice.
+// endedUnexpectedly reports whether the server's incarnation ended without prior notice.
 func (d *Dispatcher) endedUnexpectedly(s *session) bool {
 	b, ok := d.Host.Flows().Server(s.id)
 	return ok && !d.Host.Flows().Planned(b)
 }
 
-// blamedRuns returns the runs that may have crashed a server.
+// blamedRuns returns the runs that may have caused the crash of a server.
 func (d *Dispatcher) blamedRuns(s *session) []*inner.Run {
 	candidates := slices.DeleteFunc(d.wantedRuns(s), func(r *run) bool { return r.placedAt > 0 && r.startSentAt == 0 })
 	blameRuns := make([]blame.Run, 0, len(candidates))
@@ -43,7 +43,7 @@
 	return out
 }
 
-// wantedRuns returns the runs on a server whose flows go on.
+// wantedRuns returns the runs on a server whose tasks are still active in the ledger.
 func (d *Dispatcher) wantedRuns(s *session) (out []*run) {
 	for _, r := range s.runs {
 		if _, ok := d.currentTask(r); ok {
@@ -53,8 +53,8 @@
 	return out
 }
 
-// logFailedFlows logs the flows that the crash of a server was one too many for, of those
-// that went on before.
+// logFailedFlows logs the flows that failed because this server crash exceeded their limit
+// of crashes. wantedBefore holds the runs that were active before the crash.
 func (d *Dispatcher) logFailedFlows(s *session, wantedBefore []*run) {
 	for _, r := range wantedBefore {
 		if f, ok := d.Host.Flows().Flow(r.Flow); ok && f.State == v1.FlowState_FLOW_STATE_FAILED {
@@ -63,19 +63,19 @@
 	}
 }
 
-// startProbation keeps a server for a suspected task that begins there, until it is seen whether
-// it crashes it.
+// startProbation reserves a server for a task that is suspected of crashing servers, until
+// its probation ends.
 func (d *Dispatcher) startProbation(s *session, r *run, now time.Duration) {
 	if t, ok := d.currentTask(r); ok && t.Blamed > 0 {
 		s.probationUntil = max(s.probationUntil, now+blame.Probation)
 	}
 }
 
-// freshPeriod is how long after its start a server counts as fresh: one that goes down and
-// up by turns does so within seconds.
+// freshPeriod is the time after its start during which a server counts as fresh. A server
+// in a crash loop crashes again within seconds.
 const freshPeriod = 10 * time.Second
 
-// isFresh tells whether a server's life began moments ago, by the time of day.
+// isFresh reports whether the server's incarnation started within freshPeriod.
 func isFresh(b *flows.Server, clock time.Duration) bool {
 	return clock-time.Duration(b.Born)*time.Millisecond < freshPeriod
 }
--- a/internal/control/dispatch/crash_test.go
+++ b/internal/control/dispatch/crash_test.go
@@ -11,34 +11,34 @@
 	"gypsumreel/internal/fake/worker"
 )
 
-// maxCrashesPerTask is how many servers one task may take down: three, and two more by
-// starts that were decided before the third was known.
+// maxCrashesPerTask is the number of servers that one task may crash: three, and two more
+// through starts that were sent before the third crash was known.
 const maxCrashesPerTask = 5
 
-// crashServersRunning lets the first task of a flow take down every server that starts it.
+// crashServersRunning makes the first task of a flow crash every server that starts it.
 func (w *testCluster) crashServersRunning(id string) {
 	w.runAndWait(func() {
 		w.crashesWorker = func(r flow.RunID) bool { return r.Flow == id && r.Index == 0 }
 	})
 }
 
-// checkCrashCounts checks how many servers each task took down.
+// checkCrashCounts checks the number of servers that each task crashed.
 func (w *testCluster) checkCrashCounts(t *testing.T) {
 	t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.crashCounts) == 0 {
-		t.Error("no server crashed")
+		t.Error("no server crashed, want at least one")
 	}
 	for id, n := range w.crashCounts {
 		if n > maxCrashesPerTask {
-			t.Errorf("%v took down %d servers, %d at most are allowed", id, n, maxCrashesPerTask)
+			t.Errorf("task %v crashed %d servers, want at most %d", id, n, maxCrashesPerTask)
 		}
 	}
 }
 
-// A task that crashes whatever server starts it takes down one after the other, with
-// all that works there.
+// Guards against a task that crashes each server that starts it and thereby takes down
+// server after server with all their other runs.
 func TestTaskThatCrashesServersFailsItsFlow(t *testing.T) {
 	lasting := newStep(1, 1000)
 	lasting.Lasting = true
@@ -60,7 +60,7 @@
 	}
 }
 
-// Each leader that follows takes the crashes under a task for the first.
+// Guards against a new leader that restarts the crash count of a task at zero.
 func TestCrashesAreCountedAcrossLeaders(t *testing.T) {
 	runWithCluster(t, 16, func(t *testing.T, w *testCluster) {
 		w.crashServersRunning("a")
@@ -74,8 +74,8 @@
 	})
 }
 
-// Servers crash by themselves, over and over, and work on them that is sound is
-// given up with them.
+// Guards against failing healthy flows because the servers that run them crash repeatedly
+// for other reasons.
 func TestHealthyWorkSurvivesServerCrashes(t *testing.T) {
 	runWithCluster(t, 12, func(_ *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
@@ -103,7 +103,7 @@
 	})
 }
 
-// crashNextServer crashes the server that is next in turn.
+// crashNextServer crashes one of four servers in round-robin order.
 func (w *testCluster) crashNextServer(turn int) {
 	w.mu.Lock()
 	id := fmt.Sprint("s", 1+turn%4)
--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -1,8 +1,7 @@
-// Package dispatch is the part of the control thread that runs flows: it takes
-// what callers, operators and backend servers ask, decides with package steps,
-// and carries the decisions out at the backend servers. Everything that it
-// decides is in the ledger before anybody outside hears of it; what it keeps
-// itself can be found out again by whoever leads next.
+// Package dispatch implements the scheduling of flows on the control thread. It accepts
+// requests of callers, operators and backend servers, plans placements with package steps,
+// and executes them on the backend servers. Every decision is committed to the ledger
+// before it becomes visible outside. All other state can be rebuilt by the next leader.
 package dispatch
 
 import (
@@ -26,140 +25,149 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// Defaults and bounds.
+// Defaults and limits.
 const (
-	// DefaultMaxLease is the longest lease that a backend server gives.
+	// DefaultMaxLease is the default of Dispatcher.MaxLease.
 	DefaultMaxLease = 6 * time.Second
-	// DefaultMaxStopTime is the longest time that a stop takes.
+	// DefaultMaxStopTime is the default of Dispatcher.MaxStopTime.
 	DefaultMaxStopTime = time.Second
-	// DefaultGangTimeout is how long the members of a gang wait for each other.
+	// DefaultGangTimeout is the default of Dispatcher.GangTimeout.
 	DefaultGangTimeout = 3 * time.Second
-	// minClockRate is the rate of the slowest clock of a backend server beside ours.
+	// minClockRate is the rate of the slowest backend server clock relative to the leader's
+	// clock.
 	minClockRate = 0.98
-	// leaseMargin is added to the end of a lease before it counts as over: the
-	// server looks at its clock now and then only.
+	// leaseMargin is added to the end of a lease before the lease counts as expired,
+	// because the server checks its clock only periodically.
 	leaseMargin = 100 * time.Millisecond
 
-	// DefaultRetention is how long flows are remembered after their end.
+	// DefaultRetention is how long an ended flow is kept in the ledger.
 	DefaultRetention = 150 * time.Second
-	// DefaultMaxOpenFlows bounds the flows that have not ended. At a few hundred bytes a
-	// task it keeps the ledger within tens of megabytes.
+	// DefaultMaxOpenFlows is the default limit of flows that have not ended. At a few
+	// hundred bytes per task it keeps the ledger within tens of megabytes.
 	DefaultMaxOpenFlows = 8_000
 
-	// callTimeout bounds a call to a backend server beyond what it may wait
-	// there: more than the slowest healthy answer, and short beside a lease.
+	// callTimeout is the longest timeout of a call to a backend server, not counting its
+	// long poll. It is longer than the slowest healthy answer and short relative to a
+	// lease.
 	callTimeout = time.Second
-	// minOrderTimeout and holdTimeout are the shortest such bounds; answerFactor is how
-	// many times as long as usual an answer may take before the call is made again.
-	// Every call may be made twice, so a bound that is too short costs a call, and one
-	// that is too long makes somebody wait for an answer that was lost. A server whose
-	// hold fails gets no new work, which costs more.
+	// minOrderTimeout and minHoldTimeout are the shortest timeouts of orders and of holds.
+	// latencyTimeoutFactor is the ratio of the timeout to the usual latency. Every call is
+	// idempotent: a timeout that is too short costs one extra call, and one that is too
+	// long delays the retry after a lost answer. A failed hold costs more, because the
+	// server gets no new work after it.
 	minOrderTimeout      = 80 * time.Millisecond
 	minHoldTimeout       = 250 * time.Millisecond
 	latencyTimeoutFactor = 10
-	// latencyWeight is the weight of the latest answer in what is usual.
+	// latencyWeight is the weight of the latest latency in the moving average.
 	latencyWeight = 0.1
-	// maxLongPoll bounds how long a backend server holds an answer back for news.
+	// maxLongPoll is the longest time for which a backend server may delay its answer to a
+	// hold.
 	maxLongPoll = time.Second
-	// longPollsPerLease is the number of waits in a lease: a lost answer must not let
-	// the lease run out.
+	// longPollsPerLease is the number of long polls that fit into a lease. A single lost
+	// answer must not let the lease expire.
 	longPollsPerLease = 4
-	// sessionsPerYield is how many servers are looked at before the other goroutines of the
-	// process have their turn.
+	// sessionsPerYield is the number of sessions that a tick processes before it yields to
+	// the other goroutines of the process.
 	sessionsPerYield = 64
-	// zoneCheckInterval is how often drained zones are looked at.
+	// zoneCheckInterval is the interval between checks for changed zone drains.
 	zoneCheckInterval = 100 * time.Millisecond
-	// sweepInterval is how often what is over is forgotten.
+	// sweepInterval is the interval between removals of expired state.
 	sweepInterval = time.Second
 )
 
-// Host is the control thread as this part uses it. But for Post and Status, its
-// methods are called on the control thread only.
+// Host is the control thread as the dispatcher uses it. Except for Post, its methods must
+// be called on the control thread.
 type Host interface {
-	// ApplyCommand applies a command and queues it for the log.
+	// ApplyCommand applies a command to the ledger and queues it for the replicated log.
 	ApplyCommand(f *record.Flow) *code.Error
-	// AfterCommit runs fn once everything decided so far is committed.
+	// AfterCommit runs fn when all commands applied so far are committed.
 	AfterCommit(fn func())
-	// AfterLeadershipProof runs fn once it is proved that this replica led at a time after received.
+	// AfterLeadershipProof runs fn when it is proved that this replica led at a time after
+	// received.
 	AfterLeadershipProof(received time.Duration, fn func())
-	// Leads tells whether this replica leads and a quorum confirmed so lately.
+	// Leads reports whether this replica leads and a quorum has confirmed that recently.
 	Leads() bool
 	Flows() *flows.Ledger
-	// HasZone tells whether there is an availability zone of that name.
+	// HasZone reports whether an availability zone of that name exists.
 	HasZone(zone string) bool
-	// LedgerTime is the ledger's time.
+	// LedgerTime returns the current time of the ledger.
 	LedgerTime() time.Duration
-	// DiskFull tells that the disk has too little room for new work.
+	// DiskFull reports whether the disk has too little free space for new flows.
 	DiskFull() bool
 	Members() group.Members
 	ChangeMember(m quorum.Member, remove bool)
-	// IsSynced tells whether a member has everything committed on its disk.
+	// IsSynced reports whether a member has stored all committed log entries.
 	IsSynced(id string) bool
-	// YieldThread lets the other goroutines of the process have their turn.
+	// YieldThread lets other goroutines of the process run.
 	YieldThread()
-	// Post runs fn on the control thread.
+	// Post queues fn to run on the control thread. It returns false if the thread has
+	// stopped.
 	Post(fn func()) bool
 }
 
-// Backends calls backend servers. Calls are made on goroutines of their own.
+// Backends makes calls to backend servers. The dispatcher calls it from separate
+// goroutines.
 type Backends interface {
-	// Call makes one call; what goes wrong is in the answer's verdict.
+	// Call makes one call. A failure is reported in the verdict of the answer.
 	Call(ctx context.Context, c *inner.ServerCall) *inner.ServerAnswer
 }
 
-// Helpers are the processes that make calls for the leader.
+// Helpers makes calls to the processes that act as helpers of the leader.
 type Helpers interface {
-	// Advise lets the process at that address ask the adviser; this process
-	// itself when the address is empty.
+	// Advise asks the adviser through the process at address, or directly if address is
+	// empty.
 	Advise(ctx context.Context, address string, r *inner.AdviseRequest) *inner.AdviseReply
-	// Announce tells the process at that address who leads; nil when it does not answer.
+	// Announce tells the process at address which replica leads. It returns nil if the
+	// process does not answer.
 	Announce(ctx context.Context, address string, a *inner.Announcement) *inner.Greeting
-	// Relay lets it call a backend server.
+	// Relay calls a backend server through the process at address.
 	Relay(ctx context.Context, address string, c *inner.ServerCall) *inner.ServerAnswer
 }
 
-// Dispatcher is the part of the control thread that runs flows. The exported
-// fields are set before use.
+// Dispatcher schedules flows on the control thread. The exported fields must be set before
+// use.
 type Dispatcher struct {
 	Host Host
 	Cell string
-	// Now is the group's clock.
+	// Now returns the time of the replication group's clock.
 	Now      func() time.Duration
 	Backends Backends
 	Helpers  Helpers
-	// MaxDirectServers returns how many backend servers may be called directly, by the
-	// connections that this takes; the others are called through helpers. Nil for
-	// any number. Any goroutine may call it.
+	// MaxDirectServers returns how many backend servers the process has connections for.
+	// The other servers are called through helpers. Nil means no limit. It must be safe for
+	// concurrent use.
 	MaxDirectServers func() int
-	// Machines takes machines down for their upkeep; nil for nobody does.
+	// Machines starts the upkeep (maintenance) of machines; nil disables upkeep.
 	Machines Machines
-	// MaxLease is the longest lease that a backend server gives.
+	// MaxLease is the longest lease that a backend server grants.
 	MaxLease time.Duration
 	// MaxStopTime is the longest time that a backend server takes to stop a run.
 	MaxStopTime time.Duration
-	// GangTimeout is how long the members of a gang wait for each other there.
+	// GangTimeout is how long the started members of a gang wait on their servers for the
+	// others.
 	GangTimeout time.Duration
 	Retention   time.Duration
-	// MaxOpenFlows bounds the flows that have not ended.
+	// MaxOpenFlows limits the flows that have not ended.
 	MaxOpenFlows int
-	// TargetVoters is the number of voters that the group grows to.
+	// TargetVoters is the number of voters to which the replication group grows.
 	TargetVoters int
-	// Metrics receives the metrics; nil for none.
+	// Metrics is the set that the metrics are registered in; nil for none.
 	Metrics *metrics.Set
 	Log     logr.Logger
 
 	flowMetrics *flowMetrics
-	// Owned by the control thread.
+	// The fields below are owned by the control thread. leader is nil while this replica
+	// does not lead.
 	leader *leaderState
-	// agreedTime is the time of day by the word of all processes.
+	// agreedTime is the wall-clock time on which the processes agree.
 	agreedTime clock.Agreed
-	// helperPool are the processes that made themselves known, joiners the replicas among
-	// them that may be no members yet, by id.
+	// helperPool holds the registered processes. joiningReplicas holds, by id, the
+	// registered replicas that may not be members yet.
 	helperPool      *crew.Crew
 	joiningReplicas map[string]*joiningReplica
 }
 
-// New returns a dispatcher with the defaults.
+// New returns a dispatcher with default settings.
 func New() *Dispatcher {
 	return &Dispatcher{
 		MaxLease: DefaultMaxLease, MaxStopTime: DefaultMaxStopTime, GangTimeout: DefaultGangTimeout, Retention: DefaultRetention, MaxOpenFlows: DefaultMaxOpenFlows, TargetVoters: DefaultTargetVoters, Log: logr.Discard(),
@@ -167,8 +175,8 @@
 	}
 }
 
-// Elected takes over: what servers hold is asked of them before anything new is
-// placed there.
+// Elected starts a term as leader. Each server is asked for its runs before any new task is
+// placed on it.
 func (d *Dispatcher) Elected(term uint64, elected time.Duration) {
 	if d.flowMetrics == nil {
 		d.flowMetrics = newFlowMetrics(d.Metrics)
@@ -176,7 +184,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	d.leader = &leaderState{
 		term: term, electedAt: elected, ctx: ctx, cancel: cancel, callPool: newCallPool(ctx), planNeeded: true,
-		// Until it is known how soon answers come, they are waited for.
+		// Until latencies are measured, orders use the timeout of holds.
 		usualLatency: minHoldTimeout / latencyTimeoutFactor,
 		sessions:     map[string]*session{}, pendingStops: map[*run]*session{},
 		adviceByStep: map[flow.StepID]*stepAdvice{}, permitShares: map[string]float64{},
@@ -191,8 +199,8 @@
 			continue
 		}
 		s := d.openSession(b)
-		// The leader before this one may have renewed leases until it noticed
-		// that it was deposed: not later than the proof of its lead could last.
+		// The previous leader may have renewed leases until it noticed that it was deposed.
+		// It noticed that no later than when its last proof of leadership expired.
 		s.leaseEndsAt = d.Now() + maxLeadershipProofAge + d.MaxLease + leaseMargin
 	}
 	d.announceLeadership()
@@ -205,11 +213,11 @@
 	event.Log(d.Log, event.DispatchBegun, "term", term, "servers", len(d.leader.sessions), "flows", ledger.Open(), "drained", len(ledger.Zones()))
 }
 
-// maxLeadershipProofAge is the greatest age of the proof on which a leader still acts.
+// maxLeadershipProofAge is the longest time for which a leader acts on a proof of its
+// leadership.
 const maxLeadershipProofAge = time.Second
 
-// Deposed drops everything. Requests under way learn that the answer is not
-// known here.
+// Deposed drops the state of the term. Pending requests fail with an unknown outcome.
 func (d *Dispatcher) Deposed() {
 	leader := d.leader
 	if leader == nil {
@@ -222,7 +230,7 @@
 	}
 }
 
-// Turn decides once in a turn of the control thread.
+// Turn runs at the end of each turn of the control thread and plans if a plan is due.
 func (d *Dispatcher) Turn() {
 	if d.leader == nil || !d.Host.Leads() {
 		return
@@ -235,14 +243,14 @@
 	}
 }
 
-// Tick does what is due.
+// Tick handles timeouts and periodic work.
 func (d *Dispatcher) Tick(now time.Duration) {
 	d.compareClocks(now)
 	if d.leader == nil || !d.Host.Leads() {
 		return
 	}
 	d.sendFirstHolds()
-	// Looking at one may end its session.
+	// checkSession may remove a session, so the loop uses a copy of the list.
 	d.leader.tickSessions = append(d.leader.tickSessions[:0], d.leader.sortedSessions...)
 	for i, s := range d.leader.tickSessions {
 		if i%sessionsPerYield == 0 {
@@ -264,7 +272,8 @@
 	d.updateMembership(now)
 }
 
-// postInTerm runs fn on the control thread, unless another term has begun there.
+// postInTerm queues fn to run on the control thread. fn is dropped if the term has ended by
+// then.
 func (d *Dispatcher) postInTerm(term uint64, fn func()) {
 	d.Host.Post(func() {
 		if d.leader != nil && d.leader.term == term {
@@ -273,8 +282,9 @@
 	})
 }
 
-// applyOrLog is Decide for what may be refused without harm: the refusal is logged,
-// since it shows that the picture here and the ledger differ.
+// applyOrLog applies a command that may be refused without harm and reports whether it was
+// applied. A refusal is logged because it means that the session state and the ledger
+// differ.
 func (d *Dispatcher) applyOrLog(f *record.Flow) bool {
 	if err := d.Host.ApplyCommand(f); err != nil {
 		event.Fail(d.Log, event.DecisionRefused, err, "term", d.leader.term)
--- a/internal/control/dispatch/dispatch_test.go
+++ b/internal/control/dispatch/dispatch_test.go
@@ -22,7 +22,7 @@
 	stateCancelled = v1.FlowState_FLOW_STATE_CANCELLED
 )
 
-// runWithCluster runs a test on virtual time.
+// runWithCluster runs a test with a new cluster on virtual time.
 func runWithCluster(t *testing.T, workers int, fn func(t *testing.T, w *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -32,7 +32,7 @@
 	})
 }
 
-// withDependencies returns a step that waits for others.
+// withDependencies makes a step wait for other steps and returns it.
 func withDependencies(s *v1.FlowStep, steps ...uint32) *v1.FlowStep {
 	s.After = steps
 	return s
@@ -44,14 +44,14 @@
 		startedAt := time.Now()
 		w.awaitState("a", stateDone, 5*time.Second)
 		if elapsed := time.Since(startedAt); elapsed < 2*time.Second {
-			t.Errorf("two steps of a second each took %v", elapsed)
+			t.Errorf("two dependent steps of one second each took %v", elapsed)
 		}
 	})
 }
 
-// A caller's flow stands still for ever. Its placement was committed, but the
-// leader froze before the start left. The server lists nothing of it, and no
-// start or stop was ever answered that would tell the next leader so.
+// Guards against a flow that never continues after a leader change. The placement was
+// committed but the leader stopped before it sent the start. The server does not list the
+// run, and no start or stop was ever answered.
 func TestNextLeaderRestartsRunWhoseStartWasNeverSent(t *testing.T) {
 	runWithCluster(t, 1, func(_ *testing.T, w *testCluster) {
 		var reachable atomic.Bool
@@ -71,8 +71,8 @@
 	})
 }
 
-// A server starts a task and its answer is lost. Started again as another run,
-// the work would be done twice.
+// Guards against executing a task twice when the answer to its start is lost and the start
+// is sent as a new run.
 func TestLostStartAnswerStartsTaskOnce(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
@@ -88,14 +88,14 @@
 		w.submit("a", newStep(1, 1000))
 		w.awaitState("a", stateDone, 10*time.Second)
 		if runStarts := w.runStarts(); len(runStarts) != 1 {
-			t.Errorf("runs that began: %v", runStarts)
+			t.Errorf("started runs: %v", runStarts)
 		}
 	})
 }
 
-// A server starts a task and its answer is lost; a list shows that it runs. The
-// start is asked for again all the same, and refused: its permit is over by now.
-// Taken for a start that failed, the task would be placed elsewhere as well.
+// Guards against placing a task twice. The answer to a start is lost and a run list shows
+// that the run is running. The retry of the start is refused because its permit has
+// expired. That refusal must not end the run.
 func TestRefusedRetryDoesNotEndReportedRun(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		var starts atomic.Int32
@@ -123,13 +123,13 @@
 		w.submit("a", newStep(1, 1000))
 		w.awaitState("a", stateDone, 10*time.Second)
 		if got := w.runStarts()[flow.RunID{TaskID: flow.TaskID{StepID: flow.StepID{Flow: "a"}}, Number: 2}]; got != 0 {
-			t.Error("the task was started again although it ran")
+			t.Error("the task was started again although it was running")
 		}
 	})
 }
 
-// A start is held up in the network for seconds. Its task was given to another
-// server meanwhile; carried out then, it would run in two places.
+// Guards against running a task twice when a start is delayed by seconds in the network and
+// the task is placed on another server meanwhile.
 func TestDelayedStartIsNotExecuted(t *testing.T) {
 	runWithCluster(t, 2, func(_ *testing.T, w *testCluster) {
 		var starts atomic.Int32
@@ -147,8 +147,8 @@
 	})
 }
 
-// A server is cut off with work on it and runs on. The work may be placed again
-// only when its lease is over there, however slow its clock is.
+// Guards against placing the tasks of an unreachable server before their lease has expired
+// on that server, even if its clock is slow.
 func TestTaskOfUnresponsiveServerIsPlacedAfterLeaseEnd(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
@@ -169,14 +169,14 @@
 		}
 		w.awaitState("a", stateDone, 20*time.Second)
 		if runStarts := w.runStarts(); len(runStarts) != 2 {
-			t.Errorf("runs that began: %v", runStarts)
+			t.Errorf("started runs: %v", runStarts)
 		}
 	})
 }
 
-// A server is cut off with urgent work on it. Whoever waits for that is served only
-// if it is placed again soon; long work elsewhere must keep its long leases, and no
-// task may run in two places for that.
+// Guards against missing the deadline of an urgent task whose server becomes unreachable.
+// The lease of urgent work is short; long work on other servers keeps its long lease. No
+// task may run twice.
 func TestUrgentTaskOfUnresponsiveServerMeetsDeadline(t *testing.T) {
 	runWithCluster(t, 12, func(t *testing.T, w *testCluster) {
 		w.runAndWait(func() { w.dispatcher.MaxLease = 10 * time.Second })
@@ -209,16 +209,17 @@
 			}
 		}
 		if cutOffServers == 0 {
-			t.Fatal("no server runs urgent work alone")
+			t.Fatal("no server runs only urgent tasks")
 		}
-		w.awaitState("a", stateDone, 9500*time.Millisecond) // three times 1.5 x 2 + 0.25 s
+		w.awaitState("a", stateDone, 9500*time.Millisecond) // about 3 * (1.5 * 2 s + 0.25 s) after the submit
 	})
 }
 
-// A caller's task runs again although it had ended well. One list tells of an end;
-// before that is committed a stop is answered, which asks for the list again, and the
-// next one tells of another end. Acknowledged with the first, the second is forgotten
-// by the server; the leader dies before it is committed, and nobody knows of it.
+// Guards against acknowledging a run end that is not committed. A stop is answered before
+// the end in the first run list is committed and triggers another list with a second end.
+// If the commit of the first end also acknowledged the second, the server would forget it.
+// A leader change before the second commit would then lose that end, and the task would run
+// again.
 func TestRunEndIsNotAcknowledgedBeforeCommit(t *testing.T) {
 	const runtime, otherFlows = time.Second, 10
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
@@ -247,7 +248,8 @@
 			time.Sleep(time.Until(time.Unix(0, firstStartedAt.Load()).Add(sinceStart)))
 		}
 		for i := range otherFlows {
-			// Its stop is answered a commit later, one each millisecond around the ends.
+			// The answers to these stops arrive one commit delay later, one per millisecond
+			// around the ends.
 			sleepUntil(runtime - commitDelay + time.Duration(i)*time.Millisecond)
 			go w.askFlow(inner.FlowVerb_FLOW_VERB_CANCEL, fmt.Sprint("b", i))
 		}
@@ -255,13 +257,13 @@
 		w.electNewLeader()
 		w.awaitState("a", stateDone, 10*time.Second)
 		if n := len(w.runStarts()); n != otherFlows+2 {
-			t.Errorf("%d runs of %d tasks began: %v", n, otherFlows+2, w.runStarts())
+			t.Errorf("%d runs of %d tasks were started: %v", n, otherFlows+2, w.runStarts())
 		}
 	})
 }
 
-// A server's process dies. Nobody listens at its address, so nothing runs there,
-// and its work need not wait for the end of the lease.
+// Guards against waiting for the end of the lease when the server's process has exited. The
+// connection is refused, so nothing runs there any more.
 func TestTaskOfCrashedServerIsPlacedImmediately(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.submit("a", newStep(1, 1000))
@@ -272,14 +274,14 @@
 		startedAt := time.Now()
 		w.awaitState("a", stateDone, 10*time.Second)
 		if elapsed := time.Since(startedAt); elapsed > 3*time.Second {
-			t.Errorf("it took %v", elapsed)
+			t.Errorf("the flow completed after %v", elapsed)
 		}
 	})
 }
 
-// A server dies and starts again under its name while a start is on its way. The
-// start reaches the new life, which has seen no fencing token and runs it. The
-// task must not be placed elsewhere before that run is stopped.
+// Guards against placing a task twice when its server restarts under the same name while a
+// start is in transit. The new incarnation has seen no fencing token and executes the
+// start. That run must be stopped before the task is placed again.
 func TestStartThatReachesNextIncarnationIsStopped(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		var restarted atomic.Bool
@@ -305,8 +307,8 @@
 	})
 }
 
-// A member of a gang is refused. The others must be stopped at once and not left
-// to wait for it, and then all start together again.
+// Guards against leaving the other members of a gang waiting when one member is refused.
+// They must be stopped immediately, and then the whole gang starts again.
 func TestRefusedMemberStopsItsGang(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		var refused atomic.Bool
@@ -326,14 +328,14 @@
 			numbers[r.Number]++
 		}
 		if numbers[1] != 3 || numbers[2] != 4 {
-			t.Errorf("members that began, by number of the run: %v", numbers)
+			t.Errorf("started gang members by run number: %v", numbers)
 		}
 	})
 }
 
-// A server is gone without a word while a gang starts there. Its member is not
-// known to have ended before its lease is over, which is longer than the others
-// wait for it: they would hold their room in vain and end alone.
+// Guards against gang members that wait for a server that became unreachable during the
+// start. The lease of the lost member is longer than the gang timeout, so the others would
+// hold their capacity in vain.
 func TestGangDoesNotWaitForUnresponsiveServer(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(id string, backend *worker.Worker) {
@@ -349,17 +351,17 @@
 		w.submit("a", newGangStep(4, 2000))
 		time.Sleep(200 * time.Millisecond)
 		if len(w.busyWorkers()) != 1 {
-			t.Fatalf("busy servers: %v", w.busyWorkers())
+			t.Fatalf("busy servers: %v, want one", w.busyWorkers())
 		}
 		time.Sleep(2500 * time.Millisecond)
 		if len(w.busyWorkers()) != 0 {
-			t.Error("the other members still wait")
+			t.Errorf("gang members are still running on %v", w.busyWorkers())
 		}
 	})
 }
 
-// Something cuts the leader off from all servers, and entries still reach them.
-// Relayed through one and the same entry, the calls would wait for each other.
+// Guards against relaying all calls through the same helper when the leader cannot reach
+// the servers directly. The calls would block each other.
 func TestRelayedCallsUseDifferentHelpers(t *testing.T) {
 	runWithCluster(t, 12, func(t *testing.T, w *testCluster) {
 		greet := func() {
@@ -380,13 +382,13 @@
 			serversByRelay[address]++
 		}
 		if len(w.lastRelay) != 12 || len(serversByRelay) < 3 {
-			t.Errorf("servers by who relays for them: %v", serversByRelay)
+			t.Errorf("relayed servers by helper: %v", serversByRelay)
 		}
 	})
 }
 
-// A caller cancels and is told so. Nothing of its flow may start after that, and
-// what runs is stopped.
+// Guards against starting or continuing tasks of a flow after its cancellation was
+// acknowledged.
 func TestCancelStopsRunningTasks(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
@@ -400,16 +402,16 @@
 		startsBefore := len(w.runStarts())
 		time.Sleep(time.Second)
 		for id, backend := range w.busyWorkers() {
-			t.Errorf("%s still runs %v", id, backend.Running())
+			t.Errorf("server %s still has the runs %v", id, backend.Running())
 		}
 		if len(w.runStarts()) != startsBefore {
-			t.Error("something started after the cancel was told")
+			t.Error("a run was started after the cancellation was acknowledged")
 		}
 	})
 }
 
-// A task that always fails has used up its attempts: the flow has failed, and no
-// further run of it begins.
+// Guards against retrying a failing task beyond its limit of attempts. The flow has to fail
+// and no further run may start.
 func TestFailedAttemptsAreCounted(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
@@ -424,13 +426,13 @@
 		w.awaitState("a", stateFailed, 5*time.Second)
 		time.Sleep(time.Second)
 		if runStarts := w.runStarts(); len(runStarts) != 4 {
-			t.Errorf("runs that began: %v", runStarts)
+			t.Errorf("started runs: %v", runStarts)
 		}
 	})
 }
 
-// A server says that it leaves and is acknowledged. From then on it gets nothing
-// new, also from the next leader and after a late report that it is ready.
+// Guards against placing work on a server whose departure was acknowledged. The next leader
+// and a late report without the leaving flag must not change that.
 func TestLeavingServerGetsNoNewTasks(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		if err := w.sendReport("s1", 1, true); err != nil {
@@ -443,13 +445,12 @@
 		w.submit("a", newStep(1, 1000))
 		time.Sleep(3 * time.Second)
 		if runStarts := w.runStarts(); len(runStarts) > 0 {
-			t.Errorf("runs that began: %v", runStarts)
+			t.Errorf("started runs: %v", runStarts)
 		}
 	})
 }
 
-// A key is withdrawn by a new document: the next call with it is refused, and
-// what it was refused for is not accepted.
+// Guards against accepting a key after a new configuration document removed it.
 func TestWithdrawnKeyIsRefusedAtOnce(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		next := testDocument()
@@ -458,13 +459,13 @@
 			t.Fatal(err)
 		}
 		if answer := w.askFlow(inner.FlowVerb_FLOW_VERB_SUBMIT, "a", newStep(1, 1000)); code.Code(answer.GetCode()) != code.BadKey {
-			t.Errorf("got %v", answer)
+			t.Errorf("submit with a withdrawn key returned %v", answer)
 		}
 	})
 }
 
-// Two operators send documents with the same or a lower number: both are told
-// yes, and the one in force stays.
+// Guards against replacing the active document by one with the same or a lower version.
+// Both senders get an acknowledgement, and the active document stays.
 func TestOlderDocumentIsIgnored(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		sameVersion := testDocument()
@@ -474,18 +475,17 @@
 		}
 		text, err := w.dispatcher.Read(t.Context())
 		if err != nil || string(text) != "one" {
-			t.Errorf("read %q, %v", text, err)
+			t.Errorf("Read returned %q, %v", text, err)
 		}
 		invalid := testDocument()
 		invalid.Queues[0].Pool = "none"
 		if err := w.dispatcher.Put(t.Context(), invalid); err == nil || err.Code != code.Malformed {
-			t.Errorf("an unsound document was answered with %v", err)
+			t.Errorf("Put of an invalid document returned %v", err)
 		}
 	})
 }
 
-// A server hangs: it takes what it is told to start, and nothing moves there. The
-// caller's flow must not wait for it.
+// Guards against a flow that waits for a server that accepts starts but makes no progress.
 func TestHangingRunIsMoved(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		var firstStarted atomic.Bool
@@ -500,14 +500,13 @@
 		w.submit("a", newStep(1, 1000))
 		w.awaitState("a", stateDone, 8*time.Second)
 		if runStarts := w.runStarts(); len(runStarts) != 2 {
-			t.Errorf("runs that began: %v", runStarts)
+			t.Errorf("started runs: %v", runStarts)
 		}
 	})
 }
 
-// A server hangs, and on it a run that somebody waits for and that should take half a
-// second. It has to end elsewhere while its end is still worth something: within
-// three times what such a flow may take, here 3 s.
+// Guards against moving a hanging urgent run too late. The run should take half a second
+// and has to complete on another server within three times the target, here 3 s.
 func TestHangingUrgentRunMeetsDeadline(t *testing.T) {
 	runWithCluster(t, 2, func(_ *testing.T, w *testCluster) {
 		w.putUrgentQueue()
@@ -528,8 +527,8 @@
 	})
 }
 
-// A server fails all that it starts, at once, so that it always has room. A flow
-// that could be done must not use up its attempts there.
+// Guards against using up a flow's attempts on a server that fails every run immediately
+// and therefore always has free capacity.
 func TestFailingServerIsAvoided(t *testing.T) {
 	runWithCluster(t, 2, func(_ *testing.T, w *testCluster) {
 		w.changeWorkers(func(id string, backend *worker.Worker) {
@@ -548,8 +547,8 @@
 	})
 }
 
-// Tasks that fill a server make what serves there answer too slowly. They must
-// give way within seconds, and get back what does no harm.
+// Guards against fill tasks that slow down the serving tasks on the same server. They must
+// be throttled within seconds, and regain the pace that does no harm.
 func TestFillTasksAreThrottled(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		var tailLatency atomic.Int64
@@ -574,17 +573,17 @@
 		w.submit("fill", fill)
 		time.Sleep(4 * time.Second)
 		if got := tailLatency.Load(); got > 100 {
-			t.Errorf("the tail is still %d ms", got)
+			t.Errorf("the tail latency is %d ms, want at most 100", got)
 		}
 		time.Sleep(10 * time.Second)
 		if got := tailLatency.Load(); got > 110 || got < 60 {
-			t.Errorf("the tail has come to %d ms", got)
+			t.Errorf("the tail latency is %d ms, want 60 to 110", got)
 		}
 	})
 }
 
-// A server leaves soon with a long run on it. It goes on from its checkpoint
-// elsewhere; left there, what it did since the last one would be lost.
+// Guards against losing the work since the last checkpoint when a server leaves with a long
+// run on it. The run has to continue from its checkpoint on another server.
 func TestLeavingServerIsEvacuated(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
@@ -608,8 +607,8 @@
 	})
 }
 
-// A lasting task ends, for whatever reason: it is back at work at once, and its
-// flow never fails.
+// Guards against delayed restarts of a lasting task, and against failing its flow, when the
+// task ends.
 func TestLastingTaskIsRestartedAfterEachEnd(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
@@ -620,14 +619,14 @@
 		w.submit("a", lasting)
 		time.Sleep(20 * time.Second)
 		if n := len(w.runStarts()); n < 10 || w.flowState("a") != stateRunning {
-			t.Errorf("%d runs in 20 s, state %v", n, w.flowState("a"))
+			t.Errorf("%d runs were started in 20 s, flow state %v", n, w.flowState("a"))
 		}
 	})
 }
 
-// An operator asks for a wave of upkeep. No more machines than its cap are down
-// at once, also across a change of leader; what lasts is moved before its machine
-// goes down, one task at a time, and the wave is complete when all are back.
+// Guards against exceeding the cap of an upkeep wave, also across a leader change. Lasting
+// tasks are moved one at a time before their machine goes down, and the wave completes when
+// all machines are back.
 func TestUpkeepWaveRespectsCap(t *testing.T) {
 	runWithCluster(t, 4, func(t *testing.T, w *testCluster) {
 		lasting := newStep(3, 1000)
@@ -668,17 +667,17 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.maxUnderUpkeep != 1 || w.interruptedRuns != 0 {
-			t.Errorf("%d machines were down at once, %d runs were interrupted", w.maxUnderUpkeep, w.interruptedRuns)
+			t.Errorf("%d machines were down at the same time, want 1; %d runs were interrupted, want 0", w.maxUnderUpkeep, w.interruptedRuns)
 		}
 		if minAtWork < 2 {
-			t.Errorf("%d of 3 lasting tasks were at work, one may be missed", minAtWork)
+			t.Errorf("only %d of 3 lasting tasks were running, want at least 2", minAtWork)
 		}
 	})
 }
 
-// A leader has ordered a machine down and is replaced; its order is still on the way.
-// An order of the next one within the lease of that word would make two holders take
-// turns, where fencing tokens are not looked at.
+// Guards against two leaders that order upkeep at the same time. The order of a replaced
+// leader may still be in transit. An order of the new leader within that time would make
+// two duty holders alternate on a platform that does not check fencing tokens.
 func TestNewLeaderDelaysUpkeepOrders(t *testing.T) {
 	runWithCluster(t, 3, func(t *testing.T, w *testCluster) {
 		wave := &record.Wave{Number: 1, Machines: []string{"m-s1", "m-s2", "m-s3"}, Duration: 60_000, Cap: 1}
@@ -693,13 +692,13 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if len(w.firstUpkeepOrders) != 2 || w.firstUpkeepOrders[2]-electedAt < 3*time.Second {
-			t.Errorf("orders at %v, the second leader was elected at %v", w.firstUpkeepOrders, electedAt)
+			t.Errorf("first upkeep order by fencing token: %v; the second leader was elected at %v", w.firstUpkeepOrders, electedAt)
 		}
 	})
 }
 
-// An operator takes a queue away while flows of it wait. They were accepted, so
-// they still run, also under the next leader; new ones are refused.
+// Guards against losing accepted flows when an operator removes their queue. They still
+// run, also under the next leader, and new flows are refused.
 func TestAcceptedFlowsCompleteAfterQueueRemoval(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		w.submit("a", newStep(12, 1000))
@@ -720,13 +719,13 @@
 			t.Fatal(err)
 		}
 		if got := w.flowState("a"); got != stateDone {
-			t.Errorf("the flow is %v", got)
+			t.Errorf("the flow state is %v, want done", got)
 		}
 	})
 }
 
-// Answers came soon, and all take long now, as those of a busy leader do. Asked for again and again, the
-// starts would make it busier still.
+// Guards against retrying starts too early when answers become slow, for example because
+// the leader is busy. The retries would increase the load further.
 func TestTimeoutAdaptsToSlowAnswers(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		const quickFlows = 60
@@ -754,7 +753,7 @@
 			w.awaitState(fmt.Sprint("f", i), stateDone, time.Minute)
 		}
 		if n := starts.Load(); n > slowFlows-learningFlows {
-			t.Errorf("%d starts for %d tasks", n, slowFlows-learningFlows)
+			t.Errorf("%d starts were sent for %d tasks", n, slowFlows-learningFlows)
 		}
 		w.callDelay.Store(nil)
 		time.Sleep(3 * time.Second)
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -24,14 +24,14 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// commitDelay is how long a commit takes in these tests.
+// commitDelay is the simulated duration of a commit.
 const commitDelay = 5 * time.Millisecond
 
-// testMembers is the group of these tests.
+// testMembers is the membership of the replication group in these tests.
 var testMembers = group.Members{Self: "a/1", Members: []quorum.Member{{ID: "a/1", Address: "a"}}}
 
-// fakeHost is a control thread with a ledger and no replicas: what is decided is
-// committed a little later.
+// fakeHost is a control thread with a ledger and without replicas. Applied commands are
+// committed after commitDelay.
 type fakeHost struct {
 	t               *testing.T
 	dispatcher      *dispatch.Dispatcher
@@ -42,11 +42,12 @@
 	committedRecord *record.FlowsRecord
 	commitCallbacks []commitCallback
 	index           int
-	// committedIndex is the index up to which all is committed.
+	// committedIndex is the highest committed index.
 	committedIndex int
 	isLeader       bool
 	term           uint64
-	// startDecisionTime is how long the control thread takes to decide on starts.
+	// startDecisionTime is the simulated time that the control thread spends on applying a
+	// start command.
 	startDecisionTime time.Duration
 }
 
@@ -77,7 +78,7 @@
 
 func (h *fakeHost) commit(index int, record *record.FlowsRecord) {
 	if !h.isLeader || index < h.committedIndex {
-		return // a later one was committed with it
+		return // a later index is already committed
 	}
 	h.committedRecord, h.committedIndex = record, index
 	for len(h.commitCallbacks) > 0 && h.commitCallbacks[0].index <= index {
@@ -122,7 +123,7 @@
 
 func (h *fakeHost) now() time.Duration { return time.Since(h.startedAt) + time.Hour }
 
-// run is the control thread.
+// run is the loop of the control thread.
 func (h *fakeHost) run() {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
@@ -143,47 +144,49 @@
 	}
 }
 
-// runAndWait runs fn on the control thread and returns when it has run.
+// runAndWait runs fn on the control thread and waits until it has returned.
 func (h *fakeHost) runAndWait(fn func()) {
 	finished := make(chan struct{})
 	h.Post(func() { fn(); close(finished) })
 	<-finished
 }
 
-// testCluster is a dispatcher with backend servers.
+// testCluster is a dispatcher with simulated backend servers (workers).
 type testCluster struct {
 	*fakeHost
 	mu      sync.Mutex
 	workers map[string]*worker.Worker
-	// startCounts counts how often each run began.
+	// startCounts counts the starts of each run. duplicateRuns describes tasks that ran on
+	// two workers at once.
 	startCounts   map[flow.RunID]int
 	duplicateRuns []string
-	// capacity is that of each worker.
+	// capacity is the capacity of each worker.
 	capacity capacity.Size
-	// crashesWorker tells whether a run takes its worker down as it begins; nil for none.
-	// crashed counts the workers that went down, by the task that did it.
+	// crashesWorker reports whether the start of a run crashes its worker; nil for never.
+	// crashCounts counts the crashed workers by the task that caused the crash.
 	crashesWorker func(flow.RunID) bool
 	crashCounts   map[flow.TaskID]int
-	// runOutcome is what runs do on a new life.
+	// runOutcome returns the duration and the end of the runs on workers that start later.
 	runOutcome func(flow.RunID) (time.Duration, inner.RunEnd)
-	// restarts are the workers that are on their way back.
+	// restarts waits for the crashed workers that are restarting.
 	restarts sync.WaitGroup
-	// underUpkeep are the workers under upkeep, mostDown the most at once, and
-	// interrupted counts the runs that an upkeep ended.
+	// underUpkeep holds the workers under upkeep, maxUnderUpkeep is the highest number of
+	// them at the same time, and interruptedRuns counts the runs that an upkeep
+	// interrupted.
 	underUpkeep     map[string]bool
 	maxUnderUpkeep  int
 	interruptedRuns int
-	// firstUpkeepOrders are the first orders about machines, by their fencing token.
+	// firstUpkeepOrders holds the time of the first upkeep order for each fencing token.
 	firstUpkeepOrders map[uint64]time.Duration
-	// leaderCutOff tells that the leader itself reaches no worker, relays through whom it
-	// last reached each.
+	// leaderCutOff makes all direct calls of the leader time out. lastRelay holds the
+	// helper through which each worker was last called.
 	leaderCutOff atomic.Bool
 	lastRelay    map[string]string
-	// announcedTo are the processes that were told of a leader.
+	// announcedTo lists the processes that received an announcement of a leader.
 	announcedTo []string
 	advise      func(r *inner.AdviseRequest) *inner.AdviseReply
-	// callDelay is called for each call of the leader, reached tells when it last called
-	// each worker itself, direct is the dispatcher's Direct.
+	// callDelay is called for each direct call of the leader. lastDirectCall holds the time
+	// of the last direct call to each worker. maxDirectServers is passed to the dispatcher.
 	callDelay        atomic.Pointer[func()]
 	lastDirectCall   map[string]time.Duration
 	maxDirectServers func() int
@@ -277,8 +280,8 @@
 	}
 }
 
-// putUrgentQueue puts a document in force by which what is submitted comes before another
-// queue, and somebody waits for it.
+// putUrgentQueue activates a document in which the flows of the test's queue are urgent,
+// because another queue has a lower priority.
 func (w *testCluster) putUrgentQueue() {
 	doc := testDocument()
 	doc.Version = 2
@@ -289,7 +292,7 @@
 	}
 }
 
-// newTestCluster makes a world with n workers and a document in force.
+// newTestCluster returns a cluster with n workers and an active document.
 func newTestCluster(t *testing.T, n int) *testCluster {
 	w := &testCluster{
 		fakeHost: &fakeHost{t: t, startedAt: time.Now(), postedFuncs: make(chan func(), 1024), done: make(chan struct{}), ledger: flows.New()},
@@ -309,13 +312,13 @@
 	return w
 }
 
-// addWorker starts a life of a worker and lets it report.
+// addWorker starts an incarnation of a worker and reports it to the leader.
 func (w *testCluster) addWorker(id string, born int64) {
 	w.startWorker(id, born)
 	w.reportUntilAccepted(id, born)
 }
 
-// startWorker starts a life of a worker at its address.
+// startWorker starts an incarnation of a worker at its address.
 func (w *testCluster) startWorker(id string, born int64) *worker.Worker {
 	backend := &worker.Worker{ID: id, Born: born, StopTime: 50 * time.Millisecond}
 	backend.Work = w.runOutcome
@@ -326,7 +329,7 @@
 	return backend
 }
 
-// reportUntilAccepted reports until the report is acknowledged.
+// reportUntilAccepted sends a worker's report until the leader acknowledges it.
 func (w *testCluster) reportUntilAccepted(id string, born int64) {
 	for {
 		err := w.sendReport(id, born, false)
@@ -341,13 +344,14 @@
 	}
 }
 
-// makeRunsLasting lets every run last, on the lives of workers to come as well.
+// makeRunsLasting makes every run last until it is stopped, also on workers that start
+// later.
 func (w *testCluster) makeRunsLasting() {
 	w.runOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) { return 0, inner.RunEnd_RUN_END_UNSPECIFIED }
 	w.changeWorkers(func(_ string, backend *worker.Worker) { backend.Work = w.runOutcome })
 }
 
-// changeWorkers changes all workers.
+// changeWorkers applies fn to all workers.
 func (w *testCluster) changeWorkers(fn func(id string, backend *worker.Worker)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -356,7 +360,7 @@
 	}
 }
 
-// busyWorkers returns the workers that run something.
+// busyWorkers returns the workers with at least one run.
 func (w *testCluster) busyWorkers() map[string]*worker.Worker {
 	w.mu.Lock()
 	workers := maps.Clone(w.workers)
@@ -365,7 +369,7 @@
 	return workers
 }
 
-// runStarts returns the runs that began, and how often.
+// runStarts returns how often each run was started.
 func (w *testCluster) runStarts() map[flow.RunID]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -379,7 +383,7 @@
 	}, Remaining: 2000})
 }
 
-// zoneOf returns the zone of a worker: half of them are in each.
+// zoneOf returns the zone of a worker. Each zone holds half of the workers.
 func zoneOf(id string) string {
 	if n := id[len(id)-1]; n%2 == 1 {
 		return "x"
@@ -387,16 +391,18 @@
 	return "y"
 }
 
-// recordStart notes a run that begins, and one of its task that runs elsewhere.
+// recordStart records the start of a run and checks whether its task also runs on another
+// worker.
 func (w *testCluster) recordStart(id string, r flow.RunID) {
-	// The worker is locked while it tells, so the others are asked beside it.
+	// The worker holds its lock during this callback, so the check runs on another
+	// goroutine.
 	go w.checkDuplicates(id, r)
 	if w.crashesWorker != nil && w.crashesWorker(r) {
 		time.AfterFunc(10*time.Millisecond, func() { w.crashWorker(id, &r.TaskID) })
 	}
 }
 
-// crashWorker takes a worker down, which is back under another name after three seconds.
+// crashWorker crashes a worker. It is restarted under another name after three seconds.
 func (w *testCluster) crashWorker(id string, culprit *flow.TaskID) {
 	w.mu.Lock()
 	backend := w.workers[id]
@@ -435,7 +441,7 @@
 	}
 }
 
-// electNewLeader makes a new leader of what is committed.
+// electNewLeader replaces the dispatcher by one that starts from the committed ledger.
 func (w *testCluster) electNewLeader() {
 	w.runAndWait(func() {
 		if w.dispatcher != nil {
@@ -468,7 +474,7 @@
 func (w *testCluster) submit(id string, steps ...*v1.FlowStep) {
 	w.t.Helper()
 	if answer := w.askFlow(inner.FlowVerb_FLOW_VERB_SUBMIT, id, steps...); answer.GetCode() != 0 {
-		w.t.Fatalf("%s: %v", id, answer)
+		w.t.Fatalf("submit of flow %s returned %v", id, answer)
 	}
 }
 
@@ -476,7 +482,7 @@
 	return w.askFlow(inner.FlowVerb_FLOW_VERB_STATE, id).GetState()
 }
 
-// awaitState waits until a flow is in a state.
+// awaitState waits until a flow reaches the wanted state.
 func (w *testCluster) awaitState(id string, want v1.FlowState, within time.Duration) {
 	w.t.Helper()
 	for end := time.Now().Add(within); ; time.Sleep(20 * time.Millisecond) {
@@ -490,22 +496,23 @@
 	}
 }
 
-// checkInvariants tells what no fault may break.
+// checkInvariants checks that no task ran twice at the same time and that no run was
+// started twice.
 func (w *testCluster) checkInvariants() {
 	w.t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, duplicate := range w.duplicateRuns {
-		w.t.Error("in two places: " + duplicate)
+		w.t.Error("task ran twice at the same time: " + duplicate)
 	}
 	for r, n := range w.startCounts {
 		if n > 1 {
-			w.t.Errorf("%s began %d times", r, n)
+			w.t.Errorf("run %s was started %d times", r, n)
 		}
 	}
 }
 
-// shutDown stops everything.
+// shutDown stops the cluster and checks the invariants.
 func (w *testCluster) shutDown() {
 	w.runAndWait(func() { w.isLeader = false; w.dispatcher.Deposed() })
 	close(w.done)
--- a/internal/control/dispatch/helper.go
+++ b/internal/control/dispatch/helper.go
@@ -8,17 +8,17 @@
 	"gypsumreel/internal/api/inner"
 )
 
-// joiningReplicaTTL is how long a replica that is no member yet is remembered after it was
-// heard of.
+// joiningReplicaTTL is how long a replica that is not a member is remembered after its last
+// greeting.
 const joiningReplicaTTL = 20 * time.Second
 
-// joiningReplica is a control replica that made itself known and may be no member yet.
+// joiningReplica is a control replica that has sent a greeting and may not be a member yet.
 type joiningReplica struct {
 	address        string
 	lastGreetingAt time.Duration
 }
 
-// Greet makes a process known and tells it who leads; any goroutine may call it.
+// Greet registers a process and returns which replica leads. It is safe for concurrent use.
 func (d *Dispatcher) Greet(ctx context.Context, g *inner.Greeting) *inner.Welcome {
 	receivedAt := d.Now()
 	welcome, err := runOnLeader(ctx, d, errNotLeading, func(reply func(*inner.Welcome)) {
@@ -32,14 +32,14 @@
 	return welcome
 }
 
-// RegisterProcess notes a process that greeted this replica while another one leads: should this
-// one lead next, it has its helpers at once.
+// RegisterProcess registers a process that greeted this replica while another one leads. If
+// this replica is elected next, it has its helpers immediately.
 func (d *Dispatcher) RegisterProcess(g *inner.Greeting) {
 	receivedAt := d.Now()
 	d.Host.Post(func() { d.registerProcess(g, receivedAt) })
 }
 
-// registerProcess notes a process that made itself known.
+// registerProcess registers a process from its greeting.
 func (d *Dispatcher) registerProcess(g *inner.Greeting, receivedAt time.Duration) {
 	if g.GetReplica() != "" {
 		d.joiningReplicas[g.GetReplica()] = &joiningReplica{address: g.GetAddress(), lastGreetingAt: receivedAt}
@@ -50,7 +50,7 @@
 	}
 }
 
-// welcomeMessage is what a leader tells a process that makes itself known.
+// welcomeMessage returns the leader's answer to a greeting.
 func (d *Dispatcher) welcomeMessage() *inner.Welcome {
 	message := &inner.Welcome{Term: d.leader.term, Leads: true, Version: d.Host.Flows().Config().GetVersion(), Pause: uint32(d.helperPool.Pause() / time.Millisecond)}
 	for _, m := range d.Host.Members().Members {
@@ -59,11 +59,11 @@
 	return message
 }
 
-// announceTimeout bounds the announcement of a new leader to one process.
+// announceTimeout is the timeout of the announcement to one process.
 const announceTimeout = 700 * time.Millisecond
 
-// announceLeadership tells the processes that were heard of lately that this replica leads, so
-// that neither their callers nor the leader's questions wait for the next greeting.
+// announceLeadership tells the recently registered processes that this replica leads.
+// Without it, callers and questions to the adviser would wait for the next greetings.
 func (d *Dispatcher) announceLeadership() {
 	now := d.Now()
 	announcement := &inner.Announcement{Cell: d.Cell, Welcome: d.welcomeMessage()}
@@ -88,7 +88,7 @@
 	}
 }
 
-// removeExpiredProcesses drops processes that were not heard of for long.
+// removeExpiredProcesses removes processes and replicas whose last greeting is too old.
 func (d *Dispatcher) removeExpiredProcesses(now time.Duration) {
 	d.helperPool.Forget(now)
 	maps.DeleteFunc(d.joiningReplicas, func(_ string, replica *joiningReplica) bool { return now-replica.lastGreetingAt > joiningReplicaTTL })
--- a/internal/control/dispatch/lead.go
+++ b/internal/control/dispatch/lead.go
@@ -10,7 +10,7 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// leaderState is what is kept only while this replica leads.
+// leaderState is the state that exists only while this replica leads.
 type leaderState struct {
 	term      uint64
 	electedAt time.Duration
@@ -19,63 +19,64 @@
 	callPool  *callPool
 
 	sessions map[string]*session
-	// sortedSessions are the sessions by id: a plan goes over all of them.
+	// sortedSessions holds the sessions ordered by server id. Each plan iterates over all
+	// of them.
 	sortedSessions []*session
-	// tickSessions is the room for going over all of them.
+	// tickSessions is the reused copy of sortedSessions over which a tick iterates.
 	tickSessions []*session
-	// firstHoldQueue are the servers that were not asked yet what they hold.
+	// firstHoldQueue holds the servers that have not been asked for their runs yet.
 	firstHoldQueue intake.Queue[*session]
-	// relayedSessions counts the sessions whose calls go through a helper.
+	// relayedSessions is the number of sessions whose calls go through a helper.
 	relayedSessions int
 	adviceByStep    map[flow.StepID]*stepAdvice
-	// pendingQuestions are the questions of the latest plan that found no helper, the most
-	// pressing first.
+	// pendingQuestions holds the questions of the latest plan that found no free helper,
+	// the most urgent first.
 	pendingQuestions []steps.Want
-	// permitShares is the part of the servers asked about that may run a step, by queue.
+	// permitShares is, by queue, the average share of servers that the adviser permits.
 	permitShares   map[string]float64
 	recurringFlows map[string]bool
-	// urgentDemand is what urgent work starts, by pool.
+	// urgentDemand is the recent demand of urgent tasks, by pool.
 	urgentDemand map[string]*startDemand
-	// urgentServers are the servers on which urgent work is gathered, by pool.
+	// urgentServers holds, by pool, the servers on which urgent tasks are concentrated.
 	urgentServers map[string]*brief.Choice
-	// ranks tells which places are urgent by the configuration ranked.
+	// urgentRanks caches which ranks are urgent according to ranksConfig.
 	ranksConfig  *flow.Config
 	urgentRanks  map[queueRank]bool
 	rateBuckets  map[string]*rateBucket
 	surplusFlows map[string]bool
 	serverSpeeds map[string]*serverSpeed
-	// runtimeRatio is how long runs take beside what was declared, on the whole.
+	// runtimeRatio is the average ratio of actual to declared runtimes over all servers.
 	runtimeRatio float64
 	stepTimes    map[flow.StepID]steps.Times
-	// avoidedServers are the servers on which a task of a step failed.
+	// avoidedServers holds, by step, the servers on which a task of the step failed.
 	avoidedServers map[flow.StepID]map[string]bool
-	// pendingRequests are the requests that wait for a commit or a proof; each is told
-	// when this replica is deposed before.
+	// pendingRequests holds the requests that wait for a commit or a proof of leadership.
+	// Each function is called if this replica is deposed first.
 	pendingRequests map[uint64]func()
 	lastRequestID   uint64
 
-	// drainingForUpkeep are the servers that are to run empty for an upkeep, ordered is
-	// until when the last order about a machine is waited for.
+	// drainingForUpkeep holds the servers that are drained for an upkeep. upkeepRetryAt is
+	// the time until which the answer to the last order about a machine is awaited.
 	drainingForUpkeep map[string]bool
-	// drainedZones are the drained zones as the latest look found them.
+	// drainedZones holds the drained zones as of the last check.
 	drainedZones   map[string]time.Duration
 	upkeepRetryAt  map[string]time.Duration
 	wavesCheckedAt time.Duration
 	zonesCheckedAt time.Duration
 
-	// pendingStops are the runs whose stop is asked again until it is answered.
+	// pendingStops holds the runs whose stop is repeated until it is answered.
 	pendingStops map[*run]*session
-	// usualLatency is how long answers to orders usually take.
+	// usualLatency is the moving average of the latency of orders.
 	usualLatency time.Duration
 
-	// plannedAt is when the last plan was made, plans counts them.
+	// plannedAt is the time of the last plan, planCount the number of plans in this term.
 	plannedAt  time.Duration
 	planCount  int
 	planPacer  steps.Pacer
 	planner    steps.Planner
 	planView   steps.View
 	planNeeded bool
-	// clockSkewed tells that this machine's time of day is off.
+	// clockSkewed reports whether this machine's wall clock differs from the agreed time.
 	clockSkewed         bool
 	sweptAt             time.Duration
 	membershipCheckedAt time.Duration
--- a/internal/control/dispatch/learn.go
+++ b/internal/control/dispatch/learn.go
@@ -10,23 +10,23 @@
 	"gypsumreel/internal/policy/watchdog"
 )
 
-// serverSpeed is how fast a server works: how long runs took there beside what was
-// declared, compared with the same of all servers of its pool.
+// serverSpeed is the average ratio of actual to declared runtimes on one server. It is
+// compared with the average over all servers.
 type serverSpeed struct {
 	runtimeRatio float64
 	runCount     int
 }
 
-// Bounds of what is learned of a server's speed.
+// Parameters of the speed estimate.
 const (
-	// speedWeight is the weight of the latest run: after about ten runs what was
-	// before has little weight left.
+	// speedWeight is the weight of the latest run. After about ten runs the earlier ones
+	// have little influence.
 	speedWeight = 0.2
-	// minSpeedRuns is the least number of runs that tell anything.
+	// minSpeedRuns is the number of runs that a speed estimate requires.
 	minSpeedRuns = 3
 )
 
-// learnSpeed takes the time that a run took.
+// learnSpeed updates a server's speed from the duration of a run.
 func (d *Dispatcher) learnSpeed(s *session, r *run, end inner.RunEnd, now time.Duration) {
 	if end != inner.RunEnd_RUN_END_DONE || r.placedAt == 0 {
 		return
@@ -46,7 +46,7 @@
 	speed.runCount++
 }
 
-// relativeSpeed returns how fast a server works beside the others; 1 when nothing is known.
+// relativeSpeed returns a server's speed relative to the average, or 1 if it is not known.
 func (d *Dispatcher) relativeSpeed(s *session) float64 {
 	speed := s.speed
 	if speed == nil || speed.runCount < minSpeedRuns || speed.runtimeRatio <= 0 || d.leader.runtimeRatio == 0 {
@@ -55,8 +55,8 @@
 	return d.leader.runtimeRatio / speed.runtimeRatio
 }
 
-// updateRuntimeRatio works out how far declared times are off on the whole. It goes over all
-// servers, so it is done now and then.
+// updateRuntimeRatio updates the average ratio of actual to declared runtimes. It iterates
+// over all servers, so it runs only periodically.
 func (d *Dispatcher) updateRuntimeRatio() {
 	sum, count := 0.0, 0
 	for _, speed := range d.leader.serverSpeeds {
@@ -70,16 +70,16 @@
 	}
 }
 
-// typicalRuntime returns how long a run of the step takes on a sound server: what was
-// declared, corrected by how far declared times are off on the whole.
+// typicalRuntime returns the expected runtime of a run on a healthy server: the declared
+// runtime, corrected by the average ratio of actual to declared runtimes.
 func (d *Dispatcher) typicalRuntime(s *flows.Step) time.Duration {
 	declared := time.Duration(s.Spec.GetRuntime()) * time.Millisecond
 	return time.Duration(float64(declared) * max(d.leader.runtimeRatio, 1))
 }
 
-// judgeRunEnd notes how a run ended for the judgement of its server. The step that
-// failed there is tried elsewhere: whose fault it was is not known, and a
-// server that fails everything would use up all its attempts.
+// judgeRunEnd updates the failure streak of a server from a run's end. A step that failed
+// there is tried on other servers: the cause of the failure is unknown, and a server that
+// fails every run would use up all attempts of the step.
 func (d *Dispatcher) judgeRunEnd(s *session, r *run, end inner.RunEnd, now time.Duration) {
 	switch end {
 	case inner.RunEnd_RUN_END_DONE:
@@ -93,7 +93,7 @@
 	}
 }
 
-// avoidServerForStep notes that a step is better tried elsewhere.
+// avoidServerForStep makes the planner prefer other servers for the step.
 func (d *Dispatcher) avoidServerForStep(s *session, r *run) {
 	if d.leader.avoidedServers[r.StepID] == nil {
 		d.leader.avoidedServers[r.StepID] = map[string]bool{}
@@ -101,11 +101,11 @@
 	d.leader.avoidedServers[r.StepID][s.id] = true
 }
 
-// moveStuckRuns looks for runs that stand still or crawl, and moves them to another
-// server: they are stopped, and placed again where they last failed not.
+// moveStuckRuns stops runs that make no progress or are much too slow, so that they are
+// placed on another server. It also evacuates leaving servers.
 func (d *Dispatcher) moveStuckRuns(s *session, now time.Duration) {
 	if s.unresponsive || !s.listReceived || s.closeReason != "" || s.lastAnswerAt == s.inspectedListAt {
-		return // nothing new was listed since the last look
+		return // no new run list since the last check
 	}
 	s.inspectedListAt = s.lastAnswerAt
 	if b, ok := d.Host.Flows().Server(s.id); ok && b.Leaving {
@@ -117,7 +117,7 @@
 		}
 		step, ok := d.Host.Flows().Step(r.StepID)
 		if !ok || step.Spec.GetLasting() || step.Spec.GetGang() || step.Spec.GetFills() && s.pacePercent < pace.Full {
-			continue // it may stand still by order, or until others are there
+			continue // the run may be throttled, or may wait for the rest of its gang
 		}
 		progress := watchdog.Run{Elapsed: r.progressReportedAt - r.placedAt, Still: r.progressReportedAt - r.progressChangedAt, Percent: r.progressPercent, Typical: d.typicalRuntime(step), Saves: step.Spec.GetSaves()}
 		if !(r.Number <= maxStuckMoves && watchdog.Stuck(progress)) && !(r.Number <= maxSlowMoves && watchdog.Drags(progress)) {
@@ -130,13 +130,13 @@
 	}
 }
 
-// A task is moved so often at most: what was declared may be far off, and a task
-// that is slow everywhere must come to its end somewhere.
+// Limits of how often a task is moved. Its declared runtime may be far too low, and a task
+// that is slow on every server still has to complete.
 const (
 	maxStuckMoves = 3
 	maxSlowMoves  = 1
 )
 
-// suspectServerPause is how long a server gets nothing new on which a run stood still or
-// crawled; it is renewed while more of them do.
+// suspectServerPause is how long a server gets no new tasks after a run on it was stuck or
+// slow. Each further such run extends the pause.
 const suspectServerPause = 2 * time.Second
--- a/internal/control/dispatch/lease.go
+++ b/internal/control/dispatch/lease.go
@@ -9,15 +9,16 @@
 	"gypsumreel/internal/policy/brief"
 )
 
-// urgentLease is the lease of servers that run nothing but urgent work: longer than an
-// election, and so short that what was lost with a server can still be in time.
+// urgentLease is the lease of servers that run only urgent tasks. It is longer than an
+// election, and short enough that the tasks of a lost server can still meet their
+// deadlines.
 const urgentLease = 2 * time.Second
 
-// leaseLength returns how long a call renews the lease of what runs on a server; 0 for not
-// at all. A server has one lease for all that it runs, and it never becomes shorter.
-// Long work gets the longest there is, so that it outlives a time in which no
-// replica runs at all; urgent work a short one, since on a server that goes silent
-// it is placed again only once the lease is over; a server without work needs none.
+// leaseLength returns the length of the lease that a call grants to a server, or 0 for no
+// renewal. A server has one lease for all its runs, and a call never shortens it. Long
+// tasks get the maximum, so that they survive a period without a running replica. Urgent
+// tasks get a short lease, because the tasks of an unresponsive server can be placed again
+// only after its lease. A server without runs needs no lease.
 func (d *Dispatcher) leaseLength(s *session) time.Duration {
 	longest := time.Duration(0)
 	for _, r := range s.runs {
@@ -29,13 +30,14 @@
 	return longest
 }
 
-// isUrgentStep tells whether a step's tasks are urgent and over soon.
+// isUrgentStep reports whether the tasks of a step are urgent and not lasting.
 func (d *Dispatcher) isUrgentStep(s *flows.Step) bool {
 	q, ok := d.Host.Flows().QueueOf(s.Flow)
 	return ok && !s.Spec.GetLasting() && d.isUrgentRank(q.GetPool(), q.GetPriority())
 }
 
-// chooseUrgentServers chooses the servers of each pool on which urgent work is gathered.
+// chooseUrgentServers selects, for each pool, the servers on which urgent tasks are
+// concentrated.
 func (d *Dispatcher) chooseUrgentServers() {
 	usedCPU := map[string]int64{}
 	servers := map[string][]brief.Server{}
@@ -67,7 +69,7 @@
 	}
 }
 
-// hasUrgentQueue tells whether one of a pool's queues comes before the others.
+// hasUrgentQueue reports whether the pool has a queue with urgent priority.
 func (d *Dispatcher) hasUrgentQueue(pool string) bool {
 	return slices.ContainsFunc(d.Host.Flows().Config().GetQueues(), func(q *v1.Queue) bool {
 		return q.GetPool() == pool && d.isUrgentRank(pool, q.GetPriority())
--- a/internal/control/dispatch/lists.go
+++ b/internal/control/dispatch/lists.go
@@ -9,7 +9,7 @@
 	"gypsumreel/internal/domain/flow"
 )
 
-// applyRunList takes what a server says it runs and what ended there.
+// applyRunList processes a server's list of running and ended runs.
 func (d *Dispatcher) applyRunList(s *session, a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
 	s.listCount++
 	for _, entry := range a.GetRunning() {
@@ -39,13 +39,13 @@
 			continue
 		}
 		if r.startUnconfirmed && r.startAttempts == 0 && !r.stopping {
-			// Placed by the leader before this one, and not there. Its start may
-			// still arrive, or never left; a stop rules it out for good.
+			// The previous leader placed the run and the server does not list it. Its start
+			// may still be in transit. A stop prevents a later execution.
 			d.stopRun(s, r)
 			continue
 		}
-		// Not listed although its start or its stop was answered before the
-		// list was made: it does not run, and never will.
+		// The server answered the start or the stop before it made this list, and does not
+		// list the run. The run does not exist and cannot start any more.
 		if r.orderAnsweredAt > 0 && r.orderAnsweredAt < sentAt {
 			ends.Ends = append(ends.Ends, &record.FlowEnd{Run: r.Message(), How: inner.RunEnd_RUN_END_LOST, Checkpoint: r.checkpoint})
 		}
@@ -57,7 +57,7 @@
 	d.recordEnds(s, ends, receivedAt)
 }
 
-// recordEnds records ends and lets go of their runs.
+// recordEnds records run ends in the ledger and removes the runs from the session.
 func (d *Dispatcher) recordEnds(s *session, ends *record.FlowEnds, now time.Duration) {
 	if !d.applyOrLog(&record.Flow{What: &record.Flow_Ends{Ends: ends}}) {
 		return
@@ -73,13 +73,13 @@
 	}
 }
 
-// handleRunEnd logs an end and learns from it.
+// handleRunEnd logs a run's end and updates the statistics of its server.
 func (d *Dispatcher) handleRunEnd(s *session, r *run, end *record.FlowEnd, now time.Duration) {
 	state := "gone"
 	if f, ok := d.Host.Flows().Flow(r.Flow); ok {
 		state = f.State.String()
 	}
-	elapsed := "since before this leader"
+	elapsed := "unknown, placed by a previous leader"
 	if r.placedAt > 0 {
 		elapsed = (now - r.placedAt).String()
 	}
--- a/internal/control/dispatch/member.go
+++ b/internal/control/dispatch/member.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// DefaultTargetVoters is the number of voters that the group grows to: five
-	// outlive the loss of any two.
+	// DefaultTargetVoters is the default of Dispatcher.TargetVoters. Five voters tolerate
+	// the loss of any two.
 	DefaultTargetVoters = 5
-	// membershipCheckInterval is how often the membership is looked at. One change at a time
-	// is made, and each takes a commit.
+	// membershipCheckInterval is the interval between membership checks. Only one change is
+	// made at a time, and each change requires a commit.
 	membershipCheckInterval = 150 * time.Millisecond
 )
 
-// updateMembership keeps the control group at its size: replicas that make themselves
-// known are taken in, and those that are gone for good make room.
+// updateMembership adds registered replicas to the replication group up to its target size
+// and removes members that are permanently gone.
 func (d *Dispatcher) updateMembership(now time.Duration) {
 	if now-d.leader.membershipCheckedAt < membershipCheckInterval {
 		return
@@ -29,7 +29,7 @@
 	for id, replica := range d.joiningReplicas {
 		view.Known = append(view.Known, roster.Known{Member: quorum.Member{ID: id, Address: replica.address}, Silent: now - replica.lastGreetingAt})
 	}
-	// A leader that has just begun has not heard of anybody yet.
+	// A new leader has not received greetings yet.
 	view.Watched = now - d.leader.electedAt
 	change, ok := roster.Decide(view)
 	if !ok {
--- a/internal/control/dispatch/meter.go
+++ b/internal/control/dispatch/meter.go
@@ -10,10 +10,10 @@
 	"gypsumreel/internal/base/meter"
 )
 
-// metricArea names the metrics of this part.
+// metricArea is the prefix of the metric names of this package.
 const metricArea = "flows"
 
-// flowMetrics are the metrics of a dispatcher.
+// flowMetrics holds the metrics of a dispatcher.
 type flowMetrics struct {
 	set             *metrics.Set
 	accepted        *metrics.Counter
@@ -67,7 +67,7 @@
 	m.set.GetOrCreatePrometheusHistogram(meter.Name(metricArea, "wait_seconds", meter.Label{Name: "queue", Value: queue})).Update(wait.Seconds())
 }
 
-// updateGauges sets the gauges.
+// updateGauges sets the gauges to the current values.
 func (m *flowMetrics) updateGauges(d *Dispatcher) {
 	m.openFlows.Set(float64(d.Host.Flows().Open()))
 	m.servers.Set(float64(len(d.leader.sessions)))
--- a/internal/control/dispatch/order.go
+++ b/internal/control/dispatch/order.go
@@ -11,68 +11,74 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// Bounds of orders.
+// Limits of orders to backend servers.
 const (
-	// maxStartAttempts is how often a start is sent before its run is given up: the
-	// first answer may be lost.
+	// maxStartAttempts is how often a start is sent before the run is abandoned. The answer
+	// to an attempt may be lost.
 	maxStartAttempts = 3
-	// orderRetryPause is the pause before an order without an answer is sent again.
+	// orderRetryPause is the pause before an unanswered order is sent again.
 	orderRetryPause = 30 * time.Millisecond
-	// minAvoidTime and lastAvoid bound how long a server that said it is unwell
-	// gets nothing new; the time doubles with each refusal in a row.
+	// minAvoidTime and maxAvoidTime are the bounds of the time for which a server that
+	// refused a start gets no new tasks. The time doubles with each consecutive refusal.
 	minAvoidTime = 250 * time.Millisecond
-	// gangRetryDivisor is the part of the time for which the members of a gang wait for
-	// each other in which one may still be asked to start: one more try and the
-	// stops of the others have to fit into the rest.
+	// gangRetryDivisor is the divisor of GangTimeout that gives the time within which a
+	// member's start may be retried. One more attempt and the stops of the other members
+	// have to fit into the remaining time.
 	gangRetryDivisor = 3
 	maxAvoidTime     = 4 * time.Second
 )
 
-// run is what this leader knows of one run at a server.
+// run is the leader's state of one run on a server. Times are on the leader's clock.
 type run struct {
 	flow.RunID
 	allocation *flows.Held
-	// placedAt is when it was decided, on our clock; 0 when another leader did.
+	// placedAt is when the run was placed, or 0 if another leader placed it.
 	placedAt time.Duration
-	// startSentAt is when its start first left; 0 for never, by this leader.
+	// startSentAt is when this leader first sent the start, or 0 if it has not.
 	startSentAt time.Duration
 	permit      string
-	// urgent tells that somebody waits for it and that it is over soon.
+	// urgent reports whether the run is urgent and not lasting.
 	urgent bool
-	// pendingOrders counts the orders under way.
+	// pendingOrders is the number of unanswered orders.
 	pendingOrders int
-	// startAttempts counts the starts sent, stops the stops.
+	// startAttempts and stopAttempts count the sent orders.
 	startAttempts int
 	stopAttempts  int
-	// startUnconfirmed tells that a start may have arrived without an answer, ghost that
-	// it may be carried out by another life of the server.
+	// startUnconfirmed reports whether a start may have arrived without an answer.
+	// mayReachNextIncarnation reports whether that start may be executed by a later
+	// incarnation of the server.
 	startUnconfirmed        bool
 	mayReachNextIncarnation bool
-	// nextIncarnationStoppedAt is when a ghost was stopped; 0 for never.
+	// nextIncarnationStoppedAt is when a run that might have reached a later incarnation
+	// was stopped there, or 0.
 	nextIncarnationStoppedAt time.Duration
-	// orderAnsweredAt is when the server answered a start or a stop: a list made later
-	// that does not show the run proves that it does not run. 0 before that.
+	// orderAnsweredAt is when the server answered a start or a stop, or 0. A run list made
+	// after that time without the run proves that it does not run.
 	orderAnsweredAt time.Duration
-	// lastListNumber is the latest list of its server that shows it, running or ended.
+	// lastListNumber is the number of the latest run list that contains the run as running
+	// or ended.
 	lastListNumber uint64
-	// reportedByServer tells that the server listed it or confirmed its start.
+	// reportedByServer reports whether the server has listed the run or confirmed its
+	// start.
 	reportedByServer bool
-	// stopping tells that it is to be stopped, and next when that is asked again.
+	// stopping reports whether the run is to be stopped. nextOrderAt is when the stop is
+	// sent again.
 	stopping    bool
 	nextOrderAt time.Duration
-	// checkpoint is its latest checkpoint, percent its progress and load its use, at
-	// looked on our clock.
+	// checkpoint, progressPercent and load are the values of the latest run list, which was
+	// received at progressReportedAt.
 	checkpoint         string
 	progressPercent    float64
 	load               float64
 	progressReportedAt time.Duration
-	// sentPacePlusOne is the pace that it was told, in percent and one more; 0 for none.
+	// sentPacePlusOne is the last pace in percent that the server was told, plus one. It is
+	// 0 if none was sent and -1 if the call failed.
 	sentPacePlusOne int
-	// progressChangedAt is when its progress last changed.
+	// progressChangedAt is when the progress last changed.
 	progressChangedAt time.Duration
 }
 
-// applyListEntry takes what a list tells of the run.
+// applyListEntry updates the run from its entry in a run list.
 func (r *run) applyListEntry(entry *inner.RunningRun, now time.Duration) {
 	if entry.GetCheckpoint() != "" {
 		r.checkpoint = entry.GetCheckpoint()
@@ -80,7 +86,7 @@
 	percent := math.Floor(entry.GetPercent())
 	switch {
 	case r.progressChangedAt == 0 && percent == 0 && r.orderAnsweredAt > 0:
-		r.progressChangedAt = r.orderAnsweredAt // it had made no progress when its start was answered
+		r.progressChangedAt = r.orderAnsweredAt // the run had no progress when its start was answered
 	case r.progressChangedAt == 0 || percent != math.Floor(r.progressPercent):
 		r.progressChangedAt = now
 	}
@@ -93,10 +99,10 @@
 	f, ok := d.Host.Flows().Flow(r.Flow)
 	step, stepKnown := d.Host.Flows().Step(r.StepID)
 	if !ok || !stepKnown || f.Final() || r.stopping || r.reportedByServer {
-		return // what became unwanted meanwhile is stopped, or never sent
+		return // a run that is no longer wanted is stopped, or its start is never sent
 	}
 	if s.closeReason != "" {
-		d.disbandGang(r) // its life is over, and its end recorded once that is settled
+		d.disbandGang(r) // the incarnation has ended; the run's end is recorded when the session is closed
 		return
 	}
 	if b, ok := d.Host.Flows().Server(s.id); s.unresponsive || ok && (d.Host.Flows().Drained(b.Zone) || !b.Used.Fits(b.Capacity)) {
@@ -110,15 +116,15 @@
 		d.startProbation(s, r, r.startSentAt)
 	}
 	start := &inner.StartRun{Run: r.Message(), Input: f.Spec.GetInput(), Checkpoint: step.Tasks[r.Index].Checkpoint, Permit: r.permit}
-	// A server that does not answer may hear all the same: trying again must not
-	// lengthen the lease of what cannot be placed elsewhere before it is over.
+	// An unresponsive server may still receive calls. A retry must not extend the lease,
+	// because the task cannot be placed on another server before the lease ends.
 	renew := r.startAttempts == 1
 	d.callServer(s, &inner.ServerCall{What: &inner.ServerCall_Start{Start: start}}, 0, r.startAttempts-1, renew, func(a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
 		r.pendingOrders--
 		switch a.GetVerdict() {
 		case inner.Verdict_VERDICT_DONE, inner.Verdict_VERDICT_SILENT:
-			// One that did not come in time would have taken longer yet. Left out, a
-			// leader whose answers all come late would never wait for them.
+			// A call without an answer has at least this latency. If it were ignored, a
+			// leader whose answers all arrive late would never extend its timeouts.
 			d.observeLatency(receivedAt - sentAt)
 		}
 		d.flowMetrics.observeCall("start", a.GetVerdict(), receivedAt-sentAt)
@@ -128,15 +134,15 @@
 	})
 }
 
-// handleStartAnswer takes the answer to a start.
+// handleStartAnswer processes the answer to a start.
 func (d *Dispatcher) handleStartAnswer(s *session, r *run, a *inner.ServerAnswer, receivedAt time.Duration) {
 	verdict := a.GetVerdict()
 	if verdict != inner.Verdict_VERDICT_DONE {
 		event.Log(d.Log, event.StartRefused, "flow", r.Flow, "run", r.String(), "server", s.id, "verdict", verdict.String(), "detail", a.GetDetail(), "try", r.startAttempts)
 	}
 	if r.reportedByServer && verdict != inner.Verdict_VERDICT_DONE && verdict != inner.Verdict_VERDICT_OLD {
-		// An earlier try was carried out, as a list has shown. Taken for the run's
-		// end, the refusal of a later one would let the task run elsewhere as well.
+		// An earlier attempt was executed, as a run list has shown. If this refusal ended
+		// the run, the task would be placed on another server while it still runs here.
 		return
 	}
 	switch verdict {
@@ -148,13 +154,15 @@
 		r.orderAnsweredAt = receivedAt
 		return
 	case inner.Verdict_VERDICT_SILENT:
-		// It may have gone; more work there would wait for its lease as well.
+		// The server may be gone. Further tasks placed on it would have to wait for the end
+		// of its lease.
 		s.avoidUntil = max(s.avoidUntil, receivedAt+minAvoidTime)
 		r.startUnconfirmed, r.mayReachNextIncarnation = true, true
 		d.retryStart(s, r)
 		return
 	case inner.Verdict_VERDICT_FENCED:
-		// Another leader gives orders here; this one is about to learn of it.
+		// A later leader sends orders to this server. This replica will notice soon that it
+		// is deposed.
 		r.startUnconfirmed = true
 		return
 	}
@@ -162,8 +170,8 @@
 	d.withdrawRun(s, r)
 }
 
-// withdrawRun ends a run that did not start. When an earlier try may still be
-// carried out, only a stop rules that out.
+// withdrawRun ends a run that did not start. If an earlier attempt may still be executed,
+// the run has to be stopped instead.
 func (d *Dispatcher) withdrawRun(s *session, r *run) {
 	if r.startUnconfirmed {
 		d.stopRun(s, r)
@@ -173,7 +181,8 @@
 	d.recordEnds(s, &record.FlowEnds{Server: s.id, Born: s.incarnation, Ends: []*record.FlowEnd{end}}, d.Now())
 }
 
-// handleRefusal learns from a refusal what not to try again at once.
+// handleRefusal avoids the server or drops the permit according to the verdict of a refused
+// start.
 func (d *Dispatcher) handleRefusal(s *session, r *run, verdict inner.Verdict, now time.Duration) {
 	switch verdict {
 	case inner.Verdict_VERDICT_UNWELL, inner.Verdict_VERDICT_ROOM, inner.Verdict_VERDICT_MALFORMED, inner.Verdict_VERDICT_LATE:
@@ -188,8 +197,9 @@
 	}
 }
 
-// retryStart sends a start without an answer once more: the same run is started only
-// once. A second silence gives the run up.
+// retryStart sends an unanswered start again. Starts are idempotent. The run is stopped
+// instead if the attempts are used up, the gang's time limit has passed, or the server
+// takes no work.
 func (d *Dispatcher) retryStart(s *session, r *run) {
 	b, ok := d.Host.Flows().Server(s.id)
 	pastGangLimit := r.placedAt > 0 && d.Now()-r.placedAt > d.GangTimeout/gangRetryDivisor && d.gangStep(r) != nil
@@ -202,14 +212,14 @@
 	time.AfterFunc(orderRetryPause, func() { d.postInTerm(term, func() { d.sendStart(s, r) }) })
 }
 
-// stopRun stops a run; a gang is stopped whole, since its others wait for this one.
+// stopRun stops a run and the rest of its gang. The other members would only wait for it.
 func (d *Dispatcher) stopRun(s *session, r *run) {
 	r.stopping = true
 	d.sendStop(s, r)
 	d.disbandGang(r)
 }
 
-// gangStep returns the step of a run whose tasks work only together, else nil.
+// gangStep returns the step of a run if it is a gang, and nil otherwise.
 func (d *Dispatcher) gangStep(r *run) *flows.Step {
 	if step, ok := d.Host.Flows().Step(r.StepID); ok && step.Spec.GetGang() {
 		return step
@@ -217,9 +227,9 @@
 	return nil
 }
 
-// disbandGang stops the other members of a run's gang. Until the end of one is
-// recorded the ledger wants the others, and where that takes long, as on a server
-// that is gone, they would hold their room and wait for it in vain.
+// disbandGang stops the other members of a run's gang. The ledger keeps the members as
+// wanted until the end of one of them is recorded. That can take long, for example on an
+// unreachable server, and meanwhile the others would hold capacity in vain.
 func (d *Dispatcher) disbandGang(r *run) {
 	step := d.gangStep(r)
 	if step == nil {
@@ -243,7 +253,8 @@
 	}
 }
 
-// stopUnwantedRuns orders a stop for every run that the ledger does not want.
+// stopUnwantedRuns sends a stop for every run that the ledger no longer wants, and repeats
+// the stops that are due.
 func (d *Dispatcher) stopUnwantedRuns() {
 	now := d.Now()
 	for id, allocation := range d.Host.Flows().Unwanted() {
@@ -266,8 +277,8 @@
 	}
 }
 
-// sendStop orders the stop of a run, and asks again until it is answered. A server
-// refuses a run from then on that it is told to stop and does not know.
+// sendStop sends the stop of a run. It is repeated until it is answered. The server refuses
+// a later start of a run that it was told to stop, even if it does not know the run.
 func (d *Dispatcher) sendStop(s *session, r *run) {
 	if r.pendingOrders > 0 && !r.stopping || s.runs[r.TaskID] != r {
 		return
@@ -298,8 +309,8 @@
 	})
 }
 
-// stopStrayRun stops a run that a server holds and the ledger does not know there:
-// a start that was given up and carried out late.
+// stopStrayRun stops a run that the server lists and the ledger does not have on that
+// server. Such a run comes from an abandoned start that was executed late.
 func (d *Dispatcher) stopStrayRun(s *session, id flow.RunID) {
 	event.Log(d.Log, event.RunStray, "flow", id.Flow, "run", id.String(), "server", s.id)
 	c := &inner.ServerCall{What: &inner.ServerCall_Stop{Stop: &inner.StopRun{Run: id.Message()}}}
--- a/internal/control/dispatch/pace.go
+++ b/internal/control/dispatch/pace.go
@@ -10,8 +10,8 @@
 	"gypsumreel/internal/policy/pace"
 )
 
-// adjustPace sets the pace of what fills a server beside what serves there, from
-// the list that the server has just given.
+// adjustPace sets the pace of the fill tasks on a server from the tail latency of its
+// serving tasks in the latest run list.
 func (d *Dispatcher) adjustPace(s *session) {
 	var serving []pace.Serving
 	var fillRuns []*run
@@ -38,12 +38,12 @@
 	}
 }
 
-// setPace tells a server how fast a run may work.
+// setPace tells a server the pace of a run.
 func (d *Dispatcher) setPace(s *session, r *run, percent int) {
 	previous := r.sentPacePlusOne
-	r.sentPacePlusOne = percent + 1 // 0 stands for not known
+	r.sentPacePlusOne = percent + 1 // 0 means that no pace was sent
 	if previous == 0 && percent == pace.Full {
-		return // the pace at which every run begins
+		return // every run starts at full pace
 	}
 	event.Log(d.Log, event.RunPaced, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", percent)
 	r.pendingOrders++
@@ -52,14 +52,14 @@
 		r.pendingOrders--
 		d.flowMetrics.observeCall("pace", a.GetVerdict(), receivedAt-sentAt)
 		if a.GetVerdict() != inner.Verdict_VERDICT_DONE {
-			r.sentPacePlusOne = -1 // told again with the next list
+			r.sentPacePlusOne = -1 // sent again with the next run list
 		}
 	})
 }
 
-// evacuate moves what would not end in time off a server that leaves: what goes
-// on from a checkpoint loses nothing by that, and lasting tasks are moved as many
-// at a time as their flow can miss.
+// evacuate stops the runs on a leaving server that would not end in time. A run that saves
+// checkpoints continues on another server without loss. Lasting tasks are moved only as
+// many at a time as their flow can miss.
 func (d *Dispatcher) evacuate(s *session, b *flows.Server, now time.Duration) {
 	if s.leavesAt == 0 {
 		return
@@ -83,7 +83,7 @@
 	}
 }
 
-// remainingTime returns how long a run still takes, by its progress so far.
+// remainingTime estimates how long a run still takes from its progress.
 func (d *Dispatcher) remainingTime(step *flows.Step, r *run, now time.Duration) time.Duration {
 	if r.placedAt == 0 || r.progressPercent <= 0 {
 		return d.typicalRuntime(step)
@@ -91,12 +91,12 @@
 	return time.Duration(float64(r.progressReportedAt-r.placedAt)*(100-r.progressPercent)/r.progressPercent) - (now - r.progressReportedAt)
 }
 
-// canMissTask tells whether a flow can miss one more task of a lasting step.
+// canMissTask reports whether the flow tolerates one more missing task of a lasting step.
 func (d *Dispatcher) canMissTask(step *flows.Step) bool {
 	return d.missingTasks(step) < int(step.Spec.GetAbsent())
 }
 
-// missingTasks counts the tasks of a lasting step that are not at work.
+// missingTasks returns the number of tasks of a lasting step that are not fully at work.
 func (d *Dispatcher) missingTasks(step *flows.Step) int {
 	missing := 0
 	for i, t := range step.Tasks {
--- a/internal/control/dispatch/plan.go
+++ b/internal/control/dispatch/plan.go
@@ -12,10 +12,10 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// unlimitedAmount stands for a limit that binds nothing.
+// unlimitedAmount replaces a limit that is not set.
 const unlimitedAmount = 1 << 50
 
-// plan decides what starts and carries it out.
+// plan makes a plan, commits its placements and asks its questions.
 func (d *Dispatcher) plan(now time.Duration) {
 	ledger := d.Host.Flows()
 	if len(ledger.Ready()) == 0 {
@@ -27,7 +27,7 @@
 	clock := d.Host.LedgerTime()
 	for _, s := range ledger.Ready() {
 		if advice := d.leader.adviceByStep[s.StepID]; advice != nil && advice.pendingQuestions > 0 && len(advice.permits) == 0 {
-			continue // nothing can be decided before the first answer
+			continue // nothing can be placed before the first answer of the adviser
 		}
 		if item, ok := d.planItem(s, clock); ok {
 			view.Items = append(view.Items, item)
@@ -41,7 +41,7 @@
 	}
 	view.Headroom = func(pool string) steps.Headroom { return d.headroom(pool, poolCapacity(view.Servers, pool), now) }
 	d.leader.planCount++
-	d.leader.planView = view // the next plan uses its room
+	d.leader.planView = view // the next plan reuses the slices
 	view.Items = steps.Pick(view, d.leader.planCount)
 	result := d.leader.planner.Make(view)
 	for _, placement := range result.Placements {
@@ -54,7 +54,7 @@
 	d.flowMetrics.planSeconds.Update(elapsed.Seconds())
 }
 
-// poolCapacity returns the size of a pool.
+// poolCapacity returns the total capacity of the servers of a pool.
 func poolCapacity(servers []steps.Server, pool string) capacity.Size {
 	var sum capacity.Size
 	for _, s := range servers {
@@ -65,7 +65,7 @@
 	return sum
 }
 
-// remainingQuota returns what a customer may still start.
+// remainingQuota returns the capacity that a customer may still use.
 func (d *Dispatcher) remainingQuota(customer string) capacity.Size {
 	limit, used := d.Host.Flows().Limit(customer), d.Host.Flows().Used(customer)
 	remaining := func(limit, used int64) int64 {
@@ -77,7 +77,7 @@
 	return capacity.Size{CPU: remaining(limit.CPU, used.CPU), Memory: remaining(limit.Memory, used.Memory), Accel: remaining(limit.Accel, used.Accel)}
 }
 
-// planItem describes a ready step to the planner.
+// planItem returns the planner's description of a ready step.
 func (d *Dispatcher) planItem(s *flows.Step, clock time.Duration) (steps.Item, bool) {
 	q, ok := d.Host.Flows().QueueOf(s.Flow)
 	if !ok {
@@ -98,7 +98,8 @@
 	return item.Judged(times, clock-startedAt), true
 }
 
-// expectedReleases returns what a server will have free again, by how far its runs are.
+// expectedReleases returns the capacity that the runs on a server will release, and when,
+// estimated from their progress.
 func (d *Dispatcher) expectedReleases(server string, now time.Duration) []steps.Release {
 	s := d.leader.sessions[server]
 	if s == nil {
@@ -107,7 +108,7 @@
 	releases := make([]steps.Release, 0, len(s.runs))
 	for _, r := range s.runs {
 		step, ok := d.Host.Flows().Step(r.StepID)
-		remaining := time.Duration(0) // of a flow that has ended: it is being stopped
+		remaining := time.Duration(0) // the flow has ended and the run is being stopped
 		switch {
 		case ok && step.Spec.GetLasting():
 			continue
@@ -119,7 +120,7 @@
 	return releases
 }
 
-// stepTimes returns a step's times; they stay the same once the step is ready.
+// stepTimes returns a step's deadlines. They do not change once the step is ready.
 func (d *Dispatcher) stepTimes(s *flows.Step, q *v1.Queue) steps.Times {
 	times, ok := d.leader.stepTimes[s.StepID]
 	if !ok {
@@ -129,7 +130,7 @@
 	return times
 }
 
-// commitPlacement commits a placement and sends the starts once it is committed.
+// commitPlacement commits a placement and then sends the starts.
 func (d *Dispatcher) commitPlacement(placement steps.Placement, now time.Duration) {
 	start := &record.FlowStart{}
 	var highestNumber uint32
@@ -139,7 +140,7 @@
 	for _, place := range placement.Places {
 		lastNumber := placement.Item.Tasks[place.Index].Number
 		if placement.Item.Spec.GetGang() {
-			lastNumber = highestNumber // the members of a gang share a number
+			lastNumber = highestNumber // all members of a gang have the same run number
 		}
 		id := flow.RunID{TaskID: place.TaskID, Number: lastNumber + 1}
 		start.Places = append(start.Places, &record.FlowPlace{Run: id.Message(), Server: place.Server})
@@ -164,7 +165,7 @@
 	})
 }
 
-// addPlacedRun notes a run that was placed just now.
+// addPlacedRun adds a run that was just placed to its session.
 func (d *Dispatcher) addPlacedRun(place *record.FlowPlace, urgent bool, now time.Duration) *run {
 	id := flow.RunOf(place.GetRun())
 	b, _ := d.Host.Flows().Server(place.GetServer())
--- a/internal/control/dispatch/route.go
+++ b/internal/control/dispatch/route.go
@@ -8,17 +8,18 @@
 	"gypsumreel/internal/base/event"
 )
 
-// Bounds of the ways to a server.
+// Parameters of the routes to backend servers.
 const (
-	// failuresBeforeRelay is the number of failed calls in a row after which the way
-	// through another process is tried.
+	// failuresBeforeRelay is the number of consecutive failed calls after which calls go
+	// through a helper.
 	failuresBeforeRelay = 2
-	// relayDuration is how long calls go through another process before the direct
-	// way is tried again: cuts last for seconds, and a try costs one silent call.
+	// relayDuration is how long calls go through a helper before the direct route is tried
+	// again. Network partitions last for seconds, and an attempt costs one call without an
+	// answer.
 	relayDuration = 5 * time.Second
 )
 
-// setRelay changes the way to a server; empty for the direct one.
+// setRelay sets the helper through which a server is called; empty for direct calls.
 func (d *Dispatcher) setRelay(s *session, address string) {
 	if s.relayAddress != address {
 		event.Log(d.Log, event.ServerRelayed, "server", s.id, "from", s.relayAddress, "to", address, "fails", s.failedHolds, "heard", (d.Now() - s.lastAnswerAt).String())
@@ -32,8 +33,8 @@
 	s.relayAddress, s.relayChangedAt = address, d.Now()
 }
 
-// chooseRoute changes the way to a server where it should be another one: through a
-// helper when too many are called directly, and directly again after a while.
+// chooseRoute switches a server to a helper when too many servers are called directly, and
+// back to direct calls after relayDuration.
 func (d *Dispatcher) chooseRoute(s *session) {
 	switch {
 	case s.relayAddress == "" && !d.canCallDirectly(0):
@@ -44,16 +45,16 @@
 	}
 }
 
-// canCallDirectly tells whether the servers that are called directly, and so many more, may
-// be: each takes connections, and a process may open only so many.
+// canCallDirectly reports whether the given number of additional servers may be called
+// directly. Each server takes connections, and the process may open only a limited number.
 func (d *Dispatcher) canCallDirectly(additional int) bool {
 	return d.MaxDirectServers == nil || len(d.leader.sessions)-d.leader.relayedSessions+additional <= d.MaxDirectServers()
 }
 
-// nextRelay returns the next way to a server that could not be reached: through
-// each helper in turn, then directly again. Every server has an order of its own:
-// one helper that relayed for all of them would run out of connections, since
-// each relayed call waits at its server.
+// nextRelay returns the helper to try next for a server that did not answer: each helper in
+// turn, then empty for the direct route. Each server uses its own order of the helpers. A
+// single helper that relays for all servers would run out of connections, because each
+// relayed call is a long poll.
 func (d *Dispatcher) nextRelay(server, current string) string {
 	order := func(address string) uint64 { return xxhash.Sum64String(server + " " + address) }
 	next, found := "", false
--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -12,19 +12,20 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// Report is what a backend server says of itself now and then.
+// Report is the periodic status report of a backend server.
 type Report struct {
 	*record.FlowServer
-	// Number counts the reports of one life; a late one has a lower number.
+	// Number is the sequence number of the report within an incarnation. A delayed report
+	// has a lower number.
 	Number uint64
-	// Clock is the server's clock in milliseconds; 0 when it is not told.
+	// Clock is the server's clock in milliseconds; 0 if not sent.
 	Clock int64
 	// Remaining is the least time in milliseconds that a leaving server has left.
 	Remaining int64
 }
 
-// Report takes a report. It returns once everything that the report changes is
-// committed: an acknowledged server gets no new work once it leaves.
+// Report processes a report of a backend server. It returns when all changes from the
+// report are committed. After it is acknowledged, a leaving server gets no new tasks.
 func (d *Dispatcher) Report(ctx context.Context, r Report) *code.Error {
 	received := d.Now()
 	fault, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
@@ -45,25 +46,24 @@
 	s := d.leader.sessions[r.GetId()]
 	switch {
 	case known && r.GetBorn() < previous.Born:
-		reply(nil) // a late report of a life before
+		reply(nil) // delayed report of an earlier incarnation
 		return
 	case known && r.GetBorn() == previous.Born && (previous.Over || r.Number < previous.Call):
 		reply(nil)
 		return
 	case s != nil && s.incarnation < r.GetBorn():
-		// The life before this one has ended. What may still be on its way to
-		// it must not reach the new one unseen, so the new one is taken only
-		// when that is settled.
-		d.beginClosing(s, "another life")
+		// The previous incarnation has ended. Calls in transit to it could reach the new
+		// one, so the new one is accepted only when they are settled.
+		d.beginClosing(s, "a later incarnation reported")
 		if d.leader.sessions[r.GetId()] != nil {
-			reply(code.New(code.Busy, "the life before is being closed"))
+			reply(code.New(code.Busy, "the session of the previous incarnation is still being closed"))
 			return
 		}
 	case s != nil && s.incarnation == r.GetBorn() && r.Number < s.reportNumber:
 		reply(nil)
 		return
 	case known && s != nil && isUnchanged(previous, r.FlowServer) && !d.staysColdLonger(previous, r.FlowServer):
-		// What it repeats may still be on its way into the log.
+		// The change that this report repeats may not be committed yet.
 		d.Host.AfterCommit(func() { reply(nil) })
 		return
 	}
@@ -89,24 +89,25 @@
 	d.Host.AfterCommit(func() { reply(nil) })
 }
 
-// coldMargin is how much later than known a server may say that it stops being slow
-// before that is recorded: what it says is rough, and its report is on its way a while.
+// coldMargin is the least extension of a server's slow start that is recorded. The reported
+// time is approximate and includes the delay of the report.
 const coldMargin = time.Second
 
-// staysColdLonger tells whether a server says that it stays slow for longer than is known.
+// staysColdLonger reports whether the server announces a longer slow start than the ledger
+// has.
 func (d *Dispatcher) staysColdLonger(b *flows.Server, r *record.FlowServer) bool {
 	return d.Host.LedgerTime()+time.Duration(r.GetCold())*time.Millisecond > max(b.Warm, d.Host.LedgerTime())+coldMargin
 }
 
-// isUnchanged tells whether a report says nothing new.
+// isUnchanged reports whether the report equals the server's state in the ledger.
 func isUnchanged(b *flows.Server, r *record.FlowServer) bool {
 	size := capacity.Size{CPU: r.GetCapacity().GetCpu(), Memory: r.GetCapacity().GetMemory(), Accel: r.GetCapacity().GetAccel(), Slots: r.GetCapacity().GetSlots()}
 	return b.Born == r.GetBorn() && b.Address == r.GetAddress() && b.Pool == r.GetPool() && b.Machine == r.GetMachine() && b.Zone == r.GetZone() &&
 		b.Capacity == size && slices.Equal(b.Labels, r.GetLabels()) && (b.Leaving || !r.GetLeaving())
 }
 
-// Leave takes a server's word that it ends. What it held counts as running
-// until that is proved: the word may be a late one, of a life before.
+// Leave handles the notice that a server exits. Its runs count as running until their end
+// is proved, because the notice may be a delayed one of an earlier incarnation.
 func (d *Dispatcher) Leave(ctx context.Context, id string) *code.Error {
 	_, err := runOnLeader(ctx, d, errDeposed, func(reply func(struct{})) {
 		if b, ok := d.Host.Flows().Server(id); ok && !b.Over && !b.Leaving {
--- a/internal/control/dispatch/session.go
+++ b/internal/control/dispatch/session.go
@@ -12,26 +12,26 @@
 	"gypsumreel/internal/policy/watchdog"
 )
 
-// Bounds of a session.
+// Parameters of a session.
 const (
-	// minHoldRetryPause and lastPause bound the pause before a failed call is made again.
+	// minHoldRetryPause and maxHoldRetryPause are the bounds of the pause before a failed
+	// hold is retried.
 	minHoldRetryPause = 50 * time.Millisecond
 	maxHoldRetryPause = 400 * time.Millisecond
-	// sharedLongPoll is how often a server is looked at on which something fills
-	// beside something that serves: its figures are of the last half second.
+	// sharedLongPoll is the longest long poll of a server that has both fill tasks and
+	// serving tasks. Their load figures cover the last half second.
 	sharedLongPoll = 500 * time.Millisecond
-	// overdueLongPoll is how often a server is looked at on which a run should have
-	// ended that somebody waits for.
+	// overdueLongPoll is the longest long poll of a server with an overdue urgent run.
 	overdueLongPoll = 300 * time.Millisecond
-	// immediateHoldPause is the pause between two holds that do not wait at the server.
+	// immediateHoldPause is the pause between two holds without a long poll.
 	immediateHoldPause = 10 * time.Millisecond
-	// absentAnswersToClose is how often a server must be found absent, one call after the
-	// other, before its life counts as over: a listener that is opened anew must
-	// not look like a crash.
+	// absentAnswersToClose is the number of consecutive refused connections after which the
+	// incarnation counts as ended. A listener that is reopened must not look like a crash.
 	absentAnswersToClose = 2
 )
 
-// session is what this leader knows of one life of a backend server.
+// session is the leader's state of one incarnation of a backend server. Times are on the
+// leader's clock unless stated otherwise.
 type session struct {
 	id          string
 	incarnation int64
@@ -39,59 +39,64 @@
 	// reportNumber is the number of the latest report.
 	reportNumber uint64
 
-	// serverClock is what the server's clock showed, at the least, at seen on ours.
+	// serverClock is the latest known value of the server's clock in milliseconds. The
+	// clock showed at least this value at serverClockReadAt.
 	serverClock       int64
 	serverClockReadAt time.Duration
-	// leaseEndsAt is when everything that runs there has lost its lease, by our clock.
+	// leaseEndsAt is when the leases of all runs on the server have expired.
 	leaseEndsAt time.Duration
-	// lastAnswerAt is when the server answered last.
+	// lastAnswerAt is when the server last answered a hold.
 	lastAnswerAt time.Duration
 
-	// listCount counts the lists that came from it.
+	// listCount is the number of run lists received from the server.
 	listCount uint64
-	// inspectedListAt is the list that its runs were last judged by.
+	// inspectedListAt is the time of the run list that moveStuckRuns last examined.
 	inspectedListAt time.Duration
-	// holdPending tells that a hold is under way.
+	// holdPending reports whether a hold is unanswered.
 	holdPending bool
-	// listReceived tells that the server said what it holds, in this term.
+	// listReceived reports whether the server has sent a run list in this term.
 	listReceived bool
-	// lastEndTaken is the number of the latest end that was taken from a list, cursor
-	// the latest whose record is committed.
+	// lastEndTaken is the number of the latest run end taken from a list, lastEndCommitted
+	// the number of the latest one that is committed.
 	lastEndTaken     uint64
 	lastEndCommitted uint64
-	// unresponsive tells that the latest hold failed, broke when the first one in a row did.
+	// unresponsive reports whether the latest hold failed. unresponsiveSince is when the
+	// first of the consecutive failures occurred.
 	unresponsive      bool
 	unresponsiveSince time.Duration
 	failedHolds       int
 	absentAnswers     int
-	// nextHoldAt is when the next hold is due.
+	// nextHoldAt is when the next hold of an unresponsive server is due.
 	nextHoldAt time.Duration
-	// probationUntil is until when nothing else is placed there than what may crash it.
+	// probationUntil is the time until which only the task under probation is placed on the
+	// server.
 	probationUntil time.Duration
-	// avoidUntil is until when nothing new is placed there, and why it last failed.
+	// avoidUntil is the time until which no new tasks are placed on the server.
+	// refusalsInARow counts its consecutive refusals.
 	avoidUntil     time.Duration
 	refusalsInARow int
 	failureStreak  watchdog.Streak
-	// relayAddress is the helper that calls go through since relayed; empty for the direct way.
+	// relayAddress is the helper through which the server is called, since relayChangedAt;
+	// empty for direct calls.
 	relayAddress   string
 	relayChangedAt time.Duration
 
 	runs map[flow.TaskID]*run
-	// speed is how fast it works; nil while nothing is known.
+	// speed is the server's speed estimate; nil if there is none.
 	speed *serverSpeed
-	// pacePercent is that of what fills the server, in percent; shared tells that
-	// something serves beside it.
+	// pacePercent is the pace of the fill tasks on the server. servesBesideFill reports
+	// whether the server has both fill tasks and serving tasks.
 	pacePercent      int
 	servesBesideFill bool
-	// leavesAt is when the server goes, at the earliest; 0 while it does not.
+	// leavesAt is the earliest time at which the server exits; 0 if it is not leaving.
 	leavesAt time.Duration
 
-	// closeReason tells why the life is being closed; empty when it is not.
+	// closeReason is why the session is being closed; empty if it is not.
 	closeReason  string
 	closingSince time.Duration
 }
 
-// applyReport takes what a report tells of the server's clock.
+// applyReport updates the session from a report of the server.
 func (s *session) applyReport(r Report, received time.Duration) {
 	s.reportNumber = max(s.reportNumber, r.Number)
 	if r.Clock > 0 {
@@ -102,15 +107,16 @@
 	}
 }
 
-// observeClock notes that the server's clock showed at least clock at a time on ours.
+// observeClock records that the server's clock showed at least serverTime at readAt.
 func (s *session) observeClock(serverTime int64, readAt time.Duration) {
 	if readAt > s.serverClockReadAt {
 		s.serverClock, s.serverClockReadAt = serverTime, readAt
 	}
 }
 
-// leaseEndOnServerClock returns the time on the server's clock that is reached by end on ours
-// at the latest, however slow its clock is; 0 when its clock is not known.
+// leaseEndOnServerClock converts the end of a lease to the server's clock. The result is
+// reached no later than leaseEnd even if the server's clock is slow. It is 0 if the
+// server's clock is unknown.
 func (s *session) leaseEndOnServerClock(leaseEnd time.Duration) int64 {
 	if s.serverClock == 0 {
 		return 0
@@ -118,20 +124,21 @@
 	return s.serverClock + int64(minClockRate*float64(leaseEnd-s.serverClockReadAt)/float64(time.Millisecond))
 }
 
-// answerTimeout returns how long an answer is waited for: less than the longest time
-// while answers usually come soon, and twice as long with each try.
+// answerTimeout returns the timeout of a call. It is proportional to the usual latency,
+// doubles with each attempt, and is at most callTimeout.
 func (d *Dispatcher) answerTimeout(minimum time.Duration, attempts int) time.Duration {
 	usual := max(latencyTimeoutFactor*d.leader.usualLatency, minimum)
 	return min(usual<<min(attempts, 4), callTimeout)
 }
 
-// observeLatency takes the time of an answer into what is usual.
+// observeLatency adds a latency to the moving average.
 func (d *Dispatcher) observeLatency(latency time.Duration) {
 	d.leader.usualLatency += time.Duration(latencyWeight * float64(latency-d.leader.usualLatency))
 }
 
-// callServer makes a call to a server, the one after so many tries, and hands the answer to fn on the control
-// thread, with the times on our clock at which it left and came back.
+// callServer calls a server and passes the answer to handle on the control thread, with the
+// times at which the call was sent and the answer was received. attempts is the number of
+// earlier attempts of the same call.
 func (d *Dispatcher) callServer(s *session, c *inner.ServerCall, wait time.Duration, attempts int, renewLease bool, handle func(a *inner.ServerAnswer, sent, receivedAt time.Duration)) {
 	sentAt := d.Now()
 	c.Cell, c.Server, c.Address, c.Fence = d.Cell, s.id, s.address, d.leader.term
@@ -141,7 +148,7 @@
 			s.leaseEndsAt = max(s.leaseEndsAt, leaseEnd+leaseMargin)
 		}
 	} else if c.GetStart() != nil {
-		c.Until = s.leaseEndOnServerClock(s.leaseEndsAt - leaseMargin) // what was granted before, no more
+		c.Until = s.leaseEndOnServerClock(s.leaseEndsAt - leaseMargin) // the lease granted before is not extended
 	}
 	minTimeout := minOrderTimeout
 	if c.GetHold() != nil {
@@ -169,8 +176,8 @@
 	})
 }
 
-// sendHold renews the lease and asks what runs. One hold is under way at a time;
-// it waits at the server until something ends.
+// sendHold renews the lease and requests the run list. At most one hold per server is
+// pending. The call is a long poll that returns when a run ends.
 func (d *Dispatcher) sendHold(s *session) {
 	if s.holdPending || s.closeReason != "" {
 		return
@@ -191,8 +198,8 @@
 		wait = 0
 	}
 	c := &inner.ServerCall{What: &inner.ServerCall_Hold{Hold: &inner.HoldRuns{Ack: s.lastEndCommitted, Wait: uint64(wait / time.Millisecond)}}}
-	// A server that does not answer may hear all the same. Renewing its lease with
-	// each try would keep its work from everybody else for ever.
+	// An unresponsive server may still receive calls. If each attempt renewed its lease,
+	// its tasks could never be placed on another server.
 	d.callServer(s, c, wait, s.failedHolds, !s.unresponsive, func(a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
 		s.holdPending = false
 		d.leader.firstHoldQueue.Done(s)
@@ -204,11 +211,11 @@
 	})
 }
 
-// overdueFactor is how many times as long as usual an urgent run takes before its
-// server is looked at more often: most take about as long as they should.
+// overdueFactor is the ratio of the actual to the typical runtime above which an urgent run
+// counts as overdue. Most runs take about their typical runtime.
 const overdueFactor = 1.5
 
-// hasOverdueRun tells whether an urgent run should have ended on a server.
+// hasOverdueRun reports whether an urgent run on the server is overdue.
 func (d *Dispatcher) hasOverdueRun(s *session) bool {
 	now := d.Now()
 	for _, r := range s.runs {
@@ -223,10 +230,11 @@
 	return false
 }
 
-// expectsListChange tells whether something is to be learned soon from the next list.
+// expectsListChange reports whether the next run list is expected to settle the state of a
+// run.
 func (s *session) expectsListChange() bool {
 	for _, r := range s.runs {
-		stopOfPreviousLeader := r.stopping && r.startUnconfirmed && r.startAttempts == 0 // placed by the last leader
+		stopOfPreviousLeader := r.stopping && r.startUnconfirmed && r.startAttempts == 0 // placed by the previous leader
 		if (r.orderAnsweredAt > 0 || stopOfPreviousLeader) && !r.reportedByServer {
 			return true
 		}
@@ -234,7 +242,7 @@
 	return false
 }
 
-// handleHoldAnswer takes the answer to a hold.
+// handleHoldAnswer processes the answer to a hold.
 func (d *Dispatcher) handleHoldAnswer(s *session, a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
 	switch a.GetVerdict() {
 	case inner.Verdict_VERDICT_DONE:
@@ -250,7 +258,7 @@
 		return
 	}
 	if a.GetBorn() != 0 && a.GetBorn() != s.incarnation {
-		d.beginClosing(s, "another life answers")
+		d.beginClosing(s, "another incarnation answered")
 		return
 	}
 	if s.unresponsive {
@@ -264,8 +272,9 @@
 	if isFirstList {
 		d.leader.planNeeded = true
 	}
-	// Another list may be taken before this one's ends are committed; what that one
-	// tells is not committed with them, and the server forgets what is acknowledged.
+	// Another run list may be received before the ends of this one are committed. Only the
+	// ends of this list may be acknowledged after this commit, because the server forgets
+	// acknowledged ends.
 	lastTaken := s.lastEndTaken
 	d.Host.AfterCommit(func() {
 		if d.leader != nil && d.leader.sessions[s.id] == s {
@@ -275,8 +284,8 @@
 	})
 }
 
-// scheduleNextHold makes the next hold: at once when it waits at the server, after a
-// moment when it asks for something that is about to show in the list.
+// scheduleNextHold sends the next hold: immediately if it is a long poll, and after
+// immediateHoldPause if it is not.
 func (d *Dispatcher) scheduleNextHold(s *session) {
 	if !s.expectsListChange() {
 		d.sendHold(s)
@@ -286,7 +295,7 @@
 	time.AfterFunc(immediateHoldPause, func() { d.postInTerm(term, func() { d.sendHold(s) }) })
 }
 
-// handleFailedHold notes a failed hold and when the next one is due.
+// handleFailedHold records a failed hold and schedules the next one.
 func (d *Dispatcher) handleFailedHold(s *session, a *inner.ServerAnswer, receivedAt time.Duration) {
 	if !s.unresponsive {
 		s.unresponsiveSince = receivedAt
@@ -300,7 +309,7 @@
 	s.nextHoldAt = d.Now() + min(minHoldRetryPause<<min(s.failedHolds, 5), maxHoldRetryPause)
 }
 
-// isUsable tells whether new work may be placed on a server now.
+// isUsable reports whether new tasks may be placed on the server.
 func (s *session) isUsable(now time.Duration) bool {
 	return s.listReceived && !s.unresponsive && s.closeReason == "" && s.serverClock > 0 && now >= s.avoidUntil && now-s.lastAnswerAt <= maxLongPoll+callTimeout
 }
--- a/internal/control/dispatch/sessions.go
+++ b/internal/control/dispatch/sessions.go
@@ -10,14 +10,14 @@
 	"gypsumreel/internal/policy/pace"
 )
 
-// openSession begins a session with a server as the ledger has it.
+// openSession creates the session of a server from its state in the ledger.
 func (d *Dispatcher) openSession(b *flows.Server) *session {
 	s := &session{
 		id: b.ID, incarnation: b.Born, address: b.Address, lastEndCommitted: b.Cursor, lastEndTaken: b.Cursor,
 		lastAnswerAt: d.Now(), runs: map[flow.TaskID]*run{}, pacePercent: pace.Full,
 	}
 	for id, allocation := range b.Held {
-		// Whether the start ever arrived is not known to this leader.
+		// This leader does not know whether the start arrived.
 		step, ok := d.Host.Flows().Step(allocation.StepID)
 		s.runs[id] = &run{RunID: allocation.RunID, allocation: allocation, startUnconfirmed: true, urgent: ok && d.isUrgentStep(step)}
 	}
@@ -29,7 +29,7 @@
 	return s
 }
 
-// removeSession ends a session.
+// removeSession removes a session.
 func (d *Dispatcher) removeSession(s *session) {
 	if s.relayAddress != "" {
 		d.leader.relayedSessions--
@@ -42,7 +42,8 @@
 
 func compareSessionID(s *session, id string) int { return cmp.Compare(s.id, id) }
 
-// firstHoldPriority is how soon a server is asked what it holds.
+// firstHoldPriority returns the priority of the server's first hold: servers with urgent
+// runs come first, then other busy servers, then idle ones.
 func (s *session) firstHoldPriority() intake.Class {
 	class := intake.Idle
 	for _, r := range s.runs {
@@ -54,7 +55,7 @@
 	return class
 }
 
-// sendFirstHolds asks servers for the first time, as many as may be asked now.
+// sendFirstHolds sends the first holds to queued servers, as many as the queue allows now.
 func (d *Dispatcher) sendFirstHolds() {
 	for s, ok := d.leader.firstHoldQueue.Next(d.Now()); ok; s, ok = d.leader.firstHoldQueue.Next(d.Now()) {
 		if d.leader.sessions[s.id] != s {
--- a/internal/control/dispatch/surplus.go
+++ b/internal/control/dispatch/surplus.go
@@ -4,18 +4,19 @@
 	"time"
 )
 
-// burstSeconds is how many seconds of its weight a customer may send at once without
-// being taken to send too much: callers do not come evenly.
+// burstSeconds is the size of the burst that a customer may submit, in seconds of its
+// guaranteed rate. Callers do not submit at an even rate.
 const burstSeconds = 2
 
-// rateBucket measures what a customer sends beside the rate that it can count on.
+// rateBucket is a token bucket that measures a customer's submissions against its
+// guaranteed rate.
 type rateBucket struct {
 	tokens     float64
 	refilledAt time.Duration
 }
 
-// markSurplusFlow notes whether a flow was sent beyond what its customer can count on.
-// Such flows are served from what the others leave.
+// markSurplusFlow marks a flow as surplus if its customer exceeds its guaranteed rate.
+// Surplus flows run on the capacity that the other flows leave.
 func (d *Dispatcher) markSurplusFlow(customerName, id string) {
 	customer, ok := d.Host.Flows().Config().Customer(customerName)
 	if !ok || customer.GetWeight() <= 0 {
--- a/internal/control/dispatch/sweep.go
+++ b/internal/control/dispatch/sweep.go
@@ -10,7 +10,8 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// removeExpired forgets flows that ended long ago and servers that are over.
+// removeExpired removes flows whose retention has ended and servers that are gone, and
+// refreshes the values that are computed periodically.
 func (d *Dispatcher) removeExpired(now time.Duration) {
 	const maxRemoved = 500
 	ledger := d.Host.Flows()
@@ -53,7 +54,7 @@
 	d.flowMetrics.updateGauges(d)
 }
 
-// startDueTurns begins the turns of flows that run at times and are due.
+// startDueTurns starts the due turns of recurring flows.
 func (d *Dispatcher) startDueTurns() {
 	ledger := d.Host.Flows()
 	for id := range d.leader.recurringFlows {
--- a/internal/control/dispatch/takeover_test.go
+++ b/internal/control/dispatch/takeover_test.go
@@ -15,12 +15,13 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// processor does one thing after the other, as a process with one core does.
+// processor runs queued functions one after the other, like a process with one core.
 type processor struct {
 	queue chan func()
 }
 
-// limitLeaderProcessor gives a world's leader a processor, until end is called.
+// limitLeaderProcessor makes the calls of the leader share one simulated processor until
+// end is called.
 func limitLeaderProcessor(w *testCluster) (p *processor, end func()) {
 	p = &processor{queue: make(chan func(), 100_000)}
 	go func() {
@@ -37,21 +38,21 @@
 	}
 }
 
-// work returns when the processor has worked for so long.
+// work queues d of simulated CPU time and returns when it is done.
 func (p *processor) work(d time.Duration) {
 	done := make(chan struct{})
 	p.queue <- func() { time.Sleep(d); close(done) }
 	<-done
 }
 
-// A cell whose leader needs most of its processor to hold its servers.
+// With these values the leader needs most of its processor for the holds of its servers.
 const (
 	takeoverServers  = 400
 	takeoverCallCost = 2 * time.Millisecond
 )
 
-// A leader that asks a thousand servers at once keeps its heartbeats waiting behind
-// the calls, is deposed for it, and so is the next.
+// Guards against a takeover that calls all servers at once. The leader's heartbeats would
+// wait behind the calls until it is deposed, and the same would happen to the next leader.
 func TestTakeoverDoesNotDelayHeartbeats(t *testing.T) {
 	runWithCluster(t, takeoverServers, func(t *testing.T, w *testCluster) {
 		p, end := limitLeaderProcessor(w)
@@ -65,13 +66,13 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		if longestWait > quorum.DefaultElection/2 {
-			t.Errorf("a heartbeat waited for %v", longestWait)
+			t.Errorf("a heartbeat waited %v for the processor", longestWait)
 		}
 	})
 }
 
-// A request that comes right after an election must not wait until a thousand
-// servers have said what they hold: those that have are enough.
+// Guards against delaying placements after an election until all servers have sent their
+// run lists. The servers that have answered are sufficient.
 func TestPlacementStartsBeforeAllServersAnswered(t *testing.T) {
 	runWithCluster(t, takeoverServers, func(t *testing.T, w *testCluster) {
 		_, end := limitLeaderProcessor(w)
@@ -83,13 +84,13 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if elapsed := time.Since(startedAt); elapsed > 500*time.Millisecond {
-			t.Errorf("the first tasks began after %v", elapsed)
+			t.Errorf("the first tasks started %v after the election", elapsed)
 		}
 	})
 }
 
-// A process may open fewer connections than there are servers. Those beyond are
-// called through helpers, and none is taken for silent.
+// Guards against exceeding the connection limit of the process. The servers beyond the
+// limit are called through helpers, and none of them becomes unresponsive.
 func TestServersBeyondConnectionLimitAreRelayed(t *testing.T) {
 	runWithCluster(t, 30, func(t *testing.T, w *testCluster) {
 		w.maxDirectServers = func() int { return 10 }
@@ -120,9 +121,8 @@
 	})
 }
 
-// A replica that followed takes over. Without the processes that greeted it until then,
-// it would have nobody to ask the adviser, and their callers would wait for the next
-// greeting.
+// Guards against a new leader that ignores the processes that greeted it as a follower. It
+// would have no helper to ask the adviser, and callers would wait for the next greeting.
 func TestNewLeaderAnnouncesItself(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		w.runAndWait(func() { w.isLeader = false; w.dispatcher.Deposed() })
@@ -144,8 +144,8 @@
 	})
 }
 
-// The last leader's start is still on its way when the next one has read that the server
-// does not run it. Carried out then, the task would run in two places.
+// Guards against running a task twice after a leader change. The previous leader's start is
+// in transit when the new leader receives a run list without that run.
 func TestDelayedStartOfPreviousLeaderIsNotExecuted(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.runOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) { return 5 * time.Second, inner.RunEnd_RUN_END_DONE }
@@ -167,7 +167,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		if elapsed := time.Since(startedAt); elapsed > 150*time.Millisecond {
-			t.Errorf("the tasks that never started began %v after the election", elapsed)
+			t.Errorf("the tasks started %v after the election", elapsed)
 		}
 		w.awaitState("a", stateDone, 15*time.Second)
 	})
--- a/internal/control/dispatch/timeofday.go
+++ b/internal/control/dispatch/timeofday.go
@@ -6,16 +6,16 @@
 	"gypsumreel/internal/base/event"
 )
 
-// TimeOfDay returns the time of day, since 1970, that the processes agree on, and
-// whether enough of them are heard. It is called on the control thread.
+// TimeOfDay returns the time since 1970 on which the processes agree, and whether enough
+// processes have reported their clocks. It must be called on the control thread.
 func (d *Dispatcher) TimeOfDay(now time.Duration) (time.Duration, bool) { return d.agreedTime.At(now) }
 
-// maxClockSkew is how far a machine's time of day may be off before that is told: far
-// more than what keeps clocks in step lets happen.
+// maxClockSkew is the difference from the agreed time above which a machine's clock is
+// logged as wrong. It is far more than synchronized clocks differ.
 const maxClockSkew = 500 * time.Millisecond
 
-// compareClocks adds this machine's time of day to the others', and tells once when
-// it is off from theirs.
+// compareClocks adds this machine's wall clock to those of the other processes. It logs
+// once when the clock differs from the agreed time by more than maxClockSkew.
 func (d *Dispatcher) compareClocks(now time.Duration) {
 	localTime := time.Duration(time.Now().UnixNano())
 	d.agreedTime.Hear("", localTime, now)
--- a/internal/control/dispatch/urgent.go
+++ b/internal/control/dispatch/urgent.go
@@ -9,31 +9,32 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// Bounds of the headroom for urgent work.
+// Parameters of the headroom for urgent tasks.
 const (
-	// headroomPeriod is the time's worth of urgent starts for which room is left: about
-	// how long it takes until running work has given as much back. Without it,
-	// urgent work finds each server full and waits for runs of seconds to end.
+	// headroomPeriod is the period of urgent starts for which capacity is kept free. In
+	// about that time running tasks release the same capacity. Without headroom, urgent
+	// tasks find every server full and wait for runs of several seconds to end.
 	headroomPeriod = 250 * time.Millisecond
-	// demandDecayTime is how long what was started counts for how much is to come.
+	// demandDecayTime is the time constant with which past starts lose weight in the
+	// expected demand.
 	demandDecayTime = 2 * time.Second
-	// headroomDivisor bounds the headroom to one part of so many of a pool.
+	// headroomDivisor is the divisor of a pool's capacity that gives the largest headroom.
 	headroomDivisor = 10
 )
 
-// startDemand is what urgent work started in the last seconds.
+// startDemand is the exponentially decaying sum of recent urgent starts and their sizes.
 type startDemand struct {
 	tasks, cpu, memory, accel float64
 	decayedAt                 time.Duration
 }
 
-// decay lets what was started before count less.
+// decay reduces the weight of past starts.
 func (m *startDemand) decay(now time.Duration) {
 	factor := math.Exp(-float64(now-m.decayedAt) / float64(demandDecayTime))
 	m.tasks, m.cpu, m.memory, m.accel, m.decayedAt = m.tasks*factor, m.cpu*factor, m.memory*factor, m.accel*factor, now
 }
 
-// recordDemand notes what a placement of urgent work starts.
+// recordDemand adds a placement of urgent tasks to the demand of its pool.
 func (d *Dispatcher) recordDemand(placement steps.Placement, now time.Duration) {
 	if !placement.Item.Urgent {
 		return
@@ -51,8 +52,8 @@
 	demand.accel += float64(size.Accel)
 }
 
-// headroom returns what work that is not urgent leaves free in a pool: room for as
-// many usual urgent tasks as usually start in a moment.
+// headroom returns the capacity that non-urgent tasks leave free in a pool. It is enough
+// for the urgent tasks that usually start within headroomPeriod.
 func (d *Dispatcher) headroom(pool string, total capacity.Size, now time.Duration) steps.Headroom {
 	demand := d.leader.urgentDemand[pool]
 	if demand == nil {
@@ -70,14 +71,14 @@
 	return steps.Headroom{Size: meanSize, Tasks: tasks}
 }
 
-// queueRank is a place among the queues of a pool.
+// queueRank is a queue priority within a pool.
 type queueRank struct {
 	pool     string
 	priority uint32
 }
 
-// isUrgentRank tells whether no queue of a pool comes before one of that priority, and
-// some come after it.
+// isUrgentRank reports whether the priority is the highest of the pool's queues and at
+// least one queue has a lower one. A smaller number is a higher priority.
 func (d *Dispatcher) isUrgentRank(pool string, priority uint32) bool {
 	config := d.Host.Flows().Config()
 	if d.leader.ranksConfig != config {
@@ -92,7 +93,7 @@
 	return urgent
 }
 
-// isFirstRank tells whether a rank comes first among queues of its pool, and not alone.
+// isFirstRank reports whether rank is the highest in its pool and a lower rank exists.
 func isFirstRank(queues []*v1.Queue, rank queueRank) bool {
 	hasLowerRank := false
 	for _, q := range queues {
--- a/internal/control/dispatch/wave.go
+++ b/internal/control/dispatch/wave.go
@@ -10,43 +10,45 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// Times of waves.
+// Timing of upkeep waves.
 const (
-	// waveCheckInterval is how often waves are looked at.
+	// waveCheckInterval is the interval between checks of the active waves.
 	waveCheckInterval = 200 * time.Millisecond
-	// upkeepOrderTimeout bounds one order about a machine.
+	// upkeepOrderTimeout is the timeout of one upkeep order.
 	upkeepOrderTimeout = 2 * time.Second
-	// upkeepHandoverDelay is how long a new leader waits before it gives orders about
-	// machines: one of the leader before it may still be on its way.
+	// upkeepHandoverDelay is how long a new leader waits before it sends upkeep orders. An
+	// order of the previous leader may still be in transit.
 	upkeepHandoverDelay = 3500 * time.Millisecond
-	// upkeepDuration is how long a machine is taken to be away for its upkeep when it
-	// is worked out how long it may be waited for.
+	// upkeepDuration is the assumed time that a machine is down for upkeep. It is used to
+	// estimate how long the wave can wait for the next machine.
 	upkeepDuration = 4 * time.Second
 )
 
-// Machines gives orders about machines to whoever owns them.
+// Machines starts the upkeep of machines through the platform that owns them.
 type Machines interface {
-	// StartUpkeep takes a machine down for its upkeep. An order that was carried out
-	// already is no fault.
+	// StartUpkeep takes a machine down for upkeep. Repeating an order that was already
+	// executed is not an error.
 	StartUpkeep(ctx context.Context, machine string, wave, fence uint64) UpkeepResult
 }
 
-// UpkeepResult is what became of an order.
+// UpkeepResult is the result of an upkeep order.
 type UpkeepResult uint8
 
-// What becomes of an order.
+// Results of an upkeep order.
 const (
-	// UpkeepUnconfirmed means that the order may be carried out, now or later.
+	// UpkeepUnconfirmed means that the order may have been executed or may still be
+	// executed.
 	UpkeepUnconfirmed UpkeepResult = iota
-	// UpkeepStarted means that the machine is down, or was before.
+	// UpkeepStarted means that the machine is down, or has already been down for this
+	// upkeep.
 	UpkeepStarted
-	// UpkeepBusy means that nothing was done, and that it can be asked again.
+	// UpkeepBusy means that the order was not executed and may be repeated.
 	UpkeepBusy
-	// UpkeepUnknownMachine means that there is no such machine any more.
+	// UpkeepUnknownMachine means that the machine no longer exists.
 	UpkeepUnknownMachine
 )
 
-// Wave takes a wave in; it returns once the wave is committed.
+// Wave adds an upkeep wave to the ledger and returns when it is committed.
 func (d *Dispatcher) Wave(ctx context.Context, w *record.Wave) *code.Error {
 	fault, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
 		if err := d.Host.ApplyCommand(&record.Flow{What: &record.Flow_Wave{Wave: w}}); err != nil {
@@ -62,7 +64,7 @@
 	return fault
 }
 
-// WaveState tells whether all machines of a wave have had their upkeep.
+// WaveState reports whether all machines of a wave have completed their upkeep.
 func (d *Dispatcher) WaveState(ctx context.Context, number uint64) (complete bool, fault *code.Error) {
 	received := d.Now()
 	type result struct{ known, complete bool }
@@ -79,7 +81,7 @@
 	return r.complete, err
 }
 
-// advanceWaves goes on with the waves that are not complete.
+// advanceWaves continues the waves that are not complete.
 func (d *Dispatcher) advanceWaves(now time.Duration) {
 	if d.Machines == nil || now-d.leader.wavesCheckedAt < waveCheckInterval {
 		return
@@ -93,8 +95,8 @@
 	}
 }
 
-// advanceWave takes machines down as far as the cap lets it. Those that are next are
-// emptied meanwhile: they get nothing new, and what can go on elsewhere is moved.
+// advanceWave takes machines down as far as the wave's cap allows. The next machines are
+// drained: they get no new tasks, and runs that can continue elsewhere are moved.
 func (d *Dispatcher) advanceWave(w *flows.Wave, now time.Duration) {
 	free := w.Cap - w.Down()
 	for _, m := range w.Machines {
@@ -109,14 +111,15 @@
 	}
 }
 
-// checkMachineReturned notes that a machine is back: a later life runs on it.
+// checkMachineReturned completes the upkeep of a machine when a later incarnation of its
+// server has reported, and repeats the order if it is due.
 func (d *Dispatcher) checkMachineReturned(w *flows.Wave, m *flows.Machine, now time.Duration) {
 	if b, ok := d.Host.Flows().On(m.Name); ok && b.Born > m.Born {
 		d.recordUpkeepDone(w, m)
 		return
 	}
 	if now-d.leader.electedAt >= upkeepHandoverDelay && now >= d.leader.upkeepRetryAt[m.Name] {
-		d.orderUpkeep(w, m, now) // its answer may have been lost, or the leader that gave it
+		d.orderUpkeep(w, m, now) // the answer may be lost, or the leader that sent the order was replaced
 	}
 }
 
@@ -125,8 +128,8 @@
 	d.applyOrLog(&record.Flow{What: &record.Flow_Upkeep{Upkeep: &record.WaveStep{Wave: w.Number, Machine: m.Name, Done: true}}})
 }
 
-// emptyMachine lets a machine run empty, and takes it down when it is, or when the wave
-// would be late otherwise. What must not be missed is waited for in any case.
+// emptyMachine drains a machine and takes it down when it is empty, or when waiting longer
+// would delay the wave. It always waits for lasting tasks that their flow cannot miss.
 func (d *Dispatcher) emptyMachine(w *flows.Wave, m *flows.Machine, now time.Duration) {
 	b, ok := d.Host.Flows().On(m.Name)
 	if ok {
@@ -147,8 +150,8 @@
 	d.Host.AfterCommit(func() { d.orderUpkeep(w, m, d.Now()) })
 }
 
-// stopMovableRuns stops what goes on elsewhere from a checkpoint, and lasting tasks as
-// far as their flow can miss them.
+// stopMovableRuns stops runs that continue from a checkpoint on another server, and lasting
+// tasks as far as their flow can miss them.
 func (d *Dispatcher) stopMovableRuns(s *session) {
 	for _, r := range s.runs {
 		step, ok := d.Host.Flows().Step(r.StepID)
@@ -161,7 +164,7 @@
 	}
 }
 
-// hasLastingTask tells whether a lasting task is at work there that its flow cannot miss.
+// hasLastingTask reports whether a lasting task runs on the server.
 func (d *Dispatcher) hasLastingTask(s *session) bool {
 	for _, r := range s.runs {
 		if step, ok := d.Host.Flows().Step(r.StepID); ok && step.Spec.GetLasting() {
@@ -171,7 +174,8 @@
 	return false
 }
 
-// isWaveLate tells whether a wave would be late if its next machine were waited for.
+// isWaveLate reports whether the wave would exceed its duration if it waited longer for its
+// next machine.
 func (d *Dispatcher) isWaveLate(w *flows.Wave) bool {
 	remaining := 0
 	for _, m := range w.Machines {
@@ -183,7 +187,7 @@
 	return d.Host.LedgerTime()-w.Began+time.Duration(rounds)*upkeepDuration >= w.Duration
 }
 
-// orderUpkeep takes a machine down.
+// orderUpkeep sends the order to take a machine down.
 func (d *Dispatcher) orderUpkeep(w *flows.Wave, m *flows.Machine, now time.Duration) {
 	d.leader.upkeepRetryAt[m.Name] = now + upkeepOrderTimeout + time.Second
 	term, ctx, name, number := d.leader.term, d.leader.ctx, m.Name, w.Number
--- a/internal/control/dispatch/zone.go
+++ b/internal/control/dispatch/zone.go
@@ -12,13 +12,13 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// Zone drains an availability zone, or takes it back. It returns once that is
-// committed: from then on nothing is started there, whoever leads.
+// Zone starts or ends the drain of an availability zone. It returns when the change is
+// committed. From the commit of a drain on, no leader starts a task in the zone.
 func (d *Dispatcher) Zone(ctx context.Context, zone string, drain bool) *code.Error {
 	fault, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
 		if ctx.Err() != nil {
-			// Whoever asked has given up, and may have asked for the opposite
-			// elsewhere: carried out now, the older order would come last.
+			// The sender has given up and may have sent the opposite order to another
+			// replica. Executing this order now would undo the newer one.
 			reply(errNotLeading)
 			return
 		}
@@ -28,8 +28,8 @@
 			reply(err)
 			return
 		}
-		// One that changes nothing is committed as well, which proves that it is
-		// the newest word.
+		// A change without effect is committed as well. The commit proves that no newer
+		// order exists.
 		if err := d.Host.ApplyCommand(&record.Flow{What: &record.Flow_Zone{Zone: &record.ZoneMark{Zone: zone, Drain: drain}}}); err != nil {
 			reply(err)
 			return
@@ -45,8 +45,8 @@
 	return fault
 }
 
-// checkZones plans anew when a zone was drained or taken back, by whichever way
-// that came, and moves lasting tasks out of those that are drained.
+// checkZones requests a new plan when the drained zones have changed for any reason, and
+// moves lasting tasks out of drained zones.
 func (d *Dispatcher) checkZones() {
 	ledger := d.Host.Flows()
 	if !maps.Equal(d.leader.drainedZones, ledger.Zones()) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// moveLastingTasks stops lasting tasks that find room elsewhere, as far as their flow
-// can miss them. What ends by itself runs on.
+// moveLastingTasks stops lasting tasks that fit on another server, as far as their flow can
+// miss them. Other tasks run to their end.
 func (d *Dispatcher) moveLastingTasks(s *session) {
 	for _, r := range s.runs {
 		step, ok := d.Host.Flows().Step(r.StepID)
@@ -76,7 +76,7 @@
 	}
 }
 
-// hasServerWithRoom tells whether some server has room for a task of the step now.
+// hasServerWithRoom reports whether a usable server has room for a task of the step.
 func (d *Dispatcher) hasServerWithRoom(step *flows.Step) bool {
 	ledger, now := d.Host.Flows(), d.Now()
 	q, ok := ledger.QueueOf(step.Flow)
@@ -92,8 +92,8 @@
 	return false
 }
 
-// allZonesDrained tells that a pool has servers and all that could take work are in drained
-// zones: what is handed in now would wait until an operator takes one back.
+// allZonesDrained reports whether the pool has servers and all of them that could take
+// tasks are in drained zones. A new flow would wait until an operator ends a drain.
 func (d *Dispatcher) allZonesDrained(pool string) bool {
 	ledger := d.Host.Flows()
 	if len(ledger.Zones()) == 0 {
--- a/internal/control/dispatch/zone_test.go
+++ b/internal/control/dispatch/zone_test.go
@@ -17,7 +17,7 @@
 	"gypsumreel/internal/fake/worker"
 )
 
-// markZone marks a zone and fails the test when that is refused.
+// markZone starts or ends the drain of a zone and fails the test if that is refused.
 func (w *testCluster) markZone(zone string, drain bool) {
 	w.t.Helper()
 	if err := w.dispatcher.Zone(w.t.Context(), zone, drain); err != nil {
@@ -38,16 +38,17 @@
 	return runs
 }
 
-// Work that is placed in a drained zone runs there when its power goes.
+// Guards against placing tasks in a drained zone, where they would be lost when its power
+// is switched off.
 func TestDrainedZoneGetsNoNewTasks(t *testing.T) {
 	runWithCluster(t, 4, func(t *testing.T, w *testCluster) {
 		w.markZone("x", true)
-		w.markZone("x", true) // the same order again is one
+		w.markZone("x", true) // a repeated drain has no further effect
 		w.submit("a", newStep(8, 1000))
 		w.submit("g", newGangStep(4, 1000))
 		time.Sleep(500 * time.Millisecond)
 		if got := w.runsInZone("x"); len(got) > 0 {
-			t.Error("in the drained zone:", got)
+			t.Error("runs in the drained zone:", got)
 		}
 		w.awaitState("a", stateDone, 10*time.Second)
 		w.awaitState("g", stateDone, 10*time.Second)
@@ -55,12 +56,12 @@
 		w.submit("b", newStep(16, 1000))
 		time.Sleep(500 * time.Millisecond)
 		if len(w.runsInZone("x")) == 0 {
-			t.Error("the zone was taken back and gets nothing")
+			t.Error("no runs in the zone after its drain ended")
 		}
 	})
 }
 
-// A drain that was acknowledged is forgotten with the leader that took it.
+// Guards against losing an acknowledged drain when the leader changes.
 func TestZoneDrainSurvivesLeaderChange(t *testing.T) {
 	runWithCluster(t, 4, func(t *testing.T, w *testCluster) {
 		w.markZone("x", true)
@@ -69,13 +70,13 @@
 		w.submit("a", newStep(6, 1000))
 		time.Sleep(500 * time.Millisecond)
 		if got := w.runsInZone("x"); len(got) > 0 {
-			t.Error("in the drained zone:", got)
+			t.Error("runs in the drained zone:", got)
 		}
 		w.awaitState("a", stateDone, 10*time.Second)
 	})
 }
 
-// A server comes to a zone after it was drained, and is given work.
+// Guards against placing tasks on a server that joins a zone after the drain of that zone.
 func TestNewServerInDrainedZoneGetsNoTasks(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		w.markZone("x", true)
@@ -84,13 +85,13 @@
 		w.submit("a", newStep(4, 1000))
 		time.Sleep(500 * time.Millisecond)
 		if got := w.runsInZone("x"); len(got) > 0 {
-			t.Error("in the drained zone:", got)
+			t.Error("runs in the drained zone:", got)
 		}
 		w.awaitState("a", stateDone, 5*time.Second)
 	})
 }
 
-// A start is not answered and asked for again after its zone was drained.
+// Guards against retrying an unanswered start after its zone was drained.
 func TestStartIsNotRetriedInDrainedZone(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		var drained atomic.Bool
@@ -98,7 +99,7 @@
 			backend.Fault = func(c *inner.ServerCall) worker.Fault {
 				if c.GetStart() != nil && zoneOf(id) == "x" {
 					if drained.Load() {
-						t.Error("a start was sent into the drained zone")
+						t.Error("a start was sent to a server in the drained zone")
 					}
 					return worker.Fault{Verdict: inner.Verdict_VERDICT_SILENT}
 				}
@@ -113,15 +114,15 @@
 	})
 }
 
-// A placement is committed together with the drain of its zone, and its start
-// leaves after that.
+// Guards against sending a start whose placement was committed together with the drain of
+// its zone.
 func TestPlacementCommittedWithDrainIsNotStarted(t *testing.T) {
 	runWithCluster(t, 4, func(t *testing.T, w *testCluster) {
 		var drained atomic.Bool
 		w.changeWorkers(func(id string, backend *worker.Worker) {
 			backend.Fault = func(c *inner.ServerCall) worker.Fault {
 				if c.GetStart() != nil && zoneOf(id) == "x" && drained.Load() {
-					t.Error("a start was sent into the drained zone")
+					t.Error("a start was sent to a server in the drained zone")
 				}
 				return worker.Fault{}
 			}
@@ -144,8 +145,8 @@
 	})
 }
 
-// Drains, takings back, elections and work come in any order: whatever it is, no
-// run begins in a zone between the answer to a drain and the next taking back.
+// Guards against starting a run in a zone between the acknowledgement of its drain and the
+// end of the drain. Drains, elections and submits occur in random order.
 func TestNoRunStartsInDrainedZoneUnderRandomOperations(t *testing.T) {
 	runWithCluster(t, 6, func(t *testing.T, w *testCluster) {
 		var drained [2]atomic.Bool
@@ -155,7 +156,7 @@
 			backend.Started = func(r flow.RunID) {
 				w.recordStart(id, r)
 				if zoneDrained.Load() {
-					t.Errorf("%s began on %s in a drained zone", r, id)
+					t.Errorf("run %s was started on server %s in a drained zone", r, id)
 				}
 			}
 		})
@@ -165,7 +166,7 @@
 			switch random.IntN(6) {
 			case 0:
 				w.markZone(zones[zone], true)
-				// What was sent before the answer may still be on its way.
+				// Starts that were sent before the acknowledgement may still be in transit.
 				time.Sleep(20 * time.Millisecond)
 				drained[zone].Store(true)
 			case 1:
@@ -188,8 +189,8 @@
 	})
 }
 
-// All zones are drained. What is handed in would wait for an operator, and its
-// caller would not know.
+// Guards against accepting flows that would wait for an operator because all zones are
+// drained.
 func TestSubmitIsRefusedWhenAllZonesAreDrained(t *testing.T) {
 	runWithCluster(t, 4, func(t *testing.T, w *testCluster) {
 		w.markZone("x", true)
@@ -197,7 +198,7 @@
 		startedAt := time.Now()
 		a := w.askFlow(inner.FlowVerb_FLOW_VERB_SUBMIT, "a", newStep(1, 1000))
 		if a.GetCode() != uint32(code.Overloaded) || a.GetRetry() == 0 || time.Since(startedAt) > 100*time.Millisecond {
-			t.Errorf("%v after %v", a, time.Since(startedAt))
+			t.Errorf("submit with all zones drained returned %v after %v", a, time.Since(startedAt))
 		}
 		w.markZone("y", false)
 		w.submit("a", newStep(1, 1000))
@@ -205,18 +206,18 @@
 	})
 }
 
-// An order about a zone that is not there would be acknowledged and hold for nothing.
+// Guards against acknowledging a drain of a zone that does not exist.
 func TestUnknownZoneIsRefused(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		for _, name := range []string{"", "nowhere"} {
 			if err := w.dispatcher.Zone(t.Context(), name, true); err == nil || err.Code != code.Unknown {
-				t.Errorf("zone %q: %v", name, err)
+				t.Errorf("drain of unknown zone %q returned %v", name, err)
 			}
 		}
 	})
 }
 
-// An order whose sender has given up is carried out after the opposite one.
+// Guards against executing a drain whose sender has given up. It could undo a newer order.
 func TestAbandonedDrainRequestIsNotExecuted(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -231,14 +232,14 @@
 		time.Sleep(50 * time.Millisecond)
 		w.runAndWait(func() {
 			if w.ledger.Drained("x") {
-				t.Error("the order was carried out after its sender had given up")
+				t.Error("the drain was executed after its sender had given up")
 			}
 		})
 	})
 }
 
-// What runs in a zone that is drained runs on; tasks that last are moved out one by
-// one, since their flow can miss only one of them.
+// Guards against leaving lasting tasks in a drained zone, and against moving more of them
+// at a time than the flow can miss, here one.
 func TestLastingTasksMoveOutOfDrainedZone(t *testing.T) {
 	runWithCluster(t, 4, func(t *testing.T, w *testCluster) {
 		w.makeRunsLasting()
@@ -253,16 +254,17 @@
 				n += len(backend.Running())
 			}
 			if n < 3 {
-				t.Fatalf("%d of 4 tasks are at work", n)
+				t.Fatalf("%d of 4 lasting tasks are running, want at least 3", n)
 			}
 		}
 		if got := w.runsInZone("x"); len(got) > 0 {
-			t.Error("still in the drained zone:", got)
+			t.Error("runs left in the drained zone:", got)
 		}
 	})
 }
 
-// A server that is slow after its start gets urgent work although others have room.
+// Guards against placing urgent tasks on a server that is slow after its start while others
+// have room.
 func TestSlowStartingServerIsUsedLast(t *testing.T) {
 	runWithCluster(t, 0, func(t *testing.T, w *testCluster) {
 		for _, id := range []string{"s1", "s2"} {
@@ -282,12 +284,12 @@
 		w.submit("a", newStep(4, 1000))
 		time.Sleep(100 * time.Millisecond)
 		if got := w.runsInZone("x"); len(got) > 0 {
-			t.Error("on the cold server:", got)
+			t.Error("runs on the cold server while another has room:", got)
 		}
 		w.submit("b", newStep(2, 1000))
 		time.Sleep(100 * time.Millisecond)
 		if len(w.runsInZone("x")) == 0 {
-			t.Error("work waits although only the cold server has room")
+			t.Error("no run on the cold server although only it has room")
 		}
 	})
 }
--- a/internal/control/flows/flows.go
+++ b/internal/control/flows/flows.go
@@ -1,5 +1,5 @@
-// Package flows is a control replica's service for flows: requests that entries
-// forward, and processes that make themselves known.
+// Package flows is the RPC service of a control replica for flows. It handles requests that
+// entries forward and greetings of processes.
 package flows
 
 import (
@@ -15,10 +15,11 @@
 	"gypsumreel/internal/control/leader"
 )
 
-// maxRequestTime bounds a request whose entry names no budget, or a longer one.
+// maxRequestTime is the timeout of a request without a budget and the upper bound of any
+// budget.
 const maxRequestTime = 5 * time.Second
 
-// Server implements inner.Flows. The exported fields are set before use.
+// Server implements inner.Flows. The exported fields must be set before use.
 type Server struct {
 	Cell       string
 	Leader     *leader.Leader
@@ -30,7 +31,8 @@
 // Handler returns the HTTP handler of the service.
 func (s *Server) Handler() http.Handler { return inner.NewFlowsServer(s) }
 
-// Ask answers a caller's request, or tells who leads.
+// Ask answers a caller's request. A replica that does not lead returns the address of the
+// leader.
 func (s *Server) Ask(ctx context.Context, a *inner.FlowAsk) (*inner.FlowAnswer, error) {
 	if err := s.checkCell(a.GetCell()); err != nil {
 		return nil, err
@@ -52,7 +54,8 @@
 	return answer, nil
 }
 
-// Greet makes a process known to the leader, or tells who leads.
+// Greet registers a process with the leader. A replica that does not lead returns the
+// address of the leader.
 func (s *Server) Greet(ctx context.Context, g *inner.Greeting) (*inner.Welcome, error) {
 	if err := s.checkCell(g.GetCell()); err != nil {
 		return nil, err
@@ -68,7 +71,7 @@
 
 func (s *Server) checkCell(cell string) error {
 	if cell != s.Cell {
-		return twirp.NewError(twirp.PermissionDenied, "this is cell "+s.Cell)
+		return twirp.NewError(twirp.PermissionDenied, "wrong cell: this is cell "+s.Cell)
 	}
 	return nil
 }
--- a/internal/control/flows/flows_test.go
+++ b/internal/control/flows/flows_test.go
@@ -10,7 +10,7 @@
 	"gypsumreel/internal/control/leader"
 )
 
-// fakeHost is a control thread that runs what is posted at once.
+// fakeHost is a control thread that runs posted functions synchronously.
 type fakeHost struct {
 	dispatch.Host
 	postCount int
@@ -22,7 +22,8 @@
 	return true
 }
 
-// A follower that forgets who greets it has no helpers when it is elected.
+// Guards against a follower that does not register the processes that greet it. After its
+// election it would have no helpers.
 func TestFollowerRegistersGreetingProcess(t *testing.T) {
 	host := &fakeHost{}
 	d := dispatch.New()
@@ -30,6 +31,6 @@
 	s := &flows.Server{Leader: leader.New(), Dispatcher: d}
 	w, err := s.Greet(t.Context(), &inner.Greeting{Address: "entry"})
 	if err != nil || w.GetLeads() || host.postCount != 1 {
-		t.Errorf("%v, %v, %d greetings kept", w, err, host.postCount)
+		t.Errorf("Greet returned %v, %v; %d greetings were registered, want 1", w, err, host.postCount)
 	}
 }
