--- a/internal/control/dispatch/advice_test.go
+++ b/internal/control/dispatch/advice_test.go
@@ -21,7 +21,7 @@
 		var mu sync.Mutex
 		var askedServers []string
 		startedAt := time.Now()
-		w.advise = func(r *inner.AdviseRequest) *inner.AdviseReply {
+		w.adviserAnswer = func(r *inner.AdviseRequest) *inner.AdviseReply {
 			if len(r.GetServers()) > 100 {
 				return &inner.AdviseReply{Code: uint32(code.Malformed)}
 			}
@@ -71,7 +71,7 @@
 	runWithCluster(t, 120, func(t *testing.T, w *testCluster) {
 		var mu sync.Mutex
 		var lastAnswerAt time.Time
-		w.advise = func(r *inner.AdviseRequest) *inner.AdviseReply {
+		w.adviserAnswer = func(r *inner.AdviseRequest) *inner.AdviseReply {
 			time.Sleep(answerTime)
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/control/dispatch/ask.go
+++ b/internal/control/dispatch/ask.go
@@ -65,7 +65,7 @@
 
 // Ask answers a caller's request. It is safe for concurrent use.
 func (d *Dispatcher) Ask(ctx context.Context, a *inner.FlowAsk) *inner.FlowAnswer {
-	received := d.Now()
+	receivedAt := d.Now()
 	answer, err := runOnLeader(ctx, d, errDeposed, func(reply func(*inner.FlowAnswer)) {
 		if a.GetTerm() > d.leader.term {
 			// A later leader has already answered this entry. An answer of this replica
@@ -74,7 +74,7 @@
 			return
 		}
 		term := d.leader.term
-		d.handleAsk(a, received, func(r *inner.FlowAnswer) {
+		d.handleAsk(a, receivedAt, func(r *inner.FlowAnswer) {
 			r.Term = term
 			reply(r)
 		})
@@ -85,13 +85,13 @@
 	return answer
 }
 
-func refusalAnswer(err *code.Error, retry time.Duration) *inner.FlowAnswer {
-	return &inner.FlowAnswer{Code: uint32(err.Code), Detail: err.Detail, Retry: uint64(retry / time.Millisecond)}
+func refusalAnswer(err *code.Error, retryAfter time.Duration) *inner.FlowAnswer {
+	return &inner.FlowAnswer{Code: uint32(err.Code), Detail: err.Detail, Retry: uint64(retryAfter / time.Millisecond)}
 }
 
 // handleAsk handles one request. The path and the key are checked against the active
 // configuration before the content of the request is used.
-func (d *Dispatcher) handleAsk(a *inner.FlowAsk, received time.Duration, reply func(*inner.FlowAnswer)) {
+func (d *Dispatcher) handleAsk(a *inner.FlowAsk, receivedAt time.Duration, reply func(*inner.FlowAnswer)) {
 	ledger := d.Host.Flows()
 	config := ledger.Config()
 	if config.GetVersion() == 0 {
@@ -122,9 +122,9 @@
 		}
 		d.submitFlow(a, q, owner, reply)
 	case inner.FlowVerb_FLOW_VERB_CANCEL:
-		d.cancelFlow(id, owner, received, reply)
+		d.cancelFlow(id, owner, receivedAt, reply)
 	case inner.FlowVerb_FLOW_VERB_STATE:
-		d.replyState(id, owner, received, reply)
+		d.replyState(id, owner, receivedAt, reply)
 	case inner.FlowVerb_FLOW_VERB_PENDING:
 		d.Host.AfterCommit(func() { reply(&inner.FlowAnswer{Pending: uint32(d.Host.Flows().Pending(q.GetName()))}) })
 	default:
@@ -145,14 +145,14 @@
 		d.Host.AfterCommit(func() { reply(stateAnswer(f)) })
 		return
 	}
-	if err, retry := d.checkAdmission(a, q); err != nil {
+	if err, retryAfter := d.checkAdmission(a, q); err != nil {
 		d.flowMetrics.countRefusal(err.Code)
-		event.Fail(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", owner, "open", ledger.Open(), "retry", retry.String())
-		reply(refusalAnswer(err, retry))
+		event.Fail(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", owner, "open", ledger.Open(), "retry", retryAfter.String())
+		reply(refusalAnswer(err, retryAfter))
 		return
 	}
-	accept := &record.FlowAccept{Queue: q.GetName(), Customer: owner, Spec: a.GetSpec()}
-	if !d.applyOrLog(&record.Flow{What: &record.Flow_Accept{Accept: accept}}) {
+	acceptance := &record.FlowAccept{Queue: q.GetName(), Customer: owner, Spec: a.GetSpec()}
+	if !d.applyOrLog(&record.Flow{What: &record.Flow_Accept{Accept: acceptance}}) {
 		reply(refusalAnswer(code.New(code.Internal, "%s", id), 0))
 		return
 	}
@@ -160,10 +160,10 @@
 		d.leader.recurringFlows[id] = true
 	}
 	d.markSurplusFlow(owner, id)
-	begin := d.Now()
+	startedAt := d.Now()
 	d.Host.AfterCommit(func() {
 		d.flowMetrics.accepted.Inc()
-		d.flowMetrics.commitSeconds.Update((d.Now() - begin).Seconds())
+		d.flowMetrics.commitSeconds.Update((d.Now() - startedAt).Seconds())
 		event.Log(d.Log, event.FlowAccepted, "flow", id, "queue", q.GetName(), "customer", owner, "version", ledger.Config().GetVersion(), "steps", len(a.GetSpec().GetSteps()), "aim", steps.Objective(a.GetSpec(), q).String(), "term", d.leader.term)
 		reply(&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_QUEUED})
 	})
@@ -192,8 +192,8 @@
 // replyState replies with the state of a flow after that state is committed. The reply that
 // a flow is unknown requires a proof of leadership: a deposed leader would not know the
 // flows that its successor accepted.
-func (d *Dispatcher) replyState(id, owner string, received time.Duration, reply func(*inner.FlowAnswer)) {
-	d.withFlow(id, owner, received, reply, func(f *flows.Flow) {
+func (d *Dispatcher) replyState(id, owner string, receivedAt time.Duration, reply func(*inner.FlowAnswer)) {
+	d.withFlow(id, owner, receivedAt, reply, func(f *flows.Flow) {
 		answer := stateAnswer(f)
 		d.Host.AfterCommit(func() { reply(answer) })
 	})
@@ -201,12 +201,12 @@
 
 // withFlow calls fn with the flow if it exists and belongs to the customer, and refuses the
 // request otherwise.
-func (d *Dispatcher) withFlow(id, owner string, received time.Duration, reply func(*inner.FlowAnswer), fn func(*flows.Flow)) {
+func (d *Dispatcher) withFlow(id, owner string, receivedAt time.Duration, reply func(*inner.FlowAnswer), fn func(*flows.Flow)) {
 	if f, ok := d.Host.Flows().Flow(id); ok && f.Customer == owner {
 		fn(f)
 		return
 	}
-	d.Host.AfterLeadershipProof(received, func() {
+	d.Host.AfterLeadershipProof(receivedAt, func() {
 		if f, ok := d.Host.Flows().Flow(id); ok && f.Customer == owner {
 			fn(f)
 			return
@@ -217,8 +217,8 @@
 
 // cancelFlow cancels a flow and replies after the commit. No task of the flow is started
 // after the cancellation is applied.
-func (d *Dispatcher) cancelFlow(id, owner string, received time.Duration, reply func(*inner.FlowAnswer)) {
-	d.withFlow(id, owner, received, reply, func(f *flows.Flow) {
+func (d *Dispatcher) cancelFlow(id, owner string, receivedAt time.Duration, reply func(*inner.FlowAnswer)) {
+	d.withFlow(id, owner, receivedAt, reply, func(f *flows.Flow) {
 		if !f.Final() {
 			event.Log(d.Log, event.FlowCancelled, "flow", id, "held", f.Held, "term", d.leader.term)
 			d.applyOrLog(&record.Flow{What: &record.Flow_Cancel{Cancel: &record.FlowCancel{Id: id}}})
@@ -234,14 +234,14 @@
 		event.Fail(d.Log, event.DocumentRefused, err, "version", doc.GetVersion())
 		return err
 	}
-	received := d.Now()
+	receivedAt := d.Now()
 	_, err := runOnLeader(ctx, d, errDeposed, func(reply func(struct{})) {
 		currentVersion := d.Host.Flows().Config().GetVersion()
 		if doc.GetVersion() > currentVersion {
 			d.applyOrLog(&record.Flow{What: &record.Flow_Document{Document: doc}})
 		}
 		event.Log(d.Log, event.DocumentTaken, "version", doc.GetVersion(), "held", currentVersion, "bytes", len(doc.GetText()), "term", d.leader.term)
-		d.Host.AfterCommit(func() { d.Host.AfterLeadershipProof(received, func() { reply(struct{}{}) }) })
+		d.Host.AfterCommit(func() { d.Host.AfterLeadershipProof(receivedAt, func() { reply(struct{}{}) }) })
 	})
 	return err
 }
@@ -249,9 +249,9 @@
 // Read returns the text of the active configuration document as it was sent. A proof of
 // leadership ensures that it is the newest one.
 func (d *Dispatcher) Read(ctx context.Context) ([]byte, *code.Error) {
-	received := d.Now()
+	receivedAt := d.Now()
 	text, err := runOnLeader(ctx, d, errNotLeading, func(reply func([]byte)) {
-		d.Host.AfterLeadershipProof(received, func() {
+		d.Host.AfterLeadershipProof(receivedAt, func() {
 			d.Host.AfterCommit(func() { reply(d.Host.Flows().Config().GetText()) })
 		})
 	})
--- a/internal/control/dispatch/crash.go
+++ b/internal/control/dispatch/crash.go
@@ -34,23 +34,23 @@
 		t, _ := d.currentTask(r)
 		blameRuns = append(blameRuns, blame.Run{Age: d.runAge(s, r), Blamed: t.Blamed})
 	}
-	var out []*inner.Run
+	var blamed []*inner.Run
 	for _, i := range blame.Suspects(blameRuns) {
 		t, _ := d.currentTask(candidates[i])
 		event.Log(d.Log, event.RunBlamed, "flow", candidates[i].Flow, "run", candidates[i].String(), "server", s.id, "crashes", t.Crashes+1, "blamed", t.Blamed+1, "beside", len(s.runs)-1)
-		out = append(out, candidates[i].Message())
+		blamed = append(blamed, candidates[i].Message())
 	}
-	return out
+	return blamed
 }
 
 // wantedRuns returns the runs on a server whose tasks are still active in the ledger.
-func (d *Dispatcher) wantedRuns(s *session) (out []*run) {
+func (d *Dispatcher) wantedRuns(s *session) (wanted []*run) {
 	for _, r := range s.runs {
 		if _, ok := d.currentTask(r); ok {
-			out = append(out, r)
+			wanted = append(wanted, r)
 		}
 	}
-	return out
+	return wanted
 }
 
 // logFailedFlows logs the flows that failed because this server crash exceeded their limit
--- a/internal/control/dispatch/crash_test.go
+++ b/internal/control/dispatch/crash_test.go
@@ -86,7 +86,7 @@
 		w.restarts.Go(func() {
 			for i := 0; ; i++ {
 				select {
-				case <-w.done:
+				case <-w.stopped:
 					return
 				case <-time.After(400 * time.Millisecond):
 				}
--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -177,13 +177,13 @@
 
 // Elected starts a term as leader. Each server is asked for its runs before any new task is
 // placed on it.
-func (d *Dispatcher) Elected(term uint64, elected time.Duration) {
+func (d *Dispatcher) Elected(term uint64, electedAt time.Duration) {
 	if d.flowMetrics == nil {
 		d.flowMetrics = newFlowMetrics(d.Metrics)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	d.leader = &leaderState{
-		term: term, electedAt: elected, ctx: ctx, cancel: cancel, callPool: newCallPool(ctx), planNeeded: true,
+		term: term, electedAt: electedAt, ctx: ctx, cancel: cancel, callPool: newCallPool(ctx), planNeeded: true,
 		// Until latencies are measured, orders use the timeout of holds.
 		usualLatency: minHoldTimeout / latencyTimeoutFactor,
 		sessions:     map[string]*session{}, pendingStops: map[*run]*session{},
@@ -257,7 +257,7 @@
 			d.Host.YieldThread()
 		}
 		d.checkSession(s, now)
-		d.moveStuckRuns(s, now)
+		d.inspectRuns(s, now)
 	}
 	d.advanceWaves(now)
 	if now-d.leader.zonesCheckedAt >= zoneCheckInterval {
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -37,11 +37,11 @@
 	dispatcher      *dispatch.Dispatcher
 	startedAt       time.Time
 	postedFuncs     chan func()
-	done            chan struct{}
+	stopped         chan struct{}
 	ledger          *flows.Ledger
 	committedRecord *record.FlowsRecord
 	commitCallbacks []commitCallback
-	index           int
+	lastIndex       int
 	// committedIndex is the highest committed index.
 	committedIndex int
 	isLeader       bool
@@ -64,8 +64,8 @@
 	if err != nil {
 		return err
 	}
-	h.index++
-	index, term, record := h.index, h.term, h.ledger.Record()
+	h.lastIndex++
+	index, term, record := h.lastIndex, h.term, h.ledger.Record()
 	time.AfterFunc(commitDelay, func() {
 		h.Post(func() {
 			if h.term == term {
@@ -90,15 +90,15 @@
 
 func (h *fakeHost) AfterCommit(fn func()) {
 	if len(h.commitCallbacks) == 0 && h.isFullyCommitted() {
-		h.commitCallbacks = append(h.commitCallbacks, commitCallback{h.index, fn})
+		h.commitCallbacks = append(h.commitCallbacks, commitCallback{h.lastIndex, fn})
 		go h.Post(func() { h.commit(h.committedIndex, h.committedRecord) })
 		return
 	}
-	h.commitCallbacks = append(h.commitCallbacks, commitCallback{h.index, fn})
+	h.commitCallbacks = append(h.commitCallbacks, commitCallback{h.lastIndex, fn})
 }
 
 func (h *fakeHost) isFullyCommitted() bool {
-	return h.index == 0 || h.committedRecord.GetDigest() == h.ledger.Digest()
+	return h.lastIndex == 0 || h.committedRecord.GetDigest() == h.ledger.Digest()
 }
 
 func (h *fakeHost) AfterLeadershipProof(_ time.Duration, fn func()) { go h.Post(fn) }
@@ -116,7 +116,7 @@
 	select {
 	case h.postedFuncs <- fn:
 		return true
-	case <-h.done:
+	case <-h.stopped:
 		return false
 	}
 }
@@ -129,7 +129,7 @@
 	defer tick.Stop()
 	for {
 		select {
-		case <-h.done:
+		case <-h.stopped:
 			return
 		case fn := <-h.postedFuncs:
 			fn()
@@ -183,8 +183,8 @@
 	leaderCutOff atomic.Bool
 	lastRelay    map[string]string
 	// announcedTo lists the processes that received an announcement of a leader.
-	announcedTo []string
-	advise      func(r *inner.AdviseRequest) *inner.AdviseReply
+	announcedTo   []string
+	adviserAnswer func(r *inner.AdviseRequest) *inner.AdviseReply
 	// callDelay is called for each direct call of the leader. lastDirectCall holds the time
 	// of the last direct call to each worker. maxDirectServers is passed to the dispatcher.
 	callDelay        atomic.Pointer[func()]
@@ -221,7 +221,7 @@
 }
 
 func (w *testCluster) Advise(_ context.Context, _ string, r *inner.AdviseRequest) *inner.AdviseReply {
-	return w.advise(r)
+	return w.adviserAnswer(r)
 }
 
 func (w *testCluster) Announce(_ context.Context, address string, _ *inner.Announcement) *inner.Greeting {
@@ -295,7 +295,7 @@
 // newTestCluster returns a cluster with n workers and an active document.
 func newTestCluster(t *testing.T, n int) *testCluster {
 	w := &testCluster{
-		fakeHost: &fakeHost{t: t, startedAt: time.Now(), postedFuncs: make(chan func(), 1024), done: make(chan struct{}), ledger: flows.New()},
+		fakeHost: &fakeHost{t: t, startedAt: time.Now(), postedFuncs: make(chan func(), 1024), stopped: make(chan struct{}), ledger: flows.New()},
 		workers:  map[string]*worker.Worker{}, crashCounts: map[flow.TaskID]int{}, startCounts: map[flow.RunID]int{}, underUpkeep: map[string]bool{}, lastRelay: map[string]string{}, lastDirectCall: map[string]time.Duration{}, firstUpkeepOrders: map[uint64]time.Duration{},
 		runOutcome: func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Second, inner.RunEnd_RUN_END_DONE },
 		capacity:   capacity.Size{CPU: 4000, Memory: 4000},
@@ -313,14 +313,14 @@
 }
 
 // addWorker starts an incarnation of a worker and reports it to the leader.
-func (w *testCluster) addWorker(id string, born int64) {
-	w.startWorker(id, born)
-	w.reportUntilAccepted(id, born)
+func (w *testCluster) addWorker(id string, incarnation int64) {
+	w.startWorker(id, incarnation)
+	w.reportUntilAccepted(id, incarnation)
 }
 
 // startWorker starts an incarnation of a worker at its address.
-func (w *testCluster) startWorker(id string, born int64) *worker.Worker {
-	backend := &worker.Worker{ID: id, Born: born, StopTime: 50 * time.Millisecond}
+func (w *testCluster) startWorker(id string, incarnation int64) *worker.Worker {
+	backend := &worker.Worker{ID: id, Born: incarnation, StopTime: 50 * time.Millisecond}
 	backend.Work = w.runOutcome
 	backend.Started = func(r flow.RunID) { w.recordStart(id, r) }
 	w.mu.Lock()
@@ -330,9 +330,9 @@
 }
 
 // reportUntilAccepted sends a worker's report until the leader acknowledges it.
-func (w *testCluster) reportUntilAccepted(id string, born int64) {
+func (w *testCluster) reportUntilAccepted(id string, incarnation int64) {
 	for {
-		err := w.sendReport(id, born, false)
+		err := w.sendReport(id, incarnation, false)
 		if err == nil {
 			return
 		}
@@ -376,10 +376,10 @@
 	return maps.Clone(w.startCounts)
 }
 
-func (w *testCluster) sendReport(id string, born int64, leaving bool) *code.Error {
+func (w *testCluster) sendReport(id string, incarnation int64, leaving bool) *code.Error {
 	size := &v1.Size{Cpu: w.capacity.CPU, Memory: w.capacity.Memory}
 	return w.dispatcher.Report(w.t.Context(), dispatch.Report{FlowServer: &record.FlowServer{
-		Id: id, Born: born, Address: id, Zone: zoneOf(id), Pool: "pool", Machine: "m-" + id, Capacity: size, Leaving: leaving,
+		Id: id, Born: incarnation, Address: id, Zone: zoneOf(id), Pool: "pool", Machine: "m-" + id, Capacity: size, Leaving: leaving,
 	}, Remaining: 2000})
 }
 
@@ -413,7 +413,7 @@
 	backend.Crash()
 	w.restarts.Go(func() {
 		select {
-		case <-w.done:
+		case <-w.stopped:
 		case <-time.After(3 * time.Second):
 			w.addWorker("r"+id, backend.Born+1)
 		}
@@ -453,7 +453,7 @@
 			w.t.Error(err)
 			return
 		}
-		w.ledger, w.commitCallbacks, w.index = ledger, nil, w.committedIndex
+		w.ledger, w.commitCallbacks, w.lastIndex = ledger, nil, w.committedIndex
 		w.term++
 		w.isLeader = true
 		w.dispatcher = dispatch.New()
@@ -515,7 +515,7 @@
 // shutDown stops the cluster and checks the invariants.
 func (w *testCluster) shutDown() {
 	w.runAndWait(func() { w.isLeader = false; w.dispatcher.Deposed() })
-	close(w.done)
+	close(w.stopped)
 	w.restarts.Wait()
 	w.checkInvariants()
 }
--- a/internal/control/dispatch/learn.go
+++ b/internal/control/dispatch/learn.go
@@ -101,9 +101,9 @@
 	d.leader.avoidedServers[r.StepID][s.id] = true
 }
 
-// moveStuckRuns stops runs that make no progress or are much too slow, so that they are
+// inspectRuns stops runs that make no progress or are much too slow, so that they are
 // placed on another server. It also evacuates leaving servers.
-func (d *Dispatcher) moveStuckRuns(s *session, now time.Duration) {
+func (d *Dispatcher) inspectRuns(s *session, now time.Duration) {
 	if s.unresponsive || !s.listReceived || s.closeReason != "" || s.lastAnswerAt == s.inspectedListAt {
 		return // no new run list since the last check
 	}
--- a/internal/control/dispatch/pace.go
+++ b/internal/control/dispatch/pace.go
@@ -25,7 +25,7 @@
 			serving = append(serving, pace.Serving{Tail: r.load, Target: float64(step.Spec.GetTarget())})
 		}
 	}
-	s.servesBesideFill = len(fillRuns) > 0 && len(serving) > 0
+	s.mixesFillAndServing = len(fillRuns) > 0 && len(serving) > 0
 	if len(fillRuns) == 0 {
 		s.pacePercent = pace.Full
 		return
@@ -64,7 +64,7 @@
 	if s.leavesAt == 0 {
 		return
 	}
-	remaining := s.leavesAt - now
+	timeLeft := s.leavesAt - now
 	for _, r := range s.runs {
 		step, ok := d.Host.Flows().Step(r.StepID)
 		if !ok || r.stopping || !r.reportedByServer {
@@ -75,10 +75,10 @@
 			if !d.canMissTask(step) {
 				continue
 			}
-		case !step.Spec.GetSaves() || r.progressPercent <= 0 || d.remainingTime(step, r, now) <= remaining:
+		case !step.Spec.GetSaves() || r.progressPercent <= 0 || d.remainingTime(step, r, now) <= timeLeft:
 			continue
 		}
-		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.progressPercent, "leaves", remaining.String(), "born", b.Born)
+		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.progressPercent, "leaves", timeLeft.String(), "born", b.Born)
 		d.stopRun(s, r)
 	}
 }
--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -27,11 +27,11 @@
 // Report processes a report of a backend server. It returns when all changes from the
 // report are committed. After it is acknowledged, a leaving server gets no new tasks.
 func (d *Dispatcher) Report(ctx context.Context, r Report) *code.Error {
-	received := d.Now()
+	receivedAt := d.Now()
 	fault, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
 		d.handleReport(r, reply)
 		if s := d.leader.sessions[r.GetId()]; s != nil && s.incarnation == r.GetBorn() {
-			s.applyReport(r, received)
+			s.applyReport(r, receivedAt)
 		}
 	})
 	if err != nil {
--- a/internal/control/dispatch/session.go
+++ b/internal/control/dispatch/session.go
@@ -86,8 +86,8 @@
 	speed *serverSpeed
 	// pacePercent is the pace of the fill tasks on the server. servesBesideFill reports
 	// whether the server has both fill tasks and serving tasks.
-	pacePercent      int
-	servesBesideFill bool
+	pacePercent         int
+	mixesFillAndServing bool
 	// leavesAt is the earliest time at which the server exits; 0 if it is not leaving.
 	leavesAt time.Duration
 
@@ -97,13 +97,13 @@
 }
 
 // applyReport updates the session from a report of the server.
-func (s *session) applyReport(r Report, received time.Duration) {
+func (s *session) applyReport(r Report, receivedAt time.Duration) {
 	s.reportNumber = max(s.reportNumber, r.Number)
 	if r.Clock > 0 {
-		s.observeClock(r.Clock, received)
+		s.observeClock(r.Clock, receivedAt)
 	}
 	if r.GetLeaving() {
-		s.leavesAt = received + time.Duration(r.Remaining)*time.Millisecond
+		s.leavesAt = receivedAt + time.Duration(r.Remaining)*time.Millisecond
 	}
 }
 
@@ -139,7 +139,7 @@
 // callServer calls a server and passes the answer to handle on the control thread, with the
 // times at which the call was sent and the answer was received. attempts is the number of
 // earlier attempts of the same call.
-func (d *Dispatcher) callServer(s *session, c *inner.ServerCall, wait time.Duration, attempts int, renewLease bool, handle func(a *inner.ServerAnswer, sent, receivedAt time.Duration)) {
+func (d *Dispatcher) callServer(s *session, c *inner.ServerCall, wait time.Duration, attempts int, renewLease bool, handle func(a *inner.ServerAnswer, sentAt, receivedAt time.Duration)) {
 	sentAt := d.Now()
 	c.Cell, c.Server, c.Address, c.Fence = d.Cell, s.id, s.address, d.leader.term
 	if length := d.leaseLength(s); renewLease && length > 0 {
@@ -188,7 +188,7 @@
 	if length := d.leaseLength(s); length > 0 {
 		wait = min(wait, length/longPollsPerLease)
 	}
-	if s.servesBesideFill {
+	if s.mixesFillAndServing {
 		wait = min(wait, sharedLongPoll)
 	}
 	if d.hasOverdueRun(s) {
--- a/internal/control/dispatch/wave.go
+++ b/internal/control/dispatch/wave.go
@@ -66,10 +66,10 @@
 
 // WaveState reports whether all machines of a wave have completed their upkeep.
 func (d *Dispatcher) WaveState(ctx context.Context, number uint64) (complete bool, fault *code.Error) {
-	received := d.Now()
+	receivedAt := d.Now()
 	type result struct{ known, complete bool }
 	r, err := runOnLeader(ctx, d, errNotLeading, func(reply func(result)) {
-		d.Host.AfterLeadershipProof(received, func() {
+		d.Host.AfterLeadershipProof(receivedAt, func() {
 			w, ok := d.Host.Flows().Wave(number)
 			answer := result{known: ok, complete: ok && w.Complete()}
 			d.Host.AfterCommit(func() { reply(answer) })
@@ -98,14 +98,14 @@
 // advanceWave takes machines down as far as the wave's cap allows. The next machines are
 // drained: they get no new tasks, and runs that can continue elsewhere are moved.
 func (d *Dispatcher) advanceWave(w *flows.Wave, now time.Duration) {
-	free := w.Cap - w.Down()
+	freeSlots := w.Cap - w.Down()
 	for _, m := range w.Machines {
 		switch {
 		case m.Done:
 		case m.Begun:
 			d.checkMachineReturned(w, m, now)
-		case free > 0:
-			free--
+		case freeSlots > 0:
+			freeSlots--
 			d.emptyMachine(w, m, now)
 		}
 	}
--- a/internal/control/dispatch/zone.go
+++ b/internal/control/dispatch/zone.go
@@ -99,7 +99,7 @@
 	if len(ledger.Zones()) == 0 {
 		return false
 	}
-	drained := false
+	hasDrainedServer := false
 	for _, b := range ledger.Servers() {
 		if b.Pool != pool || b.Over {
 			continue
@@ -107,7 +107,7 @@
 		if ledger.Takes(b) {
 			return false
 		}
-		drained = drained || ledger.Drained(b.Zone)
+		hasDrainedServer = hasDrainedServer || ledger.Drained(b.Zone)
 	}
-	return drained
+	return hasDrainedServer
 }
