--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -83,8 +83,8 @@
 	// AfterCommit runs fn when all commands applied so far are committed.
 	AfterCommit(fn func())
 	// AfterLeadershipProof runs fn when it is proved that this replica led at a time after
-	// received.
-	AfterLeadershipProof(received time.Duration, fn func())
+	// receivedAt.
+	AfterLeadershipProof(receivedAt time.Duration, fn func())
 	// Leads reports whether this replica leads and a quorum has confirmed that recently.
 	Leads() bool
 	Flows() *flows.Ledger
--- a/internal/control/dispatch/session.go
+++ b/internal/control/dispatch/session.go
@@ -33,7 +33,8 @@
 // session is the leader's state of one incarnation of a backend server. Times are on the
 // leader's clock unless stated otherwise.
 type session struct {
-	id          string
+	id string
+	// incarnation is the start time of the server process in milliseconds since 1970.
 	incarnation int64
 	address     string
 	// reportNumber is the number of the latest report.
@@ -50,7 +51,7 @@
 
 	// listCount is the number of run lists received from the server.
 	listCount uint64
-	// inspectedListAt is the time of the run list that moveStuckRuns last examined.
+	// inspectedListAt is the time of the run list that inspectRuns last examined.
 	inspectedListAt time.Duration
 	// holdPending reports whether a hold is unanswered.
 	holdPending bool
@@ -84,7 +85,7 @@
 	runs map[flow.TaskID]*run
 	// speed is the server's speed estimate; nil if there is none.
 	speed *serverSpeed
-	// pacePercent is the pace of the fill tasks on the server. servesBesideFill reports
+	// pacePercent is the pace of the fill tasks on the server. mixesFillAndServing reports
 	// whether the server has both fill tasks and serving tasks.
 	pacePercent         int
 	mixesFillAndServing bool
@@ -176,8 +177,8 @@
 	})
 }
 
-// sendHold renews the lease and requests the run list. At most one hold per server is
-// pending. The call is a long poll that returns when a run ends.
+// sendHold sends a hold: a call that renews the lease and requests the run list. At most
+// one hold per server is pending. The call is a long poll that returns when a run ends.
 func (d *Dispatcher) sendHold(s *session) {
 	if s.holdPending || s.closeReason != "" {
 		return
--- a/internal/control/dispatch/sessions.go
+++ b/internal/control/dispatch/sessions.go
@@ -29,7 +29,7 @@
 	return s
 }
 
-// removeSession removes a session.
+// removeSession removes a session and keeps the list and the count of relayed sessions in step.
 func (d *Dispatcher) removeSession(s *session) {
 	if s.relayAddress != "" {
 		d.leader.relayedSessions--
--- a/internal/control/dispatch/sweep.go
+++ b/internal/control/dispatch/sweep.go
@@ -44,7 +44,7 @@
 		return !ok || s.Done == len(s.Tasks)
 	})
 	for id := range d.leader.surplusFlows {
-		if expired, ok := ledger.Flow(id); !ok || expired.Final() {
+		if f, ok := ledger.Flow(id); !ok || f.Final() {
 			delete(d.leader.surplusFlows, id)
 		}
 	}
