--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -98,8 +98,8 @@
 	ChangeMember(m quorum.Member, remove bool)
 	// IsSynced reports whether a member has stored all committed log entries.
 	IsSynced(id string) bool
-	// YieldThread lets other goroutines of the process run.
-	YieldThread()
+	// YieldProcessor lets other goroutines of the process run.
+	YieldProcessor()
 	// Post queues fn to run on the control thread. It returns false if the thread has
 	// stopped.
 	Post(fn func()) bool
@@ -254,7 +254,7 @@
 	d.leader.tickSessions = append(d.leader.tickSessions[:0], d.leader.sortedSessions...)
 	for i, s := range d.leader.tickSessions {
 		if i%sessionsPerYield == 0 {
-			d.Host.YieldThread()
+			d.Host.YieldProcessor()
 		}
 		d.checkSession(s, now)
 		d.inspectRuns(s, now)
--- a/internal/control/dispatch/dispatch_test.go
+++ b/internal/control/dispatch/dispatch_test.go
@@ -323,12 +323,12 @@
 		})
 		w.submit("a", newGangStep(4, 2000))
 		w.awaitState("a", stateDone, 10*time.Second)
-		numbers := map[uint32]int{}
+		startsByRunNumber := map[uint32]int{}
 		for r := range w.runStarts() {
-			numbers[r.Number]++
+			startsByRunNumber[r.Number]++
 		}
-		if numbers[1] != 3 || numbers[2] != 4 {
-			t.Errorf("started gang members by run number: %v", numbers)
+		if startsByRunNumber[1] != 3 || startsByRunNumber[2] != 4 {
+			t.Errorf("started gang members by run number: %v", startsByRunNumber)
 		}
 	})
 }
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -109,7 +109,7 @@
 func (h *fakeHost) Members() group.Members                          { return testMembers }
 func (h *fakeHost) ChangeMember(quorum.Member, bool)                {}
 func (h *fakeHost) HasZone(zone string) bool                        { return zone == "x" || zone == "y" }
-func (h *fakeHost) YieldThread()                                    {}
+func (h *fakeHost) YieldProcessor()                                 {}
 func (h *fakeHost) IsSynced(string) bool                            { return true }
 
 func (h *fakeHost) Post(fn func()) bool {
--- a/internal/control/dispatch/lists.go
+++ b/internal/control/dispatch/lists.go
@@ -28,10 +28,10 @@
 		if r := s.runs[id.TaskID]; r != nil && r.Number == id.Number {
 			r.lastListNumber = s.listCount
 		}
-		if entry.GetNumber() <= s.lastEndTaken {
+		if entry.GetNumber() <= s.lastEndReceived {
 			continue
 		}
-		s.lastEndTaken = entry.GetNumber()
+		s.lastEndReceived = entry.GetNumber()
 		ends.Ends = append(ends.Ends, &record.FlowEnd{Run: entry.GetRun(), How: entry.GetHow(), Checkpoint: entry.GetCheckpoint()})
 	}
 	for _, r := range s.runs {
@@ -53,7 +53,7 @@
 	if len(ends.Ends) == 0 {
 		return
 	}
-	ends.Cursor = s.lastEndTaken
+	ends.Cursor = s.lastEndReceived
 	d.recordEnds(s, ends, receivedAt)
 }
 
--- a/internal/control/dispatch/order.go
+++ b/internal/control/dispatch/order.go
@@ -118,8 +118,8 @@
 	start := &inner.StartRun{Run: r.Message(), Input: f.Spec.GetInput(), Checkpoint: step.Tasks[r.Index].Checkpoint, Permit: r.permit}
 	// An unresponsive server may still receive calls. A retry must not extend the lease,
 	// because the task cannot be placed on another server before the lease ends.
-	renew := r.startAttempts == 1
-	d.callServer(s, &inner.ServerCall{What: &inner.ServerCall_Start{Start: start}}, 0, r.startAttempts-1, renew, func(a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
+	renewLease := r.startAttempts == 1
+	d.callServer(s, &inner.ServerCall{What: &inner.ServerCall_Start{Start: start}}, 0, r.startAttempts-1, renewLease, func(a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
 		r.pendingOrders--
 		switch a.GetVerdict() {
 		case inner.Verdict_VERDICT_DONE, inner.Verdict_VERDICT_SILENT:
--- a/internal/control/dispatch/plan.go
+++ b/internal/control/dispatch/plan.go
@@ -22,7 +22,7 @@
 		return
 	}
 	startedAt := d.Now()
-	view := steps.View{Items: d.leader.planView.Items[:0], Servers: d.leader.planView.Servers[:0], Room: d.remainingQuota, Known: d.permissionsFor, Share: d.permitShare, Rest: d.Host.YieldThread}
+	view := steps.View{Items: d.leader.planView.Items[:0], Servers: d.leader.planView.Servers[:0], Room: d.remainingQuota, Known: d.permissionsFor, Share: d.permitShare, Rest: d.Host.YieldProcessor}
 	view.Frees = func(server string) []steps.Release { return d.expectedReleases(server, now) }
 	clock := d.Host.LedgerTime()
 	for _, s := range ledger.Ready() {
--- a/internal/control/dispatch/session.go
+++ b/internal/control/dispatch/session.go
@@ -57,9 +57,9 @@
 	holdPending bool
 	// listReceived reports whether the server has sent a run list in this term.
 	listReceived bool
-	// lastEndTaken is the number of the latest run end taken from a list, lastEndCommitted
+	// lastEndReceived is the number of the latest run end received in a list, lastEndCommitted
 	// the number of the latest one that is committed.
-	lastEndTaken     uint64
+	lastEndReceived  uint64
 	lastEndCommitted uint64
 	// unresponsive reports whether the latest hold failed. unresponsiveSince is when the
 	// first of the consecutive failures occurred.
@@ -235,8 +235,8 @@
 // run.
 func (s *session) expectsListChange() bool {
 	for _, r := range s.runs {
-		stopOfPreviousLeader := r.stopping && r.startUnconfirmed && r.startAttempts == 0 // placed by the previous leader
-		if (r.orderAnsweredAt > 0 || stopOfPreviousLeader) && !r.reportedByServer {
+		isStopOfPreviousLeader := r.stopping && r.startUnconfirmed && r.startAttempts == 0 // placed by the previous leader
+		if (r.orderAnsweredAt > 0 || isStopOfPreviousLeader) && !r.reportedByServer {
 			return true
 		}
 	}
@@ -276,10 +276,10 @@
 	// Another run list may be received before the ends of this one are committed. Only the
 	// ends of this list may be acknowledged after this commit, because the server forgets
 	// acknowledged ends.
-	lastTaken := s.lastEndTaken
+	lastReceived := s.lastEndReceived
 	d.Host.AfterCommit(func() {
 		if d.leader != nil && d.leader.sessions[s.id] == s {
-			s.lastEndCommitted = max(s.lastEndCommitted, lastTaken)
+			s.lastEndCommitted = max(s.lastEndCommitted, lastReceived)
 			d.scheduleNextHold(s)
 		}
 	})
--- a/internal/control/dispatch/sessions.go
+++ b/internal/control/dispatch/sessions.go
@@ -13,7 +13,7 @@
 // openSession creates the session of a server from its state in the ledger.
 func (d *Dispatcher) openSession(b *flows.Server) *session {
 	s := &session{
-		id: b.ID, incarnation: b.Born, address: b.Address, lastEndCommitted: b.Cursor, lastEndTaken: b.Cursor,
+		id: b.ID, incarnation: b.Born, address: b.Address, lastEndCommitted: b.Cursor, lastEndReceived: b.Cursor,
 		lastAnswerAt: d.Now(), runs: map[flow.TaskID]*run{}, pacePercent: pace.Full,
 	}
 	for id, allocation := range b.Held {
--- a/internal/control/leader/leader.go
+++ b/internal/control/leader/leader.go
@@ -260,15 +260,15 @@
 	}
 }
 
-// YieldThread lets the other goroutines of the process have their turn: a message of the
+// YieldProcessor lets the other goroutines of the process have their turn: a message of the
 // group takes several of them, and a leader that decided for long at a time would lose
 // its lead to its own load. It is called on the control thread.
-func (l *Leader) YieldThread() { l.turn.Rest() }
+func (l *Leader) YieldProcessor() { l.turn.Rest() }
 
 // drain takes more batches that wait already, so that they share one commit.
 func (l *Leader) drain() {
 	for range batches {
-		l.YieldThread()
+		l.YieldProcessor()
 		select {
 		case fn := <-l.inbox:
 			fn()
--- a/internal/control/leader/part.go
+++ b/internal/control/leader/part.go
@@ -102,7 +102,7 @@
 	for n < len(ld.effects) && ld.effects[n].index <= ld.committed {
 		ld.effects[n].run()
 		n++
-		l.YieldThread()
+		l.YieldProcessor()
 	}
 	if n > 0 {
 		clear(ld.effects[:n])
