--- a/internal/control/dispatch/advice.go
+++ b/internal/control/dispatch/advice.go
@@ -10,7 +10,7 @@
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/base/event"
 	"gypsumreel/internal/domain/flow"
-	"gypsumreel/internal/policy/crew"
+	"gypsumreel/internal/policy/helpers"
 	"gypsumreel/internal/policy/steps"
 )
 
@@ -61,7 +61,7 @@
 // replaceQuestions replaces the pending questions by those of a new plan and sends as many
 // as there are free helpers. The rest is sent when helpers become free before the next
 // plan.
-func (d *Dispatcher) replaceQuestions(wants []steps.Want, now time.Duration) {
+func (d *Dispatcher) replaceQuestions(wants []steps.Question, now time.Duration) {
 	d.leader.pendingQuestions = wants
 	d.askPendingQuestions(now)
 }
@@ -70,7 +70,7 @@
 // also runs after each answer. Otherwise a helper would answer only one question per plan
 // under high load, even if the adviser is fast.
 func (d *Dispatcher) askPendingQuestions(now time.Duration) {
-	var remaining []steps.Want
+	var remaining []steps.Question
 	var busy busyHelpers
 	shortest := d.shortestQuestion()
 	for i, want := range d.leader.pendingQuestions {
@@ -90,7 +90,7 @@
 
 // askAdviserAbout sends the questions about one step. It returns false when no helper is
 // free for them.
-func (d *Dispatcher) askAdviserAbout(want steps.Want, shortest time.Duration, busy *busyHelpers, now time.Duration) bool {
+func (d *Dispatcher) askAdviserAbout(want steps.Question, shortest time.Duration, busy *busyHelpers, now time.Duration) bool {
 	q, ok := d.Host.Flows().QueueOf(want.Item.Flow)
 	if !ok || q.GetAdvice() == nil || want.Item.Flow.Final() || want.Item.Queued == 0 {
 		return true
@@ -103,20 +103,20 @@
 	if advice.pendingQuestions > 0 || now < advice.nextQuestionAt {
 		return true
 	}
-	isLong := crew.Long(steps.Cost(q.GetAdvice(), len(want.Servers)), shortest)
+	isLong := helpers.IsLong(steps.QuestionDuration(q.GetAdvice(), len(want.Servers)), shortest)
 	if isLong && busy.longQuestions {
 		return false
 	}
-	for i, servers := range d.helperPool.Split(want.Servers, steps.MostAsked, isLong, now) {
-		expectedTime := steps.Cost(q.GetAdvice(), len(servers))
-		long := crew.Long(expectedTime, shortest)
-		helper := d.helperPool.Take(long, now)
+	for i, servers := range d.helperPool.SplitServers(want.Servers, steps.MaxServersPerQuestion, isLong, now) {
+		expectedTime := steps.QuestionDuration(q.GetAdvice(), len(servers))
+		long := helpers.IsLong(expectedTime, shortest)
+		helper := d.helperPool.Acquire(long, now)
 		if helper == nil {
 			busy.longQuestions = true
 			busy.shortQuestions = busy.shortQuestions || !long
 			return i > 0
 		}
-		d.sendQuestion(helper, steps.Want{Item: want.Item, Servers: servers}, advice, q.GetAdvice(), expectedTime)
+		d.sendQuestion(helper, steps.Question{Item: want.Item, Servers: servers}, advice, q.GetAdvice(), expectedTime)
 	}
 	return true
 }
@@ -128,7 +128,7 @@
 		if q.GetAdvice() == nil {
 			continue
 		}
-		if cost := steps.Cost(q.GetAdvice(), steps.LeastAsked); shortest == 0 || cost < shortest {
+		if cost := steps.QuestionDuration(q.GetAdvice(), steps.MinServersPerQuestion); shortest == 0 || cost < shortest {
 			shortest = cost
 		}
 	}
@@ -136,7 +136,7 @@
 }
 
 // sendQuestion asks the adviser through a helper.
-func (d *Dispatcher) sendQuestion(helper *crew.Helper, want steps.Want, advice *stepAdvice, config *v1.Advice, expectedTime time.Duration) {
+func (d *Dispatcher) sendQuestion(helper *helpers.Helper, want steps.Question, advice *stepAdvice, config *v1.Advice, expectedTime time.Duration) {
 	id := want.Item.StepID
 	advice.pendingQuestions++
 	incarnations := map[string]int64{}
@@ -156,7 +156,7 @@
 		reply := d.Helpers.Advise(ctx, address, req)
 		receivedAt := d.Now()
 		d.Host.Post(func() {
-			d.helperPool.Free(helper, code.Code(reply.GetCode()) == code.OK, receivedAt)
+			d.helperPool.Release(helper, code.Code(reply.GetCode()) == code.OK, receivedAt)
 			if d.leader != nil && d.leader.term == term {
 				d.handleAdvice(id, advice, incarnations, reply, config, sentAt, receivedAt)
 				d.askPendingQuestions(receivedAt)
--- a/internal/control/dispatch/crash.go
+++ b/internal/control/dispatch/crash.go
@@ -67,7 +67,7 @@
 // its probation ends.
 func (d *Dispatcher) startProbation(s *session, r *run, now time.Duration) {
 	if t, ok := d.currentTask(r); ok && t.Blamed > 0 {
-		s.probationUntil = max(s.probationUntil, now+blame.Probation)
+		s.probationUntil = max(s.probationUntil, now+blame.ProbationPeriod)
 	}
 }
 
--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -18,8 +18,8 @@
 	"gypsumreel/internal/base/event"
 	"gypsumreel/internal/domain/flow"
 	"gypsumreel/internal/ledger/flows"
-	"gypsumreel/internal/policy/brief"
-	"gypsumreel/internal/policy/crew"
+	"gypsumreel/internal/policy/helpers"
+	"gypsumreel/internal/policy/shortlease"
 	"gypsumreel/internal/policy/steps"
 	"gypsumreel/internal/replica/group"
 	"gypsumreel/internal/replica/quorum"
@@ -163,7 +163,7 @@
 	agreedTime clock.Agreed
 	// helperPool holds the registered processes. joiningReplicas holds, by id, the
 	// registered replicas that may not be members yet.
-	helperPool      *crew.Crew
+	helperPool      *helpers.Pool
 	joiningReplicas map[string]*joiningReplica
 }
 
@@ -171,13 +171,13 @@
 func New() *Dispatcher {
 	return &Dispatcher{
 		MaxLease: DefaultMaxLease, MaxStopTime: DefaultMaxStopTime, GangTimeout: DefaultGangTimeout, Retention: DefaultRetention, MaxOpenFlows: DefaultMaxOpenFlows, TargetVoters: DefaultTargetVoters, Log: logr.Discard(),
-		helperPool: crew.New(), joiningReplicas: map[string]*joiningReplica{},
+		helperPool: helpers.New(), joiningReplicas: map[string]*joiningReplica{},
 	}
 }
 
-// Elected starts a term as leader. Each server is asked for its runs before any new task is
+// OnElected starts a term as leader. Each server is asked for its runs before any new task is
 // placed on it.
-func (d *Dispatcher) Elected(term uint64, electedAt time.Duration) {
+func (d *Dispatcher) OnElected(term uint64, electedAt time.Duration) {
 	if d.flowMetrics == nil {
 		d.flowMetrics = newFlowMetrics(d.Metrics)
 	}
@@ -188,9 +188,9 @@
 		usualLatency: minHoldTimeout / latencyTimeoutFactor,
 		sessions:     map[string]*session{}, pendingStops: map[*run]*session{},
 		adviceByStep: map[flow.StepID]*stepAdvice{}, permitShares: map[string]float64{},
-		urgentDemand: map[string]*startDemand{}, urgentServers: map[string]*brief.Choice{}, recurringFlows: map[string]bool{},
+		urgentDemand: map[string]*startDemand{}, urgentServers: map[string]*shortlease.Selection{}, recurringFlows: map[string]bool{},
 		rateBuckets: map[string]*rateBucket{}, surplusFlows: map[string]bool{},
-		serverSpeeds: map[string]*serverSpeed{}, stepTimes: map[flow.StepID]steps.Times{}, avoidedServers: map[flow.StepID]map[string]bool{},
+		serverSpeeds: map[string]*serverSpeed{}, stepTimes: map[flow.StepID]steps.Timing{}, avoidedServers: map[flow.StepID]map[string]bool{},
 		pendingRequests: map[uint64]func(){}, drainingForUpkeep: map[string]bool{}, upkeepRetryAt: map[string]time.Duration{},
 	}
 	ledger := d.Host.Flows()
@@ -217,8 +217,8 @@
 // leadership.
 const maxLeadershipProofAge = time.Second
 
-// Deposed drops the state of the term. Pending requests fail with an unknown outcome.
-func (d *Dispatcher) Deposed() {
+// OnDeposed drops the state of the term. Pending requests fail with an unknown outcome.
+func (d *Dispatcher) OnDeposed() {
 	leader := d.leader
 	if leader == nil {
 		return
@@ -230,8 +230,8 @@
 	}
 }
 
-// Turn runs at the end of each turn of the control thread and plans if a plan is due.
-func (d *Dispatcher) Turn() {
+// BeforePropose runs at the end of each turn of the control thread and plans if a plan is due.
+func (d *Dispatcher) BeforePropose() {
 	if d.leader == nil || !d.Host.Leads() {
 		return
 	}
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -139,7 +139,7 @@
 			}
 		}
 		if h.isLeader {
-			h.dispatcher.Turn()
+			h.dispatcher.BeforePropose()
 		}
 	}
 }
@@ -446,7 +446,7 @@
 	w.runAndWait(func() {
 		if w.dispatcher != nil {
 			w.isLeader = false
-			w.dispatcher.Deposed()
+			w.dispatcher.OnDeposed()
 		}
 		ledger, err := flows.Restore(w.committedRecord)
 		if err != nil {
@@ -459,7 +459,7 @@
 		w.dispatcher = dispatch.New()
 		w.dispatcher.Host, w.dispatcher.Cell, w.dispatcher.Now, w.dispatcher.Backends, w.dispatcher.Helpers = w.fakeHost, "cell", w.now, w, w
 		w.dispatcher.Machines, w.dispatcher.MaxDirectServers = w, w.maxDirectServers
-		w.dispatcher.Elected(w.term, w.now())
+		w.dispatcher.OnElected(w.term, w.now())
 	})
 }
 
@@ -514,7 +514,7 @@
 
 // shutDown stops the cluster and checks the invariants.
 func (w *testCluster) shutDown() {
-	w.runAndWait(func() { w.isLeader = false; w.dispatcher.Deposed() })
+	w.runAndWait(func() { w.isLeader = false; w.dispatcher.OnDeposed() })
 	close(w.stopped)
 	w.restarts.Wait()
 	w.checkInvariants()
--- a/internal/control/dispatch/helper.go
+++ b/internal/control/dispatch/helper.go
@@ -44,7 +44,7 @@
 	if g.GetReplica() != "" {
 		d.joiningReplicas[g.GetReplica()] = &joiningReplica{address: g.GetAddress(), lastGreetingAt: receivedAt}
 	}
-	d.helperPool.Hear(g.GetAddress(), receivedAt)
+	d.helperPool.RecordGreeting(g.GetAddress(), receivedAt)
 	if g.GetClock() > 0 {
 		d.agreedTime.Hear(g.GetAddress(), time.Duration(g.GetClock()), receivedAt)
 	}
@@ -52,7 +52,7 @@
 
 // welcomeMessage returns the leader's answer to a greeting.
 func (d *Dispatcher) welcomeMessage() *inner.Welcome {
-	message := &inner.Welcome{Term: d.leader.term, Leads: true, Version: d.Host.Flows().Config().GetVersion(), Pause: uint32(d.helperPool.Pause() / time.Millisecond)}
+	message := &inner.Welcome{Term: d.leader.term, Leads: true, Version: d.Host.Flows().Config().GetVersion(), Pause: uint32(d.helperPool.GreetingInterval() / time.Millisecond)}
 	for _, m := range d.Host.Members().Members {
 		message.Members = append(message.Members, m.Address)
 	}
@@ -90,6 +90,6 @@
 
 // removeExpiredProcesses removes processes and replicas whose last greeting is too old.
 func (d *Dispatcher) removeExpiredProcesses(now time.Duration) {
-	d.helperPool.Forget(now)
+	d.helperPool.RemoveSilent(now)
 	maps.DeleteFunc(d.joiningReplicas, func(_ string, replica *joiningReplica) bool { return now-replica.lastGreetingAt > joiningReplicaTTL })
 }
--- a/internal/control/dispatch/lead.go
+++ b/internal/control/dispatch/lead.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"gypsumreel/internal/domain/flow"
-	"gypsumreel/internal/policy/brief"
-	"gypsumreel/internal/policy/intake"
+	"gypsumreel/internal/policy/recovery"
+	"gypsumreel/internal/policy/shortlease"
 	"gypsumreel/internal/policy/steps"
 )
 
@@ -25,20 +25,20 @@
 	// tickSessions is the reused copy of sortedSessions over which a tick iterates.
 	tickSessions []*session
 	// firstHoldQueue holds the servers that have not been asked for their runs yet.
-	firstHoldQueue intake.Queue[*session]
+	firstHoldQueue recovery.Queue[*session]
 	// relayedSessions is the number of sessions whose calls go through a helper.
 	relayedSessions int
 	adviceByStep    map[flow.StepID]*stepAdvice
 	// pendingQuestions holds the questions of the latest plan that found no free helper,
 	// the most urgent first.
-	pendingQuestions []steps.Want
+	pendingQuestions []steps.Question
 	// permitShares is, by queue, the average share of servers that the adviser permits.
 	permitShares   map[string]float64
 	recurringFlows map[string]bool
 	// urgentDemand is the recent demand of urgent tasks, by pool.
 	urgentDemand map[string]*startDemand
 	// urgentServers holds, by pool, the servers on which urgent tasks are concentrated.
-	urgentServers map[string]*brief.Choice
+	urgentServers map[string]*shortlease.Selection
 	// urgentRanks caches which ranks are urgent according to ranksConfig.
 	ranksConfig  *flow.Config
 	urgentRanks  map[queueRank]bool
@@ -47,7 +47,7 @@
 	serverSpeeds map[string]*serverSpeed
 	// runtimeRatio is the average ratio of actual to declared runtimes over all servers.
 	runtimeRatio float64
-	stepTimes    map[flow.StepID]steps.Times
+	stepTimes    map[flow.StepID]steps.Timing
 	// avoidedServers holds, by step, the servers on which a task of the step failed.
 	avoidedServers map[flow.StepID]map[string]bool
 	// pendingRequests holds the requests that wait for a commit or a proof of leadership.
--- a/internal/control/dispatch/learn.go
+++ b/internal/control/dispatch/learn.go
@@ -83,10 +83,10 @@
 func (d *Dispatcher) judgeRunEnd(s *session, r *run, end inner.RunEnd, now time.Duration) {
 	switch end {
 	case inner.RunEnd_RUN_END_DONE:
-		s.failureStreak.Done()
+		s.failureStreak.RecordSuccess()
 	case inner.RunEnd_RUN_END_FAILED:
 		d.avoidServerForStep(s, r)
-		if pause := s.failureStreak.Failed(r.Flow); pause > 0 {
+		if pause := s.failureStreak.RecordFailure(r.Flow); pause > 0 {
 			s.avoidUntil = max(s.avoidUntil, now+pause)
 			event.Log(d.Log, event.ServerQuarantined, "server", s.id, "flow", r.Flow, "rest", pause.String())
 		}
@@ -119,11 +119,11 @@
 		if !ok || step.Spec.GetLasting() || step.Spec.GetGang() || step.Spec.GetFills() && s.pacePercent < pace.Full {
 			continue // the run may be throttled, or may wait for the rest of its gang
 		}
-		progress := watchdog.Run{Elapsed: r.progressReportedAt - r.placedAt, Still: r.progressReportedAt - r.progressChangedAt, Percent: r.progressPercent, Typical: d.typicalRuntime(step), Saves: step.Spec.GetSaves()}
-		if !(r.Number <= maxStuckMoves && watchdog.Stuck(progress)) && !(r.Number <= maxSlowMoves && watchdog.Drags(progress)) {
+		progress := watchdog.Run{Elapsed: r.progressReportedAt - r.placedAt, SinceProgress: r.progressReportedAt - r.progressChangedAt, ProgressPercent: r.progressPercent, TypicalRuntime: d.typicalRuntime(step), Checkpoints: step.Spec.GetSaves()}
+		if !(r.Number <= maxStuckMoves && watchdog.IsStuck(progress)) && !(r.Number <= maxSlowMoves && watchdog.IsSlow(progress)) {
 			continue
 		}
-		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.progressPercent, "still", progress.Still.String(), "elapsed", progress.Elapsed.String(), "typical", progress.Typical.String())
+		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.progressPercent, "still", progress.SinceProgress.String(), "elapsed", progress.Elapsed.String(), "typical", progress.TypicalRuntime.String())
 		d.avoidServerForStep(s, r)
 		s.avoidUntil = max(s.avoidUntil, now+suspectServerPause)
 		d.stopRun(s, r)
--- a/internal/control/dispatch/lease.go
+++ b/internal/control/dispatch/lease.go
@@ -6,7 +6,7 @@
 
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/ledger/flows"
-	"gypsumreel/internal/policy/brief"
+	"gypsumreel/internal/policy/shortlease"
 )
 
 // urgentLease is the lease of servers that run only urgent tasks. It is longer than an
@@ -40,14 +40,14 @@
 // concentrated.
 func (d *Dispatcher) chooseUrgentServers() {
 	usedCPU := map[string]int64{}
-	servers := map[string][]brief.Server{}
+	servers := map[string][]shortlease.Server{}
 	for id, s := range d.leader.sessions {
 		b, ok := d.Host.Flows().Server(id)
 		if !ok || b.Over {
 			continue
 		}
 		if d.Host.Flows().Takes(b) && s.closeReason == "" {
-			servers[b.Pool] = append(servers[b.Pool], brief.Server{ID: id, Cores: b.Capacity.CPU})
+			servers[b.Pool] = append(servers[b.Pool], shortlease.Server{ID: id, CPU: b.Capacity.CPU})
 		}
 		for _, r := range s.runs {
 			if r.urgent {
@@ -62,10 +62,10 @@
 		}
 		choice := d.leader.urgentServers[pool]
 		if choice == nil {
-			choice = &brief.Choice{}
+			choice = &shortlease.Selection{}
 			d.leader.urgentServers[pool] = choice
 		}
-		choice.Look(poolServers, usedCPU[pool])
+		choice.Update(poolServers, usedCPU[pool])
 	}
 }
 
--- a/internal/control/dispatch/member.go
+++ b/internal/control/dispatch/member.go
@@ -25,16 +25,16 @@
 	}
 	d.leader.membershipCheckedAt = now
 	members := d.Host.Members()
-	view := roster.View{Self: members.Self, Members: members.Members, Target: d.TargetVoters, Synced: d.Host.IsSynced}
+	view := roster.GroupView{Self: members.Self, Members: members.Members, TargetVoters: d.TargetVoters, Synced: d.Host.IsSynced}
 	for id, replica := range d.joiningReplicas {
-		view.Known = append(view.Known, roster.Known{Member: quorum.Member{ID: id, Address: replica.address}, Silent: now - replica.lastGreetingAt})
+		view.Known = append(view.Known, roster.KnownReplica{Member: quorum.Member{ID: id, Address: replica.address}, SilentFor: now - replica.lastGreetingAt})
 	}
 	// A new leader has not received greetings yet.
-	view.Watched = now - d.leader.electedAt
+	view.LeadingFor = now - d.leader.electedAt
 	change, ok := roster.Decide(view)
 	if !ok {
 		return
 	}
-	event.Log(d.Log, event.MemberChange, "member", change.Member.ID, "address", change.Member.Address, "remove", change.Remove, "cause", change.Cause, "members", len(members.Members), "term", d.leader.term)
+	event.Log(d.Log, event.MemberChange, "member", change.Member.ID, "address", change.Member.Address, "remove", change.Remove, "cause", change.Reason, "members", len(members.Members), "term", d.leader.term)
 	d.Host.ChangeMember(change.Member, change.Remove)
 }
--- a/internal/control/dispatch/plan.go
+++ b/internal/control/dispatch/plan.go
@@ -22,8 +22,8 @@
 		return
 	}
 	startedAt := d.Now()
-	view := steps.View{Items: d.leader.planView.Items[:0], Servers: d.leader.planView.Servers[:0], Room: d.remainingQuota, Known: d.permissionsFor, Share: d.permitShare, Rest: d.Host.YieldProcessor}
-	view.Frees = func(server string) []steps.Release { return d.expectedReleases(server, now) }
+	view := steps.View{Items: d.leader.planView.Items[:0], Servers: d.leader.planView.Servers[:0], RemainingLimit: d.remainingQuota, Permissions: d.permissionsFor, AllowedShare: d.permitShare, Yield: d.Host.YieldProcessor}
+	view.Releases = func(server string) []steps.Release { return d.expectedReleases(server, now) }
 	clock := d.Host.LedgerTime()
 	for _, s := range ledger.Ready() {
 		if advice := d.leader.adviceByStep[s.StepID]; advice != nil && advice.pendingQuestions > 0 && len(advice.permits) == 0 {
@@ -36,21 +36,21 @@
 	for _, s := range d.leader.sortedSessions {
 		b, ok := ledger.Server(s.id)
 		if ok && ledger.Takes(b) && b.Born == s.incarnation && s.isUsable(now) && !d.leader.drainingForUpkeep[s.id] {
-			view.Servers = append(view.Servers, steps.Server{Server: b, Speed: d.relativeSpeed(s), Cold: clock < b.Warm, Fresh: isFresh(b, clock), Probation: now < s.probationUntil, Brief: d.leader.urgentServers[b.Pool].Has(s.id)})
+			view.Servers = append(view.Servers, steps.Server{Server: b, Speed: d.relativeSpeed(s), Cold: clock < b.Warm, RecentlyStarted: isFresh(b, clock), OnProbation: now < s.probationUntil, ShortLease: d.leader.urgentServers[b.Pool].Contains(s.id)})
 		}
 	}
 	view.Headroom = func(pool string) steps.Headroom { return d.headroom(pool, poolCapacity(view.Servers, pool), now) }
 	d.leader.planCount++
 	d.leader.planView = view // the next plan reuses the slices
-	view.Items = steps.Pick(view, d.leader.planCount)
+	view.Items = steps.SelectItems(view, d.leader.planCount)
 	result := d.leader.planner.Make(view)
 	for _, placement := range result.Placements {
 		d.recordDemand(placement, now)
 		d.commitPlacement(placement, now)
 	}
-	d.replaceQuestions(result.Wants, now)
+	d.replaceQuestions(result.Questions, now)
 	elapsed := d.Now() - startedAt
-	d.leader.planPacer.Made(now, elapsed)
+	d.leader.planPacer.Record(now, elapsed)
 	d.flowMetrics.planSeconds.Update(elapsed.Seconds())
 }
 
@@ -91,11 +91,11 @@
 	runtime := d.typicalRuntime(s)
 	item := steps.Item{
 		Step: s, Pool: q.GetPool(), Priority: q.GetPriority(), Urgent: d.isUrgentRank(q.GetPool(), q.GetPriority()),
-		Takes: runtime, Usual: steps.Width(q.GetAdvice(), runtime),
-		Surplus: d.leader.surplusFlows[s.Flow.ID], Shunned: d.leader.avoidedServers[s.StepID],
-		Permits: q.GetAdvice() != nil, Asked: d.leader.adviceByStep[s.StepID] != nil,
+		ExpectedRuntime: runtime, QuestionSize: steps.QuestionSize(q.GetAdvice(), runtime),
+		OverShare: d.leader.surplusFlows[s.Flow.ID], FailedOn: d.leader.avoidedServers[s.StepID],
+		NeedsPermit: q.GetAdvice() != nil, AdviserAsked: d.leader.adviceByStep[s.StepID] != nil,
 	}
-	return item.Judged(times, clock-startedAt), true
+	return item.WithAge(times, clock-startedAt), true
 }
 
 // expectedReleases returns the capacity that the runs on a server will release, and when,
@@ -115,16 +115,16 @@
 		case ok && !r.stopping:
 			remaining = max(d.remainingTime(step, r, now), 0)
 		}
-		releases = append(releases, steps.Release{In: remaining, Size: r.allocation.Size})
+		releases = append(releases, steps.Release{After: remaining, Size: r.allocation.Size})
 	}
 	return releases
 }
 
 // stepTimes returns a step's deadlines. They do not change once the step is ready.
-func (d *Dispatcher) stepTimes(s *flows.Step, q *v1.Queue) steps.Times {
+func (d *Dispatcher) stepTimes(s *flows.Step, q *v1.Queue) steps.Timing {
 	times, ok := d.leader.stepTimes[s.StepID]
 	if !ok {
-		times = steps.TimesOf(s, q)
+		times = steps.TimingOf(s, q)
 		d.leader.stepTimes[s.StepID] = times
 	}
 	return times
@@ -137,7 +137,7 @@
 	for _, task := range placement.Item.Tasks {
 		highestNumber = max(highestNumber, task.Number)
 	}
-	for _, place := range placement.Places {
+	for _, place := range placement.Assignments {
 		lastNumber := placement.Item.Tasks[place.Index].Number
 		if placement.Item.Spec.GetGang() {
 			lastNumber = highestNumber // all members of a gang have the same run number
--- a/internal/control/dispatch/session.go
+++ b/internal/control/dispatch/session.go
@@ -76,7 +76,7 @@
 	// refusalsInARow counts its consecutive refusals.
 	avoidUntil     time.Duration
 	refusalsInARow int
-	failureStreak  watchdog.Streak
+	failureStreak  watchdog.FailureStreak
 	// relayAddress is the helper through which the server is called, since relayChangedAt;
 	// empty for direct calls.
 	relayAddress   string
--- a/internal/control/dispatch/sessions.go
+++ b/internal/control/dispatch/sessions.go
@@ -6,8 +6,8 @@
 
 	"gypsumreel/internal/domain/flow"
 	"gypsumreel/internal/ledger/flows"
-	"gypsumreel/internal/policy/intake"
 	"gypsumreel/internal/policy/pace"
+	"gypsumreel/internal/policy/recovery"
 )
 
 // openSession creates the session of a server from its state in the ledger.
@@ -44,13 +44,13 @@
 
 // firstHoldPriority returns the priority of the server's first hold: servers with urgent
 // runs come first, then other busy servers, then idle ones.
-func (s *session) firstHoldPriority() intake.Class {
-	class := intake.Idle
+func (s *session) firstHoldPriority() recovery.Priority {
+	class := recovery.Idle
 	for _, r := range s.runs {
 		if r.urgent {
-			return intake.Urgent
+			return recovery.Urgent
 		}
-		class = intake.Busy
+		class = recovery.Busy
 	}
 	return class
 }
--- a/internal/control/dispatch/sweep.go
+++ b/internal/control/dispatch/sweep.go
@@ -35,7 +35,7 @@
 			delete(d.leader.adviceByStep, id)
 		}
 	}
-	maps.DeleteFunc(d.leader.stepTimes, func(id flow.StepID, _ steps.Times) bool {
+	maps.DeleteFunc(d.leader.stepTimes, func(id flow.StepID, _ steps.Timing) bool {
 		s, ok := ledger.Step(id)
 		return !ok || s.Done == len(s.Tasks)
 	})
--- a/internal/control/dispatch/takeover_test.go
+++ b/internal/control/dispatch/takeover_test.go
@@ -125,14 +125,14 @@
 // would have no helper to ask the adviser, and callers would wait for the next greeting.
 func TestNewLeaderAnnouncesItself(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
-		w.runAndWait(func() { w.isLeader = false; w.dispatcher.Deposed() })
+		w.runAndWait(func() { w.isLeader = false; w.dispatcher.OnDeposed() })
 		for _, address := range []string{"entry1", "entry2"} {
 			w.dispatcher.RegisterProcess(&inner.Greeting{Address: address})
 		}
 		w.runAndWait(func() {
 			w.term++
 			w.isLeader = true
-			w.dispatcher.Elected(w.term, w.now())
+			w.dispatcher.OnElected(w.term, w.now())
 		})
 		time.Sleep(10 * time.Millisecond)
 		w.mu.Lock()
--- a/internal/control/dispatch/urgent.go
+++ b/internal/control/dispatch/urgent.go
@@ -46,7 +46,7 @@
 	}
 	demand.decay(now)
 	size := placement.Size()
-	demand.tasks += float64(len(placement.Places))
+	demand.tasks += float64(len(placement.Assignments))
 	demand.cpu += float64(size.CPU)
 	demand.memory += float64(size.Memory)
 	demand.accel += float64(size.Accel)
--- a/internal/control/dispatch/zone.go
+++ b/internal/control/dispatch/zone.go
@@ -85,7 +85,7 @@
 	}
 	for _, s := range d.leader.sortedSessions {
 		b, known := ledger.Server(s.id)
-		if known && ledger.Takes(b) && s.isUsable(now) && b.Pool == q.GetPool() && steps.Labelled(step.Spec.GetLabel(), b) && flow.SizeOf(step.Spec).Fits(b.Free()) {
+		if known && ledger.Takes(b) && s.isUsable(now) && b.Pool == q.GetPool() && steps.HasLabel(step.Spec.GetLabel(), b) && flow.SizeOf(step.Spec).Fits(b.Free()) {
 			return true
 		}
 	}
--- a/internal/control/leader/part.go
+++ b/internal/control/leader/part.go
@@ -10,17 +10,17 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// Part is a further part of the control thread: it decides while the replica
+// Extension is a further part of the control thread: it decides while the replica
 // leads, through the methods of the Leader below. All its methods are called on
 // the control thread.
-type Part interface {
-	// Elected is called when the replica begins to lead.
-	Elected(term uint64, elected time.Duration)
-	// Deposed is called when it leads no more; what was decided and not
+type Extension interface {
+	// OnElected is called when the replica begins to lead.
+	OnElected(term uint64, elected time.Duration)
+	// OnDeposed is called when it leads no more; what was decided and not
 	// committed is void.
-	Deposed()
-	// Turn is called at the end of each turn, before its commands are proposed.
-	Turn()
+	OnDeposed()
+	// BeforePropose is called at the end of each turn, before its commands are proposed.
+	BeforePropose()
 	// Tick is called now and then, for what is due.
 	Tick(now time.Duration)
 }
@@ -81,7 +81,7 @@
 // IsSynced tells whether a member has all but the latest entries on its disk. It
 // asks the group, so it is for rare questions.
 func (l *Leader) IsSynced(id string) bool {
-	return l.Matches != nil && l.lead != nil && l.Matches()[id]+nearly >= l.lead.committed
+	return l.MatchIndexes != nil && l.lead != nil && l.MatchIndexes()[id]+nearly >= l.lead.committed
 }
 
 // Post runs fn on the control thread. It may be called on any goroutine but
