--- a/internal/control/dispatch/advice.go
+++ b/internal/control/dispatch/advice.go
@@ -14,210 +14,216 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// Bounds of questions to the adviser.
+// Limits of questions to the adviser.
 const (
-	// permitParts is the part of a permit's time that is kept for the commit and
-	// the way to the server: a start with a permit that is over is refused.
-	permitParts = 5
-	// adviceSlack is what a question may take beyond what it should.
-	adviceSlack = time.Second
-	// askPause is the pause before a question that failed is asked again.
-	askPause = 100 * time.Millisecond
+	// permitMarginDivisor is the divisor of a permit's validity that gives the time
+	// reserved for the commit and the call to the server. A server refuses a start whose
+	// permit has expired.
+	permitMarginDivisor = 5
+	// adviceTimeoutMargin is added to the expected duration of a question to obtain its
+	// timeout.
+	adviceTimeoutMargin = time.Second
+	// adviceRetryPause is the pause before a failed question is sent again.
+	adviceRetryPause = 100 * time.Millisecond
 )
 
-// advice is what is known of the adviser's mind about one step.
-type advice struct {
-	// may tells which servers may run the step; it never changes.
-	may map[string]bool
-	// permits are those at hand, by server.
+// stepAdvice holds the adviser's answers about one step.
+type stepAdvice struct {
+	// allowedServers tells for each server asked about whether it may run the step. The
+	// adviser never changes that answer.
+	allowedServers map[string]bool
+	// permits holds the latest permit of each server.
 	permits map[string]permit
-	// asking counts the questions under way.
-	asking int
-	next   time.Duration
+	// pendingQuestions is the number of questions that are not answered yet.
+	pendingQuestions int
+	nextQuestionAt   time.Duration
 }
 
 type permit struct {
-	ticket string
-	born   int64
-	until  time.Duration
+	ticket      string
+	incarnation int64
+	validUntil  time.Duration
 }
 
-// known tells the planner what is known of a step on servers.
-func (d *Dispatcher) known(id flow.StepID) iter.Seq2[string, steps.Permission] {
-	a := d.lead.advice[id]
-	if a == nil {
-		a = &advice{}
+// permissionsFor returns the known permissions of a step by server, for the planner.
+func (d *Dispatcher) permissionsFor(id flow.StepID) iter.Seq2[string, steps.Permission] {
+	known := d.leader.adviceByStep[id]
+	if known == nil {
+		known = &stepAdvice{}
 	}
-	return steps.Permissions(a.may, func(server string) bool {
-		p, ok := a.permits[server]
-		s := d.lead.sessions[server]
-		return ok && d.lead.planned < p.until && s != nil && s.born == p.born
+	return steps.Permissions(known.allowedServers, func(server string) bool {
+		held, ok := known.permits[server]
+		sess := d.leader.sessions[server]
+		return ok && d.leader.plannedAt < held.validUntil && sess != nil && sess.incarnation == held.incarnation
 	})
 }
 
-// questions asks what a plan wants to know, as far as helpers are free, and keeps
-// the rest for those that become free before the next plan.
-func (d *Dispatcher) questions(wants []steps.Question, now time.Duration) {
-	d.lead.wants = wants
-	d.askMore(now)
+// replaceQuestions replaces the pending questions by those of a new plan and sends as many
+// as there are free helpers. The rest is sent when helpers become free before the next
+// plan.
+func (d *Dispatcher) replaceQuestions(wants []steps.Question, now time.Duration) {
+	d.leader.pendingQuestions = wants
+	d.askPendingQuestions(now)
 }
 
-// askMore asks what the latest plan wants to know, as far as helpers are free. With
-// much waiting, a helper that rested until the next plan would give one answer a
-// plan, however quick the adviser is.
-func (d *Dispatcher) askMore(now time.Duration) {
-	var left []steps.Question
-	var none busy
-	shortest := d.shortest()
-	for i, w := range d.lead.wants {
-		if none.short {
-			left = append(left, d.lead.wants[i:]...)
+// askPendingQuestions sends pending questions of the latest plan while helpers are free. It
+// also runs after each answer. Otherwise a helper would answer only one question per plan
+// under high load, even if the adviser is fast.
+func (d *Dispatcher) askPendingQuestions(now time.Duration) {
+	var remaining []steps.Question
+	var busy busyHelpers
+	shortest := d.shortestQuestion()
+	for i, want := range d.leader.pendingQuestions {
+		if busy.shortQuestions {
+			remaining = append(remaining, d.leader.pendingQuestions[i:]...)
 			break
 		}
-		if !d.askAbout(w, shortest, &none, now) {
-			left = append(left, w)
+		if !d.askAdviserAbout(want, shortest, &busy, now) {
+			remaining = append(remaining, want)
 		}
 	}
-	d.lead.wants = left
+	d.leader.pendingQuestions = remaining
 }
 
-// busy tells for which questions no helper is free.
-type busy struct{ short, long bool }
+// busyHelpers records for which kinds of questions no helper is free.
+type busyHelpers struct{ shortQuestions, longQuestions bool }
 
-// askAbout asks what is wanted of a step; false when no helper is free for it.
-func (d *Dispatcher) askAbout(w steps.Question, shortest time.Duration, none *busy, now time.Duration) bool {
-	q, ok := d.Host.Flows().QueueOf(w.Item.Flow)
-	if !ok || q.GetAdvice() == nil || w.Item.Flow.Final() || w.Item.Queued == 0 {
+// askAdviserAbout sends the questions about one step. It returns false when no helper is
+// free for them.
+func (d *Dispatcher) askAdviserAbout(want steps.Question, shortest time.Duration, busy *busyHelpers, now time.Duration) bool {
+	q, ok := d.Host.Flows().QueueOf(want.Item.Flow)
+	if !ok || q.GetAdvice() == nil || want.Item.Flow.Final() || want.Item.Queued == 0 {
 		return true
 	}
-	a := d.lead.advice[w.Item.StepID]
-	if a == nil {
-		a = &advice{may: map[string]bool{}, permits: map[string]permit{}}
-		d.lead.advice[w.Item.StepID] = a
+	advice := d.leader.adviceByStep[want.Item.StepID]
+	if advice == nil {
+		advice = &stepAdvice{allowedServers: map[string]bool{}, permits: map[string]permit{}}
+		d.leader.adviceByStep[want.Item.StepID] = advice
 	}
-	if a.asking > 0 || now < a.next {
+	if advice.pendingQuestions > 0 || now < advice.nextQuestionAt {
 		return true
 	}
-	whole := helpers.IsLong(steps.QuestionDuration(q.GetAdvice(), len(w.Servers)), shortest)
-	if whole && none.long {
+	isLong := helpers.IsLong(steps.QuestionDuration(q.GetAdvice(), len(want.Servers)), shortest)
+	if isLong && busy.longQuestions {
 		return false
 	}
-	for i, servers := range d.crew.SplitServers(w.Servers, steps.MaxServersPerQuestion, whole, now) {
-		takes := steps.QuestionDuration(q.GetAdvice(), len(servers))
-		long := helpers.IsLong(takes, shortest)
-		h := d.crew.Acquire(long, now)
-		if h == nil {
-			none.long = true
-			none.short = none.short || !long
+	for i, servers := range d.helperPool.SplitServers(want.Servers, steps.MaxServersPerQuestion, isLong, now) {
+		expectedTime := steps.QuestionDuration(q.GetAdvice(), len(servers))
+		long := helpers.IsLong(expectedTime, shortest)
+		helper := d.helperPool.Acquire(long, now)
+		if helper == nil {
+			busy.longQuestions = true
+			busy.shortQuestions = busy.shortQuestions || !long
 			return i > 0
 		}
-		d.question(h, steps.Question{Item: w.Item, Servers: servers}, a, q.GetAdvice(), takes)
+		d.sendQuestion(helper, steps.Question{Item: want.Item, Servers: servers}, advice, q.GetAdvice(), expectedTime)
 	}
 	return true
 }
 
-// shortest returns the time of the shortest kind of question there is.
-func (d *Dispatcher) shortest() time.Duration {
-	var least time.Duration
+// shortestQuestion returns the shortest expected duration of a question over all queues.
+func (d *Dispatcher) shortestQuestion() time.Duration {
+	var shortest time.Duration
 	for _, q := range d.Host.Flows().Config().GetQueues() {
 		if q.GetAdvice() == nil {
 			continue
 		}
-		if c := steps.QuestionDuration(q.GetAdvice(), steps.MinServersPerQuestion); least == 0 || c < least {
-			least = c
+		if cost := steps.QuestionDuration(q.GetAdvice(), steps.MinServersPerQuestion); shortest == 0 || cost < shortest {
+			shortest = cost
 		}
 	}
-	return least
+	return shortest
 }
 
-// question lets a helper ask the adviser.
-func (d *Dispatcher) question(h *helpers.Helper, w steps.Question, a *advice, terms *v1.Advice, takes time.Duration) {
-	id := w.Item.StepID
-	a.asking++
-	lives := map[string]int64{}
-	for _, s := range w.Servers {
-		if one := d.lead.sessions[s]; one != nil {
-			lives[s] = one.born
+// sendQuestion asks the adviser through a helper.
+func (d *Dispatcher) sendQuestion(helper *helpers.Helper, want steps.Question, advice *stepAdvice, config *v1.Advice, expectedTime time.Duration) {
+	id := want.Item.StepID
+	advice.pendingQuestions++
+	incarnations := map[string]int64{}
+	for _, s := range want.Servers {
+		if sess := d.leader.sessions[s]; sess != nil {
+			incarnations[s] = sess.incarnation
 		}
 	}
-	timeout := takes + adviceSlack
+	timeout := expectedTime + adviceTimeoutMargin
 	req := &inner.AdviseRequest{
-		Cell: d.Cell, Flow: id.Flow, Turn: id.Turn, Step: id.Step, Servers: w.Servers, Budget: uint64(timeout / time.Millisecond),
+		Cell: d.Cell, Flow: id.Flow, Turn: id.Turn, Step: id.Step, Servers: want.Servers, Budget: uint64(timeout / time.Millisecond),
 	}
-	term, ctx, address, sent := d.lead.term, d.lead.ctx, h.Address, d.Now()
+	term, ctx, address, sentAt := d.leader.term, d.leader.ctx, helper.Address, d.Now()
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		rep := d.Helpers.Advise(ctx, address, req)
-		came := d.Now()
+		reply := d.Helpers.Advise(ctx, address, req)
+		receivedAt := d.Now()
 		d.Host.Post(func() {
-			d.crew.Release(h, code.Code(rep.GetCode()) == code.OK, came)
-			if d.lead != nil && d.lead.term == term {
-				d.advised(id, a, lives, rep, terms, sent, came)
-				d.askMore(came)
+			d.helperPool.Release(helper, code.Code(reply.GetCode()) == code.OK, receivedAt)
+			if d.leader != nil && d.leader.term == term {
+				d.handleAdvice(id, advice, incarnations, reply, config, sentAt, receivedAt)
+				d.askPendingQuestions(receivedAt)
 			}
 		})
 	}()
 }
 
-// advised takes the adviser's answer.
-func (d *Dispatcher) advised(id flow.StepID, a *advice, lives map[string]int64, rep *inner.AdviseReply, terms *v1.Advice, sent, came time.Duration) {
-	a.asking--
-	d.lead.dirty = true
-	d.meter.advise(code.Code(rep.GetCode()), came-sent)
-	if c := code.Code(rep.GetCode()); c != code.OK {
-		a.next = came + askPause
-		event.Log(d.Log, event.AdviceFailed, "flow", id.Flow, "step", id.String(), "code", uint32(c), "detail", rep.GetDetail(), "took", (came - sent).String())
+// handleAdvice processes the adviser's answer.
+func (d *Dispatcher) handleAdvice(id flow.StepID, advice *stepAdvice, incarnations map[string]int64, reply *inner.AdviseReply, config *v1.Advice, sentAt, receivedAt time.Duration) {
+	advice.pendingQuestions--
+	d.leader.planNeeded = true
+	d.flowMetrics.observeQuestion(code.Code(reply.GetCode()), receivedAt-sentAt)
+	if c := code.Code(reply.GetCode()); c != code.OK {
+		advice.nextQuestionAt = receivedAt + adviceRetryPause
+		event.Log(d.Log, event.AdviceFailed, "flow", id.Flow, "step", id.String(), "code", uint32(c), "detail", reply.GetDetail(), "took", (receivedAt - sentAt).String())
 		return
 	}
-	valid := rep.GetValid()
-	if valid == 0 {
-		valid = terms.GetValid()
+	validMillis := reply.GetValid()
+	if validMillis == 0 {
+		validMillis = config.GetValid()
 	}
-	until := came + time.Duration(valid)*time.Millisecond*(permitParts-1)/permitParts
-	news, allowed := 0, 0
-	for server := range lives {
-		if _, known := a.may[server]; !known {
-			a.may[server] = false
-			news++
+	validUntil := receivedAt + time.Duration(validMillis)*time.Millisecond*(permitMarginDivisor-1)/permitMarginDivisor
+	newServers, newlyAllowed := 0, 0
+	for server := range incarnations {
+		if _, known := advice.allowedServers[server]; !known {
+			advice.allowedServers[server] = false
+			newServers++
 		}
 	}
-	for _, p := range rep.GetPermits() {
-		if !a.may[p.GetServer()] {
-			allowed++
+	for _, granted := range reply.GetPermits() {
+		if !advice.allowedServers[granted.GetServer()] {
+			newlyAllowed++
 		}
-		a.may[p.GetServer()] = true
-		a.permits[p.GetServer()] = permit{ticket: p.GetTicket(), born: lives[p.GetServer()], until: until}
+		advice.allowedServers[granted.GetServer()] = true
+		advice.permits[granted.GetServer()] = permit{ticket: granted.GetTicket(), incarnation: incarnations[granted.GetServer()], validUntil: validUntil}
 	}
-	d.learnShare(id, news, allowed)
-	event.Log(d.Log, event.AdviceTaken, "flow", id.Flow, "step", id.String(), "asked", len(lives), "permits", len(rep.GetPermits()), "took", (came - sent).String())
+	d.learnPermitShare(id, newServers, newlyAllowed)
+	event.Log(d.Log, event.AdviceTaken, "flow", id.Flow, "step", id.String(), "asked", len(incarnations), "permits", len(reply.GetPermits()), "took", (receivedAt - sentAt).String())
 }
 
-// usualShare is the part of the servers asked about that may run a step, while
-// nothing is known of its queue; shareWeight is the weight of the latest answer.
+// defaultPermitShare is the assumed share of servers that are permitted to run a step while
+// a queue has no answers yet. permitShareWeight is the weight of the latest answer in the
+// moving average.
 const (
-	usualShare  = 0.5
-	shareWeight = 0.1
+	defaultPermitShare = 0.5
+	permitShareWeight  = 0.1
 )
 
-// learnShare notes which part of the servers that were asked about for the first
-// time may run a step.
-func (d *Dispatcher) learnShare(id flow.StepID, asked, permits int) {
+// learnPermitShare updates a queue's share of permitted servers from an answer. Only
+// servers that were asked about for the first time count.
+func (d *Dispatcher) learnPermitShare(id flow.StepID, askedServers, permittedServers int) {
 	f, ok := d.Host.Flows().Flow(id.Flow)
-	if !ok || asked == 0 {
+	if !ok || askedServers == 0 {
 		return
 	}
-	old, known := d.lead.shares[f.Queue]
+	share, known := d.leader.permitShares[f.Queue]
 	if !known {
-		old = usualShare
+		share = defaultPermitShare
 	}
-	d.lead.shares[f.Queue] = old + shareWeight*(float64(permits)/float64(asked)-old)
+	d.leader.permitShares[f.Queue] = share + permitShareWeight*(float64(permittedServers)/float64(askedServers)-share)
 }
 
-// granted returns the part of the servers asked about that usually may run a step.
-func (d *Dispatcher) granted(it steps.Item) float64 {
-	if share, ok := d.lead.shares[it.Flow.Queue]; ok {
+// permitShare returns the expected share of servers that are permitted to run a step.
+func (d *Dispatcher) permitShare(item steps.Item) float64 {
+	if share, ok := d.leader.permitShares[item.Flow.Queue]; ok {
 		return share
 	}
-	return usualShare
+	return defaultPermitShare
 }
--- a/internal/control/dispatch/ask.go
+++ b/internal/control/dispatch/ask.go
@@ -14,20 +14,22 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// comeBack is when a caller may return to a cell that is full: about the time
-// in which a second's worth of short flows ends.
-const comeBack = time.Second
+// retryDelay is sent to callers that a full cell refuses. In about this time as many short
+// flows end as arrive in a second.
+const retryDelay = time.Second
 
-// errNotLeading tells that nothing was done here.
+// errNotLeading is returned when this replica does not lead and has not executed the
+// request.
 var errNotLeading = code.New(code.NoLeader, "this replica does not lead")
 
-// errDeposed tells that it is not known here what becomes of a request.
-var errDeposed = code.New(code.Unanswered, "the leader changed meanwhile")
+// errDeposed is returned when the outcome of a request is unknown because the replica was
+// deposed.
+var errDeposed = code.New(code.Unanswered, "the leader changed before the request was committed; its outcome is unknown")
 
-// ask runs fn on the control thread while this replica leads. fn calls reply
-// once, then or later. A request that is still open when the replica is deposed
-// is answered with lost.
-func ask[T any](ctx context.Context, d *Dispatcher, lost *code.Error, fn func(reply func(T))) (T, *code.Error) {
+// runOnLeader runs fn on the control thread if this replica leads, and waits for the reply.
+// fn calls reply once, immediately or later. A request without a reply fails with
+// deposedErr when the replica is deposed.
+func runOnLeader[T any](ctx context.Context, d *Dispatcher, deposedErr *code.Error, fn func(reply func(T))) (T, *code.Error) {
 	type result struct {
 		value T
 		err   *code.Error
@@ -35,18 +37,18 @@
 	var zero T
 	answered := make(chan result, 1)
 	ok := d.Host.Post(func() {
-		if d.lead == nil || !d.Host.Leads() {
+		if d.leader == nil || !d.Host.Leads() {
 			answered <- result{err: errNotLeading}
 			return
 		}
-		ld := d.lead
-		ld.serial++
-		serial := ld.serial
-		ld.asked[serial] = func() { answered <- result{err: lost} }
-		fn(func(v T) {
-			if _, open := ld.asked[serial]; open {
-				delete(ld.asked, serial)
-				answered <- result{value: v}
+		leader := d.leader
+		leader.lastRequestID++
+		requestID := leader.lastRequestID
+		leader.pendingRequests[requestID] = func() { answered <- result{err: deposedErr} }
+		fn(func(value T) {
+			if _, pending := leader.pendingRequests[requestID]; pending {
+				delete(leader.pendingRequests, requestID)
+				answered <- result{value: value}
 			}
 		})
 	})
@@ -57,48 +59,48 @@
 	case r := <-answered:
 		return r.value, r.err
 	case <-ctx.Done():
-		return zero, code.New(code.Unanswered, "no decision in time")
+		return zero, code.New(code.Unanswered, "no decision before the timeout of the request")
 	}
 }
 
-// Ask answers a caller's request; it may be called on any goroutine.
+// Ask answers a caller's request. It is safe for concurrent use.
 func (d *Dispatcher) Ask(ctx context.Context, a *inner.FlowAsk) *inner.FlowAnswer {
-	received := d.Now()
-	rep, err := ask(ctx, d, errDeposed, func(reply func(*inner.FlowAnswer)) {
-		if a.GetTerm() > d.lead.term {
-			// A later leader has answered this entry already: what is said
-			// here could be older than what its callers have seen.
-			reply(refusal(errNotLeading, 0))
+	receivedAt := d.Now()
+	answer, err := runOnLeader(ctx, d, errDeposed, func(reply func(*inner.FlowAnswer)) {
+		if a.GetTerm() > d.leader.term {
+			// A later leader has already answered this entry. An answer of this replica
+			// could be older than that answer.
+			reply(refusalAnswer(errNotLeading, 0))
 			return
 		}
-		term := d.lead.term
-		d.answer(a, received, func(r *inner.FlowAnswer) {
+		term := d.leader.term
+		d.handleAsk(a, receivedAt, func(r *inner.FlowAnswer) {
 			r.Term = term
 			reply(r)
 		})
 	})
 	if err != nil {
-		return refusal(err, 0)
+		return refusalAnswer(err, 0)
 	}
-	return rep
+	return answer
 }
 
-func refusal(err *code.Error, retry time.Duration) *inner.FlowAnswer {
-	return &inner.FlowAnswer{Code: uint32(err.Code), Detail: err.Detail, Retry: uint64(retry / time.Millisecond)}
+func refusalAnswer(err *code.Error, retryAfter time.Duration) *inner.FlowAnswer {
+	return &inner.FlowAnswer{Code: uint32(err.Code), Detail: err.Detail, Retry: uint64(retryAfter / time.Millisecond)}
 }
 
-// answer handles one request. Place and key are checked against the document
-// that is in force now, before anything of the request is looked at.
-func (d *Dispatcher) answer(a *inner.FlowAsk, received time.Duration, reply func(*inner.FlowAnswer)) {
+// handleAsk handles one request. The path and the key are checked against the active
+// configuration before the content of the request is used.
+func (d *Dispatcher) handleAsk(a *inner.FlowAsk, receivedAt time.Duration, reply func(*inner.FlowAnswer)) {
 	ledger := d.Host.Flows()
 	config := ledger.Config()
 	if config.GetVersion() == 0 {
-		reply(refusal(code.New(code.NoLeader, "no configuration yet"), comeBack))
+		reply(refusalAnswer(code.New(code.NoLeader, "no configuration document has been put"), retryDelay))
 		return
 	}
-	// A refusal tells of the document; it must not tell of one that is not
-	// committed yet, and may never be.
-	refuse := func(err *code.Error) { d.Host.After(func() { reply(refusal(err, 0)) }) }
+	// A refusal depends on the configuration. It is sent after the commit of that
+	// configuration, which may otherwise never take effect.
+	refuse := func(err *code.Error) { d.Host.AfterCommit(func() { reply(refusalAnswer(err, 0)) }) }
 	q, id, ok := config.At(a.GetHost(), a.GetPath())
 	if !ok {
 		refuse(code.New(code.Forbidden, "no queue at %s%s", a.GetHost(), a.GetPath()))
@@ -108,150 +110,153 @@
 	if c, known := config.Owner(a.GetKey()); known {
 		owner = c.GetName()
 	} else if !q.GetOpen() {
-		d.meter.refused(code.BadKey)
+		d.flowMetrics.countRefusal(code.BadKey)
 		refuse(code.New(code.BadKey, ""))
 		return
 	}
 	switch a.GetVerb() {
 	case inner.FlowVerb_FLOW_VERB_SUBMIT:
 		if a.GetSpec().GetId() != id {
-			refuse(code.New(code.Malformed, "the flow is named %q, its place %q", a.GetSpec().GetId(), id))
+			refuse(code.New(code.Malformed, "flow id %q does not match the id %q in the request path", a.GetSpec().GetId(), id))
 			return
 		}
-		d.submit(a, q, owner, reply)
+		d.submitFlow(a, q, owner, reply)
 	case inner.FlowVerb_FLOW_VERB_CANCEL:
-		d.cancel(id, owner, received, reply)
+		d.cancelFlow(id, owner, receivedAt, reply)
 	case inner.FlowVerb_FLOW_VERB_STATE:
-		d.state(id, owner, received, reply)
+		d.replyState(id, owner, receivedAt, reply)
 	case inner.FlowVerb_FLOW_VERB_PENDING:
-		d.Host.After(func() { reply(&inner.FlowAnswer{Pending: uint32(d.Host.Flows().Pending(q.GetName()))}) })
+		d.Host.AfterCommit(func() { reply(&inner.FlowAnswer{Pending: uint32(d.Host.Flows().Pending(q.GetName()))}) })
 	default:
-		reply(refusal(code.New(code.Malformed, "no such call"), 0))
+		reply(refusalAnswer(code.New(code.Malformed, "unknown request verb %d", a.GetVerb()), 0))
 	}
 }
 
-// submit accepts a flow once it is in the ledger. The same id again is the same
-// flow.
-func (d *Dispatcher) submit(a *inner.FlowAsk, q *v1.Queue, owner string, reply func(*inner.FlowAnswer)) {
+// submitFlow adds a flow to the ledger and replies after the commit. A repeated submit with
+// the same id is idempotent.
+func (d *Dispatcher) submitFlow(a *inner.FlowAsk, q *v1.Queue, owner string, reply func(*inner.FlowAnswer)) {
 	ledger := d.Host.Flows()
 	id := a.GetSpec().GetId()
 	if f, ok := ledger.Flow(id); ok {
 		if f.Customer != owner {
-			reply(refusal(code.New(code.IDReused, "%s", id), 0))
+			reply(refusalAnswer(code.New(code.IDReused, "%s", id), 0))
 			return
 		}
-		d.Host.After(func() { reply(stateOf(f)) })
+		d.Host.AfterCommit(func() { reply(stateAnswer(f)) })
 		return
 	}
-	if err, retry := d.admit(a, q); err != nil {
-		d.meter.refused(err.Code)
-		event.Fail(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", owner, "open", ledger.Open(), "retry", retry.String())
-		reply(refusal(err, retry))
+	if err, retryAfter := d.checkAdmission(a, q); err != nil {
+		d.flowMetrics.countRefusal(err.Code)
+		event.Fail(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", owner, "open", ledger.Open(), "retry", retryAfter.String())
+		reply(refusalAnswer(err, retryAfter))
 		return
 	}
-	accept := &record.FlowAccept{Queue: q.GetName(), Customer: owner, Spec: a.GetSpec()}
-	if !d.decide(&record.Flow{What: &record.Flow_Accept{Accept: accept}}) {
-		reply(refusal(code.New(code.Internal, "%s", id), 0))
+	acceptance := &record.FlowAccept{Queue: q.GetName(), Customer: owner, Spec: a.GetSpec()}
+	if !d.applyOrLog(&record.Flow{What: &record.Flow_Accept{Accept: acceptance}}) {
+		reply(refusalAnswer(code.New(code.Internal, "%s", id), 0))
 		return
 	}
 	if a.GetSpec().GetTimes() > 0 {
-		d.lead.timed[id] = true
+		d.leader.recurringFlows[id] = true
 	}
-	d.share(owner, id)
-	begin := d.Now()
-	d.Host.After(func() {
-		d.meter.accepted.Inc()
-		d.meter.commit.Update((d.Now() - begin).Seconds())
-		event.Log(d.Log, event.FlowAccepted, "flow", id, "queue", q.GetName(), "customer", owner, "version", ledger.Config().GetVersion(), "steps", len(a.GetSpec().GetSteps()), "aim", steps.Objective(a.GetSpec(), q).String(), "term", d.lead.term)
+	d.markSurplusFlow(owner, id)
+	startedAt := d.Now()
+	d.Host.AfterCommit(func() {
+		d.flowMetrics.accepted.Inc()
+		d.flowMetrics.commitSeconds.Update((d.Now() - startedAt).Seconds())
+		event.Log(d.Log, event.FlowAccepted, "flow", id, "queue", q.GetName(), "customer", owner, "version", ledger.Config().GetVersion(), "steps", len(a.GetSpec().GetSteps()), "aim", steps.Objective(a.GetSpec(), q).String(), "term", d.leader.term)
 		reply(&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_QUEUED})
 	})
 }
 
-// admit tells why a flow is not taken, or nil, and when to come back.
-func (d *Dispatcher) admit(a *inner.FlowAsk, q *v1.Queue) (*code.Error, time.Duration) {
+// checkAdmission returns why a flow is refused and the time after which the caller may
+// retry, or nil if the flow is admitted.
+func (d *Dispatcher) checkAdmission(a *inner.FlowAsk, q *v1.Queue) (*code.Error, time.Duration) {
 	if err := flow.Check(a.GetSpec()); err != nil {
 		return err, 0
 	}
-	if d.Host.Full() {
-		return code.New(code.DiskFull, ""), comeBack
+	if d.Host.DiskFull() {
+		return code.New(code.DiskFull, ""), retryDelay
 	}
-	if d.Host.Flows().Open() >= d.Open {
-		return code.New(code.Overloaded, "%d flows wait or run", d.Open), comeBack
+	if d.Host.Flows().Open() >= d.MaxOpenFlows {
+		return code.New(code.Overloaded, "the limit of %d open flows is reached", d.MaxOpenFlows), retryDelay
 	}
-	if d.closed(q.GetPool()) {
-		return code.New(code.Overloaded, "every zone of pool %s is drained", q.GetPool()), comeBack
+	if d.allZonesDrained(q.GetPool()) {
+		return code.New(code.Overloaded, "every zone of pool %s is drained", q.GetPool()), retryDelay
 	}
 	return nil, 0
 }
 
-func stateOf(f *flows.Flow) *inner.FlowAnswer { return &inner.FlowAnswer{State: f.State} }
+func stateAnswer(f *flows.Flow) *inner.FlowAnswer { return &inner.FlowAnswer{State: f.State} }
 
-// state tells how a flow stands once that is committed. That a flow is not
-// known is told only with a proof that this replica leads now: a leader that was
-// deposed unnoticed would deny flows that another has accepted.
-func (d *Dispatcher) state(id, owner string, received time.Duration, reply func(*inner.FlowAnswer)) {
-	d.find(id, owner, received, reply, func(f *flows.Flow) {
-		said := stateOf(f)
-		d.Host.After(func() { reply(said) })
+// replyState replies with the state of a flow after that state is committed. The reply that
+// a flow is unknown requires a proof of leadership: a deposed leader would not know the
+// flows that its successor accepted.
+func (d *Dispatcher) replyState(id, owner string, receivedAt time.Duration, reply func(*inner.FlowAnswer)) {
+	d.withFlow(id, owner, receivedAt, reply, func(f *flows.Flow) {
+		answer := stateAnswer(f)
+		d.Host.AfterCommit(func() { reply(answer) })
 	})
 }
 
-// find calls fn with a flow of the customer, or refuses.
-func (d *Dispatcher) find(id, owner string, received time.Duration, reply func(*inner.FlowAnswer), fn func(*flows.Flow)) {
+// withFlow calls fn with the flow if it exists and belongs to the customer, and refuses the
+// request otherwise.
+func (d *Dispatcher) withFlow(id, owner string, receivedAt time.Duration, reply func(*inner.FlowAnswer), fn func(*flows.Flow)) {
 	if f, ok := d.Host.Flows().Flow(id); ok && f.Customer == owner {
 		fn(f)
 		return
 	}
-	d.Host.Proved(received, func() {
+	d.Host.AfterLeadershipProof(receivedAt, func() {
 		if f, ok := d.Host.Flows().Flow(id); ok && f.Customer == owner {
 			fn(f)
 			return
 		}
-		reply(refusal(code.New(code.Unknown, "%s", id), 0))
+		reply(refusalAnswer(code.New(code.Unknown, "%s", id), 0))
 	})
 }
 
-// cancel ends a flow; it is told once it is committed, and binds every start
-// that is decided after.
-func (d *Dispatcher) cancel(id, owner string, received time.Duration, reply func(*inner.FlowAnswer)) {
-	d.find(id, owner, received, reply, func(f *flows.Flow) {
+// cancelFlow cancels a flow and replies after the commit. No task of the flow is started
+// after the cancellation is applied.
+func (d *Dispatcher) cancelFlow(id, owner string, receivedAt time.Duration, reply func(*inner.FlowAnswer)) {
+	d.withFlow(id, owner, receivedAt, reply, func(f *flows.Flow) {
 		if !f.Final() {
-			event.Log(d.Log, event.FlowCancelled, "flow", id, "held", f.Held, "term", d.lead.term)
-			d.decide(&record.Flow{What: &record.Flow_Cancel{Cancel: &record.FlowCancel{Id: id}}})
+			event.Log(d.Log, event.FlowCancelled, "flow", id, "held", f.Held, "term", d.leader.term)
+			d.applyOrLog(&record.Flow{What: &record.Flow_Cancel{Cancel: &record.FlowCancel{Id: id}}})
 		}
-		d.Host.After(func() { reply(stateOf(f)) })
+		d.Host.AfterCommit(func() { reply(stateAnswer(f)) })
 	})
 }
 
-// Put puts a configuration document in force. One that is not newer than that
-// in force is acknowledged without effect; an unsound one is refused.
+// Put activates a configuration document. A document that is not newer than the active one
+// is acknowledged without effect. An invalid document is refused.
 func (d *Dispatcher) Put(ctx context.Context, doc *v1.Document) *code.Error {
 	if err := flow.CheckDocument(doc); err != nil {
 		event.Fail(d.Log, event.DocumentRefused, err, "version", doc.GetVersion())
 		return err
 	}
-	received := d.Now()
-	_, err := ask(ctx, d, errDeposed, func(reply func(struct{})) {
-		held := d.Host.Flows().Config().GetVersion()
-		if doc.GetVersion() > held {
-			d.decide(&record.Flow{What: &record.Flow_Document{Document: doc}})
+	receivedAt := d.Now()
+	_, err := runOnLeader(ctx, d, errDeposed, func(reply func(struct{})) {
+		currentVersion := d.Host.Flows().Config().GetVersion()
+		if doc.GetVersion() > currentVersion {
+			d.applyOrLog(&record.Flow{What: &record.Flow_Document{Document: doc}})
 		}
-		event.Log(d.Log, event.DocumentTaken, "version", doc.GetVersion(), "held", held, "bytes", len(doc.GetText()), "term", d.lead.term)
-		d.Host.After(func() { d.Host.Proved(received, func() { reply(struct{}{}) }) })
+		event.Log(d.Log, event.DocumentTaken, "version", doc.GetVersion(), "held", currentVersion, "bytes", len(doc.GetText()), "term", d.leader.term)
+		d.Host.AfterCommit(func() { d.Host.AfterLeadershipProof(receivedAt, func() { reply(struct{}{}) }) })
 	})
 	return err
 }
 
-// Read returns the document in force as it was sent, proved to be the newest.
+// Read returns the text of the active configuration document as it was sent. A proof of
+// leadership ensures that it is the newest one.
 func (d *Dispatcher) Read(ctx context.Context) ([]byte, *code.Error) {
-	received := d.Now()
-	text, err := ask(ctx, d, errNotLeading, func(reply func([]byte)) {
-		d.Host.Proved(received, func() {
-			d.Host.After(func() { reply(d.Host.Flows().Config().GetText()) })
+	receivedAt := d.Now()
+	text, err := runOnLeader(ctx, d, errNotLeading, func(reply func([]byte)) {
+		d.Host.AfterLeadershipProof(receivedAt, func() {
+			d.Host.AfterCommit(func() { reply(d.Host.Flows().Config().GetText()) })
 		})
 	})
 	if err == nil && text == nil {
-		return nil, code.New(code.NoLeader, "no configuration yet")
+		return nil, code.New(code.NoLeader, "no configuration document has been put")
 	}
 	return text, err
 }
--- /dev/null
+++ b/internal/control/dispatch/closing.go
@@ -0,0 +1,94 @@
+package dispatch
+
+import (
+	"time"
+
+	"gypsumreel/internal/api/inner"
+	"gypsumreel/internal/api/record"
+	"gypsumreel/internal/base/event"
+	"gypsumreel/internal/domain/flow"
+)
+
+// checkSession handles due holds, expired leases and sessions that are being closed.
+func (d *Dispatcher) checkSession(s *session, now time.Duration) {
+	if s.closeReason != "" {
+		d.closeWhenSettled(s, now)
+		return
+	}
+	if s.unresponsive && !s.holdPending && now >= s.nextHoldAt {
+		d.sendHold(s)
+	}
+	if now > s.leaseEndsAt && len(s.runs) > 0 && now-s.lastAnswerAt > d.leaseLength(s) {
+		event.Log(d.Log, event.ServerGone, "server", s.id, "born", s.incarnation, "heard", (now - s.lastAnswerAt).String(), "held", len(s.runs))
+		d.recordLostRuns(s, false)
+	}
+}
+
+// beginClosing starts to close the session of an incarnation that has ended. Starts in
+// transit may reach the next incarnation at the same address, so they are settled first.
+func (d *Dispatcher) beginClosing(s *session, reason string) {
+	if s.closeReason == "" {
+		s.closeReason, s.closingSince = reason, d.Now()
+		event.Log(d.Log, event.ServerGone, "server", s.id, "born", s.incarnation, "cause", reason, "held", len(s.runs))
+	}
+	d.closeWhenSettled(s, d.Now())
+}
+
+// closeWhenSettled closes a session when no start sent to it can still be executed. Each
+// unconfirmed start is stopped at the address, or its time limit passes. A run that such a
+// stop found on the next incarnation may continue for as long as a stop takes.
+func (d *Dispatcher) closeWhenSettled(s *session, now time.Duration) {
+	if now < s.closingSince+d.MaxLease+2*callTimeout {
+		for _, r := range s.runs {
+			if r.pendingOrders > 0 {
+				return
+			}
+			if r.mayReachNextIncarnation {
+				d.sendStop(s, r)
+				return
+			}
+			if r.nextIncarnationStoppedAt > 0 && now < r.nextIncarnationStoppedAt+d.MaxStopTime+leaseMargin {
+				return
+			}
+		}
+	}
+	d.recordLostRuns(s, true)
+	d.removeSession(s)
+}
+
+// recordLostRuns records in the ledger that none of the runs of a session is running any
+// more.
+func (d *Dispatcher) recordLostRuns(s *session, closed bool) {
+	cleared := &record.FlowClear{Id: s.id, Born: s.incarnation, Over: closed}
+	end := inner.RunEnd_RUN_END_LOST
+	if closed && d.endedUnexpectedly(s) {
+		end, cleared.Blamed = inner.RunEnd_RUN_END_CRASHED, d.blamedRuns(s)
+	}
+	wantedBefore, otherRuns := d.wantedRuns(s), len(s.runs)-1
+	for _, r := range s.runs {
+		if r.checkpoint != "" {
+			cleared.Saved = append(cleared.Saved, &record.FlowSaved{Run: r.Message(), Checkpoint: r.checkpoint})
+		}
+		event.Log(d.Log, event.AttemptLost, "flow", r.Flow, "run", r.String(), "server", s.id, "how", end.String(), "checkpoint", r.checkpoint, "over", closed, "age", d.runAge(s, r).String(), "beside", otherRuns)
+		d.flowMetrics.countRunEnd(end)
+	}
+	if d.applyOrLog(&record.Flow{What: &record.Flow_Clear{Clear: cleared}}) {
+		d.logFailedFlows(s, wantedBefore)
+		s.runs = map[flow.TaskID]*run{}
+		s.listReceived = false
+	}
+}
+
+// runAge returns how long a run had been started when its server became unresponsive, or
+// until now if the server responds. For a run that another leader placed, the time since
+// its placement is used.
+func (d *Dispatcher) runAge(s *session, r *run) time.Duration {
+	now := d.Now()
+	if s.unresponsive {
+		now = s.unresponsiveSince
+	}
+	if r.startSentAt > 0 {
+		return max(now-r.startSentAt, 0)
+	}
+	return max(d.Host.LedgerTime()-r.allocation.Since-(d.Now()-now), 0)
+}
--- a/internal/control/dispatch/crash.go
+++ b/internal/control/dispatch/crash.go
@@ -11,8 +11,8 @@
 	"gypsumreel/internal/policy/blame"
 )
 
-// task returns what the ledger has of the task of a run, if that is its latest.
-func (d *Dispatcher) task(r *run) (flows.Task, bool) {
+// currentTask returns the ledger's task of a run if the run is the latest one of that task.
+func (d *Dispatcher) currentTask(r *run) (flows.Task, bool) {
 	step, ok := d.Host.Flows().Step(r.StepID)
 	if !ok || int(r.Index) >= len(step.Tasks) || step.Tasks[r.Index].Number != r.Number {
 		return flows.Task{}, false
@@ -20,62 +20,62 @@
 	return step.Tasks[r.Index], true
 }
 
-// crashed tells whether a life of a server that is over ended without notice.
-func (d *Dispatcher) crashed(s *session) bool {
+// endedUnexpectedly reports whether the server's incarnation ended without prior notice.
+func (d *Dispatcher) endedUnexpectedly(s *session) bool {
 	b, ok := d.Host.Flows().Server(s.id)
 	return ok && !d.Host.Flows().Planned(b)
 }
 
-// blamed returns the runs that may have crashed a server.
-func (d *Dispatcher) blamed(s *session) []*inner.Run {
-	all := slices.DeleteFunc(d.wanted(s), func(r *run) bool { return r.placed > 0 && r.sent == 0 })
-	judged := make([]blame.Run, 0, len(all))
-	for _, r := range all {
-		t, _ := d.task(r)
-		judged = append(judged, blame.Run{Age: d.age(s, r), Blamed: t.Blamed})
+// blamedRuns returns the runs that may have caused the crash of a server.
+func (d *Dispatcher) blamedRuns(s *session) []*inner.Run {
+	candidates := slices.DeleteFunc(d.wantedRuns(s), func(r *run) bool { return r.placedAt > 0 && r.startSentAt == 0 })
+	blameRuns := make([]blame.Run, 0, len(candidates))
+	for _, r := range candidates {
+		t, _ := d.currentTask(r)
+		blameRuns = append(blameRuns, blame.Run{Age: d.runAge(s, r), Blamed: t.Blamed})
 	}
-	var out []*inner.Run
-	for _, i := range blame.Suspects(judged) {
-		t, _ := d.task(all[i])
-		event.Log(d.Log, event.RunBlamed, "flow", all[i].Flow, "run", all[i].String(), "server", s.id, "crashes", t.Crashes+1, "blamed", t.Blamed+1, "beside", len(s.runs)-1)
-		out = append(out, all[i].Message())
+	var blamed []*inner.Run
+	for _, i := range blame.Suspects(blameRuns) {
+		t, _ := d.currentTask(candidates[i])
+		event.Log(d.Log, event.RunBlamed, "flow", candidates[i].Flow, "run", candidates[i].String(), "server", s.id, "crashes", t.Crashes+1, "blamed", t.Blamed+1, "beside", len(s.runs)-1)
+		blamed = append(blamed, candidates[i].Message())
 	}
-	return out
+	return blamed
 }
 
-// wanted returns the runs on a server whose flows go on.
-func (d *Dispatcher) wanted(s *session) (out []*run) {
+// wantedRuns returns the runs on a server whose tasks are still active in the ledger.
+func (d *Dispatcher) wantedRuns(s *session) (wanted []*run) {
 	for _, r := range s.runs {
-		if _, ok := d.task(r); ok {
-			out = append(out, r)
+		if _, ok := d.currentTask(r); ok {
+			wanted = append(wanted, r)
 		}
 	}
-	return out
+	return wanted
 }
 
-// givenUp logs the flows that the crash of a server was one too many for, of those
-// that went on before.
-func (d *Dispatcher) givenUp(s *session, before []*run) {
-	for _, r := range before {
+// logFailedFlows logs the flows that failed because this server crash exceeded their limit
+// of crashes. wantedBefore holds the runs that were active before the crash.
+func (d *Dispatcher) logFailedFlows(s *session, wantedBefore []*run) {
+	for _, r := range wantedBefore {
 		if f, ok := d.Host.Flows().Flow(r.Flow); ok && f.State == v1.FlowState_FLOW_STATE_FAILED {
 			event.Log(d.Log, event.FlowGivenUp, "flow", r.Flow, "run", r.String(), "server", s.id, "customer", f.Customer)
 		}
 	}
 }
 
-// onProbation keeps a server for a suspected task that begins there, until it is seen whether
-// it crashes it.
-func (d *Dispatcher) onProbation(s *session, r *run, now time.Duration) {
-	if t, ok := d.task(r); ok && t.Blamed > 0 {
-		s.probation = max(s.probation, now+blame.ProbationPeriod)
+// startProbation reserves a server for a task that is suspected of crashing servers, until
+// its probation ends.
+func (d *Dispatcher) startProbation(s *session, r *run, now time.Duration) {
+	if t, ok := d.currentTask(r); ok && t.Blamed > 0 {
+		s.probationUntil = max(s.probationUntil, now+blame.ProbationPeriod)
 	}
 }
 
-// freshTime is how long after its start a server counts as fresh: one that goes down and
-// up by turns does so within seconds.
-const freshTime = 10 * time.Second
+// freshPeriod is the time after its start during which a server counts as fresh. A server
+// in a crash loop crashes again within seconds.
+const freshPeriod = 10 * time.Second
 
-// fresh tells whether a server's life began moments ago, by the time of day.
-func fresh(b *flows.Server, clock time.Duration) bool {
-	return clock-time.Duration(b.Born)*time.Millisecond < freshTime
+// isFresh reports whether the server's incarnation started within freshPeriod.
+func isFresh(b *flows.Server, clock time.Duration) bool {
+	return clock-time.Duration(b.Born)*time.Millisecond < freshPeriod
 }
--- a/internal/control/dispatch/helper.go
+++ b/internal/control/dispatch/helper.go
@@ -8,88 +8,88 @@
 	"gypsumreel/internal/api/inner"
 )
 
-// joinerAge is how long a replica that is no member yet is remembered after it was
-// heard of.
-const joinerAge = 20 * time.Second
+// joiningReplicaTTL is how long a replica that is not a member is remembered after its last
+// greeting.
+const joiningReplicaTTL = 20 * time.Second
 
-// joiner is a control replica that made itself known and may be no member yet.
-type joiner struct {
-	address string
-	heard   time.Duration
+// joiningReplica is a control replica that has sent a greeting and may not be a member yet.
+type joiningReplica struct {
+	address        string
+	lastGreetingAt time.Duration
 }
 
-// Greet makes a process known and tells it who leads; any goroutine may call it.
+// Greet registers a process and returns which replica leads. It is safe for concurrent use.
 func (d *Dispatcher) Greet(ctx context.Context, g *inner.Greeting) *inner.Welcome {
-	heard := d.Now()
-	w, err := ask(ctx, d, errNotLeading, func(reply func(*inner.Welcome)) {
-		d.hear(g, heard)
-		out := d.welcome()
-		d.Host.After(func() { reply(out) })
+	receivedAt := d.Now()
+	welcome, err := runOnLeader(ctx, d, errNotLeading, func(reply func(*inner.Welcome)) {
+		d.registerProcess(g, receivedAt)
+		message := d.welcomeMessage()
+		d.Host.AfterCommit(func() { reply(message) })
 	})
 	if err != nil {
 		return &inner.Welcome{}
 	}
-	return w
+	return welcome
 }
 
-// Heard notes a process that greeted this replica while another one leads: should this
-// one lead next, it has its helpers at once.
-func (d *Dispatcher) Heard(g *inner.Greeting) {
-	heard := d.Now()
-	d.Host.Post(func() { d.hear(g, heard) })
+// RegisterProcess registers a process that greeted this replica while another one leads. If
+// this replica is elected next, it has its helpers immediately.
+func (d *Dispatcher) RegisterProcess(g *inner.Greeting) {
+	receivedAt := d.Now()
+	d.Host.Post(func() { d.registerProcess(g, receivedAt) })
 }
 
-// hear notes a process that made itself known.
-func (d *Dispatcher) hear(g *inner.Greeting, at time.Duration) {
+// registerProcess registers a process from its greeting.
+func (d *Dispatcher) registerProcess(g *inner.Greeting, receivedAt time.Duration) {
 	if g.GetReplica() != "" {
-		d.joiners[g.GetReplica()] = &joiner{address: g.GetAddress(), heard: at}
+		d.joiningReplicas[g.GetReplica()] = &joiningReplica{address: g.GetAddress(), lastGreetingAt: receivedAt}
 	}
-	d.crew.RecordGreeting(g.GetAddress(), at)
+	d.helperPool.RecordGreeting(g.GetAddress(), receivedAt)
 	if g.GetClock() > 0 {
-		d.agreed.Hear(g.GetAddress(), time.Duration(g.GetClock()), at)
+		d.agreedTime.Hear(g.GetAddress(), time.Duration(g.GetClock()), receivedAt)
 	}
 }
 
-// welcome is what a leader tells a process that makes itself known.
-func (d *Dispatcher) welcome() *inner.Welcome {
-	out := &inner.Welcome{Term: d.lead.term, Leads: true, Version: d.Host.Flows().Config().GetVersion(), Pause: uint32(d.crew.GreetingInterval() / time.Millisecond)}
+// welcomeMessage returns the leader's answer to a greeting.
+func (d *Dispatcher) welcomeMessage() *inner.Welcome {
+	message := &inner.Welcome{Term: d.leader.term, Leads: true, Version: d.Host.Flows().Config().GetVersion(), Pause: uint32(d.helperPool.GreetingInterval() / time.Millisecond)}
 	for _, m := range d.Host.Members().Members {
-		out.Members = append(out.Members, m.Address)
+		message.Members = append(message.Members, m.Address)
 	}
-	return out
+	return message
 }
 
-// announceTime bounds the announcement of a new leader to one process.
-const announceTime = 700 * time.Millisecond
+// announceTimeout is the timeout of the announcement to one process.
+const announceTimeout = 700 * time.Millisecond
 
-// announce tells the processes that were heard of lately that this replica leads, so
-// that neither their callers nor the leader's questions wait for the next greeting.
-func (d *Dispatcher) announce() {
+// announceLeadership tells the recently registered processes that this replica leads.
+// Without it, callers and questions to the adviser would wait for the next greetings.
+func (d *Dispatcher) announceLeadership() {
 	now := d.Now()
-	word := &inner.Announcement{Cell: d.Cell, Welcome: d.welcome()}
+	announcement := &inner.Announcement{Cell: d.Cell, Welcome: d.welcomeMessage()}
 	for _, m := range d.Host.Members().Members {
 		if m.ID == d.Host.Members().Self {
-			word.Address = m.Address
+			announcement.Address = m.Address
 		}
 	}
-	if word.Address == "" {
+	if announcement.Address == "" {
 		return
 	}
-	term, ctx := d.lead.term, d.lead.ctx
-	for _, address := range d.crew.Alive(now) {
-		d.lead.calls.Go(func() {
-			ctx, cancel := context.WithTimeout(ctx, announceTime)
+	term, ctx := d.leader.term, d.leader.ctx
+	for _, address := range d.helperPool.Alive(now) {
+		d.leader.callPool.Go(func() {
+			ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 			defer cancel()
-			if g := d.Helpers.Announce(ctx, address, word); g.GetAddress() != "" {
-				heard := d.Now()
-				d.post(term, func() { d.hear(g, heard) })
+			if g := d.Helpers.Announce(ctx, address, announcement); g.GetAddress() != "" {
+				answeredAt := d.Now()
+				d.postInTerm(term, func() { d.registerProcess(g, answeredAt) })
 			}
 		})
 	}
 }
 
-// forgetHelpers drops processes that were not heard of for long.
-func (d *Dispatcher) forgetHelpers(now time.Duration) {
-	d.crew.RemoveSilent(now)
-	maps.DeleteFunc(d.joiners, func(_ string, j *joiner) bool { return now-j.heard > joinerAge })
+// removeExpiredProcesses removes processes and replicas whose last greeting is too old.
+func (d *Dispatcher) removeExpiredProcesses(now time.Duration) {
+	d.helperPool.RemoveSilent(now)
+	maps.DeleteFunc(d.joiningReplicas, func(_ string, replica *joiningReplica) bool { return now-replica.lastGreetingAt > joiningReplicaTTL })
 }
--- a/internal/control/dispatch/lead.go
+++ b/internal/control/dispatch/lead.go
@@ -10,73 +10,74 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// lead is what is kept only while this replica leads.
-type lead struct {
-	term    uint64
-	elected time.Duration
-	ctx     context.Context
-	cancel  context.CancelFunc
-	calls   *calls
+// leaderState is the state that exists only while this replica leads.
+type leaderState struct {
+	term      uint64
+	electedAt time.Duration
+	ctx       context.Context
+	cancel    context.CancelFunc
+	callPool  *callPool
 
 	sessions map[string]*session
-	// sorted are the sessions by id: a plan goes over all of them.
-	sorted []*session
-	// round is the room for going over all of them.
-	round []*session
-	// intake are the servers that were not asked yet what they hold.
-	intake recovery.Queue[*session]
-	// relayed counts the sessions whose calls go through a helper.
-	relayed int
-	advice  map[flow.StepID]*advice
-	// wants are the questions of the latest plan that found no helper, the most
-	// pressing first.
-	wants []steps.Question
-	// shares is the part of the servers asked about that may run a step, by queue.
-	shares map[string]float64
-	timed  map[string]bool
-	// urgent is what urgent work starts, by pool.
-	urgent map[string]*demand
-	// briefs are the servers on which urgent work is gathered, by pool.
-	briefs map[string]*shortlease.Selection
-	// ranks tells which places are urgent by the configuration ranked.
-	ranked  *flow.Config
-	ranks   map[rank]bool
-	buckets map[string]*bucket
-	surplus map[string]bool
-	speeds  map[string]*speed
-	// usual is how long runs take beside what was declared, on the whole.
-	usual float64
-	times map[flow.StepID]steps.Timing
-	// shunned are the servers on which a task of a step failed.
-	shunned map[flow.StepID]map[string]bool
-	// asked are the requests that wait for a commit or a proof; each is told
-	// when this replica is deposed before.
-	asked  map[uint64]func()
-	serial uint64
+	// sortedSessions holds the sessions ordered by server id. Each plan iterates over all
+	// of them.
+	sortedSessions []*session
+	// tickSessions is the reused copy of sortedSessions over which a tick iterates.
+	tickSessions []*session
+	// firstHoldQueue holds the servers that have not been asked for their runs yet.
+	firstHoldQueue recovery.Queue[*session]
+	// relayedSessions is the number of sessions whose calls go through a helper.
+	relayedSessions int
+	adviceByStep    map[flow.StepID]*stepAdvice
+	// pendingQuestions holds the questions of the latest plan that found no free helper,
+	// the most urgent first.
+	pendingQuestions []steps.Question
+	// permitShares is, by queue, the average share of servers that the adviser permits.
+	permitShares   map[string]float64
+	recurringFlows map[string]bool
+	// urgentDemand is the recent demand of urgent tasks, by pool.
+	urgentDemand map[string]*startDemand
+	// urgentServers holds, by pool, the servers on which urgent tasks are concentrated.
+	urgentServers map[string]*shortlease.Selection
+	// urgentRanks caches which ranks are urgent according to ranksConfig.
+	ranksConfig  *flow.Config
+	urgentRanks  map[queueRank]bool
+	rateBuckets  map[string]*rateBucket
+	surplusFlows map[string]bool
+	serverSpeeds map[string]*serverSpeed
+	// runtimeRatio is the average ratio of actual to declared runtimes over all servers.
+	runtimeRatio float64
+	stepTimes    map[flow.StepID]steps.Timing
+	// avoidedServers holds, by step, the servers on which a task of the step failed.
+	avoidedServers map[flow.StepID]map[string]bool
+	// pendingRequests holds the requests that wait for a commit or a proof of leadership.
+	// Each function is called if this replica is deposed first.
+	pendingRequests map[uint64]func()
+	lastRequestID   uint64
 
-	// emptied are the servers that are to run empty for an upkeep, ordered is
-	// until when the last order about a machine is waited for.
-	emptied map[string]bool
-	// drained are the drained zones as the latest look found them.
-	drained map[string]time.Duration
-	ordered map[string]time.Duration
-	waved   time.Duration
-	zoned   time.Duration
+	// drainingForUpkeep holds the servers that are drained for an upkeep. upkeepRetryAt is
+	// the time until which the answer to the last order about a machine is awaited.
+	drainingForUpkeep map[string]bool
+	// drainedZones holds the drained zones as of the last check.
+	drainedZones   map[string]time.Duration
+	upkeepRetryAt  map[string]time.Duration
+	wavesCheckedAt time.Duration
+	zonesCheckedAt time.Duration
 
-	// stops are the runs whose stop is asked again until it is answered.
-	stops map[*run]*session
-	// answers is how long answers to orders usually take.
-	answers time.Duration
+	// pendingStops holds the runs whose stop is repeated until it is answered.
+	pendingStops map[*run]*session
+	// usualLatency is the moving average of the latency of orders.
+	usualLatency time.Duration
 
-	// planned is when the last plan was made, plans counts them.
-	planned time.Duration
-	plans   int
-	pacer   steps.Pacer
-	planner steps.Planner
-	view    steps.View
-	dirty   bool
-	// off tells that this machine's time of day is off.
-	off    bool
-	swept  time.Duration
-	roster time.Duration
+	// plannedAt is the time of the last plan, planCount the number of plans in this term.
+	plannedAt  time.Duration
+	planCount  int
+	planPacer  steps.Pacer
+	planner    steps.Planner
+	planView   steps.View
+	planNeeded bool
+	// clockSkewed reports whether this machine's wall clock differs from the agreed time.
+	clockSkewed         bool
+	sweptAt             time.Duration
+	membershipCheckedAt time.Duration
 }
--- a/internal/control/dispatch/learn.go
+++ b/internal/control/dispatch/learn.go
@@ -10,133 +10,133 @@
 	"gypsumreel/internal/policy/watchdog"
 )
 
-// speed is how fast a server works: how long runs took there beside what was
-// declared, compared with the same of all servers of its pool.
-type speed struct {
-	ratio float64
-	runs  int
+// serverSpeed is the average ratio of actual to declared runtimes on one server. It is
+// compared with the average over all servers.
+type serverSpeed struct {
+	runtimeRatio float64
+	runCount     int
 }
 
-// Bounds of what is learned of a server's speed.
+// Parameters of the speed estimate.
 const (
-	// speedWeight is the weight of the latest run: after about ten runs what was
-	// before has little weight left.
+	// speedWeight is the weight of the latest run. After about ten runs the earlier ones
+	// have little influence.
 	speedWeight = 0.2
-	// speedRuns is the least number of runs that tell anything.
-	speedRuns = 3
+	// minSpeedRuns is the number of runs that a speed estimate requires.
+	minSpeedRuns = 3
 )
 
-// learn takes the time that a run took.
-func (d *Dispatcher) learn(s *session, r *run, how inner.RunEnd, now time.Duration) {
-	if how != inner.RunEnd_RUN_END_DONE || r.placed == 0 {
+// learnSpeed updates a server's speed from the duration of a run.
+func (d *Dispatcher) learnSpeed(s *session, r *run, end inner.RunEnd, now time.Duration) {
+	if end != inner.RunEnd_RUN_END_DONE || r.placedAt == 0 {
 		return
 	}
 	step, ok := d.Host.Flows().Step(r.StepID)
 	if !ok || step.Spec.GetRuntime() == 0 || r.Number > 1 {
 		return
 	}
-	took := (now - r.placed).Seconds() * float64(time.Second/time.Millisecond) / float64(step.Spec.GetRuntime())
-	p := d.lead.speeds[s.id]
-	if p == nil {
-		p = &speed{ratio: took}
-		d.lead.speeds[s.id] = p
+	ratio := (now - r.placedAt).Seconds() * float64(time.Second/time.Millisecond) / float64(step.Spec.GetRuntime())
+	speed := d.leader.serverSpeeds[s.id]
+	if speed == nil {
+		speed = &serverSpeed{runtimeRatio: ratio}
+		d.leader.serverSpeeds[s.id] = speed
 	}
-	s.rate = p
-	p.ratio += speedWeight * (took - p.ratio)
-	p.runs++
+	s.speed = speed
+	speed.runtimeRatio += speedWeight * (ratio - speed.runtimeRatio)
+	speed.runCount++
 }
 
-// speed returns how fast a server works beside the others; 1 when nothing is known.
-func (d *Dispatcher) speed(s *session) float64 {
-	p := s.rate
-	if p == nil || p.runs < speedRuns || p.ratio <= 0 || d.lead.usual == 0 {
+// relativeSpeed returns a server's speed relative to the average, or 1 if it is not known.
+func (d *Dispatcher) relativeSpeed(s *session) float64 {
+	speed := s.speed
+	if speed == nil || speed.runCount < minSpeedRuns || speed.runtimeRatio <= 0 || d.leader.runtimeRatio == 0 {
 		return 1
 	}
-	return d.lead.usual / p.ratio
+	return d.leader.runtimeRatio / speed.runtimeRatio
 }
 
-// average works out how far declared times are off on the whole. It goes over all
-// servers, so it is done now and then.
-func (d *Dispatcher) average() {
-	sum, n := 0.0, 0
-	for _, p := range d.lead.speeds {
-		if p.runs >= speedRuns {
-			sum += p.ratio
-			n++
+// updateRuntimeRatio updates the average ratio of actual to declared runtimes. It iterates
+// over all servers, so it runs only periodically.
+func (d *Dispatcher) updateRuntimeRatio() {
+	sum, count := 0.0, 0
+	for _, speed := range d.leader.serverSpeeds {
+		if speed.runCount >= minSpeedRuns {
+			sum += speed.runtimeRatio
+			count++
 		}
 	}
-	if n > 0 {
-		d.lead.usual = sum / float64(n)
+	if count > 0 {
+		d.leader.runtimeRatio = sum / float64(count)
 	}
 }
 
-// typical returns how long a run of the step takes on a sound server: what was
-// declared, corrected by how far declared times are off on the whole.
-func (d *Dispatcher) typical(s *flows.Step) time.Duration {
+// typicalRuntime returns the expected runtime of a run on a healthy server: the declared
+// runtime, corrected by the average ratio of actual to declared runtimes.
+func (d *Dispatcher) typicalRuntime(s *flows.Step) time.Duration {
 	declared := time.Duration(s.Spec.GetRuntime()) * time.Millisecond
-	return time.Duration(float64(declared) * max(d.lead.usual, 1))
+	return time.Duration(float64(declared) * max(d.leader.runtimeRatio, 1))
 }
 
-// trust notes how a run ended for the judgement of its server. The step that
-// failed there is tried elsewhere: whose fault it was is not known, and a
-// server that fails everything would use up all its attempts.
-func (d *Dispatcher) trust(s *session, r *run, how inner.RunEnd, now time.Duration) {
-	switch how {
+// judgeRunEnd updates the failure streak of a server from a run's end. A step that failed
+// there is tried on other servers: the cause of the failure is unknown, and a server that
+// fails every run would use up all attempts of the step.
+func (d *Dispatcher) judgeRunEnd(s *session, r *run, end inner.RunEnd, now time.Duration) {
+	switch end {
 	case inner.RunEnd_RUN_END_DONE:
-		s.streak.RecordSuccess()
+		s.failureStreak.RecordSuccess()
 	case inner.RunEnd_RUN_END_FAILED:
-		d.shun(s, r)
-		if rest := s.streak.RecordFailure(r.Flow); rest > 0 {
-			s.avoid = max(s.avoid, now+rest)
-			event.Log(d.Log, event.ServerQuarantined, "server", s.id, "flow", r.Flow, "rest", rest.String())
+		d.avoidServerForStep(s, r)
+		if pause := s.failureStreak.RecordFailure(r.Flow); pause > 0 {
+			s.avoidUntil = max(s.avoidUntil, now+pause)
+			event.Log(d.Log, event.ServerQuarantined, "server", s.id, "flow", r.Flow, "rest", pause.String())
 		}
 	}
 }
 
-// shun notes that a step is better tried elsewhere.
-func (d *Dispatcher) shun(s *session, r *run) {
-	if d.lead.shunned[r.StepID] == nil {
-		d.lead.shunned[r.StepID] = map[string]bool{}
+// avoidServerForStep makes the planner prefer other servers for the step.
+func (d *Dispatcher) avoidServerForStep(s *session, r *run) {
+	if d.leader.avoidedServers[r.StepID] == nil {
+		d.leader.avoidedServers[r.StepID] = map[string]bool{}
 	}
-	d.lead.shunned[r.StepID][s.id] = true
+	d.leader.avoidedServers[r.StepID][s.id] = true
 }
 
-// inspect looks for runs that stand still or crawl, and moves them to another
-// server: they are stopped, and placed again where they last failed not.
-func (d *Dispatcher) inspect(s *session, now time.Duration) {
-	if s.silent || !s.known || s.closing != "" || s.heard == s.inspected {
-		return // nothing new was listed since the last look
+// inspectRuns stops runs that make no progress or are much too slow, so that they are
+// placed on another server. It also evacuates leaving servers.
+func (d *Dispatcher) inspectRuns(s *session, now time.Duration) {
+	if s.unresponsive || !s.listReceived || s.closeReason != "" || s.lastAnswerAt == s.inspectedListAt {
+		return // no new run list since the last check
 	}
-	s.inspected = s.heard
+	s.inspectedListAt = s.lastAnswerAt
 	if b, ok := d.Host.Flows().Server(s.id); ok && b.Leaving {
 		d.evacuate(s, b, now)
 	}
 	for _, r := range s.runs {
-		if r.stopping || !r.there || r.placed == 0 || r.looked == 0 || now-r.looked > longestWait+callTimeout {
+		if r.stopping || !r.reportedByServer || r.placedAt == 0 || r.progressReportedAt == 0 || now-r.progressReportedAt > maxLongPoll+callTimeout {
 			continue
 		}
 		step, ok := d.Host.Flows().Step(r.StepID)
-		if !ok || step.Spec.GetLasting() || step.Spec.GetGang() || step.Spec.GetFills() && s.pace < pace.Full {
-			continue // it may stand still by order, or until others are there
+		if !ok || step.Spec.GetLasting() || step.Spec.GetGang() || step.Spec.GetFills() && s.pacePercent < pace.Full {
+			continue // the run may be throttled, or may wait for the rest of its gang
 		}
-		w := watchdog.Run{Elapsed: r.looked - r.placed, SinceProgress: r.looked - r.moved, ProgressPercent: r.percent, TypicalRuntime: d.typical(step), Checkpoints: step.Spec.GetSaves()}
-		if !(r.Number <= mostStuck && watchdog.IsStuck(w)) && !(r.Number <= mostDragged && watchdog.IsSlow(w)) {
+		progress := watchdog.Run{Elapsed: r.progressReportedAt - r.placedAt, SinceProgress: r.progressReportedAt - r.progressChangedAt, ProgressPercent: r.progressPercent, TypicalRuntime: d.typicalRuntime(step), Checkpoints: step.Spec.GetSaves()}
+		if !(r.Number <= maxStuckMoves && watchdog.IsStuck(progress)) && !(r.Number <= maxSlowMoves && watchdog.IsSlow(progress)) {
 			continue
 		}
-		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.percent, "still", w.SinceProgress.String(), "elapsed", w.Elapsed.String(), "typical", w.TypicalRuntime.String())
-		d.shun(s, r)
-		s.avoid = max(s.avoid, now+suspectRest)
-		d.unwant(s, r)
+		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.progressPercent, "still", progress.SinceProgress.String(), "elapsed", progress.Elapsed.String(), "typical", progress.TypicalRuntime.String())
+		d.avoidServerForStep(s, r)
+		s.avoidUntil = max(s.avoidUntil, now+suspectServerPause)
+		d.stopRun(s, r)
 	}
 }
 
-// A task is moved so often at most: what was declared may be far off, and a task
-// that is slow everywhere must come to its end somewhere.
+// Limits of how often a task is moved. Its declared runtime may be far too low, and a task
+// that is slow on every server still has to complete.
 const (
-	mostStuck   = 3
-	mostDragged = 1
+	maxStuckMoves = 3
+	maxSlowMoves  = 1
 )
 
-// suspectRest is how long a server gets nothing new on which a run stood still or
-// crawled; it is renewed while more of them do.
-const suspectRest = 2 * time.Second
+// suspectServerPause is how long a server gets no new tasks after a run on it was stuck or
+// slow. Each further such run extends the pause.
+const suspectServerPause = 2 * time.Second
--- a/internal/control/dispatch/lease.go
+++ b/internal/control/dispatch/lease.go
@@ -9,67 +9,69 @@
 	"gypsumreel/internal/policy/shortlease"
 )
 
-// briefLease is the lease of servers that run nothing but urgent work: longer than an
-// election, and so short that what was lost with a server can still be in time.
-const briefLease = 2 * time.Second
+// urgentLease is the lease of servers that run only urgent tasks. It is longer than an
+// election, and short enough that the tasks of a lost server can still meet their
+// deadlines.
+const urgentLease = 2 * time.Second
 
-// lease returns how long a call renews the lease of what runs on a server; 0 for not
-// at all. A server has one lease for all that it runs, and it never becomes shorter.
-// Long work gets the longest there is, so that it outlives a time in which no
-// replica runs at all; urgent work a short one, since on a server that goes silent
-// it is placed again only once the lease is over; a server without work needs none.
-func (d *Dispatcher) lease(s *session) time.Duration {
-	most := time.Duration(0)
+// leaseLength returns the length of the lease that a call grants to a server, or 0 for no
+// renewal. A server has one lease for all its runs, and a call never shortens it. Long
+// tasks get the maximum, so that they survive a period without a running replica. Urgent
+// tasks get a short lease, because the tasks of an unresponsive server can be placed again
+// only after its lease. A server without runs needs no lease.
+func (d *Dispatcher) leaseLength(s *session) time.Duration {
+	longest := time.Duration(0)
 	for _, r := range s.runs {
 		if !r.urgent {
-			return d.Hold
+			return d.MaxLease
 		}
-		most = min(briefLease, d.Hold)
+		longest = min(urgentLease, d.MaxLease)
 	}
-	return most
+	return longest
 }
 
-// urgent tells whether a step's tasks are urgent and over soon.
-func (d *Dispatcher) urgent(s *flows.Step) bool {
+// isUrgentStep reports whether the tasks of a step are urgent and not lasting.
+func (d *Dispatcher) isUrgentStep(s *flows.Step) bool {
 	q, ok := d.Host.Flows().QueueOf(s.Flow)
-	return ok && !s.Spec.GetLasting() && d.isUrgent(q.GetPool(), q.GetPriority())
+	return ok && !s.Spec.GetLasting() && d.isUrgentRank(q.GetPool(), q.GetPriority())
 }
 
-// gather chooses the servers of each pool on which urgent work is gathered.
-func (d *Dispatcher) gather() {
-	used := map[string]int64{}
+// chooseUrgentServers selects, for each pool, the servers on which urgent tasks are
+// concentrated.
+func (d *Dispatcher) chooseUrgentServers() {
+	usedCPU := map[string]int64{}
 	servers := map[string][]shortlease.Server{}
-	for id, s := range d.lead.sessions {
+	for id, s := range d.leader.sessions {
 		b, ok := d.Host.Flows().Server(id)
 		if !ok || b.Over {
 			continue
 		}
-		if d.Host.Flows().Takes(b) && s.closing == "" {
+		if d.Host.Flows().Takes(b) && s.closeReason == "" {
 			servers[b.Pool] = append(servers[b.Pool], shortlease.Server{ID: id, CPU: b.Capacity.CPU})
 		}
 		for _, r := range s.runs {
 			if r.urgent {
-				used[b.Pool] += r.held.Size.CPU
+				usedCPU[b.Pool] += r.allocation.Size.CPU
 			}
 		}
 	}
-	for pool, all := range servers {
-		if !d.hasUrgent(pool) {
-			delete(d.lead.briefs, pool)
+	for pool, poolServers := range servers {
+		if !d.hasUrgentQueue(pool) {
+			delete(d.leader.urgentServers, pool)
 			continue
 		}
-		c := d.lead.briefs[pool]
-		if c == nil {
-			c = &shortlease.Selection{}
-			d.lead.briefs[pool] = c
+		choice := d.leader.urgentServers[pool]
+		if choice == nil {
+			choice = &shortlease.Selection{}
+			d.leader.urgentServers[pool] = choice
 		}
-		c.Update(all, used[pool])
+		choice.Update(poolServers, usedCPU[pool])
 	}
 }
 
-// hasUrgent tells whether one of a pool's queues comes before the others.
-func (d *Dispatcher) hasUrgent(pool string) bool {
+// hasUrgentQueue reports whether the pool has a queue with urgent priority.
+func (d *Dispatcher) hasUrgentQueue(pool string) bool {
 	return slices.ContainsFunc(d.Host.Flows().Config().GetQueues(), func(q *v1.Queue) bool {
-		return q.GetPool() == pool && d.isUrgent(pool, q.GetPriority())
+		return q.GetPool() == pool && d.isUrgentRank(pool, q.GetPriority())
 	})
 }
--- a/internal/control/dispatch/lists.go
+++ b/internal/control/dispatch/lists.go
@@ -9,82 +9,82 @@
 	"gypsumreel/internal/domain/flow"
 )
 
-// lists takes what a server says it runs and what ended there.
-func (d *Dispatcher) lists(s *session, a *inner.ServerAnswer, sent, came time.Duration) {
-	s.lists++
-	for _, m := range a.GetRunning() {
-		id := flow.RunOf(m.GetRun())
+// applyRunList processes a server's list of running and ended runs.
+func (d *Dispatcher) applyRunList(s *session, a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
+	s.listCount++
+	for _, entry := range a.GetRunning() {
+		id := flow.RunOf(entry.GetRun())
 		r := s.runs[id.TaskID]
 		if r == nil || r.Number != id.Number {
-			d.stopStray(s, id)
+			d.stopStrayRun(s, id)
 			continue
 		}
-		r.look(m, came)
-		r.listed = s.lists
+		r.applyListEntry(entry, receivedAt)
+		r.lastListNumber = s.listCount
 	}
-	e := &record.FlowEnds{Server: s.id, Born: s.born}
-	for _, m := range a.GetEnded() {
-		id := flow.RunOf(m.GetRun())
+	ends := &record.FlowEnds{Server: s.id, Born: s.incarnation}
+	for _, entry := range a.GetEnded() {
+		id := flow.RunOf(entry.GetRun())
 		if r := s.runs[id.TaskID]; r != nil && r.Number == id.Number {
-			r.listed = s.lists
+			r.lastListNumber = s.listCount
 		}
-		if m.GetNumber() <= s.taken {
+		if entry.GetNumber() <= s.lastEndReceived {
 			continue
 		}
-		s.taken = m.GetNumber()
-		e.Ends = append(e.Ends, &record.FlowEnd{Run: m.GetRun(), How: m.GetHow(), Checkpoint: m.GetCheckpoint()})
+		s.lastEndReceived = entry.GetNumber()
+		ends.Ends = append(ends.Ends, &record.FlowEnd{Run: entry.GetRun(), How: entry.GetHow(), Checkpoint: entry.GetCheckpoint()})
 	}
 	for _, r := range s.runs {
-		if r.listed == s.lists {
+		if r.lastListNumber == s.listCount {
 			continue
 		}
-		if r.maybe && r.tries == 0 && !r.stopping {
-			// Placed by the leader before this one, and not there. Its start may
-			// still arrive, or never left; a stop rules it out for good.
-			d.unwant(s, r)
+		if r.startUnconfirmed && r.startAttempts == 0 && !r.stopping {
+			// The previous leader placed the run and the server does not list it. Its start
+			// may still be in transit. A stop prevents a later execution.
+			d.stopRun(s, r)
 			continue
 		}
-		// Not listed although its start or its stop was answered before the
-		// list was made: it does not run, and never will.
-		if r.settled > 0 && r.settled < sent {
-			e.Ends = append(e.Ends, &record.FlowEnd{Run: r.Message(), How: inner.RunEnd_RUN_END_LOST, Checkpoint: r.saved})
+		// The server answered the start or the stop before it made this list, and does not
+		// list the run. The run does not exist and cannot start any more.
+		if r.orderAnsweredAt > 0 && r.orderAnsweredAt < sentAt {
+			ends.Ends = append(ends.Ends, &record.FlowEnd{Run: r.Message(), How: inner.RunEnd_RUN_END_LOST, Checkpoint: r.checkpoint})
 		}
 	}
-	if len(e.Ends) == 0 {
+	if len(ends.Ends) == 0 {
 		return
 	}
-	e.Cursor = s.taken
-	d.ends(s, e, came)
+	ends.Cursor = s.lastEndReceived
+	d.recordEnds(s, ends, receivedAt)
 }
 
-// ends records ends and lets go of their runs.
-func (d *Dispatcher) ends(s *session, e *record.FlowEnds, now time.Duration) {
-	if !d.decide(&record.Flow{What: &record.Flow_Ends{Ends: e}}) {
+// recordEnds records run ends in the ledger and removes the runs from the session.
+func (d *Dispatcher) recordEnds(s *session, ends *record.FlowEnds, now time.Duration) {
+	if !d.applyOrLog(&record.Flow{What: &record.Flow_Ends{Ends: ends}}) {
 		return
 	}
-	for _, one := range e.GetEnds() {
-		id := flow.RunOf(one.GetRun())
+	for _, end := range ends.GetEnds() {
+		id := flow.RunOf(end.GetRun())
 		r := s.runs[id.TaskID]
 		if r == nil || r.Number != id.Number {
 			continue
 		}
 		delete(s.runs, id.TaskID)
-		d.ended(s, r, one, now)
+		d.handleRunEnd(s, r, end, now)
 	}
 }
 
-// ended logs an end and learns from it.
-func (d *Dispatcher) ended(s *session, r *run, e *record.FlowEnd, now time.Duration) {
+// handleRunEnd logs a run's end and updates the statistics of its server.
+func (d *Dispatcher) handleRunEnd(s *session, r *run, end *record.FlowEnd, now time.Duration) {
 	state := "gone"
 	if f, ok := d.Host.Flows().Flow(r.Flow); ok {
 		state = f.State.String()
 	}
-	took := "since before this leader"
-	if r.placed > 0 {
-		took = (now - r.placed).String()
+	elapsed := "unknown, placed by a previous leader"
+	if r.placedAt > 0 {
+		elapsed = (now - r.placedAt).String()
 	}
-	d.meter.end(e.GetHow())
-	event.Log(d.Log, event.RunEnded, "flow", r.Flow, "run", r.String(), "server", s.id, "how", e.GetHow().String(), "took", took, "state", state)
-	d.learn(s, r, e.GetHow(), now)
-	d.trust(s, r, e.GetHow(), now)
+	d.flowMetrics.countRunEnd(end.GetHow())
+	event.Log(d.Log, event.RunEnded, "flow", r.Flow, "run", r.String(), "server", s.id, "how", end.GetHow().String(), "took", elapsed, "state", state)
+	d.learnSpeed(s, r, end.GetHow(), now)
+	d.judgeRunEnd(s, r, end.GetHow(), now)
 }
--- a/internal/control/dispatch/member.go
+++ b/internal/control/dispatch/member.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	// DefaultReplicas is the number of voters that the group grows to: five
-	// outlive the loss of any two.
-	DefaultReplicas = 5
-	// rosterEvery is how often the membership is looked at. One change at a time
-	// is made, and each takes a commit.
-	rosterEvery = 150 * time.Millisecond
+	// DefaultTargetVoters is the default of Dispatcher.TargetVoters. Five voters tolerate
+	// the loss of any two.
+	DefaultTargetVoters = 5
+	// membershipCheckInterval is the interval between membership checks. Only one change is
+	// made at a time, and each change requires a commit.
+	membershipCheckInterval = 150 * time.Millisecond
 )
 
-// members keeps the control group at its size: replicas that make themselves
-// known are taken in, and those that are gone for good make room.
-func (d *Dispatcher) members(now time.Duration) {
-	if now-d.lead.roster < rosterEvery {
+// updateMembership adds registered replicas to the replication group up to its target size
+// and removes members that are permanently gone.
+func (d *Dispatcher) updateMembership(now time.Duration) {
+	if now-d.leader.membershipCheckedAt < membershipCheckInterval {
 		return
 	}
-	d.lead.roster = now
-	m := d.Host.Members()
-	v := roster.GroupView{Self: m.Self, Members: m.Members, TargetVoters: d.Replicas, Synced: d.Host.Synced}
-	for id, j := range d.joiners {
-		v.Known = append(v.Known, roster.KnownReplica{Member: quorum.Member{ID: id, Address: j.address}, SilentFor: now - j.heard})
+	d.leader.membershipCheckedAt = now
+	members := d.Host.Members()
+	view := roster.GroupView{Self: members.Self, Members: members.Members, TargetVoters: d.TargetVoters, Synced: d.Host.IsSynced}
+	for id, replica := range d.joiningReplicas {
+		view.Known = append(view.Known, roster.KnownReplica{Member: quorum.Member{ID: id, Address: replica.address}, SilentFor: now - replica.lastGreetingAt})
 	}
-	// A leader that has just begun has not heard of anybody yet.
-	v.LeadingFor = now - d.lead.elected
-	c, ok := roster.Decide(v)
+	// A new leader has not received greetings yet.
+	view.LeadingFor = now - d.leader.electedAt
+	change, ok := roster.Decide(view)
 	if !ok {
 		return
 	}
-	event.Log(d.Log, event.MemberChange, "member", c.Member.ID, "address", c.Member.Address, "remove", c.Remove, "cause", c.Reason, "members", len(m.Members), "term", d.lead.term)
-	d.Host.Alter(c.Member, c.Remove)
+	event.Log(d.Log, event.MemberChange, "member", change.Member.ID, "address", change.Member.Address, "remove", change.Remove, "cause", change.Reason, "members", len(members.Members), "term", d.leader.term)
+	d.Host.ChangeMember(change.Member, change.Remove)
 }
--- a/internal/control/dispatch/plan.go
+++ b/internal/control/dispatch/plan.go
@@ -12,168 +12,169 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// unbounded stands for a limit that binds nothing.
-const unbounded = 1 << 50
+// unlimitedAmount replaces a limit that is not set.
+const unlimitedAmount = 1 << 50
 
-// plan decides what starts and carries it out.
+// plan makes a plan, commits its placements and asks its questions.
 func (d *Dispatcher) plan(now time.Duration) {
 	ledger := d.Host.Flows()
 	if len(ledger.Ready()) == 0 {
 		return
 	}
-	begin := d.Now()
-	v := steps.View{Items: d.lead.view.Items[:0], Servers: d.lead.view.Servers[:0], RemainingLimit: d.room, Permissions: d.known, AllowedShare: d.granted, Yield: d.Host.Rest}
-	v.Releases = func(server string) []steps.Release { return d.frees(server, now) }
-	clock := d.Host.Clock()
+	startedAt := d.Now()
+	view := steps.View{Items: d.leader.planView.Items[:0], Servers: d.leader.planView.Servers[:0], RemainingLimit: d.remainingQuota, Permissions: d.permissionsFor, AllowedShare: d.permitShare, Yield: d.Host.YieldProcessor}
+	view.Releases = func(server string) []steps.Release { return d.expectedReleases(server, now) }
+	clock := d.Host.LedgerTime()
 	for _, s := range ledger.Ready() {
-		if a := d.lead.advice[s.StepID]; a != nil && a.asking > 0 && len(a.permits) == 0 {
-			continue // nothing can be decided before the first answer
+		if advice := d.leader.adviceByStep[s.StepID]; advice != nil && advice.pendingQuestions > 0 && len(advice.permits) == 0 {
+			continue // nothing can be placed before the first answer of the adviser
 		}
-		if it, ok := d.item(s, clock); ok {
-			v.Items = append(v.Items, it)
+		if item, ok := d.planItem(s, clock); ok {
+			view.Items = append(view.Items, item)
 		}
 	}
-	for _, s := range d.lead.sorted {
+	for _, s := range d.leader.sortedSessions {
 		b, ok := ledger.Server(s.id)
-		if ok && ledger.Takes(b) && b.Born == s.born && s.usable(now) && !d.lead.emptied[s.id] {
-			v.Servers = append(v.Servers, steps.Server{Server: b, Speed: d.speed(s), Cold: clock < b.Warm, RecentlyStarted: fresh(b, clock), OnProbation: now < s.probation, ShortLease: d.lead.briefs[b.Pool].Contains(s.id)})
+		if ok && ledger.Takes(b) && b.Born == s.incarnation && s.isUsable(now) && !d.leader.drainingForUpkeep[s.id] {
+			view.Servers = append(view.Servers, steps.Server{Server: b, Speed: d.relativeSpeed(s), Cold: clock < b.Warm, RecentlyStarted: isFresh(b, clock), OnProbation: now < s.probationUntil, ShortLease: d.leader.urgentServers[b.Pool].Contains(s.id)})
 		}
 	}
-	v.Headroom = func(pool string) steps.Headroom { return d.headroom(pool, total(v.Servers, pool), now) }
-	d.lead.plans++
-	d.lead.view = v // the next plan uses its room
-	v.Items = steps.SelectItems(v, d.lead.plans)
-	p := d.lead.planner.Make(v)
-	for _, one := range p.Placements {
-		d.demands(one, now)
-		d.place(one, now)
-	}
-	d.questions(p.Questions, now)
-	took := d.Now() - begin
-	d.lead.pacer.Record(now, took)
-	d.meter.plan.Update(took.Seconds())
+	view.Headroom = func(pool string) steps.Headroom { return d.headroom(pool, poolCapacity(view.Servers, pool), now) }
+	d.leader.planCount++
+	d.leader.planView = view // the next plan reuses the slices
+	view.Items = steps.SelectItems(view, d.leader.planCount)
+	result := d.leader.planner.Make(view)
+	for _, placement := range result.Placements {
+		d.recordDemand(placement, now)
+		d.commitPlacement(placement, now)
+	}
+	d.replaceQuestions(result.Questions, now)
+	elapsed := d.Now() - startedAt
+	d.leader.planPacer.Record(now, elapsed)
+	d.flowMetrics.planSeconds.Update(elapsed.Seconds())
 }
 
-// total returns the size of a pool.
-func total(servers []steps.Server, pool string) capacity.Size {
-	var out capacity.Size
+// poolCapacity returns the total capacity of the servers of a pool.
+func poolCapacity(servers []steps.Server, pool string) capacity.Size {
+	var sum capacity.Size
 	for _, s := range servers {
 		if s.Pool == pool {
-			out = out.Add(s.Capacity)
+			sum = sum.Add(s.Capacity)
 		}
 	}
-	return out
+	return sum
 }
 
-// room returns what a customer may still start.
-func (d *Dispatcher) room(customer string) capacity.Size {
+// remainingQuota returns the capacity that a customer may still use.
+func (d *Dispatcher) remainingQuota(customer string) capacity.Size {
 	limit, used := d.Host.Flows().Limit(customer), d.Host.Flows().Used(customer)
-	left := func(limit, used int64) int64 {
+	remaining := func(limit, used int64) int64 {
 		if limit == capacity.Unlimited {
-			return unbounded
+			return unlimitedAmount
 		}
 		return limit - used
 	}
-	return capacity.Size{CPU: left(limit.CPU, used.CPU), Memory: left(limit.Memory, used.Memory), Accel: left(limit.Accel, used.Accel)}
+	return capacity.Size{CPU: remaining(limit.CPU, used.CPU), Memory: remaining(limit.Memory, used.Memory), Accel: remaining(limit.Accel, used.Accel)}
 }
 
-// item describes a ready step to the planner.
-func (d *Dispatcher) item(s *flows.Step, clock time.Duration) (steps.Item, bool) {
+// planItem returns the planner's description of a ready step.
+func (d *Dispatcher) planItem(s *flows.Step, clock time.Duration) (steps.Item, bool) {
 	q, ok := d.Host.Flows().QueueOf(s.Flow)
 	if !ok {
 		return steps.Item{}, false
 	}
-	t := d.times(s, q)
-	begun := s.Flow.Accepted
+	times := d.stepTimes(s, q)
+	startedAt := s.Flow.Accepted
 	if s.Flow.Spec.GetTimes() > 0 {
-		begun = time.Duration(s.Flow.Spec.GetFirst()+int64(s.Turn)*int64(s.Flow.Spec.GetEvery())) * time.Millisecond
+		startedAt = time.Duration(s.Flow.Spec.GetFirst()+int64(s.Turn)*int64(s.Flow.Spec.GetEvery())) * time.Millisecond
 	}
-	takes := d.typical(s)
-	it := steps.Item{
-		Step: s, Pool: q.GetPool(), Priority: q.GetPriority(), Urgent: d.isUrgent(q.GetPool(), q.GetPriority()),
-		ExpectedRuntime: takes, QuestionSize: steps.QuestionSize(q.GetAdvice(), takes),
-		OverShare: d.lead.surplus[s.Flow.ID], FailedOn: d.lead.shunned[s.StepID],
-		NeedsPermit: q.GetAdvice() != nil, AdviserAsked: d.lead.advice[s.StepID] != nil,
+	runtime := d.typicalRuntime(s)
+	item := steps.Item{
+		Step: s, Pool: q.GetPool(), Priority: q.GetPriority(), Urgent: d.isUrgentRank(q.GetPool(), q.GetPriority()),
+		ExpectedRuntime: runtime, QuestionSize: steps.QuestionSize(q.GetAdvice(), runtime),
+		OverShare: d.leader.surplusFlows[s.Flow.ID], FailedOn: d.leader.avoidedServers[s.StepID],
+		NeedsPermit: q.GetAdvice() != nil, AdviserAsked: d.leader.adviceByStep[s.StepID] != nil,
 	}
-	return it.WithAge(t, clock-begun), true
+	return item.WithAge(times, clock-startedAt), true
 }
 
-// frees returns what a server will have free again, by how far its runs are.
-func (d *Dispatcher) frees(server string, now time.Duration) []steps.Release {
-	s := d.lead.sessions[server]
+// expectedReleases returns the capacity that the runs on a server will release, and when,
+// estimated from their progress.
+func (d *Dispatcher) expectedReleases(server string, now time.Duration) []steps.Release {
+	s := d.leader.sessions[server]
 	if s == nil {
 		return nil
 	}
-	out := make([]steps.Release, 0, len(s.runs))
+	releases := make([]steps.Release, 0, len(s.runs))
 	for _, r := range s.runs {
 		step, ok := d.Host.Flows().Step(r.StepID)
-		in := time.Duration(0) // of a flow that has ended: it is being stopped
+		remaining := time.Duration(0) // the flow has ended and the run is being stopped
 		switch {
 		case ok && step.Spec.GetLasting():
 			continue
 		case ok && !r.stopping:
-			in = max(d.rest(step, r, now), 0)
+			remaining = max(d.remainingTime(step, r, now), 0)
 		}
-		out = append(out, steps.Release{After: in, Size: r.held.Size})
+		releases = append(releases, steps.Release{After: remaining, Size: r.allocation.Size})
 	}
-	return out
+	return releases
 }
 
-// times returns a step's times; they stay the same once the step is ready.
-func (d *Dispatcher) times(s *flows.Step, q *v1.Queue) steps.Timing {
-	t, ok := d.lead.times[s.StepID]
+// stepTimes returns a step's deadlines. They do not change once the step is ready.
+func (d *Dispatcher) stepTimes(s *flows.Step, q *v1.Queue) steps.Timing {
+	times, ok := d.leader.stepTimes[s.StepID]
 	if !ok {
-		t = steps.TimingOf(s, q)
-		d.lead.times[s.StepID] = t
+		times = steps.TimingOf(s, q)
+		d.leader.stepTimes[s.StepID] = times
 	}
-	return t
+	return times
 }
 
-// place commits a placement and sends the starts once it is committed.
-func (d *Dispatcher) place(p steps.Placement, now time.Duration) {
+// commitPlacement commits a placement and then sends the starts.
+func (d *Dispatcher) commitPlacement(placement steps.Placement, now time.Duration) {
 	start := &record.FlowStart{}
-	var number uint32
-	for _, t := range p.Item.Tasks {
-		number = max(number, t.Number)
-	}
-	for _, one := range p.Assignments {
-		n := p.Item.Tasks[one.Index].Number
-		if p.Item.Spec.GetGang() {
-			n = number // the members of a gang share a number
+	var highestNumber uint32
+	for _, task := range placement.Item.Tasks {
+		highestNumber = max(highestNumber, task.Number)
+	}
+	for _, place := range placement.Assignments {
+		lastNumber := placement.Item.Tasks[place.Index].Number
+		if placement.Item.Spec.GetGang() {
+			lastNumber = highestNumber // all members of a gang have the same run number
 		}
-		id := flow.RunID{TaskID: one.TaskID, Number: n + 1}
-		start.Places = append(start.Places, &record.FlowPlace{Run: id.Message(), Server: one.Server})
+		id := flow.RunID{TaskID: place.TaskID, Number: lastNumber + 1}
+		start.Places = append(start.Places, &record.FlowPlace{Run: id.Message(), Server: place.Server})
 	}
-	if !d.decide(&record.Flow{What: &record.Flow_Start{Start: start}}) {
+	if !d.applyOrLog(&record.Flow{What: &record.Flow_Start{Start: start}}) {
 		return
 	}
 	var runs []*run
-	for _, m := range start.GetPlaces() {
-		runs = append(runs, d.placed(m, d.urgent(p.Item.Step), now))
-	}
-	waited := d.Host.Clock() - p.Item.Since
-	q := p.Item.Flow.Queue
-	d.meter.waited(q, waited)
-	d.Host.After(func() {
-		event.Log(d.Log, event.RunsPlaced, "flow", p.Item.Flow.ID, "step", p.Item.StepID.String(), "runs", len(runs), "first", start.Places[0].GetServer(), "queue", q, "waited", waited.String(), "term", d.lead.term)
+	for _, placed := range start.GetPlaces() {
+		runs = append(runs, d.addPlacedRun(placed, d.isUrgentStep(placement.Item.Step), now))
+	}
+	waited := d.Host.LedgerTime() - placement.Item.Since
+	queue := placement.Item.Flow.Queue
+	d.flowMetrics.observeWait(queue, waited)
+	d.Host.AfterCommit(func() {
+		event.Log(d.Log, event.RunsPlaced, "flow", placement.Item.Flow.ID, "step", placement.Item.StepID.String(), "runs", len(runs), "first", start.Places[0].GetServer(), "queue", queue, "waited", waited.String(), "term", d.leader.term)
 		for _, r := range runs {
-			if s := d.lead.sessions[r.held.Server]; s != nil && s.runs[r.TaskID] == r {
-				d.start(s, r)
+			if s := d.leader.sessions[r.allocation.Server]; s != nil && s.runs[r.TaskID] == r {
+				d.sendStart(s, r)
 			}
 		}
 	})
 }
 
-// placed notes a run that was placed just now.
-func (d *Dispatcher) placed(m *record.FlowPlace, urgent bool, now time.Duration) *run {
-	id := flow.RunOf(m.GetRun())
-	b, _ := d.Host.Flows().Server(m.GetServer())
-	r := &run{RunID: id, held: b.Held[id.TaskID], placed: now, urgent: urgent}
-	if a := d.lead.advice[id.StepID]; a != nil {
-		r.permit = a.permits[m.GetServer()].ticket
-	}
-	s := d.lead.sessions[b.ID]
+// addPlacedRun adds a run that was just placed to its session.
+func (d *Dispatcher) addPlacedRun(place *record.FlowPlace, urgent bool, now time.Duration) *run {
+	id := flow.RunOf(place.GetRun())
+	b, _ := d.Host.Flows().Server(place.GetServer())
+	r := &run{RunID: id, allocation: b.Held[id.TaskID], placedAt: now, urgent: urgent}
+	if advice := d.leader.adviceByStep[id.StepID]; advice != nil {
+		r.permit = advice.permits[place.GetServer()].ticket
+	}
+	s := d.leader.sessions[b.ID]
 	s.runs[id.TaskID] = r
-	d.onProbation(s, r, now)
+	d.startProbation(s, r, now)
 	return r
 }
--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -12,117 +12,118 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// Report is what a backend server says of itself now and then.
+// Report is the periodic status report of a backend server.
 type Report struct {
 	*record.FlowServer
-	// Call counts the reports of one life; a late one has a lower number.
-	Call uint64
-	// Clock is the server's clock in milliseconds; 0 when it is not told.
+	// Number is the sequence number of the report within an incarnation. A delayed report
+	// has a lower number.
+	Number uint64
+	// Clock is the server's clock in milliseconds; 0 if not sent.
 	Clock int64
 	// Remaining is the least time in milliseconds that a leaving server has left.
 	Remaining int64
 }
 
-// Report takes a report. It returns once everything that the report changes is
-// committed: an acknowledged server gets no new work once it leaves.
+// Report processes a report of a backend server. It returns when all changes from the
+// report are committed. After it is acknowledged, a leaving server gets no new tasks.
 func (d *Dispatcher) Report(ctx context.Context, r Report) *code.Error {
-	received := d.Now()
-	rep, err := ask(ctx, d, errDeposed, func(reply func(*code.Error)) {
-		d.report(r, reply)
-		if s := d.lead.sessions[r.GetId()]; s != nil && s.born == r.GetBorn() {
-			s.reported(r, received)
+	receivedAt := d.Now()
+	fault, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
+		d.handleReport(r, reply)
+		if s := d.leader.sessions[r.GetId()]; s != nil && s.incarnation == r.GetBorn() {
+			s.applyReport(r, receivedAt)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	return rep
+	return fault
 }
 
-func (d *Dispatcher) report(r Report, reply func(*code.Error)) {
+func (d *Dispatcher) handleReport(r Report, reply func(*code.Error)) {
 	ledger := d.Host.Flows()
-	old, known := ledger.Server(r.GetId())
-	s := d.lead.sessions[r.GetId()]
+	previous, known := ledger.Server(r.GetId())
+	s := d.leader.sessions[r.GetId()]
 	switch {
-	case known && r.GetBorn() < old.Born:
-		reply(nil) // a late report of a life before
+	case known && r.GetBorn() < previous.Born:
+		reply(nil) // delayed report of an earlier incarnation
 		return
-	case known && r.GetBorn() == old.Born && (old.Over || r.Call < old.Call):
+	case known && r.GetBorn() == previous.Born && (previous.Over || r.Number < previous.Call):
 		reply(nil)
 		return
-	case s != nil && s.born < r.GetBorn():
-		// The life before this one has ended. What may still be on its way to
-		// it must not reach the new one unseen, so the new one is taken only
-		// when that is settled.
-		d.ending(s, "another life")
-		if d.lead.sessions[r.GetId()] != nil {
-			reply(code.New(code.Busy, "the life before is being closed"))
+	case s != nil && s.incarnation < r.GetBorn():
+		// The previous incarnation has ended. Calls in transit to it could reach the new
+		// one, so the new one is accepted only when they are settled.
+		d.beginClosing(s, "a later incarnation reported")
+		if d.leader.sessions[r.GetId()] != nil {
+			reply(code.New(code.Busy, "the session of the previous incarnation is still being closed"))
 			return
 		}
-	case s != nil && s.born == r.GetBorn() && r.Call < s.call:
+	case s != nil && s.incarnation == r.GetBorn() && r.Number < s.reportNumber:
 		reply(nil)
 		return
-	case known && s != nil && same(old, r.FlowServer) && !d.colder(old, r.FlowServer):
-		// What it repeats may still be on its way into the log.
-		d.Host.After(func() { reply(nil) })
+	case known && s != nil && isUnchanged(previous, r.FlowServer) && !d.staysColdLonger(previous, r.FlowServer):
+		// The change that this report repeats may not be committed yet.
+		d.Host.AfterCommit(func() { reply(nil) })
 		return
 	}
-	if known && old.Born == r.GetBorn() && old.Leaving {
+	if known && previous.Born == r.GetBorn() && previous.Leaving {
 		r.Leaving = true
 	}
-	r.FlowServer.Call = r.Call
-	if !d.decide(&record.Flow{What: &record.Flow_Server{Server: r.FlowServer}}) {
+	r.FlowServer.Call = r.Number
+	if !d.applyOrLog(&record.Flow{What: &record.Flow_Server{Server: r.FlowServer}}) {
 		reply(code.New(code.Stale, "%s", r.GetId()))
 		return
 	}
-	now, _ := ledger.Server(r.GetId())
-	if s := d.lead.sessions[r.GetId()]; s == nil {
-		d.open(now)
-		d.takeIn()
-		event.Log(d.Log, event.ServerAnnounced, "server", r.GetId(), "born", r.GetBorn(), "pool", r.GetPool(), "address", r.GetAddress(), "cpu", now.Capacity.CPU, "memory", now.Capacity.Memory)
+	current, _ := ledger.Server(r.GetId())
+	if s := d.leader.sessions[r.GetId()]; s == nil {
+		d.openSession(current)
+		d.sendFirstHolds()
+		event.Log(d.Log, event.ServerAnnounced, "server", r.GetId(), "born", r.GetBorn(), "pool", r.GetPool(), "address", r.GetAddress(), "cpu", current.Capacity.CPU, "memory", current.Capacity.Memory)
 	} else {
-		s.address = now.Address
+		s.address = current.Address
 	}
-	if now.Leaving && (!known || !old.Leaving) {
-		event.Log(d.Log, event.ServerDraining, "server", r.GetId(), "born", r.GetBorn(), "remaining", r.Remaining, "held", len(now.Held))
+	if current.Leaving && (!known || !previous.Leaving) {
+		event.Log(d.Log, event.ServerDraining, "server", r.GetId(), "born", r.GetBorn(), "remaining", r.Remaining, "held", len(current.Held))
 	}
-	d.Host.After(func() { reply(nil) })
+	d.Host.AfterCommit(func() { reply(nil) })
 }
 
-// coldSlack is how much later than known a server may say that it stops being slow
-// before that is recorded: what it says is rough, and its report is on its way a while.
-const coldSlack = time.Second
+// coldMargin is the least extension of a server's slow start that is recorded. The reported
+// time is approximate and includes the delay of the report.
+const coldMargin = time.Second
 
-// colder tells whether a server says that it stays slow for longer than is known.
-func (d *Dispatcher) colder(b *flows.Server, r *record.FlowServer) bool {
-	return d.Host.Clock()+time.Duration(r.GetCold())*time.Millisecond > max(b.Warm, d.Host.Clock())+coldSlack
+// staysColdLonger reports whether the server announces a longer slow start than the ledger
+// has.
+func (d *Dispatcher) staysColdLonger(b *flows.Server, r *record.FlowServer) bool {
+	return d.Host.LedgerTime()+time.Duration(r.GetCold())*time.Millisecond > max(b.Warm, d.Host.LedgerTime())+coldMargin
 }
 
-// same tells whether a report says nothing new.
-func same(b *flows.Server, r *record.FlowServer) bool {
+// isUnchanged reports whether the report equals the server's state in the ledger.
+func isUnchanged(b *flows.Server, r *record.FlowServer) bool {
 	size := capacity.Size{CPU: r.GetCapacity().GetCpu(), Memory: r.GetCapacity().GetMemory(), Accel: r.GetCapacity().GetAccel(), Slots: r.GetCapacity().GetSlots()}
 	return b.Born == r.GetBorn() && b.Address == r.GetAddress() && b.Pool == r.GetPool() && b.Machine == r.GetMachine() && b.Zone == r.GetZone() &&
 		b.Capacity == size && slices.Equal(b.Labels, r.GetLabels()) && (b.Leaving || !r.GetLeaving())
 }
 
-// Leave takes a server's word that it ends. What it held counts as running
-// until that is proved: the word may be a late one, of a life before.
+// Leave handles the notice that a server exits. Its runs count as running until their end
+// is proved, because the notice may be a delayed one of an earlier incarnation.
 func (d *Dispatcher) Leave(ctx context.Context, id string) *code.Error {
-	_, err := ask(ctx, d, errDeposed, func(reply func(struct{})) {
+	_, err := runOnLeader(ctx, d, errDeposed, func(reply func(struct{})) {
 		if b, ok := d.Host.Flows().Server(id); ok && !b.Over && !b.Leaving {
-			leaving := message(b)
+			leaving := serverRecord(b)
 			leaving.Leaving = true
-			d.decide(&record.Flow{What: &record.Flow_Server{Server: leaving}})
+			d.applyOrLog(&record.Flow{What: &record.Flow_Server{Server: leaving}})
 		}
 		event.Log(d.Log, event.ServerLeft, "server", id)
-		d.Host.After(func() { reply(struct{}{}) })
+		d.Host.AfterCommit(func() { reply(struct{}{}) })
 	})
 	return err
 }
 
-func message(b *flows.Server) *record.FlowServer {
+func serverRecord(b *flows.Server) *record.FlowServer {
 	return &record.FlowServer{
 		Id: b.ID, Born: b.Born, Address: b.Address, Zone: b.Zone, Pool: b.Pool, Machine: b.Machine,
-		Capacity: sizeMessage(b.Capacity), Labels: b.Labels, Leaving: b.Leaving, Cursor: b.Cursor, Call: b.Call,
+		Capacity: sizeRecord(b.Capacity), Labels: b.Labels, Leaving: b.Leaving, Cursor: b.Cursor, Call: b.Call,
 	}
 }
--- a/internal/control/dispatch/session.go
+++ b/internal/control/dispatch/session.go
@@ -12,145 +12,153 @@
 	"gypsumreel/internal/policy/watchdog"
 )
 
-// Bounds of a session.
+// Parameters of a session.
 const (
-	// firstPause and lastPause bound the pause before a failed call is made again.
-	firstPause = 50 * time.Millisecond
-	lastPause  = 400 * time.Millisecond
-	// sharedWait is how often a server is looked at on which something fills
-	// beside something that serves: its figures are of the last half second.
-	sharedWait = 500 * time.Millisecond
-	// overdueWait is how often a server is looked at on which a run should have
-	// ended that somebody waits for.
-	overdueWait = 300 * time.Millisecond
-	// pressPause is the pause between two holds that do not wait at the server.
-	pressPause = 10 * time.Millisecond
-	// absentCalls is how often a server must be found absent, one call after the
-	// other, before its life counts as over: a listener that is opened anew must
-	// not look like a crash.
-	absentCalls = 2
+	// minHoldRetryPause and maxHoldRetryPause are the bounds of the pause before a failed
+	// hold is retried.
+	minHoldRetryPause = 50 * time.Millisecond
+	maxHoldRetryPause = 400 * time.Millisecond
+	// sharedLongPoll is the longest long poll of a server that has both fill tasks and
+	// serving tasks. Their load figures cover the last half second.
+	sharedLongPoll = 500 * time.Millisecond
+	// overdueLongPoll is the longest long poll of a server with an overdue urgent run.
+	overdueLongPoll = 300 * time.Millisecond
+	// immediateHoldPause is the pause between two holds without a long poll.
+	immediateHoldPause = 10 * time.Millisecond
+	// absentAnswersToClose is the number of consecutive refused connections after which the
+	// incarnation counts as ended. A listener that is reopened must not look like a crash.
+	absentAnswersToClose = 2
 )
 
-// session is what this leader knows of one life of a backend server.
+// session is the leader's state of one incarnation of a backend server. Times are on the
+// leader's clock unless stated otherwise.
 type session struct {
-	id      string
-	born    int64
-	address string
-	// call is the number of the latest report.
-	call uint64
+	id string
+	// incarnation is the start time of the server process in milliseconds since 1970.
+	incarnation int64
+	address     string
+	// reportNumber is the number of the latest report.
+	reportNumber uint64
 
-	// clock is what the server's clock showed, at the least, at seen on ours.
-	clock int64
-	seen  time.Duration
-	// over is when everything that runs there has lost its lease, by our clock.
-	over time.Duration
-	// heard is when the server answered last.
-	heard time.Duration
+	// serverClock is the latest known value of the server's clock in milliseconds. The
+	// clock showed at least this value at serverClockReadAt.
+	serverClock       int64
+	serverClockReadAt time.Duration
+	// leaseEndsAt is when the leases of all runs on the server have expired.
+	leaseEndsAt time.Duration
+	// lastAnswerAt is when the server last answered a hold.
+	lastAnswerAt time.Duration
 
-	// lists counts the lists that came from it.
-	lists uint64
-	// inspected is the list that its runs were last judged by.
-	inspected time.Duration
-	// holding tells that a hold is under way.
-	holding bool
-	// known tells that the server said what it holds, in this term.
-	known bool
-	// taken is the number of the latest end that was taken from a list, cursor
-	// the latest whose record is committed.
-	taken  uint64
-	cursor uint64
-	// silent tells that the latest hold failed, broke when the first one in a row did.
-	silent bool
-	broke  time.Duration
-	fails  int
-	absent int
-	// next is when the next hold is due.
-	next time.Duration
-	// probation is until when nothing else is placed there than what may crash it.
-	probation time.Duration
-	// avoid is until when nothing new is placed there, and why it last failed.
-	avoid  time.Duration
-	unwell int
-	streak watchdog.FailureStreak
-	// relay is the helper that calls go through since relayed; empty for the direct way.
-	relay   string
-	relayed time.Duration
+	// listCount is the number of run lists received from the server.
+	listCount uint64
+	// inspectedListAt is the time of the run list that inspectRuns last examined.
+	inspectedListAt time.Duration
+	// holdPending reports whether a hold is unanswered.
+	holdPending bool
+	// listReceived reports whether the server has sent a run list in this term.
+	listReceived bool
+	// lastEndReceived is the number of the latest run end received in a list, lastEndCommitted
+	// the number of the latest one that is committed.
+	lastEndReceived  uint64
+	lastEndCommitted uint64
+	// unresponsive reports whether the latest hold failed. unresponsiveSince is when the
+	// first of the consecutive failures occurred.
+	unresponsive      bool
+	unresponsiveSince time.Duration
+	failedHolds       int
+	absentAnswers     int
+	// nextHoldAt is when the next hold of an unresponsive server is due.
+	nextHoldAt time.Duration
+	// probationUntil is the time until which only the task under probation is placed on the
+	// server.
+	probationUntil time.Duration
+	// avoidUntil is the time until which no new tasks are placed on the server.
+	// refusalsInARow counts its consecutive refusals.
+	avoidUntil     time.Duration
+	refusalsInARow int
+	failureStreak  watchdog.FailureStreak
+	// relayAddress is the helper through which the server is called, since relayChangedAt;
+	// empty for direct calls.
+	relayAddress   string
+	relayChangedAt time.Duration
 
 	runs map[flow.TaskID]*run
-	// rate is how fast it works; nil while nothing is known.
-	rate *speed
-	// pace is that of what fills the server, in percent; shared tells that
-	// something serves beside it.
-	pace   int
-	shared bool
-	// leaves is when the server goes, at the earliest; 0 while it does not.
-	leaves time.Duration
+	// speed is the server's speed estimate; nil if there is none.
+	speed *serverSpeed
+	// pacePercent is the pace of the fill tasks on the server. mixesFillAndServing reports
+	// whether the server has both fill tasks and serving tasks.
+	pacePercent         int
+	mixesFillAndServing bool
+	// leavesAt is the earliest time at which the server exits; 0 if it is not leaving.
+	leavesAt time.Duration
 
-	// closing tells why the life is being closed; empty when it is not.
-	closing   string
-	closingAt time.Duration
+	// closeReason is why the session is being closed; empty if it is not.
+	closeReason  string
+	closingSince time.Duration
 }
 
-// reported takes what a report tells of the server's clock.
-func (s *session) reported(r Report, received time.Duration) {
-	s.call = max(s.call, r.Call)
+// applyReport updates the session from a report of the server.
+func (s *session) applyReport(r Report, receivedAt time.Duration) {
+	s.reportNumber = max(s.reportNumber, r.Number)
 	if r.Clock > 0 {
-		s.tell(r.Clock, received)
+		s.observeClock(r.Clock, receivedAt)
 	}
 	if r.GetLeaving() {
-		s.leaves = received + time.Duration(r.Remaining)*time.Millisecond
+		s.leavesAt = receivedAt + time.Duration(r.Remaining)*time.Millisecond
 	}
 }
 
-// tell notes that the server's clock showed at least clock at a time on ours.
-func (s *session) tell(clock int64, at time.Duration) {
-	if at > s.seen {
-		s.clock, s.seen = clock, at
+// observeClock records that the server's clock showed at least serverTime at readAt.
+func (s *session) observeClock(serverTime int64, readAt time.Duration) {
+	if readAt > s.serverClockReadAt {
+		s.serverClock, s.serverClockReadAt = serverTime, readAt
 	}
 }
 
-// promise returns the time on the server's clock that is reached by end on ours
-// at the latest, however slow its clock is; 0 when its clock is not known.
-func (s *session) promise(end time.Duration) int64 {
-	if s.clock == 0 {
+// leaseEndOnServerClock converts the end of a lease to the server's clock. The result is
+// reached no later than leaseEnd even if the server's clock is slow. It is 0 if the
+// server's clock is unknown.
+func (s *session) leaseEndOnServerClock(leaseEnd time.Duration) int64 {
+	if s.serverClock == 0 {
 		return 0
 	}
-	return s.clock + int64(slowest*float64(end-s.seen)/float64(time.Millisecond))
+	return s.serverClock + int64(minClockRate*float64(leaseEnd-s.serverClockReadAt)/float64(time.Millisecond))
 }
 
-// timeout returns how long an answer is waited for: less than the longest time
-// while answers usually come soon, and twice as long with each try.
-func (d *Dispatcher) timeout(least time.Duration, tries int) time.Duration {
-	usual := max(answerFactor*d.lead.answers, least)
-	return min(usual<<min(tries, 4), callTimeout)
+// answerTimeout returns the timeout of a call. It is proportional to the usual latency,
+// doubles with each attempt, and is at most callTimeout.
+func (d *Dispatcher) answerTimeout(minimum time.Duration, attempts int) time.Duration {
+	usual := max(latencyTimeoutFactor*d.leader.usualLatency, minimum)
+	return min(usual<<min(attempts, 4), callTimeout)
 }
 
-// answered takes the time of an answer into what is usual.
-func (d *Dispatcher) answered(took time.Duration) {
-	d.lead.answers += time.Duration(answerWeight * float64(took-d.lead.answers))
+// observeLatency adds a latency to the moving average.
+func (d *Dispatcher) observeLatency(latency time.Duration) {
+	d.leader.usualLatency += time.Duration(latencyWeight * float64(latency-d.leader.usualLatency))
 }
 
-// call makes a call to a server, the one after so many tries, and hands the answer to fn on the control
-// thread, with the times on our clock at which it left and came back.
-func (d *Dispatcher) call(s *session, c *inner.ServerCall, wait time.Duration, tries int, renew bool, fn func(a *inner.ServerAnswer, sent, came time.Duration)) {
-	now := d.Now()
-	c.Cell, c.Server, c.Address, c.Fence = d.Cell, s.id, s.address, d.lead.term
-	if lease := d.lease(s); renew && lease > 0 {
-		end := now + lease
-		if c.Until = s.promise(end); c.Until > 0 {
-			s.over = max(s.over, end+leaseMargin)
+// callServer calls a server and passes the answer to handle on the control thread, with the
+// times at which the call was sent and the answer was received. attempts is the number of
+// earlier attempts of the same call.
+func (d *Dispatcher) callServer(s *session, c *inner.ServerCall, wait time.Duration, attempts int, renewLease bool, handle func(a *inner.ServerAnswer, sentAt, receivedAt time.Duration)) {
+	sentAt := d.Now()
+	c.Cell, c.Server, c.Address, c.Fence = d.Cell, s.id, s.address, d.leader.term
+	if length := d.leaseLength(s); renewLease && length > 0 {
+		leaseEnd := sentAt + length
+		if c.Until = s.leaseEndOnServerClock(leaseEnd); c.Until > 0 {
+			s.leaseEndsAt = max(s.leaseEndsAt, leaseEnd+leaseMargin)
 		}
 	} else if c.GetStart() != nil {
-		c.Until = s.promise(s.over - leaseMargin) // what was granted before, no more
+		c.Until = s.leaseEndOnServerClock(s.leaseEndsAt - leaseMargin) // the lease granted before is not extended
 	}
-	least := orderTimeout
+	minTimeout := minOrderTimeout
 	if c.GetHold() != nil {
-		least = holdTimeout
+		minTimeout = minHoldTimeout
 	}
-	timeout := wait + d.timeout(least, tries)
+	timeout := wait + d.answerTimeout(minTimeout, attempts)
 	c.Budget = uint64(timeout / time.Millisecond)
-	term, ctx, relay := d.lead.term, d.lead.ctx, s.relay
-	d.lead.calls.Go(func() {
+	term, ctx, relay := d.leader.term, d.leader.ctx, s.relayAddress
+	d.leader.callPool.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		var a *inner.ServerAnswer
@@ -159,152 +167,154 @@
 		} else {
 			a = d.Helpers.Relay(ctx, relay, c)
 		}
-		came := d.Now()
-		d.post(term, func() {
+		receivedAt := d.Now()
+		d.postInTerm(term, func() {
 			if a.GetClock() > 0 {
-				s.tell(a.GetClock(), came)
+				s.observeClock(a.GetClock(), receivedAt)
 			}
-			fn(a, now, came)
+			handle(a, sentAt, receivedAt)
 		})
 	})
 }
 
-// hold renews the lease and asks what runs. One hold is under way at a time;
-// it waits at the server until something ends.
-func (d *Dispatcher) hold(s *session) {
-	if s.holding || s.closing != "" {
+// sendHold sends a hold: a call that renews the lease and requests the run list. At most
+// one hold per server is pending. The call is a long poll that returns when a run ends.
+func (d *Dispatcher) sendHold(s *session) {
+	if s.holdPending || s.closeReason != "" {
 		return
 	}
-	s.holding = true
-	d.chooseWay(s)
-	wait := longestWait
-	if lease := d.lease(s); lease > 0 {
-		wait = min(wait, lease/waitParts)
+	s.holdPending = true
+	d.chooseRoute(s)
+	wait := maxLongPoll
+	if length := d.leaseLength(s); length > 0 {
+		wait = min(wait, length/longPollsPerLease)
 	}
-	if s.shared {
-		wait = min(wait, sharedWait)
+	if s.mixesFillAndServing {
+		wait = min(wait, sharedLongPoll)
 	}
-	if d.overdue(s) {
-		wait = min(wait, overdueWait)
+	if d.hasOverdueRun(s) {
+		wait = min(wait, overdueLongPoll)
 	}
-	if !s.known || s.clock == 0 || s.silent || s.pressing() {
+	if !s.listReceived || s.serverClock == 0 || s.unresponsive || s.expectsListChange() {
 		wait = 0
 	}
-	c := &inner.ServerCall{What: &inner.ServerCall_Hold{Hold: &inner.HoldRuns{Ack: s.cursor, Wait: uint64(wait / time.Millisecond)}}}
-	// A server that does not answer may hear all the same. Renewing its lease with
-	// each try would keep its work from everybody else for ever.
-	d.call(s, c, wait, s.fails, !s.silent, func(a *inner.ServerAnswer, sent, came time.Duration) {
-		s.holding = false
-		d.lead.intake.Done(s)
-		defer d.takeIn()
-		if d.lead.sessions[s.id] != s || s.closing != "" {
+	c := &inner.ServerCall{What: &inner.ServerCall_Hold{Hold: &inner.HoldRuns{Ack: s.lastEndCommitted, Wait: uint64(wait / time.Millisecond)}}}
+	// An unresponsive server may still receive calls. If each attempt renewed its lease,
+	// its tasks could never be placed on another server.
+	d.callServer(s, c, wait, s.failedHolds, !s.unresponsive, func(a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
+		s.holdPending = false
+		d.leader.firstHoldQueue.Done(s)
+		defer d.sendFirstHolds()
+		if d.leader.sessions[s.id] != s || s.closeReason != "" {
 			return
 		}
-		d.held(s, a, sent, came)
+		d.handleHoldAnswer(s, a, sentAt, receivedAt)
 	})
 }
 
-// overdueFactor is how many times as long as usual an urgent run takes before its
-// server is looked at more often: most take about as long as they should.
+// overdueFactor is the ratio of the actual to the typical runtime above which an urgent run
+// counts as overdue. Most runs take about their typical runtime.
 const overdueFactor = 1.5
 
-// overdue tells whether an urgent run should have ended on a server.
-func (d *Dispatcher) overdue(s *session) bool {
+// hasOverdueRun reports whether an urgent run on the server is overdue.
+func (d *Dispatcher) hasOverdueRun(s *session) bool {
 	now := d.Now()
 	for _, r := range s.runs {
-		if !r.urgent || r.placed == 0 || r.stopping {
+		if !r.urgent || r.placedAt == 0 || r.stopping {
 			continue
 		}
 		step, ok := d.Host.Flows().Step(r.StepID)
-		if ok && float64(now-r.placed) > overdueFactor*float64(d.typical(step)) {
+		if ok && float64(now-r.placedAt) > overdueFactor*float64(d.typicalRuntime(step)) {
 			return true
 		}
 	}
 	return false
 }
 
-// pressing tells whether something is to be learned soon from the next list.
-func (s *session) pressing() bool {
+// expectsListChange reports whether the next run list is expected to settle the state of a
+// run.
+func (s *session) expectsListChange() bool {
 	for _, r := range s.runs {
-		stopped := r.stopping && r.maybe && r.tries == 0 // placed by the last leader
-		if (r.settled > 0 || stopped) && !r.there {
+		isStopOfPreviousLeader := r.stopping && r.startUnconfirmed && r.startAttempts == 0 // placed by the previous leader
+		if (r.orderAnsweredAt > 0 || isStopOfPreviousLeader) && !r.reportedByServer {
 			return true
 		}
 	}
 	return false
 }
 
-// held takes the answer to a hold.
-func (d *Dispatcher) held(s *session, a *inner.ServerAnswer, sent, came time.Duration) {
+// handleHoldAnswer processes the answer to a hold.
+func (d *Dispatcher) handleHoldAnswer(s *session, a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
 	switch a.GetVerdict() {
 	case inner.Verdict_VERDICT_DONE:
 	case inner.Verdict_VERDICT_ABSENT, inner.Verdict_VERDICT_STRANGER:
-		s.absent++
-		d.failed(s, a, came)
-		if s.absent >= absentCalls {
-			d.ending(s, a.GetVerdict().String())
+		s.absentAnswers++
+		d.handleFailedHold(s, a, receivedAt)
+		if s.absentAnswers >= absentAnswersToClose {
+			d.beginClosing(s, a.GetVerdict().String())
 		}
 		return
 	default:
-		d.failed(s, a, came)
+		d.handleFailedHold(s, a, receivedAt)
 		return
 	}
-	if a.GetBorn() != 0 && a.GetBorn() != s.born {
-		d.ending(s, "another life answers")
+	if a.GetBorn() != 0 && a.GetBorn() != s.incarnation {
+		d.beginClosing(s, "another incarnation answered")
 		return
 	}
-	if s.silent {
-		event.Log(d.Log, event.ServerBack, "server", s.id, "born", s.born, "silent", (came - s.heard).String())
+	if s.unresponsive {
+		event.Log(d.Log, event.ServerBack, "server", s.id, "born", s.incarnation, "silent", (receivedAt - s.lastAnswerAt).String())
 	}
-	s.heard, s.silent, s.fails, s.absent = came, false, 0, 0
-	first := !s.known
-	s.known = true
-	d.lists(s, a, sent, came)
-	d.moderate(s)
-	if first {
-		d.lead.dirty = true
+	s.lastAnswerAt, s.unresponsive, s.failedHolds, s.absentAnswers = receivedAt, false, 0, 0
+	isFirstList := !s.listReceived
+	s.listReceived = true
+	d.applyRunList(s, a, sentAt, receivedAt)
+	d.adjustPace(s)
+	if isFirstList {
+		d.leader.planNeeded = true
 	}
-	// Another list may be taken before this one's ends are committed; what that one
-	// tells is not committed with them, and the server forgets what is acknowledged.
-	taken := s.taken
-	d.Host.After(func() {
-		if d.lead != nil && d.lead.sessions[s.id] == s {
-			s.cursor = max(s.cursor, taken)
-			d.holdNext(s)
+	// Another run list may be received before the ends of this one are committed. Only the
+	// ends of this list may be acknowledged after this commit, because the server forgets
+	// acknowledged ends.
+	lastReceived := s.lastEndReceived
+	d.Host.AfterCommit(func() {
+		if d.leader != nil && d.leader.sessions[s.id] == s {
+			s.lastEndCommitted = max(s.lastEndCommitted, lastReceived)
+			d.scheduleNextHold(s)
 		}
 	})
 }
 
-// holdNext makes the next hold: at once when it waits at the server, after a
-// moment when it asks for something that is about to show in the list.
-func (d *Dispatcher) holdNext(s *session) {
-	if !s.pressing() {
-		d.hold(s)
+// scheduleNextHold sends the next hold: immediately if it is a long poll, and after
+// immediateHoldPause if it is not.
+func (d *Dispatcher) scheduleNextHold(s *session) {
+	if !s.expectsListChange() {
+		d.sendHold(s)
 		return
 	}
-	term := d.lead.term
-	time.AfterFunc(pressPause, func() { d.post(term, func() { d.hold(s) }) })
+	term := d.leader.term
+	time.AfterFunc(immediateHoldPause, func() { d.postInTerm(term, func() { d.sendHold(s) }) })
 }
 
-// failed notes a failed hold and when the next one is due.
-func (d *Dispatcher) failed(s *session, a *inner.ServerAnswer, came time.Duration) {
-	if !s.silent {
-		s.broke = came
-		event.Log(d.Log, event.ServerSuspect, "server", s.id, "born", s.born, "verdict", a.GetVerdict().String(), "detail", a.GetDetail(), "held", len(s.runs), "lease", (s.over - s.broke).String())
+// handleFailedHold records a failed hold and schedules the next one.
+func (d *Dispatcher) handleFailedHold(s *session, a *inner.ServerAnswer, receivedAt time.Duration) {
+	if !s.unresponsive {
+		s.unresponsiveSince = receivedAt
+		event.Log(d.Log, event.ServerSuspect, "server", s.id, "born", s.incarnation, "verdict", a.GetVerdict().String(), "detail", a.GetDetail(), "held", len(s.runs), "lease", (s.leaseEndsAt - s.unresponsiveSince).String())
 	}
-	s.silent = true
-	s.fails++
-	if s.fails >= relayAfter && a.GetVerdict() != inner.Verdict_VERDICT_ABSENT {
-		d.relay(s, d.otherWay(s.id, s.relay))
+	s.unresponsive = true
+	s.failedHolds++
+	if s.failedHolds >= failuresBeforeRelay && a.GetVerdict() != inner.Verdict_VERDICT_ABSENT {
+		d.setRelay(s, d.nextRelay(s.id, s.relayAddress))
 	}
-	s.next = d.Now() + min(firstPause<<min(s.fails, 5), lastPause)
+	s.nextHoldAt = d.Now() + min(minHoldRetryPause<<min(s.failedHolds, 5), maxHoldRetryPause)
 }
 
-// usable tells whether new work may be placed on a server now.
-func (s *session) usable(now time.Duration) bool {
-	return s.known && !s.silent && s.closing == "" && s.clock > 0 && now >= s.avoid && now-s.heard <= longestWait+callTimeout
+// isUsable reports whether new tasks may be placed on the server.
+func (s *session) isUsable(now time.Duration) bool {
+	return s.listReceived && !s.unresponsive && s.closeReason == "" && s.serverClock > 0 && now >= s.avoidUntil && now-s.lastAnswerAt <= maxLongPoll+callTimeout
 }
 
-func sizeMessage(s capacity.Size) *v1.Size {
+func sizeRecord(s capacity.Size) *v1.Size {
 	return &v1.Size{Cpu: s.CPU, Memory: s.Memory, Accel: s.Accel, Slots: s.Slots}
 }
--- a/internal/control/dispatch/sessions.go
+++ b/internal/control/dispatch/sessions.go
@@ -10,57 +10,58 @@
 	"gypsumreel/internal/policy/recovery"
 )
 
-// open begins a session with a server as the ledger has it.
-func (d *Dispatcher) open(b *flows.Server) *session {
+// openSession creates the session of a server from its state in the ledger.
+func (d *Dispatcher) openSession(b *flows.Server) *session {
 	s := &session{
-		id: b.ID, born: b.Born, address: b.Address, cursor: b.Cursor, taken: b.Cursor,
-		heard: d.Now(), runs: map[flow.TaskID]*run{}, pace: pace.Full,
+		id: b.ID, incarnation: b.Born, address: b.Address, lastEndCommitted: b.Cursor, lastEndReceived: b.Cursor,
+		lastAnswerAt: d.Now(), runs: map[flow.TaskID]*run{}, pacePercent: pace.Full,
 	}
-	for id, h := range b.Held {
-		// Whether the start ever arrived is not known to this leader.
-		step, ok := d.Host.Flows().Step(h.StepID)
-		s.runs[id] = &run{RunID: h.RunID, held: h, maybe: true, urgent: ok && d.urgent(step)}
+	for id, allocation := range b.Held {
+		// This leader does not know whether the start arrived.
+		step, ok := d.Host.Flows().Step(allocation.StepID)
+		s.runs[id] = &run{RunID: allocation.RunID, allocation: allocation, startUnconfirmed: true, urgent: ok && d.isUrgentStep(step)}
 	}
-	s.rate = d.lead.speeds[s.id]
-	d.lead.sessions[b.ID] = s
-	at, _ := slices.BinarySearchFunc(d.lead.sorted, s.id, byID)
-	d.lead.sorted = slices.Insert(d.lead.sorted, at, s)
-	d.lead.intake.Add(s, s.class())
+	s.speed = d.leader.serverSpeeds[s.id]
+	d.leader.sessions[b.ID] = s
+	index, _ := slices.BinarySearchFunc(d.leader.sortedSessions, s.id, compareSessionID)
+	d.leader.sortedSessions = slices.Insert(d.leader.sortedSessions, index, s)
+	d.leader.firstHoldQueue.Add(s, s.firstHoldPriority())
 	return s
 }
 
-// forget ends a session.
-func (d *Dispatcher) forget(s *session) {
-	if s.relay != "" {
-		d.lead.relayed--
+// removeSession removes a session and keeps the list and the count of relayed sessions in step.
+func (d *Dispatcher) removeSession(s *session) {
+	if s.relayAddress != "" {
+		d.leader.relayedSessions--
 	}
-	delete(d.lead.sessions, s.id)
-	if at, ok := slices.BinarySearchFunc(d.lead.sorted, s.id, byID); ok {
-		d.lead.sorted = slices.Delete(d.lead.sorted, at, at+1)
+	delete(d.leader.sessions, s.id)
+	if index, ok := slices.BinarySearchFunc(d.leader.sortedSessions, s.id, compareSessionID); ok {
+		d.leader.sortedSessions = slices.Delete(d.leader.sortedSessions, index, index+1)
 	}
 }
 
-func byID(s *session, id string) int { return cmp.Compare(s.id, id) }
+func compareSessionID(s *session, id string) int { return cmp.Compare(s.id, id) }
 
-// class is how soon a server is asked what it holds.
-func (s *session) class() recovery.Priority {
-	c := recovery.Idle
+// firstHoldPriority returns the priority of the server's first hold: servers with urgent
+// runs come first, then other busy servers, then idle ones.
+func (s *session) firstHoldPriority() recovery.Priority {
+	class := recovery.Idle
 	for _, r := range s.runs {
 		if r.urgent {
 			return recovery.Urgent
 		}
-		c = recovery.Busy
+		class = recovery.Busy
 	}
-	return c
+	return class
 }
 
-// takeIn asks servers for the first time, as many as may be asked now.
-func (d *Dispatcher) takeIn() {
-	for s, ok := d.lead.intake.Next(d.Now()); ok; s, ok = d.lead.intake.Next(d.Now()) {
-		if d.lead.sessions[s.id] != s {
-			d.lead.intake.Done(s)
+// sendFirstHolds sends the first holds to queued servers, as many as the queue allows now.
+func (d *Dispatcher) sendFirstHolds() {
+	for s, ok := d.leader.firstHoldQueue.Next(d.Now()); ok; s, ok = d.leader.firstHoldQueue.Next(d.Now()) {
+		if d.leader.sessions[s.id] != s {
+			d.leader.firstHoldQueue.Done(s)
 			continue
 		}
-		d.hold(s)
+		d.sendHold(s)
 	}
 }
--- a/internal/control/dispatch/sweep.go
+++ b/internal/control/dispatch/sweep.go
@@ -10,62 +10,63 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// sweep forgets flows that ended long ago and servers that are over.
-func (d *Dispatcher) sweep(now time.Duration) {
-	const most = 500
+// removeExpired removes flows whose retention has ended and servers that are gone, and
+// refreshes the values that are computed periodically.
+func (d *Dispatcher) removeExpired(now time.Duration) {
+	const maxRemoved = 500
 	ledger := d.Host.Flows()
-	before := d.Host.Clock() - d.Retention
-	f := &record.FlowForget{}
-	for id, one := range ledger.Flows() {
-		if one.Final() && one.Ended < before && one.Held == 0 && len(f.Flows) < most {
-			f.Flows = append(f.Flows, id)
+	cutoff := d.Host.LedgerTime() - d.Retention
+	expired := &record.FlowForget{}
+	for id, candidate := range ledger.Flows() {
+		if candidate.Final() && candidate.Ended < cutoff && candidate.Held == 0 && len(expired.Flows) < maxRemoved {
+			expired.Flows = append(expired.Flows, id)
 		}
 	}
 	for id, b := range ledger.Servers() {
-		if b.Over && len(b.Held) == 0 && d.lead.sessions[id] == nil {
-			f.Servers = append(f.Servers, id)
+		if b.Over && len(b.Held) == 0 && d.leader.sessions[id] == nil {
+			expired.Servers = append(expired.Servers, id)
 		}
 	}
-	if len(f.Flows)+len(f.Servers) > 0 {
-		d.decide(&record.Flow{What: &record.Flow_Forget{Forget: f}})
+	if len(expired.Flows)+len(expired.Servers) > 0 {
+		d.applyOrLog(&record.Flow{What: &record.Flow_Forget{Forget: expired}})
 	}
-	for id := range d.lead.advice {
+	for id := range d.leader.adviceByStep {
 		if s, ok := ledger.Step(id); !ok || s.Flow.Final() || s.Done == len(s.Tasks) {
-			delete(d.lead.advice, id)
+			delete(d.leader.adviceByStep, id)
 		}
 	}
-	maps.DeleteFunc(d.lead.times, func(id flow.StepID, _ steps.Timing) bool {
+	maps.DeleteFunc(d.leader.stepTimes, func(id flow.StepID, _ steps.Timing) bool {
 		s, ok := ledger.Step(id)
 		return !ok || s.Done == len(s.Tasks)
 	})
-	maps.DeleteFunc(d.lead.shunned, func(id flow.StepID, _ map[string]bool) bool {
+	maps.DeleteFunc(d.leader.avoidedServers, func(id flow.StepID, _ map[string]bool) bool {
 		s, ok := ledger.Step(id)
 		return !ok || s.Done == len(s.Tasks)
 	})
-	for id := range d.lead.surplus {
+	for id := range d.leader.surplusFlows {
 		if f, ok := ledger.Flow(id); !ok || f.Final() {
-			delete(d.lead.surplus, id)
+			delete(d.leader.surplusFlows, id)
 		}
 	}
-	d.average()
-	d.gather()
-	d.forgetHelpers(now)
-	d.meter.look(d)
+	d.updateRuntimeRatio()
+	d.chooseUrgentServers()
+	d.removeExpiredProcesses(now)
+	d.flowMetrics.updateGauges(d)
 }
 
-// beginTurns begins the turns of flows that run at times and are due.
-func (d *Dispatcher) beginTurns() {
+// startDueTurns starts the due turns of recurring flows.
+func (d *Dispatcher) startDueTurns() {
 	ledger := d.Host.Flows()
-	for id := range d.lead.timed {
+	for id := range d.leader.recurringFlows {
 		f, ok := ledger.Flow(id)
 		if !ok || f.Final() || f.Next >= f.Spec.GetTimes() {
-			delete(d.lead.timed, id)
+			delete(d.leader.recurringFlows, id)
 			continue
 		}
 		due := time.Duration(f.Spec.GetFirst()+int64(f.Next)*int64(f.Spec.GetEvery())) * time.Millisecond
-		if due <= d.Host.Clock() {
-			event.Log(d.Log, event.TurnBegun, "flow", id, "turn", f.Next, "late", (d.Host.Clock() - due).String())
-			d.decide(&record.Flow{What: &record.Flow_Due{Due: &record.FlowDue{Id: id}}})
+		if due <= d.Host.LedgerTime() {
+			event.Log(d.Log, event.TurnBegun, "flow", id, "turn", f.Next, "late", (d.Host.LedgerTime() - due).String())
+			d.applyOrLog(&record.Flow{What: &record.Flow_Due{Due: &record.FlowDue{Id: id}}})
 		}
 	}
 }
--- a/internal/control/dispatch/urgent.go
+++ b/internal/control/dispatch/urgent.go
@@ -9,100 +9,101 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// Bounds of the headroom for urgent work.
+// Parameters of the headroom for urgent tasks.
 const (
-	// headTime is the time's worth of urgent starts for which room is left: about
-	// how long it takes until running work has given as much back. Without it,
-	// urgent work finds each server full and waits for runs of seconds to end.
-	headTime = 250 * time.Millisecond
-	// headMemory is how long what was started counts for how much is to come.
-	headMemory = 2 * time.Second
-	// headParts bounds the headroom to one part of so many of a pool.
-	headParts = 10
+	// headroomPeriod is the period of urgent starts for which capacity is kept free. In
+	// about that time running tasks release the same capacity. Without headroom, urgent
+	// tasks find every server full and wait for runs of several seconds to end.
+	headroomPeriod = 250 * time.Millisecond
+	// demandDecayTime is the time constant with which past starts lose weight in the
+	// expected demand.
+	demandDecayTime = 2 * time.Second
+	// headroomDivisor is the divisor of a pool's capacity that gives the largest headroom.
+	headroomDivisor = 10
 )
 
-// demand is what urgent work started in the last seconds.
-type demand struct {
+// startDemand is the exponentially decaying sum of recent urgent starts and their sizes.
+type startDemand struct {
 	tasks, cpu, memory, accel float64
-	at                        time.Duration
+	decayedAt                 time.Duration
 }
 
-// fade lets what was started before count less.
-func (m *demand) fade(now time.Duration) {
-	keep := math.Exp(-float64(now-m.at) / float64(headMemory))
-	m.tasks, m.cpu, m.memory, m.accel, m.at = m.tasks*keep, m.cpu*keep, m.memory*keep, m.accel*keep, now
+// decay reduces the weight of past starts.
+func (m *startDemand) decay(now time.Duration) {
+	factor := math.Exp(-float64(now-m.decayedAt) / float64(demandDecayTime))
+	m.tasks, m.cpu, m.memory, m.accel, m.decayedAt = m.tasks*factor, m.cpu*factor, m.memory*factor, m.accel*factor, now
 }
 
-// demands notes what a placement of urgent work starts.
-func (d *Dispatcher) demands(p steps.Placement, now time.Duration) {
-	if !p.Item.Urgent {
+// recordDemand adds a placement of urgent tasks to the demand of its pool.
+func (d *Dispatcher) recordDemand(placement steps.Placement, now time.Duration) {
+	if !placement.Item.Urgent {
 		return
 	}
-	m := d.lead.urgent[p.Item.Pool]
-	if m == nil {
-		m = &demand{at: now}
-		d.lead.urgent[p.Item.Pool] = m
+	demand := d.leader.urgentDemand[placement.Item.Pool]
+	if demand == nil {
+		demand = &startDemand{decayedAt: now}
+		d.leader.urgentDemand[placement.Item.Pool] = demand
 	}
-	m.fade(now)
-	size := p.Size()
-	m.tasks += float64(len(p.Assignments))
-	m.cpu += float64(size.CPU)
-	m.memory += float64(size.Memory)
-	m.accel += float64(size.Accel)
+	demand.decay(now)
+	size := placement.Size()
+	demand.tasks += float64(len(placement.Assignments))
+	demand.cpu += float64(size.CPU)
+	demand.memory += float64(size.Memory)
+	demand.accel += float64(size.Accel)
 }
 
-// headroom returns what work that is not urgent leaves free in a pool: room for as
-// many usual urgent tasks as usually start in a moment.
+// headroom returns the capacity that non-urgent tasks leave free in a pool. It is enough
+// for the urgent tasks that usually start within headroomPeriod.
 func (d *Dispatcher) headroom(pool string, total capacity.Size, now time.Duration) steps.Headroom {
-	m := d.lead.urgent[pool]
-	if m == nil {
+	demand := d.leader.urgentDemand[pool]
+	if demand == nil {
 		return steps.Headroom{}
 	}
-	m.fade(now)
-	if m.tasks < 1 {
+	demand.decay(now)
+	if demand.tasks < 1 {
 		return steps.Headroom{}
 	}
-	mean := capacity.Size{CPU: int64(m.cpu / m.tasks), Memory: int64(m.memory / m.tasks), Accel: int64(m.accel / m.tasks)}
-	n := int64(m.tasks * headTime.Seconds() / headMemory.Seconds())
-	for n > 0 && !mean.Times(n*headParts).Fits(total) {
-		n /= 2
+	meanSize := capacity.Size{CPU: int64(demand.cpu / demand.tasks), Memory: int64(demand.memory / demand.tasks), Accel: int64(demand.accel / demand.tasks)}
+	tasks := int64(demand.tasks * headroomPeriod.Seconds() / demandDecayTime.Seconds())
+	for tasks > 0 && !meanSize.Times(tasks*headroomDivisor).Fits(total) {
+		tasks /= 2
 	}
-	return steps.Headroom{Size: mean, Tasks: n}
+	return steps.Headroom{Size: meanSize, Tasks: tasks}
 }
 
-// rank is a place among the queues of a pool.
-type rank struct {
+// queueRank is a queue priority within a pool.
+type queueRank struct {
 	pool     string
 	priority uint32
 }
 
-// isUrgent tells whether no queue of a pool comes before one of that priority, and
-// some come after it.
-func (d *Dispatcher) isUrgent(pool string, priority uint32) bool {
+// isUrgentRank reports whether the priority is the highest of the pool's queues and at
+// least one queue has a lower one. A smaller number is a higher priority.
+func (d *Dispatcher) isUrgentRank(pool string, priority uint32) bool {
 	config := d.Host.Flows().Config()
-	if d.lead.ranked != config {
-		d.lead.ranked, d.lead.ranks = config, map[rank]bool{}
+	if d.leader.ranksConfig != config {
+		d.leader.ranksConfig, d.leader.urgentRanks = config, map[queueRank]bool{}
 	}
-	r := rank{pool, priority}
-	known, ok := d.lead.ranks[r]
+	rank := queueRank{pool, priority}
+	urgent, ok := d.leader.urgentRanks[rank]
 	if !ok {
-		known = first(config.GetQueues(), r)
-		d.lead.ranks[r] = known
+		urgent = isFirstRank(config.GetQueues(), rank)
+		d.leader.urgentRanks[rank] = urgent
 	}
-	return known
+	return urgent
 }
 
-// first tells whether a rank comes first among queues of its pool, and not alone.
-func first(queues []*v1.Queue, r rank) bool {
-	after := false
+// isFirstRank reports whether rank is the highest in its pool and a lower rank exists.
+func isFirstRank(queues []*v1.Queue, rank queueRank) bool {
+	hasLowerRank := false
 	for _, q := range queues {
 		switch {
-		case q.GetPool() != r.pool:
-		case q.GetPriority() < r.priority:
+		case q.GetPool() != rank.pool:
+		case q.GetPriority() < rank.priority:
 			return false
-		case q.GetPriority() > r.priority:
-			after = true
+		case q.GetPriority() > rank.priority:
+			hasLowerRank = true
 		}
 	}
-	return after
+	return hasLowerRank
 }
--- a/internal/control/flows/flows.go
+++ b/internal/control/flows/flows.go
@@ -1,5 +1,5 @@
-// Package flows is a control replica's service for flows: requests that entries
-// forward, and processes that make themselves known.
+// Package flows is the RPC service of a control replica for flows. It handles requests that
+// entries forward and greetings of processes.
 package flows
 
 import (
@@ -15,10 +15,11 @@
 	"gypsumreel/internal/control/leader"
 )
 
-// patience bounds a request whose entry names no budget, or a longer one.
-const patience = 5 * time.Second
+// maxRequestTime is the timeout of a request without a budget and the upper bound of any
+// budget.
+const maxRequestTime = 5 * time.Second
 
-// Server implements inner.Flows. The exported fields are set before use.
+// Server implements inner.Flows. The exported fields must be set before use.
 type Server struct {
 	Cell       string
 	Leader     *leader.Leader
@@ -30,45 +31,47 @@
 // Handler returns the HTTP handler of the service.
 func (s *Server) Handler() http.Handler { return inner.NewFlowsServer(s) }
 
-// Ask answers a caller's request, or tells who leads.
+// Ask answers a caller's request. A replica that does not lead returns the address of the
+// leader.
 func (s *Server) Ask(ctx context.Context, a *inner.FlowAsk) (*inner.FlowAnswer, error) {
-	if err := s.check(a.GetCell()); err != nil {
+	if err := s.checkCell(a.GetCell()); err != nil {
 		return nil, err
 	}
-	st := s.Leader.Status()
-	if !st.Leads {
-		return &inner.FlowAnswer{Code: uint32(code.NoLeader), Leader: st.Address}, nil
+	status := s.Leader.Status()
+	if !status.Leads {
+		return &inner.FlowAnswer{Code: uint32(code.NoLeader), Leader: status.Address}, nil
 	}
-	limit := patience
+	limit := maxRequestTime
 	if b := time.Duration(a.GetBudget()) * time.Millisecond; b > 0 {
 		limit = min(limit, b)
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	rep := s.Dispatcher.Ask(ctx, a)
-	if code.Code(rep.GetCode()) == code.NoLeader {
-		rep.Leader = s.Leader.Status().Address
+	answer := s.Dispatcher.Ask(ctx, a)
+	if code.Code(answer.GetCode()) == code.NoLeader {
+		answer.Leader = s.Leader.Status().Address
 	}
-	return rep, nil
+	return answer, nil
 }
 
-// Greet makes a process known to the leader, or tells who leads.
+// Greet registers a process with the leader. A replica that does not lead returns the
+// address of the leader.
 func (s *Server) Greet(ctx context.Context, g *inner.Greeting) (*inner.Welcome, error) {
-	if err := s.check(g.GetCell()); err != nil {
+	if err := s.checkCell(g.GetCell()); err != nil {
 		return nil, err
 	}
-	if st := s.Leader.Status(); !st.Leads {
-		s.Dispatcher.Heard(g)
-		return &inner.Welcome{Leader: st.Address, Term: st.Term}, nil
+	if status := s.Leader.Status(); !status.Leads {
+		s.Dispatcher.RegisterProcess(g)
+		return &inner.Welcome{Leader: status.Address, Term: status.Term}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	return s.Dispatcher.Greet(ctx, g), nil
 }
 
-func (s *Server) check(cell string) error {
+func (s *Server) checkCell(cell string) error {
 	if cell != s.Cell {
-		return twirp.NewError(twirp.PermissionDenied, "this is cell "+s.Cell)
+		return twirp.NewError(twirp.PermissionDenied, "wrong cell: this is cell "+s.Cell)
 	}
 	return nil
 }
--- a/internal/control/flows/flows_test.go
+++ b/internal/control/flows/flows_test.go
@@ -10,26 +10,27 @@
 	"gypsumreel/internal/control/leader"
 )
 
-// thread is a control thread that runs what is posted at once.
-type thread struct {
+// fakeHost is a control thread that runs posted functions synchronously.
+type fakeHost struct {
 	dispatch.Host
-	posts int
+	postCount int
 }
 
-func (t *thread) Post(fn func()) bool {
-	t.posts++
+func (t *fakeHost) Post(fn func()) bool {
+	t.postCount++
 	fn()
 	return true
 }
 
-// A follower that forgets who greets it has no helpers when it is elected.
-func TestFollowerKeepsWhoGreetsIt(t *testing.T) {
-	host := &thread{}
+// Guards against a follower that does not register the processes that greet it. After its
+// election it would have no helpers.
+func TestFollowerRegistersGreetingProcess(t *testing.T) {
+	host := &fakeHost{}
 	d := dispatch.New()
 	d.Host, d.Now = host, func() time.Duration { return time.Hour }
 	s := &flows.Server{Leader: leader.New(), Dispatcher: d}
 	w, err := s.Greet(t.Context(), &inner.Greeting{Address: "entry"})
-	if err != nil || w.GetLeads() || host.posts != 1 {
-		t.Errorf("%v, %v, %d greetings kept", w, err, host.posts)
+	if err != nil || w.GetLeads() || host.postCount != 1 {
+		t.Errorf("Greet returned %v, %v; %d greetings were registered, want 1", w, err, host.postCount)
 	}
 }
--- a/internal/control/leader/extension.go
+++ b/internal/control/leader/extension.go
@@ -32,10 +32,10 @@
 	run   func()
 }
 
-// Decide applies a flow command to the working ledger and queues it for the log. A
+// ApplyCommand applies a flow command to the working ledger and queues it for the log. A
 // command that the ledger refuses changes nothing and is not logged. Only an
 // Extension may call Decide, and only while the replica leads.
-func (l *Leader) Decide(f *record.Flow) *code.Error {
+func (l *Leader) ApplyCommand(f *record.Flow) *code.Error {
 	r := l.applyIfAccepted(&record.Command{What: &record.Command_Flow{Flow: f}})
 	if r.Code != code.OK {
 		return &code.Error{Code: r.Code, Detail: r.Detail}
@@ -43,15 +43,15 @@
 	return nil
 }
 
-// After runs fn once all commands applied so far are committed. If the replica is
+// AfterCommit runs fn once all commands applied so far are committed. If the replica is
 // deposed first, fn does not run.
-func (l *Leader) After(fn func()) {
+func (l *Leader) AfterCommit(fn func()) {
 	l.leadership.pendingEffects = append(l.leadership.pendingEffects, effect{l.leadership.lastIndex, fn})
 }
 
-// Proved runs fn once a quorum has confirmed that this replica still led at a time
+// AfterLeadershipProof runs fn once a quorum has confirmed that this replica still led at a time
 // after received. If the replica is deposed first, fn does not run.
-func (l *Leader) Proved(received time.Duration, fn func()) {
+func (l *Leader) AfterLeadershipProof(received time.Duration, fn func()) {
 	l.leadership.pendingReads = append(l.leadership.pendingReads, pendingRead{receivedAt: received, run: fn})
 }
 
@@ -61,27 +61,27 @@
 // Flows returns the flows of the working ledger.
 func (l *Leader) Flows() *flows.Ledger { return l.ledger.Flows() }
 
-// Clock returns the ledger's time.
-func (l *Leader) Clock() time.Duration { return l.ledgerTime() }
+// LedgerTime returns the ledger's time.
+func (l *Leader) LedgerTime() time.Duration { return l.ledgerTime() }
 
-// Full reports whether the journal's disk has too little free space for new work.
-func (l *Leader) Full() bool { return l.diskFull }
+// DiskFull reports whether the journal's disk has too little free space for new work.
+func (l *Leader) DiskFull() bool { return l.diskFull }
 
 // Members returns the committed membership of the control group.
 func (l *Leader) Members() group.Members { return l.membership }
 
-// Alter proposes one change of the membership. If the change cannot be made now,
+// ChangeMember proposes one change of the membership. If the change cannot be made now,
 // the caller must repeat the call later.
-func (l *Leader) Alter(m quorum.Member, remove bool) { l.proposeMembership(m, remove) }
+func (l *Leader) ChangeMember(m quorum.Member, remove bool) { l.proposeMembership(m, remove) }
 
 // maxSyncLag is the number of log entries that a member may lack and still count as
 // synced. At full load, that many entries are in transit at any moment. The group
 // makes a stricter check before it promotes a learner to voter.
 const maxSyncLag = 256
 
-// Synced reports whether a member has stored all but the latest maxSyncLag entries
+// IsSynced reports whether a member has stored all but the latest maxSyncLag entries
 // on disk. It queries the group, so it must not be called often.
-func (l *Leader) Synced(id string) bool {
+func (l *Leader) IsSynced(id string) bool {
 	return l.MatchIndexes != nil && l.leadership != nil && l.MatchIndexes()[id]+maxSyncLag >= l.leadership.commitIndex
 }
 
@@ -104,7 +104,7 @@
 	for n < len(lead.pendingEffects) && lead.pendingEffects[n].index <= lead.commitIndex {
 		lead.pendingEffects[n].run()
 		n++
-		l.Rest()
+		l.YieldProcessor()
 	}
 	if n > 0 {
 		clear(lead.pendingEffects[:n])
--- a/internal/control/leader/leader.go
+++ b/internal/control/leader/leader.go
@@ -310,17 +310,17 @@
 	}
 }
 
-// Rest yields the processor to the other goroutines of the process. A message of
+// YieldProcessor yields the processor to the other goroutines of the process. A message of
 // the group passes through several goroutines. A leader that computes for a long
 // time without yielding would delay its heartbeats and lose the leadership because
 // of its own load. Rest is called on the control thread.
-func (l *Leader) Rest() { l.processorYield.Rest() }
+func (l *Leader) YieldProcessor() { l.processorYield.Rest() }
 
 // drainInbox runs further functions that are already queued, so that their commands
 // share one commit.
 func (l *Leader) drainInbox() {
 	for range maxBatchesPerTurn {
-		l.Rest()
+		l.YieldProcessor()
 		select {
 		case fn := <-l.inbox:
 			fn()
--- a/internal/control/leader/operator.go
+++ b/internal/control/leader/operator.go
@@ -24,7 +24,7 @@
 		l.handleMemberChange(target, c)
 		return
 	}
-	if c := req.GetZone(); c != nil && !l.KnowsZone(c.GetZone()) {
+	if c := req.GetZone(); c != nil && !l.HasZone(c.GetZone()) {
 		l.refuse(target, code.New(code.Unknown, "zone %q", c.GetZone()))
 		return
 	}
@@ -93,8 +93,8 @@
 	return out
 }
 
-// KnowsZone reports whether there is an availability zone of that name.
-func (l *Leader) KnowsZone(name string) bool {
+// HasZone reports whether there is an availability zone of that name.
+func (l *Leader) HasZone(name string) bool {
 	if len(l.Zones) > 0 {
 		return slices.Contains(l.Zones, name)
 	}
