--- a/internal/control/dispatch/ask.go
+++ b/internal/control/dispatch/ask.go
@@ -124,7 +124,7 @@
 	case inner.FlowVerb_FLOW_VERB_STATE:
 		d.state(id, owner, received, reply)
 	case inner.FlowVerb_FLOW_VERB_PENDING:
-		d.Host.After(func() { reply(&inner.FlowAnswer{Pending: uint32(d.Host.Flows().Pending(q.GetName()))}) })
+		d.Host.After(func() { reply(&inner.FlowAnswer{Pending: uint32(d.Host.Flows().PendingFlows(q.GetName()))}) })
 	default:
 		reply(refusal(code.New(code.Malformed, "no such call"), 0))
 	}
@@ -145,7 +145,7 @@
 	}
 	if err, retry := d.admit(a, q); err != nil {
 		d.meter.refused(err.Code)
-		event.Fail(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", owner, "open", ledger.Open(), "retry", retry.String())
+		event.Fail(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", owner, "open", ledger.OpenFlows(), "retry", retry.String())
 		reply(refusal(err, retry))
 		return
 	}
@@ -175,7 +175,7 @@
 	if d.Host.Full() {
 		return code.New(code.DiskFull, ""), comeBack
 	}
-	if d.Host.Flows().Open() >= d.Open {
+	if d.Host.Flows().OpenFlows() >= d.Open {
 		return code.New(code.Overloaded, "%d flows wait or run", d.Open), comeBack
 	}
 	if d.closed(q.GetPool()) {
@@ -216,7 +216,7 @@
 func (d *Dispatcher) cancel(id, owner string, received time.Duration, reply func(*inner.FlowAnswer)) {
 	d.find(id, owner, received, reply, func(f *flows.Flow) {
 		if !f.Final() {
-			event.Log(d.Log, event.FlowCancelled, "flow", id, "held", f.Held, "term", d.lead.term)
+			event.Log(d.Log, event.FlowCancelled, "flow", id, "held", f.HeldRuns, "term", d.lead.term)
 			d.decide(&record.Flow{What: &record.Flow_Cancel{Cancel: &record.FlowCancel{Id: id}}})
 		}
 		d.Host.After(func() { reply(stateOf(f)) })
--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -187,7 +187,7 @@
 	}
 	ledger := d.Host.Flows()
 	for _, b := range ledger.Servers() {
-		if b.Over {
+		if b.Ended {
 			continue
 		}
 		s := d.open(b)
@@ -202,7 +202,7 @@
 			d.lead.timed[id] = true
 		}
 	}
-	event.Log(d.Log, event.DispatchBegun, "term", term, "servers", len(d.lead.sessions), "flows", ledger.Open(), "drained", len(ledger.Zones()))
+	event.Log(d.Log, event.DispatchBegun, "term", term, "servers", len(d.lead.sessions), "flows", ledger.OpenFlows(), "drained", len(ledger.DrainedZones()))
 }
 
 // proofAge is the greatest age of the proof on which a leader still acts.
--- a/internal/control/dispatch/lease.go
+++ b/internal/control/dispatch/lease.go
@@ -41,10 +41,10 @@
 	servers := map[string][]brief.Server{}
 	for id, s := range d.lead.sessions {
 		b, ok := d.Host.Flows().Server(id)
-		if !ok || b.Over {
+		if !ok || b.Ended {
 			continue
 		}
-		if d.Host.Flows().Takes(b) && s.closing == "" {
+		if d.Host.Flows().AcceptsWork(b) && s.closing == "" {
 			servers[b.Pool] = append(servers[b.Pool], brief.Server{ID: id, Cores: b.Capacity.CPU})
 		}
 		for _, r := range s.runs {
--- a/internal/control/dispatch/life.go
+++ b/internal/control/dispatch/life.go
@@ -89,5 +89,5 @@
 	if r.sent > 0 {
 		return max(now-r.sent, 0)
 	}
-	return max(d.Host.Clock()-r.held.Since-(d.Now()-now), 0)
+	return max(d.Host.Clock()-r.held.PlacedAt-(d.Now()-now), 0)
 }
--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -44,10 +44,10 @@
 	old, known := ledger.Server(r.GetId())
 	s := d.lead.sessions[r.GetId()]
 	switch {
-	case known && r.GetBorn() < old.Born:
+	case known && r.GetBorn() < old.StartedAtMs:
 		reply(nil) // a late report of a life before
 		return
-	case known && r.GetBorn() == old.Born && (old.Over || r.Call < old.Call):
+	case known && r.GetBorn() == old.StartedAtMs && (old.Ended || r.Call < old.LastReport):
 		reply(nil)
 		return
 	case s != nil && s.born < r.GetBorn():
@@ -67,7 +67,7 @@
 		d.Host.After(func() { reply(nil) })
 		return
 	}
-	if known && old.Born == r.GetBorn() && old.Leaving {
+	if known && old.StartedAtMs == r.GetBorn() && old.ShuttingDown {
 		r.Leaving = true
 	}
 	r.FlowServer.Call = r.Call
@@ -83,8 +83,8 @@
 	} else {
 		s.address = now.Address
 	}
-	if now.Leaving && (!known || !old.Leaving) {
-		event.Log(d.Log, event.ServerDraining, "server", r.GetId(), "born", r.GetBorn(), "remaining", r.Remaining, "held", len(now.Held))
+	if now.ShuttingDown && (!known || !old.ShuttingDown) {
+		event.Log(d.Log, event.ServerDraining, "server", r.GetId(), "born", r.GetBorn(), "remaining", r.Remaining, "held", len(now.HeldRuns))
 	}
 	d.Host.After(func() { reply(nil) })
 }
@@ -95,21 +95,21 @@
 
 // colder tells whether a server says that it stays slow for longer than is known.
 func (d *Dispatcher) colder(b *flows.Server, r *record.FlowServer) bool {
-	return d.Host.Clock()+time.Duration(r.GetCold())*time.Millisecond > max(b.Warm, d.Host.Clock())+coldSlack
+	return d.Host.Clock()+time.Duration(r.GetCold())*time.Millisecond > max(b.WarmUpEndsAt, d.Host.Clock())+coldSlack
 }
 
 // same tells whether a report says nothing new.
 func same(b *flows.Server, r *record.FlowServer) bool {
 	size := capacity.Size{CPU: r.GetCapacity().GetCpu(), Memory: r.GetCapacity().GetMemory(), Accel: r.GetCapacity().GetAccel(), Slots: r.GetCapacity().GetSlots()}
-	return b.Born == r.GetBorn() && b.Address == r.GetAddress() && b.Pool == r.GetPool() && b.Machine == r.GetMachine() && b.Zone == r.GetZone() &&
-		b.Capacity == size && slices.Equal(b.Labels, r.GetLabels()) && (b.Leaving || !r.GetLeaving())
+	return b.StartedAtMs == r.GetBorn() && b.Address == r.GetAddress() && b.Pool == r.GetPool() && b.Machine == r.GetMachine() && b.Zone == r.GetZone() &&
+		b.Capacity == size && slices.Equal(b.Labels, r.GetLabels()) && (b.ShuttingDown || !r.GetLeaving())
 }
 
 // Leave takes a server's word that it ends. What it held counts as running
 // until that is proved: the word may be a late one, of a life before.
 func (d *Dispatcher) Leave(ctx context.Context, id string) *code.Error {
 	_, err := ask(ctx, d, errDeposed, func(reply func(struct{})) {
-		if b, ok := d.Host.Flows().Server(id); ok && !b.Over && !b.Leaving {
+		if b, ok := d.Host.Flows().Server(id); ok && !b.Ended && !b.ShuttingDown {
 			leaving := message(b)
 			leaving.Leaving = true
 			d.decide(&record.Flow{What: &record.Flow_Server{Server: leaving}})
@@ -122,7 +122,7 @@
 
 func message(b *flows.Server) *record.FlowServer {
 	return &record.FlowServer{
-		Id: b.ID, Born: b.Born, Address: b.Address, Zone: b.Zone, Pool: b.Pool, Machine: b.Machine,
-		Capacity: sizeMessage(b.Capacity), Labels: b.Labels, Leaving: b.Leaving, Cursor: b.Cursor, Call: b.Call,
+		Id: b.ID, Born: b.StartedAtMs, Address: b.Address, Zone: b.Zone, Pool: b.Pool, Machine: b.Machine,
+		Capacity: sizeMessage(b.Capacity), Labels: b.Labels, Leaving: b.ShuttingDown, Cursor: b.EndCursor, Call: b.LastReport,
 	}
 }
--- a/internal/control/dispatch/wave.go
+++ b/internal/control/dispatch/wave.go
@@ -96,11 +96,11 @@
 // wave takes machines down as far as the cap lets it. Those that are next are
 // emptied meanwhile: they get nothing new, and what can go on elsewhere is moved.
 func (d *Dispatcher) wave(w *flows.Wave, now time.Duration) {
-	free := w.Cap - w.Down()
+	free := w.MaxDown - w.DownMachines()
 	for _, m := range w.Machines {
 		switch {
-		case m.Done:
-		case m.Begun:
+		case m.MaintenanceDone:
+		case m.MaintenanceStarted:
 			d.returned(w, m, now)
 		case free > 0:
 			free--
@@ -111,7 +111,7 @@
 
 // returned notes that a machine is back: a later life runs on it.
 func (d *Dispatcher) returned(w *flows.Wave, m *flows.Machine, now time.Duration) {
-	if b, ok := d.Host.Flows().On(m.Name); ok && b.Born > m.Born {
+	if b, ok := d.Host.Flows().ServerOnMachine(m.Name); ok && b.StartedAtMs > m.ServerStartedAtMs {
 		d.upkept(w, m)
 		return
 	}
@@ -128,7 +128,7 @@
 // empty lets a machine run empty, and takes it down when it is, or when the wave
 // would be late otherwise. What must not be missed is waited for in any case.
 func (d *Dispatcher) empty(w *flows.Wave, m *flows.Machine, now time.Duration) {
-	b, ok := d.Host.Flows().On(m.Name)
+	b, ok := d.Host.Flows().ServerOnMachine(m.Name)
 	if ok {
 		d.lead.emptied[b.ID] = true
 		if s := d.lead.sessions[b.ID]; s != nil {
@@ -175,12 +175,12 @@
 func (d *Dispatcher) pressing(w *flows.Wave) bool {
 	left := 0
 	for _, m := range w.Machines {
-		if !m.Done {
+		if !m.MaintenanceDone {
 			left++
 		}
 	}
-	rounds := (left + w.Cap - 1) / w.Cap
-	return d.Host.Clock()-w.Began+time.Duration(rounds)*backTime >= w.Duration
+	rounds := (left + w.MaxDown - 1) / w.MaxDown
+	return d.Host.Clock()-w.RequestedAt+time.Duration(rounds)*backTime >= w.Duration
 }
 
 // order takes a machine down.
--- a/internal/control/leader/ask.go
+++ b/internal/control/leader/ask.go
@@ -120,7 +120,7 @@
 func (l *Leader) accept(k key.Key, spec *v1.Spec) *v1.Accepted {
 	c := &record.Command{What: &record.Command_Accept{Accept: &record.Accept{Team: k.Team, Key: k.ID, Spec: spec}}}
 	var retry time.Duration
-	if _, ok := l.st.Find(state.RequestID{Team: k.Team, ID: spec.GetId()}); !ok {
+	if _, ok := l.st.FindJob(state.RequestID{Team: k.Team, ID: spec.GetId()}); !ok {
 		var why code.Code
 		if why, retry = l.admit(k.Team, spec); why != code.OK {
 			c = &record.Command{What: &record.Command_Refuse{Refuse: &record.Refuse{Team: k.Team, Spec: spec, Code: uint32(why)}}}
@@ -147,9 +147,9 @@
 		return code.DiskFull, fullRetry
 	}
 	waits := l.st.Backlog()
-	err, retry := admit.Check(command.Spec(owner, spec), admit.View{
-		Row: row, Waiting: l.st.Waiting(owner), Cell: waits.Jobs, Bound: l.Backlog, Teams: waits.Teams,
-		Largest: l.st.Kinds(), Total: l.st.Total(),
+	err, retry := admit.Check(command.SpecFromMessage(owner, spec), admit.View{
+		Row: row, Waiting: l.st.TeamWaitingJobs(owner), Cell: waits.Jobs, Bound: l.Backlog, Teams: waits.Teams,
+		Largest: l.st.ServerCapacities(), Total: l.st.TotalCapacity(),
 	}, rand.Float64())
 	if err != nil {
 		return err.Code, retry
@@ -167,7 +167,7 @@
 
 func (l *Leader) wait(to Ticket, k key.Key, req *v1.WaitRequest) {
 	id := state.RequestID{Team: k.Team, ID: req.GetId()}
-	j, ok := l.st.Find(id)
+	j, ok := l.st.FindJob(id)
 	if !ok {
 		l.read(to, func() { l.missing(to, id) })
 		return
@@ -183,7 +183,7 @@
 
 // missing answers that a job is not known, after the proof that this is current.
 func (l *Leader) missing(to Ticket, id state.RequestID) {
-	if j, ok := l.st.Find(id); ok {
+	if j, ok := l.st.FindJob(id); ok {
 		l.answer(to, j, 0)
 		return
 	}
@@ -220,7 +220,7 @@
 	if len(l.lead.waits[id]) == 0 {
 		delete(l.lead.waits, id)
 	}
-	if j, ok := l.st.Find(id); ok {
+	if j, ok := l.st.FindJob(id); ok {
 		l.tell(w, j)
 		return
 	}
@@ -239,7 +239,7 @@
 
 // answerWaits answers the waits for a job that has ended.
 func (l *Leader) answerWaits(j *state.Job) {
-	id := j.Request()
+	id := j.RequestID()
 	for _, w := range l.lead.waits[id] {
 		if !w.done {
 			w.done = true
@@ -264,7 +264,7 @@
 func (l *Leader) cancel(to Ticket, k key.Key, req *v1.CancelRequest) {
 	c := &record.Cancel{}
 	for _, id := range req.GetIds() {
-		if j, ok := l.st.Find(state.RequestID{Team: k.Team, ID: id}); ok && !j.Final() {
+		if j, ok := l.st.FindJob(state.RequestID{Team: k.Team, ID: id}); ok && !j.Final() {
 			c.Jobs = append(c.Jobs, j.Number)
 		}
 	}
@@ -295,7 +295,7 @@
 	rep := &v1.ListReply{Status: &v1.Status{}}
 	if len(req.GetIds()) > 0 {
 		for _, id := range req.GetIds() {
-			if j, ok := l.st.Find(state.RequestID{Team: k.Team, ID: id}); ok {
+			if j, ok := l.st.FindJob(state.RequestID{Team: k.Team, ID: id}); ok {
 				rep.Jobs = append(rep.Jobs, summary(j))
 			}
 		}
@@ -311,14 +311,14 @@
 func summary(j *state.Job) *v1.Summary {
 	return &v1.Summary{
 		Id: j.Spec.ID, Team: j.Spec.Team, Kind: v1.Kind(j.Spec.Kind), Name: j.Spec.Name, Outcome: j.Outcome,
-		Status: status(&code.Error{Code: j.Code}), Tasks: j.Spec.Count, Running: j.Held, Ended: j.Finals,
+		Status: status(&code.Error{Code: j.Code}), Tasks: j.Spec.Count, Running: j.HeldTasks, Ended: j.FinalTasks,
 	}
 }
 
 func (l *Leader) acknowledge(to Ticket, k key.Key, req *v1.AcknowledgeRequest) {
 	f := &record.Forget{}
 	for _, id := range req.GetIds() {
-		if j, ok := l.st.Find(state.RequestID{Team: k.Team, ID: id}); ok && j.Final() {
+		if j, ok := l.st.FindJob(state.RequestID{Team: k.Team, ID: id}); ok && j.Final() {
 			f.Jobs = append(f.Jobs, j.Number)
 		}
 	}
--- a/internal/control/leader/bench_test.go
+++ b/internal/control/leader/bench_test.go
@@ -158,7 +158,7 @@
 	where := map[string]int{}
 	r.must(func(st *state.State) {
 		for _, b := range st.Servers() {
-			if n := st.Count(b.ID); n > 0 {
+			if n := st.PlacedTaskCount(b.ID); n > 0 {
 				where[b.ID] = n
 			}
 		}
@@ -240,11 +240,11 @@
 			for range b.N {
 				r.must(func(st *state.State) {
 					t0 := time.Now()
-					p := st.Picture()
+					p := st.BeginSnapshot()
 					longest := time.Since(t0)
 					for done := false; !done; {
 						begin := time.Now()
-						done = p.Step(2048)
+						done = p.CopyRecords(2048)
 						longest = max(longest, time.Since(begin))
 					}
 					c := p.State()
--- a/internal/control/leader/clock_test.go
+++ b/internal/control/leader/clock_test.go
@@ -29,7 +29,7 @@
 			time.Sleep(time.Second)
 			c.accepted(spec(map[bool]string{false: "before", true: "after"}[told]))
 			on(func(st *state.State) {
-				if off := st.At() - time.Duration(time.Now().UnixNano()); off > 0 || off < -2*time.Second {
+				if off := st.Now() - time.Duration(time.Now().UnixNano()); off > 0 || off < -2*time.Second {
 					t.Errorf("told %v: the ledger's time is off by %v", told, off)
 				}
 			})
--- a/internal/control/leader/lead.go
+++ b/internal/control/leader/lead.go
@@ -100,7 +100,7 @@
 	l.lead = &lead{
 		term:      n.Term,
 		elected:   n.Elected,
-		begun:     l.st.At(),
+		begun:     l.st.Now(),
 		last:      n.Last,
 		committed: n.Last,
 		planner:   l.Planner(),
@@ -112,10 +112,10 @@
 		dirty:     true,
 		tabled:    n.Last,
 		answers:   newAnswers(),
-		seen:      seen{servers: map[string]seenServer{}, over: map[string]bool{}, faults: l.st.Faults()},
+		seen:      seen{servers: map[string]seenServer{}, over: map[string]bool{}, faults: l.st.InvalidTransitions()},
 	}
 	l.applied = n.Last
-	l.st.Watch = watch{l}
+	l.st.Observer = watch{l}
 	l.replay()
 	if l.Root != nil && len(l.st.Keys()) == 0 {
 		l.do(&record.Command{What: &record.Command_Change{Change: &record.Change{
@@ -140,7 +140,7 @@
 	p := l.lead.planner
 	p.SetTable(l.st.Table())
 	for _, b := range l.st.Servers() {
-		watch{l}.Server(b)
+		watch{l}.ServerChanged(b)
 		if b.Server.State != backend.Gone {
 			l.session(b).heard = l.Now()
 		}
@@ -149,12 +149,12 @@
 		if j.Final() {
 			continue
 		}
-		l.st.Tasks(j, func(t *state.Task) {
+		l.st.EachTask(j, func(t *state.Task) {
 			switch {
-			case t.Phase.Holds():
-				watch{l}.Hold(j, t)
+			case t.Phase.HoldsCapacity():
+				watch{l}.TaskPlaced(j, t)
 			case t.Phase == state.Queued:
-				watch{l}.Queue(j, t)
+				watch{l}.TaskQueued(j, t)
 			}
 		})
 	}
@@ -170,7 +170,7 @@
 			event.Log(l.Log, event.QuorumLost, "term", ld.term)
 		}
 		l.lead = nil
-		l.st.Watch = nil
+		l.st.Observer = nil
 		if l.Part != nil {
 			l.Part.Deposed()
 		}
@@ -186,7 +186,7 @@
 }
 
 // clock returns the ledger's time: the time of day, never going back.
-func (l *Leader) clock() time.Duration { return max(l.st.At(), l.timeOfDay()) }
+func (l *Leader) clock() time.Duration { return max(l.st.Now(), l.timeOfDay()) }
 
 // agreeTime is how long a new leader waits for the word of others on the time of
 // day: they make themselves known several times in it.
@@ -365,7 +365,7 @@
 // sweep forgets what retention lets go.
 func (l *Leader) sweep() {
 	const most = 1000
-	f := l.st.Expired(l.clock()-l.Retention, most)
+	f := l.st.ExpiredRecords(l.clock()-l.Retention, most)
 	if len(f.Jobs)+len(f.Changes)+len(f.Servers) > 0 {
 		l.do(&record.Command{What: &record.Command_Forget{Forget: f}})
 	}
--- a/internal/control/leader/leader_test.go
+++ b/internal/control/leader/leader_test.go
@@ -401,10 +401,10 @@
 	runAs(t, logr.Discard(), planner, func(c *cell) {
 		s := c.announce("b1", 8000)
 		c.ledger(func(st *state.State) {
-			watch := st.Watch
-			st.Watch = nil // what follows is hidden from the planner
+			watch := st.Observer
+			st.Observer = nil // what follows is hidden from the planner
 			st.Apply(&record.Command{What: &record.Command_Mark{Mark: &record.Mark{Server: "b1", Incarnation: 1, State: uint32(backend.Suspect)}}})
-			st.Watch = watch
+			st.Observer = watch
 		})
 		c.accepted(spec("plan"))
 		if got := starts(s.sync()); len(got) != 1 {
--- a/internal/control/leader/notice_test.go
+++ b/internal/control/leader/notice_test.go
@@ -172,8 +172,8 @@
 			t.Fatalf("%v, %d bytes", w.GetOutcome(), w.GetChunk().GetTotal())
 		}
 		c.ledger(func(s *state.State) {
-			j, _ := s.Find(state.RequestID{Team: "rail", ID: "wide"})
-			if len(s.Answer(j)) != answer.MaxJob {
+			j, _ := s.FindJob(state.RequestID{Team: "rail", ID: "wide"})
+			if len(s.JobAnswer(j)) != answer.MaxJob {
 				t.Error("the ledger holds another length")
 			}
 		})
--- a/internal/control/leader/operator.go
+++ b/internal/control/leader/operator.go
@@ -28,7 +28,7 @@
 		return
 	}
 	before := l.st.Table().Rows()
-	_, resent := l.st.Told(req.GetId())
+	_, resent := l.st.ChangeResult(req.GetId())
 	r := l.do(&record.Command{What: &record.Command_Change{Change: &record.Change{By: k.ID, Request: req}}})
 	l.lead.dirty = true
 	if !resent {
@@ -54,7 +54,7 @@
 	case v1.Part_PART_TABLE:
 		for _, r := range l.st.Table().Rows() {
 			rep.Rows = append(rep.Rows, command.RowMessage(r))
-			rep.Held = append(rep.Held, command.SizeMessage(l.st.Held(r.Name)))
+			rep.Held = append(rep.Held, command.SizeMessage(l.st.TeamHeldCapacity(r.Name)))
 		}
 	case v1.Part_PART_KEYS:
 		for _, k := range l.st.Keys() {
@@ -86,7 +86,7 @@
 		}
 		out = append(out, &v1.ServerLine{
 			Server: b.ID, Incarnation: b.Incarnation, State: shownState(b), Rack: b.Rack, Zone: b.Zone,
-			Capacity: command.SizeMessage(b.Capacity), Held: command.SizeMessage(b.Held), Tasks: uint32(l.st.Count(b.ID)),
+			Capacity: command.SizeMessage(b.Capacity), Held: command.SizeMessage(b.HeldCapacity), Tasks: uint32(l.st.PlacedTaskCount(b.ID)),
 		})
 	}
 	return out
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -109,7 +109,7 @@
 		s.reports[a] = r.GetPhase()
 		l.strangers(b, r)
 		t, ok := l.st.Task(a.ID)
-		if !ok || t.Attempt != a.Number || t.Server != b.ID || !t.Phase.Holds() {
+		if !ok || t.Attempt != a.Number || t.Server != b.ID || !t.Phase.HoldsCapacity() {
 			continue
 		}
 		if l.ended(s, a, r) {
@@ -119,7 +119,7 @@
 		}
 		if r.GetUsed() != nil {
 			at := l.clock() - time.Duration(r.GetAge())*time.Millisecond
-			l.lead.planner.Use(a.ID, command.Size(r.GetUsed()), at)
+			l.lead.planner.Use(a.ID, command.SizeFromMessage(r.GetUsed()), at)
 		}
 	}
 }
@@ -209,7 +209,7 @@
 func (l *Leader) orders(b state.Server, s *session, now time.Duration) []*v1.Order {
 	var out []*v1.Order
 	size := 0
-	l.st.Placed(b.ID, func(t *state.Task) {
+	l.st.EachPlacedTask(b.ID, func(t *state.Task) {
 		if t.Incarnation != s.incarnation {
 			return
 		}
@@ -230,7 +230,7 @@
 }
 
 func (l *Leader) order(s *session, t *state.Task, now time.Duration) *v1.Order {
-	a := t.Current()
+	a := t.CurrentAttempt()
 	_, known := s.reports[a]
 	m := attemptMessage(a)
 	switch {
@@ -238,7 +238,7 @@
 		// A server that does not know the attempt has nothing to save: the
 		// start may be lost on its way, or was never sent. It must note the
 		// stop all the same, and says that nothing was started.
-		if t.Save && known {
+		if t.SaveCheckpoint && known {
 			return &v1.Order{Verb: v1.Verb_VERB_CHECKPOINT, Attempt: m}
 		}
 		return &v1.Order{Verb: v1.Verb_VERB_STOP, Attempt: m}
@@ -257,7 +257,7 @@
 
 // stray handles an attempt that the server reports and the ledger does not hold there.
 func (l *Leader) stray(b state.Server, s *session, a task.Attempt, phase v1.Phase, now time.Duration) *v1.Order {
-	if t, ok := l.st.Task(a.ID); ok && t.Attempt == a.Number && t.Server == b.ID && t.Phase.Holds() {
+	if t, ok := l.st.Task(a.ID); ok && t.Attempt == a.Number && t.Server == b.ID && t.Phase.HoldsCapacity() {
 		return nil
 	}
 	switch phase {
@@ -286,11 +286,11 @@
 // throttle lets the server's session know that a task is to be held to its size.
 func (l *Leader) throttle(id task.ID) {
 	t, ok := l.st.Task(id)
-	if !ok || !t.Phase.Holds() {
+	if !ok || !t.Phase.HoldsCapacity() {
 		return
 	}
 	if s := l.lead.servers[t.Server]; s != nil {
-		s.slow[t.Current()] = true
+		s.slow[t.CurrentAttempt()] = true
 		l.lead.updated[t.Server] = true
 	}
 }
--- a/internal/control/leader/snapshot_test.go
+++ b/internal/control/leader/snapshot_test.go
@@ -39,7 +39,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, ok := st.Find(state.RequestID{Team: "rail", ID: "ghost"}); ok {
+			if _, ok := st.FindJob(state.RequestID{Team: "rail", ID: "ghost"}); ok {
 				t.Error("a snapshot holds a job that nobody agreed on")
 			}
 		}
--- a/internal/demo/fault/repair_test.go
+++ b/internal/demo/fault/repair_test.go
@@ -231,7 +231,7 @@
 		bad := w.follower()
 		old := w.id(bad)
 		err := w.cell.Node(bad).Control.Do(w.ctx, func(st *state.State) {
-			st.Apply(&record.Command{At: int64(st.At()), What: &record.Command_Change{Change: &record.Change{By: "damage", Request: &v1.ChangeRequest{Id: "damage"}}}})
+			st.Apply(&record.Command{At: int64(st.Now()), What: &record.Command_Change{Change: &record.Change{By: "damage", Request: &v1.ChangeRequest{Id: "damage"}}}})
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/ledger/chart/chart.go
+++ b/internal/ledger/chart/chart.go
@@ -27,7 +27,7 @@
 )
 
 //go:embed *.json
-var files embed.FS
+var chartFiles embed.FS
 
 // Name names a chart, and its file without the ending.
 type Name string
@@ -38,59 +38,59 @@
 // Event is what may happen in a state.
 type Event string
 
-// Move is one transition.
-type Move struct {
-	From State
-	On   Event
-	To   State
+// Transition is one transition.
+type Transition struct {
+	From  State
+	Event Event
+	To    State
 }
 
-// RefusedError means that an event cannot happen in a state.
-type RefusedError struct {
+// InvalidEventError means that an event cannot happen in a state.
+type InvalidEventError struct {
 	Chart Name
 	State State
 	Event Event
 }
 
 // Error names the chart, the state and the event.
-func (e *RefusedError) Error() string {
+func (e *InvalidEventError) Error() string {
 	return fmt.Sprintf("%s: %q cannot happen in state %q", e.Chart, e.Event, e.State)
 }
 
 // Chart is a checked state chart.
 type Chart struct {
-	name   Name
-	start  State
-	states []State
-	moves  []Move
-	next   map[step]State
-	final  map[State]bool
+	name        Name
+	start       State
+	states      []State
+	transitions []Transition
+	targets     map[transitionKey]State
+	final       map[State]bool
 }
 
-// step is the key of a transition.
-type step struct {
-	from State
-	on   Event
+// transitionKey is the key of a transition.
+type transitionKey struct {
+	from  State
+	event Event
 }
 
-// source is the layout of a chart file.
-type source struct {
-	Start  State   `json:"start"`
-	States []State `json:"states"`
-	Final  []State `json:"final"`
-	Moves  []moves `json:"moves"`
+// chartFile is the layout of a chart file.
+type chartFile struct {
+	Start       State             `json:"start"`
+	States      []State           `json:"states"`
+	Final       []State           `json:"final"`
+	Transitions []transitionGroup `json:"moves"`
 }
 
-// moves are transitions on one event into one state.
-type moves struct {
-	From []State `json:"from"`
-	On   Event   `json:"on"`
-	To   State   `json:"to"`
+// transitionGroup are transitions on one event into one state.
+type transitionGroup struct {
+	From  []State `json:"from"`
+	Event Event   `json:"on"`
+	To    State   `json:"to"`
 }
 
 // Load reads a chart that is built in, and checks it.
 func Load(name Name) (*Chart, error) {
-	b, err := files.ReadFile(string(name) + ".json")
+	b, err := chartFiles.ReadFile(string(name) + ".json")
 	if err != nil {
 		return nil, errors.Wrapf(err, "chart %s", name)
 	}
@@ -108,19 +108,19 @@
 
 // Parse reads a chart from JSON with comments, and checks it.
 func Parse(name Name, b []byte) (*Chart, error) {
-	plain, err := hujson.Standardize(bytes.Clone(b))
+	standardJSON, err := hujson.Standardize(bytes.Clone(b))
 	if err != nil {
 		return nil, errors.Wrapf(err, "chart %s", name)
 	}
-	d := json.NewDecoder(bytes.NewReader(plain))
+	d := json.NewDecoder(bytes.NewReader(standardJSON))
 	d.DisallowUnknownFields()
-	var src source
+	var src chartFile
 	if err := d.Decode(&src); err != nil {
 		return nil, errors.Wrapf(err, "chart %s", name)
 	}
 	c, err := build(name, src)
 	if err == nil {
-		err = c.check()
+		err = c.validate()
 	}
 	if err != nil {
 		return nil, errors.Wrapf(err, "chart %s", name)
@@ -129,19 +129,19 @@
 }
 
 // build makes the chart and refuses two transitions for one state and event.
-func build(name Name, src source) (*Chart, error) {
-	c := &Chart{name: name, start: src.Start, states: src.States, next: map[step]State{}, final: map[State]bool{}}
+func build(name Name, src chartFile) (*Chart, error) {
+	c := &Chart{name: name, start: src.Start, states: src.States, targets: map[transitionKey]State{}, final: map[State]bool{}}
 	for _, s := range src.Final {
 		c.final[s] = true
 	}
-	for _, m := range src.Moves {
+	for _, m := range src.Transitions {
 		for _, from := range m.From {
-			key := step{from, m.On}
-			if _, twice := c.next[key]; twice {
-				return nil, errors.Newf("state %q has two transitions on %q", from, m.On)
+			key := transitionKey{from, m.Event}
+			if _, duplicate := c.targets[key]; duplicate {
+				return nil, errors.Newf("state %q has two transitions on %q", from, m.Event)
 			}
-			c.next[key] = m.To
-			c.moves = append(c.moves, Move{From: from, On: m.On, To: m.To})
+			c.targets[key] = m.To
+			c.transitions = append(c.transitions, Transition{From: from, Event: m.Event, To: m.To})
 		}
 	}
 	return c, nil
@@ -152,9 +152,9 @@
 
 // Next returns the state that an event leads to, or a *RefusedError.
 func (c *Chart) Next(s State, e Event) (State, error) {
-	to, ok := c.next[step{s, e}]
+	to, ok := c.targets[transitionKey{s, e}]
 	if !ok {
-		return s, &RefusedError{Chart: c.name, State: s, Event: e}
+		return s, &InvalidEventError{Chart: c.name, State: s, Event: e}
 	}
 	return to, nil
 }
@@ -165,5 +165,5 @@
 // States returns all states in the order of the file.
 func (c *Chart) States() []State { return slices.Clone(c.states) }
 
-// Moves returns all transitions in the order of the file.
-func (c *Chart) Moves() []Move { return slices.Clone(c.moves) }
+// Transitions returns all transitions in the order of the file.
+func (c *Chart) Transitions() []Transition { return slices.Clone(c.transitions) }
--- a/internal/ledger/chart/check.go
+++ b/internal/ledger/chart/check.go
@@ -6,23 +6,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// check refuses a chart with names that are not declared, with states that
+// validate refuses a chart with names that are not declared, with states that
 // cannot be reached or left, and with final states that can be left.
-func (c *Chart) check() error {
-	if err := c.checkNames(); err != nil {
+func (c *Chart) validate() error {
+	if err := c.validateNames(); err != nil {
 		return err
 	}
-	for _, m := range c.moves {
+	for _, m := range c.transitions {
 		if c.final[m.From] {
-			return errors.Newf("final state %q has a transition on %q", m.From, m.On)
+			return errors.Newf("final state %q has a transition on %q", m.From, m.Event)
 		}
 	}
-	forward := c.reach([]State{c.start}, func(m Move) (State, State) { return m.From, m.To })
+	forward := c.reachable([]State{c.start}, func(m Transition) (State, State) { return m.From, m.To })
 	var ends []State
 	for s := range c.final {
 		ends = append(ends, s)
 	}
-	backward := c.reach(ends, func(m Move) (State, State) { return m.To, m.From })
+	backward := c.reachable(ends, func(m Transition) (State, State) { return m.To, m.From })
 	for _, s := range c.states {
 		if !forward[s] {
 			return errors.Newf("state %q cannot be reached", s)
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// checkNames refuses states that are declared twice or not at all.
-func (c *Chart) checkNames() error {
+// validateNames refuses states that are declared twice or not at all.
+func (c *Chart) validateNames() error {
 	declared := map[State]bool{}
 	for _, s := range c.states {
 		if s == "" || declared[s] {
@@ -47,8 +47,8 @@
 	for s := range c.final {
 		used = append(used, s)
 	}
-	for _, m := range c.moves {
-		if m.On == "" {
+	for _, m := range c.transitions {
+		if m.Event == "" {
 			return errors.Newf("a transition from %q has no event", m.From)
 		}
 		used = append(used, m.From, m.To)
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// reach returns what can be reached from the states given over the edges.
-func (c *Chart) reach(from []State, edge func(Move) (State, State)) map[State]bool {
+// reachable returns what can be reached from the states given over the edges.
+func (c *Chart) reachable(from []State, edge func(Transition) (State, State)) map[State]bool {
 	seen := map[State]bool{}
 	for len(from) > 0 {
 		s := from[0]
@@ -72,7 +72,7 @@
 			continue
 		}
 		seen[s] = true
-		for _, m := range c.moves {
+		for _, m := range c.transitions {
 			if a, b := edge(m); a == s {
 				from = append(from, b)
 			}
--- a/internal/ledger/flows/flows_test.go
+++ b/internal/ledger/flows/flows_test.go
@@ -21,21 +21,21 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// machine drives a ledger with random commands, sound and unsound ones.
-type machine struct {
-	l       *flows.Ledger
-	at      time.Duration
-	flows   int
-	servers []string
-	// drained are the zones that are drained by the order of commands.
-	drained map[string]bool
-	// resized are the servers that have said that they hold more or less by now.
-	resized map[string]bool
-	// done are the tasks that ended well.
-	done map[flow.TaskID]bool
+// ledgerModel drives a ledger with random commands, sound and unsound ones.
+type ledgerModel struct {
+	ledger        *flows.Ledger
+	at            time.Duration
+	acceptedFlows int
+	servers       []string
+	// drainedZones are the zones that are drained by the order of commands.
+	drainedZones map[string]bool
+	// resizedServers are the servers that have said that they hold more or less by now.
+	resizedServers map[string]bool
+	// doneTasks are the tasks that ended well.
+	doneTasks map[flow.TaskID]bool
 }
 
-func document() *v1.Document {
+func testDocument() *v1.Document {
 	return &v1.Document{
 		Version: 1, Pools: []*v1.Pool{{Name: "p"}},
 		Queues:    []*v1.Queue{{Name: "q", Host: "h", Path: "/", Pool: "p", Attempts: 2, Timeout: 1}},
@@ -43,26 +43,26 @@
 	}
 }
 
-func newMachine(t *rapid.T) *machine {
-	m := &machine{l: flows.New(), done: map[flow.TaskID]bool{}, drained: map[string]bool{}, resized: map[string]bool{}}
-	m.apply(t, &record.Flow{What: &record.Flow_Document{Document: document()}})
+func newLedgerModel(t *rapid.T) *ledgerModel {
+	m := &ledgerModel{ledger: flows.New(), doneTasks: map[flow.TaskID]bool{}, drainedZones: map[string]bool{}, resizedServers: map[string]bool{}}
+	m.apply(t, &record.Flow{What: &record.Flow_Document{Document: testDocument()}})
 	for i := range 3 {
 		id := fmt.Sprintf("s%d", i)
 		m.servers = append(m.servers, id)
-		m.born(t, id, 1)
+		m.startServer(t, id, 1)
 	}
 	return m
 }
 
-func (m *machine) born(t *rapid.T, id string, born int64) {
-	m.apply(t, &record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{Id: id, Born: born, Zone: zoneOf(id), Pool: "p", Capacity: &v1.Size{Cpu: 4, Memory: 100}}}})
+func (m *ledgerModel) startServer(t *rapid.T, id string, startedAtMs int64) {
+	m.apply(t, &record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{Id: id, Born: startedAtMs, Zone: zoneOf(id), Pool: "p", Capacity: &v1.Size{Cpu: 4, Memory: 100}}}})
 }
 
-func (m *machine) apply(t *rapid.T, f *record.Flow) bool {
+func (m *ledgerModel) apply(t *rapid.T, f *record.Flow) bool {
 	m.at += time.Millisecond
-	before := m.l.Digest()
-	err := m.l.Apply(m.at, f)
-	if err != nil && m.l.Digest() != before {
+	before := m.ledger.Digest()
+	err := m.ledger.Apply(m.at, f)
+	if err != nil && m.ledger.Digest() != before {
 		t.Fatalf("a refused command changed the state: %v", err)
 	}
 	return err == nil
@@ -76,43 +76,43 @@
 	return "y"
 }
 
-// zoned is a machine whose zones are drained and taken back as well.
-type zoned struct{ *machine }
+// zoneModel is a machine whose zones are drained and taken back as well.
+type zoneModel struct{ *ledgerModel }
 
 // Zone drains a zone or takes it back.
-func (m zoned) Zone(t *rapid.T) {
+func (m zoneModel) Zone(t *rapid.T) {
 	zone, drain := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), rapid.Bool().Draw(t, "drain")
 	m.apply(t, &record.Flow{What: &record.Flow_Zone{Zone: &record.ZoneMark{Zone: zone, Drain: drain}}})
-	m.drained[zone] = drain
+	m.drainedZones[zone] = drain
 }
 
-// unsteady is a machine whose servers crash, shrink and grow as well.
-type unsteady struct{ *machine }
+// crashModel is a machine whose servers crash, shrink and grow as well.
+type crashModel struct{ *ledgerModel }
 
 // Crash ends a life of a server under all that it held, some of which may be at fault.
-func (m unsteady) Crash(t *rapid.T) {
-	b, _ := m.l.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
-	c := &record.FlowClear{Id: b.ID, Born: b.Born, Over: true}
-	for _, h := range b.Held {
+func (m crashModel) Crash(t *rapid.T) {
+	b, _ := m.ledger.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
+	c := &record.FlowClear{Id: b.ID, Born: b.StartedAtMs, Over: true}
+	for _, h := range b.HeldRuns {
 		c.Blamed = append(c.Blamed, h.Message())
 	}
 	m.apply(t, &record.Flow{What: &record.Flow_Clear{Clear: c}})
-	m.born(t, b.ID, b.Born+1)
+	m.startServer(t, b.ID, b.StartedAtMs+1)
 }
 
 // Resize lets a server hold more or less from now on.
-func (m unsteady) Resize(t *rapid.T) {
-	b, _ := m.l.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
-	m.resized[b.ID] = true
+func (m crashModel) Resize(t *rapid.T) {
+	b, _ := m.ledger.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
+	m.resizedServers[b.ID] = true
 	cpu := rapid.Int64Range(0, 5).Draw(t, "cpu")
-	m.apply(t, &record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{Id: b.ID, Born: b.Born, Zone: b.Zone, Pool: b.Pool, Capacity: &v1.Size{Cpu: cpu, Memory: 100}}}})
+	m.apply(t, &record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{Id: b.ID, Born: b.StartedAtMs, Zone: b.Zone, Pool: b.Pool, Capacity: &v1.Size{Cpu: cpu, Memory: 100}}}})
 }
 
 // Accept takes in a flow of one or two steps.
-func (m *machine) Accept(t *rapid.T) {
-	m.flows++
+func (m *ledgerModel) Accept(t *rapid.T) {
+	m.acceptedFlows++
 	first := &v1.FlowStep{Count: uint32(rapid.IntRange(1, 3).Draw(t, "count")), Size: &v1.Size{Cpu: 1, Memory: 1}, Gang: rapid.Bool().Draw(t, "gang")}
-	spec := &v1.FlowSpec{Id: fmt.Sprintf("f%d", m.flows), Steps: []*v1.FlowStep{first}}
+	spec := &v1.FlowSpec{Id: fmt.Sprintf("f%d", m.acceptedFlows), Steps: []*v1.FlowStep{first}}
 	if rapid.Bool().Draw(t, "second") {
 		spec.Steps = append(spec.Steps, &v1.FlowStep{Count: 1, Size: &v1.Size{Cpu: 2}, After: []uint32{0}})
 	}
@@ -120,26 +120,26 @@
 }
 
 // Start places the waiting tasks of a ready step, wherever chance says.
-func (m *machine) Start(t *rapid.T) {
-	ready := slices.SortedFunc(maps.Keys(m.l.Ready()), func(a, b flow.StepID) int { return strings.Compare(a.String(), b.String()) })
+func (m *ledgerModel) Start(t *rapid.T) {
+	ready := slices.SortedFunc(maps.Keys(m.ledger.ReadySteps()), func(a, b flow.StepID) int { return strings.Compare(a.String(), b.String()) })
 	for _, id := range ready {
-		s, _ := m.l.Step(id)
+		s, _ := m.ledger.Step(id)
 		start := &record.FlowStart{}
-		var top uint32
+		var latestRun uint32
 		for _, task := range s.Tasks {
-			top = max(top, task.Number)
+			latestRun = max(latestRun, task.LatestRun)
 		}
 		for i, task := range s.Tasks {
 			if task.Phase == flows.Queued {
-				id := flow.RunID{TaskID: flow.TaskID{StepID: s.StepID, Index: uint32(i)}, Number: top + 1}
+				id := flow.RunID{TaskID: flow.TaskID{StepID: s.StepID, Index: uint32(i)}, Number: latestRun + 1}
 				start.Places = append(start.Places, &record.FlowPlace{Run: id.Message(), Server: rapid.SampledFrom(m.servers).Draw(t, "server")})
 			}
 		}
 		ok := m.apply(t, &record.Flow{What: &record.Flow_Start{Start: start}})
 		for _, p := range start.Places {
-			b, _ := m.l.Server(p.GetServer())
+			b, _ := m.ledger.Server(p.GetServer())
 			switch {
-			case ok && m.drained[zoneOf(p.GetServer())]:
+			case ok && m.drainedZones[zoneOf(p.GetServer())]:
 				t.Fatalf("%v was started in a drained zone", p)
 			case ok && !b.Used.Fits(b.Capacity):
 				t.Fatalf("%v was started on a server that holds %v and has %v", p, b.Capacity, b.Used)
@@ -150,78 +150,78 @@
 }
 
 // End ends something that a server holds, or something that it does not.
-func (m *machine) End(t *rapid.T) {
-	b, _ := m.l.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
-	held := slices.SortedFunc(maps.Keys(b.Held), func(a, b flow.TaskID) int { return strings.Compare(a.String(), b.String()) })
+func (m *ledgerModel) End(t *rapid.T) {
+	b, _ := m.ledger.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
+	held := slices.SortedFunc(maps.Keys(b.HeldRuns), func(a, b flow.TaskID) int { return strings.Compare(a.String(), b.String()) })
 	for _, id := range held {
-		h := b.Held[id]
-		how := inner.RunEnd(rapid.IntRange(1, 7).Draw(t, "how"))
-		e := &record.FlowEnd{Run: h.Message(), How: how, Checkpoint: "c"}
-		m.apply(t, &record.Flow{What: &record.Flow_Ends{Ends: &record.FlowEnds{Server: b.ID, Born: b.Born, Ends: []*record.FlowEnd{e, e}}}})
-		m.done[id] = m.done[id] || how == inner.RunEnd_RUN_END_DONE
+		h := b.HeldRuns[id]
+		runEnd := inner.RunEnd(rapid.IntRange(1, 7).Draw(t, "how"))
+		e := &record.FlowEnd{Run: h.Message(), How: runEnd, Checkpoint: "c"}
+		m.apply(t, &record.Flow{What: &record.Flow_Ends{Ends: &record.FlowEnds{Server: b.ID, Born: b.StartedAtMs, Ends: []*record.FlowEnd{e, e}}}})
+		m.doneTasks[id] = m.doneTasks[id] || runEnd == inner.RunEnd_RUN_END_DONE
 		return
 	}
 }
 
 // Cancel cancels some flow.
-func (m *machine) Cancel(t *rapid.T) {
+func (m *ledgerModel) Cancel(t *rapid.T) {
 	id := fmt.Sprintf("f%d", rapid.IntRange(1, 9).Draw(t, "flow"))
 	m.apply(t, &record.Flow{What: &record.Flow_Cancel{Cancel: &record.FlowCancel{Id: id}}})
 }
 
-// Reborn ends a life of a server and begins the next.
-func (m *machine) Reborn(t *rapid.T) {
-	b, _ := m.l.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
-	m.born(t, b.ID, b.Born+1)
+// RestartServer ends a life of a server and begins the next.
+func (m *ledgerModel) RestartServer(t *rapid.T) {
+	b, _ := m.ledger.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
+	m.startServer(t, b.ID, b.StartedAtMs+1)
 }
 
-// Clear loses all that a server held.
-func (m *machine) Clear(t *rapid.T) {
-	b, _ := m.l.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
-	m.apply(t, &record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: b.ID, Born: b.Born}}})
+// LoseLease loses all that a server held.
+func (m *ledgerModel) LoseLease(t *rapid.T) {
+	b, _ := m.ledger.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
+	m.apply(t, &record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: b.ID, Born: b.StartedAtMs}}})
 }
 
 // Restore goes on from a snapshot.
-func (m *machine) Restore(t *rapid.T) {
-	l, err := flows.Restore(m.l.Record())
+func (m *ledgerModel) Restore(t *rapid.T) {
+	l, err := flows.Restore(m.ledger.Record())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(m.l.Record(), l.Record(), protocmp.Transform()); diff != "" {
+	if diff := cmp.Diff(m.ledger.Record(), l.Record(), protocmp.Transform()); diff != "" {
 		t.Fatal(diff)
 	}
-	if len(l.Ready()) != len(m.l.Ready()) || len(l.Unwanted()) != len(m.l.Unwanted()) || l.Open() != m.l.Open() || l.Pending("q") != m.l.Pending("q") {
-		t.Fatalf("what is derived differs: ready %d %d, unwanted %d %d, open %d %d, pending %d %d", len(l.Ready()), len(m.l.Ready()),
-			len(l.Unwanted()), len(m.l.Unwanted()), l.Open(), m.l.Open(), l.Pending("q"), m.l.Pending("q"))
+	if len(l.ReadySteps()) != len(m.ledger.ReadySteps()) || len(l.RunsToStop()) != len(m.ledger.RunsToStop()) || l.OpenFlows() != m.ledger.OpenFlows() || l.PendingFlows("q") != m.ledger.PendingFlows("q") {
+		t.Fatalf("what is derived differs: ready %d %d, unwanted %d %d, open %d %d, pending %d %d", len(l.ReadySteps()), len(m.ledger.ReadySteps()),
+			len(l.RunsToStop()), len(m.ledger.RunsToStop()), l.OpenFlows(), m.ledger.OpenFlows(), l.PendingFlows("q"), m.ledger.PendingFlows("q"))
 	}
-	m.l = l
+	m.ledger = l
 }
 
 // Check tells what no order of commands may break.
-func (m *machine) Check(t *rapid.T) {
+func (m *ledgerModel) Check(t *rapid.T) {
 	var used capacity.Size
-	where := map[flow.TaskID]string{}
-	for _, b := range m.l.Servers() {
+	holderByTask := map[flow.TaskID]string{}
+	for _, b := range m.ledger.Servers() {
 		var held capacity.Size
-		for id, h := range b.Held {
+		for id, h := range b.HeldRuns {
 			held = held.Add(h.Size)
-			if other, ok := where[id]; ok {
+			if other, ok := holderByTask[id]; ok {
 				t.Fatalf("%v is held by %s and %s", id, other, b.ID)
 			}
-			where[id] = b.ID
+			holderByTask[id] = b.ID
 		}
-		if held != b.Used || !held.Fits(b.Capacity) && !m.resized[b.ID] {
+		if held != b.Used || !held.Fits(b.Capacity) && !m.resizedServers[b.ID] {
 			t.Fatalf("%s holds %v, counted are %v of %v", b.ID, held, b.Used, b.Capacity)
 		}
 		used = used.Add(held)
 	}
-	if used != m.l.Used("c") || used.CPU > 9 {
-		t.Fatalf("the customer has %v, counted are %v", used, m.l.Used("c"))
+	if used != m.ledger.CustomerUsage("c") || used.CPU > 9 {
+		t.Fatalf("the customer has %v, counted are %v", used, m.ledger.CustomerUsage("c"))
 	}
-	if m.l.Faults() > 0 {
+	if m.ledger.InvalidTransitions() > 0 {
 		t.Fatal("an event came that the charts do not allow")
 	}
-	for _, f := range m.l.Flows() {
+	for _, f := range m.ledger.Flows() {
 		for _, turn := range f.Turns {
 			for _, s := range turn.Steps {
 				checkStep(t, s)
@@ -235,32 +235,32 @@
 	for _, task := range s.Tasks {
 		counts[task.Phase]++
 	}
-	if counts[flows.Queued] != s.Queued || counts[flows.Placed] != s.Placed || counts[flows.Done] != s.Done {
-		t.Fatalf("%v counts %d %d %d, it has %v", s.StepID, s.Queued, s.Placed, s.Done, counts)
+	if counts[flows.Queued] != s.QueuedTasks || counts[flows.Placed] != s.PlacedTasks || counts[flows.Done] != s.DoneTasks {
+		t.Fatalf("%v counts %d %d %d, it has %v", s.StepID, s.QueuedTasks, s.PlacedTasks, s.DoneTasks, counts)
 	}
-	if s.Spec.GetGang() && s.Placed > 0 && s.Queued > 0 {
+	if s.Spec.GetGang() && s.PlacedTasks > 0 && s.QueuedTasks > 0 {
 		t.Fatalf("gang %v waits and runs", s.StepID)
 	}
-	if s.Missing > 0 && s.Queued != len(s.Tasks) {
+	if s.UnfinishedDependencies > 0 && s.QueuedTasks != len(s.Tasks) {
 		t.Fatalf("%v began before the steps before it ended", s.StepID)
 	}
 }
 
 func TestDrainedZonesUnderRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		t.Repeat(rapid.StateMachineActions(zoned{newMachine(t)}))
+		t.Repeat(rapid.StateMachineActions(zoneModel{newLedgerModel(t)}))
 	})
 }
 
-func TestUnsteadyServersUnderRandomCommands(t *testing.T) {
+func TestCrashingAndResizedServersUnderRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		t.Repeat(rapid.StateMachineActions(unsteady{newMachine(t)}))
+		t.Repeat(rapid.StateMachineActions(crashModel{newLedgerModel(t)}))
 	})
 }
 
 func TestLedgerUnderRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMachine(t)
+		m := newLedgerModel(t)
 		t.Repeat(rapid.StateMachineActions(m))
 	})
 }
--- a/internal/ledger/flows/life.go
+++ b/internal/ledger/flows/life.go
@@ -9,7 +9,7 @@
 	"gypsumreel/internal/domain/flow"
 )
 
-func (l *Ledger) accept(at time.Duration, a *record.FlowAccept) *code.Error {
+func (l *Ledger) acceptFlow(at time.Duration, a *record.FlowAccept) *code.Error {
 	id := a.GetSpec().GetId()
 	if _, ok := l.flows[id]; ok {
 		return nil // a resend: it remains one flow
@@ -18,37 +18,37 @@
 		return err
 	}
 	f := &Flow{
-		ID: id, Customer: a.GetCustomer(), Queue: a.GetQueue(), Spec: a.GetSpec(), Accepted: at,
+		ID: id, Customer: a.GetCustomer(), QueueName: a.GetQueue(), Spec: a.GetSpec(), AcceptedAt: at,
 		State: v1.FlowState_FLOW_STATE_QUEUED, Turns: map[uint32]*Turn{},
 	}
-	f.Was, _ = l.config.Queue(f.Queue)
+	f.QueueAtAcceptance, _ = l.config.Queue(f.QueueName)
 	l.flows[id] = f
-	l.pending[f.Queue]++
-	l.open++
-	l.mixText(id)
+	l.pendingFlows[f.QueueName]++
+	l.openFlows++
+	l.addTextToDigest(id)
 	if a.GetSpec().GetTimes() == 0 {
-		l.turn(at, f)
+		l.beginTurn(at, f)
 	}
 	return nil
 }
 
-// turn begins the next turn of a flow.
-func (l *Ledger) turn(at time.Duration, f *Flow) {
-	t := newTurn(f, f.Next)
-	f.Turns[f.Next] = t
-	f.Next++
+// beginTurn begins the next turn of a flow.
+func (l *Ledger) beginTurn(at time.Duration, f *Flow) {
+	t := newTurn(f, f.NextTurn)
+	f.Turns[f.NextTurn] = t
+	f.NextTurn++
 	for _, s := range t.Steps {
-		s.Since = at
-		l.index(s)
+		s.ReadyAt = at
+		l.updateReadySteps(s)
 	}
 }
 
 func newTurn(f *Flow, number uint32) *Turn {
-	t := &Turn{Number: number, left: len(f.Spec.GetSteps())}
+	t := &Turn{Number: number, unfinishedSteps: len(f.Spec.GetSteps())}
 	for i, spec := range f.Spec.GetSteps() {
 		s := &Step{
 			StepID: flow.StepID{Flow: f.ID, Turn: number, Step: uint32(i)}, Flow: f, Spec: spec,
-			Tasks: make([]Task, spec.GetCount()), Missing: len(spec.GetAfter()), Queued: int(spec.GetCount()),
+			Tasks: make([]Task, spec.GetCount()), UnfinishedDependencies: len(spec.GetAfter()), QueuedTasks: int(spec.GetCount()),
 		}
 		for j := range s.Tasks {
 			s.Tasks[j].Phase = Queued
@@ -58,18 +58,18 @@
 	return t
 }
 
-// due begins a turn whose time has come.
-func (l *Ledger) due(at time.Duration, d *record.FlowDue) *code.Error {
+// beginDueTurn begins a turn whose time has come.
+func (l *Ledger) beginDueTurn(at time.Duration, d *record.FlowDue) *code.Error {
 	f, ok := l.flows[d.GetId()]
-	if !ok || f.Final() || f.Next >= f.Spec.GetTimes() {
+	if !ok || f.Final() || f.NextTurn >= f.Spec.GetTimes() {
 		return code.New(code.Unknown, "no turn of %s is due", d.GetId())
 	}
-	l.mixText(d.GetId())
-	l.turn(at, f)
+	l.addTextToDigest(d.GetId())
+	l.beginTurn(at, f)
 	return nil
 }
 
-func (l *Ledger) cancel(at time.Duration, c *record.FlowCancel) *code.Error {
+func (l *Ledger) cancelFlow(at time.Duration, c *record.FlowCancel) *code.Error {
 	f, ok := l.flows[c.GetId()]
 	if !ok {
 		return code.New(code.Unknown, "%s", c.GetId())
@@ -77,53 +77,53 @@
 	if f.Final() {
 		return nil
 	}
-	l.mixText(c.GetId())
-	l.conclude(at, f, v1.FlowState_FLOW_STATE_CANCELLED)
+	l.addTextToDigest(c.GetId())
+	l.endFlow(at, f, v1.FlowState_FLOW_STATE_CANCELLED)
 	return nil
 }
 
-// conclude ends a flow: nothing of it is placed any more, and what its tasks
+// endFlow ends a flow: nothing of it is placed any more, and what its tasks
 // still hold is to be stopped.
-func (l *Ledger) conclude(at time.Duration, f *Flow, end v1.FlowState) {
+func (l *Ledger) endFlow(at time.Duration, f *Flow, finalState v1.FlowState) {
 	if f.State == v1.FlowState_FLOW_STATE_QUEUED {
-		l.pending[f.Queue]--
+		l.pendingFlows[f.QueueName]--
 	}
-	l.state(f, end)
-	f.Ended = at
-	l.open--
+	l.setFlowState(f, finalState)
+	f.EndedAt = at
+	l.openFlows--
 	for _, t := range f.Turns {
 		for _, s := range t.Steps {
-			delete(l.ready, s.StepID)
+			delete(l.readySteps, s.StepID)
 			l.stopStep(s)
 		}
 	}
 	// The spec and the turns are not needed any more, and a flow is remembered
 	// for minutes after its end.
-	f.Turns, f.Spec, f.Was = nil, nil, nil
+	f.Turns, f.Spec, f.QueueAtAcceptance = nil, nil, nil
 }
 
 // stopStep marks everything that a step holds as unwanted.
 func (l *Ledger) stopStep(s *Step) {
 	for i, t := range s.Tasks {
 		id := flow.TaskID{StepID: s.StepID, Index: uint32(i)}
-		if b, ok := l.servers[t.Server]; ok && b.Held[id] != nil {
-			l.unwanted[id] = b.Held[id]
+		if b, ok := l.servers[t.Server]; ok && b.HeldRuns[id] != nil {
+			l.runsToStop[id] = b.HeldRuns[id]
 		}
 	}
 }
 
-// forget drops flows that ended long ago and servers that are over and empty.
-func (l *Ledger) forget(c *record.FlowForget) *code.Error {
+// forgetRecords drops flows that ended long ago and servers that are over and empty.
+func (l *Ledger) forgetRecords(c *record.FlowForget) *code.Error {
 	for _, id := range c.GetFlows() {
-		if f, ok := l.flows[id]; ok && f.Final() && f.Held == 0 {
+		if f, ok := l.flows[id]; ok && f.Final() && f.HeldRuns == 0 {
 			delete(l.flows, id)
-			l.mixText(id)
+			l.addTextToDigest(id)
 		}
 	}
 	for _, id := range c.GetServers() {
-		if b, ok := l.servers[id]; ok && b.Over && len(b.Held) == 0 {
+		if b, ok := l.servers[id]; ok && b.Ended && len(b.HeldRuns) == 0 {
 			delete(l.servers, id)
-			l.mixText(id)
+			l.addTextToDigest(id)
 		}
 	}
 	return nil
--- a/internal/ledger/flows/phase.go
+++ b/internal/ledger/flows/phase.go
@@ -15,76 +15,76 @@
 	Queued Phase = iota + 1
 	// Placed tasks have a run that may be running.
 	Placed
-	// Resting tasks of a gang wait until the others run no more.
-	Resting
+	// WaitingForGang tasks of a gang wait until the others run no more.
+	WaitingForGang
 	// Done tasks ended well.
 	Done
 )
 
-// pieces is the chart of a task, with phases in place of names.
-var pieces = table(chart.Piece, map[chart.State]Phase{
-	chart.Queued: Queued, chart.Placed: Placed, chart.Resting: Resting, chart.Done: Done,
+// taskTransitions is the chart of a task, with phases in place of names.
+var taskTransitions = transitionTable(chart.FlowTask, map[chart.State]Phase{
+	chart.Queued: Queued, chart.Placed: Placed, chart.WaitingForGang: WaitingForGang, chart.Done: Done,
 })
 
-// states is the chart of a flow, with the states of messages in place of names.
-var states = table(chart.Flow, map[chart.State]v1.FlowState{
+// flowTransitions is the chart of a flow, with the states of messages in place of names.
+var flowTransitions = transitionTable(chart.Flow, map[chart.State]v1.FlowState{
 	chart.Queued: v1.FlowState_FLOW_STATE_QUEUED, chart.Running: v1.FlowState_FLOW_STATE_RUNNING,
 	chart.Done: v1.FlowState_FLOW_STATE_DONE, chart.Failed: v1.FlowState_FLOW_STATE_FAILED,
 	chart.Cancelled: v1.FlowState_FLOW_STATE_CANCELLED,
 })
 
-// table reads a chart into a table of the caller's own states.
-func table[S comparable](name chart.Name, number map[chart.State]S) map[S]map[chart.Event]S {
+// transitionTable reads a chart into a table of the caller's own states.
+func transitionTable[S comparable](name chart.Name, stateByName map[chart.State]S) map[S]map[chart.Event]S {
 	out := map[S]map[chart.Event]S{}
-	for _, m := range chart.MustLoad(name).Moves() {
-		from := number[m.From]
+	for _, m := range chart.MustLoad(name).Transitions() {
+		from := stateByName[m.From]
 		if out[from] == nil {
 			out[from] = map[chart.Event]S{}
 		}
-		out[from][m.On] = number[m.To]
+		out[from][m.Event] = stateByName[m.To]
 	}
 	return out
 }
 
-// ends gives the event that leads to each final state of a flow.
-var ends = map[v1.FlowState]chart.Event{
+// flowEvents gives the event that leads to each final state of a flow.
+var flowEvents = map[v1.FlowState]chart.Event{
 	v1.FlowState_FLOW_STATE_RUNNING:   chart.Start,
 	v1.FlowState_FLOW_STATE_DONE:      chart.Finish,
 	v1.FlowState_FLOW_STATE_FAILED:    chart.Fail,
 	v1.FlowState_FLOW_STATE_CANCELLED: chart.Cancel,
 }
 
-// state moves a flow. An event that the chart does not allow is a fault of this
+// setFlowState moves a flow. An event that the chart does not allow is a fault of this
 // program: the state stays, and the fault is counted for the checks to see.
-func (l *Ledger) state(f *Flow, to v1.FlowState) {
-	next, ok := states[f.State][ends[to]]
+func (l *Ledger) setFlowState(f *Flow, to v1.FlowState) {
+	next, ok := flowTransitions[f.State][flowEvents[to]]
 	if !ok {
-		l.faults++
+		l.invalidTransitions++
 		return
 	}
 	f.State = next
 }
 
-// move moves one task of a step and keeps the step's counts.
-func (l *Ledger) move(s *Step, index uint32, on chart.Event) {
+// moveTask moves one task of a step and keeps the step's counts.
+func (l *Ledger) moveTask(s *Step, index uint32, event chart.Event) {
 	t := &s.Tasks[index]
-	next, ok := pieces[t.Phase][on]
+	next, ok := taskTransitions[t.Phase][event]
 	if !ok {
-		l.faults++
+		l.invalidTransitions++
 		return
 	}
-	s.count(t.Phase, -1)
+	s.adjustPhaseCount(t.Phase, -1)
 	t.Phase = next
-	s.count(next, 1)
+	s.adjustPhaseCount(next, 1)
 }
 
-func (s *Step) count(p Phase, n int) {
+func (s *Step) adjustPhaseCount(p Phase, n int) {
 	switch p {
 	case Queued:
-		s.Queued += n
+		s.QueuedTasks += n
 	case Placed:
-		s.Placed += n
+		s.PlacedTasks += n
 	case Done:
-		s.Done += n
+		s.DoneTasks += n
 	}
 }
--- a/internal/ledger/flows/run.go
+++ b/internal/ledger/flows/run.go
@@ -12,84 +12,84 @@
 	"gypsumreel/internal/ledger/chart"
 )
 
-// server takes what a backend server reported of itself. A report never makes
+// applyServerReport takes what a backend server reported of itself. A report never makes
 // a leaving server take work again within one life: a delayed report may say so.
-func (l *Ledger) server(at time.Duration, m *record.FlowServer) *code.Error {
+func (l *Ledger) applyServerReport(at time.Duration, m *record.FlowServer) *code.Error {
 	old, known := l.servers[m.GetId()]
-	if known && m.GetBorn() < old.Born {
+	if known && m.GetBorn() < old.StartedAtMs {
 		return code.New(code.Stale, "%s has begun another life", m.GetId())
 	}
 	b := &Server{
-		ID: m.GetId(), Born: m.GetBorn(), Address: m.GetAddress(), Zone: m.GetZone(), Pool: m.GetPool(), Machine: m.GetMachine(),
-		Capacity: sizeOf(m.GetCapacity()), Labels: m.GetLabels(), Leaving: m.GetLeaving(), Call: m.GetCall(), Warm: at + time.Duration(m.GetCold())*time.Millisecond, Held: map[flow.TaskID]*Held{},
+		ID: m.GetId(), StartedAtMs: m.GetBorn(), Address: m.GetAddress(), Zone: m.GetZone(), Pool: m.GetPool(), Machine: m.GetMachine(),
+		Capacity: sizeFromMessage(m.GetCapacity()), Labels: m.GetLabels(), ShuttingDown: m.GetLeaving(), LastReport: m.GetCall(), WarmUpEndsAt: at + time.Duration(m.GetCold())*time.Millisecond, HeldRuns: map[flow.TaskID]*HeldRun{},
 	}
-	if known && m.GetBorn() == old.Born {
-		if old.Over {
+	if known && m.GetBorn() == old.StartedAtMs {
+		if old.Ended {
 			return code.New(code.Stale, "that life of %s is over", m.GetId())
 		}
-		if m.GetCall() < old.Call {
+		if m.GetCall() < old.LastReport {
 			return code.New(code.Stale, "%s has reported since", m.GetId())
 		}
-		b.Leaving = b.Leaving || old.Leaving
-		b.Cursor, b.Used, b.Held = old.Cursor, old.Used, old.Held
+		b.ShuttingDown = b.ShuttingDown || old.ShuttingDown
+		b.EndCursor, b.Used, b.HeldRuns = old.EndCursor, old.Used, old.HeldRuns
 	} else if known {
 		// The life before this one is over, and with it all that it held.
-		l.over(at, old, nil, nil)
+		l.endIncarnation(at, old, nil, nil)
 	}
 	l.servers[b.ID] = b
-	l.mixText(b.ID)
-	l.mix(uint64(b.Born))
+	l.addTextToDigest(b.ID)
+	l.addToDigest(uint64(b.StartedAtMs))
 	return nil
 }
 
-func sizeOf(m *v1.Size) capacity.Size {
+func sizeFromMessage(m *v1.Size) capacity.Size {
 	return capacity.Size{CPU: m.GetCpu(), Memory: m.GetMemory(), Accel: m.GetAccel(), Slots: m.GetSlots()}
 }
 
-// clear records that nothing runs any more of what one life held.
-func (l *Ledger) clear(at time.Duration, c *record.FlowClear) *code.Error {
+// clearServer records that nothing runs any more of what one life held.
+func (l *Ledger) clearServer(at time.Duration, c *record.FlowClear) *code.Error {
 	b, ok := l.servers[c.GetId()]
-	if !ok || b.Born != c.GetBorn() {
+	if !ok || b.StartedAtMs != c.GetBorn() {
 		return code.New(code.Stale, "%s has begun another life", c.GetId())
 	}
-	b.Over = b.Over || c.GetOver()
-	l.mixText(b.ID)
+	b.Ended = b.Ended || c.GetOver()
+	l.addTextToDigest(b.ID)
 	if c.GetOver() {
-		l.over(at, b, c.GetSaved(), c.GetBlamed())
+		l.endIncarnation(at, b, c.GetSaved(), c.GetBlamed())
 		return nil
 	}
-	l.lose(at, b, inner.RunEnd_RUN_END_LOST, c.GetSaved())
+	l.endAllRuns(at, b, inner.RunEnd_RUN_END_LOST, c.GetSaved())
 	return nil
 }
 
-// over ends a life of a server and everything that it held.
-func (l *Ledger) over(at time.Duration, b *Server, saved []*record.FlowSaved, blamed []*inner.Run) {
-	if l.Planned(b) {
-		l.lose(at, b, inner.RunEnd_RUN_END_LOST, saved)
+// endIncarnation ends a life of a server and everything that it held.
+func (l *Ledger) endIncarnation(at time.Duration, b *Server, saved []*record.FlowSaved, blamed []*inner.Run) {
+	if l.ShutdownPlanned(b) {
+		l.endAllRuns(at, b, inner.RunEnd_RUN_END_LOST, saved)
 		return
 	}
-	l.crash(at, b, blamed)
-	l.lose(at, b, inner.RunEnd_RUN_END_CRASHED, saved)
+	l.countCrash(at, b, blamed)
+	l.endAllRuns(at, b, inner.RunEnd_RUN_END_CRASHED, saved)
 }
 
-// lose ends everything that a server held, in the order of the runs' names, so
+// endAllRuns ends everything that a server held, in the order of the runs' names, so
 // that every replica takes the same path.
-func (l *Ledger) lose(at time.Duration, b *Server, how inner.RunEnd, saved []*record.FlowSaved) {
-	kept := map[flow.RunID]string{}
+func (l *Ledger) endAllRuns(at time.Duration, b *Server, runEnd inner.RunEnd, saved []*record.FlowSaved) {
+	checkpoints := map[flow.RunID]string{}
 	for _, s := range saved {
-		kept[flow.RunOf(s.GetRun())] = s.GetCheckpoint()
+		checkpoints[flow.RunOf(s.GetRun())] = s.GetCheckpoint()
 	}
-	for _, id := range sortedTasks(b.Held) {
-		h := b.Held[id]
-		l.end(at, b, h.RunID, how, kept[h.RunID])
+	for _, id := range sortedTaskIDs(b.HeldRuns) {
+		h := b.HeldRuns[id]
+		l.recordEnd(at, b, h.RunID, runEnd, checkpoints[h.RunID])
 	}
 }
 
-// start places runs, all or none. It checks again what the planner checked, in
+// startRuns places runs, all or none. It checks again what the planner checked, in
 // the one place where every placement passes: that the step's turn has come,
 // the server's life and room, the customer's limit, and that gangs are whole.
-func (l *Ledger) start(at time.Duration, c *record.FlowStart) *code.Error {
-	if err := l.startable(c.GetPlaces()); err != nil {
+func (l *Ledger) startRuns(at time.Duration, c *record.FlowStart) *code.Error {
+	if err := l.checkPlacements(c.GetPlaces()); err != nil {
 		return err
 	}
 	for _, p := range c.GetPlaces() {
@@ -97,52 +97,52 @@
 		s, _ := l.Step(id.StepID)
 		b := l.servers[p.GetServer()]
 		t := &s.Tasks[id.Index]
-		t.Number, t.Server, t.Born = id.Number, b.ID, b.Born
-		l.hold(b, &Held{RunID: id, Server: b.ID, Customer: s.Flow.Customer, Size: flow.SizeOf(s.Spec), Since: at})
-		l.move(s, id.Index, chart.Place)
+		t.LatestRun, t.Server, t.ServerStartedAtMs = id.Number, b.ID, b.StartedAtMs
+		l.addHeldRun(b, &HeldRun{RunID: id, Server: b.ID, Customer: s.Flow.Customer, Size: flow.SizeOf(s.Spec), PlacedAt: at})
+		l.moveTask(s, id.Index, chart.Place)
 		if s.Flow.State == v1.FlowState_FLOW_STATE_QUEUED {
-			l.pending[s.Flow.Queue]--
-			l.state(s.Flow, v1.FlowState_FLOW_STATE_RUNNING)
+			l.pendingFlows[s.Flow.QueueName]--
+			l.setFlowState(s.Flow, v1.FlowState_FLOW_STATE_RUNNING)
 		}
-		l.index(s)
-		l.mix(uint64(id.Index), uint64(id.Number))
+		l.updateReadySteps(s)
+		l.addToDigest(uint64(id.Index), uint64(id.Number))
 	}
 	return nil
 }
 
-// startable tells whether all places can be taken at once.
-func (l *Ledger) startable(places []*record.FlowPlace) *code.Error {
-	more, total := map[string]capacity.Size{}, map[string]capacity.Size{}
-	gangs, seen := map[flow.StepID]int{}, map[flow.TaskID]bool{}
+// checkPlacements tells whether all places can be taken at once.
+func (l *Ledger) checkPlacements(places []*record.FlowPlace) *code.Error {
+	addedByServer, addedByCustomer := map[string]capacity.Size{}, map[string]capacity.Size{}
+	placedByGang, seen := map[flow.StepID]int{}, map[flow.TaskID]bool{}
 	for _, p := range places {
 		id := flow.RunOf(p.GetRun())
 		s, ok := l.Step(id.StepID)
 		switch {
-		case !ok || s.Missing > 0 || int(id.Index) >= len(s.Tasks) || s.Flow.Final():
+		case !ok || s.UnfinishedDependencies > 0 || int(id.Index) >= len(s.Tasks) || s.Flow.Final():
 			return code.New(code.Unknown, "%s", id)
-		case s.Tasks[id.Index].Phase != Queued || seen[id.TaskID] || id.Number <= s.Tasks[id.Index].Number:
+		case s.Tasks[id.Index].Phase != Queued || seen[id.TaskID] || id.Number <= s.Tasks[id.Index].LatestRun:
 			return code.New(code.Internal, "%s does not wait", id)
 		}
 		seen[id.TaskID] = true
 		b, ok := l.servers[p.GetServer()]
-		if !ok || !l.Takes(b) {
+		if !ok || !l.AcceptsWork(b) {
 			return code.New(code.Stale, "%s takes no work", p.GetServer())
 		}
 		size := flow.SizeOf(s.Spec)
-		more[b.ID] = more[b.ID].Add(size)
-		if !b.Used.Add(more[b.ID]).Fits(b.Capacity) {
+		addedByServer[b.ID] = addedByServer[b.ID].Add(size)
+		if !b.Used.Add(addedByServer[b.ID]).Fits(b.Capacity) {
 			return code.New(code.NeverFits, "%s is full", b.ID)
 		}
-		owner := s.Flow.Customer
-		total[owner] = total[owner].Add(size)
-		if !l.used[owner].Add(total[owner]).Within(l.Limit(owner)) {
-			return code.New(code.NeverFits, "limit of %s", owner)
+		customer := s.Flow.Customer
+		addedByCustomer[customer] = addedByCustomer[customer].Add(size)
+		if !l.customerUsage[customer].Add(addedByCustomer[customer]).Within(l.CustomerLimit(customer)) {
+			return code.New(code.NeverFits, "limit of %s", customer)
 		}
 		if s.Spec.GetGang() {
-			gangs[s.StepID]++
+			placedByGang[s.StepID]++
 		}
 	}
-	for id, n := range gangs {
+	for id, n := range placedByGang {
 		if s, _ := l.Step(id); n != len(s.Tasks) {
 			return code.New(code.Internal, "part of gang %s", id)
 		}
@@ -150,74 +150,74 @@
 	return nil
 }
 
-// hold and release are the only ones that change what is held.
-func (l *Ledger) hold(b *Server, h *Held) {
-	b.Held[h.TaskID] = h
+// addHeldRun and release are the only ones that change what is held.
+func (l *Ledger) addHeldRun(b *Server, h *HeldRun) {
+	b.HeldRuns[h.TaskID] = h
 	b.Used = b.Used.Add(h.Size)
-	l.used[h.Customer] = l.used[h.Customer].Add(h.Size)
+	l.customerUsage[h.Customer] = l.customerUsage[h.Customer].Add(h.Size)
 	if f, ok := l.flows[h.Flow]; ok {
-		f.Held++
+		f.HeldRuns++
 	}
 }
 
-func (l *Ledger) release(b *Server, h *Held) {
-	delete(b.Held, h.TaskID)
-	if l.unwanted[h.TaskID] == h {
-		delete(l.unwanted, h.TaskID)
+func (l *Ledger) removeHeldRun(b *Server, h *HeldRun) {
+	delete(b.HeldRuns, h.TaskID)
+	if l.runsToStop[h.TaskID] == h {
+		delete(l.runsToStop, h.TaskID)
 	}
 	b.Used = b.Used.Sub(h.Size)
-	l.used[h.Customer] = l.used[h.Customer].Sub(h.Size)
+	l.customerUsage[h.Customer] = l.customerUsage[h.Customer].Sub(h.Size)
 	if f, ok := l.flows[h.Flow]; ok {
-		f.Held--
+		f.HeldRuns--
 	}
 }
 
-// ends records ends that a server listed or that are proved otherwise.
-func (l *Ledger) ends(at time.Duration, c *record.FlowEnds) *code.Error {
+// recordEnds records ends that a server listed or that are proved otherwise.
+func (l *Ledger) recordEnds(at time.Duration, c *record.FlowEnds) *code.Error {
 	b, ok := l.servers[c.GetServer()]
-	if !ok || b.Born != c.GetBorn() {
+	if !ok || b.StartedAtMs != c.GetBorn() {
 		return code.New(code.Stale, "%s has begun another life", c.GetServer())
 	}
 	for _, e := range c.GetEnds() {
-		l.end(at, b, flow.RunOf(e.GetRun()), e.GetHow(), e.GetCheckpoint())
+		l.recordEnd(at, b, flow.RunOf(e.GetRun()), e.GetHow(), e.GetCheckpoint())
 	}
-	b.Cursor = max(b.Cursor, c.GetCursor())
-	l.mixText(b.ID)
-	l.mix(b.Cursor)
+	b.EndCursor = max(b.EndCursor, c.GetCursor())
+	l.addTextToDigest(b.ID)
+	l.addToDigest(b.EndCursor)
 	return nil
 }
 
-// end records one end: what the run held is free, and its task goes on by how
+// recordEnd records one end: what the run held is free, and its task goes on by how
 // it ended. An end of a run that is not the task's latest only frees room.
-func (l *Ledger) end(at time.Duration, b *Server, id flow.RunID, how inner.RunEnd, checkpoint string) {
+func (l *Ledger) recordEnd(at time.Duration, b *Server, id flow.RunID, runEnd inner.RunEnd, checkpoint string) {
 	held := false
-	if h := b.Held[id.TaskID]; h != nil && h.Number == id.Number {
+	if h := b.HeldRuns[id.TaskID]; h != nil && h.Number == id.Number {
 		held = true
-		l.release(b, h)
+		l.removeHeldRun(b, h)
 	}
-	l.mix(uint64(id.Index), uint64(id.Number), uint64(how))
+	l.addToDigest(uint64(id.Index), uint64(id.Number), uint64(runEnd))
 	s, ok := l.Step(id.StepID)
 	if !ok || int(id.Index) >= len(s.Tasks) || s.Flow.Final() {
 		return
 	}
 	t := &s.Tasks[id.Index]
-	if t.Number != id.Number || t.Phase == Done || t.Server != b.ID || t.Born != b.Born {
+	if t.LatestRun != id.Number || t.Phase == Done || t.Server != b.ID || t.ServerStartedAtMs != b.StartedAtMs {
 		return
 	}
 	if checkpoint != "" {
-		l.save(s, id.Index, checkpoint)
+		l.saveCheckpoint(s, id.Index, checkpoint)
 	}
 	switch {
-	case how == inner.RunEnd_RUN_END_DONE && !s.lasts():
-		l.finish(at, s, id)
+	case runEnd == inner.RunEnd_RUN_END_DONE && !s.runsUntilCancelled():
+		l.finishTask(at, s, id)
 	case t.Phase == Placed && held:
-		l.fall(at, s, id, how)
+		l.requeueOrFail(at, s, id, runEnd)
 	}
-	l.index(s)
+	l.updateReadySteps(s)
 }
 
-// save keeps a checkpoint; that of any member is good for its whole gang.
-func (l *Ledger) save(s *Step, index uint32, checkpoint string) {
+// saveCheckpoint keeps a checkpoint; that of any member is good for its whole gang.
+func (l *Ledger) saveCheckpoint(s *Step, index uint32, checkpoint string) {
 	if !s.Spec.GetGang() {
 		s.Tasks[index].Checkpoint = checkpoint
 		return
@@ -227,93 +227,93 @@
 	}
 }
 
-// finish records a good end. The members of a gang end together: the end of
+// finishTask records a good end. The members of a gang end together: the end of
 // one is that of all, and what the others still hold is freed by their own ends.
-func (l *Ledger) finish(at time.Duration, s *Step, id flow.RunID) {
+func (l *Ledger) finishTask(at time.Duration, s *Step, id flow.RunID) {
 	if s.Spec.GetGang() {
 		for i := range s.Tasks {
 			if s.Tasks[i].Phase != Done {
-				l.move(s, uint32(i), chart.Finish)
+				l.moveTask(s, uint32(i), chart.Finish)
 			}
 		}
 	} else {
-		l.move(s, id.Index, chart.Finish)
+		l.moveTask(s, id.Index, chart.Finish)
 	}
-	if s.Done < len(s.Tasks) {
+	if s.DoneTasks < len(s.Tasks) {
 		return
 	}
 	turn := s.Flow.Turns[s.Turn]
-	turn.left--
+	turn.unfinishedSteps--
 	for _, next := range turn.Steps {
 		for _, before := range next.Spec.GetAfter() {
 			if before == s.Step {
-				next.Missing--
+				next.UnfinishedDependencies--
 			}
 		}
-		if next.Missing == 0 && next != s {
-			if next.Since < at && next.Queued == len(next.Tasks) {
-				next.Since = at
+		if next.UnfinishedDependencies == 0 && next != s {
+			if next.ReadyAt < at && next.QueuedTasks == len(next.Tasks) {
+				next.ReadyAt = at
 			}
-			l.index(next)
+			l.updateReadySteps(next)
 		}
 	}
-	if turn.left > 0 {
+	if turn.unfinishedSteps > 0 {
 		return
 	}
 	delete(s.Flow.Turns, s.Turn)
-	if len(s.Flow.Turns) == 0 && s.Flow.Next >= max(s.Flow.Spec.GetTimes(), 1) {
-		l.conclude(at, s.Flow, v1.FlowState_FLOW_STATE_DONE)
+	if len(s.Flow.Turns) == 0 && s.Flow.NextTurn >= max(s.Flow.Spec.GetTimes(), 1) {
+		l.endFlow(at, s.Flow, v1.FlowState_FLOW_STATE_DONE)
 	}
 }
 
-// fall records an end that is not a good one: the task waits again, or its flow
+// requeueOrFail records an end that is not a good one: the task waits again, or its flow
 // has failed. The other members of a gang are stopped first.
-func (l *Ledger) fall(at time.Duration, s *Step, id flow.RunID, how inner.RunEnd) {
-	if l.failed(s, id, how) {
-		l.conclude(at, s.Flow, v1.FlowState_FLOW_STATE_FAILED)
+func (l *Ledger) requeueOrFail(at time.Duration, s *Step, id flow.RunID, runEnd inner.RunEnd) {
+	if l.countFailure(s, id, runEnd) {
+		l.endFlow(at, s.Flow, v1.FlowState_FLOW_STATE_FAILED)
 		return
 	}
 	if !s.Spec.GetGang() {
-		l.move(s, id.Index, chart.Requeue)
+		l.moveTask(s, id.Index, chart.Requeue)
 		return
 	}
-	l.move(s, id.Index, chart.Rest)
+	l.moveTask(s, id.Index, chart.WaitForGang)
 	l.stopStep(s)
-	if s.Placed > 0 {
+	if s.PlacedTasks > 0 {
 		return
 	}
 	for i := range s.Tasks {
-		if s.Tasks[i].Phase == Resting {
-			l.move(s, uint32(i), chart.Retry)
+		if s.Tasks[i].Phase == WaitingForGang {
+			l.moveTask(s, uint32(i), chart.Retry)
 		}
 	}
 }
 
-// failed counts a run that its task may be at fault for, and tells whether it was
+// countFailure counts a run that its task may be at fault for, and tells whether it was
 // one too many. Lasting tasks may fail without end.
-func (l *Ledger) failed(s *Step, id flow.RunID, how inner.RunEnd) bool {
+func (l *Ledger) countFailure(s *Step, id flow.RunID, runEnd inner.RunEnd) bool {
 	switch {
-	case how == inner.RunEnd_RUN_END_CRASHED:
-		return s.Tasks[id.Index].crashing()
-	case how != inner.RunEnd_RUN_END_FAILED || s.lasts():
+	case runEnd == inner.RunEnd_RUN_END_CRASHED:
+		return s.Tasks[id.Index].exceedsCrashLimit()
+	case runEnd != inner.RunEnd_RUN_END_FAILED || s.runsUntilCancelled():
 		return false
 	}
 	q, ok := l.QueueOf(s.Flow)
-	most := q.GetAttempts()
-	if !ok || most == 0 {
-		most = DefaultAttempts
+	maxAttempts := q.GetAttempts()
+	if !ok || maxAttempts == 0 {
+		maxAttempts = DefaultAttempts
 	}
 	if s.Spec.GetGang() {
-		if s.Counted == id.Number {
+		if s.LastFailedRun == id.Number {
 			return false // once for a whole gang
 		}
-		s.Counted = id.Number
-		s.Fails++
-		return s.Fails >= most
+		s.LastFailedRun = id.Number
+		s.FailedRuns++
+		return s.FailedRuns >= maxAttempts
 	}
 	t := &s.Tasks[id.Index]
-	t.Fails++
-	return t.Fails >= most
+	t.FailedRuns++
+	return t.FailedRuns >= maxAttempts
 }
 
 // DefaultAttempts is how often a task may fail when its queue does not say:
--- a/internal/ledger/flows/zone.go
+++ b/internal/ledger/flows/zone.go
@@ -9,47 +9,49 @@
 	"gypsumreel/internal/base/code"
 )
 
-// zone drains an availability zone or takes it back. The same order twice is one.
-func (l *Ledger) zone(at time.Duration, m *record.ZoneMark) *code.Error {
+// setZoneDrain drains an availability zone or takes it back. The same order twice is one.
+func (l *Ledger) setZoneDrain(at time.Duration, m *record.ZoneMark) *code.Error {
 	if m.GetZone() == "" {
 		return code.New(code.Malformed, "a zone without a name")
 	}
-	_, drained := l.drained[m.GetZone()]
+	_, drained := l.drainedZones[m.GetZone()]
 	if drained == m.GetDrain() {
 		return nil
 	}
 	if m.GetDrain() {
-		l.drained[m.GetZone()] = at
+		l.drainedZones[m.GetZone()] = at
 	} else {
-		delete(l.drained, m.GetZone())
+		delete(l.drainedZones, m.GetZone())
 	}
-	l.mixText(m.GetZone())
-	l.mix(uint64(len(l.drained)))
+	l.addTextToDigest(m.GetZone())
+	l.addToDigest(uint64(len(l.drainedZones)))
 	return nil
 }
 
-// Drained tells whether the servers of an availability zone get no new work.
-func (l *Ledger) Drained(zone string) bool {
-	_, ok := l.drained[zone]
+// ZoneDrained tells whether the servers of an availability zone get no new work.
+func (l *Ledger) ZoneDrained(zone string) bool {
+	_, ok := l.drainedZones[zone]
 	return ok
 }
 
-// Zones returns when each drained zone was drained, on the ledger's clock, to be
+// DrainedZones returns when each drained zone was drained, on the ledger's clock, to be
 // read only.
-func (l *Ledger) Zones() map[string]time.Duration { return l.drained }
+func (l *Ledger) DrainedZones() map[string]time.Duration { return l.drainedZones }
 
-// Takes tells whether a server may be given new work.
-func (l *Ledger) Takes(b *Server) bool { return !b.Over && !b.Leaving && !l.Drained(b.Zone) }
+// AcceptsWork tells whether a server may be given new work.
+func (l *Ledger) AcceptsWork(b *Server) bool {
+	return !b.Ended && !b.ShuttingDown && !l.ZoneDrained(b.Zone)
+}
 
 func (l *Ledger) zoneRecords() (out []*record.ZoneRecord) {
-	for _, name := range slices.Sorted(maps.Keys(l.drained)) {
-		out = append(out, &record.ZoneRecord{Zone: name, Since: int64(l.drained[name])})
+	for _, name := range slices.Sorted(maps.Keys(l.drainedZones)) {
+		out = append(out, &record.ZoneRecord{Zone: name, Since: int64(l.drainedZones[name])})
 	}
 	return out
 }
 
 func (l *Ledger) restoreZones(all []*record.ZoneRecord) {
 	for _, z := range all {
-		l.drained[z.GetZone()] = time.Duration(z.GetSince())
+		l.drainedZones[z.GetZone()] = time.Duration(z.GetSince())
 	}
 }
--- a/internal/ledger/state/attempt.go
+++ b/internal/ledger/state/attempt.go
@@ -10,18 +10,18 @@
 	"gypsumreel/internal/ledger/chart"
 )
 
-// place starts attempts, all or none. It checks again what the planner checked,
+// placeTasks starts attempts, all or none. It checks again what the planner checked,
 // in the one place where every placement passes: capacity, the team's limit,
 // the server's state and session, and that gangs are whole.
-func (s *State) place(p *record.Place) Result {
+func (s *State) placeTasks(p *record.Place) Result {
 	j, ok := s.jobs[p.GetJob()]
-	if !ok || j.Final() || j.Cancelled || j.Given != code.OK {
+	if !ok || j.Final() || j.Cancelled || j.GiveUpCode != code.OK {
 		return refused(code.Unknown, "job")
 	}
 	if j.Spec.Whole() && uint32(len(p.GetSpots())) != j.Spec.Count {
 		return refused(code.Internal, "part of a gang")
 	}
-	if r := s.room(j, p.GetSpots()); r.Code != code.OK {
+	if r := s.checkPlacement(j, p.GetSpots()); r.Code != code.OK {
 		return r
 	}
 	for _, spot := range p.GetSpots() {
@@ -29,16 +29,16 @@
 		t.Attempt++
 		t.Server = spot.GetServer()
 		t.Incarnation = spot.GetIncarnation()
-		s.move(&t, chart.Place)
-		s.watch().Hold(s.jobs[j.Number], &t)
+		s.moveTask(&t, chart.Place)
+		s.observer().TaskPlaced(s.jobs[j.Number], &t)
 	}
-	s.conclude(j.Number)
+	s.updateOutcome(j.Number)
 	return Result{}
 }
 
-// room tells whether all spots fit at once.
-func (s *State) room(j *Job, spots []*record.Spot) Result {
-	more := map[string]capacity.Size{}
+// checkPlacement tells whether all spots fit at once.
+func (s *State) checkPlacement(j *Job, spots []*record.Spot) Result {
+	addedByServer := map[string]capacity.Size{}
 	seen := map[uint32]bool{}
 	for _, spot := range spots {
 		t, ok := s.tasks[task.ID{Job: j.Number, Index: spot.GetIndex()}]
@@ -47,35 +47,35 @@
 		}
 		seen[t.ID.Index] = true
 		b, ok := s.Server(spot.GetServer())
-		if !ok || b.Incarnation != spot.GetIncarnation() || !b.Takes() {
+		if !ok || b.Incarnation != spot.GetIncarnation() || !b.AcceptsWork() {
 			return refused(code.Stale, spot.GetServer())
 		}
-		more[b.ID] = more[b.ID].Add(j.Spec.Size)
-		if !b.Held.Add(more[b.ID]).Fits(b.Capacity) {
+		addedByServer[b.ID] = addedByServer[b.ID].Add(j.Spec.Size)
+		if !b.HeldCapacity.Add(addedByServer[b.ID]).Fits(b.Capacity) {
 			return refused(code.NeverFits, b.ID)
 		}
 	}
 	row, ok := s.table.Row(j.Spec.Team)
-	total := s.Held(j.Spec.Team).Add(j.Spec.Size.Times(int64(len(spots))))
-	if !ok || !total.Within(row.Limit) {
+	teamTotal := s.TeamHeldCapacity(j.Spec.Team).Add(j.Spec.Size.Times(int64(len(spots))))
+	if !ok || !teamTotal.Within(row.Limit) {
 		return refused(code.NeverFits, "limit of the team")
 	}
 	return Result{}
 }
 
-// Takes tells whether the server may be given new work. Quarantined servers
+// AcceptsWork tells whether the server may be given new work. Quarantined servers
 // take the policy's probes.
-func (b Server) Takes() bool {
-	if b.Drains() {
+func (b Server) AcceptsWork() bool {
+	if b.IsDrained() {
 		return false
 	}
 	return b.Server.State == backend.Ready || b.Server.State == backend.Quarantined
 }
 
-// end takes an attempt's end as its server reported it.
-func (s *State) end(e *record.End) Result {
+// recordEnd takes an attempt's end as its server reported it.
+func (s *State) recordEnd(e *record.End) Result {
 	t, ok := s.tasks[task.ID{Job: e.GetJob(), Index: e.GetIndex()}]
-	if !ok || t.Attempt != e.GetAttempt() || !t.Phase.Holds() {
+	if !ok || t.Attempt != e.GetAttempt() || !t.Phase.HoldsCapacity() {
 		return refused(code.Unknown, "attempt")
 	}
 	j := s.jobs[t.ID.Job]
@@ -84,98 +84,98 @@
 	if len(e.GetCheckpoint()) > 0 {
 		next.Checkpoint = e.GetCheckpoint()
 	}
-	how := End{Ran: e.GetStarted(), Failed: e.GetEnded() && e.GetExit() != 0}
+	end := AttemptEnd{Started: e.GetStarted(), Failed: e.GetEnded() && e.GetExit() != 0}
 	if e.GetEnded() {
-		next.Exit, next.Answer = e.GetExit(), e.GetAnswer()
+		next.ExitCode, next.Answer = e.GetExit(), e.GetAnswer()
 	}
-	s.release(j, &next, how, e.GetEnded() && s.endsFor(j, &next))
+	s.releaseTask(j, &next, end, e.GetEnded() && s.isTaskDone(j, &next))
 	return Result{}
 }
 
-// endsFor tells whether a task that ended by itself is done for good: it
+// isTaskDone tells whether a task that ended by itself is done for good: it
 // succeeded, it may not be repeated, or nobody wants it any more.
-func (s *State) endsFor(j *Job, t *Task) bool {
+func (s *State) isTaskDone(j *Job, t *Task) bool {
 	if j.Spec.Kind == job.Service {
 		return j.Spec.Once || j.Cancelled
 	}
-	return t.Exit == 0 || j.Spec.Once || j.Cancelled || j.Given != code.OK
+	return t.ExitCode == 0 || j.Spec.Once || j.Cancelled || j.GiveUpCode != code.OK
 }
 
-// End says how an attempt ended.
-type End struct {
-	// Ran is false when the program was never started.
-	Ran bool
+// AttemptEnd says how an attempt ended.
+type AttemptEnd struct {
+	// Started is false when the program was never started.
+	Started bool
 	// Failed tells that it ended by itself with an error.
 	Failed bool
 	// Lost tells that its server went away under it.
 	Lost bool
 }
 
-// release gives an attempt's capacity back and decides what becomes of its task.
-func (s *State) release(j *Job, t *Task, how End, done bool) {
+// releaseTask gives an attempt's capacity back and decides what becomes of its task.
+func (s *State) releaseTask(j *Job, t *Task, end AttemptEnd, done bool) {
 	id := t.ID
-	t.Save = false
-	s.move(t, s.after(j, t, how, done))
-	s.watch().Release(j, s.tasks[id], how)
+	t.SaveCheckpoint = false
+	s.moveTask(t, s.nextEvent(j, t, end, done))
+	s.observer().TaskReleased(j, s.tasks[id], end)
 	if t.Phase == Queued {
-		s.watch().Queue(s.jobs[id.Job], s.tasks[id])
+		s.observer().TaskQueued(s.jobs[id.Job], s.tasks[id])
 	}
-	if j.Spec.Whole() && (t.Phase == Resting || s.resting(j)) {
-		s.unite(id.Job)
+	if j.Spec.Whole() && (t.Phase == WaitingForGang || s.hasTaskWaitingForGang(j)) {
+		s.restartGang(id.Job)
 	}
-	s.conclude(id.Job)
+	s.updateOutcome(id.Job)
 }
 
-// after returns the event that an attempt's end is for its task.
-func (s *State) after(j *Job, t *Task, how End, done bool) chart.Event {
-	gaveUp := j.Cancelled || j.Given != code.OK
+// nextEvent returns the event that an attempt's end is for its task.
+func (s *State) nextEvent(j *Job, t *Task, end AttemptEnd, done bool) chart.Event {
+	jobGivenUp := j.Cancelled || j.GiveUpCode != code.OK
 	switch {
 	case done:
 		return chart.Finish
-	case how.Lost && j.Spec.Once:
+	case end.Lost && j.Spec.Once:
 		// The order may have left and the program may have run: a second
 		// attempt could repeat it, and "not run" might be false.
-		return chart.Forfeit
+		return chart.EndUnknown
 	case j.Spec.Once && t.Started && !j.Cancelled:
 		// Stopped in the middle by its server: it must not start again, and
 		// what it did so far is not known here.
-		return chart.Forfeit
-	case gaveUp:
-		t.Started = t.Started || how.Lost
-		return givenUp(t.Started)
+		return chart.EndUnknown
+	case jobGivenUp:
+		t.Started = t.Started || end.Lost
+		return giveUpEvent(t.Started)
 	case j.Spec.Whole():
-		return chart.Rest
+		return chart.WaitForGang
 	}
 	return chart.Requeue
 }
 
-// resting tells whether a task of the gang waits for the others to stop. The
+// hasTaskWaitingForGang tells whether a task of the gang waits for the others to stop. The
 // last of them may end by itself meanwhile; without this look the gang would
 // then rest for ever.
-func (s *State) resting(j *Job) bool {
+func (s *State) hasTaskWaitingForGang(j *Job) bool {
 	for i := range j.Spec.Count {
-		if s.tasks[task.ID{Job: j.Number, Index: i}].Phase == Resting {
+		if s.tasks[task.ID{Job: j.Number, Index: i}].Phase == WaitingForGang {
 			return true
 		}
 	}
 	return false
 }
 
-// unite keeps a gang whole after one of its attempts ended early: the others
+// restartGang keeps a gang whole after one of its attempts ended early: the others
 // are halted, and once none holds capacity all of them wait again together.
-func (s *State) unite(number uint64) {
+func (s *State) restartGang(number uint64) {
 	j := s.jobs[number]
 	for i := range j.Spec.Count {
 		if t := s.tasks[task.ID{Job: number, Index: i}]; t.Phase == Placed {
-			s.stopping(t, true)
+			s.stopTask(t, true)
 		}
 	}
 	j = s.jobs[number]
-	if j.Held > 0 || j.Cancelled || j.Given != code.OK {
+	if j.HeldTasks > 0 || j.Cancelled || j.GiveUpCode != code.OK {
 		return
 	}
 	if j.Spec.Once {
-		s.settle(j)
+		s.endUnrepeatableGang(j)
 		return
 	}
 	for i := range j.Spec.Count {
@@ -183,38 +183,38 @@
 		if t.Phase.Final() && t.Phase != Done {
 			continue
 		}
-		t.Exit, t.Answer = 0, nil
-		s.move(&t, chart.Retry)
+		t.ExitCode, t.Answer = 0, nil
+		s.moveTask(&t, chart.Retry)
 	}
 	for i := range j.Spec.Count {
-		s.watch().Queue(s.jobs[number], s.tasks[task.ID{Job: number, Index: i}])
+		s.observer().TaskQueued(s.jobs[number], s.tasks[task.ID{Job: number, Index: i}])
 	}
 }
 
-// settle ends a gang that may not be repeated and lost a task: those that never
+// endUnrepeatableGang ends a gang that may not be repeated and lost a task: those that never
 // started could only run without the others. If none started, the gang waits again.
-func (s *State) settle(j *Job) {
-	fresh := true
+func (s *State) endUnrepeatableGang(j *Job) {
+	noneStarted := true
 	for i := range j.Spec.Count {
 		t := s.tasks[task.ID{Job: j.Number, Index: i}]
-		fresh = fresh && t.Phase == Resting && !t.Started
+		noneStarted = noneStarted && t.Phase == WaitingForGang && !t.Started
 	}
 	for i := range j.Spec.Count {
 		t := *s.tasks[task.ID{Job: j.Number, Index: i}]
-		if t.Phase != Resting {
+		if t.Phase != WaitingForGang {
 			continue
 		}
-		if !fresh {
-			s.move(&t, givenUp(t.Started))
+		if !noneStarted {
+			s.moveTask(&t, giveUpEvent(t.Started))
 			continue
 		}
-		s.move(&t, chart.Retry)
-		s.watch().Queue(s.jobs[j.Number], s.tasks[t.ID])
+		s.moveTask(&t, chart.Retry)
+		s.observer().TaskQueued(s.jobs[j.Number], s.tasks[t.ID])
 	}
 }
 
-// halt marks attempts to be stopped. A gang is halted whole.
-func (s *State) halt(h *record.Halt) Result {
+// haltTasks marks attempts to be stopped. A gang is halted whole.
+func (s *State) haltTasks(h *record.Halt) Result {
 	j, ok := s.jobs[h.GetJob()]
 	if !ok {
 		return refused(code.Unknown, "job")
@@ -231,15 +231,15 @@
 	}
 	for _, i := range indexes {
 		if t, ok := s.tasks[task.ID{Job: j.Number, Index: i}]; ok && t.Phase == Placed {
-			s.stopping(t, h.GetCheckpoint())
+			s.stopTask(t, h.GetCheckpoint())
 		}
 	}
 	return Result{}
 }
 
-func (s *State) stopping(t *Task, save bool) {
+func (s *State) stopTask(t *Task, saveCheckpoint bool) {
 	next := *t
-	next.Save = save
-	s.move(&next, chart.Stop)
-	s.watch().Stopping(s.jobs[t.ID.Job], &next)
+	next.SaveCheckpoint = saveCheckpoint
+	s.moveTask(&next, chart.Stop)
+	s.observer().TaskStopping(s.jobs[t.ID.Job], &next)
 }
--- a/internal/ledger/state/change.go
+++ b/internal/ledger/state/change.go
@@ -13,75 +13,75 @@
 	"gypsumreel/internal/ledger/command"
 )
 
-// change makes an operator's change once. The answer is kept under the change
+// applyChange makes an operator's change once. The answer is kept under the change
 // id: a resend after a lost answer is told the same, also after snapshots and
 // failovers, and never takes effect a second time.
-func (s *State) change(c *record.Change) Result {
+func (s *State) applyChange(c *record.Change) Result {
 	req := c.GetRequest()
-	sum := sumOf(req)
-	if a, ok := s.answers[req.GetId()]; ok {
-		if a.Sum != sum {
+	requestHash := hashMessage(req)
+	if a, ok := s.changeResults[req.GetId()]; ok {
+		if a.RequestHash != requestHash {
 			return refused(code.IDReused, req.GetId())
 		}
 		return Result{Code: a.Code, Detail: a.Detail, Revision: a.Revision}
 	}
-	r := s.perform(req)
+	r := s.performChange(req)
 	r.Revision = s.table.Revision()
-	s.putAnswer(req.GetId(), Answer{Sum: sum, Code: r.Code, Detail: r.Detail, Revision: r.Revision, At: s.at})
+	s.putChangeResult(req.GetId(), ChangeResult{RequestHash: requestHash, Code: r.Code, Detail: r.Detail, Revision: r.Revision, AppliedAt: s.now})
 	return r
 }
 
-func (s *State) perform(req *v1.ChangeRequest) Result {
+func (s *State) performChange(req *v1.ChangeRequest) Result {
 	switch c := req.GetChange().(type) {
 	case *v1.ChangeRequest_Table:
-		return s.edit(c.Table)
+		return s.editTable(c.Table)
 	case *v1.ChangeRequest_Grant:
-		return s.grant(c.Grant)
+		return s.grantKey(c.Grant)
 	case *v1.ChangeRequest_Withdraw:
-		return s.withdraw(c.Withdraw)
+		return s.withdrawKey(c.Withdraw)
 	case *v1.ChangeRequest_Mark:
-		return s.drain(c.Mark)
+		return s.setServerDrain(c.Mark)
 	case *v1.ChangeRequest_Zone:
-		return s.zone(&record.ZoneMark{Zone: c.Zone.GetZone(), Drain: c.Zone.GetDrain()})
+		return s.setZoneDrain(&record.ZoneMark{Zone: c.Zone.GetZone(), Drain: c.Zone.GetDrain()})
 	}
 	return refused(code.Malformed, "no change named")
 }
 
-// edit makes the next revision of the table. Of two changes from the same base
+// editTable makes the next revision of the table. Of two changes from the same base
 // the first wins and the second is told: otherwise the second would silently
 // undo the first.
-func (s *State) edit(c *v1.TableChange) Result {
+func (s *State) editTable(c *v1.TableChange) Result {
 	if c.GetBase() != s.table.Revision() {
 		return refused(code.Conflict, fmt.Sprintf("base %d, current %d", c.GetBase(), s.table.Revision()))
 	}
-	set, removed, r := s.edits(c)
+	set, removed, r := s.resolveEdits(c)
 	if r.Code != code.OK {
 		return r
 	}
 	next := s.table.With(set, removed)
 	for _, name := range removed {
-		if s.inUse(name) {
+		if s.teamInUse(name) {
 			return refused(code.InUse, name)
 		}
 	}
 	s.putTable(next, set, removed)
-	s.watch().Table(next)
+	s.observer().TableChanged(next)
 	return Result{}
 }
 
-func (s *State) edits(c *v1.TableChange) (set []team.Row, removed []string, r Result) {
-	named := map[string]bool{}
+func (s *State) resolveEdits(c *v1.TableChange) (set []team.Row, removed []string, r Result) {
+	editedTeams := map[string]bool{}
 	for _, e := range c.GetEdits() {
 		name := e.GetRow().GetTeam()
-		if name == "" || named[name] {
+		if name == "" || editedTeams[name] {
 			return nil, nil, refused(code.Malformed, "a row without a team, or twice the same")
 		}
-		named[name] = true
+		editedTeams[name] = true
 		if e.GetRemove() {
 			removed = append(removed, name)
 			continue
 		}
-		row, err := edited(s.table, e)
+		row, err := editRow(s.table, e)
 		if err != nil {
 			return nil, nil, refused(err.Code, err.Detail)
 		}
@@ -91,7 +91,7 @@
 		return set, removed, Result{}
 	}
 	for _, row := range s.table.Rows() {
-		if !named[row.Name] {
+		if !editedTeams[row.Name] {
 			removed = append(removed, row.Name)
 		}
 	}
@@ -106,8 +106,8 @@
 	MaxShare = 1_000
 )
 
-// edited returns the row that an edit makes of the table's, or a new one.
-func edited(t table.Table, e *v1.Edit) (team.Row, *code.Error) {
+// editRow returns the row that an edit makes of the table's, or a new one.
+func editRow(t table.Table, e *v1.Edit) (team.Row, *code.Error) {
 	m := e.GetRow()
 	row, ok := t.Row(m.GetTeam())
 	if !ok {
@@ -117,7 +117,7 @@
 	if len(cells) == 0 {
 		cells = []string{"weight", "share", "cpu", "memory", "accel", "slots", "queue"}
 	}
-	limit, from := row.Limit, command.Size(m.GetLimit())
+	limit, newLimit := row.Limit, command.SizeFromMessage(m.GetLimit())
 	for _, cell := range cells {
 		switch cell {
 		case "weight":
@@ -127,21 +127,21 @@
 		case "queue":
 			row = row.WithQueue(m.GetQueue())
 		case "cpu":
-			limit.CPU = from.CPU
+			limit.CPU = newLimit.CPU
 		case "memory":
-			limit.Memory = from.Memory
+			limit.Memory = newLimit.Memory
 		case "accel":
-			limit.Accel = from.Accel
+			limit.Accel = newLimit.Accel
 		case "slots":
-			limit.Slots = from.Slots
+			limit.Slots = newLimit.Slots
 		default:
 			return row, code.New(code.Malformed, "no such cell: %s", cell)
 		}
 	}
-	return valid(row.WithLimit(limit))
+	return checkRow(row.WithLimit(limit))
 }
 
-func valid(r team.Row) (team.Row, *code.Error) {
+func checkRow(r team.Row) (team.Row, *code.Error) {
 	switch l := r.Limit; {
 	case r.Weight < 1 || r.Weight > MaxWeight:
 		return r, code.New(code.Malformed, "%s: weight is 1 to %d", r.Name, MaxWeight)
@@ -153,9 +153,9 @@
 	return r, nil
 }
 
-// inUse tells whether a team has work or a key that works.
-func (s *State) inUse(name string) bool {
-	if u := s.teams[name]; u != nil && u.active > 0 {
+// teamInUse tells whether a team has work or a key that works.
+func (s *State) teamInUse(name string) bool {
+	if u := s.usageByTeam[name]; u != nil && u.activeJobs > 0 {
 		return true
 	}
 	for _, k := range s.keys {
@@ -166,7 +166,7 @@
 	return false
 }
 
-func (s *State) grant(g *v1.KeyGrant) Result {
+func (s *State) grantKey(g *v1.KeyGrant) Result {
 	if _, ok := s.keys[g.GetId()]; ok {
 		// An id is never used again: a withdrawn key would come back to life.
 		return refused(code.IDReused, g.GetId())
@@ -183,19 +183,19 @@
 	return Result{}
 }
 
-func (s *State) withdraw(w *v1.KeyWithdraw) Result {
+func (s *State) withdrawKey(w *v1.KeyWithdraw) Result {
 	k, ok := s.keys[w.GetId()]
 	if !ok {
 		return refused(code.Unknown, "key "+w.GetId())
 	}
-	if k.Operator && !k.Withdrawn && s.operators() == 1 {
+	if k.Operator && !k.Withdrawn && s.activeOperatorKeys() == 1 {
 		return refused(code.InUse, "the last operator's key")
 	}
 	s.putKey(k.WithWithdrawn())
 	return Result{}
 }
 
-func (s *State) operators() int {
+func (s *State) activeOperatorKeys() int {
 	n := 0
 	for _, k := range s.keys {
 		if k.Operator && !k.Withdrawn {
@@ -205,27 +205,27 @@
 	return n
 }
 
-func (s *State) drain(m *v1.ServerMark) Result {
+func (s *State) setServerDrain(m *v1.ServerMark) Result {
 	b, ok := s.servers[m.GetServer()]
 	if !ok {
 		return refused(code.Unknown, "backend server "+m.GetServer())
 	}
-	b.Drain = m.GetDrain()
+	b.DrainRequested = m.GetDrain()
 	s.putServer(b)
-	s.watch().Server(s.zoned(b))
+	s.observer().ServerChanged(s.withZoneDrain(b))
 	return Result{}
 }
 
-// Told returns the answer that was given to an operator's change of that id.
-func (s *State) Told(id string) (Answer, bool) {
-	a, ok := s.answers[id]
+// ChangeResult returns the answer that was given to an operator's change of that id.
+func (s *State) ChangeResult(id string) (ChangeResult, bool) {
+	a, ok := s.changeResults[id]
 	return a, ok
 }
 
 // Keys returns all keys in the order of their ids.
 func (s *State) Keys() []key.Key {
 	var out []key.Key
-	for _, id := range sorted(s.keys) {
+	for _, id := range sortedKeys(s.keys) {
 		out = append(out, s.keys[id])
 	}
 	return out
@@ -234,7 +234,7 @@
 // EachServer calls fn for every backend server, in no fixed order.
 func (s *State) EachServer(fn func(Server)) {
 	for _, b := range s.servers {
-		fn(s.zoned(b))
+		fn(s.withZoneDrain(b))
 	}
 }
 
@@ -248,21 +248,21 @@
 // Servers returns all backend servers in the order of their ids.
 func (s *State) Servers() []Server {
 	var out []Server
-	for _, id := range sorted(s.servers) {
-		out = append(out, s.zoned(s.servers[id]))
+	for _, id := range sortedKeys(s.servers) {
+		out = append(out, s.withZoneDrain(s.servers[id]))
 	}
 	return out
 }
 
 // Jobs returns a team's jobs in the order of acceptance, or all when team is empty.
-func (s *State) Jobs(owner string) []*Job {
+func (s *State) Jobs(teamName string) []*Job {
 	from := s.jobs
-	if owner != "" {
-		u := s.teams[owner]
-		if u == nil {
+	if teamName != "" {
+		usage := s.usageByTeam[teamName]
+		if usage == nil {
 			return nil
 		}
-		from = u.jobs
+		from = usage.jobs
 	}
 	out := make([]*Job, 0, len(from))
 	for _, j := range from {
--- a/internal/ledger/state/job.go
+++ b/internal/ledger/state/job.go
@@ -16,30 +16,30 @@
 type Job struct {
 	Number uint64
 	Spec   *job.Spec
-	// Sum is the hash of the request, to tell a resend from other content.
-	Sum      uint64
-	Accepted time.Duration
-	Outcome  v1.Outcome
-	Code     code.Code
-	// Given is the reason for which the job was given up; code.OK when it was not.
-	Given     code.Code
-	Cancelled bool
-	// Ended is when the outcome became final.
-	Ended time.Duration
+	// RequestHash is the hash of the request, to tell a resend from other content.
+	RequestHash uint64
+	AcceptedAt  time.Duration
+	Outcome     v1.Outcome
+	Code        code.Code
+	// GiveUpCode is the reason for which the job was given up; code.OK when it was not.
+	GiveUpCode code.Code
+	Cancelled  bool
+	// EndedAt is when the outcome became final.
+	EndedAt time.Duration
 
 	// Tasks by phase, derived from the tasks.
-	Waiting uint32
-	Held    uint32
-	Finals  uint32
+	WaitingTasks uint32
+	HeldTasks    uint32
+	FinalTasks   uint32
 
-	hash uint64
+	recordHash uint64
 }
 
 // Final tells whether the outcome never changes again.
 func (j *Job) Final() bool { return j.Outcome >= v1.Outcome_OUTCOME_DONE }
 
-// Request returns the job's name as its caller knows it.
-func (j *Job) Request() RequestID { return RequestID{Team: j.Spec.Team, ID: j.Spec.ID} }
+// RequestID returns the job's name as its caller knows it.
+func (j *Job) RequestID() RequestID { return RequestID{Team: j.Spec.Team, ID: j.Spec.ID} }
 
 // Task is one task of a job. It is immutable.
 type Task struct {
@@ -49,25 +49,25 @@
 	Attempt     uint32
 	Server      string
 	Incarnation uint64
-	// Since is when the phase was entered.
-	Since time.Duration
-	Exit  int32
+	// PhaseSince is when the phase was entered.
+	PhaseSince time.Duration
+	ExitCode   int32
 	// Started tells that the program ran in some attempt.
 	Started bool
-	// Save tells that a stopping task is to leave a checkpoint and run again.
-	Save       bool
-	Answer     []byte
-	Checkpoint []byte
+	// SaveCheckpoint tells that a stopping task is to leave a checkpoint and run again.
+	SaveCheckpoint bool
+	Answer         []byte
+	Checkpoint     []byte
 
-	hash uint64
+	recordHash uint64
 }
 
-// Current returns the name of the latest attempt.
-func (t *Task) Current() task.Attempt { return task.Attempt{ID: t.ID, Number: t.Attempt} }
+// CurrentAttempt returns the name of the latest attempt.
+func (t *Task) CurrentAttempt() task.Attempt { return task.Attempt{ID: t.ID, Number: t.Attempt} }
 
-func (s *State) accept(a *record.Accept) Result {
-	if j, ok := s.known(a.GetTeam(), a.GetSpec()); ok {
-		return s.again(j, a.GetSpec())
+func (s *State) acceptJob(a *record.Accept) Result {
+	if j, ok := s.findJobBySpec(a.GetTeam(), a.GetSpec()); ok {
+		return s.answerResend(j, a.GetSpec())
 	}
 	k, ok := s.keys[a.GetKey()]
 	if !ok || k.Withdrawn || k.Team != a.GetTeam() {
@@ -78,47 +78,47 @@
 	s.putJob(j)
 	for i := range j.Spec.Count {
 		id := task.ID{Job: j.Number, Index: i}
-		s.putTask(&Task{ID: id, Phase: Queued, Since: s.at})
-		s.watch().Queue(s.jobs[j.Number], s.tasks[id])
+		s.putTask(&Task{ID: id, Phase: Queued, PhaseSince: s.now})
+		s.observer().TaskQueued(s.jobs[j.Number], s.tasks[id])
 	}
 	return Result{Job: s.jobs[j.Number]}
 }
 
-// refuse keeps the id as not run for good. Without the record a copy of the
+// refuseJob keeps the id as not run for good. Without the record a copy of the
 // request that was delayed in a connection could be accepted after its caller
 // was told "not run".
-func (s *State) refuse(r *record.Refuse) Result {
-	if j, ok := s.known(r.GetTeam(), r.GetSpec()); ok {
-		return s.again(j, r.GetSpec())
+func (s *State) refuseJob(r *record.Refuse) Result {
+	if j, ok := s.findJobBySpec(r.GetTeam(), r.GetSpec()); ok {
+		return s.answerResend(j, r.GetSpec())
 	}
 	j := s.newJob(r.GetTeam(), r.GetSpec())
 	j.Outcome = v1.Outcome_OUTCOME_NOT_RUN
 	j.Code = code.Code(r.GetCode())
-	j.Ended = s.at
+	j.EndedAt = s.now
 	s.putJob(j)
 	return Result{Job: s.jobs[j.Number]}
 }
 
-func (s *State) known(team string, spec *v1.Spec) (*Job, bool) {
-	return s.Find(RequestID{Team: team, ID: spec.GetId()})
+func (s *State) findJobBySpec(team string, spec *v1.Spec) (*Job, bool) {
+	return s.FindJob(RequestID{Team: team, ID: spec.GetId()})
 }
 
-// again answers a resend with the first outcome. The same id with other content
+// answerResend answers a resend with the first outcome. The same id with other content
 // is a caller's mistake that must not be answered with a stranger's outcome.
-func (s *State) again(j *Job, spec *v1.Spec) Result {
-	if j.Sum != sumSpec(j.Spec.Team, spec) {
+func (s *State) answerResend(j *Job, spec *v1.Spec) Result {
+	if j.RequestHash != hashSpec(j.Spec.Team, spec) {
 		return refused(code.IDReused, j.Spec.ID)
 	}
 	return Result{Job: j}
 }
 
 func (s *State) newJob(team string, spec *v1.Spec) *Job {
-	j := &Job{Number: s.next, Spec: command.Spec(team, spec), Sum: sumSpec(team, spec), Accepted: s.at}
-	s.next++
+	j := &Job{Number: s.nextJobNumber, Spec: command.SpecFromMessage(team, spec), RequestHash: hashSpec(team, spec), AcceptedAt: s.now}
+	s.nextJobNumber++
 	return j
 }
 
-func (s *State) cancel(c *record.Cancel) Result {
+func (s *State) cancelJobs(c *record.Cancel) Result {
 	for _, number := range c.GetJobs() {
 		j, ok := s.jobs[number]
 		if !ok || j.Final() || j.Cancelled {
@@ -127,30 +127,30 @@
 		next := *j
 		next.Cancelled = true
 		s.putJob(&next)
-		s.giveUp(number)
+		s.giveUpJob(number)
 	}
 	return Result{}
 }
 
-// drop ends a job for a reason of the policy. A deadline is no reason once a
+// dropJob ends a job for a reason of the policy. A deadline is no reason once a
 // task of the job was placed: "not run" would not be true.
-func (s *State) drop(d *record.Drop) Result {
+func (s *State) dropJob(d *record.Drop) Result {
 	j, ok := s.jobs[d.GetJob()]
-	if !ok || j.Final() || j.Given != code.OK {
+	if !ok || j.Final() || j.GiveUpCode != code.OK {
 		return refused(code.Unknown, "")
 	}
-	given := code.Code(d.GetCode())
-	if given == code.DeadlinePassed && !s.untouched(j) {
+	reason := code.Code(d.GetCode())
+	if reason == code.DeadlinePassed && !s.neverPlaced(j) {
 		return refused(code.InUse, "a task was placed")
 	}
 	next := *j
-	next.Given = given
+	next.GiveUpCode = reason
 	s.putJob(&next)
-	s.giveUp(d.GetJob())
+	s.giveUpJob(d.GetJob())
 	return Result{}
 }
 
-func (s *State) untouched(j *Job) bool {
+func (s *State) neverPlaced(j *Job) bool {
 	for i := range j.Spec.Count {
 		if s.tasks[task.ID{Job: j.Number, Index: i}].Attempt > 0 {
 			return false
@@ -159,48 +159,48 @@
 	return true
 }
 
-// giveUp ends the waiting tasks of a job and halts those that hold capacity.
-func (s *State) giveUp(number uint64) {
+// giveUpJob ends the waiting tasks of a job and halts those that hold capacity.
+func (s *State) giveUpJob(number uint64) {
 	j := s.jobs[number]
 	for i := range j.Spec.Count {
 		t := s.tasks[task.ID{Job: number, Index: i}]
 		switch t.Phase {
 		case Queued:
-			s.watch().Unqueue(t.ID)
-			s.finish(t)
-		case Resting:
-			s.finish(t)
+			s.observer().TaskUnqueued(t.ID)
+			s.giveUpTask(t)
+		case WaitingForGang:
+			s.giveUpTask(t)
 		case Placed:
-			s.stopping(t, false)
+			s.stopTask(t, false)
 		}
 	}
-	s.conclude(number)
+	s.updateOutcome(number)
 }
 
-// finish ends a task that will not be placed (again) because its job was given up.
-func (s *State) finish(t *Task) {
+// giveUpTask ends a task that will not be placed (again) because its job was given up.
+func (s *State) giveUpTask(t *Task) {
 	next := *t
-	s.move(&next, givenUp(t.Started))
+	s.moveTask(&next, giveUpEvent(t.Started))
 }
 
-// givenUp returns the event for a task whose job was given up.
-func givenUp(started bool) chart.Event {
+// giveUpEvent returns the event for a task whose job was given up.
+func giveUpEvent(started bool) chart.Event {
 	if started {
-		return chart.Quit
+		return chart.GiveUpStarted
 	}
-	return chart.Refuse
+	return chart.GiveUpUnstarted
 }
 
-// conclude gives a job its outcome once all of its tasks are final.
-func (s *State) conclude(number uint64) {
+// updateOutcome gives a job its outcome once all of its tasks are final.
+func (s *State) updateOutcome(number uint64) {
 	j := s.jobs[number]
 	if j.Final() {
 		return
 	}
 	next := *j
-	if j.Finals < j.Spec.Count {
+	if j.FinalTasks < j.Spec.Count {
 		next.Outcome = v1.Outcome_OUTCOME_QUEUED
-		if j.Held > 0 {
+		if j.HeldTasks > 0 {
 			next.Outcome = v1.Outcome_OUTCOME_RUNNING
 		}
 		if next.Outcome != j.Outcome {
@@ -208,14 +208,14 @@
 		}
 		return
 	}
-	next.Outcome, next.Code = s.outcome(j)
-	next.Ended = s.at
+	next.Outcome, next.Code = s.finalOutcome(j)
+	next.EndedAt = s.now
 	s.putJob(&next)
-	s.watch().Ended(s.jobs[number])
+	s.observer().JobEnded(s.jobs[number])
 }
 
-// outcome sums up the final phases of a job's tasks.
-func (s *State) outcome(j *Job) (v1.Outcome, code.Code) {
+// finalOutcome sums up the final phases of a job's tasks.
+func (s *State) finalOutcome(j *Job) (v1.Outcome, code.Code) {
 	ran, failed := false, false
 	for i := range j.Spec.Count {
 		t := s.tasks[task.ID{Job: j.Number, Index: i}]
@@ -223,38 +223,38 @@
 			return v1.Outcome_OUTCOME_UNKNOWN, code.Lost
 		}
 		ran = ran || t.Phase == Done
-		failed = failed || t.Exit != 0
+		failed = failed || t.ExitCode != 0
 	}
 	switch {
 	case !ran && j.Cancelled:
 		return v1.Outcome_OUTCOME_NOT_RUN, code.Cancelled
 	case !ran:
-		return v1.Outcome_OUTCOME_NOT_RUN, j.Given
+		return v1.Outcome_OUTCOME_NOT_RUN, j.GiveUpCode
 	case j.Cancelled:
 		return v1.Outcome_OUTCOME_DONE, code.Stopped
-	case j.Given != code.OK:
-		return v1.Outcome_OUTCOME_DONE, j.Given
+	case j.GiveUpCode != code.OK:
+		return v1.Outcome_OUTCOME_DONE, j.GiveUpCode
 	case failed:
 		return v1.Outcome_OUTCOME_DONE, code.TaskFailed
 	}
 	return v1.Outcome_OUTCOME_DONE, code.OK
 }
 
-// forget drops ended jobs, old answers and servers that are gone and empty.
-func (s *State) forget(f *record.Forget) Result {
+// forgetRecords drops ended jobs, old answers and servers that are gone and empty.
+func (s *State) forgetRecords(f *record.Forget) Result {
 	for _, number := range f.GetJobs() {
 		if j, ok := s.jobs[number]; ok && j.Final() {
 			s.removeJob(j)
 		}
 	}
 	for _, id := range f.GetChanges() {
-		s.removeAnswer(id)
+		s.removeChangeResult(id)
 	}
 	for _, id := range f.GetServers() {
-		if b, ok := s.servers[id]; ok && len(s.placed[id]) == 0 && b.Server.State == gone {
+		if b, ok := s.servers[id]; ok && len(s.placedTasks[id]) == 0 && b.Server.State == gone {
 			s.removeServer(id)
 		}
 	}
-	s.trim()
+	s.trimRetention()
 	return Result{}
 }
--- a/internal/ledger/state/phase.go
+++ b/internal/ledger/state/phase.go
@@ -14,8 +14,8 @@
 	Placed
 	// Stopping tasks have an attempt that is ordered to stop.
 	Stopping
-	// Resting tasks of a gang wait for its other tasks to stop.
-	Resting
+	// WaitingForGang tasks of a gang wait for its other tasks to stop.
+	WaitingForGang
 	// Done tasks ended by themselves, or were stopped for good.
 	Done
 	// NotRun tasks never started and never will.
@@ -24,57 +24,57 @@
 	Unknown
 )
 
-// names are the chart's names of the phases.
-var names = [...]chart.State{
-	Queued: chart.Queued, Placed: chart.Placed, Stopping: chart.Stopping, Resting: chart.Resting,
+// phaseNames are the chart's names of the phases.
+var phaseNames = [...]chart.State{
+	Queued: chart.Queued, Placed: chart.Placed, Stopping: chart.Stopping, WaitingForGang: chart.WaitingForGang,
 	Done: chart.Done, NotRun: chart.NotRun, Unknown: chart.Unknown,
 }
 
-// tasks is the chart of a task, with phases in place of names.
-var tasks = phases(chart.MustLoad(chart.Task))
+// taskTransitions is the chart of a task, with phases in place of names.
+var taskTransitions = transitionTable(chart.MustLoad(chart.Task))
 
-func phases(c *chart.Chart) map[Phase]map[chart.Event]Phase {
-	number := map[chart.State]Phase{}
-	for p, name := range names {
-		number[name] = Phase(p)
+func transitionTable(c *chart.Chart) map[Phase]map[chart.Event]Phase {
+	phaseByName := map[chart.State]Phase{}
+	for p, name := range phaseNames {
+		phaseByName[name] = Phase(p)
 	}
 	out := map[Phase]map[chart.Event]Phase{}
-	for _, m := range c.Moves() {
-		from := number[m.From]
+	for _, m := range c.Transitions() {
+		from := phaseByName[m.From]
 		if out[from] == nil {
 			out[from] = map[chart.Event]Phase{}
 		}
-		out[from][m.On] = number[m.To]
+		out[from][m.Event] = phaseByName[m.To]
 	}
 	return out
 }
 
-// move stores a changed task in the phase that the event leads to. An event
+// moveTask stores a changed task in the phase that the event leads to. An event
 // that the chart does not allow is a fault of this program: the task keeps its
 // phase, and the fault is counted for the checks to see.
-func (s *State) move(t *Task, on chart.Event) {
-	next, ok := tasks[t.Phase][on]
+func (s *State) moveTask(t *Task, event chart.Event) {
+	next, ok := taskTransitions[t.Phase][event]
 	if !ok {
-		s.faults++
+		s.invalidTransitions++
 		return
 	}
-	t.Phase, t.Since = next, s.at
+	t.Phase, t.PhaseSince = next, s.now
 	s.putTask(t)
 }
 
-// Faults returns how often an event came that the charts do not allow.
-func (s *State) Faults() int { return s.faults }
+// InvalidTransitions returns how often an event came that the charts do not allow.
+func (s *State) InvalidTransitions() int { return s.invalidTransitions }
 
 // String returns the phase's name.
 func (p Phase) String() string {
-	if int(p) >= len(names) || p == 0 {
+	if int(p) >= len(phaseNames) || p == 0 {
 		return "none"
 	}
-	return string(names[p])
+	return string(phaseNames[p])
 }
 
-// Holds tells whether a task in this phase counts as running.
-func (p Phase) Holds() bool { return p == Placed || p == Stopping }
+// HoldsCapacity tells whether a task in this phase counts as running.
+func (p Phase) HoldsCapacity() bool { return p == Placed || p == Stopping }
 
 // Final tells whether a task in this phase has ended, as far as it goes alone.
 func (p Phase) Final() bool { return p >= Done }
--- a/internal/ledger/state/snapshot.go
+++ b/internal/ledger/state/snapshot.go
@@ -20,14 +20,14 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// version of the snapshot's form; a reader refuses a later one.
-const version = 1
+// snapshotVersion of the snapshot's form; a reader refuses a later one.
+const snapshotVersion = 1
 
-// codec writes equal records as equal bytes.
-var codec = proto.MarshalOptions{Deterministic: true}
+// deterministicMarshal writes equal records as equal bytes.
+var deterministicMarshal = proto.MarshalOptions{Deterministic: true}
 
-// maxRecord bounds one record of a snapshot, in bytes.
-const maxRecord = 64 << 20
+// maxRecordBytes bounds one record of a snapshot, in bytes.
+const maxRecordBytes = 64 << 20
 
 // ErrSnapshot is returned for a snapshot that cannot be read.
 var ErrSnapshot = errors.New("unreadable snapshot")
@@ -36,7 +36,7 @@
 func (s *State) Encode() ([]byte, error) {
 	var buf bytes.Buffer
 	put := func(r *record.Record) error {
-		_, err := protodelim.MarshalOptions{MarshalOptions: codec}.MarshalTo(&buf, r)
+		_, err := protodelim.MarshalOptions{MarshalOptions: deterministicMarshal}.MarshalTo(&buf, r)
 		return err
 	}
 	for r := range s.records() {
@@ -51,26 +51,26 @@
 func (s *State) records() func(yield func(*record.Record) bool) {
 	return func(yield func(*record.Record) bool) {
 		h := tableRecord(s.table)
-		h.Version, h.At, h.Next, h.Digest = version, int64(s.at), s.next, s.digest
+		h.Version, h.At, h.Next, h.Digest = snapshotVersion, int64(s.now), s.nextJobNumber, s.digest
 		if !yield(&record.Record{What: &record.Record_Header{Header: h}}) {
 			return
 		}
-		for _, id := range sorted(s.keys) {
+		for _, id := range sortedKeys(s.keys) {
 			if !yield(&record.Record{What: &record.Record_Key{Key: keyRecord(s.keys[id])}}) {
 				return
 			}
 		}
-		for _, id := range sorted(s.answers) {
-			if !yield(&record.Record{What: &record.Record_Answer{Answer: answerRecord(id, s.answers[id])}}) {
+		for _, id := range sortedKeys(s.changeResults) {
+			if !yield(&record.Record{What: &record.Record_Answer{Answer: changeResultRecord(id, s.changeResults[id])}}) {
 				return
 			}
 		}
-		for _, id := range sorted(s.servers) {
+		for _, id := range sortedKeys(s.servers) {
 			if !yield(&record.Record{What: &record.Record_Server{Server: serverRecord(s.servers[id])}}) {
 				return
 			}
 		}
-		for _, number := range sorted(s.jobs) {
+		for _, number := range sortedKeys(s.jobs) {
 			if !s.yieldJob(number, yield) {
 				return
 			}
@@ -82,8 +82,8 @@
 // flowsRecord returns the record of all flows: that of a picture was taken when
 // the picture was begun, since flows change in place.
 func (s *State) flowsRecord() *record.FlowsRecord {
-	if s.pictured != nil {
-		return s.pictured
+	if s.flowsSnapshot != nil {
+		return s.flowsSnapshot
 	}
 	return s.flows.Record()
 }
@@ -112,19 +112,19 @@
 	var digest uint64
 	for rd.Len() > 0 {
 		r := &record.Record{}
-		if err := (protodelim.UnmarshalOptions{MaxSize: maxRecord}).UnmarshalFrom(rd, r); err != nil {
+		if err := (protodelim.UnmarshalOptions{MaxSize: maxRecordBytes}).UnmarshalFrom(rd, r); err != nil {
 			return nil, errors.Mark(err, ErrSnapshot)
 		}
 		if h := r.GetHeader(); h != nil {
 			digest = h.GetDigest()
 		}
-		if err := s.restore(r); err != nil {
+		if err := s.restoreRecord(r); err != nil {
 			return nil, err
 		}
 	}
-	s.ended.sort()
-	s.told.sort()
-	s.left.sort()
+	s.endedJobs.sort()
+	s.completedChanges.sort()
+	s.goneServers.sort()
 	if s.digest != digest {
 		// The records were read whole but are not those that were written.
 		return nil, errors.Wrap(ErrSnapshot, "digest differs")
@@ -132,7 +132,7 @@
 	return s, nil
 }
 
-func (s *State) restore(r *record.Record) error {
+func (s *State) restoreRecord(r *record.Record) error {
 	switch w := r.GetWhat().(type) {
 	case *record.Record_Header:
 		return s.restoreHeader(w.Header)
@@ -142,16 +142,16 @@
 		s.putKey(k)
 	case *record.Record_Answer:
 		a := w.Answer
-		s.putAnswer(a.GetId(), Answer{Sum: a.GetSum(), Code: code.Code(a.GetCode()), Detail: a.GetDetail(), Revision: a.GetRevision(), At: time.Duration(a.GetAt())})
+		s.putChangeResult(a.GetId(), ChangeResult{RequestHash: a.GetSum(), Code: code.Code(a.GetCode()), Detail: a.GetDetail(), Revision: a.GetRevision(), AppliedAt: time.Duration(a.GetAt())})
 	case *record.Record_Server:
-		s.putServer(serverOf(w.Server))
+		s.putServer(serverFromRecord(w.Server))
 	case *record.Record_Job:
-		s.putJob(jobOf(w.Job))
+		s.putJob(jobFromRecord(w.Job))
 	case *record.Record_Task:
 		if _, ok := s.jobs[w.Task.GetJob()]; !ok {
 			return errors.Wrap(ErrSnapshot, "task without its job")
 		}
-		s.putTask(taskOf(w.Task))
+		s.putTask(taskFromRecord(w.Task))
 	case *record.Record_Flows:
 		l, err := flows.Restore(w.Flows)
 		if err != nil {
@@ -165,16 +165,16 @@
 }
 
 func (s *State) restoreHeader(h *record.Header) error {
-	if h.GetVersion() != version {
-		return errors.Wrapf(ErrSnapshot, "version %d, this program reads %d", h.GetVersion(), version)
+	if h.GetVersion() != snapshotVersion {
+		return errors.Wrapf(ErrSnapshot, "version %d, this program reads %d", h.GetVersion(), snapshotVersion)
 	}
-	s.at, s.next = time.Duration(h.GetAt()), h.GetNext()
+	s.now, s.nextJobNumber = time.Duration(h.GetAt()), h.GetNext()
 	if h.GetRevision() == 0 {
 		return nil
 	}
 	var rows []team.Row
 	for _, m := range h.GetRows() {
-		rows = append(rows, command.Row(m))
+		rows = append(rows, command.RowFromMessage(m))
 	}
 	s.putTable(table.Restore(h.GetRevision(), rows), rows, nil)
 	return nil
@@ -184,55 +184,55 @@
 	return &record.Key{Id: k.ID, Team: k.Team, Operator: k.Operator, Digest: k.Digest[:], Withdrawn: k.Withdrawn}
 }
 
-func answerRecord(id string, a Answer) *record.Answer {
-	return &record.Answer{Id: id, Sum: a.Sum, Code: uint32(a.Code), Detail: a.Detail, Revision: a.Revision, At: int64(a.At)}
+func changeResultRecord(id string, a ChangeResult) *record.Answer {
+	return &record.Answer{Id: id, Sum: a.RequestHash, Code: uint32(a.Code), Detail: a.Detail, Revision: a.Revision, At: int64(a.AppliedAt)}
 }
 
 func serverRecord(b Server) *record.Server {
 	return &record.Server{
 		Id: b.ID, Incarnation: b.Incarnation, Nonce: b.Nonce, Capacity: command.SizeMessage(b.Capacity),
-		Rack: b.Rack, Zone: b.Zone, Labels: b.Labels, State: uint32(b.Server.State), Since: int64(b.Since), Drain: b.Drain,
+		Rack: b.Rack, Zone: b.Zone, Labels: b.Labels, State: uint32(b.Server.State), Since: int64(b.Since), Drain: b.DrainRequested,
 	}
 }
 
-func serverOf(r *record.Server) Server {
+func serverFromRecord(r *record.Server) Server {
 	return Server{
 		Server: backend.Server{
-			ID: r.GetId(), Incarnation: r.GetIncarnation(), Nonce: r.GetNonce(), Capacity: command.Size(r.GetCapacity()),
+			ID: r.GetId(), Incarnation: r.GetIncarnation(), Nonce: r.GetNonce(), Capacity: command.SizeFromMessage(r.GetCapacity()),
 			Rack: r.GetRack(), Zone: r.GetZone(), Labels: r.GetLabels(),
 			State: backend.State(r.GetState()), Since: time.Duration(r.GetSince()),
 		},
-		Drain: r.GetDrain(),
+		DrainRequested: r.GetDrain(),
 	}
 }
 
 func jobRecord(j *Job) *record.Job {
 	return &record.Job{
-		Number: j.Number, Team: j.Spec.Team, Spec: command.SpecMessage(j.Spec), Accepted: int64(j.Accepted),
-		Outcome: uint32(j.Outcome), Code: uint32(j.Code), Cancelled: j.Cancelled, Ended: int64(j.Ended), Given: uint32(j.Given),
+		Number: j.Number, Team: j.Spec.Team, Spec: command.SpecMessage(j.Spec), Accepted: int64(j.AcceptedAt),
+		Outcome: uint32(j.Outcome), Code: uint32(j.Code), Cancelled: j.Cancelled, Ended: int64(j.EndedAt), Given: uint32(j.GiveUpCode),
 	}
 }
 
-func jobOf(r *record.Job) *Job {
+func jobFromRecord(r *record.Job) *Job {
 	return &Job{
-		Number: r.GetNumber(), Spec: command.Spec(r.GetTeam(), r.GetSpec()), Sum: sumSpec(r.GetTeam(), r.GetSpec()),
-		Accepted: time.Duration(r.GetAccepted()), Outcome: v1.Outcome(r.GetOutcome()), Code: code.Code(r.GetCode()),
-		Cancelled: r.GetCancelled(), Ended: time.Duration(r.GetEnded()), Given: code.Code(r.GetGiven()),
+		Number: r.GetNumber(), Spec: command.SpecFromMessage(r.GetTeam(), r.GetSpec()), RequestHash: hashSpec(r.GetTeam(), r.GetSpec()),
+		AcceptedAt: time.Duration(r.GetAccepted()), Outcome: v1.Outcome(r.GetOutcome()), Code: code.Code(r.GetCode()),
+		Cancelled: r.GetCancelled(), EndedAt: time.Duration(r.GetEnded()), GiveUpCode: code.Code(r.GetGiven()),
 	}
 }
 
 func taskRecord(t *Task) *record.Task {
 	return &record.Task{
 		Job: t.ID.Job, Index: t.ID.Index, Phase: uint32(t.Phase), Attempt: t.Attempt, Server: t.Server,
-		Incarnation: t.Incarnation, Since: int64(t.Since), Exit: t.Exit, Answer: t.Answer, Checkpoint: t.Checkpoint,
-		Save: t.Save, Started: t.Started,
+		Incarnation: t.Incarnation, Since: int64(t.PhaseSince), Exit: t.ExitCode, Answer: t.Answer, Checkpoint: t.Checkpoint,
+		Save: t.SaveCheckpoint, Started: t.Started,
 	}
 }
 
-func taskOf(r *record.Task) *Task {
+func taskFromRecord(r *record.Task) *Task {
 	return &Task{
 		ID: task.ID{Job: r.GetJob(), Index: r.GetIndex()}, Phase: Phase(r.GetPhase()), Attempt: r.GetAttempt(),
-		Server: r.GetServer(), Incarnation: r.GetIncarnation(), Since: time.Duration(r.GetSince()), Exit: r.GetExit(),
-		Answer: r.GetAnswer(), Checkpoint: r.GetCheckpoint(), Save: r.GetSave(), Started: r.GetStarted(),
+		Server: r.GetServer(), Incarnation: r.GetIncarnation(), PhaseSince: time.Duration(r.GetSince()), ExitCode: r.GetExit(),
+		Answer: r.GetAnswer(), Checkpoint: r.GetCheckpoint(), SaveCheckpoint: r.GetSave(), Started: r.GetStarted(),
 	}
 }
--- a/internal/ledger/state/state.go
+++ b/internal/ledger/state/state.go
@@ -27,66 +27,66 @@
 // State is the ledger. Its values are immutable and replaced whole, so that a
 // shallow copy is a consistent picture.
 type State struct {
-	// Watch is told of every change; nil on replicas that only follow.
-	Watch Watch
-
-	at      time.Duration
-	next    uint64
-	digest  uint64
-	table   table.Table
-	keys    map[string]key.Key
-	answers map[string]Answer
-	// picture is the copy that is being taken; nil for none.
-	picture *Picture
-	servers map[string]Server
-	jobs    map[uint64]*Job
-	tasks   map[task.ID]*Task
-	ids     map[RequestID]uint64
-	flows   *flows.Ledger
-	// pictured is the record of all flows in a state that is a picture.
-	pictured *record.FlowsRecord
+	// Observer is told of every change; nil on replicas that only follow.
+	Observer Observer
+
+	now           time.Duration
+	nextJobNumber uint64
+	digest        uint64
+	table         table.Table
+	keys          map[string]key.Key
+	changeResults map[string]ChangeResult
+	// snapshotBuilder is the copy that is being taken; nil for none.
+	snapshotBuilder *SnapshotBuilder
+	servers         map[string]Server
+	jobs            map[uint64]*Job
+	tasks           map[task.ID]*Task
+	jobNumbers      map[RequestID]uint64
+	flows           *flows.Ledger
+	// flowsSnapshot is the record of all flows in a state that is a picture.
+	flowsSnapshot *record.FlowsRecord
 
 	// Derived, not part of the digest.
-	faults  int
-	teams   map[string]*usage
-	placed  map[string]map[task.ID]*Task
-	classes map[capacity.Size]int
-	total   capacity.Size
-	backlog Backlog
+	invalidTransitions int
+	usageByTeam        map[string]*teamUsage
+	placedTasks        map[string]map[task.ID]*Task
+	serversByCapacity  map[capacity.Size]int
+	totalCapacity      capacity.Size
+	backlog            Backlog
 	// What retention looks at, the oldest first.
-	ended queue[uint64]
-	told  queue[string]
-	left  queue[string]
+	endedJobs        retentionQueue[uint64]
+	completedChanges retentionQueue[string]
+	goneServers      retentionQueue[string]
 }
 
-// usage is what a team has in the ledger.
-type usage struct {
-	held    capacity.Size
-	waiting int
-	active  int
-	jobs    map[uint64]*Job
+// teamUsage is what a team has in the ledger.
+type teamUsage struct {
+	heldCapacity capacity.Size
+	waitingJobs  int
+	activeJobs   int
+	jobs         map[uint64]*Job
 }
 
 // Server is a backend server with what the ledger adds to it.
 type Server struct {
 	backend.Server
-	// Held is the declared size of everything that is not proved stopped on it.
-	Held capacity.Size
-	// Drain tells that an operator or the server itself asked for no new work.
-	Drain bool
-	// Zoned tells that its availability zone is drained. It follows from the zone's
+	// HeldCapacity is the declared size of everything that is not proved stopped on it.
+	HeldCapacity capacity.Size
+	// DrainRequested tells that an operator or the server itself asked for no new work.
+	DrainRequested bool
+	// ZoneDrained tells that its availability zone is drained. It follows from the zone's
 	// mark and is no part of the server's record.
-	Zoned bool
+	ZoneDrained bool
 }
 
-// Answer is what an operator's change was told.
-type Answer struct {
-	// Sum is the hash of the change, to tell a resend from other content.
-	Sum      uint64
-	Code     code.Code
-	Detail   string
-	Revision uint64
-	At       time.Duration
+// ChangeResult is what an operator's change was told.
+type ChangeResult struct {
+	// RequestHash is the hash of the change, to tell a resend from other content.
+	RequestHash uint64
+	Code        code.Code
+	Detail      string
+	Revision    uint64
+	AppliedAt   time.Duration
 }
 
 // Backlog is what waits in the cell.
@@ -112,17 +112,17 @@
 // New returns an empty ledger.
 func New() *State {
 	return &State{
-		next:    1,
-		keys:    map[string]key.Key{},
-		answers: map[string]Answer{},
-		servers: map[string]Server{},
-		jobs:    map[uint64]*Job{},
-		tasks:   map[task.ID]*Task{},
-		ids:     map[RequestID]uint64{},
-		flows:   flows.New(),
-		teams:   map[string]*usage{},
-		placed:  map[string]map[task.ID]*Task{},
-		classes: map[capacity.Size]int{},
+		nextJobNumber:     1,
+		keys:              map[string]key.Key{},
+		changeResults:     map[string]ChangeResult{},
+		servers:           map[string]Server{},
+		jobs:              map[uint64]*Job{},
+		tasks:             map[task.ID]*Task{},
+		jobNumbers:        map[RequestID]uint64{},
+		flows:             flows.New(),
+		usageByTeam:       map[string]*teamUsage{},
+		placedTasks:       map[string]map[task.ID]*Task{},
+		serversByCapacity: map[capacity.Size]int{},
 	}
 }
 
@@ -130,46 +130,46 @@
 // changes nothing and says why: a planner's fault never breaks a promise.
 func (s *State) Apply(c *record.Command) Result {
 	// A leader's clock may be behind its predecessor's; the ledger's never goes back.
-	s.at = max(s.at, time.Duration(c.GetAt()))
+	s.now = max(s.now, time.Duration(c.GetAt()))
 	switch w := c.GetWhat().(type) {
 	case *record.Command_Accept:
-		return s.accept(w.Accept)
+		return s.acceptJob(w.Accept)
 	case *record.Command_Refuse:
-		return s.refuse(w.Refuse)
+		return s.refuseJob(w.Refuse)
 	case *record.Command_Place:
-		return s.place(w.Place)
+		return s.placeTasks(w.Place)
 	case *record.Command_End:
-		return s.end(w.End)
+		return s.recordEnd(w.End)
 	case *record.Command_Halt:
-		return s.halt(w.Halt)
+		return s.haltTasks(w.Halt)
 	case *record.Command_Cancel:
-		return s.cancel(w.Cancel)
+		return s.cancelJobs(w.Cancel)
 	case *record.Command_Drop:
-		return s.drop(w.Drop)
+		return s.dropJob(w.Drop)
 	case *record.Command_Announce:
-		return s.announce(w.Announce)
+		return s.announceServer(w.Announce)
 	case *record.Command_Mark:
-		return s.mark(w.Mark)
+		return s.markServer(w.Mark)
 	case *record.Command_Fence:
-		return s.fence(w.Fence)
+		return s.fenceServer(w.Fence)
 	case *record.Command_Change:
-		return s.change(w.Change)
+		return s.applyChange(w.Change)
 	case *record.Command_Forget:
-		return s.forget(w.Forget)
+		return s.forgetRecords(w.Forget)
 	case *record.Command_Check:
-		return s.check(w.Check)
+		return s.checkDigest(w.Check)
 	case *record.Command_Flow:
-		return s.flow(w.Flow)
+		return s.applyFlowCommand(w.Flow)
 	}
 	return refused(code.Internal, "empty command")
 }
 
-// flow hands a command to the part of the ledger that holds flows.
-func (s *State) flow(c *record.Flow) Result {
+// applyFlowCommand hands a command to the part of the ledger that holds flows.
+func (s *State) applyFlowCommand(c *record.Flow) Result {
 	if m := c.GetZone(); m != nil {
-		return s.zone(m)
+		return s.setZoneDrain(m)
 	}
-	if err := s.flows.Apply(s.at, c); err != nil {
+	if err := s.flows.Apply(s.now, c); err != nil {
 		return refused(err.Code, err.Detail)
 	}
 	return Result{}
@@ -180,10 +180,10 @@
 
 func refused(c code.Code, detail string) Result { return Result{Code: c, Detail: detail} }
 
-// check compares the leader's digest of the state with this replica's own. A
+// checkDigest compares the leader's digest of the state with this replica's own. A
 // replica whose state differs (a fault in memory, on disk or in this program)
 // must not go on: it would lead with a ledger that nobody agreed on.
-func (s *State) check(c *record.Check) Result {
+func (s *State) checkDigest(c *record.Check) Result {
 	if c.GetDigest() != s.Digest() {
 		return refused(code.Internal, "digest differs")
 	}
@@ -193,8 +193,8 @@
 // Digest returns a hash over all records, the same on replicas in the same state.
 func (s *State) Digest() uint64 { return s.digest ^ s.flows.Digest() }
 
-// At returns the time of the latest command.
-func (s *State) At() time.Duration { return s.at }
+// Now returns the time of the latest command.
+func (s *State) Now() time.Duration { return s.now }
 
 // Table returns the table in force.
 func (s *State) Table() table.Table { return s.table }
@@ -211,9 +211,9 @@
 	return j, ok
 }
 
-// Find returns a job by its caller's id.
-func (s *State) Find(id RequestID) (*Job, bool) {
-	return s.Job(s.ids[id])
+// FindJob returns a job by its caller's id.
+func (s *State) FindJob(id RequestID) (*Job, bool) {
+	return s.Job(s.jobNumbers[id])
 }
 
 // Task returns a task by its id.
@@ -225,46 +225,46 @@
 // Server returns a backend server by its id.
 func (s *State) Server(id string) (Server, bool) {
 	b, ok := s.servers[id]
-	return s.zoned(b), ok
+	return s.withZoneDrain(b), ok
 }
 
-// Held returns the declared size of everything of a team that is not proved stopped.
-func (s *State) Held(team string) capacity.Size {
-	if u := s.teams[team]; u != nil {
-		return u.held
+// TeamHeldCapacity returns the declared size of everything of a team that is not proved stopped.
+func (s *State) TeamHeldCapacity(team string) capacity.Size {
+	if u := s.usageByTeam[team]; u != nil {
+		return u.heldCapacity
 	}
 	return capacity.Size{}
 }
 
-// Waiting returns the number of a team's jobs that have a task waiting.
-func (s *State) Waiting(team string) int {
-	if u := s.teams[team]; u != nil {
-		return u.waiting
+// TeamWaitingJobs returns the number of a team's jobs that have a task waiting.
+func (s *State) TeamWaitingJobs(team string) int {
+	if u := s.usageByTeam[team]; u != nil {
+		return u.waitingJobs
 	}
 	return 0
 }
 
-// Placed calls fn for each task held on a server, in no fixed order.
-func (s *State) Placed(server string, fn func(*Task)) {
-	for _, t := range s.placed[server] {
+// EachPlacedTask calls fn for each task held on a server, in no fixed order.
+func (s *State) EachPlacedTask(server string, fn func(*Task)) {
+	for _, t := range s.placedTasks[server] {
 		fn(t)
 	}
 }
 
-func (s *State) usage(team string) *usage {
-	u := s.teams[team]
+func (s *State) usageOf(team string) *teamUsage {
+	u := s.usageByTeam[team]
 	if u == nil {
-		u = &usage{jobs: map[uint64]*Job{}}
-		s.teams[team] = u
+		u = &teamUsage{jobs: map[uint64]*Job{}}
+		s.usageByTeam[team] = u
 	}
 	return u
 }
 
-// Count returns the number of tasks held on a server.
-func (s *State) Count(server string) int { return len(s.placed[server]) }
+// PlacedTaskCount returns the number of tasks held on a server.
+func (s *State) PlacedTaskCount(server string) int { return len(s.placedTasks[server]) }
 
-// Tasks calls fn for each task of a job, in the order of their indexes.
-func (s *State) Tasks(j *Job, fn func(*Task)) {
+// EachTask calls fn for each task of a job, in the order of their indexes.
+func (s *State) EachTask(j *Job, fn func(*Task)) {
 	for i := range j.Spec.Count {
 		if t, ok := s.tasks[task.ID{Job: j.Number, Index: i}]; ok {
 			fn(t)
@@ -272,8 +272,8 @@
 	}
 }
 
-// Pieces yields the answers of a job's tasks in the order of their indexes.
-func (s *State) Pieces(j *Job) iter.Seq[[]byte] {
+// TaskAnswers yields the answers of a job's tasks in the order of their indexes.
+func (s *State) TaskAnswers(j *Job) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for i := range j.Spec.Count {
 			if t, ok := s.tasks[task.ID{Job: j.Number, Index: i}]; ok && !yield(t.Answer) {
@@ -283,12 +283,12 @@
 	}
 }
 
-// Answer returns a job's whole answer: its tasks' answers in the order of their indexes.
-func (s *State) Answer(j *Job) []byte {
+// JobAnswer returns a job's whole answer: its tasks' answers in the order of their indexes.
+func (s *State) JobAnswer(j *Job) []byte {
 	if j.Spec.Count == 1 {
 		return s.tasks[task.ID{Job: j.Number}].Answer
 	}
 	var out []byte
-	s.Tasks(j, func(t *Task) { out = append(out, t.Answer...) })
+	s.EachTask(j, func(t *Task) { out = append(out, t.Answer...) })
 	return out
 }
--- a/internal/ledger/state/store.go
+++ b/internal/ledger/state/store.go
@@ -19,28 +19,28 @@
 // digest (the exclusive or of the hashes of all records, so that one change
 // costs one hash) and the derived counts in step.
 
-// sumOf returns the hash of a message.
-func sumOf(m proto.Message) uint64 { return xxhash.Sum64(command.Encode(m)) }
+// hashMessage returns the hash of a message.
+func hashMessage(m proto.Message) uint64 { return xxhash.Sum64(command.Encode(m)) }
 
-// sumSpec returns the hash that tells a resend of a job from other content
+// hashSpec returns the hash that tells a resend of a job from other content
 // under the same id. It is taken over the form that a snapshot keeps: a field
 // that is absent in one encoding and zero in another must not make a difference.
-func sumSpec(owner string, m *v1.Spec) uint64 {
-	return sumOf(command.SpecMessage(command.Spec(owner, m)))
+func hashSpec(teamName string, m *v1.Spec) uint64 {
+	return hashMessage(command.SpecMessage(command.SpecFromMessage(teamName, m)))
 }
 
-// swap replaces a record's hash in the digest.
-func (s *State) swap(old, fresh uint64) { s.digest ^= old ^ fresh }
+// replaceInDigest replaces a record's hash in the digest.
+func (s *State) replaceInDigest(oldHash, newHash uint64) { s.digest ^= oldHash ^ newHash }
 
 func (s *State) putJob(j *Job) {
 	old := s.jobs[j.Number]
-	j.hash = sumOf(jobRecord(j))
+	j.recordHash = hashMessage(jobRecord(j))
 	if old != nil {
-		s.swap(old.hash, j.hash)
+		s.replaceInDigest(old.recordHash, j.recordHash)
 	} else {
-		s.swap(0, j.hash)
-		s.ids[j.Request()] = j.Number
-		u := s.usage(j.Spec.Team)
+		s.replaceInDigest(0, j.recordHash)
+		s.jobNumbers[j.RequestID()] = j.Number
+		u := s.usageOf(j.Spec.Team)
 		u.jobs[j.Number] = j
 	}
 	s.storeJob(old, j)
@@ -48,33 +48,33 @@
 
 // storeJob stores a job and keeps the team's count of waiting jobs.
 func (s *State) storeJob(old, j *Job) {
-	u := s.usage(j.Spec.Team)
+	u := s.usageOf(j.Spec.Team)
 	if old != nil {
-		s.count(u, old, -1)
+		s.addToWaitingCounts(u, old, -1)
 	}
-	s.count(u, j, 1)
+	s.addToWaitingCounts(u, j, 1)
 	u.jobs[j.Number] = j
-	s.picture.job(j.Number)
+	s.snapshotBuilder.beforeJobChange(j.Number)
 	s.jobs[j.Number] = j
 	if j.Final() && (old == nil || !old.Final()) {
-		s.ended.push(aged[uint64]{j.Number, j.Ended})
+		s.endedJobs.push(retained[uint64]{j.Number, j.EndedAt})
 	}
 }
 
-// count adds (n = 1) or takes away (n = -1) a job in what waits, for its team
+// addToWaitingCounts adds (n = 1) or takes away (n = -1) a job in what waits, for its team
 // and for the cell.
-func (s *State) count(u *usage, j *Job, n int) {
+func (s *State) addToWaitingCounts(usage *teamUsage, j *Job, n int) {
 	if j.Final() {
 		return
 	}
-	u.active += n
-	if j.Waiting == 0 {
+	usage.activeJobs += n
+	if j.WaitingTasks == 0 {
 		return
 	}
-	before := u.waiting > 0
-	u.waiting += n
+	before := usage.waitingJobs > 0
+	usage.waitingJobs += n
 	s.backlog.Jobs += n
-	switch after := u.waiting > 0; {
+	switch after := usage.waitingJobs > 0; {
 	case after && !before:
 		s.backlog.Teams++
 	case before && !after:
@@ -85,122 +85,122 @@
 func (s *State) removeJob(j *Job) {
 	for i := range j.Spec.Count {
 		if t, ok := s.tasks[task.ID{Job: j.Number, Index: i}]; ok {
-			s.swap(t.hash, 0)
-			s.picture.task(t.ID)
+			s.replaceInDigest(t.recordHash, 0)
+			s.snapshotBuilder.beforeTaskChange(t.ID)
 			delete(s.tasks, t.ID)
 		}
 	}
-	s.swap(j.hash, 0)
-	s.picture.job(j.Number)
+	s.replaceInDigest(j.recordHash, 0)
+	s.snapshotBuilder.beforeJobChange(j.Number)
 	delete(s.jobs, j.Number)
-	delete(s.ids, j.Request())
-	u := s.usage(j.Spec.Team)
-	s.count(u, j, -1)
+	delete(s.jobNumbers, j.RequestID())
+	u := s.usageOf(j.Spec.Team)
+	s.addToWaitingCounts(u, j, -1)
 	delete(u.jobs, j.Number)
 }
 
 func (s *State) putTask(t *Task) {
 	old := s.tasks[t.ID]
-	t.hash = sumOf(taskRecord(t))
+	t.recordHash = hashMessage(taskRecord(t))
 	j := *s.jobs[t.ID.Job]
 	if old != nil {
-		s.swap(old.hash, t.hash)
-		s.tally(&j, old, -1)
+		s.replaceInDigest(old.recordHash, t.recordHash)
+		s.addToTaskCounts(&j, old, -1)
 	} else {
-		s.swap(0, t.hash)
+		s.replaceInDigest(0, t.recordHash)
 	}
-	s.picture.task(t.ID)
+	s.snapshotBuilder.beforeTaskChange(t.ID)
 	s.tasks[t.ID] = t
-	s.tally(&j, t, 1)
+	s.addToTaskCounts(&j, t, 1)
 	s.storeJob(s.jobs[j.Number], &j)
 }
 
-// tally adds (n = 1) or takes away (n = -1) a task in all derived counts.
-func (s *State) tally(j *Job, t *Task, n int) {
-	d := uint32(n) // wraps for -1, as meant
+// addToTaskCounts adds (n = 1) or takes away (n = -1) a task in all derived counts.
+func (s *State) addToTaskCounts(j *Job, t *Task, n int) {
+	delta := uint32(n) // wraps for -1, as meant
 	switch {
-	case t.Phase.Holds():
-		j.Held += d
-		s.hold(j, t, n)
+	case t.Phase.HoldsCapacity():
+		j.HeldTasks += delta
+		s.addHeldCapacity(j, t, n)
 	case t.Phase.Final():
-		j.Finals += d
+		j.FinalTasks += delta
 	default:
-		j.Waiting += d
+		j.WaitingTasks += delta
 	}
 }
 
-func (s *State) hold(j *Job, t *Task, n int) {
+func (s *State) addHeldCapacity(j *Job, t *Task, n int) {
 	size := j.Spec.Size.Times(int64(n))
-	u := s.usage(j.Spec.Team)
-	u.held = u.held.Add(size)
+	u := s.usageOf(j.Spec.Team)
+	u.heldCapacity = u.heldCapacity.Add(size)
 	b := s.servers[t.Server]
-	b.Held = b.Held.Add(size)
+	b.HeldCapacity = b.HeldCapacity.Add(size)
 	s.servers[t.Server] = b
 	if n < 0 {
-		delete(s.placed[t.Server], t.ID)
+		delete(s.placedTasks[t.Server], t.ID)
 		return
 	}
-	if s.placed[t.Server] == nil {
-		s.placed[t.Server] = map[task.ID]*Task{}
+	if s.placedTasks[t.Server] == nil {
+		s.placedTasks[t.Server] = map[task.ID]*Task{}
 	}
-	s.placed[t.Server][t.ID] = t
+	s.placedTasks[t.Server][t.ID] = t
 }
 
 func (s *State) putServer(b Server) {
 	if old, ok := s.servers[b.ID]; ok && old.ID != "" {
-		s.swap(sumOf(serverRecord(old)), 0)
+		s.replaceInDigest(hashMessage(serverRecord(old)), 0)
 	}
-	s.swap(0, sumOf(serverRecord(b)))
-	s.classify(s.servers[b.ID], -1)
-	s.classify(b, 1)
-	s.picture.server(b.ID)
+	s.replaceInDigest(0, hashMessage(serverRecord(b)))
+	s.addToCapacityCounts(s.servers[b.ID], -1)
+	s.addToCapacityCounts(b, 1)
+	s.snapshotBuilder.beforeServerChange(b.ID)
 	s.servers[b.ID] = b
 	if b.Server.State == gone {
-		s.left.push(aged[string]{b.ID, b.Since})
+		s.goneServers.push(retained[string]{b.ID, b.Since})
 	}
 }
 
-// classify counts the servers of each capacity, so that "could any server ever
+// addToCapacityCounts counts the servers of each capacity, so that "could any server ever
 // hold this" costs as many steps as there are kinds of server.
-func (s *State) classify(b Server, n int) {
+func (s *State) addToCapacityCounts(b Server, n int) {
 	if b.ID == "" || b.Server.State == gone {
 		return
 	}
-	s.total = s.total.Add(b.Capacity.Times(int64(n)))
-	if s.classes[b.Capacity] += n; s.classes[b.Capacity] == 0 {
-		delete(s.classes, b.Capacity)
+	s.totalCapacity = s.totalCapacity.Add(b.Capacity.Times(int64(n)))
+	if s.serversByCapacity[b.Capacity] += n; s.serversByCapacity[b.Capacity] == 0 {
+		delete(s.serversByCapacity, b.Capacity)
 	}
 }
 
 func (s *State) removeServer(id string) {
-	s.swap(sumOf(serverRecord(s.servers[id])), 0)
-	s.classify(s.servers[id], -1)
-	s.picture.server(id)
+	s.replaceInDigest(hashMessage(serverRecord(s.servers[id])), 0)
+	s.addToCapacityCounts(s.servers[id], -1)
+	s.snapshotBuilder.beforeServerChange(id)
 	delete(s.servers, id)
-	delete(s.placed, id)
+	delete(s.placedTasks, id)
 }
 
 func (s *State) putKey(k key.Key) {
 	if old, ok := s.keys[k.ID]; ok {
-		s.swap(sumOf(keyRecord(old)), 0)
+		s.replaceInDigest(hashMessage(keyRecord(old)), 0)
 	}
-	s.swap(0, sumOf(keyRecord(k)))
-	s.picture.key(k.ID)
+	s.replaceInDigest(0, hashMessage(keyRecord(k)))
+	s.snapshotBuilder.beforeKeyChange(k.ID)
 	s.keys[k.ID] = k
 }
 
-func (s *State) putAnswer(id string, a Answer) {
-	s.swap(0, sumOf(answerRecord(id, a)))
-	s.picture.answer(id)
-	s.answers[id] = a
-	s.told.push(aged[string]{id, a.At})
+func (s *State) putChangeResult(id string, a ChangeResult) {
+	s.replaceInDigest(0, hashMessage(changeResultRecord(id, a)))
+	s.snapshotBuilder.beforeChangeResultChange(id)
+	s.changeResults[id] = a
+	s.completedChanges.push(retained[string]{id, a.AppliedAt})
 }
 
-func (s *State) removeAnswer(id string) {
-	if a, ok := s.answers[id]; ok {
-		s.swap(sumOf(answerRecord(id, a)), 0)
-		s.picture.answer(id)
-		delete(s.answers, id)
+func (s *State) removeChangeResult(id string) {
+	if a, ok := s.changeResults[id]; ok {
+		s.replaceInDigest(hashMessage(changeResultRecord(id, a)), 0)
+		s.snapshotBuilder.beforeChangeResultChange(id)
+		delete(s.changeResults, id)
 	}
 }
 
@@ -209,16 +209,16 @@
 func (s *State) putTable(next table.Table, set []team.Row, removed []string) {
 	for _, name := range removed {
 		if old, ok := s.table.Row(name); ok {
-			s.swap(sumOf(command.RowMessage(old)), 0)
+			s.replaceInDigest(hashMessage(command.RowMessage(old)), 0)
 		}
 	}
 	for _, row := range set {
 		if old, ok := s.table.Row(row.Name); ok {
-			s.swap(sumOf(command.RowMessage(old)), 0)
+			s.replaceInDigest(hashMessage(command.RowMessage(old)), 0)
 		}
-		s.swap(0, sumOf(command.RowMessage(row)))
+		s.replaceInDigest(0, hashMessage(command.RowMessage(row)))
 	}
-	s.swap(sumOf(revisionRecord(s.table)), sumOf(revisionRecord(next)))
+	s.replaceInDigest(hashMessage(revisionRecord(s.table)), hashMessage(revisionRecord(next)))
 	s.table = next
 }
 
@@ -226,8 +226,8 @@
 	return &record.Header{Revision: t.Revision()}
 }
 
-// sorted returns the keys of a map in a fixed order.
-func sorted[K ~string | ~uint64, V any](m map[K]V) []K {
+// sortedKeys returns the keys of a map in a fixed order.
+func sortedKeys[K ~string | ~uint64, V any](m map[K]V) []K {
 	ks := make([]K, 0, len(m))
 	for k := range m {
 		ks = append(ks, k)
--- a/internal/ledger/state/zone.go
+++ b/internal/ledger/state/zone.go
@@ -19,33 +19,33 @@
 	Tasks int
 }
 
-// zone drains an availability zone or takes it back, for both kinds of work.
-func (s *State) zone(m *record.ZoneMark) Result {
-	if err := s.flows.Apply(s.at, &record.Flow{What: &record.Flow_Zone{Zone: m}}); err != nil {
+// setZoneDrain drains an availability zone or takes it back, for both kinds of work.
+func (s *State) setZoneDrain(m *record.ZoneMark) Result {
+	if err := s.flows.Apply(s.now, &record.Flow{What: &record.Flow_Zone{Zone: m}}); err != nil {
 		return refused(err.Code, err.Detail)
 	}
-	for _, id := range sorted(s.servers) {
+	for _, id := range sortedKeys(s.servers) {
 		if b := s.servers[id]; b.Zone == m.GetZone() {
-			s.watch().Server(s.zoned(b))
+			s.observer().ServerChanged(s.withZoneDrain(b))
 		}
 	}
 	return Result{}
 }
 
-// zoned returns a server with what its zone says of it.
-func (s *State) zoned(b Server) Server {
-	b.Zoned = s.flows.Drained(b.Zone)
+// withZoneDrain returns a server with what its zone says of it.
+func (s *State) withZoneDrain(b Server) Server {
+	b.ZoneDrained = s.flows.ZoneDrained(b.Zone)
 	return b
 }
 
-// Drains tells whether the server, or its whole zone, is to get no new work.
-func (b Server) Drains() bool { return b.Drain || b.Zoned }
+// IsDrained tells whether the server, or its whole zone, is to get no new work.
+func (b Server) IsDrained() bool { return b.DrainRequested || b.ZoneDrained }
 
 // Zones returns the availability zones that backend servers are in or that are
 // drained, by name.
 func (s *State) Zones() []Zone {
 	zones := map[string]*Zone{}
-	at := func(name string) *Zone {
+	zoneByName := func(name string) *Zone {
 		z := zones[name]
 		if z == nil {
 			z = &Zone{Name: name}
@@ -57,20 +57,20 @@
 		if b.Server.State == gone || b.Zone == "" {
 			continue
 		}
-		z := at(b.Zone)
+		z := zoneByName(b.Zone)
 		z.Servers++
-		z.Tasks += s.Count(id)
+		z.Tasks += s.PlacedTaskCount(id)
 	}
 	for _, b := range s.flows.Servers() {
-		if b.Over || b.Zone == "" {
+		if b.Ended || b.Zone == "" {
 			continue
 		}
-		z := at(b.Zone)
+		z := zoneByName(b.Zone)
 		z.Servers++
-		z.Tasks += len(b.Held)
+		z.Tasks += len(b.HeldRuns)
 	}
-	for name, since := range s.flows.Zones() {
-		z := at(name)
+	for name, since := range s.flows.DrainedZones() {
+		z := zoneByName(name)
 		z.Drained, z.Since = true, since
 	}
 	out := make([]Zone, 0, len(zones))
--- a/internal/policy/model/model.go
+++ b/internal/policy/model/model.go
@@ -186,7 +186,7 @@
 // stopUnwanted stops the members of gangs that lost one, and what ran for flows
 // that have failed.
 func (m *Model) stopUnwanted() {
-	unwanted := m.ledger.Unwanted()
+	unwanted := m.ledger.RunsToStop()
 	for _, id := range slices.SortedFunc(maps.Keys(unwanted), func(a, b flow.TaskID) int {
 		return cmp.Or(cmp.Compare(a.Flow, b.Flow), cmp.Compare(a.Step, b.Step), cmp.Compare(a.Index, b.Index))
 	}) {
@@ -206,9 +206,9 @@
 		m.dirty = false
 		m.plan()
 	}
-	if len(m.ledger.Ready()) > 0 && m.now < m.setup.Length {
+	if len(m.ledger.ReadySteps()) > 0 && m.now < m.setup.Length {
 		for _, b := range m.ledger.Servers() {
-			if !b.Over && !b.Leaving {
+			if !b.Ended && !b.ShuttingDown {
 				m.busy.add(float64(b.Used.CPU), float64(b.Capacity.CPU))
 			}
 		}
--- a/internal/policy/model/plan.go
+++ b/internal/policy/model/plan.go
@@ -35,13 +35,13 @@
 	if m.policy.Without&Headroom == 0 {
 		v.Headroom = m.headroom
 	}
-	ready := m.ledger.Ready()
+	ready := m.ledger.ReadySteps()
 	for _, id := range slices.SortedFunc(maps.Keys(ready), func(a, b flow.StepID) int { return cmp.Or(cmp.Compare(a.Flow, b.Flow), cmp.Compare(a.Step, b.Step)) }) {
 		v.Items = append(v.Items, m.item(ready[id]))
 	}
 	for _, id := range m.order {
 		s := m.servers[id]
-		if b, ok := m.ledger.Server(id); ok && !b.Leaving && !b.Over && !s.noticed {
+		if b, ok := m.ledger.Server(id); ok && !b.ShuttingDown && !b.Ended && !s.noticed {
 			v.Servers = append(v.Servers, steps.Server{Server: b, Speed: s.spec.speed})
 		}
 	}
@@ -68,7 +68,7 @@
 		Step: s, Pool: pool, Priority: q.GetPriority(), Urgent: q.GetPriority() == 0, Takes: takes,
 		Usual: m.width(q.GetAdvice(), takes), Permits: true, Asked: m.advice[s.StepID] != nil,
 	}
-	age := m.now - s.Flow.Accepted
+	age := m.now - s.Flow.AcceptedAt
 	it = it.Judged(t, age)
 	if m.policy.Without&InTime != 0 {
 		it.Late, it.Hopeless = false, false
@@ -114,7 +114,7 @@
 func (m *Model) place(p steps.Placement) {
 	start := &record.FlowStart{}
 	for _, one := range p.Places {
-		id := flow.RunID{TaskID: one.TaskID, Number: p.Item.Tasks[one.Index].Number + 1}
+		id := flow.RunID{TaskID: one.TaskID, Number: p.Item.Tasks[one.Index].LatestRun + 1}
 		start.Places = append(start.Places, &record.FlowPlace{Run: id.Message(), Server: one.Server})
 		m.Decisions = m.Decisions*31 + xxhash.Sum64String(id.String()+one.Server+m.now.String())
 	}
@@ -158,7 +158,7 @@
 		m.advice[w.Item.StepID] = a
 	}
 	q, _ := m.ledger.QueueOf(w.Item.Flow)
-	if a.asking > 0 || w.Item.Queued == 0 || w.Item.Flow.Final() {
+	if a.asking > 0 || w.Item.QueuedTasks == 0 || w.Item.Flow.Final() {
 		return true
 	}
 	shortest := steps.Cost(m.ledger.Config().GetQueues()[0].GetAdvice(), steps.LeastAsked)
--- a/internal/policy/steps/outlook.go
+++ b/internal/policy/steps/outlook.go
@@ -56,7 +56,7 @@
 	ends := make([]uint64, len(spec.GetSteps()))
 	longest := uint64(0)
 	for i, s := range spec.GetSteps() {
-		if turn == nil || turn.Steps[i].Done < len(turn.Steps[i].Tasks) {
+		if turn == nil || turn.Steps[i].DoneTasks < len(turn.Steps[i].Tasks) {
 			ends[i] = s.GetRuntime()
 		}
 		begin := uint64(0)
--- a/internal/policy/steps/probation.go
+++ b/internal/policy/steps/probation.go
@@ -23,7 +23,7 @@
 }
 
 // suspected tells whether a task may have crashed a server.
-func suspected(t flows.Task) bool { return t.Blamed > 0 }
+func suspected(t flows.Task) bool { return t.BlamedCrashes > 0 }
 
 // waits returns so many waiting tasks of a step: those that start wherever there is
 // room, and those that are to be tried apart from all others. One that is suspected once
@@ -31,12 +31,12 @@
 // next crash decides.
 func (p *planner) waits(it Item, most int) (sound, apart []uint32) {
 	next := queuedTasks(it.Step)
-	for range it.Queued {
+	for range it.QueuedTasks {
 		i := next()
 		switch t := it.Tasks[i]; {
 		case suspected(t) && len(apart) < p.probations[it.Pool]:
 			apart = append(apart, i)
-		case t.Blamed < flows.MostBlamed-1:
+		case t.BlamedCrashes < flows.MaxBlamedCrashes-1:
 			sound = append(sound, i)
 		}
 	}
--- a/internal/policy/steps/steps.go
+++ b/internal/policy/steps/steps.go
@@ -129,7 +129,7 @@
 		heads: map[string]Headroom{}, spare: map[string]int64{}, ever: map[string]int64{}, probations: map[string]int{},
 	}
 	for i, s := range v.Servers {
-		free := s.Free()
+		free := s.FreeCapacity()
 		r := &m.rooms[i]
 		*r = room{Server: s, free: free, began: free.CPU, probation: s.Probation}
 		p.servers = append(p.servers, r)
@@ -271,7 +271,7 @@
 
 // singles places the tasks of a step one by one.
 func (p *planner) singles(it Item) {
-	left := min(int64(it.Queued), p.allowed(it))
+	left := min(int64(it.QueuedTasks), p.allowed(it))
 	if left <= 0 {
 		return
 	}
--- a/internal/policy/steps/steps_test.go
+++ b/internal/policy/steps/steps_test.go
@@ -26,7 +26,7 @@
 }
 
 func item(id string, spec *v1.FlowStep) steps.Item {
-	s := &flows.Step{StepID: flow.StepID{Flow: id}, Flow: &flows.Flow{ID: id, Customer: "customer"}, Spec: spec, Queued: int(spec.GetCount())}
+	s := &flows.Step{StepID: flow.StepID{Flow: id}, Flow: &flows.Flow{ID: id, Customer: "customer"}, Spec: spec, QueuedTasks: int(spec.GetCount())}
 	for range spec.GetCount() {
 		s.Tasks = append(s.Tasks, flows.Task{Phase: flows.Queued})
 	}
@@ -389,8 +389,8 @@
 		}
 	}
 	for _, s := range v.Servers {
-		if used[s.ID] > s.Free().CPU {
-			t.Fatalf("%s is given %d, it has %d", s.ID, used[s.ID], s.Free().CPU)
+		if used[s.ID] > s.FreeCapacity().CPU {
+			t.Fatalf("%s is given %d, it has %d", s.ID, used[s.ID], s.FreeCapacity().CPU)
 		}
 	}
 	if total > v.Room("").CPU {
@@ -496,7 +496,7 @@
 		p := steps.Make(v)
 		free, brief := map[string]int64{}, map[string]bool{}
 		for _, s := range servers {
-			free[s.ID], brief[s.ID] = s.Free().CPU, asks.Urgent && s.Brief
+			free[s.ID], brief[s.ID] = s.FreeCapacity().CPU, asks.Urgent && s.Brief
 		}
 		for _, one := range p.Placements {
 			for _, place := range one.Places {
--- a/internal/policy/steps/want.go
+++ b/internal/policy/steps/want.go
@@ -42,7 +42,7 @@
 // one, as room comes, would need a question for each otherwise, and its room would
 // lie idle while that is asked.
 func (p *planner) upcoming(it Item, given []string) []string {
-	most := it.Queued - len(given)
+	most := it.QueuedTasks - len(given)
 	if p.view.Frees == nil || most <= 0 {
 		return nil
 	}
@@ -92,7 +92,7 @@
 	if p.view.Share != nil {
 		share = p.view.Share(it)
 	}
-	need, found := enough*float64(it.Queued), 0.0
+	need, found := enough*float64(it.QueuedTasks), 0.0
 	width := max(it.Usual, LeastAsked)
 	w := Want{Item: it}
 	var later []string
@@ -107,7 +107,7 @@
 			later = append(later, r.ID)
 			continue
 		}
-		found += share * float64(min(fits(size, r.free), int64(it.Queued)))
+		found += share * float64(min(fits(size, r.free), int64(it.QueuedTasks)))
 		w.Servers = append(w.Servers, r.ID)
 	}
 	if len(w.Servers) == 0 {
