--- a/internal/ledger/flows/flows_test.go
+++ b/internal/ledger/flows/flows_test.go
@@ -169,14 +169,14 @@
 	m.apply(t, &record.Flow{What: &record.Flow_Cancel{Cancel: &record.FlowCancel{Id: id}}})
 }
 
-// RestartServer ends a life of a server and begins the next.
-func (m *ledgerModel) RestartServer(t *rapid.T) {
+// RebootServer ends a life of a server and begins the next.
+func (m *ledgerModel) RebootServer(t *rapid.T) {
 	b, _ := m.ledger.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
 	m.startServer(t, b.ID, b.StartedAtMs+1)
 }
 
-// LoseLease loses all that a server held.
-func (m *ledgerModel) LoseLease(t *rapid.T) {
+// ClearServer loses all that a server held.
+func (m *ledgerModel) ClearServer(t *rapid.T) {
 	b, _ := m.ledger.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
 	m.apply(t, &record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: b.ID, Born: b.StartedAtMs}}})
 }
