--- a/internal/ledger/chart/chart.go
+++ b/internal/ledger/chart/chart.go
@@ -1,18 +1,17 @@
-// Package chart interprets state charts that are written in files.
+// Package chart interprets state charts that are defined in JSON files.
 //
-// In short:
+// Example:
 //
 //	c, err := chart.Load(chart.Task)         // reads and checks task.json
 //	s := c.Start()                           // chart.Queued
 //	s, err = c.Next(s, chart.Place)          // chart.Placed
-//	_, err = c.Next(s, chart.Retry)          // a *RefusedError; the state stays
-//	c.Final(chart.Done)                      // true: nothing leads out
-//	c.Moves()                                // every transition, in the file's order
+//	_, err = c.Next(s, chart.Retry)          // *InvalidEventError, s is unchanged
+//	c.Final(chart.Done)                      // whether the state is final
+//	c.Transitions()                          // all transitions in file order
 //
-// A Chart is immutable and may be shared. MustLoad is Load for the charts that
-// are built in. The names of charts, states and events are in names.go; a test
-// keeps them and the files the same. A chart knows no conditions: which event
-// happened is decided by the caller, who keeps whatever that rests on.
+// A Chart is immutable and safe for concurrent use. The constants in names.go name
+// the charts, states and events, and a test compares them with the files. A chart
+// has no conditions: the caller decides which event occurred.
 package chart
 
 import (
@@ -29,35 +28,35 @@
 //go:embed *.json
 var chartFiles embed.FS
 
-// Name names a chart, and its file without the ending.
+// Name is the name of a chart and of its file without the extension.
 type Name string
 
 // State is a state of a chart.
 type State string
 
-// Event is what may happen in a state.
+// Event is an event that may cause a transition.
 type Event string
 
-// Transition is one transition.
+// Transition is the change from one state to another on an event.
 type Transition struct {
 	From  State
 	Event Event
 	To    State
 }
 
-// InvalidEventError means that an event cannot happen in a state.
+// InvalidEventError reports an event that has no transition from a state.
 type InvalidEventError struct {
 	Chart Name
 	State State
 	Event Event
 }
 
-// Error names the chart, the state and the event.
+// Error returns the chart, the state and the event in one message.
 func (e *InvalidEventError) Error() string {
 	return fmt.Sprintf("%s: %q cannot happen in state %q", e.Chart, e.Event, e.State)
 }
 
-// Chart is a checked state chart.
+// Chart is a validated state chart.
 type Chart struct {
 	name        Name
 	start       State
@@ -67,13 +66,13 @@
 	final       map[State]bool
 }
 
-// transitionKey is the key of a transition.
+// transitionKey identifies a transition by its source state and event.
 type transitionKey struct {
 	from  State
 	event Event
 }
 
-// chartFile is the layout of a chart file.
+// chartFile is the JSON layout of a chart file.
 type chartFile struct {
 	Start       State             `json:"start"`
 	States      []State           `json:"states"`
@@ -81,14 +80,14 @@
 	Transitions []transitionGroup `json:"moves"`
 }
 
-// transitionGroup are transitions on one event into one state.
+// transitionGroup is a set of transitions with the same event and target state.
 type transitionGroup struct {
 	From  []State `json:"from"`
 	Event Event   `json:"on"`
 	To    State   `json:"to"`
 }
 
-// Load reads a chart that is built in, and checks it.
+// Load parses and validates one of the embedded charts.
 func Load(name Name) (*Chart, error) {
 	b, err := chartFiles.ReadFile(string(name) + ".json")
 	if err != nil {
@@ -97,7 +96,8 @@
 	return Parse(name, b)
 }
 
-// MustLoad is Load for a chart that the tests have shown to be sound.
+// MustLoad is like Load but panics on an error. It is meant for the embedded charts,
+// which the tests validate.
 func MustLoad(name Name) *Chart {
 	c, err := Load(name)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return c
 }
 
-// Parse reads a chart from JSON with comments, and checks it.
+// Parse parses and validates a chart from JSON with comments.
 func Parse(name Name, b []byte) (*Chart, error) {
 	standardJSON, err := hujson.Standardize(bytes.Clone(b))
 	if err != nil {
@@ -128,7 +128,7 @@
 	return c, nil
 }
 
-// build makes the chart and refuses two transitions for one state and event.
+// build creates the chart and refuses two transitions for the same state and event.
 func build(name Name, src chartFile) (*Chart, error) {
 	c := &Chart{name: name, start: src.Start, states: src.States, targets: map[transitionKey]State{}, final: map[State]bool{}}
 	for _, s := range src.Final {
@@ -147,10 +147,11 @@
 	return c, nil
 }
 
-// Start returns the state in which everything begins.
+// Start returns the initial state.
 func (c *Chart) Start() State { return c.start }
 
-// Next returns the state that an event leads to, or a *RefusedError.
+// Next returns the state that an event leads to, or an *InvalidEventError and the
+// unchanged state.
 func (c *Chart) Next(s State, e Event) (State, error) {
 	to, ok := c.targets[transitionKey{s, e}]
 	if !ok {
@@ -159,11 +160,11 @@
 	return to, nil
 }
 
-// Final tells whether nothing can happen any more.
+// Final reports whether the state is a final state.
 func (c *Chart) Final(s State) bool { return c.final[s] }
 
-// States returns all states in the order of the file.
+// States returns all states in file order.
 func (c *Chart) States() []State { return slices.Clone(c.states) }
 
-// Transitions returns all transitions in the order of the file.
+// Transitions returns all transitions in file order.
 func (c *Chart) Transitions() []Transition { return slices.Clone(c.transitions) }
--- a/internal/ledger/chart/chart_test.go
+++ b/internal/ledger/chart/chart_test.go
@@ -17,7 +17,7 @@
 
 var allCharts = []chart.Name{chart.Task, chart.Attempt, chart.Lease, chart.Backend, chart.Member, chart.Flow, chart.FlowTask}
 
-// eventsTo returns the events that lead from the start to a state.
+// eventsTo returns a sequence of events that leads from the initial state to a state.
 func eventsTo(c *chart.Chart, to chart.State) []chart.Event {
 	paths := map[chart.State][]chart.Event{c.Start(): {}}
 	for range c.States() {
@@ -53,39 +53,40 @@
 				}
 			}
 			if at != s {
-				t.Fatalf("%s: came to %q, not to %q", name, at, s)
+				t.Fatalf("%s: reached state %q, want %q", name, at, s)
 			}
 			for _, e := range events {
 				got, err := c.Next(at, e)
 				want, ok := allowed[s][e]
 				var refused *chart.InvalidEventError
 				if ok && (err != nil || got != want) || !ok && (!errors.As(err, &refused) || got != s) {
-					t.Errorf("%s: %q on %q gave %q, %v", name, s, e, got, err)
+					t.Errorf("%s: state %q on event %q: got %q, %v", name, s, e, got, err)
 				}
 			}
 			if c.Final(s) != (len(allowed[s]) == 0) {
-				t.Errorf("%s: %q final: %v", name, s, c.Final(s))
+				t.Errorf("%s: state %q: Final = %v", name, s, c.Final(s))
 			}
 		}
 	}
 }
 
-// The outcomes that promises rest on: only a refusal makes a task "not run",
-// none that ended is refused, and nothing leaves "not run" or "unknown". That a
-// refusal is never used for a task that started is shown in package state.
+// Guards against a chart that reports "not run" for a task that may have run: only
+// GiveUpUnstarted leads to NotRun, it never starts from Done, and nothing leads out of
+// NotRun or Unknown. The tests of package state show that a started task never gets
+// this event.
 func TestOnlyGiveUpUnstartedLeadsToNotRun(t *testing.T) {
 	c := chart.MustLoad(chart.Task)
 	for _, m := range c.Transitions() {
 		if (m.To == chart.NotRun) != (m.Event == chart.GiveUpUnstarted) || m.Event == chart.GiveUpUnstarted && m.From == chart.Done {
-			t.Errorf("%q leads from %q to %q", m.Event, m.From, m.To)
+			t.Errorf("event %q leads from %q to %q", m.Event, m.From, m.To)
 		}
 		if m.From == chart.NotRun || m.From == chart.Unknown {
-			t.Errorf("%q leads out of %q", m.Event, m.From)
+			t.Errorf("event %q leads out of %q", m.Event, m.From)
 		}
 	}
 }
 
-// Every name in names.go stands in a file and the other way round.
+// Guards against constants in names.go that differ from the names in the chart files.
 func TestChartNamesMatchFiles(t *testing.T) {
 	declared := map[string][]string{}
 	f, err := parser.ParseFile(token.NewFileSet(), "names.go", nil, 0)
@@ -142,7 +143,7 @@
 		before, after, _ := strings.Cut(edit, "|")
 		_, err := chart.Parse("unsound", []byte(strings.Replace(sound, before, after, 1)))
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want %q, got %v", want, err)
+			t.Errorf("got error %v, want one containing %q", err, want)
 		}
 	}
 }
--- a/internal/ledger/chart/check.go
+++ b/internal/ledger/chart/check.go
@@ -6,8 +6,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// validate refuses a chart with names that are not declared, with states that
-// cannot be reached or left, and with final states that can be left.
+// validate refuses a chart with undeclared names, with states that cannot be reached,
+// with states that lead to no final state, and with final states that have transitions.
 func (c *Chart) validate() error {
 	if err := c.validateNames(); err != nil {
 		return err
@@ -34,7 +34,8 @@
 	return nil
 }
 
-// validateNames refuses states that are declared twice or not at all.
+// validateNames refuses states that are not declared or declared twice, and transitions
+// without an event.
 func (c *Chart) validateNames() error {
 	declared := map[State]bool{}
 	for _, s := range c.states {
@@ -62,7 +63,8 @@
 	return nil
 }
 
-// reachable returns what can be reached from the states given over the edges.
+// reachable returns all states that can be reached from the given states along the
+// edges.
 func (c *Chart) reachable(from []State, edge func(Transition) (State, State)) map[State]bool {
 	seen := map[State]bool{}
 	for len(from) > 0 {
--- a/internal/ledger/chart/names.go
+++ b/internal/ledger/chart/names.go
@@ -1,6 +1,6 @@
 package chart
 
-// The charts that are built in.
+// The embedded charts. FlowTask is the chart of a flow's task.
 const (
 	Task     Name = "task"
 	Attempt  Name = "attempt"
@@ -11,7 +11,7 @@
 	FlowTask Name = "piece"
 )
 
-// The states of a task.
+// The states of a job's task. WaitingForGang and Done are also states of a flow's task.
 const (
 	Queued         State = "queued"
 	Placed         State = "placed"
@@ -22,7 +22,8 @@
 	Unknown        State = "unknown"
 )
 
-// The states of an attempt, besides Placed and Stopping.
+// The states of an attempt, in addition to Placed and Stopping. NeverStarted and Lost
+// are final.
 const (
 	Running      State = "running"
 	StartOrdered State = "ordered"
@@ -31,13 +32,13 @@
 	Lost         State = "lost"
 )
 
-// The states of a flow, besides Queued, Running and Done.
+// The states of a flow, in addition to Queued, Running and Done.
 const (
 	Failed    State = "failed"
 	Cancelled State = "cancelled"
 )
 
-// The states of a lease.
+// The states of a lease. MissedRenewal is an unexpired lease without recent renewal.
 const (
 	Held          State = "held"
 	MissedRenewal State = "doubtful"
@@ -54,7 +55,7 @@
 	Gone        State = "gone"
 )
 
-// The states of a member of the control group.
+// The states of a member of the control group. Synced is a learner that has caught up.
 const (
 	Learner State = "learner"
 	Synced  State = "synced"
@@ -62,7 +63,9 @@
 	Removed State = "removed"
 )
 
-// The events of tasks and attempts.
+// The events of tasks and attempts. EndUnknown ends a task whose outcome is unknown.
+// GiveUpStarted and GiveUpUnstarted end a task whose job was given up, after an attempt
+// started and before any did. Decline reports that the server refused the start order.
 const (
 	Place           Event = "place"
 	GiveUpUnstarted Event = "refuse"
@@ -80,7 +83,7 @@
 	End             Event = "end"
 )
 
-// The events of leases, backend servers and members; Expire is one of attempts too.
+// The events of leases, backend servers and members. Expire is also an event of attempts.
 const (
 	Renew           Event = "renew"
 	MissHeartbeat   Event = "miss"
@@ -96,7 +99,7 @@
 	Remove          Event = "remove"
 )
 
-// The events of flows, besides Start and Finish.
+// The events of flows, in addition to Start and Finish.
 const (
 	Fail   Event = "fail"
 	Cancel Event = "cancel"
--- a/internal/ledger/command/command.go
+++ b/internal/ledger/command/command.go
@@ -1,4 +1,4 @@
-// Package command makes and reads the commands that the control group replicates.
+// Package command encodes and decodes the commands that the control group replicates.
 package command
 
 import (
@@ -14,20 +14,21 @@
 	"gypsumreel/internal/domain/team"
 )
 
-// deterministicMarshal marshals the same message to the same bytes on every replica.
+// deterministicMarshal encodes the same message to the same bytes on every replica.
 var deterministicMarshal = proto.MarshalOptions{Deterministic: true}
 
-// Encode returns the bytes of a message; equal messages give equal bytes.
+// Encode returns the bytes of a message. Equal messages give equal bytes.
 func Encode(m proto.Message) []byte {
 	b, err := deterministicMarshal.Marshal(m)
 	if err != nil {
-		// Only invalid UTF-8 can fail here, and the edges refuse it.
+		// Marshal fails only on invalid UTF-8, which the servers refuse when a request
+		// arrives.
 		panic(errors.Wrap(err, "encode"))
 	}
 	return b
 }
 
-// Decode reads a command as it stands in the log.
+// Decode decodes a command from a log entry.
 func Decode(data []byte) (*record.Command, error) {
 	c := &record.Command{}
 	if err := proto.Unmarshal(data, c); err != nil {
@@ -36,7 +37,7 @@
 	return c, nil
 }
 
-// SizeFromMessage converts a size from its message; nil is the zero size.
+// SizeFromMessage converts a size from its message. A nil message gives the zero size.
 func SizeFromMessage(s *v1.Size) capacity.Size {
 	return capacity.Size{CPU: s.GetCpu(), Memory: s.GetMemory(), Accel: s.GetAccel(), Slots: s.GetSlots()}
 }
@@ -46,7 +47,7 @@
 	return &v1.Size{Cpu: s.CPU, Memory: s.Memory, Accel: s.Accel, Slots: s.Slots}
 }
 
-// SpecFromMessage converts a job's description from its message.
+// SpecFromMessage converts a job specification from its message.
 func SpecFromMessage(teamName string, m *v1.Spec) *job.Spec {
 	return &job.Spec{
 		ID:       m.GetId(),
@@ -64,7 +65,7 @@
 	}
 }
 
-// SpecMessage converts a job's description to its message.
+// SpecMessage converts a job specification to its message.
 func SpecMessage(s *job.Spec) *v1.Spec {
 	return &v1.Spec{
 		Id:       s.ID,
--- a/internal/ledger/flows/crash.go
+++ b/internal/ledger/flows/crash.go
@@ -8,21 +8,24 @@
 	"gypsumreel/internal/domain/flow"
 )
 
-// Bounds of what a task may take down with it.
+// Limits on the server crashes under one task before its flow fails.
 const (
-	// MaxBlamedCrashes is after how many crashes in a row, each of which it may have caused
-	// itself, a task is given up: two may come by chance where servers crash often.
+	// MaxBlamedCrashes is the number of consecutive crashes, each possibly caused by
+	// the task itself, after which the task is given up. Two such crashes can be a
+	// coincidence where servers crash often.
 	MaxBlamedCrashes = 3
-	// MaxConsecutiveCrashes is the same whoever caused them: a task that crashes its servers only
-	// after a while is not told from those beside it.
+	// MaxConsecutiveCrashes is the number of consecutive crashes, whatever their cause,
+	// after which the task is given up. It covers a task that crashes its servers only
+	// after running for a while, because such a task cannot be told from the tasks
+	// beside it.
 	MaxConsecutiveCrashes = 4
-	// stableRunTime is how long a run works until its task is taken for sound: it did not
-	// crash this server, and what it is suspected of is forgotten.
+	// stableRunTime is the run time after which a task is considered stable. Its crash
+	// counts are then reset.
 	stableRunTime = time.Minute
 )
 
-// ShutdownPlanned tells whether the end of a server's life was announced: it leaves, or its
-// machine is down for its upkeep.
+// ShutdownPlanned reports whether the end of a server was announced: the server is
+// shutting down, or its machine is in maintenance.
 func (l *Ledger) ShutdownPlanned(b *Server) bool {
 	if b.ShuttingDown {
 		return true
@@ -35,7 +38,8 @@
 	return false
 }
 
-// countCrash counts the crash of a server under all that it held.
+// countCrash adds the crash of a server to the crash counts of the tasks that it held.
+// Tasks whose run is listed in blamed may have caused the crash.
 func (l *Ledger) countCrash(at time.Duration, b *Server, blamed []*inner.Run) {
 	for id, h := range b.HeldRuns {
 		s, ok := l.Step(id.StepID)
@@ -59,7 +63,8 @@
 	}
 }
 
-// exceedsCrashLimit tells whether a task has taken down more servers than it may.
+// exceedsCrashLimit reports whether more servers crashed under the task than the limits
+// allow.
 func (t *Task) exceedsCrashLimit() bool {
 	return t.BlamedCrashes >= MaxBlamedCrashes || t.ConsecutiveCrashes >= MaxConsecutiveCrashes
 }
--- a/internal/ledger/flows/crash_test.go
+++ b/internal/ledger/flows/crash_test.go
@@ -12,7 +12,7 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// crashFixture is a ledger with one flow of one task, whose servers crash.
+// crashFixture is a ledger with one flow of a single task whose servers crash.
 type crashFixture struct {
 	t         *testing.T
 	ledger    *flows.Ledger
@@ -36,7 +36,7 @@
 	}
 }
 
-// startRun starts the task on a new server, and returns that.
+// startRun places the task on a new server and returns the server and the run.
 func (c *crashFixture) startRun() (server string, run *inner.Run) {
 	c.t.Helper()
 	c.runNumber++
@@ -51,13 +51,14 @@
 	c.apply(&record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{Id: server, Born: 1, Pool: "p", Capacity: &v1.Size{Cpu: 4, Memory: 100}, Leaving: leaving}}})
 }
 
-// endIncarnation ends the life of a server, or its lease.
+// endIncarnation ends a server incarnation if over is true, and otherwise only its
+// lease.
 func (c *crashFixture) endIncarnation(server string, over bool, blamed ...*inner.Run) {
 	c.t.Helper()
 	c.apply(&record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: server, Born: 1, Over: over, Blamed: blamed}}})
 }
 
-// restoreFromSnapshot goes on from a snapshot.
+// restoreFromSnapshot replaces the ledger by one restored from its own snapshot.
 func (c *crashFixture) restoreFromSnapshot() {
 	c.t.Helper()
 	l, err := flows.Restore(c.ledger.Record())
@@ -72,25 +73,25 @@
 	return f.State == v1.FlowState_FLOW_STATE_FAILED
 }
 
-// A task that takes down each of its servers is never given up, or given up before
-// it is known that it does so.
+// Guards against a task that crashes every server it runs on and is never given up, and
+// against one that is given up before it reaches the limit.
 func TestConsecutiveCrashesFailTheFlow(t *testing.T) {
 	for name, c := range map[string]struct {
-		blamed bool
-		most   int
-	}{"blamed": {true, flows.MaxBlamedCrashes}, "beside another": {false, flows.MaxConsecutiveCrashes}} {
+		blamed     bool
+		maxCrashes int
+	}{"blamed": {true, flows.MaxBlamedCrashes}, "not blamed": {false, flows.MaxConsecutiveCrashes}} {
 		for kind, step := range map[string]*v1.FlowStep{"single": {Count: 1, Size: &v1.Size{Cpu: 1}}, "gang": {Count: 1, Size: &v1.Size{Cpu: 1}, Gang: true}, "lasting": {Count: 1, Size: &v1.Size{Cpu: 1}, Lasting: true}} {
 			t.Run(name+", "+kind, func(t *testing.T) {
 				w := newCrashFixture(t, step)
-				for n := 1; n <= c.most; n++ {
+				for n := 1; n <= c.maxCrashes; n++ {
 					server, run := w.startRun()
 					if c.blamed {
 						w.endIncarnation(server, true, run)
 					} else {
 						w.endIncarnation(server, true)
 					}
-					if w.flowFailed() != (n == c.most) {
-						t.Fatalf("after %d crashes: failed %v", n, w.flowFailed())
+					if w.flowFailed() != (n == c.maxCrashes) {
+						t.Fatalf("after %d crashes: flow failed = %v", n, w.flowFailed())
 					}
 					w.restoreFromSnapshot()
 				}
@@ -99,11 +100,11 @@
 	}
 }
 
-// Sound work is given up for what is no crash: servers that leave, leases that run out,
-// and crashes that come now and then under a task that lasts.
+// Guards against healthy tasks that are given up because of planned shutdowns, expired
+// leases, or rare crashes under a long-running task.
 func TestPlannedOrRareServerLossesDoNotFailTheFlow(t *testing.T) {
 	step := func() *v1.FlowStep { return &v1.FlowStep{Count: 1, Size: &v1.Size{Cpu: 1}, Lasting: true} }
-	t.Run("leaving", func(t *testing.T) {
+	t.Run("graceful shutdown", func(t *testing.T) {
 		w := newCrashFixture(t, step())
 		for range 3 * flows.MaxConsecutiveCrashes {
 			server, run := w.startRun()
@@ -111,20 +112,20 @@
 			w.endIncarnation(server, true, run)
 		}
 		if w.flowFailed() {
-			t.Error("given up for servers that left")
+			t.Error("flow failed because of servers that shut down gracefully")
 		}
 	})
-	t.Run("silent", func(t *testing.T) {
+	t.Run("expired lease", func(t *testing.T) {
 		w := newCrashFixture(t, step())
 		for range 3 * flows.MaxConsecutiveCrashes {
 			server, _ := w.startRun()
 			w.endIncarnation(server, false)
 		}
 		if w.flowFailed() {
-			t.Error("given up for leases that ran out")
+			t.Error("flow failed because of expired leases")
 		}
 	})
-	t.Run("upkeep", func(t *testing.T) {
+	t.Run("maintenance", func(t *testing.T) {
 		w := newCrashFixture(t, step())
 		for n := range uint64(3 * flows.MaxConsecutiveCrashes) {
 			server, _ := w.startRun()
@@ -135,10 +136,10 @@
 			w.endIncarnation(server, true)
 		}
 		if w.flowFailed() {
-			t.Error("given up for upkeep")
+			t.Error("flow failed because of maintenance")
 		}
 	})
-	t.Run("long apart", func(t *testing.T) {
+	t.Run("rare crashes", func(t *testing.T) {
 		w := newCrashFixture(t, step())
 		for range 3 * flows.MaxConsecutiveCrashes {
 			server, _ := w.startRun()
@@ -146,7 +147,7 @@
 			w.endIncarnation(server, true)
 		}
 		if w.flowFailed() {
-			t.Error("given up for crashes that came now and then")
+			t.Error("flow failed because of rare crashes of a long-running task")
 		}
 	})
 }
--- a/internal/ledger/flows/flows.go
+++ b/internal/ledger/flows/flows.go
@@ -1,7 +1,7 @@
-// Package flows is the part of the ledger that holds flows (jobs of several
-// steps), the backend servers that run their tasks, and the configuration
-// document. It is a deterministic state machine: the same commands give the
-// same state on every replica. It has no clock and does no I/O.
+// Package flows is the part of the ledger that holds flows (jobs of several steps), the
+// backend servers that run their tasks, and the configuration document. It is a
+// deterministic state machine: the same commands give the same state on every replica.
+// It has no clock and does no I/O.
 package flows
 
 import (
@@ -16,19 +16,19 @@
 	"gypsumreel/internal/domain/flow"
 )
 
-// Ledger holds everything about flows. What is derived is kept in step with
-// the records and built anew when a snapshot is read.
+// Ledger holds the replicated state of all flows. Derived fields are updated together
+// with the records and rebuilt when a snapshot is restored.
 type Ledger struct {
 	config  *flow.Config
 	flows   map[string]*Flow
 	servers map[string]*Server
 	waves   map[uint64]*Wave
-	// drainedZones are the drained availability zones, and since when.
+	// drainedZones maps each drained availability zone to the time of its drain.
 	drainedZones       map[string]time.Duration
 	digest             uint64
 	invalidTransitions int
 
-	// Derived.
+	// The fields below are derived from the records and are not part of a snapshot.
 	readySteps    map[flow.StepID]*Step
 	runsToStop    map[flow.TaskID]*HeldRun
 	customerUsage map[string]capacity.Size
@@ -40,31 +40,32 @@
 type Flow struct {
 	ID       string
 	Customer string
-	// QueueName names its queue. Was is the queue as it was when the flow was
-	// accepted; it counts when the document in force has none of that name.
+	// QueueName is the name of the flow's queue. QueueAtAcceptance is that queue's
+	// configuration when the flow was accepted. It applies if the document in force no
+	// longer has a queue of that name.
 	QueueName         string
 	QueueAtAcceptance *v1.Queue
 	Spec              *v1.FlowSpec
-	// AcceptedAt and Ended are on the ledger's clock.
+	// AcceptedAt and EndedAt are times on the ledger's clock.
 	AcceptedAt time.Duration
 	EndedAt    time.Duration
 	State      v1.FlowState
-	// NextTurn is the number of the next turn of a flow that runs at times.
+	// NextTurn is the number of the next turn of a flow with scheduled repetitions.
 	NextTurn uint32
-	// Turns are those under way, by number.
+	// Turns holds the turns in progress, by number.
 	Turns map[uint32]*Turn
-	// HeldRuns counts the runs that servers may hold.
+	// HeldRuns counts the flow's runs that servers may still hold.
 	HeldRuns int
 }
 
-// Final tells whether the flow's state never changes again.
+// Final reports whether the flow has reached a final state.
 func (f *Flow) Final() bool { return f.State >= v1.FlowState_FLOW_STATE_DONE }
 
-// Turn is one pass through the steps of a flow.
+// Turn is one execution of all steps of a flow.
 type Turn struct {
 	Number uint32
 	Steps  []*Step
-	// unfinishedSteps counts the steps with a task that is not done.
+	// unfinishedSteps counts the steps with at least one task that is not done.
 	unfinishedSteps int
 }
 
@@ -74,41 +75,44 @@
 	Flow  *Flow
 	Spec  *v1.FlowStep
 	Tasks []Task
-	// UnfinishedDependencies counts the steps before it that are not done.
+	// UnfinishedDependencies counts the preceding steps that are not done.
 	UnfinishedDependencies int
-	// QueuedTasks, Placed and Done count the tasks by phase.
+	// QueuedTasks, PlacedTasks and DoneTasks count the step's tasks by phase.
 	QueuedTasks int
 	PlacedTasks int
 	DoneTasks   int
-	// FailedRuns counts the failed runs of a gang, Counted is the last one counted.
+	// FailedRuns counts the failed runs of a gang. LastFailedRun is the number of the
+	// last run counted, so that a run that fails on several members counts once.
 	FailedRuns    uint32
 	LastFailedRun uint32
-	// ReadyAt is when the step could begin, on the ledger's clock.
+	// ReadyAt is the time at which the step could begin, on the ledger's clock.
 	ReadyAt time.Duration
 }
 
 // Task is one task of a step.
 type Task struct {
 	Phase Phase
-	// LatestRun is that of the latest run, 0 before the first.
+	// LatestRun is the number of the latest run. It is 0 before the first run.
 	LatestRun uint32
 	// FailedRuns counts the runs that ended as failed.
 	FailedRuns uint32
-	// ConsecutiveCrashes counts the servers in a row that crashed under it, Blamed those of them
-	// that it may have crashed itself.
+	// ConsecutiveCrashes counts the consecutive server crashes under the task.
+	// BlamedCrashes counts those that the task may have caused.
 	ConsecutiveCrashes uint32
 	BlamedCrashes      uint32
-	// Checkpoint is where the next run goes on; empty for the beginning.
+	// Checkpoint is the point from which the next run continues. It is empty if the
+	// next run starts from the beginning.
 	Checkpoint string
-	// Server and Born are where the latest run was placed.
+	// Server and ServerStartedAtMs identify the server incarnation on which the latest
+	// run was placed.
 	Server            string
 	ServerStartedAtMs int64
 }
 
-// Server is one life of a backend server.
+// Server is one incarnation of a backend server.
 type Server struct {
 	ID string
-	// StartedAtMs is when this life began, milliseconds since 1970.
+	// StartedAtMs is the start of this incarnation in milliseconds since 1970.
 	StartedAtMs int64
 	Address     string
 	Zone        string
@@ -116,28 +120,30 @@
 	Machine     string
 	Capacity    capacity.Size
 	Labels      []string
-	// ShuttingDown servers get no new work.
+	// ShuttingDown is true for a server in graceful shutdown, which gets no new work.
 	ShuttingDown bool
-	// WarmUpEndsAt is when it stops being slow after its start, on the ledger's clock.
+	// WarmUpEndsAt is the time, on the ledger's clock, at which the server no longer
+	// runs slowly after its start.
 	WarmUpEndsAt time.Duration
-	// LastReport is the number of the latest report that changed anything.
+	// LastReport is the number of the latest report that changed this record.
 	LastReport uint64
-	// Ended tells that this life has ended.
+	// Ended is true once this incarnation has ended.
 	Ended bool
-	// EndCursor is the number up to which this life's ends are recorded.
+	// EndCursor is the number up to which the run ends listed by this incarnation are
+	// recorded.
 	EndCursor uint64
-	// Used is the size of everything that is not proved to have ended.
+	// Used is the total size of the runs that are not proved to have ended.
 	Used     capacity.Size
 	HeldRuns map[flow.TaskID]*HeldRun
 }
 
-// HeldRun is a run that a server may hold.
+// HeldRun is a run that a server may still hold.
 type HeldRun struct {
 	flow.RunID
 	Server   string
 	Customer string
 	Size     capacity.Size
-	// PlacedAt is when it was placed, on the ledger's clock.
+	// PlacedAt is the time of the run's placement, on the ledger's clock.
 	PlacedAt time.Duration
 }
 
@@ -152,10 +158,11 @@
 // Config returns the configuration in force.
 func (l *Ledger) Config() *flow.Config { return l.config }
 
-// Digest returns a hash over all commands applied.
+// Digest returns a hash over all applied commands. Replicas with equal state have equal
+// digests.
 func (l *Ledger) Digest() uint64 { return l.digest }
 
-// InvalidTransitions returns how often an event came that the charts do not allow.
+// InvalidTransitions returns the number of events that the state charts did not allow.
 func (l *Ledger) InvalidTransitions() int { return l.invalidTransitions }
 
 // Flow returns a flow by its id.
@@ -164,7 +171,7 @@
 	return f, ok
 }
 
-// Flows returns all flows, to be read only.
+// Flows returns all flows by id. The caller must not change the map.
 func (l *Ledger) Flows() map[string]*Flow { return l.flows }
 
 // Server returns a server by its id.
@@ -173,10 +180,10 @@
 	return s, ok
 }
 
-// Servers returns all servers, to be read only.
+// Servers returns all servers by id. The caller must not change the map.
 func (l *Ledger) Servers() map[string]*Server { return l.servers }
 
-// Step returns a step under way.
+// Step returns a step of a turn in progress.
 func (l *Ledger) Step(id flow.StepID) (*Step, bool) {
 	f, ok := l.flows[id.Flow]
 	if !ok || f.Turns[id.Turn] == nil {
@@ -189,23 +196,26 @@
 	return steps[id.Step], true
 }
 
-// ReadySteps returns the steps with a task that may be placed now, to be read only.
+// ReadySteps returns the steps with a task that may be placed now. The caller must not
+// change the map.
 func (l *Ledger) ReadySteps() map[flow.StepID]*Step { return l.readySteps }
 
-// RunsToStop returns the runs that are to be stopped, to be read only.
+// RunsToStop returns the runs that their servers have to stop. The caller must not
+// change the map.
 func (l *Ledger) RunsToStop() map[flow.TaskID]*HeldRun { return l.runsToStop }
 
-// CustomerUsage returns what a customer has that is not proved to have ended.
+// CustomerUsage returns the total size of a customer's runs that are not proved to have
+// ended.
 func (l *Ledger) CustomerUsage(customer string) capacity.Size { return l.customerUsage[customer] }
 
-// PendingFlows returns the number of a queue's flows of which no task has started.
+// PendingFlows returns the number of a queue's flows without any started task.
 func (l *Ledger) PendingFlows(queue string) int { return l.pendingFlows[queue] }
 
 // OpenFlows returns the number of flows that have not ended.
 func (l *Ledger) OpenFlows() int { return l.openFlows }
 
-// QueueOf returns the queue of a flow as the document in force has it. A queue
-// that was taken away still has its flows: they were accepted.
+// QueueOf returns the configuration of a flow's queue from the document in force. If
+// the queue was removed, its accepted flows keep the configuration of their acceptance.
 func (l *Ledger) QueueOf(f *Flow) (*v1.Queue, bool) {
 	if q, ok := l.config.Queue(f.QueueName); ok {
 		return q, true
@@ -213,8 +223,8 @@
 	return f.QueueAtAcceptance, f.QueueAtAcceptance != nil
 }
 
-// CustomerLimit returns the most that a customer may have running; the fields of a
-// customer without one are capacity.Unlimited.
+// CustomerLimit returns the maximum total size of a customer's runs. Resources without
+// a limit are capacity.Unlimited.
 func (l *Ledger) CustomerLimit(customer string) capacity.Size {
 	zeroToUnlimited := func(n int64) int64 {
 		if n == 0 {
@@ -227,8 +237,8 @@
 	return capacity.Size{CPU: zeroToUnlimited(m.GetCpu()), Memory: zeroToUnlimited(m.GetMemory()), Accel: zeroToUnlimited(m.GetAccel()), Slots: capacity.Unlimited}
 }
 
-// Apply makes one command take effect, at a time on the ledger's clock. A
-// command that the state does not allow changes nothing and says why.
+// Apply applies one command at the given time on the ledger's clock. A command that the
+// state does not allow changes nothing and returns the reason.
 func (l *Ledger) Apply(at time.Duration, c *record.Flow) *code.Error {
 	err := l.apply(at, c)
 	if err == nil {
@@ -267,10 +277,10 @@
 	return code.New(code.Internal, "empty command")
 }
 
-// addToDigest folds numbers into the digest. The chain depends on every command, so a
-// replica that took another path is found at the next comparison.
+// addToDigest folds numbers into the digest. The digest depends on every command
+// applied, so the next comparison finds a replica that applied different commands.
 func (l *Ledger) addToDigest(numbers ...uint64) {
-	const prime = 0x9E3779B185EBCA87 // the first prime of xxHash64
+	const prime = 0x9E3779B185EBCA87 // first prime constant of xxHash64
 	for _, n := range numbers {
 		l.digest = (l.digest ^ n) * prime
 		l.digest ^= l.digest >> 29
@@ -279,8 +289,8 @@
 
 func (l *Ledger) addTextToDigest(s string) { l.addToDigest(xxhash.Sum64String(s)) }
 
-// applyDocument puts a document in force that is newer than the one held. One with
-// a version that is not higher changes nothing; asking again is no fault.
+// applyDocument puts a newer document in force. A document whose version is not higher
+// changes nothing and is not an error, so a resend is harmless.
 func (l *Ledger) applyDocument(d *v1.Document) *code.Error {
 	if err := flow.CheckDocument(d); err != nil {
 		return err
@@ -293,7 +303,7 @@
 	return nil
 }
 
-// updateReadySteps puts a step among those that may be placed, or takes it out.
+// updateReadySteps adds a step to the steps ready for placement or removes it.
 func (l *Ledger) updateReadySteps(s *Step) {
 	if s.UnfinishedDependencies == 0 && s.QueuedTasks > 0 && !s.Flow.Final() && !(s.Spec.GetGang() && s.QueuedTasks < len(s.Tasks)) {
 		l.readySteps[s.StepID] = s
@@ -302,5 +312,6 @@
 	delete(l.readySteps, s.StepID)
 }
 
-// runsUntilCancelled tells whether a step's tasks run until their flow is cancelled.
+// runsUntilCancelled reports whether the step's tasks run until their flow is
+// cancelled.
 func (s *Step) runsUntilCancelled() bool { return s.Spec.GetLasting() }
--- a/internal/ledger/flows/flows_test.go
+++ b/internal/ledger/flows/flows_test.go
@@ -21,17 +21,18 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// ledgerModel drives a ledger with random commands, sound and unsound ones.
+// ledgerModel drives a ledger with random commands, both valid and invalid ones.
 type ledgerModel struct {
 	ledger        *flows.Ledger
 	at            time.Duration
 	acceptedFlows int
 	servers       []string
-	// drainedZones are the zones that are drained by the order of commands.
+	// drainedZones holds the zones that the commands sent so far have drained.
 	drainedZones map[string]bool
-	// resizedServers are the servers that have said that they hold more or less by now.
+	// resizedServers holds the servers whose reported capacity changed. They may hold
+	// more than their capacity.
 	resizedServers map[string]bool
-	// doneTasks are the tasks that ended well.
+	// doneTasks holds the tasks with a run that ended successfully.
 	doneTasks map[flow.TaskID]bool
 }
 
@@ -63,12 +64,12 @@
 	before := m.ledger.Digest()
 	err := m.ledger.Apply(m.at, f)
 	if err != nil && m.ledger.Digest() != before {
-		t.Fatalf("a refused command changed the state: %v", err)
+		t.Fatalf("a rejected command changed the digest: %v", err)
 	}
 	return err == nil
 }
 
-// zoneOf puts the first server into a zone of its own.
+// zoneOf returns the zone of a server. The first server has a zone to itself.
 func zoneOf(server string) string {
 	if server == "s0" {
 		return "x"
@@ -76,20 +77,20 @@
 	return "y"
 }
 
-// zoneModel is a machine whose zones are drained and taken back as well.
+// zoneModel is a ledgerModel whose zones are also drained and returned to service.
 type zoneModel struct{ *ledgerModel }
 
-// Zone drains a zone or takes it back.
+// Zone drains a zone or ends its drain.
 func (m zoneModel) Zone(t *rapid.T) {
 	zone, drain := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), rapid.Bool().Draw(t, "drain")
 	m.apply(t, &record.Flow{What: &record.Flow_Zone{Zone: &record.ZoneMark{Zone: zone, Drain: drain}}})
 	m.drainedZones[zone] = drain
 }
 
-// crashModel is a machine whose servers crash, shrink and grow as well.
+// crashModel is a ledgerModel whose servers also crash, shrink and grow.
 type crashModel struct{ *ledgerModel }
 
-// Crash ends a life of a server under all that it held, some of which may be at fault.
+// Crash ends a server incarnation without notice and blames all runs that it held.
 func (m crashModel) Crash(t *rapid.T) {
 	b, _ := m.ledger.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
 	c := &record.FlowClear{Id: b.ID, Born: b.StartedAtMs, Over: true}
@@ -100,7 +101,7 @@
 	m.startServer(t, b.ID, b.StartedAtMs+1)
 }
 
-// Resize lets a server hold more or less from now on.
+// Resize changes the capacity that a server reports.
 func (m crashModel) Resize(t *rapid.T) {
 	b, _ := m.ledger.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
 	m.resizedServers[b.ID] = true
@@ -108,7 +109,7 @@
 	m.apply(t, &record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{Id: b.ID, Born: b.StartedAtMs, Zone: b.Zone, Pool: b.Pool, Capacity: &v1.Size{Cpu: cpu, Memory: 100}}}})
 }
 
-// Accept takes in a flow of one or two steps.
+// Accept submits a flow of one or two steps.
 func (m *ledgerModel) Accept(t *rapid.T) {
 	m.acceptedFlows++
 	first := &v1.FlowStep{Count: uint32(rapid.IntRange(1, 3).Draw(t, "count")), Size: &v1.Size{Cpu: 1, Memory: 1}, Gang: rapid.Bool().Draw(t, "gang")}
@@ -119,7 +120,7 @@
 	m.apply(t, &record.Flow{What: &record.Flow_Accept{Accept: &record.FlowAccept{Queue: "q", Customer: "c", Spec: spec}}})
 }
 
-// Start places the waiting tasks of a ready step, wherever chance says.
+// Start places the queued tasks of a ready step on random servers.
 func (m *ledgerModel) Start(t *rapid.T) {
 	ready := slices.SortedFunc(maps.Keys(m.ledger.ReadySteps()), func(a, b flow.StepID) int { return strings.Compare(a.String(), b.String()) })
 	for _, id := range ready {
@@ -140,16 +141,16 @@
 			b, _ := m.ledger.Server(p.GetServer())
 			switch {
 			case ok && m.drainedZones[zoneOf(p.GetServer())]:
-				t.Fatalf("%v was started in a drained zone", p)
+				t.Fatalf("%v was placed in a drained zone", p)
 			case ok && !b.Used.Fits(b.Capacity):
-				t.Fatalf("%v was started on a server that holds %v and has %v", p, b.Capacity, b.Used)
+				t.Fatalf("%v was placed on a server with capacity %v and usage %v", p, b.Capacity, b.Used)
 			}
 		}
 		return
 	}
 }
 
-// End ends something that a server holds, or something that it does not.
+// End reports the end of a run, twice, on a random server that holds one.
 func (m *ledgerModel) End(t *rapid.T) {
 	b, _ := m.ledger.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
 	held := slices.SortedFunc(maps.Keys(b.HeldRuns), func(a, b flow.TaskID) int { return strings.Compare(a.String(), b.String()) })
@@ -163,25 +164,25 @@
 	}
 }
 
-// Cancel cancels some flow.
+// Cancel cancels a random flow, which may not exist.
 func (m *ledgerModel) Cancel(t *rapid.T) {
 	id := fmt.Sprintf("f%d", rapid.IntRange(1, 9).Draw(t, "flow"))
 	m.apply(t, &record.Flow{What: &record.Flow_Cancel{Cancel: &record.FlowCancel{Id: id}}})
 }
 
-// RebootServer ends a life of a server and begins the next.
+// RebootServer ends a server incarnation and starts the next one.
 func (m *ledgerModel) RebootServer(t *rapid.T) {
 	b, _ := m.ledger.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
 	m.startServer(t, b.ID, b.StartedAtMs+1)
 }
 
-// ClearServer loses all that a server held.
+// ClearServer ends all runs that a server held, as after an expired lease.
 func (m *ledgerModel) ClearServer(t *rapid.T) {
 	b, _ := m.ledger.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
 	m.apply(t, &record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: b.ID, Born: b.StartedAtMs}}})
 }
 
-// Restore goes on from a snapshot.
+// Restore replaces the ledger by one restored from its own snapshot.
 func (m *ledgerModel) Restore(t *rapid.T) {
 	l, err := flows.Restore(m.ledger.Record())
 	if err != nil {
@@ -191,13 +192,13 @@
 		t.Fatal(diff)
 	}
 	if len(l.ReadySteps()) != len(m.ledger.ReadySteps()) || len(l.RunsToStop()) != len(m.ledger.RunsToStop()) || l.OpenFlows() != m.ledger.OpenFlows() || l.PendingFlows("q") != m.ledger.PendingFlows("q") {
-		t.Fatalf("what is derived differs: ready %d %d, unwanted %d %d, open %d %d, pending %d %d", len(l.ReadySteps()), len(m.ledger.ReadySteps()),
+		t.Fatalf("derived state differs, restored and live: ready steps %d %d, runs to stop %d %d, open flows %d %d, pending flows %d %d", len(l.ReadySteps()), len(m.ledger.ReadySteps()),
 			len(l.RunsToStop()), len(m.ledger.RunsToStop()), l.OpenFlows(), m.ledger.OpenFlows(), l.PendingFlows("q"), m.ledger.PendingFlows("q"))
 	}
 	m.ledger = l
 }
 
-// Check tells what no order of commands may break.
+// Check verifies the invariants that must hold after any sequence of commands.
 func (m *ledgerModel) Check(t *rapid.T) {
 	var used capacity.Size
 	holderByTask := map[flow.TaskID]string{}
@@ -206,20 +207,20 @@
 		for id, h := range b.HeldRuns {
 			held = held.Add(h.Size)
 			if other, ok := holderByTask[id]; ok {
-				t.Fatalf("%v is held by %s and %s", id, other, b.ID)
+				t.Fatalf("task %v is held by both %s and %s", id, other, b.ID)
 			}
 			holderByTask[id] = b.ID
 		}
 		if held != b.Used || !held.Fits(b.Capacity) && !m.resizedServers[b.ID] {
-			t.Fatalf("%s holds %v, counted are %v of %v", b.ID, held, b.Used, b.Capacity)
+			t.Fatalf("server %s: held runs add up to %v, recorded usage %v, capacity %v", b.ID, held, b.Used, b.Capacity)
 		}
 		used = used.Add(held)
 	}
 	if used != m.ledger.CustomerUsage("c") || used.CPU > 9 {
-		t.Fatalf("the customer has %v, counted are %v", used, m.ledger.CustomerUsage("c"))
+		t.Fatalf("customer: held runs add up to %v, recorded usage %v", used, m.ledger.CustomerUsage("c"))
 	}
 	if m.ledger.InvalidTransitions() > 0 {
-		t.Fatal("an event came that the charts do not allow")
+		t.Fatal("an event occurred that the state charts do not allow")
 	}
 	for _, f := range m.ledger.Flows() {
 		for _, turn := range f.Turns {
@@ -236,13 +237,13 @@
 		counts[task.Phase]++
 	}
 	if counts[flows.Queued] != s.QueuedTasks || counts[flows.Placed] != s.PlacedTasks || counts[flows.Done] != s.DoneTasks {
-		t.Fatalf("%v counts %d %d %d, it has %v", s.StepID, s.QueuedTasks, s.PlacedTasks, s.DoneTasks, counts)
+		t.Fatalf("step %v: recorded queued, placed, done = %d %d %d, counted %v", s.StepID, s.QueuedTasks, s.PlacedTasks, s.DoneTasks, counts)
 	}
 	if s.Spec.GetGang() && s.PlacedTasks > 0 && s.QueuedTasks > 0 {
-		t.Fatalf("gang %v waits and runs", s.StepID)
+		t.Fatalf("gang %v has both queued and placed tasks", s.StepID)
 	}
 	if s.UnfinishedDependencies > 0 && s.QueuedTasks != len(s.Tasks) {
-		t.Fatalf("%v began before the steps before it ended", s.StepID)
+		t.Fatalf("step %v began before its preceding steps were done", s.StepID)
 	}
 }
 
--- a/internal/ledger/flows/life.go
+++ b/internal/ledger/flows/lifecycle.go
@@ -12,7 +12,7 @@
 func (l *Ledger) acceptFlow(at time.Duration, a *record.FlowAccept) *code.Error {
 	id := a.GetSpec().GetId()
 	if _, ok := l.flows[id]; ok {
-		return nil // a resend: it remains one flow
+		return nil // a resend of a flow that was already accepted
 	}
 	if err := flow.Check(a.GetSpec()); err != nil {
 		return err
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// beginTurn begins the next turn of a flow.
+// beginTurn starts the next turn of a flow.
 func (l *Ledger) beginTurn(at time.Duration, f *Flow) {
 	t := newTurn(f, f.NextTurn)
 	f.Turns[f.NextTurn] = t
@@ -58,11 +58,11 @@
 	return t
 }
 
-// beginDueTurn begins a turn whose time has come.
+// beginDueTurn starts the next turn of a flow whose scheduled time has come.
 func (l *Ledger) beginDueTurn(at time.Duration, d *record.FlowDue) *code.Error {
 	f, ok := l.flows[d.GetId()]
 	if !ok || f.Final() || f.NextTurn >= f.Spec.GetTimes() {
-		return code.New(code.Unknown, "no turn of %s is due", d.GetId())
+		return code.New(code.Unknown, "flow %s has no turn left to start", d.GetId())
 	}
 	l.addTextToDigest(d.GetId())
 	l.beginTurn(at, f)
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// endFlow ends a flow: nothing of it is placed any more, and what its tasks
-// still hold is to be stopped.
+// endFlow puts a flow into a final state. None of its tasks is placed any more, and the
+// runs that servers still hold are marked to be stopped.
 func (l *Ledger) endFlow(at time.Duration, f *Flow, finalState v1.FlowState) {
 	if f.State == v1.FlowState_FLOW_STATE_QUEUED {
 		l.pendingFlows[f.QueueName]--
@@ -97,12 +97,12 @@
 			l.stopStep(s)
 		}
 	}
-	// The spec and the turns are not needed any more, and a flow is remembered
-	// for minutes after its end.
+	// The spec and the turns are not needed any more, and the ledger keeps an ended
+	// flow for minutes.
 	f.Turns, f.Spec, f.QueueAtAcceptance = nil, nil, nil
 }
 
-// stopStep marks everything that a step holds as unwanted.
+// stopStep marks all held runs of a step to be stopped.
 func (l *Ledger) stopStep(s *Step) {
 	for i, t := range s.Tasks {
 		id := flow.TaskID{StepID: s.StepID, Index: uint32(i)}
@@ -112,7 +112,7 @@
 	}
 }
 
-// forgetRecords drops flows that ended long ago and servers that are over and empty.
+// forgetRecords removes flows past their retention and ended servers without held runs.
 func (l *Ledger) forgetRecords(c *record.FlowForget) *code.Error {
 	for _, id := range c.GetFlows() {
 		if f, ok := l.flows[id]; ok && f.Final() && f.HeldRuns == 0 {
--- a/internal/ledger/flows/phase.go
+++ b/internal/ledger/flows/phase.go
@@ -5,35 +5,36 @@
 	"gypsumreel/internal/ledger/chart"
 )
 
-// Phase is where a task stands. The chart in piece.json says which phase
-// follows which; nothing here changes a phase but by an event of it.
+// Phase is the state of a task. The state chart in piece.json defines the allowed
+// transitions, and phases change only through its events.
 type Phase uint8
 
 // The phases of a task.
 const (
 	// Queued tasks wait for a placement.
 	Queued Phase = iota + 1
-	// Placed tasks have a run that may be running.
+	// Placed tasks have a run that may be in progress.
 	Placed
-	// WaitingForGang tasks of a gang wait until the others run no more.
+	// WaitingForGang tasks of a gang wait until the other members have stopped.
 	WaitingForGang
-	// Done tasks ended well.
+	// Done tasks ended successfully.
 	Done
 )
 
-// taskTransitions is the chart of a task, with phases in place of names.
+// taskTransitions is the state chart of a task, keyed by phase.
 var taskTransitions = transitionTable(chart.FlowTask, map[chart.State]Phase{
 	chart.Queued: Queued, chart.Placed: Placed, chart.WaitingForGang: WaitingForGang, chart.Done: Done,
 })
 
-// flowTransitions is the chart of a flow, with the states of messages in place of names.
+// flowTransitions is the state chart of a flow, keyed by the states of the API.
 var flowTransitions = transitionTable(chart.Flow, map[chart.State]v1.FlowState{
 	chart.Queued: v1.FlowState_FLOW_STATE_QUEUED, chart.Running: v1.FlowState_FLOW_STATE_RUNNING,
 	chart.Done: v1.FlowState_FLOW_STATE_DONE, chart.Failed: v1.FlowState_FLOW_STATE_FAILED,
 	chart.Cancelled: v1.FlowState_FLOW_STATE_CANCELLED,
 })
 
-// transitionTable reads a chart into a table of the caller's own states.
+// transitionTable loads a state chart and replaces its state names by the values in
+// stateByName.
 func transitionTable[S comparable](name chart.Name, stateByName map[chart.State]S) map[S]map[chart.Event]S {
 	out := map[S]map[chart.Event]S{}
 	for _, m := range chart.MustLoad(name).Transitions() {
@@ -46,7 +47,7 @@
 	return out
 }
 
-// flowEvents gives the event that leads to each final state of a flow.
+// flowEvents maps each flow state to the chart event that leads to it.
 var flowEvents = map[v1.FlowState]chart.Event{
 	v1.FlowState_FLOW_STATE_RUNNING:   chart.Start,
 	v1.FlowState_FLOW_STATE_DONE:      chart.Finish,
@@ -54,8 +55,9 @@
 	v1.FlowState_FLOW_STATE_CANCELLED: chart.Cancel,
 }
 
-// setFlowState moves a flow. An event that the chart does not allow is a fault of this
-// program: the state stays, and the fault is counted for the checks to see.
+// setFlowState changes the state of a flow. A transition that the chart does not allow
+// is a bug of this program: the state stays as it is and invalidTransitions is
+// incremented.
 func (l *Ledger) setFlowState(f *Flow, to v1.FlowState) {
 	next, ok := flowTransitions[f.State][flowEvents[to]]
 	if !ok {
@@ -65,7 +67,7 @@
 	f.State = next
 }
 
-// moveTask moves one task of a step and keeps the step's counts.
+// moveTask applies a chart event to a task and updates the phase counts of its step.
 func (l *Ledger) moveTask(s *Step, index uint32, event chart.Event) {
 	t := &s.Tasks[index]
 	next, ok := taskTransitions[t.Phase][event]
--- a/internal/ledger/flows/run.go
+++ b/internal/ledger/flows/run.go
@@ -12,12 +12,13 @@
 	"gypsumreel/internal/ledger/chart"
 )
 
-// applyServerReport takes what a backend server reported of itself. A report never makes
-// a leaving server take work again within one life: a delayed report may say so.
+// applyServerReport records what a backend server reported about itself. Within one
+// incarnation a report never ends a graceful shutdown, because the report may be a
+// delayed older one.
 func (l *Ledger) applyServerReport(at time.Duration, m *record.FlowServer) *code.Error {
 	old, known := l.servers[m.GetId()]
 	if known && m.GetBorn() < old.StartedAtMs {
-		return code.New(code.Stale, "%s has begun another life", m.GetId())
+		return code.New(code.Stale, "server %s: report of an older incarnation", m.GetId())
 	}
 	b := &Server{
 		ID: m.GetId(), StartedAtMs: m.GetBorn(), Address: m.GetAddress(), Zone: m.GetZone(), Pool: m.GetPool(), Machine: m.GetMachine(),
@@ -25,15 +26,15 @@
 	}
 	if known && m.GetBorn() == old.StartedAtMs {
 		if old.Ended {
-			return code.New(code.Stale, "that life of %s is over", m.GetId())
+			return code.New(code.Stale, "server %s: this incarnation has ended", m.GetId())
 		}
 		if m.GetCall() < old.LastReport {
-			return code.New(code.Stale, "%s has reported since", m.GetId())
+			return code.New(code.Stale, "server %s: a later report is already recorded", m.GetId())
 		}
 		b.ShuttingDown = b.ShuttingDown || old.ShuttingDown
 		b.EndCursor, b.Used, b.HeldRuns = old.EndCursor, old.Used, old.HeldRuns
 	} else if known {
-		// The life before this one is over, and with it all that it held.
+		// The previous incarnation has ended, and all runs that it held ended with it.
 		l.endIncarnation(at, old, nil, nil)
 	}
 	l.servers[b.ID] = b
@@ -46,11 +47,12 @@
 	return capacity.Size{CPU: m.GetCpu(), Memory: m.GetMemory(), Accel: m.GetAccel(), Slots: m.GetSlots()}
 }
 
-// clearServer records that nothing runs any more of what one life held.
+// clearServer records that none of the runs held by one server incarnation is in
+// progress any more.
 func (l *Ledger) clearServer(at time.Duration, c *record.FlowClear) *code.Error {
 	b, ok := l.servers[c.GetId()]
 	if !ok || b.StartedAtMs != c.GetBorn() {
-		return code.New(code.Stale, "%s has begun another life", c.GetId())
+		return code.New(code.Stale, "server %s runs another incarnation", c.GetId())
 	}
 	b.Ended = b.Ended || c.GetOver()
 	l.addTextToDigest(b.ID)
@@ -62,7 +64,8 @@
 	return nil
 }
 
-// endIncarnation ends a life of a server and everything that it held.
+// endIncarnation ends a server incarnation and all runs that it held. Unless the
+// shutdown was planned, it counts as a crash.
 func (l *Ledger) endIncarnation(at time.Duration, b *Server, saved []*record.FlowSaved, blamed []*inner.Run) {
 	if l.ShutdownPlanned(b) {
 		l.endAllRuns(at, b, inner.RunEnd_RUN_END_LOST, saved)
@@ -72,8 +75,8 @@
 	l.endAllRuns(at, b, inner.RunEnd_RUN_END_CRASHED, saved)
 }
 
-// endAllRuns ends everything that a server held, in the order of the runs' names, so
-// that every replica takes the same path.
+// endAllRuns ends all runs that a server held. The runs are sorted, so that every
+// replica applies the ends in the same order.
 func (l *Ledger) endAllRuns(at time.Duration, b *Server, runEnd inner.RunEnd, saved []*record.FlowSaved) {
 	checkpoints := map[flow.RunID]string{}
 	for _, s := range saved {
@@ -85,9 +88,10 @@
 	}
 }
 
-// startRuns places runs, all or none. It checks again what the planner checked, in
-// the one place where every placement passes: that the step's turn has come,
-// the server's life and room, the customer's limit, and that gangs are whole.
+// startRuns places either all of the given runs or none. It repeats the planner's
+// checks, because every placement passes through here: the step's dependencies, the
+// server's state and free capacity, the customer's limit, and that gangs are placed as
+// a whole.
 func (l *Ledger) startRuns(at time.Duration, c *record.FlowStart) *code.Error {
 	if err := l.checkPlacements(c.GetPlaces()); err != nil {
 		return err
@@ -110,7 +114,7 @@
 	return nil
 }
 
-// checkPlacements tells whether all places can be taken at once.
+// checkPlacements returns an error unless all placements are possible together.
 func (l *Ledger) checkPlacements(places []*record.FlowPlace) *code.Error {
 	addedByServer, addedByCustomer := map[string]capacity.Size{}, map[string]capacity.Size{}
 	placedByGang, seen := map[flow.StepID]int{}, map[flow.TaskID]bool{}
@@ -119,24 +123,24 @@
 		s, ok := l.Step(id.StepID)
 		switch {
 		case !ok || s.UnfinishedDependencies > 0 || int(id.Index) >= len(s.Tasks) || s.Flow.Final():
-			return code.New(code.Unknown, "%s", id)
+			return code.New(code.Unknown, "run %s: its task cannot be started", id)
 		case s.Tasks[id.Index].Phase != Queued || seen[id.TaskID] || id.Number <= s.Tasks[id.Index].LatestRun:
-			return code.New(code.Internal, "%s does not wait", id)
+			return code.New(code.Internal, "run %s: its task is not queued", id)
 		}
 		seen[id.TaskID] = true
 		b, ok := l.servers[p.GetServer()]
 		if !ok || !l.AcceptsWork(b) {
-			return code.New(code.Stale, "%s takes no work", p.GetServer())
+			return code.New(code.Stale, "server %s accepts no new work", p.GetServer())
 		}
 		size := flow.SizeOf(s.Spec)
 		addedByServer[b.ID] = addedByServer[b.ID].Add(size)
 		if !b.Used.Add(addedByServer[b.ID]).Fits(b.Capacity) {
-			return code.New(code.NeverFits, "%s is full", b.ID)
+			return code.New(code.NeverFits, "server %s has too little free capacity", b.ID)
 		}
 		customer := s.Flow.Customer
 		addedByCustomer[customer] = addedByCustomer[customer].Add(size)
 		if !l.customerUsage[customer].Add(addedByCustomer[customer]).Within(l.CustomerLimit(customer)) {
-			return code.New(code.NeverFits, "limit of %s", customer)
+			return code.New(code.NeverFits, "limit of customer %s exceeded", customer)
 		}
 		if s.Spec.GetGang() {
 			placedByGang[s.StepID]++
@@ -144,13 +148,14 @@
 	}
 	for id, n := range placedByGang {
 		if s, _ := l.Step(id); n != len(s.Tasks) {
-			return code.New(code.Internal, "part of gang %s", id)
+			return code.New(code.Internal, "gang %s is not placed as a whole", id)
 		}
 	}
 	return nil
 }
 
-// addHeldRun and release are the only ones that change what is held.
+// addHeldRun and removeHeldRun are the only functions that change which runs a server
+// holds.
 func (l *Ledger) addHeldRun(b *Server, h *HeldRun) {
 	b.HeldRuns[h.TaskID] = h
 	b.Used = b.Used.Add(h.Size)
@@ -172,11 +177,12 @@
 	}
 }
 
-// recordEnds records ends that a server listed or that are proved otherwise.
+// recordEnds records run ends that a server incarnation listed or that are proved in
+// another way.
 func (l *Ledger) recordEnds(at time.Duration, c *record.FlowEnds) *code.Error {
 	b, ok := l.servers[c.GetServer()]
 	if !ok || b.StartedAtMs != c.GetBorn() {
-		return code.New(code.Stale, "%s has begun another life", c.GetServer())
+		return code.New(code.Stale, "server %s runs another incarnation", c.GetServer())
 	}
 	for _, e := range c.GetEnds() {
 		l.recordEnd(at, b, flow.RunOf(e.GetRun()), e.GetHow(), e.GetCheckpoint())
@@ -187,8 +193,8 @@
 	return nil
 }
 
-// recordEnd records one end: what the run held is free, and its task goes on by how
-// it ended. An end of a run that is not the task's latest only frees room.
+// recordEnd records the end of one run. It frees the capacity of the run and updates
+// its task. If the run is not the latest of its task, only the capacity is freed.
 func (l *Ledger) recordEnd(at time.Duration, b *Server, id flow.RunID, runEnd inner.RunEnd, checkpoint string) {
 	held := false
 	if h := b.HeldRuns[id.TaskID]; h != nil && h.Number == id.Number {
@@ -216,7 +222,8 @@
 	l.updateReadySteps(s)
 }
 
-// saveCheckpoint keeps a checkpoint; that of any member is good for its whole gang.
+// saveCheckpoint stores a checkpoint. The checkpoint of any gang member is valid for
+// the whole gang.
 func (l *Ledger) saveCheckpoint(s *Step, index uint32, checkpoint string) {
 	if !s.Spec.GetGang() {
 		s.Tasks[index].Checkpoint = checkpoint
@@ -227,8 +234,8 @@
 	}
 }
 
-// finishTask records a good end. The members of a gang end together: the end of
-// one is that of all, and what the others still hold is freed by their own ends.
+// finishTask records a successful end. One successful member finishes the whole gang.
+// The capacity of the other members is freed when their own runs end.
 func (l *Ledger) finishTask(at time.Duration, s *Step, id flow.RunID) {
 	if s.Spec.GetGang() {
 		for i := range s.Tasks {
@@ -266,8 +273,8 @@
 	}
 }
 
-// requeueOrFail records an end that is not a good one: the task waits again, or its flow
-// has failed. The other members of a gang are stopped first.
+// requeueOrFail handles a run that did not end successfully: its task is queued again,
+// or its flow fails. The other members of a gang are stopped first.
 func (l *Ledger) requeueOrFail(at time.Duration, s *Step, id flow.RunID, runEnd inner.RunEnd) {
 	if l.countFailure(s, id, runEnd) {
 		l.endFlow(at, s.Flow, v1.FlowState_FLOW_STATE_FAILED)
@@ -289,8 +296,8 @@
 	}
 }
 
-// countFailure counts a run that its task may be at fault for, and tells whether it was
-// one too many. Lasting tasks may fail without end.
+// countFailure counts a run that failed or crashed its server, and reports whether the
+// limit is reached. Failed runs of steps that run until cancelled are not limited.
 func (l *Ledger) countFailure(s *Step, id flow.RunID, runEnd inner.RunEnd) bool {
 	switch {
 	case runEnd == inner.RunEnd_RUN_END_CRASHED:
@@ -305,7 +312,7 @@
 	}
 	if s.Spec.GetGang() {
 		if s.LastFailedRun == id.Number {
-			return false // once for a whole gang
+			return false // one failure per run of a gang, whatever the number of failed members
 		}
 		s.LastFailedRun = id.Number
 		s.FailedRuns++
@@ -316,6 +323,6 @@
 	return t.FailedRuns >= maxAttempts
 }
 
-// DefaultAttempts is how often a task may fail when its queue does not say:
-// once is often the server's fault, three times seldom.
+// DefaultAttempts is the number of failed runs after which a task fails if its queue
+// sets no limit. A single failure is often caused by the server, three rarely are.
 const DefaultAttempts = 3
--- a/internal/ledger/flows/snapshot.go
+++ b/internal/ledger/flows/snapshot.go
@@ -21,7 +21,8 @@
 	return cmp.Or(cmp.Compare(a.Flow, b.Flow), cmp.Compare(a.Turn, b.Turn), cmp.Compare(a.Step, b.Step), cmp.Compare(a.Index, b.Index))
 }
 
-// Record returns the whole state, sorted. It copies what later commands change.
+// Record returns the whole state as a sorted snapshot record. Data that later commands
+// change is copied.
 func (l *Ledger) Record() *record.FlowsRecord {
 	r := &record.FlowsRecord{Document: l.config.Document, Digest: l.digest}
 	for _, id := range slices.Sorted(maps.Keys(l.flows)) {
@@ -79,7 +80,8 @@
 	return r
 }
 
-// Restore reads a state that Record wrote and builds what is derived from it.
+// Restore builds a ledger from a record written by Record, including all derived
+// fields.
 func Restore(r *record.FlowsRecord) (*Ledger, *code.Error) {
 	l := New()
 	l.digest = r.GetDigest()
@@ -118,7 +120,7 @@
 	for _, tm := range m.GetTurns() {
 		t := newTurn(f, tm.GetNumber())
 		if len(tm.GetSteps()) != len(t.Steps) {
-			return nil, code.New(code.Internal, "flow %s has %d steps, its record %d", f.ID, len(t.Steps), len(tm.GetSteps()))
+			return nil, code.New(code.Internal, "snapshot: flow %s has %d steps, its record has %d", f.ID, len(t.Steps), len(tm.GetSteps()))
 		}
 		for i, sm := range tm.GetSteps() {
 			if err := restoreStep(t.Steps[i], sm); err != nil {
@@ -133,7 +135,7 @@
 
 func restoreStep(s *Step, m *record.StepRecord) *code.Error {
 	if len(m.GetTasks()) != len(s.Tasks) {
-		return code.New(code.Internal, "step %s has %d tasks, its record %d", s.StepID, len(s.Tasks), len(m.GetTasks()))
+		return code.New(code.Internal, "snapshot: step %s has %d tasks, its record has %d", s.StepID, len(s.Tasks), len(m.GetTasks()))
 	}
 	s.FailedRuns, s.LastFailedRun, s.ReadyAt = m.GetFails(), m.GetCounted(), time.Duration(m.GetSince())
 	s.QueuedTasks = 0
@@ -147,7 +149,8 @@
 	return nil
 }
 
-// countUnfinished counts again which steps are done and which wait for others.
+// countUnfinished recomputes the number of unfinished steps and the unfinished
+// dependencies of each step.
 func (t *Turn) countUnfinished() {
 	t.unfinishedSteps = 0
 	for _, s := range t.Steps {
@@ -177,7 +180,7 @@
 	}
 }
 
-// restoreDerived builds what follows from a flow's record.
+// restoreDerived adds a restored flow to the derived fields.
 func (l *Ledger) restoreDerived(f *Flow) {
 	if !f.Final() {
 		l.openFlows++
@@ -192,7 +195,7 @@
 	}
 }
 
-// restoreRunsToStop finds the runs that are to be stopped.
+// restoreRunsToStop recomputes which held runs have to be stopped.
 func (l *Ledger) restoreRunsToStop() {
 	for _, b := range l.servers {
 		for id, h := range b.HeldRuns {
@@ -203,12 +206,12 @@
 	}
 }
 
-// shouldStop tells whether a run is not wanted any more: its flow has ended, its
-// gang is being stopped, or another run of its task is the latest.
+// shouldStop reports whether a held run has to be stopped: its flow has ended, its gang
+// is being stopped, or its task has a later run.
 func (l *Ledger) shouldStop(f *Flow, h *HeldRun) bool {
 	if f.Final() {
-		// The members of a gang end together: those of a flow that is done are
-		// about to end by themselves.
+		// The members of a gang end together, so the remaining runs of a done flow end
+		// without a stop order.
 		return f.State != v1.FlowState_FLOW_STATE_DONE
 	}
 	s, ok := l.Step(h.StepID)
@@ -230,5 +233,5 @@
 	return false
 }
 
-// FreeCapacity returns the room that a server has left.
+// FreeCapacity returns the capacity of the server that is not used.
 func (b *Server) FreeCapacity() capacity.Size { return b.Capacity.Sub(b.Used) }
--- a/internal/ledger/flows/wave.go
+++ b/internal/ledger/flows/wave.go
@@ -9,29 +9,31 @@
 	"gypsumreel/internal/base/code"
 )
 
-// Wave is a set of machines that are to have their upkeep.
+// Wave is a set of machines that go through maintenance together.
 type Wave struct {
 	Number uint64
-	// MaxDown is how many of them may be down for it at once.
+	// MaxDown is the maximum number of machines that may be down for maintenance at the
+	// same time.
 	MaxDown  int
 	Duration time.Duration
-	// RequestedAt is when the wave was asked for, on the ledger's clock.
+	// RequestedAt is the time of the request for the wave, on the ledger's clock.
 	RequestedAt time.Duration
 	Machines    []*Machine
 }
 
-// Machine is one machine of a wave.
+// Machine is the maintenance state of one machine of a wave.
 type Machine struct {
 	Name string
-	// MaintenanceStarted tells that the order for its upkeep may have left, Done that the
-	// machine is back after it.
+	// MaintenanceStarted is true once the order for the maintenance may have been sent.
+	// MaintenanceDone is true once the machine is back.
 	MaintenanceStarted bool
 	MaintenanceDone    bool
-	// ServerStartedAtMs is when the life began that ran on it as its upkeep began; 0 for none.
+	// ServerStartedAtMs is the start time of the server incarnation that ran on the
+	// machine when its maintenance began. It is 0 if there was none.
 	ServerStartedAtMs int64
 }
 
-// DownMachines counts the machines that may be down for their upkeep.
+// DownMachines returns the number of machines that may be down for maintenance.
 func (w *Wave) DownMachines() int {
 	n := 0
 	for _, m := range w.Machines {
@@ -42,7 +44,7 @@
 	return n
 }
 
-// Complete tells whether all machines have had their upkeep.
+// Complete reports whether all machines have had their maintenance.
 func (w *Wave) Complete() bool {
 	return !slices.ContainsFunc(w.Machines, func(m *Machine) bool { return !m.MaintenanceDone })
 }
@@ -62,13 +64,14 @@
 	return out
 }
 
-// addWave takes a wave in; the same number again is the same wave.
+// addWave records a new wave. A wave with a known number is a resend and changes
+// nothing.
 func (l *Ledger) addWave(at time.Duration, m *record.Wave) *code.Error {
 	if _, ok := l.waves[m.GetNumber()]; ok {
 		return nil
 	}
 	if m.GetCap() == 0 || len(m.GetMachines()) == 0 {
-		return code.New(code.Malformed, "wave %d has no machines or lets none be down", m.GetNumber())
+		return code.New(code.Malformed, "wave %d has no machines, or a limit of 0 machines down", m.GetNumber())
 	}
 	w := &Wave{Number: m.GetNumber(), MaxDown: int(m.GetCap()), Duration: time.Duration(m.GetDuration()) * time.Millisecond, RequestedAt: at}
 	for _, name := range m.GetMachines() {
@@ -79,16 +82,17 @@
 	return nil
 }
 
-// recordMaintenance notes how far one machine is. It begins only while fewer than the
-// wave's cap are down: this is the one place where every beginning passes.
+// recordMaintenance records that the maintenance of one machine begins or is done.
+// Every beginning passes through here, so this is where the limit on machines that are
+// down at once is enforced.
 func (l *Ledger) recordMaintenance(s *record.WaveStep) *code.Error {
 	w, ok := l.waves[s.GetWave()]
 	if !ok {
-		return code.New(code.Unknown, "wave %d", s.GetWave())
+		return code.New(code.Unknown, "unknown wave %d", s.GetWave())
 	}
 	i := slices.IndexFunc(w.Machines, func(m *Machine) bool { return m.Name == s.GetMachine() })
 	if i < 0 {
-		return code.New(code.Unknown, "machine %s in wave %d", s.GetMachine(), s.GetWave())
+		return code.New(code.Unknown, "machine %s is not part of wave %d", s.GetMachine(), s.GetWave())
 	}
 	m := w.Machines[i]
 	switch {
@@ -97,7 +101,7 @@
 	case m.MaintenanceStarted:
 		return nil
 	case w.DownMachines() >= w.MaxDown:
-		return code.New(code.Busy, "%d machines of wave %d are down", w.DownMachines(), w.Number)
+		return code.New(code.Busy, "%d machines of wave %d are already down", w.DownMachines(), w.Number)
 	default:
 		m.MaintenanceStarted = true
 		if b, ok := l.ServerOnMachine(m.Name); ok {
@@ -108,7 +112,7 @@
 	return nil
 }
 
-// ServerOnMachine returns the server that runs on a machine.
+// ServerOnMachine returns the latest server incarnation that runs on a machine.
 func (l *Ledger) ServerOnMachine(machine string) (*Server, bool) {
 	var found *Server
 	for _, b := range l.servers {
--- a/internal/ledger/flows/zone.go
+++ b/internal/ledger/flows/zone.go
@@ -9,7 +9,8 @@
 	"gypsumreel/internal/base/code"
 )
 
-// setZoneDrain drains an availability zone or takes it back. The same order twice is one.
+// setZoneDrain drains an availability zone or ends its drain. Repeating the command
+// changes nothing.
 func (l *Ledger) setZoneDrain(at time.Duration, m *record.ZoneMark) *code.Error {
 	if m.GetZone() == "" {
 		return code.New(code.Malformed, "a zone without a name")
@@ -28,17 +29,18 @@
 	return nil
 }
 
-// ZoneDrained tells whether the servers of an availability zone get no new work.
+// ZoneDrained reports whether an availability zone is drained, so that its servers get
+// no new work.
 func (l *Ledger) ZoneDrained(zone string) bool {
 	_, ok := l.drainedZones[zone]
 	return ok
 }
 
-// DrainedZones returns when each drained zone was drained, on the ledger's clock, to be
-// read only.
+// DrainedZones returns the drained zones with the time of their drain, on the ledger's
+// clock. The caller must not change the map.
 func (l *Ledger) DrainedZones() map[string]time.Duration { return l.drainedZones }
 
-// AcceptsWork tells whether a server may be given new work.
+// AcceptsWork reports whether a server may be given new work.
 func (l *Ledger) AcceptsWork(b *Server) bool {
 	return !b.Ended && !b.ShuttingDown && !l.ZoneDrained(b.Zone)
 }
--- a/internal/ledger/state/attempt.go
+++ b/internal/ledger/state/attempt.go
@@ -10,16 +10,16 @@
 	"gypsumreel/internal/ledger/chart"
 )
 
-// placeTasks starts attempts, all or none. It checks again what the planner checked,
-// in the one place where every placement passes: capacity, the team's limit,
-// the server's state and session, and that gangs are whole.
+// placeTasks starts either all of the given attempts or none. It repeats the planner's
+// checks, because every placement passes through here: capacity, the team's limit, the
+// server's state and session, and that gangs are placed as a whole.
 func (s *State) placeTasks(p *record.Place) Result {
 	j, ok := s.jobs[p.GetJob()]
 	if !ok || j.Final() || j.Cancelled || j.GiveUpCode != code.OK {
-		return refused(code.Unknown, "job")
+		return refused(code.Unknown, "job is unknown, final or given up")
 	}
 	if j.Spec.Whole() && uint32(len(p.GetSpots())) != j.Spec.Count {
-		return refused(code.Internal, "part of a gang")
+		return refused(code.Internal, "gang is not placed as a whole")
 	}
 	if r := s.checkPlacement(j, p.GetSpots()); r.Code != code.OK {
 		return r
@@ -36,14 +36,14 @@
 	return Result{}
 }
 
-// checkPlacement tells whether all spots fit at once.
+// checkPlacement returns a refusal unless all attempts fit at the same time.
 func (s *State) checkPlacement(j *Job, spots []*record.Spot) Result {
 	addedByServer := map[string]capacity.Size{}
 	seen := map[uint32]bool{}
 	for _, spot := range spots {
 		t, ok := s.tasks[task.ID{Job: j.Number, Index: spot.GetIndex()}]
 		if !ok || t.Phase != Queued || seen[t.ID.Index] {
-			return refused(code.Internal, "task does not wait")
+			return refused(code.Internal, "task is not queued, or is placed twice")
 		}
 		seen[t.ID.Index] = true
 		b, ok := s.Server(spot.GetServer())
@@ -58,13 +58,13 @@
 	row, ok := s.table.Row(j.Spec.Team)
 	teamTotal := s.TeamHeldCapacity(j.Spec.Team).Add(j.Spec.Size.Times(int64(len(spots))))
 	if !ok || !teamTotal.Within(row.Limit) {
-		return refused(code.NeverFits, "limit of the team")
+		return refused(code.NeverFits, "limit of the team exceeded")
 	}
 	return Result{}
 }
 
-// AcceptsWork tells whether the server may be given new work. Quarantined servers
-// take the policy's probes.
+// AcceptsWork reports whether the server may be given new work. Quarantined servers
+// still accept the probes that the policy sends.
 func (b Server) AcceptsWork() bool {
 	if b.IsDrained() {
 		return false
@@ -72,11 +72,11 @@
 	return b.Server.State == backend.Ready || b.Server.State == backend.Quarantined
 }
 
-// recordEnd takes an attempt's end as its server reported it.
+// recordEnd records the end of an attempt as reported by its server.
 func (s *State) recordEnd(e *record.End) Result {
 	t, ok := s.tasks[task.ID{Job: e.GetJob(), Index: e.GetIndex()}]
 	if !ok || t.Attempt != e.GetAttempt() || !t.Phase.HoldsCapacity() {
-		return refused(code.Unknown, "attempt")
+		return refused(code.Unknown, "attempt is not the latest or holds no capacity")
 	}
 	j := s.jobs[t.ID.Job]
 	next := *t
@@ -92,8 +92,8 @@
 	return Result{}
 }
 
-// isTaskDone tells whether a task that ended by itself is done for good: it
-// succeeded, it may not be repeated, or nobody wants it any more.
+// isTaskDone reports whether a task that ended by itself is done: it succeeded, it may
+// not be repeated, or its job was cancelled or given up.
 func (s *State) isTaskDone(j *Job, t *Task) bool {
 	if j.Spec.Kind == job.Service {
 		return j.Spec.Once || j.Cancelled
@@ -101,17 +101,19 @@
 	return t.ExitCode == 0 || j.Spec.Once || j.Cancelled || j.GiveUpCode != code.OK
 }
 
-// AttemptEnd says how an attempt ended.
+// AttemptEnd describes how an attempt ended.
 type AttemptEnd struct {
-	// Started is false when the program was never started.
+	// Started is false if the program was never started.
 	Started bool
-	// Failed tells that it ended by itself with an error.
+	// Failed is true if the program ended by itself with an error.
 	Failed bool
-	// Lost tells that its server went away under it.
+	// Lost is true if the attempt's server was fenced while the attempt was placed on
+	// it.
 	Lost bool
 }
 
-// releaseTask gives an attempt's capacity back and decides what becomes of its task.
+// releaseTask frees the capacity of an ended attempt and moves its task to the next
+// phase.
 func (s *State) releaseTask(j *Job, t *Task, end AttemptEnd, done bool) {
 	id := t.ID
 	t.SaveCheckpoint = false
@@ -126,19 +128,20 @@
 	s.updateOutcome(id.Job)
 }
 
-// nextEvent returns the event that an attempt's end is for its task.
+// nextEvent returns the state chart event that the end of an attempt causes for its
+// task.
 func (s *State) nextEvent(j *Job, t *Task, end AttemptEnd, done bool) chart.Event {
 	jobGivenUp := j.Cancelled || j.GiveUpCode != code.OK
 	switch {
 	case done:
 		return chart.Finish
 	case end.Lost && j.Spec.Once:
-		// The order may have left and the program may have run: a second
-		// attempt could repeat it, and "not run" might be false.
+		// The start order may have been sent and the program may have run. A second
+		// attempt could repeat it, and the outcome "not run" could be false.
 		return chart.EndUnknown
 	case j.Spec.Once && t.Started && !j.Cancelled:
-		// Stopped in the middle by its server: it must not start again, and
-		// what it did so far is not known here.
+		// The server stopped the program while it was running. The program must not
+		// start again, and the ledger does not know how far it got.
 		return chart.EndUnknown
 	case jobGivenUp:
 		t.Started = t.Started || end.Lost
@@ -149,9 +152,9 @@
 	return chart.Requeue
 }
 
-// hasTaskWaitingForGang tells whether a task of the gang waits for the others to stop. The
-// last of them may end by itself meanwhile; without this look the gang would
-// then rest for ever.
+// hasTaskWaitingForGang reports whether a task of the gang waits for the others to
+// stop. The last of the others may end by itself in the meantime. Without this check
+// the gang would then wait forever.
 func (s *State) hasTaskWaitingForGang(j *Job) bool {
 	for i := range j.Spec.Count {
 		if s.tasks[task.ID{Job: j.Number, Index: i}].Phase == WaitingForGang {
@@ -161,8 +164,9 @@
 	return false
 }
 
-// restartGang keeps a gang whole after one of its attempts ended early: the others
-// are halted, and once none holds capacity all of them wait again together.
+// restartGang keeps a gang whole after one of its attempts ended early. It stops the
+// other attempts, and once none of them holds capacity it queues all tasks again
+// together.
 func (s *State) restartGang(number uint64) {
 	j := s.jobs[number]
 	for i := range j.Spec.Count {
@@ -191,8 +195,9 @@
 	}
 }
 
-// endUnrepeatableGang ends a gang that may not be repeated and lost a task: those that never
-// started could only run without the others. If none started, the gang waits again.
+// endUnrepeatableGang ends a gang that may not be repeated and has lost a task. The
+// tasks that never started end too, because a gang never runs in part. If no task
+// started, the gang is queued again.
 func (s *State) endUnrepeatableGang(j *Job) {
 	noneStarted := true
 	for i := range j.Spec.Count {
@@ -213,14 +218,14 @@
 	}
 }
 
-// haltTasks marks attempts to be stopped. A gang is halted whole.
+// haltTasks marks attempts to be stopped. A gang is always stopped as a whole.
 func (s *State) haltTasks(h *record.Halt) Result {
 	j, ok := s.jobs[h.GetJob()]
 	if !ok {
-		return refused(code.Unknown, "job")
+		return refused(code.Unknown, "job is unknown")
 	}
 	if j.Spec.Once && !j.Cancelled && !h.GetIdle() {
-		return refused(code.InUse, "may not be repeated")
+		return refused(code.InUse, "job may not be repeated")
 	}
 	indexes := h.GetIndexes()
 	if j.Spec.Whole() {
--- a/internal/ledger/state/bench_test.go
+++ b/internal/ledger/state/bench_test.go
@@ -10,8 +10,8 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// BenchmarkReplay measures what a restart costs beside reading the journal:
-// 100,000 changes of a table of 960 rows, decoded from their bytes and applied.
+// BenchmarkReplay measures the decoding and applying of 100,000 changes to a table of
+// 960 rows. A restart does this work in addition to reading the journal.
 func BenchmarkReplay(b *testing.B) {
 	const changes = 100_000
 	var log [][]byte
@@ -40,7 +40,7 @@
 			st.Apply(c)
 		}
 		if got := st.Table().Revision(); got != changes {
-			b.Fatalf("revision %d", got)
+			b.Fatalf("table revision %d after all changes", got)
 		}
 	}
 }
--- a/internal/ledger/state/change.go
+++ b/internal/ledger/state/change.go
@@ -13,9 +13,9 @@
 	"gypsumreel/internal/ledger/command"
 )
 
-// applyChange makes an operator's change once. The answer is kept under the change
-// id: a resend after a lost answer is told the same, also after snapshots and
-// failovers, and never takes effect a second time.
+// applyChange applies an operator's change exactly once. The result is stored under the
+// change id. A resend after a lost answer gets the same result, also after snapshots
+// and failovers, and does not take effect a second time.
 func (s *State) applyChange(c *record.Change) Result {
 	req := c.GetRequest()
 	requestHash := hashMessage(req)
@@ -47,9 +47,9 @@
 	return refused(code.Malformed, "no change named")
 }
 
-// editTable makes the next revision of the table. Of two changes from the same base
-// the first wins and the second is told: otherwise the second would silently
-// undo the first.
+// editTable creates the next revision of the table. If two changes have the same base
+// revision, the second is refused with a conflict, because it would silently undo the
+// first.
 func (s *State) editTable(c *v1.TableChange) Result {
 	if c.GetBase() != s.table.Revision() {
 		return refused(code.Conflict, fmt.Sprintf("base %d, current %d", c.GetBase(), s.table.Revision()))
@@ -98,15 +98,16 @@
 	return set, removed, Result{}
 }
 
-// Bounds of a row's cells.
+// Limits on the cells of a row.
 const (
 	// MaxWeight is the largest weight of a team.
 	MaxWeight = 1_000_000
-	// MaxShare is the whole cell in thousandths.
+	// MaxShare is the largest share of a team, the whole cell, in thousandths.
 	MaxShare = 1_000
 )
 
-// editRow returns the row that an edit makes of the table's, or a new one.
+// editRow returns the row that an edit produces from the team's current row, or from a
+// new row if the team has none.
 func editRow(t table.Table, e *v1.Edit) (team.Row, *code.Error) {
 	m := e.GetRow()
 	row, ok := t.Row(m.GetTeam())
@@ -153,7 +154,7 @@
 	return r, nil
 }
 
-// teamInUse tells whether a team has work or a key that works.
+// teamInUse reports whether a team has unfinished jobs or a valid key.
 func (s *State) teamInUse(name string) bool {
 	if u := s.usageByTeam[name]; u != nil && u.activeJobs > 0 {
 		return true
@@ -168,7 +169,7 @@
 
 func (s *State) grantKey(g *v1.KeyGrant) Result {
 	if _, ok := s.keys[g.GetId()]; ok {
-		// An id is never used again: a withdrawn key would come back to life.
+		// A key id is never reused. Otherwise a withdrawn key could become valid again.
 		return refused(code.IDReused, g.GetId())
 	}
 	k := key.Key{ID: g.GetId(), Team: g.GetTeam(), Operator: g.GetOperator()}
@@ -216,13 +217,13 @@
 	return Result{}
 }
 
-// ChangeResult returns the answer that was given to an operator's change of that id.
+// ChangeResult returns the stored result of the operator's change with the given id.
 func (s *State) ChangeResult(id string) (ChangeResult, bool) {
 	a, ok := s.changeResults[id]
 	return a, ok
 }
 
-// Keys returns all keys in the order of their ids.
+// Keys returns all keys sorted by id.
 func (s *State) Keys() []key.Key {
 	var out []key.Key
 	for _, id := range sortedKeys(s.keys) {
@@ -231,21 +232,21 @@
 	return out
 }
 
-// EachServer calls fn for every backend server, in no fixed order.
+// EachServer calls fn for every backend server, in no particular order.
 func (s *State) EachServer(fn func(Server)) {
 	for _, b := range s.servers {
 		fn(s.withZoneDrain(b))
 	}
 }
 
-// EachJob calls fn for every job, in no fixed order.
+// EachJob calls fn for every job, in no particular order.
 func (s *State) EachJob(fn func(*Job)) {
 	for _, j := range s.jobs {
 		fn(j)
 	}
 }
 
-// Servers returns all backend servers in the order of their ids.
+// Servers returns all backend servers sorted by id.
 func (s *State) Servers() []Server {
 	var out []Server
 	for _, id := range sortedKeys(s.servers) {
@@ -254,7 +255,8 @@
 	return out
 }
 
-// Jobs returns a team's jobs in the order of acceptance, or all when team is empty.
+// Jobs returns the jobs of a team, or of all teams if teamName is empty, in the order
+// of their acceptance.
 func (s *State) Jobs(teamName string) []*Job {
 	from := s.jobs
 	if teamName != "" {
--- a/internal/ledger/state/job.go
+++ b/internal/ledger/state/job.go
@@ -16,18 +16,19 @@
 type Job struct {
 	Number uint64
 	Spec   *job.Spec
-	// RequestHash is the hash of the request, to tell a resend from other content.
+	// RequestHash is the hash of the request. It distinguishes a resend from a
+	// different request with the same id.
 	RequestHash uint64
 	AcceptedAt  time.Duration
 	Outcome     v1.Outcome
 	Code        code.Code
-	// GiveUpCode is the reason for which the job was given up; code.OK when it was not.
+	// GiveUpCode is the reason why the job was given up, or code.OK if it was not.
 	GiveUpCode code.Code
 	Cancelled  bool
-	// EndedAt is when the outcome became final.
+	// EndedAt is the time at which the outcome became final.
 	EndedAt time.Duration
 
-	// Tasks by phase, derived from the tasks.
+	// The counts below are derived from the phases of the tasks.
 	WaitingTasks uint32
 	HeldTasks    uint32
 	FinalTasks   uint32
@@ -35,26 +36,27 @@
 	recordHash uint64
 }
 
-// Final tells whether the outcome never changes again.
+// Final reports whether the outcome is final.
 func (j *Job) Final() bool { return j.Outcome >= v1.Outcome_OUTCOME_DONE }
 
-// RequestID returns the job's name as its caller knows it.
+// RequestID returns the identifiers that the caller uses for the job.
 func (j *Job) RequestID() RequestID { return RequestID{Team: j.Spec.Team, ID: j.Spec.ID} }
 
 // Task is one task of a job. It is immutable.
 type Task struct {
 	ID    task.ID
 	Phase Phase
-	// Attempt is the number of the latest attempt, 0 before the first.
+	// Attempt is the number of the latest attempt. It is 0 before the first attempt.
 	Attempt     uint32
 	Server      string
 	Incarnation uint64
-	// PhaseSince is when the phase was entered.
+	// PhaseSince is the time at which the task entered its phase.
 	PhaseSince time.Duration
 	ExitCode   int32
-	// Started tells that the program ran in some attempt.
+	// Started is true if the program ran in some attempt.
 	Started bool
-	// SaveCheckpoint tells that a stopping task is to leave a checkpoint and run again.
+	// SaveCheckpoint is true if a stopping task has to leave a checkpoint and run
+	// again.
 	SaveCheckpoint bool
 	Answer         []byte
 	Checkpoint     []byte
@@ -62,7 +64,7 @@
 	recordHash uint64
 }
 
-// CurrentAttempt returns the name of the latest attempt.
+// CurrentAttempt returns the id of the latest attempt.
 func (t *Task) CurrentAttempt() task.Attempt { return task.Attempt{ID: t.ID, Number: t.Attempt} }
 
 func (s *State) acceptJob(a *record.Accept) Result {
@@ -84,9 +86,9 @@
 	return Result{Job: s.jobs[j.Number]}
 }
 
-// refuseJob keeps the id as not run for good. Without the record a copy of the
-// request that was delayed in a connection could be accepted after its caller
-// was told "not run".
+// refuseJob records the job id as not run. Without the record, a copy of the request
+// that was delayed in a connection could still be accepted after the caller received
+// "not run".
 func (s *State) refuseJob(r *record.Refuse) Result {
 	if j, ok := s.findJobBySpec(r.GetTeam(), r.GetSpec()); ok {
 		return s.answerResend(j, r.GetSpec())
@@ -103,8 +105,9 @@
 	return s.FindJob(RequestID{Team: team, ID: spec.GetId()})
 }
 
-// answerResend answers a resend with the first outcome. The same id with other content
-// is a caller's mistake that must not be answered with a stranger's outcome.
+// answerResend answers a resent request with the recorded job. A different request with
+// the same id is a mistake of the caller and is refused, so that it does not receive
+// the outcome of another request.
 func (s *State) answerResend(j *Job, spec *v1.Spec) Result {
 	if j.RequestHash != hashSpec(j.Spec.Team, spec) {
 		return refused(code.IDReused, j.Spec.ID)
@@ -132,8 +135,9 @@
 	return Result{}
 }
 
-// dropJob ends a job for a reason of the policy. A deadline is no reason once a
-// task of the job was placed: "not run" would not be true.
+// dropJob gives a job up for a reason of the scheduling policy. A passed deadline no
+// longer counts once a task of the job was placed, because the outcome "not run" could
+// then be false.
 func (s *State) dropJob(d *record.Drop) Result {
 	j, ok := s.jobs[d.GetJob()]
 	if !ok || j.Final() || j.GiveUpCode != code.OK {
@@ -141,7 +145,7 @@
 	}
 	reason := code.Code(d.GetCode())
 	if reason == code.DeadlinePassed && !s.neverPlaced(j) {
-		return refused(code.InUse, "a task was placed")
+		return refused(code.InUse, "a task of the job was already placed")
 	}
 	next := *j
 	next.GiveUpCode = reason
@@ -159,7 +163,7 @@
 	return true
 }
 
-// giveUpJob ends the waiting tasks of a job and halts those that hold capacity.
+// giveUpJob ends the queued tasks of a job and stops those that hold capacity.
 func (s *State) giveUpJob(number uint64) {
 	j := s.jobs[number]
 	for i := range j.Spec.Count {
@@ -177,13 +181,13 @@
 	s.updateOutcome(number)
 }
 
-// giveUpTask ends a task that will not be placed (again) because its job was given up.
+// giveUpTask ends a task that holds no capacity, because its job was given up.
 func (s *State) giveUpTask(t *Task) {
 	next := *t
 	s.moveTask(&next, giveUpEvent(t.Started))
 }
 
-// giveUpEvent returns the event for a task whose job was given up.
+// giveUpEvent returns the state chart event for a task whose job was given up.
 func giveUpEvent(started bool) chart.Event {
 	if started {
 		return chart.GiveUpStarted
@@ -191,7 +195,8 @@
 	return chart.GiveUpUnstarted
 }
 
-// updateOutcome gives a job its outcome once all of its tasks are final.
+// updateOutcome updates the outcome of a job. The outcome becomes final once all tasks
+// are final.
 func (s *State) updateOutcome(number uint64) {
 	j := s.jobs[number]
 	if j.Final() {
@@ -214,7 +219,7 @@
 	s.observer().JobEnded(s.jobs[number])
 }
 
-// finalOutcome sums up the final phases of a job's tasks.
+// finalOutcome derives the outcome of a job from the final phases of its tasks.
 func (s *State) finalOutcome(j *Job) (v1.Outcome, code.Code) {
 	ran, failed := false, false
 	for i := range j.Spec.Count {
@@ -240,7 +245,8 @@
 	return v1.Outcome_OUTCOME_DONE, code.OK
 }
 
-// forgetRecords drops ended jobs, old answers and servers that are gone and empty.
+// forgetRecords removes the given ended jobs, results of changes, and gone servers that
+// hold no task.
 func (s *State) forgetRecords(f *record.Forget) Result {
 	for _, number := range f.GetJobs() {
 		if j, ok := s.jobs[number]; ok && j.Final() {
--- a/internal/ledger/state/watch.go
+++ b/internal/ledger/state/observer.go
@@ -5,27 +5,28 @@
 	"gypsumreel/internal/domain/task"
 )
 
-// Observer is told what a command changed, after the change. Values given are immutable.
+// Observer is notified of each change after it took effect. The passed values are
+// immutable.
 type Observer interface {
-	// TableChanged tells of a new revision.
+	// TableChanged is called for a new revision of the table.
 	TableChanged(t table.Table)
-	// ServerChanged tells of a new or changed backend server.
+	// ServerChanged is called for a new or changed backend server.
 	ServerChanged(b Server)
-	// TaskQueued tells that a task waits to be placed.
+	// TaskQueued is called for a task that starts to wait for a placement.
 	TaskQueued(j *Job, t *Task)
-	// TaskUnqueued tells that a task waits no more and was not placed.
+	// TaskUnqueued is called for a waiting task that will not be placed.
 	TaskUnqueued(id task.ID)
-	// TaskPlaced tells that a task was placed.
+	// TaskPlaced is called for a task with a new attempt.
 	TaskPlaced(j *Job, t *Task)
-	// TaskStopping tells that an order to stop the task is due.
+	// TaskStopping is called for a task whose attempt has to be ordered to stop.
 	TaskStopping(j *Job, t *Task)
-	// TaskReleased tells that a task's attempt runs no more.
+	// TaskReleased is called for a task whose attempt ended.
 	TaskReleased(j *Job, t *Task, how AttemptEnd)
-	// JobEnded tells that a job's outcome is final.
+	// JobEnded is called for a job whose outcome became final.
 	JobEnded(j *Job)
 }
 
-// noopObserver is the Watch of a replica that only follows.
+// noopObserver is the Observer of a follower.
 type noopObserver struct{}
 
 func (noopObserver) TableChanged(table.Table)             {}
--- a/internal/ledger/state/phase.go
+++ b/internal/ledger/state/phase.go
@@ -2,8 +2,8 @@
 
 import "gypsumreel/internal/ledger/chart"
 
-// Phase is where a task stands in the ledger. The chart in task.json says which
-// phase follows which; nothing here changes a phase but by an event of it.
+// Phase is the state of a task. The state chart in task.json defines the allowed
+// transitions, and phases change only through its events.
 type Phase uint8
 
 // The phases of a task. Placed and Stopping hold capacity.
@@ -12,25 +12,27 @@
 	Queued Phase = iota + 1
 	// Placed tasks have an attempt that may be running.
 	Placed
-	// Stopping tasks have an attempt that is ordered to stop.
+	// Stopping tasks have an attempt that was ordered to stop.
 	Stopping
-	// WaitingForGang tasks of a gang wait for its other tasks to stop.
+	// WaitingForGang tasks of a gang wait until the other members have stopped.
 	WaitingForGang
-	// Done tasks ended by themselves, or were stopped for good.
+	// Done tasks ended by themselves, or were stopped after their job was cancelled or
+	// given up.
 	Done
-	// NotRun tasks never started and never will.
+	// NotRun tasks never started and never will start.
 	NotRun
-	// Unknown tasks may not be repeated and were lost with their server.
+	// Unknown tasks may not be repeated, and it is not known whether their program ran
+	// to its end.
 	Unknown
 )
 
-// phaseNames are the chart's names of the phases.
+// phaseNames maps each phase to its name in the state chart.
 var phaseNames = [...]chart.State{
 	Queued: chart.Queued, Placed: chart.Placed, Stopping: chart.Stopping, WaitingForGang: chart.WaitingForGang,
 	Done: chart.Done, NotRun: chart.NotRun, Unknown: chart.Unknown,
 }
 
-// taskTransitions is the chart of a task, with phases in place of names.
+// taskTransitions is the state chart of a task, keyed by phase.
 var taskTransitions = transitionTable(chart.MustLoad(chart.Task))
 
 func transitionTable(c *chart.Chart) map[Phase]map[chart.Event]Phase {
@@ -49,9 +51,9 @@
 	return out
 }
 
-// moveTask stores a changed task in the phase that the event leads to. An event
-// that the chart does not allow is a fault of this program: the task keeps its
-// phase, and the fault is counted for the checks to see.
+// moveTask applies a state chart event to a task and stores the task. A transition that
+// the chart does not allow is a bug of this program: the task keeps its phase and
+// invalidTransitions is incremented.
 func (s *State) moveTask(t *Task, event chart.Event) {
 	next, ok := taskTransitions[t.Phase][event]
 	if !ok {
@@ -62,10 +64,10 @@
 	s.putTask(t)
 }
 
-// InvalidTransitions returns how often an event came that the charts do not allow.
+// InvalidTransitions returns the number of events that the state chart did not allow.
 func (s *State) InvalidTransitions() int { return s.invalidTransitions }
 
-// String returns the phase's name.
+// String returns the name of the phase in the state chart.
 func (p Phase) String() string {
 	if int(p) >= len(phaseNames) || p == 0 {
 		return "none"
@@ -73,8 +75,9 @@
 	return string(phaseNames[p])
 }
 
-// HoldsCapacity tells whether a task in this phase counts as running.
+// HoldsCapacity reports whether a task in this phase holds capacity on a server.
 func (p Phase) HoldsCapacity() bool { return p == Placed || p == Stopping }
 
-// Final tells whether a task in this phase has ended, as far as it goes alone.
+// Final reports whether a task in this phase has ended. Only the restart of a whole
+// gang leads out of Done.
 func (p Phase) Final() bool { return p >= Done }
--- a/internal/ledger/state/retain.go
+++ b/internal/ledger/state/retention.go
@@ -9,27 +9,28 @@
 	"gypsumreel/internal/domain/capacity"
 )
 
-// retained is something that retention will let go, and since when it waits.
+// retained is a record that waits for the end of its retention period.
 type retained[K any] struct {
 	key   K
 	since time.Duration
 }
 
-// retentionQueue holds aged things, the oldest first. What was removed otherwise is
-// found missing when its turn comes.
+// retentionQueue holds retained records, oldest first. A record that was removed in
+// another way stays in the queue and is skipped when it reaches the front.
 type retentionQueue[K any] struct {
 	items []retained[K]
 }
 
 func (q *retentionQueue[K]) push(a retained[K]) { q.items = append(q.items, a) }
 
-// sort restores the order after a snapshot, which holds records by name.
+// sort restores the order by age after a snapshot was read, because a snapshot stores
+// records sorted by key.
 func (q *retentionQueue[K]) sort() {
 	slices.SortStableFunc(q.items, func(a, b retained[K]) int { return cmp.Compare(a.since, b.since) })
 }
 
-// popOlderThan returns up to most keys older than the time given that keep still
-// accepts, and drops from the front what it does not.
+// popOlderThan removes records older than the given time from the front of the queue
+// until it has found limit eligible ones. It returns the keys of the eligible ones.
 func (q *retentionQueue[K]) popOlderThan(at time.Duration, limit int, eligible func(retained[K]) bool) []K {
 	var out []K
 	n := 0
@@ -43,24 +44,25 @@
 	return out
 }
 
-// trim drops what is gone from the front, on replicas that only apply: there
-// nothing else would ever shorten the queue.
+// trim removes the records that no longer exist from the front of the queue. On
+// followers nothing else shortens the queue, because only the leader calls
+// popOlderThan.
 func (q *retentionQueue[K]) trim(exists func(K) bool) {
 	for len(q.items) > 0 && !exists(q.items[0].key) {
 		q.items = q.items[1:]
 	}
 }
 
-// trimRetention shortens the queues after records were removed.
+// trimRetention shortens the retention queues after records were removed.
 func (s *State) trimRetention() {
 	s.endedJobs.trim(func(n uint64) bool { _, ok := s.jobs[n]; return ok })
 	s.completedChanges.trim(func(id string) bool { _, ok := s.changeResults[id]; return ok })
 	s.goneServers.trim(func(id string) bool { _, ok := s.servers[id]; return ok })
 }
 
-// ExpiredRecords returns what retention lets go: final jobs, answers to changes and
-// gone servers older than the time given. It takes them from its queues, so the
-// caller commits the result.
+// ExpiredRecords returns the final jobs, results of changes and gone servers that are
+// older than the given time. It removes them from the retention queues, so the caller
+// must commit the returned command.
 func (s *State) ExpiredRecords(at time.Duration, limit int) *record.Forget {
 	return &record.Forget{
 		Jobs: s.endedJobs.popOlderThan(at, limit, func(a retained[uint64]) bool {
@@ -78,8 +80,8 @@
 	}
 }
 
-// ServerCapacities returns the capacities that servers which are not gone have, in no
-// fixed order.
+// ServerCapacities returns the distinct capacities of all servers that are not gone, in
+// no particular order.
 func (s *State) ServerCapacities() []capacity.Size {
 	out := make([]capacity.Size, 0, len(s.serversByCapacity))
 	for c := range s.serversByCapacity {
@@ -91,5 +93,5 @@
 // TotalCapacity returns the capacity of all servers that are not gone.
 func (s *State) TotalCapacity() capacity.Size { return s.totalCapacity }
 
-// Backlog returns what waits in the cell.
+// Backlog returns the counts of the work that waits in the cell.
 func (s *State) Backlog() Backlog { return s.backlog }
--- a/internal/ledger/state/server.go
+++ b/internal/ledger/state/server.go
@@ -13,17 +13,18 @@
 
 const gone = backend.Gone
 
-// announceServer opens a session. The same nonce again is a resend and gets the same
-// incarnation. A new nonce opens a new one only when nothing is held on the
-// older one: the old process may still run its tasks, so they count until its
-// lease is over and Fence says so.
+// announceServer opens a session for a server process. A request with the nonce of the
+// open session is a resend and gets the same incarnation. A new nonce opens a new
+// session only if the older session holds no task. The older process may still run its
+// tasks, so they hold capacity until the lease expires and a Fence command ends the
+// session.
 func (s *State) announceServer(a *record.Announce) Result {
 	b, ok := s.servers[a.GetServer()]
 	if ok && b.Nonce == a.GetNonce() && b.Server.State != gone {
 		return Result{Incarnation: b.Incarnation}
 	}
 	if ok && b.Server.State != gone && len(s.placedTasks[b.ID]) > 0 {
-		return refused(code.Busy, "the older session's lease is not over")
+		return refused(code.Busy, "the lease of the older session has not expired")
 	}
 	b.Server = backend.Server{
 		ID:          a.GetServer(),
@@ -36,14 +37,15 @@
 		State:       backend.Ready,
 		Since:       s.now,
 	}
-	// A drain by an operator outlives the server's restart; one that the
-	// server asked for when leaving ends with its return.
+	// A drain requested by an operator survives a restart of the server. A drain that
+	// the server requested for its own shutdown ends when the server announces itself
+	// again.
 	s.putServer(b)
 	s.observer().ServerChanged(s.withZoneDrain(s.servers[b.ID]))
 	return Result{Incarnation: b.Incarnation}
 }
 
-// markServer changes what a server may be given.
+// markServer changes the state of a server, which decides what work it may be given.
 func (s *State) markServer(m *record.Mark) Result {
 	b, ok := s.servers[m.GetServer()]
 	if !ok || b.Incarnation != m.GetIncarnation() || b.Server.State == gone {
@@ -51,7 +53,7 @@
 	}
 	event, ok := markEvents[backend.State(m.GetState())]
 	if !ok {
-		return refused(code.Malformed, "no such mark")
+		return refused(code.Malformed, "a Mark command cannot ask for this state")
 	}
 	if b.Server.State == backend.Suspect && event == chart.EndQuarantine {
 		event = chart.ResumeHeartbeat
@@ -66,10 +68,11 @@
 	return Result{}
 }
 
-// sessionChart is the chart of a backend server's session.
+// sessionChart is the state chart of a backend server's session.
 var sessionChart = chart.MustLoad(chart.Backend)
 
-// markEvents are the events that lead to what a Mark asks for.
+// markEvents maps the state that a Mark command asks for to the chart event that leads
+// to it.
 var markEvents = map[backend.State]chart.Event{
 	backend.Ready:       chart.EndQuarantine,
 	backend.Draining:    chart.Drain,
@@ -86,7 +89,8 @@
 	return 0
 }
 
-// fenceServer ends a session whose lease is over: what it held runs no more.
+// fenceServer ends a session whose lease has expired. All attempts on the server are
+// released as lost.
 func (s *State) fenceServer(f *record.Fence) Result {
 	b, ok := s.servers[f.GetServer()]
 	if !ok || b.Incarnation != f.GetIncarnation() || b.Server.State == gone {
@@ -98,7 +102,7 @@
 	for _, id := range s.sortedTasksOn(b.ID) {
 		t := s.tasks[id]
 		if !t.Phase.HoldsCapacity() || t.Server != b.ID {
-			continue // a gang's release may have moved it on already
+			continue // the release of another gang member may have released this task too
 		}
 		next := *t
 		s.releaseTask(s.jobs[id.Job], &next, AttemptEnd{Started: true, Lost: true}, false)
@@ -106,8 +110,8 @@
 	return Result{}
 }
 
-// sortedTasksOn returns the tasks held on a server in a fixed order: replicas must
-// release them alike, and maps have no order.
+// sortedTasksOn returns the tasks held on a server in a fixed order. Replicas must
+// release them in the same order, and map iteration has none.
 func (s *State) sortedTasksOn(server string) []task.ID {
 	ids := make([]task.ID, 0, len(s.placedTasks[server]))
 	for id := range s.placedTasks[server] {
--- a/internal/ledger/state/snapshot.go
+++ b/internal/ledger/state/snapshot.go
@@ -20,19 +20,20 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// snapshotVersion of the snapshot's form; a reader refuses a later one.
+// snapshotVersion is the version of the snapshot format. Decode refuses other versions.
 const snapshotVersion = 1
 
-// deterministicMarshal writes equal records as equal bytes.
+// deterministicMarshal encodes equal records to equal bytes.
 var deterministicMarshal = proto.MarshalOptions{Deterministic: true}
 
-// maxRecordBytes bounds one record of a snapshot, in bytes.
+// maxRecordBytes is the maximum size of one snapshot record in bytes.
 const maxRecordBytes = 64 << 20
 
 // ErrSnapshot is returned for a snapshot that cannot be read.
-var ErrSnapshot = errors.New("unreadable snapshot")
+var ErrSnapshot = errors.New("snapshot cannot be read")
 
-// Encode returns the whole state, sorted: equal states give equal bytes.
+// Encode returns the whole state in a fixed order, so that equal states have equal
+// encodings.
 func (s *State) Encode() ([]byte, error) {
 	var buf bytes.Buffer
 	put := func(r *record.Record) error {
@@ -79,8 +80,8 @@
 	}
 }
 
-// flowsRecord returns the record of all flows: that of a picture was taken when
-// the picture was begun, since flows change in place.
+// flowsRecord returns the record of all flows. In a snapshot copy this record was made
+// when the snapshot began, because flows are changed in place.
 func (s *State) flowsRecord() *record.FlowsRecord {
 	if s.flowsSnapshot != nil {
 		return s.flowsSnapshot
@@ -102,7 +103,7 @@
 	return true
 }
 
-// Decode reads a state that Encode wrote. No bytes at all are an empty state.
+// Decode reads a state written by Encode. Empty data gives an empty state.
 func Decode(data []byte) (*State, error) {
 	s := New()
 	if len(data) == 0 {
@@ -126,8 +127,8 @@
 	s.completedChanges.sort()
 	s.goneServers.sort()
 	if s.digest != digest {
-		// The records were read whole but are not those that were written.
-		return nil, errors.Wrap(ErrSnapshot, "digest differs")
+		// All records were readable, but they are not the records that were written.
+		return nil, errors.Wrap(ErrSnapshot, "digest of the records differs from the header")
 	}
 	return s, nil
 }
@@ -149,7 +150,7 @@
 		s.putJob(jobFromRecord(w.Job))
 	case *record.Record_Task:
 		if _, ok := s.jobs[w.Task.GetJob()]; !ok {
-			return errors.Wrap(ErrSnapshot, "task without its job")
+			return errors.Wrap(ErrSnapshot, "task record without its job")
 		}
 		s.putTask(taskFromRecord(w.Task))
 	case *record.Record_Flows:
@@ -159,14 +160,14 @@
 		}
 		s.flows = l
 	default:
-		return errors.Wrap(ErrSnapshot, "record of unknown kind")
+		return errors.Wrap(ErrSnapshot, "record of unknown type")
 	}
 	return nil
 }
 
 func (s *State) restoreHeader(h *record.Header) error {
 	if h.GetVersion() != snapshotVersion {
-		return errors.Wrapf(ErrSnapshot, "version %d, this program reads %d", h.GetVersion(), snapshotVersion)
+		return errors.Wrapf(ErrSnapshot, "snapshot version %d, supported version %d", h.GetVersion(), snapshotVersion)
 	}
 	s.now, s.nextJobNumber = time.Duration(h.GetAt()), h.GetNext()
 	if h.GetRevision() == 0 {
--- a/internal/ledger/state/picture.go
+++ b/internal/ledger/state/snapshot_builder.go
@@ -8,9 +8,10 @@
 	"gypsumreel/internal/domain/task"
 )
 
-// SnapshotBuilder is a copy of a state as it was at one moment, taken in steps between
-// which commands go on. Values are shared, since they are immutable. What a
-// command is about to replace or remove is saved first; what it adds is left out.
+// SnapshotBuilder copies the state of one moment in several steps. Commands are applied
+// between the steps. Immutable values are shared with the state. Before a command
+// replaces or removes a record, the builder saves the old value. Records added since
+// the beginning are left out.
 type SnapshotBuilder struct {
 	source        *State
 	target        *State
@@ -21,8 +22,9 @@
 	tasks         *mapCopier[task.ID, *Task]
 }
 
-// BeginSnapshot begins a picture of the state as it is now; one begun before is
-// dropped. The caller has Step called until it is true.
+// BeginSnapshot starts a snapshot of the current state and cancels the previous
+// snapshot if it is still in progress. The caller calls CopyRecords until it returns
+// true.
 func (s *State) BeginSnapshot() *SnapshotBuilder {
 	s.snapshotBuilder.Cancel()
 	target := New()
@@ -35,7 +37,7 @@
 	return s.snapshotBuilder
 }
 
-// CopyRecords copies up to n records and a few more; true when all are copied.
+// CopyRecords copies about n records and returns true once all records are copied.
 func (p *SnapshotBuilder) CopyRecords(n int) bool {
 	for _, copier := range p.copiers() {
 		if !copier.copyUpTo(n) {
@@ -46,7 +48,7 @@
 	return true
 }
 
-// Cancel ends a picture that is not wanted any more; nil has nothing to end.
+// Cancel ends a snapshot that is no longer needed. It may be called on a nil builder.
 func (p *SnapshotBuilder) Cancel() {
 	if p == nil {
 		return
@@ -57,7 +59,8 @@
 	p.detach()
 }
 
-// detach lets commands go on without saving for this picture.
+// detach removes the builder from the state, so that commands no longer save records
+// for it.
 func (p *SnapshotBuilder) detach() {
 	if p.source != nil && p.source.snapshotBuilder == p {
 		p.source.snapshotBuilder = nil
@@ -65,7 +68,8 @@
 	p.source = nil
 }
 
-// The methods below are called before a record changes; nil has nothing to save.
+// The methods below are called before a record changes. They do nothing on a nil
+// builder.
 
 func (p *SnapshotBuilder) beforeKeyChange(id string) {
 	if p != nil {
@@ -97,7 +101,7 @@
 	}
 }
 
-// recordCopier is one map of a picture.
+// recordCopier copies one of the maps of a state.
 type recordCopier interface {
 	copyUpTo(n int) bool
 	stop()
@@ -107,8 +111,8 @@
 	return [5]recordCopier{p.keys, p.changeResults, p.servers, p.jobs, p.tasks}
 }
 
-// State returns the state of the picture once Step was true. It takes long and
-// may be called on any goroutine, once.
+// State returns the copied state after CopyRecords returned true. It takes long on a
+// large state. It must be called only once, on any goroutine.
 func (p *SnapshotBuilder) State() *State {
 	p.keys.copyInto(p.target.keys)
 	p.changeResults.copyInto(p.target.changeResults)
@@ -118,22 +122,24 @@
 	return p.target
 }
 
-// mapEntry is one record of a map.
+// mapEntry is one key and value of a map.
 type mapEntry[K comparable, V any] struct {
 	key   K
 	value V
 }
 
-// mapCopier copies one map in steps. The iteration stands still between them, which
-// a map allows: what is removed meanwhile does not come, and what is added may.
+// mapCopier copies one map in several steps and suspends the map iteration between
+// them. Go allows changes during an iteration: a removed entry is not visited, and an
+// added entry may be visited.
 type mapCopier[K comparable, V any] struct {
 	source map[K]V
 	copied []mapEntry[K, V]
-	// changedKeys are the keys that were changed meanwhile, and saved if they were there.
+	// changedKeys holds the keys that changed since the beginning. Their old values
+	// were saved if they existed.
 	changedKeys map[K]struct{}
 	resumeWalk  func() (struct{}, bool)
 	endWalk     func()
-	// remaining is how many more records the step under way may copy.
+	// remaining is the number of records that the current step may still copy.
 	remaining int
 	done      bool
 }
@@ -144,7 +150,7 @@
 	return p
 }
 
-// walk goes over the map and yields after each full step.
+// walk iterates over the map and yields after each step.
 func (p *mapCopier[K, V]) walk(yield func(struct{}) bool) {
 	for k, v := range p.source {
 		if _, ok := p.changedKeys[k]; !ok {
@@ -170,8 +176,8 @@
 
 func (p *mapCopier[K, V]) stop() { p.endWalk() }
 
-// beforeChange is called before a key's value changes. It may save a record that was
-// copied already; the value is the same, since this is its first change.
+// beforeChange saves the value of a key before its first change. If the value was
+// already copied it is saved again, which does no harm because it is the same value.
 func (p *mapCopier[K, V]) beforeChange(k K) {
 	if p.done {
 		return
@@ -191,8 +197,7 @@
 	}
 }
 
-// Copy returns a picture of the state that later commands do not change, taken
-// at once.
+// Copy returns a copy of the state that later commands do not change.
 func (s *State) Copy() *State {
 	p := s.BeginSnapshot()
 	for !p.CopyRecords(math.MaxInt) {
--- a/internal/ledger/state/state.go
+++ b/internal/ledger/state/state.go
@@ -1,7 +1,7 @@
-// Package state is the ledger: teams, keys, the table, jobs, tasks, backend
-// servers and the answers given to changes. It is a deterministic state
-// machine: the same commands give the same state on every replica. It has no
-// clock and does no I/O; time comes in with each command.
+// Package state holds the replicated ledger: teams, keys, the table, jobs, tasks,
+// backend servers, and the results of operators' changes. It is a deterministic state
+// machine: the same commands give the same state on every replica. It has no clock and
+// does no I/O. Each command carries its time.
 package state
 
 import (
@@ -18,16 +18,16 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// RequestID names a job as its caller does.
+// RequestID identifies a job by the caller's team and id.
 type RequestID struct {
 	Team string
 	ID   string
 }
 
-// State is the ledger. Its values are immutable and replaced whole, so that a
-// shallow copy is a consistent picture.
+// State is the ledger. Its values are immutable and are replaced as a whole, so a
+// shallow copy is consistent.
 type State struct {
-	// Observer is told of every change; nil on replicas that only follow.
+	// Observer is notified of every change. It is nil on followers.
 	Observer Observer
 
 	now           time.Duration
@@ -36,30 +36,31 @@
 	table         table.Table
 	keys          map[string]key.Key
 	changeResults map[string]ChangeResult
-	// snapshotBuilder is the copy that is being taken; nil for none.
+	// snapshotBuilder is the snapshot copy in progress, or nil if there is none.
 	snapshotBuilder *SnapshotBuilder
 	servers         map[string]Server
 	jobs            map[uint64]*Job
 	tasks           map[task.ID]*Task
 	jobNumbers      map[RequestID]uint64
 	flows           *flows.Ledger
-	// flowsSnapshot is the record of all flows in a state that is a picture.
+	// flowsSnapshot is the record of all flows if this state is a snapshot copy, and
+	// nil otherwise.
 	flowsSnapshot *record.FlowsRecord
 
-	// Derived, not part of the digest.
+	// The fields below are derived from the records and are not part of the digest.
 	invalidTransitions int
 	usageByTeam        map[string]*teamUsage
 	placedTasks        map[string]map[task.ID]*Task
 	serversByCapacity  map[capacity.Size]int
 	totalCapacity      capacity.Size
 	backlog            Backlog
-	// What retention looks at, the oldest first.
+	// The records that the retention period may remove, oldest first.
 	endedJobs        retentionQueue[uint64]
 	completedChanges retentionQueue[string]
 	goneServers      retentionQueue[string]
 }
 
-// teamUsage is what a team has in the ledger.
+// teamUsage counts what a team holds in the ledger.
 type teamUsage struct {
 	heldCapacity capacity.Size
 	waitingJobs  int
@@ -67,21 +68,23 @@
 	jobs         map[uint64]*Job
 }
 
-// Server is a backend server with what the ledger adds to it.
+// Server is a backend server with the data that the ledger adds to it.
 type Server struct {
 	backend.Server
-	// HeldCapacity is the declared size of everything that is not proved stopped on it.
+	// HeldCapacity is the total declared size of the tasks that are not proved to have
+	// stopped on the server.
 	HeldCapacity capacity.Size
-	// DrainRequested tells that an operator or the server itself asked for no new work.
+	// DrainRequested is true if an operator asked for no new work on the server.
 	DrainRequested bool
-	// ZoneDrained tells that its availability zone is drained. It follows from the zone's
-	// mark and is no part of the server's record.
+	// ZoneDrained is true if the server's availability zone is drained. It is derived
+	// from the zone and is not part of the server's record.
 	ZoneDrained bool
 }
 
-// ChangeResult is what an operator's change was told.
+// ChangeResult is the recorded result of an operator's change.
 type ChangeResult struct {
-	// RequestHash is the hash of the change, to tell a resend from other content.
+	// RequestHash is the hash of the change. It distinguishes a resend from a different
+	// change with the same id.
 	RequestHash uint64
 	Code        code.Code
 	Detail      string
@@ -89,23 +92,25 @@
 	AppliedAt   time.Duration
 }
 
-// Backlog is what waits in the cell.
+// Backlog counts the work that waits in the cell.
 type Backlog struct {
-	// Jobs counts the jobs that have a task waiting, Teams those who have such jobs.
+	// Jobs is the number of jobs with a waiting task. Teams is the number of teams that
+	// have such jobs.
 	Jobs  int
 	Teams int
 }
 
-// Result is what the one who asked for a command is told.
+// Result is the answer to a command.
 type Result struct {
-	// Code is code.OK when the command took effect (or had before).
+	// Code is code.OK if the command took effect, now or on an earlier copy of the
+	// request.
 	Code   code.Code
 	Detail string
-	// Job is the job accepted or found by Accept and Refuse.
+	// Job is the job that an Accept or Refuse command recorded or found.
 	Job *Job
-	// Incarnation is the one given by Announce.
+	// Incarnation is the incarnation that an Announce command assigned.
 	Incarnation uint64
-	// Revision is the table's revision after a Change.
+	// Revision is the revision of the table after a Change command.
 	Revision uint64
 }
 
@@ -126,10 +131,11 @@
 	}
 }
 
-// Apply makes one command take effect. A command that the state does not allow
-// changes nothing and says why: a planner's fault never breaks a promise.
+// Apply applies one command. A command that the state does not allow changes nothing
+// and returns the reason, so a bug in the planner cannot violate an invariant.
 func (s *State) Apply(c *record.Command) Result {
-	// A leader's clock may be behind its predecessor's; the ledger's never goes back.
+	// The clock of a new leader may be behind that of its predecessor. The ledger's
+	// time never goes back.
 	s.now = max(s.now, time.Duration(c.GetAt()))
 	switch w := c.GetWhat().(type) {
 	case *record.Command_Accept:
@@ -164,7 +170,7 @@
 	return refused(code.Internal, "empty command")
 }
 
-// applyFlowCommand hands a command to the part of the ledger that holds flows.
+// applyFlowCommand applies a command of the flow ledger.
 func (s *State) applyFlowCommand(c *record.Flow) Result {
 	if m := c.GetZone(); m != nil {
 		return s.setZoneDrain(m)
@@ -175,28 +181,28 @@
 	return Result{}
 }
 
-// Flows returns the part of the ledger that holds flows, to be read only.
+// Flows returns the flow ledger. The caller must not change it.
 func (s *State) Flows() *flows.Ledger { return s.flows }
 
 func refused(c code.Code, detail string) Result { return Result{Code: c, Detail: detail} }
 
-// checkDigest compares the leader's digest of the state with this replica's own. A
-// replica whose state differs (a fault in memory, on disk or in this program)
-// must not go on: it would lead with a ledger that nobody agreed on.
+// checkDigest compares the leader's digest with the digest of this replica. A replica
+// whose state differs because of a fault in memory, on disk or in this program must
+// stop. Otherwise it could become leader with a state that no quorum agreed on.
 func (s *State) checkDigest(c *record.Check) Result {
 	if c.GetDigest() != s.Digest() {
-		return refused(code.Internal, "digest differs")
+		return refused(code.Internal, "digest of this replica differs from the leader's")
 	}
 	return Result{}
 }
 
-// Digest returns a hash over all records, the same on replicas in the same state.
+// Digest returns a hash over all records. Replicas with equal state have equal digests.
 func (s *State) Digest() uint64 { return s.digest ^ s.flows.Digest() }
 
 // Now returns the time of the latest command.
 func (s *State) Now() time.Duration { return s.now }
 
-// Table returns the table in force.
+// Table returns the current revision of the table.
 func (s *State) Table() table.Table { return s.table }
 
 // Key returns a key by its id.
@@ -211,7 +217,7 @@
 	return j, ok
 }
 
-// FindJob returns a job by its caller's id.
+// FindJob returns a job by the identifiers that its caller uses.
 func (s *State) FindJob(id RequestID) (*Job, bool) {
 	return s.Job(s.jobNumbers[id])
 }
@@ -228,7 +234,8 @@
 	return s.withZoneDrain(b), ok
 }
 
-// TeamHeldCapacity returns the declared size of everything of a team that is not proved stopped.
+// TeamHeldCapacity returns the total declared size of a team's tasks that are not
+// proved to have stopped.
 func (s *State) TeamHeldCapacity(team string) capacity.Size {
 	if u := s.usageByTeam[team]; u != nil {
 		return u.heldCapacity
@@ -236,7 +243,7 @@
 	return capacity.Size{}
 }
 
-// TeamWaitingJobs returns the number of a team's jobs that have a task waiting.
+// TeamWaitingJobs returns the number of a team's jobs with a waiting task.
 func (s *State) TeamWaitingJobs(team string) int {
 	if u := s.usageByTeam[team]; u != nil {
 		return u.waitingJobs
@@ -244,7 +251,7 @@
 	return 0
 }
 
-// EachPlacedTask calls fn for each task held on a server, in no fixed order.
+// EachPlacedTask calls fn for each task held on a server, in no particular order.
 func (s *State) EachPlacedTask(server string, fn func(*Task)) {
 	for _, t := range s.placedTasks[server] {
 		fn(t)
@@ -263,7 +270,7 @@
 // PlacedTaskCount returns the number of tasks held on a server.
 func (s *State) PlacedTaskCount(server string) int { return len(s.placedTasks[server]) }
 
-// EachTask calls fn for each task of a job, in the order of their indexes.
+// EachTask calls fn for each task of a job in the order of the task indexes.
 func (s *State) EachTask(j *Job, fn func(*Task)) {
 	for i := range j.Spec.Count {
 		if t, ok := s.tasks[task.ID{Job: j.Number, Index: i}]; ok {
@@ -272,7 +279,7 @@
 	}
 }
 
-// TaskAnswers yields the answers of a job's tasks in the order of their indexes.
+// TaskAnswers yields the answers of a job's tasks in the order of the task indexes.
 func (s *State) TaskAnswers(j *Job) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for i := range j.Spec.Count {
@@ -283,7 +290,8 @@
 	}
 }
 
-// JobAnswer returns a job's whole answer: its tasks' answers in the order of their indexes.
+// JobAnswer returns the answers of all tasks of a job, concatenated in the order of the
+// task indexes.
 func (s *State) JobAnswer(j *Job) []byte {
 	if j.Spec.Count == 1 {
 		return s.tasks[task.ID{Job: j.Number}].Answer
--- a/internal/ledger/state/state_test.go
+++ b/internal/ledger/state/state_test.go
@@ -17,7 +17,7 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// replicaPair drives two ledgers with the same commands, as two replicas would.
+// replicaPair applies the same commands to two ledgers, as two replicas do.
 type replicaPair struct {
 	first, second *state.State
 	now           int64
@@ -41,7 +41,7 @@
 	w.now += 1000
 	c.At = w.now
 	w.sent = append(w.sent, c)
-	// The second replica reads the command from its bytes, as from the log.
+	// The second replica decodes the command from its bytes, as from the log.
 	d, err := command.Decode(command.Encode(c))
 	if err != nil {
 		panic(err)
@@ -84,7 +84,7 @@
 	return w.apply(&record.Command{What: &record.Command_Fence{Fence: &record.Fence{Server: server, Incarnation: b.Incarnation}}})
 }
 
-// checkInvariants holds the promises that rest on the ledger alone against it.
+// checkInvariants verifies the invariants that the ledger alone must guarantee.
 func (w *replicaPair) checkInvariants(t interface{ Fatalf(string, ...any) }) {
 	heldByServer := map[string]capacity.Size{}
 	heldByTeam := map[string]capacity.Size{}
@@ -100,25 +100,25 @@
 				startedTasks++
 			}
 			if k.Phase == state.NotRun && k.Started {
-				t.Fatalf("job %d says not run of a task that ran", j.Number)
+				t.Fatalf("job %d: a started task has the phase not run", j.Number)
 			}
 		})
 		if j.Outcome == v1.Outcome_OUTCOME_NOT_RUN && startedTasks > 0 {
-			t.Fatalf("job %d says not run and %d tasks ran", j.Number, startedTasks)
+			t.Fatalf("job %d: outcome is not run, but %d tasks started", j.Number, startedTasks)
 		}
 		if j.Spec.Whole() && !j.Final() && heldTasks == 0 && j.WaitingTasks != j.Spec.Count {
-			t.Fatalf("gang %d is stuck: nothing runs and %d of %d tasks wait", j.Number, j.WaitingTasks, j.Spec.Count)
+			t.Fatalf("gang %d is stuck: no task holds capacity and only %d of %d tasks wait", j.Number, j.WaitingTasks, j.Spec.Count)
 		}
 		w.first.EachTask(j, func(k *state.Task) {
 			if heldTasks == 0 && !j.Final() && k.Phase == state.WaitingForGang {
-				t.Fatalf("task %v rests for ever", k.ID)
+				t.Fatalf("task %v waits forever for its gang", k.ID)
 			}
 		})
 		if j.Spec.Whole() && heldTasks > 0 && j.WaitingTasks > 0 && heldTasks+j.WaitingTasks+j.FinalTasks == j.Spec.Count && partlyPlaced(w.first, j) {
-			t.Fatalf("a part of gang %d runs while another waits for a place", j.Number)
+			t.Fatalf("gang %d has both placed and queued tasks", j.Number)
 		}
 		if j.HeldTasks != heldTasks {
-			t.Fatalf("job %d counts %d held, has %d", j.Number, j.HeldTasks, heldTasks)
+			t.Fatalf("job %d: recorded held tasks %d, counted %d", j.Number, j.HeldTasks, heldTasks)
 		}
 	}
 	waitingJobs, waitingTeams := 0, map[string]bool{}
@@ -129,27 +129,27 @@
 		}
 	}
 	if got := w.first.Backlog(); got.Jobs != waitingJobs || got.Teams != len(waitingTeams) {
-		t.Fatalf("backlog %v, counted %d jobs of %d teams", got, waitingJobs, len(waitingTeams))
+		t.Fatalf("backlog %v, counted %d waiting jobs of %d teams", got, waitingJobs, len(waitingTeams))
 	}
 	for _, b := range w.first.Servers() {
 		if !b.HeldCapacity.Fits(b.Capacity) || b.HeldCapacity != heldByServer[b.ID] {
-			t.Fatalf("server %s holds %v (counted %v) of %v", b.ID, b.HeldCapacity, heldByServer[b.ID], b.Capacity)
+			t.Fatalf("server %s: recorded held capacity %v, counted %v, total capacity %v", b.ID, b.HeldCapacity, heldByServer[b.ID], b.Capacity)
 		}
 	}
 	for _, r := range w.first.Table().Rows() {
 		if !heldByTeam[r.Name].Within(r.Limit) || w.first.TeamHeldCapacity(r.Name) != heldByTeam[r.Name] {
-			t.Fatalf("team %s holds %v, limit %v", r.Name, heldByTeam[r.Name], r.Limit)
+			t.Fatalf("team %s holds %v with limit %v", r.Name, heldByTeam[r.Name], r.Limit)
 		}
 	}
 	if w.first.InvalidTransitions() > 0 {
-		t.Fatalf("an event that the chart does not allow, at %v", w.sent[len(w.sent)-1])
+		t.Fatalf("an event that the state chart does not allow occurred in %v", w.sent[len(w.sent)-1])
 	}
 	if w.first.Digest() != w.second.Digest() {
 		t.Fatalf("replicas differ after %v", w.sent[len(w.sent)-1])
 	}
 }
 
-// partlyPlaced tells whether a task of the job is placed while another is queued.
+// partlyPlaced reports whether one task of the job is placed while another is queued.
 func partlyPlaced(st *state.State, j *state.Job) bool {
 	phases := map[state.Phase]bool{}
 	st.EachTask(j, func(k *state.Task) { phases[k.Phase] = true })
@@ -164,9 +164,9 @@
 	return data
 }
 
-// Whatever order commands come in, also ones that a faulty planner would give,
-// no server is overcommitted, no team is over its limit, "not run" is true,
-// a task that may not be repeated starts at most once, and both replicas agree.
+// Guards against commands, in any order and also from a faulty planner, that overcommit
+// a server, exceed a team's limit, report "not run" for a task that ran, start an
+// unrepeatable task twice, or let replicas differ.
 func TestInvariantsHoldForAnyCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newReplicaPair()
@@ -218,7 +218,7 @@
 				}
 				starts[k.ID]++
 				if j, _ := w.first.Job(k.ID.Job); j.Spec.Once && starts[k.ID] > 1 {
-					t.Fatalf("task %v may not be repeated and ran %d times", k.ID, starts[k.ID])
+					t.Fatalf("task %v may not be repeated but started %d times", k.ID, starts[k.ID])
 				}
 			},
 			"halt": func(*rapid.T) {
@@ -242,10 +242,10 @@
 			"forget": func(*rapid.T) {
 				w.apply(&record.Command{What: &record.Command_Forget{Forget: w.first.ExpiredRecords(w.first.Now(), 2)}})
 			},
-			// A snapshot is taken while commands go on. It has to show the
-			// state of its index: with later commands in it they would be
-			// applied twice after a restart.
-			"picture": func(t *rapid.T) {
+			// A snapshot copy is taken while commands are applied. It must show the
+			// state at its beginning. Otherwise a restart would apply the later
+			// commands twice.
+			"overlapping snapshot": func(t *rapid.T) {
 				if builder == nil {
 					builder, wantSnapshot = w.second.BeginSnapshot(), encode(t, w.second)
 				}
@@ -260,14 +260,14 @@
 				}
 				again, _ := w.second.Encode()
 				if diff := cmp.Diff(data, again); diff != "" {
-					t.Fatalf("a snapshot read and written again differs: %s", diff)
+					t.Fatalf("the snapshot differs after decoding and encoding: %s", diff)
 				}
 			},
 			"": func(t *rapid.T) {
 				w.checkInvariants(t)
 				if builder != nil && builder.CopyRecords(1) {
 					if !bytes.Equal(wantSnapshot, encode(t, builder.State())) {
-						t.Fatal("the picture shows another state than that of its beginning")
+						t.Fatal("the snapshot copy differs from the state at its beginning")
 					}
 					builder = nil
 				}
@@ -276,9 +276,9 @@
 	})
 }
 
-// One task of a gang is lost and the others are told to stop, but the last of
-// them ends by itself before the order reaches it. The gang must start again as
-// a whole; it would otherwise wait for ever for a stop that nobody reports.
+// Guards against a gang that waits forever: one task is lost, the others are ordered to
+// stop, and the last of them ends by itself before the order arrives. The whole gang
+// must be queued again.
 func TestGangRestartsWhenItsLastTaskEndsBeforeItsStop(t *testing.T) {
 	w := newReplicaPair()
 	w.announce("s0", 1, 20)
@@ -294,31 +294,31 @@
 	w.end(last, &record.End{Started: true, Ended: true, Answer: []byte("half")})
 	w.checkInvariants(t)
 	if now, _ := w.first.Job(j.Number); now.WaitingTasks != 2 {
-		t.Errorf("%d of 2 tasks wait", now.WaitingTasks)
+		t.Errorf("%d of 2 gang tasks wait, want 2", now.WaitingTasks)
 	}
 }
 
-// A backend server restarts within its lease and announces itself, while the
-// process that it was before may still run: whoever restarted it may have left
-// the old one behind. Its task counts on, and the new session has to wait.
+// Guards against overcommitting a server that restarts within its lease. Its old
+// process may still run the old task, so the task holds capacity and the new session is
+// refused until the lease expires.
 func TestOldTasksOfARestartedServerCountUntilItsLeaseExpires(t *testing.T) {
 	w := newReplicaPair()
 	w.announce("s0", 1, 10)
 	j := w.accept("t0", "plan", v1.Kind_KIND_BATCH, 1, 10, false).Job
 	w.place(j.Number, "s0", 0)
 	if r := w.announce("s0", 2, 10); r.Code != code.Busy {
-		t.Errorf("a new session while the old one holds work: %v", r)
+		t.Errorf("announce while the old session holds a task: got %v, want Busy", r)
 	}
 	w.fence("s0")
 	if r := w.announce("s0", 2, 10); r.Code != code.OK || r.Incarnation != 2 {
-		t.Errorf("after the lease: %v", r)
+		t.Errorf("announce after the fence: got %v, want incarnation 2", r)
 	}
 	w.checkInvariants(t)
 }
 
-// A server stops a task in the middle, because its lease ran out, and says so
-// when it is back. The task had started and may not be repeated: it is not
-// placed again, and its outcome is unknown. One that had not started is placed.
+// Guards against a second start of a task that may not be repeated. The server stops
+// the task because its lease expired, and reports that later. If the program had
+// started, the outcome is unknown. If not, the task is queued again.
 func TestUnrepeatableTaskIsNotRestartedAfterAStop(t *testing.T) {
 	for started, want := range map[bool]state.Phase{true: state.Unknown, false: state.Queued} {
 		w := newReplicaPair()
@@ -328,14 +328,14 @@
 		k, _ := w.first.Task(task.ID{Job: j.Number})
 		w.end(k, &record.End{Started: started})
 		if k, _ = w.first.Task(k.ID); k.Phase != want {
-			t.Errorf("started %v: %v", started, k.Phase)
+			t.Errorf("started = %v: got phase %v, want %v", started, k.Phase, want)
 		}
 		w.checkInvariants(t)
 	}
 }
 
-// A planner's picture of a team is out of date, or its limit was lowered a
-// moment ago: the ledger places nothing that would take the team over it.
+// Guards against a planner that works with outdated usage of a team or with a limit
+// that was just lowered. The ledger refuses a placement beyond the limit.
 func TestPlacementsNeverExceedATeamLimit(t *testing.T) {
 	w := newReplicaPair()
 	w.announce("s0", 1, 20)
@@ -345,25 +345,25 @@
 		t.Fatal(r)
 	}
 	if r := w.place(second.Number, "s0", 0); r.Code == code.OK {
-		t.Error("placed beyond the limit")
+		t.Error("the second task was placed beyond the limit of the team")
 	}
 	w.checkInvariants(t)
 }
 
-// A planner that lost count puts a second task on a server that has no room for
-// it, alone or in one placement with the first: the ledger takes neither.
+// Guards against a planner that miscounts and places a second task on a full server,
+// alone or in one command with the first. The ledger refuses both.
 func TestPlacementsNeverOvercommitAServer(t *testing.T) {
 	w := newReplicaPair()
 	w.announce("s0", 1, 10)
 	first := w.accept("t0", "a", v1.Kind_KIND_BATCH, 2, 6, false).Job
 	if r := w.place(first.Number, "s0", 0, 1); r.Code == code.OK {
-		t.Error("two tasks were placed in the room of one")
+		t.Error("two tasks were placed on a server with capacity for one")
 	}
 	if r := w.place(first.Number, "s0", 0); r.Code != code.OK {
 		t.Fatal(r)
 	}
 	if r := w.place(first.Number, "s0", 1); r.Code == code.OK {
-		t.Error("placed beside a task that leaves no room")
+		t.Error("a second task was placed on a full server")
 	}
 	w.checkInvariants(t)
 }
--- a/internal/ledger/state/store.go
+++ b/internal/ledger/state/store.go
@@ -15,16 +15,16 @@
 	"gypsumreel/internal/ledger/command"
 )
 
-// The functions below are the only ones that write the state. Each keeps the
-// digest (the exclusive or of the hashes of all records, so that one change
-// costs one hash) and the derived counts in step.
+// Only the functions below write the records of the state. Each of them also updates
+// the derived counts and the digest. The digest is the exclusive or of the hashes of
+// all records, so a change of one record costs one hash.
 
 // hashMessage returns the hash of a message.
 func hashMessage(m proto.Message) uint64 { return xxhash.Sum64(command.Encode(m)) }
 
-// hashSpec returns the hash that tells a resend of a job from other content
-// under the same id. It is taken over the form that a snapshot keeps: a field
-// that is absent in one encoding and zero in another must not make a difference.
+// hashSpec returns the hash that distinguishes a resend of a job from a different job
+// with the same id. It covers the normalized form that snapshots store, so that a field
+// absent in one encoding and zero in another makes no difference.
 func hashSpec(teamName string, m *v1.Spec) uint64 {
 	return hashMessage(command.SpecMessage(command.SpecFromMessage(teamName, m)))
 }
@@ -46,7 +46,7 @@
 	s.storeJob(old, j)
 }
 
-// storeJob stores a job and keeps the team's count of waiting jobs.
+// storeJob stores a job and updates the counts of waiting jobs.
 func (s *State) storeJob(old, j *Job) {
 	u := s.usageOf(j.Spec.Team)
 	if old != nil {
@@ -61,8 +61,8 @@
 	}
 }
 
-// addToWaitingCounts adds (n = 1) or takes away (n = -1) a job in what waits, for its team
-// and for the cell.
+// addToWaitingCounts adds a job (n = 1) to the counts of waiting jobs of its team and
+// of the cell, or removes it (n = -1).
 func (s *State) addToWaitingCounts(usage *teamUsage, j *Job, n int) {
 	if j.Final() {
 		return
@@ -115,9 +115,9 @@
 	s.storeJob(s.jobs[j.Number], &j)
 }
 
-// addToTaskCounts adds (n = 1) or takes away (n = -1) a task in all derived counts.
+// addToTaskCounts adds a task (n = 1) to all derived counts or removes it (n = -1).
 func (s *State) addToTaskCounts(j *Job, t *Task, n int) {
-	delta := uint32(n) // wraps for -1, as meant
+	delta := uint32(n) // wraps around for n = -1, so that adding it subtracts 1
 	switch {
 	case t.Phase.HoldsCapacity():
 		j.HeldTasks += delta
@@ -160,8 +160,9 @@
 	}
 }
 
-// addToCapacityCounts counts the servers of each capacity, so that "could any server ever
-// hold this" costs as many steps as there are kinds of server.
+// addToCapacityCounts adds a server (n = 1) to the number of servers with its capacity
+// or removes it (n = -1). With these counts the check whether any server could ever
+// hold a task takes one step per distinct capacity instead of one per server.
 func (s *State) addToCapacityCounts(b Server, n int) {
 	if b.ID == "" || b.Server.State == gone {
 		return
@@ -204,8 +205,8 @@
 	}
 }
 
-// putTable puts the next revision in force. Only rows that differ are hashed:
-// with the whole table a change would cost as much as the table is long.
+// putTable puts the next revision in force. Only changed rows are hashed, because
+// hashing the whole table would make the cost of a change grow with the number of rows.
 func (s *State) putTable(next table.Table, set []team.Row, removed []string) {
 	for _, name := range removed {
 		if old, ok := s.table.Row(name); ok {
@@ -226,7 +227,7 @@
 	return &record.Header{Revision: t.Revision()}
 }
 
-// sortedKeys returns the keys of a map in a fixed order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[K ~string | ~uint64, V any](m map[K]V) []K {
 	ks := make([]K, 0, len(m))
 	for k := range m {
--- a/internal/ledger/state/zone.go
+++ b/internal/ledger/state/zone.go
@@ -12,14 +12,14 @@
 type Zone struct {
 	Name    string
 	Drained bool
-	// Since is when it was drained, on the ledger's clock.
+	// Since is the time of the drain, on the ledger's clock.
 	Since   time.Duration
 	Servers int
-	// Tasks is what its servers hold.
+	// Tasks counts the tasks that the zone's servers hold.
 	Tasks int
 }
 
-// setZoneDrain drains an availability zone or takes it back, for both kinds of work.
+// setZoneDrain drains an availability zone or ends its drain, for jobs and for flows.
 func (s *State) setZoneDrain(m *record.ZoneMark) Result {
 	if err := s.flows.Apply(s.now, &record.Flow{What: &record.Flow_Zone{Zone: m}}); err != nil {
 		return refused(err.Code, err.Detail)
@@ -32,17 +32,18 @@
 	return Result{}
 }
 
-// withZoneDrain returns a server with what its zone says of it.
+// withZoneDrain returns the server with ZoneDrained set from its zone.
 func (s *State) withZoneDrain(b Server) Server {
 	b.ZoneDrained = s.flows.ZoneDrained(b.Zone)
 	return b
 }
 
-// IsDrained tells whether the server, or its whole zone, is to get no new work.
+// IsDrained reports whether the server or its whole zone is drained, so that it gets no
+// new work.
 func (b Server) IsDrained() bool { return b.DrainRequested || b.ZoneDrained }
 
-// Zones returns the availability zones that backend servers are in or that are
-// drained, by name.
+// Zones returns, sorted by name, the availability zones that have backend servers or
+// are drained.
 func (s *State) Zones() []Zone {
 	zones := map[string]*Zone{}
 	zoneByName := func(name string) *Zone {
