--- a/internal/ledger/chart/chart_test.go
+++ b/internal/ledger/chart/chart_test.go
@@ -46,17 +46,17 @@
 			allowed[m.From][m.Event] = m.To
 		}
 		for _, s := range c.States() {
-			at := c.Start()
+			state := c.Start()
 			for _, e := range eventsTo(c, s) {
-				if at, err = c.Next(at, e); err != nil {
+				if state, err = c.Next(state, e); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if at != s {
-				t.Fatalf("%s: reached state %q, want %q", name, at, s)
+			if state != s {
+				t.Fatalf("%s: reached state %q, want %q", name, state, s)
 			}
 			for _, e := range events {
-				got, err := c.Next(at, e)
+				got, err := c.Next(state, e)
 				want, ok := allowed[s][e]
 				var refused *chart.InvalidEventError
 				if ok && (err != nil || got != want) || !ok && (!errors.As(err, &refused) || got != s) {
@@ -124,9 +124,9 @@
 }
 
 func TestInvalidChartsAreRejected(t *testing.T) {
-	sound := `{"start": "a", "states": ["a", "b", "c"], "final": ["c"], "moves": [
+	valid := `{"start": "a", "states": ["a", "b", "c"], "final": ["c"], "moves": [
 		{"from": ["a"], "on": "x", "to": "b"}, {"from": ["b"], "on": "y", "to": "c"}]}`
-	if _, err := chart.Parse("sound", []byte(sound)); err != nil {
+	if _, err := chart.Parse("sound", []byte(valid)); err != nil {
 		t.Fatal(err)
 	}
 	for want, edit := range map[string]string{
@@ -141,7 +141,7 @@
 		`unknown field "guard"`:                   `"on": "y"|"guard": "g", "on": "y"`,
 	} {
 		before, after, _ := strings.Cut(edit, "|")
-		_, err := chart.Parse("unsound", []byte(strings.Replace(sound, before, after, 1)))
+		_, err := chart.Parse("unsound", []byte(strings.Replace(valid, before, after, 1)))
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got error %v, want one containing %q", err, want)
 		}
--- a/internal/ledger/flows/crash.go
+++ b/internal/ledger/flows/crash.go
@@ -40,14 +40,14 @@
 
 // countCrash adds the crash of a server to the crash counts of the tasks that it held.
 // Tasks whose run is listed in blamed may have caused the crash.
-func (l *Ledger) countCrash(at time.Duration, b *Server, blamed []*inner.Run) {
+func (l *Ledger) countCrash(now time.Duration, b *Server, blamed []*inner.Run) {
 	for id, h := range b.HeldRuns {
 		s, ok := l.Step(id.StepID)
 		if !ok || int(id.Index) >= len(s.Tasks) || s.Tasks[id.Index].LatestRun != h.Number {
 			continue
 		}
 		t := &s.Tasks[id.Index]
-		if at-h.PlacedAt >= stableRunTime {
+		if now-h.PlacedAt >= stableRunTime {
 			t.ConsecutiveCrashes, t.BlamedCrashes = 0, 0
 		}
 		t.ConsecutiveCrashes++
--- a/internal/ledger/flows/crash_test.go
+++ b/internal/ledger/flows/crash_test.go
@@ -16,7 +16,7 @@
 type crashFixture struct {
 	t         *testing.T
 	ledger    *flows.Ledger
-	at        time.Duration
+	now       time.Duration
 	runNumber uint32
 }
 
@@ -30,8 +30,8 @@
 
 func (c *crashFixture) apply(f *record.Flow) {
 	c.t.Helper()
-	c.at += time.Millisecond
-	if err := c.ledger.Apply(c.at, f); err != nil {
+	c.now += time.Millisecond
+	if err := c.ledger.Apply(c.now, f); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -47,15 +47,15 @@
 	return server, run
 }
 
-func (c *crashFixture) reportServer(server string, leaving bool) {
-	c.apply(&record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{Id: server, Born: 1, Pool: "p", Capacity: &v1.Size{Cpu: 4, Memory: 100}, Leaving: leaving}}})
+func (c *crashFixture) reportServer(server string, shuttingDown bool) {
+	c.apply(&record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{Id: server, Born: 1, Pool: "p", Capacity: &v1.Size{Cpu: 4, Memory: 100}, Leaving: shuttingDown}}})
 }
 
 // endIncarnation ends a server incarnation if over is true, and otherwise only its
 // lease.
-func (c *crashFixture) endIncarnation(server string, over bool, blamed ...*inner.Run) {
+func (c *crashFixture) endIncarnation(server string, ended bool, blamed ...*inner.Run) {
 	c.t.Helper()
-	c.apply(&record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: server, Born: 1, Over: over, Blamed: blamed}}})
+	c.apply(&record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: server, Born: 1, Over: ended, Blamed: blamed}}})
 }
 
 // restoreFromSnapshot replaces the ledger by one restored from its own snapshot.
@@ -82,18 +82,18 @@
 	}{"blamed": {true, flows.MaxBlamedCrashes}, "not blamed": {false, flows.MaxConsecutiveCrashes}} {
 		for kind, step := range map[string]*v1.FlowStep{"single": {Count: 1, Size: &v1.Size{Cpu: 1}}, "gang": {Count: 1, Size: &v1.Size{Cpu: 1}, Gang: true}, "lasting": {Count: 1, Size: &v1.Size{Cpu: 1}, Lasting: true}} {
 			t.Run(name+", "+kind, func(t *testing.T) {
-				w := newCrashFixture(t, step)
+				fixture := newCrashFixture(t, step)
 				for n := 1; n <= c.maxCrashes; n++ {
-					server, run := w.startRun()
+					server, run := fixture.startRun()
 					if c.blamed {
-						w.endIncarnation(server, true, run)
+						fixture.endIncarnation(server, true, run)
 					} else {
-						w.endIncarnation(server, true)
+						fixture.endIncarnation(server, true)
 					}
-					if w.flowFailed() != (n == c.maxCrashes) {
-						t.Fatalf("after %d crashes: flow failed = %v", n, w.flowFailed())
+					if fixture.flowFailed() != (n == c.maxCrashes) {
+						t.Fatalf("after %d crashes: flow failed = %v", n, fixture.flowFailed())
 					}
-					w.restoreFromSnapshot()
+					fixture.restoreFromSnapshot()
 				}
 			})
 		}
@@ -105,48 +105,48 @@
 func TestPlannedOrRareServerLossesDoNotFailTheFlow(t *testing.T) {
 	step := func() *v1.FlowStep { return &v1.FlowStep{Count: 1, Size: &v1.Size{Cpu: 1}, Lasting: true} }
 	t.Run("graceful shutdown", func(t *testing.T) {
-		w := newCrashFixture(t, step())
+		fixture := newCrashFixture(t, step())
 		for range 3 * flows.MaxConsecutiveCrashes {
-			server, run := w.startRun()
-			w.reportServer(server, true)
-			w.endIncarnation(server, true, run)
+			server, run := fixture.startRun()
+			fixture.reportServer(server, true)
+			fixture.endIncarnation(server, true, run)
 		}
-		if w.flowFailed() {
+		if fixture.flowFailed() {
 			t.Error("flow failed because of servers that shut down gracefully")
 		}
 	})
 	t.Run("expired lease", func(t *testing.T) {
-		w := newCrashFixture(t, step())
+		fixture := newCrashFixture(t, step())
 		for range 3 * flows.MaxConsecutiveCrashes {
-			server, _ := w.startRun()
-			w.endIncarnation(server, false)
+			server, _ := fixture.startRun()
+			fixture.endIncarnation(server, false)
 		}
-		if w.flowFailed() {
+		if fixture.flowFailed() {
 			t.Error("flow failed because of expired leases")
 		}
 	})
 	t.Run("maintenance", func(t *testing.T) {
-		w := newCrashFixture(t, step())
+		fixture := newCrashFixture(t, step())
 		for n := range uint64(3 * flows.MaxConsecutiveCrashes) {
-			server, _ := w.startRun()
+			server, _ := fixture.startRun()
 			machine := fmt.Sprint("m", n)
-			w.apply(&record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{Id: server, Born: 1, Pool: "p", Machine: machine, Capacity: &v1.Size{Cpu: 4, Memory: 100}}}})
-			w.apply(&record.Flow{What: &record.Flow_Wave{Wave: &record.Wave{Number: n + 1, Machines: []string{machine}, Cap: 1}}})
-			w.apply(&record.Flow{What: &record.Flow_Upkeep{Upkeep: &record.WaveStep{Wave: n + 1, Machine: machine}}})
-			w.endIncarnation(server, true)
+			fixture.apply(&record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{Id: server, Born: 1, Pool: "p", Machine: machine, Capacity: &v1.Size{Cpu: 4, Memory: 100}}}})
+			fixture.apply(&record.Flow{What: &record.Flow_Wave{Wave: &record.Wave{Number: n + 1, Machines: []string{machine}, Cap: 1}}})
+			fixture.apply(&record.Flow{What: &record.Flow_Upkeep{Upkeep: &record.WaveStep{Wave: n + 1, Machine: machine}}})
+			fixture.endIncarnation(server, true)
 		}
-		if w.flowFailed() {
+		if fixture.flowFailed() {
 			t.Error("flow failed because of maintenance")
 		}
 	})
 	t.Run("rare crashes", func(t *testing.T) {
-		w := newCrashFixture(t, step())
+		fixture := newCrashFixture(t, step())
 		for range 3 * flows.MaxConsecutiveCrashes {
-			server, _ := w.startRun()
-			w.at += 2 * time.Minute
-			w.endIncarnation(server, true)
+			server, _ := fixture.startRun()
+			fixture.now += 2 * time.Minute
+			fixture.endIncarnation(server, true)
 		}
-		if w.flowFailed() {
+		if fixture.flowFailed() {
 			t.Error("flow failed because of rare crashes of a long-running task")
 		}
 	})
--- a/internal/ledger/flows/flows.go
+++ b/internal/ledger/flows/flows.go
@@ -239,40 +239,40 @@
 
 // Apply applies one command at the given time on the ledger's clock. A command that the
 // state does not allow changes nothing and returns the reason.
-func (l *Ledger) Apply(at time.Duration, c *record.Flow) *code.Error {
-	err := l.apply(at, c)
+func (l *Ledger) Apply(now time.Duration, c *record.Flow) *code.Error {
+	err := l.apply(now, c)
 	if err == nil {
-		l.addToDigest(uint64(at), uint64(len(l.flows)), uint64(len(l.readySteps)), uint64(l.openFlows))
+		l.addToDigest(uint64(now), uint64(len(l.flows)), uint64(len(l.readySteps)), uint64(l.openFlows))
 	}
 	return err
 }
 
-func (l *Ledger) apply(at time.Duration, c *record.Flow) *code.Error {
+func (l *Ledger) apply(now time.Duration, c *record.Flow) *code.Error {
 	switch w := c.GetWhat().(type) {
 	case *record.Flow_Document:
 		return l.applyDocument(w.Document)
 	case *record.Flow_Accept:
-		return l.acceptFlow(at, w.Accept)
+		return l.acceptFlow(now, w.Accept)
 	case *record.Flow_Cancel:
-		return l.cancelFlow(at, w.Cancel)
+		return l.cancelFlow(now, w.Cancel)
 	case *record.Flow_Server:
-		return l.applyServerReport(at, w.Server)
+		return l.applyServerReport(now, w.Server)
 	case *record.Flow_Clear:
-		return l.clearServer(at, w.Clear)
+		return l.clearServer(now, w.Clear)
 	case *record.Flow_Start:
-		return l.startRuns(at, w.Start)
+		return l.startRuns(now, w.Start)
 	case *record.Flow_Ends:
-		return l.recordEnds(at, w.Ends)
+		return l.recordEnds(now, w.Ends)
 	case *record.Flow_Forget:
 		return l.forgetRecords(w.Forget)
 	case *record.Flow_Due:
-		return l.beginDueTurn(at, w.Due)
+		return l.beginDueTurn(now, w.Due)
 	case *record.Flow_Wave:
-		return l.addWave(at, w.Wave)
+		return l.addWave(now, w.Wave)
 	case *record.Flow_Upkeep:
 		return l.recordMaintenance(w.Upkeep)
 	case *record.Flow_Zone:
-		return l.setZoneDrain(at, w.Zone)
+		return l.setZoneDrain(now, w.Zone)
 	}
 	return code.New(code.Internal, "empty command")
 }
--- a/internal/ledger/flows/flows_test.go
+++ b/internal/ledger/flows/flows_test.go
@@ -24,7 +24,7 @@
 // ledgerModel drives a ledger with random commands, both valid and invalid ones.
 type ledgerModel struct {
 	ledger        *flows.Ledger
-	at            time.Duration
+	now           time.Duration
 	acceptedFlows int
 	servers       []string
 	// drainedZones holds the zones that the commands sent so far have drained.
@@ -60,10 +60,10 @@
 }
 
 func (m *ledgerModel) apply(t *rapid.T, f *record.Flow) bool {
-	m.at += time.Millisecond
-	before := m.ledger.Digest()
-	err := m.ledger.Apply(m.at, f)
-	if err != nil && m.ledger.Digest() != before {
+	m.now += time.Millisecond
+	digestBefore := m.ledger.Digest()
+	err := m.ledger.Apply(m.now, f)
+	if err != nil && m.ledger.Digest() != digestBefore {
 		t.Fatalf("a rejected command changed the digest: %v", err)
 	}
 	return err == nil
--- a/internal/ledger/flows/lifecycle.go
+++ b/internal/ledger/flows/lifecycle.go
@@ -9,7 +9,7 @@
 	"gypsumreel/internal/domain/flow"
 )
 
-func (l *Ledger) acceptFlow(at time.Duration, a *record.FlowAccept) *code.Error {
+func (l *Ledger) acceptFlow(now time.Duration, a *record.FlowAccept) *code.Error {
 	id := a.GetSpec().GetId()
 	if _, ok := l.flows[id]; ok {
 		return nil // a resend of a flow that was already accepted
@@ -18,7 +18,7 @@
 		return err
 	}
 	f := &Flow{
-		ID: id, Customer: a.GetCustomer(), QueueName: a.GetQueue(), Spec: a.GetSpec(), AcceptedAt: at,
+		ID: id, Customer: a.GetCustomer(), QueueName: a.GetQueue(), Spec: a.GetSpec(), AcceptedAt: now,
 		State: v1.FlowState_FLOW_STATE_QUEUED, Turns: map[uint32]*Turn{},
 	}
 	f.QueueAtAcceptance, _ = l.config.Queue(f.QueueName)
@@ -27,18 +27,18 @@
 	l.openFlows++
 	l.addTextToDigest(id)
 	if a.GetSpec().GetTimes() == 0 {
-		l.beginTurn(at, f)
+		l.beginTurn(now, f)
 	}
 	return nil
 }
 
 // beginTurn starts the next turn of a flow.
-func (l *Ledger) beginTurn(at time.Duration, f *Flow) {
+func (l *Ledger) beginTurn(now time.Duration, f *Flow) {
 	t := newTurn(f, f.NextTurn)
 	f.Turns[f.NextTurn] = t
 	f.NextTurn++
 	for _, s := range t.Steps {
-		s.ReadyAt = at
+		s.ReadyAt = now
 		l.updateReadySteps(s)
 	}
 }
@@ -59,17 +59,17 @@
 }
 
 // beginDueTurn starts the next turn of a flow whose scheduled time has come.
-func (l *Ledger) beginDueTurn(at time.Duration, d *record.FlowDue) *code.Error {
+func (l *Ledger) beginDueTurn(now time.Duration, d *record.FlowDue) *code.Error {
 	f, ok := l.flows[d.GetId()]
 	if !ok || f.Final() || f.NextTurn >= f.Spec.GetTimes() {
 		return code.New(code.Unknown, "flow %s has no turn left to start", d.GetId())
 	}
 	l.addTextToDigest(d.GetId())
-	l.beginTurn(at, f)
+	l.beginTurn(now, f)
 	return nil
 }
 
-func (l *Ledger) cancelFlow(at time.Duration, c *record.FlowCancel) *code.Error {
+func (l *Ledger) cancelFlow(now time.Duration, c *record.FlowCancel) *code.Error {
 	f, ok := l.flows[c.GetId()]
 	if !ok {
 		return code.New(code.Unknown, "%s", c.GetId())
@@ -78,18 +78,18 @@
 		return nil
 	}
 	l.addTextToDigest(c.GetId())
-	l.endFlow(at, f, v1.FlowState_FLOW_STATE_CANCELLED)
+	l.endFlow(now, f, v1.FlowState_FLOW_STATE_CANCELLED)
 	return nil
 }
 
 // endFlow puts a flow into a final state. None of its tasks is placed any more, and the
 // runs that servers still hold are marked to be stopped.
-func (l *Ledger) endFlow(at time.Duration, f *Flow, finalState v1.FlowState) {
+func (l *Ledger) endFlow(now time.Duration, f *Flow, finalState v1.FlowState) {
 	if f.State == v1.FlowState_FLOW_STATE_QUEUED {
 		l.pendingFlows[f.QueueName]--
 	}
 	l.setFlowState(f, finalState)
-	f.EndedAt = at
+	f.EndedAt = now
 	l.openFlows--
 	for _, t := range f.Turns {
 		for _, s := range t.Steps {
--- a/internal/ledger/flows/run.go
+++ b/internal/ledger/flows/run.go
@@ -15,14 +15,14 @@
 // applyServerReport records what a backend server reported about itself. Within one
 // incarnation a report never ends a graceful shutdown, because the report may be a
 // delayed older one.
-func (l *Ledger) applyServerReport(at time.Duration, m *record.FlowServer) *code.Error {
+func (l *Ledger) applyServerReport(now time.Duration, m *record.FlowServer) *code.Error {
 	old, known := l.servers[m.GetId()]
 	if known && m.GetBorn() < old.StartedAtMs {
 		return code.New(code.Stale, "server %s: report of an older incarnation", m.GetId())
 	}
 	b := &Server{
 		ID: m.GetId(), StartedAtMs: m.GetBorn(), Address: m.GetAddress(), Zone: m.GetZone(), Pool: m.GetPool(), Machine: m.GetMachine(),
-		Capacity: sizeFromMessage(m.GetCapacity()), Labels: m.GetLabels(), ShuttingDown: m.GetLeaving(), LastReport: m.GetCall(), WarmUpEndsAt: at + time.Duration(m.GetCold())*time.Millisecond, HeldRuns: map[flow.TaskID]*HeldRun{},
+		Capacity: sizeFromMessage(m.GetCapacity()), Labels: m.GetLabels(), ShuttingDown: m.GetLeaving(), LastReport: m.GetCall(), WarmUpEndsAt: now + time.Duration(m.GetCold())*time.Millisecond, HeldRuns: map[flow.TaskID]*HeldRun{},
 	}
 	if known && m.GetBorn() == old.StartedAtMs {
 		if old.Ended {
@@ -35,7 +35,7 @@
 		b.EndCursor, b.Used, b.HeldRuns = old.EndCursor, old.Used, old.HeldRuns
 	} else if known {
 		// The previous incarnation has ended, and all runs that it held ended with it.
-		l.endIncarnation(at, old, nil, nil)
+		l.endIncarnation(now, old, nil, nil)
 	}
 	l.servers[b.ID] = b
 	l.addTextToDigest(b.ID)
@@ -49,7 +49,7 @@
 
 // clearServer records that none of the runs held by one server incarnation is in
 // progress any more.
-func (l *Ledger) clearServer(at time.Duration, c *record.FlowClear) *code.Error {
+func (l *Ledger) clearServer(now time.Duration, c *record.FlowClear) *code.Error {
 	b, ok := l.servers[c.GetId()]
 	if !ok || b.StartedAtMs != c.GetBorn() {
 		return code.New(code.Stale, "server %s runs another incarnation", c.GetId())
@@ -57,34 +57,34 @@
 	b.Ended = b.Ended || c.GetOver()
 	l.addTextToDigest(b.ID)
 	if c.GetOver() {
-		l.endIncarnation(at, b, c.GetSaved(), c.GetBlamed())
+		l.endIncarnation(now, b, c.GetSaved(), c.GetBlamed())
 		return nil
 	}
-	l.endAllRuns(at, b, inner.RunEnd_RUN_END_LOST, c.GetSaved())
+	l.endAllRuns(now, b, inner.RunEnd_RUN_END_LOST, c.GetSaved())
 	return nil
 }
 
 // endIncarnation ends a server incarnation and all runs that it held. Unless the
 // shutdown was planned, it counts as a crash.
-func (l *Ledger) endIncarnation(at time.Duration, b *Server, saved []*record.FlowSaved, blamed []*inner.Run) {
+func (l *Ledger) endIncarnation(now time.Duration, b *Server, saved []*record.FlowSaved, blamed []*inner.Run) {
 	if l.ShutdownPlanned(b) {
-		l.endAllRuns(at, b, inner.RunEnd_RUN_END_LOST, saved)
+		l.endAllRuns(now, b, inner.RunEnd_RUN_END_LOST, saved)
 		return
 	}
-	l.countCrash(at, b, blamed)
-	l.endAllRuns(at, b, inner.RunEnd_RUN_END_CRASHED, saved)
+	l.countCrash(now, b, blamed)
+	l.endAllRuns(now, b, inner.RunEnd_RUN_END_CRASHED, saved)
 }
 
 // endAllRuns ends all runs that a server held. The runs are sorted, so that every
 // replica applies the ends in the same order.
-func (l *Ledger) endAllRuns(at time.Duration, b *Server, runEnd inner.RunEnd, saved []*record.FlowSaved) {
+func (l *Ledger) endAllRuns(now time.Duration, b *Server, runEnd inner.RunEnd, saved []*record.FlowSaved) {
 	checkpoints := map[flow.RunID]string{}
 	for _, s := range saved {
 		checkpoints[flow.RunOf(s.GetRun())] = s.GetCheckpoint()
 	}
 	for _, id := range sortedTaskIDs(b.HeldRuns) {
 		h := b.HeldRuns[id]
-		l.recordEnd(at, b, h.RunID, runEnd, checkpoints[h.RunID])
+		l.recordEnd(now, b, h.RunID, runEnd, checkpoints[h.RunID])
 	}
 }
 
@@ -92,7 +92,7 @@
 // checks, because every placement passes through here: the step's dependencies, the
 // server's state and free capacity, the customer's limit, and that gangs are placed as
 // a whole.
-func (l *Ledger) startRuns(at time.Duration, c *record.FlowStart) *code.Error {
+func (l *Ledger) startRuns(now time.Duration, c *record.FlowStart) *code.Error {
 	if err := l.checkPlacements(c.GetPlaces()); err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 		b := l.servers[p.GetServer()]
 		t := &s.Tasks[id.Index]
 		t.LatestRun, t.Server, t.ServerStartedAtMs = id.Number, b.ID, b.StartedAtMs
-		l.addHeldRun(b, &HeldRun{RunID: id, Server: b.ID, Customer: s.Flow.Customer, Size: flow.SizeOf(s.Spec), PlacedAt: at})
+		l.addHeldRun(b, &HeldRun{RunID: id, Server: b.ID, Customer: s.Flow.Customer, Size: flow.SizeOf(s.Spec), PlacedAt: now})
 		l.moveTask(s, id.Index, chart.Place)
 		if s.Flow.State == v1.FlowState_FLOW_STATE_QUEUED {
 			l.pendingFlows[s.Flow.QueueName]--
@@ -179,13 +179,13 @@
 
 // recordEnds records run ends that a server incarnation listed or that are proved in
 // another way.
-func (l *Ledger) recordEnds(at time.Duration, c *record.FlowEnds) *code.Error {
+func (l *Ledger) recordEnds(now time.Duration, c *record.FlowEnds) *code.Error {
 	b, ok := l.servers[c.GetServer()]
 	if !ok || b.StartedAtMs != c.GetBorn() {
 		return code.New(code.Stale, "server %s runs another incarnation", c.GetServer())
 	}
 	for _, e := range c.GetEnds() {
-		l.recordEnd(at, b, flow.RunOf(e.GetRun()), e.GetHow(), e.GetCheckpoint())
+		l.recordEnd(now, b, flow.RunOf(e.GetRun()), e.GetHow(), e.GetCheckpoint())
 	}
 	b.EndCursor = max(b.EndCursor, c.GetCursor())
 	l.addTextToDigest(b.ID)
@@ -195,7 +195,7 @@
 
 // recordEnd records the end of one run. It frees the capacity of the run and updates
 // its task. If the run is not the latest of its task, only the capacity is freed.
-func (l *Ledger) recordEnd(at time.Duration, b *Server, id flow.RunID, runEnd inner.RunEnd, checkpoint string) {
+func (l *Ledger) recordEnd(now time.Duration, b *Server, id flow.RunID, runEnd inner.RunEnd, checkpoint string) {
 	held := false
 	if h := b.HeldRuns[id.TaskID]; h != nil && h.Number == id.Number {
 		held = true
@@ -215,9 +215,9 @@
 	}
 	switch {
 	case runEnd == inner.RunEnd_RUN_END_DONE && !s.runsUntilCancelled():
-		l.finishTask(at, s, id)
+		l.finishTask(now, s, id)
 	case t.Phase == Placed && held:
-		l.requeueOrFail(at, s, id, runEnd)
+		l.requeueOrFail(now, s, id, runEnd)
 	}
 	l.updateReadySteps(s)
 }
@@ -236,7 +236,7 @@
 
 // finishTask records a successful end. One successful member finishes the whole gang.
 // The capacity of the other members is freed when their own runs end.
-func (l *Ledger) finishTask(at time.Duration, s *Step, id flow.RunID) {
+func (l *Ledger) finishTask(now time.Duration, s *Step, id flow.RunID) {
 	if s.Spec.GetGang() {
 		for i := range s.Tasks {
 			if s.Tasks[i].Phase != Done {
@@ -252,14 +252,14 @@
 	turn := s.Flow.Turns[s.Turn]
 	turn.unfinishedSteps--
 	for _, next := range turn.Steps {
-		for _, before := range next.Spec.GetAfter() {
-			if before == s.Step {
+		for _, dependency := range next.Spec.GetAfter() {
+			if dependency == s.Step {
 				next.UnfinishedDependencies--
 			}
 		}
 		if next.UnfinishedDependencies == 0 && next != s {
-			if next.ReadyAt < at && next.QueuedTasks == len(next.Tasks) {
-				next.ReadyAt = at
+			if next.ReadyAt < now && next.QueuedTasks == len(next.Tasks) {
+				next.ReadyAt = now
 			}
 			l.updateReadySteps(next)
 		}
@@ -269,15 +269,15 @@
 	}
 	delete(s.Flow.Turns, s.Turn)
 	if len(s.Flow.Turns) == 0 && s.Flow.NextTurn >= max(s.Flow.Spec.GetTimes(), 1) {
-		l.endFlow(at, s.Flow, v1.FlowState_FLOW_STATE_DONE)
+		l.endFlow(now, s.Flow, v1.FlowState_FLOW_STATE_DONE)
 	}
 }
 
 // requeueOrFail handles a run that did not end successfully: its task is queued again,
 // or its flow fails. The other members of a gang are stopped first.
-func (l *Ledger) requeueOrFail(at time.Duration, s *Step, id flow.RunID, runEnd inner.RunEnd) {
+func (l *Ledger) requeueOrFail(now time.Duration, s *Step, id flow.RunID, runEnd inner.RunEnd) {
 	if l.countFailure(s, id, runEnd) {
-		l.endFlow(at, s.Flow, v1.FlowState_FLOW_STATE_FAILED)
+		l.endFlow(now, s.Flow, v1.FlowState_FLOW_STATE_FAILED)
 		return
 	}
 	if !s.Spec.GetGang() {
--- a/internal/ledger/flows/snapshot.go
+++ b/internal/ledger/flows/snapshot.go
@@ -117,13 +117,13 @@
 		return f, nil
 	}
 	f.Turns = map[uint32]*Turn{}
-	for _, tm := range m.GetTurns() {
-		t := newTurn(f, tm.GetNumber())
-		if len(tm.GetSteps()) != len(t.Steps) {
-			return nil, code.New(code.Internal, "snapshot: flow %s has %d steps, its record has %d", f.ID, len(t.Steps), len(tm.GetSteps()))
+	for _, turn := range m.GetTurns() {
+		t := newTurn(f, turn.GetNumber())
+		if len(turn.GetSteps()) != len(t.Steps) {
+			return nil, code.New(code.Internal, "snapshot: flow %s has %d steps, its record has %d", f.ID, len(t.Steps), len(turn.GetSteps()))
 		}
-		for i, sm := range tm.GetSteps() {
-			if err := restoreStep(t.Steps[i], sm); err != nil {
+		for i, step := range turn.GetSteps() {
+			if err := restoreStep(t.Steps[i], step); err != nil {
 				return nil, err
 			}
 		}
@@ -139,10 +139,10 @@
 	}
 	s.FailedRuns, s.LastFailedRun, s.ReadyAt = m.GetFails(), m.GetCounted(), time.Duration(m.GetSince())
 	s.QueuedTasks = 0
-	for i, tm := range m.GetTasks() {
+	for i, taskRecord := range m.GetTasks() {
 		s.Tasks[i] = Task{
-			Phase: Phase(tm.GetPhase()), LatestRun: tm.GetNumber(), FailedRuns: tm.GetFails(), Checkpoint: tm.GetCheckpoint(),
-			Server: tm.GetServer(), ServerStartedAtMs: tm.GetBorn(), ConsecutiveCrashes: tm.GetCrashes(), BlamedCrashes: tm.GetBlamed(),
+			Phase: Phase(taskRecord.GetPhase()), LatestRun: taskRecord.GetNumber(), FailedRuns: taskRecord.GetFails(), Checkpoint: taskRecord.GetCheckpoint(),
+			Server: taskRecord.GetServer(), ServerStartedAtMs: taskRecord.GetBorn(), ConsecutiveCrashes: taskRecord.GetCrashes(), BlamedCrashes: taskRecord.GetBlamed(),
 		}
 		s.adjustPhaseCount(s.Tasks[i].Phase, 1)
 	}
@@ -158,8 +158,8 @@
 			t.unfinishedSteps++
 		}
 		s.UnfinishedDependencies = 0
-		for _, before := range s.Spec.GetAfter() {
-			if b := t.Steps[before]; b.DoneTasks < len(b.Tasks) {
+		for _, dependency := range s.Spec.GetAfter() {
+			if b := t.Steps[dependency]; b.DoneTasks < len(b.Tasks) {
 				s.UnfinishedDependencies++
 			}
 		}
--- a/internal/ledger/flows/wave.go
+++ b/internal/ledger/flows/wave.go
@@ -66,14 +66,14 @@
 
 // addWave records a new wave. A wave with a known number is a resend and changes
 // nothing.
-func (l *Ledger) addWave(at time.Duration, m *record.Wave) *code.Error {
+func (l *Ledger) addWave(now time.Duration, m *record.Wave) *code.Error {
 	if _, ok := l.waves[m.GetNumber()]; ok {
 		return nil
 	}
 	if m.GetCap() == 0 || len(m.GetMachines()) == 0 {
 		return code.New(code.Malformed, "wave %d has no machines, or a limit of 0 machines down", m.GetNumber())
 	}
-	w := &Wave{Number: m.GetNumber(), MaxDown: int(m.GetCap()), Duration: time.Duration(m.GetDuration()) * time.Millisecond, RequestedAt: at}
+	w := &Wave{Number: m.GetNumber(), MaxDown: int(m.GetCap()), Duration: time.Duration(m.GetDuration()) * time.Millisecond, RequestedAt: now}
 	for _, name := range m.GetMachines() {
 		w.Machines = append(w.Machines, &Machine{Name: name})
 	}
--- a/internal/ledger/flows/zone.go
+++ b/internal/ledger/flows/zone.go
@@ -11,7 +11,7 @@
 
 // setZoneDrain drains an availability zone or ends its drain. Repeating the command
 // changes nothing.
-func (l *Ledger) setZoneDrain(at time.Duration, m *record.ZoneMark) *code.Error {
+func (l *Ledger) setZoneDrain(now time.Duration, m *record.ZoneMark) *code.Error {
 	if m.GetZone() == "" {
 		return code.New(code.Malformed, "a zone without a name")
 	}
@@ -20,7 +20,7 @@
 		return nil
 	}
 	if m.GetDrain() {
-		l.drainedZones[m.GetZone()] = at
+		l.drainedZones[m.GetZone()] = now
 	} else {
 		delete(l.drainedZones, m.GetZone())
 	}
@@ -52,8 +52,8 @@
 	return out
 }
 
-func (l *Ledger) restoreZones(all []*record.ZoneRecord) {
-	for _, z := range all {
+func (l *Ledger) restoreZones(zones []*record.ZoneRecord) {
+	for _, z := range zones {
 		l.drainedZones[z.GetZone()] = time.Duration(z.GetSince())
 	}
 }
--- a/internal/ledger/state/bench_test.go
+++ b/internal/ledger/state/bench_test.go
@@ -15,7 +15,7 @@
 func BenchmarkReplay(b *testing.B) {
 	const changes = 100_000
 	var log [][]byte
-	put := func(base uint64, edits ...*v1.Edit) {
+	appendChange := func(base uint64, edits ...*v1.Edit) {
 		log = append(log, command.Encode(&record.Command{At: int64(base), What: &record.Command_Change{Change: &record.Change{
 			By: "op", Request: &v1.ChangeRequest{Id: fmt.Sprint(base), Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Base: base, Edits: edits}}},
 		}}}))
@@ -25,9 +25,9 @@
 	for i := range 960 {
 		rows = append(rows, &v1.Edit{Row: &v1.Row{Team: fmt.Sprint("team", i), Weight: 1, Limit: limit}})
 	}
-	put(0, rows...)
+	appendChange(0, rows...)
 	for i := uint64(1); i < changes; i++ {
-		put(i, &v1.Edit{Row: &v1.Row{Team: fmt.Sprint("team", i%960), Weight: uint32(i%100 + 1)}, Cells: []string{"weight"}})
+		appendChange(i, &v1.Edit{Row: &v1.Row{Team: fmt.Sprint("team", i%960), Weight: uint32(i%100 + 1)}, Cells: []string{"weight"}})
 	}
 	b.ResetTimer()
 	for range b.N {
--- a/internal/ledger/state/retention.go
+++ b/internal/ledger/state/retention.go
@@ -31,10 +31,10 @@
 
 // popOlderThan removes records older than the given time from the front of the queue
 // until it has found limit eligible ones. It returns the keys of the eligible ones.
-func (q *retentionQueue[K]) popOlderThan(at time.Duration, limit int, eligible func(retained[K]) bool) []K {
+func (q *retentionQueue[K]) popOlderThan(cutoff time.Duration, limit int, eligible func(retained[K]) bool) []K {
 	var out []K
 	n := 0
-	for n < len(q.items) && q.items[n].since < at && len(out) < limit {
+	for n < len(q.items) && q.items[n].since < cutoff && len(out) < limit {
 		if eligible(q.items[n]) {
 			out = append(out, q.items[n].key)
 		}
@@ -63,19 +63,19 @@
 // ExpiredRecords returns the final jobs, results of changes and gone servers that are
 // older than the given time. It removes them from the retention queues, so the caller
 // must commit the returned command.
-func (s *State) ExpiredRecords(at time.Duration, limit int) *record.Forget {
+func (s *State) ExpiredRecords(cutoff time.Duration, limit int) *record.Forget {
 	return &record.Forget{
-		Jobs: s.endedJobs.popOlderThan(at, limit, func(a retained[uint64]) bool {
-			j, ok := s.jobs[a.key]
+		Jobs: s.endedJobs.popOlderThan(cutoff, limit, func(item retained[uint64]) bool {
+			j, ok := s.jobs[item.key]
 			return ok && j.Final()
 		}),
-		Changes: s.completedChanges.popOlderThan(at, limit, func(a retained[string]) bool {
-			_, ok := s.changeResults[a.key]
+		Changes: s.completedChanges.popOlderThan(cutoff, limit, func(item retained[string]) bool {
+			_, ok := s.changeResults[item.key]
 			return ok
 		}),
-		Servers: s.goneServers.popOlderThan(at, limit, func(a retained[string]) bool {
-			b, ok := s.servers[a.key]
-			return ok && b.Server.State == gone && b.Since == a.since
+		Servers: s.goneServers.popOlderThan(cutoff, limit, func(item retained[string]) bool {
+			b, ok := s.servers[item.key]
+			return ok && b.Server.State == gone && b.Since == item.since
 		}),
 	}
 }
--- a/internal/ledger/state/snapshot.go
+++ b/internal/ledger/state/snapshot.go
@@ -36,12 +36,12 @@
 // encodings.
 func (s *State) Encode() ([]byte, error) {
 	var buf bytes.Buffer
-	put := func(r *record.Record) error {
+	write := func(r *record.Record) error {
 		_, err := protodelim.MarshalOptions{MarshalOptions: deterministicMarshal}.MarshalTo(&buf, r)
 		return err
 	}
 	for r := range s.records() {
-		if err := put(r); err != nil {
+		if err := write(r); err != nil {
 			return nil, errors.Wrap(err, "encode snapshot")
 		}
 	}
@@ -109,11 +109,11 @@
 	if len(data) == 0 {
 		return s, nil
 	}
-	rd := bytes.NewReader(data)
+	reader := bytes.NewReader(data)
 	var digest uint64
-	for rd.Len() > 0 {
+	for reader.Len() > 0 {
 		r := &record.Record{}
-		if err := (protodelim.UnmarshalOptions{MaxSize: maxRecordBytes}).UnmarshalFrom(rd, r); err != nil {
+		if err := (protodelim.UnmarshalOptions{MaxSize: maxRecordBytes}).UnmarshalFrom(reader, r); err != nil {
 			return nil, errors.Mark(err, ErrSnapshot)
 		}
 		if h := r.GetHeader(); h != nil {
--- a/internal/ledger/state/snapshot_builder.go
+++ b/internal/ledger/state/snapshot_builder.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func (p *SnapshotBuilder) beforeChangeResultChange(id string) {
+func (p *SnapshotBuilder) beforeResultChange(id string) {
 	if p != nil {
 		p.changeResults.beforeChange(id)
 	}
--- a/internal/ledger/state/store.go
+++ b/internal/ledger/state/store.go
@@ -192,7 +192,7 @@
 
 func (s *State) putChangeResult(id string, a ChangeResult) {
 	s.replaceInDigest(0, hashMessage(changeResultRecord(id, a)))
-	s.snapshotBuilder.beforeChangeResultChange(id)
+	s.snapshotBuilder.beforeResultChange(id)
 	s.changeResults[id] = a
 	s.completedChanges.push(retained[string]{id, a.AppliedAt})
 }
@@ -200,7 +200,7 @@
 func (s *State) removeChangeResult(id string) {
 	if a, ok := s.changeResults[id]; ok {
 		s.replaceInDigest(hashMessage(changeResultRecord(id, a)), 0)
-		s.snapshotBuilder.beforeChangeResultChange(id)
+		s.snapshotBuilder.beforeResultChange(id)
 		delete(s.changeResults, id)
 	}
 }
