--- a/internal/ledger/chart/chart_test.go
+++ b/internal/ledger/chart/chart_test.go
@@ -126,7 +126,7 @@
 func TestInvalidChartsAreRejected(t *testing.T) {
 	valid := `{"start": "a", "states": ["a", "b", "c"], "final": ["c"], "moves": [
 		{"from": ["a"], "on": "x", "to": "b"}, {"from": ["b"], "on": "y", "to": "c"}]}`
-	if _, err := chart.Parse("sound", []byte(valid)); err != nil {
+	if _, err := chart.Parse("valid", []byte(valid)); err != nil {
 		t.Fatal(err)
 	}
 	for want, edit := range map[string]string{
@@ -141,7 +141,7 @@
 		`unknown field "guard"`:                   `"on": "y"|"guard": "g", "on": "y"`,
 	} {
 		before, after, _ := strings.Cut(edit, "|")
-		_, err := chart.Parse("unsound", []byte(strings.Replace(valid, before, after, 1)))
+		_, err := chart.Parse("invalid", []byte(strings.Replace(valid, before, after, 1)))
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got error %v, want one containing %q", err, want)
 		}
--- a/internal/ledger/state/observer.go
+++ b/internal/ledger/state/observer.go
@@ -21,7 +21,7 @@
 	// TaskStopping is called for a task whose attempt has to be ordered to stop.
 	TaskStopping(j *Job, t *Task)
 	// TaskReleased is called for a task whose attempt ended.
-	TaskReleased(j *Job, t *Task, how AttemptEnd)
+	TaskReleased(j *Job, t *Task, end AttemptEnd)
 	// JobEnded is called for a job whose outcome became final.
 	JobEnded(j *Job)
 }
--- a/internal/ledger/state/state_test.go
+++ b/internal/ledger/state/state_test.go
@@ -25,72 +25,72 @@
 }
 
 func newReplicaPair() *replicaPair {
-	w := &replicaPair{first: state.New(), second: state.New()}
+	pair := &replicaPair{first: state.New(), second: state.New()}
 	limit := &v1.Size{Cpu: 16, Memory: -1, Accel: -1, Slots: -1}
-	w.change("table", &v1.ChangeRequest{Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
+	pair.change("table", &v1.ChangeRequest{Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
 		{Row: &v1.Row{Team: "t0", Weight: 1, Limit: limit, Queue: 100}},
 		{Row: &v1.Row{Team: "t1", Weight: 2, Limit: limit, Queue: 100}},
 	}}}})
 	for _, name := range []string{"t0", "t1"} {
-		w.change("grant"+name, &v1.ChangeRequest{Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k" + name, Team: name, Digest: make([]byte, 32)}}})
+		pair.change("grant"+name, &v1.ChangeRequest{Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k" + name, Team: name, Digest: make([]byte, 32)}}})
 	}
-	return w
+	return pair
 }
 
-func (w *replicaPair) apply(c *record.Command) state.Result {
-	w.now += 1000
-	c.At = w.now
-	w.sent = append(w.sent, c)
+func (pair *replicaPair) apply(c *record.Command) state.Result {
+	pair.now += 1000
+	c.At = pair.now
+	pair.sent = append(pair.sent, c)
 	// The second replica decodes the command from its bytes, as from the log.
 	d, err := command.Decode(command.Encode(c))
 	if err != nil {
 		panic(err)
 	}
-	r := w.first.Apply(c)
-	w.second.Apply(d)
+	r := pair.first.Apply(c)
+	pair.second.Apply(d)
 	return r
 }
 
-func (w *replicaPair) change(id string, req *v1.ChangeRequest) state.Result {
+func (pair *replicaPair) change(id string, req *v1.ChangeRequest) state.Result {
 	req.Id = id
-	return w.apply(&record.Command{What: &record.Command_Change{Change: &record.Change{By: "op", Request: req}}})
+	return pair.apply(&record.Command{What: &record.Command_Change{Change: &record.Change{By: "op", Request: req}}})
 }
 
-func (w *replicaPair) accept(team, id string, kind v1.Kind, count uint32, cpu int64, once bool) state.Result {
+func (pair *replicaPair) accept(team, id string, kind v1.Kind, count uint32, cpu int64, once bool) state.Result {
 	spec := &v1.Spec{Id: id, Kind: kind, Count: count, Size: &v1.Size{Cpu: cpu}, Once: once}
-	return w.apply(&record.Command{What: &record.Command_Accept{Accept: &record.Accept{Team: team, Key: "k" + team, Spec: spec}}})
+	return pair.apply(&record.Command{What: &record.Command_Accept{Accept: &record.Accept{Team: team, Key: "k" + team, Spec: spec}}})
 }
 
-func (w *replicaPair) announce(server string, nonce uint64, cpu int64) state.Result {
-	return w.apply(&record.Command{What: &record.Command_Announce{Announce: &record.Announce{Server: server, Nonce: nonce, Capacity: &v1.Size{Cpu: cpu}}}})
+func (pair *replicaPair) announce(server string, nonce uint64, cpu int64) state.Result {
+	return pair.apply(&record.Command{What: &record.Command_Announce{Announce: &record.Announce{Server: server, Nonce: nonce, Capacity: &v1.Size{Cpu: cpu}}}})
 }
 
-func (w *replicaPair) place(job uint64, server string, indexes ...uint32) state.Result {
-	b, _ := w.first.Server(server)
+func (pair *replicaPair) place(job uint64, server string, indexes ...uint32) state.Result {
+	b, _ := pair.first.Server(server)
 	p := &record.Place{Job: job}
 	for _, i := range indexes {
 		p.Spots = append(p.Spots, &record.Spot{Index: i, Server: server, Incarnation: b.Incarnation})
 	}
-	return w.apply(&record.Command{What: &record.Command_Place{Place: p}})
+	return pair.apply(&record.Command{What: &record.Command_Place{Place: p}})
 }
 
-func (w *replicaPair) end(t *state.Task, e *record.End) state.Result {
+func (pair *replicaPair) end(t *state.Task, e *record.End) state.Result {
 	e.Job, e.Index, e.Attempt = t.ID.Job, t.ID.Index, t.Attempt
-	return w.apply(&record.Command{What: &record.Command_End{End: e}})
+	return pair.apply(&record.Command{What: &record.Command_End{End: e}})
 }
 
-func (w *replicaPair) fence(server string) state.Result {
-	b, _ := w.first.Server(server)
-	return w.apply(&record.Command{What: &record.Command_Fence{Fence: &record.Fence{Server: server, Incarnation: b.Incarnation}}})
+func (pair *replicaPair) fence(server string) state.Result {
+	b, _ := pair.first.Server(server)
+	return pair.apply(&record.Command{What: &record.Command_Fence{Fence: &record.Fence{Server: server, Incarnation: b.Incarnation}}})
 }
 
 // checkInvariants verifies the invariants that the ledger alone must guarantee.
-func (w *replicaPair) checkInvariants(t interface{ Fatalf(string, ...any) }) {
+func (pair *replicaPair) checkInvariants(t interface{ Fatalf(string, ...any) }) {
 	heldByServer := map[string]capacity.Size{}
 	heldByTeam := map[string]capacity.Size{}
-	for _, j := range w.first.Jobs("") {
+	for _, j := range pair.first.Jobs("") {
 		heldTasks, startedTasks := uint32(0), uint32(0)
-		w.first.EachTask(j, func(k *state.Task) {
+		pair.first.EachTask(j, func(k *state.Task) {
 			if k.Phase.HoldsCapacity() {
 				heldByServer[k.Server] = heldByServer[k.Server].Add(j.Spec.Size)
 				heldByTeam[j.Spec.Team] = heldByTeam[j.Spec.Team].Add(j.Spec.Size)
@@ -109,12 +109,12 @@
 		if j.Spec.Whole() && !j.Final() && heldTasks == 0 && j.WaitingTasks != j.Spec.Count {
 			t.Fatalf("gang %d is stuck: no task holds capacity and only %d of %d tasks wait", j.Number, j.WaitingTasks, j.Spec.Count)
 		}
-		w.first.EachTask(j, func(k *state.Task) {
+		pair.first.EachTask(j, func(k *state.Task) {
 			if heldTasks == 0 && !j.Final() && k.Phase == state.WaitingForGang {
 				t.Fatalf("task %v waits forever for its gang", k.ID)
 			}
 		})
-		if j.Spec.Whole() && heldTasks > 0 && j.WaitingTasks > 0 && heldTasks+j.WaitingTasks+j.FinalTasks == j.Spec.Count && partlyPlaced(w.first, j) {
+		if j.Spec.Whole() && heldTasks > 0 && j.WaitingTasks > 0 && heldTasks+j.WaitingTasks+j.FinalTasks == j.Spec.Count && partlyPlaced(pair.first, j) {
 			t.Fatalf("gang %d has both placed and queued tasks", j.Number)
 		}
 		if j.HeldTasks != heldTasks {
@@ -122,30 +122,30 @@
 		}
 	}
 	waitingJobs, waitingTeams := 0, map[string]bool{}
-	for _, j := range w.first.Jobs("") {
+	for _, j := range pair.first.Jobs("") {
 		if !j.Final() && j.WaitingTasks > 0 {
 			waitingJobs++
 			waitingTeams[j.Spec.Team] = true
 		}
 	}
-	if got := w.first.Backlog(); got.Jobs != waitingJobs || got.Teams != len(waitingTeams) {
+	if got := pair.first.Backlog(); got.Jobs != waitingJobs || got.Teams != len(waitingTeams) {
 		t.Fatalf("backlog %v, counted %d waiting jobs of %d teams", got, waitingJobs, len(waitingTeams))
 	}
-	for _, b := range w.first.Servers() {
+	for _, b := range pair.first.Servers() {
 		if !b.HeldCapacity.Fits(b.Capacity) || b.HeldCapacity != heldByServer[b.ID] {
 			t.Fatalf("server %s: recorded held capacity %v, counted %v, total capacity %v", b.ID, b.HeldCapacity, heldByServer[b.ID], b.Capacity)
 		}
 	}
-	for _, r := range w.first.Table().Rows() {
-		if !heldByTeam[r.Name].Within(r.Limit) || w.first.TeamHeldCapacity(r.Name) != heldByTeam[r.Name] {
+	for _, r := range pair.first.Table().Rows() {
+		if !heldByTeam[r.Name].Within(r.Limit) || pair.first.TeamHeldCapacity(r.Name) != heldByTeam[r.Name] {
 			t.Fatalf("team %s holds %v with limit %v", r.Name, heldByTeam[r.Name], r.Limit)
 		}
 	}
-	if w.first.InvalidTransitions() > 0 {
-		t.Fatalf("an event that the state chart does not allow occurred in %v", w.sent[len(w.sent)-1])
+	if pair.first.InvalidTransitions() > 0 {
+		t.Fatalf("an event that the state chart does not allow occurred in %v", pair.sent[len(pair.sent)-1])
 	}
-	if w.first.Digest() != w.second.Digest() {
-		t.Fatalf("replicas differ after %v", w.sent[len(w.sent)-1])
+	if pair.first.Digest() != pair.second.Digest() {
+		t.Fatalf("replicas differ after %v", pair.sent[len(pair.sent)-1])
 	}
 }
 
@@ -169,15 +169,15 @@
 // unrepeatable task twice, or let replicas differ.
 func TestInvariantsHoldForAnyCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newReplicaPair()
+		pair := newReplicaPair()
 		starts := map[task.ID]int{}
 		var builder *state.SnapshotBuilder
 		var wantSnapshot []byte
 		defer func() { builder.Cancel() }()
 		drawIndex := func(name string, n int) int { return rapid.IntRange(0, n-1).Draw(t, name) }
 		tasks := func() (out []*state.Task) {
-			for _, j := range w.first.Jobs("") {
-				w.first.EachTask(j, func(k *state.Task) { out = append(out, k) })
+			for _, j := range pair.first.Jobs("") {
+				pair.first.EachTask(j, func(k *state.Task) { out = append(out, k) })
 			}
 			return out
 		}
@@ -187,13 +187,13 @@
 				team := []string{"t0", "t1"}[drawIndex("team", 2)]
 				id := []string{"a", "b", "c", "d", "e", "f"}[drawIndex("id", 6)]
 				kind := []v1.Kind{v1.Kind_KIND_BATCH, v1.Kind_KIND_GANG, v1.Kind_KIND_SERVICE}[drawIndex("kind", 3)]
-				w.accept(team, id, kind, uint32(1+drawIndex("count", 3)), int64(1+drawIndex("cpu", 12)), drawIndex("once", 2) == 0)
+				pair.accept(team, id, kind, uint32(1+drawIndex("count", 3)), int64(1+drawIndex("cpu", 12)), drawIndex("once", 2) == 0)
 			},
-			"announce": func(*rapid.T) { w.announce(server(), uint64(drawIndex("nonce", 3)), 20) },
+			"announce": func(*rapid.T) { pair.announce(server(), uint64(drawIndex("nonce", 3)), 20) },
 			"place": func(*rapid.T) {
 				if ts := tasks(); len(ts) > 0 {
 					k := ts[drawIndex("task", len(ts))]
-					j, _ := w.first.Job(k.ID.Job)
+					j, _ := pair.first.Job(k.ID.Job)
 					indexes := []uint32{k.ID.Index}
 					if j.Spec.Whole() && drawIndex("whole", 4) > 0 {
 						indexes = nil
@@ -201,7 +201,7 @@
 							indexes = append(indexes, i)
 						}
 					}
-					w.place(k.ID.Job, server(), indexes...)
+					pair.place(k.ID.Job, server(), indexes...)
 				}
 			},
 			"end": func(t *rapid.T) {
@@ -212,59 +212,59 @@
 				k := ts[drawIndex("task", len(ts))]
 				started := drawIndex("started", 2) == 0
 				ended := started && drawIndex("ended", 2) == 0
-				r := w.end(k, &record.End{Started: started, Ended: ended, Exit: int32(drawIndex("exit", 2))})
+				r := pair.end(k, &record.End{Started: started, Ended: ended, Exit: int32(drawIndex("exit", 2))})
 				if r.Code != code.OK || !started {
 					return
 				}
 				starts[k.ID]++
-				if j, _ := w.first.Job(k.ID.Job); j.Spec.Once && starts[k.ID] > 1 {
+				if j, _ := pair.first.Job(k.ID.Job); j.Spec.Once && starts[k.ID] > 1 {
 					t.Fatalf("task %v may not be repeated but started %d times", k.ID, starts[k.ID])
 				}
 			},
 			"halt": func(*rapid.T) {
 				if ts := tasks(); len(ts) > 0 {
 					k := ts[drawIndex("task", len(ts))]
-					w.apply(&record.Command{What: &record.Command_Halt{Halt: &record.Halt{Job: k.ID.Job, Indexes: []uint32{k.ID.Index}, Checkpoint: drawIndex("save", 2) == 0}}})
+					pair.apply(&record.Command{What: &record.Command_Halt{Halt: &record.Halt{Job: k.ID.Job, Indexes: []uint32{k.ID.Index}, Checkpoint: drawIndex("save", 2) == 0}}})
 				}
 			},
 			"cancel": func(*rapid.T) {
 				if ts := tasks(); len(ts) > 0 {
-					w.apply(&record.Command{What: &record.Command_Cancel{Cancel: &record.Cancel{Jobs: []uint64{ts[drawIndex("task", len(ts))].ID.Job}}}})
+					pair.apply(&record.Command{What: &record.Command_Cancel{Cancel: &record.Cancel{Jobs: []uint64{ts[drawIndex("task", len(ts))].ID.Job}}}})
 				}
 			},
 			"drop": func(*rapid.T) {
 				if ts := tasks(); len(ts) > 0 {
 					c := []code.Code{code.DeadlinePassed, code.Parked}[drawIndex("why", 2)]
-					w.apply(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: ts[drawIndex("task", len(ts))].ID.Job, Code: uint32(c)}}})
+					pair.apply(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: ts[drawIndex("task", len(ts))].ID.Job, Code: uint32(c)}}})
 				}
 			},
-			"fence": func(*rapid.T) { w.fence(server()) },
+			"fence": func(*rapid.T) { pair.fence(server()) },
 			"forget": func(*rapid.T) {
-				w.apply(&record.Command{What: &record.Command_Forget{Forget: w.first.ExpiredRecords(w.first.Now(), 2)}})
+				pair.apply(&record.Command{What: &record.Command_Forget{Forget: pair.first.ExpiredRecords(pair.first.Now(), 2)}})
 			},
 			// A snapshot copy is taken while commands are applied. It must show the
 			// state at its beginning. Otherwise a restart would apply the later
 			// commands twice.
 			"overlapping snapshot": func(t *rapid.T) {
 				if builder == nil {
-					builder, wantSnapshot = w.second.BeginSnapshot(), encode(t, w.second)
+					builder, wantSnapshot = pair.second.BeginSnapshot(), encode(t, pair.second)
 				}
 			},
 			"restore": func(t *rapid.T) {
-				data, err := w.second.Encode()
+				data, err := pair.second.Encode()
 				if err != nil {
 					t.Fatal(err)
 				}
-				if w.second, err = state.Decode(data); err != nil {
+				if pair.second, err = state.Decode(data); err != nil {
 					t.Fatal(err)
 				}
-				again, _ := w.second.Encode()
+				again, _ := pair.second.Encode()
 				if diff := cmp.Diff(data, again); diff != "" {
 					t.Fatalf("the snapshot differs after decoding and encoding: %s", diff)
 				}
 			},
 			"": func(t *rapid.T) {
-				w.checkInvariants(t)
+				pair.checkInvariants(t)
 				if builder != nil && builder.CopyRecords(1) {
 					if !bytes.Equal(wantSnapshot, encode(t, builder.State())) {
 						t.Fatal("the snapshot copy differs from the state at its beginning")
@@ -280,20 +280,20 @@
 // stop, and the last of them ends by itself before the order arrives. The whole gang
 // must be queued again.
 func TestGangRestartsWhenItsLastTaskEndsBeforeItsStop(t *testing.T) {
-	w := newReplicaPair()
-	w.announce("s0", 1, 20)
-	w.announce("s1", 1, 20)
-	j := w.accept("t0", "sweep", v1.Kind_KIND_GANG, 2, 10, false).Job
-	b0, _ := w.first.Server("s0")
-	b1, _ := w.first.Server("s1")
-	w.apply(&record.Command{What: &record.Command_Place{Place: &record.Place{Job: j.Number, Spots: []*record.Spot{
+	pair := newReplicaPair()
+	pair.announce("s0", 1, 20)
+	pair.announce("s1", 1, 20)
+	j := pair.accept("t0", "sweep", v1.Kind_KIND_GANG, 2, 10, false).Job
+	b0, _ := pair.first.Server("s0")
+	b1, _ := pair.first.Server("s1")
+	pair.apply(&record.Command{What: &record.Command_Place{Place: &record.Place{Job: j.Number, Spots: []*record.Spot{
 		{Index: 0, Server: "s0", Incarnation: b0.Incarnation}, {Index: 1, Server: "s1", Incarnation: b1.Incarnation},
 	}}}})
-	w.fence("s0")
-	last, _ := w.first.Task(task.ID{Job: j.Number, Index: 1})
-	w.end(last, &record.End{Started: true, Ended: true, Answer: []byte("half")})
-	w.checkInvariants(t)
-	if now, _ := w.first.Job(j.Number); now.WaitingTasks != 2 {
+	pair.fence("s0")
+	last, _ := pair.first.Task(task.ID{Job: j.Number, Index: 1})
+	pair.end(last, &record.End{Started: true, Ended: true, Answer: []byte("half")})
+	pair.checkInvariants(t)
+	if now, _ := pair.first.Job(j.Number); now.WaitingTasks != 2 {
 		t.Errorf("%d of 2 gang tasks wait, want 2", now.WaitingTasks)
 	}
 }
@@ -302,18 +302,18 @@
 // process may still run the old task, so the task holds capacity and the new session is
 // refused until the lease expires.
 func TestOldTasksOfARestartedServerCountUntilItsLeaseExpires(t *testing.T) {
-	w := newReplicaPair()
-	w.announce("s0", 1, 10)
-	j := w.accept("t0", "plan", v1.Kind_KIND_BATCH, 1, 10, false).Job
-	w.place(j.Number, "s0", 0)
-	if r := w.announce("s0", 2, 10); r.Code != code.Busy {
+	pair := newReplicaPair()
+	pair.announce("s0", 1, 10)
+	j := pair.accept("t0", "plan", v1.Kind_KIND_BATCH, 1, 10, false).Job
+	pair.place(j.Number, "s0", 0)
+	if r := pair.announce("s0", 2, 10); r.Code != code.Busy {
 		t.Errorf("announce while the old session holds a task: got %v, want Busy", r)
 	}
-	w.fence("s0")
-	if r := w.announce("s0", 2, 10); r.Code != code.OK || r.Incarnation != 2 {
+	pair.fence("s0")
+	if r := pair.announce("s0", 2, 10); r.Code != code.OK || r.Incarnation != 2 {
 		t.Errorf("announce after the fence: got %v, want incarnation 2", r)
 	}
-	w.checkInvariants(t)
+	pair.checkInvariants(t)
 }
 
 // Guards against a second start of a task that may not be repeated. The server stops
@@ -321,49 +321,49 @@
 // started, the outcome is unknown. If not, the task is queued again.
 func TestUnrepeatableTaskIsNotRestartedAfterAStop(t *testing.T) {
 	for started, want := range map[bool]state.Phase{true: state.Unknown, false: state.Queued} {
-		w := newReplicaPair()
-		w.announce("s0", 1, 10)
-		j := w.accept("t0", "stock", v1.Kind_KIND_BATCH, 1, 10, true).Job
-		w.place(j.Number, "s0", 0)
-		k, _ := w.first.Task(task.ID{Job: j.Number})
-		w.end(k, &record.End{Started: started})
-		if k, _ = w.first.Task(k.ID); k.Phase != want {
+		pair := newReplicaPair()
+		pair.announce("s0", 1, 10)
+		j := pair.accept("t0", "stock", v1.Kind_KIND_BATCH, 1, 10, true).Job
+		pair.place(j.Number, "s0", 0)
+		k, _ := pair.first.Task(task.ID{Job: j.Number})
+		pair.end(k, &record.End{Started: started})
+		if k, _ = pair.first.Task(k.ID); k.Phase != want {
 			t.Errorf("started = %v: got phase %v, want %v", started, k.Phase, want)
 		}
-		w.checkInvariants(t)
+		pair.checkInvariants(t)
 	}
 }
 
 // Guards against a planner that works with outdated usage of a team or with a limit
 // that was just lowered. The ledger refuses a placement beyond the limit.
 func TestPlacementsNeverExceedATeamLimit(t *testing.T) {
-	w := newReplicaPair()
-	w.announce("s0", 1, 20)
-	first := w.accept("t0", "a", v1.Kind_KIND_BATCH, 1, 10, false).Job
-	second := w.accept("t0", "b", v1.Kind_KIND_BATCH, 1, 10, false).Job
-	if r := w.place(first.Number, "s0", 0); r.Code != code.OK {
+	pair := newReplicaPair()
+	pair.announce("s0", 1, 20)
+	first := pair.accept("t0", "a", v1.Kind_KIND_BATCH, 1, 10, false).Job
+	second := pair.accept("t0", "b", v1.Kind_KIND_BATCH, 1, 10, false).Job
+	if r := pair.place(first.Number, "s0", 0); r.Code != code.OK {
 		t.Fatal(r)
 	}
-	if r := w.place(second.Number, "s0", 0); r.Code == code.OK {
+	if r := pair.place(second.Number, "s0", 0); r.Code == code.OK {
 		t.Error("the second task was placed beyond the limit of the team")
 	}
-	w.checkInvariants(t)
+	pair.checkInvariants(t)
 }
 
 // Guards against a planner that miscounts and places a second task on a full server,
 // alone or in one command with the first. The ledger refuses both.
 func TestPlacementsNeverOvercommitAServer(t *testing.T) {
-	w := newReplicaPair()
-	w.announce("s0", 1, 10)
-	first := w.accept("t0", "a", v1.Kind_KIND_BATCH, 2, 6, false).Job
-	if r := w.place(first.Number, "s0", 0, 1); r.Code == code.OK {
+	pair := newReplicaPair()
+	pair.announce("s0", 1, 10)
+	first := pair.accept("t0", "a", v1.Kind_KIND_BATCH, 2, 6, false).Job
+	if r := pair.place(first.Number, "s0", 0, 1); r.Code == code.OK {
 		t.Error("two tasks were placed on a server with capacity for one")
 	}
-	if r := w.place(first.Number, "s0", 0); r.Code != code.OK {
+	if r := pair.place(first.Number, "s0", 0); r.Code != code.OK {
 		t.Fatal(r)
 	}
-	if r := w.place(first.Number, "s0", 1); r.Code == code.OK {
+	if r := pair.place(first.Number, "s0", 1); r.Code == code.OK {
 		t.Error("a second task was placed on a full server")
 	}
-	w.checkInvariants(t)
+	pair.checkInvariants(t)
 }
