--- a/internal/control/dispatch/crash.go
+++ b/internal/control/dispatch/crash.go
@@ -67,7 +67,7 @@
 // it crashes it.
 func (d *Dispatcher) onProbation(s *session, r *run, now time.Duration) {
 	if t, ok := d.task(r); ok && t.BlamedCrashes > 0 {
-		s.probation = max(s.probation, now+blame.Probation)
+		s.probation = max(s.probation, now+blame.ProbationPeriod)
 	}
 }
 
--- a/internal/control/dispatch/order.go
+++ b/internal/control/dispatch/order.go
@@ -192,7 +192,7 @@
 // once. A second silence gives the run up.
 func (d *Dispatcher) again(s *session, r *run) {
 	b, ok := d.Host.Flows().Server(s.id)
-	late := r.placed > 0 && d.Now()-r.placed > d.Gang/gangParts && d.gang(r) != nil
+	late := r.placed > 0 && d.Now()-r.placed > d.GangTimeout/gangParts && d.gang(r) != nil
 	if r.tries >= startTries || late || !ok || !d.Host.Flows().AcceptsWork(b) || s.closing != "" {
 		d.unwant(s, r)
 		return
@@ -253,7 +253,7 @@
 		}
 		if r := s.runs[id]; r != nil && r.Number == h.Number && !r.stopping {
 			r.stopping = true
-			d.Host.After(func() { d.stop(s, r) })
+			d.Host.AfterCommit(func() { d.stop(s, r) })
 		}
 	}
 	for r, s := range d.lead.stops {
--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -15,8 +15,8 @@
 // Report is what a backend server says of itself now and then.
 type Report struct {
 	*record.FlowServer
-	// Call counts the reports of one life; a late one has a lower number.
-	Call uint64
+	// Number counts the reports of one life; a late one has a lower number.
+	Number uint64
 	// Clock is the server's clock in milliseconds; 0 when it is not told.
 	Clock int64
 	// Remaining is the least time in milliseconds that a leaving server has left.
@@ -47,7 +47,7 @@
 	case known && r.GetBorn() < old.StartedAtMs:
 		reply(nil) // a late report of a life before
 		return
-	case known && r.GetBorn() == old.StartedAtMs && (old.Ended || r.Call < old.LastReport):
+	case known && r.GetBorn() == old.StartedAtMs && (old.Ended || r.Number < old.LastReport):
 		reply(nil)
 		return
 	case s != nil && s.born < r.GetBorn():
@@ -59,18 +59,18 @@
 			reply(code.New(code.Busy, "the life before is being closed"))
 			return
 		}
-	case s != nil && s.born == r.GetBorn() && r.Call < s.call:
+	case s != nil && s.born == r.GetBorn() && r.Number < s.call:
 		reply(nil)
 		return
 	case known && s != nil && same(old, r.FlowServer) && !d.colder(old, r.FlowServer):
 		// What it repeats may still be on its way into the log.
-		d.Host.After(func() { reply(nil) })
+		d.Host.AfterCommit(func() { reply(nil) })
 		return
 	}
 	if known && old.StartedAtMs == r.GetBorn() && old.ShuttingDown {
 		r.Leaving = true
 	}
-	r.FlowServer.Call = r.Call
+	r.FlowServer.Call = r.Number
 	if !d.decide(&record.Flow{What: &record.Flow_Server{Server: r.FlowServer}}) {
 		reply(code.New(code.Stale, "%s", r.GetId()))
 		return
@@ -86,7 +86,7 @@
 	if now.ShuttingDown && (!known || !old.ShuttingDown) {
 		event.Log(d.Log, event.ServerDraining, "server", r.GetId(), "born", r.GetBorn(), "remaining", r.Remaining, "held", len(now.HeldRuns))
 	}
-	d.Host.After(func() { reply(nil) })
+	d.Host.AfterCommit(func() { reply(nil) })
 }
 
 // coldSlack is how much later than known a server may say that it stops being slow
@@ -95,7 +95,7 @@
 
 // colder tells whether a server says that it stays slow for longer than is known.
 func (d *Dispatcher) colder(b *flows.Server, r *record.FlowServer) bool {
-	return d.Host.Clock()+time.Duration(r.GetCold())*time.Millisecond > max(b.WarmUpEndsAt, d.Host.Clock())+coldSlack
+	return d.Host.LedgerTime()+time.Duration(r.GetCold())*time.Millisecond > max(b.WarmUpEndsAt, d.Host.LedgerTime())+coldSlack
 }
 
 // same tells whether a report says nothing new.
@@ -115,7 +115,7 @@
 			d.decide(&record.Flow{What: &record.Flow_Server{Server: leaving}})
 		}
 		event.Log(d.Log, event.ServerLeft, "server", id)
-		d.Host.After(func() { reply(struct{}{}) })
+		d.Host.AfterCommit(func() { reply(struct{}{}) })
 	})
 	return err
 }
--- a/internal/control/dispatch/sessions.go
+++ b/internal/control/dispatch/sessions.go
@@ -6,8 +6,8 @@
 
 	"gypsumreel/internal/domain/flow"
 	"gypsumreel/internal/ledger/flows"
-	"gypsumreel/internal/policy/intake"
 	"gypsumreel/internal/policy/pace"
+	"gypsumreel/internal/policy/recovery"
 )
 
 // open begins a session with a server as the ledger has it.
@@ -43,13 +43,13 @@
 func byID(s *session, id string) int { return cmp.Compare(s.id, id) }
 
 // class is how soon a server is asked what it holds.
-func (s *session) class() intake.Class {
-	c := intake.Idle
+func (s *session) class() recovery.Priority {
+	c := recovery.Idle
 	for _, r := range s.runs {
 		if r.urgent {
-			return intake.Urgent
+			return recovery.Urgent
 		}
-		c = intake.Busy
+		c = recovery.Busy
 	}
 	return c
 }
--- a/internal/control/dispatch/sharing.go
+++ b/internal/control/dispatch/sharing.go
@@ -13,7 +13,7 @@
 // moderate sets the pace of what fills a server beside what serves there, from
 // the list that the server has just given.
 func (d *Dispatcher) moderate(s *session) {
-	var serving []pace.Serving
+	var serving []pace.ServiceTask
 	var fills []*run
 	for _, r := range s.runs {
 		step, ok := d.Host.Flows().Step(r.StepID)
@@ -22,7 +22,7 @@
 		case step.Spec.GetFills():
 			fills = append(fills, r)
 		case step.Spec.GetTarget() > 0:
-			serving = append(serving, pace.Serving{Tail: r.load, Target: float64(step.Spec.GetTarget())})
+			serving = append(serving, pace.ServiceTask{TailLatency: r.load, TargetLatency: float64(step.Spec.GetTarget())})
 		}
 	}
 	s.shared = len(fills) > 0 && len(serving) > 0
--- a/internal/control/dispatch/sweep.go
+++ b/internal/control/dispatch/sweep.go
@@ -14,7 +14,7 @@
 func (d *Dispatcher) sweep(now time.Duration) {
 	const most = 500
 	ledger := d.Host.Flows()
-	before := d.Host.Clock() - d.Retention
+	before := d.Host.LedgerTime() - d.Retention
 	f := &record.FlowForget{}
 	for id, one := range ledger.Flows() {
 		if one.Final() && one.EndedAt < before && one.HeldRuns == 0 && len(f.Flows) < most {
@@ -34,7 +34,7 @@
 			delete(d.lead.advice, id)
 		}
 	}
-	maps.DeleteFunc(d.lead.times, func(id flow.StepID, _ steps.Times) bool {
+	maps.DeleteFunc(d.lead.times, func(id flow.StepID, _ steps.Timing) bool {
 		s, ok := ledger.Step(id)
 		return !ok || s.DoneTasks == len(s.Tasks)
 	})
@@ -63,8 +63,8 @@
 			continue
 		}
 		due := time.Duration(f.Spec.GetFirst()+int64(f.NextTurn)*int64(f.Spec.GetEvery())) * time.Millisecond
-		if due <= d.Host.Clock() {
-			event.Log(d.Log, event.TurnBegun, "flow", id, "turn", f.NextTurn, "late", (d.Host.Clock() - due).String())
+		if due <= d.Host.LedgerTime() {
+			event.Log(d.Log, event.TurnBegun, "flow", id, "turn", f.NextTurn, "late", (d.Host.LedgerTime() - due).String())
 			d.decide(&record.Flow{What: &record.Flow_Due{Due: &record.FlowDue{Id: id}}})
 		}
 	}
--- a/internal/control/dispatch/zone.go
+++ b/internal/control/dispatch/zone.go
@@ -22,7 +22,7 @@
 			reply(errNotLeading)
 			return
 		}
-		if !d.Host.KnowsZone(zone) {
+		if !d.Host.HasZone(zone) {
 			err := code.New(code.Unknown, "zone %q", zone)
 			event.Fail(d.Log, event.ZoneRefused, err, "zone", zone, "drain", drain)
 			reply(err)
@@ -30,11 +30,11 @@
 		}
 		// One that changes nothing is committed as well, which proves that it is
 		// the newest word.
-		if err := d.Host.Decide(&record.Flow{What: &record.Flow_Zone{Zone: &record.ZoneMark{Zone: zone, Drain: drain}}}); err != nil {
+		if err := d.Host.ApplyCommand(&record.Flow{What: &record.Flow_Zone{Zone: &record.ZoneMark{Zone: zone, Drain: drain}}}); err != nil {
 			reply(err)
 			return
 		}
-		d.Host.After(func() {
+		d.Host.AfterCommit(func() {
 			event.Log(d.Log, event.ZoneMarked, "zone", zone, "drain", drain, "term", d.lead.term)
 			reply(nil)
 		})
@@ -85,7 +85,7 @@
 	}
 	for _, s := range d.lead.sorted {
 		b, known := ledger.Server(s.id)
-		if known && ledger.AcceptsWork(b) && s.usable(now) && b.Pool == q.GetPool() && steps.Labelled(step.Spec.GetLabel(), b) && flow.SizeOf(step.Spec).Fits(b.FreeCapacity()) {
+		if known && ledger.AcceptsWork(b) && s.usable(now) && b.Pool == q.GetPool() && steps.HasLabel(step.Spec.GetLabel(), b) && flow.SizeOf(step.Spec).Fits(b.FreeCapacity()) {
 			return true
 		}
 	}
--- a/internal/control/leader/decide.go
+++ b/internal/control/leader/decide.go
@@ -41,7 +41,7 @@
 func (l *Leader) carryOut(d plan.Decision) {
 	l.decided(d)
 	var r state.Result
-	switch d.Verb {
+	switch d.Action {
 	case plan.Place:
 		r = l.place(d)
 	case plan.Preempt:
@@ -64,30 +64,30 @@
 		// the planner's picture is wrong: it would decide the same again at
 		// every turn.
 		l.correct(d)
-		l.Log.Info("decision refused", "verb", d.Verb, "job", d.Job, "code", uint32(r.Code), "detail", r.Detail)
+		l.Log.Info("decision refused", "verb", d.Action, "job", d.Job, "code", uint32(r.Code), "detail", r.Detail)
 	}
 }
 
 // correct tells the planner again how the ledger holds what a refused decision
 // was about. A placement that no Hold confirms it takes back by itself.
 func (l *Leader) correct(d plan.Decision) {
-	for _, p := range d.Places {
+	for _, p := range d.Placements {
 		if b, ok := l.st.Server(p.Server); ok {
 			watch{l}.ServerChanged(b)
 		}
 	}
 	t, ok := l.st.Task(d.Task)
-	if !ok || len(d.Places) > 0 {
+	if !ok || len(d.Placements) > 0 {
 		return
 	}
 	if j, known := l.st.Job(t.ID.Job); known && t.Phase.HoldsCapacity() {
-		l.lead.planner.Hold(heldOf(j, t))
+		l.lead.planner.SetPlaced(heldOf(j, t))
 	}
 }
 
 func (l *Leader) place(d plan.Decision) state.Result {
 	p := &record.Place{Job: d.Job}
-	for _, s := range d.Places {
+	for _, s := range d.Placements {
 		b, _ := l.st.Server(s.Server)
 		p.Spots = append(p.Spots, &record.Spot{Index: s.Index, Server: s.Server, Incarnation: b.Incarnation})
 	}
@@ -151,34 +151,34 @@
 
 // TaskQueued passes a waiting task on.
 func (w watch) TaskQueued(j *state.Job, t *state.Task) {
-	w.l.lead.planner.Queue(plan.Queued{ID: t.ID, Job: j.Spec, Accepted: j.AcceptedAt, Attempts: t.Attempt})
+	w.l.lead.planner.AddWaiting(plan.WaitingTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.AcceptedAt, Attempts: t.Attempt})
 	w.l.lead.dirty = true
 }
 
 // TaskUnqueued passes on that a task waits no more.
-func (w watch) TaskUnqueued(id task.ID) { w.l.lead.planner.Unqueue(id) }
+func (w watch) TaskUnqueued(id task.ID) { w.l.lead.planner.RemoveWaiting(id) }
 
 // TaskPlaced passes a placement on and lets its server's session know.
 func (w watch) TaskPlaced(j *state.Job, t *state.Task) {
-	w.l.lead.planner.Hold(heldOf(j, t))
+	w.l.lead.planner.SetPlaced(heldOf(j, t))
 	w.l.placed(t)
 	w.l.lead.updated[t.Server] = true
 }
 
 // TaskStopping passes on that a task is to stop and lets its server's session know.
 func (w watch) TaskStopping(j *state.Job, t *state.Task) {
-	w.l.lead.planner.Hold(heldOf(j, t))
+	w.l.lead.planner.SetPlaced(heldOf(j, t))
 	w.l.lead.updated[t.Server] = true
 }
 
-func heldOf(j *state.Job, t *state.Task) plan.Held {
-	return plan.Held{ID: t.ID, Job: j.Spec, Accepted: j.AcceptedAt, Server: t.Server, Since: t.PhaseSince, Stopping: t.Phase == state.Stopping}
+func heldOf(j *state.Job, t *state.Task) plan.PlacedTask {
+	return plan.PlacedTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.AcceptedAt, Server: t.Server, PlacedAt: t.PhaseSince, Stopping: t.Phase == state.Stopping}
 }
 
 // TaskReleased passes on that an attempt runs no more.
 func (w watch) TaskReleased(_ *state.Job, t *state.Task, how state.AttemptEnd) {
 	w.l.released(t, how)
-	w.l.lead.planner.Release(t.ID, plan.End{At: w.l.st.Now(), Ran: how.Started, Failed: how.Failed, Lost: how.Lost})
+	w.l.lead.planner.EndAttempt(t.ID, plan.AttemptEnd{EndedAt: w.l.st.Now(), Started: how.Started, Failed: how.Failed, ServerLost: how.Lost})
 	w.l.lead.dirty = true
 }
 
@@ -191,11 +191,11 @@
 // watchServers marks servers that went silent and ends sessions whose lease is over.
 func (l *Leader) watchServers(now time.Duration) {
 	ld := l.lead
-	if !ld.proved || now-ld.confirmed > l.Fresh {
+	if !ld.proved || now-ld.confirmed > l.MaxConfirmationAge {
 		return // a leader that cannot prove to lead gives up nobody
 	}
 	for id, s := range ld.servers {
-		if now-s.heard <= l.Silence {
+		if now-s.heard <= l.SyncTimeout {
 			continue
 		}
 		b, ok := l.st.Server(id)
--- a/internal/control/leader/inspect.go
+++ b/internal/control/leader/inspect.go
@@ -73,7 +73,7 @@
 // no time until ctx ends.
 func (l *Leader) Inspect(ctx context.Context) (View, error) {
 	var v View
-	err := l.Do(ctx, func(*state.State) { v = l.view() })
+	err := l.Execute(ctx, func(*state.State) { v = l.view() })
 	if err != nil {
 		return View{}, err
 	}
--- a/internal/control/leader/leader_test.go
+++ b/internal/control/leader/leader_test.go
@@ -158,13 +158,13 @@
 		s.sync()
 		at := c.g.now()
 		other := c.announce("b2", 1000)
-		for c.g.now() < at+c.l.Terms.Length {
+		for c.g.now() < at+c.l.LeaseTerms.Length {
 			if got := starts(other.sync()); len(got) > 0 {
 				t.Fatalf("started elsewhere after %v", c.g.now()-at)
 			}
 		}
 		var moved []*v1.Attempt
-		for c.g.now() < at+2*c.l.Terms.Wait() && moved == nil {
+		for c.g.now() < at+2*c.l.LeaseTerms.Wait() && moved == nil {
 			moved = starts(other.sync())
 		}
 		if len(moved) != 1 || moved[0].GetNumber() != 2 {
@@ -186,7 +186,7 @@
 		c.elect(2)
 		at := c.g.now()
 		other := c.announce("b2", 1000)
-		for c.g.now() < at+c.l.Terms.Length {
+		for c.g.now() < at+c.l.LeaseTerms.Length {
 			if got := starts(other.sync()); len(got) > 0 {
 				t.Fatalf("started elsewhere %v after the election", c.g.now()-at)
 			}
@@ -441,7 +441,7 @@
 // them does not wait.
 func TestProposalsAreGathered(t *testing.T) {
 	run(t, func(c *cell) {
-		if err := c.l.Do(context.Background(), func(*state.State) { c.l.Gather = 10 * time.Millisecond }); err != nil {
+		if err := c.l.Execute(context.Background(), func(*state.State) { c.l.ProposalInterval = 10 * time.Millisecond }); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
--- a/internal/control/leader/notice.go
+++ b/internal/control/leader/notice.go
@@ -157,9 +157,9 @@
 // decided tells of decisions that change what runs.
 func (l *Leader) decided(d plan.Decision) {
 	l.meter.decisions.Inc()
-	switch d.Verb {
+	switch d.Action {
 	case plan.Place:
-		l.meter.placements.Add(len(d.Places))
+		l.meter.placements.Add(len(d.Placements))
 	case plan.Preempt:
 		l.meter.preempted.Inc()
 		l.limit.Log(l.Log, event.Preempted, "job", d.Task.Job, "task", d.Task.Index)
--- a/internal/control/leader/notice_test.go
+++ b/internal/control/leader/notice_test.go
@@ -67,7 +67,7 @@
 		}}}})
 		log.want(t, "limit-lowered", "table-changed")
 		var yields atomic.Int32
-		if err := c.l.Do(context.Background(), func(*state.State) { c.l.Yield = func() { yields.Add(1) } }); err != nil {
+		if err := c.l.Execute(context.Background(), func(*state.State) { c.l.TransferLeadership = func() { yields.Add(1) } }); err != nil {
 			t.Fatal(err)
 		}
 		c.g.notes <- group.Full{Full: true}
--- a/internal/control/leader/operator.go
+++ b/internal/control/leader/operator.go
@@ -14,7 +14,7 @@
 )
 
 // change commits an operator's change and answers with what it came to.
-func (l *Leader) change(to Ticket, k key.Key, req *v1.ChangeRequest) {
+func (l *Leader) change(to ReplyTarget, k key.Key, req *v1.ChangeRequest) {
 	if req.GetId() == "" {
 		l.refuse(to, code.New(code.Malformed, "a change needs an id"))
 		return
@@ -23,7 +23,7 @@
 		l.member(to, c)
 		return
 	}
-	if c := req.GetZone(); c != nil && !l.KnowsZone(c.GetZone()) {
+	if c := req.GetZone(); c != nil && !l.HasZone(c.GetZone()) {
 		l.refuse(to, code.New(code.Unknown, "zone %q", c.GetZone()))
 		return
 	}
@@ -42,7 +42,7 @@
 }
 
 // show answers a read once it is proved current.
-func (l *Leader) show(to Ticket, req *v1.ShowRequest) {
+func (l *Leader) show(to ReplyTarget, req *v1.ShowRequest) {
 	l.read(to, func() {
 		l.reply(to, &inner.Reply{Answer: &inner.Reply_Show{Show: l.shown(req)}})
 	})
@@ -92,8 +92,8 @@
 	return out
 }
 
-// KnowsZone tells whether there is an availability zone of that name.
-func (l *Leader) KnowsZone(name string) bool {
+// HasZone tells whether there is an availability zone of that name.
+func (l *Leader) HasZone(name string) bool {
 	if len(l.Zones) > 0 {
 		return slices.Contains(l.Zones, name)
 	}
@@ -116,8 +116,8 @@
 func (l *Leader) memberLines() []*v1.MemberLine {
 	var out []*v1.MemberLine
 	var matches map[string]uint64
-	if l.Matches != nil {
-		matches = l.Matches()
+	if l.MatchIndexes != nil {
+		matches = l.MatchIndexes()
 	}
 	for _, m := range l.members.Members {
 		line := &v1.MemberLine{Name: m.ID, Role: "control", Address: m.Address, State: "voter", Leader: m.ID == l.members.Self}
@@ -129,8 +129,8 @@
 		}
 		out = append(out, line)
 	}
-	if l.Entries != nil {
-		out = append(out, l.Entries()...)
+	if l.EntryMembers != nil {
+		out = append(out, l.EntryMembers()...)
 	}
 	return out
 }
--- a/internal/control/leader/snapshot.go
+++ b/internal/control/leader/snapshot.go
@@ -25,7 +25,7 @@
 // beside the control thread.
 func (l *Leader) snapshot() {
 	s := &l.saving
-	if !s.busy && l.applied >= l.saved+l.Snapshot {
+	if !s.busy && l.applied >= l.saved+l.SnapshotInterval {
 		s.busy, s.index, s.picture = true, l.applied, l.st.BeginSnapshot()
 		return
 	}
--- a/internal/demo/fault/world_test.go
+++ b/internal/demo/fault/world_test.go
@@ -202,7 +202,7 @@
 	for _, name := range w.cell.Names("c", replicas) {
 		n := w.cell.Node(name)
 		ctx, cancel := context.WithTimeout(w.ctx, time.Second)
-		err := n.Control.Do(ctx, func(st *state.State) {
+		err := n.Control.Execute(ctx, func(st *state.State) {
 			if st.InvalidTransitions() > 0 {
 				faults = append(faults, name+": an event that no chart allows")
 			}
@@ -232,7 +232,7 @@
 	if !ok {
 		return "no leader"
 	}
-	_ = w.cell.Node(name).Control.Do(w.ctx, func(st *state.State) {
+	_ = w.cell.Node(name).Control.Execute(w.ctx, func(st *state.State) {
 		for _, j := range st.Jobs("") {
 			if j.Final() {
 				continue
--- a/internal/policy/steps/gang.go
+++ b/internal/policy/steps/gang.go
@@ -22,7 +22,7 @@
 		p.ask(it)
 		return
 	}
-	var places []Place
+	var places []Assignment
 	var stale, good []string
 	next := queuedTasks(it.Step)
 	for _, c := range chosen {
@@ -33,7 +33,7 @@
 			stale = append(stale, c.ID)
 		}
 		for range c.count {
-			places = append(places, Place{flow.TaskID{StepID: it.StepID, Index: next()}, c.ID})
+			places = append(places, Assignment{flow.TaskID{StepID: it.StepID, Index: next()}, c.ID})
 		}
 	}
 	if len(stale) > 0 {
@@ -137,15 +137,15 @@
 		}
 	}
 	if stale && begin <= soon {
-		p.plan.Wants = append(p.plan.Wants, Want{it, servers[:min(len(servers), MostWanted)]})
+		p.plan.Questions = append(p.plan.Questions, Question{it, servers[:min(len(servers), MaxServersPerStep)]})
 	}
 }
 
 // frees returns what a server will have free again, the soonest first.
 func (p *planner) frees(r *room) []Release {
 	if !r.freed {
-		r.frees, r.freed = p.view.Frees(r.ID), true
-		slices.SortStableFunc(r.frees, func(a, b Release) int { return cmp.Compare(a.In, b.In) })
+		r.frees, r.freed = p.view.Releases(r.ID), true
+		slices.SortStableFunc(r.frees, func(a, b Release) int { return cmp.Compare(a.After, b.After) })
 	}
 	return r.frees
 }
@@ -163,12 +163,12 @@
 		}
 	}
 	add(0)
-	if p.view.Frees == nil || have == most {
+	if p.view.Releases == nil || have == most {
 		return out
 	}
 	for _, f := range p.frees(r) {
 		free = free.Add(f.Size)
-		add(f.In)
+		add(f.After)
 	}
 	return out
 }
--- a/internal/policy/steps/probation.go
+++ b/internal/policy/steps/probation.go
@@ -53,7 +53,7 @@
 	}
 	roomy := slices.DeleteFunc(slices.Clone(options), func(o option) bool { return o.free.CPU != o.began })
 	slices.SortFunc(roomy, func(a, b option) int {
-		return cmp.Or(compareBool(a.Fresh, b.Fresh), a.last-b.last, cmp.Compare(b.free.CPU, a.free.CPU), a.at-b.at)
+		return cmp.Or(compareBool(a.RecentlyStarted, b.RecentlyStarted), a.last-b.last, cmp.Compare(b.free.CPU, a.free.CPU), a.at-b.at)
 	})
 	for _, o := range roomy {
 		if len(tasks) == 0 {
