--- a/internal/control/dispatch/advice.go
+++ b/internal/control/dispatch/advice.go
@@ -92,7 +92,7 @@
 // free for them.
 func (d *Dispatcher) askAdviserAbout(want steps.Question, shortest time.Duration, busy *busyHelpers, now time.Duration) bool {
 	q, ok := d.Host.Flows().QueueOf(want.Item.Flow)
-	if !ok || q.GetAdvice() == nil || want.Item.Flow.Final() || want.Item.Queued == 0 {
+	if !ok || q.GetAdvice() == nil || want.Item.Flow.Final() || want.Item.QueuedTasks == 0 {
 		return true
 	}
 	advice := d.leader.adviceByStep[want.Item.StepID]
@@ -213,16 +213,16 @@
 	if !ok || askedServers == 0 {
 		return
 	}
-	share, known := d.leader.permitShares[f.Queue]
+	share, known := d.leader.permitShares[f.QueueName]
 	if !known {
 		share = defaultPermitShare
 	}
-	d.leader.permitShares[f.Queue] = share + permitShareWeight*(float64(permittedServers)/float64(askedServers)-share)
+	d.leader.permitShares[f.QueueName] = share + permitShareWeight*(float64(permittedServers)/float64(askedServers)-share)
 }
 
 // permitShare returns the expected share of servers that are permitted to run a step.
 func (d *Dispatcher) permitShare(item steps.Item) float64 {
-	if share, ok := d.leader.permitShares[item.Flow.Queue]; ok {
+	if share, ok := d.leader.permitShares[item.Flow.QueueName]; ok {
 		return share
 	}
 	return defaultPermitShare
--- a/internal/control/dispatch/ask.go
+++ b/internal/control/dispatch/ask.go
@@ -126,7 +126,7 @@
 	case inner.FlowVerb_FLOW_VERB_STATE:
 		d.replyState(id, owner, receivedAt, reply)
 	case inner.FlowVerb_FLOW_VERB_PENDING:
-		d.Host.AfterCommit(func() { reply(&inner.FlowAnswer{Pending: uint32(d.Host.Flows().Pending(q.GetName()))}) })
+		d.Host.AfterCommit(func() { reply(&inner.FlowAnswer{Pending: uint32(d.Host.Flows().PendingFlows(q.GetName()))}) })
 	default:
 		reply(refusalAnswer(code.New(code.Malformed, "unknown request verb %d", a.GetVerb()), 0))
 	}
@@ -147,7 +147,7 @@
 	}
 	if err, retryAfter := d.checkAdmission(a, q); err != nil {
 		d.flowMetrics.countRefusal(err.Code)
-		event.Fail(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", owner, "open", ledger.Open(), "retry", retryAfter.String())
+		event.Fail(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", owner, "open", ledger.OpenFlows(), "retry", retryAfter.String())
 		reply(refusalAnswer(err, retryAfter))
 		return
 	}
@@ -178,7 +178,7 @@
 	if d.Host.DiskFull() {
 		return code.New(code.DiskFull, ""), retryDelay
 	}
-	if d.Host.Flows().Open() >= d.MaxOpenFlows {
+	if d.Host.Flows().OpenFlows() >= d.MaxOpenFlows {
 		return code.New(code.Overloaded, "the limit of %d open flows is reached", d.MaxOpenFlows), retryDelay
 	}
 	if d.allZonesDrained(q.GetPool()) {
@@ -220,7 +220,7 @@
 func (d *Dispatcher) cancelFlow(id, owner string, receivedAt time.Duration, reply func(*inner.FlowAnswer)) {
 	d.withFlow(id, owner, receivedAt, reply, func(f *flows.Flow) {
 		if !f.Final() {
-			event.Log(d.Log, event.FlowCancelled, "flow", id, "held", f.Held, "term", d.leader.term)
+			event.Log(d.Log, event.FlowCancelled, "flow", id, "held", f.HeldRuns, "term", d.leader.term)
 			d.applyOrLog(&record.Flow{What: &record.Flow_Cancel{Cancel: &record.FlowCancel{Id: id}}})
 		}
 		d.Host.AfterCommit(func() { reply(stateAnswer(f)) })
--- a/internal/control/dispatch/closing.go
+++ b/internal/control/dispatch/closing.go
@@ -90,5 +90,5 @@
 	if r.startSentAt > 0 {
 		return max(now-r.startSentAt, 0)
 	}
-	return max(d.Host.LedgerTime()-r.allocation.Since-(d.Now()-now), 0)
+	return max(d.Host.LedgerTime()-r.allocation.PlacedAt-(d.Now()-now), 0)
 }
--- a/internal/control/dispatch/crash.go
+++ b/internal/control/dispatch/crash.go
@@ -14,7 +14,7 @@
 // currentTask returns the ledger's task of a run if the run is the latest one of that task.
 func (d *Dispatcher) currentTask(r *run) (flows.Task, bool) {
 	step, ok := d.Host.Flows().Step(r.StepID)
-	if !ok || int(r.Index) >= len(step.Tasks) || step.Tasks[r.Index].Number != r.Number {
+	if !ok || int(r.Index) >= len(step.Tasks) || step.Tasks[r.Index].LatestRun != r.Number {
 		return flows.Task{}, false
 	}
 	return step.Tasks[r.Index], true
@@ -23,7 +23,7 @@
 // endedUnexpectedly reports whether the server's incarnation ended without prior notice.
 func (d *Dispatcher) endedUnexpectedly(s *session) bool {
 	b, ok := d.Host.Flows().Server(s.id)
-	return ok && !d.Host.Flows().Planned(b)
+	return ok && !d.Host.Flows().ShutdownPlanned(b)
 }
 
 // blamedRuns returns the runs that may have caused the crash of a server.
@@ -32,12 +32,12 @@
 	blameRuns := make([]blame.Run, 0, len(candidates))
 	for _, r := range candidates {
 		t, _ := d.currentTask(r)
-		blameRuns = append(blameRuns, blame.Run{Age: d.runAge(s, r), Blamed: t.Blamed})
+		blameRuns = append(blameRuns, blame.Run{Age: d.runAge(s, r), Blamed: t.BlamedCrashes})
 	}
 	var blamed []*inner.Run
 	for _, i := range blame.Suspects(blameRuns) {
 		t, _ := d.currentTask(candidates[i])
-		event.Log(d.Log, event.RunBlamed, "flow", candidates[i].Flow, "run", candidates[i].String(), "server", s.id, "crashes", t.Crashes+1, "blamed", t.Blamed+1, "beside", len(s.runs)-1)
+		event.Log(d.Log, event.RunBlamed, "flow", candidates[i].Flow, "run", candidates[i].String(), "server", s.id, "crashes", t.ConsecutiveCrashes+1, "blamed", t.BlamedCrashes+1, "beside", len(s.runs)-1)
 		blamed = append(blamed, candidates[i].Message())
 	}
 	return blamed
@@ -66,7 +66,7 @@
 // startProbation reserves a server for a task that is suspected of crashing servers, until
 // its probation ends.
 func (d *Dispatcher) startProbation(s *session, r *run, now time.Duration) {
-	if t, ok := d.currentTask(r); ok && t.Blamed > 0 {
+	if t, ok := d.currentTask(r); ok && t.BlamedCrashes > 0 {
 		s.probationUntil = max(s.probationUntil, now+blame.ProbationPeriod)
 	}
 }
@@ -77,5 +77,5 @@
 
 // isFresh reports whether the server's incarnation started within freshPeriod.
 func isFresh(b *flows.Server, clock time.Duration) bool {
-	return clock-time.Duration(b.Born)*time.Millisecond < freshPeriod
+	return clock-time.Duration(b.StartedAtMs)*time.Millisecond < freshPeriod
 }
--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -195,7 +195,7 @@
 	}
 	ledger := d.Host.Flows()
 	for _, b := range ledger.Servers() {
-		if b.Over {
+		if b.Ended {
 			continue
 		}
 		s := d.openSession(b)
@@ -210,7 +210,7 @@
 			d.leader.recurringFlows[id] = true
 		}
 	}
-	event.Log(d.Log, event.DispatchBegun, "term", term, "servers", len(d.leader.sessions), "flows", ledger.Open(), "drained", len(ledger.Zones()))
+	event.Log(d.Log, event.DispatchBegun, "term", term, "servers", len(d.leader.sessions), "flows", ledger.OpenFlows(), "drained", len(ledger.DrainedZones()))
 }
 
 // maxLeadershipProofAge is the longest time for which a leader acts on a proof of its
--- a/internal/control/dispatch/learn.go
+++ b/internal/control/dispatch/learn.go
@@ -108,7 +108,7 @@
 		return // no new run list since the last check
 	}
 	s.inspectedListAt = s.lastAnswerAt
-	if b, ok := d.Host.Flows().Server(s.id); ok && b.Leaving {
+	if b, ok := d.Host.Flows().Server(s.id); ok && b.ShuttingDown {
 		d.evacuate(s, b, now)
 	}
 	for _, r := range s.runs {
--- a/internal/control/dispatch/lease.go
+++ b/internal/control/dispatch/lease.go
@@ -43,10 +43,10 @@
 	servers := map[string][]shortlease.Server{}
 	for id, s := range d.leader.sessions {
 		b, ok := d.Host.Flows().Server(id)
-		if !ok || b.Over {
+		if !ok || b.Ended {
 			continue
 		}
-		if d.Host.Flows().Takes(b) && s.closeReason == "" {
+		if d.Host.Flows().AcceptsWork(b) && s.closeReason == "" {
 			servers[b.Pool] = append(servers[b.Pool], shortlease.Server{ID: id, CPU: b.Capacity.CPU})
 		}
 		for _, r := range s.runs {
--- a/internal/control/dispatch/meter.go
+++ b/internal/control/dispatch/meter.go
@@ -69,8 +69,8 @@
 
 // updateGauges sets the gauges to the current values.
 func (m *flowMetrics) updateGauges(d *Dispatcher) {
-	m.openFlows.Set(float64(d.Host.Flows().Open()))
+	m.openFlows.Set(float64(d.Host.Flows().OpenFlows()))
 	m.servers.Set(float64(len(d.leader.sessions)))
-	m.drainedZones.Set(float64(len(d.Host.Flows().Zones())))
+	m.drainedZones.Set(float64(len(d.Host.Flows().DrainedZones())))
 	m.documentVersion.Set(float64(d.Host.Flows().Config().GetVersion()))
 }
--- a/internal/control/dispatch/order.go
+++ b/internal/control/dispatch/order.go
@@ -31,7 +31,7 @@
 // run is the leader's state of one run on a server. Times are on the leader's clock.
 type run struct {
 	flow.RunID
-	allocation *flows.Held
+	allocation *flows.HeldRun
 	// placedAt is when the run was placed, or 0 if another leader placed it.
 	placedAt time.Duration
 	// startSentAt is when this leader first sent the start, or 0 if it has not.
@@ -105,7 +105,7 @@
 		d.disbandGang(r) // the incarnation has ended; the run's end is recorded when the session is closed
 		return
 	}
-	if b, ok := d.Host.Flows().Server(s.id); s.unresponsive || ok && (d.Host.Flows().Drained(b.Zone) || !b.Used.Fits(b.Capacity)) {
+	if b, ok := d.Host.Flows().Server(s.id); s.unresponsive || ok && (d.Host.Flows().ZoneDrained(b.Zone) || !b.Used.Fits(b.Capacity)) {
 		d.withdrawRun(s, r)
 		return
 	}
@@ -203,7 +203,7 @@
 func (d *Dispatcher) retryStart(s *session, r *run) {
 	b, ok := d.Host.Flows().Server(s.id)
 	pastGangLimit := r.placedAt > 0 && d.Now()-r.placedAt > d.GangTimeout/gangRetryDivisor && d.gangStep(r) != nil
-	if r.startAttempts >= maxStartAttempts || pastGangLimit || !ok || !d.Host.Flows().Takes(b) || s.closeReason != "" {
+	if r.startAttempts >= maxStartAttempts || pastGangLimit || !ok || !d.Host.Flows().AcceptsWork(b) || s.closeReason != "" {
 		d.stopRun(s, r)
 		return
 	}
@@ -238,7 +238,7 @@
 	stoppedCount := 0
 	for i, t := range step.Tasks {
 		s := d.leader.sessions[t.Server]
-		if t.Phase != flows.Placed || t.Number != r.Number || s == nil {
+		if t.Phase != flows.Placed || t.LatestRun != r.Number || s == nil {
 			continue
 		}
 		member := s.runs[flow.TaskID{StepID: r.StepID, Index: uint32(i)}]
@@ -257,7 +257,7 @@
 // the stops that are due.
 func (d *Dispatcher) stopUnwantedRuns() {
 	now := d.Now()
-	for id, allocation := range d.Host.Flows().Unwanted() {
+	for id, allocation := range d.Host.Flows().RunsToStop() {
 		s := d.leader.sessions[allocation.Server]
 		if s == nil {
 			continue
--- a/internal/control/dispatch/pace.go
+++ b/internal/control/dispatch/pace.go
@@ -78,7 +78,7 @@
 		case !step.Spec.GetSaves() || r.progressPercent <= 0 || d.remainingTime(step, r, now) <= timeLeft:
 			continue
 		}
-		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.progressPercent, "leaves", timeLeft.String(), "born", b.Born)
+		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.progressPercent, "leaves", timeLeft.String(), "born", b.StartedAtMs)
 		d.stopRun(s, r)
 	}
 }
--- a/internal/control/dispatch/plan.go
+++ b/internal/control/dispatch/plan.go
@@ -18,14 +18,14 @@
 // plan makes a plan, commits its placements and asks its questions.
 func (d *Dispatcher) plan(now time.Duration) {
 	ledger := d.Host.Flows()
-	if len(ledger.Ready()) == 0 {
+	if len(ledger.ReadySteps()) == 0 {
 		return
 	}
 	startedAt := d.Now()
 	view := steps.View{Items: d.leader.planView.Items[:0], Servers: d.leader.planView.Servers[:0], RemainingLimit: d.remainingQuota, Permissions: d.permissionsFor, AllowedShare: d.permitShare, Yield: d.Host.YieldProcessor}
 	view.Releases = func(server string) []steps.Release { return d.expectedReleases(server, now) }
 	clock := d.Host.LedgerTime()
-	for _, s := range ledger.Ready() {
+	for _, s := range ledger.ReadySteps() {
 		if advice := d.leader.adviceByStep[s.StepID]; advice != nil && advice.pendingQuestions > 0 && len(advice.permits) == 0 {
 			continue // nothing can be placed before the first answer of the adviser
 		}
@@ -35,8 +35,8 @@
 	}
 	for _, s := range d.leader.sortedSessions {
 		b, ok := ledger.Server(s.id)
-		if ok && ledger.Takes(b) && b.Born == s.incarnation && s.isUsable(now) && !d.leader.drainingForUpkeep[s.id] {
-			view.Servers = append(view.Servers, steps.Server{Server: b, Speed: d.relativeSpeed(s), Cold: clock < b.Warm, RecentlyStarted: isFresh(b, clock), OnProbation: now < s.probationUntil, ShortLease: d.leader.urgentServers[b.Pool].Contains(s.id)})
+		if ok && ledger.AcceptsWork(b) && b.StartedAtMs == s.incarnation && s.isUsable(now) && !d.leader.drainingForUpkeep[s.id] {
+			view.Servers = append(view.Servers, steps.Server{Server: b, Speed: d.relativeSpeed(s), Cold: clock < b.WarmUpEndsAt, RecentlyStarted: isFresh(b, clock), OnProbation: now < s.probationUntil, ShortLease: d.leader.urgentServers[b.Pool].Contains(s.id)})
 		}
 	}
 	view.Headroom = func(pool string) steps.Headroom { return d.headroom(pool, poolCapacity(view.Servers, pool), now) }
@@ -67,7 +67,7 @@
 
 // remainingQuota returns the capacity that a customer may still use.
 func (d *Dispatcher) remainingQuota(customer string) capacity.Size {
-	limit, used := d.Host.Flows().Limit(customer), d.Host.Flows().Used(customer)
+	limit, used := d.Host.Flows().CustomerLimit(customer), d.Host.Flows().CustomerUsage(customer)
 	remaining := func(limit, used int64) int64 {
 		if limit == capacity.Unlimited {
 			return unlimitedAmount
@@ -84,7 +84,7 @@
 		return steps.Item{}, false
 	}
 	times := d.stepTimes(s, q)
-	startedAt := s.Flow.Accepted
+	startedAt := s.Flow.AcceptedAt
 	if s.Flow.Spec.GetTimes() > 0 {
 		startedAt = time.Duration(s.Flow.Spec.GetFirst()+int64(s.Turn)*int64(s.Flow.Spec.GetEvery())) * time.Millisecond
 	}
@@ -135,10 +135,10 @@
 	start := &record.FlowStart{}
 	var highestNumber uint32
 	for _, task := range placement.Item.Tasks {
-		highestNumber = max(highestNumber, task.Number)
+		highestNumber = max(highestNumber, task.LatestRun)
 	}
 	for _, place := range placement.Assignments {
-		lastNumber := placement.Item.Tasks[place.Index].Number
+		lastNumber := placement.Item.Tasks[place.Index].LatestRun
 		if placement.Item.Spec.GetGang() {
 			lastNumber = highestNumber // all members of a gang have the same run number
 		}
@@ -152,8 +152,8 @@
 	for _, placed := range start.GetPlaces() {
 		runs = append(runs, d.addPlacedRun(placed, d.isUrgentStep(placement.Item.Step), now))
 	}
-	waited := d.Host.LedgerTime() - placement.Item.Since
-	queue := placement.Item.Flow.Queue
+	waited := d.Host.LedgerTime() - placement.Item.ReadyAt
+	queue := placement.Item.Flow.QueueName
 	d.flowMetrics.observeWait(queue, waited)
 	d.Host.AfterCommit(func() {
 		event.Log(d.Log, event.RunsPlaced, "flow", placement.Item.Flow.ID, "step", placement.Item.StepID.String(), "runs", len(runs), "first", start.Places[0].GetServer(), "queue", queue, "waited", waited.String(), "term", d.leader.term)
@@ -169,7 +169,7 @@
 func (d *Dispatcher) addPlacedRun(place *record.FlowPlace, urgent bool, now time.Duration) *run {
 	id := flow.RunOf(place.GetRun())
 	b, _ := d.Host.Flows().Server(place.GetServer())
-	r := &run{RunID: id, allocation: b.Held[id.TaskID], placedAt: now, urgent: urgent}
+	r := &run{RunID: id, allocation: b.HeldRuns[id.TaskID], placedAt: now, urgent: urgent}
 	if advice := d.leader.adviceByStep[id.StepID]; advice != nil {
 		r.permit = advice.permits[place.GetServer()].ticket
 	}
--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -45,10 +45,10 @@
 	previous, known := ledger.Server(r.GetId())
 	s := d.leader.sessions[r.GetId()]
 	switch {
-	case known && r.GetBorn() < previous.Born:
+	case known && r.GetBorn() < previous.StartedAtMs:
 		reply(nil) // delayed report of an earlier incarnation
 		return
-	case known && r.GetBorn() == previous.Born && (previous.Over || r.Number < previous.Call):
+	case known && r.GetBorn() == previous.StartedAtMs && (previous.Ended || r.Number < previous.LastReport):
 		reply(nil)
 		return
 	case s != nil && s.incarnation < r.GetBorn():
@@ -67,7 +67,7 @@
 		d.Host.AfterCommit(func() { reply(nil) })
 		return
 	}
-	if known && previous.Born == r.GetBorn() && previous.Leaving {
+	if known && previous.StartedAtMs == r.GetBorn() && previous.ShuttingDown {
 		r.Leaving = true
 	}
 	r.FlowServer.Call = r.Number
@@ -83,8 +83,8 @@
 	} else {
 		s.address = current.Address
 	}
-	if current.Leaving && (!known || !previous.Leaving) {
-		event.Log(d.Log, event.ServerDraining, "server", r.GetId(), "born", r.GetBorn(), "remaining", r.Remaining, "held", len(current.Held))
+	if current.ShuttingDown && (!known || !previous.ShuttingDown) {
+		event.Log(d.Log, event.ServerDraining, "server", r.GetId(), "born", r.GetBorn(), "remaining", r.Remaining, "held", len(current.HeldRuns))
 	}
 	d.Host.AfterCommit(func() { reply(nil) })
 }
@@ -96,21 +96,21 @@
 // staysColdLonger reports whether the server announces a longer slow start than the ledger
 // has.
 func (d *Dispatcher) staysColdLonger(b *flows.Server, r *record.FlowServer) bool {
-	return d.Host.LedgerTime()+time.Duration(r.GetCold())*time.Millisecond > max(b.Warm, d.Host.LedgerTime())+coldMargin
+	return d.Host.LedgerTime()+time.Duration(r.GetCold())*time.Millisecond > max(b.WarmUpEndsAt, d.Host.LedgerTime())+coldMargin
 }
 
 // isUnchanged reports whether the report equals the server's state in the ledger.
 func isUnchanged(b *flows.Server, r *record.FlowServer) bool {
 	size := capacity.Size{CPU: r.GetCapacity().GetCpu(), Memory: r.GetCapacity().GetMemory(), Accel: r.GetCapacity().GetAccel(), Slots: r.GetCapacity().GetSlots()}
-	return b.Born == r.GetBorn() && b.Address == r.GetAddress() && b.Pool == r.GetPool() && b.Machine == r.GetMachine() && b.Zone == r.GetZone() &&
-		b.Capacity == size && slices.Equal(b.Labels, r.GetLabels()) && (b.Leaving || !r.GetLeaving())
+	return b.StartedAtMs == r.GetBorn() && b.Address == r.GetAddress() && b.Pool == r.GetPool() && b.Machine == r.GetMachine() && b.Zone == r.GetZone() &&
+		b.Capacity == size && slices.Equal(b.Labels, r.GetLabels()) && (b.ShuttingDown || !r.GetLeaving())
 }
 
 // Leave handles the notice that a server exits. Its runs count as running until their end
 // is proved, because the notice may be a delayed one of an earlier incarnation.
 func (d *Dispatcher) Leave(ctx context.Context, id string) *code.Error {
 	_, err := runOnLeader(ctx, d, errDeposed, func(reply func(struct{})) {
-		if b, ok := d.Host.Flows().Server(id); ok && !b.Over && !b.Leaving {
+		if b, ok := d.Host.Flows().Server(id); ok && !b.Ended && !b.ShuttingDown {
 			leaving := serverRecord(b)
 			leaving.Leaving = true
 			d.applyOrLog(&record.Flow{What: &record.Flow_Server{Server: leaving}})
@@ -123,7 +123,7 @@
 
 func serverRecord(b *flows.Server) *record.FlowServer {
 	return &record.FlowServer{
-		Id: b.ID, Born: b.Born, Address: b.Address, Zone: b.Zone, Pool: b.Pool, Machine: b.Machine,
-		Capacity: sizeRecord(b.Capacity), Labels: b.Labels, Leaving: b.Leaving, Cursor: b.Cursor, Call: b.Call,
+		Id: b.ID, Born: b.StartedAtMs, Address: b.Address, Zone: b.Zone, Pool: b.Pool, Machine: b.Machine,
+		Capacity: sizeRecord(b.Capacity), Labels: b.Labels, Leaving: b.ShuttingDown, Cursor: b.EndCursor, Call: b.LastReport,
 	}
 }
--- a/internal/control/dispatch/sessions.go
+++ b/internal/control/dispatch/sessions.go
@@ -13,10 +13,10 @@
 // openSession creates the session of a server from its state in the ledger.
 func (d *Dispatcher) openSession(b *flows.Server) *session {
 	s := &session{
-		id: b.ID, incarnation: b.Born, address: b.Address, lastEndCommitted: b.Cursor, lastEndReceived: b.Cursor,
+		id: b.ID, incarnation: b.StartedAtMs, address: b.Address, lastEndCommitted: b.EndCursor, lastEndReceived: b.EndCursor,
 		lastAnswerAt: d.Now(), runs: map[flow.TaskID]*run{}, pacePercent: pace.Full,
 	}
-	for id, allocation := range b.Held {
+	for id, allocation := range b.HeldRuns {
 		// This leader does not know whether the start arrived.
 		step, ok := d.Host.Flows().Step(allocation.StepID)
 		s.runs[id] = &run{RunID: allocation.RunID, allocation: allocation, startUnconfirmed: true, urgent: ok && d.isUrgentStep(step)}
--- a/internal/control/dispatch/sweep.go
+++ b/internal/control/dispatch/sweep.go
@@ -18,12 +18,12 @@
 	cutoff := d.Host.LedgerTime() - d.Retention
 	expired := &record.FlowForget{}
 	for id, candidate := range ledger.Flows() {
-		if candidate.Final() && candidate.Ended < cutoff && candidate.Held == 0 && len(expired.Flows) < maxRemoved {
+		if candidate.Final() && candidate.EndedAt < cutoff && candidate.HeldRuns == 0 && len(expired.Flows) < maxRemoved {
 			expired.Flows = append(expired.Flows, id)
 		}
 	}
 	for id, b := range ledger.Servers() {
-		if b.Over && len(b.Held) == 0 && d.leader.sessions[id] == nil {
+		if b.Ended && len(b.HeldRuns) == 0 && d.leader.sessions[id] == nil {
 			expired.Servers = append(expired.Servers, id)
 		}
 	}
@@ -31,17 +31,17 @@
 		d.applyOrLog(&record.Flow{What: &record.Flow_Forget{Forget: expired}})
 	}
 	for id := range d.leader.adviceByStep {
-		if s, ok := ledger.Step(id); !ok || s.Flow.Final() || s.Done == len(s.Tasks) {
+		if s, ok := ledger.Step(id); !ok || s.Flow.Final() || s.DoneTasks == len(s.Tasks) {
 			delete(d.leader.adviceByStep, id)
 		}
 	}
 	maps.DeleteFunc(d.leader.stepTimes, func(id flow.StepID, _ steps.Timing) bool {
 		s, ok := ledger.Step(id)
-		return !ok || s.Done == len(s.Tasks)
+		return !ok || s.DoneTasks == len(s.Tasks)
 	})
 	maps.DeleteFunc(d.leader.avoidedServers, func(id flow.StepID, _ map[string]bool) bool {
 		s, ok := ledger.Step(id)
-		return !ok || s.Done == len(s.Tasks)
+		return !ok || s.DoneTasks == len(s.Tasks)
 	})
 	for id := range d.leader.surplusFlows {
 		if f, ok := ledger.Flow(id); !ok || f.Final() {
@@ -59,13 +59,13 @@
 	ledger := d.Host.Flows()
 	for id := range d.leader.recurringFlows {
 		f, ok := ledger.Flow(id)
-		if !ok || f.Final() || f.Next >= f.Spec.GetTimes() {
+		if !ok || f.Final() || f.NextTurn >= f.Spec.GetTimes() {
 			delete(d.leader.recurringFlows, id)
 			continue
 		}
-		due := time.Duration(f.Spec.GetFirst()+int64(f.Next)*int64(f.Spec.GetEvery())) * time.Millisecond
+		due := time.Duration(f.Spec.GetFirst()+int64(f.NextTurn)*int64(f.Spec.GetEvery())) * time.Millisecond
 		if due <= d.Host.LedgerTime() {
-			event.Log(d.Log, event.TurnBegun, "flow", id, "turn", f.Next, "late", (d.Host.LedgerTime() - due).String())
+			event.Log(d.Log, event.TurnBegun, "flow", id, "turn", f.NextTurn, "late", (d.Host.LedgerTime() - due).String())
 			d.applyOrLog(&record.Flow{What: &record.Flow_Due{Due: &record.FlowDue{Id: id}}})
 		}
 	}
--- a/internal/control/dispatch/wave.go
+++ b/internal/control/dispatch/wave.go
@@ -98,11 +98,11 @@
 // advanceWave takes machines down as far as the wave's cap allows. The next machines are
 // drained: they get no new tasks, and runs that can continue elsewhere are moved.
 func (d *Dispatcher) advanceWave(w *flows.Wave, now time.Duration) {
-	freeSlots := w.Cap - w.Down()
+	freeSlots := w.MaxDown - w.DownMachines()
 	for _, m := range w.Machines {
 		switch {
-		case m.Done:
-		case m.Begun:
+		case m.MaintenanceDone:
+		case m.MaintenanceStarted:
 			d.checkMachineReturned(w, m, now)
 		case freeSlots > 0:
 			freeSlots--
@@ -114,7 +114,7 @@
 // checkMachineReturned completes the upkeep of a machine when a later incarnation of its
 // server has reported, and repeats the order if it is due.
 func (d *Dispatcher) checkMachineReturned(w *flows.Wave, m *flows.Machine, now time.Duration) {
-	if b, ok := d.Host.Flows().On(m.Name); ok && b.Born > m.Born {
+	if b, ok := d.Host.Flows().ServerOnMachine(m.Name); ok && b.StartedAtMs > m.ServerStartedAtMs {
 		d.recordUpkeepDone(w, m)
 		return
 	}
@@ -131,7 +131,7 @@
 // emptyMachine drains a machine and takes it down when it is empty, or when waiting longer
 // would delay the wave. It always waits for lasting tasks that their flow cannot miss.
 func (d *Dispatcher) emptyMachine(w *flows.Wave, m *flows.Machine, now time.Duration) {
-	b, ok := d.Host.Flows().On(m.Name)
+	b, ok := d.Host.Flows().ServerOnMachine(m.Name)
 	if ok {
 		d.leader.drainingForUpkeep[b.ID] = true
 		if s := d.leader.sessions[b.ID]; s != nil {
@@ -179,12 +179,12 @@
 func (d *Dispatcher) isWaveLate(w *flows.Wave) bool {
 	remaining := 0
 	for _, m := range w.Machines {
-		if !m.Done {
+		if !m.MaintenanceDone {
 			remaining++
 		}
 	}
-	rounds := (remaining + w.Cap - 1) / w.Cap
-	return d.Host.LedgerTime()-w.Began+time.Duration(rounds)*upkeepDuration >= w.Duration
+	rounds := (remaining + w.MaxDown - 1) / w.MaxDown
+	return d.Host.LedgerTime()-w.RequestedAt+time.Duration(rounds)*upkeepDuration >= w.Duration
 }
 
 // orderUpkeep sends the order to take a machine down.
--- a/internal/control/dispatch/zone.go
+++ b/internal/control/dispatch/zone.go
@@ -49,15 +49,15 @@
 // moves lasting tasks out of drained zones.
 func (d *Dispatcher) checkZones() {
 	ledger := d.Host.Flows()
-	if !maps.Equal(d.leader.drainedZones, ledger.Zones()) {
-		d.leader.drainedZones = maps.Clone(ledger.Zones())
+	if !maps.Equal(d.leader.drainedZones, ledger.DrainedZones()) {
+		d.leader.drainedZones = maps.Clone(ledger.DrainedZones())
 		d.leader.planNeeded = true
 	}
 	if len(d.leader.drainedZones) == 0 {
 		return
 	}
 	for _, s := range d.leader.sortedSessions {
-		if b, ok := ledger.Server(s.id); ok && ledger.Drained(b.Zone) {
+		if b, ok := ledger.Server(s.id); ok && ledger.ZoneDrained(b.Zone) {
 			d.moveLastingTasks(s)
 		}
 	}
@@ -85,7 +85,7 @@
 	}
 	for _, s := range d.leader.sortedSessions {
 		b, known := ledger.Server(s.id)
-		if known && ledger.Takes(b) && s.isUsable(now) && b.Pool == q.GetPool() && steps.HasLabel(step.Spec.GetLabel(), b) && flow.SizeOf(step.Spec).Fits(b.Free()) {
+		if known && ledger.AcceptsWork(b) && s.isUsable(now) && b.Pool == q.GetPool() && steps.HasLabel(step.Spec.GetLabel(), b) && flow.SizeOf(step.Spec).Fits(b.FreeCapacity()) {
 			return true
 		}
 	}
@@ -96,18 +96,18 @@
 // tasks are in drained zones. A new flow would wait until an operator ends a drain.
 func (d *Dispatcher) allZonesDrained(pool string) bool {
 	ledger := d.Host.Flows()
-	if len(ledger.Zones()) == 0 {
+	if len(ledger.DrainedZones()) == 0 {
 		return false
 	}
 	hasDrainedServer := false
 	for _, b := range ledger.Servers() {
-		if b.Pool != pool || b.Over {
+		if b.Pool != pool || b.Ended {
 			continue
 		}
-		if ledger.Takes(b) {
+		if ledger.AcceptsWork(b) {
 			return false
 		}
-		hasDrainedServer = hasDrainedServer || ledger.Drained(b.Zone)
+		hasDrainedServer = hasDrainedServer || ledger.ZoneDrained(b.Zone)
 	}
 	return hasDrainedServer
 }
--- a/internal/control/dispatch/zone_test.go
+++ b/internal/control/dispatch/zone_test.go
@@ -231,7 +231,7 @@
 		close(release)
 		time.Sleep(50 * time.Millisecond)
 		w.runAndWait(func() {
-			if w.ledger.Drained("x") {
+			if w.ledger.ZoneDrained("x") {
 				t.Error("the drain was executed after its sender had given up")
 			}
 		})
--- a/internal/control/leader/answer.go
+++ b/internal/control/leader/answer.go
@@ -29,7 +29,7 @@
 // chunk of that number. The checksum of the whole answer is computed once and
 // cached, not repeated for every chunk.
 func (l *Leader) answerChunk(j *state.Job, number uint32) *v1.Chunk {
-	pieces := l.ledger.Pieces(j)
+	pieces := l.ledger.TaskAnswers(j)
 	h, ok := l.leadership.answerCache.headsByJob[j.Number]
 	if !ok {
 		h = answer.NewHead(pieces)
@@ -57,7 +57,7 @@
 	}
 	size, ok := l.leadership.answerCache.partialSizes[jobNumber]
 	if !ok {
-		for p := range l.ledger.Pieces(j) {
+		for p := range l.ledger.TaskAnswers(j) {
 			size += len(p)
 		}
 	}
--- a/internal/control/leader/bench_test.go
+++ b/internal/control/leader/bench_test.go
@@ -159,7 +159,7 @@
 	tasksByServer := map[string]int{}
 	h.withLedger(func(st *state.State) {
 		for _, b := range st.Servers() {
-			if n := st.Count(b.ID); n > 0 {
+			if n := st.PlacedTaskCount(b.ID); n > 0 {
 				tasksByServer[b.ID] = n
 			}
 		}
@@ -241,11 +241,11 @@
 			for range b.N {
 				h.withLedger(func(st *state.State) {
 					copyStart := time.Now()
-					p := st.Picture()
+					p := st.BeginSnapshot()
 					longestPause := time.Since(copyStart)
 					for done := false; !done; {
 						start := time.Now()
-						done = p.Step(2048)
+						done = p.CopyRecords(2048)
 						longestPause = max(longestPause, time.Since(start))
 					}
 					c := p.State()
--- a/internal/control/leader/clock_test.go
+++ b/internal/control/leader/clock_test.go
@@ -30,7 +30,7 @@
 			time.Sleep(time.Second)
 			h.submitAndReply(batchSpec(map[bool]string{false: "before", true: "after"}[agreed]))
 			onControlThread(func(st *state.State) {
-				if offset := st.At() - time.Duration(time.Now().UnixNano()); offset > 0 || offset < -2*time.Second {
+				if offset := st.Now() - time.Duration(time.Now().UnixNano()); offset > 0 || offset < -2*time.Second {
 					t.Errorf("with agreed time %v: the ledger's time differs from the time of day by %v", agreed, offset)
 				}
 			})
--- a/internal/control/leader/decide.go
+++ b/internal/control/leader/decide.go
@@ -75,14 +75,14 @@
 func (l *Leader) resyncPlanner(d plan.Decision) {
 	for _, p := range d.Placements {
 		if b, ok := l.ledger.Server(p.Server); ok {
-			ledgerWatcher{l}.Server(b)
+			ledgerWatcher{l}.ServerChanged(b)
 		}
 	}
 	t, ok := l.ledger.Task(d.Task)
 	if !ok || len(d.Placements) > 0 {
 		return
 	}
-	if j, known := l.ledger.Job(t.ID.Job); known && t.Phase.Holds() {
+	if j, known := l.ledger.Job(t.ID.Job); known && t.Phase.HoldsCapacity() {
 		l.leadership.planner.SetPlaced(heldTask(j, t))
 	}
 }
@@ -106,12 +106,12 @@
 // records the stop of an attempt that it does not know and reports that nothing was
 // started.
 func (l *Leader) recallUnstarted(b state.Server, s *session) {
-	if !b.Drains() && b.Server.State != backend.Draining {
+	if !b.IsDrained() && b.Server.State != backend.Draining {
 		return
 	}
 	var unstarted []task.ID
-	l.ledger.Placed(b.ID, func(t *state.Task) {
-		if _, known := s.reportedPhases[t.Current()]; t.Phase == state.Placed && t.Incarnation == s.incarnation && !known {
+	l.ledger.EachPlacedTask(b.ID, func(t *state.Task) {
+		if _, known := s.reportedPhases[t.CurrentAttempt()]; t.Phase == state.Placed && t.Incarnation == s.incarnation && !known {
 			unstarted = append(unstarted, t.ID)
 		}
 	})
@@ -133,20 +133,20 @@
 // planner, the sessions and the parked waits.
 type ledgerWatcher struct{ leader *Leader }
 
-var _ state.Watch = ledgerWatcher{}
+var _ state.Observer = ledgerWatcher{}
 
-// Table passes a new table revision to the planner.
-func (w ledgerWatcher) Table(t table.Table) {
+// TableChanged passes a new table revision to the planner.
+func (w ledgerWatcher) TableChanged(t table.Table) {
 	w.leader.leadership.planner.SetTable(t)
 	w.leader.leadership.tableIndex = w.leader.leadership.lastIndex + 1 // lastIndex is incremented after the command is applied
 	w.leader.leadership.planNeeded = true
 }
 
-// Server passes a changed server to the planner. A server that is drained by an
+// ServerChanged passes a changed server to the planner. A server that is drained by an
 // operator or with its zone is passed on as draining.
-func (w ledgerWatcher) Server(b state.Server) {
+func (w ledgerWatcher) ServerChanged(b state.Server) {
 	s := b.Server
-	if b.Drains() && s.State != backend.Gone {
+	if b.IsDrained() && s.State != backend.Gone {
 		s.State = backend.Draining
 	}
 	w.leader.leadership.planner.SetServer(s)
@@ -154,43 +154,43 @@
 	w.leader.leadership.planNeeded = true
 }
 
-// Queue passes a waiting task to the planner.
-func (w ledgerWatcher) Queue(j *state.Job, t *state.Task) {
-	w.leader.leadership.planner.AddWaiting(plan.WaitingTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.Accepted, Attempts: t.Attempt})
+// TaskQueued passes a waiting task to the planner.
+func (w ledgerWatcher) TaskQueued(j *state.Job, t *state.Task) {
+	w.leader.leadership.planner.AddWaiting(plan.WaitingTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.AcceptedAt, Attempts: t.Attempt})
 	w.leader.leadership.planNeeded = true
 }
 
-// Unqueue tells the planner that a task is no longer waiting.
-func (w ledgerWatcher) Unqueue(id task.ID) { w.leader.leadership.planner.RemoveWaiting(id) }
+// TaskUnqueued tells the planner that a task is no longer waiting.
+func (w ledgerWatcher) TaskUnqueued(id task.ID) { w.leader.leadership.planner.RemoveWaiting(id) }
 
-// Hold passes a placement to the planner and marks the session of its server as
+// TaskPlaced passes a placement to the planner and marks the session of its server as
 // updated.
-func (w ledgerWatcher) Hold(j *state.Job, t *state.Task) {
+func (w ledgerWatcher) TaskPlaced(j *state.Job, t *state.Task) {
 	w.leader.leadership.planner.SetPlaced(heldTask(j, t))
 	w.leader.recordPlacement(t)
 	w.leader.leadership.updatedServers[t.Server] = true
 }
 
-// Stopping tells the planner that a task is being stopped and marks the session of
+// TaskStopping tells the planner that a task is being stopped and marks the session of
 // its server as updated.
-func (w ledgerWatcher) Stopping(j *state.Job, t *state.Task) {
+func (w ledgerWatcher) TaskStopping(j *state.Job, t *state.Task) {
 	w.leader.leadership.planner.SetPlaced(heldTask(j, t))
 	w.leader.leadership.updatedServers[t.Server] = true
 }
 
 func heldTask(j *state.Job, t *state.Task) plan.PlacedTask {
-	return plan.PlacedTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.Accepted, Server: t.Server, PlacedAt: t.Since, Stopping: t.Phase == state.Stopping}
+	return plan.PlacedTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.AcceptedAt, Server: t.Server, PlacedAt: t.PhaseSince, Stopping: t.Phase == state.Stopping}
 }
 
-// Release tells the planner that an attempt no longer runs.
-func (w ledgerWatcher) Release(_ *state.Job, t *state.Task, end state.End) {
+// TaskReleased tells the planner that an attempt no longer runs.
+func (w ledgerWatcher) TaskReleased(_ *state.Job, t *state.Task, end state.AttemptEnd) {
 	w.leader.recordRelease(t, end)
-	w.leader.leadership.planner.EndAttempt(t.ID, plan.AttemptEnd{EndedAt: w.leader.ledger.At(), Started: end.Ran, Failed: end.Failed, ServerLost: end.Lost})
+	w.leader.leadership.planner.EndAttempt(t.ID, plan.AttemptEnd{EndedAt: w.leader.ledger.Now(), Started: end.Started, Failed: end.Failed, ServerLost: end.Lost})
 	w.leader.leadership.planNeeded = true
 }
 
-// Ended answers the parked waits for a job that has ended.
-func (w ledgerWatcher) Ended(j *state.Job) {
+// JobEnded answers the parked waits for a job that has ended.
+func (w ledgerWatcher) JobEnded(j *state.Job) {
 	w.leader.recordJobEnd(j)
 	w.leader.answerParkedWaits(j)
 }
--- a/internal/control/leader/eventlog.go
+++ b/internal/control/leader/eventlog.go
@@ -58,7 +58,7 @@
 func (l *Leader) reportServer(b state.Server) {
 	reported := &l.leadership.reported
 	previous, wasKnown := reported.servers[b.ID]
-	current := reportedServer{b.Incarnation, b.Server.State, b.Drains(), l.ledger.Count(b.ID) == 0}
+	current := reportedServer{b.Incarnation, b.Server.State, b.IsDrained(), l.ledger.PlacedTaskCount(b.ID) == 0}
 	reported.servers[b.ID] = current
 	if current.state == backend.Gone {
 		delete(reported.servers, b.ID)
@@ -73,7 +73,7 @@
 		return
 	}
 	for _, id := range serverEvents(previous, current, wasKnown) {
-		l.logLimiter.Log(l.Log, id, "server", b.ID, "incarnation", b.Incarnation, "tasks", l.ledger.Count(b.ID))
+		l.logLimiter.Log(l.Log, id, "server", b.ID, "incarnation", b.Incarnation, "tasks", l.ledger.PlacedTaskCount(b.ID))
 	}
 	if wasKnown && previous.isSchedulable() && reported.readyServers == 0 {
 		event.Log(l.Log, event.NoServers, "server", b.ID)
@@ -118,10 +118,10 @@
 
 // recordRelease records that an attempt ended, and logs when a draining server has
 // become idle.
-func (l *Leader) recordRelease(t *state.Task, end state.End) {
+func (l *Leader) recordRelease(t *state.Task, end state.AttemptEnd) {
 	reported := &l.leadership.reported
 	reported.runningTasks--
-	if end.Lost || end.Failed || !end.Ran {
+	if end.Lost || end.Failed || !end.Started {
 		// The task runs again and the answer of this attempt is void. The size of the
 		// job's answer is computed again.
 		delete(l.leadership.answerCache.partialSizes, t.ID.Job)
@@ -131,7 +131,7 @@
 		l.logLimiter.Log(l.Log, event.AttemptLost, "job", t.ID.Job, "task", t.ID.Index, "attempt", t.Attempt, "server", t.Server)
 	}
 	s, ok := reported.servers[t.Server]
-	if !ok || s.idle || l.ledger.Count(t.Server) > 0 {
+	if !ok || s.idle || l.ledger.PlacedTaskCount(t.Server) > 0 {
 		return
 	}
 	s.idle = true
@@ -223,7 +223,7 @@
 func (l *Leader) logLoweredLimits(oldRows []team.Row) {
 	for _, oldRow := range oldRows {
 		row, ok := l.ledger.Table().Row(oldRow.Name)
-		if !ok || row.Limit == oldRow.Limit || l.leadership.reported.teamsOverLimit[row.Name] || l.ledger.Held(row.Name).Within(row.Limit) {
+		if !ok || row.Limit == oldRow.Limit || l.leadership.reported.teamsOverLimit[row.Name] || l.ledger.TeamHeldCapacity(row.Name).Within(row.Limit) {
 			continue
 		}
 		l.leadership.reported.teamsOverLimit[row.Name] = true
@@ -237,7 +237,7 @@
 	reported := &l.leadership.reported
 	for name := range reported.teamsOverLimit {
 		row, ok := l.ledger.Table().Row(name)
-		if !ok || l.ledger.Held(name).Within(row.Limit) {
+		if !ok || l.ledger.TeamHeldCapacity(name).Within(row.Limit) {
 			delete(reported.teamsOverLimit, name)
 			event.Log(l.Log, event.LimitMet, "team", name)
 		}
@@ -246,7 +246,7 @@
 		reported.lastRefusalAt = 0
 		event.Log(l.Log, event.OverloadOver)
 	}
-	if n := l.ledger.Faults(); n > reported.chartFaults {
+	if n := l.ledger.InvalidTransitions(); n > reported.chartFaults {
 		event.Log(l.Log, event.PromiseBroken, "check", "state chart", "faults", n)
 		reported.chartFaults = n
 	}
--- a/internal/control/leader/eventlog_test.go
+++ b/internal/control/leader/eventlog_test.go
@@ -179,8 +179,8 @@
 			t.Fatalf("outcome %v, answer of %d bytes", waitReply.GetOutcome(), waitReply.GetChunk().GetTotal())
 		}
 		h.withLedger(func(s *state.State) {
-			j, _ := s.Find(state.RequestID{Team: "rail", ID: "wide"})
-			if len(s.Answer(j)) != answer.MaxJob {
+			j, _ := s.FindJob(state.RequestID{Team: "rail", ID: "wide"})
+			if len(s.JobAnswer(j)) != answer.MaxJob {
 				t.Error("the ledger's answer does not have answer.MaxJob bytes")
 			}
 		})
--- a/internal/control/leader/inspect.go
+++ b/internal/control/leader/inspect.go
@@ -87,12 +87,12 @@
 
 func (l *Leader) currentView() View {
 	v := View{
-		Term: l.status.Load().Term, Applied: l.appliedIndex, Saved: l.snapshotIndex, Full: l.diskFull, Faults: l.ledger.Faults(),
+		Term: l.status.Load().Term, Applied: l.appliedIndex, Saved: l.snapshotIndex, Full: l.diskFull, Faults: l.ledger.InvalidTransitions(),
 		Sum: l.ledger.Digest(), Revision: l.ledger.Table().Revision(), Inbox: len(l.inbox), Servers: map[string]int{},
 	}
 	l.ledger.EachServer(func(b state.Server) {
 		v.Servers[displayedState(b)]++
-		v.Running += l.ledger.Count(b.ID)
+		v.Running += l.ledger.PlacedTaskCount(b.ID)
 	})
 	v.Zones = l.ledger.Zones()
 	v.Teams = l.teamViews()
@@ -124,7 +124,7 @@
 func (l *Leader) teamViews() []TeamView {
 	out := smallest[TeamView]{compare: func(a, b TeamView) int { return cmp.Compare(b.Waiting, a.Waiting) }}
 	for _, r := range l.ledger.Table().Rows() {
-		if n := l.ledger.Waiting(r.Name); n > 0 {
+		if n := l.ledger.TeamWaitingJobs(r.Name); n > 0 {
 			out.insert(TeamView{r.Name, n})
 		}
 	}
@@ -134,13 +134,13 @@
 func (l *Leader) oldestJobs() []JobView {
 	oldest := smallest[*state.Job]{compare: func(a, b *state.Job) int { return cmp.Compare(a.Number, b.Number) }}
 	l.ledger.EachJob(func(j *state.Job) {
-		if !j.Final() && j.Waiting > 0 {
+		if !j.Final() && j.WaitingTasks > 0 {
 			oldest.insert(j)
 		}
 	})
 	var out []JobView
 	for _, j := range oldest.kept {
-		out = append(out, JobView{j.Spec.Team, j.Spec.ID, j.Number, (l.ledgerTime() - j.Accepted).Seconds(), j.Waiting})
+		out = append(out, JobView{j.Spec.Team, j.Spec.ID, j.Number, (l.ledgerTime() - j.AcceptedAt).Seconds(), j.WaitingTasks})
 	}
 	return out
 }
@@ -155,7 +155,7 @@
 		if !ok || b.Server.State == backend.Gone {
 			continue
 		}
-		out.insert(LeaseView{id, displayedState(b), (now - s.lastSyncAt).Seconds(), l.leadership.leases.Left(id, now).Seconds(), l.ledger.Count(id)})
+		out.insert(LeaseView{id, displayedState(b), (now - s.lastSyncAt).Seconds(), l.leadership.leases.Left(id, now).Seconds(), l.ledger.PlacedTaskCount(id)})
 	}
 	return out.kept
 }
@@ -163,7 +163,7 @@
 // displayedState returns the name of a server's state. A server drained by an
 // operator or with its zone is displayed as draining.
 func displayedState(b state.Server) string {
-	if b.Drains() && b.Server.State != backend.Gone {
+	if b.IsDrained() && b.Server.State != backend.Gone {
 		return backend.Draining.String()
 	}
 	return b.Server.State.String()
--- a/internal/control/leader/item.go
+++ b/internal/control/leader/item.go
@@ -122,7 +122,7 @@
 func (l *Leader) acceptJob(k key.Key, spec *v1.Spec) *v1.Accepted {
 	c := &record.Command{What: &record.Command_Accept{Accept: &record.Accept{Team: k.Team, Key: k.ID, Spec: spec}}}
 	var retry time.Duration
-	if _, ok := l.ledger.Find(state.RequestID{Team: k.Team, ID: spec.GetId()}); !ok {
+	if _, ok := l.ledger.FindJob(state.RequestID{Team: k.Team, ID: spec.GetId()}); !ok {
 		var refusal code.Code
 		if refusal, retry = l.checkAdmission(k.Team, spec); refusal != code.OK {
 			c = &record.Command{What: &record.Command_Refuse{Refuse: &record.Refuse{Team: k.Team, Spec: spec, Code: uint32(refusal)}}}
@@ -150,9 +150,9 @@
 		return code.DiskFull, diskFullRetryDelay
 	}
 	backlog := l.ledger.Backlog()
-	err, retry := admit.Check(command.Spec(teamName, spec), admit.View{
-		Row: row, TeamWaiting: l.ledger.Waiting(teamName), CellWaiting: backlog.Jobs, MaxWaiting: l.MaxBacklog, WaitingTeams: backlog.Teams,
-		ServerSizes: l.ledger.Kinds(), TotalCapacity: l.ledger.Total(),
+	err, retry := admit.Check(command.SpecFromMessage(teamName, spec), admit.View{
+		Row: row, TeamWaiting: l.ledger.TeamWaitingJobs(teamName), CellWaiting: backlog.Jobs, MaxWaiting: l.MaxBacklog, WaitingTeams: backlog.Teams,
+		ServerSizes: l.ledger.ServerCapacities(), TotalCapacity: l.ledger.TotalCapacity(),
 	}, rand.Float64())
 	if err != nil {
 		return err.Code, retry
@@ -171,7 +171,7 @@
 
 func (l *Leader) handleWait(target ReplyTarget, k key.Key, req *v1.WaitRequest) {
 	id := state.RequestID{Team: k.Team, ID: req.GetId()}
-	j, ok := l.ledger.Find(id)
+	j, ok := l.ledger.FindJob(id)
 	if !ok {
 		l.runWhenConfirmed(target, func() { l.answerUnknownJob(target, id) })
 		return
@@ -188,7 +188,7 @@
 // answerUnknownJob answers a Wait for an unknown job. It runs once the leadership
 // is confirmed and looks the job up again.
 func (l *Leader) answerUnknownJob(target ReplyTarget, id state.RequestID) {
-	if j, ok := l.ledger.Find(id); ok {
+	if j, ok := l.ledger.FindJob(id); ok {
 		l.answerWait(target, j, 0)
 		return
 	}
@@ -226,7 +226,7 @@
 	if len(l.leadership.parkedWaits[id]) == 0 {
 		delete(l.leadership.parkedWaits, id)
 	}
-	if j, ok := l.ledger.Find(id); ok {
+	if j, ok := l.ledger.FindJob(id); ok {
 		l.answerParkedWait(w, j)
 		return
 	}
@@ -245,7 +245,7 @@
 
 // answerParkedWaits answers all waits for a job that has ended.
 func (l *Leader) answerParkedWaits(j *state.Job) {
-	id := j.Request()
+	id := j.RequestID()
 	for _, w := range l.leadership.parkedWaits[id] {
 		if !w.answered {
 			w.answered = true
@@ -270,7 +270,7 @@
 func (l *Leader) handleCancel(target ReplyTarget, k key.Key, req *v1.CancelRequest) {
 	cancel := &record.Cancel{}
 	for _, id := range req.GetIds() {
-		if j, ok := l.ledger.Find(state.RequestID{Team: k.Team, ID: id}); ok && !j.Final() {
+		if j, ok := l.ledger.FindJob(state.RequestID{Team: k.Team, ID: id}); ok && !j.Final() {
 			cancel.Jobs = append(cancel.Jobs, j.Number)
 		}
 	}
@@ -301,7 +301,7 @@
 	reply := &v1.ListReply{Status: &v1.Status{}}
 	if len(req.GetIds()) > 0 {
 		for _, id := range req.GetIds() {
-			if j, ok := l.ledger.Find(state.RequestID{Team: k.Team, ID: id}); ok {
+			if j, ok := l.ledger.FindJob(state.RequestID{Team: k.Team, ID: id}); ok {
 				reply.Jobs = append(reply.Jobs, jobSummary(j))
 			}
 		}
@@ -317,14 +317,14 @@
 func jobSummary(j *state.Job) *v1.Summary {
 	return &v1.Summary{
 		Id: j.Spec.ID, Team: j.Spec.Team, Kind: v1.Kind(j.Spec.Kind), Name: j.Spec.Name, Outcome: j.Outcome,
-		Status: statusOf(&code.Error{Code: j.Code}), Tasks: j.Spec.Count, Running: j.Held, Ended: j.Finals,
+		Status: statusOf(&code.Error{Code: j.Code}), Tasks: j.Spec.Count, Running: j.HeldTasks, Ended: j.FinalTasks,
 	}
 }
 
 func (l *Leader) handleAcknowledge(target ReplyTarget, k key.Key, req *v1.AcknowledgeRequest) {
 	forget := &record.Forget{}
 	for _, id := range req.GetIds() {
-		if j, ok := l.ledger.Find(state.RequestID{Team: k.Team, ID: id}); ok && j.Final() {
+		if j, ok := l.ledger.FindJob(state.RequestID{Team: k.Team, ID: id}); ok && j.Final() {
 			forget.Jobs = append(forget.Jobs, j.Number)
 		}
 	}
--- a/internal/control/leader/leader_test.go
+++ b/internal/control/leader/leader_test.go
@@ -407,10 +407,10 @@
 	runWithPlanner(t, logr.Discard(), planner, func(h *harness) {
 		s := h.announceServer("b1", 8000)
 		h.withLedger(func(st *state.State) {
-			watch := st.Watch
-			st.Watch = nil // hides the next command from the planner
+			watch := st.Observer
+			st.Observer = nil // hides the next command from the planner
 			st.Apply(&record.Command{What: &record.Command_Mark{Mark: &record.Mark{Server: "b1", Incarnation: 1, State: uint32(backend.Suspect)}}})
-			st.Watch = watch
+			st.Observer = watch
 		})
 		h.submitAndReply(batchSpec("plan"))
 		if got := startOrders(s.syncAndWait()); len(got) != 1 {
--- a/internal/control/leader/leadership.go
+++ b/internal/control/leader/leadership.go
@@ -110,7 +110,7 @@
 	l.leadership = &leadership{
 		term:              n.Term,
 		electedAt:         n.Elected,
-		initialLedgerTime: l.ledger.At(),
+		initialLedgerTime: l.ledger.Now(),
 		lastIndex:         n.Last,
 		commitIndex:       n.Last,
 		planner:           l.NewPlanner(),
@@ -122,10 +122,10 @@
 		planNeeded:        true,
 		tableIndex:        n.Last,
 		answerCache:       newAnswerState(),
-		reported:          reportedState{servers: map[string]reportedServer{}, teamsOverLimit: map[string]bool{}, chartFaults: l.ledger.Faults()},
+		reported:          reportedState{servers: map[string]reportedServer{}, teamsOverLimit: map[string]bool{}, chartFaults: l.ledger.InvalidTransitions()},
 	}
 	l.appliedIndex = n.Last
-	l.ledger.Watch = ledgerWatcher{l}
+	l.ledger.Observer = ledgerWatcher{l}
 	l.replayLedger()
 	if l.RootKey != nil && len(l.ledger.Keys()) == 0 {
 		l.applyAndQueue(&record.Command{What: &record.Command_Change{Change: &record.Change{
@@ -150,7 +150,7 @@
 	p := l.leadership.planner
 	p.SetTable(l.ledger.Table())
 	for _, b := range l.ledger.Servers() {
-		ledgerWatcher{l}.Server(b)
+		ledgerWatcher{l}.ServerChanged(b)
 		if b.Server.State != backend.Gone {
 			l.sessionFor(b).lastSyncAt = l.Now()
 		}
@@ -159,12 +159,12 @@
 		if j.Final() {
 			continue
 		}
-		l.ledger.Tasks(j, func(t *state.Task) {
+		l.ledger.EachTask(j, func(t *state.Task) {
 			switch {
-			case t.Phase.Holds():
-				ledgerWatcher{l}.Hold(j, t)
+			case t.Phase.HoldsCapacity():
+				ledgerWatcher{l}.TaskPlaced(j, t)
 			case t.Phase == state.Queued:
-				ledgerWatcher{l}.Queue(j, t)
+				ledgerWatcher{l}.TaskQueued(j, t)
 			}
 		})
 	}
@@ -182,7 +182,7 @@
 			event.Log(l.Log, event.QuorumLost, "term", lead.term)
 		}
 		l.leadership = nil
-		l.ledger.Watch = nil
+		l.ledger.Observer = nil
 		if l.Extension != nil {
 			l.Extension.OnDeposed()
 		}
@@ -199,7 +199,7 @@
 
 // ledgerTime returns the ledger's time, which follows the time of day and never
 // goes back.
-func (l *Leader) ledgerTime() time.Duration { return max(l.ledger.At(), l.timeOfDay()) }
+func (l *Leader) ledgerTime() time.Duration { return max(l.ledger.Now(), l.timeOfDay()) }
 
 // timeAgreementWait is how long a new leader waits for other processes to report
 // their time of day. Each process reports several times within it.
@@ -383,7 +383,7 @@
 // forgetExpired removes jobs, change results and servers whose retention has ended.
 func (l *Leader) forgetExpired() {
 	const maxForgotten = 1000
-	expired := l.ledger.Expired(l.ledgerTime()-l.Retention, maxForgotten)
+	expired := l.ledger.ExpiredRecords(l.ledgerTime()-l.Retention, maxForgotten)
 	if len(expired.Jobs)+len(expired.Changes)+len(expired.Servers) > 0 {
 		l.applyAndQueue(&record.Command{What: &record.Command_Forget{Forget: expired}})
 	}
--- a/internal/control/leader/metrics.go
+++ b/internal/control/leader/metrics.go
@@ -52,7 +52,7 @@
 	}
 	waiting := 0
 	for _, r := range l.ledger.Table().Rows() {
-		waiting += l.ledger.Waiting(r.Name)
+		waiting += l.ledger.TeamWaitingJobs(r.Name)
 	}
 	m.waitingJobs.Store(int64(waiting))
 	m.runningTasks.Store(int64(l.leadership.reported.runningTasks))
--- a/internal/control/leader/operator.go
+++ b/internal/control/leader/operator.go
@@ -29,7 +29,7 @@
 		return
 	}
 	oldRows := l.ledger.Table().Rows()
-	_, isResend := l.ledger.Told(req.GetId())
+	_, isResend := l.ledger.ChangeResult(req.GetId())
 	r := l.applyAndQueue(&record.Command{What: &record.Command_Change{Change: &record.Change{By: k.ID, Request: req}}})
 	l.leadership.planNeeded = true
 	if !isResend {
@@ -55,7 +55,7 @@
 	case v1.Part_PART_TABLE:
 		for _, r := range l.ledger.Table().Rows() {
 			reply.Rows = append(reply.Rows, command.RowMessage(r))
-			reply.Held = append(reply.Held, command.SizeMessage(l.ledger.Held(r.Name)))
+			reply.Held = append(reply.Held, command.SizeMessage(l.ledger.TeamHeldCapacity(r.Name)))
 		}
 	case v1.Part_PART_KEYS:
 		for _, k := range l.ledger.Keys() {
@@ -87,7 +87,7 @@
 		}
 		out = append(out, &v1.ServerLine{
 			Server: b.ID, Incarnation: b.Incarnation, State: displayedState(b), Rack: b.Rack, Zone: b.Zone,
-			Capacity: command.SizeMessage(b.Capacity), Held: command.SizeMessage(b.Held), Tasks: uint32(l.ledger.Count(b.ID)),
+			Capacity: command.SizeMessage(b.Capacity), Held: command.SizeMessage(b.HeldCapacity), Tasks: uint32(l.ledger.PlacedTaskCount(b.ID)),
 		})
 	}
 	return out
--- a/internal/control/leader/page.go
+++ b/internal/control/leader/page.go
@@ -25,7 +25,7 @@
 	limit = min(limit, maxPageSize)
 	var afterNumber uint64
 	if after != "" {
-		j, ok := l.ledger.Find(requestID(teamName, after))
+		j, ok := l.ledger.FindJob(requestID(teamName, after))
 		if !ok {
 			return nil, code.New(code.Unknown, "job %s is no longer known; list from the beginning", after)
 		}
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -116,7 +116,7 @@
 		s.reportedPhases[a] = r.GetPhase()
 		l.logDuplicateAttempt(b, r)
 		t, ok := l.ledger.Task(a.ID)
-		if !ok || t.Attempt != a.Number || t.Server != b.ID || !t.Phase.Holds() {
+		if !ok || t.Attempt != a.Number || t.Server != b.ID || !t.Phase.HoldsCapacity() {
 			continue
 		}
 		if l.recordAttemptEnd(s, a, r) {
@@ -126,7 +126,7 @@
 		}
 		if r.GetUsed() != nil {
 			at := l.ledgerTime() - time.Duration(r.GetAge())*time.Millisecond
-			l.leadership.planner.SetUsage(a.ID, command.Size(r.GetUsed()), at)
+			l.leadership.planner.SetUsage(a.ID, command.SizeFromMessage(r.GetUsed()), at)
 		}
 	}
 }
@@ -219,7 +219,7 @@
 func (l *Leader) buildOrders(b state.Server, s *session, now time.Duration) []*v1.Order {
 	var out []*v1.Order
 	size := 0
-	l.ledger.Placed(b.ID, func(t *state.Task) {
+	l.ledger.EachPlacedTask(b.ID, func(t *state.Task) {
 		if t.Incarnation != s.incarnation {
 			return
 		}
@@ -240,7 +240,7 @@
 }
 
 func (l *Leader) orderForTask(s *session, t *state.Task, now time.Duration) *v1.Order {
-	a := t.Current()
+	a := t.CurrentAttempt()
 	_, known := s.reportedPhases[a]
 	message := attemptMessage(a)
 	switch {
@@ -248,7 +248,7 @@
 		// A server that does not know the attempt has no state to checkpoint. The
 		// start order was lost or never sent. The stop order is still needed: the server
 		// records it and reports that nothing was started.
-		if t.Save && known {
+		if t.SaveCheckpoint && known {
 			return &v1.Order{Verb: v1.Verb_VERB_CHECKPOINT, Attempt: message}
 		}
 		return &v1.Order{Verb: v1.Verb_VERB_STOP, Attempt: message}
@@ -268,7 +268,7 @@
 // orderForUnknownAttempt returns an order for an attempt that the server reports
 // although the ledger does not place it there. It returns nil if no order is due.
 func (l *Leader) orderForUnknownAttempt(b state.Server, s *session, a task.Attempt, phase v1.Phase, now time.Duration) *v1.Order {
-	if t, ok := l.ledger.Task(a.ID); ok && t.Attempt == a.Number && t.Server == b.ID && t.Phase.Holds() {
+	if t, ok := l.ledger.Task(a.ID); ok && t.Attempt == a.Number && t.Server == b.ID && t.Phase.HoldsCapacity() {
 		return nil
 	}
 	switch phase {
@@ -299,11 +299,11 @@
 // requested size.
 func (l *Leader) throttleTask(id task.ID) {
 	t, ok := l.ledger.Task(id)
-	if !ok || !t.Phase.Holds() {
+	if !ok || !t.Phase.HoldsCapacity() {
 		return
 	}
 	if s := l.leadership.sessions[t.Server]; s != nil {
-		s.throttlePending[t.Current()] = true
+		s.throttlePending[t.CurrentAttempt()] = true
 		l.leadership.updatedServers[t.Server] = true
 	}
 }
--- a/internal/control/leader/snapshot.go
+++ b/internal/control/leader/snapshot.go
@@ -13,7 +13,7 @@
 type snapshotProgress struct {
 	// stateCopy is the copy of the ledger. One step of it is made per turn, so that
 	// no turn takes long.
-	stateCopy *state.Picture
+	stateCopy *state.SnapshotBuilder
 	index     uint64
 	// inProgress is true from the start of the copy until the snapshot has been
 	// handed to the group.
@@ -29,10 +29,10 @@
 func (l *Leader) advanceSnapshot() {
 	progress := &l.snapshotProgress
 	if !progress.inProgress && l.appliedIndex >= l.snapshotIndex+l.SnapshotInterval {
-		progress.inProgress, progress.index, progress.stateCopy = true, l.appliedIndex, l.ledger.Picture()
+		progress.inProgress, progress.index, progress.stateCopy = true, l.appliedIndex, l.ledger.BeginSnapshot()
 		return
 	}
-	if progress.stateCopy == nil || !progress.stateCopy.Step(recordsPerStep) {
+	if progress.stateCopy == nil || !progress.stateCopy.CopyRecords(recordsPerStep) {
 		return
 	}
 	stateCopy, index, generation := progress.stateCopy, progress.index, progress.generation
@@ -50,7 +50,7 @@
 // Otherwise a deposed leader would hand over uncommitted commands once its new
 // state had reached the index of the old one.
 func (l *Leader) abandonSnapshot() {
-	l.snapshotProgress.stateCopy.Drop()
+	l.snapshotProgress.stateCopy.Cancel()
 	l.snapshotProgress = snapshotProgress{generation: l.snapshotProgress.generation + 1}
 }
 
--- a/internal/ledger/chart/chart.go
+++ b/internal/ledger/chart/chart.go
@@ -1,18 +1,17 @@
-// Package chart interprets state charts that are written in files.
+// Package chart interprets state charts that are defined in JSON files.
 //
-// In short:
+// Example:
 //
 //	c, err := chart.Load(chart.Task)         // reads and checks task.json
 //	s := c.Start()                           // chart.Queued
 //	s, err = c.Next(s, chart.Place)          // chart.Placed
-//	_, err = c.Next(s, chart.Retry)          // a *RefusedError; the state stays
-//	c.Final(chart.Done)                      // true: nothing leads out
-//	c.Moves()                                // every transition, in the file's order
+//	_, err = c.Next(s, chart.Retry)          // *InvalidEventError, s is unchanged
+//	c.Final(chart.Done)                      // whether the state is final
+//	c.Transitions()                          // all transitions in file order
 //
-// A Chart is immutable and may be shared. MustLoad is Load for the charts that
-// are built in. The names of charts, states and events are in names.go; a test
-// keeps them and the files the same. A chart knows no conditions: which event
-// happened is decided by the caller, who keeps whatever that rests on.
+// A Chart is immutable and safe for concurrent use. The constants in names.go name
+// the charts, states and events, and a test compares them with the files. A chart
+// has no conditions: the caller decides which event occurred.
 package chart
 
 import (
@@ -27,77 +26,78 @@
 )
 
 //go:embed *.json
-var files embed.FS
+var chartFiles embed.FS
 
-// Name names a chart, and its file without the ending.
+// Name is the name of a chart and of its file without the extension.
 type Name string
 
 // State is a state of a chart.
 type State string
 
-// Event is what may happen in a state.
+// Event is an event that may cause a transition.
 type Event string
 
-// Move is one transition.
-type Move struct {
-	From State
-	On   Event
-	To   State
+// Transition is the change from one state to another on an event.
+type Transition struct {
+	From  State
+	Event Event
+	To    State
 }
 
-// RefusedError means that an event cannot happen in a state.
-type RefusedError struct {
+// InvalidEventError reports an event that has no transition from a state.
+type InvalidEventError struct {
 	Chart Name
 	State State
 	Event Event
 }
 
-// Error names the chart, the state and the event.
-func (e *RefusedError) Error() string {
+// Error returns the chart, the state and the event in one message.
+func (e *InvalidEventError) Error() string {
 	return fmt.Sprintf("%s: %q cannot happen in state %q", e.Chart, e.Event, e.State)
 }
 
-// Chart is a checked state chart.
+// Chart is a validated state chart.
 type Chart struct {
-	name   Name
-	start  State
-	states []State
-	moves  []Move
-	next   map[step]State
-	final  map[State]bool
+	name        Name
+	start       State
+	states      []State
+	transitions []Transition
+	targets     map[transitionKey]State
+	final       map[State]bool
 }
 
-// step is the key of a transition.
-type step struct {
-	from State
-	on   Event
+// transitionKey identifies a transition by its source state and event.
+type transitionKey struct {
+	from  State
+	event Event
 }
 
-// source is the layout of a chart file.
-type source struct {
-	Start  State   `json:"start"`
-	States []State `json:"states"`
-	Final  []State `json:"final"`
-	Moves  []moves `json:"moves"`
+// chartFile is the JSON layout of a chart file.
+type chartFile struct {
+	Start       State             `json:"start"`
+	States      []State           `json:"states"`
+	Final       []State           `json:"final"`
+	Transitions []transitionGroup `json:"moves"`
 }
 
-// moves are transitions on one event into one state.
-type moves struct {
-	From []State `json:"from"`
-	On   Event   `json:"on"`
-	To   State   `json:"to"`
+// transitionGroup is a set of transitions with the same event and target state.
+type transitionGroup struct {
+	From  []State `json:"from"`
+	Event Event   `json:"on"`
+	To    State   `json:"to"`
 }
 
-// Load reads a chart that is built in, and checks it.
+// Load parses and validates one of the embedded charts.
 func Load(name Name) (*Chart, error) {
-	b, err := files.ReadFile(string(name) + ".json")
+	b, err := chartFiles.ReadFile(string(name) + ".json")
 	if err != nil {
 		return nil, errors.Wrapf(err, "chart %s", name)
 	}
 	return Parse(name, b)
 }
 
-// MustLoad is Load for a chart that the tests have shown to be sound.
+// MustLoad is like Load but panics on an error. It is meant for the embedded charts,
+// which the tests validate.
 func MustLoad(name Name) *Chart {
 	c, err := Load(name)
 	if err != nil {
@@ -106,21 +106,21 @@
 	return c
 }
 
-// Parse reads a chart from JSON with comments, and checks it.
+// Parse parses and validates a chart from JSON with comments.
 func Parse(name Name, b []byte) (*Chart, error) {
-	plain, err := hujson.Standardize(bytes.Clone(b))
+	standardJSON, err := hujson.Standardize(bytes.Clone(b))
 	if err != nil {
 		return nil, errors.Wrapf(err, "chart %s", name)
 	}
-	d := json.NewDecoder(bytes.NewReader(plain))
+	d := json.NewDecoder(bytes.NewReader(standardJSON))
 	d.DisallowUnknownFields()
-	var src source
+	var src chartFile
 	if err := d.Decode(&src); err != nil {
 		return nil, errors.Wrapf(err, "chart %s", name)
 	}
 	c, err := build(name, src)
 	if err == nil {
-		err = c.check()
+		err = c.validate()
 	}
 	if err != nil {
 		return nil, errors.Wrapf(err, "chart %s", name)
@@ -128,42 +128,43 @@
 	return c, nil
 }
 
-// build makes the chart and refuses two transitions for one state and event.
-func build(name Name, src source) (*Chart, error) {
-	c := &Chart{name: name, start: src.Start, states: src.States, next: map[step]State{}, final: map[State]bool{}}
+// build creates the chart and refuses two transitions for the same state and event.
+func build(name Name, src chartFile) (*Chart, error) {
+	c := &Chart{name: name, start: src.Start, states: src.States, targets: map[transitionKey]State{}, final: map[State]bool{}}
 	for _, s := range src.Final {
 		c.final[s] = true
 	}
-	for _, m := range src.Moves {
+	for _, m := range src.Transitions {
 		for _, from := range m.From {
-			key := step{from, m.On}
-			if _, twice := c.next[key]; twice {
-				return nil, errors.Newf("state %q has two transitions on %q", from, m.On)
+			key := transitionKey{from, m.Event}
+			if _, duplicate := c.targets[key]; duplicate {
+				return nil, errors.Newf("state %q has two transitions on %q", from, m.Event)
 			}
-			c.next[key] = m.To
-			c.moves = append(c.moves, Move{From: from, On: m.On, To: m.To})
+			c.targets[key] = m.To
+			c.transitions = append(c.transitions, Transition{From: from, Event: m.Event, To: m.To})
 		}
 	}
 	return c, nil
 }
 
-// Start returns the state in which everything begins.
+// Start returns the initial state.
 func (c *Chart) Start() State { return c.start }
 
-// Next returns the state that an event leads to, or a *RefusedError.
+// Next returns the state that an event leads to, or an *InvalidEventError and the
+// unchanged state.
 func (c *Chart) Next(s State, e Event) (State, error) {
-	to, ok := c.next[step{s, e}]
+	to, ok := c.targets[transitionKey{s, e}]
 	if !ok {
-		return s, &RefusedError{Chart: c.name, State: s, Event: e}
+		return s, &InvalidEventError{Chart: c.name, State: s, Event: e}
 	}
 	return to, nil
 }
 
-// Final tells whether nothing can happen any more.
+// Final reports whether the state is a final state.
 func (c *Chart) Final(s State) bool { return c.final[s] }
 
-// States returns all states in the order of the file.
+// States returns all states in file order.
 func (c *Chart) States() []State { return slices.Clone(c.states) }
 
-// Moves returns all transitions in the order of the file.
-func (c *Chart) Moves() []Move { return slices.Clone(c.moves) }
+// Transitions returns all transitions in file order.
+func (c *Chart) Transitions() []Transition { return slices.Clone(c.transitions) }
--- a/internal/ledger/chart/names.go
+++ b/internal/ledger/chart/names.go
@@ -1,48 +1,49 @@
 package chart
 
-// The charts that are built in.
+// The embedded charts. FlowTask is the chart of a flow's task.
 const (
-	Task    Name = "task"
-	Attempt Name = "attempt"
-	Lease   Name = "lease"
-	Backend Name = "backend"
-	Member  Name = "member"
-	Flow    Name = "flow"
-	Piece   Name = "piece"
+	Task     Name = "task"
+	Attempt  Name = "attempt"
+	Lease    Name = "lease"
+	Backend  Name = "backend"
+	Member   Name = "member"
+	Flow     Name = "flow"
+	FlowTask Name = "piece"
 )
 
-// The states of a task.
+// The states of a job's task. WaitingForGang and Done are also states of a flow's task.
 const (
-	Queued   State = "queued"
-	Placed   State = "placed"
-	Stopping State = "stopping"
-	Resting  State = "resting"
-	Done     State = "done"
-	NotRun   State = "notrun"
-	Unknown  State = "unknown"
+	Queued         State = "queued"
+	Placed         State = "placed"
+	Stopping       State = "stopping"
+	WaitingForGang State = "resting"
+	Done           State = "done"
+	NotRun         State = "notrun"
+	Unknown        State = "unknown"
 )
 
-// The states of an attempt, besides Placed and Stopping.
+// The states of an attempt, in addition to Placed and Stopping. NeverStarted and Lost
+// are final.
 const (
-	Running State = "running"
-	Ordered State = "ordered"
-	Ended   State = "ended"
-	Never   State = "never"
-	Lost    State = "lost"
+	Running      State = "running"
+	StartOrdered State = "ordered"
+	Ended        State = "ended"
+	NeverStarted State = "never"
+	Lost         State = "lost"
 )
 
-// The states of a flow, besides Queued, Running and Done.
+// The states of a flow, in addition to Queued, Running and Done.
 const (
 	Failed    State = "failed"
 	Cancelled State = "cancelled"
 )
 
-// The states of a lease.
+// The states of a lease. MissedRenewal is an unexpired lease without recent renewal.
 const (
-	Held     State = "held"
-	Doubtful State = "doubtful"
-	Expired  State = "expired"
-	Released State = "released"
+	Held          State = "held"
+	MissedRenewal State = "doubtful"
+	Expired       State = "expired"
+	Released      State = "released"
 )
 
 // The states of a backend server's session.
@@ -54,7 +55,7 @@
 	Gone        State = "gone"
 )
 
-// The states of a member of the control group.
+// The states of a member of the control group. Synced is a learner that has caught up.
 const (
 	Learner State = "learner"
 	Synced  State = "synced"
@@ -62,41 +63,43 @@
 	Removed State = "removed"
 )
 
-// The events of tasks and attempts.
+// The events of tasks and attempts. EndUnknown ends a task whose outcome is unknown.
+// GiveUpStarted and GiveUpUnstarted end a task whose job was given up, after an attempt
+// started and before any did. Decline reports that the server refused the start order.
 const (
-	Place    Event = "place"
-	Refuse   Event = "refuse"
-	Start    Event = "start"
-	Decline  Event = "decline"
-	Stop     Event = "stop"
-	Finish   Event = "finish"
-	Requeue  Event = "requeue"
-	Rest     Event = "rest"
-	Forfeit  Event = "forfeit"
-	Retry    Event = "retry"
-	Quit     Event = "quit"
-	Order    Event = "order"
-	Withdraw Event = "withdraw"
-	End      Event = "end"
+	Place           Event = "place"
+	GiveUpUnstarted Event = "refuse"
+	Start           Event = "start"
+	Decline         Event = "decline"
+	Stop            Event = "stop"
+	Finish          Event = "finish"
+	Requeue         Event = "requeue"
+	WaitForGang     Event = "rest"
+	EndUnknown      Event = "forfeit"
+	Retry           Event = "retry"
+	GiveUpStarted   Event = "quit"
+	OrderStart      Event = "order"
+	Withdraw        Event = "withdraw"
+	End             Event = "end"
 )
 
-// The events of leases, backend servers and members; Expire is one of attempts too.
+// The events of leases, backend servers and members. Expire is also an event of attempts.
 const (
-	Renew      Event = "renew"
-	Miss       Event = "miss"
-	Expire     Event = "expire"
-	Release    Event = "release"
-	Drain      Event = "drain"
-	Hear       Event = "hear"
-	Quarantine Event = "quarantine"
-	Acquit     Event = "acquit"
-	Sync       Event = "sync"
-	Lag        Event = "lag"
-	Promote    Event = "promote"
-	Remove     Event = "remove"
+	Renew           Event = "renew"
+	MissHeartbeat   Event = "miss"
+	Expire          Event = "expire"
+	Release         Event = "release"
+	Drain           Event = "drain"
+	ResumeHeartbeat Event = "hear"
+	Quarantine      Event = "quarantine"
+	EndQuarantine   Event = "acquit"
+	CatchUp         Event = "sync"
+	FallBehind      Event = "lag"
+	Promote         Event = "promote"
+	Remove          Event = "remove"
 )
 
-// The events of flows, besides Start and Finish.
+// The events of flows, in addition to Start and Finish.
 const (
 	Fail   Event = "fail"
 	Cancel Event = "cancel"
--- a/internal/ledger/flows/run.go
+++ b/internal/ledger/flows/run.go
@@ -12,84 +12,88 @@
 	"gypsumreel/internal/ledger/chart"
 )
 
-// server takes what a backend server reported of itself. A report never makes
-// a leaving server take work again within one life: a delayed report may say so.
-func (l *Ledger) server(at time.Duration, m *record.FlowServer) *code.Error {
+// applyServerReport records what a backend server reported about itself. Within one
+// incarnation a report never ends a graceful shutdown, because the report may be a
+// delayed older one.
+func (l *Ledger) applyServerReport(now time.Duration, m *record.FlowServer) *code.Error {
 	old, known := l.servers[m.GetId()]
-	if known && m.GetBorn() < old.Born {
-		return code.New(code.Stale, "%s has begun another life", m.GetId())
+	if known && m.GetBorn() < old.StartedAtMs {
+		return code.New(code.Stale, "server %s: report of an older incarnation", m.GetId())
 	}
 	b := &Server{
-		ID: m.GetId(), Born: m.GetBorn(), Address: m.GetAddress(), Zone: m.GetZone(), Pool: m.GetPool(), Machine: m.GetMachine(),
-		Capacity: sizeOf(m.GetCapacity()), Labels: m.GetLabels(), Leaving: m.GetLeaving(), Call: m.GetCall(), Warm: at + time.Duration(m.GetCold())*time.Millisecond, Held: map[flow.TaskID]*Held{},
+		ID: m.GetId(), StartedAtMs: m.GetBorn(), Address: m.GetAddress(), Zone: m.GetZone(), Pool: m.GetPool(), Machine: m.GetMachine(),
+		Capacity: sizeFromMessage(m.GetCapacity()), Labels: m.GetLabels(), ShuttingDown: m.GetLeaving(), LastReport: m.GetCall(), WarmUpEndsAt: now + time.Duration(m.GetCold())*time.Millisecond, HeldRuns: map[flow.TaskID]*HeldRun{},
 	}
-	if known && m.GetBorn() == old.Born {
-		if old.Over {
-			return code.New(code.Stale, "that life of %s is over", m.GetId())
+	if known && m.GetBorn() == old.StartedAtMs {
+		if old.Ended {
+			return code.New(code.Stale, "server %s: this incarnation has ended", m.GetId())
 		}
-		if m.GetCall() < old.Call {
-			return code.New(code.Stale, "%s has reported since", m.GetId())
+		if m.GetCall() < old.LastReport {
+			return code.New(code.Stale, "server %s: a later report is already recorded", m.GetId())
 		}
-		b.Leaving = b.Leaving || old.Leaving
-		b.Cursor, b.Used, b.Held = old.Cursor, old.Used, old.Held
+		b.ShuttingDown = b.ShuttingDown || old.ShuttingDown
+		b.EndCursor, b.Used, b.HeldRuns = old.EndCursor, old.Used, old.HeldRuns
 	} else if known {
-		// The life before this one is over, and with it all that it held.
-		l.over(at, old, nil, nil)
+		// The previous incarnation has ended, and all runs that it held ended with it.
+		l.endIncarnation(now, old, nil, nil)
 	}
 	l.servers[b.ID] = b
-	l.mixText(b.ID)
-	l.mix(uint64(b.Born))
+	l.addTextToDigest(b.ID)
+	l.addToDigest(uint64(b.StartedAtMs))
 	return nil
 }
 
-func sizeOf(m *v1.Size) capacity.Size {
+func sizeFromMessage(m *v1.Size) capacity.Size {
 	return capacity.Size{CPU: m.GetCpu(), Memory: m.GetMemory(), Accel: m.GetAccel(), Slots: m.GetSlots()}
 }
 
-// clear records that nothing runs any more of what one life held.
-func (l *Ledger) clear(at time.Duration, c *record.FlowClear) *code.Error {
+// clearServer records that none of the runs held by one server incarnation is in
+// progress any more.
+func (l *Ledger) clearServer(now time.Duration, c *record.FlowClear) *code.Error {
 	b, ok := l.servers[c.GetId()]
-	if !ok || b.Born != c.GetBorn() {
-		return code.New(code.Stale, "%s has begun another life", c.GetId())
+	if !ok || b.StartedAtMs != c.GetBorn() {
+		return code.New(code.Stale, "server %s runs another incarnation", c.GetId())
 	}
-	b.Over = b.Over || c.GetOver()
-	l.mixText(b.ID)
+	b.Ended = b.Ended || c.GetOver()
+	l.addTextToDigest(b.ID)
 	if c.GetOver() {
-		l.over(at, b, c.GetSaved(), c.GetBlamed())
+		l.endIncarnation(now, b, c.GetSaved(), c.GetBlamed())
 		return nil
 	}
-	l.lose(at, b, inner.RunEnd_RUN_END_LOST, c.GetSaved())
+	l.endAllRuns(now, b, inner.RunEnd_RUN_END_LOST, c.GetSaved())
 	return nil
 }
 
-// over ends a life of a server and everything that it held.
-func (l *Ledger) over(at time.Duration, b *Server, saved []*record.FlowSaved, blamed []*inner.Run) {
-	if l.Planned(b) {
-		l.lose(at, b, inner.RunEnd_RUN_END_LOST, saved)
+// endIncarnation ends a server incarnation and all runs that it held. Unless the
+// shutdown was planned, it counts as a crash.
+func (l *Ledger) endIncarnation(now time.Duration, b *Server, saved []*record.FlowSaved, blamed []*inner.Run) {
+	if l.ShutdownPlanned(b) {
+		l.endAllRuns(now, b, inner.RunEnd_RUN_END_LOST, saved)
 		return
 	}
-	l.crash(at, b, blamed)
-	l.lose(at, b, inner.RunEnd_RUN_END_CRASHED, saved)
+	l.countCrash(now, b, blamed)
+	l.endAllRuns(now, b, inner.RunEnd_RUN_END_CRASHED, saved)
 }
 
-// lose ends everything that a server held, in the order of the runs' names, so
-// that every replica takes the same path.
-func (l *Ledger) lose(at time.Duration, b *Server, how inner.RunEnd, saved []*record.FlowSaved) {
-	kept := map[flow.RunID]string{}
+// endAllRuns ends all runs that a server held. The runs are sorted, so that every
+// replica applies the ends in the same order.
+func (l *Ledger) endAllRuns(now time.Duration, b *Server, runEnd inner.RunEnd, saved []*record.FlowSaved) {
+	checkpoints := map[flow.RunID]string{}
 	for _, s := range saved {
-		kept[flow.RunOf(s.GetRun())] = s.GetCheckpoint()
+		checkpoints[flow.RunOf(s.GetRun())] = s.GetCheckpoint()
 	}
-	for _, id := range sortedTasks(b.Held) {
-		h := b.Held[id]
-		l.end(at, b, h.RunID, how, kept[h.RunID])
+	for _, id := range sortedTaskIDs(b.HeldRuns) {
+		h := b.HeldRuns[id]
+		l.recordEnd(now, b, h.RunID, runEnd, checkpoints[h.RunID])
 	}
 }
 
-// start places runs, all or none. It checks again what the planner checked, in
-// the one place where every placement passes: that the step's turn has come,
-// the server's life and room, the customer's limit, and that gangs are whole.
-func (l *Ledger) start(at time.Duration, c *record.FlowStart) *code.Error {
-	if err := l.startable(c.GetPlaces()); err != nil {
+// startRuns places either all of the given runs or none. It repeats the planner's
+// checks, because every placement passes through here: the step's dependencies, the
+// server's state and free capacity, the customer's limit, and that gangs are placed as
+// a whole.
+func (l *Ledger) startRuns(now time.Duration, c *record.FlowStart) *code.Error {
+	if err := l.checkPlacements(c.GetPlaces()); err != nil {
 		return err
 	}
 	for _, p := range c.GetPlaces() {
@@ -97,127 +101,130 @@
 		s, _ := l.Step(id.StepID)
 		b := l.servers[p.GetServer()]
 		t := &s.Tasks[id.Index]
-		t.Number, t.Server, t.Born = id.Number, b.ID, b.Born
-		l.hold(b, &Held{RunID: id, Server: b.ID, Customer: s.Flow.Customer, Size: flow.SizeOf(s.Spec), Since: at})
-		l.move(s, id.Index, chart.Place)
+		t.LatestRun, t.Server, t.ServerStartedAtMs = id.Number, b.ID, b.StartedAtMs
+		l.addHeldRun(b, &HeldRun{RunID: id, Server: b.ID, Customer: s.Flow.Customer, Size: flow.SizeOf(s.Spec), PlacedAt: now})
+		l.moveTask(s, id.Index, chart.Place)
 		if s.Flow.State == v1.FlowState_FLOW_STATE_QUEUED {
-			l.pending[s.Flow.Queue]--
-			l.state(s.Flow, v1.FlowState_FLOW_STATE_RUNNING)
+			l.pendingFlows[s.Flow.QueueName]--
+			l.setFlowState(s.Flow, v1.FlowState_FLOW_STATE_RUNNING)
 		}
-		l.index(s)
-		l.mix(uint64(id.Index), uint64(id.Number))
+		l.updateReadySteps(s)
+		l.addToDigest(uint64(id.Index), uint64(id.Number))
 	}
 	return nil
 }
 
-// startable tells whether all places can be taken at once.
-func (l *Ledger) startable(places []*record.FlowPlace) *code.Error {
-	more, total := map[string]capacity.Size{}, map[string]capacity.Size{}
-	gangs, seen := map[flow.StepID]int{}, map[flow.TaskID]bool{}
+// checkPlacements returns an error unless all placements are possible together.
+func (l *Ledger) checkPlacements(places []*record.FlowPlace) *code.Error {
+	addedByServer, addedByCustomer := map[string]capacity.Size{}, map[string]capacity.Size{}
+	placedByGang, seen := map[flow.StepID]int{}, map[flow.TaskID]bool{}
 	for _, p := range places {
 		id := flow.RunOf(p.GetRun())
 		s, ok := l.Step(id.StepID)
 		switch {
-		case !ok || s.Missing > 0 || int(id.Index) >= len(s.Tasks) || s.Flow.Final():
-			return code.New(code.Unknown, "%s", id)
-		case s.Tasks[id.Index].Phase != Queued || seen[id.TaskID] || id.Number <= s.Tasks[id.Index].Number:
-			return code.New(code.Internal, "%s does not wait", id)
+		case !ok || s.UnfinishedDependencies > 0 || int(id.Index) >= len(s.Tasks) || s.Flow.Final():
+			return code.New(code.Unknown, "run %s: its task cannot be started", id)
+		case s.Tasks[id.Index].Phase != Queued || seen[id.TaskID] || id.Number <= s.Tasks[id.Index].LatestRun:
+			return code.New(code.Internal, "run %s: its task is not queued", id)
 		}
 		seen[id.TaskID] = true
 		b, ok := l.servers[p.GetServer()]
-		if !ok || !l.Takes(b) {
-			return code.New(code.Stale, "%s takes no work", p.GetServer())
+		if !ok || !l.AcceptsWork(b) {
+			return code.New(code.Stale, "server %s accepts no new work", p.GetServer())
 		}
 		size := flow.SizeOf(s.Spec)
-		more[b.ID] = more[b.ID].Add(size)
-		if !b.Used.Add(more[b.ID]).Fits(b.Capacity) {
-			return code.New(code.NeverFits, "%s is full", b.ID)
+		addedByServer[b.ID] = addedByServer[b.ID].Add(size)
+		if !b.Used.Add(addedByServer[b.ID]).Fits(b.Capacity) {
+			return code.New(code.NeverFits, "server %s has too little free capacity", b.ID)
 		}
-		owner := s.Flow.Customer
-		total[owner] = total[owner].Add(size)
-		if !l.used[owner].Add(total[owner]).Within(l.Limit(owner)) {
-			return code.New(code.NeverFits, "limit of %s", owner)
+		customer := s.Flow.Customer
+		addedByCustomer[customer] = addedByCustomer[customer].Add(size)
+		if !l.customerUsage[customer].Add(addedByCustomer[customer]).Within(l.CustomerLimit(customer)) {
+			return code.New(code.NeverFits, "limit of customer %s exceeded", customer)
 		}
 		if s.Spec.GetGang() {
-			gangs[s.StepID]++
+			placedByGang[s.StepID]++
 		}
 	}
-	for id, n := range gangs {
+	for id, n := range placedByGang {
 		if s, _ := l.Step(id); n != len(s.Tasks) {
-			return code.New(code.Internal, "part of gang %s", id)
+			return code.New(code.Internal, "gang %s is not placed as a whole", id)
 		}
 	}
 	return nil
 }
 
-// hold and release are the only ones that change what is held.
-func (l *Ledger) hold(b *Server, h *Held) {
-	b.Held[h.TaskID] = h
+// addHeldRun and removeHeldRun are the only functions that change which runs a server
+// holds.
+func (l *Ledger) addHeldRun(b *Server, h *HeldRun) {
+	b.HeldRuns[h.TaskID] = h
 	b.Used = b.Used.Add(h.Size)
-	l.used[h.Customer] = l.used[h.Customer].Add(h.Size)
+	l.customerUsage[h.Customer] = l.customerUsage[h.Customer].Add(h.Size)
 	if f, ok := l.flows[h.Flow]; ok {
-		f.Held++
+		f.HeldRuns++
 	}
 }
 
-func (l *Ledger) release(b *Server, h *Held) {
-	delete(b.Held, h.TaskID)
-	if l.unwanted[h.TaskID] == h {
-		delete(l.unwanted, h.TaskID)
+func (l *Ledger) removeHeldRun(b *Server, h *HeldRun) {
+	delete(b.HeldRuns, h.TaskID)
+	if l.runsToStop[h.TaskID] == h {
+		delete(l.runsToStop, h.TaskID)
 	}
 	b.Used = b.Used.Sub(h.Size)
-	l.used[h.Customer] = l.used[h.Customer].Sub(h.Size)
+	l.customerUsage[h.Customer] = l.customerUsage[h.Customer].Sub(h.Size)
 	if f, ok := l.flows[h.Flow]; ok {
-		f.Held--
+		f.HeldRuns--
 	}
 }
 
-// ends records ends that a server listed or that are proved otherwise.
-func (l *Ledger) ends(at time.Duration, c *record.FlowEnds) *code.Error {
+// recordEnds records run ends that a server incarnation listed or that are proved in
+// another way.
+func (l *Ledger) recordEnds(now time.Duration, c *record.FlowEnds) *code.Error {
 	b, ok := l.servers[c.GetServer()]
-	if !ok || b.Born != c.GetBorn() {
-		return code.New(code.Stale, "%s has begun another life", c.GetServer())
+	if !ok || b.StartedAtMs != c.GetBorn() {
+		return code.New(code.Stale, "server %s runs another incarnation", c.GetServer())
 	}
 	for _, e := range c.GetEnds() {
-		l.end(at, b, flow.RunOf(e.GetRun()), e.GetHow(), e.GetCheckpoint())
+		l.recordEnd(now, b, flow.RunOf(e.GetRun()), e.GetHow(), e.GetCheckpoint())
 	}
-	b.Cursor = max(b.Cursor, c.GetCursor())
-	l.mixText(b.ID)
-	l.mix(b.Cursor)
+	b.EndCursor = max(b.EndCursor, c.GetCursor())
+	l.addTextToDigest(b.ID)
+	l.addToDigest(b.EndCursor)
 	return nil
 }
 
-// end records one end: what the run held is free, and its task goes on by how
-// it ended. An end of a run that is not the task's latest only frees room.
-func (l *Ledger) end(at time.Duration, b *Server, id flow.RunID, how inner.RunEnd, checkpoint string) {
+// recordEnd records the end of one run. It frees the capacity of the run and updates
+// its task. If the run is not the latest of its task, only the capacity is freed.
+func (l *Ledger) recordEnd(now time.Duration, b *Server, id flow.RunID, runEnd inner.RunEnd, checkpoint string) {
 	held := false
-	if h := b.Held[id.TaskID]; h != nil && h.Number == id.Number {
+	if h := b.HeldRuns[id.TaskID]; h != nil && h.Number == id.Number {
 		held = true
-		l.release(b, h)
+		l.removeHeldRun(b, h)
 	}
-	l.mix(uint64(id.Index), uint64(id.Number), uint64(how))
+	l.addToDigest(uint64(id.Index), uint64(id.Number), uint64(runEnd))
 	s, ok := l.Step(id.StepID)
 	if !ok || int(id.Index) >= len(s.Tasks) || s.Flow.Final() {
 		return
 	}
 	t := &s.Tasks[id.Index]
-	if t.Number != id.Number || t.Phase == Done || t.Server != b.ID || t.Born != b.Born {
+	if t.LatestRun != id.Number || t.Phase == Done || t.Server != b.ID || t.ServerStartedAtMs != b.StartedAtMs {
 		return
 	}
 	if checkpoint != "" {
-		l.save(s, id.Index, checkpoint)
+		l.saveCheckpoint(s, id.Index, checkpoint)
 	}
 	switch {
-	case how == inner.RunEnd_RUN_END_DONE && !s.lasts():
-		l.finish(at, s, id)
+	case runEnd == inner.RunEnd_RUN_END_DONE && !s.runsUntilCancelled():
+		l.finishTask(now, s, id)
 	case t.Phase == Placed && held:
-		l.fall(at, s, id, how)
+		l.requeueOrFail(now, s, id, runEnd)
 	}
-	l.index(s)
+	l.updateReadySteps(s)
 }
 
-// save keeps a checkpoint; that of any member is good for its whole gang.
-func (l *Ledger) save(s *Step, index uint32, checkpoint string) {
+// saveCheckpoint stores a checkpoint. The checkpoint of any gang member is valid for
+// the whole gang.
+func (l *Ledger) saveCheckpoint(s *Step, index uint32, checkpoint string) {
 	if !s.Spec.GetGang() {
 		s.Tasks[index].Checkpoint = checkpoint
 		return
@@ -227,95 +234,95 @@
 	}
 }
 
-// finish records a good end. The members of a gang end together: the end of
-// one is that of all, and what the others still hold is freed by their own ends.
-func (l *Ledger) finish(at time.Duration, s *Step, id flow.RunID) {
+// finishTask records a successful end. One successful member finishes the whole gang.
+// The capacity of the other members is freed when their own runs end.
+func (l *Ledger) finishTask(now time.Duration, s *Step, id flow.RunID) {
 	if s.Spec.GetGang() {
 		for i := range s.Tasks {
 			if s.Tasks[i].Phase != Done {
-				l.move(s, uint32(i), chart.Finish)
+				l.moveTask(s, uint32(i), chart.Finish)
 			}
 		}
 	} else {
-		l.move(s, id.Index, chart.Finish)
+		l.moveTask(s, id.Index, chart.Finish)
 	}
-	if s.Done < len(s.Tasks) {
+	if s.DoneTasks < len(s.Tasks) {
 		return
 	}
 	turn := s.Flow.Turns[s.Turn]
-	turn.left--
+	turn.unfinishedSteps--
 	for _, next := range turn.Steps {
-		for _, before := range next.Spec.GetAfter() {
-			if before == s.Step {
-				next.Missing--
+		for _, dependency := range next.Spec.GetAfter() {
+			if dependency == s.Step {
+				next.UnfinishedDependencies--
 			}
 		}
-		if next.Missing == 0 && next != s {
-			if next.Since < at && next.Queued == len(next.Tasks) {
-				next.Since = at
+		if next.UnfinishedDependencies == 0 && next != s {
+			if next.ReadyAt < now && next.QueuedTasks == len(next.Tasks) {
+				next.ReadyAt = now
 			}
-			l.index(next)
+			l.updateReadySteps(next)
 		}
 	}
-	if turn.left > 0 {
+	if turn.unfinishedSteps > 0 {
 		return
 	}
 	delete(s.Flow.Turns, s.Turn)
-	if len(s.Flow.Turns) == 0 && s.Flow.Next >= max(s.Flow.Spec.GetTimes(), 1) {
-		l.conclude(at, s.Flow, v1.FlowState_FLOW_STATE_DONE)
+	if len(s.Flow.Turns) == 0 && s.Flow.NextTurn >= max(s.Flow.Spec.GetTimes(), 1) {
+		l.endFlow(now, s.Flow, v1.FlowState_FLOW_STATE_DONE)
 	}
 }
 
-// fall records an end that is not a good one: the task waits again, or its flow
-// has failed. The other members of a gang are stopped first.
-func (l *Ledger) fall(at time.Duration, s *Step, id flow.RunID, how inner.RunEnd) {
-	if l.failed(s, id, how) {
-		l.conclude(at, s.Flow, v1.FlowState_FLOW_STATE_FAILED)
+// requeueOrFail handles a run that did not end successfully: its task is queued again,
+// or its flow fails. The other members of a gang are stopped first.
+func (l *Ledger) requeueOrFail(now time.Duration, s *Step, id flow.RunID, runEnd inner.RunEnd) {
+	if l.countFailure(s, id, runEnd) {
+		l.endFlow(now, s.Flow, v1.FlowState_FLOW_STATE_FAILED)
 		return
 	}
 	if !s.Spec.GetGang() {
-		l.move(s, id.Index, chart.Requeue)
+		l.moveTask(s, id.Index, chart.Requeue)
 		return
 	}
-	l.move(s, id.Index, chart.Rest)
+	l.moveTask(s, id.Index, chart.WaitForGang)
 	l.stopStep(s)
-	if s.Placed > 0 {
+	if s.PlacedTasks > 0 {
 		return
 	}
 	for i := range s.Tasks {
-		if s.Tasks[i].Phase == Resting {
-			l.move(s, uint32(i), chart.Retry)
+		if s.Tasks[i].Phase == WaitingForGang {
+			l.moveTask(s, uint32(i), chart.Retry)
 		}
 	}
 }
 
-// failed counts a run that its task may be at fault for, and tells whether it was
-// one too many. Lasting tasks may fail without end.
-func (l *Ledger) failed(s *Step, id flow.RunID, how inner.RunEnd) bool {
+// countFailure counts a run that failed or crashed its server, and reports whether the
+// limit is reached. Failed runs of steps that run until cancelled are not limited.
+func (l *Ledger) countFailure(s *Step, id flow.RunID, runEnd inner.RunEnd) bool {
 	switch {
-	case how == inner.RunEnd_RUN_END_CRASHED:
-		return s.Tasks[id.Index].crashing()
-	case how != inner.RunEnd_RUN_END_FAILED || s.lasts():
+	case runEnd == inner.RunEnd_RUN_END_CRASHED:
+		return s.Tasks[id.Index].exceedsCrashLimit()
+	case runEnd != inner.RunEnd_RUN_END_FAILED || s.runsUntilCancelled():
 		return false
 	}
 	q, ok := l.QueueOf(s.Flow)
-	most := q.GetAttempts()
-	if !ok || most == 0 {
-		most = DefaultAttempts
+	maxAttempts := q.GetAttempts()
+	if !ok || maxAttempts == 0 {
+		maxAttempts = DefaultAttempts
 	}
 	if s.Spec.GetGang() {
-		if s.Counted == id.Number {
-			return false // once for a whole gang
+		if s.LastFailedRun == id.Number {
+			return false // one failure per run of a gang, whatever the number of failed members
 		}
-		s.Counted = id.Number
-		s.Fails++
-		return s.Fails >= most
+		s.LastFailedRun = id.Number
+		s.FailedRuns++
+		return s.FailedRuns >= maxAttempts
 	}
 	t := &s.Tasks[id.Index]
-	t.Fails++
-	return t.Fails >= most
+	t.FailedRuns++
+	return t.FailedRuns >= maxAttempts
 }
 
-// DefaultAttempts is how often a task may fail when its queue does not say:
-// once is often the server's fault, three times seldom.
+// DefaultAttempts is the number of failed runs after which a task fails if its queue
+// sets no limit. A single failure is often caused by the server, three rarely are.
 const DefaultAttempts = 3
--- a/internal/ledger/state/phase.go
+++ b/internal/ledger/state/phase.go
@@ -2,8 +2,8 @@
 
 import "gypsumreel/internal/ledger/chart"
 
-// Phase is where a task stands in the ledger. The chart in task.json says which
-// phase follows which; nothing here changes a phase but by an event of it.
+// Phase is the state of a task. The state chart in task.json defines the allowed
+// transitions, and phases change only through its events.
 type Phase uint8
 
 // The phases of a task. Placed and Stopping hold capacity.
@@ -12,69 +12,72 @@
 	Queued Phase = iota + 1
 	// Placed tasks have an attempt that may be running.
 	Placed
-	// Stopping tasks have an attempt that is ordered to stop.
+	// Stopping tasks have an attempt that was ordered to stop.
 	Stopping
-	// Resting tasks of a gang wait for its other tasks to stop.
-	Resting
-	// Done tasks ended by themselves, or were stopped for good.
+	// WaitingForGang tasks of a gang wait until the other members have stopped.
+	WaitingForGang
+	// Done tasks ended by themselves, or were stopped after their job was cancelled or
+	// given up.
 	Done
-	// NotRun tasks never started and never will.
+	// NotRun tasks never started and never will start.
 	NotRun
-	// Unknown tasks may not be repeated and were lost with their server.
+	// Unknown tasks may not be repeated, and it is not known whether their program ran
+	// to its end.
 	Unknown
 )
 
-// names are the chart's names of the phases.
-var names = [...]chart.State{
-	Queued: chart.Queued, Placed: chart.Placed, Stopping: chart.Stopping, Resting: chart.Resting,
+// phaseNames maps each phase to its name in the state chart.
+var phaseNames = [...]chart.State{
+	Queued: chart.Queued, Placed: chart.Placed, Stopping: chart.Stopping, WaitingForGang: chart.WaitingForGang,
 	Done: chart.Done, NotRun: chart.NotRun, Unknown: chart.Unknown,
 }
 
-// tasks is the chart of a task, with phases in place of names.
-var tasks = phases(chart.MustLoad(chart.Task))
+// taskTransitions is the state chart of a task, keyed by phase.
+var taskTransitions = transitionTable(chart.MustLoad(chart.Task))
 
-func phases(c *chart.Chart) map[Phase]map[chart.Event]Phase {
-	number := map[chart.State]Phase{}
-	for p, name := range names {
-		number[name] = Phase(p)
+func transitionTable(c *chart.Chart) map[Phase]map[chart.Event]Phase {
+	phaseByName := map[chart.State]Phase{}
+	for p, name := range phaseNames {
+		phaseByName[name] = Phase(p)
 	}
 	out := map[Phase]map[chart.Event]Phase{}
-	for _, m := range c.Moves() {
-		from := number[m.From]
+	for _, m := range c.Transitions() {
+		from := phaseByName[m.From]
 		if out[from] == nil {
 			out[from] = map[chart.Event]Phase{}
 		}
-		out[from][m.On] = number[m.To]
+		out[from][m.Event] = phaseByName[m.To]
 	}
 	return out
 }
 
-// move stores a changed task in the phase that the event leads to. An event
-// that the chart does not allow is a fault of this program: the task keeps its
-// phase, and the fault is counted for the checks to see.
-func (s *State) move(t *Task, on chart.Event) {
-	next, ok := tasks[t.Phase][on]
+// moveTask applies a state chart event to a task and stores the task. A transition that
+// the chart does not allow is a bug of this program: the task keeps its phase and
+// invalidTransitions is incremented.
+func (s *State) moveTask(t *Task, event chart.Event) {
+	next, ok := taskTransitions[t.Phase][event]
 	if !ok {
-		s.faults++
+		s.invalidTransitions++
 		return
 	}
-	t.Phase, t.Since = next, s.at
+	t.Phase, t.PhaseSince = next, s.now
 	s.putTask(t)
 }
 
-// Faults returns how often an event came that the charts do not allow.
-func (s *State) Faults() int { return s.faults }
+// InvalidTransitions returns the number of events that the state chart did not allow.
+func (s *State) InvalidTransitions() int { return s.invalidTransitions }
 
-// String returns the phase's name.
+// String returns the name of the phase in the state chart.
 func (p Phase) String() string {
-	if int(p) >= len(names) || p == 0 {
+	if int(p) >= len(phaseNames) || p == 0 {
 		return "none"
 	}
-	return string(names[p])
+	return string(phaseNames[p])
 }
 
-// Holds tells whether a task in this phase counts as running.
-func (p Phase) Holds() bool { return p == Placed || p == Stopping }
+// HoldsCapacity reports whether a task in this phase holds capacity on a server.
+func (p Phase) HoldsCapacity() bool { return p == Placed || p == Stopping }
 
-// Final tells whether a task in this phase has ended, as far as it goes alone.
+// Final reports whether a task in this phase has ended. Only the restart of a whole
+// gang leads out of Done.
 func (p Phase) Final() bool { return p >= Done }
--- a/internal/ledger/state/state_test.go
+++ b/internal/ledger/state/state_test.go
@@ -17,142 +17,142 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// world drives two ledgers with the same commands, as two replicas would.
-type world struct {
-	a, b *state.State
-	now  int64
-	sent []*record.Command
+// replicaPair applies the same commands to two ledgers, as two replicas do.
+type replicaPair struct {
+	first, second *state.State
+	now           int64
+	sent          []*record.Command
 }
 
-func newWorld() *world {
-	w := &world{a: state.New(), b: state.New()}
+func newReplicaPair() *replicaPair {
+	pair := &replicaPair{first: state.New(), second: state.New()}
 	limit := &v1.Size{Cpu: 16, Memory: -1, Accel: -1, Slots: -1}
-	w.change("table", &v1.ChangeRequest{Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
+	pair.change("table", &v1.ChangeRequest{Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
 		{Row: &v1.Row{Team: "t0", Weight: 1, Limit: limit, Queue: 100}},
 		{Row: &v1.Row{Team: "t1", Weight: 2, Limit: limit, Queue: 100}},
 	}}}})
 	for _, name := range []string{"t0", "t1"} {
-		w.change("grant"+name, &v1.ChangeRequest{Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k" + name, Team: name, Digest: make([]byte, 32)}}})
+		pair.change("grant"+name, &v1.ChangeRequest{Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k" + name, Team: name, Digest: make([]byte, 32)}}})
 	}
-	return w
+	return pair
 }
 
-func (w *world) do(c *record.Command) state.Result {
-	w.now += 1000
-	c.At = w.now
-	w.sent = append(w.sent, c)
-	// The second replica reads the command from its bytes, as from the log.
+func (pair *replicaPair) apply(c *record.Command) state.Result {
+	pair.now += 1000
+	c.At = pair.now
+	pair.sent = append(pair.sent, c)
+	// The second replica decodes the command from its bytes, as from the log.
 	d, err := command.Decode(command.Encode(c))
 	if err != nil {
 		panic(err)
 	}
-	r := w.a.Apply(c)
-	w.b.Apply(d)
+	r := pair.first.Apply(c)
+	pair.second.Apply(d)
 	return r
 }
 
-func (w *world) change(id string, req *v1.ChangeRequest) state.Result {
+func (pair *replicaPair) change(id string, req *v1.ChangeRequest) state.Result {
 	req.Id = id
-	return w.do(&record.Command{What: &record.Command_Change{Change: &record.Change{By: "op", Request: req}}})
+	return pair.apply(&record.Command{What: &record.Command_Change{Change: &record.Change{By: "op", Request: req}}})
 }
 
-func (w *world) accept(team, id string, kind v1.Kind, count uint32, cpu int64, once bool) state.Result {
+func (pair *replicaPair) accept(team, id string, kind v1.Kind, count uint32, cpu int64, once bool) state.Result {
 	spec := &v1.Spec{Id: id, Kind: kind, Count: count, Size: &v1.Size{Cpu: cpu}, Once: once}
-	return w.do(&record.Command{What: &record.Command_Accept{Accept: &record.Accept{Team: team, Key: "k" + team, Spec: spec}}})
+	return pair.apply(&record.Command{What: &record.Command_Accept{Accept: &record.Accept{Team: team, Key: "k" + team, Spec: spec}}})
 }
 
-func (w *world) announce(server string, nonce uint64, cpu int64) state.Result {
-	return w.do(&record.Command{What: &record.Command_Announce{Announce: &record.Announce{Server: server, Nonce: nonce, Capacity: &v1.Size{Cpu: cpu}}}})
+func (pair *replicaPair) announce(server string, nonce uint64, cpu int64) state.Result {
+	return pair.apply(&record.Command{What: &record.Command_Announce{Announce: &record.Announce{Server: server, Nonce: nonce, Capacity: &v1.Size{Cpu: cpu}}}})
 }
 
-func (w *world) place(job uint64, server string, indexes ...uint32) state.Result {
-	b, _ := w.a.Server(server)
+func (pair *replicaPair) place(job uint64, server string, indexes ...uint32) state.Result {
+	b, _ := pair.first.Server(server)
 	p := &record.Place{Job: job}
 	for _, i := range indexes {
 		p.Spots = append(p.Spots, &record.Spot{Index: i, Server: server, Incarnation: b.Incarnation})
 	}
-	return w.do(&record.Command{What: &record.Command_Place{Place: p}})
+	return pair.apply(&record.Command{What: &record.Command_Place{Place: p}})
 }
 
-func (w *world) end(t *state.Task, e *record.End) state.Result {
+func (pair *replicaPair) end(t *state.Task, e *record.End) state.Result {
 	e.Job, e.Index, e.Attempt = t.ID.Job, t.ID.Index, t.Attempt
-	return w.do(&record.Command{What: &record.Command_End{End: e}})
+	return pair.apply(&record.Command{What: &record.Command_End{End: e}})
 }
 
-func (w *world) fence(server string) state.Result {
-	b, _ := w.a.Server(server)
-	return w.do(&record.Command{What: &record.Command_Fence{Fence: &record.Fence{Server: server, Incarnation: b.Incarnation}}})
+func (pair *replicaPair) fence(server string) state.Result {
+	b, _ := pair.first.Server(server)
+	return pair.apply(&record.Command{What: &record.Command_Fence{Fence: &record.Fence{Server: server, Incarnation: b.Incarnation}}})
 }
 
-// check holds the promises that rest on the ledger alone against it.
-func (w *world) check(t interface{ Fatalf(string, ...any) }) {
-	held := map[string]capacity.Size{}
-	teams := map[string]capacity.Size{}
-	for _, j := range w.a.Jobs("") {
-		holds, begun := uint32(0), uint32(0)
-		w.a.Tasks(j, func(k *state.Task) {
-			if k.Phase.Holds() {
-				held[k.Server] = held[k.Server].Add(j.Spec.Size)
-				teams[j.Spec.Team] = teams[j.Spec.Team].Add(j.Spec.Size)
-				holds++
+// checkInvariants verifies the invariants that the ledger alone must guarantee.
+func (pair *replicaPair) checkInvariants(t interface{ Fatalf(string, ...any) }) {
+	heldByServer := map[string]capacity.Size{}
+	heldByTeam := map[string]capacity.Size{}
+	for _, j := range pair.first.Jobs("") {
+		heldTasks, startedTasks := uint32(0), uint32(0)
+		pair.first.EachTask(j, func(k *state.Task) {
+			if k.Phase.HoldsCapacity() {
+				heldByServer[k.Server] = heldByServer[k.Server].Add(j.Spec.Size)
+				heldByTeam[j.Spec.Team] = heldByTeam[j.Spec.Team].Add(j.Spec.Size)
+				heldTasks++
 			}
 			if k.Started {
-				begun++
+				startedTasks++
 			}
 			if k.Phase == state.NotRun && k.Started {
-				t.Fatalf("job %d says not run of a task that ran", j.Number)
+				t.Fatalf("job %d: a started task has the phase not run", j.Number)
 			}
 		})
-		if j.Outcome == v1.Outcome_OUTCOME_NOT_RUN && begun > 0 {
-			t.Fatalf("job %d says not run and %d tasks ran", j.Number, begun)
+		if j.Outcome == v1.Outcome_OUTCOME_NOT_RUN && startedTasks > 0 {
+			t.Fatalf("job %d: outcome is not run, but %d tasks started", j.Number, startedTasks)
 		}
-		if j.Spec.Whole() && !j.Final() && holds == 0 && j.Waiting != j.Spec.Count {
-			t.Fatalf("gang %d is stuck: nothing runs and %d of %d tasks wait", j.Number, j.Waiting, j.Spec.Count)
+		if j.Spec.Whole() && !j.Final() && heldTasks == 0 && j.WaitingTasks != j.Spec.Count {
+			t.Fatalf("gang %d is stuck: no task holds capacity and only %d of %d tasks wait", j.Number, j.WaitingTasks, j.Spec.Count)
 		}
-		w.a.Tasks(j, func(k *state.Task) {
-			if holds == 0 && !j.Final() && k.Phase == state.Resting {
-				t.Fatalf("task %v rests for ever", k.ID)
+		pair.first.EachTask(j, func(k *state.Task) {
+			if heldTasks == 0 && !j.Final() && k.Phase == state.WaitingForGang {
+				t.Fatalf("task %v waits forever for its gang", k.ID)
 			}
 		})
-		if j.Spec.Whole() && holds > 0 && j.Waiting > 0 && holds+j.Waiting+j.Finals == j.Spec.Count && placedBeside(w.a, j) {
-			t.Fatalf("a part of gang %d runs while another waits for a place", j.Number)
+		if j.Spec.Whole() && heldTasks > 0 && j.WaitingTasks > 0 && heldTasks+j.WaitingTasks+j.FinalTasks == j.Spec.Count && partlyPlaced(pair.first, j) {
+			t.Fatalf("gang %d has both placed and queued tasks", j.Number)
 		}
-		if j.Held != holds {
-			t.Fatalf("job %d counts %d held, has %d", j.Number, j.Held, holds)
+		if j.HeldTasks != heldTasks {
+			t.Fatalf("job %d: recorded held tasks %d, counted %d", j.Number, j.HeldTasks, heldTasks)
 		}
 	}
-	waiting, backlogged := 0, map[string]bool{}
-	for _, j := range w.a.Jobs("") {
-		if !j.Final() && j.Waiting > 0 {
-			waiting++
-			backlogged[j.Spec.Team] = true
+	waitingJobs, waitingTeams := 0, map[string]bool{}
+	for _, j := range pair.first.Jobs("") {
+		if !j.Final() && j.WaitingTasks > 0 {
+			waitingJobs++
+			waitingTeams[j.Spec.Team] = true
 		}
 	}
-	if got := w.a.Backlog(); got.Jobs != waiting || got.Teams != len(backlogged) {
-		t.Fatalf("backlog %v, counted %d jobs of %d teams", got, waiting, len(backlogged))
+	if got := pair.first.Backlog(); got.Jobs != waitingJobs || got.Teams != len(waitingTeams) {
+		t.Fatalf("backlog %v, counted %d waiting jobs of %d teams", got, waitingJobs, len(waitingTeams))
 	}
-	for _, b := range w.a.Servers() {
-		if !b.Held.Fits(b.Capacity) || b.Held != held[b.ID] {
-			t.Fatalf("server %s holds %v (counted %v) of %v", b.ID, b.Held, held[b.ID], b.Capacity)
+	for _, b := range pair.first.Servers() {
+		if !b.HeldCapacity.Fits(b.Capacity) || b.HeldCapacity != heldByServer[b.ID] {
+			t.Fatalf("server %s: recorded held capacity %v, counted %v, total capacity %v", b.ID, b.HeldCapacity, heldByServer[b.ID], b.Capacity)
 		}
 	}
-	for _, r := range w.a.Table().Rows() {
-		if !teams[r.Name].Within(r.Limit) || w.a.Held(r.Name) != teams[r.Name] {
-			t.Fatalf("team %s holds %v, limit %v", r.Name, teams[r.Name], r.Limit)
+	for _, r := range pair.first.Table().Rows() {
+		if !heldByTeam[r.Name].Within(r.Limit) || pair.first.TeamHeldCapacity(r.Name) != heldByTeam[r.Name] {
+			t.Fatalf("team %s holds %v with limit %v", r.Name, heldByTeam[r.Name], r.Limit)
 		}
 	}
-	if w.a.Faults() > 0 {
-		t.Fatalf("an event that the chart does not allow, at %v", w.sent[len(w.sent)-1])
+	if pair.first.InvalidTransitions() > 0 {
+		t.Fatalf("an event that the state chart does not allow occurred in %v", pair.sent[len(pair.sent)-1])
 	}
-	if w.a.Digest() != w.b.Digest() {
-		t.Fatalf("replicas differ after %v", w.sent[len(w.sent)-1])
+	if pair.first.Digest() != pair.second.Digest() {
+		t.Fatalf("replicas differ after %v", pair.sent[len(pair.sent)-1])
 	}
 }
 
-// placedBeside tells whether a task of the job is placed while another is queued.
-func placedBeside(st *state.State, j *state.Job) bool {
+// partlyPlaced reports whether one task of the job is placed while another is queued.
+func partlyPlaced(st *state.State, j *state.Job) bool {
 	phases := map[state.Phase]bool{}
-	st.Tasks(j, func(k *state.Task) { phases[k.Phase] = true })
+	st.EachTask(j, func(k *state.Task) { phases[k.Phase] = true })
 	return phases[state.Placed] && phases[state.Queued]
 }
 
@@ -164,44 +164,44 @@
 	return data
 }
 
-// Whatever order commands come in, also ones that a faulty planner would give,
-// no server is overcommitted, no team is over its limit, "not run" is true,
-// a task that may not be repeated starts at most once, and both replicas agree.
-func TestPromisesHoldForAnyCommands(t *testing.T) {
+// Guards against commands, in any order and also from a faulty planner, that overcommit
+// a server, exceed a team's limit, report "not run" for a task that ran, start an
+// unrepeatable task twice, or let replicas differ.
+func TestInvariantsHoldForAnyCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		pair := newReplicaPair()
 		starts := map[task.ID]int{}
-		var picture *state.Picture
-		var shown []byte
-		defer func() { picture.Drop() }()
-		pick := func(name string, n int) int { return rapid.IntRange(0, n-1).Draw(t, name) }
+		var builder *state.SnapshotBuilder
+		var wantSnapshot []byte
+		defer func() { builder.Cancel() }()
+		drawIndex := func(name string, n int) int { return rapid.IntRange(0, n-1).Draw(t, name) }
 		tasks := func() (out []*state.Task) {
-			for _, j := range w.a.Jobs("") {
-				w.a.Tasks(j, func(k *state.Task) { out = append(out, k) })
+			for _, j := range pair.first.Jobs("") {
+				pair.first.EachTask(j, func(k *state.Task) { out = append(out, k) })
 			}
 			return out
 		}
-		server := func() string { return []string{"s0", "s1", "s2"}[pick("server", 3)] }
+		server := func() string { return []string{"s0", "s1", "s2"}[drawIndex("server", 3)] }
 		t.Repeat(map[string]func(*rapid.T){
 			"accept": func(*rapid.T) {
-				team := []string{"t0", "t1"}[pick("team", 2)]
-				id := []string{"a", "b", "c", "d", "e", "f"}[pick("id", 6)]
-				kind := []v1.Kind{v1.Kind_KIND_BATCH, v1.Kind_KIND_GANG, v1.Kind_KIND_SERVICE}[pick("kind", 3)]
-				w.accept(team, id, kind, uint32(1+pick("count", 3)), int64(1+pick("cpu", 12)), pick("once", 2) == 0)
+				team := []string{"t0", "t1"}[drawIndex("team", 2)]
+				id := []string{"a", "b", "c", "d", "e", "f"}[drawIndex("id", 6)]
+				kind := []v1.Kind{v1.Kind_KIND_BATCH, v1.Kind_KIND_GANG, v1.Kind_KIND_SERVICE}[drawIndex("kind", 3)]
+				pair.accept(team, id, kind, uint32(1+drawIndex("count", 3)), int64(1+drawIndex("cpu", 12)), drawIndex("once", 2) == 0)
 			},
-			"announce": func(*rapid.T) { w.announce(server(), uint64(pick("nonce", 3)), 20) },
+			"announce": func(*rapid.T) { pair.announce(server(), uint64(drawIndex("nonce", 3)), 20) },
 			"place": func(*rapid.T) {
 				if ts := tasks(); len(ts) > 0 {
-					k := ts[pick("task", len(ts))]
-					j, _ := w.a.Job(k.ID.Job)
+					k := ts[drawIndex("task", len(ts))]
+					j, _ := pair.first.Job(k.ID.Job)
 					indexes := []uint32{k.ID.Index}
-					if j.Spec.Whole() && pick("whole", 4) > 0 {
+					if j.Spec.Whole() && drawIndex("whole", 4) > 0 {
 						indexes = nil
 						for i := range j.Spec.Count {
 							indexes = append(indexes, i)
 						}
 					}
-					w.place(k.ID.Job, server(), indexes...)
+					pair.place(k.ID.Job, server(), indexes...)
 				}
 			},
 			"end": func(t *rapid.T) {
@@ -209,159 +209,161 @@
 				if len(ts) == 0 {
 					return
 				}
-				k := ts[pick("task", len(ts))]
-				started := pick("started", 2) == 0
-				ended := started && pick("ended", 2) == 0
-				r := w.end(k, &record.End{Started: started, Ended: ended, Exit: int32(pick("exit", 2))})
+				k := ts[drawIndex("task", len(ts))]
+				started := drawIndex("started", 2) == 0
+				ended := started && drawIndex("ended", 2) == 0
+				r := pair.end(k, &record.End{Started: started, Ended: ended, Exit: int32(drawIndex("exit", 2))})
 				if r.Code != code.OK || !started {
 					return
 				}
 				starts[k.ID]++
-				if j, _ := w.a.Job(k.ID.Job); j.Spec.Once && starts[k.ID] > 1 {
-					t.Fatalf("task %v may not be repeated and ran %d times", k.ID, starts[k.ID])
+				if j, _ := pair.first.Job(k.ID.Job); j.Spec.Once && starts[k.ID] > 1 {
+					t.Fatalf("task %v may not be repeated but started %d times", k.ID, starts[k.ID])
 				}
 			},
 			"halt": func(*rapid.T) {
 				if ts := tasks(); len(ts) > 0 {
-					k := ts[pick("task", len(ts))]
-					w.do(&record.Command{What: &record.Command_Halt{Halt: &record.Halt{Job: k.ID.Job, Indexes: []uint32{k.ID.Index}, Checkpoint: pick("save", 2) == 0}}})
+					k := ts[drawIndex("task", len(ts))]
+					pair.apply(&record.Command{What: &record.Command_Halt{Halt: &record.Halt{Job: k.ID.Job, Indexes: []uint32{k.ID.Index}, Checkpoint: drawIndex("save", 2) == 0}}})
 				}
 			},
 			"cancel": func(*rapid.T) {
 				if ts := tasks(); len(ts) > 0 {
-					w.do(&record.Command{What: &record.Command_Cancel{Cancel: &record.Cancel{Jobs: []uint64{ts[pick("task", len(ts))].ID.Job}}}})
+					pair.apply(&record.Command{What: &record.Command_Cancel{Cancel: &record.Cancel{Jobs: []uint64{ts[drawIndex("task", len(ts))].ID.Job}}}})
 				}
 			},
 			"drop": func(*rapid.T) {
 				if ts := tasks(); len(ts) > 0 {
-					c := []code.Code{code.DeadlinePassed, code.Parked}[pick("why", 2)]
-					w.do(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: ts[pick("task", len(ts))].ID.Job, Code: uint32(c)}}})
+					c := []code.Code{code.DeadlinePassed, code.Parked}[drawIndex("why", 2)]
+					pair.apply(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: ts[drawIndex("task", len(ts))].ID.Job, Code: uint32(c)}}})
 				}
 			},
-			"fence":  func(*rapid.T) { w.fence(server()) },
-			"forget": func(*rapid.T) { w.do(&record.Command{What: &record.Command_Forget{Forget: w.a.Expired(w.a.At(), 2)}}) },
-			// A snapshot is taken while commands go on. It has to show the
-			// state of its index: with later commands in it they would be
-			// applied twice after a restart.
-			"picture": func(t *rapid.T) {
-				if picture == nil {
-					picture, shown = w.b.Picture(), encode(t, w.b)
+			"fence": func(*rapid.T) { pair.fence(server()) },
+			"forget": func(*rapid.T) {
+				pair.apply(&record.Command{What: &record.Command_Forget{Forget: pair.first.ExpiredRecords(pair.first.Now(), 2)}})
+			},
+			// A snapshot copy is taken while commands are applied. It must show the
+			// state at its beginning. Otherwise a restart would apply the later
+			// commands twice.
+			"overlapping snapshot": func(t *rapid.T) {
+				if builder == nil {
+					builder, wantSnapshot = pair.second.BeginSnapshot(), encode(t, pair.second)
 				}
 			},
 			"restore": func(t *rapid.T) {
-				data, err := w.b.Encode()
+				data, err := pair.second.Encode()
 				if err != nil {
 					t.Fatal(err)
 				}
-				if w.b, err = state.Decode(data); err != nil {
+				if pair.second, err = state.Decode(data); err != nil {
 					t.Fatal(err)
 				}
-				again, _ := w.b.Encode()
+				again, _ := pair.second.Encode()
 				if diff := cmp.Diff(data, again); diff != "" {
-					t.Fatalf("a snapshot read and written again differs: %s", diff)
+					t.Fatalf("the snapshot differs after decoding and encoding: %s", diff)
 				}
 			},
 			"": func(t *rapid.T) {
-				w.check(t)
-				if picture != nil && picture.Step(1) {
-					if !bytes.Equal(shown, encode(t, picture.State())) {
-						t.Fatal("the picture shows another state than that of its beginning")
+				pair.checkInvariants(t)
+				if builder != nil && builder.CopyRecords(1) {
+					if !bytes.Equal(wantSnapshot, encode(t, builder.State())) {
+						t.Fatal("the snapshot copy differs from the state at its beginning")
 					}
-					picture = nil
+					builder = nil
 				}
 			},
 		})
 	})
 }
 
-// One task of a gang is lost and the others are told to stop, but the last of
-// them ends by itself before the order reaches it. The gang must start again as
-// a whole; it would otherwise wait for ever for a stop that nobody reports.
-func TestAGangWhoseLastTaskEndsBeforeItsStopStartsAgain(t *testing.T) {
-	w := newWorld()
-	w.announce("s0", 1, 20)
-	w.announce("s1", 1, 20)
-	j := w.accept("t0", "sweep", v1.Kind_KIND_GANG, 2, 10, false).Job
-	b0, _ := w.a.Server("s0")
-	b1, _ := w.a.Server("s1")
-	w.do(&record.Command{What: &record.Command_Place{Place: &record.Place{Job: j.Number, Spots: []*record.Spot{
+// Guards against a gang that waits forever: one task is lost, the others are ordered to
+// stop, and the last of them ends by itself before the order arrives. The whole gang
+// must be queued again.
+func TestGangRestartsWhenItsLastTaskEndsBeforeItsStop(t *testing.T) {
+	pair := newReplicaPair()
+	pair.announce("s0", 1, 20)
+	pair.announce("s1", 1, 20)
+	j := pair.accept("t0", "sweep", v1.Kind_KIND_GANG, 2, 10, false).Job
+	b0, _ := pair.first.Server("s0")
+	b1, _ := pair.first.Server("s1")
+	pair.apply(&record.Command{What: &record.Command_Place{Place: &record.Place{Job: j.Number, Spots: []*record.Spot{
 		{Index: 0, Server: "s0", Incarnation: b0.Incarnation}, {Index: 1, Server: "s1", Incarnation: b1.Incarnation},
 	}}}})
-	w.fence("s0")
-	last, _ := w.a.Task(task.ID{Job: j.Number, Index: 1})
-	w.end(last, &record.End{Started: true, Ended: true, Answer: []byte("half")})
-	w.check(t)
-	if now, _ := w.a.Job(j.Number); now.Waiting != 2 {
-		t.Errorf("%d of 2 tasks wait", now.Waiting)
+	pair.fence("s0")
+	last, _ := pair.first.Task(task.ID{Job: j.Number, Index: 1})
+	pair.end(last, &record.End{Started: true, Ended: true, Answer: []byte("half")})
+	pair.checkInvariants(t)
+	if now, _ := pair.first.Job(j.Number); now.WaitingTasks != 2 {
+		t.Errorf("%d of 2 gang tasks wait, want 2", now.WaitingTasks)
 	}
 }
 
-// A backend server restarts within its lease and announces itself, while the
-// process that it was before may still run: whoever restarted it may have left
-// the old one behind. Its task counts on, and the new session has to wait.
-func TestARestartedServersOldTasksCountUntilTheLeaseIsOver(t *testing.T) {
-	w := newWorld()
-	w.announce("s0", 1, 10)
-	j := w.accept("t0", "plan", v1.Kind_KIND_BATCH, 1, 10, false).Job
-	w.place(j.Number, "s0", 0)
-	if r := w.announce("s0", 2, 10); r.Code != code.Busy {
-		t.Errorf("a new session while the old one holds work: %v", r)
+// Guards against overcommitting a server that restarts within its lease. Its old
+// process may still run the old task, so the task holds capacity and the new session is
+// refused until the lease expires.
+func TestOldTasksOfARestartedServerCountUntilItsLeaseExpires(t *testing.T) {
+	pair := newReplicaPair()
+	pair.announce("s0", 1, 10)
+	j := pair.accept("t0", "plan", v1.Kind_KIND_BATCH, 1, 10, false).Job
+	pair.place(j.Number, "s0", 0)
+	if r := pair.announce("s0", 2, 10); r.Code != code.Busy {
+		t.Errorf("announce while the old session holds a task: got %v, want Busy", r)
 	}
-	w.fence("s0")
-	if r := w.announce("s0", 2, 10); r.Code != code.OK || r.Incarnation != 2 {
-		t.Errorf("after the lease: %v", r)
+	pair.fence("s0")
+	if r := pair.announce("s0", 2, 10); r.Code != code.OK || r.Incarnation != 2 {
+		t.Errorf("announce after the fence: got %v, want incarnation 2", r)
 	}
-	w.check(t)
+	pair.checkInvariants(t)
 }
 
-// A server stops a task in the middle, because its lease ran out, and says so
-// when it is back. The task had started and may not be repeated: it is not
-// placed again, and its outcome is unknown. One that had not started is placed.
-func TestATaskThatMayNotBeRepeatedIsNotStartedAgainAfterAStop(t *testing.T) {
+// Guards against a second start of a task that may not be repeated. The server stops
+// the task because its lease expired, and reports that later. If the program had
+// started, the outcome is unknown. If not, the task is queued again.
+func TestUnrepeatableTaskIsNotRestartedAfterAStop(t *testing.T) {
 	for started, want := range map[bool]state.Phase{true: state.Unknown, false: state.Queued} {
-		w := newWorld()
-		w.announce("s0", 1, 10)
-		j := w.accept("t0", "stock", v1.Kind_KIND_BATCH, 1, 10, true).Job
-		w.place(j.Number, "s0", 0)
-		k, _ := w.a.Task(task.ID{Job: j.Number})
-		w.end(k, &record.End{Started: started})
-		if k, _ = w.a.Task(k.ID); k.Phase != want {
-			t.Errorf("started %v: %v", started, k.Phase)
+		pair := newReplicaPair()
+		pair.announce("s0", 1, 10)
+		j := pair.accept("t0", "stock", v1.Kind_KIND_BATCH, 1, 10, true).Job
+		pair.place(j.Number, "s0", 0)
+		k, _ := pair.first.Task(task.ID{Job: j.Number})
+		pair.end(k, &record.End{Started: started})
+		if k, _ = pair.first.Task(k.ID); k.Phase != want {
+			t.Errorf("started = %v: got phase %v, want %v", started, k.Phase, want)
 		}
-		w.check(t)
+		pair.checkInvariants(t)
 	}
 }
 
-// A planner's picture of a team is out of date, or its limit was lowered a
-// moment ago: the ledger places nothing that would take the team over it.
-func TestNoPlacementTakesATeamOverItsLimit(t *testing.T) {
-	w := newWorld()
-	w.announce("s0", 1, 20)
-	first := w.accept("t0", "a", v1.Kind_KIND_BATCH, 1, 10, false).Job
-	second := w.accept("t0", "b", v1.Kind_KIND_BATCH, 1, 10, false).Job
-	if r := w.place(first.Number, "s0", 0); r.Code != code.OK {
+// Guards against a planner that works with outdated usage of a team or with a limit
+// that was just lowered. The ledger refuses a placement beyond the limit.
+func TestPlacementsNeverExceedATeamLimit(t *testing.T) {
+	pair := newReplicaPair()
+	pair.announce("s0", 1, 20)
+	first := pair.accept("t0", "a", v1.Kind_KIND_BATCH, 1, 10, false).Job
+	second := pair.accept("t0", "b", v1.Kind_KIND_BATCH, 1, 10, false).Job
+	if r := pair.place(first.Number, "s0", 0); r.Code != code.OK {
 		t.Fatal(r)
 	}
-	if r := w.place(second.Number, "s0", 0); r.Code == code.OK {
-		t.Error("placed beyond the limit")
+	if r := pair.place(second.Number, "s0", 0); r.Code == code.OK {
+		t.Error("the second task was placed beyond the limit of the team")
 	}
-	w.check(t)
+	pair.checkInvariants(t)
 }
 
-// A planner that lost count puts a second task on a server that has no room for
-// it, alone or in one placement with the first: the ledger takes neither.
-func TestNoPlacementOvercommitsAServer(t *testing.T) {
-	w := newWorld()
-	w.announce("s0", 1, 10)
-	first := w.accept("t0", "a", v1.Kind_KIND_BATCH, 2, 6, false).Job
-	if r := w.place(first.Number, "s0", 0, 1); r.Code == code.OK {
-		t.Error("two tasks were placed in the room of one")
+// Guards against a planner that miscounts and places a second task on a full server,
+// alone or in one command with the first. The ledger refuses both.
+func TestPlacementsNeverOvercommitAServer(t *testing.T) {
+	pair := newReplicaPair()
+	pair.announce("s0", 1, 10)
+	first := pair.accept("t0", "a", v1.Kind_KIND_BATCH, 2, 6, false).Job
+	if r := pair.place(first.Number, "s0", 0, 1); r.Code == code.OK {
+		t.Error("two tasks were placed on a server with capacity for one")
 	}
-	if r := w.place(first.Number, "s0", 0); r.Code != code.OK {
+	if r := pair.place(first.Number, "s0", 0); r.Code != code.OK {
 		t.Fatal(r)
 	}
-	if r := w.place(first.Number, "s0", 1); r.Code == code.OK {
-		t.Error("placed beside a task that leaves no room")
+	if r := pair.place(first.Number, "s0", 1); r.Code == code.OK {
+		t.Error("a second task was placed on a full server")
 	}
-	w.check(t)
+	pair.checkInvariants(t)
 }
