--- a/internal/replica/disk/matrix_test.go
+++ b/internal/replica/disk/matrix_test.go
@@ -14,53 +14,53 @@
 	"gypsumreel/internal/replica/snapshot"
 )
 
-// at injects one fault at the operation with the count given.
-func at(n int, f disk.Fault) func(int, disk.Op, string) disk.Fault {
-	return func(count int, _ disk.Op, _ string) disk.Fault {
+// faultAt injects one fault at the operation with the count given.
+func faultAt(n int, f disk.Fault) func(int, disk.Operation, string) disk.Fault {
+	return func(count int, _ disk.Operation, _ string) disk.Fault {
 		if count == n {
 			return f
 		}
-		return disk.Well
+		return disk.NoFault
 	}
 }
 
-// fault is a crash in the script.
-type fault struct {
-	// size of the segments.
-	size int64
-	// n is the operation.
-	n    int
-	kind disk.Fault
+// crashPoint is a crash in the script.
+type crashPoint struct {
+	// segmentSize of the segments.
+	segmentSize int64
+	// operation is the operation.
+	operation int
+	fault     disk.Fault
 }
 
-// crashed is a replica whose script was ended by a crash.
-type crashed struct {
-	fault
-	r *replica
+// crashedReplica is a replica whose script was ended by a crash.
+type crashedReplica struct {
+	crashPoint
+	replica *replica
 }
 
-// crash plays the script up to a crash, if it comes to it.
-func crash(t *testing.T, f fault) (*crashed, bool) {
+// runUntilCrash plays the script up to a crash, if it comes to it.
+func runUntilCrash(t *testing.T, f crashPoint) (*crashedReplica, bool) {
 	t.Helper()
-	r := &replica{size: f.size, disk: &disk.Memory{Inject: at(f.n, f.kind)}}
-	err := r.play()
-	if err != nil && r.disk.Count() < f.n {
+	r := &replica{segmentSize: f.segmentSize, disk: &disk.Memory{InjectFault: faultAt(f.operation, f.fault)}}
+	err := r.runScript()
+	if err != nil && r.disk.OperationCount() < f.operation {
 		t.Fatalf("%+v: %v", f, err)
 	}
-	return &crashed{f, r}, err != nil
+	return &crashedReplica{f, r}, err != nil
 }
 
-// restarted returns the replica after one outcome of its crash.
-func (c *crashed) restarted(o disk.Outcome) *replica {
-	r := &replica{size: c.size, disk: c.r.disk.Clone(), h: c.r.h}
+// restart returns the replica after one outcome of its crash.
+func (c *crashedReplica) restart(o disk.CrashOutcome) *replica {
+	r := &replica{segmentSize: c.segmentSize, disk: c.replica.disk.Clone(), history: c.replica.history}
 	r.disk.Restart(o)
 	return r
 }
 
 // Sizes of segments: several in the script, and one.
 const (
-	small = 150
-	large = 10000
+	smallSegment = 150
+	largeSegment = 10000
 )
 
 // A machine loses power, or a replica is killed, in the middle of an append, a
@@ -70,16 +70,16 @@
 func TestCrashAtEveryOperation(t *testing.T) {
 	t.Parallel()
 	cases, operations := 0, 0
-	for _, size := range []int64{small, large} {
-		for n := 1; ; n++ {
-			if _, hit := crash(t, fault{size, n, disk.Crash}); !hit {
+	for _, segmentSize := range []int64{smallSegment, largeSegment} {
+		for operation := 1; ; operation++ {
+			if _, crashed := runUntilCrash(t, crashPoint{segmentSize, operation, disk.CrashBefore}); !crashed {
 				break
 			}
 			operations++
-			for _, kind := range []disk.Fault{disk.Crash, disk.CrashTorn} {
-				c, _ := crash(t, fault{size, n, kind})
-				for _, outcome := range disk.Outcomes {
-					cases += c.anyCourse(t, outcome)
+			for _, fault := range []disk.Fault{disk.CrashBefore, disk.CrashDuring} {
+				c, _ := runUntilCrash(t, crashPoint{segmentSize, operation, fault})
+				for _, outcome := range disk.CrashOutcomes {
+					cases += c.testRestarts(t, outcome)
 				}
 			}
 		}
@@ -87,119 +87,119 @@
 	t.Logf("%d cases over %d operations", cases, operations)
 }
 
-// course is what happens after a restart.
-type course struct {
-	// size of the segments from then on.
-	size int64
+// restartScenario is what happens after a restart.
+type restartScenario struct {
+	// segmentSize of the segments from then on.
+	segmentSize int64
 	// compact tells that the log is compacted, loss that power is lost at once.
-	compact, loss bool
+	compact, powerLoss bool
 }
 
-var courses = []course{{size: 1, loss: true}, {size: 1, compact: true, loss: true}, {size: large}}
+var restartScenarios = []restartScenario{{segmentSize: 1, powerLoss: true}, {segmentSize: 1, compact: true, powerLoss: true}, {segmentSize: largeSegment}}
 
-// anyCourse restarts after one outcome of a crash in every way, and returns how many.
-func (c *crashed) anyCourse(t *testing.T, outcome disk.Outcome) int {
+// testRestarts restarts after one outcome of a crash in every way, and returns how many.
+func (c *crashedReplica) testRestarts(t *testing.T, outcome disk.CrashOutcome) int {
 	t.Helper()
-	what := fmt.Sprintf("%+v, outcome %d", c.fault, outcome)
+	description := fmt.Sprintf("%+v, outcome %d", c.crashPoint, outcome)
 	cases := 0
-	for _, way := range courses {
-		goesOn(t, c.restarted(outcome), way, what)
+	for _, scenario := range restartScenarios {
+		testScenario(t, c.restart(outcome), scenario, description)
 		cases++
 	}
-	for m := 1; c.size == small; m++ {
-		more := crashedTwice(t, c.restarted(outcome), m, c.kind, what)
-		if more == 0 {
+	for m := 1; c.segmentSize == smallSegment; m++ {
+		crashes := testSecondCrash(t, c.restart(outcome), m, c.fault, description)
+		if crashes == 0 {
 			break
 		}
-		cases += more
+		cases += crashes
 	}
 	return cases
 }
 
-// goesOn restarts a replica, goes on, and restarts it after a power loss.
-func goesOn(t *testing.T, r *replica, c course, what string) {
+// testScenario restarts a replica, goes on, and restarts it after a power loss.
+func testScenario(t *testing.T, r *replica, c restartScenario, description string) {
 	t.Helper()
-	r.size = c.size
-	got, meta, err := r.start()
-	check(t, r, got, meta, err, what)
+	r.segmentSize = c.segmentSize
+	got, meta, err := r.open()
+	checkRecovery(t, r, got, meta, err, description)
 	if c.compact {
-		must(t, what, r.j.Compact(meta.Index))
+		must(t, description, r.journal.Compact(meta.Index))
 	}
-	if c.loss {
-		r.disk.Restart(disk.Lost)
-		again, meta, err := r.start()
-		check(t, r, again, meta, err, what+", then power loss")
-		if !equal(got, again, meta.Index) {
-			t.Fatalf("%s: shown once and then lost: %s", what, cmp.Diff(got, again))
+	if c.powerLoss {
+		r.disk.Restart(disk.AllLost)
+		recoveredAgain, meta, err := r.open()
+		checkRecovery(t, r, recoveredAgain, meta, err, description+", then power loss")
+		if !equalAbove(got, recoveredAgain, meta.Index) {
+			t.Fatalf("%s: shown once and then lost: %s", description, cmp.Diff(got, recoveredAgain))
 		}
 	}
-	want := got.Hard
+	want := got.HardState
 	want.Term++
-	must(t, what, r.j.Append(&want, nil))
-	must(t, what, r.j.Append(&want, nil))
-	must(t, what, r.j.Sync())
-	r.disk.Restart(disk.Lost)
-	if got, _, err = r.start(); err != nil || got.Hard != want {
-		t.Fatalf("%s: after going on: %v, %v", what, got.Hard, err)
+	must(t, description, r.journal.Append(&want, nil))
+	must(t, description, r.journal.Append(&want, nil))
+	must(t, description, r.journal.Sync())
+	r.disk.Restart(disk.AllLost)
+	if got, _, err = r.open(); err != nil || got.HardState != want {
+		t.Fatalf("%s: after going on: %v, %v", description, got.HardState, err)
 	}
 }
 
-// crashedTwice lets a replica crash again at operation m of its start, and returns
+// testSecondCrash lets a replica crash again at operation m of its start, and returns
 // the number of cases, 0 when there is no such operation.
-func crashedTwice(t *testing.T, r *replica, m int, kind disk.Fault, what string) int {
+func testSecondCrash(t *testing.T, r *replica, operation int, fault disk.Fault, description string) int {
 	t.Helper()
-	r.disk.Inject = at(r.disk.Count()+m, kind)
-	if _, _, err := r.start(); err == nil {
+	r.disk.InjectFault = faultAt(r.disk.OperationCount()+operation, fault)
+	if _, _, err := r.open(); err == nil {
 		return 0
 	}
-	c := &crashed{fault{size: r.size}, r}
-	for _, second := range disk.Outcomes {
-		again := c.restarted(second)
-		got, meta, err := again.start()
-		check(t, again, got, meta, err, fmt.Sprintf("%s, again at %d, outcome %d", what, m, second))
+	c := &crashedReplica{crashPoint{segmentSize: r.segmentSize}, r}
+	for _, outcome := range disk.CrashOutcomes {
+		restarted := c.restart(outcome)
+		got, meta, err := restarted.open()
+		checkRecovery(t, restarted, got, meta, err, fmt.Sprintf("%s, again at %d, outcome %d", description, operation, outcome))
 	}
-	return len(disk.Outcomes)
+	return len(disk.CrashOutcomes)
 }
 
-// check fails the test when a restart went wrong.
-func check(t *testing.T, r *replica, got journal.Recovered, meta snapshot.Meta, err error, what string) {
+// checkRecovery fails the test when a restart went wrong.
+func checkRecovery(t *testing.T, r *replica, got journal.Recovered, meta snapshot.Meta, err error, description string) {
 	t.Helper()
-	must(t, what, err)
-	must(t, what, r.verify(got, meta))
+	must(t, description, err)
+	must(t, description, r.verify(got, meta))
 }
 
-func must(t *testing.T, what string, err error) {
+func must(t *testing.T, description string, err error) {
 	t.Helper()
 	if err != nil {
-		t.Fatalf("%s: %v", what, err)
+		t.Fatalf("%s: %v", description, err)
 	}
 }
 
 // A disk fails one operation. The replica must be told, must not go on with a
 // journal whose disk it no longer knows, and must lose nothing synced; a sync
 // that is simply tried again would succeed without the data.
-func TestBrokenOperation(t *testing.T) {
+func TestFailedOperation(t *testing.T) {
 	t.Parallel()
-	for n := 1; ; n++ {
-		for _, o := range disk.Outcomes {
-			r := &replica{size: small, disk: &disk.Memory{Inject: at(n, disk.Broken)}}
-			err := r.play()
-			if r.disk.Count() < n {
-				t.Logf("%d operations", n-1)
+	for operation := 1; ; operation++ {
+		for _, outcome := range disk.CrashOutcomes {
+			r := &replica{segmentSize: smallSegment, disk: &disk.Memory{InjectFault: faultAt(operation, disk.IOError)}}
+			err := r.runScript()
+			if r.disk.OperationCount() < operation {
+				t.Logf("%d operations", operation-1)
 				return
 			}
-			if errors.Is(err, journal.ErrFull) {
-				t.Fatalf("operation %d passes for a full disk: %v", n, err)
+			if errors.Is(err, journal.ErrDiskFull) {
+				t.Fatalf("operation %d passes for a full disk: %v", operation, err)
 			}
-			if err != nil && r.j != nil && !r.inSave {
-				if again := r.j.Sync(); !errors.Is(err, journal.ErrBroken) || !errors.Is(again, journal.ErrBroken) {
-					t.Fatalf("operation %d: %v, and then a sync gave %v", n, err, again)
+			if err != nil && r.journal != nil && !r.savingSnapshot {
+				if syncErr := r.journal.Sync(); !errors.Is(err, journal.ErrBroken) || !errors.Is(syncErr, journal.ErrBroken) {
+					t.Fatalf("operation %d: %v, and then a sync gave %v", operation, err, syncErr)
 				}
 			}
-			r.disk.Inject = nil
-			r.disk.Restart(o)
-			got, meta, err := r.start()
-			check(t, r, got, meta, err, fmt.Sprint("broken ", n, o))
+			r.disk.InjectFault = nil
+			r.disk.Restart(outcome)
+			got, meta, err := r.open()
+			checkRecovery(t, r, got, meta, err, fmt.Sprint("broken ", operation, outcome))
 		}
 	}
 }
@@ -207,33 +207,33 @@
 // A disk runs full at some operation and has room again later, and at some
 // operation after that the replica crashes. The refused work is not there, all
 // other work is, and the replica goes on without a restart.
-func TestFullDisk(t *testing.T) {
+func TestDiskFull(t *testing.T) {
 	t.Parallel()
-	shortages(t, disk.Full, disk.Create, disk.Write)
+	testShortages(t, disk.DiskFull, disk.Create, disk.Write)
 }
 
 // No file can be opened for a while, by the fault of whoever holds them all, and
 // the replica crashes later. It must go on with the files that it has.
-func TestNoFileCanBeOpened(t *testing.T) {
+func TestTooManyOpenFiles(t *testing.T) {
 	t.Parallel()
-	shortages(t, disk.NoFile, disk.Create, disk.SyncFolder)
+	testShortages(t, disk.TooManyFiles, disk.Create, disk.SyncFolder)
 }
 
-// shortages plays the script with a shortage at each operation and a crash at each
+// testShortages plays the script with a shortage at each operation and a crash at each
 // one after it.
-func shortages(t *testing.T, kind disk.Fault, ops ...disk.Op) {
+func testShortages(t *testing.T, fault disk.Fault, operations ...disk.Operation) {
 	t.Helper()
 	cases := 0
-	for n := 1; ; n++ {
-		for _, f := range []shortage{{large, n, 1, kind, ops}, {small, n, 4, kind, ops}} {
-			for crash := n + 1; ; crash++ {
-				hits, more := short(t, f, crash)
-				cases += len(disk.Outcomes)
-				if f.size == small && crash == n+1 && !more {
-					t.Logf("%d cases over %d operations", cases, n)
+	for firstRefused := 1; ; firstRefused++ {
+		for _, s := range []shortage{{largeSegment, firstRefused, 1, fault, operations}, {smallSegment, firstRefused, 4, fault, operations}} {
+			for crashAt := firstRefused + 1; ; crashAt++ {
+				refusals, crashed := runWithShortage(t, s, crashAt)
+				cases += len(disk.CrashOutcomes)
+				if s.segmentSize == smallSegment && crashAt == firstRefused+1 && !crashed {
+					t.Logf("%d cases over %d operations", cases, firstRefused)
 					return
 				}
-				if hits == 0 || !more {
+				if refusals == 0 || !crashed {
 					break
 				}
 			}
@@ -243,67 +243,67 @@
 
 // shortage refuses some of the length operations from n on.
 type shortage struct {
-	// size of the segments.
-	size      int64
-	n, length int
-	kind      disk.Fault
-	ops       []disk.Op
+	// segmentSize of the segments.
+	segmentSize        int64
+	firstRefused, span int
+	fault              disk.Fault
+	operations         []disk.Operation
 }
 
-// short plays the script with a shortage and a crash at another operation, and
+// runWithShortage plays the script with a shortage and a crash at another operation, and
 // tells how many were refused and whether it came to the crash.
-func short(t *testing.T, f shortage, crash int) (hits int, more bool) {
+func runWithShortage(t *testing.T, s shortage, crashAt int) (refusals int, crashed bool) {
 	t.Helper()
-	r := &replica{size: f.size, disk: &disk.Memory{}}
-	r.disk.Inject = func(count int, op disk.Op, _ string) disk.Fault {
+	r := &replica{segmentSize: s.segmentSize, disk: &disk.Memory{}}
+	r.disk.InjectFault = func(count int, op disk.Operation, _ string) disk.Fault {
 		switch {
-		case count == crash:
-			more = true
-			return disk.CrashTorn
-		case count >= f.n && count < f.n+f.length && slices.Contains(f.ops, op):
-			hits++
-			return f.kind
+		case count == crashAt:
+			crashed = true
+			return disk.CrashDuring
+		case count >= s.firstRefused && count < s.firstRefused+s.span && slices.Contains(s.operations, op):
+			refusals++
+			return s.fault
 		}
-		return disk.Well
+		return disk.NoFault
 	}
-	r.h.states = []journal.Recovered{{}}
-	err := again(f.length, func() error {
-		_, _, err := r.start()
+	r.history.states = []journal.Recovered{{}}
+	err := retryWhileRefused(s.span, func() error {
+		_, _, err := r.open()
 		return err
 	})
 	for i := 0; err == nil && i < len(script); i++ {
-		err = again(f.length, func() error { return r.try(script[i]) })
+		err = retryWhileRefused(s.span, func() error { return r.runStep(script[i]) })
 	}
-	if err != nil && !more {
-		t.Fatalf("%+v: %v", f, err)
+	if err != nil && !crashed {
+		t.Fatalf("%+v: %v", s, err)
 	}
-	c := &crashed{fault{size: f.size}, r}
-	for _, o := range disk.Outcomes {
-		r := c.restarted(o)
-		got, meta, err := r.start()
-		check(t, r, got, meta, err, fmt.Sprintf("%+v, crash at %d, outcome %d", f, crash, o))
+	c := &crashedReplica{crashPoint{segmentSize: s.segmentSize}, r}
+	for _, outcome := range disk.CrashOutcomes {
+		r := c.restart(outcome)
+		got, meta, err := r.open()
+		checkRecovery(t, r, got, meta, err, fmt.Sprintf("%+v, crash at %d, outcome %d", s, crashAt, outcome))
 	}
-	return hits, more
+	return refusals, crashed
 }
 
-// try does a step and, where it was refused, a small append, which may pass.
-func (r *replica) try(s step) error {
-	err := s.do(r)
-	if !disk.Passes(err) {
+// runStep does a step and, where it was refused, a small append, which may pass.
+func (r *replica) runStep(s step) error {
+	err := s.run(r)
+	if !disk.IsRetryable(err) {
 		return err
 	}
-	hard := r.h.last().Hard
-	if small := r.j.Append(&hard, nil); small != nil && !disk.Passes(small) {
-		return small
+	hard := r.history.newestState().HardState
+	if appendErr := r.journal.Append(&hard, nil); appendErr != nil && !disk.IsRetryable(appendErr) {
+		return appendErr
 	}
 	return err
 }
 
-// again repeats what is refused for a while.
-func again(times int, do func() error) error {
-	err := do()
-	for ; times > 0 && disk.Passes(err); times-- {
-		err = do()
+// retryWhileRefused repeats what is refused for a while.
+func retryWhileRefused(retries int, operation func() error) error {
+	err := operation()
+	for ; retries > 0 && disk.IsRetryable(err); retries-- {
+		err = operation()
 	}
 	return err
 }
@@ -311,14 +311,14 @@
 // A disk runs full in the middle of a large append, which the caller gives up;
 // small ones still fit, and the segment is completed. What the large one left in
 // the file must not read as damage at the next start.
-func TestPartialWriteIsCutOff(t *testing.T) {
-	m := &disk.Memory{}
-	c := journal.Config{Disk: m, SegmentSize: 100, Reserve: -1}
+func TestPartialWriteIsTruncated(t *testing.T) {
+	memoryDisk := &disk.Memory{}
+	c := journal.Config{Disk: memoryDisk, SegmentSize: 100, Preallocation: -1}
 	j, _, err := c.Open(journalDir)
 	must(t, "open", err)
-	m.Inject = at(m.Count()+1, disk.Full)
+	memoryDisk.InjectFault = faultAt(memoryDisk.OperationCount()+1, disk.DiskFull)
 	large := []quorum.Entry{{Index: 1, Term: 1, Data: make([]byte, 1000)}}
-	if err := j.Append(nil, large); !errors.Is(err, journal.ErrFull) {
+	if err := j.Append(nil, large); !errors.Is(err, journal.ErrDiskFull) {
 		t.Fatal(err)
 	}
 	for term := uint64(1); term <= 8; term++ {
@@ -327,7 +327,7 @@
 	must(t, "close", j.Close())
 	_, got, err := c.Open(journalDir)
 	must(t, "open again", err)
-	if diff := cmp.Diff(journal.Recovered{Hard: quorum.Hard{Term: 8}}, got); diff != "" {
+	if diff := cmp.Diff(journal.Recovered{HardState: quorum.Hard{Term: 8}}, got); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -335,30 +335,30 @@
 // A replica that was away gets a snapshot while its disk is full: there is no room
 // to begin a segment after it. The log must go on in the room reserved; otherwise
 // the replica ends, and ends again at every start until someone makes room.
-func TestSnapshotOnFullDisk(t *testing.T) {
-	m := &disk.Memory{}
-	c := journal.Config{Disk: m, Reserve: 1000}
+func TestSnapshotInstalledOnFullDisk(t *testing.T) {
+	memoryDisk := &disk.Memory{}
+	c := journal.Config{Disk: memoryDisk, Preallocation: 1000}
 	entry := func(index uint64) []quorum.Entry { return []quorum.Entry{{Index: index, Term: 1}} }
 	j, _, err := c.Open(journalDir)
 	must(t, "open", err)
 	must(t, "append", j.Append(nil, entry(1)))
 	must(t, "append", j.Append(nil, entry(2)))
-	m.Inject = func(_ int, op disk.Op, _ string) disk.Fault {
+	memoryDisk.InjectFault = func(_ int, op disk.Operation, _ string) disk.Fault {
 		if op == disk.Create {
-			return disk.Full
+			return disk.DiskFull
 		}
-		return disk.Well
+		return disk.NoFault
 	}
-	if err := j.Append(nil, entry(101)); !errors.Is(err, journal.ErrGap) {
+	if err := j.Append(nil, entry(101)); !errors.Is(err, journal.ErrIndexGap) {
 		t.Fatal("without a snapshot the gap is refused:", err)
 	}
-	if err := j.Compact(100); !errors.Is(err, journal.ErrFull) {
+	if err := j.Compact(100); !errors.Is(err, journal.ErrDiskFull) {
 		t.Fatal(err)
 	}
 	must(t, "append after the snapshot", j.Append(nil, entry(101)))
 	must(t, "append after the snapshot", j.Append(nil, entry(102)))
 	must(t, "sync", j.Sync())
-	m.Restart(disk.Lost)
+	memoryDisk.Restart(disk.AllLost)
 	_, got, err := c.Open(journalDir)
 	must(t, "open again", err)
 	if diff := cmp.Diff(journal.Recovered{Entries: append(entry(101), entry(102)...)}, got); diff != "" {
@@ -366,26 +366,26 @@
 	}
 }
 
-// eager appends to the journal while a sync of its file is under way.
-type eager struct {
+// appendingDisk appends to the journal while a sync of its file is under way.
+type appendingDisk struct {
 	disk.Disk
-	during func()
+	duringSync func()
 }
 
-type eagerFile struct {
+type appendingFile struct {
 	disk.File
-	d *eager
+	disk *appendingDisk
 }
 
-func (d *eager) Create(name string) (disk.File, error) {
+func (d *appendingDisk) Create(name string) (disk.File, error) {
 	f, err := d.Disk.Create(name)
-	return eagerFile{f, d}, err
+	return appendingFile{f, d}, err
 }
 
-func (f eagerFile) Sync() error {
+func (f appendingFile) Sync() error {
 	err := f.File.Sync()
-	if f.d.during != nil {
-		f.d.during()
+	if f.disk.duringSync != nil {
+		f.disk.duringSync()
 	}
 	return err
 }
@@ -394,21 +394,21 @@
 // the machine loses power after its own sync. A sync that takes what came
 // meanwhile for synced would skip it, and lose what a quorum was told is lasting.
 func TestAppendDuringSync(t *testing.T) {
-	m := &disk.Memory{}
-	d := &eager{Disk: m}
-	j, _, err := journal.Config{Disk: d, Reserve: reserve}.Open(journalDir)
+	memoryDisk := &disk.Memory{}
+	wrapped := &appendingDisk{Disk: memoryDisk}
+	j, _, err := journal.Config{Disk: wrapped, Preallocation: preallocation}.Open(journalDir)
 	must(t, "open", err)
 	must(t, "append", j.Append(&quorum.Hard{Term: 1}, nil))
-	d.during = func() {
-		d.during = nil
+	wrapped.duringSync = func() {
+		wrapped.duringSync = nil
 		must(t, "append during the sync", j.Append(&quorum.Hard{Term: 2}, nil))
 	}
 	must(t, "sync", j.Sync())
 	must(t, "sync again", j.Sync())
-	m.Restart(disk.Lost)
-	_, got, err := journal.Config{Disk: m, Reserve: reserve}.Open(journalDir)
+	memoryDisk.Restart(disk.AllLost)
+	_, got, err := journal.Config{Disk: memoryDisk, Preallocation: preallocation}.Open(journalDir)
 	must(t, "open again", err)
-	if diff := cmp.Diff(journal.Recovered{Hard: quorum.Hard{Term: 2}}, got); diff != "" {
+	if diff := cmp.Diff(journal.Recovered{HardState: quorum.Hard{Term: 2}}, got); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/replica/disk/memory.go
+++ b/internal/replica/disk/memory.go
@@ -9,12 +9,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Op is an operation that changes a disk or makes a change last.
-type Op uint8
+// Operation is an operation that changes a disk or makes a change last.
+type Operation uint8
 
 // The operations.
 const (
-	Create Op = iota + 1
+	Create Operation = iota + 1
 	Write
 	Truncate
 	Sync
@@ -23,257 +23,257 @@
 	SyncFolder
 )
 
-var opNames = [...]string{"none", "create", "write", "truncate", "sync", "rename", "remove", "sync folder"}
+var operationNames = [...]string{"none", "create", "write", "truncate", "sync", "rename", "remove", "sync folder"}
 
 // String returns the name of the operation.
-func (o Op) String() string { return opNames[o] }
+func (o Operation) String() string { return operationNames[o] }
 
 // Fault is what goes wrong at an operation of a Memory disk.
 type Fault uint8
 
 // The faults.
 const (
-	// Well means no fault.
-	Well Fault = iota
-	// Crash ends everything before the operation.
-	Crash
-	// CrashTorn ends everything in the middle of the operation.
-	CrashTorn
-	// Full refuses the operation for lack of room; half of a write is done.
-	Full
-	// NoFile refuses the operation, which opens a file, since none can be opened.
-	NoFile
-	// Broken fails the operation. A sync that fails loses the data: later syncs
+	// NoFault means no fault.
+	NoFault Fault = iota
+	// CrashBefore ends everything before the operation.
+	CrashBefore
+	// CrashDuring ends everything in the middle of the operation.
+	CrashDuring
+	// DiskFull refuses the operation for lack of room; half of a write is done.
+	DiskFull
+	// TooManyFiles refuses the operation, which opens a file, since none can be opened.
+	TooManyFiles
+	// IOError fails the operation. A sync that fails loses the data: later syncs
 	// of the file succeed without it, as on common systems.
-	Broken
+	IOError
 )
 
-// Outcome is what a crash does to changes that were not synced.
-type Outcome uint8
+// CrashOutcome is what a crash does to changes that were not synced.
+type CrashOutcome uint8
 
 // The outcomes of a crash.
 const (
-	// Killed ends the process only: everything is still seen, and still not synced.
-	Killed Outcome = iota
-	// Lost loses everything that was not synced.
-	Lost
-	// Kept keeps everything, as if synced.
-	Kept
+	// ProcessKilled ends the process only: everything is still seen, and still not synced.
+	ProcessKilled CrashOutcome = iota
+	// AllLost loses everything that was not synced.
+	AllLost
+	// AllKept keeps everything, as if synced.
+	AllKept
 	// NamesLost keeps contents but no creation, renaming or removal.
 	NamesLost
 	// ContentsLost keeps names but no contents.
 	ContentsLost
-	// Half keeps the first half of contents and of name changes.
-	Half
-	// Hole keeps, of contents and of name changes, only the second half; contents
+	// FirstHalfKept keeps the first half of contents and of name changes.
+	FirstHalfKept
+	// SecondHalfKept keeps, of contents and of name changes, only the second half; contents
 	// have zeros before it.
-	Hole
+	SecondHalfKept
 )
 
-// Outcomes are all outcomes of a crash.
-var Outcomes = []Outcome{Killed, Lost, Kept, NamesLost, ContentsLost, Half, Hole}
+// CrashOutcomes are all outcomes of a crash.
+var CrashOutcomes = []CrashOutcome{ProcessKilled, AllLost, AllKept, NamesLost, ContentsLost, FirstHalfKept, SecondHalfKept}
 
 // ErrCrashed is what every operation returns after a crash, until Restart.
 var ErrCrashed = errors.New("the disk has crashed")
 
-// errBroken is what a broken operation returns.
-var errBroken = errors.New("input/output error")
+// errIO is what a broken operation returns.
+var errIO = errors.New("input/output error")
 
 // Memory is a disk in memory that goes wrong on request, to test what rests on
 // a Disk. Folders need not be made.
 type Memory struct {
-	// Inject is asked before the operation with this count, from 1; it is not
+	// InjectFault is asked before the operation with this count, from 1; it is not
 	// asked when nil.
-	Inject func(n int, op Op, name string) Fault
-	// Room is what Free returns.
-	Room uint64
-
-	mu      sync.Mutex
-	count   int
-	crashed bool
-	names   map[string]*node
-	stable  map[string]*node
-	pending []change
+	InjectFault func(n int, op Operation, name string) Fault
+	// FreeBytes is what Free returns.
+	FreeBytes uint64
+
+	mu              sync.Mutex
+	operations      int
+	crashed         bool
+	files           map[string]*inode
+	syncedFiles     map[string]*inode
+	unsyncedChanges []nameChange
 }
 
-// node is the content of a file.
-type node struct {
+// inode is the content of a file.
+type inode struct {
 	data   []byte
-	stable []byte
-	// lost is set by a failed sync.
-	lost bool
+	synced []byte
+	// syncFailed is set by a failed sync.
+	syncFailed bool
 }
 
-// change is a change of a name that is not synced: to nil for a removal, and
+// nameChange is a change of a name that is not synced: to nil for a removal, and
 // with the name that a renaming takes away.
-type change struct {
-	name string
-	to   *node
-	gone string
+type nameChange struct {
+	name    string
+	target  *inode
+	oldName string
 }
 
-// Count returns how many operations were begun.
-func (m *Memory) Count() int {
+// OperationCount returns how many operations were begun.
+func (m *Memory) OperationCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.count
+	return m.operations
 }
 
 // Clone returns a disk in the same state, without Inject and without open files.
 func (m *Memory) Clone() *Memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	copies := map[*node]*node{nil: nil}
-	copied := func(n *node) *node {
-		if _, ok := copies[n]; !ok {
-			copies[n] = &node{data: slices.Clone(n.data), stable: slices.Clone(n.stable), lost: n.lost}
+	clones := map[*inode]*inode{nil: nil}
+	cloneInode := func(n *inode) *inode {
+		if _, ok := clones[n]; !ok {
+			clones[n] = &inode{data: slices.Clone(n.data), synced: slices.Clone(n.synced), syncFailed: n.syncFailed}
 		}
-		return copies[n]
+		return clones[n]
 	}
-	c := &Memory{Room: m.Room, count: m.count, crashed: m.crashed, names: map[string]*node{}, stable: map[string]*node{}}
-	for name, n := range m.names {
-		c.names[name] = copied(n)
+	c := &Memory{FreeBytes: m.FreeBytes, operations: m.operations, crashed: m.crashed, files: map[string]*inode{}, syncedFiles: map[string]*inode{}}
+	for name, n := range m.files {
+		c.files[name] = cloneInode(n)
 	}
-	for name, n := range m.stable {
-		c.stable[name] = copied(n)
+	for name, n := range m.syncedFiles {
+		c.syncedFiles[name] = cloneInode(n)
 	}
-	for _, p := range m.pending {
-		c.pending = append(c.pending, change{name: p.name, to: copied(p.to), gone: p.gone})
+	for _, p := range m.unsyncedChanges {
+		c.unsyncedChanges = append(c.unsyncedChanges, nameChange{name: p.name, target: cloneInode(p.target), oldName: p.oldName})
 	}
 	return c
 }
 
 // Restart ends a crash, or makes one, with the outcome given. Files that were
 // open before must not be used any more.
-func (m *Memory) Restart(o Outcome) {
+func (m *Memory) Restart(o CrashOutcome) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.crashed = false
-	if o == Killed {
+	if o == ProcessKilled {
 		return
 	}
-	kept := m.pending
+	surviving := m.unsyncedChanges
 	switch o {
-	case Lost, NamesLost:
-		kept = nil
-	case Half:
-		kept = kept[:(len(kept)+1)/2]
-	case Hole:
-		kept = kept[len(kept)/2:]
+	case AllLost, NamesLost:
+		surviving = nil
+	case FirstHalfKept:
+		surviving = surviving[:(len(surviving)+1)/2]
+	case SecondHalfKept:
+		surviving = surviving[len(surviving)/2:]
 	}
-	for _, c := range kept {
-		set(m.stable, c)
+	for _, c := range surviving {
+		applyChange(m.syncedFiles, c)
 	}
-	m.pending = nil
-	m.names = map[string]*node{}
-	for name, n := range m.stable {
-		n.data = n.after(o)
-		n.stable = slices.Clone(n.data)
-		n.lost = false
-		m.names[name] = n
+	m.unsyncedChanges = nil
+	m.files = map[string]*inode{}
+	for name, n := range m.syncedFiles {
+		n.data = n.contentAfterCrash(o)
+		n.synced = slices.Clone(n.data)
+		n.syncFailed = false
+		m.files[name] = n
 	}
 }
 
-// after returns the content that a crash leaves.
-func (n *node) after(o Outcome) []byte {
-	same := 0
-	for same < min(len(n.data), len(n.stable)) && n.data[same] == n.stable[same] {
-		same++
+// contentAfterCrash returns the content that a crash leaves.
+func (n *inode) contentAfterCrash(o CrashOutcome) []byte {
+	commonPrefix := 0
+	for commonPrefix < min(len(n.data), len(n.synced)) && n.data[commonPrefix] == n.synced[commonPrefix] {
+		commonPrefix++
 	}
-	half := same + (len(n.data)-same)/2
+	middle := commonPrefix + (len(n.data)-commonPrefix)/2
 	switch o {
-	case Lost, ContentsLost:
-		return n.stable
-	case Half:
-		return slices.Clone(n.data[:half])
-	case Hole:
+	case AllLost, ContentsLost:
+		return n.synced
+	case FirstHalfKept:
+		return slices.Clone(n.data[:middle])
+	case SecondHalfKept:
 		b := slices.Clone(n.data)
-		clear(b[same:half])
+		clear(b[commonPrefix:middle])
 		return b
 	}
 	return n.data
 }
 
-// begin counts an operation and asks for its fault.
-func (m *Memory) begin(op Op, name string) (Fault, error) {
-	if m.names == nil {
-		m.names, m.stable = map[string]*node{}, map[string]*node{}
+// beginOperation counts an operation and asks for its fault.
+func (m *Memory) beginOperation(op Operation, name string) (Fault, error) {
+	if m.files == nil {
+		m.files, m.syncedFiles = map[string]*inode{}, map[string]*inode{}
 	}
 	if m.crashed {
-		return Crash, ErrCrashed
+		return CrashBefore, ErrCrashed
 	}
-	m.count++
-	fault := Well
-	if m.Inject != nil {
-		fault = m.Inject(m.count, op, name)
+	m.operations++
+	fault := NoFault
+	if m.InjectFault != nil {
+		fault = m.InjectFault(m.operations, op, name)
 	}
 	switch fault {
-	case Crash:
+	case CrashBefore:
 		m.crashed = true
 		return fault, ErrCrashed
-	case CrashTorn:
+	case CrashDuring:
 		m.crashed = true
 		return fault, nil
-	case Full:
-		return fault, errors.Mark(errors.New("no space left on device"), ErrFull)
-	case NoFile:
-		return fault, errors.Mark(errors.New("too many open files"), ErrNoFile)
-	case Broken:
-		return fault, errBroken
+	case DiskFull:
+		return fault, errors.Mark(errors.New("no space left on device"), ErrDiskFull)
+	case TooManyFiles:
+		return fault, errors.Mark(errors.New("too many open files"), ErrTooManyFiles)
+	case IOError:
+		return fault, errIO
 	}
 	return fault, nil
 }
 
-// end returns the error of an operation that was done in spite of its fault.
-func end(f Fault) error {
-	if f == CrashTorn {
+// operationError returns the error of an operation that was done in spite of its fault.
+func operationError(f Fault) error {
+	if f == CrashDuring {
 		return ErrCrashed
 	}
 	return nil
 }
 
-// change changes a name, until a sync of its folder only in what is seen.
-func (m *Memory) change(c change) {
-	set(m.names, c)
-	m.pending = append(m.pending, c)
+// changeName changes a name, until a sync of its folder only in what is seen.
+func (m *Memory) changeName(c nameChange) {
+	applyChange(m.files, c)
+	m.unsyncedChanges = append(m.unsyncedChanges, c)
 }
 
-func set(names map[string]*node, c change) {
-	delete(names, c.gone)
-	if c.to == nil {
+func applyChange(names map[string]*inode, c nameChange) {
+	delete(names, c.oldName)
+	if c.target == nil {
 		delete(names, c.name)
 		return
 	}
-	names[c.name] = c.to
+	names[c.name] = c.target
 }
 
 // Create makes an empty file, or empties the one that exists.
 func (m *Memory) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f, err := m.begin(Create, name)
+	f, err := m.beginOperation(Create, name)
 	if err != nil {
 		return nil, err
 	}
-	n := m.names[name]
+	n := m.files[name]
 	if n == nil {
-		n = &node{}
-		m.change(change{name: name, to: n})
+		n = &inode{}
+		m.changeName(nameChange{name: name, target: n})
 	}
 	n.data = nil
-	return &memoryFile{m, n, name}, end(f)
+	return &memoryFile{m, n, name}, operationError(f)
 }
 
 // Open opens an existing file for writing.
 func (m *Memory) Open(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := m.names[name]
+	n := m.files[name]
 	if m.crashed {
 		return nil, ErrCrashed
 	}
 	if n == nil {
-		return nil, ErrMissing
+		return nil, ErrNotExist
 	}
 	return &memoryFile{m, n, name}, nil
 }
@@ -282,12 +282,12 @@
 func (m *Memory) Read(name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := m.names[name]
+	n := m.files[name]
 	if m.crashed {
 		return nil, ErrCrashed
 	}
 	if n == nil {
-		return nil, ErrMissing
+		return nil, ErrNotExist
 	}
 	return slices.Clone(n.data), nil
 }
@@ -300,7 +300,7 @@
 		return nil, ErrCrashed
 	}
 	var names []string
-	for name := range m.names {
+	for name := range m.files {
 		if filepath.Dir(name) == dir {
 			names = append(names, filepath.Base(name))
 		}
@@ -313,55 +313,55 @@
 func (m *Memory) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f, err := m.begin(Rename, from)
+	f, err := m.beginOperation(Rename, from)
 	if err != nil {
 		return err
 	}
-	n := m.names[from]
+	n := m.files[from]
 	if n == nil {
-		return ErrMissing
+		return ErrNotExist
 	}
-	m.change(change{name: to, to: n, gone: from})
-	return end(f)
+	m.changeName(nameChange{name: to, target: n, oldName: from})
+	return operationError(f)
 }
 
 // Remove deletes a file.
 func (m *Memory) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f, err := m.begin(Remove, name)
+	f, err := m.beginOperation(Remove, name)
 	if err != nil {
 		return err
 	}
-	if m.names[name] == nil {
-		return ErrMissing
+	if m.files[name] == nil {
+		return ErrNotExist
 	}
-	m.change(change{name: name})
-	return end(f)
+	m.changeName(nameChange{name: name})
+	return operationError(f)
 }
 
-// Folder does nothing: folders need not be made.
-func (m *Memory) Folder(string) error { return nil }
+// CreateFolder does nothing: folders need not be made.
+func (m *Memory) CreateFolder(string) error { return nil }
 
 // SyncFolder makes the changes of names in a folder last.
 func (m *Memory) SyncFolder(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f, err := m.begin(SyncFolder, dir)
+	f, err := m.beginOperation(SyncFolder, dir)
 	if err != nil {
 		return err
 	}
-	var other []change
-	for _, c := range m.pending {
+	var remaining []nameChange
+	for _, c := range m.unsyncedChanges {
 		if strings.HasPrefix(c.name, dir+string(filepath.Separator)) {
-			set(m.stable, c)
+			applyChange(m.syncedFiles, c)
 			continue
 		}
-		other = append(other, c)
+		remaining = append(remaining, c)
 	}
-	m.pending = other
-	return end(f)
+	m.unsyncedChanges = remaining
+	return operationError(f)
 }
 
 // Free returns Room.
-func (m *Memory) Free(string) (uint64, error) { return m.Room, nil }
+func (m *Memory) Free(string) (uint64, error) { return m.FreeBytes, nil }
--- a/internal/replica/disk/memoryfile.go
+++ b/internal/replica/disk/memoryfile.go
@@ -8,56 +8,56 @@
 
 // memoryFile is an open file of a Memory disk.
 type memoryFile struct {
-	m    *Memory
-	n    *node
-	name string
+	disk  *Memory
+	inode *inode
+	name  string
 }
 
 // WriteAt writes b; half of it when the disk is full or crashes meanwhile.
 func (f *memoryFile) WriteAt(b []byte, off int64) (int, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	fault, err := f.m.begin(Write, f.name)
-	if fault == Crash || fault == Broken {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	fault, err := f.disk.beginOperation(Write, f.name)
+	if fault == CrashBefore || fault == IOError {
 		return 0, err
 	}
-	if fault != Well {
+	if fault != NoFault {
 		b = b[:len(b)/2]
 	}
-	if short := int(off) + len(b) - len(f.n.data); short > 0 {
-		f.n.data = append(f.n.data, make([]byte, short)...)
+	if missing := int(off) + len(b) - len(f.inode.data); missing > 0 {
+		f.inode.data = append(f.inode.data, make([]byte, missing)...)
 	}
-	copy(f.n.data[off:], b)
-	return len(b), errors.CombineErrors(err, end(fault))
+	copy(f.inode.data[off:], b)
+	return len(b), errors.CombineErrors(err, operationError(fault))
 }
 
 // Truncate cuts the file to size bytes.
 func (f *memoryFile) Truncate(size int64) error {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	fault, err := f.m.begin(Truncate, f.name)
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	fault, err := f.disk.beginOperation(Truncate, f.name)
 	if err != nil {
 		return err
 	}
-	f.n.data = f.n.data[:min(int(size), len(f.n.data))]
-	return end(fault)
+	f.inode.data = f.inode.data[:min(int(size), len(f.inode.data))]
+	return operationError(fault)
 }
 
 // Sync makes the content last, unless an earlier sync failed.
 func (f *memoryFile) Sync() error {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	fault, err := f.m.begin(Sync, f.name)
-	if fault == Full || fault == Broken {
-		f.n.lost = true
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	fault, err := f.disk.beginOperation(Sync, f.name)
+	if fault == DiskFull || fault == IOError {
+		f.inode.syncFailed = true
 	}
 	if err != nil {
 		return err
 	}
-	if !f.n.lost {
-		f.n.stable = slices.Clone(f.n.data)
+	if !f.inode.syncFailed {
+		f.inode.synced = slices.Clone(f.inode.data)
 	}
-	return end(fault)
+	return operationError(fault)
 }
 
 // Close does nothing: a close makes nothing last.
--- a/internal/replica/disk/replica_test.go
+++ b/internal/replica/disk/replica_test.go
@@ -20,28 +20,28 @@
 	snapshotDir = "/data/snapshot"
 )
 
-// reserve is room for an append or two.
-const reserve = 120
+// preallocation is room for an append or two.
+const preallocation = 120
 
 // history is what the replica was told to keep, and how much of it must last.
 type history struct {
 	// states are all that the journal may hold, in order.
 	states []journal.Recovered
-	// synced is the first of states that may be recovered.
-	synced int
-	// saving is the index of the newest snapshot that was begun, saved of the
+	// oldestAllowed is the first of states that may be recovered.
+	oldestAllowed int
+	// snapshotStarted is the index of the newest snapshot that was begun, saved of the
 	// newest that was finished.
-	saving, saved uint64
+	snapshotStarted, snapshotSaved uint64
 }
 
-// last returns the newest state.
-func (h *history) last() journal.Recovered { return h.states[len(h.states)-1] }
+// newestState returns the newest state.
+func (h *history) newestState() journal.Recovered { return h.states[len(h.states)-1] }
 
-// append adds the state that an append makes.
-func (h *history) append(hard *quorum.Hard, entries []quorum.Entry) {
-	next := h.last()
+// addAppend adds the state that an append makes.
+func (h *history) addAppend(hard *quorum.Hard, entries []quorum.Entry) {
+	next := h.newestState()
 	if hard != nil {
-		next.Hard = *hard
+		next.HardState = *hard
 	}
 	for _, e := range entries {
 		next.Entries = append(append([]quorum.Entry(nil), next.Entries[:e.Index-1]...), e)
@@ -51,17 +51,17 @@
 
 // replica drives a journal and snapshots on one disk, as the group does.
 type replica struct {
-	disk *disk.Memory
-	h    history
-	j    *journal.Journal
-	// size of the segments.
-	size int64
-	// inSave tells that a snapshot is being saved.
-	inSave bool
+	disk    *disk.Memory
+	history history
+	journal *journal.Journal
+	// segmentSize of the segments.
+	segmentSize int64
+	// savingSnapshot tells that a snapshot is being saved.
+	savingSnapshot bool
 }
 
 func (r *replica) config() journal.Config {
-	return journal.Config{Disk: r.disk, SegmentSize: r.size, Reserve: reserve}
+	return journal.Config{Disk: r.disk, SegmentSize: r.segmentSize, Preallocation: preallocation}
 }
 
 func (r *replica) store() snapshot.Store { return snapshot.Store{Dir: snapshotDir, Disk: r.disk} }
@@ -69,7 +69,7 @@
 // step is one thing that the group does.
 type step struct {
 	name string
-	do   func(r *replica) error
+	run  func(r *replica) error
 }
 
 func appendStep(term, first, last uint64) step {
@@ -79,33 +79,33 @@
 		for i := first; i <= last; i++ {
 			entries = append(entries, quorum.Entry{Index: i, Term: term, Kind: quorum.Command, Data: fmt.Appendf(nil, "data of %d/%d", term, i)})
 		}
-		n := len(r.h.states)
-		r.h.append(&hard, entries)
-		err := r.j.Append(&hard, entries)
-		if disk.Passes(err) {
-			r.h.states = r.h.states[:n]
+		n := len(r.history.states)
+		r.history.addAppend(&hard, entries)
+		err := r.journal.Append(&hard, entries)
+		if disk.IsRetryable(err) {
+			r.history.states = r.history.states[:n]
 		}
 		return err
 	}}
 }
 
 var syncStep = step{"sync", func(r *replica) error {
-	err := r.j.Sync()
+	err := r.journal.Sync()
 	if err == nil {
-		r.h.synced = len(r.h.states) - 1
+		r.history.oldestAllowed = len(r.history.states) - 1
 	}
 	return err
 }}
 
-// compactStep saves a snapshot and drops the log that it replaces.
-func compactStep(index uint64) step {
+// snapshotStep saves a snapshot and drops the log that it replaces.
+func snapshotStep(index uint64) step {
 	return step{fmt.Sprintf("snapshot of %d", index), func(r *replica) error {
-		r.h.saving, r.inSave = index, true
+		r.history.snapshotStarted, r.savingSnapshot = index, true
 		if err := r.store().Save(snapshot.Meta{Index: index, Term: 1}, fmt.Appendf(nil, "state at %d", index)); err != nil {
 			return err
 		}
-		r.h.saved, r.inSave = index, false
-		return r.j.Compact(index)
+		r.history.snapshotSaved, r.savingSnapshot = index, false
+		return r.journal.Compact(index)
 	}}
 }
 
@@ -113,13 +113,13 @@
 // of the log, and a close.
 var script = []step{
 	appendStep(1, 1, 2), syncStep, appendStep(1, 3, 6), syncStep, appendStep(1, 7, 9), appendStep(1, 10, 11), syncStep,
-	compactStep(7), appendStep(1, 12, 14), syncStep, appendStep(2, 13, 15), syncStep, compactStep(15),
-	appendStep(2, 16, 18), syncStep, appendStep(3, 17, 17), syncStep, compactStep(16), appendStep(3, 18, 19),
-	{"close", func(r *replica) error { return r.j.Close() }},
+	snapshotStep(7), appendStep(1, 12, 14), syncStep, appendStep(2, 13, 15), syncStep, snapshotStep(15),
+	appendStep(2, 16, 18), syncStep, appendStep(3, 17, 17), syncStep, snapshotStep(16), appendStep(3, 18, 19),
+	{"close", func(r *replica) error { return r.journal.Close() }},
 }
 
-// start opens what the disk holds.
-func (r *replica) start() (journal.Recovered, snapshot.Meta, error) {
+// open opens what the disk holds.
+func (r *replica) open() (journal.Recovered, snapshot.Meta, error) {
 	meta, state, err := r.store().Load()
 	if err != nil {
 		return journal.Recovered{}, meta, err
@@ -128,18 +128,18 @@
 		return journal.Recovered{}, meta, errors.Newf("snapshot of %d holds %q", meta.Index, state)
 	}
 	j, got, err := r.config().Open(journalDir)
-	r.j = j
+	r.journal = j
 	return got, meta, err
 }
 
-// play runs the script until a step fails.
-func (r *replica) play() error {
-	r.h.states = []journal.Recovered{{}}
-	if _, _, err := r.start(); err != nil {
+// runScript runs the script until a step fails.
+func (r *replica) runScript() error {
+	r.history.states = []journal.Recovered{{}}
+	if _, _, err := r.open(); err != nil {
 		return err
 	}
 	for _, s := range script {
-		if err := s.do(r); err != nil {
+		if err := s.run(r); err != nil {
 			return errors.Wrap(err, s.name)
 		}
 	}
@@ -148,29 +148,29 @@
 
 // verify says what is wrong with what was recovered.
 func (r *replica) verify(got journal.Recovered, meta snapshot.Meta) error {
-	if meta.Index < r.h.saved || meta.Index > r.h.saving {
-		return errors.Newf("snapshot of %d, saved was %d and begun %d", meta.Index, r.h.saved, r.h.saving)
+	if meta.Index < r.history.snapshotSaved || meta.Index > r.history.snapshotStarted {
+		return errors.Newf("snapshot of %d, saved was %d and begun %d", meta.Index, r.history.snapshotSaved, r.history.snapshotStarted)
 	}
 	if len(got.Entries) > 0 && got.Entries[0].Index > meta.Index+1 {
 		return errors.Newf("entries from %d on, snapshot of %d", got.Entries[0].Index, meta.Index)
 	}
-	for _, want := range r.h.states[r.h.synced:] {
-		if equal(want, got, meta.Index) {
+	for _, want := range r.history.states[r.history.oldestAllowed:] {
+		if equalAbove(want, got, meta.Index) {
 			return nil
 		}
 	}
-	return errors.Newf("recovered is none of the states that may be; the newest differs by %s", cmp.Diff(r.h.last(), got))
+	return errors.Newf("recovered is none of the states that may be; the newest differs by %s", cmp.Diff(r.history.newestState(), got))
 }
 
-// equal compares what stands after the snapshot, as a restarted replica sees it.
-func equal(a, b journal.Recovered, index uint64) bool {
-	return a.Hard == b.Hard && slices.EqualFunc(after(a.Entries, index), after(b.Entries, index), func(x, y quorum.Entry) bool {
+// equalAbove compares what stands after the snapshot, as a restarted replica sees it.
+func equalAbove(a, b journal.Recovered, index uint64) bool {
+	return a.HardState == b.HardState && slices.EqualFunc(entriesAbove(a.Entries, index), entriesAbove(b.Entries, index), func(x, y quorum.Entry) bool {
 		return x.Index == y.Index && x.Term == y.Term && x.Kind == y.Kind && bytes.Equal(x.Data, y.Data)
 	})
 }
 
-// after returns the entries above index.
-func after(entries []quorum.Entry, index uint64) []quorum.Entry {
+// entriesAbove returns the entries above index.
+func entriesAbove(entries []quorum.Entry, index uint64) []quorum.Entry {
 	for len(entries) > 0 && entries[0].Index <= index {
 		entries = entries[1:]
 	}
--- a/internal/replica/group/fake_test.go
+++ b/internal/replica/group/fake_test.go
@@ -39,7 +39,7 @@
 		return m.refuse
 	}
 	if n := len(m.entries); n > 0 && len(entries) > 0 && entries[0].Index > m.entries[n-1].Index+1 {
-		return journal.ErrGap
+		return journal.ErrIndexGap
 	}
 	if hard != nil {
 		m.hard = *hard
--- a/internal/replica/group/group_test.go
+++ b/internal/replica/group/group_test.go
@@ -178,7 +178,7 @@
 func TestFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, d := alone(t)
-		d.set(func() { d.refuse, d.free = disk.ErrFull, 0 })
+		d.set(func() { d.refuse, d.free = disk.ErrDiskFull, 0 })
 		r.propose("x")
 		time.Sleep(3 * time.Second)
 		if got, leading := r.view(); len(got) != 0 || !leading || !r.full {
--- a/internal/replica/group/store.go
+++ b/internal/replica/group/store.go
@@ -70,7 +70,7 @@
 		if err == nil {
 			break
 		}
-		if !disk.Passes(err) {
+		if !disk.IsRetryable(err) {
 			return errors.Wrap(err, "append to the journal")
 		}
 		if err := j.wait(ctx); err != nil {
@@ -94,7 +94,7 @@
 
 func (j *journalist) compact(index uint64) error {
 	err := j.Journal.Compact(index)
-	if disk.Passes(err) {
+	if disk.IsRetryable(err) {
 		// Nothing hangs on it: the next snapshot tries again.
 		return nil
 	}
--- a/internal/replica/journal/bench_test.go
+++ b/internal/replica/journal/bench_test.go
@@ -11,14 +11,14 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// payload is the size of an entry in bytes.
-const payload = 256
+// entryDataSize is the size of an entry in bytes.
+const entryDataSize = 256
 
-// batchFrom returns n entries.
-func batchFrom(first uint64, n int) []quorum.Entry {
+// fixedSizeEntries returns n entries.
+func fixedSizeEntries(first uint64, n int) []quorum.Entry {
 	entries := make([]quorum.Entry, n)
 	for i := range entries {
-		entries[i] = quorum.Entry{Index: first + uint64(i), Term: 1, Kind: quorum.Command, Data: make([]byte, payload)}
+		entries[i] = quorum.Entry{Index: first + uint64(i), Term: 1, Kind: quorum.Command, Data: make([]byte, entryDataSize)}
 	}
 	return entries
 }
@@ -26,37 +26,37 @@
 // BenchmarkSync takes turns between a batch into the journal and the same bytes
 // into a plain file, each with its sync, and reports both rates and their ratio.
 func BenchmarkSync(b *testing.B) {
-	for _, batch := range []int{1, 16, 64, 256} {
-		b.Run(fmt.Sprint(batch), func(b *testing.B) { syncBatches(b, batch) })
+	for _, batchLen := range []int{1, 16, 64, 256} {
+		b.Run(fmt.Sprint(batchLen), func(b *testing.B) { benchmarkSyncBatch(b, batchLen) })
 	}
 }
 
-func syncBatches(b *testing.B, batch int) {
+func benchmarkSyncBatch(b *testing.B, batchLen int) {
 	dir := b.TempDir()
 	j, _, err := journal.Open(filepath.Join(dir, "journal"))
-	fatal(b, err)
-	raw, err := os.Create(filepath.Join(dir, "raw"))
-	fatal(b, err)
-	var inJournal, inRaw time.Duration
-	size := batch * payload
-	plain := make([]byte, size)
+	mustB(b, err)
+	rawFile, err := os.Create(filepath.Join(dir, "raw"))
+	mustB(b, err)
+	var journalTime, rawTime time.Duration
+	size := batchLen * entryDataSize
+	rawData := make([]byte, size)
 	for i := 0; b.Loop(); i++ {
-		entries := batchFrom(uint64(i*batch+1), batch)
+		entries := fixedSizeEntries(uint64(i*batchLen+1), batchLen)
 		start := time.Now()
-		fatal(b, j.Append(nil, entries))
-		fatal(b, j.Sync())
-		inJournal += time.Since(start)
+		mustB(b, j.Append(nil, entries))
+		mustB(b, j.Sync())
+		journalTime += time.Since(start)
 		start = time.Now()
-		_, err := raw.WriteAt(plain, int64(i*size))
-		fatal(b, err)
-		fatal(b, raw.Sync())
-		inRaw += time.Since(start)
+		_, err := rawFile.WriteAt(rawData, int64(i*size))
+		mustB(b, err)
+		mustB(b, rawFile.Sync())
+		rawTime += time.Since(start)
 	}
-	b.ReportMetric(float64(b.N)/inJournal.Seconds(), "journal-syncs/s")
-	b.ReportMetric(float64(b.N)/inRaw.Seconds(), "raw-syncs/s")
-	b.ReportMetric(inRaw.Seconds()/inJournal.Seconds(), "ratio")
-	fatal(b, j.Close())
-	fatal(b, raw.Close())
+	b.ReportMetric(float64(b.N)/journalTime.Seconds(), "journal-syncs/s")
+	b.ReportMetric(float64(b.N)/rawTime.Seconds(), "raw-syncs/s")
+	b.ReportMetric(rawTime.Seconds()/journalTime.Seconds(), "ratio")
+	mustB(b, j.Close())
+	mustB(b, rawFile.Close())
 }
 
 // BenchmarkOpen opens journals of several lengths, for the slope of a restart.
@@ -65,25 +65,25 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
 			j, _, err := journal.Open(dir)
-			fatal(b, err)
+			mustB(b, err)
 			for i := 1; i <= n; i += 50 {
-				fatal(b, j.Append(nil, batchFrom(uint64(i), 50)))
+				mustB(b, j.Append(nil, fixedSizeEntries(uint64(i), 50)))
 			}
-			fatal(b, j.Close())
+			mustB(b, j.Close())
 			for b.Loop() {
 				j, r, err := journal.Open(dir)
-				fatal(b, err)
+				mustB(b, err)
 				if len(r.Entries) < n {
 					b.Fatal(len(r.Entries))
 				}
-				fatal(b, j.Close())
+				mustB(b, j.Close())
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/float64(n), "µs/entry")
 		})
 	}
 }
 
-func fatal(b *testing.B, err error) {
+func mustB(b *testing.B, err error) {
 	b.Helper()
 	if err != nil {
 		b.Fatal(err)
--- a/internal/replica/journal/frame.go
+++ b/internal/replica/journal/frame.go
@@ -17,18 +17,18 @@
 // The checksum is the XXH64 of the record, seeded with the number of the
 // segment and the offset of the frame, so that a frame counts only at its place.
 const (
-	marker     uint32 = 0x4c524e4a
-	frameBytes        = 16
-	// maxRecord bounds a record, and so what a damaged length can make us read.
-	maxRecord = 64 << 20
+	frameMarker     uint32 = 0x4c524e4a
+	frameHeaderSize        = 16
+	// maxRecordSize bounds a record, and so what a damaged length can make us read.
+	maxRecordSize = 64 << 20
 )
 
 // Fields of the records, in protobuf's wire format.
 const (
-	fieldMark  protowire.Number = 1
-	fieldHard  protowire.Number = 2
-	fieldEntry protowire.Number = 3
-	fieldReset protowire.Number = 4
+	fieldSyncedSize protowire.Number = 1
+	fieldHardState  protowire.Number = 2
+	fieldEntry      protowire.Number = 3
+	fieldReset      protowire.Number = 4
 
 	fieldTerm protowire.Number = 1
 	fieldVote protowire.Number = 2
@@ -41,47 +41,47 @@
 
 // record is what one frame holds.
 type record struct {
-	// mark is the size of the segment that was synced before the frame was
+	// syncedSize is the size of the segment that was synced before the frame was
 	// written: damage below it is no torn tail.
-	mark uint64
-	hard *quorum.Hard
-	// reset tells that the entries go on from a snapshot, not from those before.
-	reset   bool
-	entries []quorum.Entry
+	syncedSize uint64
+	hardState  *quorum.Hard
+	// resetLog tells that the entries go on from a snapshot, not from those before.
+	resetLog bool
+	entries  []quorum.Entry
 }
 
 // appendFrame adds the frame of a record to b, to be written at off of the segment.
-func appendFrame(b []byte, number uint64, off int64, r record) []byte {
+func appendFrame(b []byte, segmentNumber uint64, off int64, r record) []byte {
 	start := len(b)
-	b = append(b, make([]byte, frameBytes)...)
-	b = protowire.AppendTag(b, fieldMark, protowire.VarintType)
-	b = protowire.AppendVarint(b, r.mark)
-	if r.hard != nil {
-		b = protowire.AppendTag(b, fieldHard, protowire.BytesType)
-		b = protowire.AppendBytes(b, encodeHard(*r.hard))
+	b = append(b, make([]byte, frameHeaderSize)...)
+	b = protowire.AppendTag(b, fieldSyncedSize, protowire.VarintType)
+	b = protowire.AppendVarint(b, r.syncedSize)
+	if r.hardState != nil {
+		b = protowire.AppendTag(b, fieldHardState, protowire.BytesType)
+		b = protowire.AppendBytes(b, encodeHardState(*r.hardState))
 	}
-	if r.reset {
+	if r.resetLog {
 		b = protowire.AppendTag(b, fieldReset, protowire.VarintType)
 		b = protowire.AppendVarint(b, protowire.EncodeBool(true))
 	}
 	for i := range r.entries {
 		b = appendEntry(b, &r.entries[i])
 	}
-	body := b[start+frameBytes:]
+	body := b[start+frameHeaderSize:]
 	head := b[start:start]
-	head = protowire.AppendFixed32(head, marker)
+	head = protowire.AppendFixed32(head, frameMarker)
 	head = protowire.AppendFixed32(head, uint32(len(body)))
-	protowire.AppendFixed64(head, checksum(number, off, body))
+	protowire.AppendFixed64(head, checksum(segmentNumber, off, body))
 	return b
 }
 
-func checksum(number uint64, off int64, body []byte) uint64 {
-	d := xxhash.NewWithSeed(number<<32 ^ uint64(off))
+func checksum(segmentNumber uint64, off int64, body []byte) uint64 {
+	d := xxhash.NewWithSeed(segmentNumber<<32 ^ uint64(off))
 	_, _ = d.Write(body)
 	return d.Sum64()
 }
 
-func encodeHard(h quorum.Hard) []byte {
+func encodeHardState(h quorum.Hard) []byte {
 	b := protowire.AppendTag(nil, fieldTerm, protowire.VarintType)
 	b = protowire.AppendVarint(b, h.Term)
 	b = protowire.AppendTag(b, fieldVote, protowire.BytesType)
@@ -107,20 +107,20 @@
 
 // frameAt returns the record's bytes of the frame at off and the offset after
 // it; ok is false when no whole frame with a right checksum is there.
-func frameAt(b []byte, number uint64, off int64) (body []byte, next int64, ok bool) {
-	if off < 0 || int64(len(b))-off < frameBytes {
+func frameAt(b []byte, segmentNumber uint64, off int64) (body []byte, next int64, ok bool) {
+	if off < 0 || int64(len(b))-off < frameHeaderSize {
 		return nil, 0, false
 	}
 	head := b[off:]
 	size := int64(binary.LittleEndian.Uint32(head[4:]))
-	if binary.LittleEndian.Uint32(head) != marker || size > maxRecord || size > int64(len(head))-frameBytes {
+	if binary.LittleEndian.Uint32(head) != frameMarker || size > maxRecordSize || size > int64(len(head))-frameHeaderSize {
 		return nil, 0, false
 	}
-	body = head[frameBytes : frameBytes+size]
-	if binary.LittleEndian.Uint64(head[8:]) != checksum(number, off, body) {
+	body = head[frameHeaderSize : frameHeaderSize+size]
+	if binary.LittleEndian.Uint64(head[8:]) != checksum(segmentNumber, off, body) {
 		return nil, 0, false
 	}
-	return body, off + frameBytes + size, true
+	return body, off + frameHeaderSize + size, true
 }
 
 // decodeRecord reads a record; its entries do not share memory with b.
@@ -128,13 +128,13 @@
 	var r record
 	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
-		case fieldMark:
-			r.mark = v
+		case fieldSyncedSize:
+			r.syncedSize = v
 		case fieldReset:
-			r.reset = protowire.DecodeBool(v)
-		case fieldHard:
-			h, err := decodeHard(data)
-			r.hard = &h
+			r.resetLog = protowire.DecodeBool(v)
+		case fieldHardState:
+			h, err := decodeHardState(data)
+			r.hardState = &h
 			return err
 		case fieldEntry:
 			e, err := decodeEntry(data)
@@ -146,7 +146,7 @@
 	return r, err
 }
 
-func decodeHard(b []byte) (quorum.Hard, error) {
+func decodeHardState(b []byte) (quorum.Hard, error) {
 	var h quorum.Hard
 	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
--- a/internal/replica/journal/fuzz_test.go
+++ b/internal/replica/journal/fuzz_test.go
@@ -15,12 +15,12 @@
 // refused, or what it shows is shown again after a restart, and it goes on.
 func FuzzOpen(f *testing.F) {
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m := &disk.Memory{}
-		file, err := m.Create("/j/0000000000000001.journal")
+		memoryDisk := &disk.Memory{}
+		file, err := memoryDisk.Create("/j/0000000000000001.journal")
 		must(t, err)
 		_, err = file.WriteAt(b, 0)
 		must(t, err)
-		c := journal.Config{Disk: m, Reserve: 100}
+		c := journal.Config{Disk: memoryDisk, Preallocation: 100}
 		j, first, err := c.Open("/j")
 		if err != nil {
 			return
@@ -31,10 +31,10 @@
 		}
 		must(t, j.Append(nil, []quorum.Entry{next}))
 		must(t, j.Sync())
-		m.Restart(disk.Lost)
+		memoryDisk.Restart(disk.AllLost)
 		_, second, err := c.Open("/j")
 		must(t, err)
-		first.Entries, first.Torn = append(first.Entries, next), false
+		first.Entries, first.TornTail = append(first.Entries, next), false
 		if diff := cmp.Diff(first, second, cmpopts.EquateEmpty()); diff != "" {
 			t.Error(diff)
 		}
--- a/internal/replica/journal/journal.go
+++ b/internal/replica/journal/journal.go
@@ -13,19 +13,19 @@
 
 // Sizes in bytes.
 const (
-	// SegmentSize is the size from which on a new segment is begun.
-	SegmentSize = 16 << 20
-	// MaxEntry bounds the data of one entry.
-	MaxEntry = 16 << 20
-	// Reserve is what a segment is lengthened by, in zeros, when it has no room.
+	// DefaultSegmentSize is the size from which on a new segment is begun.
+	DefaultSegmentSize = 16 << 20
+	// MaxEntrySize bounds the data of one entry.
+	MaxEntrySize = 16 << 20
+	// DefaultPreallocation is what a segment is lengthened by, in zeros, when it has no room.
 	// Overwriting synced zeros leaves the file's length alone, so that most
 	// syncs need not write it.
-	Reserve = 512 << 10
-	// maxBatch is the size from which on entries go into a further frame.
-	maxBatch = 1 << 20
-	// retryParts is the part of a segment's size that is appended before a segment
+	DefaultPreallocation = 512 << 10
+	// maxFrameData is the size from which on entries go into a further frame.
+	maxFrameData = 1 << 20
+	// rollRetryDivisor is the part of a segment's size that is appended before a segment
 	// that could not be begun is tried again; it doubles with each try.
-	retryParts = 16
+	rollRetryDivisor = 16
 )
 
 // Config holds what may differ from the defaults; its zero value is usable.
@@ -34,44 +34,44 @@
 	Disk disk.Disk
 	// SegmentSize in bytes; the constant of that name when 0.
 	SegmentSize int64
-	// Reserve in bytes; the constant of that name when 0, none when negative.
-	Reserve int64
-	// PutOff is told of what could not be done now and is tried again later, and
+	// Preallocation in bytes; the constant of that name when 0, none when negative.
+	Preallocation int64
+	// OnRollPostponed is told of what could not be done now and is tried again later, and
 	// why; nil for nobody. It must not block.
-	PutOff func(error)
+	OnRollPostponed func(error)
 }
 
 // Journal is an open journal. Append and Sync may be called at the same time
 // from two goroutines, so that one batch gathers while another is synced.
 type Journal struct {
-	disk  disk.Disk
-	dir   string
-	limit int64
-	zeros []byte
-	told  func(error)
+	disk            disk.Disk
+	dir             string
+	segmentSize     int64
+	zeroPadding     []byte
+	onRollPostponed func(error)
 
-	// syncing is held while a file is synced or replaced; taken before mu.
-	syncing sync.Mutex
-	mu      sync.Mutex
-	// broken is set for good by the first failure that leaves the disk unknown.
-	broken   error
-	segments segments
-	file     disk.File
-	size     int64
-	synced   int64
-	// reserved is the length of the file; zeros follow from size on.
-	reserved int64
-	hard     quorum.Hard
-	last     uint64
-	// due is the size from which on the next segment is begun, and puts how often
+	// syncMu is held while a file is synced or replaced; taken before mu.
+	syncMu sync.Mutex
+	mu     sync.Mutex
+	// brokenErr is set for good by the first failure that leaves the disk unknown.
+	brokenErr  error
+	segments   segments
+	file       disk.File
+	dataSize   int64
+	syncedSize int64
+	// allocatedSize is the length of the file; zeros follow from size on.
+	allocatedSize int64
+	hardState     quorum.Hard
+	lastIndex     uint64
+	// rollSize is the size from which on the next segment is begun, and puts how often
 	// that was put off.
-	due  int64
-	puts int
-	// stray tells that the removal of a segment that could not be begun may not last.
-	stray bool
-	// floor is the highest index that Compact was given.
-	floor uint64
-	buf   []byte
+	rollSize    int64
+	failedRolls int
+	// removalUnsynced tells that the removal of a segment that could not be begun may not last.
+	removalUnsynced bool
+	// compactedIndex is the highest index that Compact was given.
+	compactedIndex uint64
+	frameBuf       []byte
 }
 
 // Open opens the journal in dir with the defaults, making it when there is none.
@@ -80,80 +80,80 @@
 // Open reads the journal in dir and makes it ready for appending. A torn tail is
 // cut off; damage before it is a DamageError.
 func (c Config) Open(dir string) (*Journal, Recovered, error) {
-	j := &Journal{disk: c.Disk, dir: dir, limit: c.SegmentSize, told: c.PutOff}
+	j := &Journal{disk: c.Disk, dir: dir, segmentSize: c.SegmentSize, onRollPostponed: c.OnRollPostponed}
 	if j.disk == nil {
-		j.disk = disk.System{}
+		j.disk = disk.OS{}
 	}
-	if j.limit == 0 {
-		j.limit = SegmentSize
+	if j.segmentSize == 0 {
+		j.segmentSize = DefaultSegmentSize
 	}
-	if c.Reserve == 0 {
-		c.Reserve = Reserve
+	if c.Preallocation == 0 {
+		c.Preallocation = DefaultPreallocation
 	}
-	j.due = j.limit
-	if j.told == nil {
-		j.told = func(error) {}
+	j.rollSize = j.segmentSize
+	if j.onRollPostponed == nil {
+		j.onRollPostponed = func(error) {}
 	}
-	j.zeros = make([]byte, max(c.Reserve, 0))
-	r, err := j.recover()
+	j.zeroPadding = make([]byte, max(c.Preallocation, 0))
+	r, err := j.recoverSegments()
 	if err != nil {
 		return nil, Recovered{}, errors.Wrap(err, "open the journal")
 	}
 	return j, r, nil
 }
 
-// recover reads all segments and opens the newest.
-func (j *Journal) recover() (Recovered, error) {
-	if err := j.disk.Folder(j.dir); err != nil {
+// recoverSegments reads all segments and opens the newest.
+func (j *Journal) recoverSegments() (Recovered, error) {
+	if err := j.disk.CreateFolder(j.dir); err != nil {
 		return Recovered{}, err
 	}
 	names, err := j.disk.List(j.dir)
 	if err != nil {
 		return Recovered{}, err
 	}
-	numbers := segmentNumbers(names)
-	var r reader
-	var end scan
-	for i, number := range numbers {
-		name := segmentName(j.dir, number)
-		if i > 0 && number != numbers[i-1]+1 {
-			return Recovered{}, &DamageError{File: name, Why: "a segment before it is missing"}
+	segmentNumbers := segmentNumbers(names)
+	var r segmentReader
+	var newest segmentScan
+	for i, segmentNumber := range segmentNumbers {
+		path := segmentPath(j.dir, segmentNumber)
+		if i > 0 && segmentNumber != segmentNumbers[i-1]+1 {
+			return Recovered{}, &CorruptionError{File: path, Reason: "a segment before it is missing"}
 		}
-		b, err := j.disk.Read(name)
+		b, err := j.disk.Read(path)
 		if err != nil {
 			return Recovered{}, err
 		}
-		if end, err = r.read(name, number, b, i == len(numbers)-1); err != nil {
+		if newest, err = r.readSegment(path, segmentNumber, b, i == len(segmentNumbers)-1); err != nil {
 			return Recovered{}, err
 		}
-		end.size = int64(len(b))
+		newest.fileSize = int64(len(b))
 	}
-	j.segments, j.hard = r.segments, r.Hard
+	j.segments, j.hardState = r.segments, r.HardState
 	if n := len(r.Entries); n > 0 {
-		j.last = r.Entries[n-1].Index
+		j.lastIndex = r.Entries[n-1].Index
 	}
-	r.New, r.Torn = len(numbers) == 0, end.torn
-	return r.Recovered, j.reopen(end)
+	r.New, r.TornTail = len(segmentNumbers) == 0, newest.tornTail
+	return r.Recovered, j.openNewestSegment(newest)
 }
 
-// reopen opens the newest segment for appending, without its torn tail.
-func (j *Journal) reopen(end scan) error {
+// openNewestSegment opens the newest segment for appending, without its torn tail.
+func (j *Journal) openNewestSegment(newest segmentScan) error {
 	if len(j.segments) == 0 {
-		return j.begin(1)
+		return j.createSegment(1)
 	}
-	number := j.segments.newest().number
-	name := segmentName(j.dir, number)
-	if end.good == 0 {
+	segmentNumber := j.segments.newest().number
+	path := segmentPath(j.dir, segmentNumber)
+	if newest.validSize == 0 {
 		// The crash came before the segment was in use; it is made anew.
 		j.segments = j.segments[:len(j.segments)-1]
-		return j.begin(number)
+		return j.createSegment(segmentNumber)
 	}
-	f, err := j.disk.Open(name)
+	f, err := j.disk.Open(path)
 	if err != nil {
 		return err
 	}
-	if end.good < end.size {
-		err = f.Truncate(end.good)
+	if newest.validSize < newest.fileSize {
+		err = f.Truncate(newest.validSize)
 	}
 	// What was read may have been in memory only: a process that died and left
 	// it to the system unsynced. It is shown as recovered, so it must last.
@@ -161,142 +161,142 @@
 	if err = errors.CombineErrors(err, j.disk.SyncFolder(j.dir)); err != nil {
 		return errors.CombineErrors(err, f.Close())
 	}
-	j.file, j.size, j.synced, j.reserved = f, end.good, end.good, end.good
+	j.file, j.dataSize, j.syncedSize, j.allocatedSize = f, newest.validSize, newest.validSize, newest.validSize
 	return nil
 }
 
 // Append writes a changed hard state and entries; they last once Sync returned.
 // An entry whose index is already present ends everything from it on. ErrFull,
 // ErrNoFile, ErrGap and ErrTooLarge leave the journal as it was; other errors break it.
-func (j *Journal) Append(hard *quorum.Hard, entries []quorum.Entry) error {
-	if hard == nil && len(entries) == 0 {
+func (j *Journal) Append(hardState *quorum.Hard, entries []quorum.Entry) error {
+	if hardState == nil && len(entries) == 0 {
 		return nil
 	}
-	if err := j.roll(); err != nil {
+	if err := j.rollIfDue(); err != nil {
 		return err
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if err := j.check(entries); err != nil {
+	if err := j.validateEntries(entries); err != nil {
 		return err
 	}
-	reset := j.resets(entries)
-	j.buf = j.encode(j.buf[:0], hard, entries, reset)
-	if err := j.write(j.buf); err != nil {
+	resetLog := j.resetsLog(entries)
+	j.frameBuf = j.encodeFrames(j.frameBuf[:0], hardState, entries, resetLog)
+	if err := j.writeFrames(j.frameBuf); err != nil {
 		return err
 	}
-	if hard != nil {
-		j.hard = *hard
+	if hardState != nil {
+		j.hardState = *hardState
 	}
 	for i := range entries {
-		j.segments.note(entries[i].Index)
+		j.segments.recordEntry(entries[i].Index)
 	}
 	if n := len(entries); n > 0 {
-		j.last = entries[n-1].Index
+		j.lastIndex = entries[n-1].Index
 	}
 	return nil
 }
 
-// check refuses entries that recovery could not accept.
-func (j *Journal) check(entries []quorum.Entry) error {
-	if j.broken != nil {
-		return j.broken
+// validateEntries refuses entries that recovery could not accept.
+func (j *Journal) validateEntries(entries []quorum.Entry) error {
+	if j.brokenErr != nil {
+		return j.brokenErr
 	}
-	next := j.last + 1
+	nextIndex := j.lastIndex + 1
 	for i := range entries {
 		e := &entries[i]
-		follows := e.Index == next || i == 0 && (e.Index < next || j.last == 0 || j.resets(entries))
-		if e.Index == 0 || !follows {
-			return errors.Wrapf(ErrGap, "entry %d after %d", e.Index, next-1)
+		inOrder := e.Index == nextIndex || i == 0 && (e.Index < nextIndex || j.lastIndex == 0 || j.resetsLog(entries))
+		if e.Index == 0 || !inOrder {
+			return errors.Wrapf(ErrIndexGap, "entry %d after %d", e.Index, nextIndex-1)
 		}
-		if len(e.Data) > MaxEntry {
-			return errors.Wrapf(ErrTooLarge, "entry %d has %d bytes, at most %d", e.Index, len(e.Data), MaxEntry)
+		if len(e.Data) > MaxEntrySize {
+			return errors.Wrapf(ErrEntryTooLarge, "entry %d has %d bytes, at most %d", e.Index, len(e.Data), MaxEntrySize)
 		}
-		next = e.Index + 1
+		nextIndex = e.Index + 1
 	}
 	return nil
 }
 
-// resets tells whether entries go on from a snapshot that replaces the whole log,
+// resetsLog tells whether entries go on from a snapshot that replaces the whole log,
 // with no segment begun since: a full disk may have had no room for one.
-func (j *Journal) resets(entries []quorum.Entry) bool {
-	return len(entries) > 0 && j.last > 0 && j.last <= j.floor && entries[0].Index > j.last+1
+func (j *Journal) resetsLog(entries []quorum.Entry) bool {
+	return len(entries) > 0 && j.lastIndex > 0 && j.lastIndex <= j.compactedIndex && entries[0].Index > j.lastIndex+1
 }
 
-// encode adds the frames of an append to b.
-func (j *Journal) encode(b []byte, hard *quorum.Hard, entries []quorum.Entry, reset bool) []byte {
+// encodeFrames adds the frames of an append to b.
+func (j *Journal) encodeFrames(b []byte, hardState *quorum.Hard, entries []quorum.Entry, resetLog bool) []byte {
 	for first := true; first || len(entries) > 0; first = false {
 		n, size := 0, 0
-		for n < len(entries) && (n == 0 || size+len(entries[n].Data) <= maxBatch) {
+		for n < len(entries) && (n == 0 || size+len(entries[n].Data) <= maxFrameData) {
 			size += len(entries[n].Data)
 			n++
 		}
-		r := record{mark: uint64(j.synced), hard: hard, entries: entries[:n], reset: reset}
-		b = appendFrame(b, j.segments.newest().number, j.size+int64(len(b)), r)
-		hard, entries, reset = nil, entries[n:], false
+		r := record{syncedSize: uint64(j.syncedSize), hardState: hardState, entries: entries[:n], resetLog: resetLog}
+		b = appendFrame(b, j.segments.newest().number, j.dataSize+int64(len(b)), r)
+		hardState, entries, resetLog = nil, entries[n:], false
 	}
 	return b
 }
 
-// write adds b to the newest segment, and zeros where it has no room. A full
+// writeFrames adds b to the newest segment, and zeros where it has no room. A full
 // disk leaves part of it behind, which is cut off, so that the next append
 // stands where this one would have.
-func (j *Journal) write(b []byte) error {
-	if j.size+int64(len(b)) > j.reserved && len(j.zeros) > 0 {
-		done, err := j.put(append(b, j.zeros...), len(b))
-		if done || !errors.Is(err, ErrFull) {
+func (j *Journal) writeFrames(b []byte) error {
+	if j.dataSize+int64(len(b)) > j.allocatedSize && len(j.zeroPadding) > 0 {
+		written, err := j.writeAtEnd(append(b, j.zeroPadding...), len(b))
+		if written || !errors.Is(err, ErrDiskFull) {
 			return err
 		}
 	}
-	_, err := j.put(b, len(b))
+	_, err := j.writeAtEnd(b, len(b))
 	return err
 }
 
-// put writes b, of which the first n bytes count.
-func (j *Journal) put(b []byte, n int) (done bool, err error) {
-	_, err = j.file.WriteAt(b, j.size)
+// writeAtEnd writes b, of which the first n bytes count.
+func (j *Journal) writeAtEnd(b []byte, dataLen int) (written bool, err error) {
+	_, err = j.file.WriteAt(b, j.dataSize)
 	if err == nil {
-		j.reserved = max(j.reserved, j.size+int64(len(b)))
-		j.size += int64(n)
+		j.allocatedSize = max(j.allocatedSize, j.dataSize+int64(len(b)))
+		j.dataSize += int64(dataLen)
 		return true, nil
 	}
-	if !errors.Is(err, ErrFull) {
-		return false, j.fail("write", err)
+	if !errors.Is(err, ErrDiskFull) {
+		return false, j.markBroken("write", err)
 	}
-	if cut := j.file.Truncate(j.size); cut != nil {
-		return false, j.fail("cut off a partial write", cut)
+	if truncateErr := j.file.Truncate(j.dataSize); truncateErr != nil {
+		return false, j.markBroken("cut off a partial write", truncateErr)
 	}
-	j.reserved = j.size
+	j.allocatedSize = j.dataSize
 	return false, errors.Wrap(err, "append to the journal")
 }
 
-// fail breaks the journal for good.
-func (j *Journal) fail(what string, err error) error {
+// markBroken breaks the journal for good.
+func (j *Journal) markBroken(operation string, err error) error {
 	// The cause is told but not wrapped: a sync that failed for lack of room must
 	// not pass for ErrFull, which leaves the journal usable.
-	j.broken = errors.Mark(errors.Newf("journal is broken: %s: %v", what, err), ErrBroken)
-	return j.broken
+	j.brokenErr = errors.Mark(errors.Newf("journal is broken: %s: %v", operation, err), ErrBroken)
+	return j.brokenErr
 }
 
 // Sync returns once everything appended before the call lasts. An error is
 // final: the process must end.
 func (j *Journal) Sync() error {
-	j.syncing.Lock()
-	defer j.syncing.Unlock()
+	j.syncMu.Lock()
+	defer j.syncMu.Unlock()
 	j.mu.Lock()
-	f, size, broken := j.file, j.size, j.broken
-	clean := j.synced == j.size
+	file, dataSize, brokenErr := j.file, j.dataSize, j.brokenErr
+	alreadySynced := j.syncedSize == j.dataSize
 	j.mu.Unlock()
-	if broken != nil || clean {
-		return broken
+	if brokenErr != nil || alreadySynced {
+		return brokenErr
 	}
-	err := f.Sync()
+	err := file.Sync()
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if err != nil {
-		return j.fail("sync", err)
+		return j.markBroken("sync", err)
 	}
-	j.synced = max(j.synced, size)
+	j.syncedSize = max(j.syncedSize, dataSize)
 	return nil
 }
 
@@ -305,11 +305,11 @@
 // down is not taken for a torn tail.
 func (j *Journal) Close() error {
 	err := j.Sync()
-	if err == nil && !errors.Is(j.Append(&j.hard, nil), ErrBroken) {
+	if err == nil && !errors.Is(j.Append(&j.hardState, nil), ErrBroken) {
 		err = j.Sync()
 	}
-	j.syncing.Lock()
-	defer j.syncing.Unlock()
+	j.syncMu.Lock()
+	defer j.syncMu.Unlock()
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.file == nil {
@@ -317,7 +317,7 @@
 	}
 	err = errors.CombineErrors(err, j.file.Close())
 	j.file = nil
-	j.broken = errors.Mark(errors.New("journal is closed"), ErrBroken)
+	j.brokenErr = errors.Mark(errors.New("journal is closed"), ErrBroken)
 	return err
 }
 
--- a/internal/replica/member/identity.go
+++ b/internal/replica/member/identity.go
@@ -16,24 +16,24 @@
 	"gypsumreel/internal/replica/disk"
 )
 
-// File is the name of the identity in the data folder.
-const File = "identity"
+// IdentityFile is the name of the identity in the data folder.
+const IdentityFile = "identity"
 
 const (
-	version    = 1
-	temporary  = ".unfinished"
-	nonceBytes = 8
+	formatVersion    = 1
+	unfinishedSuffix = ".unfinished"
+	nonceSize        = 8
 )
 
-// ErrNone means that a data folder holds no identity: it is new, or its disk is.
-var ErrNone = errors.New("the data folder holds no identity")
+// ErrNoIdentity means that a data folder holds no identity: it is new, or its disk is.
+var ErrNoIdentity = errors.New("the data folder holds no identity")
 
-// ErrForeign means that a data folder belongs to another cell or replica than
+// ErrIdentityMismatch means that a data folder belongs to another cell or replica than
 // the settings name.
-var ErrForeign = errors.New("the data folder belongs to another replica")
+var ErrIdentityMismatch = errors.New("the data folder belongs to another replica")
 
-// ErrExists means that an identity is to be made where there is one.
-var ErrExists = errors.New("the data folder holds an identity already")
+// ErrIdentityExists means that an identity is to be made where there is one.
+var ErrIdentityExists = errors.New("the data folder holds an identity already")
 
 // Identity is who the owner of a data folder is.
 type Identity struct {
@@ -46,8 +46,8 @@
 // ID returns NAME/NONCE, as the control group knows the replica.
 func (i Identity) ID() string { return i.Name + "/" + i.Nonce }
 
-// content is the layout of the file.
-type content struct {
+// identityContent is the layout of the file.
+type identityContent struct {
 	Version int `json:"version"`
 	Identity
 }
@@ -60,33 +60,33 @@
 	Disk disk.Disk
 }
 
-// Make gives a new data folder an identity, with a nonce drawn from random, and
+// Create gives a new data folder an identity, with a nonce drawn from random, and
 // makes it lasting. It refuses a folder that holds one.
-func (s Store) Make(cell, name string, random io.Reader) (Identity, error) {
-	if err := valid(cell, name); err != nil {
+func (s Store) Create(cell, name string, random io.Reader) (Identity, error) {
+	if err := validateNames(cell, name); err != nil {
 		return Identity{}, err
 	}
 	d := s.disk()
-	if err := d.Folder(s.Dir); err != nil {
+	if err := d.CreateFolder(s.Dir); err != nil {
 		return Identity{}, errors.Wrap(err, "make an identity")
 	}
-	if _, err := d.Read(s.path()); !errors.Is(err, disk.ErrMissing) {
-		return Identity{}, errors.CombineErrors(errors.Wrap(ErrExists, s.Dir), err)
+	if _, err := d.Read(s.path()); !errors.Is(err, disk.ErrNotExist) {
+		return Identity{}, errors.CombineErrors(errors.Wrap(ErrIdentityExists, s.Dir), err)
 	}
-	nonce := make([]byte, nonceBytes)
+	nonce := make([]byte, nonceSize)
 	if _, err := io.ReadFull(random, nonce); err != nil {
 		return Identity{}, errors.Wrap(err, "draw a nonce")
 	}
 	id := Identity{Cell: cell, Name: name, Nonce: hex.EncodeToString(nonce)}
-	return id, errors.Wrap(s.write(id), "make an identity")
+	return id, errors.Wrap(s.writeIdentity(id), "make an identity")
 }
 
 // Load returns the identity of a data folder, ErrNone when it has none, and
 // ErrForeign when it is not that of the cell and replica named.
 func (s Store) Load(cell, name string) (Identity, error) {
 	b, err := s.disk().Read(s.path())
-	if errors.Is(err, disk.ErrMissing) {
-		return Identity{}, errors.Wrap(ErrNone, s.Dir)
+	if errors.Is(err, disk.ErrNotExist) {
+		return Identity{}, errors.Wrap(ErrNoIdentity, s.Dir)
 	}
 	if err != nil {
 		return Identity{}, errors.Wrap(err, "load the identity")
@@ -95,29 +95,29 @@
 	if err := s.disk().SyncFolder(s.Dir); err != nil {
 		return Identity{}, errors.Wrap(err, "load the identity")
 	}
-	var c content
-	if err := json.Unmarshal(b, &c); err != nil || len(c.Nonce) != 2*nonceBytes {
+	var c identityContent
+	if err := json.Unmarshal(b, &c); err != nil || len(c.Nonce) != 2*nonceSize {
 		return Identity{}, errors.Newf("%s is damaged: move the data folder aside, start with an empty one and add the "+
 			"replica again (docs/operate/storage.md)", s.path())
 	}
-	if c.Version != version {
-		return Identity{}, errors.Newf("%s has format version %d, this release reads %d", s.path(), c.Version, version)
+	if c.Version != formatVersion {
+		return Identity{}, errors.Newf("%s has format version %d, this release reads %d", s.path(), c.Version, formatVersion)
 	}
 	if c.Cell != cell || c.Name != name {
-		return Identity{}, errors.Wrapf(ErrForeign, "%s is replica %q of cell %q, the settings name %q of %q",
+		return Identity{}, errors.Wrapf(ErrIdentityMismatch, "%s is replica %q of cell %q, the settings name %q of %q",
 			s.Dir, c.Name, c.Cell, name, cell)
 	}
 	return c.Identity, nil
 }
 
-// write makes the identity lasting in one step.
-func (s Store) write(id Identity) error {
-	b, err := json.MarshalIndent(content{version, id}, "", "  ")
+// writeIdentity makes the identity lasting in one step.
+func (s Store) writeIdentity(id Identity) error {
+	b, err := json.MarshalIndent(identityContent{formatVersion, id}, "", "  ")
 	if err != nil {
 		return err
 	}
 	d := s.disk()
-	f, err := d.Create(s.path() + temporary)
+	f, err := d.Create(s.path() + unfinishedSuffix)
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 	if err = errors.CombineErrors(err, f.Close()); err != nil {
 		return err
 	}
-	if err := d.Rename(s.path()+temporary, s.path()); err != nil {
+	if err := d.Rename(s.path()+unfinishedSuffix, s.path()); err != nil {
 		return err
 	}
 	return d.SyncFolder(s.Dir)
@@ -135,15 +135,15 @@
 
 func (s Store) disk() disk.Disk {
 	if s.Disk == nil {
-		return disk.System{}
+		return disk.OS{}
 	}
 	return s.Disk
 }
 
-func (s Store) path() string { return filepath.Join(s.Dir, File) }
+func (s Store) path() string { return filepath.Join(s.Dir, IdentityFile) }
 
-// valid refuses names that could not be told apart in an ID.
-func valid(cell, name string) error {
+// validateNames refuses names that could not be told apart in an ID.
+func validateNames(cell, name string) error {
 	if cell == "" || name == "" || strings.Contains(name, "/") {
 		return fmt.Errorf("replica %q of cell %q: both need a name, that of the replica without a slash", name, cell)
 	}
--- a/internal/replica/member/lock.go
+++ b/internal/replica/member/lock.go
@@ -16,10 +16,10 @@
 
 // Lock is the sole right to use a data folder. The system takes it away from a
 // process that ends in whatever way, so nothing is left to clean up.
-type Lock struct{ f *os.File }
+type Lock struct{ file *os.File }
 
-// Take locks a data folder, making it when it is not there.
-func Take(dir string) (*Lock, error) {
+// AcquireLock locks a data folder, making it when it is not there.
+func AcquireLock(dir string) (*Lock, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, errors.Wrap(err, "lock the data folder")
 	}
@@ -38,4 +38,4 @@
 }
 
 // Release gives the folder free.
-func (l *Lock) Release() error { return l.f.Close() }
+func (l *Lock) Release() error { return l.file.Close() }
--- a/internal/replica/snapshot/snapshot.go
+++ b/internal/replica/snapshot/snapshot.go
@@ -22,11 +22,11 @@
 //
 // where the checksum is the XXH64 of all that follows it.
 const (
-	magic       = "GRSN"
-	version     = 1
-	headerBytes = 16
-	suffix      = ".snapshot"
-	temporary   = ".unfinished"
+	magic            = "GRSN"
+	formatVersion    = 1
+	headerSize       = 16
+	snapshotSuffix   = ".snapshot"
+	unfinishedSuffix = ".unfinished"
 )
 
 // Fields of the meta message, in protobuf's wire format.
@@ -40,8 +40,8 @@
 	fieldLearner protowire.Number = 3
 )
 
-// ErrFull means that the disk has no room; what was saved before is untouched.
-var ErrFull = disk.ErrFull
+// ErrDiskFull means that the disk has no room; what was saved before is untouched.
+var ErrDiskFull = disk.ErrDiskFull
 
 // Meta says what a snapshot stands for: the log up to Index.
 type Meta struct {
@@ -50,29 +50,29 @@
 	Members []quorum.Member
 }
 
-// DamageError means that the newest snapshot is no longer readable. The journal
+// CorruptionError means that the newest snapshot is no longer readable. The journal
 // before it is gone, so the replica must not start.
-type DamageError struct {
-	File string
-	Why  string
+type CorruptionError struct {
+	File   string
+	Reason string
 }
 
 // Error tells the place and the way out.
-func (e *DamageError) Error() string {
+func (e *CorruptionError) Error() string {
 	return fmt.Sprintf("%s is damaged: %s; the log before it was dropped, so this replica must not go on under its identity: "+
-		"move the data folder aside, start with an empty one and add the replica again (docs/operate/storage.md)", e.File, e.Why)
+		"move the data folder aside, start with an empty one and add the replica again (docs/operate/storage.md)", e.File, e.Reason)
 }
 
 // VersionError means that a snapshot was written by a release with another format.
 type VersionError struct {
-	File string
-	Have uint32
+	File        string
+	FileVersion uint32
 }
 
 // Error tells both versions and the way out.
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("%s has format version %d, this release reads %d: start the release that wrote it (docs/operate/storage.md)",
-		e.File, e.Have, version)
+		e.File, e.FileVersion, formatVersion)
 }
 
 // Store is the folder of a replica's snapshots. One goroutine uses it at a time.
@@ -86,22 +86,22 @@
 // older ones are still there, and the log must not be compacted.
 func (s Store) Save(meta Meta, state []byte) error {
 	d := s.disk()
-	if err := d.Folder(s.Dir); err != nil {
+	if err := d.CreateFolder(s.Dir); err != nil {
 		return errors.Wrap(err, "save a snapshot")
 	}
-	name := s.path(meta.Index)
-	if err := writeFile(d, name+temporary, encode(meta, state)); err != nil {
+	path := s.path(meta.Index)
+	if err := writeSyncedFile(d, path+unfinishedSuffix, encodeSnapshot(meta, state)); err != nil {
 		// Best effort: what is left is overwritten or removed by the next save.
-		_ = d.Remove(name + temporary)
+		_ = d.Remove(path + unfinishedSuffix)
 		return errors.Wrap(err, "save a snapshot")
 	}
-	if err := d.Rename(name+temporary, name); err != nil {
+	if err := d.Rename(path+unfinishedSuffix, path); err != nil {
 		return errors.Wrap(err, "save a snapshot")
 	}
 	if err := d.SyncFolder(s.Dir); err != nil {
 		return errors.Wrap(err, "save a snapshot")
 	}
-	return errors.Wrap(s.clean(filepath.Base(name)), "remove old snapshots")
+	return errors.Wrap(s.removeOtherFiles(filepath.Base(path)), "remove old snapshots")
 }
 
 // Load returns the newest snapshot, with Index 0 when there is none. What an
@@ -109,7 +109,7 @@
 // never passed over in favour of an older one: the log between may be gone.
 func (s Store) Load() (Meta, []byte, error) {
 	d := s.disk()
-	if err := d.Folder(s.Dir); err != nil {
+	if err := d.CreateFolder(s.Dir); err != nil {
 		return Meta{}, nil, errors.Wrap(err, "load a snapshot")
 	}
 	// A Save that was killed before its last step may have renamed the file
@@ -121,36 +121,36 @@
 	if err != nil {
 		return Meta{}, nil, errors.Wrap(err, "load a snapshot")
 	}
-	newest := ""
+	newestName := ""
 	for _, name := range names {
-		if strings.HasSuffix(name, suffix) {
-			newest = name
+		if strings.HasSuffix(name, snapshotSuffix) {
+			newestName = name
 		}
 	}
-	if newest == "" {
+	if newestName == "" {
 		return Meta{}, nil, nil
 	}
-	path := filepath.Join(s.Dir, newest)
+	path := filepath.Join(s.Dir, newestName)
 	b, err := d.Read(path)
 	if err != nil {
 		return Meta{}, nil, errors.Wrap(err, "load a snapshot")
 	}
-	meta, state, err := decode(path, b)
+	meta, state, err := decodeSnapshot(path, b)
 	if err == nil && s.path(meta.Index) != path {
-		err = &DamageError{File: path, Why: "it holds another index than its name says"}
+		err = &CorruptionError{File: path, Reason: "it holds another index than its name says"}
 	}
 	return meta, state, errors.Wrap(err, "load a snapshot")
 }
 
-// clean removes all files but the one kept.
-func (s Store) clean(keep string) error {
+// removeOtherFiles removes all files but the one kept.
+func (s Store) removeOtherFiles(keptName string) error {
 	d := s.disk()
 	names, err := d.List(s.Dir)
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
-		if name == keep || !strings.HasSuffix(name, suffix) && !strings.HasSuffix(name, temporary) {
+		if name == keptName || !strings.HasSuffix(name, snapshotSuffix) && !strings.HasSuffix(name, unfinishedSuffix) {
 			continue
 		}
 		if err := d.Remove(filepath.Join(s.Dir, name)); err != nil {
@@ -162,18 +162,18 @@
 
 func (s Store) disk() disk.Disk {
 	if s.Disk == nil {
-		return disk.System{}
+		return disk.OS{}
 	}
 	return s.Disk
 }
 
 func (s Store) path(index uint64) string {
-	return filepath.Join(s.Dir, fmt.Sprintf("%016x%s", index, suffix))
+	return filepath.Join(s.Dir, fmt.Sprintf("%016x%s", index, snapshotSuffix))
 }
 
-// writeFile makes a file with its content lasting; its name is not yet.
-func writeFile(d disk.Disk, name string, b []byte) error {
-	f, err := d.Create(name)
+// writeSyncedFile makes a file with its content lasting; its name is not yet.
+func writeSyncedFile(d disk.Disk, path string, b []byte) error {
+	f, err := d.Create(path)
 	if err != nil {
 		return err
 	}
@@ -183,21 +183,21 @@
 	return errors.CombineErrors(err, f.Close())
 }
 
-func encode(meta Meta, state []byte) []byte {
-	m := protowire.AppendTag(nil, fieldIndex, protowire.VarintType)
-	m = protowire.AppendVarint(m, meta.Index)
-	m = protowire.AppendTag(m, fieldTerm, protowire.VarintType)
-	m = protowire.AppendVarint(m, meta.Term)
+func encodeSnapshot(meta Meta, state []byte) []byte {
+	metaBytes := protowire.AppendTag(nil, fieldIndex, protowire.VarintType)
+	metaBytes = protowire.AppendVarint(metaBytes, meta.Index)
+	metaBytes = protowire.AppendTag(metaBytes, fieldTerm, protowire.VarintType)
+	metaBytes = protowire.AppendVarint(metaBytes, meta.Term)
 	for _, member := range meta.Members {
-		m = protowire.AppendTag(m, fieldMember, protowire.BytesType)
-		m = protowire.AppendBytes(m, encodeMember(member))
+		metaBytes = protowire.AppendTag(metaBytes, fieldMember, protowire.BytesType)
+		metaBytes = protowire.AppendBytes(metaBytes, encodeMember(member))
 	}
-	b := make([]byte, 0, headerBytes+4+len(m)+len(state))
-	b = protowire.AppendFixed32(append(b, magic...), version)
+	b := make([]byte, 0, headerSize+4+len(metaBytes)+len(state))
+	b = protowire.AppendFixed32(append(b, magic...), formatVersion)
 	b = protowire.AppendFixed64(b, 0)
-	b = protowire.AppendFixed32(b, uint32(len(m)))
-	b = append(append(b, m...), state...)
-	binary.LittleEndian.PutUint64(b[8:], xxhash.Sum64(b[headerBytes:]))
+	b = protowire.AppendFixed32(b, uint32(len(metaBytes)))
+	b = append(append(b, metaBytes...), state...)
+	binary.LittleEndian.PutUint64(b[8:], xxhash.Sum64(b[headerSize:]))
 	return b
 }
 
@@ -210,27 +210,27 @@
 	return protowire.AppendVarint(b, protowire.EncodeBool(m.Learner))
 }
 
-func decode(name string, b []byte) (Meta, []byte, error) {
-	if len(b) < headerBytes+4 || string(b[:len(magic)]) != magic {
-		return Meta{}, nil, &DamageError{File: name, Why: "not a snapshot"}
+func decodeSnapshot(path string, b []byte) (Meta, []byte, error) {
+	if len(b) < headerSize+4 || string(b[:len(magic)]) != magic {
+		return Meta{}, nil, &CorruptionError{File: path, Reason: "not a snapshot"}
 	}
-	if v := binary.LittleEndian.Uint32(b[len(magic):]); v != version {
-		return Meta{}, nil, &VersionError{File: name, Have: v}
+	if v := binary.LittleEndian.Uint32(b[len(magic):]); v != formatVersion {
+		return Meta{}, nil, &VersionError{File: path, FileVersion: v}
 	}
-	rest := b[headerBytes:]
+	rest := b[headerSize:]
 	if xxhash.Sum64(rest) != binary.LittleEndian.Uint64(b[8:]) {
-		return Meta{}, nil, &DamageError{File: name, Why: "its checksum does not fit"}
+		return Meta{}, nil, &CorruptionError{File: path, Reason: "its checksum does not fit"}
 	}
-	size := uint64(binary.LittleEndian.Uint32(rest))
+	metaSize := uint64(binary.LittleEndian.Uint32(rest))
 	rest = rest[4:]
-	if size > uint64(len(rest)) {
-		return Meta{}, nil, &DamageError{File: name, Why: wire.ErrMalformed.Error()}
+	if metaSize > uint64(len(rest)) {
+		return Meta{}, nil, &CorruptionError{File: path, Reason: wire.ErrMalformed.Error()}
 	}
-	meta, err := decodeMeta(rest[:size])
+	meta, err := decodeMeta(rest[:metaSize])
 	if err != nil {
-		return Meta{}, nil, &DamageError{File: name, Why: err.Error()}
+		return Meta{}, nil, &CorruptionError{File: path, Reason: err.Error()}
 	}
-	return meta, rest[size:], nil
+	return meta, rest[metaSize:], nil
 }
 
 func decodeMeta(b []byte) (Meta, error) {
