--- a/internal/replica/disk/matrix_test.go
+++ b/internal/replica/disk/crash_test.go
@@ -14,59 +14,64 @@
 	"gypsumreel/internal/replica/snapshot"
 )
 
-// faultAt injects one fault at the operation with the count given.
-func faultAt(n int, f disk.Fault) func(int, disk.Operation, string) disk.Fault {
-	return func(count int, _ disk.Operation, _ string) disk.Fault {
-		if count == n {
-			return f
+// faultAt returns an InjectFault function that injects one fault at the operation
+// with the given number.
+func faultAt(number int, fault disk.Fault) func(int, disk.Operation, string) disk.Fault {
+	return func(n int, _ disk.Operation, _ string) disk.Fault {
+		if n == number {
+			return fault
 		}
 		return disk.NoFault
 	}
 }
 
-// crashPoint is a crash in the script.
+// crashPoint describes a run of the script that ends with a crash.
 type crashPoint struct {
-	// segmentSize of the segments.
+	// segmentSize is the segment size of the journal in bytes.
 	segmentSize int64
-	// operation is the operation.
+	// operation is the number of the disk operation at which the fault is injected.
 	operation int
-	fault     disk.Fault
+	// fault is CrashBefore or CrashDuring.
+	fault disk.Fault
 }
 
-// crashedReplica is a replica whose script was ended by a crash.
+// crashedReplica is a replica whose disk has crashed during the script.
 type crashedReplica struct {
 	crashPoint
 	replica *replica
 }
 
-// runUntilCrash plays the script up to a crash, if it comes to it.
-func runUntilCrash(t *testing.T, f crashPoint) (*crashedReplica, bool) {
+// runUntilCrash runs the script until the crash point. It reports whether the crash
+// happened before the script ended.
+func runUntilCrash(t *testing.T, p crashPoint) (*crashedReplica, bool) {
 	t.Helper()
-	r := &replica{segmentSize: f.segmentSize, disk: &disk.Memory{InjectFault: faultAt(f.operation, f.fault)}}
+	r := &replica{segmentSize: p.segmentSize, disk: &disk.Memory{InjectFault: faultAt(p.operation, p.fault)}}
 	err := r.runScript()
-	if err != nil && r.disk.OperationCount() < f.operation {
-		t.Fatalf("%+v: %v", f, err)
+	if err != nil && r.disk.OperationCount() < p.operation {
+		t.Fatalf("%+v: script failed before the crash: %v", p, err)
 	}
-	return &crashedReplica{f, r}, err != nil
+	return &crashedReplica{p, r}, err != nil
 }
 
-// restart returns the replica after one outcome of its crash.
+// restart returns a copy of the replica whose disk was restarted with one outcome of
+// the crash.
 func (c *crashedReplica) restart(o disk.CrashOutcome) *replica {
 	r := &replica{segmentSize: c.segmentSize, disk: c.replica.disk.Clone(), history: c.replica.history}
 	r.disk.Restart(o)
 	return r
 }
 
-// Sizes of segments: several in the script, and one.
+// Segment sizes in bytes. With smallSegment the script fills several segments, and
+// with largeSegment only one.
 const (
 	smallSegment = 150
 	largeSegment = 10000
 )
 
-// A machine loses power, or a replica is killed, in the middle of an append, a
-// sync, a compaction, a snapshot or a stop; and again while it recovers. The
-// replica must start each time, with all that it had synced, and with nothing
-// that was never appended. What one start has shown, the next must show too.
+// A machine loses power or a replica is killed during an append, sync, compaction,
+// snapshot or shutdown, and possibly again during recovery. Recovery must succeed
+// each time. It must return all synced data and no data that was never appended.
+// Data that one recovery returned must also be returned by the next.
 func TestCrashAtEveryOperation(t *testing.T) {
 	t.Parallel()
 	cases, operations := 0, 0
@@ -87,17 +92,21 @@
 	t.Logf("%d cases over %d operations", cases, operations)
 }
 
-// restartScenario is what happens after a restart.
+// restartScenario describes how a replica continues after a restart.
 type restartScenario struct {
-	// segmentSize of the segments from then on.
+	// segmentSize is the segment size after the restart in bytes.
 	segmentSize int64
-	// compact tells that the log is compacted, loss that power is lost at once.
-	compact, powerLoss bool
+	// compact reports that the log is compacted up to the snapshot.
+	compact bool
+	// powerLoss reports that the power fails again before any further append.
+	powerLoss bool
 }
 
 var restartScenarios = []restartScenario{{segmentSize: 1, powerLoss: true}, {segmentSize: 1, compact: true, powerLoss: true}, {segmentSize: largeSegment}}
 
-// testRestarts restarts after one outcome of a crash in every way, and returns how many.
+// testRestarts restarts the replica with one outcome of the crash. It tests all
+// scenarios and, with small segments, a second crash at each operation of the
+// recovery. It returns the number of cases.
 func (c *crashedReplica) testRestarts(t *testing.T, outcome disk.CrashOutcome) int {
 	t.Helper()
 	description := fmt.Sprintf("%+v, outcome %d", c.crashPoint, outcome)
@@ -106,8 +115,8 @@
 		testScenario(t, c.restart(outcome), scenario, description)
 		cases++
 	}
-	for m := 1; c.segmentSize == smallSegment; m++ {
-		crashes := testSecondCrash(t, c.restart(outcome), m, c.fault, description)
+	for operation := 1; c.segmentSize == smallSegment; operation++ {
+		crashes := testSecondCrash(t, c.restart(outcome), operation, c.fault, description)
 		if crashes == 0 {
 			break
 		}
@@ -116,21 +125,22 @@
 	return cases
 }
 
-// testScenario restarts a replica, goes on, and restarts it after a power loss.
-func testScenario(t *testing.T, r *replica, c restartScenario, description string) {
+// testScenario opens a restarted replica, follows the scenario, appends and syncs, and
+// checks that a power loss does not lose the synced data.
+func testScenario(t *testing.T, r *replica, scenario restartScenario, description string) {
 	t.Helper()
-	r.segmentSize = c.segmentSize
+	r.segmentSize = scenario.segmentSize
 	got, meta, err := r.open()
 	checkRecovery(t, r, got, meta, err, description)
-	if c.compact {
+	if scenario.compact {
 		must(t, description, r.journal.Compact(meta.Index))
 	}
-	if c.powerLoss {
+	if scenario.powerLoss {
 		r.disk.Restart(disk.AllLost)
 		recoveredAgain, meta, err := r.open()
 		checkRecovery(t, r, recoveredAgain, meta, err, description+", then power loss")
 		if !equalAbove(got, recoveredAgain, meta.Index) {
-			t.Fatalf("%s: shown once and then lost: %s", description, cmp.Diff(got, recoveredAgain))
+			t.Fatalf("%s: data of the first recovery is missing after the power loss: %s", description, cmp.Diff(got, recoveredAgain))
 		}
 	}
 	want := got.HardState
@@ -140,12 +150,13 @@
 	must(t, description, r.journal.Sync())
 	r.disk.Restart(disk.AllLost)
 	if got, _, err = r.open(); err != nil || got.HardState != want {
-		t.Fatalf("%s: after going on: %v, %v", description, got.HardState, err)
+		t.Fatalf("%s: hard state after further appends: got %v, want %v, error %v", description, got.HardState, want, err)
 	}
 }
 
-// testSecondCrash lets a replica crash again at operation m of its start, and returns
-// the number of cases, 0 when there is no such operation.
+// testSecondCrash crashes a replica again at the given operation of its recovery and
+// checks the next recovery. It returns the number of cases, or 0 if the recovery
+// has fewer operations.
 func testSecondCrash(t *testing.T, r *replica, operation int, fault disk.Fault, description string) int {
 	t.Helper()
 	r.disk.InjectFault = faultAt(r.disk.OperationCount()+operation, fault)
@@ -156,12 +167,13 @@
 	for _, outcome := range disk.CrashOutcomes {
 		restarted := c.restart(outcome)
 		got, meta, err := restarted.open()
-		checkRecovery(t, restarted, got, meta, err, fmt.Sprintf("%s, again at %d, outcome %d", description, operation, outcome))
+		checkRecovery(t, restarted, got, meta, err, fmt.Sprintf("%s, second crash at operation %d, outcome %d", description, operation, outcome))
 	}
 	return len(disk.CrashOutcomes)
 }
 
-// checkRecovery fails the test when a restart went wrong.
+// checkRecovery fails the test if the recovery returned an error or a state that the
+// history does not allow.
 func checkRecovery(t *testing.T, r *replica, got journal.Recovered, meta snapshot.Meta, err error, description string) {
 	t.Helper()
 	must(t, description, err)
@@ -175,9 +187,9 @@
 	}
 }
 
-// A disk fails one operation. The replica must be told, must not go on with a
-// journal whose disk it no longer knows, and must lose nothing synced; a sync
-// that is simply tried again would succeed without the data.
+// The disk fails one operation with an I/O error. The journal must return an error,
+// stay broken and lose no synced data. A journal that retried the sync instead would
+// succeed although the data is lost.
 func TestFailedOperation(t *testing.T) {
 	t.Parallel()
 	for operation := 1; ; operation++ {
@@ -189,38 +201,38 @@
 				return
 			}
 			if errors.Is(err, journal.ErrDiskFull) {
-				t.Fatalf("operation %d passes for a full disk: %v", operation, err)
+				t.Fatalf("operation %d: an I/O error matches ErrDiskFull: %v", operation, err)
 			}
 			if err != nil && r.journal != nil && !r.savingSnapshot {
 				if syncErr := r.journal.Sync(); !errors.Is(err, journal.ErrBroken) || !errors.Is(syncErr, journal.ErrBroken) {
-					t.Fatalf("operation %d: %v, and then a sync gave %v", operation, err, syncErr)
+					t.Fatalf("operation %d: got the errors %v and, from a later Sync, %v; want ErrBroken both times", operation, err, syncErr)
 				}
 			}
 			r.disk.InjectFault = nil
 			r.disk.Restart(outcome)
 			got, meta, err := r.open()
-			checkRecovery(t, r, got, meta, err, fmt.Sprint("broken ", operation, outcome))
+			checkRecovery(t, r, got, meta, err, fmt.Sprintf("I/O error at operation %d, outcome %d", operation, outcome))
 		}
 	}
 }
 
-// A disk runs full at some operation and has room again later, and at some
-// operation after that the replica crashes. The refused work is not there, all
-// other work is, and the replica goes on without a restart.
+// The disk is full during some operations and has free space again later. The replica
+// must continue without a restart. After a crash at a later operation, recovery must
+// return all synced appends and none of the rejected ones.
 func TestDiskFull(t *testing.T) {
 	t.Parallel()
 	testShortages(t, disk.DiskFull, disk.Create, disk.Write)
 }
 
-// No file can be opened for a while, by the fault of whoever holds them all, and
-// the replica crashes later. It must go on with the files that it has.
+// No file can be opened for a while because another part of the system uses up the
+// limit. The replica must continue with its open files and recover from a later crash.
 func TestTooManyOpenFiles(t *testing.T) {
 	t.Parallel()
 	testShortages(t, disk.TooManyFiles, disk.Create, disk.SyncFolder)
 }
 
-// testShortages plays the script with a shortage at each operation and a crash at each
-// one after it.
+// testShortages runs the script with a shortage that starts at each operation in turn
+// and, for each shortage, with a crash at each later operation.
 func testShortages(t *testing.T, fault disk.Fault, operations ...disk.Operation) {
 	t.Helper()
 	cases := 0
@@ -241,26 +253,30 @@
 	}
 }
 
-// shortage refuses some of the length operations from n on.
+// shortage describes a period in which the disk rejects some kinds of operations.
 type shortage struct {
-	// segmentSize of the segments.
-	segmentSize        int64
+	// segmentSize is the segment size of the journal in bytes.
+	segmentSize int64
+	// firstRefused is the number of the first operation of the period, and span is the
+	// number of operations in it.
 	firstRefused, span int
 	fault              disk.Fault
-	operations         []disk.Operation
+	// operations are the kinds of operations that are rejected.
+	operations []disk.Operation
 }
 
-// runWithShortage plays the script with a shortage and a crash at another operation, and
-// tells how many were refused and whether it came to the crash.
+// runWithShortage runs the script with a shortage and a crash at operation crashAt,
+// and checks the recovery. It returns the number of rejected operations and whether
+// the crash happened.
 func runWithShortage(t *testing.T, s shortage, crashAt int) (refusals int, crashed bool) {
 	t.Helper()
 	r := &replica{segmentSize: s.segmentSize, disk: &disk.Memory{}}
-	r.disk.InjectFault = func(count int, op disk.Operation, _ string) disk.Fault {
+	r.disk.InjectFault = func(n int, op disk.Operation, _ string) disk.Fault {
 		switch {
-		case count == crashAt:
+		case n == crashAt:
 			crashed = true
 			return disk.CrashDuring
-		case count >= s.firstRefused && count < s.firstRefused+s.span && slices.Contains(s.operations, op):
+		case n >= s.firstRefused && n < s.firstRefused+s.span && slices.Contains(s.operations, op):
 			refusals++
 			return s.fault
 		}
@@ -275,7 +291,7 @@
 		err = retryWhileRefused(s.span, func() error { return r.runStep(script[i]) })
 	}
 	if err != nil && !crashed {
-		t.Fatalf("%+v: %v", s, err)
+		t.Fatalf("%+v: script failed without a crash: %v", s, err)
 	}
 	c := &crashedReplica{crashPoint{segmentSize: s.segmentSize}, r}
 	for _, outcome := range disk.CrashOutcomes {
@@ -286,7 +302,9 @@
 	return refusals, crashed
 }
 
-// runStep does a step and, where it was refused, a small append, which may pass.
+// runStep runs a step. If the step was rejected, it also tries a small append, which
+// may still fit. It returns the error of the step, or that of the append if the
+// append broke the journal.
 func (r *replica) runStep(s step) error {
 	err := s.run(r)
 	if !disk.IsRetryable(err) {
@@ -299,7 +317,7 @@
 	return err
 }
 
-// retryWhileRefused repeats what is refused for a while.
+// retryWhileRefused runs an operation and retries it while its error is retryable.
 func retryWhileRefused(retries int, operation func() error) error {
 	err := operation()
 	for ; retries > 0 && disk.IsRetryable(err); retries-- {
@@ -308,9 +326,9 @@
 	return err
 }
 
-// A disk runs full in the middle of a large append, which the caller gives up;
-// small ones still fit, and the segment is completed. What the large one left in
-// the file must not read as damage at the next start.
+// The disk becomes full during a large append, which is not retried. Small appends
+// still fit and fill the segment. The partial write must be truncated, because
+// the next start would otherwise report it as corruption.
 func TestPartialWriteIsTruncated(t *testing.T) {
 	memoryDisk := &disk.Memory{}
 	c := journal.Config{Disk: memoryDisk, SegmentSize: 100, Preallocation: -1}
@@ -332,9 +350,10 @@
 	}
 }
 
-// A replica that was away gets a snapshot while its disk is full: there is no room
-// to begin a segment after it. The log must go on in the room reserved; otherwise
-// the replica ends, and ends again at every start until someone makes room.
+// A replica that was offline installs a snapshot while its disk is full, so that no new
+// segment can be created. The log must continue in the preallocated space of the old
+// segment. Otherwise the replica ends, and ends again after each restart until an
+// operator frees disk space.
 func TestSnapshotInstalledOnFullDisk(t *testing.T) {
 	memoryDisk := &disk.Memory{}
 	c := journal.Config{Disk: memoryDisk, Preallocation: 1000}
@@ -350,7 +369,7 @@
 		return disk.NoFault
 	}
 	if err := j.Append(nil, entry(101)); !errors.Is(err, journal.ErrIndexGap) {
-		t.Fatal("without a snapshot the gap is refused:", err)
+		t.Fatal("append with an index gap and no snapshot: want ErrIndexGap, got", err)
 	}
 	if err := j.Compact(100); !errors.Is(err, journal.ErrDiskFull) {
 		t.Fatal(err)
@@ -366,12 +385,14 @@
 	}
 }
 
-// appendingDisk appends to the journal while a sync of its file is under way.
+// appendingDisk calls duringSync at the end of each file sync, before the sync returns
+// to the journal.
 type appendingDisk struct {
 	disk.Disk
 	duringSync func()
 }
 
+// appendingFile is a file created on an appendingDisk.
 type appendingFile struct {
 	disk.File
 	disk *appendingDisk
@@ -390,9 +411,9 @@
 	return err
 }
 
-// The next batch is appended while the sync of the one before is under way, and
-// the machine loses power after its own sync. A sync that takes what came
-// meanwhile for synced would skip it, and lose what a quorum was told is lasting.
+// A batch is appended while the sync of the previous batch is in progress. It is then
+// synced, and the machine loses power. If the first sync counted the new batch as
+// synced, the second would skip it, and an acknowledged batch would be lost.
 func TestAppendDuringSync(t *testing.T) {
 	memoryDisk := &disk.Memory{}
 	wrapped := &appendingDisk{Disk: memoryDisk}
--- a/internal/replica/disk/disk.go
+++ b/internal/replica/disk/disk.go
@@ -1,6 +1,6 @@
-// Package disk is the small set of file operations that the durable state of a
-// replica rests on. Tests put a disk in its place that tears writes, loses what
-// was not synced, fails a sync or runs full.
+// Package disk provides the file operations for the durable state of a replica.
+// Tests use Memory, an in-memory disk that simulates torn writes, loss of unsynced
+// data, failed syncs and a full disk.
 package disk
 
 import (
@@ -14,10 +14,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrDiskFull means that the disk, or the quota on it, has no room left.
+// ErrDiskFull means that the disk has no free space or its quota is used up.
 var ErrDiskFull = errors.New("no space left on the disk")
 
-// ErrTooManyFiles means that the process, or the system, may open no more files now.
+// ErrTooManyFiles means that the process or the system has reached its limit of open files.
 var ErrTooManyFiles = errors.New("no more files can be opened")
 
 // ErrNotExist means that a file does not exist.
@@ -26,49 +26,50 @@
 // File is a file open for writing.
 type File interface {
 	io.WriterAt
-	// Truncate cuts the file to size bytes.
+	// Truncate shortens the file to size bytes.
 	Truncate(size int64) error
 	// Sync returns once all data written before is on stable storage.
 	Sync() error
 	Close() error
 }
 
-// Disk is where a replica keeps its files. Names are full paths.
+// Disk stores the files of a replica. Names are full paths.
 type Disk interface {
-	// Create makes an empty file, or empties the one that exists.
+	// Create creates an empty file or truncates the existing one.
 	Create(name string) (File, error)
 	// Open opens an existing file for writing.
 	Open(name string) (File, error)
 	// Read returns the whole content of a file.
 	Read(name string) ([]byte, error)
-	// List returns the names of the files in a folder, without the folder, sorted.
+	// List returns the sorted base names of the files in a folder.
 	List(dir string) ([]string, error)
-	// Rename puts a file under a new name, replacing what is there, in one step.
+	// Rename renames a file atomically and replaces an existing file of the new name.
 	Rename(from, to string) error
 	Remove(name string) error
-	// CreateFolder makes a folder and those above it, and syncs the one that holds it.
+	// CreateFolder creates a folder and its missing parents, and syncs the parent folder.
 	CreateFolder(dir string) error
-	// SyncFolder returns once creations, renames and removals in dir are lasting.
+	// SyncFolder returns once creations, renames and removals in dir are durable.
 	SyncFolder(dir string) error
-	// Free returns the bytes that can still be written.
+	// Free returns the free space for an unprivileged process, in bytes.
 	Free(dir string) (uint64, error)
 }
 
-// IsRetryable tells of an error that left everything as it was and that may pass by itself.
+// IsRetryable reports whether an operation failed for lack of space or open files.
+// Such an operation may succeed later.
 func IsRetryable(err error) bool {
 	return errors.Is(err, ErrDiskFull) || errors.Is(err, ErrTooManyFiles)
 }
 
-// Permissions of what the system creates: its owner's alone.
+// Permissions of new files and folders. Only the owner has access.
 const (
 	filePerm   = 0o600
 	folderPerm = 0o700
 )
 
-// OS is the disk of the operating system.
+// OS is a Disk on the file system of the operating system.
 type OS struct{}
 
-// Create makes an empty file, or empties the one that exists.
+// Create creates an empty file or truncates the existing one.
 func (OS) Create(name string) (File, error) {
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, filePerm)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return b, classify(err)
 }
 
-// List returns the names of the files in a folder, sorted.
+// List returns the sorted base names of the regular files in a folder.
 func (OS) List(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -108,13 +109,13 @@
 	return names, nil
 }
 
-// Rename puts a file under a new name in one step.
+// Rename renames a file atomically and replaces an existing file of the new name.
 func (OS) Rename(from, to string) error { return classify(os.Rename(from, to)) }
 
 // Remove deletes a file.
 func (OS) Remove(name string) error { return classify(os.Remove(name)) }
 
-// CreateFolder makes a folder and those above it, and syncs the one that holds it.
+// CreateFolder creates a folder and its missing parents, and syncs the parent folder.
 func (s OS) CreateFolder(dir string) error {
 	if err := os.MkdirAll(dir, folderPerm); err != nil {
 		return classify(err)
@@ -122,7 +123,7 @@
 	return s.SyncFolder(filepath.Dir(dir))
 }
 
-// SyncFolder returns once creations, renames and removals in dir are lasting.
+// SyncFolder returns once creations, renames and removals in dir are durable.
 func (OS) SyncFolder(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -131,7 +132,7 @@
 	return errors.CombineErrors(classify(f.Sync()), f.Close())
 }
 
-// Free returns the bytes that an unprivileged process can still write.
+// Free returns the free space for an unprivileged process, in bytes.
 func (OS) Free(dir string) (uint64, error) {
 	var st unix.Statfs_t
 	if err := unix.Statfs(dir, &st); err != nil {
@@ -140,7 +141,7 @@
 	return st.Bavail * uint64(st.Bsize), nil
 }
 
-// osFile marks the errors of an os.File.
+// osFile wraps an os.File and marks its errors with classify.
 type osFile struct{ f *os.File }
 
 func (f osFile) WriteAt(b []byte, off int64) (int, error) {
@@ -150,7 +151,8 @@
 
 func (f osFile) Truncate(size int64) error { return classify(f.f.Truncate(size)) }
 
-// Sync leaves out times, which nothing reads; the length is synced when it changed.
+// Sync calls fdatasync, which writes the data and a changed file length but not the
+// timestamps, because nothing reads them.
 func (f osFile) Sync() error {
 	for {
 		if err := unix.Fdatasync(int(f.f.Fd())); !errors.Is(err, unix.EINTR) {
@@ -161,7 +163,7 @@
 
 func (f osFile) Close() error { return classify(f.f.Close()) }
 
-// classify marks the errors that mean a full disk or too many open files.
+// classify marks errors with ErrDiskFull or ErrTooManyFiles where they apply.
 func classify(err error) error {
 	switch {
 	case errors.Is(err, syscall.ENOSPC), errors.Is(err, syscall.EDQUOT):
--- a/internal/replica/disk/memory.go
+++ b/internal/replica/disk/memory.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Operation is an operation that changes a disk or makes a change last.
+// Operation is an operation that changes a disk or syncs a change.
 type Operation uint8
 
 // The operations.
@@ -28,98 +28,109 @@
 // String returns the name of the operation.
 func (o Operation) String() string { return operationNames[o] }
 
-// Fault is what goes wrong at an operation of a Memory disk.
+// Fault is a fault that is injected into an operation of a Memory disk.
 type Fault uint8
 
-// The faults.
+// The faults that can be injected.
 const (
 	// NoFault means no fault.
 	NoFault Fault = iota
-	// CrashBefore ends everything before the operation.
+	// CrashBefore crashes the disk before the operation takes effect.
 	CrashBefore
-	// CrashDuring ends everything in the middle of the operation.
+	// CrashDuring crashes the disk during the operation. Half of a write is done, and
+	// any other operation is done completely.
 	CrashDuring
-	// DiskFull refuses the operation for lack of room; half of a write is done.
+	// DiskFull fails the operation with ErrDiskFull. Half of a write is done.
 	DiskFull
-	// TooManyFiles refuses the operation, which opens a file, since none can be opened.
+	// TooManyFiles fails an operation that opens a file with ErrTooManyFiles.
 	TooManyFiles
-	// IOError fails the operation. A sync that fails loses the data: later syncs
-	// of the file succeed without it, as on common systems.
+	// IOError fails the operation with an I/O error. If a sync fails, the unsynced
+	// data is lost, and later syncs of the file succeed without it, as on common
+	// operating systems.
 	IOError
 )
 
-// CrashOutcome is what a crash does to changes that were not synced.
+// CrashOutcome selects which unsynced changes survive a crash.
 type CrashOutcome uint8
 
 // The outcomes of a crash.
 const (
-	// ProcessKilled ends the process only: everything is still seen, and still not synced.
+	// ProcessKilled ends only the process. All changes stay visible and stay unsynced.
 	ProcessKilled CrashOutcome = iota
-	// AllLost loses everything that was not synced.
+	// AllLost loses all unsynced changes.
 	AllLost
-	// AllKept keeps everything, as if synced.
+	// AllKept keeps all changes as if they had been synced.
 	AllKept
-	// NamesLost keeps contents but no creation, renaming or removal.
+	// NamesLost keeps unsynced file contents but loses unsynced creations, renames and removals.
 	NamesLost
-	// ContentsLost keeps names but no contents.
+	// ContentsLost keeps unsynced creations, renames and removals but loses unsynced
+	// file contents.
 	ContentsLost
-	// FirstHalfKept keeps the first half of contents and of name changes.
+	// FirstHalfKept keeps the first half of the unsynced bytes of each file and the
+	// first half of the unsynced name changes.
 	FirstHalfKept
-	// SecondHalfKept keeps, of contents and of name changes, only the second half; contents
-	// have zeros before it.
+	// SecondHalfKept keeps the second half of the unsynced bytes of each file, with
+	// zeros in place of the first half, and the second half of the unsynced name changes.
 	SecondHalfKept
 )
 
-// CrashOutcomes are all outcomes of a crash.
+// CrashOutcomes lists all outcomes of a crash.
 var CrashOutcomes = []CrashOutcome{ProcessKilled, AllLost, AllKept, NamesLost, ContentsLost, FirstHalfKept, SecondHalfKept}
 
-// ErrCrashed is what every operation returns after a crash, until Restart.
+// ErrCrashed is returned by every operation from a crash until Restart.
 var ErrCrashed = errors.New("the disk has crashed")
 
-// errIO is what a broken operation returns.
+// errIO is the error of an operation with the fault IOError.
 var errIO = errors.New("input/output error")
 
-// Memory is a disk in memory that goes wrong on request, to test what rests on
-// a Disk. Folders need not be made.
+// Memory is an in-memory Disk with fault injection for tests. Folders need not be
+// created before use.
 type Memory struct {
-	// InjectFault is asked before the operation with this count, from 1; it is not
-	// asked when nil.
+	// InjectFault, if set, is called before each operation and returns the fault to
+	// inject. n is the number of the operation, counted from 1.
 	InjectFault func(n int, op Operation, name string) Fault
-	// FreeBytes is what Free returns.
+	// FreeBytes is the free space that Free returns.
 	FreeBytes uint64
 
-	mu              sync.Mutex
-	operations      int
-	crashed         bool
-	files           map[string]*inode
-	syncedFiles     map[string]*inode
+	mu sync.Mutex
+	// operations counts the operations that were started.
+	operations int
+	crashed    bool
+	// files maps the visible file names to their contents.
+	files map[string]*inode
+	// syncedFiles maps the file names that survive any crash to their contents.
+	syncedFiles map[string]*inode
+	// unsyncedChanges are the name changes since the last sync of their folder, oldest first.
 	unsyncedChanges []nameChange
 }
 
 // inode is the content of a file.
 type inode struct {
-	data   []byte
+	// data is the visible content.
+	data []byte
+	// synced is the content that survives any crash.
 	synced []byte
-	// syncFailed is set by a failed sync.
+	// syncFailed reports that a sync failed, so that later syncs have no effect.
 	syncFailed bool
 }
 
-// nameChange is a change of a name that is not synced: to nil for a removal, and
-// with the name that a renaming takes away.
+// nameChange is the creation, rename or removal of a file.
 type nameChange struct {
-	name    string
-	target  *inode
+	name string
+	// target is the file with the name after the change, nil for a removal.
+	target *inode
+	// oldName is the name that a rename removes, empty for other changes.
 	oldName string
 }
 
-// OperationCount returns how many operations were begun.
+// OperationCount returns the number of operations that were started.
 func (m *Memory) OperationCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.operations
 }
 
-// Clone returns a disk in the same state, without Inject and without open files.
+// Clone returns a copy of the disk without InjectFault and without open files.
 func (m *Memory) Clone() *Memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -143,8 +154,9 @@
 	return c
 }
 
-// Restart ends a crash, or makes one, with the outcome given. Files that were
-// open before must not be used any more.
+// Restart makes the disk usable again after a crash and applies the outcome. On a disk
+// that has not crashed it simulates a crash. Files opened before must not be used
+// afterwards.
 func (m *Memory) Restart(o CrashOutcome) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -174,7 +186,7 @@
 	}
 }
 
-// contentAfterCrash returns the content that a crash leaves.
+// contentAfterCrash returns the content that the file has after a crash.
 func (n *inode) contentAfterCrash(o CrashOutcome) []byte {
 	commonPrefix := 0
 	for commonPrefix < min(len(n.data), len(n.synced)) && n.data[commonPrefix] == n.synced[commonPrefix] {
@@ -194,7 +206,8 @@
 	return n.data
 }
 
-// beginOperation counts an operation and asks for its fault.
+// beginOperation counts an operation and returns its injected fault. It returns an
+// error for each fault except CrashDuring, whose operation still takes effect.
 func (m *Memory) beginOperation(op Operation, name string) (Fault, error) {
 	if m.files == nil {
 		m.files, m.syncedFiles = map[string]*inode{}, map[string]*inode{}
@@ -224,15 +237,16 @@
 	return fault, nil
 }
 
-// operationError returns the error of an operation that was done in spite of its fault.
-func operationError(f Fault) error {
-	if f == CrashDuring {
+// operationError returns the error of an operation that took effect despite its fault.
+func operationError(fault Fault) error {
+	if fault == CrashDuring {
 		return ErrCrashed
 	}
 	return nil
 }
 
-// changeName changes a name, until a sync of its folder only in what is seen.
+// changeName applies a name change to the visible files. A sync of the folder makes
+// it durable.
 func (m *Memory) changeName(c nameChange) {
 	applyChange(m.files, c)
 	m.unsyncedChanges = append(m.unsyncedChanges, c)
@@ -247,11 +261,11 @@
 	names[c.name] = c.target
 }
 
-// Create makes an empty file, or empties the one that exists.
+// Create creates an empty file or truncates the existing one.
 func (m *Memory) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f, err := m.beginOperation(Create, name)
+	fault, err := m.beginOperation(Create, name)
 	if err != nil {
 		return nil, err
 	}
@@ -261,7 +275,7 @@
 		m.changeName(nameChange{name: name, target: n})
 	}
 	n.data = nil
-	return &memoryFile{m, n, name}, operationError(f)
+	return &memoryFile{m, n, name}, operationError(fault)
 }
 
 // Open opens an existing file for writing.
@@ -292,7 +306,7 @@
 	return slices.Clone(n.data), nil
 }
 
-// List returns the names of the files in a folder, sorted.
+// List returns the sorted base names of the files in a folder.
 func (m *Memory) List(dir string) ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -309,11 +323,11 @@
 	return names, nil
 }
 
-// Rename puts a file under a new name in one step.
+// Rename renames a file atomically and replaces an existing file of the new name.
 func (m *Memory) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f, err := m.beginOperation(Rename, from)
+	fault, err := m.beginOperation(Rename, from)
 	if err != nil {
 		return err
 	}
@@ -322,14 +336,14 @@
 		return ErrNotExist
 	}
 	m.changeName(nameChange{name: to, target: n, oldName: from})
-	return operationError(f)
+	return operationError(fault)
 }
 
 // Remove deletes a file.
 func (m *Memory) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f, err := m.beginOperation(Remove, name)
+	fault, err := m.beginOperation(Remove, name)
 	if err != nil {
 		return err
 	}
@@ -337,17 +351,17 @@
 		return ErrNotExist
 	}
 	m.changeName(nameChange{name: name})
-	return operationError(f)
+	return operationError(fault)
 }
 
-// CreateFolder does nothing: folders need not be made.
+// CreateFolder does nothing, because a Memory disk needs no folders.
 func (m *Memory) CreateFolder(string) error { return nil }
 
-// SyncFolder makes the changes of names in a folder last.
+// SyncFolder makes the name changes in a folder durable.
 func (m *Memory) SyncFolder(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f, err := m.beginOperation(SyncFolder, dir)
+	fault, err := m.beginOperation(SyncFolder, dir)
 	if err != nil {
 		return err
 	}
@@ -360,8 +374,8 @@
 		remaining = append(remaining, c)
 	}
 	m.unsyncedChanges = remaining
-	return operationError(f)
+	return operationError(fault)
 }
 
-// Free returns Room.
+// Free returns FreeBytes.
 func (m *Memory) Free(string) (uint64, error) { return m.FreeBytes, nil }
--- a/internal/replica/disk/memoryfile.go
+++ b/internal/replica/disk/memoryfile.go
@@ -13,7 +13,8 @@
 	name  string
 }
 
-// WriteAt writes b; half of it when the disk is full or crashes meanwhile.
+// WriteAt writes b at offset off. With the faults DiskFull, TooManyFiles and
+// CrashDuring it writes only the first half of b.
 func (f *memoryFile) WriteAt(b []byte, off int64) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
@@ -31,7 +32,7 @@
 	return len(b), errors.CombineErrors(err, operationError(fault))
 }
 
-// Truncate cuts the file to size bytes.
+// Truncate shortens the file to size bytes.
 func (f *memoryFile) Truncate(size int64) error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
@@ -43,7 +44,7 @@
 	return operationError(fault)
 }
 
-// Sync makes the content last, unless an earlier sync failed.
+// Sync makes the content durable. After a failed sync it has no effect.
 func (f *memoryFile) Sync() error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
@@ -60,5 +61,5 @@
 	return operationError(fault)
 }
 
-// Close does nothing: a close makes nothing last.
+// Close does nothing and does not sync the file.
 func (f *memoryFile) Close() error { return nil }
--- a/internal/replica/disk/replica_test.go
+++ b/internal/replica/disk/replica_test.go
@@ -14,30 +14,32 @@
 	"gypsumreel/internal/replica/snapshot"
 )
 
-// The folders of the replica under test.
+// Folders of the replica under test.
 const (
 	journalDir  = "/data/journal"
 	snapshotDir = "/data/snapshot"
 )
 
-// preallocation is room for an append or two.
+// preallocation is the preallocated space in bytes, enough for one or two appends.
 const preallocation = 120
 
-// history is what the replica was told to keep, and how much of it must last.
+// history records the states that a replica went through and which of them a
+// recovery may return.
 type history struct {
-	// states are all that the journal may hold, in order.
+	// states holds the state of the journal after each append, oldest first.
 	states []journal.Recovered
-	// oldestAllowed is the first of states that may be recovered.
+	// oldestAllowed is the position in states of the last synced state. Recovery must
+	// return this state or a later one.
 	oldestAllowed int
-	// snapshotStarted is the index of the newest snapshot that was begun, saved of the
-	// newest that was finished.
-	snapshotStarted, snapshotSaved uint64
+	// snapshotStarted is the log index of the newest snapshot whose Save was called.
+	snapshotStarted uint64
+	// snapshotSaved is the log index of the newest snapshot whose Save succeeded.
+	snapshotSaved uint64
 }
 
-// newestState returns the newest state.
 func (h *history) newestState() journal.Recovered { return h.states[len(h.states)-1] }
 
-// addAppend adds the state that an append makes.
+// addAppend adds the state of the journal after an append.
 func (h *history) addAppend(hard *quorum.Hard, entries []quorum.Entry) {
 	next := h.newestState()
 	if hard != nil {
@@ -49,14 +51,14 @@
 	h.states = append(h.states, next)
 }
 
-// replica drives a journal and snapshots on one disk, as the group does.
+// replica uses a journal and a snapshot store on one disk in the same way as package group.
 type replica struct {
 	disk    *disk.Memory
 	history history
 	journal *journal.Journal
-	// segmentSize of the segments.
+	// segmentSize is the segment size of the journal in bytes.
 	segmentSize int64
-	// savingSnapshot tells that a snapshot is being saved.
+	// savingSnapshot reports that a Save of a snapshot has not succeeded yet.
 	savingSnapshot bool
 }
 
@@ -66,12 +68,13 @@
 
 func (r *replica) store() snapshot.Store { return snapshot.Store{Dir: snapshotDir, Disk: r.disk} }
 
-// step is one thing that the group does.
+// step is one storage operation of the script.
 type step struct {
 	name string
 	run  func(r *replica) error
 }
 
+// appendStep appends a hard state and the entries with the indexes first to last.
 func appendStep(term, first, last uint64) step {
 	return step{fmt.Sprintf("append %d to %d", first, last), func(r *replica) error {
 		hard := quorum.Hard{Term: term, Vote: fmt.Sprintf("vote of %d", term)}
@@ -89,6 +92,7 @@
 	}}
 }
 
+// syncStep syncs the journal.
 var syncStep = step{"sync", func(r *replica) error {
 	err := r.journal.Sync()
 	if err == nil {
@@ -97,7 +101,7 @@
 	return err
 }}
 
-// snapshotStep saves a snapshot and drops the log that it replaces.
+// snapshotStep saves a snapshot and compacts the log up to its index.
 func snapshotStep(index uint64) step {
 	return step{fmt.Sprintf("snapshot of %d", index), func(r *replica) error {
 		r.history.snapshotStarted, r.savingSnapshot = index, true
@@ -109,8 +113,8 @@
 	}}
 }
 
-// script passes segments, an overwritten tail, snapshots inside and at the end
-// of the log, and a close.
+// script covers segment rollover, replaced entries at the end of the log, snapshots
+// in the middle and at the end of the log, and a close.
 var script = []step{
 	appendStep(1, 1, 2), syncStep, appendStep(1, 3, 6), syncStep, appendStep(1, 7, 9), appendStep(1, 10, 11), syncStep,
 	snapshotStep(7), appendStep(1, 12, 14), syncStep, appendStep(2, 13, 15), syncStep, snapshotStep(15),
@@ -118,14 +122,14 @@
 	{"close", func(r *replica) error { return r.journal.Close() }},
 }
 
-// open opens what the disk holds.
+// open loads the snapshot and opens the journal.
 func (r *replica) open() (journal.Recovered, snapshot.Meta, error) {
 	meta, state, err := r.store().Load()
 	if err != nil {
 		return journal.Recovered{}, meta, err
 	}
 	if meta.Index > 0 && string(state) != fmt.Sprintf("state at %d", meta.Index) {
-		return journal.Recovered{}, meta, errors.Newf("snapshot of %d holds %q", meta.Index, state)
+		return journal.Recovered{}, meta, errors.Newf("snapshot with index %d contains the wrong state %q", meta.Index, state)
 	}
 	j, got, err := r.config().Open(journalDir)
 	r.journal = j
@@ -146,30 +150,32 @@
 	return nil
 }
 
-// verify says what is wrong with what was recovered.
+// verify returns an error if the recovered journal or snapshot is not one that the
+// history allows.
 func (r *replica) verify(got journal.Recovered, meta snapshot.Meta) error {
 	if meta.Index < r.history.snapshotSaved || meta.Index > r.history.snapshotStarted {
-		return errors.Newf("snapshot of %d, saved was %d and begun %d", meta.Index, r.history.snapshotSaved, r.history.snapshotStarted)
+		return errors.Newf("recovered the snapshot with index %d, want at least %d (saved) and at most %d (started)", meta.Index, r.history.snapshotSaved, r.history.snapshotStarted)
 	}
 	if len(got.Entries) > 0 && got.Entries[0].Index > meta.Index+1 {
-		return errors.Newf("entries from %d on, snapshot of %d", got.Entries[0].Index, meta.Index)
+		return errors.Newf("gap: the first recovered entry is %d and the snapshot has index %d", got.Entries[0].Index, meta.Index)
 	}
 	for _, want := range r.history.states[r.history.oldestAllowed:] {
 		if equalAbove(want, got, meta.Index) {
 			return nil
 		}
 	}
-	return errors.Newf("recovered is none of the states that may be; the newest differs by %s", cmp.Diff(r.history.newestState(), got))
+	return errors.Newf("the recovered state is none of the allowed ones; difference to the newest: %s", cmp.Diff(r.history.newestState(), got))
 }
 
-// equalAbove compares what stands after the snapshot, as a restarted replica sees it.
+// equalAbove reports whether two recovered states have equal hard states and equal
+// entries above index. Entries up to index are covered by the snapshot and ignored.
 func equalAbove(a, b journal.Recovered, index uint64) bool {
 	return a.HardState == b.HardState && slices.EqualFunc(entriesAbove(a.Entries, index), entriesAbove(b.Entries, index), func(x, y quorum.Entry) bool {
 		return x.Index == y.Index && x.Term == y.Term && x.Kind == y.Kind && bytes.Equal(x.Data, y.Data)
 	})
 }
 
-// entriesAbove returns the entries above index.
+// entriesAbove returns the entries with an index above the given one.
 func entriesAbove(entries []quorum.Entry, index uint64) []quorum.Entry {
 	for len(entries) > 0 && entries[0].Index <= index {
 		entries = entries[1:]
--- a/internal/replica/journal/bench_test.go
+++ b/internal/replica/journal/bench_test.go
@@ -11,10 +11,10 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// entryDataSize is the size of an entry in bytes.
+// entryDataSize is the size of the data of an entry in bytes.
 const entryDataSize = 256
 
-// fixedSizeEntries returns n entries.
+// fixedSizeEntries returns n consecutive entries of entryDataSize bytes each.
 func fixedSizeEntries(first uint64, n int) []quorum.Entry {
 	entries := make([]quorum.Entry, n)
 	for i := range entries {
@@ -23,8 +23,9 @@
 	return entries
 }
 
-// BenchmarkSync takes turns between a batch into the journal and the same bytes
-// into a plain file, each with its sync, and reports both rates and their ratio.
+// BenchmarkSync alternates between appending a batch to the journal and writing the
+// same number of bytes to a plain file. Both are synced each time. It reports both
+// rates and their ratio.
 func BenchmarkSync(b *testing.B) {
 	for _, batchLen := range []int{1, 16, 64, 256} {
 		b.Run(fmt.Sprint(batchLen), func(b *testing.B) { benchmarkSyncBatch(b, batchLen) })
@@ -59,7 +60,8 @@
 	mustB(b, rawFile.Close())
 }
 
-// BenchmarkOpen opens journals of several lengths, for the slope of a restart.
+// BenchmarkOpen opens journals of several lengths and reports the time per entry,
+// which shows how the restart time grows with the log.
 func BenchmarkOpen(b *testing.B) {
 	for _, n := range []int{25_000, 50_000, 100_000, 200_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -74,7 +76,7 @@
 				j, r, err := journal.Open(dir)
 				mustB(b, err)
 				if len(r.Entries) < n {
-					b.Fatal(len(r.Entries))
+					b.Fatalf("recovered %d entries, want %d", len(r.Entries), n)
 				}
 				mustB(b, j.Close())
 			}
--- a/internal/replica/journal/frame.go
+++ b/internal/replica/journal/frame.go
@@ -10,20 +10,21 @@
 	"gypsumreel/internal/replica/wire"
 )
 
-// A segment is a file header and then frames:
+// A segment consists of a file header followed by frames of this layout:
 //
 //	marker fixed32 | length fixed32 | checksum fixed64 | record (length bytes)
 //
-// The checksum is the XXH64 of the record, seeded with the number of the
-// segment and the offset of the frame, so that a frame counts only at its place.
+// The checksum is the XXH64 hash of the record. Its seed combines the segment number
+// and the offset of the frame, so that a frame is not accepted at any other place.
 const (
 	frameMarker     uint32 = 0x4c524e4a
 	frameHeaderSize        = 16
-	// maxRecordSize bounds a record, and so what a damaged length can make us read.
+	// maxRecordSize is the maximum size of a record in bytes. It limits how much is
+	// read when the length of a frame is corrupted.
 	maxRecordSize = 64 << 20
 )
 
-// Fields of the records, in protobuf's wire format.
+// Field numbers of a record and its parts, in the protobuf wire format.
 const (
 	fieldSyncedSize protowire.Number = 1
 	fieldHardState  protowire.Number = 2
@@ -39,18 +40,20 @@
 	fieldData      protowire.Number = 4
 )
 
-// record is what one frame holds.
+// record is the content of one frame.
 type record struct {
 	// syncedSize is the size of the segment that was synced before the frame was
-	// written: damage below it is no torn tail.
+	// written. Unreadable data below it is corruption, not a torn tail.
 	syncedSize uint64
 	hardState  *quorum.Hard
-	// resetLog tells that the entries go on from a snapshot, not from those before.
+	// resetLog reports that the entries follow a snapshot, so that recovery discards
+	// all earlier entries.
 	resetLog bool
 	entries  []quorum.Entry
 }
 
-// appendFrame adds the frame of a record to b, to be written at off of the segment.
+// appendFrame appends the frame of a record to b. The frame must be written at
+// offset off of the segment, because its checksum includes the offset.
 func appendFrame(b []byte, segmentNumber uint64, off int64, r record) []byte {
 	start := len(b)
 	b = append(b, make([]byte, frameHeaderSize)...)
@@ -88,7 +91,7 @@
 	return protowire.AppendString(b, h.Vote)
 }
 
-// appendEntry adds one entry as a length-prefixed message.
+// appendEntry appends one entry to b as a length-prefixed message.
 func appendEntry(b []byte, e *quorum.Entry) []byte {
 	size := 3*protowire.SizeTag(fieldIndex) + protowire.SizeVarint(e.Index) +
 		protowire.SizeVarint(e.Term) + protowire.SizeVarint(uint64(e.Kind)) +
@@ -105,8 +108,8 @@
 	return protowire.AppendBytes(b, e.Data)
 }
 
-// frameAt returns the record's bytes of the frame at off and the offset after
-// it; ok is false when no whole frame with a right checksum is there.
+// frameAt returns the encoded record of the frame at off and the offset after the
+// frame. ok is false if there is no complete frame with a valid checksum at off.
 func frameAt(b []byte, segmentNumber uint64, off int64) (body []byte, next int64, ok bool) {
 	if off < 0 || int64(len(b))-off < frameHeaderSize {
 		return nil, 0, false
@@ -123,7 +126,7 @@
 	return body, off + frameHeaderSize + size, true
 }
 
-// decodeRecord reads a record; its entries do not share memory with b.
+// decodeRecord decodes a record. Its entries do not share memory with b.
 func decodeRecord(b []byte) (record, error) {
 	var r record
 	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
--- a/internal/replica/journal/fuzz_test.go
+++ b/internal/replica/journal/fuzz_test.go
@@ -11,8 +11,9 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// FuzzOpen opens a journal whose newest segment holds any bytes. Either it is
-// refused, or what it shows is shown again after a restart, and it goes on.
+// FuzzOpen opens a journal whose newest segment holds arbitrary bytes. If Open
+// accepts it, an append must succeed, and a restart must recover the same state
+// plus the appended entry.
 func FuzzOpen(f *testing.F) {
 	f.Fuzz(func(t *testing.T, b []byte) {
 		memoryDisk := &disk.Memory{}
--- a/internal/replica/journal/journal.go
+++ b/internal/replica/journal/journal.go
@@ -1,5 +1,6 @@
-// Package journal keeps the log of a replica on its disk: checksummed frames in
-// segments, synced in groups, cut back to the last whole frame after a crash.
+// Package journal is the write-ahead log of a replica. It stores checksummed
+// frames in segment files and syncs them in batches. After a crash it truncates
+// the log to the last complete frame.
 package journal
 
 import (
@@ -13,36 +14,38 @@
 
 // Sizes in bytes.
 const (
-	// DefaultSegmentSize is the size from which on a new segment is begun.
+	// DefaultSegmentSize is the size at which the journal rolls over to a new segment.
 	DefaultSegmentSize = 16 << 20
-	// MaxEntrySize bounds the data of one entry.
+	// MaxEntrySize is the maximum size of the data of one entry.
 	MaxEntrySize = 16 << 20
-	// DefaultPreallocation is what a segment is lengthened by, in zeros, when it has no room.
-	// Overwriting synced zeros leaves the file's length alone, so that most
-	// syncs need not write it.
+	// DefaultPreallocation is the number of zero bytes that are added to a segment
+	// when its preallocated space is used up. Overwriting synced zeros does not
+	// change the file length, so most syncs need not write file metadata.
 	DefaultPreallocation = 512 << 10
-	// maxFrameData is the size from which on entries go into a further frame.
+	// maxFrameData is the maximum amount of entry data in a frame with more than one entry.
 	maxFrameData = 1 << 20
-	// rollRetryDivisor is the part of a segment's size that is appended before a segment
-	// that could not be begun is tried again; it doubles with each try.
+	// rollRetryDivisor sets the backoff after a failed creation of a segment. The
+	// first retry follows once 1/rollRetryDivisor of the segment size has been
+	// appended. This amount doubles with each failure, at most rollRetryDivisor times.
 	rollRetryDivisor = 16
 )
 
-// Config holds what may differ from the defaults; its zero value is usable.
+// Config holds the settings of a journal. The zero value uses the defaults.
 type Config struct {
-	// Disk is the disk to use; the operating system's when nil.
+	// Disk holds the files. When nil, the file system of the operating system is used.
 	Disk disk.Disk
-	// SegmentSize in bytes; the constant of that name when 0.
+	// SegmentSize is in bytes. 0 means DefaultSegmentSize.
 	SegmentSize int64
-	// Preallocation in bytes; the constant of that name when 0, none when negative.
+	// Preallocation is in bytes. 0 means DefaultPreallocation, and a negative value
+	// disables preallocation.
 	Preallocation int64
-	// OnRollPostponed is told of what could not be done now and is tried again later, and
-	// why; nil for nobody. It must not block.
+	// OnRollPostponed, if set, is called with the error when a new segment could not
+	// be created. The journal retries later. The function must not block.
 	OnRollPostponed func(error)
 }
 
-// Journal is an open journal. Append and Sync may be called at the same time
-// from two goroutines, so that one batch gathers while another is synced.
+// Journal is an open journal. Append and Sync may be called concurrently from two
+// goroutines, so that the next batch is appended while the previous one is synced.
 type Journal struct {
 	disk            disk.Disk
 	dir             string
@@ -50,35 +53,39 @@
 	zeroPadding     []byte
 	onRollPostponed func(error)
 
-	// syncMu is held while a file is synced or replaced; taken before mu.
+	// syncMu is held while the segment file is synced or replaced. It is locked before mu.
 	syncMu sync.Mutex
 	mu     sync.Mutex
-	// brokenErr is set for good by the first failure that leaves the disk unknown.
-	brokenErr  error
-	segments   segments
+	// brokenErr is the first error after which the content of the disk is unknown.
+	// Once set it is never cleared, and every later Append, Sync and Compact returns it.
+	brokenErr error
+	segments  segments
+	// file is the newest segment. Its frames end at dataSize, and the bytes up to
+	// syncedSize are on stable storage.
 	file       disk.File
 	dataSize   int64
 	syncedSize int64
-	// allocatedSize is the length of the file; zeros follow from size on.
+	// allocatedSize is the length of the file. The bytes from dataSize on are zeros.
 	allocatedSize int64
 	hardState     quorum.Hard
 	lastIndex     uint64
-	// rollSize is the size from which on the next segment is begun, and puts how often
-	// that was put off.
-	rollSize    int64
+	// rollSize is the size at which the next segment is created.
+	rollSize int64
+	// failedRolls counts the failed attempts to create the next segment.
 	failedRolls int
-	// removalUnsynced tells that the removal of a segment that could not be begun may not last.
+	// removalUnsynced reports that an incomplete new segment was removed but the
+	// folder has not been synced since, so a crash may restore the file.
 	removalUnsynced bool
-	// compactedIndex is the highest index that Compact was given.
+	// compactedIndex is the highest index passed to Compact.
 	compactedIndex uint64
 	frameBuf       []byte
 }
 
-// Open opens the journal in dir with the defaults, making it when there is none.
+// Open opens the journal in dir with the default settings and creates it if it does not exist.
 func Open(dir string) (*Journal, Recovered, error) { return Config{}.Open(dir) }
 
-// Open reads the journal in dir and makes it ready for appending. A torn tail is
-// cut off; damage before it is a DamageError.
+// Open reads the journal in dir and opens it for appending. It truncates a torn
+// tail. Corruption before the tail gives a CorruptionError.
 func (c Config) Open(dir string) (*Journal, Recovered, error) {
 	j := &Journal{disk: c.Disk, dir: dir, segmentSize: c.SegmentSize, onRollPostponed: c.OnRollPostponed}
 	if j.disk == nil {
@@ -102,7 +109,7 @@
 	return j, r, nil
 }
 
-// recoverSegments reads all segments and opens the newest.
+// recoverSegments reads all segments and opens the newest one for appending.
 func (j *Journal) recoverSegments() (Recovered, error) {
 	if err := j.disk.CreateFolder(j.dir); err != nil {
 		return Recovered{}, err
@@ -111,19 +118,19 @@
 	if err != nil {
 		return Recovered{}, err
 	}
-	segmentNumbers := segmentNumbers(names)
+	numbers := segmentNumbers(names)
 	var r segmentReader
 	var newest segmentScan
-	for i, segmentNumber := range segmentNumbers {
+	for i, segmentNumber := range numbers {
 		path := segmentPath(j.dir, segmentNumber)
-		if i > 0 && segmentNumber != segmentNumbers[i-1]+1 {
+		if i > 0 && segmentNumber != numbers[i-1]+1 {
 			return Recovered{}, &CorruptionError{File: path, Reason: "a segment before it is missing"}
 		}
 		b, err := j.disk.Read(path)
 		if err != nil {
 			return Recovered{}, err
 		}
-		if newest, err = r.readSegment(path, segmentNumber, b, i == len(segmentNumbers)-1); err != nil {
+		if newest, err = r.readSegment(path, segmentNumber, b, i == len(numbers)-1); err != nil {
 			return Recovered{}, err
 		}
 		newest.fileSize = int64(len(b))
@@ -132,11 +139,12 @@
 	if n := len(r.Entries); n > 0 {
 		j.lastIndex = r.Entries[n-1].Index
 	}
-	r.New, r.TornTail = len(segmentNumbers) == 0, newest.tornTail
+	r.New, r.TornTail = len(numbers) == 0, newest.tornTail
 	return r.Recovered, j.openNewestSegment(newest)
 }
 
-// openNewestSegment opens the newest segment for appending, without its torn tail.
+// openNewestSegment opens the newest segment for appending and truncates its torn
+// tail. It creates the first segment when there is none.
 func (j *Journal) openNewestSegment(newest segmentScan) error {
 	if len(j.segments) == 0 {
 		return j.createSegment(1)
@@ -144,7 +152,7 @@
 	segmentNumber := j.segments.newest().number
 	path := segmentPath(j.dir, segmentNumber)
 	if newest.validSize == 0 {
-		// The crash came before the segment was in use; it is made anew.
+		// A crash interrupted the creation of the segment, so it is created again.
 		j.segments = j.segments[:len(j.segments)-1]
 		return j.createSegment(segmentNumber)
 	}
@@ -155,8 +163,8 @@
 	if newest.validSize < newest.fileSize {
 		err = f.Truncate(newest.validSize)
 	}
-	// What was read may have been in memory only: a process that died and left
-	// it to the system unsynced. It is shown as recovered, so it must last.
+	// The recovered data may still be in the page cache only, left by a process that
+	// died before its sync. The caller relies on this data, so it is synced now.
 	err = errors.CombineErrors(err, f.Sync())
 	if err = errors.CombineErrors(err, j.disk.SyncFolder(j.dir)); err != nil {
 		return errors.CombineErrors(err, f.Close())
@@ -165,9 +173,10 @@
 	return nil
 }
 
-// Append writes a changed hard state and entries; they last once Sync returned.
-// An entry whose index is already present ends everything from it on. ErrFull,
-// ErrNoFile, ErrGap and ErrTooLarge leave the journal as it was; other errors break it.
+// Append writes a changed hard state and entries. They are durable once a later
+// Sync returns. An entry whose index is already in the journal replaces that entry
+// and all after it. ErrDiskFull, ErrTooManyFiles, ErrIndexGap and ErrEntryTooLarge
+// leave the journal unchanged and usable. After any other error it is broken.
 func (j *Journal) Append(hardState *quorum.Hard, entries []quorum.Entry) error {
 	if hardState == nil && len(entries) == 0 {
 		return nil
@@ -197,7 +206,7 @@
 	return nil
 }
 
-// validateEntries refuses entries that recovery could not accept.
+// validateEntries rejects entries that recovery would not accept.
 func (j *Journal) validateEntries(entries []quorum.Entry) error {
 	if j.brokenErr != nil {
 		return j.brokenErr
@@ -207,23 +216,24 @@
 		e := &entries[i]
 		inOrder := e.Index == nextIndex || i == 0 && (e.Index < nextIndex || j.lastIndex == 0 || j.resetsLog(entries))
 		if e.Index == 0 || !inOrder {
-			return errors.Wrapf(ErrIndexGap, "entry %d after %d", e.Index, nextIndex-1)
+			return errors.Wrapf(ErrIndexGap, "entry %d cannot follow entry %d", e.Index, nextIndex-1)
 		}
 		if len(e.Data) > MaxEntrySize {
-			return errors.Wrapf(ErrEntryTooLarge, "entry %d has %d bytes, at most %d", e.Index, len(e.Data), MaxEntrySize)
+			return errors.Wrapf(ErrEntryTooLarge, "entry %d has %d bytes, the limit is %d", e.Index, len(e.Data), MaxEntrySize)
 		}
 		nextIndex = e.Index + 1
 	}
 	return nil
 }
 
-// resetsLog tells whether entries go on from a snapshot that replaces the whole log,
-// with no segment begun since: a full disk may have had no room for one.
+// resetsLog reports whether the entries follow a snapshot that replaces the whole
+// log while the newest segment still holds old entries. This happens when a full
+// disk had no room for a new segment after the snapshot.
 func (j *Journal) resetsLog(entries []quorum.Entry) bool {
 	return len(entries) > 0 && j.lastIndex > 0 && j.lastIndex <= j.compactedIndex && entries[0].Index > j.lastIndex+1
 }
 
-// encodeFrames adds the frames of an append to b.
+// encodeFrames appends the frames for a hard state and entries to b.
 func (j *Journal) encodeFrames(b []byte, hardState *quorum.Hard, entries []quorum.Entry, resetLog bool) []byte {
 	for first := true; first || len(entries) > 0; first = false {
 		n, size := 0, 0
@@ -238,9 +248,9 @@
 	return b
 }
 
-// writeFrames adds b to the newest segment, and zeros where it has no room. A full
-// disk leaves part of it behind, which is cut off, so that the next append
-// stands where this one would have.
+// writeFrames appends b to the newest segment. When b exceeds the preallocated
+// space, zeros are written after it as new preallocation. If the disk has no room
+// for these zeros, b is written without them.
 func (j *Journal) writeFrames(b []byte) error {
 	if j.dataSize+int64(len(b)) > j.allocatedSize && len(j.zeroPadding) > 0 {
 		written, err := j.writeAtEnd(append(b, j.zeroPadding...), len(b))
@@ -252,7 +262,9 @@
 	return err
 }
 
-// writeAtEnd writes b, of which the first n bytes count.
+// writeAtEnd writes b after the last frame. The first dataLen bytes of b are
+// frames, and the rest is preallocation. When the disk is full, a partial write is
+// truncated, so that the next append starts at the same offset.
 func (j *Journal) writeAtEnd(b []byte, dataLen int) (written bool, err error) {
 	_, err = j.file.WriteAt(b, j.dataSize)
 	if err == nil {
@@ -264,22 +276,22 @@
 		return false, j.markBroken("write", err)
 	}
 	if truncateErr := j.file.Truncate(j.dataSize); truncateErr != nil {
-		return false, j.markBroken("cut off a partial write", truncateErr)
+		return false, j.markBroken("truncate a partial write", truncateErr)
 	}
 	j.allocatedSize = j.dataSize
 	return false, errors.Wrap(err, "append to the journal")
 }
 
-// markBroken breaks the journal for good.
+// markBroken makes the journal reject all further calls and returns the error that they get.
 func (j *Journal) markBroken(operation string, err error) error {
-	// The cause is told but not wrapped: a sync that failed for lack of room must
-	// not pass for ErrFull, which leaves the journal usable.
+	// The cause is in the message but not wrapped. Otherwise a sync that failed for
+	// lack of space would match ErrDiskFull, after which callers keep using the journal.
 	j.brokenErr = errors.Mark(errors.Newf("journal is broken: %s: %v", operation, err), ErrBroken)
 	return j.brokenErr
 }
 
-// Sync returns once everything appended before the call lasts. An error is
-// final: the process must end.
+// Sync returns once everything appended before the call is on stable storage.
+// After an error the journal is broken and the process must end.
 func (j *Journal) Sync() error {
 	j.syncMu.Lock()
 	defer j.syncMu.Unlock()
@@ -300,9 +312,9 @@
 	return nil
 }
 
-// Close syncs what was appended and closes the files. It ends with a frame that
-// vouches for everything before it, so that damage done while the process is
-// down is not taken for a torn tail.
+// Close syncs the appended data and closes the segment file. Before that it writes
+// a last frame that records the synced size. Recovery can then tell corruption
+// that happens while the process is down from a torn tail.
 func (j *Journal) Close() error {
 	err := j.Sync()
 	if err == nil && !errors.Is(j.Append(&j.hardState, nil), ErrBroken) {
--- a/internal/replica/journal/journal_test.go
+++ b/internal/replica/journal/journal_test.go
@@ -14,7 +14,7 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// entriesOfTerm returns entries of one term with the indexes from first to last.
+// entriesOfTerm returns entries of one term with the indexes first to last.
 func entriesOfTerm(term, first, last uint64) []quorum.Entry {
 	var entries []quorum.Entry
 	for i := first; i <= last; i++ {
@@ -76,8 +76,8 @@
 	must(t, j.Append(nil, entriesOfTerm(1, 10, 10)))
 }
 
-// A replica that was away receives a snapshot of index 100 while its own log ends
-// at 20. Compact makes room, and the log goes on at 101 with the vote kept.
+// A replica that was offline installs a snapshot of index 100 while its log ends at
+// 20. After Compact the log must continue at 101, and the vote must be preserved.
 func TestLogContinuesAfterCompaction(t *testing.T) {
 	dir := t.TempDir()
 	c := journal.Config{SegmentSize: 200}
@@ -92,7 +92,7 @@
 	j, r := openJournal(t, c, dir)
 	first := r.Entries[0].Index
 	if first == 1 || first > 13 {
-		t.Errorf("the first entry left is %d", first)
+		t.Errorf("the first entry after the compaction is %d, want 2 to 13", first)
 	}
 	if diff := cmp.Diff(journal.Recovered{HardState: hard, Entries: entriesOfTerm(3, first, 20)}, r); diff != "" {
 		t.Fatal(diff)
@@ -106,9 +106,9 @@
 	}
 }
 
-// An operator finds a replica that does not start: a byte of its journal went bad
-// while it was down. It must say which file and what to do, and must not start
-// with a shorter log that it would vote with.
+// A byte of a journal is corrupted while the replica is down. Open must return a
+// CorruptionError or VersionError. It must not treat the byte as a torn tail and
+// recover a shorter log, because the replica would vote with that log.
 func TestOpenRejectsCorruption(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := openJournal(t, journal.Config{Preallocation: -1}, dir)
@@ -152,8 +152,9 @@
 	}
 }
 
-// A process is killed with part of a frame in the file. The start after it tells
-// so, for the log; the one after that, and one after a mere kill, do not.
+// A process is killed after it wrote part of a frame. Only the next Open reports a
+// torn tail. Later ones do not, and neither does an Open after a kill without a
+// partial write.
 func TestTornTailIsReportedOnce(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := openJournal(t, journal.Config{}, dir)
--- a/internal/replica/journal/recover.go
+++ b/internal/replica/journal/recover.go
@@ -10,50 +10,50 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// Each segment starts with a magic word and the version of the format.
+// Each segment starts with a magic number and the format version.
 const (
 	magic         = "GRJL"
 	formatVersion = 1
 	headerSize    = 8
 )
 
-// Recovered is what a journal held when it was opened.
+// Recovered is the content of a journal when it was opened.
 type Recovered struct {
 	HardState quorum.Hard
-	// Entries have consecutive indexes; those before the first were compacted away.
+	// Entries have consecutive indexes. Earlier entries have been removed by compaction.
 	Entries []quorum.Entry
-	// New tells that there was no journal. For a replica that has an identity
-	// already this means that its files were taken away.
+	// New reports that the folder held no journal. If the replica already has an
+	// identity, this means that its journal files were removed.
 	New bool
-	// TornTail tells that what an interrupted write had left was cut off.
+	// TornTail reports that the remains of an interrupted write were truncated.
 	TornTail bool
 }
 
-// segmentReader recovers the segments one after the other.
+// segmentReader rebuilds the state of the journal from its segments, oldest first.
 type segmentReader struct {
 	Recovered
 	segments segments
 }
 
-// segmentScan is the outcome of reading one segment.
+// segmentScan is the result of reading one segment.
 type segmentScan struct {
-	// validSize is the size up to which frames are whole; what follows is cut off. With
-	// 0 the segment never came into use.
+	// validSize is the offset after the last complete frame. The file is truncated
+	// to this size. 0 means that the creation of the segment was not finished.
 	validSize int64
-	// fileSize of the file.
+	// fileSize is the length of the file in bytes.
 	fileSize int64
-	// tornTail tells that something follows, and not only room that was reserved.
+	// tornTail reports that bytes other than preallocated zeros follow validSize.
 	tornTail bool
 }
 
-// segmentHeader returns the first bytes of a segment.
+// segmentHeader returns the encoded header of a segment.
 func segmentHeader() []byte {
 	return protowire.AppendFixed32([]byte(magic), formatVersion)
 }
 
 // readSegment adds the content of one segment to the recovered state. In the last
-// segment, what an interrupted write left behind at the end is told as torn;
-// all else that cannot be read is an error.
+// segment, the remains of an interrupted write at the end are reported as a torn
+// tail. All other unreadable data is an error.
 func (r *segmentReader) readSegment(path string, segmentNumber uint64, b []byte, last bool) (segmentScan, error) {
 	r.segments = r.segments.withSegment(segmentNumber)
 	headerComplete, err := checkHeader(path, b, last)
@@ -74,7 +74,7 @@
 			return segmentScan{}, &CorruptionError{File: path, Offset: off, Reason: err.Error()}
 		}
 		if rec.syncedSize > uint64(off) {
-			return segmentScan{}, &CorruptionError{File: path, Offset: off, Reason: "frame tells of data after itself"}
+			return segmentScan{}, &CorruptionError{File: path, Offset: off, Reason: "frame records a synced size beyond its own offset"}
 		}
 		if err := r.applyRecord(rec); err != nil {
 			return segmentScan{}, &CorruptionError{File: path, Offset: off, Reason: err.Error()}
@@ -84,8 +84,8 @@
 	return segmentScan{validSize: off}, nil
 }
 
-// checkHeader tells whether the header is whole. In the last segment it may also
-// be one that was never synced, which reads as missing or zero.
+// checkHeader reports whether the header is complete. In the last segment the
+// header may never have been synced, and then it is missing, partial or zero.
 func checkHeader(path string, b []byte, last bool) (complete bool, err error) {
 	head := b[:min(len(b), headerSize)]
 	if len(head) == headerSize && string(head[:len(magic)]) == magic {
@@ -101,12 +101,13 @@
 	return false, &CorruptionError{File: path, Reason: "not a journal segment"}
 }
 
-// checkTail judges a place that holds no whole frame. It is a torn tail when nothing
-// at or after it was ever synced: no later frame in the file was written after a
-// sync that covered the place.
+// checkTail decides whether an offset without a complete frame is a torn tail or
+// corruption. Each frame records the size that was synced before the frame was
+// written. If a later frame records a synced size beyond the offset, the data there
+// was synced and has been corrupted. Otherwise it is a torn tail.
 func checkTail(path string, segmentNumber uint64, b []byte, off int64, last bool) (segmentScan, error) {
 	if !last {
-		return segmentScan{}, &CorruptionError{File: path, Offset: off, Reason: "frame is not whole, in a segment that was completed"}
+		return segmentScan{}, &CorruptionError{File: path, Offset: off, Reason: "incomplete frame in a segment that is not the newest"}
 	}
 	markerBytes := protowire.AppendFixed32(nil, frameMarker)
 	for pos := off + 1; ; pos++ {
@@ -121,7 +122,7 @@
 		}
 		rec, err := decodeRecord(body)
 		if err == nil && rec.syncedSize > uint64(off) {
-			reason := fmt.Sprintf("frame is not whole, yet was synced before the frame at byte %d was written", pos)
+			reason := fmt.Sprintf("incomplete frame, although its data was synced before the frame at byte %d was written", pos)
 			return segmentScan{}, &CorruptionError{File: path, Offset: off, Reason: reason}
 		}
 	}
@@ -132,7 +133,8 @@
 	return segmentScan{validSize: off, tornTail: hasData}, nil
 }
 
-// applyRecord applies a record: its entries replace those from the same index on.
+// applyRecord applies a record to the recovered state. Each entry replaces the
+// entry with the same index and all after it.
 func (r *segmentReader) applyRecord(rec record) error {
 	if rec.hardState != nil {
 		r.HardState = *rec.hardState
--- a/internal/replica/journal/roll.go
+++ b/internal/replica/journal/roll.go
@@ -6,8 +6,9 @@
 	"gypsumreel/internal/replica/disk"
 )
 
-// rollIfDue begins a new segment when the newest has reached its size. Nothing hangs
-// on that: where none can be begun now, the newest grows on for a while.
+// rollIfDue starts a new segment when the newest one has reached rollSize. If the
+// new segment cannot be created for lack of space or open files, appends continue
+// in the newest one and the next attempt is made after it has grown further.
 func (j *Journal) rollIfDue() error {
 	j.mu.Lock()
 	due, removalUnsynced := j.dataSize >= j.rollSize, j.removalUnsynced
@@ -32,8 +33,9 @@
 	return j.syncRemoval()
 }
 
-// startNextSegment syncs the newest segment and begins the one after it. Only a completed,
-// synced segment gets a successor, so damage in it is never a torn tail.
+// startNextSegment syncs the newest segment and creates its successor. All segments
+// but the newest are therefore complete and synced, and an unreadable frame in them
+// is corruption, not a torn tail.
 func (j *Journal) startNextSegment() error {
 	if j.brokenErr != nil {
 		return j.brokenErr
@@ -43,31 +45,32 @@
 	}
 	err := j.createSegment(j.segments.newest().number + 1)
 	if err != nil && !disk.IsRetryable(err) {
-		return j.markBroken("begin a segment", err)
+		return j.markBroken("create a segment", err)
 	}
-	return errors.Wrap(err, "begin a segment")
+	return errors.Wrap(err, "create a segment")
 }
 
-// syncRemoval makes the removal of a segment that could not be begun last. Its
-// predecessor is appended to only then: after a crash the file would otherwise make
-// a torn tail of the predecessor look like damage.
+// syncRemoval makes the removal of an incomplete new segment durable. This must
+// succeed before more data is appended to the segment before it. Otherwise a crash
+// could restore the removed file, and recovery would report a torn tail in the
+// earlier segment as corruption.
 func (j *Journal) syncRemoval() error {
 	if !j.removalUnsynced || j.brokenErr != nil {
 		return j.brokenErr
 	}
 	err := j.disk.SyncFolder(j.dir)
 	if err != nil && !disk.IsRetryable(err) {
-		return j.markBroken("remove a segment", err)
+		return j.markBroken("sync the removal of a segment", err)
 	}
 	j.removalUnsynced = err != nil
-	return errors.Wrap(err, "remove a segment that could not be begun")
+	return errors.Wrap(err, "sync the removal of an incomplete segment")
 }
 
-// completeSegment cuts the zeros off the newest segment and syncs it.
+// completeSegment truncates the preallocated zeros of the newest segment and syncs it.
 func (j *Journal) completeSegment() error {
 	if j.allocatedSize > j.dataSize {
 		if err := j.file.Truncate(j.dataSize); err != nil {
-			return j.markBroken("cut off what was reserved", err)
+			return j.markBroken("truncate the preallocated space", err)
 		}
 	} else if j.syncedSize == j.dataSize {
 		return nil
@@ -79,13 +82,13 @@
 	return nil
 }
 
-// createSegment makes a segment that opens with the hard state, and turns to it. On
-// failure the journal stays with the segment it had.
+// createSegment creates a segment whose first frame holds the hard state, and makes
+// it the one that is appended to. On failure the previous segment stays in use.
 func (j *Journal) createSegment(segmentNumber uint64) error {
 	path := segmentPath(j.dir, segmentNumber)
 	f, err := j.disk.Create(path)
 	if err != nil {
-		return err // nothing was made
+		return err // no file was created
 	}
 	b := appendFrame(segmentHeader(), segmentNumber, headerSize, record{hardState: &j.hardState})
 	if _, err = f.WriteAt(b, 0); err == nil {
@@ -98,7 +101,7 @@
 		return j.discardSegment(f, path, err)
 	}
 	if j.file != nil {
-		// Its data is synced; nothing hangs on the outcome.
+		// An error is ignored because the data of this file is already synced.
 		_ = j.file.Close()
 	}
 	n := int64(len(b))
@@ -108,19 +111,20 @@
 	return nil
 }
 
-// discardSegment removes a segment that could not be begun; forget makes that last.
+// discardSegment removes an incomplete new segment. syncRemoval makes the removal durable.
 func (j *Journal) discardSegment(f disk.File, path string, cause error) error {
 	if err := errors.CombineErrors(f.Close(), j.disk.Remove(path)); err != nil {
-		return errors.Newf("%v, and then: %v", cause, err)
+		return errors.Newf("%v; removing the incomplete segment failed: %v", cause, err)
 	}
 	j.removalUnsynced = true
 	return cause
 }
 
-// Compact drops the segments whose entries are all at or below index: those
-// that a lasting snapshot of that index replaces. It never drops an entry above.
-// When the journal ends at or below index, the next entry may have any index
-// above it, also when no segment could be begun (ErrFull, ErrNoFile).
+// Compact removes the segments whose entries all have indexes up to the given one.
+// The caller must hold a durable snapshot of that index. Entries above the index are
+// never removed. When the journal ends at or below the index, the next entry may
+// have any index above it. This holds even when Compact returns ErrDiskFull or
+// ErrTooManyFiles because no new segment could be created.
 func (j *Journal) Compact(index uint64) error {
 	j.syncMu.Lock()
 	defer j.syncMu.Unlock()
@@ -145,12 +149,13 @@
 	return j.removeSegments(index)
 }
 
-// removeSegments removes the oldest segments up to index, never the newest. Each removal
-// lasts before the next: a gap in the numbers would read as damage.
+// removeSegments removes the oldest segments with entries up to index, but never
+// the newest segment. Each removal is synced before the next one, because recovery
+// treats a gap in the segment numbers as corruption.
 func (j *Journal) removeSegments(index uint64) error {
 	for len(j.segments) > 1 && j.segments[0].lastIndex <= index {
 		err := j.disk.Remove(segmentPath(j.dir, j.segments[0].number))
-		if err == nil || errors.Is(err, disk.ErrNotExist) { // missing: removed before, and not made to last
+		if err == nil || errors.Is(err, disk.ErrNotExist) { // an earlier call removed the file, but its sync failed
 			err = j.disk.SyncFolder(j.dir)
 		}
 		if disk.IsRetryable(err) {
--- a/internal/replica/journal/roll_test.go
+++ b/internal/replica/journal/roll_test.go
@@ -9,8 +9,9 @@
 	"gypsumreel/internal/replica/journal"
 )
 
-// A journal that gives up since no further segment can be opened ends the replica,
-// although the segment it has takes more.
+// The next segment cannot be created because the disk is full or too many files are
+// open. The journal must continue in the newest segment, because a failed append
+// would end the replica.
 func TestFailedSegmentCreationIsPostponed(t *testing.T) {
 	for name, fault := range map[string]disk.Fault{"no file": disk.TooManyFiles, "full": disk.DiskFull} {
 		t.Run(name, func(t *testing.T) {
@@ -31,10 +32,10 @@
 				must(t, j.Sync())
 			}
 			if postponements < 2 || postponements > 6 {
-				t.Errorf("put off %d times", postponements)
+				t.Errorf("segment creation was postponed %d times, want 2 to 6", postponements)
 			}
 			if err := j.Compact(20); !errors.Is(err, journal.ErrDiskFull) && !errors.Is(err, journal.ErrTooManyFiles) {
-				t.Errorf("a compaction gave %v", err)
+				t.Errorf("Compact returned %v, want ErrDiskFull or ErrTooManyFiles", err)
 			}
 			injectFaults = false
 			for i := range uint64(60) {
@@ -44,12 +45,12 @@
 			names, err := memoryDisk.List("journal")
 			must(t, err)
 			if len(names) < 2 {
-				t.Errorf("segments afterwards: %v", names)
+				t.Errorf("segments after the fault ended: %v, want at least 2", names)
 			}
 			_, got, err := c.Open("journal")
 			must(t, err)
 			if n := len(got.Entries); n == 0 || got.Entries[n-1].Index != 80 {
-				t.Errorf("recovered %d entries", n)
+				t.Errorf("recovered %d entries, want the last one to have index 80", n)
 			}
 		})
 	}
--- a/internal/replica/journal/segment.go
+++ b/internal/replica/journal/segment.go
@@ -8,23 +8,25 @@
 	"strings"
 )
 
-// segmentSuffix ends the name of each segment; before it stands the number in hex.
+// segmentSuffix is the file name suffix of segments. It follows the segment number
+// in hexadecimal.
 const segmentSuffix = ".journal"
 
-// segment is one file of the journal.
+// segment describes one file of the journal. An entry is live until a later entry
+// with the same or a lower index replaces it.
 type segment struct {
 	number uint64
-	// firstIndex is the index of its first entry that is in force; 0 when there is none.
+	// firstIndex is the index of the first live entry in this segment, 0 if it has none.
 	firstIndex uint64
-	// lastIndex is the highest index that is still in force in this segment or one
-	// before it; 0 when there is none.
+	// lastIndex is the highest index of a live entry in this segment or an earlier
+	// one, 0 if there is none.
 	lastIndex uint64
 }
 
-// segments are the files of a journal, oldest first, numbered without gaps.
+// segments are the files of a journal, oldest first. Their numbers are consecutive.
 type segments []segment
 
-// withSegment adds a segment that has no entry yet.
+// withSegment returns the segments with a new one appended that has no entries.
 func (s segments) withSegment(number uint64) segments {
 	next := segment{number: number}
 	if len(s) > 0 {
@@ -33,8 +35,8 @@
 	return append(s, next)
 }
 
-// recordEntry takes down that the newest segment got an entry, which ends those in
-// force from its index on.
+// recordEntry records that an entry was appended to the newest segment. The entry
+// replaces all live entries from its index on.
 func (s segments) recordEntry(index uint64) {
 	for i := range s {
 		s[i].lastIndex = min(s[i].lastIndex, index-1)
@@ -49,20 +51,21 @@
 	}
 }
 
-// empty tells whether no entry is in force.
+// empty reports whether there are no live entries.
 func (s segments) empty() bool {
 	return !slices.ContainsFunc(s, func(sg segment) bool { return sg.firstIndex > 0 })
 }
 
-// newest returns the segment that is appended to.
+// newest returns the segment that new entries are appended to.
 func (s segments) newest() segment { return s[len(s)-1] }
 
-// segmentPath returns the path of a segment.
+// segmentPath returns the file path of the segment with the given number.
 func segmentPath(dir string, number uint64) string {
 	return filepath.Join(dir, fmt.Sprintf("%016x%s", number, segmentSuffix))
 }
 
-// segmentNumbers picks the segments out of the sorted names of a folder.
+// segmentNumbers returns the numbers of the segments among the sorted file names of
+// a folder and skips all other files.
 func segmentNumbers(names []string) []uint64 {
 	var numbers []uint64
 	for _, name := range names {
--- a/internal/replica/member/identity.go
+++ b/internal/replica/member/identity.go
@@ -1,6 +1,6 @@
-// Package member keeps who a replica is: its name and the nonce of its disk. A
-// replica that lost its disk gets another nonce, so it never votes as the one
-// that it was.
+// Package member stores the identity of a replica in its data folder and locks the
+// folder. An identity consists of the name of the replica and a random nonce. A
+// replica that lost its disk gets a new nonce, so it never votes under its old identity.
 package member
 
 import (
@@ -16,7 +16,7 @@
 	"gypsumreel/internal/replica/disk"
 )
 
-// IdentityFile is the name of the identity in the data folder.
+// IdentityFile is the name of the identity file in the data folder.
 const IdentityFile = "identity"
 
 const (
@@ -25,64 +25,66 @@
 	nonceSize        = 8
 )
 
-// ErrNoIdentity means that a data folder holds no identity: it is new, or its disk is.
+// ErrNoIdentity means that a data folder holds no identity. Either the replica is
+// new, or its disk was replaced or is not mounted.
 var ErrNoIdentity = errors.New("the data folder holds no identity")
 
-// ErrIdentityMismatch means that a data folder belongs to another cell or replica than
-// the settings name.
+// ErrIdentityMismatch means that a data folder belongs to a different cell or replica
+// than the settings specify.
 var ErrIdentityMismatch = errors.New("the data folder belongs to another replica")
 
-// ErrIdentityExists means that an identity is to be made where there is one.
-var ErrIdentityExists = errors.New("the data folder holds an identity already")
+// ErrIdentityExists means that Create was called on a data folder that already holds
+// an identity.
+var ErrIdentityExists = errors.New("the data folder already holds an identity")
 
-// Identity is who the owner of a data folder is.
+// Identity identifies the replica that owns a data folder.
 type Identity struct {
 	Cell string `json:"cell"`
 	Name string `json:"name"`
-	// Nonce was drawn when the data folder was made.
+	// Nonce is a random hexadecimal number, generated when the identity was created.
 	Nonce string `json:"nonce"`
 }
 
-// ID returns NAME/NONCE, as the control group knows the replica.
+// ID returns NAME/NONCE, the replica ID in the consensus group.
 func (i Identity) ID() string { return i.Name + "/" + i.Nonce }
 
-// identityContent is the layout of the file.
+// identityContent is the JSON content of the identity file.
 type identityContent struct {
 	Version int `json:"version"`
 	Identity
 }
 
-// Store is the place of an identity.
+// Store reads and writes the identity in a data folder.
 type Store struct {
 	// Dir is the data folder.
 	Dir string
-	// Disk is the disk to use; the operating system's when nil.
+	// Disk holds the files. When nil, the file system of the operating system is used.
 	Disk disk.Disk
 }
 
-// Create gives a new data folder an identity, with a nonce drawn from random, and
-// makes it lasting. It refuses a folder that holds one.
+// Create writes a durable identity to a new data folder, with a nonce read from
+// random. It returns ErrIdentityExists if the folder already holds an identity.
 func (s Store) Create(cell, name string, random io.Reader) (Identity, error) {
 	if err := validateNames(cell, name); err != nil {
 		return Identity{}, err
 	}
 	d := s.disk()
 	if err := d.CreateFolder(s.Dir); err != nil {
-		return Identity{}, errors.Wrap(err, "make an identity")
+		return Identity{}, errors.Wrap(err, "create the identity")
 	}
 	if _, err := d.Read(s.path()); !errors.Is(err, disk.ErrNotExist) {
 		return Identity{}, errors.CombineErrors(errors.Wrap(ErrIdentityExists, s.Dir), err)
 	}
 	nonce := make([]byte, nonceSize)
 	if _, err := io.ReadFull(random, nonce); err != nil {
-		return Identity{}, errors.Wrap(err, "draw a nonce")
+		return Identity{}, errors.Wrap(err, "generate a nonce")
 	}
 	id := Identity{Cell: cell, Name: name, Nonce: hex.EncodeToString(nonce)}
-	return id, errors.Wrap(s.writeIdentity(id), "make an identity")
+	return id, errors.Wrap(s.writeIdentity(id), "create the identity")
 }
 
-// Load returns the identity of a data folder, ErrNone when it has none, and
-// ErrForeign when it is not that of the cell and replica named.
+// Load returns the identity of a data folder. The error is ErrNoIdentity if there is
+// none, and ErrIdentityMismatch if it belongs to a different cell or replica name.
 func (s Store) Load(cell, name string) (Identity, error) {
 	b, err := s.disk().Read(s.path())
 	if errors.Is(err, disk.ErrNotExist) {
@@ -91,7 +93,7 @@
 	if err != nil {
 		return Identity{}, errors.Wrap(err, "load the identity")
 	}
-	// A Make that was killed before its last step may have left the name unsynced.
+	// An interrupted Create may have renamed the file without syncing the folder.
 	if err := s.disk().SyncFolder(s.Dir); err != nil {
 		return Identity{}, errors.Wrap(err, "load the identity")
 	}
@@ -110,7 +112,7 @@
 	return c.Identity, nil
 }
 
-// writeIdentity makes the identity lasting in one step.
+// writeIdentity writes the identity file atomically and makes it durable.
 func (s Store) writeIdentity(id Identity) error {
 	b, err := json.MarshalIndent(identityContent{formatVersion, id}, "", "  ")
 	if err != nil {
@@ -142,10 +144,11 @@
 
 func (s Store) path() string { return filepath.Join(s.Dir, IdentityFile) }
 
-// validateNames refuses names that could not be told apart in an ID.
+// validateNames rejects empty names and a replica name with a slash, which separates
+// the name from the nonce in an ID.
 func validateNames(cell, name string) error {
 	if cell == "" || name == "" || strings.Contains(name, "/") {
-		return fmt.Errorf("replica %q of cell %q: both need a name, that of the replica without a slash", name, cell)
+		return fmt.Errorf("replica %q of cell %q: both names must be set, and the replica name must not contain a slash", name, cell)
 	}
 	return nil
 }
--- a/internal/replica/member/identity_test.go
+++ b/internal/replica/member/identity_test.go
@@ -39,12 +39,12 @@
 		t.Fatal(err)
 	}
 	if _, err := s.Load("cell", "a"); err == nil || errors.Is(err, member.ErrNoIdentity) {
-		t.Error("a damaged identity must be a refusal of its own:", err)
+		t.Error("a truncated identity file must give an error other than ErrNoIdentity, got:", err)
 	}
 }
 
-// An operator starts a replica twice by mistake. Two processes that append to one
-// journal would destroy it, so the second must not start.
+// An operator starts a replica twice by mistake. The second process must not get the
+// lock, because two processes that append to one journal would corrupt it.
 func TestSecondLockIsRejected(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "data")
 	l, err := member.AcquireLock(dir)
@@ -63,8 +63,9 @@
 	_ = l.Release()
 }
 
-// The machine loses power while a replica is made. Afterwards the folder holds no
-// identity or the one that was made, and always that one once Make has returned.
+// The machine loses power while an identity is created. Afterwards the folder holds
+// either no identity or the complete new one. Once Create has returned, it always
+// holds the new one.
 func TestIdentityCreationIsAtomic(t *testing.T) {
 	for operation := 1; ; operation++ {
 		for _, fault := range []disk.Fault{disk.CrashBefore, disk.CrashDuring} {
@@ -84,11 +85,11 @@
 				reloaded, _ := s.Load("cell", "a")
 				switch {
 				case err == nil && (loadErr != nil || loaded != created):
-					t.Fatalf("operation %d: %v, %v", operation, loaded, loadErr)
+					t.Fatalf("operation %d: Load after Create returned %v, %v", operation, loaded, loadErr)
 				case loadErr != nil && !errors.Is(loadErr, member.ErrNoIdentity):
-					t.Fatalf("operation %d: %v", operation, loadErr)
+					t.Fatalf("operation %d: Load returned %v, want ErrNoIdentity", operation, loadErr)
 				case loaded != reloaded:
-					t.Fatalf("operation %d: shown once and then lost: %v", operation, loaded)
+					t.Fatalf("operation %d: loaded %v, but %v after another crash", operation, loaded, reloaded)
 				}
 				if err == nil && outcome == disk.SecondHalfKept {
 					return
--- a/internal/replica/member/lock.go
+++ b/internal/replica/member/lock.go
@@ -8,17 +8,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// LockFile is the name of the lock in the data folder.
+// LockFile is the name of the lock file in the data folder.
 const LockFile = "lock"
 
-// ErrLocked means that another process has the data folder in use.
+// ErrLocked means that another process uses the data folder.
 var ErrLocked = errors.New("the data folder is in use by another process")
 
-// Lock is the sole right to use a data folder. The system takes it away from a
-// process that ends in whatever way, so nothing is left to clean up.
+// Lock is an exclusive lock on a data folder. The operating system releases it when
+// the process ends for any reason, so no stale lock remains.
 type Lock struct{ file *os.File }
 
-// AcquireLock locks a data folder, making it when it is not there.
+// AcquireLock locks a data folder and creates the folder if it does not exist. It
+// returns ErrLocked if another process holds the lock.
 func AcquireLock(dir string) (*Lock, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, errors.Wrap(err, "lock the data folder")
@@ -37,5 +38,5 @@
 	return &Lock{f}, nil
 }
 
-// Release gives the folder free.
+// Release releases the lock on the data folder.
 func (l *Lock) Release() error { return l.file.Close() }
--- a/internal/replica/snapshot/snapshot.go
+++ b/internal/replica/snapshot/snapshot.go
@@ -1,4 +1,4 @@
-// Package snapshot keeps the newest snapshot of a replica's ledger on its disk.
+// Package snapshot stores the newest snapshot of a replica's ledger on disk.
 package snapshot
 
 import (
@@ -16,11 +16,11 @@
 	"gypsumreel/internal/replica/wire"
 )
 
-// A snapshot file is
+// A snapshot file has this layout:
 //
 //	magic | version fixed32 | checksum fixed64 | meta length fixed32 | meta | state
 //
-// where the checksum is the XXH64 of all that follows it.
+// The checksum is the XXH64 hash of everything after it.
 const (
 	magic            = "GRSN"
 	formatVersion    = 1
@@ -29,7 +29,7 @@
 	unfinishedSuffix = ".unfinished"
 )
 
-// Fields of the meta message, in protobuf's wire format.
+// Field numbers of the meta message and its members, in the protobuf wire format.
 const (
 	fieldIndex  protowire.Number = 1
 	fieldTerm   protowire.Number = 2
@@ -40,50 +40,50 @@
 	fieldLearner protowire.Number = 3
 )
 
-// ErrDiskFull means that the disk has no room; what was saved before is untouched.
+// ErrDiskFull means that the disk has no free space. Earlier snapshots are unchanged.
 var ErrDiskFull = disk.ErrDiskFull
 
-// Meta says what a snapshot stands for: the log up to Index.
+// Meta describes a snapshot, which replaces the log up to and including Index.
 type Meta struct {
 	Index   uint64
 	Term    uint64
 	Members []quorum.Member
 }
 
-// CorruptionError means that the newest snapshot is no longer readable. The journal
-// before it is gone, so the replica must not start.
+// CorruptionError means that the newest snapshot is no longer readable. The log that
+// it replaces has been compacted, so the replica must not start.
 type CorruptionError struct {
 	File   string
 	Reason string
 }
 
-// Error tells the place and the way out.
+// Error returns the file, the reason and the steps for the operator.
 func (e *CorruptionError) Error() string {
-	return fmt.Sprintf("%s is damaged: %s; the log before it was dropped, so this replica must not go on under its identity: "+
+	return fmt.Sprintf("%s is damaged: %s; the log that it replaces was removed, so this replica must not continue under its identity: "+
 		"move the data folder aside, start with an empty one and add the replica again (docs/operate/storage.md)", e.File, e.Reason)
 }
 
-// VersionError means that a snapshot was written by a release with another format.
+// VersionError means that a snapshot was written by a release with a different format version.
 type VersionError struct {
 	File        string
 	FileVersion uint32
 }
 
-// Error tells both versions and the way out.
+// Error returns both versions and the steps for the operator.
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("%s has format version %d, this release reads %d: start the release that wrote it (docs/operate/storage.md)",
 		e.File, e.FileVersion, formatVersion)
 }
 
-// Store is the folder of a replica's snapshots. One goroutine uses it at a time.
+// Store holds the snapshots of a replica in a folder. It is not safe for concurrent use.
 type Store struct {
 	Dir string
-	// Disk is the disk to use; the operating system's when nil.
+	// Disk holds the files. When nil, the file system of the operating system is used.
 	Disk disk.Disk
 }
 
-// Save makes a snapshot lasting and then removes the older ones. On an error the
-// older ones are still there, and the log must not be compacted.
+// Save writes a durable snapshot and then removes the older ones. If the write fails,
+// the older snapshots remain. After any error the caller must not compact the log.
 func (s Store) Save(meta Meta, state []byte) error {
 	d := s.disk()
 	if err := d.CreateFolder(s.Dir); err != nil {
@@ -91,7 +91,7 @@
 	}
 	path := s.path(meta.Index)
 	if err := writeSyncedFile(d, path+unfinishedSuffix, encodeSnapshot(meta, state)); err != nil {
-		// Best effort: what is left is overwritten or removed by the next save.
+		// An error is ignored because the next Save overwrites or removes the file.
 		_ = d.Remove(path + unfinishedSuffix)
 		return errors.Wrap(err, "save a snapshot")
 	}
@@ -104,16 +104,17 @@
 	return errors.Wrap(s.removeOtherFiles(filepath.Base(path)), "remove old snapshots")
 }
 
-// Load returns the newest snapshot, with Index 0 when there is none. What an
-// interrupted Save left is passed over. A damaged newest one is a DamageError,
-// never passed over in favour of an older one: the log between may be gone.
+// Load returns the newest snapshot, or a Meta with Index 0 if there is none. It
+// ignores the files of an interrupted Save. If the newest snapshot is corrupted,
+// Load returns a CorruptionError. It does not fall back to an older snapshot, because
+// the log entries between the two may have been compacted.
 func (s Store) Load() (Meta, []byte, error) {
 	d := s.disk()
 	if err := d.CreateFolder(s.Dir); err != nil {
 		return Meta{}, nil, errors.Wrap(err, "load a snapshot")
 	}
-	// A Save that was killed before its last step may have renamed the file
-	// without making that last; nothing may be built on it until it does.
+	// An interrupted Save may have renamed the file without syncing the folder. The
+	// rename must be durable before the caller relies on the snapshot.
 	if err := d.SyncFolder(s.Dir); err != nil {
 		return Meta{}, nil, errors.Wrap(err, "load a snapshot")
 	}
@@ -137,12 +138,12 @@
 	}
 	meta, state, err := decodeSnapshot(path, b)
 	if err == nil && s.path(meta.Index) != path {
-		err = &CorruptionError{File: path, Reason: "it holds another index than its name says"}
+		err = &CorruptionError{File: path, Reason: "the index in the file does not match the file name"}
 	}
 	return meta, state, errors.Wrap(err, "load a snapshot")
 }
 
-// removeOtherFiles removes all files but the one kept.
+// removeOtherFiles removes all snapshots and unfinished files except keptName.
 func (s Store) removeOtherFiles(keptName string) error {
 	d := s.disk()
 	names, err := d.List(s.Dir)
@@ -171,7 +172,8 @@
 	return filepath.Join(s.Dir, fmt.Sprintf("%016x%s", index, snapshotSuffix))
 }
 
-// writeSyncedFile makes a file with its content lasting; its name is not yet.
+// writeSyncedFile writes a file and syncs its content. The folder is not synced, so
+// a crash may still lose the file.
 func writeSyncedFile(d disk.Disk, path string, b []byte) error {
 	f, err := d.Create(path)
 	if err != nil {
@@ -212,14 +214,14 @@
 
 func decodeSnapshot(path string, b []byte) (Meta, []byte, error) {
 	if len(b) < headerSize+4 || string(b[:len(magic)]) != magic {
-		return Meta{}, nil, &CorruptionError{File: path, Reason: "not a snapshot"}
+		return Meta{}, nil, &CorruptionError{File: path, Reason: "not a snapshot file"}
 	}
 	if v := binary.LittleEndian.Uint32(b[len(magic):]); v != formatVersion {
 		return Meta{}, nil, &VersionError{File: path, FileVersion: v}
 	}
 	rest := b[headerSize:]
 	if xxhash.Sum64(rest) != binary.LittleEndian.Uint64(b[8:]) {
-		return Meta{}, nil, &CorruptionError{File: path, Reason: "its checksum does not fit"}
+		return Meta{}, nil, &CorruptionError{File: path, Reason: "checksum mismatch"}
 	}
 	metaSize := uint64(binary.LittleEndian.Uint32(rest))
 	rest = rest[4:]
--- a/internal/replica/snapshot/snapshot_test.go
+++ b/internal/replica/snapshot/snapshot_test.go
@@ -35,12 +35,12 @@
 		}
 	}
 	if files, _ := filepath.Glob(filepath.Join(s.Dir, "*")); len(files) != 1 {
-		t.Errorf("left are %v", files)
+		t.Errorf("files after the second Save: %v, want one", files)
 	}
 }
 
-// A replica's only snapshot has gone bad. Starting as if there were none would
-// make it a blank replica that votes under an old name.
+// The only snapshot of a replica is corrupted or truncated. Load must fail. If it
+// reported no snapshot, the replica would vote under its old identity with an empty log.
 func TestLoadRejectsCorruption(t *testing.T) {
 	s := snapshot.Store{Dir: t.TempDir()}
 	if err := s.Save(testMeta, []byte("state")); err != nil {
@@ -61,6 +61,6 @@
 	}
 	_ = os.WriteFile(files[0], intact[:len(intact)/2], 0o600)
 	if _, _, err := s.Load(); err == nil {
-		t.Error("half a snapshot was accepted")
+		t.Error("Load accepted a snapshot that was truncated to half its size")
 	}
 }
