--- a/internal/replica/disk/crash_test.go
+++ b/internal/replica/disk/crash_test.go
@@ -38,14 +38,14 @@
 // crashedReplica is a replica whose disk has crashed during the script.
 type crashedReplica struct {
 	crashPoint
-	replica *replica
+	replica *testReplica
 }
 
 // runUntilCrash runs the script until the crash point. It reports whether the crash
 // happened before the script ended.
 func runUntilCrash(t *testing.T, p crashPoint) (*crashedReplica, bool) {
 	t.Helper()
-	r := &replica{segmentSize: p.segmentSize, disk: &disk.Memory{InjectFault: faultAt(p.operation, p.fault)}}
+	r := &testReplica{segmentSize: p.segmentSize, disk: &disk.Memory{InjectFault: faultAt(p.operation, p.fault)}}
 	err := r.runScript()
 	if err != nil && r.disk.OperationCount() < p.operation {
 		t.Fatalf("%+v: script failed before the crash: %v", p, err)
@@ -55,8 +55,8 @@
 
 // restart returns a copy of the replica whose disk was restarted with one outcome of
 // the crash.
-func (c *crashedReplica) restart(o disk.CrashOutcome) *replica {
-	r := &replica{segmentSize: c.segmentSize, disk: c.replica.disk.Clone(), history: c.replica.history}
+func (c *crashedReplica) restart(o disk.CrashOutcome) *testReplica {
+	r := &testReplica{segmentSize: c.segmentSize, disk: c.replica.disk.Clone(), history: c.replica.history}
 	r.disk.Restart(o)
 	return r
 }
@@ -127,7 +127,7 @@
 
 // testScenario opens a restarted replica, follows the scenario, appends and syncs, and
 // checks that a power loss does not lose the synced data.
-func testScenario(t *testing.T, r *replica, scenario restartScenario, description string) {
+func testScenario(t *testing.T, r *testReplica, scenario restartScenario, description string) {
 	t.Helper()
 	r.segmentSize = scenario.segmentSize
 	got, meta, err := r.open()
@@ -157,7 +157,7 @@
 // testSecondCrash crashes a replica again at the given operation of its recovery and
 // checks the next recovery. It returns the number of cases, or 0 if the recovery
 // has fewer operations.
-func testSecondCrash(t *testing.T, r *replica, operation int, fault disk.Fault, description string) int {
+func testSecondCrash(t *testing.T, r *testReplica, operation int, fault disk.Fault, description string) int {
 	t.Helper()
 	r.disk.InjectFault = faultAt(r.disk.OperationCount()+operation, fault)
 	if _, _, err := r.open(); err == nil {
@@ -174,7 +174,7 @@
 
 // checkRecovery fails the test if the recovery returned an error or a state that the
 // history does not allow.
-func checkRecovery(t *testing.T, r *replica, got journal.Recovered, meta snapshot.Meta, err error, description string) {
+func checkRecovery(t *testing.T, r *testReplica, got journal.Recovered, meta snapshot.Meta, err error, description string) {
 	t.Helper()
 	must(t, description, err)
 	must(t, description, r.verify(got, meta))
@@ -194,7 +194,7 @@
 	t.Parallel()
 	for operation := 1; ; operation++ {
 		for _, outcome := range disk.CrashOutcomes {
-			r := &replica{segmentSize: smallSegment, disk: &disk.Memory{InjectFault: faultAt(operation, disk.IOError)}}
+			r := &testReplica{segmentSize: smallSegment, disk: &disk.Memory{InjectFault: faultAt(operation, disk.IOError)}}
 			err := r.runScript()
 			if r.disk.OperationCount() < operation {
 				t.Logf("%d operations", operation-1)
@@ -270,7 +270,7 @@
 // the crash happened.
 func runWithShortage(t *testing.T, s shortage, crashAt int) (refusals int, crashed bool) {
 	t.Helper()
-	r := &replica{segmentSize: s.segmentSize, disk: &disk.Memory{}}
+	r := &testReplica{segmentSize: s.segmentSize, disk: &disk.Memory{}}
 	r.disk.InjectFault = func(n int, op disk.Operation, _ string) disk.Fault {
 		switch {
 		case n == crashAt:
@@ -305,13 +305,13 @@
 // runStep runs a step. If the step was rejected, it also tries a small append, which
 // may still fit. It returns the error of the step, or that of the append if the
 // append broke the journal.
-func (r *replica) runStep(s step) error {
+func (r *testReplica) runStep(s scriptStep) error {
 	err := s.run(r)
 	if !disk.IsRetryable(err) {
 		return err
 	}
-	hard := r.history.newestState().HardState
-	if appendErr := r.journal.Append(&hard, nil); appendErr != nil && !disk.IsRetryable(appendErr) {
+	hardState := r.history.newestState().HardState
+	if appendErr := r.journal.Append(&hardState, nil); appendErr != nil && !disk.IsRetryable(appendErr) {
 		return appendErr
 	}
 	return err
--- a/internal/replica/disk/memory.go
+++ b/internal/replica/disk/memory.go
@@ -135,37 +135,37 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	clones := map[*inode]*inode{nil: nil}
-	cloneInode := func(n *inode) *inode {
-		if _, ok := clones[n]; !ok {
-			clones[n] = &inode{data: slices.Clone(n.data), synced: slices.Clone(n.synced), syncFailed: n.syncFailed}
+	cloneInode := func(file *inode) *inode {
+		if _, ok := clones[file]; !ok {
+			clones[file] = &inode{data: slices.Clone(file.data), synced: slices.Clone(file.synced), syncFailed: file.syncFailed}
 		}
-		return clones[n]
+		return clones[file]
 	}
-	c := &Memory{FreeBytes: m.FreeBytes, operations: m.operations, crashed: m.crashed, files: map[string]*inode{}, syncedFiles: map[string]*inode{}}
-	for name, n := range m.files {
-		c.files[name] = cloneInode(n)
+	clone := &Memory{FreeBytes: m.FreeBytes, operations: m.operations, crashed: m.crashed, files: map[string]*inode{}, syncedFiles: map[string]*inode{}}
+	for name, file := range m.files {
+		clone.files[name] = cloneInode(file)
 	}
-	for name, n := range m.syncedFiles {
-		c.syncedFiles[name] = cloneInode(n)
+	for name, file := range m.syncedFiles {
+		clone.syncedFiles[name] = cloneInode(file)
 	}
-	for _, p := range m.unsyncedChanges {
-		c.unsyncedChanges = append(c.unsyncedChanges, nameChange{name: p.name, target: cloneInode(p.target), oldName: p.oldName})
+	for _, change := range m.unsyncedChanges {
+		clone.unsyncedChanges = append(clone.unsyncedChanges, nameChange{name: change.name, target: cloneInode(change.target), oldName: change.oldName})
 	}
-	return c
+	return clone
 }
 
 // Restart makes the disk usable again after a crash and applies the outcome. On a disk
 // that has not crashed it simulates a crash. Files opened before must not be used
 // afterwards.
-func (m *Memory) Restart(o CrashOutcome) {
+func (m *Memory) Restart(outcome CrashOutcome) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.crashed = false
-	if o == ProcessKilled {
+	if outcome == ProcessKilled {
 		return
 	}
 	surviving := m.unsyncedChanges
-	switch o {
+	switch outcome {
 	case AllLost, NamesLost:
 		surviving = nil
 	case FirstHalfKept:
@@ -173,27 +173,27 @@
 	case SecondHalfKept:
 		surviving = surviving[len(surviving)/2:]
 	}
-	for _, c := range surviving {
-		applyChange(m.syncedFiles, c)
+	for _, change := range surviving {
+		applyChange(m.syncedFiles, change)
 	}
 	m.unsyncedChanges = nil
 	m.files = map[string]*inode{}
-	for name, n := range m.syncedFiles {
-		n.data = n.contentAfterCrash(o)
-		n.synced = slices.Clone(n.data)
-		n.syncFailed = false
-		m.files[name] = n
+	for name, file := range m.syncedFiles {
+		file.data = file.contentAfterCrash(outcome)
+		file.synced = slices.Clone(file.data)
+		file.syncFailed = false
+		m.files[name] = file
 	}
 }
 
 // contentAfterCrash returns the content that the file has after a crash.
-func (n *inode) contentAfterCrash(o CrashOutcome) []byte {
+func (n *inode) contentAfterCrash(outcome CrashOutcome) []byte {
 	commonPrefix := 0
 	for commonPrefix < min(len(n.data), len(n.synced)) && n.data[commonPrefix] == n.synced[commonPrefix] {
 		commonPrefix++
 	}
 	middle := commonPrefix + (len(n.data)-commonPrefix)/2
-	switch o {
+	switch outcome {
 	case AllLost, ContentsLost:
 		return n.synced
 	case FirstHalfKept:
@@ -247,18 +247,18 @@
 
 // changeName applies a name change to the visible files. A sync of the folder makes
 // it durable.
-func (m *Memory) changeName(c nameChange) {
-	applyChange(m.files, c)
-	m.unsyncedChanges = append(m.unsyncedChanges, c)
+func (m *Memory) changeName(change nameChange) {
+	applyChange(m.files, change)
+	m.unsyncedChanges = append(m.unsyncedChanges, change)
 }
 
-func applyChange(names map[string]*inode, c nameChange) {
-	delete(names, c.oldName)
-	if c.target == nil {
-		delete(names, c.name)
+func applyChange(files map[string]*inode, change nameChange) {
+	delete(files, change.oldName)
+	if change.target == nil {
+		delete(files, change.name)
 		return
 	}
-	names[c.name] = c.target
+	files[change.name] = change.target
 }
 
 // Create creates an empty file or truncates the existing one.
@@ -269,41 +269,41 @@
 	if err != nil {
 		return nil, err
 	}
-	n := m.files[name]
-	if n == nil {
-		n = &inode{}
-		m.changeName(nameChange{name: name, target: n})
+	file := m.files[name]
+	if file == nil {
+		file = &inode{}
+		m.changeName(nameChange{name: name, target: file})
 	}
-	n.data = nil
-	return &memoryFile{m, n, name}, operationError(fault)
+	file.data = nil
+	return &memoryFile{m, file, name}, operationError(fault)
 }
 
 // Open opens an existing file for writing.
 func (m *Memory) Open(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := m.files[name]
+	file := m.files[name]
 	if m.crashed {
 		return nil, ErrCrashed
 	}
-	if n == nil {
+	if file == nil {
 		return nil, ErrNotExist
 	}
-	return &memoryFile{m, n, name}, nil
+	return &memoryFile{m, file, name}, nil
 }
 
 // Read returns the whole content of a file.
 func (m *Memory) Read(name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := m.files[name]
+	file := m.files[name]
 	if m.crashed {
 		return nil, ErrCrashed
 	}
-	if n == nil {
+	if file == nil {
 		return nil, ErrNotExist
 	}
-	return slices.Clone(n.data), nil
+	return slices.Clone(file.data), nil
 }
 
 // List returns the sorted base names of the files in a folder.
@@ -331,11 +331,11 @@
 	if err != nil {
 		return err
 	}
-	n := m.files[from]
-	if n == nil {
+	file := m.files[from]
+	if file == nil {
 		return ErrNotExist
 	}
-	m.changeName(nameChange{name: to, target: n, oldName: from})
+	m.changeName(nameChange{name: to, target: file, oldName: from})
 	return operationError(fault)
 }
 
@@ -366,12 +366,12 @@
 		return err
 	}
 	var remaining []nameChange
-	for _, c := range m.unsyncedChanges {
-		if strings.HasPrefix(c.name, dir+string(filepath.Separator)) {
-			applyChange(m.syncedFiles, c)
+	for _, change := range m.unsyncedChanges {
+		if strings.HasPrefix(change.name, dir+string(filepath.Separator)) {
+			applyChange(m.syncedFiles, change)
 			continue
 		}
-		remaining = append(remaining, c)
+		remaining = append(remaining, change)
 	}
 	m.unsyncedChanges = remaining
 	return operationError(fault)
--- a/internal/replica/disk/replica_test.go
+++ b/internal/replica/disk/replica_test.go
@@ -40,19 +40,19 @@
 func (h *history) newestState() journal.Recovered { return h.states[len(h.states)-1] }
 
 // addAppend adds the state of the journal after an append.
-func (h *history) addAppend(hard *quorum.Hard, entries []quorum.Entry) {
-	next := h.newestState()
-	if hard != nil {
-		next.HardState = *hard
+func (h *history) addAppend(hardState *quorum.Hard, entries []quorum.Entry) {
+	state := h.newestState()
+	if hardState != nil {
+		state.HardState = *hardState
 	}
 	for _, e := range entries {
-		next.Entries = append(append([]quorum.Entry(nil), next.Entries[:e.Index-1]...), e)
+		state.Entries = append(append([]quorum.Entry(nil), state.Entries[:e.Index-1]...), e)
 	}
-	h.states = append(h.states, next)
+	h.states = append(h.states, state)
 }
 
-// replica uses a journal and a snapshot store on one disk in the same way as package group.
-type replica struct {
+// testReplica uses a journal and a snapshot store on one disk in the same way as package group.
+type testReplica struct {
 	disk    *disk.Memory
 	history history
 	journal *journal.Journal
@@ -62,38 +62,38 @@
 	savingSnapshot bool
 }
 
-func (r *replica) config() journal.Config {
+func (r *testReplica) config() journal.Config {
 	return journal.Config{Disk: r.disk, SegmentSize: r.segmentSize, Preallocation: preallocation}
 }
 
-func (r *replica) store() snapshot.Store { return snapshot.Store{Dir: snapshotDir, Disk: r.disk} }
+func (r *testReplica) store() snapshot.Store { return snapshot.Store{Dir: snapshotDir, Disk: r.disk} }
 
-// step is one storage operation of the script.
-type step struct {
+// scriptStep is one storage operation of the script.
+type scriptStep struct {
 	name string
-	run  func(r *replica) error
+	run  func(r *testReplica) error
 }
 
 // appendStep appends a hard state and the entries with the indexes first to last.
-func appendStep(term, first, last uint64) step {
-	return step{fmt.Sprintf("append %d to %d", first, last), func(r *replica) error {
-		hard := quorum.Hard{Term: term, Vote: fmt.Sprintf("vote of %d", term)}
+func appendStep(term, first, last uint64) scriptStep {
+	return scriptStep{fmt.Sprintf("append %d to %d", first, last), func(r *testReplica) error {
+		hardState := quorum.Hard{Term: term, Vote: fmt.Sprintf("vote of %d", term)}
 		var entries []quorum.Entry
 		for i := first; i <= last; i++ {
 			entries = append(entries, quorum.Entry{Index: i, Term: term, Kind: quorum.Command, Data: fmt.Appendf(nil, "data of %d/%d", term, i)})
 		}
-		n := len(r.history.states)
-		r.history.addAppend(&hard, entries)
-		err := r.journal.Append(&hard, entries)
+		stateCount := len(r.history.states)
+		r.history.addAppend(&hardState, entries)
+		err := r.journal.Append(&hardState, entries)
 		if disk.IsRetryable(err) {
-			r.history.states = r.history.states[:n]
+			r.history.states = r.history.states[:stateCount]
 		}
 		return err
 	}}
 }
 
 // syncStep syncs the journal.
-var syncStep = step{"sync", func(r *replica) error {
+var syncStep = scriptStep{"sync", func(r *testReplica) error {
 	err := r.journal.Sync()
 	if err == nil {
 		r.history.oldestAllowed = len(r.history.states) - 1
@@ -102,8 +102,8 @@
 }}
 
 // snapshotStep saves a snapshot and compacts the log up to its index.
-func snapshotStep(index uint64) step {
-	return step{fmt.Sprintf("snapshot of %d", index), func(r *replica) error {
+func snapshotStep(index uint64) scriptStep {
+	return scriptStep{fmt.Sprintf("snapshot of %d", index), func(r *testReplica) error {
 		r.history.snapshotStarted, r.savingSnapshot = index, true
 		if err := r.store().Save(snapshot.Meta{Index: index, Term: 1}, fmt.Appendf(nil, "state at %d", index)); err != nil {
 			return err
@@ -115,15 +115,15 @@
 
 // script covers segment rollover, replaced entries at the end of the log, snapshots
 // in the middle and at the end of the log, and a close.
-var script = []step{
+var script = []scriptStep{
 	appendStep(1, 1, 2), syncStep, appendStep(1, 3, 6), syncStep, appendStep(1, 7, 9), appendStep(1, 10, 11), syncStep,
 	snapshotStep(7), appendStep(1, 12, 14), syncStep, appendStep(2, 13, 15), syncStep, snapshotStep(15),
 	appendStep(2, 16, 18), syncStep, appendStep(3, 17, 17), syncStep, snapshotStep(16), appendStep(3, 18, 19),
-	{"close", func(r *replica) error { return r.journal.Close() }},
+	{"close", func(r *testReplica) error { return r.journal.Close() }},
 }
 
 // open loads the snapshot and opens the journal.
-func (r *replica) open() (journal.Recovered, snapshot.Meta, error) {
+func (r *testReplica) open() (journal.Recovered, snapshot.Meta, error) {
 	meta, state, err := r.store().Load()
 	if err != nil {
 		return journal.Recovered{}, meta, err
@@ -137,7 +137,7 @@
 }
 
 // runScript runs the script until a step fails.
-func (r *replica) runScript() error {
+func (r *testReplica) runScript() error {
 	r.history.states = []journal.Recovered{{}}
 	if _, _, err := r.open(); err != nil {
 		return err
@@ -152,7 +152,7 @@
 
 // verify returns an error if the recovered journal or snapshot is not one that the
 // history allows.
-func (r *replica) verify(got journal.Recovered, meta snapshot.Meta) error {
+func (r *testReplica) verify(got journal.Recovered, meta snapshot.Meta) error {
 	if meta.Index < r.history.snapshotSaved || meta.Index > r.history.snapshotStarted {
 		return errors.Newf("recovered the snapshot with index %d, want at least %d (saved) and at most %d (started)", meta.Index, r.history.snapshotSaved, r.history.snapshotStarted)
 	}
--- a/internal/replica/journal/fuzz_test.go
+++ b/internal/replica/journal/fuzz_test.go
@@ -21,22 +21,22 @@
 		must(t, err)
 		_, err = file.WriteAt(b, 0)
 		must(t, err)
-		c := journal.Config{Disk: memoryDisk, Preallocation: 100}
-		j, first, err := c.Open("/j")
+		config := journal.Config{Disk: memoryDisk, Preallocation: 100}
+		j, recovered, err := config.Open("/j")
 		if err != nil {
 			return
 		}
 		next := quorum.Entry{Index: 1, Term: 9}
-		if n := len(first.Entries); n > 0 {
-			next.Index = first.Entries[n-1].Index + 1
+		if n := len(recovered.Entries); n > 0 {
+			next.Index = recovered.Entries[n-1].Index + 1
 		}
 		must(t, j.Append(nil, []quorum.Entry{next}))
 		must(t, j.Sync())
 		memoryDisk.Restart(disk.AllLost)
-		_, second, err := c.Open("/j")
+		_, recoveredAgain, err := config.Open("/j")
 		must(t, err)
-		first.Entries, first.TornTail = append(first.Entries, next), false
-		if diff := cmp.Diff(first, second, cmpopts.EquateEmpty()); diff != "" {
+		recovered.Entries, recovered.TornTail = append(recovered.Entries, next), false
+		if diff := cmp.Diff(recovered, recoveredAgain, cmpopts.EquateEmpty()); diff != "" {
 			t.Error(diff)
 		}
 	})
--- a/internal/replica/journal/journal.go
+++ b/internal/replica/journal/journal.go
@@ -156,20 +156,20 @@
 		j.segments = j.segments[:len(j.segments)-1]
 		return j.createSegment(segmentNumber)
 	}
-	f, err := j.disk.Open(path)
+	file, err := j.disk.Open(path)
 	if err != nil {
 		return err
 	}
 	if newest.validSize < newest.fileSize {
-		err = f.Truncate(newest.validSize)
+		err = file.Truncate(newest.validSize)
 	}
 	// The recovered data may still be in the page cache only, left by a process that
 	// died before its sync. The caller relies on this data, so it is synced now.
-	err = errors.CombineErrors(err, f.Sync())
+	err = errors.CombineErrors(err, file.Sync())
 	if err = errors.CombineErrors(err, j.disk.SyncFolder(j.dir)); err != nil {
-		return errors.CombineErrors(err, f.Close())
+		return errors.CombineErrors(err, file.Close())
 	}
-	j.file, j.dataSize, j.syncedSize, j.allocatedSize = f, newest.validSize, newest.validSize, newest.validSize
+	j.file, j.dataSize, j.syncedSize, j.allocatedSize = file, newest.validSize, newest.validSize, newest.validSize
 	return nil
 }
 
@@ -236,14 +236,14 @@
 // encodeFrames appends the frames for a hard state and entries to b.
 func (j *Journal) encodeFrames(b []byte, hardState *quorum.Hard, entries []quorum.Entry, resetLog bool) []byte {
 	for first := true; first || len(entries) > 0; first = false {
-		n, size := 0, 0
-		for n < len(entries) && (n == 0 || size+len(entries[n].Data) <= maxFrameData) {
-			size += len(entries[n].Data)
-			n++
+		count, frameData := 0, 0
+		for count < len(entries) && (count == 0 || frameData+len(entries[count].Data) <= maxFrameData) {
+			frameData += len(entries[count].Data)
+			count++
 		}
-		r := record{syncedSize: uint64(j.syncedSize), hardState: hardState, entries: entries[:n], resetLog: resetLog}
-		b = appendFrame(b, j.segments.newest().number, j.dataSize+int64(len(b)), r)
-		hardState, entries, resetLog = nil, entries[n:], false
+		rec := record{syncedSize: uint64(j.syncedSize), hardState: hardState, entries: entries[:count], resetLog: resetLog}
+		b = appendFrame(b, j.segments.newest().number, j.dataSize+int64(len(b)), rec)
+		hardState, entries, resetLog = nil, entries[count:], false
 	}
 	return b
 }
@@ -251,14 +251,14 @@
 // writeFrames appends b to the newest segment. When b exceeds the preallocated
 // space, zeros are written after it as new preallocation. If the disk has no room
 // for these zeros, b is written without them.
-func (j *Journal) writeFrames(b []byte) error {
-	if j.dataSize+int64(len(b)) > j.allocatedSize && len(j.zeroPadding) > 0 {
-		written, err := j.writeAtEnd(append(b, j.zeroPadding...), len(b))
+func (j *Journal) writeFrames(frames []byte) error {
+	if j.dataSize+int64(len(frames)) > j.allocatedSize && len(j.zeroPadding) > 0 {
+		written, err := j.writeAtEnd(append(frames, j.zeroPadding...), len(frames))
 		if written || !errors.Is(err, ErrDiskFull) {
 			return err
 		}
 	}
-	_, err := j.writeAtEnd(b, len(b))
+	_, err := j.writeAtEnd(frames, len(frames))
 	return err
 }
 
--- a/internal/replica/journal/journal_test.go
+++ b/internal/replica/journal/journal_test.go
@@ -82,26 +82,26 @@
 	dir := t.TempDir()
 	c := journal.Config{SegmentSize: 200}
 	j, _ := openJournal(t, c, dir)
-	hard := quorum.Hard{Term: 3, Vote: "b/2"}
-	must(t, j.Append(&hard, nil))
+	hardState := quorum.Hard{Term: 3, Vote: "b/2"}
+	must(t, j.Append(&hardState, nil))
 	for i := uint64(1); i <= 20; i++ {
 		must(t, j.Append(nil, entriesOfTerm(3, i, i)))
 	}
 	must(t, j.Compact(12))
 	must(t, j.Close())
 	j, r := openJournal(t, c, dir)
-	first := r.Entries[0].Index
-	if first == 1 || first > 13 {
-		t.Errorf("the first entry after the compaction is %d, want 2 to 13", first)
+	firstIndex := r.Entries[0].Index
+	if firstIndex == 1 || firstIndex > 13 {
+		t.Errorf("the first entry after the compaction is %d, want 2 to 13", firstIndex)
 	}
-	if diff := cmp.Diff(journal.Recovered{HardState: hard, Entries: entriesOfTerm(3, first, 20)}, r); diff != "" {
+	if diff := cmp.Diff(journal.Recovered{HardState: hardState, Entries: entriesOfTerm(3, firstIndex, 20)}, r); diff != "" {
 		t.Fatal(diff)
 	}
 	must(t, j.Compact(100))
 	must(t, j.Append(nil, entriesOfTerm(3, 101, 102)))
 	must(t, j.Close())
 	_, r = openJournal(t, c, dir)
-	if diff := cmp.Diff(journal.Recovered{HardState: hard, Entries: entriesOfTerm(3, 101, 102)}, r); diff != "" {
+	if diff := cmp.Diff(journal.Recovered{HardState: hardState, Entries: entriesOfTerm(3, 101, 102)}, r); diff != "" {
 		t.Fatal(diff)
 	}
 }
--- a/internal/replica/journal/recover.go
+++ b/internal/replica/journal/recover.go
@@ -54,20 +54,20 @@
 // readSegment adds the content of one segment to the recovered state. In the last
 // segment, the remains of an interrupted write at the end are reported as a torn
 // tail. All other unreadable data is an error.
-func (r *segmentReader) readSegment(path string, segmentNumber uint64, b []byte, last bool) (segmentScan, error) {
+func (r *segmentReader) readSegment(path string, segmentNumber uint64, b []byte, isNewest bool) (segmentScan, error) {
 	r.segments = r.segments.withSegment(segmentNumber)
-	headerComplete, err := checkHeader(path, b, last)
+	headerComplete, err := checkHeader(path, b, isNewest)
 	if err != nil {
 		return segmentScan{}, err
 	}
 	if !headerComplete {
-		return checkTail(path, segmentNumber, b, 0, last)
+		return checkTail(path, segmentNumber, b, 0, isNewest)
 	}
 	off := int64(headerSize)
 	for off < int64(len(b)) || off == headerSize {
 		body, next, ok := frameAt(b, segmentNumber, off)
 		if !ok {
-			return checkTail(path, segmentNumber, b, off, last)
+			return checkTail(path, segmentNumber, b, off, isNewest)
 		}
 		rec, err := decodeRecord(body)
 		if err != nil {
@@ -86,7 +86,7 @@
 
 // checkHeader reports whether the header is complete. In the last segment the
 // header may never have been synced, and then it is missing, partial or zero.
-func checkHeader(path string, b []byte, last bool) (complete bool, err error) {
+func checkHeader(path string, b []byte, isNewest bool) (complete bool, err error) {
 	head := b[:min(len(b), headerSize)]
 	if len(head) == headerSize && string(head[:len(magic)]) == magic {
 		if v := binary.LittleEndian.Uint32(head[len(magic):]); v != formatVersion {
@@ -95,7 +95,7 @@
 		return true, nil
 	}
 	neverSynced := bytes.HasPrefix(segmentHeader(), head) || len(bytes.Trim(head, "\x00")) == 0
-	if last && neverSynced {
+	if isNewest && neverSynced {
 		return false, nil
 	}
 	return false, &CorruptionError{File: path, Reason: "not a journal segment"}
@@ -105,8 +105,8 @@
 // corruption. Each frame records the size that was synced before the frame was
 // written. If a later frame records a synced size beyond the offset, the data there
 // was synced and has been corrupted. Otherwise it is a torn tail.
-func checkTail(path string, segmentNumber uint64, b []byte, off int64, last bool) (segmentScan, error) {
-	if !last {
+func checkTail(path string, segmentNumber uint64, b []byte, off int64, isNewest bool) (segmentScan, error) {
+	if !isNewest {
 		return segmentScan{}, &CorruptionError{File: path, Offset: off, Reason: "incomplete frame in a segment that is not the newest"}
 	}
 	markerBytes := protowire.AppendFixed32(nil, frameMarker)
--- a/internal/replica/journal/roll.go
+++ b/internal/replica/journal/roll.go
@@ -86,34 +86,34 @@
 // it the one that is appended to. On failure the previous segment stays in use.
 func (j *Journal) createSegment(segmentNumber uint64) error {
 	path := segmentPath(j.dir, segmentNumber)
-	f, err := j.disk.Create(path)
+	file, err := j.disk.Create(path)
 	if err != nil {
 		return err // no file was created
 	}
 	b := appendFrame(segmentHeader(), segmentNumber, headerSize, record{hardState: &j.hardState})
-	if _, err = f.WriteAt(b, 0); err == nil {
-		err = f.Sync()
+	if _, err = file.WriteAt(b, 0); err == nil {
+		err = file.Sync()
 	}
 	if err == nil {
 		err = j.disk.SyncFolder(j.dir)
 	}
 	if err != nil {
-		return j.discardSegment(f, path, err)
+		return j.discardSegment(file, path, err)
 	}
 	if j.file != nil {
 		// An error is ignored because the data of this file is already synced.
 		_ = j.file.Close()
 	}
-	n := int64(len(b))
-	j.file, j.dataSize, j.syncedSize, j.allocatedSize = f, n, n, n
-	j.rollSize, j.failedRolls = max(j.segmentSize, n), 0
+	size := int64(len(b))
+	j.file, j.dataSize, j.syncedSize, j.allocatedSize = file, size, size, size
+	j.rollSize, j.failedRolls = max(j.segmentSize, size), 0
 	j.segments = j.segments.withSegment(segmentNumber)
 	return nil
 }
 
 // discardSegment removes an incomplete new segment. syncRemoval makes the removal durable.
-func (j *Journal) discardSegment(f disk.File, path string, cause error) error {
-	if err := errors.CombineErrors(f.Close(), j.disk.Remove(path)); err != nil {
+func (j *Journal) discardSegment(file disk.File, path string, cause error) error {
+	if err := errors.CombineErrors(file.Close(), j.disk.Remove(path)); err != nil {
 		return errors.Newf("%v; removing the incomplete segment failed: %v", cause, err)
 	}
 	j.removalUnsynced = true
--- a/internal/replica/journal/segment.go
+++ b/internal/replica/journal/segment.go
@@ -28,11 +28,11 @@
 
 // withSegment returns the segments with a new one appended that has no entries.
 func (s segments) withSegment(number uint64) segments {
-	next := segment{number: number}
+	added := segment{number: number}
 	if len(s) > 0 {
-		next.lastIndex = s[len(s)-1].lastIndex
+		added.lastIndex = s[len(s)-1].lastIndex
 	}
-	return append(s, next)
+	return append(s, added)
 }
 
 // recordEntry records that an entry was appended to the newest segment. The entry
