--- a/internal/replica/disk/memory.go
+++ b/internal/replica/disk/memory.go
@@ -12,7 +12,7 @@
 // Operation is an operation that changes a disk or syncs a change.
 type Operation uint8
 
-// The operations.
+// The operations of a Memory disk that are counted and can fail.
 const (
 	Create Operation = iota + 1
 	Write
@@ -25,7 +25,7 @@
 
 var operationNames = [...]string{"none", "create", "write", "truncate", "sync", "rename", "remove", "sync folder"}
 
-// String returns the name of the operation.
+// String implements fmt.Stringer.
 func (o Operation) String() string { return operationNames[o] }
 
 // Fault is a fault that is injected into an operation of a Memory disk.
@@ -33,7 +33,7 @@
 
 // The faults that can be injected.
 const (
-	// NoFault means no fault.
+	// NoFault lets the operation succeed.
 	NoFault Fault = iota
 	// CrashBefore crashes the disk before the operation takes effect.
 	CrashBefore
@@ -98,7 +98,7 @@
 	crashed    bool
 	// files maps the visible file names to their contents.
 	files map[string]*inode
-	// syncedFiles maps the file names that survive any crash to their contents.
+	// syncedFiles maps the file names as of the last folder sync to their contents.
 	syncedFiles map[string]*inode
 	// unsyncedChanges are the name changes since the last sync of their folder, oldest first.
 	unsyncedChanges []nameChange
@@ -108,7 +108,7 @@
 type inode struct {
 	// data is the visible content.
 	data []byte
-	// synced is the content that survives any crash.
+	// synced is the content as of the last successful sync.
 	synced []byte
 	// syncFailed reports that a sync failed, so that later syncs have no effect.
 	syncFailed bool
@@ -252,6 +252,7 @@
 	m.unsyncedChanges = append(m.unsyncedChanges, change)
 }
 
+// applyChange applies a name change to a map of file names.
 func applyChange(files map[string]*inode, change nameChange) {
 	delete(files, change.oldName)
 	if change.target == nil {
--- a/internal/replica/journal/journal.go
+++ b/internal/replica/journal/journal.go
@@ -57,7 +57,8 @@
 	syncMu sync.Mutex
 	mu     sync.Mutex
 	// brokenErr is the first error after which the content of the disk is unknown.
-	// Once set it is never cleared, and every later Append, Sync and Compact returns it.
+	// Close sets it too. Once set it is never cleared, and every later Append, Sync and
+	// Compact returns it.
 	brokenErr error
 	segments  segments
 	// file is the newest segment. Its frames end at dataSize, and the bytes up to
@@ -68,7 +69,8 @@
 	// allocatedSize is the length of the file. The bytes from dataSize on are zeros.
 	allocatedSize int64
 	hardState     quorum.Hard
-	lastIndex     uint64
+	// lastIndex is the index of the last entry, 0 if there is none.
+	lastIndex uint64
 	// rollSize is the size at which the next segment is created.
 	rollSize int64
 	// failedRolls counts the failed attempts to create the next segment.
@@ -248,9 +250,9 @@
 	return b
 }
 
-// writeFrames appends b to the newest segment. When b exceeds the preallocated
-// space, zeros are written after it as new preallocation. If the disk has no room
-// for these zeros, b is written without them.
+// writeFrames appends encoded frames to the newest segment. When they exceed the
+// preallocated space, zeros are written after them as new preallocation. If the disk
+// has no room for these zeros, the frames are written without them.
 func (j *Journal) writeFrames(frames []byte) error {
 	if j.dataSize+int64(len(frames)) > j.allocatedSize && len(j.zeroPadding) > 0 {
 		written, err := j.writeAtEnd(append(frames, j.zeroPadding...), len(frames))
--- a/internal/replica/journal/journal_test.go
+++ b/internal/replica/journal/journal_test.go
@@ -65,9 +65,9 @@
 	j, _ := openJournal(t, journal.Config{}, t.TempDir())
 	must(t, j.Append(nil, entriesOfTerm(1, 7, 9)))
 	for name, entries := range map[string][]quorum.Entry{
-		"after the last": entriesOfTerm(1, 11, 11),
-		"inside":         append(entriesOfTerm(1, 10, 10), entriesOfTerm(1, 12, 12)...),
-		"index 0":        {{Term: 1}},
+		"gap before the first entry": entriesOfTerm(1, 11, 11),
+		"gap between two entries":    append(entriesOfTerm(1, 10, 10), entriesOfTerm(1, 12, 12)...),
+		"index 0":                    {{Term: 1}},
 	} {
 		if err := j.Append(nil, entries); !errors.Is(err, journal.ErrIndexGap) {
 			t.Errorf("%s: %v", name, err)
--- a/internal/replica/journal/recover.go
+++ b/internal/replica/journal/recover.go
@@ -51,7 +51,7 @@
 	return protowire.AppendFixed32([]byte(magic), formatVersion)
 }
 
-// readSegment adds the content of one segment to the recovered state. In the last
+// readSegment adds the content of one segment to the recovered state. In the newest
 // segment, the remains of an interrupted write at the end are reported as a torn
 // tail. All other unreadable data is an error.
 func (r *segmentReader) readSegment(path string, segmentNumber uint64, b []byte, isNewest bool) (segmentScan, error) {
@@ -84,7 +84,7 @@
 	return segmentScan{validSize: off}, nil
 }
 
-// checkHeader reports whether the header is complete. In the last segment the
+// checkHeader reports whether the header is complete. In the newest segment the
 // header may never have been synced, and then it is missing, partial or zero.
 func checkHeader(path string, b []byte, isNewest bool) (complete bool, err error) {
 	head := b[:min(len(b), headerSize)]
--- a/internal/replica/journal/roll_test.go
+++ b/internal/replica/journal/roll_test.go
@@ -13,7 +13,7 @@
 // open. The journal must continue in the newest segment, because a failed append
 // would end the replica.
 func TestFailedSegmentCreationIsPostponed(t *testing.T) {
-	for name, fault := range map[string]disk.Fault{"no file": disk.TooManyFiles, "full": disk.DiskFull} {
+	for name, fault := range map[string]disk.Fault{"too many files": disk.TooManyFiles, "disk full": disk.DiskFull} {
 		t.Run(name, func(t *testing.T) {
 			memoryDisk := &disk.Memory{}
 			var postponements int
--- a/internal/replica/snapshot/snapshot.go
+++ b/internal/replica/snapshot/snapshot.go
@@ -77,6 +77,7 @@
 
 // Store holds the snapshots of a replica in a folder. It is not safe for concurrent use.
 type Store struct {
+	// Dir is the folder of the snapshot files.
 	Dir string
 	// Disk holds the files. When nil, the file system of the operating system is used.
 	Disk disk.Disk
