--- a/internal/replica/group/bench_test.go
+++ b/internal/replica/group/bench_test.go
@@ -109,7 +109,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-g.Notes():
+		case n := <-g.Notifications():
 			switch n := n.(type) {
 			case group.Lead:
 				term, next, committed = n.Term, n.Last+1, n.Last
@@ -316,7 +316,7 @@
 			go func() {
 				for {
 					select {
-					case <-g.Notes():
+					case <-g.Notifications():
 					case <-g.Done():
 						return
 					}
--- a/internal/replica/group/fake_test.go
+++ b/internal/replica/group/fake_test.go
@@ -184,7 +184,7 @@
 		select {
 		case <-r.g.Done():
 			return
-		case n := <-r.g.Notes():
+		case n := <-r.g.Notifications():
 			r.take(n)
 		}
 	}
--- a/internal/replica/group/group.go
+++ b/internal/replica/group/group.go
@@ -153,8 +153,8 @@
 	return g.done
 }
 
-// Notes are what the control thread has to know, in order.
-func (g *Group) Notes() <-chan Note {
+// Notifications are what the control thread has to know, in order.
+func (g *Group) Notifications() <-chan Note {
 	g.init()
 	return g.notes.out
 }
@@ -171,8 +171,8 @@
 	}
 }
 
-// Confirm asks for a heartbeat round that begins now or later.
-func (g *Group) Confirm() {
+// ConfirmLeadership asks for a heartbeat round that begins now or later.
+func (g *Group) ConfirmLeadership() {
 	g.init()
 	select {
 	case g.confirms <- struct{}{}:
--- a/internal/replica/group/group_test.go
+++ b/internal/replica/group/group_test.go
@@ -247,7 +247,7 @@
 		r.Reload()
 		var got []string
 		for len(got) == 0 || got[len(got)-1] != "group.Lead" {
-			got = append(got, fmt.Sprintf("%T", <-r.Notes()))
+			got = append(got, fmt.Sprintf("%T", <-r.Notifications()))
 		}
 		want := []string{"group.Follow", "group.Follow", "group.Members", "group.Restore", "group.Apply", "group.Lead"}
 		if d := cmp.Diff(want, got); d != "" {
