--- a/internal/replica/disk/memory.go
+++ b/internal/replica/disk/memory.go
@@ -9,12 +9,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Op is an operation that changes a disk or makes a change last.
-type Op uint8
+// Operation is an operation that changes a disk or syncs a change.
+type Operation uint8
 
-// The operations.
+// The operations of a Memory disk that are counted and can fail.
 const (
-	Create Op = iota + 1
+	Create Operation = iota + 1
 	Write
 	Truncate
 	Sync
@@ -23,276 +23,291 @@
 	SyncFolder
 )
 
-var opNames = [...]string{"none", "create", "write", "truncate", "sync", "rename", "remove", "sync folder"}
+var operationNames = [...]string{"none", "create", "write", "truncate", "sync", "rename", "remove", "sync folder"}
 
-// String returns the name of the operation.
-func (o Op) String() string { return opNames[o] }
+// String implements fmt.Stringer.
+func (o Operation) String() string { return operationNames[o] }
 
-// Fault is what goes wrong at an operation of a Memory disk.
+// Fault is a fault that is injected into an operation of a Memory disk.
 type Fault uint8
 
-// The faults.
+// The faults that can be injected.
 const (
-	// Well means no fault.
-	Well Fault = iota
-	// Crash ends everything before the operation.
-	Crash
-	// CrashTorn ends everything in the middle of the operation.
-	CrashTorn
-	// Full refuses the operation for lack of room; half of a write is done.
-	Full
-	// NoFile refuses the operation, which opens a file, since none can be opened.
-	NoFile
-	// Broken fails the operation. A sync that fails loses the data: later syncs
-	// of the file succeed without it, as on common systems.
-	Broken
+	// NoFault lets the operation succeed.
+	NoFault Fault = iota
+	// CrashBefore crashes the disk before the operation takes effect.
+	CrashBefore
+	// CrashDuring crashes the disk during the operation. Half of a write is done, and
+	// any other operation is done completely.
+	CrashDuring
+	// DiskFull fails the operation with ErrDiskFull. Half of a write is done.
+	DiskFull
+	// TooManyFiles fails an operation that opens a file with ErrTooManyFiles.
+	TooManyFiles
+	// IOError fails the operation with an I/O error. If a sync fails, the unsynced
+	// data is lost, and later syncs of the file succeed without it, as on common
+	// operating systems.
+	IOError
 )
 
-// Outcome is what a crash does to changes that were not synced.
-type Outcome uint8
+// CrashOutcome selects which unsynced changes survive a crash.
+type CrashOutcome uint8
 
 // The outcomes of a crash.
 const (
-	// Killed ends the process only: everything is still seen, and still not synced.
-	Killed Outcome = iota
-	// Lost loses everything that was not synced.
-	Lost
-	// Kept keeps everything, as if synced.
-	Kept
-	// NamesLost keeps contents but no creation, renaming or removal.
+	// ProcessKilled ends only the process. All changes stay visible and stay unsynced.
+	ProcessKilled CrashOutcome = iota
+	// AllLost loses all unsynced changes.
+	AllLost
+	// AllKept keeps all changes as if they had been synced.
+	AllKept
+	// NamesLost keeps unsynced file contents but loses unsynced creations, renames and removals.
 	NamesLost
-	// ContentsLost keeps names but no contents.
+	// ContentsLost keeps unsynced creations, renames and removals but loses unsynced
+	// file contents.
 	ContentsLost
-	// Half keeps the first half of contents and of name changes.
-	Half
-	// Hole keeps, of contents and of name changes, only the second half; contents
-	// have zeros before it.
-	Hole
+	// FirstHalfKept keeps the first half of the unsynced bytes of each file and the
+	// first half of the unsynced name changes.
+	FirstHalfKept
+	// SecondHalfKept keeps the second half of the unsynced bytes of each file, with
+	// zeros in place of the first half, and the second half of the unsynced name changes.
+	SecondHalfKept
 )
 
-// Outcomes are all outcomes of a crash.
-var Outcomes = []Outcome{Killed, Lost, Kept, NamesLost, ContentsLost, Half, Hole}
+// CrashOutcomes lists all outcomes of a crash.
+var CrashOutcomes = []CrashOutcome{ProcessKilled, AllLost, AllKept, NamesLost, ContentsLost, FirstHalfKept, SecondHalfKept}
 
-// ErrCrashed is what every operation returns after a crash, until Restart.
+// ErrCrashed is returned by every operation from a crash until Restart.
 var ErrCrashed = errors.New("the disk has crashed")
 
-// errBroken is what a broken operation returns.
-var errBroken = errors.New("input/output error")
+// errIO is the error of an operation with the fault IOError.
+var errIO = errors.New("input/output error")
 
-// Memory is a disk in memory that goes wrong on request, to test what rests on
-// a Disk. Folders need not be made.
+// Memory is an in-memory Disk with fault injection for tests. Folders need not be
+// created before use.
 type Memory struct {
-	// Inject is asked before the operation with this count, from 1; it is not
-	// asked when nil.
-	Inject func(n int, op Op, name string) Fault
-	// Room is what Free returns.
-	Room uint64
-
-	mu      sync.Mutex
-	count   int
-	crashed bool
-	names   map[string]*node
-	stable  map[string]*node
-	pending []change
+	// InjectFault, if set, is called before each operation and returns the fault to
+	// inject. n is the number of the operation, counted from 1.
+	InjectFault func(n int, op Operation, name string) Fault
+	// FreeBytes is the free space that Free returns.
+	FreeBytes uint64
+
+	mu sync.Mutex
+	// operations counts the operations that were started.
+	operations int
+	crashed    bool
+	// files maps the visible file names to their contents.
+	files map[string]*inode
+	// syncedFiles maps the file names as of the last folder sync to their contents.
+	syncedFiles map[string]*inode
+	// unsyncedChanges are the name changes since the last sync of their folder, oldest first.
+	unsyncedChanges []nameChange
 }
 
-// node is the content of a file.
-type node struct {
-	data   []byte
-	stable []byte
-	// lost is set by a failed sync.
-	lost bool
+// inode is the content of a file.
+type inode struct {
+	// data is the visible content.
+	data []byte
+	// synced is the content as of the last successful sync.
+	synced []byte
+	// syncFailed reports that a sync failed, so that later syncs have no effect.
+	syncFailed bool
 }
 
-// change is a change of a name that is not synced: to nil for a removal, and
-// with the name that a renaming takes away.
-type change struct {
+// nameChange is the creation, rename or removal of a file.
+type nameChange struct {
 	name string
-	to   *node
-	gone string
+	// target is the file with the name after the change, nil for a removal.
+	target *inode
+	// oldName is the name that a rename removes, empty for other changes.
+	oldName string
 }
 
-// Count returns how many operations were begun.
-func (m *Memory) Count() int {
+// OperationCount returns the number of operations that were started.
+func (m *Memory) OperationCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.count
+	return m.operations
 }
 
-// Clone returns a disk in the same state, without Inject and without open files.
+// Clone returns a copy of the disk without InjectFault and without open files.
 func (m *Memory) Clone() *Memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	copies := map[*node]*node{nil: nil}
-	copied := func(n *node) *node {
-		if _, ok := copies[n]; !ok {
-			copies[n] = &node{data: slices.Clone(n.data), stable: slices.Clone(n.stable), lost: n.lost}
+	clones := map[*inode]*inode{nil: nil}
+	cloneInode := func(file *inode) *inode {
+		if _, ok := clones[file]; !ok {
+			clones[file] = &inode{data: slices.Clone(file.data), synced: slices.Clone(file.synced), syncFailed: file.syncFailed}
 		}
-		return copies[n]
+		return clones[file]
 	}
-	c := &Memory{Room: m.Room, count: m.count, crashed: m.crashed, names: map[string]*node{}, stable: map[string]*node{}}
-	for name, n := range m.names {
-		c.names[name] = copied(n)
+	clone := &Memory{FreeBytes: m.FreeBytes, operations: m.operations, crashed: m.crashed, files: map[string]*inode{}, syncedFiles: map[string]*inode{}}
+	for name, file := range m.files {
+		clone.files[name] = cloneInode(file)
 	}
-	for name, n := range m.stable {
-		c.stable[name] = copied(n)
+	for name, file := range m.syncedFiles {
+		clone.syncedFiles[name] = cloneInode(file)
 	}
-	for _, p := range m.pending {
-		c.pending = append(c.pending, change{name: p.name, to: copied(p.to), gone: p.gone})
+	for _, change := range m.unsyncedChanges {
+		clone.unsyncedChanges = append(clone.unsyncedChanges, nameChange{name: change.name, target: cloneInode(change.target), oldName: change.oldName})
 	}
-	return c
+	return clone
 }
 
-// Restart ends a crash, or makes one, with the outcome given. Files that were
-// open before must not be used any more.
-func (m *Memory) Restart(o Outcome) {
+// Restart makes the disk usable again after a crash and applies the outcome. On a disk
+// that has not crashed it simulates a crash. Files opened before must not be used
+// afterwards.
+func (m *Memory) Restart(outcome CrashOutcome) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.crashed = false
-	if o == Killed {
+	if outcome == ProcessKilled {
 		return
 	}
-	kept := m.pending
-	switch o {
-	case Lost, NamesLost:
-		kept = nil
-	case Half:
-		kept = kept[:(len(kept)+1)/2]
-	case Hole:
-		kept = kept[len(kept)/2:]
+	surviving := m.unsyncedChanges
+	switch outcome {
+	case AllLost, NamesLost:
+		surviving = nil
+	case FirstHalfKept:
+		surviving = surviving[:(len(surviving)+1)/2]
+	case SecondHalfKept:
+		surviving = surviving[len(surviving)/2:]
 	}
-	for _, c := range kept {
-		set(m.stable, c)
+	for _, change := range surviving {
+		applyChange(m.syncedFiles, change)
 	}
-	m.pending = nil
-	m.names = map[string]*node{}
-	for name, n := range m.stable {
-		n.data = n.after(o)
-		n.stable = slices.Clone(n.data)
-		n.lost = false
-		m.names[name] = n
+	m.unsyncedChanges = nil
+	m.files = map[string]*inode{}
+	for name, file := range m.syncedFiles {
+		file.data = file.contentAfterCrash(outcome)
+		file.synced = slices.Clone(file.data)
+		file.syncFailed = false
+		m.files[name] = file
 	}
 }
 
-// after returns the content that a crash leaves.
-func (n *node) after(o Outcome) []byte {
-	same := 0
-	for same < min(len(n.data), len(n.stable)) && n.data[same] == n.stable[same] {
-		same++
+// contentAfterCrash returns the content that the file has after a crash.
+func (n *inode) contentAfterCrash(outcome CrashOutcome) []byte {
+	commonPrefix := 0
+	for commonPrefix < min(len(n.data), len(n.synced)) && n.data[commonPrefix] == n.synced[commonPrefix] {
+		commonPrefix++
 	}
-	half := same + (len(n.data)-same)/2
-	switch o {
-	case Lost, ContentsLost:
-		return n.stable
-	case Half:
-		return slices.Clone(n.data[:half])
-	case Hole:
+	middle := commonPrefix + (len(n.data)-commonPrefix)/2
+	switch outcome {
+	case AllLost, ContentsLost:
+		return n.synced
+	case FirstHalfKept:
+		return slices.Clone(n.data[:middle])
+	case SecondHalfKept:
 		b := slices.Clone(n.data)
-		clear(b[same:half])
+		clear(b[commonPrefix:middle])
 		return b
 	}
 	return n.data
 }
 
-// begin counts an operation and asks for its fault.
-func (m *Memory) begin(op Op, name string) (Fault, error) {
-	if m.names == nil {
-		m.names, m.stable = map[string]*node{}, map[string]*node{}
+// beginOperation counts an operation and returns its injected fault. It returns an
+// error for each fault except CrashDuring, whose operation still takes effect.
+func (m *Memory) beginOperation(op Operation, name string) (Fault, error) {
+	if m.files == nil {
+		m.files, m.syncedFiles = map[string]*inode{}, map[string]*inode{}
 	}
 	if m.crashed {
-		return Crash, ErrCrashed
+		return CrashBefore, ErrCrashed
 	}
-	m.count++
-	fault := Well
-	if m.Inject != nil {
-		fault = m.Inject(m.count, op, name)
+	m.operations++
+	fault := NoFault
+	if m.InjectFault != nil {
+		fault = m.InjectFault(m.operations, op, name)
 	}
 	switch fault {
-	case Crash:
+	case CrashBefore:
 		m.crashed = true
 		return fault, ErrCrashed
-	case CrashTorn:
+	case CrashDuring:
 		m.crashed = true
 		return fault, nil
-	case Full:
-		return fault, errors.Mark(errors.New("no space left on device"), ErrFull)
-	case NoFile:
-		return fault, errors.Mark(errors.New("too many open files"), ErrNoFile)
-	case Broken:
-		return fault, errBroken
+	case DiskFull:
+		return fault, errors.Mark(errors.New("no space left on device"), ErrDiskFull)
+	case TooManyFiles:
+		return fault, errors.Mark(errors.New("too many open files"), ErrTooManyFiles)
+	case IOError:
+		return fault, errIO
 	}
 	return fault, nil
 }
 
-// end returns the error of an operation that was done in spite of its fault.
-func end(f Fault) error {
-	if f == CrashTorn {
+// operationError returns the error of an operation that took effect despite its fault.
+func operationError(fault Fault) error {
+	if fault == CrashDuring {
 		return ErrCrashed
 	}
 	return nil
 }
 
-// change changes a name, until a sync of its folder only in what is seen.
-func (m *Memory) change(c change) {
-	set(m.names, c)
-	m.pending = append(m.pending, c)
+// changeName applies a name change to the visible files. A sync of the folder makes
+// it durable.
+func (m *Memory) changeName(change nameChange) {
+	applyChange(m.files, change)
+	m.unsyncedChanges = append(m.unsyncedChanges, change)
 }
 
-func set(names map[string]*node, c change) {
-	delete(names, c.gone)
-	if c.to == nil {
-		delete(names, c.name)
+// applyChange applies a name change to a map of file names.
+func applyChange(files map[string]*inode, change nameChange) {
+	delete(files, change.oldName)
+	if change.target == nil {
+		delete(files, change.name)
 		return
 	}
-	names[c.name] = c.to
+	files[change.name] = change.target
 }
 
-// Create makes an empty file, or empties the one that exists.
+// Create creates an empty file or truncates the existing one.
 func (m *Memory) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f, err := m.begin(Create, name)
+	fault, err := m.beginOperation(Create, name)
 	if err != nil {
 		return nil, err
 	}
-	n := m.names[name]
-	if n == nil {
-		n = &node{}
-		m.change(change{name: name, to: n})
+	file := m.files[name]
+	if file == nil {
+		file = &inode{}
+		m.changeName(nameChange{name: name, target: file})
 	}
-	n.data = nil
-	return &memoryFile{m, n, name}, end(f)
+	file.data = nil
+	return &memoryFile{m, file, name}, operationError(fault)
 }
 
 // Open opens an existing file for writing.
 func (m *Memory) Open(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := m.names[name]
+	file := m.files[name]
 	if m.crashed {
 		return nil, ErrCrashed
 	}
-	if n == nil {
-		return nil, ErrMissing
+	if file == nil {
+		return nil, ErrNotExist
 	}
-	return &memoryFile{m, n, name}, nil
+	return &memoryFile{m, file, name}, nil
 }
 
 // Read returns the whole content of a file.
 func (m *Memory) Read(name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := m.names[name]
+	file := m.files[name]
 	if m.crashed {
 		return nil, ErrCrashed
 	}
-	if n == nil {
-		return nil, ErrMissing
+	if file == nil {
+		return nil, ErrNotExist
 	}
-	return slices.Clone(n.data), nil
+	return slices.Clone(file.data), nil
 }
 
-// List returns the names of the files in a folder, sorted.
+// List returns the sorted base names of the files in a folder.
 func (m *Memory) List(dir string) ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -300,7 +315,7 @@
 		return nil, ErrCrashed
 	}
 	var names []string
-	for name := range m.names {
+	for name := range m.files {
 		if filepath.Dir(name) == dir {
 			names = append(names, filepath.Base(name))
 		}
@@ -309,59 +324,59 @@
 	return names, nil
 }
 
-// Rename puts a file under a new name in one step.
+// Rename renames a file atomically and replaces an existing file of the new name.
 func (m *Memory) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f, err := m.begin(Rename, from)
+	fault, err := m.beginOperation(Rename, from)
 	if err != nil {
 		return err
 	}
-	n := m.names[from]
-	if n == nil {
-		return ErrMissing
+	file := m.files[from]
+	if file == nil {
+		return ErrNotExist
 	}
-	m.change(change{name: to, to: n, gone: from})
-	return end(f)
+	m.changeName(nameChange{name: to, target: file, oldName: from})
+	return operationError(fault)
 }
 
 // Remove deletes a file.
 func (m *Memory) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f, err := m.begin(Remove, name)
+	fault, err := m.beginOperation(Remove, name)
 	if err != nil {
 		return err
 	}
-	if m.names[name] == nil {
-		return ErrMissing
+	if m.files[name] == nil {
+		return ErrNotExist
 	}
-	m.change(change{name: name})
-	return end(f)
+	m.changeName(nameChange{name: name})
+	return operationError(fault)
 }
 
-// Folder does nothing: folders need not be made.
-func (m *Memory) Folder(string) error { return nil }
+// CreateFolder does nothing, because a Memory disk needs no folders.
+func (m *Memory) CreateFolder(string) error { return nil }
 
-// SyncFolder makes the changes of names in a folder last.
+// SyncFolder makes the name changes in a folder durable.
 func (m *Memory) SyncFolder(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f, err := m.begin(SyncFolder, dir)
+	fault, err := m.beginOperation(SyncFolder, dir)
 	if err != nil {
 		return err
 	}
-	var other []change
-	for _, c := range m.pending {
-		if strings.HasPrefix(c.name, dir+string(filepath.Separator)) {
-			set(m.stable, c)
+	var remaining []nameChange
+	for _, change := range m.unsyncedChanges {
+		if strings.HasPrefix(change.name, dir+string(filepath.Separator)) {
+			applyChange(m.syncedFiles, change)
 			continue
 		}
-		other = append(other, c)
+		remaining = append(remaining, change)
 	}
-	m.pending = other
-	return end(f)
+	m.unsyncedChanges = remaining
+	return operationError(fault)
 }
 
-// Free returns Room.
-func (m *Memory) Free(string) (uint64, error) { return m.Room, nil }
+// Free returns FreeBytes.
+func (m *Memory) Free(string) (uint64, error) { return m.FreeBytes, nil }
--- a/internal/replica/journal/fuzz_test.go
+++ b/internal/replica/journal/fuzz_test.go
@@ -11,31 +11,32 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// FuzzOpen opens a journal whose newest segment holds any bytes. Either it is
-// refused, or what it shows is shown again after a restart, and it goes on.
+// FuzzOpen opens a journal whose newest segment holds arbitrary bytes. If Open
+// accepts it, an append must succeed, and a restart must recover the same state
+// plus the appended entry.
 func FuzzOpen(f *testing.F) {
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m := &disk.Memory{}
-		file, err := m.Create("/j/0000000000000001.journal")
+		memoryDisk := &disk.Memory{}
+		file, err := memoryDisk.Create("/j/0000000000000001.journal")
 		must(t, err)
 		_, err = file.WriteAt(b, 0)
 		must(t, err)
-		c := journal.Config{Disk: m, Reserve: 100}
-		j, first, err := c.Open("/j")
+		config := journal.Config{Disk: memoryDisk, Preallocation: 100}
+		j, recovered, err := config.Open("/j")
 		if err != nil {
 			return
 		}
 		next := quorum.Entry{Index: 1, Term: 9}
-		if n := len(first.Entries); n > 0 {
-			next.Index = first.Entries[n-1].Index + 1
+		if n := len(recovered.Entries); n > 0 {
+			next.Index = recovered.Entries[n-1].Index + 1
 		}
 		must(t, j.Append(nil, []quorum.Entry{next}))
 		must(t, j.Sync())
-		m.Restart(disk.Lost)
-		_, second, err := c.Open("/j")
+		memoryDisk.Restart(disk.AllLost)
+		_, recoveredAgain, err := config.Open("/j")
 		must(t, err)
-		first.Entries, first.Torn = append(first.Entries, next), false
-		if diff := cmp.Diff(first, second, cmpopts.EquateEmpty()); diff != "" {
+		recovered.Entries, recovered.TornTail = append(recovered.Entries, next), false
+		if diff := cmp.Diff(recovered, recoveredAgain, cmpopts.EquateEmpty()); diff != "" {
 			t.Error(diff)
 		}
 	})
--- a/internal/replica/journal/journal.go
+++ b/internal/replica/journal/journal.go
@@ -1,5 +1,6 @@
-// Package journal keeps the log of a replica on its disk: checksummed frames in
-// segments, synced in groups, cut back to the last whole frame after a crash.
+// Package journal is the write-ahead log of a replica. It stores checksummed
+// frames in segment files and syncs them in batches. After a crash it truncates
+// the log to the last complete frame.
 package journal
 
 import (
@@ -13,98 +14,106 @@
 
 // Sizes in bytes.
 const (
-	// SegmentSize is the size from which on a new segment is begun.
-	SegmentSize = 16 << 20
-	// MaxEntry bounds the data of one entry.
-	MaxEntry = 16 << 20
-	// Reserve is what a segment is lengthened by, in zeros, when it has no room.
-	// Overwriting synced zeros leaves the file's length alone, so that most
-	// syncs need not write it.
-	Reserve = 512 << 10
-	// maxBatch is the size from which on entries go into a further frame.
-	maxBatch = 1 << 20
-	// retryParts is the part of a segment's size that is appended before a segment
-	// that could not be begun is tried again; it doubles with each try.
-	retryParts = 16
+	// DefaultSegmentSize is the size at which the journal rolls over to a new segment.
+	DefaultSegmentSize = 16 << 20
+	// MaxEntrySize is the maximum size of the data of one entry.
+	MaxEntrySize = 16 << 20
+	// DefaultPreallocation is the number of zero bytes that are added to a segment
+	// when its preallocated space is used up. Overwriting synced zeros does not
+	// change the file length, so most syncs need not write file metadata.
+	DefaultPreallocation = 512 << 10
+	// maxFrameData is the maximum amount of entry data in a frame with more than one entry.
+	maxFrameData = 1 << 20
+	// rollRetryDivisor sets the backoff after a failed creation of a segment. The
+	// first retry follows once 1/rollRetryDivisor of the segment size has been
+	// appended. This amount doubles with each failure, at most rollRetryDivisor times.
+	rollRetryDivisor = 16
 )
 
-// Config holds what may differ from the defaults; its zero value is usable.
+// Config holds the settings of a journal. The zero value uses the defaults.
 type Config struct {
-	// Disk is the disk to use; the operating system's when nil.
+	// Disk holds the files. When nil, the file system of the operating system is used.
 	Disk disk.Disk
-	// SegmentSize in bytes; the constant of that name when 0.
+	// SegmentSize is in bytes. 0 means DefaultSegmentSize.
 	SegmentSize int64
-	// Reserve in bytes; the constant of that name when 0, none when negative.
-	Reserve int64
-	// PutOff is told of what could not be done now and is tried again later, and
-	// why; nil for nobody. It must not block.
-	PutOff func(error)
+	// Preallocation is in bytes. 0 means DefaultPreallocation, and a negative value
+	// disables preallocation.
+	Preallocation int64
+	// OnRollPostponed, if set, is called with the error when a new segment could not
+	// be created. The journal retries later. The function must not block.
+	OnRollPostponed func(error)
 }
 
-// Journal is an open journal. Append and Sync may be called at the same time
-// from two goroutines, so that one batch gathers while another is synced.
+// Journal is an open journal. Append and Sync may be called concurrently from two
+// goroutines, so that the next batch is appended while the previous one is synced.
 type Journal struct {
-	disk  disk.Disk
-	dir   string
-	limit int64
-	zeros []byte
-	told  func(error)
+	disk            disk.Disk
+	dir             string
+	segmentSize     int64
+	zeroPadding     []byte
+	onRollPostponed func(error)
 
-	// syncing is held while a file is synced or replaced; taken before mu.
-	syncing sync.Mutex
-	mu      sync.Mutex
-	// broken is set for good by the first failure that leaves the disk unknown.
-	broken   error
-	segments segments
-	file     disk.File
-	size     int64
-	synced   int64
-	// reserved is the length of the file; zeros follow from size on.
-	reserved int64
-	hard     quorum.Hard
-	last     uint64
-	// due is the size from which on the next segment is begun, and puts how often
-	// that was put off.
-	due  int64
-	puts int
-	// stray tells that the removal of a segment that could not be begun may not last.
-	stray bool
-	// floor is the highest index that Compact was given.
-	floor uint64
-	buf   []byte
+	// syncMu is held while the segment file is synced or replaced. It is locked before mu.
+	syncMu sync.Mutex
+	mu     sync.Mutex
+	// brokenErr is the first error after which the content of the disk is unknown.
+	// Close sets it too. Once set it is never cleared, and every later Append, Sync and
+	// Compact returns it.
+	brokenErr error
+	segments  segments
+	// file is the newest segment. Its frames end at dataSize, and the bytes up to
+	// syncedSize are on stable storage.
+	file       disk.File
+	dataSize   int64
+	syncedSize int64
+	// allocatedSize is the length of the file. The bytes from dataSize on are zeros.
+	allocatedSize int64
+	hardState     quorum.Hard
+	// lastIndex is the index of the last entry, 0 if there is none.
+	lastIndex uint64
+	// rollSize is the size at which the next segment is created.
+	rollSize int64
+	// failedRolls counts the failed attempts to create the next segment.
+	failedRolls int
+	// removalUnsynced reports that an incomplete new segment was removed but the
+	// folder has not been synced since, so a crash may restore the file.
+	removalUnsynced bool
+	// compactedIndex is the highest index passed to Compact.
+	compactedIndex uint64
+	frameBuf       []byte
 }
 
-// Open opens the journal in dir with the defaults, making it when there is none.
+// Open opens the journal in dir with the default settings and creates it if it does not exist.
 func Open(dir string) (*Journal, Recovered, error) { return Config{}.Open(dir) }
 
-// Open reads the journal in dir and makes it ready for appending. A torn tail is
-// cut off; damage before it is a DamageError.
+// Open reads the journal in dir and opens it for appending. It truncates a torn
+// tail. Corruption before the tail gives a CorruptionError.
 func (c Config) Open(dir string) (*Journal, Recovered, error) {
-	j := &Journal{disk: c.Disk, dir: dir, limit: c.SegmentSize, told: c.PutOff}
+	j := &Journal{disk: c.Disk, dir: dir, segmentSize: c.SegmentSize, onRollPostponed: c.OnRollPostponed}
 	if j.disk == nil {
-		j.disk = disk.System{}
+		j.disk = disk.OS{}
 	}
-	if j.limit == 0 {
-		j.limit = SegmentSize
+	if j.segmentSize == 0 {
+		j.segmentSize = DefaultSegmentSize
 	}
-	if c.Reserve == 0 {
-		c.Reserve = Reserve
+	if c.Preallocation == 0 {
+		c.Preallocation = DefaultPreallocation
 	}
-	j.due = j.limit
-	if j.told == nil {
-		j.told = func(error) {}
+	j.rollSize = j.segmentSize
+	if j.onRollPostponed == nil {
+		j.onRollPostponed = func(error) {}
 	}
-	j.zeros = make([]byte, max(c.Reserve, 0))
-	r, err := j.recover()
+	j.zeroPadding = make([]byte, max(c.Preallocation, 0))
+	r, err := j.recoverSegments()
 	if err != nil {
 		return nil, Recovered{}, errors.Wrap(err, "open the journal")
 	}
 	return j, r, nil
 }
 
-// recover reads all segments and opens the newest.
-func (j *Journal) recover() (Recovered, error) {
-	if err := j.disk.Folder(j.dir); err != nil {
+// recoverSegments reads all segments and opens the newest one for appending.
+func (j *Journal) recoverSegments() (Recovered, error) {
+	if err := j.disk.CreateFolder(j.dir); err != nil {
 		return Recovered{}, err
 	}
 	names, err := j.disk.List(j.dir)
@@ -112,204 +121,209 @@
 		return Recovered{}, err
 	}
 	numbers := segmentNumbers(names)
-	var r reader
-	var end scan
-	for i, number := range numbers {
-		name := segmentName(j.dir, number)
-		if i > 0 && number != numbers[i-1]+1 {
-			return Recovered{}, &DamageError{File: name, Why: "a segment before it is missing"}
+	var r segmentReader
+	var newest segmentScan
+	for i, segmentNumber := range numbers {
+		path := segmentPath(j.dir, segmentNumber)
+		if i > 0 && segmentNumber != numbers[i-1]+1 {
+			return Recovered{}, &CorruptionError{File: path, Reason: "a segment before it is missing"}
 		}
-		b, err := j.disk.Read(name)
+		b, err := j.disk.Read(path)
 		if err != nil {
 			return Recovered{}, err
 		}
-		if end, err = r.read(name, number, b, i == len(numbers)-1); err != nil {
+		if newest, err = r.readSegment(path, segmentNumber, b, i == len(numbers)-1); err != nil {
 			return Recovered{}, err
 		}
-		end.size = int64(len(b))
+		newest.fileSize = int64(len(b))
 	}
-	j.segments, j.hard = r.segments, r.Hard
+	j.segments, j.hardState = r.segments, r.HardState
 	if n := len(r.Entries); n > 0 {
-		j.last = r.Entries[n-1].Index
+		j.lastIndex = r.Entries[n-1].Index
 	}
-	r.New, r.Torn = len(numbers) == 0, end.torn
-	return r.Recovered, j.reopen(end)
+	r.New, r.TornTail = len(numbers) == 0, newest.tornTail
+	return r.Recovered, j.openNewestSegment(newest)
 }
 
-// reopen opens the newest segment for appending, without its torn tail.
-func (j *Journal) reopen(end scan) error {
+// openNewestSegment opens the newest segment for appending and truncates its torn
+// tail. It creates the first segment when there is none.
+func (j *Journal) openNewestSegment(newest segmentScan) error {
 	if len(j.segments) == 0 {
-		return j.begin(1)
+		return j.createSegment(1)
 	}
-	number := j.segments.newest().number
-	name := segmentName(j.dir, number)
-	if end.good == 0 {
-		// The crash came before the segment was in use; it is made anew.
+	segmentNumber := j.segments.newest().number
+	path := segmentPath(j.dir, segmentNumber)
+	if newest.validSize == 0 {
+		// A crash interrupted the creation of the segment, so it is created again.
 		j.segments = j.segments[:len(j.segments)-1]
-		return j.begin(number)
+		return j.createSegment(segmentNumber)
 	}
-	f, err := j.disk.Open(name)
+	file, err := j.disk.Open(path)
 	if err != nil {
 		return err
 	}
-	if end.good < end.size {
-		err = f.Truncate(end.good)
+	if newest.validSize < newest.fileSize {
+		err = file.Truncate(newest.validSize)
 	}
-	// What was read may have been in memory only: a process that died and left
-	// it to the system unsynced. It is shown as recovered, so it must last.
-	err = errors.CombineErrors(err, f.Sync())
+	// The recovered data may still be in the page cache only, left by a process that
+	// died before its sync. The caller relies on this data, so it is synced now.
+	err = errors.CombineErrors(err, file.Sync())
 	if err = errors.CombineErrors(err, j.disk.SyncFolder(j.dir)); err != nil {
-		return errors.CombineErrors(err, f.Close())
+		return errors.CombineErrors(err, file.Close())
 	}
-	j.file, j.size, j.synced, j.reserved = f, end.good, end.good, end.good
+	j.file, j.dataSize, j.syncedSize, j.allocatedSize = file, newest.validSize, newest.validSize, newest.validSize
 	return nil
 }
 
-// Append writes a changed hard state and entries; they last once Sync returned.
-// An entry whose index is already present ends everything from it on. ErrFull,
-// ErrNoFile, ErrGap and ErrTooLarge leave the journal as it was; other errors break it.
-func (j *Journal) Append(hard *quorum.Hard, entries []quorum.Entry) error {
-	if hard == nil && len(entries) == 0 {
+// Append writes a changed hard state and entries. They are durable once a later
+// Sync returns. An entry whose index is already in the journal replaces that entry
+// and all after it. ErrDiskFull, ErrTooManyFiles, ErrIndexGap and ErrEntryTooLarge
+// leave the journal unchanged and usable. After any other error it is broken.
+func (j *Journal) Append(hardState *quorum.Hard, entries []quorum.Entry) error {
+	if hardState == nil && len(entries) == 0 {
 		return nil
 	}
-	if err := j.roll(); err != nil {
+	if err := j.rollIfDue(); err != nil {
 		return err
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if err := j.check(entries); err != nil {
+	if err := j.validateEntries(entries); err != nil {
 		return err
 	}
-	reset := j.resets(entries)
-	j.buf = j.encode(j.buf[:0], hard, entries, reset)
-	if err := j.write(j.buf); err != nil {
+	resetLog := j.resetsLog(entries)
+	j.frameBuf = j.encodeFrames(j.frameBuf[:0], hardState, entries, resetLog)
+	if err := j.writeFrames(j.frameBuf); err != nil {
 		return err
 	}
-	if hard != nil {
-		j.hard = *hard
+	if hardState != nil {
+		j.hardState = *hardState
 	}
 	for i := range entries {
-		j.segments.note(entries[i].Index)
+		j.segments.recordEntry(entries[i].Index)
 	}
 	if n := len(entries); n > 0 {
-		j.last = entries[n-1].Index
+		j.lastIndex = entries[n-1].Index
 	}
 	return nil
 }
 
-// check refuses entries that recovery could not accept.
-func (j *Journal) check(entries []quorum.Entry) error {
-	if j.broken != nil {
-		return j.broken
+// validateEntries rejects entries that recovery would not accept.
+func (j *Journal) validateEntries(entries []quorum.Entry) error {
+	if j.brokenErr != nil {
+		return j.brokenErr
 	}
-	next := j.last + 1
+	nextIndex := j.lastIndex + 1
 	for i := range entries {
 		e := &entries[i]
-		follows := e.Index == next || i == 0 && (e.Index < next || j.last == 0 || j.resets(entries))
-		if e.Index == 0 || !follows {
-			return errors.Wrapf(ErrGap, "entry %d after %d", e.Index, next-1)
+		inOrder := e.Index == nextIndex || i == 0 && (e.Index < nextIndex || j.lastIndex == 0 || j.resetsLog(entries))
+		if e.Index == 0 || !inOrder {
+			return errors.Wrapf(ErrIndexGap, "entry %d cannot follow entry %d", e.Index, nextIndex-1)
 		}
-		if len(e.Data) > MaxEntry {
-			return errors.Wrapf(ErrTooLarge, "entry %d has %d bytes, at most %d", e.Index, len(e.Data), MaxEntry)
+		if len(e.Data) > MaxEntrySize {
+			return errors.Wrapf(ErrEntryTooLarge, "entry %d has %d bytes, the limit is %d", e.Index, len(e.Data), MaxEntrySize)
 		}
-		next = e.Index + 1
+		nextIndex = e.Index + 1
 	}
 	return nil
 }
 
-// resets tells whether entries go on from a snapshot that replaces the whole log,
-// with no segment begun since: a full disk may have had no room for one.
-func (j *Journal) resets(entries []quorum.Entry) bool {
-	return len(entries) > 0 && j.last > 0 && j.last <= j.floor && entries[0].Index > j.last+1
+// resetsLog reports whether the entries follow a snapshot that replaces the whole
+// log while the newest segment still holds old entries. This happens when a full
+// disk had no room for a new segment after the snapshot.
+func (j *Journal) resetsLog(entries []quorum.Entry) bool {
+	return len(entries) > 0 && j.lastIndex > 0 && j.lastIndex <= j.compactedIndex && entries[0].Index > j.lastIndex+1
 }
 
-// encode adds the frames of an append to b.
-func (j *Journal) encode(b []byte, hard *quorum.Hard, entries []quorum.Entry, reset bool) []byte {
+// encodeFrames appends the frames for a hard state and entries to b.
+func (j *Journal) encodeFrames(b []byte, hardState *quorum.Hard, entries []quorum.Entry, resetLog bool) []byte {
 	for first := true; first || len(entries) > 0; first = false {
-		n, size := 0, 0
-		for n < len(entries) && (n == 0 || size+len(entries[n].Data) <= maxBatch) {
-			size += len(entries[n].Data)
-			n++
+		count, frameData := 0, 0
+		for count < len(entries) && (count == 0 || frameData+len(entries[count].Data) <= maxFrameData) {
+			frameData += len(entries[count].Data)
+			count++
 		}
-		r := record{mark: uint64(j.synced), hard: hard, entries: entries[:n], reset: reset}
-		b = appendFrame(b, j.segments.newest().number, j.size+int64(len(b)), r)
-		hard, entries, reset = nil, entries[n:], false
+		rec := record{syncedSize: uint64(j.syncedSize), hardState: hardState, entries: entries[:count], resetLog: resetLog}
+		b = appendFrame(b, j.segments.newest().number, j.dataSize+int64(len(b)), rec)
+		hardState, entries, resetLog = nil, entries[count:], false
 	}
 	return b
 }
 
-// write adds b to the newest segment, and zeros where it has no room. A full
-// disk leaves part of it behind, which is cut off, so that the next append
-// stands where this one would have.
-func (j *Journal) write(b []byte) error {
-	if j.size+int64(len(b)) > j.reserved && len(j.zeros) > 0 {
-		done, err := j.put(append(b, j.zeros...), len(b))
-		if done || !errors.Is(err, ErrFull) {
+// writeFrames appends encoded frames to the newest segment. When they exceed the
+// preallocated space, zeros are written after them as new preallocation. If the disk
+// has no room for these zeros, the frames are written without them.
+func (j *Journal) writeFrames(frames []byte) error {
+	if j.dataSize+int64(len(frames)) > j.allocatedSize && len(j.zeroPadding) > 0 {
+		written, err := j.writeAtEnd(append(frames, j.zeroPadding...), len(frames))
+		if written || !errors.Is(err, ErrDiskFull) {
 			return err
 		}
 	}
-	_, err := j.put(b, len(b))
+	_, err := j.writeAtEnd(frames, len(frames))
 	return err
 }
 
-// put writes b, of which the first n bytes count.
-func (j *Journal) put(b []byte, n int) (done bool, err error) {
-	_, err = j.file.WriteAt(b, j.size)
+// writeAtEnd writes b after the last frame. The first dataLen bytes of b are
+// frames, and the rest is preallocation. When the disk is full, a partial write is
+// truncated, so that the next append starts at the same offset.
+func (j *Journal) writeAtEnd(b []byte, dataLen int) (written bool, err error) {
+	_, err = j.file.WriteAt(b, j.dataSize)
 	if err == nil {
-		j.reserved = max(j.reserved, j.size+int64(len(b)))
-		j.size += int64(n)
+		j.allocatedSize = max(j.allocatedSize, j.dataSize+int64(len(b)))
+		j.dataSize += int64(dataLen)
 		return true, nil
 	}
-	if !errors.Is(err, ErrFull) {
-		return false, j.fail("write", err)
+	if !errors.Is(err, ErrDiskFull) {
+		return false, j.markBroken("write", err)
 	}
-	if cut := j.file.Truncate(j.size); cut != nil {
-		return false, j.fail("cut off a partial write", cut)
+	if truncateErr := j.file.Truncate(j.dataSize); truncateErr != nil {
+		return false, j.markBroken("truncate a partial write", truncateErr)
 	}
-	j.reserved = j.size
+	j.allocatedSize = j.dataSize
 	return false, errors.Wrap(err, "append to the journal")
 }
 
-// fail breaks the journal for good.
-func (j *Journal) fail(what string, err error) error {
-	// The cause is told but not wrapped: a sync that failed for lack of room must
-	// not pass for ErrFull, which leaves the journal usable.
-	j.broken = errors.Mark(errors.Newf("journal is broken: %s: %v", what, err), ErrBroken)
-	return j.broken
+// markBroken makes the journal reject all further calls and returns the error that they get.
+func (j *Journal) markBroken(operation string, err error) error {
+	// The cause is in the message but not wrapped. Otherwise a sync that failed for
+	// lack of space would match ErrDiskFull, after which callers keep using the journal.
+	j.brokenErr = errors.Mark(errors.Newf("journal is broken: %s: %v", operation, err), ErrBroken)
+	return j.brokenErr
 }
 
-// Sync returns once everything appended before the call lasts. An error is
-// final: the process must end.
+// Sync returns once everything appended before the call is on stable storage.
+// After an error the journal is broken and the process must end.
 func (j *Journal) Sync() error {
-	j.syncing.Lock()
-	defer j.syncing.Unlock()
+	j.syncMu.Lock()
+	defer j.syncMu.Unlock()
 	j.mu.Lock()
-	f, size, broken := j.file, j.size, j.broken
-	clean := j.synced == j.size
+	file, dataSize, brokenErr := j.file, j.dataSize, j.brokenErr
+	alreadySynced := j.syncedSize == j.dataSize
 	j.mu.Unlock()
-	if broken != nil || clean {
-		return broken
+	if brokenErr != nil || alreadySynced {
+		return brokenErr
 	}
-	err := f.Sync()
+	err := file.Sync()
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if err != nil {
-		return j.fail("sync", err)
+		return j.markBroken("sync", err)
 	}
-	j.synced = max(j.synced, size)
+	j.syncedSize = max(j.syncedSize, dataSize)
 	return nil
 }
 
-// Close syncs what was appended and closes the files. It ends with a frame that
-// vouches for everything before it, so that damage done while the process is
-// down is not taken for a torn tail.
+// Close syncs the appended data and closes the segment file. Before that it writes
+// a last frame that records the synced size. Recovery can then tell corruption
+// that happens while the process is down from a torn tail.
 func (j *Journal) Close() error {
 	err := j.Sync()
-	if err == nil && !errors.Is(j.Append(&j.hard, nil), ErrBroken) {
+	if err == nil && !errors.Is(j.Append(&j.hardState, nil), ErrBroken) {
 		err = j.Sync()
 	}
-	j.syncing.Lock()
-	defer j.syncing.Unlock()
+	j.syncMu.Lock()
+	defer j.syncMu.Unlock()
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.file == nil {
@@ -317,7 +331,7 @@
 	}
 	err = errors.CombineErrors(err, j.file.Close())
 	j.file = nil
-	j.broken = errors.Mark(errors.New("journal is closed"), ErrBroken)
+	j.brokenErr = errors.Mark(errors.New("journal is closed"), ErrBroken)
 	return err
 }
 
