--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -91,7 +91,7 @@
 	Clock() time.Duration
 	// Full tells that the disk has too little room for new work.
 	Full() bool
-	Members() group.Members
+	Members() group.MembershipChanged
 	Alter(m quorum.Member, remove bool)
 	// Synced tells whether a member has everything committed on its disk.
 	Synced(id string) bool
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -28,7 +28,7 @@
 const commitTime = 5 * time.Millisecond
 
 // members is the group of these tests.
-var members = group.Members{Self: "a/1", Members: []quorum.Member{{ID: "a/1", Address: "a"}}}
+var members = group.MembershipChanged{Self: "a/1", Members: []quorum.Member{{ID: "a/1", Address: "a"}}}
 
 // host is a control thread with a ledger and no replicas: what is decided is
 // committed a little later.
@@ -105,7 +105,7 @@
 func (h *host) Flows() *flows.Ledger              { return h.ledger }
 func (h *host) Clock() time.Duration              { return time.Duration(time.Now().UnixNano()) }
 func (h *host) Full() bool                        { return false }
-func (h *host) Members() group.Members            { return members }
+func (h *host) Members() group.MembershipChanged  { return members }
 func (h *host) Alter(quorum.Member, bool)         {}
 func (h *host) KnowsZone(zone string) bool        { return zone == "x" || zone == "y" }
 func (h *host) Rest()                             {}
--- a/internal/control/leader/bench_test.go
+++ b/internal/control/leader/bench_test.go
@@ -21,7 +21,7 @@
 // instant is a group that commits and confirms at once: what is measured is the
 // control thread alone.
 type instant struct {
-	notes chan group.Note
+	notes chan group.Notification
 	now   func() time.Duration
 	index uint64
 	bytes uint64
@@ -31,14 +31,14 @@
 	for _, c := range p.Commands {
 		g.bytes += uint64(len(c))
 	}
-	g.index = p.First + uint64(len(p.Commands)) - 1
-	g.notes <- group.Commit{Index: g.index}
+	g.index = p.FirstIndex + uint64(len(p.Commands)) - 1
+	g.notes <- group.CommitAdvanced{Index: g.index}
 	return true
 }
-func (g *instant) Notes() <-chan group.Note { return g.notes }
-func (g *instant) Confirm()                 {}
-func (g *instant) Compact(uint64, []byte)   {}
-func (g *instant) Reload()                  {}
+func (g *instant) Notes() <-chan group.Notification { return g.notes }
+func (g *instant) Confirm()                         {}
+func (g *instant) Compact(uint64, []byte)           {}
+func (g *instant) Reload()                          {}
 
 // rig drives a control thread with many servers on real time.
 type rig struct {
@@ -53,7 +53,7 @@
 func newRig(b *testing.B, servers int) *rig {
 	begin := time.Now()
 	r := &rig{b: b, box: mailbox.New(1), number: make([]uint64, servers)}
-	r.g = &instant{notes: make(chan group.Note, 1<<16), now: func() time.Duration { return time.Since(begin) + time.Hour }}
+	r.g = &instant{notes: make(chan group.Notification, 1<<16), now: func() time.Duration { return time.Since(begin) + time.Hour }}
 	r.l = leader.New()
 	r.l.Group, r.l.Now = r.g, r.g.now
 	r.l.Snapshot = 1 << 62
@@ -65,11 +65,11 @@
 	b.Cleanup(func() { cancel(); <-done })
 	go func() {
 		for ctx.Err() == nil {
-			r.g.notes <- group.Confirmed{Term: 1, Start: r.g.now()}
+			r.g.notes <- group.LeadershipConfirmed{Term: 1, StartedAt: r.g.now()}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
-	r.g.notes <- group.Lead{Term: 1, Elected: r.g.now()}
+	r.g.notes <- group.Leading{Term: 1, ElectedAt: r.g.now()}
 	time.Sleep(100 * time.Millisecond)
 	r.ask(&inner.Item{Credential: &inner.Credential{Id: "op", Digest: digest()}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{Id: "t", Change: &v1.ChangeRequest_Table{Table: rows(960)}}}})
 	r.ask(&inner.Item{Credential: &inner.Credential{Id: "op", Digest: digest()}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{Id: "k", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "team0", Digest: digest()}}}}})
--- a/internal/control/leader/harness_test.go
+++ b/internal/control/leader/harness_test.go
@@ -25,7 +25,7 @@
 
 // fakeGroup is a group of which the test decides what commits and what is confirmed.
 type fakeGroup struct {
-	notes chan group.Note
+	notes chan group.Notification
 	now   func() time.Duration
 	mu    sync.Mutex
 	// held stops commits, cut stops confirmed rounds.
@@ -43,7 +43,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.proposals++
-	if p.Term != g.term || p.First != uint64(len(g.log))+1 {
+	if p.Term != g.term || p.FirstIndex != uint64(len(g.log))+1 {
 		return true // dropped whole, as the real one does
 	}
 	for _, c := range p.Commands {
@@ -67,17 +67,17 @@
 
 func (g *fakeGroup) commit() {
 	g.committed = uint64(len(g.log))
-	g.notes <- group.Commit{Index: g.committed}
+	g.notes <- group.CommitAdvanced{Index: g.committed}
 }
 
-func (g *fakeGroup) Notes() <-chan group.Note { return g.notes }
+func (g *fakeGroup) Notes() <-chan group.Notification { return g.notes }
 
 func (g *fakeGroup) Confirm() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.cut {
 		select {
-		case g.notes <- group.Confirmed{Term: g.term, Start: g.now()}:
+		case g.notes <- group.LeadershipConfirmed{Term: g.term, StartedAt: g.now()}:
 		default:
 		}
 	}
@@ -133,7 +133,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
 		now := func() time.Duration { return time.Since(begin) + time.Minute }
-		g := &fakeGroup{notes: make(chan group.Note, 4096), now: now, term: 1}
+		g := &fakeGroup{notes: make(chan group.Notification, 4096), now: now, term: 1}
 		ctx, cancel := context.WithCancel(context.Background())
 		c := &cell{t: t, g: g, stop: cancel, got: map[uint64]*inner.Reply{}}
 		c.l = c.newLeader(g)
@@ -178,7 +178,7 @@
 	c.term = term
 	c.box = mailbox.New(term)
 	c.ack = 0
-	c.g.notes <- group.Lead{Term: term, Last: c.g.lead(term), Elected: c.g.now()}
+	c.g.notes <- group.Leading{Term: term, LastIndex: c.g.lead(term), ElectedAt: c.g.now()}
 	c.g.Confirm()
 	synctest.Wait()
 }
--- a/internal/control/leader/lead.go
+++ b/internal/control/leader/lead.go
@@ -96,25 +96,25 @@
 }
 
 // elected starts to lead: a planner and a lease book are built from the ledger.
-func (l *Leader) elected(n group.Lead) {
+func (l *Leader) elected(n group.Leading) {
 	l.lead = &lead{
 		term:      n.Term,
-		elected:   n.Elected,
+		elected:   n.ElectedAt,
 		begun:     l.st.At(),
-		last:      n.Last,
-		committed: n.Last,
+		last:      n.LastIndex,
+		committed: n.LastIndex,
 		planner:   l.Planner(),
-		book:      lease.NewBook(l.Terms, n.Elected),
+		book:      lease.NewBook(l.Terms, n.ElectedAt),
 		waits:     map[state.RequestID][]*waiter{},
 		servers:   map[string]*session{},
 		updated:   map[string]bool{},
-		checked:   n.Elected,
+		checked:   n.ElectedAt,
 		dirty:     true,
-		tabled:    n.Last,
+		tabled:    n.LastIndex,
 		answers:   newAnswers(),
 		seen:      seen{servers: map[string]seenServer{}, over: map[string]bool{}, faults: l.st.Faults()},
 	}
-	l.applied = n.Last
+	l.applied = n.LastIndex
 	l.st.Watch = watch{l}
 	l.replay()
 	if l.Root != nil && len(l.st.Keys()) == 0 {
@@ -124,9 +124,9 @@
 		}}})
 	}
 	l.status.Store(&Status{Leads: true, Term: n.Term})
-	event.Log(l.Log, event.LeaderElected, "term", n.Term, "index", n.Last)
+	event.Log(l.Log, event.LeaderElected, "term", n.Term, "index", n.LastIndex)
 	if l.Part != nil {
-		l.Part.Elected(n.Term, n.Elected)
+		l.Part.Elected(n.Term, n.ElectedAt)
 	}
 	if l.lead.seen.running > 0 {
 		event.Log(l.Log, event.RecoveryWait, "wait", l.Terms.Wait().String(), "tasks", l.lead.seen.running)
@@ -162,7 +162,7 @@
 
 // follow stops to lead. What the working ledger had ahead of the committed log
 // is dropped, and with it every held effect: nobody was told of them.
-func (l *Leader) follow(n group.Follow) {
+func (l *Leader) follow(n group.Following) {
 	if ld := l.lead; ld != nil {
 		event.Log(l.Log, event.LeaderLost, "term", ld.term, "next", n.Leader)
 		if n.Leader == "" && n.Term == ld.term {
@@ -182,7 +182,7 @@
 	if l.Deposed != nil {
 		defer l.Deposed()
 	}
-	l.status.Store(&Status{Term: n.Term, Leader: n.Leader, Address: n.Address, Revision: l.st.Table().Revision(), Full: l.full})
+	l.status.Store(&Status{Term: n.Term, Leader: n.Leader, Address: n.LeaderAddress, Revision: l.st.Table().Revision(), Full: l.full})
 }
 
 // clock returns the ledger's time: the time of day, never going back.
@@ -242,7 +242,7 @@
 		return
 	}
 	first := ld.last + 1 - uint64(len(ld.pending))
-	if l.Group.Propose(group.Proposal{Term: ld.term, First: first, Commands: ld.pending}) {
+	if l.Group.Propose(group.Proposal{Term: ld.term, FirstIndex: first, Commands: ld.pending}) {
 		ld.pending = nil
 		ld.proposed = append(ld.proposed, proposed{ld.last, l.Now()})
 	}
--- a/internal/control/leader/leader.go
+++ b/internal/control/leader/leader.go
@@ -64,7 +64,7 @@
 // Group is the replicated log as the control thread uses it.
 type Group interface {
 	Propose(p group.Proposal) bool
-	Notes() <-chan group.Note
+	Notes() <-chan group.Notification
 	Confirm()
 	Compact(index uint64, state []byte)
 	Reload()
@@ -156,7 +156,7 @@
 	saved   uint64
 	saving  saving
 	lead    *lead
-	members group.Members
+	members group.MembershipChanged
 	full    bool
 	meter   *meter
 	limit   event.Limit
@@ -241,7 +241,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			l.follow(group.Follow{})
+			l.follow(group.Following{})
 			return nil
 		case n, ok := <-l.Group.Notes():
 			if !ok {
--- a/internal/control/leader/leader_test.go
+++ b/internal/control/leader/leader_test.go
@@ -73,7 +73,7 @@
 	run(t, func(c *cell) {
 		c.g.hold()
 		m := c.submit(spec("plan"))
-		c.g.notes <- group.Follow{Term: 2, Leader: "other"}
+		c.g.notes <- group.Following{Term: 2, Leader: "other"}
 		synctest.Wait()
 		if c.reply(m) != nil {
 			t.Error("a deposed leader answered")
@@ -182,7 +182,7 @@
 		c.accepted(spec("plan"))
 		s.sync()
 		time.Sleep(5 * time.Second)
-		c.g.notes <- group.Follow{Term: 2}
+		c.g.notes <- group.Following{Term: 2}
 		c.elect(2)
 		at := c.g.now()
 		other := c.announce("b2", 1000)
@@ -313,7 +313,7 @@
 		if second.GetRevision() != 2 {
 			t.Errorf("told revision %d", second.GetRevision())
 		}
-		c.g.notes <- group.Follow{Term: 2}
+		c.g.notes <- group.Following{Term: 2}
 		c.elect(2)
 		if diff := cmp.Diff(first, c.change("x", edit(7)), protocmp.Transform()); diff != "" {
 			t.Errorf("a resend after a failover is answered otherwise: %s", diff)
--- a/internal/control/leader/member.go
+++ b/internal/control/leader/member.go
@@ -70,7 +70,7 @@
 	if len(ld.pending) > 0 {
 		return // the group is busy; whoever asked asks again
 	}
-	if !l.Group.Propose(group.Proposal{Term: ld.term, First: ld.last + 1, Change: &m, Remove: remove}) {
+	if !l.Group.Propose(group.Proposal{Term: ld.term, FirstIndex: ld.last + 1, Member: &m, RemoveMember: remove}) {
 		return
 	}
 	ld.last++
--- a/internal/control/leader/notice.go
+++ b/internal/control/leader/notice.go
@@ -256,7 +256,7 @@
 }
 
 // membersSeen tells what a new membership changed.
-func (l *Leader) membersSeen(n group.Members) {
+func (l *Leader) membersSeen(n group.MembershipChanged) {
 	old := l.members.Members
 	if len(old) == 0 {
 		return
@@ -311,7 +311,7 @@
 
 // restored tells where a state came from: the disk at the start, the leader
 // when this replica lagged too far behind.
-func (l *Leader) restored(n group.Restore) {
+func (l *Leader) restored(n group.RestoreSnapshot) {
 	switch {
 	case !l.loaded:
 		l.loaded = true
--- a/internal/control/leader/part.go
+++ b/internal/control/leader/part.go
@@ -67,7 +67,7 @@
 func (l *Leader) Full() bool { return l.full }
 
 // Members returns the membership of the control group as it is committed.
-func (l *Leader) Members() group.Members { return l.members }
+func (l *Leader) Members() group.MembershipChanged { return l.members }
 
 // Alter proposes one change of the membership; when it cannot be made now,
 // whoever asked asks again.
--- a/internal/control/leader/snapshot_test.go
+++ b/internal/control/leader/snapshot_test.go
@@ -25,11 +25,11 @@
 			index := uint64(len(agreed)) + 1
 			agreed = append(agreed, quorum.Entry{Index: index, Term: 2, Kind: quorum.Empty})
 			if i == 0 {
-				c.g.notes <- group.Follow{Term: 2, Leader: "c2/1"}
-				c.g.notes <- group.Restore{}
+				c.g.notes <- group.Following{Term: 2, Leader: "c2/1"}
+				c.g.notes <- group.RestoreSnapshot{}
 			}
 		}
-		c.g.notes <- group.Apply{Entries: agreed}
+		c.g.notes <- group.ApplyEntries{Entries: agreed}
 		time.Sleep(time.Second)
 		if len(c.g.snapshots()) == 0 {
 			t.Fatal("no snapshot of the state that was agreed on")
--- a/internal/control/node/assemble.go
+++ b/internal/control/node/assemble.go
@@ -31,7 +31,7 @@
 	a := &assembly{handshake: n.handshake(self)}
 	a.group = &group.Group{
 		Journal: newDisk(d.journal, n.meters, n.Log), Snapshots: newArchive(&d.snapshots, n.meters, n.Log),
-		Saved: d.saved, Now: n.now, Free: n.Room, Meters: n.meters, Log: n.Log,
+		Recovered: d.saved, Now: n.now, MinFreeBytes: n.Room, Metrics: n.meters, Log: n.Log,
 	}
 	n.group.Store(a.group)
 	a.service = &entry.Server{Cell: n.Cell, Leader: n.Control, Now: n.now, Dumper: n.State, MaxDump: n.MaxDump, Log: n.Log}
@@ -41,7 +41,7 @@
 	// Before anything can come in: what arrives is checked against the identity.
 	n.configure(self, a.group)
 	a.transport = n.transport(self.ID, a.group.Receive)
-	a.group.Peer = a.transport
+	a.group.Transport = a.transport
 	mux := http.NewServeMux()
 	mux.Handle("/twirp/gypsumreel.inner.Control/", a.service.Handler())
 	mux.Handle("/twirp/gypsumreel.inner.Bootstrap/", n.replicas(a.handshake.Handler()))
@@ -57,19 +57,19 @@
 	if n.Transport != nil {
 		return n.Transport(id, receive)
 	}
-	return &peer.Pool{Cell: n.Cell, Self: id, TLS: n.Peers, Deliver: receive, Event: n.event}
+	return &peer.Pool{Cell: n.Cell, Self: id, TLS: n.Peers, Deliver: receive, OnEvent: n.event}
 }
 
 // event logs what an operator may want to know of the way to the others.
 func (n *Node) event(e peer.Event) {
 	switch e.Kind {
-	case peer.Refused:
+	case peer.MessageRefused:
 		n.limit.Log(n.Log, event.PeerRefused, "peer", e.Peer, "error", e.Err.Error())
-	case peer.Failed:
+	case peer.CallsFailing:
 		event.Log(n.Log, event.PeerSilent, "peer", e.Peer, "error", e.Err.Error())
-	case peer.TooLarge:
+	case peer.MessageTooLarge:
 		n.Log.Info("message to a replica is too large", "replica", e.Peer, "error", e.Err.Error())
-	case peer.Recovered:
+	case peer.CallsRecovered:
 		event.Log(n.Log, event.PeerBack, "peer", e.Peer)
 	}
 }
--- a/internal/control/node/node.go
+++ b/internal/control/node/node.go
@@ -108,7 +108,7 @@
 
 // Transport carries consensus messages until Close.
 type Transport interface {
-	group.Peer
+	group.Transport
 	Handler() http.Handler
 	Close()
 }
@@ -279,7 +279,7 @@
 func (n *Node) yield(g *group.Group) {
 	ctx, cancel := context.WithTimeout(context.Background(), n.Handover)
 	defer cancel()
-	if err := g.Transfer(ctx); err == nil {
+	if err := g.TransferLeadership(ctx); err == nil {
 		event.Log(n.Log, event.LeaderTransferred, "cause", "the disk is full")
 	}
 }
@@ -300,10 +300,10 @@
 		}
 	}()
 	begin := n.now()
-	switch err := n.group.Load().Transfer(ctx); {
+	switch err := n.group.Load().TransferLeadership(ctx); {
 	case err == nil:
 		event.Log(n.Log, event.LeaderTransferred, "took", (n.now() - begin).String())
-	case !errors.Is(err, group.ErrAlone):
+	case !errors.Is(err, group.ErrNoOtherVoter):
 		n.Log.Info("the lead was not handed over", "cause", err.Error())
 	}
 }
--- a/internal/replica/bootstrap/bootstrap.go
+++ b/internal/replica/bootstrap/bootstrap.go
@@ -18,13 +18,13 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// interval is the time between two rounds of asking.
-const interval = 200 * time.Millisecond
+// retryInterval is the time between two rounds of asking.
+const retryInterval = 200 * time.Millisecond
 
-// ErrReplaced is returned when the group was founded by another disk of the
+// ErrIdentityReplaced is returned when the group was founded by another disk of the
 // same name. A blank disk must not count as a first member: it would vote as a
 // replica that may have voted otherwise before.
-var ErrReplaced = errors.New("the group was founded already; start without --init and add this replica as a new member")
+var ErrIdentityReplaced = errors.New("the group was founded already; start without --init and add this replica as a new member")
 
 // Handshake takes part in the founding. The exported fields are set before use.
 type Handshake struct {
@@ -45,97 +45,97 @@
 var _ inner.Bootstrap = (*Handshake)(nil)
 
 // Handler returns the HTTP handler of the service.
-func (f *Handshake) Handler() http.Handler { return inner.NewBootstrapServer(f) }
+func (h *Handshake) Handler() http.Handler { return inner.NewBootstrapServer(h) }
 
-// Know sets the first membership of a replica that was founded before.
-func (f *Handshake) Know(ids []string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.members = nil
+// SetMembers sets the first membership of a replica that was founded before.
+func (h *Handshake) SetMembers(ids []string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.members = nil
 	for _, id := range ids {
-		f.members = append(f.members, quorum.Member{ID: id})
+		h.members = append(h.members, quorum.Member{ID: id})
 	}
 }
 
 // Hello tells who this replica is.
-func (f *Handshake) Hello(_ context.Context, req *inner.HelloRequest) (*inner.HelloReply, error) {
-	if req.GetCell() != f.Cell || req.GetTo() != name(f.Self.ID) {
-		return nil, twirp.NewError(twirp.PermissionDenied, "this is "+name(f.Self.ID)+" of cell "+f.Cell)
+func (h *Handshake) Hello(_ context.Context, req *inner.HelloRequest) (*inner.HelloReply, error) {
+	if req.GetCell() != h.Cell || req.GetTo() != replicaName(h.Self.ID) {
+		return nil, twirp.NewError(twirp.PermissionDenied, "this is "+replicaName(h.Self.ID)+" of cell "+h.Cell)
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	rep := &inner.HelloReply{Id: f.Self.ID}
-	for _, m := range f.members {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	rep := &inner.HelloReply{Id: h.Self.ID}
+	for _, m := range h.members {
 		rep.Members = append(rep.Members, m.ID)
 	}
 	return rep, nil
 }
 
-// Agree asks the other replicas until all of them are known, or one of them
+// AgreeMembers asks the other replicas until all of them are known, or one of them
 // knows the first membership, and returns it.
-func (f *Handshake) Agree(ctx context.Context) ([]quorum.Member, error) {
-	known := map[string]quorum.Member{name(f.Self.ID): f.Self}
+func (h *Handshake) AgreeMembers(ctx context.Context) ([]quorum.Member, error) {
+	known := map[string]quorum.Member{replicaName(h.Self.ID): h.Self}
 	for {
-		for _, p := range f.Peers {
-			rep, err := f.ask(ctx, p)
+		for _, p := range h.Peers {
+			rep, err := h.callHello(ctx, p)
 			if err != nil {
 				continue
 			}
 			if len(rep.GetMembers()) > 0 {
-				return f.join(rep.GetMembers())
+				return h.adoptMembers(rep.GetMembers())
 			}
 			known[p.ID] = quorum.Member{ID: rep.GetId(), Address: p.Address}
 		}
-		if len(known) == len(f.Peers)+1 {
-			return f.settle(known), nil
+		if len(known) == len(h.Peers)+1 {
+			return h.setSortedMembers(known), nil
 		}
 		select {
-		case <-time.After(interval):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-func (f *Handshake) ask(ctx context.Context, p quorum.Member) (*inner.HelloReply, error) {
+func (h *Handshake) callHello(ctx context.Context, p quorum.Member) (*inner.HelloReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	c := inner.NewBootstrapProtobufClient(f.Scheme+"://"+p.Address, f.Client)
-	return c.Hello(ctx, &inner.HelloRequest{Cell: f.Cell, To: p.ID})
+	c := inner.NewBootstrapProtobufClient(h.Scheme+"://"+p.Address, h.Client)
+	return c.Hello(ctx, &inner.HelloRequest{Cell: h.Cell, To: p.ID})
 }
 
-// join takes the membership that another replica is sure of.
-func (f *Handshake) join(ids []string) ([]quorum.Member, error) {
-	if !slices.Contains(ids, f.Self.ID) {
-		return nil, ErrReplaced
+// adoptMembers takes the membership that another replica is sure of.
+func (h *Handshake) adoptMembers(ids []string) ([]quorum.Member, error) {
+	if !slices.Contains(ids, h.Self.ID) {
+		return nil, ErrIdentityReplaced
 	}
 	known := map[string]quorum.Member{}
 	for _, id := range ids {
-		m := quorum.Member{ID: id, Address: f.Self.Address}
-		for _, p := range f.Peers {
-			if p.ID == name(id) {
+		m := quorum.Member{ID: id, Address: h.Self.Address}
+		for _, p := range h.Peers {
+			if p.ID == replicaName(id) {
 				m.Address = p.Address
 			}
 		}
-		known[name(id)] = m
+		known[replicaName(id)] = m
 	}
-	return f.settle(known), nil
+	return h.setSortedMembers(known), nil
 }
 
-// settle fixes the membership, in the same order on every replica.
-func (f *Handshake) settle(known map[string]quorum.Member) []quorum.Member {
-	out := make([]quorum.Member, 0, len(known))
+// setSortedMembers fixes the membership, in the same order on every replica.
+func (h *Handshake) setSortedMembers(known map[string]quorum.Member) []quorum.Member {
+	members := make([]quorum.Member, 0, len(known))
 	for _, m := range known {
-		out = append(out, m)
+		members = append(members, m)
 	}
-	slices.SortFunc(out, func(a, b quorum.Member) int { return strings.Compare(a.ID, b.ID) })
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.members = out
-	return out
+	slices.SortFunc(members, func(a, b quorum.Member) int { return strings.Compare(a.ID, b.ID) })
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.members = members
+	return members
 }
 
-func name(id string) string {
-	n, _, _ := strings.Cut(id, "/")
-	return n
+func replicaName(id string) string {
+	name, _, _ := strings.Cut(id, "/")
+	return name
 }
--- a/internal/replica/group/bench_test.go
+++ b/internal/replica/group/bench_test.go
@@ -21,55 +21,55 @@
 )
 
 const (
-	callers    = 64
+	maxCallers = 64
 	entryBytes = 256
 )
 
-// request is one caller's command; done is closed when it is committed.
-type request struct{ done chan struct{} }
+// submittedCommand is one caller's command; done is closed when it is committed.
+type submittedCommand struct{ done chan struct{} }
 
-// load lets 64 callers do one command after the other for a while, and gives
+// runLoad lets 64 callers do one command after the other for a while, and gives
 // the rate and the latencies.
-func load(d time.Duration, callers int, submit chan<- request) (perSecond float64, p50, p99 time.Duration) {
+func runLoad(duration time.Duration, callers int, submit chan<- submittedCommand) (perSecond float64, p50, p99 time.Duration) {
 	var mu sync.Mutex
-	var all []time.Duration
+	var latencies []time.Duration
 	var wg sync.WaitGroup
-	began := time.Now()
+	startedAt := time.Now()
 	for range callers {
 		wg.Go(func() {
-			var own []time.Duration
-			for time.Since(began) < d {
-				t, r := time.Now(), request{make(chan struct{})}
+			var callerLatencies []time.Duration
+			for time.Since(startedAt) < duration {
+				submittedAt, r := time.Now(), submittedCommand{make(chan struct{})}
 				submit <- r
 				<-r.done
-				own = append(own, time.Since(t))
+				callerLatencies = append(callerLatencies, time.Since(submittedAt))
 			}
 			mu.Lock()
-			all = append(all, own...)
+			latencies = append(latencies, callerLatencies...)
 			mu.Unlock()
 		})
 	}
 	wg.Wait()
-	took := time.Since(began)
-	slices.Sort(all)
-	return float64(len(all)) / took.Seconds(), all[len(all)/2], all[len(all)*99/100]
+	elapsed := time.Since(startedAt)
+	slices.Sort(latencies)
+	return float64(len(latencies)) / elapsed.Seconds(), latencies[len(latencies)/2], latencies[len(latencies)*99/100]
 }
 
-// gather takes all requests that wait.
-func gather(first request, in <-chan request) []request {
-	rs := []request{first}
+// takeWaiting takes all requests that wait.
+func takeWaiting(first submittedCommand, in <-chan submittedCommand) []submittedCommand {
+	requests := []submittedCommand{first}
 	for {
 		select {
 		case r := <-in:
-			rs = append(rs, r)
+			requests = append(requests, r)
 		default:
-			return rs
+			return requests
 		}
 	}
 }
 
-// plain is group fsync without consensus: write what waits, sync, answer.
-func plain(b *testing.B, in <-chan request) {
+// runFsyncOnly is group fsync without consensus: write what waits, sync, answer.
+func runFsyncOnly(b *testing.B, in <-chan submittedCommand) {
 	j, _, err := journal.Open(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
@@ -77,9 +77,9 @@
 	index := uint64(0)
 	data := make([]byte, entryBytes)
 	for r := range in {
-		rs := gather(r, in)
-		entries := make([]quorum.Entry, len(rs))
-		for i := range rs {
+		requests := takeWaiting(r, in)
+		entries := make([]quorum.Entry, len(requests))
+		for i := range requests {
 			index++
 			entries[i] = quorum.Entry{Index: index, Term: 1, Kind: quorum.Command, Data: data}
 		}
@@ -89,17 +89,17 @@
 		if err := j.Sync(); err != nil {
 			b.Error(err)
 		}
-		for _, r := range rs {
+		for _, r := range requests {
 			close(r.done)
 		}
 	}
 	_ = j.Close()
 }
 
-// drive is the smallest control thread: it numbers, proposes and answers.
-func drive(ctx context.Context, g *group.Group, in <-chan request, led chan<- struct{}) {
-	var term, next, committed uint64
-	var held []request
+// runProposer is the smallest control thread: it numbers, proposes and answers.
+func runProposer(ctx context.Context, g *group.Group, in <-chan submittedCommand, elected chan<- struct{}) {
+	var term, nextIndex, committed uint64
+	var uncommitted []submittedCommand
 	data := make([]byte, entryBytes)
 	for {
 		accept := in
@@ -111,97 +111,97 @@
 			return
 		case n := <-g.Notes():
 			switch n := n.(type) {
-			case group.Lead:
-				term, next, committed = n.Term, n.Last+1, n.Last
-				led <- struct{}{}
-			case group.Commit:
-				for _, r := range held[:n.Index-committed] {
+			case group.Leading:
+				term, nextIndex, committed = n.Term, n.LastIndex+1, n.LastIndex
+				elected <- struct{}{}
+			case group.CommitAdvanced:
+				for _, r := range uncommitted[:n.Index-committed] {
 					close(r.done)
 				}
-				held, committed = held[n.Index-committed:], n.Index
+				uncommitted, committed = uncommitted[n.Index-committed:], n.Index
 			}
 		case r := <-accept:
-			rs := gather(r, in)
-			p := group.Proposal{Term: term, First: next}
-			for range rs {
-				p.Commands = append(p.Commands, data)
+			requests := takeWaiting(r, in)
+			proposal := group.Proposal{Term: term, FirstIndex: nextIndex}
+			for range requests {
+				proposal.Commands = append(proposal.Commands, data)
 			}
-			for !g.Propose(p) {
+			for !g.Propose(proposal) {
 				time.Sleep(time.Millisecond)
 			}
-			held = append(held, rs...)
-			next += uint64(len(rs))
+			uncommitted = append(uncommitted, requests...)
+			nextIndex += uint64(len(requests))
 		}
 	}
 }
 
-// bench is replicas of one process on the real disk.
-type bench struct {
-	b      *testing.B
-	groups []*group.Group
-	bytes  []atomic.Int64
-	stop   func()
+// benchCluster is replicas of one process on the real disk.
+type benchCluster struct {
+	b                *testing.B
+	groups           []*group.Group
+	transferredBytes []atomic.Int64
+	stop             func()
 }
 
-// transport makes the way of one replica to the others, and ends it.
-type transport func(bn *bench, i int, m quorum.Member) (group.Peer, func())
+// transportFactory makes the way of one replica to the others, and ends it.
+type transportFactory func(bn *benchCluster, i int, m quorum.Member) (group.Transport, func())
 
-// timers carries messages by timers, 1.5 ms one way.
-func timers() transport {
+// delayedTransport carries messages by timers, 1.5 ms one way.
+func delayedTransport() transportFactory {
 	n := newNetwork()
-	return func(bn *bench, i int, m quorum.Member) (group.Peer, func()) {
+	return func(bn *benchCluster, i int, m quorum.Member) (group.Transport, func()) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.groups[m.ID] = bn.groups[i]
-		return link{n, m.ID}, func() {}
+		return networkTransport{n, m.ID}, func() {}
 	}
 }
 
-// loopback carries messages by the real calls and counts their bytes.
-func loopback(listeners []net.Listener) transport {
-	return func(bn *bench, i int, m quorum.Member) (group.Peer, func()) {
-		p := &peer.Pool{Cell: "bench", Self: m.ID, Deliver: bn.groups[i].Receive}
-		server := &http.Server{Handler: p.Handler(), ReadHeaderTimeout: time.Minute}
-		go func() { _ = server.Serve(counted{listeners[i], &bn.bytes[i]}) }()
-		return p, func() {
-			p.Close()
+// loopbackTransport carries messages by the real calls and counts their bytes.
+func loopbackTransport(listeners []net.Listener) transportFactory {
+	return func(bn *benchCluster, i int, m quorum.Member) (group.Transport, func()) {
+		pool := &peer.Pool{Cell: "bench", Self: m.ID, Deliver: bn.groups[i].Receive}
+		server := &http.Server{Handler: pool.Handler(), ReadHeaderTimeout: time.Minute}
+		go func() { _ = server.Serve(countingListener{listeners[i], &bn.transferredBytes[i]}) }()
+		return pool, func() {
+			pool.Close()
 			_ = server.Close()
 		}
 	}
 }
 
-// counted counts what comes in and what goes out.
-type counted struct {
+// countingListener counts what comes in and what goes out.
+type countingListener struct {
 	net.Listener
-	n *atomic.Int64
+	byteCount *atomic.Int64
 }
 
-func (l counted) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	return countedConn{c, l.n}, err
+	return countingConn{c, l.byteCount}, err
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
-	n *atomic.Int64
+	byteCount *atomic.Int64
 }
 
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.n.Add(int64(n))
+	c.byteCount.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.n.Add(int64(n))
+	c.byteCount.Add(int64(n))
 	return n, err
 }
 
-func newBench(b *testing.B, members []quorum.Member, way transport) *bench {
+func newBenchCluster(b *testing.B, members []quorum.Member, newTransport transportFactory) *benchCluster {
 	ctx, cancel := context.WithCancel(context.Background())
-	bn := &bench{b: b, bytes: make([]atomic.Int64, len(members))}
-	ends := []func(){cancel}
+	cluster := &benchCluster{b: b, transferredBytes: make([]atomic.Int64, len(members))}
+	cleanups := []func(){cancel}
 	for i, m := range members {
 		dir := b.TempDir()
 		j, _, err := journal.Open(filepath.Join(dir, "journal"))
@@ -211,31 +211,31 @@
 		g := &group.Group{
 			Config:  quorum.Config{ID: m.ID, Address: m.Address, Seed: uint64(i), Bootstrap: members},
 			Journal: j, Snapshots: snapshot.Store{Dir: filepath.Join(dir, "snapshot")},
-			Now: func() time.Duration { return time.Since(start) }, Log: logr.Discard(),
+			Now: func() time.Duration { return time.Since(clockStart) }, Log: logr.Discard(),
 		}
-		bn.groups = append(bn.groups, g)
-		var end func()
-		g.Peer, end = way(bn, i, m)
-		ends = append(ends, end)
+		cluster.groups = append(cluster.groups, g)
+		var cleanup func()
+		g.Transport, cleanup = newTransport(cluster, i, m)
+		cleanups = append(cleanups, cleanup)
 	}
-	for _, g := range bn.groups {
+	for _, g := range cluster.groups {
 		go func() {
 			if err := g.Run(ctx); err != nil {
 				b.Error(err)
 			}
 		}()
-		ends = append(ends, func() { <-g.Done() })
+		cleanups = append(cleanups, func() { <-g.Done() })
 	}
-	bn.stop = func() {
-		for _, end := range ends {
-			end()
+	cluster.stop = func() {
+		for _, cleanup := range cleanups {
+			cleanup()
 		}
 	}
-	return bn
+	return cluster
 }
 
-// listen gives three members that listen on the loopback.
-func listen(b *testing.B) ([]quorum.Member, []net.Listener) {
+// listenOnLoopback gives three members that listen on the loopback.
+func listenOnLoopback(b *testing.B) ([]quorum.Member, []net.Listener) {
 	var members []quorum.Member
 	var listeners []net.Listener
 	for _, id := range []string{"a/1", "b/1", "c/1"} {
@@ -254,65 +254,65 @@
 // and of three that talk by the real calls on the loopback.
 func BenchmarkCommit(b *testing.B) {
 	for b.Loop() {
-		for _, n := range []int{1, callers} {
-			compare(b, n)
+		for _, n := range []int{1, maxCallers} {
+			compareCommitRates(b, n)
 		}
 	}
 }
 
-func compare(b *testing.B, n int) {
-	in := make(chan request, callers)
-	ended := make(chan struct{})
-	go func() { plain(b, in); close(ended) }()
-	alone, p50, p99 := load(benchTime, n, in)
+func compareCommitRates(b *testing.B, callerCount int) {
+	in := make(chan submittedCommand, maxCallers)
+	fsyncDone := make(chan struct{})
+	go func() { runFsyncOnly(b, in); close(fsyncDone) }()
+	fsyncRate, p50, p99 := runLoad(loadDuration, callerCount, in)
 	close(in)
-	<-ended
-	b.Logf("%d callers, fsync alone: %.0f/s, p50 %v, p99 %v; round trip of the timers p50 %v", n, alone, p50, p99, roundTrip())
-	show := func(what string, bn *bench) {
-		rate, p50, p99 := commits(bn, n)
-		b.Logf("%d callers, %s: %.0f/s (%.2f of alone), p50 %v, p99 %v", n, what, rate, rate/alone, p50, p99)
+	<-fsyncDone
+	b.Logf("%d callers, fsync alone: %.0f/s, p50 %v, p99 %v; round trip of the timers p50 %v", callerCount, fsyncRate, p50, p99, measureTimerRoundTrip())
+	logRate := func(setup string, cluster *benchCluster) {
+		rate, p50, p99 := measureCommits(cluster, callerCount)
+		b.Logf("%d callers, %s: %.0f/s (%.2f of alone), p50 %v, p99 %v", callerCount, setup, rate, rate/fsyncRate, p50, p99)
 	}
-	show("1 voter", newBench(b, three()[:1], timers()))
-	show("3 voters, 1.5 ms", newBench(b, three(), timers()))
-	members, listeners := listen(b)
-	show("3 voters, loopback", newBench(b, members, loopback(listeners)))
+	logRate("1 voter", newBenchCluster(b, threeMembers()[:1], delayedTransport()))
+	logRate("3 voters, 1.5 ms", newBenchCluster(b, threeMembers(), delayedTransport()))
+	members, listeners := listenOnLoopback(b)
+	logRate("3 voters, loopback", newBenchCluster(b, members, loopbackTransport(listeners)))
 }
 
-const benchTime = 4 * time.Second
+const loadDuration = 4 * time.Second
 
-// roundTrip is what two ways through the timers take in this process.
-func roundTrip() time.Duration {
-	var all []time.Duration
+// measureTimerRoundTrip is what two ways through the timers take in this process.
+func measureTimerRoundTrip() time.Duration {
+	var durations []time.Duration
 	for range 200 {
-		began, done := time.Now(), make(chan struct{})
-		time.AfterFunc(oneWay, func() { time.AfterFunc(oneWay, func() { close(done) }) })
+		startedAt, done := time.Now(), make(chan struct{})
+		time.AfterFunc(oneWayDelay, func() { time.AfterFunc(oneWayDelay, func() { close(done) }) })
 		<-done
-		all = append(all, time.Since(began))
+		durations = append(durations, time.Since(startedAt))
 	}
-	slices.Sort(all)
-	return all[len(all)/2]
+	slices.Sort(durations)
+	return durations[len(durations)/2]
 }
 
-func commits(bn *bench, callers int) (float64, time.Duration, time.Duration) {
+func measureCommits(cluster *benchCluster, callers int) (float64, time.Duration, time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
-	defer bn.stop()
+	defer cluster.stop()
 	defer cancel()
-	in := make(chan request, callers)
-	led := make(chan struct{}, len(bn.groups))
-	for _, g := range bn.groups {
-		go drive(ctx, g, in, led)
+	in := make(chan submittedCommand, callers)
+	elected := make(chan struct{}, len(cluster.groups))
+	for _, g := range cluster.groups {
+		go runProposer(ctx, g, in, elected)
 	}
-	<-led
-	return load(benchTime, callers, in)
+	<-elected
+	return runLoad(loadDuration, callers, in)
 }
 
-// BenchmarkIdle gives the bytes a second that an idle replica of three receives
+// BenchmarkIdleTraffic gives the bytes a second that an idle replica of three receives
 // and sends as the one that is called, with all that the calls add.
-func BenchmarkIdle(b *testing.B) {
+func BenchmarkIdleTraffic(b *testing.B) {
 	for b.Loop() {
-		members, listeners := listen(b)
-		bn := newBench(b, members, loopback(listeners))
-		for _, g := range bn.groups {
+		members, listeners := listenOnLoopback(b)
+		cluster := newBenchCluster(b, members, loopbackTransport(listeners))
+		for _, g := range cluster.groups {
 			go func() {
 				for {
 					select {
@@ -325,13 +325,13 @@
 		}
 		time.Sleep(3 * time.Second)
 		var before [3]int64
-		for i := range bn.bytes {
-			before[i] = bn.bytes[i].Load()
+		for i := range cluster.transferredBytes {
+			before[i] = cluster.transferredBytes[i].Load()
 		}
 		time.Sleep(5 * time.Second)
-		for i := range bn.bytes {
-			b.Logf("%s, leading %v: %d bytes a second", members[i].ID, bn.groups[i].Dump().Leading, (bn.bytes[i].Load()-before[i])/5)
+		for i := range cluster.transferredBytes {
+			b.Logf("%s, leading %v: %d bytes a second", members[i].ID, cluster.groups[i].Dump().Leading, (cluster.transferredBytes[i].Load()-before[i])/5)
 		}
-		bn.stop()
+		cluster.stop()
 	}
 }
--- a/internal/replica/group/fake_test.go
+++ b/internal/replica/group/fake_test.go
@@ -15,34 +15,34 @@
 	"gypsumreel/internal/replica/snapshot"
 )
 
-// memory is a journal and a snapshot store that survive their group.
-type memory struct {
-	mu       sync.Mutex
-	hard     quorum.Hard
-	entries  []quorum.Entry
-	snapshot quorum.Snapshot
-	// broken is what Sync returns, refuse what Append does.
-	broken error
-	refuse error
-	free   uint64
-	// unsaved is what Save returns, saves counts its calls; stall, if not nil, is
+// memoryStore is a journal and a snapshot store that survive their group.
+type memoryStore struct {
+	mu        sync.Mutex
+	hardState quorum.Hard
+	entries   []quorum.Entry
+	snapshot  quorum.Snapshot
+	// syncErr is what Sync returns, refuse what Append does.
+	syncErr   error
+	appendErr error
+	freeBytes uint64
+	// saveErr is what Save returns, saves counts its calls; stall, if not nil, is
 	// waited for by each.
-	unsaved error
-	saves   int
-	stall   chan struct{}
+	saveErr   error
+	saveCalls int
+	saveStall chan struct{}
 }
 
-func (m *memory) Append(hard *quorum.Hard, entries []quorum.Entry) error {
+func (m *memoryStore) Append(hard *quorum.Hard, entries []quorum.Entry) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.refuse != nil {
-		return m.refuse
+	if m.appendErr != nil {
+		return m.appendErr
 	}
 	if n := len(m.entries); n > 0 && len(entries) > 0 && entries[0].Index > m.entries[n-1].Index+1 {
 		return journal.ErrGap
 	}
 	if hard != nil {
-		m.hard = *hard
+		m.hardState = *hard
 	}
 	for _, e := range entries {
 		for len(m.entries) > 0 && m.entries[len(m.entries)-1].Index >= e.Index {
@@ -53,19 +53,19 @@
 	return nil
 }
 
-func (m *memory) set(change func()) {
+func (m *memoryStore) update(change func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	change()
 }
 
-func (m *memory) Sync() error {
+func (m *memoryStore) Sync() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.broken
+	return m.syncErr
 }
 
-func (m *memory) Compact(index uint64) error {
+func (m *memoryStore) Compact(index uint64) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for len(m.entries) > 0 && m.entries[0].Index <= index {
@@ -74,59 +74,59 @@
 	return nil
 }
 
-func (m *memory) Close() error { return nil }
+func (m *memoryStore) Close() error { return nil }
 
-func (m *memory) Free() (uint64, error) {
+func (m *memoryStore) FreeBytes() (uint64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.free, nil
+	return m.freeBytes, nil
 }
 
-func (m *memory) Save(meta snapshot.Meta, state []byte) error {
+func (m *memoryStore) Save(meta snapshot.Meta, state []byte) error {
 	m.mu.Lock()
-	stall := m.stall
-	m.saves++
+	stall := m.saveStall
+	m.saveCalls++
 	m.mu.Unlock()
 	if stall != nil {
 		<-stall
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.unsaved != nil {
-		return m.unsaved
+	if m.saveErr != nil {
+		return m.saveErr
 	}
 	m.snapshot = quorum.Snapshot{Index: meta.Index, Term: meta.Term, Members: meta.Members, State: state}
 	return nil
 }
 
-func (m *memory) saved() quorum.Saved {
+func (m *memoryStore) recovered() quorum.Saved {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return quorum.Saved{Hard: m.hard, Entries: append([]quorum.Entry(nil), m.entries...), Snapshot: m.snapshot}
+	return quorum.Saved{Hard: m.hardState, Entries: append([]quorum.Entry(nil), m.entries...), Snapshot: m.snapshot}
 }
 
 // network carries messages with a delay of 1.5 ms; a silent replica gets and
 // gives nothing.
 type network struct {
-	mu     sync.Mutex
-	groups map[string]*group.Group
-	silent map[string]bool
+	mu       sync.Mutex
+	groups   map[string]*group.Group
+	isolated map[string]bool
 }
 
-type link struct {
-	n    *network
-	from string
+type networkTransport struct {
+	network *network
+	from    string
 }
 
-const oneWay = 1500 * time.Microsecond
+const oneWayDelay = 1500 * time.Microsecond
 
-func (l link) Send(to, _ string, data [][]byte) {
-	time.AfterFunc(oneWay, func() {
-		l.n.mu.Lock()
-		g := l.n.groups[to]
-		lost := l.n.silent[to] || l.n.silent[l.from]
-		l.n.mu.Unlock()
-		if g == nil || lost {
+func (l networkTransport) Send(to, _ string, data [][]byte) {
+	time.AfterFunc(oneWayDelay, func() {
+		l.network.mu.Lock()
+		g := l.network.groups[to]
+		dropped := l.network.isolated[to] || l.network.isolated[l.from]
+		l.network.mu.Unlock()
+		if g == nil || dropped {
 			return
 		}
 		for _, d := range data {
@@ -137,98 +137,98 @@
 
 // replica is a group with a control thread that keeps the commands it was given.
 type replica struct {
-	g      *group.Group
-	disk   *memory
-	err    chan error
+	group  *group.Group
+	store  *memoryStore
+	runErr chan error
 	cancel context.CancelFunc
 
-	mu       sync.Mutex
-	lead     *group.Lead
-	next     uint64
-	follow   group.Follow
-	state    []string
-	mine     map[uint64]string
-	commit   uint64
-	confirm  time.Duration
-	members  []quorum.Member
-	restores int
-	full     bool
+	mu                  sync.Mutex
+	leading             *group.Leading
+	nextIndex           uint64
+	following           group.Following
+	appliedCommands     []string
+	proposedCommands    map[uint64]string
+	commitIndex         uint64
+	confirmedRoundStart time.Duration
+	members             []quorum.Member
+	restoreCount        int
+	diskFull            bool
 }
 
-// start lies before the beginning of a bubble's clock.
-var start = time.Date(1999, 12, 31, 0, 0, 0, 0, time.UTC)
+// clockStart lies before the beginning of a bubble's clock.
+var clockStart = time.Date(1999, 12, 31, 0, 0, 0, 0, time.UTC)
 
-func run(t *testing.T, n *network, id string, disk *memory, bootstrap ...quorum.Member) *replica {
+func startReplica(t *testing.T, n *network, id string, store *memoryStore, bootstrap ...quorum.Member) *replica {
 	t.Helper()
-	r := &replica{disk: disk, err: make(chan error, 1), mine: map[uint64]string{}}
-	r.g = &group.Group{
-		Config:  quorum.Config{ID: id, Address: id, Seed: uint64(len(id) + int(id[0])), Bootstrap: bootstrap},
-		Saved:   disk.saved(),
-		Journal: disk, Snapshots: disk, Peer: link{n, id},
-		Now: func() time.Duration { return time.Since(start) },
+	r := &replica{store: store, runErr: make(chan error, 1), proposedCommands: map[uint64]string{}}
+	r.group = &group.Group{
+		Config:    quorum.Config{ID: id, Address: id, Seed: uint64(len(id) + int(id[0])), Bootstrap: bootstrap},
+		Recovered: store.recovered(),
+		Journal:   store, Snapshots: store, Transport: networkTransport{n, id},
+		Now: func() time.Duration { return time.Since(clockStart) },
 		Log: logr.Discard(),
 	}
 	n.mu.Lock()
-	n.groups[id] = r.g
+	n.groups[id] = r.group
 	n.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
-	go func() { r.err <- r.g.Run(ctx) }()
-	go r.control()
+	go func() { r.runErr <- r.group.Run(ctx) }()
+	go r.handleNotifications()
 	t.Cleanup(cancel)
 	return r
 }
 
-func (r *replica) control() {
+func (r *replica) handleNotifications() {
 	for {
 		select {
-		case <-r.g.Done():
+		case <-r.group.Done():
 			return
-		case n := <-r.g.Notes():
-			r.take(n)
+		case n := <-r.group.Notes():
+			r.handleNotification(n)
 		}
 	}
 }
 
-func (r *replica) take(n group.Note) {
+func (r *replica) handleNotification(n group.Notification) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch n := n.(type) {
-	case group.Lead:
-		r.lead, r.next = &n, n.Last+1
-	case group.Follow:
-		if r.lead != nil {
-			r.mine = map[uint64]string{}
-			go r.g.Reload()
+	case group.Leading:
+		r.leading, r.nextIndex = &n, n.LastIndex+1
+	case group.Following:
+		if r.leading != nil {
+			r.proposedCommands = map[uint64]string{}
+			go r.group.Reload()
 		}
-		r.lead, r.follow = nil, n
-	case group.Apply:
+		r.leading, r.following = nil, n
+	case group.ApplyEntries:
 		for _, e := range n.Entries {
 			r.apply(e)
 		}
-	case group.Commit:
-		for r.commit < n.Index {
-			r.apply(quorum.Entry{Index: r.commit + 1, Kind: quorum.Command, Data: []byte(r.mine[r.commit+1])})
+	case group.CommitAdvanced:
+		for r.commitIndex < n.Index {
+			r.apply(quorum.Entry{Index: r.commitIndex + 1, Kind: quorum.Command, Data: []byte(r.proposedCommands[r.commitIndex+1])})
 		}
-	case group.Confirmed:
-		r.confirm = n.Start
-	case group.Restore:
-		r.restores++
-		r.state, r.commit = nil, n.Index
+	case group.LeadershipConfirmed:
+		r.confirmedRoundStart = n.StartedAt
+	case group.RestoreSnapshot:
+		r.restoreCount++
+		r.appliedCommands, r.commitIndex = nil, n.Index
 		if len(n.State) > 0 {
-			r.state = []string{string(n.State)}
+			r.appliedCommands = []string{string(n.State)}
 		}
-	case group.Members:
+	case group.MembershipChanged:
 		r.members = n.Members
-	case group.Full:
-		r.full = n.Full
+	case group.JournalDiskFull:
+		r.diskFull = n.Full
 	}
 }
 
 func (r *replica) apply(e quorum.Entry) {
-	r.commit = e.Index
+	r.commitIndex = e.Index
 	if e.Kind == quorum.Command && len(e.Data) > 0 {
-		r.state = append(r.state, string(e.Data))
+		r.appliedCommands = append(r.appliedCommands, string(e.Data))
 	}
 }
 
@@ -236,46 +236,46 @@
 func (r *replica) propose(commands ...string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.lead == nil {
+	if r.leading == nil {
 		return false
 	}
 	for _, c := range commands {
-		if !r.g.Propose(group.Proposal{Term: r.lead.Term, First: r.next, Commands: [][]byte{[]byte(c)}}) {
+		if !r.group.Propose(group.Proposal{Term: r.leading.Term, FirstIndex: r.nextIndex, Commands: [][]byte{[]byte(c)}}) {
 			return false
 		}
-		r.mine[r.next] = c
-		r.next++
+		r.proposedCommands[r.nextIndex] = c
+		r.nextIndex++
 	}
 	return true
 }
 
-func (r *replica) change(m quorum.Member, remove bool) {
+func (r *replica) proposeMemberChange(m quorum.Member, remove bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.g.Propose(group.Proposal{Term: r.lead.Term, First: r.next, Change: &m, Remove: remove})
-	r.next++
+	r.group.Propose(group.Proposal{Term: r.leading.Term, FirstIndex: r.nextIndex, Member: &m, RemoveMember: remove})
+	r.nextIndex++
 }
 
-func (r *replica) view() (state []string, leading bool) {
+func (r *replica) currentState() (state []string, leading bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]string(nil), r.state...), r.lead != nil
+	return append([]string(nil), r.appliedCommands...), r.leading != nil
 }
 
-// alone runs a group of one replica, which leads.
-func alone(t *testing.T) (*replica, *memory) {
-	d := roomy()
-	r := run(t, newNetwork(), "a/1", d, quorum.Member{ID: "a/1", Address: "a/1"})
-	leaderOf(t, r)
-	return r, d
+// startSingleVoter runs a group of one replica, which leads.
+func startSingleVoter(t *testing.T) (*replica, *memoryStore) {
+	store := newMemoryStore()
+	r := startReplica(t, newNetwork(), "a/1", store, quorum.Member{ID: "a/1", Address: "a/1"})
+	waitForLeader(t, r)
+	return r, store
 }
 
-// leaderOf waits, on the bubble's clock, for the one that leads.
-func leaderOf(t *testing.T, rs ...*replica) *replica {
+// waitForLeader waits, on the bubble's clock, for the one that leads.
+func waitForLeader(t *testing.T, replicas ...*replica) *replica {
 	t.Helper()
 	for range 500 {
-		for _, r := range rs {
-			if _, leading := r.view(); leading {
+		for _, r := range replicas {
+			if _, leading := r.currentState(); leading {
 				return r
 			}
 		}
@@ -285,7 +285,7 @@
 	return nil
 }
 
-func commands(prefix string, n int) []string {
+func numberedCommands(prefix string, n int) []string {
 	var out []string
 	for i := range n {
 		out = append(out, fmt.Sprint(prefix, i))
--- a/internal/replica/group/group.go
+++ b/internal/replica/group/group.go
@@ -15,35 +15,35 @@
 
 // Defaults and bounds of a group.
 const (
-	// DefaultTick is the resolution of the timers.
-	DefaultTick = 10 * time.Millisecond
-	// DefaultFree is the room on the journal's disk below which the group is
+	// DefaultTickInterval is the resolution of the timers.
+	DefaultTickInterval = 10 * time.Millisecond
+	// DefaultMinFreeBytes is the room on the journal's disk below which the group is
 	// full, in bytes.
-	DefaultFree = 256 << 20
-	// maxProposals is how many proposals wait for the group.
-	maxProposals = 256
-	// maxInbox is how many messages of other replicas wait for the group.
-	maxInbox = 256
-	// maxBatch is how many events are handled before their effects leave.
-	maxBatch = 64
-	// maxUncommitted is how many bytes of entries may wait for a quorum.
-	maxUncommitted = 32 << 20
-	// freeInterval is the time between two looks at the room on the disk.
-	freeInterval = time.Second
-	// fullInterval is the time between two tries to write to a full disk.
-	fullInterval = 100 * time.Millisecond
-	// saveTries is how often a snapshot is tried before the next takes its place,
+	DefaultMinFreeBytes = 256 << 20
+	// proposalQueueLength is how many proposals wait for the group.
+	proposalQueueLength = 256
+	// inboxLength is how many messages of other replicas wait for the group.
+	inboxLength = 256
+	// maxMergedProposals is how many events are handled before their effects leave.
+	maxMergedProposals = 64
+	// maxUncommittedBytes is how many bytes of entries may wait for a quorum.
+	maxUncommittedBytes = 32 << 20
+	// freeSpaceCheckInterval is the time between two looks at the room on the disk.
+	freeSpaceCheckInterval = time.Second
+	// fullDiskRetryInterval is the time between two tries to write to a full disk.
+	fullDiskRetryInterval = 100 * time.Millisecond
+	// maxSaveAttempts is how often a snapshot is tried before the next takes its place,
 	// savePause the first pause between two tries; it doubles with each.
-	saveTries = 6
-	savePause = 250 * time.Millisecond
+	maxSaveAttempts    = 6
+	initialSaveBackoff = 250 * time.Millisecond
 )
 
 // Errors of a group.
 var (
 	// ErrStopped tells that the group no longer runs.
 	ErrStopped = errors.New("group stopped")
-	// ErrAlone tells that there is no other voter to hand over to.
-	ErrAlone = errors.New("no other voter to hand over to")
+	// ErrNoOtherVoter tells that there is no other voter to hand over to.
+	ErrNoOtherVoter = errors.New("no other voter to hand over to")
 )
 
 // Journal is the log on the disk.
@@ -56,19 +56,19 @@
 	// afterwards and goes on with any index.
 	Compact(index uint64) error
 	Close() error
-	// Free gives the room on the disk in bytes.
-	Free() (uint64, error)
+	// FreeBytes gives the room on the disk in bytes.
+	FreeBytes() (uint64, error)
 }
 
-// Snapshots stores snapshots.
-type Snapshots interface {
+// SnapshotStore stores snapshots.
+type SnapshotStore interface {
 	// Save returns once the snapshot is synced. After an error the one before it is
 	// still there.
 	Save(meta snapshot.Meta, state []byte) error
 }
 
-// Peer carries messages to the other replicas.
-type Peer interface {
+// Transport carries messages to the other replicas.
+type Transport interface {
 	// Send never blocks; messages that find no room are dropped.
 	Send(to, address string, data [][]byte)
 }
@@ -77,73 +77,73 @@
 type Group struct {
 	// Config is that of the core: identity, address, timeouts, seed, bootstrap.
 	Config quorum.Config
-	// Saved is what the journal and the snapshots held at the start.
-	Saved     quorum.Saved
+	// Recovered is what the journal and the snapshots held at the start.
+	Recovered quorum.Saved
 	Journal   Journal
-	Snapshots Snapshots
-	Peer      Peer
+	Snapshots SnapshotStore
+	Transport Transport
 	// Now is a monotonic clock.
-	Now  func() time.Duration
-	Tick time.Duration
-	// Free is the room on the disk that the group wants left, in bytes.
-	Free uint64
-	// Meters receives the metrics; nil for none.
-	Meters *metrics.Set
-	Log    logr.Logger
+	Now          func() time.Duration
+	TickInterval time.Duration
+	// MinFreeBytes is the room on the disk that the group wants left, in bytes.
+	MinFreeBytes uint64
+	// Metrics receives the metrics; nil for none.
+	Metrics *metrics.Set
+	Log     logr.Logger
 
-	once      sync.Once
-	proposals chan Proposal
-	inbox     chan arrival
-	asks      chan ask
-	confirms  chan struct{}
-	synced    chan outcome
-	writes    chan quorum.Write
-	drops     chan uint64
-	saves     chan quorum.Snapshot
-	full      chan bool
-	done      chan struct{}
-	notes     *outbox
-	meter     *meters
+	initOnce           sync.Once
+	proposals          chan Proposal
+	inbox              chan receivedMessage
+	requests           chan request
+	confirmRequests    chan struct{}
+	diskResults        chan diskResult
+	journalWrites      chan quorum.Write
+	journalCompactions chan uint64
+	snapshotsToSave    chan quorum.Snapshot
+	diskFull           chan bool
+	done               chan struct{}
+	notifications      *notificationQueue
+	latencies          *latencyMetrics
 
-	core      *quorum.Core
-	transfers []chan<- error
+	core            *quorum.Core
+	transferWaiters []chan<- error
 }
 
-// arrival is a message of another replica, and when it came.
-type arrival struct {
+// receivedMessage is a message of another replica, and when it came.
+type receivedMessage struct {
 	quorum.Message
-	at time.Duration
+	receivedAt time.Duration
 }
 
-// ask is a rare request to the loop.
-type ask interface{ ask() }
+// request is a rare request to the loop.
+type request interface{ isRequest() }
 
 type (
-	compactAsk  struct{ ev quorum.Compact }
-	reloadAsk   struct{ done chan<- struct{} }
-	transferAsk struct{ done chan<- error }
-	dumpAsk     struct{ reply chan<- Dump }
+	compactRequest  struct{ event quorum.Compact }
+	reloadRequest   struct{ done chan<- struct{} }
+	transferRequest struct{ done chan<- error }
+	dumpRequest     struct{ reply chan<- Dump }
 )
 
-func (compactAsk) ask()  {}
-func (reloadAsk) ask()   {}
-func (transferAsk) ask() {}
-func (dumpAsk) ask()     {}
+func (compactRequest) isRequest()  {}
+func (reloadRequest) isRequest()   {}
+func (transferRequest) isRequest() {}
+func (dumpRequest) isRequest()     {}
 
 func (g *Group) init() {
-	g.once.Do(func() {
-		g.proposals = make(chan Proposal, maxProposals)
-		g.inbox = make(chan arrival, maxInbox)
-		g.asks = make(chan ask)
-		g.confirms = make(chan struct{}, 1)
-		g.synced = make(chan outcome, 4)
-		g.writes = make(chan quorum.Write, 1)
-		g.drops = make(chan uint64, 1)
-		g.saves = make(chan quorum.Snapshot, 1)
-		g.full = make(chan bool, 1)
+	g.initOnce.Do(func() {
+		g.proposals = make(chan Proposal, proposalQueueLength)
+		g.inbox = make(chan receivedMessage, inboxLength)
+		g.requests = make(chan request)
+		g.confirmRequests = make(chan struct{}, 1)
+		g.diskResults = make(chan diskResult, 4)
+		g.journalWrites = make(chan quorum.Write, 1)
+		g.journalCompactions = make(chan uint64, 1)
+		g.snapshotsToSave = make(chan quorum.Snapshot, 1)
+		g.diskFull = make(chan bool, 1)
 		g.done = make(chan struct{})
-		g.notes = newOutbox()
-		g.meter = newMeters(g.Meters)
+		g.notifications = newNotificationQueue()
+		g.latencies = newLatencyMetrics(g.Metrics)
 	})
 }
 
@@ -154,9 +154,9 @@
 }
 
 // Notes are what the control thread has to know, in order.
-func (g *Group) Notes() <-chan Note {
+func (g *Group) Notes() <-chan Notification {
 	g.init()
-	return g.notes.out
+	return g.notifications.out
 }
 
 // Propose hands over a proposal without blocking; false tells that there was no
@@ -175,7 +175,7 @@
 func (g *Group) Confirm() {
 	g.init()
 	select {
-	case g.confirms <- struct{}{}:
+	case g.confirmRequests <- struct{}{}:
 	default:
 	}
 }
@@ -184,13 +184,13 @@
 // Messages that find no room are dropped, as if the network had lost them.
 func (g *Group) Receive(from string, data []byte) {
 	g.init()
-	m, err := quorum.Decode(g.Config.ID, from, data)
+	message, err := quorum.Decode(g.Config.ID, from, data)
 	if err != nil {
 		g.Log.V(1).Info("message dropped", "from", from, "error", err.Error())
 		return
 	}
 	select {
-	case g.inbox <- arrival{m, g.Now()}:
+	case g.inbox <- receivedMessage{message, g.Now()}:
 	default:
 	}
 }
@@ -198,7 +198,7 @@
 // Compact gives the state after the committed entry at index; the group saves it
 // as a snapshot and forgets the log behind it. The caller leaves state alone.
 func (g *Group) Compact(index uint64, state []byte) {
-	g.put(compactAsk{quorum.Compact{Index: index, State: state}})
+	g.sendRequest(compactRequest{quorum.Compact{Index: index, State: state}})
 }
 
 // Reload asks for a Restore and the Apply notes after it. When it returns, no
@@ -206,7 +206,7 @@
 // would meet a ledger that holds commands which nobody agreed on.
 func (g *Group) Reload() {
 	done := make(chan struct{})
-	if !g.put(reloadAsk{done}) {
+	if !g.sendRequest(reloadRequest{done}) {
 		return
 	}
 	select {
@@ -215,10 +215,10 @@
 	}
 }
 
-// Transfer returns when this replica does not lead any more, or with an error.
-func (g *Group) Transfer(ctx context.Context) error {
+// TransferLeadership returns when this replica does not lead any more, or with an error.
+func (g *Group) TransferLeadership(ctx context.Context) error {
 	done := make(chan error, 1)
-	if !g.put(transferAsk{done}) {
+	if !g.sendRequest(transferRequest{done}) {
 		return ErrStopped
 	}
 	select {
@@ -234,22 +234,22 @@
 // Dump gives the state of the replica.
 func (g *Group) Dump() Dump {
 	reply := make(chan Dump, 1)
-	if !g.put(dumpAsk{reply}) {
+	if !g.sendRequest(dumpRequest{reply}) {
 		return Dump{Stopped: true}
 	}
 	select {
-	case d := <-reply:
-		return d
+	case dump := <-reply:
+		return dump
 	case <-g.done:
 		return Dump{Stopped: true}
 	}
 }
 
-// put hands a request to the loop, which never waits for the control thread.
-func (g *Group) put(a ask) bool {
+// sendRequest hands a request to the loop, which never waits for the control thread.
+func (g *Group) sendRequest(r request) bool {
 	g.init()
 	select {
-	case g.asks <- a:
+	case g.requests <- r:
 		return true
 	case <-g.done:
 		return false
--- a/internal/replica/group/group_test.go
+++ b/internal/replica/group/group_test.go
@@ -18,42 +18,42 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-func three() []quorum.Member {
+func threeMembers() []quorum.Member {
 	return []quorum.Member{{ID: "a/1", Address: "a/1"}, {ID: "b/1", Address: "b/1"}, {ID: "c/1", Address: "c/1"}}
 }
 
 func newNetwork() *network {
-	return &network{groups: map[string]*group.Group{}, silent: map[string]bool{}}
+	return &network{groups: map[string]*group.Group{}, isolated: map[string]bool{}}
 }
 
-func roomy() *memory { return &memory{free: 1 << 40} }
+func newMemoryStore() *memoryStore { return &memoryStore{freeBytes: 1 << 40} }
 
-func TestSingleVoter(t *testing.T) {
+func TestSingleVoterCommitsAndRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, disk := newNetwork(), roomy()
+		n, store := newNetwork(), newMemoryStore()
 		self := quorum.Member{ID: "a/1", Address: "a/1"}
-		r := run(t, n, "a/1", disk, self)
-		leaderOf(t, r)
-		want := commands("x", 500)
+		r := startReplica(t, n, "a/1", store, self)
+		waitForLeader(t, r)
+		want := numberedCommands("x", 500)
 		for i := range want {
 			r.propose(want[i])
 			synctest.Wait()
 		}
 		time.Sleep(200 * time.Millisecond)
-		got, _ := r.view()
+		got, _ := r.currentState()
 		if d := cmp.Diff(want, got); d != "" {
 			t.Fatal(d)
 		}
-		if r.confirm == 0 {
+		if r.confirmedRoundStart == 0 {
 			t.Error("no round was confirmed")
 		}
-		r.g.Compact(100, []byte("first hundred"))
+		r.group.Compact(100, []byte("first hundred"))
 		time.Sleep(50 * time.Millisecond)
 		r.cancel()
-		<-r.g.Done()
-		again := run(t, n, "a/1", disk, self)
-		leaderOf(t, again)
-		got, _ = again.view()
+		<-r.group.Done()
+		restarted := startReplica(t, n, "a/1", store, self)
+		waitForLeader(t, restarted)
+		got, _ = restarted.currentState()
 		// Index 1 is the bootstrap, 2 the leader's empty entry.
 		if d := cmp.Diff(append([]string{"first hundred"}, want[98:]...), got); d != "" {
 			t.Fatal(d)
@@ -61,23 +61,23 @@
 	})
 }
 
-func TestThreeReplicas(t *testing.T) {
+func TestThreeReplicasApplySameCommands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		var rs []*replica
-		for _, m := range three() {
-			rs = append(rs, run(t, n, m.ID, roomy(), three()...))
+		var replicas []*replica
+		for _, m := range threeMembers() {
+			replicas = append(replicas, startReplica(t, n, m.ID, newMemoryStore(), threeMembers()...))
 		}
-		l := leaderOf(t, rs...)
-		want := commands("x", 100)
-		if !l.propose(want...) {
+		leader := waitForLeader(t, replicas...)
+		want := numberedCommands("x", 100)
+		if !leader.propose(want...) {
 			t.Fatal("refused")
 		}
 		time.Sleep(time.Second)
-		for _, r := range rs {
-			got, _ := r.view()
+		for _, r := range replicas {
+			got, _ := r.currentState()
 			if d := cmp.Diff(want, got); d != "" {
-				t.Error(r.g.Config.ID, d)
+				t.Error(r.group.Config.ID, d)
 			}
 		}
 	})
@@ -87,68 +87,68 @@
 // Callers of that work must not be told that it is done: the others elect a
 // leader and go on. When the old one is back, it drops what nobody committed
 // and ends in the state of the others.
-func TestLeaderCutOff(t *testing.T) {
+func TestIsolatedLeaderDropsUncommittedCommands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		var rs []*replica
-		for _, m := range three() {
-			rs = append(rs, run(t, n, m.ID, roomy(), three()...))
+		var replicas []*replica
+		for _, m := range threeMembers() {
+			replicas = append(replicas, startReplica(t, n, m.ID, newMemoryStore(), threeMembers()...))
 		}
-		old := leaderOf(t, rs...)
-		old.propose(commands("x", 10)...)
+		oldLeader := waitForLeader(t, replicas...)
+		oldLeader.propose(numberedCommands("x", 10)...)
 		time.Sleep(time.Second)
 		n.mu.Lock()
-		n.silent[old.g.Config.ID] = true
+		n.isolated[oldLeader.group.Config.ID] = true
 		n.mu.Unlock()
-		old.propose(commands("lost", 10)...)
+		oldLeader.propose(numberedCommands("lost", 10)...)
 		time.Sleep(620 * time.Millisecond)
-		if got, leading := old.view(); leading || len(got) != 10 {
+		if got, leading := oldLeader.currentState(); leading || len(got) != 10 {
 			t.Errorf("cut off for longer than an election timeout: leading %v with %d commands", leading, len(got))
 		}
 		var others []*replica
-		for _, r := range rs {
-			if r != old {
+		for _, r := range replicas {
+			if r != oldLeader {
 				others = append(others, r)
 			}
 		}
-		l := leaderOf(t, others...)
-		l.propose(commands("y", 10)...)
+		newLeader := waitForLeader(t, others...)
+		newLeader.propose(numberedCommands("y", 10)...)
 		time.Sleep(time.Second)
 		n.mu.Lock()
-		n.silent = map[string]bool{}
+		n.isolated = map[string]bool{}
 		n.mu.Unlock()
 		time.Sleep(2 * time.Second)
-		want := append(commands("x", 10), commands("y", 10)...)
-		for _, r := range rs {
-			got, _ := r.view()
+		want := append(numberedCommands("x", 10), numberedCommands("y", 10)...)
+		for _, r := range replicas {
+			got, _ := r.currentState()
 			if d := cmp.Diff(want, got); d != "" {
-				t.Error(r.g.Config.ID, d)
+				t.Error(r.group.Config.ID, d)
 			}
 		}
 	})
 }
 
-func TestTransfer(t *testing.T) {
+func TestLeadershipTransfer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		var rs []*replica
-		for _, m := range three() {
-			rs = append(rs, run(t, n, m.ID, roomy(), three()...))
+		var replicas []*replica
+		for _, m := range threeMembers() {
+			replicas = append(replicas, startReplica(t, n, m.ID, newMemoryStore(), threeMembers()...))
 		}
-		l := leaderOf(t, rs...)
-		l.propose(commands("x", 10)...)
+		leader := waitForLeader(t, replicas...)
+		leader.propose(numberedCommands("x", 10)...)
 		time.Sleep(300 * time.Millisecond)
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		began := time.Now()
-		if err := l.g.Transfer(ctx); err != nil {
+		startedAt := time.Now()
+		if err := leader.group.TransferLeadership(ctx); err != nil {
 			t.Fatal(err)
 		}
-		if took := time.Since(began); took > 100*time.Millisecond {
-			t.Errorf("took %v", took)
+		if duration := time.Since(startedAt); duration > 100*time.Millisecond {
+			t.Errorf("took %v", duration)
 		}
 		synctest.Wait()
-		if next := leaderOf(t, rs...); next == l {
+		if newLeader := waitForLeader(t, replicas...); newLeader == leader {
 			t.Error("the leader did not change")
 		}
 	})
@@ -157,16 +157,16 @@
 // A disk reports a failed fsync once and succeeds the next time, as Linux does,
 // though the pages are lost. A group that tried again would acknowledge entries
 // that are on no disk; so it ends.
-func TestFailedSync(t *testing.T) {
+func TestFailedSyncStopsGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, disk := alone(t)
-		broken := errors.New("input/output error")
-		disk.set(func() { disk.broken = broken })
+		r, store := startSingleVoter(t)
+		syncErr := errors.New("input/output error")
+		store.update(func() { store.syncErr = syncErr })
 		r.propose("x")
-		if err := <-r.err; !errors.Is(err, broken) {
+		if err := <-r.runErr; !errors.Is(err, syncErr) {
 			t.Errorf("Run returned %v", err)
 		}
-		if got, _ := r.view(); len(got) != 0 {
+		if got, _ := r.currentState(); len(got) != 0 {
 			t.Errorf("committed %v", got)
 		}
 	})
@@ -175,19 +175,19 @@
 // A disk has no room for a while. Callers get refusals meanwhile, and nothing
 // that was not written is acknowledged; when there is room the group goes on
 // by itself instead of ending and being started over and over.
-func TestFullDisk(t *testing.T) {
+func TestGroupResumesAfterFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, d := alone(t)
-		d.set(func() { d.refuse, d.free = disk.ErrFull, 0 })
+		r, store := startSingleVoter(t)
+		store.update(func() { store.appendErr, store.freeBytes = disk.ErrFull, 0 })
 		r.propose("x")
 		time.Sleep(3 * time.Second)
-		if got, leading := r.view(); len(got) != 0 || !leading || !r.full {
-			t.Errorf("full disk: committed %v, leading %v, told %v", got, leading, r.full)
+		if got, leading := r.currentState(); len(got) != 0 || !leading || !r.diskFull {
+			t.Errorf("full disk: committed %v, leading %v, told %v", got, leading, r.diskFull)
 		}
-		d.set(func() { d.refuse, d.free = nil, 1<<40 })
+		store.update(func() { store.appendErr, store.freeBytes = nil, 1<<40 })
 		time.Sleep(3 * time.Second)
-		if got, leading := r.view(); len(got) != 1 || !leading || r.full {
-			t.Errorf("room again: committed %v, leading %v, told full %v", got, leading, r.full)
+		if got, leading := r.currentState(); len(got) != 1 || !leading || r.diskFull {
+			t.Errorf("room again: committed %v, leading %v, told full %v", got, leading, r.diskFull)
 		}
 	})
 }
@@ -195,43 +195,43 @@
 // A replica was away until the others forgot the log that it lacks.
 // It gets the snapshot; its journal, which takes no gap, is emptied first, and
 // after a restart the replica has the same state.
-func TestSnapshotForReplicaThatWasAway(t *testing.T) {
+func TestSnapshotInstalledOnLaggingReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		disks := []*memory{roomy(), roomy(), roomy()}
-		var rs []*replica
-		for i, m := range three() {
-			rs = append(rs, run(t, n, m.ID, disks[i], three()...))
+		stores := []*memoryStore{newMemoryStore(), newMemoryStore(), newMemoryStore()}
+		var replicas []*replica
+		for i, m := range threeMembers() {
+			replicas = append(replicas, startReplica(t, n, m.ID, stores[i], threeMembers()...))
 		}
-		l := leaderOf(t, rs...)
-		away := 0
-		for rs[away] == l {
-			away++
+		leader := waitForLeader(t, replicas...)
+		stopped := 0
+		for replicas[stopped] == leader {
+			stopped++
 		}
-		rs[away].cancel()
-		<-rs[away].g.Done()
-		big := strings.Repeat("x", 1<<20)
+		replicas[stopped].cancel()
+		<-replicas[stopped].group.Done()
+		largeCommand := strings.Repeat("x", 1<<20)
 		for range 2 * quorum.DefaultTail >> 20 {
-			l.propose(big)
+			leader.propose(largeCommand)
 			time.Sleep(200 * time.Millisecond)
 		}
 		// Index 1 is the bootstrap, 2 the leader's empty entry.
-		for _, r := range rs {
-			if r != rs[away] {
-				r.g.Compact(17, []byte("fifteen"))
+		for _, r := range replicas {
+			if r != replicas[stopped] {
+				r.group.Compact(17, []byte("fifteen"))
 			}
 		}
 		time.Sleep(time.Second)
-		want, _ := l.view()
+		want, _ := leader.currentState()
 		want = append([]string{"fifteen"}, want[15:]...)
 		for range 2 {
-			rs[away] = run(t, n, rs[away].g.Config.ID, disks[away], three()...)
+			replicas[stopped] = startReplica(t, n, replicas[stopped].group.Config.ID, stores[stopped], threeMembers()...)
 			time.Sleep(3 * time.Second)
-			if got, _ := rs[away].view(); !slices.Equal(want, got) {
-				t.Fatalf("has %d commands instead of %d: %+v", len(got), len(want), rs[away].g.Dump())
+			if got, _ := replicas[stopped].currentState(); !slices.Equal(want, got) {
+				t.Fatalf("has %d commands instead of %d: %+v", len(got), len(want), replicas[stopped].group.Dump())
 			}
-			rs[away].cancel()
-			<-rs[away].g.Done()
+			replicas[stopped].cancel()
+			<-replicas[stopped].group.Done()
 		}
 	})
 }
@@ -240,30 +240,30 @@
 // and notes of the time before its reload are still on their way to it.
 // Applied to that state they would make it differ from all others for good, so
 // the first that comes after Reload is the state that it starts over from.
-func TestNothingBetweenReloadAndRestore(t *testing.T) {
+func TestReloadDiscardsOlderNotifications(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := start1(t)
+		r := startGroupWithoutReader(t)
 		time.Sleep(2 * time.Second)
 		r.Reload()
 		var got []string
-		for len(got) == 0 || got[len(got)-1] != "group.Lead" {
+		for len(got) == 0 || got[len(got)-1] != "group.Leading" {
 			got = append(got, fmt.Sprintf("%T", <-r.Notes()))
 		}
-		want := []string{"group.Follow", "group.Follow", "group.Members", "group.Restore", "group.Apply", "group.Lead"}
+		want := []string{"group.Following", "group.Following", "group.MembershipChanged", "group.RestoreSnapshot", "group.ApplyEntries", "group.Leading"}
 		if d := cmp.Diff(want, got); d != "" {
 			t.Error(d)
 		}
 	})
 }
 
-// start1 runs one voter whose notes nobody reads yet.
-func start1(t *testing.T) *group.Group {
+// startGroupWithoutReader runs one voter whose notes nobody reads yet.
+func startGroupWithoutReader(t *testing.T) *group.Group {
 	t.Helper()
-	d, n, self := roomy(), newNetwork(), quorum.Member{ID: "a/1", Address: "a/1"}
+	store, n, self := newMemoryStore(), newNetwork(), quorum.Member{ID: "a/1", Address: "a/1"}
 	g := &group.Group{
 		Config:  quorum.Config{ID: self.ID, Address: self.Address, Seed: 1, Bootstrap: []quorum.Member{self}},
-		Journal: d, Snapshots: d, Peer: link{n, self.ID},
-		Now: func() time.Duration { return time.Since(start) }, Log: logr.Discard(),
+		Journal: store, Snapshots: store, Transport: networkTransport{n, self.ID},
+		Now: func() time.Duration { return time.Since(clockStart) }, Log: logr.Discard(),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/internal/replica/group/meter.go
+++ b/internal/replica/group/meter.go
@@ -10,55 +10,55 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// lateParts is the part of an election timeout from which a heartbeat round is told.
-const lateParts = 2
+// lateRoundDivisor is the part of an election timeout from which a heartbeat round is told.
+const lateRoundDivisor = 2
 
-// meters measure what a heartbeat waits for.
-type meters struct {
-	// tick is how late the loop serves its timer, wait how long a message of another
+// latencyMetrics measure what a heartbeat waits for.
+type latencyMetrics struct {
+	// tickDelay is how late the loop serves its timer, wait how long a message of another
 	// replica waits for the loop.
-	tick *metrics.PrometheusHistogram
-	wait *metrics.PrometheusHistogram
-	// round is how long a quorum takes to answer a heartbeat, gap the time between
+	tickDelay *metrics.PrometheusHistogram
+	inboxWait *metrics.PrometheusHistogram
+	// heartbeatRound is how long a quorum takes to answer a heartbeat, gap the time between
 	// two messages of the leader.
-	round *metrics.PrometheusHistogram
-	gap   *metrics.PrometheusHistogram
-	// heard is when a message of the leader came last.
-	heard time.Duration
-	limit event.Limit
+	heartbeatRound   *metrics.PrometheusHistogram
+	leaderMessageGap *metrics.PrometheusHistogram
+	// lastLeaderMessageAt is when a message of the leader came last.
+	lastLeaderMessageAt time.Duration
+	logLimit            event.Limit
 }
 
-func newMeters(set *metrics.Set) *meters {
+func newLatencyMetrics(set *metrics.Set) *latencyMetrics {
 	if set == nil {
 		set = metrics.NewSet()
 	}
-	histogram := func(what string) *metrics.PrometheusHistogram {
-		return set.GetOrCreatePrometheusHistogram(meter.Name("group", what))
+	histogram := func(metricName string) *metrics.PrometheusHistogram {
+		return set.GetOrCreatePrometheusHistogram(meter.Name("group", metricName))
 	}
-	return &meters{
-		tick: histogram("tick_late_seconds"), wait: histogram("message_wait_seconds"),
-		round: histogram("round_seconds"), gap: histogram("heartbeat_gap_seconds"),
+	return &latencyMetrics{
+		tickDelay: histogram("tick_late_seconds"), inboxWait: histogram("message_wait_seconds"),
+		heartbeatRound: histogram("round_seconds"), leaderMessageGap: histogram("heartbeat_gap_seconds"),
 	}
 }
 
-// received notes a message that the loop takes now.
-func (m *meters) received(a arrival, now time.Duration) {
-	m.wait.Update((now - a.at).Seconds())
-	switch a.Kind {
+// recordReceived notes a message that the loop takes now.
+func (m *latencyMetrics) recordReceived(received receivedMessage, now time.Duration) {
+	m.inboxWait.Update((now - received.receivedAt).Seconds())
+	switch received.Kind {
 	case quorum.Heartbeat, quorum.Append, quorum.Chunk:
-		if m.heard > 0 {
-			m.gap.Update((a.at - m.heard).Seconds())
+		if m.lastLeaderMessageAt > 0 {
+			m.leaderMessageGap.Update((received.receivedAt - m.lastLeaderMessageAt).Seconds())
 		}
-		m.heard = a.at
+		m.lastLeaderMessageAt = received.receivedAt
 	}
 }
 
-// confirmed notes a heartbeat round that a quorum has answered, and tells of one
+// recordConfirmedRound notes a heartbeat round that a quorum has answered, and tells of one
 // that took so long that the lead is in danger.
-func (g *Group) confirmed(start time.Duration) {
-	took := g.Now() - start
-	g.meter.round.Update(took.Seconds())
-	if election := g.Config.Election; election > 0 && took > election/lateParts {
-		g.meter.limit.Log(g.Log, event.RoundLate, "took", took.String(), "election", election.String())
+func (g *Group) recordConfirmedRound(startedAt time.Duration) {
+	duration := g.Now() - startedAt
+	g.latencies.heartbeatRound.Update(duration.Seconds())
+	if electionTimeout := g.Config.Election; electionTimeout > 0 && duration > electionTimeout/lateRoundDivisor {
+		g.latencies.logLimit.Log(g.Log, event.RoundLate, "took", duration.String(), "election", electionTimeout.String())
 	}
 }
--- a/internal/replica/group/outbox.go
+++ b/internal/replica/group/outbox.go
@@ -6,76 +6,76 @@
 	"sync"
 )
 
-// outbox is the queue of notes. It takes every note at once, so that the group
+// notificationQueue is the queue of notes. It takes every note at once, so that the group
 // never waits for a control thread that waits for the group; what would pile up
 // while the control thread is busy is merged.
-type outbox struct {
-	out chan Note
-	// changed and reset make run look at the queue again; reset waits for it.
-	changed chan struct{}
-	reset   chan struct{}
-	stopped chan struct{}
+type notificationQueue struct {
+	out chan Notification
+	// wakeup and reset make run look at the queue again; reset waits for it.
+	wakeup    chan struct{}
+	discarded chan struct{}
+	stopped   chan struct{}
 
-	mu    sync.Mutex
-	queue []queued
-	seq   uint64
+	mu      sync.Mutex
+	queue   []queuedNotification
+	lastSeq uint64
 }
 
-// queued is a note with a number, which a merge changes.
-type queued struct {
-	seq  uint64
-	note Note
+// queuedNotification is a note with a number, which a merge changes.
+type queuedNotification struct {
+	seq          uint64
+	notification Notification
 }
 
-func newOutbox() *outbox {
-	return &outbox{
-		out: make(chan Note), changed: make(chan struct{}, 1),
-		reset: make(chan struct{}), stopped: make(chan struct{}),
+func newNotificationQueue() *notificationQueue {
+	return &notificationQueue{
+		out: make(chan Notification), wakeup: make(chan struct{}, 1),
+		discarded: make(chan struct{}), stopped: make(chan struct{}),
 	}
 }
 
-func (o *outbox) put(n Note) {
-	o.mu.Lock()
-	if len(o.queue) == 0 && o.direct(n) {
-		o.mu.Unlock()
+func (q *notificationQueue) put(n Notification) {
+	q.mu.Lock()
+	if len(q.queue) == 0 && q.deliverDirectly(n) {
+		q.mu.Unlock()
 		return
 	}
-	o.seq++
-	q := queued{seq: o.seq, note: n}
-	if i := o.mergeable(n); i >= 0 {
-		o.queue[i] = q
+	q.lastSeq++
+	item := queuedNotification{seq: q.lastSeq, notification: n}
+	if i := q.replaceableIndex(n); i >= 0 {
+		q.queue[i] = item
 	} else {
-		o.queue = append(o.queue, q)
+		q.queue = append(q.queue, item)
 	}
-	o.mu.Unlock()
+	q.mu.Unlock()
 	select {
-	case o.changed <- struct{}{}:
+	case q.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// direct hands a note to a control thread that is waiting for one, which saves a
+// deliverDirectly hands a note to a control thread that is waiting for one, which saves a
 // change of goroutine. With an empty queue, no earlier note is on its way.
-func (o *outbox) direct(n Note) bool {
+func (q *notificationQueue) deliverDirectly(n Notification) bool {
 	select {
-	case o.out <- n:
+	case q.out <- n:
 		return true
 	default:
 		return false
 	}
 }
 
-// mergeable gives the place of an older Commit or Confirmed that n replaces, if
+// replaceableIndex gives the place of an older Commit or Confirmed that n replaces, if
 // only the other kind stands between them; all else keeps its order.
-func (o *outbox) mergeable(n Note) int {
-	for i := len(o.queue) - 1; i >= max(0, len(o.queue)-2); i-- {
-		switch old := o.queue[i].note.(type) {
-		case Commit:
-			if _, ok := n.(Commit); ok {
+func (q *notificationQueue) replaceableIndex(n Notification) int {
+	for i := len(q.queue) - 1; i >= max(0, len(q.queue)-2); i-- {
+		switch old := q.queue[i].notification.(type) {
+		case CommitAdvanced:
+			if _, ok := n.(CommitAdvanced); ok {
 				return i
 			}
-		case Confirmed:
-			if c, ok := n.(Confirmed); ok && c.Term == old.Term {
+		case LeadershipConfirmed:
+			if c, ok := n.(LeadershipConfirmed); ok && c.Term == old.Term {
 				return i
 			}
 		default:
@@ -85,64 +85,64 @@
 	return -1
 }
 
-// forget drops what a restore makes void, also the note that is being handed out.
-func (o *outbox) forget() {
-	o.mu.Lock()
-	o.queue = slices.DeleteFunc(o.queue, func(q queued) bool {
-		switch q.note.(type) {
-		case Apply, Commit, Confirmed, Lead, Restore:
+// discardLogNotifications drops what a restore makes void, also the note that is being handed out.
+func (q *notificationQueue) discardLogNotifications() {
+	q.mu.Lock()
+	q.queue = slices.DeleteFunc(q.queue, func(item queuedNotification) bool {
+		switch item.notification.(type) {
+		case ApplyEntries, CommitAdvanced, LeadershipConfirmed, Leading, RestoreSnapshot:
 			return true
 		}
 		return false
 	})
-	o.mu.Unlock()
+	q.mu.Unlock()
 	select {
-	case o.reset <- struct{}{}:
-	case <-o.stopped:
+	case q.discarded <- struct{}{}:
+	case <-q.stopped:
 	}
 }
 
-func (o *outbox) len() int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return len(o.queue)
+func (q *notificationQueue) length() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.queue)
 }
 
-func (o *outbox) first() (queued, bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if len(o.queue) == 0 {
-		return queued{}, false
+func (q *notificationQueue) first() (queuedNotification, bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.queue) == 0 {
+		return queuedNotification{}, false
 	}
-	return o.queue[0], true
+	return q.queue[0], true
 }
 
-// drop removes the note that was handed out, unless a newer one took its place.
-func (o *outbox) drop(seq uint64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if len(o.queue) > 0 && o.queue[0].seq == seq {
-		o.queue[0] = queued{}
-		o.queue = o.queue[1:]
+// removeDelivered removes the note that was handed out, unless a newer one took its place.
+func (q *notificationQueue) removeDelivered(seq uint64) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.queue) > 0 && q.queue[0].seq == seq {
+		q.queue[0] = queuedNotification{}
+		q.queue = q.queue[1:]
 	}
 }
 
 // run hands the notes out one by one.
-func (o *outbox) run(ctx context.Context) {
-	defer close(o.stopped)
+func (q *notificationQueue) run(ctx context.Context) {
+	defer close(q.stopped)
 	for {
-		q, ok := o.first()
-		out := o.out
+		item, ok := q.first()
+		out := q.out
 		if !ok {
 			out = nil
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-o.changed:
-		case <-o.reset:
-		case out <- q.note:
-			o.drop(q.seq)
+		case <-q.wakeup:
+		case <-q.discarded:
+		case out <- item.notification:
+			q.removeDelivered(item.seq)
 		}
 	}
 }
--- a/internal/replica/group/run.go
+++ b/internal/replica/group/run.go
@@ -10,10 +10,10 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// outcome is what a disk goroutine answers.
-type outcome struct {
-	ev  quorum.Event
-	err error
+// diskResult is what a disk goroutine answers.
+type diskResult struct {
+	event quorum.Event
+	err   error
 }
 
 // Run drives the replica until ctx ends or its disk fails. It closes the journal.
@@ -24,55 +24,55 @@
 	defer close(g.done)
 	defer wg.Wait()
 	defer cancel()
-	wg.Go(func() { g.notes.run(ctx) })
-	j := journalist{Group: g, last: last(g.Saved.Entries)}
+	wg.Go(func() { g.notifications.run(ctx) })
+	j := journalWriter{Group: g, lastIndex: lastEntryIndex(g.Recovered.Entries)}
 	wg.Go(func() { j.run(ctx) })
-	wg.Go(func() { g.snapshot(ctx) })
-	g.core = quorum.New(g.Config, g.Saved)
-	g.Saved = quorum.Saved{}
+	wg.Go(func() { g.saveSnapshots(ctx) })
+	g.core = quorum.New(g.Config, g.Recovered)
+	g.Recovered = quorum.Saved{}
 	g.step(quorum.Reload{})
 	return g.loop(ctx)
 }
 
 func (g *Group) loop(ctx context.Context) error {
-	tick := g.Tick
-	if tick == 0 {
-		tick = DefaultTick
+	interval := g.TickInterval
+	if interval == 0 {
+		interval = DefaultTickInterval
 	}
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case due := <-ticker.C:
-			g.meter.tick.Update(time.Since(due).Seconds())
+		case dueAt := <-ticker.C:
+			g.latencies.tickDelay.Update(time.Since(dueAt).Seconds())
 			g.step(quorum.Tick{})
-			g.transfer()
-		case m := <-g.inbox:
-			g.meter.received(m, g.Now())
-			g.step(quorum.Receive{Message: m.Message})
-		case p := <-g.acceptable():
+			g.continueTransfer()
+		case received := <-g.inbox:
+			g.latencies.recordReceived(received, g.Now())
+			g.step(quorum.Receive{Message: received.Message})
+		case p := <-g.acceptableProposals():
 			g.propose(p)
-		case o := <-g.synced:
-			if o.err != nil {
-				return o.err
+		case result := <-g.diskResults:
+			if result.err != nil {
+				return result.err
 			}
-			g.step(o.ev)
-		case <-g.confirms:
+			g.step(result.event)
+		case <-g.confirmRequests:
 			g.step(quorum.Confirm{})
-		case full := <-g.full:
-			g.notes.put(Full{Full: full})
-		case a := <-g.asks:
-			g.answer(a)
+		case full := <-g.diskFull:
+			g.notifications.put(JournalDiskFull{Full: full})
+		case r := <-g.requests:
+			g.handleRequest(r)
 		}
 	}
 }
 
-// acceptable is the queue of proposals, or nil while they have to wait: during a
+// acceptableProposals is the queue of proposals, or nil while they have to wait: during a
 // transfer, and when too much waits for a quorum.
-func (g *Group) acceptable() <-chan Proposal {
-	if g.core.Transferring() || g.core.Uncommitted() > maxUncommitted {
+func (g *Group) acceptableProposals() <-chan Proposal {
+	if g.core.Transferring() || g.core.Uncommitted() > maxUncommittedBytes {
 		return nil
 	}
 	return g.proposals
@@ -80,17 +80,17 @@
 
 // propose hands on a proposal together with those that follow it without a gap.
 func (g *Group) propose(p Proposal) {
-	if p.Change != nil {
-		g.step(quorum.Alter{Term: p.Term, First: p.First, Member: *p.Change, Remove: p.Remove})
+	if p.Member != nil {
+		g.step(quorum.Alter{Term: p.Term, First: p.FirstIndex, Member: *p.Member, Remove: p.RemoveMember})
 		return
 	}
-	ev := quorum.Propose{Term: p.Term, First: p.First, Commands: p.Commands}
-	for range maxBatch {
-		next, ok := g.next()
+	ev := quorum.Propose{Term: p.Term, First: p.FirstIndex, Commands: p.Commands}
+	for range maxMergedProposals {
+		next, ok := g.nextProposal()
 		if !ok {
 			break
 		}
-		if next.Change != nil || next.Term != ev.Term || next.First != ev.First+uint64(len(ev.Commands)) {
+		if next.Member != nil || next.Term != ev.Term || next.FirstIndex != ev.First+uint64(len(ev.Commands)) {
 			g.step(ev)
 			g.propose(next)
 			return
@@ -100,7 +100,7 @@
 	g.step(ev)
 }
 
-func (g *Group) next() (Proposal, bool) {
+func (g *Group) nextProposal() (Proposal, bool) {
 	select {
 	case p := <-g.proposals:
 		return p, true
@@ -109,70 +109,70 @@
 	}
 }
 
-func (g *Group) answer(a ask) {
-	switch a := a.(type) {
-	case compactAsk:
-		g.step(a.ev)
-	case reloadAsk:
-		g.notes.forget()
+func (g *Group) handleRequest(r request) {
+	switch a := r.(type) {
+	case compactRequest:
+		g.step(a.event)
+	case reloadRequest:
+		g.notifications.discardLogNotifications()
 		defer close(a.done)
 		g.step(quorum.Reload{})
-	case transferAsk:
-		g.transfers = append(g.transfers, a.done)
-		g.transfer()
-	case dumpAsk:
-		a.reply <- Dump{Status: g.core.Status(), Queued: g.notes.len()}
+	case transferRequest:
+		g.transferWaiters = append(g.transferWaiters, a.done)
+		g.continueTransfer()
+	case dumpRequest:
+		a.reply <- Dump{Status: g.core.Status(), Queued: g.notifications.length()}
 	}
 }
 
-// transfer goes on with a transfer until this replica does not lead any more.
-func (g *Group) transfer() {
-	if len(g.transfers) == 0 {
+// continueTransfer goes on with a transfer until this replica does not lead any more.
+func (g *Group) continueTransfer() {
+	if len(g.transferWaiters) == 0 {
 		return
 	}
-	s := g.core.Status()
+	status := g.core.Status()
 	switch {
-	case !s.Leading:
-		g.transferred(nil)
-	case s.Voters == 1:
-		g.transferred(ErrAlone)
+	case !status.Leading:
+		g.finishTransfers(nil)
+	case status.Voters == 1:
+		g.finishTransfers(ErrNoOtherVoter)
 	case !g.core.Transferring():
 		g.step(quorum.Transfer{})
 	}
 }
 
-func (g *Group) transferred(err error) {
-	for _, done := range g.transfers {
+func (g *Group) finishTransfers(err error) {
+	for _, done := range g.transferWaiters {
 		done <- err
 	}
-	g.transfers = nil
+	g.transferWaiters = nil
 }
 
 // step lets the core take one event and carries out the effects.
 func (g *Group) step(ev quorum.Event) {
-	fx := g.core.Step(g.Now(), ev)
-	if fx.Write != nil {
-		g.writes <- *fx.Write
+	effects := g.core.Step(g.Now(), ev)
+	if effects.Write != nil {
+		g.journalWrites <- *effects.Write
 	}
-	if fx.Save != nil {
-		g.saves <- *fx.Save
+	if effects.Save != nil {
+		g.snapshotsToSave <- *effects.Save
 	}
-	if fx.Drop > 0 {
-		g.drop(fx.Drop)
+	if effects.Drop > 0 {
+		g.scheduleJournalCompaction(effects.Drop)
 	}
-	g.send(fx.Out)
-	for _, r := range fx.Reports {
-		g.notes.put(g.note(r))
+	g.send(effects.Out)
+	for _, r := range effects.Reports {
+		g.notifications.put(g.notificationFor(r))
 	}
 }
 
-// drop leaves the newest index for the journal's goroutine.
-func (g *Group) drop(index uint64) {
+// scheduleJournalCompaction leaves the newest index for the journal's goroutine.
+func (g *Group) scheduleJournalCompaction(index uint64) {
 	select {
-	case <-g.drops:
+	case <-g.journalCompactions:
 	default:
 	}
-	g.drops <- index
+	g.journalCompactions <- index
 }
 
 // send hands the messages to the peers, those for one replica together.
@@ -180,41 +180,41 @@
 	for len(out) > 0 {
 		to, address := out[0].Message.To, out[0].Address
 		var data [][]byte
-		n := 0
-		for _, o := range out {
-			if o.Message.To != to {
-				out[n] = o
-				n++
+		remaining := 0
+		for _, outgoing := range out {
+			if outgoing.Message.To != to {
+				out[remaining] = outgoing
+				remaining++
 				continue
 			}
-			if b, err := quorum.Encode(o.Message); err == nil {
+			if b, err := quorum.Encode(outgoing.Message); err == nil {
 				data = append(data, b)
 			}
 		}
-		out = out[:n]
+		out = out[:remaining]
 		if address != "" {
-			g.Peer.Send(to, address, data)
+			g.Transport.Send(to, address, data)
 		}
 	}
 }
 
-func (g *Group) note(r quorum.Report) Note {
+func (g *Group) notificationFor(r quorum.Report) Notification {
 	switch r := r.(type) {
 	case quorum.Led:
-		return Lead{Term: r.Term, Last: r.Last, Elected: r.Elected}
+		return Leading{Term: r.Term, LastIndex: r.Last, ElectedAt: r.Elected}
 	case quorum.Followed:
-		return Follow{Term: r.Term, Leader: r.Leader, Address: r.Address}
+		return Following{Term: r.Term, Leader: r.Leader, LeaderAddress: r.Address}
 	case quorum.Applied:
-		return Apply{Entries: r.Entries}
+		return ApplyEntries{Entries: r.Entries}
 	case quorum.Committed:
-		return Commit{Index: r.Index}
+		return CommitAdvanced{Index: r.Index}
 	case quorum.RoundConfirmed:
-		g.confirmed(r.Start)
-		return Confirmed{Term: r.Term, Start: r.Start}
+		g.recordConfirmedRound(r.Start)
+		return LeadershipConfirmed{Term: r.Term, StartedAt: r.Start}
 	case quorum.Restored:
-		return Restore{Index: r.Index, State: r.State}
+		return RestoreSnapshot{Index: r.Index, State: r.State}
 	case quorum.MembersChanged:
-		return Members{Members: r.Members, Self: g.Config.ID}
+		return MembershipChanged{Members: r.Members, Self: g.Config.ID}
 	}
 	panic(errors.Newf("group: report %T", r))
 }
--- a/internal/replica/group/save_test.go
+++ b/internal/replica/group/save_test.go
@@ -13,7 +13,7 @@
 
 // A replica that ends since a snapshot can't be saved takes the quorum with it,
 // although its log holds all that the snapshot would.
-func TestUnsavedSnapshotEndsNothing(t *testing.T) {
+func TestFailedSnapshotDoesNotStopGroup(t *testing.T) {
 	for _, cause := range []error{
 		errors.Mark(errors.New("too many open files"), disk.ErrNoFile),
 		errors.Mark(errors.New("no space left on device"), disk.ErrFull),
@@ -21,25 +21,25 @@
 	} {
 		t.Run(cause.Error(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r, d := alone(t)
-				d.set(func() { d.unsaved = cause })
+				r, store := startSingleVoter(t)
+				store.update(func() { store.saveErr = cause })
 				r.propose("x")
 				time.Sleep(time.Second)
-				r.g.Compact(2, []byte("two"))
+				r.group.Compact(2, []byte("two"))
 				time.Sleep(3 * time.Second)
 				r.propose("y")
 				time.Sleep(time.Second)
-				if got, leading := r.view(); len(got) != 2 || !leading {
+				if got, leading := r.currentState(); len(got) != 2 || !leading {
 					t.Fatalf("while it can't be saved: committed %v, leading %v", got, leading)
 				}
-				d.set(func() {
-					if d.saves < 2 || d.saves > 8 {
-						t.Errorf("%d tries", d.saves)
+				store.update(func() {
+					if store.saveCalls < 2 || store.saveCalls > 8 {
+						t.Errorf("%d tries", store.saveCalls)
 					}
-					d.unsaved = nil
+					store.saveErr = nil
 				})
 				time.Sleep(10 * time.Second)
-				if got := d.saved().Snapshot.Index; got != 2 {
+				if got := store.recovered().Snapshot.Index; got != 2 {
 					t.Errorf("afterwards the snapshot of %d is there", got)
 				}
 			})
@@ -48,20 +48,20 @@
 }
 
 // A disk that stalls under a snapshot must delay neither commits nor heartbeats.
-func TestStalledSnapshotDelaysNothing(t *testing.T) {
+func TestStalledSnapshotDoesNotDelayCommits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, d := alone(t)
+		r, store := startSingleVoter(t)
 		stall := make(chan struct{})
-		d.set(func() { d.stall = stall })
+		store.update(func() { store.saveStall = stall })
 		r.propose("x")
 		time.Sleep(time.Second)
-		r.g.Compact(2, []byte("two"))
+		r.group.Compact(2, []byte("two"))
 		for i := range 20 {
 			r.propose(fmt.Sprint(i))
 			time.Sleep(100 * time.Millisecond)
-			r.g.Compact(uint64(3+i), []byte("later"))
+			r.group.Compact(uint64(3+i), []byte("later"))
 		}
-		if got, leading := r.view(); len(got) != 21 || !leading {
+		if got, leading := r.currentState(); len(got) != 21 || !leading {
 			t.Errorf("committed %d, leading %v", len(got), leading)
 		}
 		close(stall)
--- a/internal/replica/group/store.go
+++ b/internal/replica/group/store.go
@@ -11,49 +11,49 @@
 	"gypsumreel/internal/replica/snapshot"
 )
 
-// journalist writes and syncs on a goroutine of its own, so that a slow disk
+// journalWriter writes and syncs on a goroutine of its own, so that a slow disk
 // delays no heartbeat. The core has at most one write on its way.
-type journalist struct {
+type journalWriter struct {
 	*Group
-	// last is the index that the journal ends with, 0 while it is empty.
-	last uint64
-	full bool
+	// lastIndex is the index that the journal ends with, 0 while it is empty.
+	lastIndex    uint64
+	reportedFull bool
 }
 
-func last(entries []quorum.Entry) uint64 {
+func lastEntryIndex(entries []quorum.Entry) uint64 {
 	if len(entries) == 0 {
 		return 0
 	}
 	return entries[len(entries)-1].Index
 }
 
-func (j *journalist) run(ctx context.Context) {
+func (j *journalWriter) run(ctx context.Context) {
 	defer j.close()
-	look := time.NewTicker(freeInterval)
-	defer look.Stop()
-	j.look()
+	spaceCheck := time.NewTicker(freeSpaceCheckInterval)
+	defer spaceCheck.Stop()
+	j.checkFreeSpace()
 	for {
 		var err error
 		select {
 		case <-ctx.Done():
 			return
-		case w := <-j.writes:
+		case w := <-j.journalWrites:
 			if err = j.write(ctx, w); err == nil {
-				j.synced <- outcome{ev: quorum.Synced{Seq: w.Seq}}
+				j.diskResults <- diskResult{event: quorum.Synced{Seq: w.Seq}}
 			}
-		case index := <-j.drops:
+		case index := <-j.journalCompactions:
 			err = j.compact(index)
-		case <-look.C:
-			j.look()
+		case <-spaceCheck.C:
+			j.checkFreeSpace()
 		}
 		if err != nil {
-			j.synced <- outcome{err: err}
+			j.diskResults <- diskResult{err: err}
 			return
 		}
 	}
 }
 
-func (j *journalist) close() {
+func (j *journalWriter) close() {
 	if err := j.Journal.Close(); err != nil {
 		j.Log.Error(err, "close the journal")
 	}
@@ -61,8 +61,8 @@
 
 // write writes and syncs once. After a failed sync nobody knows what the disk
 // holds, and a second try may pass without having written: the group ends.
-func (j *journalist) write(ctx context.Context, w quorum.Write) error {
-	if err := j.rebase(w.Entries); err != nil {
+func (j *journalWriter) write(ctx context.Context, w quorum.Write) error {
+	if err := j.compactBeforeGap(w.Entries); err != nil {
 		return err
 	}
 	for {
@@ -73,26 +73,26 @@
 		if !disk.Passes(err) {
 			return errors.Wrap(err, "append to the journal")
 		}
-		if err := j.wait(ctx); err != nil {
+		if err := j.waitForSpace(ctx); err != nil {
 			return err
 		}
 	}
-	if n := last(w.Entries); n > 0 {
-		j.last = n
+	if n := lastEntryIndex(w.Entries); n > 0 {
+		j.lastIndex = n
 	}
 	return errors.Wrap(j.Journal.Sync(), "sync the journal")
 }
 
-// rebase empties a journal that ends before the snapshot from which the entries
+// compactBeforeGap empties a journal that ends before the snapshot from which the entries
 // go on.
-func (j *journalist) rebase(entries []quorum.Entry) error {
-	if len(entries) == 0 || j.last == 0 || entries[0].Index <= j.last+1 {
+func (j *journalWriter) compactBeforeGap(entries []quorum.Entry) error {
+	if len(entries) == 0 || j.lastIndex == 0 || entries[0].Index <= j.lastIndex+1 {
 		return nil
 	}
 	return j.compact(entries[0].Index - 1)
 }
 
-func (j *journalist) compact(index uint64) error {
+func (j *journalWriter) compact(index uint64) error {
 	err := j.Journal.Compact(index)
 	if disk.Passes(err) {
 		// Nothing hangs on it: the next snapshot tries again.
@@ -101,75 +101,75 @@
 	if err != nil {
 		return errors.Wrap(err, "compact the journal")
 	}
-	if j.last <= index {
-		j.last = 0
+	if j.lastIndex <= index {
+		j.lastIndex = 0
 	}
 	return nil
 }
 
-// wait holds a write back while the disk takes none: the replica acknowledges
+// waitForSpace holds a write back while the disk takes none: the replica acknowledges
 // nothing meanwhile, and goes on when there is room, or a snapshot made some.
-func (j *journalist) wait(ctx context.Context) error {
-	j.tell(true)
+func (j *journalWriter) waitForSpace(ctx context.Context) error {
+	j.reportFull(true)
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case index := <-j.drops:
+	case index := <-j.journalCompactions:
 		return j.compact(index)
-	case <-time.After(fullInterval):
+	case <-time.After(fullDiskRetryInterval):
 		return nil
 	}
 }
 
-// look tells the loop when the disk got full, or got room again.
-func (j *journalist) look() {
-	free, err := j.Journal.Free()
+// checkFreeSpace tells the loop when the disk got full, or got room again.
+func (j *journalWriter) checkFreeSpace() {
+	free, err := j.Journal.FreeBytes()
 	if err != nil {
 		return
 	}
-	want := j.Free
-	if want == 0 {
-		want = DefaultFree
+	minFree := j.MinFreeBytes
+	if minFree == 0 {
+		minFree = DefaultMinFreeBytes
 	}
-	j.tell(free < want)
+	j.reportFull(free < minFree)
 }
 
-func (j *journalist) tell(full bool) {
-	if full == j.full {
+func (j *journalWriter) reportFull(full bool) {
+	if full == j.reportedFull {
 		return
 	}
 	select {
-	case j.Group.full <- full:
-		j.full = full
+	case j.Group.diskFull <- full:
+		j.reportedFull = full
 	default:
 	}
 }
 
-// snapshot saves snapshots on a goroutine of its own: they take long. One that
+// saveSnapshots saves snapshots on a goroutine of its own: they take long. One that
 // fails ends nothing: the log stands, and holds all that the snapshot would.
-func (g *Group) snapshot(ctx context.Context) {
+func (g *Group) saveSnapshots(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case s := <-g.saves:
-			g.synced <- outcome{ev: g.save(ctx, s)}
+		case s := <-g.snapshotsToSave:
+			g.diskResults <- diskResult{event: g.saveSnapshot(ctx, s)}
 		}
 	}
 }
 
-// save saves a snapshot, again and again with growing pauses. In the end it gives
+// saveSnapshot saves a snapshot, again and again with growing pauses. In the end it gives
 // it up, and the next one tries.
-func (g *Group) save(ctx context.Context, s quorum.Snapshot) quorum.Event {
+func (g *Group) saveSnapshot(ctx context.Context, s quorum.Snapshot) quorum.Event {
 	meta := snapshot.Meta{Index: s.Index, Term: s.Term, Members: s.Members}
-	for try := range saveTries {
+	for attempt := range maxSaveAttempts {
 		if err := g.Snapshots.Save(meta, s.State); err == nil {
 			return quorum.SnapshotSaved{Index: s.Index}
 		}
 		select {
 		case <-ctx.Done():
 			return quorum.SnapshotFailed{Index: s.Index}
-		case <-time.After(savePause << try):
+		case <-time.After(initialSaveBackoff << attempt):
 		}
 	}
 	return quorum.SnapshotFailed{Index: s.Index}
--- a/internal/replica/journal/journal.go
+++ b/internal/replica/journal/journal.go
@@ -321,5 +321,5 @@
 	return err
 }
 
-// Free returns the free space on the disk of the journal, in bytes.
-func (j *Journal) Free() (uint64, error) { return j.disk.Free(j.dir) }
+// FreeBytes returns the free space on the disk of the journal, in bytes.
+func (j *Journal) FreeBytes() (uint64, error) { return j.disk.Free(j.dir) }
--- a/internal/replica/peer/identity_test.go
+++ b/internal/replica/peer/identity_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// config returns the settings of a replica with the name given.
-func (a authority) config(t *testing.T, name string) *tls.Config {
+// clientServerConfig returns the settings of a replica with the name given.
+func (a authority) clientServerConfig(t *testing.T, name string) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -70,10 +70,10 @@
 	}
 }
 
-// secure starts a server of b with the TLS settings given.
-func secure(b *peer.Pool, cfg *tls.Config) *httptest.Server {
-	b.TLS = cfg
-	server := httptest.NewUnstartedServer(b.Handler())
+// startTLSServer starts a server of b with the TLS settings given.
+func startTLSServer(p *peer.Pool, cfg *tls.Config) *httptest.Server {
+	p.TLS = cfg
+	server := httptest.NewUnstartedServer(p.Handler())
 	server.EnableHTTP2 = true
 	server.TLS = cfg.Clone()
 	server.EnableHTTP2 = true
@@ -82,65 +82,65 @@
 	return server
 }
 
-func TestMutualProof(t *testing.T) {
+func TestMutualTLSDelivers(t *testing.T) {
 	ca := newAuthority(t)
-	a, _, _ := pool("a/1")
-	a.TLS = ca.config(t, "a")
+	a, _, _ := newTestPool("a/1")
+	a.TLS = ca.clientServerConfig(t, "a")
 	defer a.Close()
-	b, got, _ := pool("b/1")
-	server := secure(b, ca.config(t, "b"))
+	b, got, _ := newTestPool("b/1")
+	server := startTLSServer(b, ca.clientServerConfig(t, "b"))
 	defer server.Close()
-	a.Send("b/1", address(server), [][]byte{[]byte("hello")})
-	if m := next(t, got); m != (message{"a/1", "hello"}) {
-		t.Error(m)
+	a.Send("b/1", serverAddress(server), [][]byte{[]byte("hello")})
+	if got := receive(t, got); got != (message{"a/1", "hello"}) {
+		t.Error(got)
 	}
 }
 
 // The same silence as in TestSilentConnection, with TLS: a call that is given up
 // ends a stream of HTTP/2 only, and the next one would be lost as well.
-func TestSilentSecureConnection(t *testing.T) {
+func TestSilentTLSConnectionIsReplaced(t *testing.T) {
 	ca := newAuthority(t)
-	a, _, events := pool("a/1")
-	a.TLS = ca.config(t, "a")
+	a, _, events := newTestPool("a/1")
+	a.TLS = ca.clientServerConfig(t, "a")
 	defer a.Close()
-	b, got, _ := pool("b/1")
-	server := secure(b, ca.config(t, "b"))
+	b, got, _ := newTestPool("b/1")
+	server := startTLSServer(b, ca.clientServerConfig(t, "b"))
 	defer server.Close()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{Listener: listener, to: address(server)}
-	go r.run()
-	defer r.end()
+	proxy := &silencingProxy{Listener: listener, target: serverAddress(server)}
+	go proxy.acceptLoop()
+	defer proxy.close()
 	send := func(data string) { a.Send("b/1", listener.Addr().String(), [][]byte{[]byte(data)}) }
 	for range 3 {
-		until(t, func() { send("before") }, got, func(m message) bool { return m.Data == "before" })
-		r.mute()
-		until(t, func() { send("lost or late") }, events, func(e peer.Event) bool { return e.Kind == peer.Failed })
+		sendUntil(t, func() { send("before") }, got, func(m message) bool { return m.Data == "before" })
+		proxy.silenceAll()
+		sendUntil(t, func() { send("lost or late") }, events, func(e peer.Event) bool { return e.Kind == peer.CallsFailing })
 		after := func() { send("after") }
-		until(t, after, got, func(m message) bool { return m.Data == "after" })
-		until(t, after, events, func(e peer.Event) bool { return e.Kind == peer.Recovered })
+		sendUntil(t, after, got, func(m message) bool { return m.Data == "after" })
+		sendUntil(t, after, events, func(e peer.Event) bool { return e.Kind == peer.CallsRecovered })
 	}
 }
 
-// until sends a message again and again until what is waited for has come: a call
+// sendUntil sends a message again and again until what is waited for has come: a call
 // that a busy machine does not end in time loses what it carries, as the network may.
-func until[T any](t *testing.T, send func(), c <-chan T, is func(T) bool) {
+func sendUntil[T any](t *testing.T, send func(), c <-chan T, matches func(T) bool) {
 	t.Helper()
-	again := time.NewTicker(time.Second)
-	defer again.Stop()
-	end := time.After(limit)
+	resend := time.NewTicker(time.Second)
+	defer resend.Stop()
+	deadline := time.After(testTimeout)
 	send()
 	for {
 		select {
 		case v := <-c:
-			if is(v) {
+			if matches(v) {
 				return
 			}
-		case <-again.C:
+		case <-resend.C:
 			send()
-		case <-end:
+		case <-deadline:
 			t.Fatal("nothing came")
 		}
 	}
@@ -151,24 +151,24 @@
 // server that is not the replica that it means. Nothing may be delivered.
 func TestFalseIdentityIsRefused(t *testing.T) {
 	ca, foreign := newAuthority(t), newAuthority(t)
-	for what, c := range map[string]struct{ client, server *tls.Config }{
-		"name of another":      {ca.config(t, "c"), ca.config(t, "b")},
-		"foreign authority":    {foreign.config(t, "a"), ca.config(t, "b")},
-		"server named another": {ca.config(t, "a"), ca.config(t, "c")},
-		"plain client":         {nil, ca.config(t, "b")},
+	for name, configs := range map[string]struct{ client, server *tls.Config }{
+		"name of another":      {ca.clientServerConfig(t, "c"), ca.clientServerConfig(t, "b")},
+		"foreign authority":    {foreign.clientServerConfig(t, "a"), ca.clientServerConfig(t, "b")},
+		"server named another": {ca.clientServerConfig(t, "a"), ca.clientServerConfig(t, "c")},
+		"plain client":         {nil, ca.clientServerConfig(t, "b")},
 	} {
-		a, _, failures := pool("a/1")
-		a.TLS = c.client
-		b, got, _ := pool("b/1")
-		server := secure(b, c.server)
-		a.Send("b/1", address(server), [][]byte{[]byte("vote")})
-		if e := next(t, failures); e.Kind != peer.Failed {
-			t.Errorf("%s: %v", what, e)
+		a, _, failures := newTestPool("a/1")
+		a.TLS = configs.client
+		b, got, _ := newTestPool("b/1")
+		server := startTLSServer(b, configs.server)
+		a.Send("b/1", serverAddress(server), [][]byte{[]byte("vote")})
+		if e := receive(t, failures); e.Kind != peer.CallsFailing {
+			t.Errorf("%s: %v", name, e)
 		}
 		a.Close()
 		server.Close()
 		if len(got) > 0 {
-			t.Errorf("%s: delivered %v", what, <-got)
+			t.Errorf("%s: delivered %v", name, <-got)
 		}
 	}
 }
--- a/internal/replica/peer/link.go
+++ b/internal/replica/peer/link.go
@@ -13,69 +13,69 @@
 
 // Waits between calls that fail.
 const (
-	firstWait = 20 * time.Millisecond
-	lastWait  = 500 * time.Millisecond
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
 )
 
-// link is the queue and the one connection to a peer.
-type link struct {
+// sender is the queue and the one connection to a peer.
+type sender struct {
 	pool    *Pool
-	to      string
+	peerID  string
 	address string
 	ctx     context.Context
-	stop    context.CancelFunc
-	wake    chan struct{}
+	cancel  context.CancelFunc
+	wakeup  chan struct{}
 	failing atomic.Bool
 
-	mu    sync.Mutex
-	queue [][]byte
-	bytes int
+	mu          sync.Mutex
+	queue       [][]byte
+	queuedBytes int
 }
 
-func newLink(p *Pool, to, address string) *link {
-	l := &link{pool: p, to: to, address: address, wake: make(chan struct{}, 1)}
-	l.ctx, l.stop = context.WithCancel(p.ctx)
-	return l
+func newSender(p *Pool, to, address string) *sender {
+	s := &sender{pool: p, peerID: to, address: address, wakeup: make(chan struct{}, 1)}
+	s.ctx, s.cancel = context.WithCancel(p.ctx)
+	return s
 }
 
-// push adds a message and drops the oldest ones that exceed the bound. The
+// enqueue adds a message and drops the oldest ones that exceed the bound. The
 // newest tell a peer that was away more than those before them.
-func (l *link) push(b []byte) {
-	l.mu.Lock()
-	l.queue = append(l.queue, b)
-	l.bytes += len(b)
-	for l.bytes > l.pool.queue() && len(l.queue) > 1 {
-		l.pop()
+func (s *sender) enqueue(b []byte) {
+	s.mu.Lock()
+	s.queue = append(s.queue, b)
+	s.queuedBytes += len(b)
+	for s.queuedBytes > s.pool.maxQueueBytes() && len(s.queue) > 1 {
+		s.dequeue()
 	}
-	l.mu.Unlock()
+	s.mu.Unlock()
 	select {
-	case l.wake <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// pop takes the oldest message.
-func (l *link) pop() []byte {
-	b := l.queue[0]
-	l.queue[0] = nil
-	l.queue = l.queue[1:]
-	l.bytes -= len(b)
+// dequeue takes the oldest message.
+func (s *sender) dequeue() []byte {
+	b := s.queue[0]
+	s.queue[0] = nil
+	s.queue = s.queue[1:]
+	s.queuedBytes -= len(b)
 	return b
 }
 
-func (l *link) empty() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.queue) == 0
+func (s *sender) isEmpty() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.queue) == 0
 }
 
-// batch takes the messages of the next call.
-func (l *link) batch() []*inner.Envelope {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// nextBatch takes the messages of the next call.
+func (s *sender) nextBatch() []*inner.Envelope {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var batch []*inner.Envelope
-	for size := 0; len(l.queue) > 0 && (size == 0 || size+len(l.queue[0]) <= BatchBytes); {
-		b := l.pop()
+	for size := 0; len(s.queue) > 0 && (size == 0 || size+len(s.queue[0]) <= MaxBatchBytes); {
+		b := s.dequeue()
 		size += len(b)
 		batch = append(batch, &inner.Envelope{Data: b})
 	}
@@ -83,75 +83,75 @@
 }
 
 // run sends batches until the link is stopped or idle.
-func (l *link) run() {
-	defer l.pool.run.Done()
-	defer l.stop()
-	wait := &backoff.ExponentialBackOff{
-		InitialInterval: firstWait, MaxInterval: lastWait, RandomizationFactor: backoff.DefaultRandomizationFactor,
+func (s *sender) run() {
+	defer s.pool.sendersRunning.Done()
+	defer s.cancel()
+	retryBackoff := &backoff.ExponentialBackOff{
+		InitialInterval: minBackoff, MaxInterval: maxBackoff, RandomizationFactor: backoff.DefaultRandomizationFactor,
 		Multiplier: backoff.DefaultMultiplier,
 	}
-	s := l.open()
-	defer func() { s.close() }()
+	p := s.openPipeline()
+	defer func() { p.close() }()
 	for {
-		if l.empty() && s.err() == nil {
-			if !l.rest() && l.pool.remove(l) {
+		if s.isEmpty() && p.err() == nil {
+			if !s.waitForMessages() && s.pool.removeIdle(s) {
 				return
 			}
 			continue
 		}
 		// The messages are taken only when they can leave: until then the bound
 		// of the queue drops the oldest of them.
-		err := s.acquire()
-		if l.ctx.Err() != nil {
+		err := p.acquireSlot()
+		if s.ctx.Err() != nil {
 			return
 		}
 		if err == nil {
-			s.start(l.batch())
+			p.startCall(s.nextBatch())
 			continue
 		}
-		if s.worked.Load() {
-			wait.Reset()
+		if p.succeeded.Load() {
+			retryBackoff.Reset()
 		}
-		l.fail(err)
+		s.reportFailure(err)
 		// A connection that something between the two ends has lost track of stays
 		// open and silent for good, while new ones work. So no connection outlives
 		// a failed call.
-		s.close()
-		s = l.open()
+		p.close()
+		p = s.openPipeline()
 		select {
-		case <-time.After(wait.NextBackOff()):
-		case <-l.ctx.Done():
+		case <-time.After(retryBackoff.NextBackOff()):
+		case <-s.ctx.Done():
 			return
 		}
 	}
 }
 
-// fail tells of the first of several failures, recover of the first success after.
-func (l *link) fail(err error) {
-	if !l.failing.Swap(true) {
-		l.pool.tell(Event{Failed, l.to, err})
+// reportFailure tells of the first of several failures, recover of the first success after.
+func (s *sender) reportFailure(err error) {
+	if !s.failing.Swap(true) {
+		s.pool.report(Event{CallsFailing, s.peerID, err})
 	}
 }
 
-func (l *link) recover() {
-	if l.failing.Swap(false) {
-		l.pool.tell(Event{Kind: Recovered, Peer: l.to})
+func (s *sender) reportRecovery() {
+	if s.failing.Swap(false) {
+		s.pool.report(Event{Kind: CallsRecovered, Peer: s.peerID})
 	}
 }
 
-// rest waits for messages; false tells that the link was idle or stopped.
-func (l *link) rest() bool {
-	idle := time.NewTimer(IdleTimeout)
-	defer idle.Stop()
+// waitForMessages waits for messages; false tells that the link was idle or stopped.
+func (s *sender) waitForMessages() bool {
+	idleTimer := time.NewTimer(IdleTimeout)
+	defer idleTimer.Stop()
 	select {
-	case <-l.wake:
+	case <-s.wakeup:
 		return true
-	case <-idle.C:
+	case <-idleTimer.C:
 		return false
-	case <-l.ctx.Done():
-		l.mu.Lock()
-		l.queue, l.bytes = nil, 0
-		l.mu.Unlock()
+	case <-s.ctx.Done():
+		s.mu.Lock()
+		s.queue, s.queuedBytes = nil, 0
+		s.mu.Unlock()
 		return false
 	}
 }
--- a/internal/replica/peer/order.go
+++ b/internal/replica/peer/order.go
@@ -5,77 +5,77 @@
 	"time"
 )
 
-// orderWait is how long a call waits for the one before it. Calls of one
+// maxOrderWait is how long a call waits for the one before it. Calls of one
 // connection arrive in order, so more than a moment means that the one before
 // was lost; the consensus core copes with that, but not cheaply.
-const orderWait = 20 * time.Millisecond
+const maxOrderWait = 20 * time.Millisecond
 
-// order lets the calls of each peer in by their numbers.
-type order struct {
-	mu    sync.Mutex
-	peers map[string]*turn
+// callOrder lets the calls of each peer in by their numbers.
+type callOrder struct {
+	mu       sync.Mutex
+	expected map[string]*expectedCall
 }
 
-// turn is the next call that a peer's connection is due.
-type turn struct {
-	wire    uint64
-	next    uint64
-	changed chan struct{}
+// expectedCall is the next call that a peer's connection is due.
+type expectedCall struct {
+	connectionID uint64
+	nextNumber   uint64
+	changed      chan struct{}
 }
 
-// await returns when the call is due, its predecessor is too late, or the peer
+// waitForTurn returns when the call is due, its predecessor is too late, or the peer
 // has a newer connection, and the function to call when it has been handled.
-func (o *order) await(from string, wire, number uint64) func() {
+func (o *callOrder) waitForTurn(from string, connectionID, number uint64) func() {
 	if number == 0 {
 		return func() {}
 	}
-	late := time.NewTimer(orderWait)
-	defer late.Stop()
+	timeout := time.NewTimer(maxOrderWait)
+	defer timeout.Stop()
 	for {
-		t, changed := o.turn(from, wire, number)
-		if t == nil {
+		expected, changed := o.callToAwait(from, connectionID, number)
+		if expected == nil {
 			break
 		}
 		select {
 		case <-changed:
 			continue
-		case <-late.C:
+		case <-timeout.C:
 		}
 		break
 	}
-	return func() { o.done(from, wire, number) }
+	return func() { o.markDone(from, connectionID, number) }
 }
 
-// turn returns nil when the call is due now.
-func (o *order) turn(from string, wire, number uint64) (*turn, <-chan struct{}) {
+// callToAwait returns nil when the call is due now.
+func (o *callOrder) callToAwait(from string, connectionID, number uint64) (*expectedCall, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.peers == nil {
-		o.peers = map[string]*turn{}
+	if o.expected == nil {
+		o.expected = map[string]*expectedCall{}
 	}
-	t := o.peers[from]
-	if t == nil || t.wire != wire && number == 1 {
-		if t != nil {
-			close(t.changed)
+	expected := o.expected[from]
+	if expected == nil || expected.connectionID != connectionID && number == 1 {
+		if expected != nil {
+			close(expected.changed)
 		}
-		t = &turn{wire: wire, next: 1, changed: make(chan struct{})}
-		o.peers[from] = t
+		expected = &expectedCall{connectionID: connectionID, nextNumber: 1, changed: make(chan struct{})}
+		o.expected[from] = expected
 	}
-	if t.wire != wire || number <= t.next {
+	if expected.connectionID != connectionID || number <= expected.nextNumber {
 		return nil, nil
 	}
-	return t, t.changed
+	return expected, expected.changed
 }
 
-// done lets the call after this one in.
-func (o *order) done(from string, wire, number uint64) {
+// markDone lets the call after this one in.
+func (o *callOrder) markDone(from string, connectionID, number uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	t := o.peers[from]
-	if t == nil || t.wire != wire || number < t.next {
+	expected := o.expected[from]
+	if expected == nil || expected.connectionID != connectionID || number < expected.nextNumber {
 		return
 	}
-	t.next = number + 1
-	close(t.changed)
-	t.changed = make(chan struct{})
+	expected.nextNumber = number + 1
+	close(expected.changed)
+	expected.changed = make(chan struct{})
 }
--- a/internal/replica/peer/order_test.go
+++ b/internal/replica/peer/order_test.go
@@ -20,14 +20,14 @@
 // would refuse entries that do not follow its log, and the leader start over with
 // a probe. A call that was lost holds the next one up for a moment only, and a
 // new connection starts over.
-func TestCallsAreTakenInTheirOrder(t *testing.T) {
+func TestCallsAreHandledInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var got []string
 		p := &peer.Pool{Cell: "cell", Self: "b/1", Deliver: func(_ string, data []byte) { got = append(got, string(data)) }}
 		h := p.Handler()
-		call := func(wire, number uint64, text string) {
+		call := func(connectionID, number uint64, text string) {
 			body, err := proto.Marshal(&inner.DeliverRequest{
-				Cell: "cell", From: "a/1", To: "b/1", Wire: wire, Number: number,
+				Cell: "cell", From: "a/1", To: "b/1", Wire: connectionID, Number: number,
 				Envelopes: []*inner.Envelope{{Data: []byte(text)}},
 			})
 			if err != nil {
@@ -41,18 +41,18 @@
 				t.Errorf("%s: %d %s", text, w.Code, w.Body)
 			}
 		}
-		begin := time.Now()
+		startedAt := time.Now()
 		call(7, 1, "one")
 		go call(7, 3, "three")
 		synctest.Wait()
 		call(7, 2, "two")
 		synctest.Wait()
-		if time.Since(begin) > 0 {
+		if time.Since(startedAt) > 0 {
 			t.Error("a call waited although the one before it had come")
 		}
 		call(7, 5, "five, four is lost")
-		if late := time.Since(begin); late == 0 || late > 100*time.Millisecond {
-			t.Errorf("the loss of a call held the next one up for %v", late)
+		if waited := time.Since(startedAt); waited == 0 || waited > 100*time.Millisecond {
+			t.Errorf("the loss of a call held the next one up for %v", waited)
 		}
 		call(8, 1, "a new connection")
 		call(7, 6, "a late call of the old one")
--- a/internal/replica/peer/stream.go
+++ b/internal/replica/peer/stream.go
@@ -9,85 +9,85 @@
 	"gypsumreel/internal/api/inner"
 )
 
-// Calls is how many calls to a peer are under way at the same time. With one, a
+// MaxConcurrentCalls is how many calls to a peer are under way at the same time. With one, a
 // message waits up to a round trip for the call before it: between availability
 // zones that is most of the time that a commit takes.
-const Calls = 3
+const MaxConcurrentCalls = 3
 
-// stream is the calls over one connection, numbered in the order of their messages.
-type stream struct {
-	link   *link
-	wire   *wire
-	id     uint64
-	number uint64
-	room   chan struct{}
-	failed chan error
-	first  atomic.Pointer[error]
-	worked atomic.Bool
-	calls  sync.WaitGroup
+// pipeline is the calls over one connection, numbered in the order of their messages.
+type pipeline struct {
+	sender       *sender
+	conn         *clientConn
+	connectionID uint64
+	lastNumber   uint64
+	slots        chan struct{}
+	failures     chan error
+	firstErr     atomic.Pointer[error]
+	succeeded    atomic.Bool
+	runningCalls sync.WaitGroup
 }
 
-// open returns a stream with a connection of its own.
-func (l *link) open() *stream {
-	return &stream{link: l, wire: l.dial(), id: rand.Uint64(), room: make(chan struct{}, Calls), failed: make(chan error, Calls)}
+// openPipeline returns a stream with a connection of its own.
+func (s *sender) openPipeline() *pipeline {
+	return &pipeline{sender: s, conn: s.newClientConn(), connectionID: rand.Uint64(), slots: make(chan struct{}, MaxConcurrentCalls), failures: make(chan error, MaxConcurrentCalls)}
 }
 
 // err returns the first failure of a call.
-func (s *stream) err() error {
-	if e := s.first.Load(); e != nil {
+func (p *pipeline) err() error {
+	if e := p.firstErr.Load(); e != nil {
 		return *e
 	}
 	return nil
 }
 
-// acquire waits for room for one more call; it returns the failure of an earlier one.
-func (s *stream) acquire() error {
-	if err := s.err(); err != nil {
+// acquireSlot waits for room for one more call; it returns the failure of an earlier one.
+func (p *pipeline) acquireSlot() error {
+	if err := p.err(); err != nil {
 		return err
 	}
 	select {
-	case s.room <- struct{}{}:
+	case p.slots <- struct{}{}:
 		return nil
-	case err := <-s.failed:
+	case err := <-p.failures:
 		return err
-	case <-s.link.ctx.Done():
-		return s.link.ctx.Err()
+	case <-p.sender.ctx.Done():
+		return p.sender.ctx.Err()
 	}
 }
 
-// start makes the next call, for which acquire made room.
-func (s *stream) start(batch []*inner.Envelope) {
-	s.number++
-	number := s.number
-	s.calls.Go(func() {
-		defer func() { <-s.room }()
-		s.call(number, batch)
+// startCall makes the next call, for which acquire made room.
+func (p *pipeline) startCall(batch []*inner.Envelope) {
+	p.lastNumber++
+	number := p.lastNumber
+	p.runningCalls.Go(func() {
+		defer func() { <-p.slots }()
+		p.call(number, batch)
 	})
 }
 
 // call makes one call, within a bounded time.
-func (s *stream) call(number uint64, batch []*inner.Envelope) {
-	l := s.link
-	ctx, cancel := context.WithTimeout(l.ctx, l.pool.timeout())
+func (p *pipeline) call(number uint64, batch []*inner.Envelope) {
+	s := p.sender
+	ctx, cancel := context.WithTimeout(s.ctx, s.pool.callTimeout())
 	defer cancel()
-	_, err := s.wire.Deliver(ctx, &inner.DeliverRequest{
-		Cell: l.pool.Cell, From: l.pool.Self, To: l.to, Envelopes: batch, Wire: s.id, Number: number,
+	_, err := p.conn.Deliver(ctx, &inner.DeliverRequest{
+		Cell: s.pool.Cell, From: s.pool.Self, To: s.peerID, Envelopes: batch, Wire: p.connectionID, Number: number,
 	})
 	if err == nil {
-		s.worked.Store(true)
-		l.recover()
+		p.succeeded.Store(true)
+		s.reportRecovery()
 		return
 	}
-	s.first.CompareAndSwap(nil, &err)
-	s.failed <- err
+	p.firstErr.CompareAndSwap(nil, &err)
+	p.failures <- err
 	select {
-	case l.wake <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // close ends the connection and returns when all calls have ended.
-func (s *stream) close() {
-	s.wire.close()
-	s.calls.Wait()
+func (p *pipeline) close() {
+	p.conn.close()
+	p.runningCalls.Wait()
 }
--- a/internal/replica/peer/wire.go
+++ b/internal/replica/peer/wire.go
@@ -9,9 +9,9 @@
 	"gypsumreel/internal/api/inner"
 )
 
-// wire is a client with a connection of its own, made at the first call. It
+// clientConn is a client with a connection of its own, made at the first call. It
 // speaks HTTP/2, whose headers cost a heartbeat far fewer bytes.
-type wire struct {
+type clientConn struct {
 	inner.Replica
 	transport *http.Transport
 	dialer    net.Dialer
@@ -21,53 +21,53 @@
 	closed bool
 }
 
-// dial returns a wire to the peer of a link.
-func (l *link) dial() *wire {
-	w := &wire{dialer: net.Dialer{Timeout: l.pool.timeout()}}
-	only := new(http.Protocols)
-	only.SetHTTP2(true)
-	only.SetUnencryptedHTTP2(true)
-	w.transport = &http.Transport{
-		Protocols:          only,
-		DialContext:        w.connect,
+// newClientConn returns a wire to the peer of a link.
+func (s *sender) newClientConn() *clientConn {
+	c := &clientConn{dialer: net.Dialer{Timeout: s.pool.callTimeout()}}
+	http2Only := new(http.Protocols)
+	http2Only.SetHTTP2(true)
+	http2Only.SetUnencryptedHTTP2(true)
+	c.transport = &http.Transport{
+		Protocols:          http2Only,
+		DialContext:        c.dial,
 		MaxConnsPerHost:    1,
 		DisableCompression: true,
 		IdleConnTimeout:    IdleTimeout,
 	}
 	scheme := "http://"
-	if l.pool.TLS != nil {
+	if s.pool.TLS != nil {
 		scheme = "https://"
-		w.transport.TLSClientConfig = l.pool.TLS.Clone()
-		w.transport.TLSClientConfig.ServerName = name(l.to)
+		c.transport.TLSClientConfig = s.pool.TLS.Clone()
+		c.transport.TLSClientConfig.ServerName = replicaName(s.peerID)
 	}
-	w.Replica = inner.NewReplicaProtobufClient(scheme+l.address, &http.Client{Transport: w.transport})
-	return w
+	c.Replica = inner.NewReplicaProtobufClient(scheme+s.address, &http.Client{Transport: c.transport})
+	return c
 }
 
-// connect makes a connection that close knows of.
-func (w *wire) connect(ctx context.Context, network, address string) (net.Conn, error) {
-	conn, err := w.dialer.DialContext(ctx, network, address)
+// dial makes a connection that close knows of.
+func (c *clientConn) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	conn, err := c.dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.closed {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
 		_ = conn.Close()
 		return nil, net.ErrClosed
 	}
-	w.conns = append(w.conns, conn)
+	c.conns = append(c.conns, conn)
 	return conn, nil
 }
 
 // close closes the connection itself: a call that is given up ends only its
 // stream in HTTP/2, and leaves a silent connection to the next one.
-func (w *wire) close() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.closed = true
-	for _, conn := range w.conns {
+func (c *clientConn) close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closed = true
+	for _, conn := range c.conns {
 		_ = conn.Close()
 	}
-	w.transport.CloseIdleConnections()
+	c.transport.CloseIdleConnections()
 }
--- a/internal/replica/snapshot/snapshot.go
+++ b/internal/replica/snapshot/snapshot.go
@@ -235,7 +235,7 @@
 
 func decodeMeta(b []byte) (Meta, error) {
 	var m Meta
-	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
+	err := wire.VisitFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fieldIndex:
 			m.Index = v
@@ -253,7 +253,7 @@
 
 func decodeMember(b []byte) (quorum.Member, error) {
 	var m quorum.Member
-	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
+	err := wire.VisitFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fieldID:
 			m.ID = string(data)
--- a/internal/replica/wire/wire.go
+++ b/internal/replica/wire/wire.go
@@ -10,33 +10,33 @@
 // ErrMalformed means that bytes are no message of varint and bytes fields.
 var ErrMalformed = errors.New("record is malformed")
 
-// Visit takes one field: v of a varint, data of a bytes field. Data shares the
+// FieldVisitor takes one field: v of a varint, data of a bytes field. Data shares the
 // memory of the message.
-type Visit func(f protowire.Number, v uint64, data []byte) error
+type FieldVisitor func(f protowire.Number, v uint64, data []byte) error
 
-// Fields calls visit for each field of a message, until it returns an error.
-func Fields(b []byte, visit Visit) error {
+// VisitFields calls visit for each field of a message, until it returns an error.
+func VisitFields(b []byte, visit FieldVisitor) error {
 	for len(b) > 0 {
-		f, kind, n := protowire.ConsumeTag(b)
-		if n < 0 {
+		number, kind, length := protowire.ConsumeTag(b)
+		if length < 0 {
 			return ErrMalformed
 		}
-		b = b[n:]
-		var v uint64
+		b = b[length:]
+		var value uint64
 		var data []byte
 		switch kind {
 		case protowire.VarintType:
-			v, n = protowire.ConsumeVarint(b)
+			value, length = protowire.ConsumeVarint(b)
 		case protowire.BytesType:
-			data, n = protowire.ConsumeBytes(b)
+			data, length = protowire.ConsumeBytes(b)
 		default:
 			return ErrMalformed
 		}
-		if n < 0 {
+		if length < 0 {
 			return ErrMalformed
 		}
-		b = b[n:]
-		if err := visit(f, v, data); err != nil {
+		b = b[length:]
+		if err := visit(number, value, data); err != nil {
 			return err
 		}
 	}
