--- a/internal/replica/group/group.go
+++ b/internal/replica/group/group.go
@@ -13,91 +13,104 @@
 	"gypsumreel/internal/replica/snapshot"
 )
 
-// Defaults and bounds of a group.
+// Defaults and limits of a group.
 const (
-	// DefaultTickInterval is the resolution of the timers.
+	// DefaultTickInterval is the default interval between two ticks of the
+	// consensus core. It is the resolution of the election and heartbeat timers.
 	DefaultTickInterval = 10 * time.Millisecond
-	// DefaultMinFreeBytes is the room on the journal's disk below which the group is
-	// full, in bytes.
+	// DefaultMinFreeBytes is the default of Group.MinFreeBytes.
 	DefaultMinFreeBytes = 256 << 20
-	// proposalQueueLength is how many proposals wait for the group.
+	// proposalQueueLength limits the proposals that wait for the event loop.
 	proposalQueueLength = 256
-	// inboxLength is how many messages of other replicas wait for the group.
+	// inboxLength limits the messages from other replicas that wait for the event loop.
 	inboxLength = 256
-	// maxMergedProposals is how many events are handled before their effects leave.
+	// maxMergedProposals limits the proposals that are merged with an earlier one
+	// before the core appends them to the log.
 	maxMergedProposals = 64
-	// maxUncommittedBytes is how many bytes of entries may wait for a quorum.
+	// maxUncommittedBytes limits the size of the log entries that a quorum has not
+	// acknowledged yet. Above it, the group accepts no proposals.
 	maxUncommittedBytes = 32 << 20
-	// freeSpaceCheckInterval is the time between two looks at the room on the disk.
+	// freeSpaceCheckInterval is the time between two checks of the free disk space.
 	freeSpaceCheckInterval = time.Second
-	// fullDiskRetryInterval is the time between two tries to write to a full disk.
+	// fullDiskRetryInterval is the time between two attempts to write to a full disk.
 	fullDiskRetryInterval = 100 * time.Millisecond
-	// maxSaveAttempts is how often a snapshot is tried before the next takes its place,
-	// savePause the first pause between two tries; it doubles with each.
-	maxSaveAttempts    = 6
+	// maxSaveAttempts limits the attempts to save one snapshot.
+	maxSaveAttempts = 6
+	// initialSaveBackoff is the pause after the first failed attempt to save a
+	// snapshot. It doubles with every further attempt.
 	initialSaveBackoff = 250 * time.Millisecond
 )
 
-// Errors of a group.
+// Errors that the methods of a Group return.
 var (
-	// ErrStopped tells that the group no longer runs.
-	ErrStopped = errors.New("group stopped")
-	// ErrNoOtherVoter tells that there is no other voter to hand over to.
-	ErrNoOtherVoter = errors.New("no other voter to hand over to")
+	// ErrStopped is returned when the group no longer runs.
+	ErrStopped = errors.New("replica group has stopped")
+	// ErrNoOtherVoter is returned when the group has no other voter that could
+	// take over the leadership.
+	ErrNoOtherVoter = errors.New("leadership not transferred: the group has no other voter")
 )
 
-// Journal is the log on the disk.
+// Journal stores the replicated log and the hard state on the disk.
 type Journal interface {
-	// Append writes without syncing. An entry with an index that is present
-	// replaces it and everything after it. disk.ErrFull leaves the journal as it was.
+	// Append writes without syncing. An entry whose index is already in the journal
+	// replaces the stored entry and all entries after it. When Append returns
+	// disk.ErrFull, the journal is unchanged.
 	Append(hard *quorum.Hard, entries []quorum.Entry) error
+	// Sync returns once everything appended is on stable storage.
 	Sync() error
-	// Compact may forget entries up to index. A journal that ends there is empty
-	// afterwards and goes on with any index.
+	// Compact allows the journal to delete the entries up to index. If the journal
+	// has no later entry, it is empty afterwards and accepts any next index.
 	Compact(index uint64) error
 	Close() error
-	// FreeBytes gives the room on the disk in bytes.
+	// FreeBytes returns the free space on the disk of the journal.
 	FreeBytes() (uint64, error)
 }
 
-// SnapshotStore stores snapshots.
+// SnapshotStore stores snapshots of the ledger.
 type SnapshotStore interface {
-	// Save returns once the snapshot is synced. After an error the one before it is
-	// still there.
+	// Save returns once the snapshot is on stable storage. After an error, the
+	// previous snapshot is still available.
 	Save(meta snapshot.Meta, state []byte) error
 }
 
-// Transport carries messages to the other replicas.
+// Transport sends consensus messages to the other replicas.
 type Transport interface {
-	// Send never blocks; messages that find no room are dropped.
+	// Send never blocks. It drops messages that do not fit into its queue.
 	Send(to, address string, data [][]byte)
 }
 
-// Group runs one replica. Set the exported fields before Run.
+// Group runs one replica. The exported fields must be set before Run is called.
 type Group struct {
-	// Config is that of the core: identity, address, timeouts, seed, bootstrap.
+	// Config configures the consensus core: identity, address, timeouts, random
+	// seed and first membership.
 	Config quorum.Config
-	// Recovered is what the journal and the snapshots held at the start.
+	// Recovered is the state that was read from the journal and the snapshots at
+	// the start. Run clears it.
 	Recovered quorum.Saved
 	Journal   Journal
 	Snapshots SnapshotStore
 	Transport Transport
-	// Now is a monotonic clock.
-	Now          func() time.Duration
+	// Now reads a monotonic clock.
+	Now func() time.Duration
+	// TickInterval is the interval between two ticks of the consensus core.
+	// 0 selects DefaultTickInterval.
 	TickInterval time.Duration
-	// MinFreeBytes is the room on the disk that the group wants left, in bytes.
+	// MinFreeBytes is the free space on the journal's disk below which the group
+	// reports the disk as full. 0 selects DefaultMinFreeBytes.
 	MinFreeBytes uint64
-	// Metrics receives the metrics; nil for none.
+	// Metrics receives the metrics. If it is nil, no metrics are exported.
 	Metrics *metrics.Set
 	Log     logr.Logger
 
-	initOnce           sync.Once
-	proposals          chan Proposal
-	inbox              chan receivedMessage
-	requests           chan request
-	confirmRequests    chan struct{}
-	diskResults        chan diskResult
-	journalWrites      chan quorum.Write
+	initOnce        sync.Once
+	proposals       chan Proposal
+	inbox           chan receivedMessage
+	requests        chan request
+	confirmRequests chan struct{}
+	// diskResults carries the results of the two disk goroutines to the event loop.
+	diskResults   chan diskResult
+	journalWrites chan quorum.Write
+	// journalCompactions carries the index up to which the journal may be compacted.
 	journalCompactions chan uint64
 	snapshotsToSave    chan quorum.Snapshot
 	diskFull           chan bool
@@ -105,17 +118,18 @@
 	notifications      *notificationQueue
 	latencies          *latencyMetrics
 
-	core            *quorum.Core
+	core *quorum.Core
+	// transferWaiters receive the result of the leadership transfer in progress.
 	transferWaiters []chan<- error
 }
 
-// receivedMessage is a message of another replica, and when it came.
+// receivedMessage is a message from another replica with its time of receipt.
 type receivedMessage struct {
 	quorum.Message
 	receivedAt time.Duration
 }
 
-// request is a rare request to the loop.
+// request is an infrequent request from another goroutine to the event loop.
 type request interface{ isRequest() }
 
 type (
@@ -153,14 +167,15 @@
 	return g.done
 }
 
-// Notes are what the control thread has to know, in order.
+// Notes returns the channel on which the control thread receives the
+// notifications, in order.
 func (g *Group) Notes() <-chan Notification {
 	g.init()
 	return g.notifications.out
 }
 
-// Propose hands over a proposal without blocking; false tells that there was no
-// room and that the same proposal has to come again.
+// Propose queues a proposal without blocking. It returns false when the queue is
+// full; the caller must then repeat the same proposal.
 func (g *Group) Propose(p Proposal) bool {
 	g.init()
 	select {
@@ -171,7 +186,8 @@
 	}
 }
 
-// Confirm asks for a heartbeat round that begins now or later.
+// Confirm requests a heartbeat round that starts after the call. When a quorum
+// has answered the round, the group sends a LeadershipConfirmed notification.
 func (g *Group) Confirm() {
 	g.init()
 	select {
@@ -180,13 +196,14 @@
 	}
 }
 
-// Receive takes a message from another replica; from is proved by the caller.
-// Messages that find no room are dropped, as if the network had lost them.
+// Receive handles a message from another replica. The caller must have
+// authenticated from as the sender. If the inbox is full, the message is dropped
+// like a message that the network loses.
 func (g *Group) Receive(from string, data []byte) {
 	g.init()
 	message, err := quorum.Decode(g.Config.ID, from, data)
 	if err != nil {
-		g.Log.V(1).Info("message dropped", "from", from, "error", err.Error())
+		g.Log.V(1).Info("dropped a replica message that cannot be decoded", "from", from, "error", err.Error())
 		return
 	}
 	select {
@@ -195,15 +212,18 @@
 	}
 }
 
-// Compact gives the state after the committed entry at index; the group saves it
-// as a snapshot and forgets the log behind it. The caller leaves state alone.
+// Compact passes the encoded ledger as of the committed entry at index. The group
+// saves it as a snapshot and then deletes the log up to that entry. The caller
+// must not modify state afterwards.
 func (g *Group) Compact(index uint64, state []byte) {
 	g.sendRequest(compactRequest{quorum.Compact{Index: index, State: state}})
 }
 
-// Reload asks for a Restore and the Apply notes after it. When it returns, no
-// Apply, Commit, Confirmed or Lead note from before is given out any more: they
-// would meet a ledger that holds commands which nobody agreed on.
+// Reload requests a RestoreSnapshot notification and the ApplyEntries
+// notifications that follow it. After Reload has returned, the group delivers no
+// earlier ApplyEntries, CommitAdvanced, LeadershipConfirmed or Leading
+// notification. The control thread would apply those to a ledger that contains
+// commands without a quorum.
 func (g *Group) Reload() {
 	done := make(chan struct{})
 	if !g.sendRequest(reloadRequest{done}) {
@@ -215,7 +235,8 @@
 	}
 }
 
-// TransferLeadership returns when this replica does not lead any more, or with an error.
+// TransferLeadership hands the leadership over to another voter. It returns nil
+// once this replica no longer leads.
 func (g *Group) TransferLeadership(ctx context.Context) error {
 	done := make(chan error, 1)
 	if !g.sendRequest(transferRequest{done}) {
@@ -231,7 +252,7 @@
 	}
 }
 
-// Dump gives the state of the replica.
+// Dump returns the current state of the replica.
 func (g *Group) Dump() Dump {
 	reply := make(chan Dump, 1)
 	if !g.sendRequest(dumpRequest{reply}) {
@@ -245,7 +266,9 @@
 	}
 }
 
-// sendRequest hands a request to the loop, which never waits for the control thread.
+// sendRequest passes a request to the event loop. It returns false if the group
+// has stopped. The event loop never waits for the control thread, so the request
+// cannot deadlock.
 func (g *Group) sendRequest(r request) bool {
 	g.init()
 	select {
@@ -256,10 +279,10 @@
 	}
 }
 
-// Dump is the state of a replica for operators.
+// Dump is the state of a replica as shown to operators.
 type Dump struct {
 	Stopped bool
 	quorum.Status
-	// Queued is the number of notes that the control thread has not taken.
+	// Queued is the number of notifications that the control thread has not received yet.
 	Queued int
 }
--- a/internal/replica/group/meter.go
+++ b/internal/replica/group/metrics.go
@@ -10,22 +10,26 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// lateRoundDivisor is the part of an election timeout from which a heartbeat round is told.
+// lateRoundDivisor sets the threshold for logging a slow heartbeat round: the
+// election timeout divided by this number.
 const lateRoundDivisor = 2
 
-// latencyMetrics measure what a heartbeat waits for.
+// latencyMetrics are histograms of the delays that heartbeats can suffer.
 type latencyMetrics struct {
-	// tickDelay is how late the loop serves its timer, wait how long a message of another
-	// replica waits for the loop.
+	// tickDelay is the time from the moment a tick is due until the event loop
+	// handles it.
 	tickDelay *metrics.PrometheusHistogram
+	// inboxWait is the time that a message from another replica waits in the inbox.
 	inboxWait *metrics.PrometheusHistogram
-	// heartbeatRound is how long a quorum takes to answer a heartbeat, gap the time between
-	// two messages of the leader.
-	heartbeatRound   *metrics.PrometheusHistogram
+	// heartbeatRound is the time that a quorum takes to answer a heartbeat.
+	heartbeatRound *metrics.PrometheusHistogram
+	// leaderMessageGap is the time between two messages from the leader.
 	leaderMessageGap *metrics.PrometheusHistogram
-	// lastLeaderMessageAt is when a message of the leader came last.
+	// lastLeaderMessageAt is the time at which the last message from a leader was
+	// received.
 	lastLeaderMessageAt time.Duration
-	logLimit            event.Limit
+	// logLimit limits how often slow heartbeat rounds are logged.
+	logLimit event.Limit
 }
 
 func newLatencyMetrics(set *metrics.Set) *latencyMetrics {
@@ -41,7 +45,8 @@
 	}
 }
 
-// recordReceived notes a message that the loop takes now.
+// recordReceived updates the histograms for a message that the event loop takes
+// from the inbox at the time now.
 func (m *latencyMetrics) recordReceived(received receivedMessage, now time.Duration) {
 	m.inboxWait.Update((now - received.receivedAt).Seconds())
 	switch received.Kind {
@@ -53,8 +58,9 @@
 	}
 }
 
-// recordConfirmedRound notes a heartbeat round that a quorum has answered, and tells of one
-// that took so long that the lead is in danger.
+// recordConfirmedRound records the duration of a heartbeat round that a quorum has
+// answered. It logs a round that took so long that the leader may soon lose its
+// leadership.
 func (g *Group) recordConfirmedRound(startedAt time.Duration) {
 	duration := g.Now() - startedAt
 	g.latencies.heartbeatRound.Update(duration.Seconds())
--- a/internal/replica/group/outbox.go
+++ b/internal/replica/group/queue.go
@@ -6,23 +6,29 @@
 	"sync"
 )
 
-// notificationQueue is the queue of notes. It takes every note at once, so that the group
-// never waits for a control thread that waits for the group; what would pile up
-// while the control thread is busy is merged.
+// notificationQueue is an unbounded queue of notifications for the control thread.
+// Adding a notification never blocks, so the event loop and the control thread
+// cannot wait for each other. Commit indexes and confirmations that accumulate
+// while the control thread is busy are merged.
 type notificationQueue struct {
 	out chan Notification
-	// wakeup and reset make run look at the queue again; reset waits for it.
-	wakeup    chan struct{}
+	// wakeup tells run that the queue has changed.
+	wakeup chan struct{}
+	// discarded tells run to drop the notification that it is delivering. The send
+	// blocks until run has received it.
 	discarded chan struct{}
-	stopped   chan struct{}
+	// stopped is closed when run returns.
+	stopped chan struct{}
 
 	mu      sync.Mutex
 	queue   []queuedNotification
 	lastSeq uint64
 }
 
-// queuedNotification is a note with a number, which a merge changes.
+// queuedNotification is an element of the notification queue.
 type queuedNotification struct {
+	// seq identifies the element. A notification that replaces an older one in the
+	// queue gets a new number.
 	seq          uint64
 	notification Notification
 }
@@ -34,6 +40,7 @@
 	}
 }
 
+// put adds a notification without blocking.
 func (q *notificationQueue) put(n Notification) {
 	q.mu.Lock()
 	if len(q.queue) == 0 && q.deliverDirectly(n) {
@@ -54,8 +61,9 @@
 	}
 }
 
-// deliverDirectly hands a note to a control thread that is waiting for one, which saves a
-// change of goroutine. With an empty queue, no earlier note is on its way.
+// deliverDirectly passes a notification to the control thread if that is waiting
+// for one, which saves a goroutine switch. It must only be called while the queue
+// is empty, since it would otherwise overtake earlier notifications.
 func (q *notificationQueue) deliverDirectly(n Notification) bool {
 	select {
 	case q.out <- n:
@@ -65,8 +73,10 @@
 	}
 }
 
-// replaceableIndex gives the place of an older Commit or Confirmed that n replaces, if
-// only the other kind stands between them; all else keeps its order.
+// replaceableIndex returns the position of an older CommitAdvanced or
+// LeadershipConfirmed notification that n can replace, or -1. Only a notification
+// of the other of these two types may come after the replaced one. All other
+// notifications keep their order.
 func (q *notificationQueue) replaceableIndex(n Notification) int {
 	for i := len(q.queue) - 1; i >= max(0, len(q.queue)-2); i-- {
 		switch old := q.queue[i].notification.(type) {
@@ -85,7 +95,8 @@
 	return -1
 }
 
-// discardLogNotifications drops what a restore makes void, also the note that is being handed out.
+// discardLogNotifications removes the notifications that a reload makes invalid,
+// including the one that run is delivering.
 func (q *notificationQueue) discardLogNotifications() {
 	q.mu.Lock()
 	q.queue = slices.DeleteFunc(q.queue, func(item queuedNotification) bool {
@@ -117,7 +128,8 @@
 	return q.queue[0], true
 }
 
-// removeDelivered removes the note that was handed out, unless a newer one took its place.
+// removeDelivered removes the delivered notification from the queue, unless a
+// newer one has replaced it.
 func (q *notificationQueue) removeDelivered(seq uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -127,7 +139,7 @@
 	}
 }
 
-// run hands the notes out one by one.
+// run delivers the queued notifications one by one until ctx ends.
 func (q *notificationQueue) run(ctx context.Context) {
 	defer close(q.stopped)
 	for {
--- a/internal/replica/group/run.go
+++ b/internal/replica/group/run.go
@@ -10,13 +10,15 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// diskResult is what a disk goroutine answers.
+// diskResult is the result of a disk operation for the event loop. It has either
+// an event for the core or an error that stops the group.
 type diskResult struct {
 	event quorum.Event
 	err   error
 }
 
-// Run drives the replica until ctx ends or its disk fails. It closes the journal.
+// Run runs the replica until ctx ends or a journal write fails. It closes the
+// journal before it returns.
 func (g *Group) Run(ctx context.Context) error {
 	g.init()
 	ctx, cancel := context.WithCancel(ctx)
@@ -31,10 +33,11 @@
 	g.core = quorum.New(g.Config, g.Recovered)
 	g.Recovered = quorum.Saved{}
 	g.step(quorum.Reload{})
-	return g.loop(ctx)
+	return g.runEventLoop(ctx)
 }
 
-func (g *Group) loop(ctx context.Context) error {
+// runEventLoop handles events one at a time until ctx ends or a disk operation fails.
+func (g *Group) runEventLoop(ctx context.Context) error {
 	interval := g.TickInterval
 	if interval == 0 {
 		interval = DefaultTickInterval
@@ -69,8 +72,9 @@
 	}
 }
 
-// acceptableProposals is the queue of proposals, or nil while they have to wait: during a
-// transfer, and when too much waits for a quorum.
+// acceptableProposals returns the queue of proposals. It returns nil while
+// proposals have to wait: during a leadership transfer, and while the uncommitted
+// entries exceed maxUncommittedBytes.
 func (g *Group) acceptableProposals() <-chan Proposal {
 	if g.core.Transferring() || g.core.Uncommitted() > maxUncommittedBytes {
 		return nil
@@ -78,7 +82,8 @@
 	return g.proposals
 }
 
-// propose hands on a proposal together with those that follow it without a gap.
+// propose passes a proposal to the core. Queued proposals of the same term that
+// continue it without a gap are merged into the same event.
 func (g *Group) propose(p Proposal) {
 	if p.Member != nil {
 		g.step(quorum.Alter{Term: p.Term, First: p.FirstIndex, Member: *p.Member, Remove: p.RemoveMember})
@@ -100,6 +105,7 @@
 	g.step(ev)
 }
 
+// nextProposal returns the next queued proposal, if there is one.
 func (g *Group) nextProposal() (Proposal, bool) {
 	select {
 	case p := <-g.proposals:
@@ -110,22 +116,23 @@
 }
 
 func (g *Group) handleRequest(r request) {
-	switch a := r.(type) {
+	switch r := r.(type) {
 	case compactRequest:
-		g.step(a.event)
+		g.step(r.event)
 	case reloadRequest:
 		g.notifications.discardLogNotifications()
-		defer close(a.done)
+		defer close(r.done)
 		g.step(quorum.Reload{})
 	case transferRequest:
-		g.transferWaiters = append(g.transferWaiters, a.done)
+		g.transferWaiters = append(g.transferWaiters, r.done)
 		g.continueTransfer()
 	case dumpRequest:
-		a.reply <- Dump{Status: g.core.Status(), Queued: g.notifications.length()}
+		r.reply <- Dump{Status: g.core.Status(), Queued: g.notifications.length()}
 	}
 }
 
-// continueTransfer goes on with a transfer until this replica does not lead any more.
+// continueTransfer starts or restarts a requested leadership transfer. It answers
+// the waiting callers once this replica no longer leads or no transfer is possible.
 func (g *Group) continueTransfer() {
 	if len(g.transferWaiters) == 0 {
 		return
@@ -141,6 +148,7 @@
 	}
 }
 
+// finishTransfers sends the result to all callers of TransferLeadership.
 func (g *Group) finishTransfers(err error) {
 	for _, done := range g.transferWaiters {
 		done <- err
@@ -148,7 +156,8 @@
 	g.transferWaiters = nil
 }
 
-// step lets the core take one event and carries out the effects.
+// step passes one event to the core and carries out the effects that the core
+// returns.
 func (g *Group) step(ev quorum.Event) {
 	effects := g.core.Step(g.Now(), ev)
 	if effects.Write != nil {
@@ -166,7 +175,8 @@
 	}
 }
 
-// scheduleJournalCompaction leaves the newest index for the journal's goroutine.
+// scheduleJournalCompaction requests a compaction of the journal up to index. It
+// replaces a request that the journal writer has not taken yet.
 func (g *Group) scheduleJournalCompaction(index uint64) {
 	select {
 	case <-g.journalCompactions:
@@ -175,7 +185,7 @@
 	g.journalCompactions <- index
 }
 
-// send hands the messages to the peers, those for one replica together.
+// send passes the messages to the transport, grouped by receiving replica.
 func (g *Group) send(out []quorum.Outgoing) {
 	for len(out) > 0 {
 		to, address := out[0].Message.To, out[0].Address
@@ -198,6 +208,8 @@
 	}
 }
 
+// notificationFor translates a report of the core into a notification for the
+// control thread.
 func (g *Group) notificationFor(r quorum.Report) Notification {
 	switch r := r.(type) {
 	case quorum.Led:
@@ -216,5 +228,5 @@
 	case quorum.MembersChanged:
 		return MembershipChanged{Members: r.Members, Self: g.Config.ID}
 	}
-	panic(errors.Newf("group: report %T", r))
+	panic(errors.Newf("group: the core returned a report of unknown type %T", r))
 }
--- a/internal/replica/group/store.go
+++ b/internal/replica/group/store.go
@@ -11,15 +11,19 @@
 	"gypsumreel/internal/replica/snapshot"
 )
 
-// journalWriter writes and syncs on a goroutine of its own, so that a slow disk
-// delays no heartbeat. The core has at most one write on its way.
+// journalWriter writes to the journal and syncs it on a separate goroutine, so that
+// a slow disk does not delay heartbeats. The core has at most one write in
+// progress.
 type journalWriter struct {
 	*Group
-	// lastIndex is the index that the journal ends with, 0 while it is empty.
-	lastIndex    uint64
+	// lastIndex is the index of the last entry in the journal. It is 0 while the
+	// journal is empty.
+	lastIndex uint64
+	// reportedFull is the disk state that the event loop was told last.
 	reportedFull bool
 }
 
+// lastEntryIndex returns the index of the last entry, or 0 if there is none.
 func lastEntryIndex(entries []quorum.Entry) uint64 {
 	if len(entries) == 0 {
 		return 0
@@ -55,12 +59,13 @@
 
 func (j *journalWriter) close() {
 	if err := j.Journal.Close(); err != nil {
-		j.Log.Error(err, "close the journal")
+		j.Log.Error(err, "failed to close the journal")
 	}
 }
 
-// write writes and syncs once. After a failed sync nobody knows what the disk
-// holds, and a second try may pass without having written: the group ends.
+// write appends to the journal and syncs it. A failed sync stops the group: the
+// contents of the disk are unknown, and a second sync may succeed although the
+// data was never written.
 func (j *journalWriter) write(ctx context.Context, w quorum.Write) error {
 	if err := j.compactBeforeGap(w.Entries); err != nil {
 		return err
@@ -71,7 +76,7 @@
 			break
 		}
 		if !disk.Passes(err) {
-			return errors.Wrap(err, "append to the journal")
+			return errors.Wrap(err, "cannot append to the journal")
 		}
 		if err := j.waitForSpace(ctx); err != nil {
 			return err
@@ -80,11 +85,12 @@
 	if n := lastEntryIndex(w.Entries); n > 0 {
 		j.lastIndex = n
 	}
-	return errors.Wrap(j.Journal.Sync(), "sync the journal")
+	return errors.Wrap(j.Journal.Sync(), "cannot sync the journal")
 }
 
-// compactBeforeGap empties a journal that ends before the snapshot from which the entries
-// go on.
+// compactBeforeGap empties the journal if the entries do not continue it. This
+// happens after the replica has installed a snapshot that is newer than the end of
+// its journal.
 func (j *journalWriter) compactBeforeGap(entries []quorum.Entry) error {
 	if len(entries) == 0 || j.lastIndex == 0 || entries[0].Index <= j.lastIndex+1 {
 		return nil
@@ -92,14 +98,15 @@
 	return j.compact(entries[0].Index - 1)
 }
 
+// compact removes the entries up to index from the journal.
 func (j *journalWriter) compact(index uint64) error {
 	err := j.Journal.Compact(index)
 	if disk.Passes(err) {
-		// Nothing hangs on it: the next snapshot tries again.
+		// Compaction only frees space. It is repeated after the next snapshot.
 		return nil
 	}
 	if err != nil {
-		return errors.Wrap(err, "compact the journal")
+		return errors.Wrap(err, "cannot compact the journal")
 	}
 	if j.lastIndex <= index {
 		j.lastIndex = 0
@@ -107,8 +114,9 @@
 	return nil
 }
 
-// waitForSpace holds a write back while the disk takes none: the replica acknowledges
-// nothing meanwhile, and goes on when there is room, or a snapshot made some.
+// waitForSpace delays the next attempt to write to a full disk. The replica
+// acknowledges nothing in the meantime. A compaction that becomes possible after a
+// snapshot is done at once, since it can free space.
 func (j *journalWriter) waitForSpace(ctx context.Context) error {
 	j.reportFull(true)
 	select {
@@ -121,7 +129,8 @@
 	}
 }
 
-// checkFreeSpace tells the loop when the disk got full, or got room again.
+// checkFreeSpace tells the event loop when the free disk space falls below the
+// minimum or rises above it again.
 func (j *journalWriter) checkFreeSpace() {
 	free, err := j.Journal.FreeBytes()
 	if err != nil {
@@ -134,6 +143,9 @@
 	j.reportFull(free < minFree)
 }
 
+// reportFull tells the event loop whether the disk is full, if that has changed.
+// If the event loop has not taken the previous report, it is left to the next
+// check.
 func (j *journalWriter) reportFull(full bool) {
 	if full == j.reportedFull {
 		return
@@ -145,8 +157,9 @@
 	}
 }
 
-// saveSnapshots saves snapshots on a goroutine of its own: they take long. One that
-// fails ends nothing: the log stands, and holds all that the snapshot would.
+// saveSnapshots saves snapshots on a separate goroutine, since saving takes long. A
+// failure does not stop the group: the log is kept and contains everything that the
+// snapshot would.
 func (g *Group) saveSnapshots(ctx context.Context) {
 	for {
 		select {
@@ -158,8 +171,9 @@
 	}
 }
 
-// saveSnapshot saves a snapshot, again and again with growing pauses. In the end it gives
-// it up, and the next one tries.
+// saveSnapshot saves a snapshot and retries with exponential backoff. After
+// maxSaveAttempts failures it gives up, and the group continues with the next
+// snapshot.
 func (g *Group) saveSnapshot(ctx context.Context, s quorum.Snapshot) quorum.Event {
 	meta := snapshot.Meta{Index: s.Index, Term: s.Term, Members: s.Members}
 	for attempt := range maxSaveAttempts {
