--- a/internal/replica/group/bench_test.go
+++ b/internal/replica/group/bench_test.go
@@ -21,15 +21,18 @@
 )
 
 const (
+	// maxCallers is the largest number of concurrent callers in the benchmarks.
 	maxCallers = 64
+	// entryBytes is the size of a command.
 	entryBytes = 256
 )
 
-// submittedCommand is one caller's command; done is closed when it is committed.
+// submittedCommand is the command of one caller. done is closed when the command
+// is committed.
 type submittedCommand struct{ done chan struct{} }
 
-// runLoad lets 64 callers do one command after the other for a while, and gives
-// the rate and the latencies.
+// runLoad lets each caller submit one command after the other for the given
+// duration. It returns the total rate and the latencies.
 func runLoad(duration time.Duration, callers int, submit chan<- submittedCommand) (perSecond float64, p50, p99 time.Duration) {
 	var mu sync.Mutex
 	var latencies []time.Duration
@@ -39,9 +42,9 @@
 		wg.Go(func() {
 			var callerLatencies []time.Duration
 			for time.Since(startedAt) < duration {
-				submittedAt, r := time.Now(), submittedCommand{make(chan struct{})}
-				submit <- r
-				<-r.done
+				submittedAt, command := time.Now(), submittedCommand{make(chan struct{})}
+				submit <- command
+				<-command.done
 				callerLatencies = append(callerLatencies, time.Since(submittedAt))
 			}
 			mu.Lock()
@@ -55,20 +58,21 @@
 	return float64(len(latencies)) / elapsed.Seconds(), latencies[len(latencies)/2], latencies[len(latencies)*99/100]
 }
 
-// takeWaiting takes all requests that wait.
+// takeWaiting returns first and all commands that are waiting in the channel.
 func takeWaiting(first submittedCommand, in <-chan submittedCommand) []submittedCommand {
-	requests := []submittedCommand{first}
+	commands := []submittedCommand{first}
 	for {
 		select {
 		case r := <-in:
-			requests = append(requests, r)
+			commands = append(commands, r)
 		default:
-			return requests
+			return commands
 		}
 	}
 }
 
-// runFsyncOnly is group fsync without consensus: write what waits, sync, answer.
+// runFsyncOnly is a journal with group commit but without consensus: it writes all
+// waiting commands, syncs once and answers the callers.
 func runFsyncOnly(b *testing.B, in <-chan submittedCommand) {
 	j, _, err := journal.Open(b.TempDir())
 	if err != nil {
@@ -77,9 +81,9 @@
 	index := uint64(0)
 	data := make([]byte, entryBytes)
 	for r := range in {
-		requests := takeWaiting(r, in)
-		entries := make([]quorum.Entry, len(requests))
-		for i := range requests {
+		commands := takeWaiting(r, in)
+		entries := make([]quorum.Entry, len(commands))
+		for i := range commands {
 			index++
 			entries[i] = quorum.Entry{Index: index, Term: 1, Kind: quorum.Command, Data: data}
 		}
@@ -89,14 +93,15 @@
 		if err := j.Sync(); err != nil {
 			b.Error(err)
 		}
-		for _, r := range requests {
+		for _, r := range commands {
 			close(r.done)
 		}
 	}
 	_ = j.Close()
 }
 
-// runProposer is the smallest control thread: it numbers, proposes and answers.
+// runProposer is a minimal control thread. It assigns log indexes, proposes the
+// waiting commands and answers the callers after the commit.
 func runProposer(ctx context.Context, g *group.Group, in <-chan submittedCommand, elected chan<- struct{}) {
 	var term, nextIndex, committed uint64
 	var uncommitted []submittedCommand
@@ -121,21 +126,21 @@
 				uncommitted, committed = uncommitted[n.Index-committed:], n.Index
 			}
 		case r := <-accept:
-			requests := takeWaiting(r, in)
+			commands := takeWaiting(r, in)
 			proposal := group.Proposal{Term: term, FirstIndex: nextIndex}
-			for range requests {
+			for range commands {
 				proposal.Commands = append(proposal.Commands, data)
 			}
 			for !g.Propose(proposal) {
 				time.Sleep(time.Millisecond)
 			}
-			uncommitted = append(uncommitted, requests...)
-			nextIndex += uint64(len(requests))
+			uncommitted = append(uncommitted, commands...)
+			nextIndex += uint64(len(commands))
 		}
 	}
 }
 
-// benchCluster is replicas of one process on the real disk.
+// benchCluster is a group of replicas in this process that write to the real disk.
 type benchCluster struct {
 	b                *testing.B
 	groups           []*group.Group
@@ -143,26 +148,28 @@
 	stop             func()
 }
 
-// transportFactory makes the way of one replica to the others, and ends it.
-type transportFactory func(bn *benchCluster, i int, m quorum.Member) (group.Transport, func())
+// transportFactory creates the transport of replica i, and a function that closes
+// it.
+type transportFactory func(cluster *benchCluster, i int, m quorum.Member) (group.Transport, func())
 
-// delayedTransport carries messages by timers, 1.5 ms one way.
+// delayedTransport delivers messages in this process after oneWayDelay (1.5 ms).
 func delayedTransport() transportFactory {
 	n := newNetwork()
-	return func(bn *benchCluster, i int, m quorum.Member) (group.Transport, func()) {
+	return func(cluster *benchCluster, i int, m quorum.Member) (group.Transport, func()) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.groups[m.ID] = bn.groups[i]
+		n.groups[m.ID] = cluster.groups[i]
 		return networkTransport{n, m.ID}, func() {}
 	}
 }
 
-// loopbackTransport carries messages by the real calls and counts their bytes.
+// loopbackTransport sends messages with peer.Pool over the loopback interface and
+// counts the bytes on the server side.
 func loopbackTransport(listeners []net.Listener) transportFactory {
-	return func(bn *benchCluster, i int, m quorum.Member) (group.Transport, func()) {
-		pool := &peer.Pool{Cell: "bench", Self: m.ID, Deliver: bn.groups[i].Receive}
+	return func(cluster *benchCluster, i int, m quorum.Member) (group.Transport, func()) {
+		pool := &peer.Pool{Cell: "bench", Self: m.ID, Deliver: cluster.groups[i].Receive}
 		server := &http.Server{Handler: pool.Handler(), ReadHeaderTimeout: time.Minute}
-		go func() { _ = server.Serve(countingListener{listeners[i], &bn.transferredBytes[i]}) }()
+		go func() { _ = server.Serve(countingListener{listeners[i], &cluster.transferredBytes[i]}) }()
 		return pool, func() {
 			pool.Close()
 			_ = server.Close()
@@ -170,7 +177,7 @@
 	}
 }
 
-// countingListener counts what comes in and what goes out.
+// countingListener counts the bytes that its connections read and write.
 type countingListener struct {
 	net.Listener
 	byteCount *atomic.Int64
@@ -181,6 +188,7 @@
 	return countingConn{c, l.byteCount}, err
 }
 
+// countingConn counts the bytes that it reads and writes.
 type countingConn struct {
 	net.Conn
 	byteCount *atomic.Int64
@@ -234,7 +242,8 @@
 	return cluster
 }
 
-// listenOnLoopback gives three members that listen on the loopback.
+// listenOnLoopback returns three members with a listener each on the loopback
+// interface.
 func listenOnLoopback(b *testing.B) ([]quorum.Member, []net.Listener) {
 	var members []quorum.Member
 	var listeners []net.Listener
@@ -249,9 +258,9 @@
 	return members, listeners
 }
 
-// BenchmarkCommit gives, on one disk and in one run, the rate of group fsync
-// alone, and that of the commits of one voter, of three that are 1.5 ms apart,
-// and of three that talk by the real calls on the loopback.
+// BenchmarkCommit compares, on one disk and in one run, the rate of grouped fsync
+// calls with the commit rates of one voter, of three voters with a one-way delay of
+// 1.5 ms, and of three voters that communicate over the loopback interface.
 func BenchmarkCommit(b *testing.B) {
 	for b.Loop() {
 		for _, n := range []int{1, maxCallers} {
@@ -267,10 +276,10 @@
 	fsyncRate, p50, p99 := runLoad(loadDuration, callerCount, in)
 	close(in)
 	<-fsyncDone
-	b.Logf("%d callers, fsync alone: %.0f/s, p50 %v, p99 %v; round trip of the timers p50 %v", callerCount, fsyncRate, p50, p99, measureTimerRoundTrip())
+	b.Logf("%d callers, fsync alone: %.0f/s, p50 %v, p99 %v; timer round trip p50 %v", callerCount, fsyncRate, p50, p99, measureTimerRoundTrip())
 	logRate := func(setup string, cluster *benchCluster) {
 		rate, p50, p99 := measureCommits(cluster, callerCount)
-		b.Logf("%d callers, %s: %.0f/s (%.2f of alone), p50 %v, p99 %v", callerCount, setup, rate, rate/fsyncRate, p50, p99)
+		b.Logf("%d callers, %s: %.0f/s (%.2f of fsync alone), p50 %v, p99 %v", callerCount, setup, rate, rate/fsyncRate, p50, p99)
 	}
 	logRate("1 voter", newBenchCluster(b, threeMembers()[:1], delayedTransport()))
 	logRate("3 voters, 1.5 ms", newBenchCluster(b, threeMembers(), delayedTransport()))
@@ -278,9 +287,11 @@
 	logRate("3 voters, loopback", newBenchCluster(b, members, loopbackTransport(listeners)))
 }
 
+// loadDuration is the time for which the callers of a benchmark submit commands.
 const loadDuration = 4 * time.Second
 
-// measureTimerRoundTrip is what two ways through the timers take in this process.
+// measureTimerRoundTrip returns the median time that two timers of oneWayDelay take
+// one after the other in this process.
 func measureTimerRoundTrip() time.Duration {
 	var durations []time.Duration
 	for range 200 {
@@ -306,8 +317,8 @@
 	return runLoad(loadDuration, callers, in)
 }
 
-// BenchmarkIdleTraffic gives the bytes a second that an idle replica of three receives
-// and sends as the one that is called, with all that the calls add.
+// BenchmarkIdleTraffic logs the bytes per second that each of three idle replicas
+// receives and sends as a server, including the overhead of the calls.
 func BenchmarkIdleTraffic(b *testing.B) {
 	for b.Loop() {
 		members, listeners := listenOnLoopback(b)
@@ -330,7 +341,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		for i := range cluster.transferredBytes {
-			b.Logf("%s, leading %v: %d bytes a second", members[i].ID, cluster.groups[i].Dump().Leading, (cluster.transferredBytes[i].Load()-before[i])/5)
+			b.Logf("%s, leading %v: %d bytes/s", members[i].ID, cluster.groups[i].Dump().Leading, (cluster.transferredBytes[i].Load()-before[i])/5)
 		}
 		cluster.stop()
 	}
--- a/internal/replica/group/group_test.go
+++ b/internal/replica/group/group_test.go
@@ -45,7 +45,7 @@
 			t.Fatal(d)
 		}
 		if r.confirmedRoundStart == 0 {
-			t.Error("no round was confirmed")
+			t.Error("no heartbeat round was confirmed")
 		}
 		r.group.Compact(100, []byte("first hundred"))
 		time.Sleep(50 * time.Millisecond)
@@ -54,7 +54,7 @@
 		restarted := startReplica(t, n, "a/1", store, self)
 		waitForLeader(t, restarted)
 		got, _ = restarted.currentState()
-		// Index 1 is the bootstrap, 2 the leader's empty entry.
+		// Log index 1 is the first membership, index 2 the empty entry of the leader.
 		if d := cmp.Diff(append([]string{"first hundred"}, want[98:]...), got); d != "" {
 			t.Fatal(d)
 		}
@@ -71,7 +71,7 @@
 		leader := waitForLeader(t, replicas...)
 		want := numberedCommands("x", 100)
 		if !leader.propose(want...) {
-			t.Fatal("refused")
+			t.Fatal("the leader did not accept the proposals")
 		}
 		time.Sleep(time.Second)
 		for _, r := range replicas {
@@ -83,10 +83,10 @@
 	})
 }
 
-// A leader is cut off silently while it has work in flight.
-// Callers of that work must not be told that it is done: the others elect a
-// leader and go on. When the old one is back, it drops what nobody committed
-// and ends in the state of the others.
+// Guards against a leader that reports proposals as committed after the network
+// has isolated it. The other replicas elect a new leader. When the old leader is
+// reachable again, it must drop its uncommitted entries and reach the same state
+// as the other replicas.
 func TestIsolatedLeaderDropsUncommittedCommands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
@@ -103,7 +103,7 @@
 		oldLeader.propose(numberedCommands("lost", 10)...)
 		time.Sleep(620 * time.Millisecond)
 		if got, leading := oldLeader.currentState(); leading || len(got) != 10 {
-			t.Errorf("cut off for longer than an election timeout: leading %v with %d commands", leading, len(got))
+			t.Errorf("isolated for longer than an election timeout: leading is %v, committed %d commands, want false and 10", leading, len(got))
 		}
 		var others []*replica
 		for _, r := range replicas {
@@ -145,7 +145,7 @@
 			t.Fatal(err)
 		}
 		if duration := time.Since(startedAt); duration > 100*time.Millisecond {
-			t.Errorf("took %v", duration)
+			t.Errorf("the transfer took %v, want at most 100 ms", duration)
 		}
 		synctest.Wait()
 		if newLeader := waitForLeader(t, replicas...); newLeader == leader {
@@ -154,9 +154,9 @@
 	})
 }
 
-// A disk reports a failed fsync once and succeeds the next time, as Linux does,
-// though the pages are lost. A group that tried again would acknowledge entries
-// that are on no disk; so it ends.
+// Guards against a group that repeats a failed fsync. Linux reports the error once,
+// and the next fsync succeeds although the pages are lost. The group would then
+// acknowledge entries that are not on the disk, so it must stop instead.
 func TestFailedSyncStopsGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, store := startSingleVoter(t)
@@ -164,17 +164,17 @@
 		store.update(func() { store.syncErr = syncErr })
 		r.propose("x")
 		if err := <-r.runErr; !errors.Is(err, syncErr) {
-			t.Errorf("Run returned %v", err)
+			t.Errorf("Run returned %v, want %v", err, syncErr)
 		}
 		if got, _ := r.currentState(); len(got) != 0 {
-			t.Errorf("committed %v", got)
+			t.Errorf("committed %v although the sync failed", got)
 		}
 	})
 }
 
-// A disk has no room for a while. Callers get refusals meanwhile, and nothing
-// that was not written is acknowledged; when there is room the group goes on
-// by itself instead of ending and being started over and over.
+// Guards against a group that stops, and is restarted again and again, while its
+// disk is full. The group must report the full disk, commit nothing that is not
+// written, and resume when there is free space again.
 func TestGroupResumesAfterFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, store := startSingleVoter(t)
@@ -182,19 +182,20 @@
 		r.propose("x")
 		time.Sleep(3 * time.Second)
 		if got, leading := r.currentState(); len(got) != 0 || !leading || !r.diskFull {
-			t.Errorf("full disk: committed %v, leading %v, told %v", got, leading, r.diskFull)
+			t.Errorf("full disk: committed %v, leading %v, disk reported full %v", got, leading, r.diskFull)
 		}
 		store.update(func() { store.appendErr, store.freeBytes = nil, 1<<40 })
 		time.Sleep(3 * time.Second)
 		if got, leading := r.currentState(); len(got) != 1 || !leading || r.diskFull {
-			t.Errorf("room again: committed %v, leading %v, told full %v", got, leading, r.diskFull)
+			t.Errorf("free space again: committed %v, leading %v, disk reported full %v", got, leading, r.diskFull)
 		}
 	})
 }
 
-// A replica was away until the others forgot the log that it lacks.
-// It gets the snapshot; its journal, which takes no gap, is emptied first, and
-// after a restart the replica has the same state.
+// Guards against a replica that cannot catch up after the other replicas have
+// compacted the log entries that it lacks. It must install the snapshot and empty
+// its journal, which accepts no gap, before it appends later entries. The second
+// iteration checks the state after a restart.
 func TestSnapshotInstalledOnLaggingReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
@@ -215,7 +216,8 @@
 			leader.propose(largeCommand)
 			time.Sleep(200 * time.Millisecond)
 		}
-		// Index 1 is the bootstrap, 2 the leader's empty entry.
+		// Log index 1 is the first membership, index 2 the empty entry of the leader.
+		// The snapshot at index 17 therefore contains fifteen commands.
 		for _, r := range replicas {
 			if r != replicas[stopped] {
 				r.group.Compact(17, []byte("fifteen"))
@@ -228,7 +230,7 @@
 			replicas[stopped] = startReplica(t, n, replicas[stopped].group.Config.ID, stores[stopped], threeMembers()...)
 			time.Sleep(3 * time.Second)
 			if got, _ := replicas[stopped].currentState(); !slices.Equal(want, got) {
-				t.Fatalf("has %d commands instead of %d: %+v", len(got), len(want), replicas[stopped].group.Dump())
+				t.Fatalf("the replica has applied %d commands, want %d: %+v", len(got), len(want), replicas[stopped].group.Dump())
 			}
 			replicas[stopped].cancel()
 			<-replicas[stopped].group.Done()
@@ -236,10 +238,10 @@
 	})
 }
 
-// A deposed leader's control thread has applied commands that nobody agreed on,
-// and notes of the time before its reload are still on their way to it.
-// Applied to that state they would make it differ from all others for good, so
-// the first that comes after Reload is the state that it starts over from.
+// Guards against a ledger that differs permanently from those of the other
+// replicas. The control thread of a deposed leader has applied commands without a
+// quorum, and older notifications are still queued when it calls Reload. The first
+// log notification after Reload must be RestoreSnapshot.
 func TestReloadDiscardsOlderNotifications(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startGroupWithoutReader(t)
@@ -256,7 +258,8 @@
 	})
 }
 
-// startGroupWithoutReader runs one voter whose notes nobody reads yet.
+// startGroupWithoutReader starts a group with one voter whose notifications are not
+// read.
 func startGroupWithoutReader(t *testing.T) *group.Group {
 	t.Helper()
 	store, n, self := newMemoryStore(), newNetwork(), quorum.Member{ID: "a/1", Address: "a/1"}
--- a/internal/replica/group/harness_test.go
+++ b/internal/replica/group/harness_test.go
@@ -15,20 +15,23 @@
 	"gypsumreel/internal/replica/snapshot"
 )
 
-// memoryStore is a journal and a snapshot store that survive their group.
+// memoryStore is a journal and a snapshot store in memory. It keeps its contents
+// when its group stops.
 type memoryStore struct {
 	mu        sync.Mutex
 	hardState quorum.Hard
 	entries   []quorum.Entry
 	snapshot  quorum.Snapshot
-	// syncErr is what Sync returns, refuse what Append does.
-	syncErr   error
+	// syncErr is the error that Sync returns.
+	syncErr error
+	// appendErr is the error that Append returns.
 	appendErr error
 	freeBytes uint64
-	// saveErr is what Save returns, saves counts its calls; stall, if not nil, is
-	// waited for by each.
-	saveErr   error
+	// saveErr is the error that Save returns.
+	saveErr error
+	// saveCalls counts the calls of Save.
 	saveCalls int
+	// saveStall blocks Save until the channel is closed, unless it is nil.
 	saveStall chan struct{}
 }
 
@@ -53,6 +56,7 @@
 	return nil
 }
 
+// update changes fields of the store under its lock.
 func (m *memoryStore) update(change func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,43 +103,47 @@
 	return nil
 }
 
+// recovered returns the state from which a restarted group continues.
 func (m *memoryStore) recovered() quorum.Saved {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return quorum.Saved{Hard: m.hardState, Entries: append([]quorum.Entry(nil), m.entries...), Snapshot: m.snapshot}
 }
 
-// network carries messages with a delay of 1.5 ms; a silent replica gets and
-// gives nothing.
+// network delivers messages between groups in one process after oneWayDelay.
 type network struct {
-	mu       sync.Mutex
-	groups   map[string]*group.Group
+	mu     sync.Mutex
+	groups map[string]*group.Group
+	// isolated holds the replicas whose messages are dropped in both directions.
 	isolated map[string]bool
 }
 
+// networkTransport sends the messages of one replica over a network.
 type networkTransport struct {
 	network *network
 	from    string
 }
 
+// oneWayDelay is the time that a message takes from one replica to another.
 const oneWayDelay = 1500 * time.Microsecond
 
-func (l networkTransport) Send(to, _ string, data [][]byte) {
+func (t networkTransport) Send(to, _ string, data [][]byte) {
 	time.AfterFunc(oneWayDelay, func() {
-		l.network.mu.Lock()
-		g := l.network.groups[to]
-		dropped := l.network.isolated[to] || l.network.isolated[l.from]
-		l.network.mu.Unlock()
+		t.network.mu.Lock()
+		g := t.network.groups[to]
+		dropped := t.network.isolated[to] || t.network.isolated[t.from]
+		t.network.mu.Unlock()
 		if g == nil || dropped {
 			return
 		}
 		for _, d := range data {
-			g.Receive(l.from, d)
+			g.Receive(t.from, d)
 		}
 	})
 }
 
-// replica is a group with a control thread that keeps the commands it was given.
+// replica is a group together with a simple control thread, which collects the
+// commands that it applies.
 type replica struct {
 	group  *group.Group
 	store  *memoryStore
@@ -147,7 +155,7 @@
 	nextIndex           uint64
 	following           group.Following
 	appliedCommands     []string
-	proposedCommands    map[uint64]string
+	proposedCommands    map[uint64]string // by log index
 	commitIndex         uint64
 	confirmedRoundStart time.Duration
 	members             []quorum.Member
@@ -155,9 +163,11 @@
 	diskFull            bool
 }
 
-// clockStart lies before the beginning of a bubble's clock.
+// clockStart is the zero of the groups' clock. It lies before the start of the
+// fake clock of a synctest bubble (1 January 2000), so that all times are positive.
 var clockStart = time.Date(1999, 12, 31, 0, 0, 0, 0, time.UTC)
 
+// startReplica starts a replica that continues from the contents of the store.
 func startReplica(t *testing.T, n *network, id string, store *memoryStore, bootstrap ...quorum.Member) *replica {
 	t.Helper()
 	r := &replica{store: store, runErr: make(chan error, 1), proposedCommands: map[uint64]string{}}
@@ -225,6 +235,7 @@
 	}
 }
 
+// apply records a committed entry.
 func (r *replica) apply(e quorum.Entry) {
 	r.commitIndex = e.Index
 	if e.Kind == quorum.Command && len(e.Data) > 0 {
@@ -232,7 +243,8 @@
 	}
 }
 
-// propose gives the leader's commands one by one.
+// propose sends each command as a proposal of its own. It returns false if this
+// replica does not lead or the proposal queue is full.
 func (r *replica) propose(commands ...string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -256,13 +268,14 @@
 	r.nextIndex++
 }
 
-func (r *replica) currentState() (state []string, leading bool) {
+// currentState returns the applied commands and whether the replica leads.
+func (r *replica) currentState() (commands []string, leading bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string(nil), r.appliedCommands...), r.leading != nil
 }
 
-// startSingleVoter runs a group of one replica, which leads.
+// startSingleVoter starts a group with one voter and waits until that leads.
 func startSingleVoter(t *testing.T) (*replica, *memoryStore) {
 	store := newMemoryStore()
 	r := startReplica(t, newNetwork(), "a/1", store, quorum.Member{ID: "a/1", Address: "a/1"})
@@ -270,7 +283,8 @@
 	return r, store
 }
 
-// waitForLeader waits, on the bubble's clock, for the one that leads.
+// waitForLeader waits up to 5 s on the fake clock until one of the replicas leads,
+// and returns it.
 func waitForLeader(t *testing.T, replicas ...*replica) *replica {
 	t.Helper()
 	for range 500 {
@@ -285,10 +299,11 @@
 	return nil
 }
 
+// numberedCommands returns the commands prefix0 to prefix(n-1).
 func numberedCommands(prefix string, n int) []string {
-	var out []string
+	var commands []string
 	for i := range n {
-		out = append(out, fmt.Sprint(prefix, i))
+		commands = append(commands, fmt.Sprint(prefix, i))
 	}
-	return out
+	return commands
 }
--- a/internal/replica/group/snapshot_test.go
+++ b/internal/replica/group/snapshot_test.go
@@ -11,8 +11,9 @@
 	"gypsumreel/internal/replica/disk"
 )
 
-// A replica that ends since a snapshot can't be saved takes the quorum with it,
-// although its log holds all that the snapshot would.
+// Guards against a replica that stops because a snapshot cannot be saved. The
+// group would lose its quorum, although the log contains everything that the
+// snapshot would.
 func TestFailedSnapshotDoesNotStopGroup(t *testing.T) {
 	for _, cause := range []error{
 		errors.Mark(errors.New("too many open files"), disk.ErrNoFile),
@@ -30,24 +31,25 @@
 				r.propose("y")
 				time.Sleep(time.Second)
 				if got, leading := r.currentState(); len(got) != 2 || !leading {
-					t.Fatalf("while it can't be saved: committed %v, leading %v", got, leading)
+					t.Fatalf("while saving fails: committed %v, leading %v, want 2 commands and true", got, leading)
 				}
 				store.update(func() {
 					if store.saveCalls < 2 || store.saveCalls > 8 {
-						t.Errorf("%d tries", store.saveCalls)
+						t.Errorf("%d attempts to save the snapshot, want 2 to 8", store.saveCalls)
 					}
 					store.saveErr = nil
 				})
 				time.Sleep(10 * time.Second)
 				if got := store.recovered().Snapshot.Index; got != 2 {
-					t.Errorf("afterwards the snapshot of %d is there", got)
+					t.Errorf("after saving works again, the saved snapshot has index %d, want 2", got)
 				}
 			})
 		})
 	}
 }
 
-// A disk that stalls under a snapshot must delay neither commits nor heartbeats.
+// Guards against commits or heartbeats that wait for a snapshot which the disk is
+// slow to save.
 func TestStalledSnapshotDoesNotDelayCommits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, store := startSingleVoter(t)
@@ -62,7 +64,7 @@
 			r.group.Compact(uint64(3+i), []byte("later"))
 		}
 		if got, leading := r.currentState(); len(got) != 21 || !leading {
-			t.Errorf("committed %d, leading %v", len(got), leading)
+			t.Errorf("while the save stalls: committed %d commands, leading %v, want 21 and true", len(got), leading)
 		}
 		close(stall)
 		time.Sleep(time.Second)
