--- a/internal/replica/bootstrap/bootstrap.go
+++ b/internal/replica/bootstrap/bootstrap.go
@@ -1,6 +1,6 @@
-// Package bootstrap agrees on the first membership of a control group. Identities
-// are drawn at random when a data folder is made, so the replicas named in the
-// settings first ask each other who they are.
+// Package bootstrap determines the first membership of a control group. Each replica
+// generates a random identity when it creates its data folder, so the replicas named
+// in the settings first have to learn each other's identities.
 package bootstrap
 
 import (
@@ -18,27 +18,30 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// retryInterval is the time between two rounds of asking.
+// retryInterval is the time between two rounds of Hello calls.
 const retryInterval = 200 * time.Millisecond
 
-// ErrIdentityReplaced is returned when the group was founded by another disk of the
-// same name. A blank disk must not count as a first member: it would vote as a
-// replica that may have voted otherwise before.
-var ErrIdentityReplaced = errors.New("the group was founded already; start without --init and add this replica as a new member")
+// ErrIdentityReplaced is returned if the first membership contains another identity of
+// this replica, whose disk has been replaced since. A replica with an empty disk must
+// not act as a first member, because the earlier replica of the same name may already
+// have voted differently.
+var ErrIdentityReplaced = errors.New("the group already exists, and the identity of this replica is not one of its first members; start without --init and add this replica as a new member")
 
-// Handshake takes part in the founding. The exported fields are set before use.
+// Handshake exchanges identities with the other replicas. The exported fields must be
+// set before use.
 type Handshake struct {
 	Cell string
-	// Self is this replica's own NAME/NONCE and address.
+	// Self is the identity (NAME/NONCE) and the address of this replica.
 	Self quorum.Member
-	// Peers are the other replicas, with their names as ID.
+	// Peers are the other replicas. Their IDs are names without a nonce.
 	Peers []quorum.Member
 	// Client calls the other replicas.
 	Client *http.Client
 	// Scheme is http or https.
 	Scheme string
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// members is the first membership. It is empty until it is known.
 	members []quorum.Member
 }
 
@@ -47,7 +50,8 @@
 // Handler returns the HTTP handler of the service.
 func (h *Handshake) Handler() http.Handler { return inner.NewBootstrapServer(h) }
 
-// SetMembers sets the first membership of a replica that was founded before.
+// SetMembers sets the first membership of a replica that already has one on its disk.
+// Hello then returns it to replicas that are still waiting for the membership.
 func (h *Handshake) SetMembers(ids []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -57,34 +61,34 @@
 	}
 }
 
-// Hello tells who this replica is.
+// Hello returns the identity of this replica, and the first membership if it is known.
 func (h *Handshake) Hello(_ context.Context, req *inner.HelloRequest) (*inner.HelloReply, error) {
 	if req.GetCell() != h.Cell || req.GetTo() != replicaName(h.Self.ID) {
-		return nil, twirp.NewError(twirp.PermissionDenied, "this is "+replicaName(h.Self.ID)+" of cell "+h.Cell)
+		return nil, twirp.NewError(twirp.PermissionDenied, "request for another replica: this is "+replicaName(h.Self.ID)+" of cell "+h.Cell)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	rep := &inner.HelloReply{Id: h.Self.ID}
+	reply := &inner.HelloReply{Id: h.Self.ID}
 	for _, m := range h.members {
-		rep.Members = append(rep.Members, m.ID)
+		reply.Members = append(reply.Members, m.ID)
 	}
-	return rep, nil
+	return reply, nil
 }
 
-// AgreeMembers asks the other replicas until all of them are known, or one of them
-// knows the first membership, and returns it.
+// AgreeMembers calls the other replicas until all of them have sent their identity, or
+// until one of them has sent the first membership. It returns the first membership.
 func (h *Handshake) AgreeMembers(ctx context.Context) ([]quorum.Member, error) {
 	known := map[string]quorum.Member{replicaName(h.Self.ID): h.Self}
 	for {
-		for _, p := range h.Peers {
-			rep, err := h.callHello(ctx, p)
+		for _, peer := range h.Peers {
+			reply, err := h.callHello(ctx, peer)
 			if err != nil {
 				continue
 			}
-			if len(rep.GetMembers()) > 0 {
-				return h.adoptMembers(rep.GetMembers())
+			if len(reply.GetMembers()) > 0 {
+				return h.adoptMembers(reply.GetMembers())
 			}
-			known[p.ID] = quorum.Member{ID: rep.GetId(), Address: p.Address}
+			known[peer.ID] = quorum.Member{ID: reply.GetId(), Address: peer.Address}
 		}
 		if len(known) == len(h.Peers)+1 {
 			return h.setSortedMembers(known), nil
@@ -97,14 +101,15 @@
 	}
 }
 
-func (h *Handshake) callHello(ctx context.Context, p quorum.Member) (*inner.HelloReply, error) {
+// callHello asks a peer for its identity and the first membership. The timeout is 1 s.
+func (h *Handshake) callHello(ctx context.Context, peer quorum.Member) (*inner.HelloReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	c := inner.NewBootstrapProtobufClient(h.Scheme+"://"+p.Address, h.Client)
-	return c.Hello(ctx, &inner.HelloRequest{Cell: h.Cell, To: p.ID})
+	client := inner.NewBootstrapProtobufClient(h.Scheme+"://"+peer.Address, h.Client)
+	return client.Hello(ctx, &inner.HelloRequest{Cell: h.Cell, To: peer.ID})
 }
 
-// adoptMembers takes the membership that another replica is sure of.
+// adoptMembers accepts the first membership that another replica has sent.
 func (h *Handshake) adoptMembers(ids []string) ([]quorum.Member, error) {
 	if !slices.Contains(ids, h.Self.ID) {
 		return nil, ErrIdentityReplaced
@@ -112,9 +117,9 @@
 	known := map[string]quorum.Member{}
 	for _, id := range ids {
 		m := quorum.Member{ID: id, Address: h.Self.Address}
-		for _, p := range h.Peers {
-			if p.ID == replicaName(id) {
-				m.Address = p.Address
+		for _, peer := range h.Peers {
+			if peer.ID == replicaName(id) {
+				m.Address = peer.Address
 			}
 		}
 		known[replicaName(id)] = m
@@ -122,7 +127,8 @@
 	return h.setSortedMembers(known), nil
 }
 
-// setSortedMembers fixes the membership, in the same order on every replica.
+// setSortedMembers stores the membership, sorted so that it is the same on every
+// replica.
 func (h *Handshake) setSortedMembers(known map[string]quorum.Member) []quorum.Member {
 	members := make([]quorum.Member, 0, len(known))
 	for _, m := range known {
@@ -135,6 +141,7 @@
 	return members
 }
 
+// replicaName returns the NAME part of an identity NAME/NONCE.
 func replicaName(id string) string {
 	name, _, _ := strings.Cut(id, "/")
 	return name
--- a/internal/replica/group/group.go
+++ b/internal/replica/group/group.go
@@ -161,7 +161,7 @@
 	})
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (g *Group) Done() <-chan struct{} {
 	g.init()
 	return g.done
--- a/internal/replica/peer/order.go
+++ b/internal/replica/peer/callorder.go
@@ -5,26 +5,31 @@
 	"time"
 )
 
-// maxOrderWait is how long a call waits for the one before it. Calls of one
-// connection arrive in order, so more than a moment means that the one before
-// was lost; the consensus core copes with that, but not cheaply.
+// maxOrderWait limits the time that a call waits for its predecessor. Calls on one
+// connection arrive in order, so a longer delay means that the predecessor was
+// lost. The consensus core tolerates lost messages, but has to send entries again.
 const maxOrderWait = 20 * time.Millisecond
 
-// callOrder lets the calls of each peer in by their numbers.
+// callOrder makes the concurrent calls of each peer run in the order of their
+// numbers.
 type callOrder struct {
-	mu       sync.Mutex
+	mu sync.Mutex
+	// expected holds the next expected call by the ID of the peer.
 	expected map[string]*expectedCall
 }
 
-// expectedCall is the next call that a peer's connection is due.
+// expectedCall identifies the next call that is expected from a peer.
 type expectedCall struct {
 	connectionID uint64
 	nextNumber   uint64
-	changed      chan struct{}
+	// changed is closed when another call becomes the expected one.
+	changed chan struct{}
 }
 
-// waitForTurn returns when the call is due, its predecessor is too late, or the peer
-// has a newer connection, and the function to call when it has been handled.
+// waitForTurn waits until all previous calls on the connection have been handled.
+// It stops waiting after maxOrderWait, or when the peer has opened a newer
+// connection. The caller must call the returned function once it has handled the
+// call. Calls with number 0 are not ordered.
 func (o *callOrder) waitForTurn(from string, connectionID, number uint64) func() {
 	if number == 0 {
 		return func() {}
@@ -46,7 +51,10 @@
 	return func() { o.markDone(from, connectionID, number) }
 }
 
-// callToAwait returns nil when the call is due now.
+// callToAwait returns the expected call for which the call with the given number has
+// to wait, and the channel that is closed when that changes. It returns nil if the
+// call can be handled now. The first call of a new connection replaces the state of
+// the old connection.
 func (o *callOrder) callToAwait(from string, connectionID, number uint64) (*expectedCall, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -67,7 +75,7 @@
 	return expected, expected.changed
 }
 
-// markDone lets the call after this one in.
+// markDone records that a call has been handled and lets its successor proceed.
 func (o *callOrder) markDone(from string, connectionID, number uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/replica/peer/order_test.go
+++ b/internal/replica/peer/callorder_test.go
@@ -15,11 +15,10 @@
 	"gypsumreel/internal/replica/peer"
 )
 
-// Two calls are under way at once and the later one is handled first, as
-// happens when a thread is held up. Its message must not overtake: the follower
-// would refuse entries that do not follow its log, and the leader start over with
-// a probe. A call that was lost holds the next one up for a moment only, and a
-// new connection starts over.
+// Guards against messages that overtake each other when the server handles the later
+// of two concurrent calls first. The follower would refuse entries that leave a gap
+// in its log, and the leader would have to probe again. A lost call may delay its
+// successor only briefly, and a new connection starts a new sequence.
 func TestCallsAreHandledInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var got []string
@@ -38,7 +37,7 @@
 			w := httptest.NewRecorder()
 			h.ServeHTTP(w, r)
 			if w.Code != http.StatusOK {
-				t.Errorf("%s: %d %s", text, w.Code, w.Body)
+				t.Errorf("call %q: status %d, body %s", text, w.Code, w.Body)
 			}
 		}
 		startedAt := time.Now()
@@ -48,11 +47,11 @@
 		call(7, 2, "two")
 		synctest.Wait()
 		if time.Since(startedAt) > 0 {
-			t.Error("a call waited although the one before it had come")
+			t.Error("a call waited although its predecessor had been handled")
 		}
 		call(7, 5, "five, four is lost")
 		if waited := time.Since(startedAt); waited == 0 || waited > 100*time.Millisecond {
-			t.Errorf("the loss of a call held the next one up for %v", waited)
+			t.Errorf("the loss of a call delayed its successor by %v, want more than 0 and at most 100 ms", waited)
 		}
 		call(8, 1, "a new connection")
 		call(7, 6, "a late call of the old one")
--- a/internal/replica/peer/wire.go
+++ b/internal/replica/peer/clientconn.go
@@ -9,19 +9,21 @@
 	"gypsumreel/internal/api/inner"
 )
 
-// clientConn is a client with a connection of its own, made at the first call. It
-// speaks HTTP/2, whose headers cost a heartbeat far fewer bytes.
+// clientConn is a client of one peer with a dedicated connection, which is opened by
+// the first call. It uses HTTP/2, because compressed headers make heartbeats much
+// smaller.
 type clientConn struct {
 	inner.Replica
 	transport *http.Transport
 	dialer    net.Dialer
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// conns holds every connection that was dialled, so that close can close them.
 	conns  []net.Conn
 	closed bool
 }
 
-// newClientConn returns a wire to the peer of a link.
+// newClientConn returns a client of the sender's peer.
 func (s *sender) newClientConn() *clientConn {
 	c := &clientConn{dialer: net.Dialer{Timeout: s.pool.callTimeout()}}
 	http2Only := new(http.Protocols)
@@ -44,7 +46,7 @@
 	return c
 }
 
-// dial makes a connection that close knows of.
+// dial opens a connection and registers it for close. It fails after close.
 func (c *clientConn) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := c.dialer.DialContext(ctx, network, address)
 	if err != nil {
@@ -60,8 +62,8 @@
 	return conn, nil
 }
 
-// close closes the connection itself: a call that is given up ends only its
-// stream in HTTP/2, and leaves a silent connection to the next one.
+// close closes the network connection. In HTTP/2, a call that times out closes only
+// its stream, so the next call would use the same broken connection.
 func (c *clientConn) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/replica/peer/identity_test.go
+++ b/internal/replica/peer/identity_test.go
@@ -18,7 +18,7 @@
 	"gypsumreel/internal/replica/peer"
 )
 
-// authority signs certificates for replicas.
+// authority is a certificate authority for the replicas of a test.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -43,6 +43,7 @@
 	return authority{cert, key}
 }
 
+// certificate returns a certificate template for a replica.
 func certificate(name string) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
@@ -51,7 +52,7 @@
 	}
 }
 
-// clientServerConfig returns the settings of a replica with the name given.
+// clientServerConfig returns the TLS configuration of the replica with the given name.
 func (a authority) clientServerConfig(t *testing.T, name string) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -70,7 +71,7 @@
 	}
 }
 
-// startTLSServer starts a server of b with the TLS settings given.
+// startTLSServer starts a server for the handler of p with the given TLS configuration.
 func startTLSServer(p *peer.Pool, cfg *tls.Config) *httptest.Server {
 	p.TLS = cfg
 	server := httptest.NewUnstartedServer(p.Handler())
@@ -91,13 +92,14 @@
 	server := startTLSServer(b, ca.clientServerConfig(t, "b"))
 	defer server.Close()
 	a.Send("b/1", serverAddress(server), [][]byte{[]byte("hello")})
-	if got := receive(t, got); got != (message{"a/1", "hello"}) {
-		t.Error(got)
+	if m := receive(t, got); m != (message{"a/1", "hello"}) {
+		t.Errorf("delivered %v, want hello from a/1", m)
 	}
 }
 
-// The same silence as in TestSilentConnection, with TLS: a call that is given up
-// ends a stream of HTTP/2 only, and the next one would be lost as well.
+// Guards against the failure of TestSilentConnectionIsReplaced on a connection with
+// TLS. In HTTP/2, a call that times out closes only its stream, so the next call
+// would be lost on the same connection.
 func TestSilentTLSConnectionIsReplaced(t *testing.T) {
 	ca := newAuthority(t)
 	a, _, events := newTestPool("a/1")
@@ -124,8 +126,8 @@
 	}
 }
 
-// sendUntil sends a message again and again until what is waited for has come: a call
-// that a busy machine does not end in time loses what it carries, as the network may.
+// sendUntil sends a message every second until the channel delivers a matching value.
+// On a busy machine, a call may time out and lose its messages.
 func sendUntil[T any](t *testing.T, send func(), c <-chan T, matches func(T) bool) {
 	t.Helper()
 	resend := time.NewTicker(time.Second)
@@ -141,14 +143,15 @@
 		case <-resend.C:
 			send()
 		case <-deadline:
-			t.Fatal("nothing came")
+			t.Fatalf("no matching value received within %v", testTimeout)
 		}
 	}
 }
 
-// A replica with a sound certificate of its own pretends to be another: its vote
-// would count twice. Or it has a certificate of another authority, or reaches a
-// server that is not the replica that it means. Nothing may be delivered.
+// Guards against votes that count twice because a replica with a valid certificate
+// uses the ID of another replica. Messages must also not be delivered if the
+// certificate is from a foreign authority or missing, or if the server is not the
+// intended replica.
 func TestFalseIdentityIsRefused(t *testing.T) {
 	ca, foreign := newAuthority(t), newAuthority(t)
 	for name, configs := range map[string]struct{ client, server *tls.Config }{
@@ -163,12 +166,12 @@
 		server := startTLSServer(b, configs.server)
 		a.Send("b/1", serverAddress(server), [][]byte{[]byte("vote")})
 		if e := receive(t, failures); e.Kind != peer.CallsFailing {
-			t.Errorf("%s: %v", name, e)
+			t.Errorf("%s: got event %v, want CallsFailing", name, e)
 		}
 		a.Close()
 		server.Close()
 		if len(got) > 0 {
-			t.Errorf("%s: delivered %v", name, <-got)
+			t.Errorf("%s: message %v was delivered", name, <-got)
 		}
 	}
 }
--- a/internal/replica/peer/peer.go
+++ b/internal/replica/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer carries consensus messages between the replicas of a control
-// group. Messages may be lost, never altered, and never come from another cell
-// or a replica that is not who it says; whoever sends must cope with loss.
+// Package peer transports consensus messages between the replicas of a control
+// group. It may lose messages, so senders must tolerate loss. It never alters them,
+// and it delivers no messages from other cells or from unauthenticated replicas.
 package peer
 
 import (
@@ -13,59 +13,65 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Defaults of a Pool.
+// Defaults and limits of a Pool.
 const (
-	// DefaultCallTimeout bounds a call with all that belongs to it, dialling too.
+	// DefaultCallTimeout is the default timeout of a call, including dialling.
 	DefaultCallTimeout = time.Second
-	// DefaultMaxQueueBytes bounds what waits for one peer.
+	// DefaultMaxQueueBytes is the default of Pool.MaxQueueBytes.
 	DefaultMaxQueueBytes = 32 << 20
-	// MaxBatchBytes is what one call carries, but for a single larger message.
+	// MaxBatchBytes limits the messages in one call. A single message may be larger.
 	MaxBatchBytes = 1 << 20
-	// MaxMessageBytes bounds one message.
+	// MaxMessageBytes limits the size of one message. Send drops larger messages.
 	MaxMessageBytes = 20 << 20
-	// IdleTimeout is how long the connection to a peer is kept without a message.
+	// IdleTimeout is the time after which the connection to a peer is closed if no
+	// message is sent.
 	IdleTimeout = time.Minute
 )
 
-// EventKind says what an Event tells.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// The kinds of event.
+// Kinds of events.
 const (
-	// MessageRefused tells of a message that came in and was not delivered.
+	// MessageRefused means that a received message was not delivered.
 	MessageRefused EventKind = iota + 1
-	// CallsFailing tells that calls to a peer have begun to fail.
+	// CallsFailing means that calls to a peer have started to fail.
 	CallsFailing
-	// CallsRecovered tells that calls to a peer succeed again.
+	// CallsRecovered means that calls to a peer succeed again.
 	CallsRecovered
-	// MessageTooLarge tells of a message that exceeds MessageBytes and was not sent.
+	// MessageTooLarge means that a message was not sent because it exceeds
+	// MaxMessageBytes.
 	MessageTooLarge
 )
 
-// Event is something that an operator may want to know.
+// Event reports a connection or message problem, or its end, to the operators.
 type Event struct {
 	Kind EventKind
-	// Peer is the other side, as far as known.
+	// Peer is the ID of the other replica, or its address if the ID is unknown. In a
+	// MessageRefused event, the ID is not verified.
 	Peer string
-	// Err is the cause; nil for Recovered.
+	// Err is the cause. It is nil for CallsRecovered.
 	Err error
 }
 
-// Pool sends to all peers and takes what they send. Its fields are set before use.
+// Pool sends messages to all peers and receives messages from them. The exported
+// fields must be set before use.
 type Pool struct {
 	Cell string
-	// Self is this replica's own ID, NAME/NONCE or NAME.
+	// Self is the ID of this replica: NAME/NONCE or NAME.
 	Self string
-	// TLS holds the own certificate and the authorities that peers are checked
-	// with; both sides prove their name. Nil sends in plain.
+	// TLS holds the certificate of this replica and the authorities that verify the
+	// certificates of peers. Both sides authenticate each other. If it is nil, messages
+	// are sent without TLS.
 	TLS *tls.Config
-	// Deliver takes a message that came in; it must not block.
+	// Deliver handles a received message. It must not block.
 	Deliver func(from string, data []byte)
-	// OnEvent takes events; it must not block. Nil drops them.
+	// OnEvent handles events. It must not block. If it is nil, events are dropped.
 	OnEvent func(Event)
-	// CallTimeout of a call; CallTimeout when 0.
+	// CallTimeout is the timeout of a call. 0 selects DefaultCallTimeout.
 	CallTimeout time.Duration
-	// MaxQueueBytes bounds the bytes that wait for one peer; QueueBytes when 0.
+	// MaxQueueBytes limits the size of the messages that are queued for one peer.
+	// 0 selects DefaultMaxQueueBytes.
 	MaxQueueBytes int
 
 	initOnce       sync.Once
@@ -79,7 +85,7 @@
 	closed         bool
 }
 
-// init makes the private parts on first use.
+// init initializes the unexported fields on first use.
 func (p *Pool) init() {
 	p.initOnce.Do(func() {
 		p.ctx, p.cancel = context.WithCancel(context.Background())
@@ -88,8 +94,8 @@
 	})
 }
 
-// Send puts messages on the queue of a peer, whose oldest messages make room.
-// It never blocks, and tells nothing about arrival.
+// Send queues messages for a peer. If the queue is full, its oldest messages are
+// dropped. Send never blocks and does not report whether messages are delivered.
 func (p *Pool) Send(to, address string, data [][]byte) {
 	p.init()
 	p.mu.Lock()
@@ -109,14 +115,14 @@
 	}
 	for _, b := range data {
 		if len(b) > MaxMessageBytes {
-			p.report(Event{MessageTooLarge, to, errors.Newf("message of %d bytes, at most %d", len(b), MaxMessageBytes)})
+			p.report(Event{MessageTooLarge, to, errors.Newf("message of %d bytes exceeds the limit of %d bytes", len(b), MaxMessageBytes)})
 			continue
 		}
 		s.enqueue(b)
 	}
 }
 
-// Close ends all connections and returns when everything has ended.
+// Close closes all connections and waits until all senders have stopped.
 func (p *Pool) Close() {
 	p.init()
 	p.mu.Lock()
@@ -130,14 +136,14 @@
 	}
 }
 
-// Done is closed once Close has ended everything.
+// Done returns a channel that is closed when Close has finished.
 func (p *Pool) Done() <-chan struct{} {
 	p.init()
 	return p.done
 }
 
-// removeIdle forgets a link that has had nothing to do; it tells false when
-// something has come in meanwhile.
+// removeIdle removes an idle sender. It returns false if a message has been queued in
+// the meantime.
 func (p *Pool) removeIdle(s *sender) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,8 +176,8 @@
 	return p.MaxQueueBytes
 }
 
-// replicaName returns the NAME of an ID, which is what certificates carry.
+// replicaName returns the NAME part of an ID. Certificates are issued for that name.
 func replicaName(id string) string {
-	before, _, _ := strings.Cut(id, "/")
-	return before
+	name, _, _ := strings.Cut(id, "/")
+	return name
 }
--- a/internal/replica/peer/peer_test.go
+++ b/internal/replica/peer/peer_test.go
@@ -18,13 +18,13 @@
 	"gypsumreel/internal/replica/peer"
 )
 
-// testTimeout ends a test that would otherwise wait for good; it proves nothing.
+// testTimeout ends a test that would otherwise hang. It is no requirement on latency.
 const testTimeout = 20 * time.Second
 
-// message is what a pool was handed.
+// message is a message that a pool has delivered.
 type message struct{ From, Data string }
 
-// newTestPool returns a pool that puts what it is told into channels.
+// newTestPool returns a pool, and the channels that receive its messages and events.
 func newTestPool(self string) (*peer.Pool, chan message, chan peer.Event) {
 	messages, events := make(chan message, 1000), make(chan peer.Event, 1000)
 	return &peer.Pool{
@@ -34,21 +34,21 @@
 	}, messages, events
 }
 
-// receive returns what a channel brings.
+// receive returns the next value of a channel and fails the test after testTimeout.
 func receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatalf("no value received within %v", testTimeout)
 		panic("unreachable")
 	}
 }
 
 func serverAddress(s *httptest.Server) string { return s.Listener.Addr().String() }
 
-// startServer runs a server that speaks what a replica's listener does.
+// startServer starts a server with the protocols of a replica's listener.
 func startServer(h http.Handler) *httptest.Server {
 	server := httptest.NewUnstartedServer(h)
 	server.Config.Protocols = new(http.Protocols)
@@ -82,40 +82,43 @@
 	<-a.Done()
 }
 
-// silenceMarker turns the connection silent that carries it.
+// silenceMarker is the text that makes a silencingProxy silence a connection.
 const silenceMarker = "lost in silence"
 
-// silencingProxy passes connections on. One that carries mark turns silent: it stays open
-// and passes nothing on any more, while new connections work.
+// silencingProxy forwards connections to target. A connection that carries
+// silenceMarker is silenced: it stays open but forwards nothing any more. New
+// connections still work.
 type silencingProxy struct {
 	net.Listener
-	target      string
-	mu          sync.Mutex
-	conns       []net.Conn
+	target string
+	mu     sync.Mutex
+	conns  []net.Conn
+	// silentFlags holds one flag for each forwarded connection.
 	silentFlags []*atomic.Bool
 }
 
-func (r *silencingProxy) acceptLoop() {
+func (p *silencingProxy) acceptLoop() {
 	for {
-		in, err := r.Accept()
+		client, err := p.Accept()
 		if err != nil {
 			return
 		}
-		out, err := net.Dial("tcp", r.target)
+		server, err := net.Dial("tcp", p.target)
 		if err != nil {
-			_ = in.Close()
+			_ = client.Close()
 			continue
 		}
 		silent := new(atomic.Bool)
-		r.mu.Lock()
-		r.conns, r.silentFlags = append(r.conns, in, out), append(r.silentFlags, silent)
-		r.mu.Unlock()
-		go forward(in, out, silent)
-		go forward(out, in, silent)
+		p.mu.Lock()
+		p.conns, p.silentFlags = append(p.conns, client, server), append(p.silentFlags, silent)
+		p.mu.Unlock()
+		go forward(client, server, silent)
+		go forward(server, client, silent)
 	}
 }
 
-// forward copies until the connection is silent, and then swallows.
+// forward copies data in one direction. Once the connection is silent, it discards
+// the data.
 func forward(to, from net.Conn, silent *atomic.Bool) {
 	b := make([]byte, 4096)
 	for {
@@ -132,27 +135,27 @@
 	}
 }
 
-// silenceAll turns all connections silent that are open.
-func (r *silencingProxy) silenceAll() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, silent := range r.silentFlags {
+// silenceAll silences all open connections.
+func (p *silencingProxy) silenceAll() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, silent := range p.silentFlags {
 		silent.Store(true)
 	}
 }
 
-func (r *silencingProxy) close() {
-	_ = r.Close()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, c := range r.conns {
+func (p *silencingProxy) close() {
+	_ = p.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.conns {
 		_ = c.Close()
 	}
 }
 
-// A follower stops hearing from its leader for good, although both are well and
-// any new connection works: a firewall has dropped its record of the connection
-// and lets nothing through on it, without a reset. The leader must dial anew.
+// Guards against a follower that never hears from its leader again because a firewall
+// has dropped its state of their connection. The firewall discards all packets
+// without a reset, while new connections work. The leader must open a new connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	a, _, events := newTestPool("a/1")
 	defer a.Close()
@@ -172,20 +175,21 @@
 	for range 3 {
 		send(silenceMarker)
 		if e := receive(t, events); e.Kind != peer.CallsFailing {
-			t.Fatal(e)
+			t.Fatalf("got event %v, want CallsFailing", e)
 		}
 		send("after")
 		if m := receive(t, got); m.Data != "after" {
-			t.Fatal(m)
+			t.Fatalf("delivered %v, want after", m)
 		}
 		if e := receive(t, events); e.Kind != peer.CallsRecovered {
-			t.Fatal(e)
+			t.Fatalf("got event %v, want CallsRecovered", e)
 		}
 	}
 }
 
-// A replica is reached under an address that now belongs to another cell, another
-// replica or a replaced one. Its messages must count nowhere, and be told of.
+// Guards against messages that are counted by the wrong replica. This happens when
+// the address of a replica now belongs to another cell, another replica or a replaced
+// replica. The messages must be refused, and both sides must report an event.
 func TestWrongPeerIsRefused(t *testing.T) {
 	for want, change := range map[string]func(a *peer.Pool) (to string){
 		"another cell":     func(a *peer.Pool) string { a.Cell = "other"; return "b/1" },
@@ -198,21 +202,22 @@
 		server := startServer(b.Handler())
 		a.Send(change(a), serverAddress(server), [][]byte{[]byte("vote")})
 		if e := receive(t, refusals); e.Kind != peer.MessageRefused || !strings.Contains(e.Err.Error(), want) {
-			t.Errorf("%s: %v", want, e)
+			t.Errorf("got event %v, want MessageRefused with %q", e, want)
 		}
 		if e := receive(t, failures); e.Kind != peer.CallsFailing {
-			t.Errorf("%s: %v", want, e)
+			t.Errorf("%s: got event %v, want CallsFailing", want, e)
 		}
 		a.Close()
 		server.Close()
 		if len(got) > 0 {
-			t.Errorf("%s: delivered %v", want, <-got)
+			t.Errorf("%s: message %v was delivered", want, <-got)
 		}
 	}
 }
 
-// A peer is away for long while messages for it keep coming. Memory stays
-// bounded, and when it is back the newest arrive.
+// Guards against unbounded memory use while a peer does not answer for a long time.
+// The queue must drop the oldest messages, and the peer must receive the newest ones
+// when it answers again.
 func TestQueueDropsOldest(t *testing.T) {
 	a, _, _ := newTestPool("a/1")
 	a.MaxQueueBytes, a.CallTimeout = 100, testTimeout
@@ -248,8 +253,8 @@
 	}
 }
 
-// Something sends a request without end. It must not fill the memory: reading
-// stops soon after the largest message.
+// Guards against an endless request body that fills the memory. The server must stop
+// reading soon after the size of the largest message.
 func TestRequestBodyIsLimited(t *testing.T) {
 	b, got, _ := newTestPool("b/1")
 	server := startServer(b.Handler())
@@ -260,21 +265,21 @@
 		_ = r.Body.Close()
 	}
 	http.DefaultClient.CloseIdleConnections()
-	if left := body.remaining; left < 4*peer.MaxMessageBytes {
-		t.Errorf("all but %d bytes were taken", left)
+	if remaining := body.remaining; remaining < 4*peer.MaxMessageBytes {
+		t.Errorf("the server read all but %d bytes of the request body", remaining)
 	}
 	if len(got) > 0 {
-		t.Error("delivered")
+		t.Error("a message of the endless request was delivered")
 	}
 }
 
-// zeroReader gives zeros, and an end only to let a failing test finish.
+// zeroReader is a long request body. It ends so that a failing test can finish.
 type zeroReader struct{ remaining int }
 
-func (e *zeroReader) Read(b []byte) (int, error) {
-	if e.remaining <= 0 {
+func (r *zeroReader) Read(b []byte) (int, error) {
+	if r.remaining <= 0 {
 		return 0, io.EOF
 	}
-	e.remaining -= len(b)
+	r.remaining -= len(b)
 	return len(b), nil
 }
--- a/internal/replica/peer/link.go
+++ b/internal/replica/peer/sender.go
@@ -11,24 +11,27 @@
 	"gypsumreel/internal/api/inner"
 )
 
-// Waits between calls that fail.
+// Limits of the exponential backoff after failed calls.
 const (
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
 )
 
-// sender is the queue and the one connection to a peer.
+// sender queues the messages for one peer and sends them over one connection.
 type sender struct {
 	pool    *Pool
 	peerID  string
 	address string
 	ctx     context.Context
 	cancel  context.CancelFunc
-	wakeup  chan struct{}
+	// wakeup tells run that a message was queued or a call has failed.
+	wakeup chan struct{}
+	// failing is true from the first failed call until the next successful one.
 	failing atomic.Bool
 
-	mu          sync.Mutex
-	queue       [][]byte
+	mu    sync.Mutex
+	queue [][]byte
+	// queuedBytes is the total size of the queued messages.
 	queuedBytes int
 }
 
@@ -38,8 +41,9 @@
 	return s
 }
 
-// enqueue adds a message and drops the oldest ones that exceed the bound. The
-// newest tell a peer that was away more than those before them.
+// enqueue adds a message to the queue. If the queue exceeds its size limit, the
+// oldest messages are dropped, since the newest ones are the most useful to a peer
+// that was unreachable.
 func (s *sender) enqueue(b []byte) {
 	s.mu.Lock()
 	s.queue = append(s.queue, b)
@@ -54,7 +58,7 @@
 	}
 }
 
-// dequeue takes the oldest message.
+// dequeue removes and returns the oldest message. The caller must hold mu.
 func (s *sender) dequeue() []byte {
 	b := s.queue[0]
 	s.queue[0] = nil
@@ -69,7 +73,7 @@
 	return len(s.queue) == 0
 }
 
-// nextBatch takes the messages of the next call.
+// nextBatch removes the messages of the next call from the queue and returns them.
 func (s *sender) nextBatch() []*inner.Envelope {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +86,8 @@
 	return batch
 }
 
-// run sends batches until the link is stopped or idle.
+// run sends queued messages in batches until the sender is canceled or has been idle
+// for IdleTimeout.
 func (s *sender) run() {
 	defer s.pool.sendersRunning.Done()
 	defer s.cancel()
@@ -99,8 +104,8 @@
 			}
 			continue
 		}
-		// The messages are taken only when they can leave: until then the bound
-		// of the queue drops the oldest of them.
+		// Messages stay in the queue until a call can start, so that the size limit
+		// of the queue can still drop the oldest ones.
 		err := p.acquireSlot()
 		if s.ctx.Err() != nil {
 			return
@@ -113,9 +118,9 @@
 			retryBackoff.Reset()
 		}
 		s.reportFailure(err)
-		// A connection that something between the two ends has lost track of stays
-		// open and silent for good, while new ones work. So no connection outlives
-		// a failed call.
+		// Every failed call closes the connection. If a firewall on the path has
+		// dropped its state of the connection, the connection stays open but delivers
+		// nothing any more, while new connections work.
 		p.close()
 		p = s.openPipeline()
 		select {
@@ -126,20 +131,23 @@
 	}
 }
 
-// reportFailure tells of the first of several failures, recover of the first success after.
+// reportFailure sends a CallsFailing event for the first of several consecutive
+// failures.
 func (s *sender) reportFailure(err error) {
 	if !s.failing.Swap(true) {
 		s.pool.report(Event{CallsFailing, s.peerID, err})
 	}
 }
 
+// reportRecovery sends a CallsRecovered event for the first success after failures.
 func (s *sender) reportRecovery() {
 	if s.failing.Swap(false) {
 		s.pool.report(Event{Kind: CallsRecovered, Peer: s.peerID})
 	}
 }
 
-// waitForMessages waits for messages; false tells that the link was idle or stopped.
+// waitForMessages waits until a message is queued or a call fails. It returns false
+// if that does not happen within IdleTimeout or if the sender is canceled.
 func (s *sender) waitForMessages() bool {
 	idleTimer := time.NewTimer(IdleTimeout)
 	defer idleTimer.Stop()
--- a/internal/replica/peer/server.go
+++ b/internal/replica/peer/server.go
@@ -11,29 +11,30 @@
 	"gypsumreel/internal/api/inner"
 )
 
-// Bounds of what is taken in.
+// Limits for incoming requests.
 const (
-	// maxBodyBytes bounds a request: one message of the largest size and its frame.
+	// maxBodyBytes limits the body of a request: one message of the largest size and
+	// 1 MiB for its envelope.
 	maxBodyBytes = MaxMessageBytes + 1<<20
-	// maxConcurrentRequests bounds those that are read at the same time.
+	// maxConcurrentRequests limits the requests that are handled at the same time.
 	maxConcurrentRequests = 16
 )
 
-// Errors of requests that are refused.
+// Reasons for refusing a request.
 var (
 	errWrongCell           = errors.New("message for another cell")
 	errWrongReplica        = errors.New("message for another replica")
 	errSenderIsSelf        = errors.New("message that names this replica as its sender")
-	errNoCertificate       = errors.New("message without proof of identity")
-	errCertificateMismatch = errors.New("certificate does not name the sender")
-	errTooManyRequests     = errors.New("too many requests at the same time")
+	errNoCertificate       = errors.New("message without a verified client certificate")
+	errCertificateMismatch = errors.New("client certificate is not valid for the name of the sender")
+	errTooManyRequests     = errors.New("too many concurrent requests from other replicas")
 )
 
-// tlsStateKey is the key of the TLS state in a request's context.
+// tlsStateKey is the context key of the TLS state of a request.
 type tlsStateKey struct{}
 
-// Handler serves what peers send. Its listener must ask for and verify client
-// certificates when TLS is set.
+// Handler returns the HTTP handler for messages from peers. If TLS is set, its
+// listener must request and verify client certificates.
 func (p *Pool) Handler() http.Handler {
 	p.init()
 	server := inner.NewReplicaServer(replicaService{p})
@@ -52,10 +53,10 @@
 	})
 }
 
-// replicaService is the server side of the service.
+// replicaService implements the Replica service.
 type replicaService struct{ pool *Pool }
 
-// Deliver hands on the messages of a peer that proves to be who it says.
+// Deliver passes on the messages of an authenticated peer.
 func (s replicaService) Deliver(ctx context.Context, r *inner.DeliverRequest) (*inner.DeliverReply, error) {
 	if err := s.check(ctx, r); err != nil {
 		s.pool.report(Event{MessageRefused, r.GetFrom(), err})
@@ -69,9 +70,9 @@
 	return &inner.DeliverReply{}, nil
 }
 
-// check refuses what is not meant for this replica, and whoever is not the peer
-// named: after a mistake in settings or a reused address, messages of one group
-// would otherwise count as votes in another.
+// check refuses messages that are not for this replica and messages whose sender is
+// not authenticated. Otherwise, after a configuration mistake or the reuse of an
+// address, messages of one group could count as votes in another group.
 func (s replicaService) check(ctx context.Context, r *inner.DeliverRequest) error {
 	switch {
 	case r.GetCell() != s.pool.Cell:
--- a/internal/replica/wire/wire.go
+++ b/internal/replica/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire walks messages in protobuf's wire format, for the files whose
-// layout the system fixes by hand.
+// Package wire parses messages in the protobuf wire format. It is used for the files
+// whose encoding is written by hand instead of generated.
 package wire
 
 import (
@@ -7,14 +7,16 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// ErrMalformed means that bytes are no message of varint and bytes fields.
-var ErrMalformed = errors.New("record is malformed")
+// ErrMalformed is returned for bytes that are not a valid message with only varint and
+// bytes fields.
+var ErrMalformed = errors.New("record is not a valid protobuf message of varint and bytes fields")
 
-// FieldVisitor takes one field: v of a varint, data of a bytes field. Data shares the
-// memory of the message.
-type FieldVisitor func(f protowire.Number, v uint64, data []byte) error
+// FieldVisitor handles one field. value is set for a varint field, data for a bytes
+// field. data shares the memory of the message.
+type FieldVisitor func(number protowire.Number, value uint64, data []byte) error
 
-// VisitFields calls visit for each field of a message, until it returns an error.
+// VisitFields calls visit for each field of a message. It stops at the first error of
+// visit and returns that.
 func VisitFields(b []byte, visit FieldVisitor) error {
 	for len(b) > 0 {
 		number, kind, length := protowire.ConsumeTag(b)
