--- a/internal/replica/group/bench_test.go
+++ b/internal/replica/group/bench_test.go
@@ -21,7 +21,8 @@
 )
 
 const (
-	// maxCallers is the largest number of concurrent callers in the benchmarks.
+	// maxCallers is the largest number of concurrent callers. BenchmarkCommit runs with
+	// 1 and with 64 callers.
 	maxCallers = 64
 	// entryBytes is the size of a command.
 	entryBytes = 256
