--- a/internal/replica/group/bench_test.go
+++ b/internal/replica/group/bench_test.go
@@ -318,9 +318,9 @@
 	return runLoad(loadDuration, callers, in)
 }
 
-// BenchmarkIdleTraffic logs the bytes per second that each of three idle replicas
+// BenchmarkIdle logs the bytes per second that each of three idle replicas
 // receives and sends as a server, including the overhead of the calls.
-func BenchmarkIdleTraffic(b *testing.B) {
+func BenchmarkIdle(b *testing.B) {
 	for b.Loop() {
 		members, listeners := listenOnLoopback(b)
 		cluster := newBenchCluster(b, members, loopbackTransport(listeners))
--- a/internal/replica/group/group.go
+++ b/internal/replica/group/group.go
@@ -144,7 +144,7 @@
 func (transferRequest) isRequest() {}
 func (dumpRequest) isRequest()     {}
 
-func (g *Group) init() {
+func (g *Group) initialize() {
 	g.initOnce.Do(func() {
 		g.proposals = make(chan Proposal, proposalQueueLength)
 		g.inbox = make(chan receivedMessage, inboxLength)
@@ -163,21 +163,21 @@
 
 // Done returns a channel that is closed when Run has returned.
 func (g *Group) Done() <-chan struct{} {
-	g.init()
+	g.initialize()
 	return g.done
 }
 
 // Notes returns the channel on which the control thread receives the
 // notifications, in order.
 func (g *Group) Notes() <-chan Notification {
-	g.init()
+	g.initialize()
 	return g.notifications.out
 }
 
 // Propose queues a proposal without blocking. It returns false when the queue is
 // full; the caller must then repeat the same proposal.
 func (g *Group) Propose(p Proposal) bool {
-	g.init()
+	g.initialize()
 	select {
 	case g.proposals <- p:
 		return true
@@ -189,7 +189,7 @@
 // Confirm requests a heartbeat round that starts after the call. When a quorum
 // has answered the round, the group sends a LeadershipConfirmed notification.
 func (g *Group) Confirm() {
-	g.init()
+	g.initialize()
 	select {
 	case g.confirmRequests <- struct{}{}:
 	default:
@@ -200,7 +200,7 @@
 // authenticated from as the sender. If the inbox is full, the message is dropped
 // like a message that the network loses.
 func (g *Group) Receive(from string, data []byte) {
-	g.init()
+	g.initialize()
 	message, err := quorum.Decode(g.Config.ID, from, data)
 	if err != nil {
 		g.Log.V(1).Info("dropped a replica message that cannot be decoded", "from", from, "error", err.Error())
@@ -270,7 +270,7 @@
 // has stopped. The event loop never waits for the control thread, so the request
 // cannot deadlock.
 func (g *Group) sendRequest(r request) bool {
-	g.init()
+	g.initialize()
 	select {
 	case g.requests <- r:
 		return true
--- a/internal/replica/group/run.go
+++ b/internal/replica/group/run.go
@@ -20,7 +20,7 @@
 // Run runs the replica until ctx ends or a journal write fails. It closes the
 // journal before it returns.
 func (g *Group) Run(ctx context.Context) error {
-	g.init()
+	g.initialize()
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	defer close(g.done)
@@ -89,20 +89,20 @@
 		g.step(quorum.Alter{Term: p.Term, First: p.FirstIndex, Member: *p.Member, Remove: p.RemoveMember})
 		return
 	}
-	ev := quorum.Propose{Term: p.Term, First: p.FirstIndex, Commands: p.Commands}
+	proposal := quorum.Propose{Term: p.Term, First: p.FirstIndex, Commands: p.Commands}
 	for range maxMergedProposals {
 		next, ok := g.nextProposal()
 		if !ok {
 			break
 		}
-		if next.Member != nil || next.Term != ev.Term || next.FirstIndex != ev.First+uint64(len(ev.Commands)) {
-			g.step(ev)
+		if next.Member != nil || next.Term != proposal.Term || next.FirstIndex != proposal.First+uint64(len(proposal.Commands)) {
+			g.step(proposal)
 			g.propose(next)
 			return
 		}
-		ev.Commands = append(ev.Commands[:len(ev.Commands):len(ev.Commands)], next.Commands...)
+		proposal.Commands = append(proposal.Commands[:len(proposal.Commands):len(proposal.Commands)], next.Commands...)
 	}
-	g.step(ev)
+	g.step(proposal)
 }
 
 // nextProposal returns the next queued proposal, if there is one.
@@ -158,8 +158,8 @@
 
 // step passes one event to the core and carries out the effects that the core
 // returns.
-func (g *Group) step(ev quorum.Event) {
-	effects := g.core.Step(g.Now(), ev)
+func (g *Group) step(event quorum.Event) {
+	effects := g.core.Step(g.Now(), event)
 	if effects.Write != nil {
 		g.journalWrites <- *effects.Write
 	}
--- a/internal/replica/group/store.go
+++ b/internal/replica/group/store.go
@@ -41,9 +41,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case w := <-j.journalWrites:
-			if err = j.write(ctx, w); err == nil {
-				j.diskResults <- diskResult{event: quorum.Synced{Seq: w.Seq}}
+		case write := <-j.journalWrites:
+			if err = j.write(ctx, write); err == nil {
+				j.diskResults <- diskResult{event: quorum.Synced{Seq: write.Seq}}
 			}
 		case index := <-j.journalCompactions:
 			err = j.compact(index)
@@ -66,12 +66,12 @@
 // write appends to the journal and syncs it. A failed sync stops the group: the
 // contents of the disk are unknown, and a second sync may succeed although the
 // data was never written.
-func (j *journalWriter) write(ctx context.Context, w quorum.Write) error {
-	if err := j.compactBeforeGap(w.Entries); err != nil {
+func (j *journalWriter) write(ctx context.Context, write quorum.Write) error {
+	if err := j.compactBeforeGap(write.Entries); err != nil {
 		return err
 	}
 	for {
-		err := j.Journal.Append(w.Hard, w.Entries)
+		err := j.Journal.Append(write.Hard, write.Entries)
 		if err == nil {
 			break
 		}
@@ -82,7 +82,7 @@
 			return err
 		}
 	}
-	if n := lastEntryIndex(w.Entries); n > 0 {
+	if n := lastEntryIndex(write.Entries); n > 0 {
 		j.lastIndex = n
 	}
 	return errors.Wrap(j.Journal.Sync(), "cannot sync the journal")
--- a/internal/replica/peer/peer.go
+++ b/internal/replica/peer/peer.go
@@ -85,8 +85,8 @@
 	closed         bool
 }
 
-// init initializes the unexported fields on first use.
-func (p *Pool) init() {
+// initialize initializes the unexported fields on first use.
+func (p *Pool) initialize() {
 	p.initOnce.Do(func() {
 		p.ctx, p.cancel = context.WithCancel(context.Background())
 		p.done = make(chan struct{})
@@ -97,7 +97,7 @@
 // Send queues messages for a peer. If the queue is full, its oldest messages are
 // dropped. Send never blocks and does not report whether messages are delivered.
 func (p *Pool) Send(to, address string, data [][]byte) {
-	p.init()
+	p.initialize()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -124,21 +124,21 @@
 
 // Close closes all connections and waits until all senders have stopped.
 func (p *Pool) Close() {
-	p.init()
+	p.initialize()
 	p.mu.Lock()
-	first := !p.closed
+	firstCall := !p.closed
 	p.closed = true
 	p.mu.Unlock()
 	p.cancel()
 	p.sendersRunning.Wait()
-	if first {
+	if firstCall {
 		close(p.done)
 	}
 }
 
 // Done returns a channel that is closed when Close has finished.
 func (p *Pool) Done() <-chan struct{} {
-	p.init()
+	p.initialize()
 	return p.done
 }
 
--- a/internal/replica/peer/server.go
+++ b/internal/replica/peer/server.go
@@ -36,7 +36,7 @@
 // Handler returns the HTTP handler for messages from peers. If TLS is set, its
 // listener must request and verify client certificates.
 func (p *Pool) Handler() http.Handler {
-	p.init()
+	p.initialize()
 	server := inner.NewReplicaServer(replicaService{p})
 	slots := make(chan struct{}, maxConcurrentRequests)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
