--- a/internal/replica/group/group.go
+++ b/internal/replica/group/group.go
@@ -75,7 +75,7 @@
 
 // Transport sends consensus messages to the other replicas.
 type Transport interface {
-	// Send never blocks. It drops messages that do not fit into its queue.
+	// Send never blocks. If its queue is full, messages are dropped.
 	Send(to, address string, data [][]byte)
 }
 
@@ -144,6 +144,7 @@
 func (transferRequest) isRequest() {}
 func (dumpRequest) isRequest()     {}
 
+// initialize sets up the unexported fields on first use.
 func (g *Group) initialize() {
 	g.initOnce.Do(func() {
 		g.proposals = make(chan Proposal, proposalQueueLength)
@@ -213,8 +214,8 @@
 }
 
 // Compact passes the encoded ledger as of the committed entry at index. The group
-// saves it as a snapshot and then deletes the log up to that entry. The caller
-// must not modify state afterwards.
+// saves it as a snapshot and then removes log entries that the snapshot covers. The
+// caller must not modify state afterwards.
 func (g *Group) Compact(index uint64, state []byte) {
 	g.sendRequest(compactRequest{quorum.Compact{Index: index, State: state}})
 }
--- a/internal/replica/group/group_test.go
+++ b/internal/replica/group/group_test.go
@@ -240,8 +240,8 @@
 
 // Guards against a ledger that differs permanently from those of the other
 // replicas. The control thread of a deposed leader has applied commands without a
-// quorum, and older notifications are still queued when it calls Reload. The first
-// log notification after Reload must be RestoreSnapshot.
+// quorum, and older notifications are still queued when it calls Reload. After Reload,
+// RestoreSnapshot must come before all notifications about log entries.
 func TestReloadDiscardsOlderNotifications(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startGroupWithoutReader(t)
--- a/internal/replica/peer/peer.go
+++ b/internal/replica/peer/peer.go
@@ -85,7 +85,7 @@
 	closed         bool
 }
 
-// initialize initializes the unexported fields on first use.
+// initialize sets up the unexported fields on first use.
 func (p *Pool) initialize() {
 	p.initOnce.Do(func() {
 		p.ctx, p.cancel = context.WithCancel(context.Background())
