--- a/internal/replica/bootstrap/bootstrap.go
+++ b/internal/replica/bootstrap/bootstrap.go
@@ -41,8 +41,8 @@
 	Scheme string
 
 	mu sync.Mutex
-	// members is the first membership. It is empty until it is known.
-	members []quorum.Member
+	// firstMembers is the first membership. It is empty until it is known.
+	firstMembers []quorum.Member
 }
 
 var _ inner.Bootstrap = (*Handshake)(nil)
@@ -55,9 +55,9 @@
 func (h *Handshake) SetMembers(ids []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.members = nil
+	h.firstMembers = nil
 	for _, id := range ids {
-		h.members = append(h.members, quorum.Member{ID: id})
+		h.firstMembers = append(h.firstMembers, quorum.Member{ID: id})
 	}
 }
 
@@ -69,7 +69,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	reply := &inner.HelloReply{Id: h.Self.ID}
-	for _, m := range h.members {
+	for _, m := range h.firstMembers {
 		reply.Members = append(reply.Members, m.ID)
 	}
 	return reply, nil
@@ -78,7 +78,7 @@
 // AgreeMembers calls the other replicas until all of them have sent their identity, or
 // until one of them has sent the first membership. It returns the first membership.
 func (h *Handshake) AgreeMembers(ctx context.Context) ([]quorum.Member, error) {
-	known := map[string]quorum.Member{replicaName(h.Self.ID): h.Self}
+	knownMembers := map[string]quorum.Member{replicaName(h.Self.ID): h.Self}
 	for {
 		for _, peer := range h.Peers {
 			reply, err := h.callHello(ctx, peer)
@@ -88,10 +88,10 @@
 			if len(reply.GetMembers()) > 0 {
 				return h.adoptMembers(reply.GetMembers())
 			}
-			known[peer.ID] = quorum.Member{ID: reply.GetId(), Address: peer.Address}
+			knownMembers[peer.ID] = quorum.Member{ID: reply.GetId(), Address: peer.Address}
 		}
-		if len(known) == len(h.Peers)+1 {
-			return h.setSortedMembers(known), nil
+		if len(knownMembers) == len(h.Peers)+1 {
+			return h.setSortedMembers(knownMembers), nil
 		}
 		select {
 		case <-time.After(retryInterval):
@@ -114,7 +114,7 @@
 	if !slices.Contains(ids, h.Self.ID) {
 		return nil, ErrIdentityReplaced
 	}
-	known := map[string]quorum.Member{}
+	membersByName := map[string]quorum.Member{}
 	for _, id := range ids {
 		m := quorum.Member{ID: id, Address: h.Self.Address}
 		for _, peer := range h.Peers {
@@ -122,22 +122,22 @@
 				m.Address = peer.Address
 			}
 		}
-		known[replicaName(id)] = m
+		membersByName[replicaName(id)] = m
 	}
-	return h.setSortedMembers(known), nil
+	return h.setSortedMembers(membersByName), nil
 }
 
 // setSortedMembers stores the membership, sorted so that it is the same on every
 // replica.
-func (h *Handshake) setSortedMembers(known map[string]quorum.Member) []quorum.Member {
-	members := make([]quorum.Member, 0, len(known))
-	for _, m := range known {
+func (h *Handshake) setSortedMembers(membersByName map[string]quorum.Member) []quorum.Member {
+	members := make([]quorum.Member, 0, len(membersByName))
+	for _, m := range membersByName {
 		members = append(members, m)
 	}
 	slices.SortFunc(members, func(a, b quorum.Member) int { return strings.Compare(a.ID, b.ID) })
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.members = members
+	h.firstMembers = members
 	return members
 }
 
--- a/internal/replica/group/bench_test.go
+++ b/internal/replica/group/bench_test.go
@@ -108,9 +108,9 @@
 	var uncommitted []submittedCommand
 	data := make([]byte, entryBytes)
 	for {
-		accept := in
+		acceptedCommands := in
 		if term == 0 {
-			accept = nil
+			acceptedCommands = nil
 		}
 		select {
 		case <-ctx.Done():
@@ -126,7 +126,7 @@
 				}
 				uncommitted, committed = uncommitted[n.Index-committed:], n.Index
 			}
-		case r := <-accept:
+		case r := <-acceptedCommands:
 			commands := takeWaiting(r, in)
 			proposal := group.Proposal{Term: term, FirstIndex: nextIndex}
 			for range commands {
@@ -336,13 +336,13 @@
 			}()
 		}
 		time.Sleep(3 * time.Second)
-		var before [3]int64
+		var bytesBefore [3]int64
 		for i := range cluster.transferredBytes {
-			before[i] = cluster.transferredBytes[i].Load()
+			bytesBefore[i] = cluster.transferredBytes[i].Load()
 		}
 		time.Sleep(5 * time.Second)
 		for i := range cluster.transferredBytes {
-			b.Logf("%s, leading %v: %d bytes/s", members[i].ID, cluster.groups[i].Dump().Leading, (cluster.transferredBytes[i].Load()-before[i])/5)
+			b.Logf("%s, leading %v: %d bytes/s", members[i].ID, cluster.groups[i].Dump().Leading, (cluster.transferredBytes[i].Load()-bytesBefore[i])/5)
 		}
 		cluster.stop()
 	}
--- a/internal/replica/group/fake_test.go
+++ b/internal/replica/group/fake_test.go
@@ -88,11 +88,11 @@
 
 func (m *memoryStore) Save(meta snapshot.Meta, state []byte) error {
 	m.mu.Lock()
-	stall := m.saveStall
+	saveStall := m.saveStall
 	m.saveCalls++
 	m.mu.Unlock()
-	if stall != nil {
-		<-stall
+	if saveStall != nil {
+		<-saveStall
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/replica/group/group.go
+++ b/internal/replica/group/group.go
@@ -172,7 +172,7 @@
 // notifications, in order.
 func (g *Group) Notes() <-chan Notification {
 	g.initialize()
-	return g.notifications.out
+	return g.notifications.deliveries
 }
 
 // Propose queues a proposal without blocking. It returns false when the queue is
--- a/internal/replica/group/outbox.go
+++ b/internal/replica/group/outbox.go
@@ -11,12 +11,12 @@
 // cannot wait for each other. Commit indexes and confirmations that accumulate
 // while the control thread is busy are merged.
 type notificationQueue struct {
-	out chan Notification
+	deliveries chan Notification
 	// wakeup tells run that the queue has changed.
 	wakeup chan struct{}
-	// discarded tells run to drop the notification that it is delivering. The send
+	// discardInFlight tells run to drop the notification that it is delivering. The send
 	// blocks until run has received it.
-	discarded chan struct{}
+	discardInFlight chan struct{}
 	// stopped is closed when run returns.
 	stopped chan struct{}
 
@@ -35,8 +35,8 @@
 
 func newNotificationQueue() *notificationQueue {
 	return &notificationQueue{
-		out: make(chan Notification), wakeup: make(chan struct{}, 1),
-		discarded: make(chan struct{}), stopped: make(chan struct{}),
+		deliveries: make(chan Notification), wakeup: make(chan struct{}, 1),
+		discardInFlight: make(chan struct{}), stopped: make(chan struct{}),
 	}
 }
 
@@ -66,7 +66,7 @@
 // is empty, since it would otherwise overtake earlier notifications.
 func (q *notificationQueue) deliverDirectly(n Notification) bool {
 	select {
-	case q.out <- n:
+	case q.deliveries <- n:
 		return true
 	default:
 		return false
@@ -108,7 +108,7 @@
 	})
 	q.mu.Unlock()
 	select {
-	case q.discarded <- struct{}{}:
+	case q.discardInFlight <- struct{}{}:
 	case <-q.stopped:
 	}
 }
@@ -144,16 +144,16 @@
 	defer close(q.stopped)
 	for {
 		item, ok := q.first()
-		out := q.out
+		deliveries := q.deliveries
 		if !ok {
-			out = nil
+			deliveries = nil
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-q.wakeup:
-		case <-q.discarded:
-		case out <- item.notification:
+		case <-q.discardInFlight:
+		case deliveries <- item.notification:
 			q.removeDelivered(item.seq)
 		}
 	}
--- a/internal/replica/group/store.go
+++ b/internal/replica/group/store.go
@@ -132,15 +132,15 @@
 // checkFreeSpace tells the event loop when the free disk space falls below the
 // minimum or rises above it again.
 func (j *journalWriter) checkFreeSpace() {
-	free, err := j.Journal.FreeBytes()
+	freeBytes, err := j.Journal.FreeBytes()
 	if err != nil {
 		return
 	}
-	minFree := j.MinFreeBytes
-	if minFree == 0 {
-		minFree = DefaultMinFreeBytes
+	minFreeBytes := j.MinFreeBytes
+	if minFreeBytes == 0 {
+		minFreeBytes = DefaultMinFreeBytes
 	}
-	j.reportFull(free < minFree)
+	j.reportFull(freeBytes < minFreeBytes)
 }
 
 // reportFull tells the event loop whether the disk is full, if that has changed.
--- a/internal/replica/peer/identity_test.go
+++ b/internal/replica/peer/identity_test.go
@@ -88,11 +88,11 @@
 	a, _, _ := newTestPool("a/1")
 	a.TLS = ca.clientServerConfig(t, "a")
 	defer a.Close()
-	b, got, _ := newTestPool("b/1")
+	b, delivered, _ := newTestPool("b/1")
 	server := startTLSServer(b, ca.clientServerConfig(t, "b"))
 	defer server.Close()
 	a.Send("b/1", serverAddress(server), [][]byte{[]byte("hello")})
-	if m := receive(t, got); m != (message{"a/1", "hello"}) {
+	if m := receive(t, delivered); m != (message{"a/1", "hello"}) {
 		t.Errorf("delivered %v, want hello from a/1", m)
 	}
 }
@@ -105,7 +105,7 @@
 	a, _, events := newTestPool("a/1")
 	a.TLS = ca.clientServerConfig(t, "a")
 	defer a.Close()
-	b, got, _ := newTestPool("b/1")
+	b, delivered, _ := newTestPool("b/1")
 	server := startTLSServer(b, ca.clientServerConfig(t, "b"))
 	defer server.Close()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -117,12 +117,12 @@
 	defer proxy.close()
 	send := func(data string) { a.Send("b/1", listener.Addr().String(), [][]byte{[]byte(data)}) }
 	for range 3 {
-		sendUntil(t, func() { send("before") }, got, func(m message) bool { return m.Data == "before" })
+		sendUntil(t, func() { send("before") }, delivered, func(m message) bool { return m.Data == "before" })
 		proxy.silenceAll()
 		sendUntil(t, func() { send("lost or late") }, events, func(e peer.Event) bool { return e.Kind == peer.CallsFailing })
-		after := func() { send("after") }
-		sendUntil(t, after, got, func(m message) bool { return m.Data == "after" })
-		sendUntil(t, after, events, func(e peer.Event) bool { return e.Kind == peer.CallsRecovered })
+		sendAfter := func() { send("after") }
+		sendUntil(t, sendAfter, delivered, func(m message) bool { return m.Data == "after" })
+		sendUntil(t, sendAfter, events, func(e peer.Event) bool { return e.Kind == peer.CallsRecovered })
 	}
 }
 
@@ -153,16 +153,16 @@
 // certificate is from a foreign authority or missing, or if the server is not the
 // intended replica.
 func TestFalseIdentityIsRefused(t *testing.T) {
-	ca, foreign := newAuthority(t), newAuthority(t)
+	ca, foreignCA := newAuthority(t), newAuthority(t)
 	for name, configs := range map[string]struct{ client, server *tls.Config }{
 		"name of another":      {ca.clientServerConfig(t, "c"), ca.clientServerConfig(t, "b")},
-		"foreign authority":    {foreign.clientServerConfig(t, "a"), ca.clientServerConfig(t, "b")},
+		"foreign authority":    {foreignCA.clientServerConfig(t, "a"), ca.clientServerConfig(t, "b")},
 		"server named another": {ca.clientServerConfig(t, "a"), ca.clientServerConfig(t, "c")},
 		"plain client":         {nil, ca.clientServerConfig(t, "b")},
 	} {
 		a, _, failures := newTestPool("a/1")
 		a.TLS = configs.client
-		b, got, _ := newTestPool("b/1")
+		b, delivered, _ := newTestPool("b/1")
 		server := startTLSServer(b, configs.server)
 		a.Send("b/1", serverAddress(server), [][]byte{[]byte("vote")})
 		if e := receive(t, failures); e.Kind != peer.CallsFailing {
@@ -170,8 +170,8 @@
 		}
 		a.Close()
 		server.Close()
-		if len(got) > 0 {
-			t.Errorf("%s: message %v was delivered", name, <-got)
+		if len(delivered) > 0 {
+			t.Errorf("%s: message %v was delivered", name, <-delivered)
 		}
 	}
 }
--- a/internal/replica/peer/link.go
+++ b/internal/replica/peer/link.go
@@ -26,8 +26,8 @@
 	cancel  context.CancelFunc
 	// wakeup tells run that a message was queued or a call has failed.
 	wakeup chan struct{}
-	// failing is true from the first failed call until the next successful one.
-	failing atomic.Bool
+	// callsFailing is true from the first failed call until the next successful one.
+	callsFailing atomic.Bool
 
 	mu    sync.Mutex
 	queue [][]byte
@@ -35,8 +35,8 @@
 	queuedBytes int
 }
 
-func newSender(p *Pool, to, address string) *sender {
-	s := &sender{pool: p, peerID: to, address: address, wakeup: make(chan struct{}, 1)}
+func newSender(p *Pool, peerID, address string) *sender {
+	s := &sender{pool: p, peerID: peerID, address: address, wakeup: make(chan struct{}, 1)}
 	s.ctx, s.cancel = context.WithCancel(p.ctx)
 	return s
 }
@@ -134,14 +134,14 @@
 // reportFailure sends a CallsFailing event for the first of several consecutive
 // failures.
 func (s *sender) reportFailure(err error) {
-	if !s.failing.Swap(true) {
+	if !s.callsFailing.Swap(true) {
 		s.pool.report(Event{CallsFailing, s.peerID, err})
 	}
 }
 
 // reportRecovery sends a CallsRecovered event for the first success after failures.
 func (s *sender) reportRecovery() {
-	if s.failing.Swap(false) {
+	if s.callsFailing.Swap(false) {
 		s.pool.report(Event{Kind: CallsRecovered, Peer: s.peerID})
 	}
 }
--- a/internal/replica/peer/order_test.go
+++ b/internal/replica/peer/order_test.go
@@ -21,8 +21,8 @@
 // successor only briefly, and a new connection starts a new sequence.
 func TestCallsAreHandledInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var got []string
-		p := &peer.Pool{Cell: "cell", Self: "b/1", Deliver: func(_ string, data []byte) { got = append(got, string(data)) }}
+		var delivered []string
+		p := &peer.Pool{Cell: "cell", Self: "b/1", Deliver: func(_ string, data []byte) { delivered = append(delivered, string(data)) }}
 		h := p.Handler()
 		call := func(connectionID, number uint64, text string) {
 			body, err := proto.Marshal(&inner.DeliverRequest{
@@ -56,7 +56,7 @@
 		call(8, 1, "a new connection")
 		call(7, 6, "a late call of the old one")
 		want := []string{"one", "two", "three", "five, four is lost", "a new connection", "a late call of the old one"}
-		if diff := cmp.Diff(want, got); diff != "" {
+		if diff := cmp.Diff(want, delivered); diff != "" {
 			t.Error(diff)
 		}
 	})
--- a/internal/replica/peer/peer_test.go
+++ b/internal/replica/peer/peer_test.go
@@ -63,7 +63,7 @@
 func TestSendKeepsOrder(t *testing.T) {
 	a, _, _ := newTestPool("a/1")
 	defer a.Close()
-	b, got, _ := newTestPool("b/1")
+	b, delivered, _ := newTestPool("b/1")
 	server := startServer(b.Handler())
 	defer server.Close()
 	var want, received []message
@@ -73,7 +73,7 @@
 		want = append(want, message{"a/1", data})
 	}
 	for range want {
-		received = append(received, receive(t, got))
+		received = append(received, receive(t, delivered))
 	}
 	if diff := cmp.Diff(want, received); diff != "" {
 		t.Error(diff)
@@ -159,7 +159,7 @@
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	a, _, events := newTestPool("a/1")
 	defer a.Close()
-	b, got, _ := newTestPool("b/1")
+	b, delivered, _ := newTestPool("b/1")
 	server := startServer(b.Handler())
 	defer server.Close()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -171,14 +171,14 @@
 	defer proxy.close()
 	send := func(data string) { a.Send("b/1", listener.Addr().String(), [][]byte{[]byte(data)}) }
 	send("before")
-	receive(t, got)
+	receive(t, delivered)
 	for range 3 {
 		send(silenceMarker)
 		if e := receive(t, events); e.Kind != peer.CallsFailing {
 			t.Fatalf("got event %v, want CallsFailing", e)
 		}
 		send("after")
-		if m := receive(t, got); m.Data != "after" {
+		if m := receive(t, delivered); m.Data != "after" {
 			t.Fatalf("delivered %v, want after", m)
 		}
 		if e := receive(t, events); e.Kind != peer.CallsRecovered {
@@ -191,16 +191,16 @@
 // the address of a replica now belongs to another cell, another replica or a replaced
 // replica. The messages must be refused, and both sides must report an event.
 func TestWrongPeerIsRefused(t *testing.T) {
-	for want, change := range map[string]func(a *peer.Pool) (to string){
+	for want, misconfigure := range map[string]func(a *peer.Pool) (to string){
 		"another cell":     func(a *peer.Pool) string { a.Cell = "other"; return "b/1" },
 		"another replica":  func(*peer.Pool) string { return "c/1" },
 		"for another repl": func(*peer.Pool) string { return "b/2" },
 		"as its sender":    func(a *peer.Pool) string { a.Self = "b/1"; return "b/1" },
 	} {
 		a, _, failures := newTestPool("a/1")
-		b, got, refusals := newTestPool("b/1")
+		b, delivered, refusals := newTestPool("b/1")
 		server := startServer(b.Handler())
-		a.Send(change(a), serverAddress(server), [][]byte{[]byte("vote")})
+		a.Send(misconfigure(a), serverAddress(server), [][]byte{[]byte("vote")})
 		if e := receive(t, refusals); e.Kind != peer.MessageRefused || !strings.Contains(e.Err.Error(), want) {
 			t.Errorf("got event %v, want MessageRefused with %q", e, want)
 		}
@@ -209,8 +209,8 @@
 		}
 		a.Close()
 		server.Close()
-		if len(got) > 0 {
-			t.Errorf("%s: message %v was delivered", want, <-got)
+		if len(delivered) > 0 {
+			t.Errorf("%s: message %v was delivered", want, <-delivered)
 		}
 	}
 }
@@ -222,11 +222,11 @@
 	a, _, _ := newTestPool("a/1")
 	a.MaxQueueBytes, a.CallTimeout = 100, testTimeout
 	defer a.Close()
-	b, got, _ := newTestPool("b/1")
-	entered, release := make(chan struct{}, 10), make(chan struct{})
+	b, delivered, _ := newTestPool("b/1")
+	callStarted, release := make(chan struct{}, 10), make(chan struct{})
 	handler := b.Handler()
 	server := startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		entered <- struct{}{}
+		callStarted <- struct{}{}
 		<-release
 		handler.ServeHTTP(w, r)
 	}))
@@ -235,7 +235,7 @@
 	for i := range peer.MaxConcurrentCalls {
 		want = append(want, fmt.Sprint("first", i))
 		a.Send("b/1", serverAddress(server), [][]byte{[]byte(want[i])})
-		receive(t, entered)
+		receive(t, callStarted)
 	}
 	for i := range 100 {
 		a.Send("b/1", serverAddress(server), [][]byte{fmt.Appendf(nil, "%010d", i)})
@@ -243,7 +243,7 @@
 	close(release)
 	var received []string
 	for range peer.MaxConcurrentCalls + 10 {
-		received = append(received, receive(t, got).Data)
+		received = append(received, receive(t, delivered).Data)
 	}
 	for i := 90; i < 100; i++ {
 		want = append(want, fmt.Sprintf("%010d", i))
@@ -256,7 +256,7 @@
 // Guards against an endless request body that fills the memory. The server must stop
 // reading soon after the size of the largest message.
 func TestRequestBodyIsLimited(t *testing.T) {
-	b, got, _ := newTestPool("b/1")
+	b, delivered, _ := newTestPool("b/1")
 	server := startServer(b.Handler())
 	defer server.Close()
 	body := &zeroReader{remaining: 8 * peer.MaxMessageBytes}
@@ -268,7 +268,7 @@
 	if remaining := body.remaining; remaining < 4*peer.MaxMessageBytes {
 		t.Errorf("the server read all but %d bytes of the request body", remaining)
 	}
-	if len(got) > 0 {
+	if len(delivered) > 0 {
 		t.Error("a message of the endless request was delivered")
 	}
 }
