--- a/internal/replica/group/outbox.go
+++ b/internal/replica/group/outbox.go
@@ -79,13 +79,13 @@
 // notifications keep their order.
 func (q *notificationQueue) replaceableIndex(n Notification) int {
 	for i := len(q.queue) - 1; i >= max(0, len(q.queue)-2); i-- {
-		switch old := q.queue[i].notification.(type) {
+		switch older := q.queue[i].notification.(type) {
 		case CommitAdvanced:
 			if _, ok := n.(CommitAdvanced); ok {
 				return i
 			}
 		case LeadershipConfirmed:
-			if c, ok := n.(LeadershipConfirmed); ok && c.Term == old.Term {
+			if c, ok := n.(LeadershipConfirmed); ok && c.Term == older.Term {
 				return i
 			}
 		default:
