--- a/internal/replica/wire/wire.go
+++ b/internal/replica/wire/wire.go
@@ -8,8 +8,8 @@
 )
 
 // ErrMalformed is returned for bytes that are not a valid message with only varint and
-// bytes fields.
-var ErrMalformed = errors.New("record is not a valid protobuf message of varint and bytes fields")
+// bytes fields. Packages journal and snapshot also use it for records with invalid values.
+var ErrMalformed = errors.New("record is malformed")
 
 // FieldVisitor handles one field. value is set for a varint field, data for a bytes
 // field. data shares the memory of the message.
