--- a/internal/control/entry/roll_test.go
+++ b/internal/control/entry/roll_test.go
@@ -29,10 +29,10 @@
 	g.notes <- group.CommitAdvanced{Index: p.FirstIndex + uint64(len(p.Commands)) - 1}
 	return true
 }
-func (g *stub) Notes() <-chan group.Notification { return g.notes }
-func (g *stub) Confirm()                         {}
-func (g *stub) Compact(uint64, []byte)           {}
-func (g *stub) Reload()                          {}
+func (g *stub) Notifications() <-chan group.Notification { return g.notes }
+func (g *stub) ConfirmLeadership()                       {}
+func (g *stub) Compact(uint64, []byte)                   {}
+func (g *stub) Reload()                                  {}
 
 // serve gives fn a service whose control thread leads, and its log.
 func serve(t *testing.T, fn func(*entry.Server, *leader.Leader, *bytes.Buffer)) {
@@ -41,9 +41,9 @@
 		g := &stub{notes: make(chan group.Notification, 64)}
 		l := leader.New()
 		l.Group, l.Now = g, func() time.Duration { return time.Since(begin) + time.Minute }
-		l.Planner = func() plan.Planner { return fifo.New() }
+		l.NewPlanner = func() plan.Planner { return fifo.New() }
 		digest := key.Digest("secret")
-		l.Root = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest[:]}
+		l.RootKey = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest[:]}
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { _ = l.Run(ctx) }()
 		g.notes <- group.Leading{Term: 1, ElectedAt: l.Now()}
--- a/internal/control/leader/leader_test.go
+++ b/internal/control/leader/leader_test.go
@@ -158,13 +158,13 @@
 		s.sync()
 		at := c.g.now()
 		other := c.announce("b2", 1000)
-		for c.g.now() < at+c.l.Terms.Length {
+		for c.g.now() < at+c.l.LeaseTerms.Length {
 			if got := starts(other.sync()); len(got) > 0 {
 				t.Fatalf("started elsewhere after %v", c.g.now()-at)
 			}
 		}
 		var moved []*v1.Attempt
-		for c.g.now() < at+2*c.l.Terms.Wait() && moved == nil {
+		for c.g.now() < at+2*c.l.LeaseTerms.Wait() && moved == nil {
 			moved = starts(other.sync())
 		}
 		if len(moved) != 1 || moved[0].GetNumber() != 2 {
@@ -186,7 +186,7 @@
 		c.elect(2)
 		at := c.g.now()
 		other := c.announce("b2", 1000)
-		for c.g.now() < at+c.l.Terms.Length {
+		for c.g.now() < at+c.l.LeaseTerms.Length {
 			if got := starts(other.sync()); len(got) > 0 {
 				t.Fatalf("started elsewhere %v after the election", c.g.now()-at)
 			}
@@ -401,10 +401,10 @@
 	runAs(t, logr.Discard(), planner, func(c *cell) {
 		s := c.announce("b1", 8000)
 		c.ledger(func(st *state.State) {
-			watch := st.Watch
-			st.Watch = nil // what follows is hidden from the planner
+			watch := st.Observer
+			st.Observer = nil // what follows is hidden from the planner
 			st.Apply(&record.Command{What: &record.Command_Mark{Mark: &record.Mark{Server: "b1", Incarnation: 1, State: uint32(backend.Suspect)}}})
-			st.Watch = watch
+			st.Observer = watch
 		})
 		c.accepted(spec("plan"))
 		if got := starts(s.sync()); len(got) != 1 {
@@ -441,7 +441,7 @@
 // them does not wait.
 func TestProposalsAreGathered(t *testing.T) {
 	run(t, func(c *cell) {
-		if err := c.l.Do(context.Background(), func(*state.State) { c.l.Gather = 10 * time.Millisecond }); err != nil {
+		if err := c.l.Execute(context.Background(), func(*state.State) { c.l.ProposalInterval = 10 * time.Millisecond }); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
--- a/internal/control/leader/notice_test.go
+++ b/internal/control/leader/notice_test.go
@@ -67,7 +67,7 @@
 		}}}})
 		log.want(t, "limit-lowered", "table-changed")
 		var yields atomic.Int32
-		if err := c.l.Do(context.Background(), func(*state.State) { c.l.Yield = func() { yields.Add(1) } }); err != nil {
+		if err := c.l.Execute(context.Background(), func(*state.State) { c.l.TransferLeadership = func() { yields.Add(1) } }); err != nil {
 			t.Fatal(err)
 		}
 		c.g.notes <- group.JournalDiskFull{Full: true}
@@ -172,8 +172,8 @@
 			t.Fatalf("%v, %d bytes", w.GetOutcome(), w.GetChunk().GetTotal())
 		}
 		c.ledger(func(s *state.State) {
-			j, _ := s.Find(state.RequestID{Team: "rail", ID: "wide"})
-			if len(s.Answer(j)) != answer.MaxJob {
+			j, _ := s.FindJob(state.RequestID{Team: "rail", ID: "wide"})
+			if len(s.JobAnswer(j)) != answer.MaxJob {
 				t.Error("the ledger holds another length")
 			}
 		})
--- a/internal/control/leader/snapshot_test.go
+++ b/internal/control/leader/snapshot_test.go
@@ -18,7 +18,7 @@
 		c.announce("b1", 1000)
 		agreed := append([]quorum.Entry{}, c.g.entries()...)
 		c.g.hold()
-		c.ledger(func(*state.State) { c.l.Snapshot = 1 })
+		c.ledger(func(*state.State) { c.l.SnapshotInterval = 1 })
 		c.submit(spec("ghost"))
 		time.Sleep(time.Second) // the snapshot is written and waits for its commit
 		for i := range 50 {
@@ -39,7 +39,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, ok := st.Find(state.RequestID{Team: "rail", ID: "ghost"}); ok {
+			if _, ok := st.FindJob(state.RequestID{Team: "rail", ID: "ghost"}); ok {
 				t.Error("a snapshot holds a job that nobody agreed on")
 			}
 		}
--- a/internal/control/node/assemble.go
+++ b/internal/control/node/assemble.go
@@ -36,8 +36,8 @@
 	n.group.Store(a.group)
 	a.service = &entry.Server{Cell: n.Cell, Leader: n.Control, Now: n.now, Dumper: n.State, MaxDump: n.MaxDump, Log: n.Log}
 	n.service.Store(a.service)
-	n.Control.Entries = a.service.Entries
-	n.Control.Deposed, n.Control.Revised = a.service.CloseAll, a.service.WakeAll
+	n.Control.EntryMembers = a.service.Entries
+	n.Control.OnDeposed, n.Control.OnTableRevision = a.service.CloseAll, a.service.WakeAll
 	// Before anything can come in: what arrives is checked against the identity.
 	n.configure(self, a.group)
 	a.transport = n.transport(self.ID, a.group.Receive)
@@ -82,11 +82,11 @@
 	_, _ = rand.Read(seed[:])
 	cfg.Seed = binary.LittleEndian.Uint64(seed[:])
 	l := n.Control
-	l.Group, l.Now, l.Root, l.Log, l.Meters = g, n.now, n.Root, n.Log, n.meters
-	l.Yield = func() { go n.yield(g) }
-	l.Matches = func() map[string]uint64 { return matches(g.Dump()) }
-	if l.Planner == nil {
-		l.Planner = func() plan.Planner { return cell.New(cell.Config{}) }
+	l.Group, l.Now, l.RootKey, l.Log, l.Metrics = g, n.now, n.Root, n.Log, n.meters
+	l.TransferLeadership = func() { go n.yield(g) }
+	l.MatchIndexes = func() map[string]uint64 { return matches(g.Dump()) }
+	if l.NewPlanner == nil {
+		l.NewPlanner = func() plan.Planner { return cell.New(cell.Config{}) }
 	}
 }
 
--- a/internal/replica/group/bench_test.go
+++ b/internal/replica/group/bench_test.go
@@ -115,7 +115,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-g.Notes():
+		case n := <-g.Notifications():
 			switch n := n.(type) {
 			case group.Leading:
 				term, nextIndex, committed = n.Term, n.LastIndex+1, n.LastIndex
@@ -328,7 +328,7 @@
 			go func() {
 				for {
 					select {
-					case <-g.Notes():
+					case <-g.Notifications():
 					case <-g.Done():
 						return
 					}
--- a/internal/replica/group/fake_test.go
+++ b/internal/replica/group/fake_test.go
@@ -42,7 +42,7 @@
 		return m.appendErr
 	}
 	if n := len(m.entries); n > 0 && len(entries) > 0 && entries[0].Index > m.entries[n-1].Index+1 {
-		return journal.ErrGap
+		return journal.ErrIndexGap
 	}
 	if hard != nil {
 		m.hardState = *hard
@@ -194,7 +194,7 @@
 		select {
 		case <-r.group.Done():
 			return
-		case n := <-r.group.Notes():
+		case n := <-r.group.Notifications():
 			r.handleNotification(n)
 		}
 	}
--- a/internal/replica/group/group.go
+++ b/internal/replica/group/group.go
@@ -168,9 +168,9 @@
 	return g.done
 }
 
-// Notes returns the channel on which the control thread receives the
+// Notifications returns the channel on which the control thread receives the
 // notifications, in order.
-func (g *Group) Notes() <-chan Notification {
+func (g *Group) Notifications() <-chan Notification {
 	g.initialize()
 	return g.notifications.deliveries
 }
@@ -187,9 +187,9 @@
 	}
 }
 
-// Confirm requests a heartbeat round that starts after the call. When a quorum
+// ConfirmLeadership requests a heartbeat round that starts after the call. When a quorum
 // has answered the round, the group sends a LeadershipConfirmed notification.
-func (g *Group) Confirm() {
+func (g *Group) ConfirmLeadership() {
 	g.initialize()
 	select {
 	case g.confirmRequests <- struct{}{}:
--- a/internal/replica/group/group_test.go
+++ b/internal/replica/group/group_test.go
@@ -178,7 +178,7 @@
 func TestGroupResumesAfterFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, store := startSingleVoter(t)
-		store.update(func() { store.appendErr, store.freeBytes = disk.ErrFull, 0 })
+		store.update(func() { store.appendErr, store.freeBytes = disk.ErrDiskFull, 0 })
 		r.propose("x")
 		time.Sleep(3 * time.Second)
 		if got, leading := r.currentState(); len(got) != 0 || !leading || !r.diskFull {
@@ -249,7 +249,7 @@
 		r.Reload()
 		var got []string
 		for len(got) == 0 || got[len(got)-1] != "group.Leading" {
-			got = append(got, fmt.Sprintf("%T", <-r.Notes()))
+			got = append(got, fmt.Sprintf("%T", <-r.Notifications()))
 		}
 		want := []string{"group.Following", "group.Following", "group.MembershipChanged", "group.RestoreSnapshot", "group.ApplyEntries", "group.Leading"}
 		if d := cmp.Diff(want, got); d != "" {
--- a/internal/replica/group/store.go
+++ b/internal/replica/group/store.go
@@ -75,7 +75,7 @@
 		if err == nil {
 			break
 		}
-		if !disk.Passes(err) {
+		if !disk.IsRetryable(err) {
 			return errors.Wrap(err, "cannot append to the journal")
 		}
 		if err := j.waitForSpace(ctx); err != nil {
@@ -101,7 +101,7 @@
 // compact removes the entries up to index from the journal.
 func (j *journalWriter) compact(index uint64) error {
 	err := j.Journal.Compact(index)
-	if disk.Passes(err) {
+	if disk.IsRetryable(err) {
 		// Compaction only frees space. It is repeated after the next snapshot.
 		return nil
 	}
