--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -94,7 +94,7 @@
 	LedgerTime() time.Duration
 	// DiskFull reports whether the disk has too little free space for new flows.
 	DiskFull() bool
-	Members() group.Members
+	Members() group.MembershipChanged
 	ChangeMember(m quorum.Member, remove bool)
 	// IsSynced reports whether a member has stored all committed log entries.
 	IsSynced(id string) bool
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -28,7 +28,7 @@
 const commitDelay = 5 * time.Millisecond
 
 // testMembers is the membership of the replication group in these tests.
-var testMembers = group.Members{Self: "a/1", Members: []quorum.Member{{ID: "a/1", Address: "a"}}}
+var testMembers = group.MembershipChanged{Self: "a/1", Members: []quorum.Member{{ID: "a/1", Address: "a"}}}
 
 // fakeHost is a control thread with a ledger and without replicas. Applied commands are
 // committed after commitDelay.
@@ -106,7 +106,7 @@
 func (h *fakeHost) Flows() *flows.Ledger                            { return h.ledger }
 func (h *fakeHost) LedgerTime() time.Duration                       { return time.Duration(time.Now().UnixNano()) }
 func (h *fakeHost) DiskFull() bool                                  { return false }
-func (h *fakeHost) Members() group.Members                          { return testMembers }
+func (h *fakeHost) Members() group.MembershipChanged                { return testMembers }
 func (h *fakeHost) ChangeMember(quorum.Member, bool)                {}
 func (h *fakeHost) HasZone(zone string) bool                        { return zone == "x" || zone == "y" }
 func (h *fakeHost) YieldProcessor()                                 {}
--- a/internal/control/leader/bench_test.go
+++ b/internal/control/leader/bench_test.go
@@ -21,7 +21,7 @@
 // instantGroup is a fake group that commits and confirms at once, so that a
 // benchmark measures the control thread alone.
 type instantGroup struct {
-	notifications chan group.Note
+	notifications chan group.Notification
 	now           func() time.Duration
 	commitIndex   uint64
 	proposedBytes uint64
@@ -31,14 +31,14 @@
 	for _, c := range p.Commands {
 		g.proposedBytes += uint64(len(c))
 	}
-	g.commitIndex = p.First + uint64(len(p.Commands)) - 1
-	g.notifications <- group.Commit{Index: g.commitIndex}
+	g.commitIndex = p.FirstIndex + uint64(len(p.Commands)) - 1
+	g.notifications <- group.CommitAdvanced{Index: g.commitIndex}
 	return true
 }
-func (g *instantGroup) Notifications() <-chan group.Note { return g.notifications }
-func (g *instantGroup) ConfirmLeadership()               {}
-func (g *instantGroup) Compact(uint64, []byte)           {}
-func (g *instantGroup) Reload()                          {}
+func (g *instantGroup) Notifications() <-chan group.Notification { return g.notifications }
+func (g *instantGroup) ConfirmLeadership()                       {}
+func (g *instantGroup) Compact(uint64, []byte)                   {}
+func (g *instantGroup) Reload()                                  {}
 
 // benchmarkHarness drives a control thread and many backend servers in real time.
 type benchmarkHarness struct {
@@ -53,7 +53,7 @@
 func newBenchmarkHarness(b *testing.B, servers int) *benchmarkHarness {
 	begin := time.Now()
 	h := &benchmarkHarness{b: b, mailbox: mailbox.New(1), syncNumbers: make([]uint64, servers)}
-	h.group = &instantGroup{notifications: make(chan group.Note, 1<<16), now: func() time.Duration { return time.Since(begin) + time.Hour }}
+	h.group = &instantGroup{notifications: make(chan group.Notification, 1<<16), now: func() time.Duration { return time.Since(begin) + time.Hour }}
 	h.leader = leader.New()
 	h.leader.Group, h.leader.Now = h.group, h.group.now
 	h.leader.SnapshotInterval = 1 << 62
@@ -65,11 +65,11 @@
 	b.Cleanup(func() { cancel(); <-done })
 	go func() {
 		for ctx.Err() == nil {
-			h.group.notifications <- group.Confirmed{Term: 1, Start: h.group.now()}
+			h.group.notifications <- group.LeadershipConfirmed{Term: 1, StartedAt: h.group.now()}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
-	h.group.notifications <- group.Lead{Term: 1, Elected: h.group.now()}
+	h.group.notifications <- group.Leading{Term: 1, ElectedAt: h.group.now()}
 	time.Sleep(100 * time.Millisecond)
 	h.request(&inner.Item{Credential: &inner.Credential{Id: "op", Digest: digest()}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{Id: "t", Change: &v1.ChangeRequest_Table{Table: teamRows(960)}}}})
 	h.request(&inner.Item{Credential: &inner.Credential{Id: "op", Digest: digest()}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{Id: "k", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "team0", Digest: digest()}}}}})
--- a/internal/control/leader/eventlog.go
+++ b/internal/control/leader/eventlog.go
@@ -266,7 +266,7 @@
 }
 
 // logMembership logs the differences between the previous membership and a new one.
-func (l *Leader) logMembership(n group.Members) {
+func (l *Leader) logMembership(n group.MembershipChanged) {
 	oldMembers := l.membership.Members
 	if len(oldMembers) == 0 {
 		return
@@ -322,7 +322,7 @@
 
 // logRestore logs whether a restored snapshot came from the local disk at startup
 // or from the leader because this replica lagged too far behind.
-func (l *Leader) logRestore(n group.Restore) {
+func (l *Leader) logRestore(n group.RestoreSnapshot) {
 	switch {
 	case !l.stateLoaded:
 		l.stateLoaded = true
--- a/internal/control/leader/eventlog_test.go
+++ b/internal/control/leader/eventlog_test.go
@@ -74,8 +74,8 @@
 		if err := h.leader.Execute(context.Background(), func(*state.State) { h.leader.TransferLeadership = func() { yields.Add(1) } }); err != nil {
 			t.Fatal(err)
 		}
-		h.group.notifications <- group.Full{Full: true}
-		h.group.notifications <- group.Full{Full: false}
+		h.group.notifications <- group.JournalDiskFull{Full: true}
+		h.group.notifications <- group.JournalDiskFull{Full: false}
 		log.expectOnce(t, "disk-full", "disk-free")
 		if yields.Load() == 0 {
 			t.Error("a leader with a full disk did not offer to transfer the leadership")
@@ -91,10 +91,10 @@
 		log.expectOnce(t, "key-withdrawn", "key-refused")
 		members := []quorum.Member{{ID: "c1/1"}, {ID: "c2/1", Learner: true}}
 		for _, ms := range [][]quorum.Member{members[:1], members, {{ID: "c1/1"}, {ID: "c2/1"}}, {{ID: "c2/1"}}} {
-			h.group.notifications <- group.Members{Members: ms, Self: "c1/1"}
+			h.group.notifications <- group.MembershipChanged{Members: ms, Self: "c1/1"}
 		}
 		log.expectOnce(t, "member-added", "member-promoted", "member-removed", "stale-identity")
-		h.group.notifications <- group.Follow{Term: 1}
+		h.group.notifications <- group.Following{Term: 1}
 		log.expectOnce(t, "leader-lost", "quorum-lost")
 		time.Sleep(10 * time.Second)
 		log.expectOnce(t, "leader-unknown")
--- a/internal/control/leader/extension.go
+++ b/internal/control/leader/extension.go
@@ -68,7 +68,7 @@
 func (l *Leader) DiskFull() bool { return l.diskFull }
 
 // Members returns the committed membership of the control group.
-func (l *Leader) Members() group.Members { return l.membership }
+func (l *Leader) Members() group.MembershipChanged { return l.membership }
 
 // ChangeMember proposes one change of the membership. If the change cannot be made now,
 // the caller must repeat the call later.
--- a/internal/control/leader/fairness_test.go
+++ b/internal/control/leader/fairness_test.go
@@ -13,13 +13,13 @@
 )
 
 // silentGroup is a fake group that sends no notifications.
-type silentGroup struct{ notifications chan group.Note }
+type silentGroup struct{ notifications chan group.Notification }
 
-func (silentGroup) Propose(group.Proposal) bool        { return true }
-func (q silentGroup) Notifications() <-chan group.Note { return q.notifications }
-func (silentGroup) ConfirmLeadership()                 {}
-func (silentGroup) Compact(uint64, []byte)             {}
-func (silentGroup) Reload()                            {}
+func (silentGroup) Propose(group.Proposal) bool                { return true }
+func (q silentGroup) Notifications() <-chan group.Notification { return q.notifications }
+func (silentGroup) ConfirmLeadership()                         {}
+func (silentGroup) Compact(uint64, []byte)                     {}
+func (silentGroup) Reload()                                    {}
 
 // busyLoop keeps the processor busy for a duration.
 func busyLoop(d time.Duration) {
@@ -37,7 +37,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	l := leader.New()
-	l.Group, l.Now = silentGroup{make(chan group.Note)}, func() time.Duration { return time.Hour }
+	l.Group, l.Now = silentGroup{make(chan group.Notification)}, func() time.Duration { return time.Hour }
 	released, lastRequestDone := make(chan struct{}), make(chan struct{})
 	enqueue := func(fn func()) { go func() { _ = l.Execute(ctx, func(*state.State) { fn() }) }() }
 	enqueue(func() { <-released })
--- a/internal/control/leader/harness_test.go
+++ b/internal/control/leader/harness_test.go
@@ -26,7 +26,7 @@
 // fakeGroup is a group in which the test controls commits and leadership
 // confirmations.
 type fakeGroup struct {
-	notifications chan group.Note
+	notifications chan group.Notification
 	now           func() time.Duration
 	mu            sync.Mutex
 	// commitsHeld suspends commits, confirmationsStopped suspends leadership confirmations.
@@ -44,7 +44,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.proposalsMade++
-	if p.Term != g.term || p.First != uint64(len(g.log))+1 {
+	if p.Term != g.term || p.FirstIndex != uint64(len(g.log))+1 {
 		return true // the real group also discards such a proposal as a whole
 	}
 	for _, c := range p.Commands {
@@ -79,17 +79,17 @@
 
 func (g *fakeGroup) commit() {
 	g.commitIndex = uint64(len(g.log))
-	g.notifications <- group.Commit{Index: g.commitIndex}
+	g.notifications <- group.CommitAdvanced{Index: g.commitIndex}
 }
 
-func (g *fakeGroup) Notifications() <-chan group.Note { return g.notifications }
+func (g *fakeGroup) Notifications() <-chan group.Notification { return g.notifications }
 
 func (g *fakeGroup) ConfirmLeadership() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.confirmationsStopped {
 		select {
-		case g.notifications <- group.Confirmed{Term: g.term, Start: g.now()}:
+		case g.notifications <- group.LeadershipConfirmed{Term: g.term, StartedAt: g.now()}:
 		default:
 		}
 	}
@@ -150,7 +150,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
 		now := func() time.Duration { return time.Since(begin) + time.Minute }
-		group := &fakeGroup{notifications: make(chan group.Note, 4096), now: now, term: 1}
+		group := &fakeGroup{notifications: make(chan group.Notification, 4096), now: now, term: 1}
 		ctx, cancel := context.WithCancel(context.Background())
 		h := &harness{t: t, group: group, stop: cancel, replies: map[uint64]*inner.Reply{}}
 		h.leader = h.newLeader(group)
@@ -195,7 +195,7 @@
 	h.term = term
 	h.mailbox = mailbox.New(term)
 	h.lastReplyNumber = 0
-	h.group.notifications <- group.Lead{Term: term, Last: h.group.startTerm(term), Elected: h.group.now()}
+	h.group.notifications <- group.Leading{Term: term, LastIndex: h.group.startTerm(term), ElectedAt: h.group.now()}
 	h.group.ConfirmLeadership()
 	synctest.Wait()
 }
--- a/internal/control/leader/leader.go
+++ b/internal/control/leader/leader.go
@@ -78,7 +78,7 @@
 	Propose(p group.Proposal) bool
 	// Notifications returns the channel on which the group reports elections,
 	// commits and membership.
-	Notifications() <-chan group.Note
+	Notifications() <-chan group.Notification
 	// ConfirmLeadership asks for a heartbeat round that proves that this replica
 	// still leads.
 	ConfirmLeadership()
@@ -200,7 +200,7 @@
 	snapshotIndex    uint64
 	snapshotProgress snapshotProgress
 	leadership       *leadership
-	membership       group.Members
+	membership       group.MembershipChanged
 	diskFull         bool
 	controlMetrics   *controlMetrics
 	logLimiter       event.Limit
@@ -291,7 +291,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			l.becomeFollower(group.Follow{})
+			l.becomeFollower(group.Following{})
 			return nil
 		case n, ok := <-l.Group.Notifications():
 			if !ok {
--- a/internal/control/leader/leader_test.go
+++ b/internal/control/leader/leader_test.go
@@ -74,7 +74,7 @@
 	runWithLeader(t, func(h *harness) {
 		h.group.holdCommits()
 		submitSeq := h.pushSubmit(batchSpec("plan"))
-		h.group.notifications <- group.Follow{Term: 2, Leader: "other"}
+		h.group.notifications <- group.Following{Term: 2, Leader: "other"}
 		synctest.Wait()
 		if h.replyTo(submitSeq) != nil {
 			t.Error("a deposed leader sent a reply")
@@ -185,7 +185,7 @@
 		h.submitAndReply(batchSpec("plan"))
 		s.syncAndWait()
 		time.Sleep(5 * time.Second)
-		h.group.notifications <- group.Follow{Term: 2}
+		h.group.notifications <- group.Following{Term: 2}
 		h.elect(2)
 		electedAt := h.group.now()
 		otherServer := h.announceServer("b2", 1000)
@@ -319,7 +319,7 @@
 		if second.GetRevision() != 2 {
 			t.Errorf("the conflict names revision %d, want 2", second.GetRevision())
 		}
-		h.group.notifications <- group.Follow{Term: 2}
+		h.group.notifications <- group.Following{Term: 2}
 		h.elect(2)
 		if diff := cmp.Diff(first, h.applyChange("x", edit(7)), protocmp.Transform()); diff != "" {
 			t.Errorf("a resent change got another reply after a failover: %s", diff)
--- a/internal/control/leader/leadership.go
+++ b/internal/control/leader/leadership.go
@@ -106,25 +106,25 @@
 
 // becomeLeader starts leading. It builds a planner and the lease records from the
 // ledger.
-func (l *Leader) becomeLeader(n group.Lead) {
+func (l *Leader) becomeLeader(n group.Leading) {
 	l.leadership = &leadership{
 		term:              n.Term,
-		electedAt:         n.Elected,
+		electedAt:         n.ElectedAt,
 		initialLedgerTime: l.ledger.Now(),
-		lastIndex:         n.Last,
-		commitIndex:       n.Last,
+		lastIndex:         n.LastIndex,
+		commitIndex:       n.LastIndex,
 		planner:           l.NewPlanner(),
-		leases:            lease.NewBook(l.LeaseTerms, n.Elected),
+		leases:            lease.NewBook(l.LeaseTerms, n.ElectedAt),
 		parkedWaits:       map[state.RequestID][]*parkedWait{},
 		sessions:          map[string]*session{},
 		updatedServers:    map[string]bool{},
-		digestCheckedAt:   n.Elected,
+		digestCheckedAt:   n.ElectedAt,
 		planNeeded:        true,
-		tableIndex:        n.Last,
+		tableIndex:        n.LastIndex,
 		answerCache:       newAnswerState(),
 		reported:          reportedState{servers: map[string]reportedServer{}, teamsOverLimit: map[string]bool{}, chartFaults: l.ledger.InvalidTransitions()},
 	}
-	l.appliedIndex = n.Last
+	l.appliedIndex = n.LastIndex
 	l.ledger.Observer = ledgerWatcher{l}
 	l.replayLedger()
 	if l.RootKey != nil && len(l.ledger.Keys()) == 0 {
@@ -134,9 +134,9 @@
 		}}})
 	}
 	l.status.Store(&Status{Leads: true, Term: n.Term})
-	event.Log(l.Log, event.LeaderElected, "term", n.Term, "index", n.Last)
+	event.Log(l.Log, event.LeaderElected, "term", n.Term, "index", n.LastIndex)
 	if l.Extension != nil {
-		l.Extension.OnElected(n.Term, n.Elected)
+		l.Extension.OnElected(n.Term, n.ElectedAt)
 	}
 	if l.leadership.reported.runningTasks > 0 {
 		event.Log(l.Log, event.RecoveryWait, "wait", l.LeaseTerms.Wait().String(), "tasks", l.leadership.reported.runningTasks)
@@ -173,7 +173,7 @@
 // becomeFollower stops leading. Commands in the working ledger that are not
 // committed are discarded, together with all held replies and effects. No caller
 // has seen any of them.
-func (l *Leader) becomeFollower(n group.Follow) {
+func (l *Leader) becomeFollower(n group.Following) {
 	if lead := l.leadership; lead != nil {
 		event.Log(l.Log, event.LeaderLost, "term", lead.term, "next", n.Leader)
 		if n.Leader == "" && n.Term == lead.term {
@@ -194,7 +194,7 @@
 	if l.OnDeposed != nil {
 		defer l.OnDeposed()
 	}
-	l.status.Store(&Status{Term: n.Term, Leader: n.Leader, Address: n.Address, Revision: l.ledger.Table().Revision(), Full: l.diskFull})
+	l.status.Store(&Status{Term: n.Term, Leader: n.Leader, Address: n.LeaderAddress, Revision: l.ledger.Table().Revision(), Full: l.diskFull})
 }
 
 // ledgerTime returns the ledger's time, which follows the time of day and never
@@ -258,7 +258,7 @@
 		return
 	}
 	first := lead.lastIndex + 1 - uint64(len(lead.pendingCommands))
-	if l.Group.Propose(group.Proposal{Term: lead.term, First: first, Commands: lead.pendingCommands}) {
+	if l.Group.Propose(group.Proposal{Term: lead.term, FirstIndex: first, Commands: lead.pendingCommands}) {
 		lead.pendingCommands = nil
 		lead.inFlightProposals = append(lead.inFlightProposals, inFlightProposal{lead.lastIndex, l.Now()})
 	}
--- a/internal/control/leader/member.go
+++ b/internal/control/leader/member.go
@@ -75,7 +75,7 @@
 	if len(lead.pendingCommands) > 0 {
 		return // the group has no room; the caller retries
 	}
-	if !l.Group.Propose(group.Proposal{Term: lead.term, First: lead.lastIndex + 1, Change: &m, Remove: remove}) {
+	if !l.Group.Propose(group.Proposal{Term: lead.term, FirstIndex: lead.lastIndex + 1, Member: &m, RemoveMember: remove}) {
 		return
 	}
 	lead.lastIndex++
--- a/internal/control/leader/notification.go
+++ b/internal/control/leader/notification.go
@@ -12,30 +12,30 @@
 )
 
 // handleNotification handles one notification from the group.
-func (l *Leader) handleNotification(notification group.Note) error {
+func (l *Leader) handleNotification(notification group.Notification) error {
 	switch n := notification.(type) {
-	case group.Lead:
+	case group.Leading:
 		l.becomeLeader(n)
-	case group.Follow:
+	case group.Following:
 		l.becomeFollower(n)
-	case group.Apply:
+	case group.ApplyEntries:
 		return l.applyEntries(n.Entries)
-	case group.Commit:
+	case group.CommitAdvanced:
 		if l.leadership != nil {
 			l.leadership.commitIndex = max(l.leadership.commitIndex, n.Index)
 			l.measureCommits(n.Index)
 		}
-	case group.Confirmed:
+	case group.LeadershipConfirmed:
 		if l.leadership != nil && n.Term == l.leadership.term {
-			l.leadership.confirmedAt = max(l.leadership.confirmedAt, n.Start)
+			l.leadership.confirmedAt = max(l.leadership.confirmedAt, n.StartedAt)
 			l.leadership.leadershipConfirmed = true
 		}
-	case group.Restore:
+	case group.RestoreSnapshot:
 		return l.restoreState(n)
-	case group.Members:
+	case group.MembershipChanged:
 		l.logMembership(n)
 		l.membership = n
-	case group.Full:
+	case group.JournalDiskFull:
 		l.logDiskFull(n.Full)
 		l.diskFull = n.Full
 		if l.leadership != nil {
@@ -72,7 +72,7 @@
 }
 
 // restoreState replaces the ledger by a snapshot.
-func (l *Leader) restoreState(n group.Restore) error {
+func (l *Leader) restoreState(n group.RestoreSnapshot) error {
 	restored, err := state.Decode(n.State)
 	if err != nil {
 		return err
--- a/internal/control/leader/snapshot_test.go
+++ b/internal/control/leader/snapshot_test.go
@@ -25,11 +25,11 @@
 			index := uint64(len(committedEntries)) + 1
 			committedEntries = append(committedEntries, quorum.Entry{Index: index, Term: 2, Kind: quorum.Empty})
 			if i == 0 {
-				h.group.notifications <- group.Follow{Term: 2, Leader: "c2/1"}
-				h.group.notifications <- group.Restore{}
+				h.group.notifications <- group.Following{Term: 2, Leader: "c2/1"}
+				h.group.notifications <- group.RestoreSnapshot{}
 			}
 		}
-		h.group.notifications <- group.Apply{Entries: committedEntries}
+		h.group.notifications <- group.ApplyEntries{Entries: committedEntries}
 		time.Sleep(time.Second)
 		if len(h.group.compactedStates()) == 0 {
 			t.Fatal("no snapshot of the committed state was made")
--- a/internal/replica/bootstrap/bootstrap.go
+++ b/internal/replica/bootstrap/bootstrap.go
@@ -1,6 +1,6 @@
-// Package bootstrap agrees on the first membership of a control group. Identities
-// are drawn at random when a data folder is made, so the replicas named in the
-// settings first ask each other who they are.
+// Package bootstrap determines the first membership of a control group. Each replica
+// generates a random identity when it creates its data folder, so the replicas named
+// in the settings first have to learn each other's identities.
 package bootstrap
 
 import (
@@ -18,124 +18,131 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// interval is the time between two rounds of asking.
-const interval = 200 * time.Millisecond
+// retryInterval is the time between two rounds of Hello calls.
+const retryInterval = 200 * time.Millisecond
 
-// ErrReplaced is returned when the group was founded by another disk of the
-// same name. A blank disk must not count as a first member: it would vote as a
-// replica that may have voted otherwise before.
-var ErrReplaced = errors.New("the group was founded already; start without --init and add this replica as a new member")
+// ErrIdentityReplaced is returned if the first membership contains another identity of
+// this replica, whose disk has been replaced since. A replica with an empty disk must
+// not act as a first member, because the earlier replica of the same name may already
+// have voted differently.
+var ErrIdentityReplaced = errors.New("the group already exists, and the identity of this replica is not one of its first members; start without --init and add this replica as a new member")
 
-// Handshake takes part in the founding. The exported fields are set before use.
+// Handshake exchanges identities with the other replicas. The exported fields must be
+// set before use.
 type Handshake struct {
 	Cell string
-	// Self is this replica's own NAME/NONCE and address.
+	// Self is the identity (NAME/NONCE) and the address of this replica.
 	Self quorum.Member
-	// Peers are the other replicas, with their names as ID.
+	// Peers are the other replicas. Their IDs are names without a nonce.
 	Peers []quorum.Member
 	// Client calls the other replicas.
 	Client *http.Client
 	// Scheme is http or https.
 	Scheme string
 
-	mu      sync.Mutex
-	members []quorum.Member
+	mu sync.Mutex
+	// firstMembers is the first membership. It is empty until it is known.
+	firstMembers []quorum.Member
 }
 
 var _ inner.Bootstrap = (*Handshake)(nil)
 
 // Handler returns the HTTP handler of the service.
-func (f *Handshake) Handler() http.Handler { return inner.NewBootstrapServer(f) }
-
-// Know sets the first membership of a replica that was founded before.
-func (f *Handshake) Know(ids []string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.members = nil
+func (h *Handshake) Handler() http.Handler { return inner.NewBootstrapServer(h) }
+
+// SetMembers sets the first membership of a replica that already has one on its disk.
+// Hello then returns it to replicas that are still waiting for the membership.
+func (h *Handshake) SetMembers(ids []string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.firstMembers = nil
 	for _, id := range ids {
-		f.members = append(f.members, quorum.Member{ID: id})
+		h.firstMembers = append(h.firstMembers, quorum.Member{ID: id})
 	}
 }
 
-// Hello tells who this replica is.
-func (f *Handshake) Hello(_ context.Context, req *inner.HelloRequest) (*inner.HelloReply, error) {
-	if req.GetCell() != f.Cell || req.GetTo() != name(f.Self.ID) {
-		return nil, twirp.NewError(twirp.PermissionDenied, "this is "+name(f.Self.ID)+" of cell "+f.Cell)
+// Hello returns the identity of this replica, and the first membership if it is known.
+func (h *Handshake) Hello(_ context.Context, req *inner.HelloRequest) (*inner.HelloReply, error) {
+	if req.GetCell() != h.Cell || req.GetTo() != replicaName(h.Self.ID) {
+		return nil, twirp.NewError(twirp.PermissionDenied, "request for another replica: this is "+replicaName(h.Self.ID)+" of cell "+h.Cell)
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	rep := &inner.HelloReply{Id: f.Self.ID}
-	for _, m := range f.members {
-		rep.Members = append(rep.Members, m.ID)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	reply := &inner.HelloReply{Id: h.Self.ID}
+	for _, m := range h.firstMembers {
+		reply.Members = append(reply.Members, m.ID)
 	}
-	return rep, nil
+	return reply, nil
 }
 
-// Agree asks the other replicas until all of them are known, or one of them
-// knows the first membership, and returns it.
-func (f *Handshake) Agree(ctx context.Context) ([]quorum.Member, error) {
-	known := map[string]quorum.Member{name(f.Self.ID): f.Self}
+// AgreeMembers calls the other replicas until all of them have sent their identity, or
+// until one of them has sent the first membership. It returns the first membership.
+func (h *Handshake) AgreeMembers(ctx context.Context) ([]quorum.Member, error) {
+	knownMembers := map[string]quorum.Member{replicaName(h.Self.ID): h.Self}
 	for {
-		for _, p := range f.Peers {
-			rep, err := f.ask(ctx, p)
+		for _, peer := range h.Peers {
+			reply, err := h.callHello(ctx, peer)
 			if err != nil {
 				continue
 			}
-			if len(rep.GetMembers()) > 0 {
-				return f.join(rep.GetMembers())
+			if len(reply.GetMembers()) > 0 {
+				return h.adoptMembers(reply.GetMembers())
 			}
-			known[p.ID] = quorum.Member{ID: rep.GetId(), Address: p.Address}
+			knownMembers[peer.ID] = quorum.Member{ID: reply.GetId(), Address: peer.Address}
 		}
-		if len(known) == len(f.Peers)+1 {
-			return f.settle(known), nil
+		if len(knownMembers) == len(h.Peers)+1 {
+			return h.setSortedMembers(knownMembers), nil
 		}
 		select {
-		case <-time.After(interval):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-func (f *Handshake) ask(ctx context.Context, p quorum.Member) (*inner.HelloReply, error) {
+// callHello asks a peer for its identity and the first membership. The timeout is 1 s.
+func (h *Handshake) callHello(ctx context.Context, peer quorum.Member) (*inner.HelloReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	c := inner.NewBootstrapProtobufClient(f.Scheme+"://"+p.Address, f.Client)
-	return c.Hello(ctx, &inner.HelloRequest{Cell: f.Cell, To: p.ID})
+	client := inner.NewBootstrapProtobufClient(h.Scheme+"://"+peer.Address, h.Client)
+	return client.Hello(ctx, &inner.HelloRequest{Cell: h.Cell, To: peer.ID})
 }
 
-// join takes the membership that another replica is sure of.
-func (f *Handshake) join(ids []string) ([]quorum.Member, error) {
-	if !slices.Contains(ids, f.Self.ID) {
-		return nil, ErrReplaced
+// adoptMembers accepts the first membership that another replica has sent.
+func (h *Handshake) adoptMembers(ids []string) ([]quorum.Member, error) {
+	if !slices.Contains(ids, h.Self.ID) {
+		return nil, ErrIdentityReplaced
 	}
-	known := map[string]quorum.Member{}
+	membersByName := map[string]quorum.Member{}
 	for _, id := range ids {
-		m := quorum.Member{ID: id, Address: f.Self.Address}
-		for _, p := range f.Peers {
-			if p.ID == name(id) {
-				m.Address = p.Address
+		m := quorum.Member{ID: id, Address: h.Self.Address}
+		for _, peer := range h.Peers {
+			if peer.ID == replicaName(id) {
+				m.Address = peer.Address
 			}
 		}
-		known[name(id)] = m
+		membersByName[replicaName(id)] = m
 	}
-	return f.settle(known), nil
+	return h.setSortedMembers(membersByName), nil
 }
 
-// settle fixes the membership, in the same order on every replica.
-func (f *Handshake) settle(known map[string]quorum.Member) []quorum.Member {
-	out := make([]quorum.Member, 0, len(known))
-	for _, m := range known {
-		out = append(out, m)
+// setSortedMembers stores the membership, sorted so that it is the same on every
+// replica.
+func (h *Handshake) setSortedMembers(membersByName map[string]quorum.Member) []quorum.Member {
+	members := make([]quorum.Member, 0, len(membersByName))
+	for _, m := range membersByName {
+		members = append(members, m)
 	}
-	slices.SortFunc(out, func(a, b quorum.Member) int { return strings.Compare(a.ID, b.ID) })
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.members = out
-	return out
+	slices.SortFunc(members, func(a, b quorum.Member) int { return strings.Compare(a.ID, b.ID) })
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.firstMembers = members
+	return members
 }
 
-func name(id string) string {
-	n, _, _ := strings.Cut(id, "/")
-	return n
+// replicaName returns the NAME part of an identity NAME/NONCE.
+func replicaName(id string) string {
+	name, _, _ := strings.Cut(id, "/")
+	return name
 }
--- a/internal/replica/group/note.go
+++ b/internal/replica/group/note.go
@@ -1,6 +1,7 @@
-// Package group runs one replica of the control group: it ties the consensus
-// core to the journal, the snapshots and the peers, on one goroutine of its own,
-// so that a long decision of the control thread never delays a heartbeat.
+// Package group runs one replica of the control group. It connects the consensus
+// core to the journal, the snapshots and the other replicas. The event loop has
+// its own goroutine, so that a long decision of the control thread never delays
+// a heartbeat.
 package group
 
 import (
@@ -10,74 +11,85 @@
 )
 
 // Proposal is a batch of commands that the control thread has applied to its
-// working ledger. The control thread is the only one that appends, so it knows
-// the indexes: First is one past the last index of the Lead note or of the
-// proposal before. A proposal of another term or with a gap is dropped whole.
+// working ledger. Only the control thread appends to the log, so it knows the log
+// index of each command in advance. The group drops the whole proposal if it has
+// another term or leaves a gap in the log.
 type Proposal struct {
-	Term     uint64
-	First    uint64
-	Commands [][]byte
-	// Change is set instead of Commands to change the membership.
-	Change *quorum.Member
-	// Remove tells that Change removes the member.
-	Remove bool
+	Term uint64
+	// FirstIndex is the log index of the first command. It follows LastIndex of the
+	// Leading notification or the last index of the previous proposal.
+	FirstIndex uint64
+	Commands   [][]byte
+	// Member is set instead of Commands in a proposal that changes the membership.
+	Member *quorum.Member
+	// RemoveMember reports whether the proposal removes Member instead of adding or
+	// updating it.
+	RemoveMember bool
 }
 
-// Note is what the group tells the control thread, in order.
-type Note interface{ note() }
+// Notification is a message from the group to the control thread. Notifications
+// are delivered in order.
+type Notification interface{ isNotification() }
 
-// Lead tells that this replica leads in Term, that every entry up to Last has
-// been given out by Apply, and that the next proposal starts at Last+1.
-type Lead struct {
+// Leading reports that this replica has become the leader in Term. All entries up
+// to LastIndex have been delivered in ApplyEntries notifications.
+type Leading struct {
 	Term uint64
-	Last uint64
-	// Elected is the time of the election on the clock of Config.Now.
-	Elected time.Duration
+	// LastIndex is the last index of the log. The next proposal starts at LastIndex+1.
+	LastIndex uint64
+	// ElectedAt is the time of the election on the clock of Group.Now.
+	ElectedAt time.Duration
 }
 
-// Follow tells that this replica does not lead (any more). Leader is empty
-// while none is known.
-type Follow struct {
-	Term    uint64
-	Leader  string
-	Address string
+// Following reports that this replica is not the leader, or no longer.
+type Following struct {
+	Term uint64
+	// Leader is the ID of the leader. It is empty while the leader is unknown.
+	Leader        string
+	LeaderAddress string
 }
 
-// Apply gives committed entries to a replica that does not lead.
-type Apply struct{ Entries []quorum.Entry }
+// ApplyEntries delivers committed log entries to a replica that does not lead.
+type ApplyEntries struct{ Entries []quorum.Entry }
 
-// Commit tells the leader that its proposals up to Index are committed.
-type Commit struct{ Index uint64 }
+// CommitAdvanced reports to the leader that its proposals up to the log index
+// Index are committed.
+type CommitAdvanced struct{ Index uint64 }
 
-// Confirmed tells the leader that a quorum confirmed, in its term, a heartbeat
-// round that began at Start on the clock of Config.Now.
-type Confirmed struct {
-	Term  uint64
-	Start time.Duration
+// LeadershipConfirmed reports to the leader that a quorum has answered a heartbeat
+// round in the term Term.
+type LeadershipConfirmed struct {
+	Term uint64
+	// StartedAt is the start of the heartbeat round on the clock of Group.Now.
+	StartedAt time.Duration
 }
 
-// Restore replaces the ledger by a snapshot taken at Index; Apply notes with
-// the entries after it follow. State is empty at Index 0: an empty ledger.
-type Restore struct {
+// RestoreSnapshot replaces the ledger by a snapshot. ApplyEntries notifications
+// with the entries after Index follow.
+type RestoreSnapshot struct {
+	// Index is the log index of the last entry that the snapshot contains.
 	Index uint64
+	// State is the encoded ledger. It is empty if Index is 0, which means an empty
+	// ledger.
 	State []byte
 }
 
-// Members tells the membership in force.
-type Members struct {
+// MembershipChanged delivers the membership that is now in force.
+type MembershipChanged struct {
 	Members []quorum.Member
-	// Self is this replica's own ID.
+	// Self is the ID of this replica.
 	Self string
 }
 
-// Full tells whether the journal has too little room on its disk for new work.
-type Full struct{ Full bool }
+// JournalDiskFull reports whether the disk of the journal has too little free
+// space to accept new work.
+type JournalDiskFull struct{ Full bool }
 
-func (Lead) note()      {}
-func (Follow) note()    {}
-func (Apply) note()     {}
-func (Commit) note()    {}
-func (Confirmed) note() {}
-func (Restore) note()   {}
-func (Members) note()   {}
-func (Full) note()      {}
+func (Leading) isNotification()             {}
+func (Following) isNotification()           {}
+func (ApplyEntries) isNotification()        {}
+func (CommitAdvanced) isNotification()      {}
+func (LeadershipConfirmed) isNotification() {}
+func (RestoreSnapshot) isNotification()     {}
+func (MembershipChanged) isNotification()   {}
+func (JournalDiskFull) isNotification()     {}
--- a/internal/replica/group/store.go
+++ b/internal/replica/group/store.go
@@ -11,165 +11,179 @@
 	"gypsumreel/internal/replica/snapshot"
 )
 
-// journalist writes and syncs on a goroutine of its own, so that a slow disk
-// delays no heartbeat. The core has at most one write on its way.
-type journalist struct {
+// journalWriter writes to the journal and syncs it on a separate goroutine, so that
+// a slow disk does not delay heartbeats. The core has at most one write in
+// progress.
+type journalWriter struct {
 	*Group
-	// last is the index that the journal ends with, 0 while it is empty.
-	last uint64
-	full bool
+	// lastIndex is the index of the last entry in the journal. It is 0 while the
+	// journal is empty.
+	lastIndex uint64
+	// reportedFull is the disk state that the event loop was told last.
+	reportedFull bool
 }
 
-func last(entries []quorum.Entry) uint64 {
+// lastEntryIndex returns the index of the last entry, or 0 if there is none.
+func lastEntryIndex(entries []quorum.Entry) uint64 {
 	if len(entries) == 0 {
 		return 0
 	}
 	return entries[len(entries)-1].Index
 }
 
-func (j *journalist) run(ctx context.Context) {
+func (j *journalWriter) run(ctx context.Context) {
 	defer j.close()
-	look := time.NewTicker(freeInterval)
-	defer look.Stop()
-	j.look()
+	spaceCheck := time.NewTicker(freeSpaceCheckInterval)
+	defer spaceCheck.Stop()
+	j.checkFreeSpace()
 	for {
 		var err error
 		select {
 		case <-ctx.Done():
 			return
-		case w := <-j.writes:
-			if err = j.write(ctx, w); err == nil {
-				j.synced <- outcome{ev: quorum.Synced{Seq: w.Seq}}
+		case write := <-j.journalWrites:
+			if err = j.write(ctx, write); err == nil {
+				j.diskResults <- diskResult{event: quorum.Synced{Seq: write.Seq}}
 			}
-		case index := <-j.drops:
+		case index := <-j.journalCompactions:
 			err = j.compact(index)
-		case <-look.C:
-			j.look()
+		case <-spaceCheck.C:
+			j.checkFreeSpace()
 		}
 		if err != nil {
-			j.synced <- outcome{err: err}
+			j.diskResults <- diskResult{err: err}
 			return
 		}
 	}
 }
 
-func (j *journalist) close() {
+func (j *journalWriter) close() {
 	if err := j.Journal.Close(); err != nil {
-		j.Log.Error(err, "close the journal")
+		j.Log.Error(err, "failed to close the journal")
 	}
 }
 
-// write writes and syncs once. After a failed sync nobody knows what the disk
-// holds, and a second try may pass without having written: the group ends.
-func (j *journalist) write(ctx context.Context, w quorum.Write) error {
-	if err := j.rebase(w.Entries); err != nil {
+// write appends to the journal and syncs it. A failed sync stops the group: the
+// contents of the disk are unknown, and a second sync may succeed although the
+// data was never written.
+func (j *journalWriter) write(ctx context.Context, write quorum.Write) error {
+	if err := j.compactBeforeGap(write.Entries); err != nil {
 		return err
 	}
 	for {
-		err := j.Journal.Append(w.Hard, w.Entries)
+		err := j.Journal.Append(write.Hard, write.Entries)
 		if err == nil {
 			break
 		}
 		if !disk.IsRetryable(err) {
-			return errors.Wrap(err, "append to the journal")
+			return errors.Wrap(err, "cannot append to the journal")
 		}
-		if err := j.wait(ctx); err != nil {
+		if err := j.waitForSpace(ctx); err != nil {
 			return err
 		}
 	}
-	if n := last(w.Entries); n > 0 {
-		j.last = n
+	if n := lastEntryIndex(write.Entries); n > 0 {
+		j.lastIndex = n
 	}
-	return errors.Wrap(j.Journal.Sync(), "sync the journal")
+	return errors.Wrap(j.Journal.Sync(), "cannot sync the journal")
 }
 
-// rebase empties a journal that ends before the snapshot from which the entries
-// go on.
-func (j *journalist) rebase(entries []quorum.Entry) error {
-	if len(entries) == 0 || j.last == 0 || entries[0].Index <= j.last+1 {
+// compactBeforeGap empties the journal if the entries do not continue it. This
+// happens after the replica has installed a snapshot that is newer than the end of
+// its journal.
+func (j *journalWriter) compactBeforeGap(entries []quorum.Entry) error {
+	if len(entries) == 0 || j.lastIndex == 0 || entries[0].Index <= j.lastIndex+1 {
 		return nil
 	}
 	return j.compact(entries[0].Index - 1)
 }
 
-func (j *journalist) compact(index uint64) error {
+// compact removes the entries up to index from the journal.
+func (j *journalWriter) compact(index uint64) error {
 	err := j.Journal.Compact(index)
 	if disk.IsRetryable(err) {
-		// Nothing hangs on it: the next snapshot tries again.
+		// Compaction only frees space. It is repeated after the next snapshot.
 		return nil
 	}
 	if err != nil {
-		return errors.Wrap(err, "compact the journal")
+		return errors.Wrap(err, "cannot compact the journal")
 	}
-	if j.last <= index {
-		j.last = 0
+	if j.lastIndex <= index {
+		j.lastIndex = 0
 	}
 	return nil
 }
 
-// wait holds a write back while the disk takes none: the replica acknowledges
-// nothing meanwhile, and goes on when there is room, or a snapshot made some.
-func (j *journalist) wait(ctx context.Context) error {
-	j.tell(true)
+// waitForSpace delays the next attempt to write to a full disk. The replica
+// acknowledges nothing in the meantime. A compaction that becomes possible after a
+// snapshot is done at once, since it can free space.
+func (j *journalWriter) waitForSpace(ctx context.Context) error {
+	j.reportFull(true)
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case index := <-j.drops:
+	case index := <-j.journalCompactions:
 		return j.compact(index)
-	case <-time.After(fullInterval):
+	case <-time.After(fullDiskRetryInterval):
 		return nil
 	}
 }
 
-// look tells the loop when the disk got full, or got room again.
-func (j *journalist) look() {
-	free, err := j.Journal.Free()
+// checkFreeSpace tells the event loop when the free disk space falls below the
+// minimum or rises above it again.
+func (j *journalWriter) checkFreeSpace() {
+	freeBytes, err := j.Journal.FreeBytes()
 	if err != nil {
 		return
 	}
-	want := j.Free
-	if want == 0 {
-		want = DefaultFree
+	minFreeBytes := j.MinFreeBytes
+	if minFreeBytes == 0 {
+		minFreeBytes = DefaultMinFreeBytes
 	}
-	j.tell(free < want)
+	j.reportFull(freeBytes < minFreeBytes)
 }
 
-func (j *journalist) tell(full bool) {
-	if full == j.full {
+// reportFull tells the event loop whether the disk is full, if that has changed.
+// If the event loop has not taken the previous report, it is left to the next
+// check.
+func (j *journalWriter) reportFull(full bool) {
+	if full == j.reportedFull {
 		return
 	}
 	select {
-	case j.Group.full <- full:
-		j.full = full
+	case j.Group.diskFull <- full:
+		j.reportedFull = full
 	default:
 	}
 }
 
-// snapshot saves snapshots on a goroutine of its own: they take long. One that
-// fails ends nothing: the log stands, and holds all that the snapshot would.
-func (g *Group) snapshot(ctx context.Context) {
+// saveSnapshots saves snapshots on a separate goroutine, since saving takes long. A
+// failure does not stop the group: the log is kept and contains everything that the
+// snapshot would.
+func (g *Group) saveSnapshots(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case s := <-g.saves:
-			g.synced <- outcome{ev: g.save(ctx, s)}
+		case s := <-g.snapshotsToSave:
+			g.diskResults <- diskResult{event: g.saveSnapshot(ctx, s)}
 		}
 	}
 }
 
-// save saves a snapshot, again and again with growing pauses. In the end it gives
-// it up, and the next one tries.
-func (g *Group) save(ctx context.Context, s quorum.Snapshot) quorum.Event {
+// saveSnapshot saves a snapshot and retries with exponential backoff. After
+// maxSaveAttempts failures it gives up, and the group continues with the next
+// snapshot.
+func (g *Group) saveSnapshot(ctx context.Context, s quorum.Snapshot) quorum.Event {
 	meta := snapshot.Meta{Index: s.Index, Term: s.Term, Members: s.Members}
-	for try := range saveTries {
+	for attempt := range maxSaveAttempts {
 		if err := g.Snapshots.Save(meta, s.State); err == nil {
 			return quorum.SnapshotSaved{Index: s.Index}
 		}
 		select {
 		case <-ctx.Done():
 			return quorum.SnapshotFailed{Index: s.Index}
-		case <-time.After(savePause << try):
+		case <-time.After(initialSaveBackoff << attempt):
 		}
 	}
 	return quorum.SnapshotFailed{Index: s.Index}
--- a/internal/replica/journal/frame.go
+++ b/internal/replica/journal/frame.go
@@ -129,7 +129,7 @@
 // decodeRecord decodes a record. Its entries do not share memory with b.
 func decodeRecord(b []byte) (record, error) {
 	var r record
-	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
+	err := wire.VisitFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fieldSyncedSize:
 			r.syncedSize = v
@@ -151,7 +151,7 @@
 
 func decodeHardState(b []byte) (quorum.Hard, error) {
 	var h quorum.Hard
-	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
+	err := wire.VisitFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fieldTerm:
 			h.Term = v
@@ -165,7 +165,7 @@
 
 func decodeEntry(b []byte) (quorum.Entry, error) {
 	var e quorum.Entry
-	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
+	err := wire.VisitFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fieldIndex:
 			e.Index = v
--- a/internal/replica/peer/order_test.go
+++ b/internal/replica/peer/order_test.go
@@ -15,19 +15,18 @@
 	"gypsumreel/internal/replica/peer"
 )
 
-// Two calls are under way at once and the later one is handled first, as
-// happens when a thread is held up. Its message must not overtake: the follower
-// would refuse entries that do not follow its log, and the leader start over with
-// a probe. A call that was lost holds the next one up for a moment only, and a
-// new connection starts over.
-func TestCallsAreTakenInTheirOrder(t *testing.T) {
+// Guards against messages that overtake each other when the server handles the later
+// of two concurrent calls first. The follower would refuse entries that leave a gap
+// in its log, and the leader would have to probe again. A lost call may delay its
+// successor only briefly, and a new connection starts a new sequence.
+func TestCallsAreHandledInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var got []string
-		p := &peer.Pool{Cell: "cell", Self: "b/1", Deliver: func(_ string, data []byte) { got = append(got, string(data)) }}
+		var delivered []string
+		p := &peer.Pool{Cell: "cell", Self: "b/1", Deliver: func(_ string, data []byte) { delivered = append(delivered, string(data)) }}
 		h := p.Handler()
-		call := func(wire, number uint64, text string) {
+		call := func(connectionID, number uint64, text string) {
 			body, err := proto.Marshal(&inner.DeliverRequest{
-				Cell: "cell", From: "a/1", To: "b/1", Wire: wire, Number: number,
+				Cell: "cell", From: "a/1", To: "b/1", Wire: connectionID, Number: number,
 				Envelopes: []*inner.Envelope{{Data: []byte(text)}},
 			})
 			if err != nil {
@@ -38,26 +37,26 @@
 			w := httptest.NewRecorder()
 			h.ServeHTTP(w, r)
 			if w.Code != http.StatusOK {
-				t.Errorf("%s: %d %s", text, w.Code, w.Body)
+				t.Errorf("call %q: status %d, body %s", text, w.Code, w.Body)
 			}
 		}
-		begin := time.Now()
+		startedAt := time.Now()
 		call(7, 1, "one")
 		go call(7, 3, "three")
 		synctest.Wait()
 		call(7, 2, "two")
 		synctest.Wait()
-		if time.Since(begin) > 0 {
-			t.Error("a call waited although the one before it had come")
+		if time.Since(startedAt) > 0 {
+			t.Error("a call waited although its predecessor had been handled")
 		}
 		call(7, 5, "five, four is lost")
-		if late := time.Since(begin); late == 0 || late > 100*time.Millisecond {
-			t.Errorf("the loss of a call held the next one up for %v", late)
+		if waited := time.Since(startedAt); waited == 0 || waited > 100*time.Millisecond {
+			t.Errorf("the loss of a call delayed its successor by %v, want more than 0 and at most 100 ms", waited)
 		}
 		call(8, 1, "a new connection")
 		call(7, 6, "a late call of the old one")
 		want := []string{"one", "two", "three", "five, four is lost", "a new connection", "a late call of the old one"}
-		if diff := cmp.Diff(want, got); diff != "" {
+		if diff := cmp.Diff(want, delivered); diff != "" {
 			t.Error(diff)
 		}
 	})
--- a/internal/replica/peer/peer.go
+++ b/internal/replica/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer carries consensus messages between the replicas of a control
-// group. Messages may be lost, never altered, and never come from another cell
-// or a replica that is not who it says; whoever sends must cope with loss.
+// Package peer transports consensus messages between the replicas of a control
+// group. It may lose messages, so senders must tolerate loss. It never alters them,
+// and it delivers no messages from other cells or from unauthenticated replicas.
 package peer
 
 import (
@@ -13,165 +13,171 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Defaults of a Pool.
+// Defaults and limits of a Pool.
 const (
-	// CallTimeout bounds a call with all that belongs to it, dialling too.
-	CallTimeout = time.Second
-	// QueueBytes bounds what waits for one peer.
-	QueueBytes = 32 << 20
-	// BatchBytes is what one call carries, but for a single larger message.
-	BatchBytes = 1 << 20
-	// MessageBytes bounds one message.
-	MessageBytes = 20 << 20
-	// IdleTimeout is how long the connection to a peer is kept without a message.
+	// DefaultCallTimeout is the default timeout of a call, including dialling.
+	DefaultCallTimeout = time.Second
+	// DefaultMaxQueueBytes is the default of Pool.MaxQueueBytes.
+	DefaultMaxQueueBytes = 32 << 20
+	// MaxBatchBytes limits the messages in one call. A single message may be larger.
+	MaxBatchBytes = 1 << 20
+	// MaxMessageBytes limits the size of one message. Send drops larger messages.
+	MaxMessageBytes = 20 << 20
+	// IdleTimeout is the time after which the connection to a peer is closed if no
+	// message is sent.
 	IdleTimeout = time.Minute
 )
 
-// Kind says what an Event tells.
-type Kind uint8
+// EventKind is the kind of an Event.
+type EventKind uint8
 
-// The kinds of event.
+// Kinds of events.
 const (
-	// Refused tells of a message that came in and was not delivered.
-	Refused Kind = iota + 1
-	// Failed tells that calls to a peer have begun to fail.
-	Failed
-	// Recovered tells that calls to a peer succeed again.
-	Recovered
-	// TooLarge tells of a message that exceeds MessageBytes and was not sent.
-	TooLarge
+	// MessageRefused means that a received message was not delivered.
+	MessageRefused EventKind = iota + 1
+	// CallsFailing means that calls to a peer have started to fail.
+	CallsFailing
+	// CallsRecovered means that calls to a peer succeed again.
+	CallsRecovered
+	// MessageTooLarge means that a message was not sent because it exceeds
+	// MaxMessageBytes.
+	MessageTooLarge
 )
 
-// Event is something that an operator may want to know.
+// Event reports a connection or message problem, or its end, to the operators.
 type Event struct {
-	Kind Kind
-	// Peer is the other side, as far as known.
+	Kind EventKind
+	// Peer is the ID of the other replica, or its address if the ID is unknown. In a
+	// MessageRefused event, the ID is not verified.
 	Peer string
-	// Err is the cause; nil for Recovered.
+	// Err is the cause. It is nil for CallsRecovered.
 	Err error
 }
 
-// Pool sends to all peers and takes what they send. Its fields are set before use.
+// Pool sends messages to all peers and receives messages from them. The exported
+// fields must be set before use.
 type Pool struct {
 	Cell string
-	// Self is this replica's own ID, NAME/NONCE or NAME.
+	// Self is the ID of this replica: NAME/NONCE or NAME.
 	Self string
-	// TLS holds the own certificate and the authorities that peers are checked
-	// with; both sides prove their name. Nil sends in plain.
+	// TLS holds the certificate of this replica and the authorities that verify the
+	// certificates of peers. Both sides authenticate each other. If it is nil, messages
+	// are sent without TLS.
 	TLS *tls.Config
-	// Deliver takes a message that came in; it must not block.
+	// Deliver handles a received message. It must not block.
 	Deliver func(from string, data []byte)
-	// Event takes events; it must not block. Nil drops them.
-	Event func(Event)
-	// Timeout of a call; CallTimeout when 0.
-	Timeout time.Duration
-	// Queue bounds the bytes that wait for one peer; QueueBytes when 0.
-	Queue int
-
-	once   sync.Once
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   chan struct{}
-	mu     sync.Mutex
-	links  map[string]*link
-	order  order
-	run    sync.WaitGroup
-	closed bool
+	// OnEvent handles events. It must not block. If it is nil, events are dropped.
+	OnEvent func(Event)
+	// CallTimeout is the timeout of a call. 0 selects DefaultCallTimeout.
+	CallTimeout time.Duration
+	// MaxQueueBytes limits the size of the messages that are queued for one peer.
+	// 0 selects DefaultMaxQueueBytes.
+	MaxQueueBytes int
+
+	initOnce       sync.Once
+	ctx            context.Context
+	cancel         context.CancelFunc
+	done           chan struct{}
+	mu             sync.Mutex
+	senders        map[string]*sender
+	callOrder      callOrder
+	sendersRunning sync.WaitGroup
+	closed         bool
 }
 
-// init makes the private parts on first use.
-func (p *Pool) init() {
-	p.once.Do(func() {
+// initialize sets up the unexported fields on first use.
+func (p *Pool) initialize() {
+	p.initOnce.Do(func() {
 		p.ctx, p.cancel = context.WithCancel(context.Background())
 		p.done = make(chan struct{})
-		p.links = map[string]*link{}
+		p.senders = map[string]*sender{}
 	})
 }
 
-// Send puts messages on the queue of a peer, whose oldest messages make room.
-// It never blocks, and tells nothing about arrival.
+// Send queues messages for a peer. If the queue is full, its oldest messages are
+// dropped. Send never blocks and does not report whether messages are delivered.
 func (p *Pool) Send(to, address string, data [][]byte) {
-	p.init()
+	p.initialize()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return
 	}
-	l := p.links[to]
-	if l == nil || l.address != address {
-		if l != nil {
-			l.stop()
+	s := p.senders[to]
+	if s == nil || s.address != address {
+		if s != nil {
+			s.cancel()
 		}
-		l = newLink(p, to, address)
-		p.links[to] = l
-		p.run.Add(1)
-		go l.run()
+		s = newSender(p, to, address)
+		p.senders[to] = s
+		p.sendersRunning.Add(1)
+		go s.run()
 	}
 	for _, b := range data {
-		if len(b) > MessageBytes {
-			p.tell(Event{TooLarge, to, errors.Newf("message of %d bytes, at most %d", len(b), MessageBytes)})
+		if len(b) > MaxMessageBytes {
+			p.report(Event{MessageTooLarge, to, errors.Newf("message of %d bytes exceeds the limit of %d bytes", len(b), MaxMessageBytes)})
 			continue
 		}
-		l.push(b)
+		s.enqueue(b)
 	}
 }
 
-// Close ends all connections and returns when everything has ended.
+// Close closes all connections and waits until all senders have stopped.
 func (p *Pool) Close() {
-	p.init()
+	p.initialize()
 	p.mu.Lock()
-	first := !p.closed
+	firstCall := !p.closed
 	p.closed = true
 	p.mu.Unlock()
 	p.cancel()
-	p.run.Wait()
-	if first {
+	p.sendersRunning.Wait()
+	if firstCall {
 		close(p.done)
 	}
 }
 
-// Done is closed once Close has ended everything.
+// Done returns a channel that is closed when Close has finished.
 func (p *Pool) Done() <-chan struct{} {
-	p.init()
+	p.initialize()
 	return p.done
 }
 
-// remove forgets a link that has had nothing to do; it tells false when
-// something has come in meanwhile.
-func (p *Pool) remove(l *link) bool {
+// removeIdle removes an idle sender. It returns false if a message has been queued in
+// the meantime.
+func (p *Pool) removeIdle(s *sender) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !l.empty() {
+	if !s.isEmpty() {
 		return false
 	}
-	if p.links[l.to] == l {
-		delete(p.links, l.to)
+	if p.senders[s.peerID] == s {
+		delete(p.senders, s.peerID)
 	}
 	return true
 }
 
-func (p *Pool) tell(e Event) {
-	if p.Event != nil {
-		p.Event(e)
+func (p *Pool) report(e Event) {
+	if p.OnEvent != nil {
+		p.OnEvent(e)
 	}
 }
 
-func (p *Pool) timeout() time.Duration {
-	if p.Timeout == 0 {
-		return CallTimeout
+func (p *Pool) callTimeout() time.Duration {
+	if p.CallTimeout == 0 {
+		return DefaultCallTimeout
 	}
-	return p.Timeout
+	return p.CallTimeout
 }
 
-func (p *Pool) queue() int {
-	if p.Queue == 0 {
-		return QueueBytes
+func (p *Pool) maxQueueBytes() int {
+	if p.MaxQueueBytes == 0 {
+		return DefaultMaxQueueBytes
 	}
-	return p.Queue
+	return p.MaxQueueBytes
 }
 
-// name returns the NAME of an ID, which is what certificates carry.
-func name(id string) string {
-	before, _, _ := strings.Cut(id, "/")
-	return before
+// replicaName returns the NAME part of an ID. Certificates are issued for that name.
+func replicaName(id string) string {
+	name, _, _ := strings.Cut(id, "/")
+	return name
 }
--- a/internal/replica/peer/stream.go
+++ b/internal/replica/peer/stream.go
@@ -9,85 +9,95 @@
 	"gypsumreel/internal/api/inner"
 )
 
-// Calls is how many calls to a peer are under way at the same time. With one, a
-// message waits up to a round trip for the call before it: between availability
-// zones that is most of the time that a commit takes.
-const Calls = 3
+// MaxConcurrentCalls limits the concurrent calls to one peer. With a single call, a
+// message would wait up to one round trip for the previous call. Between
+// availability zones, that is most of the latency of a commit.
+const MaxConcurrentCalls = 3
 
-// stream is the calls over one connection, numbered in the order of their messages.
-type stream struct {
-	link   *link
-	wire   *wire
-	id     uint64
-	number uint64
-	room   chan struct{}
-	failed chan error
-	first  atomic.Pointer[error]
-	worked atomic.Bool
-	calls  sync.WaitGroup
+// pipeline sends concurrent calls over one connection. The calls are numbered in the
+// order of their messages.
+type pipeline struct {
+	sender *sender
+	conn   *clientConn
+	// connectionID is a random number that identifies the connection to the peer.
+	connectionID uint64
+	// lastNumber is the number of the last call that was started.
+	lastNumber uint64
+	// slots holds one element for each running call.
+	slots    chan struct{}
+	failures chan error
+	firstErr atomic.Pointer[error]
+	// succeeded is true once a call has succeeded.
+	succeeded    atomic.Bool
+	runningCalls sync.WaitGroup
 }
 
-// open returns a stream with a connection of its own.
-func (l *link) open() *stream {
-	return &stream{link: l, wire: l.dial(), id: rand.Uint64(), room: make(chan struct{}, Calls), failed: make(chan error, Calls)}
+// openPipeline returns a pipeline with a new connection.
+func (s *sender) openPipeline() *pipeline {
+	return &pipeline{
+		sender: s, conn: s.newClientConn(), connectionID: rand.Uint64(),
+		slots: make(chan struct{}, MaxConcurrentCalls), failures: make(chan error, MaxConcurrentCalls),
+	}
 }
 
-// err returns the first failure of a call.
-func (s *stream) err() error {
-	if e := s.first.Load(); e != nil {
-		return *e
+// err returns the error of the first failed call, or nil.
+func (p *pipeline) err() error {
+	if err := p.firstErr.Load(); err != nil {
+		return *err
 	}
 	return nil
 }
 
-// acquire waits for room for one more call; it returns the failure of an earlier one.
-func (s *stream) acquire() error {
-	if err := s.err(); err != nil {
+// acquireSlot waits until another call may start. It returns an error if an earlier
+// call has failed or the sender is canceled.
+func (p *pipeline) acquireSlot() error {
+	if err := p.err(); err != nil {
 		return err
 	}
 	select {
-	case s.room <- struct{}{}:
+	case p.slots <- struct{}{}:
 		return nil
-	case err := <-s.failed:
+	case err := <-p.failures:
 		return err
-	case <-s.link.ctx.Done():
-		return s.link.ctx.Err()
+	case <-p.sender.ctx.Done():
+		return p.sender.ctx.Err()
 	}
 }
 
-// start makes the next call, for which acquire made room.
-func (s *stream) start(batch []*inner.Envelope) {
-	s.number++
-	number := s.number
-	s.calls.Go(func() {
-		defer func() { <-s.room }()
-		s.call(number, batch)
+// startCall starts the next call in the background. The caller must have acquired a
+// slot.
+func (p *pipeline) startCall(batch []*inner.Envelope) {
+	p.lastNumber++
+	number := p.lastNumber
+	p.runningCalls.Go(func() {
+		defer func() { <-p.slots }()
+		p.call(number, batch)
 	})
 }
 
-// call makes one call, within a bounded time.
-func (s *stream) call(number uint64, batch []*inner.Envelope) {
-	l := s.link
-	ctx, cancel := context.WithTimeout(l.ctx, l.pool.timeout())
+// call delivers one batch within the call timeout and records the result.
+func (p *pipeline) call(number uint64, batch []*inner.Envelope) {
+	s := p.sender
+	ctx, cancel := context.WithTimeout(s.ctx, s.pool.callTimeout())
 	defer cancel()
-	_, err := s.wire.Deliver(ctx, &inner.DeliverRequest{
-		Cell: l.pool.Cell, From: l.pool.Self, To: l.to, Envelopes: batch, Wire: s.id, Number: number,
+	_, err := p.conn.Deliver(ctx, &inner.DeliverRequest{
+		Cell: s.pool.Cell, From: s.pool.Self, To: s.peerID, Envelopes: batch, Wire: p.connectionID, Number: number,
 	})
 	if err == nil {
-		s.worked.Store(true)
-		l.recover()
+		p.succeeded.Store(true)
+		s.reportRecovery()
 		return
 	}
-	s.first.CompareAndSwap(nil, &err)
-	s.failed <- err
+	p.firstErr.CompareAndSwap(nil, &err)
+	p.failures <- err
 	select {
-	case l.wake <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// close ends the connection and returns when all calls have ended.
-func (s *stream) close() {
-	s.wire.close()
-	s.calls.Wait()
+// close closes the connection and waits until all running calls have returned.
+func (p *pipeline) close() {
+	p.conn.close()
+	p.runningCalls.Wait()
 }
--- a/internal/replica/wire/wire.go
+++ b/internal/replica/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire walks messages in protobuf's wire format, for the files whose
-// layout the system fixes by hand.
+// Package wire parses messages in the protobuf wire format. It is used for the files
+// whose encoding is written by hand instead of generated.
 package wire
 
 import (
@@ -7,36 +7,38 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// ErrMalformed means that bytes are no message of varint and bytes fields.
+// ErrMalformed is returned for bytes that are not a valid message with only varint and
+// bytes fields. Packages journal and snapshot also use it for records with invalid values.
 var ErrMalformed = errors.New("record is malformed")
 
-// Visit takes one field: v of a varint, data of a bytes field. Data shares the
-// memory of the message.
-type Visit func(f protowire.Number, v uint64, data []byte) error
+// FieldVisitor handles one field. value is set for a varint field, data for a bytes
+// field. data shares the memory of the message.
+type FieldVisitor func(number protowire.Number, value uint64, data []byte) error
 
-// Fields calls visit for each field of a message, until it returns an error.
-func Fields(b []byte, visit Visit) error {
+// VisitFields calls visit for each field of a message. It stops at the first error of
+// visit and returns that.
+func VisitFields(b []byte, visit FieldVisitor) error {
 	for len(b) > 0 {
-		f, kind, n := protowire.ConsumeTag(b)
-		if n < 0 {
+		number, kind, length := protowire.ConsumeTag(b)
+		if length < 0 {
 			return ErrMalformed
 		}
-		b = b[n:]
-		var v uint64
+		b = b[length:]
+		var value uint64
 		var data []byte
 		switch kind {
 		case protowire.VarintType:
-			v, n = protowire.ConsumeVarint(b)
+			value, length = protowire.ConsumeVarint(b)
 		case protowire.BytesType:
-			data, n = protowire.ConsumeBytes(b)
+			data, length = protowire.ConsumeBytes(b)
 		default:
 			return ErrMalformed
 		}
-		if n < 0 {
+		if length < 0 {
 			return ErrMalformed
 		}
-		b = b[n:]
-		if err := visit(f, v, data); err != nil {
+		b = b[length:]
+		if err := visit(number, value, data); err != nil {
 			return err
 		}
 	}
