--- a/internal/api/inner/bootstrap.twirp.go
+++ b/internal/api/inner/bootstrap.twirp.go
@@ -31,9 +31,10 @@
 // Bootstrap Interface
 // ===================
 
-// Bootstrap lets the first replicas of a cell learn each other's identities.
+// Bootstrap lets the first replicas of a cell exchange their identities.
 type Bootstrap interface {
-	// Hello tells who a replica is and what it knows of the first membership.
+	// Hello returns the identity of a replica, and the first membership if the replica
+	// knows it.
 	Hello(context.Context, *HelloRequest) (*HelloReply, error)
 }
 
--- a/internal/api/inner/replica.twirp.go
+++ b/internal/api/inner/replica.twirp.go
@@ -26,9 +26,10 @@
 // Replica Interface
 // =================
 
-// Replica carries consensus messages between control replicas.
+// Replica transports consensus messages between control replicas.
 type Replica interface {
-	// Deliver takes messages; answers travel as messages of their own.
+	// Deliver accepts a batch of messages. Responses to them are sent as separate
+	// messages in the opposite direction.
 	Deliver(context.Context, *DeliverRequest) (*DeliverReply, error)
 }
 
