--- a/internal/control/dispatch/takeover_test.go
+++ b/internal/control/dispatch/takeover_test.go
@@ -64,7 +64,7 @@
 			worst = max(worst, time.Since(begin))
 			time.Sleep(50 * time.Millisecond)
 		}
-		if worst > quorum.DefaultElection/2 {
+		if worst > quorum.DefaultElectionTimeout/2 {
 			t.Errorf("a heartbeat waited for %v", worst)
 		}
 	})
--- a/internal/control/leader/harness_test.go
+++ b/internal/control/leader/harness_test.go
@@ -47,7 +47,7 @@
 		return true // dropped whole, as the real one does
 	}
 	for _, c := range p.Commands {
-		g.log = append(g.log, quorum.Entry{Index: uint64(len(g.log)) + 1, Term: p.Term, Kind: quorum.Command, Data: c})
+		g.log = append(g.log, quorum.Entry{Index: uint64(len(g.log)) + 1, Term: p.Term, Kind: quorum.EntryCommand, Data: c})
 	}
 	if !g.held {
 		g.commit()
--- a/internal/control/leader/note.go
+++ b/internal/control/leader/note.go
@@ -55,7 +55,7 @@
 			return errors.Newf("the log jumps from %d to %d", l.applied, e.Index)
 		}
 		l.applied = e.Index
-		if e.Kind != quorum.Command {
+		if e.Kind != quorum.EntryCommand {
 			continue
 		}
 		c, err := command.Decode(e.Data)
--- a/internal/control/leader/snapshot_test.go
+++ b/internal/control/leader/snapshot_test.go
@@ -23,7 +23,7 @@
 		time.Sleep(time.Second) // the snapshot is written and waits for its commit
 		for i := range 50 {
 			index := uint64(len(agreed)) + 1
-			agreed = append(agreed, quorum.Entry{Index: index, Term: 2, Kind: quorum.Empty})
+			agreed = append(agreed, quorum.Entry{Index: index, Term: 2, Kind: quorum.EntryNoOp})
 			if i == 0 {
 				c.g.notes <- group.Follow{Term: 2, Leader: "c2/1"}
 				c.g.notes <- group.Restore{}
--- a/internal/control/node/assemble.go
+++ b/internal/control/node/assemble.go
@@ -77,7 +77,7 @@
 func (n *Node) configure(self quorum.Member, g *group.Group) {
 	cfg := &g.Config
 	cfg.ID, cfg.Address = self.ID, self.Address
-	cfg.Heartbeat, cfg.Election, cfg.Patience = n.Heartbeat, n.Election, n.Patience
+	cfg.HeartbeatInterval, cfg.ElectionTimeout, cfg.MaxElectionTimeout = n.Heartbeat, n.Election, n.Patience
 	var seed [8]byte
 	_, _ = rand.Read(seed[:])
 	cfg.Seed = binary.LittleEndian.Uint64(seed[:])
--- a/internal/control/node/node.go
+++ b/internal/control/node/node.go
@@ -179,7 +179,7 @@
 		return ErrJournalGone
 	}
 	n.self.Store(self.ID)
-	saved.Hard, saved.Entries = recovered.Hard, recovered.Entries
+	saved.HardState, saved.Entries = recovered.Hard, recovered.Entries
 	return n.serve(ctx, self, disks{journal: log, snapshots: store, saved: saved})
 }
 
@@ -192,12 +192,12 @@
 	}}.Open(filepath.Join(n.Data, "journal"))
 }
 
-func load(store snapshot.Store) (quorum.Saved, error) {
+func load(store snapshot.Store) (quorum.PersistedState, error) {
 	meta, data, err := store.Load()
 	if err != nil {
-		return quorum.Saved{}, err
+		return quorum.PersistedState{}, err
 	}
-	return quorum.Saved{Snapshot: quorum.Snapshot{Index: meta.Index, Term: meta.Term, Members: meta.Members, State: data}}, nil
+	return quorum.PersistedState{Snapshot: quorum.Snapshot{Index: meta.Index, Term: meta.Term, Members: meta.Members, State: data}}, nil
 }
 
 // identity returns this replica's own, and whether its disk is blank.
@@ -219,7 +219,7 @@
 type disks struct {
 	journal   *journal.Journal
 	snapshots snapshot.Store
-	saved     quorum.Saved
+	saved     quorum.PersistedState
 }
 
 // serve runs all parts until ctx ends or one of them fails.
--- a/internal/replica/disk/matrix_test.go
+++ b/internal/replica/disk/matrix_test.go
@@ -322,12 +322,12 @@
 		t.Fatal(err)
 	}
 	for term := uint64(1); term <= 8; term++ {
-		must(t, "append", j.Append(&quorum.Hard{Term: term}, nil))
+		must(t, "append", j.Append(&quorum.HardState{Term: term}, nil))
 	}
 	must(t, "close", j.Close())
 	_, got, err := c.Open(journalDir)
 	must(t, "open again", err)
-	if diff := cmp.Diff(journal.Recovered{Hard: quorum.Hard{Term: 8}}, got); diff != "" {
+	if diff := cmp.Diff(journal.Recovered{Hard: quorum.HardState{Term: 8}}, got); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -398,17 +398,17 @@
 	d := &eager{Disk: m}
 	j, _, err := journal.Config{Disk: d, Reserve: reserve}.Open(journalDir)
 	must(t, "open", err)
-	must(t, "append", j.Append(&quorum.Hard{Term: 1}, nil))
+	must(t, "append", j.Append(&quorum.HardState{Term: 1}, nil))
 	d.during = func() {
 		d.during = nil
-		must(t, "append during the sync", j.Append(&quorum.Hard{Term: 2}, nil))
+		must(t, "append during the sync", j.Append(&quorum.HardState{Term: 2}, nil))
 	}
 	must(t, "sync", j.Sync())
 	must(t, "sync again", j.Sync())
 	m.Restart(disk.Lost)
 	_, got, err := journal.Config{Disk: m, Reserve: reserve}.Open(journalDir)
 	must(t, "open again", err)
-	if diff := cmp.Diff(journal.Recovered{Hard: quorum.Hard{Term: 2}}, got); diff != "" {
+	if diff := cmp.Diff(journal.Recovered{Hard: quorum.HardState{Term: 2}}, got); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/replica/disk/replica_test.go
+++ b/internal/replica/disk/replica_test.go
@@ -38,7 +38,7 @@
 func (h *history) last() journal.Recovered { return h.states[len(h.states)-1] }
 
 // append adds the state that an append makes.
-func (h *history) append(hard *quorum.Hard, entries []quorum.Entry) {
+func (h *history) append(hard *quorum.HardState, entries []quorum.Entry) {
 	next := h.last()
 	if hard != nil {
 		next.Hard = *hard
@@ -74,10 +74,10 @@
 
 func appendStep(term, first, last uint64) step {
 	return step{fmt.Sprintf("append %d to %d", first, last), func(r *replica) error {
-		hard := quorum.Hard{Term: term, Vote: fmt.Sprintf("vote of %d", term)}
+		hard := quorum.HardState{Term: term, Vote: fmt.Sprintf("vote of %d", term)}
 		var entries []quorum.Entry
 		for i := first; i <= last; i++ {
-			entries = append(entries, quorum.Entry{Index: i, Term: term, Kind: quorum.Command, Data: fmt.Appendf(nil, "data of %d/%d", term, i)})
+			entries = append(entries, quorum.Entry{Index: i, Term: term, Kind: quorum.EntryCommand, Data: fmt.Appendf(nil, "data of %d/%d", term, i)})
 		}
 		n := len(r.h.states)
 		r.h.append(&hard, entries)
--- a/internal/replica/group/bench_test.go
+++ b/internal/replica/group/bench_test.go
@@ -81,7 +81,7 @@
 		entries := make([]quorum.Entry, len(rs))
 		for i := range rs {
 			index++
-			entries[i] = quorum.Entry{Index: index, Term: 1, Kind: quorum.Command, Data: data}
+			entries[i] = quorum.Entry{Index: index, Term: 1, Kind: quorum.EntryCommand, Data: data}
 		}
 		if err := j.Append(nil, entries); err != nil {
 			b.Error(err)
@@ -209,7 +209,7 @@
 			b.Fatal(err)
 		}
 		g := &group.Group{
-			Config:  quorum.Config{ID: m.ID, Address: m.Address, Seed: uint64(i), Bootstrap: members},
+			Config:  quorum.Config{ID: m.ID, Address: m.Address, Seed: uint64(i), InitialMembers: members},
 			Journal: j, Snapshots: snapshot.Store{Dir: filepath.Join(dir, "snapshot")},
 			Now: func() time.Duration { return time.Since(start) }, Log: logr.Discard(),
 		}
--- a/internal/replica/group/fake_test.go
+++ b/internal/replica/group/fake_test.go
@@ -18,7 +18,7 @@
 // memory is a journal and a snapshot store that survive their group.
 type memory struct {
 	mu       sync.Mutex
-	hard     quorum.Hard
+	hard     quorum.HardState
 	entries  []quorum.Entry
 	snapshot quorum.Snapshot
 	// broken is what Sync returns, refuse what Append does.
@@ -32,7 +32,7 @@
 	stall   chan struct{}
 }
 
-func (m *memory) Append(hard *quorum.Hard, entries []quorum.Entry) error {
+func (m *memory) Append(hard *quorum.HardState, entries []quorum.Entry) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.refuse != nil {
@@ -99,10 +99,10 @@
 	return nil
 }
 
-func (m *memory) saved() quorum.Saved {
+func (m *memory) saved() quorum.PersistedState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return quorum.Saved{Hard: m.hard, Entries: append([]quorum.Entry(nil), m.entries...), Snapshot: m.snapshot}
+	return quorum.PersistedState{HardState: m.hard, Entries: append([]quorum.Entry(nil), m.entries...), Snapshot: m.snapshot}
 }
 
 // network carries messages with a delay of 1.5 ms; a silent replica gets and
@@ -162,7 +162,7 @@
 	t.Helper()
 	r := &replica{disk: disk, err: make(chan error, 1), mine: map[uint64]string{}}
 	r.g = &group.Group{
-		Config:  quorum.Config{ID: id, Address: id, Seed: uint64(len(id) + int(id[0])), Bootstrap: bootstrap},
+		Config:  quorum.Config{ID: id, Address: id, Seed: uint64(len(id) + int(id[0])), InitialMembers: bootstrap},
 		Saved:   disk.saved(),
 		Journal: disk, Snapshots: disk, Peer: link{n, id},
 		Now: func() time.Duration { return time.Since(start) },
@@ -208,7 +208,7 @@
 		}
 	case group.Commit:
 		for r.commit < n.Index {
-			r.apply(quorum.Entry{Index: r.commit + 1, Kind: quorum.Command, Data: []byte(r.mine[r.commit+1])})
+			r.apply(quorum.Entry{Index: r.commit + 1, Kind: quorum.EntryCommand, Data: []byte(r.mine[r.commit+1])})
 		}
 	case group.Confirmed:
 		r.confirm = n.Start
@@ -227,7 +227,7 @@
 
 func (r *replica) apply(e quorum.Entry) {
 	r.commit = e.Index
-	if e.Kind == quorum.Command && len(e.Data) > 0 {
+	if e.Kind == quorum.EntryCommand && len(e.Data) > 0 {
 		r.state = append(r.state, string(e.Data))
 	}
 }
--- a/internal/replica/group/group.go
+++ b/internal/replica/group/group.go
@@ -50,7 +50,7 @@
 type Journal interface {
 	// Append writes without syncing. An entry with an index that is present
 	// replaces it and everything after it. disk.ErrFull leaves the journal as it was.
-	Append(hard *quorum.Hard, entries []quorum.Entry) error
+	Append(hard *quorum.HardState, entries []quorum.Entry) error
 	Sync() error
 	// Compact may forget entries up to index. A journal that ends there is empty
 	// afterwards and goes on with any index.
@@ -78,7 +78,7 @@
 	// Config is that of the core: identity, address, timeouts, seed, bootstrap.
 	Config quorum.Config
 	// Saved is what the journal and the snapshots held at the start.
-	Saved     quorum.Saved
+	Saved     quorum.PersistedState
 	Journal   Journal
 	Snapshots Snapshots
 	Peer      Peer
@@ -97,7 +97,7 @@
 	asks      chan ask
 	confirms  chan struct{}
 	synced    chan outcome
-	writes    chan quorum.Write
+	writes    chan quorum.JournalWrite
 	drops     chan uint64
 	saves     chan quorum.Snapshot
 	full      chan bool
@@ -137,7 +137,7 @@
 		g.asks = make(chan ask)
 		g.confirms = make(chan struct{}, 1)
 		g.synced = make(chan outcome, 4)
-		g.writes = make(chan quorum.Write, 1)
+		g.writes = make(chan quorum.JournalWrite, 1)
 		g.drops = make(chan uint64, 1)
 		g.saves = make(chan quorum.Snapshot, 1)
 		g.full = make(chan bool, 1)
@@ -184,7 +184,7 @@
 // Messages that find no room are dropped, as if the network had lost them.
 func (g *Group) Receive(from string, data []byte) {
 	g.init()
-	m, err := quorum.Decode(g.Config.ID, from, data)
+	m, err := quorum.DecodeMessage(g.Config.ID, from, data)
 	if err != nil {
 		g.Log.V(1).Info("message dropped", "from", from, "error", err.Error())
 		return
--- a/internal/replica/group/group_test.go
+++ b/internal/replica/group/group_test.go
@@ -211,7 +211,7 @@
 		rs[away].cancel()
 		<-rs[away].g.Done()
 		big := strings.Repeat("x", 1<<20)
-		for range 2 * quorum.DefaultTail >> 20 {
+		for range 2 * quorum.DefaultLogTailBytes >> 20 {
 			l.propose(big)
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -261,7 +261,7 @@
 	t.Helper()
 	d, n, self := roomy(), newNetwork(), quorum.Member{ID: "a/1", Address: "a/1"}
 	g := &group.Group{
-		Config:  quorum.Config{ID: self.ID, Address: self.Address, Seed: 1, Bootstrap: []quorum.Member{self}},
+		Config:  quorum.Config{ID: self.ID, Address: self.Address, Seed: 1, InitialMembers: []quorum.Member{self}},
 		Journal: d, Snapshots: d, Peer: link{n, self.ID},
 		Now: func() time.Duration { return time.Since(start) }, Log: logr.Discard(),
 	}
--- a/internal/replica/group/store.go
+++ b/internal/replica/group/store.go
@@ -39,7 +39,7 @@
 			return
 		case w := <-j.writes:
 			if err = j.write(ctx, w); err == nil {
-				j.synced <- outcome{ev: quorum.Synced{Seq: w.Seq}}
+				j.synced <- outcome{ev: quorum.WriteSynced{Seq: w.Seq}}
 			}
 		case index := <-j.drops:
 			err = j.compact(index)
@@ -61,12 +61,12 @@
 
 // write writes and syncs once. After a failed sync nobody knows what the disk
 // holds, and a second try may pass without having written: the group ends.
-func (j *journalist) write(ctx context.Context, w quorum.Write) error {
+func (j *journalist) write(ctx context.Context, w quorum.JournalWrite) error {
 	if err := j.rebase(w.Entries); err != nil {
 		return err
 	}
 	for {
-		err := j.Journal.Append(w.Hard, w.Entries)
+		err := j.Journal.Append(w.HardState, w.Entries)
 		if err == nil {
 			break
 		}
@@ -168,9 +168,9 @@
 		}
 		select {
 		case <-ctx.Done():
-			return quorum.SnapshotFailed{Index: s.Index}
+			return quorum.SnapshotSaveFailed{Index: s.Index}
 		case <-time.After(savePause << try):
 		}
 	}
-	return quorum.SnapshotFailed{Index: s.Index}
+	return quorum.SnapshotSaveFailed{Index: s.Index}
 }
--- a/internal/replica/journal/frame.go
+++ b/internal/replica/journal/frame.go
@@ -44,7 +44,7 @@
 	// mark is the size of the segment that was synced before the frame was
 	// written: damage below it is no torn tail.
 	mark uint64
-	hard *quorum.Hard
+	hard *quorum.HardState
 	// reset tells that the entries go on from a snapshot, not from those before.
 	reset   bool
 	entries []quorum.Entry
@@ -81,7 +81,7 @@
 	return d.Sum64()
 }
 
-func encodeHard(h quorum.Hard) []byte {
+func encodeHard(h quorum.HardState) []byte {
 	b := protowire.AppendTag(nil, fieldTerm, protowire.VarintType)
 	b = protowire.AppendVarint(b, h.Term)
 	b = protowire.AppendTag(b, fieldVote, protowire.BytesType)
@@ -146,8 +146,8 @@
 	return r, err
 }
 
-func decodeHard(b []byte) (quorum.Hard, error) {
-	var h quorum.Hard
+func decodeHard(b []byte) (quorum.HardState, error) {
+	var h quorum.HardState
 	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fieldTerm:
@@ -169,7 +169,7 @@
 		case fieldEntryTerm:
 			e.Term = v
 		case fieldKind:
-			e.Kind = quorum.Kind(v)
+			e.Kind = quorum.EntryKind(v)
 		case fieldData:
 			if len(data) > 0 {
 				e.Data = append([]byte(nil), data...)
--- a/internal/replica/journal/journal.go
+++ b/internal/replica/journal/journal.go
@@ -61,7 +61,7 @@
 	synced   int64
 	// reserved is the length of the file; zeros follow from size on.
 	reserved int64
-	hard     quorum.Hard
+	hard     quorum.HardState
 	last     uint64
 	// due is the size from which on the next segment is begun, and puts how often
 	// that was put off.
@@ -168,7 +168,7 @@
 // Append writes a changed hard state and entries; they last once Sync returned.
 // An entry whose index is already present ends everything from it on. ErrFull,
 // ErrNoFile, ErrGap and ErrTooLarge leave the journal as it was; other errors break it.
-func (j *Journal) Append(hard *quorum.Hard, entries []quorum.Entry) error {
+func (j *Journal) Append(hard *quorum.HardState, entries []quorum.Entry) error {
 	if hard == nil && len(entries) == 0 {
 		return nil
 	}
@@ -224,7 +224,7 @@
 }
 
 // encode adds the frames of an append to b.
-func (j *Journal) encode(b []byte, hard *quorum.Hard, entries []quorum.Entry, reset bool) []byte {
+func (j *Journal) encode(b []byte, hard *quorum.HardState, entries []quorum.Entry, reset bool) []byte {
 	for first := true; first || len(entries) > 0; first = false {
 		n, size := 0, 0
 		for n < len(entries) && (n == 0 || size+len(entries[n].Data) <= maxBatch) {
--- a/internal/replica/journal/journal_test.go
+++ b/internal/replica/journal/journal_test.go
@@ -18,7 +18,7 @@
 func run(term, first, last uint64) []quorum.Entry {
 	var entries []quorum.Entry
 	for i := first; i <= last; i++ {
-		entries = append(entries, quorum.Entry{Index: i, Term: term, Kind: quorum.Command, Data: fmt.Appendf(nil, "%d/%d", term, i)})
+		entries = append(entries, quorum.Entry{Index: i, Term: term, Kind: quorum.EntryCommand, Data: fmt.Appendf(nil, "%d/%d", term, i)})
 	}
 	return entries
 }
@@ -47,13 +47,13 @@
 			if diff := cmp.Diff(journal.Recovered{New: true}, r); diff != "" {
 				t.Fatal(diff)
 			}
-			must(t, j.Append(&quorum.Hard{Term: 1, Vote: "a/1"}, run(1, 1, 9)))
+			must(t, j.Append(&quorum.HardState{Term: 1, Vote: "a/1"}, run(1, 1, 9)))
 			must(t, j.Append(nil, run(1, 10, 20)))
-			must(t, j.Append(&quorum.Hard{Term: 2}, run(2, 5, 7)))
+			must(t, j.Append(&quorum.HardState{Term: 2}, run(2, 5, 7)))
 			must(t, j.Append(nil, run(2, 8, 8)))
 			must(t, j.Close())
 			_, r = open(t, c, dir)
-			want := journal.Recovered{Hard: quorum.Hard{Term: 2}, Entries: append(run(1, 1, 4), run(2, 5, 8)...)}
+			want := journal.Recovered{Hard: quorum.HardState{Term: 2}, Entries: append(run(1, 1, 4), run(2, 5, 8)...)}
 			if diff := cmp.Diff(want, r); diff != "" {
 				t.Fatal(diff)
 			}
@@ -82,7 +82,7 @@
 	dir := t.TempDir()
 	c := journal.Config{SegmentSize: 200}
 	j, _ := open(t, c, dir)
-	hard := quorum.Hard{Term: 3, Vote: "b/2"}
+	hard := quorum.HardState{Term: 3, Vote: "b/2"}
 	must(t, j.Append(&hard, nil))
 	for i := uint64(1); i <= 20; i++ {
 		must(t, j.Append(nil, run(3, i, i)))
--- a/internal/replica/journal/recover.go
+++ b/internal/replica/journal/recover.go
@@ -19,7 +19,7 @@
 
 // Recovered is what a journal held when it was opened.
 type Recovered struct {
-	Hard quorum.Hard
+	Hard quorum.HardState
 	// Entries have consecutive indexes; those before the first were compacted away.
 	Entries []quorum.Entry
 	// New tells that there was no journal. For a replica that has an identity
--- a/internal/replica/quorum/core.go
+++ b/internal/replica/quorum/core.go
@@ -8,298 +8,302 @@
 type role uint8
 
 const (
-	follower role = iota
-	precandidate
-	candidate
-	leader
+	roleFollower role = iota
+	rolePreCandidate
+	roleCandidate
+	roleLeader
 )
 
-// held is a message that may leave once the write seq is synced.
-type held struct {
-	seq uint64
-	m   Message
+// heldMessage is a message that may leave once the write seq is synced.
+type heldMessage struct {
+	writeSeq uint64
+	message  Message
 }
 
 // Core is the consensus state of one replica. It is not safe for concurrent use.
 type Core struct {
-	cfg Config
-	rng *rand.Rand
-	now time.Duration
-	fx  Effects
+	cfg     Config
+	rng     *rand.Rand
+	now     time.Duration
+	effects Effects
 
 	// What the disk holds, or will.
-	hard     Hard
-	log      log
-	history  history
-	snapshot Snapshot
-
-	disk disk
-	held []held
-
-	role   role
-	leader string
-	// stranger is a sender that the membership known here does not name.
-	stranger Member
-	// heard is when the leader was last heard; it counts while leader is set.
-	heard    time.Duration
-	patience patience
-	// begun tells that the clock is known. Until a replica has seen how long the
+	hardState   HardState
+	log         entryLog
+	memberships membershipHistory
+	snapshot    Snapshot
+
+	journal      journalState
+	heldMessages []heldMessage
+
+	role     role
+	leaderID string
+	// unknownSender is a sender that the membership known here does not name.
+	unknownSender Member
+	// leaderHeardAt is when the leader was last heard; it counts while leader is set.
+	leaderHeardAt time.Duration
+	timeouts      timeoutEstimator
+	// started tells that the clock is known. Until a replica has seen how long the
 	// silences of its leaders are, it waits for half of the longest.
-	begun    bool
-	deadline time.Duration
-	votes    map[string]bool
-
-	commit uint64
-	// applied is how far entries were reported.
-	applied uint64
-	// announced is the index of the membership reported last.
-	announced uint64
-	report    standing
-	// verified is how far the log is known to match that of the leader.
-	verified uint64
-	// acked is the last index acknowledged to the leader; ackDue asks for one more.
-	acked  uint64
-	ackDue bool
-
-	saving *Snapshot
-	// later is a snapshot of the control thread that waits to be saved.
-	later    *Compact
-	incoming *incoming
-
-	lead leadership
+	started          bool
+	electionDeadline time.Duration
+	votes            map[string]bool
+
+	commitIndex uint64
+	// reportedIndex is how far entries were reported.
+	reportedIndex uint64
+	// reportedMembersIndex is the index of the membership reported last.
+	reportedMembersIndex uint64
+	lastReport           leadershipReport
+	// matchedIndex is how far the log is known to match that of the leader.
+	matchedIndex uint64
+	// ackedIndex is the last index acknowledged to the leader; ackDue asks for one more.
+	ackedIndex uint64
+	ackDue     bool
+
+	savingSnapshot *Snapshot
+	// pendingCompact is a snapshot of the control thread that waits to be saved.
+	pendingCompact *Compact
+	incoming       *incomingSnapshot
+
+	leading leaderState
 }
 
 // New makes a core from what the disk holds.
-func New(cfg Config, saved Saved) *Core {
+func New(cfg Config, state PersistedState) *Core {
 	cfg = cfg.withDefaults()
 	c := &Core{
-		cfg:      cfg,
-		rng:      rand.New(rand.NewPCG(cfg.Seed, 1)),
-		hard:     saved.Hard,
-		snapshot: saved.Snapshot,
-		log:      log{base: saved.Snapshot.Index, baseTerm: saved.Snapshot.Term},
-		commit:   saved.Snapshot.Index,
-		applied:  saved.Snapshot.Index,
+		cfg:           cfg,
+		rng:           rand.New(rand.NewPCG(cfg.Seed, 1)),
+		hardState:     state.HardState,
+		snapshot:      state.Snapshot,
+		log:           entryLog{base: state.Snapshot.Index, baseTerm: state.Snapshot.Term},
+		commitIndex:   state.Snapshot.Index,
+		reportedIndex: state.Snapshot.Index,
 	}
-	if saved.Snapshot.Index > 0 {
-		c.history = history{{index: saved.Snapshot.Index, members: saved.Snapshot.Members}}
+	if state.Snapshot.Index > 0 {
+		c.memberships = membershipHistory{{index: state.Snapshot.Index, members: state.Snapshot.Members}}
 	}
-	for _, e := range tail(saved) {
-		c.append(e)
+	for _, e := range entriesAfterSnapshot(state) {
+		c.appendEntry(e)
 	}
 	// A snapshot may be saved before the term that it came with is synced. No vote
 	// of that term has left then, and none of an earlier one may any more.
-	if c.log.lastTerm() > c.hard.Term {
-		c.hard = Hard{Term: c.log.lastTerm()}
+	if c.log.lastTerm() > c.hardState.Term {
+		c.hardState = HardState{Term: c.log.lastTerm()}
 	}
-	c.disk.stable, c.disk.saved = c.log.last(), c.log.last()
+	c.journal.syncedIndex, c.journal.writtenIndex = c.log.lastIndex(), c.log.lastIndex()
 	// Without entries behind the snapshot the journal may hold stale ones, or
 	// none near it; the anchor makes it go on from the snapshot.
 	if c.log.base > 0 && len(c.log.entries) == 0 {
-		c.disk.replace(&c.snapshot)
+		c.journal.resetToSnapshot(&c.snapshot)
 	}
-	if c.blank() && len(cfg.Bootstrap) > 0 {
-		c.bootstrap()
+	if c.isBlank() && len(cfg.InitialMembers) > 0 {
+		c.writeInitialMembers()
 	}
 	// Nobody is missed yet: when all start at once, the first to ask should not
 	// wait for a leader that there is not. Where there is one, the question before
 	// an election is refused and disturbs nobody.
-	c.retryDeadline()
-	if c.alone() {
-		c.deadline = 0
+	c.setPreVoteDeadline()
+	if c.isOnlyVoter() {
+		c.electionDeadline = 0
 	}
 	return c
 }
 
-// tail gives the saved entries that go on after the snapshot.
-func tail(saved Saved) []Entry {
-	next := saved.Snapshot.Index + 1
+// entriesAfterSnapshot gives the saved entries that go on after the snapshot.
+func entriesAfterSnapshot(state PersistedState) []Entry {
+	nextIndex := state.Snapshot.Index + 1
 	var entries []Entry
-	for _, e := range saved.Entries {
+	for _, e := range state.Entries {
 		// A crash between the save of a snapshot from the leader and the write
 		// that anchors it leaves entries behind the snapshot that the leader
 		// never had. Their forerunner has another term than the snapshot.
-		if e.Index == saved.Snapshot.Index && e.Term != saved.Snapshot.Term {
+		if e.Index == state.Snapshot.Index && e.Term != state.Snapshot.Term {
 			return nil
 		}
-		if e.Index == next {
+		if e.Index == nextIndex {
 			entries = append(entries, e)
-			next++
+			nextIndex++
 		}
 	}
 	return entries
 }
 
-func (c *Core) blank() bool {
-	return c.hard == (Hard{}) && c.log.last() == 0
+func (c *Core) isBlank() bool {
+	return c.hardState == (HardState{}) && c.log.lastIndex() == 0
 }
 
-// bootstrap seeds the log with the first membership, which every replica that
+// writeInitialMembers seeds the log with the first membership, which every replica that
 // is given it writes alike, as if a leader of term 1 had.
-func (c *Core) bootstrap() {
-	c.hard, c.disk.hardDirty = Hard{Term: 1}, true
-	members := membership{}
-	for _, m := range c.cfg.Bootstrap {
-		members.members = members.with(m)
+func (c *Core) writeInitialMembers() {
+	c.hardState, c.journal.hardStateDirty = HardState{Term: 1}, true
+	initial := membership{}
+	for _, m := range c.cfg.InitialMembers {
+		initial.members = initial.with(m)
 	}
-	c.append(Entry{Index: 1, Term: 1, Kind: Change, Data: EncodeMembers(members.members)})
+	c.appendEntry(Entry{Index: 1, Term: 1, Kind: EntryMembership, Data: EncodeMembers(initial.members)})
 }
 
-// append adds an entry to the log and takes over the membership that it carries.
-func (c *Core) append(e Entry) {
+// appendEntry adds an entry to the log and takes over the membership that it carries.
+func (c *Core) appendEntry(e Entry) {
 	c.log.append(e)
-	if e.Kind != Change {
+	if e.Kind != EntryMembership {
 		return
 	}
 	if members, err := DecodeMembers(e.Data); err == nil {
-		c.history = append(c.history, membership{index: e.Index, members: members})
+		c.memberships = append(c.memberships, membership{index: e.Index, members: members})
 	}
 }
 
-// members is the membership in force.
-func (c *Core) members() membership { return c.history.latest() }
+// currentMembership is the membership in force.
+func (c *Core) currentMembership() membership { return c.memberships.latest() }
 
 // Step lets ev happen at now, which never goes back.
 func (c *Core) Step(now time.Duration, ev Event) Effects {
-	if !c.begun {
-		c.begun = true
-		c.patience.silent(c.cfg.Patience/startPart, now)
+	if !c.started {
+		c.started = true
+		c.timeouts.recordSilence(c.cfg.MaxElectionTimeout/startSilenceDivisor, now)
 	}
 	c.now = max(c.now, now)
-	c.expire()
+	c.stepDownIfUnconfirmed()
 	switch ev := ev.(type) {
 	case Tick:
 		c.tick()
 	case Receive:
-		c.receive(ev.Message)
+		c.handleMessage(ev.Message)
 	case Propose:
-		c.propose(ev)
-	case Alter:
-		c.alter(ev)
-	case Synced:
-		c.synced(ev.Seq)
+		c.handlePropose(ev)
+	case ChangeMembership:
+		c.handleChangeMembership(ev)
+	case WriteSynced:
+		c.handleWriteSynced(ev.Seq)
 	case SnapshotSaved:
-		c.snapshotSaved(ev.Index)
-	case SnapshotFailed:
-		c.saving = nil
+		c.handleSnapshotSaved(ev.Index)
+	case SnapshotSaveFailed:
+		c.savingSnapshot = nil
 	case Compact:
-		c.later = &ev
-	case Confirm:
-		c.confirm()
-	case Transfer:
-		c.transfer()
-	case Reload:
-		c.reload()
+		c.pendingCompact = &ev
+	case ConfirmLeadership:
+		c.requestRound()
+	case TransferLeadership:
+		c.startTransfer()
+	case ReloadState:
+		c.reloadState()
 	}
-	c.finish()
-	fx := c.fx
-	c.fx = Effects{}
+	c.collectEffects()
+	fx := c.effects
+	c.effects = Effects{}
 	return fx
 }
 
 func (c *Core) tick() {
 	switch {
-	case c.role == leader:
-		c.leaderTick()
-	case c.now >= c.deadline:
-		c.campaign()
+	case c.role == roleLeader:
+		c.tickLeader()
+	case c.now >= c.electionDeadline:
+		c.startPreVote()
 	}
 }
 
-// finish gives out what the step made due.
-func (c *Core) finish() {
-	c.reportFollowed()
-	c.advance()
-	c.compact()
-	c.apply()
-	c.announce()
-	c.reportLed()
-	c.acknowledge()
+// collectEffects gives out what the step made due.
+func (c *Core) collectEffects() {
+	c.reportFollower()
+	c.advanceCommitIndex()
+	c.startCompaction()
+	c.reportCommitted()
+	c.reportMembership()
+	c.reportLeader()
+	c.acknowledgeSynced()
 	c.replicate()
-	c.write()
+	c.startWrite()
 }
 
-func (c *Core) say(r Report) { c.fx.Reports = append(c.fx.Reports, r) }
+func (c *Core) addReport(report Report) { c.effects.Reports = append(c.effects.Reports, report) }
 
 // send lets a message leave now.
-func (c *Core) send(m Message) {
-	m.From = c.cfg.ID
-	if c.maybeStranger(m) {
-		m.Address = c.cfg.Address
+func (c *Core) send(message Message) {
+	message.From = c.cfg.ID
+	if c.receiverMayNotKnowSender(message) {
+		message.SenderAddress = c.cfg.Address
 	}
-	c.fx.Out = append(c.fx.Out, Outgoing{Address: c.addressOf(m.To), Message: m})
+	c.effects.Messages = append(c.effects.Messages, OutgoingMessage{Address: c.addressOf(message.To), Message: message})
 }
 
-// maybeStranger tells that the receiver may know no membership with this
+// receiverMayNotKnowSender tells that the receiver may know no membership with this
 // replica, and so no way back: it is new, or was away while all others changed.
-func (c *Core) maybeStranger(m Message) bool {
-	switch m.Kind {
-	case PreVote, Vote:
+func (c *Core) receiverMayNotKnowSender(message Message) bool {
+	switch message.Kind {
+	case PreVoteRequest, VoteRequest:
 		return true
-	case Append, Heartbeat, Chunk:
-		return c.role == leader && c.peer(m.To).match < c.members().index
+	case AppendEntries, Heartbeat, SnapshotChunk:
+		return c.role == roleLeader && c.progressOf(message.To).matchIndex < c.currentMembership().index
 	}
 	return false
 }
 
-// hold lets a message leave when everything that this replica decided so far is synced.
-func (c *Core) hold(m Message) {
-	m.From = c.cfg.ID
-	c.held = append(c.held, held{seq: c.disk.covering(), m: m})
-	c.release()
+// sendAfterSync lets a message leave when everything that this replica decided so far is synced.
+func (c *Core) sendAfterSync(message Message) {
+	message.From = c.cfg.ID
+	c.heldMessages = append(c.heldMessages, heldMessage{writeSeq: c.journal.coveringWriteSeq(), message: message})
+	c.sendHeldMessages()
 }
 
-// release sends the held messages whose write is synced. One to this replica
+// sendHeldMessages sends the held messages whose write is synced. One to this replica
 // itself is its own vote.
-func (c *Core) release() {
-	for len(c.held) > 0 && c.held[0].seq <= c.disk.synced {
-		m := c.held[0].m
-		c.held = c.held[1:]
-		if m.To == c.cfg.ID {
-			c.receive(m)
+func (c *Core) sendHeldMessages() {
+	for len(c.heldMessages) > 0 && c.heldMessages[0].writeSeq <= c.journal.syncedWriteSeq {
+		message := c.heldMessages[0].message
+		c.heldMessages = c.heldMessages[1:]
+		if message.To == c.cfg.ID {
+			c.handleMessage(message)
 			continue
 		}
-		c.send(m)
+		c.send(message)
 	}
 }
 
 func (c *Core) addressOf(id string) string {
-	if m, ok := c.members().find(id); ok {
-		return m.Address
+	if member, ok := c.currentMembership().find(id); ok {
+		return member.Address
 	}
-	if id == c.stranger.ID {
-		return c.stranger.Address
+	if id == c.unknownSender.ID {
+		return c.unknownSender.Address
 	}
 	return ""
 }
 
-// resetDeadline draws a new election timeout.
-func (c *Core) resetDeadline() { c.deadline = c.now + c.between(c.timeout()) }
+// resetElectionDeadline draws a new election timeout.
+func (c *Core) resetElectionDeadline() {
+	c.electionDeadline = c.now + c.randomBetweenOnceAndTwice(c.electionTimeout())
+}
 
-// timeout is how long a silent leader is waited for.
-func (c *Core) timeout() time.Duration {
-	return c.patience.timeout(c.cfg.Election, c.cfg.Patience, c.now)
+// electionTimeout is how long a silent leader is waited for.
+func (c *Core) electionTimeout() time.Duration {
+	return c.timeouts.timeout(c.cfg.ElectionTimeout, c.cfg.MaxElectionTimeout, c.now)
 }
 
-// retryDeadline draws the time to the next question before an election: shorter than a
+// setPreVoteDeadline draws the time to the next question before an election: shorter than a
 // timeout, as no leader can be missed meanwhile, and the question disturbs nobody.
-func (c *Core) retryDeadline() { c.deadline = c.now + c.between(c.cfg.Election/askPart) }
+func (c *Core) setPreVoteDeadline() {
+	c.electionDeadline = c.now + c.randomBetweenOnceAndTwice(c.cfg.ElectionTimeout/preVoteRetryDivisor)
+}
 
-// voteDeadline draws the time to the next try of an election that was not won.
-func (c *Core) voteDeadline() {
-	c.deadline = c.now + c.between(max(c.cfg.Election/askPart, c.cfg.Patience/votePart))
+// setVoteDeadline draws the time to the next try of an election that was not won.
+func (c *Core) setVoteDeadline() {
+	c.electionDeadline = c.now + c.randomBetweenOnceAndTwice(max(c.cfg.ElectionTimeout/preVoteRetryDivisor, c.cfg.MaxElectionTimeout/voteRetryDivisor))
 }
 
 const (
-	// askPart is the part of the shortest election timeout after which a replica asks
+	// preVoteRetryDivisor is the part of the shortest election timeout after which a replica asks
 	// again whether it could win: a few round trips.
-	askPart = 4
-	// votePart is the part of the longest one after which a candidate tries again; it
+	preVoteRetryDivisor = 4
+	// voteRetryDivisor is the part of the longest one after which a candidate tries again; it
 	// leaves time for a round trip between regions and two syncs.
-	votePart = 8
+	voteRetryDivisor = 8
 )
 
-// between draws a time of d to twice that.
-func (c *Core) between(d time.Duration) time.Duration {
+// randomBetweenOnceAndTwice draws a time of d to twice that.
+func (c *Core) randomBetweenOnceAndTwice(d time.Duration) time.Duration {
 	return d + time.Duration(c.rng.Int64N(int64(d)))
 }
--- a/internal/replica/quorum/disk.go
+++ b/internal/replica/quorum/disk.go
@@ -1,92 +1,92 @@
 package quorum
 
-// disk tracks which part of the log and of the hard state is synced. One write
+// journalState tracks which part of the log and of the hard state is synced. One write
 // is on its way while the next gathers.
-type disk struct {
-	// seq is the number of the last write, synced of the last one synced.
-	seq    uint64
-	synced uint64
-	// hardDirty tells that the hard state waits for a write.
-	hardDirty bool
-	// saved is the last index given to a write, stable the last synced.
-	saved  uint64
-	stable uint64
-	// flying is the last index of the write on its way.
-	flying uint64
+type journalState struct {
+	// lastWriteSeq is the number of the last write, synced of the last one synced.
+	lastWriteSeq   uint64
+	syncedWriteSeq uint64
+	// hardStateDirty tells that the hard state waits for a write.
+	hardStateDirty bool
+	// writtenIndex is the last index given to a write, stable the last synced.
+	writtenIndex uint64
+	syncedIndex  uint64
+	// inflightIndex is the last index of the write on its way.
+	inflightIndex uint64
 	// anchor is an entry at the index of a snapshot that replaced the log: it
 	// truncates what the journal holds of the replaced log.
 	anchor    *Entry
 	anchorSeq uint64
-	// drop is what the journal may forget once the anchor is synced.
-	drop uint64
+	// dropIndex is what the journal may forget once the anchor is synced.
+	dropIndex uint64
 }
 
-func (d *disk) busy() bool { return d.seq > d.synced }
+func (d *journalState) writeInflight() bool { return d.lastWriteSeq > d.syncedWriteSeq }
 
-// covering is the write after which everything decided so far is synced.
-func (d *disk) covering() uint64 {
-	if d.hardDirty {
-		return d.seq + 1
+// coveringWriteSeq is the write after which everything decided so far is synced.
+func (d *journalState) coveringWriteSeq() uint64 {
+	if d.hardStateDirty {
+		return d.lastWriteSeq + 1
 	}
-	return d.seq
+	return d.lastWriteSeq
 }
 
 // truncate takes back the entry at index and all after it.
-func (d *disk) truncate(index uint64) {
-	d.saved = min(d.saved, index-1)
-	d.stable = min(d.stable, index-1)
-	d.flying = min(d.flying, index-1)
+func (d *journalState) truncate(index uint64) {
+	d.writtenIndex = min(d.writtenIndex, index-1)
+	d.syncedIndex = min(d.syncedIndex, index-1)
+	d.inflightIndex = min(d.inflightIndex, index-1)
 }
 
-// replace starts anew behind a synced snapshot.
-func (d *disk) replace(s *Snapshot) {
-	d.saved, d.stable, d.flying = s.Index, s.Index, 0
-	d.anchor = &Entry{Index: s.Index, Term: s.Term, Kind: Empty}
+// resetToSnapshot starts anew behind a synced snapshot.
+func (d *journalState) resetToSnapshot(s *Snapshot) {
+	d.writtenIndex, d.syncedIndex, d.inflightIndex = s.Index, s.Index, 0
+	d.anchor = &Entry{Index: s.Index, Term: s.Term, Kind: EntryNoOp}
 }
 
-// write starts the next write when none is on its way.
-func (c *Core) write() {
-	d := &c.disk
-	c.dropJournal()
-	if d.busy() {
+// startWrite starts the next write when none is on its way.
+func (c *Core) startWrite() {
+	d := &c.journal
+	c.dropJournalEntries()
+	if d.writeInflight() {
 		return
 	}
-	entries := c.log.slice(d.saved, c.log.last())
-	if !d.hardDirty && len(entries) == 0 && d.anchor == nil {
+	entries := c.log.entriesBetween(d.writtenIndex, c.log.lastIndex())
+	if !d.hardStateDirty && len(entries) == 0 && d.anchor == nil {
 		return
 	}
-	d.seq++
-	w := &Write{Seq: d.seq, Entries: entries}
-	if d.hardDirty {
-		hard := c.hard
-		w.Hard, d.hardDirty = &hard, false
+	d.lastWriteSeq++
+	write := &JournalWrite{Seq: d.lastWriteSeq, Entries: entries}
+	if d.hardStateDirty {
+		hardState := c.hardState
+		write.HardState, d.hardStateDirty = &hardState, false
 	}
 	if d.anchor != nil {
-		w.Entries = append([]Entry{*d.anchor}, entries...)
-		d.anchor, d.anchorSeq = nil, d.seq
+		write.Entries = append([]Entry{*d.anchor}, entries...)
+		d.anchor, d.anchorSeq = nil, d.lastWriteSeq
 	}
-	d.saved, d.flying = c.log.last(), c.log.last()
-	c.fx.Write = w
+	d.writtenIndex, d.inflightIndex = c.log.lastIndex(), c.log.lastIndex()
+	c.effects.Write = write
 }
 
-// dropJournal lets the journal forget what a snapshot covers. It waits for the
+// dropJournalEntries lets the journal forget what a snapshot covers. It waits for the
 // anchor: a journal that forgot the entry at the snapshot's index could not show
 // after a crash that what it holds behind it is stale.
-func (c *Core) dropJournal() {
-	d := &c.disk
-	if d.anchor != nil || d.anchorSeq > d.synced {
+func (c *Core) dropJournalEntries() {
+	d := &c.journal
+	if d.anchor != nil || d.anchorSeq > d.syncedWriteSeq {
 		return
 	}
-	c.fx.Drop, d.drop = d.drop, 0
+	c.effects.DropJournalUpTo, d.dropIndex = d.dropIndex, 0
 }
 
-func (c *Core) synced(seq uint64) {
-	d := &c.disk
-	if seq != d.seq || !d.busy() {
+func (c *Core) handleWriteSynced(seq uint64) {
+	d := &c.journal
+	if seq != d.lastWriteSeq || !d.writeInflight() {
 		return
 	}
-	d.synced = seq
-	d.stable = max(d.stable, d.flying)
-	d.flying = 0
-	c.release()
+	d.syncedWriteSeq = seq
+	d.syncedIndex = max(d.syncedIndex, d.inflightIndex)
+	d.inflightIndex = 0
+	c.sendHeldMessages()
 }
--- a/internal/replica/quorum/election.go
+++ b/internal/replica/quorum/election.go
@@ -3,215 +3,215 @@
 // mayVote keeps a blank disk silent: it gave votes or acknowledged entries under
 // an earlier identity that it can't know of, so it waits for a membership that
 // names its own. A learner votes: it may have been promoted without knowing yet.
-func (c *Core) mayVote() bool { return c.members().contains(c.cfg.ID) }
+func (c *Core) mayVote() bool { return c.currentMembership().contains(c.cfg.ID) }
 
-// inLease tells that a leader is alive as far as this replica knows. Without it
+// leaderIsAlive tells that a leader is alive as far as this replica knows. Without it
 // a replica that came back from a partition, or an old message, would depose a
 // leader that a quorum follows.
-func (c *Core) inLease() bool {
-	if c.role == leader {
+func (c *Core) leaderIsAlive() bool {
+	if c.role == roleLeader {
 		return true
 	}
-	return c.leader != "" && c.now-c.heard < c.timeout()
+	return c.leaderID != "" && c.now-c.leaderHeardAt < c.electionTimeout()
 }
 
-// upToDate tells whether a candidate's log holds all that this one may have
+// isLogUpToDate tells whether a candidate's log holds all that this one may have
 // acknowledged.
-func (c *Core) upToDate(m Message) bool {
+func (c *Core) isLogUpToDate(m Message) bool {
 	if m.LogTerm != c.log.lastTerm() {
 		return m.LogTerm > c.log.lastTerm()
 	}
-	return m.Index >= c.log.last()
+	return m.Index >= c.log.lastIndex()
 }
 
-// campaign asks whether an election could be won, before it disturbs anyone with
+// startPreVote asks whether an election could be won, before it disturbs anyone with
 // a new term.
-func (c *Core) campaign() {
-	c.retryDeadline()
-	c.leader = ""
-	if !c.members().voter(c.cfg.ID) {
+func (c *Core) startPreVote() {
+	c.setPreVoteDeadline()
+	c.leaderID = ""
+	if !c.currentMembership().isVoter(c.cfg.ID) {
 		return
 	}
-	c.role = precandidate
+	c.role = rolePreCandidate
 	c.votes = map[string]bool{c.cfg.ID: true}
-	if c.won() {
-		c.elect(false)
+	if c.hasMajorityOfVotes() {
+		c.startElection(false)
 		return
 	}
-	c.ask(Message{Kind: PreVote, Term: c.hard.Term + 1}, c.send)
+	c.requestVotes(Message{Kind: PreVoteRequest, Term: c.hardState.Term + 1}, c.send)
 }
 
-// elect asks for votes in a new term. The requests wait for the disk: a replica
+// startElection asks for votes in a new term. The requests wait for the disk: a replica
 // that forgot after a crash that it was a candidate could be elected twice in
 // one term by the same votes.
-func (c *Core) elect(force bool) {
-	if !force {
-		c.patience.turned(c.now)
+func (c *Core) startElection(leadershipTransfer bool) {
+	if !leadershipTransfer {
+		c.timeouts.recordLeaderChange(c.now)
 	}
-	c.turn(c.hard.Term+1, candidate, "")
-	c.hard.Vote = c.cfg.ID
-	c.voteDeadline()
+	c.changeRole(c.hardState.Term+1, roleCandidate, "")
+	c.hardState.Vote = c.cfg.ID
+	c.setVoteDeadline()
 	c.votes = map[string]bool{}
-	c.hold(Message{Kind: VoteReply, To: c.cfg.ID, Term: c.hard.Term})
-	c.ask(Message{Kind: Vote, Term: c.hard.Term, Force: force}, c.hold)
+	c.sendAfterSync(Message{Kind: VoteReply, To: c.cfg.ID, Term: c.hardState.Term})
+	c.requestVotes(Message{Kind: VoteRequest, Term: c.hardState.Term, LeadershipTransfer: leadershipTransfer}, c.sendAfterSync)
 }
 
-func (c *Core) ask(m Message, send func(Message)) {
-	m.Index, m.LogTerm = c.log.last(), c.log.lastTerm()
-	for _, id := range c.members().voters() {
+func (c *Core) requestVotes(request Message, send func(Message)) {
+	request.Index, request.LogTerm = c.log.lastIndex(), c.log.lastTerm()
+	for _, id := range c.currentMembership().voterIDs() {
 		if id == c.cfg.ID {
 			continue
 		}
-		m.To = id
-		send(m)
+		request.To = id
+		send(request)
 	}
 }
 
-func (c *Core) won() bool {
-	return c.members().majority(func(id string) bool { return c.votes[id] })
+func (c *Core) hasMajorityOfVotes() bool {
+	return c.currentMembership().hasMajority(func(id string) bool { return c.votes[id] })
 }
 
-// turn takes on a role, in a term that is this one or a later one.
-func (c *Core) turn(term uint64, r role, leaderID string) {
-	if term > c.hard.Term {
-		c.hard, c.disk.hardDirty = Hard{Term: term}, true
-		c.verified, c.acked, c.ackDue = 0, 0, false
+// changeRole takes on a role, in a term that is this one or a later one.
+func (c *Core) changeRole(term uint64, newRole role, leaderID string) {
+	if term > c.hardState.Term {
+		c.hardState, c.journal.hardStateDirty = HardState{Term: term}, true
+		c.matchedIndex, c.ackedIndex, c.ackDue = 0, 0, false
 	}
-	if c.role == leader {
-		c.resetDeadline()
+	if c.role == roleLeader {
+		c.resetElectionDeadline()
 	}
-	c.role, c.leader = r, leaderID
+	c.role, c.leaderID = newRole, leaderID
 	c.votes = nil
-	c.lead = leadership{}
+	c.leading = leaderState{}
 }
 
-// receive takes a message; the term rules come first.
-func (c *Core) receive(m Message) {
-	if m.Address != "" {
-		c.stranger = Member{ID: m.From, Address: m.Address}
+// handleMessage takes a message; the term rules come first.
+func (c *Core) handleMessage(m Message) {
+	if m.SenderAddress != "" {
+		c.unknownSender = Member{ID: m.From, Address: m.SenderAddress}
 	}
 	switch {
-	case m.Term > c.hard.Term:
-		if !c.newer(m) {
+	case m.Term > c.hardState.Term:
+		if !c.adoptHigherTerm(m) {
 			return
 		}
-	case m.Term < c.hard.Term:
-		c.older(m)
+	case m.Term < c.hardState.Term:
+		c.rejectLowerTerm(m)
 		return
 	}
 	switch m.Kind {
-	case PreVote:
-		c.answerPreVote(m)
+	case PreVoteRequest:
+		c.handlePreVoteRequest(m)
 	case PreVoteReply:
-		c.countPreVote(m)
-	case Vote:
-		c.answerVote(m)
+		c.handlePreVoteReply(m)
+	case VoteRequest:
+		c.handleVoteRequest(m)
 	case VoteReply:
-		c.countVote(m)
-	case Append:
-		c.follow(m)
-		c.takeAppend(m)
+		c.handleVoteReply(m)
+	case AppendEntries:
+		c.followLeader(m)
+		c.handleAppendEntries(m)
 	case Heartbeat:
-		c.follow(m)
-		c.takeHeartbeat(m)
-	case Chunk:
-		c.follow(m)
-		c.takeChunk(m)
+		c.followLeader(m)
+		c.handleHeartbeat(m)
+	case SnapshotChunk:
+		c.followLeader(m)
+		c.handleSnapshotChunk(m)
 	case TimeoutNow:
-		c.takeOver(m)
+		c.handleTimeoutNow(m)
 	default:
-		c.takeReply(m)
+		c.handleFollowerReply(m)
 	}
 }
 
-// newer takes on a later term, and tells whether the message is to be looked at.
-func (c *Core) newer(m Message) bool {
+// adoptHigherTerm takes on a later term, and tells whether the message is to be looked at.
+func (c *Core) adoptHigherTerm(m Message) bool {
 	switch {
-	case m.Kind == PreVote, m.Kind == PreVoteReply && !m.Reject:
+	case m.Kind == PreVoteRequest, m.Kind == PreVoteReply && !m.Reject:
 		return true
-	case m.Kind == Vote && (!c.mayVote() || !m.Force && c.inLease()):
+	case m.Kind == VoteRequest && (!c.mayVote() || !m.LeadershipTransfer && c.leaderIsAlive()):
 		return false
 	}
-	if !m.Force {
-		c.patience.turned(c.now)
+	if !m.LeadershipTransfer {
+		c.timeouts.recordLeaderChange(c.now)
 	}
-	c.turn(m.Term, follower, "")
+	c.changeRole(m.Term, roleFollower, "")
 	return true
 }
 
-// older answers a message of an earlier term so that its sender learns of the
+// rejectLowerTerm answers a message of an earlier term so that its sender learns of the
 // later one: a leader that missed its own deposition would go on unheard.
-func (c *Core) older(m Message) {
+func (c *Core) rejectLowerTerm(m Message) {
 	switch m.Kind {
-	case PreVote:
-		c.send(Message{Kind: PreVoteReply, To: m.From, Term: c.hard.Term, Reject: true})
-	case Append, Heartbeat, Chunk:
-		c.send(Message{Kind: AppendReply, To: m.From, Term: c.hard.Term, Reject: true})
+	case PreVoteRequest:
+		c.send(Message{Kind: PreVoteReply, To: m.From, Term: c.hardState.Term, Reject: true})
+	case AppendEntries, Heartbeat, SnapshotChunk:
+		c.send(Message{Kind: AppendEntriesReply, To: m.From, Term: c.hardState.Term, Reject: true})
 	}
 }
 
-func (c *Core) answerPreVote(m Message) {
+func (c *Core) handlePreVoteRequest(m Message) {
 	if !c.mayVote() {
 		return
 	}
-	r := Message{Kind: PreVoteReply, To: m.From, Term: m.Term}
-	if m.Term <= c.hard.Term || c.inLease() || !c.upToDate(m) {
-		r.Term, r.Reject = c.hard.Term, true
+	answer := Message{Kind: PreVoteReply, To: m.From, Term: m.Term}
+	if m.Term <= c.hardState.Term || c.leaderIsAlive() || !c.isLogUpToDate(m) {
+		answer.Term, answer.Reject = c.hardState.Term, true
 	}
-	c.send(r)
+	c.send(answer)
 }
 
-func (c *Core) countPreVote(m Message) {
-	if c.role != precandidate || m.Reject || m.Term != c.hard.Term+1 {
+func (c *Core) handlePreVoteReply(m Message) {
+	if c.role != rolePreCandidate || m.Reject || m.Term != c.hardState.Term+1 {
 		return
 	}
 	c.votes[m.From] = true
-	if c.won() {
-		c.elect(false)
+	if c.hasMajorityOfVotes() {
+		c.startElection(false)
 	}
 }
 
-func (c *Core) answerVote(m Message) {
+func (c *Core) handleVoteRequest(m Message) {
 	if !c.mayVote() {
 		return
 	}
-	r := Message{Kind: VoteReply, To: m.From, Term: c.hard.Term}
-	free := c.hard.Vote == "" || c.hard.Vote == m.From
-	if c.leader != "" || !free || !c.upToDate(m) {
-		r.Reject = true
-		c.send(r)
+	answer := Message{Kind: VoteReply, To: m.From, Term: c.hardState.Term}
+	mayGrant := c.hardState.Vote == "" || c.hardState.Vote == m.From
+	if c.leaderID != "" || !mayGrant || !c.isLogUpToDate(m) {
+		answer.Reject = true
+		c.send(answer)
 		return
 	}
-	if c.hard.Vote == "" {
-		c.hard.Vote, c.disk.hardDirty = m.From, true
+	if c.hardState.Vote == "" {
+		c.hardState.Vote, c.journal.hardStateDirty = m.From, true
 	}
-	c.role = follower
-	c.resetDeadline()
+	c.role = roleFollower
+	c.resetElectionDeadline()
 	// A vote that left before it was synced could be given again to another
 	// candidate of the term after a crash.
-	c.hold(r)
+	c.sendAfterSync(answer)
 }
 
-func (c *Core) countVote(m Message) {
-	if c.role != candidate || m.Reject {
+func (c *Core) handleVoteReply(m Message) {
+	if c.role != roleCandidate || m.Reject {
 		return
 	}
 	c.votes[m.From] = true
 	// Its own vote is among them only once it is synced.
-	if c.won() && c.votes[c.cfg.ID] {
+	if c.hasMajorityOfVotes() && c.votes[c.cfg.ID] {
 		c.becomeLeader()
 	}
 }
 
-// follow takes the sender for the leader of this term.
-func (c *Core) follow(m Message) {
-	if c.role != follower || c.leader != m.From {
-		c.turn(c.hard.Term, follower, m.From)
+// followLeader takes the sender for the leader of this term.
+func (c *Core) followLeader(m Message) {
+	if c.role != roleFollower || c.leaderID != m.From {
+		c.changeRole(c.hardState.Term, roleFollower, m.From)
 	} else {
-		c.patience.silent(c.now-c.heard, c.now)
+		c.timeouts.recordSilence(c.now-c.leaderHeardAt, c.now)
 	}
 	// A leader has everything that is committed.
-	c.verified = max(c.verified, c.commit)
-	c.heard = c.now
-	c.resetDeadline()
+	c.matchedIndex = max(c.matchedIndex, c.commitIndex)
+	c.leaderHeardAt = c.now
+	c.resetElectionDeadline()
 }
--- a/internal/replica/quorum/lead.go
+++ b/internal/replica/quorum/lead.go
@@ -2,263 +2,263 @@
 
 import "time"
 
-// round is a heartbeat round on its way.
-type round struct {
-	n     uint64
-	start time.Duration
-	// commit is the commit index at its start.
-	commit uint64
+// heartbeatRound is a heartbeat round on its way.
+type heartbeatRound struct {
+	number    uint64
+	startedAt time.Duration
+	// commitIndex is the commit index at its start.
+	commitIndex uint64
 }
 
-// leadership is what only a leader has; it is dropped with the role.
-type leadership struct {
-	elected time.Duration
-	// empty is the index of the Empty entry of the term.
-	empty uint64
-	peers map[string]*progress
+// leaderState is what only a leader has; it is dropped with the role.
+type leaderState struct {
+	electedAt time.Duration
+	// noOpIndex is the index of the Empty entry of the term.
+	noOpIndex uint64
+	peers     map[string]*replicaProgress
 
-	round     uint64
-	nextRound time.Duration
-	open      []round
-	// confirmed is the last round that a quorum has answered.
-	confirmed round
-	told      time.Duration
-	wanted    bool
+	lastRound   uint64
+	nextRoundAt time.Duration
+	openRounds  []heartbeatRound
+	// confirmedRound is the last round that a quorum has answered.
+	confirmedRound     heartbeatRound
+	reportedRoundStart time.Duration
+	roundRequested     bool
 
-	transferee   string
-	heirSent     bool
-	heirDeadline time.Duration
+	transferee       string
+	timeoutNowSent   bool
+	transferDeadline time.Duration
 }
 
 func (c *Core) becomeLeader() {
-	c.turn(c.hard.Term, leader, c.cfg.ID)
-	c.lead.elected = c.now
-	c.lead.confirmed.start = c.now
-	c.lead.peers = map[string]*progress{}
-	c.lead.empty = c.log.last() + 1
-	c.append(Entry{Index: c.lead.empty, Term: c.hard.Term, Kind: Empty})
+	c.changeRole(c.hardState.Term, roleLeader, c.cfg.ID)
+	c.leading.electedAt = c.now
+	c.leading.confirmedRound.startedAt = c.now
+	c.leading.peers = map[string]*replicaProgress{}
+	c.leading.noOpIndex = c.log.lastIndex() + 1
+	c.appendEntry(Entry{Index: c.leading.noOpIndex, Term: c.hardState.Term, Kind: EntryNoOp})
 	c.startRound()
 }
 
-// alone tells that this replica is the only voter.
-func (c *Core) alone() bool {
-	v := c.members().voters()
-	return len(v) == 1 && v[0] == c.cfg.ID
+// isOnlyVoter tells that this replica is the only voter.
+func (c *Core) isOnlyVoter() bool {
+	voters := c.currentMembership().voterIDs()
+	return len(voters) == 1 && voters[0] == c.cfg.ID
 }
 
-// expire ends a leadership that no quorum confirmed for the longest election timeout. An
+// stepDownIfUnconfirmed ends a leadership that no quorum confirmed for the longest election timeout. An
 // isolated leader, or one that was paused, would otherwise answer from a state
 // that another leader has left behind.
-func (c *Core) expire() {
-	if c.role != leader || c.alone() {
+func (c *Core) stepDownIfUnconfirmed() {
+	if c.role != roleLeader || c.isOnlyVoter() {
 		return
 	}
-	if c.now-c.lead.confirmed.start > max(c.timeout(), c.cfg.Patience) {
-		c.turn(c.hard.Term, follower, "")
+	if c.now-c.leading.confirmedRound.startedAt > max(c.electionTimeout(), c.cfg.MaxElectionTimeout) {
+		c.changeRole(c.hardState.Term, roleFollower, "")
 	}
 }
 
-func (c *Core) leaderTick() {
-	if c.lead.transferee != "" && c.now >= c.lead.heirDeadline {
-		c.lead.transferee = ""
+func (c *Core) tickLeader() {
+	if c.leading.transferee != "" && c.now >= c.leading.transferDeadline {
+		c.leading.transferee = ""
 	}
-	if c.now >= c.lead.nextRound {
-		c.resend()
+	if c.now >= c.leading.nextRoundAt {
+		c.resendUnanswered()
 		c.startRound()
 	}
 }
 
 // startRound sends a heartbeat to every member.
 func (c *Core) startRound() {
-	l := &c.lead
-	l.round++
-	l.open = append(l.open, round{n: l.round, start: c.now, commit: c.commit})
-	l.nextRound = c.now + c.cfg.Heartbeat
-	for _, m := range c.members().members {
+	state := &c.leading
+	state.lastRound++
+	state.openRounds = append(state.openRounds, heartbeatRound{number: state.lastRound, startedAt: c.now, commitIndex: c.commitIndex})
+	state.nextRoundAt = c.now + c.cfg.HeartbeatInterval
+	for _, m := range c.currentMembership().members {
 		if m.ID == c.cfg.ID {
 			continue
 		}
 		c.send(Message{
-			Kind: Heartbeat, To: m.ID, Term: c.hard.Term,
-			Round: l.round, Commit: min(c.commit, c.peer(m.ID).match),
+			Kind: Heartbeat, To: m.ID, Term: c.hardState.Term,
+			Round: state.lastRound, CommitIndex: min(c.commitIndex, c.progressOf(m.ID).matchIndex),
 		})
 	}
-	c.checkRounds()
+	c.confirmRounds()
 }
 
-// checkRounds confirms the latest round that a quorum has answered. Whoever is
+// confirmRounds confirms the latest round that a quorum has answered. Whoever is
 // elected later has the vote of a replica that answered, after it did; so the
 // election is after the start of the round.
-func (c *Core) checkRounds() {
-	l := &c.lead
-	n := c.members().reached(func(id string) uint64 {
+func (c *Core) confirmRounds() {
+	state := &c.leading
+	answeredRound := c.currentMembership().majorityReached(func(id string) uint64 {
 		if id == c.cfg.ID {
-			return l.round
+			return state.lastRound
 		}
-		return c.peer(id).round
+		return c.progressOf(id).answeredRound
 	})
-	for len(l.open) > 0 && l.open[0].n <= n {
-		l.confirmed = l.open[0]
-		l.open = l.open[1:]
+	for len(state.openRounds) > 0 && state.openRounds[0].number <= answeredRound {
+		state.confirmedRound = state.openRounds[0]
+		state.openRounds = state.openRounds[1:]
 	}
-	if l.wanted && len(l.open) == 0 {
-		l.wanted = false
+	if state.roundRequested && len(state.openRounds) == 0 {
+		state.roundRequested = false
 		c.startRound()
 	}
 }
 
-// confirm starts a round, unless one is on its way: then the next starts after it.
-func (c *Core) confirm() {
-	if c.role != leader {
+// requestRound starts a round, unless one is on its way: then the next starts after it.
+func (c *Core) requestRound() {
+	if c.role != roleLeader {
 		return
 	}
-	if len(c.lead.open) == 0 {
+	if len(c.leading.openRounds) == 0 {
 		c.startRound()
 		return
 	}
-	c.lead.wanted = true
+	c.leading.roundRequested = true
 }
 
-// reportRound tells the control thread of a newly confirmed round.
-func (c *Core) reportRound() {
-	l := &c.lead
-	if !c.led() || l.confirmed.n == 0 || l.told == l.confirmed.start {
+// reportConfirmedRound tells the control thread of a newly confirmed round.
+func (c *Core) reportConfirmedRound() {
+	state := &c.leading
+	if !c.hasReportedLeadership() || state.confirmedRound.number == 0 || state.reportedRoundStart == state.confirmedRound.startedAt {
 		return
 	}
-	l.told = l.confirmed.start
-	c.say(RoundConfirmed{Term: c.hard.Term, Start: l.confirmed.start})
+	state.reportedRoundStart = state.confirmedRound.startedAt
+	c.addReport(LeadershipConfirmed{Term: c.hardState.Term, RoundStartedAt: state.confirmedRound.startedAt})
 }
 
-// advance commits what a majority has synced. Only an entry of its own term
+// advanceCommitIndex commits what a majority has synced. Only an entry of its own term
 // commits by count: one of an earlier term could still be replaced by a leader
 // that never saw it.
-func (c *Core) advance() {
-	if c.role != leader {
+func (c *Core) advanceCommitIndex() {
+	if c.role != roleLeader {
 		return
 	}
-	n := c.members().reached(func(id string) uint64 {
+	syncedIndex := c.currentMembership().majorityReached(func(id string) uint64 {
 		if id == c.cfg.ID {
-			return c.disk.stable
+			return c.journal.syncedIndex
 		}
-		return c.peer(id).match
+		return c.progressOf(id).matchIndex
 	})
-	if term, ok := c.log.term(n); ok && n > c.commit && term == c.hard.Term {
-		c.commitUpTo(n)
+	if term, ok := c.log.termAt(syncedIndex); ok && syncedIndex > c.commitIndex && term == c.hardState.Term {
+		c.commitUpTo(syncedIndex)
 	}
 }
 
-func (c *Core) accepts(term, first uint64) bool {
-	return c.led() && c.lead.transferee == "" && term == c.hard.Term && first == c.log.last()+1
+func (c *Core) acceptsProposal(term, firstIndex uint64) bool {
+	return c.hasReportedLeadership() && c.leading.transferee == "" && term == c.hardState.Term && firstIndex == c.log.lastIndex()+1
 }
 
-func (c *Core) propose(p Propose) {
-	if !c.accepts(p.Term, p.First) {
+func (c *Core) handlePropose(p Propose) {
+	if !c.acceptsProposal(p.Term, p.FirstIndex) {
 		return
 	}
 	for i, data := range p.Commands {
-		c.append(Entry{Index: p.First + uint64(i), Term: p.Term, Kind: Command, Data: data})
+		c.appendEntry(Entry{Index: p.FirstIndex + uint64(i), Term: p.Term, Kind: EntryCommand, Data: data})
 	}
 }
 
-// alter proposes a membership. Refused changes still take their index, so that
+// handleChangeMembership proposes a membership. Refused changes still take their index, so that
 // the control thread's count of indexes holds.
-func (c *Core) alter(a Alter) {
-	if !c.accepts(a.Term, a.First) {
+func (c *Core) handleChangeMembership(change ChangeMembership) {
+	if !c.acceptsProposal(change.Term, change.Index) {
 		return
 	}
-	e := Entry{Index: a.First, Term: a.Term, Kind: Empty}
-	if members, ok := c.change(a.Member, a.Remove); ok {
-		e.Kind, e.Data = Change, EncodeMembers(members)
+	entry := Entry{Index: change.Index, Term: change.Term, Kind: EntryNoOp}
+	if members, ok := c.changedMembers(change.Member, change.Remove); ok {
+		entry.Kind, entry.Data = EntryMembership, EncodeMembers(members)
 	}
-	c.append(e)
+	c.appendEntry(entry)
 }
 
-// change gives the membership after a change, or false when it can't be made now.
-func (c *Core) change(x Member, remove bool) ([]Member, bool) {
-	now := c.members()
+// changedMembers gives the membership after a change, or false when it can't be made now.
+func (c *Core) changedMembers(member Member, remove bool) ([]Member, bool) {
+	current := c.currentMembership()
 	// Majorities of memberships that differ in two voters need not overlap, so
 	// the change before must be committed.
-	if now.index > c.commit {
+	if current.index > c.commitIndex {
 		return nil, false
 	}
-	old, known := now.find(x.ID)
+	previous, isMember := current.find(member.ID)
 	if remove {
 		// A leader that removed itself would count a majority without its own
 		// disk; it hands over first.
-		if !known || x.ID == c.cfg.ID || !old.Learner && len(now.voters()) == 1 {
+		if !isMember || member.ID == c.cfg.ID || !previous.Learner && len(current.voterIDs()) == 1 {
 			return nil, false
 		}
-		return c.workable(now.without(x.ID))
+		return c.requireLiveMajority(current.without(member.ID))
 	}
 	switch {
-	case !x.valid(), known && x.Learner && !old.Learner, !known && !x.Learner:
+	case !member.isValid(), isMember && member.Learner && !previous.Learner, !isMember && !member.Learner:
 		return nil, false
-	case known && old.Learner && !x.Learner && !c.promotable(x.ID):
+	case isMember && previous.Learner && !member.Learner && !c.isPromotable(member.ID):
 		return nil, false
 	}
-	return c.workable(now.with(x))
+	return c.requireLiveMajority(current.with(member))
 }
 
-// workable refuses a membership of which no majority is alive: its commit would
+// requireLiveMajority refuses a membership of which no majority is alive: its commit would
 // wait for replicas that may never come back.
-func (c *Core) workable(members []Member) ([]Member, bool) {
-	alive := func(id string) bool { return id == c.cfg.ID || c.fresh(c.peer(id)) }
-	return members, membership{members: members}.majority(alive)
+func (c *Core) requireLiveMajority(members []Member) ([]Member, bool) {
+	isAlive := func(id string) bool { return id == c.cfg.ID || c.heardRecently(c.progressOf(id)) }
+	return members, membership{members: members}.hasMajority(isAlive)
 }
 
-// promotable tells whether a learner may count: it has synced what was committed
+// isPromotable tells whether a learner may count: it has synced what was committed
 // when the last confirmed round began, or else a majority could hold it that has
 // entries only in memory or not at all. The identity that its disk replaced must
 // be gone, or one machine would count twice.
-func (c *Core) promotable(id string) bool {
-	for _, v := range c.members().voters() {
-		if name(v) == name(id) {
+func (c *Core) isPromotable(id string) bool {
+	for _, voter := range c.currentMembership().voterIDs() {
+		if replicaName(voter) == replicaName(id) {
 			return false
 		}
 	}
-	p := c.peer(id)
-	return p.state == replicating && c.fresh(p) && p.match >= c.lead.confirmed.commit
+	progress := c.progressOf(id)
+	return progress.state == progressReplicating && c.heardRecently(progress) && progress.matchIndex >= c.leading.confirmedRound.commitIndex
 }
 
-// fresh tells whether the replica was heard within the longest election timeout.
-func (c *Core) fresh(p *progress) bool {
-	return p.round > 0 && c.now-p.heard <= c.cfg.Patience
+// heardRecently tells whether the replica was heard within the longest election timeout.
+func (c *Core) heardRecently(progress *replicaProgress) bool {
+	return progress.answeredRound > 0 && c.now-progress.heardAt <= c.cfg.MaxElectionTimeout
 }
 
-// transfer starts to hand over to the voter that is furthest. No proposals are
+// startTransfer starts to hand over to the voter that is furthest. No proposals are
 // taken meanwhile, so that it can catch up; after an election timeout they are
 // again.
-func (c *Core) transfer() {
-	if c.role != leader || c.lead.transferee != "" {
+func (c *Core) startTransfer() {
+	if c.role != roleLeader || c.leading.transferee != "" {
 		return
 	}
-	best := ""
-	for _, id := range c.members().voters() {
-		if id == c.cfg.ID || !c.fresh(c.peer(id)) {
+	transferee := ""
+	for _, id := range c.currentMembership().voterIDs() {
+		if id == c.cfg.ID || !c.heardRecently(c.progressOf(id)) {
 			continue
 		}
-		if best == "" || c.peer(id).match > c.peer(best).match {
-			best = id
+		if transferee == "" || c.progressOf(id).matchIndex > c.progressOf(transferee).matchIndex {
+			transferee = id
 		}
 	}
-	c.lead.transferee, c.lead.heirSent = best, false
-	c.lead.heirDeadline = c.now + c.cfg.Patience
+	c.leading.transferee, c.leading.timeoutNowSent = transferee, false
+	c.leading.transferDeadline = c.now + c.cfg.MaxElectionTimeout
 }
 
-// handOver lets the transferee start an election as soon as it has the whole log.
-func (c *Core) handOver() {
-	l := &c.lead
-	if l.transferee == "" || l.heirSent || c.peer(l.transferee).match < c.log.last() {
+// sendTimeoutNow lets the transferee start an election as soon as it has the whole log.
+func (c *Core) sendTimeoutNow() {
+	state := &c.leading
+	if state.transferee == "" || state.timeoutNowSent || c.progressOf(state.transferee).matchIndex < c.log.lastIndex() {
 		return
 	}
-	l.heirSent = true
-	c.send(Message{Kind: TimeoutNow, To: l.transferee, Term: c.hard.Term})
+	state.timeoutNowSent = true
+	c.send(Message{Kind: TimeoutNow, To: state.transferee, Term: c.hardState.Term})
 }
 
-// takeOver starts an election at the wish of the leader.
-func (c *Core) takeOver(m Message) {
-	if c.role == leader || m.From != c.leader || !c.members().voter(c.cfg.ID) {
+// handleTimeoutNow starts an election at the wish of the leader.
+func (c *Core) handleTimeoutNow(m Message) {
+	if c.role == roleLeader || m.From != c.leaderID || !c.currentMembership().isVoter(c.cfg.ID) {
 		return
 	}
-	c.elect(true)
+	c.startElection(true)
 }
--- a/internal/replica/quorum/members.go
+++ b/internal/replica/quorum/members.go
@@ -12,11 +12,11 @@
 	members []Member
 }
 
-// history holds the memberships of the log, the oldest first. The newest is in
+// membershipHistory holds the memberships of the log, the oldest first. The newest is in
 // force as soon as it is in the log, and no longer when it is truncated.
-type history []membership
+type membershipHistory []membership
 
-func (h history) latest() membership {
+func (h membershipHistory) latest() membership {
 	if len(h) == 0 {
 		return membership{}
 	}
@@ -24,7 +24,7 @@
 }
 
 // at gives the membership in force at index.
-func (h history) at(index uint64) membership {
+func (h membershipHistory) at(index uint64) membership {
 	for i := len(h) - 1; i >= 0; i-- {
 		if h[i].index <= index {
 			return h[i]
@@ -33,18 +33,18 @@
 	return membership{}
 }
 
-func (h history) truncate(index uint64) history {
+func (h membershipHistory) truncate(index uint64) membershipHistory {
 	return slices.DeleteFunc(h, func(m membership) bool { return m.index >= index })
 }
 
-// compact forgets what is not in force at index or later.
-func (h history) compact(index uint64) history {
-	keep := h.at(index).index
-	return slices.DeleteFunc(h, func(m membership) bool { return m.index < keep })
+// dropBefore forgets what is not in force at index or later.
+func (h membershipHistory) dropBefore(index uint64) membershipHistory {
+	oldestIndex := h.at(index).index
+	return slices.DeleteFunc(h, func(m membership) bool { return m.index < oldestIndex })
 }
 
 func (m membership) find(id string) (Member, bool) {
-	i := slices.IndexFunc(m.members, func(x Member) bool { return x.ID == id })
+	i := slices.IndexFunc(m.members, func(member Member) bool { return member.ID == id })
 	if i < 0 {
 		return Member{}, false
 	}
@@ -56,25 +56,25 @@
 	return ok
 }
 
-func (m membership) voter(id string) bool {
-	x, ok := m.find(id)
-	return ok && !x.Learner
+func (m membership) isVoter(id string) bool {
+	member, ok := m.find(id)
+	return ok && !member.Learner
 }
 
-func (m membership) voters() []string {
+func (m membership) voterIDs() []string {
 	var ids []string
-	for _, x := range m.members {
-		if !x.Learner {
-			ids = append(ids, x.ID)
+	for _, member := range m.members {
+		if !member.Learner {
+			ids = append(ids, member.ID)
 		}
 	}
 	return ids
 }
 
-// reached gives the highest value that a majority of the voters has reached.
-func (m membership) reached(value func(id string) uint64) uint64 {
+// majorityReached gives the highest value that a majority of the voters has reached.
+func (m membership) majorityReached(value func(id string) uint64) uint64 {
 	var values []uint64
-	for _, id := range m.voters() {
+	for _, id := range m.voterIDs() {
 		values = append(values, value(id))
 	}
 	if len(values) == 0 {
@@ -84,22 +84,22 @@
 	return values[(len(values)-1)/2]
 }
 
-// majority tells whether has holds for a majority of the voters.
-func (m membership) majority(has func(id string) bool) bool {
-	n := 0
-	voters := m.voters()
+// hasMajority tells whether has holds for a majority of the voters.
+func (m membership) hasMajority(holds func(id string) bool) bool {
+	count := 0
+	voters := m.voterIDs()
 	for _, id := range voters {
-		if has(id) {
-			n++
+		if holds(id) {
+			count++
 		}
 	}
-	return len(voters) > 0 && n > len(voters)/2
+	return len(voters) > 0 && count > len(voters)/2
 }
 
 // with gives the members with x in the place of the one with its ID, or added.
-func (m membership) with(x Member) []Member {
-	members := m.without(x.ID)
-	members = append(members, x)
+func (m membership) with(member Member) []Member {
+	members := m.without(member.ID)
+	members = append(members, member)
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
 	return members
 }
@@ -108,12 +108,12 @@
 	return slices.DeleteFunc(slices.Clone(m.members), func(x Member) bool { return x.ID == id })
 }
 
-// name is the part of an identity that stays when a disk is replaced.
-func name(id string) string {
-	before, _, _ := strings.Cut(id, "/")
-	return before
+// replicaName is the part of an identity that stays when a disk is replaced.
+func replicaName(id string) string {
+	name, _, _ := strings.Cut(id, "/")
+	return name
 }
 
-func (x Member) valid() bool {
-	return x.ID != "" && utf8.ValidString(x.ID) && utf8.ValidString(x.Address)
+func (m Member) isValid() bool {
+	return m.ID != "" && utf8.ValidString(m.ID) && utf8.ValidString(m.Address)
 }
--- a/internal/replica/quorum/message.go
+++ b/internal/replica/quorum/message.go
@@ -13,98 +13,98 @@
 
 // The kinds of message.
 const (
-	PreVote MessageKind = iota + 1
+	PreVoteRequest MessageKind = iota + 1
 	PreVoteReply
-	Vote
+	VoteRequest
 	VoteReply
-	Append
-	AppendReply
+	AppendEntries
+	AppendEntriesReply
 	Heartbeat
 	HeartbeatReply
-	Chunk
-	ChunkReply
+	SnapshotChunk
+	SnapshotChunkReply
 	TimeoutNow
 )
 
-// ErrOther tells that a message was meant for another identity.
-var ErrOther = errors.New("message for another replica")
+// ErrWrongReceiver tells that a message was meant for another identity.
+var ErrWrongReceiver = errors.New("message for another replica")
 
 // Message is what cores send each other; proto/inner/quorum.proto tells the fields.
 type Message struct {
-	Kind    MessageKind
-	From    string
-	To      string
-	Term    uint64
-	Index   uint64
-	LogTerm uint64
-	Commit  uint64
-	Round   uint64
-	Reject  bool
-	Force   bool
-	Hint    uint64
-	Entries []Entry
+	Kind               MessageKind
+	From               string
+	To                 string
+	Term               uint64
+	Index              uint64
+	LogTerm            uint64
+	CommitIndex        uint64
+	Round              uint64
+	Reject             bool
+	LeadershipTransfer bool
+	ConflictIndex      uint64
+	Entries            []Entry
 	// Offset, Total, Sum, Data and Members belong to Chunk and ChunkReply.
-	Offset  uint64
-	Total   uint64
-	Sum     uint64
-	Data    []byte
-	Members []Member
-	// Address is the sender's.
-	Address string
+	Offset     uint64
+	TotalBytes uint64
+	Checksum   uint64
+	Data       []byte
+	Members    []Member
+	// SenderAddress is the sender's.
+	SenderAddress string
 }
 
-// Encode gives the message's encoding, without From.
-func Encode(m Message) ([]byte, error) {
-	w := &inner.ConsensusMessage{
+// EncodeMessage gives the message's encoding, without From.
+func EncodeMessage(m Message) ([]byte, error) {
+	wire := &inner.ConsensusMessage{
 		Kind: uint32(m.Kind), Term: m.Term, To: xxhash.Sum64String(m.To),
-		Index: m.Index, LogTerm: m.LogTerm, Commit: m.Commit, Round: m.Round,
-		Reject: m.Reject, Force: m.Force, Hint: m.Hint, Address: m.Address,
+		Index: m.Index, LogTerm: m.LogTerm, Commit: m.CommitIndex, Round: m.Round,
+		Reject: m.Reject, Force: m.LeadershipTransfer, Hint: m.ConflictIndex, Address: m.SenderAddress,
 	}
 	for _, e := range m.Entries {
-		w.Entries = append(w.Entries, &inner.LogEntry{Term: e.Term, Kind: uint32(e.Kind), Data: e.Data})
+		wire.Entries = append(wire.Entries, &inner.LogEntry{Term: e.Term, Kind: uint32(e.Kind), Data: e.Data})
 	}
-	if m.Kind == Chunk || m.Kind == ChunkReply {
-		w.Chunk = &inner.SnapshotChunk{
-			Offset: m.Offset, Total: m.Total, Sum: m.Sum, Data: m.Data,
-			Members: wireMembers(m.Members),
+	if m.Kind == SnapshotChunk || m.Kind == SnapshotChunkReply {
+		wire.Chunk = &inner.SnapshotChunk{
+			Offset: m.Offset, Total: m.TotalBytes, Sum: m.Checksum, Data: m.Data,
+			Members: membersToWire(m.Members),
 		}
 	}
-	data, err := proto.Marshal(w)
+	data, err := proto.Marshal(wire)
 	return data, errors.Wrap(err, "encode consensus message")
 }
 
-// Decode reads a message that the transport proved to be of from. It returns
+// DecodeMessage reads a message that the transport proved to be of from. It returns
 // ErrOther when the message is not for self.
-func Decode(self, from string, data []byte) (Message, error) {
-	var w inner.ConsensusMessage
-	if err := proto.Unmarshal(data, &w); err != nil {
+func DecodeMessage(receiver, sender string, data []byte) (Message, error) {
+	var wire inner.ConsensusMessage
+	if err := proto.Unmarshal(data, &wire); err != nil {
 		return Message{}, errors.Wrap(err, "decode consensus message")
 	}
 	// A replica with a replaced disk at the address of its forerunner would
 	// answer for entries that it lost; the hash of the identity keeps it silent.
-	if w.To != xxhash.Sum64String(self) {
-		return Message{}, ErrOther
+	if wire.To != xxhash.Sum64String(receiver) {
+		return Message{}, ErrWrongReceiver
 	}
 	m := Message{
-		Kind: MessageKind(w.Kind), From: from, To: self, Term: w.Term,
-		Index: w.Index, LogTerm: w.LogTerm, Commit: w.Commit, Round: w.Round,
-		Reject: w.Reject, Force: w.Force, Hint: w.Hint, Address: w.Address,
+		Kind: MessageKind(wire.Kind), From: sender, To: receiver, Term: wire.Term,
+		Index: wire.Index, LogTerm: wire.LogTerm, CommitIndex: wire.Commit, Round: wire.Round,
+		Reject: wire.Reject, LeadershipTransfer: wire.Force, ConflictIndex: wire.Hint, SenderAddress: wire.Address,
 	}
-	for i, e := range w.Entries {
+	for i, e := range wire.Entries {
 		m.Entries = append(m.Entries, Entry{
-			Index: m.Index + uint64(i) + 1, Term: e.Term, Kind: Kind(e.Kind), Data: e.Data,
+			Index: m.Index + uint64(i) + 1, Term: e.Term, Kind: EntryKind(e.Kind), Data: e.Data,
 		})
 	}
-	if w.Chunk != nil {
-		m.Offset, m.Total, m.Sum, m.Data = w.Chunk.Offset, w.Chunk.Total, w.Chunk.Sum, w.Chunk.Data
-		m.Members = ownMembers(w.Chunk.Members)
+	if wire.Chunk != nil {
+		m.Offset, m.TotalBytes, m.Checksum, m.Data = wire.Chunk.Offset, wire.Chunk.Total, wire.Chunk.Sum, wire.Chunk.Data
+		m.Members = membersFromWire(wire.Chunk.Members)
 	}
 	return m, nil
 }
 
 // EncodeMembers gives the data of a Change entry.
 func EncodeMembers(members []Member) []byte {
-	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(wireMembers(members))
+	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(membersToWire(members))
 	if err != nil {
 		// Only strings that are not UTF-8 lead here; change refuses them.
 		panic(errors.Wrap(err, "encode members"))
@@ -114,27 +114,27 @@
 
 // DecodeMembers reads the data of a Change entry.
 func DecodeMembers(data []byte) ([]Member, error) {
-	var w inner.LogMembers
-	if err := proto.Unmarshal(data, &w); err != nil {
+	var wire inner.LogMembers
+	if err := proto.Unmarshal(data, &wire); err != nil {
 		return nil, errors.Wrap(err, "decode members")
 	}
-	return ownMembers(&w), nil
+	return membersFromWire(&wire), nil
 }
 
-func wireMembers(members []Member) *inner.LogMembers {
+func membersToWire(members []Member) *inner.LogMembers {
 	if len(members) == 0 {
 		return nil
 	}
-	w := &inner.LogMembers{}
+	wire := &inner.LogMembers{}
 	for _, m := range members {
-		w.Members = append(w.Members, &inner.LogMember{Id: m.ID, Address: m.Address, Learner: m.Learner})
+		wire.Members = append(wire.Members, &inner.LogMember{Id: m.ID, Address: m.Address, Learner: m.Learner})
 	}
-	return w
+	return wire
 }
 
-func ownMembers(w *inner.LogMembers) []Member {
+func membersFromWire(wire *inner.LogMembers) []Member {
 	var members []Member
-	for _, m := range w.GetMembers() {
+	for _, m := range wire.GetMembers() {
 		members = append(members, Member{ID: m.Id, Address: m.Address, Learner: m.Learner})
 	}
 	return members
--- a/internal/replica/quorum/progress.go
+++ b/internal/replica/quorum/progress.go
@@ -5,200 +5,200 @@
 type progressState uint8
 
 const (
-	// probing sends one append at a time until the logs match.
-	probing progressState = iota
-	// replicating sends several ahead of their answers.
-	replicating
-	// installing sends a snapshot.
-	installing
+	// progressProbing sends one append at a time until the logs match.
+	progressProbing progressState = iota
+	// progressReplicating sends several ahead of their answers.
+	progressReplicating
+	// progressSnapshot sends a snapshot.
+	progressSnapshot
 )
 
-// sent is an append on its way.
-type sent struct {
-	last uint64
-	at   time.Duration
-	size int
+// inflightAppend is an append on its way.
+type inflightAppend struct {
+	lastIndex uint64
+	sentAt    time.Duration
+	bytes     int
 }
 
-// progress is what a leader knows of another replica.
-type progress struct {
+// replicaProgress is what a leader knows of another replica.
+type replicaProgress struct {
 	state progressState
-	// match is the highest index that the replica has synced alike.
-	match uint64
-	next  uint64
-	// round is the last heartbeat round that it answered, heard when it last spoke.
-	round uint64
-	heard time.Duration
-	// waiting tells that a probe or a chunk, sent at asked, has no answer yet.
-	waiting bool
-	asked   time.Duration
-	// flight are the appends on their way, window their bytes.
-	flight []sent
-	window int
-	// image is the snapshot that it is being sent, and offset how far.
-	image  *Snapshot
-	sum    uint64
-	offset uint64
+	// matchIndex is the highest index that the replica has synced alike.
+	matchIndex uint64
+	nextIndex  uint64
+	// answeredRound is the last heartbeat round that it answered, heard when it last spoke.
+	answeredRound uint64
+	heardAt       time.Duration
+	// awaitingReply tells that a probe or a chunk, sent at asked, has no answer yet.
+	awaitingReply bool
+	requestSentAt time.Duration
+	// inflight are the appends on their way, window their bytes.
+	inflight      []inflightAppend
+	inflightBytes int
+	// snapshot is the snapshot that it is being sent, and offset how far.
+	snapshot         *Snapshot
+	snapshotChecksum uint64
+	snapshotOffset   uint64
 }
 
-// resendHeartbeats is after how many heartbeats an unanswered message is sent again.
-const resendHeartbeats = 3
+// resendAfterHeartbeats is after how many heartbeats an unanswered message is sent again.
+const resendAfterHeartbeats = 3
 
-func (c *Core) peer(id string) *progress {
-	p, ok := c.lead.peers[id]
+func (c *Core) progressOf(id string) *replicaProgress {
+	progress, ok := c.leading.peers[id]
 	if !ok {
-		p = &progress{next: c.log.last() + 1}
-		c.lead.peers[id] = p
+		progress = &replicaProgress{nextIndex: c.log.lastIndex() + 1}
+		c.leading.peers[id] = progress
 	}
-	return p
+	return progress
 }
 
-// probe starts over from the first entry that is not known to match.
-func (p *progress) probe(next uint64) {
-	p.state, p.waiting, p.image = probing, false, nil
-	p.flight, p.window = nil, 0
-	p.next = max(next, p.match+1)
+// startProbing starts over from the first entry that is not known to match.
+func (p *replicaProgress) startProbing(next uint64) {
+	p.state, p.awaitingReply, p.snapshot = progressProbing, false, nil
+	p.inflight, p.inflightBytes = nil, 0
+	p.nextIndex = max(next, p.matchIndex+1)
 }
 
-// matched takes an acknowledgement of synced entries.
-func (p *progress) matched(index uint64) {
-	p.match = max(p.match, index)
-	for len(p.flight) > 0 && p.flight[0].last <= p.match {
-		p.window -= p.flight[0].size
-		p.flight = p.flight[1:]
+// recordMatch takes an acknowledgement of synced entries.
+func (p *replicaProgress) recordMatch(index uint64) {
+	p.matchIndex = max(p.matchIndex, index)
+	for len(p.inflight) > 0 && p.inflight[0].lastIndex <= p.matchIndex {
+		p.inflightBytes -= p.inflight[0].bytes
+		p.inflight = p.inflight[1:]
 	}
-	if p.state == installing && p.match >= p.image.Index || p.state == probing {
-		p.probe(p.match + 1)
-		p.state = replicating
+	if p.state == progressSnapshot && p.matchIndex >= p.snapshot.Index || p.state == progressProbing {
+		p.startProbing(p.matchIndex + 1)
+		p.state = progressReplicating
 	}
-	p.next = max(p.next, p.match+1)
+	p.nextIndex = max(p.nextIndex, p.matchIndex+1)
 }
 
-// beat takes what a replica has synced and knows to match. One that came back
+// recordHeartbeatMatch takes what a replica has synced and knows to match. One that came back
 // knows less than it had acknowledged, and would not commit the end of its log
 // before the next entry comes: an empty append lets it know.
-func (p *progress) beat(index uint64) {
+func (p *replicaProgress) recordHeartbeatMatch(index uint64) {
 	switch {
-	case index > p.match:
-		p.matched(index)
-	case index < p.match && p.state == replicating && len(p.flight) == 0:
-		p.probe(p.match + 1)
+	case index > p.matchIndex:
+		p.recordMatch(index)
+	case index < p.matchIndex && p.state == progressReplicating && len(p.inflight) == 0:
+		p.startProbing(p.matchIndex + 1)
 	}
 }
 
-// resend starts over with replicas that left messages unanswered.
-func (c *Core) resend() {
-	patience := resendHeartbeats * c.cfg.Heartbeat
-	for _, m := range c.members().members {
-		p := c.peer(m.ID)
-		if p.waiting && c.now-p.asked >= patience {
-			p.waiting = false
+// resendUnanswered starts over with replicas that left messages unanswered.
+func (c *Core) resendUnanswered() {
+	replyTimeout := resendAfterHeartbeats * c.cfg.HeartbeatInterval
+	for _, m := range c.currentMembership().members {
+		progress := c.progressOf(m.ID)
+		if progress.awaitingReply && c.now-progress.requestSentAt >= replyTimeout {
+			progress.awaitingReply = false
 		}
-		if len(p.flight) > 0 && c.now-p.flight[0].at >= patience {
-			p.probe(p.match + 1)
+		if len(progress.inflight) > 0 && c.now-progress.inflight[0].sentAt >= replyTimeout {
+			progress.startProbing(progress.matchIndex + 1)
 		}
 	}
 }
 
 // replicate sends every member what it lacks, within the bounds.
 func (c *Core) replicate() {
-	if c.role != leader {
+	if c.role != roleLeader {
 		return
 	}
-	for _, m := range c.members().members {
+	for _, m := range c.currentMembership().members {
 		if m.ID != c.cfg.ID {
-			c.sendTo(m.ID, c.peer(m.ID))
+			c.replicateTo(m.ID, c.progressOf(m.ID))
 		}
 	}
-	c.handOver()
-	c.reportRound()
+	c.sendTimeoutNow()
+	c.reportConfirmedRound()
 }
 
-func (c *Core) sendTo(id string, p *progress) {
-	if p.next <= c.log.base && p.state != installing {
-		p.probe(p.next)
-		p.state = installing
-		image := c.snapshot
-		p.image, p.sum, p.offset = &image, image.Sum(), 0
-	}
-	switch p.state {
-	case installing:
-		c.sendChunk(id, p)
-	case probing:
-		c.sendProbe(id, p)
-	case replicating:
-		for p.next <= c.log.last() && len(p.flight) < c.cfg.Inflight && p.window < c.cfg.Window {
-			entries := c.sendAppend(id, p)
-			p.next += uint64(len(entries))
-			n := size(entries)
-			p.flight = append(p.flight, sent{last: p.next - 1, at: c.now, size: n})
-			p.window += n
+func (c *Core) replicateTo(id string, progress *replicaProgress) {
+	if progress.nextIndex <= c.log.base && progress.state != progressSnapshot {
+		progress.startProbing(progress.nextIndex)
+		progress.state = progressSnapshot
+		snapshot := c.snapshot
+		progress.snapshot, progress.snapshotChecksum, progress.snapshotOffset = &snapshot, snapshot.Checksum(), 0
+	}
+	switch progress.state {
+	case progressSnapshot:
+		c.sendSnapshotChunk(id, progress)
+	case progressProbing:
+		c.sendProbe(id, progress)
+	case progressReplicating:
+		for progress.nextIndex <= c.log.lastIndex() && len(progress.inflight) < c.cfg.MaxInflightAppends && progress.inflightBytes < c.cfg.MaxInflightBytes {
+			entries := c.sendAppend(id, progress)
+			progress.nextIndex += uint64(len(entries))
+			entryBytes := entriesBytes(entries)
+			progress.inflight = append(progress.inflight, inflightAppend{lastIndex: progress.nextIndex - 1, sentAt: c.now, bytes: entryBytes})
+			progress.inflightBytes += entryBytes
 		}
 	}
 }
 
 // sendProbe sends nothing to a replica that is silent: entries would pile up in
 // front of one that is away for an hour. Its answer to a heartbeat comes first.
-func (c *Core) sendProbe(id string, p *progress) {
-	silent := c.now-max(p.heard, c.lead.elected) > c.cfg.Patience
-	if p.waiting || silent {
+func (c *Core) sendProbe(id string, progress *replicaProgress) {
+	isSilent := c.now-max(progress.heardAt, c.leading.electedAt) > c.cfg.MaxElectionTimeout
+	if progress.awaitingReply || isSilent {
 		return
 	}
-	p.waiting, p.asked = true, c.now
-	c.sendAppend(id, p)
+	progress.awaitingReply, progress.requestSentAt = true, c.now
+	c.sendAppend(id, progress)
 }
 
-func (c *Core) sendAppend(id string, p *progress) []Entry {
-	prev := p.next - 1
-	term, _ := c.log.term(prev)
-	entries := c.log.page(prev, c.cfg.Message)
+func (c *Core) sendAppend(id string, progress *replicaProgress) []Entry {
+	prevIndex := progress.nextIndex - 1
+	prevTerm, _ := c.log.termAt(prevIndex)
+	entries := c.log.batchAfter(prevIndex, c.cfg.MaxMessageBytes)
 	c.send(Message{
-		Kind: Append, To: id, Term: c.hard.Term, Index: prev, LogTerm: term,
-		Commit: c.commit, Entries: entries,
+		Kind: AppendEntries, To: id, Term: c.hardState.Term, Index: prevIndex, LogTerm: prevTerm,
+		CommitIndex: c.commitIndex, Entries: entries,
 	})
 	return entries
 }
 
-// takeReply takes an answer from a replica that follows.
-func (c *Core) takeReply(m Message) {
-	if c.role != leader || !c.members().contains(m.From) {
+// handleFollowerReply takes an answer from a replica that follows.
+func (c *Core) handleFollowerReply(m Message) {
+	if c.role != roleLeader || !c.currentMembership().contains(m.From) {
 		return
 	}
-	p := c.peer(m.From)
-	p.heard = c.now
+	progress := c.progressOf(m.From)
+	progress.heardAt = c.now
 	switch m.Kind {
 	case HeartbeatReply:
-		p.round = max(p.round, m.Round)
-		p.beat(m.Index)
-		c.checkRounds()
-	case AppendReply:
-		c.takeAppendReply(p, m)
-	case ChunkReply:
-		c.takeChunkReply(p, m)
+		progress.answeredRound = max(progress.answeredRound, m.Round)
+		progress.recordHeartbeatMatch(m.Index)
+		c.confirmRounds()
+	case AppendEntriesReply:
+		c.handleAppendEntriesReply(progress, m)
+	case SnapshotChunkReply:
+		c.handleSnapshotChunkReply(progress, m)
 	}
 }
 
-func (c *Core) takeAppendReply(p *progress, m Message) {
+func (c *Core) handleAppendEntriesReply(progress *replicaProgress, m Message) {
 	if !m.Reject {
-		p.matched(m.Index)
+		progress.recordMatch(m.Index)
 		return
 	}
 	// A rejection of what was acknowledged is an old one; answered by a probe, it
 	// would only bring the next.
-	if m.Index <= p.match || p.state == installing || p.state == probing && m.Index != p.next-1 {
+	if m.Index <= progress.matchIndex || progress.state == progressSnapshot || progress.state == progressProbing && m.Index != progress.nextIndex-1 {
 		return
 	}
-	next, _ := c.log.conflict(m.Hint, m.LogTerm)
-	p.probe(next + 1)
-	if next == c.log.base && c.log.base > 0 {
-		c.probeBase(p, m)
+	matchCandidate, _ := c.log.lastNotAboveTerm(m.ConflictIndex, m.LogTerm)
+	progress.startProbing(matchCandidate + 1)
+	if matchCandidate == c.log.base && c.log.base > 0 {
+		c.probeLogBase(progress, m)
 	}
 }
 
-// probeBase falls back to a snapshot when the replica's log ends before this one
+// probeLogBase falls back to a snapshot when the replica's log ends before this one
 // begins, or differs there.
-func (c *Core) probeBase(p *progress, m Message) {
-	if m.Hint < c.log.base || m.Index == c.log.base {
-		p.next = max(p.match+1, c.log.base)
+func (c *Core) probeLogBase(progress *replicaProgress, m Message) {
+	if m.ConflictIndex < c.log.base || m.Index == c.log.base {
+		progress.nextIndex = max(progress.matchIndex+1, c.log.base)
 	}
 }
--- a/internal/replica/quorum/report.go
+++ b/internal/replica/quorum/report.go
@@ -4,73 +4,73 @@
 	"slices"
 )
 
-// standing is what the control thread was told last.
-type standing struct {
-	told    bool
-	leading bool
-	term    uint64
-	leader  string
+// leadershipReport is what the control thread was told last.
+type leadershipReport struct {
+	sent     bool
+	isLeader bool
+	term     uint64
+	leaderID string
 }
 
-// reportFollowed tells of lost leadership before anything that follows from it.
-func (c *Core) reportFollowed() {
-	leading := c.role == leader
-	if leading && (!c.report.leading || c.report.term == c.hard.Term) {
+// reportFollower tells of lost leadership before anything that follows from it.
+func (c *Core) reportFollower() {
+	isLeader := c.role == roleLeader
+	if isLeader && (!c.lastReport.isLeader || c.lastReport.term == c.hardState.Term) {
 		return
 	}
-	now := standing{told: true, term: c.hard.Term, leader: c.leader}
-	if leading {
-		now.leader = ""
+	report := leadershipReport{sent: true, term: c.hardState.Term, leaderID: c.leaderID}
+	if isLeader {
+		report.leaderID = ""
 	}
-	if c.report == now {
+	if c.lastReport == report {
 		return
 	}
-	c.report = now
-	c.say(Followed{Term: now.term, Leader: now.leader, Address: c.addressOf(now.leader)})
+	c.lastReport = report
+	c.addReport(BecameFollower{Term: report.term, Leader: report.leaderID, LeaderAddress: c.addressOf(report.leaderID)})
 }
 
-// led tells whether the control thread was told that this replica leads in this term.
-func (c *Core) led() bool {
-	return c.role == leader && c.report.leading && c.report.term == c.hard.Term
+// hasReportedLeadership tells whether the control thread was told that this replica leads in this term.
+func (c *Core) hasReportedLeadership() bool {
+	return c.role == roleLeader && c.lastReport.isLeader && c.lastReport.term == c.hardState.Term
 }
 
-// apply reports what was committed.
-func (c *Core) apply() {
-	if c.applied >= c.commit {
+// reportCommitted reports what was committed.
+func (c *Core) reportCommitted() {
+	if c.reportedIndex >= c.commitIndex {
 		return
 	}
-	if c.led() {
-		c.say(Committed{Index: c.commit})
+	if c.hasReportedLeadership() {
+		c.addReport(CommitAdvanced{Index: c.commitIndex})
 	} else {
-		c.say(Applied{Entries: slices.Clone(c.log.slice(c.applied, c.commit))})
+		c.addReport(EntriesCommitted{Entries: slices.Clone(c.log.entriesBetween(c.reportedIndex, c.commitIndex))})
 	}
-	c.applied = c.commit
+	c.reportedIndex = c.commitIndex
 }
 
-// announce reports the committed membership when it is a new one.
-func (c *Core) announce() {
-	m := c.history.at(c.commit)
-	if m.index == c.announced {
+// reportMembership reports the committed membership when it is a new one.
+func (c *Core) reportMembership() {
+	membership := c.memberships.at(c.commitIndex)
+	if membership.index == c.reportedMembersIndex {
 		return
 	}
-	c.announced = m.index
-	c.say(MembersChanged{Members: m.members})
+	c.reportedMembersIndex = membership.index
+	c.addReport(MembershipChanged{Members: membership.members})
 }
 
-// reportLed waits until everything in the log is committed: the entry of its
+// reportLeader waits until everything in the log is committed: the entry of its
 // own term too, without which a leader can't know what is.
-func (c *Core) reportLed() {
-	if c.role != leader || c.led() || c.commit < c.lead.empty || c.commit < c.log.last() {
+func (c *Core) reportLeader() {
+	if c.role != roleLeader || c.hasReportedLeadership() || c.commitIndex < c.leading.noOpIndex || c.commitIndex < c.log.lastIndex() {
 		return
 	}
-	c.report = standing{told: true, leading: true, term: c.hard.Term, leader: c.cfg.ID}
-	c.say(Led{Term: c.hard.Term, Last: c.log.last(), Elected: c.lead.elected})
+	c.lastReport = leadershipReport{sent: true, isLeader: true, term: c.hardState.Term, leaderID: c.cfg.ID}
+	c.addReport(BecameLeader{Term: c.hardState.Term, LastIndex: c.log.lastIndex(), ElectedAt: c.leading.electedAt})
 }
 
-// reload gives the state again to a control thread that has to drop its own.
-func (c *Core) reload() {
-	c.say(Restored{Index: c.snapshot.Index, State: c.snapshot.State})
-	c.applied = c.snapshot.Index
-	c.report.leading = c.report.leading && c.role != leader
-	c.lead.told = 0
+// reloadState gives the state again to a control thread that has to drop its own.
+func (c *Core) reloadState() {
+	c.addReport(StateRestored{Index: c.snapshot.Index, State: c.snapshot.State})
+	c.reportedIndex = c.snapshot.Index
+	c.lastReport.isLeader = c.lastReport.isLeader && c.role != roleLeader
+	c.leading.reportedRoundStart = 0
 }
--- a/internal/replica/quorum/snapshot.go
+++ b/internal/replica/quorum/snapshot.go
@@ -2,160 +2,160 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// incoming is a snapshot that is being received.
-type incoming struct {
-	index, term uint64
-	sum, total  uint64
-	members     []Member
-	data        []byte
+// incomingSnapshot is a snapshot that is being received.
+type incomingSnapshot struct {
+	index, term          uint64
+	checksum, totalBytes uint64
+	members              []Member
+	data                 []byte
 }
 
-// compact starts to save a snapshot of the state after a committed entry, once
+// startCompaction starts to save a snapshot of the state after a committed entry, once
 // the journal holds that entry: entries behind the snapshot follow it there.
-func (c *Core) compact() {
-	ev := c.later
-	if ev == nil || c.saving != nil || ev.Index > min(c.applied, c.disk.stable) {
+func (c *Core) startCompaction() {
+	request := c.pendingCompact
+	if request == nil || c.savingSnapshot != nil || request.Index > min(c.reportedIndex, c.journal.syncedIndex) {
 		return
 	}
-	c.later = nil
-	term, ok := c.log.term(ev.Index)
-	if !ok || ev.Index <= c.snapshot.Index {
+	c.pendingCompact = nil
+	term, ok := c.log.termAt(request.Index)
+	if !ok || request.Index <= c.snapshot.Index {
 		return
 	}
-	c.save(&Snapshot{
-		Index: ev.Index, Term: term,
-		Members: c.history.at(ev.Index).members, State: ev.State,
+	c.startSnapshotSave(&Snapshot{
+		Index: request.Index, Term: term,
+		Members: c.memberships.at(request.Index).members, State: request.State,
 	})
 }
 
-func (c *Core) save(s *Snapshot) {
-	c.saving = s
-	c.fx.Save = s
+func (c *Core) startSnapshotSave(snapshot *Snapshot) {
+	c.savingSnapshot = snapshot
+	c.effects.SaveSnapshot = snapshot
 }
 
-// snapshotSaved goes on with a snapshot that is on the disk.
-func (c *Core) snapshotSaved(index uint64) {
-	if c.saving == nil || c.saving.Index != index {
+// handleSnapshotSaved goes on with a snapshot that is on the disk.
+func (c *Core) handleSnapshotSaved(index uint64) {
+	if c.savingSnapshot == nil || c.savingSnapshot.Index != index {
 		return
 	}
-	s := *c.saving
-	c.saving = nil
-	if s.Index <= c.snapshot.Index {
+	snapshot := *c.savingSnapshot
+	c.savingSnapshot = nil
+	if snapshot.Index <= c.snapshot.Index {
 		return
 	}
-	c.snapshot = s
-	c.disk.drop = s.Index
-	c.install(s)
+	c.snapshot = snapshot
+	c.journal.dropIndex = snapshot.Index
+	c.installSnapshot(snapshot)
 	// What the log is about to forget was not reported yet if the snapshot came
 	// from the leader.
-	c.apply()
+	c.reportCommitted()
 	c.compactLog()
 }
 
-// install takes over a snapshot from the leader that is ahead of this replica.
-func (c *Core) install(s Snapshot) {
-	if s.Index <= c.commit {
+// installSnapshot takes over a snapshot from the leader that is ahead of this replica.
+func (c *Core) installSnapshot(snapshot Snapshot) {
+	if snapshot.Index <= c.commitIndex {
 		return
 	}
-	if term, ok := c.log.term(s.Index); ok && term == s.Term {
+	if term, ok := c.log.termAt(snapshot.Index); ok && term == snapshot.Term {
 		// The log goes on from here: it only has to be applied.
-		c.commitUpTo(s.Index)
+		c.commitUpTo(snapshot.Index)
 		return
 	}
-	c.log = log{base: s.Index, baseTerm: s.Term}
-	c.history = history{{index: s.Index, members: s.Members}}
-	c.disk.replace(&s)
-	c.commit, c.applied = s.Index, s.Index
-	c.verified, c.ackDue = max(c.verified, s.Index), true
-	c.say(Restored{Index: s.Index, State: s.State})
+	c.log = entryLog{base: snapshot.Index, baseTerm: snapshot.Term}
+	c.memberships = membershipHistory{{index: snapshot.Index, members: snapshot.Members}}
+	c.journal.resetToSnapshot(&snapshot)
+	c.commitIndex, c.reportedIndex = snapshot.Index, snapshot.Index
+	c.matchedIndex, c.ackDue = max(c.matchedIndex, snapshot.Index), true
+	c.addReport(StateRestored{Index: snapshot.Index, State: snapshot.State})
 }
 
 // compactLog forgets entries behind the snapshot but for a bounded tail, from
 // which a replica that was away for a moment is served without the snapshot.
 func (c *Core) compactLog() {
-	keep, bytes := c.snapshot.Index, 0
-	for keep > c.log.base && bytes < c.cfg.Tail {
-		bytes += c.log.entries[keep-c.log.base-1].size()
-		keep--
+	dropIndex, tailBytes := c.snapshot.Index, 0
+	for dropIndex > c.log.base && tailBytes < c.cfg.LogTailBytes {
+		tailBytes += c.log.entries[dropIndex-c.log.base-1].bytes()
+		dropIndex--
 	}
-	c.log.compact(keep)
-	c.history = c.history.compact(c.log.base)
+	c.log.dropUpTo(dropIndex)
+	c.memberships = c.memberships.dropBefore(c.log.base)
 }
 
-// sendChunk sends the part of the snapshot that the replica asks for next.
-func (c *Core) sendChunk(id string, p *progress) {
-	silent := c.now-max(p.heard, c.lead.elected) > c.cfg.Patience
-	if p.waiting || silent {
+// sendSnapshotChunk sends the part of the snapshot that the replica asks for next.
+func (c *Core) sendSnapshotChunk(id string, progress *replicaProgress) {
+	isSilent := c.now-max(progress.heardAt, c.leading.electedAt) > c.cfg.MaxElectionTimeout
+	if progress.awaitingReply || isSilent {
 		return
 	}
-	p.waiting, p.asked = true, c.now
-	s := p.image
-	end := min(uint64(len(s.State)), p.offset+uint64(c.cfg.Message))
+	progress.awaitingReply, progress.requestSentAt = true, c.now
+	snapshot := progress.snapshot
+	end := min(uint64(len(snapshot.State)), progress.snapshotOffset+uint64(c.cfg.MaxMessageBytes))
 	c.send(Message{
-		Kind: Chunk, To: id, Term: c.hard.Term, Index: s.Index, LogTerm: s.Term,
-		Offset: p.offset, Total: uint64(len(s.State)), Sum: p.sum,
-		Data: s.State[p.offset:end], Members: s.Members,
+		Kind: SnapshotChunk, To: id, Term: c.hardState.Term, Index: snapshot.Index, LogTerm: snapshot.Term,
+		Offset: progress.snapshotOffset, TotalBytes: uint64(len(snapshot.State)), Checksum: progress.snapshotChecksum,
+		Data: snapshot.State[progress.snapshotOffset:end], Members: snapshot.Members,
 	})
 }
 
-// Sum is the checksum of the state.
-func (s *Snapshot) Sum() uint64 { return xxhash.Sum64(s.State) }
+// Checksum is the checksum of the state.
+func (s *Snapshot) Checksum() uint64 { return xxhash.Sum64(s.State) }
 
-// takeChunk adds a part to the snapshot that is being received. It goes on where
+// handleSnapshotChunk adds a part to the snapshot that is being received. It goes on where
 // it was when the connection or the leader changed, if the snapshot is the same.
-func (c *Core) takeChunk(m Message) {
-	if m.Index <= c.commit {
-		c.verified = max(c.verified, c.commit)
+func (c *Core) handleSnapshotChunk(m Message) {
+	if m.Index <= c.commitIndex {
+		c.matchedIndex = max(c.matchedIndex, c.commitIndex)
 		c.ackDue = true
 		return
 	}
-	if m.Total > uint64(c.cfg.Snapshot) {
+	if m.TotalBytes > uint64(c.cfg.MaxSnapshotBytes) {
 		return
 	}
-	if c.saving != nil && c.saving.Index == m.Index {
-		c.answerChunk(m, m.Total)
+	if c.savingSnapshot != nil && c.savingSnapshot.Index == m.Index {
+		c.sendSnapshotChunkReply(m, m.TotalBytes)
 		return
 	}
-	in := c.incoming
-	if in == nil || in.index != m.Index || in.term != m.LogTerm || in.sum != m.Sum || in.total != m.Total {
-		in = &incoming{index: m.Index, term: m.LogTerm, sum: m.Sum, total: m.Total, members: m.Members}
-		c.incoming = in
+	incoming := c.incoming
+	if incoming == nil || incoming.index != m.Index || incoming.term != m.LogTerm || incoming.checksum != m.Checksum || incoming.totalBytes != m.TotalBytes {
+		incoming = &incomingSnapshot{index: m.Index, term: m.LogTerm, checksum: m.Checksum, totalBytes: m.TotalBytes, members: m.Members}
+		c.incoming = incoming
 	}
-	if m.Offset == uint64(len(in.data)) && m.Offset+uint64(len(m.Data)) <= in.total {
-		in.data = append(in.data, m.Data...)
+	if m.Offset == uint64(len(incoming.data)) && m.Offset+uint64(len(m.Data)) <= incoming.totalBytes {
+		incoming.data = append(incoming.data, m.Data...)
 	}
-	if uint64(len(in.data)) == in.total {
-		c.received(in)
+	if uint64(len(incoming.data)) == incoming.totalBytes {
+		c.completeSnapshot(incoming)
 	}
-	c.answerChunk(m, uint64(len(in.data)))
+	c.sendSnapshotChunkReply(m, uint64(len(incoming.data)))
 }
 
-// answerChunk tells the leader from where to go on.
-func (c *Core) answerChunk(m Message, offset uint64) {
+// sendSnapshotChunkReply tells the leader from where to go on.
+func (c *Core) sendSnapshotChunkReply(chunk Message, offset uint64) {
 	c.send(Message{
-		Kind: ChunkReply, To: m.From, Term: c.hard.Term, Index: m.Index, Offset: offset, Sum: m.Sum,
+		Kind: SnapshotChunkReply, To: chunk.From, Term: c.hardState.Term, Index: chunk.Index, Offset: offset, Checksum: chunk.Checksum,
 	})
 }
 
-// received saves a whole snapshot. One that arrived damaged starts over.
-func (c *Core) received(in *incoming) {
-	if c.saving != nil {
+// completeSnapshot saves a whole snapshot. One that arrived damaged starts over.
+func (c *Core) completeSnapshot(incoming *incomingSnapshot) {
+	if c.savingSnapshot != nil {
 		return
 	}
-	s := &Snapshot{Index: in.index, Term: in.term, Members: in.members, State: in.data}
-	if s.Sum() != in.sum {
-		in.data = nil
+	snapshot := &Snapshot{Index: incoming.index, Term: incoming.term, Members: incoming.members, State: incoming.data}
+	if snapshot.Checksum() != incoming.checksum {
+		incoming.data = nil
 		return
 	}
 	c.incoming = nil
-	c.save(s)
+	c.startSnapshotSave(snapshot)
 }
 
-func (c *Core) takeChunkReply(p *progress, m Message) {
-	if p.state != installing || m.Index != p.image.Index || m.Offset > uint64(len(p.image.State)) {
+func (c *Core) handleSnapshotChunkReply(progress *replicaProgress, m Message) {
+	if progress.state != progressSnapshot || m.Index != progress.snapshot.Index || m.Offset > uint64(len(progress.snapshot.State)) {
 		return
 	}
-	p.offset = m.Offset
+	progress.snapshotOffset = m.Offset
 	// The whole snapshot is there: its save is answered by an acknowledgement.
-	p.waiting = m.Offset == uint64(len(p.image.State))
+	progress.awaitingReply = m.Offset == uint64(len(progress.snapshot.State))
 }
--- a/internal/replica/quorum/status.go
+++ b/internal/replica/quorum/status.go
@@ -37,18 +37,18 @@
 // Status gives the state of the core.
 func (c *Core) Status() Status {
 	s := Status{
-		ID: c.cfg.ID, Term: c.hard.Term, Leading: c.role == leader, Leader: c.leader,
-		Last: c.log.last(), Synced: c.disk.stable, Commit: c.commit,
+		ID: c.cfg.ID, Term: c.hardState.Term, Leading: c.role == roleLeader, Leader: c.leaderID,
+		Last: c.log.lastIndex(), Synced: c.journal.syncedIndex, Commit: c.commitIndex,
 		Snapshot: c.snapshot.Index, Base: c.log.base,
-		Members: slices.Clone(c.members().members), Voters: len(c.members().voters()),
+		Members: slices.Clone(c.currentMembership().members), Voters: len(c.currentMembership().voterIDs()),
 	}
-	for id, p := range c.lead.peers {
-		if id == c.cfg.ID || !c.members().contains(id) {
+	for id, p := range c.leading.peers {
+		if id == c.cfg.ID || !c.currentMembership().contains(id) {
 			continue
 		}
 		s.Peers = append(s.Peers, PeerStatus{
-			ID: id, Match: p.match, Installing: p.state == installing, Offset: p.offset,
-			Promotable: !c.members().voter(id) && c.promotable(id),
+			ID: id, Match: p.matchIndex, Installing: p.state == progressSnapshot, Offset: p.snapshotOffset,
+			Promotable: !c.currentMembership().isVoter(id) && c.isPromotable(id),
 		})
 	}
 	slices.SortFunc(s.Peers, func(a, b PeerStatus) int { return strings.Compare(a.ID, b.ID) })
@@ -56,7 +56,7 @@
 }
 
 // Transferring tells that the leader hands over and takes no proposals.
-func (c *Core) Transferring() bool { return c.lead.transferee != "" }
+func (c *Core) Transferring() bool { return c.leading.transferee != "" }
 
-// Uncommitted gives the bytes of the entries that wait for a quorum.
-func (c *Core) Uncommitted() int { return c.log.size - c.log.committed }
+// UncommittedBytes gives the bytes of the entries that wait for a quorum.
+func (c *Core) UncommittedBytes() int { return c.log.bytes - c.log.committedBytes }
