--- a/internal/replica/quorum/core.go
+++ b/internal/replica/quorum/core.go
@@ -66,7 +66,7 @@
 	pendingCompact *Compact
 	incoming       *incomingSnapshot
 
-	leading leaderState
+	leaderState leaderState
 }
 
 // New makes a core from what the disk holds.
@@ -275,7 +275,7 @@
 
 // resetElectionDeadline draws a new election timeout.
 func (c *Core) resetElectionDeadline() {
-	c.electionDeadline = c.now + c.randomBetweenOnceAndTwice(c.electionTimeout())
+	c.electionDeadline = c.now + c.randomizedTimeout(c.electionTimeout())
 }
 
 // electionTimeout is how long a silent leader is waited for.
@@ -286,12 +286,12 @@
 // setPreVoteDeadline draws the time to the next question before an election: shorter than a
 // timeout, as no leader can be missed meanwhile, and the question disturbs nobody.
 func (c *Core) setPreVoteDeadline() {
-	c.electionDeadline = c.now + c.randomBetweenOnceAndTwice(c.cfg.ElectionTimeout/preVoteRetryDivisor)
+	c.electionDeadline = c.now + c.randomizedTimeout(c.cfg.ElectionTimeout/preVoteRetryDivisor)
 }
 
 // setVoteDeadline draws the time to the next try of an election that was not won.
 func (c *Core) setVoteDeadline() {
-	c.electionDeadline = c.now + c.randomBetweenOnceAndTwice(max(c.cfg.ElectionTimeout/preVoteRetryDivisor, c.cfg.MaxElectionTimeout/voteRetryDivisor))
+	c.electionDeadline = c.now + c.randomizedTimeout(max(c.cfg.ElectionTimeout/preVoteRetryDivisor, c.cfg.MaxElectionTimeout/voteRetryDivisor))
 }
 
 const (
@@ -303,7 +303,7 @@
 	voteRetryDivisor = 8
 )
 
-// randomBetweenOnceAndTwice draws a time of d to twice that.
-func (c *Core) randomBetweenOnceAndTwice(d time.Duration) time.Duration {
+// randomizedTimeout draws a time of d to twice that.
+func (c *Core) randomizedTimeout(d time.Duration) time.Duration {
 	return d + time.Duration(c.rng.Int64N(int64(d)))
 }
--- a/internal/replica/quorum/core_test.go
+++ b/internal/replica/quorum/core_test.go
@@ -12,7 +12,7 @@
 // A disk is replaced and, against the rules, the identity is kept.
 // The replica voted or acknowledged before; if it voted again, two leaders could
 // hold one term. A blank disk knows no membership, so it must stay silent.
-func TestBlankDiskIsSilent(t *testing.T) {
+func TestReplicaWithBlankDiskSendsNothing(t *testing.T) {
 	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, quorum.PersistedState{})
 	for _, kind := range []quorum.MessageKind{quorum.PreVoteRequest, quorum.VoteRequest} {
 		m := quorum.Message{Kind: kind, From: "a/0", To: "c/0", Term: 9, Index: 100, LogTerm: 8, SenderAddress: "a"}
@@ -31,7 +31,7 @@
 // A replica is given a new disk and a new identity, at the address of the old.
 // A message that was meant for the old one must not reach it: its answer would
 // count for entries that went with the disk.
-func TestMessageForTheIdentityBefore(t *testing.T) {
+func TestMessageForEarlierIdentityIsRefused(t *testing.T) {
 	data, err := quorum.EncodeMessage(quorum.Message{Kind: quorum.Heartbeat, To: "c/0", Term: 3, Round: 7})
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 // A replica takes a snapshot in the place of its own, differing log, and its
 // process dies before the journal was cut.
 // The stale entries behind the snapshot must not come back after the restart.
-func TestStaleEntriesBehindSnapshot(t *testing.T) {
+func TestStaleEntriesAfterSnapshotAreDropped(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0"}, {ID: "b/0"}, {ID: "c/0"}}
 	saved := quorum.PersistedState{
 		HardState: quorum.HardState{Term: 5},
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestMessageEncoding(t *testing.T) {
+func TestMessageEncodingRoundTrip(t *testing.T) {
 	want := quorum.Message{
 		Kind: quorum.AppendEntries, From: "a/0", To: "b/0", Term: 7, Index: 10, LogTerm: 6, CommitIndex: 9, SenderAddress: "x",
 		Entries: []quorum.Entry{
@@ -88,9 +88,9 @@
 	}
 }
 
-// elected gives a core that has just won term 4 with the vote of b, with entries
+// newElectedLeader gives a core that has just won term 4 with the vote of b, with entries
 // of the terms 1 and 2 in its log.
-func elected(t *testing.T) *quorum.Core {
+func newElectedLeader(t *testing.T) *quorum.Core {
 	t.Helper()
 	members := []quorum.Member{{ID: "a/0", Address: "a"}, {ID: "b/0", Address: "b"}, {ID: "c/0", Address: "c"}}
 	c := quorum.New(quorum.Config{ID: "a/0", Seed: 1}, quorum.PersistedState{
@@ -101,16 +101,16 @@
 		},
 	})
 	c.Step(2*time.Second, quorum.Tick{})
-	c.Step(2*time.Second, reply(quorum.PreVoteReply, 4, 0))
+	c.Step(2*time.Second, replyFromB(quorum.PreVoteReply, 4, 0))
 	c.Step(2*time.Second, quorum.WriteSynced{Seq: 1})
-	c.Step(2*time.Second, reply(quorum.VoteReply, 4, 0))
-	if term, leads := c.TermAndLeading(); term != 4 || !leads {
-		t.Fatalf("term %d, leads %v", term, leads)
+	c.Step(2*time.Second, replyFromB(quorum.VoteReply, 4, 0))
+	if term, isLeader := c.TermAndLeading(); term != 4 || !isLeader {
+		t.Fatalf("term %d, leads %v", term, isLeader)
 	}
 	return c
 }
 
-func reply(kind quorum.MessageKind, term, index uint64) quorum.Event {
+func replyFromB(kind quorum.MessageKind, term, index uint64) quorum.Event {
 	return quorum.Receive{Message: quorum.Message{Kind: kind, From: "b/0", To: "a/0", Term: term, Index: index}}
 }
 
@@ -119,13 +119,13 @@
 // committed. A replica with an entry of a term between could still be elected,
 // by those that lack any entry of the leader's own term, and replace it.
 func TestEntryOfEarlierTermIsNotCommittedByCount(t *testing.T) {
-	c := elected(t)
-	c.Step(2*time.Second, reply(quorum.AppendEntriesReply, 4, 2))
+	c := newElectedLeader(t)
+	c.Step(2*time.Second, replyFromB(quorum.AppendEntriesReply, 4, 2))
 	if s := c.Status(); s.Commit != 0 {
 		t.Errorf("commit %d with entry 2 of term 2 on a majority", s.Commit)
 	}
 	c.Step(2*time.Second, quorum.WriteSynced{Seq: 2})
-	c.Step(2*time.Second, reply(quorum.AppendEntriesReply, 4, 3))
+	c.Step(2*time.Second, replyFromB(quorum.AppendEntriesReply, 4, 3))
 	if s := c.Status(); s.Commit != 3 {
 		t.Errorf("commit %d with entry 3 of term 4 on a majority", s.Commit)
 	}
--- a/internal/replica/quorum/disk.go
+++ b/internal/replica/quorum/disk.go
@@ -46,26 +46,26 @@
 
 // startWrite starts the next write when none is on its way.
 func (c *Core) startWrite() {
-	d := &c.journal
+	journal := &c.journal
 	c.dropJournalEntries()
-	if d.writeInflight() {
+	if journal.writeInflight() {
 		return
 	}
-	entries := c.log.entriesBetween(d.writtenIndex, c.log.lastIndex())
-	if !d.hardStateDirty && len(entries) == 0 && d.anchor == nil {
+	entries := c.log.entriesBetween(journal.writtenIndex, c.log.lastIndex())
+	if !journal.hardStateDirty && len(entries) == 0 && journal.anchor == nil {
 		return
 	}
-	d.lastWriteSeq++
-	write := &JournalWrite{Seq: d.lastWriteSeq, Entries: entries}
-	if d.hardStateDirty {
+	journal.lastWriteSeq++
+	write := &JournalWrite{Seq: journal.lastWriteSeq, Entries: entries}
+	if journal.hardStateDirty {
 		hardState := c.hardState
-		write.HardState, d.hardStateDirty = &hardState, false
+		write.HardState, journal.hardStateDirty = &hardState, false
 	}
-	if d.anchor != nil {
-		write.Entries = append([]Entry{*d.anchor}, entries...)
-		d.anchor, d.anchorSeq = nil, d.lastWriteSeq
+	if journal.anchor != nil {
+		write.Entries = append([]Entry{*journal.anchor}, entries...)
+		journal.anchor, journal.anchorSeq = nil, journal.lastWriteSeq
 	}
-	d.writtenIndex, d.inflightIndex = c.log.lastIndex(), c.log.lastIndex()
+	journal.writtenIndex, journal.inflightIndex = c.log.lastIndex(), c.log.lastIndex()
 	c.effects.Write = write
 }
 
@@ -73,20 +73,20 @@
 // anchor: a journal that forgot the entry at the snapshot's index could not show
 // after a crash that what it holds behind it is stale.
 func (c *Core) dropJournalEntries() {
-	d := &c.journal
-	if d.anchor != nil || d.anchorSeq > d.syncedWriteSeq {
+	journal := &c.journal
+	if journal.anchor != nil || journal.anchorSeq > journal.syncedWriteSeq {
 		return
 	}
-	c.effects.DropJournalUpTo, d.dropIndex = d.dropIndex, 0
+	c.effects.DropJournalUpTo, journal.dropIndex = journal.dropIndex, 0
 }
 
 func (c *Core) handleWriteSynced(seq uint64) {
-	d := &c.journal
-	if seq != d.lastWriteSeq || !d.writeInflight() {
+	journal := &c.journal
+	if seq != journal.lastWriteSeq || !journal.writeInflight() {
 		return
 	}
-	d.syncedWriteSeq = seq
-	d.syncedIndex = max(d.syncedIndex, d.inflightIndex)
-	d.inflightIndex = 0
+	journal.syncedWriteSeq = seq
+	journal.syncedIndex = max(journal.syncedIndex, journal.inflightIndex)
+	journal.inflightIndex = 0
 	c.sendHeldMessages()
 }
--- a/internal/replica/quorum/election.go
+++ b/internal/replica/quorum/election.go
@@ -82,7 +82,7 @@
 	}
 	c.role, c.leaderID = newRole, leaderID
 	c.votes = nil
-	c.leading = leaderState{}
+	c.leaderState = leaderState{}
 }
 
 // handleMessage takes a message; the term rules come first.
@@ -154,11 +154,11 @@
 	if !c.mayVote() {
 		return
 	}
-	answer := Message{Kind: PreVoteReply, To: m.From, Term: m.Term}
+	reply := Message{Kind: PreVoteReply, To: m.From, Term: m.Term}
 	if m.Term <= c.hardState.Term || c.leaderIsAlive() || !c.isLogUpToDate(m) {
-		answer.Term, answer.Reject = c.hardState.Term, true
+		reply.Term, reply.Reject = c.hardState.Term, true
 	}
-	c.send(answer)
+	c.send(reply)
 }
 
 func (c *Core) handlePreVoteReply(m Message) {
@@ -175,11 +175,11 @@
 	if !c.mayVote() {
 		return
 	}
-	answer := Message{Kind: VoteReply, To: m.From, Term: c.hardState.Term}
+	reply := Message{Kind: VoteReply, To: m.From, Term: c.hardState.Term}
 	mayGrant := c.hardState.Vote == "" || c.hardState.Vote == m.From
 	if c.leaderID != "" || !mayGrant || !c.isLogUpToDate(m) {
-		answer.Reject = true
-		c.send(answer)
+		reply.Reject = true
+		c.send(reply)
 		return
 	}
 	if c.hardState.Vote == "" {
@@ -189,7 +189,7 @@
 	c.resetElectionDeadline()
 	// A vote that left before it was synced could be given again to another
 	// candidate of the term after a crash.
-	c.sendAfterSync(answer)
+	c.sendAfterSync(reply)
 }
 
 func (c *Core) handleVoteReply(m Message) {
--- a/internal/replica/quorum/guard_test.go
+++ b/internal/replica/quorum/guard_test.go
@@ -10,24 +10,24 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// lead commits the first entry of elected's term, so that it takes proposals.
-func lead(t *testing.T) *quorum.Core {
+// newCommittedLeader commits the first entry of elected's term, so that it takes proposals.
+func newCommittedLeader(t *testing.T) *quorum.Core {
 	t.Helper()
-	c := elected(t)
+	c := newElectedLeader(t)
 	c.Step(2*time.Second, quorum.WriteSynced{Seq: 2})
-	c.Step(2*time.Second, answer(quorum.HeartbeatReply, "b/0", 0, 1))
-	c.Step(2*time.Second, reply(quorum.AppendEntriesReply, 4, 3))
+	c.Step(2*time.Second, replyInTerm4(quorum.HeartbeatReply, "b/0", 0, 1))
+	c.Step(2*time.Second, replyFromB(quorum.AppendEntriesReply, 4, 3))
 	if s := c.Status(); s.Commit != 3 {
 		t.Fatalf("commit %d", s.Commit)
 	}
 	return c
 }
 
-func answer(kind quorum.MessageKind, from string, index, round uint64) quorum.Event {
+func replyInTerm4(kind quorum.MessageKind, from string, index, round uint64) quorum.Event {
 	return quorum.Receive{Message: quorum.Message{Kind: kind, From: from, To: "a/0", Term: 4, Index: index, Round: round}}
 }
 
-func lastKind(c *quorum.Core) quorum.EntryKind {
+func lastEntryKind(c *quorum.Core) quorum.EntryKind {
 	entries := c.LogEntries()
 	return entries[len(entries)-1].Kind
 }
@@ -35,16 +35,16 @@
 // An operator adds two replicas at once, and the leader is cut off in between.
 // Majorities of memberships that differ by two voters need not overlap, so two
 // leaders could be elected; the second change waits for the commit of the first.
-func TestOneChangeAtATime(t *testing.T) {
-	c := lead(t)
+func TestSecondMembershipChangeWaitsForFirst(t *testing.T) {
+	c := newCommittedLeader(t)
 	learner := quorum.Member{ID: "d/0", Address: "d", Learner: true}
 	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 4, Member: learner})
-	if k := lastKind(c); k != quorum.EntryMembership {
+	if k := lastEntryKind(c); k != quorum.EntryMembership {
 		t.Fatalf("the first change became an entry of kind %d", k)
 	}
 	learner.ID = "e/0"
 	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 5, Member: learner})
-	if k := lastKind(c); k != quorum.EntryNoOp {
+	if k := lastEntryKind(c); k != quorum.EntryNoOp {
 		t.Errorf("the second change became an entry of kind %d", k)
 	}
 }
@@ -52,23 +52,23 @@
 // A replica is repaired, and a second instance dies right after.
 // Had the learner counted before it had synced what was committed, the majority
 // that is left would lack it; so it is promoted only then.
-func TestPromotionWaitsForCatchUp(t *testing.T) {
-	c := lead(t)
+func TestLearnerIsPromotedOnlyAfterCatchUp(t *testing.T) {
+	c := newCommittedLeader(t)
 	d := quorum.Member{ID: "d/0", Address: "d", Learner: true}
 	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 4, Member: d})
 	c.Step(2*time.Second, quorum.WriteSynced{Seq: 3})
-	c.Step(2*time.Second, reply(quorum.AppendEntriesReply, 4, 4))
+	c.Step(2*time.Second, replyFromB(quorum.AppendEntriesReply, 4, 4))
 	c.Step(2*time.Second, quorum.ConfirmLeadership{})
-	c.Step(2*time.Second, answer(quorum.HeartbeatReply, "b/0", 4, 2))
-	c.Step(2*time.Second, answer(quorum.HeartbeatReply, "d/0", 0, 2))
+	c.Step(2*time.Second, replyInTerm4(quorum.HeartbeatReply, "b/0", 4, 2))
+	c.Step(2*time.Second, replyInTerm4(quorum.HeartbeatReply, "d/0", 0, 2))
 	d.Learner = false
 	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 5, Member: d})
-	if k := lastKind(c); k != quorum.EntryNoOp {
+	if k := lastEntryKind(c); k != quorum.EntryNoOp {
 		t.Errorf("a learner without an entry was promoted: kind %d", k)
 	}
-	c.Step(2*time.Second, answer(quorum.AppendEntriesReply, "d/0", 5, 0))
+	c.Step(2*time.Second, replyInTerm4(quorum.AppendEntriesReply, "d/0", 5, 0))
 	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 6, Member: d})
-	if k := lastKind(c); k != quorum.EntryMembership {
+	if k := lastEntryKind(c); k != quorum.EntryMembership {
 		t.Errorf("a learner that has everything was not promoted: kind %d", k)
 	}
 }
@@ -76,7 +76,7 @@
 // A candidate asks for votes, dies before its own term is on the disk, starts
 // again and campaigns in the same term. Whoever voted for it would vote again,
 // and two leaders of one name would write different entries in one term.
-func TestVoteRequestsWaitForTheSync(t *testing.T) {
+func TestVoteRequestsWaitForSync(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0", Address: "a"}, {ID: "b/0", Address: "b"}, {ID: "c/0", Address: "c"}}
 	c := quorum.New(quorum.Config{ID: "a/0", Seed: 1}, quorum.PersistedState{
 		HardState: quorum.HardState{Term: 3},
@@ -85,12 +85,12 @@
 	c.Step(0, quorum.Tick{})
 	c.Step(0, quorum.WriteSynced{Seq: 1})
 	c.Step(2*time.Second, quorum.Tick{})
-	fx := c.Step(2*time.Second, reply(quorum.PreVoteReply, 4, 0))
+	fx := c.Step(2*time.Second, replyFromB(quorum.PreVoteReply, 4, 0))
 	if len(fx.Messages) > 0 || fx.Write == nil {
 		t.Errorf("before the sync: sent %v, wrote %v", fx.Messages, fx.Write)
 	}
-	c.Step(2*time.Second, reply(quorum.VoteReply, 4, 0))
-	if _, leads := c.TermAndLeading(); leads {
+	c.Step(2*time.Second, replyFromB(quorum.VoteReply, 4, 0))
+	if _, isLeader := c.TermAndLeading(); isLeader {
 		t.Error("leads before its own vote is synced")
 	}
 	if fx := c.Step(2*time.Second, quorum.WriteSynced{Seq: fx.Write.Seq}); len(fx.Messages) == 0 {
@@ -101,69 +101,69 @@
 // The way from the leader to one replica goes silent, the way back works.
 // The replica hears nothing and would depose a leader that a quorum follows, and
 // with it every round of a lease, again and again.
-func TestSilentReplicaDisturbsNobody(t *testing.T) {
-	s := newSim(3, 1)
-	s.run(2 * time.Second)
-	l := s.leader()
-	before, _ := l.core.TermAndLeading()
-	s.cut[[2]string{l.name, s.other().name}] = true
-	s.run(20 * time.Second)
-	clear(s.cut)
-	s.run(2 * time.Second)
-	after, leads := l.core.TermAndLeading()
-	if after != before || !leads {
-		t.Errorf("term %d became %d, still leading: %v", before, after, leads)
+func TestReplicaCutOffFromLeaderDoesNotDeposeLeader(t *testing.T) {
+	s := newSimulation(3, 1)
+	s.runFor(2 * time.Second)
+	leader := s.leader()
+	termBefore, _ := leader.core.TermAndLeading()
+	s.cutLinks[[2]string{leader.name, s.anyFollower().name}] = true
+	s.runFor(20 * time.Second)
+	clear(s.cutLinks)
+	s.runFor(2 * time.Second)
+	termAfter, isLeader := leader.core.TermAndLeading()
+	if termAfter != termBefore || !isLeader {
+		t.Errorf("term %d became %d, still leading: %v", termBefore, termAfter, isLeader)
 	}
 }
 
 // A request for a vote was held up in the network until a leader of an earlier
 // term had a quorum. It must not depose that leader.
-func TestLateVoteRequestDisturbsNobody(t *testing.T) {
-	c := lead(t)
-	late := quorum.Message{Kind: quorum.VoteRequest, From: "c/0", To: "a/0", Term: 9, Index: 3, LogTerm: 4}
-	c.Step(2*time.Second, quorum.Receive{Message: late})
-	if term, leads := c.TermAndLeading(); term != 4 || !leads {
-		t.Errorf("term %d, leads %v", term, leads)
+func TestDelayedVoteRequestDoesNotDeposeLeader(t *testing.T) {
+	c := newCommittedLeader(t)
+	delayed := quorum.Message{Kind: quorum.VoteRequest, From: "c/0", To: "a/0", Term: 9, Index: 3, LogTerm: 4}
+	c.Step(2*time.Second, quorum.Receive{Message: delayed})
+	if term, isLeader := c.TermAndLeading(); term != 4 || !isLeader {
+		t.Errorf("term %d, leads %v", term, isLeader)
 	}
 }
 
 // An operator adds a replica and removes one while a third is down.
 // Without a majority alive the change would never commit, nor anything after it.
-func TestChangeWithoutLivingMajority(t *testing.T) {
-	c := lead(t)
+func TestMembershipChangeNeedsLiveMajority(t *testing.T) {
+	c := newCommittedLeader(t)
 	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 4, Member: quorum.Member{ID: "b/0"}, Remove: true})
-	if k := lastKind(c); k != quorum.EntryNoOp {
+	if k := lastEntryKind(c); k != quorum.EntryNoOp {
 		t.Errorf("removing b with c silent became an entry of kind %d", k)
 	}
-	c.Step(2*time.Second, answer(quorum.HeartbeatReply, "c/0", 0, 1))
+	c.Step(2*time.Second, replyInTerm4(quorum.HeartbeatReply, "c/0", 0, 1))
 	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 5, Member: quorum.Member{ID: "a/0"}, Remove: true})
-	if k := lastKind(c); k != quorum.EntryNoOp {
+	if k := lastEntryKind(c); k != quorum.EntryNoOp {
 		t.Errorf("the leader's own removal became an entry of kind %d", k)
 	}
 }
 
 // A snapshot arrives with a byte changed. It must not become the state.
-func TestDamagedSnapshotStartsOver(t *testing.T) {
+func TestDamagedSnapshotIsRequestedAgain(t *testing.T) {
 	c := quorum.New(quorum.Config{ID: "d/0", Seed: 1}, quorum.PersistedState{})
 	chunk := quorum.Message{
 		Kind: quorum.SnapshotChunk, From: "a/0", To: "d/0", Term: 4, Index: 50, LogTerm: 4, SenderAddress: "a",
 		TotalBytes: 4, Checksum: 1, Data: []byte("abcd"),
 	}
-	fx := c.Step(time.Second, quorum.Receive{Message: chunk})
-	if fx.SaveSnapshot != nil {
+	effects := c.Step(time.Second, quorum.Receive{Message: chunk})
+	if effects.SaveSnapshot != nil {
 		t.Error("a damaged snapshot is saved")
 	}
 	want := []quorum.OutgoingMessage{{Address: "a", Message: quorum.Message{
 		Kind: quorum.SnapshotChunkReply, From: "d/0", To: "a/0", Term: 4, Index: 50, Checksum: 1,
 	}}}
-	if d := cmp.Diff(want, fx.Messages); d != "" {
+	if d := cmp.Diff(want, effects.Messages); d != "" {
 		t.Error(d)
 	}
 }
 
 // The connection breaks in the middle of a snapshot, and a late chunk comes twice.
 // The replica asks for what it lacks, and takes each byte once.
-func TestSnapshotResumes(t *testing.T) {
+func TestSnapshotTransferResumesAtOffset(t *testing.T) {
 	c := quorum.New(quorum.Config{ID: "d/0", Seed: 1}, quorum.PersistedState{})
 	state := quorum.Snapshot{State: []byte("abcdef")}
 	send := func(offset uint64, data string) quorum.Effects {
@@ -189,20 +189,20 @@
 // comes late, from before another leader was elected.
 // Taken for an answer to the round that the read started, it would let the
 // deposed leader answer, and grant leases that the next one does not wait for.
-func TestLateAnswerConfirmsNoLaterRound(t *testing.T) {
-	c := lead(t)
-	second := 2*time.Second + 50*time.Millisecond
-	c.Step(second, quorum.ConfirmLeadership{})
-	for _, x := range []struct {
+func TestDelayedReplyDoesNotConfirmLaterRound(t *testing.T) {
+	c := newCommittedLeader(t)
+	secondRoundAt := 2*time.Second + 50*time.Millisecond
+	c.Step(secondRoundAt, quorum.ConfirmLeadership{})
+	for _, tc := range []struct {
 		round uint64
 		want  []quorum.Report
 	}{
 		{1, nil},
-		{2, []quorum.Report{quorum.LeadershipConfirmed{Term: 4, RoundStartedAt: second}}},
+		{2, []quorum.Report{quorum.LeadershipConfirmed{Term: 4, RoundStartedAt: secondRoundAt}}},
 	} {
-		fx := c.Step(second+time.Millisecond, answer(quorum.HeartbeatReply, "b/0", 3, x.round))
-		if d := cmp.Diff(x.want, fx.Reports); d != "" {
-			t.Errorf("answer to round %d: %s", x.round, d)
+		fx := c.Step(secondRoundAt+time.Millisecond, replyInTerm4(quorum.HeartbeatReply, "b/0", 3, tc.round))
+		if d := cmp.Diff(tc.want, fx.Reports); d != "" {
+			t.Errorf("answer to round %d: %s", tc.round, d)
 		}
 	}
 }
@@ -211,7 +211,7 @@
 // replaces them before the write is synced.
 // The write must go on as it is, and its sync must not count for the entries
 // that came in their place: they would be committed and on no disk.
-func TestEntriesReplacedDuringTheirWrite(t *testing.T) {
+func TestSyncOfReplacedEntriesIsNotAcknowledged(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0", Address: "a"}, {ID: "b/0", Address: "b"}, {ID: "c/0", Address: "c"}}
 	first := quorum.Entry{Index: 1, Term: 1, Kind: quorum.EntryMembership, Data: quorum.EncodeMembers(members)}
 	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, quorum.PersistedState{HardState: quorum.HardState{Term: 1}, Entries: []quorum.Entry{first}})
@@ -239,7 +239,7 @@
 // A replica takes a snapshot over a log that differs, and its process dies.
 // Had the journal forgotten the entry at the snapshot's index before it was cut,
 // the stale entries behind it would look like the ones that go on from it.
-func TestJournalForgetsAfterTheAnchor(t *testing.T) {
+func TestJournalDropsEntriesAfterAnchorIsSynced(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0", Address: "a"}, {ID: "b/0", Address: "b"}, {ID: "c/0", Address: "c"}}
 	saved := quorum.PersistedState{HardState: quorum.HardState{Term: 1}}
 	for i := range uint64(4) {
@@ -263,7 +263,7 @@
 
 // A learner is promoted, and the leader dies before the learner hears of it.
 // The other voter has the promotion in its log and needs the learner's vote.
-func TestLearnerVotes(t *testing.T) {
+func TestLearnerGrantsVote(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0"}, {ID: "b/0", Address: "b"}, {ID: "c/0", Learner: true}}
 	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, quorum.PersistedState{
 		HardState: quorum.HardState{Term: 1},
@@ -283,10 +283,10 @@
 // A leader with a slow disk commits by the syncs of the others, and takes a
 // snapshot that is ahead of its own journal. The entries before it would be
 // forgotten before they are written, and the journal would have a gap.
-func TestSnapshotWaitsForTheJournal(t *testing.T) {
-	c := elected(t)
-	c.Step(2*time.Second, answer(quorum.AppendEntriesReply, "b/0", 3, 0))
-	c.Step(2*time.Second, answer(quorum.AppendEntriesReply, "c/0", 3, 0))
+func TestSnapshotSaveWaitsForJournalSync(t *testing.T) {
+	c := newElectedLeader(t)
+	c.Step(2*time.Second, replyInTerm4(quorum.AppendEntriesReply, "b/0", 3, 0))
+	c.Step(2*time.Second, replyInTerm4(quorum.AppendEntriesReply, "c/0", 3, 0))
 	if s := c.Status(); s.Commit != 3 {
 		t.Fatalf("commit %d", s.Commit)
 	}
@@ -300,7 +300,7 @@
 
 // A new replica saves a snapshot and dies before its term is on the disk.
 // It must not go back to a term before that of its log.
-func TestTermOfTheSnapshot(t *testing.T) {
+func TestTermIsAtLeastSnapshotTerm(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0"}, {ID: "b/0"}, {ID: "c/0"}}
 	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, quorum.PersistedState{
 		Snapshot: quorum.Snapshot{Index: 9, Term: 5, Members: members},
@@ -313,16 +313,16 @@
 // A leader is stopped as planned while entries are on the way to its transferee.
 // Elected without them the transferee would lose against the others' logs, and nobody
 // would lead until the next timeout; it is asked to stand when it has them.
-func TestHeirHasTheWholeLog(t *testing.T) {
-	c := lead(t)
+func TestTransfereeHasWholeLogBeforeElection(t *testing.T) {
+	c := newCommittedLeader(t)
 	c.Step(2*time.Second, quorum.Propose{Term: 4, FirstIndex: 4, Commands: [][]byte{[]byte("x")}})
-	asked := func(fx quorum.Effects) bool {
+	sendsTimeoutNow := func(fx quorum.Effects) bool {
 		return slices.ContainsFunc(fx.Messages, func(o quorum.OutgoingMessage) bool { return o.Message.Kind == quorum.TimeoutNow })
 	}
-	if asked(c.Step(2*time.Second, quorum.TransferLeadership{})) {
+	if sendsTimeoutNow(c.Step(2*time.Second, quorum.TransferLeadership{})) {
 		t.Error("asked before it has the log")
 	}
-	if !asked(c.Step(2*time.Second, reply(quorum.AppendEntriesReply, 4, 4))) {
+	if !sendsTimeoutNow(c.Step(2*time.Second, replyFromB(quorum.AppendEntriesReply, 4, 4))) {
 		t.Error("not asked when it has the log")
 	}
 }
--- a/internal/replica/quorum/invariant_test.go
+++ b/internal/replica/quorum/invariant_test.go
@@ -9,47 +9,47 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-func hash(v ...any) uint64 {
+func hashOf(v ...any) uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, v...)
 	return h.Sum64()
 }
 
 // apply is the control thread's replay of one entry.
-func (s *sim) apply(n *node, e quorum.Entry) {
-	if e.Index != n.index+1 {
-		s.fail("%s applies %d after %d", n.id, e.Index, n.index)
+func (s *simulation) apply(n *simReplica, e quorum.Entry) {
+	if e.Index != n.appliedIndex+1 {
+		s.fail("%s applies %d after %d", n.id, e.Index, n.appliedIndex)
 	}
 	if old, ok := s.committed[e.Index]; ok && (old.Term != e.Term || string(old.Data) != string(e.Data)) {
 		s.fail("%s: committed entry %d changed from %v to %v", n.id, e.Index, old, e)
 	}
-	n.index, n.digest = e.Index, hash(n.digest, e.Term, string(e.Data))
-	s.committed[e.Index], s.digests[e.Index] = e, n.digest
-	s.top = max(s.top, e.Index)
+	n.appliedIndex, n.stateDigest = e.Index, hashOf(n.stateDigest, e.Term, string(e.Data))
+	s.committed[e.Index], s.digestByIndex[e.Index] = e, n.stateDigest
+	s.commitIndex = max(s.commitIndex, e.Index)
 }
 
-func (s *sim) report(n *node, r quorum.Report) {
-	s.label(strings.TrimPrefix(fmt.Sprintf("%T", r), "quorum."), n)
+func (s *simulation) report(n *simReplica, r quorum.Report) {
+	s.trace(strings.TrimPrefix(fmt.Sprintf("%T", r), "quorum."), n)
 	switch r := r.(type) {
 	case quorum.BecameLeader:
-		if n.index != r.LastIndex {
-			s.fail("%s leads from %d having applied %d", n.id, r.LastIndex, n.index)
+		if n.appliedIndex != r.LastIndex {
+			s.fail("%s leads from %d having applied %d", n.id, r.LastIndex, n.appliedIndex)
 		}
-		n.lead, n.next, n.mine = &r, r.LastIndex+1, map[uint64]quorum.Entry{}
-		n.confirmed = r.ElectedAt
+		n.leadership, n.nextIndex, n.proposedEntries = &r, r.LastIndex+1, map[uint64]quorum.Entry{}
+		n.confirmedAt = r.ElectedAt
 		s.elections = append(s.elections, r)
 	case quorum.BecameFollower:
-		n.lead = nil
+		n.leadership = nil
 	case quorum.EntriesCommitted:
 		for _, e := range r.Entries {
 			s.apply(n, e)
 		}
 	case quorum.CommitAdvanced:
-		for i := n.index + 1; i <= r.Index; i++ {
-			s.apply(n, n.mine[i])
+		for i := n.appliedIndex + 1; i <= r.Index; i++ {
+			s.apply(n, n.proposedEntries[i])
 		}
 	case quorum.LeadershipConfirmed:
-		n.confirmed = r.RoundStartedAt
+		n.confirmedAt = r.RoundStartedAt
 		// Leases rest on this: no later leader was elected before the round began.
 		for _, e := range s.elections {
 			if e.Term > r.Term && e.ElectedAt < r.RoundStartedAt {
@@ -57,20 +57,20 @@
 			}
 		}
 	case quorum.StateRestored:
-		n.index, n.digest, n.lead = r.Index, 0, nil
+		n.appliedIndex, n.stateDigest, n.leadership = r.Index, 0, nil
 		if r.Index > 0 {
-			fmt.Sscan(string(r.State), &n.digest)
+			fmt.Sscan(string(r.State), &n.stateDigest)
 		}
-		if n.digest != s.digests[r.Index] {
+		if n.stateDigest != s.digestByIndex[r.Index] {
 			s.fail("%s restores another state at %d", n.id, r.Index)
 		}
 	case quorum.MembershipChanged:
-		s.memberships(n, r.Members)
+		s.checkMembers(n, r.Members)
 	}
 }
 
-// memberships checks that one machine never counts twice.
-func (s *sim) memberships(n *node, members []quorum.Member) {
+// checkMembers checks that one machine never counts twice.
+func (s *simulation) checkMembers(n *simReplica, members []quorum.Member) {
 	s.members = members
 	seen := map[string]bool{}
 	for _, m := range members {
@@ -82,9 +82,9 @@
 	}
 }
 
-// longestLead is how long a leader may go on unconfirmed: with a fixed timeout for
+// maxUnconfirmedLeadership is how long a leader may go on unconfirmed: with a fixed timeout for
 // that, else for as long as it may grow.
-func (s *sim) longestLead() time.Duration {
+func (s *simulation) maxUnconfirmedLeadership() time.Duration {
 	const growth = 4
 	if s.config.MaxElectionTimeout == 0 {
 		return quorum.DefaultElectionTimeout
@@ -92,51 +92,51 @@
 	return growth * s.config.MaxElectionTimeout
 }
 
-func (s *sim) invariants(n *node) {
-	if mark := n.core.LastEntry(); mark != n.checked {
-		n.checked = mark
-		s.logMatching(n)
+func (s *simulation) checkInvariants(n *simReplica) {
+	if mark := n.core.LastEntry(); mark != n.checkedEntry {
+		n.checkedEntry = mark
+		s.checkLogMatching(n)
 	}
 	term, leads := n.core.TermAndLeading()
 	if !leads {
 		return
 	}
-	if n.lead != nil && s.now-n.confirmed > s.longestLead() {
-		s.fail("%s leads without a round confirmed since %v", n.id, n.confirmed)
+	if n.leadership != nil && s.now-n.confirmedAt > s.maxUnconfirmedLeadership() {
+		s.fail("%s leads without a round confirmed since %v", n.id, n.confirmedAt)
 	}
-	if old, ok := s.leaders[term]; ok {
+	if old, ok := s.leaderByTerm[term]; ok {
 		if old != n.id {
 			s.fail("%s and %s lead in term %d", old, n.id, term)
 		}
 		return
 	}
-	s.leaders[term] = n.id
-	s.complete(n)
+	s.leaderByTerm[term] = n.id
+	s.checkCommittedEntries(n)
 }
 
-// logMatching holds when an index and a term stand for one content and one
+// checkLogMatching holds when an index and a term stand for one content and one
 // entry before it.
-func (s *sim) logMatching(n *node) {
-	base, before := n.core.LogBase()
+func (s *simulation) checkLogMatching(n *simReplica) {
+	base, previousTerm := n.core.LogBase()
 	for i, e := range n.core.LogEntries() {
 		if e.Index != base+uint64(i)+1 {
 			s.fail("%s has entry %d in the place of %d", n.id, e.Index, base+uint64(i)+1)
 		}
-		is := [2]uint64{before, hash(e.Kind, string(e.Data))}
+		entry := [2]uint64{previousTerm, hashOf(e.Kind, string(e.Data))}
 		key := [2]uint64{e.Index, e.Term}
-		if was, ok := s.prefix[key]; ok && was != is {
+		if known, ok := s.knownEntries[key]; ok && known != entry {
 			s.fail("%s: entry %d of term %d differs between logs", n.id, e.Index, e.Term)
 		}
-		s.prefix[key] = is
-		before = e.Term
+		s.knownEntries[key] = entry
+		previousTerm = e.Term
 	}
 }
 
-// complete holds when a new leader has every committed entry.
-func (s *sim) complete(n *node) {
+// checkCommittedEntries holds when a new leader has every committed entry.
+func (s *simulation) checkCommittedEntries(n *simReplica) {
 	base, _ := n.core.LogBase()
 	entries := n.core.LogEntries()
-	for i := base + 1; i <= s.top; i++ {
+	for i := base + 1; i <= s.commitIndex; i++ {
 		if i-base > uint64(len(entries)) || entries[i-base-1].Term != s.committed[i].Term {
 			s.fail("%s leads without the committed entry %d", n.id, i)
 			return
@@ -144,61 +144,61 @@
 	}
 }
 
-// settled tells that there is a leader that takes work, all of its log is
+// isSettled tells that there is a leader that takes work, all of its log is
 // committed everywhere, and there is no repair to do.
-func (s *sim) settled() bool {
+func (s *simulation) isSettled() bool {
 	l := s.leader()
-	if l == nil || l.core.Transferring() || l.core.LastEntry()[0] != s.top || len(s.members) != len(s.nodes) {
+	if l == nil || l.core.Transferring() || l.core.LastEntry()[0] != s.commitIndex || len(s.members) != len(s.replicas) {
 		return false
 	}
 	for _, m := range s.members {
-		if m.Learner || s.dead[m.ID] {
+		if m.Learner || s.lostIdentities[m.ID] {
 			return false
 		}
 	}
-	for _, n := range s.nodes {
-		if n.index != s.top {
+	for _, n := range s.replicas {
+		if n.appliedIndex != s.commitIndex {
 			return false
 		}
 	}
 	return true
 }
 
-// heal ends all faults, repairs the membership, and checks that new work is
+// endFaultsAndCheck ends all faults, repairs the membership, and checks that new work is
 // committed and that all replicas end in one state.
-func (s *sim) heal() {
-	s.cut, s.loss, s.double, s.jitter = map[[2]string]bool{}, 0, 0, 0
-	for _, n := range s.nodes {
+func (s *simulation) endFaultsAndCheck() {
+	s.cutLinks, s.lossProbability, s.duplicateProbability, s.maxJitter = map[[2]string]bool{}, 0, 0, 0
+	for _, n := range s.replicas {
 		n.paused = false
 		if n.core == nil {
 			s.start(n)
 		}
 	}
 	for range 40 {
-		s.run(250 * time.Millisecond)
-		if s.settled() {
+		s.runFor(250 * time.Millisecond)
+		if s.isSettled() {
 			break
 		}
-		s.repair()
+		s.repairMembership()
 	}
-	if !s.settled() && s.failed == "" {
+	if !s.isSettled() && s.failure == "" {
 		s.fail("not settled 10 s after all faults ended")
 		return
 	}
 	s.propose(s.leader(), 1)
-	want := s.proposed
-	s.run(time.Second)
+	want := s.proposedCommands
+	s.runFor(time.Second)
 	l := s.leader()
-	if l == nil || s.failed != "" {
+	if l == nil || s.failure != "" {
 		s.fail("no leader after all faults ended")
 		return
 	}
-	if got := string(s.committed[s.top].Data); got != fmt.Sprintf("command %d", want) {
+	if got := string(s.committed[s.commitIndex].Data); got != fmt.Sprintf("command %d", want) {
 		s.fail("work after all faults ended is not committed: %q instead of command %d", got, want)
 	}
-	for _, n := range s.nodes {
-		if n.index != l.index || n.digest != l.digest || len(n.core.Status().Members) != len(s.nodes) {
-			s.fail("%s ends at %d of %d: %+v", n.id, n.index, l.index, n.core.Status())
+	for _, n := range s.replicas {
+		if n.appliedIndex != l.appliedIndex || n.stateDigest != l.stateDigest || len(n.core.Status().Members) != len(s.replicas) {
+			s.fail("%s ends at %d of %d: %+v", n.id, n.appliedIndex, l.appliedIndex, n.core.Status())
 		}
 	}
 }
--- a/internal/replica/quorum/lead.go
+++ b/internal/replica/quorum/lead.go
@@ -32,11 +32,11 @@
 
 func (c *Core) becomeLeader() {
 	c.changeRole(c.hardState.Term, roleLeader, c.cfg.ID)
-	c.leading.electedAt = c.now
-	c.leading.confirmedRound.startedAt = c.now
-	c.leading.peers = map[string]*replicaProgress{}
-	c.leading.noOpIndex = c.log.lastIndex() + 1
-	c.appendEntry(Entry{Index: c.leading.noOpIndex, Term: c.hardState.Term, Kind: EntryNoOp})
+	c.leaderState.electedAt = c.now
+	c.leaderState.confirmedRound.startedAt = c.now
+	c.leaderState.peers = map[string]*replicaProgress{}
+	c.leaderState.noOpIndex = c.log.lastIndex() + 1
+	c.appendEntry(Entry{Index: c.leaderState.noOpIndex, Term: c.hardState.Term, Kind: EntryNoOp})
 	c.startRound()
 }
 
@@ -53,16 +53,16 @@
 	if c.role != roleLeader || c.isOnlyVoter() {
 		return
 	}
-	if c.now-c.leading.confirmedRound.startedAt > max(c.electionTimeout(), c.cfg.MaxElectionTimeout) {
+	if c.now-c.leaderState.confirmedRound.startedAt > max(c.electionTimeout(), c.cfg.MaxElectionTimeout) {
 		c.changeRole(c.hardState.Term, roleFollower, "")
 	}
 }
 
 func (c *Core) tickLeader() {
-	if c.leading.transferee != "" && c.now >= c.leading.transferDeadline {
-		c.leading.transferee = ""
+	if c.leaderState.transferee != "" && c.now >= c.leaderState.transferDeadline {
+		c.leaderState.transferee = ""
 	}
-	if c.now >= c.leading.nextRoundAt {
+	if c.now >= c.leaderState.nextRoundAt {
 		c.resendUnanswered()
 		c.startRound()
 	}
@@ -70,7 +70,7 @@
 
 // startRound sends a heartbeat to every member.
 func (c *Core) startRound() {
-	state := &c.leading
+	state := &c.leaderState
 	state.lastRound++
 	state.openRounds = append(state.openRounds, heartbeatRound{number: state.lastRound, startedAt: c.now, commitIndex: c.commitIndex})
 	state.nextRoundAt = c.now + c.cfg.HeartbeatInterval
@@ -90,7 +90,7 @@
 // elected later has the vote of a replica that answered, after it did; so the
 // election is after the start of the round.
 func (c *Core) confirmRounds() {
-	state := &c.leading
+	state := &c.leaderState
 	answeredRound := c.currentMembership().majorityReached(func(id string) uint64 {
 		if id == c.cfg.ID {
 			return state.lastRound
@@ -112,16 +112,16 @@
 	if c.role != roleLeader {
 		return
 	}
-	if len(c.leading.openRounds) == 0 {
+	if len(c.leaderState.openRounds) == 0 {
 		c.startRound()
 		return
 	}
-	c.leading.roundRequested = true
+	c.leaderState.roundRequested = true
 }
 
 // reportConfirmedRound tells the control thread of a newly confirmed round.
 func (c *Core) reportConfirmedRound() {
-	state := &c.leading
+	state := &c.leaderState
 	if !c.hasReportedLeadership() || state.confirmedRound.number == 0 || state.reportedRoundStart == state.confirmedRound.startedAt {
 		return
 	}
@@ -148,7 +148,7 @@
 }
 
 func (c *Core) acceptsProposal(term, firstIndex uint64) bool {
-	return c.hasReportedLeadership() && c.leading.transferee == "" && term == c.hardState.Term && firstIndex == c.log.lastIndex()+1
+	return c.hasReportedLeadership() && c.leaderState.transferee == "" && term == c.hardState.Term && firstIndex == c.log.lastIndex()+1
 }
 
 func (c *Core) handlePropose(p Propose) {
@@ -217,7 +217,7 @@
 		}
 	}
 	progress := c.progressOf(id)
-	return progress.state == progressReplicating && c.heardRecently(progress) && progress.matchIndex >= c.leading.confirmedRound.commitIndex
+	return progress.state == progressReplicating && c.heardRecently(progress) && progress.matchIndex >= c.leaderState.confirmedRound.commitIndex
 }
 
 // heardRecently tells whether the replica was heard within the longest election timeout.
@@ -229,7 +229,7 @@
 // taken meanwhile, so that it can catch up; after an election timeout they are
 // again.
 func (c *Core) startTransfer() {
-	if c.role != roleLeader || c.leading.transferee != "" {
+	if c.role != roleLeader || c.leaderState.transferee != "" {
 		return
 	}
 	transferee := ""
@@ -241,13 +241,13 @@
 			transferee = id
 		}
 	}
-	c.leading.transferee, c.leading.timeoutNowSent = transferee, false
-	c.leading.transferDeadline = c.now + c.cfg.MaxElectionTimeout
+	c.leaderState.transferee, c.leaderState.timeoutNowSent = transferee, false
+	c.leaderState.transferDeadline = c.now + c.cfg.MaxElectionTimeout
 }
 
 // sendTimeoutNow lets the transferee start an election as soon as it has the whole log.
 func (c *Core) sendTimeoutNow() {
-	state := &c.leading
+	state := &c.leaderState
 	if state.transferee == "" || state.timeoutNowSent || c.progressOf(state.transferee).matchIndex < c.log.lastIndex() {
 		return
 	}
--- a/internal/replica/quorum/matrix_test.go
+++ b/internal/replica/quorum/matrix_test.go
@@ -17,65 +17,65 @@
 )
 
 var (
-	update = flag.Bool("update", false, "write docs/faults/quorum.md instead of comparing it")
-	every  = flag.Int("every", ciPairs, "play only every nth pair of faults; 1 plays all")
+	updatePage   = flag.Bool("update", false, "write docs/faults/quorum.md instead of comparing it")
+	pairInterval = flag.Int("every", ciPairInterval, "play only every nth pair of faults; 1 plays all")
 )
 
 const (
-	page = "../../../docs/faults/quorum.md"
-	// ciPairs shares no factor with the number of faults, so each meets each.
-	ciPairs = 8
+	pagePath = "../../../docs/faults/quorum.md"
+	// ciPairInterval shares no factor with the number of faults, so each meets each.
+	ciPairInterval = 8
 )
 
 // scenario is what goes on while faults strike; it takes two seconds or less.
 type scenario struct {
 	name  string
-	begin func(s *sim)
+	start func(s *simulation)
 }
 
 var scenarios = []scenario{
-	{"commit", func(s *sim) {
+	{"commit", func(s *simulation) {
 		s.propose(s.leader(), 3)
-		s.after(50*time.Millisecond, func() { s.propose(s.leader(), 30) })
+		s.schedule(50*time.Millisecond, func() { s.propose(s.leader(), 30) })
 	}},
-	{"snapshot", func(s *sim) {
+	{"snapshot", func(s *simulation) {
 		s.propose(s.leader(), 30)
-		s.after(100*time.Millisecond, func() {
-			for _, n := range s.nodes {
+		s.schedule(100*time.Millisecond, func() {
+			for _, n := range s.replicas {
 				s.compact(n)
 			}
 		})
 	}},
-	{"transfer", func(s *sim) {
+	{"transfer", func(s *simulation) {
 		s.propose(s.leader(), 10)
-		s.after(5*time.Millisecond, func() {
+		s.schedule(5*time.Millisecond, func() {
 			if l := s.leader(); l != nil {
-				s.hand(l)
+				s.transferLeadership(l)
 			}
 		})
 	}},
-	{"repair", func(s *sim) {
+	{"repair", func(s *simulation) {
 		s.propose(s.leader(), 40)
-		s.after(100*time.Millisecond, func() { s.compact(s.leader()) })
-		s.after(150*time.Millisecond, func() { s.loseOrCrash(s.other()) })
+		s.schedule(100*time.Millisecond, func() { s.compact(s.leader()) })
+		s.schedule(150*time.Millisecond, func() { s.loseDiskOrCrash(s.anyFollower()) })
 		for i := range 7 {
-			s.after(time.Duration(300+200*i)*time.Millisecond, s.repair)
+			s.schedule(time.Duration(300+200*i)*time.Millisecond, s.repairMembership)
 		}
 	}},
-	{"membership change", func(s *sim) {
-		m := s.other()
+	{"membership change", func(s *simulation) {
+		m := s.anyFollower()
 		remove := quorum.Member{ID: m.id, Address: m.name}
 		learner := remove
 		learner.Learner = true
-		s.after(10*time.Millisecond, func() { s.alter(s.leader(), remove, true) })
-		s.after(300*time.Millisecond, func() { s.alter(s.leader(), learner, false) })
-		s.after(600*time.Millisecond, func() { s.alter(s.leader(), remove, false) })
+		s.schedule(10*time.Millisecond, func() { s.changeMembership(s.leader(), remove, true) })
+		s.schedule(300*time.Millisecond, func() { s.changeMembership(s.leader(), learner, false) })
+		s.schedule(600*time.Millisecond, func() { s.changeMembership(s.leader(), remove, false) })
 	}},
-	{"failover", func(s *sim) {
+	{"failover", func(s *simulation) {
 		l := s.leader()
 		s.propose(l, 5)
-		s.after(time.Millisecond, func() { s.crash(l, 5) })
-		s.after(1500*time.Millisecond, func() {
+		s.schedule(time.Millisecond, func() { s.crash(l, 5) })
+		s.schedule(1500*time.Millisecond, func() {
 			if l.core == nil {
 				s.start(l)
 			}
@@ -83,10 +83,10 @@
 	}},
 }
 
-// other is a replica that does not lead.
-func (s *sim) other() *node {
+// anyFollower is a replica that does not lead.
+func (s *simulation) anyFollower() *simReplica {
 	l := s.leader()
-	for _, n := range s.nodes {
+	for _, n := range s.replicas {
 		if n != l {
 			return n
 		}
@@ -97,97 +97,99 @@
 // fault strikes the replica at which a step happens.
 type fault struct {
 	name  string
-	begin func(s *sim, n *node)
-	end   func(s *sim, n *node)
+	start func(s *simulation, n *simReplica)
+	stop  func(s *simulation, n *simReplica)
 }
 
-func links(s *sim, n *node, in, out, cut bool) {
-	for _, o := range s.nodes {
-		if in {
-			s.cut[[2]string{o.name, n.name}] = cut
+func setLinks(s *simulation, n *simReplica, inbound, outbound, isCut bool) {
+	for _, other := range s.replicas {
+		if inbound {
+			s.cutLinks[[2]string{other.name, n.name}] = isCut
 		}
-		if out {
-			s.cut[[2]string{n.name, o.name}] = cut
+		if outbound {
+			s.cutLinks[[2]string{n.name, other.name}] = isCut
 		}
 	}
 }
 
-func crash(torn int) func(*sim, *node) {
-	return func(s *sim, n *node) { s.crash(n, torn) }
+func crashWithTornWrite(tornTenths int) func(*simulation, *simReplica) {
+	return func(s *simulation, n *simReplica) { s.crash(n, tornTenths) }
 }
 
-func restart(s *sim, n *node) {
+func restartIfDown(s *simulation, n *simReplica) {
 	if n.core == nil {
 		s.start(n)
 	}
 }
 
 var faults = []fault{
-	{"crash", crash(0), restart},
-	{"crash, torn tail", crash(5), restart},
-	{"crash after the write", crash(10), restart},
+	{"crash", crashWithTornWrite(0), restartIfDown},
+	{"crash, torn tail", crashWithTornWrite(5), restartIfDown},
+	{"crash after the write", crashWithTornWrite(10), restartIfDown},
 	{
 		"pause",
-		func(_ *sim, n *node) { n.paused = true },
-		func(_ *sim, n *node) { n.paused = false },
+		func(_ *simulation, n *simReplica) { n.paused = true },
+		func(_ *simulation, n *simReplica) { n.paused = false },
 	},
 	{
 		"silent both ways",
-		func(s *sim, n *node) { links(s, n, true, true, true) },
-		func(s *sim, n *node) { links(s, n, true, true, false) },
+		func(s *simulation, n *simReplica) { setLinks(s, n, true, true, true) },
+		func(s *simulation, n *simReplica) { setLinks(s, n, true, true, false) },
 	},
 	{
 		"silent inwards",
-		func(s *sim, n *node) { links(s, n, true, false, true) },
-		func(s *sim, n *node) { links(s, n, true, false, false) },
+		func(s *simulation, n *simReplica) { setLinks(s, n, true, false, true) },
+		func(s *simulation, n *simReplica) { setLinks(s, n, true, false, false) },
 	},
 	{
 		"silent outwards",
-		func(s *sim, n *node) { links(s, n, false, true, true) },
-		func(s *sim, n *node) { links(s, n, false, true, false) },
+		func(s *simulation, n *simReplica) { setLinks(s, n, false, true, true) },
+		func(s *simulation, n *simReplica) { setLinks(s, n, false, true, false) },
 	},
 	{
 		"loss, duplicates, reorder",
-		func(s *sim, _ *node) { s.loss, s.double, s.jitter = 0.3, 0.3, 300*time.Millisecond },
-		func(s *sim, _ *node) { s.loss, s.double, s.jitter = 0, 0, 0 },
+		func(s *simulation, _ *simReplica) {
+			s.lossProbability, s.duplicateProbability, s.maxJitter = 0.3, 0.3, 300*time.Millisecond
+		},
+		func(s *simulation, _ *simReplica) { s.lossProbability, s.duplicateProbability, s.maxJitter = 0, 0, 0 },
 	},
-	{"lost disk", (*sim).loseOrCrash, restart},
+	{"lost disk", (*simulation).loseDiskOrCrash, restartIfDown},
 }
 
-// loseOrCrash loses a disk only where a majority still has everything, as two
+// loseDiskOrCrash loses a disk only where a majority still has everything, as two
 // lost disks of three can't be survived; else the replica crashes.
-func (s *sim) loseOrCrash(n *node) {
-	if s.mayLose() {
-		s.lose(n)
+func (s *simulation) loseDiskOrCrash(n *simReplica) {
+	if s.canSurviveDiskLoss() {
+		s.loseDisk(n)
 	} else {
 		s.crash(n, 0)
 	}
 }
 
-// strike is a fault at a step: the nth event with this label.
-type strike struct {
+// faultAtStep is a fault at a step: the nth event with this label.
+type faultAtStep struct {
 	step  int
 	fault fault
 }
 
-// faultTime is longer than an election takes.
-const faultTime = 1200 * time.Millisecond
+// faultDuration is longer than an election takes.
+const faultDuration = 1200 * time.Millisecond
 
-// begin gives a group that has a leader; few ticks save time.
-func begin() *sim {
-	s := newSim(3, 1)
-	s.tickEvery = 3 * tickTime
-	s.run(1500 * time.Millisecond)
+// startGroup gives a group that has a leader; few ticks save time.
+func startGroup() *simulation {
+	s := newSimulation(3, 1)
+	s.tickInterval = 3 * defaultTickInterval
+	s.runFor(1500 * time.Millisecond)
 	return s
 }
 
 // steps runs a scenario without faults and gives the labels of its events: the
 // first of each kind at each replica.
 func (sc scenario) steps() []string {
-	s := begin()
+	s := startGroup()
 	var out []string
 	seen := map[string]bool{}
-	s.trace = func(label string, n *node) {
+	s.onEvent = func(label string, n *simReplica) {
 		label += " at " + n.name
 		if strings.Contains(label, "heartbeat") || seen[label] {
 			return
@@ -195,49 +197,49 @@
 		seen[label] = true
 		out = append(out, label)
 	}
-	sc.begin(s)
-	s.run(2 * time.Second)
+	sc.start(s)
+	s.runFor(2 * time.Second)
 	return out
 }
 
-// play runs a scenario with faults at steps and tells what broke, and whether
+// run runs a scenario with faults at steps and tells what broke, and whether
 // all faults struck: the first may keep the step of the second from happening.
-func (sc scenario) play(steps []string, strikes ...strike) (broken string, struck bool) {
-	s := begin()
-	done := make([]bool, len(strikes))
-	s.trace = func(label string, n *node) {
+func (sc scenario) run(steps []string, injected ...faultAtStep) (failure string, allInjected bool) {
+	s := startGroup()
+	injectedAt := make([]bool, len(injected))
+	s.onEvent = func(label string, n *simReplica) {
 		label += " at " + n.name
-		for i, x := range strikes {
-			if done[i] || steps[x.step] != label {
+		for i, x := range injected {
+			if injectedAt[i] || steps[x.step] != label {
 				continue
 			}
-			done[i] = true
-			s.after(0, func() { x.fault.begin(s, n) })
-			s.after(faultTime, func() { x.fault.end(s, n) })
+			injectedAt[i] = true
+			s.schedule(0, func() { x.fault.start(s, n) })
+			s.schedule(faultDuration, func() { x.fault.stop(s, n) })
 		}
 	}
-	sc.begin(s)
-	s.run(2*time.Second + faultTime)
+	sc.start(s)
+	s.runFor(2*time.Second + faultDuration)
 	// A step that comes only now strikes no more.
-	s.trace = nil
-	if s.failed == "" {
-		s.heal()
+	s.onEvent = nil
+	if s.failure == "" {
+		s.endFaultsAndCheck()
 	}
-	return s.failed, !slices.Contains(done, false)
+	return s.failure, !slices.Contains(injectedAt, false)
 }
 
-// count counts what was played, and how often all faults struck.
-type count struct{ steps, single, struckSingle, pairs, struckPairs int }
+// runCounts counts what was played, and how often all faults struck.
+type runCounts struct{ steps, singleFaults, singleInjected, pairs, pairsInjected int }
 
-func (c count) plus(d count) count {
-	return count{
-		c.steps + d.steps, c.single + d.single, c.struckSingle + d.struckSingle,
-		c.pairs + d.pairs, c.struckPairs + d.struckPairs,
+func (c runCounts) plus(d runCounts) runCounts {
+	return runCounts{
+		c.steps + d.steps, c.singleFaults + d.singleFaults, c.singleInjected + d.singleInjected,
+		c.pairs + d.pairs, c.pairsInjected + d.pairsInjected,
 	}
 }
 
-func (c count) row(name string) string {
-	return fmt.Sprintf("| %s | %d | %d | %d | %d | %d |\n", name, c.steps, c.single, c.struckSingle, c.pairs, c.struckPairs)
+func (c runCounts) row(name string) string {
+	return fmt.Sprintf("| %s | %d | %d | %d | %d | %d |\n", name, c.steps, c.singleFaults, c.singleInjected, c.pairs, c.pairsInjected)
 }
 
 // An operator's instance fails at the worst moment of a commit, a snapshot, a
@@ -248,9 +250,9 @@
 func TestFaultMatrix(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(pageHead)
-	var total count
+	var total runCounts
 	for _, sc := range scenarios {
-		c := matrix(t, sc)
+		c := runMatrix(t, sc)
 		b.WriteString(c.row(sc.name))
 		total = total.plus(c)
 	}
@@ -261,15 +263,15 @@
 	}
 	b.WriteString("\nFaults: " + strings.Join(names, "; ") + ".\n")
 	t.Log("\n" + b.String())
-	if *every != ciPairs {
+	if *pairInterval != ciPairInterval {
 		return
 	}
-	if *update && !t.Failed() {
-		if err := os.WriteFile(page, []byte(b.String()), 0o644); err != nil {
+	if *updatePage && !t.Failed() {
+		if err := os.WriteFile(pagePath, []byte(b.String()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want, err := os.ReadFile(page)
+	want, err := os.ReadFile(pagePath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -296,40 +298,40 @@
 |---|---|---|---|---|---|
 `
 
-func matrix(t *testing.T, sc scenario) count {
+func runMatrix(t *testing.T, sc scenario) runCounts {
 	steps := sc.steps()
-	c := count{steps: len(steps)}
+	c := runCounts{steps: len(steps)}
 	n := 0
-	var jobs [][]strike
+	var jobs [][]faultAtStep
 	for i := range steps {
 		for _, f := range faults {
-			jobs = append(jobs, []strike{{i, f}})
-			c.single++
+			jobs = append(jobs, []faultAtStep{{i, f}})
+			c.singleFaults++
 			for j := i; j < min(i+3, len(steps)); j++ {
 				for _, g := range faults {
-					if n++; n%*every == 0 {
-						jobs = append(jobs, []strike{{i, f}, {j, g}})
+					if n++; n%*pairInterval == 0 {
+						jobs = append(jobs, []faultAtStep{{i, f}, {j, g}})
 						c.pairs++
 					}
 				}
 			}
 		}
 	}
-	work := make(chan []strike)
+	work := make(chan []faultAtStep)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for range min(4, runtime.GOMAXPROCS(0)) {
 		wg.Go(func() {
 			for strikes := range work {
-				broken, struck := sc.play(steps, strikes...)
+				broken, struck := sc.run(steps, strikes...)
 				if broken != "" {
-					t.Errorf("%s: %s: %s", sc.name, describe(steps, strikes), broken)
+					t.Errorf("%s: %s: %s", sc.name, describeFaults(steps, strikes), broken)
 				}
 				mu.Lock()
 				if struck && len(strikes) == 1 {
-					c.struckSingle++
+					c.singleInjected++
 				} else if struck {
-					c.struckPairs++
+					c.pairsInjected++
 				}
 				mu.Unlock()
 			}
@@ -343,7 +345,7 @@
 	return c
 }
 
-func describe(steps []string, strikes []strike) string {
+func describeFaults(steps []string, strikes []faultAtStep) string {
 	var out []string
 	for _, x := range strikes {
 		out = append(out, fmt.Sprintf("%s when %s (%d)", x.fault.name, steps[x.step], x.step))
--- a/internal/replica/quorum/progress.go
+++ b/internal/replica/quorum/progress.go
@@ -45,10 +45,10 @@
 const resendAfterHeartbeats = 3
 
 func (c *Core) progressOf(id string) *replicaProgress {
-	progress, ok := c.leading.peers[id]
+	progress, ok := c.leaderState.peers[id]
 	if !ok {
 		progress = &replicaProgress{nextIndex: c.log.lastIndex() + 1}
-		c.leading.peers[id] = progress
+		c.leaderState.peers[id] = progress
 	}
 	return progress
 }
@@ -140,7 +140,7 @@
 // sendProbe sends nothing to a replica that is silent: entries would pile up in
 // front of one that is away for an hour. Its answer to a heartbeat comes first.
 func (c *Core) sendProbe(id string, progress *replicaProgress) {
-	isSilent := c.now-max(progress.heardAt, c.leading.electedAt) > c.cfg.MaxElectionTimeout
+	isSilent := c.now-max(progress.heardAt, c.leaderState.electedAt) > c.cfg.MaxElectionTimeout
 	if progress.awaitingReply || isSilent {
 		return
 	}
--- a/internal/replica/quorum/rapid_test.go
+++ b/internal/replica/quorum/rapid_test.go
@@ -32,32 +32,32 @@
 func TestFaultsInAnyOrder(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		rapid.Check(t, func(t *rapid.T) {
-			s := newSim(size, uint64(rapid.IntRange(0, 1<<20).Draw(t, "seed")))
-			s.run(2 * time.Second)
-			t.Repeat(actions(s))
-			if s.failed == "" {
-				s.heal()
+			s := newSimulation(size, uint64(rapid.IntRange(0, 1<<20).Draw(t, "seed")))
+			s.runFor(2 * time.Second)
+			t.Repeat(randomActions(s))
+			if s.failure == "" {
+				s.endFaultsAndCheck()
 			}
-			if s.failed != "" {
-				t.Fatal(s.failed)
+			if s.failure != "" {
+				t.Fatal(s.failure)
 			}
 		})
 	}
 }
 
-func actions(s *sim) map[string]func(*rapid.T) {
-	pick := func(t *rapid.T) *node {
-		return s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "node")]
+func randomActions(s *simulation) map[string]func(*rapid.T) {
+	drawReplica := func(t *rapid.T) *simReplica {
+		return s.replicas[rapid.IntRange(0, len(s.replicas)-1).Draw(t, "node")]
 	}
 	return map[string]func(*rapid.T){
 		"": func(t *rapid.T) {
-			s.run(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
-			if s.failed != "" {
-				t.Fatal(s.failed)
+			s.runFor(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
+			if s.failure != "" {
+				t.Fatal(s.failure)
 			}
 		},
 		"propose": func(t *rapid.T) {
-			n := pick(t)
+			n := drawReplica(t)
 			if n.core != nil && !n.paused {
 				s.propose(n, rapid.IntRange(1, 20).Draw(t, "count"))
 			}
@@ -65,82 +65,82 @@
 		"propose to the leader": func(t *rapid.T) {
 			s.propose(s.leader(), rapid.IntRange(1, 20).Draw(t, "count"))
 		},
-		"wait": func(*rapid.T) { s.run(1500 * time.Millisecond) },
+		"wait": func(*rapid.T) { s.runFor(1500 * time.Millisecond) },
 		"cut": func(t *rapid.T) {
-			s.cut[[2]string{pick(t).name, pick(t).name}] = true
+			s.cutLinks[[2]string{drawReplica(t).name, drawReplica(t).name}] = true
 		},
 		"isolate": func(t *rapid.T) {
-			n := pick(t)
-			for _, o := range s.nodes {
-				s.cut[[2]string{n.name, o.name}], s.cut[[2]string{o.name, n.name}] = true, true
+			n := drawReplica(t)
+			for _, o := range s.replicas {
+				s.cutLinks[[2]string{n.name, o.name}], s.cutLinks[[2]string{o.name, n.name}] = true, true
 			}
 		},
-		"join": func(*rapid.T) { s.cut = map[[2]string]bool{} },
+		"join": func(*rapid.T) { s.cutLinks = map[[2]string]bool{} },
 		"rough": func(t *rapid.T) {
-			s.loss = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss")
-			s.double = rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "double")
-			s.jitter = rapid.SampledFrom([]time.Duration{0, 20 * time.Millisecond, time.Second}).Draw(t, "jitter")
+			s.lossProbability = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss")
+			s.duplicateProbability = rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "double")
+			s.maxJitter = rapid.SampledFrom([]time.Duration{0, 20 * time.Millisecond, time.Second}).Draw(t, "jitter")
 		},
-		"pause":  func(t *rapid.T) { pick(t).paused = true },
-		"resume": func(t *rapid.T) { pick(t).paused = false },
-		"crash":  func(t *rapid.T) { s.crash(pick(t), rapid.IntRange(0, 10).Draw(t, "torn")) },
+		"pause":  func(t *rapid.T) { drawReplica(t).paused = true },
+		"resume": func(t *rapid.T) { drawReplica(t).paused = false },
+		"crash":  func(t *rapid.T) { s.crash(drawReplica(t), rapid.IntRange(0, 10).Draw(t, "torn")) },
 		"start": func(t *rapid.T) {
-			if n := pick(t); n.core == nil {
+			if n := drawReplica(t); n.core == nil {
 				s.start(n)
 			}
 		},
 		"lose disk": func(t *rapid.T) {
-			if n := pick(t); s.mayLose() {
-				s.lose(n)
+			if n := drawReplica(t); s.canSurviveDiskLoss() {
+				s.loseDisk(n)
 			}
 		},
-		"repair": func(*rapid.T) { s.repair() },
+		"repair": func(*rapid.T) { s.repairMembership() },
 		"change": func(t *rapid.T) {
-			m := quorum.Member{ID: pick(t).id, Learner: rapid.Bool().Draw(t, "learner")}
+			m := quorum.Member{ID: drawReplica(t).id, Learner: rapid.Bool().Draw(t, "learner")}
 			m.Address = m.ID[:1]
 			// Removing a voter while another's disk is gone loses two of three.
-			remove := rapid.Bool().Draw(t, "remove") && s.mayLose()
-			s.alter(s.leader(), m, remove)
+			remove := rapid.Bool().Draw(t, "remove") && s.canSurviveDiskLoss()
+			s.changeMembership(s.leader(), m, remove)
 		},
-		"compact":  func(t *rapid.T) { s.compact(pick(t)) },
-		"transfer": func(t *rapid.T) { s.hand(pick(t)) },
+		"compact":  func(t *rapid.T) { s.compact(drawReplica(t)) },
+		"transfer": func(t *rapid.T) { s.transferLeadership(drawReplica(t)) },
 		"confirm": func(t *rapid.T) {
-			if n := pick(t); n.core != nil && !n.paused {
+			if n := drawReplica(t); n.core != nil && !n.paused {
 				s.step(n, quorum.ConfirmLeadership{})
 			}
 		},
 		"reload": func(t *rapid.T) {
-			if n := pick(t); n.core != nil && !n.paused {
+			if n := drawReplica(t); n.core != nil && !n.paused {
 				s.step(n, quorum.ReloadState{})
 			}
 		},
 	}
 }
 
-func (s *sim) hand(n *node) {
+func (s *simulation) transferLeadership(n *simReplica) {
 	if n.core != nil && !n.paused {
 		s.step(n, quorum.TransferLeadership{})
 	}
 }
 
-// mayLose keeps to what can be survived: a second disk is lost only when the
+// canSurviveDiskLoss keeps to what can be survived: a second disk is lost only when the
 // first was replaced in every membership that anyone has.
-func (s *sim) mayLose() bool {
+func (s *simulation) canSurviveDiskLoss() bool {
 	voters := 0
-	for _, n := range s.nodes {
-		if n.core == nil || n.index != s.top {
+	for _, n := range s.replicas {
+		if n.core == nil || n.appliedIndex != s.commitIndex {
 			return false
 		}
 		voters = 0
 		for _, m := range n.core.Status().Members {
-			if s.dead[m.ID] {
+			if s.lostIdentities[m.ID] {
 				return false
 			}
 			if !m.Learner {
 				voters++
 			}
 		}
-		if voters < 3 || voters < len(s.nodes) {
+		if voters < 3 || voters < len(s.replicas) {
 			return false
 		}
 	}
--- a/internal/replica/quorum/reload_test.go
+++ b/internal/replica/quorum/reload_test.go
@@ -10,7 +10,7 @@
 // A control thread reloads while its replica leads, and the core had told it of
 // a confirmed round before. The thread starts over and knows of none: unless it
 // is told again it refuses every read until the next round.
-func TestAReloadTellsTheConfirmedRoundAgain(t *testing.T) {
+func TestReloadReportsConfirmedRoundAgain(t *testing.T) {
 	c := quorum.New(quorum.Config{ID: "a/0", Address: "a", InitialMembers: []quorum.Member{{ID: "a/0", Address: "a"}}}, quorum.PersistedState{})
 	now := time.Duration(0)
 	step := func(ev quorum.Event) (reports []quorum.Report) {
@@ -21,24 +21,24 @@
 		}
 		return append(reports, fx.Reports...)
 	}
-	confirmed := func(reports []quorum.Report) (led, round bool) {
+	reportedState := func(reports []quorum.Report) (isLeader, roundConfirmed bool) {
 		for _, r := range reports {
 			switch r.(type) {
 			case quorum.BecameLeader:
-				led, round = true, false
+				isLeader, roundConfirmed = true, false
 			case quorum.LeadershipConfirmed:
-				round = true
+				roundConfirmed = true
 			}
 		}
-		return led, round
+		return isLeader, roundConfirmed
 	}
 	for range 400 {
 		now += 10 * time.Millisecond
 		step(quorum.Tick{})
 	}
 	step(quorum.ConfirmLeadership{})
-	led, round := confirmed(step(quorum.ReloadState{}))
-	if !led || !round {
-		t.Errorf("after a reload: told to lead %v, told of a confirmed round since %v", led, round)
+	isLeader, roundConfirmed := reportedState(step(quorum.ReloadState{}))
+	if !isLeader || !roundConfirmed {
+		t.Errorf("after a reload: told to lead %v, told of a confirmed round since %v", isLeader, roundConfirmed)
 	}
 }
--- a/internal/replica/quorum/report.go
+++ b/internal/replica/quorum/report.go
@@ -60,11 +60,11 @@
 // reportLeader waits until everything in the log is committed: the entry of its
 // own term too, without which a leader can't know what is.
 func (c *Core) reportLeader() {
-	if c.role != roleLeader || c.hasReportedLeadership() || c.commitIndex < c.leading.noOpIndex || c.commitIndex < c.log.lastIndex() {
+	if c.role != roleLeader || c.hasReportedLeadership() || c.commitIndex < c.leaderState.noOpIndex || c.commitIndex < c.log.lastIndex() {
 		return
 	}
 	c.lastReport = leadershipReport{sent: true, isLeader: true, term: c.hardState.Term, leaderID: c.cfg.ID}
-	c.addReport(BecameLeader{Term: c.hardState.Term, LastIndex: c.log.lastIndex(), ElectedAt: c.leading.electedAt})
+	c.addReport(BecameLeader{Term: c.hardState.Term, LastIndex: c.log.lastIndex(), ElectedAt: c.leaderState.electedAt})
 }
 
 // reloadState gives the state again to a control thread that has to drop its own.
@@ -72,5 +72,5 @@
 	c.addReport(StateRestored{Index: c.snapshot.Index, State: c.snapshot.State})
 	c.reportedIndex = c.snapshot.Index
 	c.lastReport.isLeader = c.lastReport.isLeader && c.role != roleLeader
-	c.leading.reportedRoundStart = 0
+	c.leaderState.reportedRoundStart = 0
 }
--- a/internal/replica/quorum/snapshot.go
+++ b/internal/replica/quorum/snapshot.go
@@ -84,7 +84,7 @@
 
 // sendSnapshotChunk sends the part of the snapshot that the replica asks for next.
 func (c *Core) sendSnapshotChunk(id string, progress *replicaProgress) {
-	isSilent := c.now-max(progress.heardAt, c.leading.electedAt) > c.cfg.MaxElectionTimeout
+	isSilent := c.now-max(progress.heardAt, c.leaderState.electedAt) > c.cfg.MaxElectionTimeout
 	if progress.awaitingReply || isSilent {
 		return
 	}
--- a/internal/replica/quorum/status.go
+++ b/internal/replica/quorum/status.go
@@ -42,7 +42,7 @@
 		Snapshot: c.snapshot.Index, Base: c.log.base,
 		Members: slices.Clone(c.currentMembership().members), Voters: len(c.currentMembership().voterIDs()),
 	}
-	for id, p := range c.leading.peers {
+	for id, p := range c.leaderState.peers {
 		if id == c.cfg.ID || !c.currentMembership().contains(id) {
 			continue
 		}
@@ -56,7 +56,7 @@
 }
 
 // Transferring tells that the leader hands over and takes no proposals.
-func (c *Core) Transferring() bool { return c.leading.transferee != "" }
+func (c *Core) Transferring() bool { return c.leaderState.transferee != "" }
 
 // UncommittedBytes gives the bytes of the entries that wait for a quorum.
 func (c *Core) UncommittedBytes() int { return c.log.bytes - c.log.committedBytes }
