--- a/internal/replica/quorum/work_test.go
+++ b/internal/replica/quorum/actions_test.go
@@ -7,7 +7,7 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// leader is the node whose control thread was told that it leads in the latest term.
+// leader returns the running replica whose control thread knows that it leads in the latest term.
 func (s *simulation) leader() *simReplica {
 	var latest *simReplica
 	for _, n := range s.replicas {
@@ -52,8 +52,8 @@
 	}
 }
 
-// repairMembership lets the leader do the next step towards a membership without dead
-// identities and with every replica as a voter.
+// repairMembership makes the leader propose the next change towards a membership in which every
+// replica is a voter and no lost identity remains.
 func (s *simulation) repairMembership() {
 	l := s.leader()
 	if l == nil {
--- a/internal/replica/quorum/config.go
+++ b/internal/replica/quorum/config.go
@@ -6,39 +6,41 @@
 const (
 	// DefaultHeartbeatInterval is the time between two heartbeat rounds of a leader.
 	DefaultHeartbeatInterval = 100 * time.Millisecond
-	// DefaultElectionTimeout is the shortest election timeout; the longest is twice that.
+	// DefaultElectionTimeout is the lower bound of the election timeout. Each timeout is
+	// drawn at random between the current bound and twice that.
 	DefaultElectionTimeout = 500 * time.Millisecond
-	// DefaultMaxMessageBytes bounds the entries or the snapshot data of a message, in
-	// bytes. A single entry that is larger travels alone.
+	// DefaultMaxMessageBytes limits the entries or the snapshot data of one message. A
+	// larger entry is sent in a message without other entries.
 	DefaultMaxMessageBytes = 256 << 10
-	// DefaultMaxInflightAppends bounds the appends on the way to one replica: so many small
-	// ones may leave before the first is answered that no proposal waits a round
-	// trip for its turn.
+	// DefaultMaxInflightAppends limits the unacknowledged appends to one replica. It is
+	// high enough that small proposals do not wait a round trip before they are sent.
 	DefaultMaxInflightAppends = 64
-	// DefaultMaxInflightBytes bounds the bytes of the appends on the way to one replica.
+	// DefaultMaxInflightBytes limits the bytes of the unacknowledged appends to one replica.
 	DefaultMaxInflightBytes = 2 << 20
-	// DefaultLogTailBytes bounds the entries kept in memory behind a snapshot, in bytes.
+	// DefaultLogTailBytes limits the bytes of the entries that stay in memory although a
+	// snapshot covers them.
 	DefaultLogTailBytes = 8 << 20
-	// DefaultMaxSnapshotBytes bounds a snapshot that is taken from another replica, in bytes.
+	// DefaultMaxSnapshotBytes limits the size of a snapshot received from another replica.
 	DefaultMaxSnapshotBytes = 1 << 30
 )
 
-// Config is what a core is made with; zero values stand for the defaults.
+// Config is the configuration of a core. Zero values select the defaults.
 type Config struct {
-	// ID is NAME/NONCE of this replica.
+	// ID is the identity of this replica, as NAME/NONCE.
 	ID string
-	// Address is where the others reach this replica.
+	// Address is the network address at which other replicas reach this one.
 	Address           string
 	HeartbeatInterval time.Duration
-	// ElectionTimeout is the shortest election timeout, Patience the longest that it grows
-	// to while the leader's messages come late or one leader follows the other;
-	// Election when it is 0.
-	ElectionTimeout    time.Duration
+	// ElectionTimeout is the lower bound of the election timeout.
+	ElectionTimeout time.Duration
+	// MaxElectionTimeout is the upper bound. The election timeout grows towards it while
+	// messages of the leader arrive late or leaders change in quick succession. If it is
+	// lower than ElectionTimeout, ElectionTimeout is used.
 	MaxElectionTimeout time.Duration
-	// Seed is the only source of randomness.
+	// Seed initializes the random number generator, the only source of randomness.
 	Seed uint64
 	// InitialMembers is the first membership of a new group. It is used only with an
-	// empty disk and is the same on every replica that is given one.
+	// empty disk. All replicas that have initial members must have the same ones.
 	InitialMembers     []Member
 	MaxMessageBytes    int
 	MaxInflightAppends int
@@ -67,7 +69,7 @@
 	return v
 }
 
-// Snapshot is the state after the entry at Index; Index 0 is no snapshot.
+// Snapshot is the state after the entry at Index. Index 0 means that there is no snapshot.
 type Snapshot struct {
 	Index   uint64
 	Term    uint64
@@ -75,7 +77,7 @@
 	State   []byte
 }
 
-// PersistedState is what a replica finds on its disk.
+// PersistedState is the state that a replica reads from its disk when it starts.
 type PersistedState struct {
 	HardState HardState
 	Entries   []Entry
--- a/internal/replica/quorum/core.go
+++ b/internal/replica/quorum/core.go
@@ -14,7 +14,7 @@
 	roleLeader
 )
 
-// heldMessage is a message that may leave once the write seq is synced.
+// heldMessage is a message that is sent once the journal write with number writeSeq is synced.
 type heldMessage struct {
 	writeSeq uint64
 	message  Message
@@ -27,7 +27,7 @@
 	now     time.Duration
 	effects Effects
 
-	// What the disk holds, or will.
+	// State that is on the disk or is about to be written.
 	hardState   HardState
 	log         entryLog
 	memberships membershipHistory
@@ -38,38 +38,42 @@
 
 	role     role
 	leaderID string
-	// unknownSender is a sender that the membership known here does not name.
+	// unknownSender is the last sender that stated its address. It allows a reply to a
+	// sender that is missing from the membership known to this replica.
 	unknownSender Member
-	// leaderHeardAt is when the leader was last heard; it counts while leader is set.
+	// leaderHeardAt is the time of the last message from the leader. It is valid while
+	// leaderID is set.
 	leaderHeardAt time.Duration
 	timeouts      timeoutEstimator
-	// started tells that the clock is known. Until a replica has seen how long the
-	// silences of its leaders are, it waits for half of the longest.
+	// started is set by the first Step, which provides the current time. Until a replica
+	// has measured the silences of its leaders, its election timeout is half of
+	// MaxElectionTimeout.
 	started          bool
 	electionDeadline time.Duration
 	votes            map[string]bool
 
 	commitIndex uint64
-	// reportedIndex is how far entries were reported.
+	// reportedIndex is the index of the last committed entry reported to the control thread.
 	reportedIndex uint64
-	// reportedMembersIndex is the index of the membership reported last.
+	// reportedMembersIndex is the index of the entry with the last reported membership.
 	reportedMembersIndex uint64
 	lastReport           leadershipReport
-	// matchedIndex is how far the log is known to match that of the leader.
+	// matchedIndex is the highest index up to which the log is known to match the leader's log.
 	matchedIndex uint64
-	// ackedIndex is the last index acknowledged to the leader; ackDue asks for one more.
+	// ackedIndex is the last index acknowledged to the leader. ackDue requests another
+	// acknowledgment even if the index is unchanged.
 	ackedIndex uint64
 	ackDue     bool
 
 	savingSnapshot *Snapshot
-	// pendingCompact is a snapshot of the control thread that waits to be saved.
+	// pendingCompact is a snapshot from the control thread that waits to be saved.
 	pendingCompact *Compact
 	incoming       *incomingSnapshot
 
 	leaderState leaderState
 }
 
-// New makes a core from what the disk holds.
+// New creates a core from the state on the disk.
 func New(cfg Config, state PersistedState) *Core {
 	cfg = cfg.withDefaults()
 	c := &Core{
@@ -87,23 +91,23 @@
 	for _, e := range entriesAfterSnapshot(state) {
 		c.appendEntry(e)
 	}
-	// A snapshot may be saved before the term that it came with is synced. No vote
-	// of that term has left then, and none of an earlier one may any more.
+	// A snapshot from a leader can be saved before the leader's term is synced. This
+	// replica has sent no vote in that term then, and must not vote in earlier terms.
 	if c.log.lastTerm() > c.hardState.Term {
 		c.hardState = HardState{Term: c.log.lastTerm()}
 	}
 	c.journal.syncedIndex, c.journal.writtenIndex = c.log.lastIndex(), c.log.lastIndex()
-	// Without entries behind the snapshot the journal may hold stale ones, or
-	// none near it; the anchor makes it go on from the snapshot.
+	// If no entry follows the snapshot, the journal may contain stale entries or may end
+	// before the snapshot. The anchor entry makes the journal continue at the snapshot.
 	if c.log.base > 0 && len(c.log.entries) == 0 {
 		c.journal.resetToSnapshot(&c.snapshot)
 	}
 	if c.isBlank() && len(cfg.InitialMembers) > 0 {
 		c.writeInitialMembers()
 	}
-	// Nobody is missed yet: when all start at once, the first to ask should not
-	// wait for a leader that there is not. Where there is one, the question before
-	// an election is refused and disturbs nobody.
+	// The first pre-vote does not wait for a full election timeout: when all replicas
+	// start at once, there is no leader to wait for. If there is a leader, the other
+	// replicas reject the pre-vote and the leader is not disturbed.
 	c.setPreVoteDeadline()
 	if c.isOnlyVoter() {
 		c.electionDeadline = 0
@@ -111,14 +115,14 @@
 	return c
 }
 
-// entriesAfterSnapshot gives the saved entries that go on after the snapshot.
+// entriesAfterSnapshot returns the persisted entries that follow the snapshot without a gap.
 func entriesAfterSnapshot(state PersistedState) []Entry {
 	nextIndex := state.Snapshot.Index + 1
 	var entries []Entry
 	for _, e := range state.Entries {
-		// A crash between the save of a snapshot from the leader and the write
-		// that anchors it leaves entries behind the snapshot that the leader
-		// never had. Their forerunner has another term than the snapshot.
+		// If the process crashes after a snapshot from the leader is saved and before its
+		// anchor entry is written, the journal contains entries that the leader never had.
+		// In that case the entry at the snapshot's index has a different term.
 		if e.Index == state.Snapshot.Index && e.Term != state.Snapshot.Term {
 			return nil
 		}
@@ -134,8 +138,8 @@
 	return c.hardState == (HardState{}) && c.log.lastIndex() == 0
 }
 
-// writeInitialMembers seeds the log with the first membership, which every replica that
-// is given it writes alike, as if a leader of term 1 had.
+// writeInitialMembers appends the initial membership as entry 1 of term 1. Every replica
+// that has initial members appends the same entry, as if a leader had replicated it.
 func (c *Core) writeInitialMembers() {
 	c.hardState, c.journal.hardStateDirty = HardState{Term: 1}, true
 	initial := membership{}
@@ -145,7 +149,8 @@
 	c.appendEntry(Entry{Index: 1, Term: 1, Kind: EntryMembership, Data: EncodeMembers(initial.members)})
 }
 
-// appendEntry adds an entry to the log and takes over the membership that it carries.
+// appendEntry appends an entry to the log. The membership in a membership entry takes
+// effect immediately.
 func (c *Core) appendEntry(e Entry) {
 	c.log.append(e)
 	if e.Kind != EntryMembership {
@@ -156,10 +161,11 @@
 	}
 }
 
-// currentMembership is the membership in force.
+// currentMembership returns the membership of the last membership entry in the log.
 func (c *Core) currentMembership() membership { return c.memberships.latest() }
 
-// Step lets ev happen at now, which never goes back.
+// Step processes an event at time now and returns the resulting effects. The time must
+// not decrease from call to call.
 func (c *Core) Step(now time.Duration, ev Event) Effects {
 	if !c.started {
 		c.started = true
@@ -206,7 +212,7 @@
 	}
 }
 
-// collectEffects gives out what the step made due.
+// collectEffects adds the reports, messages and writes that result from the current event.
 func (c *Core) collectEffects() {
 	c.reportFollower()
 	c.advanceCommitIndex()
@@ -221,7 +227,7 @@
 
 func (c *Core) addReport(report Report) { c.effects.Reports = append(c.effects.Reports, report) }
 
-// send lets a message leave now.
+// send adds a message to the effects, to be sent immediately.
 func (c *Core) send(message Message) {
 	message.From = c.cfg.ID
 	if c.receiverMayNotKnowSender(message) {
@@ -230,8 +236,9 @@
 	c.effects.Messages = append(c.effects.Messages, OutgoingMessage{Address: c.addressOf(message.To), Message: message})
 }
 
-// receiverMayNotKnowSender tells that the receiver may know no membership with this
-// replica, and so no way back: it is new, or was away while all others changed.
+// receiverMayNotKnowSender reports whether the receiver may know no membership with this
+// replica, and therefore no address for a reply. Such a receiver is new, or was
+// unreachable while all other members were replaced.
 func (c *Core) receiverMayNotKnowSender(message Message) bool {
 	switch message.Kind {
 	case PreVoteRequest, VoteRequest:
@@ -242,15 +249,15 @@
 	return false
 }
 
-// sendAfterSync lets a message leave when everything that this replica decided so far is synced.
+// sendAfterSync sends a message once the current hard state and all writes so far are synced.
 func (c *Core) sendAfterSync(message Message) {
 	message.From = c.cfg.ID
 	c.heldMessages = append(c.heldMessages, heldMessage{writeSeq: c.journal.coveringWriteSeq(), message: message})
 	c.sendHeldMessages()
 }
 
-// sendHeldMessages sends the held messages whose write is synced. One to this replica
-// itself is its own vote.
+// sendHeldMessages sends the held messages whose journal write is synced. A message to
+// this replica itself is the candidate's vote for itself and is handled directly.
 func (c *Core) sendHeldMessages() {
 	for len(c.heldMessages) > 0 && c.heldMessages[0].writeSeq <= c.journal.syncedWriteSeq {
 		message := c.heldMessages[0].message
@@ -273,37 +280,39 @@
 	return ""
 }
 
-// resetElectionDeadline draws a new election timeout.
+// resetElectionDeadline restarts the election timeout with a new random duration.
 func (c *Core) resetElectionDeadline() {
 	c.electionDeadline = c.now + c.randomizedTimeout(c.electionTimeout())
 }
 
-// electionTimeout is how long a silent leader is waited for.
+// electionTimeout returns the time without a message from the leader after which the
+// leader is considered failed.
 func (c *Core) electionTimeout() time.Duration {
 	return c.timeouts.timeout(c.cfg.ElectionTimeout, c.cfg.MaxElectionTimeout, c.now)
 }
 
-// setPreVoteDeadline draws the time to the next question before an election: shorter than a
-// timeout, as no leader can be missed meanwhile, and the question disturbs nobody.
+// setPreVoteDeadline schedules the next pre-vote. The delay is shorter than an election
+// timeout, because no leader is known meanwhile and a pre-vote does not disturb a leader.
 func (c *Core) setPreVoteDeadline() {
 	c.electionDeadline = c.now + c.randomizedTimeout(c.cfg.ElectionTimeout/preVoteRetryDivisor)
 }
 
-// setVoteDeadline draws the time to the next try of an election that was not won.
+// setVoteDeadline schedules the retry of an election that does not succeed.
 func (c *Core) setVoteDeadline() {
 	c.electionDeadline = c.now + c.randomizedTimeout(max(c.cfg.ElectionTimeout/preVoteRetryDivisor, c.cfg.MaxElectionTimeout/voteRetryDivisor))
 }
 
 const (
-	// preVoteRetryDivisor is the part of the shortest election timeout after which a replica asks
-	// again whether it could win: a few round trips.
+	// preVoteRetryDivisor divides ElectionTimeout to give the shortest delay between two
+	// pre-votes. The delay allows for a few round trips.
 	preVoteRetryDivisor = 4
-	// voteRetryDivisor is the part of the longest one after which a candidate tries again; it
-	// leaves time for a round trip between regions and two syncs.
+	// voteRetryDivisor divides MaxElectionTimeout to give the shortest delay before a
+	// candidate retries. The delay allows for a round trip between regions and two disk
+	// syncs.
 	voteRetryDivisor = 8
 )
 
-// randomizedTimeout draws a time of d to twice that.
+// randomizedTimeout returns a random duration between d and 2d.
 func (c *Core) randomizedTimeout(d time.Duration) time.Duration {
 	return d + time.Duration(c.rng.Int64N(int64(d)))
 }
--- a/internal/replica/quorum/core_test.go
+++ b/internal/replica/quorum/core_test.go
@@ -9,9 +9,9 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// A disk is replaced and, against the rules, the identity is kept.
-// The replica voted or acknowledged before; if it voted again, two leaders could
-// hold one term. A blank disk knows no membership, so it must stay silent.
+// A replica may have voted in a term before its disk was replaced. If it kept its identity
+// and voted again, two leaders could be elected in that term. A replica with a blank disk
+// knows no membership and must not send anything.
 func TestReplicaWithBlankDiskSendsNothing(t *testing.T) {
 	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, quorum.PersistedState{})
 	for _, kind := range []quorum.MessageKind{quorum.PreVoteRequest, quorum.VoteRequest} {
@@ -23,30 +23,30 @@
 	}
 	for now := time.Second; now < time.Minute; now += 10 * time.Millisecond {
 		if fx := c.Step(now, quorum.Tick{}); len(fx.Messages) > 0 || fx.Write != nil {
-			t.Fatalf("campaigns at %v", now)
+			t.Fatalf("at %v: sent %v, wrote %v", now, fx.Messages, fx.Write)
 		}
 	}
 }
 
-// A replica is given a new disk and a new identity, at the address of the old.
-// A message that was meant for the old one must not reach it: its answer would
-// count for entries that went with the disk.
+// A replica with a replaced disk has a new identity at the same address. It must refuse
+// messages for the earlier identity, because its replies would count for entries that were
+// lost with the disk.
 func TestMessageForEarlierIdentityIsRefused(t *testing.T) {
 	data, err := quorum.EncodeMessage(quorum.Message{Kind: quorum.Heartbeat, To: "c/0", Term: 3, Round: 7})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := quorum.DecodeMessage("c/1", "a/0", data); err != quorum.ErrWrongReceiver {
-		t.Errorf("error %v", err)
+		t.Errorf("message for c/0 decoded at c/1: error %v, want %v", err, quorum.ErrWrongReceiver)
 	}
 	if _, err := quorum.DecodeMessage("c/0", "a/0", data); err != nil {
 		t.Error(err)
 	}
 }
 
-// A replica takes a snapshot in the place of its own, differing log, and its
-// process dies before the journal was cut.
-// The stale entries behind the snapshot must not come back after the restart.
+// A replica saves a snapshot that replaces its different log, and the process crashes before
+// the journal is truncated. The stale entries after the snapshot must not return after the
+// restart.
 func TestStaleEntriesAfterSnapshotAreDropped(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0"}, {ID: "b/0"}, {ID: "c/0"}}
 	saved := quorum.PersistedState{
@@ -63,7 +63,7 @@
 		t.Error(d)
 	}
 	if s := c.Status(); s.Last != 2 {
-		t.Errorf("the log ends at %d", s.Last)
+		t.Errorf("last log index %d, want 2", s.Last)
 	}
 }
 
@@ -88,8 +88,8 @@
 	}
 }
 
-// newElectedLeader gives a core that has just won term 4 with the vote of b, with entries
-// of the terms 1 and 2 in its log.
+// newElectedLeader returns a core that has just been elected in term 4 by the vote of b. Its
+// log contains entries of terms 1 and 2.
 func newElectedLeader(t *testing.T) *quorum.Core {
 	t.Helper()
 	members := []quorum.Member{{ID: "a/0", Address: "a"}, {ID: "b/0", Address: "b"}, {ID: "c/0", Address: "c"}}
@@ -105,7 +105,7 @@
 	c.Step(2*time.Second, quorum.WriteSynced{Seq: 1})
 	c.Step(2*time.Second, replyFromB(quorum.VoteReply, 4, 0))
 	if term, isLeader := c.TermAndLeading(); term != 4 || !isLeader {
-		t.Fatalf("term %d, leads %v", term, isLeader)
+		t.Fatalf("term %d, is leader %v; want leader of term 4", term, isLeader)
 	}
 	return c
 }
@@ -114,19 +114,18 @@
 	return quorum.Receive{Message: quorum.Message{Kind: kind, From: "b/0", To: "a/0", Term: term, Index: index}}
 }
 
-// A caller is told that its work was taken, and a later leader does not know it.
-// A leader finds an entry of an earlier term on a majority and takes it for
-// committed. A replica with an entry of a term between could still be elected,
-// by those that lack any entry of the leader's own term, and replace it.
+// A leader must not commit an entry of an earlier term only because a majority has it. A
+// replica with an entry of a term in between could still be elected by replicas without an
+// entry of the leader's term, and replace the entry. Accepted work would then be lost.
 func TestEntryOfEarlierTermIsNotCommittedByCount(t *testing.T) {
 	c := newElectedLeader(t)
 	c.Step(2*time.Second, replyFromB(quorum.AppendEntriesReply, 4, 2))
 	if s := c.Status(); s.Commit != 0 {
-		t.Errorf("commit %d with entry 2 of term 2 on a majority", s.Commit)
+		t.Errorf("commit index %d with entry 2 of term 2 on a majority", s.Commit)
 	}
 	c.Step(2*time.Second, quorum.WriteSynced{Seq: 2})
 	c.Step(2*time.Second, replyFromB(quorum.AppendEntriesReply, 4, 3))
 	if s := c.Status(); s.Commit != 3 {
-		t.Errorf("commit %d with entry 3 of term 4 on a majority", s.Commit)
+		t.Errorf("commit index %d with entry 3 of term 4 on a majority", s.Commit)
 	}
 }
--- a/internal/replica/quorum/election.go
+++ b/internal/replica/quorum/election.go
@@ -1,13 +1,14 @@
 package quorum
 
-// mayVote keeps a blank disk silent: it gave votes or acknowledged entries under
-// an earlier identity that it can't know of, so it waits for a membership that
-// names its own. A learner votes: it may have been promoted without knowing yet.
+// mayVote reports whether the membership contains this replica. A replica with a blank
+// disk may have voted or acknowledged entries under an earlier identity that it no longer
+// knows, so it does not vote before it receives a membership with its current identity.
+// Learners vote, because a learner may have been promoted without knowing it yet.
 func (c *Core) mayVote() bool { return c.currentMembership().contains(c.cfg.ID) }
 
-// leaderIsAlive tells that a leader is alive as far as this replica knows. Without it
-// a replica that came back from a partition, or an old message, would depose a
-// leader that a quorum follows.
+// leaderIsAlive reports whether this replica leads or heard from the leader within the
+// election timeout. Without this check, a replica that returns from a partition, or a
+// delayed message, could depose a leader that a quorum follows.
 func (c *Core) leaderIsAlive() bool {
 	if c.role == roleLeader {
 		return true
@@ -15,8 +16,8 @@
 	return c.leaderID != "" && c.now-c.leaderHeardAt < c.electionTimeout()
 }
 
-// isLogUpToDate tells whether a candidate's log holds all that this one may have
-// acknowledged.
+// isLogUpToDate reports whether a candidate's log contains all entries that this replica
+// may have acknowledged.
 func (c *Core) isLogUpToDate(m Message) bool {
 	if m.LogTerm != c.log.lastTerm() {
 		return m.LogTerm > c.log.lastTerm()
@@ -24,8 +25,8 @@
 	return m.Index >= c.log.lastIndex()
 }
 
-// startPreVote asks whether an election could be won, before it disturbs anyone with
-// a new term.
+// startPreVote asks the other voters whether they would vote for this replica. The term
+// stays unchanged, so that the question does not depose a leader.
 func (c *Core) startPreVote() {
 	c.setPreVoteDeadline()
 	c.leaderID = ""
@@ -41,9 +42,9 @@
 	c.requestVotes(Message{Kind: PreVoteRequest, Term: c.hardState.Term + 1}, c.send)
 }
 
-// startElection asks for votes in a new term. The requests wait for the disk: a replica
-// that forgot after a crash that it was a candidate could be elected twice in
-// one term by the same votes.
+// startElection starts an election in a new term. The vote requests are sent after the
+// candidate's term and own vote are synced. Otherwise a replica that forgot its candidacy
+// in a crash could be elected twice in one term by the same votes.
 func (c *Core) startElection(leadershipTransfer bool) {
 	if !leadershipTransfer {
 		c.timeouts.recordLeaderChange(c.now)
@@ -71,7 +72,7 @@
 	return c.currentMembership().hasMajority(func(id string) bool { return c.votes[id] })
 }
 
-// changeRole takes on a role, in a term that is this one or a later one.
+// changeRole sets the role and the known leader, in the current term or a later one.
 func (c *Core) changeRole(term uint64, newRole role, leaderID string) {
 	if term > c.hardState.Term {
 		c.hardState, c.journal.hardStateDirty = HardState{Term: term}, true
@@ -85,7 +86,7 @@
 	c.leaderState = leaderState{}
 }
 
-// handleMessage takes a message; the term rules come first.
+// handleMessage processes a message from another replica, after a check of its term.
 func (c *Core) handleMessage(m Message) {
 	if m.SenderAddress != "" {
 		c.unknownSender = Member{ID: m.From, Address: m.SenderAddress}
@@ -124,7 +125,8 @@
 	}
 }
 
-// adoptHigherTerm takes on a later term, and tells whether the message is to be looked at.
+// adoptHigherTerm switches to the later term of a message unless the message has to leave
+// the term unchanged. It reports whether the message has to be processed further.
 func (c *Core) adoptHigherTerm(m Message) bool {
 	switch {
 	case m.Kind == PreVoteRequest, m.Kind == PreVoteReply && !m.Reject:
@@ -140,7 +142,8 @@
 }
 
 // rejectLowerTerm answers a message of an earlier term so that its sender learns of the
-// later one: a leader that missed its own deposition would go on unheard.
+// later term. Otherwise a deposed leader could continue to send messages that all other
+// replicas ignore.
 func (c *Core) rejectLowerTerm(m Message) {
 	switch m.Kind {
 	case PreVoteRequest:
@@ -187,8 +190,8 @@
 	}
 	c.role = roleFollower
 	c.resetElectionDeadline()
-	// A vote that left before it was synced could be given again to another
-	// candidate of the term after a crash.
+	// If a vote were sent before it is synced, this replica could vote for another
+	// candidate of the same term after a crash.
 	c.sendAfterSync(reply)
 }
 
@@ -197,20 +200,20 @@
 		return
 	}
 	c.votes[m.From] = true
-	// Its own vote is among them only once it is synced.
+	// The candidate's own vote is counted only after it is synced.
 	if c.hasMajorityOfVotes() && c.votes[c.cfg.ID] {
 		c.becomeLeader()
 	}
 }
 
-// followLeader takes the sender for the leader of this term.
+// followLeader accepts the sender of a message as the leader of the current term.
 func (c *Core) followLeader(m Message) {
 	if c.role != roleFollower || c.leaderID != m.From {
 		c.changeRole(c.hardState.Term, roleFollower, m.From)
 	} else {
 		c.timeouts.recordSilence(c.now-c.leaderHeardAt, c.now)
 	}
-	// A leader has everything that is committed.
+	// The log of a leader contains all committed entries.
 	c.matchedIndex = max(c.matchedIndex, c.commitIndex)
 	c.leaderHeardAt = c.now
 	c.resetElectionDeadline()
--- a/internal/replica/quorum/entry.go
+++ b/internal/replica/quorum/entry.go
@@ -1,41 +1,44 @@
-// Package quorum is the consensus core of the control group: a pure state
-// machine without goroutines, clocks or I/O.
+// Package quorum implements the consensus protocol of the control group as a
+// deterministic state machine without goroutines, clocks or I/O.
 package quorum
 
-// EntryKind says what an entry of the log carries.
+// EntryKind is the kind of a log entry.
 type EntryKind uint8
 
 // The kinds of entry.
 const (
-	// EntryCommand is a decision of the control thread; quorum does not look into it.
+	// EntryCommand carries a command of the control thread, which this package does not
+	// interpret.
 	EntryCommand EntryKind = iota + 1
-	// EntryNoOp is what a new leader commits before it decides anything.
+	// EntryNoOp carries no data. A new leader commits one before it accepts proposals.
 	EntryNoOp
-	// EntryMembership is a change of membership.
+	// EntryMembership carries a new membership of the group.
 	EntryMembership
 )
 
 // Entry is one record of the replicated log.
 type Entry struct {
-	// Index counts from 1 without gaps.
+	// Index is the position in the log. It starts at 1 and has no gaps.
 	Index uint64
 	Term  uint64
 	Kind  EntryKind
 	Data  []byte
 }
 
-// HardState is what a replica must have synced before it acts on it.
+// HardState is the term and vote of a replica. A replica syncs it to disk before it votes,
+// requests votes or acknowledges entries.
 type HardState struct {
 	Term uint64
-	// Vote is the replica voted for in Term; empty for none.
+	// Vote is the ID of the replica that received the vote in Term. Empty means no vote.
 	Vote string
 }
 
 // Member is one replica of the control group.
 type Member struct {
-	// ID is NAME/NONCE: a replica whose disk was replaced has a new one.
+	// ID is the identity of the replica, as NAME/NONCE. A replica whose disk was replaced
+	// gets a new nonce.
 	ID      string
 	Address string
-	// Learner replicas receive the log and do not count.
+	// Learner is set for a replica that receives the log but does not count towards a quorum.
 	Learner bool
 }
--- a/internal/replica/quorum/event.go
+++ b/internal/replica/quorum/event.go
@@ -1,24 +1,26 @@
 package quorum
 
-// Event is something that happens to a core.
+// Event is an input of Core.Step.
 type Event interface{ isEvent() }
 
-// Tick lets time pass; send one at least every tenth of a heartbeat.
+// Tick advances the time. The caller sends one at least every tenth of a heartbeat
+// interval.
 type Tick struct{}
 
-// Receive is a message from another replica.
+// Receive delivers a message from another replica.
 type Receive struct{ Message Message }
 
-// Propose appends commands at First. It is dropped whole unless this replica
-// leads in Term and First is the next index.
+// Propose appends commands to the log, starting at FirstIndex. All commands are dropped
+// unless this replica leads in Term and FirstIndex is the next log index.
 type Propose struct {
 	Term       uint64
 	FirstIndex uint64
 	Commands   [][]byte
 }
 
-// ChangeMembership proposes one change of membership at First, dropped as Propose is. A
-// change that can't be made now takes its index as an Empty entry.
+// ChangeMembership proposes to add, replace or remove one member in the entry at Index. It
+// is dropped under the same conditions as Propose. If the change is not possible at
+// present, a no-op entry is appended at Index instead.
 type ChangeMembership struct {
 	Term   uint64
 	Index  uint64
@@ -26,28 +28,32 @@
 	Remove bool
 }
 
-// WriteSynced tells that the write with this number is on the disk.
+// WriteSynced confirms that the journal write with number Seq is synced to disk.
 type WriteSynced struct{ Seq uint64 }
 
-// SnapshotSaved tells that the snapshot of Effects.Save at Index is on the disk.
+// SnapshotSaved confirms that the snapshot at Index from Effects.SaveSnapshot is on disk.
 type SnapshotSaved struct{ Index uint64 }
 
-// SnapshotSaveFailed tells that the snapshot of Effects.Save at Index could not be saved.
+// SnapshotSaveFailed reports that the snapshot at Index from Effects.SaveSnapshot could
+// not be saved.
 type SnapshotSaveFailed struct{ Index uint64 }
 
-// Compact gives the state after the committed entry at Index.
+// Compact provides the state after the committed entry at Index as a new snapshot.
 type Compact struct {
 	Index uint64
 	State []byte
 }
 
-// ConfirmLeadership asks for a heartbeat round that begins now or later.
+// ConfirmLeadership requests the confirmation of a heartbeat round that starts now or
+// later.
 type ConfirmLeadership struct{}
 
-// TransferLeadership asks the leader to hand over to the voter that is furthest.
+// TransferLeadership requests that the leader hand over to the voter with the most
+// complete log.
 type TransferLeadership struct{}
 
-// ReloadState asks for the newest snapshot and all committed entries after it.
+// ReloadState requests that the newest snapshot and all committed entries after it be
+// reported again.
 type ReloadState struct{}
 
 func (Tick) isEvent()               {}
--- a/internal/replica/quorum/follow.go
+++ b/internal/replica/quorum/follower.go
@@ -1,8 +1,11 @@
 package quorum
 
-// handleAppendEntries takes entries of the leader.
+import "fmt"
+
+// handleAppendEntries merges entries from the leader into the log, or rejects them if the
+// log does not contain the entry before them.
 func (c *Core) handleAppendEntries(m Message) {
-	// Everything committed here is in the leader's log too.
+	// All entries committed on this replica are also in the leader's log.
 	if m.Index < c.commitIndex {
 		m = c.skipCommitted(m)
 	}
@@ -20,7 +23,7 @@
 	c.commitMatched(m.CommitIndex)
 }
 
-// skipCommitted drops what is committed from the front of an append.
+// skipCommitted removes the entries that are already committed from an append message.
 func (c *Core) skipCommitted(m Message) Message {
 	n := min(uint64(len(m.Entries)), c.commitIndex-m.Index)
 	m.Entries = m.Entries[n:]
@@ -29,8 +32,9 @@
 	return m
 }
 
-// mergeEntries appends what the log lacks and replaces what differs. Entries that it
-// has already stay: a late copy of an older append must not cut off later ones.
+// mergeEntries appends missing entries and replaces entries of a different term. Entries
+// that match stay, because a delayed duplicate of an append message must not remove the
+// entries of later append messages.
 func (c *Core) mergeEntries(entries []Entry) {
 	for i, e := range entries {
 		term, ok := c.log.termAt(e.Index)
@@ -49,19 +53,20 @@
 
 func (c *Core) truncateLog(index uint64) {
 	if index <= c.commitIndex {
-		panic("quorum: a leader replaces a committed entry")
+		panic(fmt.Sprintf("quorum: leader replaces committed entry %d (commit index %d)", index, c.commitIndex))
 	}
 	c.log.truncate(index)
 	c.memberships = c.memberships.truncate(index)
 	c.journal.truncate(index)
 }
 
-// commitMatched takes the leader's commit index as far as the logs are known to match.
+// commitMatched adopts the leader's commit index, limited to the entries that are known to
+// match the leader's log.
 func (c *Core) commitMatched(index uint64) {
 	c.commitUpTo(min(index, c.matchedIndex))
 }
 
-// commitUpTo commits entries that the log holds.
+// commitUpTo raises the commit index to index, which the log must contain.
 func (c *Core) commitUpTo(index uint64) {
 	if index <= c.commitIndex {
 		return
@@ -78,13 +83,14 @@
 	})
 }
 
-// durableIndex is how far the log is synced and known to match the leader's: what is
-// only in memory would be acknowledged, committed and then lost in a crash. The
-// term of the leader is synced with its first entry or before, and without one
-// of its own entries the leader commits nothing.
+// durableIndex returns the highest index that is synced and known to match the leader's
+// log. If entries were acknowledged before the sync, they could be committed and then lost
+// in a crash. The leader's term is synced no later than the first entry of that term, and
+// a leader commits nothing before it commits an entry of its own term.
 func (c *Core) durableIndex() uint64 { return min(c.journal.syncedIndex, c.matchedIndex) }
 
-// acknowledgeSynced tells the leader what is synced, once for all that one sync covers.
+// acknowledgeSynced sends the durable index to the leader, with one message for all
+// entries covered by the same sync.
 func (c *Core) acknowledgeSynced() {
 	if c.role != roleFollower || c.leaderID == "" {
 		return
--- a/internal/replica/quorum/invariant_test.go
+++ b/internal/replica/quorum/invariant_test.go
@@ -15,10 +15,11 @@
 	return h.Sum64()
 }
 
-// apply is the control thread's replay of one entry.
+// apply applies a committed entry to the state of a replica, as its control thread would. It
+// checks that all replicas apply the same entries in the same order.
 func (s *simulation) apply(n *simReplica, e quorum.Entry) {
 	if e.Index != n.appliedIndex+1 {
-		s.fail("%s applies %d after %d", n.id, e.Index, n.appliedIndex)
+		s.fail("%s applies entry %d after entry %d", n.id, e.Index, n.appliedIndex)
 	}
 	if old, ok := s.committed[e.Index]; ok && (old.Term != e.Term || string(old.Data) != string(e.Data)) {
 		s.fail("%s: committed entry %d changed from %v to %v", n.id, e.Index, old, e)
@@ -33,7 +34,7 @@
 	switch r := r.(type) {
 	case quorum.BecameLeader:
 		if n.appliedIndex != r.LastIndex {
-			s.fail("%s leads from %d having applied %d", n.id, r.LastIndex, n.appliedIndex)
+			s.fail("%s became leader with last log index %d but applied index %d", n.id, r.LastIndex, n.appliedIndex)
 		}
 		n.leadership, n.nextIndex, n.proposedEntries = &r, r.LastIndex+1, map[uint64]quorum.Entry{}
 		n.confirmedAt = r.ElectedAt
@@ -50,10 +51,11 @@
 		}
 	case quorum.LeadershipConfirmed:
 		n.confirmedAt = r.RoundStartedAt
-		// Leases rest on this: no later leader was elected before the round began.
+		// Leases rely on this invariant: no later leader was elected before the start of a
+		// confirmed round.
 		for _, e := range s.elections {
 			if e.Term > r.Term && e.ElectedAt < r.RoundStartedAt {
-				s.fail("%s confirmed a round of %v in term %d, term %d elected at %v", n.id, r.RoundStartedAt, r.Term, e.Term, e.ElectedAt)
+				s.fail("%s confirmed the round started at %v in term %d, but the leader of term %d was elected at %v", n.id, r.RoundStartedAt, r.Term, e.Term, e.ElectedAt)
 			}
 		}
 	case quorum.StateRestored:
@@ -62,51 +64,52 @@
 			fmt.Sscan(string(r.State), &n.stateDigest)
 		}
 		if n.stateDigest != s.digestByIndex[r.Index] {
-			s.fail("%s restores another state at %d", n.id, r.Index)
+			s.fail("%s restored a state at index %d that differs from the committed state", n.id, r.Index)
 		}
 	case quorum.MembershipChanged:
 		s.checkMembers(n, r.Members)
 	}
 }
 
-// checkMembers checks that one machine never counts twice.
+// checkMembers checks that no two voters have the same replica name. Otherwise one machine
+// would count twice.
 func (s *simulation) checkMembers(n *simReplica, members []quorum.Member) {
 	s.members = members
-	seen := map[string]bool{}
+	isVoter := map[string]bool{}
 	for _, m := range members {
-		before, _, _ := strings.Cut(m.ID, "/")
-		if !m.Learner && seen[before] {
-			s.fail("%s: %s counts twice", n.id, before)
+		name, _, _ := strings.Cut(m.ID, "/")
+		if !m.Learner && isVoter[name] {
+			s.fail("%s: two voters have the replica name %s", n.id, name)
 		}
-		seen[before] = seen[before] || !m.Learner
+		isVoter[name] = isVoter[name] || !m.Learner
 	}
 }
 
-// maxUnconfirmedLeadership is how long a leader may go on unconfirmed: with a fixed timeout for
-// that, else for as long as it may grow.
+// maxUnconfirmedLeadership returns how long a leader may lead without a confirmed round. This
+// is the election timeout if it is fixed, or else its maximum during an election storm.
 func (s *simulation) maxUnconfirmedLeadership() time.Duration {
-	const growth = 4
+	const maxStormFactor = 4
 	if s.config.MaxElectionTimeout == 0 {
 		return quorum.DefaultElectionTimeout
 	}
-	return growth * s.config.MaxElectionTimeout
+	return maxStormFactor * s.config.MaxElectionTimeout
 }
 
 func (s *simulation) checkInvariants(n *simReplica) {
-	if mark := n.core.LastEntry(); mark != n.checkedEntry {
-		n.checkedEntry = mark
+	if last := n.core.LastEntry(); last != n.checkedEntry {
+		n.checkedEntry = last
 		s.checkLogMatching(n)
 	}
-	term, leads := n.core.TermAndLeading()
-	if !leads {
+	term, isLeader := n.core.TermAndLeading()
+	if !isLeader {
 		return
 	}
 	if n.leadership != nil && s.now-n.confirmedAt > s.maxUnconfirmedLeadership() {
-		s.fail("%s leads without a round confirmed since %v", n.id, n.confirmedAt)
+		s.fail("%s leads although the last confirmed round started at %v", n.id, n.confirmedAt)
 	}
-	if old, ok := s.leaderByTerm[term]; ok {
-		if old != n.id {
-			s.fail("%s and %s lead in term %d", old, n.id, term)
+	if known, ok := s.leaderByTerm[term]; ok {
+		if known != n.id {
+			s.fail("%s and %s both lead in term %d", known, n.id, term)
 		}
 		return
 	}
@@ -114,13 +117,13 @@
 	s.checkCommittedEntries(n)
 }
 
-// checkLogMatching holds when an index and a term stand for one content and one
-// entry before it.
+// checkLogMatching checks that entries with the same index and term have the same content and
+// the same preceding term in all logs.
 func (s *simulation) checkLogMatching(n *simReplica) {
 	base, previousTerm := n.core.LogBase()
 	for i, e := range n.core.LogEntries() {
 		if e.Index != base+uint64(i)+1 {
-			s.fail("%s has entry %d in the place of %d", n.id, e.Index, base+uint64(i)+1)
+			s.fail("%s has entry %d at index %d", n.id, e.Index, base+uint64(i)+1)
 		}
 		entry := [2]uint64{previousTerm, hashOf(e.Kind, string(e.Data))}
 		key := [2]uint64{e.Index, e.Term}
@@ -132,20 +135,20 @@
 	}
 }
 
-// checkCommittedEntries holds when a new leader has every committed entry.
+// checkCommittedEntries checks that a new leader has all committed entries.
 func (s *simulation) checkCommittedEntries(n *simReplica) {
 	base, _ := n.core.LogBase()
 	entries := n.core.LogEntries()
 	for i := base + 1; i <= s.commitIndex; i++ {
 		if i-base > uint64(len(entries)) || entries[i-base-1].Term != s.committed[i].Term {
-			s.fail("%s leads without the committed entry %d", n.id, i)
+			s.fail("%s became leader without the committed entry %d", n.id, i)
 			return
 		}
 	}
 }
 
-// isSettled tells that there is a leader that takes work, all of its log is
-// committed everywhere, and there is no repair to do.
+// isSettled reports whether a leader accepts proposals, all replicas have applied its whole
+// log, and the membership needs no repair.
 func (s *simulation) isSettled() bool {
 	l := s.leader()
 	if l == nil || l.core.Transferring() || l.core.LastEntry()[0] != s.commitIndex || len(s.members) != len(s.replicas) {
@@ -164,8 +167,8 @@
 	return true
 }
 
-// endFaultsAndCheck ends all faults, repairs the membership, and checks that new work is
-// committed and that all replicas end in one state.
+// endFaultsAndCheck ends all faults and repairs the membership. It then checks that a new
+// command is committed and that all replicas reach the same state.
 func (s *simulation) endFaultsAndCheck() {
 	s.cutLinks, s.lossProbability, s.duplicateProbability, s.maxJitter = map[[2]string]bool{}, 0, 0, 0
 	for _, n := range s.replicas {
@@ -182,7 +185,7 @@
 		s.repairMembership()
 	}
 	if !s.isSettled() && s.failure == "" {
-		s.fail("not settled 10 s after all faults ended")
+		s.fail("replicas not in agreement 10 s after all faults ended")
 		return
 	}
 	s.propose(s.leader(), 1)
@@ -194,11 +197,11 @@
 		return
 	}
 	if got := string(s.committed[s.commitIndex].Data); got != fmt.Sprintf("command %d", want) {
-		s.fail("work after all faults ended is not committed: %q instead of command %d", got, want)
+		s.fail("command proposed after all faults ended is not committed: got %q, want command %d", got, want)
 	}
 	for _, n := range s.replicas {
 		if n.appliedIndex != l.appliedIndex || n.stateDigest != l.stateDigest || len(n.core.Status().Members) != len(s.replicas) {
-			s.fail("%s ends at %d of %d: %+v", n.id, n.appliedIndex, l.appliedIndex, n.core.Status())
+			s.fail("%s differs from the leader: applied index %d, want %d; status %+v", n.id, n.appliedIndex, l.appliedIndex, n.core.Status())
 		}
 	}
 }
--- a/internal/replica/quorum/lead.go
+++ b/internal/replica/quorum/leader.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// heartbeatRound is a heartbeat round on its way.
+// heartbeatRound is one round of heartbeats to all members.
 type heartbeatRound struct {
 	number    uint64
 	startedAt time.Duration
-	// commitIndex is the commit index at its start.
+	// commitIndex is the commit index at the start of the round.
 	commitIndex uint64
 }
 
-// leaderState is what only a leader has; it is dropped with the role.
+// leaderState is the state that exists only on a leader. It is reset when the role changes.
 type leaderState struct {
 	electedAt time.Duration
-	// noOpIndex is the index of the Empty entry of the term.
+	// noOpIndex is the index of the no-op entry that starts the leader's term.
 	noOpIndex uint64
 	peers     map[string]*replicaProgress
 
 	lastRound   uint64
 	nextRoundAt time.Duration
 	openRounds  []heartbeatRound
-	// confirmedRound is the last round that a quorum has answered.
+	// confirmedRound is the last round answered by a quorum.
 	confirmedRound     heartbeatRound
 	reportedRoundStart time.Duration
 	roundRequested     bool
@@ -40,15 +40,14 @@
 	c.startRound()
 }
 
-// isOnlyVoter tells that this replica is the only voter.
 func (c *Core) isOnlyVoter() bool {
 	voters := c.currentMembership().voterIDs()
 	return len(voters) == 1 && voters[0] == c.cfg.ID
 }
 
-// stepDownIfUnconfirmed ends a leadership that no quorum confirmed for the longest election timeout. An
-// isolated leader, or one that was paused, would otherwise answer from a state
-// that another leader has left behind.
+// stepDownIfUnconfirmed makes the leader a follower if no quorum has answered a heartbeat
+// round within the longest election timeout. Otherwise a leader that was isolated or
+// paused would serve stale state although another leader may have been elected.
 func (c *Core) stepDownIfUnconfirmed() {
 	if c.role != roleLeader || c.isOnlyVoter() {
 		return
@@ -68,7 +67,7 @@
 	}
 }
 
-// startRound sends a heartbeat to every member.
+// startRound sends a heartbeat to every other member.
 func (c *Core) startRound() {
 	state := &c.leaderState
 	state.lastRound++
@@ -86,9 +85,9 @@
 	c.confirmRounds()
 }
 
-// confirmRounds confirms the latest round that a quorum has answered. Whoever is
-// elected later has the vote of a replica that answered, after it did; so the
-// election is after the start of the round.
+// confirmRounds marks the latest round answered by a quorum as confirmed. A later leader
+// needs a vote of at least one replica that answered the round before it voted. The later
+// election is therefore after the start of the confirmed round.
 func (c *Core) confirmRounds() {
 	state := &c.leaderState
 	answeredRound := c.currentMembership().majorityReached(func(id string) uint64 {
@@ -107,7 +106,8 @@
 	}
 }
 
-// requestRound starts a round, unless one is on its way: then the next starts after it.
+// requestRound starts a heartbeat round. If a round is in progress, the new round starts
+// when that one is confirmed.
 func (c *Core) requestRound() {
 	if c.role != roleLeader {
 		return
@@ -119,7 +119,7 @@
 	c.leaderState.roundRequested = true
 }
 
-// reportConfirmedRound tells the control thread of a newly confirmed round.
+// reportConfirmedRound reports a newly confirmed round to the control thread.
 func (c *Core) reportConfirmedRound() {
 	state := &c.leaderState
 	if !c.hasReportedLeadership() || state.confirmedRound.number == 0 || state.reportedRoundStart == state.confirmedRound.startedAt {
@@ -129,9 +129,9 @@
 	c.addReport(LeadershipConfirmed{Term: c.hardState.Term, RoundStartedAt: state.confirmedRound.startedAt})
 }
 
-// advanceCommitIndex commits what a majority has synced. Only an entry of its own term
-// commits by count: one of an earlier term could still be replaced by a leader
-// that never saw it.
+// advanceCommitIndex commits the entries that a majority has synced. Only an entry of the
+// leader's own term is committed by counting replicas, because an entry of an earlier term
+// could still be replaced by a later leader that never received it.
 func (c *Core) advanceCommitIndex() {
 	if c.role != roleLeader {
 		return
@@ -160,8 +160,8 @@
 	}
 }
 
-// handleChangeMembership proposes a membership. Refused changes still take their index, so that
-// the control thread's count of indexes holds.
+// handleChangeMembership appends a changed membership. For a refused change it appends a
+// no-op entry, because the control thread has already assigned the index.
 func (c *Core) handleChangeMembership(change ChangeMembership) {
 	if !c.acceptsProposal(change.Term, change.Index) {
 		return
@@ -173,18 +173,19 @@
 	c.appendEntry(entry)
 }
 
-// changedMembers gives the membership after a change, or false when it can't be made now.
+// changedMembers returns the members after a change, or false if the change is not
+// possible at present.
 func (c *Core) changedMembers(member Member, remove bool) ([]Member, bool) {
 	current := c.currentMembership()
-	// Majorities of memberships that differ in two voters need not overlap, so
-	// the change before must be committed.
+	// The majorities of two memberships that differ in two voters may be disjoint, so the
+	// previous change must be committed first.
 	if current.index > c.commitIndex {
 		return nil, false
 	}
 	previous, isMember := current.find(member.ID)
 	if remove {
-		// A leader that removed itself would count a majority without its own
-		// disk; it hands over first.
+		// A leader that removed itself would commit with a majority that excludes its own
+		// disk. It has to transfer the leadership first.
 		if !isMember || member.ID == c.cfg.ID || !previous.Learner && len(current.voterIDs()) == 1 {
 			return nil, false
 		}
@@ -199,17 +200,17 @@
 	return c.requireLiveMajority(current.with(member))
 }
 
-// requireLiveMajority refuses a membership of which no majority is alive: its commit would
-// wait for replicas that may never come back.
+// requireLiveMajority returns false if less than a majority of the voters among members
+// is alive. The commit of such a membership would wait for replicas that may never return.
 func (c *Core) requireLiveMajority(members []Member) ([]Member, bool) {
 	isAlive := func(id string) bool { return id == c.cfg.ID || c.heardRecently(c.progressOf(id)) }
 	return members, membership{members: members}.hasMajority(isAlive)
 }
 
-// isPromotable tells whether a learner may count: it has synced what was committed
-// when the last confirmed round began, or else a majority could hold it that has
-// entries only in memory or not at all. The identity that its disk replaced must
-// be gone, or one machine would count twice.
+// isPromotable reports whether a learner may become a voter. The learner must have synced
+// all entries that were committed when the last confirmed round started. Otherwise a
+// majority could include a replica without the committed entries on its disk. No voter may
+// have the same replica name, because one machine with a replaced disk would count twice.
 func (c *Core) isPromotable(id string) bool {
 	for _, voter := range c.currentMembership().voterIDs() {
 		if replicaName(voter) == replicaName(id) {
@@ -220,14 +221,15 @@
 	return progress.state == progressReplicating && c.heardRecently(progress) && progress.matchIndex >= c.leaderState.confirmedRound.commitIndex
 }
 
-// heardRecently tells whether the replica was heard within the longest election timeout.
+// heardRecently reports whether the replica sent a message within the longest election
+// timeout and has answered at least one heartbeat.
 func (c *Core) heardRecently(progress *replicaProgress) bool {
 	return progress.answeredRound > 0 && c.now-progress.heardAt <= c.cfg.MaxElectionTimeout
 }
 
-// startTransfer starts to hand over to the voter that is furthest. No proposals are
-// taken meanwhile, so that it can catch up; after an election timeout they are
-// again.
+// startTransfer starts to transfer the leadership to the live voter with the most complete
+// log. The leader rejects proposals meanwhile, so that this voter can catch up. If the
+// transfer does not finish within the longest election timeout, it is cancelled.
 func (c *Core) startTransfer() {
 	if c.role != roleLeader || c.leaderState.transferee != "" {
 		return
@@ -245,7 +247,7 @@
 	c.leaderState.transferDeadline = c.now + c.cfg.MaxElectionTimeout
 }
 
-// sendTimeoutNow lets the transferee start an election as soon as it has the whole log.
+// sendTimeoutNow asks the transferee to start an election as soon as it has the whole log.
 func (c *Core) sendTimeoutNow() {
 	state := &c.leaderState
 	if state.transferee == "" || state.timeoutNowSent || c.progressOf(state.transferee).matchIndex < c.log.lastIndex() {
@@ -255,7 +257,7 @@
 	c.send(Message{Kind: TimeoutNow, To: state.transferee, Term: c.hardState.Term})
 }
 
-// handleTimeoutNow starts an election at the wish of the leader.
+// handleTimeoutNow starts an election at the request of the leader.
 func (c *Core) handleTimeoutNow(m Message) {
 	if c.role == roleLeader || m.From != c.leaderID || !c.currentMembership().isVoter(c.cfg.ID) {
 		return
--- a/internal/replica/quorum/log.go
+++ b/internal/replica/quorum/log.go
@@ -1,11 +1,12 @@
 package quorum
 
-// entryLog holds the entries after base in memory.
+// entryLog holds the log entries after index base in memory.
 type entryLog struct {
 	base     uint64
 	baseTerm uint64
 	entries  []Entry
-	// bytes is the bytes of all entries, committed those of the committed ones.
+	// bytes is the size of all entries in memory, and committedBytes the size of the
+	// committed ones.
 	bytes          int
 	committedBytes int
 }
@@ -17,7 +18,8 @@
 	return term
 }
 
-// termAt gives the term of the entry at index, if the log still knows it.
+// termAt returns the term of the entry at index. The result is false if the log does not
+// contain the entry.
 func (l *entryLog) termAt(index uint64) (uint64, bool) {
 	switch {
 	case index == l.base:
@@ -28,7 +30,7 @@
 	return l.entries[index-l.base-1].Term, true
 }
 
-// entriesBetween gives the entries after lo up to hi.
+// entriesBetween returns the entries after index after, up to and including index last.
 func (l *entryLog) entriesBetween(after, last uint64) []Entry {
 	if last <= after {
 		return nil
@@ -36,7 +38,8 @@
 	return l.entries[after-l.base : last-l.base : last-l.base]
 }
 
-// batchAfter gives entries after lo of at most size bytes, but at least one.
+// batchAfter returns entries after index after, up to a total size of maxBytes. If the
+// first entry is larger, it is returned alone.
 func (l *entryLog) batchAfter(after uint64, maxBytes int) []Entry {
 	remaining := l.entriesBetween(after, l.lastIndex())
 	batchBytes := 0
@@ -54,15 +57,15 @@
 	l.bytes += e.bytes()
 }
 
-// truncate removes the entry at index and all after it. The capacity goes too:
-// writes and messages on their way still hold the old entries.
+// truncate removes the entry at index and all later entries. It limits the capacity of the
+// slice, because pending writes and messages still share the old entries.
 func (l *entryLog) truncate(index uint64) {
 	kept := index - l.base - 1
 	l.bytes -= entriesBytes(l.entries[kept:])
 	l.entries = l.entries[:kept:kept]
 }
 
-// dropUpTo forgets entries up to index, which the log holds.
+// dropUpTo removes the entries up to and including index, which the log must contain.
 func (l *entryLog) dropUpTo(index uint64) {
 	term, ok := l.termAt(index)
 	if !ok || index <= l.base {
@@ -75,8 +78,8 @@
 	l.base, l.baseTerm = index, term
 }
 
-// lastNotAboveTerm gives the last index up to index whose term is not above term: no
-// entry after it can match one of that term.
+// lastNotAboveTerm returns the highest index, at most index, whose entry has a term of at
+// most term. No later entry can match an entry of that term in another log.
 func (l *entryLog) lastNotAboveTerm(index, term uint64) (uint64, uint64) {
 	index = min(index, l.lastIndex())
 	for index > l.base {
@@ -89,7 +92,7 @@
 	return l.base, l.baseTerm
 }
 
-// entryOverhead is what an entry costs besides its data, in bytes.
+// entryOverhead is the size of an entry without its data, in bytes.
 const entryOverhead = 32
 
 func entriesBytes(entries []Entry) int {
--- a/internal/replica/quorum/matrix_test.go
+++ b/internal/replica/quorum/matrix_test.go
@@ -18,16 +18,18 @@
 
 var (
 	updatePage   = flag.Bool("update", false, "write docs/faults/quorum.md instead of comparing it")
-	pairInterval = flag.Int("every", ciPairInterval, "play only every nth pair of faults; 1 plays all")
+	pairInterval = flag.Int("every", ciPairInterval, "run only every nth pair of faults; 1 runs all pairs")
 )
 
 const (
 	pagePath = "../../../docs/faults/quorum.md"
-	// ciPairInterval shares no factor with the number of faults, so each meets each.
+	// ciPairInterval has no common factor with the number of faults, so that CI runs pairs
+	// of any two faults.
 	ciPairInterval = 8
 )
 
-// scenario is what goes on while faults strike; it takes two seconds or less.
+// scenario is an operation of the group during which faults are injected. It takes at most two
+// seconds.
 type scenario struct {
 	name  string
 	start func(s *simulation)
@@ -83,7 +85,7 @@
 	}},
 }
 
-// anyFollower is a replica that does not lead.
+// anyFollower returns the first replica that does not lead.
 func (s *simulation) anyFollower() *simReplica {
 	l := s.leader()
 	for _, n := range s.replicas {
@@ -94,7 +96,7 @@
 	return nil
 }
 
-// fault strikes the replica at which a step happens.
+// fault is a failure of the replica at which a step happens.
 type fault struct {
 	name  string
 	start func(s *simulation, n *simReplica)
@@ -132,17 +134,17 @@
 		func(_ *simulation, n *simReplica) { n.paused = false },
 	},
 	{
-		"silent both ways",
+		"all messages lost",
 		func(s *simulation, n *simReplica) { setLinks(s, n, true, true, true) },
 		func(s *simulation, n *simReplica) { setLinks(s, n, true, true, false) },
 	},
 	{
-		"silent inwards",
+		"inbound messages lost",
 		func(s *simulation, n *simReplica) { setLinks(s, n, true, false, true) },
 		func(s *simulation, n *simReplica) { setLinks(s, n, true, false, false) },
 	},
 	{
-		"silent outwards",
+		"outbound messages lost",
 		func(s *simulation, n *simReplica) { setLinks(s, n, false, true, true) },
 		func(s *simulation, n *simReplica) { setLinks(s, n, false, true, false) },
 	},
@@ -156,8 +158,9 @@
 	{"lost disk", (*simulation).loseDiskOrCrash, restartIfDown},
 }
 
-// loseDiskOrCrash loses a disk only where a majority still has everything, as two
-// lost disks of three can't be survived; else the replica crashes.
+// loseDiskOrCrash replaces the disk of a replica if the other replicas have all committed
+// entries. Otherwise it only crashes the replica, because a group of three does not survive the
+// loss of two disks.
 func (s *simulation) loseDiskOrCrash(n *simReplica) {
 	if s.canSurviveDiskLoss() {
 		s.loseDisk(n)
@@ -166,16 +169,17 @@
 	}
 }
 
-// faultAtStep is a fault at a step: the nth event with this label.
+// faultAtStep is a fault that is injected at the step with this number.
 type faultAtStep struct {
 	step  int
 	fault fault
 }
 
-// faultDuration is longer than an election takes.
+// faultDuration is longer than an election, so that a new leader can be elected during a fault.
 const faultDuration = 1200 * time.Millisecond
 
-// startGroup gives a group that has a leader; few ticks save time.
+// startGroup returns a group of three replicas with a leader. Its ticks are rare to shorten the
+// test.
 func startGroup() *simulation {
 	s := newSimulation(3, 1)
 	s.tickInterval = 3 * defaultTickInterval
@@ -183,11 +187,11 @@
 	return s
 }
 
-// steps runs a scenario without faults and gives the labels of its events: the
-// first of each kind at each replica.
+// steps runs a scenario without faults and returns its steps. A step is the first event of each
+// kind at each replica.
 func (sc scenario) steps() []string {
 	s := startGroup()
-	var out []string
+	var labels []string
 	seen := map[string]bool{}
 	s.onEvent = func(label string, n *simReplica) {
 		label += " at " + n.name
@@ -195,40 +199,40 @@
 			return
 		}
 		seen[label] = true
-		out = append(out, label)
+		labels = append(labels, label)
 	}
 	sc.start(s)
 	s.runFor(2 * time.Second)
-	return out
+	return labels
 }
 
-// run runs a scenario with faults at steps and tells what broke, and whether
-// all faults struck: the first may keep the step of the second from happening.
+// run runs a scenario with faults at steps. It returns the violated invariant, if any, and
+// whether all faults were injected. The first fault may prevent the step of the second one.
 func (sc scenario) run(steps []string, injected ...faultAtStep) (failure string, allInjected bool) {
 	s := startGroup()
-	injectedAt := make([]bool, len(injected))
+	done := make([]bool, len(injected))
 	s.onEvent = func(label string, n *simReplica) {
 		label += " at " + n.name
 		for i, x := range injected {
-			if injectedAt[i] || steps[x.step] != label {
+			if done[i] || steps[x.step] != label {
 				continue
 			}
-			injectedAt[i] = true
+			done[i] = true
 			s.schedule(0, func() { x.fault.start(s, n) })
 			s.schedule(faultDuration, func() { x.fault.stop(s, n) })
 		}
 	}
 	sc.start(s)
 	s.runFor(2*time.Second + faultDuration)
-	// A step that comes only now strikes no more.
+	// Steps that happen after this time inject no faults.
 	s.onEvent = nil
 	if s.failure == "" {
 		s.endFaultsAndCheck()
 	}
-	return s.failure, !slices.Contains(injectedAt, false)
+	return s.failure, !slices.Contains(done, false)
 }
 
-// runCounts counts what was played, and how often all faults struck.
+// runCounts counts the runs and how often all faults of a run were injected.
 type runCounts struct{ steps, singleFaults, singleInjected, pairs, pairsInjected int }
 
 func (c runCounts) plus(d runCounts) runCounts {
@@ -242,11 +246,10 @@
 	return fmt.Sprintf("| %s | %d | %d | %d | %d | %d |\n", name, c.steps, c.singleFaults, c.singleInjected, c.pairs, c.pairsInjected)
 }
 
-// An operator's instance fails at the worst moment of a commit, a snapshot, a
-// transfer, a repair, a change of membership or a failover; or two do.
-// Every fault strikes at every step, alone and followed by every fault at the
-// same step or at one of the two after it. No invariant of sim may break, and
-// when the faults are over, work goes on and all replicas agree.
+// TestFaultMatrix injects one or two faults into a commit, a snapshot, a transfer, a repair, a
+// membership change and a failover. Each fault is injected at each step, alone and followed by
+// each fault at the same step or one of the next two. No invariant of the simulation may be
+// violated. After the faults, new commands must be committed and all replicas must agree.
 func TestFaultMatrix(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(pageHead)
@@ -283,18 +286,24 @@
 const pageHead = `# Fault matrix of the consensus core
 
 Written by ` + "`go test ./internal/replica/quorum -run TestFaultMatrix -update`" + `; CI compares it.
-Three replicas on a virtual clock, messages 1.5 ms one way, a sync 1 ms. A step is the
-first event of each kind at each replica; a fault strikes there and lasts 1.2 s. In a pair
-the second strikes at the same step or one of the two after it. After every event the
-invariants hold (one leader per term, log matching, committed entries unchanged and with
-every later leader, no round confirmed that began after a later election, one machine
-counted once, no leadership beyond an election timeout without a confirmed round); after
-the faults new work is committed and all replicas end in one state. CI plays every
-single fault and every eighth pair; -every=1 plays all pairs. A fault struck when its
-step came; the first of a pair may keep the step of the second from coming. Played
-without a failure:
+The test runs three replicas on a virtual clock. A message takes 1.5 ms one way, a disk
+sync 1 ms. A step is the first event of each kind at each replica. A fault is injected at
+a step and lasts 1.2 s. In a pair, the second fault is injected at the same step or one of
+the next two. These invariants are checked after every event:
 
-| scenario | steps | single faults | struck | pairs | both struck |
+- Each term has at most one leader.
+- Entries with the same index and term are equal in all logs.
+- Committed entries do not change, and every later leader has them.
+- No heartbeat round is confirmed that started after a later election.
+- One machine counts as one voter.
+- No leader leads longer than an election timeout without a confirmed round.
+
+After the faults, a new command is committed and all replicas reach the same state. CI
+runs every single fault and every eighth pair; -every=1 runs all pairs. A fault is
+injected when its step happens. The first fault of a pair may prevent the step of the
+second. All runs below passed:
+
+| scenario | steps | single faults | injected | pairs | both injected |
 |---|---|---|---|---|---|
 `
 
@@ -302,15 +311,15 @@
 	steps := sc.steps()
 	c := runCounts{steps: len(steps)}
 	n := 0
-	var jobs [][]faultAtStep
+	var runs [][]faultAtStep
 	for i := range steps {
 		for _, f := range faults {
-			jobs = append(jobs, []faultAtStep{{i, f}})
+			runs = append(runs, []faultAtStep{{i, f}})
 			c.singleFaults++
 			for j := i; j < min(i+3, len(steps)); j++ {
 				for _, g := range faults {
 					if n++; n%*pairInterval == 0 {
-						jobs = append(jobs, []faultAtStep{{i, f}, {j, g}})
+						runs = append(runs, []faultAtStep{{i, f}, {j, g}})
 						c.pairs++
 					}
 				}
@@ -322,33 +331,33 @@
 	var mu sync.Mutex
 	for range min(4, runtime.GOMAXPROCS(0)) {
 		wg.Go(func() {
-			for strikes := range work {
-				broken, struck := sc.run(steps, strikes...)
-				if broken != "" {
-					t.Errorf("%s: %s: %s", sc.name, describeFaults(steps, strikes), broken)
+			for injected := range work {
+				failure, allInjected := sc.run(steps, injected...)
+				if failure != "" {
+					t.Errorf("%s: %s: %s", sc.name, describeFaults(steps, injected), failure)
 				}
 				mu.Lock()
-				if struck && len(strikes) == 1 {
+				if allInjected && len(injected) == 1 {
 					c.singleInjected++
-				} else if struck {
+				} else if allInjected {
 					c.pairsInjected++
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	for _, j := range jobs {
-		work <- j
+	for _, r := range runs {
+		work <- r
 	}
 	close(work)
 	wg.Wait()
 	return c
 }
 
-func describeFaults(steps []string, strikes []faultAtStep) string {
-	var out []string
-	for _, x := range strikes {
-		out = append(out, fmt.Sprintf("%s when %s (%d)", x.fault.name, steps[x.step], x.step))
+func describeFaults(steps []string, injected []faultAtStep) string {
+	var descriptions []string
+	for _, x := range injected {
+		descriptions = append(descriptions, fmt.Sprintf("%s at step %d (%s)", x.fault.name, x.step, steps[x.step]))
 	}
-	return strings.Join(out, " and ")
+	return strings.Join(descriptions, " and ")
 }
--- a/internal/replica/quorum/members.go
+++ b/internal/replica/quorum/members.go
@@ -6,14 +6,14 @@
 	"unicode/utf8"
 )
 
-// membership is the members from the entry at index on.
+// membership is the set of members defined by the entry at index.
 type membership struct {
 	index   uint64
 	members []Member
 }
 
-// membershipHistory holds the memberships of the log, the oldest first. The newest is in
-// force as soon as it is in the log, and no longer when it is truncated.
+// membershipHistory contains the memberships in the log, oldest first. A membership takes
+// effect when it is appended to the log, and ends when its entry is truncated.
 type membershipHistory []membership
 
 func (h membershipHistory) latest() membership {
@@ -23,7 +23,7 @@
 	return h[len(h)-1]
 }
 
-// at gives the membership in force at index.
+// at returns the membership in effect at index.
 func (h membershipHistory) at(index uint64) membership {
 	for i := len(h) - 1; i >= 0; i-- {
 		if h[i].index <= index {
@@ -37,7 +37,7 @@
 	return slices.DeleteFunc(h, func(m membership) bool { return m.index >= index })
 }
 
-// dropBefore forgets what is not in force at index or later.
+// dropBefore removes the memberships that are not in effect at index or later.
 func (h membershipHistory) dropBefore(index uint64) membershipHistory {
 	oldestIndex := h.at(index).index
 	return slices.DeleteFunc(h, func(m membership) bool { return m.index < oldestIndex })
@@ -71,7 +71,7 @@
 	return ids
 }
 
-// majorityReached gives the highest value that a majority of the voters has reached.
+// majorityReached returns the highest value that a majority of the voters has reached.
 func (m membership) majorityReached(value func(id string) uint64) uint64 {
 	var values []uint64
 	for _, id := range m.voterIDs() {
@@ -84,7 +84,7 @@
 	return values[(len(values)-1)/2]
 }
 
-// hasMajority tells whether has holds for a majority of the voters.
+// hasMajority reports whether the condition holds for a majority of the voters.
 func (m membership) hasMajority(holds func(id string) bool) bool {
 	count := 0
 	voters := m.voterIDs()
@@ -96,7 +96,7 @@
 	return len(voters) > 0 && count > len(voters)/2
 }
 
-// with gives the members with x in the place of the one with its ID, or added.
+// with returns the members after adding member or replacing the one with the same ID.
 func (m membership) with(member Member) []Member {
 	members := m.without(member.ID)
 	members = append(members, member)
@@ -108,7 +108,8 @@
 	return slices.DeleteFunc(slices.Clone(m.members), func(x Member) bool { return x.ID == id })
 }
 
-// replicaName is the part of an identity that stays when a disk is replaced.
+// replicaName returns the NAME part of an ID. It stays the same when the disk of a replica
+// is replaced.
 func replicaName(id string) string {
 	name, _, _ := strings.Cut(id, "/")
 	return name
--- a/internal/replica/quorum/message.go
+++ b/internal/replica/quorum/message.go
@@ -8,7 +8,7 @@
 	"gypsumreel/internal/api/inner"
 )
 
-// MessageKind says what a message is.
+// MessageKind is the kind of a message.
 type MessageKind uint8
 
 // The kinds of message.
@@ -26,10 +26,11 @@
 	TimeoutNow
 )
 
-// ErrWrongReceiver tells that a message was meant for another identity.
+// ErrWrongReceiver means that a message is addressed to another replica identity.
 var ErrWrongReceiver = errors.New("message for another replica")
 
-// Message is what cores send each other; proto/inner/quorum.proto tells the fields.
+// Message is a message between consensus cores. proto/inner/quorum.proto documents the
+// fields.
 type Message struct {
 	Kind               MessageKind
 	From               string
@@ -43,17 +44,18 @@
 	LeadershipTransfer bool
 	ConflictIndex      uint64
 	Entries            []Entry
-	// Offset, Total, Sum, Data and Members belong to Chunk and ChunkReply.
+	// Offset, TotalBytes, Checksum, Data and Members are used by SnapshotChunk and
+	// SnapshotChunkReply only.
 	Offset     uint64
 	TotalBytes uint64
 	Checksum   uint64
 	Data       []byte
 	Members    []Member
-	// SenderAddress is the sender's.
+	// SenderAddress is set if the receiver may not know the address of the sender.
 	SenderAddress string
 }
 
-// EncodeMessage gives the message's encoding, without From.
+// EncodeMessage encodes a message without its From field.
 func EncodeMessage(m Message) ([]byte, error) {
 	wire := &inner.ConsensusMessage{
 		Kind: uint32(m.Kind), Term: m.Term, To: xxhash.Sum64String(m.To),
@@ -73,15 +75,15 @@
 	return data, errors.Wrap(err, "encode consensus message")
 }
 
-// DecodeMessage reads a message that the transport proved to be of from. It returns
-// ErrOther when the message is not for self.
+// DecodeMessage decodes a message from a sender that the transport has authenticated. It
+// returns ErrWrongReceiver if the message is addressed to another replica.
 func DecodeMessage(receiver, sender string, data []byte) (Message, error) {
 	var wire inner.ConsensusMessage
 	if err := proto.Unmarshal(data, &wire); err != nil {
 		return Message{}, errors.Wrap(err, "decode consensus message")
 	}
-	// A replica with a replaced disk at the address of its forerunner would
-	// answer for entries that it lost; the hash of the identity keeps it silent.
+	// A replica with a replaced disk has the address of its earlier identity. Without the
+	// check of the identity hash, it would answer for entries that it has lost.
 	if wire.To != xxhash.Sum64String(receiver) {
 		return Message{}, ErrWrongReceiver
 	}
@@ -102,17 +104,18 @@
 	return m, nil
 }
 
-// EncodeMembers gives the data of a Change entry.
+// EncodeMembers encodes the data of a membership entry.
 func EncodeMembers(members []Member) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(membersToWire(members))
 	if err != nil {
-		// Only strings that are not UTF-8 lead here; change refuses them.
+		// Encoding fails only for strings that are not valid UTF-8. Member.isValid rejects
+		// them.
 		panic(errors.Wrap(err, "encode members"))
 	}
 	return data
 }
 
-// DecodeMembers reads the data of a Change entry.
+// DecodeMembers decodes the data of a membership entry.
 func DecodeMembers(data []byte) ([]Member, error) {
 	var wire inner.LogMembers
 	if err := proto.Unmarshal(data, &wire); err != nil {
--- a/internal/replica/quorum/progress.go
+++ b/internal/replica/quorum/progress.go
@@ -5,43 +5,50 @@
 type progressState uint8
 
 const (
-	// progressProbing sends one append at a time until the logs match.
+	// progressProbing means that the leader sends one append message at a time until the
+	// logs match.
 	progressProbing progressState = iota
-	// progressReplicating sends several ahead of their answers.
+	// progressReplicating means that the leader sends several append messages without
+	// waiting for their replies.
 	progressReplicating
-	// progressSnapshot sends a snapshot.
+	// progressSnapshot means that the leader sends a snapshot.
 	progressSnapshot
 )
 
-// inflightAppend is an append on its way.
+// inflightAppend is an append message that is not acknowledged yet.
 type inflightAppend struct {
 	lastIndex uint64
 	sentAt    time.Duration
 	bytes     int
 }
 
-// replicaProgress is what a leader knows of another replica.
+// replicaProgress is the leader's view of another replica.
 type replicaProgress struct {
 	state progressState
-	// matchIndex is the highest index that the replica has synced alike.
+	// matchIndex is the highest index up to which the replica has synced the leader's log.
 	matchIndex uint64
 	nextIndex  uint64
-	// answeredRound is the last heartbeat round that it answered, heard when it last spoke.
+	// answeredRound is the last heartbeat round that the replica answered, and heardAt the
+	// time of its last message.
 	answeredRound uint64
 	heardAt       time.Duration
-	// awaitingReply tells that a probe or a chunk, sent at asked, has no answer yet.
+	// awaitingReply is set while a probe or snapshot chunk, sent at requestSentAt, has no
+	// reply.
 	awaitingReply bool
 	requestSentAt time.Duration
-	// inflight are the appends on their way, window their bytes.
+	// inflight contains the unacknowledged append messages, and inflightBytes is their total
+	// size.
 	inflight      []inflightAppend
 	inflightBytes int
-	// snapshot is the snapshot that it is being sent, and offset how far.
+	// snapshot is the snapshot that is being sent to the replica, and snapshotOffset the
+	// position of the next chunk.
 	snapshot         *Snapshot
 	snapshotChecksum uint64
 	snapshotOffset   uint64
 }
 
-// resendAfterHeartbeats is after how many heartbeats an unanswered message is sent again.
+// resendAfterHeartbeats is the number of heartbeat intervals after which an unanswered
+// message is sent again.
 const resendAfterHeartbeats = 3
 
 func (c *Core) progressOf(id string) *replicaProgress {
@@ -53,14 +60,15 @@
 	return progress
 }
 
-// startProbing starts over from the first entry that is not known to match.
+// startProbing discards the pending requests and probes the replica's log at index next,
+// or at the first entry that is not known to match.
 func (p *replicaProgress) startProbing(next uint64) {
 	p.state, p.awaitingReply, p.snapshot = progressProbing, false, nil
 	p.inflight, p.inflightBytes = nil, 0
 	p.nextIndex = max(next, p.matchIndex+1)
 }
 
-// recordMatch takes an acknowledgement of synced entries.
+// recordMatch processes an acknowledgment of synced entries.
 func (p *replicaProgress) recordMatch(index uint64) {
 	p.matchIndex = max(p.matchIndex, index)
 	for len(p.inflight) > 0 && p.inflight[0].lastIndex <= p.matchIndex {
@@ -74,9 +82,10 @@
 	p.nextIndex = max(p.nextIndex, p.matchIndex+1)
 }
 
-// recordHeartbeatMatch takes what a replica has synced and knows to match. One that came back
-// knows less than it had acknowledged, and would not commit the end of its log
-// before the next entry comes: an empty append lets it know.
+// recordHeartbeatMatch processes the durable index in a heartbeat reply. A restarted
+// replica reports a lower index than it acknowledged before, and would not commit the end
+// of its log until the next entry arrives. The probe sends it an empty append message,
+// which lets it commit earlier.
 func (p *replicaProgress) recordHeartbeatMatch(index uint64) {
 	switch {
 	case index > p.matchIndex:
@@ -86,7 +95,7 @@
 	}
 }
 
-// resendUnanswered starts over with replicas that left messages unanswered.
+// resendUnanswered repeats the messages that replicas have not answered in time.
 func (c *Core) resendUnanswered() {
 	replyTimeout := resendAfterHeartbeats * c.cfg.HeartbeatInterval
 	for _, m := range c.currentMembership().members {
@@ -100,7 +109,8 @@
 	}
 }
 
-// replicate sends every member what it lacks, within the bounds.
+// replicate sends every other member the entries or snapshot chunks that it lacks, within
+// the configured limits.
 func (c *Core) replicate() {
 	if c.role != roleLeader {
 		return
@@ -137,8 +147,9 @@
 	}
 }
 
-// sendProbe sends nothing to a replica that is silent: entries would pile up in
-// front of one that is away for an hour. Its answer to a heartbeat comes first.
+// sendProbe sends one append message unless the replica is silent. Otherwise entries would
+// accumulate in the send queue of a replica that is unreachable, for example for an hour.
+// A silent replica has to answer a heartbeat first.
 func (c *Core) sendProbe(id string, progress *replicaProgress) {
 	isSilent := c.now-max(progress.heardAt, c.leaderState.electedAt) > c.cfg.MaxElectionTimeout
 	if progress.awaitingReply || isSilent {
@@ -159,7 +170,7 @@
 	return entries
 }
 
-// handleFollowerReply takes an answer from a replica that follows.
+// handleFollowerReply processes a reply to a message of the leader.
 func (c *Core) handleFollowerReply(m Message) {
 	if c.role != roleLeader || !c.currentMembership().contains(m.From) {
 		return
@@ -183,8 +194,8 @@
 		progress.recordMatch(m.Index)
 		return
 	}
-	// A rejection of what was acknowledged is an old one; answered by a probe, it
-	// would only bring the next.
+	// A rejection at or below the match index is outdated. A probe in response would only
+	// cause another rejection.
 	if m.Index <= progress.matchIndex || progress.state == progressSnapshot || progress.state == progressProbing && m.Index != progress.nextIndex-1 {
 		return
 	}
@@ -195,8 +206,8 @@
 	}
 }
 
-// probeLogBase falls back to a snapshot when the replica's log ends before this one
-// begins, or differs there.
+// probeLogBase selects a snapshot transfer if the replica's log ends before the leader's
+// log in memory begins, or differs at its base.
 func (c *Core) probeLogBase(progress *replicaProgress, m Message) {
 	if m.ConflictIndex < c.log.base || m.Index == c.log.base {
 		progress.nextIndex = max(progress.matchIndex+1, c.log.base)
--- a/internal/replica/quorum/rapid_test.go
+++ b/internal/replica/quorum/rapid_test.go
@@ -12,8 +12,8 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// TestMain fixes what rapid draws, so that a run gives the same verdict again;
-// flags on the command line go before.
+// TestMain sets a fixed seed for rapid, so that each run draws the same cases. Flags on the
+// command line override the settings.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "4", "rapid.checks": "150", "rapid.steps": "60"} {
 		if err := flag.Set(name, value); err != nil {
@@ -24,11 +24,10 @@
 	os.Exit(m.Run())
 }
 
-// Operators see a group of three or five replicas under loss, duplicates,
-// reordering, silent one-way partitions, pauses, crashes with a torn tail, lost
-// disks and changes of membership, several at a time.
-// Whatever the order, no invariant of sim may break, and when the faults end,
-// work goes on and all replicas agree.
+// TestFaultsInAnyOrder runs groups of three and five replicas under random combinations of
+// message loss, duplicates, reordering, one-way partitions, pauses, crashes with a torn journal
+// tail, lost disks and membership changes. No invariant of the simulation may be violated. After
+// the faults, new commands must be committed and all replicas must agree.
 func TestFaultsInAnyOrder(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		rapid.Check(t, func(t *rapid.T) {
@@ -98,7 +97,8 @@
 		"change": func(t *rapid.T) {
 			m := quorum.Member{ID: drawReplica(t).id, Learner: rapid.Bool().Draw(t, "learner")}
 			m.Address = m.ID[:1]
-			// Removing a voter while another's disk is gone loses two of three.
+			// The removal of a voter while another voter has lost its disk would cost two of
+			// three replicas.
 			remove := rapid.Bool().Draw(t, "remove") && s.canSurviveDiskLoss()
 			s.changeMembership(s.leader(), m, remove)
 		},
@@ -123,8 +123,8 @@
 	}
 }
 
-// canSurviveDiskLoss keeps to what can be survived: a second disk is lost only when the
-// first was replaced in every membership that anyone has.
+// canSurviveDiskLoss reports whether the group survives the loss of a disk. All replicas must
+// have all committed entries, and no replica may still know a membership with a lost identity.
 func (s *simulation) canSurviveDiskLoss() bool {
 	voters := 0
 	for _, n := range s.replicas {
--- a/internal/replica/quorum/reload_test.go
+++ b/internal/replica/quorum/reload_test.go
@@ -7,9 +7,9 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// A control thread reloads while its replica leads, and the core had told it of
-// a confirmed round before. The thread starts over and knows of none: unless it
-// is told again it refuses every read until the next round.
+// A control thread that reloads its state on the leader does not know the last confirmed round.
+// The core must report the round again. Otherwise the control thread would refuse all reads until
+// the next round is confirmed.
 func TestReloadReportsConfirmedRoundAgain(t *testing.T) {
 	c := quorum.New(quorum.Config{ID: "a/0", Address: "a", InitialMembers: []quorum.Member{{ID: "a/0", Address: "a"}}}, quorum.PersistedState{})
 	now := time.Duration(0)
@@ -39,6 +39,6 @@
 	step(quorum.ConfirmLeadership{})
 	isLeader, roundConfirmed := reportedState(step(quorum.ReloadState{}))
 	if !isLeader || !roundConfirmed {
-		t.Errorf("after a reload: told to lead %v, told of a confirmed round since %v", isLeader, roundConfirmed)
+		t.Errorf("after a reload: leadership reported %v, confirmed round reported %v; want both", isLeader, roundConfirmed)
 	}
 }
--- a/internal/replica/quorum/report.go
+++ b/internal/replica/quorum/report.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// leadershipReport is what the control thread was told last.
+// leadershipReport is the content of the last leadership report to the control thread.
 type leadershipReport struct {
 	sent     bool
 	isLeader bool
@@ -12,7 +12,9 @@
 	leaderID string
 }
 
-// reportFollower tells of lost leadership before anything that follows from it.
+// reportFollower reports that this replica does not lead. It runs before the reports that
+// depend on this. A leader that was elected again in a later term first reports the loss
+// of the earlier term.
 func (c *Core) reportFollower() {
 	isLeader := c.role == roleLeader
 	if isLeader && (!c.lastReport.isLeader || c.lastReport.term == c.hardState.Term) {
@@ -29,12 +31,13 @@
 	c.addReport(BecameFollower{Term: report.term, Leader: report.leaderID, LeaderAddress: c.addressOf(report.leaderID)})
 }
 
-// hasReportedLeadership tells whether the control thread was told that this replica leads in this term.
+// hasReportedLeadership reports whether the control thread knows that this replica leads
+// in the current term.
 func (c *Core) hasReportedLeadership() bool {
 	return c.role == roleLeader && c.lastReport.isLeader && c.lastReport.term == c.hardState.Term
 }
 
-// reportCommitted reports what was committed.
+// reportCommitted reports newly committed entries.
 func (c *Core) reportCommitted() {
 	if c.reportedIndex >= c.commitIndex {
 		return
@@ -47,7 +50,7 @@
 	c.reportedIndex = c.commitIndex
 }
 
-// reportMembership reports the committed membership when it is a new one.
+// reportMembership reports the committed membership if it has changed.
 func (c *Core) reportMembership() {
 	membership := c.memberships.at(c.commitIndex)
 	if membership.index == c.reportedMembersIndex {
@@ -57,8 +60,9 @@
 	c.addReport(MembershipChanged{Members: membership.members})
 }
 
-// reportLeader waits until everything in the log is committed: the entry of its
-// own term too, without which a leader can't know what is.
+// reportLeader reports the leadership once all entries in the log are committed, including
+// the no-op entry of the current term. A leader does not know which entries are committed
+// before that entry is.
 func (c *Core) reportLeader() {
 	if c.role != roleLeader || c.hasReportedLeadership() || c.commitIndex < c.leaderState.noOpIndex || c.commitIndex < c.log.lastIndex() {
 		return
@@ -67,7 +71,7 @@
 	c.addReport(BecameLeader{Term: c.hardState.Term, LastIndex: c.log.lastIndex(), ElectedAt: c.leaderState.electedAt})
 }
 
-// reloadState gives the state again to a control thread that has to drop its own.
+// reloadState reports the state again to a control thread that has discarded its state.
 func (c *Core) reloadState() {
 	c.addReport(StateRestored{Index: c.snapshot.Index, State: c.snapshot.State})
 	c.reportedIndex = c.snapshot.Index
--- a/internal/replica/quorum/guard_test.go
+++ b/internal/replica/quorum/safety_test.go
@@ -10,7 +10,8 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// newCommittedLeader commits the first entry of elected's term, so that it takes proposals.
+// newCommittedLeader returns a leader that has committed the no-op entry of its term and
+// accepts proposals.
 func newCommittedLeader(t *testing.T) *quorum.Core {
 	t.Helper()
 	c := newElectedLeader(t)
@@ -18,7 +19,7 @@
 	c.Step(2*time.Second, replyInTerm4(quorum.HeartbeatReply, "b/0", 0, 1))
 	c.Step(2*time.Second, replyFromB(quorum.AppendEntriesReply, 4, 3))
 	if s := c.Status(); s.Commit != 3 {
-		t.Fatalf("commit %d", s.Commit)
+		t.Fatalf("commit index %d, want 3", s.Commit)
 	}
 	return c
 }
@@ -32,26 +33,26 @@
 	return entries[len(entries)-1].Kind
 }
 
-// An operator adds two replicas at once, and the leader is cut off in between.
-// Majorities of memberships that differ by two voters need not overlap, so two
-// leaders could be elected; the second change waits for the commit of the first.
+// The majorities of memberships that differ in two voters may be disjoint, and two leaders
+// could be elected. A second membership change must be refused until the first one is
+// committed.
 func TestSecondMembershipChangeWaitsForFirst(t *testing.T) {
 	c := newCommittedLeader(t)
 	learner := quorum.Member{ID: "d/0", Address: "d", Learner: true}
 	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 4, Member: learner})
 	if k := lastEntryKind(c); k != quorum.EntryMembership {
-		t.Fatalf("the first change became an entry of kind %d", k)
+		t.Fatalf("first change: entry of kind %d, want %d", k, quorum.EntryMembership)
 	}
 	learner.ID = "e/0"
 	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 5, Member: learner})
 	if k := lastEntryKind(c); k != quorum.EntryNoOp {
-		t.Errorf("the second change became an entry of kind %d", k)
+		t.Errorf("second change: entry of kind %d, want %d", k, quorum.EntryNoOp)
 	}
 }
 
-// A replica is repaired, and a second instance dies right after.
-// Had the learner counted before it had synced what was committed, the majority
-// that is left would lack it; so it is promoted only then.
+// A learner must sync all committed entries before its promotion. Otherwise, when another
+// instance fails right after the promotion, the remaining majority could lack committed
+// entries.
 func TestLearnerIsPromotedOnlyAfterCatchUp(t *testing.T) {
 	c := newCommittedLeader(t)
 	d := quorum.Member{ID: "d/0", Address: "d", Learner: true}
@@ -64,18 +65,18 @@
 	d.Learner = false
 	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 5, Member: d})
 	if k := lastEntryKind(c); k != quorum.EntryNoOp {
-		t.Errorf("a learner without an entry was promoted: kind %d", k)
+		t.Errorf("learner without committed entries: entry of kind %d, want %d", k, quorum.EntryNoOp)
 	}
 	c.Step(2*time.Second, replyInTerm4(quorum.AppendEntriesReply, "d/0", 5, 0))
 	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 6, Member: d})
 	if k := lastEntryKind(c); k != quorum.EntryMembership {
-		t.Errorf("a learner that has everything was not promoted: kind %d", k)
+		t.Errorf("learner with all entries: entry of kind %d, want %d", k, quorum.EntryMembership)
 	}
 }
 
-// A candidate asks for votes, dies before its own term is on the disk, starts
-// again and campaigns in the same term. Whoever voted for it would vote again,
-// and two leaders of one name would write different entries in one term.
+// If a candidate requested votes before its term is synced, it could crash, restart and run
+// again in the same term. The same replicas would vote for it again, and it could write
+// different entries in one term.
 func TestVoteRequestsWaitForSync(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0", Address: "a"}, {ID: "b/0", Address: "b"}, {ID: "c/0", Address: "c"}}
 	c := quorum.New(quorum.Config{ID: "a/0", Seed: 1}, quorum.PersistedState{
@@ -91,16 +92,16 @@
 	}
 	c.Step(2*time.Second, replyFromB(quorum.VoteReply, 4, 0))
 	if _, isLeader := c.TermAndLeading(); isLeader {
-		t.Error("leads before its own vote is synced")
+		t.Error("became leader before its own vote is synced")
 	}
 	if fx := c.Step(2*time.Second, quorum.WriteSynced{Seq: fx.Write.Seq}); len(fx.Messages) == 0 {
-		t.Error("no request after the sync")
+		t.Error("no vote request after the sync")
 	}
 }
 
-// The way from the leader to one replica goes silent, the way back works.
-// The replica hears nothing and would depose a leader that a quorum follows, and
-// with it every round of a lease, again and again.
+// The network from the leader to one replica fails, the opposite direction works. The
+// replica receives no heartbeats, but must not depose a leader that a quorum follows.
+// Otherwise the leases of the leader would be interrupted again and again.
 func TestReplicaCutOffFromLeaderDoesNotDeposeLeader(t *testing.T) {
 	s := newSimulation(3, 1)
 	s.runFor(2 * time.Second)
@@ -112,37 +113,38 @@
 	s.runFor(2 * time.Second)
 	termAfter, isLeader := leader.core.TermAndLeading()
 	if termAfter != termBefore || !isLeader {
-		t.Errorf("term %d became %d, still leading: %v", termBefore, termAfter, isLeader)
+		t.Errorf("term changed from %d to %d, still leader: %v", termBefore, termAfter, isLeader)
 	}
 }
 
-// A request for a vote was held up in the network until a leader of an earlier
-// term had a quorum. It must not depose that leader.
+// A vote request of a later term is delayed in the network until a leader of an earlier term
+// has a quorum. It must not depose that leader.
 func TestDelayedVoteRequestDoesNotDeposeLeader(t *testing.T) {
 	c := newCommittedLeader(t)
 	delayed := quorum.Message{Kind: quorum.VoteRequest, From: "c/0", To: "a/0", Term: 9, Index: 3, LogTerm: 4}
 	c.Step(2*time.Second, quorum.Receive{Message: delayed})
 	if term, isLeader := c.TermAndLeading(); term != 4 || !isLeader {
-		t.Errorf("term %d, leads %v", term, isLeader)
+		t.Errorf("term %d, is leader %v; want leader of term 4", term, isLeader)
 	}
 }
 
-// An operator adds a replica and removes one while a third is down.
-// Without a majority alive the change would never commit, nor anything after it.
+// If a membership change left no live majority, neither the change nor any later entry could
+// be committed. A leader must also refuse its own removal.
 func TestMembershipChangeNeedsLiveMajority(t *testing.T) {
 	c := newCommittedLeader(t)
 	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 4, Member: quorum.Member{ID: "b/0"}, Remove: true})
 	if k := lastEntryKind(c); k != quorum.EntryNoOp {
-		t.Errorf("removing b with c silent became an entry of kind %d", k)
+		t.Errorf("removal of b while c is silent: entry of kind %d, want %d", k, quorum.EntryNoOp)
 	}
 	c.Step(2*time.Second, replyInTerm4(quorum.HeartbeatReply, "c/0", 0, 1))
 	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 5, Member: quorum.Member{ID: "a/0"}, Remove: true})
 	if k := lastEntryKind(c); k != quorum.EntryNoOp {
-		t.Errorf("the leader's own removal became an entry of kind %d", k)
+		t.Errorf("removal of the leader: entry of kind %d, want %d", k, quorum.EntryNoOp)
 	}
 }
 
-// A snapshot arrives with a byte changed. It must not become the state.
+// A snapshot that was damaged in transit must not be saved. The replica requests it again
+// from offset 0.
 func TestDamagedSnapshotIsRequestedAgain(t *testing.T) {
 	c := quorum.New(quorum.Config{ID: "d/0", Seed: 1}, quorum.PersistedState{})
 	chunk := quorum.Message{
@@ -151,7 +153,7 @@
 	}
 	effects := c.Step(time.Second, quorum.Receive{Message: chunk})
 	if effects.SaveSnapshot != nil {
-		t.Error("a damaged snapshot is saved")
+		t.Error("damaged snapshot is saved")
 	}
 	want := []quorum.OutgoingMessage{{Address: "a", Message: quorum.Message{
 		Kind: quorum.SnapshotChunkReply, From: "d/0", To: "a/0", Term: 4, Index: 50, Checksum: 1,
@@ -161,8 +163,8 @@
 	}
 }
 
-// The connection breaks in the middle of a snapshot, and a late chunk comes twice.
-// The replica asks for what it lacks, and takes each byte once.
+// The connection breaks during a snapshot transfer, and a delayed chunk arrives twice. The
+// replica must request the missing part and append each byte only once.
 func TestSnapshotTransferResumesAtOffset(t *testing.T) {
 	c := quorum.New(quorum.Config{ID: "d/0", Seed: 1}, quorum.PersistedState{})
 	state := quorum.Snapshot{State: []byte("abcdef")}
@@ -176,19 +178,18 @@
 	for _, late := range []string{"abc", ""} {
 		fx := send(0, late)
 		if got := fx.Messages[0].Message.Offset; got != 3 {
-			t.Errorf("asks to go on at %d", got)
+			t.Errorf("requested offset %d, want 3", got)
 		}
 	}
 	fx := send(3, "def")
 	if fx.SaveSnapshot == nil || string(fx.SaveSnapshot.State) != "abcdef" {
-		t.Errorf("saves %v", fx.SaveSnapshot)
+		t.Errorf("saved snapshot %v, want state abcdef", fx.SaveSnapshot)
 	}
 }
 
-// A reader asks a leader for the latest state; an answer to an earlier heartbeat
-// comes late, from before another leader was elected.
-// Taken for an answer to the round that the read started, it would let the
-// deposed leader answer, and grant leases that the next one does not wait for.
+// A delayed reply to an earlier heartbeat must not confirm the round that a read started.
+// Otherwise a deposed leader could answer the read from stale state, and grant leases that
+// the next leader does not wait for.
 func TestDelayedReplyDoesNotConfirmLaterRound(t *testing.T) {
 	c := newCommittedLeader(t)
 	secondRoundAt := 2*time.Second + 50*time.Millisecond
@@ -202,15 +203,14 @@
 	} {
 		fx := c.Step(secondRoundAt+time.Millisecond, replyInTerm4(quorum.HeartbeatReply, "b/0", 3, tc.round))
 		if d := cmp.Diff(tc.want, fx.Reports); d != "" {
-			t.Errorf("answer to round %d: %s", tc.round, d)
+			t.Errorf("reports after a reply to round %d (-want +got):\n%s", tc.round, d)
 		}
 	}
 }
 
-// A leader dies while a follower writes its last entries, and the next one
-// replaces them before the write is synced.
-// The write must go on as it is, and its sync must not count for the entries
-// that came in their place: they would be committed and on no disk.
+// A new leader replaces entries while a follower writes the old ones to its journal. The
+// write in progress must stay unchanged, and its sync must not acknowledge the new entries.
+// They would be committed without being on a disk.
 func TestSyncOfReplacedEntriesIsNotAcknowledged(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0", Address: "a"}, {ID: "b/0", Address: "b"}, {ID: "c/0", Address: "c"}}
 	first := quorum.Entry{Index: 1, Term: 1, Kind: quorum.EntryMembership, Data: quorum.EncodeMembers(members)}
@@ -226,19 +226,19 @@
 	appendFrom("b/0", 2, 2)
 	for _, e := range w.Entries {
 		if e.Term != 1 {
-			t.Errorf("entry %d of the write under way is of term %d now", e.Index, e.Term)
+			t.Errorf("entry %d of the write in progress changed to term %d, want 1", e.Index, e.Term)
 		}
 	}
 	for _, o := range c.Step(time.Second, quorum.WriteSynced{Seq: w.Seq}).Messages {
 		if o.Message.Kind == quorum.AppendEntriesReply && o.Message.Index > 1 {
-			t.Errorf("acknowledges entry %d, which is not synced", o.Message.Index)
+			t.Errorf("acknowledged entry %d, which is not synced", o.Message.Index)
 		}
 	}
 }
 
-// A replica takes a snapshot over a log that differs, and its process dies.
-// Had the journal forgotten the entry at the snapshot's index before it was cut,
-// the stale entries behind it would look like the ones that go on from it.
+// A replica replaces its log with a snapshot, and the process crashes. If the journal dropped
+// the entry at the snapshot's index before the anchor entry is synced, the stale entries
+// after it would look like valid entries that follow the snapshot.
 func TestJournalDropsEntriesAfterAnchorIsSynced(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0", Address: "a"}, {ID: "b/0", Address: "b"}, {ID: "c/0", Address: "c"}}
 	saved := quorum.PersistedState{HardState: quorum.HardState{Term: 1}}
@@ -254,14 +254,14 @@
 	c.Step(time.Second, quorum.WriteSynced{Seq: fx.Write.Seq})
 	fx = c.Step(time.Second, quorum.SnapshotSaved{Index: 3})
 	if fx.Write == nil || fx.DropJournalUpTo != 0 {
-		t.Fatalf("writes %v, lets the journal forget up to %d", fx.Write, fx.DropJournalUpTo)
+		t.Fatalf("write %v, journal dropped up to %d; want a write and no drop", fx.Write, fx.DropJournalUpTo)
 	}
 	if fx = c.Step(time.Second, quorum.WriteSynced{Seq: fx.Write.Seq}); fx.DropJournalUpTo != 3 {
-		t.Errorf("after the anchor is synced the journal forgets up to %d", fx.DropJournalUpTo)
+		t.Errorf("after the anchor is synced: journal dropped up to %d, want 3", fx.DropJournalUpTo)
 	}
 }
 
-// A learner is promoted, and the leader dies before the learner hears of it.
+// A learner is promoted, and the leader fails before the learner receives the new membership.
 // The other voter has the promotion in its log and needs the learner's vote.
 func TestLearnerGrantsVote(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0"}, {ID: "b/0", Address: "b"}, {ID: "c/0", Learner: true}}
@@ -280,39 +280,39 @@
 	}
 }
 
-// A leader with a slow disk commits by the syncs of the others, and takes a
-// snapshot that is ahead of its own journal. The entries before it would be
-// forgotten before they are written, and the journal would have a gap.
+// A leader with a slow disk commits entries that other replicas have synced, and compacts at
+// an index that its own journal does not contain yet. If the snapshot were saved first, the
+// journal would have a gap before the entries after the snapshot.
 func TestSnapshotSaveWaitsForJournalSync(t *testing.T) {
 	c := newElectedLeader(t)
 	c.Step(2*time.Second, replyInTerm4(quorum.AppendEntriesReply, "b/0", 3, 0))
 	c.Step(2*time.Second, replyInTerm4(quorum.AppendEntriesReply, "c/0", 3, 0))
 	if s := c.Status(); s.Commit != 3 {
-		t.Fatalf("commit %d", s.Commit)
+		t.Fatalf("commit index %d, want 3", s.Commit)
 	}
 	if fx := c.Step(2*time.Second, quorum.Compact{Index: 3}); fx.SaveSnapshot != nil {
-		t.Error("saves a snapshot ahead of the journal")
+		t.Error("snapshot saved before the journal is synced")
 	}
 	if fx := c.Step(2*time.Second, quorum.WriteSynced{Seq: 2}); fx.SaveSnapshot == nil {
-		t.Error("does not save it after the sync")
+		t.Error("snapshot not saved after the journal is synced")
 	}
 }
 
-// A new replica saves a snapshot and dies before its term is on the disk.
-// It must not go back to a term before that of its log.
+// A new replica saves a snapshot and crashes before its term is synced. After the restart its
+// term must not be lower than the term of its log.
 func TestTermIsAtLeastSnapshotTerm(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0"}, {ID: "b/0"}, {ID: "c/0"}}
 	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, quorum.PersistedState{
 		Snapshot: quorum.Snapshot{Index: 9, Term: 5, Members: members},
 	})
 	if s := c.Status(); s.Term != 5 {
-		t.Errorf("starts in term %d", s.Term)
+		t.Errorf("starts in term %d, want 5", s.Term)
 	}
 }
 
-// A leader is stopped as planned while entries are on the way to its transferee.
-// Elected without them the transferee would lose against the others' logs, and nobody
-// would lead until the next timeout; it is asked to stand when it has them.
+// A transferee that lacks entries of the log would lose its election, and there would be no
+// leader until the next election timeout. It must not be asked to start an election before it
+// has the whole log.
 func TestTransfereeHasWholeLogBeforeElection(t *testing.T) {
 	c := newCommittedLeader(t)
 	c.Step(2*time.Second, quorum.Propose{Term: 4, FirstIndex: 4, Commands: [][]byte{[]byte("x")}})
@@ -320,9 +320,9 @@
 		return slices.ContainsFunc(fx.Messages, func(o quorum.OutgoingMessage) bool { return o.Message.Kind == quorum.TimeoutNow })
 	}
 	if sendsTimeoutNow(c.Step(2*time.Second, quorum.TransferLeadership{})) {
-		t.Error("asked before it has the log")
+		t.Error("TimeoutNow sent before the transferee has the log")
 	}
 	if !sendsTimeoutNow(c.Step(2*time.Second, replyFromB(quorum.AppendEntriesReply, 4, 4))) {
-		t.Error("not asked when it has the log")
+		t.Error("TimeoutNow not sent although the transferee has the log")
 	}
 }
--- a/internal/replica/quorum/sim_test.go
+++ b/internal/replica/quorum/sim_test.go
@@ -16,20 +16,20 @@
 	defaultTickInterval = 10 * time.Millisecond
 )
 
-// simReplica is a replica with its disk; the disk outlives the core.
+// simReplica is a simulated replica with its disk. The content of the disk survives a crash.
 type simReplica struct {
 	name, id   string
 	diskNumber int
 	seed       uint64
 	core       *quorum.Core
-	// startCount counts starts: what was under way for an earlier one is dropped.
+	// startCount counts starts and crashes. Events scheduled for an earlier value are dropped.
 	startCount      int
 	paused          bool
 	disk            quorum.PersistedState
 	pendingWrite    *quorum.JournalWrite
 	pendingSnapshot *quorum.Snapshot
 
-	// The control thread: index and digest of what it applied.
+	// State of the control thread.
 	appliedIndex, stateDigest uint64
 	leadership                *quorum.BecameLeader
 	confirmedAt               time.Duration
@@ -57,14 +57,15 @@
 	lossProbability      float64
 	duplicateProbability float64
 	maxJitter            time.Duration
-	// oneWayDelay is the time of a message, one way.
+	// oneWayDelay is the transmission time of a message.
 	oneWayDelay  time.Duration
 	tickInterval time.Duration
 	onEvent      func(label string, n *simReplica)
 	failure      string
-	// config holds timeouts; zero values stand for the defaults. wait is how long a
-	// message from or to a replica waits there; nil for not at all.
-	config       quorum.Config
+	// config contains the timeouts of the replicas. Zero values select the defaults.
+	config quorum.Config
+	// messageDelay returns the additional delay of a message from or to a replica. nil means
+	// no delay.
 	messageDelay func(n *simReplica) time.Duration
 
 	leaderByTerm     map[uint64]string
@@ -90,7 +91,7 @@
 	return s
 }
 
-// bootstrap starts n replicas that found the group.
+// bootstrap starts a new group of count replicas.
 func (s *simulation) bootstrap(count int) {
 	for i := range count {
 		name := string(rune('a' + i))
@@ -118,8 +119,8 @@
 	s.events = slices.Insert(s.events, i, e)
 }
 
-// scheduleFor runs fn for n when it is neither paused nor restarted meanwhile; a paused
-// one gets it when it wakes up.
+// scheduleFor runs action for a replica after delay, unless the replica restarts meanwhile. If
+// the replica is paused, action runs after the pause.
 func (s *simulation) scheduleFor(n *simReplica, delay time.Duration, action func()) {
 	startCount := n.startCount
 	var attempt func()
@@ -167,8 +168,8 @@
 	})
 }
 
-// crash loses what is not synced; of the write under way, torn parts of ten are
-// on the disk.
+// crash stops a replica. State that is not synced is lost, except that tornTenths tenths of the
+// entries in the pending write are on the disk.
 func (s *simulation) crash(n *simReplica, tornTenths int) {
 	n.core = nil
 	if w := n.pendingWrite; w != nil && tornTenths > 0 {
@@ -179,7 +180,7 @@
 	n.startCount++
 }
 
-// loseDisk replaces the disk: the replica comes back blank under a new identity.
+// loseDisk replaces the disk of a replica and restarts the replica with a new identity.
 func (s *simulation) loseDisk(n *simReplica) {
 	s.crash(n, 0)
 	s.lostIdentities[n.id] = true
@@ -196,10 +197,11 @@
 	return a
 }
 
-// writeJournal is what the journal does.
+// writeJournal returns the journal after a write. A written entry replaces the old entries from
+// its index on.
 func writeJournal(old, entries []quorum.Entry) []quorum.Entry {
 	for _, e := range entries {
-		i := slices.IndexFunc(old, func(old quorum.Entry) bool { return old.Index >= e.Index })
+		i := slices.IndexFunc(old, func(x quorum.Entry) bool { return x.Index >= e.Index })
 		if i >= 0 {
 			old = old[:i:i]
 		}
@@ -215,23 +217,23 @@
 		s.trace("write", n)
 		s.scheduleFor(n, syncDuration, func() { s.syncWrite(n, w) })
 	}
-	if snap := fx.SaveSnapshot; snap != nil {
-		n.pendingSnapshot = snap
+	if snapshot := fx.SaveSnapshot; snapshot != nil {
+		n.pendingSnapshot = snapshot
 		s.trace("save", n)
-		s.scheduleFor(n, 3*syncDuration, func() { s.saveSnapshot(n, snap) })
+		s.scheduleFor(n, 3*syncDuration, func() { s.saveSnapshot(n, snapshot) })
 	}
 	if fx.DropJournalUpTo > 0 {
 		n.disk.Entries = slices.DeleteFunc(slices.Clone(n.disk.Entries), func(e quorum.Entry) bool { return e.Index <= fx.DropJournalUpTo })
 		s.trace("drop", n)
 	}
-	run := n.startCount
+	startCount := n.startCount
 	for _, r := range fx.Reports {
 		s.report(n, r)
 	}
 	for _, o := range fx.Messages {
 		s.send(n, o)
 	}
-	if n.startCount == run {
+	if n.startCount == startCount {
 		s.checkInvariants(n)
 	}
 }
@@ -246,12 +248,12 @@
 	}
 }
 
-func (s *simulation) saveSnapshot(n *simReplica, snap *quorum.Snapshot) {
-	n.disk.Snapshot = *snap
+func (s *simulation) saveSnapshot(n *simReplica, snapshot *quorum.Snapshot) {
+	n.disk.Snapshot = *snapshot
 	n.pendingSnapshot = nil
 	s.trace("saved", n)
 	if n.core != nil {
-		s.step(n, quorum.SnapshotSaved{Index: snap.Index})
+		s.step(n, quorum.SnapshotSaved{Index: snapshot.Index})
 	}
 }
 
@@ -277,7 +279,7 @@
 	s.trace("send "+messageKindNames[outgoing.Message.Kind], n)
 	data, err := quorum.EncodeMessage(outgoing.Message)
 	if err != nil || len(data) > 256+400 {
-		s.fail("message of %d bytes, error %v", len(data), err)
+		s.fail("encoded message of kind %d has %d bytes, want at most 656; error %v", outgoing.Message.Kind, len(data), err)
 	}
 	s.sentMessages++
 	s.messageBytes[n.id] += len(data)
@@ -309,7 +311,7 @@
 		}
 		s.messageBytes[to.id] += len(data)
 		s.scheduleFor(to, s.delayAt(to), func() {
-			s.trace("take "+messageKindNames[m.Kind], to)
+			s.trace("receive "+messageKindNames[m.Kind], to)
 			if to.core != nil {
 				s.step(to, quorum.Receive{Message: m})
 			}
--- a/internal/replica/quorum/snapshot.go
+++ b/internal/replica/quorum/snapshot.go
@@ -10,8 +10,9 @@
 	data                 []byte
 }
 
-// startCompaction starts to save a snapshot of the state after a committed entry, once
-// the journal holds that entry: entries behind the snapshot follow it there.
+// startCompaction starts to save the pending snapshot of the control thread. It waits until
+// the journal contains the entry at the snapshot's index, so that later entries in the
+// journal follow the snapshot without a gap.
 func (c *Core) startCompaction() {
 	request := c.pendingCompact
 	if request == nil || c.savingSnapshot != nil || request.Index > min(c.reportedIndex, c.journal.syncedIndex) {
@@ -33,7 +34,7 @@
 	c.effects.SaveSnapshot = snapshot
 }
 
-// handleSnapshotSaved goes on with a snapshot that is on the disk.
+// handleSnapshotSaved adopts a snapshot after it was saved to disk, and compacts the log.
 func (c *Core) handleSnapshotSaved(index uint64) {
 	if c.savingSnapshot == nil || c.savingSnapshot.Index != index {
 		return
@@ -46,19 +47,21 @@
 	c.snapshot = snapshot
 	c.journal.dropIndex = snapshot.Index
 	c.installSnapshot(snapshot)
-	// What the log is about to forget was not reported yet if the snapshot came
-	// from the leader.
+	// If the snapshot came from the leader, the entries that compactLog removes may not
+	// have been reported yet.
 	c.reportCommitted()
 	c.compactLog()
 }
 
-// installSnapshot takes over a snapshot from the leader that is ahead of this replica.
+// installSnapshot replaces the log with a snapshot from the leader if the snapshot is ahead
+// of this replica's commit index.
 func (c *Core) installSnapshot(snapshot Snapshot) {
 	if snapshot.Index <= c.commitIndex {
 		return
 	}
 	if term, ok := c.log.termAt(snapshot.Index); ok && term == snapshot.Term {
-		// The log goes on from here: it only has to be applied.
+		// The log contains the last entry of the snapshot, so its entries are committed and
+		// the log stays.
 		c.commitUpTo(snapshot.Index)
 		return
 	}
@@ -70,8 +73,8 @@
 	c.addReport(StateRestored{Index: snapshot.Index, State: snapshot.State})
 }
 
-// compactLog forgets entries behind the snapshot but for a bounded tail, from
-// which a replica that was away for a moment is served without the snapshot.
+// compactLog removes entries covered by the snapshot, except for a tail of limited size.
+// The tail allows a replica that was briefly unreachable to catch up without the snapshot.
 func (c *Core) compactLog() {
 	dropIndex, tailBytes := c.snapshot.Index, 0
 	for dropIndex > c.log.base && tailBytes < c.cfg.LogTailBytes {
@@ -82,7 +85,7 @@
 	c.memberships = c.memberships.dropBefore(c.log.base)
 }
 
-// sendSnapshotChunk sends the part of the snapshot that the replica asks for next.
+// sendSnapshotChunk sends the part of the snapshot that the replica needs next.
 func (c *Core) sendSnapshotChunk(id string, progress *replicaProgress) {
 	isSilent := c.now-max(progress.heardAt, c.leaderState.electedAt) > c.cfg.MaxElectionTimeout
 	if progress.awaitingReply || isSilent {
@@ -98,11 +101,11 @@
 	})
 }
 
-// Checksum is the checksum of the state.
+// Checksum returns the xxhash checksum of the state.
 func (s *Snapshot) Checksum() uint64 { return xxhash.Sum64(s.State) }
 
-// handleSnapshotChunk adds a part to the snapshot that is being received. It goes on where
-// it was when the connection or the leader changed, if the snapshot is the same.
+// handleSnapshotChunk adds a chunk to the snapshot that is being received. After a change
+// of the connection or the leader, the transfer resumes if the snapshot is the same.
 func (c *Core) handleSnapshotChunk(m Message) {
 	if m.Index <= c.commitIndex {
 		c.matchedIndex = max(c.matchedIndex, c.commitIndex)
@@ -130,14 +133,15 @@
 	c.sendSnapshotChunkReply(m, uint64(len(incoming.data)))
 }
 
-// sendSnapshotChunkReply tells the leader from where to go on.
+// sendSnapshotChunkReply informs the leader at which offset to continue.
 func (c *Core) sendSnapshotChunkReply(chunk Message, offset uint64) {
 	c.send(Message{
 		Kind: SnapshotChunkReply, To: chunk.From, Term: c.hardState.Term, Index: chunk.Index, Offset: offset, Checksum: chunk.Checksum,
 	})
 }
 
-// completeSnapshot saves a whole snapshot. One that arrived damaged starts over.
+// completeSnapshot saves a completely received snapshot. If the checksum does not match,
+// the transfer starts again from offset 0.
 func (c *Core) completeSnapshot(incoming *incomingSnapshot) {
 	if c.savingSnapshot != nil {
 		return
@@ -156,6 +160,7 @@
 		return
 	}
 	progress.snapshotOffset = m.Offset
-	// The whole snapshot is there: its save is answered by an acknowledgement.
+	// After the last chunk, no further chunk is sent. The replica acknowledges the snapshot
+	// once it is saved.
 	progress.awaitingReply = m.Offset == uint64(len(progress.snapshot.State))
 }
--- a/internal/replica/quorum/status.go
+++ b/internal/replica/quorum/status.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Status is the state of a core for operators.
+// Status is the state of a core as shown to operators.
 type Status struct {
 	ID       string
 	Term     uint64
@@ -15,26 +15,27 @@
 	Synced   uint64
 	Commit   uint64
 	Snapshot uint64
-	// Base is the index behind which the log is forgotten.
+	// Base is the index of the last entry that is no longer in the log in memory.
 	Base    uint64
 	Members []Member
 	Voters  int
-	// Peers is set while leading.
+	// Peers is set only on the leader.
 	Peers []PeerStatus
 }
 
-// PeerStatus is what a leader knows of another replica.
+// PeerStatus is the replication state of another replica, as known to the leader.
 type PeerStatus struct {
 	ID    string
 	Match uint64
-	// Installing tells that it is being sent a snapshot, up to Offset so far.
+	// Installing is set while the leader sends a snapshot. Offset is the position of the
+	// next chunk.
 	Installing bool
 	Offset     uint64
-	// Promotable tells that a learner may become a voter now.
+	// Promotable is set for a learner that can be promoted to voter now.
 	Promotable bool
 }
 
-// Status gives the state of the core.
+// Status returns the current state of the core.
 func (c *Core) Status() Status {
 	s := Status{
 		ID: c.cfg.ID, Term: c.hardState.Term, Leading: c.role == roleLeader, Leader: c.leaderID,
@@ -55,8 +56,9 @@
 	return s
 }
 
-// Transferring tells that the leader hands over and takes no proposals.
+// Transferring reports whether a leadership transfer is in progress. The leader rejects
+// proposals meanwhile.
 func (c *Core) Transferring() bool { return c.leaderState.transferee != "" }
 
-// UncommittedBytes gives the bytes of the entries that wait for a quorum.
+// UncommittedBytes returns the total size of the entries that wait for a quorum.
 func (c *Core) UncommittedBytes() int { return c.log.bytes - c.log.committedBytes }
--- a/internal/replica/quorum/patience_test.go
+++ b/internal/replica/quorum/timeout_test.go
@@ -7,16 +7,18 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// Work that a takeover brings, and the longest that a message waits beside it, then and at a start, at a
-// replica with one processor.
+// Load of a new leader on a machine with one processor.
 const (
-	takeoverWorkDuration    = 1500 * time.Millisecond
+	// takeoverWorkDuration is how long a new leader is busy with the takeover.
+	takeoverWorkDuration = 1500 * time.Millisecond
+	// maxTakeoverMessageDelay limits the delay of a message while a leader takes over.
 	maxTakeoverMessageDelay = 600 * time.Millisecond
-	maxStartMessageDelay    = 450 * time.Millisecond
+	// maxStartMessageDelay limits the delay of a message when the whole group starts.
+	maxStartMessageDelay = 450 * time.Millisecond
 )
 
-// delayMessagesOfNewLeaders lets each new leader work off what a takeover brings: greetings, and the
-// lists of all backend servers. Messages from and to it wait meanwhile.
+// delayMessagesOfNewLeaders simulates the load of a takeover on each new leader: the greetings
+// and task lists of all backend servers. Messages from and to the leader are delayed meanwhile.
 func delayMessagesOfNewLeaders(s *simulation, maxDelay time.Duration) {
 	busyUntil := map[string]time.Duration{}
 	seenElections := 0
@@ -28,8 +30,8 @@
 	}
 }
 
-// play runs five replicas whose leader stands still for a moment, and returns how
-// often one was elected in the twenty seconds after.
+// electionsAfterPause pauses the leader of five replicas and returns the number of elections in
+// the next twenty seconds.
 func electionsAfterPause(seed uint64, cfg quorum.Config) int {
 	s := newSimulation(0, seed)
 	s.config = cfg
@@ -45,31 +47,33 @@
 	return len(s.elections) - electionsBefore
 }
 
-// A takeover brings so much work that the next leader's heartbeats come too late, and
-// so on: the storm of elections has to end by itself, however short the timeout.
+// The work of a takeover can delay the heartbeats of the new leader until it is deposed too.
+// Such an election storm must end by itself, even with short election timeouts.
 func TestElectionStormEnds(t *testing.T) {
 	const maxElections = 6
-	for _, election := range []time.Duration{100 * time.Millisecond, 150 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond} {
+	for _, electionTimeout := range []time.Duration{100 * time.Millisecond, 150 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond} {
 		for seed := range uint64(20) {
-			n := electionsAfterPause(seed, quorum.Config{HeartbeatInterval: election / 4, ElectionTimeout: election, MaxElectionTimeout: time.Second})
+			n := electionsAfterPause(seed, quorum.Config{HeartbeatInterval: electionTimeout / 4, ElectionTimeout: electionTimeout, MaxElectionTimeout: time.Second})
 			if n > maxElections {
-				t.Errorf("timeout %v, seed %d: %d leaders after one fault", election, seed, n)
+				t.Errorf("election timeout %v, seed %d: %d elections after one pause, want at most %d", electionTimeout, seed, n, maxElections)
 			}
 		}
 	}
 }
 
-// The storm that the test above is about: with timeouts that stay short it never ends.
+// TestElectionStormEnds is only meaningful if its load causes an election storm. With a fixed
+// short election timeout the storm does not end.
 func TestFixedShortTimeoutCausesElectionStorm(t *testing.T) {
 	const minElections = 10
 	for seed := range uint64(5) {
 		if n := electionsAfterPause(seed, quorum.Config{HeartbeatInterval: 50 * time.Millisecond, ElectionTimeout: 200 * time.Millisecond}); n < minElections {
-			t.Errorf("seed %d: %d leaders, the load is no test", seed, n)
+			t.Errorf("seed %d: %d elections, want at least %d; the load is too low to test for a storm", seed, n, minElections)
 		}
 	}
 }
 
-// A leader in a calm network is replaced soon after it falls silent.
+// Without delayed messages, the election timeout stays short and a silent leader is replaced
+// soon.
 func TestSilentLeaderIsReplacedSoon(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSimulation(0, seed)
@@ -83,13 +87,13 @@
 			s.runFor(5 * time.Millisecond)
 		}
 		if elapsed := s.now - pausedAt; elapsed > 450*time.Millisecond {
-			t.Errorf("seed %d: the next leader came after %v", seed, elapsed)
+			t.Errorf("seed %d: next leader elected after %v, want at most 450ms", seed, elapsed)
 		}
 	}
 }
 
-// Heartbeats of a busy leader come late by turns. Once that was seen, it is waited
-// for; a fixed timeout would depose it again and again.
+// The heartbeats of a busy leader are delayed during every other second. The election timeout
+// must adapt to the delay. A fixed timeout would depose the leader again and again.
 func TestLateHeartbeatsExtendElectionTimeout(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newSimulation(0, seed)
@@ -106,13 +110,13 @@
 		electionsBefore := len(s.elections)
 		s.runFor(20 * time.Second)
 		if n := len(s.elections) - electionsBefore; n > 0 {
-			t.Errorf("seed %d: %d leaders were deposed for being slow", seed, n)
+			t.Errorf("seed %d: %d elections although all leaders were alive", seed, n)
 		}
 	}
 }
 
-// All replicas start at once, and the first leader has the whole cell to take over. It is
-// waited for: nobody has seen yet how long its silences are.
+// When all replicas start at once, the first leader is busy with the takeover of the whole
+// cell. The other replicas must not replace it before they have measured its silences.
 func TestFirstLeaderIsNotReplacedDuringTakeover(t *testing.T) {
 	const maxElections = 2
 	for seed := range uint64(20) {
@@ -122,7 +126,7 @@
 		s.bootstrap(5)
 		s.runFor(10 * time.Second)
 		if n := len(s.elections); n > maxElections {
-			t.Errorf("seed %d: %d leaders after the start", seed, n)
+			t.Errorf("seed %d: %d elections after the start, want at most %d", seed, n, maxElections)
 		}
 	}
 }
