--- a/internal/replica/quorum/core.go
+++ b/internal/replica/quorum/core.go
@@ -43,8 +43,8 @@
 	unknownSender Member
 	// leaderHeardAt is the time of the last message from the leader. It is valid while
 	// leaderID is set.
-	leaderHeardAt time.Duration
-	timeouts      timeoutEstimator
+	leaderHeardAt    time.Duration
+	timeoutEstimator timeoutEstimator
 	// started is set by the first Step, which provides the current time. Until a replica
 	// has measured the silences of its leaders, its election timeout is half of
 	// MaxElectionTimeout.
@@ -144,7 +144,7 @@
 	c.hardState, c.journal.hardStateDirty = HardState{Term: 1}, true
 	initial := membership{}
 	for _, m := range c.cfg.InitialMembers {
-		initial.members = initial.with(m)
+		initial.members = initial.withMember(m)
 	}
 	c.appendEntry(Entry{Index: 1, Term: 1, Kind: EntryMembership, Data: EncodeMembers(initial.members)})
 }
@@ -169,7 +169,7 @@
 func (c *Core) Step(now time.Duration, ev Event) Effects {
 	if !c.started {
 		c.started = true
-		c.timeouts.recordSilence(c.cfg.MaxElectionTimeout/startSilenceDivisor, now)
+		c.timeoutEstimator.recordSilence(c.cfg.MaxElectionTimeout/startSilenceDivisor, now)
 	}
 	c.now = max(c.now, now)
 	c.stepDownIfUnconfirmed()
@@ -179,7 +179,7 @@
 	case Receive:
 		c.handleMessage(ev.Message)
 	case Propose:
-		c.handlePropose(ev)
+		c.handleProposal(ev)
 	case ChangeMembership:
 		c.handleChangeMembership(ev)
 	case WriteSynced:
@@ -198,9 +198,9 @@
 		c.reloadState()
 	}
 	c.collectEffects()
-	fx := c.effects
+	effects := c.effects
 	c.effects = Effects{}
-	return fx
+	return effects
 }
 
 func (c *Core) tick() {
@@ -288,7 +288,7 @@
 // electionTimeout returns the time without a message from the leader after which the
 // leader is considered failed.
 func (c *Core) electionTimeout() time.Duration {
-	return c.timeouts.timeout(c.cfg.ElectionTimeout, c.cfg.MaxElectionTimeout, c.now)
+	return c.timeoutEstimator.timeout(c.cfg.ElectionTimeout, c.cfg.MaxElectionTimeout, c.now)
 }
 
 // setPreVoteDeadline schedules the next pre-vote. The delay is shorter than an election
--- a/internal/replica/quorum/election.go
+++ b/internal/replica/quorum/election.go
@@ -47,7 +47,7 @@
 // in a crash could be elected twice in one term by the same votes.
 func (c *Core) startElection(leadershipTransfer bool) {
 	if !leadershipTransfer {
-		c.timeouts.recordLeaderChange(c.now)
+		c.timeoutEstimator.recordLeaderChange(c.now)
 	}
 	c.changeRole(c.hardState.Term+1, roleCandidate, "")
 	c.hardState.Vote = c.cfg.ID
@@ -135,7 +135,7 @@
 		return false
 	}
 	if !m.LeadershipTransfer {
-		c.timeouts.recordLeaderChange(c.now)
+		c.timeoutEstimator.recordLeaderChange(c.now)
 	}
 	c.changeRole(m.Term, roleFollower, "")
 	return true
@@ -211,7 +211,7 @@
 	if c.role != roleFollower || c.leaderID != m.From {
 		c.changeRole(c.hardState.Term, roleFollower, m.From)
 	} else {
-		c.timeouts.recordSilence(c.now-c.leaderHeardAt, c.now)
+		c.timeoutEstimator.recordSilence(c.now-c.leaderHeardAt, c.now)
 	}
 	// The log of a leader contains all committed entries.
 	c.matchedIndex = max(c.matchedIndex, c.commitIndex)
--- a/internal/replica/quorum/leader.go
+++ b/internal/replica/quorum/leader.go
@@ -151,7 +151,7 @@
 	return c.hasReportedLeadership() && c.leaderState.transferee == "" && term == c.hardState.Term && firstIndex == c.log.lastIndex()+1
 }
 
-func (c *Core) handlePropose(p Propose) {
+func (c *Core) handleProposal(p Propose) {
 	if !c.acceptsProposal(p.Term, p.FirstIndex) {
 		return
 	}
@@ -189,7 +189,7 @@
 		if !isMember || member.ID == c.cfg.ID || !previous.Learner && len(current.voterIDs()) == 1 {
 			return nil, false
 		}
-		return c.requireLiveMajority(current.without(member.ID))
+		return c.requireLiveMajority(current.withoutMember(member.ID))
 	}
 	switch {
 	case !member.isValid(), isMember && member.Learner && !previous.Learner, !isMember && !member.Learner:
@@ -197,7 +197,7 @@
 	case isMember && previous.Learner && !member.Learner && !c.isPromotable(member.ID):
 		return nil, false
 	}
-	return c.requireLiveMajority(current.with(member))
+	return c.requireLiveMajority(current.withMember(member))
 }
 
 // requireLiveMajority returns false if less than a majority of the voters among members
--- a/internal/replica/quorum/log.go
+++ b/internal/replica/quorum/log.go
@@ -60,9 +60,9 @@
 // truncate removes the entry at index and all later entries. It limits the capacity of the
 // slice, because pending writes and messages still share the old entries.
 func (l *entryLog) truncate(index uint64) {
-	kept := index - l.base - 1
-	l.bytes -= entriesBytes(l.entries[kept:])
-	l.entries = l.entries[:kept:kept]
+	keptCount := index - l.base - 1
+	l.bytes -= entriesBytes(l.entries[keptCount:])
+	l.entries = l.entries[:keptCount:keptCount]
 }
 
 // dropUpTo removes the entries up to and including index, which the log must contain.
--- a/internal/replica/quorum/matrix_test.go
+++ b/internal/replica/quorum/matrix_test.go
@@ -192,13 +192,13 @@
 func (sc scenario) steps() []string {
 	s := startGroup()
 	var labels []string
-	seen := map[string]bool{}
+	seenLabels := map[string]bool{}
 	s.onEvent = func(label string, n *simReplica) {
 		label += " at " + n.name
-		if strings.Contains(label, "heartbeat") || seen[label] {
+		if strings.Contains(label, "heartbeat") || seenLabels[label] {
 			return
 		}
-		seen[label] = true
+		seenLabels[label] = true
 		labels = append(labels, label)
 	}
 	sc.start(s)
@@ -235,7 +235,7 @@
 // runCounts counts the runs and how often all faults of a run were injected.
 type runCounts struct{ steps, singleFaults, singleInjected, pairs, pairsInjected int }
 
-func (c runCounts) plus(d runCounts) runCounts {
+func (c runCounts) add(d runCounts) runCounts {
 	return runCounts{
 		c.steps + d.steps, c.singleFaults + d.singleFaults, c.singleInjected + d.singleInjected,
 		c.pairs + d.pairs, c.pairsInjected + d.pairsInjected,
@@ -257,7 +257,7 @@
 	for _, sc := range scenarios {
 		c := runMatrix(t, sc)
 		b.WriteString(c.row(sc.name))
-		total = total.plus(c)
+		total = total.add(c)
 	}
 	b.WriteString(total.row("all"))
 	var names []string
@@ -326,12 +326,12 @@
 			}
 		}
 	}
-	work := make(chan []faultAtStep)
+	queuedRuns := make(chan []faultAtStep)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for range min(4, runtime.GOMAXPROCS(0)) {
 		wg.Go(func() {
-			for injected := range work {
+			for injected := range queuedRuns {
 				failure, allInjected := sc.run(steps, injected...)
 				if failure != "" {
 					t.Errorf("%s: %s: %s", sc.name, describeFaults(steps, injected), failure)
@@ -347,9 +347,9 @@
 		})
 	}
 	for _, r := range runs {
-		work <- r
+		queuedRuns <- r
 	}
-	close(work)
+	close(queuedRuns)
 	wg.Wait()
 	return c
 }
--- a/internal/replica/quorum/measure_test.go
+++ b/internal/replica/quorum/measure_test.go
@@ -36,8 +36,8 @@
 func TestFailoverTimeIsBounded(t *testing.T) {
 	for _, oneWayDelay := range []time.Duration{0, zoneOneWayDelay, 10 * time.Millisecond, 20 * time.Millisecond} {
 		durations := failoverTimes(oneWayDelay, 500)
-		p50, p99, worst := durations[250], durations[495], durations[499]
-		t.Logf("failover with %v one way: p50 %v, p99 %v, maximum of %d runs %v", oneWayDelay, p50, p99, len(durations), worst)
+		p50, p99, maximum := durations[250], durations[495], durations[499]
+		t.Logf("failover with %v one way: p50 %v, p99 %v, maximum of %d runs %v", oneWayDelay, p50, p99, len(durations), maximum)
 		if oneWayDelay <= zoneOneWayDelay && (p99 > 3*quorum.DefaultElectionTimeout || p99 > 2*time.Second) {
 			t.Errorf("failover with %v one way: p99 %v, want at most %v and 2s", oneWayDelay, p99, 3*quorum.DefaultElectionTimeout)
 		}
@@ -47,15 +47,15 @@
 // The heartbeats of an idle group must not cause much network traffic. The leader of three
 // replicas sends and receives at most 2 KB of messages a second.
 func TestIdleTrafficIsBounded(t *testing.T) {
-	for _, size := range []int{3, 5, 7} {
-		s := newSimulation(size, 1)
+	for _, groupSize := range []int{3, 5, 7} {
+		s := newSimulation(groupSize, 1)
 		s.runFor(5 * time.Second)
 		clear(s.messageBytes)
 		s.runFor(60 * time.Second)
 		leaderBytes := s.messageBytes[s.leader().id] / 60
 		followerBytes := s.messageBytes[s.anyFollower().id] / 60
-		t.Logf("%d replicas: leader %d bytes a second, follower %d", size, leaderBytes, followerBytes)
-		if size == 3 && leaderBytes > 2048 {
+		t.Logf("%d replicas: leader %d bytes a second, follower %d", groupSize, leaderBytes, followerBytes)
+		if groupSize == 3 && leaderBytes > 2048 {
 			t.Errorf("idle leader: %d bytes a second, want at most 2048", leaderBytes)
 		}
 	}
--- a/internal/replica/quorum/members.go
+++ b/internal/replica/quorum/members.go
@@ -23,8 +23,8 @@
 	return h[len(h)-1]
 }
 
-// at returns the membership in effect at index.
-func (h membershipHistory) at(index uint64) membership {
+// atIndex returns the membership in effect at index.
+func (h membershipHistory) atIndex(index uint64) membership {
 	for i := len(h) - 1; i >= 0; i-- {
 		if h[i].index <= index {
 			return h[i]
@@ -39,7 +39,7 @@
 
 // dropBefore removes the memberships that are not in effect at index or later.
 func (h membershipHistory) dropBefore(index uint64) membershipHistory {
-	oldestIndex := h.at(index).index
+	oldestIndex := h.atIndex(index).index
 	return slices.DeleteFunc(h, func(m membership) bool { return m.index < oldestIndex })
 }
 
@@ -85,26 +85,26 @@
 }
 
 // hasMajority reports whether the condition holds for a majority of the voters.
-func (m membership) hasMajority(holds func(id string) bool) bool {
+func (m membership) hasMajority(condition func(id string) bool) bool {
 	count := 0
 	voters := m.voterIDs()
 	for _, id := range voters {
-		if holds(id) {
+		if condition(id) {
 			count++
 		}
 	}
 	return len(voters) > 0 && count > len(voters)/2
 }
 
-// with returns the members after adding member or replacing the one with the same ID.
-func (m membership) with(member Member) []Member {
-	members := m.without(member.ID)
+// withMember returns the members after adding member or replacing the one with the same ID.
+func (m membership) withMember(member Member) []Member {
+	members := m.withoutMember(member.ID)
 	members = append(members, member)
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
 	return members
 }
 
-func (m membership) without(id string) []Member {
+func (m membership) withoutMember(id string) []Member {
 	return slices.DeleteFunc(slices.Clone(m.members), func(x Member) bool { return x.ID == id })
 }
 
--- a/internal/replica/quorum/progress.go
+++ b/internal/replica/quorum/progress.go
@@ -62,10 +62,10 @@
 
 // startProbing discards the pending requests and probes the replica's log at index next,
 // or at the first entry that is not known to match.
-func (p *replicaProgress) startProbing(next uint64) {
+func (p *replicaProgress) startProbing(nextIndex uint64) {
 	p.state, p.awaitingReply, p.snapshot = progressProbing, false, nil
 	p.inflight, p.inflightBytes = nil, 0
-	p.nextIndex = max(next, p.matchIndex+1)
+	p.nextIndex = max(nextIndex, p.matchIndex+1)
 }
 
 // recordMatch processes an acknowledgment of synced entries.
--- a/internal/replica/quorum/rapid_test.go
+++ b/internal/replica/quorum/rapid_test.go
@@ -29,9 +29,9 @@
 // tail, lost disks and membership changes. No invariant of the simulation may be violated. After
 // the faults, new commands must be committed and all replicas must agree.
 func TestFaultsInAnyOrder(t *testing.T) {
-	for _, size := range []int{3, 5} {
+	for _, groupSize := range []int{3, 5} {
 		rapid.Check(t, func(t *rapid.T) {
-			s := newSimulation(size, uint64(rapid.IntRange(0, 1<<20).Draw(t, "seed")))
+			s := newSimulation(groupSize, uint64(rapid.IntRange(0, 1<<20).Draw(t, "seed")))
 			s.runFor(2 * time.Second)
 			t.Repeat(randomActions(s))
 			if s.failure == "" {
--- a/internal/replica/quorum/report.go
+++ b/internal/replica/quorum/report.go
@@ -52,7 +52,7 @@
 
 // reportMembership reports the committed membership if it has changed.
 func (c *Core) reportMembership() {
-	membership := c.memberships.at(c.commitIndex)
+	membership := c.memberships.atIndex(c.commitIndex)
 	if membership.index == c.reportedMembersIndex {
 		return
 	}
--- a/internal/replica/quorum/safety_test.go
+++ b/internal/replica/quorum/safety_test.go
@@ -175,8 +175,8 @@
 		}})
 	}
 	send(0, "abc")
-	for _, late := range []string{"abc", ""} {
-		fx := send(0, late)
+	for _, delayedData := range []string{"abc", ""} {
+		fx := send(0, delayedData)
 		if got := fx.Messages[0].Message.Offset; got != 3 {
 			t.Errorf("requested offset %d, want 3", got)
 		}
@@ -213,8 +213,8 @@
 // They would be committed without being on a disk.
 func TestSyncOfReplacedEntriesIsNotAcknowledged(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0", Address: "a"}, {ID: "b/0", Address: "b"}, {ID: "c/0", Address: "c"}}
-	first := quorum.Entry{Index: 1, Term: 1, Kind: quorum.EntryMembership, Data: quorum.EncodeMembers(members)}
-	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, quorum.PersistedState{HardState: quorum.HardState{Term: 1}, Entries: []quorum.Entry{first}})
+	firstEntry := quorum.Entry{Index: 1, Term: 1, Kind: quorum.EntryMembership, Data: quorum.EncodeMembers(members)}
+	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, quorum.PersistedState{HardState: quorum.HardState{Term: 1}, Entries: []quorum.Entry{firstEntry}})
 	appendFrom := func(from string, term uint64, last uint64) quorum.Effects {
 		m := quorum.Message{Kind: quorum.AppendEntries, From: from, To: "c/0", Term: term, Index: 1, LogTerm: 1}
 		for i := uint64(2); i <= last; i++ {
--- a/internal/replica/quorum/snapshot.go
+++ b/internal/replica/quorum/snapshot.go
@@ -25,7 +25,7 @@
 	}
 	c.startSnapshotSave(&Snapshot{
 		Index: request.Index, Term: term,
-		Members: c.memberships.at(request.Index).members, State: request.State,
+		Members: c.memberships.atIndex(request.Index).members, State: request.State,
 	})
 }
 
