--- a/internal/replica/quorum/actions_test.go
+++ b/internal/replica/quorum/actions_test.go
@@ -55,28 +55,28 @@
 // repairMembership makes the leader propose the next change towards a membership in which every
 // replica is a voter and no lost identity remains.
 func (s *simulation) repairMembership() {
-	l := s.leader()
-	if l == nil {
+	leader := s.leader()
+	if leader == nil {
 		return
 	}
-	members := l.core.Status().Members
+	members := leader.core.Status().Members
 	for _, n := range s.replicas {
 		i := slices.IndexFunc(members, func(m quorum.Member) bool { return m.ID == n.id })
 		if i < 0 {
-			s.changeMembership(l, quorum.Member{ID: n.id, Address: n.name, Learner: true}, false)
+			s.changeMembership(leader, quorum.Member{ID: n.id, Address: n.name, Learner: true}, false)
 			return
 		}
 	}
 	for _, m := range members {
 		if s.lostIdentities[m.ID] {
-			s.changeMembership(l, m, true)
+			s.changeMembership(leader, m, true)
 			return
 		}
 	}
 	for _, m := range members {
 		if m.Learner {
 			m.Learner = false
-			s.changeMembership(l, m, false)
+			s.changeMembership(leader, m, false)
 			return
 		}
 	}
--- a/internal/replica/quorum/core_test.go
+++ b/internal/replica/quorum/core_test.go
@@ -16,14 +16,14 @@
 	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, quorum.PersistedState{})
 	for _, kind := range []quorum.MessageKind{quorum.PreVoteRequest, quorum.VoteRequest} {
 		m := quorum.Message{Kind: kind, From: "a/0", To: "c/0", Term: 9, Index: 100, LogTerm: 8, SenderAddress: "a"}
-		fx := c.Step(time.Second, quorum.Receive{Message: m})
-		if len(fx.Messages) > 0 || fx.Write != nil {
-			t.Errorf("message %d: sent %v, wrote %v", kind, fx.Messages, fx.Write)
+		effects := c.Step(time.Second, quorum.Receive{Message: m})
+		if len(effects.Messages) > 0 || effects.Write != nil {
+			t.Errorf("message %d: sent %v, wrote %v", kind, effects.Messages, effects.Write)
 		}
 	}
 	for now := time.Second; now < time.Minute; now += 10 * time.Millisecond {
-		if fx := c.Step(now, quorum.Tick{}); len(fx.Messages) > 0 || fx.Write != nil {
-			t.Fatalf("at %v: sent %v, wrote %v", now, fx.Messages, fx.Write)
+		if effects := c.Step(now, quorum.Tick{}); len(effects.Messages) > 0 || effects.Write != nil {
+			t.Fatalf("at %v: sent %v, wrote %v", now, effects.Messages, effects.Write)
 		}
 	}
 }
@@ -57,10 +57,10 @@
 		saved.Entries = append(saved.Entries, quorum.Entry{Index: i + 1, Term: 3, Kind: quorum.EntryCommand})
 	}
 	c := quorum.New(quorum.Config{ID: "b/0", Seed: 1}, saved)
-	fx := c.Step(0, quorum.Tick{})
+	effects := c.Step(0, quorum.Tick{})
 	anchor := []quorum.Entry{{Index: 2, Term: 4, Kind: quorum.EntryNoOp}}
-	if d := cmp.Diff(anchor, fx.Write.Entries); d != "" {
-		t.Error(d)
+	if diff := cmp.Diff(anchor, effects.Write.Entries); diff != "" {
+		t.Error(diff)
 	}
 	if s := c.Status(); s.Last != 2 {
 		t.Errorf("last log index %d, want 2", s.Last)
@@ -83,8 +83,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(want, got); d != "" {
-		t.Error(d)
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
 	}
 }
 
--- a/internal/replica/quorum/invariant_test.go
+++ b/internal/replica/quorum/invariant_test.go
@@ -150,8 +150,8 @@
 // isSettled reports whether a leader accepts proposals, all replicas have applied its whole
 // log, and the membership needs no repair.
 func (s *simulation) isSettled() bool {
-	l := s.leader()
-	if l == nil || l.core.Transferring() || l.core.LastEntry()[0] != s.commitIndex || len(s.members) != len(s.replicas) {
+	leader := s.leader()
+	if leader == nil || leader.core.Transferring() || leader.core.LastEntry()[0] != s.commitIndex || len(s.members) != len(s.replicas) {
 		return false
 	}
 	for _, m := range s.members {
@@ -191,8 +191,8 @@
 	s.propose(s.leader(), 1)
 	want := s.proposedCommands
 	s.runFor(time.Second)
-	l := s.leader()
-	if l == nil || s.failure != "" {
+	leader := s.leader()
+	if leader == nil || s.failure != "" {
 		s.fail("no leader after all faults ended")
 		return
 	}
@@ -200,8 +200,8 @@
 		s.fail("command proposed after all faults ended is not committed: got %q, want command %d", got, want)
 	}
 	for _, n := range s.replicas {
-		if n.appliedIndex != l.appliedIndex || n.stateDigest != l.stateDigest || len(n.core.Status().Members) != len(s.replicas) {
-			s.fail("%s differs from the leader: applied index %d, want %d; status %+v", n.id, n.appliedIndex, l.appliedIndex, n.core.Status())
+		if n.appliedIndex != leader.appliedIndex || n.stateDigest != leader.stateDigest || len(n.core.Status().Members) != len(s.replicas) {
+			s.fail("%s differs from the leader: applied index %d, want %d; status %+v", n.id, n.appliedIndex, leader.appliedIndex, n.core.Status())
 		}
 	}
 }
--- a/internal/replica/quorum/journal.go
+++ b/internal/replica/quorum/journal.go
@@ -74,8 +74,8 @@
 }
 
 // dropJournalEntries requests that the journal drop the entries covered by a snapshot. It
-// waits until the anchor is synced. Without the entry at the snapshot's index, a journal
-// could not be recognized after a crash as one whose later entries are stale.
+// waits until the anchor is synced. Without the entry at the snapshot's index, a replica that
+// restarts after a crash could not detect that later journal entries are stale.
 func (c *Core) dropJournalEntries() {
 	journal := &c.journal
 	if journal.anchor != nil || journal.anchorSeq > journal.syncedWriteSeq {
--- a/internal/replica/quorum/matrix_test.go
+++ b/internal/replica/quorum/matrix_test.go
@@ -51,8 +51,8 @@
 	{"transfer", func(s *simulation) {
 		s.propose(s.leader(), 10)
 		s.schedule(5*time.Millisecond, func() {
-			if l := s.leader(); l != nil {
-				s.transferLeadership(l)
+			if leader := s.leader(); leader != nil {
+				s.transferLeadership(leader)
 			}
 		})
 	}},
@@ -74,12 +74,12 @@
 		s.schedule(600*time.Millisecond, func() { s.changeMembership(s.leader(), remove, false) })
 	}},
 	{"failover", func(s *simulation) {
-		l := s.leader()
-		s.propose(l, 5)
-		s.schedule(time.Millisecond, func() { s.crash(l, 5) })
+		leader := s.leader()
+		s.propose(leader, 5)
+		s.schedule(time.Millisecond, func() { s.crash(leader, 5) })
 		s.schedule(1500*time.Millisecond, func() {
-			if l.core == nil {
-				s.start(l)
+			if leader.core == nil {
+				s.start(leader)
 			}
 		})
 	}},
@@ -87,9 +87,9 @@
 
 // anyFollower returns the first replica that does not lead.
 func (s *simulation) anyFollower() *simReplica {
-	l := s.leader()
+	leader := s.leader()
 	for _, n := range s.replicas {
-		if n != l {
+		if n != leader {
 			return n
 		}
 	}
@@ -278,8 +278,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(string(want), b.String()); d != "" {
-		t.Error("docs/faults/quorum.md differs; run the test with -update:\n", d)
+	if diff := cmp.Diff(string(want), b.String()); diff != "" {
+		t.Error("docs/faults/quorum.md differs; run the test with -update:\n", diff)
 	}
 }
 
--- a/internal/replica/quorum/measure_test.go
+++ b/internal/replica/quorum/measure_test.go
@@ -72,8 +72,8 @@
 	for range 50 {
 		s.propose(s.leader(), 60)
 		s.runFor(time.Second)
-		if l := s.leader(); l.appliedIndex > 200 {
-			s.compact(l)
+		if leader := s.leader(); leader.appliedIndex > 200 {
+			s.compact(leader)
 		}
 		base, _ := s.leader().core.LogBase()
 		if last := s.leader().core.LastEntry()[0]; last-base > 300 {
--- a/internal/replica/quorum/reload_test.go
+++ b/internal/replica/quorum/reload_test.go
@@ -14,12 +14,12 @@
 	c := quorum.New(quorum.Config{ID: "a/0", Address: "a", InitialMembers: []quorum.Member{{ID: "a/0", Address: "a"}}}, quorum.PersistedState{})
 	now := time.Duration(0)
 	step := func(ev quorum.Event) (reports []quorum.Report) {
-		fx := c.Step(now, ev)
-		for fx.Write != nil {
-			reports = append(reports, fx.Reports...)
-			fx = c.Step(now, quorum.WriteSynced{Seq: fx.Write.Seq})
+		effects := c.Step(now, ev)
+		for effects.Write != nil {
+			reports = append(reports, effects.Reports...)
+			effects = c.Step(now, quorum.WriteSynced{Seq: effects.Write.Seq})
 		}
-		return append(reports, fx.Reports...)
+		return append(reports, effects.Reports...)
 	}
 	reportedState := func(reports []quorum.Report) (isLeader, roundConfirmed bool) {
 		for _, r := range reports {
--- a/internal/replica/quorum/safety_test.go
+++ b/internal/replica/quorum/safety_test.go
@@ -86,15 +86,15 @@
 	c.Step(0, quorum.Tick{})
 	c.Step(0, quorum.WriteSynced{Seq: 1})
 	c.Step(2*time.Second, quorum.Tick{})
-	fx := c.Step(2*time.Second, replyFromB(quorum.PreVoteReply, 4, 0))
-	if len(fx.Messages) > 0 || fx.Write == nil {
-		t.Errorf("before the sync: sent %v, wrote %v", fx.Messages, fx.Write)
+	effects := c.Step(2*time.Second, replyFromB(quorum.PreVoteReply, 4, 0))
+	if len(effects.Messages) > 0 || effects.Write == nil {
+		t.Errorf("before the sync: sent %v, wrote %v", effects.Messages, effects.Write)
 	}
 	c.Step(2*time.Second, replyFromB(quorum.VoteReply, 4, 0))
 	if _, isLeader := c.TermAndLeading(); isLeader {
 		t.Error("became leader before its own vote is synced")
 	}
-	if fx := c.Step(2*time.Second, quorum.WriteSynced{Seq: fx.Write.Seq}); len(fx.Messages) == 0 {
+	if effects := c.Step(2*time.Second, quorum.WriteSynced{Seq: effects.Write.Seq}); len(effects.Messages) == 0 {
 		t.Error("no vote request after the sync")
 	}
 }
@@ -158,8 +158,8 @@
 	want := []quorum.OutgoingMessage{{Address: "a", Message: quorum.Message{
 		Kind: quorum.SnapshotChunkReply, From: "d/0", To: "a/0", Term: 4, Index: 50, Checksum: 1,
 	}}}
-	if d := cmp.Diff(want, effects.Messages); d != "" {
-		t.Error(d)
+	if diff := cmp.Diff(want, effects.Messages); diff != "" {
+		t.Error(diff)
 	}
 }
 
@@ -176,14 +176,14 @@
 	}
 	send(0, "abc")
 	for _, delayedData := range []string{"abc", ""} {
-		fx := send(0, delayedData)
-		if got := fx.Messages[0].Message.Offset; got != 3 {
+		effects := send(0, delayedData)
+		if got := effects.Messages[0].Message.Offset; got != 3 {
 			t.Errorf("requested offset %d, want 3", got)
 		}
 	}
-	fx := send(3, "def")
-	if fx.SaveSnapshot == nil || string(fx.SaveSnapshot.State) != "abcdef" {
-		t.Errorf("saved snapshot %v, want state abcdef", fx.SaveSnapshot)
+	effects := send(3, "def")
+	if effects.SaveSnapshot == nil || string(effects.SaveSnapshot.State) != "abcdef" {
+		t.Errorf("saved snapshot %v, want state abcdef", effects.SaveSnapshot)
 	}
 }
 
@@ -201,9 +201,9 @@
 		{1, nil},
 		{2, []quorum.Report{quorum.LeadershipConfirmed{Term: 4, RoundStartedAt: secondRoundAt}}},
 	} {
-		fx := c.Step(secondRoundAt+time.Millisecond, replyInTerm4(quorum.HeartbeatReply, "b/0", 3, tc.round))
-		if d := cmp.Diff(tc.want, fx.Reports); d != "" {
-			t.Errorf("reports after a reply to round %d (-want +got):\n%s", tc.round, d)
+		effects := c.Step(secondRoundAt+time.Millisecond, replyInTerm4(quorum.HeartbeatReply, "b/0", 3, tc.round))
+		if diff := cmp.Diff(tc.want, effects.Reports); diff != "" {
+			t.Errorf("reports after a reply to round %d (-want +got):\n%s", tc.round, diff)
 		}
 	}
 }
@@ -247,17 +247,17 @@
 	}
 	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, saved)
 	state := quorum.Snapshot{State: []byte("x")}
-	fx := c.Step(time.Second, quorum.Receive{Message: quorum.Message{
+	effects := c.Step(time.Second, quorum.Receive{Message: quorum.Message{
 		Kind: quorum.SnapshotChunk, From: "b/0", To: "c/0", Term: 2, Index: 3, LogTerm: 2,
 		TotalBytes: 1, Checksum: state.Checksum(), Data: state.State, Members: members,
 	}})
-	c.Step(time.Second, quorum.WriteSynced{Seq: fx.Write.Seq})
-	fx = c.Step(time.Second, quorum.SnapshotSaved{Index: 3})
-	if fx.Write == nil || fx.DropJournalUpTo != 0 {
-		t.Fatalf("write %v, journal dropped up to %d; want a write and no drop", fx.Write, fx.DropJournalUpTo)
+	c.Step(time.Second, quorum.WriteSynced{Seq: effects.Write.Seq})
+	effects = c.Step(time.Second, quorum.SnapshotSaved{Index: 3})
+	if effects.Write == nil || effects.DropJournalUpTo != 0 {
+		t.Fatalf("write %v, journal dropped up to %d; want a write and no drop", effects.Write, effects.DropJournalUpTo)
 	}
-	if fx = c.Step(time.Second, quorum.WriteSynced{Seq: fx.Write.Seq}); fx.DropJournalUpTo != 3 {
-		t.Errorf("after the anchor is synced: journal dropped up to %d, want 3", fx.DropJournalUpTo)
+	if effects = c.Step(time.Second, quorum.WriteSynced{Seq: effects.Write.Seq}); effects.DropJournalUpTo != 3 {
+		t.Errorf("after the anchor is synced: journal dropped up to %d, want 3", effects.DropJournalUpTo)
 	}
 }
 
@@ -270,13 +270,13 @@
 		Entries:   []quorum.Entry{{Index: 1, Term: 1, Kind: quorum.EntryMembership, Data: quorum.EncodeMembers(members)}},
 	})
 	m := quorum.Message{Kind: quorum.VoteRequest, From: "b/0", To: "c/0", Term: 2, Index: 2, LogTerm: 1}
-	fx := c.Step(time.Second, quorum.Receive{Message: m})
-	fx = c.Step(time.Second, quorum.WriteSynced{Seq: fx.Write.Seq})
+	effects := c.Step(time.Second, quorum.Receive{Message: m})
+	effects = c.Step(time.Second, quorum.WriteSynced{Seq: effects.Write.Seq})
 	want := []quorum.OutgoingMessage{{Address: "b", Message: quorum.Message{
 		Kind: quorum.VoteReply, From: "c/0", To: "b/0", Term: 2,
 	}}}
-	if d := cmp.Diff(want, fx.Messages); d != "" {
-		t.Error(d)
+	if diff := cmp.Diff(want, effects.Messages); diff != "" {
+		t.Error(diff)
 	}
 }
 
@@ -290,10 +290,10 @@
 	if s := c.Status(); s.Commit != 3 {
 		t.Fatalf("commit index %d, want 3", s.Commit)
 	}
-	if fx := c.Step(2*time.Second, quorum.Compact{Index: 3}); fx.SaveSnapshot != nil {
+	if effects := c.Step(2*time.Second, quorum.Compact{Index: 3}); effects.SaveSnapshot != nil {
 		t.Error("snapshot saved before the journal is synced")
 	}
-	if fx := c.Step(2*time.Second, quorum.WriteSynced{Seq: 2}); fx.SaveSnapshot == nil {
+	if effects := c.Step(2*time.Second, quorum.WriteSynced{Seq: 2}); effects.SaveSnapshot == nil {
 		t.Error("snapshot not saved after the journal is synced")
 	}
 }
@@ -316,8 +316,8 @@
 func TestTransfereeHasWholeLogBeforeElection(t *testing.T) {
 	c := newCommittedLeader(t)
 	c.Step(2*time.Second, quorum.Propose{Term: 4, FirstIndex: 4, Commands: [][]byte{[]byte("x")}})
-	sendsTimeoutNow := func(fx quorum.Effects) bool {
-		return slices.ContainsFunc(fx.Messages, func(o quorum.OutgoingMessage) bool { return o.Message.Kind == quorum.TimeoutNow })
+	sendsTimeoutNow := func(effects quorum.Effects) bool {
+		return slices.ContainsFunc(effects.Messages, func(o quorum.OutgoingMessage) bool { return o.Message.Kind == quorum.TimeoutNow })
 	}
 	if sendsTimeoutNow(c.Step(2*time.Second, quorum.TransferLeadership{})) {
 		t.Error("TimeoutNow sent before the transferee has the log")
--- a/internal/replica/quorum/sim_test.go
+++ b/internal/replica/quorum/sim_test.go
@@ -211,26 +211,26 @@
 }
 
 func (s *simulation) step(n *simReplica, ev quorum.Event) {
-	fx := n.core.Step(s.now, ev)
-	if w := fx.Write; w != nil {
+	effects := n.core.Step(s.now, ev)
+	if w := effects.Write; w != nil {
 		n.pendingWrite = w
 		s.trace("write", n)
 		s.scheduleFor(n, syncDuration, func() { s.syncWrite(n, w) })
 	}
-	if snapshot := fx.SaveSnapshot; snapshot != nil {
+	if snapshot := effects.SaveSnapshot; snapshot != nil {
 		n.pendingSnapshot = snapshot
 		s.trace("save", n)
 		s.scheduleFor(n, 3*syncDuration, func() { s.saveSnapshot(n, snapshot) })
 	}
-	if fx.DropJournalUpTo > 0 {
-		n.disk.Entries = slices.DeleteFunc(slices.Clone(n.disk.Entries), func(e quorum.Entry) bool { return e.Index <= fx.DropJournalUpTo })
+	if effects.DropJournalUpTo > 0 {
+		n.disk.Entries = slices.DeleteFunc(slices.Clone(n.disk.Entries), func(e quorum.Entry) bool { return e.Index <= effects.DropJournalUpTo })
 		s.trace("drop", n)
 	}
 	startCount := n.startCount
-	for _, r := range fx.Reports {
+	for _, r := range effects.Reports {
 		s.report(n, r)
 	}
-	for _, o := range fx.Messages {
+	for _, o := range effects.Messages {
 		s.send(n, o)
 	}
 	if n.startCount == startCount {
--- a/internal/replica/quorum/timeout_test.go
+++ b/internal/replica/quorum/timeout_test.go
@@ -38,9 +38,9 @@
 	s.bootstrap(5)
 	delayMessagesOfNewLeaders(s, maxTakeoverMessageDelay)
 	s.runFor(3 * time.Second)
-	if l := s.leader(); l != nil {
-		l.paused = true
-		s.schedule(1500*time.Millisecond, func() { l.paused = false })
+	if leader := s.leader(); leader != nil {
+		leader.paused = true
+		s.schedule(1500*time.Millisecond, func() { leader.paused = false })
 	}
 	electionsBefore := len(s.elections)
 	s.runFor(20 * time.Second)
@@ -80,8 +80,8 @@
 		s.config = quorum.Config{HeartbeatInterval: 50 * time.Millisecond, ElectionTimeout: 200 * time.Millisecond, MaxElectionTimeout: time.Second}
 		s.bootstrap(5)
 		s.runFor(20 * time.Second)
-		l := s.leader()
-		l.paused = true
+		leader := s.leader()
+		leader.paused = true
 		pausedAt, electionsBefore := s.now, len(s.elections)
 		for s.now < pausedAt+2*time.Second && len(s.elections) == electionsBefore {
 			s.runFor(5 * time.Millisecond)
