--- a/internal/cli/control/control.go
+++ b/internal/cli/control/control.go
@@ -84,11 +84,11 @@
 			n.Address = p.Address
 		}
 	}
-	n.Control.Terms.Length = s.Time.Lease
+	n.Control.LeaseTerms.Length = s.Time.Lease
 	n.Control.Retention = s.Time.Retention
 	n.Control.Zones = s.Zones
-	n.Control.Patience = s.Time.Poll
-	n.Control.Snapshot = uint64(s.Limits.Snapshot)
+	n.Control.MaxPollWait = s.Time.Poll
+	n.Control.SnapshotInterval = uint64(s.Limits.Snapshot)
 	if s.Operator != "" {
 		digest, err := hex.DecodeString(s.Operator)
 		if err != nil {
--- a/internal/control/dispatch/advice.go
+++ b/internal/control/dispatch/advice.go
@@ -10,7 +10,7 @@
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/base/event"
 	"gypsumreel/internal/domain/flow"
-	"gypsumreel/internal/policy/crew"
+	"gypsumreel/internal/policy/helpers"
 	"gypsumreel/internal/policy/steps"
 )
 
@@ -57,7 +57,7 @@
 
 // questions asks what a plan wants to know, as far as helpers are free, and keeps
 // the rest for those that become free before the next plan.
-func (d *Dispatcher) questions(wants []steps.Want, now time.Duration) {
+func (d *Dispatcher) questions(wants []steps.Question, now time.Duration) {
 	d.lead.wants = wants
 	d.askMore(now)
 }
@@ -66,7 +66,7 @@
 // much waiting, a helper that rested until the next plan would give one answer a
 // plan, however quick the adviser is.
 func (d *Dispatcher) askMore(now time.Duration) {
-	var left []steps.Want
+	var left []steps.Question
 	var none busy
 	shortest := d.shortest()
 	for i, w := range d.lead.wants {
@@ -85,9 +85,9 @@
 type busy struct{ short, long bool }
 
 // askAbout asks what is wanted of a step; false when no helper is free for it.
-func (d *Dispatcher) askAbout(w steps.Want, shortest time.Duration, none *busy, now time.Duration) bool {
+func (d *Dispatcher) askAbout(w steps.Question, shortest time.Duration, none *busy, now time.Duration) bool {
 	q, ok := d.Host.Flows().QueueOf(w.Item.Flow)
-	if !ok || q.GetAdvice() == nil || w.Item.Flow.Final() || w.Item.Queued == 0 {
+	if !ok || q.GetAdvice() == nil || w.Item.Flow.Final() || w.Item.QueuedTasks == 0 {
 		return true
 	}
 	a := d.lead.advice[w.Item.StepID]
@@ -98,20 +98,20 @@
 	if a.asking > 0 || now < a.next {
 		return true
 	}
-	whole := crew.Long(steps.Cost(q.GetAdvice(), len(w.Servers)), shortest)
+	whole := helpers.IsLong(steps.QuestionDuration(q.GetAdvice(), len(w.Servers)), shortest)
 	if whole && none.long {
 		return false
 	}
-	for i, servers := range d.crew.Split(w.Servers, steps.MostAsked, whole, now) {
-		takes := steps.Cost(q.GetAdvice(), len(servers))
-		long := crew.Long(takes, shortest)
-		h := d.crew.Take(long, now)
+	for i, servers := range d.crew.SplitServers(w.Servers, steps.MaxServersPerQuestion, whole, now) {
+		takes := steps.QuestionDuration(q.GetAdvice(), len(servers))
+		long := helpers.IsLong(takes, shortest)
+		h := d.crew.Acquire(long, now)
 		if h == nil {
 			none.long = true
 			none.short = none.short || !long
 			return i > 0
 		}
-		d.question(h, steps.Want{Item: w.Item, Servers: servers}, a, q.GetAdvice(), takes)
+		d.question(h, steps.Question{Item: w.Item, Servers: servers}, a, q.GetAdvice(), takes)
 	}
 	return true
 }
@@ -123,7 +123,7 @@
 		if q.GetAdvice() == nil {
 			continue
 		}
-		if c := steps.Cost(q.GetAdvice(), steps.LeastAsked); least == 0 || c < least {
+		if c := steps.QuestionDuration(q.GetAdvice(), steps.MinServersPerQuestion); least == 0 || c < least {
 			least = c
 		}
 	}
@@ -131,7 +131,7 @@
 }
 
 // question lets a helper ask the adviser.
-func (d *Dispatcher) question(h *crew.Helper, w steps.Want, a *advice, terms *v1.Advice, takes time.Duration) {
+func (d *Dispatcher) question(h *helpers.Helper, w steps.Question, a *advice, terms *v1.Advice, takes time.Duration) {
 	id := w.Item.StepID
 	a.asking++
 	lives := map[string]int64{}
@@ -151,7 +151,7 @@
 		rep := d.Helpers.Advise(ctx, address, req)
 		came := d.Now()
 		d.Host.Post(func() {
-			d.crew.Free(h, code.Code(rep.GetCode()) == code.OK, came)
+			d.crew.Release(h, code.Code(rep.GetCode()) == code.OK, came)
 			if d.lead != nil && d.lead.term == term {
 				d.advised(id, a, lives, rep, terms, sent, came)
 				d.askMore(came)
@@ -207,16 +207,16 @@
 	if !ok || asked == 0 {
 		return
 	}
-	old, known := d.lead.shares[f.Queue]
+	old, known := d.lead.shares[f.QueueName]
 	if !known {
 		old = usualShare
 	}
-	d.lead.shares[f.Queue] = old + shareWeight*(float64(permits)/float64(asked)-old)
+	d.lead.shares[f.QueueName] = old + shareWeight*(float64(permits)/float64(asked)-old)
 }
 
 // granted returns the part of the servers asked about that usually may run a step.
 func (d *Dispatcher) granted(it steps.Item) float64 {
-	if share, ok := d.lead.shares[it.Flow.Queue]; ok {
+	if share, ok := d.lead.shares[it.Flow.QueueName]; ok {
 		return share
 	}
 	return usualShare
--- a/internal/control/dispatch/helper.go
+++ b/internal/control/dispatch/helper.go
@@ -24,7 +24,7 @@
 	w, err := ask(ctx, d, errNotLeading, func(reply func(*inner.Welcome)) {
 		d.hear(g, heard)
 		out := d.welcome()
-		d.Host.After(func() { reply(out) })
+		d.Host.AfterCommit(func() { reply(out) })
 	})
 	if err != nil {
 		return &inner.Welcome{}
@@ -32,9 +32,9 @@
 	return w
 }
 
-// Heard notes a process that greeted this replica while another one leads: should this
+// RegisterProcess notes a process that greeted this replica while another one leads: should this
 // one lead next, it has its helpers at once.
-func (d *Dispatcher) Heard(g *inner.Greeting) {
+func (d *Dispatcher) RegisterProcess(g *inner.Greeting) {
 	heard := d.Now()
 	d.Host.Post(func() { d.hear(g, heard) })
 }
@@ -44,7 +44,7 @@
 	if g.GetReplica() != "" {
 		d.joiners[g.GetReplica()] = &joiner{address: g.GetAddress(), heard: at}
 	}
-	d.crew.Hear(g.GetAddress(), at)
+	d.crew.RecordGreeting(g.GetAddress(), at)
 	if g.GetClock() > 0 {
 		d.agreed.Hear(g.GetAddress(), time.Duration(g.GetClock()), at)
 	}
@@ -52,7 +52,7 @@
 
 // welcome is what a leader tells a process that makes itself known.
 func (d *Dispatcher) welcome() *inner.Welcome {
-	out := &inner.Welcome{Term: d.lead.term, Leads: true, Version: d.Host.Flows().Config().GetVersion(), Pause: uint32(d.crew.Pause() / time.Millisecond)}
+	out := &inner.Welcome{Term: d.lead.term, Leads: true, Version: d.Host.Flows().Config().GetVersion(), Pause: uint32(d.crew.GreetingInterval() / time.Millisecond)}
 	for _, m := range d.Host.Members().Members {
 		out.Members = append(out.Members, m.Address)
 	}
@@ -90,6 +90,6 @@
 
 // forgetHelpers drops processes that were not heard of for long.
 func (d *Dispatcher) forgetHelpers(now time.Duration) {
-	d.crew.Forget(now)
+	d.crew.RemoveSilent(now)
 	maps.DeleteFunc(d.joiners, func(_ string, j *joiner) bool { return now-j.heard > joinerAge })
 }
--- a/internal/control/dispatch/lead.go
+++ b/internal/control/dispatch/lead.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"gypsumreel/internal/domain/flow"
-	"gypsumreel/internal/policy/brief"
-	"gypsumreel/internal/policy/intake"
+	"gypsumreel/internal/policy/recovery"
+	"gypsumreel/internal/policy/shortlease"
 	"gypsumreel/internal/policy/steps"
 )
 
@@ -24,20 +24,20 @@
 	// round is the room for going over all of them.
 	round []*session
 	// intake are the servers that were not asked yet what they hold.
-	intake intake.Queue[*session]
+	intake recovery.Queue[*session]
 	// relayed counts the sessions whose calls go through a helper.
 	relayed int
 	advice  map[flow.StepID]*advice
 	// wants are the questions of the latest plan that found no helper, the most
 	// pressing first.
-	wants []steps.Want
+	wants []steps.Question
 	// shares is the part of the servers asked about that may run a step, by queue.
 	shares map[string]float64
 	timed  map[string]bool
 	// urgent is what urgent work starts, by pool.
 	urgent map[string]*demand
 	// briefs are the servers on which urgent work is gathered, by pool.
-	briefs map[string]*brief.Choice
+	briefs map[string]*shortlease.Selection
 	// ranks tells which places are urgent by the configuration ranked.
 	ranked  *flow.Config
 	ranks   map[rank]bool
@@ -46,7 +46,7 @@
 	speeds  map[string]*speed
 	// usual is how long runs take beside what was declared, on the whole.
 	usual float64
-	times map[flow.StepID]steps.Times
+	times map[flow.StepID]steps.Timing
 	// shunned are the servers on which a task of a step failed.
 	shunned map[flow.StepID]map[string]bool
 	// asked are the requests that wait for a commit or a proof; each is told
--- a/internal/control/dispatch/learn.go
+++ b/internal/control/dispatch/learn.go
@@ -83,10 +83,10 @@
 func (d *Dispatcher) trust(s *session, r *run, how inner.RunEnd, now time.Duration) {
 	switch how {
 	case inner.RunEnd_RUN_END_DONE:
-		s.streak.Done()
+		s.streak.RecordSuccess()
 	case inner.RunEnd_RUN_END_FAILED:
 		d.shun(s, r)
-		if rest := s.streak.Failed(r.Flow); rest > 0 {
+		if rest := s.streak.RecordFailure(r.Flow); rest > 0 {
 			s.avoid = max(s.avoid, now+rest)
 			event.Log(d.Log, event.ServerQuarantined, "server", s.id, "flow", r.Flow, "rest", rest.String())
 		}
@@ -108,7 +108,7 @@
 		return // nothing new was listed since the last look
 	}
 	s.inspected = s.heard
-	if b, ok := d.Host.Flows().Server(s.id); ok && b.Leaving {
+	if b, ok := d.Host.Flows().Server(s.id); ok && b.ShuttingDown {
 		d.evacuate(s, b, now)
 	}
 	for _, r := range s.runs {
@@ -119,11 +119,11 @@
 		if !ok || step.Spec.GetLasting() || step.Spec.GetGang() || step.Spec.GetFills() && s.pace < pace.Full {
 			continue // it may stand still by order, or until others are there
 		}
-		w := watchdog.Run{Elapsed: r.looked - r.placed, Still: r.looked - r.moved, Percent: r.percent, Typical: d.typical(step), Saves: step.Spec.GetSaves()}
-		if !(r.Number <= mostStuck && watchdog.Stuck(w)) && !(r.Number <= mostDragged && watchdog.Drags(w)) {
+		w := watchdog.Run{Elapsed: r.looked - r.placed, SinceProgress: r.looked - r.moved, ProgressPercent: r.percent, TypicalRuntime: d.typical(step), Checkpoints: step.Spec.GetSaves()}
+		if !(r.Number <= mostStuck && watchdog.IsStuck(w)) && !(r.Number <= mostDragged && watchdog.IsSlow(w)) {
 			continue
 		}
-		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.percent, "still", w.Still.String(), "elapsed", w.Elapsed.String(), "typical", w.Typical.String())
+		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.percent, "still", w.SinceProgress.String(), "elapsed", w.Elapsed.String(), "typical", w.TypicalRuntime.String())
 		d.shun(s, r)
 		s.avoid = max(s.avoid, now+suspectRest)
 		d.unwant(s, r)
--- a/internal/control/dispatch/lease.go
+++ b/internal/control/dispatch/lease.go
@@ -6,7 +6,7 @@
 
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/ledger/flows"
-	"gypsumreel/internal/policy/brief"
+	"gypsumreel/internal/policy/shortlease"
 )
 
 // briefLease is the lease of servers that run nothing but urgent work: longer than an
@@ -22,9 +22,9 @@
 	most := time.Duration(0)
 	for _, r := range s.runs {
 		if !r.urgent {
-			return d.Hold
+			return d.MaxLease
 		}
-		most = min(briefLease, d.Hold)
+		most = min(briefLease, d.MaxLease)
 	}
 	return most
 }
@@ -38,14 +38,14 @@
 // gather chooses the servers of each pool on which urgent work is gathered.
 func (d *Dispatcher) gather() {
 	used := map[string]int64{}
-	servers := map[string][]brief.Server{}
+	servers := map[string][]shortlease.Server{}
 	for id, s := range d.lead.sessions {
 		b, ok := d.Host.Flows().Server(id)
-		if !ok || b.Over {
+		if !ok || b.Ended {
 			continue
 		}
-		if d.Host.Flows().Takes(b) && s.closing == "" {
-			servers[b.Pool] = append(servers[b.Pool], brief.Server{ID: id, Cores: b.Capacity.CPU})
+		if d.Host.Flows().AcceptsWork(b) && s.closing == "" {
+			servers[b.Pool] = append(servers[b.Pool], shortlease.Server{ID: id, CPU: b.Capacity.CPU})
 		}
 		for _, r := range s.runs {
 			if r.urgent {
@@ -60,10 +60,10 @@
 		}
 		c := d.lead.briefs[pool]
 		if c == nil {
-			c = &brief.Choice{}
+			c = &shortlease.Selection{}
 			d.lead.briefs[pool] = c
 		}
-		c.Look(all, used[pool])
+		c.Update(all, used[pool])
 	}
 }
 
--- a/internal/control/dispatch/sessions.go
+++ b/internal/control/dispatch/sessions.go
@@ -6,17 +6,17 @@
 
 	"gypsumreel/internal/domain/flow"
 	"gypsumreel/internal/ledger/flows"
-	"gypsumreel/internal/policy/intake"
 	"gypsumreel/internal/policy/pace"
+	"gypsumreel/internal/policy/recovery"
 )
 
 // open begins a session with a server as the ledger has it.
 func (d *Dispatcher) open(b *flows.Server) *session {
 	s := &session{
-		id: b.ID, born: b.Born, address: b.Address, cursor: b.Cursor, taken: b.Cursor,
+		id: b.ID, born: b.StartedAtMs, address: b.Address, cursor: b.EndCursor, taken: b.EndCursor,
 		heard: d.Now(), runs: map[flow.TaskID]*run{}, pace: pace.Full,
 	}
-	for id, h := range b.Held {
+	for id, h := range b.HeldRuns {
 		// Whether the start ever arrived is not known to this leader.
 		step, ok := d.Host.Flows().Step(h.StepID)
 		s.runs[id] = &run{RunID: h.RunID, held: h, maybe: true, urgent: ok && d.urgent(step)}
@@ -43,13 +43,13 @@
 func byID(s *session, id string) int { return cmp.Compare(s.id, id) }
 
 // class is how soon a server is asked what it holds.
-func (s *session) class() intake.Class {
-	c := intake.Idle
+func (s *session) class() recovery.Priority {
+	c := recovery.Idle
 	for _, r := range s.runs {
 		if r.urgent {
-			return intake.Urgent
+			return recovery.Urgent
 		}
-		c = intake.Busy
+		c = recovery.Busy
 	}
 	return c
 }
--- a/internal/control/dispatch/sharing.go
+++ b/internal/control/dispatch/sharing.go
@@ -13,7 +13,7 @@
 // moderate sets the pace of what fills a server beside what serves there, from
 // the list that the server has just given.
 func (d *Dispatcher) moderate(s *session) {
-	var serving []pace.Serving
+	var serving []pace.ServiceTask
 	var fills []*run
 	for _, r := range s.runs {
 		step, ok := d.Host.Flows().Step(r.StepID)
@@ -22,7 +22,7 @@
 		case step.Spec.GetFills():
 			fills = append(fills, r)
 		case step.Spec.GetTarget() > 0:
-			serving = append(serving, pace.Serving{Tail: r.load, Target: float64(step.Spec.GetTarget())})
+			serving = append(serving, pace.ServiceTask{TailLatency: r.load, TargetLatency: float64(step.Spec.GetTarget())})
 		}
 	}
 	s.shared = len(fills) > 0 && len(serving) > 0
@@ -78,7 +78,7 @@
 		case !step.Spec.GetSaves() || r.percent <= 0 || d.rest(step, r, now) <= left:
 			continue
 		}
-		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.percent, "leaves", left.String(), "born", b.Born)
+		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.percent, "leaves", left.String(), "born", b.StartedAtMs)
 		d.unwant(s, r)
 	}
 }
--- a/internal/control/dispatch/urgent.go
+++ b/internal/control/dispatch/urgent.go
@@ -45,7 +45,7 @@
 	}
 	m.fade(now)
 	size := p.Size()
-	m.tasks += float64(len(p.Places))
+	m.tasks += float64(len(p.Assignments))
 	m.cpu += float64(size.CPU)
 	m.memory += float64(size.Memory)
 	m.accel += float64(size.Accel)
--- a/internal/control/node/found.go
+++ b/internal/control/node/found.go
@@ -13,7 +13,7 @@
 // founded now, else from the disk.
 func (n *Node) found(ctx context.Context, a *assembly, self quorum.Member, saved quorum.PersistedState) error {
 	if !n.Init || !blank(saved) {
-		a.handshake.Know(known(saved, self))
+		a.handshake.SetMembers(known(saved, self))
 		return nil
 	}
 	if len(n.Founders) > 0 {
@@ -22,7 +22,7 @@
 		}
 		return nil
 	}
-	first, err := a.handshake.Agree(ctx)
+	first, err := a.handshake.AgreeMembers(ctx)
 	a.group.Config.InitialMembers = first
 	return err
 }
--- a/internal/load/trial/main.go
+++ b/internal/load/trial/main.go
@@ -19,7 +19,7 @@
 	"github.com/jessevdk/go-flags"
 	"github.com/schollz/progressbar/v3"
 
-	"gypsumreel/internal/policy/model"
+	"gypsumreel/internal/policy/simulator"
 )
 
 // options are the command line.
@@ -46,7 +46,7 @@
 // names lists all ways.
 func names() []string {
 	out := []string{"product"}
-	for name := range model.Parts {
+	for name := range simulator.Mechanisms {
 		out = append(out, "without-"+name)
 	}
 	slices.Sort(out[1:])
@@ -54,17 +54,17 @@
 }
 
 // policyOf returns the way of that name.
-func policyOf(name string, lease time.Duration) (model.Policy, error) {
-	p := model.Policy{Lease: lease}
+func policyOf(name string, lease time.Duration) (simulator.Policy, error) {
+	p := simulator.Policy{Lease: lease}
 	part, without := strings.CutPrefix(name, "without-")
 	switch {
 	case name == "product":
 	case name == "fifo":
-		p.Fifo, p.Without = true, model.InTime|model.Headroom|model.KeptRoom|model.Width|model.SideBySide
+		p.FIFO, p.Disabled = true, simulator.LateLast|simulator.Headroom|simulator.GangReservation|simulator.QuestionSize|simulator.ParallelQuestions
 	case name == "strict":
-		p.Strict, p.Without = true, model.InTime|model.Headroom|model.KeptRoom|model.Width|model.SideBySide
-	case without && model.Parts[part] != 0:
-		p.Without = model.Parts[part]
+		p.StrictPriority, p.Disabled = true, simulator.LateLast|simulator.Headroom|simulator.GangReservation|simulator.QuestionSize|simulator.ParallelQuestions
+	case without && simulator.Mechanisms[part] != 0:
+		p.Disabled = simulator.Mechanisms[part]
 	default:
 		return p, fmt.Errorf("%q is no way to decide; there are %s", name, strings.Join(names(), ", "))
 	}
@@ -76,15 +76,15 @@
 	if len(ways) == 0 {
 		ways = names()
 	}
-	results := make([][]model.Result, len(ways))
-	var policies []model.Policy
+	results := make([][]simulator.Result, len(ways))
+	var policies []simulator.Policy
 	for i, name := range ways {
 		p, err := policyOf(name, o.Lease)
 		if err != nil {
 			return err
 		}
 		policies = append(policies, p)
-		results[i] = make([]model.Result, o.Seeds)
+		results[i] = make([]simulator.Result, o.Seeds)
 	}
 	bar := progressbar.NewOptions(len(ways)*o.Seeds, progressbar.OptionSetWriter(progress), progressbar.OptionSetDescription("plays"), progressbar.OptionThrottle(time.Second))
 	var wg sync.WaitGroup
@@ -94,7 +94,7 @@
 			wg.Go(func() {
 				free <- struct{}{}
 				defer func() { <-free }()
-				results[i][n] = model.New(model.Draw(o.First+uint64(n), o.Servers), policies[i]).Run()
+				results[i][n] = simulator.New(simulator.GenerateScenario(o.First+uint64(n), o.Servers), policies[i]).Run()
 				_ = bar.Add(1)
 			})
 		}
@@ -107,22 +107,22 @@
 // columns are the figures of a table, each of one play.
 var columns = []struct {
 	name string
-	of   func(model.Result) float64
+	of   func(simulator.Result) float64
 }{
-	{"worth", model.Result.Worth},
-	{"whole", func(r model.Result) float64 { return r.Whole.Value() }},
-	{"windows", func(r model.Result) float64 { return r.Windows }},
-	{"tenants", func(r model.Result) float64 { return r.Tenants }},
-	{"nines", func(r model.Result) float64 { return r.Nines }},
-	{"urgent", func(r model.Result) float64 { return r.Kinds[0].Value() }},
-	{"plan", func(r model.Result) float64 { return r.Kinds[1].Value() }},
-	{"batch", func(r model.Result) float64 { return r.Kinds[2].Value() }},
-	{"never", func(r model.Result) float64 { return float64(r.Never) / float64(r.Asked) }},
-	{"urgent p50 s", func(r model.Result) float64 { return r.Waits[0] }},
-	{"wasted", func(r model.Result) float64 { return r.Wasted }},
-	{"busy", func(r model.Result) float64 { return r.Busy }},
-	{"asking", func(r model.Result) float64 { return r.Asking }},
-	{"questions", func(r model.Result) float64 { return float64(r.Questions) }},
+	{"worth", simulator.Result.Score},
+	{"whole", func(r simulator.Result) float64 { return r.Overall.Value() }},
+	{"windows", func(r simulator.Result) float64 { return r.WorstWindows }},
+	{"tenants", func(r simulator.Result) float64 { return r.WorstCustomers }},
+	{"nines", func(r simulator.Result) float64 { return r.UnservedScore }},
+	{"urgent", func(r simulator.Result) float64 { return r.Kinds[0].Value() }},
+	{"plan", func(r simulator.Result) float64 { return r.Kinds[1].Value() }},
+	{"batch", func(r simulator.Result) float64 { return r.Kinds[2].Value() }},
+	{"never", func(r simulator.Result) float64 { return float64(r.Unserved) / float64(r.Requests) }},
+	{"urgent p50 s", func(r simulator.Result) float64 { return r.UrgentLatency[0] }},
+	{"wasted", func(r simulator.Result) float64 { return r.WastedCoreSeconds }},
+	{"busy", func(r simulator.Result) float64 { return r.Utilization }},
+	{"asking", func(r simulator.Result) float64 { return r.BusyHelpers }},
+	{"questions", func(r simulator.Result) float64 { return float64(r.Questions) }},
 }
 
 const (
@@ -132,7 +132,7 @@
 
 // write prints a row a way: means over the seeds, the spread of the worth, and how
 // far the worth is from that of the first way, seed by seed.
-func write(out io.Writer, ways []string, results [][]model.Result) error {
+func write(out io.Writer, ways []string, results [][]simulator.Result) error {
 	t := tabwriter.NewWriter(out, 0, 0, padding, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "way\t")
 	for _, c := range columns {
@@ -145,23 +145,23 @@
 			mean, _ := meanOf(results[i], c.of)
 			fmt.Fprintf(t, "%.3f\t", mean)
 		}
-		_, spread := meanOf(results[i], model.Result.Worth)
+		_, spread := meanOf(results[i], simulator.Result.Score)
 		n := -1
-		beside, err := meanOf(results[i], func(r model.Result) float64 { n++; return r.Worth() - results[0][n].Worth() })
+		beside, err := meanOf(results[i], func(r simulator.Result) float64 { n++; return r.Score() - results[0][n].Score() })
 		fmt.Fprintf(t, "%.3f\t%+.4f ± %.4f\t\n", spread, beside, err/math.Sqrt(float64(len(results[i]))))
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	for i, name := range ways {
-		mean, _ := meanOf(results[i], model.Result.Worth)
+		mean, _ := meanOf(results[i], simulator.Result.Score)
 		fmt.Fprintf(out, "%24s %s %.3f\n", name, strings.Repeat("█", int(math.Round(max(mean, 0)*barWidth))), mean)
 	}
 	return nil
 }
 
 // meanOf returns the mean and the standard deviation of a figure.
-func meanOf(all []model.Result, of func(model.Result) float64) (mean, deviation float64) {
+func meanOf(all []simulator.Result, of func(simulator.Result) float64) (mean, deviation float64) {
 	values := make([]float64, len(all))
 	for i, r := range all {
 		values[i] = of(r)
--- a/internal/policy/admit/admit.go
+++ b/internal/policy/admit/admit.go
@@ -14,33 +14,33 @@
 
 // Bounds of admission.
 const (
-	// Shed is the part of the cell's queue from which teams are refused that hold
+	// ShedThreshold is the part of the cell's queue from which teams are refused that hold
 	// more of it than their part.
-	Shed = 0.8
-	// FirstRetry is the shortest hint.
-	FirstRetry = 200 * time.Millisecond
-	// LongestRetry is the longest hint.
-	LongestRetry = 30 * time.Second
+	ShedThreshold = 0.8
+	// MinRetryAfter is the shortest hint.
+	MinRetryAfter = 200 * time.Millisecond
+	// MaxRetryAfter is the longest hint.
+	MaxRetryAfter = 30 * time.Second
 )
 
 // View is what admission looks at.
 type View struct {
 	// Row is the team's row of the table.
 	Row team.Row
-	// Waiting is the number of the team's jobs that wait.
-	Waiting int
-	// Cell is the number of jobs of all teams that wait.
-	Cell int
-	// Bound is the most that may wait in all.
-	Bound int
-	// Teams is the number of teams with waiting jobs, this one included.
-	Teams int
-	// Largest holds the sizes of the kinds of server announced.
-	Largest []capacity.Size
-	// Total is the room of all announced servers together.
-	Total capacity.Size
-	// Drain is the team's waiting jobs placed a second; 0 when unknown.
-	Drain float64
+	// TeamWaiting is the number of the team's jobs that wait.
+	TeamWaiting int
+	// CellWaiting is the number of jobs of all teams that wait.
+	CellWaiting int
+	// MaxWaiting is the most that may wait in all.
+	MaxWaiting int
+	// WaitingTeams is the number of teams with waiting jobs, this one included.
+	WaitingTeams int
+	// ServerSizes holds the sizes of the kinds of server announced.
+	ServerSizes []capacity.Size
+	// TotalCapacity is the room of all announced servers together.
+	TotalCapacity capacity.Size
+	// DrainRate is the team's waiting jobs placed a second; 0 when unknown.
+	DrainRate float64
 }
 
 // Check refuses the job or returns nil. The duration tells the caller when to
@@ -49,11 +49,11 @@
 	if err := possible(spec, v); err != nil {
 		return err, 0
 	}
-	if v.Row.Queue > 0 && v.Waiting >= int(v.Row.Queue) {
-		return code.New(code.QueueFull, "team %s has %d jobs waiting", spec.Team, v.Waiting), hint(v, jitter)
+	if v.Row.Queue > 0 && v.TeamWaiting >= int(v.Row.Queue) {
+		return code.New(code.QueueFull, "team %s has %d jobs waiting", spec.Team, v.TeamWaiting), hint(v, jitter)
 	}
 	if crowded(v) {
-		return code.New(code.Overloaded, "%d jobs wait in all", v.Cell), hint(v, jitter)
+		return code.New(code.Overloaded, "%d jobs wait in all", v.CellWaiting), hint(v, jitter)
 	}
 	if late(spec, v) {
 		return code.New(code.DeadlinePassed, "about %s of work waits before it", ahead(v)), hint(v, jitter)
@@ -73,13 +73,13 @@
 	if !least.Within(v.Row.Limit) {
 		return code.New(code.NeverFits, "the team's limit is %v", v.Row.Limit)
 	}
-	if len(v.Largest) == 0 {
+	if len(v.ServerSizes) == 0 {
 		return nil
 	}
-	if spec.Whole() && !least.Fits(v.Total) {
-		return code.New(code.NeverFits, "the cell has %v in all", v.Total)
+	if spec.Whole() && !least.Fits(v.TotalCapacity) {
+		return code.New(code.NeverFits, "the cell has %v in all", v.TotalCapacity)
 	}
-	for _, s := range v.Largest {
+	for _, s := range v.ServerSizes {
 		if spec.Size.Fits(s) {
 			return nil
 		}
@@ -90,27 +90,27 @@
 // crowded refuses, once the cell's queue is nearly full, the teams that take
 // more than an equal part of it; the others are still let in until it is full.
 func crowded(v View) bool {
-	if v.Bound <= 0 || float64(v.Cell) < Shed*float64(v.Bound) {
+	if v.MaxWaiting <= 0 || float64(v.CellWaiting) < ShedThreshold*float64(v.MaxWaiting) {
 		return false
 	}
-	return v.Cell >= v.Bound && v.Waiting > 0 || v.Waiting*max(1, v.Teams) > v.Cell
+	return v.CellWaiting >= v.MaxWaiting && v.TeamWaiting > 0 || v.TeamWaiting*max(1, v.WaitingTeams) > v.CellWaiting
 }
 
 // late refuses batch that would wait beyond its deadline anyway; urgent work does
 // not wait behind the team's queue and is always let in.
 func late(spec *job.Spec, v View) bool {
-	return spec.Deadline > 0 && spec.Kind != job.Urgent && v.Drain > 0 && ahead(v) > spec.Deadline
+	return spec.Deadline > 0 && spec.Kind != job.Urgent && v.DrainRate > 0 && ahead(v) > spec.Deadline
 }
 
 func ahead(v View) time.Duration {
-	if v.Drain <= 0 {
+	if v.DrainRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(v.Waiting) / v.Drain * float64(time.Second))
+	return time.Duration(float64(v.TeamWaiting) / v.DrainRate * float64(time.Second))
 }
 
 // hint spreads the returns over the time in which a tenth of the queue drains.
 func hint(v View, jitter float64) time.Duration {
-	base := min(max(ahead(v)/10, FirstRetry), LongestRetry/2)
+	base := min(max(ahead(v)/10, MinRetryAfter), MaxRetryAfter/2)
 	return base + time.Duration(jitter*float64(base))
 }
--- a/internal/policy/bench/bench.go
+++ b/internal/policy/bench/bench.go
@@ -90,19 +90,19 @@
 func Strict() plan.Planner {
 	order := [...]int{job.Urgent: 0, job.Service: 1, job.Gang: 2, job.Batch: 3}
 	p := fifo.New()
-	p.Before = func(a, b plan.Queued) bool { return order[a.Job.Kind] < order[b.Job.Kind] }
+	p.Less = func(a, b plan.WaitingTask) bool { return order[a.Job.Kind] < order[b.Job.Kind] }
 	return p
 }
 
 // Plain returns the baseline of dominant-resource fairness with best fit: nothing
 // is preempted, reserved or learned.
 func Plain() plan.Planner {
-	return cell.New(cell.Config{Without: cell.Reserve | cell.Reclaim | cell.UrgentPreempt | cell.Estimates |
-		cell.Reservation | cell.Quarantine | cell.Racks | cell.Shortest})
+	return cell.New(cell.Config{Disabled: cell.UrgentReserve | cell.SharePreempt | cell.UrgentPreempt | cell.RuntimeEstimates |
+		cell.GangReservation | cell.Quarantine | cell.RackLocality | cell.ShortestFirst})
 }
 
 // Cell returns the product's planner without the parts given.
-func Cell(without cell.Part) plan.Planner { return cell.New(cell.Config{Without: without}) }
+func Cell(without cell.Mechanism) plan.Planner { return cell.New(cell.Config{Disabled: without}) }
 
 // Run plays the set-up.
 func Run(p plan.Planner, s Setup) Result {
--- a/internal/policy/bench/bench_test.go
+++ b/internal/policy/bench/bench_test.go
@@ -30,10 +30,10 @@
 			goals(site)
 		case "sweep":
 			for _, patience := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second, 15 * time.Second} {
-				run(cell.New(cell.Config{Patience: patience}), site, 1.2, bench.None, fmt.Sprint("patience ", patience))
+				run(cell.New(cell.Config{GangPreemptDelay: patience}), site, 1.2, bench.None, fmt.Sprint("patience ", patience))
 			}
 			for _, slack := range []float64{0.005, 0.01, 0.02, 0.03} {
-				run(cell.New(cell.Config{Slack: slack}), site, 1.2, bench.None, fmt.Sprint("slack ", slack))
+				run(cell.New(cell.Config{ShareSlack: slack}), site, 1.2, bench.None, fmt.Sprint("slack ", slack))
 			}
 		case "racks":
 			run(bench.Cell(0), site, 0.9, bench.Racks, "cell")
@@ -72,24 +72,24 @@
 // parts shows each mechanism with and without it, under the fault it is for.
 func parts(site bench.Site) {
 	for _, p := range []struct {
-		part  cell.Part
+		part  cell.Mechanism
 		fault bench.Fault
 		name  string
 	}{
 		{0, bench.None, "whole"},
-		{cell.Reserve, bench.None, "without reserve"},
+		{cell.UrgentReserve, bench.None, "without reserve"},
 		{cell.UrgentPreempt, bench.None, "without urgent preemption"},
-		{cell.Reserve | cell.UrgentPreempt, bench.None, "without both"},
-		{cell.Reclaim, bench.None, "without taking back"},
-		{cell.Reservation, bench.None, "without gathering"},
+		{cell.UrgentReserve | cell.UrgentPreempt, bench.None, "without both"},
+		{cell.SharePreempt, bench.None, "without taking back"},
+		{cell.GangReservation, bench.None, "without gathering"},
 		{cell.BestFit, bench.None, "without best fit"},
-		{cell.Racks, bench.None, "without racks"},
-		{cell.GangLead, bench.None, "without lead of gangs"},
-		{cell.Shortest, bench.None, "without shortest first"},
+		{cell.RackLocality, bench.None, "without racks"},
+		{cell.GangPriority, bench.None, "without lead of gangs"},
+		{cell.ShortestFirst, bench.None, "without shortest first"},
 		{0, bench.WrongRun, "whole"},
-		{cell.Estimates, bench.WrongRun, "without estimates"},
+		{cell.RuntimeEstimates, bench.WrongRun, "without estimates"},
 		{0, bench.ZoneLost, "whole"},
-		{cell.Reserve, bench.ZoneLost, "without reserve"},
+		{cell.UrgentReserve, bench.ZoneLost, "without reserve"},
 		{cell.UrgentPreempt, bench.ZoneLost, "without urgent preemption"},
 		{0, bench.Hole, "whole"},
 		{cell.Quarantine, bench.Hole, "without quarantine"},
--- a/internal/policy/bench/check.go
+++ b/internal/policy/bench/check.go
@@ -42,7 +42,7 @@
 
 // Decision checks one decision before it is applied.
 func (c *Checker) Decision(w *World, d plan.Decision) {
-	switch d.Verb {
+	switch d.Action {
 	case plan.Place:
 		c.place(w, d)
 	case plan.Preempt:
@@ -53,7 +53,7 @@
 }
 
 func (c *Checker) place(w *World, d plan.Decision) {
-	for _, l := range d.Places {
+	for _, l := range d.Placements {
 		r := w.runs[task.ID{Job: d.Job, Index: l.Index}]
 		if r == nil || r.held {
 			c.broken("%v: job %d task %d is placed and does not wait", w.now, d.Job, l.Index)
@@ -95,8 +95,8 @@
 			n++
 		}
 	}
-	if n != len(d.Places) {
-		c.broken("%v: gang %d starts %d of %d tasks", w.now, d.Job, len(d.Places), n)
+	if n != len(d.Placements) {
+		c.broken("%v: gang %d starts %d of %d tasks", w.now, d.Job, len(d.Placements), n)
 	}
 }
 
--- a/internal/policy/bench/meter.go
+++ b/internal/policy/bench/meter.go
@@ -59,10 +59,10 @@
 }
 
 func (m *Meter) decided(d plan.Decision) {
-	m.verbs[d.Verb]++
-	if d.Verb == plan.Place && m.on() && m.w.jobs[d.Job][0].spec.Whole() {
+	m.verbs[d.Action]++
+	if d.Action == plan.Place && m.on() && m.w.jobs[d.Job][0].spec.Whole() {
 		racks, zones := map[string]bool{}, map[string]bool{}
-		for _, l := range d.Places {
+		for _, l := range d.Placements {
 			s := m.w.servers[l.Server]
 			racks[s.Zone+s.Rack], zones[s.Zone] = true, true
 		}
@@ -154,7 +154,7 @@
 }
 
 func (m *Meter) distance(waiting map[string]capacity.Size, usable capacity.Size) {
-	var claims []share.Claim
+	var claims []share.Team
 	var held []float64
 	rows := m.w.table.Rows()
 	for _, row := range rows {
@@ -164,7 +164,7 @@
 		if bound := row.Limit.Dominant(usable); bound > 0 {
 			want = min(want, bound)
 		}
-		claims = append(claims, share.Claim{Guarantee: float64(row.Share) / 1000, Weight: float64(row.Weight), Want: min(1, want)})
+		claims = append(claims, share.Team{Guarantee: float64(row.Share) / 1000, Weight: float64(row.Weight), Demand: min(1, want)})
 	}
 	sum := 0.0
 	for i, target := range share.Divide(claims) {
--- a/internal/policy/bench/scale.go
+++ b/internal/policy/bench/scale.go
@@ -86,7 +86,7 @@
 	s.next++
 	spec := &job.Spec{Team: name(s.rng.IntN(s.teams)), Kind: kind, Name: fmt.Sprint("n", n), Count: 1, Size: size, Runtime: mean}
 	s.specs[s.next] = spec
-	s.Planner.Queue(plan.Queued{ID: task.ID{Job: s.next}, Job: spec, Accepted: s.now, Ready: s.now})
+	s.Planner.AddWaiting(plan.WaitingTask{ID: task.ID{Job: s.next}, Job: spec, AcceptedAt: s.now, ReadyAt: s.now})
 }
 
 // decide asks for decisions and applies them.
@@ -96,9 +96,9 @@
 	s.Took = append(s.Took, time.Since(began))
 	placed := 0
 	for _, d := range out {
-		switch d.Verb {
+		switch d.Action {
 		case plan.Place:
-			placed += len(d.Places)
+			placed += len(d.Placements)
 			s.hold(d)
 		case plan.Preempt:
 			s.stop(d.Task)
@@ -109,9 +109,9 @@
 
 func (s *Scale) hold(d plan.Decision) {
 	spec := s.specs[d.Job]
-	for _, l := range d.Places {
+	for _, l := range d.Placements {
 		id := task.ID{Job: d.Job, Index: l.Index}
-		s.Planner.Hold(plan.Held{ID: id, Job: spec, Server: l.Server, Since: s.now})
+		s.Planner.SetPlaced(plan.PlacedTask{ID: id, Job: spec, Server: l.Server, PlacedAt: s.now})
 		s.at[id] = len(s.running)
 		s.running = append(s.running, running{id, spec, l.Server, s.now})
 	}
@@ -121,7 +121,7 @@
 	at := s.at[id]
 	r := s.running[at]
 	s.release(at)
-	s.Planner.Queue(plan.Queued{ID: id, Job: r.spec, Accepted: r.since, Ready: s.now, Attempts: 1})
+	s.Planner.AddWaiting(plan.WaitingTask{ID: id, Job: r.spec, AcceptedAt: r.since, ReadyAt: s.now, Attempts: 1})
 }
 
 // release ends the i-th running task.
@@ -131,7 +131,7 @@
 	s.at[last.id] = i
 	delete(s.at, r.id)
 	s.running = s.running[:len(s.running)-1]
-	s.Planner.Release(r.id, plan.End{At: s.now, Ran: true})
+	s.Planner.EndAttempt(r.id, plan.AttemptEnd{EndedAt: s.now, Started: true})
 }
 
 // Step lets a millisecond pass in which n tasks end, n are queued, and one
--- a/internal/policy/bench/view.go
+++ b/internal/policy/bench/view.go
@@ -64,7 +64,7 @@
 func (w *World) Team(name string) capacity.Size { return w.Check.teams[name] }
 
 // Count returns how often the verb was decided.
-func (w *World) Count(v plan.Verb) int { return w.Meter.verbs[v] }
+func (w *World) Count(v plan.Action) int { return w.Meter.verbs[v] }
 
 // Longest returns the longest wait measured of the kind.
 func (w *World) Longest(k job.Kind) time.Duration { return quantile(w.Meter.waits[k], 1) }
@@ -90,9 +90,9 @@
 		switch {
 		case w.runs[r.id] != r:
 		case r.held:
-			w.Planner.Hold(plan.Held{ID: r.id, Job: r.spec, Accepted: r.accepted, Server: r.server, Since: r.since, Stopping: r.stopping})
+			w.Planner.SetPlaced(plan.PlacedTask{ID: r.id, Job: r.spec, AcceptedAt: r.accepted, Server: r.server, PlacedAt: r.since, Stopping: r.stopping})
 		default:
-			w.Planner.Queue(plan.Queued{ID: r.id, Job: r.spec, Accepted: r.accepted, Ready: r.waits, Attempts: r.attempts})
+			w.Planner.AddWaiting(plan.WaitingTask{ID: r.id, Job: r.spec, AcceptedAt: r.accepted, ReadyAt: r.waits, Attempts: r.attempts})
 		}
 	}
 }
--- a/internal/policy/bench/world.go
+++ b/internal/policy/bench/world.go
@@ -197,7 +197,7 @@
 
 func (w *World) enqueue(r *Attempt) {
 	w.Meter.notes++
-	w.Planner.Queue(plan.Queued{ID: r.id, Job: r.spec, Accepted: r.accepted, Ready: w.now, Attempts: r.attempts})
+	w.Planner.AddWaiting(plan.WaitingTask{ID: r.id, Job: r.spec, AcceptedAt: r.accepted, ReadyAt: w.now, Attempts: r.attempts})
 	w.poke()
 }
 
@@ -206,7 +206,7 @@
 	for _, r := range w.jobs[id] {
 		if w.runs[r.id] == r && !r.held {
 			delete(w.runs, r.id)
-			w.Planner.Unqueue(r.id)
+			w.Planner.RemoveWaiting(r.id)
 		}
 	}
 	w.poke()
@@ -227,9 +227,9 @@
 func (w *World) apply(d plan.Decision) {
 	w.Check.Decision(w, d)
 	w.Meter.decided(d)
-	switch d.Verb {
+	switch d.Action {
 	case plan.Place:
-		for _, l := range d.Places {
+		for _, l := range d.Placements {
 			w.place(w.runs[task.ID{Job: d.Job, Index: l.Index}], l.Server)
 		}
 	case plan.Preempt, plan.Stop:
@@ -251,7 +251,7 @@
 	r.held, r.fresh, r.server, r.since = true, false, server, w.now
 	r.attempts++
 	r.base = w.now + orderDelay
-	w.Planner.Hold(plan.Held{ID: r.id, Job: r.spec, Accepted: r.accepted, Server: server, Since: w.now})
+	w.Planner.SetPlaced(plan.PlacedTask{ID: r.id, Job: r.spec, AcceptedAt: r.accepted, Server: server, PlacedAt: w.now})
 	n := r.attempts
 	length := r.left
 	failed := r.crashes || w.holes[server]
@@ -267,16 +267,16 @@
 		return
 	}
 	if failed {
-		w.release(r, plan.End{At: w.now, Ran: true, Failed: true}, true)
+		w.release(r, plan.AttemptEnd{EndedAt: w.now, Started: true, Failed: true}, true)
 		return
 	}
 	w.Meter.finished(r)
-	w.release(r, plan.End{At: w.now, Ran: true}, false)
+	w.release(r, plan.AttemptEnd{EndedAt: w.now, Started: true}, false)
 }
 
-func (w *World) release(r *Attempt, how plan.End, retry bool) {
+func (w *World) release(r *Attempt, how plan.AttemptEnd, retry bool) {
 	r.held, r.stopping, r.over = false, false, false
-	w.Planner.Release(r.id, how)
+	w.Planner.EndAttempt(r.id, how)
 	w.Check.released(r)
 	if !retry || w.given[r.id.Job] {
 		delete(w.runs, r.id)
@@ -284,7 +284,7 @@
 		return
 	}
 	r.waits = w.now
-	r.fresh = how.Lost
+	r.fresh = how.ServerLost
 	w.enqueue(r)
 }
 
@@ -295,12 +295,12 @@
 		return
 	}
 	r.stopping, r.why = true, why
-	w.Planner.Hold(plan.Held{ID: r.id, Job: r.spec, Accepted: r.accepted, Server: r.server, Since: r.since, Stopping: true})
+	w.Planner.SetPlaced(plan.PlacedTask{ID: r.id, Job: r.spec, AcceptedAt: r.accepted, Server: r.server, PlacedAt: r.since, Stopping: true})
 	n := r.attempts
 	w.At(w.now+orderDelay+checkpointTime, func() {
 		if r.held && r.attempts == n {
 			w.save(r)
-			w.release(r, plan.End{At: w.now, Ran: true}, true)
+			w.release(r, plan.AttemptEnd{EndedAt: w.now, Started: true}, true)
 		}
 	})
 }
@@ -327,7 +327,7 @@
 	for _, id := range w.order {
 		for _, r := range w.Check.on[id] {
 			if w.now-r.since > time.Second && r.used != r.spec.Size {
-				w.Planner.Use(r.id, r.used, w.now)
+				w.Planner.SetUsage(r.id, r.used, w.now)
 			}
 		}
 	}
@@ -361,7 +361,7 @@
 		r.why = "its server was lost"
 		w.save(r)
 		silent := max(w.dead[id], r.since)
-		w.release(r, plan.End{At: w.now, Ran: true, Lost: true}, true)
+		w.release(r, plan.AttemptEnd{EndedAt: w.now, Started: true, ServerLost: true}, true)
 		if silent == r.since && r.attempts == 1 {
 			silent = r.accepted
 		}
--- a/internal/policy/blame/blame.go
+++ b/internal/policy/blame/blame.go
@@ -5,9 +5,9 @@
 
 import "time"
 
-// Probation is how long after its order left a run may still crash its server by its
+// ProbationPeriod is how long after its order left a run may still crash its server by its
 // beginning. A task that is suspected begins apart from others that begin, for so long.
-const Probation = 250 * time.Millisecond
+const ProbationPeriod = 250 * time.Millisecond
 
 // Run is one run on a server that crashed.
 type Run struct {
@@ -24,7 +24,7 @@
 	most := uint32(0)
 	for i, r := range runs {
 		switch {
-		case r.Age > Probation || r.Blamed < most:
+		case r.Age > ProbationPeriod || r.Blamed < most:
 			continue
 		case r.Blamed > most:
 			most, out = r.Blamed, out[:0]
--- a/internal/policy/blame/blame_test.go
+++ b/internal/policy/blame/blame_test.go
@@ -23,7 +23,7 @@
 		"one has just begun":          {runs: []blame.Run{{Age: old}, {Age: young}, {Age: old, Blamed: 1}}, want: []int{1}},
 		"two have just begun":         {runs: []blame.Run{{Age: young}, {Age: young}}, want: []int{0, 1}},
 		"one was suspected before":    {runs: []blame.Run{{Age: young}, {Age: young, Blamed: 1}, {Age: young}}, want: []int{1}},
-		"the last one is on trial":    {runs: []blame.Run{{Age: blame.Probation + 1}, {Age: blame.Probation}}, want: []int{1}},
+		"the last one is on trial":    {runs: []blame.Run{{Age: blame.ProbationPeriod + 1}, {Age: blame.ProbationPeriod}}, want: []int{1}},
 		"two were suspected the same": {runs: []blame.Run{{Age: young, Blamed: 1}, {Age: young, Blamed: 1}}, want: []int{0, 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/policy/cell/books.go
+++ b/internal/policy/cell/books.go
@@ -27,7 +27,7 @@
 	// shown is the room that rack, zone and cell have been told of.
 	shown   capacity.Size
 	counted bool
-	spot    fit.Spot[*server]
+	spot    fit.Element[*server]
 	// rooms are the pieces of the urgent reserve on the server.
 	rooms int
 	// silent is when it was last found silent.
@@ -46,7 +46,7 @@
 
 type rack struct {
 	rackName
-	spot    fit.Spot[*rack]
+	spot    fit.Element[*rack]
 	zone    *zone
 	servers []*server
 	free    capacity.Size
@@ -94,14 +94,14 @@
 
 // holding is a task on a server.
 type holding struct {
-	plan.Held
+	plan.PlacedTask
 	work    *work
 	account *account
 	srv     *server
 	// size is max(declared, reported).
 	size capacity.Size
 	// queued is the wait that the placement ended.
-	queued plan.Queued
+	queued plan.WaitingTask
 	// attempts is the number of attempts made before.
 	attempts uint32
 	// assumed is true until the ledger confirms the placement.
@@ -123,8 +123,8 @@
 }
 
 func youngest(a, b *holding) bool {
-	if a.Since != b.Since {
-		return a.Since > b.Since
+	if a.PlacedAt != b.PlacedAt {
+		return a.PlacedAt > b.PlacedAt
 	}
 	return a.ID.Compare(b.ID) > 0
 }
@@ -192,7 +192,7 @@
 		}
 	}
 	z := &zone{name: name, index: fit.NewIndex[*server]()}
-	z.index.Any = p.lacks(BestFit)
+	z.index.FirstFit = p.lacks(BestFit)
 	z.index.Grow(p.most)
 	p.zones = append(p.zones, z)
 	return z
@@ -230,7 +230,7 @@
 		return
 	}
 	free := s.room()
-	s.rack.zone.index.Set(&s.spot, free)
+	s.rack.zone.index.Update(&s.spot, free)
 	if !free.Valid() {
 		free = capacity.Size{}
 	}
@@ -244,7 +244,7 @@
 // hide takes the server out of its zone's index.
 func (p *Planner) hide(s *server) {
 	if s.rack != nil {
-		s.rack.zone.index.Drop(&s.spot)
+		s.rack.zone.index.Remove(&s.spot)
 	}
 }
 
@@ -257,13 +257,13 @@
 	s.rack.free = s.rack.free.Add(more)
 	s.rack.zone.free = s.rack.zone.free.Add(more)
 	p.free = p.free.Add(more)
-	p.rackIndex.Set(&s.rack.spot, s.rack.free)
+	p.rackIndex.Update(&s.rack.spot, s.rack.free)
 }
 
 // put counts a task on a server.
-func (p *Planner) put(h plan.Held, s *server) *holding {
+func (p *Planner) put(h plan.PlacedTask, s *server) *holding {
 	w := p.work(h.ID.Job, h.Job)
-	n := &holding{Held: h, work: w, account: w.account, srv: s, size: h.Job.Size, pos: len(w.held)}
+	n := &holding{PlacedTask: h, work: w, account: w.account, srv: s, size: h.Job.Size, pos: len(w.held)}
 	w.held = append(w.held, n)
 	p.held[h.ID] = n
 	s.tasks = append(s.tasks, n)
@@ -342,7 +342,7 @@
 }
 
 // confirm takes over what the ledger says of a task that is held already.
-func (p *Planner) confirm(h *holding, told plan.Held) {
+func (p *Planner) confirm(h *holding, told plan.PlacedTask) {
 	h.assumed = false
 	if h.srv.ID != told.Server {
 		p.remove(h)
@@ -352,9 +352,9 @@
 	if told.Stopping && !h.Stopping {
 		p.stop(h)
 	}
-	if h.Since != told.Since {
+	if h.PlacedAt != told.PlacedAt {
 		h.withdraw()
-		h.Since = told.Since
+		h.PlacedAt = told.PlacedAt
 		h.offer()
 	}
 }
--- a/internal/policy/cell/cell.go
+++ b/internal/policy/cell/cell.go
@@ -22,79 +22,79 @@
 
 // Defaults of Config.
 const (
-	// DefaultDepth is the number of a team's waiting units that one decision looks at.
-	DefaultDepth = 16
-	// DefaultSlack is the part of the cell by which a team may miss its target
+	// DefaultScanDepth is the number of a team's waiting units that one decision looks at.
+	DefaultScanDepth = 16
+	// DefaultShareSlack is the part of the cell by which a team may miss its target
 	// before others are preempted for it.
-	DefaultSlack = 0.015
-	// DefaultRebalance is the time between two computations of the targets.
-	DefaultRebalance = 100 * time.Millisecond
-	// DefaultGrace is the time a throttled task is given to fall back to its size.
-	DefaultGrace = 10 * time.Second
-	// DefaultPatience is how long a gang gathers room before it preempts.
-	DefaultPatience = time.Second
+	DefaultShareSlack = 0.015
+	// DefaultRebalanceInterval is the time between two computations of the targets.
+	DefaultRebalanceInterval = 100 * time.Millisecond
+	// DefaultThrottleGrace is the time a throttled task is given to fall back to its size.
+	DefaultThrottleGrace = 10 * time.Second
+	// DefaultGangPreemptDelay is how long a gang gathers room before it preempts.
+	DefaultGangPreemptDelay = time.Second
 )
 
-// Part names a mechanism that a comparison can leave out.
-type Part uint32
+// Mechanism names a mechanism that a comparison can leave out.
+type Mechanism uint32
 
 // The parts.
 const (
-	// Reserve is the room kept free for urgent work.
-	Reserve Part = 1 << iota
-	// Reclaim is preemption for teams below their target.
-	Reclaim
+	// UrgentReserve is the room kept free for urgent work.
+	UrgentReserve Mechanism = 1 << iota
+	// SharePreempt is preemption for teams below their target.
+	SharePreempt
 	// UrgentPreempt is preemption for urgent work.
 	UrgentPreempt
-	// Estimates are the learned run times.
-	Estimates
-	// Reservation holds room together for gangs.
-	Reservation
+	// RuntimeEstimates are the learned run times.
+	RuntimeEstimates
+	// GangReservation holds room together for gangs.
+	GangReservation
 	// Quarantine takes failing servers out of use.
 	Quarantine
 	// BestFit prefers the tightest server to any.
 	BestFit
-	// Racks keeps gangs together.
-	Racks
-	// GangLead lets gangs go before their team's batch.
-	GangLead
-	// Shortest orders a team's work by expected run time as well as by age.
-	Shortest
+	// RackLocality keeps gangs together.
+	RackLocality
+	// GangPriority lets gangs go before their team's batch.
+	GangPriority
+	// ShortestFirst orders a team's work by expected run time as well as by age.
+	ShortestFirst
 )
 
 // Config tunes the planner; the zero value works.
 type Config struct {
 	// Seed feeds the jitter of backoff.
 	Seed uint64
-	// Depth is DefaultDepth when 0.
-	Depth int
-	// Slack is DefaultSlack when 0.
-	Slack float64
-	// Rebalance is DefaultRebalance when 0.
-	Rebalance time.Duration
-	// Grace is DefaultGrace when 0.
-	Grace time.Duration
-	// Patience is DefaultPatience when 0.
-	Patience time.Duration
-	// Without leaves parts out; for comparison only.
-	Without Part
+	// ScanDepth is DefaultDepth when 0.
+	ScanDepth int
+	// ShareSlack is DefaultSlack when 0.
+	ShareSlack float64
+	// RebalanceInterval is DefaultRebalance when 0.
+	RebalanceInterval time.Duration
+	// ThrottleGrace is DefaultGrace when 0.
+	ThrottleGrace time.Duration
+	// GangPreemptDelay is DefaultPatience when 0.
+	GangPreemptDelay time.Duration
+	// Disabled leaves parts out; for comparison only.
+	Disabled Mechanism
 }
 
 func (c Config) withDefaults() Config {
-	if c.Depth == 0 {
-		c.Depth = DefaultDepth
+	if c.ScanDepth == 0 {
+		c.ScanDepth = DefaultScanDepth
 	}
-	if c.Slack == 0 {
-		c.Slack = DefaultSlack
+	if c.ShareSlack == 0 {
+		c.ShareSlack = DefaultShareSlack
 	}
-	if c.Rebalance == 0 {
-		c.Rebalance = DefaultRebalance
+	if c.RebalanceInterval == 0 {
+		c.RebalanceInterval = DefaultRebalanceInterval
 	}
-	if c.Grace == 0 {
-		c.Grace = DefaultGrace
+	if c.ThrottleGrace == 0 {
+		c.ThrottleGrace = DefaultThrottleGrace
 	}
-	if c.Patience == 0 {
-		c.Patience = DefaultPatience
+	if c.GangPreemptDelay == 0 {
+		c.GangPreemptDelay = DefaultGangPreemptDelay
 	}
 	return c
 }
@@ -150,7 +150,7 @@
 	gangs   int
 
 	estimates *health.Estimates
-	guard     *health.Guard
+	guard     *health.FaultDetector
 
 	// What the next call of Decide has to look at.
 	assumed     []*holding
@@ -187,17 +187,17 @@
 		teams: map[string]*account{}, servers: map[string]*server{}, racks: map[rackName]*rack{}, sizes: map[capacity.Size]int{},
 		works: map[uint64]*work{}, held: map[task.ID]*holding{}, waits: map[task.ID]*unit{},
 		rackIndex: fit.NewIndex[*rack](),
-		estimates: health.NewEstimates(), guard: health.NewGuard(),
+		estimates: health.NewEstimates(), guard: health.NewFaultDetector(),
 	}
 	p.order = queue.New(func(c *account) string { return c.name }, neediest)
 	p.later = queue.New(unitKey, soonest)
 	p.never = queue.New(unitKey, oldest)
 	p.late = queue.New(unitKey, expiresFirst)
-	p.estimates.Off = p.lacks(Estimates)
+	p.estimates.Disabled = p.lacks(RuntimeEstimates)
 	return p
 }
 
-func (p *Planner) lacks(part Part) bool { return p.cfg.Without&part != 0 }
+func (p *Planner) lacks(part Mechanism) bool { return p.cfg.Disabled&part != 0 }
 
 // SetTable puts a new revision of the table in force. New limits bind the next
 // decision; what runs above a lowered one is preempted by the rule in excess.go.
@@ -227,7 +227,7 @@
 	p.touch(srv)
 	p.stale = true
 	if s.State != backend.Quarantined && old.State == backend.Quarantined || s.Incarnation != old.Incarnation {
-		p.guard.Leave(srv.num)
+		p.guard.Release(srv.num)
 	}
 	if missing(s) && !missing(old) {
 		srv.silent = s.Since
@@ -248,8 +248,8 @@
 	return s.State == backend.Suspect || s.State == backend.Gone
 }
 
-// Hold tells that a task was placed; it counts until Release.
-func (p *Planner) Hold(h plan.Held) {
+// SetPlaced tells that a task was placed; it counts until Release.
+func (p *Planner) SetPlaced(h plan.PlacedTask) {
 	if known := p.held[h.ID]; known != nil {
 		p.confirm(known, h)
 		return
@@ -258,9 +258,9 @@
 	p.put(h, p.server(h.Server))
 }
 
-// Use tells what a held task was reported to use. What it uses beyond its
+// SetUsage tells what a held task was reported to use. What it uses beyond its
 // declared size counts against its server and its team like the rest.
-func (p *Planner) Use(id task.ID, used capacity.Size, at time.Duration) {
+func (p *Planner) SetUsage(id task.ID, used capacity.Size, at time.Duration) {
 	h := p.held[id]
 	if h == nil || at < h.usedAt {
 		return
@@ -274,8 +274,8 @@
 	}
 }
 
-// Release tells that an attempt is proved to run no more.
-func (p *Planner) Release(id task.ID, how plan.End) {
+// EndAttempt tells that an attempt is proved to run no more.
+func (p *Planner) EndAttempt(id task.ID, how plan.AttemptEnd) {
 	h := p.held[id]
 	if h == nil {
 		return
@@ -288,21 +288,21 @@
 	p.tidy(h.work)
 }
 
-// Queue tells that a task waits to be placed. All tasks of a job that wait are
+// AddWaiting tells that a task waits to be placed. All tasks of a job that wait are
 // told of before the next Decide, so that a gang is seen whole.
-func (p *Planner) Queue(q plan.Queued) {
+func (p *Planner) AddWaiting(q plan.WaitingTask) {
 	if p.held[q.ID] != nil || p.waits[q.ID] != nil {
 		return
 	}
 	w := p.work(q.ID.Job, q.Job)
-	if w.budget.Spent() {
+	if w.budget.Exhausted() {
 		p.spent = append(p.spent, w)
 	}
 	p.enqueue(w, q)
 }
 
-// Unqueue tells that a task waits no more and was not placed.
-func (p *Planner) Unqueue(id task.ID) {
+// RemoveWaiting tells that a task waits no more and was not placed.
+func (p *Planner) RemoveWaiting(id task.ID) {
 	if u := p.waits[id]; u != nil {
 		p.dequeue(u, id)
 		p.tidy(u.work)
--- a/internal/policy/cell/cell_test.go
+++ b/internal/policy/cell/cell_test.go
@@ -215,11 +215,11 @@
 	p.SetTable(table.Restore(1, []team.Row{team.New("a")}))
 	p.SetServer(servers(1)[0])
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: one}
-	p.Queue(plan.Queued{ID: task.ID{Job: 1}, Job: spec})
+	p.AddWaiting(plan.WaitingTask{ID: task.ID{Job: 1}, Job: spec})
 	first := p.Decide(time.Second, 10)
 	second := p.Decide(2*time.Second, 10)
 	want(t, "the same decision again", first, second)
-	p.Hold(plan.Held{ID: task.ID{Job: 1}, Job: spec, Server: "s00", Since: 2 * time.Second})
+	p.SetPlaced(plan.PlacedTask{ID: task.ID{Job: 1}, Job: spec, Server: "s00", PlacedAt: 2 * time.Second})
 	want(t, "nothing after it is confirmed", 0, len(p.Decide(3*time.Second, 10)))
 }
 
--- a/internal/policy/cell/claim.go
+++ b/internal/policy/cell/claim.go
@@ -165,7 +165,7 @@
 	return func(h *holding) bool {
 		size := h.size
 		if h.Job.Whole() {
-			if p.now < h.Since+gangTerm {
+			if p.now < h.PlacedAt+gangTerm {
 				return false
 			}
 			size = size.Times(int64(len(h.work.held)))
@@ -183,7 +183,7 @@
 		v.look(u.work.account)
 	}
 	n := 0
-	p.order.EachDown(func(c *account) bool {
+	p.order.EachReverse(func(c *account) bool {
 		if c != u.work.account && c.victims.Len() > 0 {
 			v.look(c)
 			n++
@@ -209,7 +209,7 @@
 func (v *search) look(c *account) {
 	n := 0
 	c.victims.Each(func(h *holding) bool {
-		if n++; v.may(h) && !v.seen[h.srv] && h.srv.State == backend.Ready && !v.unit.work.budget.Avoids(h.srv.num) {
+		if n++; v.may(h) && !v.seen[h.srv] && h.srv.State == backend.Ready && !v.unit.work.budget.FailedOn(h.srv.num) {
 			v.seen[h.srv] = true
 			v.weigh(h.srv)
 		}
@@ -229,14 +229,14 @@
 	var candidates []preempt.Victim[*holding]
 	for _, h := range s.tasks {
 		if h.victim() && may(h) {
-			candidates = append(candidates, preempt.Victim[*holding]{Item: h, Room: h.size, Lost: p.lost(h)})
+			candidates = append(candidates, preempt.Victim[*holding]{Item: h, Freed: h.size, LostWork: p.lost(h)})
 		}
 	}
 	slices.SortStableFunc(candidates, func(a, b preempt.Victim[*holding]) int {
 		switch {
-		case a.Lost < b.Lost:
+		case a.LostWork < b.LostWork:
 			return -1
-		case a.Lost > b.Lost:
+		case a.LostWork > b.LostWork:
 			return 1
 		}
 		return 0
@@ -253,7 +253,7 @@
 // Each time that a job was preempted before makes it dearer, so that the same
 // youngest job is not stopped again and again.
 func (p *Planner) lost(h *holding) float64 {
-	one := preempt.Work(h.size.Dominant(p.total), h.Since, p.now)
+	one := preempt.LostWork(h.size.Dominant(p.total), h.PlacedAt, p.now)
 	if !h.Job.Whole() {
 		return one * float64(1+h.attempts)
 	}
@@ -276,5 +276,5 @@
 		return
 	}
 	p.stop(h)
-	p.emit(plan.Decision{Verb: plan.Preempt, Task: h.ID, Reason: reason})
+	p.emit(plan.Decision{Action: plan.Preempt, Task: h.ID, Reason: reason})
 }
--- a/internal/policy/cell/decide.go
+++ b/internal/policy/cell/decide.go
@@ -77,33 +77,33 @@
 
 // balance computes the targets anew when they may have moved.
 func (p *Planner) balance() {
-	if !p.stale && p.now-p.balanced < p.cfg.Rebalance {
+	if !p.stale && p.now-p.balanced < p.cfg.RebalanceInterval {
 		return
 	}
 	p.stale, p.balanced = false, p.now
-	p.reserve.Tick(p.now)
+	p.reserve.Advance(p.now)
 	accounts := make([]*account, 0, p.order.Len())
-	claims := make([]share.Claim, 0, p.order.Len())
+	claims := make([]share.Team, 0, p.order.Len())
 	p.order.Each(func(c *account) bool {
 		accounts = append(accounts, c)
 		claims = append(claims, p.claimOf(c))
 		return true
 	})
-	floors := share.Floors(claims)
+	floors := share.MinShares(claims)
 	for i, target := range share.Divide(claims) {
 		p.aim(accounts[i], target, floors[i])
 	}
 }
 
-func (p *Planner) claimOf(c *account) share.Claim {
+func (p *Planner) claimOf(c *account) share.Team {
 	if !c.known {
-		return share.Claim{}
+		return share.Team{}
 	}
 	want := clip(c.held.Add(c.wants).Sub(c.hopeless), c.row.Limit)
-	return share.Claim{
+	return share.Team{
 		Guarantee: float64(c.row.Share) / thousandth,
 		Weight:    float64(max(1, c.row.Weight)),
-		Want:      min(1, want.Dominant(p.total)),
+		Demand:    min(1, want.Dominant(p.total)),
 	}
 }
 
@@ -175,17 +175,17 @@
 // start places the unit's tasks on the servers, one each.
 func (p *Planner) start(u *unit, on []*server) {
 	p.dropClaim(u)
-	tasks := append([]plan.Queued(nil), u.tasks...)
+	tasks := append([]plan.WaitingTask(nil), u.tasks...)
 	places := make([]plan.Placement, len(tasks))
 	u.work.started = true
 	for i, q := range tasks {
 		p.dequeue(u, q.ID)
-		h := p.put(plan.Held{ID: q.ID, Job: q.Job, Accepted: q.Accepted, Server: on[i].ID, Since: p.now}, on[i])
+		h := p.put(plan.PlacedTask{ID: q.ID, Job: q.Job, AcceptedAt: q.AcceptedAt, Server: on[i].ID, PlacedAt: p.now}, on[i])
 		h.assumed, h.queued, h.attempts = true, q, q.Attempts
 		p.assumed = append(p.assumed, h)
 		places[i] = plan.Placement{Index: q.ID.Index, Server: on[i].ID}
 	}
-	p.emit(plan.Decision{Verb: plan.Place, Job: u.work.id, Places: places})
+	p.emit(plan.Decision{Action: plan.Place, Job: u.work.id, Placements: places})
 }
 
 // find returns the best server for one task of the unit.
@@ -207,13 +207,13 @@
 	if u.work.budget.Failures() == 0 {
 		return nil
 	}
-	return func(s *server) bool { return !u.work.budget.Avoids(s.num) }
+	return func(s *server) bool { return !u.work.budget.FailedOn(s.num) }
 }
 
 // best returns the best server of all zones.
 func (p *Planner) best(need capacity.Size, ok func(*server) bool) *server {
 	var found *server
-	bound := fit.Worst
+	bound := fit.WorstScore
 	for _, z := range p.zones {
 		if !need.Fits(z.free) {
 			continue
@@ -253,8 +253,8 @@
 
 // serve places the first unit of the team that fits.
 func (p *Planner) serve(c *account) bool {
-	p.scratch = c.queues[job.Service].First(p.cfg.Depth, p.scratch[:0])
-	p.scratch = c.queues[job.Batch].First(p.cfg.Depth, p.scratch)
+	p.scratch = c.queues[job.Service].AppendFirst(p.cfg.ScanDepth, p.scratch[:0])
+	p.scratch = c.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, p.scratch)
 	for _, u := range p.scratch {
 		if !p.eligible(u) {
 			continue
--- a/internal/policy/cell/fault_test.go
+++ b/internal/policy/cell/fault_test.go
@@ -246,10 +246,10 @@
 	next := uint64(1)
 	attempt := func(id uint64, name, server string, failed bool) {
 		spec := &job.Spec{Team: "a", Kind: job.Batch, Name: name, Count: 1, Size: one}
-		p.Hold(plan.Held{ID: task.ID{Job: id}, Job: spec, Server: server})
-		p.Release(task.ID{Job: id}, plan.End{Ran: true, Failed: failed})
+		p.SetPlaced(plan.PlacedTask{ID: task.ID{Job: id}, Job: spec, Server: server})
+		p.EndAttempt(task.ID{Job: id}, plan.AttemptEnd{Started: true, Failed: failed})
 		if failed && id == 1 {
-			p.Queue(plan.Queued{ID: task.ID{Job: 1}, Job: spec, Attempts: 1})
+			p.AddWaiting(plan.WaitingTask{ID: task.ID{Job: 1}, Job: spec, Attempts: 1})
 		}
 	}
 	for range 20 {
@@ -267,10 +267,10 @@
 			attempt(next, "good", "s39", false)
 		}
 		for _, d := range p.Decide(time.Duration(i)*time.Millisecond, 100) {
-			if d.Verb == plan.Park {
+			if d.Action == plan.Park {
 				t.Fatalf("after %d servers: %+v", i+1, d)
 			}
-			if d.Verb == plan.Quarantine {
+			if d.Action == plan.Quarantine {
 				p.SetServer(list[i].WithState(backend.Quarantined, 0))
 			}
 		}
@@ -291,7 +291,7 @@
 	now := time.Minute
 	for n := 1; n <= 8; n++ {
 		for i := range tasks {
-			p.Hold(plan.Held{ID: task.ID{Job: 1, Index: i}, Job: spec, Server: list[n*4+int(i)%4].ID, Since: now})
+			p.SetPlaced(plan.PlacedTask{ID: task.ID{Job: 1, Index: i}, Job: spec, Server: list[n*4+int(i)%4].ID, PlacedAt: now})
 		}
 		silent := now + age
 		now = silent + 15*time.Second
@@ -300,13 +300,13 @@
 			p.SetServer(s.WithState(backend.Gone, now))
 		}
 		for i := range tasks {
-			p.Release(task.ID{Job: 1, Index: i}, plan.End{At: now, Ran: true, Lost: true})
+			p.EndAttempt(task.ID{Job: 1, Index: i}, plan.AttemptEnd{EndedAt: now, Started: true, ServerLost: true})
 		}
 		for i := range tasks {
-			p.Queue(plan.Queued{ID: task.ID{Job: 1, Index: i}, Job: spec, Attempts: uint32(n)})
+			p.AddWaiting(plan.WaitingTask{ID: task.ID{Job: 1, Index: i}, Job: spec, Attempts: uint32(n)})
 		}
 		for _, d := range p.Decide(now, 100) {
-			if d.Verb == plan.Park {
+			if d.Action == plan.Park {
 				return n
 			}
 		}
--- a/internal/policy/cell/gang.go
+++ b/internal/policy/cell/gang.go
@@ -44,11 +44,11 @@
 }
 
 func (p *Planner) inRack(u *unit) []*server {
-	if p.lacks(Racks) {
+	if p.lacks(RackLocality) {
 		return nil
 	}
 	need, n := u.work.spec.Size, len(u.tasks)
-	r, _, ok := p.rackIndex.Best(u.size(), fit.Worst, func(r *rack) bool { return p.holds(r, u, need, n) })
+	r, _, ok := p.rackIndex.Best(u.size(), fit.WorstScore, func(r *rack) bool { return p.holds(r, u, need, n) })
 	if !ok {
 		return nil
 	}
@@ -80,7 +80,7 @@
 
 // times returns how many tasks of the unit the server has room for.
 func (p *Planner) times(s *server, u *unit, need capacity.Size) int {
-	if s.State != backend.Ready || u.work.budget.Avoids(s.num) {
+	if s.State != backend.Ready || u.work.budget.FailedOn(s.num) {
 		return 0
 	}
 	return times(need, s.room())
@@ -105,7 +105,7 @@
 }
 
 func (p *Planner) inZone(u *unit) []*server {
-	if p.lacks(Racks) {
+	if p.lacks(RackLocality) {
 		return nil
 	}
 	zones := slices.Clone(p.zones)
@@ -136,10 +136,10 @@
 		}
 		on = append(on, s)
 		taken[s]++
-		s.rack.zone.index.Set(&s.spot, s.room().Sub(need.Times(taken[s])))
+		s.rack.zone.index.Update(&s.spot, s.room().Sub(need.Times(taken[s])))
 	}
 	for _, s := range on {
-		s.rack.zone.index.Set(&s.spot, s.room())
+		s.rack.zone.index.Update(&s.spot, s.room())
 	}
 	if len(on) < len(u.tasks) {
 		return nil
@@ -149,7 +149,7 @@
 
 // victimsAt looks for victims in the gang's zone first.
 func (p *Planner) victimsAt(home *zone, u *unit, own bool, may rule) (*server, []*holding) {
-	if home != nil && !p.lacks(Racks) {
+	if home != nil && !p.lacks(RackLocality) {
 		near := func(h *holding) bool { return h.srv.rack.zone == home && may(h) }
 		if srv, stop := p.victims(u, u.need, own, near); srv != nil {
 			return srv, stop
@@ -163,7 +163,7 @@
 	if z == nil {
 		return p.best(need, ok)
 	}
-	s, _, _ := z.index.Best(need, fit.Worst, ok)
+	s, _, _ := z.index.Best(need, fit.WorstScore, ok)
 	return s
 }
 
@@ -172,7 +172,7 @@
 // team pays for the room from its share, and smaller work does not take each
 // piece as it becomes free. A team gathers for one gang at a time.
 func (p *Planner) gather(u *unit) bool {
-	if p.lacks(Reservation) || !p.mayGather(u) {
+	if p.lacks(GangReservation) || !p.mayGather(u) {
 		return false
 	}
 	need := u.work.spec.Size
@@ -180,10 +180,10 @@
 		return false
 	}
 	home := u.home()
-	if p.lacks(Racks) {
+	if p.lacks(RackLocality) {
 		home = nil
 	}
-	if home == nil && !p.lacks(Racks) {
+	if home == nil && !p.lacks(RackLocality) {
 		home = p.roomyZone()
 	}
 	s := p.bestIn(home, need, u.accepts())
@@ -242,11 +242,11 @@
 
 // beginFirst lets the team's first gang begin.
 func (p *Planner) beginFirst(c *account) {
-	for _, u := range c.queues[job.Batch].First(p.cfg.Depth, nil) {
+	for _, u := range c.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, nil) {
 		if !u.work.spec.Whole() || !p.eligible(u) {
 			continue
 		}
-		if p.now >= u.since+p.cfg.Patience && p.mayGather(u) {
+		if p.now >= u.since+p.cfg.GangPreemptDelay && p.mayGather(u) {
 			p.keepByForce(u, true)
 		}
 		return
@@ -258,7 +258,7 @@
 // their due. Without this a few long tasks would hold up the gang, and the room
 // kept for it, for as long.
 func (p *Planner) hasten(c *claim) {
-	if p.now < c.made+p.cfg.Patience || p.now < c.forced+forcePeriod || p.lacks(Reclaim) {
+	if p.now < c.made+p.cfg.GangPreemptDelay || p.now < c.forced+forcePeriod || p.lacks(SharePreempt) {
 		return
 	}
 	c.forced = p.now
@@ -282,10 +282,10 @@
 
 // keepByForce keeps a piece of room for the gang that victims have to leave.
 func (p *Planner) keepByForce(u *unit, own bool) bool {
-	may := p.overdue(p.cfg.Slack / 2)
+	may := p.overdue(p.cfg.ShareSlack / 2)
 	if own {
 		due, c := may, u.work.account
-		poor := p.within(c, u.need) && c.held.Add(c.coming).Sub(u.kept()).Sub(c.leaving).Dominant(p.total) <= c.fair+p.cfg.Slack
+		poor := p.within(c, u.need) && c.held.Add(c.coming).Sub(u.kept()).Sub(c.leaving).Dominant(p.total) <= c.fair+p.cfg.ShareSlack
 		may = func(h *holding) bool { return h.account == c && !h.Job.Whole() || poor && due(h) }
 	}
 	srv, stop := p.victimsAt(u.home(), u, own, may)
@@ -301,7 +301,7 @@
 
 // loosen handles the end of one task of a gang: the rest cannot go on without it
 // if it has to run again, and is stopped so that the gang starts anew as a whole.
-func (p *Planner) loosen(h *holding, how plan.End) {
+func (p *Planner) loosen(h *holding, how plan.AttemptEnd) {
 	w := h.work
 	if len(w.held) == 0 {
 		if w.gang != nil {
@@ -309,7 +309,7 @@
 		}
 		return
 	}
-	if (how.Failed || how.Lost || h.Stopping) && !h.Job.Once {
+	if (how.Failed || how.ServerLost || h.Stopping) && !h.Job.Once {
 		p.broken = append(p.broken, w)
 	}
 }
--- a/internal/policy/cell/reclaim.go
+++ b/internal/policy/cell/reclaim.go
@@ -18,13 +18,13 @@
 // reclaim preempts, for teams below their due, the cheapest tasks of teams above
 // theirs.
 func (p *Planner) reclaim() {
-	if p.lacks(Reclaim) || p.full() || p.now < p.reclaims+reclaimPeriod {
+	if p.lacks(SharePreempt) || p.full() || p.now < p.reclaims+reclaimPeriod {
 		return
 	}
 	p.reclaims = p.now
 	var poor []*account
 	p.order.Each(func(c *account) bool {
-		if c.known && p.lack(c) > p.cfg.Slack && c.queues[job.Batch].Len()+c.queues[job.Service].Len() > 0 {
+		if c.known && p.lack(c) > p.cfg.ShareSlack && c.queues[job.Batch].Len()+c.queues[job.Service].Len() > 0 {
 			poor = append(poor, c)
 		}
 		return c.ratio < 1
@@ -45,17 +45,17 @@
 // reclaimFor makes claims for the team until its lack is covered or left is used
 // up, and returns the rest of left.
 func (p *Planner) reclaimFor(c *account, left int) int {
-	units := c.queues[job.Service].First(mostReclaims, nil)
-	units = c.queues[job.Batch].First(p.cfg.Depth, units)
+	units := c.queues[job.Service].AppendFirst(mostReclaims, nil)
+	units = c.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, units)
 	for _, u := range units {
-		if left == 0 || p.full() || p.lack(c) <= p.cfg.Slack {
+		if left == 0 || p.full() || p.lack(c) <= p.cfg.ShareSlack {
 			return left
 		}
 		if !p.eligible(u) {
 			continue
 		}
 		if u.work.spec.Whole() {
-			for left > 0 && p.lack(c) > p.cfg.Slack && p.mayGather(u) && !p.full() {
+			for left > 0 && p.lack(c) > p.cfg.ShareSlack && p.mayGather(u) && !p.full() {
 				left--
 				if !p.keepByForce(u, false) {
 					break
@@ -64,7 +64,7 @@
 			continue
 		}
 		left--
-		srv, stop := p.victims(u, u.work.spec.Size, false, p.overdue(p.cfg.Slack/2))
+		srv, stop := p.victims(u, u.work.spec.Size, false, p.overdue(p.cfg.ShareSlack/2))
 		if srv == nil {
 			continue
 		}
--- a/internal/policy/cell/service.go
+++ b/internal/policy/cell/service.go
@@ -74,7 +74,7 @@
 		return nil
 	}
 	return p.bestIn(z, u.work.spec.Size, func(s *server) bool {
-		return racks[s.rack] == 0 && !u.work.budget.Avoids(s.num)
+		return racks[s.rack] == 0 && !u.work.budget.FailedOn(s.num)
 	})
 }
 
--- a/internal/policy/cell/urgent.go
+++ b/internal/policy/cell/urgent.go
@@ -40,7 +40,7 @@
 	})
 	searches, vain := 0, 0
 	for _, c := range accounts {
-		waiting := c.queues[job.Urgent].First(urgentDepth, nil)
+		waiting := c.queues[job.Urgent].AppendFirst(urgentDepth, nil)
 		for i, u := range waiting {
 			if p.full() || vain == mostVain {
 				return
@@ -70,7 +70,7 @@
 		return true
 	}
 	for _, r := range p.rooms {
-		if r.srv.State != backend.Ready || u.work.budget.Avoids(r.srv.num) || !need.Fits(r.srv.room().Add(r.size)) {
+		if r.srv.State != backend.Ready || u.work.budget.FailedOn(r.srv.num) || !need.Fits(r.srv.room().Add(r.size)) {
 			continue
 		}
 		p.dropRoom(r)
@@ -111,9 +111,9 @@
 		return
 	}
 	c := u.work.account
-	poor := c.held.Sub(c.leaving).Dominant(p.total) <= c.fair+p.cfg.Slack
+	poor := c.held.Sub(c.leaving).Dominant(p.total) <= c.fair+p.cfg.ShareSlack
 	may := func(h *holding) bool {
-		return h.account == c || poor && p.overdue(2*p.cfg.Slack)(h)
+		return h.account == c || poor && p.overdue(2*p.cfg.ShareSlack)(h)
 	}
 	srv, stop := p.victims(u, u.work.spec.Size, true, may)
 	if srv == nil {
@@ -128,7 +128,7 @@
 // fillReserve keeps the reserve at its size, spread over the zones, so that the
 // loss of one leaves most of it.
 func (p *Planner) fillReserve() {
-	if p.lacks(Reserve) {
+	if p.lacks(UrgentReserve) {
 		return
 	}
 	n, size := p.reserve.Target(p.total)
--- a/internal/policy/cell/watch.go
+++ b/internal/policy/cell/watch.go
@@ -67,10 +67,10 @@
 	}
 	if h.throttled == 0 && (!hard || h.Job.Once) {
 		h.throttled = max(p.now, 1)
-		p.emit(plan.Decision{Verb: plan.Throttle, Task: h.ID, Reason: "uses more than it declared"})
+		p.emit(plan.Decision{Action: plan.Throttle, Task: h.ID, Reason: "uses more than it declared"})
 		return false
 	}
-	grace := p.cfg.Grace
+	grace := p.cfg.ThrottleGrace
 	if tight {
 		grace = shortGrace
 	}
@@ -79,7 +79,7 @@
 	}
 	p.stop(h)
 	h.curbed = true
-	p.emit(plan.Decision{Verb: plan.Stop, Task: h.ID, Reason: "uses more than it declared"})
+	p.emit(plan.Decision{Action: plan.Stop, Task: h.ID, Reason: "uses more than it declared"})
 	return true
 }
 
@@ -95,36 +95,36 @@
 
 // learn takes note of how an attempt ended. What was stopped on purpose says nothing about
 // job or server, and what went away with its server only where it had just begun.
-func (p *Planner) learn(h *holding, how plan.End) {
-	if h.curbed && !how.Lost {
-		h.work.budget.Exceed()
+func (p *Planner) learn(h *holding, how plan.AttemptEnd) {
+	if h.curbed && !how.ServerLost {
+		h.work.budget.RecordStop()
 	}
 	switch {
-	case how.Lost:
-		h.work.budget.Lose(h.ID.Index, h.srv.silent-h.Since)
+	case how.ServerLost:
+		h.work.budget.RecordServerLoss(h.ID.Index, h.srv.silent-h.PlacedAt)
 		return
-	case !how.Ran || h.Stopping:
+	case !how.Started || h.Stopping:
 		return
 	}
-	h.work.budget.Outlive(h.ID.Index)
-	name := health.NameOf(h.Job)
+	h.work.budget.ResetCrashes(h.ID.Index)
+	name := health.JobNameOf(h.Job)
 	if !how.Failed {
-		p.estimates.Learn(h.Job, how.At-h.Since)
-		p.guard.Succeed(name, h.srv.num)
+		p.estimates.Observe(h.Job, how.EndedAt-h.PlacedAt)
+		p.guard.RecordSuccess(name, h.srv.num)
 		return
 	}
-	p.guard.Fail(name, h.srv.num, how.At)
+	p.guard.RecordFailure(name, h.srv.num, how.EndedAt)
 	if h.srv.State != backend.Quarantined {
-		h.work.budget.Fail(h.srv.num)
+		h.work.budget.RecordFailure(h.srv.num)
 	}
-	if p.guard.Suspects(h.srv.num, len(p.list)) {
+	if p.guard.ShouldQuarantine(h.srv.num, len(p.list)) {
 		p.suspects = append(p.suspects, h.srv)
 	}
 }
 
 // confine notes that the server is in quarantine.
 func (p *Planner) confine(s *server, since time.Duration) {
-	p.guard.Enter(s.num, since)
+	p.guard.Quarantine(s.num, since)
 	if !slices.Contains(p.quarantined, s) {
 		p.quarantined = append(p.quarantined, s)
 	}
@@ -133,16 +133,16 @@
 // watchServers takes failing servers out of use and brings sound ones back.
 func (p *Planner) watchServers() {
 	for _, s := range p.suspects {
-		if s.State == backend.Ready && p.guard.Suspects(s.num, len(p.list)) && !p.lacks(Quarantine) {
+		if s.State == backend.Ready && p.guard.ShouldQuarantine(s.num, len(p.list)) && !p.lacks(Quarantine) {
 			p.quarantine(s)
 		}
 	}
 	p.suspects = p.suspects[:0]
 	p.quarantined = slices.DeleteFunc(p.quarantined, func(s *server) bool { return s.State != backend.Quarantined })
 	for _, s := range p.quarantined {
-		if p.guard.Sound(s.num) && (s.restored == 0 || p.now >= s.restored+again) {
+		if p.guard.Recovered(s.num) && (s.restored == 0 || p.now >= s.restored+again) {
 			s.restored = max(p.now, 1)
-			p.emit(plan.Decision{Verb: plan.Restore, Server: s.ID, Reason: "its probes succeeded"})
+			p.emit(plan.Decision{Action: plan.Restore, Server: s.ID, Reason: "its probes succeeded"})
 		}
 	}
 }
@@ -154,20 +154,20 @@
 	p.confine(s, p.now)
 	p.touch(s)
 	for _, w := range p.works {
-		w.budget.Forgive(s.num)
+		w.budget.RemoveFailures(s.num)
 	}
-	p.emit(plan.Decision{Verb: plan.Quarantine, Server: s.ID, Reason: "fails what runs elsewhere"})
+	p.emit(plan.Decision{Action: plan.Quarantine, Server: s.ID, Reason: "fails what runs elsewhere"})
 }
 
 // park gives up jobs that failed too often.
 func (p *Planner) park() {
 	for _, w := range p.spent {
-		if w.given || !w.budget.Spent() || p.works[w.id] != w {
+		if w.given || !w.budget.Exhausted() || p.works[w.id] != w {
 			continue
 		}
 		w.given = true
 		p.shelve(w)
-		p.emit(plan.Decision{Verb: plan.Park, Job: w.id, Reason: w.budget.Reason()})
+		p.emit(plan.Decision{Action: plan.Park, Job: w.id, Reason: w.budget.Reason()})
 	}
 	p.spent = p.spent[:0]
 }
@@ -198,7 +198,7 @@
 		}
 		w.given = true
 		p.shelve(w)
-		p.emit(plan.Decision{Verb: plan.Drop, Job: w.id, Reason: "deadline passed"})
+		p.emit(plan.Decision{Action: plan.Drop, Job: w.id, Reason: "deadline passed"})
 	}
 }
 
@@ -209,7 +209,7 @@
 		if p.full() {
 			return
 		}
-		if s.State != backend.Quarantined || !p.guard.Probe(s.num, p.now) || len(s.tasks) > 0 {
+		if s.State != backend.Quarantined || !p.guard.MayProbe(s.num, p.now) || len(s.tasks) > 0 {
 			continue
 		}
 		if u := p.probeWith(s); u != nil {
@@ -222,7 +222,7 @@
 func (p *Planner) probeWith(s *server) *unit {
 	var found *unit
 	p.order.Each(func(c *account) bool {
-		for _, u := range c.queues[job.Batch].First(p.cfg.Depth, nil) {
+		for _, u := range c.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, nil) {
 			spec := u.work.spec
 			if !spec.Once && !spec.Whole() && u.claim == nil && u.work.budget.Failures() == 0 && spec.Size.Fits(s.room()) && p.within(c, spec.Size) {
 				found = u
--- a/internal/policy/cell/work.go
+++ b/internal/policy/cell/work.go
@@ -57,7 +57,7 @@
 type unit struct {
 	id    task.ID
 	work  *work
-	tasks []plan.Queued
+	tasks []plan.WaitingTask
 	// need is the size of each task.
 	need  capacity.Size
 	ready time.Duration
@@ -83,7 +83,7 @@
 	return a.seq < b.seq
 }
 
-func (u *unit) expires() time.Duration { return u.tasks[0].Accepted + u.work.spec.Deadline }
+func (u *unit) expires() time.Duration { return u.tasks[0].AcceptedAt + u.work.spec.Deadline }
 
 func expiresFirst(a, b *unit) bool {
 	if x, y := a.expires(), b.expires(); x != y {
@@ -130,9 +130,9 @@
 	p.idle = p.idle[:0]
 }
 
-func (p *Planner) enqueue(w *work, q plan.Queued) {
+func (p *Planner) enqueue(w *work, q plan.WaitingTask) {
 	if w.budget.Failures() > 0 {
-		q.Ready = max(q.Ready, p.now+w.budget.Backoff(p.rng))
+		q.ReadyAt = max(q.ReadyAt, p.now+w.budget.Backoff(p.rng))
 	}
 	w.started = w.started || q.Attempts > 0
 	w.waits++
@@ -149,7 +149,7 @@
 		p.detach(u)
 	}
 	u.tasks = append(u.tasks, q)
-	u.ready = max(u.ready, q.Ready)
+	u.ready = max(u.ready, q.ReadyAt)
 	p.waits[q.ID] = u
 	p.refresh(u)
 }
@@ -203,7 +203,7 @@
 	if u.where == inNever {
 		u.work.account.hopeless = u.work.account.hopeless.Sub(u.work.spec.Size)
 	}
-	u.tasks = slices.DeleteFunc(u.tasks, func(q plan.Queued) bool { return q.ID == id })
+	u.tasks = slices.DeleteFunc(u.tasks, func(q plan.WaitingTask) bool { return q.ID == id })
 }
 
 // possible tells whether any server known could hold a task of that size alone.
@@ -296,7 +296,7 @@
 	if u.work.spec.Kind == job.Urgent {
 		p.urgent++
 		if !u.work.started {
-			p.reserve.Arrive(p.now, u.work.spec.Size)
+			p.reserve.RecordArrival(p.now, u.work.spec.Size)
 		}
 		return
 	}
@@ -314,15 +314,15 @@
 // but nothing is overtaken by what came later than orderWeight times its own
 // expected run time, or than orderMost. Gangs go before.
 func (p *Planner) rank(u *unit) time.Duration {
-	at := u.tasks[0].Accepted
+	at := u.tasks[0].AcceptedAt
 	switch k := u.work.spec.Kind; {
 	case k == job.Urgent || k == job.Service:
 		return at
-	case k == job.Gang && !p.lacks(GangLead):
+	case k == job.Gang && !p.lacks(GangPriority):
 		at -= gangLead
 	}
-	if p.lacks(Shortest) {
+	if p.lacks(ShortestFirst) {
 		return at
 	}
-	return at + min(orderWeight*p.estimates.Runtime(u.work.spec), orderMost)
+	return at + min(orderWeight*p.estimates.ExpectedRuntime(u.work.spec), orderMost)
 }
--- a/internal/policy/fifo/fifo.go
+++ b/internal/policy/fifo/fifo.go
@@ -17,13 +17,13 @@
 
 // Planner places in order of arrival on the first server with room.
 type Planner struct {
-	// Before orders the waiting tasks instead of their arrival, if it is set.
-	Before func(a, b plan.Queued) bool
+	// Less orders the waiting tasks instead of their arrival, if it is set.
+	Less func(a, b plan.WaitingTask) bool
 
 	table   table.Table
 	servers []*server
-	waiting []plan.Queued
-	held    map[task.ID]plan.Held
+	waiting []plan.WaitingTask
+	held    map[task.ID]plan.PlacedTask
 	teams   map[string]capacity.Size
 }
 
@@ -36,7 +36,7 @@
 
 // New returns a planner that knows nothing yet.
 func New() *Planner {
-	return &Planner{held: map[task.ID]plan.Held{}, teams: map[string]capacity.Size{}}
+	return &Planner{held: map[task.ID]plan.PlacedTask{}, teams: map[string]capacity.Size{}}
 }
 
 // SetTable puts a new revision of the table in force.
@@ -52,27 +52,27 @@
 	p.servers = slices.Insert(p.servers, at, &server{Server: s})
 }
 
-// Queue adds a waiting task.
-func (p *Planner) Queue(q plan.Queued) {
+// AddWaiting adds a waiting task.
+func (p *Planner) AddWaiting(q plan.WaitingTask) {
 	at := len(p.waiting)
-	for p.Before != nil && at > 0 && p.Before(q, p.waiting[at-1]) {
+	for p.Less != nil && at > 0 && p.Less(q, p.waiting[at-1]) {
 		at--
 	}
 	p.waiting = slices.Insert(p.waiting, at, q)
 }
 
-// Unqueue forgets a waiting task.
-func (p *Planner) Unqueue(id task.ID) {
-	p.waiting = slices.DeleteFunc(p.waiting, func(q plan.Queued) bool { return q.ID == id })
+// RemoveWaiting forgets a waiting task.
+func (p *Planner) RemoveWaiting(id task.ID) {
+	p.waiting = slices.DeleteFunc(p.waiting, func(q plan.WaitingTask) bool { return q.ID == id })
 }
 
-// Hold counts a placed task; it waits no more.
-func (p *Planner) Hold(h plan.Held) {
+// SetPlaced counts a placed task; it waits no more.
+func (p *Planner) SetPlaced(h plan.PlacedTask) {
 	if _, ok := p.held[h.ID]; ok {
 		p.held[h.ID] = h
 		return
 	}
-	p.Unqueue(h.ID)
+	p.RemoveWaiting(h.ID)
 	p.held[h.ID] = h
 	p.teams[h.Job.Team] = p.teams[h.Job.Team].Add(h.Job.Size)
 	if s := p.find(h.Server); s != nil {
@@ -80,11 +80,11 @@
 	}
 }
 
-// Use is ignored: this planner goes by declared sizes alone.
-func (p *Planner) Use(task.ID, capacity.Size, time.Duration) {}
+// SetUsage is ignored: this planner goes by declared sizes alone.
+func (p *Planner) SetUsage(task.ID, capacity.Size, time.Duration) {}
 
-// Release gives a placed task's capacity back.
-func (p *Planner) Release(id task.ID, _ plan.End) {
+// EndAttempt gives a placed task's capacity back.
+func (p *Planner) EndAttempt(id task.ID, _ plan.AttemptEnd) {
 	h, ok := p.held[id]
 	if !ok {
 		return
@@ -115,12 +115,12 @@
 }
 
 // decide handles one unit: a single task, or a gang that waits as a run of tasks.
-func (p *Planner) decide(now time.Duration, unit []plan.Queued, taken, teams map[string]capacity.Size) (plan.Decision, bool) {
+func (p *Planner) decide(now time.Duration, unit []plan.WaitingTask, taken, teams map[string]capacity.Size) (plan.Decision, bool) {
 	spec := unit[0].Job
-	if spec.Deadline > 0 && unit[0].Attempts == 0 && now > unit[0].Accepted+spec.Deadline {
-		return plan.Decision{Verb: plan.Drop, Job: unit[0].ID.Job, Reason: "deadline passed"}, true
+	if spec.Deadline > 0 && unit[0].Attempts == 0 && now > unit[0].AcceptedAt+spec.Deadline {
+		return plan.Decision{Action: plan.Drop, Job: unit[0].ID.Job, Reason: "deadline passed"}, true
 	}
-	if unit[0].Ready > now || (spec.Whole() && len(unit) != int(spec.Count)) {
+	if unit[0].ReadyAt > now || (spec.Whole() && len(unit) != int(spec.Count)) {
 		return plan.Decision{}, false
 	}
 	total := spec.Size.Times(int64(len(unit)))
@@ -135,10 +135,10 @@
 		taken[l.Server] = taken[l.Server].Add(spec.Size)
 	}
 	teams[spec.Team] = teams[spec.Team].Add(total)
-	return plan.Decision{Verb: plan.Place, Job: unit[0].ID.Job, Places: places}, true
+	return plan.Decision{Action: plan.Place, Job: unit[0].ID.Job, Placements: places}, true
 }
 
-func (p *Planner) fit(unit []plan.Queued, taken map[string]capacity.Size) ([]plan.Placement, bool) {
+func (p *Planner) fit(unit []plan.WaitingTask, taken map[string]capacity.Size) ([]plan.Placement, bool) {
 	size := unit[0].Job.Size
 	own := map[string]capacity.Size{}
 	var places []plan.Placement
--- a/internal/policy/fit/fit.go
+++ b/internal/policy/fit/fit.go
@@ -17,11 +17,11 @@
 // without need of them would block.
 const accelWaste = 1.0
 
-// Worst is a score that every place beats.
-var Worst = math.Inf(1)
+// WorstScore is a score that every place beats.
+var WorstScore = math.Inf(1)
 
-// Spot is an item's place in an index.
-type Spot[T any] struct {
+// Element is an item's place in an index.
+type Element[T any] struct {
 	// Item is what is placed on, a server or a rack.
 	Item T
 	free capacity.Size
@@ -31,12 +31,12 @@
 
 // Index holds the free room of items.
 type Index[T any] struct {
-	// Any takes the first cell that fits in place of the best; for comparison only.
-	Any   bool
-	most  capacity.Size
-	unit  capacity.Size
-	cells map[level]*cell[T]
-	heads []head[T]
+	// FirstFit takes the first cell that fits in place of the best; for comparison only.
+	FirstFit bool
+	most     capacity.Size
+	unit     capacity.Size
+	cells    map[level]*cell[T]
+	heads    []head[T]
 }
 
 // head is what a search reads of every cell; heads lie side by side in memory.
@@ -53,7 +53,7 @@
 // cell holds the items whose free room is on one level.
 type cell[T any] struct {
 	level level
-	spots []*Spot[T]
+	spots []*Element[T]
 	pos   int
 }
 
@@ -80,8 +80,8 @@
 
 func step(most int64) int64 { return max(1, (most+Levels-1)/Levels) }
 
-// Set puts the spot's free room in; one with a negative field is never found.
-func (x *Index[T]) Set(s *Spot[T], free capacity.Size) {
+// Update puts the spot's free room in; one with a negative field is never found.
+func (x *Index[T]) Update(s *Element[T], free capacity.Size) {
 	if s.cell != nil && s.free == free {
 		return
 	}
@@ -90,15 +90,15 @@
 		x.raise(s.cell, free)
 		return
 	}
-	x.Drop(s)
+	x.Remove(s)
 	if free.Valid() {
 		s.free = free
 		x.insert(s)
 	}
 }
 
-// Drop takes the spot out.
-func (x *Index[T]) Drop(s *Spot[T]) {
+// Remove takes the spot out.
+func (x *Index[T]) Remove(s *Element[T]) {
 	c := s.cell
 	if c == nil {
 		return
@@ -121,7 +121,7 @@
 	delete(x.cells, c.level)
 }
 
-func (x *Index[T]) insert(s *Spot[T]) {
+func (x *Index[T]) insert(s *Element[T]) {
 	l := x.level(s.free)
 	c := x.cells[l]
 	if c == nil {
@@ -149,14 +149,14 @@
 	}
 }
 
-// Cells returns the number of cells that a search looks at.
-func (x *Index[T]) Cells() int { return len(x.heads) }
+// BucketCount returns the number of cells that a search looks at.
+func (x *Index[T]) BucketCount() int { return len(x.heads) }
 
 // Best returns the item on which need leaves the smallest dominant remainder,
 // within the accuracy of a cell, among those that ok accepts, and its score. Only
 // items that score below bound are found; ok may be nil.
 func (x *Index[T]) Best(need capacity.Size, bound float64, ok func(T) bool) (T, float64, bool) {
-	var best *Spot[T]
+	var best *Element[T]
 	for i := range x.heads {
 		h := &x.heads[i]
 		if !need.Fits(h.high) {
@@ -171,7 +171,7 @@
 			continue
 		}
 		best, bound = s, score
-		if x.Any {
+		if x.FirstFit {
 			break
 		}
 	}
@@ -184,7 +184,7 @@
 
 // pick returns a spot of the cell with room for need. When none has it, the
 // cell's bound is set anew, so that the next search passes the cell over.
-func (h *head[T]) pick(need capacity.Size, ok func(T) bool) *Spot[T] {
+func (h *head[T]) pick(need capacity.Size, ok func(T) bool) *Element[T] {
 	var high capacity.Size
 	for _, s := range h.cell.spots {
 		if need.Fits(s.free) && (ok == nil || ok(s.Item)) {
--- a/internal/policy/fit/fit_test.go
+++ b/internal/policy/fit/fit_test.go
@@ -37,29 +37,29 @@
 		x := fit.NewIndex[int]()
 		x.Grow(most)
 		free := make([]capacity.Size, rapid.IntRange(1, 30).Draw(t, "servers"))
-		spots := make([]fit.Spot[int], len(free))
+		spots := make([]fit.Element[int], len(free))
 		for range rapid.IntRange(1, 80).Draw(t, "changes") {
 			i := rapid.IntRange(0, len(free)-1).Draw(t, "server")
 			spots[i].Item = i
 			free[i] = size(t, "free")
-			x.Set(&spots[i], free[i])
+			x.Update(&spots[i], free[i])
 			check(t, x, free, size(t, "need"))
 		}
 	})
 }
 
 func check(t *rapid.T, x *fit.Index[int], free []capacity.Size, need capacity.Size) {
-	best := fit.Worst
+	best := fit.WorstScore
 	for _, f := range free {
 		if need.Fits(f) && !f.IsZero() {
 			best = min(best, remainder(need, f))
 		}
 	}
-	got, _, ok := x.Best(need, fit.Worst, nil)
+	got, _, ok := x.Best(need, fit.WorstScore, nil)
 	if need.IsZero() {
 		return
 	}
-	if ok != (best < fit.Worst) {
+	if ok != (best < fit.WorstScore) {
 		t.Fatalf("found %v, a scan finds the score %v", ok, best)
 	}
 	if !ok {
@@ -77,12 +77,12 @@
 func TestCellsStayFewerThanItems(t *testing.T) {
 	x := fit.NewIndex[int]()
 	x.Grow(most)
-	spots := make([]fit.Spot[int], 4000)
+	spots := make([]fit.Element[int], 4000)
 	for i := range spots {
 		n := int64(i % 7)
-		x.Set(&spots[i], most.Sub(capacity.Size{CPU: 2000, Memory: 4096, Slots: 1}.Times(n)))
+		x.Update(&spots[i], most.Sub(capacity.Size{CPU: 2000, Memory: 4096, Slots: 1}.Times(n)))
 	}
-	if x.Cells() != 7 {
-		t.Errorf("%d cells for 7 kinds of room", x.Cells())
+	if x.BucketCount() != 7 {
+		t.Errorf("%d cells for 7 kinds of room", x.BucketCount())
 	}
 }
--- a/internal/policy/crew/crew.go
+++ b/internal/policy/helpers/crew.go
@@ -1,7 +1,7 @@
 // Package crew decides which process makes the next call for the leader. The
 // adviser takes one question at a time from each process, so the rate of answers
 // hangs on how soon a process that is free gets the next one.
-package crew
+package helpers
 
 import (
 	"cmp"
@@ -65,8 +65,8 @@
 // asks tells whether the process can be asked for something now, busy or not.
 func (h *Helper) asks(now time.Duration) bool { return h.alive(now) && now >= h.avoid }
 
-// Crew is the processes that make calls for the leader.
-type Crew struct {
+// Pool is the processes that make calls for the leader.
+type Pool struct {
 	all map[string]*Helper
 	// short is how many helpers were busy with short questions, on the whole, by
 	// the time at.
@@ -75,10 +75,10 @@
 }
 
 // New returns a crew of the leader's own process alone.
-func New() *Crew { return &Crew{all: map[string]*Helper{"": {}}} }
+func New() *Pool { return &Pool{all: map[string]*Helper{"": {}}} }
 
-// Hear notes that a process is there.
-func (c *Crew) Hear(address string, now time.Duration) {
+// RecordGreeting notes that a process is there.
+func (c *Pool) RecordGreeting(address string, now time.Duration) {
 	h := c.all[address]
 	if h == nil {
 		h = &Helper{Address: address}
@@ -87,18 +87,18 @@
 	h.heard = now
 }
 
-// Pause returns how long a process waits before it makes itself known again.
-func (c *Crew) Pause() time.Duration {
+// GreetingInterval returns how long a process waits before it makes itself known again.
+func (c *Pool) GreetingInterval() time.Duration {
 	return min(max(time.Duration(len(c.all))*greetGap, leastPause), mostPause)
 }
 
-// Forget drops processes that were not heard of for long.
-func (c *Crew) Forget(now time.Duration) {
+// RemoveSilent drops processes that were not heard of for long.
+func (c *Pool) RemoveSilent(now time.Duration) {
 	maps.DeleteFunc(c.all, func(_ string, h *Helper) bool { return !h.busy && !h.own() && now-h.heard > keep })
 }
 
 // Alive returns the addresses of the other processes that were heard of lately.
-func (c *Crew) Alive(now time.Duration) []string {
+func (c *Pool) Alive(now time.Duration) []string {
 	var out []string
 	for address, h := range c.all {
 		if !h.own() && h.alive(now) {
@@ -108,8 +108,8 @@
 	return out
 }
 
-// Resting counts the helpers that are free, and all that can be asked.
-func (c *Crew) Resting(now time.Duration) (resting, asked int) {
+// IdleCount counts the helpers that are free, and all that can be asked.
+func (c *Pool) IdleCount(now time.Duration) (resting, asked int) {
 	for _, h := range c.all {
 		if !h.asks(now) {
 			continue
@@ -122,27 +122,27 @@
 	return resting, asked
 }
 
-// Long tells whether a question that takes so long is a long one, by the shortest
+// IsLong tells whether a question that takes so long is a long one, by the shortest
 // kind there is.
-func Long(takes, shortest time.Duration) bool { return takes > longFactor*shortest }
+func IsLong(takes, shortest time.Duration) bool { return takes > longFactor*shortest }
 
-// Split divides the servers of a question of which one may name so many at the most:
+// SplitServers divides the servers of a question of which one may name so many at the most:
 // several questions side by side while helpers rest and one would take long, since
 // each server named makes it longer; else as few as may be, since each costs the
 // same besides.
-func (c *Crew) Split(servers []string, most int, long bool, now time.Duration) [][]string {
+func (c *Pool) SplitServers(servers []string, most int, long bool, now time.Duration) [][]string {
 	size := most
-	if resting, asked := c.Resting(now); long && resting*restingOf > asked {
+	if resting, asked := c.IdleCount(now); long && resting*restingOf > asked {
 		size = min(size, sideBySide)
 	}
 	parts := (len(servers) + size - 1) / size
 	return slices.Collect(slices.Chunk(servers, (len(servers)+parts-1)/max(parts, 1)))
 }
 
-// Take returns the process that makes the next call and makes it busy; nil when
+// Acquire returns the process that makes the next call and makes it busy; nil when
 // none is free. Those whose last call went well come first, then those that rested
 // longest, and the leader's own process last, which has enough to do.
-func (c *Crew) Take(long bool, now time.Duration) *Helper {
+func (c *Pool) Acquire(long bool, now time.Duration) *Helper {
 	var best *Helper
 	asked, occupied := 0, 0
 	for _, h := range c.all {
@@ -166,13 +166,13 @@
 
 // kept returns how many helpers long questions leave free: each is busy for long,
 // and a short question, which somebody waits for, must find one at once.
-func (c *Crew) kept(asked int, now time.Duration) int {
+func (c *Pool) kept(asked int, now time.Duration) int {
 	c.fade(now)
 	return max((asked+leastShort-1)/leastShort, int(math.Round(c.short+chances*math.Sqrt(c.short))))
 }
 
 // fade lets what was asked before count less.
-func (c *Crew) fade(now time.Duration) {
+func (c *Pool) fade(now time.Duration) {
 	c.short *= math.Exp(-float64(now-c.at) / float64(shortMemory))
 	c.at = now
 }
@@ -184,8 +184,8 @@
 	return cmp.Or(cmp.Compare(a.fails, b.fails), cmp.Compare(a.used, b.used), cmp.Compare(a.Address, b.Address)) < 0
 }
 
-// Free notes that a helper's call is over, and whether it went well.
-func (c *Crew) Free(h *Helper, worked bool, now time.Duration) {
+// Release notes that a helper's call is over, and whether it went well.
+func (c *Pool) Release(h *Helper, worked bool, now time.Duration) {
 	if !h.long {
 		c.fade(now)
 		c.short += float64(now-h.begun) / float64(shortMemory)
--- a/internal/policy/pace/pace.go
+++ b/internal/policy/pace/pace.go
@@ -19,20 +19,20 @@
 	least = 5
 )
 
-// Serving is a task that serves, as its server listed it.
-type Serving struct {
-	// Tail and Target are in milliseconds.
-	Tail   float64
-	Target float64
+// ServiceTask is a task that serves, as its server listed it.
+type ServiceTask struct {
+	// TailLatency and Target are in milliseconds.
+	TailLatency   float64
+	TargetLatency float64
 }
 
 // Next returns the pace, in percent, of the tasks that fill a server, from the
 // one that they have. The task that is worst off decides.
-func Next(now int, serving []Serving) int {
+func Next(now int, serving []ServiceTask) int {
 	worst := 0.0
 	for _, s := range serving {
-		if s.Target > 0 {
-			worst = max(worst, s.Tail/s.Target)
+		if s.TargetLatency > 0 {
+			worst = max(worst, s.TailLatency/s.TargetLatency)
 		}
 	}
 	switch {
--- a/internal/policy/pace/pace_test.go
+++ b/internal/policy/pace/pace_test.go
@@ -20,7 +20,7 @@
 				t.Errorf("missed at look %d with a pace of %d", look, now)
 			}
 		}
-		now = pace.Next(now, []pace.Serving{{Tail: tail(now), Target: 100}})
+		now = pace.Next(now, []pace.ServiceTask{{TailLatency: tail(now), TargetLatency: 100}})
 	}
 	if missed > 4 || now < 5 {
 		t.Errorf("missed %d times, the pace is %d in the end", missed, now)
@@ -33,12 +33,12 @@
 	}
 	now := pace.Full
 	for range 5 {
-		now = pace.Next(now, []pace.Serving{{Tail: 500, Target: 100}})
+		now = pace.Next(now, []pace.ServiceTask{{TailLatency: 500, TargetLatency: 100}})
 	}
 	if now != 0 {
 		t.Error(now)
 	}
-	if got := pace.Next(0, []pace.Serving{{Tail: 1, Target: 100}}); got == 0 {
+	if got := pace.Next(0, []pace.ServiceTask{{TailLatency: 1, TargetLatency: 100}}); got == 0 {
 		t.Error("a stopped task never goes on")
 	}
 }
--- a/internal/policy/preempt/preempt.go
+++ b/internal/policy/preempt/preempt.go
@@ -12,10 +12,10 @@
 type Victim[T any] struct {
 	// Item is what the caller knows the victim by.
 	Item T
-	// Room is what stopping it frees on the server looked at.
-	Room capacity.Size
-	// Lost is the work that stopping throws away, in any one unit.
-	Lost float64
+	// Freed is what stopping it frees on the server looked at.
+	Freed capacity.Size
+	// LostWork is the work that stopping throws away, in any one unit.
+	LostWork float64
 }
 
 // Choose returns the victims whose room, with what is free already, holds need,
@@ -23,7 +23,7 @@
 // considered; those that turn out not to be needed are left running.
 func Choose[T any](need, free capacity.Size, candidates []Victim[T]) ([]Victim[T], float64, bool) {
 	if v, ok := single(need, free, candidates); ok {
-		return []Victim[T]{v}, v.Lost, true
+		return []Victim[T]{v}, v.LostWork, true
 	}
 	var chosen []Victim[T]
 	for _, v := range candidates {
@@ -31,7 +31,7 @@
 			break
 		}
 		chosen = append(chosen, v)
-		free = free.Add(v.Room)
+		free = free.Add(v.Freed)
 	}
 	if !need.Fits(free) {
 		return nil, 0, false
@@ -44,7 +44,7 @@
 	var best Victim[T]
 	found := false
 	for _, v := range candidates {
-		if need.Fits(free.Add(v.Room)) && (!found || v.Lost < best.Lost) {
+		if need.Fits(free.Add(v.Freed)) && (!found || v.LostWork < best.LostWork) {
 			best, found = v, true
 		}
 	}
@@ -56,26 +56,26 @@
 	kept := chosen[:0]
 	lost := 0.0
 	for i := len(chosen) - 1; i >= 0; i-- {
-		if rest := free.Sub(chosen[i].Room); need.Fits(rest) {
+		if rest := free.Sub(chosen[i].Freed); need.Fits(rest) {
 			free = rest
-			chosen[i].Room = capacity.Size{}
+			chosen[i].Freed = capacity.Size{}
 		}
 	}
 	for _, v := range chosen {
-		if !v.Room.IsZero() {
+		if !v.Freed.IsZero() {
 			kept = append(kept, v)
-			lost += v.Lost
+			lost += v.LostWork
 		}
 	}
 	return kept, lost, true
 }
 
-// Restart is the time that stopping a task costs in any case: ending it, placing
+// RestartCost is the time that stopping a task costs in any case: ending it, placing
 // it again, and starting anew.
-const Restart = 2 * time.Second
+const RestartCost = 2 * time.Second
 
-// Work is the work that stopping a task of the given part of the cell loses, in
+// LostWork is the work that stopping a task of the given part of the cell loses, in
 // cell-seconds, if nothing was kept since it was placed.
-func Work(part float64, since, now time.Duration) float64 {
-	return part * max(0, (now-since+Restart).Seconds())
+func LostWork(part float64, since, now time.Duration) float64 {
+	return part * max(0, (now-since+RestartCost).Seconds())
 }
--- a/internal/policy/preempt/preempt_test.go
+++ b/internal/policy/preempt/preempt_test.go
@@ -27,9 +27,9 @@
 		var candidates []preempt.Victim[int]
 		sum := cpu(0)
 		for i := range rapid.IntRange(0, 8).Draw(t, "victims") {
-			v := preempt.Victim[int]{Item: i, Room: cpu(rapid.Int64Range(1, 5).Draw(t, "room")), Lost: float64(i)}
+			v := preempt.Victim[int]{Item: i, Freed: cpu(rapid.Int64Range(1, 5).Draw(t, "room")), LostWork: float64(i)}
 			candidates = append(candidates, v)
-			sum = sum.Add(v.Room)
+			sum = sum.Add(v.Freed)
 		}
 		need, free := cpu(rapid.Int64Range(1, 20).Draw(t, "need")), cpu(rapid.Int64Range(-3, 3).Draw(t, "free"))
 		possible := need.Fits(free.Add(sum))
@@ -38,13 +38,13 @@
 			t.Fatalf("chosen %v, possible %v", ok, possible)
 		}
 		for _, v := range chosen {
-			free = free.Add(v.Room)
+			free = free.Add(v.Freed)
 		}
 		if ok && !need.Fits(free) {
 			t.Fatalf("%v is too little for %v", free, need)
 		}
 		for _, v := range chosen {
-			if len(chosen) > 1 && need.Fits(free.Sub(v.Room)) {
+			if len(chosen) > 1 && need.Fits(free.Sub(v.Freed)) {
 				t.Fatalf("%v need not stop", v)
 			}
 		}
--- a/internal/policy/queue/queue.go
+++ b/internal/policy/queue/queue.go
@@ -54,12 +54,12 @@
 // Each calls fn in order until it returns false; fn must not change the queue.
 func (q *Queue[K, T]) Each(fn func(T) bool) { q.order.Ascend(fn) }
 
-// EachDown calls fn from the last item to the first until it returns false; fn
+// EachReverse calls fn from the last item to the first until it returns false; fn
 // must not change the queue.
-func (q *Queue[K, T]) EachDown(fn func(T) bool) { q.order.Descend(fn) }
+func (q *Queue[K, T]) EachReverse(fn func(T) bool) { q.order.Descend(fn) }
 
-// First appends the first n items to into and returns it.
-func (q *Queue[K, T]) First(n int, into []T) []T {
+// AppendFirst appends the first n items to into and returns it.
+func (q *Queue[K, T]) AppendFirst(n int, into []T) []T {
 	if n <= 0 {
 		return into
 	}
--- a/internal/policy/queue/queue_test.go
+++ b/internal/policy/queue/queue_test.go
@@ -37,7 +37,7 @@
 			list = append(list, i)
 		}
 		slices.SortFunc(list, compare)
-		if diff := cmp.Diff(list, q.First(1000, nil), cmp.AllowUnexported(item{}), cmpopts.EquateEmpty()); diff != "" {
+		if diff := cmp.Diff(list, q.AppendFirst(1000, nil), cmp.AllowUnexported(item{}), cmpopts.EquateEmpty()); diff != "" {
 			t.Fatal(diff)
 		}
 		if q.Len() != len(list) {
--- a/internal/policy/intake/intake.go
+++ b/internal/policy/recovery/intake.go
@@ -2,7 +2,7 @@
 // time what they hold, and how many at once. It is pure. All asked in one moment
 // would keep the process busy for longer than its group waits for a heartbeat, and
 // the leader would lose the lead by its own work.
-package intake
+package recovery
 
 import "time"
 
@@ -14,13 +14,13 @@
 	patience = 150 * time.Millisecond
 )
 
-// Class is how soon a server is asked.
-type Class uint8
+// Priority is how soon a server is asked.
+type Priority uint8
 
 // The classes, the first ones first.
 const (
 	// Urgent is for servers that hold work that somebody waits for.
-	Urgent Class = iota
+	Urgent Priority = iota
 	// Busy is for servers that hold other work.
 	Busy
 	// Idle is for servers that hold none.
@@ -35,7 +35,7 @@
 }
 
 // Add puts one more into the queue.
-func (q *Queue[T]) Add(v T, c Class) { q.waiting[c] = append(q.waiting[c], v) }
+func (q *Queue[T]) Add(v T, c Priority) { q.waiting[c] = append(q.waiting[c], v) }
 
 // Next returns who is asked now; false when nobody is, or enough are.
 func (q *Queue[T]) Next(now time.Duration) (T, bool) {
--- a/internal/policy/intake/intake_test.go
+++ b/internal/policy/recovery/intake_test.go
@@ -1,4 +1,4 @@
-package intake_test
+package recovery_test
 
 import (
 	"testing"
@@ -6,11 +6,11 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"gypsumreel/internal/policy/intake"
+	"gypsumreel/internal/policy/recovery"
 )
 
 // next takes all that may be asked at a time.
-func next(q *intake.Queue[int], now time.Duration) []int {
+func next(q *recovery.Queue[int], now time.Duration) []int {
 	var out []int
 	for v, ok := q.Next(now); ok; v, ok = q.Next(now) {
 		out = append(out, v)
@@ -21,11 +21,11 @@
 // Servers on which somebody waits for work must not be asked after a thousand
 // that hold none.
 func TestUrgentWorkIsAskedForFirst(t *testing.T) {
-	var q intake.Queue[int]
-	q.Add(1, intake.Idle)
-	q.Add(2, intake.Busy)
-	q.Add(3, intake.Urgent)
-	q.Add(4, intake.Idle)
+	var q recovery.Queue[int]
+	q.Add(1, recovery.Idle)
+	q.Add(2, recovery.Busy)
+	q.Add(3, recovery.Urgent)
+	q.Add(4, recovery.Idle)
 	if d := cmp.Diff([]int{3, 2, 1, 4}, next(&q, 0)); d != "" {
 		t.Error(d)
 	}
@@ -33,9 +33,9 @@
 
 // All servers asked in one moment leave the process no time for its heartbeats.
 func TestFewAreAskedAtOnce(t *testing.T) {
-	var q intake.Queue[int]
+	var q recovery.Queue[int]
 	for v := range 1000 {
-		q.Add(v, intake.Idle)
+		q.Add(v, recovery.Idle)
 	}
 	first := next(&q, 0)
 	if len(first) == 0 || len(first) > 100 {
@@ -50,10 +50,10 @@
 
 // Racks went silent: their servers, asked first, must not hold up the others.
 func TestSilentServersHoldNobodyUp(t *testing.T) {
-	var q intake.Queue[int]
+	var q recovery.Queue[int]
 	const silent, all = 66, 500
 	for v := range all {
-		q.Add(v, intake.Busy)
+		q.Add(v, recovery.Busy)
 	}
 	answered := 0
 	for at := time.Duration(0); at < 500*time.Millisecond; at += 5 * time.Millisecond {
--- a/internal/policy/roster/roster_test.go
+++ b/internal/policy/roster/roster_test.go
@@ -19,19 +19,19 @@
 }
 
 // five returns a full group that all live in.
-func five() roster.View {
-	v := roster.View{Self: "a/1", Target: 5, Watched: time.Minute, Synced: func(string) bool { return true }}
+func five() roster.GroupView {
+	v := roster.GroupView{Self: "a/1", TargetVoters: 5, LeadingFor: time.Minute, Synced: func(string) bool { return true }}
 	for _, id := range []string{"a/1", "b/1", "c/1", "d/1", "e/1"} {
 		v.Members = append(v.Members, member(id))
-		v.Known = append(v.Known, roster.Known{Member: member(id)})
+		v.Known = append(v.Known, roster.KnownReplica{Member: member(id)})
 	}
 	return v
 }
 
-func silence(v *roster.View, id string, d time.Duration) {
+func silence(v *roster.GroupView, id string, d time.Duration) {
 	for i := range v.Known {
 		if v.Known[i].ID == id {
-			v.Known[i].Silent = d
+			v.Known[i].SilentFor = d
 		}
 	}
 }
@@ -39,48 +39,48 @@
 // A group decides one change after the other until nothing is left to do.
 func TestDecisions(t *testing.T) {
 	for what, c := range map[string]struct {
-		view func() roster.View
+		view func() roster.GroupView
 		want roster.Change
 	}{
 		"nothing to do": {five, roster.Change{}},
-		"a voter restarts and nobody waits": {func() roster.View {
+		"a voter restarts and nobody waits": {func() roster.GroupView {
 			v := five()
 			silence(&v, "b/1", time.Minute)
 			return v
 		}, roster.Change{}},
-		"a disk was replaced": {func() roster.View {
+		"a disk was replaced": {func() roster.GroupView {
 			v := five()
-			v.Known = append(v.Known, roster.Known{Member: member("b/2")})
+			v.Known = append(v.Known, roster.KnownReplica{Member: member("b/2")})
 			return v
-		}, roster.Change{Member: member("b/1"), Remove: true, Cause: "its disk was replaced"}},
-		"somebody asks to be taken in": {func() roster.View {
+		}, roster.Change{Member: member("b/1"), Remove: true, Reason: "its disk was replaced"}},
+		"somebody asks to be taken in": {func() roster.GroupView {
 			v := five()
-			v.Known = append(v.Known, roster.Known{Member: member("f/1")})
+			v.Known = append(v.Known, roster.KnownReplica{Member: member("f/1")})
 			return v
-		}, roster.Change{Member: learner("f/1"), Cause: "it asks to be taken in"}},
-		"a learner waits and a voter is silent": {func() roster.View {
+		}, roster.Change{Member: learner("f/1"), Reason: "it asks to be taken in"}},
+		"a learner waits and a voter is silent": {func() roster.GroupView {
 			v := five()
 			v.Members = append(v.Members, learner("f/1"))
-			v.Known = append(v.Known, roster.Known{Member: member("f/1")})
-			silence(&v, "c/1", roster.Absent+1)
+			v.Known = append(v.Known, roster.KnownReplica{Member: member("f/1")})
+			silence(&v, "c/1", roster.AbsentAfter+1)
 			return v
-		}, roster.Change{Member: member("c/1"), Remove: true, Cause: "it is silent and another waits"}},
-		"a learner without the log waits": {func() roster.View {
+		}, roster.Change{Member: member("c/1"), Remove: true, Reason: "it is silent and another waits"}},
+		"a learner without the log waits": {func() roster.GroupView {
 			v := five()
 			v.Members = append(v.Members, learner("f/1"))
-			v.Known = append(v.Known, roster.Known{Member: member("f/1")})
+			v.Known = append(v.Known, roster.KnownReplica{Member: member("f/1")})
 			silence(&v, "c/1", time.Minute)
 			v.Synced = func(string) bool { return false }
 			return v
 		}, roster.Change{}},
-		"a vote is missing": {func() roster.View {
+		"a vote is missing": {func() roster.GroupView {
 			v := five()
 			v.Members[4] = learner("e/1")
 			return v
-		}, roster.Change{Member: member("e/1"), Cause: "a voter is missing"}},
-		"a leader that has just begun has heard of nobody": {func() roster.View {
+		}, roster.Change{Member: member("e/1"), Reason: "a voter is missing"}},
+		"a leader that has just begun has heard of nobody": {func() roster.GroupView {
 			v := five()
-			v.Known, v.Watched = nil, roster.Settled/2
+			v.Known, v.LeadingFor = nil, roster.MinLeaderTime/2
 			v.Members = append(v.Members, learner("f/1"))
 			return v
 		}, roster.Change{}},
@@ -99,7 +99,7 @@
 // votes of five would be left: nothing could ever be decided again.
 func TestLostReplicaIsReplacedBeforeTheNextIsLost(t *testing.T) {
 	v := five()
-	v.Known = append(v.Known[:4:4], roster.Known{Member: member("f/1")})
+	v.Known = append(v.Known[:4:4], roster.KnownReplica{Member: member("f/1")})
 	silence(&v, "e/1", time.Hour)
 	changes := 0
 	for ; changes < 10; changes++ {
@@ -120,7 +120,7 @@
 	}
 }
 
-func apply(v roster.View, c roster.Change) roster.View {
+func apply(v roster.GroupView, c roster.Change) roster.GroupView {
 	var out []quorum.Member
 	for _, m := range v.Members {
 		if m.ID != c.Member.ID {
--- a/internal/policy/share/share.go
+++ b/internal/policy/share/share.go
@@ -8,20 +8,20 @@
 	"slices"
 )
 
-// Claim is what one team may count on and wants, as fractions of the cell.
-type Claim struct {
+// Team is what one team may count on and wants, as fractions of the cell.
+type Team struct {
 	// Guarantee is the part that the team is sure of while it wants it.
 	Guarantee float64
 	// Weight divides what the guarantees leave over.
 	Weight float64
-	// Want is the part that the team holds and waits for, bounded by its limit.
-	Want float64
+	// Demand is the part that the team holds and waits for, bounded by its limit.
+	Demand float64
 }
 
 // Divide returns each team's target, in the order of the claims: no more than it
 // wants, at least its guarantee if it wants that much, and the rest in
 // proportion to the weights. Guarantees beyond the cell are scaled down.
-func Divide(claims []Claim) []float64 {
+func Divide(claims []Team) []float64 {
 	targets := make([]float64, len(claims))
 	left := guarantee(claims, targets)
 	pour(claims, targets, left)
@@ -29,7 +29,7 @@
 }
 
 // guarantee grants the guarantees that are wanted and returns what is left.
-func guarantee(claims []Claim, targets []float64) float64 {
+func guarantee(claims []Team, targets []float64) float64 {
 	sum := 0.0
 	for _, c := range claims {
 		sum += c.Guarantee
@@ -37,23 +37,23 @@
 	scale := 1 / max(1, sum)
 	left := 1.0
 	for i, c := range claims {
-		targets[i] = min(c.Want, c.Guarantee*scale)
+		targets[i] = min(c.Demand, c.Guarantee*scale)
 		left -= targets[i]
 	}
 	return max(0, left)
 }
 
 // pour adds what is left by weight, the soonest satisfied team first.
-func pour(claims []Claim, targets []float64, left float64) {
+func pour(claims []Team, targets []float64, left float64) {
 	order := make([]int, 0, len(claims))
 	weights := 0.0
 	for i, c := range claims {
-		if c.Want > targets[i] && c.Weight > 0 {
+		if c.Demand > targets[i] && c.Weight > 0 {
 			order = append(order, i)
 			weights += c.Weight
 		}
 	}
-	level := func(i int) float64 { return (claims[i].Want - targets[i]) / claims[i].Weight }
+	level := func(i int) float64 { return (claims[i].Demand - targets[i]) / claims[i].Weight }
 	slices.SortStableFunc(order, func(a, b int) int {
 		switch {
 		case level(a) < level(b):
@@ -64,16 +64,16 @@
 		return a - b
 	})
 	for _, i := range order {
-		part := min(claims[i].Want-targets[i], left*claims[i].Weight/weights)
+		part := min(claims[i].Demand-targets[i], left*claims[i].Weight/weights)
 		targets[i] += part
 		left -= part
 		weights -= claims[i].Weight
 	}
 }
 
-// Floors returns what each team could have at least, however much the others
+// MinShares returns what each team could have at least, however much the others
 // want, if it wanted the whole cell.
-func Floors(claims []Claim) []float64 {
+func MinShares(claims []Team) []float64 {
 	sum, weights := 0.0, 0.0
 	for _, c := range claims {
 		sum += c.Guarantee
--- a/internal/policy/brief/brief.go
+++ b/internal/policy/shortlease/brief.go
@@ -3,7 +3,7 @@
 // lease keeps work of minutes alive while nobody leads; urgent work of a second is
 // worth nothing by then. A server has one lease for all that it runs, as long as the
 // longest that any of it needs, so urgent work is kept apart on a few servers.
-package brief
+package shortlease
 
 import (
 	"cmp"
@@ -26,23 +26,23 @@
 
 // Server is one that may be chosen.
 type Server struct {
-	ID    string
-	Cores int64
+	ID  string
+	CPU int64
 }
 
-// Choice is the servers of one pool on which urgent work is gathered. The zero value
+// Selection is the servers of one pool on which urgent work is gathered. The zero value
 // has none.
-type Choice struct {
+type Selection struct {
 	need   float64
 	chosen map[string]bool
 }
 
-// Has tells whether urgent work is gathered on a server; on none where no choice is.
-func (c *Choice) Has(id string) bool { return c != nil && c.chosen[id] }
+// Contains tells whether urgent work is gathered on a server; on none where no choice is.
+func (c *Selection) Contains(id string) bool { return c != nil && c.chosen[id] }
 
-// Look chooses anew, by the room in use by urgent work now. The order of the
+// Update chooses anew, by the room in use by urgent work now. The order of the
 // servers is always the same, whatever the others are, so that few change.
-func (c *Choice) Look(servers []Server, used int64) {
+func (c *Selection) Update(servers []Server, used int64) {
 	c.need = max(float64(used), c.need*fade)
 	c.chosen = map[string]bool{}
 	slices.SortFunc(servers, func(a, b Server) int {
@@ -53,7 +53,7 @@
 		if i >= len(servers)/leastParts && room >= roomTimes*c.need {
 			break
 		}
-		room += float64(s.Cores)
+		room += float64(s.CPU)
 		c.chosen[s.ID] = true
 	}
 }
--- a/internal/policy/model/model.go
+++ b/internal/policy/simulator/model.go
@@ -4,7 +4,7 @@
 // product's own decisions (packages ledger/flows, policy/steps and policy/crew), so
 // that a change of policy is seen over hundreds of seeds before a cell runs it. What it does not model, it cannot show: the processors of our own
 // processes, and anything of the network but delays and silences.
-package model
+package simulator
 
 import (
 	"cmp"
@@ -19,7 +19,7 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/domain/flow"
 	"gypsumreel/internal/ledger/flows"
-	"gypsumreel/internal/policy/crew"
+	"gypsumreel/internal/policy/helpers"
 	"gypsumreel/internal/policy/steps"
 )
 
@@ -38,31 +38,31 @@
 	drainTime = 20 * time.Second
 )
 
-// Part is a mechanism that can be left out of a play.
-type Part uint
+// Mechanism is a mechanism that can be left out of a play.
+type Mechanism uint
 
 // The mechanisms.
 const (
-	Headroom Part = 1 << iota
-	KeptRoom
-	InTime
-	Slack
-	Width
-	SideBySide
-	AskOn
+	Headroom Mechanism = 1 << iota
+	GangReservation
+	LateLast
+	SlackOrder
+	QuestionSize
+	ParallelQuestions
+	ImmediateQuestions
 )
 
-// Parts names the mechanisms.
-var Parts = map[string]Part{
-	"headroom": Headroom, "kept-room": KeptRoom, "in-time-first": InTime, "slack": Slack, "width": Width, "side-by-side": SideBySide, "ask-on": AskOn,
+// Mechanisms names the mechanisms.
+var Mechanisms = map[string]Mechanism{
+	"headroom": Headroom, "kept-room": GangReservation, "in-time-first": LateLast, "slack": SlackOrder, "width": QuestionSize, "side-by-side": ParallelQuestions, "ask-on": ImmediateQuestions,
 }
 
 // Policy is how a play decides.
 type Policy struct {
-	// Without are the mechanisms left out.
-	Without Part
-	// Fifo takes everything in the order of arrival, Strict by priority alone.
-	Fifo, Strict bool
+	// Disabled are the mechanisms left out.
+	Disabled Mechanism
+	// FIFO takes everything in the order of arrival, Strict by priority alone.
+	FIFO, StrictPriority bool
 	// Lease is how long a server may run on unheard.
 	Lease time.Duration
 }
@@ -93,9 +93,9 @@
 	return last
 }
 
-// Model is one play.
-type Model struct {
-	setup  Setup
+// Simulation is one play.
+type Simulation struct {
+	setup  Scenario
 	policy Policy
 	rng    *rand.Rand
 	now    time.Duration
@@ -103,7 +103,7 @@
 	seq    int
 
 	ledger  *flows.Ledger
-	crew    *crew.Crew
+	crew    *helpers.Pool
 	servers map[string]*server
 	order   []string
 	// leads tells that somebody leads; back holds what waits for that.
@@ -111,8 +111,8 @@
 	back  []func()
 
 	advice map[flow.StepID]*advice
-	wants  []steps.Want
-	times  map[flow.StepID]steps.Times
+	wants  []steps.Question
+	times  map[flow.StepID]steps.Timing
 	// usual is how long runs take beside what was declared.
 	usual   float64
 	dirty   bool
@@ -120,10 +120,10 @@
 	plans   int
 
 	requests map[string]*request
-	// Decisions is a hash over all placements: the same seed gives the same.
-	Decisions uint64
-	questions int
-	wasted    float64
+	// DecisionHash is a hash over all placements: the same seed gives the same.
+	DecisionHash uint64
+	questions    int
+	wasted       float64
 	// busy is the part of the room in use while something waits, asking the
 	// seconds that helpers spent on questions.
 	busy   Share
@@ -131,10 +131,10 @@
 }
 
 // New sets a play up.
-func New(s Setup, p Policy) *Model {
-	m := &Model{
-		setup: s, policy: p, rng: rand.New(rand.NewPCG(s.Seed, 11)), ledger: flows.New(), crew: crew.New(),
-		servers: map[string]*server{}, leads: true, advice: map[flow.StepID]*advice{}, times: map[flow.StepID]steps.Times{},
+func New(s Scenario, p Policy) *Simulation {
+	m := &Simulation{
+		setup: s, policy: p, rng: rand.New(rand.NewPCG(s.Seed, 11)), ledger: flows.New(), crew: helpers.New(),
+		servers: map[string]*server{}, leads: true, advice: map[flow.StepID]*advice{}, times: map[flow.StepID]steps.Timing{},
 		usual: 1, requests: map[string]*request{},
 	}
 	if m.policy.Lease == 0 {
@@ -144,13 +144,13 @@
 }
 
 // Run plays to the end and returns what callers got.
-func (m *Model) Run() Result {
+func (m *Simulation) Run() Result {
 	m.apply(&record.Flow{What: &record.Flow_Document{Document: m.setup.document()}})
 	m.furnish()
 	m.arrivals()
 	m.troubles()
 	m.tick()
-	end := m.setup.Length + drainTime
+	end := m.setup.Duration + drainTime
 	for len(m.queue) > 0 && m.queue[0].at <= end {
 		e := heap.Pop(&m.queue).(event)
 		m.now = e.at
@@ -160,15 +160,15 @@
 }
 
 // at lets fn happen at a time.
-func (m *Model) at(t time.Duration, fn func()) {
+func (m *Simulation) at(t time.Duration, fn func()) {
 	m.seq++
 	heap.Push(&m.queue, event{max(t, m.now), m.seq, fn})
 }
 
-func (m *Model) after(d time.Duration, fn func()) { m.at(m.now+d, fn) }
+func (m *Simulation) after(d time.Duration, fn func()) { m.at(m.now+d, fn) }
 
 // led lets fn happen once somebody leads.
-func (m *Model) led(fn func()) {
+func (m *Simulation) led(fn func()) {
 	if m.leads {
 		fn()
 		return
@@ -176,7 +176,7 @@
 	m.back = append(m.back, fn)
 }
 
-func (m *Model) apply(f *record.Flow) bool {
+func (m *Simulation) apply(f *record.Flow) bool {
 	m.dirty = true
 	ok := m.ledger.Apply(m.now, f) == nil
 	m.stopUnwanted()
@@ -185,8 +185,8 @@
 
 // stopUnwanted stops the members of gangs that lost one, and what ran for flows
 // that have failed.
-func (m *Model) stopUnwanted() {
-	unwanted := m.ledger.Unwanted()
+func (m *Simulation) stopUnwanted() {
+	unwanted := m.ledger.RunsToStop()
 	for _, id := range slices.SortedFunc(maps.Keys(unwanted), func(a, b flow.TaskID) int {
 		return cmp.Or(cmp.Compare(a.Flow, b.Flow), cmp.Compare(a.Step, b.Step), cmp.Compare(a.Index, b.Index))
 	}) {
@@ -201,25 +201,25 @@
 }
 
 // tick plans as often as the leader does.
-func (m *Model) tick() {
+func (m *Simulation) tick() {
 	if m.leads && m.dirty {
 		m.dirty = false
 		m.plan()
 	}
-	if len(m.ledger.Ready()) > 0 && m.now < m.setup.Length {
+	if len(m.ledger.ReadySteps()) > 0 && m.now < m.setup.Duration {
 		for _, b := range m.ledger.Servers() {
-			if !b.Over && !b.Leaving {
+			if !b.Ended && !b.ShuttingDown {
 				m.busy.add(float64(b.Used.CPU), float64(b.Capacity.CPU))
 			}
 		}
 	}
-	if m.now < m.setup.Length+drainTime {
+	if m.now < m.setup.Duration+drainTime {
 		m.after(planEvery, m.tick)
 	}
 }
 
 // furnish brings the servers and the helpers.
-func (m *Model) furnish() {
+func (m *Simulation) furnish() {
 	for _, s := range m.setup.Servers {
 		m.servers[s.id] = &server{spec: s, runs: map[flow.TaskID]*run{}, heard: m.now}
 		m.order = append(m.order, s.id)
@@ -228,7 +228,7 @@
 			Capacity: &v1.Size{Cpu: s.cores, Memory: 1 << 30},
 		}}})
 	}
-	for i := range m.setup.Helpers {
-		m.crew.Hear(helperName(i), 1<<60)
+	for i := range m.setup.HelperCount {
+		m.crew.RecordGreeting(helperName(i), 1<<60)
 	}
 }
--- a/internal/policy/model/request.go
+++ b/internal/policy/simulator/request.go
@@ -1,4 +1,4 @@
-package model
+package simulator
 
 import (
 	"fmt"
@@ -46,18 +46,18 @@
 }
 
 // arrivals draws all requests of the play.
-func (m *Model) arrivals() {
+func (m *Simulation) arrivals() {
 	for i, k := range m.setup.Kinds {
 		for t := 0.0; ; {
 			rate := k.Rate
 			for _, s := range m.setup.Surges {
-				if at := time.Duration(t * float64(time.Second)); s.Kind == i && at >= s.At && at < s.Until {
-					rate *= s.Times
+				if at := time.Duration(t * float64(time.Second)); s.Kind == i && at >= s.Start && at < s.End {
+					rate *= s.Factor
 				}
 			}
 			t += m.rng.ExpFloat64() / rate
 			at := time.Duration(t * float64(time.Second))
-			if at >= m.setup.Length {
+			if at >= m.setup.Duration {
 				break
 			}
 			q := m.draw(i, at)
@@ -68,22 +68,22 @@
 }
 
 // draw draws one request.
-func (m *Model) draw(kind int, at time.Duration) *request {
+func (m *Simulation) draw(kind int, at time.Duration) *request {
 	k := m.setup.Kinds[kind]
 	q := &request{id: fmt.Sprintf("%d-%05d", kind, len(m.requests)), kind: kind, customer: m.customer(), first: at}
 	q.spec = &v1.FlowSpec{Id: q.id}
 	chain := 1
-	if m.rng.Float64() < k.Chain-1 {
+	if m.rng.Float64() < k.MeanSteps-1 {
 		chain = 2
 	}
 	longest := time.Duration(0)
-	question := time.Duration((k.Base + k.Each*steps.LeastAsked) * float64(time.Millisecond))
+	question := time.Duration((k.QuestionBase + k.QuestionPerServer*steps.MinServersPerQuestion) * float64(time.Millisecond))
 	for i := range chain {
-		n := max(1, int(math.Round(k.Tasks*math.Exp(spread*m.rng.NormFloat64()-spread*spread/2))))
-		mean := k.Work * math.Exp(spread*m.rng.NormFloat64()-spread*spread/2)
+		n := max(1, int(math.Round(k.MeanTasks*math.Exp(spread*m.rng.NormFloat64()-spread*spread/2))))
+		mean := k.MeanRuntime * math.Exp(spread*m.rng.NormFloat64()-spread*spread/2)
 		declared := mean * math.Exp(off*m.rng.NormFloat64())
-		step := &v1.FlowStep{Count: uint32(n), Size: &v1.Size{Cpu: int64(k.CPU), Memory: 1}, Runtime: uint64(declared * 1000), Saves: k.Saves}
-		step.Gang = m.rng.Float64() < k.Gang
+		step := &v1.FlowStep{Count: uint32(n), Size: &v1.Size{Cpu: int64(k.CPU), Memory: 1}, Runtime: uint64(declared * 1000), Saves: k.Checkpoints}
+		step.Gang = m.rng.Float64() < k.GangShare
 		if i > 0 {
 			step.After = []uint32{uint32(i - 1)}
 		}
@@ -101,19 +101,19 @@
 		q.work, q.spec.Steps = append(q.work, work), append(q.spec.Steps, step)
 	}
 	q.objective = time.Duration(k.Factor*float64(longest)) + time.Duration(k.Target)*time.Millisecond
-	usual := k.Tasks * k.Work * k.CPU
-	q.worth = k.Worth * min(0.3+0.7*q.size/usual, mostWorth)
+	usual := k.MeanTasks * k.MeanRuntime * k.CPU
+	q.worth = k.Value * min(0.3+0.7*q.size/usual, mostWorth)
 	return q
 }
 
 // customer draws who sends a request.
-func (m *Model) customer() string {
+func (m *Simulation) customer() string {
 	sum := 0.0
-	for _, c := range m.setup.Customers {
+	for _, c := range m.setup.CustomerWeights {
 		sum += c
 	}
 	x := m.rng.Float64() * sum
-	for i, c := range m.setup.Customers {
+	for i, c := range m.setup.CustomerWeights {
 		if x -= c; x < 0 {
 			return customerName(i)
 		}
@@ -122,7 +122,7 @@
 }
 
 // try hands a request in; without a leader for long its caller comes back later.
-func (m *Model) try(q *request) {
+func (m *Simulation) try(q *request) {
 	q.tries++
 	if m.leads {
 		m.after(commitTime, func() { m.led(func() { m.accept(q) }) })
@@ -145,13 +145,13 @@
 }
 
 // again lets a caller that was refused come back, unless it has tried enough.
-func (m *Model) again(q *request, in time.Duration) {
+func (m *Simulation) again(q *request, in time.Duration) {
 	if q.tries < tries {
 		m.after(time.Duration(float64(in)*(0.75+0.5*m.rng.Float64())), func() { m.try(q) })
 	}
 }
 
-func (m *Model) accept(q *request) {
+func (m *Simulation) accept(q *request) {
 	q.accepted = true
 	m.apply(&record.Flow{What: &record.Flow_Accept{Accept: &record.FlowAccept{Queue: m.setup.Kinds[q.kind].Name, Customer: q.customer, Spec: q.spec}}})
 }
--- a/internal/policy/model/result.go
+++ b/internal/policy/simulator/result.go
@@ -1,4 +1,4 @@
-package model
+package simulator
 
 import (
 	"math"
@@ -32,35 +32,35 @@
 
 // Result is what callers got.
 type Result struct {
-	Whole Share
-	Kinds []Share
-	// Windows and Tenants are the two worst windows and the worst tenth of customers.
-	Windows, Tenants float64
-	Worst            float64
-	// Nines counts the unserved on a log scale: 1 at a thousandth, 0 for all.
-	Nines                      float64
-	Asked, InTime, Late, Never int
-	Refused                    int
-	// Wasted are core-seconds thrown away, Busy the part of all cores in use while
+	Overall Share
+	Kinds   []Share
+	// WorstWindows and Tenants are the two worst windows and the worst tenth of customers.
+	WorstWindows, WorstCustomers float64
+	WorstKind                    float64
+	// UnservedScore counts the unserved on a log scale: 1 at a thousandth, 0 for all.
+	UnservedScore                    float64
+	Requests, InTime, Late, Unserved int
+	Refused                          int
+	// WastedCoreSeconds are core-seconds thrown away, Busy the part of all cores in use while
 	// something waits, Asking the helpers busy with questions on the mean.
-	Wasted, Busy, Asking float64
-	Questions            int
-	// Waits are the median and 90th percentile of the time that urgent requests took
+	WastedCoreSeconds, Utilization, BusyHelpers float64
+	Questions                                   int
+	// UrgentLatency are the median and 90th percentile of the time that urgent requests took
 	// in the worst window, in seconds.
-	Waits [2]float64
+	UrgentLatency [2]float64
 }
 
-// Worth weighs the parts as the users do.
-func (r Result) Worth() float64 {
+// Score weighs the parts as the users do.
+func (r Result) Score() float64 {
 	const whole, nines, tenants, windows, worst = 0.4, 0.35, 0.2, 0.15, 0.1
-	sum := whole*r.Whole.Value() + nines*r.Nines + tenants*r.Tenants + windows*r.Windows + worst*r.Worst
+	sum := whole*r.Overall.Value() + nines*r.UnservedScore + tenants*r.WorstCustomers + windows*r.WorstWindows + worst*r.WorstKind
 	return sum / (whole + nines + tenants + windows + worst)
 }
 
-func (m *Model) result() Result {
-	r := Result{Kinds: make([]Share, len(m.setup.Kinds)), Wasted: m.wasted, Busy: m.busy.Value(), Asking: m.asking / m.setup.Length.Seconds(), Questions: m.questions}
+func (m *Simulation) result() Result {
+	r := Result{Kinds: make([]Share, len(m.setup.Kinds)), WastedCoreSeconds: m.wasted, Utilization: m.busy.Value(), BusyHelpers: m.asking / m.setup.Duration.Seconds(), Questions: m.questions}
 	customers := map[string]*Share{}
-	windows := make([]Share, int(m.setup.Length/window)+1)
+	windows := make([]Share, int(m.setup.Duration/window)+1)
 	waits := make([][]float64, len(windows))
 	ids := make([]string, 0, len(m.requests))
 	for id := range m.requests {
@@ -70,7 +70,7 @@
 	for _, id := range ids {
 		q := m.requests[id]
 		earned := m.earned(q, &r)
-		r.Whole.add(earned, q.worth)
+		r.Overall.add(earned, q.worth)
 		r.Kinds[q.kind].add(earned, q.worth)
 		w := int(q.first / window)
 		windows[w].add(earned, q.worth)
@@ -82,27 +82,27 @@
 		}
 		customers[q.customer].add(earned, q.worth)
 	}
-	r.Windows = worstOf(windows, 2)
+	r.WorstWindows = worstOf(windows, 2)
 	var all []Share
 	for _, c := range customers {
 		all = append(all, *c)
 	}
-	r.Tenants = worstOf(all, (len(all)+9)/10)
-	r.Worst = worstOf(r.Kinds, 1)
-	unserved := max(float64(r.Never)/float64(max(r.Asked, 1)), bestUnserved)
-	r.Nines = math.Log(unserved) / math.Log(bestUnserved)
+	r.WorstCustomers = worstOf(all, (len(all)+9)/10)
+	r.WorstKind = worstOf(r.Kinds, 1)
+	unserved := max(float64(r.Unserved)/float64(max(r.Requests, 1)), bestUnserved)
+	r.UnservedScore = math.Log(unserved) / math.Log(bestUnserved)
 	for _, w := range waits {
 		slices.Sort(w)
-		if n := len(w); n > 0 && w[n/2] > r.Waits[0] {
-			r.Waits = [2]float64{w[n/2], w[n*9/10]}
+		if n := len(w); n > 0 && w[n/2] > r.UrgentLatency[0] {
+			r.UrgentLatency = [2]float64{w[n/2], w[n*9/10]}
 		}
 	}
 	return r
 }
 
 // earned returns what a request earned, and counts it.
-func (m *Model) earned(q *request, r *Result) float64 {
-	r.Asked++
+func (m *Simulation) earned(q *request, r *Result) float64 {
+	r.Requests++
 	took := q.ended - q.first
 	switch {
 	case q.ended > 0 && took <= q.objective:
@@ -112,7 +112,7 @@
 		r.Late++
 		return q.worth * latePart
 	}
-	r.Never++
+	r.Unserved++
 	if !q.accepted {
 		r.Refused++
 	}
--- a/internal/policy/model/server.go
+++ b/internal/policy/simulator/server.go
@@ -1,4 +1,4 @@
-package model
+package simulator
 
 import (
 	"time"
@@ -29,31 +29,31 @@
 }
 
 // troubles brings what goes wrong.
-func (m *Model) troubles() {
-	for _, g := range m.setup.Absent {
-		m.at(g.At, func() { m.leads = false })
-		m.at(g.Until, m.lead)
+func (m *Simulation) troubles() {
+	for _, g := range m.setup.LeaderOutages {
+		m.at(g.Start, func() { m.leads = false })
+		m.at(g.End, m.lead)
 	}
-	for _, i := range sortedKeys(m.setup.Silent) {
+	for _, i := range sortedKeys(m.setup.ServerOutages) {
 		if i >= len(m.order) {
 			continue
 		}
-		s, g := m.servers[m.order[i]], m.setup.Silent[i]
-		m.at(g.At, func() { m.silence(s, g.Until) })
+		s, g := m.servers[m.order[i]], m.setup.ServerOutages[i]
+		m.at(g.Start, func() { m.silence(s, g.End) })
 	}
-	for _, i := range sortedKeys(m.setup.Leave) {
+	for _, i := range sortedKeys(m.setup.Shutdowns) {
 		if i >= len(m.order) {
 			continue
 		}
 		s := m.servers[m.order[i]]
-		m.at(m.setup.Leave[i], func() { m.led(func() { m.leave(s) }) })
+		m.at(m.setup.Shutdowns[i], func() { m.led(func() { m.leave(s) }) })
 	}
 }
 
 // lead lets somebody lead again.
-func (m *Model) lead() {
-	for _, g := range m.setup.Absent {
-		if m.now >= g.At && m.now < g.Until {
+func (m *Simulation) lead() {
+	for _, g := range m.setup.LeaderOutages {
+		if m.now >= g.Start && m.now < g.End {
 			return // another absence goes on
 		}
 	}
@@ -66,7 +66,7 @@
 }
 
 // silence cuts a server off. What it runs goes on until its lease is over.
-func (m *Model) silence(s *server, until time.Duration) {
+func (m *Simulation) silence(s *server, until time.Duration) {
 	s.silent, s.heard = true, m.now
 	m.after(noticeTime, func() { s.noticed = s.silent })
 	lapse := m.now + m.policy.Lease
@@ -86,7 +86,7 @@
 }
 
 // lapse ends all that a silent server ran.
-func (m *Model) lapse(s *server) {
+func (m *Simulation) lapse(s *server) {
 	if !s.silent {
 		return
 	}
@@ -98,14 +98,14 @@
 }
 
 // spent returns the core-seconds that a run has used.
-func (m *Model) spent(r *run) float64 {
+func (m *Simulation) spent(r *run) float64 {
 	return (m.now - r.began).Seconds() * float64(r.step.Spec.GetSize().GetCpu()) / 1000
 }
 
 // leaveTime is how long a server that leaves works on.
 const leaveTime = 2 * time.Second
 
-func (m *Model) leave(s *server) {
+func (m *Simulation) leave(s *server) {
 	b, _ := m.ledger.Server(s.spec.id)
 	m.apply(&record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{
 		Id: b.ID, Born: 1, Address: b.ID, Pool: pool, Machine: b.ID, Labels: b.Labels, Leaving: true, Capacity: sizeMessage(b.Capacity),
@@ -122,7 +122,7 @@
 }
 
 // begin lets a run begin on a server.
-func (m *Model) begin(s *server, id flow.RunID, step *flows.Step) {
+func (m *Simulation) begin(s *server, id flow.RunID, step *flows.Step) {
 	f, ok := m.ledger.Flow(id.Flow)
 	unwanted := !ok || f.Final() || step.Tasks[id.Index].Phase != flows.Placed
 	if s.silent || unwanted {
@@ -135,7 +135,7 @@
 	r := &run{RunID: id, began: m.now, ends: m.now + takes, step: step}
 	s.runs[id.TaskID] = r
 	how := inner.RunEnd_RUN_END_DONE
-	if m.rng.Float64() < m.setup.Weak {
+	if m.rng.Float64() < m.setup.FailureRate {
 		how, takes = inner.RunEnd_RUN_END_FAILED, takes/2
 	}
 	m.after(takes, func() {
@@ -148,7 +148,7 @@
 }
 
 // tell lets the leader know something of a server, when it can.
-func (m *Model) tell(s *server, fn func()) {
+func (m *Simulation) tell(s *server, fn func()) {
 	if s.silent {
 		s.told = append(s.told, fn)
 		return
@@ -156,14 +156,14 @@
 	m.after(callTime, func() { m.led(fn) })
 }
 
-func (m *Model) ended(s *server, r *run, how inner.RunEnd) {
+func (m *Simulation) ended(s *server, r *run, how inner.RunEnd) {
 	if declared := r.step.Spec.GetRuntime(); how == inner.RunEnd_RUN_END_DONE && declared > 0 {
 		m.usual += 0.02 * (float64((r.ends-r.began)/time.Millisecond)/float64(declared) - m.usual)
 	}
 	m.end(s, r.RunID, how)
 }
 
-func (m *Model) end(s *server, id flow.RunID, how inner.RunEnd) {
+func (m *Simulation) end(s *server, id flow.RunID, how inner.RunEnd) {
 	m.apply(&record.Flow{What: &record.Flow_Ends{Ends: &record.FlowEnds{Server: s.spec.id, Born: 1, Ends: []*record.FlowEnd{{Run: id.Message(), How: how}}}}})
 	if f, ok := m.ledger.Flow(id.Flow); ok && f.Final() {
 		if q := m.requests[id.Flow]; q.ended == 0 {
--- a/internal/policy/steps/bench_test.go
+++ b/internal/policy/steps/bench_test.go
@@ -23,7 +23,7 @@
 	var items []steps.Item
 	for i := range 8 {
 		it := item(fmt.Sprintf("f%03d", i), tasks(4, 1500))
-		it.Permits = true
+		it.NeedsPermit = true
 		items = append(items, it)
 	}
 	v := view(servers, items...)
@@ -48,7 +48,7 @@
 		spec := tasks(8, 1000)
 		spec.Gang = i%2 == 0
 		it := item(fmt.Sprintf("f%03d", i), spec)
-		it.Permits = true
+		it.NeedsPermit = true
 		items = append(items, it)
 	}
 	v := view(servers, items...)
@@ -67,16 +67,16 @@
 	for i := range all {
 		s := server(fmt.Sprintf("s%04d", i), 16000)
 		s.Used = capacity.Size{CPU: int64(i*37*4) % 16000}
-		s.Brief = i%5 == 0
+		s.ShortLease = i%5 == 0
 		servers = append(servers, s)
 	}
 	may := map[flow.StepID]map[string]steps.Permission{}
 	var items []steps.Item
 	for i := range most {
 		it := item(fmt.Sprintf("f%03d", i), tasks(4, 3900))
-		it.Permits, it.Urgent, it.Priority = true, i%3 > 0, uint32(i%3)
+		it.NeedsPermit, it.Urgent, it.Priority = true, i%3 > 0, uint32(i%3)
 		if i%2 == 0 {
-			it.Asked = true
+			it.AdviserAsked = true
 			may[it.StepID] = map[string]steps.Permission{}
 			for j := range few {
 				may[it.StepID][servers[(i*31+j*17)%all].ID] = steps.Permission(1 + j%3)
@@ -85,10 +85,10 @@
 		items = append(items, it)
 	}
 	v := view(servers, items...)
-	v.Known = func(id flow.StepID) iter.Seq2[string, steps.Permission] { return maps.All(may[id]) }
-	v.Share = func(steps.Item) float64 { return 0.3 }
-	v.Frees = func(string) []steps.Release {
-		return []steps.Release{{In: time.Second, Size: capacity.Size{CPU: 3000}}, {In: 100 * time.Millisecond, Size: capacity.Size{CPU: 3000}}}
+	v.Permissions = func(id flow.StepID) iter.Seq2[string, steps.Permission] { return maps.All(may[id]) }
+	v.AllowedShare = func(steps.Item) float64 { return 0.3 }
+	v.Releases = func(string) []steps.Release {
+		return []steps.Release{{After: time.Second, Size: capacity.Size{CPU: 3000}}, {After: 100 * time.Millisecond, Size: capacity.Size{CPU: 3000}}}
 	}
 	var p steps.Planner
 	b.ReportAllocs()
--- a/internal/policy/steps/gang.go
+++ b/internal/policy/steps/gang.go
@@ -11,7 +11,7 @@
 // gang places all tasks of a step at once, or none. One that finds no room
 // keeps the servers that will have it soonest from those that come after it.
 func (p *planner) gang(it Item) {
-	if it.Queued < len(it.Tasks) || p.allowed(it) < int64(it.Queued) {
+	if it.QueuedTasks < len(it.Tasks) || p.allowed(it) < int64(it.QueuedTasks) {
 		return
 	}
 	p.next()
@@ -22,7 +22,7 @@
 		p.ask(it)
 		return
 	}
-	var places []Place
+	var places []Assignment
 	var stale, good []string
 	next := queuedTasks(it.Step)
 	for _, c := range chosen {
@@ -33,7 +33,7 @@
 			stale = append(stale, c.ID)
 		}
 		for range c.count {
-			places = append(places, Place{flow.TaskID{StepID: it.StepID, Index: next()}, c.ID})
+			places = append(places, Assignment{flow.TaskID{StepID: it.StepID, Index: next()}, c.ID})
 		}
 	}
 	if len(stale) > 0 {
@@ -51,12 +51,12 @@
 	if it.Spec.GetTogether() {
 		for _, rack := range racks(options) {
 			here := slices.DeleteFunc(slices.Clone(options), func(o option) bool { return !slices.Contains(o.Labels, rack) })
-			if c, ok := fill(it.Queued, here); ok {
+			if c, ok := fill(it.QueuedTasks, here); ok {
 				return c, true
 			}
 		}
 	}
-	return fill(it.Queued, options)
+	return fill(it.QueuedTasks, options)
 }
 
 // racks returns the labels of the options, those with most room first: the rack
@@ -119,11 +119,11 @@
 			slots = p.slots(slots, it, r)
 		}
 	}
-	if len(slots) < it.Queued {
+	if len(slots) < it.QueuedTasks {
 		return // what is known of will never hold it
 	}
 	slices.SortStableFunc(slots, sooner)
-	slots = slots[:it.Queued]
+	slots = slots[:it.QueuedTasks]
 	p.waiting[it.Pool]++
 	begin := slots[len(slots)-1].in
 	var servers []string
@@ -137,22 +137,22 @@
 		}
 	}
 	if stale && begin <= soon {
-		p.plan.Wants = append(p.plan.Wants, Want{it, servers[:min(len(servers), MostWanted)]})
+		p.plan.Questions = append(p.plan.Questions, Question{it, servers[:min(len(servers), MaxServersPerStep)]})
 	}
 }
 
 // frees returns what a server will have free again, the soonest first.
 func (p *planner) frees(r *room) []Release {
 	if !r.freed {
-		r.frees, r.freed = p.view.Frees(r.ID), true
-		slices.SortStableFunc(r.frees, func(a, b Release) int { return cmp.Compare(a.In, b.In) })
+		r.frees, r.freed = p.view.Releases(r.ID), true
+		slices.SortStableFunc(r.frees, func(a, b Release) int { return cmp.Compare(a.After, b.After) })
 	}
 	return r.frees
 }
 
 // slots adds the slots that a server has for an item, now and later.
 func (p *planner) slots(out []slot, it Item, r *room) []slot {
-	size, most := flow.SizeOf(it.Spec), int64(it.Queued)
+	size, most := flow.SizeOf(it.Spec), int64(it.QueuedTasks)
 	if apart := it.Spec.GetApart(); apart > 0 {
 		most = min(most, int64(apart))
 	}
@@ -163,12 +163,12 @@
 		}
 	}
 	add(0)
-	if p.view.Frees == nil || have == most {
+	if p.view.Releases == nil || have == most {
 		return out
 	}
 	for _, f := range p.frees(r) {
 		free = free.Add(f.Size)
-		add(f.In)
+		add(f.After)
 	}
 	return out
 }
--- a/internal/policy/steps/known.go
+++ b/internal/policy/steps/known.go
@@ -36,14 +36,14 @@
 // to most of its items when no room is left, and a large pool has many more servers
 // than anything is known of.
 func (p *planner) listed(it Item) []*room {
-	if !it.Permits {
+	if !it.NeedsPermit {
 		return p.servers
 	}
 	if p.looked {
 		return p.known
 	}
 	p.looked, p.known = true, p.known[:0]
-	for server, permission := range p.view.Known(it.StepID) {
+	for server, permission := range p.view.Permissions(it.StepID) {
 		if r := p.byID[server]; r != nil {
 			r.mark = mark{p.turn, permission}
 			p.known = append(p.known, r)
@@ -55,10 +55,10 @@
 // permission returns what is known of the item on a server, once it was looked up.
 func (p *planner) permission(it Item, r *room) Permission {
 	switch {
-	case !it.Permits:
+	case !it.NeedsPermit:
 		return Granted
 	case r.turn == p.turn:
 		return r.mark.permission
 	}
-	return Unasked
+	return NotAsked
 }
--- a/internal/policy/steps/option.go
+++ b/internal/policy/steps/option.go
@@ -42,13 +42,13 @@
 	if !isNear(it, r) {
 		n += farStep
 	}
-	if it.Urgent != r.Brief {
+	if it.Urgent != r.ShortLease {
 		n += leaseStep
 	}
 	if r.Cold {
 		n += coldStep
 	}
-	if it.Shunned[r.ID] {
+	if it.FailedOn[r.ID] {
 		n += shunnedStep
 	}
 	return n
@@ -88,7 +88,7 @@
 // full tells that no server had room for a task of the item when the plan began, and
 // that the adviser was asked already: the usual case where much waits.
 func (p *planner) full(it Item) bool {
-	return (it.Asked || !it.Permits) && it.Spec.GetSize().GetCpu() > p.most[it.Pool]
+	return (it.AdviserAsked || !it.NeedsPermit) && it.Spec.GetSize().GetCpu() > p.most[it.Pool]
 }
 
 // speedClass groups servers whose speed differs by less than can be told apart
--- a/internal/policy/steps/outlook.go
+++ b/internal/policy/steps/outlook.go
@@ -20,22 +20,22 @@
 	hopeFactor = 2
 )
 
-// Times is what a step's slack follows from. They stay the same once it is ready.
-type Times struct {
+// Timing is what a step's slack follows from. They stay the same once it is ready.
+type Timing struct {
 	// Objective is how long its flow may take, Hope the same if the flow takes
 	// much longer than was declared, Left what is left of the flow's longest
 	// chain from this step on.
-	Objective time.Duration
-	Hope      time.Duration
-	Left      time.Duration
+	Objective         time.Duration
+	TolerantObjective time.Duration
+	Remaining         time.Duration
 }
 
-// TimesOf returns the times of a step of a flow in that queue.
-func TimesOf(s *flows.Step, q *v1.Queue) Times {
+// TimingOf returns the times of a step of a flow in that queue.
+func TimingOf(s *flows.Step, q *v1.Queue) Timing {
 	whole, left := chain(s.Flow.Spec, nil), chain(s.Flow.Spec, s.Flow.Turns[s.Turn])
-	return Times{
-		Objective: objective(q, float64(whole)), Hope: objective(q, hopeFactor*float64(whole)),
-		Left: time.Duration(left) * time.Millisecond,
+	return Timing{
+		Objective: objective(q, float64(whole)), TolerantObjective: objective(q, hopeFactor*float64(whole)),
+		Remaining: time.Duration(left) * time.Millisecond,
 	}
 }
 
@@ -56,7 +56,7 @@
 	ends := make([]uint64, len(spec.GetSteps()))
 	longest := uint64(0)
 	for i, s := range spec.GetSteps() {
-		if turn == nil || turn.Steps[i].Done < len(turn.Steps[i].Tasks) {
+		if turn == nil || turn.Steps[i].DoneTasks < len(turn.Steps[i].Tasks) {
 			ends[i] = s.GetRuntime()
 		}
 		begin := uint64(0)
@@ -69,13 +69,13 @@
 	return longest
 }
 
-// Judged returns the item with what its flow's age says of its end.
-func (it Item) Judged(t Times, age time.Duration) Item {
-	least := age + time.Duration(leastLeft*float64(t.Left))
+// WithAge returns the item with what its flow's age says of its end.
+func (it Item) WithAge(t Timing, age time.Duration) Item {
+	least := age + time.Duration(leastLeft*float64(t.Remaining))
 	ends := !it.Spec.GetLasting()
-	it.Slack = t.Objective - age - t.Left
+	it.Slack = t.Objective - age - t.Remaining
 	// Whoever waits for urgent work waits on, and it is short.
 	it.Late = ends && !it.Urgent && least > t.Objective
-	it.Hopeless = ends && least > lateFactor*t.Hope
+	it.Worthless = ends && least > lateFactor*t.TolerantObjective
 	return it
 }
--- a/internal/policy/steps/pacer.go
+++ b/internal/policy/steps/pacer.go
@@ -36,5 +36,5 @@
 // as long again.
 func (p *Pacer) usual() time.Duration { return min(p.took, p.before) }
 
-// Made notes a plan that began at a time and took so long.
-func (p *Pacer) Made(at, took time.Duration) { p.made, p.took, p.before = at, took, p.took }
+// Record notes a plan that began at a time and took so long.
+func (p *Pacer) Record(at, took time.Duration) { p.made, p.took, p.before = at, took, p.took }
--- a/internal/policy/steps/pacer_test.go
+++ b/internal/policy/steps/pacer_test.go
@@ -17,7 +17,7 @@
 	begin := now
 	for now < begin+10*time.Second {
 		if p.Due(now, true) {
-			p.Made(now, plan)
+			p.Record(now, plan)
 			now += plan
 			planning += plan
 		}
@@ -30,7 +30,7 @@
 
 func TestShortPlansFollowEachChange(t *testing.T) {
 	var p steps.Pacer
-	p.Made(time.Hour, 50*time.Microsecond)
+	p.Record(time.Hour, 50*time.Microsecond)
 	if !p.Due(time.Hour+time.Millisecond, true) {
 		t.Error("a change waits although planning is cheap")
 	}
@@ -45,14 +45,14 @@
 	var p steps.Pacer
 	at := time.Second
 	for range 3 {
-		p.Made(at, 2*time.Millisecond)
+		p.Record(at, 2*time.Millisecond)
 		at += 20 * time.Millisecond
 	}
-	p.Made(at, 200*time.Millisecond)
+	p.Record(at, 200*time.Millisecond)
 	if !p.Due(at+220*time.Millisecond, true) {
 		t.Error("the next plan waits for what was no plan's time")
 	}
-	p.Made(at+220*time.Millisecond, 200*time.Millisecond)
+	p.Record(at+220*time.Millisecond, 200*time.Millisecond)
 	if p.Due(at+440*time.Millisecond, true) {
 		t.Error("plans that take long one after the other leave no time for the rest")
 	}
--- a/internal/policy/steps/pick.go
+++ b/internal/policy/steps/pick.go
@@ -15,14 +15,14 @@
 	mostOthers = 64
 )
 
-// Pick returns the items that a plan looks at, in the order of Compare. Those of a
+// SelectItems returns the items that a plan looks at, in the order of Compare. Those of a
 // customer that may start nothing are passed over. With a long backlog the most
 // pressing are taken, and of the rest a part that changes with each turn: were the
 // most pressing ones waiting for something that never comes, nothing else would
 // ever start.
-func Pick(v View, turn int) []Item {
+func SelectItems(v View, turn int) []Item {
 	items := slices.DeleteFunc(slices.Clone(v.Items), func(it Item) bool {
-		return fits(flow.SizeOf(it.Spec), v.Room(it.Flow.Customer)) == 0
+		return fits(flow.SizeOf(it.Spec), v.RemainingLimit(it.Flow.Customer)) == 0
 	})
 	slices.SortFunc(items, Compare)
 	if len(items) <= mostPressing+mostOthers {
--- a/internal/policy/steps/probation.go
+++ b/internal/policy/steps/probation.go
@@ -23,7 +23,7 @@
 }
 
 // suspected tells whether a task may have crashed a server.
-func suspected(t flows.Task) bool { return t.Blamed > 0 }
+func suspected(t flows.Task) bool { return t.BlamedCrashes > 0 }
 
 // waits returns so many waiting tasks of a step: those that start wherever there is
 // room, and those that are to be tried apart from all others. One that is suspected once
@@ -31,12 +31,12 @@
 // next crash decides.
 func (p *planner) waits(it Item, most int) (sound, apart []uint32) {
 	next := queuedTasks(it.Step)
-	for range it.Queued {
+	for range it.QueuedTasks {
 		i := next()
 		switch t := it.Tasks[i]; {
 		case suspected(t) && len(apart) < p.probations[it.Pool]:
 			apart = append(apart, i)
-		case t.Blamed < flows.MostBlamed-1:
+		case t.BlamedCrashes < flows.MaxBlamedCrashes-1:
 			sound = append(sound, i)
 		}
 	}
@@ -53,7 +53,7 @@
 	}
 	roomy := slices.DeleteFunc(slices.Clone(options), func(o option) bool { return o.free.CPU != o.began })
 	slices.SortFunc(roomy, func(a, b option) int {
-		return cmp.Or(compareBool(a.Fresh, b.Fresh), a.last-b.last, cmp.Compare(b.free.CPU, a.free.CPU), a.at-b.at)
+		return cmp.Or(compareBool(a.RecentlyStarted, b.RecentlyStarted), a.last-b.last, cmp.Compare(b.free.CPU, a.free.CPU), a.at-b.at)
 	})
 	for _, o := range roomy {
 		if len(tasks) == 0 {
--- a/internal/policy/steps/probation_test.go
+++ b/internal/policy/steps/probation_test.go
@@ -11,7 +11,7 @@
 // suspect marks the first tasks of an item as ones that may have crashed a server.
 func suspect(it steps.Item, n int) steps.Item {
 	for i := range n {
-		it.Tasks[i].Blamed = 1
+		it.Tasks[i].BlamedCrashes = 1
 	}
 	return it
 }
@@ -27,7 +27,7 @@
 	plan := steps.Make(view(servers, suspect(item("a", tasks(4, 1000)), 2), item("b", tasks(100, 1000))))
 	began, suspected := map[string]int{}, map[string]bool{}
 	for _, one := range plan.Placements {
-		for _, p := range one.Places {
+		for _, p := range one.Assignments {
 			began[p.Server]++
 			if p.Flow == "a" && p.Index < 2 {
 				suspected[p.Server] = true
@@ -47,7 +47,7 @@
 // Something begins on a server while it is seen there whether a task crashes it.
 func TestNothingBeginsBesideAProbation(t *testing.T) {
 	a, b := server("a", 4000), server("b", 4000)
-	a.Probation = true
+	a.OnProbation = true
 	check(t, map[string]int{"x on b": 4}, steps.Make(view([]steps.Server{a, b}, item("x", tasks(8, 1000)))))
 	check(t, map[string]int{"x on b": 4}, steps.Make(view([]steps.Server{a, b}, item("x", gang(4, 1000)))))
 }
@@ -62,7 +62,7 @@
 	plan := steps.Make(view(servers, suspect(item("a", tasks(40, 1000)), 40), item("b", tasks(12, 1000))))
 	n := 0
 	for _, one := range plan.Placements {
-		n += len(one.Places)
+		n += len(one.Assignments)
 	}
 	if least := 52; n < least {
 		t.Errorf("%d tasks began, there is room for %d beside two such servers", n, least)
@@ -78,7 +78,7 @@
 	plan := steps.Make(view(servers, suspect(item("a", gang(6, 1000)), 1), item("b", tasks(40, 1000))))
 	of := map[string]map[string]bool{}
 	for _, one := range plan.Placements {
-		for _, p := range one.Places {
+		for _, p := range one.Assignments {
 			if of[p.Server] == nil {
 				of[p.Server] = map[string]bool{}
 			}
@@ -99,12 +99,12 @@
 // and is given up for what that does.
 func TestTheLastProbationIsWaitedFor(t *testing.T) {
 	servers := []steps.Server{server("a", 4000), server("b", 4000)}
-	servers[0].Probation = true
+	servers[0].OnProbation = true
 	x, y := suspect(item("x", tasks(2, 1000)), 2), item("y", tasks(2, 1000))
-	x.Tasks[1].Blamed = 2
+	x.Tasks[1].BlamedCrashes = 2
 	check(t, map[string]int{"x on b": 1, "y on b": 2}, steps.Make(view(servers, x, y)))
-	servers[0].Probation = false
-	x.Tasks[0].Blamed = 2
+	servers[0].OnProbation = false
+	x.Tasks[0].BlamedCrashes = 2
 	plan := steps.Make(view(servers, x, y))
 	if got := placed(plan); got["x on a"]+got["x on b"] != 1 || got["x on a"] == 1 && got["y on a"] > 0 || got["x on b"] == 1 && got["y on b"] > 0 {
 		t.Errorf("two tasks that may not crash a server again began, or one beside another: %v", got)
@@ -115,6 +115,6 @@
 // is about to crash again by itself, and is given up for that.
 func TestProbationIsOnAServerThatStood(t *testing.T) {
 	a, b := server("a", 4000), server("b", 4000)
-	a.Fresh, b.Used = true, capacity.Size{CPU: 2000}
+	a.RecentlyStarted, b.Used = true, capacity.Size{CPU: 2000}
 	check(t, map[string]int{"x on b": 1}, steps.Make(view([]steps.Server{a, b}, suspect(item("x", tasks(1, 1000)), 1))))
 }
--- a/internal/policy/steps/question.go
+++ b/internal/policy/steps/question.go
@@ -6,8 +6,8 @@
 	v1 "gypsumreel/internal/api/v1"
 )
 
-// Cost returns how long a question about so many servers should take.
-func Cost(a *v1.Advice, servers int) time.Duration {
+// QuestionDuration returns how long a question about so many servers should take.
+func QuestionDuration(a *v1.Advice, servers int) time.Duration {
 	return time.Duration((a.GetBase() + a.GetEach()*float64(servers)) * float64(time.Millisecond))
 }
 
@@ -16,16 +16,16 @@
 // for room on one of them.
 const questionParts = 20
 
-// Width returns how many servers a question names about a step whose tasks run so
+// QuestionSize returns how many servers a question names about a step whose tasks run so
 // long, where no more are needed: as many as a short part of that time allows for,
 // and at least so many that they cost as much as the question itself does. What the
 // adviser says of a server holds for the whole step, and a helper that asks about
 // one server at a time is as busy as one that asks about seventy.
-func Width(a *v1.Advice, takes time.Duration) int {
+func QuestionSize(a *v1.Advice, takes time.Duration) int {
 	if a.GetEach() <= 0 {
-		return LeastAsked
+		return MinServersPerQuestion
 	}
 	ms := float64(takes/questionParts) / float64(time.Millisecond)
 	within, worth := (ms-a.GetBase())/a.GetEach(), a.GetBase()/a.GetEach()
-	return min(max(int(max(within, worth)), LeastAsked), MostAsked)
+	return min(max(int(max(within, worth)), MinServersPerQuestion), MaxServersPerQuestion)
 }
--- a/internal/policy/steps/roomy.go
+++ b/internal/policy/steps/roomy.go
@@ -20,7 +20,7 @@
 func (p *planner) shelve() {
 	p.shelves = map[shelf][]*room{}
 	for _, r := range p.servers {
-		s := shelf{r.Pool, r.Brief}
+		s := shelf{r.Pool, r.ShortLease}
 		p.shelves[s] = append(p.shelves[s], r)
 	}
 	for _, all := range p.shelves {
--- a/internal/policy/steps/steps.go
+++ b/internal/policy/steps/steps.go
@@ -14,14 +14,14 @@
 
 // Bounds of a plan.
 const (
-	// MostAsked bounds the servers of one question: the adviser takes no more.
-	MostAsked = 100
-	// MostWanted bounds the servers that a plan wants to know about for one step;
+	// MaxServersPerQuestion bounds the servers of one question: the adviser takes no more.
+	MaxServersPerQuestion = 100
+	// MaxServersPerStep bounds the servers that a plan wants to know about for one step;
 	// they are asked about in several questions side by side.
-	MostWanted = 160
-	// LeastAsked is how many servers a question names at the least: of thirty a
+	MaxServersPerStep = 160
+	// MinServersPerQuestion is how many servers a question names at the least: of thirty a
 	// few may usually run a step.
-	LeastAsked = 30
+	MinServersPerQuestion = 30
 	// enough is how many times as many tasks as wait the servers of a question
 	// should have room for, by what is known: some fill up until the answer comes.
 	enough = 1.5
@@ -94,7 +94,7 @@
 // left returns what an item may use now: room that is kept for a gang only if
 // the item gives it back before the gang can begin, or lasts.
 func (r *room) left(it Item) capacity.Size {
-	if it.Spec.GetLasting() || r.until > 0 && it.Takes > 0 && it.Takes <= r.until {
+	if it.Spec.GetLasting() || r.until > 0 && it.ExpectedRuntime > 0 && it.ExpectedRuntime <= r.until {
 		return r.free
 	}
 	return r.free.Sub(r.kept)
@@ -129,9 +129,9 @@
 		heads: map[string]Headroom{}, spare: map[string]int64{}, ever: map[string]int64{}, probations: map[string]int{},
 	}
 	for i, s := range v.Servers {
-		free := s.Free()
+		free := s.FreeCapacity()
 		r := &m.rooms[i]
-		*r = room{Server: s, free: free, began: free.CPU, probation: s.Probation}
+		*r = room{Server: s, free: free, began: free.CPU, probation: s.OnProbation}
 		p.servers = append(p.servers, r)
 		p.byID[s.ID] = r
 	}
@@ -146,8 +146,8 @@
 	items := slices.Clone(v.Items)
 	slices.SortStableFunc(items, Compare)
 	for i, it := range items {
-		if v.Rest != nil && i%restEvery == 0 {
-			v.Rest()
+		if v.Yield != nil && i%restEvery == 0 {
+			v.Yield()
 		}
 		if it.Spec.GetGang() {
 			p.gang(it)
@@ -183,8 +183,8 @@
 // behind it late as well. Then by priority, then by the least slack.
 func Compare(a, b Item) int {
 	return cmp.Or(
-		compareBool(a.Hopeless, b.Hopeless),
-		compareBool(a.Surplus, b.Surplus),
+		compareBool(a.Worthless, b.Worthless),
+		compareBool(a.OverShare, b.OverShare),
 		compareBool(a.Late, b.Late),
 		cmp.Compare(a.Priority, b.Priority),
 		cmp.Compare(a.Slack, b.Slack),
@@ -209,11 +209,11 @@
 	if r.Pool != it.Pool {
 		return false
 	}
-	return Labelled(it.Spec.GetLabel(), r.Server.Server)
+	return HasLabel(it.Spec.GetLabel(), r.Server.Server)
 }
 
-// Labelled tells whether a server has the label that a step asks for, if any.
-func Labelled(label string, b *flows.Server) bool {
+// HasLabel tells whether a server has the label that a step asks for, if any.
+func HasLabel(label string, b *flows.Server) bool {
 	return label == "" || slices.Contains(b.Labels, label)
 }
 
@@ -238,7 +238,7 @@
 // allowed returns how many tasks of the item its customer's limit lets start.
 func (p *planner) allowed(it Item) int64 {
 	size := flow.SizeOf(it.Spec)
-	left := p.view.Room(it.Flow.Customer).Sub(p.used[it.Flow.Customer])
+	left := p.view.RemainingLimit(it.Flow.Customer).Sub(p.used[it.Flow.Customer])
 	return fits(size, left)
 }
 
@@ -252,7 +252,7 @@
 // filling is what was found for a step whose tasks start one by one.
 type filling struct {
 	item   Item
-	places []Place
+	places []Assignment
 	// stale are the servers whose permits have to be asked for first.
 	stale []string
 }
@@ -265,13 +265,13 @@
 		return
 	}
 	for _, i := range tasks {
-		f.places = append(f.places, Place{flow.TaskID{StepID: f.item.StepID, Index: i}, o.ID})
+		f.places = append(f.places, Assignment{flow.TaskID{StepID: f.item.StepID, Index: i}, o.ID})
 	}
 }
 
 // singles places the tasks of a step one by one.
 func (p *planner) singles(it Item) {
-	left := min(int64(it.Queued), p.allowed(it))
+	left := min(int64(it.QueuedTasks), p.allowed(it))
 	if left <= 0 {
 		return
 	}
--- a/internal/policy/steps/steps_test.go
+++ b/internal/policy/steps/steps_test.go
@@ -26,7 +26,7 @@
 }
 
 func item(id string, spec *v1.FlowStep) steps.Item {
-	s := &flows.Step{StepID: flow.StepID{Flow: id}, Flow: &flows.Flow{ID: id, Customer: "customer"}, Spec: spec, Queued: int(spec.GetCount())}
+	s := &flows.Step{StepID: flow.StepID{Flow: id}, Flow: &flows.Flow{ID: id, Customer: "customer"}, Spec: spec, QueuedTasks: int(spec.GetCount())}
 	for range spec.GetCount() {
 		s.Tasks = append(s.Tasks, flows.Task{Phase: flows.Queued})
 	}
@@ -46,8 +46,8 @@
 func view(servers []steps.Server, items ...steps.Item) steps.View {
 	return steps.View{
 		Items: items, Servers: servers,
-		Room:  func(string) capacity.Size { return capacity.Size{CPU: 1 << 40, Memory: 1 << 40, Accel: 1 << 40} },
-		Known: known(servers, func(flow.StepID, string) steps.Permission { return steps.Granted }),
+		RemainingLimit: func(string) capacity.Size { return capacity.Size{CPU: 1 << 40, Memory: 1 << 40, Accel: 1 << 40} },
+		Permissions:    known(servers, func(flow.StepID, string) steps.Permission { return steps.Granted }),
 	}
 }
 
@@ -56,7 +56,7 @@
 	return func(id flow.StepID) iter.Seq2[string, steps.Permission] {
 		return func(yield func(string, steps.Permission) bool) {
 			for _, s := range servers {
-				if p := of(id, s.ID); p != steps.Unasked && !yield(s.ID, p) {
+				if p := of(id, s.ID); p != steps.NotAsked && !yield(s.ID, p) {
 					return
 				}
 			}
@@ -68,7 +68,7 @@
 func placed(p steps.Plan) map[string]int {
 	out := map[string]int{}
 	for _, one := range p.Placements {
-		for _, place := range one.Places {
+		for _, place := range one.Assignments {
 			out[place.Flow+" on "+place.Server]++
 		}
 	}
@@ -99,7 +99,7 @@
 	late := item("late", tasks(1, 1))
 	patient.Priority, patient.Slack = 1, time.Second
 	late.Priority, late.Slack = 1, -time.Second
-	surplus.Surplus, hopeless.Hopeless = true, true
+	surplus.OverShare, hopeless.Worthless = true, true
 	items := []steps.Item{hopeless, surplus, patient, late, urgent}
 	slices.SortFunc(items, steps.Compare)
 	var got []string
@@ -126,7 +126,7 @@
 	last := item("last", tasks(1, 1000))
 	last.Priority = 9
 	v := view([]steps.Server{server("a", 9000)}, append(items, last)...)
-	v.Room = func(customer string) capacity.Size {
+	v.RemainingLimit = func(customer string) capacity.Size {
 		if customer == "limited" {
 			return capacity.Size{}
 		}
@@ -134,7 +134,7 @@
 	}
 	for turn := range 20 {
 		w := v
-		w.Items = steps.Pick(v, turn)
+		w.Items = steps.SelectItems(v, turn)
 		if len(placed(steps.Make(w))) > 0 {
 			return
 		}
@@ -151,7 +151,7 @@
 
 func TestCustomersLimitBinds(t *testing.T) {
 	v := view([]steps.Server{server("a", 9000)}, item("x", tasks(4, 1000)), item("y", gang(2, 1000)))
-	v.Room = func(string) capacity.Size { return capacity.Size{CPU: 3000, Memory: 1 << 40, Accel: 1 << 40} }
+	v.RemainingLimit = func(string) capacity.Size { return capacity.Size{CPU: 3000, Memory: 1 << 40, Accel: 1 << 40} }
 	check(t, map[string]int{"x on a": 3}, steps.Make(v))
 }
 
@@ -172,10 +172,10 @@
 	}
 	large := item("gang", gang(2, 4000))
 	small := item("small", tasks(8, 1000))
-	small.Priority, small.Takes = 2, 5*time.Second
+	small.Priority, small.ExpectedRuntime = 2, 5*time.Second
 	v := view(servers, large, small)
-	v.Frees = func(string) []steps.Release {
-		return []steps.Release{{In: 3 * time.Second, Size: capacity.Size{CPU: 2000}}}
+	v.Releases = func(string) []steps.Release {
+		return []steps.Release{{After: 3 * time.Second, Size: capacity.Size{CPU: 2000}}}
 	}
 	p := steps.Make(v)
 	left := 0
@@ -195,14 +195,14 @@
 	a, b := server("a", 4000), server("b", 4000)
 	a.Used = capacity.Size{CPU: 3000}
 	large, short, long := item("gang", gang(2, 4000)), item("short", tasks(9, 1000)), item("long", tasks(9, 1000))
-	short.Priority, short.Takes = 1, time.Second
-	long.Priority, long.Takes = 2, 4*time.Second
+	short.Priority, short.ExpectedRuntime = 1, time.Second
+	long.Priority, long.ExpectedRuntime = 2, 4*time.Second
 	v := view([]steps.Server{a, b}, large, short, long)
-	v.Frees = func(id string) []steps.Release {
+	v.Releases = func(id string) []steps.Release {
 		if id != "a" {
 			return nil
 		}
-		return []steps.Release{{In: 3 * time.Second, Size: capacity.Size{CPU: 3000}}}
+		return []steps.Release{{After: 3 * time.Second, Size: capacity.Size{CPU: 3000}}}
 	}
 	check(t, map[string]int{"short on a": 1, "short on b": 4}, steps.Make(v))
 	v.Items = []steps.Item{large, long}
@@ -237,8 +237,8 @@
 	a, b := server("a", 4000), server("b", 4000)
 	a.Used = capacity.Size{CPU: 4000}
 	v := view([]steps.Server{a, b}, large, lasting, batch)
-	v.Frees = func(string) []steps.Release {
-		return []steps.Release{{In: time.Second, Size: capacity.Size{CPU: 4000}}}
+	v.Releases = func(string) []steps.Release {
+		return []steps.Release{{After: time.Second, Size: capacity.Size{CPU: 4000}}}
 	}
 	v.Headroom = func(string) steps.Headroom { return steps.Headroom{Size: capacity.Size{CPU: 1000}, Tasks: 4} }
 	check(t, map[string]int{"lasting on b": 1}, steps.Make(v))
@@ -263,17 +263,17 @@
 		servers = append(servers, server(fmt.Sprintf("s%03d", i), 4000))
 	}
 	it := item("x", gang(200, 4000))
-	it.Permits = true
+	it.NeedsPermit = true
 	v := view(servers, it)
-	v.Known = known(v.Servers, func(_ flow.StepID, s string) steps.Permission {
+	v.Permissions = known(v.Servers, func(_ flow.StepID, s string) steps.Permission {
 		if s < "s150" {
 			return steps.Granted
 		}
 		return steps.Stale
 	})
 	p := steps.Make(v)
-	if len(p.Wants) != 1 || !slices.Contains(p.Wants[0].Servers, "s199") || len(p.Wants[0].Servers) > steps.MostWanted {
-		t.Errorf("questions: %v", p.Wants)
+	if len(p.Questions) != 1 || !slices.Contains(p.Questions[0].Servers, "s199") || len(p.Questions[0].Servers) > steps.MaxServersPerStep {
+		t.Errorf("questions: %v", p.Questions)
 	}
 }
 
@@ -295,13 +295,13 @@
 	}
 	asked := func(count uint32, share float64) int {
 		it := item("x", gang(count, 3000))
-		it.Permits = true
+		it.NeedsPermit = true
 		v := view(servers, it)
-		v.Known = known(nil, nil)
-		v.Share = func(steps.Item) float64 { return share }
-		return len(steps.Make(v).Wants[0].Servers)
+		v.Permissions = known(nil, nil)
+		v.AllowedShare = func(steps.Item) float64 { return share }
+		return len(steps.Make(v).Questions[0].Servers)
 	}
-	if got := []int{asked(2, 0.5), asked(20, 0.5), asked(20, 0.3), asked(100, 0.3)}; !slices.Equal(got, []int{steps.LeastAsked, 60, 100, steps.MostWanted}) {
+	if got := []int{asked(2, 0.5), asked(20, 0.5), asked(20, 0.3), asked(100, 0.3)}; !slices.Equal(got, []int{steps.MinServersPerQuestion, 60, 100, steps.MaxServersPerStep}) {
 		t.Errorf("servers asked about: %v", got)
 	}
 }
@@ -311,13 +311,13 @@
 // ever and never run.
 func TestRoomIsKeptWhileAPermitIsAskedFor(t *testing.T) {
 	first, second := item("first", gang(2, 2000)), item("second", tasks(4, 1000))
-	first.Permits, second.Priority = true, 1
+	first.NeedsPermit, second.Priority = true, 1
 	v := view([]steps.Server{server("a", 4000)}, first, second)
-	v.Known = known(v.Servers, func(flow.StepID, string) steps.Permission { return steps.Stale })
+	v.Permissions = known(v.Servers, func(flow.StepID, string) steps.Permission { return steps.Stale })
 	p := steps.Make(v)
 	check(t, map[string]int{}, p)
-	if len(p.Wants) != 1 || !slices.Equal(p.Wants[0].Servers, []string{"a"}) {
-		t.Errorf("questions: %v", p.Wants)
+	if len(p.Questions) != 1 || !slices.Equal(p.Questions[0].Servers, []string{"a"}) {
+		t.Errorf("questions: %v", p.Questions)
 	}
 }
 
@@ -329,12 +329,12 @@
 		servers = append(servers, s)
 	}
 	it := item("x", tasks(1, 1000))
-	it.Permits = true
+	it.NeedsPermit = true
 	v := view(servers, it)
-	v.Known = known(nil, nil)
+	v.Permissions = known(nil, nil)
 	p := steps.Make(v)
-	if len(p.Wants) != 1 || len(p.Wants[0].Servers) != steps.LeastAsked || p.Wants[0].Servers[0] != "s00" {
-		t.Errorf("questions: %v", p.Wants)
+	if len(p.Questions) != 1 || len(p.Questions[0].Servers) != steps.MinServersPerQuestion || p.Questions[0].Servers[0] != "s00" {
+		t.Errorf("questions: %v", p.Questions)
 	}
 }
 
@@ -354,14 +354,14 @@
 			spec.Gang = rapid.Bool().Draw(t, "gang")
 			spec.Apart = uint32(rapid.IntRange(0, 2).Draw(t, "apart"))
 			it := item(fmt.Sprintf("f%d", i), spec)
-			it.Permits = rapid.Bool().Draw(t, "permits")
+			it.NeedsPermit = rapid.Bool().Draw(t, "permits")
 			it.Priority = uint32(rapid.IntRange(0, 2).Draw(t, "priority"))
 			items = append(items, it)
 		}
 		limit := rapid.Int64Range(0, 60000).Draw(t, "limit")
 		v := view(servers, items...)
-		v.Room = func(string) capacity.Size { return capacity.Size{CPU: limit, Memory: 1 << 40, Accel: 1 << 40} }
-		v.Known = known(v.Servers, func(id flow.StepID, s string) steps.Permission {
+		v.RemainingLimit = func(string) capacity.Size { return capacity.Size{CPU: limit, Memory: 1 << 40, Accel: 1 << 40} }
+		v.Permissions = known(v.Servers, func(id flow.StepID, s string) steps.Permission {
 			return steps.Permission((len(id.Flow) + int(id.Flow[1]) + int(s[1])) % 4)
 		})
 		bounds(t, v, steps.Make(v))
@@ -372,10 +372,10 @@
 	used, total, seen := map[string]int64{}, int64(0), map[flow.TaskID]bool{}
 	apart := map[string]uint32{}
 	for _, one := range p.Placements {
-		if one.Item.Spec.GetGang() && len(one.Places) != len(one.Item.Tasks) {
+		if one.Item.Spec.GetGang() && len(one.Assignments) != len(one.Item.Tasks) {
 			t.Fatalf("part of a gang: %v", one)
 		}
-		for _, place := range one.Places {
+		for _, place := range one.Assignments {
 			if seen[place.TaskID] {
 				t.Fatalf("%v twice", place)
 			}
@@ -389,12 +389,12 @@
 		}
 	}
 	for _, s := range v.Servers {
-		if used[s.ID] > s.Free().CPU {
-			t.Fatalf("%s is given %d, it has %d", s.ID, used[s.ID], s.Free().CPU)
+		if used[s.ID] > s.FreeCapacity().CPU {
+			t.Fatalf("%s is given %d, it has %d", s.ID, used[s.ID], s.FreeCapacity().CPU)
 		}
 	}
-	if total > v.Room("").CPU {
-		t.Fatalf("%d is placed, the limit is %d", total, v.Room("").CPU)
+	if total > v.RemainingLimit("").CPU {
+		t.Fatalf("%d is placed, the limit is %d", total, v.RemainingLimit("").CPU)
 	}
 }
 
@@ -407,21 +407,21 @@
 		s.Used = capacity.Size{CPU: 4000}
 	}
 	it := item("x", tasks(2, 4000))
-	it.Permits, it.Asked = true, true
+	it.NeedsPermit, it.AdviserAsked = true, true
 	v := view([]steps.Server{soon, late, free}, it)
-	v.Known = known(v.Servers, func(_ flow.StepID, server string) steps.Permission {
+	v.Permissions = known(v.Servers, func(_ flow.StepID, server string) steps.Permission {
 		if server == "other" {
 			return steps.Denied
 		}
 		return steps.Stale
 	})
-	v.Frees = func(server string) []steps.Release {
+	v.Releases = func(server string) []steps.Release {
 		in := map[string]time.Duration{"soon": 500 * time.Millisecond, "late": time.Minute, "other": 0}[server]
-		return []steps.Release{{In: in, Size: capacity.Size{CPU: 4000}}}
+		return []steps.Release{{After: in, Size: capacity.Size{CPU: 4000}}}
 	}
 	p := steps.Make(v)
-	if len(p.Wants) != 1 || !slices.Equal(p.Wants[0].Servers, []string{"soon"}) {
-		t.Errorf("asked for %+v", p.Wants)
+	if len(p.Questions) != 1 || !slices.Equal(p.Questions[0].Servers, []string{"soon"}) {
+		t.Errorf("asked for %+v", p.Questions)
 	}
 }
 
@@ -429,7 +429,7 @@
 // there while there is room elsewhere, whatever packs better.
 func TestWorkGoesWhereItsLeasesAre(t *testing.T) {
 	brief, usual := server("brief", 4000), server("usual", 4000)
-	brief.Brief = true
+	brief.ShortLease = true
 	usual.Used = capacity.Size{CPU: 1000}
 	urgent, long := item("urgent", tasks(1, 1000)), item("long", tasks(4, 1000))
 	urgent.Urgent, long.Priority = true, 1
@@ -451,19 +451,19 @@
 		if i%2 == 0 {
 			it = item(fmt.Sprintf("f%02d", i), gang(4, 4000))
 		}
-		it.Permits, it.Asked = true, true
+		it.NeedsPermit, it.AdviserAsked = true, true
 		items = append(items, it)
 	}
 	v := view(servers, items...)
 	stale := known(servers, func(flow.StepID, string) steps.Permission { return steps.Stale })
 	looks, frees := map[flow.StepID]int{}, map[string]int{}
-	v.Known = func(id flow.StepID) iter.Seq2[string, steps.Permission] {
+	v.Permissions = func(id flow.StepID) iter.Seq2[string, steps.Permission] {
 		looks[id]++
 		return stale(id)
 	}
-	v.Frees = func(server string) []steps.Release {
+	v.Releases = func(server string) []steps.Release {
 		frees[server]++
-		return []steps.Release{{In: 100 * time.Millisecond, Size: capacity.Size{CPU: 4000}}}
+		return []steps.Release{{After: 100 * time.Millisecond, Size: capacity.Size{CPU: 4000}}}
 	}
 	steps.Make(v)
 	for id, n := range looks {
@@ -486,20 +486,20 @@
 		for i := range rapid.IntRange(1, 250).Draw(t, "servers") {
 			s := server(fmt.Sprintf("s%03d", i), 16000)
 			s.Used = capacity.Size{CPU: 100 * rapid.Int64Range(0, 160).Draw(t, "used")}
-			s.Brief = rapid.Bool().Draw(t, "brief")
+			s.ShortLease = rapid.Bool().Draw(t, "brief")
 			servers = append(servers, s)
 		}
 		placed, asks := item("a", tasks(uint32(rapid.IntRange(1, 200).Draw(t, "placed")), 1000)), item("b", tasks(200, 100))
-		asks.Permits, asks.Priority, asks.Urgent = true, 1, rapid.Bool().Draw(t, "urgent")
+		asks.NeedsPermit, asks.Priority, asks.Urgent = true, 1, rapid.Bool().Draw(t, "urgent")
 		v := view(servers, placed, asks)
-		v.Known = known(nil, nil)
+		v.Permissions = known(nil, nil)
 		p := steps.Make(v)
 		free, brief := map[string]int64{}, map[string]bool{}
 		for _, s := range servers {
-			free[s.ID], brief[s.ID] = s.Free().CPU, asks.Urgent && s.Brief
+			free[s.ID], brief[s.ID] = s.FreeCapacity().CPU, asks.Urgent && s.ShortLease
 		}
 		for _, one := range p.Placements {
-			for _, place := range one.Places {
+			for _, place := range one.Assignments {
 				free[place.Server] -= 1000
 			}
 		}
@@ -509,7 +509,7 @@
 			}
 			return gocmp.Or(gocmp.Compare(free[b], free[a]), strings.Compare(a, b))
 		})
-		if got := p.Wants[0].Servers; !slices.Equal(got, want[:len(got)]) {
+		if got := p.Questions[0].Servers; !slices.Equal(got, want[:len(got)]) {
 			t.Fatalf("asked about %v, by room %v", got, want[:len(got)])
 		}
 	})
@@ -523,7 +523,7 @@
 	}
 	v := view(nil, items...)
 	rests := 0
-	v.Rest = func() { rests++ }
+	v.Yield = func() { rests++ }
 	steps.Make(v)
 	if rests < 20 {
 		t.Errorf("%d rests in a plan over %d steps", rests, len(items))
@@ -545,10 +545,10 @@
 	}
 	dear := &v1.Advice{Base: 480, Each: 6.9}
 	it := item("a", tasks(8, 1000))
-	it.Permits, it.Asked, it.Usual = true, true, steps.Width(dear, 6*time.Second)
+	it.NeedsPermit, it.AdviserAsked, it.QuestionSize = true, true, steps.QuestionSize(dear, 6*time.Second)
 	v := view(servers, it)
-	v.Known = known(servers, func(flow.StepID, string) steps.Permission { return steps.Unasked })
-	wants := steps.Make(v).Wants
+	v.Permissions = known(servers, func(flow.StepID, string) steps.Permission { return steps.NotAsked })
+	wants := steps.Make(v).Questions
 	if len(wants) != 1 || len(wants[0].Servers) < 60 {
 		t.Fatalf("%d questions, the first about %d servers", len(wants), len(wants[0].Servers))
 	}
@@ -563,15 +563,15 @@
 		takes      time.Duration
 		want       int
 	}{
-		{480, 6.9, 6 * time.Second, 69},                   // each server costs little beside the question
-		{10, 1, 200 * time.Millisecond, steps.LeastAsked}, // each server costs much
-		{10, 0.5, 2 * time.Second, 100},                   // there is time for more
-		{0, 0, time.Second, steps.LeastAsked},             // nothing is known of the cost
-		{900, 1, time.Second, steps.MostAsked},            // the adviser takes no more
-		{100, 1.4, 2700 * time.Millisecond, 71},           // between the two
-		{5, 0.5, 200 * time.Millisecond, steps.LeastAsked},
+		{480, 6.9, 6 * time.Second, 69},                              // each server costs little beside the question
+		{10, 1, 200 * time.Millisecond, steps.MinServersPerQuestion}, // each server costs much
+		{10, 0.5, 2 * time.Second, 100},                              // there is time for more
+		{0, 0, time.Second, steps.MinServersPerQuestion},             // nothing is known of the cost
+		{900, 1, time.Second, steps.MaxServersPerQuestion},           // the adviser takes no more
+		{100, 1.4, 2700 * time.Millisecond, 71},                      // between the two
+		{5, 0.5, 200 * time.Millisecond, steps.MinServersPerQuestion},
 	} {
-		if got := steps.Width(&v1.Advice{Base: c.base, Each: c.each}, c.takes); got != c.want {
+		if got := steps.QuestionSize(&v1.Advice{Base: c.base, Each: c.each}, c.takes); got != c.want {
 			t.Errorf("%v + %v each, runs of %v: %d servers, want %d", c.base, c.each, c.takes, got, c.want)
 		}
 	}
--- a/internal/policy/steps/view.go
+++ b/internal/policy/steps/view.go
@@ -21,22 +21,22 @@
 	Slack time.Duration
 	// Late tells that the flow cannot end in time any more, and Hopeless that
 	// its end is worth nothing more to its caller.
-	Late     bool
-	Hopeless bool
+	Late      bool
+	Worthless bool
 	// Urgent tells that no queue of its pool comes before its own.
 	Urgent bool
-	// Takes is how long a task of it should run.
-	Takes time.Duration
-	// Usual is how many servers a question about it names where no more are needed.
-	Usual int
-	// Surplus tells that the customer sent it beyond what it can count on.
-	Surplus bool
-	// Shunned are servers on which a task of the step failed; they come last.
-	Shunned map[string]bool
-	// Permits tells that only servers with the adviser's permit may run it, and
+	// ExpectedRuntime is how long a task of it should run.
+	ExpectedRuntime time.Duration
+	// QuestionSize is how many servers a question about it names where no more are needed.
+	QuestionSize int
+	// OverShare tells that the customer sent it beyond what it can count on.
+	OverShare bool
+	// FailedOn are servers on which a task of the step failed; they come last.
+	FailedOn map[string]bool
+	// NeedsPermit tells that only servers with the adviser's permit may run it, and
 	// Asked that the adviser was asked about some of them.
-	Permits bool
-	Asked   bool
+	NeedsPermit  bool
+	AdviserAsked bool
 }
 
 // Server is a backend server that takes work now.
@@ -46,13 +46,13 @@
 	Speed float64
 	// Cold tells that it is still slow after its start.
 	Cold bool
-	// Fresh tells that its life began moments ago: it may crash again by itself.
-	Fresh bool
-	// Probation tells that a task has just begun there that may crash it: nothing else is
+	// RecentlyStarted tells that its life began moments ago: it may crash again by itself.
+	RecentlyStarted bool
+	// OnProbation tells that a task has just begun there that may crash it: nothing else is
 	// placed there meanwhile.
-	Probation bool
-	// Brief tells that urgent work is gathered there, where leases stay short.
-	Brief bool
+	OnProbation bool
+	// ShortLease tells that urgent work is gathered there, where leases stay short.
+	ShortLease bool
 }
 
 // Permission is what is known of one step on one server.
@@ -60,8 +60,8 @@
 
 // The permissions.
 const (
-	// Unasked means that the adviser was not asked yet.
-	Unasked Permission = iota
+	// NotAsked means that the adviser was not asked yet.
+	NotAsked Permission = iota
 	// Denied means that the step may never run there.
 	Denied
 	// Stale means that it may, with a permit that has to be asked for anew.
@@ -74,46 +74,48 @@
 type View struct {
 	Items   []Item
 	Servers []Server
-	// Room is what a customer may still start.
-	Room func(customer string) capacity.Size
-	// Known goes over the servers of which something is known for a step that needs
+	// RemainingLimit is what a customer may still start.
+	RemainingLimit func(customer string) capacity.Size
+	// Permissions goes over the servers of which something is known for a step that needs
 	// permits; the others are Unasked.
-	Known func(id flow.StepID) iter.Seq2[string, Permission]
-	// Share is the part of the servers asked about that the adviser lets run a
+	Permissions func(id flow.StepID) iter.Seq2[string, Permission]
+	// AllowedShare is the part of the servers asked about that the adviser lets run a
 	// step of the item's queue; nil while nothing is known.
-	Share func(it Item) float64
+	AllowedShare func(it Item) float64
 	// Headroom is what work that is not urgent leaves free in a pool; nil for nothing.
 	Headroom func(pool string) Headroom
-	// Frees tells what a server will have free again, and when; nil while
+	// Releases tells what a server will have free again, and when; nil while
 	// nothing is known.
-	Frees func(server string) []Release
-	// Rest is called now and then while a plan is made; nil for never.
-	Rest func()
+	Releases func(server string) []Release
+	// Yield is called now and then while a plan is made; nil for never.
+	Yield func()
 }
 
 // Release is room that a server has again when a run should have ended.
 type Release struct {
-	In   time.Duration
-	Size capacity.Size
+	After time.Duration
+	Size  capacity.Size
 }
 
-// Place is one task and where it starts.
-type Place struct {
+// Assignment is one task and where it starts.
+type Assignment struct {
 	flow.TaskID
 	Server string
 }
 
 // Placement is what is started at once of one step; a gang's is whole.
 type Placement struct {
-	Item   Item
-	Places []Place
+	Item        Item
+	Assignments []Assignment
 }
 
 // Size returns what the placement takes.
-func (p Placement) Size() capacity.Size { return flow.SizeOf(p.Item.Spec).Times(int64(len(p.Places))) }
+func (p Placement) Size() capacity.Size {
+	return flow.SizeOf(p.Item.Spec).Times(int64(len(p.Assignments)))
+}
 
-// Want is a question to the adviser, the most useful servers first.
-type Want struct {
+// Question is a question to the adviser, the most useful servers first.
+type Question struct {
 	Item    Item
 	Servers []string
 }
@@ -121,5 +123,5 @@
 // Plan is what is decided.
 type Plan struct {
 	Placements []Placement
-	Wants      []Want
+	Questions  []Question
 }
--- a/internal/policy/steps/want.go
+++ b/internal/policy/steps/want.go
@@ -12,7 +12,7 @@
 func (p *planner) want(it Item, servers []string, options []option) {
 	extra := spare
 	for _, o := range options {
-		if extra == 0 || len(servers) >= MostWanted {
+		if extra == 0 || len(servers) >= MaxServersPerStep {
 			break
 		}
 		if !slices.Contains(servers, o.ID) {
@@ -21,18 +21,18 @@
 		}
 	}
 	servers = append(servers, p.upcoming(it, servers)...)
-	p.plan.Wants = append(p.plan.Wants, Want{it, servers[:min(len(servers), MostWanted)]})
+	p.plan.Questions = append(p.plan.Questions, Question{it, servers[:min(len(servers), MaxServersPerStep)]})
 }
 
 // foresee asks for fresh permits of servers that are about to have room for the
 // next steps in turn, so that no room lies idle while the adviser is asked.
 func (p *planner) foresee(it Item) {
-	if !it.Permits || p.ahead[it.Pool] >= leastWaiting+p.sizes[it.Pool]/waitingPart {
+	if !it.NeedsPermit || p.ahead[it.Pool] >= leastWaiting+p.sizes[it.Pool]/waitingPart {
 		return
 	}
 	p.ahead[it.Pool]++
 	if servers := p.upcoming(it, nil); len(servers) > 0 {
-		p.plan.Wants = append(p.plan.Wants, Want{it, servers[:min(len(servers), MostWanted)]})
+		p.plan.Questions = append(p.plan.Questions, Question{it, servers[:min(len(servers), MaxServersPerStep)]})
 	}
 }
 
@@ -42,8 +42,8 @@
 // one, as room comes, would need a question for each otherwise, and its room would
 // lie idle while that is asked.
 func (p *planner) upcoming(it Item, given []string) []string {
-	most := it.Queued - len(given)
-	if p.view.Frees == nil || most <= 0 {
+	most := it.QueuedTasks - len(given)
+	if p.view.Releases == nil || most <= 0 {
 		return nil
 	}
 	var slots []slot
@@ -67,12 +67,12 @@
 func (p *planner) soonest(it Item, r *room) (time.Duration, bool) {
 	size, free := flow.SizeOf(it.Spec), r.free.Sub(r.kept)
 	for _, f := range p.frees(r) {
-		if f.In > soon+holds {
+		if f.After > soon+holds {
 			return 0, false
 		}
 		free = free.Add(f.Size)
 		if fits(size, free) > 0 {
-			return f.In, true
+			return f.After, true
 		}
 	}
 	return 0, false
@@ -83,31 +83,31 @@
 // run it. A gang whose servers are found one small question after the other
 // begins as much later. It tells whether there are such servers.
 func (p *planner) ask(it Item) bool {
-	if !it.Permits || p.full(it) {
+	if !it.NeedsPermit || p.full(it) {
 		return false
 	}
 	p.listed(it)
 	size := flow.SizeOf(it.Spec)
 	share := 1.0
-	if p.view.Share != nil {
-		share = p.view.Share(it)
+	if p.view.AllowedShare != nil {
+		share = p.view.AllowedShare(it)
 	}
-	need, found := enough*float64(it.Queued), 0.0
-	width := max(it.Usual, LeastAsked)
-	w := Want{Item: it}
+	need, found := enough*float64(it.QueuedTasks), 0.0
+	width := max(it.QuestionSize, MinServersPerQuestion)
+	w := Question{Item: it}
 	var later []string
 	for r := range p.roomy(it) {
-		if len(w.Servers) >= MostWanted || found >= need && len(w.Servers) >= width {
+		if len(w.Servers) >= MaxServersPerStep || found >= need && len(w.Servers) >= width {
 			break
 		}
-		if p.permission(it, r) != Unasked || !suits(it, r) {
+		if p.permission(it, r) != NotAsked || !suits(it, r) {
 			continue
 		}
-		if it.Asked && fits(size, r.left(it)) == 0 {
+		if it.AdviserAsked && fits(size, r.left(it)) == 0 {
 			later = append(later, r.ID)
 			continue
 		}
-		found += share * float64(min(fits(size, r.free), int64(it.Queued)))
+		found += share * float64(min(fits(size, r.free), int64(it.QueuedTasks)))
 		w.Servers = append(w.Servers, r.ID)
 	}
 	if len(w.Servers) == 0 {
@@ -115,6 +115,6 @@
 	}
 	// Servers that have no room yet fill the question up.
 	w.Servers = append(w.Servers, later[:min(len(later), max(width-len(w.Servers), 0))]...)
-	p.plan.Wants = append(p.plan.Wants, w)
+	p.plan.Questions = append(p.plan.Questions, w)
 	return true
 }
--- a/internal/policy/urgent/urgent.go
+++ b/internal/policy/urgent/urgent.go
@@ -12,12 +12,12 @@
 
 // Bounds of the reserve.
 const (
-	// Window is the time in which arrivals are counted against the reserve.
-	Window = time.Second
-	// HalfLife is the time after which an old peak counts half.
-	HalfLife = 2 * time.Minute
-	// Most is the largest part of the cell that is reserved.
-	Most = 0.05
+	// ArrivalWindow is the time in which arrivals are counted against the reserve.
+	ArrivalWindow = time.Second
+	// PeakHalfLife is the time after which an old peak counts half.
+	PeakHalfLife = 2 * time.Minute
+	// MaxReservedFraction is the largest part of the cell that is reserved.
+	MaxReservedFraction = 0.05
 )
 
 // Reserve learns the arrivals and says what to keep free.
@@ -29,21 +29,21 @@
 	last  time.Duration
 }
 
-// Arrive notes an urgent task of the given size.
-func (r *Reserve) Arrive(now time.Duration, size capacity.Size) {
-	r.Tick(now)
+// RecordArrival notes an urgent task of the given size.
+func (r *Reserve) RecordArrival(now time.Duration, size capacity.Size) {
+	r.Advance(now)
 	r.count++
 	r.peak = max(r.peak, r.count)
 	r.size = r.size.Max(size)
 }
 
-// Tick lets the peak fade.
-func (r *Reserve) Tick(now time.Duration) {
+// Advance lets the peak fade.
+func (r *Reserve) Advance(now time.Duration) {
 	if now > r.last {
-		r.peak *= math.Exp2(-float64(now-r.last) / float64(HalfLife))
+		r.peak *= math.Exp2(-float64(now-r.last) / float64(PeakHalfLife))
 		r.last = now
 	}
-	if now-r.start >= Window {
+	if now-r.start >= ArrivalWindow {
 		r.start, r.count = now, 0
 	}
 }
@@ -55,6 +55,6 @@
 	if part <= 0 {
 		return 0, capacity.Size{}
 	}
-	most := math.Floor(Most / part)
+	most := math.Floor(MaxReservedFraction / part)
 	return int(min(most, math.Ceil(r.peak-0.5))), r.size
 }
--- a/internal/policy/urgent/urgent_test.go
+++ b/internal/policy/urgent/urgent_test.go
@@ -18,17 +18,17 @@
 		t.Error("something is reserved before anything urgent came")
 	}
 	for i := range 10 {
-		r.Arrive(time.Duration(i)*10*time.Millisecond, one)
+		r.RecordArrival(time.Duration(i)*10*time.Millisecond, one)
 	}
 	if target() != 10 {
 		t.Errorf("%d rooms after a burst of 10", target())
 	}
-	r.Tick(20 * time.Minute)
+	r.Advance(20 * time.Minute)
 	if target() != 0 {
 		t.Errorf("%d rooms after 20 quiet minutes", target())
 	}
 	for range 500 {
-		r.Arrive(20*time.Minute, one)
+		r.RecordArrival(20*time.Minute, one)
 	}
 	if target() != 50 {
 		t.Errorf("%d rooms, the cap is a twentieth of 1000", target())
--- a/internal/policy/watchdog/watchdog.go
+++ b/internal/policy/watchdog/watchdog.go
@@ -28,32 +28,32 @@
 // Run is what is known of a run.
 type Run struct {
 	// Elapsed is how long it has run, Still how long its progress has not moved.
-	Elapsed time.Duration
-	Still   time.Duration
-	// Percent is its progress.
-	Percent float64
-	// Typical is how long such a run takes on a sound server.
-	Typical time.Duration
-	// Saves tells that it goes on elsewhere from where it is.
-	Saves bool
+	Elapsed       time.Duration
+	SinceProgress time.Duration
+	// ProgressPercent is its progress.
+	ProgressPercent float64
+	// TypicalRuntime is how long such a run takes on a sound server.
+	TypicalRuntime time.Duration
+	// Checkpoints tells that it goes on elsewhere from where it is.
+	Checkpoints bool
 }
 
-// Stuck tells that a run stands still: its server hangs, and it would never end.
-func Stuck(r Run) bool {
-	least := min(max(stillLeast, time.Duration(stillTimes*float64(r.Typical))), stillMost)
-	return r.Still >= max(least, r.Typical/stillParts)
+// IsStuck tells that a run stands still: its server hangs, and it would never end.
+func IsStuck(r Run) bool {
+	least := min(max(stillLeast, time.Duration(stillTimes*float64(r.TypicalRuntime))), stillMost)
+	return r.SinceProgress >= max(least, r.TypicalRuntime/stillParts)
 }
 
-// Drags tells that a run is so slow that it ends sooner when it is started over
+// IsSlow tells that a run is so slow that it ends sooner when it is started over
 // on a sound server.
-func Drags(r Run) bool {
-	if r.Elapsed < dragLeast || r.Percent <= 0 || r.Percent >= 100 || r.Typical <= 0 {
+func IsSlow(r Run) bool {
+	if r.Elapsed < dragLeast || r.ProgressPercent <= 0 || r.ProgressPercent >= 100 || r.TypicalRuntime <= 0 {
 		return false
 	}
-	left := time.Duration(float64(r.Elapsed) * (100 - r.Percent) / r.Percent)
-	again := r.Typical
-	if r.Saves {
-		again = time.Duration(float64(r.Typical) * (100 - r.Percent) / 100)
+	left := time.Duration(float64(r.Elapsed) * (100 - r.ProgressPercent) / r.ProgressPercent)
+	again := r.TypicalRuntime
+	if r.Checkpoints {
+		again = time.Duration(float64(r.TypicalRuntime) * (100 - r.ProgressPercent) / 100)
 	}
 	return left > dragFactor*again && left-again > dragLeast
 }
@@ -71,14 +71,14 @@
 	lastRest  = 8 * time.Second
 )
 
-// Streak is a server's failures in a row. The zero value is none.
-type Streak struct {
+// FailureStreak is a server's failures in a row. The zero value is none.
+type FailureStreak struct {
 	count int
 	flow  string
 }
 
-// Failed notes a failed run and returns how long the server is to be passed over.
-func (s *Streak) Failed(flow string) time.Duration {
+// RecordFailure notes a failed run and returns how long the server is to be passed over.
+func (s *FailureStreak) RecordFailure(flow string) time.Duration {
 	if s.flow != flow || s.count == 0 {
 		s.count++
 	}
@@ -89,5 +89,5 @@
 	return min(firstRest<<min(s.count-streakLeast, 10), lastRest)
 }
 
-// Done notes a run that ended well.
-func (s *Streak) Done() { *s = Streak{} }
+// RecordSuccess notes a run that ended well.
+func (s *FailureStreak) RecordSuccess() { *s = FailureStreak{} }
--- a/internal/policy/watchdog/watchdog_test.go
+++ b/internal/policy/watchdog/watchdog_test.go
@@ -22,7 +22,7 @@
 		{3 * time.Second, time.Minute, false},
 		{7 * time.Second, time.Minute, true},
 	} {
-		if got := watchdog.Stuck(watchdog.Run{Still: c.still, Typical: c.typical}); got != c.want {
+		if got := watchdog.IsStuck(watchdog.Run{SinceProgress: c.still, TypicalRuntime: c.typical}); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
@@ -44,8 +44,8 @@
 		{12 * time.Second, 50, true, true},
 		{12 * time.Second, 90, true, false},
 	} {
-		r := watchdog.Run{Elapsed: c.elapsed, Percent: c.percent, Typical: 6 * time.Second, Saves: c.saves}
-		if got := watchdog.Drags(r); got != c.want {
+		r := watchdog.Run{Elapsed: c.elapsed, ProgressPercent: c.percent, TypicalRuntime: 6 * time.Second, Checkpoints: c.saves}
+		if got := watchdog.IsSlow(r); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
@@ -54,19 +54,19 @@
 // A server fails all that it starts, and at once, so it always has room: without
 // a pause it would draw in everything that waits and use up its attempts.
 func TestStreak(t *testing.T) {
-	var s watchdog.Streak
-	if d := s.Failed("a"); d != 0 {
+	var s watchdog.FailureStreak
+	if d := s.RecordFailure("a"); d != 0 {
 		t.Errorf("one failure rests it for %v", d)
 	}
-	if d := s.Failed("a"); d != 0 {
+	if d := s.RecordFailure("a"); d != 0 {
 		t.Errorf("two tasks of one flow rest it for %v", d)
 	}
-	first, second := s.Failed("b"), s.Failed("c")
+	first, second := s.RecordFailure("b"), s.RecordFailure("c")
 	if first == 0 || second != 2*first {
 		t.Errorf("rests of %v and %v", first, second)
 	}
-	s.Done()
-	if d := s.Failed("d"); d != 0 {
+	s.RecordSuccess()
+	if d := s.RecordFailure("d"); d != 0 {
 		t.Errorf("one failure after a good end rests it for %v", d)
 	}
 }
--- a/internal/replica/group/run.go
+++ b/internal/replica/group/run.go
@@ -25,19 +25,19 @@
 	defer wg.Wait()
 	defer cancel()
 	wg.Go(func() { g.notes.run(ctx) })
-	j := journalist{Group: g, last: last(g.Saved.Entries)}
+	j := journalist{Group: g, last: last(g.Recovered.Entries)}
 	wg.Go(func() { j.run(ctx) })
 	wg.Go(func() { g.snapshot(ctx) })
-	g.core = quorum.New(g.Config, g.Saved)
-	g.Saved = quorum.PersistedState{}
+	g.core = quorum.New(g.Config, g.Recovered)
+	g.Recovered = quorum.PersistedState{}
 	g.step(quorum.ReloadState{})
 	return g.loop(ctx)
 }
 
 func (g *Group) loop(ctx context.Context) error {
-	tick := g.Tick
+	tick := g.TickInterval
 	if tick == 0 {
-		tick = DefaultTick
+		tick = DefaultTickInterval
 	}
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
@@ -62,7 +62,7 @@
 		case <-g.confirms:
 			g.step(quorum.ConfirmLeadership{})
 		case full := <-g.full:
-			g.notes.put(Full{Full: full})
+			g.notes.put(JournalDiskFull{Full: full})
 		case a := <-g.asks:
 			g.answer(a)
 		}
@@ -80,17 +80,17 @@
 
 // propose hands on a proposal together with those that follow it without a gap.
 func (g *Group) propose(p Proposal) {
-	if p.Change != nil {
-		g.step(quorum.ChangeMembership{Term: p.Term, Index: p.First, Member: *p.Change, Remove: p.Remove})
+	if p.Member != nil {
+		g.step(quorum.ChangeMembership{Term: p.Term, Index: p.FirstIndex, Member: *p.Member, Remove: p.RemoveMember})
 		return
 	}
-	ev := quorum.Propose{Term: p.Term, FirstIndex: p.First, Commands: p.Commands}
+	ev := quorum.Propose{Term: p.Term, FirstIndex: p.FirstIndex, Commands: p.Commands}
 	for range maxBatch {
 		next, ok := g.next()
 		if !ok {
 			break
 		}
-		if next.Change != nil || next.Term != ev.Term || next.First != ev.FirstIndex+uint64(len(ev.Commands)) {
+		if next.Member != nil || next.Term != ev.Term || next.FirstIndex != ev.FirstIndex+uint64(len(ev.Commands)) {
 			g.step(ev)
 			g.propose(next)
 			return
@@ -135,7 +135,7 @@
 	case !s.Leading:
 		g.transferred(nil)
 	case s.Voters == 1:
-		g.transferred(ErrAlone)
+		g.transferred(ErrNoOtherVoter)
 	case !g.core.Transferring():
 		g.step(quorum.TransferLeadership{})
 	}
@@ -193,28 +193,28 @@
 		}
 		out = out[:n]
 		if address != "" {
-			g.Peer.Send(to, address, data)
+			g.Transport.Send(to, address, data)
 		}
 	}
 }
 
-func (g *Group) note(r quorum.Report) Note {
+func (g *Group) note(r quorum.Report) Notification {
 	switch r := r.(type) {
 	case quorum.BecameLeader:
-		return Lead{Term: r.Term, Last: r.LastIndex, Elected: r.ElectedAt}
+		return Leading{Term: r.Term, LastIndex: r.LastIndex, ElectedAt: r.ElectedAt}
 	case quorum.BecameFollower:
-		return Follow{Term: r.Term, Leader: r.Leader, Address: r.LeaderAddress}
+		return Following{Term: r.Term, Leader: r.Leader, LeaderAddress: r.LeaderAddress}
 	case quorum.EntriesCommitted:
-		return Apply{Entries: r.Entries}
+		return ApplyEntries{Entries: r.Entries}
 	case quorum.CommitAdvanced:
-		return Commit{Index: r.Index}
+		return CommitAdvanced{Index: r.Index}
 	case quorum.LeadershipConfirmed:
 		g.confirmed(r.RoundStartedAt)
-		return Confirmed{Term: r.Term, Start: r.RoundStartedAt}
+		return LeadershipConfirmed{Term: r.Term, StartedAt: r.RoundStartedAt}
 	case quorum.StateRestored:
-		return Restore{Index: r.Index, State: r.State}
+		return RestoreSnapshot{Index: r.Index, State: r.State}
 	case quorum.MembershipChanged:
-		return Members{Members: r.Members, Self: g.Config.ID}
+		return MembershipChanged{Members: r.Members, Self: g.Config.ID}
 	}
 	panic(errors.Newf("group: report %T", r))
 }
--- a/internal/replica/group/store.go
+++ b/internal/replica/group/store.go
@@ -70,7 +70,7 @@
 		if err == nil {
 			break
 		}
-		if !disk.Passes(err) {
+		if !disk.IsRetryable(err) {
 			return errors.Wrap(err, "append to the journal")
 		}
 		if err := j.wait(ctx); err != nil {
@@ -94,7 +94,7 @@
 
 func (j *journalist) compact(index uint64) error {
 	err := j.Journal.Compact(index)
-	if disk.Passes(err) {
+	if disk.IsRetryable(err) {
 		// Nothing hangs on it: the next snapshot tries again.
 		return nil
 	}
@@ -123,13 +123,13 @@
 
 // look tells the loop when the disk got full, or got room again.
 func (j *journalist) look() {
-	free, err := j.Journal.Free()
+	free, err := j.Journal.FreeBytes()
 	if err != nil {
 		return
 	}
-	want := j.Free
+	want := j.MinFreeBytes
 	if want == 0 {
-		want = DefaultFree
+		want = DefaultMinFreeBytes
 	}
 	j.tell(free < want)
 }
--- a/internal/replica/journal/frame.go
+++ b/internal/replica/journal/frame.go
@@ -126,7 +126,7 @@
 // decodeRecord reads a record; its entries do not share memory with b.
 func decodeRecord(b []byte) (record, error) {
 	var r record
-	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
+	err := wire.VisitFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fieldMark:
 			r.mark = v
@@ -148,7 +148,7 @@
 
 func decodeHard(b []byte) (quorum.HardState, error) {
 	var h quorum.HardState
-	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
+	err := wire.VisitFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fieldTerm:
 			h.Term = v
@@ -162,7 +162,7 @@
 
 func decodeEntry(b []byte) (quorum.Entry, error) {
 	var e quorum.Entry
-	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
+	err := wire.VisitFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fieldIndex:
 			e.Index = v
