--- a/internal/control/dispatch/takeover_test.go
+++ b/internal/control/dispatch/takeover_test.go
@@ -65,7 +65,7 @@
 			longestWait = max(longestWait, time.Since(startedAt))
 			time.Sleep(50 * time.Millisecond)
 		}
-		if longestWait > quorum.DefaultElection/2 {
+		if longestWait > quorum.DefaultElectionTimeout/2 {
 			t.Errorf("a heartbeat waited %v for the processor", longestWait)
 		}
 	})
--- a/internal/control/leader/harness_test.go
+++ b/internal/control/leader/harness_test.go
@@ -48,7 +48,7 @@
 		return true // the real group also discards such a proposal as a whole
 	}
 	for _, c := range p.Commands {
-		g.log = append(g.log, quorum.Entry{Index: uint64(len(g.log)) + 1, Term: p.Term, Kind: quorum.Command, Data: c})
+		g.log = append(g.log, quorum.Entry{Index: uint64(len(g.log)) + 1, Term: p.Term, Kind: quorum.EntryCommand, Data: c})
 	}
 	if !g.commitsHeld {
 		g.commit()
--- a/internal/control/leader/notification.go
+++ b/internal/control/leader/notification.go
@@ -55,7 +55,7 @@
 			return errors.Newf("log entry out of order: got index %d after %d", e.Index, l.appliedIndex)
 		}
 		l.appliedIndex = e.Index
-		if e.Kind != quorum.Command {
+		if e.Kind != quorum.EntryCommand {
 			continue
 		}
 		c, err := command.Decode(e.Data)
--- a/internal/control/leader/snapshot_test.go
+++ b/internal/control/leader/snapshot_test.go
@@ -23,7 +23,7 @@
 		time.Sleep(time.Second) // the snapshot is encoded and waits for its commit
 		for i := range 50 {
 			index := uint64(len(committedEntries)) + 1
-			committedEntries = append(committedEntries, quorum.Entry{Index: index, Term: 2, Kind: quorum.Empty})
+			committedEntries = append(committedEntries, quorum.Entry{Index: index, Term: 2, Kind: quorum.EntryNoOp})
 			if i == 0 {
 				h.group.notifications <- group.Following{Term: 2, Leader: "c2/1"}
 				h.group.notifications <- group.RestoreSnapshot{}
--- a/internal/replica/disk/crash_test.go
+++ b/internal/replica/disk/crash_test.go
@@ -340,12 +340,12 @@
 		t.Fatal(err)
 	}
 	for term := uint64(1); term <= 8; term++ {
-		must(t, "append", j.Append(&quorum.Hard{Term: term}, nil))
+		must(t, "append", j.Append(&quorum.HardState{Term: term}, nil))
 	}
 	must(t, "close", j.Close())
 	_, got, err := c.Open(journalDir)
 	must(t, "open again", err)
-	if diff := cmp.Diff(journal.Recovered{HardState: quorum.Hard{Term: 8}}, got); diff != "" {
+	if diff := cmp.Diff(journal.Recovered{HardState: quorum.HardState{Term: 8}}, got); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -419,17 +419,17 @@
 	wrapped := &appendingDisk{Disk: memoryDisk}
 	j, _, err := journal.Config{Disk: wrapped, Preallocation: preallocation}.Open(journalDir)
 	must(t, "open", err)
-	must(t, "append", j.Append(&quorum.Hard{Term: 1}, nil))
+	must(t, "append", j.Append(&quorum.HardState{Term: 1}, nil))
 	wrapped.duringSync = func() {
 		wrapped.duringSync = nil
-		must(t, "append during the sync", j.Append(&quorum.Hard{Term: 2}, nil))
+		must(t, "append during the sync", j.Append(&quorum.HardState{Term: 2}, nil))
 	}
 	must(t, "sync", j.Sync())
 	must(t, "sync again", j.Sync())
 	memoryDisk.Restart(disk.AllLost)
 	_, got, err := journal.Config{Disk: memoryDisk, Preallocation: preallocation}.Open(journalDir)
 	must(t, "open again", err)
-	if diff := cmp.Diff(journal.Recovered{HardState: quorum.Hard{Term: 2}}, got); diff != "" {
+	if diff := cmp.Diff(journal.Recovered{HardState: quorum.HardState{Term: 2}}, got); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/replica/disk/replica_test.go
+++ b/internal/replica/disk/replica_test.go
@@ -40,7 +40,7 @@
 func (h *history) newestState() journal.Recovered { return h.states[len(h.states)-1] }
 
 // addAppend adds the state of the journal after an append.
-func (h *history) addAppend(hardState *quorum.Hard, entries []quorum.Entry) {
+func (h *history) addAppend(hardState *quorum.HardState, entries []quorum.Entry) {
 	state := h.newestState()
 	if hardState != nil {
 		state.HardState = *hardState
@@ -77,10 +77,10 @@
 // appendStep appends a hard state and the entries with the indexes first to last.
 func appendStep(term, first, last uint64) scriptStep {
 	return scriptStep{fmt.Sprintf("append %d to %d", first, last), func(r *testReplica) error {
-		hardState := quorum.Hard{Term: term, Vote: fmt.Sprintf("vote of %d", term)}
+		hardState := quorum.HardState{Term: term, Vote: fmt.Sprintf("vote of %d", term)}
 		var entries []quorum.Entry
 		for i := first; i <= last; i++ {
-			entries = append(entries, quorum.Entry{Index: i, Term: term, Kind: quorum.Command, Data: fmt.Appendf(nil, "data of %d/%d", term, i)})
+			entries = append(entries, quorum.Entry{Index: i, Term: term, Kind: quorum.EntryCommand, Data: fmt.Appendf(nil, "data of %d/%d", term, i)})
 		}
 		stateCount := len(r.history.states)
 		r.history.addAppend(&hardState, entries)
--- a/internal/replica/group/bench_test.go
+++ b/internal/replica/group/bench_test.go
@@ -86,7 +86,7 @@
 		entries := make([]quorum.Entry, len(commands))
 		for i := range commands {
 			index++
-			entries[i] = quorum.Entry{Index: index, Term: 1, Kind: quorum.Command, Data: data}
+			entries[i] = quorum.Entry{Index: index, Term: 1, Kind: quorum.EntryCommand, Data: data}
 		}
 		if err := j.Append(nil, entries); err != nil {
 			b.Error(err)
@@ -218,7 +218,7 @@
 			b.Fatal(err)
 		}
 		g := &group.Group{
-			Config:  quorum.Config{ID: m.ID, Address: m.Address, Seed: uint64(i), Bootstrap: members},
+			Config:  quorum.Config{ID: m.ID, Address: m.Address, Seed: uint64(i), InitialMembers: members},
 			Journal: j, Snapshots: snapshot.Store{Dir: filepath.Join(dir, "snapshot")},
 			Now: func() time.Duration { return time.Since(clockStart) }, Log: logr.Discard(),
 		}
--- a/internal/replica/group/fake_test.go
+++ b/internal/replica/group/fake_test.go
@@ -19,7 +19,7 @@
 // when its group stops.
 type memoryStore struct {
 	mu        sync.Mutex
-	hardState quorum.Hard
+	hardState quorum.HardState
 	entries   []quorum.Entry
 	snapshot  quorum.Snapshot
 	// syncErr is the error that Sync returns.
@@ -35,7 +35,7 @@
 	saveStall chan struct{}
 }
 
-func (m *memoryStore) Append(hard *quorum.Hard, entries []quorum.Entry) error {
+func (m *memoryStore) Append(hard *quorum.HardState, entries []quorum.Entry) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.appendErr != nil {
@@ -104,10 +104,10 @@
 }
 
 // recovered returns the state from which a restarted group continues.
-func (m *memoryStore) recovered() quorum.Saved {
+func (m *memoryStore) recovered() quorum.PersistedState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return quorum.Saved{Hard: m.hardState, Entries: append([]quorum.Entry(nil), m.entries...), Snapshot: m.snapshot}
+	return quorum.PersistedState{HardState: m.hardState, Entries: append([]quorum.Entry(nil), m.entries...), Snapshot: m.snapshot}
 }
 
 // network delivers messages between groups in one process after oneWayDelay.
@@ -172,7 +172,7 @@
 	t.Helper()
 	r := &replica{store: store, runErr: make(chan error, 1), proposedCommands: map[uint64]string{}}
 	r.group = &group.Group{
-		Config:    quorum.Config{ID: id, Address: id, Seed: uint64(len(id) + int(id[0])), Bootstrap: bootstrap},
+		Config:    quorum.Config{ID: id, Address: id, Seed: uint64(len(id) + int(id[0])), InitialMembers: bootstrap},
 		Recovered: store.recovered(),
 		Journal:   store, Snapshots: store, Transport: networkTransport{n, id},
 		Now: func() time.Duration { return time.Since(clockStart) },
@@ -218,7 +218,7 @@
 		}
 	case group.CommitAdvanced:
 		for r.commitIndex < n.Index {
-			r.apply(quorum.Entry{Index: r.commitIndex + 1, Kind: quorum.Command, Data: []byte(r.proposedCommands[r.commitIndex+1])})
+			r.apply(quorum.Entry{Index: r.commitIndex + 1, Kind: quorum.EntryCommand, Data: []byte(r.proposedCommands[r.commitIndex+1])})
 		}
 	case group.LeadershipConfirmed:
 		r.confirmedRoundStart = n.StartedAt
@@ -238,7 +238,7 @@
 // apply records a committed entry.
 func (r *replica) apply(e quorum.Entry) {
 	r.commitIndex = e.Index
-	if e.Kind == quorum.Command && len(e.Data) > 0 {
+	if e.Kind == quorum.EntryCommand && len(e.Data) > 0 {
 		r.appliedCommands = append(r.appliedCommands, string(e.Data))
 	}
 }
--- a/internal/replica/group/group.go
+++ b/internal/replica/group/group.go
@@ -55,7 +55,7 @@
 	// Append writes without syncing. An entry whose index is already in the journal
 	// replaces the stored entry and all entries after it. When Append returns
 	// disk.ErrFull, the journal is unchanged.
-	Append(hard *quorum.Hard, entries []quorum.Entry) error
+	Append(hard *quorum.HardState, entries []quorum.Entry) error
 	// Sync returns once everything appended is on stable storage.
 	Sync() error
 	// Compact allows the journal to delete the entries up to index. If the journal
@@ -86,7 +86,7 @@
 	Config quorum.Config
 	// Recovered is the state that was read from the journal and the snapshots at
 	// the start. Run clears it.
-	Recovered quorum.Saved
+	Recovered quorum.PersistedState
 	Journal   Journal
 	Snapshots SnapshotStore
 	Transport Transport
@@ -109,7 +109,7 @@
 	confirmRequests chan struct{}
 	// diskResults carries the results of the two disk goroutines to the event loop.
 	diskResults   chan diskResult
-	journalWrites chan quorum.Write
+	journalWrites chan quorum.JournalWrite
 	// journalCompactions carries the index up to which the journal may be compacted.
 	journalCompactions chan uint64
 	snapshotsToSave    chan quorum.Snapshot
@@ -152,7 +152,7 @@
 		g.requests = make(chan request)
 		g.confirmRequests = make(chan struct{}, 1)
 		g.diskResults = make(chan diskResult, 4)
-		g.journalWrites = make(chan quorum.Write, 1)
+		g.journalWrites = make(chan quorum.JournalWrite, 1)
 		g.journalCompactions = make(chan uint64, 1)
 		g.snapshotsToSave = make(chan quorum.Snapshot, 1)
 		g.diskFull = make(chan bool, 1)
@@ -202,7 +202,7 @@
 // like a message that the network loses.
 func (g *Group) Receive(from string, data []byte) {
 	g.initialize()
-	message, err := quorum.Decode(g.Config.ID, from, data)
+	message, err := quorum.DecodeMessage(g.Config.ID, from, data)
 	if err != nil {
 		g.Log.V(1).Info("dropped a replica message that cannot be decoded", "from", from, "error", err.Error())
 		return
--- a/internal/replica/group/group_test.go
+++ b/internal/replica/group/group_test.go
@@ -212,7 +212,7 @@
 		replicas[stopped].cancel()
 		<-replicas[stopped].group.Done()
 		largeCommand := strings.Repeat("x", 1<<20)
-		for range 2 * quorum.DefaultTail >> 20 {
+		for range 2 * quorum.DefaultLogTailBytes >> 20 {
 			leader.propose(largeCommand)
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -264,7 +264,7 @@
 	t.Helper()
 	store, n, self := newMemoryStore(), newNetwork(), quorum.Member{ID: "a/1", Address: "a/1"}
 	g := &group.Group{
-		Config:  quorum.Config{ID: self.ID, Address: self.Address, Seed: 1, Bootstrap: []quorum.Member{self}},
+		Config:  quorum.Config{ID: self.ID, Address: self.Address, Seed: 1, InitialMembers: []quorum.Member{self}},
 		Journal: store, Snapshots: store, Transport: networkTransport{n, self.ID},
 		Now: func() time.Duration { return time.Since(clockStart) }, Log: logr.Discard(),
 	}
--- a/internal/replica/group/meter.go
+++ b/internal/replica/group/meter.go
@@ -50,7 +50,7 @@
 func (m *latencyMetrics) recordReceived(received receivedMessage, now time.Duration) {
 	m.inboxWait.Update((now - received.receivedAt).Seconds())
 	switch received.Kind {
-	case quorum.Heartbeat, quorum.Append, quorum.Chunk:
+	case quorum.Heartbeat, quorum.AppendEntries, quorum.SnapshotChunk:
 		if m.lastLeaderMessageAt > 0 {
 			m.leaderMessageGap.Update((received.receivedAt - m.lastLeaderMessageAt).Seconds())
 		}
@@ -64,7 +64,7 @@
 func (g *Group) recordConfirmedRound(startedAt time.Duration) {
 	duration := g.Now() - startedAt
 	g.latencies.heartbeatRound.Update(duration.Seconds())
-	if electionTimeout := g.Config.Election; electionTimeout > 0 && duration > electionTimeout/lateRoundDivisor {
+	if electionTimeout := g.Config.ElectionTimeout; electionTimeout > 0 && duration > electionTimeout/lateRoundDivisor {
 		g.latencies.logLimit.Log(g.Log, event.RoundLate, "took", duration.String(), "election", electionTimeout.String())
 	}
 }
--- a/internal/replica/group/run.go
+++ b/internal/replica/group/run.go
@@ -31,8 +31,8 @@
 	wg.Go(func() { j.run(ctx) })
 	wg.Go(func() { g.saveSnapshots(ctx) })
 	g.core = quorum.New(g.Config, g.Recovered)
-	g.Recovered = quorum.Saved{}
-	g.step(quorum.Reload{})
+	g.Recovered = quorum.PersistedState{}
+	g.step(quorum.ReloadState{})
 	return g.runEventLoop(ctx)
 }
 
@@ -63,7 +63,7 @@
 			}
 			g.step(result.event)
 		case <-g.confirmRequests:
-			g.step(quorum.Confirm{})
+			g.step(quorum.ConfirmLeadership{})
 		case full := <-g.diskFull:
 			g.notifications.put(JournalDiskFull{Full: full})
 		case r := <-g.requests:
@@ -76,7 +76,7 @@
 // proposals have to wait: during a leadership transfer, and while the uncommitted
 // entries exceed maxUncommittedBytes.
 func (g *Group) acceptableProposals() <-chan Proposal {
-	if g.core.Transferring() || g.core.Uncommitted() > maxUncommittedBytes {
+	if g.core.Transferring() || g.core.UncommittedBytes() > maxUncommittedBytes {
 		return nil
 	}
 	return g.proposals
@@ -86,16 +86,16 @@
 // continue it without a gap are merged into the same event.
 func (g *Group) propose(p Proposal) {
 	if p.Member != nil {
-		g.step(quorum.Alter{Term: p.Term, First: p.FirstIndex, Member: *p.Member, Remove: p.RemoveMember})
+		g.step(quorum.ChangeMembership{Term: p.Term, Index: p.FirstIndex, Member: *p.Member, Remove: p.RemoveMember})
 		return
 	}
-	proposal := quorum.Propose{Term: p.Term, First: p.FirstIndex, Commands: p.Commands}
+	proposal := quorum.Propose{Term: p.Term, FirstIndex: p.FirstIndex, Commands: p.Commands}
 	for range maxMergedProposals {
 		next, ok := g.nextProposal()
 		if !ok {
 			break
 		}
-		if next.Member != nil || next.Term != proposal.Term || next.FirstIndex != proposal.First+uint64(len(proposal.Commands)) {
+		if next.Member != nil || next.Term != proposal.Term || next.FirstIndex != proposal.FirstIndex+uint64(len(proposal.Commands)) {
 			g.step(proposal)
 			g.propose(next)
 			return
@@ -122,7 +122,7 @@
 	case reloadRequest:
 		g.notifications.discardLogNotifications()
 		defer close(r.done)
-		g.step(quorum.Reload{})
+		g.step(quorum.ReloadState{})
 	case transferRequest:
 		g.transferWaiters = append(g.transferWaiters, r.done)
 		g.continueTransfer()
@@ -144,7 +144,7 @@
 	case status.Voters == 1:
 		g.finishTransfers(ErrNoOtherVoter)
 	case !g.core.Transferring():
-		g.step(quorum.Transfer{})
+		g.step(quorum.TransferLeadership{})
 	}
 }
 
@@ -163,13 +163,13 @@
 	if effects.Write != nil {
 		g.journalWrites <- *effects.Write
 	}
-	if effects.Save != nil {
-		g.snapshotsToSave <- *effects.Save
+	if effects.SaveSnapshot != nil {
+		g.snapshotsToSave <- *effects.SaveSnapshot
 	}
-	if effects.Drop > 0 {
-		g.scheduleJournalCompaction(effects.Drop)
+	if effects.DropJournalUpTo > 0 {
+		g.scheduleJournalCompaction(effects.DropJournalUpTo)
 	}
-	g.send(effects.Out)
+	g.send(effects.Messages)
 	for _, r := range effects.Reports {
 		g.notifications.put(g.notificationFor(r))
 	}
@@ -186,7 +186,7 @@
 }
 
 // send passes the messages to the transport, grouped by receiving replica.
-func (g *Group) send(out []quorum.Outgoing) {
+func (g *Group) send(out []quorum.OutgoingMessage) {
 	for len(out) > 0 {
 		to, address := out[0].Message.To, out[0].Address
 		var data [][]byte
@@ -197,7 +197,7 @@
 				remaining++
 				continue
 			}
-			if b, err := quorum.Encode(outgoing.Message); err == nil {
+			if b, err := quorum.EncodeMessage(outgoing.Message); err == nil {
 				data = append(data, b)
 			}
 		}
@@ -212,20 +212,20 @@
 // control thread.
 func (g *Group) notificationFor(r quorum.Report) Notification {
 	switch r := r.(type) {
-	case quorum.Led:
-		return Leading{Term: r.Term, LastIndex: r.Last, ElectedAt: r.Elected}
-	case quorum.Followed:
-		return Following{Term: r.Term, Leader: r.Leader, LeaderAddress: r.Address}
-	case quorum.Applied:
+	case quorum.BecameLeader:
+		return Leading{Term: r.Term, LastIndex: r.LastIndex, ElectedAt: r.ElectedAt}
+	case quorum.BecameFollower:
+		return Following{Term: r.Term, Leader: r.Leader, LeaderAddress: r.LeaderAddress}
+	case quorum.EntriesCommitted:
 		return ApplyEntries{Entries: r.Entries}
-	case quorum.Committed:
+	case quorum.CommitAdvanced:
 		return CommitAdvanced{Index: r.Index}
-	case quorum.RoundConfirmed:
-		g.recordConfirmedRound(r.Start)
-		return LeadershipConfirmed{Term: r.Term, StartedAt: r.Start}
-	case quorum.Restored:
+	case quorum.LeadershipConfirmed:
+		g.recordConfirmedRound(r.RoundStartedAt)
+		return LeadershipConfirmed{Term: r.Term, StartedAt: r.RoundStartedAt}
+	case quorum.StateRestored:
 		return RestoreSnapshot{Index: r.Index, State: r.State}
-	case quorum.MembersChanged:
+	case quorum.MembershipChanged:
 		return MembershipChanged{Members: r.Members, Self: g.Config.ID}
 	}
 	panic(errors.Newf("group: the core returned a report of unknown type %T", r))
--- a/internal/replica/group/store.go
+++ b/internal/replica/group/store.go
@@ -43,7 +43,7 @@
 			return
 		case write := <-j.journalWrites:
 			if err = j.write(ctx, write); err == nil {
-				j.diskResults <- diskResult{event: quorum.Synced{Seq: write.Seq}}
+				j.diskResults <- diskResult{event: quorum.WriteSynced{Seq: write.Seq}}
 			}
 		case index := <-j.journalCompactions:
 			err = j.compact(index)
@@ -66,12 +66,12 @@
 // write appends to the journal and syncs it. A failed sync stops the group: the
 // contents of the disk are unknown, and a second sync may succeed although the
 // data was never written.
-func (j *journalWriter) write(ctx context.Context, write quorum.Write) error {
+func (j *journalWriter) write(ctx context.Context, write quorum.JournalWrite) error {
 	if err := j.compactBeforeGap(write.Entries); err != nil {
 		return err
 	}
 	for {
-		err := j.Journal.Append(write.Hard, write.Entries)
+		err := j.Journal.Append(write.HardState, write.Entries)
 		if err == nil {
 			break
 		}
@@ -182,9 +182,9 @@
 		}
 		select {
 		case <-ctx.Done():
-			return quorum.SnapshotFailed{Index: s.Index}
+			return quorum.SnapshotSaveFailed{Index: s.Index}
 		case <-time.After(initialSaveBackoff << attempt):
 		}
 	}
-	return quorum.SnapshotFailed{Index: s.Index}
+	return quorum.SnapshotSaveFailed{Index: s.Index}
 }
--- a/internal/replica/journal/bench_test.go
+++ b/internal/replica/journal/bench_test.go
@@ -18,7 +18,7 @@
 func fixedSizeEntries(first uint64, n int) []quorum.Entry {
 	entries := make([]quorum.Entry, n)
 	for i := range entries {
-		entries[i] = quorum.Entry{Index: first + uint64(i), Term: 1, Kind: quorum.Command, Data: make([]byte, entryDataSize)}
+		entries[i] = quorum.Entry{Index: first + uint64(i), Term: 1, Kind: quorum.EntryCommand, Data: make([]byte, entryDataSize)}
 	}
 	return entries
 }
--- a/internal/replica/journal/frame.go
+++ b/internal/replica/journal/frame.go
@@ -45,7 +45,7 @@
 	// syncedSize is the size of the segment that was synced before the frame was
 	// written. Unreadable data below it is corruption, not a torn tail.
 	syncedSize uint64
-	hardState  *quorum.Hard
+	hardState  *quorum.HardState
 	// resetLog reports that the entries follow a snapshot, so that recovery discards
 	// all earlier entries.
 	resetLog bool
@@ -84,7 +84,7 @@
 	return d.Sum64()
 }
 
-func encodeHardState(h quorum.Hard) []byte {
+func encodeHardState(h quorum.HardState) []byte {
 	b := protowire.AppendTag(nil, fieldTerm, protowire.VarintType)
 	b = protowire.AppendVarint(b, h.Term)
 	b = protowire.AppendTag(b, fieldVote, protowire.BytesType)
@@ -149,8 +149,8 @@
 	return r, err
 }
 
-func decodeHardState(b []byte) (quorum.Hard, error) {
-	var h quorum.Hard
+func decodeHardState(b []byte) (quorum.HardState, error) {
+	var h quorum.HardState
 	err := wire.VisitFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fieldTerm:
@@ -172,7 +172,7 @@
 		case fieldEntryTerm:
 			e.Term = v
 		case fieldKind:
-			e.Kind = quorum.Kind(v)
+			e.Kind = quorum.EntryKind(v)
 		case fieldData:
 			if len(data) > 0 {
 				e.Data = append([]byte(nil), data...)
--- a/internal/replica/journal/journal.go
+++ b/internal/replica/journal/journal.go
@@ -68,7 +68,7 @@
 	syncedSize int64
 	// allocatedSize is the length of the file. The bytes from dataSize on are zeros.
 	allocatedSize int64
-	hardState     quorum.Hard
+	hardState     quorum.HardState
 	// lastIndex is the index of the last entry, 0 if there is none.
 	lastIndex uint64
 	// rollSize is the size at which the next segment is created.
@@ -179,7 +179,7 @@
 // Sync returns. An entry whose index is already in the journal replaces that entry
 // and all after it. ErrDiskFull, ErrTooManyFiles, ErrIndexGap and ErrEntryTooLarge
 // leave the journal unchanged and usable. After any other error it is broken.
-func (j *Journal) Append(hardState *quorum.Hard, entries []quorum.Entry) error {
+func (j *Journal) Append(hardState *quorum.HardState, entries []quorum.Entry) error {
 	if hardState == nil && len(entries) == 0 {
 		return nil
 	}
@@ -236,7 +236,7 @@
 }
 
 // encodeFrames appends the frames for a hard state and entries to b.
-func (j *Journal) encodeFrames(b []byte, hardState *quorum.Hard, entries []quorum.Entry, resetLog bool) []byte {
+func (j *Journal) encodeFrames(b []byte, hardState *quorum.HardState, entries []quorum.Entry, resetLog bool) []byte {
 	for first := true; first || len(entries) > 0; first = false {
 		count, frameData := 0, 0
 		for count < len(entries) && (count == 0 || frameData+len(entries[count].Data) <= maxFrameData) {
--- a/internal/replica/journal/recover.go
+++ b/internal/replica/journal/recover.go
@@ -19,7 +19,7 @@
 
 // Recovered is the content of a journal when it was opened.
 type Recovered struct {
-	HardState quorum.Hard
+	HardState quorum.HardState
 	// Entries have consecutive indexes. Earlier entries have been removed by compaction.
 	Entries []quorum.Entry
 	// New reports that the folder held no journal. If the replica already has an
--- a/internal/replica/quorum/config.go
+++ b/internal/replica/quorum/config.go
@@ -4,70 +4,72 @@
 
 // Defaults of Config.
 const (
-	// DefaultHeartbeat is the time between two heartbeat rounds of a leader.
-	DefaultHeartbeat = 100 * time.Millisecond
-	// DefaultElection is the shortest election timeout; the longest is twice that.
-	DefaultElection = 500 * time.Millisecond
-	// DefaultMessage bounds the entries or the snapshot data of a message, in
-	// bytes. A single entry that is larger travels alone.
-	DefaultMessage = 256 << 10
-	// DefaultInflight bounds the appends on the way to one replica: so many small
-	// ones may leave before the first is answered that no proposal waits a round
-	// trip for its turn.
-	DefaultInflight = 64
-	// DefaultWindow bounds the bytes of the appends on the way to one replica.
-	DefaultWindow = 2 << 20
-	// DefaultTail bounds the entries kept in memory behind a snapshot, in bytes.
-	DefaultTail = 8 << 20
-	// DefaultSnapshot bounds a snapshot that is taken from another replica, in bytes.
-	DefaultSnapshot = 1 << 30
+	// DefaultHeartbeatInterval is the time between two heartbeat rounds of a leader.
+	DefaultHeartbeatInterval = 100 * time.Millisecond
+	// DefaultElectionTimeout is the lower bound of the election timeout. Each timeout is
+	// drawn at random between the current bound and twice that.
+	DefaultElectionTimeout = 500 * time.Millisecond
+	// DefaultMaxMessageBytes limits the entries or the snapshot data of one message. A
+	// larger entry is sent in a message without other entries.
+	DefaultMaxMessageBytes = 256 << 10
+	// DefaultMaxInflightAppends limits the unacknowledged appends to one replica. It is
+	// high enough that small proposals do not wait a round trip before they are sent.
+	DefaultMaxInflightAppends = 64
+	// DefaultMaxInflightBytes limits the bytes of the unacknowledged appends to one replica.
+	DefaultMaxInflightBytes = 2 << 20
+	// DefaultLogTailBytes limits the bytes of the entries that stay in memory although a
+	// snapshot covers them.
+	DefaultLogTailBytes = 8 << 20
+	// DefaultMaxSnapshotBytes limits the size of a snapshot received from another replica.
+	DefaultMaxSnapshotBytes = 1 << 30
 )
 
-// Config is what a core is made with; zero values stand for the defaults.
+// Config is the configuration of a core. Zero values select the defaults.
 type Config struct {
-	// ID is NAME/NONCE of this replica.
+	// ID is the identity of this replica, as NAME/NONCE.
 	ID string
-	// Address is where the others reach this replica.
-	Address   string
-	Heartbeat time.Duration
-	// Election is the shortest election timeout, Patience the longest that it grows
-	// to while the leader's messages come late or one leader follows the other;
-	// Election when it is 0.
-	Election time.Duration
-	Patience time.Duration
-	// Seed is the only source of randomness.
+	// Address is the network address at which other replicas reach this one.
+	Address           string
+	HeartbeatInterval time.Duration
+	// ElectionTimeout is the lower bound of the election timeout.
+	ElectionTimeout time.Duration
+	// MaxElectionTimeout is the upper bound. The election timeout grows towards it while
+	// messages of the leader arrive late or leaders change in quick succession. If it is
+	// lower than ElectionTimeout, ElectionTimeout is used.
+	MaxElectionTimeout time.Duration
+	// Seed initializes the random number generator, the only source of randomness.
 	Seed uint64
-	// Bootstrap is the first membership of a new group. It is used only with an
-	// empty disk and is the same on every replica that is given one.
-	Bootstrap []Member
-	Message   int
-	Inflight  int
-	Window    int
-	Tail      int
-	Snapshot  int
+	// InitialMembers is the first membership of a new group. It is used only with an
+	// empty disk. All replicas that have initial members must have the same ones.
+	InitialMembers     []Member
+	MaxMessageBytes    int
+	MaxInflightAppends int
+	MaxInflightBytes   int
+	LogTailBytes       int
+	MaxSnapshotBytes   int
 }
 
 func (cfg Config) withDefaults() Config {
-	cfg.Heartbeat = orDefault(cfg.Heartbeat, DefaultHeartbeat)
-	cfg.Election = orDefault(cfg.Election, DefaultElection)
-	cfg.Patience = max(cfg.Patience, cfg.Election)
-	cfg.Message = orDefault(cfg.Message, DefaultMessage)
-	cfg.Inflight = orDefault(cfg.Inflight, DefaultInflight)
-	cfg.Window = orDefault(cfg.Window, DefaultWindow)
-	cfg.Tail = orDefault(cfg.Tail, DefaultTail)
-	cfg.Snapshot = orDefault(cfg.Snapshot, DefaultSnapshot)
+	cfg.HeartbeatInterval = valueOrDefault(cfg.HeartbeatInterval, DefaultHeartbeatInterval)
+	cfg.ElectionTimeout = valueOrDefault(cfg.ElectionTimeout, DefaultElectionTimeout)
+	cfg.MaxElectionTimeout = max(cfg.MaxElectionTimeout, cfg.ElectionTimeout)
+	cfg.MaxMessageBytes = valueOrDefault(cfg.MaxMessageBytes, DefaultMaxMessageBytes)
+	cfg.MaxInflightAppends = valueOrDefault(cfg.MaxInflightAppends, DefaultMaxInflightAppends)
+	cfg.MaxInflightBytes = valueOrDefault(cfg.MaxInflightBytes, DefaultMaxInflightBytes)
+	cfg.LogTailBytes = valueOrDefault(cfg.LogTailBytes, DefaultLogTailBytes)
+	cfg.MaxSnapshotBytes = valueOrDefault(cfg.MaxSnapshotBytes, DefaultMaxSnapshotBytes)
 	return cfg
 }
 
-func orDefault[T comparable](v, def T) T {
+func valueOrDefault[T comparable](v, fallback T) T {
 	var zero T
 	if v == zero {
-		return def
+		return fallback
 	}
 	return v
 }
 
-// Snapshot is the state after the entry at Index; Index 0 is no snapshot.
+// Snapshot is the state after the entry at Index. Index 0 means that there is no snapshot.
 type Snapshot struct {
 	Index   uint64
 	Term    uint64
@@ -75,9 +77,9 @@
 	State   []byte
 }
 
-// Saved is what a replica finds on its disk.
-type Saved struct {
-	Hard     Hard
-	Entries  []Entry
-	Snapshot Snapshot
+// PersistedState is the state that a replica reads from its disk when it starts.
+type PersistedState struct {
+	HardState HardState
+	Entries   []Entry
+	Snapshot  Snapshot
 }
--- a/internal/replica/quorum/core.go
+++ b/internal/replica/quorum/core.go
@@ -8,298 +8,311 @@
 type role uint8
 
 const (
-	follower role = iota
-	precandidate
-	candidate
-	leader
+	roleFollower role = iota
+	rolePreCandidate
+	roleCandidate
+	roleLeader
 )
 
-// held is a message that may leave once the write seq is synced.
-type held struct {
-	seq uint64
-	m   Message
+// heldMessage is a message that is sent once the journal write with number writeSeq is synced.
+type heldMessage struct {
+	writeSeq uint64
+	message  Message
 }
 
 // Core is the consensus state of one replica. It is not safe for concurrent use.
 type Core struct {
-	cfg Config
-	rng *rand.Rand
-	now time.Duration
-	fx  Effects
-
-	// What the disk holds, or will.
-	hard     Hard
-	log      log
-	history  history
-	snapshot Snapshot
-
-	disk disk
-	held []held
-
-	role   role
-	leader string
-	// stranger is a sender that the membership known here does not name.
-	stranger Member
-	// heard is when the leader was last heard; it counts while leader is set.
-	heard    time.Duration
-	patience patience
-	// begun tells that the clock is known. Until a replica has seen how long the
-	// silences of its leaders are, it waits for half of the longest.
-	begun    bool
-	deadline time.Duration
-	votes    map[string]bool
-
-	commit uint64
-	// applied is how far entries were reported.
-	applied uint64
-	// announced is the index of the membership reported last.
-	announced uint64
-	report    standing
-	// verified is how far the log is known to match that of the leader.
-	verified uint64
-	// acked is the last index acknowledged to the leader; ackDue asks for one more.
-	acked  uint64
-	ackDue bool
-
-	saving *Snapshot
-	// later is a snapshot of the control thread that waits to be saved.
-	later    *Compact
-	incoming *incoming
-
-	lead leadership
+	cfg     Config
+	rng     *rand.Rand
+	now     time.Duration
+	effects Effects
+
+	// State that is on the disk or is about to be written.
+	hardState   HardState
+	log         entryLog
+	memberships membershipHistory
+	snapshot    Snapshot
+
+	journal      journalState
+	heldMessages []heldMessage
+
+	role     role
+	leaderID string
+	// unknownSender is the last sender that stated its address. It allows a reply to a
+	// sender that is missing from the membership known to this replica.
+	unknownSender Member
+	// leaderHeardAt is the time of the last message from the leader. It is valid while
+	// leaderID is set.
+	leaderHeardAt    time.Duration
+	timeoutEstimator timeoutEstimator
+	// started is set by the first Step, which provides the current time. Until a replica
+	// has measured the silences of its leaders, its election timeout is half of
+	// MaxElectionTimeout.
+	started          bool
+	electionDeadline time.Duration
+	votes            map[string]bool
+
+	commitIndex uint64
+	// reportedIndex is the index of the last committed entry reported to the control thread.
+	reportedIndex uint64
+	// reportedMembersIndex is the index of the entry with the last reported membership.
+	reportedMembersIndex uint64
+	lastReport           leadershipReport
+	// matchedIndex is the highest index up to which the log is known to match the leader's log.
+	matchedIndex uint64
+	// ackedIndex is the last index acknowledged to the leader. ackDue requests another
+	// acknowledgment even if the index is unchanged.
+	ackedIndex uint64
+	ackDue     bool
+
+	savingSnapshot *Snapshot
+	// pendingCompact is a snapshot from the control thread that waits to be saved.
+	pendingCompact *Compact
+	incoming       *incomingSnapshot
+
+	leaderState leaderState
 }
 
-// New makes a core from what the disk holds.
-func New(cfg Config, saved Saved) *Core {
+// New creates a core from the state on the disk.
+func New(cfg Config, state PersistedState) *Core {
 	cfg = cfg.withDefaults()
 	c := &Core{
-		cfg:      cfg,
-		rng:      rand.New(rand.NewPCG(cfg.Seed, 1)),
-		hard:     saved.Hard,
-		snapshot: saved.Snapshot,
-		log:      log{base: saved.Snapshot.Index, baseTerm: saved.Snapshot.Term},
-		commit:   saved.Snapshot.Index,
-		applied:  saved.Snapshot.Index,
+		cfg:           cfg,
+		rng:           rand.New(rand.NewPCG(cfg.Seed, 1)),
+		hardState:     state.HardState,
+		snapshot:      state.Snapshot,
+		log:           entryLog{base: state.Snapshot.Index, baseTerm: state.Snapshot.Term},
+		commitIndex:   state.Snapshot.Index,
+		reportedIndex: state.Snapshot.Index,
 	}
-	if saved.Snapshot.Index > 0 {
-		c.history = history{{index: saved.Snapshot.Index, members: saved.Snapshot.Members}}
+	if state.Snapshot.Index > 0 {
+		c.memberships = membershipHistory{{index: state.Snapshot.Index, members: state.Snapshot.Members}}
 	}
-	for _, e := range tail(saved) {
-		c.append(e)
+	for _, e := range entriesAfterSnapshot(state) {
+		c.appendEntry(e)
 	}
-	// A snapshot may be saved before the term that it came with is synced. No vote
-	// of that term has left then, and none of an earlier one may any more.
-	if c.log.lastTerm() > c.hard.Term {
-		c.hard = Hard{Term: c.log.lastTerm()}
+	// A snapshot from a leader can be saved before the leader's term is synced. This
+	// replica has sent no vote in that term then, and must not vote in earlier terms.
+	if c.log.lastTerm() > c.hardState.Term {
+		c.hardState = HardState{Term: c.log.lastTerm()}
 	}
-	c.disk.stable, c.disk.saved = c.log.last(), c.log.last()
-	// Without entries behind the snapshot the journal may hold stale ones, or
-	// none near it; the anchor makes it go on from the snapshot.
+	c.journal.syncedIndex, c.journal.writtenIndex = c.log.lastIndex(), c.log.lastIndex()
+	// If no entry follows the snapshot, the journal may contain stale entries or may end
+	// before the snapshot. The anchor entry makes the journal continue at the snapshot.
 	if c.log.base > 0 && len(c.log.entries) == 0 {
-		c.disk.replace(&c.snapshot)
+		c.journal.resetToSnapshot(&c.snapshot)
 	}
-	if c.blank() && len(cfg.Bootstrap) > 0 {
-		c.bootstrap()
+	if c.isBlank() && len(cfg.InitialMembers) > 0 {
+		c.writeInitialMembers()
 	}
-	// Nobody is missed yet: when all start at once, the first to ask should not
-	// wait for a leader that there is not. Where there is one, the question before
-	// an election is refused and disturbs nobody.
-	c.retryDeadline()
-	if c.alone() {
-		c.deadline = 0
+	// The first pre-vote does not wait for a full election timeout: when all replicas
+	// start at once, there is no leader to wait for. If there is a leader, the other
+	// replicas reject the pre-vote and the leader is not disturbed.
+	c.setPreVoteDeadline()
+	if c.isOnlyVoter() {
+		c.electionDeadline = 0
 	}
 	return c
 }
 
-// tail gives the saved entries that go on after the snapshot.
-func tail(saved Saved) []Entry {
-	next := saved.Snapshot.Index + 1
+// entriesAfterSnapshot returns the persisted entries that follow the snapshot without a gap.
+func entriesAfterSnapshot(state PersistedState) []Entry {
+	nextIndex := state.Snapshot.Index + 1
 	var entries []Entry
-	for _, e := range saved.Entries {
-		// A crash between the save of a snapshot from the leader and the write
-		// that anchors it leaves entries behind the snapshot that the leader
-		// never had. Their forerunner has another term than the snapshot.
-		if e.Index == saved.Snapshot.Index && e.Term != saved.Snapshot.Term {
+	for _, e := range state.Entries {
+		// If the process crashes after a snapshot from the leader is saved and before its
+		// anchor entry is written, the journal contains entries that the leader never had.
+		// In that case the entry at the snapshot's index has a different term.
+		if e.Index == state.Snapshot.Index && e.Term != state.Snapshot.Term {
 			return nil
 		}
-		if e.Index == next {
+		if e.Index == nextIndex {
 			entries = append(entries, e)
-			next++
+			nextIndex++
 		}
 	}
 	return entries
 }
 
-func (c *Core) blank() bool {
-	return c.hard == (Hard{}) && c.log.last() == 0
+func (c *Core) isBlank() bool {
+	return c.hardState == (HardState{}) && c.log.lastIndex() == 0
 }
 
-// bootstrap seeds the log with the first membership, which every replica that
-// is given it writes alike, as if a leader of term 1 had.
-func (c *Core) bootstrap() {
-	c.hard, c.disk.hardDirty = Hard{Term: 1}, true
-	members := membership{}
-	for _, m := range c.cfg.Bootstrap {
-		members.members = members.with(m)
+// writeInitialMembers appends the initial membership as entry 1 of term 1. Every replica
+// that has initial members appends the same entry, as if a leader had replicated it.
+func (c *Core) writeInitialMembers() {
+	c.hardState, c.journal.hardStateDirty = HardState{Term: 1}, true
+	initial := membership{}
+	for _, m := range c.cfg.InitialMembers {
+		initial.members = initial.withMember(m)
 	}
-	c.append(Entry{Index: 1, Term: 1, Kind: Change, Data: EncodeMembers(members.members)})
+	c.appendEntry(Entry{Index: 1, Term: 1, Kind: EntryMembership, Data: EncodeMembers(initial.members)})
 }
 
-// append adds an entry to the log and takes over the membership that it carries.
-func (c *Core) append(e Entry) {
+// appendEntry appends an entry to the log. The membership in a membership entry takes
+// effect immediately.
+func (c *Core) appendEntry(e Entry) {
 	c.log.append(e)
-	if e.Kind != Change {
+	if e.Kind != EntryMembership {
 		return
 	}
 	if members, err := DecodeMembers(e.Data); err == nil {
-		c.history = append(c.history, membership{index: e.Index, members: members})
+		c.memberships = append(c.memberships, membership{index: e.Index, members: members})
 	}
 }
 
-// members is the membership in force.
-func (c *Core) members() membership { return c.history.latest() }
+// currentMembership returns the membership of the last membership entry in the log.
+func (c *Core) currentMembership() membership { return c.memberships.latest() }
 
-// Step lets ev happen at now, which never goes back.
+// Step processes an event at time now and returns the resulting effects. The time must
+// not decrease from call to call.
 func (c *Core) Step(now time.Duration, ev Event) Effects {
-	if !c.begun {
-		c.begun = true
-		c.patience.silent(c.cfg.Patience/startPart, now)
+	if !c.started {
+		c.started = true
+		c.timeoutEstimator.recordSilence(c.cfg.MaxElectionTimeout/startSilenceDivisor, now)
 	}
 	c.now = max(c.now, now)
-	c.expire()
+	c.stepDownIfUnconfirmed()
 	switch ev := ev.(type) {
 	case Tick:
 		c.tick()
 	case Receive:
-		c.receive(ev.Message)
+		c.handleMessage(ev.Message)
 	case Propose:
-		c.propose(ev)
-	case Alter:
-		c.alter(ev)
-	case Synced:
-		c.synced(ev.Seq)
+		c.handleProposal(ev)
+	case ChangeMembership:
+		c.handleChangeMembership(ev)
+	case WriteSynced:
+		c.handleWriteSynced(ev.Seq)
 	case SnapshotSaved:
-		c.snapshotSaved(ev.Index)
-	case SnapshotFailed:
-		c.saving = nil
+		c.handleSnapshotSaved(ev.Index)
+	case SnapshotSaveFailed:
+		c.savingSnapshot = nil
 	case Compact:
-		c.later = &ev
-	case Confirm:
-		c.confirm()
-	case Transfer:
-		c.transfer()
-	case Reload:
-		c.reload()
+		c.pendingCompact = &ev
+	case ConfirmLeadership:
+		c.requestRound()
+	case TransferLeadership:
+		c.startTransfer()
+	case ReloadState:
+		c.reloadState()
 	}
-	c.finish()
-	fx := c.fx
-	c.fx = Effects{}
-	return fx
+	c.collectEffects()
+	effects := c.effects
+	c.effects = Effects{}
+	return effects
 }
 
 func (c *Core) tick() {
 	switch {
-	case c.role == leader:
-		c.leaderTick()
-	case c.now >= c.deadline:
-		c.campaign()
+	case c.role == roleLeader:
+		c.tickLeader()
+	case c.now >= c.electionDeadline:
+		c.startPreVote()
 	}
 }
 
-// finish gives out what the step made due.
-func (c *Core) finish() {
-	c.reportFollowed()
-	c.advance()
-	c.compact()
-	c.apply()
-	c.announce()
-	c.reportLed()
-	c.acknowledge()
+// collectEffects adds the reports, messages and writes that result from the current event.
+func (c *Core) collectEffects() {
+	c.reportFollower()
+	c.advanceCommitIndex()
+	c.startCompaction()
+	c.reportCommitted()
+	c.reportMembership()
+	c.reportLeader()
+	c.acknowledgeSynced()
 	c.replicate()
-	c.write()
+	c.startWrite()
 }
 
-func (c *Core) say(r Report) { c.fx.Reports = append(c.fx.Reports, r) }
+func (c *Core) addReport(report Report) { c.effects.Reports = append(c.effects.Reports, report) }
 
-// send lets a message leave now.
-func (c *Core) send(m Message) {
-	m.From = c.cfg.ID
-	if c.maybeStranger(m) {
-		m.Address = c.cfg.Address
+// send adds a message to the effects, to be sent immediately.
+func (c *Core) send(message Message) {
+	message.From = c.cfg.ID
+	if c.receiverMayNotKnowSender(message) {
+		message.SenderAddress = c.cfg.Address
 	}
-	c.fx.Out = append(c.fx.Out, Outgoing{Address: c.addressOf(m.To), Message: m})
+	c.effects.Messages = append(c.effects.Messages, OutgoingMessage{Address: c.addressOf(message.To), Message: message})
 }
 
-// maybeStranger tells that the receiver may know no membership with this
-// replica, and so no way back: it is new, or was away while all others changed.
-func (c *Core) maybeStranger(m Message) bool {
-	switch m.Kind {
-	case PreVote, Vote:
+// receiverMayNotKnowSender reports whether the receiver may know no membership with this
+// replica, and therefore no address for a reply. Such a receiver is new, or was
+// unreachable while all other members were replaced.
+func (c *Core) receiverMayNotKnowSender(message Message) bool {
+	switch message.Kind {
+	case PreVoteRequest, VoteRequest:
 		return true
-	case Append, Heartbeat, Chunk:
-		return c.role == leader && c.peer(m.To).match < c.members().index
+	case AppendEntries, Heartbeat, SnapshotChunk:
+		return c.role == roleLeader && c.progressOf(message.To).matchIndex < c.currentMembership().index
 	}
 	return false
 }
 
-// hold lets a message leave when everything that this replica decided so far is synced.
-func (c *Core) hold(m Message) {
-	m.From = c.cfg.ID
-	c.held = append(c.held, held{seq: c.disk.covering(), m: m})
-	c.release()
+// sendAfterSync sends a message once the current hard state and all writes so far are synced.
+func (c *Core) sendAfterSync(message Message) {
+	message.From = c.cfg.ID
+	c.heldMessages = append(c.heldMessages, heldMessage{writeSeq: c.journal.coveringWriteSeq(), message: message})
+	c.sendHeldMessages()
 }
 
-// release sends the held messages whose write is synced. One to this replica
-// itself is its own vote.
-func (c *Core) release() {
-	for len(c.held) > 0 && c.held[0].seq <= c.disk.synced {
-		m := c.held[0].m
-		c.held = c.held[1:]
-		if m.To == c.cfg.ID {
-			c.receive(m)
+// sendHeldMessages sends the held messages whose journal write is synced. A message to
+// this replica itself is the candidate's vote for itself and is handled directly.
+func (c *Core) sendHeldMessages() {
+	for len(c.heldMessages) > 0 && c.heldMessages[0].writeSeq <= c.journal.syncedWriteSeq {
+		message := c.heldMessages[0].message
+		c.heldMessages = c.heldMessages[1:]
+		if message.To == c.cfg.ID {
+			c.handleMessage(message)
 			continue
 		}
-		c.send(m)
+		c.send(message)
 	}
 }
 
 func (c *Core) addressOf(id string) string {
-	if m, ok := c.members().find(id); ok {
-		return m.Address
+	if member, ok := c.currentMembership().find(id); ok {
+		return member.Address
 	}
-	if id == c.stranger.ID {
-		return c.stranger.Address
+	if id == c.unknownSender.ID {
+		return c.unknownSender.Address
 	}
 	return ""
 }
 
-// resetDeadline draws a new election timeout.
-func (c *Core) resetDeadline() { c.deadline = c.now + c.between(c.timeout()) }
+// resetElectionDeadline restarts the election timeout with a new random duration.
+func (c *Core) resetElectionDeadline() {
+	c.electionDeadline = c.now + c.randomizedTimeout(c.electionTimeout())
+}
 
-// timeout is how long a silent leader is waited for.
-func (c *Core) timeout() time.Duration {
-	return c.patience.timeout(c.cfg.Election, c.cfg.Patience, c.now)
+// electionTimeout returns the time without a message from the leader after which the
+// leader is considered failed.
+func (c *Core) electionTimeout() time.Duration {
+	return c.timeoutEstimator.timeout(c.cfg.ElectionTimeout, c.cfg.MaxElectionTimeout, c.now)
 }
 
-// retryDeadline draws the time to the next question before an election: shorter than a
-// timeout, as no leader can be missed meanwhile, and the question disturbs nobody.
-func (c *Core) retryDeadline() { c.deadline = c.now + c.between(c.cfg.Election/askPart) }
+// setPreVoteDeadline schedules the next pre-vote. The delay is shorter than an election
+// timeout, because no leader is known meanwhile and a pre-vote does not disturb a leader.
+func (c *Core) setPreVoteDeadline() {
+	c.electionDeadline = c.now + c.randomizedTimeout(c.cfg.ElectionTimeout/preVoteRetryDivisor)
+}
 
-// voteDeadline draws the time to the next try of an election that was not won.
-func (c *Core) voteDeadline() {
-	c.deadline = c.now + c.between(max(c.cfg.Election/askPart, c.cfg.Patience/votePart))
+// setVoteDeadline schedules the retry of an election that does not succeed.
+func (c *Core) setVoteDeadline() {
+	c.electionDeadline = c.now + c.randomizedTimeout(max(c.cfg.ElectionTimeout/preVoteRetryDivisor, c.cfg.MaxElectionTimeout/voteRetryDivisor))
 }
 
 const (
-	// askPart is the part of the shortest election timeout after which a replica asks
-	// again whether it could win: a few round trips.
-	askPart = 4
-	// votePart is the part of the longest one after which a candidate tries again; it
-	// leaves time for a round trip between regions and two syncs.
-	votePart = 8
+	// preVoteRetryDivisor divides ElectionTimeout to give the shortest delay between two
+	// pre-votes. The delay allows for a few round trips.
+	preVoteRetryDivisor = 4
+	// voteRetryDivisor divides MaxElectionTimeout to give the shortest delay before a
+	// candidate retries. The delay allows for a round trip between regions and two disk
+	// syncs.
+	voteRetryDivisor = 8
 )
 
-// between draws a time of d to twice that.
-func (c *Core) between(d time.Duration) time.Duration {
+// randomizedTimeout returns a random duration between d and 2d.
+func (c *Core) randomizedTimeout(d time.Duration) time.Duration {
 	return d + time.Duration(c.rng.Int64N(int64(d)))
 }
--- a/internal/replica/quorum/invariant_test.go
+++ b/internal/replica/quorum/invariant_test.go
@@ -9,196 +9,199 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-func hash(v ...any) uint64 {
+func hashOf(v ...any) uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, v...)
 	return h.Sum64()
 }
 
-// apply is the control thread's replay of one entry.
-func (s *sim) apply(n *node, e quorum.Entry) {
-	if e.Index != n.index+1 {
-		s.fail("%s applies %d after %d", n.id, e.Index, n.index)
+// apply applies a committed entry to the state of a replica, as its control thread would. It
+// checks that all replicas apply the same entries in the same order.
+func (s *simulation) apply(n *simReplica, e quorum.Entry) {
+	if e.Index != n.appliedIndex+1 {
+		s.fail("%s applies entry %d after entry %d", n.id, e.Index, n.appliedIndex)
 	}
 	if old, ok := s.committed[e.Index]; ok && (old.Term != e.Term || string(old.Data) != string(e.Data)) {
 		s.fail("%s: committed entry %d changed from %v to %v", n.id, e.Index, old, e)
 	}
-	n.index, n.digest = e.Index, hash(n.digest, e.Term, string(e.Data))
-	s.committed[e.Index], s.digests[e.Index] = e, n.digest
-	s.top = max(s.top, e.Index)
+	n.appliedIndex, n.stateDigest = e.Index, hashOf(n.stateDigest, e.Term, string(e.Data))
+	s.committed[e.Index], s.digestByIndex[e.Index] = e, n.stateDigest
+	s.commitIndex = max(s.commitIndex, e.Index)
 }
 
-func (s *sim) report(n *node, r quorum.Report) {
-	s.label(strings.TrimPrefix(fmt.Sprintf("%T", r), "quorum."), n)
+func (s *simulation) report(n *simReplica, r quorum.Report) {
+	s.trace(strings.TrimPrefix(fmt.Sprintf("%T", r), "quorum."), n)
 	switch r := r.(type) {
-	case quorum.Led:
-		if n.index != r.Last {
-			s.fail("%s leads from %d having applied %d", n.id, r.Last, n.index)
+	case quorum.BecameLeader:
+		if n.appliedIndex != r.LastIndex {
+			s.fail("%s became leader with last log index %d but applied index %d", n.id, r.LastIndex, n.appliedIndex)
 		}
-		n.lead, n.next, n.mine = &r, r.Last+1, map[uint64]quorum.Entry{}
-		n.confirmed = r.Elected
+		n.leadership, n.nextIndex, n.proposedEntries = &r, r.LastIndex+1, map[uint64]quorum.Entry{}
+		n.confirmedAt = r.ElectedAt
 		s.elections = append(s.elections, r)
-	case quorum.Followed:
-		n.lead = nil
-	case quorum.Applied:
+	case quorum.BecameFollower:
+		n.leadership = nil
+	case quorum.EntriesCommitted:
 		for _, e := range r.Entries {
 			s.apply(n, e)
 		}
-	case quorum.Committed:
-		for i := n.index + 1; i <= r.Index; i++ {
-			s.apply(n, n.mine[i])
+	case quorum.CommitAdvanced:
+		for i := n.appliedIndex + 1; i <= r.Index; i++ {
+			s.apply(n, n.proposedEntries[i])
 		}
-	case quorum.RoundConfirmed:
-		n.confirmed = r.Start
-		// Leases rest on this: no later leader was elected before the round began.
+	case quorum.LeadershipConfirmed:
+		n.confirmedAt = r.RoundStartedAt
+		// Leases rely on this invariant: no later leader was elected before the start of a
+		// confirmed round.
 		for _, e := range s.elections {
-			if e.Term > r.Term && e.Elected < r.Start {
-				s.fail("%s confirmed a round of %v in term %d, term %d elected at %v", n.id, r.Start, r.Term, e.Term, e.Elected)
+			if e.Term > r.Term && e.ElectedAt < r.RoundStartedAt {
+				s.fail("%s confirmed the round started at %v in term %d, but the leader of term %d was elected at %v", n.id, r.RoundStartedAt, r.Term, e.Term, e.ElectedAt)
 			}
 		}
-	case quorum.Restored:
-		n.index, n.digest, n.lead = r.Index, 0, nil
+	case quorum.StateRestored:
+		n.appliedIndex, n.stateDigest, n.leadership = r.Index, 0, nil
 		if r.Index > 0 {
-			fmt.Sscan(string(r.State), &n.digest)
+			fmt.Sscan(string(r.State), &n.stateDigest)
 		}
-		if n.digest != s.digests[r.Index] {
-			s.fail("%s restores another state at %d", n.id, r.Index)
+		if n.stateDigest != s.digestByIndex[r.Index] {
+			s.fail("%s restored a state at index %d that differs from the committed state", n.id, r.Index)
 		}
-	case quorum.MembersChanged:
-		s.memberships(n, r.Members)
+	case quorum.MembershipChanged:
+		s.checkMembers(n, r.Members)
 	}
 }
 
-// memberships checks that one machine never counts twice.
-func (s *sim) memberships(n *node, members []quorum.Member) {
+// checkMembers checks that no two voters have the same replica name. Otherwise one machine
+// would count twice.
+func (s *simulation) checkMembers(n *simReplica, members []quorum.Member) {
 	s.members = members
-	seen := map[string]bool{}
+	isVoter := map[string]bool{}
 	for _, m := range members {
-		before, _, _ := strings.Cut(m.ID, "/")
-		if !m.Learner && seen[before] {
-			s.fail("%s: %s counts twice", n.id, before)
+		name, _, _ := strings.Cut(m.ID, "/")
+		if !m.Learner && isVoter[name] {
+			s.fail("%s: two voters have the replica name %s", n.id, name)
 		}
-		seen[before] = seen[before] || !m.Learner
+		isVoter[name] = isVoter[name] || !m.Learner
 	}
 }
 
-// longestLead is how long a leader may go on unconfirmed: with a fixed timeout for
-// that, else for as long as it may grow.
-func (s *sim) longestLead() time.Duration {
-	const growth = 4
-	if s.config.Patience == 0 {
-		return quorum.DefaultElection
-	}
-	return growth * s.config.Patience
+// maxUnconfirmedLeadership returns how long a leader may lead without a confirmed round. This
+// is the election timeout if it is fixed, or else its maximum during an election storm.
+func (s *simulation) maxUnconfirmedLeadership() time.Duration {
+	const maxStormFactor = 4
+	if s.config.MaxElectionTimeout == 0 {
+		return quorum.DefaultElectionTimeout
+	}
+	return maxStormFactor * s.config.MaxElectionTimeout
 }
 
-func (s *sim) invariants(n *node) {
-	if mark := n.core.Mark(); mark != n.checked {
-		n.checked = mark
-		s.logMatching(n)
+func (s *simulation) checkInvariants(n *simReplica) {
+	if last := n.core.LastEntry(); last != n.checkedEntry {
+		n.checkedEntry = last
+		s.checkLogMatching(n)
 	}
-	term, leads := n.core.Leads()
-	if !leads {
+	term, isLeader := n.core.TermAndLeading()
+	if !isLeader {
 		return
 	}
-	if n.lead != nil && s.now-n.confirmed > s.longestLead() {
-		s.fail("%s leads without a round confirmed since %v", n.id, n.confirmed)
+	if n.leadership != nil && s.now-n.confirmedAt > s.maxUnconfirmedLeadership() {
+		s.fail("%s leads although the last confirmed round started at %v", n.id, n.confirmedAt)
 	}
-	if old, ok := s.leaders[term]; ok {
-		if old != n.id {
-			s.fail("%s and %s lead in term %d", old, n.id, term)
+	if known, ok := s.leaderByTerm[term]; ok {
+		if known != n.id {
+			s.fail("%s and %s both lead in term %d", known, n.id, term)
 		}
 		return
 	}
-	s.leaders[term] = n.id
-	s.complete(n)
+	s.leaderByTerm[term] = n.id
+	s.checkCommittedEntries(n)
 }
 
-// logMatching holds when an index and a term stand for one content and one
-// entry before it.
-func (s *sim) logMatching(n *node) {
-	base, before := n.core.Base()
-	for i, e := range n.core.Entries() {
+// checkLogMatching checks that entries with the same index and term have the same content and
+// the same preceding term in all logs.
+func (s *simulation) checkLogMatching(n *simReplica) {
+	base, previousTerm := n.core.LogBase()
+	for i, e := range n.core.LogEntries() {
 		if e.Index != base+uint64(i)+1 {
-			s.fail("%s has entry %d in the place of %d", n.id, e.Index, base+uint64(i)+1)
+			s.fail("%s has entry %d at index %d", n.id, e.Index, base+uint64(i)+1)
 		}
-		is := [2]uint64{before, hash(e.Kind, string(e.Data))}
+		entry := [2]uint64{previousTerm, hashOf(e.Kind, string(e.Data))}
 		key := [2]uint64{e.Index, e.Term}
-		if was, ok := s.prefix[key]; ok && was != is {
+		if known, ok := s.knownEntries[key]; ok && known != entry {
 			s.fail("%s: entry %d of term %d differs between logs", n.id, e.Index, e.Term)
 		}
-		s.prefix[key] = is
-		before = e.Term
+		s.knownEntries[key] = entry
+		previousTerm = e.Term
 	}
 }
 
-// complete holds when a new leader has every committed entry.
-func (s *sim) complete(n *node) {
-	base, _ := n.core.Base()
-	entries := n.core.Entries()
-	for i := base + 1; i <= s.top; i++ {
+// checkCommittedEntries checks that a new leader has all committed entries.
+func (s *simulation) checkCommittedEntries(n *simReplica) {
+	base, _ := n.core.LogBase()
+	entries := n.core.LogEntries()
+	for i := base + 1; i <= s.commitIndex; i++ {
 		if i-base > uint64(len(entries)) || entries[i-base-1].Term != s.committed[i].Term {
-			s.fail("%s leads without the committed entry %d", n.id, i)
+			s.fail("%s became leader without the committed entry %d", n.id, i)
 			return
 		}
 	}
 }
 
-// settled tells that there is a leader that takes work, all of its log is
-// committed everywhere, and there is no repair to do.
-func (s *sim) settled() bool {
-	l := s.leader()
-	if l == nil || l.core.Transferring() || l.core.Mark()[0] != s.top || len(s.members) != len(s.nodes) {
+// isSettled reports whether a leader accepts proposals, all replicas have applied its whole
+// log, and the membership needs no repair.
+func (s *simulation) isSettled() bool {
+	leader := s.leader()
+	if leader == nil || leader.core.Transferring() || leader.core.LastEntry()[0] != s.commitIndex || len(s.members) != len(s.replicas) {
 		return false
 	}
 	for _, m := range s.members {
-		if m.Learner || s.dead[m.ID] {
+		if m.Learner || s.lostIdentities[m.ID] {
 			return false
 		}
 	}
-	for _, n := range s.nodes {
-		if n.index != s.top {
+	for _, n := range s.replicas {
+		if n.appliedIndex != s.commitIndex {
 			return false
 		}
 	}
 	return true
 }
 
-// heal ends all faults, repairs the membership, and checks that new work is
-// committed and that all replicas end in one state.
-func (s *sim) heal() {
-	s.cut, s.loss, s.double, s.jitter = map[[2]string]bool{}, 0, 0, 0
-	for _, n := range s.nodes {
+// endFaultsAndCheck ends all faults and repairs the membership. It then checks that a new
+// command is committed and that all replicas reach the same state.
+func (s *simulation) endFaultsAndCheck() {
+	s.cutLinks, s.lossProbability, s.duplicateProbability, s.maxJitter = map[[2]string]bool{}, 0, 0, 0
+	for _, n := range s.replicas {
 		n.paused = false
 		if n.core == nil {
 			s.start(n)
 		}
 	}
 	for range 40 {
-		s.run(250 * time.Millisecond)
-		if s.settled() {
+		s.runFor(250 * time.Millisecond)
+		if s.isSettled() {
 			break
 		}
-		s.repair()
+		s.repairMembership()
 	}
-	if !s.settled() && s.failed == "" {
-		s.fail("not settled 10 s after all faults ended")
+	if !s.isSettled() && s.failure == "" {
+		s.fail("replicas not in agreement 10 s after all faults ended")
 		return
 	}
 	s.propose(s.leader(), 1)
-	want := s.proposed
-	s.run(time.Second)
-	l := s.leader()
-	if l == nil || s.failed != "" {
+	want := s.proposedCommands
+	s.runFor(time.Second)
+	leader := s.leader()
+	if leader == nil || s.failure != "" {
 		s.fail("no leader after all faults ended")
 		return
 	}
-	if got := string(s.committed[s.top].Data); got != fmt.Sprintf("command %d", want) {
-		s.fail("work after all faults ended is not committed: %q instead of command %d", got, want)
+	if got := string(s.committed[s.commitIndex].Data); got != fmt.Sprintf("command %d", want) {
+		s.fail("command proposed after all faults ended is not committed: got %q, want command %d", got, want)
 	}
-	for _, n := range s.nodes {
-		if n.index != l.index || n.digest != l.digest || len(n.core.Status().Members) != len(s.nodes) {
-			s.fail("%s ends at %d of %d: %+v", n.id, n.index, l.index, n.core.Status())
+	for _, n := range s.replicas {
+		if n.appliedIndex != leader.appliedIndex || n.stateDigest != leader.stateDigest || len(n.core.Status().Members) != len(s.replicas) {
+			s.fail("%s differs from the leader: applied index %d, want %d; status %+v", n.id, n.appliedIndex, leader.appliedIndex, n.core.Status())
 		}
 	}
 }
--- a/internal/replica/quorum/matrix_test.go
+++ b/internal/replica/quorum/matrix_test.go
@@ -17,242 +17,247 @@
 )
 
 var (
-	update = flag.Bool("update", false, "write docs/faults/quorum.md instead of comparing it")
-	every  = flag.Int("every", ciPairs, "play only every nth pair of faults; 1 plays all")
+	updatePage   = flag.Bool("update", false, "write docs/faults/quorum.md instead of comparing it")
+	pairInterval = flag.Int("every", ciPairInterval, "run only every nth pair of faults; 1 runs all pairs")
 )
 
 const (
-	page = "../../../docs/faults/quorum.md"
-	// ciPairs shares no factor with the number of faults, so each meets each.
-	ciPairs = 8
+	pagePath = "../../../docs/faults/quorum.md"
+	// ciPairInterval has no common factor with the number of faults, so that CI runs pairs
+	// of any two faults.
+	ciPairInterval = 8
 )
 
-// scenario is what goes on while faults strike; it takes two seconds or less.
+// scenario is an operation of the group during which faults are injected. It takes at most two
+// seconds.
 type scenario struct {
 	name  string
-	begin func(s *sim)
+	start func(s *simulation)
 }
 
 var scenarios = []scenario{
-	{"commit", func(s *sim) {
+	{"commit", func(s *simulation) {
 		s.propose(s.leader(), 3)
-		s.after(50*time.Millisecond, func() { s.propose(s.leader(), 30) })
+		s.schedule(50*time.Millisecond, func() { s.propose(s.leader(), 30) })
 	}},
-	{"snapshot", func(s *sim) {
+	{"snapshot", func(s *simulation) {
 		s.propose(s.leader(), 30)
-		s.after(100*time.Millisecond, func() {
-			for _, n := range s.nodes {
+		s.schedule(100*time.Millisecond, func() {
+			for _, n := range s.replicas {
 				s.compact(n)
 			}
 		})
 	}},
-	{"transfer", func(s *sim) {
+	{"transfer", func(s *simulation) {
 		s.propose(s.leader(), 10)
-		s.after(5*time.Millisecond, func() {
-			if l := s.leader(); l != nil {
-				s.hand(l)
+		s.schedule(5*time.Millisecond, func() {
+			if leader := s.leader(); leader != nil {
+				s.transferLeadership(leader)
 			}
 		})
 	}},
-	{"repair", func(s *sim) {
+	{"repair", func(s *simulation) {
 		s.propose(s.leader(), 40)
-		s.after(100*time.Millisecond, func() { s.compact(s.leader()) })
-		s.after(150*time.Millisecond, func() { s.loseOrCrash(s.other()) })
+		s.schedule(100*time.Millisecond, func() { s.compact(s.leader()) })
+		s.schedule(150*time.Millisecond, func() { s.loseDiskOrCrash(s.anyFollower()) })
 		for i := range 7 {
-			s.after(time.Duration(300+200*i)*time.Millisecond, s.repair)
+			s.schedule(time.Duration(300+200*i)*time.Millisecond, s.repairMembership)
 		}
 	}},
-	{"membership change", func(s *sim) {
-		m := s.other()
+	{"membership change", func(s *simulation) {
+		m := s.anyFollower()
 		remove := quorum.Member{ID: m.id, Address: m.name}
 		learner := remove
 		learner.Learner = true
-		s.after(10*time.Millisecond, func() { s.alter(s.leader(), remove, true) })
-		s.after(300*time.Millisecond, func() { s.alter(s.leader(), learner, false) })
-		s.after(600*time.Millisecond, func() { s.alter(s.leader(), remove, false) })
+		s.schedule(10*time.Millisecond, func() { s.changeMembership(s.leader(), remove, true) })
+		s.schedule(300*time.Millisecond, func() { s.changeMembership(s.leader(), learner, false) })
+		s.schedule(600*time.Millisecond, func() { s.changeMembership(s.leader(), remove, false) })
 	}},
-	{"failover", func(s *sim) {
-		l := s.leader()
-		s.propose(l, 5)
-		s.after(time.Millisecond, func() { s.crash(l, 5) })
-		s.after(1500*time.Millisecond, func() {
-			if l.core == nil {
-				s.start(l)
+	{"failover", func(s *simulation) {
+		leader := s.leader()
+		s.propose(leader, 5)
+		s.schedule(time.Millisecond, func() { s.crash(leader, 5) })
+		s.schedule(1500*time.Millisecond, func() {
+			if leader.core == nil {
+				s.start(leader)
 			}
 		})
 	}},
 }
 
-// other is a replica that does not lead.
-func (s *sim) other() *node {
-	l := s.leader()
-	for _, n := range s.nodes {
-		if n != l {
+// anyFollower returns the first replica that does not lead.
+func (s *simulation) anyFollower() *simReplica {
+	leader := s.leader()
+	for _, n := range s.replicas {
+		if n != leader {
 			return n
 		}
 	}
 	return nil
 }
 
-// fault strikes the replica at which a step happens.
+// fault is a failure of the replica at which a step happens.
 type fault struct {
 	name  string
-	begin func(s *sim, n *node)
-	end   func(s *sim, n *node)
+	start func(s *simulation, n *simReplica)
+	stop  func(s *simulation, n *simReplica)
 }
 
-func links(s *sim, n *node, in, out, cut bool) {
-	for _, o := range s.nodes {
-		if in {
-			s.cut[[2]string{o.name, n.name}] = cut
+func setLinks(s *simulation, n *simReplica, inbound, outbound, isCut bool) {
+	for _, other := range s.replicas {
+		if inbound {
+			s.cutLinks[[2]string{other.name, n.name}] = isCut
 		}
-		if out {
-			s.cut[[2]string{n.name, o.name}] = cut
+		if outbound {
+			s.cutLinks[[2]string{n.name, other.name}] = isCut
 		}
 	}
 }
 
-func crash(torn int) func(*sim, *node) {
-	return func(s *sim, n *node) { s.crash(n, torn) }
+func crashWithTornWrite(tornTenths int) func(*simulation, *simReplica) {
+	return func(s *simulation, n *simReplica) { s.crash(n, tornTenths) }
 }
 
-func restart(s *sim, n *node) {
+func restartIfDown(s *simulation, n *simReplica) {
 	if n.core == nil {
 		s.start(n)
 	}
 }
 
 var faults = []fault{
-	{"crash", crash(0), restart},
-	{"crash, torn tail", crash(5), restart},
-	{"crash after the write", crash(10), restart},
+	{"crash", crashWithTornWrite(0), restartIfDown},
+	{"crash, torn tail", crashWithTornWrite(5), restartIfDown},
+	{"crash after the write", crashWithTornWrite(10), restartIfDown},
 	{
 		"pause",
-		func(_ *sim, n *node) { n.paused = true },
-		func(_ *sim, n *node) { n.paused = false },
+		func(_ *simulation, n *simReplica) { n.paused = true },
+		func(_ *simulation, n *simReplica) { n.paused = false },
 	},
 	{
-		"silent both ways",
-		func(s *sim, n *node) { links(s, n, true, true, true) },
-		func(s *sim, n *node) { links(s, n, true, true, false) },
+		"all messages lost",
+		func(s *simulation, n *simReplica) { setLinks(s, n, true, true, true) },
+		func(s *simulation, n *simReplica) { setLinks(s, n, true, true, false) },
 	},
 	{
-		"silent inwards",
-		func(s *sim, n *node) { links(s, n, true, false, true) },
-		func(s *sim, n *node) { links(s, n, true, false, false) },
+		"inbound messages lost",
+		func(s *simulation, n *simReplica) { setLinks(s, n, true, false, true) },
+		func(s *simulation, n *simReplica) { setLinks(s, n, true, false, false) },
 	},
 	{
-		"silent outwards",
-		func(s *sim, n *node) { links(s, n, false, true, true) },
-		func(s *sim, n *node) { links(s, n, false, true, false) },
+		"outbound messages lost",
+		func(s *simulation, n *simReplica) { setLinks(s, n, false, true, true) },
+		func(s *simulation, n *simReplica) { setLinks(s, n, false, true, false) },
 	},
 	{
 		"loss, duplicates, reorder",
-		func(s *sim, _ *node) { s.loss, s.double, s.jitter = 0.3, 0.3, 300*time.Millisecond },
-		func(s *sim, _ *node) { s.loss, s.double, s.jitter = 0, 0, 0 },
+		func(s *simulation, _ *simReplica) {
+			s.lossProbability, s.duplicateProbability, s.maxJitter = 0.3, 0.3, 300*time.Millisecond
+		},
+		func(s *simulation, _ *simReplica) { s.lossProbability, s.duplicateProbability, s.maxJitter = 0, 0, 0 },
 	},
-	{"lost disk", (*sim).loseOrCrash, restart},
+	{"lost disk", (*simulation).loseDiskOrCrash, restartIfDown},
 }
 
-// loseOrCrash loses a disk only where a majority still has everything, as two
-// lost disks of three can't be survived; else the replica crashes.
-func (s *sim) loseOrCrash(n *node) {
-	if s.mayLose() {
-		s.lose(n)
+// loseDiskOrCrash replaces the disk of a replica if the other replicas have all committed
+// entries. Otherwise it only crashes the replica, because a group of three does not survive the
+// loss of two disks.
+func (s *simulation) loseDiskOrCrash(n *simReplica) {
+	if s.canSurviveDiskLoss() {
+		s.loseDisk(n)
 	} else {
 		s.crash(n, 0)
 	}
 }
 
-// strike is a fault at a step: the nth event with this label.
-type strike struct {
+// faultAtStep is a fault that is injected at the step with this number.
+type faultAtStep struct {
 	step  int
 	fault fault
 }
 
-// faultTime is longer than an election takes.
-const faultTime = 1200 * time.Millisecond
+// faultDuration is longer than an election, so that a new leader can be elected during a fault.
+const faultDuration = 1200 * time.Millisecond
 
-// begin gives a group that has a leader; few ticks save time.
-func begin() *sim {
-	s := newSim(3, 1)
-	s.tickEvery = 3 * tickTime
-	s.run(1500 * time.Millisecond)
+// startGroup returns a group of three replicas with a leader. Its ticks are rare to shorten the
+// test.
+func startGroup() *simulation {
+	s := newSimulation(3, 1)
+	s.tickInterval = 3 * defaultTickInterval
+	s.runFor(1500 * time.Millisecond)
 	return s
 }
 
-// steps runs a scenario without faults and gives the labels of its events: the
-// first of each kind at each replica.
+// steps runs a scenario without faults and returns its steps. A step is the first event of each
+// kind at each replica.
 func (sc scenario) steps() []string {
-	s := begin()
-	var out []string
-	seen := map[string]bool{}
-	s.trace = func(label string, n *node) {
+	s := startGroup()
+	var labels []string
+	seenLabels := map[string]bool{}
+	s.onEvent = func(label string, n *simReplica) {
 		label += " at " + n.name
-		if strings.Contains(label, "heartbeat") || seen[label] {
+		if strings.Contains(label, "heartbeat") || seenLabels[label] {
 			return
 		}
-		seen[label] = true
-		out = append(out, label)
+		seenLabels[label] = true
+		labels = append(labels, label)
 	}
-	sc.begin(s)
-	s.run(2 * time.Second)
-	return out
+	sc.start(s)
+	s.runFor(2 * time.Second)
+	return labels
 }
 
-// play runs a scenario with faults at steps and tells what broke, and whether
-// all faults struck: the first may keep the step of the second from happening.
-func (sc scenario) play(steps []string, strikes ...strike) (broken string, struck bool) {
-	s := begin()
-	done := make([]bool, len(strikes))
-	s.trace = func(label string, n *node) {
+// run runs a scenario with faults at steps. It returns the violated invariant, if any, and
+// whether all faults were injected. The first fault may prevent the step of the second one.
+func (sc scenario) run(steps []string, injected ...faultAtStep) (failure string, allInjected bool) {
+	s := startGroup()
+	done := make([]bool, len(injected))
+	s.onEvent = func(label string, n *simReplica) {
 		label += " at " + n.name
-		for i, x := range strikes {
+		for i, x := range injected {
 			if done[i] || steps[x.step] != label {
 				continue
 			}
 			done[i] = true
-			s.after(0, func() { x.fault.begin(s, n) })
-			s.after(faultTime, func() { x.fault.end(s, n) })
+			s.schedule(0, func() { x.fault.start(s, n) })
+			s.schedule(faultDuration, func() { x.fault.stop(s, n) })
 		}
 	}
-	sc.begin(s)
-	s.run(2*time.Second + faultTime)
-	// A step that comes only now strikes no more.
-	s.trace = nil
-	if s.failed == "" {
-		s.heal()
+	sc.start(s)
+	s.runFor(2*time.Second + faultDuration)
+	// Steps that happen after this time inject no faults.
+	s.onEvent = nil
+	if s.failure == "" {
+		s.endFaultsAndCheck()
 	}
-	return s.failed, !slices.Contains(done, false)
+	return s.failure, !slices.Contains(done, false)
 }
 
-// count counts what was played, and how often all faults struck.
-type count struct{ steps, single, struckSingle, pairs, struckPairs int }
+// runCounts counts the runs and how often all faults of a run were injected.
+type runCounts struct{ steps, singleFaults, singleInjected, pairs, pairsInjected int }
 
-func (c count) plus(d count) count {
-	return count{
-		c.steps + d.steps, c.single + d.single, c.struckSingle + d.struckSingle,
-		c.pairs + d.pairs, c.struckPairs + d.struckPairs,
+func (c runCounts) add(d runCounts) runCounts {
+	return runCounts{
+		c.steps + d.steps, c.singleFaults + d.singleFaults, c.singleInjected + d.singleInjected,
+		c.pairs + d.pairs, c.pairsInjected + d.pairsInjected,
 	}
 }
 
-func (c count) row(name string) string {
-	return fmt.Sprintf("| %s | %d | %d | %d | %d | %d |\n", name, c.steps, c.single, c.struckSingle, c.pairs, c.struckPairs)
+func (c runCounts) row(name string) string {
+	return fmt.Sprintf("| %s | %d | %d | %d | %d | %d |\n", name, c.steps, c.singleFaults, c.singleInjected, c.pairs, c.pairsInjected)
 }
 
-// An operator's instance fails at the worst moment of a commit, a snapshot, a
-// transfer, a repair, a change of membership or a failover; or two do.
-// Every fault strikes at every step, alone and followed by every fault at the
-// same step or at one of the two after it. No invariant of sim may break, and
-// when the faults are over, work goes on and all replicas agree.
+// TestFaultMatrix injects one or two faults into a commit, a snapshot, a transfer, a repair, a
+// membership change and a failover. Each fault is injected at each step, alone and followed by
+// each fault at the same step or one of the next two. No invariant of the simulation may be
+// violated. After the faults, new commands must be committed and all replicas must agree.
 func TestFaultMatrix(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(pageHead)
-	var total count
+	var total runCounts
 	for _, sc := range scenarios {
-		c := matrix(t, sc)
+		c := runMatrix(t, sc)
 		b.WriteString(c.row(sc.name))
-		total = total.plus(c)
+		total = total.add(c)
 	}
 	b.WriteString(total.row("all"))
 	var names []string
@@ -261,92 +266,98 @@
 	}
 	b.WriteString("\nFaults: " + strings.Join(names, "; ") + ".\n")
 	t.Log("\n" + b.String())
-	if *every != ciPairs {
+	if *pairInterval != ciPairInterval {
 		return
 	}
-	if *update && !t.Failed() {
-		if err := os.WriteFile(page, []byte(b.String()), 0o644); err != nil {
+	if *updatePage && !t.Failed() {
+		if err := os.WriteFile(pagePath, []byte(b.String()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want, err := os.ReadFile(page)
+	want, err := os.ReadFile(pagePath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(string(want), b.String()); d != "" {
-		t.Error("docs/faults/quorum.md differs; run the test with -update:\n", d)
+	if diff := cmp.Diff(string(want), b.String()); diff != "" {
+		t.Error("docs/faults/quorum.md differs; run the test with -update:\n", diff)
 	}
 }
 
 const pageHead = `# Fault matrix of the consensus core
 
 Written by ` + "`go test ./internal/replica/quorum -run TestFaultMatrix -update`" + `; CI compares it.
-Three replicas on a virtual clock, messages 1.5 ms one way, a sync 1 ms. A step is the
-first event of each kind at each replica; a fault strikes there and lasts 1.2 s. In a pair
-the second strikes at the same step or one of the two after it. After every event the
-invariants hold (one leader per term, log matching, committed entries unchanged and with
-every later leader, no round confirmed that began after a later election, one machine
-counted once, no leadership beyond an election timeout without a confirmed round); after
-the faults new work is committed and all replicas end in one state. CI plays every
-single fault and every eighth pair; -every=1 plays all pairs. A fault struck when its
-step came; the first of a pair may keep the step of the second from coming. Played
-without a failure:
+The test runs three replicas on a virtual clock. A message takes 1.5 ms one way, a disk
+sync 1 ms. A step is the first event of each kind at each replica. A fault is injected at
+a step and lasts 1.2 s. In a pair, the second fault is injected at the same step or one of
+the next two. These invariants are checked after every event:
 
-| scenario | steps | single faults | struck | pairs | both struck |
+- Each term has at most one leader.
+- Entries with the same index and term are equal in all logs.
+- Committed entries do not change, and every later leader has them.
+- No heartbeat round is confirmed that started after a later election.
+- One machine counts as one voter.
+- No leader leads longer than an election timeout without a confirmed round.
+
+After the faults, a new command is committed and all replicas reach the same state. CI
+runs every single fault and every eighth pair; -every=1 runs all pairs. A fault is
+injected when its step happens. The first fault of a pair may prevent the step of the
+second. All runs below passed:
+
+| scenario | steps | single faults | injected | pairs | both injected |
 |---|---|---|---|---|---|
 `
 
-func matrix(t *testing.T, sc scenario) count {
+func runMatrix(t *testing.T, sc scenario) runCounts {
 	steps := sc.steps()
-	c := count{steps: len(steps)}
+	c := runCounts{steps: len(steps)}
 	n := 0
-	var jobs [][]strike
+	var runs [][]faultAtStep
 	for i := range steps {
 		for _, f := range faults {
-			jobs = append(jobs, []strike{{i, f}})
-			c.single++
+			runs = append(runs, []faultAtStep{{i, f}})
+			c.singleFaults++
 			for j := i; j < min(i+3, len(steps)); j++ {
 				for _, g := range faults {
-					if n++; n%*every == 0 {
-						jobs = append(jobs, []strike{{i, f}, {j, g}})
+					if n++; n%*pairInterval == 0 {
+						runs = append(runs, []faultAtStep{{i, f}, {j, g}})
 						c.pairs++
 					}
 				}
 			}
 		}
 	}
-	work := make(chan []strike)
+	queuedRuns := make(chan []faultAtStep)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for range min(4, runtime.GOMAXPROCS(0)) {
 		wg.Go(func() {
-			for strikes := range work {
-				broken, struck := sc.play(steps, strikes...)
-				if broken != "" {
-					t.Errorf("%s: %s: %s", sc.name, describe(steps, strikes), broken)
+			for injected := range queuedRuns {
+				failure, allInjected := sc.run(steps, injected...)
+				if failure != "" {
+					t.Errorf("%s: %s: %s", sc.name, describeFaults(steps, injected), failure)
 				}
 				mu.Lock()
-				if struck && len(strikes) == 1 {
-					c.struckSingle++
-				} else if struck {
-					c.struckPairs++
+				if allInjected && len(injected) == 1 {
+					c.singleInjected++
+				} else if allInjected {
+					c.pairsInjected++
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	for _, j := range jobs {
-		work <- j
+	for _, r := range runs {
+		queuedRuns <- r
 	}
-	close(work)
+	close(queuedRuns)
 	wg.Wait()
 	return c
 }
 
-func describe(steps []string, strikes []strike) string {
-	var out []string
-	for _, x := range strikes {
-		out = append(out, fmt.Sprintf("%s when %s (%d)", x.fault.name, steps[x.step], x.step))
+func describeFaults(steps []string, injected []faultAtStep) string {
+	var descriptions []string
+	for _, x := range injected {
+		descriptions = append(descriptions, fmt.Sprintf("%s at step %d (%s)", x.fault.name, x.step, steps[x.step]))
 	}
-	return strings.Join(out, " and ")
+	return strings.Join(descriptions, " and ")
 }
--- a/internal/replica/quorum/members.go
+++ b/internal/replica/quorum/members.go
@@ -6,25 +6,25 @@
 	"unicode/utf8"
 )
 
-// membership is the members from the entry at index on.
+// membership is the set of members defined by the entry at index.
 type membership struct {
 	index   uint64
 	members []Member
 }
 
-// history holds the memberships of the log, the oldest first. The newest is in
-// force as soon as it is in the log, and no longer when it is truncated.
-type history []membership
+// membershipHistory contains the memberships in the log, oldest first. A membership takes
+// effect when it is appended to the log, and ends when its entry is truncated.
+type membershipHistory []membership
 
-func (h history) latest() membership {
+func (h membershipHistory) latest() membership {
 	if len(h) == 0 {
 		return membership{}
 	}
 	return h[len(h)-1]
 }
 
-// at gives the membership in force at index.
-func (h history) at(index uint64) membership {
+// atIndex returns the membership in effect at index.
+func (h membershipHistory) atIndex(index uint64) membership {
 	for i := len(h) - 1; i >= 0; i-- {
 		if h[i].index <= index {
 			return h[i]
@@ -33,18 +33,18 @@
 	return membership{}
 }
 
-func (h history) truncate(index uint64) history {
+func (h membershipHistory) truncate(index uint64) membershipHistory {
 	return slices.DeleteFunc(h, func(m membership) bool { return m.index >= index })
 }
 
-// compact forgets what is not in force at index or later.
-func (h history) compact(index uint64) history {
-	keep := h.at(index).index
-	return slices.DeleteFunc(h, func(m membership) bool { return m.index < keep })
+// dropBefore removes the memberships that are not in effect at index or later.
+func (h membershipHistory) dropBefore(index uint64) membershipHistory {
+	oldestIndex := h.atIndex(index).index
+	return slices.DeleteFunc(h, func(m membership) bool { return m.index < oldestIndex })
 }
 
 func (m membership) find(id string) (Member, bool) {
-	i := slices.IndexFunc(m.members, func(x Member) bool { return x.ID == id })
+	i := slices.IndexFunc(m.members, func(member Member) bool { return member.ID == id })
 	if i < 0 {
 		return Member{}, false
 	}
@@ -56,25 +56,25 @@
 	return ok
 }
 
-func (m membership) voter(id string) bool {
-	x, ok := m.find(id)
-	return ok && !x.Learner
+func (m membership) isVoter(id string) bool {
+	member, ok := m.find(id)
+	return ok && !member.Learner
 }
 
-func (m membership) voters() []string {
+func (m membership) voterIDs() []string {
 	var ids []string
-	for _, x := range m.members {
-		if !x.Learner {
-			ids = append(ids, x.ID)
+	for _, member := range m.members {
+		if !member.Learner {
+			ids = append(ids, member.ID)
 		}
 	}
 	return ids
 }
 
-// reached gives the highest value that a majority of the voters has reached.
-func (m membership) reached(value func(id string) uint64) uint64 {
+// majorityReached returns the highest value that a majority of the voters has reached.
+func (m membership) majorityReached(value func(id string) uint64) uint64 {
 	var values []uint64
-	for _, id := range m.voters() {
+	for _, id := range m.voterIDs() {
 		values = append(values, value(id))
 	}
 	if len(values) == 0 {
@@ -84,36 +84,37 @@
 	return values[(len(values)-1)/2]
 }
 
-// majority tells whether has holds for a majority of the voters.
-func (m membership) majority(has func(id string) bool) bool {
-	n := 0
-	voters := m.voters()
+// hasMajority reports whether the condition holds for a majority of the voters.
+func (m membership) hasMajority(condition func(id string) bool) bool {
+	count := 0
+	voters := m.voterIDs()
 	for _, id := range voters {
-		if has(id) {
-			n++
+		if condition(id) {
+			count++
 		}
 	}
-	return len(voters) > 0 && n > len(voters)/2
+	return len(voters) > 0 && count > len(voters)/2
 }
 
-// with gives the members with x in the place of the one with its ID, or added.
-func (m membership) with(x Member) []Member {
-	members := m.without(x.ID)
-	members = append(members, x)
+// withMember returns the members after adding member or replacing the one with the same ID.
+func (m membership) withMember(member Member) []Member {
+	members := m.withoutMember(member.ID)
+	members = append(members, member)
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
 	return members
 }
 
-func (m membership) without(id string) []Member {
+func (m membership) withoutMember(id string) []Member {
 	return slices.DeleteFunc(slices.Clone(m.members), func(x Member) bool { return x.ID == id })
 }
 
-// name is the part of an identity that stays when a disk is replaced.
-func name(id string) string {
-	before, _, _ := strings.Cut(id, "/")
-	return before
+// replicaName returns the NAME part of an ID. It stays the same when the disk of a replica
+// is replaced.
+func replicaName(id string) string {
+	name, _, _ := strings.Cut(id, "/")
+	return name
 }
 
-func (x Member) valid() bool {
-	return x.ID != "" && utf8.ValidString(x.ID) && utf8.ValidString(x.Address)
+func (m Member) isValid() bool {
+	return m.ID != "" && utf8.ValidString(m.ID) && utf8.ValidString(m.Address)
 }
--- a/internal/replica/quorum/rapid_test.go
+++ b/internal/replica/quorum/rapid_test.go
@@ -12,8 +12,8 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// TestMain fixes what rapid draws, so that a run gives the same verdict again;
-// flags on the command line go before.
+// TestMain sets a fixed seed for rapid, so that each run draws the same cases. Flags on the
+// command line override the settings.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "4", "rapid.checks": "150", "rapid.steps": "60"} {
 		if err := flag.Set(name, value); err != nil {
@@ -24,40 +24,39 @@
 	os.Exit(m.Run())
 }
 
-// Operators see a group of three or five replicas under loss, duplicates,
-// reordering, silent one-way partitions, pauses, crashes with a torn tail, lost
-// disks and changes of membership, several at a time.
-// Whatever the order, no invariant of sim may break, and when the faults end,
-// work goes on and all replicas agree.
+// TestFaultsInAnyOrder runs groups of three and five replicas under random combinations of
+// message loss, duplicates, reordering, one-way partitions, pauses, crashes with a torn journal
+// tail, lost disks and membership changes. No invariant of the simulation may be violated. After
+// the faults, new commands must be committed and all replicas must agree.
 func TestFaultsInAnyOrder(t *testing.T) {
-	for _, size := range []int{3, 5} {
+	for _, groupSize := range []int{3, 5} {
 		rapid.Check(t, func(t *rapid.T) {
-			s := newSim(size, uint64(rapid.IntRange(0, 1<<20).Draw(t, "seed")))
-			s.run(2 * time.Second)
-			t.Repeat(actions(s))
-			if s.failed == "" {
-				s.heal()
+			s := newSimulation(groupSize, uint64(rapid.IntRange(0, 1<<20).Draw(t, "seed")))
+			s.runFor(2 * time.Second)
+			t.Repeat(randomActions(s))
+			if s.failure == "" {
+				s.endFaultsAndCheck()
 			}
-			if s.failed != "" {
-				t.Fatal(s.failed)
+			if s.failure != "" {
+				t.Fatal(s.failure)
 			}
 		})
 	}
 }
 
-func actions(s *sim) map[string]func(*rapid.T) {
-	pick := func(t *rapid.T) *node {
-		return s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "node")]
+func randomActions(s *simulation) map[string]func(*rapid.T) {
+	drawReplica := func(t *rapid.T) *simReplica {
+		return s.replicas[rapid.IntRange(0, len(s.replicas)-1).Draw(t, "node")]
 	}
 	return map[string]func(*rapid.T){
 		"": func(t *rapid.T) {
-			s.run(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
-			if s.failed != "" {
-				t.Fatal(s.failed)
+			s.runFor(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
+			if s.failure != "" {
+				t.Fatal(s.failure)
 			}
 		},
 		"propose": func(t *rapid.T) {
-			n := pick(t)
+			n := drawReplica(t)
 			if n.core != nil && !n.paused {
 				s.propose(n, rapid.IntRange(1, 20).Draw(t, "count"))
 			}
@@ -65,82 +64,83 @@
 		"propose to the leader": func(t *rapid.T) {
 			s.propose(s.leader(), rapid.IntRange(1, 20).Draw(t, "count"))
 		},
-		"wait": func(*rapid.T) { s.run(1500 * time.Millisecond) },
+		"wait": func(*rapid.T) { s.runFor(1500 * time.Millisecond) },
 		"cut": func(t *rapid.T) {
-			s.cut[[2]string{pick(t).name, pick(t).name}] = true
+			s.cutLinks[[2]string{drawReplica(t).name, drawReplica(t).name}] = true
 		},
 		"isolate": func(t *rapid.T) {
-			n := pick(t)
-			for _, o := range s.nodes {
-				s.cut[[2]string{n.name, o.name}], s.cut[[2]string{o.name, n.name}] = true, true
+			n := drawReplica(t)
+			for _, o := range s.replicas {
+				s.cutLinks[[2]string{n.name, o.name}], s.cutLinks[[2]string{o.name, n.name}] = true, true
 			}
 		},
-		"join": func(*rapid.T) { s.cut = map[[2]string]bool{} },
+		"join": func(*rapid.T) { s.cutLinks = map[[2]string]bool{} },
 		"rough": func(t *rapid.T) {
-			s.loss = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss")
-			s.double = rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "double")
-			s.jitter = rapid.SampledFrom([]time.Duration{0, 20 * time.Millisecond, time.Second}).Draw(t, "jitter")
+			s.lossProbability = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss")
+			s.duplicateProbability = rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "double")
+			s.maxJitter = rapid.SampledFrom([]time.Duration{0, 20 * time.Millisecond, time.Second}).Draw(t, "jitter")
 		},
-		"pause":  func(t *rapid.T) { pick(t).paused = true },
-		"resume": func(t *rapid.T) { pick(t).paused = false },
-		"crash":  func(t *rapid.T) { s.crash(pick(t), rapid.IntRange(0, 10).Draw(t, "torn")) },
+		"pause":  func(t *rapid.T) { drawReplica(t).paused = true },
+		"resume": func(t *rapid.T) { drawReplica(t).paused = false },
+		"crash":  func(t *rapid.T) { s.crash(drawReplica(t), rapid.IntRange(0, 10).Draw(t, "torn")) },
 		"start": func(t *rapid.T) {
-			if n := pick(t); n.core == nil {
+			if n := drawReplica(t); n.core == nil {
 				s.start(n)
 			}
 		},
 		"lose disk": func(t *rapid.T) {
-			if n := pick(t); s.mayLose() {
-				s.lose(n)
+			if n := drawReplica(t); s.canSurviveDiskLoss() {
+				s.loseDisk(n)
 			}
 		},
-		"repair": func(*rapid.T) { s.repair() },
+		"repair": func(*rapid.T) { s.repairMembership() },
 		"change": func(t *rapid.T) {
-			m := quorum.Member{ID: pick(t).id, Learner: rapid.Bool().Draw(t, "learner")}
+			m := quorum.Member{ID: drawReplica(t).id, Learner: rapid.Bool().Draw(t, "learner")}
 			m.Address = m.ID[:1]
-			// Removing a voter while another's disk is gone loses two of three.
-			remove := rapid.Bool().Draw(t, "remove") && s.mayLose()
-			s.alter(s.leader(), m, remove)
+			// The removal of a voter while another voter has lost its disk would cost two of
+			// three replicas.
+			remove := rapid.Bool().Draw(t, "remove") && s.canSurviveDiskLoss()
+			s.changeMembership(s.leader(), m, remove)
 		},
-		"compact":  func(t *rapid.T) { s.compact(pick(t)) },
-		"transfer": func(t *rapid.T) { s.hand(pick(t)) },
+		"compact":  func(t *rapid.T) { s.compact(drawReplica(t)) },
+		"transfer": func(t *rapid.T) { s.transferLeadership(drawReplica(t)) },
 		"confirm": func(t *rapid.T) {
-			if n := pick(t); n.core != nil && !n.paused {
-				s.step(n, quorum.Confirm{})
+			if n := drawReplica(t); n.core != nil && !n.paused {
+				s.step(n, quorum.ConfirmLeadership{})
 			}
 		},
 		"reload": func(t *rapid.T) {
-			if n := pick(t); n.core != nil && !n.paused {
-				s.step(n, quorum.Reload{})
+			if n := drawReplica(t); n.core != nil && !n.paused {
+				s.step(n, quorum.ReloadState{})
 			}
 		},
 	}
 }
 
-func (s *sim) hand(n *node) {
+func (s *simulation) transferLeadership(n *simReplica) {
 	if n.core != nil && !n.paused {
-		s.step(n, quorum.Transfer{})
+		s.step(n, quorum.TransferLeadership{})
 	}
 }
 
-// mayLose keeps to what can be survived: a second disk is lost only when the
-// first was replaced in every membership that anyone has.
-func (s *sim) mayLose() bool {
+// canSurviveDiskLoss reports whether the group survives the loss of a disk. All replicas must
+// have all committed entries, and no replica may still know a membership with a lost identity.
+func (s *simulation) canSurviveDiskLoss() bool {
 	voters := 0
-	for _, n := range s.nodes {
-		if n.core == nil || n.index != s.top {
+	for _, n := range s.replicas {
+		if n.core == nil || n.appliedIndex != s.commitIndex {
 			return false
 		}
 		voters = 0
 		for _, m := range n.core.Status().Members {
-			if s.dead[m.ID] {
+			if s.lostIdentities[m.ID] {
 				return false
 			}
 			if !m.Learner {
 				voters++
 			}
 		}
-		if voters < 3 || voters < len(s.nodes) {
+		if voters < 3 || voters < len(s.replicas) {
 			return false
 		}
 	}
--- a/internal/replica/quorum/reload_test.go
+++ b/internal/replica/quorum/reload_test.go
@@ -7,38 +7,38 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// A control thread reloads while its replica leads, and the core had told it of
-// a confirmed round before. The thread starts over and knows of none: unless it
-// is told again it refuses every read until the next round.
-func TestAReloadTellsTheConfirmedRoundAgain(t *testing.T) {
-	c := quorum.New(quorum.Config{ID: "a/0", Address: "a", Bootstrap: []quorum.Member{{ID: "a/0", Address: "a"}}}, quorum.Saved{})
+// A control thread that reloads its state on the leader does not know the last confirmed round.
+// The core must report the round again. Otherwise the control thread would refuse all reads until
+// the next round is confirmed.
+func TestReloadReportsConfirmedRoundAgain(t *testing.T) {
+	c := quorum.New(quorum.Config{ID: "a/0", Address: "a", InitialMembers: []quorum.Member{{ID: "a/0", Address: "a"}}}, quorum.PersistedState{})
 	now := time.Duration(0)
 	step := func(ev quorum.Event) (reports []quorum.Report) {
-		fx := c.Step(now, ev)
-		for fx.Write != nil {
-			reports = append(reports, fx.Reports...)
-			fx = c.Step(now, quorum.Synced{Seq: fx.Write.Seq})
+		effects := c.Step(now, ev)
+		for effects.Write != nil {
+			reports = append(reports, effects.Reports...)
+			effects = c.Step(now, quorum.WriteSynced{Seq: effects.Write.Seq})
 		}
-		return append(reports, fx.Reports...)
+		return append(reports, effects.Reports...)
 	}
-	confirmed := func(reports []quorum.Report) (led, round bool) {
+	reportedState := func(reports []quorum.Report) (isLeader, roundConfirmed bool) {
 		for _, r := range reports {
 			switch r.(type) {
-			case quorum.Led:
-				led, round = true, false
-			case quorum.RoundConfirmed:
-				round = true
+			case quorum.BecameLeader:
+				isLeader, roundConfirmed = true, false
+			case quorum.LeadershipConfirmed:
+				roundConfirmed = true
 			}
 		}
-		return led, round
+		return isLeader, roundConfirmed
 	}
 	for range 400 {
 		now += 10 * time.Millisecond
 		step(quorum.Tick{})
 	}
-	step(quorum.Confirm{})
-	led, round := confirmed(step(quorum.Reload{}))
-	if !led || !round {
-		t.Errorf("after a reload: told to lead %v, told of a confirmed round since %v", led, round)
+	step(quorum.ConfirmLeadership{})
+	isLeader, roundConfirmed := reportedState(step(quorum.ReloadState{}))
+	if !isLeader || !roundConfirmed {
+		t.Errorf("after a reload: leadership reported %v, confirmed round reported %v; want both", isLeader, roundConfirmed)
 	}
 }
--- a/internal/replica/quorum/status.go
+++ b/internal/replica/quorum/status.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Status is the state of a core for operators.
+// Status is the state of a core as shown to operators.
 type Status struct {
 	ID       string
 	Term     uint64
@@ -15,48 +15,50 @@
 	Synced   uint64
 	Commit   uint64
 	Snapshot uint64
-	// Base is the index behind which the log is forgotten.
+	// Base is the index of the last entry that is no longer in the log in memory.
 	Base    uint64
 	Members []Member
 	Voters  int
-	// Peers is set while leading.
+	// Peers is set only on the leader.
 	Peers []PeerStatus
 }
 
-// PeerStatus is what a leader knows of another replica.
+// PeerStatus is the replication state of another replica, as known to the leader.
 type PeerStatus struct {
 	ID    string
 	Match uint64
-	// Installing tells that it is being sent a snapshot, up to Offset so far.
+	// Installing is set while the leader sends a snapshot. Offset is the position of the
+	// next chunk.
 	Installing bool
 	Offset     uint64
-	// Promotable tells that a learner may become a voter now.
+	// Promotable is set for a learner that can be promoted to voter now.
 	Promotable bool
 }
 
-// Status gives the state of the core.
+// Status returns the current state of the core.
 func (c *Core) Status() Status {
 	s := Status{
-		ID: c.cfg.ID, Term: c.hard.Term, Leading: c.role == leader, Leader: c.leader,
-		Last: c.log.last(), Synced: c.disk.stable, Commit: c.commit,
+		ID: c.cfg.ID, Term: c.hardState.Term, Leading: c.role == roleLeader, Leader: c.leaderID,
+		Last: c.log.lastIndex(), Synced: c.journal.syncedIndex, Commit: c.commitIndex,
 		Snapshot: c.snapshot.Index, Base: c.log.base,
-		Members: slices.Clone(c.members().members), Voters: len(c.members().voters()),
+		Members: slices.Clone(c.currentMembership().members), Voters: len(c.currentMembership().voterIDs()),
 	}
-	for id, p := range c.lead.peers {
-		if id == c.cfg.ID || !c.members().contains(id) {
+	for id, p := range c.leaderState.peers {
+		if id == c.cfg.ID || !c.currentMembership().contains(id) {
 			continue
 		}
 		s.Peers = append(s.Peers, PeerStatus{
-			ID: id, Match: p.match, Installing: p.state == installing, Offset: p.offset,
-			Promotable: !c.members().voter(id) && c.promotable(id),
+			ID: id, Match: p.matchIndex, Installing: p.state == progressSnapshot, Offset: p.snapshotOffset,
+			Promotable: !c.currentMembership().isVoter(id) && c.isPromotable(id),
 		})
 	}
 	slices.SortFunc(s.Peers, func(a, b PeerStatus) int { return strings.Compare(a.ID, b.ID) })
 	return s
 }
 
-// Transferring tells that the leader hands over and takes no proposals.
-func (c *Core) Transferring() bool { return c.lead.transferee != "" }
+// Transferring reports whether a leadership transfer is in progress. The leader rejects
+// proposals meanwhile.
+func (c *Core) Transferring() bool { return c.leaderState.transferee != "" }
 
-// Uncommitted gives the bytes of the entries that wait for a quorum.
-func (c *Core) Uncommitted() int { return c.log.size - c.log.committed }
+// UncommittedBytes returns the total size of the entries that wait for a quorum.
+func (c *Core) UncommittedBytes() int { return c.log.bytes - c.log.committedBytes }
