--- a/internal/base/clock/agreed.go
+++ b/internal/base/clock/agreed.go
@@ -7,57 +7,57 @@
 )
 
 const (
-	// voiceAge is how long a process's word counts: many times as long as the
+	// sampleLifetime is how long a process's word counts: many times as long as the
 	// pause between two, so that a few may be lost.
-	voiceAge = 5 * time.Second
-	// leastVoices is the least number of voices of which one may be wrong.
-	leastVoices = 3
-	// medianAge is how long the median stands: every decision asks for the time.
-	medianAge = 50 * time.Millisecond
+	sampleLifetime = 5 * time.Second
+	// minSamples is the least number of voices of which one may be wrong.
+	minSamples = 3
+	// medianLifetime is how long the median stands: every decision asks for the time.
+	medianLifetime = 50 * time.Millisecond
 )
 
-// Agreed is the time of day by the word of many processes. That of a single machine
+// MedianClock is the time of day by the word of many processes. That of a single machine
 // may jump by seconds: scheduled work would begin too early, and all that waits
 // would look older than it is. The median stands while most are right. The zero
 // value has heard nobody.
-type Agreed struct {
-	voices map[string]voice
-	// beyond is the median as found at made, 0 before there was one.
-	beyond time.Duration
-	made   time.Duration
+type MedianClock struct {
+	samples map[string]sample
+	// offset is the median as found at made, 0 before there was one.
+	offset     time.Duration
+	computedAt time.Duration
 }
 
-// voice is what one process said last: its time of day beyond our steady clock.
-type voice struct {
-	beyond time.Duration
-	heard  time.Duration
+// sample is what one process said last: its time of day beyond our steady clock.
+type sample struct {
+	offset     time.Duration
+	receivedAt time.Duration
 }
 
-// Hear takes a process's time of day, since 1970, at a time on our steady clock.
-func (a *Agreed) Hear(from string, said, at time.Duration) {
-	if a.voices == nil {
-		a.voices = map[string]voice{}
+// Observe takes a process's time of day, since 1970, at a time on our steady clock.
+func (a *MedianClock) Observe(from string, timeOfDay, now time.Duration) {
+	if a.samples == nil {
+		a.samples = map[string]sample{}
 	}
-	a.voices[from] = voice{beyond: said - at, heard: at}
+	a.samples[from] = sample{offset: timeOfDay - now, receivedAt: now}
 }
 
-// At returns the time of day, since 1970, at a time on our steady clock. While too
+// TimeOfDay returns the time of day, since 1970, at a time on our steady clock. While too
 // few are heard the last median stands, since our steady clock goes on; false before
 // there was one.
-func (a *Agreed) At(now time.Duration) (time.Duration, bool) {
-	if a.made > 0 && now-a.made < medianAge {
-		return now + a.beyond, true
+func (a *MedianClock) TimeOfDay(now time.Duration) (time.Duration, bool) {
+	if a.computedAt > 0 && now-a.computedAt < medianLifetime {
+		return now + a.offset, true
 	}
-	a.made = 0
-	maps.DeleteFunc(a.voices, func(_ string, v voice) bool { return now-v.heard > voiceAge })
-	if len(a.voices) < leastVoices {
-		return now + a.beyond, a.beyond != 0
+	a.computedAt = 0
+	maps.DeleteFunc(a.samples, func(_ string, v sample) bool { return now-v.receivedAt > sampleLifetime })
+	if len(a.samples) < minSamples {
+		return now + a.offset, a.offset != 0
 	}
-	all := make([]time.Duration, 0, len(a.voices))
-	for _, v := range a.voices {
-		all = append(all, v.beyond)
+	all := make([]time.Duration, 0, len(a.samples))
+	for _, v := range a.samples {
+		all = append(all, v.offset)
 	}
 	slices.Sort(all)
-	a.beyond, a.made = all[(len(all)-1)/2], now
-	return now + a.beyond, true
+	a.offset, a.computedAt = all[(len(all)-1)/2], now
+	return now + a.offset, true
 }
--- a/internal/base/event/limit.go
+++ b/internal/base/event/limit.go
@@ -7,26 +7,26 @@
 	"github.com/go-logr/logr"
 )
 
-// LimitEvery is the least time between two lines of one event of a Limit.
-const LimitEvery = time.Second
+// LogInterval is the least time between two lines of one event of a Limit.
+const LogInterval = time.Second
 
-// Limit logs events that can come in thousands: one line a second of each kind,
+// RateLimiter logs events that can come in thousands: one line a second of each kind,
 // with the number of those left out. The counters count all of them. The zero
 // value is ready.
-type Limit struct {
+type RateLimiter struct {
 	// Now is the time of day; nil for the system's.
 	Now func() time.Time
 
-	mu   sync.Mutex
-	last map[uint32]time.Time
-	left map[uint32]int
+	mu         sync.Mutex
+	lastLogged map[uint32]time.Time
+	omitted    map[uint32]int
 }
 
 // Log logs the event, or counts it as left out.
-func (l *Limit) Log(logger logr.Logger, id ID, kv ...any) {
-	left, ok := l.take(id.Number)
+func (l *RateLimiter) Log(logger logr.Logger, id Definition, kv ...any) {
+	left, ok := l.allow(id.Number)
 	if !ok {
-		count(id)
+		countEvent(id)
 		return
 	}
 	if left > 0 {
@@ -35,21 +35,21 @@
 	Log(logger, id, kv...)
 }
 
-func (l *Limit) take(number uint32) (left int, ok bool) {
+func (l *RateLimiter) allow(number uint32) (left int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	if l.Now != nil {
 		now = l.Now()
 	}
-	if l.last == nil {
-		l.last, l.left = map[uint32]time.Time{}, map[uint32]int{}
+	if l.lastLogged == nil {
+		l.lastLogged, l.omitted = map[uint32]time.Time{}, map[uint32]int{}
 	}
-	if at, seen := l.last[number]; seen && now.Sub(at) < LimitEvery {
-		l.left[number]++
+	if at, seen := l.lastLogged[number]; seen && now.Sub(at) < LogInterval {
+		l.omitted[number]++
 		return 0, false
 	}
-	left = l.left[number]
-	l.last[number], l.left[number] = now, 0
+	left = l.omitted[number]
+	l.lastLogged[number], l.omitted[number] = now, 0
 	return left, true
 }
--- a/internal/base/event/registry.go
+++ b/internal/base/event/registry.go
@@ -7,23 +7,23 @@
 	"strings"
 )
 
-var catalogue []ID
+var catalogue []Definition
 
-func def(number uint32, name string, level Level, text, advice string) ID {
-	id := ID{Number: number, Name: name, Level: level, Text: text, Advice: advice}
+func define(number uint32, name string, level Level, text, advice string) Definition {
+	id := Definition{Number: number, Name: name, Level: level, Text: text, Advice: advice}
 	catalogue = append(catalogue, id)
 	return id
 }
 
 // All returns the catalogue in the order of numbers.
-func All() []ID {
+func All() []Definition {
 	all := slices.Clone(catalogue)
-	slices.SortFunc(all, func(a, b ID) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(all, func(a, b Definition) int { return cmp.Compare(a.Number, b.Number) })
 	return all
 }
 
-// Planned returns the events that nothing raises yet.
-func Planned() []ID { return slices.Clone(planned) }
+// Unraised returns the events that nothing raises yet.
+func Unraised() []Definition { return slices.Clone(unraised) }
 
 // Markdown returns the table that docs/EVENTS.md holds.
 func Markdown() string {
@@ -31,7 +31,7 @@
 	b.WriteString("| event | name | level | what happened | what to do |\n|---|---|---|---|---|\n")
 	for _, id := range All() {
 		text := id.Text
-		if slices.Contains(planned, id) {
+		if slices.Contains(unraised, id) {
 			text += " (not raised yet)"
 		}
 		fmt.Fprintf(&b, "| %d | %s | %s | %s | %s |\n", id.Number, id.Name, id.Level, text, id.Advice)
--- a/internal/base/files/files.go
+++ b/internal/base/files/files.go
@@ -14,14 +14,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Use is what files are open for. The uses before one come first.
-type Use uint8
+// Purpose is what files are open for. The uses before one come first.
+type Purpose uint8
 
 // The uses, the most important first.
 const (
-	// Own are journal, snapshot, listeners, what the runtime needs, and the few that
+	// Essential are journal, snapshot, listeners, what the runtime needs, and the few that
 	// ask how the process is.
-	Own Use = iota
+	Essential Purpose = iota
 	// Peers are the connections of the consensus group.
 	Peers
 	// Processes are those between our own processes, and to services beside them.
@@ -30,65 +30,65 @@
 	Callers
 	// Servers are those of calls to backend servers.
 	Servers
-	uses
+	purposes
 )
 
-var names = [uses]string{"own", "peers", "processes", "callers", "servers"}
+var names = [purposes]string{"own", "peers", "processes", "callers", "servers"}
 
 // String returns the name of the use.
-func (u Use) String() string { return names[u] }
+func (u Purpose) String() string { return names[u] }
 
 // What is kept for each use, in files or as one part of so many of what is left.
 const (
-	// own is kept for Own, at most one part in ownOf of all.
-	own   = 256
-	ownOf = 4
-	// peers are two connections to each of eight replicas, and as many that hang.
-	peers = 32
-	// processesOf and callersOf are the parts kept for these uses.
-	processesOf = 8
-	callersOf   = 4
-	// pressedOf is the part of its share that a use has left when it is pressed.
-	pressedOf = 4
-	// unbounded stands for a limit that binds nothing.
-	unbounded = 1 << 24
-	// again is how often somebody who waits lets idle connections be closed.
-	again = 20 * time.Millisecond
+	// essentialReserve is kept for Own, at most one part in ownOf of all.
+	essentialReserve = 256
+	essentialDivisor = 4
+	// peerReserve are two connections to each of eight replicas, and as many that hang.
+	peerReserve = 32
+	// processDivisor and callersOf are the parts kept for these uses.
+	processDivisor = 8
+	callerDivisor  = 4
+	// pressureDivisor is the part of its share that a use has left when it is pressed.
+	pressureDivisor = 4
+	// unlimitedFiles stands for a limit that binds nothing.
+	unlimitedFiles = 1 << 24
+	// reclaimInterval is how often somebody who waits lets idle connections be closed.
+	reclaimInterval = 20 * time.Millisecond
 )
 
-// ErrNone means that a use has no file left; nothing was opened.
-var ErrNone = errors.New("the process may open no more files for this")
+// ErrNoFiles means that a use has no file left; nothing was opened.
+var ErrNoFiles = errors.New("the process may open no more files for this")
 
 // Budget is how many files a process may open for each use. What is opened for Own
 // and Peers need not be taken: what is kept for them is theirs. A nil Budget bounds
 // nothing.
 type Budget struct {
-	limit int
-	kept  [uses]int
-
-	mu    sync.Mutex
-	open  [uses]int
-	waits [uses]int
-	// queues are who waits, each for the end of its channel.
-	queues [uses][]chan struct{}
+	limit    int
+	reserved [purposes]int
+
+	mu         sync.Mutex
+	open       [purposes]int
+	waitCounts [purposes]int
+	// waiters are who waits, each for the end of its channel.
+	waiters [purposes][]chan struct{}
 }
 
-// New returns the budget of a process that may open so many files.
-func New(limit int) *Budget {
+// NewBudget returns the budget of a process that may open so many files.
+func NewBudget(limit int) *Budget {
 	b := &Budget{limit: limit}
-	b.kept[Own] = min(own, limit/ownOf)
-	b.kept[Peers] = min(peers, limit/ownOf)
-	left := limit - b.kept[Own] - b.kept[Peers]
-	b.kept[Processes] = left / processesOf
-	b.kept[Callers] = left / callersOf
-	b.kept[Servers] = left - b.kept[Processes] - b.kept[Callers]
+	b.reserved[Essential] = min(essentialReserve, limit/essentialDivisor)
+	b.reserved[Peers] = min(peerReserve, limit/essentialDivisor)
+	left := limit - b.reserved[Essential] - b.reserved[Peers]
+	b.reserved[Processes] = left / processDivisor
+	b.reserved[Callers] = left / callerDivisor
+	b.reserved[Servers] = left - b.reserved[Processes] - b.reserved[Callers]
 	return b
 }
 
-// Limit returns how many files this process may open: what the system allows, and
+// ProcessLimit returns how many files this process may open: what the system allows, and
 // at most what the settings say, if that is more than 0.
-func Limit(settings int64) int {
-	most := uint64(unbounded)
+func ProcessLimit(settings int64) int {
+	most := uint64(unlimitedFiles)
 	if settings > 0 {
 		most = min(most, uint64(settings))
 	}
@@ -99,23 +99,23 @@
 	return int(most)
 }
 
-// Share returns how many files a use may have open now: all but what is kept for,
+// Allowance returns how many files a use may have open now: all but what is kept for,
 // or used by, the uses before it, and what those after it use.
-func (b *Budget) Share(u Use) int {
+func (b *Budget) Allowance(u Purpose) int {
 	if b == nil {
-		return unbounded
+		return unlimitedFiles
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.share(u)
+	return b.allowance(u)
 }
 
-func (b *Budget) share(u Use) int {
+func (b *Budget) allowance(u Purpose) int {
 	left := b.limit
-	for other := range uses {
+	for other := range purposes {
 		switch {
 		case other < u:
-			left -= max(b.kept[other], b.open[other])
+			left -= max(b.reserved[other], b.open[other])
 		case other > u:
 			left -= b.open[other]
 		}
@@ -123,99 +123,99 @@
 	return max(left, 0)
 }
 
-// Take opens a file for a use, unless there is no room.
-func (b *Budget) Take(u Use) bool {
+// TryAcquire opens a file for a use, unless there is no room.
+func (b *Budget) TryAcquire(u Purpose) bool {
 	if b == nil {
 		return true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.queues[u]) > 0 || b.open[u] >= b.share(u) {
+	if len(b.waiters[u]) > 0 || b.open[u] >= b.allowance(u) {
 		return false
 	}
 	b.open[u]++
 	return true
 }
 
-// Wait opens a file for a use, as soon as there is room; ErrNone when ctx ends
+// Acquire opens a file for a use, as soon as there is room; ErrNone when ctx ends
 // before. Where it finds none it calls full now and then, which may make some.
-func (b *Budget) Wait(ctx context.Context, u Use, full func()) error {
-	if b.Take(u) {
+func (b *Budget) Acquire(ctx context.Context, u Purpose, full func()) error {
+	if b.TryAcquire(u) {
 		return nil
 	}
 	full()
 	b.mu.Lock()
 	mine := make(chan struct{})
-	b.queues[u] = append(b.queues[u], mine)
-	b.waits[u]++
-	b.next()
+	b.waiters[u] = append(b.waiters[u], mine)
+	b.waitCounts[u]++
+	b.admitWaiting()
 	b.mu.Unlock()
 	for {
 		select {
 		case <-mine:
 			return nil
 		case <-ctx.Done():
-			return b.give(u, mine)
-		case <-time.After(again):
+			return b.abandon(u, mine)
+		case <-time.After(reclaimInterval):
 		}
-		if b.first(u, mine) {
+		if b.isFirst(u, mine) {
 			full() // what was in use may be idle by now
 		}
 	}
 }
 
-// first tells whether somebody is the first in a queue.
-func (b *Budget) first(u Use, mine chan struct{}) bool {
+// isFirst tells whether somebody is the first in a queue.
+func (b *Budget) isFirst(u Purpose, mine chan struct{}) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.queues[u]) > 0 && b.queues[u][0] == mine
+	return len(b.waiters[u]) > 0 && b.waiters[u][0] == mine
 }
 
-// give ends somebody's wait without a file.
-func (b *Budget) give(u Use, mine chan struct{}) error {
+// abandon ends somebody's wait without a file.
+func (b *Budget) abandon(u Purpose, mine chan struct{}) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if i := slices.Index(b.queues[u], mine); i >= 0 {
-		b.queues[u] = slices.Delete(b.queues[u], i, i+1)
+	if i := slices.Index(b.waiters[u], mine); i >= 0 {
+		b.waiters[u] = slices.Delete(b.waiters[u], i, i+1)
 	} else {
 		b.open[u]-- // it was given one in this moment
-		b.next()
+		b.admitWaiting()
 	}
-	return errors.Wrapf(ErrNone, "%s", u)
+	return errors.Wrapf(ErrNoFiles, "%s", u)
 }
 
-// next lets those go on for whom there is room, the most important use first.
-func (b *Budget) next() {
-	for u := range uses {
-		for len(b.queues[u]) > 0 && b.open[u] < b.share(u) {
-			close(b.queues[u][0])
-			b.queues[u] = b.queues[u][1:]
+// admitWaiting lets those go on for whom there is room, the most important use first.
+func (b *Budget) admitWaiting() {
+	for u := range purposes {
+		for len(b.waiters[u]) > 0 && b.open[u] < b.allowance(u) {
+			close(b.waiters[u][0])
+			b.waiters[u] = b.waiters[u][1:]
 			b.open[u]++
 		}
 	}
 }
 
-// Free closes a file.
-func (b *Budget) Free(u Use) {
+// Release closes a file.
+func (b *Budget) Release(u Purpose) {
 	if b == nil {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.open[u]--
-	b.next()
+	b.admitWaiting()
 }
 
-// Pressed tells that a use has little left: what it keeps open without need should
+// UnderPressure tells that a use has little left: what it keeps open without need should
 // be closed.
-func (b *Budget) Pressed(u Use) bool {
+func (b *Budget) UnderPressure(u Purpose) bool {
 	if b == nil {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	share := b.share(u)
-	return b.open[u] >= share-share/pressedOf
+	share := b.allowance(u)
+	return b.open[u] >= share-share/pressureDivisor
 }
 
 // Row is one use of the budget.
@@ -233,9 +233,9 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]Row, 0, uses)
-	for u := range uses {
-		out = append(out, Row{Use: u.String(), Kept: b.kept[u], Open: b.open[u], Share: b.share(u), Waits: b.waits[u]})
+	out := make([]Row, 0, purposes)
+	for u := range purposes {
+		out = append(out, Row{Use: u.String(), Kept: b.reserved[u], Open: b.open[u], Share: b.allowance(u), Waits: b.waitCounts[u]})
 	}
 	return out
 }
--- a/internal/base/files/meter.go
+++ b/internal/base/files/meter.go
@@ -6,8 +6,8 @@
 	"gypsumreel/internal/base/meter"
 )
 
-// Meter shows the budget in a set of metrics.
-func (b *Budget) Meter(set *metrics.Set) {
+// RegisterMetrics shows the budget in a set of metrics.
+func (b *Budget) RegisterMetrics(set *metrics.Set) {
 	for i, r := range b.Rows() {
 		gauge := func(what string, value func(Row) int) {
 			set.NewGauge(meter.Name("files", what, meter.Label{Name: "use", Value: r.Use}), func() float64 { return float64(value(b.Rows()[i])) })
--- a/internal/base/secure/secure.go
+++ b/internal/base/secure/secure.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// DefaultInterval is the time between two looks at the files.
-	DefaultInterval = 5 * time.Second
-	// Expiring is the rest of a certificate's life from which it is warned about.
-	Expiring = 14 * 24 * time.Hour
+	// DefaultReloadInterval is the time between two looks at the files.
+	DefaultReloadInterval = 5 * time.Second
+	// ExpiryWarning is the rest of a certificate's life from which it is warned about.
+	ExpiryWarning = 14 * 24 * time.Hour
 	// warnEvery is the time between two such warnings.
 	warnEvery = 12 * time.Hour
 )
@@ -35,39 +35,39 @@
 	Authority string
 }
 
-// Store holds what the files said last. Set the exported fields, call Load, and
+// CertificateStore holds what the files said last. Set the exported fields, call Load, and
 // Run for as long as the configurations are in use.
-type Store struct {
+type CertificateStore struct {
 	Files Files
 	// Interval is the time between two looks at the files.
 	Interval time.Duration
 	Log      logr.Logger
 
-	current atomic.Pointer[material]
-	bad     [3][]byte
-	warned  time.Time
-	done    chan struct{}
+	current  atomic.Pointer[credentials]
+	rejected [3][]byte
+	warnedAt time.Time
+	done     chan struct{}
 }
 
-// material is one good reading of the files.
-type material struct {
-	raw  [3][]byte
-	pair tls.Certificate
-	// pool is nil without an authority.
-	pool *x509.CertPool
-	ends time.Time
+// credentials is one good reading of the files.
+type credentials struct {
+	files [3][]byte
+	pair  tls.Certificate
+	// authorities is nil without an authority.
+	authorities *x509.CertPool
+	expiresAt   time.Time
 }
 
 // New returns a store of the files.
-func New(files Files, log logr.Logger) *Store {
-	return &Store{Files: files, Log: log, done: make(chan struct{})}
+func New(files Files, log logr.Logger) *CertificateStore {
+	return &CertificateStore{Files: files, Log: log, done: make(chan struct{})}
 }
 
 // Done is closed when Run has returned.
-func (s *Store) Done() <-chan struct{} { return s.done }
+func (s *CertificateStore) Done() <-chan struct{} { return s.done }
 
 // Load reads the files for the first time. A process doesn't start without.
-func (s *Store) Load() error {
+func (s *CertificateStore) Load() error {
 	raw, err := s.read()
 	if err != nil {
 		return err
@@ -77,16 +77,16 @@
 		return err
 	}
 	s.current.Store(m)
-	event.Log(s.Log, event.TLSLoaded, "certificate", s.Files.Certificate, "ends", m.ends)
+	event.Log(s.Log, event.TLSLoaded, "certificate", s.Files.Certificate, "ends", m.expiresAt)
 	return nil
 }
 
 // Run looks at the files until ctx ends.
-func (s *Store) Run(ctx context.Context) error {
+func (s *CertificateStore) Run(ctx context.Context) error {
 	defer close(s.done)
 	interval := s.Interval
 	if interval <= 0 {
-		interval = DefaultInterval
+		interval = DefaultReloadInterval
 	}
 	t := time.NewTicker(interval)
 	defer t.Stop()
@@ -95,59 +95,59 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-t.C:
-			s.Refresh(now)
+			s.Reload(now)
 		}
 	}
 }
 
-// Refresh takes changed files into force for new connections. It guards against
+// Reload takes changed files into force for new connections. It guards against
 // files caught halfway through their replacement, such as a new certificate
 // beside the old key: whatever does not fit together leaves the old ones in
 // force and is read again at the next look. A file is judged by its content,
 // since a time of change has too coarse a step on some file systems.
-func (s *Store) Refresh(now time.Time) {
+func (s *CertificateStore) Reload(now time.Time) {
 	old := s.current.Load()
-	s.warn(now, old)
+	s.warnExpiry(now, old)
 	raw, err := s.read()
 	switch {
 	case err != nil:
-		s.refuse(raw, err)
+		s.reject(raw, err)
 		return
-	case same(raw, old.raw):
-		s.bad = [3][]byte{}
+	case same(raw, old.files):
+		s.rejected = [3][]byte{}
 		return
 	}
 	m, err := parse(raw)
 	if err != nil {
-		s.refuse(raw, err)
+		s.reject(raw, err)
 		return
 	}
 	s.current.Store(m)
-	s.bad = [3][]byte{}
-	event.Log(s.Log, event.TLSReloaded, "certificate", s.Files.Certificate, "ends", m.ends)
+	s.rejected = [3][]byte{}
+	event.Log(s.Log, event.TLSReloaded, "certificate", s.Files.Certificate, "ends", m.expiresAt)
 }
 
-// refuse says once what is wrong with one state of the files.
-func (s *Store) refuse(raw [3][]byte, err error) {
-	if s.bad[0] != nil && same(raw, s.bad) {
+// reject says once what is wrong with one state of the files.
+func (s *CertificateStore) reject(raw [3][]byte, err error) {
+	if s.rejected[0] != nil && same(raw, s.rejected) {
 		return
 	}
-	s.bad = raw
-	if s.bad[0] == nil {
-		s.bad[0] = []byte{}
+	s.rejected = raw
+	if s.rejected[0] == nil {
+		s.rejected[0] = []byte{}
 	}
-	event.Fail(s.Log, event.TLSBad, err, "certificate", s.Files.Certificate)
+	event.LogError(s.Log, event.TLSBad, err, "certificate", s.Files.Certificate)
 }
 
-func (s *Store) warn(now time.Time, m *material) {
-	if m.ends.Sub(now) > Expiring || now.Sub(s.warned) < warnEvery {
+func (s *CertificateStore) warnExpiry(now time.Time, m *credentials) {
+	if m.expiresAt.Sub(now) > ExpiryWarning || now.Sub(s.warnedAt) < warnEvery {
 		return
 	}
-	s.warned = now
-	event.Log(s.Log, event.TLSExpiring, "certificate", s.Files.Certificate, "ends", m.ends)
+	s.warnedAt = now
+	event.Log(s.Log, event.TLSExpiring, "certificate", s.Files.Certificate, "ends", m.expiresAt)
 }
 
-func (s *Store) read() (raw [3][]byte, err error) {
+func (s *CertificateStore) read() (raw [3][]byte, err error) {
 	for i, path := range []string{s.Files.Certificate, s.Files.Key, s.Files.Authority} {
 		if path == "" && i == len(raw)-1 {
 			continue
@@ -171,18 +171,18 @@
 	return true
 }
 
-func parse(raw [3][]byte) (*material, error) {
-	m := &material{raw: raw}
+func parse(raw [3][]byte) (*credentials, error) {
+	m := &credentials{files: raw}
 	pair, err := tls.X509KeyPair(raw[0], raw[1])
 	if err != nil {
 		return nil, errors.Wrap(err, "certificate and key")
 	}
-	m.pair, m.ends = pair, pair.Leaf.NotAfter
+	m.pair, m.expiresAt = pair, pair.Leaf.NotAfter
 	if raw[2] == nil {
 		return m, nil
 	}
-	m.pool = x509.NewCertPool()
-	if !m.pool.AppendCertsFromPEM(raw[2]) {
+	m.authorities = x509.NewCertPool()
+	if !m.authorities.AppendCertsFromPEM(raw[2]) {
 		return nil, errors.New("the authority file holds no certificate in PEM")
 	}
 	return m, nil
--- /dev/null
+++ b/internal/base/yield/turn.go
@@ -0,0 +1,32 @@
+// Package turn lets a goroutine that computes for long share its processor. On one
+// processor whatever waits, a heartbeat among it, waits for as long as that goroutine
+// goes on; and where hundreds wait, one that stood back for all of them again and again
+// would come to nothing itself.
+package yield
+
+import (
+	"runtime"
+	"time"
+)
+
+// maxSlice bounds how long a turn takes: what waits may have to wait for several.
+const maxSlice = 20 * time.Millisecond
+
+// Yielder is the turns of one goroutine. The zero value is ready.
+type Yielder struct {
+	// startedAt is when this turn began, least how long it may take: as long as the others
+	// had before it.
+	startedAt   time.Time
+	minDuration time.Duration
+}
+
+// YieldIfDue lets the other goroutines run, unless they had as much time lately as this one.
+func (t *Yielder) YieldIfDue() {
+	now := time.Now()
+	if now.Sub(t.startedAt) < t.minDuration {
+		return
+	}
+	runtime.Gosched()
+	t.startedAt = time.Now()
+	t.minDuration = min(t.startedAt.Sub(now), maxSlice)
+}
--- a/internal/control/dispatch/ask.go
+++ b/internal/control/dispatch/ask.go
@@ -22,7 +22,7 @@
 var errNotLeading = code.New(code.NoLeader, "this replica does not lead")
 
 // errDeposed tells that it is not known here what becomes of a request.
-var errDeposed = code.New(code.Unanswered, "the leader changed meanwhile")
+var errDeposed = code.New(code.LeaderTimeout, "the leader changed meanwhile")
 
 // ask runs fn on the control thread while this replica leads. fn calls reply
 // once, then or later. A request that is still open when the replica is deposed
@@ -57,7 +57,7 @@
 	case r := <-answered:
 		return r.value, r.err
 	case <-ctx.Done():
-		return zero, code.New(code.Unanswered, "no decision in time")
+		return zero, code.New(code.LeaderTimeout, "no decision in time")
 	}
 }
 
@@ -108,8 +108,8 @@
 	if c, known := config.Owner(a.GetKey()); known {
 		owner = c.GetName()
 	} else if !q.GetOpen() {
-		d.meter.refused(code.BadKey)
-		refuse(code.New(code.BadKey, ""))
+		d.meter.refused(code.InvalidKey)
+		refuse(code.New(code.InvalidKey, ""))
 		return
 	}
 	switch a.GetVerb() {
@@ -145,7 +145,7 @@
 	}
 	if err, retry := d.admit(a, q); err != nil {
 		d.meter.refused(err.Code)
-		event.Fail(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", owner, "open", ledger.Open(), "retry", retry.String())
+		event.LogError(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", owner, "open", ledger.Open(), "retry", retry.String())
 		reply(refusal(err, retry))
 		return
 	}
@@ -207,7 +207,7 @@
 			fn(f)
 			return
 		}
-		reply(refusal(code.New(code.Unknown, "%s", id), 0))
+		reply(refusal(code.New(code.NotFound, "%s", id), 0))
 	})
 }
 
@@ -227,7 +227,7 @@
 // in force is acknowledged without effect; an unsound one is refused.
 func (d *Dispatcher) Put(ctx context.Context, doc *v1.Document) *code.Error {
 	if err := flow.CheckDocument(doc); err != nil {
-		event.Fail(d.Log, event.DocumentRefused, err, "version", doc.GetVersion())
+		event.LogError(d.Log, event.DocumentRefused, err, "version", doc.GetVersion())
 		return err
 	}
 	received := d.Now()
--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -152,7 +152,7 @@
 	// Owned by the control thread.
 	lead *lead
 	// agreed is the time of day by the word of all processes.
-	agreed clock.Agreed
+	agreed clock.MedianClock
 	// crew are the processes that made themselves known, joiners the replicas among
 	// them that may be no members yet, by id.
 	crew    *helpers.Pool
@@ -277,7 +277,7 @@
 // since it shows that the picture here and the ledger differ.
 func (d *Dispatcher) decide(f *record.Flow) bool {
 	if err := d.Host.Decide(f); err != nil {
-		event.Fail(d.Log, event.DecisionRefused, err, "term", d.lead.term)
+		event.LogError(d.Log, event.DecisionRefused, err, "term", d.lead.term)
 		return false
 	}
 	d.lead.dirty = true
--- a/internal/control/dispatch/dispatch_test.go
+++ b/internal/control/dispatch/dispatch_test.go
@@ -455,7 +455,7 @@
 		if err := w.d.Put(t.Context(), next); err != nil {
 			t.Fatal(err)
 		}
-		if rep := w.ask(inner.FlowVerb_FLOW_VERB_SUBMIT, "a", step(1, 1000)); code.Code(rep.GetCode()) != code.BadKey {
+		if rep := w.ask(inner.FlowVerb_FLOW_VERB_SUBMIT, "a", step(1, 1000)); code.Code(rep.GetCode()) != code.InvalidKey {
 			t.Errorf("got %v", rep)
 		}
 	})
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -333,7 +333,7 @@
 		if err == nil {
 			return
 		}
-		if err.Code != code.Busy {
+		if err.Code != code.MembershipChangePending {
 			w.t.Error(err)
 			return
 		}
--- a/internal/control/dispatch/helper.go
+++ b/internal/control/dispatch/helper.go
@@ -46,7 +46,7 @@
 	}
 	d.crew.RecordGreeting(g.GetAddress(), at)
 	if g.GetClock() > 0 {
-		d.agreed.Hear(g.GetAddress(), time.Duration(g.GetClock()), at)
+		d.agreed.Observe(g.GetAddress(), time.Duration(g.GetClock()), at)
 	}
 }
 
--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -56,7 +56,7 @@
 		// when that is settled.
 		d.ending(s, "another life")
 		if d.lead.sessions[r.GetId()] != nil {
-			reply(code.New(code.Busy, "the life before is being closed"))
+			reply(code.New(code.MembershipChangePending, "the life before is being closed"))
 			return
 		}
 	case s != nil && s.born == r.GetBorn() && r.Call < s.call:
@@ -72,7 +72,7 @@
 	}
 	r.FlowServer.Call = r.Call
 	if !d.decide(&record.Flow{What: &record.Flow_Server{Server: r.FlowServer}}) {
-		reply(code.New(code.Stale, "%s", r.GetId()))
+		reply(code.New(code.SessionReplaced, "%s", r.GetId()))
 		return
 	}
 	now, _ := ledger.Server(r.GetId())
--- a/internal/control/dispatch/zone_test.go
+++ b/internal/control/dispatch/zone_test.go
@@ -209,7 +209,7 @@
 func TestUnknownZoneIsRefused(t *testing.T) {
 	play(t, 1, func(t *testing.T, w *world) {
 		for _, name := range []string{"", "nowhere"} {
-			if err := w.d.Zone(t.Context(), name, true); err == nil || err.Code != code.Unknown {
+			if err := w.d.Zone(t.Context(), name, true); err == nil || err.Code != code.NotFound {
 				t.Errorf("zone %q: %v", name, err)
 			}
 		}
--- a/internal/control/leader/ask.go
+++ b/internal/control/leader/ask.go
@@ -74,7 +74,7 @@
 	k, ok := l.st.Key(c.GetId())
 	if !ok || !k.Matches(c.GetDigest()) || k.Withdrawn {
 		l.limit.Log(l.Log, event.KeyRefused, "key", c.GetId(), "withdrawn", k.Withdrawn)
-		return key.Key{}, code.New(code.BadKey, "")
+		return key.Key{}, code.New(code.InvalidKey, "")
 	}
 	return k, nil
 }
@@ -187,7 +187,7 @@
 		l.answer(to, j, 0)
 		return
 	}
-	l.refuse(to, code.New(code.Unknown, "%s", id.ID))
+	l.refuse(to, code.New(code.NotFound, "%s", id.ID))
 }
 
 // until returns when a long poll ends: after the patience asked for, the bound
@@ -224,14 +224,14 @@
 		l.tell(w, j)
 		return
 	}
-	l.refuse(w.to, code.New(code.Unknown, "%s", id.ID))
+	l.refuse(w.to, code.New(code.NotFound, "%s", id.ID))
 }
 
 // tell answers a parked wait. Its key may have been withdrawn meanwhile: what
 // is asked with a key must not be answered after its end.
 func (l *Leader) tell(w *waiter, j *state.Job) {
 	if k, ok := l.st.Key(w.key); !ok || k.Withdrawn {
-		l.refuse(w.to, code.New(code.BadKey, ""))
+		l.refuse(w.to, code.New(code.InvalidKey, ""))
 		return
 	}
 	l.answer(w.to, j, w.chunk)
--- a/internal/control/leader/decide.go
+++ b/internal/control/leader/decide.go
@@ -53,7 +53,7 @@
 	case plan.Drop:
 		r = l.drop(d.Job, code.DeadlinePassed)
 	case plan.Park:
-		r = l.drop(d.Job, code.Parked)
+		r = l.drop(d.Job, code.GivenUp)
 	case plan.Quarantine:
 		r = l.mark(d.Server, backend.Quarantined)
 	case plan.Restore:
--- a/internal/control/leader/leader.go
+++ b/internal/control/leader/leader.go
@@ -16,7 +16,7 @@
 	"gypsumreel/internal/api/inner"
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/event"
-	"gypsumreel/internal/base/turn"
+	"gypsumreel/internal/base/yield"
 	"gypsumreel/internal/control/mailbox"
 	"gypsumreel/internal/domain/lease"
 	"gypsumreel/internal/ledger/state"
@@ -150,7 +150,7 @@
 	status atomic.Pointer[Status]
 
 	// Owned by the control thread.
-	turn    turn.Turn
+	turn    yield.Yielder
 	st      *state.State
 	applied uint64
 	saved   uint64
@@ -159,7 +159,7 @@
 	members group.Members
 	full    bool
 	meter   *meter
-	limit   event.Limit
+	limit   event.RateLimiter
 	// leaderless is since when no leader is known, alarmed that it was told.
 	leaderless time.Duration
 	alarmed    bool
@@ -263,7 +263,7 @@
 // Rest lets the other goroutines of the process have their turn: a message of the
 // group takes several of them, and a leader that decided for long at a time would lose
 // its lead to its own load. It is called on the control thread.
-func (l *Leader) Rest() { l.turn.Rest() }
+func (l *Leader) Rest() { l.turn.YieldIfDue() }
 
 // drain takes more batches that wait already, so that they share one commit.
 func (l *Leader) drain() {
--- a/internal/control/leader/leader_test.go
+++ b/internal/control/leader/leader_test.go
@@ -101,7 +101,7 @@
 		c.announce("b1", 8000)
 		c.change("out", &v1.ChangeRequest{Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: "rail1"}}})
 		r := c.must(c.submit(spec("plan")))
-		wantCode(t, code.BadKey, r.GetStatus())
+		wantCode(t, code.InvalidKey, r.GetStatus())
 	})
 }
 
@@ -170,7 +170,7 @@
 		if len(moved) != 1 || moved[0].GetNumber() != 2 {
 			t.Fatalf("moved as %v", moved)
 		}
-		wantCode(t, code.Stale, s.sync().GetStatus())
+		wantCode(t, code.SessionReplaced, s.sync().GetStatus())
 	})
 }
 
@@ -213,7 +213,7 @@
 		if got.GetOutcome() != v1.Outcome_OUTCOME_UNKNOWN {
 			t.Errorf("outcome %v", got.GetOutcome())
 		}
-		wantCode(t, code.Lost, got.GetStatus())
+		wantCode(t, code.ServerLost, got.GetStatus())
 	})
 }
 
@@ -243,7 +243,7 @@
 		}
 		unknown := &v1.ChangeRequest{Id: "unknown", Change: &v1.ChangeRequest_Zone{Zone: &v1.ZoneMark{Zone: "nowhere", Drain: true}}}
 		r := c.must(c.push(&inner.Item{Credential: c.cred("op"), Ask: &inner.Item_Change{Change: unknown}}))
-		wantCode(t, code.Unknown, r.GetStatus())
+		wantCode(t, code.NotFound, r.GetStatus())
 		mark("drain", zoneName, true)
 		c.accepted(spec("plan"))
 		if got := starts(s.sync()); len(got) > 0 {
@@ -309,7 +309,7 @@
 		first := c.change("x", edit(7))
 		second := c.change("y", edit(9))
 		wantCode(t, code.OK, first.GetStatus())
-		wantCode(t, code.Conflict, second.GetStatus())
+		wantCode(t, code.RevisionConflict, second.GetStatus())
 		if second.GetRevision() != 2 {
 			t.Errorf("told revision %d", second.GetRevision())
 		}
@@ -336,7 +336,7 @@
 			t.Errorf("outcome %v", got.GetOutcome())
 		}
 		r := c.must(c.push(&inner.Item{Credential: c.cred("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: "none"}}}))
-		wantCode(t, code.Unknown, r.GetStatus())
+		wantCode(t, code.NotFound, r.GetStatus())
 	})
 }
 
@@ -389,7 +389,7 @@
 		w := c.wait("plan")
 		c.change("out", &v1.ChangeRequest{Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: "rail1"}}})
 		time.Sleep(1100 * time.Millisecond)
-		wantCode(t, code.BadKey, c.must(w).GetStatus())
+		wantCode(t, code.InvalidKey, c.must(w).GetStatus())
 	})
 }
 
--- a/internal/control/leader/member.go
+++ b/internal/control/leader/member.go
@@ -52,7 +52,7 @@
 		l.reply(to, &inner.Reply{Answer: &inner.Reply_Change{Change: rep}})
 	case l.Now() >= until:
 		event.Log(l.Log, event.MemberRefused, "member", c.GetReplica(), "remove", c.GetRemove())
-		st := status(code.New(code.Busy, "not in force yet; ask again"))
+		st := status(code.New(code.MembershipChangePending, "not in force yet; ask again"))
 		st.Retry = uint64(promoteEvery / time.Millisecond)
 		rep := &v1.ChangeReply{Status: st, Revision: l.st.Table().Revision()}
 		l.reply(to, &inner.Reply{Answer: &inner.Reply_Change{Change: rep}})
--- a/internal/control/leader/notice.go
+++ b/internal/control/leader/notice.go
@@ -76,7 +76,7 @@
 }
 
 // transitions returns the events of a server's change.
-func transitions(old, next seenServer, known bool) (out []event.ID) {
+func transitions(old, next seenServer, known bool) (out []event.Definition) {
 	switch {
 	case !known && next.state != backend.Gone:
 		out = append(out, event.ServerAnnounced)
@@ -149,7 +149,7 @@
 	switch {
 	case j.Outcome == v1.Outcome_OUTCOME_UNKNOWN:
 		l.limit.Log(l.Log, event.OutcomeUnknown, "team", j.Spec.Team, "job", j.Spec.ID)
-	case j.Code == code.Parked:
+	case j.Code == code.GivenUp:
 		l.limit.Log(l.Log, event.JobParked, "team", j.Spec.Team, "job", j.Spec.ID)
 	}
 }
@@ -177,7 +177,7 @@
 	case code.QueueFull, code.Overloaded, code.DiskFull:
 		l.lead.seen.refused = l.Now()
 		l.limit.Log(l.Log, event.Overload, "team", owner, "code", uint32(c))
-	case code.NeverFits:
+	case code.Unplaceable:
 		l.limit.Log(l.Log, event.JobNeverFits, "team", owner, "job", id)
 	case code.IDReused:
 		l.limit.Log(l.Log, event.IDReused, "team", owner, "id", id)
@@ -189,7 +189,7 @@
 func (l *Leader) changed(by string, req *v1.ChangeRequest, r state.Result, before []team.Row) {
 	switch r.Code {
 	case code.OK:
-	case code.Conflict:
+	case code.RevisionConflict:
 		event.Log(l.Log, event.TableConflict, "key", by, "change", req.GetId(), "detail", r.Detail)
 		return
 	case code.IDReused:
--- a/internal/control/leader/notice_test.go
+++ b/internal/control/leader/notice_test.go
@@ -60,7 +60,7 @@
 		r := c.must(c.push(&inner.Item{Credential: c.cred("op"), Ask: &inner.Item_Change{Change: &v1.ChangeRequest{
 			Id: "late", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Base: 0, Edits: []*v1.Edit{{Row: &v1.Row{Team: "x", Weight: 1}}}}},
 		}}}))
-		wantCode(t, code.Conflict, r.GetChange().GetStatus())
+		wantCode(t, code.RevisionConflict, r.GetChange().GetStatus())
 		log.want(t, "table-conflict")
 		c.change("lower", &v1.ChangeRequest{Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Base: 1, Edits: []*v1.Edit{
 			{Row: &v1.Row{Team: "rail", Weight: 1, Queue: 1, Limit: &v1.Size{Cpu: 500, Memory: -1, Accel: -1, Slots: -1}}},
@@ -140,7 +140,7 @@
 			t.Error(got)
 		}
 		r := c.must(c.show(&v1.ShowRequest{Part: v1.Part_PART_JOBS, After: "rail/none"})).GetShow()
-		wantCode(t, code.Unknown, r.GetStatus())
+		wantCode(t, code.NotFound, r.GetStatus())
 	})
 }
 
--- a/internal/control/leader/operator.go
+++ b/internal/control/leader/operator.go
@@ -24,7 +24,7 @@
 		return
 	}
 	if c := req.GetZone(); c != nil && !l.KnowsZone(c.GetZone()) {
-		l.refuse(to, code.New(code.Unknown, "zone %q", c.GetZone()))
+		l.refuse(to, code.New(code.NotFound, "zone %q", c.GetZone()))
 		return
 	}
 	before := l.st.Table().Rows()
--- a/internal/control/leader/page.go
+++ b/internal/control/leader/page.go
@@ -27,7 +27,7 @@
 	if after != "" {
 		j, ok := l.st.Find(requestID(owner, after))
 		if !ok {
-			return nil, code.New(code.Unknown, "no job %s to list from; list anew", after)
+			return nil, code.New(code.NotFound, "no job %s to list from; list anew", after)
 		}
 		from = j.Number
 	}
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -61,7 +61,7 @@
 		Rack: req.GetRack(), Zone: req.GetZone(), Labels: req.GetLabels(),
 	}}})
 	st := status(&code.Error{Code: r.Code, Detail: r.Detail})
-	if r.Code == code.Busy {
+	if r.Code == code.MembershipChangePending {
 		st.Retry = uint64(l.Silence / time.Millisecond)
 	}
 	if b, ok := l.st.Server(req.GetServer()); ok && r.Code == code.OK {
@@ -74,7 +74,7 @@
 func (l *Leader) leave(to Ticket, req *v1.LeaveRequest) {
 	r := l.mark(req.GetServer(), backend.Draining)
 	if b, _ := l.st.Server(req.GetServer()); b.Incarnation != req.GetIncarnation() {
-		r = state.Result{Code: code.Stale}
+		r = state.Result{Code: code.SessionReplaced}
 	}
 	l.reply(to, &inner.Reply{Answer: &inner.Reply_Leave{Leave: &v1.LeaveReply{Status: status(&code.Error{Code: r.Code})}}})
 }
@@ -84,7 +84,7 @@
 func (l *Leader) sync(to Ticket, req *v1.SyncRequest) {
 	b, ok := l.st.Server(req.GetServer())
 	if !ok || b.Incarnation != req.GetIncarnation() || b.Server.State == backend.Gone {
-		l.syncReply(to, &v1.SyncReply{Status: status(code.New(code.Stale, "announce again")), Number: req.GetNumber()})
+		l.syncReply(to, &v1.SyncReply{Status: status(code.New(code.SessionReplaced, "announce again")), Number: req.GetNumber()})
 		return
 	}
 	s := l.session(b)
--- a/internal/edge/control/ask.go
+++ b/internal/edge/control/ask.go
@@ -56,9 +56,9 @@
 	}
 	s := &v1.Status{Code: uint32(numbered.Code), Text: numbered.Error()}
 	switch numbered.Code {
-	case code.Unreachable, code.Overloaded, code.Unanswered, code.NoLeader:
+	case code.ControlUnreachable, code.Overloaded, code.LeaderTimeout, code.NoLeader:
 		s.Retry = uint64((retryLeast + rand.N(retrySpread)).Milliseconds())
-	case code.Leaving:
+	case code.ShuttingDown:
 		s.Retry = 1
 	}
 	return s
@@ -74,10 +74,10 @@
 // call itself did not get through, and the job may well run.
 func Undecided(s *v1.Status) *v1.Status {
 	switch code.Code(s.GetCode()) {
-	case code.Unreachable:
+	case code.ControlUnreachable:
 		return &v1.Status{Code: uint32(code.NoLeader), Text: s.GetText(), Retry: s.GetRetry()}
 	case code.Overloaded:
-		return &v1.Status{Code: uint32(code.Unanswered), Text: s.GetText(), Retry: s.GetRetry()}
+		return &v1.Status{Code: uint32(code.LeaderTimeout), Text: s.GetText(), Retry: s.GetRetry()}
 	}
 	return s
 }
@@ -96,7 +96,7 @@
 func Presented(h http.Header) (*inner.Credential, error) {
 	id, secret, err := key.Parse(Bearer(h))
 	if err != nil {
-		return nil, code.New(code.BadKey, "%v", err)
+		return nil, code.New(code.InvalidKey, "%v", err)
 	}
 	digest := key.Digest(secret)
 	return &inner.Credential{Id: id, Digest: digest[:]}, nil
--- a/internal/edge/control/pool.go
+++ b/internal/edge/control/pool.go
@@ -170,7 +170,7 @@
 	p.init()
 	if !p.Fresh() && p.age() > p.Freshness+p.Grace {
 		p.meter.refused.Inc()
-		return nil, code.New(code.Unreachable, "no leader for %v", p.age().Round(time.Millisecond))
+		return nil, code.New(code.ControlUnreachable, "no leader for %v", p.age().Round(time.Millisecond))
 	}
 	c, err := p.book.add(ctx, item)
 	if err != nil {
@@ -228,7 +228,7 @@
 	case errors.Is(why, errMoved):
 		event.Log(p.Log, event.LeaderChanged, "from", l.replica.Name)
 	default:
-		event.Fail(p.Log, event.LeaderAway, why, "replica", l.replica.Name)
+		event.LogError(p.Log, event.LeaderAway, why, "replica", l.replica.Name)
 	}
 }
 
@@ -264,11 +264,11 @@
 		defer l.close()
 		reply, err := l.client.Dump(ctx, &v1.DumpRequest{Process: process})
 		if err != nil {
-			return nil, code.New(code.Unanswered, "%s did not answer", process)
+			return nil, code.New(code.LeaderTimeout, "%s did not answer", process)
 		}
 		return reply, nil
 	}
-	return nil, code.New(code.Unknown, "process %q", process)
+	return nil, code.New(code.NotFound, "process %q", process)
 }
 
 // link makes the connections to one replica, under a session number of its own.
--- a/internal/edge/control/pool_test.go
+++ b/internal/edge/control/pool_test.go
@@ -157,7 +157,7 @@
 		if took := time.Since(began); took > 0 {
 			t.Errorf("the refusal without a leader took %v", took)
 		}
-		want := []code.Code{code.Unanswered, code.Unreachable, code.Unreachable}
+		want := []code.Code{code.LeaderTimeout, code.ControlUnreachable, code.ControlUnreachable}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
@@ -170,7 +170,7 @@
 	s := &script{mute: true}
 	run(t, map[string]*script{"c1": s}, func(b *bench) {
 		b.relays["c1"].Set(relay.Down, relay.Lose)
-		if got := b.list(); got != code.Unanswered {
+		if got := b.list(); got != code.LeaderTimeout {
 			t.Errorf("code %d", got)
 		}
 		s.mu.Lock()
@@ -217,7 +217,7 @@
 		s.mu.Lock()
 		s.answer(s.pushed[0])
 		s.mu.Unlock()
-		if got := b.listWithin(200 * time.Millisecond); got != code.Unanswered {
+		if got := b.listWithin(200 * time.Millisecond); got != code.LeaderTimeout {
 			t.Errorf("code %d: a late reply answered another request", got)
 		}
 	})
@@ -340,7 +340,7 @@
 		b.relays["c1"].Set(relay.Down, relay.Lose)
 		began := time.Now()
 		got := b.listWithin(time.Minute)
-		if took := time.Since(began); got != code.Unanswered || took > control.DefaultFreshness+100*time.Millisecond {
+		if took := time.Since(began); got != code.LeaderTimeout || took > control.DefaultFreshness+100*time.Millisecond {
 			t.Errorf("code %d after %v", got, took)
 		}
 		if b.pool.Fresh() {
--- a/internal/edge/helper/helper.go
+++ b/internal/edge/helper/helper.go
@@ -98,7 +98,7 @@
 	}
 	rep, err := inner.NewHelperProtobufClient("http://"+address, p.Client).Advise(ctx, r)
 	if err != nil {
-		return &inner.AdviseReply{Code: uint32(code.Unanswered), Detail: err.Error()}
+		return &inner.AdviseReply{Code: uint32(code.LeaderTimeout), Detail: err.Error()}
 	}
 	return rep
 }
--- a/internal/edge/helper/helper_test.go
+++ b/internal/edge/helper/helper_test.go
@@ -27,7 +27,7 @@
 func (slowAdviser) Advise(ctx context.Context, r *inner.AdviseRequest) *inner.AdviseReply {
 	if r.GetFlow() == lost {
 		<-ctx.Done()
-		return &inner.AdviseReply{Code: uint32(code.Unanswered)}
+		return &inner.AdviseReply{Code: uint32(code.LeaderTimeout)}
 	}
 	time.Sleep(answerTime)
 	return &inner.AdviseReply{}
--- a/internal/edge/leader/carry.go
+++ b/internal/edge/leader/carry.go
@@ -19,7 +19,7 @@
 func (l *Link) Ask(ctx context.Context, a *inner.FlowAsk) *inner.FlowAnswer {
 	begin := l.Now()
 	rep := l.carry(ctx, a)
-	if changes(a) || rep.GetCode() == uint32(code.Unanswered) {
+	if changes(a) || rep.GetCode() == uint32(code.LeaderTimeout) {
 		event.Log(l.Log, event.CallAnswered, "flow", path.Base(a.GetPath()), "verb", a.GetVerb().String(), "code", rep.GetCode(), "detail", rep.GetDetail(), "term", rep.GetTerm(), "retry", rep.GetRetry(), "took", (l.Now() - begin).String())
 	}
 	return rep
@@ -94,7 +94,7 @@
 func (l *Link) unanswered(a *inner.FlowAsk, sent bool) *inner.FlowAnswer {
 	c := code.NoLeader
 	if sent {
-		c = code.Unanswered
+		c = code.LeaderTimeout
 	}
 	event.Log(l.Log, event.CallUnanswered, "flow", path.Base(a.GetPath()), "verb", a.GetVerb().String(), "code", uint32(c), "leader", l.leaderName())
 	return &inner.FlowAnswer{Code: uint32(c), Retry: uint64(comeBack / time.Millisecond)}
@@ -135,7 +135,7 @@
 	case code.NoLeader:
 		l.moved(leader, rep.GetLeader())
 		return nil, false
-	case code.Unanswered:
+	case code.LeaderTimeout:
 		return nil, true
 	}
 	if rep.GetTerm() > 0 {
--- a/internal/edge/leader/leader_test.go
+++ b/internal/edge/leader/leader_test.go
@@ -211,7 +211,7 @@
 	l := linkToFrozen(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
-	if rep := l.Ask(ctx, &inner.FlowAsk{Verb: inner.FlowVerb_FLOW_VERB_SUBMIT}); code.Code(rep.GetCode()) != code.Unanswered {
+	if rep := l.Ask(ctx, &inner.FlowAsk{Verb: inner.FlowVerb_FLOW_VERB_SUBMIT}); code.Code(rep.GetCode()) != code.LeaderTimeout {
 		t.Errorf("answered with %v", rep)
 	}
 }
--- a/internal/edge/wire/wire.go
+++ b/internal/edge/wire/wire.go
@@ -42,14 +42,14 @@
 // Client returns a client for calls with their own deadlines, whose connections
 // count for a use of the budget. It speaks HTTP/1.1, where a call that is given up
 // closes its own connection: one that went silent is never used twice.
-func Client(perHost int, budget *files.Budget, use files.Use) *http.Client {
+func Client(perHost int, budget *files.Budget, use files.Purpose) *http.Client {
 	only := new(http.Protocols)
 	only.SetHTTP1(true)
 	t := &http.Transport{
-		Protocols: only, DisableCompression: true, MaxIdleConns: budget.Share(use) / idleParts,
+		Protocols: only, DisableCompression: true, MaxIdleConns: budget.Allowance(use) / idleParts,
 		MaxIdleConnsPerHost: perHost, MaxConnsPerHost: perHost, IdleConnTimeout: IdleTimeout,
 	}
-	t.DialContext = budget.Dial(use, dial, t.CloseIdleConnections)
+	t.DialContext = budget.LimitDial(use, dial, t.CloseIdleConnections)
 	return &http.Client{Transport: t, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
@@ -62,7 +62,7 @@
 	only := new(http.Protocols)
 	only.SetUnencryptedHTTP2(true)
 	return &http.Client{Transport: &http.Transport{
-		DialContext: budget.Dial(files.Processes, dial, func() {}), Protocols: only, DisableCompression: true, MaxConnsPerHost: 1, IdleConnTimeout: IdleTimeout,
+		DialContext: budget.LimitDial(files.Processes, dial, func() {}), Protocols: only, DisableCompression: true, MaxConnsPerHost: 1, IdleConnTimeout: IdleTimeout,
 		HTTP2: &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTime},
 	}}
 }
--- a/internal/ledger/flows/life.go
+++ b/internal/ledger/flows/life.go
@@ -62,7 +62,7 @@
 func (l *Ledger) due(at time.Duration, d *record.FlowDue) *code.Error {
 	f, ok := l.flows[d.GetId()]
 	if !ok || f.Final() || f.Next >= f.Spec.GetTimes() {
-		return code.New(code.Unknown, "no turn of %s is due", d.GetId())
+		return code.New(code.NotFound, "no turn of %s is due", d.GetId())
 	}
 	l.mixText(d.GetId())
 	l.turn(at, f)
@@ -72,7 +72,7 @@
 func (l *Ledger) cancel(at time.Duration, c *record.FlowCancel) *code.Error {
 	f, ok := l.flows[c.GetId()]
 	if !ok {
-		return code.New(code.Unknown, "%s", c.GetId())
+		return code.New(code.NotFound, "%s", c.GetId())
 	}
 	if f.Final() {
 		return nil
--- a/internal/ledger/flows/run.go
+++ b/internal/ledger/flows/run.go
@@ -17,7 +17,7 @@
 func (l *Ledger) server(at time.Duration, m *record.FlowServer) *code.Error {
 	old, known := l.servers[m.GetId()]
 	if known && m.GetBorn() < old.Born {
-		return code.New(code.Stale, "%s has begun another life", m.GetId())
+		return code.New(code.SessionReplaced, "%s has begun another life", m.GetId())
 	}
 	b := &Server{
 		ID: m.GetId(), Born: m.GetBorn(), Address: m.GetAddress(), Zone: m.GetZone(), Pool: m.GetPool(), Machine: m.GetMachine(),
@@ -25,10 +25,10 @@
 	}
 	if known && m.GetBorn() == old.Born {
 		if old.Over {
-			return code.New(code.Stale, "that life of %s is over", m.GetId())
+			return code.New(code.SessionReplaced, "that life of %s is over", m.GetId())
 		}
 		if m.GetCall() < old.Call {
-			return code.New(code.Stale, "%s has reported since", m.GetId())
+			return code.New(code.SessionReplaced, "%s has reported since", m.GetId())
 		}
 		b.Leaving = b.Leaving || old.Leaving
 		b.Cursor, b.Used, b.Held = old.Cursor, old.Used, old.Held
@@ -50,7 +50,7 @@
 func (l *Ledger) clear(at time.Duration, c *record.FlowClear) *code.Error {
 	b, ok := l.servers[c.GetId()]
 	if !ok || b.Born != c.GetBorn() {
-		return code.New(code.Stale, "%s has begun another life", c.GetId())
+		return code.New(code.SessionReplaced, "%s has begun another life", c.GetId())
 	}
 	b.Over = b.Over || c.GetOver()
 	l.mixText(b.ID)
@@ -119,24 +119,24 @@
 		s, ok := l.Step(id.StepID)
 		switch {
 		case !ok || s.Missing > 0 || int(id.Index) >= len(s.Tasks) || s.Flow.Final():
-			return code.New(code.Unknown, "%s", id)
+			return code.New(code.NotFound, "%s", id)
 		case s.Tasks[id.Index].Phase != Queued || seen[id.TaskID] || id.Number <= s.Tasks[id.Index].Number:
 			return code.New(code.Internal, "%s does not wait", id)
 		}
 		seen[id.TaskID] = true
 		b, ok := l.servers[p.GetServer()]
 		if !ok || !l.Takes(b) {
-			return code.New(code.Stale, "%s takes no work", p.GetServer())
+			return code.New(code.SessionReplaced, "%s takes no work", p.GetServer())
 		}
 		size := flow.SizeOf(s.Spec)
 		more[b.ID] = more[b.ID].Add(size)
 		if !b.Used.Add(more[b.ID]).Fits(b.Capacity) {
-			return code.New(code.NeverFits, "%s is full", b.ID)
+			return code.New(code.Unplaceable, "%s is full", b.ID)
 		}
 		owner := s.Flow.Customer
 		total[owner] = total[owner].Add(size)
 		if !l.used[owner].Add(total[owner]).Within(l.Limit(owner)) {
-			return code.New(code.NeverFits, "limit of %s", owner)
+			return code.New(code.Unplaceable, "limit of %s", owner)
 		}
 		if s.Spec.GetGang() {
 			gangs[s.StepID]++
@@ -176,7 +176,7 @@
 func (l *Ledger) ends(at time.Duration, c *record.FlowEnds) *code.Error {
 	b, ok := l.servers[c.GetServer()]
 	if !ok || b.Born != c.GetBorn() {
-		return code.New(code.Stale, "%s has begun another life", c.GetServer())
+		return code.New(code.SessionReplaced, "%s has begun another life", c.GetServer())
 	}
 	for _, e := range c.GetEnds() {
 		l.end(at, b, flow.RunOf(e.GetRun()), e.GetHow(), e.GetCheckpoint())
--- a/internal/ledger/flows/wave.go
+++ b/internal/ledger/flows/wave.go
@@ -84,11 +84,11 @@
 func (l *Ledger) upkeep(s *record.WaveStep) *code.Error {
 	w, ok := l.waves[s.GetWave()]
 	if !ok {
-		return code.New(code.Unknown, "wave %d", s.GetWave())
+		return code.New(code.NotFound, "wave %d", s.GetWave())
 	}
 	i := slices.IndexFunc(w.Machines, func(m *Machine) bool { return m.Name == s.GetMachine() })
 	if i < 0 {
-		return code.New(code.Unknown, "machine %s in wave %d", s.GetMachine(), s.GetWave())
+		return code.New(code.NotFound, "machine %s in wave %d", s.GetMachine(), s.GetWave())
 	}
 	m := w.Machines[i]
 	switch {
@@ -97,7 +97,7 @@
 	case m.Begun:
 		return nil
 	case w.Down() >= w.Cap:
-		return code.New(code.Busy, "%d machines of wave %d are down", w.Down(), w.Number)
+		return code.New(code.MembershipChangePending, "%d machines of wave %d are down", w.Down(), w.Number)
 	default:
 		m.Begun = true
 		if b, ok := l.On(m.Name); ok {
--- a/internal/ledger/state/attempt.go
+++ b/internal/ledger/state/attempt.go
@@ -16,7 +16,7 @@
 func (s *State) place(p *record.Place) Result {
 	j, ok := s.jobs[p.GetJob()]
 	if !ok || j.Final() || j.Cancelled || j.Given != code.OK {
-		return refused(code.Unknown, "job")
+		return refused(code.NotFound, "job")
 	}
 	if j.Spec.Whole() && uint32(len(p.GetSpots())) != j.Spec.Count {
 		return refused(code.Internal, "part of a gang")
@@ -48,17 +48,17 @@
 		seen[t.ID.Index] = true
 		b, ok := s.Server(spot.GetServer())
 		if !ok || b.Incarnation != spot.GetIncarnation() || !b.Takes() {
-			return refused(code.Stale, spot.GetServer())
+			return refused(code.SessionReplaced, spot.GetServer())
 		}
 		more[b.ID] = more[b.ID].Add(j.Spec.Size)
 		if !b.Held.Add(more[b.ID]).Fits(b.Capacity) {
-			return refused(code.NeverFits, b.ID)
+			return refused(code.Unplaceable, b.ID)
 		}
 	}
 	row, ok := s.table.Row(j.Spec.Team)
 	total := s.Held(j.Spec.Team).Add(j.Spec.Size.Times(int64(len(spots))))
 	if !ok || !total.Within(row.Limit) {
-		return refused(code.NeverFits, "limit of the team")
+		return refused(code.Unplaceable, "limit of the team")
 	}
 	return Result{}
 }
@@ -76,7 +76,7 @@
 func (s *State) end(e *record.End) Result {
 	t, ok := s.tasks[task.ID{Job: e.GetJob(), Index: e.GetIndex()}]
 	if !ok || t.Attempt != e.GetAttempt() || !t.Phase.Holds() {
-		return refused(code.Unknown, "attempt")
+		return refused(code.NotFound, "attempt")
 	}
 	j := s.jobs[t.ID.Job]
 	next := *t
@@ -217,7 +217,7 @@
 func (s *State) halt(h *record.Halt) Result {
 	j, ok := s.jobs[h.GetJob()]
 	if !ok {
-		return refused(code.Unknown, "job")
+		return refused(code.NotFound, "job")
 	}
 	if j.Spec.Once && !j.Cancelled && !h.GetIdle() {
 		return refused(code.InUse, "may not be repeated")
--- a/internal/ledger/state/change.go
+++ b/internal/ledger/state/change.go
@@ -52,7 +52,7 @@
 // undo the first.
 func (s *State) edit(c *v1.TableChange) Result {
 	if c.GetBase() != s.table.Revision() {
-		return refused(code.Conflict, fmt.Sprintf("base %d, current %d", c.GetBase(), s.table.Revision()))
+		return refused(code.RevisionConflict, fmt.Sprintf("base %d, current %d", c.GetBase(), s.table.Revision()))
 	}
 	set, removed, r := s.edits(c)
 	if r.Code != code.OK {
@@ -176,7 +176,7 @@
 		return refused(code.Malformed, "a key needs an id, a digest, and a team or the operator's mark")
 	}
 	if _, ok := s.table.Row(k.Team); !ok && !k.Operator {
-		return refused(code.Unknown, "team "+k.Team)
+		return refused(code.NotFound, "team "+k.Team)
 	}
 	copy(k.Digest[:], g.GetDigest())
 	s.putKey(k)
@@ -186,7 +186,7 @@
 func (s *State) withdraw(w *v1.KeyWithdraw) Result {
 	k, ok := s.keys[w.GetId()]
 	if !ok {
-		return refused(code.Unknown, "key "+w.GetId())
+		return refused(code.NotFound, "key "+w.GetId())
 	}
 	if k.Operator && !k.Withdrawn && s.operators() == 1 {
 		return refused(code.InUse, "the last operator's key")
@@ -208,7 +208,7 @@
 func (s *State) drain(m *v1.ServerMark) Result {
 	b, ok := s.servers[m.GetServer()]
 	if !ok {
-		return refused(code.Unknown, "backend server "+m.GetServer())
+		return refused(code.NotFound, "backend server "+m.GetServer())
 	}
 	b.Drain = m.GetDrain()
 	s.putServer(b)
--- a/internal/ledger/state/job.go
+++ b/internal/ledger/state/job.go
@@ -71,7 +71,7 @@
 	}
 	k, ok := s.keys[a.GetKey()]
 	if !ok || k.Withdrawn || k.Team != a.GetTeam() {
-		return refused(code.BadKey, "")
+		return refused(code.InvalidKey, "")
 	}
 	j := s.newJob(a.GetTeam(), a.GetSpec())
 	j.Outcome = v1.Outcome_OUTCOME_QUEUED
@@ -137,7 +137,7 @@
 func (s *State) drop(d *record.Drop) Result {
 	j, ok := s.jobs[d.GetJob()]
 	if !ok || j.Final() || j.Given != code.OK {
-		return refused(code.Unknown, "")
+		return refused(code.NotFound, "")
 	}
 	given := code.Code(d.GetCode())
 	if given == code.DeadlinePassed && !s.untouched(j) {
@@ -220,7 +220,7 @@
 	for i := range j.Spec.Count {
 		t := s.tasks[task.ID{Job: j.Number, Index: i}]
 		if t.Phase == Unknown {
-			return v1.Outcome_OUTCOME_UNKNOWN, code.Lost
+			return v1.Outcome_OUTCOME_UNKNOWN, code.ServerLost
 		}
 		ran = ran || t.Phase == Done
 		failed = failed || t.Exit != 0
--- a/internal/ledger/state/server.go
+++ b/internal/ledger/state/server.go
@@ -23,7 +23,7 @@
 		return Result{Incarnation: b.Incarnation}
 	}
 	if ok && b.Server.State != gone && len(s.placed[b.ID]) > 0 {
-		return refused(code.Busy, "the older session's lease is not over")
+		return refused(code.MembershipChangePending, "the older session's lease is not over")
 	}
 	b.Server = backend.Server{
 		ID:          a.GetServer(),
@@ -47,7 +47,7 @@
 func (s *State) mark(m *record.Mark) Result {
 	b, ok := s.servers[m.GetServer()]
 	if !ok || b.Incarnation != m.GetIncarnation() || b.Server.State == gone {
-		return refused(code.Stale, m.GetServer())
+		return refused(code.SessionReplaced, m.GetServer())
 	}
 	on, ok := markEvents[backend.State(m.GetState())]
 	if !ok {
@@ -58,7 +58,7 @@
 	}
 	next, err := sessions.Next(chart.State(b.Server.State.String()), on)
 	if err != nil {
-		return refused(code.Stale, err.Error())
+		return refused(code.SessionReplaced, err.Error())
 	}
 	b.Server = b.WithState(stateNamed(next), s.at)
 	s.putServer(b)
@@ -90,7 +90,7 @@
 func (s *State) fence(f *record.Fence) Result {
 	b, ok := s.servers[f.GetServer()]
 	if !ok || b.Incarnation != f.GetIncarnation() || b.Server.State == gone {
-		return refused(code.Stale, f.GetServer())
+		return refused(code.SessionReplaced, f.GetServer())
 	}
 	b.Server = b.WithState(gone, s.at)
 	s.putServer(b)
--- a/internal/ledger/state/state_test.go
+++ b/internal/ledger/state/state_test.go
@@ -234,7 +234,7 @@
 			},
 			"drop": func(*rapid.T) {
 				if ts := tasks(); len(ts) > 0 {
-					c := []code.Code{code.DeadlinePassed, code.Parked}[pick("why", 2)]
+					c := []code.Code{code.DeadlinePassed, code.GivenUp}[pick("why", 2)]
 					w.do(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: ts[pick("task", len(ts))].ID.Job, Code: uint32(c)}}})
 				}
 			},
@@ -304,7 +304,7 @@
 	w.announce("s0", 1, 10)
 	j := w.accept("t0", "plan", v1.Kind_KIND_BATCH, 1, 10, false).Job
 	w.place(j.Number, "s0", 0)
-	if r := w.announce("s0", 2, 10); r.Code != code.Busy {
+	if r := w.announce("s0", 2, 10); r.Code != code.MembershipChangePending {
 		t.Errorf("a new session while the old one holds work: %v", r)
 	}
 	w.fence("s0")
--- a/internal/replica/group/meter.go
+++ b/internal/replica/group/meter.go
@@ -25,7 +25,7 @@
 	gap   *metrics.PrometheusHistogram
 	// heard is when a message of the leader came last.
 	heard time.Duration
-	limit event.Limit
+	limit event.RateLimiter
 }
 
 func newMeters(set *metrics.Set) *meters {
