--- a/internal/base/bounds/bounds.go
+++ b/internal/base/bounds/bounds.go
@@ -1,4 +1,5 @@
-// Package bounds turns what an instance gives into what a process may take.
+// Package bounds derives process limits from the memory and disk size of the
+// instance.
 package bounds
 
 import (
@@ -6,22 +7,23 @@
 )
 
 const (
-	// heapPart of heapOf of the memory is for the heap: buffers of the kernel,
-	// stacks and the program itself need the rest.
-	heapPart, heapOf = 6, 10
-	// roomOf is the part of a disk that is kept free: a snapshot is written
-	// beside the one before it.
-	roomOf   = 8
-	mebibyte = 1 << 20
+	// The heap may use heapNumerator/heapDenominator (6/10) of the memory. The
+	// rest is for kernel buffers, stacks and the program itself.
+	heapNumerator, heapDenominator = 6, 10
+	// reserveDivisor sets the share of the disk that stays free: one eighth. A
+	// new snapshot is written while the previous one still exists.
+	reserveDivisor = 8
+	mebibyte       = 1 << 20
 )
 
-// LimitHeap keeps the heap well below the instance's memory, in MiB; 0 for not known.
-func LimitHeap(mib int64) {
-	if mib > 0 {
-		debug.SetMemoryLimit(mib * mebibyte * heapPart / heapOf)
+// LimitHeap sets the memory limit of the Go runtime well below the instance's
+// memory. A size of 0 MiB means unknown and sets no limit.
+func LimitHeap(memoryMiB int64) {
+	if memoryMiB > 0 {
+		debug.SetMemoryLimit(memoryMiB * mebibyte * heapNumerator / heapDenominator)
 	}
 }
 
-// DiskReserve returns the bytes that are kept free on a disk of so many MiB; 0, which
-// stands for the default, when its size is not known.
-func DiskReserve(mib int64) uint64 { return uint64(mib) * mebibyte / roomOf }
+// DiskReserve returns the number of bytes to keep free on a disk of the given
+// size. It returns 0, which selects the default, when the size is 0 (unknown).
+func DiskReserve(diskMiB int64) uint64 { return uint64(diskMiB) * mebibyte / reserveDivisor }
--- a/internal/base/clock/clock.go
+++ b/internal/base/clock/clock.go
@@ -1,5 +1,6 @@
-// Package clock is the clock that leases, freshness and proofs of leadership are
-// measured on.
+// Package clock provides the clocks of the cell: the machine's clock since boot,
+// which leases and the leader's quorum confirmations are measured on, and a time
+// of day that many processes agree on.
 package clock
 
 import (
@@ -8,14 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// SinceBoot returns the time since the machine was booted, with the time in which it
-// was suspended. The steady clock of the language stands still meanwhile: a
-// leader that wakes from a suspension would believe that its last proof of
-// leadership is fresh, and go on to give orders beside its successor.
+// SinceBoot returns the time since the machine was booted, including the time in
+// which it was suspended. Go's monotonic clock stops during a suspension: a leader
+// that resumes would still consider its last quorum confirmation fresh and would
+// give orders concurrently with its successor.
 func SinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Every kernel that Go runs on has this clock.
+		// All kernels that Go supports have this clock.
 		panic(err)
 	}
 	return time.Duration(t.Nano())
--- a/internal/base/code/code.go
+++ b/internal/base/code/code.go
@@ -1,5 +1,6 @@
-// Package code numbers the results that callers, backend servers and operators
-// see. docs/CODES.md lists them; a test keeps the two the same.
+// Package code defines the numbered result codes that callers, backend servers and
+// operators receive. docs/CODES.md lists them; a test compares that page with the
+// code.
 package code
 
 import (
@@ -9,75 +10,76 @@
 	"strings"
 )
 
-// Code is the number of a result. The hundreds tell the class.
+// Code is a result code. The hundreds digit gives the class of the result.
 type Code uint32
 
 // The result codes.
 const (
-	// OK is success.
+	// OK means success.
 	OK Code = 0
 
-	// TaskFailed means that a task ended by itself with an error; the outcome is done.
+	// TaskFailed means that a task ended with an error of its program. The outcome is "done".
 	TaskFailed Code = 101
-	// Stopped means that a job was stopped by cancellation after some of it had started; the outcome is done.
+	// Stopped means that a job was cancelled after some of its tasks had started. The outcome is "done".
 	Stopped Code = 102
-	// GivenUp means that a job failed on several healthy servers and was given up; the outcome is done.
+	// GivenUp means that a job is not retried any more after it failed on several healthy backend servers. The outcome is "done".
 	GivenUp Code = 103
 
-	// QueueFull means not run: the team has too many jobs waiting.
+	// QueueFull means that the job was not run because the team has too many waiting jobs.
 	QueueFull Code = 201
-	// Unplaceable means not run: no announced server, or no limit, could ever hold it.
+	// Unplaceable means that the job was not run because it exceeds the capacity of every announced backend server, or a limit.
 	Unplaceable Code = 202
-	// DeadlinePassed means not run: it could not be placed in time.
+	// DeadlinePassed means that the job was not run because it was not placed before its deadline.
 	DeadlinePassed Code = 203
-	// Cancelled means not run: cancelled before anything of it started.
+	// Cancelled means that the job was not run because it was cancelled before any of its tasks started.
 	Cancelled Code = 204
-	// Overloaded means not run: the cell sheds load, come back after the time given.
+	// Overloaded means that the job was not run because the cell sheds load. The caller may retry after the time in the reply.
 	Overloaded Code = 205
-	// ControlUnreachable means not run: the request never left the entry that answers.
+	// ControlUnreachable means that the request was not run because the entry could not send it to the control group.
 	ControlUnreachable Code = 206
 
-	// ServerLost means unknown: the server went away under a task that may not be repeated.
+	// ServerLost means that the outcome is unknown because the backend server was lost while running a task that must not be repeated.
 	ServerLost Code = 301
-	// LeaderTimeout means unknown for now: the leader did not answer in time; ask again with the same id.
+	// LeaderTimeout means that the outcome is not known yet because the leader did not answer in time. The caller may repeat the request with the same id.
 	LeaderTimeout Code = 302
 
 	// InvalidKey means that the key is unknown, wrong or withdrawn.
 	InvalidKey Code = 401
-	// Forbidden means that the key does not allow this call.
+	// Forbidden means that the key does not permit this call.
 	Forbidden Code = 402
-	// InvalidEnrolment means that a backend server showed no valid enrolment secret.
+	// InvalidEnrolment means that a backend server presented no valid enrolment secret.
 	InvalidEnrolment Code = 403
 
-	// Malformed means that the request breaks a stated bound or form.
+	// Malformed means that a field of the request has an invalid format or is out of range.
 	Malformed Code = 501
-	// IDReused means that the id stands for other content already.
+	// IDReused means that the id was already used for a request with different content.
 	IDReused Code = 502
-	// NotFound means that nothing of that name is known, or no longer.
+	// NotFound means that no object of that name exists, or that it was removed.
 	NotFound Code = 503
-	// TooLarge means that the request exceeds a size bound.
+	// TooLarge means that the request exceeds a size limit.
 	TooLarge Code = 504
 
-	// RevisionConflict means that the change started from another revision than the current one.
+	// RevisionConflict means that the change is not based on the current revision of the table.
 	RevisionConflict Code = 601
-	// InUse means that what is to be removed still has work or keys.
+	// InUse means that the object to remove still has work or keys.
 	InUse Code = 602
-	// SessionReplaced means that the session was replaced by a newer incarnation.
+	// SessionReplaced means that a newer incarnation of the client replaced the session.
 	SessionReplaced Code = 603
-	// MembershipChangePending means that another membership change is under way.
+	// MembershipChangePending means that another membership change is in progress.
 	MembershipChangePending Code = 604
 
-	// NoLeader means that no leader is known or it cannot prove to be current; nothing was done.
+	// NoLeader means that no leader is known, or that the leader has no recent confirmation by a quorum. The request had no effect.
 	NoLeader Code = 701
-	// ShuttingDown means that this process is stopping; turn to another entry.
+	// ShuttingDown means that this process is shutting down. The client should use another entry.
 	ShuttingDown Code = 702
-	// DiskFull means not run: the control group cannot store more.
+	// DiskFull means that the request was not run because the control group has no disk space left.
 	DiskFull Code = 703
-	// Internal means a fault in the cell itself; events tell more.
+	// Internal means an internal error of the cell. The events in the log describe it.
 	Internal Code = 704
 )
 
-// texts gives each code its standing text.
+// texts holds the fixed text of each code. Replies carry these texts, and metrics
+// use them as values of the label "code".
 var texts = map[Code]string{
 	OK:                      "ok",
 	TaskFailed:              "a task ended with an error",
@@ -108,7 +110,7 @@
 	Internal:                "internal fault",
 }
 
-// String returns the standing text of the code.
+// String returns the fixed text of the code.
 func (c Code) String() string {
 	if t, ok := texts[c]; ok {
 		return t
@@ -116,13 +118,13 @@
 	return fmt.Sprintf("code %d", uint32(c))
 }
 
-// Error is a result code with what it is about.
+// Error is a result code with a description of the specific case.
 type Error struct {
 	Code   Code
 	Detail string
 }
 
-// Error returns the number, the standing text and the detail.
+// Error returns the number, the fixed text and the detail.
 func (e *Error) Error() string {
 	if e.Detail == "" {
 		return fmt.Sprintf("%d: %s", uint32(e.Code), e.Code)
@@ -135,22 +137,22 @@
 	return &Error{Code: c, Detail: fmt.Sprintf(format, args...)}
 }
 
-// All returns every code in the order of numbers.
+// All returns all codes in ascending order.
 func All() []Code { return slices.Sorted(maps.Keys(texts)) }
 
-// classes names the hundreds.
+// classes holds the names of the classes, indexed by the hundreds digit of the code.
 var classes = [...]string{"success", "done", "not run", "unknown", "proof", "request", "change", "cell"}
 
-// Class returns the name of the code's class.
+// Class returns the name of the class that the code belongs to.
 func (c Code) Class() string {
-	const size = 100
-	if n := int(c / size); n < len(classes) {
+	const codesPerClass = 100
+	if n := int(c / codesPerClass); n < len(classes) {
 		return classes[n]
 	}
 	return "unclassed"
 }
 
-// Markdown returns the table that docs/CODES.md holds.
+// Markdown returns the table of codes for docs/CODES.md.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("| code | class | text |\n|---|---|---|\n")
--- a/internal/base/code/code_test.go
+++ b/internal/base/code/code_test.go
@@ -14,19 +14,19 @@
 	page.CheckGenerated(t, "../../../docs/CODES.md", code.Markdown())
 }
 
-// A code without a text would reach callers as a bare number.
-func TestEveryConstantHasAText(t *testing.T) {
+// Guards against a code without a text: callers would receive a bare number.
+func TestEveryCodeHasAText(t *testing.T) {
 	f, err := parser.ParseFile(token.NewFileSet(), "code.go", nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := 0
+	constants := 0
 	for _, decl := range f.Decls {
 		if d, ok := decl.(*ast.GenDecl); ok && d.Tok == token.CONST {
-			n += len(d.Specs)
+			constants += len(d.Specs)
 		}
 	}
-	if got := len(code.All()); got != n {
-		t.Errorf("%d constants, %d with a text", n, got)
+	if got := len(code.All()); got != constants {
+		t.Errorf("code.go declares %d codes, %d have a text", constants, got)
 	}
 }
--- a/internal/base/dump/dump.go
+++ b/internal/base/dump/dump.go
@@ -1,5 +1,5 @@
-// Package dump turns the state of a process into text for a person: JSON,
-// bounded in size, without secrets.
+// Package dump renders the state of a process as readable JSON of limited size
+// with secrets redacted.
 package dump
 
 import (
@@ -8,22 +8,22 @@
 	"strings"
 )
 
-// DefaultMaxBytes bounds a dump in bytes.
+// DefaultMaxBytes is the default size limit of a dump.
 const DefaultMaxBytes = 1 << 20
 
-// Redacted stands where a secret was.
+// Redacted replaces the value of a secret.
 const Redacted = "(hidden)"
 
-// more marks what was cut, in lists and objects.
-const more = "(cut)"
+// truncatedMarker marks truncated lists, objects and strings.
+const truncatedMarker = "(cut)"
 
-// secrets are parts of names whose values are never shown. Digests are among
-// them: one of a weak secret could be guessed from it.
-var secrets = []string{"secret", "digest", "password", "token", "authorization", "credential", "private"}
+// secretNameParts are substrings of field names whose values are redacted. Digests
+// are redacted too, because a weak secret could be guessed from its digest.
+var secretNameParts = []string{"secret", "digest", "password", "token", "authorization", "credential", "private"}
 
-// cuts are how many items of a list and characters of a text are shown, one
-// after the other until the dump fits.
-var cuts = []int{1_000_000, 10_000, 1_000, 100, 10, 3}
+// maxLengths are the limits on the items of a list or object and the bytes of a
+// string. They are tried in this order until the dump fits.
+var maxLengths = []int{1_000_000, 10_000, 1_000, 100, 10, 3}
 
 // Render returns v as JSON of up to max bytes; max of 0 stands for DefaultMax.
 // What does not fit is cut and marked, and the text stays valid JSON.
@@ -31,20 +31,20 @@
 	if limit <= 0 {
 		limit = DefaultMaxBytes
 	}
-	tree, err := plain(v)
+	tree, err := redactedTree(v)
 	if err != nil {
-		return text(map[string]any{"error": "the state can't be shown: " + err.Error()})
+		return marshal(map[string]any{"error": "cannot encode the state as JSON: " + err.Error()})
 	}
-	for _, n := range cuts {
-		if out := text(shorten(tree, n)); len(out) <= limit {
+	for _, n := range maxLengths {
+		if out := marshal(truncate(tree, n)); len(out) <= limit {
 			return out
 		}
 	}
-	return text(map[string]any{more: true})
+	return marshal(map[string]any{truncatedMarker: true})
 }
 
-// plain returns v as decoded JSON, without secrets.
-func plain(v any) (any, error) {
+// redactedTree returns v as decoded JSON with secrets redacted.
+func redactedTree(v any) (any, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return nil, err
@@ -55,22 +55,22 @@
 	if err := d.Decode(&tree); err != nil {
 		return nil, err
 	}
-	return hide(tree), nil
+	return redact(tree), nil
 }
 
-func hide(v any) any {
+func redact(v any) any {
 	switch v := v.(type) {
 	case map[string]any:
-		for name, one := range v {
+		for name, item := range v {
 			if isSecret(name) {
 				v[name] = Redacted
 				continue
 			}
-			v[name] = hide(one)
+			v[name] = redact(item)
 		}
 	case []any:
-		for i, one := range v {
-			v[i] = hide(one)
+		for i, item := range v {
+			v[i] = redact(item)
 		}
 	}
 	return v
@@ -78,7 +78,7 @@
 
 func isSecret(name string) bool {
 	name = strings.ToLower(name)
-	for _, s := range secrets {
+	for _, s := range secretNameParts {
 		if strings.Contains(name, s) {
 			return true
 		}
@@ -86,45 +86,45 @@
 	return false
 }
 
-// shorten returns a copy in which no list, object or text is longer than n.
-func shorten(v any, n int) any {
+// truncate returns a copy of v in which no list, object or string is longer than n.
+func truncate(v any, n int) any {
 	switch v := v.(type) {
 	case map[string]any:
-		return shortMap(v, n)
+		return truncateMap(v, n)
 	case []any:
-		return shortList(v, n)
+		return truncateList(v, n)
 	case string:
 		if len(v) > n {
-			return strings.ToValidUTF8(v[:n], "") + more
+			return strings.ToValidUTF8(v[:n], "") + truncatedMarker
 		}
 	}
 	return v
 }
 
-func shortList(v []any, n int) []any {
+func truncateList(v []any, n int) []any {
 	out := make([]any, 0, min(len(v), n)+1)
-	for _, one := range v[:min(len(v), n)] {
-		out = append(out, shorten(one, n))
+	for _, item := range v[:min(len(v), n)] {
+		out = append(out, truncate(item, n))
 	}
 	if len(v) > n {
-		out = append(out, more)
+		out = append(out, truncatedMarker)
 	}
 	return out
 }
 
-func shortMap(v map[string]any, n int) map[string]any {
+func truncateMap(v map[string]any, n int) map[string]any {
 	out := make(map[string]any, min(len(v), n)+1)
 	for i, name := range sortedNames(v) {
 		if i == n {
-			out[more] = len(v) - n
+			out[truncatedMarker] = len(v) - n
 			break
 		}
-		out[name] = shorten(v[name], n)
+		out[name] = truncate(v[name], n)
 	}
 	return out
 }
 
-func text(v any) string {
+func marshal(v any) string {
 	b, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
 		return "{}"
--- a/internal/base/dump/dump_test.go
+++ b/internal/base/dump/dump_test.go
@@ -21,7 +21,7 @@
 	Long      []int
 }
 
-func TestSecretsAreHidden(t *testing.T) {
+func TestSecretsAreRedacted(t *testing.T) {
 	s := state{Name: "n", Number: 1<<63 + 1, KeyDigest: []byte("hush"), Inner: []map[string]string{{"clientSecret": "hush", "zone": "z"}}, Long: []int{1}}
 	text := dump.Render(s, 0)
 	var got map[string]any
@@ -40,37 +40,37 @@
 	}
 }
 
-// A cell with everything waiting has a state of many megabytes. Whoever asks for
-// a dump then still gets one that a program can read.
-func TestDumpIsCutToItsBound(t *testing.T) {
+// Guards against a dump that is too large or is no valid JSON when the state takes
+// many megabytes, as it does with a large backlog.
+func TestDumpIsTruncatedToItsLimit(t *testing.T) {
 	s := state{Name: strings.Repeat("ü", 50_000), Long: make([]int, 100_000)}
 	for _, limit := range []int{1_000_000, 20_000, 500, 10} {
 		text := dump.Render(s, limit)
 		if len(text) > max(limit, 20) || !json.Valid([]byte(text)) {
-			t.Errorf("%d bytes of %d, valid %v", len(text), limit, json.Valid([]byte(text)))
+			t.Errorf("dump has %d bytes with a limit of %d; valid JSON: %v", len(text), limit, json.Valid([]byte(text)))
 		}
 	}
 	if !strings.Contains(dump.Render(s, 20_000), "(cut)") {
-		t.Error("the cut is not marked")
+		t.Error("the truncated dump contains no marker")
 	}
 }
 
-func TestWhatHasNoJSONIsSaid(t *testing.T) {
-	if text := dump.Render(make(chan int), 0); !strings.Contains(text, "can't be shown") {
+func TestStateThatCannotBeEncodedIsReported(t *testing.T) {
+	if text := dump.Render(make(chan int), 0); !strings.Contains(text, "cannot encode the state") {
 		t.Error(text)
 	}
 }
 
-func TestFilesTakeTurns(t *testing.T) {
+func TestOldDumpFilesAreOverwritten(t *testing.T) {
 	s := dump.SignalHandler{Dir: t.TempDir(), Name: "n", State: func() any { return 1 }, Log: logr.Discard()}
 	for range 9 {
 		s.Write()
 	}
 	files, err := filepath.Glob(filepath.Join(s.Dir, "*.json"))
 	if err != nil || len(files) != 4 {
-		t.Errorf("%v, %v", files, err)
+		t.Errorf("dump files: %v, error: %v; want 4 files", files, err)
 	}
 	if b, err := os.ReadFile(files[0]); err != nil || string(b) != "1\n" {
-		t.Errorf("%q, %v", b, err)
+		t.Errorf("%s contains %q, error: %v", files[0], b, err)
 	}
 }
--- a/internal/base/dump/signal.go
+++ b/internal/base/dump/signal.go
@@ -16,27 +16,28 @@
 )
 
 const (
-	// keep is the number of dump files that stay in a folder.
-	keep  = 4
-	perms = 0o600
+	// maxFiles is the number of dump files that are kept in a folder.
+	maxFiles = 4
+	fileMode = 0o600
 )
 
-// SignalHandler writes a dump at every SIGUSR1. Set the fields, then call Run.
+// SignalHandler writes a dump on each SIGUSR1. Set the exported fields, then call Run.
 type SignalHandler struct {
-	// Dir is the folder for the files; empty to log the dumps instead.
+	// Dir is the folder for the dump files. With an empty Dir the dumps are logged.
 	Dir string
-	// Name is that of the process.
+	// Name is the name of the process. File names contain it.
 	Name string
-	// State returns what to show.
+	// State returns the state to dump.
 	State func() any
 	// MaxBytes bounds a dump in bytes; 0 for DefaultMax.
 	MaxBytes int
 	Log      logr.Logger
 
+	// written is the number of dump files written so far.
 	written int
 }
 
-// Run serves the signal until ctx ends.
+// Run handles the signal until ctx ends.
 func (s *SignalHandler) Run(ctx context.Context) error {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGUSR1)
@@ -51,17 +52,17 @@
 	}
 }
 
-// Write writes one dump. The files take turns, so that asking often doesn't fill
-// the disk that the journal needs.
+// Write writes one dump. It reuses a fixed set of file names, so that frequent dumps
+// do not fill the disk that the journal needs.
 func (s *SignalHandler) Write() {
 	text := Render(s.State(), s.MaxBytes)
 	if s.Dir == "" {
 		event.Log(s.Log, event.Dumped, "state", text)
 		return
 	}
-	path := filepath.Join(s.Dir, fmt.Sprintf("dump-%s-%d.json", s.Name, s.written%keep))
+	path := filepath.Join(s.Dir, fmt.Sprintf("dump-%s-%d.json", s.Name, s.written%maxFiles))
 	s.written++
-	if err := os.WriteFile(path, []byte(text+"\n"), perms); err != nil {
+	if err := os.WriteFile(path, []byte(text+"\n"), fileMode); err != nil {
 		event.LogError(s.Log, event.DumpFailed, err)
 		return
 	}
