--- a/internal/base/dump/dump.go
+++ b/internal/base/dump/dump.go
@@ -25,8 +25,9 @@
 // string. They are tried in this order until the dump fits.
 var maxLengths = []int{1_000_000, 10_000, 1_000, 100, 10, 3}
 
-// Render returns v as JSON of up to max bytes; max of 0 stands for DefaultMax.
-// What does not fit is cut and marked, and the text stays valid JSON.
+// Render returns v as JSON of at most limit bytes. A limit of 0 selects
+// DefaultMaxBytes. Longer values are truncated and marked, and the result stays
+// valid JSON.
 func Render(v any, limit int) string {
 	if limit <= 0 {
 		limit = DefaultMaxBytes
--- a/internal/base/dump/signal.go
+++ b/internal/base/dump/signal.go
@@ -29,7 +29,7 @@
 	Name string
 	// State returns the state to dump.
 	State func() any
-	// MaxBytes bounds a dump in bytes; 0 for DefaultMax.
+	// MaxBytes limits the size of a dump; 0 selects DefaultMaxBytes.
 	MaxBytes int
 	Log      logr.Logger
 
--- a/internal/base/event/event.go
+++ b/internal/base/event/event.go
@@ -1,6 +1,6 @@
-// Package event numbers what the processes log, so that an alarm, a handbook
-// page and a line of the log name the same thing. Events go through logr to a
-// slog handler; docs/EVENTS.md lists the catalogue.
+// Package event defines the numbered events that the processes log. Alarms, the
+// handbook and log lines refer to an event by its number and name. Events are
+// logged through logr to a slog handler. docs/EVENTS.md lists all events.
 package event
 
 import (
@@ -14,18 +14,18 @@
 	"gypsumreel/internal/base/meter"
 )
 
-// Level says who has to look at an event.
+// Level is the severity of an event.
 type Level int8
 
 // The levels.
 const (
-	// Debug is for developers.
+	// Debug events are for developers.
 	Debug Level = iota
-	// Info is the ordinary course of things.
+	// Info events report normal operation.
 	Info
-	// Warn is a fault that the cell copes with; look at it when it repeats.
+	// Warn events report a fault that the cell tolerates. Repeated ones need attention.
 	Warn
-	// Error needs a person.
+	// Error events need an operator.
 	Error
 )
 
@@ -39,61 +39,62 @@
 	return levelNames[l]
 }
 
-// Definition is one kind of event. The number never changes its meaning; the hundreds
-// tell the area.
+// Definition describes one kind of event. The meaning of a number never changes. The
+// hundreds digit gives the area.
 type Definition struct {
 	Number uint32
-	// Name is short and hyphenated; metrics and alarms use it.
+	// Name is a short hyphenated name for metrics and alarms.
 	Name  string
 	Level Level
-	// Text says what has happened.
+	// Text describes what happened.
 	Text string
-	// Advice says what whoever is on duty should do; the handbook tells more.
+	// Advice tells the operator what to do. The handbook has more details.
 	Advice string
 }
 
-// Keys of the values that every event carries.
+// Keys of the number and the name in the log line of an event.
 const (
 	NumberKey = "event"
 	NameKey   = "name"
 )
 
-// Log logs an event with further keys and values, as logr takes them. Secrets
-// never belong in them. Each event is counted in gypsumreel_base_events_total,
-// whatever the level that is logged, so that alarms can be set on events.
-func Log(logger logr.Logger, id Definition, kv ...any) {
-	countEvent(id)
-	all := append([]any{NumberKey, id.Number, NameKey, id.Name}, kv...)
-	switch id.Level {
+// Log logs an event with additional alternating keys and values, as in logr. The
+// values must not contain secrets. Each event is counted in
+// gypsumreel_base_events_total even if the log level suppresses its line, so that
+// alarms can be set on events.
+func Log(logger logr.Logger, d Definition, kv ...any) {
+	countEvent(d)
+	fields := append([]any{NumberKey, d.Number, NameKey, d.Name}, kv...)
+	switch d.Level {
 	case Debug:
-		logger.V(1).Info(id.Text, all...)
+		logger.V(1).Info(d.Text, fields...)
 	case Info:
-		logger.Info(id.Text, all...)
+		logger.Info(d.Text, fields...)
 	case Warn:
-		// logr has no warning of its own; a negative slog verbosity is one.
-		warn(logger, id.Text, all)
+		// logr has no warning level. Its slog bridge has one.
+		warn(logger, d.Text, fields)
 	case Error:
-		logger.Error(nil, id.Text, all...)
+		logger.Error(nil, d.Text, fields...)
 	}
 }
 
-// countEvent counts an event, whether its line is written or not.
-func countEvent(id Definition) {
-	meter.ProcessMetrics.GetOrCreateCounter(meter.Name("base", "events_total", meter.Label{Name: "event", Value: id.Name}, meter.Label{Name: "level", Value: id.Level.String()})).Inc()
+// countEvent counts an event, even if its log line is not written.
+func countEvent(d Definition) {
+	meter.ProcessMetrics.GetOrCreateCounter(meter.Name("base", "events_total", meter.Label{Name: "event", Value: d.Name}, meter.Label{Name: "level", Value: d.Level.String()})).Inc()
 }
 
-// LogError logs an event with the error behind it.
-func LogError(logger logr.Logger, id Definition, err error, kv ...any) {
-	Log(logger, id, append([]any{"err", err}, kv...)...)
+// LogError logs an event with the error that caused it.
+func LogError(logger logr.Logger, d Definition, err error, kv ...any) {
+	Log(logger, d, append([]any{"err", err}, kv...)...)
 }
 
-// warn reaches slog's warning level where the logger is backed by slog.
+// warn logs with slog's warning level if the logger is backed by slog.
 func warn(logger logr.Logger, text string, kv []any) {
 	slog.New(logr.ToSlogHandler(logger)).Warn(text, kv...)
 }
 
-// New returns a logger that writes one JSON object a line. The level is one of
-// the names of levels; others stand for info.
+// New returns a logger that writes one JSON object per line. The level is the name
+// of a Level. Any other name selects info.
 func New(w io.Writer, level string) logr.Logger {
 	h := slog.NewJSONHandler(w, &slog.HandlerOptions{Level: slogLevel(level)})
 	return logr.FromSlogHandler(h)
@@ -102,7 +103,7 @@
 func slogLevel(name string) slog.Level {
 	switch name {
 	case Debug.String():
-		// logr's V(1) is one below slog's info.
+		// slog's debug level includes the lines of logr's V(1).
 		return slog.LevelDebug
 	case Warn.String():
 		return slog.LevelWarn
@@ -112,16 +113,17 @@
 	return slog.LevelInfo
 }
 
-// HTTPErrorLog returns what net/http servers log to, as their ErrorLog. Handshakes
-// that failed become event 707, faults of a handler event 111; the rest is for
-// developers.
+// HTTPErrorLog returns a logger for the ErrorLog field of http.Server. It logs a failed
+// TLS handshake as event 707 and a panic of a handler as event 111. All other
+// messages, and handshakes that the client ended by closing the connection, are
+// logged as event 709 for developers.
 func HTTPErrorLog(logger logr.Logger) *log.Logger {
-	return log.New(httpWriter{logger}, "", 0)
+	return log.New(httpErrorWriter{logger}, "", 0)
 }
 
-type httpWriter struct{ logger logr.Logger }
+type httpErrorWriter struct{ logger logr.Logger }
 
-func (w httpWriter) Write(b []byte) (int, error) {
+func (w httpErrorWriter) Write(b []byte) (int, error) {
 	text := strings.TrimSpace(string(b))
 	if strings.Contains(text, "TLS handshake error") && !strings.HasSuffix(text, "EOF") {
 		Log(w.logger, TLSRefused, "cause", text)
--- a/internal/base/event/event_test.go
+++ b/internal/base/event/event_test.go
@@ -19,28 +19,29 @@
 	page.CheckGenerated(t, "../../../docs/EVENTS.md", event.Markdown())
 }
 
-// Two events of one number would send whoever is on duty to the wrong page.
+// Guards against two events with the same number: an operator would read the wrong
+// section of the handbook.
 func TestNumbersAndNamesAreUnique(t *testing.T) {
 	numbers, names := map[uint32]string{}, map[string]uint32{}
-	form := regexp.MustCompile(`^[a-z]+(-[a-z]+)*$`)
-	for _, id := range event.All() {
-		if other, ok := numbers[id.Number]; ok {
-			t.Errorf("%d is %s and %s", id.Number, other, id.Name)
+	namePattern := regexp.MustCompile(`^[a-z]+(-[a-z]+)*$`)
+	for _, d := range event.All() {
+		if other, ok := numbers[d.Number]; ok {
+			t.Errorf("number %d is used by events %s and %s", d.Number, other, d.Name)
 		}
-		if other, ok := names[id.Name]; ok {
-			t.Errorf("%s is %d and %d", id.Name, other, id.Number)
+		if other, ok := names[d.Name]; ok {
+			t.Errorf("name %s is used by events %d and %d", d.Name, other, d.Number)
 		}
-		if !form.MatchString(id.Name) || id.Text == "" || id.Advice == "" {
-			t.Errorf("%d is incomplete: %+v", id.Number, id)
+		if !namePattern.MatchString(d.Name) || d.Text == "" || d.Advice == "" {
+			t.Errorf("event %d has an invalid name or lacks a text or an advice: %+v", d.Number, d)
 		}
-		numbers[id.Number], names[id.Name] = id.Name, id.Number
+		numbers[d.Number], names[d.Name] = d.Name, d.Number
 	}
 }
 
-func TestLogCarriesNumberNameAndLevel(t *testing.T) {
+func TestLogLineContainsNumberNameAndLevel(t *testing.T) {
 	for _, c := range []struct {
-		id    event.Definition
-		level string
+		definition event.Definition
+		level      string
 	}{
 		{event.SnapshotWritten, "DEBUG"},
 		{event.Started, "INFO"},
@@ -48,46 +49,46 @@
 		{event.DiskFull, "ERROR"},
 	} {
 		var b bytes.Buffer
-		event.LogError(event.New(&b, "debug"), c.id, errors.New("cause"), "cell", "main")
+		event.LogError(event.New(&b, "debug"), c.definition, errors.New("cause"), "cell", "main")
 		var got map[string]any
 		if err := json.Unmarshal(b.Bytes(), &got); err != nil {
 			t.Fatalf("%s: %v", b.String(), err)
 		}
 		delete(got, "time")
 		if level, _ := got["level"].(string); !strings.HasPrefix(level, c.level) {
-			t.Errorf("%s has level %v", c.id.Name, got["level"])
+			t.Errorf("%s is logged with level %v, want %s", c.definition.Name, got["level"], c.level)
 		}
 		delete(got, "level")
-		want := map[string]any{"msg": c.id.Text, "event": float64(c.id.Number), "name": c.id.Name, "err": "cause", "cell": "main"}
+		want := map[string]any{"msg": c.definition.Text, "event": float64(c.definition.Number), "name": c.definition.Name, "err": "cause", "cell": "main"}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
 	}
 }
 
-func TestLevelHidesWhatIsBelow(t *testing.T) {
+func TestLowerLevelsAreCountedButNotLogged(t *testing.T) {
 	var b bytes.Buffer
 	l := event.New(&b, "warn")
 	event.Log(l, event.Started)
 	if b.Len() > 0 {
-		t.Errorf("logged %s", b.String())
+		t.Errorf("an info event was logged at level warn: %s", b.String())
 	}
 	event.Log(l, event.LeaderLost)
 	if b.Len() == 0 {
-		t.Error("a warning was dropped")
+		t.Error("a warning was not logged at level warn")
 	}
 	b.Reset()
 	meter.ProcessMetrics.WritePrometheus(&b)
 	for _, name := range []string{"started", "leader-lost"} {
 		if !strings.Contains(b.String(), `gypsumreel_base_events_total{event="`+name+`"`) {
-			t.Errorf("%s is not counted", name)
+			t.Errorf("event %s is not counted in the metrics", name)
 		}
 	}
 }
 
-// net/http writes lines of its own when a handshake fails. Whoever searches the
-// log by number must find them, and a probe that just hangs up is no alarm.
-func TestHandshakesBecomeEvents(t *testing.T) {
+// Guards against messages of net/http without an event number, and against an alarm
+// for a health check that closes its connection during the TLS handshake.
+func TestHTTPServerErrorsAreLoggedAsEvents(t *testing.T) {
 	for text, want := range map[string]string{
 		"http: TLS handshake error from 10.0.0.1:5: tls: client didn't provide a certificate": `"event":707`,
 		"http: TLS handshake error from 10.0.0.1:5: EOF":                                      `"event":709`,
@@ -96,7 +97,7 @@
 		var b bytes.Buffer
 		event.HTTPErrorLog(event.New(&b, "debug")).Println(text)
 		if !strings.Contains(b.String(), want) {
-			t.Errorf("%s: %s", text, b.String())
+			t.Errorf("message %q is logged as %s, want %s", text, b.String(), want)
 		}
 	}
 }
--- a/internal/base/event/handbook_test.go
+++ b/internal/base/event/handbook_test.go
@@ -11,18 +11,18 @@
 	"gypsumreel/internal/base/event"
 )
 
-// Whoever is woken by an alarm looks its number up: every warning and error has
-// to be there, and nothing that the catalogue lacks.
-func TestHandbookHasEveryAlarm(t *testing.T) {
+// Guards against a warning or error without a section in the handbook, and against a
+// section for an event that does not exist.
+func TestHandbookDescribesEveryAlarm(t *testing.T) {
 	b, err := os.ReadFile("../../../docs/operate/handbook.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, alarms, _ := strings.Cut(string(b), "\n## Alarms\n")
 	var want, got []string
-	for _, id := range event.All() {
-		if id.Level >= event.Warn {
-			want = append(want, fmt.Sprintf("%d %s", id.Number, id.Name))
+	for _, d := range event.All() {
+		if d.Level >= event.Warn {
+			want = append(want, fmt.Sprintf("%d %s", d.Number, d.Name))
 		}
 	}
 	for _, line := range strings.Split(alarms, "\n") {
--- a/internal/base/event/raised_test.go
+++ b/internal/base/event/raised_test.go
@@ -13,10 +13,10 @@
 	"gypsumreel/internal/base/event"
 )
 
-// raised returns the names of the events that the code of all packages mentions.
+// raised returns the names of the event variables that the code of all packages uses.
 func raised(t *testing.T) map[string]bool {
-	out := map[string]bool{}
-	mention := func(path string, _ fs.DirEntry, err error) error {
+	used := map[string]bool{}
+	collectUses := func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
@@ -27,7 +27,7 @@
 		ast.Inspect(f, func(n ast.Node) bool {
 			if s, ok := n.(*ast.SelectorExpr); ok {
 				if x, ok := s.X.(*ast.Ident); ok && x.Name == "event" {
-					out[s.Sel.Name] = true
+					used[s.Sel.Name] = true
 				}
 			}
 			return true
@@ -35,52 +35,53 @@
 		return nil
 	}
 	for _, root := range []string{"../..", "../../../platform"} {
-		if err := filepath.WalkDir(root, mention); err != nil {
+		if err := filepath.WalkDir(root, collectUses); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return out
+	return used
 }
 
-// An alarm is set on an event of the catalogue that no code raises, and stays
-// silent through the fault that it was meant for. Such events have to be marked.
+// Guards against an alarm on an event that no code logs: it would never fire. Such
+// events must be listed as not raised.
 func TestUnraisedEventsAreMarked(t *testing.T) {
 	used := raised(t)
-	// The package raises these itself, for net/http.
+	// HTTPErrorLog logs these events.
 	used["TLSRefused"], used["RequestMalformed"], used["Panicked"] = true, true, true
-	// And this one, in the stream that the lines are missing from.
+	// AsyncWriter writes this event to its output.
 	used["LinesLost"] = true
-	planned := map[uint32]bool{}
-	for _, id := range event.Unraised() {
-		planned[id.Number] = true
+	unraised := map[uint32]bool{}
+	for _, d := range event.Unraised() {
+		unraised[d.Number] = true
 	}
-	for _, name := range names(t) {
-		if !used[name.constant] && !planned[name.number] {
-			t.Errorf("%d %s is raised nowhere and not marked", name.number, name.constant)
+	for _, v := range variables(t) {
+		if !used[v.name] && !unraised[v.number] {
+			t.Errorf("no code logs event %d (%s), but it is not listed as not raised", v.number, v.name)
 		}
-		if used[name.constant] && planned[name.number] {
-			t.Errorf("%d %s is raised and marked as not raised", name.number, name.constant)
+		if used[v.name] && unraised[v.number] {
+			t.Errorf("event %d (%s) is logged, but it is listed as not raised", v.number, v.name)
 		}
 	}
 }
 
-// name is a variable of the catalogue.
-type name struct {
-	constant string
-	number   uint32
+// variable is a variable of the catalogue with the number of its event.
+type variable struct {
+	name   string
+	number uint32
 }
 
-func names(t *testing.T) []name {
+// variables returns the variables that catalogue.go declares.
+func variables(t *testing.T) []variable {
 	f, err := parser.ParseFile(token.NewFileSet(), "catalogue.go", nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	hyphen := regexp.MustCompile(`"([a-z-]+)"`)
+	eventName := regexp.MustCompile(`"([a-z-]+)"`)
 	numbers := map[string]uint32{}
-	for _, id := range event.All() {
-		numbers[id.Name] = id.Number
+	for _, d := range event.All() {
+		numbers[d.Name] = d.Number
 	}
-	var out []name
+	var out []variable
 	ast.Inspect(f, func(n ast.Node) bool {
 		v, ok := n.(*ast.ValueSpec)
 		if !ok || len(v.Values) != 1 {
@@ -90,12 +91,12 @@
 		if !ok {
 			return true
 		}
-		m := hyphen.FindStringSubmatch(call.Args[1].(*ast.BasicLit).Value)
-		out = append(out, name{v.Names[0].Name, numbers[m[1]]})
+		m := eventName.FindStringSubmatch(call.Args[1].(*ast.BasicLit).Value)
+		out = append(out, variable{v.Names[0].Name, numbers[m[1]]})
 		return true
 	})
 	if len(out) != len(event.All()) {
-		t.Fatalf("%d variables, %d events", len(out), len(event.All()))
+		t.Fatalf("catalogue.go declares %d variables for %d events", len(out), len(event.All()))
 	}
 	return out
 }
--- a/internal/base/event/registry.go
+++ b/internal/base/event/registry.go
@@ -7,34 +7,36 @@
 	"strings"
 )
 
+// catalogue holds all events in the order of their declarations.
 var catalogue []Definition
 
+// define adds an event to the catalogue and returns it.
 func define(number uint32, name string, level Level, text, advice string) Definition {
-	id := Definition{Number: number, Name: name, Level: level, Text: text, Advice: advice}
-	catalogue = append(catalogue, id)
-	return id
+	d := Definition{Number: number, Name: name, Level: level, Text: text, Advice: advice}
+	catalogue = append(catalogue, d)
+	return d
 }
 
-// All returns the catalogue in the order of numbers.
+// All returns all events in ascending order of their numbers.
 func All() []Definition {
 	all := slices.Clone(catalogue)
 	slices.SortFunc(all, func(a, b Definition) int { return cmp.Compare(a.Number, b.Number) })
 	return all
 }
 
-// Unraised returns the events that nothing raises yet.
+// Unraised returns the events that no code logs yet.
 func Unraised() []Definition { return slices.Clone(unraised) }
 
-// Markdown returns the table that docs/EVENTS.md holds.
+// Markdown returns the table of events for docs/EVENTS.md.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("| event | name | level | what happened | what to do |\n|---|---|---|---|---|\n")
-	for _, id := range All() {
-		text := id.Text
-		if slices.Contains(unraised, id) {
+	for _, d := range All() {
+		text := d.Text
+		if slices.Contains(unraised, d) {
 			text += " (not raised yet)"
 		}
-		fmt.Fprintf(&b, "| %d | %s | %s | %s | %s |\n", id.Number, id.Name, id.Level, text, id.Advice)
+		fmt.Fprintf(&b, "| %d | %s | %s | %s | %s |\n", d.Number, d.Name, d.Level, text, d.Advice)
 	}
 	return b.String()
 }
--- a/internal/base/event/writer.go
+++ b/internal/base/event/writer.go
@@ -12,21 +12,21 @@
 	"gypsumreel/internal/base/meter"
 )
 
-// Bounds of a Writer.
+// Limits of an AsyncWriter.
 const (
-	// writerQueue is how many lines wait for the reader.
-	writerQueue = 8192
-	// writerBuffer is how many bytes are written at once.
-	writerBuffer = 32 << 10
-	// reserve is the part of the queue that only warnings and errors may use: a
-	// refusal must not be left out for what went well.
-	reserve = writerQueue / 4
-	// lossEvery is how often it is told that lines were lost.
-	lossEvery = time.Second
+	// queueLines is the maximum number of queued lines.
+	queueLines = 8192
+	// bufferBytes is the size of the output buffer.
+	bufferBytes = 32 << 10
+	// reservedLines is the part of the queue that lines with level INFO may not use,
+	// so that they do not displace warnings and errors, such as refused requests.
+	reservedLines = queueLines / 4
+	// lossReportInterval is the minimum time between two reports of dropped lines.
+	lossReportInterval = time.Second
 )
 
-// AsyncWriter hands lines to a slow reader without ever waiting for it: a process
-// must not stand still because nobody reads its log. Lines that find no room are
+// AsyncWriter writes log lines in the background. A process must not block because
+// the reader of its log is slow or stopped. Lines that do not fit into the queue are
 // dropped and counted. Set Out, then call Run.
 type AsyncWriter struct {
 	Out io.Writer
@@ -37,20 +37,22 @@
 	droppedLines atomic.Int64
 }
 
-// drops counts the lines left out; it is there, at 0, in every process.
-var drops = meter.ProcessMetrics.GetOrCreateCounter(meter.Name("base", "log_drops_total"))
+// dropsCounter counts the dropped lines. Every process exports this metric, even if it
+// is 0.
+var dropsCounter = meter.ProcessMetrics.GetOrCreateCounter(meter.Name("base", "log_drops_total"))
 
+// init creates the channels on first use.
 func (w *AsyncWriter) init() {
 	w.once.Do(func() {
-		w.lines = make(chan []byte, writerQueue)
+		w.lines = make(chan []byte, queueLines)
 		w.done = make(chan struct{})
 	})
 }
 
-// Write queues one line; it never blocks and never fails.
+// Write queues one line. It never blocks and never fails.
 func (w *AsyncWriter) Write(b []byte) (int, error) {
 	w.init()
-	if len(w.lines) >= writerQueue-reserve && bytes.Contains(b, ordinary) {
+	if len(w.lines) >= queueLines-reservedLines && bytes.Contains(b, infoLevel) {
 		w.drop()
 		return len(b), nil
 	}
@@ -62,24 +64,26 @@
 	return len(b), nil
 }
 
-// ordinary marks a line that may be left out first.
-var ordinary = []byte(`"level":"INFO"`)
+// infoLevel identifies the lines that are dropped first.
+var infoLevel = []byte(`"level":"INFO"`)
 
+// drop counts a dropped line.
 func (w *AsyncWriter) drop() {
 	w.droppedLines.Add(1)
-	drops.Inc()
+	dropsCounter.Inc()
 }
 
 // Done is closed when Run has returned.
 func (w *AsyncWriter) Done() <-chan struct{} { w.init(); return w.done }
 
-// Run writes the lines until stop is closed, then what still waits.
+// Run writes the queued lines until stop is closed, and then the lines left in the
+// queue.
 func (w *AsyncWriter) Run(stop <-chan struct{}) {
 	w.init()
 	defer close(w.done)
-	out := bufio.NewWriterSize(w.Out, writerBuffer)
+	out := bufio.NewWriterSize(w.Out, bufferBytes)
 	defer func() { _ = out.Flush() }()
-	told := time.Now()
+	reportedAt := time.Now()
 	for {
 		select {
 		case line := <-w.lines:
@@ -88,8 +92,8 @@
 			w.drain(out)
 			return
 		}
-		if n := w.droppedLines.Load(); n > 0 && time.Since(told) >= lossEvery {
-			told = time.Now()
+		if n := w.droppedLines.Load(); n > 0 && time.Since(reportedAt) >= lossReportInterval {
+			reportedAt = time.Now()
 			w.droppedLines.Add(-n)
 			_, _ = fmt.Fprintf(out, `{"level":"WARN","msg":%q,"event":%d,"name":%q,"lines":%d}`+"\n", LinesLost.Text, LinesLost.Number, LinesLost.Name, n)
 		}
@@ -99,6 +103,7 @@
 	}
 }
 
+// drain writes the lines left in the queue.
 func (w *AsyncWriter) drain(out *bufio.Writer) {
 	for {
 		select {
--- a/internal/base/event/writer_test.go
+++ b/internal/base/event/writer_test.go
@@ -10,22 +10,22 @@
 	"gypsumreel/internal/base/event"
 )
 
-// stuck is a reader that has stopped reading until it is let go.
-type stuck struct {
+// blockingWriter blocks writes while its mutex is held.
+type blockingWriter struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.buf.Write(b)
+func (w *blockingWriter) Write(b []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.buf.Write(b)
 }
 
-// Nobody reads the log any more while a process is under load. It must not stand
-// still; what it leaves out is counted, and refusals are left out last.
-func TestWriterNeverWaitsForItsReader(t *testing.T) {
-	out := &stuck{}
+// Guards against a process that blocks because the reader of its log has stopped.
+// Lines with level INFO are dropped before warnings.
+func TestAsyncWriterDoesNotBlockOnItsReader(t *testing.T) {
+	out := &blockingWriter{}
 	w := &event.AsyncWriter{Out: out}
 	log := event.New(w, "info")
 	stop := make(chan struct{})
@@ -39,17 +39,17 @@
 	for range 100 {
 		event.Log(log, event.FlowRefused)
 	}
-	if took := time.Since(begin); took > 5*time.Second {
-		t.Errorf("%d lines took %v", lines, took)
+	if elapsed := time.Since(begin); elapsed > 5*time.Second {
+		t.Errorf("writing %d lines took %v", lines, elapsed)
 	}
 	out.mu.Unlock()
 	close(stop)
 	<-w.Done()
 	text := out.buf.String()
 	if n := strings.Count(text, event.FlowRefused.Name); n != 100 {
-		t.Errorf("%d of 100 refusals were written", n)
+		t.Errorf("%d of 100 warnings were written", n)
 	}
 	if n := strings.Count(text, event.RunsPlaced.Name); n == 0 || n >= lines {
-		t.Errorf("%d of %d ordinary lines were written", n, lines)
+		t.Errorf("%d of %d INFO lines were written, want some but not all", n, lines)
 	}
 }
