--- a/internal/base/files/files.go
+++ b/internal/base/files/files.go
@@ -33,10 +33,10 @@
 	purposes
 )
 
-var names = [purposes]string{"own", "peers", "processes", "callers", "servers"}
+var purposeNames = [purposes]string{"own", "peers", "processes", "callers", "servers"}
 
 // String returns the name of the use.
-func (u Purpose) String() string { return names[u] }
+func (p Purpose) String() string { return purposeNames[p] }
 
 // What is kept for each use, in files or as one part of so many of what is left.
 const (
@@ -101,22 +101,22 @@
 
 // Allowance returns how many files a use may have open now: all but what is kept for,
 // or used by, the uses before it, and what those after it use.
-func (b *Budget) Allowance(u Purpose) int {
+func (b *Budget) Allowance(p Purpose) int {
 	if b == nil {
 		return unlimitedFiles
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.allowance(u)
+	return b.allowance(p)
 }
 
-func (b *Budget) allowance(u Purpose) int {
+func (b *Budget) allowance(p Purpose) int {
 	left := b.limit
 	for other := range purposes {
 		switch {
-		case other < u:
+		case other < p:
 			left -= max(b.reserved[other], b.open[other])
-		case other > u:
+		case other > p:
 			left -= b.open[other]
 		}
 	}
@@ -124,118 +124,118 @@
 }
 
 // TryAcquire opens a file for a use, unless there is no room.
-func (b *Budget) TryAcquire(u Purpose) bool {
+func (b *Budget) TryAcquire(p Purpose) bool {
 	if b == nil {
 		return true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.waiters[u]) > 0 || b.open[u] >= b.allowance(u) {
+	if len(b.waiters[p]) > 0 || b.open[p] >= b.allowance(p) {
 		return false
 	}
-	b.open[u]++
+	b.open[p]++
 	return true
 }
 
 // Acquire opens a file for a use, as soon as there is room; ErrNone when ctx ends
 // before. Where it finds none it calls full now and then, which may make some.
-func (b *Budget) Acquire(ctx context.Context, u Purpose, full func()) error {
-	if b.TryAcquire(u) {
+func (b *Budget) Acquire(ctx context.Context, p Purpose, reclaim func()) error {
+	if b.TryAcquire(p) {
 		return nil
 	}
-	full()
+	reclaim()
 	b.mu.Lock()
-	mine := make(chan struct{})
-	b.waiters[u] = append(b.waiters[u], mine)
-	b.waitCounts[u]++
+	granted := make(chan struct{})
+	b.waiters[p] = append(b.waiters[p], granted)
+	b.waitCounts[p]++
 	b.admitWaiting()
 	b.mu.Unlock()
 	for {
 		select {
-		case <-mine:
+		case <-granted:
 			return nil
 		case <-ctx.Done():
-			return b.abandon(u, mine)
+			return b.abandon(p, granted)
 		case <-time.After(reclaimInterval):
 		}
-		if b.isFirst(u, mine) {
-			full() // what was in use may be idle by now
+		if b.isFirst(p, granted) {
+			reclaim() // what was in use may be idle by now
 		}
 	}
 }
 
 // isFirst tells whether somebody is the first in a queue.
-func (b *Budget) isFirst(u Purpose, mine chan struct{}) bool {
+func (b *Budget) isFirst(p Purpose, granted chan struct{}) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.waiters[u]) > 0 && b.waiters[u][0] == mine
+	return len(b.waiters[p]) > 0 && b.waiters[p][0] == granted
 }
 
 // abandon ends somebody's wait without a file.
-func (b *Budget) abandon(u Purpose, mine chan struct{}) error {
+func (b *Budget) abandon(p Purpose, granted chan struct{}) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if i := slices.Index(b.waiters[u], mine); i >= 0 {
-		b.waiters[u] = slices.Delete(b.waiters[u], i, i+1)
+	if i := slices.Index(b.waiters[p], granted); i >= 0 {
+		b.waiters[p] = slices.Delete(b.waiters[p], i, i+1)
 	} else {
-		b.open[u]-- // it was given one in this moment
+		b.open[p]-- // it was given one in this moment
 		b.admitWaiting()
 	}
-	return errors.Wrapf(ErrNoFiles, "%s", u)
+	return errors.Wrapf(ErrNoFiles, "%s", p)
 }
 
 // admitWaiting lets those go on for whom there is room, the most important use first.
 func (b *Budget) admitWaiting() {
-	for u := range purposes {
-		for len(b.waiters[u]) > 0 && b.open[u] < b.allowance(u) {
-			close(b.waiters[u][0])
-			b.waiters[u] = b.waiters[u][1:]
-			b.open[u]++
+	for p := range purposes {
+		for len(b.waiters[p]) > 0 && b.open[p] < b.allowance(p) {
+			close(b.waiters[p][0])
+			b.waiters[p] = b.waiters[p][1:]
+			b.open[p]++
 		}
 	}
 }
 
 // Release closes a file.
-func (b *Budget) Release(u Purpose) {
+func (b *Budget) Release(p Purpose) {
 	if b == nil {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.open[u]--
+	b.open[p]--
 	b.admitWaiting()
 }
 
 // UnderPressure tells that a use has little left: what it keeps open without need should
 // be closed.
-func (b *Budget) UnderPressure(u Purpose) bool {
+func (b *Budget) UnderPressure(p Purpose) bool {
 	if b == nil {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	share := b.allowance(u)
-	return b.open[u] >= share-share/pressureDivisor
+	share := b.allowance(p)
+	return b.open[p] >= share-share/pressureDivisor
 }
 
-// Row is one use of the budget.
-type Row struct {
+// PurposeUsage is one use of the budget.
+type PurposeUsage struct {
 	Use string
 	// Kept is how many files the uses after it leave it, Open how many it has,
 	// Share how many it may have now, Waits how often it found none.
 	Kept, Open, Share, Waits int
 }
 
-// Rows returns all uses, for dumps and metrics.
-func (b *Budget) Rows() []Row {
+// Usage returns all uses, for dumps and metrics.
+func (b *Budget) Usage() []PurposeUsage {
 	if b == nil {
 		return nil
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]Row, 0, purposes)
-	for u := range purposes {
-		out = append(out, Row{Use: u.String(), Kept: b.reserved[u], Open: b.open[u], Share: b.allowance(u), Waits: b.waitCounts[u]})
+	out := make([]PurposeUsage, 0, purposes)
+	for p := range purposes {
+		out = append(out, PurposeUsage{Use: p.String(), Kept: b.reserved[p], Open: b.open[p], Share: b.allowance(p), Waits: b.waitCounts[p]})
 	}
 	return out
 }
--- a/internal/base/files/files_test.go
+++ b/internal/base/files/files_test.go
@@ -60,14 +60,14 @@
 				open[u]--
 			}
 			total := 0
-			for _, r := range b.Rows() {
+			for _, r := range b.Usage() {
 				total += r.Open
 				if r.Use == files.Essential.String() || r.Use == files.Peers.String() {
 					total += r.Kept
 				}
 			}
 			if total > limit {
-				t.Fatalf("%d of %d: %+v", total, limit, b.Rows())
+				t.Fatalf("%d of %d: %+v", total, limit, b.Usage())
 			}
 		}
 	})
