--- a/internal/base/files/conn.go
+++ b/internal/base/files/conn.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// dialTimeout is how long a dial waits for room.
+// dialTimeout is how long a dial waits for a free file. The connection attempt itself
+// is not limited by it.
 const dialTimeout = time.Second
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// LimitDial returns a dial whose connections count for a use. One that finds no room
-// calls full, which closes idle ones, and waits.
+// LimitDial wraps dial so that its connections count against the budget of a purpose.
+// If no file is free, a dial calls reclaim, which closes idle connections, and waits.
 func (b *Budget) LimitDial(p Purpose, dial DialFunc, reclaim func()) DialFunc {
 	if b == nil {
 		return dial
@@ -30,7 +31,8 @@
 	}
 }
 
-// countedConn returns a connection for which there is room; it counts until it is closed.
+// countedConn opens a connection for which a file was acquired. Closing the connection
+// releases the file.
 func (b *Budget) countedConn(p Purpose, open func() (net.Conn, error)) (net.Conn, error) {
 	c, err := open()
 	if err != nil {
@@ -40,7 +42,7 @@
 	return &countedConn{Conn: c, release: sync.OnceFunc(func() { b.Release(p) })}, nil
 }
 
-// countedConn is a connection that counts until it is closed.
+// countedConn is a connection that releases its file when it is closed.
 type countedConn struct {
 	net.Conn
 	release func()
@@ -51,8 +53,9 @@
 	return c.Conn.Close()
 }
 
-// LimitListener returns a listener whose connections count for a use. Without room none is
-// taken: those that come wait until another is closed.
+// LimitListener wraps l so that its connections count against the budget of a purpose.
+// If no file is free, new connections stay in the backlog of the operating system
+// until another connection is closed.
 func (b *Budget) LimitListener(p Purpose, l net.Listener) net.Listener {
 	if b == nil {
 		return l
@@ -61,6 +64,7 @@
 	return &limitedListener{Listener: l, budget: b, purpose: p, ctx: ctx, cancel: cancel}
 }
 
+// limitedListener is a listener that acquires a file before it accepts a connection.
 type limitedListener struct {
 	net.Listener
 	budget  *Budget
@@ -81,8 +85,8 @@
 	return l.Listener.Close()
 }
 
-// CloseUnderPressure returns a handler that lets connections end after their answer while the
-// use is pressed, so that others find room.
+// CloseUnderPressure wraps h so that HTTP/1 connections are closed after the response
+// while the purpose is under pressure. This frees files for other clients.
 func (b *Budget) CloseUnderPressure(p Purpose, h http.Handler) http.Handler {
 	if b == nil {
 		return h
--- a/internal/base/files/files.go
+++ b/internal/base/files/files.go
@@ -1,7 +1,8 @@
-// Package files shares out the files that a process may have open. A connection is
-// one, and a process that has used up all it may open fails at whatever needs the
-// next: a call, a vote, the log. So each use has a part that the uses after it
-// leave alone, and who finds no room is told so before the kernel has to.
+// Package files divides the file descriptors of a process between their purposes. Each
+// connection takes one. A process without free descriptors cannot make a call, send
+// a vote or write its journal. Therefore each purpose has a reserve that less
+// important purposes cannot use. A request beyond the allowance of its purpose fails
+// in this package, before the limit of the operating system is reached.
 package files
 
 import (
@@ -14,54 +15,62 @@
 	"golang.org/x/sys/unix"
 )
 
-// Purpose is what files are open for. The uses before one come first.
+// Purpose tells what a file is open for. Lower values take precedence.
 type Purpose uint8
 
-// The uses, the most important first.
+// The purposes in the order of their precedence.
 const (
-	// Essential are journal, snapshot, listeners, what the runtime needs, and the few that
-	// ask how the process is.
+	// Essential is for the journal, snapshots, listeners, the Go runtime, and the few
+	// connections of health checks and metrics.
 	Essential Purpose = iota
-	// Peers are the connections of the consensus group.
+	// Peers is for the connections between control replicas.
 	Peers
-	// Processes are those between our own processes, and to services beside them.
+	// Processes is for connections between other processes of the cell, and to external
+	// services.
 	Processes
-	// Callers are those that come in from callers, operators and backend servers.
+	// Callers is for connections from callers, operators and backend servers.
 	Callers
-	// Servers are those of calls to backend servers.
+	// Servers is for connections to backend servers.
 	Servers
+	// purposes is the number of purposes.
 	purposes
 )
 
+// purposeNames holds the names that metrics and state dumps show.
 var purposeNames = [purposes]string{"own", "peers", "processes", "callers", "servers"}
 
-// String returns the name of the use.
+// String returns the name of the purpose.
 func (p Purpose) String() string { return purposeNames[p] }
 
-// What is kept for each use, in files or as one part of so many of what is left.
+// The reserves of the purposes and the intervals of waiting.
 const (
-	// essentialReserve is kept for Own, at most one part in ownOf of all.
+	// essentialReserve is the number of files reserved for Essential. This reserve and
+	// peerReserve are each at most 1/essentialDivisor of the limit.
 	essentialReserve = 256
 	essentialDivisor = 4
-	// peerReserve are two connections to each of eight replicas, and as many that hang.
+	// peerReserve allows two connections to each of eight replicas, and as many
+	// connections that have stopped responding.
 	peerReserve = 32
-	// processDivisor and callersOf are the parts kept for these uses.
+	// Processes and Callers reserve 1/processDivisor and 1/callerDivisor of the files
+	// that Essential and Peers leave.
 	processDivisor = 8
 	callerDivisor  = 4
-	// pressureDivisor is the part of its share that a use has left when it is pressed.
+	// A purpose is under pressure when at most 1/pressureDivisor of its allowance is
+	// free.
 	pressureDivisor = 4
-	// unlimitedFiles stands for a limit that binds nothing.
+	// unlimitedFiles is the limit when neither the system nor the settings set one.
 	unlimitedFiles = 1 << 24
-	// reclaimInterval is how often somebody who waits lets idle connections be closed.
+	// reclaimInterval is the time between two attempts of a waiting caller to close
+	// idle connections.
 	reclaimInterval = 20 * time.Millisecond
 )
 
-// ErrNoFiles means that a use has no file left; nothing was opened.
-var ErrNoFiles = errors.New("the process may open no more files for this")
+// ErrNoFiles means that the allowance of a purpose is used up. No file was opened.
+var ErrNoFiles = errors.New("no files left in the budget of this purpose")
 
-// Budget is how many files a process may open for each use. What is opened for Own
-// and Peers need not be taken: what is kept for them is theirs. A nil Budget bounds
-// nothing.
+// Budget limits the number of open files for each purpose. Files for Essential and
+// Peers need not be acquired, because their reserves are never used for other
+// purposes. A nil Budget has no limits.
 type Budget struct {
 	limit    int
 	reserved [purposes]int
@@ -69,38 +78,40 @@
 	mu         sync.Mutex
 	open       [purposes]int
 	waitCounts [purposes]int
-	// waiters are who waits, each for the end of its channel.
+	// waiters holds the queue of waiting callers of each purpose. Closing a channel
+	// grants its caller a file.
 	waiters [purposes][]chan struct{}
 }
 
-// NewBudget returns the budget of a process that may open so many files.
+// NewBudget returns the budget of a process that may open limit files.
 func NewBudget(limit int) *Budget {
 	b := &Budget{limit: limit}
 	b.reserved[Essential] = min(essentialReserve, limit/essentialDivisor)
 	b.reserved[Peers] = min(peerReserve, limit/essentialDivisor)
-	left := limit - b.reserved[Essential] - b.reserved[Peers]
-	b.reserved[Processes] = left / processDivisor
-	b.reserved[Callers] = left / callerDivisor
-	b.reserved[Servers] = left - b.reserved[Processes] - b.reserved[Callers]
+	remaining := limit - b.reserved[Essential] - b.reserved[Peers]
+	b.reserved[Processes] = remaining / processDivisor
+	b.reserved[Callers] = remaining / callerDivisor
+	b.reserved[Servers] = remaining - b.reserved[Processes] - b.reserved[Callers]
 	return b
 }
 
-// ProcessLimit returns how many files this process may open: what the system allows, and
-// at most what the settings say, if that is more than 0.
-func ProcessLimit(settings int64) int {
-	most := uint64(unlimitedFiles)
-	if settings > 0 {
-		most = min(most, uint64(settings))
+// ProcessLimit returns the number of files that this process may open: the lower of
+// the system's limit and the configured one. A configured limit of 0 is ignored.
+func ProcessLimit(configured int64) int {
+	limit := uint64(unlimitedFiles)
+	if configured > 0 {
+		limit = min(limit, uint64(configured))
 	}
 	var r unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &r); err == nil {
-		most = min(most, r.Cur)
+		limit = min(limit, r.Cur)
 	}
-	return int(most)
+	return int(limit)
 }
 
-// Allowance returns how many files a use may have open now: all but what is kept for,
-// or used by, the uses before it, and what those after it use.
+// Allowance returns the number of files that a purpose may have open now. From the
+// limit it subtracts the reserves of the more important purposes, or their open files
+// if these are more, and the open files of the less important purposes.
 func (b *Budget) Allowance(p Purpose) int {
 	if b == nil {
 		return unlimitedFiles
@@ -110,20 +121,22 @@
 	return b.allowance(p)
 }
 
+// allowance is Allowance for callers that hold the lock.
 func (b *Budget) allowance(p Purpose) int {
-	left := b.limit
+	free := b.limit
 	for other := range purposes {
 		switch {
 		case other < p:
-			left -= max(b.reserved[other], b.open[other])
+			free -= max(b.reserved[other], b.open[other])
 		case other > p:
-			left -= b.open[other]
+			free -= b.open[other]
 		}
 	}
-	return max(left, 0)
+	return max(free, 0)
 }
 
-// TryAcquire opens a file for a use, unless there is no room.
+// TryAcquire counts a file as open for a purpose. It returns false if the allowance is
+// used up or other callers wait.
 func (b *Budget) TryAcquire(p Purpose) bool {
 	if b == nil {
 		return true
@@ -137,8 +150,9 @@
 	return true
 }
 
-// Acquire opens a file for a use, as soon as there is room; ErrNone when ctx ends
-// before. Where it finds none it calls full now and then, which may make some.
+// Acquire waits until a file is free for a purpose and counts it as open. It returns
+// ErrNoFiles if ctx ends first. While it waits it calls reclaim repeatedly, which
+// may close idle connections.
 func (b *Budget) Acquire(ctx context.Context, p Purpose, reclaim func()) error {
 	if b.TryAcquire(p) {
 		return nil
@@ -159,32 +173,32 @@
 		case <-time.After(reclaimInterval):
 		}
 		if b.isFirst(p, granted) {
-			reclaim() // what was in use may be idle by now
+			reclaim() // connections may have become idle in the meantime
 		}
 	}
 }
 
-// isFirst tells whether somebody is the first in a queue.
+// isFirst reports whether the caller that waits for granted is the first in its queue.
 func (b *Budget) isFirst(p Purpose, granted chan struct{}) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.waiters[p]) > 0 && b.waiters[p][0] == granted
 }
 
-// abandon ends somebody's wait without a file.
+// abandon ends the wait of a caller without a file.
 func (b *Budget) abandon(p Purpose, granted chan struct{}) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if i := slices.Index(b.waiters[p], granted); i >= 0 {
 		b.waiters[p] = slices.Delete(b.waiters[p], i, i+1)
 	} else {
-		b.open[p]-- // it was given one in this moment
+		b.open[p]-- // the file was granted at the same time
 		b.admitWaiting()
 	}
 	return errors.Wrapf(ErrNoFiles, "%s", p)
 }
 
-// admitWaiting lets those go on for whom there is room, the most important use first.
+// admitWaiting grants free files to waiting callers, the most important purpose first.
 func (b *Budget) admitWaiting() {
 	for p := range purposes {
 		for len(b.waiters[p]) > 0 && b.open[p] < b.allowance(p) {
@@ -195,7 +209,7 @@
 	}
 }
 
-// Release closes a file.
+// Release counts a file of a purpose as closed.
 func (b *Budget) Release(p Purpose) {
 	if b == nil {
 		return
@@ -206,27 +220,29 @@
 	b.admitWaiting()
 }
 
-// UnderPressure tells that a use has little left: what it keeps open without need should
-// be closed.
+// UnderPressure reports whether a purpose has used most of its allowance. Its idle
+// connections should then be closed.
 func (b *Budget) UnderPressure(p Purpose) bool {
 	if b == nil {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	share := b.allowance(p)
-	return b.open[p] >= share-share/pressureDivisor
+	allowance := b.allowance(p)
+	return b.open[p] >= allowance-allowance/pressureDivisor
 }
 
-// PurposeUsage is one use of the budget.
+// PurposeUsage is the state of one purpose in a Budget. State dumps contain it under
+// these field names.
 type PurposeUsage struct {
+	// Use is the name of the purpose.
 	Use string
-	// Kept is how many files the uses after it leave it, Open how many it has,
-	// Share how many it may have now, Waits how often it found none.
+	// Kept is the reserve, Open the number of open files, Share the allowance and
+	// Waits the number of times that a caller had to wait.
 	Kept, Open, Share, Waits int
 }
 
-// Usage returns all uses, for dumps and metrics.
+// Usage returns the state of all purposes, for state dumps and metrics.
 func (b *Budget) Usage() []PurposeUsage {
 	if b == nil {
 		return nil
--- a/internal/base/files/files_test.go
+++ b/internal/base/files/files_test.go
@@ -16,9 +16,9 @@
 	"gypsumreel/internal/base/files"
 )
 
-// Calls to servers that take every file leave none for the log, for votes and for
-// those who ask.
-func TestCallsLeaveFilesForTheRest(t *testing.T) {
+// Guards against connections to backend servers that use all files, so that none are
+// left for the journal, for votes and for callers.
+func TestServerConnectionsLeaveFilesForOtherPurposes(t *testing.T) {
 	b := files.NewBudget(1000)
 	servers := 0
 	for b.TryAcquire(files.Servers) {
@@ -33,31 +33,31 @@
 		processes++
 	}
 	if servers < 200 || callers < 100 || processes < 50 {
-		t.Errorf("servers %d, callers %d, processes %d", servers, callers, processes)
+		t.Errorf("acquired %d files for servers, %d for callers, %d for processes; want at least 200, 100 and 50", servers, callers, processes)
 	}
-	if left := 1000 - servers - callers - processes; left < 200 {
-		t.Errorf("%d are left for our own files and the peers", left)
+	if free := 1000 - servers - callers - processes; free < 200 {
+		t.Errorf("%d files are left for Essential and Peers, want at least 200", free)
 	}
 }
 
-// What one use does not need the uses after it may have, and no more are ever open
-// than the process may open.
-func TestBudgetIsNeverExceeded(t *testing.T) {
+// Guards against more open files than the limit when purposes use files that others
+// leave free.
+func TestOpenFilesNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(0, 5000).Draw(t, "limit")
 		b := files.NewBudget(limit)
 		open := map[files.Purpose]int{}
 		for range rapid.IntRange(0, 300).Draw(t, "steps") {
-			u := files.Purpose(rapid.IntRange(int(files.Processes), int(files.Servers)).Draw(t, "use"))
-			if many := rapid.IntRange(-20, 200).Draw(t, "many"); many > 0 {
-				for range many {
-					if b.TryAcquire(u) {
-						open[u]++
+			p := files.Purpose(rapid.IntRange(int(files.Processes), int(files.Servers)).Draw(t, "use"))
+			if acquisitions := rapid.IntRange(-20, 200).Draw(t, "many"); acquisitions > 0 {
+				for range acquisitions {
+					if b.TryAcquire(p) {
+						open[p]++
 					}
 				}
-			} else if open[u] > 0 {
-				b.Release(u)
-				open[u]--
+			} else if open[p] > 0 {
+				b.Release(p)
+				open[p]--
 			}
 			total := 0
 			for _, r := range b.Usage() {
@@ -67,51 +67,51 @@
 				}
 			}
 			if total > limit {
-				t.Fatalf("%d of %d: %+v", total, limit, b.Usage())
+				t.Fatalf("%d files open or reserved with a limit of %d: %+v", total, limit, b.Usage())
 			}
 		}
 	})
 }
 
-// Who waits must go on when another is done, the more important use first, and
-// must not wait for ever.
-func TestWaitEndsWithRoomOrTime(t *testing.T) {
+// Guards against a caller that waits forever, and against a less important purpose
+// that gets a freed file first.
+func TestAcquireEndsWithAFileOrAtTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := files.NewBudget(100)
 		for b.TryAcquire(files.Servers) {
 		}
 		for b.TryAcquire(files.Callers) {
 		}
-		var order []files.Purpose
-		wait := func(u files.Purpose) {
-			if err := b.Acquire(t.Context(), u, func() {}); err == nil {
-				order = append(order, u)
+		var admitted []files.Purpose
+		acquire := func(p files.Purpose) {
+			if err := b.Acquire(t.Context(), p, func() {}); err == nil {
+				admitted = append(admitted, p)
 			}
 		}
-		go wait(files.Servers)
+		go acquire(files.Servers)
 		time.Sleep(time.Millisecond)
-		go wait(files.Callers)
+		go acquire(files.Callers)
 		time.Sleep(time.Millisecond)
 		b.Release(files.Callers)
 		synctest.Wait()
-		if len(order) != 1 || order[0] != files.Callers {
-			t.Errorf("went on: %v", order)
+		if len(admitted) != 1 || admitted[0] != files.Callers {
+			t.Errorf("callers that got a file, in order: %v", admitted)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if err := b.Acquire(ctx, files.Callers, func() {}); !errors.Is(err, files.ErrNoFiles) {
-			t.Errorf("got %v", err)
+			t.Errorf("Acquire returned %v, want %v", err, files.ErrNoFiles)
 		}
 		b.Release(files.Servers)
 		synctest.Wait()
-		if len(order) != 2 {
-			t.Errorf("went on: %v", order)
+		if len(admitted) != 2 {
+			t.Errorf("callers that got a file, in order: %v", admitted)
 		}
 	})
 }
 
-// Idle connections of callers that keep all others out are let go.
-func TestIdleCallersMakeRoom(t *testing.T) {
+// Guards against idle connections of callers that keep new callers from connecting.
+func TestIdleConnectionsAreClosedForNewCallers(t *testing.T) {
 	b := files.NewBudget(40)
 	var open atomic.Int32
 	s := httptest.NewUnstartedServer(b.CloseUnderPressure(files.Callers, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})))
@@ -127,7 +127,7 @@
 	s.Start()
 	defer s.Close()
 	for range 200 {
-		// Each caller has a connection of its own and keeps it.
+		// Each caller keeps a separate connection open.
 		c := &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}
 		defer c.CloseIdleConnections()
 		r, err := c.Get(s.URL)
@@ -137,19 +137,18 @@
 		_ = r.Body.Close()
 	}
 	if n := open.Load(); n > 40 {
-		t.Errorf("%d connections are open", n)
+		t.Errorf("%d connections are open, want at most 40", n)
 	}
 }
 
-// The limit is the lower one of the system's and the settings'.
-func TestLimitIsTheLowerOne(t *testing.T) {
+func TestLimitIsTheLowerOfSystemAndSettings(t *testing.T) {
 	if got := files.ProcessLimit(100); got != 100 {
-		t.Errorf("with 100 in the settings: %d", got)
+		t.Errorf("limit is %d with 100 in the settings", got)
 	}
 	if got := files.ProcessLimit(0); got < 100 {
-		t.Errorf("without settings: %d", got)
+		t.Errorf("limit is %d without a configured limit", got)
 	}
 	if got := files.ProcessLimit(1 << 40); got != files.ProcessLimit(0) {
-		t.Errorf("with more in the settings than the system allows: %d", got)
+		t.Errorf("limit is %d with more in the settings than the system allows", got)
 	}
 }
