--- a/internal/base/dump/dump.go
+++ b/internal/base/dump/dump.go
@@ -34,7 +34,7 @@
 	}
 	tree, err := redactedTree(v)
 	if err != nil {
-		return marshal(map[string]any{"error": "cannot encode the state as JSON: " + err.Error()})
+		return marshal(map[string]any{"error": "the state can't be shown: " + err.Error()})
 	}
 	for _, n := range maxLengths {
 		if out := marshal(truncate(tree, n)); len(out) <= limit {
--- a/internal/base/meter/meter.go
+++ b/internal/base/meter/meter.go
@@ -1,5 +1,6 @@
-// Package meter holds how metrics are named, and those that every process has.
-// A name is gypsumreel, the area, what is counted, and its unit.
+// Package meter builds the names of metrics and holds the metrics that all processes
+// have. A metric name consists of the prefix gypsumreel, the area, the measured
+// quantity and its unit.
 package meter
 
 import (
@@ -9,20 +10,21 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Prefix begins every name.
+// Prefix is the first part of every metric name.
 const Prefix = "gypsumreel"
 
-// ProcessMetrics holds the metrics of all processes; /metrics shows it beside the sets
-// of the parts that a process runs.
+// ProcessMetrics holds the metrics that every process exports. /metrics writes it
+// together with the sets of the components that the process runs.
 var ProcessMetrics = metrics.NewSet()
 
 // Label is one label of a metric.
 type Label struct{ Name, Value string }
 
-// Name returns gypsumreel_AREA_WHAT with labels, whose values may hold any text.
-func Name(area, what string, labels ...Label) string {
+// Name returns gypsumreel_AREA_QUANTITY with the given labels. Label values are quoted
+// and may contain any text.
+func Name(area, quantity string, labels ...Label) string {
 	var b strings.Builder
-	b.WriteString(Prefix + "_" + area + "_" + what)
+	b.WriteString(Prefix + "_" + area + "_" + quantity)
 	for i, l := range labels {
 		b.WriteString(string("{,"[min(i, 1)]) + l.Name + "=" + strconv.Quote(l.Value))
 	}
--- a/internal/base/secure/config.go
+++ b/internal/base/secure/config.go
@@ -9,17 +9,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of a handshake.
+// Errors of a TLS handshake.
 var (
-	// ErrNoCertificate means that the other end showed none.
-	ErrNoCertificate = errors.New("no certificate")
-	// ErrUnexpectedName means that the other end is none of those expected.
+	// ErrNoCertificate means that the peer presented no certificate.
+	ErrNoCertificate = errors.New("the peer presented no certificate")
+	// ErrUnexpectedName means that the peer's certificate contains none of the expected
+	// names.
 	ErrUnexpectedName = errors.New("the certificate bears no expected name")
 )
 
-// ServerConfig returns the configuration of a listener. With an authority, a client
-// without a certificate that it signed is refused in the handshake, before
-// anything of a request is read.
+// ServerConfig returns the TLS configuration for a listener. If an authority is
+// configured, the handshake refuses clients without a certificate that it signed,
+// before any part of a request is read.
 func (s *CertificateStore) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -30,33 +31,35 @@
 	}
 }
 
-// server is one connection's configuration. Sessions are never resumed: a ticket
-// from before a change of authority would let in whom the new one doesn't know.
-func (m *credentials) server() *tls.Config {
+// server returns the configuration for one connection. TLS sessions are not resumed,
+// because a ticket issued before a change of the authority would admit a client that
+// the new authority did not sign.
+func (c *credentials) server() *tls.Config {
 	cfg := &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		NextProtos:             []string{"h2", "http/1.1"},
-		Certificates:           []tls.Certificate{m.pair},
+		Certificates:           []tls.Certificate{c.certificate},
 		SessionTicketsDisabled: true,
 	}
-	if m.authorities != nil {
+	if c.authorities != nil {
 		cfg.ClientAuth = tls.RequireAndVerifyClientCert
-		cfg.ClientCAs = m.authorities
+		cfg.ClientCAs = c.authorities
 	}
 	return cfg
 }
 
-// ClientConfig returns the configuration of a dialler inside the cell. The other end
-// has to bear one of the names given, whatever its address is.
+// ClientConfig returns the TLS configuration for outgoing connections within the cell.
+// The server's certificate must contain one of the given names, independent of the
+// server's address.
 func (s *CertificateStore) ClientConfig(names ...string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return &s.current.Load().pair, nil
+			return &s.current.Load().certificate, nil
 		},
-		// The standard check holds on to one pool of authorities and to the
-		// address as the name; VerifyConnection below makes the same check with
-		// the authorities in force and the names of the cell.
+		// The standard verification uses a fixed pool of authorities and expects the
+		// address as the name. VerifyConnection below does the same verification with
+		// the current authorities and the names of the cell.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return s.verify(state, names)
@@ -64,6 +67,7 @@
 	}
 }
 
+// verify verifies the certificate chain of the server and its name.
 func (s *CertificateStore) verify(state tls.ConnectionState, names []string) error {
 	if len(state.PeerCertificates) == 0 {
 		return ErrNoCertificate
@@ -81,11 +85,11 @@
 			return nil
 		}
 	}
-	return errors.Wrapf(ErrUnexpectedName, "%q, not one of %q", leaf.DNSNames, names)
+	return errors.Wrapf(ErrUnexpectedName, "the certificate has names %q, expected one of %q", leaf.DNSNames, names)
 }
 
-// PeerNames returns the names in the certificate of whoever sent a request; none
-// for a connection without TLS or without a certificate.
+// PeerNames returns the DNS names in the client certificate of a request. It returns
+// none for a connection without TLS or without a verified client certificate.
 func PeerNames(r *http.Request) []string {
 	if r.TLS == nil || len(r.TLS.VerifiedChains) == 0 {
 		return nil
@@ -93,9 +97,10 @@
 	return r.TLS.PeerCertificates[0].DNSNames
 }
 
-// RequireName lets requests through whose sender bears a name that allow accepts.
-// Others are refused before their body is read. It guards against a process of
-// the cell in the wrong role: an entry's certificate must not vote.
+// RequireName passes on requests whose client certificate contains a name that allow
+// accepts. It refuses other requests before their body is read. This keeps a process
+// of the cell from acting in another role: an entry must not vote, although its
+// certificate is valid.
 func RequireName(allow func(name string) bool, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !slices.ContainsFunc(PeerNames(r), allow) {
--- a/internal/base/secure/secure.go
+++ b/internal/base/secure/secure.go
@@ -1,6 +1,6 @@
-// Package secure makes TLS configurations from files and takes changed files
-// into force without a restart. Between the processes of a cell both ends show
-// a certificate, and the one who dials checks the other's name.
+// Package secure creates TLS configurations from PEM files and reloads changed files
+// without a restart. Between the processes of a cell both peers present a
+// certificate, and the client verifies the server's name.
 package secure
 
 import (
@@ -19,46 +19,52 @@
 )
 
 const (
-	// DefaultReloadInterval is the time between two looks at the files.
+	// DefaultReloadInterval is the default time between two checks of the files.
 	DefaultReloadInterval = 5 * time.Second
-	// ExpiryWarning is the rest of a certificate's life from which it is warned about.
+	// ExpiryWarning is the remaining validity of a certificate below which warnings are
+	// logged.
 	ExpiryWarning = 14 * 24 * time.Hour
-	// warnEvery is the time between two such warnings.
-	warnEvery = 12 * time.Hour
+	// expiryWarningInterval is the minimum time between two such warnings.
+	expiryWarningInterval = 12 * time.Hour
 )
 
-// Files are the PEM files of one side.
+// Files holds the paths of the PEM files for one side of a process.
 type Files struct {
 	Certificate string
 	Key         string
-	// Authority signs the certificates of the other ends; may be empty.
+	// Authority holds the certificates of the authorities that sign the peers'
+	// certificates. It may be empty.
 	Authority string
 }
 
-// CertificateStore holds what the files said last. Set the exported fields, call Load, and
-// Run for as long as the configurations are in use.
+// CertificateStore holds the most recent valid contents of the files. Set the exported
+// fields, call Load, and keep Run running as long as the configurations are in use.
 type CertificateStore struct {
 	Files Files
-	// Interval is the time between two looks at the files.
+	// Interval is the time between two checks of the files.
 	Interval time.Duration
 	Log      logr.Logger
 
-	current  atomic.Pointer[credentials]
+	current atomic.Pointer[credentials]
+	// rejected holds the file contents that were last reported as invalid.
 	rejected [3][]byte
+	// warnedAt is the time of the last warning about the expiry.
 	warnedAt time.Time
 	done     chan struct{}
 }
 
-// credentials is one good reading of the files.
+// credentials holds the parsed contents of the files.
 type credentials struct {
+	// files holds the raw contents of the certificate, key and authority files.
 	files [3][]byte
-	pair  tls.Certificate
-	// authorities is nil without an authority.
+	// certificate is the certificate chain with its private key.
+	certificate tls.Certificate
+	// authorities is nil if no authority file is configured.
 	authorities *x509.CertPool
 	expiresAt   time.Time
 }
 
-// New returns a store of the files.
+// New returns a CertificateStore for the given files.
 func New(files Files, log logr.Logger) *CertificateStore {
 	return &CertificateStore{Files: files, Log: log, done: make(chan struct{})}
 }
@@ -66,7 +72,7 @@
 // Done is closed when Run has returned.
 func (s *CertificateStore) Done() <-chan struct{} { return s.done }
 
-// Load reads the files for the first time. A process doesn't start without.
+// Load reads the files for the first time. A process does not start if it fails.
 func (s *CertificateStore) Load() error {
 	raw, err := s.read()
 	if err != nil {
@@ -81,7 +87,7 @@
 	return nil
 }
 
-// Run looks at the files until ctx ends.
+// Run reloads changed files until ctx ends.
 func (s *CertificateStore) Run(ctx context.Context) error {
 	defer close(s.done)
 	interval := s.Interval
@@ -100,20 +106,20 @@
 	}
 }
 
-// Reload takes changed files into force for new connections. It guards against
-// files caught halfway through their replacement, such as a new certificate
-// beside the old key: whatever does not fit together leaves the old ones in
-// force and is read again at the next look. A file is judged by its content,
-// since a time of change has too coarse a step on some file systems.
+// Reload reads the files and uses changed ones for new connections. If they do not
+// match each other, for example a new certificate with the old key because the files
+// are being replaced, the previous contents stay in use and the next call reads the
+// files again. Reload compares the contents of the files, because modification times
+// are too coarse on some file systems.
 func (s *CertificateStore) Reload(now time.Time) {
-	old := s.current.Load()
-	s.warnExpiry(now, old)
+	previous := s.current.Load()
+	s.warnExpiry(now, previous)
 	raw, err := s.read()
 	switch {
 	case err != nil:
 		s.reject(raw, err)
 		return
-	case same(raw, old.files):
+	case sameFiles(raw, previous.files):
 		s.rejected = [3][]byte{}
 		return
 	}
@@ -127,9 +133,9 @@
 	event.Log(s.Log, event.TLSReloaded, "certificate", s.Files.Certificate, "ends", m.expiresAt)
 }
 
-// reject says once what is wrong with one state of the files.
+// reject logs why the files are invalid, once for each different content.
 func (s *CertificateStore) reject(raw [3][]byte, err error) {
-	if s.rejected[0] != nil && same(raw, s.rejected) {
+	if s.rejected[0] != nil && sameFiles(raw, s.rejected) {
 		return
 	}
 	s.rejected = raw
@@ -139,14 +145,16 @@
 	event.LogError(s.Log, event.TLSBad, err, "certificate", s.Files.Certificate)
 }
 
+// warnExpiry logs a warning if the certificate expires soon.
 func (s *CertificateStore) warnExpiry(now time.Time, m *credentials) {
-	if m.expiresAt.Sub(now) > ExpiryWarning || now.Sub(s.warnedAt) < warnEvery {
+	if m.expiresAt.Sub(now) > ExpiryWarning || now.Sub(s.warnedAt) < expiryWarningInterval {
 		return
 	}
 	s.warnedAt = now
 	event.Log(s.Log, event.TLSExpiring, "certificate", s.Files.Certificate, "ends", m.expiresAt)
 }
 
+// read returns the contents of the files and all errors of reading them.
 func (s *CertificateStore) read() (raw [3][]byte, err error) {
 	for i, path := range []string{s.Files.Certificate, s.Files.Key, s.Files.Authority} {
 		if path == "" && i == len(raw)-1 {
@@ -162,7 +170,8 @@
 	return raw, err
 }
 
-func same(a, b [3][]byte) bool {
+// sameFiles reports whether both sets of file contents are equal.
+func sameFiles(a, b [3][]byte) bool {
 	for i := range a {
 		if !bytes.Equal(a[i], b[i]) {
 			return false
@@ -171,19 +180,20 @@
 	return true
 }
 
+// parse returns the credentials in the contents of the files.
 func parse(raw [3][]byte) (*credentials, error) {
 	m := &credentials{files: raw}
-	pair, err := tls.X509KeyPair(raw[0], raw[1])
+	certificate, err := tls.X509KeyPair(raw[0], raw[1])
 	if err != nil {
-		return nil, errors.Wrap(err, "certificate and key")
+		return nil, errors.Wrap(err, "cannot use the certificate with the key")
 	}
-	m.pair, m.expiresAt = pair, pair.Leaf.NotAfter
+	m.certificate, m.expiresAt = certificate, certificate.Leaf.NotAfter
 	if raw[2] == nil {
 		return m, nil
 	}
 	m.authorities = x509.NewCertPool()
 	if !m.authorities.AppendCertsFromPEM(raw[2]) {
-		return nil, errors.New("the authority file holds no certificate in PEM")
+		return nil, errors.New("the authority file contains no certificate in PEM format")
 	}
 	return m, nil
 }
