--- a/internal/base/settings/doc.go
+++ b/internal/base/settings/doc.go
@@ -9,7 +9,7 @@
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("| setting | role | allowed | default | what it does |\n|---|---|---|---|---|\n")
-	for _, k := range keys {
+	for _, k := range allKeys {
 		role := string(k.Role)
 		if role == "" {
 			role = "both"
--- a/internal/base/settings/kind.go
+++ b/internal/base/settings/kind.go
@@ -21,17 +21,17 @@
 	allowedListen  = "text: IP:port, port 0 picks a free one"
 	allowedAddress = "text: IP:port, port 1 to 65535"
 	allowedDigest  = "text: 64 hexadecimal digits, the SHA-256 of a secret that is not empty"
-	allowedFlag    = "true or false"
+	allowedBool    = "true or false"
 )
 
 var (
-	allowedPeers   = fmt.Sprintf("list of 1 to %d objects {name, address}; address is IP:port; an odd number outlives most faults", MaxReplicas)
-	allowedNames   = fmt.Sprintf("list of up to %d names", MaxZones)
-	allowedDigests = fmt.Sprintf("list of up to %d texts of 64 hexadecimal digits, each a SHA-256", MaxDigests)
-	nameForm       = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
+	allowedReplicas = fmt.Sprintf("list of 1 to %d objects {name, address}; address is IP:port; an odd number outlives most faults", MaxReplicas)
+	allowedZones    = fmt.Sprintf("list of up to %d names", MaxZones)
+	allowedDigests  = fmt.Sprintf("list of up to %d texts of 64 hexadecimal digits, each a SHA-256", MaxDigests)
+	namePattern     = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 )
 
-func isName(t string) bool { return nameForm.MatchString(t) }
+func isName(t string) bool { return namePattern.MatchString(t) }
 
 func isPath(t string) bool { return t != "" && !strings.ContainsRune(t, 0) }
 
@@ -52,20 +52,20 @@
 	return err == nil && len(b) == sha256.Size && [sha256.Size]byte(b) != sha256.Sum256(nil)
 }
 
-func text(path string, role Role, allowed, def string, good func(string) bool, help string, at func(*Settings) *string) Key {
+func textKey(path string, role Role, allowed, def string, good func(string) bool, help string, at func(*Settings) *string) Key {
 	shown := def
 	if def == "" {
 		shown = "none"
 	}
 	return Key{
 		Path: path, Role: role, Allowed: allowed, Default: shown, Help: help,
-		read: readText(allowed, good, at),
-		fill: func(s *Settings) { *at(s) = def },
+		parse:      parseText(allowed, good, at),
+		setDefault: func(s *Settings) { *at(s) = def },
 	}
 }
 
-func readText(allowed string, good func(string) bool, at func(*Settings) *string) func(*reader, *Settings, value) {
-	return func(r *reader, s *Settings, v value) {
+func parseText(allowed string, good func(string) bool, at func(*Settings) *string) func(*parser, *Settings, value) {
+	return func(r *parser, s *Settings, v value) {
 		if t, ok := v.text(); ok && good(t) {
 			*at(s) = t
 			return
@@ -74,31 +74,31 @@
 	}
 }
 
-func choice(path string, options []string, def, help string, at func(*Settings) *string) Key {
+func choiceKey(path string, options []string, def, help string, at func(*Settings) *string) Key {
 	allowed := "one of " + strings.Join(options, ", ")
-	return text(path, "", allowed, def, func(t string) bool { return slices.Contains(options, t) }, help, at)
+	return textKey(path, "", allowed, def, func(t string) bool { return slices.Contains(options, t) }, help, at)
 }
 
-func flag(path, help string, at func(*Settings) *bool) Key {
+func boolKey(path, help string, at func(*Settings) *bool) Key {
 	return Key{
-		Path: path, Allowed: allowedFlag, Default: "false", Help: help,
-		read: func(r *reader, s *Settings, v value) {
-			b, ok := v.flag()
+		Path: path, Allowed: allowedBool, Default: "false", Help: help,
+		parse: func(r *parser, s *Settings, v value) {
+			b, ok := v.boolean()
 			if !ok {
-				r.refuse(v, allowedFlag)
+				r.refuse(v, allowedBool)
 				return
 			}
 			*at(s) = b
 		},
-		fill: func(*Settings) {},
+		setDefault: func(*Settings) {},
 	}
 }
 
-func span(path string, def, low, high time.Duration, help string, at func(*Settings) *time.Duration) Key {
-	allowed := fmt.Sprintf("text: a duration with its unit (ms, s, m, h) from %s to %s", short(low), short(high))
+func durationKey(path string, def, low, high time.Duration, help string, at func(*Settings) *time.Duration) Key {
+	allowed := fmt.Sprintf("text: a duration with its unit (ms, s, m, h) from %s to %s", formatDuration(low), formatDuration(high))
 	return Key{
-		Path: path, Allowed: allowed, Default: short(def), Help: help,
-		read: func(r *reader, s *Settings, v value) {
+		Path: path, Allowed: allowed, Default: formatDuration(def), Help: help,
+		parse: func(r *parser, s *Settings, v value) {
 			t, ok := v.text()
 			d, err := time.ParseDuration(t)
 			if !ok || err != nil || d < low || d > high {
@@ -107,21 +107,21 @@
 			}
 			*at(s) = d
 		},
-		fill: func(s *Settings) { *at(s) = def },
+		setDefault: func(s *Settings) { *at(s) = def },
 	}
 }
 
-// filled gives a key another default, which follows from the keys before it.
-func filled(k Key, def string, fill func(s *Settings)) Key {
-	k.Default, k.fill = def, fill
+// withDefault gives a key another default, which follows from the keys before it.
+func withDefault(k Key, def string, fill func(s *Settings)) Key {
+	k.Default, k.setDefault = def, fill
 	return k
 }
 
-func count(path, unit string, def, low, high int64, help string, at func(*Settings) *int64) Key {
+func integerKey(path, unit string, def, low, high int64, help string, at func(*Settings) *int64) Key {
 	allowed := fmt.Sprintf("whole number of %s from %d to %d", unit, low, high)
 	return Key{
 		Path: path, Allowed: allowed, Default: strconv.FormatInt(def, 10), Help: help,
-		read: func(r *reader, s *Settings, v value) {
+		parse: func(r *parser, s *Settings, v value) {
 			n, ok := v.number()
 			if !ok || n < low || n > high {
 				r.refuse(v, allowed)
@@ -129,18 +129,18 @@
 			}
 			*at(s) = n
 		},
-		fill: func(s *Settings) { *at(s) = def },
+		setDefault: func(s *Settings) { *at(s) = def },
 	}
 }
 
-// only makes a key one of a single role.
-func only(role Role, k Key) Key {
+// forRole makes a key one of a single role.
+func forRole(role Role, k Key) Key {
 	k.Role = role
 	return k
 }
 
-// short prints a duration without zero minutes and seconds at its end.
-func short(d time.Duration) string {
+// formatDuration prints a duration without zero minutes and seconds at its end.
+func formatDuration(d time.Duration) string {
 	t := d.String()
 	if strings.HasSuffix(t, "m0s") {
 		t = strings.TrimSuffix(t, "0s")
@@ -151,21 +151,21 @@
 	return t
 }
 
-func readPeers(r *reader, s *Settings, v value) {
-	items, ok := v.list()
+func parseReplicas(r *parser, s *Settings, v value) {
+	items, ok := v.elements()
 	if !ok || len(items) == 0 || len(items) > MaxReplicas {
-		r.refuse(v, allowedPeers)
+		r.refuse(v, allowedReplicas)
 		return
 	}
 	s.ControlReplicas = nil
 	for _, item := range items {
-		s.ControlReplicas = append(s.ControlReplicas, readPeer(r, item))
+		s.ControlReplicas = append(s.ControlReplicas, parseReplica(r, item))
 	}
 }
 
-func readPeer(r *reader, v value) ControlReplica {
+func parseReplica(r *parser, v value) ControlReplica {
 	var p ControlReplica
-	fields := r.members(v, "name", "address")
+	fields := r.recordMembers(v, "name", "address")
 	for name, field := range fields {
 		t, ok := field.text()
 		switch {
@@ -188,10 +188,10 @@
 	return p
 }
 
-// texts reads a list of up to most texts of one kind; allowed says what the list may
+// parseList reads a list of up to most texts of one kind; allowed says what the list may
 // be, and one what each text may be.
-func (r *reader) texts(v value, most int, allowed, one string, is func(string) bool) (out []string) {
-	items, ok := v.list()
+func (r *parser) parseList(v value, most int, allowed, one string, is func(string) bool) (out []string) {
+	items, ok := v.elements()
 	if !ok || len(items) > most {
 		r.refuse(v, allowed)
 		return nil
@@ -207,18 +207,18 @@
 	return out
 }
 
-func readDigests(r *reader, s *Settings, v value) {
-	for _, t := range r.texts(v, MaxDigests, allowedDigests, allowedDigest, isDigest) {
+func parseDigests(r *parser, s *Settings, v value) {
+	for _, t := range r.parseList(v, MaxDigests, allowedDigests, allowedDigest, isDigest) {
 		s.EnrolmentDigests = append(s.EnrolmentDigests, strings.ToLower(t))
 	}
 }
 
-func readZones(r *reader, s *Settings, v value) {
-	s.Zones = r.texts(v, MaxZones, allowedNames, allowedName, isName)
+func parseZones(r *parser, s *Settings, v value) {
+	s.Zones = r.parseList(v, MaxZones, allowedZones, allowedName, isName)
 }
 
-// readPlatform keeps an object as it stands in the file, without comments.
-func readPlatform(r *reader, s *Settings, v value) {
+// parsePlatform keeps an object as it stands in the file, without comments.
+func parsePlatform(r *parser, s *Settings, v value) {
 	if _, ok := v.node.Value.(*hujson.Object); !ok {
 		r.refuse(v, "an object")
 		return
--- a/internal/base/settings/read.go
+++ b/internal/base/settings/read.go
@@ -30,7 +30,7 @@
 	return l.String(), true
 }
 
-func (v value) flag() (on, ok bool) {
+func (v value) boolean() (on, ok bool) {
 	l, ok := v.node.Value.(hujson.Literal)
 	if !ok || l.Kind() != 't' && l.Kind() != 'f' {
 		return false, false
@@ -48,7 +48,7 @@
 	return n, err == nil
 }
 
-func (v value) list() ([]value, bool) {
+func (v value) elements() ([]value, bool) {
 	a, ok := v.node.Value.(*hujson.Array)
 	if !ok {
 		return nil, false
@@ -60,44 +60,44 @@
 	return out, true
 }
 
-// reader collects what a file sets and everything that is wrong with it.
-type reader struct {
-	file   string
-	text   []byte
-	faults []placed
-	// seen holds the node of each key that the file sets.
-	seen map[string]value
-	// bad holds the keys whose value was refused; they keep their defaults, so
+// parser collects what a file sets and everything that is wrong with it.
+type parser struct {
+	fileName string
+	content  []byte
+	faults   []locatedFault
+	// nodes holds the node of each key that the file sets.
+	nodes map[string]value
+	// refused holds the keys whose value was refused; they keep their defaults, so
 	// that one slip is reported once and not again where settings are compared.
-	bad map[string]bool
-	// more counts the faults past MaxFaults.
-	more int
+	refused map[string]bool
+	// omittedFaults counts the faults past MaxFaults.
+	omittedFaults int
 }
 
-// placed is a fault with its offset in the file, by which reports are sorted.
-type placed struct {
+// locatedFault is a fault with its offset in the file, by which reports are sorted.
+type locatedFault struct {
 	Fault
 	offset int
 }
 
-func (r *reader) report(v value, text string) {
+func (r *parser) report(v value, text string) {
 	key, _, _ := strings.Cut(v.path, "[")
-	r.bad[key] = true
+	r.refused[key] = true
 	if len(r.faults) >= MaxReportedFaults {
-		r.more++
+		r.omittedFaults++
 		return
 	}
 	offset := v.node.StartOffset
-	line, column := position(r.text, offset)
-	f := Fault{File: r.file, Line: line, Column: column, Setting: v.path, Text: text}
-	r.faults = append(r.faults, placed{f, offset})
+	line, column := lineAndColumn(r.content, offset)
+	f := Fault{File: r.fileName, Line: line, Column: column, Setting: v.path, Text: text}
+	r.faults = append(r.faults, locatedFault{f, offset})
 }
 
-func (r *reader) refuse(v value, allowed string) {
+func (r *parser) refuse(v value, allowed string) {
 	r.report(v, "not allowed here; allowed: "+allowed)
 }
 
-func position(text []byte, offset int) (line, column int) {
+func lineAndColumn(text []byte, offset int) (line, column int) {
 	head := string(text[:min(offset, len(text))])
 	start := strings.LastIndexByte(head, '\n') + 1
 	return strings.Count(head, "\n") + 1, len([]rune(head[start:])) + 1
@@ -105,35 +105,35 @@
 
 // Parse checks the text of a file; name is used in reports.
 func Parse(name string, text []byte) (*Settings, error) {
-	if len(text) > maxFile {
-		return nil, Faults{{File: name, Text: fmt.Sprintf("%d bytes; allowed: up to %d", len(text), maxFile)}}
+	if len(text) > maxFileBytes {
+		return nil, Faults{{File: name, Text: fmt.Sprintf("%d bytes; allowed: up to %d", len(text), maxFileBytes)}}
 	}
 	root, err := hujson.Parse(text)
 	if err != nil {
-		return nil, Faults{syntax(name, err)}
+		return nil, Faults{syntaxFault(name, err)}
 	}
-	r := &reader{file: name, text: text, seen: map[string]value{}, bad: map[string]bool{}}
+	r := &parser{fileName: name, content: text, nodes: map[string]value{}, refused: map[string]bool{}}
 	s := &Settings{}
-	r.object(s, value{node: &root})
+	r.parseObject(s, value{node: &root})
 	if s.Role == "" {
 		s.Role = RoleControl
 	}
-	fill(s, r.sets)
+	setDefaults(s, r.isSet)
 	r.check(s, value{node: &root})
 	if len(r.faults) > 0 {
-		return nil, r.sorted()
+		return nil, r.sortedFaults()
 	}
 	return s, nil
 }
 
-// sets tells whether the file sets a key to an allowed value.
-func (r *reader) sets(path string) bool {
-	_, ok := r.seen[path]
-	return ok && !r.bad[path]
+// isSet tells whether the file sets a key to an allowed value.
+func (r *parser) isSet(path string) bool {
+	_, ok := r.nodes[path]
+	return ok && !r.refused[path]
 }
 
-// syntax takes the place out of the parser's message.
-func syntax(name string, err error) Fault {
+// syntaxFault takes the place out of the parser's message.
+func syntaxFault(name string, err error) Fault {
 	f := Fault{File: name, Line: 1, Column: 1, Text: err.Error()}
 	if _, scanErr := fmt.Sscanf(err.Error(), "hujson: line %d, column %d:", &f.Line, &f.Column); scanErr != nil {
 		return f
@@ -145,89 +145,89 @@
 	return f
 }
 
-func (r *reader) sorted() Faults {
-	slices.SortStableFunc(r.faults, func(a, b placed) int { return cmp.Compare(a.offset, b.offset) })
+func (r *parser) sortedFaults() Faults {
+	slices.SortStableFunc(r.faults, func(a, b locatedFault) int { return cmp.Compare(a.offset, b.offset) })
 	out := make(Faults, len(r.faults))
 	for i, p := range r.faults {
 		out[i] = p.Fault
 	}
-	if r.more > 0 {
-		out = append(out, Fault{File: r.file, Text: fmt.Sprintf("%d more faults are not shown", r.more)})
+	if r.omittedFaults > 0 {
+		out = append(out, Fault{File: r.fileName, Text: fmt.Sprintf("%d more faults are not shown", r.omittedFaults)})
 	}
 	return out
 }
 
-// fill sets the defaults of the keys that were not set.
-func fill(s *Settings, set func(path string) bool) {
-	for _, k := range keys {
+// setDefaults sets the defaults of the keys that were not set.
+func setDefaults(s *Settings, set func(path string) bool) {
+	for _, k := range allKeys {
 		if !set(k.Path) && (k.Path != "role" || s.Role == "") {
-			k.fill(s)
+			k.setDefault(s)
 		}
 	}
 }
 
-// object reads the members of an object of settings.
-func (r *reader) object(s *Settings, v value) {
+// parseObject reads the members of an object of settings.
+func (r *parser) parseObject(s *Settings, v value) {
 	o, ok := v.node.Value.(*hujson.Object)
 	if !ok {
-		r.report(v, "an object is expected: "+inside(v.path))
+		r.report(v, "an object is expected: "+allowedIn(v.path))
 		return
 	}
 	names := map[string]bool{}
 	for i := range o.Members {
-		r.member(s, v.path, &o.Members[i], names)
+		r.parseMember(s, v.path, &o.Members[i], names)
 	}
 }
 
-func (r *reader) member(s *Settings, prefix string, m *hujson.ObjectMember, names map[string]bool) {
+func (r *parser) parseMember(s *Settings, prefix string, m *hujson.ObjectMember, names map[string]bool) {
 	name := m.Name.Value.(hujson.Literal).String()
-	at := value{path: join(prefix, name), node: &m.Name}
+	at := value{path: joinPath(prefix, name), node: &m.Name}
 	if names[name] {
 		r.report(at, "set twice; allowed: once")
 		return
 	}
 	names[name] = true
 	v := value{path: at.path, node: &m.Value}
-	k, group := find(prefix, name)
+	k, group := findKey(prefix, name)
 	switch {
 	case k != nil:
-		r.seen[k.Path] = v
-		k.read(r, s, v)
+		r.nodes[k.Path] = v
+		k.parse(r, s, v)
 	case group:
-		r.object(s, v)
+		r.parseObject(s, v)
 	default:
-		r.report(at, "unknown setting; "+inside(prefix))
+		r.report(at, "unknown setting; "+allowedIn(prefix))
 	}
 }
 
-func join(prefix, name string) string {
+func joinPath(prefix, name string) string {
 	if prefix == "" {
 		return name
 	}
 	return prefix + "." + name
 }
 
-// find returns the key of that path, or tells that the path holds further keys.
+// findKey returns the key of that path, or tells that the path holds further keys.
 // A name with a dot in it is never part of a path.
-func find(prefix, name string) (k *Key, group bool) {
+func findKey(prefix, name string) (k *Key, group bool) {
 	if strings.ContainsRune(name, '.') || name == "" {
 		return nil, false
 	}
-	path := join(prefix, name)
-	for i := range keys {
-		if keys[i].Path == path {
-			return &keys[i], false
+	path := joinPath(prefix, name)
+	for i := range allKeys {
+		if allKeys[i].Path == path {
+			return &allKeys[i], false
 		}
-		group = group || strings.HasPrefix(keys[i].Path, path+".")
+		group = group || strings.HasPrefix(allKeys[i].Path, path+".")
 	}
 	return nil, group
 }
 
-// inside lists the names that are known in an object.
-func inside(prefix string) string {
+// allowedIn lists the names that are known in an object.
+func allowedIn(prefix string) string {
 	var names []string
-	for _, k := range keys {
-		rest, ok := strings.CutPrefix(k.Path, join(prefix, ""))
+	for _, k := range allKeys {
+		rest, ok := strings.CutPrefix(k.Path, joinPath(prefix, ""))
 		if prefix == "" {
 			rest, ok = k.Path, true
 		}
@@ -239,8 +239,8 @@
 	return "allowed: " + strings.Join(names, ", ")
 }
 
-// members returns the members of an object of which every name is known, once.
-func (r *reader) members(v value, known ...string) map[string]value {
+// recordMembers returns the members of an object of which every name is known, once.
+func (r *parser) recordMembers(v value, known ...string) map[string]value {
 	o, ok := v.node.Value.(*hujson.Object)
 	if !ok {
 		r.report(v, "an object is expected; allowed: "+strings.Join(known, ", "))
@@ -249,7 +249,7 @@
 	out := map[string]value{}
 	for i := range o.Members {
 		name := o.Members[i].Name.Value.(hujson.Literal).String()
-		at := value{path: join(v.path, name), node: &o.Members[i].Name}
+		at := value{path: joinPath(v.path, name), node: &o.Members[i].Name}
 		_, twice := out[name]
 		switch {
 		case twice:
--- a/internal/base/settings/settings.go
+++ b/internal/base/settings/settings.go
@@ -133,8 +133,8 @@
 	OpenFiles int64
 }
 
-// maxFile bounds a settings file in bytes, and with it the parser's recursion.
-const maxFile = 256 << 10
+// maxFileBytes bounds a settings file in bytes, and with it the parser's recursion.
+const maxFileBytes = 256 << 10
 
 // Load reads and checks a file. The error is Faults unless the file can't be
 // read. Relative paths in it are taken from its folder.
@@ -147,7 +147,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.resolve(filepath.Dir(path))
+	s.resolvePaths(filepath.Dir(path))
 	return s, nil
 }
 
@@ -155,7 +155,7 @@
 // and, as TLS needs files, in plain text.
 func Default(role Role) *Settings {
 	s := &Settings{Role: role}
-	fill(s, func(string) bool { return false })
+	setDefaults(s, func(string) bool { return false })
 	s.TLS = TLS{Outside: TLSConfig{Plain: true}, Inside: TLSConfig{Plain: true}}
 	return s
 }
@@ -170,7 +170,7 @@
 	return ControlReplica{}, false
 }
 
-func (s *Settings) resolve(dir string) {
+func (s *Settings) resolvePaths(dir string) {
 	for _, p := range []*string{
 		&s.DataDir,
 		&s.TLS.Outside.Certificate, &s.TLS.Outside.Key, &s.TLS.Outside.Authority,
