--- a/internal/base/settings/kind.go
+++ b/internal/base/settings/kind.go
@@ -52,84 +52,84 @@
 	return err == nil && len(b) == sha256.Size && [sha256.Size]byte(b) != sha256.Sum256(nil)
 }
 
-func textKey(path string, role Role, allowed, def string, good func(string) bool, help string, at func(*Settings) *string) Key {
-	shown := def
-	if def == "" {
-		shown = "none"
+func textKey(path string, role Role, allowed, defaultValue string, valid func(string) bool, help string, field func(*Settings) *string) Key {
+	displayedDefault := defaultValue
+	if defaultValue == "" {
+		displayedDefault = "none"
 	}
 	return Key{
-		Path: path, Role: role, Allowed: allowed, Default: shown, Help: help,
-		parse:      parseText(allowed, good, at),
-		setDefault: func(s *Settings) { *at(s) = def },
+		Path: path, Role: role, Allowed: allowed, Default: displayedDefault, Help: help,
+		parse:      parseText(allowed, valid, field),
+		setDefault: func(s *Settings) { *field(s) = defaultValue },
 	}
 }
 
-func parseText(allowed string, good func(string) bool, at func(*Settings) *string) func(*parser, *Settings, value) {
-	return func(r *parser, s *Settings, v value) {
-		if t, ok := v.text(); ok && good(t) {
-			*at(s) = t
+func parseText(allowed string, valid func(string) bool, field func(*Settings) *string) func(*parser, *Settings, value) {
+	return func(p *parser, s *Settings, v value) {
+		if t, ok := v.text(); ok && valid(t) {
+			*field(s) = t
 			return
 		}
-		r.refuse(v, allowed)
+		p.refuse(v, allowed)
 	}
 }
 
-func choiceKey(path string, options []string, def, help string, at func(*Settings) *string) Key {
+func choiceKey(path string, options []string, defaultValue, help string, field func(*Settings) *string) Key {
 	allowed := "one of " + strings.Join(options, ", ")
-	return textKey(path, "", allowed, def, func(t string) bool { return slices.Contains(options, t) }, help, at)
+	return textKey(path, "", allowed, defaultValue, func(t string) bool { return slices.Contains(options, t) }, help, field)
 }
 
-func boolKey(path, help string, at func(*Settings) *bool) Key {
+func boolKey(path, help string, field func(*Settings) *bool) Key {
 	return Key{
 		Path: path, Allowed: allowedBool, Default: "false", Help: help,
-		parse: func(r *parser, s *Settings, v value) {
+		parse: func(p *parser, s *Settings, v value) {
 			b, ok := v.boolean()
 			if !ok {
-				r.refuse(v, allowedBool)
+				p.refuse(v, allowedBool)
 				return
 			}
-			*at(s) = b
+			*field(s) = b
 		},
 		setDefault: func(*Settings) {},
 	}
 }
 
-func durationKey(path string, def, low, high time.Duration, help string, at func(*Settings) *time.Duration) Key {
-	allowed := fmt.Sprintf("text: a duration with its unit (ms, s, m, h) from %s to %s", formatDuration(low), formatDuration(high))
+func durationKey(path string, defaultValue, lowest, highest time.Duration, help string, field func(*Settings) *time.Duration) Key {
+	allowed := fmt.Sprintf("text: a duration with its unit (ms, s, m, h) from %s to %s", formatDuration(lowest), formatDuration(highest))
 	return Key{
-		Path: path, Allowed: allowed, Default: formatDuration(def), Help: help,
-		parse: func(r *parser, s *Settings, v value) {
+		Path: path, Allowed: allowed, Default: formatDuration(defaultValue), Help: help,
+		parse: func(p *parser, s *Settings, v value) {
 			t, ok := v.text()
 			d, err := time.ParseDuration(t)
-			if !ok || err != nil || d < low || d > high {
-				r.refuse(v, allowed)
+			if !ok || err != nil || d < lowest || d > highest {
+				p.refuse(v, allowed)
 				return
 			}
-			*at(s) = d
+			*field(s) = d
 		},
-		setDefault: func(s *Settings) { *at(s) = def },
+		setDefault: func(s *Settings) { *field(s) = defaultValue },
 	}
 }
 
 // withDefault gives a key another default, which follows from the keys before it.
-func withDefault(k Key, def string, fill func(s *Settings)) Key {
-	k.Default, k.setDefault = def, fill
+func withDefault(k Key, defaultValue string, setDefault func(s *Settings)) Key {
+	k.Default, k.setDefault = defaultValue, setDefault
 	return k
 }
 
-func integerKey(path, unit string, def, low, high int64, help string, at func(*Settings) *int64) Key {
-	allowed := fmt.Sprintf("whole number of %s from %d to %d", unit, low, high)
+func integerKey(path, unit string, defaultValue, lowest, highest int64, help string, field func(*Settings) *int64) Key {
+	allowed := fmt.Sprintf("whole number of %s from %d to %d", unit, lowest, highest)
 	return Key{
-		Path: path, Allowed: allowed, Default: strconv.FormatInt(def, 10), Help: help,
-		parse: func(r *parser, s *Settings, v value) {
+		Path: path, Allowed: allowed, Default: strconv.FormatInt(defaultValue, 10), Help: help,
+		parse: func(p *parser, s *Settings, v value) {
 			n, ok := v.number()
-			if !ok || n < low || n > high {
-				r.refuse(v, allowed)
+			if !ok || n < lowest || n > highest {
+				p.refuse(v, allowed)
 				return
 			}
-			*at(s) = n
+			*field(s) = n
 		},
-		setDefault: func(s *Settings) { *at(s) = def },
+		setDefault: func(s *Settings) { *field(s) = defaultValue },
 	}
 }
 
@@ -151,55 +151,55 @@
 	return t
 }
 
-func parseReplicas(r *parser, s *Settings, v value) {
+func parseReplicas(p *parser, s *Settings, v value) {
 	items, ok := v.elements()
 	if !ok || len(items) == 0 || len(items) > MaxReplicas {
-		r.refuse(v, allowedReplicas)
+		p.refuse(v, allowedReplicas)
 		return
 	}
 	s.ControlReplicas = nil
 	for _, item := range items {
-		s.ControlReplicas = append(s.ControlReplicas, parseReplica(r, item))
+		s.ControlReplicas = append(s.ControlReplicas, parseReplica(p, item))
 	}
 }
 
-func parseReplica(r *parser, v value) ControlReplica {
-	var p ControlReplica
-	fields := r.recordMembers(v, "name", "address")
+func parseReplica(p *parser, v value) ControlReplica {
+	var replica ControlReplica
+	fields := p.knownMembers(v, "name", "address")
 	for name, field := range fields {
 		t, ok := field.text()
 		switch {
 		case name == "name" && ok && isName(t):
-			p.Name = t
+			replica.Name = t
 		case name == "name":
-			r.refuse(field, allowedName)
+			p.refuse(field, allowedName)
 		case ok && isAddress(t):
-			p.Address = t
+			replica.Address = t
 		default:
-			r.refuse(field, allowedAddress)
+			p.refuse(field, allowedAddress)
 		}
 	}
 	if _, ok := fields["name"]; !ok {
-		r.report(v, "name is missing; allowed: "+allowedName)
+		p.report(v, "name is missing; allowed: "+allowedName)
 	}
 	if _, ok := fields["address"]; !ok {
-		r.report(v, "address is missing; allowed: "+allowedAddress)
+		p.report(v, "address is missing; allowed: "+allowedAddress)
 	}
-	return p
+	return replica
 }
 
 // parseList reads a list of up to most texts of one kind; allowed says what the list may
 // be, and one what each text may be.
-func (r *parser) parseList(v value, most int, allowed, one string, is func(string) bool) (out []string) {
+func (p *parser) parseList(v value, maxItems int, allowed, allowedItem string, valid func(string) bool) (out []string) {
 	items, ok := v.elements()
-	if !ok || len(items) > most {
-		r.refuse(v, allowed)
+	if !ok || len(items) > maxItems {
+		p.refuse(v, allowed)
 		return nil
 	}
 	for _, item := range items {
 		t, ok := item.text()
-		if !ok || !is(t) {
-			r.refuse(item, one)
+		if !ok || !valid(t) {
+			p.refuse(item, allowedItem)
 			continue
 		}
 		out = append(out, t)
@@ -207,23 +207,23 @@
 	return out
 }
 
-func parseDigests(r *parser, s *Settings, v value) {
-	for _, t := range r.parseList(v, MaxDigests, allowedDigests, allowedDigest, isDigest) {
+func parseDigests(p *parser, s *Settings, v value) {
+	for _, t := range p.parseList(v, MaxDigests, allowedDigests, allowedDigest, isDigest) {
 		s.EnrolmentDigests = append(s.EnrolmentDigests, strings.ToLower(t))
 	}
 }
 
-func parseZones(r *parser, s *Settings, v value) {
-	s.Zones = r.parseList(v, MaxZones, allowedZones, allowedName, isName)
+func parseZones(p *parser, s *Settings, v value) {
+	s.Zones = p.parseList(v, MaxZones, allowedZones, allowedName, isName)
 }
 
 // parsePlatform keeps an object as it stands in the file, without comments.
-func parsePlatform(r *parser, s *Settings, v value) {
+func parsePlatform(p *parser, s *Settings, v value) {
 	if _, ok := v.node.Value.(*hujson.Object); !ok {
-		r.refuse(v, "an object")
+		p.refuse(v, "an object")
 		return
 	}
-	plain := v.node.Clone()
-	plain.Standardize()
-	s.Platform = plain.Pack()
+	standardJSON := v.node.Clone()
+	standardJSON.Standardize()
+	s.Platform = standardJSON.Pack()
 }
--- a/internal/base/settings/read.go
+++ b/internal/base/settings/read.go
@@ -80,27 +80,27 @@
 	offset int
 }
 
-func (r *parser) report(v value, text string) {
+func (p *parser) report(v value, text string) {
 	key, _, _ := strings.Cut(v.path, "[")
-	r.refused[key] = true
-	if len(r.faults) >= MaxReportedFaults {
-		r.omittedFaults++
+	p.refused[key] = true
+	if len(p.faults) >= MaxReportedFaults {
+		p.omittedFaults++
 		return
 	}
 	offset := v.node.StartOffset
-	line, column := lineAndColumn(r.content, offset)
-	f := Fault{File: r.fileName, Line: line, Column: column, Setting: v.path, Text: text}
-	r.faults = append(r.faults, locatedFault{f, offset})
+	line, column := lineAndColumn(p.content, offset)
+	f := Fault{File: p.fileName, Line: line, Column: column, Setting: v.path, Text: text}
+	p.faults = append(p.faults, locatedFault{f, offset})
 }
 
-func (r *parser) refuse(v value, allowed string) {
-	r.report(v, "not allowed here; allowed: "+allowed)
+func (p *parser) refuse(v value, allowed string) {
+	p.report(v, "not allowed here; allowed: "+allowed)
 }
 
 func lineAndColumn(text []byte, offset int) (line, column int) {
-	head := string(text[:min(offset, len(text))])
-	start := strings.LastIndexByte(head, '\n') + 1
-	return strings.Count(head, "\n") + 1, len([]rune(head[start:])) + 1
+	before := string(text[:min(offset, len(text))])
+	lineStart := strings.LastIndexByte(before, '\n') + 1
+	return strings.Count(before, "\n") + 1, len([]rune(before[lineStart:])) + 1
 }
 
 // Parse checks the text of a file; name is used in reports.
@@ -112,24 +112,24 @@
 	if err != nil {
 		return nil, Faults{syntaxFault(name, err)}
 	}
-	r := &parser{fileName: name, content: text, nodes: map[string]value{}, refused: map[string]bool{}}
+	p := &parser{fileName: name, content: text, nodes: map[string]value{}, refused: map[string]bool{}}
 	s := &Settings{}
-	r.parseObject(s, value{node: &root})
+	p.parseObject(s, value{node: &root})
 	if s.Role == "" {
 		s.Role = RoleControl
 	}
-	setDefaults(s, r.isSet)
-	r.check(s, value{node: &root})
-	if len(r.faults) > 0 {
-		return nil, r.sortedFaults()
+	setDefaults(s, p.isSet)
+	p.check(s, value{node: &root})
+	if len(p.faults) > 0 {
+		return nil, p.sortedFaults()
 	}
 	return s, nil
 }
 
 // isSet tells whether the file sets a key to an allowed value.
-func (r *parser) isSet(path string) bool {
-	_, ok := r.nodes[path]
-	return ok && !r.refused[path]
+func (p *parser) isSet(path string) bool {
+	_, ok := p.nodes[path]
+	return ok && !p.refused[path]
 }
 
 // syntaxFault takes the place out of the parser's message.
@@ -145,58 +145,58 @@
 	return f
 }
 
-func (r *parser) sortedFaults() Faults {
-	slices.SortStableFunc(r.faults, func(a, b locatedFault) int { return cmp.Compare(a.offset, b.offset) })
-	out := make(Faults, len(r.faults))
-	for i, p := range r.faults {
-		out[i] = p.Fault
+func (p *parser) sortedFaults() Faults {
+	slices.SortStableFunc(p.faults, func(a, b locatedFault) int { return cmp.Compare(a.offset, b.offset) })
+	out := make(Faults, len(p.faults))
+	for i, f := range p.faults {
+		out[i] = f.Fault
 	}
-	if r.omittedFaults > 0 {
-		out = append(out, Fault{File: r.fileName, Text: fmt.Sprintf("%d more faults are not shown", r.omittedFaults)})
+	if p.omittedFaults > 0 {
+		out = append(out, Fault{File: p.fileName, Text: fmt.Sprintf("%d more faults are not shown", p.omittedFaults)})
 	}
 	return out
 }
 
 // setDefaults sets the defaults of the keys that were not set.
-func setDefaults(s *Settings, set func(path string) bool) {
+func setDefaults(s *Settings, isSet func(path string) bool) {
 	for _, k := range allKeys {
-		if !set(k.Path) && (k.Path != "role" || s.Role == "") {
+		if !isSet(k.Path) && (k.Path != "role" || s.Role == "") {
 			k.setDefault(s)
 		}
 	}
 }
 
 // parseObject reads the members of an object of settings.
-func (r *parser) parseObject(s *Settings, v value) {
+func (p *parser) parseObject(s *Settings, v value) {
 	o, ok := v.node.Value.(*hujson.Object)
 	if !ok {
-		r.report(v, "an object is expected: "+allowedIn(v.path))
+		p.report(v, "an object is expected: "+allowedIn(v.path))
 		return
 	}
 	names := map[string]bool{}
 	for i := range o.Members {
-		r.parseMember(s, v.path, &o.Members[i], names)
+		p.parseMember(s, v.path, &o.Members[i], names)
 	}
 }
 
-func (r *parser) parseMember(s *Settings, prefix string, m *hujson.ObjectMember, names map[string]bool) {
+func (p *parser) parseMember(s *Settings, prefix string, m *hujson.ObjectMember, names map[string]bool) {
 	name := m.Name.Value.(hujson.Literal).String()
-	at := value{path: joinPath(prefix, name), node: &m.Name}
+	nameNode := value{path: joinPath(prefix, name), node: &m.Name}
 	if names[name] {
-		r.report(at, "set twice; allowed: once")
+		p.report(nameNode, "set twice; allowed: once")
 		return
 	}
 	names[name] = true
-	v := value{path: at.path, node: &m.Value}
-	k, group := findKey(prefix, name)
+	v := value{path: nameNode.path, node: &m.Value}
+	k, hasChildren := findKey(prefix, name)
 	switch {
 	case k != nil:
-		r.nodes[k.Path] = v
-		k.parse(r, s, v)
-	case group:
-		r.parseObject(s, v)
+		p.nodes[k.Path] = v
+		k.parse(p, s, v)
+	case hasChildren:
+		p.parseObject(s, v)
 	default:
-		r.report(at, "unknown setting; "+allowedIn(prefix))
+		p.report(nameNode, "unknown setting; "+allowedIn(prefix))
 	}
 }
 
@@ -209,7 +209,7 @@
 
 // findKey returns the key of that path, or tells that the path holds further keys.
 // A name with a dot in it is never part of a path.
-func findKey(prefix, name string) (k *Key, group bool) {
+func findKey(prefix, name string) (k *Key, hasChildren bool) {
 	if strings.ContainsRune(name, '.') || name == "" {
 		return nil, false
 	}
@@ -218,9 +218,9 @@
 		if allKeys[i].Path == path {
 			return &allKeys[i], false
 		}
-		group = group || strings.HasPrefix(allKeys[i].Path, path+".")
+		hasChildren = hasChildren || strings.HasPrefix(allKeys[i].Path, path+".")
 	}
-	return nil, group
+	return nil, hasChildren
 }
 
 // allowedIn lists the names that are known in an object.
@@ -239,26 +239,26 @@
 	return "allowed: " + strings.Join(names, ", ")
 }
 
-// recordMembers returns the members of an object of which every name is known, once.
-func (r *parser) recordMembers(v value, known ...string) map[string]value {
+// knownMembers returns the members of an object of which every name is known, once.
+func (p *parser) knownMembers(v value, allowedNames ...string) map[string]value {
 	o, ok := v.node.Value.(*hujson.Object)
 	if !ok {
-		r.report(v, "an object is expected; allowed: "+strings.Join(known, ", "))
+		p.report(v, "an object is expected; allowed: "+strings.Join(allowedNames, ", "))
 		return nil
 	}
-	out := map[string]value{}
+	members := map[string]value{}
 	for i := range o.Members {
 		name := o.Members[i].Name.Value.(hujson.Literal).String()
-		at := value{path: joinPath(v.path, name), node: &o.Members[i].Name}
-		_, twice := out[name]
+		nameNode := value{path: joinPath(v.path, name), node: &o.Members[i].Name}
+		_, duplicate := members[name]
 		switch {
-		case twice:
-			r.report(at, "set twice; allowed: once")
-		case !slices.Contains(known, name):
-			r.report(at, "unknown setting; allowed: "+strings.Join(known, ", "))
+		case duplicate:
+			p.report(nameNode, "set twice; allowed: once")
+		case !slices.Contains(allowedNames, name):
+			p.report(nameNode, "unknown setting; allowed: "+strings.Join(allowedNames, ", "))
 		default:
-			out[name] = value{path: at.path, node: &o.Members[i].Value}
+			members[name] = value{path: nameNode.path, node: &o.Members[i].Value}
 		}
 	}
-	return out
+	return members
 }
--- a/internal/base/settings/settings.go
+++ b/internal/base/settings/settings.go
@@ -162,22 +162,22 @@
 
 // FindReplica returns the replica of that name.
 func (s *Settings) FindReplica(name string) (ControlReplica, bool) {
-	for _, p := range s.ControlReplicas {
-		if p.Name == name {
-			return p, true
+	for _, replica := range s.ControlReplicas {
+		if replica.Name == name {
+			return replica, true
 		}
 	}
 	return ControlReplica{}, false
 }
 
 func (s *Settings) resolvePaths(dir string) {
-	for _, p := range []*string{
+	for _, path := range []*string{
 		&s.DataDir,
 		&s.TLS.Outside.Certificate, &s.TLS.Outside.Key, &s.TLS.Outside.Authority,
 		&s.TLS.Inside.Certificate, &s.TLS.Inside.Key, &s.TLS.Inside.Authority,
 	} {
-		if *p != "" && !filepath.IsAbs(*p) {
-			*p = filepath.Join(dir, *p)
+		if *path != "" && !filepath.IsAbs(*path) {
+			*path = filepath.Join(dir, *path)
 		}
 	}
 }
