--- a/internal/base/settings/check.go
+++ b/internal/base/settings/check.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// check reports what is wrong between settings.
+// check reports settings that contradict each other or the role.
 func (p *parser) check(s *Settings, root value) {
 	for _, k := range allKeys {
 		if v, ok := p.nodes[k.Path]; ok && k.Role != "" && k.Role != s.Role {
@@ -17,7 +17,8 @@
 	p.checkTimes(s, root)
 }
 
-// nodeOf returns the node of a key, or the whole file with the key's path.
+// nodeOf returns the node of a key. If the file does not contain the key it returns
+// the root node with the key's path.
 func (p *parser) nodeOf(path string, root value) value {
 	if v, ok := p.nodes[path]; ok {
 		return v
@@ -25,15 +26,16 @@
 	return value{path: path, node: root.node}
 }
 
+// checkReplicas reports duplicate control replicas and a list without this replica.
 func (p *parser) checkReplicas(s *Settings, root value) {
 	names, addresses := map[string]bool{}, map[string]bool{}
 	v := p.nodeOf("control", root)
 	for _, replica := range s.ControlReplicas {
 		if replica.Name != "" && names[replica.Name] {
-			p.report(v, "name "+replica.Name+" stands twice; allowed: once")
+			p.report(v, "name "+replica.Name+" is listed twice; allowed: once")
 		}
 		if replica.Address != "" && addresses[replica.Address] {
-			p.report(v, "address "+replica.Address+" stands twice; allowed: once")
+			p.report(v, "address "+replica.Address+" is listed twice; allowed: once")
 		}
 		names[replica.Name], addresses[replica.Address] = true, true
 	}
@@ -45,8 +47,8 @@
 	}
 }
 
-// checkTLS refuses a side that is neither secured nor plainly meant to be open:
-// a forgotten file must not turn into an unsecured listener.
+// checkTLS reports a side with incomplete TLS files that does not disable TLS
+// explicitly: a forgotten file must not result in an unencrypted listener.
 func (p *parser) checkTLS(path string, config TLSConfig, mutual bool, root value) {
 	v := p.nodeOf(path+".plain", root)
 	hasFiles := config.Certificate != "" || config.Key != "" || config.Authority != ""
@@ -63,6 +65,7 @@
 	}
 }
 
+// checkTimes reports intervals that are too short in relation to each other.
 func (p *parser) checkTimes(s *Settings, root value) {
 	if s.Time.ElectionTimeout < MinElectionHeartbeats*s.Time.HeartbeatInterval {
 		p.report(p.nodeOf("time.election", root), fmt.Sprintf("%s; allowed: at least %d times time.heartbeat, %s", s.Time.ElectionTimeout, MinElectionHeartbeats, s.Time.HeartbeatInterval))
--- a/internal/base/settings/fault.go
+++ b/internal/base/settings/fault.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// MaxReportedFaults bounds the faults that are shown with their places: to find a place
-// takes a walk over the file, and a file that is no settings file at all may
-// have tens of thousands of faults, which would take a start many seconds.
+// MaxReportedFaults limits the faults that are reported with a position. Each position
+// is found by a scan of the file. A file that is not a settings file may have tens of
+// thousands of faults, which would delay the start by many seconds.
 const MaxReportedFaults = 100
 
-// Fault is one thing wrong with a file.
+// Fault is one error in a settings file.
 type Fault struct {
 	File string `json:"file"`
-	// Line and Column count from 1; 0 when the fault has no place.
+	// Line and Column start at 1. They are 0 if the fault has no position.
 	Line   int `json:"line"`
 	Column int `json:"column"`
 	// Setting is the path of the key, such as time.lease.
 	Setting string `json:"setting"`
-	// Text says what is wrong and what is allowed.
+	// Text describes the error and the allowed values.
 	Text string `json:"text"`
 }
 
@@ -36,14 +36,14 @@
 	return b.String()
 }
 
-// Faults is every fault of a file, in the order of their places.
+// Faults holds all faults of a file, ordered by their positions.
 type Faults []Fault
 
-// Error returns one line for each fault.
+// Error returns one line per fault.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.String()
+	for i, fault := range f {
+		lines[i] = fault.String()
 	}
 	return strings.Join(lines, "\n")
 }
--- a/internal/base/settings/kind.go
+++ b/internal/base/settings/kind.go
@@ -14,18 +14,18 @@
 	"github.com/tailscale/hujson"
 )
 
-// What is allowed, as reports and docs/SETTINGS.md say it.
+// Descriptions of the allowed values for fault messages and docs/SETTINGS.md.
 const (
 	allowedName    = "text: 1 to 63 lower-case letters, digits and hyphens, no hyphen at either end"
 	allowedPath    = "text: a path, not empty"
-	allowedListen  = "text: IP:port, port 0 picks a free one"
+	allowedListen  = "text: IP:port, port 0 selects a free port"
 	allowedAddress = "text: IP:port, port 1 to 65535"
 	allowedDigest  = "text: 64 hexadecimal digits, the SHA-256 of a secret that is not empty"
 	allowedBool    = "true or false"
 )
 
 var (
-	allowedReplicas = fmt.Sprintf("list of 1 to %d objects {name, address}; address is IP:port; an odd number outlives most faults", MaxReplicas)
+	allowedReplicas = fmt.Sprintf("list of 1 to %d objects {name, address}; address is IP:port; an odd number tolerates the most failures", MaxReplicas)
 	allowedZones    = fmt.Sprintf("list of up to %d names", MaxZones)
 	allowedDigests  = fmt.Sprintf("list of up to %d texts of 64 hexadecimal digits, each a SHA-256", MaxDigests)
 	namePattern     = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
@@ -35,23 +35,27 @@
 
 func isPath(t string) bool { return t != "" && !strings.ContainsRune(t, 0) }
 
+// isListen accepts an address to listen on. Port 0 is allowed.
 func isListen(t string) bool {
 	_, err := netip.ParseAddrPort(t)
 	return err == nil
 }
 
+// isAddress accepts an address to connect to.
 func isAddress(t string) bool {
 	a, err := netip.ParseAddrPort(t)
 	return err == nil && a.Port() != 0
 }
 
-// isDigest refuses the digest of no secret at all: a script that hashes an unset
-// variable would else admit every server that shows nothing.
+// isDigest accepts a SHA-256 digest in hexadecimal. It refuses the digest of the empty
+// secret: a script that hashes an unset variable would otherwise admit every backend
+// server that presents no secret.
 func isDigest(t string) bool {
 	b, err := hex.DecodeString(t)
 	return err == nil && len(b) == sha256.Size && [sha256.Size]byte(b) != sha256.Sum256(nil)
 }
 
+// textKey returns the key of a text that valid accepts.
 func textKey(path string, role Role, allowed, defaultValue string, valid func(string) bool, help string, field func(*Settings) *string) Key {
 	displayedDefault := defaultValue
 	if defaultValue == "" {
@@ -64,6 +68,7 @@
 	}
 }
 
+// parseText returns a parser for a text that valid accepts.
 func parseText(allowed string, valid func(string) bool, field func(*Settings) *string) func(*parser, *Settings, value) {
 	return func(p *parser, s *Settings, v value) {
 		if t, ok := v.text(); ok && valid(t) {
@@ -74,11 +79,13 @@
 	}
 }
 
+// choiceKey returns the key of a text that must be one of options.
 func choiceKey(path string, options []string, defaultValue, help string, field func(*Settings) *string) Key {
 	allowed := "one of " + strings.Join(options, ", ")
 	return textKey(path, "", allowed, defaultValue, func(t string) bool { return slices.Contains(options, t) }, help, field)
 }
 
+// boolKey returns the key of a boolean whose default is false.
 func boolKey(path, help string, field func(*Settings) *bool) Key {
 	return Key{
 		Path: path, Allowed: allowedBool, Default: "false", Help: help,
@@ -94,6 +101,7 @@
 	}
 }
 
+// durationKey returns the key of a duration from lowest to highest.
 func durationKey(path string, defaultValue, lowest, highest time.Duration, help string, field func(*Settings) *time.Duration) Key {
 	allowed := fmt.Sprintf("text: a duration with its unit (ms, s, m, h) from %s to %s", formatDuration(lowest), formatDuration(highest))
 	return Key{
@@ -111,12 +119,13 @@
 	}
 }
 
-// withDefault gives a key another default, which follows from the keys before it.
+// withDefault replaces the default of a key by one that depends on earlier keys.
 func withDefault(k Key, defaultValue string, setDefault func(s *Settings)) Key {
 	k.Default, k.setDefault = defaultValue, setDefault
 	return k
 }
 
+// integerKey returns the key of an integer from lowest to highest.
 func integerKey(path, unit string, defaultValue, lowest, highest int64, help string, field func(*Settings) *int64) Key {
 	allowed := fmt.Sprintf("whole number of %s from %d to %d", unit, lowest, highest)
 	return Key{
@@ -133,13 +142,13 @@
 	}
 }
 
-// forRole makes a key one of a single role.
+// forRole restricts a key to one role.
 func forRole(role Role, k Key) Key {
 	k.Role = role
 	return k
 }
 
-// formatDuration prints a duration without zero minutes and seconds at its end.
+// formatDuration formats a duration without trailing zero minutes and seconds.
 func formatDuration(d time.Duration) string {
 	t := d.String()
 	if strings.HasSuffix(t, "m0s") {
@@ -151,6 +160,7 @@
 	return t
 }
 
+// parseReplicas parses the list of control replicas.
 func parseReplicas(p *parser, s *Settings, v value) {
 	items, ok := v.elements()
 	if !ok || len(items) == 0 || len(items) > MaxReplicas {
@@ -163,6 +173,7 @@
 	}
 }
 
+// parseReplica parses the name and address of one control replica.
 func parseReplica(p *parser, v value) ControlReplica {
 	var replica ControlReplica
 	fields := p.knownMembers(v, "name", "address")
@@ -188,8 +199,8 @@
 	return replica
 }
 
-// parseList reads a list of up to most texts of one kind; allowed says what the list may
-// be, and one what each text may be.
+// parseList parses a list of at most maxItems texts that valid accepts. Faults describe
+// the list with allowed and an item with allowedItem.
 func (p *parser) parseList(v value, maxItems int, allowed, allowedItem string, valid func(string) bool) (out []string) {
 	items, ok := v.elements()
 	if !ok || len(items) > maxItems {
@@ -207,17 +218,19 @@
 	return out
 }
 
+// parseDigests parses the enrolment digests and converts them to lower case.
 func parseDigests(p *parser, s *Settings, v value) {
 	for _, t := range p.parseList(v, MaxDigests, allowedDigests, allowedDigest, isDigest) {
 		s.EnrolmentDigests = append(s.EnrolmentDigests, strings.ToLower(t))
 	}
 }
 
+// parseZones parses the list of availability zones.
 func parseZones(p *parser, s *Settings, v value) {
 	s.Zones = p.parseList(v, MaxZones, allowedZones, allowedName, isName)
 }
 
-// parsePlatform keeps an object as it stands in the file, without comments.
+// parsePlatform stores an object as standard JSON, without its comments.
 func parsePlatform(p *parser, s *Settings, v value) {
 	if _, ok := v.node.Value.(*hujson.Object); !ok {
 		p.refuse(v, "an object")
--- a/internal/base/settings/doc.go
+++ b/internal/base/settings/markdown.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Markdown returns the table of all settings that docs/SETTINGS.md holds.
+// Markdown returns the table of all settings for docs/SETTINGS.md.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("| setting | role | allowed | default | what it does |\n|---|---|---|---|---|\n")
--- a/internal/base/settings/read.go
+++ b/internal/base/settings/parse.go
@@ -11,12 +11,13 @@
 	"github.com/tailscale/hujson"
 )
 
-// value is a node of the file with the path that leads to it.
+// value is a node of the file with its path, such as time.lease.
 type value struct {
 	path string
 	node *hujson.Value
 }
 
+// literal returns the node if it is a literal of the given kind.
 func (v value) literal(kind hujson.Kind) (hujson.Literal, bool) {
 	l, ok := v.node.Value.(hujson.Literal)
 	return l, ok && l.Kind() == kind
@@ -38,7 +39,7 @@
 	return l.Bool(), true
 }
 
-// number accepts whole numbers without exponent or fraction only.
+// number returns an integer. It does not accept exponents or fractions.
 func (v value) number() (int64, bool) {
 	l, ok := v.literal('0')
 	if !ok {
@@ -60,26 +61,27 @@
 	return out, true
 }
 
-// parser collects what a file sets and everything that is wrong with it.
+// parser collects the settings of a file and its faults.
 type parser struct {
 	fileName string
 	content  []byte
 	faults   []locatedFault
 	// nodes holds the node of each key that the file sets.
 	nodes map[string]value
-	// refused holds the keys whose value was refused; they keep their defaults, so
-	// that one slip is reported once and not again where settings are compared.
+	// refused holds the keys with an invalid value. They keep their defaults, so that an
+	// invalid value is not reported again when settings are compared with each other.
 	refused map[string]bool
-	// omittedFaults counts the faults past MaxFaults.
+	// omittedFaults counts the faults after the first MaxReportedFaults.
 	omittedFaults int
 }
 
-// locatedFault is a fault with its offset in the file, by which reports are sorted.
+// locatedFault is a fault with its offset in the file, which faults are sorted by.
 type locatedFault struct {
 	Fault
 	offset int
 }
 
+// report adds a fault at the position of v.
 func (p *parser) report(v value, text string) {
 	key, _, _ := strings.Cut(v.path, "[")
 	p.refused[key] = true
@@ -93,26 +95,29 @@
 	p.faults = append(p.faults, locatedFault{f, offset})
 }
 
+// refuse reports an invalid value.
 func (p *parser) refuse(v value, allowed string) {
-	p.report(v, "not allowed here; allowed: "+allowed)
+	p.report(v, "invalid value; allowed: "+allowed)
 }
 
+// lineAndColumn returns the position of a byte offset, counted from 1.
 func lineAndColumn(text []byte, offset int) (line, column int) {
 	before := string(text[:min(offset, len(text))])
 	lineStart := strings.LastIndexByte(before, '\n') + 1
 	return strings.Count(before, "\n") + 1, len([]rune(before[lineStart:])) + 1
 }
 
-// Parse checks the text of a file; name is used in reports.
-func Parse(name string, text []byte) (*Settings, error) {
-	if len(text) > maxFileBytes {
-		return nil, Faults{{File: name, Text: fmt.Sprintf("%d bytes; allowed: up to %d", len(text), maxFileBytes)}}
+// Parse parses and checks the content of a settings file. Faults contain name as the
+// name of the file.
+func Parse(name string, content []byte) (*Settings, error) {
+	if len(content) > maxFileBytes {
+		return nil, Faults{{File: name, Text: fmt.Sprintf("the file has %d bytes; allowed: up to %d", len(content), maxFileBytes)}}
 	}
-	root, err := hujson.Parse(text)
+	root, err := hujson.Parse(content)
 	if err != nil {
 		return nil, Faults{syntaxFault(name, err)}
 	}
-	p := &parser{fileName: name, content: text, nodes: map[string]value{}, refused: map[string]bool{}}
+	p := &parser{fileName: name, content: content, nodes: map[string]value{}, refused: map[string]bool{}}
 	s := &Settings{}
 	p.parseObject(s, value{node: &root})
 	if s.Role == "" {
@@ -126,13 +131,14 @@
 	return s, nil
 }
 
-// isSet tells whether the file sets a key to an allowed value.
+// isSet reports whether the file sets a key to a valid value.
 func (p *parser) isSet(path string) bool {
 	_, ok := p.nodes[path]
 	return ok && !p.refused[path]
 }
 
-// syntaxFault takes the place out of the parser's message.
+// syntaxFault returns a syntax error of the JSON parser as a fault, with the position
+// from the parser's message.
 func syntaxFault(name string, err error) Fault {
 	f := Fault{File: name, Line: 1, Column: 1, Text: err.Error()}
 	if _, scanErr := fmt.Sscanf(err.Error(), "hujson: line %d, column %d:", &f.Line, &f.Column); scanErr != nil {
@@ -145,6 +151,7 @@
 	return f
 }
 
+// sortedFaults returns the faults in the order of their positions.
 func (p *parser) sortedFaults() Faults {
 	slices.SortStableFunc(p.faults, func(a, b locatedFault) int { return cmp.Compare(a.offset, b.offset) })
 	out := make(Faults, len(p.faults))
@@ -157,7 +164,7 @@
 	return out
 }
 
-// setDefaults sets the defaults of the keys that were not set.
+// setDefaults sets the default of each key for which isSet returns false.
 func setDefaults(s *Settings, isSet func(path string) bool) {
 	for _, k := range allKeys {
 		if !isSet(k.Path) && (k.Path != "role" || s.Role == "") {
@@ -166,7 +173,7 @@
 	}
 }
 
-// parseObject reads the members of an object of settings.
+// parseObject parses the members of an object of settings.
 func (p *parser) parseObject(s *Settings, v value) {
 	o, ok := v.node.Value.(*hujson.Object)
 	if !ok {
@@ -179,6 +186,8 @@
 	}
 }
 
+// parseMember parses one member of an object. names holds the names of the members
+// parsed before it.
 func (p *parser) parseMember(s *Settings, prefix string, m *hujson.ObjectMember, names map[string]bool) {
 	name := m.Name.Value.(hujson.Literal).String()
 	nameNode := value{path: joinPath(prefix, name), node: &m.Name}
@@ -200,6 +209,7 @@
 	}
 }
 
+// joinPath appends a name to the path of an object.
 func joinPath(prefix, name string) string {
 	if prefix == "" {
 		return name
@@ -207,8 +217,9 @@
 	return prefix + "." + name
 }
 
-// findKey returns the key of that path, or tells that the path holds further keys.
-// A name with a dot in it is never part of a path.
+// findKey returns the key with the path of prefix and name. Without such a key,
+// hasChildren reports whether it is the path of an object with further keys. A name
+// that contains a dot matches no key.
 func findKey(prefix, name string) (k *Key, hasChildren bool) {
 	if strings.ContainsRune(name, '.') || name == "" {
 		return nil, false
@@ -223,7 +234,7 @@
 	return nil, hasChildren
 }
 
-// allowedIn lists the names that are known in an object.
+// allowedIn returns a list of the names that are allowed in an object.
 func allowedIn(prefix string) string {
 	var names []string
 	for _, k := range allKeys {
@@ -239,7 +250,8 @@
 	return "allowed: " + strings.Join(names, ", ")
 }
 
-// knownMembers returns the members of an object of which every name is known, once.
+// knownMembers returns the members of an object. It reports duplicate names and names
+// that are not in allowedNames.
 func (p *parser) knownMembers(v value, allowedNames ...string) map[string]value {
 	o, ok := v.node.Value.(*hujson.Object)
 	if !ok {
--- a/internal/base/settings/settings.go
+++ b/internal/base/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings of a daemon: JSON with comments and
-// trailing commas, one file for either role. Every fault of a file is reported
-// with its place, the setting and what is allowed; docs/SETTINGS.md lists the keys.
+// Package settings parses the settings file of a daemon. The format is JSON with
+// comments and trailing commas, the same for both roles. Each fault is reported with
+// its position, the setting and the allowed values. docs/SETTINGS.md lists the keys.
 package settings
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Role says which daemon a file is for.
+// Role is the role of a daemon.
 type Role string
 
 // The roles.
@@ -18,126 +18,138 @@
 	RoleEntry   Role = "entry"
 )
 
-// Settings is what a daemon starts from. Default gives one that runs.
+// Settings holds the configuration of a daemon. Default returns settings that can run
+// without a file.
 type Settings struct {
-	// Cell names the cell; processes of different cells refuse each other.
+	// Cell is the name of the cell. Processes of different cells refuse each other.
 	Cell string
-	// Name is unique in the cell and the name in the process's inside certificate.
+	// Name is the unique name of the process in the cell. The process's inside
+	// certificate must contain it.
 	Name string
 	// Zone is the availability zone of the instance.
 	Zone string
-	// Zones are the availability zones of the deployment; none for those that
-	// backend servers are in.
+	// Zones are the availability zones of the deployment. If it is empty, the zones of
+	// the backend servers are used.
 	Zones []string
 	Role  Role
-	// DataDir is the folder of the journal and snapshots; control only.
+	// DataDir is the folder of the journal and the snapshots. Only control replicas use it.
 	DataDir string
 	Listen  Listen
 	// ControlReplicas lists the control replicas of the cell.
 	ControlReplicas []ControlReplica
-	// EnrolmentDigests holds the SHA-256 digests, in hexadecimal, of the secrets that
-	// backend servers may show; two during a change of secret.
+	// EnrolmentDigests holds the hexadecimal SHA-256 digests of the secrets that backend
+	// servers may present. It holds two during a change of the secret.
 	EnrolmentDigests []string
-	// OperatorDigest is the digest of the first operator's secret, in hexadecimal.
+	// OperatorDigest is the hexadecimal digest of the first operator's secret.
 	OperatorDigest string
 	TLS            TLS
 	Time           Time
 	Limits         Limits
-	// Platform is what only the adapter to a platform reads, as it stands in the
-	// file; empty for none.
+	// Platform is the JSON object for the platform adapter, without comments. It is
+	// empty if the file has none.
 	Platform []byte
-	// LogLevel is the least level that is logged: debug, info, warn or error.
+	// LogLevel is the minimum level of logged events: debug, info, warn or error.
 	LogLevel string
 }
 
-// Listen holds the addresses, IP:port, that the process listens on.
+// Listen holds the addresses (IP:port) that the process listens on.
 type Listen struct {
-	// Control is for entries and other replicas; control only.
+	// Control is the address for entries and other replicas. Only control replicas
+	// listen on it.
 	Control string
-	// Callers, Backends and Operators are the services of an entry.
+	// Callers, Backends and Operators are the addresses of the services of an entry.
 	Callers   string
 	Backends  string
 	Operators string
-	// Platform serves /healthz, /readyz and /metrics.
+	// Platform is the address that serves /healthz, /readyz and /metrics.
 	Platform string
 }
 
-// ControlReplica is one control replica.
+// ControlReplica is the name and address of one control replica.
 type ControlReplica struct {
 	Name string
-	// Address is IP:port of its Listen.Control.
+	// Address is the IP:port that the replica listens on for Listen.Control.
 	Address string
 }
 
-// TLS holds the two sides of a process.
+// TLS holds the TLS configuration of the external and internal connections of a
+// process.
 type TLS struct {
-	// Outside is towards callers, backend servers, operators and the platform.
+	// Outside applies to connections with callers, backend servers, operators and the
+	// platform.
 	Outside TLSConfig
-	// Inside is between the processes of the cell; both ends show a certificate.
+	// Inside applies to connections between processes of the cell. Both peers present a
+	// certificate.
 	Inside TLSConfig
 }
 
-// TLSConfig says how connections of one side are secured.
+// TLSConfig selects how the connections of one side are secured.
 type TLSConfig struct {
-	// Plain turns TLS off; nothing else does.
+	// Plain disables TLS. Missing files do not disable it.
 	Plain bool
-	// Certificate, Key and Authority are PEM files. With an authority a
-	// client must show a certificate that it signed.
+	// Certificate, Key and Authority are paths of PEM files. If Authority is set,
+	// clients must present a certificate that it signed.
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// Time holds intervals and delays.
+// Time holds intervals, delays and timeouts.
 type Time struct {
-	// LeaseDuration is how long a backend server may run work unheard.
+	// LeaseDuration is how long a backend server may run work without contact with the
+	// cell.
 	LeaseDuration time.Duration
-	// HeartbeatInterval is the interval between a leader's heartbeats.
+	// HeartbeatInterval is the interval between the leader's heartbeats.
 	HeartbeatInterval time.Duration
-	// ElectionTimeout is the least silence of a leader that starts an election, Patience the
-	// longest that it grows to.
+	// ElectionTimeout is the shortest time without a heartbeat after which a follower
+	// starts an election. The timeout grows up to MaxElectionTimeout.
 	ElectionTimeout    time.Duration
 	MaxElectionTimeout time.Duration
-	// OutcomeRetention is how long an outcome is kept that nobody acknowledged.
+	// OutcomeRetention is how long an outcome is kept without an acknowledgement.
 	OutcomeRetention time.Duration
-	// MaxPoll is the longest long poll.
+	// MaxPoll is the maximum duration of a long poll.
 	MaxPoll time.Duration
-	// CallTimeout is the deadline of an entry's call to a control replica, beyond a poll.
+	// CallTimeout is the timeout of an entry's call to a control replica, in addition to
+	// the duration of a long poll.
 	CallTimeout time.Duration
-	// MaxLeaderSilence is the age of the last contact with the leader past which an entry refuses.
+	// MaxLeaderSilence is the maximum time since the last contact with the leader. After
+	// it an entry refuses all requests.
 	MaxLeaderSilence time.Duration
-	// DrainDelay is how long a stopping entry serves on after it fails its readiness.
+	// DrainDelay is how long an entry that shuts down still serves requests after its
+	// readiness check fails.
 	DrainDelay time.Duration
-	// FinishTimeout is the longest wait for requests in flight at a planned stop.
+	// FinishTimeout is the longest wait for requests in flight during a graceful
+	// shutdown.
 	FinishTimeout time.Duration
-	// ReloadInterval is the interval at which the TLS files are looked at.
+	// ReloadInterval is the interval between two checks of the TLS files.
 	ReloadInterval time.Duration
 }
 
-// Limits bounds sizes and queues.
+// Limits holds limits on sizes and queues.
 type Limits struct {
-	// BatchItems is the most items in one message to the leader.
+	// BatchItems is the maximum number of items in one message to the leader.
 	BatchItems int64
-	// QueuedRequests is the most requests that wait at an entry.
+	// QueuedRequests is the maximum number of requests that wait at an entry.
 	QueuedRequests int64
-	// Connections is the most open connections of a listener.
+	// Connections is the maximum number of open connections of a listener.
 	Connections int64
-	// SnapshotEntries is the number of entries between two snapshots.
+	// SnapshotEntries is the number of journal entries between two snapshots.
 	SnapshotEntries int64
-	// DumpBytes is the largest state dump in bytes.
+	// DumpBytes is the maximum size of a state dump.
 	DumpBytes int64
-	// MemoryMiB, Disk and Files are what the instance gives: MiB of memory, MiB on
-	// the data folder's disk, open files. 0 is not known.
+	// MemoryMiB is the memory of the instance, DiskMiB the size of the disk with the data
+	// folder, and OpenFiles the maximum number of open files. 0 means unknown.
 	MemoryMiB int64
 	DiskMiB   int64
 	OpenFiles int64
 }
 
-// maxFileBytes bounds a settings file in bytes, and with it the parser's recursion.
+// maxFileBytes limits the size of a settings file, and thereby the recursion depth of
+// the parser.
 const maxFileBytes = 256 << 10
 
-// Load reads and checks a file. The error is Faults unless the file can't be
-// read. Relative paths in it are taken from its folder.
+// Load reads and checks a settings file. All errors are of type Faults. Relative
+// paths in the file are relative to its folder.
 func Load(path string) (*Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -151,8 +163,8 @@
 	return s, nil
 }
 
-// Default returns settings of a role that run as they are: on loopback, alone
-// and, as TLS needs files, in plain text.
+// Default returns the settings of a role for a cell with one control replica on
+// loopback addresses. TLS is disabled, because it needs files.
 func Default(role Role) *Settings {
 	s := &Settings{Role: role}
 	setDefaults(s, func(string) bool { return false })
@@ -160,7 +172,7 @@
 	return s
 }
 
-// FindReplica returns the replica of that name.
+// FindReplica returns the control replica with the given name.
 func (s *Settings) FindReplica(name string) (ControlReplica, bool) {
 	for _, replica := range s.ControlReplicas {
 		if replica.Name == name {
@@ -170,6 +182,7 @@
 	return ControlReplica{}, false
 }
 
+// resolvePaths makes relative paths relative to dir.
 func (s *Settings) resolvePaths(dir string) {
 	for _, path := range []*string{
 		&s.DataDir,
--- a/internal/base/settings/settings_test.go
+++ b/internal/base/settings/settings_test.go
@@ -15,16 +15,17 @@
 	"gypsumreel/internal/base/settings"
 )
 
-const open = `"tls": {"outside": {"plain": true}, "inside": {"plain": true}}`
+// tlsDisabled is the shortest TLS configuration.
+const tlsDisabled = `"tls": {"outside": {"plain": true}, "inside": {"plain": true}}`
 
-func TestShortestFileIsTheDefault(t *testing.T) {
+func TestMinimalFileEqualsTheDefaults(t *testing.T) {
 	for _, role := range []settings.Role{settings.RoleControl, settings.RoleEntry} {
-		got, err := settings.Parse("f", []byte(`{"role": "`+string(role)+`", `+open+`}`))
+		got, err := settings.Parse("f", []byte(`{"role": "`+string(role)+`", `+tlsDisabled+`}`))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(settings.Default(role), got); diff != "" {
-			t.Errorf("%s: default and shortest file differ:\n%s", role, diff)
+			t.Errorf("role %s: the minimal file differs from the defaults:\n%s", role, diff)
 		}
 	}
 }
@@ -32,7 +33,7 @@
 func TestFileOverridesDefaults(t *testing.T) {
 	got, err := settings.Parse("f", []byte(`// a comment
 {"role": "control", "name": "c-2", "data": "d", "control": [{"name": "c-2", "address": "10.0.0.1:7"}], // another
- "time": {"lease": "20s"}, "limits": {"snapshot": 70,}, `+open+`}`))
+ "time": {"lease": "20s"}, "limits": {"snapshot": 70,}, `+tlsDisabled+`}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,10 +46,9 @@
 	}
 }
 
-// An operator edits a file on a busy night and makes several slips at once. One
-// report a run would mean one failed start for each slip, so all are reported,
-// each where it stands.
-func TestEveryFaultIsReportedInItsPlace(t *testing.T) {
+// Guards against reporting only the first of several faults, which would cost the
+// operator one failed start per fault, and against wrong positions.
+func TestEveryFaultIsReportedWithItsPosition(t *testing.T) {
 	_, err := settings.Parse("f.json", []byte(`{
   "name": "Upper",
   "rolle": "entry",
@@ -64,18 +64,18 @@
 	if !errors.As(err, &faults) {
 		t.Fatalf("got %v", err)
 	}
-	type place struct {
+	type position struct {
 		Line, Column int
 		Setting      string
 	}
-	var got []place
+	var got []position
 	for _, f := range faults {
-		got = append(got, place{f.Line, f.Column, f.Setting})
+		got = append(got, position{f.Line, f.Column, f.Setting})
 		if !strings.Contains(f.Text, "allowed: ") {
-			t.Errorf("%s: does not say what is allowed", f)
+			t.Errorf("fault %q does not list the allowed values", f)
 		}
 	}
-	want := []place{
+	want := []position{
 		{1, 1, "tls.inside.plain"},
 		{2, 11, "name"},
 		{3, 3, "rolle"},
@@ -83,8 +83,8 @@
 		{4, 29, "time.lease"},
 		{4, 52, "time.poll"},
 		{5, 26, "limits.snapshot"},
-		{5, 40, "limits.batch"}, // out of bounds
-		{5, 40, "limits.batch"}, // of the other role
+		{5, 40, "limits.batch"}, // out of range
+		{5, 40, "limits.batch"}, // not a setting of this role
 		{6, 15, "control[0]"},
 		{6, 29, "control[0].port"},
 		{7, 16, "enrolment"},
@@ -98,16 +98,16 @@
 	}
 }
 
-func TestFaultsBetweenSettings(t *testing.T) {
+func TestFaultMessagesStartWithPositionAndSetting(t *testing.T) {
 	for text, want := range map[string]string{
-		`{"role": "entry", "data": "d", ` + open + `}`:                                                                           "f:1:27: data: not a setting of role entry",
-		`{"time": {"election": "300ms"}, ` + open + `}`:                                                                          "f:1:23: time.election: 300ms; allowed: at least 4 times",
-		`{"time": {"lease": "1s"}, ` + open + `}`:                                                                                "f:1:20: time.lease: 1s; allowed: at least twice",
-		`{"control": [{"name": "x", "address": "10.0.0.1:1"}], ` + open + `}`:                                                    "f:1:13: control: does not list this replica",
-		`{"role": "entry", "control": [{"name": "x", "address": "host:1"}], ` + open + `}`:                                       "f:1:56: control[0].address: not allowed",
-		`{"tls": {"outside": {"plain": true}, "inside": {"certificate": "c", "key": "k"}}}`:                                      "f:1:1: tls.inside.plain: not secured",
-		`{"role": "entry", "control": [{"name": "x", "address": "[::1]:1"}, {"name": "x", "address": "[::1]:1"}], ` + open + `}`: "f:1:30: control: name x stands twice",
-		`{"role": "entry", "enrolment": ["e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"], ` + open + `}`:     "f:1:33: enrolment[0]: not allowed",
+		`{"role": "entry", "data": "d", ` + tlsDisabled + `}`:                                                                           "f:1:27: data: not a setting of role entry",
+		`{"time": {"election": "300ms"}, ` + tlsDisabled + `}`:                                                                          "f:1:23: time.election: 300ms; allowed: at least 4 times",
+		`{"time": {"lease": "1s"}, ` + tlsDisabled + `}`:                                                                                "f:1:20: time.lease: 1s; allowed: at least twice",
+		`{"control": [{"name": "x", "address": "10.0.0.1:1"}], ` + tlsDisabled + `}`:                                                    "f:1:13: control: does not list this replica",
+		`{"role": "entry", "control": [{"name": "x", "address": "host:1"}], ` + tlsDisabled + `}`:                                       "f:1:56: control[0].address: invalid value",
+		`{"tls": {"outside": {"plain": true}, "inside": {"certificate": "c", "key": "k"}}}`:                                             "f:1:1: tls.inside.plain: not secured",
+		`{"role": "entry", "control": [{"name": "x", "address": "[::1]:1"}, {"name": "x", "address": "[::1]:1"}], ` + tlsDisabled + `}`: "f:1:30: control: name x is listed twice",
+		`{"role": "entry", "enrolment": ["e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"], ` + tlsDisabled + `}`:     "f:1:33: enrolment[0]: invalid value",
 		`{"cell": }`: "f:1:10: JSON with comments is expected",
 		``:           "f:1:1: JSON with comments is expected",
 		`[]`:         "f:1:1: an object is expected",
@@ -119,24 +119,23 @@
 	}
 }
 
-// Someone gives the daemon a large data file for its settings: 40,000 unknown
-// keys on one line. Finding the place of each took 12 seconds in all, on a
-// machine of today, before the first word was printed.
-func TestFaultsShownAreBounded(t *testing.T) {
+// Guards against a slow start with a large file that is not a settings file. Finding the
+// positions of 40,000 unknown keys on one line took 12 seconds in total.
+func TestNumberOfReportedFaultsIsLimited(t *testing.T) {
 	const n = 40_000
-	_, err := settings.Parse("f", []byte("{"+strings.Repeat(`"a":1,`, n)+open+"}"))
+	_, err := settings.Parse("f", []byte("{"+strings.Repeat(`"a":1,`, n)+tlsDisabled+"}"))
 	var faults settings.Faults
 	if !errors.As(err, &faults) || len(faults) != settings.MaxReportedFaults+1 {
-		t.Fatalf("%d faults", len(faults))
+		t.Fatalf("got %d faults, want %d", len(faults), settings.MaxReportedFaults+1)
 	}
 	if got, want := faults[settings.MaxReportedFaults].String(), "f: 39900 more faults are not shown"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
 
-func TestLoadResolvesPathsFromTheFile(t *testing.T) {
+func TestRelativePathsAreResolvedFromTheFolderOfTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.json")
-	if err := os.WriteFile(path, []byte(`{`+open+`}`), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(`{`+tlsDisabled+`}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s, err := settings.Load(path)
@@ -144,10 +143,10 @@
 		t.Fatal(err)
 	}
 	if want := filepath.Join(filepath.Dir(path), settings.DefaultDataDir); s.DataDir != want {
-		t.Errorf("data is %s, want %s", s.DataDir, want)
+		t.Errorf("data folder is %s, want %s", s.DataDir, want)
 	}
 	if _, err := settings.Load(path + "x"); err == nil {
-		t.Error("a missing file was read")
+		t.Error("Load returned no error for a missing file")
 	}
 }
 
@@ -155,23 +154,23 @@
 	page.CheckGenerated(t, "../../../docs/SETTINGS.md", settings.Markdown())
 }
 
-// A setting that is read and checked but used by nothing is worse than none: an
-// operator changes it on a bad night and nothing happens.
-func TestEverySettingIsInForce(t *testing.T) {
-	var verbs []byte
+// Guards against a setting that is parsed and checked but has no effect because no
+// daemon uses it.
+func TestEverySettingIsUsedByADaemon(t *testing.T) {
+	var sources []byte
 	for _, name := range []string{"control", "entry"} {
 		b, err := os.ReadFile("../../cli/" + name + "/" + name + ".go")
 		if err != nil {
 			t.Fatal(err)
 		}
-		verbs = append(verbs, b...)
+		sources = append(sources, b...)
 	}
 	s := reflect.TypeFor[settings.Settings]()
 	for _, group := range []string{"Listen", "Time", "Limits"} {
 		f, _ := s.FieldByName(group)
 		for i := range f.Type.NumField() {
-			if use := "s." + group + "." + f.Type.Field(i).Name; !strings.Contains(string(verbs), use) {
-				t.Errorf("%s is used by no daemon", use)
+			if use := "s." + group + "." + f.Type.Field(i).Name; !strings.Contains(string(sources), use) {
+				t.Errorf("no daemon uses %s", use)
 			}
 		}
 	}
@@ -194,11 +193,11 @@
 		var faults settings.Faults
 		switch {
 		case err == nil && s == nil:
-			t.Fatal("neither settings nor faults")
+			t.Fatal("Parse returned neither settings nor an error")
 		case err != nil && (!errors.As(err, &faults) || len(faults) == 0):
-			t.Fatalf("not a list of faults: %v", err)
+			t.Fatalf("the error is not a list of faults: %v", err)
 		case err == nil && (s.Time.LeaseDuration <= 0 || len(s.ControlReplicas) == 0):
-			t.Fatalf("accepted settings that can't run: %+v", s)
+			t.Fatalf("Parse accepted settings without a lease duration or control replicas: %+v", s)
 		}
 	})
 }
