--- a/internal/base/event/catalogue.go
+++ b/internal/base/event/catalogue.go
@@ -55,7 +55,7 @@
 
 // Events of the keys and the table.
 var (
-	Audit            = define(400, "audit", Info, "change by an operator", "None. This is the audit record of an operator's change, with its time and key.")
+	Audit            = define(400, "audit", Info, "change by an operator", "None. This record tells who changed what, when and with which key.")
 	AuditRefused     = define(401, "audit-refused", Warn, "change by an operator refused", "None. The reply to the operator gives the reason.")
 	KeyGranted       = define(402, "key-granted", Info, "key granted", "None.")
 	KeyWithdrawn     = define(403, "key-withdrawn", Info, "key withdrawn", "None.")
@@ -90,7 +90,7 @@
 // Events of jobs, tasks and attempts.
 var (
 	AttemptLost     = define(600, "attempt-lost", Warn, "an attempt was lost with its backend server", "None. Tasks that may be repeated run again.")
-	OutcomeUnknown  = define(601, "outcome-unknown", Warn, "the outcome of a task that must not be repeated is unknown", "Tell the team; it has to determine whether the task ran.")
+	OutcomeUnknown  = define(601, "outcome-unknown", Warn, "the outcome of a task that must not be repeated is unknown", "Tell the team. Only the team can find out whether the task ran.")
 	JobParked       = define(602, "job-parked", Warn, "a job failed on several healthy servers and is not retried", "Tell the team.")
 	JobNeverFits    = define(603, "job-never-fits", Info, "a job was refused because no server or limit can ever hold it", "None. The reply to the caller gives the reason.")
 	Preempted       = define(604, "preempted", Info, "tasks preempted to free capacity", "None. If very frequent: raise the share of the team or add servers.")
@@ -124,21 +124,21 @@
 var (
 	DispatchBegun   = define(800, "dispatch-begun", Info, "this replica started to dispatch flows", "None.")
 	FlowAccepted    = define(801, "flow-accepted", Info, "flow accepted", "None.")
-	FlowRefused     = define(802, "flow-refused", Warn, "flow refused as not run", "See the code. Many at once: the cell has no free capacity.")
+	FlowRefused     = define(802, "flow-refused", Warn, "flow refused as not run", "See the code. Many at once: the cell has reached a limit.")
 	FlowCancelled   = define(803, "flow-cancelled", Info, "flow cancelled by its caller", "None.")
 	TurnBegun       = define(804, "turn-begun", Info, "turn of a flow started", "None. If much too late: check which replica was the leader at that time.")
 	RunsPlaced      = define(805, "runs-placed", Info, "runs of a step ordered to start", "None.")
 	RunEnded        = define(806, "run-ended", Info, "run ended", "None. If runs fail on one server only: check that server.")
 	StartRefused    = define(807, "start-refused", Warn, "a start order was refused or not answered", "None. Many on one server: check that server.")
 	RunStray        = define(808, "run-stray", Warn, "a server still runs a task that was abandoned; the run is stopped", "None. If frequent: the network delays orders.")
-	AdviceTaken     = define(809, "advice-taken", Info, "advice received on the servers that may run a step", "None.")
+	AdviceTaken     = define(809, "advice-taken", Info, "advice received; it names the servers that may run a step", "None.")
 	AdviceFailed    = define(810, "advice-failed", Warn, "a request to the adviser failed; it is retried", "If frequent: check the adviser and the network path to it.")
 	DocumentTaken   = define(811, "document-taken", Info, "configuration document accepted", "None.")
 	DocumentRefused = define(812, "document-refused", Warn, "invalid configuration document refused", "Correct the errors named and send the document again.")
 	DecisionRefused = define(813, "decision-refused", Error, "the replicated state rejected a decision; nothing was changed", "None at first. If frequent: keep the logs and report the error.")
 	MemberChange    = define(814, "member-change", Info, "membership change of the control group started", "None.")
 	CallUnanswered  = define(815, "call-unanswered", Warn, "the leader did not answer a caller's request in time", "See the events of the control group at that time.")
-	RunMoved        = define(817, "run-moved", Info, "a run makes no or too slow progress; it is stopped and placed on another server", "Many on one server: check that server.")
+	RunMoved        = define(817, "run-moved", Info, "a run makes too little or no progress; it is stopped and placed on another server", "Many on one server: check that server.")
 	CallAnswered    = define(818, "call-answered", Info, "a caller's request answered", "None.")
 	RunPaced        = define(819, "run-paced", Debug, "the rate of a run that fills a server was set", "None.")
 	WaveTaken       = define(820, "wave-taken", Info, "maintenance wave accepted", "None.")
--- a/internal/base/event/event.go
+++ b/internal/base/event/event.go
@@ -72,7 +72,7 @@
 		logger.Info(d.Text, fields...)
 	case Warn:
 		// logr has no warning level. Its slog bridge has one.
-		warn(logger, d.Text, fields)
+		logWarning(logger, d.Text, fields)
 	case Error:
 		logger.Error(nil, d.Text, fields...)
 	}
@@ -88,8 +88,8 @@
 	Log(logger, d, append([]any{"err", err}, kv...)...)
 }
 
-// warn logs with slog's warning level if the logger is backed by slog.
-func warn(logger logr.Logger, text string, kv []any) {
+// logWarning logs with slog's warning level if the logger is backed by slog.
+func logWarning(logger logr.Logger, text string, kv []any) {
 	slog.New(logr.ToSlogHandler(logger)).Warn(text, kv...)
 }
 
--- a/internal/base/secure/secure.go
+++ b/internal/base/secure/secure.go
@@ -78,12 +78,12 @@
 	if err != nil {
 		return err
 	}
-	m, err := parse(raw)
+	c, err := parse(raw)
 	if err != nil {
 		return err
 	}
-	s.current.Store(m)
-	event.Log(s.Log, event.TLSLoaded, "certificate", s.Files.Certificate, "ends", m.expiresAt)
+	s.current.Store(c)
+	event.Log(s.Log, event.TLSLoaded, "certificate", s.Files.Certificate, "ends", c.expiresAt)
 	return nil
 }
 
@@ -123,14 +123,14 @@
 		s.rejected = [3][]byte{}
 		return
 	}
-	m, err := parse(raw)
+	c, err := parse(raw)
 	if err != nil {
 		s.reject(raw, err)
 		return
 	}
-	s.current.Store(m)
+	s.current.Store(c)
 	s.rejected = [3][]byte{}
-	event.Log(s.Log, event.TLSReloaded, "certificate", s.Files.Certificate, "ends", m.expiresAt)
+	event.Log(s.Log, event.TLSReloaded, "certificate", s.Files.Certificate, "ends", c.expiresAt)
 }
 
 // reject logs why the files are invalid, once for each different content.
@@ -146,12 +146,12 @@
 }
 
 // warnExpiry logs a warning if the certificate expires soon.
-func (s *CertificateStore) warnExpiry(now time.Time, m *credentials) {
-	if m.expiresAt.Sub(now) > ExpiryWarning || now.Sub(s.warnedAt) < expiryWarningInterval {
+func (s *CertificateStore) warnExpiry(now time.Time, c *credentials) {
+	if c.expiresAt.Sub(now) > ExpiryWarning || now.Sub(s.warnedAt) < expiryWarningInterval {
 		return
 	}
 	s.warnedAt = now
-	event.Log(s.Log, event.TLSExpiring, "certificate", s.Files.Certificate, "ends", m.expiresAt)
+	event.Log(s.Log, event.TLSExpiring, "certificate", s.Files.Certificate, "ends", c.expiresAt)
 }
 
 // read returns the contents of the files and all errors of reading them.
@@ -182,18 +182,18 @@
 
 // parse returns the credentials in the contents of the files.
 func parse(raw [3][]byte) (*credentials, error) {
-	m := &credentials{files: raw}
+	c := &credentials{files: raw}
 	certificate, err := tls.X509KeyPair(raw[0], raw[1])
 	if err != nil {
 		return nil, errors.Wrap(err, "cannot use the certificate with the key")
 	}
-	m.certificate, m.expiresAt = certificate, certificate.Leaf.NotAfter
+	c.certificate, c.expiresAt = certificate, certificate.Leaf.NotAfter
 	if raw[2] == nil {
-		return m, nil
+		return c, nil
 	}
-	m.authorities = x509.NewCertPool()
-	if !m.authorities.AppendCertsFromPEM(raw[2]) {
+	c.authorities = x509.NewCertPool()
+	if !c.authorities.AppendCertsFromPEM(raw[2]) {
 		return nil, errors.New("the authority file contains no certificate in PEM format")
 	}
-	return m, nil
+	return c, nil
 }
--- a/internal/base/settings/keys.go
+++ b/internal/base/settings/keys.go
@@ -41,12 +41,12 @@
 
 // The default addresses to listen on.
 const (
-	defaultControl         = "127.0.0.1:7400"
-	defaultCallers         = "127.0.0.1:7401"
-	defaultBackends        = "127.0.0.1:7402"
-	defaultOperators       = "127.0.0.1:7403"
-	defaultEntryPlatform   = "127.0.0.1:7404"
-	defaultControlPlatform = "127.0.0.1:7405"
+	defaultControlAddress         = "127.0.0.1:7400"
+	defaultCallersAddress         = "127.0.0.1:7401"
+	defaultBackendsAddress        = "127.0.0.1:7402"
+	defaultOperatorsAddress       = "127.0.0.1:7403"
+	defaultEntryPlatformAddress   = "127.0.0.1:7404"
+	defaultControlPlatformAddress = "127.0.0.1:7405"
 )
 
 // Key describes one setting.
@@ -89,27 +89,27 @@
 	},
 	textKey("data", RoleControl, allowedPath, DefaultDataDir, isPath, "Folder of the journal and the snapshots; created if missing. Relative paths are relative to the folder of the settings file.", func(s *Settings) *string { return &s.DataDir }),
 
-	textKey("listen.control", RoleControl, allowedListen, defaultControl, isListen, "Address for entries and other control replicas.", func(s *Settings) *string { return &s.Listen.Control }),
-	textKey("listen.callers", RoleEntry, allowedListen, defaultCallers, isListen, "Address for callers; the target of the load balancer.", func(s *Settings) *string { return &s.Listen.Callers }),
-	textKey("listen.backends", RoleEntry, allowedListen, defaultBackends, isListen, "Address for backend servers.", func(s *Settings) *string { return &s.Listen.Backends }),
-	textKey("listen.operators", RoleEntry, allowedListen, defaultOperators, isListen, "Address for operators.", func(s *Settings) *string { return &s.Listen.Operators }),
+	textKey("listen.control", RoleControl, allowedListen, defaultControlAddress, isListenAddress, "Address for entries and other control replicas.", func(s *Settings) *string { return &s.Listen.Control }),
+	textKey("listen.callers", RoleEntry, allowedListen, defaultCallersAddress, isListenAddress, "Address for callers; the target of the load balancer.", func(s *Settings) *string { return &s.Listen.Callers }),
+	textKey("listen.backends", RoleEntry, allowedListen, defaultBackendsAddress, isListenAddress, "Address for backend servers.", func(s *Settings) *string { return &s.Listen.Backends }),
+	textKey("listen.operators", RoleEntry, allowedListen, defaultOperatorsAddress, isListenAddress, "Address for operators.", func(s *Settings) *string { return &s.Listen.Operators }),
 	{
-		Path: "listen.platform", Allowed: allowedListen, Default: defaultEntryPlatform + " for an entry, " + defaultControlPlatform + " for control",
+		Path: "listen.platform", Allowed: allowedListen, Default: defaultEntryPlatformAddress + " for an entry, " + defaultControlPlatformAddress + " for control",
 		Help:  "Address that serves /healthz, /readyz and /metrics.",
-		parse: parseText(allowedListen, isListen, func(s *Settings) *string { return &s.Listen.Platform }),
+		parse: parseText(allowedListen, isListenAddress, func(s *Settings) *string { return &s.Listen.Platform }),
 		setDefault: func(s *Settings) {
-			s.Listen.Platform = defaultEntryPlatform
+			s.Listen.Platform = defaultEntryPlatformAddress
 			if s.Role == RoleControl {
-				s.Listen.Platform = defaultControlPlatform
+				s.Listen.Platform = defaultControlPlatformAddress
 			}
 		},
 	},
 	{
-		Path: "control", Allowed: allowedReplicas, Default: "one replica: this one, or control-1 at " + defaultControl + " for an entry",
+		Path: "control", Allowed: allowedReplicas, Default: "one replica: this one, or control-1 at " + defaultControlAddress + " for an entry",
 		Help:  "The control replicas. They form the control group at its first start. Later starts use the list to find the leader.",
 		parse: parseReplicas,
 		setDefault: func(s *Settings) {
-			s.ControlReplicas = []ControlReplica{{Name: string(RoleControl) + "-1", Address: defaultControl}}
+			s.ControlReplicas = []ControlReplica{{Name: string(RoleControl) + "-1", Address: defaultControlAddress}}
 			if s.Role == RoleControl {
 				s.ControlReplicas = []ControlReplica{{Name: s.Name, Address: s.Listen.Control}}
 			}
--- a/internal/base/settings/kind.go
+++ b/internal/base/settings/kind.go
@@ -35,8 +35,8 @@
 
 func isPath(t string) bool { return t != "" && !strings.ContainsRune(t, 0) }
 
-// isListen accepts an address to listen on. Port 0 is allowed.
-func isListen(t string) bool {
+// isListenAddress accepts an address to listen on. Port 0 is allowed.
+func isListenAddress(t string) bool {
 	_, err := netip.ParseAddrPort(t)
 	return err == nil
 }
