--- a/internal/cli/control/control.go
+++ b/internal/cli/control/control.go
@@ -84,11 +84,11 @@
 			n.Address = p.Address
 		}
 	}
-	n.Control.Terms.Length = s.Time.LeaseDuration
+	n.Control.LeaseTerms.Length = s.Time.LeaseDuration
 	n.Control.Retention = s.Time.OutcomeRetention
 	n.Control.Zones = s.Zones
-	n.Control.Patience = s.Time.MaxPoll
-	n.Control.Snapshot = uint64(s.Limits.SnapshotEntries)
+	n.Control.MaxPollWait = s.Time.MaxPoll
+	n.Control.SnapshotInterval = uint64(s.Limits.SnapshotEntries)
 	if s.OperatorDigest != "" {
 		digest, err := hex.DecodeString(s.OperatorDigest)
 		if err != nil {
--- a/internal/control/dispatch/advice.go
+++ b/internal/control/dispatch/advice.go
@@ -87,7 +87,7 @@
 // askAbout asks what is wanted of a step; false when no helper is free for it.
 func (d *Dispatcher) askAbout(w steps.Question, shortest time.Duration, none *busy, now time.Duration) bool {
 	q, ok := d.Host.Flows().QueueOf(w.Item.Flow)
-	if !ok || q.GetAdvice() == nil || w.Item.Flow.Final() || w.Item.Queued == 0 {
+	if !ok || q.GetAdvice() == nil || w.Item.Flow.Final() || w.Item.QueuedTasks == 0 {
 		return true
 	}
 	a := d.lead.advice[w.Item.StepID]
@@ -207,16 +207,16 @@
 	if !ok || asked == 0 {
 		return
 	}
-	old, known := d.lead.shares[f.Queue]
+	old, known := d.lead.shares[f.QueueName]
 	if !known {
 		old = usualShare
 	}
-	d.lead.shares[f.Queue] = old + shareWeight*(float64(permits)/float64(asked)-old)
+	d.lead.shares[f.QueueName] = old + shareWeight*(float64(permits)/float64(asked)-old)
 }
 
 // granted returns the part of the servers asked about that usually may run a step.
 func (d *Dispatcher) granted(it steps.Item) float64 {
-	if share, ok := d.lead.shares[it.Flow.Queue]; ok {
+	if share, ok := d.lead.shares[it.Flow.QueueName]; ok {
 		return share
 	}
 	return usualShare
--- a/internal/control/dispatch/ask.go
+++ b/internal/control/dispatch/ask.go
@@ -98,7 +98,7 @@
 	}
 	// A refusal tells of the document; it must not tell of one that is not
 	// committed yet, and may never be.
-	refuse := func(err *code.Error) { d.Host.After(func() { reply(refusal(err, 0)) }) }
+	refuse := func(err *code.Error) { d.Host.AfterCommit(func() { reply(refusal(err, 0)) }) }
 	q, id, ok := config.At(a.GetHost(), a.GetPath())
 	if !ok {
 		refuse(code.New(code.Forbidden, "no queue at %s%s", a.GetHost(), a.GetPath()))
@@ -124,7 +124,7 @@
 	case inner.FlowVerb_FLOW_VERB_STATE:
 		d.state(id, owner, received, reply)
 	case inner.FlowVerb_FLOW_VERB_PENDING:
-		d.Host.After(func() { reply(&inner.FlowAnswer{Pending: uint32(d.Host.Flows().Pending(q.GetName()))}) })
+		d.Host.AfterCommit(func() { reply(&inner.FlowAnswer{Pending: uint32(d.Host.Flows().PendingFlows(q.GetName()))}) })
 	default:
 		reply(refusal(code.New(code.Malformed, "no such call"), 0))
 	}
@@ -140,12 +140,12 @@
 			reply(refusal(code.New(code.IDReused, "%s", id), 0))
 			return
 		}
-		d.Host.After(func() { reply(stateOf(f)) })
+		d.Host.AfterCommit(func() { reply(stateOf(f)) })
 		return
 	}
 	if err, retry := d.admit(a, q); err != nil {
 		d.meter.refused(err.Code)
-		event.LogError(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", owner, "open", ledger.Open(), "retry", retry.String())
+		event.LogError(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", owner, "open", ledger.OpenFlows(), "retry", retry.String())
 		reply(refusal(err, retry))
 		return
 	}
@@ -159,7 +159,7 @@
 	}
 	d.share(owner, id)
 	begin := d.Now()
-	d.Host.After(func() {
+	d.Host.AfterCommit(func() {
 		d.meter.accepted.Inc()
 		d.meter.commit.Update((d.Now() - begin).Seconds())
 		event.Log(d.Log, event.FlowAccepted, "flow", id, "queue", q.GetName(), "customer", owner, "version", ledger.Config().GetVersion(), "steps", len(a.GetSpec().GetSteps()), "aim", steps.Objective(a.GetSpec(), q).String(), "term", d.lead.term)
@@ -172,11 +172,11 @@
 	if err := flow.Check(a.GetSpec()); err != nil {
 		return err, 0
 	}
-	if d.Host.Full() {
+	if d.Host.DiskFull() {
 		return code.New(code.DiskFull, ""), comeBack
 	}
-	if d.Host.Flows().Open() >= d.Open {
-		return code.New(code.Overloaded, "%d flows wait or run", d.Open), comeBack
+	if d.Host.Flows().OpenFlows() >= d.MaxOpenFlows {
+		return code.New(code.Overloaded, "%d flows wait or run", d.MaxOpenFlows), comeBack
 	}
 	if d.closed(q.GetPool()) {
 		return code.New(code.Overloaded, "every zone of pool %s is drained", q.GetPool()), comeBack
@@ -192,7 +192,7 @@
 func (d *Dispatcher) state(id, owner string, received time.Duration, reply func(*inner.FlowAnswer)) {
 	d.find(id, owner, received, reply, func(f *flows.Flow) {
 		said := stateOf(f)
-		d.Host.After(func() { reply(said) })
+		d.Host.AfterCommit(func() { reply(said) })
 	})
 }
 
@@ -202,7 +202,7 @@
 		fn(f)
 		return
 	}
-	d.Host.Proved(received, func() {
+	d.Host.AfterLeadershipProof(received, func() {
 		if f, ok := d.Host.Flows().Flow(id); ok && f.Customer == owner {
 			fn(f)
 			return
@@ -216,10 +216,10 @@
 func (d *Dispatcher) cancel(id, owner string, received time.Duration, reply func(*inner.FlowAnswer)) {
 	d.find(id, owner, received, reply, func(f *flows.Flow) {
 		if !f.Final() {
-			event.Log(d.Log, event.FlowCancelled, "flow", id, "held", f.Held, "term", d.lead.term)
+			event.Log(d.Log, event.FlowCancelled, "flow", id, "held", f.HeldRuns, "term", d.lead.term)
 			d.decide(&record.Flow{What: &record.Flow_Cancel{Cancel: &record.FlowCancel{Id: id}}})
 		}
-		d.Host.After(func() { reply(stateOf(f)) })
+		d.Host.AfterCommit(func() { reply(stateOf(f)) })
 	})
 }
 
@@ -237,7 +237,7 @@
 			d.decide(&record.Flow{What: &record.Flow_Document{Document: doc}})
 		}
 		event.Log(d.Log, event.DocumentTaken, "version", doc.GetVersion(), "held", held, "bytes", len(doc.GetText()), "term", d.lead.term)
-		d.Host.After(func() { d.Host.Proved(received, func() { reply(struct{}{}) }) })
+		d.Host.AfterCommit(func() { d.Host.AfterLeadershipProof(received, func() { reply(struct{}{}) }) })
 	})
 	return err
 }
@@ -246,8 +246,8 @@
 func (d *Dispatcher) Read(ctx context.Context) ([]byte, *code.Error) {
 	received := d.Now()
 	text, err := ask(ctx, d, errNotLeading, func(reply func([]byte)) {
-		d.Host.Proved(received, func() {
-			d.Host.After(func() { reply(d.Host.Flows().Config().GetText()) })
+		d.Host.AfterLeadershipProof(received, func() {
+			d.Host.AfterCommit(func() { reply(d.Host.Flows().Config().GetText()) })
 		})
 	})
 	if err == nil && text == nil {
--- a/internal/control/dispatch/capacity_test.go
+++ b/internal/control/dispatch/capacity_test.go
@@ -17,7 +17,7 @@
 	w.t.Helper()
 	err := w.d.Report(w.t.Context(), dispatch.Report{FlowServer: &record.FlowServer{
 		Id: id, Born: 1, Address: id, Zone: zoneOf(id), Pool: "pool", Machine: "m-" + id, Capacity: &v1.Size{Cpu: cpu, Memory: w.capacity.Memory},
-	}, Call: call})
+	}, Number: call})
 	if err != nil {
 		w.t.Fatal(err)
 	}
--- a/internal/control/dispatch/crash.go
+++ b/internal/control/dispatch/crash.go
@@ -14,7 +14,7 @@
 // task returns what the ledger has of the task of a run, if that is its latest.
 func (d *Dispatcher) task(r *run) (flows.Task, bool) {
 	step, ok := d.Host.Flows().Step(r.StepID)
-	if !ok || int(r.Index) >= len(step.Tasks) || step.Tasks[r.Index].Number != r.Number {
+	if !ok || int(r.Index) >= len(step.Tasks) || step.Tasks[r.Index].LatestRun != r.Number {
 		return flows.Task{}, false
 	}
 	return step.Tasks[r.Index], true
@@ -23,7 +23,7 @@
 // crashed tells whether a life of a server that is over ended without notice.
 func (d *Dispatcher) crashed(s *session) bool {
 	b, ok := d.Host.Flows().Server(s.id)
-	return ok && !d.Host.Flows().Planned(b)
+	return ok && !d.Host.Flows().ShutdownPlanned(b)
 }
 
 // blamed returns the runs that may have crashed a server.
@@ -32,12 +32,12 @@
 	judged := make([]blame.Run, 0, len(all))
 	for _, r := range all {
 		t, _ := d.task(r)
-		judged = append(judged, blame.Run{Age: d.age(s, r), Blamed: t.Blamed})
+		judged = append(judged, blame.Run{Age: d.age(s, r), Blamed: t.BlamedCrashes})
 	}
 	var out []*inner.Run
 	for _, i := range blame.Suspects(judged) {
 		t, _ := d.task(all[i])
-		event.Log(d.Log, event.RunBlamed, "flow", all[i].Flow, "run", all[i].String(), "server", s.id, "crashes", t.Crashes+1, "blamed", t.Blamed+1, "beside", len(s.runs)-1)
+		event.Log(d.Log, event.RunBlamed, "flow", all[i].Flow, "run", all[i].String(), "server", s.id, "crashes", t.ConsecutiveCrashes+1, "blamed", t.BlamedCrashes+1, "beside", len(s.runs)-1)
 		out = append(out, all[i].Message())
 	}
 	return out
@@ -66,7 +66,7 @@
 // onProbation keeps a server for a suspected task that begins there, until it is seen whether
 // it crashes it.
 func (d *Dispatcher) onProbation(s *session, r *run, now time.Duration) {
-	if t, ok := d.task(r); ok && t.Blamed > 0 {
+	if t, ok := d.task(r); ok && t.BlamedCrashes > 0 {
 		s.probation = max(s.probation, now+blame.ProbationPeriod)
 	}
 }
@@ -77,5 +77,5 @@
 
 // fresh tells whether a server's life began moments ago, by the time of day.
 func fresh(b *flows.Server, clock time.Duration) bool {
-	return clock-time.Duration(b.Born)*time.Millisecond < freshTime
+	return clock-time.Duration(b.StartedAtMs)*time.Millisecond < freshTime
 }
--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -28,12 +28,12 @@
 
 // Defaults and bounds.
 const (
-	// DefaultHold is the longest lease that a backend server gives.
-	DefaultHold = 6 * time.Second
-	// DefaultStop is the longest time that a stop takes.
-	DefaultStop = time.Second
-	// DefaultGang is how long the members of a gang wait for each other.
-	DefaultGang = 3 * time.Second
+	// DefaultMaxLease is the longest lease that a backend server gives.
+	DefaultMaxLease = 6 * time.Second
+	// DefaultMaxStopTime is the longest time that a stop takes.
+	DefaultMaxStopTime = time.Second
+	// DefaultGangTimeout is how long the members of a gang wait for each other.
+	DefaultGangTimeout = 3 * time.Second
 	// slowest is the rate of the slowest clock of a backend server beside ours.
 	slowest = 0.98
 	// leaseMargin is added to the end of a lease before it counts as over: the
@@ -42,9 +42,9 @@
 
 	// DefaultRetention is how long flows are remembered after their end.
 	DefaultRetention = 150 * time.Second
-	// DefaultOpen bounds the flows that have not ended. At a few hundred bytes a
+	// DefaultMaxOpenFlows bounds the flows that have not ended. At a few hundred bytes a
 	// task it keeps the ledger within tens of megabytes.
-	DefaultOpen = 8_000
+	DefaultMaxOpenFlows = 8_000
 
 	// callTimeout bounds a call to a backend server beyond what it may wait
 	// there: more than the slowest healthy answer, and short beside a lease.
@@ -76,27 +76,27 @@
 // Host is the control thread as this part uses it. But for Post and Status, its
 // methods are called on the control thread only.
 type Host interface {
-	// Decide applies a command and queues it for the log.
-	Decide(f *record.Flow) *code.Error
-	// After runs fn once everything decided so far is committed.
-	After(fn func())
-	// Proved runs fn once it is proved that this replica led at a time after received.
-	Proved(received time.Duration, fn func())
+	// ApplyCommand applies a command and queues it for the log.
+	ApplyCommand(f *record.Flow) *code.Error
+	// AfterCommit runs fn once everything decided so far is committed.
+	AfterCommit(fn func())
+	// AfterLeadershipProof runs fn once it is proved that this replica led at a time after received.
+	AfterLeadershipProof(received time.Duration, fn func())
 	// Leads tells whether this replica leads and a quorum confirmed so lately.
 	Leads() bool
 	Flows() *flows.Ledger
-	// KnowsZone tells whether there is an availability zone of that name.
-	KnowsZone(zone string) bool
-	// Clock is the ledger's time.
-	Clock() time.Duration
-	// Full tells that the disk has too little room for new work.
-	Full() bool
-	Members() group.Members
-	Alter(m quorum.Member, remove bool)
-	// Synced tells whether a member has everything committed on its disk.
-	Synced(id string) bool
-	// Rest lets the other goroutines of the process have their turn.
-	Rest()
+	// HasZone tells whether there is an availability zone of that name.
+	HasZone(zone string) bool
+	// LedgerTime is the ledger's time.
+	LedgerTime() time.Duration
+	// DiskFull tells that the disk has too little room for new work.
+	DiskFull() bool
+	Members() group.MembershipChanged
+	ChangeMember(m quorum.Member, remove bool)
+	// IsSynced tells whether a member has everything committed on its disk.
+	IsSynced(id string) bool
+	// YieldProcessor lets the other goroutines of the process have their turn.
+	YieldProcessor()
 	// Post runs fn on the control thread.
 	Post(fn func()) bool
 }
@@ -127,26 +127,26 @@
 	Now      func() time.Duration
 	Backends Backends
 	Helpers  Helpers
-	// Direct returns how many backend servers may be called directly, by the
+	// MaxDirectServers returns how many backend servers may be called directly, by the
 	// connections that this takes; the others are called through helpers. Nil for
 	// any number. Any goroutine may call it.
-	Direct func() int
+	MaxDirectServers func() int
 	// Machines takes machines down for their upkeep; nil for nobody does.
 	Machines Machines
-	// Hold is the longest lease that a backend server gives.
-	Hold time.Duration
-	// Stop is the longest time that a backend server takes to stop a run.
-	Stop time.Duration
-	// Gang is how long the members of a gang wait for each other there.
-	Gang      time.Duration
-	Retention time.Duration
-	// Open bounds the flows that have not ended.
-	Open int
-	// Replicas is the number of voters that the group grows to.
-	Replicas int
-	// Meters receives the metrics; nil for none.
-	Meters *metrics.Set
-	Log    logr.Logger
+	// MaxLease is the longest lease that a backend server gives.
+	MaxLease time.Duration
+	// MaxStopTime is the longest time that a backend server takes to stop a run.
+	MaxStopTime time.Duration
+	// GangTimeout is how long the members of a gang wait for each other there.
+	GangTimeout time.Duration
+	Retention   time.Duration
+	// MaxOpenFlows bounds the flows that have not ended.
+	MaxOpenFlows int
+	// TargetVoters is the number of voters that the group grows to.
+	TargetVoters int
+	// Metrics receives the metrics; nil for none.
+	Metrics *metrics.Set
+	Log     logr.Logger
 
 	meter *meters
 	// Owned by the control thread.
@@ -162,16 +162,16 @@
 // New returns a dispatcher with the defaults.
 func New() *Dispatcher {
 	return &Dispatcher{
-		Hold: DefaultHold, Stop: DefaultStop, Gang: DefaultGang, Retention: DefaultRetention, Open: DefaultOpen, Replicas: DefaultReplicas, Log: logr.Discard(),
+		MaxLease: DefaultMaxLease, MaxStopTime: DefaultMaxStopTime, GangTimeout: DefaultGangTimeout, Retention: DefaultRetention, MaxOpenFlows: DefaultMaxOpenFlows, TargetVoters: DefaultTargetVoters, Log: logr.Discard(),
 		crew: helpers.New(), joiners: map[string]*joiner{},
 	}
 }
 
-// Elected takes over: what servers hold is asked of them before anything new is
+// OnElected takes over: what servers hold is asked of them before anything new is
 // placed there.
-func (d *Dispatcher) Elected(term uint64, elected time.Duration) {
+func (d *Dispatcher) OnElected(term uint64, elected time.Duration) {
 	if d.meter == nil {
-		d.meter = newMeters(d.Meters)
+		d.meter = newMeters(d.Metrics)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	d.lead = &lead{
@@ -187,13 +187,13 @@
 	}
 	ledger := d.Host.Flows()
 	for _, b := range ledger.Servers() {
-		if b.Over {
+		if b.Ended {
 			continue
 		}
 		s := d.open(b)
 		// The leader before this one may have renewed leases until it noticed
 		// that it was deposed: not later than the proof of its lead could last.
-		s.over = d.Now() + proofAge + d.Hold + leaseMargin
+		s.over = d.Now() + proofAge + d.MaxLease + leaseMargin
 	}
 	d.announce()
 	d.takeIn()
@@ -202,15 +202,15 @@
 			d.lead.timed[id] = true
 		}
 	}
-	event.Log(d.Log, event.DispatchBegun, "term", term, "servers", len(d.lead.sessions), "flows", ledger.Open(), "drained", len(ledger.Zones()))
+	event.Log(d.Log, event.DispatchBegun, "term", term, "servers", len(d.lead.sessions), "flows", ledger.OpenFlows(), "drained", len(ledger.DrainedZones()))
 }
 
 // proofAge is the greatest age of the proof on which a leader still acts.
 const proofAge = time.Second
 
-// Deposed drops everything. Requests under way learn that the answer is not
+// OnDeposed drops everything. Requests under way learn that the answer is not
 // known here.
-func (d *Dispatcher) Deposed() {
+func (d *Dispatcher) OnDeposed() {
 	ld := d.lead
 	if ld == nil {
 		return
@@ -222,8 +222,8 @@
 	}
 }
 
-// Turn decides once in a turn of the control thread.
-func (d *Dispatcher) Turn() {
+// BeforePropose decides once in a turn of the control thread.
+func (d *Dispatcher) BeforePropose() {
 	if d.lead == nil || !d.Host.Leads() {
 		return
 	}
@@ -246,7 +246,7 @@
 	d.lead.round = append(d.lead.round[:0], d.lead.sorted...)
 	for i, s := range d.lead.round {
 		if i%restEvery == 0 {
-			d.Host.Rest()
+			d.Host.YieldProcessor()
 		}
 		d.watch(s, now)
 		d.inspect(s, now)
@@ -276,7 +276,7 @@
 // decide is Decide for what may be refused without harm: the refusal is logged,
 // since it shows that the picture here and the ledger differ.
 func (d *Dispatcher) decide(f *record.Flow) bool {
-	if err := d.Host.Decide(f); err != nil {
+	if err := d.Host.ApplyCommand(f); err != nil {
 		event.LogError(d.Log, event.DecisionRefused, err, "term", d.lead.term)
 		return false
 	}
--- a/internal/control/dispatch/dispatch_test.go
+++ b/internal/control/dispatch/dispatch_test.go
@@ -179,7 +179,7 @@
 // task may run in two places for that.
 func TestUrgentWorkOfASilentServerIsPlacedAgainInTime(t *testing.T) {
 	play(t, 12, func(t *testing.T, w *world) {
-		w.do(func() { w.d.Hold = 10 * time.Second })
+		w.do(func() { w.d.MaxLease = 10 * time.Second })
 		w.urgent()
 		w.change(func(_ string, one *worker.Worker) {
 			one.Rate = 0.98
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -28,7 +28,7 @@
 const commitTime = 5 * time.Millisecond
 
 // members is the group of these tests.
-var members = group.Members{Self: "a/1", Members: []quorum.Member{{ID: "a/1", Address: "a"}}}
+var members = group.MembershipChanged{Self: "a/1", Members: []quorum.Member{{ID: "a/1", Address: "a"}}}
 
 // host is a control thread with a ledger and no replicas: what is decided is
 // committed a little later.
@@ -55,11 +55,11 @@
 	run   func()
 }
 
-func (h *host) Decide(f *record.Flow) *code.Error {
+func (h *host) ApplyCommand(f *record.Flow) *code.Error {
 	if f.GetStart() != nil {
 		time.Sleep(h.slow)
 	}
-	err := h.ledger.Apply(h.Clock(), f)
+	err := h.ledger.Apply(h.LedgerTime(), f)
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-func (h *host) After(fn func()) {
+func (h *host) AfterCommit(fn func()) {
 	if len(h.effects) == 0 && h.committedAll() {
 		h.effects = append(h.effects, effect{h.index, fn})
 		go h.Post(func() { h.commit(h.sure, h.committed) })
@@ -100,16 +100,16 @@
 	return h.index == 0 || h.committed.GetDigest() == h.ledger.Digest()
 }
 
-func (h *host) Proved(_ time.Duration, fn func()) { go h.Post(fn) }
-func (h *host) Leads() bool                       { return h.leads }
-func (h *host) Flows() *flows.Ledger              { return h.ledger }
-func (h *host) Clock() time.Duration              { return time.Duration(time.Now().UnixNano()) }
-func (h *host) Full() bool                        { return false }
-func (h *host) Members() group.Members            { return members }
-func (h *host) Alter(quorum.Member, bool)         {}
-func (h *host) KnowsZone(zone string) bool        { return zone == "x" || zone == "y" }
-func (h *host) Rest()                             {}
-func (h *host) Synced(string) bool                { return true }
+func (h *host) AfterLeadershipProof(_ time.Duration, fn func()) { go h.Post(fn) }
+func (h *host) Leads() bool                                     { return h.leads }
+func (h *host) Flows() *flows.Ledger                            { return h.ledger }
+func (h *host) LedgerTime() time.Duration                       { return time.Duration(time.Now().UnixNano()) }
+func (h *host) DiskFull() bool                                  { return false }
+func (h *host) Members() group.MembershipChanged                { return members }
+func (h *host) ChangeMember(quorum.Member, bool)                {}
+func (h *host) HasZone(zone string) bool                        { return zone == "x" || zone == "y" }
+func (h *host) YieldProcessor()                                 {}
+func (h *host) IsSynced(string) bool                            { return true }
 
 func (h *host) Post(fn func()) bool {
 	select {
@@ -138,7 +138,7 @@
 			}
 		}
 		if h.leads {
-			h.d.Turn()
+			h.d.BeforePropose()
 		}
 	}
 }
@@ -235,8 +235,8 @@
 	return w.reach(ctx, c)
 }
 
-// Upkeep takes a worker down for two seconds.
-func (w *world) Upkeep(_ context.Context, machine string, _, fence uint64) dispatch.Upkeep {
+// StartUpkeep takes a worker down for two seconds.
+func (w *world) StartUpkeep(_ context.Context, machine string, _, fence uint64) dispatch.UpkeepResult {
 	id := strings.TrimPrefix(machine, "m-")
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -244,7 +244,7 @@
 		w.orders[fence] = w.now()
 	}
 	if w.down[id] {
-		return dispatch.UpkeepBegun
+		return dispatch.UpkeepStarted
 	}
 	w.down[id] = true
 	now := 0
@@ -264,7 +264,7 @@
 		w.mu.Unlock()
 		w.announce(id, one.Born+1)
 	})
-	return dispatch.UpkeepBegun
+	return dispatch.UpkeepStarted
 }
 
 var key = sha256.Sum256([]byte("key"))
@@ -440,7 +440,7 @@
 	w.do(func() {
 		if w.d != nil {
 			w.leads = false
-			w.d.Deposed()
+			w.d.OnDeposed()
 		}
 		l, err := flows.Restore(w.committed)
 		if err != nil {
@@ -452,8 +452,8 @@
 		w.leads = true
 		w.d = dispatch.New()
 		w.d.Host, w.d.Cell, w.d.Now, w.d.Backends, w.d.Helpers = w.host, "cell", w.now, w, w
-		w.d.Machines, w.d.Direct = w, w.direct
-		w.d.Elected(w.term, w.now())
+		w.d.Machines, w.d.MaxDirectServers = w, w.direct
+		w.d.OnElected(w.term, w.now())
 	})
 }
 
@@ -507,7 +507,7 @@
 
 // end stops everything.
 func (w *world) end() {
-	w.do(func() { w.leads = false; w.d.Deposed() })
+	w.do(func() { w.leads = false; w.d.OnDeposed() })
 	close(w.done)
 	w.lives.Wait()
 	w.check()
--- a/internal/control/dispatch/helper.go
+++ b/internal/control/dispatch/helper.go
@@ -24,7 +24,7 @@
 	w, err := ask(ctx, d, errNotLeading, func(reply func(*inner.Welcome)) {
 		d.hear(g, heard)
 		out := d.welcome()
-		d.Host.After(func() { reply(out) })
+		d.Host.AfterCommit(func() { reply(out) })
 	})
 	if err != nil {
 		return &inner.Welcome{}
@@ -32,9 +32,9 @@
 	return w
 }
 
-// Heard notes a process that greeted this replica while another one leads: should this
+// RegisterProcess notes a process that greeted this replica while another one leads: should this
 // one lead next, it has its helpers at once.
-func (d *Dispatcher) Heard(g *inner.Greeting) {
+func (d *Dispatcher) RegisterProcess(g *inner.Greeting) {
 	heard := d.Now()
 	d.Host.Post(func() { d.hear(g, heard) })
 }
--- a/internal/control/dispatch/learn.go
+++ b/internal/control/dispatch/learn.go
@@ -108,7 +108,7 @@
 		return // nothing new was listed since the last look
 	}
 	s.inspected = s.heard
-	if b, ok := d.Host.Flows().Server(s.id); ok && b.Leaving {
+	if b, ok := d.Host.Flows().Server(s.id); ok && b.ShuttingDown {
 		d.evacuate(s, b, now)
 	}
 	for _, r := range s.runs {
--- a/internal/control/dispatch/lease.go
+++ b/internal/control/dispatch/lease.go
@@ -22,9 +22,9 @@
 	most := time.Duration(0)
 	for _, r := range s.runs {
 		if !r.urgent {
-			return d.Hold
+			return d.MaxLease
 		}
-		most = min(briefLease, d.Hold)
+		most = min(briefLease, d.MaxLease)
 	}
 	return most
 }
@@ -41,10 +41,10 @@
 	servers := map[string][]shortlease.Server{}
 	for id, s := range d.lead.sessions {
 		b, ok := d.Host.Flows().Server(id)
-		if !ok || b.Over {
+		if !ok || b.Ended {
 			continue
 		}
-		if d.Host.Flows().Takes(b) && s.closing == "" {
+		if d.Host.Flows().AcceptsWork(b) && s.closing == "" {
 			servers[b.Pool] = append(servers[b.Pool], shortlease.Server{ID: id, CPU: b.Capacity.CPU})
 		}
 		for _, r := range s.runs {
--- a/internal/control/dispatch/life.go
+++ b/internal/control/dispatch/life.go
@@ -39,7 +39,7 @@
 // into it: each doubtful one is stopped at the address, or its time is over. What
 // was found there by the stop works on for as long as a stop may take.
 func (d *Dispatcher) close(s *session, now time.Duration) {
-	if now < s.closingAt+d.Hold+2*callTimeout {
+	if now < s.closingAt+d.MaxLease+2*callTimeout {
 		for _, r := range s.runs {
 			if r.busy > 0 {
 				return
@@ -48,7 +48,7 @@
 				d.stop(s, r)
 				return
 			}
-			if r.laid > 0 && now < r.laid+d.Stop+leaseMargin {
+			if r.laid > 0 && now < r.laid+d.MaxStopTime+leaseMargin {
 				return
 			}
 		}
@@ -89,5 +89,5 @@
 	if r.sent > 0 {
 		return max(now-r.sent, 0)
 	}
-	return max(d.Host.Clock()-r.held.Since-(d.Now()-now), 0)
+	return max(d.Host.LedgerTime()-r.held.PlacedAt-(d.Now()-now), 0)
 }
--- a/internal/control/dispatch/member.go
+++ b/internal/control/dispatch/member.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// DefaultReplicas is the number of voters that the group grows to: five
+	// DefaultTargetVoters is the number of voters that the group grows to: five
 	// outlive the loss of any two.
-	DefaultReplicas = 5
+	DefaultTargetVoters = 5
 	// rosterEvery is how often the membership is looked at. One change at a time
 	// is made, and each takes a commit.
 	rosterEvery = 150 * time.Millisecond
@@ -25,7 +25,7 @@
 	}
 	d.lead.roster = now
 	m := d.Host.Members()
-	v := roster.GroupView{Self: m.Self, Members: m.Members, TargetVoters: d.Replicas, Synced: d.Host.Synced}
+	v := roster.GroupView{Self: m.Self, Members: m.Members, TargetVoters: d.TargetVoters, Synced: d.Host.IsSynced}
 	for id, j := range d.joiners {
 		v.Known = append(v.Known, roster.KnownReplica{Member: quorum.Member{ID: id, Address: j.address}, SilentFor: now - j.heard})
 	}
@@ -36,5 +36,5 @@
 		return
 	}
 	event.Log(d.Log, event.MemberChange, "member", c.Member.ID, "address", c.Member.Address, "remove", c.Remove, "cause", c.Reason, "members", len(m.Members), "term", d.lead.term)
-	d.Host.Alter(c.Member, c.Remove)
+	d.Host.ChangeMember(c.Member, c.Remove)
 }
--- a/internal/control/dispatch/meter.go
+++ b/internal/control/dispatch/meter.go
@@ -69,8 +69,8 @@
 
 // look sets the gauges.
 func (m *meters) look(d *Dispatcher) {
-	m.open.Set(float64(d.Host.Flows().Open()))
+	m.open.Set(float64(d.Host.Flows().OpenFlows()))
 	m.servers.Set(float64(len(d.lead.sessions)))
-	m.drained.Set(float64(len(d.Host.Flows().Zones())))
+	m.drained.Set(float64(len(d.Host.Flows().DrainedZones())))
 	m.version.Set(float64(d.Host.Flows().Config().GetVersion()))
 }
--- a/internal/control/dispatch/order.go
+++ b/internal/control/dispatch/order.go
@@ -31,7 +31,7 @@
 // run is what this leader knows of one run at a server.
 type run struct {
 	flow.RunID
-	held *flows.Held
+	held *flows.HeldRun
 	// placed is when it was decided, on our clock; 0 when another leader did.
 	placed time.Duration
 	// sent is when its start first left; 0 for never, by this leader.
@@ -99,7 +99,7 @@
 		d.disband(r) // its life is over, and its end recorded once that is settled
 		return
 	}
-	if b, ok := d.Host.Flows().Server(s.id); s.silent || ok && (d.Host.Flows().Drained(b.Zone) || !b.Used.Fits(b.Capacity)) {
+	if b, ok := d.Host.Flows().Server(s.id); s.silent || ok && (d.Host.Flows().ZoneDrained(b.Zone) || !b.Used.Fits(b.Capacity)) {
 		d.withdraw(s, r)
 		return
 	}
@@ -192,8 +192,8 @@
 // once. A second silence gives the run up.
 func (d *Dispatcher) again(s *session, r *run) {
 	b, ok := d.Host.Flows().Server(s.id)
-	late := r.placed > 0 && d.Now()-r.placed > d.Gang/gangParts && d.gang(r) != nil
-	if r.tries >= startTries || late || !ok || !d.Host.Flows().Takes(b) || s.closing != "" {
+	late := r.placed > 0 && d.Now()-r.placed > d.GangTimeout/gangParts && d.gang(r) != nil
+	if r.tries >= startTries || late || !ok || !d.Host.Flows().AcceptsWork(b) || s.closing != "" {
 		d.unwant(s, r)
 		return
 	}
@@ -228,7 +228,7 @@
 	stopped := 0
 	for i, t := range step.Tasks {
 		s := d.lead.sessions[t.Server]
-		if t.Phase != flows.Placed || t.Number != r.Number || s == nil {
+		if t.Phase != flows.Placed || t.LatestRun != r.Number || s == nil {
 			continue
 		}
 		m := s.runs[flow.TaskID{StepID: r.StepID, Index: uint32(i)}]
@@ -246,14 +246,14 @@
 // stopUnwanted orders a stop for every run that the ledger does not want.
 func (d *Dispatcher) stopUnwanted() {
 	now := d.Now()
-	for id, h := range d.Host.Flows().Unwanted() {
+	for id, h := range d.Host.Flows().RunsToStop() {
 		s := d.lead.sessions[h.Server]
 		if s == nil {
 			continue
 		}
 		if r := s.runs[id]; r != nil && r.Number == h.Number && !r.stopping {
 			r.stopping = true
-			d.Host.After(func() { d.stop(s, r) })
+			d.Host.AfterCommit(func() { d.stop(s, r) })
 		}
 	}
 	for r, s := range d.lead.stops {
--- a/internal/control/dispatch/plan.go
+++ b/internal/control/dispatch/plan.go
@@ -18,14 +18,14 @@
 // plan decides what starts and carries it out.
 func (d *Dispatcher) plan(now time.Duration) {
 	ledger := d.Host.Flows()
-	if len(ledger.Ready()) == 0 {
+	if len(ledger.ReadySteps()) == 0 {
 		return
 	}
 	begin := d.Now()
-	v := steps.View{Items: d.lead.view.Items[:0], Servers: d.lead.view.Servers[:0], RemainingLimit: d.room, Permissions: d.known, AllowedShare: d.granted, Yield: d.Host.Rest}
+	v := steps.View{Items: d.lead.view.Items[:0], Servers: d.lead.view.Servers[:0], RemainingLimit: d.room, Permissions: d.known, AllowedShare: d.granted, Yield: d.Host.YieldProcessor}
 	v.Releases = func(server string) []steps.Release { return d.frees(server, now) }
-	clock := d.Host.Clock()
-	for _, s := range ledger.Ready() {
+	clock := d.Host.LedgerTime()
+	for _, s := range ledger.ReadySteps() {
 		if a := d.lead.advice[s.StepID]; a != nil && a.asking > 0 && len(a.permits) == 0 {
 			continue // nothing can be decided before the first answer
 		}
@@ -35,8 +35,8 @@
 	}
 	for _, s := range d.lead.sorted {
 		b, ok := ledger.Server(s.id)
-		if ok && ledger.Takes(b) && b.Born == s.born && s.usable(now) && !d.lead.emptied[s.id] {
-			v.Servers = append(v.Servers, steps.Server{Server: b, Speed: d.speed(s), Cold: clock < b.Warm, RecentlyStarted: fresh(b, clock), OnProbation: now < s.probation, ShortLease: d.lead.briefs[b.Pool].Contains(s.id)})
+		if ok && ledger.AcceptsWork(b) && b.StartedAtMs == s.born && s.usable(now) && !d.lead.emptied[s.id] {
+			v.Servers = append(v.Servers, steps.Server{Server: b, Speed: d.speed(s), Cold: clock < b.WarmUpEndsAt, RecentlyStarted: fresh(b, clock), OnProbation: now < s.probation, ShortLease: d.lead.briefs[b.Pool].Contains(s.id)})
 		}
 	}
 	v.Headroom = func(pool string) steps.Headroom { return d.headroom(pool, total(v.Servers, pool), now) }
@@ -67,7 +67,7 @@
 
 // room returns what a customer may still start.
 func (d *Dispatcher) room(customer string) capacity.Size {
-	limit, used := d.Host.Flows().Limit(customer), d.Host.Flows().Used(customer)
+	limit, used := d.Host.Flows().CustomerLimit(customer), d.Host.Flows().CustomerUsage(customer)
 	left := func(limit, used int64) int64 {
 		if limit == capacity.Unlimited {
 			return unbounded
@@ -84,7 +84,7 @@
 		return steps.Item{}, false
 	}
 	t := d.times(s, q)
-	begun := s.Flow.Accepted
+	begun := s.Flow.AcceptedAt
 	if s.Flow.Spec.GetTimes() > 0 {
 		begun = time.Duration(s.Flow.Spec.GetFirst()+int64(s.Turn)*int64(s.Flow.Spec.GetEvery())) * time.Millisecond
 	}
@@ -134,10 +134,10 @@
 	start := &record.FlowStart{}
 	var number uint32
 	for _, t := range p.Item.Tasks {
-		number = max(number, t.Number)
+		number = max(number, t.LatestRun)
 	}
 	for _, one := range p.Assignments {
-		n := p.Item.Tasks[one.Index].Number
+		n := p.Item.Tasks[one.Index].LatestRun
 		if p.Item.Spec.GetGang() {
 			n = number // the members of a gang share a number
 		}
@@ -151,10 +151,10 @@
 	for _, m := range start.GetPlaces() {
 		runs = append(runs, d.placed(m, d.urgent(p.Item.Step), now))
 	}
-	waited := d.Host.Clock() - p.Item.Since
-	q := p.Item.Flow.Queue
+	waited := d.Host.LedgerTime() - p.Item.ReadyAt
+	q := p.Item.Flow.QueueName
 	d.meter.waited(q, waited)
-	d.Host.After(func() {
+	d.Host.AfterCommit(func() {
 		event.Log(d.Log, event.RunsPlaced, "flow", p.Item.Flow.ID, "step", p.Item.StepID.String(), "runs", len(runs), "first", start.Places[0].GetServer(), "queue", q, "waited", waited.String(), "term", d.lead.term)
 		for _, r := range runs {
 			if s := d.lead.sessions[r.held.Server]; s != nil && s.runs[r.TaskID] == r {
@@ -168,7 +168,7 @@
 func (d *Dispatcher) placed(m *record.FlowPlace, urgent bool, now time.Duration) *run {
 	id := flow.RunOf(m.GetRun())
 	b, _ := d.Host.Flows().Server(m.GetServer())
-	r := &run{RunID: id, held: b.Held[id.TaskID], placed: now, urgent: urgent}
+	r := &run{RunID: id, held: b.HeldRuns[id.TaskID], placed: now, urgent: urgent}
 	if a := d.lead.advice[id.StepID]; a != nil {
 		r.permit = a.permits[m.GetServer()].ticket
 	}
--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -15,8 +15,8 @@
 // Report is what a backend server says of itself now and then.
 type Report struct {
 	*record.FlowServer
-	// Call counts the reports of one life; a late one has a lower number.
-	Call uint64
+	// Number counts the reports of one life; a late one has a lower number.
+	Number uint64
 	// Clock is the server's clock in milliseconds; 0 when it is not told.
 	Clock int64
 	// Remaining is the least time in milliseconds that a leaving server has left.
@@ -44,10 +44,10 @@
 	old, known := ledger.Server(r.GetId())
 	s := d.lead.sessions[r.GetId()]
 	switch {
-	case known && r.GetBorn() < old.Born:
+	case known && r.GetBorn() < old.StartedAtMs:
 		reply(nil) // a late report of a life before
 		return
-	case known && r.GetBorn() == old.Born && (old.Over || r.Call < old.Call):
+	case known && r.GetBorn() == old.StartedAtMs && (old.Ended || r.Number < old.LastReport):
 		reply(nil)
 		return
 	case s != nil && s.born < r.GetBorn():
@@ -59,18 +59,18 @@
 			reply(code.New(code.MembershipChangePending, "the life before is being closed"))
 			return
 		}
-	case s != nil && s.born == r.GetBorn() && r.Call < s.call:
+	case s != nil && s.born == r.GetBorn() && r.Number < s.call:
 		reply(nil)
 		return
 	case known && s != nil && same(old, r.FlowServer) && !d.colder(old, r.FlowServer):
 		// What it repeats may still be on its way into the log.
-		d.Host.After(func() { reply(nil) })
+		d.Host.AfterCommit(func() { reply(nil) })
 		return
 	}
-	if known && old.Born == r.GetBorn() && old.Leaving {
+	if known && old.StartedAtMs == r.GetBorn() && old.ShuttingDown {
 		r.Leaving = true
 	}
-	r.FlowServer.Call = r.Call
+	r.FlowServer.Call = r.Number
 	if !d.decide(&record.Flow{What: &record.Flow_Server{Server: r.FlowServer}}) {
 		reply(code.New(code.SessionReplaced, "%s", r.GetId()))
 		return
@@ -83,10 +83,10 @@
 	} else {
 		s.address = now.Address
 	}
-	if now.Leaving && (!known || !old.Leaving) {
-		event.Log(d.Log, event.ServerDraining, "server", r.GetId(), "born", r.GetBorn(), "remaining", r.Remaining, "held", len(now.Held))
+	if now.ShuttingDown && (!known || !old.ShuttingDown) {
+		event.Log(d.Log, event.ServerDraining, "server", r.GetId(), "born", r.GetBorn(), "remaining", r.Remaining, "held", len(now.HeldRuns))
 	}
-	d.Host.After(func() { reply(nil) })
+	d.Host.AfterCommit(func() { reply(nil) })
 }
 
 // coldSlack is how much later than known a server may say that it stops being slow
@@ -95,34 +95,34 @@
 
 // colder tells whether a server says that it stays slow for longer than is known.
 func (d *Dispatcher) colder(b *flows.Server, r *record.FlowServer) bool {
-	return d.Host.Clock()+time.Duration(r.GetCold())*time.Millisecond > max(b.Warm, d.Host.Clock())+coldSlack
+	return d.Host.LedgerTime()+time.Duration(r.GetCold())*time.Millisecond > max(b.WarmUpEndsAt, d.Host.LedgerTime())+coldSlack
 }
 
 // same tells whether a report says nothing new.
 func same(b *flows.Server, r *record.FlowServer) bool {
 	size := capacity.Size{CPU: r.GetCapacity().GetCpu(), Memory: r.GetCapacity().GetMemory(), Accel: r.GetCapacity().GetAccel(), Slots: r.GetCapacity().GetSlots()}
-	return b.Born == r.GetBorn() && b.Address == r.GetAddress() && b.Pool == r.GetPool() && b.Machine == r.GetMachine() && b.Zone == r.GetZone() &&
-		b.Capacity == size && slices.Equal(b.Labels, r.GetLabels()) && (b.Leaving || !r.GetLeaving())
+	return b.StartedAtMs == r.GetBorn() && b.Address == r.GetAddress() && b.Pool == r.GetPool() && b.Machine == r.GetMachine() && b.Zone == r.GetZone() &&
+		b.Capacity == size && slices.Equal(b.Labels, r.GetLabels()) && (b.ShuttingDown || !r.GetLeaving())
 }
 
 // Leave takes a server's word that it ends. What it held counts as running
 // until that is proved: the word may be a late one, of a life before.
 func (d *Dispatcher) Leave(ctx context.Context, id string) *code.Error {
 	_, err := ask(ctx, d, errDeposed, func(reply func(struct{})) {
-		if b, ok := d.Host.Flows().Server(id); ok && !b.Over && !b.Leaving {
+		if b, ok := d.Host.Flows().Server(id); ok && !b.Ended && !b.ShuttingDown {
 			leaving := message(b)
 			leaving.Leaving = true
 			d.decide(&record.Flow{What: &record.Flow_Server{Server: leaving}})
 		}
 		event.Log(d.Log, event.ServerLeft, "server", id)
-		d.Host.After(func() { reply(struct{}{}) })
+		d.Host.AfterCommit(func() { reply(struct{}{}) })
 	})
 	return err
 }
 
 func message(b *flows.Server) *record.FlowServer {
 	return &record.FlowServer{
-		Id: b.ID, Born: b.Born, Address: b.Address, Zone: b.Zone, Pool: b.Pool, Machine: b.Machine,
-		Capacity: sizeMessage(b.Capacity), Labels: b.Labels, Leaving: b.Leaving, Cursor: b.Cursor, Call: b.Call,
+		Id: b.ID, Born: b.StartedAtMs, Address: b.Address, Zone: b.Zone, Pool: b.Pool, Machine: b.Machine,
+		Capacity: sizeMessage(b.Capacity), Labels: b.Labels, Leaving: b.ShuttingDown, Cursor: b.EndCursor, Call: b.LastReport,
 	}
 }
--- a/internal/control/dispatch/session.go
+++ b/internal/control/dispatch/session.go
@@ -93,7 +93,7 @@
 
 // reported takes what a report tells of the server's clock.
 func (s *session) reported(r Report, received time.Duration) {
-	s.call = max(s.call, r.Call)
+	s.call = max(s.call, r.Number)
 	if r.Clock > 0 {
 		s.tell(r.Clock, received)
 	}
@@ -267,7 +267,7 @@
 	// Another list may be taken before this one's ends are committed; what that one
 	// tells is not committed with them, and the server forgets what is acknowledged.
 	taken := s.taken
-	d.Host.After(func() {
+	d.Host.AfterCommit(func() {
 		if d.lead != nil && d.lead.sessions[s.id] == s {
 			s.cursor = max(s.cursor, taken)
 			d.holdNext(s)
--- a/internal/control/dispatch/sessions.go
+++ b/internal/control/dispatch/sessions.go
@@ -13,10 +13,10 @@
 // open begins a session with a server as the ledger has it.
 func (d *Dispatcher) open(b *flows.Server) *session {
 	s := &session{
-		id: b.ID, born: b.Born, address: b.Address, cursor: b.Cursor, taken: b.Cursor,
+		id: b.ID, born: b.StartedAtMs, address: b.Address, cursor: b.EndCursor, taken: b.EndCursor,
 		heard: d.Now(), runs: map[flow.TaskID]*run{}, pace: pace.Full,
 	}
-	for id, h := range b.Held {
+	for id, h := range b.HeldRuns {
 		// Whether the start ever arrived is not known to this leader.
 		step, ok := d.Host.Flows().Step(h.StepID)
 		s.runs[id] = &run{RunID: h.RunID, held: h, maybe: true, urgent: ok && d.urgent(step)}
--- a/internal/control/dispatch/sharing.go
+++ b/internal/control/dispatch/sharing.go
@@ -78,7 +78,7 @@
 		case !step.Spec.GetSaves() || r.percent <= 0 || d.rest(step, r, now) <= left:
 			continue
 		}
-		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.percent, "leaves", left.String(), "born", b.Born)
+		event.Log(d.Log, event.RunMoved, "flow", r.Flow, "run", r.String(), "server", s.id, "percent", r.percent, "leaves", left.String(), "born", b.StartedAtMs)
 		d.unwant(s, r)
 	}
 }
--- a/internal/control/dispatch/sweep.go
+++ b/internal/control/dispatch/sweep.go
@@ -14,15 +14,15 @@
 func (d *Dispatcher) sweep(now time.Duration) {
 	const most = 500
 	ledger := d.Host.Flows()
-	before := d.Host.Clock() - d.Retention
+	before := d.Host.LedgerTime() - d.Retention
 	f := &record.FlowForget{}
 	for id, one := range ledger.Flows() {
-		if one.Final() && one.Ended < before && one.Held == 0 && len(f.Flows) < most {
+		if one.Final() && one.EndedAt < before && one.HeldRuns == 0 && len(f.Flows) < most {
 			f.Flows = append(f.Flows, id)
 		}
 	}
 	for id, b := range ledger.Servers() {
-		if b.Over && len(b.Held) == 0 && d.lead.sessions[id] == nil {
+		if b.Ended && len(b.HeldRuns) == 0 && d.lead.sessions[id] == nil {
 			f.Servers = append(f.Servers, id)
 		}
 	}
@@ -30,17 +30,17 @@
 		d.decide(&record.Flow{What: &record.Flow_Forget{Forget: f}})
 	}
 	for id := range d.lead.advice {
-		if s, ok := ledger.Step(id); !ok || s.Flow.Final() || s.Done == len(s.Tasks) {
+		if s, ok := ledger.Step(id); !ok || s.Flow.Final() || s.DoneTasks == len(s.Tasks) {
 			delete(d.lead.advice, id)
 		}
 	}
 	maps.DeleteFunc(d.lead.times, func(id flow.StepID, _ steps.Timing) bool {
 		s, ok := ledger.Step(id)
-		return !ok || s.Done == len(s.Tasks)
+		return !ok || s.DoneTasks == len(s.Tasks)
 	})
 	maps.DeleteFunc(d.lead.shunned, func(id flow.StepID, _ map[string]bool) bool {
 		s, ok := ledger.Step(id)
-		return !ok || s.Done == len(s.Tasks)
+		return !ok || s.DoneTasks == len(s.Tasks)
 	})
 	for id := range d.lead.surplus {
 		if f, ok := ledger.Flow(id); !ok || f.Final() {
@@ -58,13 +58,13 @@
 	ledger := d.Host.Flows()
 	for id := range d.lead.timed {
 		f, ok := ledger.Flow(id)
-		if !ok || f.Final() || f.Next >= f.Spec.GetTimes() {
+		if !ok || f.Final() || f.NextTurn >= f.Spec.GetTimes() {
 			delete(d.lead.timed, id)
 			continue
 		}
-		due := time.Duration(f.Spec.GetFirst()+int64(f.Next)*int64(f.Spec.GetEvery())) * time.Millisecond
-		if due <= d.Host.Clock() {
-			event.Log(d.Log, event.TurnBegun, "flow", id, "turn", f.Next, "late", (d.Host.Clock() - due).String())
+		due := time.Duration(f.Spec.GetFirst()+int64(f.NextTurn)*int64(f.Spec.GetEvery())) * time.Millisecond
+		if due <= d.Host.LedgerTime() {
+			event.Log(d.Log, event.TurnBegun, "flow", id, "turn", f.NextTurn, "late", (d.Host.LedgerTime() - due).String())
 			d.decide(&record.Flow{What: &record.Flow_Due{Due: &record.FlowDue{Id: id}}})
 		}
 	}
--- a/internal/control/dispatch/takeover_test.go
+++ b/internal/control/dispatch/takeover_test.go
@@ -64,7 +64,7 @@
 			worst = max(worst, time.Since(begin))
 			time.Sleep(50 * time.Millisecond)
 		}
-		if worst > quorum.DefaultElection/2 {
+		if worst > quorum.DefaultElectionTimeout/2 {
 			t.Errorf("a heartbeat waited for %v", worst)
 		}
 	})
@@ -125,14 +125,14 @@
 // greeting.
 func TestNewLeaderAnnouncesItself(t *testing.T) {
 	play(t, 1, func(t *testing.T, w *world) {
-		w.do(func() { w.leads = false; w.d.Deposed() })
+		w.do(func() { w.leads = false; w.d.OnDeposed() })
 		for _, address := range []string{"entry1", "entry2"} {
-			w.d.Heard(&inner.Greeting{Address: address})
+			w.d.RegisterProcess(&inner.Greeting{Address: address})
 		}
 		w.do(func() {
 			w.term++
 			w.leads = true
-			w.d.Elected(w.term, w.now())
+			w.d.OnElected(w.term, w.now())
 		})
 		time.Sleep(10 * time.Millisecond)
 		w.mu.Lock()
--- a/internal/control/dispatch/wave.go
+++ b/internal/control/dispatch/wave.go
@@ -26,35 +26,35 @@
 
 // Machines gives orders about machines to whoever owns them.
 type Machines interface {
-	// Upkeep takes a machine down for its upkeep. An order that was carried out
+	// StartUpkeep takes a machine down for its upkeep. An order that was carried out
 	// already is no fault.
-	Upkeep(ctx context.Context, machine string, wave, fence uint64) Upkeep
+	StartUpkeep(ctx context.Context, machine string, wave, fence uint64) UpkeepResult
 }
 
-// Upkeep is what became of an order.
-type Upkeep uint8
+// UpkeepResult is what became of an order.
+type UpkeepResult uint8
 
 // What becomes of an order.
 const (
-	// UpkeepUnknown means that the order may be carried out, now or later.
-	UpkeepUnknown Upkeep = iota
-	// UpkeepBegun means that the machine is down, or was before.
-	UpkeepBegun
+	// UpkeepUnconfirmed means that the order may be carried out, now or later.
+	UpkeepUnconfirmed UpkeepResult = iota
+	// UpkeepStarted means that the machine is down, or was before.
+	UpkeepStarted
 	// UpkeepBusy means that nothing was done, and that it can be asked again.
 	UpkeepBusy
-	// UpkeepNever means that there is no such machine any more.
-	UpkeepNever
+	// UpkeepUnknownMachine means that there is no such machine any more.
+	UpkeepUnknownMachine
 )
 
 // Wave takes a wave in; it returns once the wave is committed.
 func (d *Dispatcher) Wave(ctx context.Context, w *record.Wave) *code.Error {
 	fault, err := ask(ctx, d, errDeposed, func(reply func(*code.Error)) {
-		if err := d.Host.Decide(&record.Flow{What: &record.Flow_Wave{Wave: w}}); err != nil {
+		if err := d.Host.ApplyCommand(&record.Flow{What: &record.Flow_Wave{Wave: w}}); err != nil {
 			reply(err)
 			return
 		}
 		event.Log(d.Log, event.WaveTaken, "wave", w.GetNumber(), "machines", len(w.GetMachines()), "cap", w.GetCap(), "duration", w.GetDuration())
-		d.Host.After(func() { reply(nil) })
+		d.Host.AfterCommit(func() { reply(nil) })
 	})
 	if err != nil {
 		return err
@@ -67,10 +67,10 @@
 	received := d.Now()
 	type result struct{ known, complete bool }
 	r, err := ask(ctx, d, errNotLeading, func(reply func(result)) {
-		d.Host.Proved(received, func() {
+		d.Host.AfterLeadershipProof(received, func() {
 			w, ok := d.Host.Flows().Wave(number)
 			said := result{known: ok, complete: ok && w.Complete()}
-			d.Host.After(func() { reply(said) })
+			d.Host.AfterCommit(func() { reply(said) })
 		})
 	})
 	if err == nil && !r.known {
@@ -96,11 +96,11 @@
 // wave takes machines down as far as the cap lets it. Those that are next are
 // emptied meanwhile: they get nothing new, and what can go on elsewhere is moved.
 func (d *Dispatcher) wave(w *flows.Wave, now time.Duration) {
-	free := w.Cap - w.Down()
+	free := w.MaxDown - w.DownMachines()
 	for _, m := range w.Machines {
 		switch {
-		case m.Done:
-		case m.Begun:
+		case m.MaintenanceDone:
+		case m.MaintenanceStarted:
 			d.returned(w, m, now)
 		case free > 0:
 			free--
@@ -111,7 +111,7 @@
 
 // returned notes that a machine is back: a later life runs on it.
 func (d *Dispatcher) returned(w *flows.Wave, m *flows.Machine, now time.Duration) {
-	if b, ok := d.Host.Flows().On(m.Name); ok && b.Born > m.Born {
+	if b, ok := d.Host.Flows().ServerOnMachine(m.Name); ok && b.StartedAtMs > m.ServerStartedAtMs {
 		d.upkept(w, m)
 		return
 	}
@@ -128,7 +128,7 @@
 // empty lets a machine run empty, and takes it down when it is, or when the wave
 // would be late otherwise. What must not be missed is waited for in any case.
 func (d *Dispatcher) empty(w *flows.Wave, m *flows.Machine, now time.Duration) {
-	b, ok := d.Host.Flows().On(m.Name)
+	b, ok := d.Host.Flows().ServerOnMachine(m.Name)
 	if ok {
 		d.lead.emptied[b.ID] = true
 		if s := d.lead.sessions[b.ID]; s != nil {
@@ -144,7 +144,7 @@
 	if !d.decide(&record.Flow{What: &record.Flow_Upkeep{Upkeep: &record.WaveStep{Wave: w.Number, Machine: m.Name}}}) {
 		return
 	}
-	d.Host.After(func() { d.order(w, m, d.Now()) })
+	d.Host.AfterCommit(func() { d.order(w, m, d.Now()) })
 }
 
 // clearOut stops what goes on elsewhere from a checkpoint, and lasting tasks as
@@ -175,12 +175,12 @@
 func (d *Dispatcher) pressing(w *flows.Wave) bool {
 	left := 0
 	for _, m := range w.Machines {
-		if !m.Done {
+		if !m.MaintenanceDone {
 			left++
 		}
 	}
-	rounds := (left + w.Cap - 1) / w.Cap
-	return d.Host.Clock()-w.Began+time.Duration(rounds)*backTime >= w.Duration
+	rounds := (left + w.MaxDown - 1) / w.MaxDown
+	return d.Host.LedgerTime()-w.RequestedAt+time.Duration(rounds)*backTime >= w.Duration
 }
 
 // order takes a machine down.
@@ -190,10 +190,10 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, orderTime)
 		defer cancel()
-		got := d.Machines.Upkeep(ctx, name, number, term)
+		got := d.Machines.StartUpkeep(ctx, name, number, term)
 		d.post(term, func() {
 			event.Log(d.Log, event.MachineOrdered, "wave", number, "machine", name, "outcome", int(got))
-			if got == UpkeepNever {
+			if got == UpkeepUnknownMachine {
 				d.upkept(w, m)
 			}
 		})
--- a/internal/control/dispatch/way.go
+++ b/internal/control/dispatch/way.go
@@ -47,7 +47,7 @@
 // direct tells whether the servers that are called directly, and so many more, may
 // be: each takes connections, and a process may open only so many.
 func (d *Dispatcher) direct(more int) bool {
-	return d.Direct == nil || len(d.lead.sessions)-d.lead.relayed+more <= d.Direct()
+	return d.MaxDirectServers == nil || len(d.lead.sessions)-d.lead.relayed+more <= d.MaxDirectServers()
 }
 
 // otherWay returns the next way to a server that could not be reached: through
--- a/internal/control/dispatch/zone.go
+++ b/internal/control/dispatch/zone.go
@@ -22,7 +22,7 @@
 			reply(errNotLeading)
 			return
 		}
-		if !d.Host.KnowsZone(zone) {
+		if !d.Host.HasZone(zone) {
 			err := code.New(code.NotFound, "zone %q", zone)
 			event.LogError(d.Log, event.ZoneRefused, err, "zone", zone, "drain", drain)
 			reply(err)
@@ -30,11 +30,11 @@
 		}
 		// One that changes nothing is committed as well, which proves that it is
 		// the newest word.
-		if err := d.Host.Decide(&record.Flow{What: &record.Flow_Zone{Zone: &record.ZoneMark{Zone: zone, Drain: drain}}}); err != nil {
+		if err := d.Host.ApplyCommand(&record.Flow{What: &record.Flow_Zone{Zone: &record.ZoneMark{Zone: zone, Drain: drain}}}); err != nil {
 			reply(err)
 			return
 		}
-		d.Host.After(func() {
+		d.Host.AfterCommit(func() {
 			event.Log(d.Log, event.ZoneMarked, "zone", zone, "drain", drain, "term", d.lead.term)
 			reply(nil)
 		})
@@ -49,15 +49,15 @@
 // that came, and moves lasting tasks out of those that are drained.
 func (d *Dispatcher) lookAtZones() {
 	ledger := d.Host.Flows()
-	if !maps.Equal(d.lead.drained, ledger.Zones()) {
-		d.lead.drained = maps.Clone(ledger.Zones())
+	if !maps.Equal(d.lead.drained, ledger.DrainedZones()) {
+		d.lead.drained = maps.Clone(ledger.DrainedZones())
 		d.lead.dirty = true
 	}
 	if len(d.lead.drained) == 0 {
 		return
 	}
 	for _, s := range d.lead.sorted {
-		if b, ok := ledger.Server(s.id); ok && ledger.Drained(b.Zone) {
+		if b, ok := ledger.Server(s.id); ok && ledger.ZoneDrained(b.Zone) {
 			d.moveLasting(s)
 		}
 	}
@@ -85,7 +85,7 @@
 	}
 	for _, s := range d.lead.sorted {
 		b, known := ledger.Server(s.id)
-		if known && ledger.Takes(b) && s.usable(now) && b.Pool == q.GetPool() && steps.HasLabel(step.Spec.GetLabel(), b) && flow.SizeOf(step.Spec).Fits(b.Free()) {
+		if known && ledger.AcceptsWork(b) && s.usable(now) && b.Pool == q.GetPool() && steps.HasLabel(step.Spec.GetLabel(), b) && flow.SizeOf(step.Spec).Fits(b.FreeCapacity()) {
 			return true
 		}
 	}
@@ -96,18 +96,18 @@
 // zones: what is handed in now would wait until an operator takes one back.
 func (d *Dispatcher) closed(pool string) bool {
 	ledger := d.Host.Flows()
-	if len(ledger.Zones()) == 0 {
+	if len(ledger.DrainedZones()) == 0 {
 		return false
 	}
 	drained := false
 	for _, b := range ledger.Servers() {
-		if b.Pool != pool || b.Over {
+		if b.Pool != pool || b.Ended {
 			continue
 		}
-		if ledger.Takes(b) {
+		if ledger.AcceptsWork(b) {
 			return false
 		}
-		drained = drained || ledger.Drained(b.Zone)
+		drained = drained || ledger.ZoneDrained(b.Zone)
 	}
 	return drained
 }
--- a/internal/control/dispatch/zone_test.go
+++ b/internal/control/dispatch/zone_test.go
@@ -230,7 +230,7 @@
 		close(held)
 		time.Sleep(50 * time.Millisecond)
 		w.do(func() {
-			if w.ledger.Drained("x") {
+			if w.ledger.ZoneDrained("x") {
 				t.Error("the order was carried out after its sender had given up")
 			}
 		})
--- a/internal/control/entry/entry.go
+++ b/internal/control/entry/entry.go
@@ -68,7 +68,7 @@
 		return &inner.PushReply{Redirect: redirect(st)}, nil
 	}
 	box := s.box(st.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
-	if s.Leader.Push(leader.Batch{Box: box, Received: s.Now(), Items: req.GetItems()}) {
+	if s.Leader.Push(leader.Batch{Mailbox: box, ReceivedAt: s.Now(), Items: req.GetItems()}) {
 		return &inner.PushReply{}, nil
 	}
 	s.limit.Log(s.Log, event.Overload, "entry", req.GetEntry(), "items", len(req.GetItems()))
@@ -94,16 +94,16 @@
 	box := s.box(st.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
 	// Wakes are counted before the revision is read: one that comes in between
 	// ends the wait.
-	wakes := box.Wakes()
+	wakes := box.WakeCount()
 	if s.Leader.Status().Revision > req.GetRevision() {
 		cancel()
 	}
-	b := box.PullOrWake(ctx, req.GetEpoch(), req.GetAck(), wakes)
+	b := box.PullUntilWake(ctx, req.GetEpoch(), req.GetAck(), wakes)
 	st = s.Leader.Status()
 	if b.Closed || !st.Leads {
 		return &inner.PullReply{Redirect: redirect(st)}, nil
 	}
-	return &inner.PullReply{First: b.First, Replies: b.Replies, Revision: st.Revision, Epoch: b.Epoch}, nil
+	return &inner.PullReply{First: b.FirstNumber, Replies: b.Replies, Revision: st.Revision, Epoch: b.Epoch}, nil
 }
 
 // Dump returns the state of this process.
@@ -147,7 +147,7 @@
 		s.term, s.boxes = term, map[mailbox.Name]*mailbox.Mailbox{}
 	}
 	for n, b := range s.boxes {
-		if n != name && b.Idle() > idleBox {
+		if n != name && b.IdleTime() > idleBox {
 			b.Close()
 			delete(s.boxes, n)
 		}
--- a/internal/control/entry/roll.go
+++ b/internal/control/entry/roll.go
@@ -151,7 +151,7 @@
 	defer s.mu.Unlock()
 	var out []Box
 	for n, b := range s.boxes {
-		out = append(out, Box{Entry: n.Entry, Session: n.Session, Replies: b.Len(), Idle: b.Idle().Seconds()})
+		out = append(out, Box{Entry: n.Entry, Session: n.Session, Replies: b.Len(), Idle: b.IdleTime().Seconds()})
 	}
 	slices.SortFunc(out, func(a, b Box) int { return strings.Compare(a.Entry, b.Entry) })
 	return out
--- a/internal/control/entry/roll_test.go
+++ b/internal/control/entry/roll_test.go
@@ -23,31 +23,31 @@
 )
 
 // stub is a group that commits at once.
-type stub struct{ notes chan group.Note }
+type stub struct{ notes chan group.Notification }
 
 func (g *stub) Propose(p group.Proposal) bool {
-	g.notes <- group.Commit{Index: p.First + uint64(len(p.Commands)) - 1}
+	g.notes <- group.CommitAdvanced{Index: p.FirstIndex + uint64(len(p.Commands)) - 1}
 	return true
 }
-func (g *stub) Notes() <-chan group.Note { return g.notes }
-func (g *stub) Confirm()                 {}
-func (g *stub) Compact(uint64, []byte)   {}
-func (g *stub) Reload()                  {}
+func (g *stub) Notifications() <-chan group.Notification { return g.notes }
+func (g *stub) ConfirmLeadership()                       {}
+func (g *stub) Compact(uint64, []byte)                   {}
+func (g *stub) Reload()                                  {}
 
 // serve gives fn a service whose control thread leads, and its log.
 func serve(t *testing.T, fn func(*entry.Server, *leader.Leader, *bytes.Buffer)) {
 	synctest.Test(t, func(*testing.T) {
 		begin := time.Now()
-		g := &stub{notes: make(chan group.Note, 64)}
+		g := &stub{notes: make(chan group.Notification, 64)}
 		l := leader.New()
 		l.Group, l.Now = g, func() time.Duration { return time.Since(begin) + time.Minute }
-		l.Planner = func() plan.Planner { return fifo.New() }
+		l.NewPlanner = func() plan.Planner { return fifo.New() }
 		digest := key.Digest("secret")
-		l.Root = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest[:]}
+		l.RootKey = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest[:]}
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { _ = l.Run(ctx) }()
-		g.notes <- group.Lead{Term: 1, Elected: l.Now()}
-		g.notes <- group.Confirmed{Term: 1, Start: l.Now()}
+		g.notes <- group.Leading{Term: 1, ElectedAt: l.Now()}
+		g.notes <- group.LeadershipConfirmed{Term: 1, StartedAt: l.Now()}
 		synctest.Wait()
 		var log bytes.Buffer
 		fn(&entry.Server{Cell: "rail", Leader: l, Now: l.Now, Log: event.New(&log, "debug")}, l, &log)
--- a/internal/control/flows/flows.go
+++ b/internal/control/flows/flows.go
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	if st := s.Leader.Status(); !st.Leads {
-		s.Dispatcher.Heard(g)
+		s.Dispatcher.RegisterProcess(g)
 		return &inner.Welcome{Leader: st.Address, Term: st.Term}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
--- a/internal/control/leader/answer.go
+++ b/internal/control/leader/answer.go
@@ -27,7 +27,7 @@
 // chunk returns one chunk of a final job's answer; nil when there is none of
 // that number. The checksum of the whole is taken once, not for every chunk.
 func (l *Leader) chunk(j *state.Job, number uint32) *v1.Chunk {
-	pieces := l.st.Pieces(j)
+	pieces := l.st.TaskAnswers(j)
 	h, ok := l.lead.answers.heads[j.Number]
 	if !ok {
 		h = answer.NewHead(pieces)
@@ -54,7 +54,7 @@
 	}
 	size, ok := l.lead.answers.sizes[number]
 	if !ok {
-		for p := range l.st.Pieces(j) {
+		for p := range l.st.TaskAnswers(j) {
 			size += len(p)
 		}
 	}
--- a/internal/control/leader/ask.go
+++ b/internal/control/leader/ask.go
@@ -22,9 +22,9 @@
 		return
 	}
 	for _, it := range b.Items {
-		to := Ticket{Box: b.Box, Seq: it.GetSeq(), Received: b.Received}
+		to := ReplyTarget{Mailbox: b.Mailbox, Seq: it.GetSeq(), ReceivedAt: b.ReceivedAt}
 		if n := it.GetBudget(); n > 0 {
-			to.Until = b.Received + time.Duration(n)*time.Millisecond
+			to.Deadline = b.ReceivedAt + time.Duration(n)*time.Millisecond
 		}
 		l.item(to, it)
 	}
@@ -32,7 +32,7 @@
 
 // item handles one item. The order of the checks matters: nothing is read or
 // changed before the key that came with it is known to be good now.
-func (l *Leader) item(to Ticket, it *inner.Item) {
+func (l *Leader) item(to ReplyTarget, it *inner.Item) {
 	if !l.current() {
 		l.refuse(to, code.New(code.NoLeader, "try again"))
 		return
@@ -67,7 +67,7 @@
 // that is cut off silently must stop to answer before long: it does not hear of
 // keys that are withdrawn elsewhere.
 func (l *Leader) current() bool {
-	return l.lead.proved && l.Now()-l.lead.confirmed <= l.Fresh
+	return l.lead.proved && l.Now()-l.lead.confirmed <= l.MaxConfirmationAge
 }
 
 func (l *Leader) authorize(c *inner.Credential) (key.Key, *code.Error) {
@@ -79,7 +79,7 @@
 	return k, nil
 }
 
-func (l *Leader) operator(to Ticket, k key.Key, fn func()) {
+func (l *Leader) operator(to ReplyTarget, k key.Key, fn func()) {
 	if !k.Operator {
 		l.refuse(to, code.New(code.Forbidden, "an operator's key is needed"))
 		return
@@ -87,7 +87,7 @@
 	fn()
 }
 
-func (l *Leader) caller(to Ticket, k key.Key, it *inner.Item) {
+func (l *Leader) caller(to ReplyTarget, k key.Key, it *inner.Item) {
 	if k.Operator {
 		l.refuse(to, code.New(code.Forbidden, "a team's key is needed"))
 		return
@@ -108,7 +108,7 @@
 	}
 }
 
-func (l *Leader) submit(to Ticket, k key.Key, req *v1.SubmitRequest) {
+func (l *Leader) submit(to ReplyTarget, k key.Key, req *v1.SubmitRequest) {
 	rep := &v1.SubmitReply{}
 	for _, spec := range req.GetJobs() {
 		rep.Jobs = append(rep.Jobs, l.accept(k, spec))
@@ -120,7 +120,7 @@
 func (l *Leader) accept(k key.Key, spec *v1.Spec) *v1.Accepted {
 	c := &record.Command{What: &record.Command_Accept{Accept: &record.Accept{Team: k.Team, Key: k.ID, Spec: spec}}}
 	var retry time.Duration
-	if _, ok := l.st.Find(state.RequestID{Team: k.Team, ID: spec.GetId()}); !ok {
+	if _, ok := l.st.FindJob(state.RequestID{Team: k.Team, ID: spec.GetId()}); !ok {
 		var why code.Code
 		if why, retry = l.admit(k.Team, spec); why != code.OK {
 			c = &record.Command{What: &record.Command_Refuse{Refuse: &record.Refuse{Team: k.Team, Spec: spec, Code: uint32(why)}}}
@@ -147,9 +147,9 @@
 		return code.DiskFull, fullRetry
 	}
 	waits := l.st.Backlog()
-	err, retry := admit.Check(command.Spec(owner, spec), admit.View{
-		Row: row, TeamWaiting: l.st.Waiting(owner), CellWaiting: waits.Jobs, MaxWaiting: l.Backlog, WaitingTeams: waits.Teams,
-		ServerSizes: l.st.Kinds(), TotalCapacity: l.st.Total(),
+	err, retry := admit.Check(command.SpecFromMessage(owner, spec), admit.View{
+		Row: row, TeamWaiting: l.st.TeamWaitingJobs(owner), CellWaiting: waits.Jobs, MaxWaiting: l.MaxBacklog, WaitingTeams: waits.Teams,
+		ServerSizes: l.st.ServerCapacities(), TotalCapacity: l.st.TotalCapacity(),
 	}, rand.Float64())
 	if err != nil {
 		return err.Code, retry
@@ -159,15 +159,15 @@
 
 // waiter is a Wait that is parked until the job ends.
 type waiter struct {
-	to    Ticket
+	to    ReplyTarget
 	key   string
 	chunk uint32
 	done  bool
 }
 
-func (l *Leader) wait(to Ticket, k key.Key, req *v1.WaitRequest) {
+func (l *Leader) wait(to ReplyTarget, k key.Key, req *v1.WaitRequest) {
 	id := state.RequestID{Team: k.Team, ID: req.GetId()}
-	j, ok := l.st.Find(id)
+	j, ok := l.st.FindJob(id)
 	if !ok {
 		l.read(to, func() { l.missing(to, id) })
 		return
@@ -182,8 +182,8 @@
 }
 
 // missing answers that a job is not known, after the proof that this is current.
-func (l *Leader) missing(to Ticket, id state.RequestID) {
-	if j, ok := l.st.Find(id); ok {
+func (l *Leader) missing(to ReplyTarget, id state.RequestID) {
+	if j, ok := l.st.FindJob(id); ok {
 		l.answer(to, j, 0)
 		return
 	}
@@ -192,14 +192,14 @@
 
 // until returns when a long poll ends: after the patience asked for, the bound
 // on patience, or the caller's own deadline, whichever is first.
-func (l *Leader) until(to Ticket, patience uint64) time.Duration {
+func (l *Leader) until(to ReplyTarget, patience uint64) time.Duration {
 	// A server renews its lease once a poll: polls as long as the lease would
 	// let it run out between two of them.
-	longest := min(l.Patience, l.Terms.Length/pollsPerLease)
+	longest := min(l.MaxPollWait, l.LeaseTerms.Length/pollsPerLease)
 	d := time.Duration(min(patience, uint64(longest/time.Millisecond))) * time.Millisecond
-	end := to.Received + d
-	if to.Until > 0 {
-		end = min(end, to.Until)
+	end := to.ReceivedAt + d
+	if to.Deadline > 0 {
+		end = min(end, to.Deadline)
 	}
 	return end
 }
@@ -220,7 +220,7 @@
 	if len(l.lead.waits[id]) == 0 {
 		delete(l.lead.waits, id)
 	}
-	if j, ok := l.st.Find(id); ok {
+	if j, ok := l.st.FindJob(id); ok {
 		l.tell(w, j)
 		return
 	}
@@ -239,7 +239,7 @@
 
 // answerWaits answers the waits for a job that has ended.
 func (l *Leader) answerWaits(j *state.Job) {
-	id := j.Request()
+	id := j.RequestID()
 	for _, w := range l.lead.waits[id] {
 		if !w.done {
 			w.done = true
@@ -249,7 +249,7 @@
 	delete(l.lead.waits, id)
 }
 
-func (l *Leader) answer(to Ticket, j *state.Job, chunk uint32) {
+func (l *Leader) answer(to ReplyTarget, j *state.Job, chunk uint32) {
 	rep := &v1.WaitReply{Id: j.Spec.ID, Outcome: j.Outcome, Status: status(&code.Error{Code: j.Code})}
 	if j.Outcome == v1.Outcome_OUTCOME_DONE {
 		rep.Chunk = l.chunk(j, chunk)
@@ -261,10 +261,10 @@
 	l.reply(to, &inner.Reply{Answer: &inner.Reply_Wait{Wait: rep}})
 }
 
-func (l *Leader) cancel(to Ticket, k key.Key, req *v1.CancelRequest) {
+func (l *Leader) cancel(to ReplyTarget, k key.Key, req *v1.CancelRequest) {
 	c := &record.Cancel{}
 	for _, id := range req.GetIds() {
-		if j, ok := l.st.Find(state.RequestID{Team: k.Team, ID: id}); ok && !j.Final() {
+		if j, ok := l.st.FindJob(state.RequestID{Team: k.Team, ID: id}); ok && !j.Final() {
 			c.Jobs = append(c.Jobs, j.Number)
 		}
 	}
@@ -291,11 +291,11 @@
 	return true
 }
 
-func (l *Leader) list(to Ticket, k key.Key, req *v1.ListRequest) {
+func (l *Leader) list(to ReplyTarget, k key.Key, req *v1.ListRequest) {
 	rep := &v1.ListReply{Status: &v1.Status{}}
 	if len(req.GetIds()) > 0 {
 		for _, id := range req.GetIds() {
-			if j, ok := l.st.Find(state.RequestID{Team: k.Team, ID: id}); ok {
+			if j, ok := l.st.FindJob(state.RequestID{Team: k.Team, ID: id}); ok {
 				rep.Jobs = append(rep.Jobs, summary(j))
 			}
 		}
@@ -311,14 +311,14 @@
 func summary(j *state.Job) *v1.Summary {
 	return &v1.Summary{
 		Id: j.Spec.ID, Team: j.Spec.Team, Kind: v1.Kind(j.Spec.Kind), Name: j.Spec.Name, Outcome: j.Outcome,
-		Status: status(&code.Error{Code: j.Code}), Tasks: j.Spec.Count, Running: j.Held, Ended: j.Finals,
+		Status: status(&code.Error{Code: j.Code}), Tasks: j.Spec.Count, Running: j.HeldTasks, Ended: j.FinalTasks,
 	}
 }
 
-func (l *Leader) acknowledge(to Ticket, k key.Key, req *v1.AcknowledgeRequest) {
+func (l *Leader) acknowledge(to ReplyTarget, k key.Key, req *v1.AcknowledgeRequest) {
 	f := &record.Forget{}
 	for _, id := range req.GetIds() {
-		if j, ok := l.st.Find(state.RequestID{Team: k.Team, ID: id}); ok && j.Final() {
+		if j, ok := l.st.FindJob(state.RequestID{Team: k.Team, ID: id}); ok && j.Final() {
 			f.Jobs = append(f.Jobs, j.Number)
 		}
 	}
--- a/internal/control/leader/bench_test.go
+++ b/internal/control/leader/bench_test.go
@@ -21,7 +21,7 @@
 // instant is a group that commits and confirms at once: what is measured is the
 // control thread alone.
 type instant struct {
-	notes chan group.Note
+	notes chan group.Notification
 	now   func() time.Duration
 	index uint64
 	bytes uint64
@@ -31,14 +31,14 @@
 	for _, c := range p.Commands {
 		g.bytes += uint64(len(c))
 	}
-	g.index = p.First + uint64(len(p.Commands)) - 1
-	g.notes <- group.Commit{Index: g.index}
+	g.index = p.FirstIndex + uint64(len(p.Commands)) - 1
+	g.notes <- group.CommitAdvanced{Index: g.index}
 	return true
 }
-func (g *instant) Notes() <-chan group.Note { return g.notes }
-func (g *instant) Confirm()                 {}
-func (g *instant) Compact(uint64, []byte)   {}
-func (g *instant) Reload()                  {}
+func (g *instant) Notifications() <-chan group.Notification { return g.notes }
+func (g *instant) ConfirmLeadership()                       {}
+func (g *instant) Compact(uint64, []byte)                   {}
+func (g *instant) Reload()                                  {}
 
 // rig drives a control thread with many servers on real time.
 type rig struct {
@@ -53,23 +53,23 @@
 func newRig(b *testing.B, servers int) *rig {
 	begin := time.Now()
 	r := &rig{b: b, box: mailbox.New(1), number: make([]uint64, servers)}
-	r.g = &instant{notes: make(chan group.Note, 1<<16), now: func() time.Duration { return time.Since(begin) + time.Hour }}
+	r.g = &instant{notes: make(chan group.Notification, 1<<16), now: func() time.Duration { return time.Since(begin) + time.Hour }}
 	r.l = leader.New()
 	r.l.Group, r.l.Now = r.g, r.g.now
-	r.l.Snapshot = 1 << 62
-	r.l.Planner = func() plan.Planner { return policy.New(policy.Config{}) }
-	r.l.Root = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest()}
+	r.l.SnapshotInterval = 1 << 62
+	r.l.NewPlanner = func() plan.Planner { return policy.New(policy.Config{}) }
+	r.l.RootKey = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest()}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { _ = r.l.Run(ctx); close(done) }()
 	b.Cleanup(func() { cancel(); <-done })
 	go func() {
 		for ctx.Err() == nil {
-			r.g.notes <- group.Confirmed{Term: 1, Start: r.g.now()}
+			r.g.notes <- group.LeadershipConfirmed{Term: 1, StartedAt: r.g.now()}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}()
-	r.g.notes <- group.Lead{Term: 1, Elected: r.g.now()}
+	r.g.notes <- group.Leading{Term: 1, ElectedAt: r.g.now()}
 	time.Sleep(100 * time.Millisecond)
 	r.ask(&inner.Item{Credential: &inner.Credential{Id: "op", Digest: digest()}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{Id: "t", Change: &v1.ChangeRequest_Table{Table: rows(960)}}}})
 	r.ask(&inner.Item{Credential: &inner.Credential{Id: "op", Digest: digest()}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{Id: "k", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "team0", Digest: digest()}}}}})
@@ -94,7 +94,7 @@
 }
 
 func (r *rig) push(items ...*inner.Item) {
-	for !r.l.Push(leader.Batch{Box: r.box, Received: r.g.now(), Items: items}) {
+	for !r.l.Push(leader.Batch{Mailbox: r.box, ReceivedAt: r.g.now(), Items: items}) {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -106,7 +106,7 @@
 	for len(out) < n && ctx.Err() == nil {
 		b := r.box.Pull(ctx, 1, r.ack)
 		if len(b.Replies) > 0 {
-			r.ack = b.First + uint64(len(b.Replies)) - 1
+			r.ack = b.FirstNumber + uint64(len(b.Replies)) - 1
 		}
 		out = append(out, b.Replies...)
 	}
@@ -158,7 +158,7 @@
 	where := map[string]int{}
 	r.must(func(st *state.State) {
 		for _, b := range st.Servers() {
-			if n := st.Count(b.ID); n > 0 {
+			if n := st.PlacedTaskCount(b.ID); n > 0 {
 				where[b.ID] = n
 			}
 		}
@@ -185,7 +185,7 @@
 }
 
 func (r *rig) must(fn func(*state.State)) {
-	if err := r.l.Do(context.Background(), fn); err != nil {
+	if err := r.l.Execute(context.Background(), fn); err != nil {
 		r.b.Fatal(err)
 	}
 }
@@ -240,11 +240,11 @@
 			for range b.N {
 				r.must(func(st *state.State) {
 					t0 := time.Now()
-					p := st.Picture()
+					p := st.BeginSnapshot()
 					longest := time.Since(t0)
 					for done := false; !done; {
 						begin := time.Now()
-						done = p.Step(2048)
+						done = p.CopyRecords(2048)
 						longest = max(longest, time.Since(begin))
 					}
 					c := p.State()
--- a/internal/control/leader/clock_test.go
+++ b/internal/control/leader/clock_test.go
@@ -15,13 +15,13 @@
 	run(t, func(c *cell) {
 		var heard bool
 		on := func(fn func(*state.State)) {
-			if err := c.l.Do(context.Background(), fn); err != nil {
+			if err := c.l.Execute(context.Background(), fn); err != nil {
 				t.Fatal(err)
 			}
 		}
 		on(func(*state.State) {
-			c.l.Wall = func() time.Time { return time.Now().Add(time.Hour) }
-			c.l.Agreed = func(time.Duration) (time.Duration, bool) { return time.Duration(time.Now().UnixNano()), heard }
+			c.l.WallClock = func() time.Time { return time.Now().Add(time.Hour) }
+			c.l.AgreedTime = func(time.Duration) (time.Duration, bool) { return time.Duration(time.Now().UnixNano()), heard }
 		})
 		c.elect(2)
 		for _, told := range []bool{false, true} {
@@ -29,7 +29,7 @@
 			time.Sleep(time.Second)
 			c.accepted(spec(map[bool]string{false: "before", true: "after"}[told]))
 			on(func(st *state.State) {
-				if off := st.At() - time.Duration(time.Now().UnixNano()); off > 0 || off < -2*time.Second {
+				if off := st.Now() - time.Duration(time.Now().UnixNano()); off > 0 || off < -2*time.Second {
 					t.Errorf("told %v: the ledger's time is off by %v", told, off)
 				}
 			})
--- a/internal/control/leader/decide.go
+++ b/internal/control/leader/decide.go
@@ -73,14 +73,14 @@
 func (l *Leader) correct(d plan.Decision) {
 	for _, p := range d.Placements {
 		if b, ok := l.st.Server(p.Server); ok {
-			watch{l}.Server(b)
+			watch{l}.ServerChanged(b)
 		}
 	}
 	t, ok := l.st.Task(d.Task)
 	if !ok || len(d.Placements) > 0 {
 		return
 	}
-	if j, known := l.st.Job(t.ID.Job); known && t.Phase.Holds() {
+	if j, known := l.st.Job(t.ID.Job); known && t.Phase.HoldsCapacity() {
 		l.lead.planner.SetPlaced(heldOf(j, t))
 	}
 }
@@ -103,12 +103,12 @@
 // be new work for a server that is leaving. The server notes the stop of what it
 // does not know, and says that nothing was started.
 func (l *Leader) recall(b state.Server, s *session) {
-	if !b.Drains() && b.Server.State != backend.Draining {
+	if !b.IsDrained() && b.Server.State != backend.Draining {
 		return
 	}
 	var idle []task.ID
-	l.st.Placed(b.ID, func(t *state.Task) {
-		if _, known := s.reports[t.Current()]; t.Phase == state.Placed && t.Incarnation == s.incarnation && !known {
+	l.st.EachPlacedTask(b.ID, func(t *state.Task) {
+		if _, known := s.reports[t.CurrentAttempt()]; t.Phase == state.Placed && t.Incarnation == s.incarnation && !known {
 			idle = append(idle, t.ID)
 		}
 	})
@@ -129,19 +129,19 @@
 // watch tells planner, sessions and waiters what a command changed.
 type watch struct{ l *Leader }
 
-var _ state.Watch = watch{}
+var _ state.Observer = watch{}
 
-// Table passes a new revision on.
-func (w watch) Table(t table.Table) {
+// TableChanged passes a new revision on.
+func (w watch) TableChanged(t table.Table) {
 	w.l.lead.planner.SetTable(t)
 	w.l.lead.tabled = w.l.lead.last + 1 // do counts the command once it is applied
 	w.l.lead.dirty = true
 }
 
-// Server passes a changed server on; a drained one shows as draining.
-func (w watch) Server(b state.Server) {
+// ServerChanged passes a changed server on; a drained one shows as draining.
+func (w watch) ServerChanged(b state.Server) {
 	s := b.Server
-	if b.Drains() && s.State != backend.Gone {
+	if b.IsDrained() && s.State != backend.Gone {
 		s.State = backend.Draining
 	}
 	w.l.lead.planner.SetServer(s)
@@ -149,41 +149,41 @@
 	w.l.lead.dirty = true
 }
 
-// Queue passes a waiting task on.
-func (w watch) Queue(j *state.Job, t *state.Task) {
-	w.l.lead.planner.AddWaiting(plan.WaitingTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.Accepted, Attempts: t.Attempt})
+// TaskQueued passes a waiting task on.
+func (w watch) TaskQueued(j *state.Job, t *state.Task) {
+	w.l.lead.planner.AddWaiting(plan.WaitingTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.AcceptedAt, Attempts: t.Attempt})
 	w.l.lead.dirty = true
 }
 
-// Unqueue passes on that a task waits no more.
-func (w watch) Unqueue(id task.ID) { w.l.lead.planner.RemoveWaiting(id) }
+// TaskUnqueued passes on that a task waits no more.
+func (w watch) TaskUnqueued(id task.ID) { w.l.lead.planner.RemoveWaiting(id) }
 
-// Hold passes a placement on and lets its server's session know.
-func (w watch) Hold(j *state.Job, t *state.Task) {
+// TaskPlaced passes a placement on and lets its server's session know.
+func (w watch) TaskPlaced(j *state.Job, t *state.Task) {
 	w.l.lead.planner.SetPlaced(heldOf(j, t))
 	w.l.placed(t)
 	w.l.lead.updated[t.Server] = true
 }
 
-// Stopping passes on that a task is to stop and lets its server's session know.
-func (w watch) Stopping(j *state.Job, t *state.Task) {
+// TaskStopping passes on that a task is to stop and lets its server's session know.
+func (w watch) TaskStopping(j *state.Job, t *state.Task) {
 	w.l.lead.planner.SetPlaced(heldOf(j, t))
 	w.l.lead.updated[t.Server] = true
 }
 
 func heldOf(j *state.Job, t *state.Task) plan.PlacedTask {
-	return plan.PlacedTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.Accepted, Server: t.Server, PlacedAt: t.Since, Stopping: t.Phase == state.Stopping}
+	return plan.PlacedTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.AcceptedAt, Server: t.Server, PlacedAt: t.PhaseSince, Stopping: t.Phase == state.Stopping}
 }
 
-// Release passes on that an attempt runs no more.
-func (w watch) Release(_ *state.Job, t *state.Task, how state.End) {
+// TaskReleased passes on that an attempt runs no more.
+func (w watch) TaskReleased(_ *state.Job, t *state.Task, how state.AttemptEnd) {
 	w.l.released(t, how)
-	w.l.lead.planner.EndAttempt(t.ID, plan.AttemptEnd{EndedAt: w.l.st.At(), Started: how.Ran, Failed: how.Failed, ServerLost: how.Lost})
+	w.l.lead.planner.EndAttempt(t.ID, plan.AttemptEnd{EndedAt: w.l.st.Now(), Started: how.Started, Failed: how.Failed, ServerLost: how.Lost})
 	w.l.lead.dirty = true
 }
 
-// Ended wakes who waits for the job's outcome.
-func (w watch) Ended(j *state.Job) {
+// JobEnded wakes who waits for the job's outcome.
+func (w watch) JobEnded(j *state.Job) {
 	w.l.endedSeen(j)
 	w.l.answerWaits(j)
 }
@@ -191,11 +191,11 @@
 // watchServers marks servers that went silent and ends sessions whose lease is over.
 func (l *Leader) watchServers(now time.Duration) {
 	ld := l.lead
-	if !ld.proved || now-ld.confirmed > l.Fresh {
+	if !ld.proved || now-ld.confirmed > l.MaxConfirmationAge {
 		return // a leader that cannot prove to lead gives up nobody
 	}
 	for id, s := range ld.servers {
-		if now-s.heard <= l.Silence {
+		if now-s.heard <= l.SyncTimeout {
 			continue
 		}
 		b, ok := l.st.Server(id)
--- a/internal/control/leader/harness_test.go
+++ b/internal/control/leader/harness_test.go
@@ -25,7 +25,7 @@
 
 // fakeGroup is a group of which the test decides what commits and what is confirmed.
 type fakeGroup struct {
-	notes chan group.Note
+	notes chan group.Notification
 	now   func() time.Duration
 	mu    sync.Mutex
 	// held stops commits, cut stops confirmed rounds.
@@ -43,11 +43,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.proposals++
-	if p.Term != g.term || p.First != uint64(len(g.log))+1 {
+	if p.Term != g.term || p.FirstIndex != uint64(len(g.log))+1 {
 		return true // dropped whole, as the real one does
 	}
 	for _, c := range p.Commands {
-		g.log = append(g.log, quorum.Entry{Index: uint64(len(g.log)) + 1, Term: p.Term, Kind: quorum.Command, Data: c})
+		g.log = append(g.log, quorum.Entry{Index: uint64(len(g.log)) + 1, Term: p.Term, Kind: quorum.EntryCommand, Data: c})
 	}
 	if !g.held {
 		g.commit()
@@ -67,17 +67,17 @@
 
 func (g *fakeGroup) commit() {
 	g.committed = uint64(len(g.log))
-	g.notes <- group.Commit{Index: g.committed}
+	g.notes <- group.CommitAdvanced{Index: g.committed}
 }
 
-func (g *fakeGroup) Notes() <-chan group.Note { return g.notes }
+func (g *fakeGroup) Notifications() <-chan group.Notification { return g.notes }
 
-func (g *fakeGroup) Confirm() {
+func (g *fakeGroup) ConfirmLeadership() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.cut {
 		select {
-		case g.notes <- group.Confirmed{Term: g.term, Start: g.now()}:
+		case g.notes <- group.LeadershipConfirmed{Term: g.term, StartedAt: g.now()}:
 		default:
 		}
 	}
@@ -133,11 +133,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
 		now := func() time.Duration { return time.Since(begin) + time.Minute }
-		g := &fakeGroup{notes: make(chan group.Note, 4096), now: now, term: 1}
+		g := &fakeGroup{notes: make(chan group.Notification, 4096), now: now, term: 1}
 		ctx, cancel := context.WithCancel(context.Background())
 		c := &cell{t: t, g: g, stop: cancel, got: map[uint64]*inner.Reply{}}
 		c.l = c.newLeader(g)
-		c.l.Log, c.l.Planner = log, planner
+		c.l.Log, c.l.NewPlanner = log, planner
 		done := make(chan error, 1)
 		go func() { done <- c.l.Run(ctx) }()
 		beats := make(chan struct{})
@@ -159,13 +159,13 @@
 func (c *cell) newLeader(g *fakeGroup) *leader.Leader {
 	l := leader.New()
 	l.Group, l.Now = g, g.now
-	l.Root = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest()}
+	l.RootKey = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest()}
 	return l
 }
 
 func (c *cell) beat(ctx context.Context) {
 	for ctx.Err() == nil {
-		c.g.Confirm()
+		c.g.ConfirmLeadership()
 		select {
 		case <-time.After(100 * time.Millisecond):
 		case <-ctx.Done():
@@ -178,8 +178,8 @@
 	c.term = term
 	c.box = mailbox.New(term)
 	c.ack = 0
-	c.g.notes <- group.Lead{Term: term, Last: c.g.lead(term), Elected: c.g.now()}
-	c.g.Confirm()
+	c.g.notes <- group.Leading{Term: term, LastIndex: c.g.lead(term), ElectedAt: c.g.now()}
+	c.g.ConfirmLeadership()
 	synctest.Wait()
 }
 
@@ -187,7 +187,7 @@
 func (c *cell) push(it *inner.Item) uint64 {
 	c.seq++
 	it.Seq = c.seq
-	if !c.l.Push(leader.Batch{Box: c.box, Received: c.g.now(), Items: []*inner.Item{it}}) {
+	if !c.l.Push(leader.Batch{Mailbox: c.box, ReceivedAt: c.g.now(), Items: []*inner.Item{it}}) {
 		c.t.Fatal("no room")
 	}
 	synctest.Wait()
@@ -201,7 +201,7 @@
 	cancel()
 	b := c.box.Pull(ctx, c.term, c.ack)
 	for i, r := range b.Replies {
-		c.ack = b.First + uint64(i)
+		c.ack = b.FirstNumber + uint64(i)
 		c.got[r.GetSeq()] = r
 	}
 	return c.got[seq]
@@ -313,7 +313,7 @@
 
 func (c *cell) ledger(fn func(*state.State)) {
 	c.t.Helper()
-	if err := c.l.Do(context.Background(), fn); err != nil {
+	if err := c.l.Execute(context.Background(), fn); err != nil {
 		c.t.Fatal(err)
 	}
 }
--- a/internal/control/leader/inspect.go
+++ b/internal/control/leader/inspect.go
@@ -73,7 +73,7 @@
 // no time until ctx ends.
 func (l *Leader) Inspect(ctx context.Context) (View, error) {
 	var v View
-	err := l.Do(ctx, func(*state.State) { v = l.view() })
+	err := l.Execute(ctx, func(*state.State) { v = l.view() })
 	if err != nil {
 		return View{}, err
 	}
@@ -82,12 +82,12 @@
 
 func (l *Leader) view() View {
 	v := View{
-		Term: l.status.Load().Term, Applied: l.applied, Saved: l.saved, Full: l.full, Faults: l.st.Faults(),
+		Term: l.status.Load().Term, Applied: l.applied, Saved: l.saved, Full: l.full, Faults: l.st.InvalidTransitions(),
 		Sum: l.st.Digest(), Revision: l.st.Table().Revision(), Inbox: len(l.inbox), Servers: map[string]int{},
 	}
 	l.st.EachServer(func(b state.Server) {
 		v.Servers[shownState(b)]++
-		v.Running += l.st.Count(b.ID)
+		v.Running += l.st.PlacedTaskCount(b.ID)
 	})
 	v.Zones = l.st.Zones()
 	v.Teams = l.teamViews()
@@ -118,7 +118,7 @@
 func (l *Leader) teamViews() []TeamView {
 	out := first[TeamView]{compare: func(a, b TeamView) int { return cmp.Compare(b.Waiting, a.Waiting) }}
 	for _, r := range l.st.Table().Rows() {
-		if n := l.st.Waiting(r.Name); n > 0 {
+		if n := l.st.TeamWaitingJobs(r.Name); n > 0 {
 			out.add(TeamView{r.Name, n})
 		}
 	}
@@ -128,13 +128,13 @@
 func (l *Leader) oldest() []JobView {
 	oldest := first[*state.Job]{compare: func(a, b *state.Job) int { return cmp.Compare(a.Number, b.Number) }}
 	l.st.EachJob(func(j *state.Job) {
-		if !j.Final() && j.Waiting > 0 {
+		if !j.Final() && j.WaitingTasks > 0 {
 			oldest.add(j)
 		}
 	})
 	var out []JobView
 	for _, j := range oldest.items {
-		out = append(out, JobView{j.Spec.Team, j.Spec.ID, j.Number, (l.clock() - j.Accepted).Seconds(), j.Waiting})
+		out = append(out, JobView{j.Spec.Team, j.Spec.ID, j.Number, (l.clock() - j.AcceptedAt).Seconds(), j.WaitingTasks})
 	}
 	return out
 }
@@ -149,14 +149,14 @@
 		if !ok || b.Server.State == backend.Gone {
 			continue
 		}
-		out.add(LeaseView{id, shownState(b), (now - s.heard).Seconds(), l.lead.book.Left(id, now).Seconds(), l.st.Count(id)})
+		out.add(LeaseView{id, shownState(b), (now - s.heard).Seconds(), l.lead.book.Left(id, now).Seconds(), l.st.PlacedTaskCount(id)})
 	}
 	return out.items
 }
 
 // shownState names a server's state; a drain by an operator stands before it.
 func shownState(b state.Server) string {
-	if b.Drains() && b.Server.State != backend.Gone {
+	if b.IsDrained() && b.Server.State != backend.Gone {
 		return backend.Draining.String()
 	}
 	return b.Server.State.String()
--- a/internal/control/leader/lead.go
+++ b/internal/control/leader/lead.go
@@ -60,7 +60,7 @@
 // heldReply is a reply whose cause is not committed yet.
 type heldReply struct {
 	index uint64
-	to    Ticket
+	to    ReplyTarget
 	reply *inner.Reply
 }
 
@@ -96,40 +96,40 @@
 }
 
 // elected starts to lead: a planner and a lease book are built from the ledger.
-func (l *Leader) elected(n group.Lead) {
+func (l *Leader) elected(n group.Leading) {
 	l.lead = &lead{
 		term:      n.Term,
-		elected:   n.Elected,
-		begun:     l.st.At(),
-		last:      n.Last,
-		committed: n.Last,
-		planner:   l.Planner(),
-		book:      lease.NewBook(l.Terms, n.Elected),
+		elected:   n.ElectedAt,
+		begun:     l.st.Now(),
+		last:      n.LastIndex,
+		committed: n.LastIndex,
+		planner:   l.NewPlanner(),
+		book:      lease.NewBook(l.LeaseTerms, n.ElectedAt),
 		waits:     map[state.RequestID][]*waiter{},
 		servers:   map[string]*session{},
 		updated:   map[string]bool{},
-		checked:   n.Elected,
+		checked:   n.ElectedAt,
 		dirty:     true,
-		tabled:    n.Last,
+		tabled:    n.LastIndex,
 		answers:   newAnswers(),
-		seen:      seen{servers: map[string]seenServer{}, over: map[string]bool{}, faults: l.st.Faults()},
+		seen:      seen{servers: map[string]seenServer{}, over: map[string]bool{}, faults: l.st.InvalidTransitions()},
 	}
-	l.applied = n.Last
-	l.st.Watch = watch{l}
+	l.applied = n.LastIndex
+	l.st.Observer = watch{l}
 	l.replay()
-	if l.Root != nil && len(l.st.Keys()) == 0 {
+	if l.RootKey != nil && len(l.st.Keys()) == 0 {
 		l.do(&record.Command{What: &record.Command_Change{Change: &record.Change{
 			By:      "settings",
-			Request: &v1.ChangeRequest{Id: "settings", Change: &v1.ChangeRequest_Grant{Grant: l.Root}},
+			Request: &v1.ChangeRequest{Id: "settings", Change: &v1.ChangeRequest_Grant{Grant: l.RootKey}},
 		}}})
 	}
 	l.status.Store(&Status{Leads: true, Term: n.Term})
-	event.Log(l.Log, event.LeaderElected, "term", n.Term, "index", n.Last)
-	if l.Part != nil {
-		l.Part.Elected(n.Term, n.Elected)
+	event.Log(l.Log, event.LeaderElected, "term", n.Term, "index", n.LastIndex)
+	if l.Extension != nil {
+		l.Extension.OnElected(n.Term, n.ElectedAt)
 	}
 	if l.lead.seen.running > 0 {
-		event.Log(l.Log, event.RecoveryWait, "wait", l.Terms.Wait().String(), "tasks", l.lead.seen.running)
+		event.Log(l.Log, event.RecoveryWait, "wait", l.LeaseTerms.Wait().String(), "tasks", l.lead.seen.running)
 	}
 }
 
@@ -140,7 +140,7 @@
 	p := l.lead.planner
 	p.SetTable(l.st.Table())
 	for _, b := range l.st.Servers() {
-		watch{l}.Server(b)
+		watch{l}.ServerChanged(b)
 		if b.Server.State != backend.Gone {
 			l.session(b).heard = l.Now()
 		}
@@ -149,12 +149,12 @@
 		if j.Final() {
 			continue
 		}
-		l.st.Tasks(j, func(t *state.Task) {
+		l.st.EachTask(j, func(t *state.Task) {
 			switch {
-			case t.Phase.Holds():
-				watch{l}.Hold(j, t)
+			case t.Phase.HoldsCapacity():
+				watch{l}.TaskPlaced(j, t)
 			case t.Phase == state.Queued:
-				watch{l}.Queue(j, t)
+				watch{l}.TaskQueued(j, t)
 			}
 		})
 	}
@@ -162,7 +162,7 @@
 
 // follow stops to lead. What the working ledger had ahead of the committed log
 // is dropped, and with it every held effect: nobody was told of them.
-func (l *Leader) follow(n group.Follow) {
+func (l *Leader) follow(n group.Following) {
 	if ld := l.lead; ld != nil {
 		event.Log(l.Log, event.LeaderLost, "term", ld.term, "next", n.Leader)
 		if n.Leader == "" && n.Term == ld.term {
@@ -170,23 +170,23 @@
 			event.Log(l.Log, event.QuorumLost, "term", ld.term)
 		}
 		l.lead = nil
-		l.st.Watch = nil
-		if l.Part != nil {
-			l.Part.Deposed()
+		l.st.Observer = nil
+		if l.Extension != nil {
+			l.Extension.OnDeposed()
 		}
 		if l.applied > ld.committed {
 			l.abandon()
 			l.Group.Reload()
 		}
 	}
-	if l.Deposed != nil {
-		defer l.Deposed()
+	if l.OnDeposed != nil {
+		defer l.OnDeposed()
 	}
-	l.status.Store(&Status{Term: n.Term, Leader: n.Leader, Address: n.Address, Revision: l.st.Table().Revision(), Full: l.full})
+	l.status.Store(&Status{Term: n.Term, Leader: n.Leader, Address: n.LeaderAddress, Revision: l.st.Table().Revision(), Full: l.full})
 }
 
 // clock returns the ledger's time: the time of day, never going back.
-func (l *Leader) clock() time.Duration { return max(l.st.At(), l.timeOfDay()) }
+func (l *Leader) clock() time.Duration { return max(l.st.Now(), l.timeOfDay()) }
 
 // agreeTime is how long a new leader waits for the word of others on the time of
 // day: they make themselves known several times in it.
@@ -196,17 +196,17 @@
 // much after the last time in the ledger as this replica leads. Its own time of day
 // counts only where nobody else tells.
 func (l *Leader) timeOfDay() time.Duration {
-	if l.Agreed == nil || l.lead == nil {
-		return time.Duration(l.Wall().UnixNano())
+	if l.AgreedTime == nil || l.lead == nil {
+		return time.Duration(l.WallClock().UnixNano())
 	}
 	now := l.Now()
-	if at, ok := l.Agreed(now); ok {
+	if at, ok := l.AgreedTime(now); ok {
 		return at
 	}
 	if led := now - l.lead.elected; l.lead.begun > 0 && led < agreeTime {
 		return l.lead.begun + led
 	}
-	return time.Duration(l.Wall().UnixNano())
+	return time.Duration(l.WallClock().UnixNano())
 }
 
 // do applies a command to the working ledger and queues it for the log.
@@ -242,7 +242,7 @@
 		return
 	}
 	first := ld.last + 1 - uint64(len(ld.pending))
-	if l.Group.Propose(group.Proposal{Term: ld.term, First: first, Commands: ld.pending}) {
+	if l.Group.Propose(group.Proposal{Term: ld.term, FirstIndex: first, Commands: ld.pending}) {
 		ld.pending = nil
 		ld.proposed = append(ld.proposed, proposed{ld.last, l.Now()})
 	}
@@ -251,12 +251,12 @@
 // gathers tells that the next proposal has to wait for more, and sees to it that
 // it leaves when its time has come.
 func (l *Leader) gathers() bool {
-	if l.Gather == 0 {
+	if l.ProposalInterval == 0 {
 		return false
 	}
 	ld := l.lead
 	now := l.Now()
-	wait := ld.gathered + l.Gather - now
+	wait := ld.gathered + l.ProposalInterval - now
 	if wait <= 0 {
 		ld.gathered = now
 		return false
@@ -269,13 +269,13 @@
 }
 
 // reply answers an item once everything that the answer rests on is committed.
-func (l *Leader) reply(to Ticket, r *inner.Reply) {
+func (l *Leader) reply(to ReplyTarget, r *inner.Reply) {
 	r.Seq = to.Seq
 	l.lead.held = append(l.lead.held, heldReply{index: l.lead.last, to: to, reply: r})
 }
 
 // refuse answers an item with a code alone.
-func (l *Leader) refuse(to Ticket, err *code.Error) {
+func (l *Leader) refuse(to ReplyTarget, err *code.Error) {
 	l.reply(to, &inner.Reply{Status: status(err)})
 }
 
@@ -292,7 +292,7 @@
 	n := 0
 	for n < len(ld.held) && ld.held[n].index <= ld.committed {
 		h := ld.held[n]
-		h.to.Box.Put(h.reply)
+		h.to.Mailbox.Put(h.reply)
 		n++
 	}
 	if n > 0 {
@@ -304,8 +304,8 @@
 // read runs fn once a heartbeat round that began after the read came in is
 // confirmed. A leader that was deposed without noticing would otherwise tell
 // of a state that is no longer the current one.
-func (l *Leader) read(to Ticket, fn func()) {
-	l.lead.reads = append(l.lead.reads, heldRead{received: to.Received, run: fn})
+func (l *Leader) read(to ReplyTarget, fn func()) {
+	l.lead.reads = append(l.lead.reads, heldRead{received: to.ReceivedAt, run: fn})
 }
 
 func (l *Leader) serveReads() {
@@ -317,7 +317,7 @@
 	}
 	ld.reads = ld.reads[n:]
 	if len(ld.reads) > 0 {
-		l.Group.Confirm()
+		l.Group.ConfirmLeadership()
 	}
 }
 
@@ -342,8 +342,8 @@
 		heap.Pop(&ld.due).(due).run()
 	}
 	ld.dirty = true
-	if l.Part != nil {
-		l.Part.Tick(now)
+	if l.Extension != nil {
+		l.Extension.Tick(now)
 	}
 	l.promote(now)
 	if now-ld.looked >= lookEvery {
@@ -365,7 +365,7 @@
 // sweep forgets what retention lets go.
 func (l *Leader) sweep() {
 	const most = 1000
-	f := l.st.Expired(l.clock()-l.Retention, most)
+	f := l.st.ExpiredRecords(l.clock()-l.Retention, most)
 	if len(f.Jobs)+len(f.Changes)+len(f.Servers) > 0 {
 		l.do(&record.Command{What: &record.Command_Forget{Forget: f}})
 	}
@@ -374,7 +374,7 @@
 // yield hands the lead over while this replica's disk is full: it would refuse
 // all new work, although most others can store it.
 func (l *Leader) yield() {
-	if l.full && l.Yield != nil {
-		l.Yield()
+	if l.full && l.TransferLeadership != nil {
+		l.TransferLeadership()
 	}
 }
--- a/internal/control/leader/leader.go
+++ b/internal/control/leader/leader.go
@@ -26,24 +26,24 @@
 
 // Defaults and bounds of the control thread.
 const (
-	// DefaultSilence is after how long without a sync a server gets no new work.
-	DefaultSilence = 3 * time.Second
+	// DefaultSyncTimeout is after how long without a sync a server gets no new work.
+	DefaultSyncTimeout = 3 * time.Second
 	// DefaultRetention is how long ended jobs and answers to changes are kept.
 	DefaultRetention = time.Hour
-	// DefaultPatience bounds every long poll.
-	DefaultPatience = 2 * time.Second
+	// DefaultMaxPollWait bounds every long poll.
+	DefaultMaxPollWait = 2 * time.Second
 	// pollsPerLease is the least number of polls in a lease.
 	pollsPerLease = 3
-	// DefaultBacklog bounds the jobs that wait in the cell.
-	DefaultBacklog = 262_144
+	// DefaultMaxBacklog bounds the jobs that wait in the cell.
+	DefaultMaxBacklog = 262_144
 	// fullRetry is when a caller may come back to a cell whose disk is full.
 	fullRetry = time.Minute
-	// DefaultSnapshot is the number of commands between snapshots.
-	DefaultSnapshot = 20_000
-	// DefaultFresh is the greatest age of the last confirmed heartbeat round at
+	// DefaultSnapshotInterval is the number of commands between snapshots.
+	DefaultSnapshotInterval = 20_000
+	// DefaultMaxConfirmationAge is the greatest age of the last confirmed heartbeat round at
 	// which this leader still answers; it bounds how long a withdrawn key works
 	// at a leader that was cut off.
-	DefaultFresh = time.Second
+	DefaultMaxConfirmationAge = time.Second
 
 	// inboxLength bounds the batches that wait for the control thread.
 	inboxLength = 1024
@@ -64,27 +64,27 @@
 // Group is the replicated log as the control thread uses it.
 type Group interface {
 	Propose(p group.Proposal) bool
-	Notes() <-chan group.Note
-	Confirm()
+	Notifications() <-chan group.Notification
+	ConfirmLeadership()
 	Compact(index uint64, state []byte)
 	Reload()
 }
 
-// Ticket is where the reply to an item goes.
-type Ticket struct {
-	Box *mailbox.Mailbox
-	Seq uint64
-	// Received is when the item came, on the clock of Now.
-	Received time.Duration
-	// Until is when whoever asked gives up; 0 for never.
-	Until time.Duration
+// ReplyTarget is where the reply to an item goes.
+type ReplyTarget struct {
+	Mailbox *mailbox.Mailbox
+	Seq     uint64
+	// ReceivedAt is when the item came, on the clock of Now.
+	ReceivedAt time.Duration
+	// Deadline is when whoever asked gives up; 0 for never.
+	Deadline time.Duration
 }
 
 // Batch is what one Push brought.
 type Batch struct {
-	Box      *mailbox.Mailbox
-	Received time.Duration
-	Items    []*inner.Item
+	Mailbox    *mailbox.Mailbox
+	ReceivedAt time.Duration
+	Items      []*inner.Item
 }
 
 // Status is what traffic threads may know of this replica.
@@ -104,46 +104,46 @@
 	Group Group
 	// Now is the group's monotonic clock.
 	Now func() time.Duration
-	// Wall is the time of day, for the ledger's clock.
-	Wall func() time.Time
-	// Agreed returns the time of day by the word of many processes at a time on the
+	// WallClock is the time of day, for the ledger's clock.
+	WallClock func() time.Time
+	// AgreedTime returns the time of day by the word of many processes at a time on the
 	// clock of Now, and whether enough are heard; nil for Wall alone. It is called
 	// on the control thread.
-	Agreed func(now time.Duration) (time.Duration, bool)
-	// Planner makes the planner of a new leader.
-	Planner func() plan.Planner
-	Terms   lease.Terms
-	// Root is the first operator's key, granted when the ledger has none.
-	Root      *v1.KeyGrant
-	Silence   time.Duration
-	Retention time.Duration
-	Patience  time.Duration
+	AgreedTime func(now time.Duration) (time.Duration, bool)
+	// NewPlanner makes the planner of a new leader.
+	NewPlanner func() plan.Planner
+	LeaseTerms lease.Terms
+	// RootKey is the first operator's key, granted when the ledger has none.
+	RootKey     *v1.KeyGrant
+	SyncTimeout time.Duration
+	Retention   time.Duration
+	MaxPollWait time.Duration
 	// Zones are the availability zones; none for those that backend servers are in.
 	Zones []string
-	// Backlog bounds the jobs that wait in the cell.
-	Backlog  int
-	Fresh    time.Duration
-	Snapshot uint64
-	// Deposed is called when this replica stops to lead; it must not block.
-	Deposed func()
-	// Revised is called when another revision of the table is in force; it must not block.
-	Revised func()
-	// Entries lists the entries as members; nil for none. It must not block.
-	Entries func() []*v1.MemberLine
-	// Matches gives the index up to which each other replica has the log on its
+	// MaxBacklog bounds the jobs that wait in the cell.
+	MaxBacklog         int
+	MaxConfirmationAge time.Duration
+	SnapshotInterval   uint64
+	// OnDeposed is called when this replica stops to lead; it must not block.
+	OnDeposed func()
+	// OnTableRevision is called when another revision of the table is in force; it must not block.
+	OnTableRevision func()
+	// EntryMembers lists the entries as members; nil for none. It must not block.
+	EntryMembers func() []*v1.MemberLine
+	// MatchIndexes gives the index up to which each other replica has the log on its
 	// disk; nil when that is not known. It must not wait for the control thread.
-	Matches func() map[string]uint64
-	// Gather is the least time between two proposals; 0 for none. Each proposal
+	MatchIndexes func() map[string]uint64
+	// ProposalInterval is the least time between two proposals; 0 for none. Each proposal
 	// costs a message to every replica and its answer, so a busy leader spends
 	// less on a few large ones. One that comes after a pause leaves at once.
-	Gather time.Duration
-	// Yield asks the group to hand the lead over; nil for never. It must not block.
-	Yield func()
-	// Part decides about flows; nil for none.
-	Part Part
-	// Meters receives the thread's metrics; nil for none.
-	Meters *metrics.Set
-	Log    logr.Logger
+	ProposalInterval time.Duration
+	// TransferLeadership asks the group to hand the lead over; nil for never. It must not block.
+	TransferLeadership func()
+	// Extension decides about flows; nil for none.
+	Extension Extension
+	// Metrics receives the thread's metrics; nil for none.
+	Metrics *metrics.Set
+	Log     logr.Logger
 
 	inbox  chan func()
 	done   chan struct{}
@@ -156,7 +156,7 @@
 	saved   uint64
 	saving  saving
 	lead    *lead
-	members group.Members
+	members group.MembershipChanged
 	full    bool
 	meter   *meter
 	limit   event.RateLimiter
@@ -173,18 +173,18 @@
 // New returns a control thread with the defaults.
 func New() *Leader {
 	l := &Leader{
-		Terms:     lease.Terms{Length: lease.DefaultLength, Drift: lease.DefaultDrift},
-		Silence:   DefaultSilence,
-		Retention: DefaultRetention,
-		Patience:  DefaultPatience,
-		Backlog:   DefaultBacklog,
-		Fresh:     DefaultFresh,
-		Snapshot:  DefaultSnapshot,
-		Log:       logr.Discard(),
-		Wall:      time.Now,
-		inbox:     make(chan func(), inboxLength),
-		done:      make(chan struct{}),
-		st:        state.New(),
+		LeaseTerms:         lease.Terms{Length: lease.DefaultLength, Drift: lease.DefaultDrift},
+		SyncTimeout:        DefaultSyncTimeout,
+		Retention:          DefaultRetention,
+		MaxPollWait:        DefaultMaxPollWait,
+		MaxBacklog:         DefaultMaxBacklog,
+		MaxConfirmationAge: DefaultMaxConfirmationAge,
+		SnapshotInterval:   DefaultSnapshotInterval,
+		Log:                logr.Discard(),
+		WallClock:          time.Now,
+		inbox:              make(chan func(), inboxLength),
+		done:               make(chan struct{}),
+		st:                 state.New(),
 	}
 	l.status.Store(&Status{})
 	return l
@@ -211,8 +211,8 @@
 	}
 }
 
-// Do runs fn on the control thread, for dumps and tests.
-func (l *Leader) Do(ctx context.Context, fn func(*state.State)) error {
+// Execute runs fn on the control thread, for dumps and tests.
+func (l *Leader) Execute(ctx context.Context, fn func(*state.State)) error {
 	ran := make(chan struct{})
 	select {
 	case l.inbox <- func() { fn(l.st); close(ran) }:
@@ -234,16 +234,16 @@
 // Run is the control thread; it returns when ctx ends or the replica must not go on.
 func (l *Leader) Run(ctx context.Context) error {
 	defer close(l.done)
-	l.meter = newMeter(l.Meters)
-	l.limit.Now = l.Wall
+	l.meter = newMeter(l.Metrics)
+	l.limit.Now = l.WallClock
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			l.follow(group.Follow{})
+			l.follow(group.Following{})
 			return nil
-		case n, ok := <-l.Group.Notes():
+		case n, ok := <-l.Group.Notifications():
 			if !ok {
 				return errors.New("the group has ended")
 			}
@@ -260,15 +260,15 @@
 	}
 }
 
-// Rest lets the other goroutines of the process have their turn: a message of the
+// YieldProcessor lets the other goroutines of the process have their turn: a message of the
 // group takes several of them, and a leader that decided for long at a time would lose
 // its lead to its own load. It is called on the control thread.
-func (l *Leader) Rest() { l.turn.YieldIfDue() }
+func (l *Leader) YieldProcessor() { l.turn.YieldIfDue() }
 
 // drain takes more batches that wait already, so that they share one commit.
 func (l *Leader) drain() {
 	for range batches {
-		l.Rest()
+		l.YieldProcessor()
 		select {
 		case fn := <-l.inbox:
 			fn()
@@ -285,8 +285,8 @@
 		l.decide()
 		l.serveServers()
 		l.serveReads()
-		if l.Part != nil {
-			l.Part.Turn()
+		if l.Extension != nil {
+			l.Extension.BeforePropose()
 		}
 		l.propose()
 		l.deliver()
@@ -306,7 +306,7 @@
 	if s != *old {
 		l.status.Store(&s)
 	}
-	if s.Revision != old.Revision && l.Revised != nil {
-		l.Revised()
+	if s.Revision != old.Revision && l.OnTableRevision != nil {
+		l.OnTableRevision()
 	}
 }
--- a/internal/control/leader/leader_test.go
+++ b/internal/control/leader/leader_test.go
@@ -73,7 +73,7 @@
 	run(t, func(c *cell) {
 		c.g.hold()
 		m := c.submit(spec("plan"))
-		c.g.notes <- group.Follow{Term: 2, Leader: "other"}
+		c.g.notes <- group.Following{Term: 2, Leader: "other"}
 		synctest.Wait()
 		if c.reply(m) != nil {
 			t.Error("a deposed leader answered")
@@ -158,13 +158,13 @@
 		s.sync()
 		at := c.g.now()
 		other := c.announce("b2", 1000)
-		for c.g.now() < at+c.l.Terms.Length {
+		for c.g.now() < at+c.l.LeaseTerms.Length {
 			if got := starts(other.sync()); len(got) > 0 {
 				t.Fatalf("started elsewhere after %v", c.g.now()-at)
 			}
 		}
 		var moved []*v1.Attempt
-		for c.g.now() < at+2*c.l.Terms.Wait() && moved == nil {
+		for c.g.now() < at+2*c.l.LeaseTerms.Wait() && moved == nil {
 			moved = starts(other.sync())
 		}
 		if len(moved) != 1 || moved[0].GetNumber() != 2 {
@@ -182,11 +182,11 @@
 		c.accepted(spec("plan"))
 		s.sync()
 		time.Sleep(5 * time.Second)
-		c.g.notes <- group.Follow{Term: 2}
+		c.g.notes <- group.Following{Term: 2}
 		c.elect(2)
 		at := c.g.now()
 		other := c.announce("b2", 1000)
-		for c.g.now() < at+c.l.Terms.Length {
+		for c.g.now() < at+c.l.LeaseTerms.Length {
 			if got := starts(other.sync()); len(got) > 0 {
 				t.Fatalf("started elsewhere %v after the election", c.g.now()-at)
 			}
@@ -313,7 +313,7 @@
 		if second.GetRevision() != 2 {
 			t.Errorf("told revision %d", second.GetRevision())
 		}
-		c.g.notes <- group.Follow{Term: 2}
+		c.g.notes <- group.Following{Term: 2}
 		c.elect(2)
 		if diff := cmp.Diff(first, c.change("x", edit(7)), protocmp.Transform()); diff != "" {
 			t.Errorf("a resend after a failover is answered otherwise: %s", diff)
@@ -401,10 +401,10 @@
 	runAs(t, logr.Discard(), planner, func(c *cell) {
 		s := c.announce("b1", 8000)
 		c.ledger(func(st *state.State) {
-			watch := st.Watch
-			st.Watch = nil // what follows is hidden from the planner
+			watch := st.Observer
+			st.Observer = nil // what follows is hidden from the planner
 			st.Apply(&record.Command{What: &record.Command_Mark{Mark: &record.Mark{Server: "b1", Incarnation: 1, State: uint32(backend.Suspect)}}})
-			st.Watch = watch
+			st.Observer = watch
 		})
 		c.accepted(spec("plan"))
 		if got := starts(s.sync()); len(got) != 1 {
@@ -441,7 +441,7 @@
 // them does not wait.
 func TestProposalsAreGathered(t *testing.T) {
 	run(t, func(c *cell) {
-		if err := c.l.Do(context.Background(), func(*state.State) { c.l.Gather = 10 * time.Millisecond }); err != nil {
+		if err := c.l.Execute(context.Background(), func(*state.State) { c.l.ProposalInterval = 10 * time.Millisecond }); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
--- a/internal/control/leader/member.go
+++ b/internal/control/leader/member.go
@@ -23,7 +23,7 @@
 
 // member changes the control group's membership. It needs no record of its own:
 // asking again for what is so already changes nothing.
-func (l *Leader) member(to Ticket, c *v1.MemberChange) {
+func (l *Leader) member(to ReplyTarget, c *v1.MemberChange) {
 	if !strings.Contains(c.GetReplica(), "/") {
 		l.refuse(to, code.New(code.Malformed, "a replica is named NAME/NONCE, as its /readyz says"))
 		return
@@ -45,7 +45,7 @@
 }
 
 // await answers a change once it shows in the membership, or when it took too long.
-func (l *Leader) await(to Ticket, c *v1.MemberChange, until time.Duration) {
+func (l *Leader) await(to ReplyTarget, c *v1.MemberChange, until time.Duration) {
 	switch {
 	case l.settled(c):
 		rep := &v1.ChangeReply{Status: &v1.Status{}, Revision: l.st.Table().Revision()}
@@ -70,7 +70,7 @@
 	if len(ld.pending) > 0 {
 		return // the group is busy; whoever asked asks again
 	}
-	if !l.Group.Propose(group.Proposal{Term: ld.term, First: ld.last + 1, Change: &m, Remove: remove}) {
+	if !l.Group.Propose(group.Proposal{Term: ld.term, FirstIndex: ld.last + 1, Member: &m, RemoveMember: remove}) {
 		return
 	}
 	ld.last++
@@ -81,7 +81,7 @@
 // what is committed; until then each try costs an empty entry.
 func (l *Leader) promote(now time.Duration) {
 	ld := l.lead
-	if l.Part != nil || now-ld.promoted < promoteEvery {
+	if l.Extension != nil || now-ld.promoted < promoteEvery {
 		return // a Part decides about the membership itself
 	}
 	ld.promoted = now
--- a/internal/control/leader/meter.go
+++ b/internal/control/leader/meter.go
@@ -51,7 +51,7 @@
 	}
 	waiting := 0
 	for _, r := range l.st.Table().Rows() {
-		waiting += l.st.Waiting(r.Name)
+		waiting += l.st.TeamWaitingJobs(r.Name)
 	}
 	m.waiting.Store(int64(waiting))
 	m.running.Store(int64(l.lead.seen.running))
--- a/internal/control/leader/note.go
+++ b/internal/control/leader/note.go
@@ -12,30 +12,30 @@
 )
 
 // note handles one note of the group.
-func (l *Leader) note(n group.Note) error {
+func (l *Leader) note(n group.Notification) error {
 	switch n := n.(type) {
-	case group.Lead:
+	case group.Leading:
 		l.elected(n)
-	case group.Follow:
+	case group.Following:
 		l.follow(n)
-	case group.Apply:
+	case group.ApplyEntries:
 		return l.apply(n.Entries)
-	case group.Commit:
+	case group.CommitAdvanced:
 		if l.lead != nil {
 			l.lead.committed = max(l.lead.committed, n.Index)
 			l.settle(n.Index)
 		}
-	case group.Confirmed:
+	case group.LeadershipConfirmed:
 		if l.lead != nil && n.Term == l.lead.term {
-			l.lead.confirmed = max(l.lead.confirmed, n.Start)
+			l.lead.confirmed = max(l.lead.confirmed, n.StartedAt)
 			l.lead.proved = true
 		}
-	case group.Restore:
+	case group.RestoreSnapshot:
 		return l.restore(n)
-	case group.Members:
+	case group.MembershipChanged:
 		l.membersSeen(n)
 		l.members = n
-	case group.Full:
+	case group.JournalDiskFull:
 		l.fullSeen(n.Full)
 		l.full = n.Full
 		if l.lead != nil {
@@ -55,7 +55,7 @@
 			return errors.Newf("the log jumps from %d to %d", l.applied, e.Index)
 		}
 		l.applied = e.Index
-		if e.Kind != quorum.Command {
+		if e.Kind != quorum.EntryCommand {
 			continue
 		}
 		c, err := command.Decode(e.Data)
@@ -71,7 +71,7 @@
 	return nil
 }
 
-func (l *Leader) restore(n group.Restore) error {
+func (l *Leader) restore(n group.RestoreSnapshot) error {
 	st, err := state.Decode(n.State)
 	if err != nil {
 		return err
--- a/internal/control/leader/notice.go
+++ b/internal/control/leader/notice.go
@@ -53,7 +53,7 @@
 func (l *Leader) serverSeen(b state.Server) {
 	ld := &l.lead.seen
 	old, known := ld.servers[b.ID]
-	next := seenServer{b.Incarnation, b.Server.State, b.Drains(), l.st.Count(b.ID) == 0}
+	next := seenServer{b.Incarnation, b.Server.State, b.IsDrained(), l.st.PlacedTaskCount(b.ID) == 0}
 	ld.servers[b.ID] = next
 	if next.state == backend.Gone {
 		delete(ld.servers, b.ID)
@@ -68,7 +68,7 @@
 		return
 	}
 	for _, id := range transitions(old, next, known) {
-		l.limit.Log(l.Log, id, "server", b.ID, "incarnation", b.Incarnation, "tasks", l.st.Count(b.ID))
+		l.limit.Log(l.Log, id, "server", b.ID, "incarnation", b.Incarnation, "tasks", l.st.PlacedTaskCount(b.ID))
 	}
 	if known && old.schedulable() && ld.ready == 0 {
 		event.Log(l.Log, event.NoServers, "server", b.ID)
@@ -112,10 +112,10 @@
 }
 
 // released notes that an attempt ended, and tells when a drained server is empty.
-func (l *Leader) released(t *state.Task, how state.End) {
+func (l *Leader) released(t *state.Task, how state.AttemptEnd) {
 	ld := &l.lead.seen
 	ld.running--
-	if how.Lost || how.Failed || !how.Ran {
+	if how.Lost || how.Failed || !how.Started {
 		// The task runs again and its answer counts for nothing: counted anew.
 		delete(l.lead.answers.sizes, t.ID.Job)
 	}
@@ -124,7 +124,7 @@
 		l.limit.Log(l.Log, event.AttemptLost, "job", t.ID.Job, "task", t.ID.Index, "attempt", t.Attempt, "server", t.Server)
 	}
 	s, ok := ld.servers[t.Server]
-	if !ok || s.empty || l.st.Count(t.Server) > 0 {
+	if !ok || s.empty || l.st.PlacedTaskCount(t.Server) > 0 {
 		return
 	}
 	s.empty = true
@@ -215,7 +215,7 @@
 func (l *Leader) lowered(before []team.Row) {
 	for _, old := range before {
 		row, ok := l.st.Table().Row(old.Name)
-		if !ok || row.Limit == old.Limit || l.lead.seen.over[row.Name] || l.st.Held(row.Name).Within(row.Limit) {
+		if !ok || row.Limit == old.Limit || l.lead.seen.over[row.Name] || l.st.TeamHeldCapacity(row.Name).Within(row.Limit) {
 			continue
 		}
 		l.lead.seen.over[row.Name] = true
@@ -228,7 +228,7 @@
 	ld := &l.lead.seen
 	for name := range ld.over {
 		row, ok := l.st.Table().Row(name)
-		if !ok || l.st.Held(name).Within(row.Limit) {
+		if !ok || l.st.TeamHeldCapacity(name).Within(row.Limit) {
 			delete(ld.over, name)
 			event.Log(l.Log, event.LimitMet, "team", name)
 		}
@@ -237,7 +237,7 @@
 		ld.refused = 0
 		event.Log(l.Log, event.OverloadOver)
 	}
-	if n := l.st.Faults(); n > ld.faults {
+	if n := l.st.InvalidTransitions(); n > ld.faults {
 		event.Log(l.Log, event.PromiseBroken, "check", "state chart", "faults", n)
 		ld.faults = n
 	}
@@ -256,7 +256,7 @@
 }
 
 // membersSeen tells what a new membership changed.
-func (l *Leader) membersSeen(n group.Members) {
+func (l *Leader) membersSeen(n group.MembershipChanged) {
 	old := l.members.Members
 	if len(old) == 0 {
 		return
@@ -311,7 +311,7 @@
 
 // restored tells where a state came from: the disk at the start, the leader
 // when this replica lagged too far behind.
-func (l *Leader) restored(n group.Restore) {
+func (l *Leader) restored(n group.RestoreSnapshot) {
 	switch {
 	case !l.loaded:
 		l.loaded = true
--- a/internal/control/leader/notice_test.go
+++ b/internal/control/leader/notice_test.go
@@ -67,11 +67,11 @@
 		}}}})
 		log.want(t, "limit-lowered", "table-changed")
 		var yields atomic.Int32
-		if err := c.l.Do(context.Background(), func(*state.State) { c.l.Yield = func() { yields.Add(1) } }); err != nil {
+		if err := c.l.Execute(context.Background(), func(*state.State) { c.l.TransferLeadership = func() { yields.Add(1) } }); err != nil {
 			t.Fatal(err)
 		}
-		c.g.notes <- group.Full{Full: true}
-		c.g.notes <- group.Full{Full: false}
+		c.g.notes <- group.JournalDiskFull{Full: true}
+		c.g.notes <- group.JournalDiskFull{Full: false}
 		log.want(t, "disk-full", "disk-free")
 		if yields.Load() == 0 {
 			t.Error("a leader with a full disk did not offer the lead to another")
@@ -87,10 +87,10 @@
 		log.want(t, "key-withdrawn", "key-refused")
 		members := []quorum.Member{{ID: "c1/1"}, {ID: "c2/1", Learner: true}}
 		for _, ms := range [][]quorum.Member{members[:1], members, {{ID: "c1/1"}, {ID: "c2/1"}}, {{ID: "c2/1"}}} {
-			c.g.notes <- group.Members{Members: ms, Self: "c1/1"}
+			c.g.notes <- group.MembershipChanged{Members: ms, Self: "c1/1"}
 		}
 		log.want(t, "member-added", "member-promoted", "member-removed", "stale-identity")
-		c.g.notes <- group.Follow{Term: 1}
+		c.g.notes <- group.Following{Term: 1}
 		log.want(t, "leader-lost", "quorum-lost")
 		time.Sleep(10 * time.Second)
 		log.want(t, "leader-unknown")
@@ -172,8 +172,8 @@
 			t.Fatalf("%v, %d bytes", w.GetOutcome(), w.GetChunk().GetTotal())
 		}
 		c.ledger(func(s *state.State) {
-			j, _ := s.Find(state.RequestID{Team: "rail", ID: "wide"})
-			if len(s.Answer(j)) != answer.MaxJob {
+			j, _ := s.FindJob(state.RequestID{Team: "rail", ID: "wide"})
+			if len(s.JobAnswer(j)) != answer.MaxJob {
 				t.Error("the ledger holds another length")
 			}
 		})
--- a/internal/control/leader/operator.go
+++ b/internal/control/leader/operator.go
@@ -14,7 +14,7 @@
 )
 
 // change commits an operator's change and answers with what it came to.
-func (l *Leader) change(to Ticket, k key.Key, req *v1.ChangeRequest) {
+func (l *Leader) change(to ReplyTarget, k key.Key, req *v1.ChangeRequest) {
 	if req.GetId() == "" {
 		l.refuse(to, code.New(code.Malformed, "a change needs an id"))
 		return
@@ -23,12 +23,12 @@
 		l.member(to, c)
 		return
 	}
-	if c := req.GetZone(); c != nil && !l.KnowsZone(c.GetZone()) {
+	if c := req.GetZone(); c != nil && !l.HasZone(c.GetZone()) {
 		l.refuse(to, code.New(code.NotFound, "zone %q", c.GetZone()))
 		return
 	}
 	before := l.st.Table().Rows()
-	_, resent := l.st.Told(req.GetId())
+	_, resent := l.st.ChangeResult(req.GetId())
 	r := l.do(&record.Command{What: &record.Command_Change{Change: &record.Change{By: k.ID, Request: req}}})
 	l.lead.dirty = true
 	if !resent {
@@ -42,7 +42,7 @@
 }
 
 // show answers a read once it is proved current.
-func (l *Leader) show(to Ticket, req *v1.ShowRequest) {
+func (l *Leader) show(to ReplyTarget, req *v1.ShowRequest) {
 	l.read(to, func() {
 		l.reply(to, &inner.Reply{Answer: &inner.Reply_Show{Show: l.shown(req)}})
 	})
@@ -54,7 +54,7 @@
 	case v1.Part_PART_TABLE:
 		for _, r := range l.st.Table().Rows() {
 			rep.Rows = append(rep.Rows, command.RowMessage(r))
-			rep.Held = append(rep.Held, command.SizeMessage(l.st.Held(r.Name)))
+			rep.Held = append(rep.Held, command.SizeMessage(l.st.TeamHeldCapacity(r.Name)))
 		}
 	case v1.Part_PART_KEYS:
 		for _, k := range l.st.Keys() {
@@ -86,14 +86,14 @@
 		}
 		out = append(out, &v1.ServerLine{
 			Server: b.ID, Incarnation: b.Incarnation, State: shownState(b), Rack: b.Rack, Zone: b.Zone,
-			Capacity: command.SizeMessage(b.Capacity), Held: command.SizeMessage(b.Held), Tasks: uint32(l.st.Count(b.ID)),
+			Capacity: command.SizeMessage(b.Capacity), Held: command.SizeMessage(b.HeldCapacity), Tasks: uint32(l.st.PlacedTaskCount(b.ID)),
 		})
 	}
 	return out
 }
 
-// KnowsZone tells whether there is an availability zone of that name.
-func (l *Leader) KnowsZone(name string) bool {
+// HasZone tells whether there is an availability zone of that name.
+func (l *Leader) HasZone(name string) bool {
 	if len(l.Zones) > 0 {
 		return slices.Contains(l.Zones, name)
 	}
@@ -116,8 +116,8 @@
 func (l *Leader) memberLines() []*v1.MemberLine {
 	var out []*v1.MemberLine
 	var matches map[string]uint64
-	if l.Matches != nil {
-		matches = l.Matches()
+	if l.MatchIndexes != nil {
+		matches = l.MatchIndexes()
 	}
 	for _, m := range l.members.Members {
 		line := &v1.MemberLine{Name: m.ID, Role: "control", Address: m.Address, State: "voter", Leader: m.ID == l.members.Self}
@@ -129,8 +129,8 @@
 		}
 		out = append(out, line)
 	}
-	if l.Entries != nil {
-		out = append(out, l.Entries()...)
+	if l.EntryMembers != nil {
+		out = append(out, l.EntryMembers()...)
 	}
 	return out
 }
--- a/internal/control/leader/page.go
+++ b/internal/control/leader/page.go
@@ -25,7 +25,7 @@
 	limit = min(limit, maxLines)
 	var from uint64
 	if after != "" {
-		j, ok := l.st.Find(requestID(owner, after))
+		j, ok := l.st.FindJob(requestID(owner, after))
 		if !ok {
 			return nil, code.New(code.NotFound, "no job %s to list from; list anew", after)
 		}
--- a/internal/control/leader/part.go
+++ b/internal/control/leader/part.go
@@ -10,17 +10,17 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// Part is a further part of the control thread: it decides while the replica
+// Extension is a further part of the control thread: it decides while the replica
 // leads, through the methods of the Leader below. All its methods are called on
 // the control thread.
-type Part interface {
-	// Elected is called when the replica begins to lead.
-	Elected(term uint64, elected time.Duration)
-	// Deposed is called when it leads no more; what was decided and not
+type Extension interface {
+	// OnElected is called when the replica begins to lead.
+	OnElected(term uint64, elected time.Duration)
+	// OnDeposed is called when it leads no more; what was decided and not
 	// committed is void.
-	Deposed()
-	// Turn is called at the end of each turn, before its commands are proposed.
-	Turn()
+	OnDeposed()
+	// BeforePropose is called at the end of each turn, before its commands are proposed.
+	BeforePropose()
 	// Tick is called now and then, for what is due.
 	Tick(now time.Duration)
 }
@@ -31,10 +31,10 @@
 	run   func()
 }
 
-// Decide applies a command about flows to the working ledger and queues it for
+// ApplyCommand applies a command about flows to the working ledger and queues it for
 // the log. What the ledger refuses changed nothing and is not logged. Only a
 // Part may call it, while the replica leads.
-func (l *Leader) Decide(f *record.Flow) *code.Error {
+func (l *Leader) ApplyCommand(f *record.Flow) *code.Error {
 	r := l.resolve(&record.Command{What: &record.Command_Flow{Flow: f}})
 	if r.Code != code.OK {
 		return &code.Error{Code: r.Code, Detail: r.Detail}
@@ -42,15 +42,15 @@
 	return nil
 }
 
-// After runs fn once everything decided so far is committed; never when the
+// AfterCommit runs fn once everything decided so far is committed; never when the
 // replica is deposed before.
-func (l *Leader) After(fn func()) {
+func (l *Leader) AfterCommit(fn func()) {
 	l.lead.effects = append(l.lead.effects, effect{l.lead.last, fn})
 }
 
-// Proved runs fn once it is proved that this replica still led at a time after
+// AfterLeadershipProof runs fn once it is proved that this replica still led at a time after
 // received; never when it is deposed before.
-func (l *Leader) Proved(received time.Duration, fn func()) {
+func (l *Leader) AfterLeadershipProof(received time.Duration, fn func()) {
 	l.lead.reads = append(l.lead.reads, heldRead{received: received, run: fn})
 }
 
@@ -60,28 +60,28 @@
 // Flows returns the working ledger's flows.
 func (l *Leader) Flows() *flows.Ledger { return l.st.Flows() }
 
-// Clock returns the ledger's time.
-func (l *Leader) Clock() time.Duration { return l.clock() }
+// LedgerTime returns the ledger's time.
+func (l *Leader) LedgerTime() time.Duration { return l.clock() }
 
-// Full tells that the journal's disk has too little room for new work.
-func (l *Leader) Full() bool { return l.full }
+// DiskFull tells that the journal's disk has too little room for new work.
+func (l *Leader) DiskFull() bool { return l.full }
 
 // Members returns the membership of the control group as it is committed.
-func (l *Leader) Members() group.Members { return l.members }
+func (l *Leader) Members() group.MembershipChanged { return l.members }
 
-// Alter proposes one change of the membership; when it cannot be made now,
+// ChangeMember proposes one change of the membership; when it cannot be made now,
 // whoever asked asks again.
-func (l *Leader) Alter(m quorum.Member, remove bool) { l.alter(m, remove) }
+func (l *Leader) ChangeMember(m quorum.Member, remove bool) { l.alter(m, remove) }
 
 // nearly is how many entries a member may lack that counts as synced: those of a
 // moment at full load. The group itself looks more closely before it lets a
 // learner vote.
 const nearly = 256
 
-// Synced tells whether a member has all but the latest entries on its disk. It
+// IsSynced tells whether a member has all but the latest entries on its disk. It
 // asks the group, so it is for rare questions.
-func (l *Leader) Synced(id string) bool {
-	return l.Matches != nil && l.lead != nil && l.Matches()[id]+nearly >= l.lead.committed
+func (l *Leader) IsSynced(id string) bool {
+	return l.MatchIndexes != nil && l.lead != nil && l.MatchIndexes()[id]+nearly >= l.lead.committed
 }
 
 // Post runs fn on the control thread. It may be called on any goroutine but
@@ -102,7 +102,7 @@
 	for n < len(ld.effects) && ld.effects[n].index <= ld.committed {
 		ld.effects[n].run()
 		n++
-		l.Rest()
+		l.YieldProcessor()
 	}
 	if n > 0 {
 		clear(ld.effects[:n])
--- a/internal/control/leader/rest_test.go
+++ b/internal/control/leader/rest_test.go
@@ -13,13 +13,13 @@
 )
 
 // quiet is a group that tells nothing.
-type quiet struct{ notes chan group.Note }
+type quiet struct{ notes chan group.Notification }
 
-func (quiet) Propose(group.Proposal) bool { return true }
-func (q quiet) Notes() <-chan group.Note  { return q.notes }
-func (quiet) Confirm()                    {}
-func (quiet) Compact(uint64, []byte)      {}
-func (quiet) Reload()                     {}
+func (quiet) Propose(group.Proposal) bool                { return true }
+func (q quiet) Notifications() <-chan group.Notification { return q.notes }
+func (quiet) ConfirmLeadership()                         {}
+func (quiet) Compact(uint64, []byte)                     {}
+func (quiet) Reload()                                    {}
 
 // work keeps the processor busy for so long.
 func work(d time.Duration) {
@@ -36,9 +36,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	l := leader.New()
-	l.Group, l.Now = quiet{make(chan group.Note)}, func() time.Duration { return time.Hour }
+	l.Group, l.Now = quiet{make(chan group.Notification)}, func() time.Duration { return time.Hour }
 	held, last := make(chan struct{}), make(chan struct{})
-	ask := func(fn func()) { go func() { _ = l.Do(ctx, func(*state.State) { fn() }) }() }
+	ask := func(fn func()) { go func() { _ = l.Execute(ctx, func(*state.State) { fn() }) }() }
 	ask(func() { <-held })
 	go func() { _ = l.Run(ctx) }()
 	time.Sleep(50 * time.Millisecond)
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -37,7 +37,7 @@
 	// sent is when an order to stop was last given.
 	sent   map[task.Attempt]time.Duration
 	slow   map[task.Attempt]bool
-	parked *Ticket
+	parked *ReplyTarget
 	// until is when the parked sync is answered without orders.
 	until time.Duration
 }
@@ -55,23 +55,23 @@
 	return s
 }
 
-func (l *Leader) announce(to Ticket, req *v1.AnnounceRequest) {
+func (l *Leader) announce(to ReplyTarget, req *v1.AnnounceRequest) {
 	r := l.do(&record.Command{What: &record.Command_Announce{Announce: &record.Announce{
 		Server: req.GetServer(), Nonce: req.GetNonce(), Capacity: req.GetCapacity(),
 		Rack: req.GetRack(), Zone: req.GetZone(), Labels: req.GetLabels(),
 	}}})
 	st := status(&code.Error{Code: r.Code, Detail: r.Detail})
 	if r.Code == code.MembershipChangePending {
-		st.Retry = uint64(l.Silence / time.Millisecond)
+		st.Retry = uint64(l.SyncTimeout / time.Millisecond)
 	}
 	if b, ok := l.st.Server(req.GetServer()); ok && r.Code == code.OK {
-		l.session(b).heard = to.Received
+		l.session(b).heard = to.ReceivedAt
 	}
-	rep := &v1.AnnounceReply{Status: st, Incarnation: r.Incarnation, Lease: uint64(l.Terms.Length / time.Millisecond)}
+	rep := &v1.AnnounceReply{Status: st, Incarnation: r.Incarnation, Lease: uint64(l.LeaseTerms.Length / time.Millisecond)}
 	l.reply(to, &inner.Reply{Answer: &inner.Reply_Announce{Announce: rep}})
 }
 
-func (l *Leader) leave(to Ticket, req *v1.LeaveRequest) {
+func (l *Leader) leave(to ReplyTarget, req *v1.LeaveRequest) {
 	r := l.mark(req.GetServer(), backend.Draining)
 	if b, _ := l.st.Server(req.GetServer()); b.Incarnation != req.GetIncarnation() {
 		r = state.Result{Code: code.SessionReplaced}
@@ -81,7 +81,7 @@
 
 // sync takes a server's cumulative state and answers with orders and a lease,
 // at once when there are orders and otherwise when there are or patience ends.
-func (l *Leader) sync(to Ticket, req *v1.SyncRequest) {
+func (l *Leader) sync(to ReplyTarget, req *v1.SyncRequest) {
 	b, ok := l.st.Server(req.GetServer())
 	if !ok || b.Incarnation != req.GetIncarnation() || b.Server.State == backend.Gone {
 		l.syncReply(to, &v1.SyncReply{Status: status(code.New(code.SessionReplaced, "announce again")), Number: req.GetNumber()})
@@ -91,7 +91,7 @@
 	if req.GetNumber() < s.number {
 		return // a late copy of a request that the server has abandoned
 	}
-	s.number, s.heard = req.GetNumber(), max(s.heard, to.Received)
+	s.number, s.heard = req.GetNumber(), max(s.heard, to.ReceivedAt)
 	if b.Server.State == backend.Suspect {
 		l.mark(b.ID, backend.Ready)
 	}
@@ -109,7 +109,7 @@
 		s.reports[a] = r.GetPhase()
 		l.strangers(b, r)
 		t, ok := l.st.Task(a.ID)
-		if !ok || t.Attempt != a.Number || t.Server != b.ID || !t.Phase.Holds() {
+		if !ok || t.Attempt != a.Number || t.Server != b.ID || !t.Phase.HoldsCapacity() {
 			continue
 		}
 		if l.ended(s, a, r) {
@@ -119,7 +119,7 @@
 		}
 		if r.GetUsed() != nil {
 			at := l.clock() - time.Duration(r.GetAge())*time.Millisecond
-			l.lead.planner.SetUsage(a.ID, command.Size(r.GetUsed()), at)
+			l.lead.planner.SetUsage(a.ID, command.SizeFromMessage(r.GetUsed()), at)
 		}
 	}
 }
@@ -193,14 +193,14 @@
 		}
 		to := *s.parked
 		s.parked = nil
-		grant := ld.book.Renew(id, ld.confirmed, to.Received)
+		grant := ld.book.Renew(id, ld.confirmed, to.ReceivedAt)
 		l.syncReply(to, &v1.SyncReply{
 			Status: &v1.Status{}, Number: s.number, Orders: orders, Lease: uint64(grant / time.Millisecond),
 		})
 	}
 }
 
-func (l *Leader) syncReply(to Ticket, r *v1.SyncReply) {
+func (l *Leader) syncReply(to ReplyTarget, r *v1.SyncReply) {
 	l.reply(to, &inner.Reply{Answer: &inner.Reply_Sync{Sync: r}})
 }
 
@@ -209,7 +209,7 @@
 func (l *Leader) orders(b state.Server, s *session, now time.Duration) []*v1.Order {
 	var out []*v1.Order
 	size := 0
-	l.st.Placed(b.ID, func(t *state.Task) {
+	l.st.EachPlacedTask(b.ID, func(t *state.Task) {
 		if t.Incarnation != s.incarnation {
 			return
 		}
@@ -230,7 +230,7 @@
 }
 
 func (l *Leader) order(s *session, t *state.Task, now time.Duration) *v1.Order {
-	a := t.Current()
+	a := t.CurrentAttempt()
 	_, known := s.reports[a]
 	m := attemptMessage(a)
 	switch {
@@ -238,7 +238,7 @@
 		// A server that does not know the attempt has nothing to save: the
 		// start may be lost on its way, or was never sent. It must note the
 		// stop all the same, and says that nothing was started.
-		if t.Save && known {
+		if t.SaveCheckpoint && known {
 			return &v1.Order{Verb: v1.Verb_VERB_CHECKPOINT, Attempt: m}
 		}
 		return &v1.Order{Verb: v1.Verb_VERB_STOP, Attempt: m}
@@ -257,7 +257,7 @@
 
 // stray handles an attempt that the server reports and the ledger does not hold there.
 func (l *Leader) stray(b state.Server, s *session, a task.Attempt, phase v1.Phase, now time.Duration) *v1.Order {
-	if t, ok := l.st.Task(a.ID); ok && t.Attempt == a.Number && t.Server == b.ID && t.Phase.Holds() {
+	if t, ok := l.st.Task(a.ID); ok && t.Attempt == a.Number && t.Server == b.ID && t.Phase.HoldsCapacity() {
 		return nil
 	}
 	switch phase {
@@ -286,11 +286,11 @@
 // throttle lets the server's session know that a task is to be held to its size.
 func (l *Leader) throttle(id task.ID) {
 	t, ok := l.st.Task(id)
-	if !ok || !t.Phase.Holds() {
+	if !ok || !t.Phase.HoldsCapacity() {
 		return
 	}
 	if s := l.lead.servers[t.Server]; s != nil {
-		s.slow[t.Current()] = true
+		s.slow[t.CurrentAttempt()] = true
 		l.lead.updated[t.Server] = true
 	}
 }
--- a/internal/control/leader/snapshot.go
+++ b/internal/control/leader/snapshot.go
@@ -12,7 +12,7 @@
 // saving is the snapshot that is being made.
 type saving struct {
 	// picture is taken in steps, one a turn, so that no turn takes long.
-	picture *state.Picture
+	picture *state.SnapshotBuilder
 	index   uint64
 	// busy tells that a snapshot is under way, from the picture's beginning on.
 	busy bool
@@ -25,11 +25,11 @@
 // beside the control thread.
 func (l *Leader) snapshot() {
 	s := &l.saving
-	if !s.busy && l.applied >= l.saved+l.Snapshot {
-		s.busy, s.index, s.picture = true, l.applied, l.st.Picture()
+	if !s.busy && l.applied >= l.saved+l.SnapshotInterval {
+		s.busy, s.index, s.picture = true, l.applied, l.st.BeginSnapshot()
 		return
 	}
-	if s.picture == nil || !s.picture.Step(pictureStep) {
+	if s.picture == nil || !s.picture.CopyRecords(pictureStep) {
 		return
 	}
 	p, index, era := s.picture, s.index, s.era
@@ -47,7 +47,7 @@
 // deposed leader would hand over commands that nobody agreed on, once its new
 // state has come as far as the index of the old one.
 func (l *Leader) abandon() {
-	l.saving.picture.Drop()
+	l.saving.picture.Cancel()
 	l.saving = saving{era: l.saving.era + 1}
 }
 
--- a/internal/control/leader/snapshot_test.go
+++ b/internal/control/leader/snapshot_test.go
@@ -18,18 +18,18 @@
 		c.announce("b1", 1000)
 		agreed := append([]quorum.Entry{}, c.g.entries()...)
 		c.g.hold()
-		c.ledger(func(*state.State) { c.l.Snapshot = 1 })
+		c.ledger(func(*state.State) { c.l.SnapshotInterval = 1 })
 		c.submit(spec("ghost"))
 		time.Sleep(time.Second) // the snapshot is written and waits for its commit
 		for i := range 50 {
 			index := uint64(len(agreed)) + 1
-			agreed = append(agreed, quorum.Entry{Index: index, Term: 2, Kind: quorum.Empty})
+			agreed = append(agreed, quorum.Entry{Index: index, Term: 2, Kind: quorum.EntryNoOp})
 			if i == 0 {
-				c.g.notes <- group.Follow{Term: 2, Leader: "c2/1"}
-				c.g.notes <- group.Restore{}
+				c.g.notes <- group.Following{Term: 2, Leader: "c2/1"}
+				c.g.notes <- group.RestoreSnapshot{}
 			}
 		}
-		c.g.notes <- group.Apply{Entries: agreed}
+		c.g.notes <- group.ApplyEntries{Entries: agreed}
 		time.Sleep(time.Second)
 		if len(c.g.snapshots()) == 0 {
 			t.Fatal("no snapshot of the state that was agreed on")
@@ -39,7 +39,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, ok := st.Find(state.RequestID{Team: "rail", ID: "ghost"}); ok {
+			if _, ok := st.FindJob(state.RequestID{Team: "rail", ID: "ghost"}); ok {
 				t.Error("a snapshot holds a job that nobody agreed on")
 			}
 		}
--- a/internal/control/mailbox/mailbox.go
+++ b/internal/control/mailbox/mailbox.go
@@ -16,11 +16,11 @@
 	// MaxReplies bounds what is kept for one entry; an entry that fetches
 	// nothing for so long is dead, and its items are asked again elsewhere.
 	MaxReplies = 1 << 17
-	// MaxHeld bounds the bytes that are kept for one entry, roughly: replies may
+	// MaxBytes bounds the bytes that are kept for one entry, roughly: replies may
 	// carry chunks of answers, and thousands of them would not fit the process.
-	MaxHeld = 64 << 20
-	// MaxBatch bounds the replies of one Pull.
-	MaxBatch = 1024
+	MaxBytes = 64 << 20
+	// MaxBatchReplies bounds the replies of one Pull.
+	MaxBatchReplies = 1024
 	// maxBytes bounds the bytes of one Pull, roughly.
 	maxBytes = 8 << 20
 )
@@ -56,7 +56,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	w := weigh(r)
-	if m.closed || len(m.queue) >= MaxReplies || len(m.queue) > 0 && m.held+w > MaxHeld {
+	if m.closed || len(m.queue) >= MaxReplies || len(m.queue) > 0 && m.held+w > MaxBytes {
 		return
 	}
 	m.held += w
@@ -87,15 +87,15 @@
 	m.signal()
 }
 
-// Wakes counts the calls of Wake, for PullOrWake.
-func (m *Mailbox) Wakes() uint64 {
+// WakeCount counts the calls of Wake, for PullOrWake.
+func (m *Mailbox) WakeCount() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.wakes
 }
 
-// Idle returns how long nobody fetched.
-func (m *Mailbox) Idle() time.Duration {
+// IdleTime returns how long nobody fetched.
+func (m *Mailbox) IdleTime() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Since(m.seen)
@@ -103,24 +103,24 @@
 
 // Batch is what one fetch returns.
 type Batch struct {
-	Epoch   uint64
-	First   uint64
-	Replies []*inner.Reply
-	Closed  bool
+	Epoch       uint64
+	FirstNumber uint64
+	Replies     []*inner.Reply
+	Closed      bool
 }
 
 // Pull drops what was acknowledged and returns what is queued; it waits for a
 // first reply until ctx ends. Replies stay until acknowledged, so a lost answer
 // to Pull loses none of them. An ack of another epoch counts for nothing.
 func (m *Mailbox) Pull(ctx context.Context, epoch, ack uint64) Batch {
-	return m.PullOrWake(ctx, epoch, ack, math.MaxUint64)
+	return m.PullUntilWake(ctx, epoch, ack, math.MaxUint64)
 }
 
-// PullOrWake is Pull, but waits only until there were more than wakes calls of Wake.
-func (m *Mailbox) PullOrWake(ctx context.Context, epoch, ack, wakes uint64) Batch {
+// PullUntilWake is Pull, but waits only until there were more than wakes calls of Wake.
+func (m *Mailbox) PullUntilWake(ctx context.Context, epoch, ack, wakes uint64) Batch {
 	for {
 		b, wake := m.take(epoch, ack)
-		if b.Closed || len(b.Replies) > 0 || m.Wakes() > wakes {
+		if b.Closed || len(b.Replies) > 0 || m.WakeCount() > wakes {
 			return b
 		}
 		select {
@@ -144,9 +144,9 @@
 		m.queue = m.queue[n:]
 		m.first += uint64(n)
 	}
-	b := Batch{Epoch: m.epoch, First: m.first, Closed: m.closed}
+	b := Batch{Epoch: m.epoch, FirstNumber: m.first, Closed: m.closed}
 	size := 0
-	for _, r := range m.queue[:min(len(m.queue), MaxBatch)] {
+	for _, r := range m.queue[:min(len(m.queue), MaxBatchReplies)] {
 		size += weigh(r)
 		if size > maxBytes && len(b.Replies) > 0 {
 			break
--- a/internal/control/mailbox/mailbox_test.go
+++ b/internal/control/mailbox/mailbox_test.go
@@ -21,7 +21,7 @@
 	for _, r := range b.Replies {
 		seqs = append(seqs, r.GetSeq())
 	}
-	return b.First, seqs
+	return b.FirstNumber, seqs
 }
 
 // The connection breaks under the answer to a fetch. The replies in it come
--- a/internal/control/node/assemble.go
+++ b/internal/control/node/assemble.go
@@ -31,17 +31,17 @@
 	a := &assembly{handshake: n.handshake(self)}
 	a.group = &group.Group{
 		Journal: newDisk(d.journal, n.meters, n.Log), Snapshots: newArchive(&d.snapshots, n.meters, n.Log),
-		Saved: d.saved, Now: n.now, Free: n.Room, Meters: n.meters, Log: n.Log,
+		Recovered: d.saved, Now: n.now, MinFreeBytes: n.Room, Metrics: n.meters, Log: n.Log,
 	}
 	n.group.Store(a.group)
 	a.service = &entry.Server{Cell: n.Cell, Leader: n.Control, Now: n.now, Dumper: n.State, MaxDump: n.MaxDump, Log: n.Log}
 	n.service.Store(a.service)
-	n.Control.Entries = a.service.Entries
-	n.Control.Deposed, n.Control.Revised = a.service.CloseAll, a.service.WakeAll
+	n.Control.EntryMembers = a.service.Entries
+	n.Control.OnDeposed, n.Control.OnTableRevision = a.service.CloseAll, a.service.WakeAll
 	// Before anything can come in: what arrives is checked against the identity.
 	n.configure(self, a.group)
 	a.transport = n.transport(self.ID, a.group.Receive)
-	a.group.Peer = a.transport
+	a.group.Transport = a.transport
 	mux := http.NewServeMux()
 	mux.Handle("/twirp/gypsumreel.inner.Control/", a.service.Handler())
 	mux.Handle("/twirp/gypsumreel.inner.Bootstrap/", n.replicas(a.handshake.Handler()))
@@ -57,19 +57,19 @@
 	if n.Transport != nil {
 		return n.Transport(id, receive)
 	}
-	return &peer.Pool{Cell: n.Cell, Self: id, TLS: n.Peers, Deliver: receive, Event: n.event}
+	return &peer.Pool{Cell: n.Cell, Self: id, TLS: n.Peers, Deliver: receive, OnEvent: n.event}
 }
 
 // event logs what an operator may want to know of the way to the others.
 func (n *Node) event(e peer.Event) {
 	switch e.Kind {
-	case peer.Refused:
+	case peer.MessageRefused:
 		n.limit.Log(n.Log, event.PeerRefused, "peer", e.Peer, "error", e.Err.Error())
-	case peer.Failed:
+	case peer.CallsFailing:
 		event.Log(n.Log, event.PeerSilent, "peer", e.Peer, "error", e.Err.Error())
-	case peer.TooLarge:
+	case peer.MessageTooLarge:
 		n.Log.Info("message to a replica is too large", "replica", e.Peer, "error", e.Err.Error())
-	case peer.Recovered:
+	case peer.CallsRecovered:
 		event.Log(n.Log, event.PeerBack, "peer", e.Peer)
 	}
 }
@@ -77,16 +77,16 @@
 func (n *Node) configure(self quorum.Member, g *group.Group) {
 	cfg := &g.Config
 	cfg.ID, cfg.Address = self.ID, self.Address
-	cfg.Heartbeat, cfg.Election, cfg.Patience = n.Heartbeat, n.Election, n.Patience
+	cfg.HeartbeatInterval, cfg.ElectionTimeout, cfg.MaxElectionTimeout = n.Heartbeat, n.Election, n.Patience
 	var seed [8]byte
 	_, _ = rand.Read(seed[:])
 	cfg.Seed = binary.LittleEndian.Uint64(seed[:])
 	l := n.Control
-	l.Group, l.Now, l.Root, l.Log, l.Meters = g, n.now, n.Root, n.Log, n.meters
-	l.Yield = func() { go n.yield(g) }
-	l.Matches = func() map[string]uint64 { return matches(g.Dump()) }
-	if l.Planner == nil {
-		l.Planner = func() plan.Planner { return cell.New(cell.Config{}) }
+	l.Group, l.Now, l.RootKey, l.Log, l.Metrics = g, n.now, n.Root, n.Log, n.meters
+	l.TransferLeadership = func() { go n.yield(g) }
+	l.MatchIndexes = func() map[string]uint64 { return matches(g.Dump()) }
+	if l.NewPlanner == nil {
+		l.NewPlanner = func() plan.Planner { return cell.New(cell.Config{}) }
 	}
 }
 
--- a/internal/control/node/disk.go
+++ b/internal/control/node/disk.go
@@ -43,19 +43,19 @@
 // archive is a store of snapshots that tells of those written, and of those that
 // could not be.
 type archive struct {
-	group.Snapshots
+	group.SnapshotStore
 	log    logr.Logger
 	failed *metrics.Counter
 }
 
-func newArchive(s group.Snapshots, set *metrics.Set, log logr.Logger) *archive {
-	return &archive{Snapshots: s, log: log, failed: set.GetOrCreateCounter(meter.Name("control", "snapshots_failed_total"))}
+func newArchive(s group.SnapshotStore, set *metrics.Set, log logr.Logger) *archive {
+	return &archive{SnapshotStore: s, log: log, failed: set.GetOrCreateCounter(meter.Name("control", "snapshots_failed_total"))}
 }
 
 // Save saves and tells.
 func (a *archive) Save(meta snapshot.Meta, state []byte) error {
 	begin := time.Now()
-	err := a.Snapshots.Save(meta, state)
+	err := a.SnapshotStore.Save(meta, state)
 	if err != nil {
 		a.failed.Inc()
 		event.LogError(a.log, event.StoragePutOff, err, "what", "snapshot", "index", meta.Index, "bytes", len(state))
--- a/internal/control/node/found.go
+++ b/internal/control/node/found.go
@@ -11,19 +11,19 @@
 
 // found learns the first membership: from the other replicas when the group is
 // founded now, else from the disk.
-func (n *Node) found(ctx context.Context, a *assembly, self quorum.Member, saved quorum.Saved) error {
+func (n *Node) found(ctx context.Context, a *assembly, self quorum.Member, saved quorum.PersistedState) error {
 	if !n.Init || !blank(saved) {
-		a.handshake.Know(known(saved, self))
+		a.handshake.SetMembers(known(saved, self))
 		return nil
 	}
 	if len(n.Founders) > 0 {
 		if slices.ContainsFunc(n.Founders, func(m quorum.Member) bool { return m.ID == self.ID }) {
-			a.group.Config.Bootstrap = n.Founders
+			a.group.Config.InitialMembers = n.Founders
 		}
 		return nil
 	}
-	first, err := a.handshake.Agree(ctx)
-	a.group.Config.Bootstrap = first
+	first, err := a.handshake.AgreeMembers(ctx)
+	a.group.Config.InitialMembers = first
 	return err
 }
 
@@ -45,20 +45,20 @@
 // blank tells whether a replica never took part in anything. One that made its
 // identity and was stopped while it waited for the others is blank still, and
 // goes on with the same identity.
-func blank(saved quorum.Saved) bool {
-	return saved.Snapshot.Index == 0 && len(saved.Entries) == 0 && saved.Hard == quorum.Hard{}
+func blank(saved quorum.PersistedState) bool {
+	return saved.Snapshot.Index == 0 && len(saved.Entries) == 0 && saved.HardState == quorum.HardState{}
 }
 
 // known lists the membership that a replica has on its disk: that of its
 // snapshot or else the first of its log. Replicas that still wait to found the
 // group take it from one that was quicker, also when that one has restarted.
-func known(saved quorum.Saved, self quorum.Member) []string {
+func known(saved quorum.PersistedState, self quorum.Member) []string {
 	members := saved.Snapshot.Members
 	for _, e := range saved.Entries {
 		if len(members) > 0 {
 			break
 		}
-		if e.Kind == quorum.Change {
+		if e.Kind == quorum.EntryMembership {
 			members, _ = quorum.DecodeMembers(e.Data)
 		}
 	}
--- a/internal/control/node/node.go
+++ b/internal/control/node/node.go
@@ -108,7 +108,7 @@
 
 // Transport carries consensus messages until Close.
 type Transport interface {
-	group.Peer
+	group.Transport
 	Handler() http.Handler
 	Close()
 }
@@ -154,7 +154,7 @@
 func (n *Node) Run(ctx context.Context) error {
 	n.init()
 	defer close(n.done)
-	lock, err := member.Take(n.Data)
+	lock, err := member.AcquireLock(n.Data)
 	if err != nil {
 		return err
 	}
@@ -179,38 +179,38 @@
 		return ErrJournalGone
 	}
 	n.self.Store(self.ID)
-	saved.Hard, saved.Entries = recovered.Hard, recovered.Entries
+	saved.HardState, saved.Entries = recovered.HardState, recovered.Entries
 	return n.serve(ctx, self, disks{journal: log, snapshots: store, saved: saved})
 }
 
 // journal opens the replica's journal.
 func (n *Node) journal() (*journal.Journal, journal.Recovered, error) {
 	put := n.meters.GetOrCreateCounter(meter.Name("control", "segments_put_off_total"))
-	return journal.Config{PutOff: func(err error) {
+	return journal.Config{OnRollPostponed: func(err error) {
 		put.Inc()
 		event.LogError(n.Log, event.StoragePutOff, err, "what", "segment")
 	}}.Open(filepath.Join(n.Data, "journal"))
 }
 
-func load(store snapshot.Store) (quorum.Saved, error) {
+func load(store snapshot.Store) (quorum.PersistedState, error) {
 	meta, data, err := store.Load()
 	if err != nil {
-		return quorum.Saved{}, err
+		return quorum.PersistedState{}, err
 	}
-	return quorum.Saved{Snapshot: quorum.Snapshot{Index: meta.Index, Term: meta.Term, Members: meta.Members, State: data}}, nil
+	return quorum.PersistedState{Snapshot: quorum.Snapshot{Index: meta.Index, Term: meta.Term, Members: meta.Members, State: data}}, nil
 }
 
 // identity returns this replica's own, and whether its disk is blank.
 func (n *Node) identity() (quorum.Member, bool, error) {
 	store := member.Store{Dir: n.Data}
 	id, err := store.Load(n.Cell, n.Name)
-	fresh := errors.Is(err, member.ErrNone)
+	fresh := errors.Is(err, member.ErrNoIdentity)
 	if fresh {
 		nonce := n.Nonce
 		if nonce == nil {
 			nonce = rand.Reader
 		}
-		id, err = store.Make(n.Cell, n.Name, nonce)
+		id, err = store.Create(n.Cell, n.Name, nonce)
 	}
 	return quorum.Member{ID: id.ID(), Address: n.Address}, fresh, err
 }
@@ -219,7 +219,7 @@
 type disks struct {
 	journal   *journal.Journal
 	snapshots snapshot.Store
-	saved     quorum.Saved
+	saved     quorum.PersistedState
 }
 
 // serve runs all parts until ctx ends or one of them fails.
@@ -279,7 +279,7 @@
 func (n *Node) yield(g *group.Group) {
 	ctx, cancel := context.WithTimeout(context.Background(), n.Handover)
 	defer cancel()
-	if err := g.Transfer(ctx); err == nil {
+	if err := g.TransferLeadership(ctx); err == nil {
 		event.Log(n.Log, event.LeaderTransferred, "cause", "the disk is full")
 	}
 }
@@ -300,10 +300,10 @@
 		}
 	}()
 	begin := n.now()
-	switch err := n.group.Load().Transfer(ctx); {
+	switch err := n.group.Load().TransferLeadership(ctx); {
 	case err == nil:
 		event.Log(n.Log, event.LeaderTransferred, "took", (n.now() - begin).String())
-	case !errors.Is(err, group.ErrAlone):
+	case !errors.Is(err, group.ErrNoOtherVoter):
 		n.Log.Info("the lead was not handed over", "cause", err.Error())
 	}
 }
--- a/internal/control/node/watch.go
+++ b/internal/control/node/watch.go
@@ -75,8 +75,8 @@
 
 // damaged logs an error of the files at the start as an event, when it is damage.
 func (n *Node) damaged(id event.Definition, err error) error {
-	var j *journal.DamageError
-	var s *snapshot.DamageError
+	var j *journal.CorruptionError
+	var s *snapshot.CorruptionError
 	if errors.As(err, &j) || errors.As(err, &s) {
 		event.LogError(n.Log, id, err)
 	}
--- a/internal/demo/fault/repair_test.go
+++ b/internal/demo/fault/repair_test.go
@@ -110,7 +110,7 @@
 // encodings returns the whole state of each replica.
 func (w *world) encodings() (out [][]byte) {
 	for _, name := range w.cell.Names("c", replicas) {
-		err := w.cell.Node(name).Control.Do(w.ctx, func(st *state.State) {
+		err := w.cell.Node(name).Control.Execute(w.ctx, func(st *state.State) {
 			b, err := st.Encode()
 			if err != nil {
 				w.t.Error(err)
@@ -130,7 +130,7 @@
 // a quorum only once it held everything.
 func TestARepairedReplicaCarriesTheCell(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWith(t, func(_ string, l *leader.Leader) { l.Snapshot = 50 })
+		w := newWorldWith(t, func(_ string, l *leader.Leader) { l.SnapshotInterval = 50 })
 		defer w.close()
 		revision := uint64(1)
 		for range 40 {
@@ -178,7 +178,7 @@
 // byte: a difference would show later as a wrong answer or a broken promise.
 func TestARestartOfAllGivesTheSameState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWith(t, func(_ string, l *leader.Leader) { l.Snapshot = 120 })
+		w := newWorldWith(t, func(_ string, l *leader.Leader) { l.SnapshotInterval = 120 })
 		defer w.close()
 		revision := uint64(1)
 		for range 300 {
@@ -230,8 +230,8 @@
 		defer w.close()
 		bad := w.follower()
 		old := w.id(bad)
-		err := w.cell.Node(bad).Control.Do(w.ctx, func(st *state.State) {
-			st.Apply(&record.Command{At: int64(st.At()), What: &record.Command_Change{Change: &record.Change{By: "damage", Request: &v1.ChangeRequest{Id: "damage"}}}})
+		err := w.cell.Node(bad).Control.Execute(w.ctx, func(st *state.State) {
+			st.Apply(&record.Command{At: int64(st.Now()), What: &record.Command_Change{Change: &record.Change{By: "damage", Request: &v1.ChangeRequest{Id: "damage"}}}})
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/demo/fault/world_test.go
+++ b/internal/demo/fault/world_test.go
@@ -202,17 +202,17 @@
 	for _, name := range w.cell.Names("c", replicas) {
 		n := w.cell.Node(name)
 		ctx, cancel := context.WithTimeout(w.ctx, time.Second)
-		err := n.Control.Do(ctx, func(st *state.State) {
-			if st.Faults() > 0 {
+		err := n.Control.Execute(ctx, func(st *state.State) {
+			if st.InvalidTransitions() > 0 {
 				faults = append(faults, name+": an event that no chart allows")
 			}
 			for _, b := range st.Servers() {
-				if !b.Held.Fits(b.Capacity) {
+				if !b.HeldCapacity.Fits(b.Capacity) {
 					faults = append(faults, fmt.Sprintf("%s: %s is overcommitted", name, b.ID))
 				}
 			}
 			for _, r := range st.Table().Rows() {
-				if !st.Held(r.Name).Within(r.Limit) {
+				if !st.TeamHeldCapacity(r.Name).Within(r.Limit) {
 					faults = append(faults, fmt.Sprintf("%s: %s is over its limit", name, r.Name))
 				}
 			}
@@ -232,19 +232,19 @@
 	if !ok {
 		return "no leader"
 	}
-	_ = w.cell.Node(name).Control.Do(w.ctx, func(st *state.State) {
+	_ = w.cell.Node(name).Control.Execute(w.ctx, func(st *state.State) {
 		for _, j := range st.Jobs("") {
 			if j.Final() {
 				continue
 			}
-			fmt.Fprintf(&b, "%s: job %d %v held %d waiting %d", j.Spec.ID, j.Number, j.Outcome, j.Held, j.Waiting)
-			st.Tasks(j, func(k *state.Task) {
-				fmt.Fprintf(&b, "; task %d %v attempt %d on %s/%d since %v", k.ID.Index, k.Phase, k.Attempt, k.Server, k.Incarnation, st.At()-k.Since)
+			fmt.Fprintf(&b, "%s: job %d %v held %d waiting %d", j.Spec.ID, j.Number, j.Outcome, j.HeldTasks, j.WaitingTasks)
+			st.EachTask(j, func(k *state.Task) {
+				fmt.Fprintf(&b, "; task %d %v attempt %d on %s/%d since %v", k.ID.Index, k.Phase, k.Attempt, k.Server, k.Incarnation, st.Now()-k.PhaseSince)
 			})
 			b.WriteString("\n")
 		}
 		for _, s := range st.Servers() {
-			fmt.Fprintf(&b, "%s/%d %v held %v of %v drain %v\n", s.ID, s.Incarnation, s.Server.State, s.Held, s.Capacity, s.Drain)
+			fmt.Fprintf(&b, "%s/%d %v held %v of %v drain %v\n", s.ID, s.Incarnation, s.Server.State, s.HeldCapacity, s.Capacity, s.DrainRequested)
 		}
 	})
 	return b.String()
--- a/internal/ledger/chart/chart.go
+++ b/internal/ledger/chart/chart.go
@@ -38,22 +38,22 @@
 // Event is what may happen in a state.
 type Event string
 
-// Move is one transition.
-type Move struct {
-	From State
-	On   Event
-	To   State
+// Transition is one transition.
+type Transition struct {
+	From  State
+	Event Event
+	To    State
 }
 
-// RefusedError means that an event cannot happen in a state.
-type RefusedError struct {
+// InvalidEventError means that an event cannot happen in a state.
+type InvalidEventError struct {
 	Chart Name
 	State State
 	Event Event
 }
 
 // Error names the chart, the state and the event.
-func (e *RefusedError) Error() string {
+func (e *InvalidEventError) Error() string {
 	return fmt.Sprintf("%s: %q cannot happen in state %q", e.Chart, e.Event, e.State)
 }
 
@@ -62,7 +62,7 @@
 	name   Name
 	start  State
 	states []State
-	moves  []Move
+	moves  []Transition
 	next   map[step]State
 	final  map[State]bool
 }
@@ -75,17 +75,17 @@
 
 // source is the layout of a chart file.
 type source struct {
-	Start  State   `json:"start"`
-	States []State `json:"states"`
-	Final  []State `json:"final"`
-	Moves  []moves `json:"moves"`
+	Start       State   `json:"start"`
+	States      []State `json:"states"`
+	Final       []State `json:"final"`
+	Transitions []moves `json:"moves"`
 }
 
 // moves are transitions on one event into one state.
 type moves struct {
-	From []State `json:"from"`
-	On   Event   `json:"on"`
-	To   State   `json:"to"`
+	From  []State `json:"from"`
+	Event Event   `json:"on"`
+	To    State   `json:"to"`
 }
 
 // Load reads a chart that is built in, and checks it.
@@ -134,14 +134,14 @@
 	for _, s := range src.Final {
 		c.final[s] = true
 	}
-	for _, m := range src.Moves {
+	for _, m := range src.Transitions {
 		for _, from := range m.From {
-			key := step{from, m.On}
+			key := step{from, m.Event}
 			if _, twice := c.next[key]; twice {
-				return nil, errors.Newf("state %q has two transitions on %q", from, m.On)
+				return nil, errors.Newf("state %q has two transitions on %q", from, m.Event)
 			}
 			c.next[key] = m.To
-			c.moves = append(c.moves, Move{From: from, On: m.On, To: m.To})
+			c.moves = append(c.moves, Transition{From: from, Event: m.Event, To: m.To})
 		}
 	}
 	return c, nil
@@ -154,7 +154,7 @@
 func (c *Chart) Next(s State, e Event) (State, error) {
 	to, ok := c.next[step{s, e}]
 	if !ok {
-		return s, &RefusedError{Chart: c.name, State: s, Event: e}
+		return s, &InvalidEventError{Chart: c.name, State: s, Event: e}
 	}
 	return to, nil
 }
@@ -165,5 +165,5 @@
 // States returns all states in the order of the file.
 func (c *Chart) States() []State { return slices.Clone(c.states) }
 
-// Moves returns all transitions in the order of the file.
-func (c *Chart) Moves() []Move { return slices.Clone(c.moves) }
+// Transitions returns all transitions in the order of the file.
+func (c *Chart) Transitions() []Transition { return slices.Clone(c.moves) }
--- a/internal/ledger/chart/chart_test.go
+++ b/internal/ledger/chart/chart_test.go
@@ -15,15 +15,15 @@
 	"gypsumreel/internal/ledger/chart"
 )
 
-var all = []chart.Name{chart.Task, chart.Attempt, chart.Lease, chart.Backend, chart.Member, chart.Flow, chart.Piece}
+var all = []chart.Name{chart.Task, chart.Attempt, chart.Lease, chart.Backend, chart.Member, chart.Flow, chart.FlowTask}
 
 // path returns the events that lead from the start to a state.
 func path(c *chart.Chart, to chart.State) []chart.Event {
 	paths := map[chart.State][]chart.Event{c.Start(): {}}
 	for range c.States() {
-		for _, m := range c.Moves() {
+		for _, m := range c.Transitions() {
 			if _, known := paths[m.To]; !known && paths[m.From] != nil {
-				paths[m.To] = append(slices.Clone(paths[m.From]), m.On)
+				paths[m.To] = append(slices.Clone(paths[m.From]), m.Event)
 			}
 		}
 	}
@@ -38,12 +38,12 @@
 		}
 		allowed := map[chart.State]map[chart.Event]chart.State{}
 		var events []chart.Event
-		for _, m := range c.Moves() {
-			events = append(events, m.On)
+		for _, m := range c.Transitions() {
+			events = append(events, m.Event)
 			if allowed[m.From] == nil {
 				allowed[m.From] = map[chart.Event]chart.State{}
 			}
-			allowed[m.From][m.On] = m.To
+			allowed[m.From][m.Event] = m.To
 		}
 		for _, s := range c.States() {
 			at := c.Start()
@@ -58,7 +58,7 @@
 			for _, e := range events {
 				got, err := c.Next(at, e)
 				want, ok := allowed[s][e]
-				var refused *chart.RefusedError
+				var refused *chart.InvalidEventError
 				if ok && (err != nil || got != want) || !ok && (!errors.As(err, &refused) || got != s) {
 					t.Errorf("%s: %q on %q gave %q, %v", name, s, e, got, err)
 				}
@@ -75,12 +75,12 @@
 // refusal is never used for a task that started is shown in package state.
 func TestNotRunNeedsARefusal(t *testing.T) {
 	c := chart.MustLoad(chart.Task)
-	for _, m := range c.Moves() {
-		if (m.To == chart.NotRun) != (m.On == chart.Refuse) || m.On == chart.Refuse && m.From == chart.Done {
-			t.Errorf("%q leads from %q to %q", m.On, m.From, m.To)
+	for _, m := range c.Transitions() {
+		if (m.To == chart.NotRun) != (m.Event == chart.GiveUpUnstarted) || m.Event == chart.GiveUpUnstarted && m.From == chart.Done {
+			t.Errorf("%q leads from %q to %q", m.Event, m.From, m.To)
 		}
 		if m.From == chart.NotRun || m.From == chart.Unknown {
-			t.Errorf("%q leads out of %q", m.On, m.From)
+			t.Errorf("%q leads out of %q", m.Event, m.From)
 		}
 	}
 }
@@ -107,8 +107,8 @@
 		for _, s := range c.States() {
 			used["State"] = append(used["State"], string(s))
 		}
-		for _, m := range c.Moves() {
-			used["Event"] = append(used["Event"], string(m.On))
+		for _, m := range c.Transitions() {
+			used["Event"] = append(used["Event"], string(m.Event))
 		}
 	}
 	for _, names := range []map[string][]string{declared, used} {
--- a/internal/ledger/chart/check.go
+++ b/internal/ledger/chart/check.go
@@ -14,15 +14,15 @@
 	}
 	for _, m := range c.moves {
 		if c.final[m.From] {
-			return errors.Newf("final state %q has a transition on %q", m.From, m.On)
+			return errors.Newf("final state %q has a transition on %q", m.From, m.Event)
 		}
 	}
-	forward := c.reach([]State{c.start}, func(m Move) (State, State) { return m.From, m.To })
+	forward := c.reach([]State{c.start}, func(m Transition) (State, State) { return m.From, m.To })
 	var ends []State
 	for s := range c.final {
 		ends = append(ends, s)
 	}
-	backward := c.reach(ends, func(m Move) (State, State) { return m.To, m.From })
+	backward := c.reach(ends, func(m Transition) (State, State) { return m.To, m.From })
 	for _, s := range c.states {
 		if !forward[s] {
 			return errors.Newf("state %q cannot be reached", s)
@@ -48,7 +48,7 @@
 		used = append(used, s)
 	}
 	for _, m := range c.moves {
-		if m.On == "" {
+		if m.Event == "" {
 			return errors.Newf("a transition from %q has no event", m.From)
 		}
 		used = append(used, m.From, m.To)
@@ -63,7 +63,7 @@
 }
 
 // reach returns what can be reached from the states given over the edges.
-func (c *Chart) reach(from []State, edge func(Move) (State, State)) map[State]bool {
+func (c *Chart) reach(from []State, edge func(Transition) (State, State)) map[State]bool {
 	seen := map[State]bool{}
 	for len(from) > 0 {
 		s := from[0]
--- a/internal/ledger/chart/names.go
+++ b/internal/ledger/chart/names.go
@@ -2,33 +2,33 @@
 
 // The charts that are built in.
 const (
-	Task    Name = "task"
-	Attempt Name = "attempt"
-	Lease   Name = "lease"
-	Backend Name = "backend"
-	Member  Name = "member"
-	Flow    Name = "flow"
-	Piece   Name = "piece"
+	Task     Name = "task"
+	Attempt  Name = "attempt"
+	Lease    Name = "lease"
+	Backend  Name = "backend"
+	Member   Name = "member"
+	Flow     Name = "flow"
+	FlowTask Name = "piece"
 )
 
 // The states of a task.
 const (
-	Queued   State = "queued"
-	Placed   State = "placed"
-	Stopping State = "stopping"
-	Resting  State = "resting"
-	Done     State = "done"
-	NotRun   State = "notrun"
-	Unknown  State = "unknown"
+	Queued         State = "queued"
+	Placed         State = "placed"
+	Stopping       State = "stopping"
+	WaitingForGang State = "resting"
+	Done           State = "done"
+	NotRun         State = "notrun"
+	Unknown        State = "unknown"
 )
 
 // The states of an attempt, besides Placed and Stopping.
 const (
-	Running State = "running"
-	Ordered State = "ordered"
-	Ended   State = "ended"
-	Never   State = "never"
-	Lost    State = "lost"
+	Running      State = "running"
+	StartOrdered State = "ordered"
+	Ended        State = "ended"
+	NeverStarted State = "never"
+	Lost         State = "lost"
 )
 
 // The states of a flow, besides Queued, Running and Done.
@@ -39,10 +39,10 @@
 
 // The states of a lease.
 const (
-	Held     State = "held"
-	Doubtful State = "doubtful"
-	Expired  State = "expired"
-	Released State = "released"
+	Held          State = "held"
+	MissedRenewal State = "doubtful"
+	Expired       State = "expired"
+	Released      State = "released"
 )
 
 // The states of a backend server's session.
@@ -64,36 +64,36 @@
 
 // The events of tasks and attempts.
 const (
-	Place    Event = "place"
-	Refuse   Event = "refuse"
-	Start    Event = "start"
-	Decline  Event = "decline"
-	Stop     Event = "stop"
-	Finish   Event = "finish"
-	Requeue  Event = "requeue"
-	Rest     Event = "rest"
-	Forfeit  Event = "forfeit"
-	Retry    Event = "retry"
-	Quit     Event = "quit"
-	Order    Event = "order"
-	Withdraw Event = "withdraw"
-	End      Event = "end"
+	Place           Event = "place"
+	GiveUpUnstarted Event = "refuse"
+	Start           Event = "start"
+	Decline         Event = "decline"
+	Stop            Event = "stop"
+	Finish          Event = "finish"
+	Requeue         Event = "requeue"
+	WaitForGang     Event = "rest"
+	EndUnknown      Event = "forfeit"
+	Retry           Event = "retry"
+	GiveUpStarted   Event = "quit"
+	OrderStart      Event = "order"
+	Withdraw        Event = "withdraw"
+	End             Event = "end"
 )
 
 // The events of leases, backend servers and members; Expire is one of attempts too.
 const (
-	Renew      Event = "renew"
-	Miss       Event = "miss"
-	Expire     Event = "expire"
-	Release    Event = "release"
-	Drain      Event = "drain"
-	Hear       Event = "hear"
-	Quarantine Event = "quarantine"
-	Acquit     Event = "acquit"
-	Sync       Event = "sync"
-	Lag        Event = "lag"
-	Promote    Event = "promote"
-	Remove     Event = "remove"
+	Renew           Event = "renew"
+	MissHeartbeat   Event = "miss"
+	Expire          Event = "expire"
+	Release         Event = "release"
+	Drain           Event = "drain"
+	ResumeHeartbeat Event = "hear"
+	Quarantine      Event = "quarantine"
+	EndQuarantine   Event = "acquit"
+	CatchUp         Event = "sync"
+	FallBehind      Event = "lag"
+	Promote         Event = "promote"
+	Remove          Event = "remove"
 )
 
 // The events of flows, besides Start and Finish.
--- a/internal/ledger/command/command.go
+++ b/internal/ledger/command/command.go
@@ -36,8 +36,8 @@
 	return c, nil
 }
 
-// Size converts a size from its message; nil is the zero size.
-func Size(s *v1.Size) capacity.Size {
+// SizeFromMessage converts a size from its message; nil is the zero size.
+func SizeFromMessage(s *v1.Size) capacity.Size {
 	return capacity.Size{CPU: s.GetCpu(), Memory: s.GetMemory(), Accel: s.GetAccel(), Slots: s.GetSlots()}
 }
 
@@ -46,15 +46,15 @@
 	return &v1.Size{Cpu: s.CPU, Memory: s.Memory, Accel: s.Accel, Slots: s.Slots}
 }
 
-// Spec converts a job's description from its message.
-func Spec(owner string, m *v1.Spec) *job.Spec {
+// SpecFromMessage converts a job's description from its message.
+func SpecFromMessage(owner string, m *v1.Spec) *job.Spec {
 	return &job.Spec{
 		ID:       m.GetId(),
 		Team:     owner,
 		Kind:     job.Kind(m.GetKind()),
 		Name:     m.GetName(),
 		Count:    m.GetCount(),
-		Size:     Size(m.GetSize()),
+		Size:     SizeFromMessage(m.GetSize()),
 		Runtime:  time.Duration(m.GetRuntime()) * time.Millisecond,
 		Once:     m.GetOnce(),
 		Input:    m.GetInput(),
@@ -81,9 +81,9 @@
 	}
 }
 
-// Row converts a row of the table from its message.
-func Row(m *v1.Row) team.Row {
-	return team.Row{Name: m.GetTeam(), Weight: m.GetWeight(), Share: m.GetShare(), Limit: Size(m.GetLimit()), Queue: m.GetQueue()}
+// RowFromMessage converts a row of the table from its message.
+func RowFromMessage(m *v1.Row) team.Row {
+	return team.Row{Name: m.GetTeam(), Weight: m.GetWeight(), Share: m.GetShare(), Limit: SizeFromMessage(m.GetLimit()), Queue: m.GetQueue()}
 }
 
 // RowMessage converts a row of the table to its message.
--- a/internal/ledger/flows/crash_test.go
+++ b/internal/ledger/flows/crash_test.go
@@ -78,7 +78,7 @@
 	for name, c := range map[string]struct {
 		blamed bool
 		most   int
-	}{"blamed": {true, flows.MostBlamed}, "beside another": {false, flows.MostCrashes}} {
+	}{"blamed": {true, flows.MaxBlamedCrashes}, "beside another": {false, flows.MaxConsecutiveCrashes}} {
 		for kind, step := range map[string]*v1.FlowStep{"single": {Count: 1, Size: &v1.Size{Cpu: 1}}, "gang": {Count: 1, Size: &v1.Size{Cpu: 1}, Gang: true}, "lasting": {Count: 1, Size: &v1.Size{Cpu: 1}, Lasting: true}} {
 			t.Run(name+", "+kind, func(t *testing.T) {
 				w := newCrashes(t, step)
@@ -105,7 +105,7 @@
 	step := func() *v1.FlowStep { return &v1.FlowStep{Count: 1, Size: &v1.Size{Cpu: 1}, Lasting: true} }
 	t.Run("leaving", func(t *testing.T) {
 		w := newCrashes(t, step())
-		for range 3 * flows.MostCrashes {
+		for range 3 * flows.MaxConsecutiveCrashes {
 			server, run := w.run()
 			w.serve(server, true)
 			w.end(server, true, run)
@@ -116,7 +116,7 @@
 	})
 	t.Run("silent", func(t *testing.T) {
 		w := newCrashes(t, step())
-		for range 3 * flows.MostCrashes {
+		for range 3 * flows.MaxConsecutiveCrashes {
 			server, _ := w.run()
 			w.end(server, false)
 		}
@@ -126,7 +126,7 @@
 	})
 	t.Run("upkeep", func(t *testing.T) {
 		w := newCrashes(t, step())
-		for n := range uint64(3 * flows.MostCrashes) {
+		for n := range uint64(3 * flows.MaxConsecutiveCrashes) {
 			server, _ := w.run()
 			machine := fmt.Sprint("m", n)
 			w.apply(&record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{Id: server, Born: 1, Pool: "p", Machine: machine, Capacity: &v1.Size{Cpu: 4, Memory: 100}}}})
@@ -140,7 +140,7 @@
 	})
 	t.Run("long apart", func(t *testing.T) {
 		w := newCrashes(t, step())
-		for range 3 * flows.MostCrashes {
+		for range 3 * flows.MaxConsecutiveCrashes {
 			server, _ := w.run()
 			w.at += 2 * time.Minute
 			w.end(server, true)
--- a/internal/ledger/flows/flows.go
+++ b/internal/ledger/flows/flows.go
@@ -30,7 +30,7 @@
 
 	// Derived.
 	ready    map[flow.StepID]*Step
-	unwanted map[flow.TaskID]*Held
+	unwanted map[flow.TaskID]*HeldRun
 	used     map[string]capacity.Size
 	pending  map[string]int
 	open     int
@@ -40,21 +40,21 @@
 type Flow struct {
 	ID       string
 	Customer string
-	// Queue names its queue. Was is the queue as it was when the flow was
+	// QueueName names its queue. Was is the queue as it was when the flow was
 	// accepted; it counts when the document in force has none of that name.
-	Queue string
-	Was   *v1.Queue
-	Spec  *v1.FlowSpec
-	// Accepted and Ended are on the ledger's clock.
-	Accepted time.Duration
-	Ended    time.Duration
-	State    v1.FlowState
-	// Next is the number of the next turn of a flow that runs at times.
-	Next uint32
+	QueueName         string
+	QueueAtAcceptance *v1.Queue
+	Spec              *v1.FlowSpec
+	// AcceptedAt and Ended are on the ledger's clock.
+	AcceptedAt time.Duration
+	EndedAt    time.Duration
+	State      v1.FlowState
+	// NextTurn is the number of the next turn of a flow that runs at times.
+	NextTurn uint32
 	// Turns are those under way, by number.
 	Turns map[uint32]*Turn
-	// Held counts the runs that servers may hold.
-	Held int
+	// HeldRuns counts the runs that servers may hold.
+	HeldRuns int
 }
 
 // Final tells whether the flow's state never changes again.
@@ -74,78 +74,78 @@
 	Flow  *Flow
 	Spec  *v1.FlowStep
 	Tasks []Task
-	// Missing counts the steps before it that are not done.
-	Missing int
-	// Queued, Placed and Done count the tasks by phase.
-	Queued int
-	Placed int
-	Done   int
-	// Fails counts the failed runs of a gang, Counted is the last one counted.
-	Fails   uint32
-	Counted uint32
-	// Since is when the step could begin, on the ledger's clock.
-	Since time.Duration
+	// UnfinishedDependencies counts the steps before it that are not done.
+	UnfinishedDependencies int
+	// QueuedTasks, Placed and Done count the tasks by phase.
+	QueuedTasks int
+	PlacedTasks int
+	DoneTasks   int
+	// FailedRuns counts the failed runs of a gang, Counted is the last one counted.
+	FailedRuns    uint32
+	LastFailedRun uint32
+	// ReadyAt is when the step could begin, on the ledger's clock.
+	ReadyAt time.Duration
 }
 
 // Task is one task of a step.
 type Task struct {
 	Phase Phase
-	// Number is that of the latest run, 0 before the first.
-	Number uint32
-	// Fails counts the runs that ended as failed.
-	Fails uint32
-	// Crashes counts the servers in a row that crashed under it, Blamed those of them
+	// LatestRun is that of the latest run, 0 before the first.
+	LatestRun uint32
+	// FailedRuns counts the runs that ended as failed.
+	FailedRuns uint32
+	// ConsecutiveCrashes counts the servers in a row that crashed under it, Blamed those of them
 	// that it may have crashed itself.
-	Crashes uint32
-	Blamed  uint32
+	ConsecutiveCrashes uint32
+	BlamedCrashes      uint32
 	// Checkpoint is where the next run goes on; empty for the beginning.
 	Checkpoint string
 	// Server and Born are where the latest run was placed.
-	Server string
-	Born   int64
+	Server            string
+	ServerStartedAtMs int64
 }
 
 // Server is one life of a backend server.
 type Server struct {
 	ID string
-	// Born is when this life began, milliseconds since 1970.
-	Born     int64
-	Address  string
-	Zone     string
-	Pool     string
-	Machine  string
-	Capacity capacity.Size
-	Labels   []string
-	// Leaving servers get no new work.
-	Leaving bool
-	// Warm is when it stops being slow after its start, on the ledger's clock.
-	Warm time.Duration
-	// Call is the number of the latest report that changed anything.
-	Call uint64
-	// Over tells that this life has ended.
-	Over bool
-	// Cursor is the number up to which this life's ends are recorded.
-	Cursor uint64
+	// StartedAtMs is when this life began, milliseconds since 1970.
+	StartedAtMs int64
+	Address     string
+	Zone        string
+	Pool        string
+	Machine     string
+	Capacity    capacity.Size
+	Labels      []string
+	// ShuttingDown servers get no new work.
+	ShuttingDown bool
+	// WarmUpEndsAt is when it stops being slow after its start, on the ledger's clock.
+	WarmUpEndsAt time.Duration
+	// LastReport is the number of the latest report that changed anything.
+	LastReport uint64
+	// Ended tells that this life has ended.
+	Ended bool
+	// EndCursor is the number up to which this life's ends are recorded.
+	EndCursor uint64
 	// Used is the size of everything that is not proved to have ended.
-	Used capacity.Size
-	Held map[flow.TaskID]*Held
+	Used     capacity.Size
+	HeldRuns map[flow.TaskID]*HeldRun
 }
 
-// Held is a run that a server may hold.
-type Held struct {
+// HeldRun is a run that a server may hold.
+type HeldRun struct {
 	flow.RunID
 	Server   string
 	Customer string
 	Size     capacity.Size
-	// Since is when it was placed, on the ledger's clock.
-	Since time.Duration
+	// PlacedAt is when it was placed, on the ledger's clock.
+	PlacedAt time.Duration
 }
 
 // New returns an empty ledger.
 func New() *Ledger {
 	return &Ledger{
 		config: flow.NewConfig(nil), flows: map[string]*Flow{}, servers: map[string]*Server{}, waves: map[uint64]*Wave{}, drained: map[string]time.Duration{},
-		ready: map[flow.StepID]*Step{}, unwanted: map[flow.TaskID]*Held{}, used: map[string]capacity.Size{}, pending: map[string]int{},
+		ready: map[flow.StepID]*Step{}, unwanted: map[flow.TaskID]*HeldRun{}, used: map[string]capacity.Size{}, pending: map[string]int{},
 	}
 }
 
@@ -155,8 +155,8 @@
 // Digest returns a hash over all commands applied.
 func (l *Ledger) Digest() uint64 { return l.digest }
 
-// Faults returns how often an event came that the charts do not allow.
-func (l *Ledger) Faults() int { return l.faults }
+// InvalidTransitions returns how often an event came that the charts do not allow.
+func (l *Ledger) InvalidTransitions() int { return l.faults }
 
 // Flow returns a flow by its id.
 func (l *Ledger) Flow(id string) (*Flow, bool) {
@@ -189,33 +189,33 @@
 	return steps[id.Step], true
 }
 
-// Ready returns the steps with a task that may be placed now, to be read only.
-func (l *Ledger) Ready() map[flow.StepID]*Step { return l.ready }
+// ReadySteps returns the steps with a task that may be placed now, to be read only.
+func (l *Ledger) ReadySteps() map[flow.StepID]*Step { return l.ready }
 
-// Unwanted returns the runs that are to be stopped, to be read only.
-func (l *Ledger) Unwanted() map[flow.TaskID]*Held { return l.unwanted }
+// RunsToStop returns the runs that are to be stopped, to be read only.
+func (l *Ledger) RunsToStop() map[flow.TaskID]*HeldRun { return l.unwanted }
 
-// Used returns what a customer has that is not proved to have ended.
-func (l *Ledger) Used(customer string) capacity.Size { return l.used[customer] }
+// CustomerUsage returns what a customer has that is not proved to have ended.
+func (l *Ledger) CustomerUsage(customer string) capacity.Size { return l.used[customer] }
 
-// Pending returns the number of a queue's flows of which no task has started.
-func (l *Ledger) Pending(queue string) int { return l.pending[queue] }
+// PendingFlows returns the number of a queue's flows of which no task has started.
+func (l *Ledger) PendingFlows(queue string) int { return l.pending[queue] }
 
-// Open returns the number of flows that have not ended.
-func (l *Ledger) Open() int { return l.open }
+// OpenFlows returns the number of flows that have not ended.
+func (l *Ledger) OpenFlows() int { return l.open }
 
 // QueueOf returns the queue of a flow as the document in force has it. A queue
 // that was taken away still has its flows: they were accepted.
 func (l *Ledger) QueueOf(f *Flow) (*v1.Queue, bool) {
-	if q, ok := l.config.Queue(f.Queue); ok {
+	if q, ok := l.config.Queue(f.QueueName); ok {
 		return q, true
 	}
-	return f.Was, f.Was != nil
+	return f.QueueAtAcceptance, f.QueueAtAcceptance != nil
 }
 
-// Limit returns the most that a customer may have running; the fields of a
+// CustomerLimit returns the most that a customer may have running; the fields of a
 // customer without one are capacity.Unlimited.
-func (l *Ledger) Limit(customer string) capacity.Size {
+func (l *Ledger) CustomerLimit(customer string) capacity.Size {
 	none := func(n int64) int64 {
 		if n == 0 {
 			return capacity.Unlimited
@@ -295,7 +295,7 @@
 
 // index puts a step among those that may be placed, or takes it out.
 func (l *Ledger) index(s *Step) {
-	if s.Missing == 0 && s.Queued > 0 && !s.Flow.Final() && !(s.Spec.GetGang() && s.Queued < len(s.Tasks)) {
+	if s.UnfinishedDependencies == 0 && s.QueuedTasks > 0 && !s.Flow.Final() && !(s.Spec.GetGang() && s.QueuedTasks < len(s.Tasks)) {
 		l.ready[s.StepID] = s
 		return
 	}
--- a/internal/ledger/flows/flows_test.go
+++ b/internal/ledger/flows/flows_test.go
@@ -92,12 +92,12 @@
 // Crash ends a life of a server under all that it held, some of which may be at fault.
 func (m unsteady) Crash(t *rapid.T) {
 	b, _ := m.l.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
-	c := &record.FlowClear{Id: b.ID, Born: b.Born, Over: true}
-	for _, h := range b.Held {
+	c := &record.FlowClear{Id: b.ID, Born: b.StartedAtMs, Over: true}
+	for _, h := range b.HeldRuns {
 		c.Blamed = append(c.Blamed, h.Message())
 	}
 	m.apply(t, &record.Flow{What: &record.Flow_Clear{Clear: c}})
-	m.born(t, b.ID, b.Born+1)
+	m.born(t, b.ID, b.StartedAtMs+1)
 }
 
 // Resize lets a server hold more or less from now on.
@@ -105,7 +105,7 @@
 	b, _ := m.l.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
 	m.resized[b.ID] = true
 	cpu := rapid.Int64Range(0, 5).Draw(t, "cpu")
-	m.apply(t, &record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{Id: b.ID, Born: b.Born, Zone: b.Zone, Pool: b.Pool, Capacity: &v1.Size{Cpu: cpu, Memory: 100}}}})
+	m.apply(t, &record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{Id: b.ID, Born: b.StartedAtMs, Zone: b.Zone, Pool: b.Pool, Capacity: &v1.Size{Cpu: cpu, Memory: 100}}}})
 }
 
 // Accept takes in a flow of one or two steps.
@@ -121,13 +121,13 @@
 
 // Start places the waiting tasks of a ready step, wherever chance says.
 func (m *machine) Start(t *rapid.T) {
-	ready := slices.SortedFunc(maps.Keys(m.l.Ready()), func(a, b flow.StepID) int { return strings.Compare(a.String(), b.String()) })
+	ready := slices.SortedFunc(maps.Keys(m.l.ReadySteps()), func(a, b flow.StepID) int { return strings.Compare(a.String(), b.String()) })
 	for _, id := range ready {
 		s, _ := m.l.Step(id)
 		start := &record.FlowStart{}
 		var top uint32
 		for _, task := range s.Tasks {
-			top = max(top, task.Number)
+			top = max(top, task.LatestRun)
 		}
 		for i, task := range s.Tasks {
 			if task.Phase == flows.Queued {
@@ -152,12 +152,12 @@
 // End ends something that a server holds, or something that it does not.
 func (m *machine) End(t *rapid.T) {
 	b, _ := m.l.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
-	held := slices.SortedFunc(maps.Keys(b.Held), func(a, b flow.TaskID) int { return strings.Compare(a.String(), b.String()) })
+	held := slices.SortedFunc(maps.Keys(b.HeldRuns), func(a, b flow.TaskID) int { return strings.Compare(a.String(), b.String()) })
 	for _, id := range held {
-		h := b.Held[id]
+		h := b.HeldRuns[id]
 		how := inner.RunEnd(rapid.IntRange(1, 7).Draw(t, "how"))
 		e := &record.FlowEnd{Run: h.Message(), How: how, Checkpoint: "c"}
-		m.apply(t, &record.Flow{What: &record.Flow_Ends{Ends: &record.FlowEnds{Server: b.ID, Born: b.Born, Ends: []*record.FlowEnd{e, e}}}})
+		m.apply(t, &record.Flow{What: &record.Flow_Ends{Ends: &record.FlowEnds{Server: b.ID, Born: b.StartedAtMs, Ends: []*record.FlowEnd{e, e}}}})
 		m.done[id] = m.done[id] || how == inner.RunEnd_RUN_END_DONE
 		return
 	}
@@ -172,13 +172,13 @@
 // Reborn ends a life of a server and begins the next.
 func (m *machine) Reborn(t *rapid.T) {
 	b, _ := m.l.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
-	m.born(t, b.ID, b.Born+1)
+	m.born(t, b.ID, b.StartedAtMs+1)
 }
 
 // Clear loses all that a server held.
 func (m *machine) Clear(t *rapid.T) {
 	b, _ := m.l.Server(rapid.SampledFrom(m.servers).Draw(t, "server"))
-	m.apply(t, &record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: b.ID, Born: b.Born}}})
+	m.apply(t, &record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: b.ID, Born: b.StartedAtMs}}})
 }
 
 // Restore goes on from a snapshot.
@@ -190,9 +190,9 @@
 	if diff := cmp.Diff(m.l.Record(), l.Record(), protocmp.Transform()); diff != "" {
 		t.Fatal(diff)
 	}
-	if len(l.Ready()) != len(m.l.Ready()) || len(l.Unwanted()) != len(m.l.Unwanted()) || l.Open() != m.l.Open() || l.Pending("q") != m.l.Pending("q") {
-		t.Fatalf("what is derived differs: ready %d %d, unwanted %d %d, open %d %d, pending %d %d", len(l.Ready()), len(m.l.Ready()),
-			len(l.Unwanted()), len(m.l.Unwanted()), l.Open(), m.l.Open(), l.Pending("q"), m.l.Pending("q"))
+	if len(l.ReadySteps()) != len(m.l.ReadySteps()) || len(l.RunsToStop()) != len(m.l.RunsToStop()) || l.OpenFlows() != m.l.OpenFlows() || l.PendingFlows("q") != m.l.PendingFlows("q") {
+		t.Fatalf("what is derived differs: ready %d %d, unwanted %d %d, open %d %d, pending %d %d", len(l.ReadySteps()), len(m.l.ReadySteps()),
+			len(l.RunsToStop()), len(m.l.RunsToStop()), l.OpenFlows(), m.l.OpenFlows(), l.PendingFlows("q"), m.l.PendingFlows("q"))
 	}
 	m.l = l
 }
@@ -203,7 +203,7 @@
 	where := map[flow.TaskID]string{}
 	for _, b := range m.l.Servers() {
 		var held capacity.Size
-		for id, h := range b.Held {
+		for id, h := range b.HeldRuns {
 			held = held.Add(h.Size)
 			if other, ok := where[id]; ok {
 				t.Fatalf("%v is held by %s and %s", id, other, b.ID)
@@ -215,10 +215,10 @@
 		}
 		used = used.Add(held)
 	}
-	if used != m.l.Used("c") || used.CPU > 9 {
-		t.Fatalf("the customer has %v, counted are %v", used, m.l.Used("c"))
+	if used != m.l.CustomerUsage("c") || used.CPU > 9 {
+		t.Fatalf("the customer has %v, counted are %v", used, m.l.CustomerUsage("c"))
 	}
-	if m.l.Faults() > 0 {
+	if m.l.InvalidTransitions() > 0 {
 		t.Fatal("an event came that the charts do not allow")
 	}
 	for _, f := range m.l.Flows() {
@@ -235,13 +235,13 @@
 	for _, task := range s.Tasks {
 		counts[task.Phase]++
 	}
-	if counts[flows.Queued] != s.Queued || counts[flows.Placed] != s.Placed || counts[flows.Done] != s.Done {
-		t.Fatalf("%v counts %d %d %d, it has %v", s.StepID, s.Queued, s.Placed, s.Done, counts)
+	if counts[flows.Queued] != s.QueuedTasks || counts[flows.Placed] != s.PlacedTasks || counts[flows.Done] != s.DoneTasks {
+		t.Fatalf("%v counts %d %d %d, it has %v", s.StepID, s.QueuedTasks, s.PlacedTasks, s.DoneTasks, counts)
 	}
-	if s.Spec.GetGang() && s.Placed > 0 && s.Queued > 0 {
+	if s.Spec.GetGang() && s.PlacedTasks > 0 && s.QueuedTasks > 0 {
 		t.Fatalf("gang %v waits and runs", s.StepID)
 	}
-	if s.Missing > 0 && s.Queued != len(s.Tasks) {
+	if s.UnfinishedDependencies > 0 && s.QueuedTasks != len(s.Tasks) {
 		t.Fatalf("%v began before the steps before it ended", s.StepID)
 	}
 }
--- a/internal/ledger/flows/life.go
+++ b/internal/ledger/flows/life.go
@@ -18,12 +18,12 @@
 		return err
 	}
 	f := &Flow{
-		ID: id, Customer: a.GetCustomer(), Queue: a.GetQueue(), Spec: a.GetSpec(), Accepted: at,
+		ID: id, Customer: a.GetCustomer(), QueueName: a.GetQueue(), Spec: a.GetSpec(), AcceptedAt: at,
 		State: v1.FlowState_FLOW_STATE_QUEUED, Turns: map[uint32]*Turn{},
 	}
-	f.Was, _ = l.config.Queue(f.Queue)
+	f.QueueAtAcceptance, _ = l.config.Queue(f.QueueName)
 	l.flows[id] = f
-	l.pending[f.Queue]++
+	l.pending[f.QueueName]++
 	l.open++
 	l.mixText(id)
 	if a.GetSpec().GetTimes() == 0 {
@@ -34,11 +34,11 @@
 
 // turn begins the next turn of a flow.
 func (l *Ledger) turn(at time.Duration, f *Flow) {
-	t := newTurn(f, f.Next)
-	f.Turns[f.Next] = t
-	f.Next++
+	t := newTurn(f, f.NextTurn)
+	f.Turns[f.NextTurn] = t
+	f.NextTurn++
 	for _, s := range t.Steps {
-		s.Since = at
+		s.ReadyAt = at
 		l.index(s)
 	}
 }
@@ -48,7 +48,7 @@
 	for i, spec := range f.Spec.GetSteps() {
 		s := &Step{
 			StepID: flow.StepID{Flow: f.ID, Turn: number, Step: uint32(i)}, Flow: f, Spec: spec,
-			Tasks: make([]Task, spec.GetCount()), Missing: len(spec.GetAfter()), Queued: int(spec.GetCount()),
+			Tasks: make([]Task, spec.GetCount()), UnfinishedDependencies: len(spec.GetAfter()), QueuedTasks: int(spec.GetCount()),
 		}
 		for j := range s.Tasks {
 			s.Tasks[j].Phase = Queued
@@ -61,7 +61,7 @@
 // due begins a turn whose time has come.
 func (l *Ledger) due(at time.Duration, d *record.FlowDue) *code.Error {
 	f, ok := l.flows[d.GetId()]
-	if !ok || f.Final() || f.Next >= f.Spec.GetTimes() {
+	if !ok || f.Final() || f.NextTurn >= f.Spec.GetTimes() {
 		return code.New(code.NotFound, "no turn of %s is due", d.GetId())
 	}
 	l.mixText(d.GetId())
@@ -86,10 +86,10 @@
 // still hold is to be stopped.
 func (l *Ledger) conclude(at time.Duration, f *Flow, end v1.FlowState) {
 	if f.State == v1.FlowState_FLOW_STATE_QUEUED {
-		l.pending[f.Queue]--
+		l.pending[f.QueueName]--
 	}
 	l.state(f, end)
-	f.Ended = at
+	f.EndedAt = at
 	l.open--
 	for _, t := range f.Turns {
 		for _, s := range t.Steps {
@@ -99,15 +99,15 @@
 	}
 	// The spec and the turns are not needed any more, and a flow is remembered
 	// for minutes after its end.
-	f.Turns, f.Spec, f.Was = nil, nil, nil
+	f.Turns, f.Spec, f.QueueAtAcceptance = nil, nil, nil
 }
 
 // stopStep marks everything that a step holds as unwanted.
 func (l *Ledger) stopStep(s *Step) {
 	for i, t := range s.Tasks {
 		id := flow.TaskID{StepID: s.StepID, Index: uint32(i)}
-		if b, ok := l.servers[t.Server]; ok && b.Held[id] != nil {
-			l.unwanted[id] = b.Held[id]
+		if b, ok := l.servers[t.Server]; ok && b.HeldRuns[id] != nil {
+			l.unwanted[id] = b.HeldRuns[id]
 		}
 	}
 }
@@ -115,13 +115,13 @@
 // forget drops flows that ended long ago and servers that are over and empty.
 func (l *Ledger) forget(c *record.FlowForget) *code.Error {
 	for _, id := range c.GetFlows() {
-		if f, ok := l.flows[id]; ok && f.Final() && f.Held == 0 {
+		if f, ok := l.flows[id]; ok && f.Final() && f.HeldRuns == 0 {
 			delete(l.flows, id)
 			l.mixText(id)
 		}
 	}
 	for _, id := range c.GetServers() {
-		if b, ok := l.servers[id]; ok && b.Over && len(b.Held) == 0 {
+		if b, ok := l.servers[id]; ok && b.Ended && len(b.HeldRuns) == 0 {
 			delete(l.servers, id)
 			l.mixText(id)
 		}
--- a/internal/ledger/flows/phase.go
+++ b/internal/ledger/flows/phase.go
@@ -15,15 +15,15 @@
 	Queued Phase = iota + 1
 	// Placed tasks have a run that may be running.
 	Placed
-	// Resting tasks of a gang wait until the others run no more.
-	Resting
+	// WaitingForGang tasks of a gang wait until the others run no more.
+	WaitingForGang
 	// Done tasks ended well.
 	Done
 )
 
 // pieces is the chart of a task, with phases in place of names.
-var pieces = table(chart.Piece, map[chart.State]Phase{
-	chart.Queued: Queued, chart.Placed: Placed, chart.Resting: Resting, chart.Done: Done,
+var pieces = table(chart.FlowTask, map[chart.State]Phase{
+	chart.Queued: Queued, chart.Placed: Placed, chart.WaitingForGang: WaitingForGang, chart.Done: Done,
 })
 
 // states is the chart of a flow, with the states of messages in place of names.
@@ -36,12 +36,12 @@
 // table reads a chart into a table of the caller's own states.
 func table[S comparable](name chart.Name, number map[chart.State]S) map[S]map[chart.Event]S {
 	out := map[S]map[chart.Event]S{}
-	for _, m := range chart.MustLoad(name).Moves() {
+	for _, m := range chart.MustLoad(name).Transitions() {
 		from := number[m.From]
 		if out[from] == nil {
 			out[from] = map[chart.Event]S{}
 		}
-		out[from][m.On] = number[m.To]
+		out[from][m.Event] = number[m.To]
 	}
 	return out
 }
@@ -81,10 +81,10 @@
 func (s *Step) count(p Phase, n int) {
 	switch p {
 	case Queued:
-		s.Queued += n
+		s.QueuedTasks += n
 	case Placed:
-		s.Placed += n
+		s.PlacedTasks += n
 	case Done:
-		s.Done += n
+		s.DoneTasks += n
 	}
 }
--- a/internal/ledger/flows/run.go
+++ b/internal/ledger/flows/run.go
@@ -16,29 +16,29 @@
 // a leaving server take work again within one life: a delayed report may say so.
 func (l *Ledger) server(at time.Duration, m *record.FlowServer) *code.Error {
 	old, known := l.servers[m.GetId()]
-	if known && m.GetBorn() < old.Born {
+	if known && m.GetBorn() < old.StartedAtMs {
 		return code.New(code.SessionReplaced, "%s has begun another life", m.GetId())
 	}
 	b := &Server{
-		ID: m.GetId(), Born: m.GetBorn(), Address: m.GetAddress(), Zone: m.GetZone(), Pool: m.GetPool(), Machine: m.GetMachine(),
-		Capacity: sizeOf(m.GetCapacity()), Labels: m.GetLabels(), Leaving: m.GetLeaving(), Call: m.GetCall(), Warm: at + time.Duration(m.GetCold())*time.Millisecond, Held: map[flow.TaskID]*Held{},
+		ID: m.GetId(), StartedAtMs: m.GetBorn(), Address: m.GetAddress(), Zone: m.GetZone(), Pool: m.GetPool(), Machine: m.GetMachine(),
+		Capacity: sizeOf(m.GetCapacity()), Labels: m.GetLabels(), ShuttingDown: m.GetLeaving(), LastReport: m.GetCall(), WarmUpEndsAt: at + time.Duration(m.GetCold())*time.Millisecond, HeldRuns: map[flow.TaskID]*HeldRun{},
 	}
-	if known && m.GetBorn() == old.Born {
-		if old.Over {
+	if known && m.GetBorn() == old.StartedAtMs {
+		if old.Ended {
 			return code.New(code.SessionReplaced, "that life of %s is over", m.GetId())
 		}
-		if m.GetCall() < old.Call {
+		if m.GetCall() < old.LastReport {
 			return code.New(code.SessionReplaced, "%s has reported since", m.GetId())
 		}
-		b.Leaving = b.Leaving || old.Leaving
-		b.Cursor, b.Used, b.Held = old.Cursor, old.Used, old.Held
+		b.ShuttingDown = b.ShuttingDown || old.ShuttingDown
+		b.EndCursor, b.Used, b.HeldRuns = old.EndCursor, old.Used, old.HeldRuns
 	} else if known {
 		// The life before this one is over, and with it all that it held.
 		l.over(at, old, nil, nil)
 	}
 	l.servers[b.ID] = b
 	l.mixText(b.ID)
-	l.mix(uint64(b.Born))
+	l.mix(uint64(b.StartedAtMs))
 	return nil
 }
 
@@ -49,10 +49,10 @@
 // clear records that nothing runs any more of what one life held.
 func (l *Ledger) clear(at time.Duration, c *record.FlowClear) *code.Error {
 	b, ok := l.servers[c.GetId()]
-	if !ok || b.Born != c.GetBorn() {
+	if !ok || b.StartedAtMs != c.GetBorn() {
 		return code.New(code.SessionReplaced, "%s has begun another life", c.GetId())
 	}
-	b.Over = b.Over || c.GetOver()
+	b.Ended = b.Ended || c.GetOver()
 	l.mixText(b.ID)
 	if c.GetOver() {
 		l.over(at, b, c.GetSaved(), c.GetBlamed())
@@ -64,7 +64,7 @@
 
 // over ends a life of a server and everything that it held.
 func (l *Ledger) over(at time.Duration, b *Server, saved []*record.FlowSaved, blamed []*inner.Run) {
-	if l.Planned(b) {
+	if l.ShutdownPlanned(b) {
 		l.lose(at, b, inner.RunEnd_RUN_END_LOST, saved)
 		return
 	}
@@ -79,8 +79,8 @@
 	for _, s := range saved {
 		kept[flow.RunOf(s.GetRun())] = s.GetCheckpoint()
 	}
-	for _, id := range sortedTasks(b.Held) {
-		h := b.Held[id]
+	for _, id := range sortedTasks(b.HeldRuns) {
+		h := b.HeldRuns[id]
 		l.end(at, b, h.RunID, how, kept[h.RunID])
 	}
 }
@@ -97,11 +97,11 @@
 		s, _ := l.Step(id.StepID)
 		b := l.servers[p.GetServer()]
 		t := &s.Tasks[id.Index]
-		t.Number, t.Server, t.Born = id.Number, b.ID, b.Born
-		l.hold(b, &Held{RunID: id, Server: b.ID, Customer: s.Flow.Customer, Size: flow.SizeOf(s.Spec), Since: at})
+		t.LatestRun, t.Server, t.ServerStartedAtMs = id.Number, b.ID, b.StartedAtMs
+		l.hold(b, &HeldRun{RunID: id, Server: b.ID, Customer: s.Flow.Customer, Size: flow.SizeOf(s.Spec), PlacedAt: at})
 		l.move(s, id.Index, chart.Place)
 		if s.Flow.State == v1.FlowState_FLOW_STATE_QUEUED {
-			l.pending[s.Flow.Queue]--
+			l.pending[s.Flow.QueueName]--
 			l.state(s.Flow, v1.FlowState_FLOW_STATE_RUNNING)
 		}
 		l.index(s)
@@ -118,14 +118,14 @@
 		id := flow.RunOf(p.GetRun())
 		s, ok := l.Step(id.StepID)
 		switch {
-		case !ok || s.Missing > 0 || int(id.Index) >= len(s.Tasks) || s.Flow.Final():
+		case !ok || s.UnfinishedDependencies > 0 || int(id.Index) >= len(s.Tasks) || s.Flow.Final():
 			return code.New(code.NotFound, "%s", id)
-		case s.Tasks[id.Index].Phase != Queued || seen[id.TaskID] || id.Number <= s.Tasks[id.Index].Number:
+		case s.Tasks[id.Index].Phase != Queued || seen[id.TaskID] || id.Number <= s.Tasks[id.Index].LatestRun:
 			return code.New(code.Internal, "%s does not wait", id)
 		}
 		seen[id.TaskID] = true
 		b, ok := l.servers[p.GetServer()]
-		if !ok || !l.Takes(b) {
+		if !ok || !l.AcceptsWork(b) {
 			return code.New(code.SessionReplaced, "%s takes no work", p.GetServer())
 		}
 		size := flow.SizeOf(s.Spec)
@@ -135,7 +135,7 @@
 		}
 		owner := s.Flow.Customer
 		total[owner] = total[owner].Add(size)
-		if !l.used[owner].Add(total[owner]).Within(l.Limit(owner)) {
+		if !l.used[owner].Add(total[owner]).Within(l.CustomerLimit(owner)) {
 			return code.New(code.Unplaceable, "limit of %s", owner)
 		}
 		if s.Spec.GetGang() {
@@ -151,39 +151,39 @@
 }
 
 // hold and release are the only ones that change what is held.
-func (l *Ledger) hold(b *Server, h *Held) {
-	b.Held[h.TaskID] = h
+func (l *Ledger) hold(b *Server, h *HeldRun) {
+	b.HeldRuns[h.TaskID] = h
 	b.Used = b.Used.Add(h.Size)
 	l.used[h.Customer] = l.used[h.Customer].Add(h.Size)
 	if f, ok := l.flows[h.Flow]; ok {
-		f.Held++
+		f.HeldRuns++
 	}
 }
 
-func (l *Ledger) release(b *Server, h *Held) {
-	delete(b.Held, h.TaskID)
+func (l *Ledger) release(b *Server, h *HeldRun) {
+	delete(b.HeldRuns, h.TaskID)
 	if l.unwanted[h.TaskID] == h {
 		delete(l.unwanted, h.TaskID)
 	}
 	b.Used = b.Used.Sub(h.Size)
 	l.used[h.Customer] = l.used[h.Customer].Sub(h.Size)
 	if f, ok := l.flows[h.Flow]; ok {
-		f.Held--
+		f.HeldRuns--
 	}
 }
 
 // ends records ends that a server listed or that are proved otherwise.
 func (l *Ledger) ends(at time.Duration, c *record.FlowEnds) *code.Error {
 	b, ok := l.servers[c.GetServer()]
-	if !ok || b.Born != c.GetBorn() {
+	if !ok || b.StartedAtMs != c.GetBorn() {
 		return code.New(code.SessionReplaced, "%s has begun another life", c.GetServer())
 	}
 	for _, e := range c.GetEnds() {
 		l.end(at, b, flow.RunOf(e.GetRun()), e.GetHow(), e.GetCheckpoint())
 	}
-	b.Cursor = max(b.Cursor, c.GetCursor())
+	b.EndCursor = max(b.EndCursor, c.GetCursor())
 	l.mixText(b.ID)
-	l.mix(b.Cursor)
+	l.mix(b.EndCursor)
 	return nil
 }
 
@@ -191,7 +191,7 @@
 // it ended. An end of a run that is not the task's latest only frees room.
 func (l *Ledger) end(at time.Duration, b *Server, id flow.RunID, how inner.RunEnd, checkpoint string) {
 	held := false
-	if h := b.Held[id.TaskID]; h != nil && h.Number == id.Number {
+	if h := b.HeldRuns[id.TaskID]; h != nil && h.Number == id.Number {
 		held = true
 		l.release(b, h)
 	}
@@ -201,7 +201,7 @@
 		return
 	}
 	t := &s.Tasks[id.Index]
-	if t.Number != id.Number || t.Phase == Done || t.Server != b.ID || t.Born != b.Born {
+	if t.LatestRun != id.Number || t.Phase == Done || t.Server != b.ID || t.ServerStartedAtMs != b.StartedAtMs {
 		return
 	}
 	if checkpoint != "" {
@@ -239,7 +239,7 @@
 	} else {
 		l.move(s, id.Index, chart.Finish)
 	}
-	if s.Done < len(s.Tasks) {
+	if s.DoneTasks < len(s.Tasks) {
 		return
 	}
 	turn := s.Flow.Turns[s.Turn]
@@ -247,12 +247,12 @@
 	for _, next := range turn.Steps {
 		for _, before := range next.Spec.GetAfter() {
 			if before == s.Step {
-				next.Missing--
+				next.UnfinishedDependencies--
 			}
 		}
-		if next.Missing == 0 && next != s {
-			if next.Since < at && next.Queued == len(next.Tasks) {
-				next.Since = at
+		if next.UnfinishedDependencies == 0 && next != s {
+			if next.ReadyAt < at && next.QueuedTasks == len(next.Tasks) {
+				next.ReadyAt = at
 			}
 			l.index(next)
 		}
@@ -261,7 +261,7 @@
 		return
 	}
 	delete(s.Flow.Turns, s.Turn)
-	if len(s.Flow.Turns) == 0 && s.Flow.Next >= max(s.Flow.Spec.GetTimes(), 1) {
+	if len(s.Flow.Turns) == 0 && s.Flow.NextTurn >= max(s.Flow.Spec.GetTimes(), 1) {
 		l.conclude(at, s.Flow, v1.FlowState_FLOW_STATE_DONE)
 	}
 }
@@ -277,13 +277,13 @@
 		l.move(s, id.Index, chart.Requeue)
 		return
 	}
-	l.move(s, id.Index, chart.Rest)
+	l.move(s, id.Index, chart.WaitForGang)
 	l.stopStep(s)
-	if s.Placed > 0 {
+	if s.PlacedTasks > 0 {
 		return
 	}
 	for i := range s.Tasks {
-		if s.Tasks[i].Phase == Resting {
+		if s.Tasks[i].Phase == WaitingForGang {
 			l.move(s, uint32(i), chart.Retry)
 		}
 	}
@@ -304,16 +304,16 @@
 		most = DefaultAttempts
 	}
 	if s.Spec.GetGang() {
-		if s.Counted == id.Number {
+		if s.LastFailedRun == id.Number {
 			return false // once for a whole gang
 		}
-		s.Counted = id.Number
-		s.Fails++
-		return s.Fails >= most
+		s.LastFailedRun = id.Number
+		s.FailedRuns++
+		return s.FailedRuns >= most
 	}
 	t := &s.Tasks[id.Index]
-	t.Fails++
-	return t.Fails >= most
+	t.FailedRuns++
+	return t.FailedRuns >= most
 }
 
 // DefaultAttempts is how often a task may fail when its queue does not say:
--- a/internal/ledger/flows/snapshot.go
+++ b/internal/ledger/flows/snapshot.go
@@ -39,8 +39,8 @@
 
 func flowRecord(f *Flow) *record.FlowRecord {
 	r := &record.FlowRecord{
-		Accept: &record.FlowAccept{Queue: f.Queue, Customer: f.Customer, Spec: f.Spec},
-		Id:     f.ID, Accepted: int64(f.Accepted), State: f.State, Ended: int64(f.Ended), Next: f.Next, Queue: f.Was,
+		Accept: &record.FlowAccept{Queue: f.QueueName, Customer: f.Customer, Spec: f.Spec},
+		Id:     f.ID, Accepted: int64(f.AcceptedAt), State: f.State, Ended: int64(f.EndedAt), Next: f.NextTurn, Queue: f.QueueAtAcceptance,
 	}
 	for _, n := range slices.Sorted(maps.Keys(f.Turns)) {
 		t := &record.TurnRecord{Number: n}
@@ -53,11 +53,11 @@
 }
 
 func stepRecord(s *Step) *record.StepRecord {
-	r := &record.StepRecord{Fails: s.Fails, Counted: s.Counted, Since: int64(s.Since)}
+	r := &record.StepRecord{Fails: s.FailedRuns, Counted: s.LastFailedRun, Since: int64(s.ReadyAt)}
 	for _, t := range s.Tasks {
 		r.Tasks = append(r.Tasks, &record.TaskRecord{
-			Phase: uint32(t.Phase), Number: t.Number, Fails: t.Fails, Checkpoint: t.Checkpoint, Server: t.Server, Born: t.Born,
-			Crashes: t.Crashes, Blamed: t.Blamed,
+			Phase: uint32(t.Phase), Number: t.LatestRun, Fails: t.FailedRuns, Checkpoint: t.Checkpoint, Server: t.Server, Born: t.ServerStartedAtMs,
+			Crashes: t.ConsecutiveCrashes, Blamed: t.BlamedCrashes,
 		})
 	}
 	return r
@@ -65,14 +65,14 @@
 
 func serverRecord(b *Server) *record.ServerRecord {
 	r := &record.ServerRecord{Server: &record.FlowServer{
-		Id: b.ID, Born: b.Born, Address: b.Address, Zone: b.Zone, Pool: b.Pool, Machine: b.Machine,
+		Id: b.ID, Born: b.StartedAtMs, Address: b.Address, Zone: b.Zone, Pool: b.Pool, Machine: b.Machine,
 		Capacity: &v1.Size{Cpu: b.Capacity.CPU, Memory: b.Capacity.Memory, Accel: b.Capacity.Accel, Slots: b.Capacity.Slots},
-		Labels:   b.Labels, Leaving: b.Leaving, Cursor: b.Cursor, Call: b.Call,
-	}, Over: b.Over, Warm: int64(b.Warm)}
-	for _, id := range sortedTasks(b.Held) {
-		h := b.Held[id]
+		Labels:   b.Labels, Leaving: b.ShuttingDown, Cursor: b.EndCursor, Call: b.LastReport,
+	}, Over: b.Ended, Warm: int64(b.WarmUpEndsAt)}
+	for _, id := range sortedTasks(b.HeldRuns) {
+		h := b.HeldRuns[id]
 		r.Held = append(r.Held, &record.HeldRecord{
-			Run: h.Message(), Customer: h.Customer, Since: int64(h.Since),
+			Run: h.Message(), Customer: h.Customer, Since: int64(h.PlacedAt),
 			Size: &v1.Size{Cpu: h.Size.CPU, Memory: h.Size.Memory, Accel: h.Size.Accel},
 		})
 	}
@@ -108,8 +108,8 @@
 
 func restoreFlow(m *record.FlowRecord) (*Flow, *code.Error) {
 	f := &Flow{
-		ID: m.GetId(), Customer: m.GetAccept().GetCustomer(), Queue: m.GetAccept().GetQueue(), Spec: m.GetAccept().GetSpec(),
-		Accepted: time.Duration(m.GetAccepted()), Ended: time.Duration(m.GetEnded()), State: m.GetState(), Next: m.GetNext(), Was: m.GetQueue(),
+		ID: m.GetId(), Customer: m.GetAccept().GetCustomer(), QueueName: m.GetAccept().GetQueue(), Spec: m.GetAccept().GetSpec(),
+		AcceptedAt: time.Duration(m.GetAccepted()), EndedAt: time.Duration(m.GetEnded()), State: m.GetState(), NextTurn: m.GetNext(), QueueAtAcceptance: m.GetQueue(),
 	}
 	if f.Final() {
 		return f, nil
@@ -135,12 +135,12 @@
 	if len(m.GetTasks()) != len(s.Tasks) {
 		return code.New(code.Internal, "step %s has %d tasks, its record %d", s.StepID, len(s.Tasks), len(m.GetTasks()))
 	}
-	s.Fails, s.Counted, s.Since = m.GetFails(), m.GetCounted(), time.Duration(m.GetSince())
-	s.Queued = 0
+	s.FailedRuns, s.LastFailedRun, s.ReadyAt = m.GetFails(), m.GetCounted(), time.Duration(m.GetSince())
+	s.QueuedTasks = 0
 	for i, tm := range m.GetTasks() {
 		s.Tasks[i] = Task{
-			Phase: Phase(tm.GetPhase()), Number: tm.GetNumber(), Fails: tm.GetFails(), Checkpoint: tm.GetCheckpoint(),
-			Server: tm.GetServer(), Born: tm.GetBorn(), Crashes: tm.GetCrashes(), Blamed: tm.GetBlamed(),
+			Phase: Phase(tm.GetPhase()), LatestRun: tm.GetNumber(), FailedRuns: tm.GetFails(), Checkpoint: tm.GetCheckpoint(),
+			Server: tm.GetServer(), ServerStartedAtMs: tm.GetBorn(), ConsecutiveCrashes: tm.GetCrashes(), BlamedCrashes: tm.GetBlamed(),
 		}
 		s.count(s.Tasks[i].Phase, 1)
 	}
@@ -151,13 +151,13 @@
 func (t *Turn) settle() {
 	t.left = 0
 	for _, s := range t.Steps {
-		if s.Done < len(s.Tasks) {
+		if s.DoneTasks < len(s.Tasks) {
 			t.left++
 		}
-		s.Missing = 0
+		s.UnfinishedDependencies = 0
 		for _, before := range s.Spec.GetAfter() {
-			if b := t.Steps[before]; b.Done < len(b.Tasks) {
-				s.Missing++
+			if b := t.Steps[before]; b.DoneTasks < len(b.Tasks) {
+				s.UnfinishedDependencies++
 			}
 		}
 	}
@@ -166,14 +166,14 @@
 func (l *Ledger) restoreServer(m *record.ServerRecord) {
 	s := m.GetServer()
 	b := &Server{
-		ID: s.GetId(), Born: s.GetBorn(), Address: s.GetAddress(), Zone: s.GetZone(), Pool: s.GetPool(), Machine: s.GetMachine(),
-		Capacity: sizeOf(s.GetCapacity()), Labels: s.GetLabels(), Leaving: s.GetLeaving(), Cursor: s.GetCursor(),
-		Call: s.GetCall(), Over: m.GetOver(), Warm: time.Duration(m.GetWarm()), Held: map[flow.TaskID]*Held{},
+		ID: s.GetId(), StartedAtMs: s.GetBorn(), Address: s.GetAddress(), Zone: s.GetZone(), Pool: s.GetPool(), Machine: s.GetMachine(),
+		Capacity: sizeOf(s.GetCapacity()), Labels: s.GetLabels(), ShuttingDown: s.GetLeaving(), EndCursor: s.GetCursor(),
+		LastReport: s.GetCall(), Ended: m.GetOver(), WarmUpEndsAt: time.Duration(m.GetWarm()), HeldRuns: map[flow.TaskID]*HeldRun{},
 	}
 	l.servers[b.ID] = b
 	for _, h := range m.GetHeld() {
 		id := flow.RunOf(h.GetRun())
-		l.hold(b, &Held{RunID: id, Server: b.ID, Customer: h.GetCustomer(), Size: sizeOf(h.GetSize()), Since: time.Duration(h.GetSince())})
+		l.hold(b, &HeldRun{RunID: id, Server: b.ID, Customer: h.GetCustomer(), Size: sizeOf(h.GetSize()), PlacedAt: time.Duration(h.GetSince())})
 	}
 }
 
@@ -183,7 +183,7 @@
 		l.open++
 	}
 	if f.State == v1.FlowState_FLOW_STATE_QUEUED {
-		l.pending[f.Queue]++
+		l.pending[f.QueueName]++
 	}
 	for _, t := range f.Turns {
 		for _, s := range t.Steps {
@@ -195,7 +195,7 @@
 // haunt finds the runs that are to be stopped.
 func (l *Ledger) haunt() {
 	for _, b := range l.servers {
-		for id, h := range b.Held {
+		for id, h := range b.HeldRuns {
 			if f, ok := l.flows[id.Flow]; !ok || l.stray(f, h) {
 				l.unwanted[id] = h
 			}
@@ -205,7 +205,7 @@
 
 // stray tells whether a run is not wanted any more: its flow has ended, its
 // gang is being stopped, or another run of its task is the latest.
-func (l *Ledger) stray(f *Flow, h *Held) bool {
+func (l *Ledger) stray(f *Flow, h *HeldRun) bool {
 	if f.Final() {
 		// The members of a gang end together: those of a flow that is done are
 		// about to end by themselves.
@@ -216,19 +216,19 @@
 		return true
 	}
 	t := s.Tasks[h.Index]
-	if t.Number != h.Number {
+	if t.LatestRun != h.Number {
 		return true
 	}
 	if !s.Spec.GetGang() || t.Phase != Placed {
 		return false
 	}
 	for _, other := range s.Tasks {
-		if other.Phase == Resting {
+		if other.Phase == WaitingForGang {
 			return true
 		}
 	}
 	return false
 }
 
-// Free returns the room that a server has left.
-func (b *Server) Free() capacity.Size { return b.Capacity.Sub(b.Used) }
+// FreeCapacity returns the room that a server has left.
+func (b *Server) FreeCapacity() capacity.Size { return b.Capacity.Sub(b.Used) }
