--- a/internal/ledger/flows/wave.go
+++ b/internal/ledger/flows/wave.go
@@ -12,30 +12,30 @@
 // Wave is a set of machines that are to have their upkeep.
 type Wave struct {
 	Number uint64
-	// Cap is how many of them may be down for it at once.
-	Cap      int
+	// MaxDown is how many of them may be down for it at once.
+	MaxDown  int
 	Duration time.Duration
-	// Began is when the wave was asked for, on the ledger's clock.
-	Began    time.Duration
-	Machines []*Machine
+	// RequestedAt is when the wave was asked for, on the ledger's clock.
+	RequestedAt time.Duration
+	Machines    []*Machine
 }
 
 // Machine is one machine of a wave.
 type Machine struct {
 	Name string
-	// Begun tells that the order for its upkeep may have left, Done that the
+	// MaintenanceStarted tells that the order for its upkeep may have left, Done that the
 	// machine is back after it.
-	Begun bool
-	Done  bool
-	// Born is when the life began that ran on it as its upkeep began; 0 for none.
-	Born int64
+	MaintenanceStarted bool
+	MaintenanceDone    bool
+	// ServerStartedAtMs is when the life began that ran on it as its upkeep began; 0 for none.
+	ServerStartedAtMs int64
 }
 
-// Down counts the machines that may be down for their upkeep.
-func (w *Wave) Down() int {
+// DownMachines counts the machines that may be down for their upkeep.
+func (w *Wave) DownMachines() int {
 	n := 0
 	for _, m := range w.Machines {
-		if m.Begun && !m.Done {
+		if m.MaintenanceStarted && !m.MaintenanceDone {
 			n++
 		}
 	}
@@ -44,7 +44,7 @@
 
 // Complete tells whether all machines have had their upkeep.
 func (w *Wave) Complete() bool {
-	return !slices.ContainsFunc(w.Machines, func(m *Machine) bool { return !m.Done })
+	return !slices.ContainsFunc(w.Machines, func(m *Machine) bool { return !m.MaintenanceDone })
 }
 
 // Wave returns a wave by its number.
@@ -70,7 +70,7 @@
 	if m.GetCap() == 0 || len(m.GetMachines()) == 0 {
 		return code.New(code.Malformed, "wave %d has no machines or lets none be down", m.GetNumber())
 	}
-	w := &Wave{Number: m.GetNumber(), Cap: int(m.GetCap()), Duration: time.Duration(m.GetDuration()) * time.Millisecond, Began: at}
+	w := &Wave{Number: m.GetNumber(), MaxDown: int(m.GetCap()), Duration: time.Duration(m.GetDuration()) * time.Millisecond, RequestedAt: at}
 	for _, name := range m.GetMachines() {
 		w.Machines = append(w.Machines, &Machine{Name: name})
 	}
@@ -93,26 +93,26 @@
 	m := w.Machines[i]
 	switch {
 	case s.GetDone():
-		m.Begun, m.Done = true, true
-	case m.Begun:
+		m.MaintenanceStarted, m.MaintenanceDone = true, true
+	case m.MaintenanceStarted:
 		return nil
-	case w.Down() >= w.Cap:
-		return code.New(code.MembershipChangePending, "%d machines of wave %d are down", w.Down(), w.Number)
+	case w.DownMachines() >= w.MaxDown:
+		return code.New(code.MembershipChangePending, "%d machines of wave %d are down", w.DownMachines(), w.Number)
 	default:
-		m.Begun = true
-		if b, ok := l.On(m.Name); ok {
-			m.Born = b.Born
+		m.MaintenanceStarted = true
+		if b, ok := l.ServerOnMachine(m.Name); ok {
+			m.ServerStartedAtMs = b.StartedAtMs
 		}
 	}
 	l.mixText(m.Name)
 	return nil
 }
 
-// On returns the server that runs on a machine.
-func (l *Ledger) On(machine string) (*Server, bool) {
+// ServerOnMachine returns the server that runs on a machine.
+func (l *Ledger) ServerOnMachine(machine string) (*Server, bool) {
 	var found *Server
 	for _, b := range l.servers {
-		if b.Machine == machine && !b.Over && (found == nil || b.Born > found.Born) {
+		if b.Machine == machine && !b.Ended && (found == nil || b.StartedAtMs > found.StartedAtMs) {
 			found = b
 		}
 	}
@@ -120,21 +120,21 @@
 }
 
 func waveRecord(w *Wave) *record.WaveRecord {
-	r := &record.WaveRecord{Wave: &record.Wave{Number: w.Number, Duration: uint64(w.Duration / time.Millisecond), Cap: uint32(w.Cap)}, Began: int64(w.Began)}
+	r := &record.WaveRecord{Wave: &record.Wave{Number: w.Number, Duration: uint64(w.Duration / time.Millisecond), Cap: uint32(w.MaxDown)}, Began: int64(w.RequestedAt)}
 	for _, m := range w.Machines {
 		r.Wave.Machines = append(r.Wave.Machines, m.Name)
-		r.Machines = append(r.Machines, &record.MachineRecord{Machine: m.Name, Begun: m.Begun, Done: m.Done, Born: m.Born})
+		r.Machines = append(r.Machines, &record.MachineRecord{Machine: m.Name, Begun: m.MaintenanceStarted, Done: m.MaintenanceDone, Born: m.ServerStartedAtMs})
 	}
 	return r
 }
 
 func restoreWave(r *record.WaveRecord) *Wave {
 	w := &Wave{
-		Number: r.GetWave().GetNumber(), Cap: int(r.GetWave().GetCap()),
-		Duration: time.Duration(r.GetWave().GetDuration()) * time.Millisecond, Began: time.Duration(r.GetBegan()),
+		Number: r.GetWave().GetNumber(), MaxDown: int(r.GetWave().GetCap()),
+		Duration: time.Duration(r.GetWave().GetDuration()) * time.Millisecond, RequestedAt: time.Duration(r.GetBegan()),
 	}
 	for _, m := range r.GetMachines() {
-		w.Machines = append(w.Machines, &Machine{Name: m.GetMachine(), Begun: m.GetBegun(), Done: m.GetDone(), Born: m.GetBorn()})
+		w.Machines = append(w.Machines, &Machine{Name: m.GetMachine(), MaintenanceStarted: m.GetBegun(), MaintenanceDone: m.GetDone(), ServerStartedAtMs: m.GetBorn()})
 	}
 	return w
 }
--- a/internal/ledger/flows/zone.go
+++ b/internal/ledger/flows/zone.go
@@ -28,18 +28,20 @@
 	return nil
 }
 
-// Drained tells whether the servers of an availability zone get no new work.
-func (l *Ledger) Drained(zone string) bool {
+// ZoneDrained tells whether the servers of an availability zone get no new work.
+func (l *Ledger) ZoneDrained(zone string) bool {
 	_, ok := l.drained[zone]
 	return ok
 }
 
-// Zones returns when each drained zone was drained, on the ledger's clock, to be
+// DrainedZones returns when each drained zone was drained, on the ledger's clock, to be
 // read only.
-func (l *Ledger) Zones() map[string]time.Duration { return l.drained }
+func (l *Ledger) DrainedZones() map[string]time.Duration { return l.drained }
 
-// Takes tells whether a server may be given new work.
-func (l *Ledger) Takes(b *Server) bool { return !b.Over && !b.Leaving && !l.Drained(b.Zone) }
+// AcceptsWork tells whether a server may be given new work.
+func (l *Ledger) AcceptsWork(b *Server) bool {
+	return !b.Ended && !b.ShuttingDown && !l.ZoneDrained(b.Zone)
+}
 
 func (l *Ledger) zoneRecords() (out []*record.ZoneRecord) {
 	for _, name := range slices.Sorted(maps.Keys(l.drained)) {
--- a/internal/ledger/state/attempt.go
+++ b/internal/ledger/state/attempt.go
@@ -15,7 +15,7 @@
 // the server's state and session, and that gangs are whole.
 func (s *State) place(p *record.Place) Result {
 	j, ok := s.jobs[p.GetJob()]
-	if !ok || j.Final() || j.Cancelled || j.Given != code.OK {
+	if !ok || j.Final() || j.Cancelled || j.GiveUpCode != code.OK {
 		return refused(code.NotFound, "job")
 	}
 	if j.Spec.Whole() && uint32(len(p.GetSpots())) != j.Spec.Count {
@@ -30,7 +30,7 @@
 		t.Server = spot.GetServer()
 		t.Incarnation = spot.GetIncarnation()
 		s.move(&t, chart.Place)
-		s.watch().Hold(s.jobs[j.Number], &t)
+		s.watch().TaskPlaced(s.jobs[j.Number], &t)
 	}
 	s.conclude(j.Number)
 	return Result{}
@@ -47,26 +47,26 @@
 		}
 		seen[t.ID.Index] = true
 		b, ok := s.Server(spot.GetServer())
-		if !ok || b.Incarnation != spot.GetIncarnation() || !b.Takes() {
+		if !ok || b.Incarnation != spot.GetIncarnation() || !b.AcceptsWork() {
 			return refused(code.SessionReplaced, spot.GetServer())
 		}
 		more[b.ID] = more[b.ID].Add(j.Spec.Size)
-		if !b.Held.Add(more[b.ID]).Fits(b.Capacity) {
+		if !b.HeldCapacity.Add(more[b.ID]).Fits(b.Capacity) {
 			return refused(code.Unplaceable, b.ID)
 		}
 	}
 	row, ok := s.table.Row(j.Spec.Team)
-	total := s.Held(j.Spec.Team).Add(j.Spec.Size.Times(int64(len(spots))))
+	total := s.TeamHeldCapacity(j.Spec.Team).Add(j.Spec.Size.Times(int64(len(spots))))
 	if !ok || !total.Within(row.Limit) {
 		return refused(code.Unplaceable, "limit of the team")
 	}
 	return Result{}
 }
 
-// Takes tells whether the server may be given new work. Quarantined servers
+// AcceptsWork tells whether the server may be given new work. Quarantined servers
 // take the policy's probes.
-func (b Server) Takes() bool {
-	if b.Drains() {
+func (b Server) AcceptsWork() bool {
+	if b.IsDrained() {
 		return false
 	}
 	return b.Server.State == backend.Ready || b.Server.State == backend.Quarantined
@@ -75,7 +75,7 @@
 // end takes an attempt's end as its server reported it.
 func (s *State) end(e *record.End) Result {
 	t, ok := s.tasks[task.ID{Job: e.GetJob(), Index: e.GetIndex()}]
-	if !ok || t.Attempt != e.GetAttempt() || !t.Phase.Holds() {
+	if !ok || t.Attempt != e.GetAttempt() || !t.Phase.HoldsCapacity() {
 		return refused(code.NotFound, "attempt")
 	}
 	j := s.jobs[t.ID.Job]
@@ -84,9 +84,9 @@
 	if len(e.GetCheckpoint()) > 0 {
 		next.Checkpoint = e.GetCheckpoint()
 	}
-	how := End{Ran: e.GetStarted(), Failed: e.GetEnded() && e.GetExit() != 0}
+	how := AttemptEnd{Started: e.GetStarted(), Failed: e.GetEnded() && e.GetExit() != 0}
 	if e.GetEnded() {
-		next.Exit, next.Answer = e.GetExit(), e.GetAnswer()
+		next.ExitCode, next.Answer = e.GetExit(), e.GetAnswer()
 	}
 	s.release(j, &next, how, e.GetEnded() && s.endsFor(j, &next))
 	return Result{}
@@ -98,13 +98,13 @@
 	if j.Spec.Kind == job.Service {
 		return j.Spec.Once || j.Cancelled
 	}
-	return t.Exit == 0 || j.Spec.Once || j.Cancelled || j.Given != code.OK
+	return t.ExitCode == 0 || j.Spec.Once || j.Cancelled || j.GiveUpCode != code.OK
 }
 
-// End says how an attempt ended.
-type End struct {
-	// Ran is false when the program was never started.
-	Ran bool
+// AttemptEnd says how an attempt ended.
+type AttemptEnd struct {
+	// Started is false when the program was never started.
+	Started bool
 	// Failed tells that it ended by itself with an error.
 	Failed bool
 	// Lost tells that its server went away under it.
@@ -112,39 +112,39 @@
 }
 
 // release gives an attempt's capacity back and decides what becomes of its task.
-func (s *State) release(j *Job, t *Task, how End, done bool) {
+func (s *State) release(j *Job, t *Task, how AttemptEnd, done bool) {
 	id := t.ID
-	t.Save = false
+	t.SaveCheckpoint = false
 	s.move(t, s.after(j, t, how, done))
-	s.watch().Release(j, s.tasks[id], how)
+	s.watch().TaskReleased(j, s.tasks[id], how)
 	if t.Phase == Queued {
-		s.watch().Queue(s.jobs[id.Job], s.tasks[id])
+		s.watch().TaskQueued(s.jobs[id.Job], s.tasks[id])
 	}
-	if j.Spec.Whole() && (t.Phase == Resting || s.resting(j)) {
+	if j.Spec.Whole() && (t.Phase == WaitingForGang || s.resting(j)) {
 		s.unite(id.Job)
 	}
 	s.conclude(id.Job)
 }
 
 // after returns the event that an attempt's end is for its task.
-func (s *State) after(j *Job, t *Task, how End, done bool) chart.Event {
-	gaveUp := j.Cancelled || j.Given != code.OK
+func (s *State) after(j *Job, t *Task, how AttemptEnd, done bool) chart.Event {
+	gaveUp := j.Cancelled || j.GiveUpCode != code.OK
 	switch {
 	case done:
 		return chart.Finish
 	case how.Lost && j.Spec.Once:
 		// The order may have left and the program may have run: a second
 		// attempt could repeat it, and "not run" might be false.
-		return chart.Forfeit
+		return chart.EndUnknown
 	case j.Spec.Once && t.Started && !j.Cancelled:
 		// Stopped in the middle by its server: it must not start again, and
 		// what it did so far is not known here.
-		return chart.Forfeit
+		return chart.EndUnknown
 	case gaveUp:
 		t.Started = t.Started || how.Lost
 		return givenUp(t.Started)
 	case j.Spec.Whole():
-		return chart.Rest
+		return chart.WaitForGang
 	}
 	return chart.Requeue
 }
@@ -154,7 +154,7 @@
 // then rest for ever.
 func (s *State) resting(j *Job) bool {
 	for i := range j.Spec.Count {
-		if s.tasks[task.ID{Job: j.Number, Index: i}].Phase == Resting {
+		if s.tasks[task.ID{Job: j.Number, Index: i}].Phase == WaitingForGang {
 			return true
 		}
 	}
@@ -171,7 +171,7 @@
 		}
 	}
 	j = s.jobs[number]
-	if j.Held > 0 || j.Cancelled || j.Given != code.OK {
+	if j.HeldTasks > 0 || j.Cancelled || j.GiveUpCode != code.OK {
 		return
 	}
 	if j.Spec.Once {
@@ -183,11 +183,11 @@
 		if t.Phase.Final() && t.Phase != Done {
 			continue
 		}
-		t.Exit, t.Answer = 0, nil
+		t.ExitCode, t.Answer = 0, nil
 		s.move(&t, chart.Retry)
 	}
 	for i := range j.Spec.Count {
-		s.watch().Queue(s.jobs[number], s.tasks[task.ID{Job: number, Index: i}])
+		s.watch().TaskQueued(s.jobs[number], s.tasks[task.ID{Job: number, Index: i}])
 	}
 }
 
@@ -197,11 +197,11 @@
 	fresh := true
 	for i := range j.Spec.Count {
 		t := s.tasks[task.ID{Job: j.Number, Index: i}]
-		fresh = fresh && t.Phase == Resting && !t.Started
+		fresh = fresh && t.Phase == WaitingForGang && !t.Started
 	}
 	for i := range j.Spec.Count {
 		t := *s.tasks[task.ID{Job: j.Number, Index: i}]
-		if t.Phase != Resting {
+		if t.Phase != WaitingForGang {
 			continue
 		}
 		if !fresh {
@@ -209,7 +209,7 @@
 			continue
 		}
 		s.move(&t, chart.Retry)
-		s.watch().Queue(s.jobs[j.Number], s.tasks[t.ID])
+		s.watch().TaskQueued(s.jobs[j.Number], s.tasks[t.ID])
 	}
 }
 
@@ -239,7 +239,7 @@
 
 func (s *State) stopping(t *Task, save bool) {
 	next := *t
-	next.Save = save
+	next.SaveCheckpoint = save
 	s.move(&next, chart.Stop)
-	s.watch().Stopping(s.jobs[t.ID.Job], &next)
+	s.watch().TaskStopping(s.jobs[t.ID.Job], &next)
 }
--- a/internal/ledger/state/change.go
+++ b/internal/ledger/state/change.go
@@ -20,14 +20,14 @@
 	req := c.GetRequest()
 	sum := sumOf(req)
 	if a, ok := s.answers[req.GetId()]; ok {
-		if a.Sum != sum {
+		if a.RequestHash != sum {
 			return refused(code.IDReused, req.GetId())
 		}
 		return Result{Code: a.Code, Detail: a.Detail, Revision: a.Revision}
 	}
 	r := s.perform(req)
 	r.Revision = s.table.Revision()
-	s.putAnswer(req.GetId(), Answer{Sum: sum, Code: r.Code, Detail: r.Detail, Revision: r.Revision, At: s.at})
+	s.putAnswer(req.GetId(), ChangeResult{RequestHash: sum, Code: r.Code, Detail: r.Detail, Revision: r.Revision, AppliedAt: s.at})
 	return r
 }
 
@@ -65,7 +65,7 @@
 		}
 	}
 	s.putTable(next, set, removed)
-	s.watch().Table(next)
+	s.watch().TableChanged(next)
 	return Result{}
 }
 
@@ -117,7 +117,7 @@
 	if len(cells) == 0 {
 		cells = []string{"weight", "share", "cpu", "memory", "accel", "slots", "queue"}
 	}
-	limit, from := row.Limit, command.Size(m.GetLimit())
+	limit, from := row.Limit, command.SizeFromMessage(m.GetLimit())
 	for _, cell := range cells {
 		switch cell {
 		case "weight":
@@ -210,14 +210,14 @@
 	if !ok {
 		return refused(code.NotFound, "backend server "+m.GetServer())
 	}
-	b.Drain = m.GetDrain()
+	b.DrainRequested = m.GetDrain()
 	s.putServer(b)
-	s.watch().Server(s.zoned(b))
+	s.watch().ServerChanged(s.zoned(b))
 	return Result{}
 }
 
-// Told returns the answer that was given to an operator's change of that id.
-func (s *State) Told(id string) (Answer, bool) {
+// ChangeResult returns the answer that was given to an operator's change of that id.
+func (s *State) ChangeResult(id string) (ChangeResult, bool) {
 	a, ok := s.answers[id]
 	return a, ok
 }
--- a/internal/ledger/state/job.go
+++ b/internal/ledger/state/job.go
@@ -16,21 +16,21 @@
 type Job struct {
 	Number uint64
 	Spec   *job.Spec
-	// Sum is the hash of the request, to tell a resend from other content.
-	Sum      uint64
-	Accepted time.Duration
-	Outcome  v1.Outcome
-	Code     code.Code
-	// Given is the reason for which the job was given up; code.OK when it was not.
-	Given     code.Code
-	Cancelled bool
-	// Ended is when the outcome became final.
-	Ended time.Duration
+	// RequestHash is the hash of the request, to tell a resend from other content.
+	RequestHash uint64
+	AcceptedAt  time.Duration
+	Outcome     v1.Outcome
+	Code        code.Code
+	// GiveUpCode is the reason for which the job was given up; code.OK when it was not.
+	GiveUpCode code.Code
+	Cancelled  bool
+	// EndedAt is when the outcome became final.
+	EndedAt time.Duration
 
 	// Tasks by phase, derived from the tasks.
-	Waiting uint32
-	Held    uint32
-	Finals  uint32
+	WaitingTasks uint32
+	HeldTasks    uint32
+	FinalTasks   uint32
 
 	hash uint64
 }
@@ -38,8 +38,8 @@
 // Final tells whether the outcome never changes again.
 func (j *Job) Final() bool { return j.Outcome >= v1.Outcome_OUTCOME_DONE }
 
-// Request returns the job's name as its caller knows it.
-func (j *Job) Request() RequestID { return RequestID{Team: j.Spec.Team, ID: j.Spec.ID} }
+// RequestID returns the job's name as its caller knows it.
+func (j *Job) RequestID() RequestID { return RequestID{Team: j.Spec.Team, ID: j.Spec.ID} }
 
 // Task is one task of a job. It is immutable.
 type Task struct {
@@ -49,21 +49,21 @@
 	Attempt     uint32
 	Server      string
 	Incarnation uint64
-	// Since is when the phase was entered.
-	Since time.Duration
-	Exit  int32
+	// PhaseSince is when the phase was entered.
+	PhaseSince time.Duration
+	ExitCode   int32
 	// Started tells that the program ran in some attempt.
 	Started bool
-	// Save tells that a stopping task is to leave a checkpoint and run again.
-	Save       bool
-	Answer     []byte
-	Checkpoint []byte
+	// SaveCheckpoint tells that a stopping task is to leave a checkpoint and run again.
+	SaveCheckpoint bool
+	Answer         []byte
+	Checkpoint     []byte
 
 	hash uint64
 }
 
-// Current returns the name of the latest attempt.
-func (t *Task) Current() task.Attempt { return task.Attempt{ID: t.ID, Number: t.Attempt} }
+// CurrentAttempt returns the name of the latest attempt.
+func (t *Task) CurrentAttempt() task.Attempt { return task.Attempt{ID: t.ID, Number: t.Attempt} }
 
 func (s *State) accept(a *record.Accept) Result {
 	if j, ok := s.known(a.GetTeam(), a.GetSpec()); ok {
@@ -78,8 +78,8 @@
 	s.putJob(j)
 	for i := range j.Spec.Count {
 		id := task.ID{Job: j.Number, Index: i}
-		s.putTask(&Task{ID: id, Phase: Queued, Since: s.at})
-		s.watch().Queue(s.jobs[j.Number], s.tasks[id])
+		s.putTask(&Task{ID: id, Phase: Queued, PhaseSince: s.at})
+		s.watch().TaskQueued(s.jobs[j.Number], s.tasks[id])
 	}
 	return Result{Job: s.jobs[j.Number]}
 }
@@ -94,26 +94,26 @@
 	j := s.newJob(r.GetTeam(), r.GetSpec())
 	j.Outcome = v1.Outcome_OUTCOME_NOT_RUN
 	j.Code = code.Code(r.GetCode())
-	j.Ended = s.at
+	j.EndedAt = s.at
 	s.putJob(j)
 	return Result{Job: s.jobs[j.Number]}
 }
 
 func (s *State) known(team string, spec *v1.Spec) (*Job, bool) {
-	return s.Find(RequestID{Team: team, ID: spec.GetId()})
+	return s.FindJob(RequestID{Team: team, ID: spec.GetId()})
 }
 
 // again answers a resend with the first outcome. The same id with other content
 // is a caller's mistake that must not be answered with a stranger's outcome.
 func (s *State) again(j *Job, spec *v1.Spec) Result {
-	if j.Sum != sumSpec(j.Spec.Team, spec) {
+	if j.RequestHash != sumSpec(j.Spec.Team, spec) {
 		return refused(code.IDReused, j.Spec.ID)
 	}
 	return Result{Job: j}
 }
 
 func (s *State) newJob(team string, spec *v1.Spec) *Job {
-	j := &Job{Number: s.next, Spec: command.Spec(team, spec), Sum: sumSpec(team, spec), Accepted: s.at}
+	j := &Job{Number: s.next, Spec: command.SpecFromMessage(team, spec), RequestHash: sumSpec(team, spec), AcceptedAt: s.at}
 	s.next++
 	return j
 }
@@ -136,7 +136,7 @@
 // task of the job was placed: "not run" would not be true.
 func (s *State) drop(d *record.Drop) Result {
 	j, ok := s.jobs[d.GetJob()]
-	if !ok || j.Final() || j.Given != code.OK {
+	if !ok || j.Final() || j.GiveUpCode != code.OK {
 		return refused(code.NotFound, "")
 	}
 	given := code.Code(d.GetCode())
@@ -144,7 +144,7 @@
 		return refused(code.InUse, "a task was placed")
 	}
 	next := *j
-	next.Given = given
+	next.GiveUpCode = given
 	s.putJob(&next)
 	s.giveUp(d.GetJob())
 	return Result{}
@@ -166,9 +166,9 @@
 		t := s.tasks[task.ID{Job: number, Index: i}]
 		switch t.Phase {
 		case Queued:
-			s.watch().Unqueue(t.ID)
+			s.watch().TaskUnqueued(t.ID)
 			s.finish(t)
-		case Resting:
+		case WaitingForGang:
 			s.finish(t)
 		case Placed:
 			s.stopping(t, false)
@@ -186,9 +186,9 @@
 // givenUp returns the event for a task whose job was given up.
 func givenUp(started bool) chart.Event {
 	if started {
-		return chart.Quit
+		return chart.GiveUpStarted
 	}
-	return chart.Refuse
+	return chart.GiveUpUnstarted
 }
 
 // conclude gives a job its outcome once all of its tasks are final.
@@ -198,9 +198,9 @@
 		return
 	}
 	next := *j
-	if j.Finals < j.Spec.Count {
+	if j.FinalTasks < j.Spec.Count {
 		next.Outcome = v1.Outcome_OUTCOME_QUEUED
-		if j.Held > 0 {
+		if j.HeldTasks > 0 {
 			next.Outcome = v1.Outcome_OUTCOME_RUNNING
 		}
 		if next.Outcome != j.Outcome {
@@ -209,9 +209,9 @@
 		return
 	}
 	next.Outcome, next.Code = s.outcome(j)
-	next.Ended = s.at
+	next.EndedAt = s.at
 	s.putJob(&next)
-	s.watch().Ended(s.jobs[number])
+	s.watch().JobEnded(s.jobs[number])
 }
 
 // outcome sums up the final phases of a job's tasks.
@@ -223,17 +223,17 @@
 			return v1.Outcome_OUTCOME_UNKNOWN, code.ServerLost
 		}
 		ran = ran || t.Phase == Done
-		failed = failed || t.Exit != 0
+		failed = failed || t.ExitCode != 0
 	}
 	switch {
 	case !ran && j.Cancelled:
 		return v1.Outcome_OUTCOME_NOT_RUN, code.Cancelled
 	case !ran:
-		return v1.Outcome_OUTCOME_NOT_RUN, j.Given
+		return v1.Outcome_OUTCOME_NOT_RUN, j.GiveUpCode
 	case j.Cancelled:
 		return v1.Outcome_OUTCOME_DONE, code.Stopped
-	case j.Given != code.OK:
-		return v1.Outcome_OUTCOME_DONE, j.Given
+	case j.GiveUpCode != code.OK:
+		return v1.Outcome_OUTCOME_DONE, j.GiveUpCode
 	case failed:
 		return v1.Outcome_OUTCOME_DONE, code.TaskFailed
 	}
--- a/internal/ledger/state/phase.go
+++ b/internal/ledger/state/phase.go
@@ -14,8 +14,8 @@
 	Placed
 	// Stopping tasks have an attempt that is ordered to stop.
 	Stopping
-	// Resting tasks of a gang wait for its other tasks to stop.
-	Resting
+	// WaitingForGang tasks of a gang wait for its other tasks to stop.
+	WaitingForGang
 	// Done tasks ended by themselves, or were stopped for good.
 	Done
 	// NotRun tasks never started and never will.
@@ -26,7 +26,7 @@
 
 // names are the chart's names of the phases.
 var names = [...]chart.State{
-	Queued: chart.Queued, Placed: chart.Placed, Stopping: chart.Stopping, Resting: chart.Resting,
+	Queued: chart.Queued, Placed: chart.Placed, Stopping: chart.Stopping, WaitingForGang: chart.WaitingForGang,
 	Done: chart.Done, NotRun: chart.NotRun, Unknown: chart.Unknown,
 }
 
@@ -39,12 +39,12 @@
 		number[name] = Phase(p)
 	}
 	out := map[Phase]map[chart.Event]Phase{}
-	for _, m := range c.Moves() {
+	for _, m := range c.Transitions() {
 		from := number[m.From]
 		if out[from] == nil {
 			out[from] = map[chart.Event]Phase{}
 		}
-		out[from][m.On] = number[m.To]
+		out[from][m.Event] = number[m.To]
 	}
 	return out
 }
@@ -58,12 +58,12 @@
 		s.faults++
 		return
 	}
-	t.Phase, t.Since = next, s.at
+	t.Phase, t.PhaseSince = next, s.at
 	s.putTask(t)
 }
 
-// Faults returns how often an event came that the charts do not allow.
-func (s *State) Faults() int { return s.faults }
+// InvalidTransitions returns how often an event came that the charts do not allow.
+func (s *State) InvalidTransitions() int { return s.faults }
 
 // String returns the phase's name.
 func (p Phase) String() string {
@@ -73,8 +73,8 @@
 	return string(names[p])
 }
 
-// Holds tells whether a task in this phase counts as running.
-func (p Phase) Holds() bool { return p == Placed || p == Stopping }
+// HoldsCapacity tells whether a task in this phase counts as running.
+func (p Phase) HoldsCapacity() bool { return p == Placed || p == Stopping }
 
 // Final tells whether a task in this phase has ended, as far as it goes alone.
 func (p Phase) Final() bool { return p >= Done }
--- a/internal/ledger/state/picture.go
+++ b/internal/ledger/state/picture.go
@@ -8,35 +8,35 @@
 	"gypsumreel/internal/domain/task"
 )
 
-// Picture is a copy of a state as it was at one moment, taken in steps between
+// SnapshotBuilder is a copy of a state as it was at one moment, taken in steps between
 // which commands go on. Values are shared, since they are immutable. What a
 // command is about to replace or remove is saved first; what it adds is left out.
-type Picture struct {
+type SnapshotBuilder struct {
 	of      *State
 	head    *State
 	keys    *pick[string, key.Key]
-	answers *pick[string, Answer]
+	answers *pick[string, ChangeResult]
 	servers *pick[string, Server]
 	jobs    *pick[uint64, *Job]
 	tasks   *pick[task.ID, *Task]
 }
 
-// Picture begins a picture of the state as it is now; one begun before is
+// BeginSnapshot begins a picture of the state as it is now; one begun before is
 // dropped. The caller has Step called until it is true.
-func (s *State) Picture() *Picture {
-	s.picture.Drop()
+func (s *State) BeginSnapshot() *SnapshotBuilder {
+	s.picture.Cancel()
 	head := New()
 	head.at, head.next, head.digest, head.table = s.at, s.next, s.digest, s.table
 	head.pictured = s.flows.Record()
-	s.picture = &Picture{
+	s.picture = &SnapshotBuilder{
 		of: s, head: head, keys: newPick(s.keys), answers: newPick(s.answers),
 		servers: newPick(s.servers), jobs: newPick(s.jobs), tasks: newPick(s.tasks),
 	}
 	return s.picture
 }
 
-// Step copies up to n records and a few more; true when all are copied.
-func (p *Picture) Step(n int) bool {
+// CopyRecords copies up to n records and a few more; true when all are copied.
+func (p *SnapshotBuilder) CopyRecords(n int) bool {
 	for _, one := range p.parts() {
 		if !one.step(n) {
 			return false
@@ -46,8 +46,8 @@
 	return true
 }
 
-// Drop ends a picture that is not wanted any more; nil has nothing to end.
-func (p *Picture) Drop() {
+// Cancel ends a picture that is not wanted any more; nil has nothing to end.
+func (p *SnapshotBuilder) Cancel() {
 	if p == nil {
 		return
 	}
@@ -58,7 +58,7 @@
 }
 
 // leave lets commands go on without saving for this picture.
-func (p *Picture) leave() {
+func (p *SnapshotBuilder) leave() {
 	if p.of != nil && p.of.picture == p {
 		p.of.picture = nil
 	}
@@ -67,31 +67,31 @@
 
 // The methods below are called before a record changes; nil has nothing to save.
 
-func (p *Picture) key(id string) {
+func (p *SnapshotBuilder) key(id string) {
 	if p != nil {
 		p.keys.touch(id)
 	}
 }
 
-func (p *Picture) answer(id string) {
+func (p *SnapshotBuilder) answer(id string) {
 	if p != nil {
 		p.answers.touch(id)
 	}
 }
 
-func (p *Picture) server(id string) {
+func (p *SnapshotBuilder) server(id string) {
 	if p != nil {
 		p.servers.touch(id)
 	}
 }
 
-func (p *Picture) job(number uint64) {
+func (p *SnapshotBuilder) job(number uint64) {
 	if p != nil {
 		p.jobs.touch(number)
 	}
 }
 
-func (p *Picture) task(id task.ID) {
+func (p *SnapshotBuilder) task(id task.ID) {
 	if p != nil {
 		p.tasks.touch(id)
 	}
@@ -103,11 +103,13 @@
 	stop()
 }
 
-func (p *Picture) parts() [5]part { return [5]part{p.keys, p.answers, p.servers, p.jobs, p.tasks} }
+func (p *SnapshotBuilder) parts() [5]part {
+	return [5]part{p.keys, p.answers, p.servers, p.jobs, p.tasks}
+}
 
 // State returns the state of the picture once Step was true. It takes long and
 // may be called on any goroutine, once.
-func (p *Picture) State() *State {
+func (p *SnapshotBuilder) State() *State {
 	p.keys.fill(p.head.keys)
 	p.answers.fill(p.head.answers)
 	p.servers.fill(p.head.servers)
@@ -192,8 +194,8 @@
 // Copy returns a picture of the state that later commands do not change, taken
 // at once.
 func (s *State) Copy() *State {
-	p := s.Picture()
-	for !p.Step(math.MaxInt) {
+	p := s.BeginSnapshot()
+	for !p.CopyRecords(math.MaxInt) {
 		continue
 	}
 	return p.State()
--- a/internal/ledger/state/retain.go
+++ b/internal/ledger/state/retain.go
@@ -58,10 +58,10 @@
 	s.left.trim(func(id string) bool { _, ok := s.servers[id]; return ok })
 }
 
-// Expired returns what retention lets go: final jobs, answers to changes and
+// ExpiredRecords returns what retention lets go: final jobs, answers to changes and
 // gone servers older than the time given. It takes them from its queues, so the
 // caller commits the result.
-func (s *State) Expired(at time.Duration, most int) *record.Forget {
+func (s *State) ExpiredRecords(at time.Duration, most int) *record.Forget {
 	return &record.Forget{
 		Jobs: s.ended.before(at, most, func(a aged[uint64]) bool {
 			j, ok := s.jobs[a.key]
@@ -78,9 +78,9 @@
 	}
 }
 
-// Kinds returns the capacities that servers which are not gone have, in no
+// ServerCapacities returns the capacities that servers which are not gone have, in no
 // fixed order.
-func (s *State) Kinds() []capacity.Size {
+func (s *State) ServerCapacities() []capacity.Size {
 	out := make([]capacity.Size, 0, len(s.classes))
 	for c := range s.classes {
 		out = append(out, c)
@@ -88,8 +88,8 @@
 	return out
 }
 
-// Total returns the capacity of all servers that are not gone.
-func (s *State) Total() capacity.Size { return s.total }
+// TotalCapacity returns the capacity of all servers that are not gone.
+func (s *State) TotalCapacity() capacity.Size { return s.total }
 
 // Backlog returns what waits in the cell.
 func (s *State) Backlog() Backlog { return s.backlog }
--- a/internal/ledger/state/server.go
+++ b/internal/ledger/state/server.go
@@ -29,7 +29,7 @@
 		ID:          a.GetServer(),
 		Incarnation: b.Incarnation + 1,
 		Nonce:       a.GetNonce(),
-		Capacity:    command.Size(a.GetCapacity()),
+		Capacity:    command.SizeFromMessage(a.GetCapacity()),
 		Rack:        a.GetRack(),
 		Zone:        a.GetZone(),
 		Labels:      a.GetLabels(),
@@ -39,7 +39,7 @@
 	// A drain by an operator outlives the server's restart; one that the
 	// server asked for when leaving ends with its return.
 	s.putServer(b)
-	s.watch().Server(s.zoned(s.servers[b.ID]))
+	s.watch().ServerChanged(s.zoned(s.servers[b.ID]))
 	return Result{Incarnation: b.Incarnation}
 }
 
@@ -53,8 +53,8 @@
 	if !ok {
 		return refused(code.Malformed, "no such mark")
 	}
-	if b.Server.State == backend.Suspect && on == chart.Acquit {
-		on = chart.Hear
+	if b.Server.State == backend.Suspect && on == chart.EndQuarantine {
+		on = chart.ResumeHeartbeat
 	}
 	next, err := sessions.Next(chart.State(b.Server.State.String()), on)
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 	b.Server = b.WithState(stateNamed(next), s.at)
 	s.putServer(b)
-	s.watch().Server(s.zoned(b))
+	s.watch().ServerChanged(s.zoned(b))
 	return Result{}
 }
 
@@ -71,9 +71,9 @@
 
 // markEvents are the events that lead to what a Mark asks for.
 var markEvents = map[backend.State]chart.Event{
-	backend.Ready:       chart.Acquit,
+	backend.Ready:       chart.EndQuarantine,
 	backend.Draining:    chart.Drain,
-	backend.Suspect:     chart.Miss,
+	backend.Suspect:     chart.MissHeartbeat,
 	backend.Quarantined: chart.Quarantine,
 }
 
@@ -94,14 +94,14 @@
 	}
 	b.Server = b.WithState(gone, s.at)
 	s.putServer(b)
-	s.watch().Server(s.zoned(b))
+	s.watch().ServerChanged(s.zoned(b))
 	for _, id := range s.placedOn(b.ID) {
 		t := s.tasks[id]
-		if !t.Phase.Holds() || t.Server != b.ID {
+		if !t.Phase.HoldsCapacity() || t.Server != b.ID {
 			continue // a gang's release may have moved it on already
 		}
 		next := *t
-		s.release(s.jobs[id.Job], &next, End{Ran: true, Lost: true}, false)
+		s.release(s.jobs[id.Job], &next, AttemptEnd{Started: true, Lost: true}, false)
 	}
 	return Result{}
 }
--- a/internal/ledger/state/snapshot.go
+++ b/internal/ledger/state/snapshot.go
@@ -142,7 +142,7 @@
 		s.putKey(k)
 	case *record.Record_Answer:
 		a := w.Answer
-		s.putAnswer(a.GetId(), Answer{Sum: a.GetSum(), Code: code.Code(a.GetCode()), Detail: a.GetDetail(), Revision: a.GetRevision(), At: time.Duration(a.GetAt())})
+		s.putAnswer(a.GetId(), ChangeResult{RequestHash: a.GetSum(), Code: code.Code(a.GetCode()), Detail: a.GetDetail(), Revision: a.GetRevision(), AppliedAt: time.Duration(a.GetAt())})
 	case *record.Record_Server:
 		s.putServer(serverOf(w.Server))
 	case *record.Record_Job:
@@ -174,7 +174,7 @@
 	}
 	var rows []team.Row
 	for _, m := range h.GetRows() {
-		rows = append(rows, command.Row(m))
+		rows = append(rows, command.RowFromMessage(m))
 	}
 	s.putTable(table.Restore(h.GetRevision(), rows), rows, nil)
 	return nil
@@ -184,55 +184,55 @@
 	return &record.Key{Id: k.ID, Team: k.Team, Operator: k.Operator, Digest: k.Digest[:], Withdrawn: k.Withdrawn}
 }
 
-func answerRecord(id string, a Answer) *record.Answer {
-	return &record.Answer{Id: id, Sum: a.Sum, Code: uint32(a.Code), Detail: a.Detail, Revision: a.Revision, At: int64(a.At)}
+func answerRecord(id string, a ChangeResult) *record.Answer {
+	return &record.Answer{Id: id, Sum: a.RequestHash, Code: uint32(a.Code), Detail: a.Detail, Revision: a.Revision, At: int64(a.AppliedAt)}
 }
 
 func serverRecord(b Server) *record.Server {
 	return &record.Server{
 		Id: b.ID, Incarnation: b.Incarnation, Nonce: b.Nonce, Capacity: command.SizeMessage(b.Capacity),
-		Rack: b.Rack, Zone: b.Zone, Labels: b.Labels, State: uint32(b.Server.State), Since: int64(b.Since), Drain: b.Drain,
+		Rack: b.Rack, Zone: b.Zone, Labels: b.Labels, State: uint32(b.Server.State), Since: int64(b.Since), Drain: b.DrainRequested,
 	}
 }
 
 func serverOf(r *record.Server) Server {
 	return Server{
 		Server: backend.Server{
-			ID: r.GetId(), Incarnation: r.GetIncarnation(), Nonce: r.GetNonce(), Capacity: command.Size(r.GetCapacity()),
+			ID: r.GetId(), Incarnation: r.GetIncarnation(), Nonce: r.GetNonce(), Capacity: command.SizeFromMessage(r.GetCapacity()),
 			Rack: r.GetRack(), Zone: r.GetZone(), Labels: r.GetLabels(),
 			State: backend.State(r.GetState()), Since: time.Duration(r.GetSince()),
 		},
-		Drain: r.GetDrain(),
+		DrainRequested: r.GetDrain(),
 	}
 }
 
 func jobRecord(j *Job) *record.Job {
 	return &record.Job{
-		Number: j.Number, Team: j.Spec.Team, Spec: command.SpecMessage(j.Spec), Accepted: int64(j.Accepted),
-		Outcome: uint32(j.Outcome), Code: uint32(j.Code), Cancelled: j.Cancelled, Ended: int64(j.Ended), Given: uint32(j.Given),
+		Number: j.Number, Team: j.Spec.Team, Spec: command.SpecMessage(j.Spec), Accepted: int64(j.AcceptedAt),
+		Outcome: uint32(j.Outcome), Code: uint32(j.Code), Cancelled: j.Cancelled, Ended: int64(j.EndedAt), Given: uint32(j.GiveUpCode),
 	}
 }
 
 func jobOf(r *record.Job) *Job {
 	return &Job{
-		Number: r.GetNumber(), Spec: command.Spec(r.GetTeam(), r.GetSpec()), Sum: sumSpec(r.GetTeam(), r.GetSpec()),
-		Accepted: time.Duration(r.GetAccepted()), Outcome: v1.Outcome(r.GetOutcome()), Code: code.Code(r.GetCode()),
-		Cancelled: r.GetCancelled(), Ended: time.Duration(r.GetEnded()), Given: code.Code(r.GetGiven()),
+		Number: r.GetNumber(), Spec: command.SpecFromMessage(r.GetTeam(), r.GetSpec()), RequestHash: sumSpec(r.GetTeam(), r.GetSpec()),
+		AcceptedAt: time.Duration(r.GetAccepted()), Outcome: v1.Outcome(r.GetOutcome()), Code: code.Code(r.GetCode()),
+		Cancelled: r.GetCancelled(), EndedAt: time.Duration(r.GetEnded()), GiveUpCode: code.Code(r.GetGiven()),
 	}
 }
 
 func taskRecord(t *Task) *record.Task {
 	return &record.Task{
 		Job: t.ID.Job, Index: t.ID.Index, Phase: uint32(t.Phase), Attempt: t.Attempt, Server: t.Server,
-		Incarnation: t.Incarnation, Since: int64(t.Since), Exit: t.Exit, Answer: t.Answer, Checkpoint: t.Checkpoint,
-		Save: t.Save, Started: t.Started,
+		Incarnation: t.Incarnation, Since: int64(t.PhaseSince), Exit: t.ExitCode, Answer: t.Answer, Checkpoint: t.Checkpoint,
+		Save: t.SaveCheckpoint, Started: t.Started,
 	}
 }
 
 func taskOf(r *record.Task) *Task {
 	return &Task{
 		ID: task.ID{Job: r.GetJob(), Index: r.GetIndex()}, Phase: Phase(r.GetPhase()), Attempt: r.GetAttempt(),
-		Server: r.GetServer(), Incarnation: r.GetIncarnation(), Since: time.Duration(r.GetSince()), Exit: r.GetExit(),
-		Answer: r.GetAnswer(), Checkpoint: r.GetCheckpoint(), Save: r.GetSave(), Started: r.GetStarted(),
+		Server: r.GetServer(), Incarnation: r.GetIncarnation(), PhaseSince: time.Duration(r.GetSince()), ExitCode: r.GetExit(),
+		Answer: r.GetAnswer(), Checkpoint: r.GetCheckpoint(), SaveCheckpoint: r.GetSave(), Started: r.GetStarted(),
 	}
 }
--- a/internal/ledger/state/state.go
+++ b/internal/ledger/state/state.go
@@ -27,17 +27,17 @@
 // State is the ledger. Its values are immutable and replaced whole, so that a
 // shallow copy is a consistent picture.
 type State struct {
-	// Watch is told of every change; nil on replicas that only follow.
-	Watch Watch
+	// Observer is told of every change; nil on replicas that only follow.
+	Observer Observer
 
 	at      time.Duration
 	next    uint64
 	digest  uint64
 	table   table.Table
 	keys    map[string]key.Key
-	answers map[string]Answer
+	answers map[string]ChangeResult
 	// picture is the copy that is being taken; nil for none.
-	picture *Picture
+	picture *SnapshotBuilder
 	servers map[string]Server
 	jobs    map[uint64]*Job
 	tasks   map[task.ID]*Task
@@ -70,23 +70,23 @@
 // Server is a backend server with what the ledger adds to it.
 type Server struct {
 	backend.Server
-	// Held is the declared size of everything that is not proved stopped on it.
-	Held capacity.Size
-	// Drain tells that an operator or the server itself asked for no new work.
-	Drain bool
-	// Zoned tells that its availability zone is drained. It follows from the zone's
+	// HeldCapacity is the declared size of everything that is not proved stopped on it.
+	HeldCapacity capacity.Size
+	// DrainRequested tells that an operator or the server itself asked for no new work.
+	DrainRequested bool
+	// ZoneDrained tells that its availability zone is drained. It follows from the zone's
 	// mark and is no part of the server's record.
-	Zoned bool
+	ZoneDrained bool
 }
 
-// Answer is what an operator's change was told.
-type Answer struct {
-	// Sum is the hash of the change, to tell a resend from other content.
-	Sum      uint64
-	Code     code.Code
-	Detail   string
-	Revision uint64
-	At       time.Duration
+// ChangeResult is what an operator's change was told.
+type ChangeResult struct {
+	// RequestHash is the hash of the change, to tell a resend from other content.
+	RequestHash uint64
+	Code        code.Code
+	Detail      string
+	Revision    uint64
+	AppliedAt   time.Duration
 }
 
 // Backlog is what waits in the cell.
@@ -114,7 +114,7 @@
 	return &State{
 		next:    1,
 		keys:    map[string]key.Key{},
-		answers: map[string]Answer{},
+		answers: map[string]ChangeResult{},
 		servers: map[string]Server{},
 		jobs:    map[uint64]*Job{},
 		tasks:   map[task.ID]*Task{},
@@ -193,8 +193,8 @@
 // Digest returns a hash over all records, the same on replicas in the same state.
 func (s *State) Digest() uint64 { return s.digest ^ s.flows.Digest() }
 
-// At returns the time of the latest command.
-func (s *State) At() time.Duration { return s.at }
+// Now returns the time of the latest command.
+func (s *State) Now() time.Duration { return s.at }
 
 // Table returns the table in force.
 func (s *State) Table() table.Table { return s.table }
@@ -211,8 +211,8 @@
 	return j, ok
 }
 
-// Find returns a job by its caller's id.
-func (s *State) Find(id RequestID) (*Job, bool) {
+// FindJob returns a job by its caller's id.
+func (s *State) FindJob(id RequestID) (*Job, bool) {
 	return s.Job(s.ids[id])
 }
 
@@ -228,24 +228,24 @@
 	return s.zoned(b), ok
 }
 
-// Held returns the declared size of everything of a team that is not proved stopped.
-func (s *State) Held(team string) capacity.Size {
+// TeamHeldCapacity returns the declared size of everything of a team that is not proved stopped.
+func (s *State) TeamHeldCapacity(team string) capacity.Size {
 	if u := s.teams[team]; u != nil {
 		return u.held
 	}
 	return capacity.Size{}
 }
 
-// Waiting returns the number of a team's jobs that have a task waiting.
-func (s *State) Waiting(team string) int {
+// TeamWaitingJobs returns the number of a team's jobs that have a task waiting.
+func (s *State) TeamWaitingJobs(team string) int {
 	if u := s.teams[team]; u != nil {
 		return u.waiting
 	}
 	return 0
 }
 
-// Placed calls fn for each task held on a server, in no fixed order.
-func (s *State) Placed(server string, fn func(*Task)) {
+// EachPlacedTask calls fn for each task held on a server, in no fixed order.
+func (s *State) EachPlacedTask(server string, fn func(*Task)) {
 	for _, t := range s.placed[server] {
 		fn(t)
 	}
@@ -260,11 +260,11 @@
 	return u
 }
 
-// Count returns the number of tasks held on a server.
-func (s *State) Count(server string) int { return len(s.placed[server]) }
+// PlacedTaskCount returns the number of tasks held on a server.
+func (s *State) PlacedTaskCount(server string) int { return len(s.placed[server]) }
 
-// Tasks calls fn for each task of a job, in the order of their indexes.
-func (s *State) Tasks(j *Job, fn func(*Task)) {
+// EachTask calls fn for each task of a job, in the order of their indexes.
+func (s *State) EachTask(j *Job, fn func(*Task)) {
 	for i := range j.Spec.Count {
 		if t, ok := s.tasks[task.ID{Job: j.Number, Index: i}]; ok {
 			fn(t)
@@ -272,8 +272,8 @@
 	}
 }
 
-// Pieces yields the answers of a job's tasks in the order of their indexes.
-func (s *State) Pieces(j *Job) iter.Seq[[]byte] {
+// TaskAnswers yields the answers of a job's tasks in the order of their indexes.
+func (s *State) TaskAnswers(j *Job) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for i := range j.Spec.Count {
 			if t, ok := s.tasks[task.ID{Job: j.Number, Index: i}]; ok && !yield(t.Answer) {
@@ -283,12 +283,12 @@
 	}
 }
 
-// Answer returns a job's whole answer: its tasks' answers in the order of their indexes.
-func (s *State) Answer(j *Job) []byte {
+// JobAnswer returns a job's whole answer: its tasks' answers in the order of their indexes.
+func (s *State) JobAnswer(j *Job) []byte {
 	if j.Spec.Count == 1 {
 		return s.tasks[task.ID{Job: j.Number}].Answer
 	}
 	var out []byte
-	s.Tasks(j, func(t *Task) { out = append(out, t.Answer...) })
+	s.EachTask(j, func(t *Task) { out = append(out, t.Answer...) })
 	return out
 }
--- a/internal/ledger/state/state_test.go
+++ b/internal/ledger/state/state_test.go
@@ -90,8 +90,8 @@
 	teams := map[string]capacity.Size{}
 	for _, j := range w.a.Jobs("") {
 		holds, begun := uint32(0), uint32(0)
-		w.a.Tasks(j, func(k *state.Task) {
-			if k.Phase.Holds() {
+		w.a.EachTask(j, func(k *state.Task) {
+			if k.Phase.HoldsCapacity() {
 				held[k.Server] = held[k.Server].Add(j.Spec.Size)
 				teams[j.Spec.Team] = teams[j.Spec.Team].Add(j.Spec.Size)
 				holds++
@@ -106,24 +106,24 @@
 		if j.Outcome == v1.Outcome_OUTCOME_NOT_RUN && begun > 0 {
 			t.Fatalf("job %d says not run and %d tasks ran", j.Number, begun)
 		}
-		if j.Spec.Whole() && !j.Final() && holds == 0 && j.Waiting != j.Spec.Count {
-			t.Fatalf("gang %d is stuck: nothing runs and %d of %d tasks wait", j.Number, j.Waiting, j.Spec.Count)
+		if j.Spec.Whole() && !j.Final() && holds == 0 && j.WaitingTasks != j.Spec.Count {
+			t.Fatalf("gang %d is stuck: nothing runs and %d of %d tasks wait", j.Number, j.WaitingTasks, j.Spec.Count)
 		}
-		w.a.Tasks(j, func(k *state.Task) {
-			if holds == 0 && !j.Final() && k.Phase == state.Resting {
+		w.a.EachTask(j, func(k *state.Task) {
+			if holds == 0 && !j.Final() && k.Phase == state.WaitingForGang {
 				t.Fatalf("task %v rests for ever", k.ID)
 			}
 		})
-		if j.Spec.Whole() && holds > 0 && j.Waiting > 0 && holds+j.Waiting+j.Finals == j.Spec.Count && placedBeside(w.a, j) {
+		if j.Spec.Whole() && holds > 0 && j.WaitingTasks > 0 && holds+j.WaitingTasks+j.FinalTasks == j.Spec.Count && placedBeside(w.a, j) {
 			t.Fatalf("a part of gang %d runs while another waits for a place", j.Number)
 		}
-		if j.Held != holds {
-			t.Fatalf("job %d counts %d held, has %d", j.Number, j.Held, holds)
+		if j.HeldTasks != holds {
+			t.Fatalf("job %d counts %d held, has %d", j.Number, j.HeldTasks, holds)
 		}
 	}
 	waiting, backlogged := 0, map[string]bool{}
 	for _, j := range w.a.Jobs("") {
-		if !j.Final() && j.Waiting > 0 {
+		if !j.Final() && j.WaitingTasks > 0 {
 			waiting++
 			backlogged[j.Spec.Team] = true
 		}
@@ -132,16 +132,16 @@
 		t.Fatalf("backlog %v, counted %d jobs of %d teams", got, waiting, len(backlogged))
 	}
 	for _, b := range w.a.Servers() {
-		if !b.Held.Fits(b.Capacity) || b.Held != held[b.ID] {
-			t.Fatalf("server %s holds %v (counted %v) of %v", b.ID, b.Held, held[b.ID], b.Capacity)
+		if !b.HeldCapacity.Fits(b.Capacity) || b.HeldCapacity != held[b.ID] {
+			t.Fatalf("server %s holds %v (counted %v) of %v", b.ID, b.HeldCapacity, held[b.ID], b.Capacity)
 		}
 	}
 	for _, r := range w.a.Table().Rows() {
-		if !teams[r.Name].Within(r.Limit) || w.a.Held(r.Name) != teams[r.Name] {
+		if !teams[r.Name].Within(r.Limit) || w.a.TeamHeldCapacity(r.Name) != teams[r.Name] {
 			t.Fatalf("team %s holds %v, limit %v", r.Name, teams[r.Name], r.Limit)
 		}
 	}
-	if w.a.Faults() > 0 {
+	if w.a.InvalidTransitions() > 0 {
 		t.Fatalf("an event that the chart does not allow, at %v", w.sent[len(w.sent)-1])
 	}
 	if w.a.Digest() != w.b.Digest() {
@@ -152,7 +152,7 @@
 // placedBeside tells whether a task of the job is placed while another is queued.
 func placedBeside(st *state.State, j *state.Job) bool {
 	phases := map[state.Phase]bool{}
-	st.Tasks(j, func(k *state.Task) { phases[k.Phase] = true })
+	st.EachTask(j, func(k *state.Task) { phases[k.Phase] = true })
 	return phases[state.Placed] && phases[state.Queued]
 }
 
@@ -171,13 +171,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld()
 		starts := map[task.ID]int{}
-		var picture *state.Picture
+		var picture *state.SnapshotBuilder
 		var shown []byte
-		defer func() { picture.Drop() }()
+		defer func() { picture.Cancel() }()
 		pick := func(name string, n int) int { return rapid.IntRange(0, n-1).Draw(t, name) }
 		tasks := func() (out []*state.Task) {
 			for _, j := range w.a.Jobs("") {
-				w.a.Tasks(j, func(k *state.Task) { out = append(out, k) })
+				w.a.EachTask(j, func(k *state.Task) { out = append(out, k) })
 			}
 			return out
 		}
@@ -238,14 +238,16 @@
 					w.do(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: ts[pick("task", len(ts))].ID.Job, Code: uint32(c)}}})
 				}
 			},
-			"fence":  func(*rapid.T) { w.fence(server()) },
-			"forget": func(*rapid.T) { w.do(&record.Command{What: &record.Command_Forget{Forget: w.a.Expired(w.a.At(), 2)}}) },
+			"fence": func(*rapid.T) { w.fence(server()) },
+			"forget": func(*rapid.T) {
+				w.do(&record.Command{What: &record.Command_Forget{Forget: w.a.ExpiredRecords(w.a.Now(), 2)}})
+			},
 			// A snapshot is taken while commands go on. It has to show the
 			// state of its index: with later commands in it they would be
 			// applied twice after a restart.
 			"picture": func(t *rapid.T) {
 				if picture == nil {
-					picture, shown = w.b.Picture(), encode(t, w.b)
+					picture, shown = w.b.BeginSnapshot(), encode(t, w.b)
 				}
 			},
 			"restore": func(t *rapid.T) {
@@ -263,7 +265,7 @@
 			},
 			"": func(t *rapid.T) {
 				w.check(t)
-				if picture != nil && picture.Step(1) {
+				if picture != nil && picture.CopyRecords(1) {
 					if !bytes.Equal(shown, encode(t, picture.State())) {
 						t.Fatal("the picture shows another state than that of its beginning")
 					}
@@ -291,8 +293,8 @@
 	last, _ := w.a.Task(task.ID{Job: j.Number, Index: 1})
 	w.end(last, &record.End{Started: true, Ended: true, Answer: []byte("half")})
 	w.check(t)
-	if now, _ := w.a.Job(j.Number); now.Waiting != 2 {
-		t.Errorf("%d of 2 tasks wait", now.Waiting)
+	if now, _ := w.a.Job(j.Number); now.WaitingTasks != 2 {
+		t.Errorf("%d of 2 tasks wait", now.WaitingTasks)
 	}
 }
 
--- a/internal/ledger/state/store.go
+++ b/internal/ledger/state/store.go
@@ -26,7 +26,7 @@
 // under the same id. It is taken over the form that a snapshot keeps: a field
 // that is absent in one encoding and zero in another must not make a difference.
 func sumSpec(owner string, m *v1.Spec) uint64 {
-	return sumOf(command.SpecMessage(command.Spec(owner, m)))
+	return sumOf(command.SpecMessage(command.SpecFromMessage(owner, m)))
 }
 
 // swap replaces a record's hash in the digest.
@@ -39,7 +39,7 @@
 		s.swap(old.hash, j.hash)
 	} else {
 		s.swap(0, j.hash)
-		s.ids[j.Request()] = j.Number
+		s.ids[j.RequestID()] = j.Number
 		u := s.usage(j.Spec.Team)
 		u.jobs[j.Number] = j
 	}
@@ -57,7 +57,7 @@
 	s.picture.job(j.Number)
 	s.jobs[j.Number] = j
 	if j.Final() && (old == nil || !old.Final()) {
-		s.ended.push(aged[uint64]{j.Number, j.Ended})
+		s.ended.push(aged[uint64]{j.Number, j.EndedAt})
 	}
 }
 
@@ -68,7 +68,7 @@
 		return
 	}
 	u.active += n
-	if j.Waiting == 0 {
+	if j.WaitingTasks == 0 {
 		return
 	}
 	before := u.waiting > 0
@@ -93,7 +93,7 @@
 	s.swap(j.hash, 0)
 	s.picture.job(j.Number)
 	delete(s.jobs, j.Number)
-	delete(s.ids, j.Request())
+	delete(s.ids, j.RequestID())
 	u := s.usage(j.Spec.Team)
 	s.count(u, j, -1)
 	delete(u.jobs, j.Number)
@@ -119,13 +119,13 @@
 func (s *State) tally(j *Job, t *Task, n int) {
 	d := uint32(n) // wraps for -1, as meant
 	switch {
-	case t.Phase.Holds():
-		j.Held += d
+	case t.Phase.HoldsCapacity():
+		j.HeldTasks += d
 		s.hold(j, t, n)
 	case t.Phase.Final():
-		j.Finals += d
+		j.FinalTasks += d
 	default:
-		j.Waiting += d
+		j.WaitingTasks += d
 	}
 }
 
@@ -134,7 +134,7 @@
 	u := s.usage(j.Spec.Team)
 	u.held = u.held.Add(size)
 	b := s.servers[t.Server]
-	b.Held = b.Held.Add(size)
+	b.HeldCapacity = b.HeldCapacity.Add(size)
 	s.servers[t.Server] = b
 	if n < 0 {
 		delete(s.placed[t.Server], t.ID)
@@ -189,11 +189,11 @@
 	s.keys[k.ID] = k
 }
 
-func (s *State) putAnswer(id string, a Answer) {
+func (s *State) putAnswer(id string, a ChangeResult) {
 	s.swap(0, sumOf(answerRecord(id, a)))
 	s.picture.answer(id)
 	s.answers[id] = a
-	s.told.push(aged[string]{id, a.At})
+	s.told.push(aged[string]{id, a.AppliedAt})
 }
 
 func (s *State) removeAnswer(id string) {
--- a/internal/ledger/state/zone.go
+++ b/internal/ledger/state/zone.go
@@ -26,7 +26,7 @@
 	}
 	for _, id := range sorted(s.servers) {
 		if b := s.servers[id]; b.Zone == m.GetZone() {
-			s.watch().Server(s.zoned(b))
+			s.watch().ServerChanged(s.zoned(b))
 		}
 	}
 	return Result{}
@@ -34,12 +34,12 @@
 
 // zoned returns a server with what its zone says of it.
 func (s *State) zoned(b Server) Server {
-	b.Zoned = s.flows.Drained(b.Zone)
+	b.ZoneDrained = s.flows.ZoneDrained(b.Zone)
 	return b
 }
 
-// Drains tells whether the server, or its whole zone, is to get no new work.
-func (b Server) Drains() bool { return b.Drain || b.Zoned }
+// IsDrained tells whether the server, or its whole zone, is to get no new work.
+func (b Server) IsDrained() bool { return b.DrainRequested || b.ZoneDrained }
 
 // Zones returns the availability zones that backend servers are in or that are
 // drained, by name.
@@ -59,17 +59,17 @@
 		}
 		z := at(b.Zone)
 		z.Servers++
-		z.Tasks += s.Count(id)
+		z.Tasks += s.PlacedTaskCount(id)
 	}
 	for _, b := range s.flows.Servers() {
-		if b.Over || b.Zone == "" {
+		if b.Ended || b.Zone == "" {
 			continue
 		}
 		z := at(b.Zone)
 		z.Servers++
-		z.Tasks += len(b.Held)
+		z.Tasks += len(b.HeldRuns)
 	}
-	for name, since := range s.flows.Zones() {
+	for name, since := range s.flows.DrainedZones() {
 		z := at(name)
 		z.Drained, z.Since = true, since
 	}
--- a/internal/policy/simulator/plan.go
+++ b/internal/policy/simulator/plan.go
@@ -36,13 +36,13 @@
 	if m.policy.Disabled&Headroom == 0 {
 		v.Headroom = m.headroom
 	}
-	ready := m.ledger.Ready()
+	ready := m.ledger.ReadySteps()
 	for _, id := range slices.SortedFunc(maps.Keys(ready), func(a, b flow.StepID) int { return cmp.Or(cmp.Compare(a.Flow, b.Flow), cmp.Compare(a.Step, b.Step)) }) {
 		v.Items = append(v.Items, m.item(ready[id]))
 	}
 	for _, id := range m.serverIDs {
 		s := m.servers[id]
-		if b, ok := m.ledger.Server(id); ok && !b.Leaving && !b.Over && !s.silenceDetected {
+		if b, ok := m.ledger.Server(id); ok && !b.ShuttingDown && !b.Ended && !s.silenceDetected {
 			v.Servers = append(v.Servers, steps.Server{Server: b, Speed: s.spec.speed})
 		}
 	}
@@ -69,7 +69,7 @@
 		Step: s, Pool: pool, Priority: queue.GetPriority(), Urgent: queue.GetPriority() == 0, ExpectedRuntime: runtime,
 		QuestionSize: m.questionSize(queue.GetAdvice(), runtime), NeedsPermit: true, AdviserAsked: m.advice[s.StepID] != nil,
 	}
-	age := m.now - s.Flow.Accepted
+	age := m.now - s.Flow.AcceptedAt
 	it = it.WithAge(timing, age)
 	if m.policy.Disabled&LateLast != 0 {
 		it.Late, it.Worthless = false, false
@@ -119,7 +119,7 @@
 func (m *Simulation) startTasks(p steps.Placement) {
 	start := &record.FlowStart{}
 	for _, assignment := range p.Assignments {
-		id := flow.RunID{TaskID: assignment.TaskID, Number: p.Item.Tasks[assignment.Index].Number + 1}
+		id := flow.RunID{TaskID: assignment.TaskID, Number: p.Item.Tasks[assignment.Index].LatestRun + 1}
 		start.Places = append(start.Places, &record.FlowPlace{Run: id.Message(), Server: assignment.Server})
 		m.DecisionHash = m.DecisionHash*31 + xxhash.Sum64String(id.String()+assignment.Server+m.now.String())
 	}
@@ -165,7 +165,7 @@
 		m.advice[question.Item.StepID] = a
 	}
 	queue, _ := m.ledger.QueueOf(question.Item.Flow)
-	if a.pendingQuestions > 0 || question.Item.Queued == 0 || question.Item.Flow.Final() {
+	if a.pendingQuestions > 0 || question.Item.QueuedTasks == 0 || question.Item.Flow.Final() {
 		return true
 	}
 	shortest := steps.QuestionDuration(m.ledger.Config().GetQueues()[0].GetAdvice(), steps.MinServersPerQuestion)
--- a/internal/policy/simulator/simulation.go
+++ b/internal/policy/simulator/simulation.go
@@ -197,7 +197,7 @@
 // stopUnwantedRuns stops the remaining runs of gangs that have lost a member and the runs of
 // failed flows.
 func (m *Simulation) stopUnwantedRuns() {
-	unwanted := m.ledger.Unwanted()
+	unwanted := m.ledger.RunsToStop()
 	for _, id := range slices.SortedFunc(maps.Keys(unwanted), func(a, b flow.TaskID) int {
 		return cmp.Or(cmp.Compare(a.Flow, b.Flow), cmp.Compare(a.Step, b.Step), cmp.Compare(a.Index, b.Index))
 	}) {
@@ -218,9 +218,9 @@
 		m.changed = false
 		m.plan()
 	}
-	if len(m.ledger.Ready()) > 0 && m.now < m.scenario.Duration {
+	if len(m.ledger.ReadySteps()) > 0 && m.now < m.scenario.Duration {
 		for _, b := range m.ledger.Servers() {
-			if !b.Over && !b.Leaving {
+			if !b.Ended && !b.ShuttingDown {
 				m.utilization.add(float64(b.Used.CPU), float64(b.Capacity.CPU))
 			}
 		}
--- a/internal/policy/steps/ask.go
+++ b/internal/policy/steps/ask.go
@@ -42,7 +42,7 @@
 // tasks of a step start one by one as room becomes free, this saves one question for each task,
 // during which the room would be idle.
 func (p *planner) soonAvailable(it Item, exclude []string) []string {
-	limit := it.Queued - len(exclude)
+	limit := it.QueuedTasks - len(exclude)
 	if p.view.Releases == nil || limit <= 0 {
 		return nil
 	}
@@ -92,7 +92,7 @@
 	if p.view.AllowedShare != nil {
 		allowedShare = p.view.AllowedShare(it)
 	}
-	neededTasks, expectedTasks := capacityFactor*float64(it.Queued), 0.0
+	neededTasks, expectedTasks := capacityFactor*float64(it.QueuedTasks), 0.0
 	minServers := max(it.QuestionSize, MinServersPerQuestion)
 	question := Question{Item: it}
 	var withoutRoom []string
@@ -107,7 +107,7 @@
 			withoutRoom = append(withoutRoom, r.ID)
 			continue
 		}
-		expectedTasks += allowedShare * float64(min(fittingTasks(size, r.free), int64(it.Queued)))
+		expectedTasks += allowedShare * float64(min(fittingTasks(size, r.free), int64(it.QueuedTasks)))
 		question.Servers = append(question.Servers, r.ID)
 	}
 	if len(question.Servers) == 0 {
--- a/internal/policy/steps/deadline.go
+++ b/internal/policy/steps/deadline.go
@@ -57,7 +57,7 @@
 	endTimes := make([]uint64, len(spec.GetSteps()))
 	longest := uint64(0)
 	for i, s := range spec.GetSteps() {
-		if turn == nil || turn.Steps[i].Done < len(turn.Steps[i].Tasks) {
+		if turn == nil || turn.Steps[i].DoneTasks < len(turn.Steps[i].Tasks) {
 			endTimes[i] = s.GetRuntime()
 		}
 		startTime := uint64(0)
--- a/internal/policy/steps/gang.go
+++ b/internal/policy/steps/gang.go
@@ -11,7 +11,7 @@
 // placeGang places all tasks of a step together or none of them. If there is no room, it
 // reserves the servers that will have room earliest.
 func (p *planner) placeGang(it Item) {
-	if it.Queued < len(it.Tasks) || p.allowedByLimit(it) < int64(it.Queued) {
+	if it.QueuedTasks < len(it.Tasks) || p.allowedByLimit(it) < int64(it.QueuedTasks) {
 		return
 	}
 	p.nextItem()
@@ -52,12 +52,12 @@
 	if it.Spec.GetTogether() {
 		for _, rack := range labelsByRoom(candidates) {
 			inRack := slices.DeleteFunc(slices.Clone(candidates), func(o candidate) bool { return !slices.Contains(o.Labels, rack) })
-			if c, ok := takeCandidates(it.Queued, inRack); ok {
+			if c, ok := takeCandidates(it.QueuedTasks, inRack); ok {
 				return c, true
 			}
 		}
 	}
-	return takeCandidates(it.Queued, candidates)
+	return takeCandidates(it.QueuedTasks, candidates)
 }
 
 // labelsByRoom returns the labels of the candidates in ascending order of the tasks that fit
@@ -121,11 +121,11 @@
 			slots = p.findSlots(slots, it, r)
 		}
 	}
-	if len(slots) < it.Queued {
+	if len(slots) < it.QueuedTasks {
 		return // the servers with known permissions can never hold the gang
 	}
 	slices.SortStableFunc(slots, compareSlots)
-	slots = slots[:it.Queued]
+	slots = slots[:it.QueuedTasks]
 	p.reservedGangs[it.Pool]++
 	startAfter := slots[len(slots)-1].after
 	var servers []string
@@ -154,7 +154,7 @@
 
 // findSlots appends the slots for tasks of an item that a server has now and later.
 func (p *planner) findSlots(out []slot, it Item, r *serverState) []slot {
-	size, maxSlots := flow.SizeOf(it.Spec), int64(it.Queued)
+	size, maxSlots := flow.SizeOf(it.Spec), int64(it.QueuedTasks)
 	if apart := it.Spec.GetApart(); apart > 0 {
 		maxSlots = min(maxSlots, int64(apart))
 	}
--- a/internal/policy/steps/probation.go
+++ b/internal/policy/steps/probation.go
@@ -24,7 +24,7 @@
 }
 
 // isSuspect reports whether the task may have crashed a server.
-func isSuspect(t flows.Task) bool { return t.Blamed > 0 }
+func isSuspect(t flows.Task) bool { return t.BlamedCrashes > 0 }
 
 // queuedBySuspicion returns at most limit queued tasks of a step, split into tasks that can
 // start anywhere and suspects that start on a server of their own. If no probation slot is
@@ -32,12 +32,12 @@
 // given up after one more crash waits for a slot.
 func (p *planner) queuedBySuspicion(it Item, limit int) (normal, suspects []uint32) {
 	next := queuedTasks(it.Step)
-	for range it.Queued {
+	for range it.QueuedTasks {
 		i := next()
 		switch t := it.Tasks[i]; {
 		case isSuspect(t) && len(suspects) < p.probationSlots[it.Pool]:
 			suspects = append(suspects, i)
-		case t.Blamed < flows.MostBlamed-1:
+		case t.BlamedCrashes < flows.MaxBlamedCrashes-1:
 			normal = append(normal, i)
 		}
 	}
--- a/internal/policy/steps/probation_test.go
+++ b/internal/policy/steps/probation_test.go
@@ -11,7 +11,7 @@
 // suspect marks the first n tasks of an item as suspected of a server crash.
 func suspect(it steps.Item, n int) steps.Item {
 	for i := range n {
-		it.Tasks[i].Blamed = 1
+		it.Tasks[i].BlamedCrashes = 1
 	}
 	return it
 }
@@ -101,10 +101,10 @@
 	servers := []steps.Server{server("a", 4000), server("b", 4000)}
 	servers[0].OnProbation = true
 	x, y := suspect(item("x", tasks(2, 1000)), 2), item("y", tasks(2, 1000))
-	x.Tasks[1].Blamed = 2
+	x.Tasks[1].BlamedCrashes = 2
 	checkPlaced(t, map[string]int{"x on b": 1, "y on b": 2}, steps.Make(view(servers, x, y)))
 	servers[0].OnProbation = false
-	x.Tasks[0].Blamed = 2
+	x.Tasks[0].BlamedCrashes = 2
 	plan := steps.Make(view(servers, x, y))
 	if got := placed(plan); got["x on a"]+got["x on b"] != 1 || got["x on a"] == 1 && got["y on a"] > 0 || got["x on b"] == 1 && got["y on b"] > 0 {
 		t.Errorf("want one of the two tasks with one crash left, on a server without other tasks: %v", got)
--- a/internal/policy/steps/steps.go
+++ b/internal/policy/steps/steps.go
@@ -136,7 +136,7 @@
 		headrooms: map[string]Headroom{}, spareHeadroom: map[string]int64{}, headroomCapacity: map[string]int64{}, probationSlots: map[string]int{},
 	}
 	for i, s := range v.Servers {
-		free := s.Free()
+		free := s.FreeCapacity()
 		r := &m.states[i]
 		*r = serverState{Server: s, free: free, initialCPU: free.CPU, heldForSuspect: s.OnProbation}
 		p.servers = append(p.servers, r)
@@ -283,7 +283,7 @@
 
 // placeSingles places the tasks of a step independently of each other.
 func (p *planner) placeSingles(it Item) {
-	limit := min(int64(it.Queued), p.allowedByLimit(it))
+	limit := min(int64(it.QueuedTasks), p.allowedByLimit(it))
 	if limit <= 0 {
 		return
 	}
--- a/internal/policy/steps/steps_test.go
+++ b/internal/policy/steps/steps_test.go
@@ -28,7 +28,7 @@
 
 // item returns an item whose tasks are all queued.
 func item(id string, spec *v1.FlowStep) steps.Item {
-	s := &flows.Step{StepID: flow.StepID{Flow: id}, Flow: &flows.Flow{ID: id, Customer: "customer"}, Spec: spec, Queued: int(spec.GetCount())}
+	s := &flows.Step{StepID: flow.StepID{Flow: id}, Flow: &flows.Flow{ID: id, Customer: "customer"}, Spec: spec, QueuedTasks: int(spec.GetCount())}
 	for range spec.GetCount() {
 		s.Tasks = append(s.Tasks, flows.Task{Phase: flows.Queued})
 	}
@@ -395,8 +395,8 @@
 		}
 	}
 	for _, s := range v.Servers {
-		if used[s.ID] > s.Free().CPU {
-			t.Fatalf("server %s got tasks with %d CPU, but has %d free", s.ID, used[s.ID], s.Free().CPU)
+		if used[s.ID] > s.FreeCapacity().CPU {
+			t.Fatalf("server %s got tasks with %d CPU, but has %d free", s.ID, used[s.ID], s.FreeCapacity().CPU)
 		}
 	}
 	if total > v.RemainingLimit("").CPU {
@@ -501,7 +501,7 @@
 		p := steps.Make(v)
 		free, preferred := map[string]int64{}, map[string]bool{}
 		for _, s := range servers {
-			free[s.ID], preferred[s.ID] = s.Free().CPU, askingItem.Urgent && s.ShortLease
+			free[s.ID], preferred[s.ID] = s.FreeCapacity().CPU, askingItem.Urgent && s.ShortLease
 		}
 		for _, placement := range p.Placements {
 			for _, assignment := range placement.Assignments {
--- a/internal/replica/bootstrap/bootstrap.go
+++ b/internal/replica/bootstrap/bootstrap.go
@@ -21,10 +21,10 @@
 // interval is the time between two rounds of asking.
 const interval = 200 * time.Millisecond
 
-// ErrReplaced is returned when the group was founded by another disk of the
+// ErrIdentityReplaced is returned when the group was founded by another disk of the
 // same name. A blank disk must not count as a first member: it would vote as a
 // replica that may have voted otherwise before.
-var ErrReplaced = errors.New("the group was founded already; start without --init and add this replica as a new member")
+var ErrIdentityReplaced = errors.New("the group was founded already; start without --init and add this replica as a new member")
 
 // Handshake takes part in the founding. The exported fields are set before use.
 type Handshake struct {
@@ -47,8 +47,8 @@
 // Handler returns the HTTP handler of the service.
 func (f *Handshake) Handler() http.Handler { return inner.NewBootstrapServer(f) }
 
-// Know sets the first membership of a replica that was founded before.
-func (f *Handshake) Know(ids []string) {
+// SetMembers sets the first membership of a replica that was founded before.
+func (f *Handshake) SetMembers(ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.members = nil
@@ -71,9 +71,9 @@
 	return rep, nil
 }
 
-// Agree asks the other replicas until all of them are known, or one of them
+// AgreeMembers asks the other replicas until all of them are known, or one of them
 // knows the first membership, and returns it.
-func (f *Handshake) Agree(ctx context.Context) ([]quorum.Member, error) {
+func (f *Handshake) AgreeMembers(ctx context.Context) ([]quorum.Member, error) {
 	known := map[string]quorum.Member{name(f.Self.ID): f.Self}
 	for {
 		for _, p := range f.Peers {
@@ -107,7 +107,7 @@
 // join takes the membership that another replica is sure of.
 func (f *Handshake) join(ids []string) ([]quorum.Member, error) {
 	if !slices.Contains(ids, f.Self.ID) {
-		return nil, ErrReplaced
+		return nil, ErrIdentityReplaced
 	}
 	known := map[string]quorum.Member{}
 	for _, id := range ids {
--- a/internal/replica/disk/disk.go
+++ b/internal/replica/disk/disk.go
@@ -14,14 +14,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrFull means that the disk, or the quota on it, has no room left.
-var ErrFull = errors.New("no space left on the disk")
+// ErrDiskFull means that the disk, or the quota on it, has no room left.
+var ErrDiskFull = errors.New("no space left on the disk")
 
-// ErrNoFile means that the process, or the system, may open no more files now.
-var ErrNoFile = errors.New("no more files can be opened")
+// ErrTooManyFiles means that the process, or the system, may open no more files now.
+var ErrTooManyFiles = errors.New("no more files can be opened")
 
-// ErrMissing means that a file does not exist.
-var ErrMissing = os.ErrNotExist
+// ErrNotExist means that a file does not exist.
+var ErrNotExist = os.ErrNotExist
 
 // File is a file open for writing.
 type File interface {
@@ -46,16 +46,18 @@
 	// Rename puts a file under a new name, replacing what is there, in one step.
 	Rename(from, to string) error
 	Remove(name string) error
-	// Folder makes a folder and those above it, and syncs the one that holds it.
-	Folder(dir string) error
+	// CreateFolder makes a folder and those above it, and syncs the one that holds it.
+	CreateFolder(dir string) error
 	// SyncFolder returns once creations, renames and removals in dir are lasting.
 	SyncFolder(dir string) error
 	// Free returns the bytes that can still be written.
 	Free(dir string) (uint64, error)
 }
 
-// Passes tells of an error that left everything as it was and that may pass by itself.
-func Passes(err error) bool { return errors.Is(err, ErrFull) || errors.Is(err, ErrNoFile) }
+// IsRetryable tells of an error that left everything as it was and that may pass by itself.
+func IsRetryable(err error) bool {
+	return errors.Is(err, ErrDiskFull) || errors.Is(err, ErrTooManyFiles)
+}
 
 // Permissions of what the system creates: its owner's alone.
 const (
@@ -63,11 +65,11 @@
 	folderPerm = 0o700
 )
 
-// System is the disk of the operating system.
-type System struct{}
+// OS is the disk of the operating system.
+type OS struct{}
 
 // Create makes an empty file, or empties the one that exists.
-func (System) Create(name string) (File, error) {
+func (OS) Create(name string) (File, error) {
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, filePerm)
 	if err != nil {
 		return nil, classify(err)
@@ -76,7 +78,7 @@
 }
 
 // Open opens an existing file for writing.
-func (System) Open(name string) (File, error) {
+func (OS) Open(name string) (File, error) {
 	f, err := os.OpenFile(name, os.O_WRONLY, 0)
 	if err != nil {
 		return nil, classify(err)
@@ -85,13 +87,13 @@
 }
 
 // Read returns the whole content of a file.
-func (System) Read(name string) ([]byte, error) {
+func (OS) Read(name string) ([]byte, error) {
 	b, err := os.ReadFile(name)
 	return b, classify(err)
 }
 
 // List returns the names of the files in a folder, sorted.
-func (System) List(dir string) ([]string, error) {
+func (OS) List(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, classify(err)
@@ -107,13 +109,13 @@
 }
 
 // Rename puts a file under a new name in one step.
-func (System) Rename(from, to string) error { return classify(os.Rename(from, to)) }
+func (OS) Rename(from, to string) error { return classify(os.Rename(from, to)) }
 
 // Remove deletes a file.
-func (System) Remove(name string) error { return classify(os.Remove(name)) }
+func (OS) Remove(name string) error { return classify(os.Remove(name)) }
 
-// Folder makes a folder and those above it, and syncs the one that holds it.
-func (s System) Folder(dir string) error {
+// CreateFolder makes a folder and those above it, and syncs the one that holds it.
+func (s OS) CreateFolder(dir string) error {
 	if err := os.MkdirAll(dir, folderPerm); err != nil {
 		return classify(err)
 	}
@@ -121,7 +123,7 @@
 }
 
 // SyncFolder returns once creations, renames and removals in dir are lasting.
-func (System) SyncFolder(dir string) error {
+func (OS) SyncFolder(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
 		return classify(err)
@@ -130,7 +132,7 @@
 }
 
 // Free returns the bytes that an unprivileged process can still write.
-func (System) Free(dir string) (uint64, error) {
+func (OS) Free(dir string) (uint64, error) {
 	var st unix.Statfs_t
 	if err := unix.Statfs(dir, &st); err != nil {
 		return 0, classify(err)
@@ -163,9 +165,9 @@
 func classify(err error) error {
 	switch {
 	case errors.Is(err, syscall.ENOSPC), errors.Is(err, syscall.EDQUOT):
-		return errors.Mark(err, ErrFull)
+		return errors.Mark(err, ErrDiskFull)
 	case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE):
-		return errors.Mark(err, ErrNoFile)
+		return errors.Mark(err, ErrTooManyFiles)
 	}
 	return err
 }
--- a/internal/replica/disk/matrix_test.go
+++ b/internal/replica/disk/matrix_test.go
@@ -15,12 +15,12 @@
 )
 
 // at injects one fault at the operation with the count given.
-func at(n int, f disk.Fault) func(int, disk.Op, string) disk.Fault {
-	return func(count int, _ disk.Op, _ string) disk.Fault {
+func at(n int, f disk.Fault) func(int, disk.Operation, string) disk.Fault {
+	return func(count int, _ disk.Operation, _ string) disk.Fault {
 		if count == n {
 			return f
 		}
-		return disk.Well
+		return disk.NoFault
 	}
 }
 
@@ -42,16 +42,16 @@
 // crash plays the script up to a crash, if it comes to it.
 func crash(t *testing.T, f fault) (*crashed, bool) {
 	t.Helper()
-	r := &replica{size: f.size, disk: &disk.Memory{Inject: at(f.n, f.kind)}}
+	r := &replica{size: f.size, disk: &disk.Memory{InjectFault: at(f.n, f.kind)}}
 	err := r.play()
-	if err != nil && r.disk.Count() < f.n {
+	if err != nil && r.disk.OperationCount() < f.n {
 		t.Fatalf("%+v: %v", f, err)
 	}
 	return &crashed{f, r}, err != nil
 }
 
 // restarted returns the replica after one outcome of its crash.
-func (c *crashed) restarted(o disk.Outcome) *replica {
+func (c *crashed) restarted(o disk.CrashOutcome) *replica {
 	r := &replica{size: c.size, disk: c.r.disk.Clone(), h: c.r.h}
 	r.disk.Restart(o)
 	return r
@@ -72,13 +72,13 @@
 	cases, operations := 0, 0
 	for _, size := range []int64{small, large} {
 		for n := 1; ; n++ {
-			if _, hit := crash(t, fault{size, n, disk.Crash}); !hit {
+			if _, hit := crash(t, fault{size, n, disk.CrashBefore}); !hit {
 				break
 			}
 			operations++
-			for _, kind := range []disk.Fault{disk.Crash, disk.CrashTorn} {
+			for _, kind := range []disk.Fault{disk.CrashBefore, disk.CrashDuring} {
 				c, _ := crash(t, fault{size, n, kind})
-				for _, outcome := range disk.Outcomes {
+				for _, outcome := range disk.CrashOutcomes {
 					cases += c.anyCourse(t, outcome)
 				}
 			}
@@ -98,7 +98,7 @@
 var courses = []course{{size: 1, loss: true}, {size: 1, compact: true, loss: true}, {size: large}}
 
 // anyCourse restarts after one outcome of a crash in every way, and returns how many.
-func (c *crashed) anyCourse(t *testing.T, outcome disk.Outcome) int {
+func (c *crashed) anyCourse(t *testing.T, outcome disk.CrashOutcome) int {
 	t.Helper()
 	what := fmt.Sprintf("%+v, outcome %d", c.fault, outcome)
 	cases := 0
@@ -126,21 +126,21 @@
 		must(t, what, r.j.Compact(meta.Index))
 	}
 	if c.loss {
-		r.disk.Restart(disk.Lost)
+		r.disk.Restart(disk.AllLost)
 		again, meta, err := r.start()
 		check(t, r, again, meta, err, what+", then power loss")
 		if !equal(got, again, meta.Index) {
 			t.Fatalf("%s: shown once and then lost: %s", what, cmp.Diff(got, again))
 		}
 	}
-	want := got.Hard
+	want := got.HardState
 	want.Term++
 	must(t, what, r.j.Append(&want, nil))
 	must(t, what, r.j.Append(&want, nil))
 	must(t, what, r.j.Sync())
-	r.disk.Restart(disk.Lost)
-	if got, _, err = r.start(); err != nil || got.Hard != want {
-		t.Fatalf("%s: after going on: %v, %v", what, got.Hard, err)
+	r.disk.Restart(disk.AllLost)
+	if got, _, err = r.start(); err != nil || got.HardState != want {
+		t.Fatalf("%s: after going on: %v, %v", what, got.HardState, err)
 	}
 }
 
@@ -148,17 +148,17 @@
 // the number of cases, 0 when there is no such operation.
 func crashedTwice(t *testing.T, r *replica, m int, kind disk.Fault, what string) int {
 	t.Helper()
-	r.disk.Inject = at(r.disk.Count()+m, kind)
+	r.disk.InjectFault = at(r.disk.OperationCount()+m, kind)
 	if _, _, err := r.start(); err == nil {
 		return 0
 	}
 	c := &crashed{fault{size: r.size}, r}
-	for _, second := range disk.Outcomes {
+	for _, second := range disk.CrashOutcomes {
 		again := c.restarted(second)
 		got, meta, err := again.start()
 		check(t, again, got, meta, err, fmt.Sprintf("%s, again at %d, outcome %d", what, m, second))
 	}
-	return len(disk.Outcomes)
+	return len(disk.CrashOutcomes)
 }
 
 // check fails the test when a restart went wrong.
@@ -181,14 +181,14 @@
 func TestBrokenOperation(t *testing.T) {
 	t.Parallel()
 	for n := 1; ; n++ {
-		for _, o := range disk.Outcomes {
-			r := &replica{size: small, disk: &disk.Memory{Inject: at(n, disk.Broken)}}
+		for _, o := range disk.CrashOutcomes {
+			r := &replica{size: small, disk: &disk.Memory{InjectFault: at(n, disk.IOError)}}
 			err := r.play()
-			if r.disk.Count() < n {
+			if r.disk.OperationCount() < n {
 				t.Logf("%d operations", n-1)
 				return
 			}
-			if errors.Is(err, journal.ErrFull) {
+			if errors.Is(err, journal.ErrDiskFull) {
 				t.Fatalf("operation %d passes for a full disk: %v", n, err)
 			}
 			if err != nil && r.j != nil && !r.inSave {
@@ -196,7 +196,7 @@
 					t.Fatalf("operation %d: %v, and then a sync gave %v", n, err, again)
 				}
 			}
-			r.disk.Inject = nil
+			r.disk.InjectFault = nil
 			r.disk.Restart(o)
 			got, meta, err := r.start()
 			check(t, r, got, meta, err, fmt.Sprint("broken ", n, o))
@@ -209,26 +209,26 @@
 // other work is, and the replica goes on without a restart.
 func TestFullDisk(t *testing.T) {
 	t.Parallel()
-	shortages(t, disk.Full, disk.Create, disk.Write)
+	shortages(t, disk.DiskFull, disk.Create, disk.Write)
 }
 
 // No file can be opened for a while, by the fault of whoever holds them all, and
 // the replica crashes later. It must go on with the files that it has.
 func TestNoFileCanBeOpened(t *testing.T) {
 	t.Parallel()
-	shortages(t, disk.NoFile, disk.Create, disk.SyncFolder)
+	shortages(t, disk.TooManyFiles, disk.Create, disk.SyncFolder)
 }
 
 // shortages plays the script with a shortage at each operation and a crash at each
 // one after it.
-func shortages(t *testing.T, kind disk.Fault, ops ...disk.Op) {
+func shortages(t *testing.T, kind disk.Fault, ops ...disk.Operation) {
 	t.Helper()
 	cases := 0
 	for n := 1; ; n++ {
 		for _, f := range []shortage{{large, n, 1, kind, ops}, {small, n, 4, kind, ops}} {
 			for crash := n + 1; ; crash++ {
 				hits, more := short(t, f, crash)
-				cases += len(disk.Outcomes)
+				cases += len(disk.CrashOutcomes)
 				if f.size == small && crash == n+1 && !more {
 					t.Logf("%d cases over %d operations", cases, n)
 					return
@@ -247,7 +247,7 @@
 	size      int64
 	n, length int
 	kind      disk.Fault
-	ops       []disk.Op
+	ops       []disk.Operation
 }
 
 // short plays the script with a shortage and a crash at another operation, and
@@ -255,16 +255,16 @@
 func short(t *testing.T, f shortage, crash int) (hits int, more bool) {
 	t.Helper()
 	r := &replica{size: f.size, disk: &disk.Memory{}}
-	r.disk.Inject = func(count int, op disk.Op, _ string) disk.Fault {
+	r.disk.InjectFault = func(count int, op disk.Operation, _ string) disk.Fault {
 		switch {
 		case count == crash:
 			more = true
-			return disk.CrashTorn
+			return disk.CrashDuring
 		case count >= f.n && count < f.n+f.length && slices.Contains(f.ops, op):
 			hits++
 			return f.kind
 		}
-		return disk.Well
+		return disk.NoFault
 	}
 	r.h.states = []journal.Recovered{{}}
 	err := again(f.length, func() error {
@@ -278,7 +278,7 @@
 		t.Fatalf("%+v: %v", f, err)
 	}
 	c := &crashed{fault{size: f.size}, r}
-	for _, o := range disk.Outcomes {
+	for _, o := range disk.CrashOutcomes {
 		r := c.restarted(o)
 		got, meta, err := r.start()
 		check(t, r, got, meta, err, fmt.Sprintf("%+v, crash at %d, outcome %d", f, crash, o))
@@ -289,11 +289,11 @@
 // try does a step and, where it was refused, a small append, which may pass.
 func (r *replica) try(s step) error {
 	err := s.do(r)
-	if !disk.Passes(err) {
+	if !disk.IsRetryable(err) {
 		return err
 	}
-	hard := r.h.last().Hard
-	if small := r.j.Append(&hard, nil); small != nil && !disk.Passes(small) {
+	hard := r.h.last().HardState
+	if small := r.j.Append(&hard, nil); small != nil && !disk.IsRetryable(small) {
 		return small
 	}
 	return err
@@ -302,7 +302,7 @@
 // again repeats what is refused for a while.
 func again(times int, do func() error) error {
 	err := do()
-	for ; times > 0 && disk.Passes(err); times-- {
+	for ; times > 0 && disk.IsRetryable(err); times-- {
 		err = do()
 	}
 	return err
@@ -313,21 +313,21 @@
 // the file must not read as damage at the next start.
 func TestPartialWriteIsCutOff(t *testing.T) {
 	m := &disk.Memory{}
-	c := journal.Config{Disk: m, SegmentSize: 100, Reserve: -1}
+	c := journal.Config{Disk: m, SegmentSize: 100, Preallocation: -1}
 	j, _, err := c.Open(journalDir)
 	must(t, "open", err)
-	m.Inject = at(m.Count()+1, disk.Full)
+	m.InjectFault = at(m.OperationCount()+1, disk.DiskFull)
 	large := []quorum.Entry{{Index: 1, Term: 1, Data: make([]byte, 1000)}}
-	if err := j.Append(nil, large); !errors.Is(err, journal.ErrFull) {
+	if err := j.Append(nil, large); !errors.Is(err, journal.ErrDiskFull) {
 		t.Fatal(err)
 	}
 	for term := uint64(1); term <= 8; term++ {
-		must(t, "append", j.Append(&quorum.Hard{Term: term}, nil))
+		must(t, "append", j.Append(&quorum.HardState{Term: term}, nil))
 	}
 	must(t, "close", j.Close())
 	_, got, err := c.Open(journalDir)
 	must(t, "open again", err)
-	if diff := cmp.Diff(journal.Recovered{Hard: quorum.Hard{Term: 8}}, got); diff != "" {
+	if diff := cmp.Diff(journal.Recovered{HardState: quorum.HardState{Term: 8}}, got); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -337,28 +337,28 @@
 // the replica ends, and ends again at every start until someone makes room.
 func TestSnapshotOnFullDisk(t *testing.T) {
 	m := &disk.Memory{}
-	c := journal.Config{Disk: m, Reserve: 1000}
+	c := journal.Config{Disk: m, Preallocation: 1000}
 	entry := func(index uint64) []quorum.Entry { return []quorum.Entry{{Index: index, Term: 1}} }
 	j, _, err := c.Open(journalDir)
 	must(t, "open", err)
 	must(t, "append", j.Append(nil, entry(1)))
 	must(t, "append", j.Append(nil, entry(2)))
-	m.Inject = func(_ int, op disk.Op, _ string) disk.Fault {
+	m.InjectFault = func(_ int, op disk.Operation, _ string) disk.Fault {
 		if op == disk.Create {
-			return disk.Full
+			return disk.DiskFull
 		}
-		return disk.Well
+		return disk.NoFault
 	}
-	if err := j.Append(nil, entry(101)); !errors.Is(err, journal.ErrGap) {
+	if err := j.Append(nil, entry(101)); !errors.Is(err, journal.ErrIndexGap) {
 		t.Fatal("without a snapshot the gap is refused:", err)
 	}
-	if err := j.Compact(100); !errors.Is(err, journal.ErrFull) {
+	if err := j.Compact(100); !errors.Is(err, journal.ErrDiskFull) {
 		t.Fatal(err)
 	}
 	must(t, "append after the snapshot", j.Append(nil, entry(101)))
 	must(t, "append after the snapshot", j.Append(nil, entry(102)))
 	must(t, "sync", j.Sync())
-	m.Restart(disk.Lost)
+	m.Restart(disk.AllLost)
 	_, got, err := c.Open(journalDir)
 	must(t, "open again", err)
 	if diff := cmp.Diff(journal.Recovered{Entries: append(entry(101), entry(102)...)}, got); diff != "" {
@@ -396,19 +396,19 @@
 func TestAppendDuringSync(t *testing.T) {
 	m := &disk.Memory{}
 	d := &eager{Disk: m}
-	j, _, err := journal.Config{Disk: d, Reserve: reserve}.Open(journalDir)
+	j, _, err := journal.Config{Disk: d, Preallocation: reserve}.Open(journalDir)
 	must(t, "open", err)
-	must(t, "append", j.Append(&quorum.Hard{Term: 1}, nil))
+	must(t, "append", j.Append(&quorum.HardState{Term: 1}, nil))
 	d.during = func() {
 		d.during = nil
-		must(t, "append during the sync", j.Append(&quorum.Hard{Term: 2}, nil))
+		must(t, "append during the sync", j.Append(&quorum.HardState{Term: 2}, nil))
 	}
 	must(t, "sync", j.Sync())
 	must(t, "sync again", j.Sync())
-	m.Restart(disk.Lost)
-	_, got, err := journal.Config{Disk: m, Reserve: reserve}.Open(journalDir)
+	m.Restart(disk.AllLost)
+	_, got, err := journal.Config{Disk: m, Preallocation: reserve}.Open(journalDir)
 	must(t, "open again", err)
-	if diff := cmp.Diff(journal.Recovered{Hard: quorum.Hard{Term: 2}}, got); diff != "" {
+	if diff := cmp.Diff(journal.Recovered{HardState: quorum.HardState{Term: 2}}, got); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/replica/disk/memory.go
+++ b/internal/replica/disk/memory.go
@@ -9,12 +9,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Op is an operation that changes a disk or makes a change last.
-type Op uint8
+// Operation is an operation that changes a disk or makes a change last.
+type Operation uint8
 
 // The operations.
 const (
-	Create Op = iota + 1
+	Create Operation = iota + 1
 	Write
 	Truncate
 	Sync
@@ -26,52 +26,52 @@
 var opNames = [...]string{"none", "create", "write", "truncate", "sync", "rename", "remove", "sync folder"}
 
 // String returns the name of the operation.
-func (o Op) String() string { return opNames[o] }
+func (o Operation) String() string { return opNames[o] }
 
 // Fault is what goes wrong at an operation of a Memory disk.
 type Fault uint8
 
 // The faults.
 const (
-	// Well means no fault.
-	Well Fault = iota
-	// Crash ends everything before the operation.
-	Crash
-	// CrashTorn ends everything in the middle of the operation.
-	CrashTorn
-	// Full refuses the operation for lack of room; half of a write is done.
-	Full
-	// NoFile refuses the operation, which opens a file, since none can be opened.
-	NoFile
-	// Broken fails the operation. A sync that fails loses the data: later syncs
+	// NoFault means no fault.
+	NoFault Fault = iota
+	// CrashBefore ends everything before the operation.
+	CrashBefore
+	// CrashDuring ends everything in the middle of the operation.
+	CrashDuring
+	// DiskFull refuses the operation for lack of room; half of a write is done.
+	DiskFull
+	// TooManyFiles refuses the operation, which opens a file, since none can be opened.
+	TooManyFiles
+	// IOError fails the operation. A sync that fails loses the data: later syncs
 	// of the file succeed without it, as on common systems.
-	Broken
+	IOError
 )
 
-// Outcome is what a crash does to changes that were not synced.
-type Outcome uint8
+// CrashOutcome is what a crash does to changes that were not synced.
+type CrashOutcome uint8
 
 // The outcomes of a crash.
 const (
-	// Killed ends the process only: everything is still seen, and still not synced.
-	Killed Outcome = iota
-	// Lost loses everything that was not synced.
-	Lost
-	// Kept keeps everything, as if synced.
-	Kept
+	// ProcessKilled ends the process only: everything is still seen, and still not synced.
+	ProcessKilled CrashOutcome = iota
+	// AllLost loses everything that was not synced.
+	AllLost
+	// AllKept keeps everything, as if synced.
+	AllKept
 	// NamesLost keeps contents but no creation, renaming or removal.
 	NamesLost
 	// ContentsLost keeps names but no contents.
 	ContentsLost
-	// Half keeps the first half of contents and of name changes.
-	Half
-	// Hole keeps, of contents and of name changes, only the second half; contents
+	// FirstHalfKept keeps the first half of contents and of name changes.
+	FirstHalfKept
+	// SecondHalfKept keeps, of contents and of name changes, only the second half; contents
 	// have zeros before it.
-	Hole
+	SecondHalfKept
 )
 
-// Outcomes are all outcomes of a crash.
-var Outcomes = []Outcome{Killed, Lost, Kept, NamesLost, ContentsLost, Half, Hole}
+// CrashOutcomes are all outcomes of a crash.
+var CrashOutcomes = []CrashOutcome{ProcessKilled, AllLost, AllKept, NamesLost, ContentsLost, FirstHalfKept, SecondHalfKept}
 
 // ErrCrashed is what every operation returns after a crash, until Restart.
 var ErrCrashed = errors.New("the disk has crashed")
@@ -82,11 +82,11 @@
 // Memory is a disk in memory that goes wrong on request, to test what rests on
 // a Disk. Folders need not be made.
 type Memory struct {
-	// Inject is asked before the operation with this count, from 1; it is not
+	// InjectFault is asked before the operation with this count, from 1; it is not
 	// asked when nil.
-	Inject func(n int, op Op, name string) Fault
-	// Room is what Free returns.
-	Room uint64
+	InjectFault func(n int, op Operation, name string) Fault
+	// FreeBytes is what Free returns.
+	FreeBytes uint64
 
 	mu      sync.Mutex
 	count   int
@@ -112,8 +112,8 @@
 	gone string
 }
 
-// Count returns how many operations were begun.
-func (m *Memory) Count() int {
+// OperationCount returns how many operations were begun.
+func (m *Memory) OperationCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.count
@@ -130,7 +130,7 @@
 		}
 		return copies[n]
 	}
-	c := &Memory{Room: m.Room, count: m.count, crashed: m.crashed, names: map[string]*node{}, stable: map[string]*node{}}
+	c := &Memory{FreeBytes: m.FreeBytes, count: m.count, crashed: m.crashed, names: map[string]*node{}, stable: map[string]*node{}}
 	for name, n := range m.names {
 		c.names[name] = copied(n)
 	}
@@ -145,20 +145,20 @@
 
 // Restart ends a crash, or makes one, with the outcome given. Files that were
 // open before must not be used any more.
-func (m *Memory) Restart(o Outcome) {
+func (m *Memory) Restart(o CrashOutcome) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.crashed = false
-	if o == Killed {
+	if o == ProcessKilled {
 		return
 	}
 	kept := m.pending
 	switch o {
-	case Lost, NamesLost:
+	case AllLost, NamesLost:
 		kept = nil
-	case Half:
+	case FirstHalfKept:
 		kept = kept[:(len(kept)+1)/2]
-	case Hole:
+	case SecondHalfKept:
 		kept = kept[len(kept)/2:]
 	}
 	for _, c := range kept {
@@ -175,18 +175,18 @@
 }
 
 // after returns the content that a crash leaves.
-func (n *node) after(o Outcome) []byte {
+func (n *node) after(o CrashOutcome) []byte {
 	same := 0
 	for same < min(len(n.data), len(n.stable)) && n.data[same] == n.stable[same] {
 		same++
 	}
 	half := same + (len(n.data)-same)/2
 	switch o {
-	case Lost, ContentsLost:
+	case AllLost, ContentsLost:
 		return n.stable
-	case Half:
+	case FirstHalfKept:
 		return slices.Clone(n.data[:half])
-	case Hole:
+	case SecondHalfKept:
 		b := slices.Clone(n.data)
 		clear(b[same:half])
 		return b
@@ -195,30 +195,30 @@
 }
 
 // begin counts an operation and asks for its fault.
-func (m *Memory) begin(op Op, name string) (Fault, error) {
+func (m *Memory) begin(op Operation, name string) (Fault, error) {
 	if m.names == nil {
 		m.names, m.stable = map[string]*node{}, map[string]*node{}
 	}
 	if m.crashed {
-		return Crash, ErrCrashed
+		return CrashBefore, ErrCrashed
 	}
 	m.count++
-	fault := Well
-	if m.Inject != nil {
-		fault = m.Inject(m.count, op, name)
+	fault := NoFault
+	if m.InjectFault != nil {
+		fault = m.InjectFault(m.count, op, name)
 	}
 	switch fault {
-	case Crash:
+	case CrashBefore:
 		m.crashed = true
 		return fault, ErrCrashed
-	case CrashTorn:
+	case CrashDuring:
 		m.crashed = true
 		return fault, nil
-	case Full:
-		return fault, errors.Mark(errors.New("no space left on device"), ErrFull)
-	case NoFile:
-		return fault, errors.Mark(errors.New("too many open files"), ErrNoFile)
-	case Broken:
+	case DiskFull:
+		return fault, errors.Mark(errors.New("no space left on device"), ErrDiskFull)
+	case TooManyFiles:
+		return fault, errors.Mark(errors.New("too many open files"), ErrTooManyFiles)
+	case IOError:
 		return fault, errBroken
 	}
 	return fault, nil
@@ -226,7 +226,7 @@
 
 // end returns the error of an operation that was done in spite of its fault.
 func end(f Fault) error {
-	if f == CrashTorn {
+	if f == CrashDuring {
 		return ErrCrashed
 	}
 	return nil
@@ -273,7 +273,7 @@
 		return nil, ErrCrashed
 	}
 	if n == nil {
-		return nil, ErrMissing
+		return nil, ErrNotExist
 	}
 	return &memoryFile{m, n, name}, nil
 }
@@ -287,7 +287,7 @@
 		return nil, ErrCrashed
 	}
 	if n == nil {
-		return nil, ErrMissing
+		return nil, ErrNotExist
 	}
 	return slices.Clone(n.data), nil
 }
@@ -319,7 +319,7 @@
 	}
 	n := m.names[from]
 	if n == nil {
-		return ErrMissing
+		return ErrNotExist
 	}
 	m.change(change{name: to, to: n, gone: from})
 	return end(f)
@@ -334,14 +334,14 @@
 		return err
 	}
 	if m.names[name] == nil {
-		return ErrMissing
+		return ErrNotExist
 	}
 	m.change(change{name: name})
 	return end(f)
 }
 
-// Folder does nothing: folders need not be made.
-func (m *Memory) Folder(string) error { return nil }
+// CreateFolder does nothing: folders need not be made.
+func (m *Memory) CreateFolder(string) error { return nil }
 
 // SyncFolder makes the changes of names in a folder last.
 func (m *Memory) SyncFolder(dir string) error {
@@ -364,4 +364,4 @@
 }
 
 // Free returns Room.
-func (m *Memory) Free(string) (uint64, error) { return m.Room, nil }
+func (m *Memory) Free(string) (uint64, error) { return m.FreeBytes, nil }
--- a/internal/replica/disk/memoryfile.go
+++ b/internal/replica/disk/memoryfile.go
@@ -18,10 +18,10 @@
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
 	fault, err := f.m.begin(Write, f.name)
-	if fault == Crash || fault == Broken {
+	if fault == CrashBefore || fault == IOError {
 		return 0, err
 	}
-	if fault != Well {
+	if fault != NoFault {
 		b = b[:len(b)/2]
 	}
 	if short := int(off) + len(b) - len(f.n.data); short > 0 {
@@ -48,7 +48,7 @@
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
 	fault, err := f.m.begin(Sync, f.name)
-	if fault == Full || fault == Broken {
+	if fault == DiskFull || fault == IOError {
 		f.n.lost = true
 	}
 	if err != nil {
--- a/internal/replica/disk/replica_test.go
+++ b/internal/replica/disk/replica_test.go
@@ -38,10 +38,10 @@
 func (h *history) last() journal.Recovered { return h.states[len(h.states)-1] }
 
 // append adds the state that an append makes.
-func (h *history) append(hard *quorum.Hard, entries []quorum.Entry) {
+func (h *history) append(hard *quorum.HardState, entries []quorum.Entry) {
 	next := h.last()
 	if hard != nil {
-		next.Hard = *hard
+		next.HardState = *hard
 	}
 	for _, e := range entries {
 		next.Entries = append(append([]quorum.Entry(nil), next.Entries[:e.Index-1]...), e)
@@ -61,7 +61,7 @@
 }
 
 func (r *replica) config() journal.Config {
-	return journal.Config{Disk: r.disk, SegmentSize: r.size, Reserve: reserve}
+	return journal.Config{Disk: r.disk, SegmentSize: r.size, Preallocation: reserve}
 }
 
 func (r *replica) store() snapshot.Store { return snapshot.Store{Dir: snapshotDir, Disk: r.disk} }
@@ -74,15 +74,15 @@
 
 func appendStep(term, first, last uint64) step {
 	return step{fmt.Sprintf("append %d to %d", first, last), func(r *replica) error {
-		hard := quorum.Hard{Term: term, Vote: fmt.Sprintf("vote of %d", term)}
+		hard := quorum.HardState{Term: term, Vote: fmt.Sprintf("vote of %d", term)}
 		var entries []quorum.Entry
 		for i := first; i <= last; i++ {
-			entries = append(entries, quorum.Entry{Index: i, Term: term, Kind: quorum.Command, Data: fmt.Appendf(nil, "data of %d/%d", term, i)})
+			entries = append(entries, quorum.Entry{Index: i, Term: term, Kind: quorum.EntryCommand, Data: fmt.Appendf(nil, "data of %d/%d", term, i)})
 		}
 		n := len(r.h.states)
 		r.h.append(&hard, entries)
 		err := r.j.Append(&hard, entries)
-		if disk.Passes(err) {
+		if disk.IsRetryable(err) {
 			r.h.states = r.h.states[:n]
 		}
 		return err
@@ -164,7 +164,7 @@
 
 // equal compares what stands after the snapshot, as a restarted replica sees it.
 func equal(a, b journal.Recovered, index uint64) bool {
-	return a.Hard == b.Hard && slices.EqualFunc(after(a.Entries, index), after(b.Entries, index), func(x, y quorum.Entry) bool {
+	return a.HardState == b.HardState && slices.EqualFunc(after(a.Entries, index), after(b.Entries, index), func(x, y quorum.Entry) bool {
 		return x.Index == y.Index && x.Term == y.Term && x.Kind == y.Kind && bytes.Equal(x.Data, y.Data)
 	})
 }
--- a/internal/replica/group/bench_test.go
+++ b/internal/replica/group/bench_test.go
@@ -81,7 +81,7 @@
 		entries := make([]quorum.Entry, len(rs))
 		for i := range rs {
 			index++
-			entries[i] = quorum.Entry{Index: index, Term: 1, Kind: quorum.Command, Data: data}
+			entries[i] = quorum.Entry{Index: index, Term: 1, Kind: quorum.EntryCommand, Data: data}
 		}
 		if err := j.Append(nil, entries); err != nil {
 			b.Error(err)
@@ -109,12 +109,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-g.Notes():
+		case n := <-g.Notifications():
 			switch n := n.(type) {
-			case group.Lead:
-				term, next, committed = n.Term, n.Last+1, n.Last
+			case group.Leading:
+				term, next, committed = n.Term, n.LastIndex+1, n.LastIndex
 				led <- struct{}{}
-			case group.Commit:
+			case group.CommitAdvanced:
 				for _, r := range held[:n.Index-committed] {
 					close(r.done)
 				}
@@ -122,7 +122,7 @@
 			}
 		case r := <-accept:
 			rs := gather(r, in)
-			p := group.Proposal{Term: term, First: next}
+			p := group.Proposal{Term: term, FirstIndex: next}
 			for range rs {
 				p.Commands = append(p.Commands, data)
 			}
@@ -144,12 +144,12 @@
 }
 
 // transport makes the way of one replica to the others, and ends it.
-type transport func(bn *bench, i int, m quorum.Member) (group.Peer, func())
+type transport func(bn *bench, i int, m quorum.Member) (group.Transport, func())
 
 // timers carries messages by timers, 1.5 ms one way.
 func timers() transport {
 	n := newNetwork()
-	return func(bn *bench, i int, m quorum.Member) (group.Peer, func()) {
+	return func(bn *bench, i int, m quorum.Member) (group.Transport, func()) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.groups[m.ID] = bn.groups[i]
@@ -159,7 +159,7 @@
 
 // loopback carries messages by the real calls and counts their bytes.
 func loopback(listeners []net.Listener) transport {
-	return func(bn *bench, i int, m quorum.Member) (group.Peer, func()) {
+	return func(bn *bench, i int, m quorum.Member) (group.Transport, func()) {
 		p := &peer.Pool{Cell: "bench", Self: m.ID, Deliver: bn.groups[i].Receive}
 		server := &http.Server{Handler: p.Handler(), ReadHeaderTimeout: time.Minute}
 		go func() { _ = server.Serve(counted{listeners[i], &bn.bytes[i]}) }()
@@ -209,13 +209,13 @@
 			b.Fatal(err)
 		}
 		g := &group.Group{
-			Config:  quorum.Config{ID: m.ID, Address: m.Address, Seed: uint64(i), Bootstrap: members},
+			Config:  quorum.Config{ID: m.ID, Address: m.Address, Seed: uint64(i), InitialMembers: members},
 			Journal: j, Snapshots: snapshot.Store{Dir: filepath.Join(dir, "snapshot")},
 			Now: func() time.Duration { return time.Since(start) }, Log: logr.Discard(),
 		}
 		bn.groups = append(bn.groups, g)
 		var end func()
-		g.Peer, end = way(bn, i, m)
+		g.Transport, end = way(bn, i, m)
 		ends = append(ends, end)
 	}
 	for _, g := range bn.groups {
@@ -316,7 +316,7 @@
 			go func() {
 				for {
 					select {
-					case <-g.Notes():
+					case <-g.Notifications():
 					case <-g.Done():
 						return
 					}
--- a/internal/replica/group/fake_test.go
+++ b/internal/replica/group/fake_test.go
@@ -18,7 +18,7 @@
 // memory is a journal and a snapshot store that survive their group.
 type memory struct {
 	mu       sync.Mutex
-	hard     quorum.Hard
+	hard     quorum.HardState
 	entries  []quorum.Entry
 	snapshot quorum.Snapshot
 	// broken is what Sync returns, refuse what Append does.
@@ -32,14 +32,14 @@
 	stall   chan struct{}
 }
 
-func (m *memory) Append(hard *quorum.Hard, entries []quorum.Entry) error {
+func (m *memory) Append(hard *quorum.HardState, entries []quorum.Entry) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.refuse != nil {
 		return m.refuse
 	}
 	if n := len(m.entries); n > 0 && len(entries) > 0 && entries[0].Index > m.entries[n-1].Index+1 {
-		return journal.ErrGap
+		return journal.ErrIndexGap
 	}
 	if hard != nil {
 		m.hard = *hard
@@ -76,7 +76,7 @@
 
 func (m *memory) Close() error { return nil }
 
-func (m *memory) Free() (uint64, error) {
+func (m *memory) FreeBytes() (uint64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.free, nil
@@ -99,10 +99,10 @@
 	return nil
 }
 
-func (m *memory) saved() quorum.Saved {
+func (m *memory) saved() quorum.PersistedState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return quorum.Saved{Hard: m.hard, Entries: append([]quorum.Entry(nil), m.entries...), Snapshot: m.snapshot}
+	return quorum.PersistedState{HardState: m.hard, Entries: append([]quorum.Entry(nil), m.entries...), Snapshot: m.snapshot}
 }
 
 // network carries messages with a delay of 1.5 ms; a silent replica gets and
@@ -143,9 +143,9 @@
 	cancel context.CancelFunc
 
 	mu       sync.Mutex
-	lead     *group.Lead
+	lead     *group.Leading
 	next     uint64
-	follow   group.Follow
+	follow   group.Following
 	state    []string
 	mine     map[uint64]string
 	commit   uint64
@@ -162,9 +162,9 @@
 	t.Helper()
 	r := &replica{disk: disk, err: make(chan error, 1), mine: map[uint64]string{}}
 	r.g = &group.Group{
-		Config:  quorum.Config{ID: id, Address: id, Seed: uint64(len(id) + int(id[0])), Bootstrap: bootstrap},
-		Saved:   disk.saved(),
-		Journal: disk, Snapshots: disk, Peer: link{n, id},
+		Config:    quorum.Config{ID: id, Address: id, Seed: uint64(len(id) + int(id[0])), InitialMembers: bootstrap},
+		Recovered: disk.saved(),
+		Journal:   disk, Snapshots: disk, Transport: link{n, id},
 		Now: func() time.Duration { return time.Since(start) },
 		Log: logr.Discard(),
 	}
@@ -184,50 +184,50 @@
 		select {
 		case <-r.g.Done():
 			return
-		case n := <-r.g.Notes():
+		case n := <-r.g.Notifications():
 			r.take(n)
 		}
 	}
 }
 
-func (r *replica) take(n group.Note) {
+func (r *replica) take(n group.Notification) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch n := n.(type) {
-	case group.Lead:
-		r.lead, r.next = &n, n.Last+1
-	case group.Follow:
+	case group.Leading:
+		r.lead, r.next = &n, n.LastIndex+1
+	case group.Following:
 		if r.lead != nil {
 			r.mine = map[uint64]string{}
 			go r.g.Reload()
 		}
 		r.lead, r.follow = nil, n
-	case group.Apply:
+	case group.ApplyEntries:
 		for _, e := range n.Entries {
 			r.apply(e)
 		}
-	case group.Commit:
+	case group.CommitAdvanced:
 		for r.commit < n.Index {
-			r.apply(quorum.Entry{Index: r.commit + 1, Kind: quorum.Command, Data: []byte(r.mine[r.commit+1])})
+			r.apply(quorum.Entry{Index: r.commit + 1, Kind: quorum.EntryCommand, Data: []byte(r.mine[r.commit+1])})
 		}
-	case group.Confirmed:
-		r.confirm = n.Start
-	case group.Restore:
+	case group.LeadershipConfirmed:
+		r.confirm = n.StartedAt
+	case group.RestoreSnapshot:
 		r.restores++
 		r.state, r.commit = nil, n.Index
 		if len(n.State) > 0 {
 			r.state = []string{string(n.State)}
 		}
-	case group.Members:
+	case group.MembershipChanged:
 		r.members = n.Members
-	case group.Full:
+	case group.JournalDiskFull:
 		r.full = n.Full
 	}
 }
 
 func (r *replica) apply(e quorum.Entry) {
 	r.commit = e.Index
-	if e.Kind == quorum.Command && len(e.Data) > 0 {
+	if e.Kind == quorum.EntryCommand && len(e.Data) > 0 {
 		r.state = append(r.state, string(e.Data))
 	}
 }
@@ -240,7 +240,7 @@
 		return false
 	}
 	for _, c := range commands {
-		if !r.g.Propose(group.Proposal{Term: r.lead.Term, First: r.next, Commands: [][]byte{[]byte(c)}}) {
+		if !r.g.Propose(group.Proposal{Term: r.lead.Term, FirstIndex: r.next, Commands: [][]byte{[]byte(c)}}) {
 			return false
 		}
 		r.mine[r.next] = c
@@ -252,7 +252,7 @@
 func (r *replica) change(m quorum.Member, remove bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.g.Propose(group.Proposal{Term: r.lead.Term, First: r.next, Change: &m, Remove: remove})
+	r.g.Propose(group.Proposal{Term: r.lead.Term, FirstIndex: r.next, Member: &m, RemoveMember: remove})
 	r.next++
 }
 
--- a/internal/replica/group/group.go
+++ b/internal/replica/group/group.go
@@ -15,11 +15,11 @@
 
 // Defaults and bounds of a group.
 const (
-	// DefaultTick is the resolution of the timers.
-	DefaultTick = 10 * time.Millisecond
-	// DefaultFree is the room on the journal's disk below which the group is
+	// DefaultTickInterval is the resolution of the timers.
+	DefaultTickInterval = 10 * time.Millisecond
+	// DefaultMinFreeBytes is the room on the journal's disk below which the group is
 	// full, in bytes.
-	DefaultFree = 256 << 20
+	DefaultMinFreeBytes = 256 << 20
 	// maxProposals is how many proposals wait for the group.
 	maxProposals = 256
 	// maxInbox is how many messages of other replicas wait for the group.
@@ -42,33 +42,33 @@
 var (
 	// ErrStopped tells that the group no longer runs.
 	ErrStopped = errors.New("group stopped")
-	// ErrAlone tells that there is no other voter to hand over to.
-	ErrAlone = errors.New("no other voter to hand over to")
+	// ErrNoOtherVoter tells that there is no other voter to hand over to.
+	ErrNoOtherVoter = errors.New("no other voter to hand over to")
 )
 
 // Journal is the log on the disk.
 type Journal interface {
 	// Append writes without syncing. An entry with an index that is present
 	// replaces it and everything after it. disk.ErrFull leaves the journal as it was.
-	Append(hard *quorum.Hard, entries []quorum.Entry) error
+	Append(hard *quorum.HardState, entries []quorum.Entry) error
 	Sync() error
 	// Compact may forget entries up to index. A journal that ends there is empty
 	// afterwards and goes on with any index.
 	Compact(index uint64) error
 	Close() error
-	// Free gives the room on the disk in bytes.
-	Free() (uint64, error)
+	// FreeBytes gives the room on the disk in bytes.
+	FreeBytes() (uint64, error)
 }
 
-// Snapshots stores snapshots.
-type Snapshots interface {
+// SnapshotStore stores snapshots.
+type SnapshotStore interface {
 	// Save returns once the snapshot is synced. After an error the one before it is
 	// still there.
 	Save(meta snapshot.Meta, state []byte) error
 }
 
-// Peer carries messages to the other replicas.
-type Peer interface {
+// Transport carries messages to the other replicas.
+type Transport interface {
 	// Send never blocks; messages that find no room are dropped.
 	Send(to, address string, data [][]byte)
 }
@@ -77,19 +77,19 @@
 type Group struct {
 	// Config is that of the core: identity, address, timeouts, seed, bootstrap.
 	Config quorum.Config
-	// Saved is what the journal and the snapshots held at the start.
-	Saved     quorum.Saved
+	// Recovered is what the journal and the snapshots held at the start.
+	Recovered quorum.PersistedState
 	Journal   Journal
-	Snapshots Snapshots
-	Peer      Peer
+	Snapshots SnapshotStore
+	Transport Transport
 	// Now is a monotonic clock.
-	Now  func() time.Duration
-	Tick time.Duration
-	// Free is the room on the disk that the group wants left, in bytes.
-	Free uint64
-	// Meters receives the metrics; nil for none.
-	Meters *metrics.Set
-	Log    logr.Logger
+	Now          func() time.Duration
+	TickInterval time.Duration
+	// MinFreeBytes is the room on the disk that the group wants left, in bytes.
+	MinFreeBytes uint64
+	// Metrics receives the metrics; nil for none.
+	Metrics *metrics.Set
+	Log     logr.Logger
 
 	once      sync.Once
 	proposals chan Proposal
@@ -97,7 +97,7 @@
 	asks      chan ask
 	confirms  chan struct{}
 	synced    chan outcome
-	writes    chan quorum.Write
+	writes    chan quorum.JournalWrite
 	drops     chan uint64
 	saves     chan quorum.Snapshot
 	full      chan bool
@@ -137,13 +137,13 @@
 		g.asks = make(chan ask)
 		g.confirms = make(chan struct{}, 1)
 		g.synced = make(chan outcome, 4)
-		g.writes = make(chan quorum.Write, 1)
+		g.writes = make(chan quorum.JournalWrite, 1)
 		g.drops = make(chan uint64, 1)
 		g.saves = make(chan quorum.Snapshot, 1)
 		g.full = make(chan bool, 1)
 		g.done = make(chan struct{})
 		g.notes = newOutbox()
-		g.meter = newMeters(g.Meters)
+		g.meter = newMeters(g.Metrics)
 	})
 }
 
@@ -153,8 +153,8 @@
 	return g.done
 }
 
-// Notes are what the control thread has to know, in order.
-func (g *Group) Notes() <-chan Note {
+// Notifications are what the control thread has to know, in order.
+func (g *Group) Notifications() <-chan Notification {
 	g.init()
 	return g.notes.out
 }
@@ -171,8 +171,8 @@
 	}
 }
 
-// Confirm asks for a heartbeat round that begins now or later.
-func (g *Group) Confirm() {
+// ConfirmLeadership asks for a heartbeat round that begins now or later.
+func (g *Group) ConfirmLeadership() {
 	g.init()
 	select {
 	case g.confirms <- struct{}{}:
@@ -184,7 +184,7 @@
 // Messages that find no room are dropped, as if the network had lost them.
 func (g *Group) Receive(from string, data []byte) {
 	g.init()
-	m, err := quorum.Decode(g.Config.ID, from, data)
+	m, err := quorum.DecodeMessage(g.Config.ID, from, data)
 	if err != nil {
 		g.Log.V(1).Info("message dropped", "from", from, "error", err.Error())
 		return
@@ -215,8 +215,8 @@
 	}
 }
 
-// Transfer returns when this replica does not lead any more, or with an error.
-func (g *Group) Transfer(ctx context.Context) error {
+// TransferLeadership returns when this replica does not lead any more, or with an error.
+func (g *Group) TransferLeadership(ctx context.Context) error {
 	done := make(chan error, 1)
 	if !g.put(transferAsk{done}) {
 		return ErrStopped
--- a/internal/replica/group/group_test.go
+++ b/internal/replica/group/group_test.go
@@ -141,7 +141,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		began := time.Now()
-		if err := l.g.Transfer(ctx); err != nil {
+		if err := l.g.TransferLeadership(ctx); err != nil {
 			t.Fatal(err)
 		}
 		if took := time.Since(began); took > 100*time.Millisecond {
@@ -178,7 +178,7 @@
 func TestFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, d := alone(t)
-		d.set(func() { d.refuse, d.free = disk.ErrFull, 0 })
+		d.set(func() { d.refuse, d.free = disk.ErrDiskFull, 0 })
 		r.propose("x")
 		time.Sleep(3 * time.Second)
 		if got, leading := r.view(); len(got) != 0 || !leading || !r.full {
@@ -211,7 +211,7 @@
 		rs[away].cancel()
 		<-rs[away].g.Done()
 		big := strings.Repeat("x", 1<<20)
-		for range 2 * quorum.DefaultTail >> 20 {
+		for range 2 * quorum.DefaultLogTailBytes >> 20 {
 			l.propose(big)
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -247,7 +247,7 @@
 		r.Reload()
 		var got []string
 		for len(got) == 0 || got[len(got)-1] != "group.Lead" {
-			got = append(got, fmt.Sprintf("%T", <-r.Notes()))
+			got = append(got, fmt.Sprintf("%T", <-r.Notifications()))
 		}
 		want := []string{"group.Follow", "group.Follow", "group.Members", "group.Restore", "group.Apply", "group.Lead"}
 		if d := cmp.Diff(want, got); d != "" {
@@ -261,8 +261,8 @@
 	t.Helper()
 	d, n, self := roomy(), newNetwork(), quorum.Member{ID: "a/1", Address: "a/1"}
 	g := &group.Group{
-		Config:  quorum.Config{ID: self.ID, Address: self.Address, Seed: 1, Bootstrap: []quorum.Member{self}},
-		Journal: d, Snapshots: d, Peer: link{n, self.ID},
+		Config:  quorum.Config{ID: self.ID, Address: self.Address, Seed: 1, InitialMembers: []quorum.Member{self}},
+		Journal: d, Snapshots: d, Transport: link{n, self.ID},
 		Now: func() time.Duration { return time.Since(start) }, Log: logr.Discard(),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/replica/group/meter.go
+++ b/internal/replica/group/meter.go
@@ -45,7 +45,7 @@
 func (m *meters) received(a arrival, now time.Duration) {
 	m.wait.Update((now - a.at).Seconds())
 	switch a.Kind {
-	case quorum.Heartbeat, quorum.Append, quorum.Chunk:
+	case quorum.Heartbeat, quorum.AppendEntries, quorum.SnapshotChunk:
 		if m.heard > 0 {
 			m.gap.Update((a.at - m.heard).Seconds())
 		}
@@ -58,7 +58,7 @@
 func (g *Group) confirmed(start time.Duration) {
 	took := g.Now() - start
 	g.meter.round.Update(took.Seconds())
-	if election := g.Config.Election; election > 0 && took > election/lateParts {
+	if election := g.Config.ElectionTimeout; election > 0 && took > election/lateParts {
 		g.meter.limit.Log(g.Log, event.RoundLate, "took", took.String(), "election", election.String())
 	}
 }
--- a/internal/replica/group/outbox.go
+++ b/internal/replica/group/outbox.go
@@ -10,7 +10,7 @@
 // never waits for a control thread that waits for the group; what would pile up
 // while the control thread is busy is merged.
 type outbox struct {
-	out chan Note
+	out chan Notification
 	// changed and reset make run look at the queue again; reset waits for it.
 	changed chan struct{}
 	reset   chan struct{}
@@ -24,17 +24,17 @@
 // queued is a note with a number, which a merge changes.
 type queued struct {
 	seq  uint64
-	note Note
+	note Notification
 }
 
 func newOutbox() *outbox {
 	return &outbox{
-		out: make(chan Note), changed: make(chan struct{}, 1),
+		out: make(chan Notification), changed: make(chan struct{}, 1),
 		reset: make(chan struct{}), stopped: make(chan struct{}),
 	}
 }
 
-func (o *outbox) put(n Note) {
+func (o *outbox) put(n Notification) {
 	o.mu.Lock()
 	if len(o.queue) == 0 && o.direct(n) {
 		o.mu.Unlock()
@@ -56,7 +56,7 @@
 
 // direct hands a note to a control thread that is waiting for one, which saves a
 // change of goroutine. With an empty queue, no earlier note is on its way.
-func (o *outbox) direct(n Note) bool {
+func (o *outbox) direct(n Notification) bool {
 	select {
 	case o.out <- n:
 		return true
@@ -67,15 +67,15 @@
 
 // mergeable gives the place of an older Commit or Confirmed that n replaces, if
 // only the other kind stands between them; all else keeps its order.
-func (o *outbox) mergeable(n Note) int {
+func (o *outbox) mergeable(n Notification) int {
 	for i := len(o.queue) - 1; i >= max(0, len(o.queue)-2); i-- {
 		switch old := o.queue[i].note.(type) {
-		case Commit:
-			if _, ok := n.(Commit); ok {
+		case CommitAdvanced:
+			if _, ok := n.(CommitAdvanced); ok {
 				return i
 			}
-		case Confirmed:
-			if c, ok := n.(Confirmed); ok && c.Term == old.Term {
+		case LeadershipConfirmed:
+			if c, ok := n.(LeadershipConfirmed); ok && c.Term == old.Term {
 				return i
 			}
 		default:
@@ -90,7 +90,7 @@
 	o.mu.Lock()
 	o.queue = slices.DeleteFunc(o.queue, func(q queued) bool {
 		switch q.note.(type) {
-		case Apply, Commit, Confirmed, Lead, Restore:
+		case ApplyEntries, CommitAdvanced, LeadershipConfirmed, Leading, RestoreSnapshot:
 			return true
 		}
 		return false
--- a/internal/replica/group/run.go
+++ b/internal/replica/group/run.go
@@ -25,19 +25,19 @@
 	defer wg.Wait()
 	defer cancel()
 	wg.Go(func() { g.notes.run(ctx) })
-	j := journalist{Group: g, last: last(g.Saved.Entries)}
+	j := journalist{Group: g, last: last(g.Recovered.Entries)}
 	wg.Go(func() { j.run(ctx) })
 	wg.Go(func() { g.snapshot(ctx) })
-	g.core = quorum.New(g.Config, g.Saved)
-	g.Saved = quorum.Saved{}
-	g.step(quorum.Reload{})
+	g.core = quorum.New(g.Config, g.Recovered)
+	g.Recovered = quorum.PersistedState{}
+	g.step(quorum.ReloadState{})
 	return g.loop(ctx)
 }
 
 func (g *Group) loop(ctx context.Context) error {
-	tick := g.Tick
+	tick := g.TickInterval
 	if tick == 0 {
-		tick = DefaultTick
+		tick = DefaultTickInterval
 	}
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
@@ -60,9 +60,9 @@
 			}
 			g.step(o.ev)
 		case <-g.confirms:
-			g.step(quorum.Confirm{})
+			g.step(quorum.ConfirmLeadership{})
 		case full := <-g.full:
-			g.notes.put(Full{Full: full})
+			g.notes.put(JournalDiskFull{Full: full})
 		case a := <-g.asks:
 			g.answer(a)
 		}
@@ -72,7 +72,7 @@
 // acceptable is the queue of proposals, or nil while they have to wait: during a
 // transfer, and when too much waits for a quorum.
 func (g *Group) acceptable() <-chan Proposal {
-	if g.core.Transferring() || g.core.Uncommitted() > maxUncommitted {
+	if g.core.Transferring() || g.core.UncommittedBytes() > maxUncommitted {
 		return nil
 	}
 	return g.proposals
@@ -80,17 +80,17 @@
 
 // propose hands on a proposal together with those that follow it without a gap.
 func (g *Group) propose(p Proposal) {
-	if p.Change != nil {
-		g.step(quorum.Alter{Term: p.Term, First: p.First, Member: *p.Change, Remove: p.Remove})
+	if p.Member != nil {
+		g.step(quorum.ChangeMembership{Term: p.Term, Index: p.FirstIndex, Member: *p.Member, Remove: p.RemoveMember})
 		return
 	}
-	ev := quorum.Propose{Term: p.Term, First: p.First, Commands: p.Commands}
+	ev := quorum.Propose{Term: p.Term, FirstIndex: p.FirstIndex, Commands: p.Commands}
 	for range maxBatch {
 		next, ok := g.next()
 		if !ok {
 			break
 		}
-		if next.Change != nil || next.Term != ev.Term || next.First != ev.First+uint64(len(ev.Commands)) {
+		if next.Member != nil || next.Term != ev.Term || next.FirstIndex != ev.FirstIndex+uint64(len(ev.Commands)) {
 			g.step(ev)
 			g.propose(next)
 			return
@@ -116,7 +116,7 @@
 	case reloadAsk:
 		g.notes.forget()
 		defer close(a.done)
-		g.step(quorum.Reload{})
+		g.step(quorum.ReloadState{})
 	case transferAsk:
 		g.transfers = append(g.transfers, a.done)
 		g.transfer()
@@ -135,9 +135,9 @@
 	case !s.Leading:
 		g.transferred(nil)
 	case s.Voters == 1:
-		g.transferred(ErrAlone)
+		g.transferred(ErrNoOtherVoter)
 	case !g.core.Transferring():
-		g.step(quorum.Transfer{})
+		g.step(quorum.TransferLeadership{})
 	}
 }
 
@@ -154,13 +154,13 @@
 	if fx.Write != nil {
 		g.writes <- *fx.Write
 	}
-	if fx.Save != nil {
-		g.saves <- *fx.Save
+	if fx.SaveSnapshot != nil {
+		g.saves <- *fx.SaveSnapshot
 	}
-	if fx.Drop > 0 {
-		g.drop(fx.Drop)
+	if fx.DropJournalUpTo > 0 {
+		g.drop(fx.DropJournalUpTo)
 	}
-	g.send(fx.Out)
+	g.send(fx.Messages)
 	for _, r := range fx.Reports {
 		g.notes.put(g.note(r))
 	}
@@ -176,7 +176,7 @@
 }
 
 // send hands the messages to the peers, those for one replica together.
-func (g *Group) send(out []quorum.Outgoing) {
+func (g *Group) send(out []quorum.OutgoingMessage) {
 	for len(out) > 0 {
 		to, address := out[0].Message.To, out[0].Address
 		var data [][]byte
@@ -187,34 +187,34 @@
 				n++
 				continue
 			}
-			if b, err := quorum.Encode(o.Message); err == nil {
+			if b, err := quorum.EncodeMessage(o.Message); err == nil {
 				data = append(data, b)
 			}
 		}
 		out = out[:n]
 		if address != "" {
-			g.Peer.Send(to, address, data)
+			g.Transport.Send(to, address, data)
 		}
 	}
 }
 
-func (g *Group) note(r quorum.Report) Note {
+func (g *Group) note(r quorum.Report) Notification {
 	switch r := r.(type) {
-	case quorum.Led:
-		return Lead{Term: r.Term, Last: r.Last, Elected: r.Elected}
-	case quorum.Followed:
-		return Follow{Term: r.Term, Leader: r.Leader, Address: r.Address}
-	case quorum.Applied:
-		return Apply{Entries: r.Entries}
-	case quorum.Committed:
-		return Commit{Index: r.Index}
-	case quorum.RoundConfirmed:
-		g.confirmed(r.Start)
-		return Confirmed{Term: r.Term, Start: r.Start}
-	case quorum.Restored:
-		return Restore{Index: r.Index, State: r.State}
-	case quorum.MembersChanged:
-		return Members{Members: r.Members, Self: g.Config.ID}
+	case quorum.BecameLeader:
+		return Leading{Term: r.Term, LastIndex: r.LastIndex, ElectedAt: r.ElectedAt}
+	case quorum.BecameFollower:
+		return Following{Term: r.Term, Leader: r.Leader, LeaderAddress: r.LeaderAddress}
+	case quorum.EntriesCommitted:
+		return ApplyEntries{Entries: r.Entries}
+	case quorum.CommitAdvanced:
+		return CommitAdvanced{Index: r.Index}
+	case quorum.LeadershipConfirmed:
+		g.confirmed(r.RoundStartedAt)
+		return LeadershipConfirmed{Term: r.Term, StartedAt: r.RoundStartedAt}
+	case quorum.StateRestored:
+		return RestoreSnapshot{Index: r.Index, State: r.State}
+	case quorum.MembershipChanged:
+		return MembershipChanged{Members: r.Members, Self: g.Config.ID}
 	}
 	panic(errors.Newf("group: report %T", r))
 }
--- a/internal/replica/group/save_test.go
+++ b/internal/replica/group/save_test.go
@@ -15,8 +15,8 @@
 // although its log holds all that the snapshot would.
 func TestUnsavedSnapshotEndsNothing(t *testing.T) {
 	for _, cause := range []error{
-		errors.Mark(errors.New("too many open files"), disk.ErrNoFile),
-		errors.Mark(errors.New("no space left on device"), disk.ErrFull),
+		errors.Mark(errors.New("too many open files"), disk.ErrTooManyFiles),
+		errors.Mark(errors.New("no space left on device"), disk.ErrDiskFull),
 		errors.New("input/output error"),
 	} {
 		t.Run(cause.Error(), func(t *testing.T) {
--- a/internal/replica/group/store.go
+++ b/internal/replica/group/store.go
@@ -39,7 +39,7 @@
 			return
 		case w := <-j.writes:
 			if err = j.write(ctx, w); err == nil {
-				j.synced <- outcome{ev: quorum.Synced{Seq: w.Seq}}
+				j.synced <- outcome{ev: quorum.WriteSynced{Seq: w.Seq}}
 			}
 		case index := <-j.drops:
 			err = j.compact(index)
@@ -61,16 +61,16 @@
 
 // write writes and syncs once. After a failed sync nobody knows what the disk
 // holds, and a second try may pass without having written: the group ends.
-func (j *journalist) write(ctx context.Context, w quorum.Write) error {
+func (j *journalist) write(ctx context.Context, w quorum.JournalWrite) error {
 	if err := j.rebase(w.Entries); err != nil {
 		return err
 	}
 	for {
-		err := j.Journal.Append(w.Hard, w.Entries)
+		err := j.Journal.Append(w.HardState, w.Entries)
 		if err == nil {
 			break
 		}
-		if !disk.Passes(err) {
+		if !disk.IsRetryable(err) {
 			return errors.Wrap(err, "append to the journal")
 		}
 		if err := j.wait(ctx); err != nil {
@@ -94,7 +94,7 @@
 
 func (j *journalist) compact(index uint64) error {
 	err := j.Journal.Compact(index)
-	if disk.Passes(err) {
+	if disk.IsRetryable(err) {
 		// Nothing hangs on it: the next snapshot tries again.
 		return nil
 	}
@@ -123,13 +123,13 @@
 
 // look tells the loop when the disk got full, or got room again.
 func (j *journalist) look() {
-	free, err := j.Journal.Free()
+	free, err := j.Journal.FreeBytes()
 	if err != nil {
 		return
 	}
-	want := j.Free
+	want := j.MinFreeBytes
 	if want == 0 {
-		want = DefaultFree
+		want = DefaultMinFreeBytes
 	}
 	j.tell(free < want)
 }
@@ -168,9 +168,9 @@
 		}
 		select {
 		case <-ctx.Done():
-			return quorum.SnapshotFailed{Index: s.Index}
+			return quorum.SnapshotSaveFailed{Index: s.Index}
 		case <-time.After(savePause << try):
 		}
 	}
-	return quorum.SnapshotFailed{Index: s.Index}
+	return quorum.SnapshotSaveFailed{Index: s.Index}
 }
--- a/internal/replica/journal/bench_test.go
+++ b/internal/replica/journal/bench_test.go
@@ -18,7 +18,7 @@
 func batchFrom(first uint64, n int) []quorum.Entry {
 	entries := make([]quorum.Entry, n)
 	for i := range entries {
-		entries[i] = quorum.Entry{Index: first + uint64(i), Term: 1, Kind: quorum.Command, Data: make([]byte, payload)}
+		entries[i] = quorum.Entry{Index: first + uint64(i), Term: 1, Kind: quorum.EntryCommand, Data: make([]byte, payload)}
 	}
 	return entries
 }
--- a/internal/replica/journal/frame.go
+++ b/internal/replica/journal/frame.go
@@ -44,7 +44,7 @@
 	// mark is the size of the segment that was synced before the frame was
 	// written: damage below it is no torn tail.
 	mark uint64
-	hard *quorum.Hard
+	hard *quorum.HardState
 	// reset tells that the entries go on from a snapshot, not from those before.
 	reset   bool
 	entries []quorum.Entry
@@ -81,7 +81,7 @@
 	return d.Sum64()
 }
 
-func encodeHard(h quorum.Hard) []byte {
+func encodeHard(h quorum.HardState) []byte {
 	b := protowire.AppendTag(nil, fieldTerm, protowire.VarintType)
 	b = protowire.AppendVarint(b, h.Term)
 	b = protowire.AppendTag(b, fieldVote, protowire.BytesType)
@@ -126,7 +126,7 @@
 // decodeRecord reads a record; its entries do not share memory with b.
 func decodeRecord(b []byte) (record, error) {
 	var r record
-	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
+	err := wire.VisitFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fieldMark:
 			r.mark = v
@@ -146,9 +146,9 @@
 	return r, err
 }
 
-func decodeHard(b []byte) (quorum.Hard, error) {
-	var h quorum.Hard
-	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
+func decodeHard(b []byte) (quorum.HardState, error) {
+	var h quorum.HardState
+	err := wire.VisitFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fieldTerm:
 			h.Term = v
@@ -162,14 +162,14 @@
 
 func decodeEntry(b []byte) (quorum.Entry, error) {
 	var e quorum.Entry
-	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
+	err := wire.VisitFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fieldIndex:
 			e.Index = v
 		case fieldEntryTerm:
 			e.Term = v
 		case fieldKind:
-			e.Kind = quorum.Kind(v)
+			e.Kind = quorum.EntryKind(v)
 		case fieldData:
 			if len(data) > 0 {
 				e.Data = append([]byte(nil), data...)
--- a/internal/replica/journal/fuzz_test.go
+++ b/internal/replica/journal/fuzz_test.go
@@ -20,7 +20,7 @@
 		must(t, err)
 		_, err = file.WriteAt(b, 0)
 		must(t, err)
-		c := journal.Config{Disk: m, Reserve: 100}
+		c := journal.Config{Disk: m, Preallocation: 100}
 		j, first, err := c.Open("/j")
 		if err != nil {
 			return
@@ -31,10 +31,10 @@
 		}
 		must(t, j.Append(nil, []quorum.Entry{next}))
 		must(t, j.Sync())
-		m.Restart(disk.Lost)
+		m.Restart(disk.AllLost)
 		_, second, err := c.Open("/j")
 		must(t, err)
-		first.Entries, first.Torn = append(first.Entries, next), false
+		first.Entries, first.TornTail = append(first.Entries, next), false
 		if diff := cmp.Diff(first, second, cmpopts.EquateEmpty()); diff != "" {
 			t.Error(diff)
 		}
--- a/internal/replica/journal/journal.go
+++ b/internal/replica/journal/journal.go
@@ -13,14 +13,14 @@
 
 // Sizes in bytes.
 const (
-	// SegmentSize is the size from which on a new segment is begun.
-	SegmentSize = 16 << 20
-	// MaxEntry bounds the data of one entry.
-	MaxEntry = 16 << 20
-	// Reserve is what a segment is lengthened by, in zeros, when it has no room.
+	// DefaultSegmentSize is the size from which on a new segment is begun.
+	DefaultSegmentSize = 16 << 20
+	// MaxEntrySize bounds the data of one entry.
+	MaxEntrySize = 16 << 20
+	// DefaultPreallocation is what a segment is lengthened by, in zeros, when it has no room.
 	// Overwriting synced zeros leaves the file's length alone, so that most
 	// syncs need not write it.
-	Reserve = 512 << 10
+	DefaultPreallocation = 512 << 10
 	// maxBatch is the size from which on entries go into a further frame.
 	maxBatch = 1 << 20
 	// retryParts is the part of a segment's size that is appended before a segment
@@ -34,11 +34,11 @@
 	Disk disk.Disk
 	// SegmentSize in bytes; the constant of that name when 0.
 	SegmentSize int64
-	// Reserve in bytes; the constant of that name when 0, none when negative.
-	Reserve int64
-	// PutOff is told of what could not be done now and is tried again later, and
+	// Preallocation in bytes; the constant of that name when 0, none when negative.
+	Preallocation int64
+	// OnRollPostponed is told of what could not be done now and is tried again later, and
 	// why; nil for nobody. It must not block.
-	PutOff func(error)
+	OnRollPostponed func(error)
 }
 
 // Journal is an open journal. Append and Sync may be called at the same time
@@ -61,7 +61,7 @@
 	synced   int64
 	// reserved is the length of the file; zeros follow from size on.
 	reserved int64
-	hard     quorum.Hard
+	hard     quorum.HardState
 	last     uint64
 	// due is the size from which on the next segment is begun, and puts how often
 	// that was put off.
@@ -80,21 +80,21 @@
 // Open reads the journal in dir and makes it ready for appending. A torn tail is
 // cut off; damage before it is a DamageError.
 func (c Config) Open(dir string) (*Journal, Recovered, error) {
-	j := &Journal{disk: c.Disk, dir: dir, limit: c.SegmentSize, told: c.PutOff}
+	j := &Journal{disk: c.Disk, dir: dir, limit: c.SegmentSize, told: c.OnRollPostponed}
 	if j.disk == nil {
-		j.disk = disk.System{}
+		j.disk = disk.OS{}
 	}
 	if j.limit == 0 {
-		j.limit = SegmentSize
+		j.limit = DefaultSegmentSize
 	}
-	if c.Reserve == 0 {
-		c.Reserve = Reserve
+	if c.Preallocation == 0 {
+		c.Preallocation = DefaultPreallocation
 	}
 	j.due = j.limit
 	if j.told == nil {
 		j.told = func(error) {}
 	}
-	j.zeros = make([]byte, max(c.Reserve, 0))
+	j.zeros = make([]byte, max(c.Preallocation, 0))
 	r, err := j.recover()
 	if err != nil {
 		return nil, Recovered{}, errors.Wrap(err, "open the journal")
@@ -104,7 +104,7 @@
 
 // recover reads all segments and opens the newest.
 func (j *Journal) recover() (Recovered, error) {
-	if err := j.disk.Folder(j.dir); err != nil {
+	if err := j.disk.CreateFolder(j.dir); err != nil {
 		return Recovered{}, err
 	}
 	names, err := j.disk.List(j.dir)
@@ -117,7 +117,7 @@
 	for i, number := range numbers {
 		name := segmentName(j.dir, number)
 		if i > 0 && number != numbers[i-1]+1 {
-			return Recovered{}, &DamageError{File: name, Why: "a segment before it is missing"}
+			return Recovered{}, &CorruptionError{File: name, Reason: "a segment before it is missing"}
 		}
 		b, err := j.disk.Read(name)
 		if err != nil {
@@ -128,11 +128,11 @@
 		}
 		end.size = int64(len(b))
 	}
-	j.segments, j.hard = r.segments, r.Hard
+	j.segments, j.hard = r.segments, r.HardState
 	if n := len(r.Entries); n > 0 {
 		j.last = r.Entries[n-1].Index
 	}
-	r.New, r.Torn = len(numbers) == 0, end.torn
+	r.New, r.TornTail = len(numbers) == 0, end.torn
 	return r.Recovered, j.reopen(end)
 }
 
@@ -168,7 +168,7 @@
 // Append writes a changed hard state and entries; they last once Sync returned.
 // An entry whose index is already present ends everything from it on. ErrFull,
 // ErrNoFile, ErrGap and ErrTooLarge leave the journal as it was; other errors break it.
-func (j *Journal) Append(hard *quorum.Hard, entries []quorum.Entry) error {
+func (j *Journal) Append(hard *quorum.HardState, entries []quorum.Entry) error {
 	if hard == nil && len(entries) == 0 {
 		return nil
 	}
@@ -207,10 +207,10 @@
 		e := &entries[i]
 		follows := e.Index == next || i == 0 && (e.Index < next || j.last == 0 || j.resets(entries))
 		if e.Index == 0 || !follows {
-			return errors.Wrapf(ErrGap, "entry %d after %d", e.Index, next-1)
+			return errors.Wrapf(ErrIndexGap, "entry %d after %d", e.Index, next-1)
 		}
-		if len(e.Data) > MaxEntry {
-			return errors.Wrapf(ErrTooLarge, "entry %d has %d bytes, at most %d", e.Index, len(e.Data), MaxEntry)
+		if len(e.Data) > MaxEntrySize {
+			return errors.Wrapf(ErrEntryTooLarge, "entry %d has %d bytes, at most %d", e.Index, len(e.Data), MaxEntrySize)
 		}
 		next = e.Index + 1
 	}
@@ -224,7 +224,7 @@
 }
 
 // encode adds the frames of an append to b.
-func (j *Journal) encode(b []byte, hard *quorum.Hard, entries []quorum.Entry, reset bool) []byte {
+func (j *Journal) encode(b []byte, hard *quorum.HardState, entries []quorum.Entry, reset bool) []byte {
 	for first := true; first || len(entries) > 0; first = false {
 		n, size := 0, 0
 		for n < len(entries) && (n == 0 || size+len(entries[n].Data) <= maxBatch) {
@@ -244,7 +244,7 @@
 func (j *Journal) write(b []byte) error {
 	if j.size+int64(len(b)) > j.reserved && len(j.zeros) > 0 {
 		done, err := j.put(append(b, j.zeros...), len(b))
-		if done || !errors.Is(err, ErrFull) {
+		if done || !errors.Is(err, ErrDiskFull) {
 			return err
 		}
 	}
@@ -260,7 +260,7 @@
 		j.size += int64(n)
 		return true, nil
 	}
-	if !errors.Is(err, ErrFull) {
+	if !errors.Is(err, ErrDiskFull) {
 		return false, j.fail("write", err)
 	}
 	if cut := j.file.Truncate(j.size); cut != nil {
@@ -321,5 +321,5 @@
 	return err
 }
 
-// Free returns the free space on the disk of the journal, in bytes.
-func (j *Journal) Free() (uint64, error) { return j.disk.Free(j.dir) }
+// FreeBytes returns the free space on the disk of the journal, in bytes.
+func (j *Journal) FreeBytes() (uint64, error) { return j.disk.Free(j.dir) }
--- a/internal/replica/journal/journal_test.go
+++ b/internal/replica/journal/journal_test.go
@@ -18,7 +18,7 @@
 func run(term, first, last uint64) []quorum.Entry {
 	var entries []quorum.Entry
 	for i := first; i <= last; i++ {
-		entries = append(entries, quorum.Entry{Index: i, Term: term, Kind: quorum.Command, Data: fmt.Appendf(nil, "%d/%d", term, i)})
+		entries = append(entries, quorum.Entry{Index: i, Term: term, Kind: quorum.EntryCommand, Data: fmt.Appendf(nil, "%d/%d", term, i)})
 	}
 	return entries
 }
@@ -47,13 +47,13 @@
 			if diff := cmp.Diff(journal.Recovered{New: true}, r); diff != "" {
 				t.Fatal(diff)
 			}
-			must(t, j.Append(&quorum.Hard{Term: 1, Vote: "a/1"}, run(1, 1, 9)))
+			must(t, j.Append(&quorum.HardState{Term: 1, Vote: "a/1"}, run(1, 1, 9)))
 			must(t, j.Append(nil, run(1, 10, 20)))
-			must(t, j.Append(&quorum.Hard{Term: 2}, run(2, 5, 7)))
+			must(t, j.Append(&quorum.HardState{Term: 2}, run(2, 5, 7)))
 			must(t, j.Append(nil, run(2, 8, 8)))
 			must(t, j.Close())
 			_, r = open(t, c, dir)
-			want := journal.Recovered{Hard: quorum.Hard{Term: 2}, Entries: append(run(1, 1, 4), run(2, 5, 8)...)}
+			want := journal.Recovered{HardState: quorum.HardState{Term: 2}, Entries: append(run(1, 1, 4), run(2, 5, 8)...)}
 			if diff := cmp.Diff(want, r); diff != "" {
 				t.Fatal(diff)
 			}
@@ -69,7 +69,7 @@
 		"inside":         append(run(1, 10, 10), run(1, 12, 12)...),
 		"index 0":        {{Term: 1}},
 	} {
-		if err := j.Append(nil, entries); !errors.Is(err, journal.ErrGap) {
+		if err := j.Append(nil, entries); !errors.Is(err, journal.ErrIndexGap) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -82,7 +82,7 @@
 	dir := t.TempDir()
 	c := journal.Config{SegmentSize: 200}
 	j, _ := open(t, c, dir)
-	hard := quorum.Hard{Term: 3, Vote: "b/2"}
+	hard := quorum.HardState{Term: 3, Vote: "b/2"}
 	must(t, j.Append(&hard, nil))
 	for i := uint64(1); i <= 20; i++ {
 		must(t, j.Append(nil, run(3, i, i)))
@@ -94,14 +94,14 @@
 	if first == 1 || first > 13 {
 		t.Errorf("the first entry left is %d", first)
 	}
-	if diff := cmp.Diff(journal.Recovered{Hard: hard, Entries: run(3, first, 20)}, r); diff != "" {
+	if diff := cmp.Diff(journal.Recovered{HardState: hard, Entries: run(3, first, 20)}, r); diff != "" {
 		t.Fatal(diff)
 	}
 	must(t, j.Compact(100))
 	must(t, j.Append(nil, run(3, 101, 102)))
 	must(t, j.Close())
 	_, r = open(t, c, dir)
-	if diff := cmp.Diff(journal.Recovered{Hard: hard, Entries: run(3, 101, 102)}, r); diff != "" {
+	if diff := cmp.Diff(journal.Recovered{HardState: hard, Entries: run(3, 101, 102)}, r); diff != "" {
 		t.Fatal(diff)
 	}
 }
@@ -111,7 +111,7 @@
 // with a shorter log that it would vote with.
 func TestDamageIsRefused(t *testing.T) {
 	dir := t.TempDir()
-	j, _ := open(t, journal.Config{Reserve: -1}, dir)
+	j, _ := open(t, journal.Config{Preallocation: -1}, dir)
 	for i := uint64(1); i <= 5; i++ {
 		must(t, j.Append(nil, run(1, i, i)))
 		must(t, j.Sync())
@@ -127,7 +127,7 @@
 		bad[at] ^= 0x10
 		must(t, os.WriteFile(files[0], bad, 0o600))
 		_, _, err := journal.Open(dir)
-		var damage *journal.DamageError
+		var damage *journal.CorruptionError
 		var version *journal.VersionError
 		if !errors.As(err, &damage) && !errors.As(err, &version) {
 			t.Fatalf("byte %d: %v", at, err)
@@ -146,7 +146,7 @@
 	must(t, j.Close())
 	files, _ := filepath.Glob(filepath.Join(dir, "*"))
 	must(t, os.Remove(files[1]))
-	var damage *journal.DamageError
+	var damage *journal.CorruptionError
 	if _, _, err := journal.Open(dir); !errors.As(err, &damage) {
 		t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 		must(t, os.WriteFile(files[0], c.file, 0o600))
 		for _, want := range []bool{c.want, false} {
 			j, r := open(t, journal.Config{}, dir)
-			if diff := cmp.Diff(journal.Recovered{Entries: run(1, 1, 3), Torn: want}, r); diff != "" {
+			if diff := cmp.Diff(journal.Recovered{Entries: run(1, 1, 3), TornTail: want}, r); diff != "" {
 				t.Error(diff)
 			}
 			must(t, j.Close())
--- a/internal/replica/journal/recover.go
+++ b/internal/replica/journal/recover.go
@@ -19,14 +19,14 @@
 
 // Recovered is what a journal held when it was opened.
 type Recovered struct {
-	Hard quorum.Hard
+	HardState quorum.HardState
 	// Entries have consecutive indexes; those before the first were compacted away.
 	Entries []quorum.Entry
 	// New tells that there was no journal. For a replica that has an identity
 	// already this means that its files were taken away.
 	New bool
-	// Torn tells that what an interrupted write had left was cut off.
-	Torn bool
+	// TornTail tells that what an interrupted write had left was cut off.
+	TornTail bool
 }
 
 // reader recovers the segments one after the other.
@@ -71,13 +71,13 @@
 		}
 		rec, err := decodeRecord(body)
 		if err != nil {
-			return scan{}, &DamageError{File: name, Offset: off, Why: err.Error()}
+			return scan{}, &CorruptionError{File: name, Offset: off, Reason: err.Error()}
 		}
 		if rec.mark > uint64(off) {
-			return scan{}, &DamageError{File: name, Offset: off, Why: "frame tells of data after itself"}
+			return scan{}, &CorruptionError{File: name, Offset: off, Reason: "frame tells of data after itself"}
 		}
 		if err := r.add(rec); err != nil {
-			return scan{}, &DamageError{File: name, Offset: off, Why: err.Error()}
+			return scan{}, &CorruptionError{File: name, Offset: off, Reason: err.Error()}
 		}
 		off = next
 	}
@@ -90,7 +90,7 @@
 	head := b[:min(len(b), headerBytes)]
 	if len(head) == headerBytes && string(head[:len(magic)]) == magic {
 		if v := binary.LittleEndian.Uint32(head[len(magic):]); v != version {
-			return false, &VersionError{File: name, Have: v, Want: version}
+			return false, &VersionError{File: name, FileVersion: v, SupportedVersion: version}
 		}
 		return true, nil
 	}
@@ -98,7 +98,7 @@
 	if last && unsynced {
 		return false, nil
 	}
-	return false, &DamageError{File: name, Why: "not a journal segment"}
+	return false, &CorruptionError{File: name, Reason: "not a journal segment"}
 }
 
 // tail judges a place that holds no whole frame. It is a torn tail when nothing
@@ -106,7 +106,7 @@
 // sync that covered the place.
 func tail(name string, number uint64, b []byte, off int64, last bool) (scan, error) {
 	if !last {
-		return scan{}, &DamageError{File: name, Offset: off, Why: "frame is not whole, in a segment that was completed"}
+		return scan{}, &CorruptionError{File: name, Offset: off, Reason: "frame is not whole, in a segment that was completed"}
 	}
 	word := protowire.AppendFixed32(nil, marker)
 	for at := off + 1; ; at++ {
@@ -122,7 +122,7 @@
 		rec, err := decodeRecord(body)
 		if err == nil && rec.mark > uint64(off) {
 			why := fmt.Sprintf("frame is not whole, yet was synced before the frame at byte %d was written", at)
-			return scan{}, &DamageError{File: name, Offset: off, Why: why}
+			return scan{}, &CorruptionError{File: name, Offset: off, Reason: why}
 		}
 	}
 	remains := len(bytes.Trim(b[min(off, int64(len(b))):], "\x00")) > 0
@@ -135,7 +135,7 @@
 // add applies a record: its entries replace those from the same index on.
 func (r *reader) add(rec record) error {
 	if rec.hard != nil {
-		r.Hard = *rec.hard
+		r.HardState = *rec.hard
 	}
 	if rec.reset {
 		r.Entries = nil
@@ -146,7 +146,7 @@
 			first := r.Entries[0].Index
 			switch {
 			case e.Index > r.Entries[n-1].Index+1:
-				return ErrGap
+				return ErrIndexGap
 			case e.Index < first:
 				r.Entries = r.Entries[:0]
 			default:
--- a/internal/replica/journal/roll.go
+++ b/internal/replica/journal/roll.go
@@ -23,7 +23,7 @@
 		return err
 	}
 	err := j.turn()
-	if !disk.Passes(err) {
+	if !disk.IsRetryable(err) {
 		return err
 	}
 	j.due = j.size + j.limit/retryParts<<min(j.puts, retryParts)
@@ -42,7 +42,7 @@
 		return err
 	}
 	err := j.begin(j.segments.newest().number + 1)
-	if err != nil && !disk.Passes(err) {
+	if err != nil && !disk.IsRetryable(err) {
 		return j.fail("begin a segment", err)
 	}
 	return errors.Wrap(err, "begin a segment")
@@ -56,7 +56,7 @@
 		return j.broken
 	}
 	err := j.disk.SyncFolder(j.dir)
-	if err != nil && !disk.Passes(err) {
+	if err != nil && !disk.IsRetryable(err) {
 		return j.fail("remove a segment", err)
 	}
 	j.stray = err != nil
@@ -150,10 +150,10 @@
 func (j *Journal) drop(index uint64) error {
 	for len(j.segments) > 1 && j.segments[0].last <= index {
 		err := j.disk.Remove(segmentName(j.dir, j.segments[0].number))
-		if err == nil || errors.Is(err, disk.ErrMissing) { // missing: removed before, and not made to last
+		if err == nil || errors.Is(err, disk.ErrNotExist) { // missing: removed before, and not made to last
 			err = j.disk.SyncFolder(j.dir)
 		}
-		if disk.Passes(err) {
+		if disk.IsRetryable(err) {
 			return errors.Wrap(err, "remove a segment")
 		}
 		if err != nil {
--- a/internal/replica/journal/roll_test.go
+++ b/internal/replica/journal/roll_test.go
@@ -12,19 +12,19 @@
 // A journal that gives up since no further segment can be opened ends the replica,
 // although the segment it has takes more.
 func TestSegmentThatCannotBeBegunIsPutOff(t *testing.T) {
-	for name, fault := range map[string]disk.Fault{"no file": disk.NoFile, "full": disk.Full} {
+	for name, fault := range map[string]disk.Fault{"no file": disk.TooManyFiles, "full": disk.DiskFull} {
 		t.Run(name, func(t *testing.T) {
 			m := &disk.Memory{}
 			var told int
-			c := journal.Config{Disk: m, SegmentSize: 200, Reserve: -1, PutOff: func(error) { told++ }}
+			c := journal.Config{Disk: m, SegmentSize: 200, Preallocation: -1, OnRollPostponed: func(error) { told++ }}
 			j, _, err := c.Open("journal")
 			must(t, err)
 			refuse := true
-			m.Inject = func(_ int, op disk.Op, _ string) disk.Fault {
+			m.InjectFault = func(_ int, op disk.Operation, _ string) disk.Fault {
 				if refuse && (op == disk.Create || op == disk.SyncFolder) {
 					return fault
 				}
-				return disk.Well
+				return disk.NoFault
 			}
 			for i := range uint64(20) {
 				must(t, j.Append(nil, run(1, i+1, i+1)))
@@ -33,7 +33,7 @@
 			if told < 2 || told > 6 {
 				t.Errorf("put off %d times", told)
 			}
-			if err := j.Compact(20); !errors.Is(err, journal.ErrFull) && !errors.Is(err, journal.ErrNoFile) {
+			if err := j.Compact(20); !errors.Is(err, journal.ErrDiskFull) && !errors.Is(err, journal.ErrTooManyFiles) {
 				t.Errorf("a compaction gave %v", err)
 			}
 			refuse = false
--- a/internal/replica/member/identity.go
+++ b/internal/replica/member/identity.go
@@ -16,8 +16,8 @@
 	"gypsumreel/internal/replica/disk"
 )
 
-// File is the name of the identity in the data folder.
-const File = "identity"
+// IdentityFile is the name of the identity in the data folder.
+const IdentityFile = "identity"
 
 const (
 	version    = 1
@@ -25,15 +25,15 @@
 	nonceBytes = 8
 )
 
-// ErrNone means that a data folder holds no identity: it is new, or its disk is.
-var ErrNone = errors.New("the data folder holds no identity")
+// ErrNoIdentity means that a data folder holds no identity: it is new, or its disk is.
+var ErrNoIdentity = errors.New("the data folder holds no identity")
 
-// ErrForeign means that a data folder belongs to another cell or replica than
+// ErrIdentityMismatch means that a data folder belongs to another cell or replica than
 // the settings name.
-var ErrForeign = errors.New("the data folder belongs to another replica")
+var ErrIdentityMismatch = errors.New("the data folder belongs to another replica")
 
-// ErrExists means that an identity is to be made where there is one.
-var ErrExists = errors.New("the data folder holds an identity already")
+// ErrIdentityExists means that an identity is to be made where there is one.
+var ErrIdentityExists = errors.New("the data folder holds an identity already")
 
 // Identity is who the owner of a data folder is.
 type Identity struct {
@@ -60,18 +60,18 @@
 	Disk disk.Disk
 }
 
-// Make gives a new data folder an identity, with a nonce drawn from random, and
+// Create gives a new data folder an identity, with a nonce drawn from random, and
 // makes it lasting. It refuses a folder that holds one.
-func (s Store) Make(cell, name string, random io.Reader) (Identity, error) {
+func (s Store) Create(cell, name string, random io.Reader) (Identity, error) {
 	if err := valid(cell, name); err != nil {
 		return Identity{}, err
 	}
 	d := s.disk()
-	if err := d.Folder(s.Dir); err != nil {
+	if err := d.CreateFolder(s.Dir); err != nil {
 		return Identity{}, errors.Wrap(err, "make an identity")
 	}
-	if _, err := d.Read(s.path()); !errors.Is(err, disk.ErrMissing) {
-		return Identity{}, errors.CombineErrors(errors.Wrap(ErrExists, s.Dir), err)
+	if _, err := d.Read(s.path()); !errors.Is(err, disk.ErrNotExist) {
+		return Identity{}, errors.CombineErrors(errors.Wrap(ErrIdentityExists, s.Dir), err)
 	}
 	nonce := make([]byte, nonceBytes)
 	if _, err := io.ReadFull(random, nonce); err != nil {
@@ -85,8 +85,8 @@
 // ErrForeign when it is not that of the cell and replica named.
 func (s Store) Load(cell, name string) (Identity, error) {
 	b, err := s.disk().Read(s.path())
-	if errors.Is(err, disk.ErrMissing) {
-		return Identity{}, errors.Wrap(ErrNone, s.Dir)
+	if errors.Is(err, disk.ErrNotExist) {
+		return Identity{}, errors.Wrap(ErrNoIdentity, s.Dir)
 	}
 	if err != nil {
 		return Identity{}, errors.Wrap(err, "load the identity")
@@ -104,7 +104,7 @@
 		return Identity{}, errors.Newf("%s has format version %d, this release reads %d", s.path(), c.Version, version)
 	}
 	if c.Cell != cell || c.Name != name {
-		return Identity{}, errors.Wrapf(ErrForeign, "%s is replica %q of cell %q, the settings name %q of %q",
+		return Identity{}, errors.Wrapf(ErrIdentityMismatch, "%s is replica %q of cell %q, the settings name %q of %q",
 			s.Dir, c.Name, c.Cell, name, cell)
 	}
 	return c.Identity, nil
@@ -135,12 +135,12 @@
 
 func (s Store) disk() disk.Disk {
 	if s.Disk == nil {
-		return disk.System{}
+		return disk.OS{}
 	}
 	return s.Disk
 }
 
-func (s Store) path() string { return filepath.Join(s.Dir, File) }
+func (s Store) path() string { return filepath.Join(s.Dir, IdentityFile) }
 
 // valid refuses names that could not be told apart in an ID.
 func valid(cell, name string) error {
--- a/internal/replica/member/identity_test.go
+++ b/internal/replica/member/identity_test.go
@@ -15,10 +15,10 @@
 
 func TestIdentity(t *testing.T) {
 	s := member.Store{Dir: filepath.Join(t.TempDir(), "data")}
-	if _, err := s.Load("cell", "a"); !errors.Is(err, member.ErrNone) {
+	if _, err := s.Load("cell", "a"); !errors.Is(err, member.ErrNoIdentity) {
 		t.Fatal(err)
 	}
-	id, err := s.Make("cell", "a", bytes.NewReader([]byte("12345678")))
+	id, err := s.Create("cell", "a", bytes.NewReader([]byte("12345678")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,17 +28,17 @@
 		t.Fatal(diff, err)
 	}
 	for _, other := range [][2]string{{"cell", "b"}, {"other", "a"}} {
-		if _, err := s.Load(other[0], other[1]); !errors.Is(err, member.ErrForeign) {
+		if _, err := s.Load(other[0], other[1]); !errors.Is(err, member.ErrIdentityMismatch) {
 			t.Errorf("%v: %v", other, err)
 		}
 	}
-	if _, err := s.Make("cell", "a", bytes.NewReader([]byte("abcdefgh"))); !errors.Is(err, member.ErrExists) {
+	if _, err := s.Create("cell", "a", bytes.NewReader([]byte("abcdefgh"))); !errors.Is(err, member.ErrIdentityExists) {
 		t.Error(err)
 	}
-	if err := os.Truncate(filepath.Join(s.Dir, member.File), 9); err != nil {
+	if err := os.Truncate(filepath.Join(s.Dir, member.IdentityFile), 9); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Load("cell", "a"); err == nil || errors.Is(err, member.ErrNone) {
+	if _, err := s.Load("cell", "a"); err == nil || errors.Is(err, member.ErrNoIdentity) {
 		t.Error("a damaged identity must be a refusal of its own:", err)
 	}
 }
@@ -47,17 +47,17 @@
 // journal would destroy it, so the second must not start.
 func TestLock(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "data")
-	l, err := member.Take(dir)
+	l, err := member.AcquireLock(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := member.Take(dir); !errors.Is(err, member.ErrLocked) {
+	if _, err := member.AcquireLock(dir); !errors.Is(err, member.ErrLocked) {
 		t.Fatal(err)
 	}
 	if err := l.Release(); err != nil {
 		t.Fatal(err)
 	}
-	if l, err = member.Take(dir); err != nil {
+	if l, err = member.AcquireLock(dir); err != nil {
 		t.Fatal(err)
 	}
 	_ = l.Release()
@@ -67,30 +67,30 @@
 // identity or the one that was made, and always that one once Make has returned.
 func TestMakeIsAllOrNothing(t *testing.T) {
 	for n := 1; ; n++ {
-		for _, fault := range []disk.Fault{disk.Crash, disk.CrashTorn} {
-			for _, o := range disk.Outcomes {
-				m := &disk.Memory{Inject: func(count int, _ disk.Op, _ string) disk.Fault {
+		for _, fault := range []disk.Fault{disk.CrashBefore, disk.CrashDuring} {
+			for _, o := range disk.CrashOutcomes {
+				m := &disk.Memory{InjectFault: func(count int, _ disk.Operation, _ string) disk.Fault {
 					if count == n {
 						return fault
 					}
-					return disk.Well
+					return disk.NoFault
 				}}
 				s := member.Store{Dir: "/data", Disk: m}
-				made, err := s.Make("cell", "a", bytes.NewReader([]byte("12345678")))
-				m.Inject = nil
+				made, err := s.Create("cell", "a", bytes.NewReader([]byte("12345678")))
+				m.InjectFault = nil
 				m.Restart(o)
 				got, found := s.Load("cell", "a")
-				m.Restart(disk.Lost)
+				m.Restart(disk.AllLost)
 				again, _ := s.Load("cell", "a")
 				switch {
 				case err == nil && (found != nil || got != made):
 					t.Fatalf("operation %d: %v, %v", n, got, found)
-				case found != nil && !errors.Is(found, member.ErrNone):
+				case found != nil && !errors.Is(found, member.ErrNoIdentity):
 					t.Fatalf("operation %d: %v", n, found)
 				case got != again:
 					t.Fatalf("operation %d: shown once and then lost: %v", n, got)
 				}
-				if err == nil && o == disk.Hole {
+				if err == nil && o == disk.SecondHalfKept {
 					return
 				}
 			}
--- a/internal/replica/member/lock.go
+++ b/internal/replica/member/lock.go
@@ -18,8 +18,8 @@
 // process that ends in whatever way, so nothing is left to clean up.
 type Lock struct{ f *os.File }
 
-// Take locks a data folder, making it when it is not there.
-func Take(dir string) (*Lock, error) {
+// AcquireLock locks a data folder, making it when it is not there.
+func AcquireLock(dir string) (*Lock, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, errors.Wrap(err, "lock the data folder")
 	}
--- a/internal/replica/peer/identity_test.go
+++ b/internal/replica/peer/identity_test.go
@@ -117,10 +117,10 @@
 	for range 3 {
 		until(t, func() { send("before") }, got, func(m message) bool { return m.Data == "before" })
 		r.mute()
-		until(t, func() { send("lost or late") }, events, func(e peer.Event) bool { return e.Kind == peer.Failed })
+		until(t, func() { send("lost or late") }, events, func(e peer.Event) bool { return e.Kind == peer.CallsFailing })
 		after := func() { send("after") }
 		until(t, after, got, func(m message) bool { return m.Data == "after" })
-		until(t, after, events, func(e peer.Event) bool { return e.Kind == peer.Recovered })
+		until(t, after, events, func(e peer.Event) bool { return e.Kind == peer.CallsRecovered })
 	}
 }
 
@@ -162,7 +162,7 @@
 		b, got, _ := pool("b/1")
 		server := secure(b, c.server)
 		a.Send("b/1", address(server), [][]byte{[]byte("vote")})
-		if e := next(t, failures); e.Kind != peer.Failed {
+		if e := next(t, failures); e.Kind != peer.CallsFailing {
 			t.Errorf("%s: %v", what, e)
 		}
 		a.Close()
--- a/internal/replica/peer/link.go
+++ b/internal/replica/peer/link.go
@@ -74,7 +74,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var batch []*inner.Envelope
-	for size := 0; len(l.queue) > 0 && (size == 0 || size+len(l.queue[0]) <= BatchBytes); {
+	for size := 0; len(l.queue) > 0 && (size == 0 || size+len(l.queue[0]) <= MaxBatchBytes); {
 		b := l.pop()
 		size += len(b)
 		batch = append(batch, &inner.Envelope{Data: b})
@@ -129,13 +129,13 @@
 // fail tells of the first of several failures, recover of the first success after.
 func (l *link) fail(err error) {
 	if !l.failing.Swap(true) {
-		l.pool.tell(Event{Failed, l.to, err})
+		l.pool.tell(Event{CallsFailing, l.to, err})
 	}
 }
 
 func (l *link) recover() {
 	if l.failing.Swap(false) {
-		l.pool.tell(Event{Kind: Recovered, Peer: l.to})
+		l.pool.tell(Event{Kind: CallsRecovered, Peer: l.to})
 	}
 }
 
--- a/internal/replica/peer/peer.go
+++ b/internal/replica/peer/peer.go
@@ -15,36 +15,36 @@
 
 // Defaults of a Pool.
 const (
-	// CallTimeout bounds a call with all that belongs to it, dialling too.
-	CallTimeout = time.Second
-	// QueueBytes bounds what waits for one peer.
-	QueueBytes = 32 << 20
-	// BatchBytes is what one call carries, but for a single larger message.
-	BatchBytes = 1 << 20
-	// MessageBytes bounds one message.
-	MessageBytes = 20 << 20
+	// DefaultCallTimeout bounds a call with all that belongs to it, dialling too.
+	DefaultCallTimeout = time.Second
+	// DefaultMaxQueueBytes bounds what waits for one peer.
+	DefaultMaxQueueBytes = 32 << 20
+	// MaxBatchBytes is what one call carries, but for a single larger message.
+	MaxBatchBytes = 1 << 20
+	// MaxMessageBytes bounds one message.
+	MaxMessageBytes = 20 << 20
 	// IdleTimeout is how long the connection to a peer is kept without a message.
 	IdleTimeout = time.Minute
 )
 
-// Kind says what an Event tells.
-type Kind uint8
+// EventKind says what an Event tells.
+type EventKind uint8
 
 // The kinds of event.
 const (
-	// Refused tells of a message that came in and was not delivered.
-	Refused Kind = iota + 1
-	// Failed tells that calls to a peer have begun to fail.
-	Failed
-	// Recovered tells that calls to a peer succeed again.
-	Recovered
-	// TooLarge tells of a message that exceeds MessageBytes and was not sent.
-	TooLarge
+	// MessageRefused tells of a message that came in and was not delivered.
+	MessageRefused EventKind = iota + 1
+	// CallsFailing tells that calls to a peer have begun to fail.
+	CallsFailing
+	// CallsRecovered tells that calls to a peer succeed again.
+	CallsRecovered
+	// MessageTooLarge tells of a message that exceeds MessageBytes and was not sent.
+	MessageTooLarge
 )
 
 // Event is something that an operator may want to know.
 type Event struct {
-	Kind Kind
+	Kind EventKind
 	// Peer is the other side, as far as known.
 	Peer string
 	// Err is the cause; nil for Recovered.
@@ -61,12 +61,12 @@
 	TLS *tls.Config
 	// Deliver takes a message that came in; it must not block.
 	Deliver func(from string, data []byte)
-	// Event takes events; it must not block. Nil drops them.
-	Event func(Event)
-	// Timeout of a call; CallTimeout when 0.
-	Timeout time.Duration
-	// Queue bounds the bytes that wait for one peer; QueueBytes when 0.
-	Queue int
+	// OnEvent takes events; it must not block. Nil drops them.
+	OnEvent func(Event)
+	// CallTimeout of a call; CallTimeout when 0.
+	CallTimeout time.Duration
+	// MaxQueueBytes bounds the bytes that wait for one peer; QueueBytes when 0.
+	MaxQueueBytes int
 
 	once   sync.Once
 	ctx    context.Context
@@ -108,8 +108,8 @@
 		go l.run()
 	}
 	for _, b := range data {
-		if len(b) > MessageBytes {
-			p.tell(Event{TooLarge, to, errors.Newf("message of %d bytes, at most %d", len(b), MessageBytes)})
+		if len(b) > MaxMessageBytes {
+			p.tell(Event{MessageTooLarge, to, errors.Newf("message of %d bytes, at most %d", len(b), MaxMessageBytes)})
 			continue
 		}
 		l.push(b)
@@ -151,23 +151,23 @@
 }
 
 func (p *Pool) tell(e Event) {
-	if p.Event != nil {
-		p.Event(e)
+	if p.OnEvent != nil {
+		p.OnEvent(e)
 	}
 }
 
 func (p *Pool) timeout() time.Duration {
-	if p.Timeout == 0 {
-		return CallTimeout
+	if p.CallTimeout == 0 {
+		return DefaultCallTimeout
 	}
-	return p.Timeout
+	return p.CallTimeout
 }
 
 func (p *Pool) queue() int {
-	if p.Queue == 0 {
-		return QueueBytes
+	if p.MaxQueueBytes == 0 {
+		return DefaultMaxQueueBytes
 	}
-	return p.Queue
+	return p.MaxQueueBytes
 }
 
 // name returns the NAME of an ID, which is what certificates carry.
--- a/internal/replica/peer/peer_test.go
+++ b/internal/replica/peer/peer_test.go
@@ -28,9 +28,9 @@
 func pool(self string) (*peer.Pool, chan message, chan peer.Event) {
 	messages, events := make(chan message, 1000), make(chan peer.Event, 1000)
 	return &peer.Pool{
-		Cell: "cell", Self: self, Timeout: 200 * time.Millisecond,
+		Cell: "cell", Self: self, CallTimeout: 200 * time.Millisecond,
 		Deliver: func(from string, data []byte) { messages <- message{from, string(data)} },
-		Event:   func(e peer.Event) { events <- e },
+		OnEvent: func(e peer.Event) { events <- e },
 	}, messages, events
 }
 
@@ -171,14 +171,14 @@
 	next(t, got)
 	for range 3 {
 		send(mark)
-		if e := next(t, events); e.Kind != peer.Failed {
+		if e := next(t, events); e.Kind != peer.CallsFailing {
 			t.Fatal(e)
 		}
 		send("after")
 		if m := next(t, got); m.Data != "after" {
 			t.Fatal(m)
 		}
-		if e := next(t, events); e.Kind != peer.Recovered {
+		if e := next(t, events); e.Kind != peer.CallsRecovered {
 			t.Fatal(e)
 		}
 	}
@@ -197,10 +197,10 @@
 		b, got, refusals := pool("b/1")
 		server := serve(b.Handler())
 		a.Send(change(a), address(server), [][]byte{[]byte("vote")})
-		if e := next(t, refusals); e.Kind != peer.Refused || !strings.Contains(e.Err.Error(), want) {
+		if e := next(t, refusals); e.Kind != peer.MessageRefused || !strings.Contains(e.Err.Error(), want) {
 			t.Errorf("%s: %v", want, e)
 		}
-		if e := next(t, failures); e.Kind != peer.Failed {
+		if e := next(t, failures); e.Kind != peer.CallsFailing {
 			t.Errorf("%s: %v", want, e)
 		}
 		a.Close()
@@ -215,7 +215,7 @@
 // bounded, and when it is back the newest arrive.
 func TestQueueDropsOldest(t *testing.T) {
 	a, _, _ := pool("a/1")
-	a.Queue, a.Timeout = 100, limit
+	a.MaxQueueBytes, a.CallTimeout = 100, limit
 	defer a.Close()
 	b, got, _ := pool("b/1")
 	entered, release := make(chan struct{}, 10), make(chan struct{})
@@ -227,7 +227,7 @@
 	}))
 	defer server.Close()
 	var want []string
-	for i := range peer.Calls {
+	for i := range peer.MaxConcurrentCalls {
 		want = append(want, fmt.Sprint("first", i))
 		a.Send("b/1", address(server), [][]byte{[]byte(want[i])})
 		next(t, entered)
@@ -237,7 +237,7 @@
 	}
 	close(release)
 	var have []string
-	for range peer.Calls + 10 {
+	for range peer.MaxConcurrentCalls + 10 {
 		have = append(have, next(t, got).Data)
 	}
 	for i := 90; i < 100; i++ {
@@ -254,13 +254,13 @@
 	b, got, _ := pool("b/1")
 	server := serve(b.Handler())
 	defer server.Close()
-	body := &endless{left: 8 * peer.MessageBytes}
+	body := &endless{left: 8 * peer.MaxMessageBytes}
 	r, err := http.Post(server.URL+"/twirp/gypsumreel.inner.Replica/Deliver", "application/protobuf", body)
 	if err == nil {
 		_ = r.Body.Close()
 	}
 	http.DefaultClient.CloseIdleConnections()
-	if left := body.left; left < 4*peer.MessageBytes {
+	if left := body.left; left < 4*peer.MaxMessageBytes {
 		t.Errorf("all but %d bytes were taken", left)
 	}
 	if len(got) > 0 {
--- a/internal/replica/peer/server.go
+++ b/internal/replica/peer/server.go
@@ -14,7 +14,7 @@
 // Bounds of what is taken in.
 const (
 	// bodyBytes bounds a request: one message of the largest size and its frame.
-	bodyBytes = MessageBytes + 1<<20
+	bodyBytes = MaxMessageBytes + 1<<20
 	// requests bounds those that are read at the same time.
 	requests = 16
 )
@@ -43,7 +43,7 @@
 		case room <- struct{}{}:
 			defer func() { <-room }()
 		default:
-			p.tell(Event{Refused, r.RemoteAddr, errBusy})
+			p.tell(Event{MessageRefused, r.RemoteAddr, errBusy})
 			http.Error(w, errBusy.Error(), http.StatusServiceUnavailable)
 			return
 		}
@@ -58,7 +58,7 @@
 // Deliver hands on the messages of a peer that proves to be who it says.
 func (s receiver) Deliver(ctx context.Context, r *inner.DeliverRequest) (*inner.DeliverReply, error) {
 	if err := s.check(ctx, r); err != nil {
-		s.p.tell(Event{Refused, r.GetFrom(), err})
+		s.p.tell(Event{MessageRefused, r.GetFrom(), err})
 		return nil, twirp.PermissionDenied.Error(err.Error())
 	}
 	done := s.p.order.await(r.GetFrom(), r.GetWire(), r.GetNumber())
--- a/internal/replica/peer/stream.go
+++ b/internal/replica/peer/stream.go
@@ -9,10 +9,10 @@
 	"gypsumreel/internal/api/inner"
 )
 
-// Calls is how many calls to a peer are under way at the same time. With one, a
+// MaxConcurrentCalls is how many calls to a peer are under way at the same time. With one, a
 // message waits up to a round trip for the call before it: between availability
 // zones that is most of the time that a commit takes.
-const Calls = 3
+const MaxConcurrentCalls = 3
 
 // stream is the calls over one connection, numbered in the order of their messages.
 type stream struct {
@@ -29,7 +29,7 @@
 
 // open returns a stream with a connection of its own.
 func (l *link) open() *stream {
-	return &stream{link: l, wire: l.dial(), id: rand.Uint64(), room: make(chan struct{}, Calls), failed: make(chan error, Calls)}
+	return &stream{link: l, wire: l.dial(), id: rand.Uint64(), room: make(chan struct{}, MaxConcurrentCalls), failed: make(chan error, MaxConcurrentCalls)}
 }
 
 // err returns the first failure of a call.
--- a/internal/replica/quorum/config.go
+++ b/internal/replica/quorum/config.go
@@ -4,23 +4,23 @@
 
 // Defaults of Config.
 const (
-	// DefaultHeartbeat is the time between two heartbeat rounds of a leader.
-	DefaultHeartbeat = 100 * time.Millisecond
-	// DefaultElection is the shortest election timeout; the longest is twice that.
-	DefaultElection = 500 * time.Millisecond
-	// DefaultMessage bounds the entries or the snapshot data of a message, in
+	// DefaultHeartbeatInterval is the time between two heartbeat rounds of a leader.
+	DefaultHeartbeatInterval = 100 * time.Millisecond
+	// DefaultElectionTimeout is the shortest election timeout; the longest is twice that.
+	DefaultElectionTimeout = 500 * time.Millisecond
+	// DefaultMaxMessageBytes bounds the entries or the snapshot data of a message, in
 	// bytes. A single entry that is larger travels alone.
-	DefaultMessage = 256 << 10
-	// DefaultInflight bounds the appends on the way to one replica: so many small
+	DefaultMaxMessageBytes = 256 << 10
+	// DefaultMaxInflightAppends bounds the appends on the way to one replica: so many small
 	// ones may leave before the first is answered that no proposal waits a round
 	// trip for its turn.
-	DefaultInflight = 64
-	// DefaultWindow bounds the bytes of the appends on the way to one replica.
-	DefaultWindow = 2 << 20
-	// DefaultTail bounds the entries kept in memory behind a snapshot, in bytes.
-	DefaultTail = 8 << 20
-	// DefaultSnapshot bounds a snapshot that is taken from another replica, in bytes.
-	DefaultSnapshot = 1 << 30
+	DefaultMaxInflightAppends = 64
+	// DefaultMaxInflightBytes bounds the bytes of the appends on the way to one replica.
+	DefaultMaxInflightBytes = 2 << 20
+	// DefaultLogTailBytes bounds the entries kept in memory behind a snapshot, in bytes.
+	DefaultLogTailBytes = 8 << 20
+	// DefaultMaxSnapshotBytes bounds a snapshot that is taken from another replica, in bytes.
+	DefaultMaxSnapshotBytes = 1 << 30
 )
 
 // Config is what a core is made with; zero values stand for the defaults.
@@ -28,34 +28,34 @@
 	// ID is NAME/NONCE of this replica.
 	ID string
 	// Address is where the others reach this replica.
-	Address   string
-	Heartbeat time.Duration
-	// Election is the shortest election timeout, Patience the longest that it grows
+	Address           string
+	HeartbeatInterval time.Duration
+	// ElectionTimeout is the shortest election timeout, Patience the longest that it grows
 	// to while the leader's messages come late or one leader follows the other;
 	// Election when it is 0.
-	Election time.Duration
-	Patience time.Duration
+	ElectionTimeout    time.Duration
+	MaxElectionTimeout time.Duration
 	// Seed is the only source of randomness.
 	Seed uint64
-	// Bootstrap is the first membership of a new group. It is used only with an
+	// InitialMembers is the first membership of a new group. It is used only with an
 	// empty disk and is the same on every replica that is given one.
-	Bootstrap []Member
-	Message   int
-	Inflight  int
-	Window    int
-	Tail      int
-	Snapshot  int
+	InitialMembers     []Member
+	MaxMessageBytes    int
+	MaxInflightAppends int
+	MaxInflightBytes   int
+	LogTailBytes       int
+	MaxSnapshotBytes   int
 }
 
 func (cfg Config) withDefaults() Config {
-	cfg.Heartbeat = orDefault(cfg.Heartbeat, DefaultHeartbeat)
-	cfg.Election = orDefault(cfg.Election, DefaultElection)
-	cfg.Patience = max(cfg.Patience, cfg.Election)
-	cfg.Message = orDefault(cfg.Message, DefaultMessage)
-	cfg.Inflight = orDefault(cfg.Inflight, DefaultInflight)
-	cfg.Window = orDefault(cfg.Window, DefaultWindow)
-	cfg.Tail = orDefault(cfg.Tail, DefaultTail)
-	cfg.Snapshot = orDefault(cfg.Snapshot, DefaultSnapshot)
+	cfg.HeartbeatInterval = orDefault(cfg.HeartbeatInterval, DefaultHeartbeatInterval)
+	cfg.ElectionTimeout = orDefault(cfg.ElectionTimeout, DefaultElectionTimeout)
+	cfg.MaxElectionTimeout = max(cfg.MaxElectionTimeout, cfg.ElectionTimeout)
+	cfg.MaxMessageBytes = orDefault(cfg.MaxMessageBytes, DefaultMaxMessageBytes)
+	cfg.MaxInflightAppends = orDefault(cfg.MaxInflightAppends, DefaultMaxInflightAppends)
+	cfg.MaxInflightBytes = orDefault(cfg.MaxInflightBytes, DefaultMaxInflightBytes)
+	cfg.LogTailBytes = orDefault(cfg.LogTailBytes, DefaultLogTailBytes)
+	cfg.MaxSnapshotBytes = orDefault(cfg.MaxSnapshotBytes, DefaultMaxSnapshotBytes)
 	return cfg
 }
 
@@ -75,9 +75,9 @@
 	State   []byte
 }
 
-// Saved is what a replica finds on its disk.
-type Saved struct {
-	Hard     Hard
-	Entries  []Entry
-	Snapshot Snapshot
+// PersistedState is what a replica finds on its disk.
+type PersistedState struct {
+	HardState HardState
+	Entries   []Entry
+	Snapshot  Snapshot
 }
--- a/internal/replica/quorum/core.go
+++ b/internal/replica/quorum/core.go
@@ -28,7 +28,7 @@
 	fx  Effects
 
 	// What the disk holds, or will.
-	hard     Hard
+	hard     HardState
 	log      log
 	history  history
 	snapshot Snapshot
@@ -70,12 +70,12 @@
 }
 
 // New makes a core from what the disk holds.
-func New(cfg Config, saved Saved) *Core {
+func New(cfg Config, saved PersistedState) *Core {
 	cfg = cfg.withDefaults()
 	c := &Core{
 		cfg:      cfg,
 		rng:      rand.New(rand.NewPCG(cfg.Seed, 1)),
-		hard:     saved.Hard,
+		hard:     saved.HardState,
 		snapshot: saved.Snapshot,
 		log:      log{base: saved.Snapshot.Index, baseTerm: saved.Snapshot.Term},
 		commit:   saved.Snapshot.Index,
@@ -90,7 +90,7 @@
 	// A snapshot may be saved before the term that it came with is synced. No vote
 	// of that term has left then, and none of an earlier one may any more.
 	if c.log.lastTerm() > c.hard.Term {
-		c.hard = Hard{Term: c.log.lastTerm()}
+		c.hard = HardState{Term: c.log.lastTerm()}
 	}
 	c.disk.stable, c.disk.saved = c.log.last(), c.log.last()
 	// Without entries behind the snapshot the journal may hold stale ones, or
@@ -98,7 +98,7 @@
 	if c.log.base > 0 && len(c.log.entries) == 0 {
 		c.disk.replace(&c.snapshot)
 	}
-	if c.blank() && len(cfg.Bootstrap) > 0 {
+	if c.blank() && len(cfg.InitialMembers) > 0 {
 		c.bootstrap()
 	}
 	// Nobody is missed yet: when all start at once, the first to ask should not
@@ -112,7 +112,7 @@
 }
 
 // tail gives the saved entries that go on after the snapshot.
-func tail(saved Saved) []Entry {
+func tail(saved PersistedState) []Entry {
 	next := saved.Snapshot.Index + 1
 	var entries []Entry
 	for _, e := range saved.Entries {
@@ -131,24 +131,24 @@
 }
 
 func (c *Core) blank() bool {
-	return c.hard == (Hard{}) && c.log.last() == 0
+	return c.hard == (HardState{}) && c.log.last() == 0
 }
 
 // bootstrap seeds the log with the first membership, which every replica that
 // is given it writes alike, as if a leader of term 1 had.
 func (c *Core) bootstrap() {
-	c.hard, c.disk.hardDirty = Hard{Term: 1}, true
+	c.hard, c.disk.hardDirty = HardState{Term: 1}, true
 	members := membership{}
-	for _, m := range c.cfg.Bootstrap {
+	for _, m := range c.cfg.InitialMembers {
 		members.members = members.with(m)
 	}
-	c.append(Entry{Index: 1, Term: 1, Kind: Change, Data: EncodeMembers(members.members)})
+	c.append(Entry{Index: 1, Term: 1, Kind: EntryMembership, Data: EncodeMembers(members.members)})
 }
 
 // append adds an entry to the log and takes over the membership that it carries.
 func (c *Core) append(e Entry) {
 	c.log.append(e)
-	if e.Kind != Change {
+	if e.Kind != EntryMembership {
 		return
 	}
 	if members, err := DecodeMembers(e.Data); err == nil {
@@ -163,7 +163,7 @@
 func (c *Core) Step(now time.Duration, ev Event) Effects {
 	if !c.begun {
 		c.begun = true
-		c.patience.silent(c.cfg.Patience/startPart, now)
+		c.patience.silent(c.cfg.MaxElectionTimeout/startPart, now)
 	}
 	c.now = max(c.now, now)
 	c.expire()
@@ -174,21 +174,21 @@
 		c.receive(ev.Message)
 	case Propose:
 		c.propose(ev)
-	case Alter:
+	case ChangeMembership:
 		c.alter(ev)
-	case Synced:
+	case WriteSynced:
 		c.synced(ev.Seq)
 	case SnapshotSaved:
 		c.snapshotSaved(ev.Index)
-	case SnapshotFailed:
+	case SnapshotSaveFailed:
 		c.saving = nil
 	case Compact:
 		c.later = &ev
-	case Confirm:
+	case ConfirmLeadership:
 		c.confirm()
-	case Transfer:
+	case TransferLeadership:
 		c.transfer()
-	case Reload:
+	case ReloadState:
 		c.reload()
 	}
 	c.finish()
@@ -225,18 +225,18 @@
 func (c *Core) send(m Message) {
 	m.From = c.cfg.ID
 	if c.maybeStranger(m) {
-		m.Address = c.cfg.Address
+		m.SenderAddress = c.cfg.Address
 	}
-	c.fx.Out = append(c.fx.Out, Outgoing{Address: c.addressOf(m.To), Message: m})
+	c.fx.Messages = append(c.fx.Messages, OutgoingMessage{Address: c.addressOf(m.To), Message: m})
 }
 
 // maybeStranger tells that the receiver may know no membership with this
 // replica, and so no way back: it is new, or was away while all others changed.
 func (c *Core) maybeStranger(m Message) bool {
 	switch m.Kind {
-	case PreVote, Vote:
+	case PreVoteRequest, VoteRequest:
 		return true
-	case Append, Heartbeat, Chunk:
+	case AppendEntries, Heartbeat, SnapshotChunk:
 		return c.role == leader && c.peer(m.To).match < c.members().index
 	}
 	return false
@@ -278,16 +278,16 @@
 
 // timeout is how long a silent leader is waited for.
 func (c *Core) timeout() time.Duration {
-	return c.patience.timeout(c.cfg.Election, c.cfg.Patience, c.now)
+	return c.patience.timeout(c.cfg.ElectionTimeout, c.cfg.MaxElectionTimeout, c.now)
 }
 
 // retryDeadline draws the time to the next question before an election: shorter than a
 // timeout, as no leader can be missed meanwhile, and the question disturbs nobody.
-func (c *Core) retryDeadline() { c.deadline = c.now + c.between(c.cfg.Election/askPart) }
+func (c *Core) retryDeadline() { c.deadline = c.now + c.between(c.cfg.ElectionTimeout/askPart) }
 
 // voteDeadline draws the time to the next try of an election that was not won.
 func (c *Core) voteDeadline() {
-	c.deadline = c.now + c.between(max(c.cfg.Election/askPart, c.cfg.Patience/votePart))
+	c.deadline = c.now + c.between(max(c.cfg.ElectionTimeout/askPart, c.cfg.MaxElectionTimeout/votePart))
 }
 
 const (
--- a/internal/replica/quorum/core_test.go
+++ b/internal/replica/quorum/core_test.go
@@ -13,16 +13,16 @@
 // The replica voted or acknowledged before; if it voted again, two leaders could
 // hold one term. A blank disk knows no membership, so it must stay silent.
 func TestBlankDiskIsSilent(t *testing.T) {
-	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, quorum.Saved{})
-	for _, kind := range []quorum.MessageKind{quorum.PreVote, quorum.Vote} {
-		m := quorum.Message{Kind: kind, From: "a/0", To: "c/0", Term: 9, Index: 100, LogTerm: 8, Address: "a"}
+	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, quorum.PersistedState{})
+	for _, kind := range []quorum.MessageKind{quorum.PreVoteRequest, quorum.VoteRequest} {
+		m := quorum.Message{Kind: kind, From: "a/0", To: "c/0", Term: 9, Index: 100, LogTerm: 8, SenderAddress: "a"}
 		fx := c.Step(time.Second, quorum.Receive{Message: m})
-		if len(fx.Out) > 0 || fx.Write != nil {
-			t.Errorf("message %d: sent %v, wrote %v", kind, fx.Out, fx.Write)
+		if len(fx.Messages) > 0 || fx.Write != nil {
+			t.Errorf("message %d: sent %v, wrote %v", kind, fx.Messages, fx.Write)
 		}
 	}
 	for now := time.Second; now < time.Minute; now += 10 * time.Millisecond {
-		if fx := c.Step(now, quorum.Tick{}); len(fx.Out) > 0 || fx.Write != nil {
+		if fx := c.Step(now, quorum.Tick{}); len(fx.Messages) > 0 || fx.Write != nil {
 			t.Fatalf("campaigns at %v", now)
 		}
 	}
@@ -32,14 +32,14 @@
 // A message that was meant for the old one must not reach it: its answer would
 // count for entries that went with the disk.
 func TestMessageForTheIdentityBefore(t *testing.T) {
-	data, err := quorum.Encode(quorum.Message{Kind: quorum.Heartbeat, To: "c/0", Term: 3, Round: 7})
+	data, err := quorum.EncodeMessage(quorum.Message{Kind: quorum.Heartbeat, To: "c/0", Term: 3, Round: 7})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := quorum.Decode("c/1", "a/0", data); err != quorum.ErrOther {
+	if _, err := quorum.DecodeMessage("c/1", "a/0", data); err != quorum.ErrWrongReceiver {
 		t.Errorf("error %v", err)
 	}
-	if _, err := quorum.Decode("c/0", "a/0", data); err != nil {
+	if _, err := quorum.DecodeMessage("c/0", "a/0", data); err != nil {
 		t.Error(err)
 	}
 }
@@ -49,16 +49,16 @@
 // The stale entries behind the snapshot must not come back after the restart.
 func TestStaleEntriesBehindSnapshot(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0"}, {ID: "b/0"}, {ID: "c/0"}}
-	saved := quorum.Saved{
-		Hard:     quorum.Hard{Term: 5},
-		Snapshot: quorum.Snapshot{Index: 2, Term: 4, Members: members},
+	saved := quorum.PersistedState{
+		HardState: quorum.HardState{Term: 5},
+		Snapshot:  quorum.Snapshot{Index: 2, Term: 4, Members: members},
 	}
 	for i := range uint64(4) {
-		saved.Entries = append(saved.Entries, quorum.Entry{Index: i + 1, Term: 3, Kind: quorum.Command})
+		saved.Entries = append(saved.Entries, quorum.Entry{Index: i + 1, Term: 3, Kind: quorum.EntryCommand})
 	}
 	c := quorum.New(quorum.Config{ID: "b/0", Seed: 1}, saved)
 	fx := c.Step(0, quorum.Tick{})
-	anchor := []quorum.Entry{{Index: 2, Term: 4, Kind: quorum.Empty}}
+	anchor := []quorum.Entry{{Index: 2, Term: 4, Kind: quorum.EntryNoOp}}
 	if d := cmp.Diff(anchor, fx.Write.Entries); d != "" {
 		t.Error(d)
 	}
@@ -69,17 +69,17 @@
 
 func TestMessageEncoding(t *testing.T) {
 	want := quorum.Message{
-		Kind: quorum.Append, From: "a/0", To: "b/0", Term: 7, Index: 10, LogTerm: 6, Commit: 9, Address: "x",
+		Kind: quorum.AppendEntries, From: "a/0", To: "b/0", Term: 7, Index: 10, LogTerm: 6, CommitIndex: 9, SenderAddress: "x",
 		Entries: []quorum.Entry{
-			{Index: 11, Term: 6, Kind: quorum.Command, Data: []byte("x")},
-			{Index: 12, Term: 7, Kind: quorum.Empty},
+			{Index: 11, Term: 6, Kind: quorum.EntryCommand, Data: []byte("x")},
+			{Index: 12, Term: 7, Kind: quorum.EntryNoOp},
 		},
 	}
-	data, err := quorum.Encode(want)
+	data, err := quorum.EncodeMessage(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := quorum.Decode("b/0", "a/0", data)
+	got, err := quorum.DecodeMessage("b/0", "a/0", data)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,18 +93,18 @@
 func elected(t *testing.T) *quorum.Core {
 	t.Helper()
 	members := []quorum.Member{{ID: "a/0", Address: "a"}, {ID: "b/0", Address: "b"}, {ID: "c/0", Address: "c"}}
-	c := quorum.New(quorum.Config{ID: "a/0", Seed: 1}, quorum.Saved{
-		Hard: quorum.Hard{Term: 3},
+	c := quorum.New(quorum.Config{ID: "a/0", Seed: 1}, quorum.PersistedState{
+		HardState: quorum.HardState{Term: 3},
 		Entries: []quorum.Entry{
-			{Index: 1, Term: 1, Kind: quorum.Change, Data: quorum.EncodeMembers(members)},
-			{Index: 2, Term: 2, Kind: quorum.Command, Data: []byte("x")},
+			{Index: 1, Term: 1, Kind: quorum.EntryMembership, Data: quorum.EncodeMembers(members)},
+			{Index: 2, Term: 2, Kind: quorum.EntryCommand, Data: []byte("x")},
 		},
 	})
 	c.Step(2*time.Second, quorum.Tick{})
 	c.Step(2*time.Second, reply(quorum.PreVoteReply, 4, 0))
-	c.Step(2*time.Second, quorum.Synced{Seq: 1})
+	c.Step(2*time.Second, quorum.WriteSynced{Seq: 1})
 	c.Step(2*time.Second, reply(quorum.VoteReply, 4, 0))
-	if term, leads := c.Leads(); term != 4 || !leads {
+	if term, leads := c.TermAndLeading(); term != 4 || !leads {
 		t.Fatalf("term %d, leads %v", term, leads)
 	}
 	return c
@@ -120,12 +120,12 @@
 // by those that lack any entry of the leader's own term, and replace it.
 func TestEntryOfEarlierTermIsNotCommittedByCount(t *testing.T) {
 	c := elected(t)
-	c.Step(2*time.Second, reply(quorum.AppendReply, 4, 2))
+	c.Step(2*time.Second, reply(quorum.AppendEntriesReply, 4, 2))
 	if s := c.Status(); s.Commit != 0 {
 		t.Errorf("commit %d with entry 2 of term 2 on a majority", s.Commit)
 	}
-	c.Step(2*time.Second, quorum.Synced{Seq: 2})
-	c.Step(2*time.Second, reply(quorum.AppendReply, 4, 3))
+	c.Step(2*time.Second, quorum.WriteSynced{Seq: 2})
+	c.Step(2*time.Second, reply(quorum.AppendEntriesReply, 4, 3))
 	if s := c.Status(); s.Commit != 3 {
 		t.Errorf("commit %d with entry 3 of term 4 on a majority", s.Commit)
 	}
--- a/internal/replica/quorum/disk.go
+++ b/internal/replica/quorum/disk.go
@@ -41,7 +41,7 @@
 // replace starts anew behind a synced snapshot.
 func (d *disk) replace(s *Snapshot) {
 	d.saved, d.stable, d.flying = s.Index, s.Index, 0
-	d.anchor = &Entry{Index: s.Index, Term: s.Term, Kind: Empty}
+	d.anchor = &Entry{Index: s.Index, Term: s.Term, Kind: EntryNoOp}
 }
 
 // write starts the next write when none is on its way.
@@ -56,10 +56,10 @@
 		return
 	}
 	d.seq++
-	w := &Write{Seq: d.seq, Entries: entries}
+	w := &JournalWrite{Seq: d.seq, Entries: entries}
 	if d.hardDirty {
 		hard := c.hard
-		w.Hard, d.hardDirty = &hard, false
+		w.HardState, d.hardDirty = &hard, false
 	}
 	if d.anchor != nil {
 		w.Entries = append([]Entry{*d.anchor}, entries...)
@@ -77,7 +77,7 @@
 	if d.anchor != nil || d.anchorSeq > d.synced {
 		return
 	}
-	c.fx.Drop, d.drop = d.drop, 0
+	c.fx.DropJournalUpTo, d.drop = d.drop, 0
 }
 
 func (c *Core) synced(seq uint64) {
--- a/internal/replica/quorum/effect.go
+++ b/internal/replica/quorum/effect.go
@@ -5,29 +5,29 @@
 // Effects is what the driver has to do after a step.
 type Effects struct {
 	// Write goes to the journal; Synced answers it. At most one is on its way.
-	Write *Write
-	// Save goes to the snapshot store; SnapshotSaved answers it. At most one is
+	Write *JournalWrite
+	// SaveSnapshot goes to the snapshot store; SnapshotSaved answers it. At most one is
 	// on its way.
-	Save *Snapshot
-	// Drop lets the journal forget entries up to this index, unless 0.
-	Drop uint64
-	// Out are messages that may leave now.
-	Out []Outgoing
+	SaveSnapshot *Snapshot
+	// DropJournalUpTo lets the journal forget entries up to this index, unless 0.
+	DropJournalUpTo uint64
+	// Messages are messages that may leave now.
+	Messages []OutgoingMessage
 	// Reports are for the control thread, in order.
 	Reports []Report
 }
 
-// Write is one group commit of the journal.
-type Write struct {
+// JournalWrite is one group commit of the journal.
+type JournalWrite struct {
 	Seq uint64
-	// Hard is nil when unchanged. It is written before the entries.
-	Hard *Hard
+	// HardState is nil when unchanged. It is written before the entries.
+	HardState *HardState
 	// Entries replace everything from the first of them on.
 	Entries []Entry
 }
 
-// Outgoing is a message with the address of its receiver.
-type Outgoing struct {
+// OutgoingMessage is a message with the address of its receiver.
+type OutgoingMessage struct {
 	Address string
 	Message Message
 }
@@ -35,45 +35,45 @@
 // Report tells the control thread something.
 type Report interface{ report() }
 
-// Led tells that this replica leads and that all entries up to Last were reported.
-type Led struct {
-	Term    uint64
-	Last    uint64
-	Elected time.Duration
+// BecameLeader tells that this replica leads and that all entries up to Last were reported.
+type BecameLeader struct {
+	Term      uint64
+	LastIndex uint64
+	ElectedAt time.Duration
 }
 
-// Followed tells that this replica does not lead; Leader is empty if unknown.
-type Followed struct {
-	Term    uint64
-	Leader  string
-	Address string
+// BecameFollower tells that this replica does not lead; Leader is empty if unknown.
+type BecameFollower struct {
+	Term          uint64
+	Leader        string
+	LeaderAddress string
 }
 
-// Applied gives committed entries to a replica that does not lead.
-type Applied struct{ Entries []Entry }
+// EntriesCommitted gives committed entries to a replica that does not lead.
+type EntriesCommitted struct{ Entries []Entry }
 
-// Committed tells the leader how far its proposals are committed.
-type Committed struct{ Index uint64 }
+// CommitAdvanced tells the leader how far its proposals are committed.
+type CommitAdvanced struct{ Index uint64 }
 
-// RoundConfirmed tells the leader the start of a round that a quorum confirmed.
-type RoundConfirmed struct {
-	Term  uint64
-	Start time.Duration
+// LeadershipConfirmed tells the leader the start of a round that a quorum confirmed.
+type LeadershipConfirmed struct {
+	Term           uint64
+	RoundStartedAt time.Duration
 }
 
-// Restored replaces the state by that of a snapshot.
-type Restored struct {
+// StateRestored replaces the state by that of a snapshot.
+type StateRestored struct {
 	Index uint64
 	State []byte
 }
 
-// MembersChanged tells the committed membership.
-type MembersChanged struct{ Members []Member }
+// MembershipChanged tells the committed membership.
+type MembershipChanged struct{ Members []Member }
 
-func (Led) report()            {}
-func (Followed) report()       {}
-func (Applied) report()        {}
-func (Committed) report()      {}
-func (RoundConfirmed) report() {}
-func (Restored) report()       {}
-func (MembersChanged) report() {}
+func (BecameLeader) report()        {}
+func (BecameFollower) report()      {}
+func (EntriesCommitted) report()    {}
+func (CommitAdvanced) report()      {}
+func (LeadershipConfirmed) report() {}
+func (StateRestored) report()       {}
+func (MembershipChanged) report()   {}
--- a/internal/replica/quorum/election.go
+++ b/internal/replica/quorum/election.go
@@ -38,7 +38,7 @@
 		c.elect(false)
 		return
 	}
-	c.ask(Message{Kind: PreVote, Term: c.hard.Term + 1}, c.send)
+	c.ask(Message{Kind: PreVoteRequest, Term: c.hard.Term + 1}, c.send)
 }
 
 // elect asks for votes in a new term. The requests wait for the disk: a replica
@@ -53,7 +53,7 @@
 	c.voteDeadline()
 	c.votes = map[string]bool{}
 	c.hold(Message{Kind: VoteReply, To: c.cfg.ID, Term: c.hard.Term})
-	c.ask(Message{Kind: Vote, Term: c.hard.Term, Force: force}, c.hold)
+	c.ask(Message{Kind: VoteRequest, Term: c.hard.Term, LeadershipTransfer: force}, c.hold)
 }
 
 func (c *Core) ask(m Message, send func(Message)) {
@@ -74,7 +74,7 @@
 // turn takes on a role, in a term that is this one or a later one.
 func (c *Core) turn(term uint64, r role, leaderID string) {
 	if term > c.hard.Term {
-		c.hard, c.disk.hardDirty = Hard{Term: term}, true
+		c.hard, c.disk.hardDirty = HardState{Term: term}, true
 		c.verified, c.acked, c.ackDue = 0, 0, false
 	}
 	if c.role == leader {
@@ -87,8 +87,8 @@
 
 // receive takes a message; the term rules come first.
 func (c *Core) receive(m Message) {
-	if m.Address != "" {
-		c.stranger = Member{ID: m.From, Address: m.Address}
+	if m.SenderAddress != "" {
+		c.stranger = Member{ID: m.From, Address: m.SenderAddress}
 	}
 	switch {
 	case m.Term > c.hard.Term:
@@ -100,21 +100,21 @@
 		return
 	}
 	switch m.Kind {
-	case PreVote:
+	case PreVoteRequest:
 		c.answerPreVote(m)
 	case PreVoteReply:
 		c.countPreVote(m)
-	case Vote:
+	case VoteRequest:
 		c.answerVote(m)
 	case VoteReply:
 		c.countVote(m)
-	case Append:
+	case AppendEntries:
 		c.follow(m)
 		c.takeAppend(m)
 	case Heartbeat:
 		c.follow(m)
 		c.takeHeartbeat(m)
-	case Chunk:
+	case SnapshotChunk:
 		c.follow(m)
 		c.takeChunk(m)
 	case TimeoutNow:
@@ -127,12 +127,12 @@
 // newer takes on a later term, and tells whether the message is to be looked at.
 func (c *Core) newer(m Message) bool {
 	switch {
-	case m.Kind == PreVote, m.Kind == PreVoteReply && !m.Reject:
+	case m.Kind == PreVoteRequest, m.Kind == PreVoteReply && !m.Reject:
 		return true
-	case m.Kind == Vote && (!c.mayVote() || !m.Force && c.inLease()):
+	case m.Kind == VoteRequest && (!c.mayVote() || !m.LeadershipTransfer && c.inLease()):
 		return false
 	}
-	if !m.Force {
+	if !m.LeadershipTransfer {
 		c.patience.turned(c.now)
 	}
 	c.turn(m.Term, follower, "")
@@ -143,10 +143,10 @@
 // later one: a leader that missed its own deposition would go on unheard.
 func (c *Core) older(m Message) {
 	switch m.Kind {
-	case PreVote:
+	case PreVoteRequest:
 		c.send(Message{Kind: PreVoteReply, To: m.From, Term: c.hard.Term, Reject: true})
-	case Append, Heartbeat, Chunk:
-		c.send(Message{Kind: AppendReply, To: m.From, Term: c.hard.Term, Reject: true})
+	case AppendEntries, Heartbeat, SnapshotChunk:
+		c.send(Message{Kind: AppendEntriesReply, To: m.From, Term: c.hard.Term, Reject: true})
 	}
 }
 
--- a/internal/replica/quorum/entry.go
+++ b/internal/replica/quorum/entry.go
@@ -2,17 +2,17 @@
 // machine without goroutines, clocks or I/O.
 package quorum
 
-// Kind says what an entry of the log carries.
-type Kind uint8
+// EntryKind says what an entry of the log carries.
+type EntryKind uint8
 
 // The kinds of entry.
 const (
-	// Command is a decision of the control thread; quorum does not look into it.
-	Command Kind = iota + 1
-	// Empty is what a new leader commits before it decides anything.
-	Empty
-	// Change is a change of membership.
-	Change
+	// EntryCommand is a decision of the control thread; quorum does not look into it.
+	EntryCommand EntryKind = iota + 1
+	// EntryNoOp is what a new leader commits before it decides anything.
+	EntryNoOp
+	// EntryMembership is a change of membership.
+	EntryMembership
 )
 
 // Entry is one record of the replicated log.
@@ -20,12 +20,12 @@
 	// Index counts from 1 without gaps.
 	Index uint64
 	Term  uint64
-	Kind  Kind
+	Kind  EntryKind
 	Data  []byte
 }
 
-// Hard is what a replica must have synced before it acts on it.
-type Hard struct {
+// HardState is what a replica must have synced before it acts on it.
+type HardState struct {
 	Term uint64
 	// Vote is the replica voted for in Term; empty for none.
 	Vote string
--- a/internal/replica/quorum/follow.go
+++ b/internal/replica/quorum/follow.go
@@ -9,15 +9,15 @@
 	if term, ok := c.log.term(m.Index); !ok || term != m.LogTerm {
 		hint, hintTerm := c.log.conflict(m.Index, m.LogTerm)
 		c.send(Message{
-			Kind: AppendReply, To: m.From, Term: c.hard.Term, Reject: true,
-			Index: m.Index, Hint: hint, LogTerm: hintTerm,
+			Kind: AppendEntriesReply, To: m.From, Term: c.hard.Term, Reject: true,
+			Index: m.Index, ConflictIndex: hint, LogTerm: hintTerm,
 		})
 		return
 	}
 	c.merge(m.Entries)
 	c.verified = max(c.verified, m.Index+uint64(len(m.Entries)))
 	c.ackDue = true
-	c.commitTo(m.Commit)
+	c.commitTo(m.CommitIndex)
 }
 
 // skip drops what is committed from the front of an append.
@@ -71,7 +71,7 @@
 }
 
 func (c *Core) takeHeartbeat(m Message) {
-	c.commitTo(m.Commit)
+	c.commitTo(m.CommitIndex)
 	c.send(Message{
 		Kind: HeartbeatReply, To: m.From, Term: c.hard.Term,
 		Round: m.Round, Index: c.durable(),
@@ -94,5 +94,5 @@
 		return
 	}
 	c.acked, c.ackDue = n, false
-	c.send(Message{Kind: AppendReply, To: c.leader, Term: c.hard.Term, Index: n})
+	c.send(Message{Kind: AppendEntriesReply, To: c.leader, Term: c.hard.Term, Index: n})
 }
--- a/internal/replica/quorum/invariant_test.go
+++ b/internal/replica/quorum/invariant_test.go
@@ -31,32 +31,32 @@
 func (s *sim) report(n *node, r quorum.Report) {
 	s.label(strings.TrimPrefix(fmt.Sprintf("%T", r), "quorum."), n)
 	switch r := r.(type) {
-	case quorum.Led:
-		if n.index != r.Last {
-			s.fail("%s leads from %d having applied %d", n.id, r.Last, n.index)
+	case quorum.BecameLeader:
+		if n.index != r.LastIndex {
+			s.fail("%s leads from %d having applied %d", n.id, r.LastIndex, n.index)
 		}
-		n.lead, n.next, n.mine = &r, r.Last+1, map[uint64]quorum.Entry{}
-		n.confirmed = r.Elected
+		n.lead, n.next, n.mine = &r, r.LastIndex+1, map[uint64]quorum.Entry{}
+		n.confirmed = r.ElectedAt
 		s.elections = append(s.elections, r)
-	case quorum.Followed:
+	case quorum.BecameFollower:
 		n.lead = nil
-	case quorum.Applied:
+	case quorum.EntriesCommitted:
 		for _, e := range r.Entries {
 			s.apply(n, e)
 		}
-	case quorum.Committed:
+	case quorum.CommitAdvanced:
 		for i := n.index + 1; i <= r.Index; i++ {
 			s.apply(n, n.mine[i])
 		}
-	case quorum.RoundConfirmed:
-		n.confirmed = r.Start
+	case quorum.LeadershipConfirmed:
+		n.confirmed = r.RoundStartedAt
 		// Leases rest on this: no later leader was elected before the round began.
 		for _, e := range s.elections {
-			if e.Term > r.Term && e.Elected < r.Start {
-				s.fail("%s confirmed a round of %v in term %d, term %d elected at %v", n.id, r.Start, r.Term, e.Term, e.Elected)
+			if e.Term > r.Term && e.ElectedAt < r.RoundStartedAt {
+				s.fail("%s confirmed a round of %v in term %d, term %d elected at %v", n.id, r.RoundStartedAt, r.Term, e.Term, e.ElectedAt)
 			}
 		}
-	case quorum.Restored:
+	case quorum.StateRestored:
 		n.index, n.digest, n.lead = r.Index, 0, nil
 		if r.Index > 0 {
 			fmt.Sscan(string(r.State), &n.digest)
@@ -64,7 +64,7 @@
 		if n.digest != s.digests[r.Index] {
 			s.fail("%s restores another state at %d", n.id, r.Index)
 		}
-	case quorum.MembersChanged:
+	case quorum.MembershipChanged:
 		s.memberships(n, r.Members)
 	}
 }
@@ -86,18 +86,18 @@
 // that, else for as long as it may grow.
 func (s *sim) longestLead() time.Duration {
 	const growth = 4
-	if s.config.Patience == 0 {
-		return quorum.DefaultElection
+	if s.config.MaxElectionTimeout == 0 {
+		return quorum.DefaultElectionTimeout
 	}
-	return growth * s.config.Patience
+	return growth * s.config.MaxElectionTimeout
 }
 
 func (s *sim) invariants(n *node) {
-	if mark := n.core.Mark(); mark != n.checked {
+	if mark := n.core.LastEntry(); mark != n.checked {
 		n.checked = mark
 		s.logMatching(n)
 	}
-	term, leads := n.core.Leads()
+	term, leads := n.core.TermAndLeading()
 	if !leads {
 		return
 	}
@@ -117,8 +117,8 @@
 // logMatching holds when an index and a term stand for one content and one
 // entry before it.
 func (s *sim) logMatching(n *node) {
-	base, before := n.core.Base()
-	for i, e := range n.core.Entries() {
+	base, before := n.core.LogBase()
+	for i, e := range n.core.LogEntries() {
 		if e.Index != base+uint64(i)+1 {
 			s.fail("%s has entry %d in the place of %d", n.id, e.Index, base+uint64(i)+1)
 		}
@@ -134,8 +134,8 @@
 
 // complete holds when a new leader has every committed entry.
 func (s *sim) complete(n *node) {
-	base, _ := n.core.Base()
-	entries := n.core.Entries()
+	base, _ := n.core.LogBase()
+	entries := n.core.LogEntries()
 	for i := base + 1; i <= s.top; i++ {
 		if i-base > uint64(len(entries)) || entries[i-base-1].Term != s.committed[i].Term {
 			s.fail("%s leads without the committed entry %d", n.id, i)
@@ -148,7 +148,7 @@
 // committed everywhere, and there is no repair to do.
 func (s *sim) settled() bool {
 	l := s.leader()
-	if l == nil || l.core.Transferring() || l.core.Mark()[0] != s.top || len(s.members) != len(s.nodes) {
+	if l == nil || l.core.Transferring() || l.core.LastEntry()[0] != s.top || len(s.members) != len(s.nodes) {
 		return false
 	}
 	for _, m := range s.members {
--- a/internal/replica/quorum/lead.go
+++ b/internal/replica/quorum/lead.go
@@ -36,7 +36,7 @@
 	c.lead.confirmed.start = c.now
 	c.lead.peers = map[string]*progress{}
 	c.lead.empty = c.log.last() + 1
-	c.append(Entry{Index: c.lead.empty, Term: c.hard.Term, Kind: Empty})
+	c.append(Entry{Index: c.lead.empty, Term: c.hard.Term, Kind: EntryNoOp})
 	c.startRound()
 }
 
@@ -53,7 +53,7 @@
 	if c.role != leader || c.alone() {
 		return
 	}
-	if c.now-c.lead.confirmed.start > max(c.timeout(), c.cfg.Patience) {
+	if c.now-c.lead.confirmed.start > max(c.timeout(), c.cfg.MaxElectionTimeout) {
 		c.turn(c.hard.Term, follower, "")
 	}
 }
@@ -73,14 +73,14 @@
 	l := &c.lead
 	l.round++
 	l.open = append(l.open, round{n: l.round, start: c.now, commit: c.commit})
-	l.nextRound = c.now + c.cfg.Heartbeat
+	l.nextRound = c.now + c.cfg.HeartbeatInterval
 	for _, m := range c.members().members {
 		if m.ID == c.cfg.ID {
 			continue
 		}
 		c.send(Message{
 			Kind: Heartbeat, To: m.ID, Term: c.hard.Term,
-			Round: l.round, Commit: min(c.commit, c.peer(m.ID).match),
+			Round: l.round, CommitIndex: min(c.commit, c.peer(m.ID).match),
 		})
 	}
 	c.checkRounds()
@@ -126,7 +126,7 @@
 		return
 	}
 	l.told = l.confirmed.start
-	c.say(RoundConfirmed{Term: c.hard.Term, Start: l.confirmed.start})
+	c.say(LeadershipConfirmed{Term: c.hard.Term, RoundStartedAt: l.confirmed.start})
 }
 
 // advance commits what a majority has synced. Only an entry of its own term
@@ -152,23 +152,23 @@
 }
 
 func (c *Core) propose(p Propose) {
-	if !c.accepts(p.Term, p.First) {
+	if !c.accepts(p.Term, p.FirstIndex) {
 		return
 	}
 	for i, data := range p.Commands {
-		c.append(Entry{Index: p.First + uint64(i), Term: p.Term, Kind: Command, Data: data})
+		c.append(Entry{Index: p.FirstIndex + uint64(i), Term: p.Term, Kind: EntryCommand, Data: data})
 	}
 }
 
 // alter proposes a membership. Refused changes still take their index, so that
 // the control thread's count of indexes holds.
-func (c *Core) alter(a Alter) {
-	if !c.accepts(a.Term, a.First) {
+func (c *Core) alter(a ChangeMembership) {
+	if !c.accepts(a.Term, a.Index) {
 		return
 	}
-	e := Entry{Index: a.First, Term: a.Term, Kind: Empty}
+	e := Entry{Index: a.Index, Term: a.Term, Kind: EntryNoOp}
 	if members, ok := c.change(a.Member, a.Remove); ok {
-		e.Kind, e.Data = Change, EncodeMembers(members)
+		e.Kind, e.Data = EntryMembership, EncodeMembers(members)
 	}
 	c.append(e)
 }
@@ -222,7 +222,7 @@
 
 // fresh tells whether the replica was heard within the longest election timeout.
 func (c *Core) fresh(p *progress) bool {
-	return p.round > 0 && c.now-p.heard <= c.cfg.Patience
+	return p.round > 0 && c.now-p.heard <= c.cfg.MaxElectionTimeout
 }
 
 // transfer starts to hand over to the voter that is furthest. No proposals are
@@ -242,7 +242,7 @@
 		}
 	}
 	c.lead.transferee, c.lead.heirSent = best, false
-	c.lead.heirDeadline = c.now + c.cfg.Patience
+	c.lead.heirDeadline = c.now + c.cfg.MaxElectionTimeout
 }
 
 // handOver lets the transferee start an election as soon as it has the whole log.
--- a/internal/replica/quorum/measure_test.go
+++ b/internal/replica/quorum/measure_test.go
@@ -39,7 +39,7 @@
 		took := failovers(way, 500)
 		p50, p99, worst := took[250], took[495], took[499]
 		t.Logf("%v one way: p50 %v, p99 %v, worst of %d %v", way, p50, p99, len(took), worst)
-		if way <= oneWay && (p99 > 3*quorum.DefaultElection || p99 > 2*time.Second) {
+		if way <= oneWay && (p99 > 3*quorum.DefaultElectionTimeout || p99 > 2*time.Second) {
 			t.Errorf("p99 %v", p99)
 		}
 	}
@@ -76,8 +76,8 @@
 		if l := s.leader(); l.index > 200 {
 			s.compact(l)
 		}
-		base, _ := s.leader().core.Base()
-		if last := s.leader().core.Mark()[0]; last-base > 300 {
+		base, _ := s.leader().core.LogBase()
+		if last := s.leader().core.LastEntry()[0]; last-base > 300 {
 			t.Fatalf("the leader keeps the entries from %d to %d", base, last)
 		}
 	}
--- a/internal/replica/quorum/message.go
+++ b/internal/replica/quorum/message.go
@@ -13,59 +13,59 @@
 
 // The kinds of message.
 const (
-	PreVote MessageKind = iota + 1
+	PreVoteRequest MessageKind = iota + 1
 	PreVoteReply
-	Vote
+	VoteRequest
 	VoteReply
-	Append
-	AppendReply
+	AppendEntries
+	AppendEntriesReply
 	Heartbeat
 	HeartbeatReply
-	Chunk
-	ChunkReply
+	SnapshotChunk
+	SnapshotChunkReply
 	TimeoutNow
 )
 
-// ErrOther tells that a message was meant for another identity.
-var ErrOther = errors.New("message for another replica")
+// ErrWrongReceiver tells that a message was meant for another identity.
+var ErrWrongReceiver = errors.New("message for another replica")
 
 // Message is what cores send each other; proto/inner/quorum.proto tells the fields.
 type Message struct {
-	Kind    MessageKind
-	From    string
-	To      string
-	Term    uint64
-	Index   uint64
-	LogTerm uint64
-	Commit  uint64
-	Round   uint64
-	Reject  bool
-	Force   bool
-	Hint    uint64
-	Entries []Entry
+	Kind               MessageKind
+	From               string
+	To                 string
+	Term               uint64
+	Index              uint64
+	LogTerm            uint64
+	CommitIndex        uint64
+	Round              uint64
+	Reject             bool
+	LeadershipTransfer bool
+	ConflictIndex      uint64
+	Entries            []Entry
 	// Offset, Total, Sum, Data and Members belong to Chunk and ChunkReply.
-	Offset  uint64
-	Total   uint64
-	Sum     uint64
-	Data    []byte
-	Members []Member
-	// Address is the sender's.
-	Address string
+	Offset     uint64
+	TotalBytes uint64
+	Checksum   uint64
+	Data       []byte
+	Members    []Member
+	// SenderAddress is the sender's.
+	SenderAddress string
 }
 
-// Encode gives the message's encoding, without From.
-func Encode(m Message) ([]byte, error) {
+// EncodeMessage gives the message's encoding, without From.
+func EncodeMessage(m Message) ([]byte, error) {
 	w := &inner.ConsensusMessage{
 		Kind: uint32(m.Kind), Term: m.Term, To: xxhash.Sum64String(m.To),
-		Index: m.Index, LogTerm: m.LogTerm, Commit: m.Commit, Round: m.Round,
-		Reject: m.Reject, Force: m.Force, Hint: m.Hint, Address: m.Address,
+		Index: m.Index, LogTerm: m.LogTerm, Commit: m.CommitIndex, Round: m.Round,
+		Reject: m.Reject, Force: m.LeadershipTransfer, Hint: m.ConflictIndex, Address: m.SenderAddress,
 	}
 	for _, e := range m.Entries {
 		w.Entries = append(w.Entries, &inner.LogEntry{Term: e.Term, Kind: uint32(e.Kind), Data: e.Data})
 	}
-	if m.Kind == Chunk || m.Kind == ChunkReply {
+	if m.Kind == SnapshotChunk || m.Kind == SnapshotChunkReply {
 		w.Chunk = &inner.SnapshotChunk{
-			Offset: m.Offset, Total: m.Total, Sum: m.Sum, Data: m.Data,
+			Offset: m.Offset, Total: m.TotalBytes, Sum: m.Checksum, Data: m.Data,
 			Members: wireMembers(m.Members),
 		}
 	}
@@ -73,9 +73,9 @@
 	return data, errors.Wrap(err, "encode consensus message")
 }
 
-// Decode reads a message that the transport proved to be of from. It returns
+// DecodeMessage reads a message that the transport proved to be of from. It returns
 // ErrOther when the message is not for self.
-func Decode(self, from string, data []byte) (Message, error) {
+func DecodeMessage(self, from string, data []byte) (Message, error) {
 	var w inner.ConsensusMessage
 	if err := proto.Unmarshal(data, &w); err != nil {
 		return Message{}, errors.Wrap(err, "decode consensus message")
@@ -83,20 +83,20 @@
 	// A replica with a replaced disk at the address of its forerunner would
 	// answer for entries that it lost; the hash of the identity keeps it silent.
 	if w.To != xxhash.Sum64String(self) {
-		return Message{}, ErrOther
+		return Message{}, ErrWrongReceiver
 	}
 	m := Message{
 		Kind: MessageKind(w.Kind), From: from, To: self, Term: w.Term,
-		Index: w.Index, LogTerm: w.LogTerm, Commit: w.Commit, Round: w.Round,
-		Reject: w.Reject, Force: w.Force, Hint: w.Hint, Address: w.Address,
+		Index: w.Index, LogTerm: w.LogTerm, CommitIndex: w.Commit, Round: w.Round,
+		Reject: w.Reject, LeadershipTransfer: w.Force, ConflictIndex: w.Hint, SenderAddress: w.Address,
 	}
 	for i, e := range w.Entries {
 		m.Entries = append(m.Entries, Entry{
-			Index: m.Index + uint64(i) + 1, Term: e.Term, Kind: Kind(e.Kind), Data: e.Data,
+			Index: m.Index + uint64(i) + 1, Term: e.Term, Kind: EntryKind(e.Kind), Data: e.Data,
 		})
 	}
 	if w.Chunk != nil {
-		m.Offset, m.Total, m.Sum, m.Data = w.Chunk.Offset, w.Chunk.Total, w.Chunk.Sum, w.Chunk.Data
+		m.Offset, m.TotalBytes, m.Checksum, m.Data = w.Chunk.Offset, w.Chunk.Total, w.Chunk.Sum, w.Chunk.Data
 		m.Members = ownMembers(w.Chunk.Members)
 	}
 	return m, nil
--- a/internal/replica/quorum/patience_test.go
+++ b/internal/replica/quorum/patience_test.go
@@ -51,7 +51,7 @@
 	const most = 6
 	for _, election := range []time.Duration{100 * time.Millisecond, 150 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond} {
 		for seed := range uint64(20) {
-			n := storm(seed, quorum.Config{Heartbeat: election / 4, Election: election, Patience: time.Second})
+			n := storm(seed, quorum.Config{HeartbeatInterval: election / 4, ElectionTimeout: election, MaxElectionTimeout: time.Second})
 			if n > most {
 				t.Errorf("timeout %v, seed %d: %d leaders after one fault", election, seed, n)
 			}
@@ -63,7 +63,7 @@
 func TestShortTimeoutsThatStayAreAStorm(t *testing.T) {
 	const least = 10
 	for seed := range uint64(5) {
-		if n := storm(seed, quorum.Config{Heartbeat: 50 * time.Millisecond, Election: 200 * time.Millisecond}); n < least {
+		if n := storm(seed, quorum.Config{HeartbeatInterval: 50 * time.Millisecond, ElectionTimeout: 200 * time.Millisecond}); n < least {
 			t.Errorf("seed %d: %d leaders, the load is no test", seed, n)
 		}
 	}
@@ -73,7 +73,7 @@
 func TestSilenceInCalmShowsSoon(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSim(0, seed)
-		s.config = quorum.Config{Heartbeat: 50 * time.Millisecond, Election: 200 * time.Millisecond, Patience: time.Second}
+		s.config = quorum.Config{HeartbeatInterval: 50 * time.Millisecond, ElectionTimeout: 200 * time.Millisecond, MaxElectionTimeout: time.Second}
 		s.found(5)
 		s.run(20 * time.Second)
 		l := s.leader()
@@ -93,7 +93,7 @@
 func TestLateHeartbeatsAreWaitedFor(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newSim(0, seed)
-		s.config = quorum.Config{Heartbeat: 50 * time.Millisecond, Election: 150 * time.Millisecond, Patience: time.Second}
+		s.config = quorum.Config{HeartbeatInterval: 50 * time.Millisecond, ElectionTimeout: 150 * time.Millisecond, MaxElectionTimeout: time.Second}
 		s.found(5)
 		s.run(3 * time.Second)
 		s.wait = func(n *node) time.Duration {
@@ -117,7 +117,7 @@
 	const most = 2
 	for seed := range uint64(20) {
 		s := newSim(0, seed)
-		s.config = quorum.Config{Heartbeat: 50 * time.Millisecond, Election: 200 * time.Millisecond, Patience: time.Second}
+		s.config = quorum.Config{HeartbeatInterval: 50 * time.Millisecond, ElectionTimeout: 200 * time.Millisecond, MaxElectionTimeout: time.Second}
 		burden(s, startTurn)
 		s.found(5)
 		s.run(10 * time.Second)
