--- a/internal/replica/quorum/progress.go
+++ b/internal/replica/quorum/progress.go
@@ -88,7 +88,7 @@
 
 // resend starts over with replicas that left messages unanswered.
 func (c *Core) resend() {
-	patience := resendHeartbeats * c.cfg.Heartbeat
+	patience := resendHeartbeats * c.cfg.HeartbeatInterval
 	for _, m := range c.members().members {
 		p := c.peer(m.ID)
 		if p.waiting && c.now-p.asked >= patience {
@@ -119,7 +119,7 @@
 		p.probe(p.next)
 		p.state = installing
 		image := c.snapshot
-		p.image, p.sum, p.offset = &image, image.Sum(), 0
+		p.image, p.sum, p.offset = &image, image.Checksum(), 0
 	}
 	switch p.state {
 	case installing:
@@ -127,7 +127,7 @@
 	case probing:
 		c.sendProbe(id, p)
 	case replicating:
-		for p.next <= c.log.last() && len(p.flight) < c.cfg.Inflight && p.window < c.cfg.Window {
+		for p.next <= c.log.last() && len(p.flight) < c.cfg.MaxInflightAppends && p.window < c.cfg.MaxInflightBytes {
 			entries := c.sendAppend(id, p)
 			p.next += uint64(len(entries))
 			n := size(entries)
@@ -140,7 +140,7 @@
 // sendProbe sends nothing to a replica that is silent: entries would pile up in
 // front of one that is away for an hour. Its answer to a heartbeat comes first.
 func (c *Core) sendProbe(id string, p *progress) {
-	silent := c.now-max(p.heard, c.lead.elected) > c.cfg.Patience
+	silent := c.now-max(p.heard, c.lead.elected) > c.cfg.MaxElectionTimeout
 	if p.waiting || silent {
 		return
 	}
@@ -151,10 +151,10 @@
 func (c *Core) sendAppend(id string, p *progress) []Entry {
 	prev := p.next - 1
 	term, _ := c.log.term(prev)
-	entries := c.log.page(prev, c.cfg.Message)
+	entries := c.log.page(prev, c.cfg.MaxMessageBytes)
 	c.send(Message{
-		Kind: Append, To: id, Term: c.hard.Term, Index: prev, LogTerm: term,
-		Commit: c.commit, Entries: entries,
+		Kind: AppendEntries, To: id, Term: c.hard.Term, Index: prev, LogTerm: term,
+		CommitIndex: c.commit, Entries: entries,
 	})
 	return entries
 }
@@ -171,9 +171,9 @@
 		p.round = max(p.round, m.Round)
 		p.beat(m.Index)
 		c.checkRounds()
-	case AppendReply:
+	case AppendEntriesReply:
 		c.takeAppendReply(p, m)
-	case ChunkReply:
+	case SnapshotChunkReply:
 		c.takeChunkReply(p, m)
 	}
 }
@@ -188,7 +188,7 @@
 	if m.Index <= p.match || p.state == installing || p.state == probing && m.Index != p.next-1 {
 		return
 	}
-	next, _ := c.log.conflict(m.Hint, m.LogTerm)
+	next, _ := c.log.conflict(m.ConflictIndex, m.LogTerm)
 	p.probe(next + 1)
 	if next == c.log.base && c.log.base > 0 {
 		c.probeBase(p, m)
@@ -198,7 +198,7 @@
 // probeBase falls back to a snapshot when the replica's log ends before this one
 // begins, or differs there.
 func (c *Core) probeBase(p *progress, m Message) {
-	if m.Hint < c.log.base || m.Index == c.log.base {
+	if m.ConflictIndex < c.log.base || m.Index == c.log.base {
 		p.next = max(p.match+1, c.log.base)
 	}
 }
--- a/internal/replica/quorum/rapid_test.go
+++ b/internal/replica/quorum/rapid_test.go
@@ -106,12 +106,12 @@
 		"transfer": func(t *rapid.T) { s.hand(pick(t)) },
 		"confirm": func(t *rapid.T) {
 			if n := pick(t); n.core != nil && !n.paused {
-				s.step(n, quorum.Confirm{})
+				s.step(n, quorum.ConfirmLeadership{})
 			}
 		},
 		"reload": func(t *rapid.T) {
 			if n := pick(t); n.core != nil && !n.paused {
-				s.step(n, quorum.Reload{})
+				s.step(n, quorum.ReloadState{})
 			}
 		},
 	}
@@ -119,7 +119,7 @@
 
 func (s *sim) hand(n *node) {
 	if n.core != nil && !n.paused {
-		s.step(n, quorum.Transfer{})
+		s.step(n, quorum.TransferLeadership{})
 	}
 }
 
--- a/internal/replica/quorum/report.go
+++ b/internal/replica/quorum/report.go
@@ -26,7 +26,7 @@
 		return
 	}
 	c.report = now
-	c.say(Followed{Term: now.term, Leader: now.leader, Address: c.addressOf(now.leader)})
+	c.say(BecameFollower{Term: now.term, Leader: now.leader, LeaderAddress: c.addressOf(now.leader)})
 }
 
 // led tells whether the control thread was told that this replica leads in this term.
@@ -40,9 +40,9 @@
 		return
 	}
 	if c.led() {
-		c.say(Committed{Index: c.commit})
+		c.say(CommitAdvanced{Index: c.commit})
 	} else {
-		c.say(Applied{Entries: slices.Clone(c.log.slice(c.applied, c.commit))})
+		c.say(EntriesCommitted{Entries: slices.Clone(c.log.slice(c.applied, c.commit))})
 	}
 	c.applied = c.commit
 }
@@ -54,7 +54,7 @@
 		return
 	}
 	c.announced = m.index
-	c.say(MembersChanged{Members: m.members})
+	c.say(MembershipChanged{Members: m.members})
 }
 
 // reportLed waits until everything in the log is committed: the entry of its
@@ -64,12 +64,12 @@
 		return
 	}
 	c.report = standing{told: true, leading: true, term: c.hard.Term, leader: c.cfg.ID}
-	c.say(Led{Term: c.hard.Term, Last: c.log.last(), Elected: c.lead.elected})
+	c.say(BecameLeader{Term: c.hard.Term, LastIndex: c.log.last(), ElectedAt: c.lead.elected})
 }
 
 // reload gives the state again to a control thread that has to drop its own.
 func (c *Core) reload() {
-	c.say(Restored{Index: c.snapshot.Index, State: c.snapshot.State})
+	c.say(StateRestored{Index: c.snapshot.Index, State: c.snapshot.State})
 	c.applied = c.snapshot.Index
 	c.report.leading = c.report.leading && c.role != leader
 	c.lead.told = 0
--- a/internal/replica/quorum/sim_test.go
+++ b/internal/replica/quorum/sim_test.go
@@ -25,13 +25,13 @@
 	// run counts starts: what was under way for an earlier one is dropped.
 	run    int
 	paused bool
-	disk   quorum.Saved
-	write  *quorum.Write
+	disk   quorum.PersistedState
+	write  *quorum.JournalWrite
 	save   *quorum.Snapshot
 
 	// The control thread: index and digest of what it applied.
 	index, digest uint64
-	lead          *quorum.Led
+	lead          *quorum.BecameLeader
 	confirmed     time.Duration
 	next          uint64
 	mine          map[uint64]quorum.Entry
@@ -68,7 +68,7 @@
 	wait   func(n *node) time.Duration
 
 	leaders   map[uint64]string
-	elections []quorum.Led
+	elections []quorum.BecameLeader
 	prefix    map[[2]uint64][2]uint64
 	committed map[uint64]quorum.Entry
 	digests   map[uint64]uint64
@@ -151,12 +151,12 @@
 	n.paused = false
 	n.lead, n.checked = nil, [2]uint64{}
 	cfg := quorum.Config{
-		ID: n.id, Address: n.name, Seed: n.seed + uint64(n.run)*1000, Bootstrap: n.boot,
-		Message: 256, Tail: 400, Inflight: 4, Window: 1000,
-		Heartbeat: s.config.Heartbeat, Election: s.config.Election, Patience: s.config.Patience,
+		ID: n.id, Address: n.name, Seed: n.seed + uint64(n.run)*1000, InitialMembers: n.boot,
+		MaxMessageBytes: 256, LogTailBytes: 400, MaxInflightAppends: 4, MaxInflightBytes: 1000,
+		HeartbeatInterval: s.config.HeartbeatInterval, ElectionTimeout: s.config.ElectionTimeout, MaxElectionTimeout: s.config.MaxElectionTimeout,
 	}
 	n.core = quorum.New(cfg, n.disk)
-	s.step(n, quorum.Reload{})
+	s.step(n, quorum.ReloadState{})
 	s.tick(n)
 }
 
@@ -172,7 +172,7 @@
 func (s *sim) crash(n *node, torn int) {
 	n.core = nil
 	if w := n.write; w != nil && torn > 0 {
-		n.disk.Hard = *orHard(w.Hard, &n.disk.Hard)
+		n.disk.HardState = *orHard(w.HardState, &n.disk.HardState)
 		n.disk.Entries = overwrite(n.disk.Entries, w.Entries[:len(w.Entries)*torn/10])
 	}
 	n.write, n.save = nil, nil
@@ -185,11 +185,11 @@
 	s.dead[n.id] = true
 	n.nonce++
 	n.id = fmt.Sprintf("%s/%d", n.name, n.nonce)
-	n.disk, n.boot = quorum.Saved{}, nil
+	n.disk, n.boot = quorum.PersistedState{}, nil
 	s.start(n)
 }
 
-func orHard(a, b *quorum.Hard) *quorum.Hard {
+func orHard(a, b *quorum.HardState) *quorum.HardState {
 	if a == nil {
 		return b
 	}
@@ -215,20 +215,20 @@
 		s.label("write", n)
 		s.on(n, syncTime, func() { s.sync(n, w) })
 	}
-	if snap := fx.Save; snap != nil {
+	if snap := fx.SaveSnapshot; snap != nil {
 		n.save = snap
 		s.label("save", n)
 		s.on(n, 3*syncTime, func() { s.saved(n, snap) })
 	}
-	if fx.Drop > 0 {
-		n.disk.Entries = slices.DeleteFunc(slices.Clone(n.disk.Entries), func(e quorum.Entry) bool { return e.Index <= fx.Drop })
+	if fx.DropJournalUpTo > 0 {
+		n.disk.Entries = slices.DeleteFunc(slices.Clone(n.disk.Entries), func(e quorum.Entry) bool { return e.Index <= fx.DropJournalUpTo })
 		s.label("drop", n)
 	}
 	run := n.run
 	for _, r := range fx.Reports {
 		s.report(n, r)
 	}
-	for _, o := range fx.Out {
+	for _, o := range fx.Messages {
 		s.send(n, o)
 	}
 	if n.run == run {
@@ -236,13 +236,13 @@
 	}
 }
 
-func (s *sim) sync(n *node, w *quorum.Write) {
-	n.disk.Hard = *orHard(w.Hard, &n.disk.Hard)
+func (s *sim) sync(n *node, w *quorum.JournalWrite) {
+	n.disk.HardState = *orHard(w.HardState, &n.disk.HardState)
 	n.disk.Entries = overwrite(n.disk.Entries, w.Entries)
 	n.write = nil
 	s.label("synced", n)
 	if n.core != nil {
-		s.step(n, quorum.Synced{Seq: w.Seq})
+		s.step(n, quorum.WriteSynced{Seq: w.Seq})
 	}
 }
 
@@ -273,9 +273,9 @@
 	"heartbeat", "heartbeat reply", "chunk", "chunk reply", "timeout now",
 }
 
-func (s *sim) send(n *node, o quorum.Outgoing) {
+func (s *sim) send(n *node, o quorum.OutgoingMessage) {
 	s.label("send "+kinds[o.Message.Kind], n)
-	data, err := quorum.Encode(o.Message)
+	data, err := quorum.EncodeMessage(o.Message)
 	if err != nil || len(data) > 256+400 {
 		s.fail("message of %d bytes, error %v", len(data), err)
 	}
@@ -295,7 +295,7 @@
 	}
 }
 
-func (s *sim) deliver(from string, o quorum.Outgoing, data []byte, lost bool) {
+func (s *sim) deliver(from string, o quorum.OutgoingMessage, data []byte, lost bool) {
 	if lost || s.cut[[2]string{from, o.Address}] {
 		return
 	}
@@ -303,7 +303,7 @@
 		if to.name != o.Address || to.core == nil {
 			continue
 		}
-		m, err := quorum.Decode(to.id, o.Message.From, data)
+		m, err := quorum.DecodeMessage(to.id, o.Message.From, data)
 		if err != nil {
 			continue
 		}
--- a/internal/replica/quorum/snapshot.go
+++ b/internal/replica/quorum/snapshot.go
@@ -30,7 +30,7 @@
 
 func (c *Core) save(s *Snapshot) {
 	c.saving = s
-	c.fx.Save = s
+	c.fx.SaveSnapshot = s
 }
 
 // snapshotSaved goes on with a snapshot that is on the disk.
@@ -67,14 +67,14 @@
 	c.disk.replace(&s)
 	c.commit, c.applied = s.Index, s.Index
 	c.verified, c.ackDue = max(c.verified, s.Index), true
-	c.say(Restored{Index: s.Index, State: s.State})
+	c.say(StateRestored{Index: s.Index, State: s.State})
 }
 
 // compactLog forgets entries behind the snapshot but for a bounded tail, from
 // which a replica that was away for a moment is served without the snapshot.
 func (c *Core) compactLog() {
 	keep, bytes := c.snapshot.Index, 0
-	for keep > c.log.base && bytes < c.cfg.Tail {
+	for keep > c.log.base && bytes < c.cfg.LogTailBytes {
 		bytes += c.log.entries[keep-c.log.base-1].size()
 		keep--
 	}
@@ -84,22 +84,22 @@
 
 // sendChunk sends the part of the snapshot that the replica asks for next.
 func (c *Core) sendChunk(id string, p *progress) {
-	silent := c.now-max(p.heard, c.lead.elected) > c.cfg.Patience
+	silent := c.now-max(p.heard, c.lead.elected) > c.cfg.MaxElectionTimeout
 	if p.waiting || silent {
 		return
 	}
 	p.waiting, p.asked = true, c.now
 	s := p.image
-	end := min(uint64(len(s.State)), p.offset+uint64(c.cfg.Message))
+	end := min(uint64(len(s.State)), p.offset+uint64(c.cfg.MaxMessageBytes))
 	c.send(Message{
-		Kind: Chunk, To: id, Term: c.hard.Term, Index: s.Index, LogTerm: s.Term,
-		Offset: p.offset, Total: uint64(len(s.State)), Sum: p.sum,
+		Kind: SnapshotChunk, To: id, Term: c.hard.Term, Index: s.Index, LogTerm: s.Term,
+		Offset: p.offset, TotalBytes: uint64(len(s.State)), Checksum: p.sum,
 		Data: s.State[p.offset:end], Members: s.Members,
 	})
 }
 
-// Sum is the checksum of the state.
-func (s *Snapshot) Sum() uint64 { return xxhash.Sum64(s.State) }
+// Checksum is the checksum of the state.
+func (s *Snapshot) Checksum() uint64 { return xxhash.Sum64(s.State) }
 
 // takeChunk adds a part to the snapshot that is being received. It goes on where
 // it was when the connection or the leader changed, if the snapshot is the same.
@@ -109,16 +109,16 @@
 		c.ackDue = true
 		return
 	}
-	if m.Total > uint64(c.cfg.Snapshot) {
+	if m.TotalBytes > uint64(c.cfg.MaxSnapshotBytes) {
 		return
 	}
 	if c.saving != nil && c.saving.Index == m.Index {
-		c.answerChunk(m, m.Total)
+		c.answerChunk(m, m.TotalBytes)
 		return
 	}
 	in := c.incoming
-	if in == nil || in.index != m.Index || in.term != m.LogTerm || in.sum != m.Sum || in.total != m.Total {
-		in = &incoming{index: m.Index, term: m.LogTerm, sum: m.Sum, total: m.Total, members: m.Members}
+	if in == nil || in.index != m.Index || in.term != m.LogTerm || in.sum != m.Checksum || in.total != m.TotalBytes {
+		in = &incoming{index: m.Index, term: m.LogTerm, sum: m.Checksum, total: m.TotalBytes, members: m.Members}
 		c.incoming = in
 	}
 	if m.Offset == uint64(len(in.data)) && m.Offset+uint64(len(m.Data)) <= in.total {
@@ -133,7 +133,7 @@
 // answerChunk tells the leader from where to go on.
 func (c *Core) answerChunk(m Message, offset uint64) {
 	c.send(Message{
-		Kind: ChunkReply, To: m.From, Term: c.hard.Term, Index: m.Index, Offset: offset, Sum: m.Sum,
+		Kind: SnapshotChunkReply, To: m.From, Term: c.hard.Term, Index: m.Index, Offset: offset, Checksum: m.Checksum,
 	})
 }
 
@@ -143,7 +143,7 @@
 		return
 	}
 	s := &Snapshot{Index: in.index, Term: in.term, Members: in.members, State: in.data}
-	if s.Sum() != in.sum {
+	if s.Checksum() != in.sum {
 		in.data = nil
 		return
 	}
--- a/internal/replica/quorum/status.go
+++ b/internal/replica/quorum/status.go
@@ -58,5 +58,5 @@
 // Transferring tells that the leader hands over and takes no proposals.
 func (c *Core) Transferring() bool { return c.lead.transferee != "" }
 
-// Uncommitted gives the bytes of the entries that wait for a quorum.
-func (c *Core) Uncommitted() int { return c.log.size - c.log.committed }
+// UncommittedBytes gives the bytes of the entries that wait for a quorum.
+func (c *Core) UncommittedBytes() int { return c.log.size - c.log.committed }
--- a/internal/replica/quorum/work_test.go
+++ b/internal/replica/quorum/work_test.go
@@ -22,12 +22,12 @@
 	if n == nil || n.lead == nil || n.core.Transferring() {
 		return
 	}
-	p := quorum.Propose{Term: n.lead.Term, First: n.next}
+	p := quorum.Propose{Term: n.lead.Term, FirstIndex: n.next}
 	for range count {
 		s.proposed++
 		data := fmt.Appendf(nil, "command %d", s.proposed)
 		p.Commands = append(p.Commands, data)
-		n.mine[n.next] = quorum.Entry{Index: n.next, Term: p.Term, Kind: quorum.Command, Data: data}
+		n.mine[n.next] = quorum.Entry{Index: n.next, Term: p.Term, Kind: quorum.EntryCommand, Data: data}
 		n.next++
 	}
 	s.step(n, p)
@@ -39,10 +39,10 @@
 	}
 	index := n.next
 	n.next++
-	s.step(n, quorum.Alter{Term: n.lead.Term, First: index, Member: m, Remove: remove})
+	s.step(n, quorum.ChangeMembership{Term: n.lead.Term, Index: index, Member: m, Remove: remove})
 	if n.lead != nil {
-		base, _ := n.core.Base()
-		n.mine[index] = n.core.Entries()[index-base-1]
+		base, _ := n.core.LogBase()
+		n.mine[index] = n.core.LogEntries()[index-base-1]
 	}
 }
 
--- a/internal/replica/snapshot/snapshot.go
+++ b/internal/replica/snapshot/snapshot.go
@@ -40,8 +40,8 @@
 	fieldLearner protowire.Number = 3
 )
 
-// ErrFull means that the disk has no room; what was saved before is untouched.
-var ErrFull = disk.ErrFull
+// ErrDiskFull means that the disk has no room; what was saved before is untouched.
+var ErrDiskFull = disk.ErrDiskFull
 
 // Meta says what a snapshot stands for: the log up to Index.
 type Meta struct {
@@ -50,29 +50,29 @@
 	Members []quorum.Member
 }
 
-// DamageError means that the newest snapshot is no longer readable. The journal
+// CorruptionError means that the newest snapshot is no longer readable. The journal
 // before it is gone, so the replica must not start.
-type DamageError struct {
-	File string
-	Why  string
+type CorruptionError struct {
+	File   string
+	Reason string
 }
 
 // Error tells the place and the way out.
-func (e *DamageError) Error() string {
+func (e *CorruptionError) Error() string {
 	return fmt.Sprintf("%s is damaged: %s; the log before it was dropped, so this replica must not go on under its identity: "+
-		"move the data folder aside, start with an empty one and add the replica again (docs/operate/storage.md)", e.File, e.Why)
+		"move the data folder aside, start with an empty one and add the replica again (docs/operate/storage.md)", e.File, e.Reason)
 }
 
 // VersionError means that a snapshot was written by a release with another format.
 type VersionError struct {
-	File string
-	Have uint32
+	File        string
+	FileVersion uint32
 }
 
 // Error tells both versions and the way out.
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("%s has format version %d, this release reads %d: start the release that wrote it (docs/operate/storage.md)",
-		e.File, e.Have, version)
+		e.File, e.FileVersion, version)
 }
 
 // Store is the folder of a replica's snapshots. One goroutine uses it at a time.
@@ -86,7 +86,7 @@
 // older ones are still there, and the log must not be compacted.
 func (s Store) Save(meta Meta, state []byte) error {
 	d := s.disk()
-	if err := d.Folder(s.Dir); err != nil {
+	if err := d.CreateFolder(s.Dir); err != nil {
 		return errors.Wrap(err, "save a snapshot")
 	}
 	name := s.path(meta.Index)
@@ -109,7 +109,7 @@
 // never passed over in favour of an older one: the log between may be gone.
 func (s Store) Load() (Meta, []byte, error) {
 	d := s.disk()
-	if err := d.Folder(s.Dir); err != nil {
+	if err := d.CreateFolder(s.Dir); err != nil {
 		return Meta{}, nil, errors.Wrap(err, "load a snapshot")
 	}
 	// A Save that was killed before its last step may have renamed the file
@@ -137,7 +137,7 @@
 	}
 	meta, state, err := decode(path, b)
 	if err == nil && s.path(meta.Index) != path {
-		err = &DamageError{File: path, Why: "it holds another index than its name says"}
+		err = &CorruptionError{File: path, Reason: "it holds another index than its name says"}
 	}
 	return meta, state, errors.Wrap(err, "load a snapshot")
 }
@@ -162,7 +162,7 @@
 
 func (s Store) disk() disk.Disk {
 	if s.Disk == nil {
-		return disk.System{}
+		return disk.OS{}
 	}
 	return s.Disk
 }
@@ -212,30 +212,30 @@
 
 func decode(name string, b []byte) (Meta, []byte, error) {
 	if len(b) < headerBytes+4 || string(b[:len(magic)]) != magic {
-		return Meta{}, nil, &DamageError{File: name, Why: "not a snapshot"}
+		return Meta{}, nil, &CorruptionError{File: name, Reason: "not a snapshot"}
 	}
 	if v := binary.LittleEndian.Uint32(b[len(magic):]); v != version {
-		return Meta{}, nil, &VersionError{File: name, Have: v}
+		return Meta{}, nil, &VersionError{File: name, FileVersion: v}
 	}
 	rest := b[headerBytes:]
 	if xxhash.Sum64(rest) != binary.LittleEndian.Uint64(b[8:]) {
-		return Meta{}, nil, &DamageError{File: name, Why: "its checksum does not fit"}
+		return Meta{}, nil, &CorruptionError{File: name, Reason: "its checksum does not fit"}
 	}
 	size := uint64(binary.LittleEndian.Uint32(rest))
 	rest = rest[4:]
 	if size > uint64(len(rest)) {
-		return Meta{}, nil, &DamageError{File: name, Why: wire.ErrMalformed.Error()}
+		return Meta{}, nil, &CorruptionError{File: name, Reason: wire.ErrMalformed.Error()}
 	}
 	meta, err := decodeMeta(rest[:size])
 	if err != nil {
-		return Meta{}, nil, &DamageError{File: name, Why: err.Error()}
+		return Meta{}, nil, &CorruptionError{File: name, Reason: err.Error()}
 	}
 	return meta, rest[size:], nil
 }
 
 func decodeMeta(b []byte) (Meta, error) {
 	var m Meta
-	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
+	err := wire.VisitFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fieldIndex:
 			m.Index = v
@@ -253,7 +253,7 @@
 
 func decodeMember(b []byte) (quorum.Member, error) {
 	var m quorum.Member
-	err := wire.Fields(b, func(f protowire.Number, v uint64, data []byte) error {
+	err := wire.VisitFields(b, func(f protowire.Number, v uint64, data []byte) error {
 		switch f {
 		case fieldID:
 			m.ID = string(data)
--- a/internal/replica/snapshot/snapshot_test.go
+++ b/internal/replica/snapshot/snapshot_test.go
@@ -53,7 +53,7 @@
 		bad[at] ^= 1
 		_ = os.WriteFile(files[0], bad, 0o600)
 		_, _, err := s.Load()
-		var damage *snapshot.DamageError
+		var damage *snapshot.CorruptionError
 		var version *snapshot.VersionError
 		if !errors.As(err, &damage) && !errors.As(err, &version) {
 			t.Fatalf("byte %d: %v", at, err)
--- a/internal/replica/wire/wire.go
+++ b/internal/replica/wire/wire.go
@@ -10,12 +10,12 @@
 // ErrMalformed means that bytes are no message of varint and bytes fields.
 var ErrMalformed = errors.New("record is malformed")
 
-// Visit takes one field: v of a varint, data of a bytes field. Data shares the
+// FieldVisitor takes one field: v of a varint, data of a bytes field. Data shares the
 // memory of the message.
-type Visit func(f protowire.Number, v uint64, data []byte) error
+type FieldVisitor func(f protowire.Number, v uint64, data []byte) error
 
-// Fields calls visit for each field of a message, until it returns an error.
-func Fields(b []byte, visit Visit) error {
+// VisitFields calls visit for each field of a message, until it returns an error.
+func VisitFields(b []byte, visit FieldVisitor) error {
 	for len(b) > 0 {
 		f, kind, n := protowire.ConsumeTag(b)
 		if n < 0 {
