--- a/internal/base/dump/signal.go
+++ b/internal/base/dump/signal.go
@@ -16,28 +16,29 @@
 )
 
 const (
-	// keep is the number of dump files that stay in a folder.
-	keep  = 4
-	perms = 0o600
+	// maxFiles is the number of dump files that are kept in a folder.
+	maxFiles = 4
+	fileMode = 0o600
 )
 
-// Signal writes a dump at every SIGUSR1. Set the fields, then call Run.
-type Signal struct {
-	// Dir is the folder for the files; empty to log the dumps instead.
+// SignalHandler writes a dump on each SIGUSR1. Set the exported fields, then call Run.
+type SignalHandler struct {
+	// Dir is the folder for the dump files. With an empty Dir the dumps are logged.
 	Dir string
-	// Name is that of the process.
+	// Name is the name of the process. File names contain it.
 	Name string
-	// State returns what to show.
+	// State returns the state to dump.
 	State func() any
-	// Max bounds a dump in bytes; 0 for DefaultMax.
-	Max int
-	Log logr.Logger
+	// MaxBytes limits the size of a dump; 0 selects DefaultMaxBytes.
+	MaxBytes int
+	Log      logr.Logger
 
-	n int
+	// written is the number of dump files written so far.
+	written int
 }
 
-// Run serves the signal until ctx ends.
-func (s *Signal) Run(ctx context.Context) error {
+// Run handles the signal until ctx ends.
+func (s *SignalHandler) Run(ctx context.Context) error {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGUSR1)
 	defer signal.Stop(c)
@@ -51,18 +52,18 @@
 	}
 }
 
-// Write writes one dump. The files take turns, so that asking often doesn't fill
-// the disk that the journal needs.
-func (s *Signal) Write() {
-	text := Text(s.State(), s.Max)
+// Write writes one dump. It reuses a fixed set of file names, so that frequent dumps
+// do not fill the disk that the journal needs.
+func (s *SignalHandler) Write() {
+	text := Render(s.State(), s.MaxBytes)
 	if s.Dir == "" {
 		event.Log(s.Log, event.Dumped, "state", text)
 		return
 	}
-	path := filepath.Join(s.Dir, fmt.Sprintf("dump-%s-%d.json", s.Name, s.n%keep))
-	s.n++
-	if err := os.WriteFile(path, []byte(text+"\n"), perms); err != nil {
-		event.Fail(s.Log, event.DumpFailed, err)
+	path := filepath.Join(s.Dir, fmt.Sprintf("dump-%s-%d.json", s.Name, s.written%maxFiles))
+	s.written++
+	if err := os.WriteFile(path, []byte(text+"\n"), fileMode); err != nil {
+		event.LogError(s.Log, event.DumpFailed, err)
 		return
 	}
 	event.Log(s.Log, event.Dumped, "file", path)
--- a/internal/base/files/conn.go
+++ b/internal/base/files/conn.go
@@ -8,87 +8,91 @@
 	"time"
 )
 
-// patience is how long a dial waits for room.
-const patience = time.Second
+// dialTimeout is how long a dial waits for a free file. The connection attempt itself
+// is not limited by it.
+const dialTimeout = time.Second
 
-// Dial opens a connection.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dial returns a dial whose connections count for a use. One that finds no room
-// calls full, which closes idle ones, and waits.
-func (b *Budget) Dial(u Use, dial Dial, full func()) Dial {
+// LimitDial wraps dial so that its connections count against the budget of a purpose.
+// If no file is free, a dial calls reclaim, which closes idle connections, and waits.
+func (b *Budget) LimitDial(p Purpose, dial DialFunc, reclaim func()) DialFunc {
 	if b == nil {
 		return dial
 	}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		waiting, cancel := context.WithTimeout(ctx, patience)
+		waitCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
-		if err := b.Wait(waiting, u, full); err != nil {
+		if err := b.Acquire(waitCtx, p, reclaim); err != nil {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: err}
 		}
-		return b.counted(u, func() (net.Conn, error) { return dial(ctx, network, address) })
+		return b.countedConn(p, func() (net.Conn, error) { return dial(ctx, network, address) })
 	}
 }
 
-// counted returns a connection for which there is room; it counts until it is closed.
-func (b *Budget) counted(u Use, open func() (net.Conn, error)) (net.Conn, error) {
+// countedConn opens a connection for which a file was acquired. Closing the connection
+// releases the file.
+func (b *Budget) countedConn(p Purpose, open func() (net.Conn, error)) (net.Conn, error) {
 	c, err := open()
 	if err != nil {
-		b.Free(u)
+		b.Release(p)
 		return nil, err
 	}
-	return &conn{Conn: c, close: sync.OnceFunc(func() { b.Free(u) })}, nil
+	return &countedConn{Conn: c, release: sync.OnceFunc(func() { b.Release(p) })}, nil
 }
 
-// conn is a connection that counts until it is closed.
-type conn struct {
+// countedConn is a connection that releases its file when it is closed.
+type countedConn struct {
 	net.Conn
-	close func()
+	release func()
 }
 
-func (c *conn) Close() error {
-	defer c.close()
+func (c *countedConn) Close() error {
+	defer c.release()
 	return c.Conn.Close()
 }
 
-// Listen returns a listener whose connections count for a use. Without room none is
-// taken: those that come wait until another is closed.
-func (b *Budget) Listen(u Use, l net.Listener) net.Listener {
+// LimitListener wraps l so that its connections count against the budget of a purpose.
+// If no file is free, new connections stay in the backlog of the operating system
+// until another connection is closed.
+func (b *Budget) LimitListener(p Purpose, l net.Listener) net.Listener {
 	if b == nil {
 		return l
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	return &listener{Listener: l, budget: b, use: u, ctx: ctx, cancel: cancel}
+	return &limitedListener{Listener: l, budget: b, purpose: p, ctx: ctx, cancel: cancel}
 }
 
-type listener struct {
+// limitedListener is a listener that acquires a file before it accepts a connection.
+type limitedListener struct {
 	net.Listener
-	budget *Budget
-	use    Use
-	ctx    context.Context
-	cancel context.CancelFunc
+	budget  *Budget
+	purpose Purpose
+	ctx     context.Context
+	cancel  context.CancelFunc
 }
 
-func (l *listener) Accept() (net.Conn, error) {
-	if err := l.budget.Wait(l.ctx, l.use, func() {}); err != nil {
+func (l *limitedListener) Accept() (net.Conn, error) {
+	if err := l.budget.Acquire(l.ctx, l.purpose, func() {}); err != nil {
 		return nil, net.ErrClosed
 	}
-	return l.budget.counted(l.use, l.Listener.Accept)
+	return l.budget.countedConn(l.purpose, l.Listener.Accept)
 }
 
-func (l *listener) Close() error {
+func (l *limitedListener) Close() error {
 	l.cancel()
 	return l.Listener.Close()
 }
 
-// Serve returns a handler that lets connections end after their answer while the
-// use is pressed, so that others find room.
-func (b *Budget) Serve(u Use, h http.Handler) http.Handler {
+// CloseUnderPressure wraps h so that HTTP/1 connections are closed after the response
+// while the purpose is under pressure. This frees files for other clients.
+func (b *Budget) CloseUnderPressure(p Purpose, h http.Handler) http.Handler {
 	if b == nil {
 		return h
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.ProtoMajor == 1 && b.Pressed(u) {
+		if r.ProtoMajor == 1 && b.UnderPressure(p) {
 			w.Header().Set("Connection", "close")
 		}
 		h.ServeHTTP(w, r)
--- a/internal/base/secure/secure.go
+++ b/internal/base/secure/secure.go
@@ -1,6 +1,6 @@
-// Package secure makes TLS configurations from files and takes changed files
-// into force without a restart. Between the processes of a cell both ends show
-// a certificate, and the one who dials checks the other's name.
+// Package secure creates TLS configurations from PEM files and reloads changed files
+// without a restart. Between the processes of a cell both peers present a
+// certificate, and the client verifies the server's name.
 package secure
 
 import (
@@ -19,74 +19,80 @@
 )
 
 const (
-	// DefaultInterval is the time between two looks at the files.
-	DefaultInterval = 5 * time.Second
-	// Expiring is the rest of a certificate's life from which it is warned about.
-	Expiring = 14 * 24 * time.Hour
-	// warnEvery is the time between two such warnings.
-	warnEvery = 12 * time.Hour
+	// DefaultReloadInterval is the default time between two checks of the files.
+	DefaultReloadInterval = 5 * time.Second
+	// ExpiryWarning is the remaining validity of a certificate below which warnings are
+	// logged.
+	ExpiryWarning = 14 * 24 * time.Hour
+	// expiryWarningInterval is the minimum time between two such warnings.
+	expiryWarningInterval = 12 * time.Hour
 )
 
-// Files are the PEM files of one side.
+// Files holds the paths of the PEM files for one side of a process.
 type Files struct {
 	Certificate string
 	Key         string
-	// Authority signs the certificates of the other ends; may be empty.
+	// Authority holds the certificates of the authorities that sign the peers'
+	// certificates. It may be empty.
 	Authority string
 }
 
-// Store holds what the files said last. Set the exported fields, call Load, and
-// Run for as long as the configurations are in use.
-type Store struct {
+// CertificateStore holds the most recent valid contents of the files. Set the exported
+// fields, call Load, and keep Run running as long as the configurations are in use.
+type CertificateStore struct {
 	Files Files
-	// Interval is the time between two looks at the files.
+	// Interval is the time between two checks of the files.
 	Interval time.Duration
 	Log      logr.Logger
 
-	current atomic.Pointer[material]
-	bad     [3][]byte
-	warned  time.Time
-	done    chan struct{}
+	current atomic.Pointer[credentials]
+	// rejected holds the file contents that were last reported as invalid.
+	rejected [3][]byte
+	// warnedAt is the time of the last warning about the expiry.
+	warnedAt time.Time
+	done     chan struct{}
 }
 
-// material is one good reading of the files.
-type material struct {
-	raw  [3][]byte
-	pair tls.Certificate
-	// pool is nil without an authority.
-	pool *x509.CertPool
-	ends time.Time
+// credentials holds the parsed contents of the files.
+type credentials struct {
+	// files holds the raw contents of the certificate, key and authority files.
+	files [3][]byte
+	// certificate is the certificate chain with its private key.
+	certificate tls.Certificate
+	// authorities is nil if no authority file is configured.
+	authorities *x509.CertPool
+	expiresAt   time.Time
 }
 
-// New returns a store of the files.
-func New(files Files, log logr.Logger) *Store {
-	return &Store{Files: files, Log: log, done: make(chan struct{})}
+// New returns a CertificateStore for the given files.
+func New(files Files, log logr.Logger) *CertificateStore {
+	return &CertificateStore{Files: files, Log: log, done: make(chan struct{})}
 }
 
 // Done is closed when Run has returned.
-func (s *Store) Done() <-chan struct{} { return s.done }
+func (s *CertificateStore) Done() <-chan struct{} { return s.done }
 
-// Load reads the files for the first time. A process doesn't start without.
-func (s *Store) Load() error {
+// Load reads the files for the first time. A process does not start if it fails.
+func (s *CertificateStore) Load() error {
 	raw, err := s.read()
 	if err != nil {
 		return err
 	}
-	m, err := parse(raw)
+	c, err := parse(raw)
 	if err != nil {
 		return err
 	}
-	s.current.Store(m)
-	event.Log(s.Log, event.TLSLoaded, "certificate", s.Files.Certificate, "ends", m.ends)
+	s.current.Store(c)
+	event.Log(s.Log, event.TLSLoaded, "certificate", s.Files.Certificate, "ends", c.expiresAt)
 	return nil
 }
 
-// Run looks at the files until ctx ends.
-func (s *Store) Run(ctx context.Context) error {
+// Run reloads changed files until ctx ends.
+func (s *CertificateStore) Run(ctx context.Context) error {
 	defer close(s.done)
 	interval := s.Interval
 	if interval <= 0 {
-		interval = DefaultInterval
+		interval = DefaultReloadInterval
 	}
 	t := time.NewTicker(interval)
 	defer t.Stop()
@@ -95,59 +101,61 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-t.C:
-			s.Refresh(now)
+			s.Reload(now)
 		}
 	}
 }
 
-// Refresh takes changed files into force for new connections. It guards against
-// files caught halfway through their replacement, such as a new certificate
-// beside the old key: whatever does not fit together leaves the old ones in
-// force and is read again at the next look. A file is judged by its content,
-// since a time of change has too coarse a step on some file systems.
-func (s *Store) Refresh(now time.Time) {
-	old := s.current.Load()
-	s.warn(now, old)
+// Reload reads the files and uses changed ones for new connections. If they do not
+// match each other, for example a new certificate with the old key because the files
+// are being replaced, the previous contents stay in use and the next call reads the
+// files again. Reload compares the contents of the files, because modification times
+// are too coarse on some file systems.
+func (s *CertificateStore) Reload(now time.Time) {
+	previous := s.current.Load()
+	s.warnExpiry(now, previous)
 	raw, err := s.read()
 	switch {
 	case err != nil:
-		s.refuse(raw, err)
+		s.reject(raw, err)
 		return
-	case same(raw, old.raw):
-		s.bad = [3][]byte{}
+	case sameFiles(raw, previous.files):
+		s.rejected = [3][]byte{}
 		return
 	}
-	m, err := parse(raw)
+	c, err := parse(raw)
 	if err != nil {
-		s.refuse(raw, err)
+		s.reject(raw, err)
 		return
 	}
-	s.current.Store(m)
-	s.bad = [3][]byte{}
-	event.Log(s.Log, event.TLSReloaded, "certificate", s.Files.Certificate, "ends", m.ends)
+	s.current.Store(c)
+	s.rejected = [3][]byte{}
+	event.Log(s.Log, event.TLSReloaded, "certificate", s.Files.Certificate, "ends", c.expiresAt)
 }
 
-// refuse says once what is wrong with one state of the files.
-func (s *Store) refuse(raw [3][]byte, err error) {
-	if s.bad[0] != nil && same(raw, s.bad) {
+// reject logs why the files are invalid, once for each different content.
+func (s *CertificateStore) reject(raw [3][]byte, err error) {
+	if s.rejected[0] != nil && sameFiles(raw, s.rejected) {
 		return
 	}
-	s.bad = raw
-	if s.bad[0] == nil {
-		s.bad[0] = []byte{}
+	s.rejected = raw
+	if s.rejected[0] == nil {
+		s.rejected[0] = []byte{}
 	}
-	event.Fail(s.Log, event.TLSBad, err, "certificate", s.Files.Certificate)
+	event.LogError(s.Log, event.TLSBad, err, "certificate", s.Files.Certificate)
 }
 
-func (s *Store) warn(now time.Time, m *material) {
-	if m.ends.Sub(now) > Expiring || now.Sub(s.warned) < warnEvery {
+// warnExpiry logs a warning if the certificate expires soon.
+func (s *CertificateStore) warnExpiry(now time.Time, c *credentials) {
+	if c.expiresAt.Sub(now) > ExpiryWarning || now.Sub(s.warnedAt) < expiryWarningInterval {
 		return
 	}
-	s.warned = now
-	event.Log(s.Log, event.TLSExpiring, "certificate", s.Files.Certificate, "ends", m.ends)
+	s.warnedAt = now
+	event.Log(s.Log, event.TLSExpiring, "certificate", s.Files.Certificate, "ends", c.expiresAt)
 }
 
-func (s *Store) read() (raw [3][]byte, err error) {
+// read returns the contents of the files and all errors of reading them.
+func (s *CertificateStore) read() (raw [3][]byte, err error) {
 	for i, path := range []string{s.Files.Certificate, s.Files.Key, s.Files.Authority} {
 		if path == "" && i == len(raw)-1 {
 			continue
@@ -162,7 +170,8 @@
 	return raw, err
 }
 
-func same(a, b [3][]byte) bool {
+// sameFiles reports whether both sets of file contents are equal.
+func sameFiles(a, b [3][]byte) bool {
 	for i := range a {
 		if !bytes.Equal(a[i], b[i]) {
 			return false
@@ -171,19 +180,20 @@
 	return true
 }
 
-func parse(raw [3][]byte) (*material, error) {
-	m := &material{raw: raw}
-	pair, err := tls.X509KeyPair(raw[0], raw[1])
+// parse returns the credentials in the contents of the files.
+func parse(raw [3][]byte) (*credentials, error) {
+	c := &credentials{files: raw}
+	certificate, err := tls.X509KeyPair(raw[0], raw[1])
 	if err != nil {
-		return nil, errors.Wrap(err, "certificate and key")
+		return nil, errors.Wrap(err, "cannot use the certificate with the key")
 	}
-	m.pair, m.ends = pair, pair.Leaf.NotAfter
+	c.certificate, c.expiresAt = certificate, certificate.Leaf.NotAfter
 	if raw[2] == nil {
-		return m, nil
+		return c, nil
 	}
-	m.pool = x509.NewCertPool()
-	if !m.pool.AppendCertsFromPEM(raw[2]) {
-		return nil, errors.New("the authority file holds no certificate in PEM")
+	c.authorities = x509.NewCertPool()
+	if !c.authorities.AppendCertsFromPEM(raw[2]) {
+		return nil, errors.New("the authority file contains no certificate in PEM format")
 	}
-	return m, nil
+	return c, nil
 }
--- a/internal/base/settings/kind.go
+++ b/internal/base/settings/kind.go
@@ -14,133 +14,142 @@
 	"github.com/tailscale/hujson"
 )
 
-// What is allowed, as reports and docs/SETTINGS.md say it.
+// Descriptions of the allowed values for fault messages and docs/SETTINGS.md.
 const (
 	allowedName    = "text: 1 to 63 lower-case letters, digits and hyphens, no hyphen at either end"
 	allowedPath    = "text: a path, not empty"
-	allowedListen  = "text: IP:port, port 0 picks a free one"
+	allowedListen  = "text: IP:port, port 0 selects a free port"
 	allowedAddress = "text: IP:port, port 1 to 65535"
 	allowedDigest  = "text: 64 hexadecimal digits, the SHA-256 of a secret that is not empty"
-	allowedFlag    = "true or false"
+	allowedBool    = "true or false"
 )
 
 var (
-	allowedPeers   = fmt.Sprintf("list of 1 to %d objects {name, address}; address is IP:port; an odd number outlives most faults", MaxReplicas)
-	allowedNames   = fmt.Sprintf("list of up to %d names", MaxZones)
-	allowedDigests = fmt.Sprintf("list of up to %d texts of 64 hexadecimal digits, each a SHA-256", MaxDigests)
-	nameForm       = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
+	allowedReplicas = fmt.Sprintf("list of 1 to %d objects {name, address}; address is IP:port; an odd number tolerates the most failures", MaxReplicas)
+	allowedZones    = fmt.Sprintf("list of up to %d names", MaxZones)
+	allowedDigests  = fmt.Sprintf("list of up to %d texts of 64 hexadecimal digits, each a SHA-256", MaxDigests)
+	namePattern     = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 )
 
-func isName(t string) bool { return nameForm.MatchString(t) }
+func isName(t string) bool { return namePattern.MatchString(t) }
 
 func isPath(t string) bool { return t != "" && !strings.ContainsRune(t, 0) }
 
-func isListen(t string) bool {
+// isListenAddress accepts an address to listen on. Port 0 is allowed.
+func isListenAddress(t string) bool {
 	_, err := netip.ParseAddrPort(t)
 	return err == nil
 }
 
+// isAddress accepts an address to connect to.
 func isAddress(t string) bool {
 	a, err := netip.ParseAddrPort(t)
 	return err == nil && a.Port() != 0
 }
 
-// isDigest refuses the digest of no secret at all: a script that hashes an unset
-// variable would else admit every server that shows nothing.
+// isDigest accepts a SHA-256 digest in hexadecimal. It refuses the digest of the empty
+// secret: a script that hashes an unset variable would otherwise admit every backend
+// server that presents no secret.
 func isDigest(t string) bool {
 	b, err := hex.DecodeString(t)
 	return err == nil && len(b) == sha256.Size && [sha256.Size]byte(b) != sha256.Sum256(nil)
 }
 
-func text(path string, role Role, allowed, def string, good func(string) bool, help string, at func(*Settings) *string) Key {
-	shown := def
-	if def == "" {
-		shown = "none"
+// textKey returns the key of a text that valid accepts.
+func textKey(path string, role Role, allowed, defaultValue string, valid func(string) bool, help string, field func(*Settings) *string) Key {
+	displayedDefault := defaultValue
+	if defaultValue == "" {
+		displayedDefault = "none"
 	}
 	return Key{
-		Path: path, Role: role, Allowed: allowed, Default: shown, Help: help,
-		read: readText(allowed, good, at),
-		fill: func(s *Settings) { *at(s) = def },
+		Path: path, Role: role, Allowed: allowed, Default: displayedDefault, Help: help,
+		parse:      parseText(allowed, valid, field),
+		setDefault: func(s *Settings) { *field(s) = defaultValue },
 	}
 }
 
-func readText(allowed string, good func(string) bool, at func(*Settings) *string) func(*reader, *Settings, value) {
-	return func(r *reader, s *Settings, v value) {
-		if t, ok := v.text(); ok && good(t) {
-			*at(s) = t
+// parseText returns a parser for a text that valid accepts.
+func parseText(allowed string, valid func(string) bool, field func(*Settings) *string) func(*parser, *Settings, value) {
+	return func(p *parser, s *Settings, v value) {
+		if t, ok := v.text(); ok && valid(t) {
+			*field(s) = t
 			return
 		}
-		r.refuse(v, allowed)
+		p.refuse(v, allowed)
 	}
 }
 
-func choice(path string, options []string, def, help string, at func(*Settings) *string) Key {
+// choiceKey returns the key of a text that must be one of options.
+func choiceKey(path string, options []string, defaultValue, help string, field func(*Settings) *string) Key {
 	allowed := "one of " + strings.Join(options, ", ")
-	return text(path, "", allowed, def, func(t string) bool { return slices.Contains(options, t) }, help, at)
+	return textKey(path, "", allowed, defaultValue, func(t string) bool { return slices.Contains(options, t) }, help, field)
 }
 
-func flag(path, help string, at func(*Settings) *bool) Key {
+// boolKey returns the key of a boolean whose default is false.
+func boolKey(path, help string, field func(*Settings) *bool) Key {
 	return Key{
-		Path: path, Allowed: allowedFlag, Default: "false", Help: help,
-		read: func(r *reader, s *Settings, v value) {
-			b, ok := v.flag()
+		Path: path, Allowed: allowedBool, Default: "false", Help: help,
+		parse: func(p *parser, s *Settings, v value) {
+			b, ok := v.boolean()
 			if !ok {
-				r.refuse(v, allowedFlag)
+				p.refuse(v, allowedBool)
 				return
 			}
-			*at(s) = b
+			*field(s) = b
 		},
-		fill: func(*Settings) {},
+		setDefault: func(*Settings) {},
 	}
 }
 
-func span(path string, def, low, high time.Duration, help string, at func(*Settings) *time.Duration) Key {
-	allowed := fmt.Sprintf("text: a duration with its unit (ms, s, m, h) from %s to %s", short(low), short(high))
+// durationKey returns the key of a duration from lowest to highest.
+func durationKey(path string, defaultValue, lowest, highest time.Duration, help string, field func(*Settings) *time.Duration) Key {
+	allowed := fmt.Sprintf("text: a duration with its unit (ms, s, m, h) from %s to %s", formatDuration(lowest), formatDuration(highest))
 	return Key{
-		Path: path, Allowed: allowed, Default: short(def), Help: help,
-		read: func(r *reader, s *Settings, v value) {
+		Path: path, Allowed: allowed, Default: formatDuration(defaultValue), Help: help,
+		parse: func(p *parser, s *Settings, v value) {
 			t, ok := v.text()
 			d, err := time.ParseDuration(t)
-			if !ok || err != nil || d < low || d > high {
-				r.refuse(v, allowed)
+			if !ok || err != nil || d < lowest || d > highest {
+				p.refuse(v, allowed)
 				return
 			}
-			*at(s) = d
+			*field(s) = d
 		},
-		fill: func(s *Settings) { *at(s) = def },
+		setDefault: func(s *Settings) { *field(s) = defaultValue },
 	}
 }
 
-// filled gives a key another default, which follows from the keys before it.
-func filled(k Key, def string, fill func(s *Settings)) Key {
-	k.Default, k.fill = def, fill
+// withDefault replaces the default of a key by one that depends on earlier keys.
+func withDefault(k Key, defaultValue string, setDefault func(s *Settings)) Key {
+	k.Default, k.setDefault = defaultValue, setDefault
 	return k
 }
 
-func count(path, unit string, def, low, high int64, help string, at func(*Settings) *int64) Key {
-	allowed := fmt.Sprintf("whole number of %s from %d to %d", unit, low, high)
+// integerKey returns the key of an integer from lowest to highest.
+func integerKey(path, unit string, defaultValue, lowest, highest int64, help string, field func(*Settings) *int64) Key {
+	allowed := fmt.Sprintf("whole number of %s from %d to %d", unit, lowest, highest)
 	return Key{
-		Path: path, Allowed: allowed, Default: strconv.FormatInt(def, 10), Help: help,
-		read: func(r *reader, s *Settings, v value) {
+		Path: path, Allowed: allowed, Default: strconv.FormatInt(defaultValue, 10), Help: help,
+		parse: func(p *parser, s *Settings, v value) {
 			n, ok := v.number()
-			if !ok || n < low || n > high {
-				r.refuse(v, allowed)
+			if !ok || n < lowest || n > highest {
+				p.refuse(v, allowed)
 				return
 			}
-			*at(s) = n
+			*field(s) = n
 		},
-		fill: func(s *Settings) { *at(s) = def },
+		setDefault: func(s *Settings) { *field(s) = defaultValue },
 	}
 }
 
-// only makes a key one of a single role.
-func only(role Role, k Key) Key {
+// forRole restricts a key to one role.
+func forRole(role Role, k Key) Key {
 	k.Role = role
 	return k
 }
 
-// short prints a duration without zero minutes and seconds at its end.
-func short(d time.Duration) string {
+// formatDuration formats a duration without trailing zero minutes and seconds.
+func formatDuration(d time.Duration) string {
 	t := d.String()
 	if strings.HasSuffix(t, "m0s") {
 		t = strings.TrimSuffix(t, "0s")
@@ -151,55 +160,57 @@
 	return t
 }
 
-func readPeers(r *reader, s *Settings, v value) {
-	items, ok := v.list()
+// parseReplicas parses the list of control replicas.
+func parseReplicas(p *parser, s *Settings, v value) {
+	items, ok := v.elements()
 	if !ok || len(items) == 0 || len(items) > MaxReplicas {
-		r.refuse(v, allowedPeers)
+		p.refuse(v, allowedReplicas)
 		return
 	}
-	s.Control = nil
+	s.ControlReplicas = nil
 	for _, item := range items {
-		s.Control = append(s.Control, readPeer(r, item))
+		s.ControlReplicas = append(s.ControlReplicas, parseReplica(p, item))
 	}
 }
 
-func readPeer(r *reader, v value) Peer {
-	var p Peer
-	fields := r.members(v, "name", "address")
+// parseReplica parses the name and address of one control replica.
+func parseReplica(p *parser, v value) ControlReplica {
+	var replica ControlReplica
+	fields := p.knownMembers(v, "name", "address")
 	for name, field := range fields {
 		t, ok := field.text()
 		switch {
 		case name == "name" && ok && isName(t):
-			p.Name = t
+			replica.Name = t
 		case name == "name":
-			r.refuse(field, allowedName)
+			p.refuse(field, allowedName)
 		case ok && isAddress(t):
-			p.Address = t
+			replica.Address = t
 		default:
-			r.refuse(field, allowedAddress)
+			p.refuse(field, allowedAddress)
 		}
 	}
 	if _, ok := fields["name"]; !ok {
-		r.report(v, "name is missing; allowed: "+allowedName)
+		p.report(v, "name is missing; allowed: "+allowedName)
 	}
 	if _, ok := fields["address"]; !ok {
-		r.report(v, "address is missing; allowed: "+allowedAddress)
+		p.report(v, "address is missing; allowed: "+allowedAddress)
 	}
-	return p
+	return replica
 }
 
-// texts reads a list of up to most texts of one kind; allowed says what the list may
-// be, and one what each text may be.
-func (r *reader) texts(v value, most int, allowed, one string, is func(string) bool) (out []string) {
-	items, ok := v.list()
-	if !ok || len(items) > most {
-		r.refuse(v, allowed)
+// parseList parses a list of at most maxItems texts that valid accepts. Faults describe
+// the list with allowed and an item with allowedItem.
+func (p *parser) parseList(v value, maxItems int, allowed, allowedItem string, valid func(string) bool) (out []string) {
+	items, ok := v.elements()
+	if !ok || len(items) > maxItems {
+		p.refuse(v, allowed)
 		return nil
 	}
 	for _, item := range items {
 		t, ok := item.text()
-		if !ok || !is(t) {
-			r.refuse(item, one)
+		if !ok || !valid(t) {
+			p.refuse(item, allowedItem)
 			continue
 		}
 		out = append(out, t)
@@ -207,23 +218,25 @@
 	return out
 }
 
-func readDigests(r *reader, s *Settings, v value) {
-	for _, t := range r.texts(v, MaxDigests, allowedDigests, allowedDigest, isDigest) {
-		s.Enrolment = append(s.Enrolment, strings.ToLower(t))
+// parseDigests parses the enrolment digests and converts them to lower case.
+func parseDigests(p *parser, s *Settings, v value) {
+	for _, t := range p.parseList(v, MaxDigests, allowedDigests, allowedDigest, isDigest) {
+		s.EnrolmentDigests = append(s.EnrolmentDigests, strings.ToLower(t))
 	}
 }
 
-func readZones(r *reader, s *Settings, v value) {
-	s.Zones = r.texts(v, MaxZones, allowedNames, allowedName, isName)
+// parseZones parses the list of availability zones.
+func parseZones(p *parser, s *Settings, v value) {
+	s.Zones = p.parseList(v, MaxZones, allowedZones, allowedName, isName)
 }
 
-// readPlatform keeps an object as it stands in the file, without comments.
-func readPlatform(r *reader, s *Settings, v value) {
+// parsePlatform stores an object as standard JSON, without its comments.
+func parsePlatform(p *parser, s *Settings, v value) {
 	if _, ok := v.node.Value.(*hujson.Object); !ok {
-		r.refuse(v, "an object")
+		p.refuse(v, "an object")
 		return
 	}
-	plain := v.node.Clone()
-	plain.Standardize()
-	s.Platform = plain.Pack()
+	standardJSON := v.node.Clone()
+	standardJSON.Standardize()
+	s.Platform = standardJSON.Pack()
 }
