--- a/internal/cli/entry/entry.go
+++ b/internal/cli/entry/entry.go
@@ -51,7 +51,7 @@
 	}
 	e.Outside, e.Inside = sides.Outside.Server(), sides.Inside.Client(sides.Replicas...)
 	pool := e.Pool()
-	pool.Timeout, pool.Freshness, pool.Batch = s.Time.Call, s.Time.Fresh, int(s.Limits.Batch)
+	pool.CallTimeout, pool.MaxContactAge, pool.MaxPushItems = s.Time.Call, s.Time.Fresh, int(s.Limits.Batch)
 	event.Log(e.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
 	defer event.Log(e.Log, event.Stopped, "process", s.Name)
 	signal := &dump.Signal{Name: s.Name, State: e.Dump, Max: int(s.Limits.Dump), Log: e.Log}
--- a/internal/edge/control/find.go
+++ b/internal/edge/control/find.go
@@ -6,65 +6,65 @@
 	"time"
 )
 
-// find asks all replicas at once, with an empty Push, whether they lead. Asking
+// findLeader asks all replicas at once, with an empty Push, whether they lead. Asking
 // everybody is safe, and a silent replica then costs no time.
-func (p *Pool) find(ctx context.Context) (*link, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.Timeout)
+func (c *Client) findLeader(ctx context.Context) (*session, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.CallTimeout)
 	defer cancel()
 	type answer struct {
-		link  *link
+		link  *session
 		hint  Replica
 		leads bool
 	}
-	answers := make(chan answer)
+	results := make(chan answer)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	asked := map[string]bool{}
-	ask := func(r Replica) {
-		asked[r.Address] = true
-		l := p.link(r)
+	probed := map[string]bool{}
+	startProbe := func(r Replica) {
+		probed[r.Address] = true
+		s := c.newSession(r)
 		wg.Go(func() {
-			hint, leads := l.probe(ctx)
+			hint, leads := s.probe(ctx)
 			select {
-			case answers <- answer{l, hint, leads}:
+			case results <- answer{s, hint, leads}:
 			case <-ctx.Done():
-				l.close()
+				s.close()
 			}
 		})
 	}
-	for _, r := range p.Replicas {
-		ask(r)
+	for _, r := range c.Replicas {
+		startProbe(r)
 	}
-	for open := len(asked); open > 0; open-- {
-		var a answer
+	for outstanding := len(probed); outstanding > 0; outstanding-- {
+		var result answer
 		select {
-		case a = <-answers:
+		case result = <-results:
 		case <-ctx.Done():
 			return nil, errNoLeader
 		}
-		if a.leads {
-			return a.link, nil
+		if result.leads {
+			return result.link, nil
 		}
-		a.link.close()
-		if a.hint.Address != "" && !asked[a.hint.Address] {
-			ask(a.hint)
-			open++
+		result.link.close()
+		if result.hint.Address != "" && !probed[result.hint.Address] {
+			startProbe(result.hint)
+			outstanding++
 		}
 	}
 	return nil, errNoLeader
 }
 
 // probe tells whether the replica leads, or which one it names.
-func (l *link) probe(ctx context.Context) (hint Replica, leads bool) {
-	sent := time.Now()
-	reply, err := l.client.Push(ctx, l.push(nil))
+func (s *session) probe(ctx context.Context) (hint Replica, leads bool) {
+	startedAt := time.Now()
+	reply, err := s.control.Push(ctx, s.newPushRequest(nil))
 	if err != nil {
 		return Replica{}, false
 	}
-	if to := reply.GetRedirect(); to != nil {
-		return Replica{Name: to.GetLeader(), Address: to.GetAddress()}, false
+	if redirect := reply.GetRedirect(); redirect != nil {
+		return Replica{Name: redirect.GetLeader(), Address: redirect.GetAddress()}, false
 	}
-	l.pool.confirm(sent)
+	s.client.recordContact(startedAt)
 	return Replica{}, true
 }
--- a/internal/edge/control/link.go
+++ b/internal/edge/control/link.go
@@ -17,129 +17,129 @@
 )
 
 const (
-	// gather is the queue length at which a further Push starts beside those under way.
-	gather = 32
-	// linger is the longest wait for a batch to grow while a Push is under way.
-	linger = time.Millisecond
-	// maxFailures is the number of calls in a row that may fail before another leader is looked for.
-	maxFailures = 2
-	// maxAge bounds the life of the connections to one replica.
-	maxAge = 5 * time.Minute
-	// minPause is kept between Pulls that return at once without replies.
-	minPause = 2 * time.Millisecond
+	// parallelPushThreshold is the queue length at which a further Push starts beside those under way.
+	parallelPushThreshold = 32
+	// maxBatchDelay is the longest wait for a batch to grow while a Push is under way.
+	maxBatchDelay = time.Millisecond
+	// maxConsecutiveFailures is the number of calls in a row that may fail before another leader is looked for.
+	maxConsecutiveFailures = 2
+	// maxSessionAge bounds the life of the connections to one replica.
+	maxSessionAge = 5 * time.Minute
+	// minPullInterval is kept between Pulls that return at once without replies.
+	minPullInterval = 2 * time.Millisecond
 )
 
 var (
-	errMoved  = errors.New("the replica does not lead")
-	errSilent = errors.New("the replica does not answer")
-	errAged   = errors.New("the connections reached their age")
+	errNotLeader     = errors.New("the replica does not lead")
+	errUnresponsive  = errors.New("the replica does not answer")
+	errMaxSessionAge = errors.New("the connections reached their age")
 )
 
-// link is the session with one replica while it leads.
-type link struct {
-	pool    *Pool
+// session is the session with one replica while it leads.
+type session struct {
+	client  *Client
 	replica Replica
-	// session is new with each link, so that what an earlier link left on the
+	// id is new with each link, so that what an earlier link left on the
 	// way can neither acknowledge nor answer anything of this one.
-	session uint64
-	client  inner.Control
-	wire    *http.Transport
+	id        uint64
+	control   inner.Control
+	transport *http.Transport
 
-	// failures counts the calls in a row that failed, pushes and pulls apart: a
+	// consecutiveFailures counts the calls in a row that failed, pushes and pulls apart: a
 	// Pull that never comes back must not hide behind pushes that do.
-	failures [2]atomic.Int32
-	// repoll ends the Pull under way, so that it is made again over a fresh connection.
-	repoll atomic.Pointer[context.CancelFunc]
-	// hurried is true when a Pull was ended so.
-	hurried atomic.Bool
+	consecutiveFailures [2]atomic.Int32
+	// cancelPull ends the Pull under way, so that it is made again over a fresh connection.
+	cancelPull atomic.Pointer[context.CancelFunc]
+	// pullRestarted is true when a Pull was ended so.
+	pullRestarted atomic.Bool
 }
 
 // The kinds of call, for the count of failures.
 const (
-	pushing = iota
-	pulling
+	pushCall = iota
+	pullCall
 )
 
-// open makes the client. HTTP/1.1 is used because a call that is given up
+// initTransport makes the client. HTTP/1.1 is used because a call that is given up
 // closes its own connection there: a connection that something on the way has
 // forgotten is never used twice.
-func (l *link) open() {
-	only := new(http.Protocols)
-	only.SetHTTP1(true)
-	l.wire = &http.Transport{
-		DialContext:         l.pool.Dial,
-		TLSClientConfig:     l.pool.TLS.Clone(),
-		Protocols:           only,
-		MaxIdleConnsPerHost: l.pool.Flights + 1,
+func (s *session) initTransport() {
+	protocols := new(http.Protocols)
+	protocols.SetHTTP1(true)
+	s.transport = &http.Transport{
+		DialContext:         s.client.Dial,
+		TLSClientConfig:     s.client.TLS.Clone(),
+		Protocols:           protocols,
+		MaxIdleConnsPerHost: s.client.MaxParallelPushes + 1,
 		IdleConnTimeout:     10 * time.Second,
 		DisableCompression:  true,
 	}
 	scheme := "http://"
-	if l.pool.TLS != nil {
+	if s.client.TLS != nil {
 		scheme = "https://"
 	}
-	l.client = inner.NewControlProtobufClient(scheme+l.replica.Address, &http.Client{Transport: l.wire})
+	s.control = inner.NewControlProtobufClient(scheme+s.replica.Address, &http.Client{Transport: s.transport})
 }
 
-func (l *link) close() { l.wire.CloseIdleConnections() }
+func (s *session) close() { s.transport.CloseIdleConnections() }
 
-func (l *link) push(items []*inner.Item) *inner.PushRequest {
-	return &inner.PushRequest{Cell: l.pool.Cell, Entry: l.pool.Name, Session: l.session, Items: items}
+func (s *session) newPushRequest(items []*inner.Item) *inner.PushRequest {
+	return &inner.PushRequest{Cell: s.client.Cell, Entry: s.client.Name, Session: s.id, Items: items}
 }
 
-// serve carries items and replies until the replica stops leading or answering.
-func (l *link) serve(ctx context.Context) error {
-	ctx, fail := context.WithCancelCause(ctx)
-	defer fail(nil)
-	defer l.close()
-	aged := time.AfterFunc(maxAge, func() { fail(errAged) })
-	defer aged.Stop()
+// run carries items and replies until the replica stops leading or answering.
+func (s *session) run(ctx context.Context) error {
+	ctx, endSession := context.WithCancelCause(ctx)
+	defer endSession(nil)
+	defer s.close()
+	ageTimer := time.AfterFunc(maxSessionAge, func() { endSession(errMaxSessionAge) })
+	defer ageTimer.Stop()
 	// What an earlier leader left unanswered is asked again here: every item is idempotent.
-	l.pool.book.requeueAll()
+	s.client.queue.requeueAll()
 	var wg sync.WaitGroup
-	wg.Go(func() { l.dispatch(ctx, fail) })
-	wg.Go(func() { l.pull(ctx, fail) })
+	wg.Go(func() { s.dispatchPushes(ctx, endSession) })
+	wg.Go(func() { s.pullReplies(ctx, endSession) })
 	wg.Wait()
 	return context.Cause(ctx)
 }
 
-// dispatch starts a Push for what has gathered: at once when none is under way,
+// dispatchPushes starts a Push for what has gathered: at once when none is under way,
 // else when enough has gathered or the first has waited long enough.
-func (l *link) dispatch(ctx context.Context, fail context.CancelCauseFunc) {
+func (s *session) dispatchPushes(ctx context.Context, endSession context.CancelCauseFunc) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	flights := make(chan struct{}, l.pool.Flights)
-	landed := make(chan struct{}, 1)
+	inFlight := make(chan struct{}, s.client.MaxParallelPushes)
+	pushDone := make(chan struct{}, 1)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.pool.book.wake:
+		case <-s.client.queue.wakeup:
 		}
-		for l.pool.book.waiting() > 0 {
-			if len(flights) > 0 && l.pool.book.waiting() < gather {
+		for s.client.queue.sendQueueLength() > 0 {
+			if len(inFlight) > 0 && s.client.queue.sendQueueLength() < parallelPushThreshold {
 				select {
-				case <-landed:
-				case <-time.After(linger):
+				case <-pushDone:
+				case <-time.After(maxBatchDelay):
 				case <-ctx.Done():
 					return
 				}
 			}
 			select {
-			case flights <- struct{}{}:
+			case inFlight <- struct{}{}:
 			case <-ctx.Done():
 				return
 			}
-			batch := l.pool.book.take(l.pool.Batch)
+			batch := s.client.queue.dequeue(s.client.MaxPushItems)
 			if len(batch) == 0 {
-				<-flights
+				<-inFlight
 				continue
 			}
 			wg.Go(func() {
-				l.send(ctx, fail, batch)
-				<-flights
+				s.pushBatch(ctx, endSession, batch)
+				<-inFlight
 				select {
-				case landed <- struct{}{}:
+				case pushDone <- struct{}{}:
 				default:
 				}
 			})
@@ -147,42 +147,42 @@
 	}
 }
 
-// send pushes one batch, and once more over a fresh connection if that failed.
-func (l *link) send(ctx context.Context, fail context.CancelCauseFunc, batch []*call) {
+// pushBatch pushes one batch, and once more over a fresh connection if that failed.
+func (s *session) pushBatch(ctx context.Context, endSession context.CancelCauseFunc, batch []*call) {
 	for ctx.Err() == nil {
-		items, fresh := l.pool.book.expose(batch)
-		l.pool.meter.pushes.Inc()
-		l.pool.meter.items.Add(len(items))
-		sent := time.Now()
-		reply, err := l.try(ctx, l.push(items))
+		items, firstAttempts := s.client.queue.prepareForPush(batch)
+		s.client.metrics.pushes.Inc()
+		s.client.metrics.items.Add(len(items))
+		startedAt := time.Now()
+		reply, err := s.callPush(ctx, s.newPushRequest(items))
 		if err != nil {
 			if neverSent(err) {
-				l.pool.book.conceal(fresh)
+				s.client.queue.markNotArrived(firstAttempts)
 			}
-			l.hurry()
-			if l.failed(ctx, pushing, fail) {
+			s.restartPull()
+			if s.recordFailure(ctx, pushCall, endSession) {
 				return
 			}
 			continue
 		}
 		if reply.GetRedirect() != nil {
-			l.pool.book.conceal(fresh) // the replica says that it looked at nothing
-			l.pool.book.requeue(batch)
-			fail(errMoved)
+			s.client.queue.markNotArrived(firstAttempts) // the replica says that it looked at nothing
+			s.client.queue.requeuePending(batch)
+			endSession(errNotLeader)
 			return
 		}
-		l.worked(pushing, sent)
-		l.settle(fresh, reply.GetRefused())
+		s.recordSuccess(pushCall, startedAt)
+		s.handleRefused(firstAttempts, reply.GetRefused())
 		return
 	}
 }
 
-// hurry ends the Pull under way after a Push that got no answer: whatever
+// restartPull ends the Pull under way after a Push that got no answer: whatever
 // forgot that connection has likely forgotten this one too, and a Pull shows
 // its silence only at the end of its patience.
-func (l *link) hurry() {
-	if cancel := l.repoll.Load(); cancel != nil {
-		l.hurried.Store(true)
+func (s *session) restartPull() {
+	if cancel := s.cancelPull.Load(); cancel != nil {
+		s.pullRestarted.Store(true)
 		(*cancel)()
 	}
 }
@@ -193,130 +193,130 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func (l *link) try(ctx context.Context, req *inner.PushRequest) (*inner.PushReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, l.pool.Timeout)
+func (s *session) callPush(ctx context.Context, req *inner.PushRequest) (*inner.PushReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.client.CallTimeout)
 	defer cancel()
-	return l.client.Push(ctx, req)
+	return s.control.Push(ctx, req)
 }
 
-// settle handles the items that the leader had no room for. One that no earlier
+// handleRefused handles the items that the leader had no room for. One that no earlier
 // Push carried was provably not run; any other is sent again when overdue.
-func (l *link) settle(fresh []*call, refused []uint64) {
+func (s *session) handleRefused(firstAttempts []*call, refused []uint64) {
 	if len(refused) == 0 {
 		return
 	}
-	full := make(map[uint64]bool, len(refused))
+	refusedSeqs := make(map[uint64]bool, len(refused))
 	for _, seq := range refused {
-		full[seq] = true
+		refusedSeqs[seq] = true
 	}
-	var unseen []*call
-	for _, c := range fresh {
-		if full[c.item.Seq] {
-			unseen = append(unseen, c)
+	var notProcessed []*call
+	for _, c := range firstAttempts {
+		if refusedSeqs[c.item.Seq] {
+			notProcessed = append(notProcessed, c)
 		}
 	}
-	l.pool.meter.refused.Add(len(unseen))
-	l.pool.book.refuse(unseen)
+	s.client.metrics.refusedItems.Add(len(notProcessed))
+	s.client.queue.failRefused(notProcessed)
 }
 
-// mark is how far the replies have been taken: ack counts within its epoch.
-type mark struct {
+// pullPosition is how far the replies have been taken: ack counts within its epoch.
+type pullPosition struct {
 	epoch uint64
 	ack   uint64
 }
 
-// pull keeps a long poll open for replies.
-func (l *link) pull(ctx context.Context, fail context.CancelCauseFunc) {
-	var at mark
+// pullReplies keeps a long poll open for replies.
+func (s *session) pullReplies(ctx context.Context, endSession context.CancelCauseFunc) {
+	var position pullPosition
 	for ctx.Err() == nil {
-		sent := time.Now()
-		reply, err := l.poll(ctx, at)
+		startedAt := time.Now()
+		reply, err := s.callPull(ctx, position)
 		if err != nil {
-			if l.hurried.Swap(false) {
+			if s.pullRestarted.Swap(false) {
 				continue
 			}
-			if l.failed(ctx, pulling, fail) || !l.alive(ctx, fail) {
+			if s.recordFailure(ctx, pullCall, endSession) || !s.stillLeads(ctx, endSession) {
 				return
 			}
 			continue
 		}
 		if reply.GetRedirect() != nil {
-			fail(errMoved)
+			endSession(errNotLeader)
 			return
 		}
-		l.hurried.Store(false)
-		l.worked(pulling, sent)
-		l.pool.learn(reply.GetRevision())
+		s.pullRestarted.Store(false)
+		s.recordSuccess(pullCall, startedAt)
+		s.client.raiseTableRevision(reply.GetRevision())
 		// The answer holds everything past the number acknowledged, so its last number is the next one.
 		if n := len(reply.GetReplies()); n > 0 {
-			at = mark{reply.GetEpoch(), reply.GetFirst() + uint64(n) - 1}
-		} else if time.Since(sent) < minPause {
-			sleep(ctx, minPause)
+			position = pullPosition{reply.GetEpoch(), reply.GetFirst() + uint64(n) - 1}
+		} else if time.Since(startedAt) < minPullInterval {
+			sleep(ctx, minPullInterval)
 		}
-		if !l.deliver(reply.GetReplies()) {
-			fail(errMoved)
+		if !s.deliverReplies(reply.GetReplies()) {
+			endSession(errNotLeader)
 			return
 		}
 	}
 }
 
-func (l *link) poll(ctx context.Context, at mark) (*inner.PullReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, l.pool.Patience+l.pool.Timeout)
+func (s *session) callPull(ctx context.Context, position pullPosition) (*inner.PullReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.client.LongPollWait+s.client.CallTimeout)
 	defer cancel()
-	l.repoll.Store(&cancel)
-	return l.client.Pull(ctx, &inner.PullRequest{
-		Cell: l.pool.Cell, Entry: l.pool.Name, Session: l.session,
-		Epoch: at.epoch, Ack: at.ack, Revision: l.pool.Revision(), Patience: uint64(l.pool.Patience.Milliseconds()),
+	s.cancelPull.Store(&cancel)
+	return s.control.Pull(ctx, &inner.PullRequest{
+		Cell: s.client.Cell, Entry: s.client.Name, Session: s.id,
+		Epoch: position.epoch, Ack: position.ack, Revision: s.client.TableRevision(), Patience: uint64(s.client.LongPollWait.Milliseconds()),
 	})
 }
 
-// alive asks over another connection whether the replica still leads, after a
+// stillLeads asks over another connection whether the replica still leads, after a
 // Pull that stayed silent: only its connection may be at fault.
-func (l *link) alive(ctx context.Context, fail context.CancelCauseFunc) bool {
-	ctx, cancel := context.WithTimeout(ctx, l.pool.Timeout)
+func (s *session) stillLeads(ctx context.Context, endSession context.CancelCauseFunc) bool {
+	ctx, cancel := context.WithTimeout(ctx, s.client.CallTimeout)
 	defer cancel()
-	if _, leads := l.probe(ctx); !leads {
-		fail(errSilent)
+	if _, leads := s.probe(ctx); !leads {
+		endSession(errUnresponsive)
 		return false
 	}
 	return true
 }
 
-// deliver hands out replies. It returns false when the replica says that it no
+// deliverReplies hands out replies. It returns false when the replica says that it no
 // longer leads: such items wait for the next leader.
-func (l *link) deliver(replies []*inner.Reply) bool {
+func (s *session) deliverReplies(replies []*inner.Reply) bool {
 	leads := true
 	for _, r := range replies {
 		if r.GetStatus().GetCode() == uint32(code.NoLeader) {
 			leads = false
 			continue
 		}
-		if !l.pool.book.deliver(r) {
-			l.pool.meter.late.Inc()
+		if !s.client.queue.deliver(r) {
+			s.client.metrics.lateReplies.Inc()
 		}
 	}
 	return leads
 }
 
-// failed counts a call that failed and drops the idle connections, which may
+// recordFailure counts a call that failed and drops the idle connections, which may
 // have gone silent with it. It returns true when the link is given up.
-func (l *link) failed(ctx context.Context, kind int, fail context.CancelCauseFunc) bool {
+func (s *session) recordFailure(ctx context.Context, callKind int, endSession context.CancelCauseFunc) bool {
 	if ctx.Err() != nil {
 		return true
 	}
-	l.wire.CloseIdleConnections()
-	l.pool.meter.failures.Inc()
-	event.Log(l.pool.Log, event.ConnectionSilent, "replica", l.replica.Name)
-	if n := l.failures[kind].Add(1); n >= maxFailures || !l.pool.retries.Allow() {
-		fail(errSilent)
+	s.transport.CloseIdleConnections()
+	s.client.metrics.callFailures.Inc()
+	event.Log(s.client.Log, event.ConnectionSilent, "replica", s.replica.Name)
+	if failures := s.consecutiveFailures[callKind].Add(1); failures >= maxConsecutiveFailures || !s.client.retryLimiter.Allow() {
+		endSession(errUnresponsive)
 		return true
 	}
 	return false
 }
 
-func (l *link) worked(kind int, sent time.Time) {
-	l.pool.confirm(sent)
-	l.failures[kind].Store(0)
+func (s *session) recordSuccess(callKind int, startedAt time.Time) {
+	s.client.recordContact(startedAt)
+	s.consecutiveFailures[callKind].Store(0)
 }
 
 // newBackoff returns the jittered pauses between searches for a leader.
--- a/internal/edge/control/pool.go
+++ b/internal/edge/control/pool.go
@@ -25,28 +25,28 @@
 
 // Defaults of the fields that are left zero.
 const (
-	// DefaultLimit bounds the items that wait for a reply.
-	DefaultLimit = 8192
-	// DefaultFlights bounds the Push calls under way at once.
-	DefaultFlights = 4
-	// DefaultBatch bounds the items of one Push.
-	DefaultBatch = 512
-	// DefaultPatience is how long a Pull without replies is held open.
-	DefaultPatience = 500 * time.Millisecond
-	// DefaultTimeout bounds a Push, and what a Pull may take beyond its patience.
-	DefaultTimeout = 400 * time.Millisecond
-	// DefaultFreshness is the age of the last contact with the leader past which everything is refused.
-	DefaultFreshness = 2 * time.Second
-	// DefaultGrace is how long an item waits for a leader to be found.
-	DefaultGrace = time.Second
+	// DefaultMaxPending bounds the items that wait for a reply.
+	DefaultMaxPending = 8192
+	// DefaultMaxParallelPushes bounds the Push calls under way at once.
+	DefaultMaxParallelPushes = 4
+	// DefaultMaxPushItems bounds the items of one Push.
+	DefaultMaxPushItems = 512
+	// DefaultLongPollWait is how long a Pull without replies is held open.
+	DefaultLongPollWait = 500 * time.Millisecond
+	// DefaultCallTimeout bounds a Push, and what a Pull may take beyond its patience.
+	DefaultCallTimeout = 400 * time.Millisecond
+	// DefaultMaxContactAge is the age of the last contact with the leader past which everything is refused.
+	DefaultMaxContactAge = 2 * time.Second
+	// DefaultLeaderWait is how long an item waits for a leader to be found.
+	DefaultLeaderWait = time.Second
 )
 
 const (
-	// sweepEvery is the period in which overdue items are looked for.
-	sweepEvery = 50 * time.Millisecond
+	// sweepInterval is the period in which overdue items are looked for.
+	sweepInterval = 50 * time.Millisecond
 	// retryRate and retryBurst bound the calls and items that are sent again, per second.
 	retryRate  = 400
-	retryBurst = 2 * DefaultLimit
+	retryBurst = 2 * DefaultMaxPending
 )
 
 // Replica is one process of the control group.
@@ -55,8 +55,8 @@
 	Address string
 }
 
-// Pool carries items to the leader and replies back. Set the fields, then call Run.
-type Pool struct {
+// Client carries items to the leader and replies back. Set the fields, then call Run.
+type Client struct {
 	// Cell and Name identify the entry to the leader.
 	Cell string
 	Name string
@@ -67,46 +67,46 @@
 	// Dial opens connections; nil for TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	Log  logr.Logger
-	// Meters receives the pool's metrics; nil for none.
-	Meters *metrics.Set
+	// Metrics receives the pool's metrics; nil for none.
+	Metrics *metrics.Set
 
-	Limit     int
-	Flights   int
-	Batch     int
-	Patience  time.Duration
-	Timeout   time.Duration
-	Freshness time.Duration
-	Grace     time.Duration
+	MaxPending        int
+	MaxParallelPushes int
+	MaxPushItems      int
+	LongPollWait      time.Duration
+	CallTimeout       time.Duration
+	MaxContactAge     time.Duration
+	LeaderWait        time.Duration
 
-	prepare  sync.Once
-	book     *book
-	retries  *rate.Limiter
-	meter    *meter
-	started  time.Time
-	contact  atomic.Int64 // nanoseconds from started to the start of the last call that a leader answered
-	revision atomic.Uint64
-	leader   atomic.Pointer[Replica]
-	done     chan struct{}
+	initOnce      sync.Once
+	queue         *callQueue
+	retryLimiter  *rate.Limiter
+	metrics       *clientMetrics
+	startedAt     time.Time
+	lastContact   atomic.Int64 // nanoseconds from started to the start of the last call that a leader answered
+	tableRevision atomic.Uint64
+	leader        atomic.Pointer[Replica]
+	done          chan struct{}
 }
 
-func (p *Pool) init() {
-	p.prepare.Do(func() {
-		setDefault(&p.Limit, DefaultLimit)
-		setDefault(&p.Flights, DefaultFlights)
-		setDefault(&p.Batch, DefaultBatch)
-		setDefault(&p.Patience, DefaultPatience)
-		setDefault(&p.Timeout, DefaultTimeout)
-		setDefault(&p.Freshness, DefaultFreshness)
-		setDefault(&p.Grace, DefaultGrace)
-		if p.Dial == nil {
-			p.Dial = (&net.Dialer{Timeout: p.Timeout}).DialContext
+func (c *Client) init() {
+	c.initOnce.Do(func() {
+		setDefault(&c.MaxPending, DefaultMaxPending)
+		setDefault(&c.MaxParallelPushes, DefaultMaxParallelPushes)
+		setDefault(&c.MaxPushItems, DefaultMaxPushItems)
+		setDefault(&c.LongPollWait, DefaultLongPollWait)
+		setDefault(&c.CallTimeout, DefaultCallTimeout)
+		setDefault(&c.MaxContactAge, DefaultMaxContactAge)
+		setDefault(&c.LeaderWait, DefaultLeaderWait)
+		if c.Dial == nil {
+			c.Dial = (&net.Dialer{Timeout: c.CallTimeout}).DialContext
 		}
-		p.started = time.Now()
-		p.contact.Store(-int64(p.Freshness) - 1)
-		p.book = newBook(p.Limit)
-		p.retries = rate.NewLimiter(retryRate, retryBurst)
-		p.meter = newMeter(p)
-		p.done = make(chan struct{})
+		c.startedAt = time.Now()
+		c.lastContact.Store(-int64(c.MaxContactAge) - 1)
+		c.queue = newCallQueue(c.MaxPending)
+		c.retryLimiter = rate.NewLimiter(retryRate, retryBurst)
+		c.metrics = newClientMetrics(c)
+		c.done = make(chan struct{})
 	})
 }
 
@@ -118,164 +118,164 @@
 }
 
 // Done is closed when Run has returned.
-func (p *Pool) Done() <-chan struct{} { p.init(); return p.done }
+func (c *Client) Done() <-chan struct{} { c.init(); return c.done }
 
-// Revision returns the newest revision of the table heard of from a leader.
-func (p *Pool) Revision() uint64 { return p.revision.Load() }
+// TableRevision returns the newest revision of the table heard of from a leader.
+func (c *Client) TableRevision() uint64 { return c.tableRevision.Load() }
 
 // Leader returns the replica that leads as far as known.
-func (p *Pool) Leader() (Replica, bool) {
-	r := p.leader.Load()
+func (c *Client) Leader() (Replica, bool) {
+	r := c.leader.Load()
 	if r == nil {
 		return Replica{}, false
 	}
 	return *r, true
 }
 
-// Fresh tells whether a leader answered a call that began within the freshness bound.
-func (p *Pool) Fresh() bool { p.init(); return p.age() <= p.Freshness }
+// InContact tells whether a leader answered a call that began within the freshness bound.
+func (c *Client) InContact() bool { c.init(); return c.contactAge() <= c.MaxContactAge }
 
 // Pending returns the number of items that wait for a reply.
-func (p *Pool) Pending() int { p.init(); return p.book.size() }
+func (c *Client) Pending() int { c.init(); return c.queue.pendingCount() }
 
-func (p *Pool) age() time.Duration {
-	return time.Since(p.started) - time.Duration(p.contact.Load())
+func (c *Client) contactAge() time.Duration {
+	return time.Since(c.startedAt) - time.Duration(c.lastContact.Load())
 }
 
-// confirm notes that a leader answered a call that began at sent.
-func (p *Pool) confirm(sent time.Time) {
-	at := int64(sent.Sub(p.started))
+// recordContact notes that a leader answered a call that began at sent.
+func (c *Client) recordContact(startedAt time.Time) {
+	contact := int64(startedAt.Sub(c.startedAt))
 	for {
-		old := p.contact.Load()
-		if at <= old || p.contact.CompareAndSwap(old, at) {
+		current := c.lastContact.Load()
+		if contact <= current || c.lastContact.CompareAndSwap(current, contact) {
 			return
 		}
 	}
 }
 
-// learn notes a revision of the table; an older one, from a late reply, is ignored.
-func (p *Pool) learn(revision uint64) {
+// raiseTableRevision notes a revision of the table; an older one, from a late reply, is ignored.
+func (c *Client) raiseTableRevision(revision uint64) {
 	for {
-		old := p.revision.Load()
-		if revision <= old || p.revision.CompareAndSwap(old, revision) {
+		current := c.tableRevision.Load()
+		if revision <= current || c.tableRevision.CompareAndSwap(current, revision) {
 			return
 		}
 	}
 }
 
-// Ask sends the item to the leader and returns its reply. The error is a
+// Send sends the item to the leader and returns its reply. The error is a
 // *code.Error: Unreachable or Overloaded when the item provably did not reach
 // a leader, otherwise Unanswered.
-func (p *Pool) Ask(ctx context.Context, item *inner.Item) (*inner.Reply, error) {
-	p.init()
-	if !p.Fresh() && p.age() > p.Freshness+p.Grace {
-		p.meter.refused.Inc()
-		return nil, code.New(code.Unreachable, "no leader for %v", p.age().Round(time.Millisecond))
+func (c *Client) Send(ctx context.Context, item *inner.Item) (*inner.Reply, error) {
+	c.init()
+	if !c.InContact() && c.contactAge() > c.MaxContactAge+c.LeaderWait {
+		c.metrics.refusedItems.Inc()
+		return nil, code.New(code.Unreachable, "no leader for %v", c.contactAge().Round(time.Millisecond))
 	}
-	c, err := p.book.add(ctx, item)
+	pendingCall, err := c.queue.add(ctx, item)
 	if err != nil {
-		p.meter.refused.Inc()
+		c.metrics.refusedItems.Inc()
 		return nil, err
 	}
 	select {
-	case o := <-c.result:
-		return o.reply, o.err
+	case result := <-pendingCall.result:
+		return result.reply, result.err
 	case <-ctx.Done():
-		return p.book.abandon(c, "the time given ran out")
-	case <-p.done:
-		return p.book.abandon(c, "the entry stops")
+		return c.queue.abandon(pendingCall, "the time given ran out")
+	case <-c.done:
+		return c.queue.abandon(pendingCall, "the entry stops")
 	}
 }
 
-// EndPolls ends the long polls under way with Leaving and refuses new ones, for a planned stop.
-func (p *Pool) EndPolls() { p.init(); p.book.endPolls() }
+// EndLongPolls ends the long polls under way with Leaving and refuses new ones, for a planned stop.
+func (c *Client) EndLongPolls() { c.init(); c.queue.endLongPolls() }
 
 // Run serves until ctx ends. Items that still wait are then answered with an error.
-func (p *Pool) Run(ctx context.Context) error {
-	p.init()
-	defer close(p.done)
+func (c *Client) Run(ctx context.Context) error {
+	c.init()
+	defer close(c.done)
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { p.sweep(ctx) })
+	wg.Go(func() { c.sweepPending(ctx) })
 
-	wait := newBackoff()
+	retryBackoff := newBackoff()
 	for ctx.Err() == nil {
-		l, err := p.find(ctx)
+		s, err := c.findLeader(ctx)
 		if err != nil {
-			sleep(ctx, wait.NextBackOff())
+			sleep(ctx, retryBackoff.NextBackOff())
 			continue
 		}
-		began := time.Now()
-		p.leader.Store(&l.replica)
-		event.Log(p.Log, event.LeaderDialled, "replica", l.replica.Name, "address", l.replica.Address)
-		err = l.serve(ctx)
-		p.leader.Store(nil)
-		p.meter.moves.Inc()
-		p.left(ctx, l, err)
-		if time.Since(began) > p.Freshness {
-			wait.Reset()
+		startedAt := time.Now()
+		c.leader.Store(&s.replica)
+		event.Log(c.Log, event.LeaderDialled, "replica", s.replica.Name, "address", s.replica.Address)
+		err = s.run(ctx)
+		c.leader.Store(nil)
+		c.metrics.leaderChanges.Inc()
+		c.logSessionEnd(ctx, s, err)
+		if time.Since(startedAt) > c.MaxContactAge {
+			retryBackoff.Reset()
 		} else {
-			sleep(ctx, wait.NextBackOff())
+			sleep(ctx, retryBackoff.NextBackOff())
 		}
 	}
 	return nil
 }
 
-// left logs why a link ended, unless the entry stops.
-func (p *Pool) left(ctx context.Context, l *link, why error) {
+// logSessionEnd logs why a link ended, unless the entry stops.
+func (c *Client) logSessionEnd(ctx context.Context, s *session, cause error) {
 	switch {
-	case ctx.Err() != nil || errors.Is(why, errAged):
-	case errors.Is(why, errMoved):
-		event.Log(p.Log, event.LeaderChanged, "from", l.replica.Name)
+	case ctx.Err() != nil || errors.Is(cause, errMaxSessionAge):
+	case errors.Is(cause, errNotLeader):
+		event.Log(c.Log, event.LeaderChanged, "from", s.replica.Name)
 	default:
-		event.Fail(p.Log, event.LeaderAway, why, "replica", l.replica.Name)
+		event.Fail(c.Log, event.LeaderAway, cause, "replica", s.replica.Name)
 	}
 }
 
-// sweep refuses items that no leader was found for and sends unanswered ones again.
-func (p *Pool) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
-	defer tick.Stop()
+// sweepPending refuses items that no leader was found for and sends unanswered ones again.
+func (c *Client) sweepPending(ctx context.Context) {
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		// A key may have been withdrawn since the last contact: past the bound
 		// nothing that waits may be answered by what an old leader said.
-		if !p.Fresh() {
-			p.meter.stale.Add(p.book.failStale(time.Now().Add(-p.Grace)))
+		if !c.InContact() {
+			c.metrics.failedStale.Add(c.queue.failAddedBefore(time.Now().Add(-c.LeaderWait)))
 			continue
 		}
-		p.book.failUnsent(time.Now().Add(-p.Grace))
-		p.meter.resent.Add(p.book.requeueOverdue(time.Now(), p.retries))
+		c.queue.failUnsent(time.Now().Add(-c.LeaderWait))
+		c.metrics.resentItems.Add(c.queue.requeueOverdue(time.Now(), c.retryLimiter))
 	}
 }
 
 // Dump asks the replica of that name for its state.
-func (p *Pool) Dump(ctx context.Context, process string) (*v1.DumpReply, error) {
-	p.init()
-	for _, r := range p.Replicas {
-		if r.Name != process {
+func (c *Client) Dump(ctx context.Context, processName string) (*v1.DumpReply, error) {
+	c.init()
+	for _, r := range c.Replicas {
+		if r.Name != processName {
 			continue
 		}
-		l := p.link(r)
-		defer l.close()
-		reply, err := l.client.Dump(ctx, &v1.DumpRequest{Process: process})
+		s := c.newSession(r)
+		defer s.close()
+		reply, err := s.control.Dump(ctx, &v1.DumpRequest{Process: processName})
 		if err != nil {
-			return nil, code.New(code.Unanswered, "%s did not answer", process)
+			return nil, code.New(code.Unanswered, "%s did not answer", processName)
 		}
 		return reply, nil
 	}
-	return nil, code.New(code.Unknown, "process %q", process)
+	return nil, code.New(code.Unknown, "process %q", processName)
 }
 
-// link makes the connections to one replica, under a session number of its own.
-func (p *Pool) link(r Replica) *link {
-	l := &link{pool: p, replica: r, session: rand.Uint64()}
-	l.open()
-	return l
+// newSession makes the connections to one replica, under a session number of its own.
+func (c *Client) newSession(replica Replica) *session {
+	s := &session{client: c, replica: replica, id: rand.Uint64()}
+	s.initTransport()
+	return s
 }
 
 var errNoLeader = errors.New("no replica leads")
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -89,7 +89,7 @@
 	Limit int
 
 	prepare sync.Once
-	pool    *control.Pool
+	pool    *control.Client
 	meters  *metrics.Set
 	phase   atomic.Int32
 	// unready is what the last probe was told.
@@ -129,9 +129,9 @@
 		}
 		e.meters = metrics.NewSet()
 		e.done = make(chan struct{})
-		e.pool = &control.Pool{
+		e.pool = &control.Client{
 			Cell: e.Cell, Name: e.Name, Replicas: e.Replicas, TLS: e.Inside, Dial: e.Dial,
-			Log: e.Log, Meters: e.meters, Limit: e.Limit,
+			Log: e.Log, Metrics: e.meters, MaxPending: e.Limit,
 		}
 	})
 }
@@ -140,7 +140,7 @@
 func (e *Entry) Done() <-chan struct{} { e.init(); return e.done }
 
 // Pool returns the entry's way to the leader.
-func (e *Entry) Pool() *control.Pool { e.init(); return e.pool }
+func (e *Entry) Pool() *control.Client { e.init(); return e.pool }
 
 // service is one listener and what it serves.
 type service struct {
@@ -155,7 +155,7 @@
 		{e.Callers, e.server(mounted(caller.MaxRequest)((&caller.Handler{Leader: e.pool}).Route(count)))},
 		{e.Backends, e.server(mounted(backend.MaxRequest)((&backend.Handler{Leader: e.pool, Enrolment: e.Enrolment, Log: e.Log}).Route(count)))},
 		{e.Operators, e.server(mounted(operator.MaxRequest)((&operator.Handler{Leader: e.pool, Audit: e.Audit, Name: e.Name, State: e.state}).Route(count)))},
-		{e.Platform, e.server((&platform.Probes{Ready: e.ready, Meters: []*metrics.Set{e.meters, meter.Common}}).Route())},
+		{e.Platform, e.server((&platform.Probes{Ready: e.ready, MetricSets: []*metrics.Set{e.meters, meter.Common}}).Handler())},
 	}
 	return slices.DeleteFunc(all, func(s service) bool { return s.listener == nil })
 }
@@ -187,7 +187,7 @@
 	if e.phase.Load() != phaseServing {
 		return errLeaving
 	}
-	if !e.pool.Fresh() {
+	if !e.pool.InContact() {
 		return errors.New("no leader is in contact")
 	}
 	return nil
@@ -237,7 +237,7 @@
 		return errors.New("the stop was cut short")
 	}
 	e.phase.Store(phaseDraining)
-	e.pool.EndPolls()
+	e.pool.EndLongPolls()
 	event.Log(e.Log, event.StopFinishing, "pending", e.pool.Pending())
 	ctx, cancel := context.WithTimeout(context.Background(), e.Drain)
 	defer cancel()
--- a/internal/edge/entry/service_test.go
+++ b/internal/edge/entry/service_test.go
@@ -29,7 +29,7 @@
 	item  *inner.Item
 }
 
-func (a *asker) Ask(_ context.Context, item *inner.Item) (*inner.Reply, error) {
+func (a *asker) Send(_ context.Context, item *inner.Item) (*inner.Reply, error) {
 	a.item = item
 	return a.reply, a.err
 }
@@ -212,7 +212,7 @@
 		c.change(0, &v1.ChangeRequest{Id: "one", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{}}})
 		time.Sleep(600 * time.Millisecond)
 		for _, name := range entryNames {
-			if got := w.process(name).entry.Pool().Revision(); got != 1 {
+			if got := w.process(name).entry.Pool().TableRevision(); got != 1 {
 				t.Errorf("%s serves revision %d", name, got)
 			}
 		}
@@ -248,4 +248,4 @@
 	})
 }
 
-var _ control.Asker = (*asker)(nil)
+var _ control.Sender = (*asker)(nil)
--- a/internal/edge/helper/helper.go
+++ b/internal/edge/helper/helper.go
@@ -27,9 +27,9 @@
 	Call(ctx context.Context, c *inner.ServerCall) *inner.ServerAnswer
 }
 
-// Follower is told of a new leader, and says who it is itself.
-type Follower interface {
-	Announced(address string, w *inner.Welcome) *inner.Greeting
+// LeaderObserver is told of a new leader, and says who it is itself.
+type LeaderObserver interface {
+	LeaderAnnounced(address string, w *inner.Welcome) *inner.Greeting
 }
 
 // Server makes calls for the leader. The exported fields are set before use.
@@ -37,8 +37,8 @@
 	Cell     string
 	Adviser  Adviser
 	Backends Backends
-	// Follower is told of new leaders; nil for nobody is.
-	Follower Follower
+	// LeaderObserver is told of new leaders; nil for nobody is.
+	LeaderObserver LeaderObserver
 }
 
 var _ inner.Helper = (*Server)(nil)
@@ -48,7 +48,7 @@
 
 // Advise asks the adviser.
 func (s *Server) Advise(ctx context.Context, r *inner.AdviseRequest) (*inner.AdviseReply, error) {
-	if err := s.check(r.GetCell()); err != nil {
+	if err := s.checkCell(r.GetCell()); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.GetBudget())*time.Millisecond)
@@ -58,7 +58,7 @@
 
 // Relay calls a backend server.
 func (s *Server) Relay(ctx context.Context, c *inner.ServerCall) (*inner.ServerAnswer, error) {
-	if err := s.check(c.GetCell()); err != nil {
+	if err := s.checkCell(c.GetCell()); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(c.GetBudget())*time.Millisecond)
@@ -68,57 +68,57 @@
 
 // Announce takes the word of a new leader.
 func (s *Server) Announce(_ context.Context, a *inner.Announcement) (*inner.Greeting, error) {
-	if err := s.check(a.GetCell()); err != nil {
+	if err := s.checkCell(a.GetCell()); err != nil {
 		return nil, err
 	}
-	if s.Follower == nil {
+	if s.LeaderObserver == nil {
 		return &inner.Greeting{}, nil
 	}
-	return s.Follower.Announced(a.GetAddress(), a.GetWelcome()), nil
+	return s.LeaderObserver.LeaderAnnounced(a.GetAddress(), a.GetWelcome()), nil
 }
 
-func (s *Server) check(cell string) error {
+func (s *Server) checkCell(cell string) error {
 	if cell != s.Cell {
 		return twirp.NewError(twirp.PermissionDenied, "this is cell "+s.Cell)
 	}
 	return nil
 }
 
-// Pool calls helpers, this process among them. The exported fields are set
+// Client calls helpers, this process among them. The exported fields are set
 // before use.
-type Pool struct {
-	Self   *Server
-	Client *http.Client
+type Client struct {
+	Local      *Server
+	HTTPClient *http.Client
 }
 
 // Advise lets the process at that address ask; this process when it is empty.
-func (p *Pool) Advise(ctx context.Context, address string, r *inner.AdviseRequest) *inner.AdviseReply {
+func (c *Client) Advise(ctx context.Context, address string, r *inner.AdviseRequest) *inner.AdviseReply {
 	if address == "" {
-		return p.Self.Adviser.Advise(ctx, r)
+		return c.Local.Adviser.Advise(ctx, r)
 	}
-	rep, err := inner.NewHelperProtobufClient("http://"+address, p.Client).Advise(ctx, r)
+	reply, err := inner.NewHelperProtobufClient("http://"+address, c.HTTPClient).Advise(ctx, r)
 	if err != nil {
 		return &inner.AdviseReply{Code: uint32(code.Unanswered), Detail: err.Error()}
 	}
-	return rep
+	return reply
 }
 
 // Announce tells the process at that address who leads; nil when it does not answer.
-func (p *Pool) Announce(ctx context.Context, address string, a *inner.Announcement) *inner.Greeting {
-	g, err := inner.NewHelperProtobufClient("http://"+address, p.Client).Announce(ctx, a)
+func (c *Client) Announce(ctx context.Context, address string, a *inner.Announcement) *inner.Greeting {
+	greeting, err := inner.NewHelperProtobufClient("http://"+address, c.HTTPClient).Announce(ctx, a)
 	if err != nil {
 		return nil
 	}
-	return g
+	return greeting
 }
 
 // Relay lets the process at that address call a backend server. What goes wrong
 // on the way to it may have happened after the call left.
-func (p *Pool) Relay(ctx context.Context, address string, c *inner.ServerCall) *inner.ServerAnswer {
-	rep, err := inner.NewHelperProtobufClient("http://"+address, p.Client).Relay(ctx, c)
+func (c *Client) Relay(ctx context.Context, address string, call *inner.ServerCall) *inner.ServerAnswer {
+	answer, err := inner.NewHelperProtobufClient("http://"+address, c.HTTPClient).Relay(ctx, call)
 	switch {
 	case err == nil:
-		return rep
+		return answer
 	case wire.NeverSent(err):
 		return &inner.ServerAnswer{Verdict: inner.Verdict_VERDICT_UNSENT, Detail: err.Error()}
 	}
--- a/internal/edge/leader/carry.go
+++ b/internal/edge/leader/carry.go
@@ -16,148 +16,148 @@
 // Ask carries a request to the leader. Every request may be made again: flows
 // have ids, and cancelling or asking twice changes nothing. The answer has code
 // NoLeader when nothing can have been done, and Unanswered when that is not known.
-func (l *Link) Ask(ctx context.Context, a *inner.FlowAsk) *inner.FlowAnswer {
-	begin := l.Now()
-	rep := l.carry(ctx, a)
-	if changes(a) || rep.GetCode() == uint32(code.Unanswered) {
-		event.Log(l.Log, event.CallAnswered, "flow", path.Base(a.GetPath()), "verb", a.GetVerb().String(), "code", rep.GetCode(), "detail", rep.GetDetail(), "term", rep.GetTerm(), "retry", rep.GetRetry(), "took", (l.Now() - begin).String())
+func (c *Client) Ask(ctx context.Context, request *inner.FlowAsk) *inner.FlowAnswer {
+	startedAt := c.Now()
+	answer := c.askUntilAnswered(ctx, request)
+	if isWrite(request) || answer.GetCode() == uint32(code.Unanswered) {
+		event.Log(c.Log, event.CallAnswered, "flow", path.Base(request.GetPath()), "verb", request.GetVerb().String(), "code", answer.GetCode(), "detail", answer.GetDetail(), "term", answer.GetTerm(), "retry", answer.GetRetry(), "took", (c.Now() - startedAt).String())
 	}
-	return rep
+	return answer
 }
 
-// carry asks the leader, and the next one, until one has answered.
-func (l *Link) carry(ctx context.Context, a *inner.FlowAsk) *inner.FlowAnswer {
-	a.Cell = l.Cell
-	sent := false
-	give := time.NewTimer(l.patience())
-	defer give.Stop()
-	ctx, cancel := l.settling(ctx)
+// askUntilAnswered asks the leader, and the next one, until one has answered.
+func (c *Client) askUntilAnswered(ctx context.Context, request *inner.FlowAsk) *inner.FlowAnswer {
+	request.Cell = c.Cell
+	mayHaveArrived := false
+	leaderWaitTimer := time.NewTimer(c.remainingLeaderWait())
+	defer leaderWaitTimer.Stop()
+	ctx, cancel := c.withRetryDeadline(ctx)
 	defer cancel()
 	for {
-		leader, term, changed := l.at()
+		leader, term, leaderChanged := c.currentLeader()
 		if leader != "" {
-			a.Term = term
-			rep, reached := l.try(ctx, leader, changed, a)
-			if rep != nil {
-				return rep
+			request.Term = term
+			answer, attemptArrived := c.attempt(ctx, leader, leaderChanged, request)
+			if answer != nil {
+				return answer
 			}
-			sent = sent || reached && changes(a)
+			mayHaveArrived = mayHaveArrived || attemptArrived && isWrite(request)
 		}
-		wait := changed
+		retrySignal := leaderChanged
 		if leader != "" {
-			wait = nil // the same one is tried again after the pause
+			retrySignal = nil // the same one is tried again after the pause
 		}
 		select {
-		case <-wait:
+		case <-retrySignal:
 			continue
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 			continue
-		case <-give.C:
-			if sent {
+		case <-leaderWaitTimer.C:
+			if mayHaveArrived {
 				// Nobody may say "not run" of it now, and a caller that is told
 				// nothing is worse off than one that waits for the next leader.
 				continue
 			}
 		case <-ctx.Done():
 		}
-		return l.unanswered(a, sent)
+		return c.unansweredReply(request, mayHaveArrived)
 	}
 }
 
-// changes tells whether a request changes anything. Of one that only asks it is
+// isWrite tells whether a request changes anything. Of one that only asks it is
 // always true that nothing was done, whoever may have read it.
-func changes(a *inner.FlowAsk) bool {
-	return a.GetVerb() == inner.FlowVerb_FLOW_VERB_SUBMIT || a.GetVerb() == inner.FlowVerb_FLOW_VERB_CANCEL
+func isWrite(request *inner.FlowAsk) bool {
+	return request.GetVerb() == inner.FlowVerb_FLOW_VERB_SUBMIT || request.GetVerb() == inner.FlowVerb_FLOW_VERB_CANCEL
 }
 
-// patience returns how long a request that was not sent waits for a leader: less
+// remainingLeaderWait returns how long a request that was not sent waits for a leader: less
 // the longer none is known, and not at all when an election should be over.
-func (l *Link) patience() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.leader != "" {
-		return findTime
+func (c *Client) remainingLeaderWait() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.leader != "" {
+		return leaderWait
 	}
-	return max(findTime-(l.Now()-l.gone), 0)
+	return max(leaderWait-(c.Now()-c.leaderLostAt), 0)
 }
 
-// settling bounds the time in which a request that may have been taken is asked
+// withRetryDeadline bounds the time in which a request that may have been taken is asked
 // again: half of its caller's, who then has the other half to ask by itself.
-func (l *Link) settling(ctx context.Context) (context.Context, context.CancelFunc) {
-	end, ok := ctx.Deadline()
+func (c *Client) withRetryDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
+	deadline, ok := ctx.Deadline()
 	if !ok {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, time.Until(end)/2)
+	return context.WithTimeout(ctx, time.Until(deadline)/2)
 }
 
-func (l *Link) unanswered(a *inner.FlowAsk, sent bool) *inner.FlowAnswer {
-	c := code.NoLeader
-	if sent {
-		c = code.Unanswered
+func (c *Client) unansweredReply(request *inner.FlowAsk, mayHaveArrived bool) *inner.FlowAnswer {
+	resultCode := code.NoLeader
+	if mayHaveArrived {
+		resultCode = code.Unanswered
 	}
-	event.Log(l.Log, event.CallUnanswered, "flow", path.Base(a.GetPath()), "verb", a.GetVerb().String(), "code", uint32(c), "leader", l.leaderName())
-	return &inner.FlowAnswer{Code: uint32(c), Retry: uint64(comeBack / time.Millisecond)}
+	event.Log(c.Log, event.CallUnanswered, "flow", path.Base(request.GetPath()), "verb", request.GetVerb().String(), "code", uint32(resultCode), "leader", c.leaderName())
+	return &inner.FlowAnswer{Code: uint32(resultCode), Retry: uint64(retryHint / time.Millisecond)}
 }
 
-func (l *Link) leaderName() string {
-	leader, _, _ := l.at()
+func (c *Client) leaderName() string {
+	leader, _, _ := c.currentLeader()
 	return leader
 }
 
-// try makes one call; nil when it has to be made again. reached tells that the
+// attempt makes one call; nil when it has to be made again. reached tells that the
 // leader may have taken the request. A call to a leader that was replaced
 // meanwhile is given up: it may stand still for seconds.
-func (l *Link) try(ctx context.Context, leader string, changed <-chan struct{}, a *inner.FlowAsk) (rep *inner.FlowAnswer, reached bool) {
-	limit := tryTimeout
-	if end, ok := ctx.Deadline(); ok {
-		limit = min(limit, time.Until(end))
+func (c *Client) attempt(ctx context.Context, leader string, leaderChanged <-chan struct{}, request *inner.FlowAsk) (answer *inner.FlowAnswer, mayHaveArrived bool) {
+	timeout := attemptTimeout
+	if deadline, ok := ctx.Deadline(); ok {
+		timeout = min(timeout, time.Until(deadline))
 	}
-	a.Budget = uint64(max(limit, 0) / time.Millisecond)
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	request.Budget = uint64(max(timeout, 0) / time.Millisecond)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	go func() {
 		select {
-		case <-changed:
+		case <-leaderChanged:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	rep, err := inner.NewFlowsProtobufClient("http://"+leader, l.Client).Ask(ctx, a)
+	answer, err := inner.NewFlowsProtobufClient("http://"+leader, c.HTTPClient).Ask(ctx, request)
 	if err != nil {
 		// A call that ended with its caller's time tells nothing of the leader.
-		if wire.NeverSent(err) || limit == tryTimeout && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			l.lost(leader)
+		if wire.NeverSent(err) || timeout == attemptTimeout && errors.Is(ctx.Err(), context.DeadlineExceeded) {
+			c.recordLeaderLost(leader)
 		}
 		return nil, !wire.NeverSent(err)
 	}
-	switch code.Code(rep.GetCode()) {
+	switch code.Code(answer.GetCode()) {
 	case code.NoLeader:
-		l.moved(leader, rep.GetLeader())
+		c.recordRedirect(leader, answer.GetLeader())
 		return nil, false
 	case code.Unanswered:
 		return nil, true
 	}
-	if rep.GetTerm() > 0 {
-		l.answered(rep.GetTerm())
+	if answer.GetTerm() > 0 {
+		c.recordAnswer(answer.GetTerm())
 	}
-	return rep, true
+	return answer, true
 }
 
-// moved notes that a replica does not lead, and whom it takes for the leader.
-func (l *Link) moved(from, to string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.leader != from {
+// recordRedirect notes that a replica does not lead, and whom it takes for the leader.
+func (c *Client) recordRedirect(from, to string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.leader != from {
 		return
 	}
-	if l.leader = to; to == "" {
-		l.gone = l.Now()
+	if c.leader = to; to == "" {
+		c.leaderLostAt = c.Now()
 	}
 }
 
-func (l *Link) answered(term uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.term, l.heard = max(l.term, term), l.Now()
+func (c *Client) recordAnswer(term uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.term, c.lastContact = max(c.term, term), c.Now()
 }
--- a/internal/edge/leader/greet.go
+++ b/internal/edge/leader/greet.go
@@ -12,57 +12,57 @@
 )
 
 // Run keeps the process known to the leader until ctx ends.
-func (l *Link) Run(ctx context.Context) error {
-	l.init()
-	defer close(l.done)
-	l.mu.Lock()
-	l.gone = l.Now()
-	l.mu.Unlock()
+func (c *Client) Run(ctx context.Context) error {
+	c.init()
+	defer close(c.done)
+	c.mu.Lock()
+	c.leaderLostAt = c.Now()
+	c.mu.Unlock()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for turn := 0; ctx.Err() == nil; turn++ {
-		if !l.Leads() {
-			for _, address := range l.targets(turn) {
-				wg.Go(func() { l.greet(ctx, address) })
+	for round := 0; ctx.Err() == nil; round++ {
+		if !c.IsLeader() {
+			for _, address := range c.greetTargets(round) {
+				wg.Go(func() { c.greet(ctx, address) })
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(l.next()):
+		case <-time.After(c.nextInterval()):
 		}
 	}
 	return nil
 }
 
-// next returns how long the next greeting waits.
-func (l *Link) next() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.leader == "" {
-		return l.pause / findParts
+// nextInterval returns how long the next greeting waits.
+func (c *Client) nextInterval() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.leader == "" {
+		return c.greetInterval / searchSpeedup
 	}
-	return l.pause
+	return c.greetInterval
 }
 
-// targets returns whom to greet now: the leader, and one of the others, in turn.
+// greetTargets returns whom to greet now: the leader, and one of the others, in turn.
 // A leader that is cut off or stands still does not tell that it was replaced;
 // one of the others does, before calls to the old one have timed out.
-func (l *Link) targets(turn int) []string {
-	leader, _, _ := l.at()
-	all := l.known()
-	if len(all) == 0 {
+func (c *Client) greetTargets(round int) []string {
+	leader, _, _ := c.currentLeader()
+	addresses := c.knownAddresses()
+	if len(addresses) == 0 {
 		return nil
 	}
 	if leader == "" {
 		// Each of them knows the leader when there is one. All asked at once by all
 		// processes, the next leader's first second would go to greetings.
-		out := make([]string, 0, findAsked)
-		for i := range min(findAsked, len(all)) {
-			out = append(out, all[(turn*findAsked+i)%len(all)])
+		targets := make([]string, 0, searchFanout)
+		for i := range min(searchFanout, len(addresses)) {
+			targets = append(targets, addresses[(round*searchFanout+i)%len(addresses)])
 		}
-		return out
+		return targets
 	}
-	other := all[turn%len(all)]
+	other := addresses[round%len(addresses)]
 	if other == leader {
 		return []string{leader}
 	}
@@ -70,79 +70,79 @@
 }
 
 // greet greets one address, and whoever that one takes for the leader.
-func (l *Link) greet(ctx context.Context, address string) {
-	w, asked := l.hello(ctx, address)
-	if !asked {
+func (c *Client) greet(ctx context.Context, address string) {
+	welcome, sent := c.sendGreeting(ctx, address)
+	if !sent {
 		return
 	}
-	switch next := w.GetLeader(); {
-	case w == nil:
-		l.lost(address)
-	case w.GetLeads():
-		l.found(address, w)
-	case next == "" || next == address:
-		l.lost(address)
+	switch namedLeader := welcome.GetLeader(); {
+	case welcome == nil:
+		c.recordLeaderLost(address)
+	case welcome.GetLeads():
+		c.recordLeader(address, welcome)
+	case namedLeader == "" || namedLeader == address:
+		c.recordLeaderLost(address)
 	default:
-		if w, _ = l.hello(ctx, next); w.GetLeads() {
-			l.found(next, w)
+		if welcome, _ = c.sendGreeting(ctx, namedLeader); welcome.GetLeads() {
+			c.recordLeader(namedLeader, welcome)
 		}
 	}
 }
 
-// hello greets one address, unless a greeting to it is under way. Asked again and
+// sendGreeting greets one address, unless a greeting to it is under way. Asked again and
 // again while it is slow, a replica would become slower with each. Nil is no answer.
-func (l *Link) hello(ctx context.Context, address string) (w *inner.Welcome, asked bool) {
-	if !l.begin(address) {
+func (c *Client) sendGreeting(ctx context.Context, address string) (welcome *inner.Welcome, sent bool) {
+	if !c.beginGreeting(address) {
 		return nil, false
 	}
-	defer l.end(address)
+	defer c.endGreeting(address)
 	ctx, cancel := context.WithTimeout(ctx, greetTimeout)
 	defer cancel()
-	w, err := inner.NewFlowsProtobufClient("http://"+address, l.Client).Greet(ctx, l.self())
+	welcome, err := inner.NewFlowsProtobufClient("http://"+address, c.HTTPClient).Greet(ctx, c.currentGreeting())
 	if err != nil {
 		return nil, true
 	}
-	return w, true
+	return welcome, true
 }
 
-// self returns what this process says of itself now.
-func (l *Link) self() *inner.Greeting {
-	g := proto.CloneOf(l.Greeting)
+// currentGreeting returns what this process says of itself now.
+func (c *Client) currentGreeting() *inner.Greeting {
+	g := proto.CloneOf(c.Greeting)
 	g.Clock = time.Now().UnixNano()
 	return g
 }
 
-// Announced takes the word of a leader that has just begun, which comes long before
+// LeaderAnnounced takes the word of a leader that has just begun, which comes long before
 // the next greeting would find it.
-func (l *Link) Announced(address string, w *inner.Welcome) *inner.Greeting {
-	l.init()
-	l.found(address, w)
-	return l.self()
+func (c *Client) LeaderAnnounced(address string, welcome *inner.Welcome) *inner.Greeting {
+	c.init()
+	c.recordLeader(address, welcome)
+	return c.currentGreeting()
 }
 
-// begin notes a greeting to an address; false when one is under way.
-func (l *Link) begin(address string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.greeting[address] {
+// beginGreeting notes a greeting to an address; false when one is under way.
+func (c *Client) beginGreeting(address string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.greetingInFlight[address] {
 		return false
 	}
-	l.greeting[address] = true
+	c.greetingInFlight[address] = true
 	return true
 }
 
-func (l *Link) end(address string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.greeting, address)
+func (c *Client) endGreeting(address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.greetingInFlight, address)
 }
 
-// known lists the addresses where the leader may be.
-func (l *Link) known() []string {
-	l.mu.Lock()
-	all := append(slices.Clone(l.members), l.Seeds()...)
-	l.mu.Unlock()
-	slices.Sort(all)
-	all = slices.Compact(all)
-	return slices.DeleteFunc(all, func(a string) bool { return l.Greeting.GetReplica() != "" && a == l.Greeting.GetAddress() })
+// knownAddresses lists the addresses where the leader may be.
+func (c *Client) knownAddresses() []string {
+	c.mu.Lock()
+	addresses := append(slices.Clone(c.members), c.Seeds()...)
+	c.mu.Unlock()
+	slices.Sort(addresses)
+	addresses = slices.Compact(addresses)
+	return slices.DeleteFunc(addresses, func(a string) bool { return c.Greeting.GetReplica() != "" && a == c.Greeting.GetAddress() })
 }
--- a/internal/edge/leader/leader.go
+++ b/internal/edge/leader/leader.go
@@ -17,84 +17,84 @@
 
 // Times of the way to the leader.
 const (
-	// greetEvery is how often the process makes itself known, unless a leader told it
+	// minGreetInterval is how often the process makes itself known, unless a leader told it
 	// otherwise; mostPause is the longest that it lets itself be told.
-	greetEvery = 300 * time.Millisecond
-	mostPause  = time.Second
-	// findParts is the part of that time after which a leader is looked for again
+	minGreetInterval = 300 * time.Millisecond
+	maxGreetInterval = time.Second
+	// searchSpeedup is the part of that time after which a leader is looked for again
 	// while none is known, and findAsked how many replicas are asked each time.
-	findParts = 3
-	findAsked = 2
+	searchSpeedup = 3
+	searchFanout  = 2
 	// greetTimeout bounds one greeting.
 	greetTimeout = 700 * time.Millisecond
-	// tryTimeout bounds one try of a request: a commit on slow disks and more.
-	tryTimeout = 1500 * time.Millisecond
-	// findTime is how long after the loss of a leader, or the start of the
+	// attemptTimeout bounds one try of a request: a commit on slow disks and more.
+	attemptTimeout = 1500 * time.Millisecond
+	// leaderWait is how long after the loss of a leader, or the start of the
 	// process, requests wait for one: an election that goes well is over by then.
 	// One that takes longer is better waited for by the caller itself.
-	findTime = 1200 * time.Millisecond
-	// comeBack is when a caller may return that found no leader.
-	comeBack = time.Second
-	// retryPause is the pause before a request is tried again.
-	retryPause = 50 * time.Millisecond
-	// freshTime is the age of the last word of a leader up to which the process
+	leaderWait = 1200 * time.Millisecond
+	// retryHint is when a caller may return that found no leader.
+	retryHint = time.Second
+	// retryInterval is the pause before a request is tried again.
+	retryInterval = 50 * time.Millisecond
+	// maxContactAge is the age of the last word of a leader up to which the process
 	// counts as in touch: an election within it goes unnoticed.
-	freshTime = 4 * time.Second
+	maxContactAge = 4 * time.Second
 )
 
-// Link is the way to the leader. The exported fields are set before Run.
-type Link struct {
+// Client is the way to the leader. The exported fields are set before Run.
+type Client struct {
 	Cell string
 	// Greeting is what this process says of itself; its replica is empty for an entry.
 	Greeting *inner.Greeting
 	// Seeds are addresses to look for the leader at, first and when all others fail.
 	Seeds func() []string
-	// Leads tells that the leader is this process itself; nil for never.
-	Leads  func() bool
-	Client *http.Client
-	Now    func() time.Duration
-	Log    logr.Logger
+	// IsLeader tells that the leader is this process itself; nil for never.
+	IsLeader   func() bool
+	HTTPClient *http.Client
+	Now        func() time.Duration
+	Log        logr.Logger
 
-	once    sync.Once
-	done    chan struct{}
-	mu      sync.Mutex
-	leader  string
-	members []string
-	term    uint64
-	version uint64
-	heard   time.Duration
-	// pause is the time between two greetings; greeting are the addresses to which
+	initOnce    sync.Once
+	done        chan struct{}
+	mu          sync.Mutex
+	leader      string
+	members     []string
+	term        uint64
+	version     uint64
+	lastContact time.Duration
+	// greetInterval is the time between two greetings; greeting are the addresses to which
 	// one is under way.
-	pause    time.Duration
-	greeting map[string]bool
-	// gone is since when no leader is known.
-	gone time.Duration
-	// changed is closed when another leader is known.
-	changed chan struct{}
+	greetInterval    time.Duration
+	greetingInFlight map[string]bool
+	// leaderLostAt is since when no leader is known.
+	leaderLostAt time.Duration
+	// leaderChanged is closed when another leader is known.
+	leaderChanged chan struct{}
 }
 
-func (l *Link) init() {
-	l.once.Do(func() {
-		l.done, l.changed = make(chan struct{}), make(chan struct{})
-		l.pause, l.greeting = greetEvery, map[string]bool{}
-		if l.Leads == nil {
-			l.Leads = func() bool { return false }
+func (c *Client) init() {
+	c.initOnce.Do(func() {
+		c.done, c.leaderChanged = make(chan struct{}), make(chan struct{})
+		c.greetInterval, c.greetingInFlight = minGreetInterval, map[string]bool{}
+		if c.IsLeader == nil {
+			c.IsLeader = func() bool { return false }
 		}
 	})
 }
 
 // Done is closed when Run has returned.
-func (l *Link) Done() <-chan struct{} { l.init(); return l.done }
+func (c *Client) Done() <-chan struct{} { c.init(); return c.done }
 
-// Fresh returns nil while the leader was heard of lately and has a
+// CheckContact returns nil while the leader was heard of lately and has a
 // configuration in force, else why not.
-func (l *Link) Fresh() error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *Client) CheckContact() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
-	case l.heard == 0 || l.Now()-l.heard > freshTime:
+	case c.lastContact == 0 || c.Now()-c.lastContact > maxContactAge:
 		return errors.New("no leader is in contact")
-	case l.version == 0:
+	case c.version == 0:
 		return errors.New("no configuration is in force")
 	}
 	return nil
@@ -111,46 +111,46 @@
 }
 
 // State returns the state of the link for a person to read.
-func (l *Link) State() any {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return Dump{Leader: l.leader, Term: l.term, Members: l.members, Version: l.version, Heard: (l.Now() - l.heard).String()}
+func (c *Client) State() any {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return Dump{Leader: c.leader, Term: c.term, Members: c.members, Version: c.version, Heard: (c.Now() - c.lastContact).String()}
 }
 
-// found takes the word of a leader; that of an earlier term is not listened to.
-func (l *Link) found(address string, w *inner.Welcome) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if w.GetTerm() < l.term {
+// recordLeader takes the word of a leader; that of an earlier term is not listened to.
+func (c *Client) recordLeader(address string, welcome *inner.Welcome) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if welcome.GetTerm() < c.term {
 		return
 	}
-	if l.leader != address {
-		event.Log(l.Log, event.LeaderChanged, "from", l.leader, "to", address, "term", w.GetTerm())
-		l.leader = address
-		close(l.changed)
-		l.changed = make(chan struct{})
+	if c.leader != address {
+		event.Log(c.Log, event.LeaderChanged, "from", c.leader, "to", address, "term", welcome.GetTerm())
+		c.leader = address
+		close(c.leaderChanged)
+		c.leaderChanged = make(chan struct{})
 	}
-	l.term, l.members, l.heard = w.GetTerm(), w.GetMembers(), l.Now()
-	l.version = max(l.version, w.GetVersion())
-	if told := time.Duration(w.GetPause()) * time.Millisecond; told > 0 {
-		l.pause = min(max(told, greetEvery), mostPause)
+	c.term, c.members, c.lastContact = welcome.GetTerm(), welcome.GetMembers(), c.Now()
+	c.version = max(c.version, welcome.GetVersion())
+	if requested := time.Duration(welcome.GetPause()) * time.Millisecond; requested > 0 {
+		c.greetInterval = min(max(requested, minGreetInterval), maxGreetInterval)
 	}
 }
 
-// lost notes that a leader does not answer any more.
-func (l *Link) lost(address string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if address != "" && l.leader == address {
-		event.Log(l.Log, event.LeaderAway, "replica", address, "term", l.term)
-		l.leader, l.gone = "", l.Now()
+// recordLeaderLost notes that a leader does not answer any more.
+func (c *Client) recordLeaderLost(address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if address != "" && c.leader == address {
+		event.Log(c.Log, event.LeaderAway, "replica", address, "term", c.term)
+		c.leader, c.leaderLostAt = "", c.Now()
 	}
 }
 
-// at returns the leader, and what is closed when another one is known.
-func (l *Link) at() (leader string, term uint64, changed <-chan struct{}) {
-	l.init()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.leader, l.term, l.changed
+// currentLeader returns the leader, and what is closed when another one is known.
+func (c *Client) currentLeader() (leader string, term uint64, leaderChanged <-chan struct{}) {
+	c.init()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.leader, c.term, c.leaderChanged
 }
--- a/internal/edge/wire/files_test.go
+++ b/internal/edge/wire/files_test.go
@@ -21,20 +21,20 @@
 	"gypsumreel/internal/edge/wire"
 )
 
-// farm tells the test's own program to be the backend servers of a test.
-const farm = "GYPSUMREEL_TEST_FARM"
+// backendsEnv tells the test's own program to be the backend servers of a test.
+const backendsEnv = "GYPSUMREEL_TEST_FARM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(farm) != "" {
-		serveFarm()
+	if os.Getenv(backendsEnv) != "" {
+		serveBackends()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// serveFarm answers on every address of the loopback, until its input ends. A call
+// serveBackends answers on every address of the loopback, until its input ends. A call
 // to /hold is held for a while.
-func serveFarm() {
+func serveBackends() {
 	l, err := net.Listen("tcp", "0.0.0.0:0")
 	if err != nil {
 		panic(err)
@@ -52,7 +52,7 @@
 // A process that may open few files calls more servers than that. A call may have to
 // wait for room, and be made again like any that is not answered, but none may meet
 // the kernel's limit, and a file of its own, the next snapshot, opens at any time.
-func TestMoreServersThanFiles(t *testing.T) {
+func TestMoreBackendsThanFileDescriptors(t *testing.T) {
 	const servers, limit, rounds = 300, 300, 3
 	program, err := os.Executable()
 	if err != nil {
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	cmd := exec.CommandContext(ctx, program)
-	cmd.Env = append(os.Environ(), farm+"=1")
+	cmd.Env = append(os.Environ(), backendsEnv+"=1")
 	in, _ := cmd.StdinPipe()
 	out, _ := cmd.StdoutPipe()
 	if err := cmd.Start(); err != nil {
@@ -88,7 +88,7 @@
 	}
 	defer func() { _ = unix.Setrlimit(unix.RLIMIT_NOFILE, &before) }()
 
-	client := wire.Client(4, files.New(files.Limit(0)), files.Servers)
+	client := wire.NewClient(4, files.New(files.Limit(0)), files.Servers)
 	defer client.CloseIdleConnections()
 	var wg sync.WaitGroup
 	for i := range servers {
