--- a/internal/edge/control/find.go
+++ b/internal/edge/control/find.go
@@ -56,9 +56,9 @@
 }
 
 // probe tells whether the replica leads, or which one it names.
-func (s *session) probe(ctx context.Context) (hint Replica, leads bool) {
+func (s *session) probe(ctx context.Context) (redirectTo Replica, leads bool) {
 	startedAt := time.Now()
-	reply, err := s.control.Push(ctx, s.newPushRequest(nil))
+	reply, err := s.rpcClient.Push(ctx, s.newPushRequest(nil))
 	if err != nil {
 		return Replica{}, false
 	}
--- a/internal/edge/control/link.go
+++ b/internal/edge/control/link.go
@@ -42,7 +42,7 @@
 	// id is new with each link, so that what an earlier link left on the
 	// way can neither acknowledge nor answer anything of this one.
 	id        uint64
-	control   inner.Control
+	rpcClient inner.Control
 	transport *http.Transport
 
 	// consecutiveFailures counts the calls in a row that failed, pushes and pulls apart: a
@@ -78,7 +78,7 @@
 	if s.client.TLS != nil {
 		scheme = "https://"
 	}
-	s.control = inner.NewControlProtobufClient(scheme+s.replica.Address, &http.Client{Transport: s.transport})
+	s.rpcClient = inner.NewControlProtobufClient(scheme+s.replica.Address, &http.Client{Transport: s.transport})
 }
 
 func (s *session) close() { s.transport.CloseIdleConnections() }
@@ -196,7 +196,7 @@
 func (s *session) callPush(ctx context.Context, req *inner.PushRequest) (*inner.PushReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.client.CallTimeout)
 	defer cancel()
-	return s.control.Push(ctx, req)
+	return s.rpcClient.Push(ctx, req)
 }
 
 // handleRefused handles the items that the leader had no room for. One that no earlier
@@ -264,7 +264,7 @@
 	ctx, cancel := context.WithTimeout(ctx, s.client.LongPollWait+s.client.CallTimeout)
 	defer cancel()
 	s.cancelPull.Store(&cancel)
-	return s.control.Pull(ctx, &inner.PullRequest{
+	return s.rpcClient.Pull(ctx, &inner.PullRequest{
 		Cell: s.client.Cell, Entry: s.client.Name, Session: s.id,
 		Epoch: position.epoch, Ack: position.ack, Revision: s.client.TableRevision(), Patience: uint64(s.client.LongPollWait.Milliseconds()),
 	})
--- a/internal/edge/control/pool.go
+++ b/internal/edge/control/pool.go
@@ -262,7 +262,7 @@
 		}
 		s := c.newSession(r)
 		defer s.close()
-		reply, err := s.control.Dump(ctx, &v1.DumpRequest{Process: processName})
+		reply, err := s.rpcClient.Dump(ctx, &v1.DumpRequest{Process: processName})
 		if err != nil {
 			return nil, code.New(code.Unanswered, "%s did not answer", processName)
 		}
