--- a/internal/edge/control/ask.go
+++ b/internal/edge/control/ask.go
@@ -16,22 +16,25 @@
 )
 
 const (
-	// replyMargin is kept back from a caller's deadline for the way of the answer.
+	// replyMargin is subtracted from the caller's deadline, so that the reply still
+	// reaches the caller in time.
 	replyMargin = 20 * time.Millisecond
-	// minRetryHint and retrySpread place the hint at which a refused caller may come back.
+	// A refused caller is asked to retry after minRetryHint plus a random part of
+	// retryHintJitter.
 	minRetryHint    = 100 * time.Millisecond
 	retryHintJitter = 300 * time.Millisecond
-	// maxTokenBytes bounds the length of a presented key.
+	// maxTokenBytes limits the length of the key in the Authorization header.
 	maxTokenBytes = 512
 )
 
-// Sender carries an item to the leader; *Pool is one.
+// Sender sends an item to the leader and returns the reply. Client implements it.
 type Sender interface {
 	Send(ctx context.Context, item *inner.Item) (*inner.Reply, error)
 }
 
-// Exchange asks within the caller's deadline and the bound, and returns either
-// the leader's answer or the status that stands in its place.
+// Exchange sends the item and waits for the reply until the caller's deadline, and
+// for timeout at most. Exactly one result is set: the leader's reply, or the status
+// that explains why there is none.
 func Exchange(ctx context.Context, sender Sender, item *inner.Item, timeout time.Duration) (*inner.Reply, *v1.Status) {
 	if deadline, ok := ctx.Deadline(); ok {
 		timeout = min(timeout, time.Until(deadline)-replyMargin)
@@ -48,7 +51,8 @@
 	return reply, nil
 }
 
-// StatusFromError returns the status for an error, with a retry hint where coming back helps.
+// StatusFromError converts an error to a status. Codes after which a retry can succeed
+// get a retry hint.
 func StatusFromError(err error) *v1.Status {
 	var codeErr *code.Error
 	if !errors.As(err, &codeErr) {
@@ -64,14 +68,15 @@
 	return s
 }
 
-// NewStatus returns a status made of the code and a formatted detail.
+// NewStatus returns a status with the code and a formatted detail.
 func NewStatus(resultCode code.Code, format string, args ...any) *v1.Status {
 	return StatusFromError(code.New(resultCode, format, args...))
 }
 
-// StatusForNonSubmit rewrites a refusal by the entry for calls that are not a first
-// submission. Codes of the class "not run" speak about a job; here only the
-// call itself did not get through, and the job may well run.
+// StatusForNonSubmit converts a refusal by the entry for calls other than a first
+// submission. Codes of the class "not run" state that the job did not run. After
+// such a call this is unknown: only the call failed to reach the leader, and the job
+// may be running.
 func StatusForNonSubmit(s *v1.Status) *v1.Status {
 	switch code.Code(s.GetCode()) {
 	case code.Unreachable:
@@ -82,7 +87,8 @@
 	return s
 }
 
-// BearerToken returns the token of the Authorization header, empty when there is none.
+// BearerToken returns the bearer token of the Authorization header. It returns an empty
+// string if there is none or if it exceeds maxTokenBytes.
 func BearerToken(h http.Header) string {
 	scheme, token, ok := strings.Cut(h.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") || len(token) > maxTokenBytes {
@@ -91,8 +97,8 @@
 	return strings.TrimSpace(token)
 }
 
-// CredentialFromHeader returns the credential of the key in the Authorization header. The
-// secret goes no further than this: the leader gets its digest.
+// CredentialFromHeader returns the credential of the key in the Authorization header.
+// The credential holds the digest of the secret. The secret is not sent to the leader.
 func CredentialFromHeader(h http.Header) (*inner.Credential, error) {
 	id, secret, err := key.Parse(BearerToken(h))
 	if err != nil {
--- a/internal/edge/control/pool.go
+++ b/internal/edge/control/client.go
@@ -1,6 +1,6 @@
-// Package control is the entry's way to the control group's leader: it gathers
-// items into batches, keeps a long poll open for the replies, and moves to
-// another replica when the leader changes or a connection goes silent.
+// Package control is the entry's client for the leader of the control group. It sends
+// items in batches, receives replies by long polls, and moves to another replica when
+// the leader changes or stops answering.
 package control
 
 import (
@@ -23,53 +23,58 @@
 	"gypsumreel/internal/base/event"
 )
 
-// Defaults of the fields that are left zero.
+// Defaults of the fields of Client that are zero.
 const (
-	// DefaultMaxPending bounds the items that wait for a reply.
+	// DefaultMaxPending limits the number of items without a reply.
 	DefaultMaxPending = 8192
-	// DefaultMaxParallelPushes bounds the Push calls under way at once.
+	// DefaultMaxParallelPushes limits the number of Push calls in flight.
 	DefaultMaxParallelPushes = 4
-	// DefaultMaxPushItems bounds the items of one Push.
+	// DefaultMaxPushItems limits the number of items in one Push.
 	DefaultMaxPushItems = 512
-	// DefaultLongPollWait is how long a Pull without replies is held open.
+	// DefaultLongPollWait is how long the leader holds a Pull while there are no replies.
 	DefaultLongPollWait = 500 * time.Millisecond
-	// DefaultCallTimeout bounds a Push, and what a Pull may take beyond its patience.
+	// DefaultCallTimeout is the timeout of a Push. The timeout of a Pull is the long-poll
+	// wait plus this value.
 	DefaultCallTimeout = 400 * time.Millisecond
-	// DefaultMaxContactAge is the age of the last contact with the leader past which everything is refused.
+	// DefaultMaxContactAge is the maximum age of the last contact with a leader. Beyond
+	// it, requests fail unless a leader is found within the leader wait.
 	DefaultMaxContactAge = 2 * time.Second
-	// DefaultLeaderWait is how long an item waits for a leader to be found.
+	// DefaultLeaderWait is how long an item waits until a leader is found.
 	DefaultLeaderWait = time.Second
 )
 
 const (
-	// sweepInterval is the period in which overdue items are looked for.
+	// sweepInterval is the interval between checks for overdue items.
 	sweepInterval = 50 * time.Millisecond
-	// retryRate and retryBurst bound the calls and items that are sent again, per second.
+	// retryRate limits how many calls and items are sent again per second. retryBurst is
+	// the burst size of this limit.
 	retryRate  = 400
 	retryBurst = 2 * DefaultMaxPending
 )
 
-// Replica is one process of the control group.
+// Replica is one member of the control group.
 type Replica struct {
 	Name    string
 	Address string
 }
 
-// Client carries items to the leader and replies back. Set the fields, then call Run.
+// Client sends items to the leader and receives the replies. The exported fields are set
+// before Run.
 type Client struct {
 	// Cell and Name identify the entry to the leader.
 	Cell string
 	Name string
-	// Replicas are the processes to look for the leader at.
+	// Replicas are the replicas that are probed in the search for the leader.
 	Replicas []Replica
-	// TLS is nil for plain connections.
+	// TLS is nil for connections without TLS.
 	TLS *tls.Config
-	// Dial opens connections; nil for TCP.
+	// Dial opens connections. If nil, TCP is used.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	Log  logr.Logger
-	// Metrics receives the pool's metrics; nil for none.
+	// Metrics receives the metrics of the client. If nil, they are not exported.
 	Metrics *metrics.Set
 
+	// The following fields are limits and timeouts. A zero value selects the default.
 	MaxPending        int
 	MaxParallelPushes int
 	MaxPushItems      int
@@ -83,7 +88,7 @@
 	retryLimiter  *rate.Limiter
 	metrics       *clientMetrics
 	startedAt     time.Time
-	lastContact   atomic.Int64 // nanoseconds from started to the start of the last call that a leader answered
+	lastContact   atomic.Int64 // nanoseconds from startedAt to the start of the latest call that a leader answered
 	tableRevision atomic.Uint64
 	leader        atomic.Pointer[Replica]
 	done          chan struct{}
@@ -120,10 +125,11 @@
 // Done is closed when Run has returned.
 func (c *Client) Done() <-chan struct{} { c.init(); return c.done }
 
-// TableRevision returns the newest revision of the table heard of from a leader.
+// TableRevision returns the highest revision of the team table that a leader reported.
 func (c *Client) TableRevision() uint64 { return c.tableRevision.Load() }
 
-// Leader returns the replica that leads as far as known.
+// Leader returns the replica with which the client has a session. The second result is
+// false if there is none.
 func (c *Client) Leader() (Replica, bool) {
 	r := c.leader.Load()
 	if r == nil {
@@ -132,17 +138,17 @@
 	return *r, true
 }
 
-// InContact tells whether a leader answered a call that began within the freshness bound.
+// InContact reports whether a leader answered a call that started within MaxContactAge.
 func (c *Client) InContact() bool { c.init(); return c.contactAge() <= c.MaxContactAge }
 
-// Pending returns the number of items that wait for a reply.
+// Pending returns the number of items without a reply.
 func (c *Client) Pending() int { c.init(); return c.queue.pendingCount() }
 
 func (c *Client) contactAge() time.Duration {
 	return time.Since(c.startedAt) - time.Duration(c.lastContact.Load())
 }
 
-// recordContact notes that a leader answered a call that began at sent.
+// recordContact records that a leader answered a call that started at startedAt.
 func (c *Client) recordContact(startedAt time.Time) {
 	contact := int64(startedAt.Sub(c.startedAt))
 	for {
@@ -153,7 +159,8 @@
 	}
 }
 
-// raiseTableRevision notes a revision of the table; an older one, from a late reply, is ignored.
+// raiseTableRevision records a revision of the team table. It ignores an older revision,
+// which a late reply can carry.
 func (c *Client) raiseTableRevision(revision uint64) {
 	for {
 		current := c.tableRevision.Load()
@@ -163,14 +170,14 @@
 	}
 }
 
-// Send sends the item to the leader and returns its reply. The error is a
-// *code.Error: Unreachable or Overloaded when the item provably did not reach
-// a leader, otherwise Unanswered.
+// Send sends the item to the leader and returns its reply. The error is a *code.Error.
+// Its code is Unreachable or Overloaded if the item provably was not processed by a
+// leader, Leaving for a long poll while the entry shuts down, and Unanswered otherwise.
 func (c *Client) Send(ctx context.Context, item *inner.Item) (*inner.Reply, error) {
 	c.init()
 	if !c.InContact() && c.contactAge() > c.MaxContactAge+c.LeaderWait {
 		c.metrics.refusedItems.Inc()
-		return nil, code.New(code.Unreachable, "no leader for %v", c.contactAge().Round(time.Millisecond))
+		return nil, code.New(code.Unreachable, "no contact with a leader for %v", c.contactAge().Round(time.Millisecond))
 	}
 	pendingCall, err := c.queue.add(ctx, item)
 	if err != nil {
@@ -181,16 +188,18 @@
 	case result := <-pendingCall.result:
 		return result.reply, result.err
 	case <-ctx.Done():
-		return c.queue.abandon(pendingCall, "the time given ran out")
+		return c.queue.abandon(pendingCall, "the deadline passed")
 	case <-c.done:
-		return c.queue.abandon(pendingCall, "the entry stops")
+		return c.queue.abandon(pendingCall, "the entry is shutting down")
 	}
 }
 
-// EndLongPolls ends the long polls under way with Leaving and refuses new ones, for a planned stop.
+// EndLongPolls fails the pending long polls with Leaving and refuses new ones. It is part
+// of a graceful shutdown.
 func (c *Client) EndLongPolls() { c.init(); c.queue.endLongPolls() }
 
-// Run serves until ctx ends. Items that still wait are then answered with an error.
+// Run finds the leader and exchanges items and replies with it until ctx is canceled.
+// Pending items then fail with an error.
 func (c *Client) Run(ctx context.Context) error {
 	c.init()
 	defer close(c.done)
@@ -221,7 +230,8 @@
 	return nil
 }
 
-// logSessionEnd logs why a link ended, unless the entry stops.
+// logSessionEnd logs why a session ended. It logs nothing if the entry is shutting down
+// or the session reached its maximum age.
 func (c *Client) logSessionEnd(ctx context.Context, s *session, cause error) {
 	switch {
 	case ctx.Err() != nil || errors.Is(cause, errMaxSessionAge):
@@ -232,7 +242,8 @@
 	}
 }
 
-// sweepPending refuses items that no leader was found for and sends unanswered ones again.
+// sweepPending fails items for which no leader was found in time and sends unanswered
+// ones again.
 func (c *Client) sweepPending(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -242,8 +253,8 @@
 			return
 		case <-ticker.C:
 		}
-		// A key may have been withdrawn since the last contact: past the bound
-		// nothing that waits may be answered by what an old leader said.
+		// A key may have been withdrawn since the last contact. Once the contact is too
+		// old, pending items must not get a reply from a former leader.
 		if !c.InContact() {
 			c.metrics.failedStale.Add(c.queue.failAddedBefore(time.Now().Add(-c.LeaderWait)))
 			continue
@@ -253,7 +264,7 @@
 	}
 }
 
-// Dump asks the replica of that name for its state.
+// Dump requests the state dump of the replica with the given name.
 func (c *Client) Dump(ctx context.Context, processName string) (*v1.DumpReply, error) {
 	c.init()
 	for _, r := range c.Replicas {
@@ -271,11 +282,12 @@
 	return nil, code.New(code.Unknown, "process %q", processName)
 }
 
-// newSession makes the connections to one replica, under a session number of its own.
+// newSession creates a session with the replica under a new random id. Connections are
+// opened by its first calls.
 func (c *Client) newSession(replica Replica) *session {
 	s := &session{client: c, replica: replica, id: rand.Uint64()}
 	s.initTransport()
 	return s
 }
 
-var errNoLeader = errors.New("no replica leads")
+var errNoLeader = errors.New("no replica is the leader")
--- a/internal/edge/control/pool_test.go
+++ b/internal/edge/control/client_test.go
@@ -18,19 +18,20 @@
 	"gypsumreel/internal/fake/relay"
 )
 
-// scriptedLeader is a leader that does what a test says; it answers lists by default.
+// scriptedLeader is a fake leader with configurable behavior. By default it answers list
+// requests.
 type scriptedLeader struct {
 	mu             sync.Mutex
 	replies        []*inner.Reply
 	repliesChanged chan struct{}
 	pushedSeqs     []uint64
-	// refusesItems makes every Push say that there is no room.
+	// refusesItems makes every Push refuse all items because the queue is full.
 	refusesItems bool
-	// ignoresItems takes items and never answers them.
+	// ignoresItems makes the leader accept items without ever answering them.
 	ignoresItems bool
-	// dropCount is how many items are taken and then lost.
+	// dropCount is the number of next items that the leader accepts and then loses.
 	dropCount int
-	// redirect names another leader.
+	// redirect is the name of the leader to redirect to, empty if this replica leads.
 	redirect string
 }
 
@@ -58,7 +59,7 @@
 	return reply, nil
 }
 
-// addReply puts a reply into the box. The caller holds mu.
+// addReply stores a reply to the item for the next Pull. The caller holds mu.
 func (l *scriptedLeader) addReply(seq uint64) {
 	l.replies = append(l.replies, &inner.Reply{Seq: seq, Answer: &inner.Reply_List{List: &v1.ListReply{Status: &v1.Status{}}}})
 	close(l.repliesChanged)
@@ -95,24 +96,26 @@
 	return &v1.DumpReply{}, nil
 }
 
-// testClient runs a pool against scripts called c1, c2, ..., each behind a relay.
+// testClient is a client whose replicas are scripted leaders with names such as c1 and c2,
+// each behind a relay.
 type testClient struct {
 	client *control.Client
 	relays map[string]*relay.Relay
 	memory *relay.Memory
 }
 
+// withClient runs test with a client that is connected to the leaders, on virtual time.
 func withClient(t *testing.T, leaders map[string]*scriptedLeader, test func(c *testClient)) {
 	synctest.Test(t, func(_ *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
 		c := &testClient{memory: &relay.Memory{}, relays: map[string]*relay.Relay{}}
 		c.client = &control.Client{Cell: "cell", Name: "e1", MaxPending: 4, Dial: c.memory.Dial}
-		for name, s := range leaders {
-			s.repliesChanged = make(chan struct{})
-			server := &http.Server{Handler: inner.NewControlServer(s)}
-			l := c.memory.Listen(name)
-			wg.Go(func() { _ = server.Serve(l) })
+		for name, leader := range leaders {
+			leader.repliesChanged = make(chan struct{})
+			server := &http.Server{Handler: inner.NewControlServer(leader)}
+			listener := c.memory.Listen(name)
+			wg.Go(func() { _ = server.Serve(listener) })
 			context.AfterFunc(ctx, func() { _ = server.Close() })
 			r := &relay.Relay{Listener: c.memory.Listen(name + "x:1"), Dial: c.memory.To(name)}
 			c.relays[name] = r
@@ -127,7 +130,8 @@
 	})
 }
 
-// listCode asks for a list within a second and returns the code of the refusal.
+// listCode sends a list request with a timeout of one second and returns the resulting
+// code.
 func (c *testClient) listCode() code.Code { return c.listCodeWithin(time.Second) }
 
 func (c *testClient) listCodeWithin(timeout time.Duration) code.Code {
@@ -141,8 +145,9 @@
 	return code.OK
 }
 
-// A caller is told "not run" although its job runs. The leader took the item
-// and its answer never came; only what no Push carried may be called not run.
+// Guards against telling a caller "not run" for a job that may run: the leader accepted
+// the item and its reply was lost. Only items that were never pushed are reported as
+// not run.
 func TestNotRunReportedOnlyForItemsNeverPushed(t *testing.T) {
 	l := &scriptedLeader{ignoresItems: true}
 	withClient(t, map[string]*scriptedLeader{"c1": l}, func(c *testClient) {
@@ -155,7 +160,7 @@
 		startedAt := time.Now()
 		got = append(got, c.listCode())
 		if elapsed := time.Since(startedAt); elapsed > 0 {
-			t.Errorf("the refusal without a leader took %v", elapsed)
+			t.Errorf("the refusal without a leader took %v, want an immediate one", elapsed)
 		}
 		want := []code.Code{code.Unanswered, code.Unreachable, code.Unreachable}
 		if diff := cmp.Diff(want, got); diff != "" {
@@ -164,35 +169,35 @@
 	})
 }
 
-// A caller is told "not run" of what left by a Push whose answer was lost: the
-// bytes went up and nothing came back.
+// Guards against telling a caller "not run" for an item whose Push reached the leader
+// while the reply to the Push was lost.
 func TestLostPushReplyReportsUnknownOutcome(t *testing.T) {
 	l := &scriptedLeader{ignoresItems: true}
 	withClient(t, map[string]*scriptedLeader{"c1": l}, func(c *testClient) {
 		c.relays["c1"].Set(relay.Down, relay.Lose)
 		if got := c.listCode(); got != code.Unanswered {
-			t.Errorf("code %d", got)
+			t.Errorf("got code %d, want Unanswered", got)
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if len(l.pushedSeqs) == 0 {
-			t.Error("the item never arrived: the test shows nothing")
+			t.Error("no item was pushed, so the test proves nothing")
 		}
 	})
 }
 
-// The leader has no room. It says that it did not look at the item, so "not
-// run" is true at once and the caller may come back.
+// A leader with a full queue refuses an item without processing it. The caller gets the
+// code Overloaded, of the class "not run", and may retry.
 func TestItemRefusedByLeaderReportsNotRun(t *testing.T) {
 	withClient(t, map[string]*scriptedLeader{"c1": {refusesItems: true}}, func(c *testClient) {
 		if got := c.listCode(); got != code.Overloaded {
-			t.Errorf("code %d", got)
+			t.Errorf("got code %d, want Overloaded", got)
 		}
 	})
 }
 
-// Requests pile up at an entry whose leader does not answer. Past its bound it
-// refuses at once instead of holding ever more.
+// Guards against an unbounded queue at an entry whose leader does not answer. Beyond
+// MaxPending the entry refuses requests immediately.
 func TestFullQueueRefusesImmediately(t *testing.T) {
 	withClient(t, map[string]*scriptedLeader{"c1": {ignoresItems: true}}, func(c *testClient) {
 		var wg sync.WaitGroup
@@ -203,13 +208,14 @@
 		startedAt := time.Now()
 		got := c.listCode()
 		if elapsed := time.Since(startedAt); got != code.Overloaded || elapsed > 0 {
-			t.Errorf("code %d after %v", got, elapsed)
+			t.Errorf("got code %d after %v, want Overloaded immediately", got, elapsed)
 		}
 		wg.Wait()
 	})
 }
 
-// A reply comes when its asker has gone. It must not reach the next one.
+// Guards against delivering a reply to the wrong request when the reply arrives after
+// its requester has timed out.
 func TestLateReplyIsNotDeliveredToAnotherRequest(t *testing.T) {
 	l := &scriptedLeader{ignoresItems: true}
 	withClient(t, map[string]*scriptedLeader{"c1": l}, func(c *testClient) {
@@ -218,14 +224,14 @@
 		l.addReply(l.pushedSeqs[0])
 		l.mu.Unlock()
 		if got := c.listCodeWithin(200 * time.Millisecond); got != code.Unanswered {
-			t.Errorf("code %d: a late reply answered another request", got)
+			t.Errorf("got code %d, want Unanswered: a late reply was delivered to another request", got)
 		}
 	})
 }
 
-// Users wait while the entry sits on a connection that something on the way has
-// forgotten; new ones would work. One of them costs one timeout, and the other
-// idle ones, forgotten with it, must cost nothing more.
+// Guards against long delays when a middlebox silently drops all open connections while
+// new ones work. The first call may cost one timeout. The other idle connections are
+// closed with it and cost no further timeouts.
 func TestSilentlyDroppedConnectionsAreReplaced(t *testing.T) {
 	withClient(t, map[string]*scriptedLeader{"c1": {}}, func(c *testClient) {
 		for range 5 {
@@ -237,29 +243,29 @@
 			}
 			wg.Wait()
 			if open := c.relays["c1"].Open(); open < 4 {
-				t.Fatalf("%d connections are open: the test shows nothing", open)
+				t.Fatalf("%d connections are open, want at least 4, otherwise the test proves nothing", open)
 			}
 			c.relays["c1"].Forget(relay.Up, relay.Down)
 			startedAt := time.Now()
 			if got := c.listCodeWithin(5 * time.Second); got != code.OK || time.Since(startedAt) > control.DefaultCallTimeout+100*time.Millisecond {
-				t.Errorf("code %d after %v", got, time.Since(startedAt))
+				t.Errorf("got code %d after %v, want OK within one call timeout", got, time.Since(startedAt))
 			}
 		}
 	})
 }
 
-// A caller waits for nothing: the leader took its item and lost it. The entry
-// asks again by itself, well within the caller's time.
+// Guards against a request that times out because the leader accepted its item and lost
+// it. The entry sends the item again before the caller's deadline.
 func TestItemsLostByLeaderAreResent(t *testing.T) {
 	withClient(t, map[string]*scriptedLeader{"c1": {dropCount: 1}}, func(c *testClient) {
 		if got := c.listCodeWithin(3 * time.Second); got != code.OK {
-			t.Errorf("code %d", got)
+			t.Errorf("got code %d, want OK", got)
 		}
 	})
 }
 
-// Something on the way delivers a connection's bytes twice. The leader gets each
-// item twice, and the asker still exactly one reply.
+// Guards against two replies to one request when the network delivers the bytes of a
+// connection twice. The leader receives each item twice and the requester gets one reply.
 func TestDuplicatedConnectionDeliversOneReply(t *testing.T) {
 	l := &scriptedLeader{}
 	withClient(t, map[string]*scriptedLeader{"c1": l}, func(c *testClient) {
@@ -268,15 +274,15 @@
 		time.Sleep(time.Second)
 		for range 3 {
 			if got := c.listCode(); got != code.OK {
-				t.Errorf("code %d", got)
+				t.Errorf("got code %d, want OK", got)
 			}
 		}
 		synctest.Wait()
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		// The two connections are handled apart, so the second copy of an item
-		// may come after the first of a later one. What holds: each item comes
-		// twice, and the first copies in the order in which they were asked.
+		// The leader serves the two connections independently, so the second copy of
+		// an item may arrive after the first copy of a later item. Each item arrives
+		// twice, and the first copies arrive in the order of the requests.
 		var first []uint64
 		count := map[uint64]int{}
 		for _, seq := range l.pushedSeqs {
@@ -293,8 +299,8 @@
 	})
 }
 
-// The leader changes while requests wait. All of them must be asked of the new
-// one, without the callers doing anything.
+// Guards against losing pending requests when the leader changes. The client sends their
+// items to the new leader without any action by the callers.
 func TestPendingItemsAreResentToNewLeader(t *testing.T) {
 	first, second := &scriptedLeader{ignoresItems: true}, &scriptedLeader{redirect: "c1"}
 	withClient(t, map[string]*scriptedLeader{"c1": first, "c2": second}, func(c *testClient) {
@@ -302,7 +308,7 @@
 		for range 3 {
 			wg.Go(func() {
 				if got := c.listCodeWithin(5 * time.Second); got != code.OK {
-					t.Errorf("code %d", got)
+					t.Errorf("got code %d, want OK", got)
 				}
 			})
 		}
@@ -312,10 +318,10 @@
 		startedAt := time.Now()
 		wg.Wait()
 		if elapsed := time.Since(startedAt); elapsed > 200*time.Millisecond {
-			t.Errorf("the move took %v", elapsed)
+			t.Errorf("the replies came %v after the leader change, want at most 200 ms", elapsed)
 		}
 		if leader, _ := c.client.Leader(); leader.Name != "c2" {
-			t.Errorf("the leader is %v", leader)
+			t.Errorf("the leader is %v, want c2", leader)
 		}
 	})
 }
@@ -328,30 +334,31 @@
 	l.repliesChanged = make(chan struct{})
 }
 
-// A key is withdrawn while an entry is cut off silently. Whatever waits there
-// must be refused within two seconds, since nobody can know what changed.
+// Guards against accepting a withdrawn key at an entry that silently lost contact with
+// the leader. Pending requests fail within two seconds, because the entry cannot know
+// what has changed since.
 func TestIsolatedEntryRefusesWithinMaxContactAge(t *testing.T) {
 	withClient(t, map[string]*scriptedLeader{"c1": {ignoresItems: true}}, func(c *testClient) {
 		time.Sleep(time.Second)
 		if c.client.TableRevision() != 7 || !c.client.InContact() {
-			t.Errorf("revision %d, fresh %v", c.client.TableRevision(), c.client.InContact())
+			t.Errorf("got table revision %d, in contact %v, want 7 and true", c.client.TableRevision(), c.client.InContact())
 		}
 		c.relays["c1"].Set(relay.Up, relay.Lose)
 		c.relays["c1"].Set(relay.Down, relay.Lose)
 		startedAt := time.Now()
 		got := c.listCodeWithin(time.Minute)
 		if elapsed := time.Since(startedAt); got != code.Unanswered || elapsed > control.DefaultMaxContactAge+100*time.Millisecond {
-			t.Errorf("code %d after %v", got, elapsed)
+			t.Errorf("got code %d after %v, want Unanswered within the maximum contact age", got, elapsed)
 		}
 		if c.client.InContact() {
-			t.Error("still fresh")
+			t.Error("the client still reports contact with the leader")
 		}
 	})
 }
 
-// The answers of a slow path arrive when what they tell is old already. The age
-// of the contact must count from when the call was sent, or a key would work
-// for longer than the bound by as much as an answer takes.
+// Guards against trusting old data for too long when replies are slow. The contact age
+// counts from the start of the call. Otherwise a withdrawn key would work longer than
+// the limit by the time that a reply takes.
 func TestContactAgeCountsFromStartOfCall(t *testing.T) {
 	withClient(t, map[string]*scriptedLeader{"c1": {ignoresItems: true}}, func(c *testClient) {
 		const replyDelay = 300 * time.Millisecond
@@ -362,7 +369,7 @@
 		startedAt := time.Now()
 		c.listCodeWithin(time.Minute)
 		if elapsed := time.Since(startedAt); elapsed > control.DefaultMaxContactAge-replyDelay+100*time.Millisecond {
-			t.Errorf("refused %v after the last answer could have left", elapsed)
+			t.Errorf("the request failed %v after the connection was cut, later than the maximum contact age minus the reply delay allows", elapsed)
 		}
 	})
 }
--- a/internal/edge/control/find.go
+++ b/internal/edge/control/find.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// findLeader asks all replicas at once, with an empty Push, whether they lead. Asking
-// everybody is safe, and a silent replica then costs no time.
+// findLeader sends an empty Push to all replicas in parallel and returns a session with
+// the one that is the leader. An empty Push has no effect on a replica. Because the
+// probes run in parallel, a replica that does not answer does not delay the search.
 func (c *Client) findLeader(ctx context.Context) (*session, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.CallTimeout)
 	defer cancel()
-	type answer struct {
-		link  *session
-		hint  Replica
-		leads bool
+	type probeResult struct {
+		session    *session
+		redirectTo Replica
+		leads      bool
 	}
-	results := make(chan answer)
+	results := make(chan probeResult)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
@@ -25,9 +26,9 @@
 		probed[r.Address] = true
 		s := c.newSession(r)
 		wg.Go(func() {
-			hint, leads := s.probe(ctx)
+			redirectTo, leads := s.probe(ctx)
 			select {
-			case results <- answer{s, hint, leads}:
+			case results <- probeResult{s, redirectTo, leads}:
 			case <-ctx.Done():
 				s.close()
 			}
@@ -37,25 +38,26 @@
 		startProbe(r)
 	}
 	for outstanding := len(probed); outstanding > 0; outstanding-- {
-		var result answer
+		var result probeResult
 		select {
 		case result = <-results:
 		case <-ctx.Done():
 			return nil, errNoLeader
 		}
 		if result.leads {
-			return result.link, nil
+			return result.session, nil
 		}
-		result.link.close()
-		if result.hint.Address != "" && !probed[result.hint.Address] {
-			startProbe(result.hint)
+		result.session.close()
+		if result.redirectTo.Address != "" && !probed[result.redirectTo.Address] {
+			startProbe(result.redirectTo)
 			outstanding++
 		}
 	}
 	return nil, errNoLeader
 }
 
-// probe tells whether the replica leads, or which one it names.
+// probe reports whether the replica is the leader. If it is not, redirectTo is the
+// leader that the replica named, empty if it named none.
 func (s *session) probe(ctx context.Context) (redirectTo Replica, leads bool) {
 	startedAt := time.Now()
 	reply, err := s.rpcClient.Push(ctx, s.newPushRequest(nil))
--- a/internal/edge/control/meter.go
+++ b/internal/edge/control/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// clientMetrics holds the pool's metrics.
+// clientMetrics holds the metrics of a Client.
 type clientMetrics struct {
 	pushes        *metrics.Counter
 	items         *metrics.Counter
--- a/internal/edge/control/book.go
+++ b/internal/edge/control/queue.go
@@ -15,44 +15,48 @@
 )
 
 const (
-	// resendMargin is how long a reply may take, beyond the item's patience, before the item is sent again.
+	// resendMargin is added to the long-poll timeout of an item. An item without a
+	// reply after that time is sent again.
 	resendMargin = time.Second
-	// budgetMargin is kept back from the budget, so that the leader answers before the asker gives up.
+	// budgetMargin is subtracted from the time budget sent to the leader, so that the
+	// leader answers before the requester's deadline.
 	budgetMargin = 50 * time.Millisecond
-	// maxPushBytes bounds the size of one Push.
+	// maxPushBytes limits the size of one Push. The item that exceeds the limit is
+	// still part of the Push.
 	maxPushBytes = 2 << 20
 )
 
-// callResult is what an asker gets.
+// callResult is the reply or the error that a requester receives.
 type callResult struct {
 	reply *inner.Reply
 	err   error
 }
 
-// call is one item that waits for its reply.
+// call is one item whose reply is pending.
 type call struct {
 	item    *inner.Item
 	result  chan callResult
 	addedAt time.Time
-	// deadline is when the asker gives up; zero when it set no bound.
+	// deadline is the requester's deadline, zero if there is none.
 	deadline time.Time
-	// queued is true while the item waits to be pushed.
+	// queued is true while the call is in the send queue.
 	queued bool
-	// mayHaveArrived is true once the item was handed to a Push that may have reached a leader.
+	// mayHaveArrived is true once the item was part of a Push that may have reached a
+	// leader.
 	mayHaveArrived bool
-	// resendAt is when the item is sent again.
+	// resendAt is the time after which the item is sent again.
 	resendAt time.Time
 }
 
-// callQueue holds the items that wait, and the order in which they are pushed.
+// callQueue holds the pending calls and the order in which their items are pushed.
 type callQueue struct {
 	maxPending int
-	// wakeup has a token when the queue may not be empty.
+	// wakeup receives a value when a call is added to sendQueue.
 	wakeup chan struct{}
 
 	mu      sync.Mutex
 	lastSeq uint64
-	// longPollsRefused is true once long polls are refused because the entry stops.
+	// longPollsRefused is true once the entry is shutting down and refuses long polls.
 	longPollsRefused bool
 	pending          map[uint64]*call
 	sendQueue        []*call
@@ -77,7 +81,7 @@
 		return nil, code.New(code.Leaving, "")
 	}
 	if len(q.pending) >= q.maxPending {
-		return nil, code.New(code.Overloaded, "%d requests wait at this entry", len(q.pending))
+		return nil, code.New(code.Overloaded, "%d requests are pending at this entry", len(q.pending))
 	}
 	q.lastSeq++
 	item.Seq = q.lastSeq
@@ -86,7 +90,8 @@
 	return c, nil
 }
 
-// enqueue puts the call at the end of the queue. The caller holds mu.
+// enqueue appends the call to the send queue unless it is queued already. The caller
+// holds mu.
 func (q *callQueue) enqueue(c *call) {
 	if c.queued {
 		return
@@ -105,8 +110,8 @@
 	return len(q.sendQueue)
 }
 
-// dequeue removes up to n items from the queue. From here on each of them counts
-// as one that a leader may have seen.
+// dequeue removes up to maxItems calls from the send queue and returns those that are
+// still pending.
 func (q *callQueue) dequeue(maxItems int) []*call {
 	now := time.Now()
 	q.mu.Lock()
@@ -120,7 +125,7 @@
 		examined++
 		c.queued = false
 		if q.pending[c.item.Seq] != c {
-			continue // answered or given up meanwhile
+			continue // completed or abandoned since it was queued
 		}
 		batchBytes += proto.Size(c.item)
 		batch = append(batch, c)
@@ -131,8 +136,9 @@
 	return batch
 }
 
-// prepareForPush marks the batch as handed over and returns its items with what is left of their budgets,
-// and the calls that had not been handed over before.
+// prepareForPush marks every call of the batch as one whose item may have arrived. It
+// returns the items with their remaining time budgets, and the calls that were not
+// marked before.
 func (q *callQueue) prepareForPush(batch []*call) (items []*inner.Item, firstAttempts []*call) {
 	now := time.Now()
 	q.mu.Lock()
@@ -151,7 +157,8 @@
 	return items, firstAttempts
 }
 
-// markNotArrived takes back the mark of calls whose only Push was answered as not looked at.
+// markNotArrived clears the mark of calls whose only Push provably was not processed:
+// it was never sent, or the replica answered that it is not the leader.
 func (q *callQueue) markNotArrived(calls []*call) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -160,7 +167,8 @@
 	}
 }
 
-// requeuePending puts calls that still wait back into the queue.
+// requeuePending puts those of the calls that are still pending back into the send
+// queue.
 func (q *callQueue) requeuePending(calls []*call) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -171,7 +179,8 @@
 	}
 }
 
-// requeueAll puts everything that waits into the queue, in the order it came.
+// requeueAll puts all pending calls into the send queue, in the order in which they
+// were added.
 func (q *callQueue) requeueAll() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -180,8 +189,9 @@
 	}
 }
 
-// requeueOverdue sends again what was pushed but not answered in time, within
-// the retry budget. The Push or the reply was lost, or the leader lost its queue.
+// requeueOverdue queues calls again whose items were pushed but not answered in time,
+// as far as the limiter allows. Such a call lost its Push or its reply, or the leader
+// lost its queue.
 func (q *callQueue) requeueOverdue(now time.Time, limiter *rate.Limiter) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -199,7 +209,8 @@
 	return requeued
 }
 
-// failUnsent refuses items that were added before the time given and never handed over.
+// failUnsent fails the calls that were added before the given time and whose items
+// cannot have arrived at a leader.
 func (q *callQueue) failUnsent(addedBefore time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -210,21 +221,22 @@
 	}
 }
 
-// failAddedBefore ends every wait that was begun before the time given, for want of a leader.
+// failAddedBefore fails all calls that were added before the given time, because there
+// is no contact with a leader.
 func (q *callQueue) failAddedBefore(addedBefore time.Time) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	failed := 0
 	for _, c := range q.pending {
 		if c.addedAt.Before(addedBefore) {
-			q.complete(c, callResult{err: q.noReplyError(c, "the leader is out of contact")})
+			q.complete(c, callResult{err: q.noReplyError(c, "no contact with the leader")})
 			failed++
 		}
 	}
 	return failed
 }
 
-// endLongPolls answers everything that the leader may hold for a while, and refuses such items from now on.
+// endLongPolls fails all pending long polls with Leaving and makes add refuse new ones.
 func (q *callQueue) endLongPolls() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -236,8 +248,8 @@
 	}
 }
 
-// deliver gives a reply to whoever waits for it. A late or second reply finds
-// nobody and is dropped: each seq is answered once.
+// deliver passes a reply to the requester. It drops a late or duplicate reply and
+// returns false, so each seq is answered at most once.
 func (q *callQueue) deliver(reply *inner.Reply) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -249,7 +261,8 @@
 	return true
 }
 
-// failRefused ends the waits for items that the leader had no room for, if it never saw them before.
+// failRefused fails calls whose items the leader refused because its queue is full. The
+// caller passes only calls whose items no earlier Push can have delivered.
 func (q *callQueue) failRefused(calls []*call) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -260,13 +273,14 @@
 	}
 }
 
-// complete ends a wait. The caller holds mu.
+// complete removes the call and passes the result to the requester. The caller holds mu.
 func (q *callQueue) complete(c *call, result callResult) {
 	delete(q.pending, c.item.Seq)
 	c.result <- result
 }
 
-// abandon ends a wait from the asker's side.
+// abandon removes the call of a requester that stops waiting. It returns the result if
+// one arrived in the meantime.
 func (q *callQueue) abandon(c *call, reason string) (*inner.Reply, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -278,8 +292,9 @@
 	return nil, q.noReplyError(c, reason)
 }
 
-// noReplyError says what is true of an item without a reply: it did not reach a
-// leader only if no Push ever carried it. The caller holds mu.
+// noReplyError returns the error for a call without a reply. The code is Unreachable
+// only if no Push that carried the item can have reached a leader, and Unanswered
+// otherwise. The caller holds mu.
 func (q *callQueue) noReplyError(c *call, reason string) error {
 	if c.mayHaveArrived {
 		return code.New(code.Unanswered, "%s", reason)
@@ -287,7 +302,8 @@
 	return code.New(code.Unreachable, "%s", reason)
 }
 
-// longPollTimeout returns how long the leader may hold the item before it answers.
+// longPollTimeout returns how long the leader may hold the item before it answers, zero
+// for items that are not long polls.
 func longPollTimeout(item *inner.Item) time.Duration {
 	switch ask := item.GetAsk().(type) {
 	case *inner.Item_Wait:
--- a/internal/edge/control/link.go
+++ b/internal/edge/control/session.go
@@ -17,52 +17,56 @@
 )
 
 const (
-	// parallelPushThreshold is the queue length at which a further Push starts beside those under way.
+	// parallelPushThreshold is the length of the send queue at which another Push starts
+	// while one is in flight.
 	parallelPushThreshold = 32
-	// maxBatchDelay is the longest wait for a batch to grow while a Push is under way.
+	// maxBatchDelay limits how long a batch is collected while a Push is in flight.
 	maxBatchDelay = time.Millisecond
-	// maxConsecutiveFailures is the number of calls in a row that may fail before another leader is looked for.
+	// maxConsecutiveFailures is the number of consecutive failed calls of one kind that
+	// ends the session.
 	maxConsecutiveFailures = 2
-	// maxSessionAge bounds the life of the connections to one replica.
+	// maxSessionAge limits how long the connections to one replica are used.
 	maxSessionAge = 5 * time.Minute
-	// minPullInterval is kept between Pulls that return at once without replies.
+	// minPullInterval limits the rate of Pulls when a replica returns without replies
+	// immediately instead of holding the Pull.
 	minPullInterval = 2 * time.Millisecond
 )
 
 var (
-	errNotLeader     = errors.New("the replica does not lead")
+	errNotLeader     = errors.New("the replica is not the leader")
 	errUnresponsive  = errors.New("the replica does not answer")
-	errMaxSessionAge = errors.New("the connections reached their age")
+	errMaxSessionAge = errors.New("the session reached its maximum age")
 )
 
-// session is the session with one replica while it leads.
+// session sends items to one replica and receives replies, for as long as that replica
+// is the leader.
 type session struct {
 	client  *Client
 	replica Replica
-	// id is new with each link, so that what an earlier link left on the
-	// way can neither acknowledge nor answer anything of this one.
+	// id is a random number for each session. Delayed messages of an earlier session
+	// cannot acknowledge or answer items of this one.
 	id        uint64
 	rpcClient inner.Control
 	transport *http.Transport
 
-	// consecutiveFailures counts the calls in a row that failed, pushes and pulls apart: a
-	// Pull that never comes back must not hide behind pushes that do.
+	// consecutiveFailures counts consecutive failed calls, separately for Push and Pull.
+	// With one common counter, successful Pushes would hide that every Pull fails.
 	consecutiveFailures [2]atomic.Int32
-	// cancelPull ends the Pull under way, so that it is made again over a fresh connection.
+	// cancelPull cancels the Pull in flight, so that it is repeated over a new connection.
 	cancelPull atomic.Pointer[context.CancelFunc]
-	// pullRestarted is true when a Pull was ended so.
+	// pullRestarted is true if restartPull canceled the Pull in flight.
 	pullRestarted atomic.Bool
 }
 
-// The kinds of call, for the count of failures.
+// Indexes of session.consecutiveFailures.
 const (
 	pushCall = iota
 	pullCall
 )
 
-// initTransport makes the client. HTTP/1.1 is used because a call that is given up
-// closes its own connection there: a connection that something on the way has
-// forgotten is never used twice.
+// initTransport creates the HTTP transport and the RPC client. With HTTP/1.1, canceling
+// a call closes its connection. A connection that a middlebox dropped silently is
+// therefore not used a second time.
 func (s *session) initTransport() {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -87,14 +91,16 @@
 	return &inner.PushRequest{Cell: s.client.Cell, Entry: s.client.Name, Session: s.id, Items: items}
 }
 
-// run carries items and replies until the replica stops leading or answering.
+// run sends items and receives replies until the replica is no longer the leader, stops
+// answering, or the session reaches its maximum age.
 func (s *session) run(ctx context.Context) error {
 	ctx, endSession := context.WithCancelCause(ctx)
 	defer endSession(nil)
 	defer s.close()
 	ageTimer := time.AfterFunc(maxSessionAge, func() { endSession(errMaxSessionAge) })
 	defer ageTimer.Stop()
-	// What an earlier leader left unanswered is asked again here: every item is idempotent.
+	// Items that an earlier leader did not answer are sent again. This is safe because
+	// every item is idempotent.
 	s.client.queue.requeueAll()
 	var wg sync.WaitGroup
 	wg.Go(func() { s.dispatchPushes(ctx, endSession) })
@@ -103,8 +109,9 @@
 	return context.Cause(ctx)
 }
 
-// dispatchPushes starts a Push for what has gathered: at once when none is under way,
-// else when enough has gathered or the first has waited long enough.
+// dispatchPushes pushes the queued items in batches. If no Push is in flight, a Push
+// starts immediately. Otherwise it starts once the queue has parallelPushThreshold
+// items, a Push has ended, or maxBatchDelay has passed.
 func (s *session) dispatchPushes(ctx context.Context, endSession context.CancelCauseFunc) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -147,7 +154,8 @@
 	}
 }
 
-// pushBatch pushes one batch, and once more over a fresh connection if that failed.
+// pushBatch pushes one batch. After a failure it repeats the Push over a new connection
+// until recordFailure ends the session.
 func (s *session) pushBatch(ctx context.Context, endSession context.CancelCauseFunc, batch []*call) {
 	for ctx.Err() == nil {
 		items, firstAttempts := s.client.queue.prepareForPush(batch)
@@ -166,7 +174,7 @@
 			continue
 		}
 		if reply.GetRedirect() != nil {
-			s.client.queue.markNotArrived(firstAttempts) // the replica says that it looked at nothing
+			s.client.queue.markNotArrived(firstAttempts) // a replica that redirects has processed no item
 			s.client.queue.requeuePending(batch)
 			endSession(errNotLeader)
 			return
@@ -177,9 +185,9 @@
 	}
 }
 
-// restartPull ends the Pull under way after a Push that got no answer: whatever
-// forgot that connection has likely forgotten this one too, and a Pull shows
-// its silence only at the end of its patience.
+// restartPull cancels the Pull in flight after a Push without an answer. A fault that
+// silently dropped the connection of the Push probably dropped that of the Pull too,
+// and the Pull would detect this only when its long poll times out.
 func (s *session) restartPull() {
 	if cancel := s.cancelPull.Load(); cancel != nil {
 		s.pullRestarted.Store(true)
@@ -187,7 +195,7 @@
 	}
 }
 
-// neverSent tells whether the call ended before it had a connection to write to.
+// neverSent reports whether the call failed before it had a connection.
 func neverSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
@@ -199,8 +207,9 @@
 	return s.rpcClient.Push(ctx, req)
 }
 
-// handleRefused handles the items that the leader had no room for. One that no earlier
-// Push carried was provably not run; any other is sent again when overdue.
+// handleRefused handles the items that the leader refused because its queue is full. An
+// item that no earlier Push can have delivered provably did not run, so its call fails.
+// Any other item is sent again when it is overdue.
 func (s *session) handleRefused(firstAttempts []*call, refused []uint64) {
 	if len(refused) == 0 {
 		return
@@ -219,13 +228,14 @@
 	s.client.queue.failRefused(notProcessed)
 }
 
-// pullPosition is how far the replies have been taken: ack counts within its epoch.
+// pullPosition identifies the last reply that was received. Numbers in ack are valid only
+// within their epoch.
 type pullPosition struct {
 	epoch uint64
 	ack   uint64
 }
 
-// pullReplies keeps a long poll open for replies.
+// pullReplies receives replies by long polls until the session ends.
 func (s *session) pullReplies(ctx context.Context, endSession context.CancelCauseFunc) {
 	var position pullPosition
 	for ctx.Err() == nil {
@@ -247,7 +257,8 @@
 		s.pullRestarted.Store(false)
 		s.recordSuccess(pullCall, startedAt)
 		s.client.raiseTableRevision(reply.GetRevision())
-		// The answer holds everything past the number acknowledged, so its last number is the next one.
+		// The response holds all replies after the acknowledged one. The number of the
+		// last one is acknowledged with the next Pull.
 		if n := len(reply.GetReplies()); n > 0 {
 			position = pullPosition{reply.GetEpoch(), reply.GetFirst() + uint64(n) - 1}
 		} else if time.Since(startedAt) < minPullInterval {
@@ -270,8 +281,9 @@
 	})
 }
 
-// stillLeads asks over another connection whether the replica still leads, after a
-// Pull that stayed silent: only its connection may be at fault.
+// stillLeads probes over another connection whether the replica is still the leader, and
+// ends the session if it is not. It is used after a Pull without an answer, because the
+// fault may concern only the connection of that Pull.
 func (s *session) stillLeads(ctx context.Context, endSession context.CancelCauseFunc) bool {
 	ctx, cancel := context.WithTimeout(ctx, s.client.CallTimeout)
 	defer cancel()
@@ -282,8 +294,9 @@
 	return true
 }
 
-// deliverReplies hands out replies. It returns false when the replica says that it no
-// longer leads: such items wait for the next leader.
+// deliverReplies passes replies to the requesters. It returns false if a reply reports
+// that the replica is no longer the leader. Items with such a reply stay pending for the
+// next leader.
 func (s *session) deliverReplies(replies []*inner.Reply) bool {
 	leads := true
 	for _, r := range replies {
@@ -298,8 +311,8 @@
 	return leads
 }
 
-// recordFailure counts a call that failed and drops the idle connections, which may
-// have gone silent with it. It returns true when the link is given up.
+// recordFailure counts a failed call and closes the idle connections, because the same
+// fault may have silently dropped them. It returns true if the session has ended.
 func (s *session) recordFailure(ctx context.Context, callKind int, endSession context.CancelCauseFunc) bool {
 	if ctx.Err() != nil {
 		return true
@@ -319,7 +332,7 @@
 	s.consecutiveFailures[callKind].Store(0)
 }
 
-// newBackoff returns the jittered pauses between searches for a leader.
+// newBackoff returns the jittered backoff between searches for a leader.
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = 10 * time.Millisecond
--- a/internal/edge/helper/helper.go
+++ b/internal/edge/helper/helper.go
@@ -1,7 +1,7 @@
-// Package helper is how processes make calls for the leader: questions to the
-// adviser, which takes one at a time from each machine, and calls to backend
-// servers that the leader itself cannot reach. Helpers keep no state: whoever
-// leads decides, and a call carries all that it needs.
+// Package helper lets the leader make calls through other processes. It forwards
+// questions to the adviser, which accepts one question at a time per machine, and calls
+// to backend servers that the leader cannot reach. Helpers are stateless: the leader makes
+// all decisions, and each call contains all necessary data.
 package helper
 
 import (
@@ -17,27 +17,28 @@
 	"gypsumreel/internal/edge/wire"
 )
 
-// Adviser asks the adviser.
+// Adviser sends a question to the adviser and returns its answer.
 type Adviser interface {
 	Advise(ctx context.Context, r *inner.AdviseRequest) *inner.AdviseReply
 }
 
-// Backends calls backend servers.
+// Backends makes calls to backend servers.
 type Backends interface {
 	Call(ctx context.Context, c *inner.ServerCall) *inner.ServerAnswer
 }
 
-// LeaderObserver is told of a new leader, and says who it is itself.
+// LeaderObserver is notified of a new leader and returns the greeting of its process.
 type LeaderObserver interface {
 	LeaderAnnounced(address string, w *inner.Welcome) *inner.Greeting
 }
 
-// Server makes calls for the leader. The exported fields are set before use.
+// Server implements the Helper service, which makes calls for the leader. The exported
+// fields are set before use.
 type Server struct {
 	Cell     string
 	Adviser  Adviser
 	Backends Backends
-	// LeaderObserver is told of new leaders; nil for nobody is.
+	// LeaderObserver is notified of new leaders. If nil, announcements are ignored.
 	LeaderObserver LeaderObserver
 }
 
@@ -46,7 +47,7 @@
 // Handler returns the HTTP handler of the service.
 func (s *Server) Handler() http.Handler { return inner.NewHelperServer(s) }
 
-// Advise asks the adviser.
+// Advise forwards a question to the adviser.
 func (s *Server) Advise(ctx context.Context, r *inner.AdviseRequest) (*inner.AdviseReply, error) {
 	if err := s.checkCell(r.GetCell()); err != nil {
 		return nil, err
@@ -56,7 +57,7 @@
 	return s.Adviser.Advise(ctx, r), nil
 }
 
-// Relay calls a backend server.
+// Relay forwards a call to a backend server.
 func (s *Server) Relay(ctx context.Context, c *inner.ServerCall) (*inner.ServerAnswer, error) {
 	if err := s.checkCell(c.GetCell()); err != nil {
 		return nil, err
@@ -66,7 +67,7 @@
 	return s.Backends.Call(ctx, c), nil
 }
 
-// Announce takes the word of a new leader.
+// Announce notifies LeaderObserver of a new leader.
 func (s *Server) Announce(_ context.Context, a *inner.Announcement) (*inner.Greeting, error) {
 	if err := s.checkCell(a.GetCell()); err != nil {
 		return nil, err
@@ -79,19 +80,20 @@
 
 func (s *Server) checkCell(cell string) error {
 	if cell != s.Cell {
-		return twirp.NewError(twirp.PermissionDenied, "this is cell "+s.Cell)
+		return twirp.NewError(twirp.PermissionDenied, "wrong cell: this is cell "+s.Cell)
 	}
 	return nil
 }
 
-// Client calls helpers, this process among them. The exported fields are set
-// before use.
+// Client calls the Helper service of other processes and of this one. The exported
+// fields are set before use.
 type Client struct {
 	Local      *Server
 	HTTPClient *http.Client
 }
 
-// Advise lets the process at that address ask; this process when it is empty.
+// Advise sends a question to the adviser through the process at address. If address is
+// empty, this process sends it.
 func (c *Client) Advise(ctx context.Context, address string, r *inner.AdviseRequest) *inner.AdviseReply {
 	if address == "" {
 		return c.Local.Adviser.Advise(ctx, r)
@@ -103,7 +105,8 @@
 	return reply
 }
 
-// Announce tells the process at that address who leads; nil when it does not answer.
+// Announce announces a new leader to the process at address and returns its greeting. It
+// returns nil if the process does not answer.
 func (c *Client) Announce(ctx context.Context, address string, a *inner.Announcement) *inner.Greeting {
 	greeting, err := inner.NewHelperProtobufClient("http://"+address, c.HTTPClient).Announce(ctx, a)
 	if err != nil {
@@ -112,8 +115,9 @@
 	return greeting
 }
 
-// Relay lets the process at that address call a backend server. What goes wrong
-// on the way to it may have happened after the call left.
+// Relay calls a backend server through the process at address. The verdict is
+// VERDICT_UNSENT only if the connection to that process failed. After any other failure
+// the backend server may have received the call, so the verdict is VERDICT_SILENT.
 func (c *Client) Relay(ctx context.Context, address string, call *inner.ServerCall) *inner.ServerAnswer {
 	answer, err := inner.NewHelperProtobufClient("http://"+address, c.HTTPClient).Relay(ctx, call)
 	switch {
--- a/internal/edge/helper/helper_test.go
+++ b/internal/edge/helper/helper_test.go
@@ -16,10 +16,10 @@
 	"gypsumreel/internal/fake/relay"
 )
 
-// answerDelay is how long the adviser and the backend servers of these tests take.
+// answerDelay is the response time of the adviser and the backend servers in these tests.
 const answerDelay = 20 * time.Millisecond
 
-// slowAdviser answers after a while, and never to questions about the flow lost.
+// slowAdviser answers after answerDelay. It never answers questions about unansweredFlow.
 type slowAdviser struct{}
 
 const unansweredFlow = "lost"
@@ -40,7 +40,7 @@
 	return &inner.ServerAnswer{Verdict: inner.Verdict_VERDICT_DONE}
 }
 
-// serveBehindRelay serves a helper behind a relay, and returns the relay and its address.
+// serveBehindRelay starts a helper behind a relay and returns the relay and its address.
 func serveBehindRelay(t *testing.T) (*relay.Relay, string) {
 	t.Helper()
 	helperListener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,16 +60,15 @@
 		return d.DialContext(ctx, "tcp", helperListener.Addr().String())
 	}}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { defer close(ended); _ = r.Run(ctx) }()
-	t.Cleanup(func() { cancel(); <-ended })
+	relayDone := make(chan struct{})
+	go func() { defer close(relayDone); _ = r.Run(ctx) }()
+	t.Cleanup(func() { cancel(); <-relayDone })
 	return r, relayListener.Addr().String()
 }
 
-// A user sees urgent work wait for seconds while a fault refuses new connections
-// between the leader and the helpers and leaves the open ones. Then the leader
-// gives a question up, which must not cost it the way on which the next question
-// and the calls relayed beside it still go through.
+// Guards against urgent work that waits for seconds during a network fault that refuses
+// new connections and keeps open ones. When the leader cancels a question, the connection
+// to the helper must stay open for the next question and for concurrent relayed calls.
 func TestCallsContinueWhileNewConnectionsAreRefused(t *testing.T) {
 	r, address := serveBehindRelay(t)
 	client := &helper.Client{HTTPClient: wire.NewMultiplexedClient(nil)}
@@ -88,7 +87,7 @@
 	var wg sync.WaitGroup
 	for i := range 20 {
 		if err := ask(unansweredFlow, 2*answerDelay); err == nil {
-			t.Error("a question without an answer was answered")
+			t.Error("a question about unansweredFlow was answered")
 		}
 		wg.Go(func() {
 			if err := ask(fmt.Sprintf("flow %d", i), time.Second); err != nil {
@@ -105,9 +104,8 @@
 	wg.Wait()
 }
 
-// A helper's connection goes silent for good while its process is well, as when
-// something between the ends has forgotten it. The next questions must not go on
-// waiting on that connection when a new one would do.
+// Guards against continued use of a connection that a middlebox dropped silently while
+// the helper process is healthy. Questions must move to a new connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	r, address := serveBehindRelay(t)
 	client := &helper.Client{HTTPClient: wire.NewMultiplexedClient(nil)}
@@ -129,6 +127,6 @@
 		}
 	}
 	if elapsed := time.Since(startedAt); elapsed > 2*time.Second {
-		t.Errorf("the next answer came after %v", elapsed)
+		t.Errorf("the next answer came after %v, want at most 2 s", elapsed)
 	}
 }
--- a/internal/edge/leader/greet.go
+++ b/internal/edge/leader/greet.go
@@ -11,7 +11,8 @@
 	"gypsumreel/internal/api/inner"
 )
 
-// Run keeps the process known to the leader until ctx ends.
+// Run sends greetings to the leader, and to other replicas to find the leader, until ctx
+// is canceled.
 func (c *Client) Run(ctx context.Context) error {
 	c.init()
 	defer close(c.done)
@@ -34,7 +35,8 @@
 	return nil
 }
 
-// nextInterval returns how long the next greeting waits.
+// nextInterval returns the time until the next greeting. It is shorter while no leader is
+// known.
 func (c *Client) nextInterval() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,9 +46,11 @@
 	return c.greetInterval
 }
 
-// greetTargets returns whom to greet now: the leader, and one of the others, in turn.
-// A leader that is cut off or stands still does not tell that it was replaced;
-// one of the others does, before calls to the old one have timed out.
+// greetTargets returns the addresses to greet in this round: the leader and one of the
+// other replicas in turn. A leader that is partitioned or frozen does not report that it
+// was replaced. Another replica reports it before calls to the old leader time out.
+// While no leader is known, greetTargets returns searchFanout of the known addresses in
+// turn.
 func (c *Client) greetTargets(round int) []string {
 	leader, _, _ := c.currentLeader()
 	addresses := c.knownAddresses()
@@ -54,8 +58,9 @@
 		return nil
 	}
 	if leader == "" {
-		// Each of them knows the leader when there is one. All asked at once by all
-		// processes, the next leader's first second would go to greetings.
+		// A few replicas are enough, because each one knows the leader if there is
+		// one. If all processes greeted all replicas at the same time, the new leader
+		// would spend its first second on greetings.
 		targets := make([]string, 0, searchFanout)
 		for i := range min(searchFanout, len(addresses)) {
 			targets = append(targets, addresses[(round*searchFanout+i)%len(addresses)])
@@ -69,7 +74,8 @@
 	return []string{leader, other}
 }
 
-// greet greets one address, and whoever that one takes for the leader.
+// greet greets the replica at address. If that replica names another one as the leader,
+// greet greets the named one too.
 func (c *Client) greet(ctx context.Context, address string) {
 	welcome, sent := c.sendGreeting(ctx, address)
 	if !sent {
@@ -89,8 +95,9 @@
 	}
 }
 
-// sendGreeting greets one address, unless a greeting to it is under way. Asked again and
-// again while it is slow, a replica would become slower with each. Nil is no answer.
+// sendGreeting sends a greeting to address unless one is in flight, because repeated
+// greetings would slow down a slow replica further. sent is false if one was in flight.
+// A nil welcome means that the replica did not answer.
 func (c *Client) sendGreeting(ctx context.Context, address string) (welcome *inner.Welcome, sent bool) {
 	if !c.beginGreeting(address) {
 		return nil, false
@@ -105,22 +112,24 @@
 	return welcome, true
 }
 
-// currentGreeting returns what this process says of itself now.
+// currentGreeting returns the greeting of this process with the current wall-clock time.
 func (c *Client) currentGreeting() *inner.Greeting {
 	g := proto.CloneOf(c.Greeting)
 	g.Clock = time.Now().UnixNano()
 	return g
 }
 
-// LeaderAnnounced takes the word of a leader that has just begun, which comes long before
-// the next greeting would find it.
+// LeaderAnnounced records a newly elected leader that announced itself, and returns the
+// greeting for it. The announcement arrives long before the next greeting would find the
+// leader.
 func (c *Client) LeaderAnnounced(address string, welcome *inner.Welcome) *inner.Greeting {
 	c.init()
 	c.recordLeader(address, welcome)
 	return c.currentGreeting()
 }
 
-// beginGreeting notes a greeting to an address; false when one is under way.
+// beginGreeting marks a greeting to the address as in flight. It returns false if one is
+// in flight already.
 func (c *Client) beginGreeting(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,7 +146,8 @@
 	delete(c.greetingInFlight, address)
 }
 
-// knownAddresses lists the addresses where the leader may be.
+// knownAddresses returns the sorted addresses of all replicas that may be the leader,
+// without this process.
 func (c *Client) knownAddresses() []string {
 	c.mu.Lock()
 	addresses := append(slices.Clone(c.members), c.Seeds()...)
--- a/internal/edge/leader/leader.go
+++ b/internal/edge/leader/leader.go
@@ -1,6 +1,6 @@
-// Package leader is a process's way to the leader of the control group: it keeps
-// itself known there, finds the next one when the leader changes, and carries
-// callers' requests.
+// Package leader is the client for the leader of the control group. It registers the
+// process with the leader by regular greetings, finds the new leader after a change, and
+// forwards callers' requests.
 package leader
 
 import (
@@ -15,41 +15,46 @@
 	"gypsumreel/internal/base/event"
 )
 
-// Times of the way to the leader.
+// Intervals and timeouts.
 const (
-	// minGreetInterval is how often the process makes itself known, unless a leader told it
-	// otherwise; mostPause is the longest that it lets itself be told.
+	// minGreetInterval is the time between two greetings unless the leader requests a
+	// longer one. Requests above maxGreetInterval are reduced to it.
 	minGreetInterval = 300 * time.Millisecond
 	maxGreetInterval = time.Second
-	// searchSpeedup is the part of that time after which a leader is looked for again
-	// while none is known, and findAsked how many replicas are asked each time.
+	// While no leader is known, greetings are sent searchSpeedup times as often, to
+	// searchFanout replicas each time.
 	searchSpeedup = 3
 	searchFanout  = 2
-	// greetTimeout bounds one greeting.
+	// greetTimeout is the timeout of one greeting.
 	greetTimeout = 700 * time.Millisecond
-	// attemptTimeout bounds one try of a request: a commit on slow disks and more.
+	// attemptTimeout is the timeout of one attempt of a request. It covers a commit on slow
+	// disks.
 	attemptTimeout = 1500 * time.Millisecond
-	// leaderWait is how long after the loss of a leader, or the start of the
-	// process, requests wait for one: an election that goes well is over by then.
-	// One that takes longer is better waited for by the caller itself.
+	// leaderWait is how long requests wait for a leader after the loss of the previous one
+	// or after the start of the process. A normal election is over by then. During a
+	// longer one callers are told to retry later.
 	leaderWait = 1200 * time.Millisecond
-	// retryHint is when a caller may return that found no leader.
+	// retryHint is the time after which a caller without an answer is asked to retry.
 	retryHint = time.Second
-	// retryInterval is the pause before a request is tried again.
+	// retryInterval is the pause between two attempts of a request.
 	retryInterval = 50 * time.Millisecond
-	// maxContactAge is the age of the last word of a leader up to which the process
-	// counts as in touch: an election within it goes unnoticed.
+	// maxContactAge is the maximum age of the last message from a leader at which
+	// CheckContact succeeds. It is long enough that an election does not make the process
+	// unready.
 	maxContactAge = 4 * time.Second
 )
 
-// Client is the way to the leader. The exported fields are set before Run.
+// Client forwards requests to the leader and keeps the process registered there. The
+// exported fields are set before Run.
 type Client struct {
 	Cell string
-	// Greeting is what this process says of itself; its replica is empty for an entry.
+	// Greeting describes this process to the leader. Its replica field is empty for an
+	// entry.
 	Greeting *inner.Greeting
-	// Seeds are addresses to look for the leader at, first and when all others fail.
+	// Seeds returns addresses of replicas that may know the leader. They are used together
+	// with the members that the leader reported.
 	Seeds func() []string
-	// IsLeader tells that the leader is this process itself; nil for never.
+	// IsLeader reports whether this process is the leader. If nil, it never is.
 	IsLeader   func() bool
 	HTTPClient *http.Client
 	Now        func() time.Duration
@@ -63,13 +68,14 @@
 	term        uint64
 	version     uint64
 	lastContact time.Duration
-	// greetInterval is the time between two greetings; greeting are the addresses to which
-	// one is under way.
-	greetInterval    time.Duration
+	// greetInterval is the time between two greetings.
+	greetInterval time.Duration
+	// greetingInFlight holds the addresses to which a greeting is in flight.
 	greetingInFlight map[string]bool
-	// leaderLostAt is since when no leader is known.
+	// leaderLostAt is the time at which the last known leader was lost, or at which Run
+	// started if there was none.
 	leaderLostAt time.Duration
-	// leaderChanged is closed when another leader is known.
+	// leaderChanged is closed and replaced when recordLeader records another leader.
 	leaderChanged chan struct{}
 }
 
@@ -86,38 +92,39 @@
 // Done is closed when Run has returned.
 func (c *Client) Done() <-chan struct{} { c.init(); return c.done }
 
-// CheckContact returns nil while the leader was heard of lately and has a
-// configuration in force, else why not.
+// CheckContact returns nil if a leader answered within maxContactAge and a configuration
+// is active. Otherwise the error states which of the two is missing.
 func (c *Client) CheckContact() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.lastContact == 0 || c.Now()-c.lastContact > maxContactAge:
-		return errors.New("no leader is in contact")
+		return errors.New("no contact with the leader")
 	case c.version == 0:
-		return errors.New("no configuration is in force")
+		return errors.New("no configuration is active")
 	}
 	return nil
 }
 
-// Dump is the state of a link for a person to read.
+// Dump is the state of a Client in a state dump.
 type Dump struct {
 	Leader  string
 	Term    uint64
 	Members []string
 	Version uint64
-	// Heard is how long ago a leader was heard of.
+	// Heard is the time since the last message from a leader.
 	Heard string
 }
 
-// State returns the state of the link for a person to read.
+// State returns the state of the client for a state dump.
 func (c *Client) State() any {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return Dump{Leader: c.leader, Term: c.term, Members: c.members, Version: c.version, Heard: (c.Now() - c.lastContact).String()}
 }
 
-// recordLeader takes the word of a leader; that of an earlier term is not listened to.
+// recordLeader records that the replica at address answered as the leader. It ignores a
+// leader of an earlier term.
 func (c *Client) recordLeader(address string, welcome *inner.Welcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,7 +144,8 @@
 	}
 }
 
-// recordLeaderLost notes that a leader does not answer any more.
+// recordLeaderLost records that the leader at address no longer answers or leads. It does
+// nothing if another leader is known.
 func (c *Client) recordLeaderLost(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,7 +155,8 @@
 	}
 }
 
-// currentLeader returns the leader, and what is closed when another one is known.
+// currentLeader returns the address and term of the known leader, and a channel that is
+// closed when another leader is recorded. The address is empty if no leader is known.
 func (c *Client) currentLeader() (leader string, term uint64, leaderChanged <-chan struct{}) {
 	c.init()
 	c.mu.Lock()
--- a/internal/edge/leader/leader_test.go
+++ b/internal/edge/leader/leader_test.go
@@ -18,22 +18,24 @@
 	"gypsumreel/internal/edge/wire"
 )
 
-// fakeReplica is a control replica on loopback that may lead, stand still or be gone.
+// fakeReplica is a control replica on the loopback interface that can be the leader,
+// another replica or frozen.
 type fakeReplica struct {
 	*httptest.Server
 	mu     sync.Mutex
 	leads  bool
 	term   uint64
 	leader string
-	// greetDelay is how long a greeting takes.
+	// greetDelay is the time that a greeting takes.
 	greetDelay time.Duration
-	// unfreeze replicas answer when it is closed.
+	// unfreeze is set while the replica is frozen. The replica answers once the channel is
+	// closed.
 	unfreeze chan struct{}
-	requests int
-	// greetings counts the greetings, greeting those under way.
+	// requests and greetings count the calls received so far.
+	requests          int
 	greetings         int
 	greetingsInFlight int
-	// greetIntervalMs is what is told of the time between two.
+	// greetIntervalMs is the time between greetings that the replica requests.
 	greetIntervalMs uint32
 }
 
@@ -46,6 +48,7 @@
 
 func (r *fakeReplica) address() string { return strings.TrimPrefix(r.URL, "http://") }
 
+// update calls fn with the lock held.
 func (r *fakeReplica) update(fn func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,7 +104,7 @@
 	return c
 }
 
-// askUntilTerm asks until the answer is of that term.
+// askUntilTerm repeats a request until a leader of the given term answers.
 func askUntilTerm(t *testing.T, c *leader.Client, term uint32, timeout time.Duration) *inner.FlowAnswer {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
@@ -112,11 +115,12 @@
 			return answer
 		}
 		if ctx.Err() != nil {
-			t.Fatalf("no answer of term %d within %v, last %v", term, timeout, answer)
+			t.Fatalf("no answer from a leader of term %d within %v, last answer: %v", term, timeout, answer)
 		}
 	}
 }
 
+// The client finds the leader among the seeds, and finds the new leader after a change.
 func TestClientFindsLeaderAndFollowsChange(t *testing.T) {
 	a, b := newReplica(t), newReplica(t)
 	a.update(func() { a.leads, a.term = true, 1 })
@@ -131,8 +135,8 @@
 	askUntilTerm(t, c, 2, 5*time.Second)
 }
 
-// A leader stands still with a caller's request, and another is elected. The
-// request must not wait for the one that sleeps: its caller would give up.
+// Guards against a request that waits for a frozen leader until its caller times out,
+// although another leader has been elected.
 func TestRequestMovesFromFrozenToNewLeader(t *testing.T) {
 	a, b := newReplica(t), newReplica(t)
 	a.update(func() { a.leads, a.term = true, 1 })
@@ -146,29 +150,29 @@
 	startedAt := time.Now()
 	askUntilTerm(t, c, 2, 5*time.Second)
 	if elapsed := time.Since(startedAt); elapsed > 1400*time.Millisecond {
-		t.Errorf("the request took %v", elapsed)
+		t.Errorf("the request took %v, want at most 1.4 s", elapsed)
 	}
 }
 
-// A deposed leader wakes up and still believes to lead. What it says is older
-// than what the callers of this entry have seen.
+// Guards against following a former leader that resumes and still considers itself the
+// leader. Its data is older than what the callers of this entry have seen.
 func TestLeaderOfEarlierTermIsIgnored(t *testing.T) {
 	a, b := newReplica(t), newReplica(t)
-	a.update(func() { a.leads, a.term, a.greetDelay = true, 1, 50*time.Millisecond }) // its word comes last
+	a.update(func() { a.leads, a.term, a.greetDelay = true, 1, 50*time.Millisecond }) // its welcome arrives last
 	b.update(func() { b.leads, b.term = true, 2 })
 	c := newClient(t, a, b)
 	askUntilTerm(t, c, 2, 5*time.Second)
-	// Both are greeted several times meanwhile.
+	// The client greets both replicas several times during this loop.
 	for range 100 {
 		if answer := c.Ask(t.Context(), &inner.FlowAsk{}); answer.GetTerm() != 2 {
-			t.Fatalf("answered by term %d", answer.GetTerm())
+			t.Fatalf("answer from the leader of term %d, want 2", answer.GetTerm())
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// An entry has just started and has not found the leader yet. Requests wait for
-// that moment: sent away, their callers would come back a second later at best.
+// Guards against refusing requests at an entry that has just started and has not found
+// the leader yet. Refused callers would retry only after a second.
 func TestRequestAtStartWaitsForLeader(t *testing.T) {
 	a := newReplica(t)
 	a.update(func() { a.term = 1 })
@@ -176,23 +180,24 @@
 	c := newClient(t, a)
 	time.Sleep(10 * time.Millisecond)
 	if answer := c.Ask(t.Context(), &inner.FlowAsk{}); answer.GetPending() != 1 {
-		t.Errorf("answered with %v", answer)
+		t.Errorf("got answer %v, want one from the leader of term 1", answer)
 	}
 }
 
-// Nobody leads, and the request never left: "not run" is true, and is said at
-// once and not at the caller's deadline.
+// Guards against holding a request until the caller's deadline when there is no leader.
+// The request was never sent, so the code NoLeader is correct and is returned after the
+// leader wait.
 func TestNoLeaderIsReportedPromptly(t *testing.T) {
 	a := newReplica(t)
 	c := newClient(t, a)
 	startedAt := time.Now()
 	answer := c.Ask(t.Context(), &inner.FlowAsk{})
 	if code.Code(answer.GetCode()) != code.NoLeader || answer.GetRetry() == 0 || time.Since(startedAt) > 3*time.Second {
-		t.Errorf("%v after %v", answer, time.Since(startedAt))
+		t.Errorf("got answer %v after %v, want NoLeader with a retry hint within 3 s", answer, time.Since(startedAt))
 	}
 }
 
-// clientOfFrozenLeader returns a link whose leader, the only replica, stands still.
+// clientOfFrozenLeader returns a client whose leader is the only replica and is frozen.
 func clientOfFrozenLeader(t *testing.T) *leader.Client {
 	a := newReplica(t)
 	a.update(func() { a.leads, a.term = true, 1 })
@@ -204,32 +209,32 @@
 	return c
 }
 
-// A caller hands a flow in, the leader stores it and stands still before it answers,
-// and nobody is elected. The flow may run when the leader wakes: told "not run", its
-// caller would hand the work in again under another id, and it would be done twice.
+// Guards against reporting "not run" for a submit that the leader may have stored before
+// it froze, while no other leader is elected. The flow can run once the leader resumes.
+// A caller told "not run" would submit the work under another id, and it would run twice.
 func TestSubmitThatMayHaveArrivedIsNotReportedAsNotRun(t *testing.T) {
 	c := clientOfFrozenLeader(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	if answer := c.Ask(ctx, &inner.FlowAsk{Verb: inner.FlowVerb_FLOW_VERB_SUBMIT}); code.Code(answer.GetCode()) != code.Unanswered {
-		t.Errorf("answered with %v", answer)
+		t.Errorf("got answer %v, want code Unanswered", answer)
 	}
 }
 
-// A caller asks for a flow's state while the leader stands still. That it is not
-// known whether this was done would keep the caller from asking again: nothing was.
+// Guards against reporting an unknown outcome for a read when the leader is frozen. A
+// read has no effect, so the code is NoLeader and the caller may retry.
 func TestReadIsNeverReportedAsUnanswered(t *testing.T) {
 	c := clientOfFrozenLeader(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
 	if answer := c.Ask(ctx, &inner.FlowAsk{Verb: inner.FlowVerb_FLOW_VERB_STATE}); code.Code(answer.GetCode()) != code.NoLeader || answer.GetRetry() == 0 {
-		t.Errorf("answered with %v", answer)
+		t.Errorf("got answer %v, want NoLeader with a retry hint", answer)
 	}
 }
 
-// A new leader is slow for a moment, since everybody comes at once. Processes that
-// greet it again before it has answered make it slower with each greeting, until it
-// loses the lead.
+// Guards against overloading a new leader. It is slow at first because all processes
+// greet it at the same time. Further greetings from processes that have no answer yet
+// would slow it down until it loses its leadership.
 func TestOneGreetingInFlightPerAddress(t *testing.T) {
 	slow := newReplica(t)
 	replicas := []*fakeReplica{slow}
@@ -248,12 +253,13 @@
 	}
 	close(unfreeze)
 	if maxInFlight > 1 {
-		t.Errorf("%d greetings of one process at a time", maxInFlight)
+		t.Errorf("%d greetings of one process were in flight at the same time, want at most 1", maxInFlight)
 	}
 	askUntilTerm(t, c, 1, 5*time.Second)
 }
 
-// The leader of many processes tells them to greet it less often.
+// Guards against ignoring the longer greeting interval that a leader of many processes
+// requests.
 func TestGreetIntervalFollowsLeader(t *testing.T) {
 	a := newReplica(t)
 	a.update(func() { a.leads, a.term, a.greetIntervalMs = true, 1, 900 })
@@ -264,13 +270,13 @@
 	time.Sleep(2 * time.Second)
 	a.update(func() {
 		if a.greetings > 3 {
-			t.Errorf("%d greetings in two seconds", a.greetings)
+			t.Errorf("%d greetings in two seconds, want at most 3", a.greetings)
 		}
 	})
 }
 
-// The leader stands still, and the next one says so itself: nobody waits for the next
-// greeting to find it.
+// Guards against waiting for the next greeting round when the leader froze and a new
+// leader has announced itself.
 func TestAnnouncedLeaderIsUsedImmediately(t *testing.T) {
 	old, next := newReplica(t), newReplica(t)
 	old.update(func() { old.leads, old.term = true, 1 })
@@ -284,13 +290,13 @@
 	go func() { answered <- c.Ask(t.Context(), &inner.FlowAsk{}) }()
 	time.Sleep(20 * time.Millisecond)
 	if g := c.LeaderAnnounced(next.address(), &inner.Welcome{Term: 2, Leads: true, Version: 1}); g.GetAddress() == "" || g.GetClock() == 0 {
-		t.Error(g)
+		t.Errorf("got greeting %v, want one with an address and a clock", g)
 	}
 	startedAt := time.Now()
 	if answer := <-answered; answer.GetTerm() != 2 || time.Since(startedAt) > 200*time.Millisecond {
-		t.Errorf("%v after %v", answer, time.Since(startedAt))
+		t.Errorf("got answer %v after %v, want one of term 2 within 200 ms", answer, time.Since(startedAt))
 	}
 	if c.LeaderAnnounced(old.address(), &inner.Welcome{Term: 1, Leads: true}); c.Ask(t.Context(), &inner.FlowAsk{}).GetTerm() != 2 {
-		t.Error("the word of an earlier term was taken")
+		t.Error("the client followed an announced leader of an earlier term")
 	}
 }
--- a/internal/edge/leader/carry.go
+++ b/internal/edge/leader/request.go
@@ -13,9 +13,10 @@
 	"gypsumreel/internal/edge/wire"
 )
 
-// Ask carries a request to the leader. Every request may be made again: flows
-// have ids, and cancelling or asking twice changes nothing. The answer has code
-// NoLeader when nothing can have been done, and Unanswered when that is not known.
+// Ask forwards a request to the leader and returns the answer. It may send the request
+// more than once, because requests are idempotent: flows have ids, and a repeated cancel
+// or query has no further effect. Without an answer from a leader, the code is NoLeader
+// if the request provably had no effect, and Unanswered if this is unknown.
 func (c *Client) Ask(ctx context.Context, request *inner.FlowAsk) *inner.FlowAnswer {
 	startedAt := c.Now()
 	answer := c.askUntilAnswered(ctx, request)
@@ -25,7 +26,8 @@
 	return answer
 }
 
-// askUntilAnswered asks the leader, and the next one, until one has answered.
+// askUntilAnswered sends the request to the current leader, and after a leader change to
+// the next one, until one answers or the time for retries is over.
 func (c *Client) askUntilAnswered(ctx context.Context, request *inner.FlowAsk) *inner.FlowAnswer {
 	request.Cell = c.Cell
 	mayHaveArrived := false
@@ -45,7 +47,7 @@
 		}
 		retrySignal := leaderChanged
 		if leader != "" {
-			retrySignal = nil // the same one is tried again after the pause
+			retrySignal = nil // the same leader is tried again after retryInterval
 		}
 		select {
 		case <-retrySignal:
@@ -54,8 +56,9 @@
 			continue
 		case <-leaderWaitTimer.C:
 			if mayHaveArrived {
-				// Nobody may say "not run" of it now, and a caller that is told
-				// nothing is worse off than one that waits for the next leader.
+				// The request may have taken effect, so "not run" would be wrong.
+				// The next leader can give a definite answer, which is better for
+				// the caller than the code Unanswered.
 				continue
 			}
 		case <-ctx.Done():
@@ -64,14 +67,14 @@
 	}
 }
 
-// isWrite tells whether a request changes anything. Of one that only asks it is
-// always true that nothing was done, whoever may have read it.
+// isWrite reports whether a request changes state. A read has no effect, even if a leader
+// received it.
 func isWrite(request *inner.FlowAsk) bool {
 	return request.GetVerb() == inner.FlowVerb_FLOW_VERB_SUBMIT || request.GetVerb() == inner.FlowVerb_FLOW_VERB_CANCEL
 }
 
-// remainingLeaderWait returns how long a request that was not sent waits for a leader: less
-// the longer none is known, and not at all when an election should be over.
+// remainingLeaderWait returns how long a request that has not arrived at a leader waits
+// for one. The wait is leaderWait minus the time since the last leader was lost.
 func (c *Client) remainingLeaderWait() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,8 +84,8 @@
 	return max(leaderWait-(c.Now()-c.leaderLostAt), 0)
 }
 
-// withRetryDeadline bounds the time in which a request that may have been taken is asked
-// again: half of its caller's, who then has the other half to ask by itself.
+// withRetryDeadline limits the time in which a request is sent again to half of the
+// caller's remaining time. The caller can use the other half for its own retry.
 func (c *Client) withRetryDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -91,6 +94,7 @@
 	return context.WithTimeout(ctx, time.Until(deadline)/2)
 }
 
+// unansweredReply returns the answer to a request that no leader answered.
 func (c *Client) unansweredReply(request *inner.FlowAsk, mayHaveArrived bool) *inner.FlowAnswer {
 	resultCode := code.NoLeader
 	if mayHaveArrived {
@@ -105,9 +109,10 @@
 	return leader
 }
 
-// attempt makes one call; nil when it has to be made again. reached tells that the
-// leader may have taken the request. A call to a leader that was replaced
-// meanwhile is given up: it may stand still for seconds.
+// attempt makes one call to the leader. It returns a nil answer if the request must be
+// sent again. mayHaveArrived reports whether the leader may have processed the request.
+// The call is canceled when another leader is recorded, because a replaced leader may
+// not answer for seconds.
 func (c *Client) attempt(ctx context.Context, leader string, leaderChanged <-chan struct{}, request *inner.FlowAsk) (answer *inner.FlowAnswer, mayHaveArrived bool) {
 	timeout := attemptTimeout
 	if deadline, ok := ctx.Deadline(); ok {
@@ -125,7 +130,8 @@
 	}()
 	answer, err := inner.NewFlowsProtobufClient("http://"+leader, c.HTTPClient).Ask(ctx, request)
 	if err != nil {
-		// A call that ended with its caller's time tells nothing of the leader.
+		// A call that ended at the caller's deadline does not show that the leader is
+		// lost.
 		if wire.NeverSent(err) || timeout == attemptTimeout && errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			c.recordLeaderLost(leader)
 		}
@@ -144,7 +150,8 @@
 	return answer, true
 }
 
-// recordRedirect notes that a replica does not lead, and whom it takes for the leader.
+// recordRedirect records that the replica at from is not the leader and that it named the
+// replica at to as the leader. An empty to means that it knows no leader.
 func (c *Client) recordRedirect(from, to string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,6 +163,7 @@
 	}
 }
 
+// recordAnswer records contact with the leader of the given term.
 func (c *Client) recordAnswer(term uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/edge/platform/platform.go
+++ b/internal/edge/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform answers the platform: health, readiness and metrics.
+// Package platform serves the platform's HTTP endpoints for health, readiness and metrics.
 package platform
 
 import (
@@ -7,11 +7,13 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Probes serves health, readiness and metrics. Set the fields, then mount it with Route.
+// Probes serves health, readiness and metrics. The fields are set before Handler is
+// called.
 type Probes struct {
-	// Ready returns nil when the balancer may send requests here, else why not.
+	// Ready returns nil if the load balancer may send requests to this process. Otherwise
+	// the error states the reason.
 	Ready func() error
-	// MetricSets are the sets of metrics to show beside the process's own.
+	// MetricSets are the metrics that are served in addition to those of the Go process.
 	MetricSets []*metrics.Set
 }
 
@@ -24,6 +26,7 @@
 	return mux
 }
 
+// writeHealth writes "ok", or the error with status 503.
 func writeHealth(w http.ResponseWriter, err error) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	if err != nil {
--- a/internal/edge/wire/files_test.go
+++ b/internal/edge/wire/files_test.go
@@ -21,8 +21,9 @@
 	"gypsumreel/internal/edge/wire"
 )
 
-// backendsEnv tells the test's own program to be the backend servers of a test.
-const backendsEnv = "GYPSUMREEL_TEST_FARM"
+// backendsEnv is the environment variable that makes the test binary act as the backend
+// servers of a test.
+const backendsEnv = "GYPSUMREEL_TEST_BACKENDS"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(backendsEnv) != "" {
@@ -32,8 +33,8 @@
 	os.Exit(m.Run())
 }
 
-// serveBackends answers on every address of the loopback, until its input ends. A call
-// to /hold is held for a while.
+// serveBackends accepts calls on all loopback addresses until the end of its standard
+// input. A call to /hold is answered after 100 ms.
 func serveBackends() {
 	l, err := net.Listen("tcp", "0.0.0.0:0")
 	if err != nil {
@@ -49,11 +50,12 @@
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-// A process that may open few files calls more servers than that. A call may have to
-// wait for room, and be made again like any that is not answered, but none may meet
-// the kernel's limit, and a file of its own, the next snapshot, opens at any time.
+// Guards against running out of file descriptors in a process that calls more backend
+// servers than it may open files. A call may fail because its budget is used up, and is
+// then repeated. No call may fail at the kernel's limit, and opening a file of the process
+// itself, such as a snapshot, must always succeed.
 func TestMoreBackendsThanFileDescriptors(t *testing.T) {
-	const servers, limit, rounds = 300, 300, 3
+	const servers, fileLimit, rounds = 300, 300, 3
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -62,13 +64,13 @@
 	defer cancel()
 	cmd := exec.CommandContext(ctx, program)
 	cmd.Env = append(os.Environ(), backendsEnv+"=1")
-	in, _ := cmd.StdinPipe()
-	out, _ := cmd.StdoutPipe()
+	stdin, _ := cmd.StdinPipe()
+	stdout, _ := cmd.StdoutPipe()
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = in.Close(); _ = cmd.Wait() }()
-	line, err := bufio.NewReader(out).ReadString('\n')
+	defer func() { _ = stdin.Close(); _ = cmd.Wait() }()
+	line, err := bufio.NewReader(stdout).ReadString('\n')
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,16 +79,16 @@
 		t.Fatal(err)
 	}
 
-	var before unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &before); err != nil {
+	var originalLimit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &originalLimit); err != nil {
 		t.Fatal(err)
 	}
-	low := before
-	low.Cur = limit
-	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &low); err != nil {
+	loweredLimit := originalLimit
+	loweredLimit.Cur = fileLimit
+	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &loweredLimit); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = unix.Setrlimit(unix.RLIMIT_NOFILE, &before) }()
+	defer func() { _ = unix.Setrlimit(unix.RLIMIT_NOFILE, &originalLimit) }()
 
 	client := wire.NewClient(4, files.New(files.Limit(0)), files.Servers)
 	defer client.CloseIdleConnections()
@@ -94,12 +96,12 @@
 	for i := range servers {
 		for _, path := range []string{"/hold", "/start"} {
 			wg.Go(func() {
-				for done := 0; done < rounds; {
+				for completed := 0; completed < rounds; {
 					r, err := client.Post(fmt.Sprintf("http://127.0.%d.%d:%d%s", 1+i/200, 1+i%200, port, path), "", nil)
 					switch {
 					case err == nil:
 						_ = r.Body.Close()
-						done++
+						completed++
 					case errors.Is(err, unix.EMFILE), errors.Is(err, unix.ENFILE):
 						t.Error(err)
 						return
@@ -108,8 +110,8 @@
 			})
 		}
 	}
-	ended := make(chan struct{})
-	go func() { wg.Wait(); close(ended) }()
+	callsDone := make(chan struct{})
+	go func() { wg.Wait(); close(callsDone) }()
 	for {
 		f, err := os.Create(filepath.Join(t.TempDir(), "snapshot"))
 		if err != nil {
@@ -117,7 +119,7 @@
 		}
 		_ = f.Close()
 		select {
-		case <-ended:
+		case <-callsDone:
 			return
 		case <-time.After(5 * time.Millisecond):
 		}
--- a/internal/edge/wire/wire.go
+++ b/internal/edge/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire makes the HTTP clients between processes, and tells what a failed
-// call means for whoever must not repeat it.
+// Package wire configures HTTP clients and servers for calls between processes, and
+// classifies failed calls. Callers use this to decide whether a call that must not run
+// twice can be repeated.
 package wire
 
 import (
@@ -14,34 +15,35 @@
 	"gypsumreel/internal/base/files"
 )
 
-// Bounds of the connections.
+// Timeouts and limits of connections.
 const (
-	// DialTimeout bounds the opening of a connection: a round trip between
-	// regions and one lost packet.
+	// DialTimeout is the timeout for opening a connection. It covers a round trip between
+	// regions and the retransmission of one lost packet.
 	DialTimeout = 700 * time.Millisecond
-	// IdleTimeout is how long a connection is kept without a call.
+	// IdleTimeout is the time after which an idle connection is closed.
 	IdleTimeout = 90 * time.Second
-	// unackedTimeout is how long written bytes may stay unacknowledged before the
-	// kernel ends the connection. A peer without power answers nothing, and
-	// something between the ends may have forgotten the connection.
+	// unackedTimeout is the time after which the kernel closes a connection whose sent
+	// data is not acknowledged. This happens if the peer lost power, or if a middlebox
+	// silently dropped the connection.
 	unackedTimeout = 3 * time.Second
-	// keepAliveIdle is how often an idle connection is probed.
+	// keepAliveIdle is the idle time after which TCP keep-alive probes are sent.
 	keepAliveIdle = 5 * time.Second
-	// pingIdleTime is how long a shared connection may bring nothing before the other
-	// end is asked for a sign of life, pingTime how long that may take.
+	// A multiplexed connection on which nothing was received for pingIdleTime is checked
+	// by an HTTP/2 ping. It is closed if the ping is not answered within pingTimeout.
 	pingIdleTime = 500 * time.Millisecond
 	pingTimeout  = 500 * time.Millisecond
-	// maxConcurrentStreams bounds the calls that one connection carries at a time: a helper
-	// may have to relay a waiting call to each of some hundred backend servers.
+	// maxConcurrentStreams limits the concurrent calls on one connection. A helper may
+	// relay a pending call to each of some hundred backend servers.
 	maxConcurrentStreams = 1000
 )
 
-// idleShareDivisor is the part of what a use may open that its idle connections take up.
+// idleShareDivisor limits idle connections to the budget share of their use divided by
+// this value.
 const idleShareDivisor = 2
 
-// NewClient returns a client for calls with their own deadlines, whose connections
-// count for a use of the budget. It speaks HTTP/1.1, where a call that is given up
-// closes its own connection: one that went silent is never used twice.
+// NewClient returns an HTTP/1.1 client for calls that have deadlines. Its connections
+// count against the budget for the given use. With HTTP/1.1, canceling a call closes its
+// connection, so a connection that stopped responding is not used a second time.
 func NewClient(connsPerHost int, budget *files.Budget, use files.Use) *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -53,11 +55,12 @@
 	return &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
-// NewMultiplexedClient returns a client for calls between our own processes. All calls to one
-// process travel on one connection, which outlives those that are given up: some
-// failures of a network let open connections live and refuse new ones, and a
-// process that had to dial for its next call would be alone until they are over.
-// A connection that went silent would be used again, so it is pinged.
+// NewMultiplexedClient returns an HTTP/2 client for calls between processes of the cell.
+// All calls to one process share one connection, which stays open when a call is
+// canceled. Some network faults keep open connections and refuse new ones. A process that
+// needed a new connection for its next call would be isolated until the end of such a
+// fault. The connection is checked by pings, because otherwise a connection that stopped
+// responding would be used again.
 func NewMultiplexedClient(budget *files.Budget) *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
@@ -67,7 +70,8 @@
 	}}
 }
 
-// ConfigureServer sets a server up for calls of both kinds of clients.
+// ConfigureServer configures a server for calls from both kinds of clients, HTTP/1.1 and
+// HTTP/2 without TLS.
 func ConfigureServer(s *http.Server) {
 	s.Protocols = new(http.Protocols)
 	s.Protocols.SetHTTP1(true)
@@ -87,8 +91,8 @@
 	return c, nil
 }
 
-// setUnackedTimeout sets how long written bytes may stay unacknowledged. Without the
-// option a dead peer only shows at the deadline of each call.
+// setUnackedTimeout sets TCP_USER_TIMEOUT to unackedTimeout. Without this option, a dead
+// peer is detected only at the deadline of each call.
 func setUnackedTimeout(c *net.TCPConn) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -99,12 +103,13 @@
 	})
 }
 
-// NeverSent tells whether a call ended before it had a connection to write to.
+// NeverSent reports whether a call failed before it had a connection, so that no part of
+// it was sent.
 func NeverSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// ConnectionRefused tells whether nobody listens at the address: the machine is there
-// and the process is not.
+// ConnectionRefused reports whether a call failed because no process listens at the
+// address, although the machine is reachable.
 func ConnectionRefused(err error) bool { return NeverSent(err) && errors.Is(err, unix.ECONNREFUSED) }
