--- a/internal/edge/helper/helper_test.go
+++ b/internal/edge/helper/helper_test.go
@@ -47,17 +47,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &http.Server{Handler: (&helper.Server{Adviser: slowAdviser{}, Backends: slowBackends{}}).Handler()}
-	wire.ConfigureServer(s)
-	go func() { _ = s.Serve(helperListener) }()
-	t.Cleanup(func() { _ = s.Close() })
+	server := &http.Server{Handler: (&helper.Server{Adviser: slowAdviser{}, Backends: slowBackends{}}).Handler()}
+	wire.ConfigureServer(server)
+	go func() { _ = server.Serve(helperListener) }()
+	t.Cleanup(func() { _ = server.Close() })
 	relayListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var d net.Dialer
+	var dialer net.Dialer
 	r := &relay.Relay{Listener: relayListener, Dial: func(ctx context.Context) (net.Conn, error) {
-		return d.DialContext(ctx, "tcp", helperListener.Addr().String())
+		return dialer.DialContext(ctx, "tcp", helperListener.Addr().String())
 	}}
 	ctx, cancel := context.WithCancel(context.Background())
 	relayDone := make(chan struct{})
--- a/internal/edge/leader/leader_test.go
+++ b/internal/edge/leader/leader_test.go
@@ -122,31 +122,31 @@
 
 // The client finds the leader among the seeds, and finds the new leader after a change.
 func TestClientFindsLeaderAndFollowsChange(t *testing.T) {
-	a, b := newReplica(t), newReplica(t)
-	a.update(func() { a.leads, a.term = true, 1 })
-	b.update(func() { b.term, b.leader = 1, a.address() })
-	c := newClient(t, a, b)
+	replicaA, replicaB := newReplica(t), newReplica(t)
+	replicaA.update(func() { replicaA.leads, replicaA.term = true, 1 })
+	replicaB.update(func() { replicaB.term, replicaB.leader = 1, replicaA.address() })
+	c := newClient(t, replicaA, replicaB)
 	askUntilTerm(t, c, 1, 5*time.Second)
 	if err := c.CheckContact(); err != nil {
 		t.Error(err)
 	}
-	a.update(func() { a.leads, a.leader, a.term = false, b.address(), 2 })
-	b.update(func() { b.leads, b.term = true, 2 })
+	replicaA.update(func() { replicaA.leads, replicaA.leader, replicaA.term = false, replicaB.address(), 2 })
+	replicaB.update(func() { replicaB.leads, replicaB.term = true, 2 })
 	askUntilTerm(t, c, 2, 5*time.Second)
 }
 
 // Guards against a request that waits for a frozen leader until its caller times out,
 // although another leader has been elected.
 func TestRequestMovesFromFrozenToNewLeader(t *testing.T) {
-	a, b := newReplica(t), newReplica(t)
-	a.update(func() { a.leads, a.term = true, 1 })
-	b.update(func() { b.term, b.leader = 1, a.address() })
-	c := newClient(t, a, b)
+	replicaA, replicaB := newReplica(t), newReplica(t)
+	replicaA.update(func() { replicaA.leads, replicaA.term = true, 1 })
+	replicaB.update(func() { replicaB.term, replicaB.leader = 1, replicaA.address() })
+	c := newClient(t, replicaA, replicaB)
 	askUntilTerm(t, c, 1, 5*time.Second)
 	unfreeze := make(chan struct{})
 	defer close(unfreeze)
-	a.update(func() { a.unfreeze = unfreeze })
-	time.AfterFunc(300*time.Millisecond, func() { b.update(func() { b.leads, b.term = true, 2 }) })
+	replicaA.update(func() { replicaA.unfreeze = unfreeze })
+	time.AfterFunc(300*time.Millisecond, func() { replicaB.update(func() { replicaB.leads, replicaB.term = true, 2 }) })
 	startedAt := time.Now()
 	askUntilTerm(t, c, 2, 5*time.Second)
 	if elapsed := time.Since(startedAt); elapsed > 1400*time.Millisecond {
@@ -157,10 +157,10 @@
 // Guards against following a former leader that resumes and still considers itself the
 // leader. Its data is older than what the callers of this entry have seen.
 func TestLeaderOfEarlierTermIsIgnored(t *testing.T) {
-	a, b := newReplica(t), newReplica(t)
-	a.update(func() { a.leads, a.term, a.greetDelay = true, 1, 50*time.Millisecond }) // its welcome arrives last
-	b.update(func() { b.leads, b.term = true, 2 })
-	c := newClient(t, a, b)
+	replicaA, replicaB := newReplica(t), newReplica(t)
+	replicaA.update(func() { replicaA.leads, replicaA.term, replicaA.greetDelay = true, 1, 50*time.Millisecond }) // its welcome arrives last
+	replicaB.update(func() { replicaB.leads, replicaB.term = true, 2 })
+	c := newClient(t, replicaA, replicaB)
 	askUntilTerm(t, c, 2, 5*time.Second)
 	// The client greets both replicas several times during this loop.
 	for range 100 {
@@ -174,10 +174,10 @@
 // Guards against refusing requests at an entry that has just started and has not found
 // the leader yet. Refused callers would retry only after a second.
 func TestRequestAtStartWaitsForLeader(t *testing.T) {
-	a := newReplica(t)
-	a.update(func() { a.term = 1 })
-	time.AfterFunc(400*time.Millisecond, func() { a.update(func() { a.leads = true }) })
-	c := newClient(t, a)
+	replica := newReplica(t)
+	replica.update(func() { replica.term = 1 })
+	time.AfterFunc(400*time.Millisecond, func() { replica.update(func() { replica.leads = true }) })
+	c := newClient(t, replica)
 	time.Sleep(10 * time.Millisecond)
 	if answer := c.Ask(t.Context(), &inner.FlowAsk{}); answer.GetPending() != 1 {
 		t.Errorf("got answer %v, want one from the leader of term 1", answer)
@@ -188,8 +188,8 @@
 // The request was never sent, so the code NoLeader is correct and is returned after the
 // leader wait.
 func TestNoLeaderIsReportedPromptly(t *testing.T) {
-	a := newReplica(t)
-	c := newClient(t, a)
+	replica := newReplica(t)
+	c := newClient(t, replica)
 	startedAt := time.Now()
 	answer := c.Ask(t.Context(), &inner.FlowAsk{})
 	if code.Code(answer.GetCode()) != code.NoLeader || answer.GetRetry() == 0 || time.Since(startedAt) > 3*time.Second {
@@ -199,13 +199,13 @@
 
 // clientOfFrozenLeader returns a client whose leader is the only replica and is frozen.
 func clientOfFrozenLeader(t *testing.T) *leader.Client {
-	a := newReplica(t)
-	a.update(func() { a.leads, a.term = true, 1 })
-	c := newClient(t, a)
+	replica := newReplica(t)
+	replica.update(func() { replica.leads, replica.term = true, 1 })
+	c := newClient(t, replica)
 	askUntilTerm(t, c, 1, 5*time.Second)
 	unfreeze := make(chan struct{})
 	t.Cleanup(func() { close(unfreeze) })
-	a.update(func() { a.unfreeze = unfreeze })
+	replica.update(func() { replica.unfreeze = unfreeze })
 	return c
 }
 
@@ -236,20 +236,20 @@
 // greet it at the same time. Further greetings from processes that have no answer yet
 // would slow it down until it loses its leadership.
 func TestOneGreetingInFlightPerAddress(t *testing.T) {
-	slow := newReplica(t)
-	replicas := []*fakeReplica{slow}
+	slowLeader := newReplica(t)
+	replicas := []*fakeReplica{slowLeader}
 	for range 4 {
-		other := newReplica(t)
-		other.update(func() { other.leader = slow.address() })
-		replicas = append(replicas, other)
+		follower := newReplica(t)
+		follower.update(func() { follower.leader = slowLeader.address() })
+		replicas = append(replicas, follower)
 	}
 	unfreeze := make(chan struct{})
-	slow.update(func() { slow.leads, slow.term, slow.unfreeze = true, 1, unfreeze })
+	slowLeader.update(func() { slowLeader.leads, slowLeader.term, slowLeader.unfreeze = true, 1, unfreeze })
 	c := newClient(t, replicas...)
 	maxInFlight := 0
 	for range 50 {
 		time.Sleep(10 * time.Millisecond)
-		slow.update(func() { maxInFlight = max(maxInFlight, slow.greetingsInFlight) })
+		slowLeader.update(func() { maxInFlight = max(maxInFlight, slowLeader.greetingsInFlight) })
 	}
 	close(unfreeze)
 	if maxInFlight > 1 {
@@ -261,16 +261,16 @@
 // Guards against ignoring the longer greeting interval that a leader of many processes
 // requests.
 func TestGreetIntervalFollowsLeader(t *testing.T) {
-	a := newReplica(t)
-	a.update(func() { a.leads, a.term, a.greetIntervalMs = true, 1, 900 })
-	c := newClient(t, a)
+	replica := newReplica(t)
+	replica.update(func() { replica.leads, replica.term, replica.greetIntervalMs = true, 1, 900 })
+	c := newClient(t, replica)
 	askUntilTerm(t, c, 1, 5*time.Second)
 	time.Sleep(400 * time.Millisecond)
-	a.update(func() { a.greetings = 0 })
+	replica.update(func() { replica.greetings = 0 })
 	time.Sleep(2 * time.Second)
-	a.update(func() {
-		if a.greetings > 3 {
-			t.Errorf("%d greetings in two seconds, want at most 3", a.greetings)
+	replica.update(func() {
+		if replica.greetings > 3 {
+			t.Errorf("%d greetings in two seconds, want at most 3", replica.greetings)
 		}
 	})
 }
@@ -278,25 +278,25 @@
 // Guards against waiting for the next greeting round when the leader froze and a new
 // leader has announced itself.
 func TestAnnouncedLeaderIsUsedImmediately(t *testing.T) {
-	old, next := newReplica(t), newReplica(t)
-	old.update(func() { old.leads, old.term = true, 1 })
-	c := newClient(t, old, next)
+	oldLeader, newLeader := newReplica(t), newReplica(t)
+	oldLeader.update(func() { oldLeader.leads, oldLeader.term = true, 1 })
+	c := newClient(t, oldLeader, newLeader)
 	askUntilTerm(t, c, 1, 3*time.Second)
 	unfreeze := make(chan struct{})
 	defer close(unfreeze)
-	old.update(func() { old.unfreeze = unfreeze })
-	next.update(func() { next.leads, next.term = true, 2 })
-	answered := make(chan *inner.FlowAnswer)
-	go func() { answered <- c.Ask(t.Context(), &inner.FlowAsk{}) }()
+	oldLeader.update(func() { oldLeader.unfreeze = unfreeze })
+	newLeader.update(func() { newLeader.leads, newLeader.term = true, 2 })
+	answers := make(chan *inner.FlowAnswer)
+	go func() { answers <- c.Ask(t.Context(), &inner.FlowAsk{}) }()
 	time.Sleep(20 * time.Millisecond)
-	if g := c.LeaderAnnounced(next.address(), &inner.Welcome{Term: 2, Leads: true, Version: 1}); g.GetAddress() == "" || g.GetClock() == 0 {
-		t.Errorf("got greeting %v, want one with an address and a clock", g)
+	if greeting := c.LeaderAnnounced(newLeader.address(), &inner.Welcome{Term: 2, Leads: true, Version: 1}); greeting.GetAddress() == "" || greeting.GetClock() == 0 {
+		t.Errorf("got greeting %v, want one with an address and a clock", greeting)
 	}
 	startedAt := time.Now()
-	if answer := <-answered; answer.GetTerm() != 2 || time.Since(startedAt) > 200*time.Millisecond {
+	if answer := <-answers; answer.GetTerm() != 2 || time.Since(startedAt) > 200*time.Millisecond {
 		t.Errorf("got answer %v after %v, want one of term 2 within 200 ms", answer, time.Since(startedAt))
 	}
-	if c.LeaderAnnounced(old.address(), &inner.Welcome{Term: 1, Leads: true}); c.Ask(t.Context(), &inner.FlowAsk{}).GetTerm() != 2 {
+	if c.LeaderAnnounced(oldLeader.address(), &inner.Welcome{Term: 1, Leads: true}); c.Ask(t.Context(), &inner.FlowAsk{}).GetTerm() != 2 {
 		t.Error("the client followed an announced leader of an earlier term")
 	}
 }
