--- a/internal/client/caller/caller.go
+++ b/internal/client/caller/caller.go
@@ -116,7 +116,7 @@
 }
 
 func unreachable(a *v1.Accepted) bool {
-	return a.GetStatus().GetCode() == uint32(code.Unreachable) && a.GetOutcome() == v1.Outcome_OUTCOME_NOT_RUN
+	return a.GetStatus().GetCode() == uint32(code.ControlUnreachable) && a.GetOutcome() == v1.Outcome_OUTCOME_NOT_RUN
 }
 
 func request(jobs []*v1.Spec, open []int, first bool) *v1.SubmitRequest {
@@ -134,7 +134,7 @@
 		return 0, err
 	}
 	if len(res.GetJobs()) != len(open) {
-		return 0, code.New(code.Unanswered, "%d answers for %d jobs", len(res.GetJobs()), len(open))
+		return 0, code.New(code.LeaderTimeout, "%d answers for %d jobs", len(res.GetJobs()), len(open))
 	}
 	var retry time.Duration
 	for i, a := range res.GetJobs() {
@@ -166,7 +166,7 @@
 	}
 	for i, a := range out {
 		if a == nil {
-			out[i] = &v1.Accepted{Id: jobs[i].GetId(), Status: &v1.Status{Code: uint32(code.Unanswered), Text: text}}
+			out[i] = &v1.Accepted{Id: jobs[i].GetId(), Status: &v1.Status{Code: uint32(code.LeaderTimeout), Text: text}}
 		}
 	}
 	return out
@@ -192,7 +192,7 @@
 		case err != nil && ctx.Err() != nil && last.Outcome == v1.Outcome_OUTCOME_DONE:
 			// The time ran out between two chunks: a result without an error
 			// would pass for a whole answer that is empty.
-			return last, code.New(code.Unanswered, "the answer of %s did not come whole in time", id)
+			return last, code.New(code.LeaderTimeout, "the answer of %s did not come whole in time", id)
 		case err != nil && ctx.Err() != nil:
 			return last, nil
 		case err != nil:
--- a/internal/client/link/link.go
+++ b/internal/client/link/link.go
@@ -206,7 +206,7 @@
 // final was said.
 func Again(c code.Code) bool {
 	switch c {
-	case code.Unanswered, code.NoLeader, code.Leaving:
+	case code.LeaderTimeout, code.NoLeader, code.ShuttingDown:
 		return true
 	}
 	return false
@@ -218,7 +218,7 @@
 	if errors.As(err, &known) {
 		return known
 	}
-	return code.New(code.Unanswered, "%v", err)
+	return code.New(code.LeaderTimeout, "%v", err)
 }
 
 // Status returns a status as a result code. The detail is what its text says
@@ -235,7 +235,7 @@
 func classify(err error) *code.Error {
 	var ce *connect.Error
 	if !errors.As(err, &ce) {
-		return code.New(code.Unanswered, "%v", err)
+		return code.New(code.LeaderTimeout, "%v", err)
 	}
 	for _, d := range ce.Details() {
 		if v, derr := d.Value(); derr == nil {
@@ -249,7 +249,7 @@
 	case connect.CodeInvalidArgument:
 		return code.New(code.Malformed, "%s", text)
 	case connect.CodeUnauthenticated:
-		return code.New(code.BadKey, "%s", text)
+		return code.New(code.InvalidKey, "%s", text)
 	case connect.CodePermissionDenied:
 		return code.New(code.Forbidden, "%s", text)
 	case connect.CodeResourceExhausted:
@@ -257,5 +257,5 @@
 	case connect.CodeUnimplemented, connect.CodeNotFound:
 		return code.New(code.Malformed, "nothing of this protocol is served there: %s", text)
 	}
-	return code.New(code.Unanswered, "%s", text)
+	return code.New(code.LeaderTimeout, "%s", text)
 }
--- a/internal/control/entry/entry.go
+++ b/internal/control/entry/entry.go
@@ -44,7 +44,7 @@
 	Log     logr.Logger
 
 	members roll
-	limit   event.Limit
+	limit   event.RateLimiter
 	mu      sync.Mutex
 	term    uint64
 	boxes   map[mailbox.Name]*mailbox.Mailbox
@@ -111,7 +111,7 @@
 	if s.Dumper == nil {
 		return &v1.DumpReply{Status: &v1.Status{}}, nil
 	}
-	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Text(s.Dumper(), s.MaxDump)}, nil
+	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Render(s.Dumper(), s.MaxDump)}, nil
 }
 
 // patience returns how long a Pull is held open. An entry takes one that lasts
--- a/internal/control/node/assemble.go
+++ b/internal/control/node/assemble.go
@@ -95,7 +95,7 @@
 	both.SetHTTP1(true)
 	both.SetHTTP2(true)
 	both.SetUnencryptedHTTP2(true)
-	return &http.Server{Handler: h, Protocols: both, ReadHeaderTimeout: headerTimeout, TLSConfig: cfg, ErrorLog: event.HTTPLog(n.Log)}
+	return &http.Server{Handler: h, Protocols: both, ReadHeaderTimeout: headerTimeout, TLSConfig: cfg, ErrorLog: event.HTTPErrorLog(n.Log)}
 }
 
 func listen(s *http.Server, l net.Listener) error {
--- a/internal/control/node/node.go
+++ b/internal/control/node/node.go
@@ -103,7 +103,7 @@
 
 	service atomic.Pointer[entry.Server]
 	meters  *metrics.Set
-	limit   event.Limit
+	limit   event.RateLimiter
 }
 
 // Transport carries consensus messages until Close.
@@ -188,7 +188,7 @@
 	put := n.meters.GetOrCreateCounter(meter.Name("control", "segments_put_off_total"))
 	return journal.Config{OnRollPostponed: func(err error) {
 		put.Inc()
-		event.Fail(n.Log, event.StoragePutOff, err, "what", "segment")
+		event.LogError(n.Log, event.StoragePutOff, err, "what", "segment")
 	}}.Open(filepath.Join(n.Data, "journal"))
 }
 
--- a/internal/control/node/state.go
+++ b/internal/control/node/state.go
@@ -76,7 +76,7 @@
 		}
 		return float64(sum)
 	})
-	return (&platform.Probes{Ready: n.ready, MetricSets: []*metrics.Set{meter.Common, set}}).Handler()
+	return (&platform.Probes{Ready: n.ready, MetricSets: []*metrics.Set{meter.ProcessMetrics, set}}).Handler()
 }
 
 // matches gives the index up to which each other replica has the log on its disk.
--- a/internal/control/node/watch_test.go
+++ b/internal/control/node/watch_test.go
@@ -95,7 +95,7 @@
 		if !errors.As(deliver, &refusal) {
 			t.Fatal(deliver)
 		}
-		if got := strings.Contains(refusal.Meta("body"), secure.ErrName.Error()); got != want {
+		if got := strings.Contains(refusal.Meta("body"), secure.ErrUnexpectedName.Error()); got != want {
 			t.Errorf("%s is refused by its name: %v: %v", name, got, deliver)
 		}
 	}
--- a/internal/edge/backend/backend.go
+++ b/internal/edge/backend/backend.go
@@ -83,7 +83,7 @@
 func (h *Handler) exchange(ctx context.Context, header http.Header, peer connect.Peer, fault error, item *inner.Item, bound time.Duration) (*inner.Reply, *v1.Status) {
 	if !h.enrolled(control.BearerToken(header)) {
 		event.Log(h.Log, event.EnrolmentRefused, "peer", peer.Addr)
-		return nil, control.NewStatus(code.BadEnrolment, "")
+		return nil, control.NewStatus(code.InvalidEnrolment, "")
 	}
 	if fault != nil {
 		return nil, control.StatusFromError(fault)
@@ -105,7 +105,7 @@
 // turnAway tells whether another entry may do better.
 func turnAway(s *v1.Status) bool {
 	switch code.Code(s.GetCode()) {
-	case code.Leaving, code.NoLeader, code.Unanswered:
+	case code.ShuttingDown, code.NoLeader, code.LeaderTimeout:
 		return true
 	}
 	return false
--- a/internal/edge/caller/caller.go
+++ b/internal/edge/caller/caller.go
@@ -79,7 +79,7 @@
 	}
 	answers := reply.GetSubmit().GetJobs()
 	if len(answers) != len(req.GetJobs()) {
-		return alike(req, control.NewStatus(code.Unanswered, "the answer does not fit the request"), v1.Outcome_OUTCOME_UNSPECIFIED)
+		return alike(req, control.NewStatus(code.LeaderTimeout, "the answer does not fit the request"), v1.Outcome_OUTCOME_UNSPECIFIED)
 	}
 	return answers
 }
@@ -89,12 +89,12 @@
 // is the first it says unknown and never not run.
 func refused(req *v1.SubmitRequest, s *v1.Status) []*v1.Accepted {
 	switch c := code.Code(s.GetCode()); {
-	case c != code.Unreachable && c != code.Overloaded:
+	case c != code.ControlUnreachable && c != code.Overloaded:
 		return alike(req, s, v1.Outcome_OUTCOME_UNSPECIFIED)
 	case req.GetFirst():
 		return alike(req, s, v1.Outcome_OUTCOME_NOT_RUN)
 	}
-	return alike(req, &v1.Status{Code: uint32(code.Unanswered), Text: s.GetText(), Retry: s.GetRetry()}, v1.Outcome_OUTCOME_UNSPECIFIED)
+	return alike(req, &v1.Status{Code: uint32(code.LeaderTimeout), Text: s.GetText(), Retry: s.GetRetry()}, v1.Outcome_OUTCOME_UNSPECIFIED)
 }
 
 func alike(req *v1.SubmitRequest, s *v1.Status, o v1.Outcome) []*v1.Accepted {
--- a/internal/edge/control/ask.go
+++ b/internal/edge/control/ask.go
@@ -60,9 +60,9 @@
 	}
 	s := &v1.Status{Code: uint32(codeErr.Code), Text: codeErr.Error()}
 	switch codeErr.Code {
-	case code.Unreachable, code.Overloaded, code.Unanswered, code.NoLeader:
+	case code.ControlUnreachable, code.Overloaded, code.LeaderTimeout, code.NoLeader:
 		s.Retry = uint64((minRetryHint + rand.N(retryHintJitter)).Milliseconds())
-	case code.Leaving:
+	case code.ShuttingDown:
 		s.Retry = 1
 	}
 	return s
@@ -79,10 +79,10 @@
 // may be running.
 func StatusForNonSubmit(s *v1.Status) *v1.Status {
 	switch code.Code(s.GetCode()) {
-	case code.Unreachable:
+	case code.ControlUnreachable:
 		return &v1.Status{Code: uint32(code.NoLeader), Text: s.GetText(), Retry: s.GetRetry()}
 	case code.Overloaded:
-		return &v1.Status{Code: uint32(code.Unanswered), Text: s.GetText(), Retry: s.GetRetry()}
+		return &v1.Status{Code: uint32(code.LeaderTimeout), Text: s.GetText(), Retry: s.GetRetry()}
 	}
 	return s
 }
@@ -102,7 +102,7 @@
 func CredentialFromHeader(h http.Header) (*inner.Credential, error) {
 	id, secret, err := key.Parse(BearerToken(h))
 	if err != nil {
-		return nil, code.New(code.BadKey, "%v", err)
+		return nil, code.New(code.InvalidKey, "%v", err)
 	}
 	digest := key.Digest(secret)
 	return &inner.Credential{Id: id, Digest: digest[:]}, nil
--- a/internal/edge/control/client.go
+++ b/internal/edge/control/client.go
@@ -177,7 +177,7 @@
 	c.init()
 	if !c.InContact() && c.contactAge() > c.MaxContactAge+c.LeaderWait {
 		c.metrics.refusedItems.Inc()
-		return nil, code.New(code.Unreachable, "no contact with a leader for %v", c.contactAge().Round(time.Millisecond))
+		return nil, code.New(code.ControlUnreachable, "no contact with a leader for %v", c.contactAge().Round(time.Millisecond))
 	}
 	pendingCall, err := c.queue.add(ctx, item)
 	if err != nil {
@@ -238,7 +238,7 @@
 	case errors.Is(cause, errNotLeader):
 		event.Log(c.Log, event.LeaderChanged, "from", s.replica.Name)
 	default:
-		event.Fail(c.Log, event.LeaderAway, cause, "replica", s.replica.Name)
+		event.LogError(c.Log, event.LeaderAway, cause, "replica", s.replica.Name)
 	}
 }
 
@@ -275,11 +275,11 @@
 		defer s.close()
 		reply, err := s.rpcClient.Dump(ctx, &v1.DumpRequest{Process: processName})
 		if err != nil {
-			return nil, code.New(code.Unanswered, "%s did not answer", processName)
+			return nil, code.New(code.LeaderTimeout, "%s did not answer", processName)
 		}
 		return reply, nil
 	}
-	return nil, code.New(code.Unknown, "process %q", processName)
+	return nil, code.New(code.NotFound, "process %q", processName)
 }
 
 // newSession creates a session with the replica under a new random id. Connections are
--- a/internal/edge/control/client_test.go
+++ b/internal/edge/control/client_test.go
@@ -162,7 +162,7 @@
 		if elapsed := time.Since(startedAt); elapsed > 0 {
 			t.Errorf("the refusal without a leader took %v, want an immediate one", elapsed)
 		}
-		want := []code.Code{code.Unanswered, code.Unreachable, code.Unreachable}
+		want := []code.Code{code.LeaderTimeout, code.ControlUnreachable, code.ControlUnreachable}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
@@ -175,7 +175,7 @@
 	l := &scriptedLeader{ignoresItems: true}
 	withClient(t, map[string]*scriptedLeader{"c1": l}, func(c *testClient) {
 		c.relays["c1"].Set(relay.Down, relay.Lose)
-		if got := c.listCode(); got != code.Unanswered {
+		if got := c.listCode(); got != code.LeaderTimeout {
 			t.Errorf("got code %d, want Unanswered", got)
 		}
 		l.mu.Lock()
@@ -223,7 +223,7 @@
 		l.mu.Lock()
 		l.addReply(l.pushedSeqs[0])
 		l.mu.Unlock()
-		if got := c.listCodeWithin(200 * time.Millisecond); got != code.Unanswered {
+		if got := c.listCodeWithin(200 * time.Millisecond); got != code.LeaderTimeout {
 			t.Errorf("got code %d, want Unanswered: a late reply was delivered to another request", got)
 		}
 	})
@@ -347,7 +347,7 @@
 		c.relays["c1"].Set(relay.Down, relay.Lose)
 		startedAt := time.Now()
 		got := c.listCodeWithin(time.Minute)
-		if elapsed := time.Since(startedAt); got != code.Unanswered || elapsed > control.DefaultMaxContactAge+100*time.Millisecond {
+		if elapsed := time.Since(startedAt); got != code.LeaderTimeout || elapsed > control.DefaultMaxContactAge+100*time.Millisecond {
 			t.Errorf("got code %d after %v, want Unanswered within the maximum contact age", got, elapsed)
 		}
 		if c.client.InContact() {
--- a/internal/edge/control/queue.go
+++ b/internal/edge/control/queue.go
@@ -78,7 +78,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.longPollsRefused && longPollTimeout(item) > 0 {
-		return nil, code.New(code.Leaving, "")
+		return nil, code.New(code.ShuttingDown, "")
 	}
 	if len(q.pending) >= q.maxPending {
 		return nil, code.New(code.Overloaded, "%d requests are pending at this entry", len(q.pending))
@@ -243,7 +243,7 @@
 	q.longPollsRefused = true
 	for _, c := range q.pending {
 		if longPollTimeout(c.item) > 0 {
-			q.complete(c, callResult{err: code.New(code.Leaving, "")})
+			q.complete(c, callResult{err: code.New(code.ShuttingDown, "")})
 		}
 	}
 }
@@ -297,9 +297,9 @@
 // otherwise. The caller holds mu.
 func (q *callQueue) noReplyError(c *call, reason string) error {
 	if c.mayHaveArrived {
-		return code.New(code.Unanswered, "%s", reason)
+		return code.New(code.LeaderTimeout, "%s", reason)
 	}
-	return code.New(code.Unreachable, "%s", reason)
+	return code.New(code.ControlUnreachable, "%s", reason)
 }
 
 // longPollTimeout returns how long the leader may hold the item before it answers, zero
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -155,7 +155,7 @@
 		{e.Callers, e.server(mounted(caller.MaxRequest)((&caller.Handler{Leader: e.pool}).Route(count)))},
 		{e.Backends, e.server(mounted(backend.MaxRequest)((&backend.Handler{Leader: e.pool, Enrolment: e.Enrolment, Log: e.Log}).Route(count)))},
 		{e.Operators, e.server(mounted(operator.MaxRequest)((&operator.Handler{Leader: e.pool, Audit: e.Audit, Name: e.Name, State: e.state}).Route(count)))},
-		{e.Platform, e.server((&platform.Probes{Ready: e.ready, MetricSets: []*metrics.Set{e.meters, meter.Common}}).Handler())},
+		{e.Platform, e.server((&platform.Probes{Ready: e.ready, MetricSets: []*metrics.Set{e.meters, meter.ProcessMetrics}}).Handler())},
 	}
 	return slices.DeleteFunc(all, func(s service) bool { return s.listener == nil })
 }
@@ -174,7 +174,7 @@
 	fault := e.fault()
 	if was := e.unready.Swap(fault != nil); was != (fault != nil) {
 		if fault != nil {
-			event.Fail(e.Log, event.Unready, fault)
+			event.LogError(e.Log, event.Unready, fault)
 		} else {
 			event.Log(e.Log, event.Ready)
 		}
@@ -249,7 +249,7 @@
 		}
 	}()
 	if err := shutdown(ctx, services); err != nil {
-		event.Fail(e.Log, event.StopForced, err, "pending", e.pool.Pending())
+		event.LogError(e.Log, event.StopForced, err, "pending", e.pool.Pending())
 		return errors.Wrap(err, "the stop was cut short")
 	}
 	return nil
@@ -273,7 +273,7 @@
 		Handler: aged(h), Protocols: both, ConnContext: e.born,
 		ReadHeaderTimeout: headerTimeout, ReadTimeout: readTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeader,
-		ErrorLog:       event.HTTPLog(e.Log),
+		ErrorLog:       event.HTTPErrorLog(e.Log),
 		HTTP2:          &http.HTTP2Config{MaxConcurrentStreams: maxStreams, SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
 	}
 }
--- a/internal/edge/helper/helper.go
+++ b/internal/edge/helper/helper.go
@@ -100,7 +100,7 @@
 	}
 	reply, err := inner.NewHelperProtobufClient("http://"+address, c.HTTPClient).Advise(ctx, r)
 	if err != nil {
-		return &inner.AdviseReply{Code: uint32(code.Unanswered), Detail: err.Error()}
+		return &inner.AdviseReply{Code: uint32(code.LeaderTimeout), Detail: err.Error()}
 	}
 	return reply
 }
--- a/internal/edge/helper/helper_test.go
+++ b/internal/edge/helper/helper_test.go
@@ -27,7 +27,7 @@
 func (slowAdviser) Advise(ctx context.Context, r *inner.AdviseRequest) *inner.AdviseReply {
 	if r.GetFlow() == unansweredFlow {
 		<-ctx.Done()
-		return &inner.AdviseReply{Code: uint32(code.Unanswered)}
+		return &inner.AdviseReply{Code: uint32(code.LeaderTimeout)}
 	}
 	time.Sleep(answerDelay)
 	return &inner.AdviseReply{}
--- a/internal/edge/leader/leader_test.go
+++ b/internal/edge/leader/leader_test.go
@@ -216,7 +216,7 @@
 	c := clientOfFrozenLeader(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
-	if answer := c.Ask(ctx, &inner.FlowAsk{Verb: inner.FlowVerb_FLOW_VERB_SUBMIT}); code.Code(answer.GetCode()) != code.Unanswered {
+	if answer := c.Ask(ctx, &inner.FlowAsk{Verb: inner.FlowVerb_FLOW_VERB_SUBMIT}); code.Code(answer.GetCode()) != code.LeaderTimeout {
 		t.Errorf("got answer %v, want code Unanswered", answer)
 	}
 }
--- a/internal/edge/leader/request.go
+++ b/internal/edge/leader/request.go
@@ -20,7 +20,7 @@
 func (c *Client) Ask(ctx context.Context, request *inner.FlowAsk) *inner.FlowAnswer {
 	startedAt := c.Now()
 	answer := c.askUntilAnswered(ctx, request)
-	if isWrite(request) || answer.GetCode() == uint32(code.Unanswered) {
+	if isWrite(request) || answer.GetCode() == uint32(code.LeaderTimeout) {
 		event.Log(c.Log, event.CallAnswered, "flow", path.Base(request.GetPath()), "verb", request.GetVerb().String(), "code", answer.GetCode(), "detail", answer.GetDetail(), "term", answer.GetTerm(), "retry", answer.GetRetry(), "took", (c.Now() - startedAt).String())
 	}
 	return answer
@@ -98,7 +98,7 @@
 func (c *Client) unansweredReply(request *inner.FlowAsk, mayHaveArrived bool) *inner.FlowAnswer {
 	resultCode := code.NoLeader
 	if mayHaveArrived {
-		resultCode = code.Unanswered
+		resultCode = code.LeaderTimeout
 	}
 	event.Log(c.Log, event.CallUnanswered, "flow", path.Base(request.GetPath()), "verb", request.GetVerb().String(), "code", uint32(resultCode), "leader", c.leaderName())
 	return &inner.FlowAnswer{Code: uint32(resultCode), Retry: uint64(retryHint / time.Millisecond)}
@@ -141,7 +141,7 @@
 	case code.NoLeader:
 		c.recordRedirect(leader, answer.GetLeader())
 		return nil, false
-	case code.Unanswered:
+	case code.LeaderTimeout:
 		return nil, true
 	}
 	if answer.GetTerm() > 0 {
--- a/internal/edge/operator/operator.go
+++ b/internal/edge/operator/operator.go
@@ -129,7 +129,7 @@
 	if h.State != nil {
 		state = h.State()
 	}
-	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Text(state, MaxDump)}
+	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Render(state, MaxDump)}
 }
 
 func (h *Handler) exchange(ctx context.Context, header http.Header, fault error, item *inner.Item) (*inner.Reply, *v1.Status) {
@@ -138,7 +138,7 @@
 		return nil, control.StatusFromError(err)
 	}
 	if !h.Limits.Allow(cred.GetId()) {
-		return nil, control.NewStatus(code.Unanswered, "too many calls with key %q; nothing was done", cred.GetId())
+		return nil, control.NewStatus(code.LeaderTimeout, "too many calls with key %q; nothing was done", cred.GetId())
 	}
 	if fault != nil {
 		return nil, control.StatusFromError(fault)
--- a/internal/edge/wire/files_test.go
+++ b/internal/edge/wire/files_test.go
@@ -90,7 +90,7 @@
 	}
 	defer func() { _ = unix.Setrlimit(unix.RLIMIT_NOFILE, &originalLimit) }()
 
-	client := wire.NewClient(4, files.New(files.Limit(0)), files.Servers)
+	client := wire.NewClient(4, files.NewBudget(files.ProcessLimit(0)), files.Servers)
 	defer client.CloseIdleConnections()
 	var wg sync.WaitGroup
 	for i := range servers {
--- a/internal/edge/wire/wire.go
+++ b/internal/edge/wire/wire.go
@@ -44,14 +44,14 @@
 // NewClient returns an HTTP/1.1 client for calls that have deadlines. Its connections
 // count against the budget for the given use. With HTTP/1.1, canceling a call closes its
 // connection, so a connection that stopped responding is not used a second time.
-func NewClient(connsPerHost int, budget *files.Budget, use files.Use) *http.Client {
+func NewClient(connsPerHost int, budget *files.Budget, use files.Purpose) *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	transport := &http.Transport{
-		Protocols: protocols, DisableCompression: true, MaxIdleConns: budget.Share(use) / idleShareDivisor,
+		Protocols: protocols, DisableCompression: true, MaxIdleConns: budget.Allowance(use) / idleShareDivisor,
 		MaxIdleConnsPerHost: connsPerHost, MaxConnsPerHost: connsPerHost, IdleConnTimeout: IdleTimeout,
 	}
-	transport.DialContext = budget.Dial(use, dial, transport.CloseIdleConnections)
+	transport.DialContext = budget.LimitDial(use, dial, transport.CloseIdleConnections)
 	return &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
@@ -65,7 +65,7 @@
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	return &http.Client{Transport: &http.Transport{
-		DialContext: budget.Dial(files.Processes, dial, func() {}), Protocols: protocols, DisableCompression: true, MaxConnsPerHost: 1, IdleConnTimeout: IdleTimeout,
+		DialContext: budget.LimitDial(files.Processes, dial, func() {}), Protocols: protocols, DisableCompression: true, MaxConnsPerHost: 1, IdleConnTimeout: IdleTimeout,
 		HTTP2: &http.HTTP2Config{SendPingTimeout: pingIdleTime, PingTimeout: pingTimeout},
 	}}
 }
