--- a/internal/cli/entry/entry.go
+++ b/internal/cli/entry/entry.go
@@ -51,7 +51,7 @@
 	}
 	e.Outside, e.Inside = sides.Outside.Server(), sides.Inside.Client(sides.Replicas...)
 	pool := e.Pool()
-	pool.Timeout, pool.Freshness, pool.Batch = s.Time.CallTimeout, s.Time.MaxLeaderSilence, int(s.Limits.BatchItems)
+	pool.CallTimeout, pool.MaxContactAge, pool.MaxPushItems = s.Time.CallTimeout, s.Time.MaxLeaderSilence, int(s.Limits.BatchItems)
 	event.Log(e.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
 	defer event.Log(e.Log, event.Stopped, "process", s.Name)
 	signal := &dump.SignalHandler{Name: s.Name, State: e.Dump, MaxBytes: int(s.Limits.DumpBytes), Log: e.Log}
--- a/internal/edge/helper/helper.go
+++ b/internal/edge/helper/helper.go
@@ -1,7 +1,7 @@
-// Package helper is how processes make calls for the leader: questions to the
-// adviser, which takes one at a time from each machine, and calls to backend
-// servers that the leader itself cannot reach. Helpers keep no state: whoever
-// leads decides, and a call carries all that it needs.
+// Package helper lets the leader make calls through other processes. It forwards
+// questions to the adviser, which accepts one question at a time per machine, and calls
+// to backend servers that the leader cannot reach. Helpers are stateless: the leader makes
+// all decisions, and each call contains all necessary data.
 package helper
 
 import (
@@ -17,28 +17,29 @@
 	"gypsumreel/internal/edge/wire"
 )
 
-// Adviser asks the adviser.
+// Adviser sends a question to the adviser and returns its answer.
 type Adviser interface {
 	Advise(ctx context.Context, r *inner.AdviseRequest) *inner.AdviseReply
 }
 
-// Backends calls backend servers.
+// Backends makes calls to backend servers.
 type Backends interface {
 	Call(ctx context.Context, c *inner.ServerCall) *inner.ServerAnswer
 }
 
-// Follower is told of a new leader, and says who it is itself.
-type Follower interface {
-	Announced(address string, w *inner.Welcome) *inner.Greeting
+// LeaderObserver is notified of a new leader and returns the greeting of its process.
+type LeaderObserver interface {
+	LeaderAnnounced(address string, w *inner.Welcome) *inner.Greeting
 }
 
-// Server makes calls for the leader. The exported fields are set before use.
+// Server implements the Helper service, which makes calls for the leader. The exported
+// fields are set before use.
 type Server struct {
 	Cell     string
 	Adviser  Adviser
 	Backends Backends
-	// Follower is told of new leaders; nil for nobody is.
-	Follower Follower
+	// LeaderObserver is notified of new leaders. If nil, announcements are ignored.
+	LeaderObserver LeaderObserver
 }
 
 var _ inner.Helper = (*Server)(nil)
@@ -46,9 +47,9 @@
 // Handler returns the HTTP handler of the service.
 func (s *Server) Handler() http.Handler { return inner.NewHelperServer(s) }
 
-// Advise asks the adviser.
+// Advise forwards a question to the adviser.
 func (s *Server) Advise(ctx context.Context, r *inner.AdviseRequest) (*inner.AdviseReply, error) {
-	if err := s.check(r.GetCell()); err != nil {
+	if err := s.checkCell(r.GetCell()); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.GetBudget())*time.Millisecond)
@@ -56,9 +57,9 @@
 	return s.Adviser.Advise(ctx, r), nil
 }
 
-// Relay calls a backend server.
+// Relay forwards a call to a backend server.
 func (s *Server) Relay(ctx context.Context, c *inner.ServerCall) (*inner.ServerAnswer, error) {
-	if err := s.check(c.GetCell()); err != nil {
+	if err := s.checkCell(c.GetCell()); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(c.GetBudget())*time.Millisecond)
@@ -66,59 +67,62 @@
 	return s.Backends.Call(ctx, c), nil
 }
 
-// Announce takes the word of a new leader.
+// Announce notifies LeaderObserver of a new leader.
 func (s *Server) Announce(_ context.Context, a *inner.Announcement) (*inner.Greeting, error) {
-	if err := s.check(a.GetCell()); err != nil {
+	if err := s.checkCell(a.GetCell()); err != nil {
 		return nil, err
 	}
-	if s.Follower == nil {
+	if s.LeaderObserver == nil {
 		return &inner.Greeting{}, nil
 	}
-	return s.Follower.Announced(a.GetAddress(), a.GetWelcome()), nil
+	return s.LeaderObserver.LeaderAnnounced(a.GetAddress(), a.GetWelcome()), nil
 }
 
-func (s *Server) check(cell string) error {
+func (s *Server) checkCell(cell string) error {
 	if cell != s.Cell {
-		return twirp.NewError(twirp.PermissionDenied, "this is cell "+s.Cell)
+		return twirp.NewError(twirp.PermissionDenied, "wrong cell: this is cell "+s.Cell)
 	}
 	return nil
 }
 
-// Pool calls helpers, this process among them. The exported fields are set
-// before use.
-type Pool struct {
-	Self   *Server
-	Client *http.Client
+// Client calls the Helper service of other processes and of this one. The exported
+// fields are set before use.
+type Client struct {
+	Local      *Server
+	HTTPClient *http.Client
 }
 
-// Advise lets the process at that address ask; this process when it is empty.
-func (p *Pool) Advise(ctx context.Context, address string, r *inner.AdviseRequest) *inner.AdviseReply {
+// Advise sends a question to the adviser through the process at address. If address is
+// empty, this process sends it.
+func (c *Client) Advise(ctx context.Context, address string, r *inner.AdviseRequest) *inner.AdviseReply {
 	if address == "" {
-		return p.Self.Adviser.Advise(ctx, r)
+		return c.Local.Adviser.Advise(ctx, r)
 	}
-	rep, err := inner.NewHelperProtobufClient("http://"+address, p.Client).Advise(ctx, r)
+	reply, err := inner.NewHelperProtobufClient("http://"+address, c.HTTPClient).Advise(ctx, r)
 	if err != nil {
 		return &inner.AdviseReply{Code: uint32(code.LeaderTimeout), Detail: err.Error()}
 	}
-	return rep
+	return reply
 }
 
-// Announce tells the process at that address who leads; nil when it does not answer.
-func (p *Pool) Announce(ctx context.Context, address string, a *inner.Announcement) *inner.Greeting {
-	g, err := inner.NewHelperProtobufClient("http://"+address, p.Client).Announce(ctx, a)
+// Announce announces a new leader to the process at address and returns its greeting. It
+// returns nil if the process does not answer.
+func (c *Client) Announce(ctx context.Context, address string, a *inner.Announcement) *inner.Greeting {
+	greeting, err := inner.NewHelperProtobufClient("http://"+address, c.HTTPClient).Announce(ctx, a)
 	if err != nil {
 		return nil
 	}
-	return g
+	return greeting
 }
 
-// Relay lets the process at that address call a backend server. What goes wrong
-// on the way to it may have happened after the call left.
-func (p *Pool) Relay(ctx context.Context, address string, c *inner.ServerCall) *inner.ServerAnswer {
-	rep, err := inner.NewHelperProtobufClient("http://"+address, p.Client).Relay(ctx, c)
+// Relay calls a backend server through the process at address. The verdict is
+// VERDICT_UNSENT only if the connection to that process failed. After any other failure
+// the backend server may have received the call, so the verdict is VERDICT_SILENT.
+func (c *Client) Relay(ctx context.Context, address string, call *inner.ServerCall) *inner.ServerAnswer {
+	answer, err := inner.NewHelperProtobufClient("http://"+address, c.HTTPClient).Relay(ctx, call)
 	switch {
 	case err == nil:
-		return rep
+		return answer
 	case wire.NeverSent(err):
 		return &inner.ServerAnswer{Verdict: inner.Verdict_VERDICT_UNSENT, Detail: err.Error()}
 	}
--- a/internal/edge/platform/platform.go
+++ b/internal/edge/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform answers the platform: health, readiness and metrics.
+// Package platform serves the platform's HTTP endpoints for health, readiness and metrics.
 package platform
 
 import (
@@ -7,28 +7,31 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Probes serves health, readiness and metrics. Set the fields, then mount it with Route.
+// Probes serves health, readiness and metrics. The fields are set before Handler is
+// called.
 type Probes struct {
-	// Ready returns nil when the balancer may send requests here, else why not.
+	// Ready returns nil if the load balancer may send requests to this process. Otherwise
+	// the error states the reason.
 	Ready func() error
-	// Meters are the sets of metrics to show beside the process's own.
-	Meters []*metrics.Set
+	// MetricSets are the metrics that are served in addition to those of the Go process.
+	MetricSets []*metrics.Set
 }
 
-// Route returns the handler for /healthz, /readyz and /metrics.
-func (p *Probes) Route() http.Handler {
+// Handler returns the handler for /healthz, /readyz and /metrics.
+func (p *Probes) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { answer(w, nil) })
-	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) { answer(w, p.Ready()) })
+	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { writeHealth(w, nil) })
+	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) { writeHealth(w, p.Ready()) })
 	mux.HandleFunc("GET /metrics", p.metrics)
 	return mux
 }
 
-func answer(w http.ResponseWriter, fault error) {
+// writeHealth writes "ok", or the error with status 503.
+func writeHealth(w http.ResponseWriter, err error) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	if fault != nil {
+	if err != nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
-		_, _ = w.Write([]byte(fault.Error() + "\n"))
+		_, _ = w.Write([]byte(err.Error() + "\n"))
 		return
 	}
 	_, _ = w.Write([]byte("ok\n"))
@@ -36,7 +39,7 @@
 
 func (p *Probes) metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-	for _, set := range p.Meters {
+	for _, set := range p.MetricSets {
 		set.WritePrometheus(w)
 	}
 	metrics.WriteProcessMetrics(w)
