--- a/internal/cli/control/control.go
+++ b/internal/cli/control/control.go
@@ -48,13 +48,13 @@
 		event.Fail(event.New(env.Err, s.Log), event.ListenFailed, err)
 		return err
 	}
-	n.Init, n.Log, n.Abort = c.Init, event.New(env.Err, s.Log), verb.Again(ctx)
+	n.InitCell, n.Log, n.Abort = c.Init, event.New(env.Err, s.Log), verb.Again(ctx)
 	sides, err := verb.NewSides(ctx, s.TLS, s.Control, s.Time.Reload, n.Log)
 	if err != nil {
 		return err
 	}
-	n.Server, n.Client, n.Outside = sides.Inside.Server(), sides.Inside.Client(sides.Replicas...), sides.Outside.Server()
-	n.Peers = sides.Inside.Client(sides.Replicas...)
+	n.ServerTLS, n.ClientTLS, n.ProbeTLS = sides.Inside.Server(), sides.Inside.Client(sides.Replicas...), sides.Outside.Server()
+	n.PeerTLS = sides.Inside.Client(sides.Replicas...)
 	event.Log(n.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
 	defer event.Log(n.Log, event.Stopped, "process", s.Name)
 	signal := &dump.Signal{Dir: s.Data, Name: s.Name, State: n.State, Max: int(s.Limits.Dump), Log: n.Log}
@@ -73,9 +73,9 @@
 		return nil, errors.Wrap(err, "listen.platform")
 	}
 	n := &node.Node{
-		Cell: s.Cell, Name: s.Name, Data: s.Data, Listener: l, Platform: probes,
-		Heartbeat: s.Time.Heartbeat, Election: s.Time.Election, Patience: s.Time.Patience, Control: leader.New(),
-		MaxDump: int(s.Limits.Dump), Room: bounds.Room(s.Limits.Disk), Clock: clock.Boot,
+		Cell: s.Cell, Name: s.Name, DataDir: s.Data, Listener: l, ProbeListener: probes,
+		HeartbeatInterval: s.Time.Heartbeat, ElectionTimeout: s.Time.Election, MaxElectionTimeout: s.Time.Patience, Control: leader.New(),
+		MaxDumpBytes: int(s.Limits.Dump), MinFreeBytes: bounds.Room(s.Limits.Disk), Clock: clock.Boot,
 	}
 	bounds.Memory(s.Limits.Memory)
 	for _, p := range s.Control {
@@ -94,7 +94,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "operator")
 		}
-		n.Root = &v1.KeyGrant{Id: rootKey, Operator: true, Digest: digest}
+		n.RootKey = &v1.KeyGrant{Id: rootKey, Operator: true, Digest: digest}
 	}
 	return n, nil
 }
--- a/internal/cli/flow/flow.go
+++ b/internal/cli/flow/flow.go
@@ -153,7 +153,7 @@
 	if err := protojson.Unmarshal(plain, spec); err != nil {
 		return nil, verb.Misuse("The fields are those of FlowSpec in proto/v1/flow.proto.", "%s: %v", args[0], err)
 	}
-	if fault := domain.Check(spec); fault != nil {
+	if fault := domain.CheckSpec(spec); fault != nil {
 		return nil, verb.Misuse("Mend the file; nothing was sent.", "%s: %v", args[0], fault)
 	}
 	return spec, nil
--- a/internal/client/caller/caller.go
+++ b/internal/client/caller/caller.go
@@ -15,19 +15,19 @@
 
 // Defaults of the fields that are left zero.
 const (
-	DefaultPatience = 5 * time.Second
-	DefaultPersist  = 5 * time.Second
+	DefaultMaxPollWait      = 5 * time.Second
+	DefaultUnreachableRetry = 5 * time.Second
 )
 
 // Client submits jobs and collects their answers. Every call goes on, from entry
 // to entry, until there is an answer or its context ends.
 type Client struct {
 	Link *link.Link
-	// Patience is the length of a long poll.
-	Patience time.Duration
-	// Persist is how long a job is submitted again that no entry could hand to
+	// MaxPollWait is the length of a long poll.
+	MaxPollWait time.Duration
+	// UnreachableRetry is how long a job is submitted again that no entry could hand to
 	// the leader: longer than an election, so that callers see none.
-	Persist time.Duration
+	UnreachableRetry time.Duration
 }
 
 // Result is the outcome of one job.
@@ -40,28 +40,28 @@
 	Data []byte
 }
 
-// Final tells whether an outcome never changes.
-func Final(o v1.Outcome) bool {
+// IsFinal tells whether an outcome never changes.
+func IsFinal(o v1.Outcome) bool {
 	return o == v1.Outcome_OUTCOME_DONE || o == v1.Outcome_OUTCOME_NOT_RUN || o == v1.Outcome_OUTCOME_UNKNOWN
 }
 
-func submit(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitReply], error) {
+func submitMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitReply], error) {
 	return v1.NewCallerClient(c, base, opts...).Submit
 }
 
-func wait(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
+func waitMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
 	return v1.NewCallerClient(c, base, opts...).Wait
 }
 
-func cancel(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelReply], error) {
+func cancelMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelReply], error) {
 	return v1.NewCallerClient(c, base, opts...).Cancel
 }
 
-func list(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListReply], error) {
+func listMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListReply], error) {
 	return v1.NewCallerClient(c, base, opts...).List
 }
 
-func acknowledge(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.AcknowledgeRequest]) (*connect.Response[v1.AcknowledgeReply], error) {
+func acknowledgeMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.AcknowledgeRequest]) (*connect.Response[v1.AcknowledgeReply], error) {
 	return v1.NewCallerClient(c, base, opts...).Acknowledge
 }
 
@@ -78,48 +78,48 @@
 	for i := range jobs {
 		open[i] = i
 	}
-	pause, persist := link.Pause(), time.Now().Add(c.persist())
+	pause, persist := link.NewBackoff(), time.Now().Add(c.unreachableRetry())
 	for {
-		req := request(jobs, open, fresh)
+		req := newSubmitRequest(jobs, open, fresh)
 		retry, err := c.attempt(ctx, req, open, out)
-		if err != nil && !link.Again(link.Refusal(err).Code) {
+		if err != nil && !link.IsRetryable(link.AsCodeError(err).Code) {
 			return nil, err
 		}
-		fresh = fresh && err == nil && untouched(out)
-		open = unanswered(out, time.Now().Before(persist))
+		fresh = fresh && err == nil && allUnreachable(out)
+		open = jobsToRetry(out, time.Now().Before(persist))
 		if len(open) == 0 {
 			return out, nil
 		}
 		if !link.Sleep(ctx, max(retry, pause.NextBackOff())) {
-			return finish(jobs, out, err), nil
+			return markUnanswered(jobs, out, err), nil
 		}
 	}
 }
 
-func (c *Client) persist() time.Duration {
-	if c.Persist > 0 {
-		return c.Persist
+func (c *Client) unreachableRetry() time.Duration {
+	if c.UnreachableRetry > 0 {
+		return c.UnreachableRetry
 	}
-	return DefaultPersist
+	return DefaultUnreachableRetry
 }
 
-// untouched tells whether every answer says that the request never left the
+// allUnreachable tells whether every answer says that the request never left the
 // entry. The next try may then claim to be the first as well, so that a refusal
 // which comes at last still says for sure that nothing ran.
-func untouched(out []*v1.Accepted) bool {
+func allUnreachable(out []*v1.Accepted) bool {
 	for _, a := range out {
-		if !unreachable(a) {
+		if !neverSent(a) {
 			return false
 		}
 	}
 	return true
 }
 
-func unreachable(a *v1.Accepted) bool {
+func neverSent(a *v1.Accepted) bool {
 	return a.GetStatus().GetCode() == uint32(code.Unreachable) && a.GetOutcome() == v1.Outcome_OUTCOME_NOT_RUN
 }
 
-func request(jobs []*v1.Spec, open []int, first bool) *v1.SubmitRequest {
+func newSubmitRequest(jobs []*v1.Spec, open []int, first bool) *v1.SubmitRequest {
 	req := &v1.SubmitRequest{First: first}
 	for _, i := range open {
 		req.Jobs = append(req.Jobs, jobs[i])
@@ -129,7 +129,7 @@
 
 // attempt fills in what one call answered and returns how long the cell asks to wait.
 func (c *Client) attempt(ctx context.Context, req *v1.SubmitRequest, open []int, out []*v1.Accepted) (time.Duration, error) {
-	res, err := link.Once(ctx, c.Link, submit, req)
+	res, err := link.TryOnce(ctx, c.Link, submitMethod, req)
 	if err != nil {
 		return 0, err
 	}
@@ -141,25 +141,25 @@
 		out[open[i]] = a
 		retry = max(retry, time.Duration(a.GetStatus().GetRetry())*time.Millisecond)
 	}
-	if len(unanswered(out, true)) > 0 {
-		c.Link.Next()
+	if len(jobsToRetry(out, true)) > 0 {
+		c.Link.NextEntry()
 	}
 	return retry, nil
 }
 
-// unanswered returns the places of the jobs to submit again.
-func unanswered(out []*v1.Accepted, persist bool) []int {
+// jobsToRetry returns the places of the jobs to submit again.
+func jobsToRetry(out []*v1.Accepted, persist bool) []int {
 	var open []int
 	for i, a := range out {
-		if a == nil || link.Again(code.Code(a.GetStatus().GetCode())) || persist && unreachable(a) {
+		if a == nil || link.IsRetryable(code.Code(a.GetStatus().GetCode())) || persist && neverSent(a) {
 			open = append(open, i)
 		}
 	}
 	return open
 }
 
-// finish marks as unanswered what is still open when the time is over.
-func finish(jobs []*v1.Spec, out []*v1.Accepted, err error) []*v1.Accepted {
+// markUnanswered marks as unanswered what is still open when the time is over.
+func markUnanswered(jobs []*v1.Spec, out []*v1.Accepted, err error) []*v1.Accepted {
 	text := "no answer in the time given"
 	if err != nil {
 		text = err.Error()
@@ -175,12 +175,12 @@
 // Wait returns the outcome of a job with its whole answer. When ctx ends first
 // the result is not final and tells where the job stands.
 func (c *Client) Wait(ctx context.Context, id string) (Result, error) {
-	a := answer.Parts{Most: answer.MaxJob}
+	a := answer.Assembler{MaxBytes: answer.MaxJobAnswer}
 	last := Result{ID: id}
 	for {
-		number, more := a.Next()
+		number, more := a.NextMissing()
 		if !more {
-			data, _, err := a.Whole()
+			data, _, err := a.Assemble()
 			if err != nil {
 				return last, code.New(code.Internal, "%s: %v", id, err)
 			}
@@ -198,16 +198,16 @@
 		case err != nil:
 			return last, err
 		}
-		last = Result{ID: id, Outcome: r.GetOutcome(), Code: code.Code(r.GetStatus().GetCode()), Text: link.Status(r.GetStatus()).Detail}
+		last = Result{ID: id, Outcome: r.GetOutcome(), Code: code.Code(r.GetStatus().GetCode()), Text: link.StatusError(r.GetStatus()).Detail}
 		switch {
 		case r.GetOutcome() == v1.Outcome_OUTCOME_DONE:
 			if err := a.Add(r.GetChunk()); err != nil {
 				return last, code.New(code.Internal, "%s: %v", id, err)
 			}
-		case Final(r.GetOutcome()):
+		case IsFinal(r.GetOutcome()):
 			return last, nil
 		case last.Code != code.OK:
-			return last, link.Status(r.GetStatus())
+			return last, link.StatusError(r.GetStatus())
 		case ctx.Err() != nil:
 			return last, nil
 		}
@@ -215,48 +215,48 @@
 }
 
 func (c *Client) poll(ctx context.Context, id string, number uint32) (*v1.WaitReply, error) {
-	patience := c.Patience
+	patience := c.MaxPollWait
 	if patience <= 0 {
-		patience = DefaultPatience
+		patience = DefaultMaxPollWait
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		patience = min(patience, max(time.Until(deadline)/2, time.Millisecond))
 	}
 	req := &v1.WaitRequest{Id: id, Chunk: number, Patience: uint64(patience.Milliseconds())}
-	return link.Call(ctx, c.Link, wait, req, (*v1.WaitReply).GetStatus)
+	return link.Call(ctx, c.Link, waitMethod, req, (*v1.WaitReply).GetStatus)
 }
 
 // Cancel cancels the jobs named, or those that carry all of the labels, and
 // returns how many it reached.
 func (c *Client) Cancel(ctx context.Context, ids []string, labels map[string]string) (uint32, error) {
-	r, err := link.Call(ctx, c.Link, cancel, &v1.CancelRequest{Ids: ids, Labels: labels}, (*v1.CancelReply).GetStatus)
+	r, err := link.Call(ctx, c.Link, cancelMethod, &v1.CancelRequest{Ids: ids, Labels: labels}, (*v1.CancelReply).GetStatus)
 	if err != nil {
 		return 0, err
 	}
-	return r.GetCount(), refused(r.GetStatus())
+	return r.GetCount(), statusError(r.GetStatus())
 }
 
 // List returns a page of the team's jobs in the order of their ids.
 func (c *Client) List(ctx context.Context, req *v1.ListRequest) ([]*v1.Summary, error) {
-	r, err := link.Call(ctx, c.Link, list, req, (*v1.ListReply).GetStatus)
+	r, err := link.Call(ctx, c.Link, listMethod, req, (*v1.ListReply).GetStatus)
 	if err != nil {
 		return nil, err
 	}
-	return r.GetJobs(), refused(r.GetStatus())
+	return r.GetJobs(), statusError(r.GetStatus())
 }
 
 // Acknowledge lets the cell forget the outcomes of the jobs named.
 func (c *Client) Acknowledge(ctx context.Context, ids []string) error {
-	r, err := link.Call(ctx, c.Link, acknowledge, &v1.AcknowledgeRequest{Ids: ids}, (*v1.AcknowledgeReply).GetStatus)
+	r, err := link.Call(ctx, c.Link, acknowledgeMethod, &v1.AcknowledgeRequest{Ids: ids}, (*v1.AcknowledgeReply).GetStatus)
 	if err != nil {
 		return err
 	}
-	return refused(r.GetStatus())
+	return statusError(r.GetStatus())
 }
 
-func refused(s *v1.Status) error {
+func statusError(s *v1.Status) error {
 	if code.Code(s.GetCode()) != code.OK {
-		return link.Status(s)
+		return link.StatusError(s)
 	}
 	return nil
 }
--- a/internal/client/link/link.go
+++ b/internal/client/link/link.go
@@ -24,18 +24,18 @@
 const (
 	// DefaultTimeout bounds one call to one entry.
 	DefaultTimeout = 15 * time.Second
-	// firstPause and longestPause bound the wait between two tries.
-	firstPause   = 50 * time.Millisecond
-	longestPause = 2 * time.Second
-	// pingAfter is the silence after which a connection is probed.
-	pingAfter   = 3 * time.Second
-	pingTimeout = 3 * time.Second
-	dialTimeout = 5 * time.Second
-	idleTimeout = 30 * time.Second
-	// idlePerHost keeps connections for as many calls at once.
-	idlePerHost = 256
-	// maxReply bounds a reply in bytes.
-	maxReply = 64 << 20
+	// initialBackoff and longestPause bound the wait between two tries.
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	// pingInterval is the silence after which a connection is probed.
+	pingInterval = 3 * time.Second
+	pingTimeout  = 3 * time.Second
+	dialTimeout  = 5 * time.Second
+	idleTimeout  = 30 * time.Second
+	// maxIdlePerHost keeps connections for as many calls at once.
+	maxIdlePerHost = 256
+	// maxReplyBytes bounds a reply in bytes.
+	maxReplyBytes = 64 << 20
 )
 
 // Link reaches the entries. Set the exported fields before the first call.
@@ -51,35 +51,35 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// Timeout bounds one call to one entry.
 	Timeout time.Duration
-	// Shared puts all calls on few connections with http addresses too, by
+	// Multiplexed puts all calls on few connections with http addresses too, by
 	// HTTP/2 without TLS. A balancer in between has to pass it on.
-	Shared bool
+	Multiplexed bool
 
-	mu     sync.Mutex
-	turn   int
-	client *http.Client
+	mu         sync.Mutex
+	entryIndex int
+	httpClient *http.Client
 }
 
 // Method is one call of a generated client, bound to an entry.
 type Method[Req, Res any] func(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[Req]) (*connect.Response[Res], error)
 
-// Once makes one call to the entry whose turn it is. When the entry doesn't
+// TryOnce makes one call to the entry whose turn it is. When the entry doesn't
 // answer, the next call goes to the next entry and over a new connection.
-func Once[Req, Res any](ctx context.Context, l *Link, m Method[Req, Res], msg *Req) (*Res, error) {
-	client, base, turn := l.take()
+func TryOnce[Req, Res any](ctx context.Context, l *Link, m Method[Req, Res], msg *Req) (*Res, error) {
+	client, base, turn := l.currentEntry()
 	ctx, cancel := context.WithTimeout(ctx, l.timeout())
 	defer cancel()
 	req := connect.NewRequest(msg)
 	if l.Key != "" {
 		req.Header().Set("Authorization", "Bearer "+l.Key)
 	}
-	res, err := m(client, base, connect.WithReadMaxBytes(maxReply))(ctx, req)
+	res, err := m(client, base, connect.WithReadMaxBytes(maxReplyBytes))(ctx, req)
 	if err == nil {
 		return res.Msg, nil
 	}
 	refusal := classify(err)
-	if Again(refusal.Code) {
-		l.pass(turn)
+	if IsRetryable(refusal.Code) {
+		l.replaceConnections(turn)
 	}
 	return nil, refusal
 }
@@ -87,10 +87,10 @@
 // Call makes a call until an entry answers with something that asking again
 // would not change, or ctx ends. Status picks the reply's status.
 func Call[Req, Res any](ctx context.Context, l *Link, m Method[Req, Res], msg *Req, status func(*Res) *v1.Status) (*Res, error) {
-	pause := Pause()
+	pause := NewBackoff()
 	var cause error
 	for {
-		res, err := Once(ctx, l, m, msg)
+		res, err := TryOnce(ctx, l, m, msg)
 		if err != nil && ctx.Err() != nil && cause != nil {
 			// The time ran out in the middle of a try: that says nothing, and
 			// would hide why the tries before it failed.
@@ -99,14 +99,14 @@
 		var retry time.Duration
 		if err == nil {
 			s := status(res)
-			if !Again(code.Code(s.GetCode())) {
+			if !IsRetryable(code.Code(s.GetCode())) {
 				return res, nil
 			}
 			retry = time.Duration(s.GetRetry()) * time.Millisecond
-			err = Status(s)
-			l.Next()
+			err = StatusError(s)
+			l.NextEntry()
 		}
-		if refusal := Refusal(err); !Again(refusal.Code) {
+		if refusal := AsCodeError(err); !IsRetryable(refusal.Code) {
 			return nil, err
 		}
 		cause = err
@@ -116,19 +116,19 @@
 	}
 }
 
-// Next makes the following calls go to the next entry.
-func (l *Link) Next() {
+// NextEntry makes the following calls go to the next entry.
+func (l *Link) NextEntry() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.turn++
+	l.entryIndex++
 }
 
 // Close drops the idle connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.client != nil {
-		l.client.CloseIdleConnections()
+	if l.httpClient != nil {
+		l.httpClient.CloseIdleConnections()
 	}
 }
 
@@ -139,34 +139,34 @@
 	return DefaultTimeout
 }
 
-func (l *Link) take() (client *http.Client, base string, turn int) {
+func (l *Link) currentEntry() (client *http.Client, base string, turn int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.client == nil {
-		l.client = l.dialler()
+	if l.httpClient == nil {
+		l.httpClient = l.newHTTPClient()
 	}
-	return l.client, l.Addresses[l.turn%len(l.Addresses)], l.turn
+	return l.httpClient, l.Addresses[l.entryIndex%len(l.Addresses)], l.entryIndex
 }
 
-// pass guards against a connection that went silent: the pool would hand it out
+// replaceConnections guards against a connection that went silent: the pool would hand it out
 // again and again while new ones work, so that every call times out. After a
 // call without an answer the pool is left behind whole; calls still using it
 // end as they would have. Only the first of several calls that failed in one
 // turn does so.
-func (l *Link) pass(turn int) {
+func (l *Link) replaceConnections(turn int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.turn != turn {
+	if l.entryIndex != turn {
 		return
 	}
-	l.turn++
-	l.client.CloseIdleConnections()
-	l.client = nil
+	l.entryIndex++
+	l.httpClient.CloseIdleConnections()
+	l.httpClient = nil
 }
 
-func (l *Link) dialler() *http.Client {
+func (l *Link) newHTTPClient() *http.Client {
 	var protocols *http.Protocols
-	if l.Shared {
+	if l.Multiplexed {
 		protocols = new(http.Protocols)
 		protocols.SetHTTP2(true)
 		protocols.SetUnencryptedHTTP2(true)
@@ -177,16 +177,16 @@
 		TLSClientConfig:     l.TLS,
 		ForceAttemptHTTP2:   true,
 		TLSHandshakeTimeout: dialTimeout,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
-		HTTP2:               &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+		HTTP2:               &http.HTTP2Config{SendPingTimeout: pingInterval, PingTimeout: pingTimeout},
 	}}
 }
 
-// Pause returns the growing, jittered waits between tries.
-func Pause() *backoff.ExponentialBackOff {
+// NewBackoff returns the growing, jittered waits between tries.
+func NewBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval = firstPause, longestPause
+	b.InitialInterval, b.MaxInterval = initialBackoff, maxBackoff
 	return b
 }
 
@@ -202,9 +202,9 @@
 	}
 }
 
-// Again tells whether the same request may fare better at another try: nothing
+// IsRetryable tells whether the same request may fare better at another try: nothing
 // final was said.
-func Again(c code.Code) bool {
+func IsRetryable(c code.Code) bool {
 	switch c {
 	case code.Unanswered, code.NoLeader, code.Leaving:
 		return true
@@ -212,8 +212,8 @@
 	return false
 }
 
-// Refusal returns err as a result code; what is no code counts as unanswered.
-func Refusal(err error) *code.Error {
+// AsCodeError returns err as a result code; what is no code counts as unanswered.
+func AsCodeError(err error) *code.Error {
 	var known *code.Error
 	if errors.As(err, &known) {
 		return known
@@ -221,9 +221,9 @@
 	return code.New(code.Unanswered, "%v", err)
 }
 
-// Status returns a status as a result code. The detail is what its text says
+// StatusError returns a status as a result code. The detail is what its text says
 // beyond the number and the standing text, which an Error prints itself.
-func Status(s *v1.Status) *code.Error {
+func StatusError(s *v1.Status) *code.Error {
 	c := code.Code(s.GetCode())
 	detail := strings.TrimPrefix(s.GetText(), code.New(c, "").Error())
 	detail = strings.TrimPrefix(strings.TrimPrefix(detail, ": "), c.String())
@@ -240,7 +240,7 @@
 	for _, d := range ce.Details() {
 		if v, derr := d.Value(); derr == nil {
 			if s, ok := v.(*v1.Status); ok {
-				return Status(s)
+				return StatusError(s)
 			}
 		}
 	}
--- a/internal/client/link/status_test.go
+++ b/internal/client/link/status_test.go
@@ -18,7 +18,7 @@
 		code.New(code.Conflict, "at 7").Error(): "at 7",
 		"at 7":                                  "at 7",
 	} {
-		got := link.Status(&v1.Status{Code: uint32(code.Conflict), Text: text})
+		got := link.StatusError(&v1.Status{Code: uint32(code.Conflict), Text: text})
 		if got.Code != code.Conflict || got.Detail != want {
 			t.Errorf("%q: got %q, want %q", text, got.Detail, want)
 		}
--- a/internal/client/operator/operator.go
+++ b/internal/client/operator/operator.go
@@ -19,26 +19,26 @@
 	Link *link.Link
 }
 
-func change(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ChangeRequest]) (*connect.Response[v1.ChangeReply], error) {
+func changeMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ChangeRequest]) (*connect.Response[v1.ChangeReply], error) {
 	return v1.NewOperatorClient(c, base, opts...).Change
 }
 
-func show(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ShowRequest]) (*connect.Response[v1.ShowReply], error) {
+func showMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ShowRequest]) (*connect.Response[v1.ShowReply], error) {
 	return v1.NewOperatorClient(c, base, opts...).Show
 }
 
-func dump(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.DumpRequest]) (*connect.Response[v1.DumpReply], error) {
+func dumpMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.DumpRequest]) (*connect.Response[v1.DumpReply], error) {
 	return v1.NewOperatorClient(c, base, opts...).Dump
 }
 
 // Change makes one change, asked for with the same id until it is answered. It
 // returns the table's revision, also with a refusal.
 func (c *Client) Change(ctx context.Context, req *v1.ChangeRequest) (uint64, error) {
-	r, err := link.Call(ctx, c.Link, change, req, (*v1.ChangeReply).GetStatus)
+	r, err := link.Call(ctx, c.Link, changeMethod, req, (*v1.ChangeReply).GetStatus)
 	if err != nil {
 		return 0, err
 	}
-	return r.GetRevision(), refused(r.GetStatus())
+	return r.GetRevision(), statusError(r.GetStatus())
 }
 
 // Show reads all lines of a part. It guards against a table that changes between
@@ -49,20 +49,20 @@
 	whole := &v1.ShowReply{}
 	after, head := "", ""
 	for {
-		r, err := link.Call(ctx, c.Link, show, &v1.ShowRequest{Part: part, After: after, Limit: pageSize}, (*v1.ShowReply).GetStatus)
+		r, err := link.Call(ctx, c.Link, showMethod, &v1.ShowRequest{Part: part, After: after, Limit: pageSize}, (*v1.ShowReply).GetStatus)
 		if err != nil {
 			return nil, err
 		}
-		if err := refused(r.GetStatus()); err != nil {
+		if err := statusError(r.GetStatus()); err != nil {
 			return nil, err
 		}
 		if after != "" && r.GetRevision() != whole.GetRevision() {
 			whole, after = &v1.ShowReply{}, ""
 			continue
 		}
-		names := lines(r, part)
+		names := lineNames(r, part)
 		if after == "" {
-			join(whole, r)
+			appendPage(whole, r)
 		}
 		if len(names) == 0 || after != "" && names[0] == head {
 			return whole, nil
@@ -70,13 +70,13 @@
 		if after == "" {
 			head = names[0]
 		} else {
-			join(whole, r)
+			appendPage(whole, r)
 		}
 		after = names[len(names)-1]
 	}
 }
 
-func join(whole, r *v1.ShowReply) {
+func appendPage(whole, r *v1.ShowReply) {
 	whole.Revision = r.GetRevision()
 	whole.Rows = append(whole.Rows, r.GetRows()...)
 	whole.Held = append(whole.Held, r.GetHeld()...)
@@ -87,23 +87,23 @@
 	whole.Jobs = append(whole.Jobs, r.GetJobs()...)
 }
 
-// lines returns the names of a page's lines, by which the next page is asked
+// lineNames returns the names of a page's lines, by which the next page is asked
 // for; none for a part that always comes whole.
-func lines(r *v1.ShowReply, part v1.Part) []string {
+func lineNames(r *v1.ShowReply, part v1.Part) []string {
 	switch part {
 	case v1.Part_PART_TABLE:
-		return names(r.GetRows(), (*v1.Row).GetTeam)
+		return mapNames(r.GetRows(), (*v1.Row).GetTeam)
 	case v1.Part_PART_KEYS:
-		return names(r.GetKeys(), (*v1.KeyLine).GetId)
+		return mapNames(r.GetKeys(), (*v1.KeyLine).GetId)
 	case v1.Part_PART_SERVERS:
-		return names(r.GetServers(), (*v1.ServerLine).GetServer)
+		return mapNames(r.GetServers(), (*v1.ServerLine).GetServer)
 	case v1.Part_PART_JOBS:
-		return names(r.GetJobs(), func(j *v1.Summary) string { return j.GetTeam() + "/" + j.GetId() })
+		return mapNames(r.GetJobs(), func(j *v1.Summary) string { return j.GetTeam() + "/" + j.GetId() })
 	}
 	return nil
 }
 
-func names[T any](all []T, name func(T) string) []string {
+func mapNames[T any](all []T, name func(T) string) []string {
 	out := make([]string, len(all))
 	for i, one := range all {
 		out[i] = name(one)
@@ -114,16 +114,16 @@
 // Dump returns the state of one process as JSON text; an empty name stands for
 // the entry that answers.
 func (c *Client) Dump(ctx context.Context, process string) (string, error) {
-	r, err := link.Call(ctx, c.Link, dump, &v1.DumpRequest{Process: process}, (*v1.DumpReply).GetStatus)
+	r, err := link.Call(ctx, c.Link, dumpMethod, &v1.DumpRequest{Process: process}, (*v1.DumpReply).GetStatus)
 	if err != nil {
 		return "", err
 	}
-	return r.GetText(), refused(r.GetStatus())
+	return r.GetText(), statusError(r.GetStatus())
 }
 
-func refused(s *v1.Status) error {
+func statusError(s *v1.Status) error {
 	if code.Code(s.GetCode()) != code.OK {
-		return link.Status(s)
+		return link.StatusError(s)
 	}
 	return nil
 }
--- a/internal/control/entry/entry.go
+++ b/internal/control/entry/entry.go
@@ -22,13 +22,13 @@
 
 // Bounds of the service.
 const (
-	// pullWait bounds a Pull whose entry names no patience, or a longer one, so
+	// maxPullWait bounds a Pull whose entry names no patience, or a longer one, so
 	// that a silent connection shows.
-	pullWait = 2 * time.Second
-	// idleBox is after how long without a Pull a mailbox is dropped.
-	idleBox = 30 * time.Second
-	// maxItems bounds the items of one Push.
-	maxItems = 4096
+	maxPullWait = 2 * time.Second
+	// mailboxIdleTimeout is after how long without a Pull a mailbox is dropped.
+	mailboxIdleTimeout = 30 * time.Second
+	// maxItemsPerPush bounds the items of one Push.
+	maxItemsPerPush = 4096
 )
 
 // Server implements inner.Control. The exported fields are set before use.
@@ -37,17 +37,17 @@
 	Leader *leader.Leader
 	// Now is the group's monotonic clock.
 	Now func() time.Duration
-	// Dumper returns the state of the process for a person to read.
-	Dumper func() any
-	// MaxDump bounds a dump in bytes; 0 for the default of package dump.
-	MaxDump int
-	Log     logr.Logger
-
-	members roll
-	limit   event.Limit
-	mu      sync.Mutex
-	term    uint64
-	boxes   map[mailbox.Name]*mailbox.Mailbox
+	// DumpState returns the state of the process for a person to read.
+	DumpState func() any
+	// MaxDumpBytes bounds a dump in bytes; 0 for the default of package dump.
+	MaxDumpBytes int
+	Log          logr.Logger
+
+	entries     entryTracker
+	logLimiter  event.Limit
+	mu          sync.Mutex
+	mailboxTerm uint64
+	mailboxes   map[mailbox.Name]*mailbox.Mailbox
 }
 
 var _ inner.Control = (*Server)(nil)
@@ -57,21 +57,21 @@
 
 // Push hands items to the control thread.
 func (s *Server) Push(_ context.Context, req *inner.PushRequest) (*inner.PushReply, error) {
-	if err := s.check(req.GetCell(), req.GetEntry()); err != nil {
+	if err := s.checkCell(req.GetCell(), req.GetEntry()); err != nil {
 		return nil, err
 	}
-	if len(req.GetItems()) > maxItems {
+	if len(req.GetItems()) > maxItemsPerPush {
 		return nil, twirp.InvalidArgumentError("items", "too many")
 	}
 	st := s.Leader.Status()
 	if !st.Leads {
 		return &inner.PushReply{Redirect: redirect(st)}, nil
 	}
-	box := s.box(st.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
+	box := s.mailboxFor(st.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
 	if s.Leader.Push(leader.Batch{Mailbox: box, ReceivedAt: s.Now(), Items: req.GetItems()}) {
 		return &inner.PushReply{}, nil
 	}
-	s.limit.Log(s.Log, event.Overload, "entry", req.GetEntry(), "items", len(req.GetItems()))
+	s.logLimiter.Log(s.Log, event.Overload, "entry", req.GetEntry(), "items", len(req.GetItems()))
 	rep := &inner.PushReply{}
 	for _, it := range req.GetItems() {
 		rep.Refused = append(rep.Refused, it.GetSeq())
@@ -81,17 +81,17 @@
 
 // Pull returns the replies that wait for the entry.
 func (s *Server) Pull(ctx context.Context, req *inner.PullRequest) (*inner.PullReply, error) {
-	if err := s.check(req.GetCell(), req.GetEntry()); err != nil {
+	if err := s.checkCell(req.GetCell(), req.GetEntry()); err != nil {
 		return nil, err
 	}
 	st := s.Leader.Status()
 	if !st.Leads {
 		return &inner.PullReply{Redirect: redirect(st)}, nil
 	}
-	s.members.note(req.GetEntry(), req.GetRevision(), s.Now())
-	ctx, cancel := context.WithTimeout(ctx, patience(req.GetPatience()))
+	s.entries.recordPull(req.GetEntry(), req.GetRevision(), s.Now())
+	ctx, cancel := context.WithTimeout(ctx, pullTimeout(req.GetPatience()))
 	defer cancel()
-	box := s.box(st.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
+	box := s.mailboxFor(st.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
 	// Wakes are counted before the revision is read: one that comes in between
 	// ends the wait.
 	wakes := box.WakeCount()
@@ -108,26 +108,26 @@
 
 // Dump returns the state of this process.
 func (s *Server) Dump(context.Context, *v1.DumpRequest) (*v1.DumpReply, error) {
-	if s.Dumper == nil {
+	if s.DumpState == nil {
 		return &v1.DumpReply{Status: &v1.Status{}}, nil
 	}
-	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Text(s.Dumper(), s.MaxDump)}, nil
+	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Text(s.DumpState(), s.MaxDumpBytes)}, nil
 }
 
-// patience returns how long a Pull is held open. An entry takes one that lasts
+// pullTimeout returns how long a Pull is held open. An entry takes one that lasts
 // longer than it asked for to be a silent connection, and dials anew.
-func patience(ms uint64) time.Duration {
-	if ms == 0 || ms > uint64(pullWait/time.Millisecond) {
-		return pullWait
+func pullTimeout(ms uint64) time.Duration {
+	if ms == 0 || ms > uint64(maxPullWait/time.Millisecond) {
+		return maxPullWait
 	}
 	return time.Duration(ms) * time.Millisecond
 }
 
-// check refuses a process of another cell: a wrong address in the settings
+// checkCell refuses a process of another cell: a wrong address in the settings
 // must not mix two cells' work.
-func (s *Server) check(cell, from string) error {
+func (s *Server) checkCell(cell, from string) error {
 	if cell != s.Cell {
-		s.limit.Log(s.Log, event.PeerRefused, "peer", from, "error", "it is of cell "+strconv.Quote(cell)+", this is cell "+strconv.Quote(s.Cell))
+		s.logLimiter.Log(s.Log, event.PeerRefused, "peer", from, "error", "it is of cell "+strconv.Quote(cell)+", this is cell "+strconv.Quote(s.Cell))
 		return twirp.NewError(twirp.PermissionDenied, "this is cell "+s.Cell)
 	}
 	return nil
@@ -137,49 +137,49 @@
 	return &inner.Redirect{Leader: st.Leader, Address: st.Address}
 }
 
-// box returns the mailbox of an entry's run in a term. Those of other terms
+// mailboxFor returns the mailbox of an entry's run in a term. Those of other terms
 // are closed, so that what waits at them is asked of the leader anew.
-func (s *Server) box(term uint64, name mailbox.Name) *mailbox.Mailbox {
+func (s *Server) mailboxFor(term uint64, name mailbox.Name) *mailbox.Mailbox {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.boxes == nil || s.term != term {
-		s.closeAll()
-		s.term, s.boxes = term, map[mailbox.Name]*mailbox.Mailbox{}
+	if s.mailboxes == nil || s.mailboxTerm != term {
+		s.closeMailboxes()
+		s.mailboxTerm, s.mailboxes = term, map[mailbox.Name]*mailbox.Mailbox{}
 	}
-	for n, b := range s.boxes {
-		if n != name && b.IdleTime() > idleBox {
+	for n, b := range s.mailboxes {
+		if n != name && b.IdleTime() > mailboxIdleTimeout {
 			b.Close()
-			delete(s.boxes, n)
+			delete(s.mailboxes, n)
 		}
 	}
-	b := s.boxes[name]
+	b := s.mailboxes[name]
 	if b == nil {
 		b = mailbox.New(term<<32 ^ name.Session)
-		s.boxes[name] = b
+		s.mailboxes[name] = b
 	}
 	return b
 }
 
-// WakeAll lets all waiting Pulls return, so that entries learn at once of a new
+// WakeMailboxes lets all waiting Pulls return, so that entries learn at once of a new
 // revision of the table.
-func (s *Server) WakeAll() {
+func (s *Server) WakeMailboxes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, b := range s.boxes {
+	for _, b := range s.mailboxes {
 		b.Wake()
 	}
 }
 
-// CloseAll ends all mailboxes; the control process calls it when it stops to lead.
-func (s *Server) CloseAll() {
+// CloseMailboxes ends all mailboxes; the control process calls it when it stops to lead.
+func (s *Server) CloseMailboxes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closeAll()
-	s.boxes = nil
+	s.closeMailboxes()
+	s.mailboxes = nil
 }
 
-func (s *Server) closeAll() {
-	for _, b := range s.boxes {
+func (s *Server) closeMailboxes() {
+	for _, b := range s.mailboxes {
 		b.Close()
 	}
 }
--- a/internal/control/entry/roll.go
+++ b/internal/control/entry/roll.go
@@ -12,14 +12,14 @@
 
 // Bounds of what is noted of the entries.
 const (
-	// silentAfter is after how long without a Pull an entry counts as stale.
-	silentAfter = 5 * time.Second
+	// staleAfter is after how long without a Pull an entry counts as stale.
+	staleAfter = 5 * time.Second
 	// forgetAfter is after how long without a Pull an entry is listed no more.
 	forgetAfter = 10 * time.Minute
-	// maxEntries bounds the entries that are noted.
-	maxEntries = 256
-	// confirmWithin is how long an entry may take to confirm a revision.
-	confirmWithin = 3 * time.Second
+	// maxTrackedEntries bounds the entries that are noted.
+	maxTrackedEntries = 256
+	// confirmationTimeout is how long an entry may take to confirm a revision.
+	confirmationTimeout = 3 * time.Second
 )
 
 // States of an entry in the list of members.
@@ -28,55 +28,55 @@
 	stateStale   = "stale"
 )
 
-// roll notes the entries that fetch replies here. The zero value is empty.
-type roll struct {
+// entryTracker notes the entries that fetch replies here. The zero value is empty.
+type entryTracker struct {
 	mu      sync.Mutex
-	entries map[string]*noted
+	entries map[string]*trackedEntry
 	// revision is the table's latest, and since is when it came into force.
-	revision uint64
-	since    time.Duration
+	revision     uint64
+	inForceSince time.Duration
 }
 
-// noted is one entry as its latest Pull showed it.
-type noted struct {
-	// revision is the table's revision that the entry says it serves.
-	revision uint64
-	seen     time.Duration
-	// told is the latest revision that an alarm said it lacks.
-	told uint64
+// trackedEntry is one entry as its latest Pull showed it.
+type trackedEntry struct {
+	// confirmedRevision is the table's revision that the entry says it serves.
+	confirmedRevision uint64
+	lastPull          time.Duration
+	// reportedRevision is the latest revision that an alarm said it lacks.
+	reportedRevision uint64
 }
 
-func (r *roll) note(name string, revision uint64, now time.Duration) {
+func (r *entryTracker) recordPull(name string, revision uint64, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.entries == nil {
-		r.entries = map[string]*noted{}
+		r.entries = map[string]*trackedEntry{}
 	}
 	n := r.entries[name]
 	if n == nil {
-		if len(r.entries) >= maxEntries {
+		if len(r.entries) >= maxTrackedEntries {
 			return
 		}
-		n = &noted{}
+		n = &trackedEntry{}
 		r.entries[name] = n
 	}
-	n.revision, n.seen = revision, now
+	n.confirmedRevision, n.lastPull = revision, now
 }
 
-func (r *roll) clear() {
+func (r *entryTracker) clear() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.entries, r.revision = nil, 0
 }
 
-// lines lists the entries by name.
-func (r *roll) lines(now time.Duration) []*v1.MemberLine {
+// memberLines lists the entries by name.
+func (r *entryTracker) memberLines(now time.Duration) []*v1.MemberLine {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make([]*v1.MemberLine, 0, len(r.entries))
 	for name, n := range r.entries {
-		line := &v1.MemberLine{Name: name, Role: "entry", State: stateServing, Revision: n.revision}
-		if now-n.seen > silentAfter {
+		line := &v1.MemberLine{Name: name, Role: "entry", State: stateServing, Revision: n.confirmedRevision}
+		if now-n.lastPull > staleAfter {
 			line.State = stateStale
 		}
 		out = append(out, line)
@@ -85,58 +85,58 @@
 	return out
 }
 
-// late is an entry that has not confirmed the table's revision in time.
-type late struct {
-	name     string
-	revision uint64
+// confirmationState is an entry that has not confirmed the table's revision in time.
+type confirmationState struct {
+	name              string
+	confirmedRevision uint64
 }
 
-// watch forgets entries that are long gone and returns those that have become
+// checkConfirmations forgets entries that are long gone and returns those that have become
 // late, and those that were and have confirmed.
-func (r *roll) watch(revision uint64, now time.Duration) (behind, caught []late) {
+func (r *entryTracker) checkConfirmations(revision uint64, now time.Duration) (lagging, caughtUp []confirmationState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if revision != r.revision {
-		r.revision, r.since = revision, now
+		r.revision, r.inForceSince = revision, now
 	}
 	for name, n := range r.entries {
 		switch {
-		case now-n.seen > forgetAfter:
+		case now-n.lastPull > forgetAfter:
 			delete(r.entries, name)
-		case n.revision >= revision && n.told > 0:
-			n.told = 0
-			caught = append(caught, late{name, n.revision})
-		case n.revision < revision && n.told < revision && now-r.since > confirmWithin:
-			n.told = revision
-			behind = append(behind, late{name, n.revision})
+		case n.confirmedRevision >= revision && n.reportedRevision > 0:
+			n.reportedRevision = 0
+			caughtUp = append(caughtUp, confirmationState{name, n.confirmedRevision})
+		case n.confirmedRevision < revision && n.reportedRevision < revision && now-r.inForceSince > confirmationTimeout:
+			n.reportedRevision = revision
+			lagging = append(lagging, confirmationState{name, n.confirmedRevision})
 		}
 	}
-	return behind, caught
+	return lagging, caughtUp
 }
 
 // Entries lists the entries that fetch replies here, with the table's revision
 // that each has confirmed.
-func (s *Server) Entries() []*v1.MemberLine { return s.members.lines(s.Now()) }
+func (s *Server) Entries() []*v1.MemberLine { return s.entries.memberLines(s.Now()) }
 
-// Look raises an alarm for each entry that does not confirm the table's
+// LogTableConfirmations raises an alarm for each entry that does not confirm the table's
 // revision. It is called about once a second.
-func (s *Server) Look() {
+func (s *Server) LogTableConfirmations() {
 	st := s.Leader.Status()
 	if !st.Leads {
-		s.members.clear()
+		s.entries.clear()
 		return
 	}
-	behind, caught := s.members.watch(st.Revision, s.Now())
+	behind, caught := s.entries.checkConfirmations(st.Revision, s.Now())
 	for _, e := range behind {
-		event.Log(s.Log, event.TableUnconfirmed, "process", e.name, "confirmed", e.revision, "revision", st.Revision)
+		event.Log(s.Log, event.TableUnconfirmed, "process", e.name, "confirmed", e.confirmedRevision, "revision", st.Revision)
 	}
 	for _, e := range caught {
-		event.Log(s.Log, event.TableConfirmed, "process", e.name, "revision", e.revision)
+		event.Log(s.Log, event.TableConfirmed, "process", e.name, "revision", e.confirmedRevision)
 	}
 }
 
-// Box is one mailbox as a dump shows it.
-type Box struct {
+// MailboxView is one mailbox as a dump shows it.
+type MailboxView struct {
 	Entry   string
 	Session uint64
 	// Replies are those that wait to be fetched.
@@ -145,14 +145,14 @@
 	Idle float64
 }
 
-// Boxes lists the mailboxes.
-func (s *Server) Boxes() []Box {
+// Mailboxes lists the mailboxes.
+func (s *Server) Mailboxes() []MailboxView {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []Box
-	for n, b := range s.boxes {
-		out = append(out, Box{Entry: n.Entry, Session: n.Session, Replies: b.Len(), Idle: b.IdleTime().Seconds()})
+	var out []MailboxView
+	for n, b := range s.mailboxes {
+		out = append(out, MailboxView{Entry: n.Entry, Session: n.Session, Replies: b.Len(), Idle: b.IdleTime().Seconds()})
 	}
-	slices.SortFunc(out, func(a, b Box) int { return strings.Compare(a.Entry, b.Entry) })
+	slices.SortFunc(out, func(a, b MailboxView) int { return strings.Compare(a.Entry, b.Entry) })
 	return out
 }
--- a/internal/control/node/assemble.go
+++ b/internal/control/node/assemble.go
@@ -19,52 +19,52 @@
 
 // assembly is the parts of a running daemon.
 type assembly struct {
-	group     *group.Group
-	service   *entry.Server
-	handshake *bootstrap.Handshake
-	transport Transport
-	server    *http.Server
+	group        *group.Group
+	entryService *entry.Server
+	handshake    *bootstrap.Handshake
+	transport    Transport
+	server       *http.Server
 }
 
 // assemble makes the parts of the daemon; none of them runs yet.
-func (n *Node) assemble(self quorum.Member, d disks) *assembly {
-	a := &assembly{handshake: n.handshake(self)}
+func (n *Node) assemble(self quorum.Member, d replicaData) *assembly {
+	a := &assembly{handshake: n.newHandshake(self)}
 	a.group = &group.Group{
-		Journal: newDisk(d.journal, n.meters, n.Log), Snapshots: newArchive(&d.snapshots, n.meters, n.Log),
-		Recovered: d.saved, Now: n.now, MinFreeBytes: n.Room, Metrics: n.meters, Log: n.Log,
+		Journal: newMonitoredJournal(d.journal, n.metrics, n.Log), Snapshots: newMonitoredSnapshots(&d.snapshots, n.metrics, n.Log),
+		Recovered: d.state, Now: n.now, MinFreeBytes: n.MinFreeBytes, Metrics: n.metrics, Log: n.Log,
 	}
 	n.group.Store(a.group)
-	a.service = &entry.Server{Cell: n.Cell, Leader: n.Control, Now: n.now, Dumper: n.State, MaxDump: n.MaxDump, Log: n.Log}
-	n.service.Store(a.service)
-	n.Control.EntryMembers = a.service.Entries
-	n.Control.OnDeposed, n.Control.OnTableRevision = a.service.CloseAll, a.service.WakeAll
+	a.entryService = &entry.Server{Cell: n.Cell, Leader: n.Control, Now: n.now, DumpState: n.State, MaxDumpBytes: n.MaxDumpBytes, Log: n.Log}
+	n.entryService.Store(a.entryService)
+	n.Control.EntryMembers = a.entryService.Entries
+	n.Control.OnDeposed, n.Control.OnTableRevision = a.entryService.CloseMailboxes, a.entryService.WakeMailboxes
 	// Before anything can come in: what arrives is checked against the identity.
 	n.configure(self, a.group)
-	a.transport = n.transport(self.ID, a.group.Receive)
+	a.transport = n.newTransport(self.ID, a.group.Receive)
 	a.group.Transport = a.transport
 	mux := http.NewServeMux()
-	mux.Handle("/twirp/gypsumreel.inner.Control/", a.service.Handler())
-	mux.Handle("/twirp/gypsumreel.inner.Bootstrap/", n.replicas(a.handshake.Handler()))
-	mux.Handle("/", n.replicas(a.transport.Handler()))
-	if n.Routes != nil {
-		n.Routes(mux)
+	mux.Handle("/twirp/gypsumreel.inner.Control/", a.entryService.Handler())
+	mux.Handle("/twirp/gypsumreel.inner.Bootstrap/", n.onlyReplicas(a.handshake.Handler()))
+	mux.Handle("/", n.onlyReplicas(a.transport.Handler()))
+	if n.AddRoutes != nil {
+		n.AddRoutes(mux)
 	}
-	a.server = n.server(mux, n.Server)
+	a.server = n.newHTTPServer(mux, n.ServerTLS)
 	return a
 }
 
-func (n *Node) transport(id string, receive func(from string, data []byte)) Transport {
-	if n.Transport != nil {
-		return n.Transport(id, receive)
+func (n *Node) newTransport(id string, receive func(from string, data []byte)) Transport {
+	if n.NewTransport != nil {
+		return n.NewTransport(id, receive)
 	}
-	return &peer.Pool{Cell: n.Cell, Self: id, TLS: n.Peers, Deliver: receive, OnEvent: n.event}
+	return &peer.Pool{Cell: n.Cell, Self: id, TLS: n.PeerTLS, Deliver: receive, OnEvent: n.logPeerEvent}
 }
 
-// event logs what an operator may want to know of the way to the others.
-func (n *Node) event(e peer.Event) {
+// logPeerEvent logs what an operator may want to know of the way to the others.
+func (n *Node) logPeerEvent(e peer.Event) {
 	switch e.Kind {
 	case peer.MessageRefused:
-		n.limit.Log(n.Log, event.PeerRefused, "peer", e.Peer, "error", e.Err.Error())
+		n.logLimiter.Log(n.Log, event.PeerRefused, "peer", e.Peer, "error", e.Err.Error())
 	case peer.CallsFailing:
 		event.Log(n.Log, event.PeerSilent, "peer", e.Peer, "error", e.Err.Error())
 	case peer.MessageTooLarge:
@@ -77,20 +77,20 @@
 func (n *Node) configure(self quorum.Member, g *group.Group) {
 	cfg := &g.Config
 	cfg.ID, cfg.Address = self.ID, self.Address
-	cfg.HeartbeatInterval, cfg.ElectionTimeout, cfg.MaxElectionTimeout = n.Heartbeat, n.Election, n.Patience
+	cfg.HeartbeatInterval, cfg.ElectionTimeout, cfg.MaxElectionTimeout = n.HeartbeatInterval, n.ElectionTimeout, n.MaxElectionTimeout
 	var seed [8]byte
 	_, _ = rand.Read(seed[:])
 	cfg.Seed = binary.LittleEndian.Uint64(seed[:])
 	l := n.Control
-	l.Group, l.Now, l.RootKey, l.Log, l.Metrics = g, n.now, n.Root, n.Log, n.meters
-	l.TransferLeadership = func() { go n.yield(g) }
-	l.MatchIndexes = func() map[string]uint64 { return matches(g.Dump()) }
+	l.Group, l.Now, l.RootKey, l.Log, l.Metrics = g, n.now, n.RootKey, n.Log, n.metrics
+	l.TransferLeadership = func() { go n.leaveFullDisk(g) }
+	l.MatchIndexes = func() map[string]uint64 { return matchIndexes(g.Dump()) }
 	if l.NewPlanner == nil {
 		l.NewPlanner = func() plan.Planner { return cell.New(cell.Config{}) }
 	}
 }
 
-func (n *Node) server(h http.Handler, cfg *tls.Config) *http.Server {
+func (n *Node) newHTTPServer(h http.Handler, cfg *tls.Config) *http.Server {
 	both := new(http.Protocols)
 	both.SetHTTP1(true)
 	both.SetHTTP2(true)
@@ -98,7 +98,7 @@
 	return &http.Server{Handler: h, Protocols: both, ReadHeaderTimeout: headerTimeout, TLSConfig: cfg, ErrorLog: event.HTTPLog(n.Log)}
 }
 
-func listen(s *http.Server, l net.Listener) error {
+func serveListener(s *http.Server, l net.Listener) error {
 	if s.TLSConfig == nil {
 		return s.Serve(l)
 	}
--- a/internal/control/node/disk.go
+++ b/internal/control/node/disk.go
@@ -12,52 +12,52 @@
 	"gypsumreel/internal/replica/snapshot"
 )
 
-// disk is a journal that tells how its syncs went.
-type disk struct {
+// monitoredJournal is a journal that tells how its syncs went.
+type monitoredJournal struct {
 	group.Journal
-	log   logr.Logger
-	limit event.Limit
-	syncs *metrics.PrometheusHistogram
+	log         logr.Logger
+	logLimiter  event.Limit
+	syncSeconds *metrics.PrometheusHistogram
 }
 
-func newDisk(j group.Journal, set *metrics.Set, log logr.Logger) *disk {
-	return &disk{Journal: j, log: log, syncs: set.GetOrCreatePrometheusHistogram(meter.Name("control", "sync_seconds"))}
+func newMonitoredJournal(j group.Journal, set *metrics.Set, log logr.Logger) *monitoredJournal {
+	return &monitoredJournal{Journal: j, log: log, syncSeconds: set.GetOrCreatePrometheusHistogram(meter.Name("control", "sync_seconds"))}
 }
 
 // Sync syncs, measures, and tells of a sync that failed or took long.
-func (d *disk) Sync() error {
+func (d *monitoredJournal) Sync() error {
 	begin := time.Now()
 	err := d.Journal.Sync()
 	took := time.Since(begin)
-	d.syncs.Update(took.Seconds())
+	d.syncSeconds.Update(took.Seconds())
 	if err != nil {
 		event.Fail(d.log, event.SyncFailed, err)
 		return err
 	}
-	if took > slowSync {
-		d.limit.Log(d.log, event.SyncSlow, "took", took.String())
+	if took > slowSyncThreshold {
+		d.logLimiter.Log(d.log, event.SyncSlow, "took", took.String())
 	}
 	return nil
 }
 
-// archive is a store of snapshots that tells of those written, and of those that
+// monitoredSnapshots is a store of snapshots that tells of those written, and of those that
 // could not be.
-type archive struct {
+type monitoredSnapshots struct {
 	group.SnapshotStore
-	log    logr.Logger
-	failed *metrics.Counter
+	log         logr.Logger
+	failedSaves *metrics.Counter
 }
 
-func newArchive(s group.SnapshotStore, set *metrics.Set, log logr.Logger) *archive {
-	return &archive{SnapshotStore: s, log: log, failed: set.GetOrCreateCounter(meter.Name("control", "snapshots_failed_total"))}
+func newMonitoredSnapshots(s group.SnapshotStore, set *metrics.Set, log logr.Logger) *monitoredSnapshots {
+	return &monitoredSnapshots{SnapshotStore: s, log: log, failedSaves: set.GetOrCreateCounter(meter.Name("control", "snapshots_failed_total"))}
 }
 
 // Save saves and tells.
-func (a *archive) Save(meta snapshot.Meta, state []byte) error {
+func (a *monitoredSnapshots) Save(meta snapshot.Meta, state []byte) error {
 	begin := time.Now()
 	err := a.SnapshotStore.Save(meta, state)
 	if err != nil {
-		a.failed.Inc()
+		a.failedSaves.Inc()
 		event.Fail(a.log, event.StoragePutOff, err, "what", "snapshot", "index", meta.Index, "bytes", len(state))
 		return err
 	}
--- a/internal/control/node/state.go
+++ b/internal/control/node/state.go
@@ -15,8 +15,8 @@
 	"gypsumreel/internal/replica/group"
 )
 
-// inspectWait bounds the wait for the control thread's part of a dump.
-const inspectWait = time.Second
+// inspectTimeout bounds the wait for the control thread's part of a dump.
+const inspectTimeout = time.Second
 
 // Dump is the state of a control process for a person to read.
 type Dump struct {
@@ -30,22 +30,22 @@
 	Fault   string
 	// Entries are those that fetch replies here, Mailboxes where they do.
 	Entries   []*v1.MemberLine
-	Mailboxes []entry.Box
+	Mailboxes []entry.MailboxView
 }
 
 // State returns the state of the process for a person to read.
 func (n *Node) State() any {
 	d := Dump{Cell: n.Cell, Name: n.Name, Ready: "ready", Status: n.Control.Status()}
-	if err := n.ready(); err != nil {
+	if err := n.readiness(); err != nil {
 		d.Ready = err.Error()
 	}
 	if g := n.group.Load(); g != nil {
 		d.Group = g.Dump()
 	}
-	if s := n.service.Load(); s != nil {
-		d.Entries, d.Mailboxes = s.Entries(), s.Boxes()
+	if s := n.entryService.Load(); s != nil {
+		d.Entries, d.Mailboxes = s.Entries(), s.Mailboxes()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), inspectWait)
+	ctx, cancel := context.WithTimeout(context.Background(), inspectTimeout)
 	defer cancel()
 	view, err := n.Control.Inspect(ctx)
 	if err != nil {
@@ -55,10 +55,10 @@
 	return d
 }
 
-// probes serves health, readiness and metrics. A replica is ready while it
+// probeHandler serves health, readiness and metrics. A replica is ready while it
 // knows a leader, itself or another.
-func (n *Node) probes() http.Handler {
-	set := n.meters
+func (n *Node) probeHandler() http.Handler {
+	set := n.metrics
 	status := n.Control.Status
 	set.NewGauge(meter.Name("control", "leads"), func() float64 {
 		if status().Leads {
@@ -68,19 +68,19 @@
 	})
 	set.NewGauge(meter.Name("control", "term"), func() float64 { return float64(status().Term) })
 	set.NewGauge(meter.Name("control", "revision"), func() float64 { return float64(status().Revision) })
-	set.NewGauge(meter.Name("control", "mailboxes"), func() float64 { return float64(len(n.service.Load().Boxes())) })
+	set.NewGauge(meter.Name("control", "mailboxes"), func() float64 { return float64(len(n.entryService.Load().Mailboxes())) })
 	set.NewGauge(meter.Name("control", "mailbox_replies"), func() float64 {
 		sum := 0
-		for _, b := range n.service.Load().Boxes() {
+		for _, b := range n.entryService.Load().Mailboxes() {
 			sum += b.Replies
 		}
 		return float64(sum)
 	})
-	return (&platform.Probes{Ready: n.ready, Meters: []*metrics.Set{meter.Common, set}}).Route()
+	return (&platform.Probes{Ready: n.readiness, Meters: []*metrics.Set{meter.Common, set}}).Route()
 }
 
-// matches gives the index up to which each other replica has the log on its disk.
-func matches(d group.Dump) map[string]uint64 {
+// matchIndexes gives the index up to which each other replica has the log on its disk.
+func matchIndexes(d group.Dump) map[string]uint64 {
 	out := map[string]uint64{}
 	for _, p := range d.Peers {
 		out[p.ID] = p.Match
--- a/internal/control/node/watch.go
+++ b/internal/control/node/watch.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// watchEvery is how often the node looks after itself.
-	watchEvery = time.Second
-	// stoodStill is a gap between two looks that tells of a paused process.
-	stoodStill = 3 * time.Second
-	// slowSync is the time of an fsync from which it is told.
-	slowSync = 500 * time.Millisecond
+	// monitorInterval is how often the node looks after itself.
+	monitorInterval = time.Second
+	// maxTickGap is a gap between two looks that tells of a paused process.
+	maxTickGap = 3 * time.Second
+	// slowSyncThreshold is the time of an fsync from which it is told.
+	slowSyncThreshold = 500 * time.Millisecond
 )
 
-// replicas lets only processes through whose certificate names a control
+// onlyReplicas lets only processes through whose certificate names a control
 // replica: with an entry's certificate, messages of consensus could be forged.
 // Without TLS there is nothing to look at, and the settings say so.
-func (n *Node) replicas(h http.Handler) http.Handler {
-	if n.Server == nil {
+func (n *Node) onlyReplicas(h http.Handler) http.Handler {
+	if n.ServerTLS == nil {
 		return h
 	}
 	known := func(name string) bool {
@@ -38,16 +38,16 @@
 	only := secure.Only(known, h)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if names := secure.Names(r); !slices.ContainsFunc(names, known) {
-			n.limit.Log(n.Log, event.PeerRefused, "peer", strings.Join(names, " "), "error", "its certificate names no control replica, this is "+n.Name)
+			n.logLimiter.Log(n.Log, event.PeerRefused, "peer", strings.Join(names, " "), "error", "its certificate names no control replica, this is "+n.Name)
 		}
 		only.ServeHTTP(w, r)
 	})
 }
 
-// watch tells of readiness that comes and goes, of a process that stood still,
+// monitor tells of readiness that comes and goes, of a process that stood still,
 // and of entries that do not confirm the table's revision.
-func (n *Node) watch(ctx context.Context) error {
-	tick := time.NewTicker(watchEvery)
+func (n *Node) monitor(ctx context.Context) error {
+	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
 	last, ready := n.now(), false
 	for {
@@ -57,11 +57,11 @@
 		case <-tick.C:
 		}
 		now := n.now()
-		if gap := now - last; gap > stoodStill {
+		if gap := now - last; gap > maxTickGap {
 			event.Log(n.Log, event.ClockJumped, "gap", gap.String())
 		}
 		last = now
-		err := n.ready()
+		err := n.readiness()
 		switch {
 		case err == nil && !ready:
 			event.Log(n.Log, event.Ready)
@@ -69,12 +69,12 @@
 			event.Fail(n.Log, event.Unready, err)
 		}
 		ready = err == nil
-		n.service.Load().Look()
+		n.entryService.Load().LogTableConfirmations()
 	}
 }
 
-// damaged logs an error of the files at the start as an event, when it is damage.
-func (n *Node) damaged(id event.ID, err error) error {
+// logCorruption logs an error of the files at the start as an event, when it is damage.
+func (n *Node) logCorruption(id event.ID, err error) error {
 	var j *journal.CorruptionError
 	var s *snapshot.CorruptionError
 	if errors.As(err, &j) || errors.As(err, &s) {
--- a/internal/domain/answer/answer.go
+++ b/internal/domain/answer/answer.go
@@ -14,140 +14,140 @@
 const (
 	// ChunkSize is the size of all chunks but the last.
 	ChunkSize = 128 << 10
-	// MaxTotal bounds a task's whole answer.
-	MaxTotal = 1 << 20
-	// MaxJob bounds a job's whole answer, the sum over its tasks.
-	MaxJob = 32 << 20
-	// minChunk is the mean size of chunks below which an answer is refused: a
+	// MaxTaskAnswer bounds a task's whole answer.
+	MaxTaskAnswer = 1 << 20
+	// MaxJobAnswer bounds a job's whole answer, the sum over its tasks.
+	MaxJobAnswer = 32 << 20
+	// minMeanChunk is the mean size of chunks below which an answer is refused: a
 	// sender that cuts finer would cost more in numbers than in data.
-	minChunk = 1024
+	minMeanChunk = 1024
 )
 
-// ErrMixed is returned for a chunk that belongs to another answer, or is damaged.
-var ErrMixed = errors.New("chunk of another answer")
+// ErrChunkMismatch is returned for a chunk that belongs to another answer, or is damaged.
+var ErrChunkMismatch = errors.New("chunk of another answer")
 
-// Count returns the number of chunks of an answer; an empty one has one.
-func Count(total int) uint32 {
+// ChunkCount returns the number of chunks of an answer; an empty one has one.
+func ChunkCount(total int) uint32 {
 	return uint32(max(1, (total+ChunkSize-1)/ChunkSize))
 }
 
-// Cut returns one chunk of an answer; nil when there is none of that number.
-func Cut(data []byte, number uint32) *v1.Chunk {
-	count := Count(len(data))
+// ChunkAt returns one chunk of an answer; nil when there is none of that number.
+func ChunkAt(data []byte, number uint32) *v1.Chunk {
+	count := ChunkCount(len(data))
 	if number >= count {
 		return nil
 	}
-	from := int(number) * ChunkSize
-	to := min(from+ChunkSize, len(data))
-	return &v1.Chunk{Number: number, Count: count, Total: uint64(len(data)), Sum: xxhash.Sum64(data), Data: data[from:to]}
+	start := int(number) * ChunkSize
+	end := min(start+ChunkSize, len(data))
+	return &v1.Chunk{Number: number, Count: count, Total: uint64(len(data)), Sum: xxhash.Sum64(data), Data: data[start:end]}
 }
 
-// Head is what every chunk of an answer tells of the whole.
-type Head struct {
+// Header is what every chunk of an answer tells of the whole.
+type Header struct {
 	// Total is the length in bytes, Sum the checksum of all of it.
 	Total int
 	Sum   uint64
 }
 
-// NewHead returns the head of an answer that comes in pieces.
-func NewHead(pieces iter.Seq[[]byte]) Head {
-	var h Head
-	sum := xxhash.New()
-	for p := range pieces {
-		_, _ = sum.Write(p)
-		h.Total += len(p)
+// NewHeader returns the head of an answer that comes in pieces.
+func NewHeader(pieces iter.Seq[[]byte]) Header {
+	var h Header
+	hash := xxhash.New()
+	for piece := range pieces {
+		_, _ = hash.Write(piece)
+		h.Total += len(piece)
 	}
-	h.Sum = sum.Sum64()
+	h.Sum = hash.Sum64()
 	return h
 }
 
-// Cut returns one chunk of the answer that the pieces make; nil when there is
+// ChunkAt returns one chunk of the answer that the pieces make; nil when there is
 // none of that number. Only the bytes of the chunk are copied.
-func (h Head) Cut(pieces iter.Seq[[]byte], number uint32) *v1.Chunk {
-	count := Count(h.Total)
+func (h Header) ChunkAt(pieces iter.Seq[[]byte], number uint32) *v1.Chunk {
+	count := ChunkCount(h.Total)
 	if number >= count {
 		return nil
 	}
-	from := int(number) * ChunkSize
-	to := min(from+ChunkSize, h.Total)
-	data := make([]byte, 0, to-from)
-	at := 0
-	for p := range pieces {
-		if at >= to {
+	start := int(number) * ChunkSize
+	end := min(start+ChunkSize, h.Total)
+	data := make([]byte, 0, end-start)
+	offset := 0
+	for piece := range pieces {
+		if offset >= end {
 			break
 		}
-		data = append(data, p[min(len(p), max(0, from-at)):min(len(p), to-at)]...)
-		at += len(p)
+		data = append(data, piece[min(len(piece), max(0, start-offset)):min(len(piece), end-offset)]...)
+		offset += len(piece)
 	}
 	return &v1.Chunk{Number: number, Count: count, Total: uint64(h.Total), Sum: h.Sum, Data: data}
 }
 
 // Split returns all chunks of an answer.
 func Split(data []byte) []*v1.Chunk {
-	out := make([]*v1.Chunk, 0, Count(len(data)))
-	for n := range Count(len(data)) {
-		out = append(out, Cut(data, n))
+	chunks := make([]*v1.Chunk, 0, ChunkCount(len(data)))
+	for n := range ChunkCount(len(data)) {
+		chunks = append(chunks, ChunkAt(data, n))
 	}
-	return out
+	return chunks
 }
 
-// Parts collects the chunks of one answer in any order. The zero value is empty.
-type Parts struct {
-	// Most bounds the whole answer in bytes; MaxTotal when 0.
-	Most uint64
+// Assembler collects the chunks of one answer in any order. The zero value is empty.
+type Assembler struct {
+	// MaxBytes bounds the whole answer in bytes; MaxTotal when 0.
+	MaxBytes uint64
 
-	head *v1.Chunk
-	data map[uint32][]byte
+	first        *v1.Chunk
+	dataByNumber map[uint32][]byte
 }
 
 // Add takes a chunk; one that came before is dropped. It returns ErrMixed for a
 // chunk of another answer: parts of two answers never make one.
-func (p *Parts) Add(c *v1.Chunk) error {
-	most := p.Most
-	if most == 0 {
-		most = MaxTotal
+func (a *Assembler) Add(c *v1.Chunk) error {
+	maxBytes := a.MaxBytes
+	if maxBytes == 0 {
+		maxBytes = MaxTaskAnswer
 	}
-	if c.GetCount() == 0 || uint64(c.GetCount()) > most/minChunk+1 || c.GetNumber() >= c.GetCount() || c.GetTotal() > most {
-		return errors.Wrap(ErrMixed, "numbers out of bounds")
+	if c.GetCount() == 0 || uint64(c.GetCount()) > maxBytes/minMeanChunk+1 || c.GetNumber() >= c.GetCount() || c.GetTotal() > maxBytes {
+		return errors.Wrap(ErrChunkMismatch, "numbers out of bounds")
 	}
-	if p.head == nil {
-		p.head, p.data = c, map[uint32][]byte{}
+	if a.first == nil {
+		a.first, a.dataByNumber = c, map[uint32][]byte{}
 	}
-	h := p.head
-	if c.GetCount() != h.GetCount() || c.GetTotal() != h.GetTotal() || c.GetSum() != h.GetSum() {
-		return ErrMixed
+	first := a.first
+	if c.GetCount() != first.GetCount() || c.GetTotal() != first.GetTotal() || c.GetSum() != first.GetSum() {
+		return ErrChunkMismatch
 	}
-	if _, ok := p.data[c.GetNumber()]; !ok {
-		p.data[c.GetNumber()] = c.GetData()
+	if _, ok := a.dataByNumber[c.GetNumber()]; !ok {
+		a.dataByNumber[c.GetNumber()] = c.GetData()
 	}
 	return nil
 }
 
-// Next returns the number of the first missing chunk; false when none is.
-func (p *Parts) Next() (uint32, bool) {
-	if p.head == nil {
+// NextMissing returns the number of the first missing chunk; false when none is.
+func (a *Assembler) NextMissing() (uint32, bool) {
+	if a.first == nil {
 		return 0, true
 	}
-	for n := range p.head.GetCount() {
-		if _, ok := p.data[n]; !ok {
+	for n := range a.first.GetCount() {
+		if _, ok := a.dataByNumber[n]; !ok {
 			return n, true
 		}
 	}
 	return 0, false
 }
 
-// Whole returns the answer once every chunk is there and length and sum agree;
+// Assemble returns the answer once every chunk is there and length and sum agree;
 // false while chunks are missing, ErrMixed when what came does not add up.
-func (p *Parts) Whole() ([]byte, bool, error) {
-	if p.head == nil || uint32(len(p.data)) < p.head.GetCount() {
+func (a *Assembler) Assemble() ([]byte, bool, error) {
+	if a.first == nil || uint32(len(a.dataByNumber)) < a.first.GetCount() {
 		return nil, false, nil
 	}
-	data := make([]byte, 0, p.head.GetTotal())
-	for n := range p.head.GetCount() {
-		data = append(data, p.data[n]...)
+	data := make([]byte, 0, a.first.GetTotal())
+	for n := range a.first.GetCount() {
+		data = append(data, a.dataByNumber[n]...)
 	}
-	if uint64(len(data)) != p.head.GetTotal() || xxhash.Sum64(data) != p.head.GetSum() {
-		return nil, false, errors.Wrap(ErrMixed, "length or sum differs")
+	if uint64(len(data)) != a.first.GetTotal() || xxhash.Sum64(data) != a.first.GetSum() {
+		return nil, false, errors.Wrap(ErrChunkMismatch, "length or sum differs")
 	}
 	return data, true, nil
 }
--- a/internal/domain/capacity/capacity.go
+++ b/internal/domain/capacity/capacity.go
@@ -42,8 +42,8 @@
 }
 
 // Fits tells whether s needs no more than room in any field.
-func (s Size) Fits(room Size) bool {
-	return s.CPU <= room.CPU && s.Memory <= room.Memory && s.Accel <= room.Accel && s.Slots <= room.Slots
+func (s Size) Fits(free Size) bool {
+	return s.CPU <= free.CPU && s.Memory <= free.Memory && s.Accel <= free.Accel && s.Slots <= free.Slots
 }
 
 // Within tells whether s exceeds no field of limit that is not Unlimited.
@@ -62,18 +62,18 @@
 // IsZero tells whether every field is zero.
 func (s Size) IsZero() bool { return s == Size{} }
 
-// Dominant returns the largest fraction that s takes of total, the share that
+// DominantShare returns the largest fraction that s takes of total, the share that
 // dominant-resource fairness compares. Fields that total lacks do not count.
-func (s Size) Dominant(total Size) float64 {
-	f := fraction(s.CPU, total.CPU)
-	f = math.Max(f, fraction(s.Memory, total.Memory))
-	f = math.Max(f, fraction(s.Accel, total.Accel))
-	return math.Max(f, fraction(s.Slots, total.Slots))
+func (s Size) DominantShare(capacity Size) float64 {
+	share := fraction(s.CPU, capacity.CPU)
+	share = math.Max(share, fraction(s.Memory, capacity.Memory))
+	share = math.Max(share, fraction(s.Accel, capacity.Accel))
+	return math.Max(share, fraction(s.Slots, capacity.Slots))
 }
 
-func fraction(n, total int64) float64 {
-	if total <= 0 {
+func fraction(n, capacity int64) float64 {
+	if capacity <= 0 {
 		return 0
 	}
-	return float64(n) / float64(total)
+	return float64(n) / float64(capacity)
 }
--- a/internal/domain/table/table.go
+++ b/internal/domain/table/table.go
@@ -7,8 +7,8 @@
 	"gypsumreel/internal/domain/team"
 )
 
-// degree is that of the tree of rows; small nodes make a change copy little.
-const degree = 16
+// btreeDegree is that of the tree of rows; small nodes make a change copy little.
+const btreeDegree = 16
 
 // Table is one revision of the table. It is immutable: changes return a new one,
 // which shares all rows that it does not change. The zero value is empty. One
@@ -22,7 +22,7 @@
 
 // Restore returns the table with the given revision and rows.
 func Restore(revision uint64, rows []team.Row) Table {
-	t := Table{revision: revision, rows: btree.NewG(degree, byName)}
+	t := Table{revision: revision, rows: btree.NewG(btreeDegree, byName)}
 	for _, r := range rows {
 		t.rows.ReplaceOrInsert(r)
 	}
@@ -53,27 +53,27 @@
 	if t.rows == nil {
 		return nil
 	}
-	out := make([]team.Row, 0, t.rows.Len())
+	rows := make([]team.Row, 0, t.rows.Len())
 	t.rows.Ascend(func(r team.Row) bool {
-		out = append(out, r)
+		rows = append(rows, r)
 		return true
 	})
-	return out
+	return rows
 }
 
-// With returns the next revision, in which the rows set replace or join those
+// Update returns the next revision, in which the rows set replace or join those
 // of the same name and the rows named in removed are gone.
-func (t Table) With(set []team.Row, removed []string) Table {
+func (t Table) Update(changed []team.Row, removed []string) Table {
 	next := Table{revision: t.revision + 1}
 	if t.rows == nil {
-		next.rows = btree.NewG(degree, byName)
+		next.rows = btree.NewG(btreeDegree, byName)
 	} else {
 		next.rows = t.rows.Clone()
 	}
 	for _, name := range removed {
 		next.rows.Delete(team.Row{Name: name})
 	}
-	for _, r := range set {
+	for _, r := range changed {
 		next.rows.ReplaceOrInsert(r)
 	}
 	return next
--- a/internal/edge/backend/check.go
+++ b/internal/edge/backend/check.go
@@ -67,7 +67,7 @@
 		return code.New(code.TooLarge, "the checkpoint's handle has up to %d bytes", MaxCheckpoint)
 	}
 	for _, c := range r.GetChunks() {
-		if len(c.GetData()) > answer.ChunkSize || c.GetTotal() > answer.MaxTotal || c.GetNumber() >= c.GetCount() {
+		if len(c.GetData()) > answer.ChunkSize || c.GetTotal() > answer.MaxTaskAnswer || c.GetNumber() >= c.GetCount() {
 			return code.New(code.TooLarge, "chunk %d of %d, %d bytes of %d", c.GetNumber(), c.GetCount(), len(c.GetData()), c.GetTotal())
 		}
 	}
--- a/internal/edge/entry/world_test.go
+++ b/internal/edge/entry/world_test.go
@@ -303,7 +303,7 @@
 
 // wait collects the whole answer, each chunk at another entry.
 func (c *client) wait(at int, id string) (*v1.WaitReply, []byte) {
-	var parts answer.Parts
+	var parts answer.Assembler
 	for n := uint32(0); ; {
 		reply := ask(c, at+int(n), func(i int, ctx context.Context, r *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
 			return c.callers[i].Wait(ctx, r)
@@ -316,7 +316,7 @@
 		if err := parts.Add(reply.GetChunk()); err != nil {
 			return reply, []byte(err.Error())
 		}
-		whole, ok, err := parts.Whole()
+		whole, ok, err := parts.Assemble()
 		if err != nil {
 			return reply, []byte(err.Error())
 		}
