--- a/internal/client/caller/caller.go
+++ b/internal/client/caller/caller.go
@@ -72,26 +72,26 @@
 // Only a try before which nothing can have reached the leader may claim to be
 // fresh: after one without an answer the cell may hold the job already, and an
 // entry that can't reach the leader would answer "not run" for a job that runs.
-func (c *Client) Submit(ctx context.Context, jobs []*v1.Spec, fresh bool) ([]*v1.Accepted, error) {
-	out := make([]*v1.Accepted, len(jobs))
-	open := make([]int, len(jobs))
+func (c *Client) Submit(ctx context.Context, jobs []*v1.Spec, firstAttempt bool) ([]*v1.Accepted, error) {
+	replies := make([]*v1.Accepted, len(jobs))
+	pending := make([]int, len(jobs))
 	for i := range jobs {
-		open[i] = i
+		pending[i] = i
 	}
-	pause, persist := link.NewBackoff(), time.Now().Add(c.unreachableRetry())
+	retryBackoff, unreachableDeadline := link.NewBackoff(), time.Now().Add(c.unreachableRetry())
 	for {
-		req := newSubmitRequest(jobs, open, fresh)
-		retry, err := c.attempt(ctx, req, open, out)
+		req := newSubmitRequest(jobs, pending, firstAttempt)
+		retryAfter, err := c.attempt(ctx, req, pending, replies)
 		if err != nil && !link.IsRetryable(link.AsCodeError(err).Code) {
 			return nil, err
 		}
-		fresh = fresh && err == nil && allUnreachable(out)
-		open = jobsToRetry(out, time.Now().Before(persist))
-		if len(open) == 0 {
-			return out, nil
+		firstAttempt = firstAttempt && err == nil && allNeverSent(replies)
+		pending = jobsToRetry(replies, time.Now().Before(unreachableDeadline))
+		if len(pending) == 0 {
+			return replies, nil
 		}
-		if !link.Sleep(ctx, max(retry, pause.NextBackOff())) {
-			return markUnanswered(jobs, out, err), nil
+		if !link.Sleep(ctx, max(retryAfter, retryBackoff.NextBackOff())) {
+			return markUnanswered(jobs, replies, err), nil
 		}
 	}
 }
@@ -103,155 +103,155 @@
 	return DefaultUnreachableRetry
 }
 
-// allUnreachable tells whether every answer says that the request never left the
+// allNeverSent tells whether every answer says that the request never left the
 // entry. The next try may then claim to be the first as well, so that a refusal
 // which comes at last still says for sure that nothing ran.
-func allUnreachable(out []*v1.Accepted) bool {
-	for _, a := range out {
-		if !neverSent(a) {
+func allNeverSent(replies []*v1.Accepted) bool {
+	for _, reply := range replies {
+		if !neverSent(reply) {
 			return false
 		}
 	}
 	return true
 }
 
-func neverSent(a *v1.Accepted) bool {
-	return a.GetStatus().GetCode() == uint32(code.Unreachable) && a.GetOutcome() == v1.Outcome_OUTCOME_NOT_RUN
+func neverSent(reply *v1.Accepted) bool {
+	return reply.GetStatus().GetCode() == uint32(code.Unreachable) && reply.GetOutcome() == v1.Outcome_OUTCOME_NOT_RUN
 }
 
-func newSubmitRequest(jobs []*v1.Spec, open []int, first bool) *v1.SubmitRequest {
-	req := &v1.SubmitRequest{First: first}
-	for _, i := range open {
+func newSubmitRequest(jobs []*v1.Spec, pending []int, firstAttempt bool) *v1.SubmitRequest {
+	req := &v1.SubmitRequest{First: firstAttempt}
+	for _, i := range pending {
 		req.Jobs = append(req.Jobs, jobs[i])
 	}
 	return req
 }
 
 // attempt fills in what one call answered and returns how long the cell asks to wait.
-func (c *Client) attempt(ctx context.Context, req *v1.SubmitRequest, open []int, out []*v1.Accepted) (time.Duration, error) {
-	res, err := link.TryOnce(ctx, c.Link, submitMethod, req)
+func (c *Client) attempt(ctx context.Context, req *v1.SubmitRequest, pending []int, replies []*v1.Accepted) (time.Duration, error) {
+	submitReply, err := link.TryOnce(ctx, c.Link, submitMethod, req)
 	if err != nil {
 		return 0, err
 	}
-	if len(res.GetJobs()) != len(open) {
-		return 0, code.New(code.Unanswered, "%d answers for %d jobs", len(res.GetJobs()), len(open))
+	if len(submitReply.GetJobs()) != len(pending) {
+		return 0, code.New(code.Unanswered, "%d answers for %d jobs", len(submitReply.GetJobs()), len(pending))
 	}
-	var retry time.Duration
-	for i, a := range res.GetJobs() {
-		out[open[i]] = a
-		retry = max(retry, time.Duration(a.GetStatus().GetRetry())*time.Millisecond)
+	var retryAfter time.Duration
+	for i, reply := range submitReply.GetJobs() {
+		replies[pending[i]] = reply
+		retryAfter = max(retryAfter, time.Duration(reply.GetStatus().GetRetry())*time.Millisecond)
 	}
-	if len(jobsToRetry(out, true)) > 0 {
+	if len(jobsToRetry(replies, true)) > 0 {
 		c.Link.NextEntry()
 	}
-	return retry, nil
+	return retryAfter, nil
 }
 
 // jobsToRetry returns the places of the jobs to submit again.
-func jobsToRetry(out []*v1.Accepted, persist bool) []int {
-	var open []int
-	for i, a := range out {
-		if a == nil || link.IsRetryable(code.Code(a.GetStatus().GetCode())) || persist && neverSent(a) {
-			open = append(open, i)
+func jobsToRetry(replies []*v1.Accepted, retryNeverSent bool) []int {
+	var pending []int
+	for i, reply := range replies {
+		if reply == nil || link.IsRetryable(code.Code(reply.GetStatus().GetCode())) || retryNeverSent && neverSent(reply) {
+			pending = append(pending, i)
 		}
 	}
-	return open
+	return pending
 }
 
 // markUnanswered marks as unanswered what is still open when the time is over.
-func markUnanswered(jobs []*v1.Spec, out []*v1.Accepted, err error) []*v1.Accepted {
+func markUnanswered(jobs []*v1.Spec, replies []*v1.Accepted, err error) []*v1.Accepted {
 	text := "no answer in the time given"
 	if err != nil {
 		text = err.Error()
 	}
-	for i, a := range out {
-		if a == nil {
-			out[i] = &v1.Accepted{Id: jobs[i].GetId(), Status: &v1.Status{Code: uint32(code.Unanswered), Text: text}}
+	for i, reply := range replies {
+		if reply == nil {
+			replies[i] = &v1.Accepted{Id: jobs[i].GetId(), Status: &v1.Status{Code: uint32(code.Unanswered), Text: text}}
 		}
 	}
-	return out
+	return replies
 }
 
 // Wait returns the outcome of a job with its whole answer. When ctx ends first
 // the result is not final and tells where the job stands.
 func (c *Client) Wait(ctx context.Context, id string) (Result, error) {
-	a := answer.Assembler{MaxBytes: answer.MaxJobAnswer}
-	last := Result{ID: id}
+	assembler := answer.Assembler{MaxBytes: answer.MaxJobAnswer}
+	result := Result{ID: id}
 	for {
-		number, more := a.NextMissing()
-		if !more {
-			data, _, err := a.Assemble()
+		chunkNumber, missing := assembler.NextMissing()
+		if !missing {
+			data, _, err := assembler.Assemble()
 			if err != nil {
-				return last, code.New(code.Internal, "%s: %v", id, err)
+				return result, code.New(code.Internal, "%s: %v", id, err)
 			}
-			last.Data = data
-			return last, nil
+			result.Data = data
+			return result, nil
 		}
-		r, err := c.poll(ctx, id, number)
+		reply, err := c.poll(ctx, id, chunkNumber)
 		switch {
-		case err != nil && ctx.Err() != nil && last.Outcome == v1.Outcome_OUTCOME_DONE:
+		case err != nil && ctx.Err() != nil && result.Outcome == v1.Outcome_OUTCOME_DONE:
 			// The time ran out between two chunks: a result without an error
 			// would pass for a whole answer that is empty.
-			return last, code.New(code.Unanswered, "the answer of %s did not come whole in time", id)
+			return result, code.New(code.Unanswered, "the answer of %s did not come whole in time", id)
 		case err != nil && ctx.Err() != nil:
-			return last, nil
+			return result, nil
 		case err != nil:
-			return last, err
+			return result, err
 		}
-		last = Result{ID: id, Outcome: r.GetOutcome(), Code: code.Code(r.GetStatus().GetCode()), Text: link.StatusError(r.GetStatus()).Detail}
+		result = Result{ID: id, Outcome: reply.GetOutcome(), Code: code.Code(reply.GetStatus().GetCode()), Text: link.StatusError(reply.GetStatus()).Detail}
 		switch {
-		case r.GetOutcome() == v1.Outcome_OUTCOME_DONE:
-			if err := a.Add(r.GetChunk()); err != nil {
-				return last, code.New(code.Internal, "%s: %v", id, err)
+		case reply.GetOutcome() == v1.Outcome_OUTCOME_DONE:
+			if err := assembler.Add(reply.GetChunk()); err != nil {
+				return result, code.New(code.Internal, "%s: %v", id, err)
 			}
-		case IsFinal(r.GetOutcome()):
-			return last, nil
-		case last.Code != code.OK:
-			return last, link.StatusError(r.GetStatus())
+		case IsFinal(reply.GetOutcome()):
+			return result, nil
+		case result.Code != code.OK:
+			return result, link.StatusError(reply.GetStatus())
 		case ctx.Err() != nil:
-			return last, nil
+			return result, nil
 		}
 	}
 }
 
-func (c *Client) poll(ctx context.Context, id string, number uint32) (*v1.WaitReply, error) {
-	patience := c.MaxPollWait
-	if patience <= 0 {
-		patience = DefaultMaxPollWait
+func (c *Client) poll(ctx context.Context, id string, chunkNumber uint32) (*v1.WaitReply, error) {
+	pollWait := c.MaxPollWait
+	if pollWait <= 0 {
+		pollWait = DefaultMaxPollWait
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		patience = min(patience, max(time.Until(deadline)/2, time.Millisecond))
+		pollWait = min(pollWait, max(time.Until(deadline)/2, time.Millisecond))
 	}
-	req := &v1.WaitRequest{Id: id, Chunk: number, Patience: uint64(patience.Milliseconds())}
+	req := &v1.WaitRequest{Id: id, Chunk: chunkNumber, Patience: uint64(pollWait.Milliseconds())}
 	return link.Call(ctx, c.Link, waitMethod, req, (*v1.WaitReply).GetStatus)
 }
 
 // Cancel cancels the jobs named, or those that carry all of the labels, and
 // returns how many it reached.
 func (c *Client) Cancel(ctx context.Context, ids []string, labels map[string]string) (uint32, error) {
-	r, err := link.Call(ctx, c.Link, cancelMethod, &v1.CancelRequest{Ids: ids, Labels: labels}, (*v1.CancelReply).GetStatus)
+	reply, err := link.Call(ctx, c.Link, cancelMethod, &v1.CancelRequest{Ids: ids, Labels: labels}, (*v1.CancelReply).GetStatus)
 	if err != nil {
 		return 0, err
 	}
-	return r.GetCount(), statusError(r.GetStatus())
+	return reply.GetCount(), statusError(reply.GetStatus())
 }
 
 // List returns a page of the team's jobs in the order of their ids.
 func (c *Client) List(ctx context.Context, req *v1.ListRequest) ([]*v1.Summary, error) {
-	r, err := link.Call(ctx, c.Link, listMethod, req, (*v1.ListReply).GetStatus)
+	reply, err := link.Call(ctx, c.Link, listMethod, req, (*v1.ListReply).GetStatus)
 	if err != nil {
 		return nil, err
 	}
-	return r.GetJobs(), statusError(r.GetStatus())
+	return reply.GetJobs(), statusError(reply.GetStatus())
 }
 
 // Acknowledge lets the cell forget the outcomes of the jobs named.
 func (c *Client) Acknowledge(ctx context.Context, ids []string) error {
-	r, err := link.Call(ctx, c.Link, acknowledgeMethod, &v1.AcknowledgeRequest{Ids: ids}, (*v1.AcknowledgeReply).GetStatus)
+	reply, err := link.Call(ctx, c.Link, acknowledgeMethod, &v1.AcknowledgeRequest{Ids: ids}, (*v1.AcknowledgeReply).GetStatus)
 	if err != nil {
 		return err
 	}
-	return statusError(r.GetStatus())
+	return statusError(reply.GetStatus())
 }
 
 func statusError(s *v1.Status) error {
--- a/internal/client/caller/caller_test.go
+++ b/internal/client/caller/caller_test.go
@@ -20,49 +20,49 @@
 	"gypsumreel/internal/client/link"
 )
 
-// entry is a stand-in that answers each Submit and Wait by the next step of a script.
-type entry struct {
+// scriptedEntry is a stand-in that answers each Submit and Wait by the next step of a script.
+type scriptedEntry struct {
 	v1.UnimplementedCallerHandler
-	mu     sync.Mutex
-	ids    [][]string
-	keys   []string
-	first  []bool
-	chunks []uint32
-	submit []func(*v1.SubmitRequest) (*v1.SubmitReply, error)
-	wait   []func(*v1.WaitRequest) (*v1.WaitReply, error)
+	mu              sync.Mutex
+	submittedIDs    [][]string
+	authorizations  []string
+	firstFlags      []bool
+	requestedChunks []uint32
+	submitSteps     []func(*v1.SubmitRequest) (*v1.SubmitReply, error)
+	waitSteps       []func(*v1.WaitRequest) (*v1.WaitReply, error)
 }
 
-func (e *entry) Submit(_ context.Context, r *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitReply], error) {
+func (e *scriptedEntry) Submit(_ context.Context, r *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitReply], error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var ids []string
 	for _, j := range r.Msg.GetJobs() {
 		ids = append(ids, j.GetId())
 	}
-	e.ids, e.keys = append(e.ids, ids), append(e.keys, r.Header().Get("Authorization"))
-	e.first = append(e.first, r.Msg.GetFirst())
-	step := e.submit[0]
-	e.submit = e.submit[1:]
-	return answer(step(r.Msg))
+	e.submittedIDs, e.authorizations = append(e.submittedIDs, ids), append(e.authorizations, r.Header().Get("Authorization"))
+	e.firstFlags = append(e.firstFlags, r.Msg.GetFirst())
+	step := e.submitSteps[0]
+	e.submitSteps = e.submitSteps[1:]
+	return newResponse(step(r.Msg))
 }
 
-func (e *entry) Wait(_ context.Context, r *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
+func (e *scriptedEntry) Wait(_ context.Context, r *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.chunks = append(e.chunks, r.Msg.GetChunk())
-	step := e.wait[0]
-	e.wait = e.wait[1:]
-	return answer(step(r.Msg))
+	e.requestedChunks = append(e.requestedChunks, r.Msg.GetChunk())
+	step := e.waitSteps[0]
+	e.waitSteps = e.waitSteps[1:]
+	return newResponse(step(r.Msg))
 }
 
-func answer[T any](m *T, err error) (*connect.Response[T], error) {
+func newResponse[T any](m *T, err error) (*connect.Response[T], error) {
 	if err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(m), nil
 }
 
-func serve(t *testing.T, h v1.CallerHandler) string {
+func startServer(t *testing.T, h v1.CallerHandler) string {
 	mux := http.NewServeMux()
 	mux.Handle(v1.NewCallerHandler(h))
 	s := httptest.NewServer(mux)
@@ -70,34 +70,34 @@
 	return s.URL
 }
 
-func client(addresses ...string) *caller.Client {
+func newClient(addresses ...string) *caller.Client {
 	return &caller.Client{Link: &link.Link{Addresses: addresses, Key: "id.secret", Timeout: 5 * time.Second}}
 }
 
-func status(c code.Code) *v1.Status { return &v1.Status{Code: uint32(c)} }
+func newStatus(c code.Code) *v1.Status { return &v1.Status{Code: uint32(c)} }
 
-func accept(codes ...code.Code) func(*v1.SubmitRequest) (*v1.SubmitReply, error) {
+func replyWithCodes(codes ...code.Code) func(*v1.SubmitRequest) (*v1.SubmitReply, error) {
 	return func(r *v1.SubmitRequest) (*v1.SubmitReply, error) {
-		out := &v1.SubmitReply{}
+		reply := &v1.SubmitReply{}
 		for i, j := range r.GetJobs() {
-			out.Jobs = append(out.Jobs, &v1.Accepted{Id: j.GetId(), Status: status(codes[i])})
+			reply.Jobs = append(reply.Jobs, &v1.Accepted{Id: j.GetId(), Status: newStatus(codes[i])})
 		}
-		return out, nil
+		return reply, nil
 	}
 }
 
 // The first entry goes away while it holds a submission, and the leader answers
 // for one of two jobs only. A caller must see both accepted once: every try
 // bears the same ids and the same key, and what was answered is not asked again.
-func TestSubmitAsksAgainWithTheSameIDs(t *testing.T) {
-	lost := &entry{submit: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){
+func TestSubmitRetriesWithSameIDs(t *testing.T) {
+	unreliable := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){
 		func(*v1.SubmitRequest) (*v1.SubmitReply, error) {
 			return nil, connect.NewError(connect.CodeUnavailable, errors.New("gone"))
 		},
-		accept(code.OK),
+		replyWithCodes(code.OK),
 	}}
-	other := &entry{submit: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){accept(code.OK, code.Unanswered)}}
-	got, err := client(serve(t, lost), serve(t, other)).Submit(t.Context(), []*v1.Spec{{Id: "a"}, {Id: "b"}}, true)
+	other := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyWithCodes(code.OK, code.Unanswered)}}
+	got, err := newClient(startServer(t, unreliable), startServer(t, other)).Submit(t.Context(), []*v1.Spec{{Id: "a"}, {Id: "b"}}, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,89 +106,89 @@
 			t.Errorf("answer %d is %v", i, got[i])
 		}
 	}
-	if diff := cmp.Diff([][]string{{"a", "b"}, {"b"}}, lost.ids); diff != "" {
+	if diff := cmp.Diff([][]string{{"a", "b"}, {"b"}}, unreliable.submittedIDs); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([][]string{{"a", "b"}}, other.ids); diff != "" {
+	if diff := cmp.Diff([][]string{{"a", "b"}}, other.submittedIDs); diff != "" {
 		t.Error(diff)
 	}
-	if got := slices.Concat(lost.first, other.first); !slices.Equal(got, []bool{true, false, false}) {
+	if got := slices.Concat(unreliable.firstFlags, other.firstFlags); !slices.Equal(got, []bool{true, false, false}) {
 		t.Errorf("claimed to be the first: %v", got)
 	}
-	if want := []string{"Bearer id.secret", "Bearer id.secret"}; !slices.Equal(lost.keys, want) {
-		t.Errorf("keys %q", lost.keys)
+	if want := []string{"Bearer id.secret", "Bearer id.secret"}; !slices.Equal(unreliable.authorizations, want) {
+		t.Errorf("keys %q", unreliable.authorizations)
 	}
 }
 
-func TestFinalRefusalIsNotAskedAgain(t *testing.T) {
-	e := &entry{submit: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){accept(code.QueueFull)}}
-	got, err := client(serve(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true)
+func TestFinalRefusalIsNotRetried(t *testing.T) {
+	e := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyWithCodes(code.QueueFull)}}
+	got, err := newClient(startServer(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true)
 	if err != nil || got[0].GetStatus().GetCode() != uint32(code.QueueFull) {
 		t.Errorf("got %v, %v", got, err)
 	}
-	e = &entry{submit: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){
+	e = &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){
 		func(*v1.SubmitRequest) (*v1.SubmitReply, error) {
 			return nil, connect.NewError(connect.CodeUnauthenticated, errors.New("no"))
 		},
 	}}
-	if _, err := client(serve(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); link.AsCodeError(err).Code != code.BadKey {
+	if _, err := newClient(startServer(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); link.AsCodeError(err).Code != code.BadKey {
 		t.Errorf("got %v", err)
 	}
 }
 
-func notRun(*v1.SubmitRequest) (*v1.SubmitReply, error) {
-	return &v1.SubmitReply{Jobs: []*v1.Accepted{{Id: "a", Status: status(code.Unreachable), Outcome: v1.Outcome_OUTCOME_NOT_RUN}}}, nil
+func replyNotRun(*v1.SubmitRequest) (*v1.SubmitReply, error) {
+	return &v1.SubmitReply{Jobs: []*v1.Accepted{{Id: "a", Status: newStatus(code.Unreachable), Outcome: v1.Outcome_OUTCOME_NOT_RUN}}}, nil
 }
 
 // The leader has just died. The entries say for about a second that they can't
 // hand the job over; a caller should see a short wait and no refusal. Nothing
 // has left the entries, so each try may still claim to be the first.
-func TestElectionIsNoRefusal(t *testing.T) {
-	e := &entry{submit: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){notRun, notRun, accept(code.OK)}}
-	got, err := client(serve(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true)
+func TestSubmitRetriesDuringElection(t *testing.T) {
+	e := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyNotRun, replyNotRun, replyWithCodes(code.OK)}}
+	got, err := newClient(startServer(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true)
 	if err != nil || got[0].GetStatus().GetCode() != 0 {
 		t.Errorf("got %v, %v", got, err)
 	}
-	if !slices.Equal(e.first, []bool{true, true, true}) {
-		t.Errorf("claimed to be the first: %v", e.first)
+	if !slices.Equal(e.firstFlags, []bool{true, true, true}) {
+		t.Errorf("claimed to be the first: %v", e.firstFlags)
 	}
 }
 
 // One try goes without an answer, then the leader is away for good. The first
 // try may have been accepted, so that no later one may claim to be the first,
 // and what an entry says of itself is not taken for the whole truth.
-func TestRefusalAfterALostAnswerIsNotTheFirst(t *testing.T) {
-	e := &entry{submit: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){accept(code.Unanswered), accept(code.Unanswered), accept(code.QueueFull)}}
-	if _, err := client(serve(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); err != nil {
+func TestNoRetryClaimsFirstAfterLostAnswer(t *testing.T) {
+	e := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyWithCodes(code.Unanswered), replyWithCodes(code.Unanswered), replyWithCodes(code.QueueFull)}}
+	if _, err := newClient(startServer(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); err != nil {
 		t.Error(err)
 	}
-	if !slices.Equal(e.first, []bool{true, false, false}) {
-		t.Errorf("claimed to be the first: %v", e.first)
+	if !slices.Equal(e.firstFlags, []bool{true, false, false}) {
+		t.Errorf("claimed to be the first: %v", e.firstFlags)
 	}
 }
 
-func TestPersistenceEnds(t *testing.T) {
-	e := &entry{submit: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){notRun, notRun}}
-	c := client(serve(t, e))
+func TestUnreachableRetryEnds(t *testing.T) {
+	e := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyNotRun, replyNotRun}}
+	c := newClient(startServer(t, e))
 	c.UnreachableRetry = time.Nanosecond
 	got, err := c.Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true)
-	if err != nil || got[0].GetOutcome() != v1.Outcome_OUTCOME_NOT_RUN || len(e.first) != 1 {
-		t.Errorf("got %v, %v after %d tries", got, err, len(e.first))
+	if err != nil || got[0].GetOutcome() != v1.Outcome_OUTCOME_NOT_RUN || len(e.firstFlags) != 1 {
+		t.Errorf("got %v, %v after %d tries", got, err, len(e.firstFlags))
 	}
 }
 
 // No entry answers before the caller's time is over. The job may run, so the
 // answer is "unanswered" and never an outcome.
-func TestSubmitWithoutAnswerIsNoOutcome(t *testing.T) {
+func TestSubmitTimeoutReportsNoOutcome(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	got, err := client("http://127.0.0.1:1").Submit(ctx, []*v1.Spec{{Id: "a"}}, true)
+	got, err := newClient("http://127.0.0.1:1").Submit(ctx, []*v1.Spec{{Id: "a"}}, true)
 	if err != nil || got[0].GetStatus().GetCode() != uint32(code.Unanswered) || got[0].GetOutcome() != v1.Outcome_OUTCOME_UNSPECIFIED {
 		t.Errorf("got %v, %v", got, err)
 	}
 }
 
-func chunk(whole string, number, count uint32, data string) func(*v1.WaitRequest) (*v1.WaitReply, error) {
+func replyWithChunk(whole string, number, count uint32, data string) func(*v1.WaitRequest) (*v1.WaitReply, error) {
 	c := &v1.Chunk{Number: number, Count: count, Total: uint64(len(whole)), Sum: xxhash.Sum64String(whole), Data: []byte(data)}
 	return func(r *v1.WaitRequest) (*v1.WaitReply, error) {
 		return &v1.WaitReply{Id: r.GetId(), Outcome: v1.Outcome_OUTCOME_DONE, Chunk: c}, nil
@@ -197,18 +197,20 @@
 
 // Chunks come late, twice and out of order. The caller gets the whole answer in
 // its right order, and asks only for what is missing.
-func TestWaitPutsChunksInOrder(t *testing.T) {
-	e := &entry{wait: []func(*v1.WaitRequest) (*v1.WaitReply, error){
+func TestWaitReordersChunks(t *testing.T) {
+	e := &scriptedEntry{waitSteps: []func(*v1.WaitRequest) (*v1.WaitReply, error){
 		func(*v1.WaitRequest) (*v1.WaitReply, error) {
 			return &v1.WaitReply{Outcome: v1.Outcome_OUTCOME_RUNNING}, nil
 		},
-		func(*v1.WaitRequest) (*v1.WaitReply, error) { return &v1.WaitReply{Status: status(code.NoLeader)}, nil },
-		chunk("abcdef", 2, 3, "ef"),
-		chunk("abcdef", 0, 3, "ab"),
-		chunk("abcdef", 0, 3, "ab"),
-		chunk("abcdef", 1, 3, "cd"),
+		func(*v1.WaitRequest) (*v1.WaitReply, error) {
+			return &v1.WaitReply{Status: newStatus(code.NoLeader)}, nil
+		},
+		replyWithChunk("abcdef", 2, 3, "ef"),
+		replyWithChunk("abcdef", 0, 3, "ab"),
+		replyWithChunk("abcdef", 0, 3, "ab"),
+		replyWithChunk("abcdef", 1, 3, "cd"),
 	}}
-	got, err := client(serve(t, e)).Wait(t.Context(), "a")
+	got, err := newClient(startServer(t, e)).Wait(t.Context(), "a")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,38 +218,38 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]uint32{0, 0, 0, 0, 1, 1}, e.chunks); diff != "" {
+	if diff := cmp.Diff([]uint32{0, 0, 0, 0, 1, 1}, e.requestedChunks); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // A caller's time runs out after the first of two chunks. The job is done, and a
 // result without an error would be taken for its whole answer, which is empty.
-func TestTimeRunningOutBetweenChunksIsNoAnswer(t *testing.T) {
+func TestTimeoutBetweenChunksReturnsNoAnswer(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	e := &entry{wait: []func(*v1.WaitRequest) (*v1.WaitReply, error){
-		chunk("abcd", 0, 2, "ab"),
+	e := &scriptedEntry{waitSteps: []func(*v1.WaitRequest) (*v1.WaitReply, error){
+		replyWithChunk("abcd", 0, 2, "ab"),
 		func(*v1.WaitRequest) (*v1.WaitReply, error) {
 			cancel()
 			return nil, connect.NewError(connect.CodeUnavailable, nil)
 		},
 	}}
-	got, err := client(serve(t, e)).Wait(ctx, "a")
+	got, err := newClient(startServer(t, e)).Wait(ctx, "a")
 	if err == nil || got.Data != nil {
 		t.Errorf("got %v %q, %v", got.Outcome, got.Data, err)
 	}
 }
 
-func TestDamagedAnswerIsNoAnswer(t *testing.T) {
+func TestDamagedAnswerIsRejected(t *testing.T) {
 	for name, steps := range map[string][]func(*v1.WaitRequest) (*v1.WaitReply, error){
-		"changed":        {chunk("abcd", 0, 1, "abcx")},
-		"cut":            {chunk("abcd", 0, 1, "abc")},
-		"mixed":          {chunk("abcd", 0, 2, "ab"), chunk("wxyz", 1, 2, "yz")},
-		"out of bounds":  {chunk("abcd", 2, 2, "ab")},
-		"without chunks": {chunk("", 0, 0, "")},
+		"changed":        {replyWithChunk("abcd", 0, 1, "abcx")},
+		"cut":            {replyWithChunk("abcd", 0, 1, "abc")},
+		"mixed":          {replyWithChunk("abcd", 0, 2, "ab"), replyWithChunk("wxyz", 1, 2, "yz")},
+		"out of bounds":  {replyWithChunk("abcd", 2, 2, "ab")},
+		"without chunks": {replyWithChunk("", 0, 0, "")},
 	} {
-		e := &entry{wait: steps}
-		if got, err := client(serve(t, e)).Wait(t.Context(), "a"); err == nil || got.Data != nil {
+		e := &scriptedEntry{waitSteps: steps}
+		if got, err := newClient(startServer(t, e)).Wait(t.Context(), "a"); err == nil || got.Data != nil {
 			t.Errorf("%s: got %q, %v", name, got.Data, err)
 		}
 	}
--- a/internal/client/link/link.go
+++ b/internal/client/link/link.go
@@ -65,52 +65,52 @@
 
 // TryOnce makes one call to the entry whose turn it is. When the entry doesn't
 // answer, the next call goes to the next entry and over a new connection.
-func TryOnce[Req, Res any](ctx context.Context, l *Link, m Method[Req, Res], msg *Req) (*Res, error) {
-	client, base, turn := l.currentEntry()
+func TryOnce[Req, Res any](ctx context.Context, l *Link, method Method[Req, Res], msg *Req) (*Res, error) {
+	client, base, entryIndex := l.currentEntry()
 	ctx, cancel := context.WithTimeout(ctx, l.timeout())
 	defer cancel()
 	req := connect.NewRequest(msg)
 	if l.Key != "" {
 		req.Header().Set("Authorization", "Bearer "+l.Key)
 	}
-	res, err := m(client, base, connect.WithReadMaxBytes(maxReplyBytes))(ctx, req)
+	res, err := method(client, base, connect.WithReadMaxBytes(maxReplyBytes))(ctx, req)
 	if err == nil {
 		return res.Msg, nil
 	}
-	refusal := classify(err)
-	if IsRetryable(refusal.Code) {
-		l.replaceConnections(turn)
+	codeErr := classify(err)
+	if IsRetryable(codeErr.Code) {
+		l.replaceConnections(entryIndex)
 	}
-	return nil, refusal
+	return nil, codeErr
 }
 
 // Call makes a call until an entry answers with something that asking again
 // would not change, or ctx ends. Status picks the reply's status.
-func Call[Req, Res any](ctx context.Context, l *Link, m Method[Req, Res], msg *Req, status func(*Res) *v1.Status) (*Res, error) {
-	pause := NewBackoff()
-	var cause error
+func Call[Req, Res any](ctx context.Context, l *Link, method Method[Req, Res], msg *Req, status func(*Res) *v1.Status) (*Res, error) {
+	retryBackoff := NewBackoff()
+	var lastErr error
 	for {
-		res, err := TryOnce(ctx, l, m, msg)
-		if err != nil && ctx.Err() != nil && cause != nil {
+		res, err := TryOnce(ctx, l, method, msg)
+		if err != nil && ctx.Err() != nil && lastErr != nil {
 			// The time ran out in the middle of a try: that says nothing, and
 			// would hide why the tries before it failed.
-			return nil, cause
+			return nil, lastErr
 		}
-		var retry time.Duration
+		var retryAfter time.Duration
 		if err == nil {
 			s := status(res)
 			if !IsRetryable(code.Code(s.GetCode())) {
 				return res, nil
 			}
-			retry = time.Duration(s.GetRetry()) * time.Millisecond
+			retryAfter = time.Duration(s.GetRetry()) * time.Millisecond
 			err = StatusError(s)
 			l.NextEntry()
 		}
-		if refusal := AsCodeError(err); !IsRetryable(refusal.Code) {
+		if codeErr := AsCodeError(err); !IsRetryable(codeErr.Code) {
 			return nil, err
 		}
-		cause = err
-		if !Sleep(ctx, max(retry, pause.NextBackOff())) {
+		lastErr = err
+		if !Sleep(ctx, max(retryAfter, retryBackoff.NextBackOff())) {
 			return nil, err
 		}
 	}
@@ -139,7 +139,7 @@
 	return DefaultTimeout
 }
 
-func (l *Link) currentEntry() (client *http.Client, base string, turn int) {
+func (l *Link) currentEntry() (client *http.Client, base string, entryIndex int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.httpClient == nil {
@@ -153,10 +153,10 @@
 // call without an answer the pool is left behind whole; calls still using it
 // end as they would have. Only the first of several calls that failed in one
 // turn does so.
-func (l *Link) replaceConnections(turn int) {
+func (l *Link) replaceConnections(entryIndex int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.entryIndex != turn {
+	if l.entryIndex != entryIndex {
 		return
 	}
 	l.entryIndex++
@@ -214,9 +214,9 @@
 
 // AsCodeError returns err as a result code; what is no code counts as unanswered.
 func AsCodeError(err error) *code.Error {
-	var known *code.Error
-	if errors.As(err, &known) {
-		return known
+	var codeErr *code.Error
+	if errors.As(err, &codeErr) {
+		return codeErr
 	}
 	return code.New(code.Unanswered, "%v", err)
 }
@@ -233,19 +233,19 @@
 // classify turns an error of the transport into a result code. What the entry
 // itself refuses before it looks at the request has a code of connect's.
 func classify(err error) *code.Error {
-	var ce *connect.Error
-	if !errors.As(err, &ce) {
+	var connectErr *connect.Error
+	if !errors.As(err, &connectErr) {
 		return code.New(code.Unanswered, "%v", err)
 	}
-	for _, d := range ce.Details() {
+	for _, d := range connectErr.Details() {
 		if v, derr := d.Value(); derr == nil {
 			if s, ok := v.(*v1.Status); ok {
 				return StatusError(s)
 			}
 		}
 	}
-	text := strings.TrimSpace(ce.Message())
-	switch ce.Code() {
+	text := strings.TrimSpace(connectErr.Message())
+	switch connectErr.Code() {
 	case connect.CodeInvalidArgument:
 		return code.New(code.Malformed, "%s", text)
 	case connect.CodeUnauthenticated:
--- a/internal/client/link/link_test.go
+++ b/internal/client/link/link_test.go
@@ -16,61 +16,61 @@
 	"gypsumreel/internal/client/link"
 )
 
-type entry struct {
+type fakeEntry struct {
 	v1.UnimplementedCallerHandler
-	stuck atomic.Bool
-	hold  chan struct{}
-	conns atomic.Int32
+	unresponsive atomic.Bool
+	unblock      chan struct{}
+	connCount    atomic.Int32
 }
 
-func (e *entry) List(_ context.Context, _ *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListReply], error) {
-	if e.stuck.Load() {
-		<-e.hold
+func (e *fakeEntry) List(_ context.Context, _ *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListReply], error) {
+	if e.unresponsive.Load() {
+		<-e.unblock
 	}
 	return connect.NewResponse(&v1.ListReply{Status: &v1.Status{}}), nil
 }
 
-func list(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListReply], error) {
+func listMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListReply], error) {
 	return v1.NewCallerClient(c, base, opts...).List
 }
 
 // Something between client and entry loses track of an open connection: requests
 // on it get no answer, while a new one would work. The pool must not hand the
 // dead connection out again, else every call times out for good.
-func TestSilentConnectionIsLeftBehind(t *testing.T) {
-	e := &entry{hold: make(chan struct{})}
+func TestSilentConnectionIsReplaced(t *testing.T) {
+	e := &fakeEntry{unblock: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.Handle(v1.NewCallerHandler(e))
 	s := httptest.NewUnstartedServer(mux)
 	s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
-			e.conns.Add(1)
+			e.connCount.Add(1)
 			// Only what was open before stays stuck.
-			e.stuck.Store(false)
+			e.unresponsive.Store(false)
 		}
 	}
 	// Over HTTP/2 a request that times out leaves its connection open and in use.
 	s.EnableHTTP2 = true
 	s.StartTLS()
 	t.Cleanup(s.Close)
-	t.Cleanup(func() { close(e.hold) })
+	t.Cleanup(func() { close(e.unblock) })
 
-	secure := s.Client().Transport.(*http.Transport).TLSClientConfig
-	l := &link.Link{Addresses: []string{s.URL}, TLS: secure, Timeout: 300 * time.Millisecond}
+	tlsConfig := s.Client().Transport.(*http.Transport).TLSClientConfig
+	l := &link.Link{Addresses: []string{s.URL}, TLS: tlsConfig, Timeout: 300 * time.Millisecond}
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	ask := func() error {
-		_, err := link.Call(ctx, l, list, &v1.ListRequest{}, (*v1.ListReply).GetStatus)
+	callList := func() error {
+		_, err := link.Call(ctx, l, listMethod, &v1.ListRequest{}, (*v1.ListReply).GetStatus)
 		return err
 	}
-	if err := ask(); err != nil {
+	if err := callList(); err != nil {
 		t.Fatal(err)
 	}
-	e.stuck.Store(true)
-	if err := ask(); err != nil {
+	e.unresponsive.Store(true)
+	if err := callList(); err != nil {
 		t.Fatal(err)
 	}
-	if e.conns.Load() < 2 {
+	if e.connCount.Load() < 2 {
 		t.Error("no new connection was made")
 	}
 }
@@ -78,7 +78,7 @@
 func TestWrongProtocolIsMalformed(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(s.Close)
-	_, err := link.TryOnce(t.Context(), &link.Link{Addresses: []string{s.URL}}, list, &v1.ListRequest{})
+	_, err := link.TryOnce(t.Context(), &link.Link{Addresses: []string{s.URL}}, listMethod, &v1.ListRequest{})
 	if got := link.AsCodeError(err).Code; got != code.Malformed {
 		t.Errorf("got %v", err)
 	}
--- a/internal/client/link/status_test.go
+++ b/internal/client/link/status_test.go
@@ -10,7 +10,7 @@
 
 // A status carries the number and the standing text beside its detail, and who
 // prints it adds both again; a person is to read them once.
-func TestStatusIsSaidOnce(t *testing.T) {
+func TestStatusErrorOmitsRepeatedCodeText(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                      "",
 		code.Conflict.String():                  "",
--- a/internal/client/operator/operator.go
+++ b/internal/client/operator/operator.go
@@ -34,11 +34,11 @@
 // Change makes one change, asked for with the same id until it is answered. It
 // returns the table's revision, also with a refusal.
 func (c *Client) Change(ctx context.Context, req *v1.ChangeRequest) (uint64, error) {
-	r, err := link.Call(ctx, c.Link, changeMethod, req, (*v1.ChangeReply).GetStatus)
+	reply, err := link.Call(ctx, c.Link, changeMethod, req, (*v1.ChangeReply).GetStatus)
 	if err != nil {
 		return 0, err
 	}
-	return r.GetRevision(), statusError(r.GetStatus())
+	return reply.GetRevision(), statusError(reply.GetStatus())
 }
 
 // Show reads all lines of a part. It guards against a table that changes between
@@ -46,79 +46,79 @@
 // it begins anew. A page that begins like the first one means that the part is
 // not cut into pages.
 func (c *Client) Show(ctx context.Context, part v1.Part) (*v1.ShowReply, error) {
-	whole := &v1.ShowReply{}
-	after, head := "", ""
+	all := &v1.ShowReply{}
+	after, firstName := "", ""
 	for {
-		r, err := link.Call(ctx, c.Link, showMethod, &v1.ShowRequest{Part: part, After: after, Limit: pageSize}, (*v1.ShowReply).GetStatus)
+		page, err := link.Call(ctx, c.Link, showMethod, &v1.ShowRequest{Part: part, After: after, Limit: pageSize}, (*v1.ShowReply).GetStatus)
 		if err != nil {
 			return nil, err
 		}
-		if err := statusError(r.GetStatus()); err != nil {
+		if err := statusError(page.GetStatus()); err != nil {
 			return nil, err
 		}
-		if after != "" && r.GetRevision() != whole.GetRevision() {
-			whole, after = &v1.ShowReply{}, ""
+		if after != "" && page.GetRevision() != all.GetRevision() {
+			all, after = &v1.ShowReply{}, ""
 			continue
 		}
-		names := lineNames(r, part)
+		names := lineNames(page, part)
 		if after == "" {
-			appendPage(whole, r)
+			appendPage(all, page)
 		}
-		if len(names) == 0 || after != "" && names[0] == head {
-			return whole, nil
+		if len(names) == 0 || after != "" && names[0] == firstName {
+			return all, nil
 		}
 		if after == "" {
-			head = names[0]
+			firstName = names[0]
 		} else {
-			appendPage(whole, r)
+			appendPage(all, page)
 		}
 		after = names[len(names)-1]
 	}
 }
 
-func appendPage(whole, r *v1.ShowReply) {
-	whole.Revision = r.GetRevision()
-	whole.Rows = append(whole.Rows, r.GetRows()...)
-	whole.Held = append(whole.Held, r.GetHeld()...)
-	whole.Keys = append(whole.Keys, r.GetKeys()...)
-	whole.Servers = append(whole.Servers, r.GetServers()...)
-	whole.Members = append(whole.Members, r.GetMembers()...)
-	whole.Zones = append(whole.Zones, r.GetZones()...)
-	whole.Jobs = append(whole.Jobs, r.GetJobs()...)
+func appendPage(all, page *v1.ShowReply) {
+	all.Revision = page.GetRevision()
+	all.Rows = append(all.Rows, page.GetRows()...)
+	all.Held = append(all.Held, page.GetHeld()...)
+	all.Keys = append(all.Keys, page.GetKeys()...)
+	all.Servers = append(all.Servers, page.GetServers()...)
+	all.Members = append(all.Members, page.GetMembers()...)
+	all.Zones = append(all.Zones, page.GetZones()...)
+	all.Jobs = append(all.Jobs, page.GetJobs()...)
 }
 
 // lineNames returns the names of a page's lines, by which the next page is asked
 // for; none for a part that always comes whole.
-func lineNames(r *v1.ShowReply, part v1.Part) []string {
+func lineNames(page *v1.ShowReply, part v1.Part) []string {
 	switch part {
 	case v1.Part_PART_TABLE:
-		return mapNames(r.GetRows(), (*v1.Row).GetTeam)
+		return mapNames(page.GetRows(), (*v1.Row).GetTeam)
 	case v1.Part_PART_KEYS:
-		return mapNames(r.GetKeys(), (*v1.KeyLine).GetId)
+		return mapNames(page.GetKeys(), (*v1.KeyLine).GetId)
 	case v1.Part_PART_SERVERS:
-		return mapNames(r.GetServers(), (*v1.ServerLine).GetServer)
+		return mapNames(page.GetServers(), (*v1.ServerLine).GetServer)
 	case v1.Part_PART_JOBS:
-		return mapNames(r.GetJobs(), func(j *v1.Summary) string { return j.GetTeam() + "/" + j.GetId() })
+		return mapNames(page.GetJobs(), func(j *v1.Summary) string { return j.GetTeam() + "/" + j.GetId() })
 	}
 	return nil
 }
 
-func mapNames[T any](all []T, name func(T) string) []string {
-	out := make([]string, len(all))
-	for i, one := range all {
-		out[i] = name(one)
+func mapNames[T any](lines []T, name func(T) string) []string {
+	names := make([]string, len(lines))
+	for i, line := range lines {
+		names[i] = name(line)
 	}
-	return out
+	return names
 }
 
 // Dump returns the state of one process as JSON text; an empty name stands for
 // the entry that answers.
 func (c *Client) Dump(ctx context.Context, process string) (string, error) {
-	r, err := link.Call(ctx, c.Link, dumpMethod, &v1.DumpRequest{Process: process}, (*v1.DumpReply).GetStatus)
+	reply, err := link.Call(ctx, c.Link, dumpMethod, &v1.DumpRequest{Process: process}, (*v1.DumpReply).GetStatus)
 	if err != nil {
 		return "", err
 	}
-	return r.GetText(), statusError(r.GetStatus())
+	return reply.GetText(), statusError(reply.GetStatus())
 }
 
 func statusError(s *v1.Status) error {
--- a/internal/control/entry/entry.go
+++ b/internal/control/entry/entry.go
@@ -65,18 +65,18 @@
 	}
 	st := s.Leader.Status()
 	if !st.Leads {
-		return &inner.PushReply{Redirect: redirect(st)}, nil
+		return &inner.PushReply{Redirect: newRedirect(st)}, nil
 	}
-	box := s.mailboxFor(st.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
-	if s.Leader.Push(leader.Batch{Mailbox: box, ReceivedAt: s.Now(), Items: req.GetItems()}) {
+	entryMailbox := s.mailboxFor(st.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
+	if s.Leader.Push(leader.Batch{Mailbox: entryMailbox, ReceivedAt: s.Now(), Items: req.GetItems()}) {
 		return &inner.PushReply{}, nil
 	}
 	s.logLimiter.Log(s.Log, event.Overload, "entry", req.GetEntry(), "items", len(req.GetItems()))
-	rep := &inner.PushReply{}
-	for _, it := range req.GetItems() {
-		rep.Refused = append(rep.Refused, it.GetSeq())
+	reply := &inner.PushReply{}
+	for _, item := range req.GetItems() {
+		reply.Refused = append(reply.Refused, item.GetSeq())
 	}
-	return rep, nil
+	return reply, nil
 }
 
 // Pull returns the replies that wait for the entry.
@@ -86,24 +86,24 @@
 	}
 	st := s.Leader.Status()
 	if !st.Leads {
-		return &inner.PullReply{Redirect: redirect(st)}, nil
+		return &inner.PullReply{Redirect: newRedirect(st)}, nil
 	}
 	s.entries.recordPull(req.GetEntry(), req.GetRevision(), s.Now())
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout(req.GetPatience()))
 	defer cancel()
-	box := s.mailboxFor(st.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
+	entryMailbox := s.mailboxFor(st.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
 	// Wakes are counted before the revision is read: one that comes in between
 	// ends the wait.
-	wakes := box.WakeCount()
+	wakeCount := entryMailbox.WakeCount()
 	if s.Leader.Status().Revision > req.GetRevision() {
 		cancel()
 	}
-	b := box.PullUntilWake(ctx, req.GetEpoch(), req.GetAck(), wakes)
+	batch := entryMailbox.PullUntilWake(ctx, req.GetEpoch(), req.GetAck(), wakeCount)
 	st = s.Leader.Status()
-	if b.Closed || !st.Leads {
-		return &inner.PullReply{Redirect: redirect(st)}, nil
+	if batch.Closed || !st.Leads {
+		return &inner.PullReply{Redirect: newRedirect(st)}, nil
 	}
-	return &inner.PullReply{First: b.FirstNumber, Replies: b.Replies, Revision: st.Revision, Epoch: b.Epoch}, nil
+	return &inner.PullReply{First: batch.FirstNumber, Replies: batch.Replies, Revision: st.Revision, Epoch: batch.Epoch}, nil
 }
 
 // Dump returns the state of this process.
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func redirect(st leader.Status) *inner.Redirect {
+func newRedirect(st leader.Status) *inner.Redirect {
 	return &inner.Redirect{Leader: st.Leader, Address: st.Address}
 }
 
--- a/internal/control/entry/roll.go
+++ b/internal/control/entry/roll.go
@@ -46,69 +46,69 @@
 	reportedRevision uint64
 }
 
-func (r *entryTracker) recordPull(name string, revision uint64, now time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.entries == nil {
-		r.entries = map[string]*trackedEntry{}
+func (t *entryTracker) recordPull(name string, revision uint64, now time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.entries == nil {
+		t.entries = map[string]*trackedEntry{}
 	}
-	n := r.entries[name]
-	if n == nil {
-		if len(r.entries) >= maxTrackedEntries {
+	entry := t.entries[name]
+	if entry == nil {
+		if len(t.entries) >= maxTrackedEntries {
 			return
 		}
-		n = &trackedEntry{}
-		r.entries[name] = n
+		entry = &trackedEntry{}
+		t.entries[name] = entry
 	}
-	n.confirmedRevision, n.lastPull = revision, now
+	entry.confirmedRevision, entry.lastPull = revision, now
 }
 
-func (r *entryTracker) clear() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.entries, r.revision = nil, 0
+func (t *entryTracker) clear() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.entries, t.revision = nil, 0
 }
 
 // memberLines lists the entries by name.
-func (r *entryTracker) memberLines(now time.Duration) []*v1.MemberLine {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	out := make([]*v1.MemberLine, 0, len(r.entries))
-	for name, n := range r.entries {
-		line := &v1.MemberLine{Name: name, Role: "entry", State: stateServing, Revision: n.confirmedRevision}
-		if now-n.lastPull > staleAfter {
+func (t *entryTracker) memberLines(now time.Duration) []*v1.MemberLine {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	lines := make([]*v1.MemberLine, 0, len(t.entries))
+	for name, entry := range t.entries {
+		line := &v1.MemberLine{Name: name, Role: "entry", State: stateServing, Revision: entry.confirmedRevision}
+		if now-entry.lastPull > staleAfter {
 			line.State = stateStale
 		}
-		out = append(out, line)
+		lines = append(lines, line)
 	}
-	slices.SortFunc(out, func(a, b *v1.MemberLine) int { return strings.Compare(a.Name, b.Name) })
-	return out
+	slices.SortFunc(lines, func(a, b *v1.MemberLine) int { return strings.Compare(a.Name, b.Name) })
+	return lines
 }
 
-// confirmationState is an entry that has not confirmed the table's revision in time.
-type confirmationState struct {
+// entryRevision is an entry that has not confirmed the table's revision in time.
+type entryRevision struct {
 	name              string
 	confirmedRevision uint64
 }
 
 // checkConfirmations forgets entries that are long gone and returns those that have become
 // late, and those that were and have confirmed.
-func (r *entryTracker) checkConfirmations(revision uint64, now time.Duration) (lagging, caughtUp []confirmationState) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if revision != r.revision {
-		r.revision, r.inForceSince = revision, now
+func (t *entryTracker) checkConfirmations(revision uint64, now time.Duration) (lagging, caughtUp []entryRevision) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if revision != t.revision {
+		t.revision, t.inForceSince = revision, now
 	}
-	for name, n := range r.entries {
+	for name, entry := range t.entries {
 		switch {
-		case now-n.lastPull > forgetAfter:
-			delete(r.entries, name)
-		case n.confirmedRevision >= revision && n.reportedRevision > 0:
-			n.reportedRevision = 0
-			caughtUp = append(caughtUp, confirmationState{name, n.confirmedRevision})
-		case n.confirmedRevision < revision && n.reportedRevision < revision && now-r.inForceSince > confirmationTimeout:
-			n.reportedRevision = revision
-			lagging = append(lagging, confirmationState{name, n.confirmedRevision})
+		case now-entry.lastPull > forgetAfter:
+			delete(t.entries, name)
+		case entry.confirmedRevision >= revision && entry.reportedRevision > 0:
+			entry.reportedRevision = 0
+			caughtUp = append(caughtUp, entryRevision{name, entry.confirmedRevision})
+		case entry.confirmedRevision < revision && entry.reportedRevision < revision && now-t.inForceSince > confirmationTimeout:
+			entry.reportedRevision = revision
+			lagging = append(lagging, entryRevision{name, entry.confirmedRevision})
 		}
 	}
 	return lagging, caughtUp
@@ -149,10 +149,10 @@
 func (s *Server) Mailboxes() []MailboxView {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []MailboxView
-	for n, b := range s.mailboxes {
-		out = append(out, MailboxView{Entry: n.Entry, Session: n.Session, Replies: b.Len(), Idle: b.IdleTime().Seconds()})
+	var views []MailboxView
+	for name, b := range s.mailboxes {
+		views = append(views, MailboxView{Entry: name.Entry, Session: name.Session, Replies: b.Len(), Idle: b.IdleTime().Seconds()})
 	}
-	slices.SortFunc(out, func(a, b MailboxView) int { return strings.Compare(a.Entry, b.Entry) })
-	return out
+	slices.SortFunc(views, func(a, b MailboxView) int { return strings.Compare(a.Entry, b.Entry) })
+	return views
 }
--- a/internal/control/entry/roll_test.go
+++ b/internal/control/entry/roll_test.go
@@ -22,32 +22,32 @@
 	"gypsumreel/internal/replica/group"
 )
 
-// stub is a group that commits at once.
-type stub struct{ notes chan group.Notification }
+// instantGroup is a group that commits at once.
+type instantGroup struct{ notifications chan group.Notification }
 
-func (g *stub) Propose(p group.Proposal) bool {
-	g.notes <- group.CommitAdvanced{Index: p.FirstIndex + uint64(len(p.Commands)) - 1}
+func (g *instantGroup) Propose(p group.Proposal) bool {
+	g.notifications <- group.CommitAdvanced{Index: p.FirstIndex + uint64(len(p.Commands)) - 1}
 	return true
 }
-func (g *stub) Notifications() <-chan group.Notification { return g.notes }
-func (g *stub) ConfirmLeadership()                       {}
-func (g *stub) Compact(uint64, []byte)                   {}
-func (g *stub) Reload()                                  {}
+func (g *instantGroup) Notifications() <-chan group.Notification { return g.notifications }
+func (g *instantGroup) ConfirmLeadership()                       {}
+func (g *instantGroup) Compact(uint64, []byte)                   {}
+func (g *instantGroup) Reload()                                  {}
 
-// serve gives fn a service whose control thread leads, and its log.
-func serve(t *testing.T, fn func(*entry.Server, *leader.Leader, *bytes.Buffer)) {
+// withLeadingServer gives fn a service whose control thread leads, and its log.
+func withLeadingServer(t *testing.T, fn func(*entry.Server, *leader.Leader, *bytes.Buffer)) {
 	synctest.Test(t, func(*testing.T) {
-		begin := time.Now()
-		g := &stub{notes: make(chan group.Notification, 64)}
+		startedAt := time.Now()
+		g := &instantGroup{notifications: make(chan group.Notification, 64)}
 		l := leader.New()
-		l.Group, l.Now = g, func() time.Duration { return time.Since(begin) + time.Minute }
+		l.Group, l.Now = g, func() time.Duration { return time.Since(startedAt) + time.Minute }
 		l.NewPlanner = func() plan.Planner { return fifo.New() }
 		digest := key.Digest("secret")
 		l.RootKey = &v1.KeyGrant{Id: "op", Operator: true, Digest: digest[:]}
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { _ = l.Run(ctx) }()
-		g.notes <- group.Leading{Term: 1, ElectedAt: l.Now()}
-		g.notes <- group.LeadershipConfirmed{Term: 1, StartedAt: l.Now()}
+		g.notifications <- group.Leading{Term: 1, ElectedAt: l.Now()}
+		g.notifications <- group.LeadershipConfirmed{Term: 1, StartedAt: l.Now()}
 		synctest.Wait()
 		var log bytes.Buffer
 		fn(&entry.Server{Cell: "rail", Leader: l, Now: l.Now, Log: event.New(&log, "debug")}, l, &log)
@@ -58,17 +58,17 @@
 
 func pull(t *testing.T, s *entry.Server, name string, revision, patience uint64) time.Duration {
 	t.Helper()
-	begin := time.Now()
+	startedAt := time.Now()
 	if _, err := s.Pull(context.Background(), &inner.PullRequest{Cell: "rail", Entry: name, Session: 1, Revision: revision, Patience: patience}); err != nil {
 		t.Fatal(err)
 	}
-	return time.Since(begin)
+	return time.Since(startedAt)
 }
 
 // An idle entry asks for half a second and its Pull is held for two: it takes
 // the connection for silent, dials anew, and logs an alarm each time.
-func TestAPullEndsWithItsPatience(t *testing.T) {
-	serve(t, func(s *entry.Server, _ *leader.Leader, _ *bytes.Buffer) {
+func TestPullReturnsAtRequestedTimeout(t *testing.T) {
+	withLeadingServer(t, func(s *entry.Server, _ *leader.Leader, _ *bytes.Buffer) {
 		for patience, want := range map[uint64]time.Duration{500: 500 * time.Millisecond, 60_000: 2 * time.Second, 0: 2 * time.Second} {
 			if got := pull(t, s, "e1", 0, patience); got != want {
 				t.Errorf("patience %d: %v, want %v", patience, got, want)
@@ -79,8 +79,8 @@
 
 // A table change is in force at all entries but one. Whoever is on duty sees
 // which one lags behind, and is told once and again when it has caught up.
-func TestAnEntryThatLagsBehindIsNamed(t *testing.T) {
-	serve(t, func(s *entry.Server, l *leader.Leader, log *bytes.Buffer) {
+func TestLaggingEntryIsLogged(t *testing.T) {
+	withLeadingServer(t, func(s *entry.Server, l *leader.Leader, log *bytes.Buffer) {
 		digest := key.Digest("secret")
 		pull(t, s, "e1", 0, 10) // makes its mailbox
 		s.LogTableConfirmations()
@@ -124,8 +124,8 @@
 
 // Settings of two cells got mixed up. Neither takes the other's work, and the
 // log names both.
-func TestAnotherCellsEntryIsRefused(t *testing.T) {
-	serve(t, func(s *entry.Server, _ *leader.Leader, log *bytes.Buffer) {
+func TestEntryOfAnotherCellIsRejected(t *testing.T) {
+	withLeadingServer(t, func(s *entry.Server, _ *leader.Leader, log *bytes.Buffer) {
 		for range 3 {
 			if _, err := s.Push(context.Background(), &inner.PushRequest{Cell: "road", Entry: "e9"}); err == nil {
 				t.Error("taken")
--- a/internal/control/node/assemble.go
+++ b/internal/control/node/assemble.go
@@ -91,11 +91,11 @@
 }
 
 func (n *Node) newHTTPServer(h http.Handler, cfg *tls.Config) *http.Server {
-	both := new(http.Protocols)
-	both.SetHTTP1(true)
-	both.SetHTTP2(true)
-	both.SetUnencryptedHTTP2(true)
-	return &http.Server{Handler: h, Protocols: both, ReadHeaderTimeout: headerTimeout, TLSConfig: cfg, ErrorLog: event.HTTPLog(n.Log)}
+	protocols := new(http.Protocols)
+	protocols.SetHTTP1(true)
+	protocols.SetHTTP2(true)
+	protocols.SetUnencryptedHTTP2(true)
+	return &http.Server{Handler: h, Protocols: protocols, ReadHeaderTimeout: headerTimeout, TLSConfig: cfg, ErrorLog: event.HTTPLog(n.Log)}
 }
 
 func serveListener(s *http.Server, l net.Listener) error {
--- a/internal/control/node/disk.go
+++ b/internal/control/node/disk.go
@@ -26,16 +26,16 @@
 
 // Sync syncs, measures, and tells of a sync that failed or took long.
 func (d *monitoredJournal) Sync() error {
-	begin := time.Now()
+	startedAt := time.Now()
 	err := d.Journal.Sync()
-	took := time.Since(begin)
-	d.syncSeconds.Update(took.Seconds())
+	elapsed := time.Since(startedAt)
+	d.syncSeconds.Update(elapsed.Seconds())
 	if err != nil {
 		event.Fail(d.log, event.SyncFailed, err)
 		return err
 	}
-	if took > slowSyncThreshold {
-		d.logLimiter.Log(d.log, event.SyncSlow, "took", took.String())
+	if elapsed > slowSyncThreshold {
+		d.logLimiter.Log(d.log, event.SyncSlow, "took", elapsed.String())
 	}
 	return nil
 }
@@ -54,13 +54,13 @@
 
 // Save saves and tells.
 func (a *monitoredSnapshots) Save(meta snapshot.Meta, state []byte) error {
-	begin := time.Now()
+	startedAt := time.Now()
 	err := a.SnapshotStore.Save(meta, state)
 	if err != nil {
 		a.failedSaves.Inc()
 		event.Fail(a.log, event.StoragePutOff, err, "what", "snapshot", "index", meta.Index, "bytes", len(state))
 		return err
 	}
-	event.Log(a.log, event.SnapshotWritten, "index", meta.Index, "bytes", len(state), "took", time.Since(begin).String())
+	event.Log(a.log, event.SnapshotWritten, "index", meta.Index, "bytes", len(state), "took", time.Since(startedAt).String())
 	return nil
 }
--- a/internal/control/node/disk_test.go
+++ b/internal/control/node/disk_test.go
@@ -19,35 +19,35 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// brokenDisk is a journal whose syncs fail.
-type brokenDisk struct{ group.Journal }
+// failingJournal is a journal whose syncs fail.
+type failingJournal struct{ group.Journal }
 
-var errDisk = errors.New("input/output error")
+var errSync = errors.New("input/output error")
 
-func (brokenDisk) Sync() error { return errDisk }
+func (failingJournal) Sync() error { return errSync }
 
 // A disk refuses to make a write last. The process ends, and the log has to say
 // that it was the disk: whoever restarts it on the same one loses it again.
-func TestAFailedSyncIsAnAlarm(t *testing.T) {
+func TestFailedSyncIsLogged(t *testing.T) {
 	var log bytes.Buffer
-	d := node.NewMonitoredJournal(brokenDisk{}, metrics.NewSet(), event.New(&log, "info"))
-	if err := d.Sync(); !errors.Is(err, errDisk) {
+	d := node.NewMonitoredJournal(failingJournal{}, metrics.NewSet(), event.New(&log, "info"))
+	if err := d.Sync(); !errors.Is(err, errSync) {
 		t.Errorf("the error is lost: %v", err)
 	}
-	if !strings.Contains(log.String(), `"event":302`) || !strings.Contains(log.String(), errDisk.Error()) {
+	if !strings.Contains(log.String(), `"event":302`) || !strings.Contains(log.String(), errSync.Error()) {
 		t.Error(log.String())
 	}
 }
 
 // A disk gives back other bytes than were written to it, before the end of the
 // journal. The replica must not start, and its log names file and event.
-func TestADamagedJournalIsAnAlarm(t *testing.T) {
-	data := t.TempDir()
+func TestCorruptJournalPreventsStart(t *testing.T) {
+	dataDir := t.TempDir()
 	run := func(log *bytes.Buffer) error {
 		l := listen(t)
 		digest := make([]byte, 32)
 		n := &node.Node{
-			Cell: "test", Name: "c1", DataDir: data, InitCell: true, Listener: l, Address: l.Addr().String(), Log: event.New(log, "info"),
+			Cell: "test", Name: "c1", DataDir: dataDir, InitCell: true, Listener: l, Address: l.Addr().String(), Log: event.New(log, "info"),
 			Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}},
 			RootKey:  &v1.KeyGrant{Id: "op", Operator: true, Digest: digest},
 		}
@@ -59,7 +59,7 @@
 	if err := run(&log); err != nil {
 		t.Fatal(err)
 	}
-	files, err := filepath.Glob(filepath.Join(data, "journal", "*"))
+	files, err := filepath.Glob(filepath.Join(dataDir, "journal", "*"))
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
--- a/internal/control/node/found.go
+++ b/internal/control/node/found.go
@@ -11,9 +11,9 @@
 
 // learnMembers learns the first membership: from the other replicas when the group is
 // founded now, else from the disk.
-func (n *Node) learnMembers(ctx context.Context, a *assembly, self quorum.Member, saved quorum.PersistedState) error {
-	if !n.InitCell || !isBlank(saved) {
-		a.handshake.SetMembers(knownMembers(saved, self))
+func (n *Node) learnMembers(ctx context.Context, a *assembly, self quorum.Member, state quorum.PersistedState) error {
+	if !n.InitCell || !isBlank(state) {
+		a.handshake.SetMembers(knownMembers(state, self))
 		return nil
 	}
 	if len(n.InitialMembers) > 0 {
@@ -22,39 +22,39 @@
 		}
 		return nil
 	}
-	first, err := a.handshake.AgreeMembers(ctx)
-	a.group.Config.InitialMembers = first
+	members, err := a.handshake.AgreeMembers(ctx)
+	a.group.Config.InitialMembers = members
 	return err
 }
 
 func (n *Node) newHandshake(self quorum.Member) *bootstrap.Handshake {
-	f := &bootstrap.Handshake{Cell: n.Cell, Self: self, Scheme: "http"}
+	h := &bootstrap.Handshake{Cell: n.Cell, Self: self, Scheme: "http"}
 	if n.ClientTLS != nil {
-		f.Scheme = "https"
+		h.Scheme = "https"
 	}
 	// No connection is kept: the founding happens once.
-	f.Client = &http.Client{Transport: &http.Transport{TLSClientConfig: n.ClientTLS, DialContext: n.Dial, DisableKeepAlives: true}}
+	h.Client = &http.Client{Transport: &http.Transport{TLSClientConfig: n.ClientTLS, DialContext: n.Dial, DisableKeepAlives: true}}
 	for _, r := range n.Replicas {
 		if r.ID != n.Name {
-			f.Peers = append(f.Peers, r)
+			h.Peers = append(h.Peers, r)
 		}
 	}
-	return f
+	return h
 }
 
 // isBlank tells whether a replica never took part in anything. One that made its
 // identity and was stopped while it waited for the others is blank still, and
 // goes on with the same identity.
-func isBlank(saved quorum.PersistedState) bool {
-	return saved.Snapshot.Index == 0 && len(saved.Entries) == 0 && saved.HardState == quorum.HardState{}
+func isBlank(state quorum.PersistedState) bool {
+	return state.Snapshot.Index == 0 && len(state.Entries) == 0 && state.HardState == quorum.HardState{}
 }
 
 // knownMembers lists the membership that a replica has on its disk: that of its
 // snapshot or else the first of its log. Replicas that still wait to found the
 // group take it from one that was quicker, also when that one has restarted.
-func knownMembers(saved quorum.PersistedState, self quorum.Member) []string {
-	members := saved.Snapshot.Members
-	for _, e := range saved.Entries {
+func knownMembers(state quorum.PersistedState, self quorum.Member) []string {
+	members := state.Snapshot.Members
+	for _, e := range state.Entries {
 		if len(members) > 0 {
 			break
 		}
@@ -62,11 +62,11 @@
 			members, _ = quorum.DecodeMembers(e.Data)
 		}
 	}
-	out := []string{self.ID}
+	ids := []string{self.ID}
 	for _, m := range members {
 		if m.ID != self.ID {
-			out = append(out, m.ID)
+			ids = append(ids, m.ID)
 		}
 	}
-	return out
+	return ids
 }
--- a/internal/control/node/node.go
+++ b/internal/control/node/node.go
@@ -116,8 +116,8 @@
 func (n *Node) init() {
 	n.initOnce.Do(func() {
 		if n.Clock == nil {
-			begin := time.Now()
-			n.Clock = func() time.Duration { return time.Since(begin) }
+			startedAt := time.Now()
+			n.Clock = func() time.Duration { return time.Since(startedAt) }
 		}
 		n.done = make(chan struct{})
 		n.metrics = metrics.NewSet()
@@ -160,7 +160,7 @@
 	}
 	defer func() { _ = lock.Release() }()
 	store := snapshot.Store{Dir: filepath.Join(n.DataDir, "snapshot")}
-	saved, err := loadSnapshot(store)
+	state, err := loadSnapshot(store)
 	if err != nil {
 		return n.logCorruption(event.SnapshotDamaged, err)
 	}
@@ -170,24 +170,24 @@
 	}
 	// The identity is made after the journal, so that one that is there shows
 	// that the journal was, too.
-	self, fresh, err := n.loadIdentity()
+	self, isNew, err := n.loadIdentity()
 	if err != nil {
 		return err
 	}
-	if recovered.New && !fresh {
+	if recovered.New && !isNew {
 		_ = log.Close()
 		return ErrJournalMissing
 	}
 	n.selfID.Store(self.ID)
-	saved.HardState, saved.Entries = recovered.HardState, recovered.Entries
-	return n.serve(ctx, self, replicaData{journal: log, snapshots: store, state: saved})
+	state.HardState, state.Entries = recovered.HardState, recovered.Entries
+	return n.serve(ctx, self, replicaData{journal: log, snapshots: store, state: state})
 }
 
 // openJournal opens the replica's journal.
 func (n *Node) openJournal() (*journal.Journal, journal.Recovered, error) {
-	put := n.metrics.GetOrCreateCounter(meter.Name("control", "segments_put_off_total"))
+	postponedRolls := n.metrics.GetOrCreateCounter(meter.Name("control", "segments_put_off_total"))
 	return journal.Config{OnRollPostponed: func(err error) {
-		put.Inc()
+		postponedRolls.Inc()
 		event.Fail(n.Log, event.StoragePutOff, err, "what", "segment")
 	}}.Open(filepath.Join(n.DataDir, "journal"))
 }
@@ -204,15 +204,15 @@
 func (n *Node) loadIdentity() (quorum.Member, bool, error) {
 	store := member.Store{Dir: n.DataDir}
 	id, err := store.Load(n.Cell, n.Name)
-	fresh := errors.Is(err, member.ErrNoIdentity)
-	if fresh {
+	isNew := errors.Is(err, member.ErrNoIdentity)
+	if isNew {
 		nonce := n.NonceSource
 		if nonce == nil {
 			nonce = rand.Reader
 		}
 		id, err = store.Create(n.Cell, n.Name, nonce)
 	}
-	return quorum.Member{ID: id.ID(), Address: n.Address}, fresh, err
+	return quorum.Member{ID: id.ID(), Address: n.Address}, isNew, err
 }
 
 // replicaData is what a replica found in its data folder.
@@ -224,27 +224,27 @@
 
 // serve runs all parts until ctx ends or one of them fails.
 func (n *Node) serve(ctx context.Context, self quorum.Member, d replicaData) error {
-	running, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
+	defer stop()
 	a := n.assemble(self, d)
 	defer a.transport.Close()
-	faults := make(chan error, 5)
+	failures := make(chan error, 5)
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer end()
+	defer stop()
 	defer func() { _ = a.server.Close() }()
-	run := func(what string, fn func() error) {
+	run := func(component string, fn func() error) {
 		wg.Go(func() {
 			if err := fn(); err != nil && !errors.Is(err, http.ErrServerClosed) {
-				faults <- errors.Wrap(err, what)
+				failures <- errors.Wrap(err, component)
 			}
 		})
 	}
 	run("listen", func() error { return serveListener(a.server, n.Listener) })
 	if n.ProbeListener != nil {
-		probes := n.newHTTPServer(n.probeHandler(), n.ProbeTLS)
-		defer func() { _ = probes.Close() }()
-		run("platform", func() error { return serveListener(probes, n.ProbeListener) })
+		probeServer := n.newHTTPServer(n.probeHandler(), n.ProbeTLS)
+		defer func() { _ = probeServer.Close() }()
+		run("platform", func() error { return serveListener(probeServer, n.ProbeListener) })
 	}
 	if err := n.learnMembers(ctx, a, self, d.state); err != nil {
 		if ctx.Err() != nil {
@@ -252,11 +252,11 @@
 		}
 		return err
 	}
-	run("group", func() error { return a.group.Run(running) })
-	run("control", func() error { return n.Control.Run(running) })
-	run("watch", func() error { return n.monitor(running) })
+	run("group", func() error { return a.group.Run(runCtx) })
+	run("control", func() error { return n.Control.Run(runCtx) })
+	run("watch", func() error { return n.monitor(runCtx) })
 	select {
-	case err := <-faults:
+	case err := <-failures:
 		return err
 	case <-ctx.Done():
 		event.Log(n.Log, event.StopBegun, "handover", n.TransferTimeout.String())
@@ -299,10 +299,10 @@
 		case <-ctx.Done():
 		}
 	}()
-	begin := n.now()
+	startedAt := n.now()
 	switch err := n.group.Load().TransferLeadership(ctx); {
 	case err == nil:
-		event.Log(n.Log, event.LeaderTransferred, "took", (n.now() - begin).String())
+		event.Log(n.Log, event.LeaderTransferred, "took", (n.now() - startedAt).String())
 	case !errors.Is(err, group.ErrNoOtherVoter):
 		n.Log.Info("the lead was not handed over", "cause", err.Error())
 	}
--- a/internal/control/node/node_test.go
+++ b/internal/control/node/node_test.go
@@ -34,17 +34,17 @@
 
 // The whole path over loopback: a control replica with its journal on a disk,
 // an entry, a backend server, and a caller with a team's key.
-func TestTheWholePath(t *testing.T) {
+func TestEndToEndOverLoopback(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	cl, callers, backends, operators := listen(t), listen(t), listen(t), listen(t)
+	controlListener, callers, backends, operators := listen(t), listen(t), listen(t), listen(t)
 	digest := key.Digest("secret")
 	n := &node.Node{
-		Cell: "test", Name: "c1", DataDir: t.TempDir(), InitCell: true, Listener: cl, Address: cl.Addr().String(),
-		Replicas: []quorum.Member{{ID: "c1", Address: cl.Addr().String()}},
+		Cell: "test", Name: "c1", DataDir: t.TempDir(), InitCell: true, Listener: controlListener, Address: controlListener.Addr().String(),
+		Replicas: []quorum.Member{{ID: "c1", Address: controlListener.Addr().String()}},
 		RootKey:  &v1.KeyGrant{Id: "op", Operator: true, Digest: digest[:]},
 	}
 	e := &entry.Entry{
-		Cell: "test", Name: "e1", Callers: callers, Backends: backends, Operators: operators, Replicas: []control.Replica{{Name: "c1", Address: cl.Addr().String()}},
+		Cell: "test", Name: "e1", Callers: callers, Backends: backends, Operators: operators, Replicas: []control.Replica{{Name: "c1", Address: controlListener.Addr().String()}},
 		Enrolment: []backend.Digest{backend.Digest(key.Digest("enrol"))}, Linger: time.Millisecond,
 	}
 	s := &server.Server{
@@ -67,16 +67,16 @@
 	operator := v1.NewOperatorClient(http.DefaultClient, "http://"+operators.Addr().String())
 	change := func(req *v1.ChangeRequest) {
 		t.Helper()
-		var rep *connect.Response[v1.ChangeReply]
+		var reply *connect.Response[v1.ChangeReply]
 		var err error
 		for range 100 {
-			if rep, err = operator.Change(ctx, bearer(req, "op.secret")); err == nil {
+			if reply, err = operator.Change(ctx, bearer(req, "op.secret")); err == nil {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		if err != nil || rep.Msg.GetStatus().GetCode() != 0 {
-			t.Fatal(err, rep)
+		if err != nil || reply.Msg.GetStatus().GetCode() != 0 {
+			t.Fatal(err, reply)
 		}
 	}
 	change(&v1.ChangeRequest{Id: "1", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{{Row: &v1.Row{
@@ -90,9 +90,9 @@
 		{Id: "sweep", Kind: v1.Kind_KIND_GANG, Name: "s", Count: 3, Size: &v1.Size{Cpu: 1000, Memory: 100, Slots: 1}, Input: []byte("x")},
 	} {
 		done := false
-		rep, err := caller.Submit(ctx, bearer(&v1.SubmitRequest{Jobs: []*v1.Spec{spec}}, "k.secret"))
-		if err != nil || rep.Msg.GetJobs()[0].GetStatus().GetCode() != 0 {
-			t.Fatal(err, rep)
+		reply, err := caller.Submit(ctx, bearer(&v1.SubmitRequest{Jobs: []*v1.Spec{spec}}, "k.secret"))
+		if err != nil || reply.Msg.GetJobs()[0].GetStatus().GetCode() != 0 {
+			t.Fatal(err, reply)
 		}
 		for range 20 {
 			w, err := caller.Wait(ctx, bearer(&v1.WaitRequest{Id: spec.GetId(), Patience: 2000}, "k.secret"))
@@ -118,12 +118,12 @@
 
 // Somebody deletes a replica's journal to free its disk and leaves the rest. The
 // replica no longer knows for whom it voted, so it must not vote under its name.
-func TestAReplicaWithoutItsJournalDoesNotStart(t *testing.T) {
+func TestReplicaWithoutJournalDoesNotStart(t *testing.T) {
 	dir := t.TempDir()
-	start := func(found bool) (*node.Node, context.CancelFunc, chan error) {
+	start := func(initCell bool) (*node.Node, context.CancelFunc, chan error) {
 		l := listen(t)
 		n := &node.Node{
-			Cell: "test", Name: "c1", DataDir: dir, InitCell: found, Listener: l, Address: l.Addr().String(),
+			Cell: "test", Name: "c1", DataDir: dir, InitCell: initCell, Listener: l, Address: l.Addr().String(),
 			Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}}, Control: leader.New(),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -152,7 +152,7 @@
 // Somebody stops one of three replicas while it still waits for the others at
 // the founding, and starts it again, and a second one after the founding, before
 // the third has learnt of it. The group must found all the same.
-func TestAReplicaMayRestartDuringTheFounding(t *testing.T) {
+func TestReplicaRestartDuringFoundingSucceeds(t *testing.T) {
 	names := []string{"c1", "c2", "c3"}
 	var members []quorum.Member
 	addresses := map[string]string{}
@@ -196,9 +196,9 @@
 		defer stop()
 		nodes = append(nodes, n)
 	}
-	late := time.Now().Add(30 * time.Second)
+	deadline := time.Now().Add(30 * time.Second)
 	for leads := false; !leads; time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
+		if time.Now().After(deadline) {
 			t.Fatal("the group was not founded")
 		}
 		for _, n := range nodes {
--- a/internal/control/node/pull_test.go
+++ b/internal/control/node/pull_test.go
@@ -17,8 +17,8 @@
 // a little after its own patience; when the leader held the poll longer, each one
 // failed, the entry took the leader for dead and looked for another all the time,
 // and whoever asked there meanwhile waited.
-func TestAnEmptyPullEndsWithItsPatience(t *testing.T) {
-	client := alone(t)
+func TestEmptyPullReturnsAtRequestedTimeout(t *testing.T) {
+	client := startSingleReplica(t)
 	const patience = 100 * time.Millisecond
 	pull(t, client, &inner.PullRequest{Cell: "test", Entry: "e1", Session: 1, Patience: uint64(patience.Milliseconds())}, time.Second)
 }
@@ -26,9 +26,9 @@
 // An operator changes the table while an entry's poll waits for replies that do
 // not come. The poll must end then with the new revision: the entry would else
 // serve the old one until its patience ends.
-func TestAPullEndsWithANewRevision(t *testing.T) {
-	client := alone(t)
-	const long = 1500 // below the longest hold, in ms
+func TestPullReturnsOnNewTableRevision(t *testing.T) {
+	client := startSingleReplica(t)
+	const pullTimeoutMillis = 1500 // below the longest hold, in ms
 	first := pull(t, client, &inner.PullRequest{Cell: "test", Entry: "e1", Session: 1, Patience: 1}, time.Second)
 	change := &v1.ChangeRequest{Id: "1", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{
 		Base: first.GetRevision(), Edits: []*v1.Edit{{Row: &v1.Row{Team: "rail", Weight: 1, Queue: 100, Limit: &v1.Size{}}}},
@@ -41,15 +41,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
-	got := pull(t, client, &inner.PullRequest{Cell: "test", Entry: "e1", Session: 1, Revision: first.GetRevision(), Patience: long}, 2*time.Second)
-	if got.GetRevision() != first.GetRevision()+1 || time.Since(began) >= long*time.Millisecond {
-		t.Errorf("revision %d after %v, then %d", first.GetRevision(), time.Since(began), got.GetRevision())
+	startedAt := time.Now()
+	got := pull(t, client, &inner.PullRequest{Cell: "test", Entry: "e1", Session: 1, Revision: first.GetRevision(), Patience: pullTimeoutMillis}, 2*time.Second)
+	if got.GetRevision() != first.GetRevision()+1 || time.Since(startedAt) >= pullTimeoutMillis*time.Millisecond {
+		t.Errorf("revision %d after %v, then %d", first.GetRevision(), time.Since(startedAt), got.GetRevision())
 	}
 }
 
-// alone runs a control replica alone in its cell.
-func alone(t *testing.T) inner.Control {
+// startSingleReplica runs a control replica alone in its cell.
+func startSingleReplica(t *testing.T) inner.Control {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	l := listen(t)
--- a/internal/control/node/state.go
+++ b/internal/control/node/state.go
@@ -42,8 +42,8 @@
 	if g := n.group.Load(); g != nil {
 		d.Group = g.Dump()
 	}
-	if s := n.entryService.Load(); s != nil {
-		d.Entries, d.Mailboxes = s.Entries(), s.Mailboxes()
+	if service := n.entryService.Load(); service != nil {
+		d.Entries, d.Mailboxes = service.Entries(), service.Mailboxes()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), inspectTimeout)
 	defer cancel()
@@ -70,20 +70,20 @@
 	set.NewGauge(meter.Name("control", "revision"), func() float64 { return float64(status().Revision) })
 	set.NewGauge(meter.Name("control", "mailboxes"), func() float64 { return float64(len(n.entryService.Load().Mailboxes())) })
 	set.NewGauge(meter.Name("control", "mailbox_replies"), func() float64 {
-		sum := 0
+		replies := 0
 		for _, b := range n.entryService.Load().Mailboxes() {
-			sum += b.Replies
+			replies += b.Replies
 		}
-		return float64(sum)
+		return float64(replies)
 	})
 	return (&platform.Probes{Ready: n.readiness, Meters: []*metrics.Set{meter.Common, set}}).Route()
 }
 
 // matchIndexes gives the index up to which each other replica has the log on its disk.
 func matchIndexes(d group.Dump) map[string]uint64 {
-	out := map[string]uint64{}
+	indexes := map[string]uint64{}
 	for _, p := range d.Peers {
-		out[p.ID] = p.Match
+		indexes[p.ID] = p.Match
 	}
-	return out
+	return indexes
 }
--- a/internal/control/node/watch.go
+++ b/internal/control/node/watch.go
@@ -32,15 +32,15 @@
 	if n.ServerTLS == nil {
 		return h
 	}
-	known := func(name string) bool {
+	isReplica := func(name string) bool {
 		return slices.ContainsFunc(n.Replicas, func(m quorum.Member) bool { return m.ID == name })
 	}
-	only := secure.Only(known, h)
+	restricted := secure.Only(isReplica, h)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if names := secure.Names(r); !slices.ContainsFunc(names, known) {
+		if names := secure.Names(r); !slices.ContainsFunc(names, isReplica) {
 			n.logLimiter.Log(n.Log, event.PeerRefused, "peer", strings.Join(names, " "), "error", "its certificate names no control replica, this is "+n.Name)
 		}
-		only.ServeHTTP(w, r)
+		restricted.ServeHTTP(w, r)
 	})
 }
 
@@ -49,7 +49,7 @@
 func (n *Node) monitor(ctx context.Context) error {
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
-	last, ready := n.now(), false
+	lastTick, wasReady := n.now(), false
 	for {
 		select {
 		case <-ctx.Done():
@@ -57,27 +57,27 @@
 		case <-tick.C:
 		}
 		now := n.now()
-		if gap := now - last; gap > maxTickGap {
+		if gap := now - lastTick; gap > maxTickGap {
 			event.Log(n.Log, event.ClockJumped, "gap", gap.String())
 		}
-		last = now
+		lastTick = now
 		err := n.readiness()
 		switch {
-		case err == nil && !ready:
+		case err == nil && !wasReady:
 			event.Log(n.Log, event.Ready)
-		case err != nil && ready:
+		case err != nil && wasReady:
 			event.Fail(n.Log, event.Unready, err)
 		}
-		ready = err == nil
+		wasReady = err == nil
 		n.entryService.Load().LogTableConfirmations()
 	}
 }
 
 // logCorruption logs an error of the files at the start as an event, when it is damage.
 func (n *Node) logCorruption(id event.ID, err error) error {
-	var j *journal.CorruptionError
-	var s *snapshot.CorruptionError
-	if errors.As(err, &j) || errors.As(err, &s) {
+	var journalErr *journal.CorruptionError
+	var snapshotErr *snapshot.CorruptionError
+	if errors.As(err, &journalErr) || errors.As(err, &snapshotErr) {
 		event.Fail(n.Log, id, err)
 	}
 	return err
--- a/internal/control/node/watch_test.go
+++ b/internal/control/node/watch_test.go
@@ -28,23 +28,23 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// issue returns a certificate for a name, signed by the parent or by itself.
-func issue(t *testing.T, name string, parent *tls.Certificate) *tls.Certificate {
+// issueCertificate returns a certificate for a name, signed by the parent or by itself.
+func issueCertificate(t *testing.T, name string, parent *tls.Certificate) *tls.Certificate {
 	t.Helper()
-	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	tmpl := &x509.Certificate{
+	template := &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()), DNSNames: []string{name}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
 		IsCA: parent == nil, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
-	from, signer := tmpl, any(k)
+	issuer, signer := template, any(privateKey)
 	if parent != nil {
-		from, signer = parent.Leaf, parent.PrivateKey
+		issuer, signer = parent.Leaf, parent.PrivateKey
 	}
-	der, err := x509.CreateCertificate(rand.Reader, tmpl, from, k.Public(), signer)
+	der, err := x509.CreateCertificate(rand.Reader, template, issuer, privateKey.Public(), signer)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,11 +52,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &tls.Certificate{Certificate: [][]byte{der}, PrivateKey: k, Leaf: leaf}
+	return &tls.Certificate{Certificate: [][]byte{der}, PrivateKey: privateKey, Leaf: leaf}
 }
 
-// start runs a node and returns how to end it.
-func start(t *testing.T, n *node.Node) {
+// startNode runs a node and returns how to end it.
+func startNode(t *testing.T, n *node.Node) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -70,19 +70,19 @@
 // An entry's instance is taken over. With the entry's certificate, which the
 // cell trusts, messages of consensus are sent under the entry's name, and could
 // depose leaders. Only a control replica's certificate opens those services.
-func TestAnEntrysCertificateIsNoReplicas(t *testing.T) {
-	root := issue(t, "authority", nil)
+func TestEntryCertificateCannotReachReplicaServices(t *testing.T) {
+	root := issueCertificate(t, "authority", nil)
 	pool := x509.NewCertPool()
 	pool.AddCert(root.Leaf)
 	l := listen(t)
-	mutual := &tls.Config{Certificates: []tls.Certificate{*issue(t, "c1", root)}, ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert}
-	start(t, &node.Node{
+	mutual := &tls.Config{Certificates: []tls.Certificate{*issueCertificate(t, "c1", root)}, ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert}
+	startNode(t, &node.Node{
 		Cell: "test", Name: "c1", DataDir: t.TempDir(), InitCell: true, Listener: l, Address: l.Addr().String(),
 		ServerTLS: mutual, PeerTLS: mutual, Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}},
 	})
 	for name, want := range map[string]bool{"c1": false, "e1": true} {
 		wire := &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{
-			Certificates: []tls.Certificate{*issue(t, name, root)}, RootCAs: pool, ServerName: "c1",
+			Certificates: []tls.Certificate{*issueCertificate(t, name, root)}, RootCAs: pool, ServerName: "c1",
 		}}
 		client := &http.Client{Transport: wire}
 		base := "https://" + l.Addr().String()
@@ -103,16 +103,16 @@
 
 // Someone sets an alarm on a metric that the page names and the process does
 // not have: it stays silent for good. The page and the process agree.
-func TestMetricsAreThoseOfThePage(t *testing.T) {
-	l, probes := listen(t), listen(t)
-	start(t, &node.Node{
-		Cell: "test", Name: "c1", DataDir: t.TempDir(), InitCell: true, Listener: l, Address: l.Addr().String(), ProbeListener: probes,
+func TestMetricsMatchDocumentation(t *testing.T) {
+	l, probeListener := listen(t), listen(t)
+	startNode(t, &node.Node{
+		Cell: "test", Name: "c1", DataDir: t.TempDir(), InitCell: true, Listener: l, Address: l.Addr().String(), ProbeListener: probeListener,
 		Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}},
 	})
-	name := regexp.MustCompile(`gypsumreel_(control|base)_[a-z_]+`)
-	find := func(b []byte) []string {
+	metricPattern := regexp.MustCompile(`gypsumreel_(control|base)_[a-z_]+`)
+	metricNames := func(b []byte) []string {
 		var out []string
-		for _, n := range name.FindAllString(string(b), -1) {
+		for _, n := range metricPattern.FindAllString(string(b), -1) {
 			out = append(out, strings.TrimSuffix(strings.TrimSuffix(strings.TrimSuffix(n, "_bucket"), "_sum"), "_count"))
 		}
 		slices.Sort(out)
@@ -124,12 +124,12 @@
 	}
 	var got []byte
 	for range 100 { // the first commit shows a moment after the election
-		if got = fetch(t, "http://"+probes.Addr().String()+"/metrics"); bytes.Contains(got, []byte("commit_seconds_count")) && !bytes.Contains(got, []byte("leads 0")) {
+		if got = fetch(t, "http://"+probeListener.Addr().String()+"/metrics"); bytes.Contains(got, []byte("commit_seconds_count")) && !bytes.Contains(got, []byte("leads 0")) {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if diff := cmp.Diff(find(page), find(got)); diff != "" {
+	if diff := cmp.Diff(metricNames(page), metricNames(got)); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/domain/answer/answer_test.go
+++ b/internal/domain/answer/answer_test.go
@@ -18,13 +18,13 @@
 		data := bytes.Repeat([]byte("cabinet"), size/7+1)[:size]
 		chunks := answer.Split(data)
 		order := rapid.Permutation(append(chunks, chunks...)).Draw(t, "order")
-		var p answer.Assembler
+		var assembler answer.Assembler
 		for _, c := range order {
-			if err := p.Add(c); err != nil {
+			if err := assembler.Add(c); err != nil {
 				t.Fatal(err)
 			}
 		}
-		got, ok, err := p.Assemble()
+		got, ok, err := assembler.Assemble()
 		if !ok || err != nil {
 			t.Fatalf("not whole: %v", err)
 		}
@@ -38,28 +38,28 @@
 // while another is put together. Numbers and length may even agree; the sum of
 // the whole does not.
 func TestChunksOfTwoAnswersNeverMix(t *testing.T) {
-	one := answer.Split(bytes.Repeat([]byte("a"), answer.ChunkSize+1))
-	two := answer.Split(bytes.Repeat([]byte("b"), answer.ChunkSize+1))
-	var p answer.Assembler
-	if err := p.Add(one[0]); err != nil {
+	first := answer.Split(bytes.Repeat([]byte("a"), answer.ChunkSize+1))
+	second := answer.Split(bytes.Repeat([]byte("b"), answer.ChunkSize+1))
+	var assembler answer.Assembler
+	if err := assembler.Add(first[0]); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Add(two[1]); err == nil {
+	if err := assembler.Add(second[1]); err == nil {
 		t.Error("a chunk of another answer was taken")
 	}
-	if _, ok, _ := p.Assemble(); ok {
+	if _, ok, _ := assembler.Assemble(); ok {
 		t.Error("half an answer passes for a whole one")
 	}
 }
 
-func TestDamageShows(t *testing.T) {
+func TestDamagedAnswerIsRejected(t *testing.T) {
 	chunks := answer.Split([]byte("resonance"))
 	chunks[0].Data = []byte("resonanbe")
-	var p answer.Assembler
-	if err := p.Add(chunks[0]); err != nil {
+	var assembler answer.Assembler
+	if err := assembler.Add(chunks[0]); err != nil {
 		t.Fatal(err)
 	}
-	_, ok, err := p.Assemble()
+	_, ok, err := assembler.Assemble()
 	if diff := cmp.Diff(false, ok); diff != "" || err == nil {
 		t.Errorf("a damaged answer passes: %v", err)
 	}
--- a/internal/domain/capacity/capacity_test.go
+++ b/internal/domain/capacity/capacity_test.go
@@ -9,17 +9,17 @@
 	_ "gypsumreel/internal/fake/seed"
 )
 
-func sizes(t *rapid.T, name string) capacity.Size {
-	n := rapid.Int64Range(0, 1_000)
-	return capacity.Size{CPU: n.Draw(t, name+"cpu"), Memory: n.Draw(t, name+"memory"), Accel: n.Draw(t, name+"accel"), Slots: n.Draw(t, name+"slots")}
+func drawSize(t *rapid.T, name string) capacity.Size {
+	value := rapid.Int64Range(0, 1_000)
+	return capacity.Size{CPU: value.Draw(t, name+"cpu"), Memory: value.Draw(t, name+"memory"), Accel: value.Draw(t, name+"accel"), Slots: value.Draw(t, name+"slots")}
 }
 
 // What fits into a room leaves a valid rest, and what does not fit leaves none.
-func TestFitsMeansNothingGoesNegative(t *testing.T) {
+func TestFitsMatchesNonNegativeRemainder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		need, room := sizes(t, "need"), sizes(t, "room")
-		if got, want := need.Fits(room), room.Sub(need).Valid(); got != want {
-			t.Fatalf("Fits = %v, rest %v", got, room.Sub(need))
+		need, free := drawSize(t, "need"), drawSize(t, "room")
+		if got, want := need.Fits(free), free.Sub(need).Valid(); got != want {
+			t.Fatalf("Fits = %v, rest %v", got, free.Sub(need))
 		}
 	})
 }
--- a/internal/domain/lease/lease.go
+++ b/internal/domain/lease/lease.go
@@ -55,23 +55,23 @@
 }
 
 // Renew notes a renewal before its answer leaves, and returns what to grant.
-func (k *Tracker) Renew(server string, roundStart, receivedAt time.Duration) time.Duration {
-	grant := k.terms.Grant(roundStart, receivedAt)
+func (t *Tracker) Renew(server string, roundStart, receivedAt time.Duration) time.Duration {
+	grant := t.terms.Grant(roundStart, receivedAt)
 	if grant > 0 {
-		k.expiresBy[server] = max(k.expiresBy[server], roundStart+k.terms.ExpiryWait())
+		t.expiresBy[server] = max(t.expiresBy[server], roundStart+t.terms.ExpiryWait())
 	}
 	return grant
 }
 
 // Expired tells whether the server's lease is over on every clock.
-func (k *Tracker) Expired(server string, now time.Duration) bool {
-	return now > k.electedAt+k.terms.ExpiryWait() && now > k.expiresBy[server]
+func (t *Tracker) Expired(server string, now time.Duration) bool {
+	return now > t.electedAt+t.terms.ExpiryWait() && now > t.expiresBy[server]
 }
 
 // Remaining returns how long it takes until the server's lease is over on every clock.
-func (k *Tracker) Remaining(server string, now time.Duration) time.Duration {
-	return max(0, max(k.electedAt+k.terms.ExpiryWait(), k.expiresBy[server])-now)
+func (t *Tracker) Remaining(server string, now time.Duration) time.Duration {
+	return max(0, max(t.electedAt+t.terms.ExpiryWait(), t.expiresBy[server])-now)
 }
 
 // Forget drops a server's line; its session must be closed before.
-func (k *Tracker) Forget(server string) { delete(k.expiresBy, server) }
+func (t *Tracker) Forget(server string) { delete(t.expiresBy, server) }
--- a/internal/domain/table/table_test.go
+++ b/internal/domain/table/table_test.go
@@ -14,20 +14,20 @@
 // Revisions share rows; a later change must never show in an earlier revision.
 func TestRevisionsNeverChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var now table.Table
-		var all []table.Table
-		var seen [][]team.Row
+		var current table.Table
+		var revisions []table.Table
+		var expectedRows [][]team.Row
 		names := rapid.SliceOfN(rapid.StringMatching(`[a-e][0-9]`), 1, 40).Draw(t, "names")
 		for i, name := range names {
 			if rapid.Bool().Draw(t, "remove") {
-				now = now.Update(nil, []string{name})
+				current = current.Update(nil, []string{name})
 			} else {
-				now = now.Update([]team.Row{team.New(name).WithWeight(uint32(i + 1))}, nil)
+				current = current.Update([]team.Row{team.New(name).WithWeight(uint32(i + 1))}, nil)
 			}
-			all, seen = append(all, now), append(seen, now.Rows())
+			revisions, expectedRows = append(revisions, current), append(expectedRows, current.Rows())
 		}
-		for i, old := range all {
-			if diff := cmp.Diff(seen[i], old.Rows()); diff != "" || old.Revision() != uint64(i+1) || old.Len() != len(seen[i]) {
+		for i, revision := range revisions {
+			if diff := cmp.Diff(expectedRows[i], revision.Rows()); diff != "" || revision.Revision() != uint64(i+1) || revision.Len() != len(expectedRows[i]) {
 				t.Fatalf("revision %d changed: %s", i+1, diff)
 			}
 		}
