--- a/internal/domain/answer/answer.go
+++ b/internal/domain/answer/answer.go
@@ -1,4 +1,4 @@
-// Package answer cuts answers into numbered chunks and puts them together again.
+// Package answer splits answers into numbered chunks and reassembles them.
 package answer
 
 import (
@@ -10,28 +10,30 @@
 	v1 "gypsumreel/internal/api/v1"
 )
 
-// Bounds of answers, in bytes.
+// Limits on answers, in bytes.
 const (
-	// ChunkSize is the size of all chunks but the last.
+	// ChunkSize is the size of every chunk except the last, which may be shorter.
 	ChunkSize = 128 << 10
-	// MaxTaskAnswer bounds a task's whole answer.
+	// MaxTaskAnswer is the maximum size of one task's answer.
 	MaxTaskAnswer = 1 << 20
-	// MaxJobAnswer bounds a job's whole answer, the sum over its tasks.
+	// MaxJobAnswer is the maximum size of a job's answer, summed over its tasks.
 	MaxJobAnswer = 32 << 20
-	// minMeanChunk is the mean size of chunks below which an answer is refused: a
-	// sender that cuts finer would cost more in numbers than in data.
+	// minMeanChunk is the minimum mean chunk size. An answer in smaller chunks
+	// is refused, because the overhead per chunk would exceed the data.
 	minMeanChunk = 1024
 )
 
-// ErrChunkMismatch is returned for a chunk that belongs to another answer, or is damaged.
-var ErrChunkMismatch = errors.New("chunk of another answer")
+// ErrChunkMismatch is returned for a chunk that is damaged or belongs to another answer.
+var ErrChunkMismatch = errors.New("chunk is damaged or belongs to another answer")
 
-// ChunkCount returns the number of chunks of an answer; an empty one has one.
+// ChunkCount returns the number of chunks of an answer of the given length in
+// bytes. An empty answer has one chunk.
 func ChunkCount(total int) uint32 {
 	return uint32(max(1, (total+ChunkSize-1)/ChunkSize))
 }
 
-// ChunkAt returns one chunk of an answer; nil when there is none of that number.
+// ChunkAt returns the chunk with the given number, or nil when the answer has no
+// such chunk.
 func ChunkAt(data []byte, number uint32) *v1.Chunk {
 	count := ChunkCount(len(data))
 	if number >= count {
@@ -42,14 +44,15 @@
 	return &v1.Chunk{Number: number, Count: count, Total: uint64(len(data)), Sum: xxhash.Sum64(data), Data: data[start:end]}
 }
 
-// Header is what every chunk of an answer tells of the whole.
+// Header holds the length and checksum of a whole answer. Every chunk repeats them.
 type Header struct {
-	// Total is the length in bytes, Sum the checksum of all of it.
+	// Total is the length of the answer in bytes.
 	Total int
-	Sum   uint64
+	// Sum is the xxHash64 checksum of the whole answer.
+	Sum uint64
 }
 
-// NewHeader returns the head of an answer that comes in pieces.
+// NewHeader returns the header of the answer that the concatenated pieces make up.
 func NewHeader(pieces iter.Seq[[]byte]) Header {
 	var h Header
 	hash := xxhash.New()
@@ -61,8 +64,8 @@
 	return h
 }
 
-// ChunkAt returns one chunk of the answer that the pieces make; nil when there is
-// none of that number. Only the bytes of the chunk are copied.
+// ChunkAt returns the chunk with the given number of the concatenated pieces, or
+// nil when there is no such chunk. It copies only the bytes of that chunk.
 func (h Header) ChunkAt(pieces iter.Seq[[]byte], number uint32) *v1.Chunk {
 	count := ChunkCount(h.Total)
 	if number >= count {
@@ -82,7 +85,7 @@
 	return &v1.Chunk{Number: number, Count: count, Total: uint64(h.Total), Sum: h.Sum, Data: data}
 }
 
-// Split returns all chunks of an answer.
+// Split returns all chunks of an answer in order.
 func Split(data []byte) []*v1.Chunk {
 	chunks := make([]*v1.Chunk, 0, ChunkCount(len(data)))
 	for n := range ChunkCount(len(data)) {
@@ -91,24 +94,25 @@
 	return chunks
 }
 
-// Assembler collects the chunks of one answer in any order. The zero value is empty.
+// Assembler reassembles one answer from chunks that arrive in any order. The zero
+// value is ready to use.
 type Assembler struct {
-	// MaxBytes bounds the whole answer in bytes; MaxTotal when 0.
+	// MaxBytes is the maximum size of the whole answer; 0 means MaxTaskAnswer.
 	MaxBytes uint64
 
 	first        *v1.Chunk
 	dataByNumber map[uint32][]byte
 }
 
-// Add takes a chunk; one that came before is dropped. It returns ErrMixed for a
-// chunk of another answer: parts of two answers never make one.
+// Add stores a chunk and ignores a duplicate. It returns ErrChunkMismatch for a
+// chunk of another answer, so that chunks of two answers are never combined.
 func (a *Assembler) Add(c *v1.Chunk) error {
 	maxBytes := a.MaxBytes
 	if maxBytes == 0 {
 		maxBytes = MaxTaskAnswer
 	}
 	if c.GetCount() == 0 || uint64(c.GetCount()) > maxBytes/minMeanChunk+1 || c.GetNumber() >= c.GetCount() || c.GetTotal() > maxBytes {
-		return errors.Wrap(ErrChunkMismatch, "numbers out of bounds")
+		return errors.Wrap(ErrChunkMismatch, "chunk number, chunk count or total length out of bounds")
 	}
 	if a.first == nil {
 		a.first, a.dataByNumber = c, map[uint32][]byte{}
@@ -123,7 +127,8 @@
 	return nil
 }
 
-// NextMissing returns the number of the first missing chunk; false when none is.
+// NextMissing returns the lowest number of a missing chunk, or false when all
+// chunks are present.
 func (a *Assembler) NextMissing() (uint32, bool) {
 	if a.first == nil {
 		return 0, true
@@ -136,8 +141,9 @@
 	return 0, false
 }
 
-// Assemble returns the answer once every chunk is there and length and sum agree;
-// false while chunks are missing, ErrMixed when what came does not add up.
+// Assemble returns the answer when all chunks are present and its length and
+// checksum match. It returns false while chunks are missing, and
+// ErrChunkMismatch when the length or the checksum differs.
 func (a *Assembler) Assemble() ([]byte, bool, error) {
 	if a.first == nil || uint32(len(a.dataByNumber)) < a.first.GetCount() {
 		return nil, false, nil
@@ -147,7 +153,7 @@
 		data = append(data, a.dataByNumber[n]...)
 	}
 	if uint64(len(data)) != a.first.GetTotal() || xxhash.Sum64(data) != a.first.GetSum() {
-		return nil, false, errors.Wrap(ErrChunkMismatch, "length or sum differs")
+		return nil, false, errors.Wrap(ErrChunkMismatch, "length or checksum differs")
 	}
 	return data, true, nil
 }
--- a/internal/domain/answer/answer_test.go
+++ b/internal/domain/answer/answer_test.go
@@ -11,7 +11,8 @@
 	_ "gypsumreel/internal/fake/seed"
 )
 
-// Chunks arrive twice and in any order, and the answer is whole all the same.
+// Chunks may arrive twice and in any order. The assembled answer must equal the
+// original.
 func TestChunksInAnyOrderGiveTheWholeAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(0, 3*answer.ChunkSize+7).Draw(t, "size")
@@ -26,17 +27,17 @@
 		}
 		got, ok, err := assembler.Assemble()
 		if !ok || err != nil {
-			t.Fatalf("not whole: %v", err)
+			t.Fatalf("the answer was not assembled: %v", err)
 		}
 		if !bytes.Equal(got, data) {
-			t.Fatal("another answer")
+			t.Fatal("assembled data differs from the original")
 		}
 	})
 }
 
-// A caller is shown another job's data: a late chunk of one answer arrives
-// while another is put together. Numbers and length may even agree; the sum of
-// the whole does not.
+// Guards against showing a caller another job's data when a late chunk of one
+// answer arrives while another is assembled. Chunk numbers and total length may
+// agree, but the checksums differ.
 func TestChunksOfTwoAnswersNeverMix(t *testing.T) {
 	first := answer.Split(bytes.Repeat([]byte("a"), answer.ChunkSize+1))
 	second := answer.Split(bytes.Repeat([]byte("b"), answer.ChunkSize+1))
@@ -45,10 +46,10 @@
 		t.Fatal(err)
 	}
 	if err := assembler.Add(second[1]); err == nil {
-		t.Error("a chunk of another answer was taken")
+		t.Error("a chunk of another answer was accepted")
 	}
 	if _, ok, _ := assembler.Assemble(); ok {
-		t.Error("half an answer passes for a whole one")
+		t.Error("an incomplete answer was returned as complete")
 	}
 }
 
@@ -61,6 +62,6 @@
 	}
 	_, ok, err := assembler.Assemble()
 	if diff := cmp.Diff(false, ok); diff != "" || err == nil {
-		t.Errorf("a damaged answer passes: %v", err)
+		t.Errorf("a damaged answer was accepted: %v", err)
 	}
 }
--- a/internal/domain/backend/backend.go
+++ b/internal/domain/backend/backend.go
@@ -1,4 +1,4 @@
-// Package backend holds backend servers as the ledger knows them.
+// Package backend defines the ledger's record of a backend server.
 package backend
 
 import (
@@ -7,26 +7,27 @@
 	"gypsumreel/internal/domain/capacity"
 )
 
-// State says what a backend server may be given.
+// State determines which work a backend server may receive.
 type State uint8
 
 // The states of a backend server.
 const (
-	// Ready servers take new work.
+	// Ready servers accept new work.
 	Ready State = iota + 1
-	// Draining servers finish what they have and take nothing new.
+	// Draining servers finish their tasks and receive no new work.
 	Draining
-	// Suspect servers have not been heard from; they take nothing new.
+	// Suspect servers have stopped reporting; they receive no new work.
 	Suspect
-	// Quarantined servers failed what others ran; they take only probes.
+	// Quarantined servers failed tasks that other servers completed; they receive
+	// only probe tasks.
 	Quarantined
-	// Gone servers are proved to run nothing: left or past their lease.
+	// Gone servers run nothing, because they have left or their lease has expired.
 	Gone
 )
 
 var stateNames = [...]string{"none", "ready", "draining", "suspect", "quarantined", "gone"}
 
-// String returns the state's name in lower case.
+// String returns the state's name in lower case, or "none" for an unknown state.
 func (s State) String() string {
 	if int(s) >= len(stateNames) {
 		return stateNames[0]
@@ -34,12 +35,12 @@
 	return stateNames[s]
 }
 
-// Server is one backend server. It is a value: methods return a new one.
+// Server describes one backend server. Methods return a changed copy.
 type Server struct {
 	ID string
-	// Incarnation numbers the server's sessions; it grows with each announcement.
+	// Incarnation numbers the server's sessions and grows with each announcement.
 	Incarnation uint64
-	// Nonce is the server's own random number of its run.
+	// Nonce is a random number that the server process draws at its start.
 	Nonce    uint64
 	Capacity capacity.Size
 	Rack     string
@@ -47,11 +48,11 @@
 	Zone   string
 	Labels map[string]string
 	State  State
-	// StateSince is when the state was entered, on the ledger's clock.
+	// StateSince is the time on the ledger's clock at which State was entered.
 	StateSince time.Duration
 }
 
-// WithState returns the server in another state, entered at the time given.
+// WithState returns a copy of the server in the given state, entered at enteredAt.
 func (s Server) WithState(state State, enteredAt time.Duration) Server {
 	s.State, s.StateSince = state, enteredAt
 	return s
--- a/internal/domain/capacity/capacity.go
+++ b/internal/domain/capacity/capacity.go
@@ -1,23 +1,24 @@
-// Package capacity holds sizes: what a task asks for and what a backend server has.
+// Package capacity defines resource sizes: the demand of a task and the capacity
+// of a backend server.
 package capacity
 
 import "math"
 
-// Unlimited marks a field of a limit that binds nothing.
+// Unlimited marks a field of a limit that is not limited.
 const Unlimited = -1
 
 // Dimensions is the number of fields of a Size.
 const Dimensions = 4
 
-// Size is a demand or a capacity. It is a value: methods return a new one.
+// Size is a resource demand, limit or capacity. Methods return a new value.
 type Size struct {
-	// CPU is processor time in thousandths of a core.
+	// CPU is in thousandths of a core.
 	CPU int64
 	// Memory is in MiB.
 	Memory int64
-	// Accel counts accelerators.
+	// Accel is the number of accelerators.
 	Accel int64
-	// Slots counts task slots.
+	// Slots is the number of task slots.
 	Slots int64
 }
 
@@ -26,27 +27,28 @@
 	return Size{s.CPU + o.CPU, s.Memory + o.Memory, s.Accel + o.Accel, s.Slots + o.Slots}
 }
 
-// Sub returns what is left of s without o; fields may become negative.
+// Sub returns s minus o; fields may become negative.
 func (s Size) Sub(o Size) Size {
 	return Size{s.CPU - o.CPU, s.Memory - o.Memory, s.Accel - o.Accel, s.Slots - o.Slots}
 }
 
-// Times returns s multiplied by n.
+// Times returns s with each field multiplied by n.
 func (s Size) Times(n int64) Size {
 	return Size{s.CPU * n, s.Memory * n, s.Accel * n, s.Slots * n}
 }
 
-// Max returns the larger value of each field.
+// Max returns the larger value of each field of s and o.
 func (s Size) Max(o Size) Size {
 	return Size{max(s.CPU, o.CPU), max(s.Memory, o.Memory), max(s.Accel, o.Accel), max(s.Slots, o.Slots)}
 }
 
-// Fits tells whether s needs no more than room in any field.
+// Fits reports whether no field of s exceeds that of free.
 func (s Size) Fits(free Size) bool {
 	return s.CPU <= free.CPU && s.Memory <= free.Memory && s.Accel <= free.Accel && s.Slots <= free.Slots
 }
 
-// Within tells whether s exceeds no field of limit that is not Unlimited.
+// Within reports whether no field of s exceeds that of limit. Fields of limit that
+// are Unlimited are ignored.
 func (s Size) Within(limit Size) bool {
 	return within(s.CPU, limit.CPU) && within(s.Memory, limit.Memory) &&
 		within(s.Accel, limit.Accel) && within(s.Slots, limit.Slots)
@@ -54,16 +56,17 @@
 
 func within(n, limit int64) bool { return limit == Unlimited || n <= limit }
 
-// Valid tells whether no field is negative.
+// Valid reports whether no field is negative.
 func (s Size) Valid() bool {
 	return s.CPU >= 0 && s.Memory >= 0 && s.Accel >= 0 && s.Slots >= 0
 }
 
-// IsZero tells whether every field is zero.
+// IsZero reports whether every field is zero.
 func (s Size) IsZero() bool { return s == Size{} }
 
-// DominantShare returns the largest fraction that s takes of total, the share that
-// dominant-resource fairness compares. Fields that total lacks do not count.
+// DominantShare returns the largest fraction of a field of capacity that s uses,
+// as dominant-resource fairness defines it. Fields that are zero in capacity are
+// ignored.
 func (s Size) DominantShare(capacity Size) float64 {
 	share := fraction(s.CPU, capacity.CPU)
 	share = math.Max(share, fraction(s.Memory, capacity.Memory))
--- a/internal/domain/flow/check.go
+++ b/internal/domain/flow/check.go
@@ -5,25 +5,25 @@
 	"gypsumreel/internal/base/code"
 )
 
-// Bounds of a flow. They keep one caller's flow from filling the ledger.
+// Limits on a flow. They prevent a single flow from filling the ledger.
 const (
-	// MaxInputBytes bounds what is passed to each task, in bytes.
+	// MaxInputBytes is the maximum size of the input that is passed to each task.
 	MaxInputBytes = 16 << 10
-	// MaxSteps bounds the steps of a flow.
+	// MaxSteps is the maximum number of steps of a flow.
 	MaxSteps = 256
-	// MaxTasksPerTurn bounds the tasks of one turn of a flow.
+	// MaxTasksPerTurn is the maximum number of tasks in one turn of a flow.
 	MaxTasksPerTurn = 10_000
 )
 
-// CheckSpec tells what is wrong with a flow, or nil.
+// CheckSpec returns an error that describes why a flow is invalid, or nil.
 func CheckSpec(s *v1.FlowSpec) *code.Error {
 	switch {
 	case s.GetId() == "":
-		return code.New(code.Malformed, "a flow needs an id")
+		return code.New(code.Malformed, "the flow has no id")
 	case len(s.GetInput()) > MaxInputBytes:
-		return code.New(code.TooLarge, "%d bytes of input, at most %d", len(s.GetInput()), MaxInputBytes)
+		return code.New(code.TooLarge, "the input has %d bytes, at most %d are allowed", len(s.GetInput()), MaxInputBytes)
 	case len(s.GetSteps()) == 0 || len(s.GetSteps()) > MaxSteps:
-		return code.New(code.Malformed, "%d steps, 1 to %d are allowed", len(s.GetSteps()), MaxSteps)
+		return code.New(code.Malformed, "the flow has %d steps, 1 to %d are allowed", len(s.GetSteps()), MaxSteps)
 	}
 	taskCount := uint32(0)
 	for i, step := range s.GetSteps() {
@@ -31,14 +31,14 @@
 			return err
 		}
 		if taskCount += step.GetCount(); taskCount > MaxTasksPerTurn {
-			return code.New(code.TooLarge, "more than %d tasks", MaxTasksPerTurn)
+			return code.New(code.TooLarge, "the flow has more than %d tasks", MaxTasksPerTurn)
 		}
 	}
 	return nil
 }
 
-// checkStep looks at one step. Steps depend on earlier ones only, so that no
-// circle can keep a flow waiting for itself for ever.
+// checkStep validates step number i. A step may depend on earlier steps only, so
+// that dependencies have no cycle.
 func checkStep(i int, s *v1.FlowStep) *code.Error {
 	if s.GetCount() == 0 || s.GetCount() > MaxTasksPerTurn {
 		return code.New(code.Malformed, "step %d has %d tasks, 1 to %d are allowed", i, s.GetCount(), MaxTasksPerTurn)
@@ -48,7 +48,7 @@
 	}
 	for _, dependency := range s.GetAfter() {
 		if int(dependency) >= i {
-			return code.New(code.Malformed, "step %d depends on step %d, which is not before it", i, dependency)
+			return code.New(code.Malformed, "step %d depends on step %d, which is not an earlier step", i, dependency)
 		}
 	}
 	return nil
--- a/internal/domain/flow/document.go
+++ b/internal/domain/flow/document.go
@@ -9,14 +9,14 @@
 	"gypsumreel/internal/base/code"
 )
 
-// CheckDocument tells what is wrong with a configuration document, or nil. It
-// is asked before versions are compared: an unsound document is refused
-// whatever its number.
+// CheckDocument returns an error that describes why a configuration document is
+// invalid, or nil. It is called before versions are compared, so an invalid
+// document is refused whatever its version.
 func CheckDocument(d *v1.Document) *code.Error {
 	pools := map[string]bool{}
 	for _, p := range d.GetPools() {
 		if p.GetName() == "" || pools[p.GetName()] {
-			return code.New(code.Malformed, "pool %q is unnamed or stands twice", p.GetName())
+			return code.New(code.Malformed, "pool %q has an empty or duplicate name", p.GetName())
 		}
 		pools[p.GetName()] = true
 	}
@@ -27,19 +27,19 @@
 }
 
 func checkQueues(queues []*v1.Queue, pools map[string]bool) *code.Error {
-	type place struct{ host, path string }
-	usedAddresses, names := map[place]bool{}, map[string]bool{}
+	type queueAddress struct{ host, path string }
+	usedAddresses, names := map[queueAddress]bool{}, map[string]bool{}
 	for _, q := range queues {
-		address := place{q.GetHost(), q.GetPath()}
+		address := queueAddress{q.GetHost(), q.GetPath()}
 		switch {
 		case q.GetName() == "" || names[q.GetName()]:
-			return code.New(code.Malformed, "queue %q is unnamed or stands twice", q.GetName())
+			return code.New(code.Malformed, "queue %q has an empty or duplicate name", q.GetName())
 		case !pools[q.GetPool()]:
-			return code.New(code.Malformed, "queue %s: no pool %q", q.GetName(), q.GetPool())
+			return code.New(code.Malformed, "queue %s: unknown pool %q", q.GetName(), q.GetPool())
 		case usedAddresses[address]:
-			return code.New(code.Malformed, "queue %s: another one is at %s%s", q.GetName(), address.host, address.path)
+			return code.New(code.Malformed, "queue %s: another queue has the address %s%s", q.GetName(), address.host, address.path)
 		case q.GetTimeout() == 0:
-			return code.New(code.Malformed, "queue %s: no time for a call", q.GetName())
+			return code.New(code.Malformed, "queue %s: the timeout of a call is 0", q.GetName())
 		}
 		usedAddresses[address], names[q.GetName()] = true, true
 	}
@@ -50,7 +50,7 @@
 	ownerByDigest, names := map[[sha256.Size]byte]string{}, map[string]bool{}
 	for _, c := range customers {
 		if c.GetName() == "" || names[c.GetName()] {
-			return code.New(code.Malformed, "customer %q is unnamed or stands twice", c.GetName())
+			return code.New(code.Malformed, "customer %q has an empty or duplicate name", c.GetName())
 		}
 		names[c.GetName()] = true
 		for _, k := range c.GetKeys() {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// Config is a document made ready to be asked. It is immutable.
+// Config is a configuration document with indexes for look-ups. It is immutable.
 type Config struct {
 	*v1.Document
 	queueByName         map[string]*v1.Queue
@@ -74,7 +74,7 @@
 	queuesByHost        map[string][]*v1.Queue
 }
 
-// NewConfig makes a sound document ready; nil stands for the empty one.
+// NewConfig indexes a valid document; nil stands for an empty document.
 func NewConfig(d *v1.Document) *Config {
 	c := &Config{
 		Document: d, queueByName: map[string]*v1.Queue{}, poolByName: map[string]*v1.Pool{},
@@ -96,28 +96,29 @@
 	return c
 }
 
-// SameText tells whether two documents were sent with the same bytes.
+// SameText reports whether the text of the configuration equals that of d byte for
+// byte.
 func (c *Config) SameText(d *v1.Document) bool { return bytes.Equal(c.GetText(), d.GetText()) }
 
-// Queue returns a queue by its name.
+// Queue returns the queue with the given name.
 func (c *Config) Queue(name string) (*v1.Queue, bool) {
 	q, ok := c.queueByName[name]
 	return q, ok
 }
 
-// Pool returns a pool by its name.
+// Pool returns the pool with the given name.
 func (c *Config) Pool(name string) (*v1.Pool, bool) {
 	p, ok := c.poolByName[name]
 	return p, ok
 }
 
-// Customer returns a customer by its name.
+// Customer returns the customer with the given name.
 func (c *Config) Customer(name string) (*v1.Customer, bool) {
 	customer, ok := c.customerByName[name]
 	return customer, ok
 }
 
-// KeyOwner returns the customer that a key belongs to, by the key's SHA-256.
+// KeyOwner returns the customer that owns the key with the given SHA-256 digest.
 func (c *Config) KeyOwner(digest []byte) (*v1.Customer, bool) {
 	if len(digest) != sha256.Size {
 		return nil, false
@@ -126,8 +127,8 @@
 	return customer, ok
 }
 
-// QueueAt returns the queue at a place, the one with the longest path that the given
-// path begins with, and the rest of the path.
+// QueueAt returns the queue of the host whose path is the longest prefix of the
+// given path, and the rest of the path after that prefix.
 func (c *Config) QueueAt(host, path string) (q *v1.Queue, rest string, ok bool) {
 	for _, candidate := range c.queuesByHost[host] {
 		if strings.HasPrefix(path, candidate.GetPath()) && (q == nil || len(candidate.GetPath()) > len(q.GetPath())) {
--- a/internal/domain/flow/flow.go
+++ b/internal/domain/flow/flow.go
@@ -1,5 +1,6 @@
-// Package flow names the parts of flows: jobs of several steps that depend on
-// each other. The names are values that can be compared and used as keys.
+// Package flow defines the identifiers of flows, which are jobs made up of steps
+// that depend on each other, and validates flows and configuration documents.
+// Identifiers are comparable values and can be used as map keys.
 package flow
 
 import (
@@ -10,21 +11,21 @@
 	"gypsumreel/internal/domain/capacity"
 )
 
-// StepID names one step in one of a flow's turns. Turn is 0 for a flow that
-// runs once.
+// StepID identifies a step within one turn of a flow. A turn is one execution of all
+// steps; Turn is 0 for a flow that runs once.
 type StepID struct {
 	Flow string
 	Turn uint32
 	Step uint32
 }
 
-// TaskID names one task of a step.
+// TaskID identifies a task of a step.
 type TaskID struct {
 	StepID
 	Index uint32
 }
 
-// RunID names one run of a task; the runs of a task are numbered from 1 on.
+// RunID identifies one run of a task. The runs of a task are numbered from 1.
 type RunID struct {
 	TaskID
 	Number uint32
@@ -39,19 +40,20 @@
 // String returns FLOW.TURN.STEP.INDEX#NUMBER.
 func (id RunID) String() string { return fmt.Sprintf("%s#%d", id.TaskID, id.Number) }
 
-// RunIDFromMessage returns the name that a message carries.
+// RunIDFromMessage returns the identifier that a message contains.
 func RunIDFromMessage(m *inner.Run) RunID {
 	step := StepID{Flow: m.GetFlow(), Turn: m.GetTurn(), Step: m.GetStep()}
 	return RunID{TaskID: TaskID{StepID: step, Index: m.GetIndex()}, Number: m.GetNumber()}
 }
 
-// Message returns the name as a message carries it.
+// Message returns the identifier in its message form.
 func (id RunID) Message() *inner.Run {
 	return &inner.Run{Flow: id.Flow, Turn: id.Turn, Step: id.Step, Index: id.Index, Number: id.Number}
 }
 
-// TaskSize returns what a task of the step takes from a server's capacity. A task
-// that fills takes no processor time: it runs on what others leave.
+// TaskSize returns the capacity that a task of the step uses on a server. A task
+// of a step that fills spare capacity reserves no processor time, because it runs
+// on what other tasks leave unused.
 func TaskSize(s *v1.FlowStep) capacity.Size {
 	m := s.GetSize()
 	size := capacity.Size{CPU: m.GetCpu(), Memory: m.GetMemory(), Accel: m.GetAccel()}
--- a/internal/domain/lease/lease.go
+++ b/internal/domain/lease/lease.go
@@ -1,60 +1,69 @@
-// Package lease holds the rules of leases: how long a backend server may run
-// what it was given without hearing from the leader, and how long the leader
-// waits before it treats a lease as over. Renewals are not logged.
+// Package lease defines the leases of backend servers. A lease limits how long a
+// server may run its tasks without contact to the leader. It also determines how
+// long the leader waits before it treats the lease as expired. Renewals are not
+// written to the replicated log.
 package lease
 
 import "time"
 
 // Defaults of a lease.
 const (
-	// DefaultLength is how long a server may go on after its last confirmed renewal.
+	// DefaultLength is how long a server may continue after its last confirmed renewal.
 	DefaultLength = 6 * time.Second
-	// DefaultMaxClockDrift bounds how much two clocks' rates differ, as a fraction.
+	// DefaultMaxClockDrift is the maximum difference between the rates of two clocks, as
+	// a fraction of 1.
 	DefaultMaxClockDrift = 0.01
 )
 
-// Terms are what leader and backend servers agree on.
+// Terms are the lease parameters that the leader and the backend servers share.
 type Terms struct {
-	// Length of a lease, counted from the start of a confirmed heartbeat round.
+	// Length is the duration of a lease from the start of a confirmed heartbeat round.
 	Length time.Duration
-	// MaxClockDrift bounds the difference of two clocks' rates, as a fraction of 1.
+	// MaxClockDrift is the maximum difference between the rates of two clocks, as a
+	// fraction of 1.
 	MaxClockDrift float64
 }
 
-// ExpiryWait returns how long the leader waits on its own clock until a lease of full
-// length is over on any server's clock.
+// ExpiryWait returns the time on the leader's clock after which a lease of full
+// length has expired on every server's clock.
 func (t Terms) ExpiryWait() time.Duration {
 	return t.Length + time.Duration(float64(t.Length)*t.MaxClockDrift)
 }
 
-// Grant returns the lease of a renewal, counted by the server from when it sent
-// its request. start is the start of the latest heartbeat round that a quorum
-// confirmed, received when the request came. Since the send is not after
-// received, the lease ends by start+Length whatever the answer's delay. A plain
-// Length from the send would be wrong: with a round that began before the send
-// it would reach past the wait of a leader elected in between, and a task would
-// run in two places. Nor is it ever longer than Length: with a request that was
-// held back the round may have begun after it came, and a server with a slow
-// clock would run on beyond the wait, which allows for drift over one length.
+// Grant returns the duration of the lease that a renewal grants. The server counts
+// it from the time at which it sent the request. roundStart is the start of the
+// latest heartbeat round that a quorum confirmed. receivedAt is the time at which
+// the leader received the request. The server sent the request no later than
+// receivedAt, so the lease ends by roundStart+Length however long the reply takes.
+//
+// Granting Length from the time of sending would be unsafe. If the round began
+// before the request was sent, the lease could outlast the wait of a leader that
+// was elected in between, and a task would run in two places.
+//
+// The grant never exceeds Length. If the request was delayed before processing, the
+// round may have begun after the request was received. A server with a slow clock
+// could then run past ExpiryWait, which allows for drift over one Length only.
 func (t Terms) Grant(roundStart, receivedAt time.Duration) time.Duration {
 	return max(0, min(t.Length, roundStart+t.Length-receivedAt))
 }
 
-// Tracker notes until when each server's lease may reach, on the leader's clock.
+// Tracker records, on the leader's clock, by when the lease of each server has
+// expired.
 type Tracker struct {
 	terms     Terms
 	electedAt time.Duration
 	expiresBy map[string]time.Duration
 }
 
-// NewTracker returns the book of a leader elected at the time given. Its
-// predecessor may have renewed any lease until then, so none is over before a
-// full wait has passed.
+// NewTracker returns the Tracker of a leader that was elected at electedAt. The
+// previous leader may have renewed any lease until then, so no lease counts as
+// expired before ExpiryWait has passed.
 func NewTracker(terms Terms, electedAt time.Duration) *Tracker {
 	return &Tracker{terms: terms, electedAt: electedAt, expiresBy: map[string]time.Duration{}}
 }
 
-// Renew notes a renewal before its answer leaves, and returns what to grant.
+// Renew records a renewal and returns the duration to grant. It must be called
+// before the reply is sent.
 func (t *Tracker) Renew(server string, roundStart, receivedAt time.Duration) time.Duration {
 	grant := t.terms.Grant(roundStart, receivedAt)
 	if grant > 0 {
@@ -63,15 +72,15 @@
 	return grant
 }
 
-// Expired tells whether the server's lease is over on every clock.
+// Expired reports whether the server's lease has expired on every clock.
 func (t *Tracker) Expired(server string, now time.Duration) bool {
 	return now > t.electedAt+t.terms.ExpiryWait() && now > t.expiresBy[server]
 }
 
-// Remaining returns how long it takes until the server's lease is over on every clock.
+// Remaining returns the time until the server's lease has expired on every clock.
 func (t *Tracker) Remaining(server string, now time.Duration) time.Duration {
 	return max(0, max(t.electedAt+t.terms.ExpiryWait(), t.expiresBy[server])-now)
 }
 
-// Forget drops a server's line; its session must be closed before.
+// Forget removes a server. Its session must be closed before.
 func (t *Tracker) Forget(server string) { delete(t.expiresBy, server) }
--- a/internal/domain/table/table.go
+++ b/internal/domain/table/table.go
@@ -1,4 +1,5 @@
-// Package table holds the one table of weights and limits that operators edit.
+// Package table defines the table of team weights, shares and limits that
+// operators edit.
 package table
 
 import (
@@ -7,12 +8,13 @@
 	"gypsumreel/internal/domain/team"
 )
 
-// btreeDegree is that of the tree of rows; small nodes make a change copy little.
+// btreeDegree is the degree of the B-tree of rows. Small nodes keep the amount of
+// data that a change copies small.
 const btreeDegree = 16
 
-// Table is one revision of the table. It is immutable: changes return a new one,
-// which shares all rows that it does not change. The zero value is empty. One
-// goroutine makes new revisions; revisions that it made may be read by others.
+// Table is one immutable revision of the table. A change returns a new Table that
+// shares the unchanged rows. The zero value is an empty table. Only one goroutine
+// may create revisions; any goroutine may read existing ones.
 type Table struct {
 	revision uint64
 	rows     *btree.BTreeG[team.Row]
@@ -20,7 +22,7 @@
 
 func byName(a, b team.Row) bool { return a.Name < b.Name }
 
-// Restore returns the table with the given revision and rows.
+// Restore returns a table with the given revision and rows.
 func Restore(revision uint64, rows []team.Row) Table {
 	t := Table{revision: revision, rows: btree.NewG(btreeDegree, byName)}
 	for _, r := range rows {
@@ -29,7 +31,7 @@
 	return t
 }
 
-// Revision returns the number of accepted changes.
+// Revision returns the revision number, which is the number of accepted changes.
 func (t Table) Revision() uint64 { return t.revision }
 
 // Len returns the number of rows.
@@ -40,7 +42,7 @@
 	return t.rows.Len()
 }
 
-// Row returns a team's row.
+// Row returns the row of the named team.
 func (t Table) Row(name string) (team.Row, bool) {
 	if t.rows == nil {
 		return team.Row{}, false
@@ -48,7 +50,7 @@
 	return t.rows.Get(team.Row{Name: name})
 }
 
-// Rows returns all rows in the order of their names.
+// Rows returns all rows in order of team name.
 func (t Table) Rows() []team.Row {
 	if t.rows == nil {
 		return nil
@@ -61,8 +63,8 @@
 	return rows
 }
 
-// Update returns the next revision, in which the rows set replace or join those
-// of the same name and the rows named in removed are gone.
+// Update returns the next revision. It removes the rows named in removed, then
+// inserts the rows in changed, which replace existing rows of the same name.
 func (t Table) Update(changed []team.Row, removed []string) Table {
 	next := Table{revision: t.revision + 1}
 	if t.rows == nil {
--- a/internal/domain/table/table_test.go
+++ b/internal/domain/table/table_test.go
@@ -11,7 +11,7 @@
 	_ "gypsumreel/internal/fake/seed"
 )
 
-// Revisions share rows; a later change must never show in an earlier revision.
+// Revisions share rows. A later change must not affect an earlier revision.
 func TestRevisionsNeverChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var current table.Table
--- a/internal/domain/task/task.go
+++ b/internal/domain/task/task.go
@@ -1,19 +1,21 @@
-// Package task names tasks and the attempts to run them.
+// Package task defines the identifiers of tasks and of attempts to run them.
 package task
 
-// ID names a task: the job's number in the ledger and the task's place in it.
+// ID identifies a task by the number of its job in the ledger and the index of the
+// task within the job.
 type ID struct {
 	Job   uint64
 	Index uint32
 }
 
-// Attempt names one placement of a task; numbers start at 1.
+// Attempt identifies one placement of a task. The attempts of a task are numbered
+// from 1.
 type Attempt struct {
 	ID
 	Number uint32
 }
 
-// Compare orders ids by job, then index.
+// Compare orders identifiers by job, then by index. It returns -1, 0 or 1.
 func (id ID) Compare(o ID) int {
 	switch {
 	case id.Job != o.Job && id.Job < o.Job, id.Job == o.Job && id.Index < o.Index:
