--- a/internal/control/entry/entry.go
+++ b/internal/control/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry serves the entries: it takes their items to the control thread
-// and hands them the replies.
+// Package entry implements the service that the entries call. It passes their items
+// to the control thread and returns the replies.
 package entry
 
 import (
@@ -20,26 +20,27 @@
 	"gypsumreel/internal/control/mailbox"
 )
 
-// Bounds of the service.
+// Limits of the service.
 const (
-	// maxPullWait bounds a Pull whose entry names no patience, or a longer one, so
-	// that a silent connection shows.
+	// maxPullWait limits how long a Pull waits, also when the entry requests a
+	// longer wait or none. Regular replies let the entry detect a dead connection.
 	maxPullWait = 2 * time.Second
-	// mailboxIdleTimeout is after how long without a Pull a mailbox is dropped.
+	// mailboxIdleTimeout is the time without a Pull after which a mailbox is closed.
 	mailboxIdleTimeout = 30 * time.Second
-	// maxItemsPerPush bounds the items of one Push.
+	// maxItemsPerPush is the maximum number of items in one Push.
 	maxItemsPerPush = 4096
 )
 
-// Server implements inner.Control. The exported fields are set before use.
+// Server implements inner.Control. The exported fields must be set before use.
 type Server struct {
 	Cell   string
 	Leader *leader.Leader
 	// Now is the group's monotonic clock.
 	Now func() time.Duration
-	// DumpState returns the state of the process for a person to read.
+	// DumpState returns the state of the process for state dumps; it may be nil.
 	DumpState func() any
-	// MaxDumpBytes bounds a dump in bytes; 0 for the default of package dump.
+	// MaxDumpBytes is the maximum size of a state dump; 0 means the default of
+	// package dump.
 	MaxDumpBytes int
 	Log          logr.Logger
 
@@ -55,13 +56,13 @@
 // Handler returns the HTTP handler of the service.
 func (s *Server) Handler() http.Handler { return inner.NewControlServer(s) }
 
-// Push hands items to the control thread.
+// Push passes items to the control thread.
 func (s *Server) Push(_ context.Context, req *inner.PushRequest) (*inner.PushReply, error) {
 	if err := s.checkCell(req.GetCell(), req.GetEntry()); err != nil {
 		return nil, err
 	}
 	if len(req.GetItems()) > maxItemsPerPush {
-		return nil, twirp.InvalidArgumentError("items", "too many")
+		return nil, twirp.InvalidArgumentError("items", "exceed the maximum number per Push")
 	}
 	st := s.Leader.Status()
 	if !st.Leads {
@@ -79,7 +80,8 @@
 	return reply, nil
 }
 
-// Pull returns the replies that wait for the entry.
+// Pull returns the replies queued for the entry. It waits for a reply or a new
+// revision of the team table until the requested time is over.
 func (s *Server) Pull(ctx context.Context, req *inner.PullRequest) (*inner.PullReply, error) {
 	if err := s.checkCell(req.GetCell(), req.GetEntry()); err != nil {
 		return nil, err
@@ -92,8 +94,8 @@
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout(req.GetPatience()))
 	defer cancel()
 	entryMailbox := s.mailboxFor(st.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
-	// Wakes are counted before the revision is read: one that comes in between
-	// ends the wait.
+	// WakeCount is read before the revision, so a change in between still ends
+	// the wait.
 	wakeCount := entryMailbox.WakeCount()
 	if s.Leader.Status().Revision > req.GetRevision() {
 		cancel()
@@ -106,7 +108,7 @@
 	return &inner.PullReply{First: batch.FirstNumber, Replies: batch.Replies, Revision: st.Revision, Epoch: batch.Epoch}, nil
 }
 
-// Dump returns the state of this process.
+// Dump returns the state of this process as JSON text.
 func (s *Server) Dump(context.Context, *v1.DumpRequest) (*v1.DumpReply, error) {
 	if s.DumpState == nil {
 		return &v1.DumpReply{Status: &v1.Status{}}, nil
@@ -114,8 +116,9 @@
 	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Text(s.DumpState(), s.MaxDumpBytes)}, nil
 }
 
-// pullTimeout returns how long a Pull is held open. An entry takes one that lasts
-// longer than it asked for to be a silent connection, and dials anew.
+// pullTimeout returns how long a Pull may wait, given the requested time in
+// milliseconds. An entry treats a Pull that takes longer than requested as a dead
+// connection and reconnects.
 func pullTimeout(ms uint64) time.Duration {
 	if ms == 0 || ms > uint64(maxPullWait/time.Millisecond) {
 		return maxPullWait
@@ -123,11 +126,11 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// checkCell refuses a process of another cell: a wrong address in the settings
-// must not mix two cells' work.
+// checkCell refuses calls from processes of another cell. This prevents a wrong
+// address in the settings from mixing the work of two cells.
 func (s *Server) checkCell(cell, from string) error {
 	if cell != s.Cell {
-		s.logLimiter.Log(s.Log, event.PeerRefused, "peer", from, "error", "it is of cell "+strconv.Quote(cell)+", this is cell "+strconv.Quote(s.Cell))
+		s.logLimiter.Log(s.Log, event.PeerRefused, "peer", from, "error", "the process belongs to cell "+strconv.Quote(cell)+", this is cell "+strconv.Quote(s.Cell))
 		return twirp.NewError(twirp.PermissionDenied, "this is cell "+s.Cell)
 	}
 	return nil
@@ -137,8 +140,9 @@
 	return &inner.Redirect{Leader: st.Leader, Address: st.Address}
 }
 
-// mailboxFor returns the mailbox of an entry's run in a term. Those of other terms
-// are closed, so that what waits at them is asked of the leader anew.
+// mailboxFor returns the mailbox of an entry's session in the given term and creates
+// it if necessary. It closes the mailboxes of other terms, so that entries send
+// their unanswered items to the leader again. It also closes idle mailboxes.
 func (s *Server) mailboxFor(term uint64, name mailbox.Name) *mailbox.Mailbox {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,8 +164,8 @@
 	return b
 }
 
-// WakeMailboxes lets all waiting Pulls return, so that entries learn at once of a new
-// revision of the table.
+// WakeMailboxes makes all waiting Pull calls return, so that entries learn of a new
+// revision of the team table without delay.
 func (s *Server) WakeMailboxes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,7 +174,8 @@
 	}
 }
 
-// CloseMailboxes ends all mailboxes; the control process calls it when it stops to lead.
+// CloseMailboxes closes all mailboxes. The control process calls it when it stops
+// leading.
 func (s *Server) CloseMailboxes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/entry/roll.go
+++ b/internal/control/entry/tracker.go
@@ -10,39 +10,45 @@
 	"gypsumreel/internal/base/event"
 )
 
-// Bounds of what is noted of the entries.
+// Limits for tracking entries.
 const (
-	// staleAfter is after how long without a Pull an entry counts as stale.
+	// staleAfter is the time without a Pull after which an entry is listed as stale.
 	staleAfter = 5 * time.Second
-	// forgetAfter is after how long without a Pull an entry is listed no more.
+	// forgetAfter is the time without a Pull after which an entry is removed from
+	// the list.
 	forgetAfter = 10 * time.Minute
-	// maxTrackedEntries bounds the entries that are noted.
+	// maxTrackedEntries is the maximum number of tracked entries.
 	maxTrackedEntries = 256
-	// confirmationTimeout is how long an entry may take to confirm a revision.
+	// confirmationTimeout is how long an entry may take to confirm a new revision
+	// of the team table.
 	confirmationTimeout = 3 * time.Second
 )
 
-// States of an entry in the list of members.
+// States of an entry in the member list.
 const (
 	stateServing = "serving"
 	stateStale   = "stale"
 )
 
-// entryTracker notes the entries that fetch replies here. The zero value is empty.
+// entryTracker tracks the entries that pull replies from this leader. The zero value
+// is ready to use.
 type entryTracker struct {
 	mu      sync.Mutex
 	entries map[string]*trackedEntry
-	// revision is the table's latest, and since is when it came into force.
-	revision     uint64
+	// revision is the latest revision of the team table.
+	revision uint64
+	// inForceSince is the time at which revision was first observed.
 	inForceSince time.Duration
 }
 
-// trackedEntry is one entry as its latest Pull showed it.
+// trackedEntry is the state of one entry as of its latest Pull.
 type trackedEntry struct {
-	// confirmedRevision is the table's revision that the entry says it serves.
+	// confirmedRevision is the revision of the team table that the entry reported
+	// to be in use.
 	confirmedRevision uint64
 	lastPull          time.Duration
-	// reportedRevision is the latest revision that an alarm said it lacks.
+	// reportedRevision is the revision whose missing confirmation was logged last;
+	// 0 if there is none or the entry has caught up.
 	reportedRevision uint64
 }
 
@@ -69,7 +75,7 @@
 	t.entries, t.revision = nil, 0
 }
 
-// memberLines lists the entries by name.
+// memberLines returns the entries as member lines, sorted by name.
 func (t *entryTracker) memberLines(now time.Duration) []*v1.MemberLine {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,14 +91,15 @@
 	return lines
 }
 
-// entryRevision is an entry that has not confirmed the table's revision in time.
+// entryRevision names an entry and the revision that it has confirmed.
 type entryRevision struct {
 	name              string
 	confirmedRevision uint64
 }
 
-// checkConfirmations forgets entries that are long gone and returns those that have become
-// late, and those that were and have confirmed.
+// checkConfirmations removes entries that have not pulled for forgetAfter. It returns
+// the entries that newly exceed confirmationTimeout, and those that exceeded it
+// before and have now confirmed.
 func (t *entryTracker) checkConfirmations(revision uint64, now time.Duration) (lagging, caughtUp []entryRevision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -114,12 +121,13 @@
 	return lagging, caughtUp
 }
 
-// Entries lists the entries that fetch replies here, with the table's revision
-// that each has confirmed.
+// Entries lists the entries that pull replies from this leader, with the revision of
+// the team table that each has confirmed.
 func (s *Server) Entries() []*v1.MemberLine { return s.entries.memberLines(s.Now()) }
 
-// LogTableConfirmations raises an alarm for each entry that does not confirm the table's
-// revision. It is called about once a second.
+// LogTableConfirmations logs an event for each entry that does not confirm the
+// revision of the team table in time, and another one when the entry has caught up.
+// It is called about once a second.
 func (s *Server) LogTableConfirmations() {
 	st := s.Leader.Status()
 	if !st.Leads {
@@ -135,17 +143,17 @@
 	}
 }
 
-// MailboxView is one mailbox as a dump shows it.
+// MailboxView is the representation of a mailbox in state dumps.
 type MailboxView struct {
 	Entry   string
 	Session uint64
-	// Replies are those that wait to be fetched.
+	// Replies is the number of replies that the entry has not yet acknowledged.
 	Replies int
-	// Idle is in seconds since the latest fetch.
+	// Idle is the time since the latest Pull in seconds.
 	Idle float64
 }
 
-// Mailboxes lists the mailboxes.
+// Mailboxes lists the open mailboxes, sorted by entry.
 func (s *Server) Mailboxes() []MailboxView {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/entry/roll_test.go
+++ b/internal/control/entry/tracker_test.go
@@ -22,7 +22,7 @@
 	"gypsumreel/internal/replica/group"
 )
 
-// instantGroup is a group that commits at once.
+// instantGroup is a consensus group that commits every proposal immediately.
 type instantGroup struct{ notifications chan group.Notification }
 
 func (g *instantGroup) Propose(p group.Proposal) bool {
@@ -34,7 +34,8 @@
 func (g *instantGroup) Compact(uint64, []byte)                   {}
 func (g *instantGroup) Reload()                                  {}
 
-// withLeadingServer gives fn a service whose control thread leads, and its log.
+// withLeadingServer calls fn with a server whose control thread leads, the control
+// thread and the log.
 func withLeadingServer(t *testing.T, fn func(*entry.Server, *leader.Leader, *bytes.Buffer)) {
 	synctest.Test(t, func(*testing.T) {
 		startedAt := time.Now()
@@ -56,33 +57,33 @@
 	})
 }
 
-func pull(t *testing.T, s *entry.Server, name string, revision, patience uint64) time.Duration {
+func pull(t *testing.T, s *entry.Server, name string, revision, timeoutMillis uint64) time.Duration {
 	t.Helper()
 	startedAt := time.Now()
-	if _, err := s.Pull(context.Background(), &inner.PullRequest{Cell: "rail", Entry: name, Session: 1, Revision: revision, Patience: patience}); err != nil {
+	if _, err := s.Pull(context.Background(), &inner.PullRequest{Cell: "rail", Entry: name, Session: 1, Revision: revision, Patience: timeoutMillis}); err != nil {
 		t.Fatal(err)
 	}
 	return time.Since(startedAt)
 }
 
-// An idle entry asks for half a second and its Pull is held for two: it takes
-// the connection for silent, dials anew, and logs an alarm each time.
+// If Pull waits two seconds although an idle entry requests half a second, the entry
+// treats the connection as dead, reconnects and logs an event each time.
 func TestPullReturnsAtRequestedTimeout(t *testing.T) {
 	withLeadingServer(t, func(s *entry.Server, _ *leader.Leader, _ *bytes.Buffer) {
-		for patience, want := range map[uint64]time.Duration{500: 500 * time.Millisecond, 60_000: 2 * time.Second, 0: 2 * time.Second} {
-			if got := pull(t, s, "e1", 0, patience); got != want {
-				t.Errorf("patience %d: %v, want %v", patience, got, want)
+		for timeoutMillis, want := range map[uint64]time.Duration{500: 500 * time.Millisecond, 60_000: 2 * time.Second, 0: 2 * time.Second} {
+			if got := pull(t, s, "e1", 0, timeoutMillis); got != want {
+				t.Errorf("Pull with a timeout of %d ms took %v, want %v", timeoutMillis, got, want)
 			}
 		}
 	})
 }
 
-// A table change is in force at all entries but one. Whoever is on duty sees
-// which one lags behind, and is told once and again when it has caught up.
+// When one entry does not confirm a table change, the log must name this entry once,
+// and once more when the entry has caught up.
 func TestLaggingEntryIsLogged(t *testing.T) {
 	withLeadingServer(t, func(s *entry.Server, l *leader.Leader, log *bytes.Buffer) {
 		digest := key.Digest("secret")
-		pull(t, s, "e1", 0, 10) // makes its mailbox
+		pull(t, s, "e1", 0, 10) // creates the mailbox of e1
 		s.LogTableConfirmations()
 		_, err := s.Push(context.Background(), &inner.PushRequest{Cell: "rail", Entry: "e1", Session: 1, Items: []*inner.Item{{
 			Seq: 1, Credential: &inner.Credential{Id: "op", Digest: digest[:]}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{
@@ -94,7 +95,7 @@
 		}
 		synctest.Wait()
 		if n := l.Status().Revision; n != 1 {
-			t.Fatalf("revision %d", n)
+			t.Fatalf("revision %d, want 1", n)
 		}
 		for range 8 {
 			pull(t, s, "e1", 1, 10)
@@ -122,13 +123,13 @@
 	})
 }
 
-// Settings of two cells got mixed up. Neither takes the other's work, and the
-// log names both.
+// An entry with the address of another cell in its settings must be refused, and the
+// log must name both cells.
 func TestEntryOfAnotherCellIsRejected(t *testing.T) {
 	withLeadingServer(t, func(s *entry.Server, _ *leader.Leader, log *bytes.Buffer) {
 		for range 3 {
 			if _, err := s.Push(context.Background(), &inner.PushRequest{Cell: "road", Entry: "e9"}); err == nil {
-				t.Error("taken")
+				t.Error("items from another cell were accepted")
 			}
 		}
 		if strings.Count(log.String(), `"event":214`) != 1 || !strings.Contains(log.String(), `"road\", this is cell \"rail\"`) {
