--- a/internal/control/entry/entry.go
+++ b/internal/control/entry/entry.go
@@ -64,11 +64,11 @@
 	if len(req.GetItems()) > maxItemsPerPush {
 		return nil, twirp.InvalidArgumentError("items", "exceed the maximum number per Push")
 	}
-	st := s.Leader.Status()
-	if !st.Leads {
-		return &inner.PushReply{Redirect: newRedirect(st)}, nil
+	status := s.Leader.Status()
+	if !status.Leads {
+		return &inner.PushReply{Redirect: newRedirect(status)}, nil
 	}
-	entryMailbox := s.mailboxFor(st.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
+	entryMailbox := s.mailboxFor(status.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
 	if s.Leader.Push(leader.Batch{Mailbox: entryMailbox, ReceivedAt: s.Now(), Items: req.GetItems()}) {
 		return &inner.PushReply{}, nil
 	}
@@ -86,14 +86,14 @@
 	if err := s.checkCell(req.GetCell(), req.GetEntry()); err != nil {
 		return nil, err
 	}
-	st := s.Leader.Status()
-	if !st.Leads {
-		return &inner.PullReply{Redirect: newRedirect(st)}, nil
+	status := s.Leader.Status()
+	if !status.Leads {
+		return &inner.PullReply{Redirect: newRedirect(status)}, nil
 	}
 	s.entries.recordPull(req.GetEntry(), req.GetRevision(), s.Now())
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout(req.GetPatience()))
 	defer cancel()
-	entryMailbox := s.mailboxFor(st.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
+	entryMailbox := s.mailboxFor(status.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
 	// WakeCount is read before the revision, so a change in between still ends
 	// the wait.
 	wakeCount := entryMailbox.WakeCount()
@@ -101,11 +101,11 @@
 		cancel()
 	}
 	batch := entryMailbox.PullUntilWake(ctx, req.GetEpoch(), req.GetAck(), wakeCount)
-	st = s.Leader.Status()
-	if batch.Closed || !st.Leads {
-		return &inner.PullReply{Redirect: newRedirect(st)}, nil
+	status = s.Leader.Status()
+	if batch.Closed || !status.Leads {
+		return &inner.PullReply{Redirect: newRedirect(status)}, nil
 	}
-	return &inner.PullReply{First: batch.FirstNumber, Replies: batch.Replies, Revision: st.Revision, Epoch: batch.Epoch}, nil
+	return &inner.PullReply{First: batch.FirstNumber, Replies: batch.Replies, Revision: status.Revision, Epoch: batch.Epoch}, nil
 }
 
 // Dump returns the state of this process as JSON text.
@@ -136,8 +136,8 @@
 	return nil
 }
 
-func newRedirect(st leader.Status) *inner.Redirect {
-	return &inner.Redirect{Leader: st.Leader, Address: st.Address}
+func newRedirect(status leader.Status) *inner.Redirect {
+	return &inner.Redirect{Leader: status.Leader, Address: status.Address}
 }
 
 // mailboxFor returns the mailbox of an entry's session in the given term and creates
--- a/internal/control/entry/tracker.go
+++ b/internal/control/entry/tracker.go
@@ -129,14 +129,14 @@
 // revision of the team table in time, and another one when the entry has caught up.
 // It is called about once a second.
 func (s *Server) LogTableConfirmations() {
-	st := s.Leader.Status()
-	if !st.Leads {
+	status := s.Leader.Status()
+	if !status.Leads {
 		s.entries.clear()
 		return
 	}
-	behind, caught := s.entries.checkConfirmations(st.Revision, s.Now())
+	behind, caught := s.entries.checkConfirmations(status.Revision, s.Now())
 	for _, e := range behind {
-		event.Log(s.Log, event.TableUnconfirmed, "process", e.name, "confirmed", e.confirmedRevision, "revision", st.Revision)
+		event.Log(s.Log, event.TableUnconfirmed, "process", e.name, "confirmed", e.confirmedRevision, "revision", status.Revision)
 	}
 	for _, e := range caught {
 		event.Log(s.Log, event.TableConfirmed, "process", e.name, "revision", e.confirmedRevision)
--- a/internal/control/node/assemble.go
+++ b/internal/control/node/assemble.go
@@ -17,28 +17,29 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// assembly is the parts of a running daemon.
+// assembly holds the components of a running daemon.
 type assembly struct {
 	group        *group.Group
 	entryService *entry.Server
 	handshake    *bootstrap.Handshake
 	transport    Transport
-	server       *http.Server
+	httpServer   *http.Server
 }
 
-// assemble makes the parts of the daemon; none of them runs yet.
-func (n *Node) assemble(self quorum.Member, d replicaData) *assembly {
+// assemble creates the components of the daemon without starting them.
+func (n *Node) assemble(self quorum.Member, data replicaData) *assembly {
 	a := &assembly{handshake: n.newHandshake(self)}
 	a.group = &group.Group{
-		Journal: newMonitoredJournal(d.journal, n.metrics, n.Log), Snapshots: newMonitoredSnapshots(&d.snapshots, n.metrics, n.Log),
-		Recovered: d.state, Now: n.now, MinFreeBytes: n.MinFreeBytes, Metrics: n.metrics, Log: n.Log,
+		Journal: newMonitoredJournal(data.journal, n.metrics, n.Log), Snapshots: newMonitoredSnapshots(&data.snapshots, n.metrics, n.Log),
+		Recovered: data.state, Now: n.now, MinFreeBytes: n.MinFreeBytes, Metrics: n.metrics, Log: n.Log,
 	}
 	n.group.Store(a.group)
 	a.entryService = &entry.Server{Cell: n.Cell, Leader: n.Control, Now: n.now, DumpState: n.State, MaxDumpBytes: n.MaxDumpBytes, Log: n.Log}
 	n.entryService.Store(a.entryService)
 	n.Control.EntryMembers = a.entryService.Entries
 	n.Control.OnDeposed, n.Control.OnTableRevision = a.entryService.CloseMailboxes, a.entryService.WakeMailboxes
-	// Before anything can come in: what arrives is checked against the identity.
+	// The identity must be set before the transport can receive messages, because
+	// each message is checked against it.
 	n.configure(self, a.group)
 	a.transport = n.newTransport(self.ID, a.group.Receive)
 	a.group.Transport = a.transport
@@ -49,7 +50,7 @@
 	if n.AddRoutes != nil {
 		n.AddRoutes(mux)
 	}
-	a.server = n.newHTTPServer(mux, n.ServerTLS)
+	a.httpServer = n.newHTTPServer(mux, n.ServerTLS)
 	return a
 }
 
@@ -60,7 +61,7 @@
 	return &peer.Pool{Cell: n.Cell, Self: id, TLS: n.PeerTLS, Deliver: receive, OnEvent: n.logPeerEvent}
 }
 
-// logPeerEvent logs what an operator may want to know of the way to the others.
+// logPeerEvent logs problems of the connections to other replicas, and their end.
 func (n *Node) logPeerEvent(e peer.Event) {
 	switch e.Kind {
 	case peer.MessageRefused:
--- a/internal/control/node/disk.go
+++ b/internal/control/node/disk.go
@@ -12,7 +12,7 @@
 	"gypsumreel/internal/replica/snapshot"
 )
 
-// monitoredJournal is a journal that tells how its syncs went.
+// monitoredJournal is a journal that measures its syncs and logs failed and slow ones.
 type monitoredJournal struct {
 	group.Journal
 	log         logr.Logger
@@ -24,7 +24,8 @@
 	return &monitoredJournal{Journal: j, log: log, syncSeconds: set.GetOrCreatePrometheusHistogram(meter.Name("control", "sync_seconds"))}
 }
 
-// Sync syncs, measures, and tells of a sync that failed or took long.
+// Sync syncs the journal and records the duration. It logs a sync that fails or takes
+// longer than slowSyncThreshold.
 func (d *monitoredJournal) Sync() error {
 	startedAt := time.Now()
 	err := d.Journal.Sync()
@@ -40,8 +41,7 @@
 	return nil
 }
 
-// monitoredSnapshots is a store of snapshots that tells of those written, and of those that
-// could not be.
+// monitoredSnapshots is a snapshot store that logs written snapshots and failed writes.
 type monitoredSnapshots struct {
 	group.SnapshotStore
 	log         logr.Logger
@@ -52,7 +52,7 @@
 	return &monitoredSnapshots{SnapshotStore: s, log: log, failedSaves: set.GetOrCreateCounter(meter.Name("control", "snapshots_failed_total"))}
 }
 
-// Save saves and tells.
+// Save writes a snapshot and logs the result.
 func (a *monitoredSnapshots) Save(meta snapshot.Meta, state []byte) error {
 	startedAt := time.Now()
 	err := a.SnapshotStore.Save(meta, state)
--- a/internal/control/node/disk_test.go
+++ b/internal/control/node/disk_test.go
@@ -19,28 +19,28 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// failingJournal is a journal whose syncs fail.
+// failingJournal is a journal whose Sync always fails.
 type failingJournal struct{ group.Journal }
 
 var errSync = errors.New("input/output error")
 
 func (failingJournal) Sync() error { return errSync }
 
-// A disk refuses to make a write last. The process ends, and the log has to say
-// that it was the disk: whoever restarts it on the same one loses it again.
+// A failed sync ends the process. The log must name the disk as the cause, because
+// the process would fail again after a restart on the same disk.
 func TestFailedSyncIsLogged(t *testing.T) {
 	var log bytes.Buffer
 	d := node.NewMonitoredJournal(failingJournal{}, metrics.NewSet(), event.New(&log, "info"))
 	if err := d.Sync(); !errors.Is(err, errSync) {
-		t.Errorf("the error is lost: %v", err)
+		t.Errorf("Sync returned %v, want the error of the journal", err)
 	}
 	if !strings.Contains(log.String(), `"event":302`) || !strings.Contains(log.String(), errSync.Error()) {
 		t.Error(log.String())
 	}
 }
 
-// A disk gives back other bytes than were written to it, before the end of the
-// journal. The replica must not start, and its log names file and event.
+// The disk returns different bytes than were written, before the end of the journal.
+// The replica must not start, and the log must contain the event and the file name.
 func TestCorruptJournalPreventsStart(t *testing.T) {
 	dataDir := t.TempDir()
 	run := func(log *bytes.Buffer) error {
@@ -73,7 +73,7 @@
 	}
 	log.Reset()
 	if err := run(&log); err == nil {
-		t.Error("it starts")
+		t.Error("the replica started with a corrupt journal")
 	}
 	if !strings.Contains(log.String(), `"event":301`) || !strings.Contains(log.String(), filepath.Base(files[0])) {
 		t.Error(log.String())
--- a/internal/control/node/export_test.go
+++ b/internal/control/node/export_test.go
@@ -1,4 +1,4 @@
 package node
 
-// NewMonitoredJournal is the journal that tells how its syncs went.
+// NewMonitoredJournal exports newMonitoredJournal for tests.
 var NewMonitoredJournal = newMonitoredJournal
--- a/internal/control/node/found.go
+++ b/internal/control/node/membership.go
@@ -9,21 +9,22 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// learnMembers learns the first membership: from the other replicas when the group is
-// founded now, else from the disk.
-func (n *Node) learnMembers(ctx context.Context, a *assembly, self quorum.Member, state quorum.PersistedState) error {
+// learnMembers sets the initial membership of the group. A replica that founds the
+// group uses InitialMembers or agrees on the members with the other replicas. Any
+// other replica publishes the members that it has stored.
+func (n *Node) learnMembers(ctx context.Context, parts *assembly, self quorum.Member, state quorum.PersistedState) error {
 	if !n.InitCell || !isBlank(state) {
-		a.handshake.SetMembers(knownMembers(state, self))
+		parts.handshake.SetMembers(knownMembers(state, self))
 		return nil
 	}
 	if len(n.InitialMembers) > 0 {
 		if slices.ContainsFunc(n.InitialMembers, func(m quorum.Member) bool { return m.ID == self.ID }) {
-			a.group.Config.InitialMembers = n.InitialMembers
+			parts.group.Config.InitialMembers = n.InitialMembers
 		}
 		return nil
 	}
-	members, err := a.handshake.AgreeMembers(ctx)
-	a.group.Config.InitialMembers = members
+	members, err := parts.handshake.AgreeMembers(ctx)
+	parts.group.Config.InitialMembers = members
 	return err
 }
 
@@ -32,7 +33,7 @@
 	if n.ClientTLS != nil {
 		h.Scheme = "https"
 	}
-	// No connection is kept: the founding happens once.
+	// Connections are not kept alive, because founding happens only once.
 	h.Client = &http.Client{Transport: &http.Transport{TLSClientConfig: n.ClientTLS, DialContext: n.Dial, DisableKeepAlives: true}}
 	for _, r := range n.Replicas {
 		if r.ID != n.Name {
@@ -42,16 +43,17 @@
 	return h
 }
 
-// isBlank tells whether a replica never took part in anything. One that made its
-// identity and was stopped while it waited for the others is blank still, and
-// goes on with the same identity.
+// isBlank reports whether a replica has stored neither a snapshot, a log entry nor
+// hard state. A replica that was stopped while it waited for the others is still
+// blank after it has created its identity. It continues with that identity.
 func isBlank(state quorum.PersistedState) bool {
 	return state.Snapshot.Index == 0 && len(state.Entries) == 0 && state.HardState == quorum.HardState{}
 }
 
-// knownMembers lists the membership that a replica has on its disk: that of its
-// snapshot or else the first of its log. Replicas that still wait to found the
-// group take it from one that was quicker, also when that one has restarted.
+// knownMembers returns the IDs of this replica and of the members stored on its disk.
+// These are the members of the snapshot, or else of the first membership entry of
+// the log. Replicas that still wait for the founding take them from a replica that
+// has already founded the group, also after that replica has restarted.
 func knownMembers(state quorum.PersistedState, self quorum.Member) []string {
 	members := state.Snapshot.Members
 	for _, e := range state.Entries {
--- a/internal/control/node/watch.go
+++ b/internal/control/node/monitor.go
@@ -17,17 +17,18 @@
 )
 
 const (
-	// monitorInterval is how often the node looks after itself.
+	// monitorInterval is the interval between two checks of the node's own state.
 	monitorInterval = time.Second
-	// maxTickGap is a gap between two looks that tells of a paused process.
+	// maxTickGap is the time between two checks above which the process is
+	// assumed to have been paused.
 	maxTickGap = 3 * time.Second
-	// slowSyncThreshold is the time of an fsync from which it is told.
+	// slowSyncThreshold is the duration of an fsync above which it is logged.
 	slowSyncThreshold = 500 * time.Millisecond
 )
 
-// onlyReplicas lets only processes through whose certificate names a control
-// replica: with an entry's certificate, messages of consensus could be forged.
-// Without TLS there is nothing to look at, and the settings say so.
+// onlyReplicas restricts h to processes whose certificate names a control replica, so
+// that consensus messages cannot be forged with an entry's certificate. If the
+// settings turn TLS off, there is no certificate to check and all requests pass.
 func (n *Node) onlyReplicas(h http.Handler) http.Handler {
 	if n.ServerTLS == nil {
 		return h
@@ -38,14 +39,14 @@
 	restricted := secure.Only(isReplica, h)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if names := secure.Names(r); !slices.ContainsFunc(names, isReplica) {
-			n.logLimiter.Log(n.Log, event.PeerRefused, "peer", strings.Join(names, " "), "error", "its certificate names no control replica, this is "+n.Name)
+			n.logLimiter.Log(n.Log, event.PeerRefused, "peer", strings.Join(names, " "), "error", "the certificate names no control replica, this is "+n.Name)
 		}
 		restricted.ServeHTTP(w, r)
 	})
 }
 
-// monitor tells of readiness that comes and goes, of a process that stood still,
-// and of entries that do not confirm the table's revision.
+// monitor logs changes of readiness, pauses of the process, and entries that do not
+// confirm the revision of the team table.
 func (n *Node) monitor(ctx context.Context) error {
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
@@ -73,7 +74,8 @@
 	}
 }
 
-// logCorruption logs an error of the files at the start as an event, when it is damage.
+// logCorruption logs err as the given event if it reports a corrupt journal or
+// snapshot. It returns err unchanged.
 func (n *Node) logCorruption(id event.ID, err error) error {
 	var journalErr *journal.CorruptionError
 	var snapshotErr *snapshot.CorruptionError
--- a/internal/control/node/watch_test.go
+++ b/internal/control/node/monitor_test.go
@@ -28,7 +28,8 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// issueCertificate returns a certificate for a name, signed by the parent or by itself.
+// issueCertificate returns a certificate for a name. It is signed by parent, or
+// self-signed if parent is nil.
 func issueCertificate(t *testing.T, name string, parent *tls.Certificate) *tls.Certificate {
 	t.Helper()
 	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -55,7 +56,7 @@
 	return &tls.Certificate{Certificate: [][]byte{der}, PrivateKey: privateKey, Leaf: leaf}
 }
 
-// startNode runs a node and returns how to end it.
+// startNode runs a node until the test ends.
 func startNode(t *testing.T, n *node.Node) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -67,42 +68,42 @@
 	t.Cleanup(func() { cancel(); <-n.Done() })
 }
 
-// An entry's instance is taken over. With the entry's certificate, which the
-// cell trusts, messages of consensus are sent under the entry's name, and could
-// depose leaders. Only a control replica's certificate opens those services.
+// An attacker who controls an entry's instance has a certificate that the cell
+// trusts, and could depose leaders with forged consensus messages. Only the
+// certificate of a control replica may grant access to these services.
 func TestEntryCertificateCannotReachReplicaServices(t *testing.T) {
-	root := issueCertificate(t, "authority", nil)
+	authority := issueCertificate(t, "authority", nil)
 	pool := x509.NewCertPool()
-	pool.AddCert(root.Leaf)
+	pool.AddCert(authority.Leaf)
 	l := listen(t)
-	mutual := &tls.Config{Certificates: []tls.Certificate{*issueCertificate(t, "c1", root)}, ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert}
+	mutualTLS := &tls.Config{Certificates: []tls.Certificate{*issueCertificate(t, "c1", authority)}, ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert}
 	startNode(t, &node.Node{
 		Cell: "test", Name: "c1", DataDir: t.TempDir(), InitCell: true, Listener: l, Address: l.Addr().String(),
-		ServerTLS: mutual, PeerTLS: mutual, Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}},
+		ServerTLS: mutualTLS, PeerTLS: mutualTLS, Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}},
 	})
-	for name, want := range map[string]bool{"c1": false, "e1": true} {
-		wire := &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{
-			Certificates: []tls.Certificate{*issueCertificate(t, name, root)}, RootCAs: pool, ServerName: "c1",
+	for name, wantRefused := range map[string]bool{"c1": false, "e1": true} {
+		transport := &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{
+			Certificates: []tls.Certificate{*issueCertificate(t, name, authority)}, RootCAs: pool, ServerName: "c1",
 		}}
-		client := &http.Client{Transport: wire}
-		base := "https://" + l.Addr().String()
-		_, hello := inner.NewBootstrapProtobufClient(base, client).Hello(t.Context(), &inner.HelloRequest{Cell: "test", To: "c1"})
-		_, deliver := inner.NewReplicaProtobufClient(base, client).Deliver(t.Context(), &inner.DeliverRequest{Cell: "test", From: name + "/1"})
-		if hello == nil == want || deliver == nil {
-			t.Errorf("%s: hello %v, deliver %v", name, hello, deliver)
+		client := &http.Client{Transport: transport}
+		baseURL := "https://" + l.Addr().String()
+		_, helloErr := inner.NewBootstrapProtobufClient(baseURL, client).Hello(t.Context(), &inner.HelloRequest{Cell: "test", To: "c1"})
+		_, deliverErr := inner.NewReplicaProtobufClient(baseURL, client).Deliver(t.Context(), &inner.DeliverRequest{Cell: "test", From: name + "/1"})
+		if helloErr == nil == wantRefused || deliverErr == nil {
+			t.Errorf("certificate %s: Hello returned %v, Deliver returned %v", name, helloErr, deliverErr)
 		}
 		var refusal twirp.Error
-		if !errors.As(deliver, &refusal) {
-			t.Fatal(deliver)
+		if !errors.As(deliverErr, &refusal) {
+			t.Fatal(deliverErr)
 		}
-		if got := strings.Contains(refusal.Meta("body"), secure.ErrName.Error()); got != want {
-			t.Errorf("%s is refused by its name: %v: %v", name, got, deliver)
+		if refused := strings.Contains(refusal.Meta("body"), secure.ErrName.Error()); refused != wantRefused {
+			t.Errorf("certificate %s: refused because of its name = %v: %v", name, refused, deliverErr)
 		}
 	}
 }
 
-// Someone sets an alarm on a metric that the page names and the process does
-// not have: it stays silent for good. The page and the process agree.
+// An alert on a metric that is documented but not exported would never fire. The
+// documented and the exported metric names must be equal.
 func TestMetricsMatchDocumentation(t *testing.T) {
 	l, probeListener := listen(t), listen(t)
 	startNode(t, &node.Node{
@@ -118,18 +119,18 @@
 		slices.Sort(out)
 		return slices.Compact(out)
 	}
-	page, err := os.ReadFile("../../../docs/METRICS.md")
+	documentation, err := os.ReadFile("../../../docs/METRICS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got []byte
-	for range 100 { // the first commit shows a moment after the election
-		if got = fetch(t, "http://"+probeListener.Addr().String()+"/metrics"); bytes.Contains(got, []byte("commit_seconds_count")) && !bytes.Contains(got, []byte("leads 0")) {
+	var exported []byte
+	for range 100 { // the metrics of the first commit appear shortly after the election
+		if exported = fetch(t, "http://"+probeListener.Addr().String()+"/metrics"); bytes.Contains(exported, []byte("commit_seconds_count")) && !bytes.Contains(exported, []byte("leads 0")) {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if diff := cmp.Diff(metricNames(page), metricNames(got)); diff != "" {
+	if diff := cmp.Diff(metricNames(documentation), metricNames(exported)); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/control/node/node.go
+++ b/internal/control/node/node.go
@@ -1,5 +1,6 @@
-// Package node assembles the control daemon: the replica's disk, its consensus
-// group, the control thread, and the services for entries and other replicas.
+// Package node assembles the control daemon from its components: the replica's
+// storage, its consensus group, the control thread, and the services for entries and
+// other replicas.
 package node
 
 import (
@@ -30,83 +31,94 @@
 	"gypsumreel/internal/replica/snapshot"
 )
 
-// DefaultTransferTimeout bounds the handing over of the lead at a planned stop.
+// DefaultTransferTimeout is the default time limit for a transfer of the leadership.
 const DefaultTransferTimeout = 5 * time.Second
 
-// headerTimeout bounds the reading of a request's header.
+// headerTimeout is the maximum time for reading the header of a request.
 const headerTimeout = 5 * time.Second
 
-// ErrJournalMissing ends a replica that has its identity and no journal: it has
-// forgotten for whom it voted, and would vote a second time under its old name.
-var ErrJournalMissing = errors.New("the journal is gone and the identity is not; empty the data folder and add this replica as a new member")
+// ErrJournalMissing is returned when a replica has an identity but no journal. Without
+// the journal the replica does not know its vote and could vote twice in a term.
+var ErrJournalMissing = errors.New("the journal is missing but the identity exists; empty the data folder and add this replica as a new member")
 
-// Node is the control daemon. The exported fields are set before Run.
+// Node is the control daemon. The exported fields must be set before Run.
 type Node struct {
 	Cell string
 	Name string
-	// DataDir is the folder of everything that must last.
+	// DataDir is the folder of all persistent data.
 	DataDir string
-	// InitCell founds a new cell together with the other replicas.
+	// InitCell is true if the replica founds a new cell together with the others.
 	InitCell bool
-	// Listener takes entries and other replicas.
+	// Listener accepts connections from entries and other replicas.
 	Listener net.Listener
-	// ProbeListener takes the platform's probes; nil for none.
+	// ProbeListener accepts health, readiness and metrics requests; nil disables
+	// them.
 	ProbeListener net.Listener
-	// ProbeTLS secures Platform; nil for plain text.
+	// ProbeTLS is the TLS configuration of ProbeListener; nil means plain text.
 	ProbeTLS *tls.Config
-	// Address is where the others reach this replica.
+	// Address is the address at which other processes reach this replica.
 	Address string
-	// Replicas are all control replicas of the settings, by name; this one among them.
+	// Replicas are all configured control replicas, including this one. Their IDs are
+	// names without a nonce.
 	Replicas []quorum.Member
-	// ServerTLS and Client secure connections inside the cell; nil for plain ones.
+	// ServerTLS is the TLS configuration of Listener; nil means plain text.
 	ServerTLS *tls.Config
+	// ClientTLS is the TLS configuration of calls to other replicas during the
+	// founding; nil means plain text.
 	ClientTLS *tls.Config
-	// PeerTLS secures the way between replicas, for both ends; nil for plain text.
+	// PeerTLS is the TLS configuration of consensus messages between replicas, for
+	// both ends; nil means plain text.
 	PeerTLS *tls.Config
-	// RootKey is the first operator's key.
+	// RootKey is the key of the first operator.
 	RootKey *v1.KeyGrant
-	// Control is the control thread, set up but for what Run adds.
+	// Control is the control thread. Run sets its remaining fields. Nil means a new
+	// one with default settings.
 	Control            *leader.Leader
 	HeartbeatInterval  time.Duration
 	ElectionTimeout    time.Duration
 	MaxElectionTimeout time.Duration
-	TransferTimeout    time.Duration
-	// Clock is the clock that the parts share: that of package clock in a daemon,
-	// since it counts suspensions. Nil for the language's steady clock, which
-	// tests run on virtual time.
+	// TransferTimeout limits a leadership transfer; 0 means DefaultTransferTimeout.
+	TransferTimeout time.Duration
+	// Clock is the monotonic clock that all components share. A daemon uses
+	// clock.Boot, which includes the time in which the machine is suspended. Nil
+	// means Go's monotonic clock, which tests replace by virtual time.
 	Clock func() time.Duration
-	// InitialMembers are the identities that found a new cell, when they are known
-	// beforehand; without them the replicas ask each other. A replica that is
-	// not among them waits to be taken in.
+	// InitialMembers are the identities that found a new cell, if they are known in
+	// advance. Without them the replicas agree on the members among themselves. A
+	// replica that is not listed waits until it is added to the group.
 	InitialMembers []quorum.Member
-	// NonceSource is where the identity of a blank disk is drawn from; nil for chance.
+	// NonceSource provides the random bytes of a new identity; nil means crypto/rand.
 	NonceSource io.Reader
-	// MinFreeBytes is the room on the disk that is kept free, in bytes; 0 for the default.
+	// MinFreeBytes is the disk space to keep free; 0 means the default of package
+	// group.
 	MinFreeBytes uint64
-	// AddRoutes adds services to the one for entries and other replicas; nil for none.
+	// AddRoutes registers additional services on Listener; it may be nil.
 	AddRoutes func(mux *http.ServeMux)
-	// NewTransport makes the way to the other replicas; receive takes what they
-	// send. Nil for package peer.
+	// NewTransport creates the transport to the other replicas, which passes received
+	// messages to receive. Nil means that of package peer.
 	NewTransport func(id string, receive func(from string, data []byte)) Transport
-	// Dial opens connections to other replicas at the founding; nil for TCP.
+	// Dial opens connections to other replicas during the founding; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Abort ends a planned stop at once when closed: the second signal.
+	// Abort cancels a pending leadership transfer when it is closed, for example on
+	// a second signal to stop.
 	Abort <-chan struct{}
-	// MaxDumpBytes bounds a dump in bytes; 0 for the default of package dump.
+	// MaxDumpBytes is the maximum size of a state dump; 0 means the default of
+	// package dump.
 	MaxDumpBytes int
 	Log          logr.Logger
 
 	initOnce sync.Once
 	done     chan struct{}
 	group    atomic.Pointer[group.Group]
-	selfID   atomic.Value
+	// selfID holds the ID of this replica as a string.
+	selfID atomic.Value
 
 	entryService atomic.Pointer[entry.Server]
 	metrics      *metrics.Set
 	logLimiter   event.Limit
 }
 
-// Transport carries consensus messages until Close.
+// Transport sends and receives consensus messages until Close is called.
 type Transport interface {
 	group.Transport
 	Handler() http.Handler
@@ -130,27 +142,30 @@
 	})
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run returns.
 func (n *Node) Done() <-chan struct{} { n.init(); return n.done }
 
-// now is the time on the clock that group and control thread share. It is above
-// zero, so that zero can mean never.
+// now returns the time on the clock that the group and the control thread share. It
+// is never zero, because zero stands for an event that has not happened. The offset
+// of one hour has no other meaning.
 func (n *Node) now() time.Duration { return n.Clock() + time.Hour }
 
-// Now returns the time on the clock that the parts of the daemon share.
+// Now returns the time on the clock that all components of the daemon share.
 func (n *Node) Now() time.Duration { n.init(); return n.now() }
 
-// Metrics returns the set of the daemon's metrics.
+// Metrics returns the metrics of the daemon.
 func (n *Node) Metrics() *metrics.Set { n.init(); return n.metrics }
 
-// Self returns NAME/NONCE of this replica; empty before Run has read its disk.
+// Self returns the ID of this replica as NAME/NONCE. It is empty until Run has loaded
+// the identity.
 func (n *Node) Self() string {
 	id, _ := n.selfID.Load().(string)
 	return id
 }
 
-// Run serves until ctx ends, then hands the lead over and stops. An error means
-// that this replica cannot go on, with the way out in its text.
+// Run runs the daemon until ctx ends, then transfers the leadership and stops. It
+// returns an error if this replica cannot continue. The error text says what the
+// operator can do.
 func (n *Node) Run(ctx context.Context) error {
 	n.init()
 	defer close(n.done)
@@ -168,8 +183,8 @@
 	if err != nil {
 		return n.logCorruption(event.JournalDamaged, err)
 	}
-	// The identity is made after the journal, so that one that is there shows
-	// that the journal was, too.
+	// The identity is created after the journal. An existing identity therefore
+	// proves that the journal existed, too.
 	self, isNew, err := n.loadIdentity()
 	if err != nil {
 		return err
@@ -183,7 +198,7 @@
 	return n.serve(ctx, self, replicaData{journal: log, snapshots: store, state: state})
 }
 
-// openJournal opens the replica's journal.
+// openJournal opens the journal of the replica and recovers its content.
 func (n *Node) openJournal() (*journal.Journal, journal.Recovered, error) {
 	postponedRolls := n.metrics.GetOrCreateCounter(meter.Name("control", "segments_put_off_total"))
 	return journal.Config{OnRollPostponed: func(err error) {
@@ -200,7 +215,7 @@
 	return quorum.PersistedState{Snapshot: quorum.Snapshot{Index: meta.Index, Term: meta.Term, Members: meta.Members, State: data}}, nil
 }
 
-// loadIdentity returns this replica's own, and whether its disk is blank.
+// loadIdentity returns the identity of this replica and whether it was newly created.
 func (n *Node) loadIdentity() (quorum.Member, bool, error) {
 	store := member.Store{Dir: n.DataDir}
 	id, err := store.Load(n.Cell, n.Name)
@@ -215,24 +230,24 @@
 	return quorum.Member{ID: id.ID(), Address: n.Address}, isNew, err
 }
 
-// replicaData is what a replica found in its data folder.
+// replicaData is the content of a replica's data folder.
 type replicaData struct {
 	journal   *journal.Journal
 	snapshots snapshot.Store
 	state     quorum.PersistedState
 }
 
-// serve runs all parts until ctx ends or one of them fails.
-func (n *Node) serve(ctx context.Context, self quorum.Member, d replicaData) error {
+// serve runs all components until ctx ends or one of them fails.
+func (n *Node) serve(ctx context.Context, self quorum.Member, data replicaData) error {
 	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	a := n.assemble(self, d)
-	defer a.transport.Close()
+	parts := n.assemble(self, data)
+	defer parts.transport.Close()
 	failures := make(chan error, 5)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	defer func() { _ = a.server.Close() }()
+	defer func() { _ = parts.httpServer.Close() }()
 	run := func(component string, fn func() error) {
 		wg.Go(func() {
 			if err := fn(); err != nil && !errors.Is(err, http.ErrServerClosed) {
@@ -240,19 +255,19 @@
 			}
 		})
 	}
-	run("listen", func() error { return serveListener(a.server, n.Listener) })
+	run("listen", func() error { return serveListener(parts.httpServer, n.Listener) })
 	if n.ProbeListener != nil {
 		probeServer := n.newHTTPServer(n.probeHandler(), n.ProbeTLS)
 		defer func() { _ = probeServer.Close() }()
 		run("platform", func() error { return serveListener(probeServer, n.ProbeListener) })
 	}
-	if err := n.learnMembers(ctx, a, self, d.state); err != nil {
+	if err := n.learnMembers(ctx, parts, self, data.state); err != nil {
 		if ctx.Err() != nil {
-			return nil // stopped as planned while it waited for the others
+			return nil // planned stop while waiting for the other replicas
 		}
 		return err
 	}
-	run("group", func() error { return a.group.Run(runCtx) })
+	run("group", func() error { return parts.group.Run(runCtx) })
 	run("control", func() error { return n.Control.Run(runCtx) })
 	run("watch", func() error { return n.monitor(runCtx) })
 	select {
@@ -265,8 +280,8 @@
 	}
 }
 
-// readiness returns nil while a leader is known. A replica that belongs to no group
-// yet says what its operator has to do.
+// readiness returns nil while a leader is known. Otherwise it returns an error that
+// tells the operator how to add a new replica to the group.
 func (n *Node) readiness() error {
 	st := n.Control.Status()
 	if st.Leads || st.Leader != "" {
@@ -275,7 +290,8 @@
 	return errors.Newf("no leader is known to %s; if it is new, run: gypsumreel member add %s %s", n.selfID.Load(), n.selfID.Load(), n.Address)
 }
 
-// leaveFullDisk hands the lead over, when another can take it.
+// leaveFullDisk transfers the leadership to another replica because the disk of this
+// one is full.
 func (n *Node) leaveFullDisk(g *group.Group) {
 	ctx, cancel := context.WithTimeout(context.Background(), n.TransferTimeout)
 	defer cancel()
@@ -284,8 +300,8 @@
 	}
 }
 
-// transferBeforeStop gives the lead to another replica before a planned stop, so that
-// requests wait for one round trip and not for an election.
+// transferBeforeStop transfers the leadership to another replica before a planned
+// stop, so that requests wait for one round trip instead of an election.
 func (n *Node) transferBeforeStop() {
 	if !n.Control.Status().Leads {
 		return
@@ -304,6 +320,6 @@
 	case err == nil:
 		event.Log(n.Log, event.LeaderTransferred, "took", (n.now() - startedAt).String())
 	case !errors.Is(err, group.ErrNoOtherVoter):
-		n.Log.Info("the lead was not handed over", "cause", err.Error())
+		n.Log.Info("leadership was not transferred before the stop", "cause", err.Error())
 	}
 }
--- a/internal/control/node/node_test.go
+++ b/internal/control/node/node_test.go
@@ -32,8 +32,8 @@
 	return l
 }
 
-// The whole path over loopback: a control replica with its journal on a disk,
-// an entry, a backend server, and a caller with a team's key.
+// Runs jobs of three kinds over the loopback interface, with a control replica that
+// writes a journal, an entry, a backend server and a caller with a team's key.
 func TestEndToEndOverLoopback(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	controlListener, callers, backends, operators := listen(t), listen(t), listen(t), listen(t)
@@ -105,7 +105,7 @@
 			}
 		}
 		if !done {
-			t.Errorf("%s has no answer", spec.GetId())
+			t.Errorf("job %s did not complete", spec.GetId())
 		}
 	}
 }
@@ -116,8 +116,8 @@
 	return r
 }
 
-// Somebody deletes a replica's journal to free its disk and leaves the rest. The
-// replica no longer knows for whom it voted, so it must not vote under its name.
+// A replica whose journal was deleted while its identity remains has lost its vote.
+// It must not start, because it could vote twice in the same term.
 func TestReplicaWithoutJournalDoesNotStart(t *testing.T) {
 	dir := t.TempDir()
 	start := func(initCell bool) (*node.Node, context.CancelFunc, chan error) {
@@ -127,31 +127,30 @@
 			Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}}, Control: leader.New(),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		go func() { ended <- n.Run(ctx) }()
-		return n, cancel, ended
+		runErr := make(chan error, 1)
+		go func() { runErr <- n.Run(ctx) }()
+		return n, cancel, runErr
 	}
-	n, cancel, ended := start(true)
+	n, cancel, runErr := start(true)
 	for !n.Control.Status().Leads {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	if err := <-ended; err != nil {
+	if err := <-runErr; err != nil {
 		t.Fatal(err)
 	}
 	if err := os.RemoveAll(filepath.Join(dir, "journal")); err != nil {
 		t.Fatal(err)
 	}
-	_, cancel, ended = start(false)
+	_, cancel, runErr = start(false)
 	defer cancel()
-	if err := <-ended; !errors.Is(err, node.ErrJournalMissing) {
-		t.Errorf("it ended with %v", err)
+	if err := <-runErr; !errors.Is(err, node.ErrJournalMissing) {
+		t.Errorf("Run returned %v, want ErrJournalMissing", err)
 	}
 }
 
-// Somebody stops one of three replicas while it still waits for the others at
-// the founding, and starts it again, and a second one after the founding, before
-// the third has learnt of it. The group must found all the same.
+// One of three replicas is stopped while it waits for the others to found the group,
+// and is started again. The group must be founded nevertheless.
 func TestReplicaRestartDuringFoundingSucceeds(t *testing.T) {
 	names := []string{"c1", "c2", "c3"}
 	var members []quorum.Member
@@ -173,11 +172,11 @@
 			Replicas: members, Control: leader.New(),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		go func() { ended <- n.Run(ctx) }()
+		runErr := make(chan error, 1)
+		go func() { runErr <- n.Run(ctx) }()
 		return n, func() {
 			cancel()
-			if err := <-ended; err != nil && !errors.Is(err, context.Canceled) {
+			if err := <-runErr; err != nil && !errors.Is(err, context.Canceled) {
 				t.Error(err)
 			}
 		}
@@ -197,12 +196,12 @@
 		nodes = append(nodes, n)
 	}
 	deadline := time.Now().Add(30 * time.Second)
-	for leads := false; !leads; time.Sleep(time.Millisecond) {
+	for hasLeader := false; !hasLeader; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the group was not founded")
+			t.Fatal("the group was not founded within 30 s")
 		}
 		for _, n := range nodes {
-			leads = leads || n.Control.Status().Leads
+			hasLeader = hasLeader || n.Control.Status().Leads
 		}
 	}
 }
--- a/internal/control/node/state.go
+++ b/internal/control/node/state.go
@@ -15,25 +15,27 @@
 	"gypsumreel/internal/replica/group"
 )
 
-// inspectTimeout bounds the wait for the control thread's part of a dump.
+// inspectTimeout limits the wait for the control thread's part of a state dump.
 const inspectTimeout = time.Second
 
-// Dump is the state of a control process for a person to read.
+// Dump is the state dump of a control process.
 type Dump struct {
 	Cell   string
 	Name   string
 	Ready  string
 	Status leader.Status
 	Group  group.Dump
-	// Control is what the control thread holds; Fault tells why it is missing.
+	// Control is the state of the control thread.
 	Control leader.View
-	Fault   string
-	// Entries are those that fetch replies here, Mailboxes where they do.
-	Entries   []*v1.MemberLine
+	// Fault is the reason why Control is missing; empty if it is present.
+	Fault string
+	// Entries are the entries that pull replies from this process.
+	Entries []*v1.MemberLine
+	// Mailboxes are the open mailboxes of these entries.
 	Mailboxes []entry.MailboxView
 }
 
-// State returns the state of the process for a person to read.
+// State returns the state of the process as a Dump.
 func (n *Node) State() any {
 	d := Dump{Cell: n.Cell, Name: n.Name, Ready: "ready", Status: n.Control.Status()}
 	if err := n.readiness(); err != nil {
@@ -55,8 +57,8 @@
 	return d
 }
 
-// probeHandler serves health, readiness and metrics. A replica is ready while it
-// knows a leader, itself or another.
+// probeHandler serves the health, readiness and metrics endpoints. A replica is ready
+// while it knows a leader, which may be itself.
 func (n *Node) probeHandler() http.Handler {
 	set := n.metrics
 	status := n.Control.Status
@@ -79,7 +81,8 @@
 	return (&platform.Probes{Ready: n.readiness, Meters: []*metrics.Set{meter.Common, set}}).Route()
 }
 
-// matchIndexes gives the index up to which each other replica has the log on its disk.
+// matchIndexes returns, for each other replica, the log index up to which the replica
+// has stored the log on its disk.
 func matchIndexes(d group.Dump) map[string]uint64 {
 	indexes := map[string]uint64{}
 	for _, p := range d.Peers {
