--- a/internal/client/caller/caller.go
+++ b/internal/client/caller/caller.go
@@ -1,4 +1,4 @@
-// Package caller is the client of teams that submit work.
+// Package caller is the client with which teams submit jobs.
 package caller
 
 import (
@@ -13,20 +13,21 @@
 	"gypsumreel/internal/domain/answer"
 )
 
-// Defaults of the fields that are left zero.
+// Defaults of Client fields.
 const (
 	DefaultMaxPollWait      = 5 * time.Second
 	DefaultUnreachableRetry = 5 * time.Second
 )
 
-// Client submits jobs and collects their answers. Every call goes on, from entry
-// to entry, until there is an answer or its context ends.
+// Client submits jobs and retrieves their answers. Every call is retried, at one entry
+// after the other, until it is answered or its context ends.
 type Client struct {
 	Link *link.Link
-	// MaxPollWait is the length of a long poll.
+	// MaxPollWait is the maximum duration of a long poll; 0 means DefaultMaxPollWait.
 	MaxPollWait time.Duration
-	// UnreachableRetry is how long a job is submitted again that no entry could hand to
-	// the leader: longer than an election, so that callers see none.
+	// UnreachableRetry is how long Submit retries a job that no entry could pass to
+	// the leader; 0 means DefaultUnreachableRetry. It should exceed the duration of
+	// an election, so that an election is not visible to callers.
 	UnreachableRetry time.Duration
 }
 
@@ -36,11 +37,11 @@
 	Outcome v1.Outcome
 	Code    code.Code
 	Text    string
-	// Data is the whole answer; only when the outcome is done.
+	// Data is the complete answer. It is set only if the outcome is done.
 	Data []byte
 }
 
-// IsFinal tells whether an outcome never changes.
+// IsFinal reports whether an outcome can no longer change.
 func IsFinal(o v1.Outcome) bool {
 	return o == v1.Outcome_OUTCOME_DONE || o == v1.Outcome_OUTCOME_NOT_RUN || o == v1.Outcome_OUTCOME_UNKNOWN
 }
@@ -65,13 +66,13 @@
 	return v1.NewCallerClient(c, base, opts...).Acknowledge
 }
 
-// Submit hands jobs over and returns one answer for each, in their order. Jobs
-// without a final answer are asked for again with the same ids. Fresh says that
-// the ids were never sent before.
+// Submit submits jobs and returns one reply for each, in the same order. It submits
+// jobs without a final reply again with the same ids. firstAttempt is true if the ids
+// were never sent before.
 //
-// Only a try before which nothing can have reached the leader may claim to be
-// fresh: after one without an answer the cell may hold the job already, and an
-// entry that can't reach the leader would answer "not run" for a job that runs.
+// A retry may set firstAttempt only if no earlier attempt can have reached the leader.
+// After an attempt without an answer the cell may already have the job. An entry that
+// cannot reach the leader would then answer "not run" for a job that runs.
 func (c *Client) Submit(ctx context.Context, jobs []*v1.Spec, firstAttempt bool) ([]*v1.Accepted, error) {
 	replies := make([]*v1.Accepted, len(jobs))
 	pending := make([]int, len(jobs))
@@ -103,9 +104,9 @@
 	return DefaultUnreachableRetry
 }
 
-// allNeverSent tells whether every answer says that the request never left the
-// entry. The next try may then claim to be the first as well, so that a refusal
-// which comes at last still says for sure that nothing ran.
+// allNeverSent reports whether every reply states that the job never left the entry.
+// The next attempt may then count as the first one, so that a final refusal still
+// proves that nothing ran.
 func allNeverSent(replies []*v1.Accepted) bool {
 	for _, reply := range replies {
 		if !neverSent(reply) {
@@ -127,14 +128,15 @@
 	return req
 }
 
-// attempt fills in what one call answered and returns how long the cell asks to wait.
+// attempt makes one call, stores the replies of the pending jobs and returns the delay
+// that the cell requests before a retry.
 func (c *Client) attempt(ctx context.Context, req *v1.SubmitRequest, pending []int, replies []*v1.Accepted) (time.Duration, error) {
 	submitReply, err := link.TryOnce(ctx, c.Link, submitMethod, req)
 	if err != nil {
 		return 0, err
 	}
 	if len(submitReply.GetJobs()) != len(pending) {
-		return 0, code.New(code.Unanswered, "%d answers for %d jobs", len(submitReply.GetJobs()), len(pending))
+		return 0, code.New(code.Unanswered, "received %d replies for %d jobs", len(submitReply.GetJobs()), len(pending))
 	}
 	var retryAfter time.Duration
 	for i, reply := range submitReply.GetJobs() {
@@ -147,7 +149,7 @@
 	return retryAfter, nil
 }
 
-// jobsToRetry returns the places of the jobs to submit again.
+// jobsToRetry returns the indexes of the jobs to submit again.
 func jobsToRetry(replies []*v1.Accepted, retryNeverSent bool) []int {
 	var pending []int
 	for i, reply := range replies {
@@ -158,9 +160,9 @@
 	return pending
 }
 
-// markUnanswered marks as unanswered what is still open when the time is over.
+// markUnanswered sets the code Unanswered for jobs that have no reply when ctx ends.
 func markUnanswered(jobs []*v1.Spec, replies []*v1.Accepted, err error) []*v1.Accepted {
-	text := "no answer in the time given"
+	text := "no answer before the deadline"
 	if err != nil {
 		text = err.Error()
 	}
@@ -172,8 +174,8 @@
 	return replies
 }
 
-// Wait returns the outcome of a job with its whole answer. When ctx ends first
-// the result is not final and tells where the job stands.
+// Wait returns the outcome of a job with its complete answer. If ctx ends before the
+// job does, the result holds the last known outcome, which is not final.
 func (c *Client) Wait(ctx context.Context, id string) (Result, error) {
 	assembler := answer.Assembler{MaxBytes: answer.MaxJobAnswer}
 	result := Result{ID: id}
@@ -190,9 +192,9 @@
 		reply, err := c.poll(ctx, id, chunkNumber)
 		switch {
 		case err != nil && ctx.Err() != nil && result.Outcome == v1.Outcome_OUTCOME_DONE:
-			// The time ran out between two chunks: a result without an error
-			// would pass for a whole answer that is empty.
-			return result, code.New(code.Unanswered, "the answer of %s did not come whole in time", id)
+			// ctx ended between two chunks. Without an error the result would
+			// look like a complete but empty answer.
+			return result, code.New(code.Unanswered, "the answer of %s was not received completely in time", id)
 		case err != nil && ctx.Err() != nil:
 			return result, nil
 		case err != nil:
@@ -226,8 +228,8 @@
 	return link.Call(ctx, c.Link, waitMethod, req, (*v1.WaitReply).GetStatus)
 }
 
-// Cancel cancels the jobs named, or those that carry all of the labels, and
-// returns how many it reached.
+// Cancel cancels the jobs with the given ids, or those that have all of the labels. It
+// returns the number of jobs that the cancellation reached.
 func (c *Client) Cancel(ctx context.Context, ids []string, labels map[string]string) (uint32, error) {
 	reply, err := link.Call(ctx, c.Link, cancelMethod, &v1.CancelRequest{Ids: ids, Labels: labels}, (*v1.CancelReply).GetStatus)
 	if err != nil {
@@ -236,7 +238,7 @@
 	return reply.GetCount(), statusError(reply.GetStatus())
 }
 
-// List returns a page of the team's jobs in the order of their ids.
+// List returns a page of the team's jobs, sorted by id.
 func (c *Client) List(ctx context.Context, req *v1.ListRequest) ([]*v1.Summary, error) {
 	reply, err := link.Call(ctx, c.Link, listMethod, req, (*v1.ListReply).GetStatus)
 	if err != nil {
@@ -245,7 +247,7 @@
 	return reply.GetJobs(), statusError(reply.GetStatus())
 }
 
-// Acknowledge lets the cell forget the outcomes of the jobs named.
+// Acknowledge allows the cell to delete the outcomes of the given jobs.
 func (c *Client) Acknowledge(ctx context.Context, ids []string) error {
 	reply, err := link.Call(ctx, c.Link, acknowledgeMethod, &v1.AcknowledgeRequest{Ids: ids}, (*v1.AcknowledgeReply).GetStatus)
 	if err != nil {
--- a/internal/client/caller/caller_test.go
+++ b/internal/client/caller/caller_test.go
@@ -20,7 +20,8 @@
 	"gypsumreel/internal/client/link"
 )
 
-// scriptedEntry is a stand-in that answers each Submit and Wait by the next step of a script.
+// scriptedEntry is a fake entry that answers each Submit and Wait with the next function
+// of a list.
 type scriptedEntry struct {
 	v1.UnimplementedCallerHandler
 	mu              sync.Mutex
@@ -86,9 +87,9 @@
 	}
 }
 
-// The first entry goes away while it holds a submission, and the leader answers
-// for one of two jobs only. A caller must see both accepted once: every try
-// bears the same ids and the same key, and what was answered is not asked again.
+// The first entry stops during a submission, and the leader answers only one of two
+// jobs. Both jobs must be accepted once. Every attempt must use the same ids and the
+// same key, and answered jobs must not be submitted again.
 func TestSubmitRetriesWithSameIDs(t *testing.T) {
 	unreliable := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){
 		func(*v1.SubmitRequest) (*v1.SubmitReply, error) {
@@ -103,7 +104,7 @@
 	}
 	for i, id := range []string{"a", "b"} {
 		if got[i].GetId() != id || got[i].GetStatus().GetCode() != 0 {
-			t.Errorf("answer %d is %v", i, got[i])
+			t.Errorf("reply %d is %v", i, got[i])
 		}
 	}
 	if diff := cmp.Diff([][]string{{"a", "b"}, {"b"}}, unreliable.submittedIDs); diff != "" {
@@ -113,7 +114,7 @@
 		t.Error(diff)
 	}
 	if got := slices.Concat(unreliable.firstFlags, other.firstFlags); !slices.Equal(got, []bool{true, false, false}) {
-		t.Errorf("claimed to be the first: %v", got)
+		t.Errorf("First flags of the attempts: %v", got)
 	}
 	if want := []string{"Bearer id.secret", "Bearer id.secret"}; !slices.Equal(unreliable.authorizations, want) {
 		t.Errorf("keys %q", unreliable.authorizations)
@@ -140,9 +141,9 @@
 	return &v1.SubmitReply{Jobs: []*v1.Accepted{{Id: "a", Status: newStatus(code.Unreachable), Outcome: v1.Outcome_OUTCOME_NOT_RUN}}}, nil
 }
 
-// The leader has just died. The entries say for about a second that they can't
-// hand the job over; a caller should see a short wait and no refusal. Nothing
-// has left the entries, so each try may still claim to be the first.
+// The leader has crashed. For about a second the entries answer that they cannot pass
+// the job on. The caller must see a short delay instead of a refusal. Nothing has left
+// the entries, so each attempt may still set First.
 func TestSubmitRetriesDuringElection(t *testing.T) {
 	e := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyNotRun, replyNotRun, replyWithCodes(code.OK)}}
 	got, err := newClient(startServer(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true)
@@ -150,20 +151,19 @@
 		t.Errorf("got %v, %v", got, err)
 	}
 	if !slices.Equal(e.firstFlags, []bool{true, true, true}) {
-		t.Errorf("claimed to be the first: %v", e.firstFlags)
+		t.Errorf("First flags of the attempts: %v", e.firstFlags)
 	}
 }
 
-// One try goes without an answer, then the leader is away for good. The first
-// try may have been accepted, so that no later one may claim to be the first,
-// and what an entry says of itself is not taken for the whole truth.
+// The first attempt gets no answer, so the leader may have accepted it. No later attempt
+// may set First, because an entry would then answer "not run" for a job that may run.
 func TestNoRetryClaimsFirstAfterLostAnswer(t *testing.T) {
 	e := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyWithCodes(code.Unanswered), replyWithCodes(code.Unanswered), replyWithCodes(code.QueueFull)}}
 	if _, err := newClient(startServer(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); err != nil {
 		t.Error(err)
 	}
 	if !slices.Equal(e.firstFlags, []bool{true, false, false}) {
-		t.Errorf("claimed to be the first: %v", e.firstFlags)
+		t.Errorf("First flags of the attempts: %v", e.firstFlags)
 	}
 }
 
@@ -173,12 +173,12 @@
 	c.UnreachableRetry = time.Nanosecond
 	got, err := c.Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true)
 	if err != nil || got[0].GetOutcome() != v1.Outcome_OUTCOME_NOT_RUN || len(e.firstFlags) != 1 {
-		t.Errorf("got %v, %v after %d tries", got, err, len(e.firstFlags))
+		t.Errorf("got %v, %v after %d attempts", got, err, len(e.firstFlags))
 	}
 }
 
-// No entry answers before the caller's time is over. The job may run, so the
-// answer is "unanswered" and never an outcome.
+// No entry answers before the caller's context ends. The job may run, so the reply must
+// have the code Unanswered and no outcome.
 func TestSubmitTimeoutReportsNoOutcome(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
@@ -195,8 +195,8 @@
 	}
 }
 
-// Chunks come late, twice and out of order. The caller gets the whole answer in
-// its right order, and asks only for what is missing.
+// Chunks arrive late, twice and out of order. The caller must get the complete answer in
+// the right order and must request only missing chunks.
 func TestWaitReordersChunks(t *testing.T) {
 	e := &scriptedEntry{waitSteps: []func(*v1.WaitRequest) (*v1.WaitReply, error){
 		func(*v1.WaitRequest) (*v1.WaitReply, error) {
@@ -223,8 +223,8 @@
 	}
 }
 
-// A caller's time runs out after the first of two chunks. The job is done, and a
-// result without an error would be taken for its whole answer, which is empty.
+// The caller's context ends after the first of two chunks of a completed job. Without an
+// error the result would look like a complete but empty answer.
 func TestTimeoutBetweenChunksReturnsNoAnswer(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	e := &scriptedEntry{waitSteps: []func(*v1.WaitRequest) (*v1.WaitReply, error){
@@ -236,7 +236,7 @@
 	}}
 	got, err := newClient(startServer(t, e)).Wait(ctx, "a")
 	if err == nil || got.Data != nil {
-		t.Errorf("got %v %q, %v", got.Outcome, got.Data, err)
+		t.Errorf("got outcome %v, data %q, error %v", got.Outcome, got.Data, err)
 	}
 }
 
@@ -250,7 +250,7 @@
 	} {
 		e := &scriptedEntry{waitSteps: steps}
 		if got, err := newClient(startServer(t, e)).Wait(t.Context(), "a"); err == nil || got.Data != nil {
-			t.Errorf("%s: got %q, %v", name, got.Data, err)
+			t.Errorf("%s: got data %q, error %v", name, got.Data, err)
 		}
 	}
 }
--- a/internal/client/link/link.go
+++ b/internal/client/link/link.go
@@ -1,6 +1,6 @@
-// Package link is a client's way to the entries of a cell: it tries one entry
-// after the other until one answers. Every request of the protocol carries an id
-// of its own, so that asking again never does a thing twice.
+// Package link connects a client to the entries of a cell. It retries calls and
+// switches between entries until one answers. Retries are safe because every request
+// of the protocol has a unique id and is idempotent.
 package link
 
 import (
@@ -20,39 +20,43 @@
 	"gypsumreel/internal/base/code"
 )
 
-// Defaults of the fields that are left zero.
+// Defaults of Link fields, and limits of calls and connections.
 const (
-	// DefaultTimeout bounds one call to one entry.
+	// DefaultTimeout is the default of Link.Timeout.
 	DefaultTimeout = 15 * time.Second
-	// initialBackoff and longestPause bound the wait between two tries.
+	// initialBackoff and maxBackoff limit the wait between two attempts.
 	initialBackoff = 50 * time.Millisecond
 	maxBackoff     = 2 * time.Second
-	// pingInterval is the silence after which a connection is probed.
+	// pingInterval is the time without received data after which an HTTP/2
+	// connection is probed.
 	pingInterval = 3 * time.Second
 	pingTimeout  = 3 * time.Second
 	dialTimeout  = 5 * time.Second
 	idleTimeout  = 30 * time.Second
-	// maxIdlePerHost keeps connections for as many calls at once.
+	// maxIdlePerHost is the maximum number of idle connections to one entry, so
+	// that as many concurrent calls can reuse connections.
 	maxIdlePerHost = 256
-	// maxReplyBytes bounds a reply in bytes.
+	// maxReplyBytes is the maximum size of a reply.
 	maxReplyBytes = 64 << 20
 )
 
-// Link reaches the entries. Set the exported fields before the first call.
+// Link sends calls to the entries of a cell. The exported fields must be set before
+// the first call.
 type Link struct {
-	// Addresses are URLs of entries or of their balancer: https://HOST:PORT, or
-	// http://HOST:PORT for plain text.
+	// Addresses are the URLs of the entries or of a load balancer in front of them,
+	// as https://HOST:PORT, or as http://HOST:PORT for plain text.
 	Addresses []string
-	// Key is ID.SECRET, sent with every call.
+	// Key is the API key as ID.SECRET, sent with every call; empty sends none.
 	Key string
-	// TLS is for https addresses; nil for the system's authorities.
+	// TLS is the configuration for https addresses; nil means Go's defaults with
+	// the certificate authorities of the system.
 	TLS *tls.Config
-	// Dial opens connections; nil for TCP.
+	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Timeout bounds one call to one entry.
+	// Timeout limits one call to one entry; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// Multiplexed puts all calls on few connections with http addresses too, by
-	// HTTP/2 without TLS. A balancer in between has to pass it on.
+	// Multiplexed makes calls to http addresses share few connections, too, by HTTP/2
+	// without TLS. A load balancer in between must support that.
 	Multiplexed bool
 
 	mu         sync.Mutex
@@ -60,11 +64,12 @@
 	httpClient *http.Client
 }
 
-// Method is one call of a generated client, bound to an entry.
+// Method returns a method of a generated client that is bound to the entry with the
+// given base URL.
 type Method[Req, Res any] func(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[Req]) (*connect.Response[Res], error)
 
-// TryOnce makes one call to the entry whose turn it is. When the entry doesn't
-// answer, the next call goes to the next entry and over a new connection.
+// TryOnce makes one call to the current entry. If the entry does not answer, the next
+// call uses the next entry and a new connection.
 func TryOnce[Req, Res any](ctx context.Context, l *Link, method Method[Req, Res], msg *Req) (*Res, error) {
 	client, base, entryIndex := l.currentEntry()
 	ctx, cancel := context.WithTimeout(ctx, l.timeout())
@@ -84,16 +89,16 @@
 	return nil, codeErr
 }
 
-// Call makes a call until an entry answers with something that asking again
-// would not change, or ctx ends. Status picks the reply's status.
+// Call repeats a call until an entry returns a result that is not retryable, or until
+// ctx ends. The function status returns the status of a reply.
 func Call[Req, Res any](ctx context.Context, l *Link, method Method[Req, Res], msg *Req, status func(*Res) *v1.Status) (*Res, error) {
 	retryBackoff := NewBackoff()
 	var lastErr error
 	for {
 		res, err := TryOnce(ctx, l, method, msg)
 		if err != nil && ctx.Err() != nil && lastErr != nil {
-			// The time ran out in the middle of a try: that says nothing, and
-			// would hide why the tries before it failed.
+			// ctx ended during this attempt. The resulting error would hide why the
+			// previous attempts failed.
 			return nil, lastErr
 		}
 		var retryAfter time.Duration
@@ -116,7 +121,7 @@
 	}
 }
 
-// NextEntry makes the following calls go to the next entry.
+// NextEntry makes the following calls use the next entry.
 func (l *Link) NextEntry() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,11 +153,11 @@
 	return l.httpClient, l.Addresses[l.entryIndex%len(l.Addresses)], l.entryIndex
 }
 
-// replaceConnections guards against a connection that went silent: the pool would hand it out
-// again and again while new ones work, so that every call times out. After a
-// call without an answer the pool is left behind whole; calls still using it
-// end as they would have. Only the first of several calls that failed in one
-// turn does so.
+// replaceConnections switches to the next entry and to a new connection pool after a
+// call without an answer. The old pool could keep reusing a dead connection, so that
+// every call would time out although new connections work. Calls in progress on the
+// old pool are not interrupted. If several calls to the same entry fail, only the
+// first of them replaces the pool.
 func (l *Link) replaceConnections(entryIndex int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -183,14 +188,14 @@
 	}}
 }
 
-// NewBackoff returns the growing, jittered waits between tries.
+// NewBackoff returns the exponential backoff with jitter that is used between attempts.
 func NewBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval = initialBackoff, maxBackoff
 	return b
 }
 
-// Sleep waits and tells whether ctx is still alive.
+// Sleep waits for d. It returns false at once when ctx ends.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -202,8 +207,8 @@
 	}
 }
 
-// IsRetryable tells whether the same request may fare better at another try: nothing
-// final was said.
+// IsRetryable reports whether a request that failed with c may succeed when it is
+// repeated, because c is not a final result.
 func IsRetryable(c code.Code) bool {
 	switch c {
 	case code.Unanswered, code.NoLeader, code.Leaving:
@@ -212,7 +217,8 @@
 	return false
 }
 
-// AsCodeError returns err as a result code; what is no code counts as unanswered.
+// AsCodeError returns the code.Error that err wraps. Any other error is converted to
+// one with the code Unanswered.
 func AsCodeError(err error) *code.Error {
 	var codeErr *code.Error
 	if errors.As(err, &codeErr) {
@@ -221,8 +227,8 @@
 	return code.New(code.Unanswered, "%v", err)
 }
 
-// StatusError returns a status as a result code. The detail is what its text says
-// beyond the number and the standing text, which an Error prints itself.
+// StatusError converts a status to a code.Error. It removes the number and the
+// standard text of the code from the detail, because code.Error prints them itself.
 func StatusError(s *v1.Status) *code.Error {
 	c := code.Code(s.GetCode())
 	detail := strings.TrimPrefix(s.GetText(), code.New(c, "").Error())
@@ -230,8 +236,9 @@
 	return &code.Error{Code: c, Detail: strings.TrimPrefix(detail, ": ")}
 }
 
-// classify turns an error of the transport into a result code. What the entry
-// itself refuses before it looks at the request has a code of connect's.
+// classify converts an error of the transport to a result code. If the entry refuses a
+// request before processing it, the error has a Connect code and may contain a
+// Status.
 func classify(err error) *code.Error {
 	var connectErr *connect.Error
 	if !errors.As(err, &connectErr) {
@@ -255,7 +262,7 @@
 	case connect.CodeResourceExhausted:
 		return code.New(code.TooLarge, "%s", text)
 	case connect.CodeUnimplemented, connect.CodeNotFound:
-		return code.New(code.Malformed, "nothing of this protocol is served there: %s", text)
+		return code.New(code.Malformed, "the address does not serve this protocol: %s", text)
 	}
 	return code.New(code.Unanswered, "%s", text)
 }
--- a/internal/client/link/link_test.go
+++ b/internal/client/link/link_test.go
@@ -34,9 +34,9 @@
 	return v1.NewCallerClient(c, base, opts...).List
 }
 
-// Something between client and entry loses track of an open connection: requests
-// on it get no answer, while a new one would work. The pool must not hand the
-// dead connection out again, else every call times out for good.
+// A device between client and entry loses the state of an open connection. Requests on
+// it get no answer, while a new connection would work. The client must not reuse the
+// dead connection, or every further call would time out.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	e := &fakeEntry{unblock: make(chan struct{})}
 	mux := http.NewServeMux()
@@ -45,11 +45,11 @@
 	s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
 			e.connCount.Add(1)
-			// Only what was open before stays stuck.
+			// Only connections that were open before remain unresponsive.
 			e.unresponsive.Store(false)
 		}
 	}
-	// Over HTTP/2 a request that times out leaves its connection open and in use.
+	// With HTTP/2 a connection stays open and in use after a request has timed out.
 	s.EnableHTTP2 = true
 	s.StartTLS()
 	t.Cleanup(s.Close)
--- a/internal/client/link/status_test.go
+++ b/internal/client/link/status_test.go
@@ -8,8 +8,8 @@
 	"gypsumreel/internal/client/link"
 )
 
-// A status carries the number and the standing text beside its detail, and who
-// prints it adds both again; a person is to read them once.
+// A status contains the number and the standard text of its code, and code.Error adds
+// both when it is printed. They must not appear twice.
 func TestStatusErrorOmitsRepeatedCodeText(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                      "",
@@ -20,7 +20,7 @@
 	} {
 		got := link.StatusError(&v1.Status{Code: uint32(code.Conflict), Text: text})
 		if got.Code != code.Conflict || got.Detail != want {
-			t.Errorf("%q: got %q, want %q", text, got.Detail, want)
+			t.Errorf("status text %q: detail %q, want %q", text, got.Detail, want)
 		}
 	}
 }
--- a/internal/client/operator/operator.go
+++ b/internal/client/operator/operator.go
@@ -1,4 +1,4 @@
-// Package operator is the client of whoever is on duty.
+// Package operator is the client with which operators change and inspect a cell.
 package operator
 
 import (
@@ -11,10 +11,10 @@
 	"gypsumreel/internal/client/link"
 )
 
-// pageSize is the number of lines asked for at once.
+// pageSize is the number of lines requested per page.
 const pageSize = 1000
 
-// Client makes changes and reads the state.
+// Client changes the settings of a cell and reads its state.
 type Client struct {
 	Link *link.Link
 }
@@ -31,8 +31,8 @@
 	return v1.NewOperatorClient(c, base, opts...).Dump
 }
 
-// Change makes one change, asked for with the same id until it is answered. It
-// returns the table's revision, also with a refusal.
+// Change makes one change and retries it with the same id until it is answered. It
+// returns the revision of the team table, also if the change is refused.
 func (c *Client) Change(ctx context.Context, req *v1.ChangeRequest) (uint64, error) {
 	reply, err := link.Call(ctx, c.Link, changeMethod, req, (*v1.ChangeReply).GetStatus)
 	if err != nil {
@@ -41,10 +41,10 @@
 	return reply.GetRevision(), statusError(reply.GetStatus())
 }
 
-// Show reads all lines of a part. It guards against a table that changes between
-// two pages: lines of different revisions would make a table that never was, so
-// it begins anew. A page that begins like the first one means that the part is
-// not cut into pages.
+// Show reads all lines of a part, page by page. It starts again from the first page if
+// the revision changes between two pages, because lines of different revisions would
+// form an inconsistent table. If a page begins with the same line as the first page,
+// the part is not divided into pages and is complete.
 func (c *Client) Show(ctx context.Context, part v1.Part) (*v1.ShowReply, error) {
 	all := &v1.ShowReply{}
 	after, firstName := "", ""
@@ -87,8 +87,8 @@
 	all.Jobs = append(all.Jobs, page.GetJobs()...)
 }
 
-// lineNames returns the names of a page's lines, by which the next page is asked
-// for; none for a part that always comes whole.
+// lineNames returns the names of the lines of a page. The last one is the position from
+// which the next page is requested. It returns nil for a part without pages.
 func lineNames(page *v1.ShowReply, part v1.Part) []string {
 	switch part {
 	case v1.Part_PART_TABLE:
@@ -111,8 +111,8 @@
 	return names
 }
 
-// Dump returns the state of one process as JSON text; an empty name stands for
-// the entry that answers.
+// Dump returns the state of one process as JSON text. An empty name stands for the
+// entry that receives the call.
 func (c *Client) Dump(ctx context.Context, process string) (string, error) {
 	reply, err := link.Call(ctx, c.Link, dumpMethod, &v1.DumpRequest{Process: process}, (*v1.DumpReply).GetStatus)
 	if err != nil {
