--- a/internal/client/caller/caller.go
+++ b/internal/client/caller/caller.go
@@ -15,8 +15,8 @@
 
 // Defaults of Client fields.
 const (
-	DefaultMaxPollWait      = 5 * time.Second
-	DefaultUnreachableRetry = 5 * time.Second
+	DefaultMaxPollWait         = 5 * time.Second
+	DefaultRetryUnreachableFor = 5 * time.Second
 )
 
 // Client submits jobs and retrieves their answers. Every call is retried, at one entry
@@ -25,10 +25,10 @@
 	Link *link.Link
 	// MaxPollWait is the maximum duration of a long poll; 0 means DefaultMaxPollWait.
 	MaxPollWait time.Duration
-	// UnreachableRetry is how long Submit retries a job that no entry could pass to
+	// RetryUnreachableFor is how long Submit retries a job that no entry could pass to
 	// the leader; 0 means DefaultUnreachableRetry. It should exceed the duration of
 	// an election, so that an election is not visible to callers.
-	UnreachableRetry time.Duration
+	RetryUnreachableFor time.Duration
 }
 
 // Result is the outcome of one job.
@@ -79,7 +79,7 @@
 	for i := range jobs {
 		pending[i] = i
 	}
-	retryBackoff, unreachableDeadline := link.NewBackoff(), time.Now().Add(c.unreachableRetry())
+	retryBackoff, unreachableDeadline := link.NewBackoff(), time.Now().Add(c.retryUnreachableFor())
 	for {
 		req := newSubmitRequest(jobs, pending, firstAttempt)
 		retryAfter, err := c.attempt(ctx, req, pending, replies)
@@ -97,11 +97,11 @@
 	}
 }
 
-func (c *Client) unreachableRetry() time.Duration {
-	if c.UnreachableRetry > 0 {
-		return c.UnreachableRetry
+func (c *Client) retryUnreachableFor() time.Duration {
+	if c.RetryUnreachableFor > 0 {
+		return c.RetryUnreachableFor
 	}
-	return DefaultUnreachableRetry
+	return DefaultRetryUnreachableFor
 }
 
 // allNeverSent reports whether every reply states that the job never left the entry.
@@ -162,13 +162,13 @@
 
 // markUnanswered sets the code Unanswered for jobs that have no reply when ctx ends.
 func markUnanswered(jobs []*v1.Spec, replies []*v1.Accepted, err error) []*v1.Accepted {
-	text := "no answer before the deadline"
+	detail := "no answer before the deadline"
 	if err != nil {
-		text = err.Error()
+		detail = err.Error()
 	}
 	for i, reply := range replies {
 		if reply == nil {
-			replies[i] = &v1.Accepted{Id: jobs[i].GetId(), Status: &v1.Status{Code: uint32(code.Unanswered), Text: text}}
+			replies[i] = &v1.Accepted{Id: jobs[i].GetId(), Status: &v1.Status{Code: uint32(code.Unanswered), Text: detail}}
 		}
 	}
 	return replies
--- a/internal/client/caller/caller_test.go
+++ b/internal/client/caller/caller_test.go
@@ -97,8 +97,8 @@
 		},
 		replyWithCodes(code.OK),
 	}}
-	other := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyWithCodes(code.OK, code.Unanswered)}}
-	got, err := newClient(startServer(t, unreliable), startServer(t, other)).Submit(t.Context(), []*v1.Spec{{Id: "a"}, {Id: "b"}}, true)
+	reliable := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyWithCodes(code.OK, code.Unanswered)}}
+	got, err := newClient(startServer(t, unreliable), startServer(t, reliable)).Submit(t.Context(), []*v1.Spec{{Id: "a"}, {Id: "b"}}, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,10 +110,10 @@
 	if diff := cmp.Diff([][]string{{"a", "b"}, {"b"}}, unreliable.submittedIDs); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([][]string{{"a", "b"}}, other.submittedIDs); diff != "" {
+	if diff := cmp.Diff([][]string{{"a", "b"}}, reliable.submittedIDs); diff != "" {
 		t.Error(diff)
 	}
-	if got := slices.Concat(unreliable.firstFlags, other.firstFlags); !slices.Equal(got, []bool{true, false, false}) {
+	if got := slices.Concat(unreliable.firstFlags, reliable.firstFlags); !slices.Equal(got, []bool{true, false, false}) {
 		t.Errorf("First flags of the attempts: %v", got)
 	}
 	if want := []string{"Bearer id.secret", "Bearer id.secret"}; !slices.Equal(unreliable.authorizations, want) {
@@ -167,10 +167,10 @@
 	}
 }
 
-func TestUnreachableRetryEnds(t *testing.T) {
+func TestRetriesOfUnreachableLeaderEnd(t *testing.T) {
 	e := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyNotRun, replyNotRun}}
 	c := newClient(startServer(t, e))
-	c.UnreachableRetry = time.Nanosecond
+	c.RetryUnreachableFor = time.Nanosecond
 	got, err := c.Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true)
 	if err != nil || got[0].GetOutcome() != v1.Outcome_OUTCOME_NOT_RUN || len(e.firstFlags) != 1 {
 		t.Errorf("got %v, %v after %d attempts", got, err, len(e.firstFlags))
@@ -188,8 +188,8 @@
 	}
 }
 
-func replyWithChunk(whole string, number, count uint32, data string) func(*v1.WaitRequest) (*v1.WaitReply, error) {
-	c := &v1.Chunk{Number: number, Count: count, Total: uint64(len(whole)), Sum: xxhash.Sum64String(whole), Data: []byte(data)}
+func replyWithChunk(answer string, number, count uint32, data string) func(*v1.WaitRequest) (*v1.WaitReply, error) {
+	c := &v1.Chunk{Number: number, Count: count, Total: uint64(len(answer)), Sum: xxhash.Sum64String(answer), Data: []byte(data)}
 	return func(r *v1.WaitRequest) (*v1.WaitReply, error) {
 		return &v1.WaitReply{Id: r.GetId(), Outcome: v1.Outcome_OUTCOME_DONE, Chunk: c}, nil
 	}
--- a/internal/client/link/link.go
+++ b/internal/client/link/link.go
@@ -33,9 +33,9 @@
 	pingTimeout  = 3 * time.Second
 	dialTimeout  = 5 * time.Second
 	idleTimeout  = 30 * time.Second
-	// maxIdlePerHost is the maximum number of idle connections to one entry, so
+	// maxIdleConnsPerEntry is the maximum number of idle connections to one entry, so
 	// that as many concurrent calls can reuse connections.
-	maxIdlePerHost = 256
+	maxIdleConnsPerEntry = 256
 	// maxReplyBytes is the maximum size of a reply.
 	maxReplyBytes = 64 << 20
 )
@@ -82,7 +82,7 @@
 	if err == nil {
 		return res.Msg, nil
 	}
-	codeErr := classify(err)
+	codeErr := toCodeError(err)
 	if IsRetryable(codeErr.Code) {
 		l.replaceConnections(entryIndex)
 	}
@@ -182,7 +182,7 @@
 		TLSClientConfig:     l.TLS,
 		ForceAttemptHTTP2:   true,
 		TLSHandshakeTimeout: dialTimeout,
-		MaxIdleConnsPerHost: maxIdlePerHost,
+		MaxIdleConnsPerHost: maxIdleConnsPerEntry,
 		IdleConnTimeout:     idleTimeout,
 		HTTP2:               &http.HTTP2Config{SendPingTimeout: pingInterval, PingTimeout: pingTimeout},
 	}}
@@ -236,10 +236,10 @@
 	return &code.Error{Code: c, Detail: strings.TrimPrefix(detail, ": ")}
 }
 
-// classify converts an error of the transport to a result code. If the entry refuses a
+// toCodeError converts an error of the transport to a result code. If the entry refuses a
 // request before processing it, the error has a Connect code and may contain a
 // Status.
-func classify(err error) *code.Error {
+func toCodeError(err error) *code.Error {
 	var connectErr *connect.Error
 	if !errors.As(err, &connectErr) {
 		return code.New(code.Unanswered, "%v", err)
--- a/internal/client/operator/operator.go
+++ b/internal/client/operator/operator.go
@@ -11,8 +11,8 @@
 	"gypsumreel/internal/client/link"
 )
 
-// pageSize is the number of lines requested per page.
-const pageSize = 1000
+// linesPerPage is the number of lines requested per page.
+const linesPerPage = 1000
 
 // Client changes the settings of a cell and reads its state.
 type Client struct {
@@ -49,7 +49,7 @@
 	all := &v1.ShowReply{}
 	after, firstName := "", ""
 	for {
-		page, err := link.Call(ctx, c.Link, showMethod, &v1.ShowRequest{Part: part, After: after, Limit: pageSize}, (*v1.ShowReply).GetStatus)
+		page, err := link.Call(ctx, c.Link, showMethod, &v1.ShowRequest{Part: part, After: after, Limit: linesPerPage}, (*v1.ShowReply).GetStatus)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/control/entry/entry.go
+++ b/internal/control/entry/entry.go
@@ -128,9 +128,9 @@
 
 // checkCell refuses calls from processes of another cell. This prevents a wrong
 // address in the settings from mixing the work of two cells.
-func (s *Server) checkCell(cell, from string) error {
+func (s *Server) checkCell(cell, process string) error {
 	if cell != s.Cell {
-		s.logLimiter.Log(s.Log, event.PeerRefused, "peer", from, "error", "the process belongs to cell "+strconv.Quote(cell)+", this is cell "+strconv.Quote(s.Cell))
+		s.logLimiter.Log(s.Log, event.PeerRefused, "peer", process, "error", "the process belongs to cell "+strconv.Quote(cell)+", this is cell "+strconv.Quote(s.Cell))
 		return twirp.NewError(twirp.PermissionDenied, "this is cell "+s.Cell)
 	}
 	return nil
--- a/internal/control/entry/tracker.go
+++ b/internal/control/entry/tracker.go
@@ -14,9 +14,9 @@
 const (
 	// staleAfter is the time without a Pull after which an entry is listed as stale.
 	staleAfter = 5 * time.Second
-	// forgetAfter is the time without a Pull after which an entry is removed from
+	// removeAfter is the time without a Pull after which an entry is removed from
 	// the list.
-	forgetAfter = 10 * time.Minute
+	removeAfter = 10 * time.Minute
 	// maxTrackedEntries is the maximum number of tracked entries.
 	maxTrackedEntries = 256
 	// confirmationTimeout is how long an entry may take to confirm a new revision
@@ -108,7 +108,7 @@
 	}
 	for name, entry := range t.entries {
 		switch {
-		case now-entry.lastPull > forgetAfter:
+		case now-entry.lastPull > removeAfter:
 			delete(t.entries, name)
 		case entry.confirmedRevision >= revision && entry.reportedRevision > 0:
 			entry.reportedRevision = 0
@@ -134,11 +134,11 @@
 		s.entries.clear()
 		return
 	}
-	behind, caught := s.entries.checkConfirmations(status.Revision, s.Now())
-	for _, e := range behind {
+	lagging, caughtUp := s.entries.checkConfirmations(status.Revision, s.Now())
+	for _, e := range lagging {
 		event.Log(s.Log, event.TableUnconfirmed, "process", e.name, "confirmed", e.confirmedRevision, "revision", status.Revision)
 	}
-	for _, e := range caught {
+	for _, e := range caughtUp {
 		event.Log(s.Log, event.TableConfirmed, "process", e.name, "revision", e.confirmedRevision)
 	}
 }
--- a/internal/control/node/assemble.go
+++ b/internal/control/node/assemble.go
@@ -84,7 +84,7 @@
 	cfg.Seed = binary.LittleEndian.Uint64(seed[:])
 	l := n.Control
 	l.Group, l.Now, l.RootKey, l.Log, l.Metrics = g, n.now, n.RootKey, n.Log, n.metrics
-	l.TransferLeadership = func() { go n.leaveFullDisk(g) }
+	l.TransferLeadership = func() { go n.transferFromFullDisk(g) }
 	l.MatchIndexes = func() map[string]uint64 { return matchIndexes(g.Dump()) }
 	if l.NewPlanner == nil {
 		l.NewPlanner = func() plan.Planner { return cell.New(cell.Config{}) }
--- a/internal/control/node/node.go
+++ b/internal/control/node/node.go
@@ -290,9 +290,9 @@
 	return errors.Newf("no leader is known to %s; if it is new, run: gypsumreel member add %s %s", n.selfID.Load(), n.selfID.Load(), n.Address)
 }
 
-// leaveFullDisk transfers the leadership to another replica because the disk of this
+// transferFromFullDisk transfers the leadership to another replica because the disk of this
 // one is full.
-func (n *Node) leaveFullDisk(g *group.Group) {
+func (n *Node) transferFromFullDisk(g *group.Group) {
 	ctx, cancel := context.WithTimeout(context.Background(), n.TransferTimeout)
 	defer cancel()
 	if err := g.TransferLeadership(ctx); err == nil {
--- a/internal/control/node/node_test.go
+++ b/internal/control/node/node_test.go
@@ -65,12 +65,12 @@
 		<-n.Done()
 	}()
 	operator := v1.NewOperatorClient(http.DefaultClient, "http://"+operators.Addr().String())
-	change := func(req *v1.ChangeRequest) {
+	applyChange := func(req *v1.ChangeRequest) {
 		t.Helper()
 		var reply *connect.Response[v1.ChangeReply]
 		var err error
 		for range 100 {
-			if reply, err = operator.Change(ctx, bearer(req, "op.secret")); err == nil {
+			if reply, err = operator.Change(ctx, withKey(req, "op.secret")); err == nil {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -79,51 +79,51 @@
 			t.Fatal(err, reply)
 		}
 	}
-	change(&v1.ChangeRequest{Id: "1", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{{Row: &v1.Row{
+	applyChange(&v1.ChangeRequest{Id: "1", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{{Row: &v1.Row{
 		Team: "rail", Weight: 1, Queue: 100, Limit: &v1.Size{Cpu: -1, Memory: -1, Accel: -1, Slots: -1},
 	}}}}}})
-	change(&v1.ChangeRequest{Id: "2", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "rail", Digest: digest[:]}}})
+	applyChange(&v1.ChangeRequest{Id: "2", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "rail", Digest: digest[:]}}})
 	caller := v1.NewCallerClient(http.DefaultClient, "http://"+callers.Addr().String())
 	for _, spec := range []*v1.Spec{
 		{Id: "quote", Kind: v1.Kind_KIND_URGENT, Name: "q", Count: 1, Size: &v1.Size{Cpu: 1000, Memory: 100, Slots: 1}, Input: []byte("3 t of ballast")},
 		{Id: "plan", Kind: v1.Kind_KIND_BATCH, Name: "p", Count: 1, Size: &v1.Size{Cpu: 1000, Memory: 100, Slots: 1}, Input: []byte("section 4")},
 		{Id: "sweep", Kind: v1.Kind_KIND_GANG, Name: "s", Count: 3, Size: &v1.Size{Cpu: 1000, Memory: 100, Slots: 1}, Input: []byte("x")},
 	} {
-		done := false
-		reply, err := caller.Submit(ctx, bearer(&v1.SubmitRequest{Jobs: []*v1.Spec{spec}}, "k.secret"))
+		completed := false
+		reply, err := caller.Submit(ctx, withKey(&v1.SubmitRequest{Jobs: []*v1.Spec{spec}}, "k.secret"))
 		if err != nil || reply.Msg.GetJobs()[0].GetStatus().GetCode() != 0 {
 			t.Fatal(err, reply)
 		}
 		for range 20 {
-			w, err := caller.Wait(ctx, bearer(&v1.WaitRequest{Id: spec.GetId(), Patience: 2000}, "k.secret"))
+			w, err := caller.Wait(ctx, withKey(&v1.WaitRequest{Id: spec.GetId(), Patience: 2000}, "k.secret"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if w.Msg.GetOutcome() == v1.Outcome_OUTCOME_DONE {
-				done = true
+				completed = true
 				break
 			}
 		}
-		if !done {
+		if !completed {
 			t.Errorf("job %s did not complete", spec.GetId())
 		}
 	}
 }
 
-func bearer[T any](m *T, k string) *connect.Request[T] {
-	r := connect.NewRequest(m)
-	r.Header().Set("Authorization", "Bearer "+k)
+func withKey[T any](message *T, apiKey string) *connect.Request[T] {
+	r := connect.NewRequest(message)
+	r.Header().Set("Authorization", "Bearer "+apiKey)
 	return r
 }
 
 // A replica whose journal was deleted while its identity remains has lost its vote.
 // It must not start, because it could vote twice in the same term.
 func TestReplicaWithoutJournalDoesNotStart(t *testing.T) {
-	dir := t.TempDir()
+	dataDir := t.TempDir()
 	start := func(initCell bool) (*node.Node, context.CancelFunc, chan error) {
 		l := listen(t)
 		n := &node.Node{
-			Cell: "test", Name: "c1", DataDir: dir, InitCell: initCell, Listener: l, Address: l.Addr().String(),
+			Cell: "test", Name: "c1", DataDir: dataDir, InitCell: initCell, Listener: l, Address: l.Addr().String(),
 			Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}}, Control: leader.New(),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -139,7 +139,7 @@
 	if err := <-runErr; err != nil {
 		t.Fatal(err)
 	}
-	if err := os.RemoveAll(filepath.Join(dir, "journal")); err != nil {
+	if err := os.RemoveAll(filepath.Join(dataDir, "journal")); err != nil {
 		t.Fatal(err)
 	}
 	_, cancel, runErr = start(false)
