--- a/internal/client/caller/caller.go
+++ b/internal/client/caller/caller.go
@@ -26,7 +26,7 @@
 	// MaxPollWait is the maximum duration of a long poll; 0 means DefaultMaxPollWait.
 	MaxPollWait time.Duration
 	// RetryUnreachableFor is how long Submit retries a job that no entry could pass to
-	// the leader; 0 means DefaultUnreachableRetry. It should exceed the duration of
+	// the leader; 0 means DefaultRetryUnreachableFor. It should exceed the duration of
 	// an election, so that an election is not visible to callers.
 	RetryUnreachableFor time.Duration
 }
--- a/internal/control/node/node.go
+++ b/internal/control/node/node.go
@@ -146,8 +146,7 @@
 func (n *Node) Done() <-chan struct{} { n.init(); return n.done }
 
 // now returns the time on the clock that the group and the control thread share. It
-// is never zero, because zero stands for an event that has not happened. The offset
-// of one hour has no other meaning.
+// is above zero, because a time of zero means never.
 func (n *Node) now() time.Duration { return n.Clock() + time.Hour }
 
 // Now returns the time on the clock that all components of the daemon share.
--- a/internal/domain/lease/lease.go
+++ b/internal/domain/lease/lease.go
@@ -82,5 +82,6 @@
 	return max(0, max(t.electedAt+t.terms.ExpiryWait(), t.expiresBy[server])-now)
 }
 
-// Forget removes a server. Its session must be closed before.
+// Forget removes the record of a server's lease. The session of the server must be
+// closed first.
 func (t *Tracker) Forget(server string) { delete(t.expiresBy, server) }
