--- a/internal/client/caller/caller.go
+++ b/internal/client/caller/caller.go
@@ -117,7 +117,7 @@
 }
 
 func neverSent(reply *v1.Accepted) bool {
-	return reply.GetStatus().GetCode() == uint32(code.Unreachable) && reply.GetOutcome() == v1.Outcome_OUTCOME_NOT_RUN
+	return reply.GetStatus().GetCode() == uint32(code.ControlUnreachable) && reply.GetOutcome() == v1.Outcome_OUTCOME_NOT_RUN
 }
 
 func newSubmitRequest(jobs []*v1.Spec, pending []int, firstAttempt bool) *v1.SubmitRequest {
@@ -136,7 +136,7 @@
 		return 0, err
 	}
 	if len(submitReply.GetJobs()) != len(pending) {
-		return 0, code.New(code.Unanswered, "received %d replies for %d jobs", len(submitReply.GetJobs()), len(pending))
+		return 0, code.New(code.LeaderTimeout, "received %d replies for %d jobs", len(submitReply.GetJobs()), len(pending))
 	}
 	var retryAfter time.Duration
 	for i, reply := range submitReply.GetJobs() {
@@ -168,7 +168,7 @@
 	}
 	for i, reply := range replies {
 		if reply == nil {
-			replies[i] = &v1.Accepted{Id: jobs[i].GetId(), Status: &v1.Status{Code: uint32(code.Unanswered), Text: detail}}
+			replies[i] = &v1.Accepted{Id: jobs[i].GetId(), Status: &v1.Status{Code: uint32(code.LeaderTimeout), Text: detail}}
 		}
 	}
 	return replies
@@ -194,7 +194,7 @@
 		case err != nil && ctx.Err() != nil && result.Outcome == v1.Outcome_OUTCOME_DONE:
 			// ctx ended between two chunks. Without an error the result would
 			// look like a complete but empty answer.
-			return result, code.New(code.Unanswered, "the answer of %s was not received completely in time", id)
+			return result, code.New(code.LeaderTimeout, "the answer of %s was not received completely in time", id)
 		case err != nil && ctx.Err() != nil:
 			return result, nil
 		case err != nil:
--- a/internal/client/caller/caller_test.go
+++ b/internal/client/caller/caller_test.go
@@ -97,7 +97,7 @@
 		},
 		replyWithCodes(code.OK),
 	}}
-	reliable := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyWithCodes(code.OK, code.Unanswered)}}
+	reliable := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyWithCodes(code.OK, code.LeaderTimeout)}}
 	got, err := newClient(startServer(t, unreliable), startServer(t, reliable)).Submit(t.Context(), []*v1.Spec{{Id: "a"}, {Id: "b"}}, true)
 	if err != nil {
 		t.Fatal(err)
@@ -132,13 +132,13 @@
 			return nil, connect.NewError(connect.CodeUnauthenticated, errors.New("no"))
 		},
 	}}
-	if _, err := newClient(startServer(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); link.AsCodeError(err).Code != code.BadKey {
+	if _, err := newClient(startServer(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); link.AsCodeError(err).Code != code.InvalidKey {
 		t.Errorf("got %v", err)
 	}
 }
 
 func replyNotRun(*v1.SubmitRequest) (*v1.SubmitReply, error) {
-	return &v1.SubmitReply{Jobs: []*v1.Accepted{{Id: "a", Status: newStatus(code.Unreachable), Outcome: v1.Outcome_OUTCOME_NOT_RUN}}}, nil
+	return &v1.SubmitReply{Jobs: []*v1.Accepted{{Id: "a", Status: newStatus(code.ControlUnreachable), Outcome: v1.Outcome_OUTCOME_NOT_RUN}}}, nil
 }
 
 // The leader has crashed. For about a second the entries answer that they cannot pass
@@ -158,7 +158,7 @@
 // The first attempt gets no answer, so the leader may have accepted it. No later attempt
 // may set First, because an entry would then answer "not run" for a job that may run.
 func TestNoRetryClaimsFirstAfterLostAnswer(t *testing.T) {
-	e := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyWithCodes(code.Unanswered), replyWithCodes(code.Unanswered), replyWithCodes(code.QueueFull)}}
+	e := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyWithCodes(code.LeaderTimeout), replyWithCodes(code.LeaderTimeout), replyWithCodes(code.QueueFull)}}
 	if _, err := newClient(startServer(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); err != nil {
 		t.Error(err)
 	}
@@ -183,7 +183,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	got, err := newClient("http://127.0.0.1:1").Submit(ctx, []*v1.Spec{{Id: "a"}}, true)
-	if err != nil || got[0].GetStatus().GetCode() != uint32(code.Unanswered) || got[0].GetOutcome() != v1.Outcome_OUTCOME_UNSPECIFIED {
+	if err != nil || got[0].GetStatus().GetCode() != uint32(code.LeaderTimeout) || got[0].GetOutcome() != v1.Outcome_OUTCOME_UNSPECIFIED {
 		t.Errorf("got %v, %v", got, err)
 	}
 }
--- a/internal/client/link/link.go
+++ b/internal/client/link/link.go
@@ -211,7 +211,7 @@
 // repeated, because c is not a final result.
 func IsRetryable(c code.Code) bool {
 	switch c {
-	case code.Unanswered, code.NoLeader, code.Leaving:
+	case code.LeaderTimeout, code.NoLeader, code.ShuttingDown:
 		return true
 	}
 	return false
@@ -224,7 +224,7 @@
 	if errors.As(err, &codeErr) {
 		return codeErr
 	}
-	return code.New(code.Unanswered, "%v", err)
+	return code.New(code.LeaderTimeout, "%v", err)
 }
 
 // StatusError converts a status to a code.Error. It removes the number and the
@@ -242,7 +242,7 @@
 func toCodeError(err error) *code.Error {
 	var connectErr *connect.Error
 	if !errors.As(err, &connectErr) {
-		return code.New(code.Unanswered, "%v", err)
+		return code.New(code.LeaderTimeout, "%v", err)
 	}
 	for _, d := range connectErr.Details() {
 		if v, derr := d.Value(); derr == nil {
@@ -256,7 +256,7 @@
 	case connect.CodeInvalidArgument:
 		return code.New(code.Malformed, "%s", text)
 	case connect.CodeUnauthenticated:
-		return code.New(code.BadKey, "%s", text)
+		return code.New(code.InvalidKey, "%s", text)
 	case connect.CodePermissionDenied:
 		return code.New(code.Forbidden, "%s", text)
 	case connect.CodeResourceExhausted:
@@ -264,5 +264,5 @@
 	case connect.CodeUnimplemented, connect.CodeNotFound:
 		return code.New(code.Malformed, "the address does not serve this protocol: %s", text)
 	}
-	return code.New(code.Unanswered, "%s", text)
+	return code.New(code.LeaderTimeout, "%s", text)
 }
--- a/internal/client/link/status_test.go
+++ b/internal/client/link/status_test.go
@@ -12,14 +12,14 @@
 // both when it is printed. They must not appear twice.
 func TestStatusErrorOmitsRepeatedCodeText(t *testing.T) {
 	for text, want := range map[string]string{
-		"":                                      "",
-		code.Conflict.String():                  "",
-		code.New(code.Conflict, "").Error():     "",
-		code.New(code.Conflict, "at 7").Error(): "at 7",
-		"at 7":                                  "at 7",
+		"":                             "",
+		code.RevisionConflict.String(): "",
+		code.New(code.RevisionConflict, "").Error():     "",
+		code.New(code.RevisionConflict, "at 7").Error(): "at 7",
+		"at 7": "at 7",
 	} {
-		got := link.StatusError(&v1.Status{Code: uint32(code.Conflict), Text: text})
-		if got.Code != code.Conflict || got.Detail != want {
+		got := link.StatusError(&v1.Status{Code: uint32(code.RevisionConflict), Text: text})
+		if got.Code != code.RevisionConflict || got.Detail != want {
 			t.Errorf("status text %q: detail %q, want %q", text, got.Detail, want)
 		}
 	}
--- a/internal/control/dispatch/zone.go
+++ b/internal/control/dispatch/zone.go
@@ -23,8 +23,8 @@
 			return
 		}
 		if !d.Host.HasZone(zone) {
-			err := code.New(code.Unknown, "zone %q", zone)
-			event.Fail(d.Log, event.ZoneRefused, err, "zone", zone, "drain", drain)
+			err := code.New(code.NotFound, "zone %q", zone)
+			event.LogError(d.Log, event.ZoneRefused, err, "zone", zone, "drain", drain)
 			reply(err)
 			return
 		}
--- a/internal/control/entry/entry.go
+++ b/internal/control/entry/entry.go
@@ -45,7 +45,7 @@
 	Log          logr.Logger
 
 	entries     entryTracker
-	logLimiter  event.Limit
+	logLimiter  event.RateLimiter
 	mu          sync.Mutex
 	mailboxTerm uint64
 	mailboxes   map[mailbox.Name]*mailbox.Mailbox
@@ -113,7 +113,7 @@
 	if s.DumpState == nil {
 		return &v1.DumpReply{Status: &v1.Status{}}, nil
 	}
-	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Text(s.DumpState(), s.MaxDumpBytes)}, nil
+	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Render(s.DumpState(), s.MaxDumpBytes)}, nil
 }
 
 // pullTimeout returns how long a Pull may wait, given the requested time in
--- a/internal/control/leader/decide.go
+++ b/internal/control/leader/decide.go
@@ -55,7 +55,7 @@
 	case plan.Drop:
 		r = l.dropJob(d.Job, code.DeadlinePassed)
 	case plan.Park:
-		r = l.dropJob(d.Job, code.Parked)
+		r = l.dropJob(d.Job, code.GivenUp)
 	case plan.Quarantine:
 		r = l.markServer(d.Server, backend.Quarantined)
 	case plan.Restore:
--- a/internal/control/leader/eventlog_test.go
+++ b/internal/control/leader/eventlog_test.go
@@ -64,7 +64,7 @@
 		r := h.mustReply(h.push(&inner.Item{Credential: h.credential("op"), Ask: &inner.Item_Change{Change: &v1.ChangeRequest{
 			Id: "late", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Base: 0, Edits: []*v1.Edit{{Row: &v1.Row{Team: "x", Weight: 1}}}}},
 		}}}))
-		expectCode(t, code.Conflict, r.GetChange().GetStatus())
+		expectCode(t, code.RevisionConflict, r.GetChange().GetStatus())
 		log.expectOnce(t, "table-conflict")
 		h.applyChange("lower", &v1.ChangeRequest{Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Base: 1, Edits: []*v1.Edit{
 			{Row: &v1.Row{Team: "rail", Weight: 1, Queue: 1, Limit: &v1.Size{Cpu: 500, Memory: -1, Accel: -1, Slots: -1}}},
@@ -146,7 +146,7 @@
 			t.Errorf("jobs listed: %v", got)
 		}
 		r := h.mustReply(h.pushShow(&v1.ShowRequest{Part: v1.Part_PART_JOBS, After: "rail/none"})).GetShow()
-		expectCode(t, code.Unknown, r.GetStatus())
+		expectCode(t, code.NotFound, r.GetStatus())
 	})
 }
 
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -66,7 +66,7 @@
 		Rack: req.GetRack(), Zone: req.GetZone(), Labels: req.GetLabels(),
 	}}})
 	status := statusOf(&code.Error{Code: r.Code, Detail: r.Detail})
-	if r.Code == code.Busy {
+	if r.Code == code.MembershipChangePending {
 		status.Retry = uint64(l.SyncTimeout / time.Millisecond)
 	}
 	if b, ok := l.ledger.Server(req.GetServer()); ok && r.Code == code.OK {
@@ -79,7 +79,7 @@
 func (l *Leader) handleLeave(target ReplyTarget, req *v1.LeaveRequest) {
 	r := l.markServer(req.GetServer(), backend.Draining)
 	if b, _ := l.ledger.Server(req.GetServer()); b.Incarnation != req.GetIncarnation() {
-		r = state.Result{Code: code.Stale}
+		r = state.Result{Code: code.SessionReplaced}
 	}
 	l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Leave{Leave: &v1.LeaveReply{Status: statusOf(&code.Error{Code: r.Code})}}})
 }
@@ -90,7 +90,7 @@
 func (l *Leader) handleSync(target ReplyTarget, req *v1.SyncRequest) {
 	b, ok := l.ledger.Server(req.GetServer())
 	if !ok || b.Incarnation != req.GetIncarnation() || b.Server.State == backend.Gone {
-		l.replySync(target, &v1.SyncReply{Status: statusOf(code.New(code.Stale, "the session has ended; announce the server again")), Number: req.GetNumber()})
+		l.replySync(target, &v1.SyncReply{Status: statusOf(code.New(code.SessionReplaced, "the session has ended; announce the server again")), Number: req.GetNumber()})
 		return
 	}
 	s := l.sessionFor(b)
--- a/internal/control/node/assemble.go
+++ b/internal/control/node/assemble.go
@@ -96,7 +96,7 @@
 	protocols.SetHTTP1(true)
 	protocols.SetHTTP2(true)
 	protocols.SetUnencryptedHTTP2(true)
-	return &http.Server{Handler: h, Protocols: protocols, ReadHeaderTimeout: headerTimeout, TLSConfig: cfg, ErrorLog: event.HTTPLog(n.Log)}
+	return &http.Server{Handler: h, Protocols: protocols, ReadHeaderTimeout: headerTimeout, TLSConfig: cfg, ErrorLog: event.HTTPErrorLog(n.Log)}
 }
 
 func serveListener(s *http.Server, l net.Listener) error {
--- a/internal/control/node/disk.go
+++ b/internal/control/node/disk.go
@@ -16,7 +16,7 @@
 type monitoredJournal struct {
 	group.Journal
 	log         logr.Logger
-	logLimiter  event.Limit
+	logLimiter  event.RateLimiter
 	syncSeconds *metrics.PrometheusHistogram
 }
 
@@ -32,7 +32,7 @@
 	elapsed := time.Since(startedAt)
 	d.syncSeconds.Update(elapsed.Seconds())
 	if err != nil {
-		event.Fail(d.log, event.SyncFailed, err)
+		event.LogError(d.log, event.SyncFailed, err)
 		return err
 	}
 	if elapsed > slowSyncThreshold {
@@ -58,7 +58,7 @@
 	err := a.SnapshotStore.Save(meta, state)
 	if err != nil {
 		a.failedSaves.Inc()
-		event.Fail(a.log, event.StoragePutOff, err, "what", "snapshot", "index", meta.Index, "bytes", len(state))
+		event.LogError(a.log, event.StoragePutOff, err, "what", "snapshot", "index", meta.Index, "bytes", len(state))
 		return err
 	}
 	event.Log(a.log, event.SnapshotWritten, "index", meta.Index, "bytes", len(state), "took", time.Since(startedAt).String())
--- a/internal/control/node/monitor.go
+++ b/internal/control/node/monitor.go
@@ -36,9 +36,9 @@
 	isReplica := func(name string) bool {
 		return slices.ContainsFunc(n.Replicas, func(m quorum.Member) bool { return m.ID == name })
 	}
-	restricted := secure.Only(isReplica, h)
+	restricted := secure.RequireName(isReplica, h)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if names := secure.Names(r); !slices.ContainsFunc(names, isReplica) {
+		if names := secure.PeerNames(r); !slices.ContainsFunc(names, isReplica) {
 			n.logLimiter.Log(n.Log, event.PeerRefused, "peer", strings.Join(names, " "), "error", "the certificate names no control replica, this is "+n.Name)
 		}
 		restricted.ServeHTTP(w, r)
@@ -67,7 +67,7 @@
 		case err == nil && !wasReady:
 			event.Log(n.Log, event.Ready)
 		case err != nil && wasReady:
-			event.Fail(n.Log, event.Unready, err)
+			event.LogError(n.Log, event.Unready, err)
 		}
 		wasReady = err == nil
 		n.entryService.Load().LogTableConfirmations()
@@ -76,11 +76,11 @@
 
 // logCorruption logs err as the given event if it reports a corrupt journal or
 // snapshot. It returns err unchanged.
-func (n *Node) logCorruption(id event.ID, err error) error {
+func (n *Node) logCorruption(id event.Definition, err error) error {
 	var journalErr *journal.CorruptionError
 	var snapshotErr *snapshot.CorruptionError
 	if errors.As(err, &journalErr) || errors.As(err, &snapshotErr) {
-		event.Fail(n.Log, id, err)
+		event.LogError(n.Log, id, err)
 	}
 	return err
 }
--- a/internal/control/node/monitor_test.go
+++ b/internal/control/node/monitor_test.go
@@ -96,7 +96,7 @@
 		if !errors.As(deliverErr, &refusal) {
 			t.Fatal(deliverErr)
 		}
-		if refused := strings.Contains(refusal.Meta("body"), secure.ErrName.Error()); refused != wantRefused {
+		if refused := strings.Contains(refusal.Meta("body"), secure.ErrUnexpectedName.Error()); refused != wantRefused {
 			t.Errorf("certificate %s: refused because of its name = %v: %v", name, refused, deliverErr)
 		}
 	}
--- a/internal/control/node/node.go
+++ b/internal/control/node/node.go
@@ -115,7 +115,7 @@
 
 	entryService atomic.Pointer[entry.Server]
 	metrics      *metrics.Set
-	logLimiter   event.Limit
+	logLimiter   event.RateLimiter
 }
 
 // Transport sends and receives consensus messages until Close is called.
@@ -202,7 +202,7 @@
 	postponedRolls := n.metrics.GetOrCreateCounter(meter.Name("control", "segments_put_off_total"))
 	return journal.Config{OnRollPostponed: func(err error) {
 		postponedRolls.Inc()
-		event.Fail(n.Log, event.StoragePutOff, err, "what", "segment")
+		event.LogError(n.Log, event.StoragePutOff, err, "what", "segment")
 	}}.Open(filepath.Join(n.DataDir, "journal"))
 }
 
--- a/internal/control/node/state.go
+++ b/internal/control/node/state.go
@@ -78,7 +78,7 @@
 		}
 		return float64(replies)
 	})
-	return (&platform.Probes{Ready: n.readiness, Meters: []*metrics.Set{meter.Common, set}}).Route()
+	return (&platform.Probes{Ready: n.readiness, MetricSets: []*metrics.Set{meter.ProcessMetrics, set}}).Handler()
 }
 
 // matchIndexes returns, for each other replica, the log index up to which the replica
--- a/internal/demo/scenario/work.go
+++ b/internal/demo/scenario/work.go
@@ -181,7 +181,7 @@
 		for ctx.Err() == nil {
 			_, err := c.List(ctx, &v1.ListRequest{})
 			var refusal *code.Error
-			if errors.As(err, &refusal) && refusal.Code == code.BadKey {
+			if errors.As(err, &refusal) && refusal.Code == code.InvalidKey {
 				break
 			}
 			pause(ctx, 10*time.Millisecond)
--- a/internal/edge/backend/backend.go
+++ b/internal/edge/backend/backend.go
@@ -35,7 +35,7 @@
 
 // Handler serves the Backend service. Set the fields, then mount it with Route.
 type Handler struct {
-	Leader control.Asker
+	Leader control.Sender
 	// Enrolment holds the digests accepted; two while a secret is replaced. None admits nobody.
 	Enrolment []Digest
 	Log       logr.Logger
@@ -81,15 +81,15 @@
 }
 
 func (h *Handler) exchange(ctx context.Context, header http.Header, peer connect.Peer, fault error, item *inner.Item, bound time.Duration) (*inner.Reply, *v1.Status) {
-	if !h.enrolled(control.Bearer(header)) {
+	if !h.enrolled(control.BearerToken(header)) {
 		event.Log(h.Log, event.EnrolmentRefused, "peer", peer.Addr)
-		return nil, control.Refusal(code.BadEnrolment, "")
+		return nil, control.NewStatus(code.InvalidEnrolment, "")
 	}
 	if fault != nil {
-		return nil, control.Status(fault)
+		return nil, control.StatusFromError(fault)
 	}
 	reply, status := control.Exchange(ctx, h.Leader, item, bound)
-	return reply, control.Undecided(status)
+	return reply, control.StatusForNonSubmit(status)
 }
 
 // enrolled compares the secret's digest with all accepted ones in constant time.
@@ -105,7 +105,7 @@
 // turnAway tells whether another entry may do better.
 func turnAway(s *v1.Status) bool {
 	switch code.Code(s.GetCode()) {
-	case code.Leaving, code.NoLeader, code.Unanswered:
+	case code.ShuttingDown, code.NoLeader, code.LeaderTimeout:
 		return true
 	}
 	return false
--- a/internal/edge/caller/caller.go
+++ b/internal/edge/caller/caller.go
@@ -27,7 +27,7 @@
 
 // Handler serves the Caller service. Set the fields, then mount it with Route.
 type Handler struct {
-	Leader control.Asker
+	Leader control.Sender
 }
 
 // Route returns the path and the handler for an HTTP mux.
@@ -52,7 +52,7 @@
 			err = code.New(code.Malformed, "id %q stands twice in one request", spec.GetId())
 		}
 		if err != nil {
-			out[i].Status = control.Status(err)
+			out[i].Status = control.StatusFromError(err)
 			continue
 		}
 		seen[spec.GetId()] = true
@@ -69,9 +69,9 @@
 
 // submit returns one answer for each job of the request.
 func (h *Handler) submit(ctx context.Context, header http.Header, req *v1.SubmitRequest) []*v1.Accepted {
-	cred, err := control.Presented(header)
+	cred, err := control.CredentialFromHeader(header)
 	if err != nil {
-		return alike(req, control.Status(err), v1.Outcome_OUTCOME_UNSPECIFIED)
+		return alike(req, control.StatusFromError(err), v1.Outcome_OUTCOME_UNSPECIFIED)
 	}
 	reply, status := control.Exchange(ctx, h.Leader, &inner.Item{Credential: cred, Ask: &inner.Item_Submit{Submit: req}}, MaxAsk)
 	if status != nil {
@@ -79,7 +79,7 @@
 	}
 	answers := reply.GetSubmit().GetJobs()
 	if len(answers) != len(req.GetJobs()) {
-		return alike(req, control.Refusal(code.Unanswered, "the answer does not fit the request"), v1.Outcome_OUTCOME_UNSPECIFIED)
+		return alike(req, control.NewStatus(code.LeaderTimeout, "the answer does not fit the request"), v1.Outcome_OUTCOME_UNSPECIFIED)
 	}
 	return answers
 }
@@ -89,12 +89,12 @@
 // is the first it says unknown and never not run.
 func refused(req *v1.SubmitRequest, s *v1.Status) []*v1.Accepted {
 	switch c := code.Code(s.GetCode()); {
-	case c != code.Unreachable && c != code.Overloaded:
+	case c != code.ControlUnreachable && c != code.Overloaded:
 		return alike(req, s, v1.Outcome_OUTCOME_UNSPECIFIED)
 	case req.GetFirst():
 		return alike(req, s, v1.Outcome_OUTCOME_NOT_RUN)
 	}
-	return alike(req, &v1.Status{Code: uint32(code.Unanswered), Text: s.GetText(), Retry: s.GetRetry()}, v1.Outcome_OUTCOME_UNSPECIFIED)
+	return alike(req, &v1.Status{Code: uint32(code.LeaderTimeout), Text: s.GetText(), Retry: s.GetRetry()}, v1.Outcome_OUTCOME_UNSPECIFIED)
 }
 
 func alike(req *v1.SubmitRequest, s *v1.Status, o v1.Outcome) []*v1.Accepted {
@@ -153,13 +153,13 @@
 // exchange forwards an item under the caller's key unless its check failed.
 func (h *Handler) exchange(ctx context.Context, header http.Header, fault error, item *inner.Item, bound time.Duration) (*inner.Reply, *v1.Status) {
 	if fault != nil {
-		return nil, control.Status(fault)
+		return nil, control.StatusFromError(fault)
 	}
-	cred, err := control.Presented(header)
+	cred, err := control.CredentialFromHeader(header)
 	if err != nil {
-		return nil, control.Status(err)
+		return nil, control.StatusFromError(err)
 	}
 	item.Credential = cred
 	reply, status := control.Exchange(ctx, h.Leader, item, bound)
-	return reply, control.Undecided(status)
+	return reply, control.StatusForNonSubmit(status)
 }
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -89,7 +89,7 @@
 	Limit int
 
 	prepare sync.Once
-	pool    *control.Pool
+	pool    *control.Client
 	meters  *metrics.Set
 	phase   atomic.Int32
 	// unready is what the last probe was told.
@@ -129,9 +129,9 @@
 		}
 		e.meters = metrics.NewSet()
 		e.done = make(chan struct{})
-		e.pool = &control.Pool{
+		e.pool = &control.Client{
 			Cell: e.Cell, Name: e.Name, Replicas: e.Replicas, TLS: e.Inside, Dial: e.Dial,
-			Log: e.Log, Meters: e.meters, Limit: e.Limit,
+			Log: e.Log, Metrics: e.meters, MaxPending: e.Limit,
 		}
 	})
 }
@@ -140,7 +140,7 @@
 func (e *Entry) Done() <-chan struct{} { e.init(); return e.done }
 
 // Pool returns the entry's way to the leader.
-func (e *Entry) Pool() *control.Pool { e.init(); return e.pool }
+func (e *Entry) Pool() *control.Client { e.init(); return e.pool }
 
 // service is one listener and what it serves.
 type service struct {
@@ -155,7 +155,7 @@
 		{e.Callers, e.server(mounted(caller.MaxRequest)((&caller.Handler{Leader: e.pool}).Route(count)))},
 		{e.Backends, e.server(mounted(backend.MaxRequest)((&backend.Handler{Leader: e.pool, Enrolment: e.Enrolment, Log: e.Log}).Route(count)))},
 		{e.Operators, e.server(mounted(operator.MaxRequest)((&operator.Handler{Leader: e.pool, Audit: e.Audit, Name: e.Name, State: e.state}).Route(count)))},
-		{e.Platform, e.server((&platform.Probes{Ready: e.ready, Meters: []*metrics.Set{e.meters, meter.Common}}).Route())},
+		{e.Platform, e.server((&platform.Probes{Ready: e.ready, MetricSets: []*metrics.Set{e.meters, meter.ProcessMetrics}}).Handler())},
 	}
 	return slices.DeleteFunc(all, func(s service) bool { return s.listener == nil })
 }
@@ -174,7 +174,7 @@
 	fault := e.fault()
 	if was := e.unready.Swap(fault != nil); was != (fault != nil) {
 		if fault != nil {
-			event.Fail(e.Log, event.Unready, fault)
+			event.LogError(e.Log, event.Unready, fault)
 		} else {
 			event.Log(e.Log, event.Ready)
 		}
@@ -187,7 +187,7 @@
 	if e.phase.Load() != phaseServing {
 		return errLeaving
 	}
-	if !e.pool.Fresh() {
+	if !e.pool.InContact() {
 		return errors.New("no leader is in contact")
 	}
 	return nil
@@ -237,7 +237,7 @@
 		return errors.New("the stop was cut short")
 	}
 	e.phase.Store(phaseDraining)
-	e.pool.EndPolls()
+	e.pool.EndLongPolls()
 	event.Log(e.Log, event.StopFinishing, "pending", e.pool.Pending())
 	ctx, cancel := context.WithTimeout(context.Background(), e.Drain)
 	defer cancel()
@@ -249,7 +249,7 @@
 		}
 	}()
 	if err := shutdown(ctx, services); err != nil {
-		event.Fail(e.Log, event.StopForced, err, "pending", e.pool.Pending())
+		event.LogError(e.Log, event.StopForced, err, "pending", e.pool.Pending())
 		return errors.Wrap(err, "the stop was cut short")
 	}
 	return nil
@@ -273,7 +273,7 @@
 		Handler: aged(h), Protocols: both, ConnContext: e.born,
 		ReadHeaderTimeout: headerTimeout, ReadTimeout: readTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeader,
-		ErrorLog:       event.HTTPLog(e.Log),
+		ErrorLog:       event.HTTPErrorLog(e.Log),
 		HTTP2:          &http.HTTP2Config{MaxConcurrentStreams: maxStreams, SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
 	}
 }
--- a/internal/edge/entry/process_test.go
+++ b/internal/edge/entry/process_test.go
@@ -167,7 +167,7 @@
 	}()
 	time.Sleep(100 * time.Millisecond)
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
-	if a := <-done; a.err != nil || a.reply.Msg.GetStatus().GetCode() != uint32(code.Leaving) {
+	if a := <-done; a.err != nil || a.reply.Msg.GetStatus().GetCode() != uint32(code.ShuttingDown) {
 		t.Errorf("%v, %v", a.reply, a.err)
 	}
 	if err := p.cmd.Wait(); err != nil {
--- a/internal/edge/entry/service_test.go
+++ b/internal/edge/entry/service_test.go
@@ -29,7 +29,7 @@
 	item  *inner.Item
 }
 
-func (a *asker) Ask(_ context.Context, item *inner.Item) (*inner.Reply, error) {
+func (a *asker) Send(_ context.Context, item *inner.Item) (*inner.Reply, error) {
 	a.item = item
 	return a.reply, a.err
 }
@@ -54,11 +54,11 @@
 		code    code.Code
 		outcome v1.Outcome
 	}{
-		{code.Unreachable, true, code.Unreachable, v1.Outcome_OUTCOME_NOT_RUN},
+		{code.ControlUnreachable, true, code.ControlUnreachable, v1.Outcome_OUTCOME_NOT_RUN},
 		{code.Overloaded, true, code.Overloaded, v1.Outcome_OUTCOME_NOT_RUN},
-		{code.Unanswered, true, code.Unanswered, v1.Outcome_OUTCOME_UNSPECIFIED},
-		{code.Unreachable, false, code.Unanswered, v1.Outcome_OUTCOME_UNSPECIFIED},
-		{code.Overloaded, false, code.Unanswered, v1.Outcome_OUTCOME_UNSPECIFIED},
+		{code.LeaderTimeout, true, code.LeaderTimeout, v1.Outcome_OUTCOME_UNSPECIFIED},
+		{code.ControlUnreachable, false, code.LeaderTimeout, v1.Outcome_OUTCOME_UNSPECIFIED},
+		{code.Overloaded, false, code.LeaderTimeout, v1.Outcome_OUTCOME_UNSPECIFIED},
 	} {
 		h := &caller.Handler{Leader: &asker{err: code.New(c.err, "")}}
 		reply, err := h.Submit(t.Context(), with("id.secret", &v1.SubmitRequest{Jobs: []*v1.Spec{spec("job", false, nil)}, First: c.first}))
@@ -75,7 +75,7 @@
 // A caller polls for a job that runs while its entry reaches no leader. A code
 // of the class "not run" would read as the job's outcome.
 func TestPollsAreNeverRefusedAsNotRun(t *testing.T) {
-	for _, c := range []code.Code{code.Unreachable, code.Overloaded} {
+	for _, c := range []code.Code{code.ControlUnreachable, code.Overloaded} {
 		h := &caller.Handler{Leader: &asker{err: code.New(c, "")}}
 		reply, err := h.Wait(t.Context(), with("id.secret", &v1.WaitRequest{Id: "job"}))
 		if err != nil || reply.Msg.GetStatus().GetCode()/100 == 2 || reply.Msg.GetStatus().GetRetry() == 0 {
@@ -120,7 +120,7 @@
 	h := &caller.Handler{Leader: a}
 	for _, token := range []string{"", "id", ".secret", "id.", strings.Repeat("x", 600) + ".secret"} {
 		reply, err := h.List(t.Context(), with(token, &v1.ListRequest{}))
-		if err != nil || reply.Msg.GetStatus().GetCode() != uint32(code.BadKey) {
+		if err != nil || reply.Msg.GetStatus().GetCode() != uint32(code.InvalidKey) {
 			t.Errorf("key %.10q: %v, %v", token, reply, err)
 		}
 	}
@@ -142,8 +142,8 @@
 	}{
 		{"old", good, code.OK},
 		{"new", good, code.OK},
-		{"", good, code.BadEnrolment},
-		{"wrong", good, code.BadEnrolment},
+		{"", good, code.InvalidEnrolment},
+		{"wrong", good, code.InvalidEnrolment},
 		{"new", bare, code.Malformed},
 	} {
 		reply, err := h.Announce(t.Context(), with(c.secret, c.msg))
@@ -155,7 +155,7 @@
 
 // A backend server whose entry gets no answer must not take the refusal for a lease.
 func TestSyncWithoutAnAnswerGivesNoLease(t *testing.T) {
-	h := &backend.Handler{Leader: &asker{err: code.New(code.Unanswered, "")}, Enrolment: []backend.Digest{key.Digest("s")}}
+	h := &backend.Handler{Leader: &asker{err: code.New(code.LeaderTimeout, "")}, Enrolment: []backend.Digest{key.Digest("s")}}
 	reply, err := h.Sync(t.Context(), with("s", &v1.SyncRequest{Server: "s1", Incarnation: 1, Number: 9}))
 	if err != nil || reply.Msg.GetLease() != 0 || !reply.Msg.GetElsewhere() || reply.Msg.GetNumber() != 9 {
 		t.Errorf("%v, %v", reply, err)
@@ -179,7 +179,7 @@
 	}
 	done := operator.Record{Key: "duty", Call: "withdraw", Subject: "k", Change: "c", Revision: 4}
 	limited := done
-	limited.Code, limited.Revision = code.Unanswered, 0
+	limited.Code, limited.Revision = code.LeaderTimeout, 0
 	if diff := cmp.Diff(audit{done, done, limited}, kept); diff != "" {
 		t.Error(diff)
 	}
@@ -193,9 +193,9 @@
 	if !strings.Contains(reply.Msg.GetText(), `"pending": 3`) {
 		t.Error(reply.Msg)
 	}
-	a.reply = &inner.Reply{Status: &v1.Status{Code: uint32(code.BadKey)}}
+	a.reply = &inner.Reply{Status: &v1.Status{Code: uint32(code.InvalidKey)}}
 	reply, _ = h.Dump(t.Context(), with("duty.secret", &v1.DumpRequest{}))
-	if reply.Msg.GetText() != "" || reply.Msg.GetStatus().GetCode() != uint32(code.BadKey) {
+	if reply.Msg.GetText() != "" || reply.Msg.GetStatus().GetCode() != uint32(code.InvalidKey) {
 		t.Error(reply.Msg)
 	}
 }
@@ -212,7 +212,7 @@
 		c.change(0, &v1.ChangeRequest{Id: "one", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{}}})
 		time.Sleep(600 * time.Millisecond)
 		for _, name := range entryNames {
-			if got := w.process(name).entry.Pool().Revision(); got != 1 {
+			if got := w.process(name).entry.Pool().TableRevision(); got != 1 {
 				t.Errorf("%s serves revision %d", name, got)
 			}
 		}
@@ -248,4 +248,4 @@
 	})
 }
 
-var _ control.Asker = (*asker)(nil)
+var _ control.Sender = (*asker)(nil)
--- a/internal/edge/entry/world_test.go
+++ b/internal/edge/entry/world_test.go
@@ -285,7 +285,7 @@
 // transient tells whether a status only says to come back.
 func transient(s *v1.Status) bool {
 	switch code.Code(s.GetCode()) {
-	case code.Unanswered, code.NoLeader, code.Leaving, code.Unreachable, code.Overloaded, code.Internal:
+	case code.LeaderTimeout, code.NoLeader, code.ShuttingDown, code.ControlUnreachable, code.Overloaded, code.Internal:
 		return true
 	}
 	return false
--- a/internal/edge/operator/operator.go
+++ b/internal/edge/operator/operator.go
@@ -29,7 +29,7 @@
 
 // Leader is what the handler needs of the way to the leader.
 type Leader interface {
-	control.Asker
+	control.Sender
 	// Dump asks a process of the control group for its state.
 	Dump(ctx context.Context, process string) (*v1.DumpReply, error)
 }
@@ -121,7 +121,7 @@
 	if process != "" && process != h.Name {
 		reply, err := h.Leader.Dump(ctx, process)
 		if err != nil {
-			return &v1.DumpReply{Status: control.Status(err)}
+			return &v1.DumpReply{Status: control.StatusFromError(err)}
 		}
 		return reply
 	}
@@ -129,30 +129,30 @@
 	if h.State != nil {
 		state = h.State()
 	}
-	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Text(state, MaxDump)}
+	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Render(state, MaxDump)}
 }
 
 func (h *Handler) exchange(ctx context.Context, header http.Header, fault error, item *inner.Item) (*inner.Reply, *v1.Status) {
-	cred, err := control.Presented(header)
+	cred, err := control.CredentialFromHeader(header)
 	if err != nil {
-		return nil, control.Status(err)
+		return nil, control.StatusFromError(err)
 	}
 	if !h.Limits.Allow(cred.GetId()) {
-		return nil, control.Refusal(code.Unanswered, "too many calls with key %q; nothing was done", cred.GetId())
+		return nil, control.NewStatus(code.LeaderTimeout, "too many calls with key %q; nothing was done", cred.GetId())
 	}
 	if fault != nil {
-		return nil, control.Status(fault)
+		return nil, control.StatusFromError(fault)
 	}
 	item.Credential = cred
 	reply, status := control.Exchange(ctx, h.Leader, item, MaxAsk)
-	return reply, control.Undecided(status)
+	return reply, control.StatusForNonSubmit(status)
 }
 
 func (h *Handler) record(ctx context.Context, header http.Header, peer string, r Record) {
 	if h.Audit == nil {
 		return
 	}
-	if cred, err := control.Presented(header); err == nil {
+	if cred, err := control.CredentialFromHeader(header); err == nil {
 		r.Key = cred.GetId()
 	}
 	r.Peer = peer
--- a/internal/ledger/state/attempt.go
+++ b/internal/ledger/state/attempt.go
@@ -16,7 +16,7 @@
 func (s *State) placeTasks(p *record.Place) Result {
 	j, ok := s.jobs[p.GetJob()]
 	if !ok || j.Final() || j.Cancelled || j.GiveUpCode != code.OK {
-		return refused(code.Unknown, "job is unknown, final or given up")
+		return refused(code.NotFound, "job is unknown, final or given up")
 	}
 	if j.Spec.AllOrNothing() && uint32(len(p.GetSpots())) != j.Spec.Count {
 		return refused(code.Internal, "gang is not placed as a whole")
@@ -48,17 +48,17 @@
 		seen[t.ID.Index] = true
 		b, ok := s.Server(spot.GetServer())
 		if !ok || b.Incarnation != spot.GetIncarnation() || !b.AcceptsWork() {
-			return refused(code.Stale, spot.GetServer())
+			return refused(code.SessionReplaced, spot.GetServer())
 		}
 		addedByServer[b.ID] = addedByServer[b.ID].Add(j.Spec.Size)
 		if !b.HeldCapacity.Add(addedByServer[b.ID]).Fits(b.Capacity) {
-			return refused(code.NeverFits, b.ID)
+			return refused(code.Unplaceable, b.ID)
 		}
 	}
 	row, ok := s.table.Row(j.Spec.Team)
 	teamTotal := s.TeamHeldCapacity(j.Spec.Team).Add(j.Spec.Size.Times(int64(len(spots))))
 	if !ok || !teamTotal.Within(row.Limit) {
-		return refused(code.NeverFits, "limit of the team exceeded")
+		return refused(code.Unplaceable, "limit of the team exceeded")
 	}
 	return Result{}
 }
@@ -76,7 +76,7 @@
 func (s *State) recordEnd(e *record.End) Result {
 	t, ok := s.tasks[task.ID{Job: e.GetJob(), Index: e.GetIndex()}]
 	if !ok || t.Attempt != e.GetAttempt() || !t.Phase.HoldsCapacity() {
-		return refused(code.Unknown, "attempt is not the latest or holds no capacity")
+		return refused(code.NotFound, "attempt is not the latest or holds no capacity")
 	}
 	j := s.jobs[t.ID.Job]
 	next := *t
@@ -222,7 +222,7 @@
 func (s *State) haltTasks(h *record.Halt) Result {
 	j, ok := s.jobs[h.GetJob()]
 	if !ok {
-		return refused(code.Unknown, "job is unknown")
+		return refused(code.NotFound, "job is unknown")
 	}
 	if j.Spec.AtMostOnce && !j.Cancelled && !h.GetIdle() {
 		return refused(code.InUse, "job may not be repeated")
--- a/internal/ledger/state/state_test.go
+++ b/internal/ledger/state/state_test.go
@@ -234,7 +234,7 @@
 			},
 			"drop": func(*rapid.T) {
 				if ts := tasks(); len(ts) > 0 {
-					c := []code.Code{code.DeadlinePassed, code.Parked}[drawIndex("why", 2)]
+					c := []code.Code{code.DeadlinePassed, code.GivenUp}[drawIndex("why", 2)]
 					pair.apply(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: ts[drawIndex("task", len(ts))].ID.Job, Code: uint32(c)}}})
 				}
 			},
@@ -306,7 +306,7 @@
 	pair.announce("s0", 1, 10)
 	j := pair.accept("t0", "plan", v1.Kind_KIND_BATCH, 1, 10, false).Job
 	pair.place(j.Number, "s0", 0)
-	if r := pair.announce("s0", 2, 10); r.Code != code.Busy {
+	if r := pair.announce("s0", 2, 10); r.Code != code.MembershipChangePending {
 		t.Errorf("announce while the old session holds a task: got %v, want Busy", r)
 	}
 	pair.fence("s0")
--- a/internal/load/report/report.go
+++ b/internal/load/report/report.go
@@ -241,7 +241,7 @@
 }
 
 func link(c code.Code) bool {
-	return c == code.Unanswered || c == code.NoLeader || c == code.Leaving
+	return c == code.LeaderTimeout || c == code.NoLeader || c == code.ShuttingDown
 }
 
 // compare holds what the caller was told against what really ran.
--- a/internal/load/rig/process_test.go
+++ b/internal/load/rig/process_test.go
@@ -249,7 +249,7 @@
 					return history.Changed{Code: code.OK, Revision: revision}, true
 				}
 				c := link.AsCodeError(err).Code
-				return history.Changed{Code: c, Revision: revision}, c == code.Conflict
+				return history.Changed{Code: c, Revision: revision}, c == code.RevisionConflict
 			})
 		}
 	})
--- a/internal/policy/admit/admit.go
+++ b/internal/policy/admit/admit.go
@@ -73,20 +73,20 @@
 		minSize = spec.TotalSize()
 	}
 	if !minSize.Within(v.Row.Limit) {
-		return code.New(code.NeverFits, "the job exceeds the team limit of %v", v.Row.Limit)
+		return code.New(code.Unplaceable, "the job exceeds the team limit of %v", v.Row.Limit)
 	}
 	if len(v.ServerSizes) == 0 {
 		return nil
 	}
 	if spec.AllOrNothing() && !minSize.Fits(v.TotalCapacity) {
-		return code.New(code.NeverFits, "the gang exceeds the total cell capacity of %v", v.TotalCapacity)
+		return code.New(code.Unplaceable, "the gang exceeds the total cell capacity of %v", v.TotalCapacity)
 	}
 	for _, s := range v.ServerSizes {
 		if spec.Size.Fits(s) {
 			return nil
 		}
 	}
-	return code.New(code.NeverFits, "no server has the capacity for a task of %v", spec.Size)
+	return code.New(code.Unplaceable, "no server has the capacity for a task of %v", spec.Size)
 }
 
 // overloaded reports whether the cell's queue is too full for a job of this team. Above
--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -36,9 +36,9 @@
 	}{
 		"admitted":                            {small, view(nil), code.OK, false},
 		"no task":                             {with(func(s *job.Spec) { s.Count = 0 }), view(nil), code.Malformed, false},
-		"task larger than any server":         {with(func(s *job.Spec) { s.Size.CPU = 4001 }), view(nil), code.NeverFits, false},
-		"gang larger than the cell":           {with(func(s *job.Spec) { s.Kind, s.Count = job.Gang, 41 }), view(nil), code.NeverFits, false},
-		"above the team limit":                {small, view(func(v *admit.View) { v.Row.Limit.CPU = 999 }), code.NeverFits, false},
+		"task larger than any server":         {with(func(s *job.Spec) { s.Size.CPU = 4001 }), view(nil), code.Unplaceable, false},
+		"gang larger than the cell":           {with(func(s *job.Spec) { s.Kind, s.Count = job.Gang, 41 }), view(nil), code.Unplaceable, false},
+		"above the team limit":                {small, view(func(v *admit.View) { v.Row.Limit.CPU = 999 }), code.Unplaceable, false},
 		"no server announced yet":             {small, view(func(v *admit.View) { v.ServerSizes = nil }), code.OK, false},
 		"team queue full":                     {small, view(func(v *admit.View) { v.TeamWaiting = 100 }), code.QueueFull, true},
 		"cell queue nearly full by this team": {small, view(func(v *admit.View) { v.CellWaiting, v.TeamWaiting, v.WaitingTeams = 900, 99, 10 }), code.Overloaded, true},
