--- a/internal/client/caller/caller.go
+++ b/internal/client/caller/caller.go
@@ -1,4 +1,4 @@
-// Package caller is the client of teams that submit work.
+// Package caller is the client with which teams submit jobs.
 package caller
 
 import (
@@ -13,21 +13,22 @@
 	"gypsumreel/internal/domain/answer"
 )
 
-// Defaults of the fields that are left zero.
+// Defaults of Client fields.
 const (
-	DefaultPatience = 5 * time.Second
-	DefaultPersist  = 5 * time.Second
+	DefaultMaxPollWait         = 5 * time.Second
+	DefaultRetryUnreachableFor = 5 * time.Second
 )
 
-// Client submits jobs and collects their answers. Every call goes on, from entry
-// to entry, until there is an answer or its context ends.
+// Client submits jobs and retrieves their answers. Every call is retried, at one entry
+// after the other, until it is answered or its context ends.
 type Client struct {
 	Link *link.Link
-	// Patience is the length of a long poll.
-	Patience time.Duration
-	// Persist is how long a job is submitted again that no entry could hand to
-	// the leader: longer than an election, so that callers see none.
-	Persist time.Duration
+	// MaxPollWait is the maximum duration of a long poll; 0 means DefaultMaxPollWait.
+	MaxPollWait time.Duration
+	// RetryUnreachableFor is how long Submit retries a job that no entry could pass to
+	// the leader; 0 means DefaultRetryUnreachableFor. It should exceed the duration of
+	// an election, so that an election is not visible to callers.
+	RetryUnreachableFor time.Duration
 }
 
 // Result is the outcome of one job.
@@ -36,227 +37,228 @@
 	Outcome v1.Outcome
 	Code    code.Code
 	Text    string
-	// Data is the whole answer; only when the outcome is done.
+	// Data is the complete answer. It is set only if the outcome is done.
 	Data []byte
 }
 
-// Final tells whether an outcome never changes.
-func Final(o v1.Outcome) bool {
+// IsFinal reports whether an outcome can no longer change.
+func IsFinal(o v1.Outcome) bool {
 	return o == v1.Outcome_OUTCOME_DONE || o == v1.Outcome_OUTCOME_NOT_RUN || o == v1.Outcome_OUTCOME_UNKNOWN
 }
 
-func submit(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitReply], error) {
+func submitMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitReply], error) {
 	return v1.NewCallerClient(c, base, opts...).Submit
 }
 
-func wait(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
+func waitMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
 	return v1.NewCallerClient(c, base, opts...).Wait
 }
 
-func cancel(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelReply], error) {
+func cancelMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelReply], error) {
 	return v1.NewCallerClient(c, base, opts...).Cancel
 }
 
-func list(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListReply], error) {
+func listMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListReply], error) {
 	return v1.NewCallerClient(c, base, opts...).List
 }
 
-func acknowledge(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.AcknowledgeRequest]) (*connect.Response[v1.AcknowledgeReply], error) {
+func acknowledgeMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.AcknowledgeRequest]) (*connect.Response[v1.AcknowledgeReply], error) {
 	return v1.NewCallerClient(c, base, opts...).Acknowledge
 }
 
-// Submit hands jobs over and returns one answer for each, in their order. Jobs
-// without a final answer are asked for again with the same ids. Fresh says that
-// the ids were never sent before.
+// Submit submits jobs and returns one reply for each, in the same order. It submits
+// jobs without a final reply again with the same ids. firstAttempt is true if the ids
+// were never sent before.
 //
-// Only a try before which nothing can have reached the leader may claim to be
-// fresh: after one without an answer the cell may hold the job already, and an
-// entry that can't reach the leader would answer "not run" for a job that runs.
-func (c *Client) Submit(ctx context.Context, jobs []*v1.Spec, fresh bool) ([]*v1.Accepted, error) {
-	out := make([]*v1.Accepted, len(jobs))
-	open := make([]int, len(jobs))
+// A retry may set firstAttempt only if no earlier attempt can have reached the leader.
+// After an attempt without an answer the cell may already have the job. An entry that
+// cannot reach the leader would then answer "not run" for a job that runs.
+func (c *Client) Submit(ctx context.Context, jobs []*v1.Spec, firstAttempt bool) ([]*v1.Accepted, error) {
+	replies := make([]*v1.Accepted, len(jobs))
+	pending := make([]int, len(jobs))
 	for i := range jobs {
-		open[i] = i
+		pending[i] = i
 	}
-	pause, persist := link.Pause(), time.Now().Add(c.persist())
+	retryBackoff, unreachableDeadline := link.NewBackoff(), time.Now().Add(c.retryUnreachableFor())
 	for {
-		req := request(jobs, open, fresh)
-		retry, err := c.attempt(ctx, req, open, out)
-		if err != nil && !link.Again(link.Refusal(err).Code) {
+		req := newSubmitRequest(jobs, pending, firstAttempt)
+		retryAfter, err := c.attempt(ctx, req, pending, replies)
+		if err != nil && !link.IsRetryable(link.AsCodeError(err).Code) {
 			return nil, err
 		}
-		fresh = fresh && err == nil && untouched(out)
-		open = unanswered(out, time.Now().Before(persist))
-		if len(open) == 0 {
-			return out, nil
+		firstAttempt = firstAttempt && err == nil && allNeverSent(replies)
+		pending = jobsToRetry(replies, time.Now().Before(unreachableDeadline))
+		if len(pending) == 0 {
+			return replies, nil
 		}
-		if !link.Sleep(ctx, max(retry, pause.NextBackOff())) {
-			return finish(jobs, out, err), nil
+		if !link.Sleep(ctx, max(retryAfter, retryBackoff.NextBackOff())) {
+			return markUnanswered(jobs, replies, err), nil
 		}
 	}
 }
 
-func (c *Client) persist() time.Duration {
-	if c.Persist > 0 {
-		return c.Persist
+func (c *Client) retryUnreachableFor() time.Duration {
+	if c.RetryUnreachableFor > 0 {
+		return c.RetryUnreachableFor
 	}
-	return DefaultPersist
+	return DefaultRetryUnreachableFor
 }
 
-// untouched tells whether every answer says that the request never left the
-// entry. The next try may then claim to be the first as well, so that a refusal
-// which comes at last still says for sure that nothing ran.
-func untouched(out []*v1.Accepted) bool {
-	for _, a := range out {
-		if !unreachable(a) {
+// allNeverSent reports whether every reply states that the job never left the entry.
+// The next attempt may then count as the first one, so that a final refusal still
+// proves that nothing ran.
+func allNeverSent(replies []*v1.Accepted) bool {
+	for _, reply := range replies {
+		if !neverSent(reply) {
 			return false
 		}
 	}
 	return true
 }
 
-func unreachable(a *v1.Accepted) bool {
-	return a.GetStatus().GetCode() == uint32(code.ControlUnreachable) && a.GetOutcome() == v1.Outcome_OUTCOME_NOT_RUN
+func neverSent(reply *v1.Accepted) bool {
+	return reply.GetStatus().GetCode() == uint32(code.ControlUnreachable) && reply.GetOutcome() == v1.Outcome_OUTCOME_NOT_RUN
 }
 
-func request(jobs []*v1.Spec, open []int, first bool) *v1.SubmitRequest {
-	req := &v1.SubmitRequest{First: first}
-	for _, i := range open {
+func newSubmitRequest(jobs []*v1.Spec, pending []int, firstAttempt bool) *v1.SubmitRequest {
+	req := &v1.SubmitRequest{First: firstAttempt}
+	for _, i := range pending {
 		req.Jobs = append(req.Jobs, jobs[i])
 	}
 	return req
 }
 
-// attempt fills in what one call answered and returns how long the cell asks to wait.
-func (c *Client) attempt(ctx context.Context, req *v1.SubmitRequest, open []int, out []*v1.Accepted) (time.Duration, error) {
-	res, err := link.Once(ctx, c.Link, submit, req)
+// attempt makes one call, stores the replies of the pending jobs and returns the delay
+// that the cell requests before a retry.
+func (c *Client) attempt(ctx context.Context, req *v1.SubmitRequest, pending []int, replies []*v1.Accepted) (time.Duration, error) {
+	submitReply, err := link.TryOnce(ctx, c.Link, submitMethod, req)
 	if err != nil {
 		return 0, err
 	}
-	if len(res.GetJobs()) != len(open) {
-		return 0, code.New(code.LeaderTimeout, "%d answers for %d jobs", len(res.GetJobs()), len(open))
+	if len(submitReply.GetJobs()) != len(pending) {
+		return 0, code.New(code.LeaderTimeout, "received %d replies for %d jobs", len(submitReply.GetJobs()), len(pending))
 	}
-	var retry time.Duration
-	for i, a := range res.GetJobs() {
-		out[open[i]] = a
-		retry = max(retry, time.Duration(a.GetStatus().GetRetry())*time.Millisecond)
+	var retryAfter time.Duration
+	for i, reply := range submitReply.GetJobs() {
+		replies[pending[i]] = reply
+		retryAfter = max(retryAfter, time.Duration(reply.GetStatus().GetRetry())*time.Millisecond)
 	}
-	if len(unanswered(out, true)) > 0 {
-		c.Link.Next()
+	if len(jobsToRetry(replies, true)) > 0 {
+		c.Link.NextEntry()
 	}
-	return retry, nil
+	return retryAfter, nil
 }
 
-// unanswered returns the places of the jobs to submit again.
-func unanswered(out []*v1.Accepted, persist bool) []int {
-	var open []int
-	for i, a := range out {
-		if a == nil || link.Again(code.Code(a.GetStatus().GetCode())) || persist && unreachable(a) {
-			open = append(open, i)
+// jobsToRetry returns the indexes of the jobs to submit again.
+func jobsToRetry(replies []*v1.Accepted, retryNeverSent bool) []int {
+	var pending []int
+	for i, reply := range replies {
+		if reply == nil || link.IsRetryable(code.Code(reply.GetStatus().GetCode())) || retryNeverSent && neverSent(reply) {
+			pending = append(pending, i)
 		}
 	}
-	return open
+	return pending
 }
 
-// finish marks as unanswered what is still open when the time is over.
-func finish(jobs []*v1.Spec, out []*v1.Accepted, err error) []*v1.Accepted {
-	text := "no answer in the time given"
+// markUnanswered sets the code Unanswered for jobs that have no reply when ctx ends.
+func markUnanswered(jobs []*v1.Spec, replies []*v1.Accepted, err error) []*v1.Accepted {
+	detail := "no answer before the deadline"
 	if err != nil {
-		text = err.Error()
+		detail = err.Error()
 	}
-	for i, a := range out {
-		if a == nil {
-			out[i] = &v1.Accepted{Id: jobs[i].GetId(), Status: &v1.Status{Code: uint32(code.LeaderTimeout), Text: text}}
+	for i, reply := range replies {
+		if reply == nil {
+			replies[i] = &v1.Accepted{Id: jobs[i].GetId(), Status: &v1.Status{Code: uint32(code.LeaderTimeout), Text: detail}}
 		}
 	}
-	return out
+	return replies
 }
 
-// Wait returns the outcome of a job with its whole answer. When ctx ends first
-// the result is not final and tells where the job stands.
+// Wait returns the outcome of a job with its complete answer. If ctx ends before the
+// job does, the result holds the last known outcome, which is not final.
 func (c *Client) Wait(ctx context.Context, id string) (Result, error) {
-	a := answer.Parts{Most: answer.MaxJob}
-	last := Result{ID: id}
+	assembler := answer.Assembler{MaxBytes: answer.MaxJobAnswer}
+	result := Result{ID: id}
 	for {
-		number, more := a.Next()
-		if !more {
-			data, _, err := a.Whole()
+		chunkNumber, missing := assembler.NextMissing()
+		if !missing {
+			data, _, err := assembler.Assemble()
 			if err != nil {
-				return last, code.New(code.Internal, "%s: %v", id, err)
+				return result, code.New(code.Internal, "%s: %v", id, err)
 			}
-			last.Data = data
-			return last, nil
+			result.Data = data
+			return result, nil
 		}
-		r, err := c.poll(ctx, id, number)
+		reply, err := c.poll(ctx, id, chunkNumber)
 		switch {
-		case err != nil && ctx.Err() != nil && last.Outcome == v1.Outcome_OUTCOME_DONE:
-			// The time ran out between two chunks: a result without an error
-			// would pass for a whole answer that is empty.
-			return last, code.New(code.LeaderTimeout, "the answer of %s did not come whole in time", id)
+		case err != nil && ctx.Err() != nil && result.Outcome == v1.Outcome_OUTCOME_DONE:
+			// ctx ended between two chunks. Without an error the result would
+			// look like a complete but empty answer.
+			return result, code.New(code.LeaderTimeout, "the answer of %s was not received completely in time", id)
 		case err != nil && ctx.Err() != nil:
-			return last, nil
+			return result, nil
 		case err != nil:
-			return last, err
+			return result, err
 		}
-		last = Result{ID: id, Outcome: r.GetOutcome(), Code: code.Code(r.GetStatus().GetCode()), Text: link.Status(r.GetStatus()).Detail}
+		result = Result{ID: id, Outcome: reply.GetOutcome(), Code: code.Code(reply.GetStatus().GetCode()), Text: link.StatusError(reply.GetStatus()).Detail}
 		switch {
-		case r.GetOutcome() == v1.Outcome_OUTCOME_DONE:
-			if err := a.Add(r.GetChunk()); err != nil {
-				return last, code.New(code.Internal, "%s: %v", id, err)
+		case reply.GetOutcome() == v1.Outcome_OUTCOME_DONE:
+			if err := assembler.Add(reply.GetChunk()); err != nil {
+				return result, code.New(code.Internal, "%s: %v", id, err)
 			}
-		case Final(r.GetOutcome()):
-			return last, nil
-		case last.Code != code.OK:
-			return last, link.Status(r.GetStatus())
+		case IsFinal(reply.GetOutcome()):
+			return result, nil
+		case result.Code != code.OK:
+			return result, link.StatusError(reply.GetStatus())
 		case ctx.Err() != nil:
-			return last, nil
+			return result, nil
 		}
 	}
 }
 
-func (c *Client) poll(ctx context.Context, id string, number uint32) (*v1.WaitReply, error) {
-	patience := c.Patience
-	if patience <= 0 {
-		patience = DefaultPatience
+func (c *Client) poll(ctx context.Context, id string, chunkNumber uint32) (*v1.WaitReply, error) {
+	pollWait := c.MaxPollWait
+	if pollWait <= 0 {
+		pollWait = DefaultMaxPollWait
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		patience = min(patience, max(time.Until(deadline)/2, time.Millisecond))
+		pollWait = min(pollWait, max(time.Until(deadline)/2, time.Millisecond))
 	}
-	req := &v1.WaitRequest{Id: id, Chunk: number, Patience: uint64(patience.Milliseconds())}
-	return link.Call(ctx, c.Link, wait, req, (*v1.WaitReply).GetStatus)
+	req := &v1.WaitRequest{Id: id, Chunk: chunkNumber, Patience: uint64(pollWait.Milliseconds())}
+	return link.Call(ctx, c.Link, waitMethod, req, (*v1.WaitReply).GetStatus)
 }
 
-// Cancel cancels the jobs named, or those that carry all of the labels, and
-// returns how many it reached.
+// Cancel cancels the jobs with the given ids, or those that have all of the labels. It
+// returns the number of jobs that the cancellation reached.
 func (c *Client) Cancel(ctx context.Context, ids []string, labels map[string]string) (uint32, error) {
-	r, err := link.Call(ctx, c.Link, cancel, &v1.CancelRequest{Ids: ids, Labels: labels}, (*v1.CancelReply).GetStatus)
+	reply, err := link.Call(ctx, c.Link, cancelMethod, &v1.CancelRequest{Ids: ids, Labels: labels}, (*v1.CancelReply).GetStatus)
 	if err != nil {
 		return 0, err
 	}
-	return r.GetCount(), refused(r.GetStatus())
+	return reply.GetCount(), statusError(reply.GetStatus())
 }
 
-// List returns a page of the team's jobs in the order of their ids.
+// List returns a page of the team's jobs, sorted by id.
 func (c *Client) List(ctx context.Context, req *v1.ListRequest) ([]*v1.Summary, error) {
-	r, err := link.Call(ctx, c.Link, list, req, (*v1.ListReply).GetStatus)
+	reply, err := link.Call(ctx, c.Link, listMethod, req, (*v1.ListReply).GetStatus)
 	if err != nil {
 		return nil, err
 	}
-	return r.GetJobs(), refused(r.GetStatus())
+	return reply.GetJobs(), statusError(reply.GetStatus())
 }
 
-// Acknowledge lets the cell forget the outcomes of the jobs named.
+// Acknowledge allows the cell to delete the outcomes of the given jobs.
 func (c *Client) Acknowledge(ctx context.Context, ids []string) error {
-	r, err := link.Call(ctx, c.Link, acknowledge, &v1.AcknowledgeRequest{Ids: ids}, (*v1.AcknowledgeReply).GetStatus)
+	reply, err := link.Call(ctx, c.Link, acknowledgeMethod, &v1.AcknowledgeRequest{Ids: ids}, (*v1.AcknowledgeReply).GetStatus)
 	if err != nil {
 		return err
 	}
-	return refused(r.GetStatus())
+	return statusError(reply.GetStatus())
 }
 
-func refused(s *v1.Status) error {
+func statusError(s *v1.Status) error {
 	if code.Code(s.GetCode()) != code.OK {
-		return link.Status(s)
+		return link.StatusError(s)
 	}
 	return nil
 }
--- a/internal/client/link/link.go
+++ b/internal/client/link/link.go
@@ -1,6 +1,6 @@
-// Package link is a client's way to the entries of a cell: it tries one entry
-// after the other until one answers. Every request of the protocol carries an id
-// of its own, so that asking again never does a thing twice.
+// Package link connects a client to the entries of a cell. It retries calls and
+// switches between entries until one answers. Retries are safe because every request
+// of the protocol has a unique id and is idempotent.
 package link
 
 import (
@@ -20,115 +20,120 @@
 	"gypsumreel/internal/base/code"
 )
 
-// Defaults of the fields that are left zero.
+// Defaults of Link fields, and limits of calls and connections.
 const (
-	// DefaultTimeout bounds one call to one entry.
+	// DefaultTimeout is the default of Link.Timeout.
 	DefaultTimeout = 15 * time.Second
-	// firstPause and longestPause bound the wait between two tries.
-	firstPause   = 50 * time.Millisecond
-	longestPause = 2 * time.Second
-	// pingAfter is the silence after which a connection is probed.
-	pingAfter   = 3 * time.Second
-	pingTimeout = 3 * time.Second
-	dialTimeout = 5 * time.Second
-	idleTimeout = 30 * time.Second
-	// idlePerHost keeps connections for as many calls at once.
-	idlePerHost = 256
-	// maxReply bounds a reply in bytes.
-	maxReply = 64 << 20
+	// initialBackoff and maxBackoff limit the wait between two attempts.
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	// pingInterval is the time without received data after which an HTTP/2
+	// connection is probed.
+	pingInterval = 3 * time.Second
+	pingTimeout  = 3 * time.Second
+	dialTimeout  = 5 * time.Second
+	idleTimeout  = 30 * time.Second
+	// maxIdleConnsPerEntry is the maximum number of idle connections to one entry, so
+	// that as many concurrent calls can reuse connections.
+	maxIdleConnsPerEntry = 256
+	// maxReplyBytes is the maximum size of a reply.
+	maxReplyBytes = 64 << 20
 )
 
-// Link reaches the entries. Set the exported fields before the first call.
+// Link sends calls to the entries of a cell. The exported fields must be set before
+// the first call.
 type Link struct {
-	// Addresses are URLs of entries or of their balancer: https://HOST:PORT, or
-	// http://HOST:PORT for plain text.
+	// Addresses are the URLs of the entries or of a load balancer in front of them,
+	// as https://HOST:PORT, or as http://HOST:PORT for plain text.
 	Addresses []string
-	// Key is ID.SECRET, sent with every call.
+	// Key is the API key as ID.SECRET, sent with every call; empty sends none.
 	Key string
-	// TLS is for https addresses; nil for the system's authorities.
+	// TLS is the configuration for https addresses; nil means Go's defaults with
+	// the certificate authorities of the system.
 	TLS *tls.Config
-	// Dial opens connections; nil for TCP.
+	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Timeout bounds one call to one entry.
+	// Timeout limits one call to one entry; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// Shared puts all calls on few connections with http addresses too, by
-	// HTTP/2 without TLS. A balancer in between has to pass it on.
-	Shared bool
+	// Multiplexed makes calls to http addresses share few connections, too, by HTTP/2
+	// without TLS. A load balancer in between must support that.
+	Multiplexed bool
 
-	mu     sync.Mutex
-	turn   int
-	client *http.Client
+	mu         sync.Mutex
+	entryIndex int
+	httpClient *http.Client
 }
 
-// Method is one call of a generated client, bound to an entry.
+// Method returns a method of a generated client that is bound to the entry with the
+// given base URL.
 type Method[Req, Res any] func(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[Req]) (*connect.Response[Res], error)
 
-// Once makes one call to the entry whose turn it is. When the entry doesn't
-// answer, the next call goes to the next entry and over a new connection.
-func Once[Req, Res any](ctx context.Context, l *Link, m Method[Req, Res], msg *Req) (*Res, error) {
-	client, base, turn := l.take()
+// TryOnce makes one call to the current entry. If the entry does not answer, the next
+// call uses the next entry and a new connection.
+func TryOnce[Req, Res any](ctx context.Context, l *Link, method Method[Req, Res], msg *Req) (*Res, error) {
+	client, base, entryIndex := l.currentEntry()
 	ctx, cancel := context.WithTimeout(ctx, l.timeout())
 	defer cancel()
 	req := connect.NewRequest(msg)
 	if l.Key != "" {
 		req.Header().Set("Authorization", "Bearer "+l.Key)
 	}
-	res, err := m(client, base, connect.WithReadMaxBytes(maxReply))(ctx, req)
+	res, err := method(client, base, connect.WithReadMaxBytes(maxReplyBytes))(ctx, req)
 	if err == nil {
 		return res.Msg, nil
 	}
-	refusal := classify(err)
-	if Again(refusal.Code) {
-		l.pass(turn)
+	codeErr := toCodeError(err)
+	if IsRetryable(codeErr.Code) {
+		l.replaceConnections(entryIndex)
 	}
-	return nil, refusal
+	return nil, codeErr
 }
 
-// Call makes a call until an entry answers with something that asking again
-// would not change, or ctx ends. Status picks the reply's status.
-func Call[Req, Res any](ctx context.Context, l *Link, m Method[Req, Res], msg *Req, status func(*Res) *v1.Status) (*Res, error) {
-	pause := Pause()
-	var cause error
+// Call repeats a call until an entry returns a result that is not retryable, or until
+// ctx ends. The function status returns the status of a reply.
+func Call[Req, Res any](ctx context.Context, l *Link, method Method[Req, Res], msg *Req, status func(*Res) *v1.Status) (*Res, error) {
+	retryBackoff := NewBackoff()
+	var lastErr error
 	for {
-		res, err := Once(ctx, l, m, msg)
-		if err != nil && ctx.Err() != nil && cause != nil {
-			// The time ran out in the middle of a try: that says nothing, and
-			// would hide why the tries before it failed.
-			return nil, cause
+		res, err := TryOnce(ctx, l, method, msg)
+		if err != nil && ctx.Err() != nil && lastErr != nil {
+			// ctx ended during this attempt. The resulting error would hide why the
+			// previous attempts failed.
+			return nil, lastErr
 		}
-		var retry time.Duration
+		var retryAfter time.Duration
 		if err == nil {
 			s := status(res)
-			if !Again(code.Code(s.GetCode())) {
+			if !IsRetryable(code.Code(s.GetCode())) {
 				return res, nil
 			}
-			retry = time.Duration(s.GetRetry()) * time.Millisecond
-			err = Status(s)
-			l.Next()
+			retryAfter = time.Duration(s.GetRetry()) * time.Millisecond
+			err = StatusError(s)
+			l.NextEntry()
 		}
-		if refusal := Refusal(err); !Again(refusal.Code) {
+		if codeErr := AsCodeError(err); !IsRetryable(codeErr.Code) {
 			return nil, err
 		}
-		cause = err
-		if !Sleep(ctx, max(retry, pause.NextBackOff())) {
+		lastErr = err
+		if !Sleep(ctx, max(retryAfter, retryBackoff.NextBackOff())) {
 			return nil, err
 		}
 	}
 }
 
-// Next makes the following calls go to the next entry.
-func (l *Link) Next() {
+// NextEntry makes the following calls use the next entry.
+func (l *Link) NextEntry() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.turn++
+	l.entryIndex++
 }
 
 // Close drops the idle connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.client != nil {
-		l.client.CloseIdleConnections()
+	if l.httpClient != nil {
+		l.httpClient.CloseIdleConnections()
 	}
 }
 
@@ -139,34 +144,34 @@
 	return DefaultTimeout
 }
 
-func (l *Link) take() (client *http.Client, base string, turn int) {
+func (l *Link) currentEntry() (client *http.Client, base string, entryIndex int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.client == nil {
-		l.client = l.dialler()
+	if l.httpClient == nil {
+		l.httpClient = l.newHTTPClient()
 	}
-	return l.client, l.Addresses[l.turn%len(l.Addresses)], l.turn
+	return l.httpClient, l.Addresses[l.entryIndex%len(l.Addresses)], l.entryIndex
 }
 
-// pass guards against a connection that went silent: the pool would hand it out
-// again and again while new ones work, so that every call times out. After a
-// call without an answer the pool is left behind whole; calls still using it
-// end as they would have. Only the first of several calls that failed in one
-// turn does so.
-func (l *Link) pass(turn int) {
+// replaceConnections switches to the next entry and to a new connection pool after a
+// call without an answer. The old pool could keep reusing a dead connection, so that
+// every call would time out although new connections work. Calls in progress on the
+// old pool are not interrupted. If several calls to the same entry fail, only the
+// first of them replaces the pool.
+func (l *Link) replaceConnections(entryIndex int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.turn != turn {
+	if l.entryIndex != entryIndex {
 		return
 	}
-	l.turn++
-	l.client.CloseIdleConnections()
-	l.client = nil
+	l.entryIndex++
+	l.httpClient.CloseIdleConnections()
+	l.httpClient = nil
 }
 
-func (l *Link) dialler() *http.Client {
+func (l *Link) newHTTPClient() *http.Client {
 	var protocols *http.Protocols
-	if l.Shared {
+	if l.Multiplexed {
 		protocols = new(http.Protocols)
 		protocols.SetHTTP2(true)
 		protocols.SetUnencryptedHTTP2(true)
@@ -177,20 +182,20 @@
 		TLSClientConfig:     l.TLS,
 		ForceAttemptHTTP2:   true,
 		TLSHandshakeTimeout: dialTimeout,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdleConnsPerEntry,
 		IdleConnTimeout:     idleTimeout,
-		HTTP2:               &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+		HTTP2:               &http.HTTP2Config{SendPingTimeout: pingInterval, PingTimeout: pingTimeout},
 	}}
 }
 
-// Pause returns the growing, jittered waits between tries.
-func Pause() *backoff.ExponentialBackOff {
+// NewBackoff returns the exponential backoff with jitter that is used between attempts.
+func NewBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval = firstPause, longestPause
+	b.InitialInterval, b.MaxInterval = initialBackoff, maxBackoff
 	return b
 }
 
-// Sleep waits and tells whether ctx is still alive.
+// Sleep waits for d. It returns false at once when ctx ends.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -202,9 +207,9 @@
 	}
 }
 
-// Again tells whether the same request may fare better at another try: nothing
-// final was said.
-func Again(c code.Code) bool {
+// IsRetryable reports whether a request that failed with c may succeed when it is
+// repeated, because c is not a final result.
+func IsRetryable(c code.Code) bool {
 	switch c {
 	case code.LeaderTimeout, code.NoLeader, code.ShuttingDown:
 		return true
@@ -212,40 +217,42 @@
 	return false
 }
 
-// Refusal returns err as a result code; what is no code counts as unanswered.
-func Refusal(err error) *code.Error {
-	var known *code.Error
-	if errors.As(err, &known) {
-		return known
+// AsCodeError returns the code.Error that err wraps. Any other error is converted to
+// one with the code Unanswered.
+func AsCodeError(err error) *code.Error {
+	var codeErr *code.Error
+	if errors.As(err, &codeErr) {
+		return codeErr
 	}
 	return code.New(code.LeaderTimeout, "%v", err)
 }
 
-// Status returns a status as a result code. The detail is what its text says
-// beyond the number and the standing text, which an Error prints itself.
-func Status(s *v1.Status) *code.Error {
+// StatusError converts a status to a code.Error. It removes the number and the
+// standard text of the code from the detail, because code.Error prints them itself.
+func StatusError(s *v1.Status) *code.Error {
 	c := code.Code(s.GetCode())
 	detail := strings.TrimPrefix(s.GetText(), code.New(c, "").Error())
 	detail = strings.TrimPrefix(strings.TrimPrefix(detail, ": "), c.String())
 	return &code.Error{Code: c, Detail: strings.TrimPrefix(detail, ": ")}
 }
 
-// classify turns an error of the transport into a result code. What the entry
-// itself refuses before it looks at the request has a code of connect's.
-func classify(err error) *code.Error {
-	var ce *connect.Error
-	if !errors.As(err, &ce) {
+// toCodeError converts an error of the transport to a result code. If the entry refuses a
+// request before processing it, the error has a Connect code and may contain a
+// Status.
+func toCodeError(err error) *code.Error {
+	var connectErr *connect.Error
+	if !errors.As(err, &connectErr) {
 		return code.New(code.LeaderTimeout, "%v", err)
 	}
-	for _, d := range ce.Details() {
+	for _, d := range connectErr.Details() {
 		if v, derr := d.Value(); derr == nil {
 			if s, ok := v.(*v1.Status); ok {
-				return Status(s)
+				return StatusError(s)
 			}
 		}
 	}
-	text := strings.TrimSpace(ce.Message())
-	switch ce.Code() {
+	text := strings.TrimSpace(connectErr.Message())
+	switch connectErr.Code() {
 	case connect.CodeInvalidArgument:
 		return code.New(code.Malformed, "%s", text)
 	case connect.CodeUnauthenticated:
@@ -255,7 +262,7 @@
 	case connect.CodeResourceExhausted:
 		return code.New(code.TooLarge, "%s", text)
 	case connect.CodeUnimplemented, connect.CodeNotFound:
-		return code.New(code.Malformed, "nothing of this protocol is served there: %s", text)
+		return code.New(code.Malformed, "the address does not serve this protocol: %s", text)
 	}
 	return code.New(code.LeaderTimeout, "%s", text)
 }
--- a/internal/client/link/status_test.go
+++ b/internal/client/link/status_test.go
@@ -8,9 +8,9 @@
 	"gypsumreel/internal/client/link"
 )
 
-// A status carries the number and the standing text beside its detail, and who
-// prints it adds both again; a person is to read them once.
-func TestStatusIsSaidOnce(t *testing.T) {
+// A status contains the number and the standard text of its code, and code.Error adds
+// both when it is printed. They must not appear twice.
+func TestStatusErrorOmitsRepeatedCodeText(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                             "",
 		code.RevisionConflict.String(): "",
@@ -18,9 +18,9 @@
 		code.New(code.RevisionConflict, "at 7").Error(): "at 7",
 		"at 7": "at 7",
 	} {
-		got := link.Status(&v1.Status{Code: uint32(code.RevisionConflict), Text: text})
+		got := link.StatusError(&v1.Status{Code: uint32(code.RevisionConflict), Text: text})
 		if got.Code != code.RevisionConflict || got.Detail != want {
-			t.Errorf("%q: got %q, want %q", text, got.Detail, want)
+			t.Errorf("status text %q: detail %q, want %q", text, got.Detail, want)
 		}
 	}
 }
--- a/internal/client/operator/operator.go
+++ b/internal/client/operator/operator.go
@@ -1,4 +1,4 @@
-// Package operator is the client of whoever is on duty.
+// Package operator is the client with which operators change and inspect a cell.
 package operator
 
 import (
@@ -11,119 +11,119 @@
 	"gypsumreel/internal/client/link"
 )
 
-// pageSize is the number of lines asked for at once.
-const pageSize = 1000
+// linesPerPage is the number of lines requested per page.
+const linesPerPage = 1000
 
-// Client makes changes and reads the state.
+// Client changes the settings of a cell and reads its state.
 type Client struct {
 	Link *link.Link
 }
 
-func change(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ChangeRequest]) (*connect.Response[v1.ChangeReply], error) {
+func changeMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ChangeRequest]) (*connect.Response[v1.ChangeReply], error) {
 	return v1.NewOperatorClient(c, base, opts...).Change
 }
 
-func show(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ShowRequest]) (*connect.Response[v1.ShowReply], error) {
+func showMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ShowRequest]) (*connect.Response[v1.ShowReply], error) {
 	return v1.NewOperatorClient(c, base, opts...).Show
 }
 
-func dump(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.DumpRequest]) (*connect.Response[v1.DumpReply], error) {
+func dumpMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.DumpRequest]) (*connect.Response[v1.DumpReply], error) {
 	return v1.NewOperatorClient(c, base, opts...).Dump
 }
 
-// Change makes one change, asked for with the same id until it is answered. It
-// returns the table's revision, also with a refusal.
+// Change makes one change and retries it with the same id until it is answered. It
+// returns the revision of the team table, also if the change is refused.
 func (c *Client) Change(ctx context.Context, req *v1.ChangeRequest) (uint64, error) {
-	r, err := link.Call(ctx, c.Link, change, req, (*v1.ChangeReply).GetStatus)
+	reply, err := link.Call(ctx, c.Link, changeMethod, req, (*v1.ChangeReply).GetStatus)
 	if err != nil {
 		return 0, err
 	}
-	return r.GetRevision(), refused(r.GetStatus())
+	return reply.GetRevision(), statusError(reply.GetStatus())
 }
 
-// Show reads all lines of a part. It guards against a table that changes between
-// two pages: lines of different revisions would make a table that never was, so
-// it begins anew. A page that begins like the first one means that the part is
-// not cut into pages.
+// Show reads all lines of a part, page by page. It starts again from the first page if
+// the revision changes between two pages, because lines of different revisions would
+// form an inconsistent table. If a page begins with the same line as the first page,
+// the part is not divided into pages and is complete.
 func (c *Client) Show(ctx context.Context, part v1.Part) (*v1.ShowReply, error) {
-	whole := &v1.ShowReply{}
-	after, head := "", ""
+	all := &v1.ShowReply{}
+	after, firstName := "", ""
 	for {
-		r, err := link.Call(ctx, c.Link, show, &v1.ShowRequest{Part: part, After: after, Limit: pageSize}, (*v1.ShowReply).GetStatus)
+		page, err := link.Call(ctx, c.Link, showMethod, &v1.ShowRequest{Part: part, After: after, Limit: linesPerPage}, (*v1.ShowReply).GetStatus)
 		if err != nil {
 			return nil, err
 		}
-		if err := refused(r.GetStatus()); err != nil {
+		if err := statusError(page.GetStatus()); err != nil {
 			return nil, err
 		}
-		if after != "" && r.GetRevision() != whole.GetRevision() {
-			whole, after = &v1.ShowReply{}, ""
+		if after != "" && page.GetRevision() != all.GetRevision() {
+			all, after = &v1.ShowReply{}, ""
 			continue
 		}
-		names := lines(r, part)
+		names := lineNames(page, part)
 		if after == "" {
-			join(whole, r)
+			appendPage(all, page)
 		}
-		if len(names) == 0 || after != "" && names[0] == head {
-			return whole, nil
+		if len(names) == 0 || after != "" && names[0] == firstName {
+			return all, nil
 		}
 		if after == "" {
-			head = names[0]
+			firstName = names[0]
 		} else {
-			join(whole, r)
+			appendPage(all, page)
 		}
 		after = names[len(names)-1]
 	}
 }
 
-func join(whole, r *v1.ShowReply) {
-	whole.Revision = r.GetRevision()
-	whole.Rows = append(whole.Rows, r.GetRows()...)
-	whole.Held = append(whole.Held, r.GetHeld()...)
-	whole.Keys = append(whole.Keys, r.GetKeys()...)
-	whole.Servers = append(whole.Servers, r.GetServers()...)
-	whole.Members = append(whole.Members, r.GetMembers()...)
-	whole.Zones = append(whole.Zones, r.GetZones()...)
-	whole.Jobs = append(whole.Jobs, r.GetJobs()...)
+func appendPage(all, page *v1.ShowReply) {
+	all.Revision = page.GetRevision()
+	all.Rows = append(all.Rows, page.GetRows()...)
+	all.Held = append(all.Held, page.GetHeld()...)
+	all.Keys = append(all.Keys, page.GetKeys()...)
+	all.Servers = append(all.Servers, page.GetServers()...)
+	all.Members = append(all.Members, page.GetMembers()...)
+	all.Zones = append(all.Zones, page.GetZones()...)
+	all.Jobs = append(all.Jobs, page.GetJobs()...)
 }
 
-// lines returns the names of a page's lines, by which the next page is asked
-// for; none for a part that always comes whole.
-func lines(r *v1.ShowReply, part v1.Part) []string {
+// lineNames returns the names of the lines of a page. The last one is the position from
+// which the next page is requested. It returns nil for a part without pages.
+func lineNames(page *v1.ShowReply, part v1.Part) []string {
 	switch part {
 	case v1.Part_PART_TABLE:
-		return names(r.GetRows(), (*v1.Row).GetTeam)
+		return mapNames(page.GetRows(), (*v1.Row).GetTeam)
 	case v1.Part_PART_KEYS:
-		return names(r.GetKeys(), (*v1.KeyLine).GetId)
+		return mapNames(page.GetKeys(), (*v1.KeyLine).GetId)
 	case v1.Part_PART_SERVERS:
-		return names(r.GetServers(), (*v1.ServerLine).GetServer)
+		return mapNames(page.GetServers(), (*v1.ServerLine).GetServer)
 	case v1.Part_PART_JOBS:
-		return names(r.GetJobs(), func(j *v1.Summary) string { return j.GetTeam() + "/" + j.GetId() })
+		return mapNames(page.GetJobs(), func(j *v1.Summary) string { return j.GetTeam() + "/" + j.GetId() })
 	}
 	return nil
 }
 
-func names[T any](all []T, name func(T) string) []string {
-	out := make([]string, len(all))
-	for i, one := range all {
-		out[i] = name(one)
+func mapNames[T any](lines []T, name func(T) string) []string {
+	names := make([]string, len(lines))
+	for i, line := range lines {
+		names[i] = name(line)
 	}
-	return out
+	return names
 }
 
-// Dump returns the state of one process as JSON text; an empty name stands for
-// the entry that answers.
+// Dump returns the state of one process as JSON text. An empty name stands for the
+// entry that receives the call.
 func (c *Client) Dump(ctx context.Context, process string) (string, error) {
-	r, err := link.Call(ctx, c.Link, dump, &v1.DumpRequest{Process: process}, (*v1.DumpReply).GetStatus)
+	reply, err := link.Call(ctx, c.Link, dumpMethod, &v1.DumpRequest{Process: process}, (*v1.DumpReply).GetStatus)
 	if err != nil {
 		return "", err
 	}
-	return r.GetText(), refused(r.GetStatus())
+	return reply.GetText(), statusError(reply.GetStatus())
 }
 
-func refused(s *v1.Status) error {
+func statusError(s *v1.Status) error {
 	if code.Code(s.GetCode()) != code.OK {
-		return link.Status(s)
+		return link.StatusError(s)
 	}
 	return nil
 }
--- a/internal/control/entry/entry.go
+++ b/internal/control/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry serves the entries: it takes their items to the control thread
-// and hands them the replies.
+// Package entry implements the service that the entries call. It passes their items
+// to the control thread and returns the replies.
 package entry
 
 import (
@@ -20,34 +20,35 @@
 	"gypsumreel/internal/control/mailbox"
 )
 
-// Bounds of the service.
+// Limits of the service.
 const (
-	// pullWait bounds a Pull whose entry names no patience, or a longer one, so
-	// that a silent connection shows.
-	pullWait = 2 * time.Second
-	// idleBox is after how long without a Pull a mailbox is dropped.
-	idleBox = 30 * time.Second
-	// maxItems bounds the items of one Push.
-	maxItems = 4096
+	// maxPullWait limits how long a Pull waits, also when the entry requests a
+	// longer wait or none. Regular replies let the entry detect a dead connection.
+	maxPullWait = 2 * time.Second
+	// mailboxIdleTimeout is the time without a Pull after which a mailbox is closed.
+	mailboxIdleTimeout = 30 * time.Second
+	// maxItemsPerPush is the maximum number of items in one Push.
+	maxItemsPerPush = 4096
 )
 
-// Server implements inner.Control. The exported fields are set before use.
+// Server implements inner.Control. The exported fields must be set before use.
 type Server struct {
 	Cell   string
 	Leader *leader.Leader
 	// Now is the group's monotonic clock.
 	Now func() time.Duration
-	// Dumper returns the state of the process for a person to read.
-	Dumper func() any
-	// MaxDump bounds a dump in bytes; 0 for the default of package dump.
-	MaxDump int
-	Log     logr.Logger
-
-	members roll
-	limit   event.RateLimiter
-	mu      sync.Mutex
-	term    uint64
-	boxes   map[mailbox.Name]*mailbox.Mailbox
+	// DumpState returns the state of the process for state dumps; it may be nil.
+	DumpState func() any
+	// MaxDumpBytes is the maximum size of a state dump; 0 means the default of
+	// package dump.
+	MaxDumpBytes int
+	Log          logr.Logger
+
+	entries     entryTracker
+	logLimiter  event.RateLimiter
+	mu          sync.Mutex
+	mailboxTerm uint64
+	mailboxes   map[mailbox.Name]*mailbox.Mailbox
 }
 
 var _ inner.Control = (*Server)(nil)
@@ -55,131 +56,135 @@
 // Handler returns the HTTP handler of the service.
 func (s *Server) Handler() http.Handler { return inner.NewControlServer(s) }
 
-// Push hands items to the control thread.
+// Push passes items to the control thread.
 func (s *Server) Push(_ context.Context, req *inner.PushRequest) (*inner.PushReply, error) {
-	if err := s.check(req.GetCell(), req.GetEntry()); err != nil {
+	if err := s.checkCell(req.GetCell(), req.GetEntry()); err != nil {
 		return nil, err
 	}
-	if len(req.GetItems()) > maxItems {
-		return nil, twirp.InvalidArgumentError("items", "too many")
+	if len(req.GetItems()) > maxItemsPerPush {
+		return nil, twirp.InvalidArgumentError("items", "exceed the maximum number per Push")
 	}
-	st := s.Leader.Status()
-	if !st.Leads {
-		return &inner.PushReply{Redirect: redirect(st)}, nil
+	status := s.Leader.Status()
+	if !status.Leads {
+		return &inner.PushReply{Redirect: newRedirect(status)}, nil
 	}
-	box := s.box(st.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
-	if s.Leader.Push(leader.Batch{Mailbox: box, ReceivedAt: s.Now(), Items: req.GetItems()}) {
+	entryMailbox := s.mailboxFor(status.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
+	if s.Leader.Push(leader.Batch{Mailbox: entryMailbox, ReceivedAt: s.Now(), Items: req.GetItems()}) {
 		return &inner.PushReply{}, nil
 	}
-	s.limit.Log(s.Log, event.Overload, "entry", req.GetEntry(), "items", len(req.GetItems()))
-	rep := &inner.PushReply{}
-	for _, it := range req.GetItems() {
-		rep.Refused = append(rep.Refused, it.GetSeq())
+	s.logLimiter.Log(s.Log, event.Overload, "entry", req.GetEntry(), "items", len(req.GetItems()))
+	reply := &inner.PushReply{}
+	for _, item := range req.GetItems() {
+		reply.Refused = append(reply.Refused, item.GetSeq())
 	}
-	return rep, nil
+	return reply, nil
 }
 
-// Pull returns the replies that wait for the entry.
+// Pull returns the replies queued for the entry. It waits for a reply or a new
+// revision of the team table until the requested time is over.
 func (s *Server) Pull(ctx context.Context, req *inner.PullRequest) (*inner.PullReply, error) {
-	if err := s.check(req.GetCell(), req.GetEntry()); err != nil {
+	if err := s.checkCell(req.GetCell(), req.GetEntry()); err != nil {
 		return nil, err
 	}
-	st := s.Leader.Status()
-	if !st.Leads {
-		return &inner.PullReply{Redirect: redirect(st)}, nil
+	status := s.Leader.Status()
+	if !status.Leads {
+		return &inner.PullReply{Redirect: newRedirect(status)}, nil
 	}
-	s.members.note(req.GetEntry(), req.GetRevision(), s.Now())
-	ctx, cancel := context.WithTimeout(ctx, patience(req.GetPatience()))
+	s.entries.recordPull(req.GetEntry(), req.GetRevision(), s.Now())
+	ctx, cancel := context.WithTimeout(ctx, pullTimeout(req.GetPatience()))
 	defer cancel()
-	box := s.box(st.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
-	// Wakes are counted before the revision is read: one that comes in between
-	// ends the wait.
-	wakes := box.WakeCount()
+	entryMailbox := s.mailboxFor(status.Term, mailbox.Name{Entry: req.GetEntry(), Session: req.GetSession()})
+	// WakeCount is read before the revision, so a change in between still ends
+	// the wait.
+	wakeCount := entryMailbox.WakeCount()
 	if s.Leader.Status().Revision > req.GetRevision() {
 		cancel()
 	}
-	b := box.PullUntilWake(ctx, req.GetEpoch(), req.GetAck(), wakes)
-	st = s.Leader.Status()
-	if b.Closed || !st.Leads {
-		return &inner.PullReply{Redirect: redirect(st)}, nil
+	batch := entryMailbox.PullUntilWake(ctx, req.GetEpoch(), req.GetAck(), wakeCount)
+	status = s.Leader.Status()
+	if batch.Closed || !status.Leads {
+		return &inner.PullReply{Redirect: newRedirect(status)}, nil
 	}
-	return &inner.PullReply{First: b.FirstNumber, Replies: b.Replies, Revision: st.Revision, Epoch: b.Epoch}, nil
+	return &inner.PullReply{First: batch.FirstNumber, Replies: batch.Replies, Revision: status.Revision, Epoch: batch.Epoch}, nil
 }
 
-// Dump returns the state of this process.
+// Dump returns the state of this process as JSON text.
 func (s *Server) Dump(context.Context, *v1.DumpRequest) (*v1.DumpReply, error) {
-	if s.Dumper == nil {
+	if s.DumpState == nil {
 		return &v1.DumpReply{Status: &v1.Status{}}, nil
 	}
-	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Render(s.Dumper(), s.MaxDump)}, nil
+	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Render(s.DumpState(), s.MaxDumpBytes)}, nil
 }
 
-// patience returns how long a Pull is held open. An entry takes one that lasts
-// longer than it asked for to be a silent connection, and dials anew.
-func patience(ms uint64) time.Duration {
-	if ms == 0 || ms > uint64(pullWait/time.Millisecond) {
-		return pullWait
+// pullTimeout returns how long a Pull may wait, given the requested time in
+// milliseconds. An entry treats a Pull that takes longer than requested as a dead
+// connection and reconnects.
+func pullTimeout(ms uint64) time.Duration {
+	if ms == 0 || ms > uint64(maxPullWait/time.Millisecond) {
+		return maxPullWait
 	}
 	return time.Duration(ms) * time.Millisecond
 }
 
-// check refuses a process of another cell: a wrong address in the settings
-// must not mix two cells' work.
-func (s *Server) check(cell, from string) error {
+// checkCell refuses calls from processes of another cell. This prevents a wrong
+// address in the settings from mixing the work of two cells.
+func (s *Server) checkCell(cell, process string) error {
 	if cell != s.Cell {
-		s.limit.Log(s.Log, event.PeerRefused, "peer", from, "error", "it is of cell "+strconv.Quote(cell)+", this is cell "+strconv.Quote(s.Cell))
+		s.logLimiter.Log(s.Log, event.PeerRefused, "peer", process, "error", "the process belongs to cell "+strconv.Quote(cell)+", this is cell "+strconv.Quote(s.Cell))
 		return twirp.NewError(twirp.PermissionDenied, "this is cell "+s.Cell)
 	}
 	return nil
 }
 
-func redirect(st leader.Status) *inner.Redirect {
-	return &inner.Redirect{Leader: st.Leader, Address: st.Address}
+func newRedirect(status leader.Status) *inner.Redirect {
+	return &inner.Redirect{Leader: status.Leader, Address: status.Address}
 }
 
-// box returns the mailbox of an entry's run in a term. Those of other terms
-// are closed, so that what waits at them is asked of the leader anew.
-func (s *Server) box(term uint64, name mailbox.Name) *mailbox.Mailbox {
+// mailboxFor returns the mailbox of an entry's session in the given term and creates
+// it if necessary. It closes the mailboxes of other terms, so that entries send
+// their unanswered items to the leader again. It also closes idle mailboxes.
+func (s *Server) mailboxFor(term uint64, name mailbox.Name) *mailbox.Mailbox {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.boxes == nil || s.term != term {
-		s.closeAll()
-		s.term, s.boxes = term, map[mailbox.Name]*mailbox.Mailbox{}
+	if s.mailboxes == nil || s.mailboxTerm != term {
+		s.closeMailboxes()
+		s.mailboxTerm, s.mailboxes = term, map[mailbox.Name]*mailbox.Mailbox{}
 	}
-	for n, b := range s.boxes {
-		if n != name && b.IdleTime() > idleBox {
+	for n, b := range s.mailboxes {
+		if n != name && b.IdleTime() > mailboxIdleTimeout {
 			b.Close()
-			delete(s.boxes, n)
+			delete(s.mailboxes, n)
 		}
 	}
-	b := s.boxes[name]
+	b := s.mailboxes[name]
 	if b == nil {
 		b = mailbox.New(term<<32 ^ name.Session)
-		s.boxes[name] = b
+		s.mailboxes[name] = b
 	}
 	return b
 }
 
-// WakeAll lets all waiting Pulls return, so that entries learn at once of a new
-// revision of the table.
-func (s *Server) WakeAll() {
+// WakeMailboxes makes all waiting Pull calls return, so that entries learn of a new
+// revision of the team table without delay.
+func (s *Server) WakeMailboxes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, b := range s.boxes {
+	for _, b := range s.mailboxes {
 		b.Wake()
 	}
 }
 
-// CloseAll ends all mailboxes; the control process calls it when it stops to lead.
-func (s *Server) CloseAll() {
+// CloseMailboxes closes all mailboxes. The control process calls it when it stops
+// leading.
+func (s *Server) CloseMailboxes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closeAll()
-	s.boxes = nil
+	s.closeMailboxes()
+	s.mailboxes = nil
 }
 
-func (s *Server) closeAll() {
-	for _, b := range s.boxes {
+func (s *Server) closeMailboxes() {
+	for _, b := range s.mailboxes {
 		b.Close()
 	}
 }
--- a/internal/control/node/disk.go
+++ b/internal/control/node/disk.go
@@ -12,55 +12,55 @@
 	"gypsumreel/internal/replica/snapshot"
 )
 
-// disk is a journal that tells how its syncs went.
-type disk struct {
+// monitoredJournal is a journal that measures its syncs and logs failed and slow ones.
+type monitoredJournal struct {
 	group.Journal
-	log   logr.Logger
-	limit event.RateLimiter
-	syncs *metrics.PrometheusHistogram
+	log         logr.Logger
+	logLimiter  event.RateLimiter
+	syncSeconds *metrics.PrometheusHistogram
 }
 
-func newDisk(j group.Journal, set *metrics.Set, log logr.Logger) *disk {
-	return &disk{Journal: j, log: log, syncs: set.GetOrCreatePrometheusHistogram(meter.Name("control", "sync_seconds"))}
+func newMonitoredJournal(j group.Journal, set *metrics.Set, log logr.Logger) *monitoredJournal {
+	return &monitoredJournal{Journal: j, log: log, syncSeconds: set.GetOrCreatePrometheusHistogram(meter.Name("control", "sync_seconds"))}
 }
 
-// Sync syncs, measures, and tells of a sync that failed or took long.
-func (d *disk) Sync() error {
-	begin := time.Now()
+// Sync syncs the journal and records the duration. It logs a sync that fails or takes
+// longer than slowSyncThreshold.
+func (d *monitoredJournal) Sync() error {
+	startedAt := time.Now()
 	err := d.Journal.Sync()
-	took := time.Since(begin)
-	d.syncs.Update(took.Seconds())
+	elapsed := time.Since(startedAt)
+	d.syncSeconds.Update(elapsed.Seconds())
 	if err != nil {
 		event.LogError(d.log, event.SyncFailed, err)
 		return err
 	}
-	if took > slowSync {
-		d.limit.Log(d.log, event.SyncSlow, "took", took.String())
+	if elapsed > slowSyncThreshold {
+		d.logLimiter.Log(d.log, event.SyncSlow, "took", elapsed.String())
 	}
 	return nil
 }
 
-// archive is a store of snapshots that tells of those written, and of those that
-// could not be.
-type archive struct {
+// monitoredSnapshots is a snapshot store that logs written snapshots and failed writes.
+type monitoredSnapshots struct {
 	group.SnapshotStore
-	log    logr.Logger
-	failed *metrics.Counter
+	log         logr.Logger
+	failedSaves *metrics.Counter
 }
 
-func newArchive(s group.SnapshotStore, set *metrics.Set, log logr.Logger) *archive {
-	return &archive{SnapshotStore: s, log: log, failed: set.GetOrCreateCounter(meter.Name("control", "snapshots_failed_total"))}
+func newMonitoredSnapshots(s group.SnapshotStore, set *metrics.Set, log logr.Logger) *monitoredSnapshots {
+	return &monitoredSnapshots{SnapshotStore: s, log: log, failedSaves: set.GetOrCreateCounter(meter.Name("control", "snapshots_failed_total"))}
 }
 
-// Save saves and tells.
-func (a *archive) Save(meta snapshot.Meta, state []byte) error {
-	begin := time.Now()
+// Save writes a snapshot and logs the result.
+func (a *monitoredSnapshots) Save(meta snapshot.Meta, state []byte) error {
+	startedAt := time.Now()
 	err := a.SnapshotStore.Save(meta, state)
 	if err != nil {
-		a.failed.Inc()
+		a.failedSaves.Inc()
 		event.LogError(a.log, event.StoragePutOff, err, "what", "snapshot", "index", meta.Index, "bytes", len(state))
 		return err
 	}
-	event.Log(a.log, event.SnapshotWritten, "index", meta.Index, "bytes", len(state), "took", time.Since(begin).String())
+	event.Log(a.log, event.SnapshotWritten, "index", meta.Index, "bytes", len(state), "took", time.Since(startedAt).String())
 	return nil
 }
--- a/internal/control/node/disk_test.go
+++ b/internal/control/node/disk_test.go
@@ -19,37 +19,37 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// brokenDisk is a journal whose syncs fail.
-type brokenDisk struct{ group.Journal }
+// failingJournal is a journal whose Sync always fails.
+type failingJournal struct{ group.Journal }
 
-var errDisk = errors.New("input/output error")
+var errSync = errors.New("input/output error")
 
-func (brokenDisk) Sync() error { return errDisk }
+func (failingJournal) Sync() error { return errSync }
 
-// A disk refuses to make a write last. The process ends, and the log has to say
-// that it was the disk: whoever restarts it on the same one loses it again.
-func TestAFailedSyncIsAnAlarm(t *testing.T) {
+// A failed sync ends the process. The log must name the disk as the cause, because
+// the process would fail again after a restart on the same disk.
+func TestFailedSyncIsLogged(t *testing.T) {
 	var log bytes.Buffer
-	d := node.NewDisk(brokenDisk{}, metrics.NewSet(), event.New(&log, "info"))
-	if err := d.Sync(); !errors.Is(err, errDisk) {
-		t.Errorf("the error is lost: %v", err)
+	d := node.NewMonitoredJournal(failingJournal{}, metrics.NewSet(), event.New(&log, "info"))
+	if err := d.Sync(); !errors.Is(err, errSync) {
+		t.Errorf("Sync returned %v, want the error of the journal", err)
 	}
-	if !strings.Contains(log.String(), `"event":302`) || !strings.Contains(log.String(), errDisk.Error()) {
+	if !strings.Contains(log.String(), `"event":302`) || !strings.Contains(log.String(), errSync.Error()) {
 		t.Error(log.String())
 	}
 }
 
-// A disk gives back other bytes than were written to it, before the end of the
-// journal. The replica must not start, and its log names file and event.
-func TestADamagedJournalIsAnAlarm(t *testing.T) {
-	data := t.TempDir()
+// The disk returns different bytes than were written, before the end of the journal.
+// The replica must not start, and the log must contain the event and the file name.
+func TestCorruptJournalPreventsStart(t *testing.T) {
+	dataDir := t.TempDir()
 	run := func(log *bytes.Buffer) error {
 		l := listen(t)
 		digest := make([]byte, 32)
 		n := &node.Node{
-			Cell: "test", Name: "c1", Data: data, Init: true, Listener: l, Address: l.Addr().String(), Log: event.New(log, "info"),
+			Cell: "test", Name: "c1", DataDir: dataDir, InitCell: true, Listener: l, Address: l.Addr().String(), Log: event.New(log, "info"),
 			Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}},
-			Root:     &v1.KeyGrant{Id: "op", Operator: true, Digest: digest},
+			RootKey:  &v1.KeyGrant{Id: "op", Operator: true, Digest: digest},
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -59,7 +59,7 @@
 	if err := run(&log); err != nil {
 		t.Fatal(err)
 	}
-	files, err := filepath.Glob(filepath.Join(data, "journal", "*"))
+	files, err := filepath.Glob(filepath.Join(dataDir, "journal", "*"))
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
@@ -73,7 +73,7 @@
 	}
 	log.Reset()
 	if err := run(&log); err == nil {
-		t.Error("it starts")
+		t.Error("the replica started with a corrupt journal")
 	}
 	if !strings.Contains(log.String(), `"event":301`) || !strings.Contains(log.String(), filepath.Base(files[0])) {
 		t.Error(log.String())
--- a/internal/control/node/node.go
+++ b/internal/control/node/node.go
@@ -1,5 +1,6 @@
-// Package node assembles the control daemon: the replica's disk, its consensus
-// group, the control thread, and the services for entries and other replicas.
+// Package node assembles the control daemon from its components: the replica's
+// storage, its consensus group, the control thread, and the services for entries and
+// other replicas.
 package node
 
 import (
@@ -30,83 +31,94 @@
 	"gypsumreel/internal/replica/snapshot"
 )
 
-// DefaultHandover bounds the handing over of the lead at a planned stop.
-const DefaultHandover = 5 * time.Second
+// DefaultTransferTimeout is the default time limit for a transfer of the leadership.
+const DefaultTransferTimeout = 5 * time.Second
 
-// headerTimeout bounds the reading of a request's header.
+// headerTimeout is the maximum time for reading the header of a request.
 const headerTimeout = 5 * time.Second
 
-// ErrJournalGone ends a replica that has its identity and no journal: it has
-// forgotten for whom it voted, and would vote a second time under its old name.
-var ErrJournalGone = errors.New("the journal is gone and the identity is not; empty the data folder and add this replica as a new member")
+// ErrJournalMissing is returned when a replica has an identity but no journal. Without
+// the journal the replica does not know its vote and could vote twice in a term.
+var ErrJournalMissing = errors.New("the journal is missing but the identity exists; empty the data folder and add this replica as a new member")
 
-// Node is the control daemon. The exported fields are set before Run.
+// Node is the control daemon. The exported fields must be set before Run.
 type Node struct {
 	Cell string
 	Name string
-	// Data is the folder of everything that must last.
-	Data string
-	// Init founds a new cell together with the other replicas.
-	Init bool
-	// Listener takes entries and other replicas.
+	// DataDir is the folder of all persistent data.
+	DataDir string
+	// InitCell is true if the replica founds a new cell together with the others.
+	InitCell bool
+	// Listener accepts connections from entries and other replicas.
 	Listener net.Listener
-	// Platform takes the platform's probes; nil for none.
-	Platform net.Listener
-	// Outside secures Platform; nil for plain text.
-	Outside *tls.Config
-	// Address is where the others reach this replica.
+	// ProbeListener accepts health, readiness and metrics requests; nil disables
+	// them.
+	ProbeListener net.Listener
+	// ProbeTLS is the TLS configuration of ProbeListener; nil means plain text.
+	ProbeTLS *tls.Config
+	// Address is the address at which other processes reach this replica.
 	Address string
-	// Replicas are all control replicas of the settings, by name; this one among them.
+	// Replicas are all configured control replicas, including this one. Their IDs are
+	// names without a nonce.
 	Replicas []quorum.Member
-	// Server and Client secure connections inside the cell; nil for plain ones.
-	Server *tls.Config
-	Client *tls.Config
-	// Peers secures the way between replicas, for both ends; nil for plain text.
-	Peers *tls.Config
-	// Root is the first operator's key.
-	Root *v1.KeyGrant
-	// Control is the control thread, set up but for what Run adds.
-	Control   *leader.Leader
-	Heartbeat time.Duration
-	Election  time.Duration
-	Patience  time.Duration
-	Handover  time.Duration
-	// Clock is the clock that the parts share: that of package clock in a daemon,
-	// since it counts suspensions. Nil for the language's steady clock, which
-	// tests run on virtual time.
+	// ServerTLS is the TLS configuration of Listener; nil means plain text.
+	ServerTLS *tls.Config
+	// ClientTLS is the TLS configuration of calls to other replicas during the
+	// founding; nil means plain text.
+	ClientTLS *tls.Config
+	// PeerTLS is the TLS configuration of consensus messages between replicas, for
+	// both ends; nil means plain text.
+	PeerTLS *tls.Config
+	// RootKey is the key of the first operator.
+	RootKey *v1.KeyGrant
+	// Control is the control thread. Run sets its remaining fields. Nil means a new
+	// one with default settings.
+	Control            *leader.Leader
+	HeartbeatInterval  time.Duration
+	ElectionTimeout    time.Duration
+	MaxElectionTimeout time.Duration
+	// TransferTimeout limits a leadership transfer; 0 means DefaultTransferTimeout.
+	TransferTimeout time.Duration
+	// Clock is the monotonic clock that all components share. A daemon uses
+	// clock.Boot, which includes the time in which the machine is suspended. Nil
+	// means Go's monotonic clock, which tests replace by virtual time.
 	Clock func() time.Duration
-	// Founders are the identities that found a new cell, when they are known
-	// beforehand; without them the replicas ask each other. A replica that is
-	// not among them waits to be taken in.
-	Founders []quorum.Member
-	// Nonce is where the identity of a blank disk is drawn from; nil for chance.
-	Nonce io.Reader
-	// Room is the room on the disk that is kept free, in bytes; 0 for the default.
-	Room uint64
-	// Routes adds services to the one for entries and other replicas; nil for none.
-	Routes func(mux *http.ServeMux)
-	// Transport makes the way to the other replicas; receive takes what they
-	// send. Nil for package peer.
-	Transport func(id string, receive func(from string, data []byte)) Transport
-	// Dial opens connections to other replicas at the founding; nil for TCP.
+	// InitialMembers are the identities that found a new cell, if they are known in
+	// advance. Without them the replicas agree on the members among themselves. A
+	// replica that is not listed waits until it is added to the group.
+	InitialMembers []quorum.Member
+	// NonceSource provides the random bytes of a new identity; nil means crypto/rand.
+	NonceSource io.Reader
+	// MinFreeBytes is the disk space to keep free; 0 means the default of package
+	// group.
+	MinFreeBytes uint64
+	// AddRoutes registers additional services on Listener; it may be nil.
+	AddRoutes func(mux *http.ServeMux)
+	// NewTransport creates the transport to the other replicas, which passes received
+	// messages to receive. Nil means that of package peer.
+	NewTransport func(id string, receive func(from string, data []byte)) Transport
+	// Dial opens connections to other replicas during the founding; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Abort ends a planned stop at once when closed: the second signal.
+	// Abort cancels a pending leadership transfer when it is closed, for example on
+	// a second signal to stop.
 	Abort <-chan struct{}
-	// MaxDump bounds a dump in bytes; 0 for the default of package dump.
-	MaxDump int
-	Log     logr.Logger
+	// MaxDumpBytes is the maximum size of a state dump; 0 means the default of
+	// package dump.
+	MaxDumpBytes int
+	Log          logr.Logger
 
-	once  sync.Once
-	done  chan struct{}
-	group atomic.Pointer[group.Group]
-	self  atomic.Value
+	initOnce sync.Once
+	done     chan struct{}
+	group    atomic.Pointer[group.Group]
+	// selfID holds the ID of this replica as a string.
+	selfID atomic.Value
 
-	service atomic.Pointer[entry.Server]
-	meters  *metrics.Set
-	limit   event.RateLimiter
+	entryService atomic.Pointer[entry.Server]
+	metrics      *metrics.Set
+	logLimiter   event.RateLimiter
 }
 
-// Transport carries consensus messages until Close.
+// Transport sends and receives consensus messages until Close is called.
 type Transport interface {
 	group.Transport
 	Handler() http.Handler
@@ -114,85 +126,87 @@
 }
 
 func (n *Node) init() {
-	n.once.Do(func() {
+	n.initOnce.Do(func() {
 		if n.Clock == nil {
-			begin := time.Now()
-			n.Clock = func() time.Duration { return time.Since(begin) }
+			startedAt := time.Now()
+			n.Clock = func() time.Duration { return time.Since(startedAt) }
 		}
 		n.done = make(chan struct{})
-		n.meters = metrics.NewSet()
+		n.metrics = metrics.NewSet()
 		if n.Control == nil {
 			n.Control = leader.New()
 		}
-		if n.Handover == 0 {
-			n.Handover = DefaultHandover
+		if n.TransferTimeout == 0 {
+			n.TransferTimeout = DefaultTransferTimeout
 		}
 	})
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run returns.
 func (n *Node) Done() <-chan struct{} { n.init(); return n.done }
 
-// now is the time on the clock that group and control thread share. It is above
-// zero, so that zero can mean never.
+// now returns the time on the clock that the group and the control thread share. It
+// is above zero, because a time of zero means never.
 func (n *Node) now() time.Duration { return n.Clock() + time.Hour }
 
-// Now returns the time on the clock that the parts of the daemon share.
+// Now returns the time on the clock that all components of the daemon share.
 func (n *Node) Now() time.Duration { n.init(); return n.now() }
 
-// Meters returns the set of the daemon's metrics.
-func (n *Node) Meters() *metrics.Set { n.init(); return n.meters }
+// Metrics returns the metrics of the daemon.
+func (n *Node) Metrics() *metrics.Set { n.init(); return n.metrics }
 
-// Self returns NAME/NONCE of this replica; empty before Run has read its disk.
+// Self returns the ID of this replica as NAME/NONCE. It is empty until Run has loaded
+// the identity.
 func (n *Node) Self() string {
-	id, _ := n.self.Load().(string)
+	id, _ := n.selfID.Load().(string)
 	return id
 }
 
-// Run serves until ctx ends, then hands the lead over and stops. An error means
-// that this replica cannot go on, with the way out in its text.
+// Run runs the daemon until ctx ends, then transfers the leadership and stops. It
+// returns an error if this replica cannot continue. The error text says what the
+// operator can do.
 func (n *Node) Run(ctx context.Context) error {
 	n.init()
 	defer close(n.done)
-	lock, err := member.AcquireLock(n.Data)
+	lock, err := member.AcquireLock(n.DataDir)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = lock.Release() }()
-	store := snapshot.Store{Dir: filepath.Join(n.Data, "snapshot")}
-	saved, err := load(store)
+	store := snapshot.Store{Dir: filepath.Join(n.DataDir, "snapshot")}
+	state, err := loadSnapshot(store)
 	if err != nil {
-		return n.damaged(event.SnapshotDamaged, err)
+		return n.logCorruption(event.SnapshotDamaged, err)
 	}
-	log, recovered, err := n.journal()
+	log, recovered, err := n.openJournal()
 	if err != nil {
-		return n.damaged(event.JournalDamaged, err)
+		return n.logCorruption(event.JournalDamaged, err)
 	}
-	// The identity is made after the journal, so that one that is there shows
-	// that the journal was, too.
-	self, fresh, err := n.identity()
+	// The identity is created after the journal. An existing identity therefore
+	// proves that the journal existed, too.
+	self, isNew, err := n.loadIdentity()
 	if err != nil {
 		return err
 	}
-	if recovered.New && !fresh {
+	if recovered.New && !isNew {
 		_ = log.Close()
-		return ErrJournalGone
+		return ErrJournalMissing
 	}
-	n.self.Store(self.ID)
-	saved.HardState, saved.Entries = recovered.HardState, recovered.Entries
-	return n.serve(ctx, self, disks{journal: log, snapshots: store, saved: saved})
+	n.selfID.Store(self.ID)
+	state.HardState, state.Entries = recovered.HardState, recovered.Entries
+	return n.serve(ctx, self, replicaData{journal: log, snapshots: store, state: state})
 }
 
-// journal opens the replica's journal.
-func (n *Node) journal() (*journal.Journal, journal.Recovered, error) {
-	put := n.meters.GetOrCreateCounter(meter.Name("control", "segments_put_off_total"))
+// openJournal opens the journal of the replica and recovers its content.
+func (n *Node) openJournal() (*journal.Journal, journal.Recovered, error) {
+	postponedRolls := n.metrics.GetOrCreateCounter(meter.Name("control", "segments_put_off_total"))
 	return journal.Config{OnRollPostponed: func(err error) {
-		put.Inc()
+		postponedRolls.Inc()
 		event.LogError(n.Log, event.StoragePutOff, err, "what", "segment")
-	}}.Open(filepath.Join(n.Data, "journal"))
+	}}.Open(filepath.Join(n.DataDir, "journal"))
 }
 
-func load(store snapshot.Store) (quorum.PersistedState, error) {
+func loadSnapshot(store snapshot.Store) (quorum.PersistedState, error) {
 	meta, data, err := store.Load()
 	if err != nil {
 		return quorum.PersistedState{}, err
@@ -200,97 +214,98 @@
 	return quorum.PersistedState{Snapshot: quorum.Snapshot{Index: meta.Index, Term: meta.Term, Members: meta.Members, State: data}}, nil
 }
 
-// identity returns this replica's own, and whether its disk is blank.
-func (n *Node) identity() (quorum.Member, bool, error) {
-	store := member.Store{Dir: n.Data}
+// loadIdentity returns the identity of this replica and whether it was newly created.
+func (n *Node) loadIdentity() (quorum.Member, bool, error) {
+	store := member.Store{Dir: n.DataDir}
 	id, err := store.Load(n.Cell, n.Name)
-	fresh := errors.Is(err, member.ErrNoIdentity)
-	if fresh {
-		nonce := n.Nonce
+	isNew := errors.Is(err, member.ErrNoIdentity)
+	if isNew {
+		nonce := n.NonceSource
 		if nonce == nil {
 			nonce = rand.Reader
 		}
 		id, err = store.Create(n.Cell, n.Name, nonce)
 	}
-	return quorum.Member{ID: id.ID(), Address: n.Address}, fresh, err
+	return quorum.Member{ID: id.ID(), Address: n.Address}, isNew, err
 }
 
-// disks is what a replica found in its data folder.
-type disks struct {
+// replicaData is the content of a replica's data folder.
+type replicaData struct {
 	journal   *journal.Journal
 	snapshots snapshot.Store
-	saved     quorum.PersistedState
+	state     quorum.PersistedState
 }
 
-// serve runs all parts until ctx ends or one of them fails.
-func (n *Node) serve(ctx context.Context, self quorum.Member, d disks) error {
-	running, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	a := n.assemble(self, d)
-	defer a.transport.Close()
-	faults := make(chan error, 5)
+// serve runs all components until ctx ends or one of them fails.
+func (n *Node) serve(ctx context.Context, self quorum.Member, data replicaData) error {
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
+	defer stop()
+	parts := n.assemble(self, data)
+	defer parts.transport.Close()
+	failures := make(chan error, 5)
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer end()
-	defer func() { _ = a.server.Close() }()
-	run := func(what string, fn func() error) {
+	defer stop()
+	defer func() { _ = parts.httpServer.Close() }()
+	run := func(component string, fn func() error) {
 		wg.Go(func() {
 			if err := fn(); err != nil && !errors.Is(err, http.ErrServerClosed) {
-				faults <- errors.Wrap(err, what)
+				failures <- errors.Wrap(err, component)
 			}
 		})
 	}
-	run("listen", func() error { return listen(a.server, n.Listener) })
-	if n.Platform != nil {
-		probes := n.server(n.probes(), n.Outside)
-		defer func() { _ = probes.Close() }()
-		run("platform", func() error { return listen(probes, n.Platform) })
+	run("listen", func() error { return serveListener(parts.httpServer, n.Listener) })
+	if n.ProbeListener != nil {
+		probeServer := n.newHTTPServer(n.probeHandler(), n.ProbeTLS)
+		defer func() { _ = probeServer.Close() }()
+		run("platform", func() error { return serveListener(probeServer, n.ProbeListener) })
 	}
-	if err := n.found(ctx, a, self, d.saved); err != nil {
+	if err := n.learnMembers(ctx, parts, self, data.state); err != nil {
 		if ctx.Err() != nil {
-			return nil // stopped as planned while it waited for the others
+			return nil // planned stop while waiting for the other replicas
 		}
 		return err
 	}
-	run("group", func() error { return a.group.Run(running) })
-	run("control", func() error { return n.Control.Run(running) })
-	run("watch", func() error { return n.watch(running) })
+	run("group", func() error { return parts.group.Run(runCtx) })
+	run("control", func() error { return n.Control.Run(runCtx) })
+	run("watch", func() error { return n.monitor(runCtx) })
 	select {
-	case err := <-faults:
+	case err := <-failures:
 		return err
 	case <-ctx.Done():
-		event.Log(n.Log, event.StopBegun, "handover", n.Handover.String())
-		n.handOver()
+		event.Log(n.Log, event.StopBegun, "handover", n.TransferTimeout.String())
+		n.transferBeforeStop()
 		return nil
 	}
 }
 
-// ready returns nil while a leader is known. A replica that belongs to no group
-// yet says what its operator has to do.
-func (n *Node) ready() error {
+// readiness returns nil while a leader is known. Otherwise it returns an error that
+// tells the operator how to add a new replica to the group.
+func (n *Node) readiness() error {
 	st := n.Control.Status()
 	if st.Leads || st.Leader != "" {
 		return nil
 	}
-	return errors.Newf("no leader is known to %s; if it is new, run: gypsumreel member add %s %s", n.self.Load(), n.self.Load(), n.Address)
+	return errors.Newf("no leader is known to %s; if it is new, run: gypsumreel member add %s %s", n.selfID.Load(), n.selfID.Load(), n.Address)
 }
 
-// yield hands the lead over, when another can take it.
-func (n *Node) yield(g *group.Group) {
-	ctx, cancel := context.WithTimeout(context.Background(), n.Handover)
+// transferFromFullDisk transfers the leadership to another replica because the disk of this
+// one is full.
+func (n *Node) transferFromFullDisk(g *group.Group) {
+	ctx, cancel := context.WithTimeout(context.Background(), n.TransferTimeout)
 	defer cancel()
 	if err := g.TransferLeadership(ctx); err == nil {
 		event.Log(n.Log, event.LeaderTransferred, "cause", "the disk is full")
 	}
 }
 
-// handOver gives the lead to another replica before a planned stop, so that
-// requests wait for one round trip and not for an election.
-func (n *Node) handOver() {
+// transferBeforeStop transfers the leadership to another replica before a planned
+// stop, so that requests wait for one round trip instead of an election.
+func (n *Node) transferBeforeStop() {
 	if !n.Control.Status().Leads {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), n.Handover)
+	ctx, cancel := context.WithTimeout(context.Background(), n.TransferTimeout)
 	defer cancel()
 	go func() {
 		select {
@@ -299,11 +314,11 @@
 		case <-ctx.Done():
 		}
 	}()
-	begin := n.now()
+	startedAt := n.now()
 	switch err := n.group.Load().TransferLeadership(ctx); {
 	case err == nil:
-		event.Log(n.Log, event.LeaderTransferred, "took", (n.now() - begin).String())
+		event.Log(n.Log, event.LeaderTransferred, "took", (n.now() - startedAt).String())
 	case !errors.Is(err, group.ErrNoOtherVoter):
-		n.Log.Info("the lead was not handed over", "cause", err.Error())
+		n.Log.Info("leadership was not transferred before the stop", "cause", err.Error())
 	}
 }
--- a/internal/control/node/node_test.go
+++ b/internal/control/node/node_test.go
@@ -32,19 +32,19 @@
 	return l
 }
 
-// The whole path over loopback: a control replica with its journal on a disk,
-// an entry, a backend server, and a caller with a team's key.
-func TestTheWholePath(t *testing.T) {
+// Runs jobs of three kinds over the loopback interface, with a control replica that
+// writes a journal, an entry, a backend server and a caller with a team's key.
+func TestEndToEndOverLoopback(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	cl, callers, backends, operators := listen(t), listen(t), listen(t), listen(t)
+	controlListener, callers, backends, operators := listen(t), listen(t), listen(t), listen(t)
 	digest := key.Digest("secret")
 	n := &node.Node{
-		Cell: "test", Name: "c1", Data: t.TempDir(), Init: true, Listener: cl, Address: cl.Addr().String(),
-		Replicas: []quorum.Member{{ID: "c1", Address: cl.Addr().String()}},
-		Root:     &v1.KeyGrant{Id: "op", Operator: true, Digest: digest[:]},
+		Cell: "test", Name: "c1", DataDir: t.TempDir(), InitCell: true, Listener: controlListener, Address: controlListener.Addr().String(),
+		Replicas: []quorum.Member{{ID: "c1", Address: controlListener.Addr().String()}},
+		RootKey:  &v1.KeyGrant{Id: "op", Operator: true, Digest: digest[:]},
 	}
 	e := &entry.Entry{
-		Cell: "test", Name: "e1", Callers: callers, Backends: backends, Operators: operators, Replicas: []control.Replica{{Name: "c1", Address: cl.Addr().String()}},
+		Cell: "test", Name: "e1", Callers: callers, Backends: backends, Operators: operators, Replicas: []control.Replica{{Name: "c1", Address: controlListener.Addr().String()}},
 		Enrolment: []backend.Digest{backend.Digest(key.Digest("enrol"))}, Linger: time.Millisecond,
 	}
 	s := &server.Server{
@@ -65,94 +65,93 @@
 		<-n.Done()
 	}()
 	operator := v1.NewOperatorClient(http.DefaultClient, "http://"+operators.Addr().String())
-	change := func(req *v1.ChangeRequest) {
+	applyChange := func(req *v1.ChangeRequest) {
 		t.Helper()
-		var rep *connect.Response[v1.ChangeReply]
+		var reply *connect.Response[v1.ChangeReply]
 		var err error
 		for range 100 {
-			if rep, err = operator.Change(ctx, bearer(req, "op.secret")); err == nil {
+			if reply, err = operator.Change(ctx, withKey(req, "op.secret")); err == nil {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		if err != nil || rep.Msg.GetStatus().GetCode() != 0 {
-			t.Fatal(err, rep)
+		if err != nil || reply.Msg.GetStatus().GetCode() != 0 {
+			t.Fatal(err, reply)
 		}
 	}
-	change(&v1.ChangeRequest{Id: "1", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{{Row: &v1.Row{
+	applyChange(&v1.ChangeRequest{Id: "1", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{{Row: &v1.Row{
 		Team: "rail", Weight: 1, Queue: 100, Limit: &v1.Size{Cpu: -1, Memory: -1, Accel: -1, Slots: -1},
 	}}}}}})
-	change(&v1.ChangeRequest{Id: "2", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "rail", Digest: digest[:]}}})
+	applyChange(&v1.ChangeRequest{Id: "2", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "rail", Digest: digest[:]}}})
 	caller := v1.NewCallerClient(http.DefaultClient, "http://"+callers.Addr().String())
 	for _, spec := range []*v1.Spec{
 		{Id: "quote", Kind: v1.Kind_KIND_URGENT, Name: "q", Count: 1, Size: &v1.Size{Cpu: 1000, Memory: 100, Slots: 1}, Input: []byte("3 t of ballast")},
 		{Id: "plan", Kind: v1.Kind_KIND_BATCH, Name: "p", Count: 1, Size: &v1.Size{Cpu: 1000, Memory: 100, Slots: 1}, Input: []byte("section 4")},
 		{Id: "sweep", Kind: v1.Kind_KIND_GANG, Name: "s", Count: 3, Size: &v1.Size{Cpu: 1000, Memory: 100, Slots: 1}, Input: []byte("x")},
 	} {
-		done := false
-		rep, err := caller.Submit(ctx, bearer(&v1.SubmitRequest{Jobs: []*v1.Spec{spec}}, "k.secret"))
-		if err != nil || rep.Msg.GetJobs()[0].GetStatus().GetCode() != 0 {
-			t.Fatal(err, rep)
+		completed := false
+		reply, err := caller.Submit(ctx, withKey(&v1.SubmitRequest{Jobs: []*v1.Spec{spec}}, "k.secret"))
+		if err != nil || reply.Msg.GetJobs()[0].GetStatus().GetCode() != 0 {
+			t.Fatal(err, reply)
 		}
 		for range 20 {
-			w, err := caller.Wait(ctx, bearer(&v1.WaitRequest{Id: spec.GetId(), Patience: 2000}, "k.secret"))
+			w, err := caller.Wait(ctx, withKey(&v1.WaitRequest{Id: spec.GetId(), Patience: 2000}, "k.secret"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if w.Msg.GetOutcome() == v1.Outcome_OUTCOME_DONE {
-				done = true
+				completed = true
 				break
 			}
 		}
-		if !done {
-			t.Errorf("%s has no answer", spec.GetId())
+		if !completed {
+			t.Errorf("job %s did not complete", spec.GetId())
 		}
 	}
 }
 
-func bearer[T any](m *T, k string) *connect.Request[T] {
-	r := connect.NewRequest(m)
-	r.Header().Set("Authorization", "Bearer "+k)
+func withKey[T any](message *T, apiKey string) *connect.Request[T] {
+	r := connect.NewRequest(message)
+	r.Header().Set("Authorization", "Bearer "+apiKey)
 	return r
 }
 
-// Somebody deletes a replica's journal to free its disk and leaves the rest. The
-// replica no longer knows for whom it voted, so it must not vote under its name.
-func TestAReplicaWithoutItsJournalDoesNotStart(t *testing.T) {
-	dir := t.TempDir()
-	start := func(found bool) (*node.Node, context.CancelFunc, chan error) {
+// A replica whose journal was deleted while its identity remains has lost its vote.
+// It must not start, because it could vote twice in the same term.
+func TestReplicaWithoutJournalDoesNotStart(t *testing.T) {
+	dataDir := t.TempDir()
+	start := func(initCell bool) (*node.Node, context.CancelFunc, chan error) {
 		l := listen(t)
 		n := &node.Node{
-			Cell: "test", Name: "c1", Data: dir, Init: found, Listener: l, Address: l.Addr().String(),
+			Cell: "test", Name: "c1", DataDir: dataDir, InitCell: initCell, Listener: l, Address: l.Addr().String(),
 			Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}}, Control: leader.New(),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		go func() { ended <- n.Run(ctx) }()
-		return n, cancel, ended
+		runErr := make(chan error, 1)
+		go func() { runErr <- n.Run(ctx) }()
+		return n, cancel, runErr
 	}
-	n, cancel, ended := start(true)
+	n, cancel, runErr := start(true)
 	for !n.Control.Status().Leads {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	if err := <-ended; err != nil {
+	if err := <-runErr; err != nil {
 		t.Fatal(err)
 	}
-	if err := os.RemoveAll(filepath.Join(dir, "journal")); err != nil {
+	if err := os.RemoveAll(filepath.Join(dataDir, "journal")); err != nil {
 		t.Fatal(err)
 	}
-	_, cancel, ended = start(false)
+	_, cancel, runErr = start(false)
 	defer cancel()
-	if err := <-ended; !errors.Is(err, node.ErrJournalGone) {
-		t.Errorf("it ended with %v", err)
+	if err := <-runErr; !errors.Is(err, node.ErrJournalMissing) {
+		t.Errorf("Run returned %v, want ErrJournalMissing", err)
 	}
 }
 
-// Somebody stops one of three replicas while it still waits for the others at
-// the founding, and starts it again, and a second one after the founding, before
-// the third has learnt of it. The group must found all the same.
-func TestAReplicaMayRestartDuringTheFounding(t *testing.T) {
+// One of three replicas is stopped while it waits for the others to found the group,
+// and is started again. The group must be founded nevertheless.
+func TestReplicaRestartDuringFoundingSucceeds(t *testing.T) {
 	names := []string{"c1", "c2", "c3"}
 	var members []quorum.Member
 	addresses := map[string]string{}
@@ -169,15 +168,15 @@
 			t.Fatal(err)
 		}
 		n := &node.Node{
-			Cell: "test", Name: name, Data: filepath.Join(dir, name), Init: true, Listener: l, Address: addresses[name],
+			Cell: "test", Name: name, DataDir: filepath.Join(dir, name), InitCell: true, Listener: l, Address: addresses[name],
 			Replicas: members, Control: leader.New(),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		go func() { ended <- n.Run(ctx) }()
+		runErr := make(chan error, 1)
+		go func() { runErr <- n.Run(ctx) }()
 		return n, func() {
 			cancel()
-			if err := <-ended; err != nil && !errors.Is(err, context.Canceled) {
+			if err := <-runErr; err != nil && !errors.Is(err, context.Canceled) {
 				t.Error(err)
 			}
 		}
@@ -196,13 +195,13 @@
 		defer stop()
 		nodes = append(nodes, n)
 	}
-	late := time.Now().Add(30 * time.Second)
-	for leads := false; !leads; time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
-			t.Fatal("the group was not founded")
+	deadline := time.Now().Add(30 * time.Second)
+	for hasLeader := false; !hasLeader; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("the group was not founded within 30 s")
 		}
 		for _, n := range nodes {
-			leads = leads || n.Control.Status().Leads
+			hasLeader = hasLeader || n.Control.Status().Leads
 		}
 	}
 }
--- a/internal/control/node/state.go
+++ b/internal/control/node/state.go
@@ -15,37 +15,39 @@
 	"gypsumreel/internal/replica/group"
 )
 
-// inspectWait bounds the wait for the control thread's part of a dump.
-const inspectWait = time.Second
+// inspectTimeout limits the wait for the control thread's part of a state dump.
+const inspectTimeout = time.Second
 
-// Dump is the state of a control process for a person to read.
+// Dump is the state dump of a control process.
 type Dump struct {
 	Cell   string
 	Name   string
 	Ready  string
 	Status leader.Status
 	Group  group.Dump
-	// Control is what the control thread holds; Fault tells why it is missing.
+	// Control is the state of the control thread.
 	Control leader.View
-	Fault   string
-	// Entries are those that fetch replies here, Mailboxes where they do.
-	Entries   []*v1.MemberLine
-	Mailboxes []entry.Box
+	// Fault is the reason why Control is missing; empty if it is present.
+	Fault string
+	// Entries are the entries that pull replies from this process.
+	Entries []*v1.MemberLine
+	// Mailboxes are the open mailboxes of these entries.
+	Mailboxes []entry.MailboxView
 }
 
-// State returns the state of the process for a person to read.
+// State returns the state of the process as a Dump.
 func (n *Node) State() any {
 	d := Dump{Cell: n.Cell, Name: n.Name, Ready: "ready", Status: n.Control.Status()}
-	if err := n.ready(); err != nil {
+	if err := n.readiness(); err != nil {
 		d.Ready = err.Error()
 	}
 	if g := n.group.Load(); g != nil {
 		d.Group = g.Dump()
 	}
-	if s := n.service.Load(); s != nil {
-		d.Entries, d.Mailboxes = s.Entries(), s.Boxes()
+	if service := n.entryService.Load(); service != nil {
+		d.Entries, d.Mailboxes = service.Entries(), service.Mailboxes()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), inspectWait)
+	ctx, cancel := context.WithTimeout(context.Background(), inspectTimeout)
 	defer cancel()
 	view, err := n.Control.Inspect(ctx)
 	if err != nil {
@@ -55,10 +57,10 @@
 	return d
 }
 
-// probes serves health, readiness and metrics. A replica is ready while it
-// knows a leader, itself or another.
-func (n *Node) probes() http.Handler {
-	set := n.meters
+// probeHandler serves the health, readiness and metrics endpoints. A replica is ready
+// while it knows a leader, which may be itself.
+func (n *Node) probeHandler() http.Handler {
+	set := n.metrics
 	status := n.Control.Status
 	set.NewGauge(meter.Name("control", "leads"), func() float64 {
 		if status().Leads {
@@ -68,22 +70,23 @@
 	})
 	set.NewGauge(meter.Name("control", "term"), func() float64 { return float64(status().Term) })
 	set.NewGauge(meter.Name("control", "revision"), func() float64 { return float64(status().Revision) })
-	set.NewGauge(meter.Name("control", "mailboxes"), func() float64 { return float64(len(n.service.Load().Boxes())) })
+	set.NewGauge(meter.Name("control", "mailboxes"), func() float64 { return float64(len(n.entryService.Load().Mailboxes())) })
 	set.NewGauge(meter.Name("control", "mailbox_replies"), func() float64 {
-		sum := 0
-		for _, b := range n.service.Load().Boxes() {
-			sum += b.Replies
+		replies := 0
+		for _, b := range n.entryService.Load().Mailboxes() {
+			replies += b.Replies
 		}
-		return float64(sum)
+		return float64(replies)
 	})
-	return (&platform.Probes{Ready: n.ready, MetricSets: []*metrics.Set{meter.ProcessMetrics, set}}).Handler()
+	return (&platform.Probes{Ready: n.readiness, MetricSets: []*metrics.Set{meter.ProcessMetrics, set}}).Handler()
 }
 
-// matches gives the index up to which each other replica has the log on its disk.
-func matches(d group.Dump) map[string]uint64 {
-	out := map[string]uint64{}
+// matchIndexes returns, for each other replica, the log index up to which the replica
+// has stored the log on its disk.
+func matchIndexes(d group.Dump) map[string]uint64 {
+	indexes := map[string]uint64{}
 	for _, p := range d.Peers {
-		out[p.ID] = p.Match
+		indexes[p.ID] = p.Match
 	}
-	return out
+	return indexes
 }
--- a/internal/domain/answer/answer.go
+++ b/internal/domain/answer/answer.go
@@ -1,4 +1,4 @@
-// Package answer cuts answers into numbered chunks and puts them together again.
+// Package answer splits answers into numbered chunks and reassembles them.
 package answer
 
 import (
@@ -10,144 +10,150 @@
 	v1 "gypsumreel/internal/api/v1"
 )
 
-// Bounds of answers, in bytes.
+// Limits on answers, in bytes.
 const (
-	// ChunkSize is the size of all chunks but the last.
+	// ChunkSize is the size of every chunk except the last, which may be shorter.
 	ChunkSize = 128 << 10
-	// MaxTotal bounds a task's whole answer.
-	MaxTotal = 1 << 20
-	// MaxJob bounds a job's whole answer, the sum over its tasks.
-	MaxJob = 32 << 20
-	// minChunk is the mean size of chunks below which an answer is refused: a
-	// sender that cuts finer would cost more in numbers than in data.
-	minChunk = 1024
+	// MaxTaskAnswer is the maximum size of one task's answer.
+	MaxTaskAnswer = 1 << 20
+	// MaxJobAnswer is the maximum size of a job's answer, summed over its tasks.
+	MaxJobAnswer = 32 << 20
+	// minMeanChunk is the minimum mean chunk size. An answer in smaller chunks
+	// is refused, because the overhead per chunk would exceed the data.
+	minMeanChunk = 1024
 )
 
-// ErrMixed is returned for a chunk that belongs to another answer, or is damaged.
-var ErrMixed = errors.New("chunk of another answer")
+// ErrChunkMismatch is returned for a chunk that is damaged or belongs to another answer.
+var ErrChunkMismatch = errors.New("chunk is damaged or belongs to another answer")
 
-// Count returns the number of chunks of an answer; an empty one has one.
-func Count(total int) uint32 {
+// ChunkCount returns the number of chunks of an answer of the given length in
+// bytes. An empty answer has one chunk.
+func ChunkCount(total int) uint32 {
 	return uint32(max(1, (total+ChunkSize-1)/ChunkSize))
 }
 
-// Cut returns one chunk of an answer; nil when there is none of that number.
-func Cut(data []byte, number uint32) *v1.Chunk {
-	count := Count(len(data))
+// ChunkAt returns the chunk with the given number, or nil when the answer has no
+// such chunk.
+func ChunkAt(data []byte, number uint32) *v1.Chunk {
+	count := ChunkCount(len(data))
 	if number >= count {
 		return nil
 	}
-	from := int(number) * ChunkSize
-	to := min(from+ChunkSize, len(data))
-	return &v1.Chunk{Number: number, Count: count, Total: uint64(len(data)), Sum: xxhash.Sum64(data), Data: data[from:to]}
+	start := int(number) * ChunkSize
+	end := min(start+ChunkSize, len(data))
+	return &v1.Chunk{Number: number, Count: count, Total: uint64(len(data)), Sum: xxhash.Sum64(data), Data: data[start:end]}
 }
 
-// Head is what every chunk of an answer tells of the whole.
-type Head struct {
-	// Total is the length in bytes, Sum the checksum of all of it.
+// Header holds the length and checksum of a whole answer. Every chunk repeats them.
+type Header struct {
+	// Total is the length of the answer in bytes.
 	Total int
-	Sum   uint64
+	// Sum is the xxHash64 checksum of the whole answer.
+	Sum uint64
 }
 
-// NewHead returns the head of an answer that comes in pieces.
-func NewHead(pieces iter.Seq[[]byte]) Head {
-	var h Head
-	sum := xxhash.New()
-	for p := range pieces {
-		_, _ = sum.Write(p)
-		h.Total += len(p)
+// NewHeader returns the header of the answer that the concatenated pieces make up.
+func NewHeader(pieces iter.Seq[[]byte]) Header {
+	var h Header
+	hash := xxhash.New()
+	for piece := range pieces {
+		_, _ = hash.Write(piece)
+		h.Total += len(piece)
 	}
-	h.Sum = sum.Sum64()
+	h.Sum = hash.Sum64()
 	return h
 }
 
-// Cut returns one chunk of the answer that the pieces make; nil when there is
-// none of that number. Only the bytes of the chunk are copied.
-func (h Head) Cut(pieces iter.Seq[[]byte], number uint32) *v1.Chunk {
-	count := Count(h.Total)
+// ChunkAt returns the chunk with the given number of the concatenated pieces, or
+// nil when there is no such chunk. It copies only the bytes of that chunk.
+func (h Header) ChunkAt(pieces iter.Seq[[]byte], number uint32) *v1.Chunk {
+	count := ChunkCount(h.Total)
 	if number >= count {
 		return nil
 	}
-	from := int(number) * ChunkSize
-	to := min(from+ChunkSize, h.Total)
-	data := make([]byte, 0, to-from)
-	at := 0
-	for p := range pieces {
-		if at >= to {
+	start := int(number) * ChunkSize
+	end := min(start+ChunkSize, h.Total)
+	data := make([]byte, 0, end-start)
+	offset := 0
+	for piece := range pieces {
+		if offset >= end {
 			break
 		}
-		data = append(data, p[min(len(p), max(0, from-at)):min(len(p), to-at)]...)
-		at += len(p)
+		data = append(data, piece[min(len(piece), max(0, start-offset)):min(len(piece), end-offset)]...)
+		offset += len(piece)
 	}
 	return &v1.Chunk{Number: number, Count: count, Total: uint64(h.Total), Sum: h.Sum, Data: data}
 }
 
-// Split returns all chunks of an answer.
+// Split returns all chunks of an answer in order.
 func Split(data []byte) []*v1.Chunk {
-	out := make([]*v1.Chunk, 0, Count(len(data)))
-	for n := range Count(len(data)) {
-		out = append(out, Cut(data, n))
+	chunks := make([]*v1.Chunk, 0, ChunkCount(len(data)))
+	for n := range ChunkCount(len(data)) {
+		chunks = append(chunks, ChunkAt(data, n))
 	}
-	return out
+	return chunks
 }
 
-// Parts collects the chunks of one answer in any order. The zero value is empty.
-type Parts struct {
-	// Most bounds the whole answer in bytes; MaxTotal when 0.
-	Most uint64
+// Assembler reassembles one answer from chunks that arrive in any order. The zero
+// value is ready to use.
+type Assembler struct {
+	// MaxBytes is the maximum size of the whole answer; 0 means MaxTaskAnswer.
+	MaxBytes uint64
 
-	head *v1.Chunk
-	data map[uint32][]byte
+	first        *v1.Chunk
+	dataByNumber map[uint32][]byte
 }
 
-// Add takes a chunk; one that came before is dropped. It returns ErrMixed for a
-// chunk of another answer: parts of two answers never make one.
-func (p *Parts) Add(c *v1.Chunk) error {
-	most := p.Most
-	if most == 0 {
-		most = MaxTotal
+// Add stores a chunk and ignores a duplicate. It returns ErrChunkMismatch for a
+// chunk of another answer, so that chunks of two answers are never combined.
+func (a *Assembler) Add(c *v1.Chunk) error {
+	maxBytes := a.MaxBytes
+	if maxBytes == 0 {
+		maxBytes = MaxTaskAnswer
 	}
-	if c.GetCount() == 0 || uint64(c.GetCount()) > most/minChunk+1 || c.GetNumber() >= c.GetCount() || c.GetTotal() > most {
-		return errors.Wrap(ErrMixed, "numbers out of bounds")
+	if c.GetCount() == 0 || uint64(c.GetCount()) > maxBytes/minMeanChunk+1 || c.GetNumber() >= c.GetCount() || c.GetTotal() > maxBytes {
+		return errors.Wrap(ErrChunkMismatch, "chunk number, chunk count or total length out of bounds")
 	}
-	if p.head == nil {
-		p.head, p.data = c, map[uint32][]byte{}
+	if a.first == nil {
+		a.first, a.dataByNumber = c, map[uint32][]byte{}
 	}
-	h := p.head
-	if c.GetCount() != h.GetCount() || c.GetTotal() != h.GetTotal() || c.GetSum() != h.GetSum() {
-		return ErrMixed
+	first := a.first
+	if c.GetCount() != first.GetCount() || c.GetTotal() != first.GetTotal() || c.GetSum() != first.GetSum() {
+		return ErrChunkMismatch
 	}
-	if _, ok := p.data[c.GetNumber()]; !ok {
-		p.data[c.GetNumber()] = c.GetData()
+	if _, ok := a.dataByNumber[c.GetNumber()]; !ok {
+		a.dataByNumber[c.GetNumber()] = c.GetData()
 	}
 	return nil
 }
 
-// Next returns the number of the first missing chunk; false when none is.
-func (p *Parts) Next() (uint32, bool) {
-	if p.head == nil {
+// NextMissing returns the lowest number of a missing chunk, or false when all
+// chunks are present.
+func (a *Assembler) NextMissing() (uint32, bool) {
+	if a.first == nil {
 		return 0, true
 	}
-	for n := range p.head.GetCount() {
-		if _, ok := p.data[n]; !ok {
+	for n := range a.first.GetCount() {
+		if _, ok := a.dataByNumber[n]; !ok {
 			return n, true
 		}
 	}
 	return 0, false
 }
 
-// Whole returns the answer once every chunk is there and length and sum agree;
-// false while chunks are missing, ErrMixed when what came does not add up.
-func (p *Parts) Whole() ([]byte, bool, error) {
-	if p.head == nil || uint32(len(p.data)) < p.head.GetCount() {
+// Assemble returns the answer when all chunks are present and its length and
+// checksum match. It returns false while chunks are missing, and
+// ErrChunkMismatch when the length or the checksum differs.
+func (a *Assembler) Assemble() ([]byte, bool, error) {
+	if a.first == nil || uint32(len(a.dataByNumber)) < a.first.GetCount() {
 		return nil, false, nil
 	}
-	data := make([]byte, 0, p.head.GetTotal())
-	for n := range p.head.GetCount() {
-		data = append(data, p.data[n]...)
+	data := make([]byte, 0, a.first.GetTotal())
+	for n := range a.first.GetCount() {
+		data = append(data, a.dataByNumber[n]...)
 	}
-	if uint64(len(data)) != p.head.GetTotal() || xxhash.Sum64(data) != p.head.GetSum() {
-		return nil, false, errors.Wrap(ErrMixed, "length or sum differs")
+	if uint64(len(data)) != a.first.GetTotal() || xxhash.Sum64(data) != a.first.GetSum() {
+		return nil, false, errors.Wrap(ErrChunkMismatch, "length or checksum differs")
 	}
 	return data, true, nil
 }
--- a/internal/domain/answer/answer_test.go
+++ b/internal/domain/answer/answer_test.go
@@ -11,56 +11,57 @@
 	_ "gypsumreel/internal/fake/seed"
 )
 
-// Chunks arrive twice and in any order, and the answer is whole all the same.
+// Chunks may arrive twice and in any order. The assembled answer must equal the
+// original.
 func TestChunksInAnyOrderGiveTheWholeAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(0, 3*answer.ChunkSize+7).Draw(t, "size")
 		data := bytes.Repeat([]byte("cabinet"), size/7+1)[:size]
 		chunks := answer.Split(data)
 		order := rapid.Permutation(append(chunks, chunks...)).Draw(t, "order")
-		var p answer.Parts
+		var assembler answer.Assembler
 		for _, c := range order {
-			if err := p.Add(c); err != nil {
+			if err := assembler.Add(c); err != nil {
 				t.Fatal(err)
 			}
 		}
-		got, ok, err := p.Whole()
+		got, ok, err := assembler.Assemble()
 		if !ok || err != nil {
-			t.Fatalf("not whole: %v", err)
+			t.Fatalf("the answer was not assembled: %v", err)
 		}
 		if !bytes.Equal(got, data) {
-			t.Fatal("another answer")
+			t.Fatal("assembled data differs from the original")
 		}
 	})
 }
 
-// A caller is shown another job's data: a late chunk of one answer arrives
-// while another is put together. Numbers and length may even agree; the sum of
-// the whole does not.
+// Guards against showing a caller another job's data when a late chunk of one
+// answer arrives while another is assembled. Chunk numbers and total length may
+// agree, but the checksums differ.
 func TestChunksOfTwoAnswersNeverMix(t *testing.T) {
-	one := answer.Split(bytes.Repeat([]byte("a"), answer.ChunkSize+1))
-	two := answer.Split(bytes.Repeat([]byte("b"), answer.ChunkSize+1))
-	var p answer.Parts
-	if err := p.Add(one[0]); err != nil {
+	first := answer.Split(bytes.Repeat([]byte("a"), answer.ChunkSize+1))
+	second := answer.Split(bytes.Repeat([]byte("b"), answer.ChunkSize+1))
+	var assembler answer.Assembler
+	if err := assembler.Add(first[0]); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Add(two[1]); err == nil {
-		t.Error("a chunk of another answer was taken")
+	if err := assembler.Add(second[1]); err == nil {
+		t.Error("a chunk of another answer was accepted")
 	}
-	if _, ok, _ := p.Whole(); ok {
-		t.Error("half an answer passes for a whole one")
+	if _, ok, _ := assembler.Assemble(); ok {
+		t.Error("an incomplete answer was returned as complete")
 	}
 }
 
-func TestDamageShows(t *testing.T) {
+func TestDamagedAnswerIsRejected(t *testing.T) {
 	chunks := answer.Split([]byte("resonance"))
 	chunks[0].Data = []byte("resonanbe")
-	var p answer.Parts
-	if err := p.Add(chunks[0]); err != nil {
+	var assembler answer.Assembler
+	if err := assembler.Add(chunks[0]); err != nil {
 		t.Fatal(err)
 	}
-	_, ok, err := p.Whole()
+	_, ok, err := assembler.Assemble()
 	if diff := cmp.Diff(false, ok); diff != "" || err == nil {
-		t.Errorf("a damaged answer passes: %v", err)
+		t.Errorf("a damaged answer was accepted: %v", err)
 	}
 }
--- a/internal/domain/lease/lease_test.go
+++ b/internal/domain/lease/lease_test.go
@@ -10,45 +10,44 @@
 	_ "gypsumreel/internal/fake/seed"
 )
 
-// A task runs in two places: a server's renewal is answered by a leader whose
-// confirmed round is old, its answer is late, and a new leader is elected in
-// between. The server counts its grant from the send, so whatever the times are,
-// its lease must be over when the new leader's wait is, even on clocks whose
-// rates differ by the stated drift.
+// Guards against a task that runs in two places. A leader whose confirmed round is
+// old answers a renewal late, and a new leader is elected in between. The server
+// counts the grant from the time of sending, so its lease must expire before the
+// wait of the new leader ends, also with the maximum clock drift.
 func TestNoLeaseOutlivesTheNextLeadersWait(t *testing.T) {
-	terms := lease.Terms{Length: lease.DefaultLength, Drift: lease.DefaultDrift}
+	terms := lease.Terms{Length: lease.DefaultLength, MaxClockDrift: lease.DefaultMaxClockDrift}
 	rapid.Check(t, func(t *rapid.T) {
-		ms := func(name string, most int64) time.Duration {
-			return time.Duration(rapid.Int64Range(0, most).Draw(t, name)) * time.Millisecond
+		drawMillis := func(name string, maxMillis int64) time.Duration {
+			return time.Duration(rapid.Int64Range(0, maxMillis).Draw(t, name)) * time.Millisecond
 		}
-		start := 10*time.Second + ms("start", 20_000)
-		// A request that is held back may be granted from a round that began
-		// after it came in.
-		received := start + ms("age", 10_000) - ms("held", 3_000)
-		sent := received - ms("way", 5_000)
-		// A later leader is elected after the round that this one had confirmed began.
-		elected := start + ms("elected", 10_000)
+		roundStart := 10*time.Second + drawMillis("start", 20_000)
+		// A delayed request may be granted from a round that began after the
+		// request was received.
+		receivedAt := roundStart + drawMillis("age", 10_000) - drawMillis("held", 3_000)
+		sentAt := receivedAt - drawMillis("way", 5_000)
+		// The next leader is elected after the start of the confirmed round.
+		nextElectedAt := roundStart + drawMillis("elected", 10_000)
 
-		old := lease.NewBook(terms, 0)
-		grant := old.Renew("s", start, received)
+		oldTracker := lease.NewTracker(terms, 0)
+		grant := oldTracker.Renew("s", roundStart, receivedAt)
 		if grant == 0 {
 			return
 		}
-		// The server's clock may be the slower one.
-		end := sent + time.Duration(float64(grant)*(1+terms.Drift))
-		next := lease.NewBook(terms, elected)
-		if next.Over("s", end-1) {
-			t.Fatalf("the next leader calls the lease over at %v, it ends at %v", end-1, end)
+		// The server's clock may run slower than the leader's.
+		leaseEnd := sentAt + time.Duration(float64(grant)*(1+terms.MaxClockDrift))
+		nextTracker := lease.NewTracker(terms, nextElectedAt)
+		if nextTracker.Expired("s", leaseEnd-1) {
+			t.Fatalf("the next leader treats the lease as expired at %v, but it ends at %v", leaseEnd-1, leaseEnd)
 		}
-		if old.Over("s", end-1) {
-			t.Fatalf("the same leader calls the lease over at %v, it ends at %v", end-1, end)
+		if oldTracker.Expired("s", leaseEnd-1) {
+			t.Fatalf("the granting leader treats the lease as expired at %v, but it ends at %v", leaseEnd-1, leaseEnd)
 		}
 	})
 }
 
 func TestGrantIsNeverNegative(t *testing.T) {
 	terms := lease.Terms{Length: time.Second}
-	if g := terms.Grant(0, 5*time.Second); g != 0 {
-		t.Errorf("an old round grants %v", g)
+	if grant := terms.Grant(0, 5*time.Second); grant != 0 {
+		t.Errorf("a round older than the lease length grants %v, want 0", grant)
 	}
 }
