--- a/internal/cli/entry/entry.go
+++ b/internal/cli/entry/entry.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	e.Outside, e.Inside = sides.Outside.Server(), sides.Inside.Client(sides.Replicas...)
+	e.OutsideTLS, e.InsideTLS = sides.Outside.Server(), sides.Inside.Client(sides.Replicas...)
 	pool := e.Pool()
 	pool.Timeout, pool.Freshness, pool.Batch = s.Time.Call, s.Time.Fresh, int(s.Limits.Batch)
 	event.Log(e.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
@@ -62,10 +62,10 @@
 // build makes the daemon from its settings.
 func build(s *settings.Settings) (*entry.Entry, error) {
 	e := &entry.Entry{
-		Cell: s.Cell, Name: s.Name, Drain: s.Time.Finish,
+		Cell: s.Cell, Name: s.Name, DrainTimeout: s.Time.Finish,
 		// Zero would stand for the entry's own default.
-		Linger:      max(s.Time.Drain, time.Nanosecond),
-		Connections: min(int(s.Limits.Connections), files.New(files.Limit(s.Limits.Files)).Share(files.Callers)), Limit: int(s.Limits.Queue),
+		ShutdownDelay:  max(s.Time.Drain, time.Nanosecond),
+		MaxConnections: min(int(s.Limits.Connections), files.New(files.Limit(s.Limits.Files)).Share(files.Callers)), MaxPendingRequests: int(s.Limits.Queue),
 	}
 	bounds.Memory(s.Limits.Memory)
 	for _, l := range []struct {
@@ -73,10 +73,10 @@
 		address string
 		to      *net.Listener
 	}{
-		{"listen.callers", s.Listen.Callers, &e.Callers},
-		{"listen.backends", s.Listen.Backends, &e.Backends},
-		{"listen.operators", s.Listen.Operators, &e.Operators},
-		{"listen.platform", s.Listen.Platform, &e.Platform},
+		{"listen.callers", s.Listen.Callers, &e.CallerListener},
+		{"listen.backends", s.Listen.Backends, &e.BackendListener},
+		{"listen.operators", s.Listen.Operators, &e.OperatorListener},
+		{"listen.platform", s.Listen.Platform, &e.PlatformListener},
 	} {
 		var err error
 		if *l.to, err = net.Listen("tcp", l.address); err != nil {
@@ -84,14 +84,14 @@
 		}
 	}
 	for _, p := range s.Control {
-		e.Replicas = append(e.Replicas, control.Replica{Name: p.Name, Address: p.Address})
+		e.ControlReplicas = append(e.ControlReplicas, control.Replica{Name: p.Name, Address: p.Address})
 	}
 	for _, text := range s.Enrolment {
 		digest, err := hex.DecodeString(text)
 		if err != nil || len(digest) != len(backend.Digest{}) {
 			return nil, errors.Newf("enrolment: %q is no digest", text)
 		}
-		e.Enrolment = append(e.Enrolment, backend.Digest(digest))
+		e.EnrolmentDigests = append(e.EnrolmentDigests, backend.Digest(digest))
 	}
 	return e, nil
 }
--- a/internal/control/node/node_test.go
+++ b/internal/control/node/node_test.go
@@ -44,8 +44,8 @@
 		Root:     &v1.KeyGrant{Id: "op", Operator: true, Digest: digest[:]},
 	}
 	e := &entry.Entry{
-		Cell: "test", Name: "e1", Callers: callers, Backends: backends, Operators: operators, Replicas: []control.Replica{{Name: "c1", Address: cl.Addr().String()}},
-		Enrolment: []backend.Digest{backend.Digest(key.Digest("enrol"))}, Linger: time.Millisecond,
+		Cell: "test", Name: "e1", CallerListener: callers, BackendListener: backends, OperatorListener: operators, ControlReplicas: []control.Replica{{Name: "c1", Address: cl.Addr().String()}},
+		EnrolmentDigests: []backend.Digest{backend.Digest(key.Digest("enrol"))}, ShutdownDelay: time.Millisecond,
 	}
 	s := &server.Server{
 		Name: "b1", Entries: []server.Entry{server.NewEntry(backends.Addr().String(), nil, nil)}, Secret: "enrol",
--- a/internal/edge/codec/codec_test.go
+++ b/internal/edge/codec/codec_test.go
@@ -12,10 +12,10 @@
 
 // A script sends half a message, nothing, or far too much. Whoever reads the
 // answer finds the number of the fault in the list of codes.
-func TestBadInputGetsANumber(t *testing.T) {
-	const most = 100
-	path, handler := v1.NewCallerHandler(v1.UnimplementedCallerHandler{}, codec.Options())
-	h := codec.Limit(most, handler)
+func TestBadInputGetsResultCode(t *testing.T) {
+	const maxBytes = 100
+	path, handler := v1.NewCallerHandler(v1.UnimplementedCallerHandler{}, codec.HandlerOptions())
+	h := codec.LimitRequestSize(maxBytes, handler)
 	for name, c := range map[string]struct {
 		kind, body, want string
 	}{
@@ -23,7 +23,7 @@
 		"nothing":          {"application/json", "", "501: "},
 		"wrong type":       {"application/json; charset=utf-8", `{"jobs":7}`, "501: "},
 		"half of protobuf": {"application/proto", "\x0a\x7f", "501: "},
-		"too much":         {"application/json", strings.Repeat(" ", most+1), "504: "},
+		"too much":         {"application/json", strings.Repeat(" ", maxBytes+1), "504: "},
 		"good":             {"application/json", `{"unknown":1}`, "unimplemented"},
 	} {
 		r := httptest.NewRequest(http.MethodPost, path+"Submit", strings.NewReader(c.body))
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -31,28 +31,28 @@
 
 // Defaults of the fields that are left zero.
 const (
-	// DefaultLinger is how long the entry serves on after readiness fails, for the balancer to notice.
-	DefaultLinger = 5 * time.Second
-	// DefaultDrain bounds the wait for requests under way after that.
-	DefaultDrain = 15 * time.Second
-	// DefaultAge is the longest life of a connection from outside, but for the request under way.
-	DefaultAge = 5 * time.Minute
-	// DefaultConnections bounds the connections from outside.
-	DefaultConnections = 20_000
+	// DefaultShutdownDelay is how long the entry serves on after readiness fails, for the balancer to notice.
+	DefaultShutdownDelay = 5 * time.Second
+	// DefaultDrainTimeout bounds the wait for requests under way after that.
+	DefaultDrainTimeout = 15 * time.Second
+	// DefaultMaxConnectionAge is the longest life of a connection from outside, but for the request under way.
+	DefaultMaxConnectionAge = 5 * time.Minute
+	// DefaultMaxConnections bounds the connections from outside.
+	DefaultMaxConnections = 20_000
 )
 
 // Bounds on what one connection may do; they end slow readers and slow writers.
 const (
-	headerTimeout = 5 * time.Second
-	readTimeout   = 30 * time.Second
-	writeTimeout  = 30 * time.Second
-	idleTimeout   = 60 * time.Second
-	maxHeader     = 16 << 10
-	maxStreams    = 256
-	pingAfter     = 10 * time.Second
-	pingTimeout   = 5 * time.Second
-	// noCompression is a size that no answer reaches: an entry's processor time is worth more than its bytes.
-	noCompression = 1 << 30
+	headerTimeout  = 5 * time.Second
+	readTimeout    = 30 * time.Second
+	writeTimeout   = 30 * time.Second
+	idleTimeout    = 60 * time.Second
+	maxHeaderBytes = 16 << 10
+	maxStreams     = 256
+	pingIdleTime   = 10 * time.Second
+	pingTimeout    = 5 * time.Second
+	// minCompressBytes is a size that no answer reaches: an entry's processor time is worth more than its bytes.
+	minCompressBytes = 1 << 30
 )
 
 // Entry is the entry daemon. Set the fields, then call Run.
@@ -60,41 +60,41 @@
 	// Cell and Name identify the entry to the leader.
 	Cell string
 	Name string
-	// Callers, Backends, Operators and Platform are the listeners, one for each
+	// CallerListener, Backends, Operators and Platform are the listeners, one for each
 	// peer; one that is nil is not served.
-	Callers   net.Listener
-	Backends  net.Listener
-	Operators net.Listener
-	Platform  net.Listener
-	// Outside is the configuration for calls from outside; nil for plain ones.
-	Outside *tls.Config
-	// Replicas is the control group.
-	Replicas []control.Replica
-	// Inside is the configuration for calls to the control group; nil for plain ones.
-	Inside *tls.Config
+	CallerListener   net.Listener
+	BackendListener  net.Listener
+	OperatorListener net.Listener
+	PlatformListener net.Listener
+	// OutsideTLS is the configuration for calls from outside; nil for plain ones.
+	OutsideTLS *tls.Config
+	// ControlReplicas is the control group.
+	ControlReplicas []control.Replica
+	// InsideTLS is the configuration for calls to the control group; nil for plain ones.
+	InsideTLS *tls.Config
 	// Dial opens connections to the control group; nil for TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Enrolment holds the digests of the secrets that backend servers may show.
-	Enrolment []backend.Digest
-	Audit     operator.Audit
-	Log       logr.Logger
+	// EnrolmentDigests holds the digests of the secrets that backend servers may show.
+	EnrolmentDigests []backend.Digest
+	Auditor          operator.Auditor
+	Log              logr.Logger
 	// Abort ends a graceful stop at once when closed: the second signal.
 	Abort <-chan struct{}
 
-	Linger      time.Duration
-	Drain       time.Duration
-	Age         time.Duration
-	Connections int
-	// Limit bounds the requests that wait for the leader.
-	Limit int
+	ShutdownDelay    time.Duration
+	DrainTimeout     time.Duration
+	MaxConnectionAge time.Duration
+	MaxConnections   int
+	// MaxPendingRequests bounds the requests that wait for the leader.
+	MaxPendingRequests int
 
-	prepare sync.Once
-	pool    *control.Pool
-	meters  *metrics.Set
-	phase   atomic.Int32
-	// unready is what the last probe was told.
-	unready atomic.Bool
-	done    chan struct{}
+	initOnce  sync.Once
+	pool      *control.Pool
+	metricSet *metrics.Set
+	phase     atomic.Int32
+	// reportedUnready is what the last probe was told.
+	reportedUnready atomic.Bool
+	done            chan struct{}
 }
 
 // The phases of an entry's life.
@@ -108,30 +108,30 @@
 
 var phaseNames = [...]string{"serving", "unready", "draining"}
 
-var errLeaving = errors.New("the entry is stopping")
+var errStopping = errors.New("the entry is stopping")
 
 func (e *Entry) init() {
-	e.prepare.Do(func() {
-		if e.Linger == 0 {
-			e.Linger = DefaultLinger
+	e.initOnce.Do(func() {
+		if e.ShutdownDelay == 0 {
+			e.ShutdownDelay = DefaultShutdownDelay
 		}
-		if e.Drain == 0 {
-			e.Drain = DefaultDrain
+		if e.DrainTimeout == 0 {
+			e.DrainTimeout = DefaultDrainTimeout
 		}
-		if e.Age == 0 {
-			e.Age = DefaultAge
+		if e.MaxConnectionAge == 0 {
+			e.MaxConnectionAge = DefaultMaxConnectionAge
 		}
-		if e.Connections == 0 {
-			e.Connections = DefaultConnections
+		if e.MaxConnections == 0 {
+			e.MaxConnections = DefaultMaxConnections
 		}
-		if e.Audit == nil {
-			e.Audit = logAudit{e.Log}
+		if e.Auditor == nil {
+			e.Auditor = logAuditor{e.Log}
 		}
-		e.meters = metrics.NewSet()
+		e.metricSet = metrics.NewSet()
 		e.done = make(chan struct{})
 		e.pool = &control.Pool{
-			Cell: e.Cell, Name: e.Name, Replicas: e.Replicas, TLS: e.Inside, Dial: e.Dial,
-			Log: e.Log, Meters: e.meters, Limit: e.Limit,
+			Cell: e.Cell, Name: e.Name, Replicas: e.ControlReplicas, TLS: e.InsideTLS, Dial: e.Dial,
+			Log: e.Log, Meters: e.metricSet, Limit: e.MaxPendingRequests,
 		}
 	})
 }
@@ -150,42 +150,42 @@
 
 // services returns what there is to serve.
 func (e *Entry) services() []service {
-	count := connect.WithHandlerOptions(codec.Options(), connect.WithInterceptors(newCount(e.meters)), connect.WithCompressMinBytes(noCompression))
+	options := connect.WithHandlerOptions(codec.HandlerOptions(), connect.WithInterceptors(newCallCounter(e.metricSet)), connect.WithCompressMinBytes(minCompressBytes))
 	all := []service{
-		{e.Callers, e.server(mounted(caller.MaxRequest)((&caller.Handler{Leader: e.pool}).Route(count)))},
-		{e.Backends, e.server(mounted(backend.MaxRequest)((&backend.Handler{Leader: e.pool, Enrolment: e.Enrolment, Log: e.Log}).Route(count)))},
-		{e.Operators, e.server(mounted(operator.MaxRequest)((&operator.Handler{Leader: e.pool, Audit: e.Audit, Name: e.Name, State: e.state}).Route(count)))},
-		{e.Platform, e.server((&platform.Probes{Ready: e.ready, Meters: []*metrics.Set{e.meters, meter.Common}}).Route())},
+		{e.CallerListener, e.newServer(mountWithLimit(caller.MaxRequestSize)((&caller.Handler{Leader: e.pool}).Route(options)))},
+		{e.BackendListener, e.newServer(mountWithLimit(backend.MaxRequestSize)((&backend.Handler{Leader: e.pool, EnrolmentDigests: e.EnrolmentDigests, Log: e.Log}).Route(options)))},
+		{e.OperatorListener, e.newServer(mountWithLimit(operator.MaxRequestSize)((&operator.Handler{Leader: e.pool, Auditor: e.Auditor, EntryName: e.Name, State: e.currentState}).Route(options)))},
+		{e.PlatformListener, e.newServer((&platform.Probes{Ready: e.checkReady, Meters: []*metrics.Set{e.metricSet, meter.Common}}).Route())},
 	}
 	return slices.DeleteFunc(all, func(s service) bool { return s.listener == nil })
 }
 
-// mounted serves a service at its path, with a bound on its requests in bytes.
-func mounted(most int64) func(path string, h http.Handler) http.Handler {
+// mountWithLimit serves a service at its path, with a bound on its requests in bytes.
+func mountWithLimit(maxRequestBytes int64) func(path string, h http.Handler) http.Handler {
 	return func(path string, h http.Handler) http.Handler {
 		mux := http.NewServeMux()
-		mux.Handle(path, codec.Limit(most, h))
+		mux.Handle(path, codec.LimitRequestSize(maxRequestBytes, h))
 		return mux
 	}
 }
 
-// ready answers the balancer's probe and logs when the answer changes.
-func (e *Entry) ready() error {
-	fault := e.fault()
-	if was := e.unready.Swap(fault != nil); was != (fault != nil) {
-		if fault != nil {
-			event.Fail(e.Log, event.Unready, fault)
+// checkReady answers the balancer's probe and logs when the answer changes.
+func (e *Entry) checkReady() error {
+	err := e.readinessError()
+	if wasUnready := e.reportedUnready.Swap(err != nil); wasUnready != (err != nil) {
+		if err != nil {
+			event.Fail(e.Log, event.Unready, err)
 		} else {
 			event.Log(e.Log, event.Ready)
 		}
 	}
-	return fault
+	return err
 }
 
-// fault returns nil while the balancer may send requests here, else why not.
-func (e *Entry) fault() error {
+// readinessError returns nil while the balancer may send requests here, else why not.
+func (e *Entry) readinessError() error {
 	if e.phase.Load() != phaseServing {
-		return errLeaving
+		return errStopping
 	}
 	if !e.pool.Fresh() {
 		return errors.New("no leader is in contact")
@@ -200,15 +200,15 @@
 	defer close(e.done)
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	running, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	wg.Go(func() { _ = e.pool.Run(running) })
+	poolCtx, stopPool := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopPool()
+	wg.Go(func() { _ = e.pool.Run(poolCtx) })
 
 	services := e.services()
-	faults := make(chan error, len(services))
+	serveErrors := make(chan error, len(services))
 	for _, s := range services {
 		event.Log(e.Log, event.Listening, "address", s.listener.Addr().String())
-		wg.Go(func() { faults <- e.serve(s) })
+		wg.Go(func() { serveErrors <- e.serve(s) })
 	}
 	defer func() {
 		for _, s := range services {
@@ -216,30 +216,30 @@
 		}
 	}()
 	select {
-	case err := <-faults:
+	case err := <-serveErrors:
 		return errors.Wrap(err, "serve")
 	case <-ctx.Done():
-		return e.stop(services)
+		return e.shutDownGracefully(services)
 	}
 }
 
-// stop is the planned stop, in this order: readiness fails; everything is
+// shutDownGracefully is the planned stop, in this order: readiness fails; everything is
 // served on until the balancer has noticed; long polls end with the word to
 // turn to another entry; requests under way finish. Each step is bounded, and
 // Abort ends them all.
-func (e *Entry) stop(services []service) error {
+func (e *Entry) shutDownGracefully(services []service) error {
 	e.phase.Store(phaseUnready)
-	event.Log(e.Log, event.StopBegun, "linger", e.Linger.String(), "drain", e.Drain.String())
+	event.Log(e.Log, event.StopBegun, "linger", e.ShutdownDelay.String(), "drain", e.DrainTimeout.String())
 	event.Log(e.Log, event.StopDraining)
 	select {
-	case <-time.After(e.Linger):
+	case <-time.After(e.ShutdownDelay):
 	case <-e.Abort:
 		return errors.New("the stop was cut short")
 	}
 	e.phase.Store(phaseDraining)
 	e.pool.EndPolls()
 	event.Log(e.Log, event.StopFinishing, "pending", e.pool.Pending())
-	ctx, cancel := context.WithTimeout(context.Background(), e.Drain)
+	ctx, cancel := context.WithTimeout(context.Background(), e.DrainTimeout)
 	defer cancel()
 	go func() {
 		select {
@@ -248,15 +248,15 @@
 		case <-ctx.Done():
 		}
 	}()
-	if err := shutdown(ctx, services); err != nil {
+	if err := shutDownServers(ctx, services); err != nil {
 		event.Fail(e.Log, event.StopForced, err, "pending", e.pool.Pending())
 		return errors.Wrap(err, "the stop was cut short")
 	}
 	return nil
 }
 
-// shutdown lets the services finish what is under way.
-func shutdown(ctx context.Context, services []service) error {
+// shutDownServers lets the services finish what is under way.
+func shutDownServers(ctx context.Context, services []service) error {
 	var g errgroup.Group
 	for _, s := range services {
 		g.Go(func() error { return s.server.Shutdown(ctx) })
@@ -264,26 +264,26 @@
 	return g.Wait()
 }
 
-func (e *Entry) server(h http.Handler) *http.Server {
-	both := new(http.Protocols)
-	both.SetHTTP1(true)
-	both.SetHTTP2(true)
-	both.SetUnencryptedHTTP2(true)
+func (e *Entry) newServer(h http.Handler) *http.Server {
+	protocols := new(http.Protocols)
+	protocols.SetHTTP1(true)
+	protocols.SetHTTP2(true)
+	protocols.SetUnencryptedHTTP2(true)
 	return &http.Server{
-		Handler: aged(h), Protocols: both, ConnContext: e.born,
+		Handler: closeExpiredConns(h), Protocols: protocols, ConnContext: e.withConnExpiry,
 		ReadHeaderTimeout: headerTimeout, ReadTimeout: readTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: maxHeader,
+		MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog:       event.HTTPLog(e.Log),
-		HTTP2:          &http.HTTP2Config{MaxConcurrentStreams: maxStreams, SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+		HTTP2:          &http.HTTP2Config{MaxConcurrentStreams: maxStreams, SendPingTimeout: pingIdleTime, PingTimeout: pingTimeout},
 	}
 }
 
 func (e *Entry) serve(s service) error {
-	l := netutil.LimitListener(s.listener, e.Connections)
-	if e.Outside == nil {
+	l := netutil.LimitListener(s.listener, e.MaxConnections)
+	if e.OutsideTLS == nil {
 		return s.server.Serve(l)
 	}
 	// net/http writes the protocols it speaks into the configuration it is given.
-	s.server.TLSConfig = e.Outside.Clone()
+	s.server.TLSConfig = e.OutsideTLS.Clone()
 	return s.server.ServeTLS(l, "", "")
 }
--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -9,21 +9,21 @@
 	"gypsumreel/internal/fake/server"
 )
 
-func TestJobsRunAndAnswersComeBackWhole(t *testing.T) {
+func TestJobsRunAndReturnCompleteAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(0)
+		w := newTestCell(0)
 		defer w.close()
-		c := w.client(w.team)
-		defer c.reset()
-		began := time.Now()
+		c := w.newClient(w.teamKey)
+		defer c.closeIdle()
+		startedAt := time.Now()
 		for i, wish := range []server.Wish{{}, {Sleep: "300ms"}, {Size: 200_000}} {
-			if fault := c.runs(i, fmt.Sprintf("job-%d", i), wish); fault != "" {
-				t.Error(fault)
+			if problem := c.runJob(i, fmt.Sprintf("job-%d", i), wish); problem != "" {
+				t.Error(problem)
 			}
-			t.Log(time.Since(began))
+			t.Log(time.Since(startedAt))
 		}
-		for _, f := range w.record.Faults() {
-			t.Error(f)
+		for _, violation := range w.taskRecord.Faults() {
+			t.Error(violation)
 		}
 	})
 }
--- a/internal/edge/entry/leader_test.go
+++ b/internal/edge/entry/leader_test.go
@@ -11,70 +11,70 @@
 	v1 "gypsumreel/internal/api/v1"
 )
 
-// replica is one fake process of the control group. The one that the cell names leads.
-type replica struct {
-	cell *cell
-	name string
-	gate gate
-	// room bounds the items of one Push; 0 for no bound.
-	room int
-
-	sessions map[uint64]*session
+// fakeReplica is one fake process of the control group. The one that the cell names leads.
+type fakeReplica struct {
+	ledger *fakeLedger
+	name   string
+	gate   pauseGate
+	// maxItemsPerPush bounds the items of one Push; 0 for no bound.
+	maxItemsPerPush int
+
+	sessions map[uint64]*entrySession
 	server   *http.Server
 }
 
-// gate holds everything while it is shut, as a stopped process would. It waits
+// pauseGate holds everything while it is shut, as a stopped process would. It waits
 // on a channel, since a virtual clock stands still while a mutex is waited for.
-type gate struct {
-	mu   sync.Mutex
-	shut chan struct{}
+type pauseGate struct {
+	mu     sync.Mutex
+	closed chan struct{}
 }
 
-func (g *gate) close() {
+func (g *pauseGate) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut == nil {
-		g.shut = make(chan struct{})
+	if g.closed == nil {
+		g.closed = make(chan struct{})
 	}
 }
 
-func (g *gate) open() {
+func (g *pauseGate) open() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut != nil {
-		close(g.shut)
-		g.shut = nil
+	if g.closed != nil {
+		close(g.closed)
+		g.closed = nil
 	}
 }
 
-func (g *gate) pass() {
+func (g *pauseGate) waitUntilOpen() {
 	g.mu.Lock()
-	shut := g.shut
+	closed := g.closed
 	g.mu.Unlock()
-	if shut != nil {
-		<-shut
+	if closed != nil {
+		<-closed
 	}
 }
 
-// session is one entry's, for as long as it stays with this replica.
-type session struct {
+// entrySession is one entry's, for as long as it stays with this replica.
+type entrySession struct {
 	replies []*inner.Reply
-	// first is the number of the first reply kept.
-	first  uint64
-	parked map[uint64]*parked
-	news   chan struct{}
+	// firstReplyNumber is the number of the first reply kept.
+	firstReplyNumber uint64
+	parkedItems      map[uint64]*parkedItem
+	replyAdded       chan struct{}
 }
 
-type parked struct {
-	item  *inner.Item
-	until time.Time
+type parkedItem struct {
+	item     *inner.Item
+	deadline time.Time
 }
 
 // serve is one life of the replica: it ends with ctx, and its sessions with it.
-func (r *replica) serve(ctx context.Context, l net.Listener) {
-	r.cell.mu.Lock()
-	r.sessions = map[uint64]*session{}
-	r.cell.mu.Unlock()
+func (r *fakeReplica) serve(ctx context.Context, l net.Listener) {
+	r.ledger.mu.Lock()
+	r.sessions = map[uint64]*entrySession{}
+	r.ledger.mu.Unlock()
 	r.server = &http.Server{Handler: inner.NewControlServer(r)}
 	go func() {
 		tick := time.NewTicker(50 * time.Millisecond)
@@ -86,134 +86,134 @@
 				_ = r.server.Close()
 				return
 			case <-tick.C:
-				r.gate.pass()
-				r.cell.mu.Lock()
-				r.settle()
-				r.cell.mu.Unlock()
+				r.gate.waitUntilOpen()
+				r.ledger.mu.Lock()
+				r.answerParkedItems()
+				r.ledger.mu.Unlock()
 			}
 		}
 	}()
 	_ = r.server.Serve(l)
 }
 
-func (r *replica) leads() bool { return r.cell.leader == r.name }
+func (r *fakeReplica) isLeader() bool { return r.ledger.leader == r.name }
 
-func (r *replica) redirect() *inner.Redirect {
-	return &inner.Redirect{Leader: r.cell.leader, Address: r.cell.leader}
+func (r *fakeReplica) redirect() *inner.Redirect {
+	return &inner.Redirect{Leader: r.ledger.leader, Address: r.ledger.leader}
 }
 
-func (r *replica) session(n uint64) *session {
-	s, ok := r.sessions[n]
+func (r *fakeReplica) sessionFor(number uint64) *entrySession {
+	s, ok := r.sessions[number]
 	if !ok {
-		s = &session{first: 1, parked: map[uint64]*parked{}, news: make(chan struct{})}
-		r.sessions[n] = s
+		s = &entrySession{firstReplyNumber: 1, parkedItems: map[uint64]*parkedItem{}, replyAdded: make(chan struct{})}
+		r.sessions[number] = s
 	}
 	return s
 }
 
 // Push queues items.
-func (r *replica) Push(_ context.Context, req *inner.PushRequest) (*inner.PushReply, error) {
-	r.gate.pass()
-	r.cell.mu.Lock()
-	defer r.cell.mu.Unlock()
-	if !r.leads() {
+func (r *fakeReplica) Push(_ context.Context, req *inner.PushRequest) (*inner.PushReply, error) {
+	r.gate.waitUntilOpen()
+	r.ledger.mu.Lock()
+	defer r.ledger.mu.Unlock()
+	if !r.isLeader() {
 		return &inner.PushReply{Redirect: r.redirect()}, nil
 	}
-	s := r.session(req.GetSession())
+	s := r.sessionFor(req.GetSession())
 	reply := &inner.PushReply{}
 	for i, item := range req.GetItems() {
-		if r.room > 0 && i >= r.room {
+		if r.maxItemsPerPush > 0 && i >= r.maxItemsPerPush {
 			reply.Refused = append(reply.Refused, item.GetSeq())
 			continue
 		}
-		r.take(s, item)
+		r.acceptItem(s, item)
 	}
-	r.settle()
+	r.answerParkedItems()
 	return reply, nil
 }
 
-func (r *replica) take(s *session, item *inner.Item) {
+func (r *fakeReplica) acceptItem(s *entrySession, item *inner.Item) {
 	if sync := item.GetSync(); sync != nil {
-		if b, ok := r.cell.servers[sync.GetServer()]; ok && b.incarnation == sync.GetIncarnation() && !b.gone {
+		if b, ok := r.ledger.servers[sync.GetServer()]; ok && b.incarnation == sync.GetIncarnation() && !b.lost {
 			// The latest moment that the lease given below may count from.
-			b.expires = time.Now().Add(r.cell.lease + r.cell.margin)
+			b.leaseExpiresAt = time.Now().Add(r.ledger.leaseLength + r.ledger.leaseMargin)
 		}
-		r.supersede(sync)
+		r.dropOlderSyncs(sync)
 	}
-	patience := max(item.GetWait().GetPatience(), item.GetSync().GetPatience())
-	s.parked[item.GetSeq()] = &parked{item, time.Now().Add(time.Duration(patience) * time.Millisecond)}
+	pollWait := max(item.GetWait().GetPatience(), item.GetSync().GetPatience())
+	s.parkedItems[item.GetSeq()] = &parkedItem{item, time.Now().Add(time.Duration(pollWait) * time.Millisecond)}
 }
 
-// supersede drops the parked syncs of the same server with lower numbers.
-func (r *replica) supersede(sync *v1.SyncRequest) {
+// dropOlderSyncs drops the parked syncs of the same server with lower numbers.
+func (r *fakeReplica) dropOlderSyncs(sync *v1.SyncRequest) {
 	for _, s := range r.sessions {
-		for seq, p := range s.parked {
-			if old := p.item.GetSync(); old.GetServer() == sync.GetServer() && old != nil && old.GetNumber() < sync.GetNumber() {
-				delete(s.parked, seq)
+		for seq, p := range s.parkedItems {
+			if parkedSync := p.item.GetSync(); parkedSync.GetServer() == sync.GetServer() && parkedSync != nil && parkedSync.GetNumber() < sync.GetNumber() {
+				delete(s.parkedItems, seq)
 			}
 		}
 	}
 }
 
-// settle answers what can be answered.
-func (r *replica) settle() {
-	if !r.leads() {
+// answerParkedItems answers what can be answered.
+func (r *fakeReplica) answerParkedItems() {
+	if !r.isLeader() {
 		return
 	}
-	r.cell.tick()
+	r.ledger.expireLeasesAndPlaceJobs()
 	now := time.Now()
 	for _, s := range r.sessions {
-		for seq, p := range s.parked {
-			reply := r.cell.answer(p.item, !now.Before(p.until))
+		for seq, p := range s.parkedItems {
+			reply := r.ledger.replyTo(p.item, !now.Before(p.deadline))
 			if reply == nil {
 				continue
 			}
 			reply.Seq = seq
-			delete(s.parked, seq)
+			delete(s.parkedItems, seq)
 			s.replies = append(s.replies, reply)
-			close(s.news)
-			s.news = make(chan struct{})
+			close(s.replyAdded)
+			s.replyAdded = make(chan struct{})
 		}
 	}
 }
 
 // Pull hands out replies.
-func (r *replica) Pull(ctx context.Context, req *inner.PullRequest) (*inner.PullReply, error) {
-	until := time.After(time.Duration(req.GetPatience()) * time.Millisecond)
-	for over := false; ; {
-		r.gate.pass()
-		reply, news := r.pull(req, over)
+func (r *fakeReplica) Pull(ctx context.Context, req *inner.PullRequest) (*inner.PullReply, error) {
+	timeout := time.After(time.Duration(req.GetPatience()) * time.Millisecond)
+	for waitExpired := false; ; {
+		r.gate.waitUntilOpen()
+		reply, replyAdded := r.tryPull(req, waitExpired)
 		if reply != nil {
 			return reply, nil
 		}
 		select {
-		case <-news:
-		case <-until:
-			over = true
+		case <-replyAdded:
+		case <-timeout:
+			waitExpired = true
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-func (r *replica) pull(req *inner.PullRequest, over bool) (*inner.PullReply, <-chan struct{}) {
-	r.cell.mu.Lock()
-	defer r.cell.mu.Unlock()
-	if !r.leads() {
+func (r *fakeReplica) tryPull(req *inner.PullRequest, waitExpired bool) (*inner.PullReply, <-chan struct{}) {
+	r.ledger.mu.Lock()
+	defer r.ledger.mu.Unlock()
+	if !r.isLeader() {
 		return &inner.PullReply{Redirect: r.redirect()}, nil
 	}
-	s := r.session(req.GetSession())
-	for s.first <= req.GetAck() && len(s.replies) > 0 {
+	s := r.sessionFor(req.GetSession())
+	for s.firstReplyNumber <= req.GetAck() && len(s.replies) > 0 {
 		s.replies = s.replies[1:]
-		s.first++
+		s.firstReplyNumber++
 	}
-	if len(s.replies) == 0 && !over {
-		return nil, s.news
+	if len(s.replies) == 0 && !waitExpired {
+		return nil, s.replyAdded
 	}
-	return &inner.PullReply{First: s.first, Replies: append([]*inner.Reply(nil), s.replies...), Revision: r.cell.revision}, nil
+	return &inner.PullReply{First: s.firstReplyNumber, Replies: append([]*inner.Reply(nil), s.replies...), Revision: r.ledger.tableRevision}, nil
 }
 
 // Dump names the replica.
-func (r *replica) Dump(context.Context, *v1.DumpRequest) (*v1.DumpReply, error) {
+func (r *fakeReplica) Dump(context.Context, *v1.DumpRequest) (*v1.DumpReply, error) {
 	return &v1.DumpReply{Status: &v1.Status{}, Text: r.name}, nil
 }
--- a/internal/edge/entry/matrix_test.go
+++ b/internal/edge/entry/matrix_test.go
@@ -19,15 +19,15 @@
 	"gypsumreel/internal/fake/server"
 )
 
-// inForce is how soon a withdrawn key and a drained server must be so everywhere.
-const inForce = 2 * time.Second
+// maxEnforcementDelay is how soon a withdrawn key and a drained server must be so everywhere.
+const maxEnforcementDelay = 2 * time.Second
 
-// settled bounds a run of the matrix: by then everything must have its outcome.
-const settled = 3 * time.Minute
+// settleTimeout bounds a run of the matrix: by then everything must have its outcome.
+const settleTimeout = 3 * time.Minute
 
-// steps are the points at which a fault comes: when the leader first takes or
+// faultSteps are the points at which a fault comes: when the leader first takes or
 // gives one of these, or when the first entry begins its planned stop.
-var steps = []string{"submit", "order", "report", "answer", "cancel", "table", "key", "drain", "stop"}
+var faultSteps = []string{"submit", "order", "report", "answer", "cancel", "table", "key", "drain", "stop"}
 
 // A user sees a job lost, run twice, or answered in part or wrongly; a key that
 // still works; a change that vanished. It happens when a process or a connection
@@ -35,116 +35,116 @@
 // about at every step, on a virtual clock, and all promises are checked.
 func TestEveryFaultAtEveryStep(t *testing.T) {
 	var mu sync.Mutex
-	checks := map[string]int{}
-	slots := make(chan struct{}, 4)
+	checkCounts := map[string]int{}
+	semaphore := make(chan struct{}, 4)
 	t.Run("matrix", func(t *testing.T) {
-		for _, f := range faults() {
-			for _, step := range steps {
+		for _, f := range allFaults() {
+			for _, step := range faultSteps {
 				t.Run(f.name+" at "+step, func(t *testing.T) {
 					t.Parallel()
-					slots <- struct{}{}
-					defer func() { <-slots }()
+					semaphore <- struct{}{}
+					defer func() { <-semaphore }()
 					synctest.Test(t, func(t *testing.T) {
-						n := runStory(t, f, step)
+						checkCount := runScenario(t, f, step)
 						mu.Lock()
-						checks[f.name+"/"+step] = n
+						checkCounts[f.name+"/"+step] = checkCount
 						mu.Unlock()
 					})
 				})
 			}
 		}
 	})
-	if !t.Failed() && len(checks) == len(faults())*len(steps) {
-		page.Check(t, "../../../docs/faults/edge.md", matrix(checks))
+	if !t.Failed() && len(checkCounts) == len(allFaults())*len(faultSteps) {
+		page.Check(t, "../../../docs/faults/edge.md", renderMatrix(checkCounts))
 	}
 }
 
-// matrix is the table of the runs: the number of promises checked in each.
-func matrix(checks map[string]int) string {
+// renderMatrix is the table of the runs: the number of promises checked in each.
+func renderMatrix(checkCounts map[string]int) string {
 	var b strings.Builder
-	b.WriteString("| fault | " + strings.Join(steps, " | ") + " |\n|---|" + strings.Repeat("---|", len(steps)) + "\n")
+	b.WriteString("| fault | " + strings.Join(faultSteps, " | ") + " |\n|---|" + strings.Repeat("---|", len(faultSteps)) + "\n")
 	total := 0
-	for _, f := range faults() {
+	for _, f := range allFaults() {
 		b.WriteString("| " + f.name)
-		for _, step := range steps {
-			n := checks[f.name+"/"+step]
-			total += n
-			fmt.Fprintf(&b, " | %d", n)
+		for _, step := range faultSteps {
+			checkCount := checkCounts[f.name+"/"+step]
+			total += checkCount
+			fmt.Fprintf(&b, " | %d", checkCount)
 		}
 		b.WriteString(" |\n")
 	}
-	fmt.Fprintf(&b, "\n%d runs, %d promises checked, 0 broken.\n", len(checks), total)
+	fmt.Fprintf(&b, "\n%d runs, %d promises checked, 0 broken.\n", len(checkCounts), total)
 	return b.String()
 }
 
-// story is one run: callers, an operator and a planned stop, with one fault.
-type story struct {
-	t      *testing.T
-	w      *world
-	checks atomic.Int32
-	team   *client
-	duty   *client
-	extra  *client
+// scenario is one run: callers, an operator and a planned stop, with one fault.
+type scenario struct {
+	t              *testing.T
+	cell           *testCell
+	checkCount     atomic.Int32
+	teamClient     *retryingClient
+	operatorClient *retryingClient
+	extraKeyClient *retryingClient
 }
 
-func runStory(t *testing.T, f fault, step string) int {
-	limit := 0
+func runScenario(t *testing.T, f fault, step string) int {
+	maxPending := 0
 	if f.name == "full queue" {
-		limit = 6
+		maxPending = 6
 	}
-	w := newWorld(limit)
+	w := newTestCell(maxPending)
 	defer w.close()
-	w.cell.mu.Lock()
-	extra := w.cell.grant("extra", "quarry", false)
-	w.cell.mu.Unlock()
-	s := &story{t: t, w: w, team: w.client(w.team), duty: w.client(w.operator), extra: w.client(extra)}
-	defer s.team.reset()
-	defer s.duty.reset()
-	defer s.extra.reset()
-	s.plan(f, step)
-	limitTimer := time.AfterFunc(settled, func() {
-		w.note("late", "not settled in time")
+	w.ledger.mu.Lock()
+	extraKey := w.ledger.grantKey("extra", "quarry", false)
+	w.ledger.mu.Unlock()
+	s := &scenario{t: t, cell: w, teamClient: w.newClient(w.teamKey), operatorClient: w.newClient(w.operatorKey), extraKeyClient: w.newClient(extraKey)}
+	defer s.teamClient.closeIdle()
+	defer s.operatorClient.closeIdle()
+	defer s.extraKeyClient.closeIdle()
+	s.scheduleFault(f, step)
+	settleTimer := time.AfterFunc(settleTimeout, func() {
+		w.observe("late", "not settled in time")
 		w.cancel()
 	})
-	defer limitTimer.Stop()
+	defer settleTimer.Stop()
 
 	var wg sync.WaitGroup
-	for _, part := range []func(){s.work, s.once, s.cancelled, s.table, s.keys, s.drain, s.stop} {
-		wg.Go(part)
+	for _, activity := range []func(){s.runRepeatableJobs, s.runOnceJob, s.cancelRunningJob, s.changeTable, s.useWithdrawnKey, s.drainServer, s.restartEntry} {
+		wg.Go(activity)
 	}
 	wg.Wait()
-	at := w.injected.Load()
-	s.check(at != nil, "the fault never came")
-	if at != nil && f.lasts > 0 {
-		sleepUntil(w.ctx, at.Add(f.lasts+5*time.Second))
+	injectedAt := w.injectedAt.Load()
+	s.check(injectedAt != nil, "the fault never came")
+	if injectedAt != nil && f.duration > 0 {
+		sleepUntil(w.ctx, injectedAt.Add(f.duration+5*time.Second))
 	}
-	s.end()
-	return int(s.checks.Load())
+	s.checkPromises()
+	return int(s.checkCount.Load())
 }
 
-// plan brings the fault about when the step is first reached, and ends it.
-func (s *story) plan(f fault, step string) {
+// scheduleFault brings the fault about when the step is first reached, and ends it.
+func (s *scenario) scheduleFault(f fault, step string) {
 	var once sync.Once
-	w := s.w
-	s.w.step = func(at string) {
-		if at != step {
+	w := s.cell
+	s.cell.onStep = func(reachedStep string) {
+		if reachedStep != step {
 			return
 		}
 		once.Do(func() {
 			now := time.Now()
-			w.injected.Store(&now)
+			w.injectedAt.Store(&now)
 			w.wg.Go(func() {
 				f.inject(w)
 				if f.heal != nil {
-					sleepUntil(w.ctx, time.Now().Add(f.lasts))
+					sleepUntil(w.ctx, time.Now().Add(f.duration))
 					f.heal(w)
 				}
 			})
 		})
 	}
-	w.cell.mu.Lock()
-	defer w.cell.mu.Unlock()
-	w.cell.step = w.step
+	w.ledger.mu.Lock()
+	defer w.ledger.mu.Unlock()
+	w.ledger.onStep = w.onStep
 }
 
 func sleepUntil(ctx context.Context, at time.Time) {
@@ -154,64 +154,64 @@
 	}
 }
 
-func (s *story) check(ok bool, format string, args ...any) {
-	s.checks.Add(1)
+func (s *scenario) check(ok bool, format string, args ...any) {
+	s.checkCount.Add(1)
 	if !ok {
 		s.t.Errorf(format, args...)
 	}
 }
 
-// work submits jobs that may be repeated, one of them longer than a lease, and wants the whole right answer to each.
-func (s *story) work() {
+// runRepeatableJobs submits jobs that may be repeated, one of them longer than a lease, and wants the whole right answer to each.
+func (s *scenario) runRepeatableJobs() {
 	for i, wish := range []server.Wish{{}, {Size: 150_000}, {Sleep: "4s"}, {Sleep: "200ms", Size: 10}} {
 		id := []string{"quick", "big", "long", "last"}[i]
-		fault := s.team.runs(0, id, wish)
-		s.check(fault == "", "%s", fault)
+		problem := s.teamClient.runJob(0, id, wish)
+		s.check(problem == "", "%s", problem)
 	}
 }
 
-// once submits a job that may run at most once.
-func (s *story) once() {
-	in := server.Wish{Sleep: "500ms"}.Input()
-	s.team.submit(0, spec("once", true, in))
-	reply, whole := s.team.wait(0, "once")
+// runOnceJob submits a job that may run at most once.
+func (s *scenario) runOnceJob() {
+	input := server.Wish{Sleep: "500ms"}.Input()
+	s.teamClient.submit(0, newSpec("once", true, input))
+	reply, whole := s.teamClient.wait(0, "once")
 	s.check(reply.GetOutcome() >= v1.Outcome_OUTCOME_DONE, "once: no outcome, status %v", reply.GetStatus())
 	if reply.GetOutcome() == v1.Outcome_OUTCOME_DONE {
-		s.check(bytes.Equal(whole, in), "once: answer %q", whole)
+		s.check(bytes.Equal(whole, input), "once: answer %q", whole)
 	} else {
-		s.checks.Add(1)
+		s.checkCount.Add(1)
 	}
 }
 
-// cancelled submits a long job and takes it back.
-func (s *story) cancelled() {
-	s.team.submit(0, spec("cancelled", false, server.Wish{Sleep: "1h"}.Input()))
+// cancelRunningJob submits a long job and takes it back.
+func (s *scenario) cancelRunningJob() {
+	s.teamClient.submit(0, newSpec("cancelled", false, server.Wish{Sleep: "1h"}.Input()))
 	time.Sleep(300 * time.Millisecond)
-	s.team.cancel(0, "cancelled")
-	reply, _ := s.team.wait(0, "cancelled")
-	c := code.Code(reply.GetStatus().GetCode())
-	s.check(c == code.Stopped || c == code.Cancelled, "cancelled: status %v", reply.GetStatus())
+	s.teamClient.cancel(0, "cancelled")
+	reply, _ := s.teamClient.wait(0, "cancelled")
+	resultCode := code.Code(reply.GetStatus().GetCode())
+	s.check(resultCode == code.Stopped || resultCode == code.Cancelled, "cancelled: status %v", reply.GetStatus())
 }
 
-// table makes changes, one of them twice and one from an old revision.
-func (s *story) table() {
+// changeTable makes changes, one of them twice and one from an old revision.
+func (s *scenario) changeTable() {
 	edit := func(id string, base uint64) *v1.ChangeReply {
-		return s.duty.change(0, &v1.ChangeRequest{Id: id, Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{
+		return s.operatorClient.change(0, &v1.ChangeRequest{Id: id, Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{
 			Base: base, Edits: []*v1.Edit{{Row: &v1.Row{Team: "quarry", Weight: 2}, Cells: []string{"weight"}}},
 		}}})
 	}
 	time.Sleep(400 * time.Millisecond)
 	first := edit("one", 0)
 	second := edit("two", 1)
-	again := edit("one", 0)
-	old := edit("three", 0)
+	resent := edit("one", 0)
+	outdated := edit("three", 0)
 	s.check(first.GetRevision() == 1 && second.GetRevision() == 2, "revisions %d and %d", first.GetRevision(), second.GetRevision())
-	s.check(again.GetRevision() == 1 && again.GetStatus().GetCode() == 0, "the resent change got %v", again)
-	s.check(old.GetStatus().GetCode() == uint32(code.Conflict), "the change from an old revision got %v", old.GetStatus())
+	s.check(resent.GetRevision() == 1 && resent.GetStatus().GetCode() == 0, "the resent change got %v", resent)
+	s.check(outdated.GetStatus().GetCode() == uint32(code.Conflict), "the change from an old revision got %v", outdated.GetStatus())
 }
 
-// keys uses a key at the first entry until well after it was withdrawn at the other.
-func (s *story) keys() {
+// useWithdrawnKey uses a key at the first entry until well after it was withdrawn at the other.
+func (s *scenario) useWithdrawnKey() {
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
 	wg.Go(func() {
@@ -221,78 +221,78 @@
 				return
 			case <-time.After(200 * time.Millisecond):
 			}
-			s.useKey(i)
+			s.callWithExtraKey(i)
 		}
 	})
 	time.Sleep(600 * time.Millisecond)
-	s.duty.change(1, &v1.ChangeRequest{Id: "withdraw", Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: "extra"}}})
+	s.operatorClient.change(1, &v1.ChangeRequest{Id: "withdraw", Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: "extra"}}})
 	time.Sleep(5 * time.Second)
 	close(stop)
 	wg.Wait()
-	s.check(len(s.w.noted("key")) == 0, "a withdrawn key still worked: %v", s.w.noted("key"))
+	s.check(len(s.cell.observed("key")) == 0, "a withdrawn key still worked: %v", s.cell.observed("key"))
 }
 
-// useKey reads and submits once with the extra key at the first entry.
-func (s *story) useKey(i int) {
-	ctx, cancel := context.WithTimeout(s.w.ctx, 1500*time.Millisecond)
+// callWithExtraKey reads and submits once with the extra key at the first entry.
+func (s *scenario) callWithExtraKey(i int) {
+	ctx, cancel := context.WithTimeout(s.cell.ctx, 1500*time.Millisecond)
 	defer cancel()
 	list := connect.NewRequest(&v1.ListRequest{})
-	list.Header().Set("Authorization", "Bearer "+s.extra.key)
-	if reply, err := s.extra.callers[0].List(ctx, list); err == nil && s.w.keyFault(reply.Msg.GetStatus(), time.Now()) {
-		s.w.note("key", fmt.Sprintf("read %d", i))
+	list.Header().Set("Authorization", "Bearer "+s.extraKeyClient.key)
+	if reply, err := s.extraKeyClient.callers[0].List(ctx, list); err == nil && s.cell.acceptedAfterWithdrawal(reply.Msg.GetStatus(), time.Now()) {
+		s.cell.observe("key", fmt.Sprintf("read %d", i))
 	}
-	submit := connect.NewRequest(&v1.SubmitRequest{Jobs: []*v1.Spec{spec(fmt.Sprintf("extra-%d", i), false, nil)}})
-	submit.Header().Set("Authorization", "Bearer "+s.extra.key)
-	reply, err := s.extra.callers[0].Submit(ctx, submit)
-	if err == nil && s.w.keyFault(reply.Msg.GetJobs()[0].GetStatus(), time.Now()) {
-		s.w.note("key", fmt.Sprintf("submission %d", i))
+	submit := connect.NewRequest(&v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(fmt.Sprintf("extra-%d", i), false, nil)}})
+	submit.Header().Set("Authorization", "Bearer "+s.extraKeyClient.key)
+	reply, err := s.extraKeyClient.callers[0].Submit(ctx, submit)
+	if err == nil && s.cell.acceptedAfterWithdrawal(reply.Msg.GetJobs()[0].GetStatus(), time.Now()) {
+		s.cell.observe("key", fmt.Sprintf("submission %d", i))
 	}
 }
 
-// drain marks the second server as leaving.
-func (s *story) drain() {
+// drainServer marks the second server as leaving.
+func (s *scenario) drainServer() {
 	time.Sleep(800 * time.Millisecond)
 	mark := &v1.ChangeRequest{Id: "drain", Change: &v1.ChangeRequest_Mark{Mark: &v1.ServerMark{Server: "s2", Drain: true}}}
-	reply := s.duty.change(1, mark)
+	reply := s.operatorClient.change(1, mark)
 	// With the leader gone from the start the server may not have announced yet.
 	for n := 0; n < 50 && reply.GetStatus().GetCode() == uint32(code.Unknown); n++ {
 		time.Sleep(200 * time.Millisecond)
-		reply = s.duty.change(1, mark)
+		reply = s.operatorClient.change(1, mark)
 	}
 	s.check(reply.GetStatus().GetCode() == 0, "drain: %v", reply.GetStatus())
 }
 
-// stop ends the first entry as planned and starts it again.
-func (s *story) stop() {
+// restartEntry ends the first entry as planned and starts it again.
+func (s *scenario) restartEntry() {
 	time.Sleep(1500 * time.Millisecond)
-	s.w.step("stop")
+	s.cell.onStep("stop")
 	time.Sleep(time.Millisecond)
-	p := s.w.process("e1")
+	p := s.cell.currentEntry("e1")
 	p.stop()
 	select {
 	case <-p.entry.Done():
-	case <-s.w.ctx.Done():
+	case <-s.cell.ctx.Done():
 	}
-	s.w.startEntry("e1")
+	s.cell.startEntry("e1")
 }
 
-// end checks what must hold when all is over.
-func (s *story) end() {
-	w := s.w
-	for _, late := range w.noted("late") {
-		s.t.Error(late)
+// checkPromises checks what must hold when all is over.
+func (s *scenario) checkPromises() {
+	w := s.cell
+	for _, delay := range w.observed("late") {
+		s.t.Error(delay)
 	}
-	s.check(len(w.record.Faults()) == 0, "%v", w.record.Faults())
-	broken := w.refusedButRan()
-	s.check(len(broken) == 0, "%v", broken)
-	w.cell.mu.Lock()
-	defer w.cell.mu.Unlock()
-	s.check(w.cell.revision == 2, "revision %d", w.cell.revision)
-	if j, ok := w.cell.jobs["quarry/once"]; ok {
-		starts := w.record.Starts(server.Task{Job: j.number})
+	s.check(len(w.taskRecord.Faults()) == 0, "%v", w.taskRecord.Faults())
+	violations := w.refusedButAccepted()
+	s.check(len(violations) == 0, "%v", violations)
+	w.ledger.mu.Lock()
+	defer w.ledger.mu.Unlock()
+	s.check(w.ledger.tableRevision == 2, "revision %d", w.ledger.tableRevision)
+	if j, ok := w.ledger.jobsByID["quarry/once"]; ok {
+		starts := w.taskRecord.Starts(server.Task{Job: j.number})
 		s.check(starts <= 1, "once started %d times", starts)
 		s.check(j.outcome != v1.Outcome_OUTCOME_NOT_RUN || starts == 0, "once was refused as not run and started")
 	}
-	late := w.record.Latest("s2").Sub(w.cell.drained["s2"])
-	s.check(late <= inForce, "the drained server started work %v later", late)
+	delay := w.taskRecord.Latest("s2").Sub(w.ledger.drainedAt["s2"])
+	s.check(delay <= maxEnforcementDelay, "the drained server started work %v later", delay)
 }
--- a/internal/edge/entry/measure_test.go
+++ b/internal/edge/entry/measure_test.go
@@ -22,32 +22,32 @@
 	"gypsumreel/internal/fake/server"
 )
 
-// measureVariable turns the measurements on; docs/measures/edge.md has the commands.
-const measureVariable = "GYPSUMREEL_MEASURE"
+// measureEnv turns the measurements on; docs/measures/edge.md has the commands.
+const measureEnv = "GYPSUMREEL_MEASURE"
 
-// counter counts the bytes of connections, without their headers below TCP.
-type counter struct{ in, out atomic.Int64 }
+// byteCounter counts the bytes of connections, without their headers below TCP.
+type byteCounter struct{ received, sent atomic.Int64 }
 
 type countedConn struct {
 	net.Conn
-	to *counter
+	counter *byteCounter
 }
 
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.to.in.Add(int64(n))
+	c.counter.received.Add(int64(n))
 	return n, err
 }
 
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.to.out.Add(int64(n))
+	c.counter.sent.Add(int64(n))
 	return n, err
 }
 
 type countedListener struct {
 	net.Listener
-	to *counter
+	counter *byteCounter
 }
 
 func (l *countedListener) Accept() (net.Conn, error) {
@@ -55,10 +55,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{c, l.to}, nil
+	return &countedConn{c, l.counter}, nil
 }
 
-func (c *counter) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (c *byteCounter) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
@@ -66,11 +66,11 @@
 	return &countedConn{conn, c}, nil
 }
 
-// bytes returns all that went either way.
-func (c *counter) bytes() int64 { return c.in.Load() + c.out.Load() }
+// total returns all that went either way.
+func (c *byteCounter) total() int64 { return c.received.Load() + c.sent.Load() }
 
-// processorTime returns what a process has used, in clock ticks of 10 ms.
-func processorTime(t *testing.T, pid int) time.Duration {
+// processCPUTime returns what a process has used, in clock ticks of 10 ms.
+func processCPUTime(t *testing.T, pid int) time.Duration {
 	b, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
 		t.Fatal(err)
@@ -81,17 +81,17 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// quick is a leader that accepts every job at once and holds syncs for their patience.
-type quick struct{ replica }
+// instantLeader is a leader that accepts every job at once and holds syncs for their patience.
+type instantLeader struct{ fakeReplica }
 
-func (q *quick) Push(ctx context.Context, req *inner.PushRequest) (*inner.PushReply, error) {
-	var held []*inner.Item
-	q.cell.mu.Lock()
-	s := q.session(req.GetSession())
+func (q *instantLeader) Push(ctx context.Context, req *inner.PushRequest) (*inner.PushReply, error) {
+	var forwarded []*inner.Item
+	q.ledger.mu.Lock()
+	s := q.sessionFor(req.GetSession())
 	for _, item := range req.GetItems() {
 		submit := item.GetSubmit()
 		if submit == nil {
-			held = append(held, item)
+			forwarded = append(forwarded, item)
 			continue
 		}
 		r := &v1.SubmitReply{}
@@ -100,62 +100,62 @@
 		}
 		s.replies = append(s.replies, &inner.Reply{Seq: item.GetSeq(), Answer: &inner.Reply_Submit{Submit: r}})
 	}
-	close(s.news)
-	s.news = make(chan struct{})
-	q.cell.mu.Unlock()
-	if len(held) == 0 && len(req.GetItems()) > 0 {
+	close(s.replyAdded)
+	s.replyAdded = make(chan struct{})
+	q.ledger.mu.Unlock()
+	if len(forwarded) == 0 && len(req.GetItems()) > 0 {
 		return &inner.PushReply{}, nil
 	}
-	return q.replica.Push(ctx, &inner.PushRequest{Cell: req.GetCell(), Entry: req.GetEntry(), Session: req.GetSession(), Items: held})
+	return q.fakeReplica.Push(ctx, &inner.PushRequest{Cell: req.GetCell(), Entry: req.GetEntry(), Session: req.GetSession(), Items: forwarded})
 }
 
-type measure struct {
-	cell   *cell
-	leader string
-	inside *counter
-	child  *entryProcess
-	token  string
+type measurement struct {
+	ledger        *fakeLedger
+	leaderAddress string
+	insideBytes   *byteCounter
+	entry         *entryProcess
+	callerKey     string
 }
 
-func newMeasure(t *testing.T) *measure {
-	if os.Getenv(measureVariable) == "" {
-		t.Skip("set " + measureVariable + " to measure")
+func newMeasurement(t *testing.T) *measurement {
+	if os.Getenv(measureEnv) == "" {
+		t.Skip("set " + measureEnv + " to measure")
 	}
-	m := &measure{cell: newCell(), inside: &counter{}}
-	m.cell.lease, m.cell.leader = 6*time.Second, "c1"
-	m.token = m.cell.grant("team-key", "quarry", false)
+	m := &measurement{ledger: newFakeLedger(), insideBytes: &byteCounter{}}
+	m.ledger.leaseLength, m.ledger.leader = 6*time.Second, "c1"
+	m.callerKey = m.ledger.grantKey("team-key", "quarry", false)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	q := &quick{replica{cell: m.cell, name: "c1", sessions: map[uint64]*session{}}}
+	q := &instantLeader{fakeReplica{ledger: m.ledger, name: "c1", sessions: map[uint64]*entrySession{}}}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() {
 		for ctx.Err() == nil {
-			m.cell.mu.Lock()
-			q.settle()
-			m.cell.mu.Unlock()
+			m.ledger.mu.Lock()
+			q.answerParkedItems()
+			m.ledger.mu.Unlock()
 			time.Sleep(10 * time.Millisecond)
 		}
 	}()
-	go func() { _ = http.Serve(&countedListener{l, m.inside}, inner.NewControlServer(q)) }()
-	m.leader = l.Addr().String()
-	m.child = startProcess(t, m.leader, "GOMAXPROCS=2") // entry instances are small
+	go func() { _ = http.Serve(&countedListener{l, m.insideBytes}, inner.NewControlServer(q)) }()
+	m.leaderAddress = l.Addr().String()
+	m.entry = startEntryProcess(t, m.leaderAddress, "GOMAXPROCS=2") // entry instances are small
 	return m
 }
 
-// load makes calls at a steady rate and returns how long each took in µs.
-func load(rate int, d time.Duration, call func(id string) error) (*hdrhistogram.Histogram, int) {
+// runLoad makes calls at a steady rate and returns how long each took in µs.
+func runLoad(rate int, duration time.Duration, call func(id string) error) (*hdrhistogram.Histogram, int) {
 	h := hdrhistogram.New(1, 10_000_000, 3)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	failed := 0
-	began := time.Now()
-	n := int(float64(rate) * d.Seconds())
-	for i := range n {
-		due := began.Add(time.Duration(i) * time.Second / time.Duration(rate))
-		time.Sleep(time.Until(due))
+	startedAt := time.Now()
+	calls := int(float64(rate) * duration.Seconds())
+	for i := range calls {
+		dueAt := startedAt.Add(time.Duration(i) * time.Second / time.Duration(rate))
+		time.Sleep(time.Until(dueAt))
 		wg.Go(func() {
 			// Counted from when the call was due, so that waiting in line counts too.
 			err := call(fmt.Sprintf("job-%d", i))
@@ -164,71 +164,71 @@
 			if err != nil {
 				failed++
 			}
-			_ = h.RecordValue(max(1, time.Since(due).Microseconds()))
+			_ = h.RecordValue(max(1, time.Since(dueAt).Microseconds()))
 		})
 	}
 	wg.Wait()
 	return h, failed
 }
 
-const measured = 10 * time.Second
+const measureDuration = 10 * time.Second
 
 // Submissions of one job with 200 bytes of input, through the entry's process
 // and, for comparison, from this process's own pool to the same leader.
 func TestMeasureRequests(t *testing.T) {
-	m := newMeasure(t)
-	outside := &counter{}
-	web := &http.Client{Transport: &http.Transport{DialContext: outside.dial, MaxIdleConnsPerHost: 256}}
-	client := v1.NewCallerClient(web, "http://"+m.child.Callers)
+	m := newMeasurement(t)
+	outsideBytes := &byteCounter{}
+	httpClient := &http.Client{Transport: &http.Transport{DialContext: outsideBytes.dial, MaxIdleConnsPerHost: 256}}
+	client := v1.NewCallerClient(httpClient, "http://"+m.entry.Callers)
 	input := make([]byte, 200)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	pool := &control.Pool{Cell: "test", Name: "direct", Log: logr.Discard(), Replicas: []control.Replica{{Name: "c1", Address: m.leader}}}
+	pool := &control.Pool{Cell: "test", Name: "direct", Log: logr.Discard(), Replicas: []control.Replica{{Name: "c1", Address: m.leaderAddress}}}
 	go func() { _ = pool.Run(ctx) }()
 	time.Sleep(time.Second)
 	for _, rate := range []int{200, 1400, 3000} {
-		direct, lost := load(rate, measured, func(id string) error {
-			_, err := pool.Ask(ctx, &inner.Item{Ask: &inner.Item_Submit{Submit: &v1.SubmitRequest{Jobs: []*v1.Spec{spec(id, false, input)}}}})
+		direct, directFailed := runLoad(rate, measureDuration, func(id string) error {
+			_, err := pool.Ask(ctx, &inner.Item{Ask: &inner.Item_Submit{Submit: &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(id, false, input)}}}})
 			return err
 		})
-		used, in, out := processorTime(t, m.child.cmd.Process.Pid), m.inside.bytes(), outside.bytes()
-		through, failed := load(rate, measured, func(id string) error {
-			reply, err := client.Submit(ctx, with(m.token, &v1.SubmitRequest{Jobs: []*v1.Spec{spec(id, false, input)}}))
+		cpuBefore, insideBefore, outsideBefore := processCPUTime(t, m.entry.cmd.Process.Pid), m.insideBytes.total(), outsideBytes.total()
+		viaEntry, failed := runLoad(rate, measureDuration, func(id string) error {
+			reply, err := client.Submit(ctx, withKey(m.callerKey, &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(id, false, input)}}))
 			if err == nil && reply.Msg.GetJobs()[0].GetStatus().GetCode() != 0 {
 				err = context.DeadlineExceeded
 			}
 			return err
 		})
-		n := through.TotalCount()
+		n := viaEntry.TotalCount()
 		t.Logf("%d/s: entry %v a request, %d B outside and %d B inside a request; p50/p99 through the entry %.2f/%.2f ms, from a pool directly %.2f/%.2f ms; failed %d and %d",
-			rate, (processorTime(t, m.child.cmd.Process.Pid)-used)/time.Duration(n), (outside.bytes()-out)/n, (m.inside.bytes()-in)/n,
-			ms(through, 50), ms(through, 99), ms(direct, 50), ms(direct, 99), failed, lost)
+			rate, (processCPUTime(t, m.entry.cmd.Process.Pid)-cpuBefore)/time.Duration(n), (outsideBytes.total()-outsideBefore)/n, (m.insideBytes.total()-insideBefore)/n,
+			percentileMs(viaEntry, 50), percentileMs(viaEntry, 99), percentileMs(direct, 50), percentileMs(direct, 99), failed, directFailed)
 	}
 }
 
-func ms(h *hdrhistogram.Histogram, q float64) float64 {
-	return float64(h.ValueAtQuantile(q)) / 1000
+func percentileMs(h *hdrhistogram.Histogram, percentile float64) float64 {
+	return float64(h.ValueAtQuantile(percentile)) / 1000
 }
 
 // Backend servers without work: what each costs the entry.
 func TestMeasureIdleServers(t *testing.T) {
-	m := newMeasure(t)
+	m := newMeasurement(t)
 	for _, n := range []int{0, 50, 200} {
-		outside := &counter{}
+		outsideBytes := &byteCounter{}
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
 		for i := range n {
-			s := &server.Server{Name: fmt.Sprintf("s%d-%d", n, i), Secret: enrolment, Entries: []server.Entry{server.NewEntry(m.child.Backends, nil, outside.dial)}}
+			s := &server.Server{Name: fmt.Sprintf("s%d-%d", n, i), Secret: enrolment, Entries: []server.Entry{server.NewEntry(m.entry.Backends, nil, outsideBytes.dial)}}
 			wg.Go(func() { _ = s.Run(ctx) })
 		}
 		time.Sleep(3 * time.Second)
-		used, in, out := processorTime(t, m.child.cmd.Process.Pid), m.inside.bytes(), outside.bytes()
-		time.Sleep(measured)
-		seconds := int64(measured / time.Second)
-		each := int64(max(n, 1))
+		cpuBefore, insideBefore, outsideBefore := processCPUTime(t, m.entry.cmd.Process.Pid), m.insideBytes.total(), outsideBytes.total()
+		time.Sleep(measureDuration)
+		seconds := int64(measureDuration / time.Second)
+		divisor := int64(max(n, 1))
 		t.Logf("%d servers: entry %.2f%% of a core; for each server %d B/s outside and %d B/s inside (all of it: %d B/s inside)", n,
-			100*float64(processorTime(t, m.child.cmd.Process.Pid)-used)/float64(measured),
-			(outside.bytes()-out)/seconds/each, (m.inside.bytes()-in)/seconds/each, (m.inside.bytes()-in)/seconds)
+			100*float64(processCPUTime(t, m.entry.cmd.Process.Pid)-cpuBefore)/float64(measureDuration),
+			(outsideBytes.total()-outsideBefore)/seconds/divisor, (m.insideBytes.total()-insideBefore)/seconds/divisor, (m.insideBytes.total()-insideBefore)/seconds)
 		cancel()
 		wg.Wait()
 	}
--- a/internal/edge/entry/service_test.go
+++ b/internal/edge/entry/service_test.go
@@ -22,21 +22,21 @@
 	"gypsumreel/internal/fake/server"
 )
 
-// asker answers everything with one reply or error and keeps the last item.
-type asker struct {
-	reply *inner.Reply
-	err   error
-	item  *inner.Item
+// stubLeader answers everything with one reply or error and keeps the last item.
+type stubLeader struct {
+	reply    *inner.Reply
+	err      error
+	lastItem *inner.Item
 }
 
-func (a *asker) Ask(_ context.Context, item *inner.Item) (*inner.Reply, error) {
-	a.item = item
+func (a *stubLeader) Ask(_ context.Context, item *inner.Item) (*inner.Reply, error) {
+	a.lastItem = item
 	return a.reply, a.err
 }
 
-func (*asker) Dump(context.Context, string) (*v1.DumpReply, error) { return &v1.DumpReply{}, nil }
+func (*stubLeader) Dump(context.Context, string) (*v1.DumpReply, error) { return &v1.DumpReply{}, nil }
 
-func with[T any](token string, msg *T) *connect.Request[T] {
+func withKey[T any](token string, msg *T) *connect.Request[T] {
 	req := connect.NewRequest(msg)
 	if token != "" {
 		req.Header().Set("Authorization", "Bearer "+token)
@@ -60,8 +60,8 @@
 		{code.Unreachable, false, code.Unanswered, v1.Outcome_OUTCOME_UNSPECIFIED},
 		{code.Overloaded, false, code.Unanswered, v1.Outcome_OUTCOME_UNSPECIFIED},
 	} {
-		h := &caller.Handler{Leader: &asker{err: code.New(c.err, "")}}
-		reply, err := h.Submit(t.Context(), with("id.secret", &v1.SubmitRequest{Jobs: []*v1.Spec{spec("job", false, nil)}, First: c.first}))
+		h := &caller.Handler{Leader: &stubLeader{err: code.New(c.err, "")}}
+		reply, err := h.Submit(t.Context(), withKey("id.secret", &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec("job", false, nil)}, First: c.first}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -76,8 +76,8 @@
 // of the class "not run" would read as the job's outcome.
 func TestPollsAreNeverRefusedAsNotRun(t *testing.T) {
 	for _, c := range []code.Code{code.Unreachable, code.Overloaded} {
-		h := &caller.Handler{Leader: &asker{err: code.New(c, "")}}
-		reply, err := h.Wait(t.Context(), with("id.secret", &v1.WaitRequest{Id: "job"}))
+		h := &caller.Handler{Leader: &stubLeader{err: code.New(c, "")}}
+		reply, err := h.Wait(t.Context(), withKey("id.secret", &v1.WaitRequest{Id: "job"}))
 		if err != nil || reply.Msg.GetStatus().GetCode()/100 == 2 || reply.Msg.GetStatus().GetRetry() == 0 {
 			t.Errorf("%d: %v, %v", c, reply, err)
 		}
@@ -86,14 +86,14 @@
 
 // The answers of a submission stand in the request's order also when some jobs
 // never leave the entry because they break a bound.
-func TestMalformedJobsDoNotShiftTheAnswers(t *testing.T) {
-	a := &asker{reply: &inner.Reply{Answer: &inner.Reply_Submit{Submit: &v1.SubmitReply{Jobs: []*v1.Accepted{{Id: "a"}, {Id: "b"}}}}}}
+func TestAnswersKeepRequestOrderDespiteMalformedJobs(t *testing.T) {
+	a := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Submit{Submit: &v1.SubmitReply{Jobs: []*v1.Accepted{{Id: "a"}, {Id: "b"}}}}}}
 	h := &caller.Handler{Leader: a}
-	huge := spec("huge", false, make([]byte, caller.MaxInput+1))
-	negative := spec("negative", false, nil)
+	huge := newSpec("huge", false, make([]byte, caller.MaxInputSize+1))
+	negative := newSpec("negative", false, nil)
 	negative.Size.Cpu = -1
-	jobs := []*v1.Spec{huge, spec("a", false, nil), negative, spec("b", false, nil), spec("a", false, nil), spec("a\nb", false, nil)}
-	reply, err := h.Submit(t.Context(), with("id.secret", &v1.SubmitRequest{Jobs: jobs}))
+	jobs := []*v1.Spec{huge, newSpec("a", false, nil), negative, newSpec("b", false, nil), newSpec("a", false, nil), newSpec("a\nb", false, nil)}
+	reply, err := h.Submit(t.Context(), withKey("id.secret", &v1.SubmitRequest{Jobs: jobs}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,44 +109,44 @@
 		t.Error(diff)
 	}
 	digest := key.Digest("secret")
-	if c := a.item.GetCredential(); c.GetId() != "id" || string(c.GetDigest()) != string(digest[:]) {
+	if c := a.lastItem.GetCredential(); c.GetId() != "id" || string(c.GetDigest()) != string(digest[:]) {
 		t.Errorf("credential %v", c)
 	}
 }
 
 // Without a well-formed key nothing is asked of the leader.
 func TestCallsWithoutAKeyAreRefused(t *testing.T) {
-	a := &asker{}
+	a := &stubLeader{}
 	h := &caller.Handler{Leader: a}
 	for _, token := range []string{"", "id", ".secret", "id.", strings.Repeat("x", 600) + ".secret"} {
-		reply, err := h.List(t.Context(), with(token, &v1.ListRequest{}))
+		reply, err := h.List(t.Context(), withKey(token, &v1.ListRequest{}))
 		if err != nil || reply.Msg.GetStatus().GetCode() != uint32(code.BadKey) {
 			t.Errorf("key %.10q: %v, %v", token, reply, err)
 		}
 	}
-	if a.item != nil {
+	if a.lastItem != nil {
 		t.Error("the leader was asked")
 	}
 }
 
 // A stranger must not announce a backend server and be handed the teams' inputs.
 func TestBackendServersNeedTheEnrolmentSecret(t *testing.T) {
-	a := &asker{reply: &inner.Reply{Answer: &inner.Reply_Announce{Announce: &v1.AnnounceReply{Status: &v1.Status{}, Incarnation: 1}}}}
-	h := &backend.Handler{Leader: a, Enrolment: []backend.Digest{key.Digest("old"), key.Digest("new")}}
-	good := &v1.AnnounceRequest{Server: "s1", Nonce: 1, Rack: "r", Zone: "z", Capacity: &v1.Size{Cpu: 1, Memory: 1, Slots: 1}}
-	bare := &v1.AnnounceRequest{Server: "s1", Nonce: 1, Rack: "r", Zone: "z"}
+	a := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Announce{Announce: &v1.AnnounceReply{Status: &v1.Status{}, Incarnation: 1}}}}
+	h := &backend.Handler{Leader: a, EnrolmentDigests: []backend.Digest{key.Digest("old"), key.Digest("new")}}
+	validRequest := &v1.AnnounceRequest{Server: "s1", Nonce: 1, Rack: "r", Zone: "z", Capacity: &v1.Size{Cpu: 1, Memory: 1, Slots: 1}}
+	withoutCapacity := &v1.AnnounceRequest{Server: "s1", Nonce: 1, Rack: "r", Zone: "z"}
 	for _, c := range []struct {
 		secret string
 		msg    *v1.AnnounceRequest
 		want   code.Code
 	}{
-		{"old", good, code.OK},
-		{"new", good, code.OK},
-		{"", good, code.BadEnrolment},
-		{"wrong", good, code.BadEnrolment},
-		{"new", bare, code.Malformed},
+		{"old", validRequest, code.OK},
+		{"new", validRequest, code.OK},
+		{"", validRequest, code.BadEnrolment},
+		{"wrong", validRequest, code.BadEnrolment},
+		{"new", withoutCapacity, code.Malformed},
 	} {
-		reply, err := h.Announce(t.Context(), with(c.secret, c.msg))
+		reply, err := h.Announce(t.Context(), withKey(c.secret, c.msg))
 		if err != nil || code.Code(reply.Msg.GetStatus().GetCode()) != c.want {
 			t.Errorf("secret %q: %v, %v", c.secret, reply.Msg, err)
 		}
@@ -155,46 +155,46 @@
 
 // A backend server whose entry gets no answer must not take the refusal for a lease.
 func TestSyncWithoutAnAnswerGivesNoLease(t *testing.T) {
-	h := &backend.Handler{Leader: &asker{err: code.New(code.Unanswered, "")}, Enrolment: []backend.Digest{key.Digest("s")}}
-	reply, err := h.Sync(t.Context(), with("s", &v1.SyncRequest{Server: "s1", Incarnation: 1, Number: 9}))
+	h := &backend.Handler{Leader: &stubLeader{err: code.New(code.Unanswered, "")}, EnrolmentDigests: []backend.Digest{key.Digest("s")}}
+	reply, err := h.Sync(t.Context(), withKey("s", &v1.SyncRequest{Server: "s1", Incarnation: 1, Number: 9}))
 	if err != nil || reply.Msg.GetLease() != 0 || !reply.Msg.GetElsewhere() || reply.Msg.GetNumber() != 9 {
 		t.Errorf("%v, %v", reply, err)
 	}
 }
 
-type audit []operator.Record
+type auditRecords []operator.AuditRecord
 
-func (a *audit) Audit(_ context.Context, r operator.Record) { *a = append(*a, r) }
+func (a *auditRecords) RecordCall(_ context.Context, r operator.AuditRecord) { *a = append(*a, r) }
 
 // Whoever guesses keys or floods the cell with changes is slowed down, and every change is on record.
-func TestChangesAreLimitedAndRecorded(t *testing.T) {
-	var kept audit
-	a := &asker{reply: &inner.Reply{Answer: &inner.Reply_Change{Change: &v1.ChangeReply{Status: &v1.Status{}, Revision: 4}}}}
-	h := &operator.Handler{Leader: a, Audit: &kept, Limits: operator.Limits{Rate: 0.001, Burst: 2}}
+func TestChangesAreRateLimitedAndAudited(t *testing.T) {
+	var recorded auditRecords
+	a := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Change{Change: &v1.ChangeReply{Status: &v1.Status{}, Revision: 4}}}}
+	h := &operator.Handler{Leader: a, Auditor: &recorded, RateLimits: operator.RateLimits{Rate: 0.001, Burst: 2}}
 	change := &v1.ChangeRequest{Id: "c", Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: "k"}}}
 	for range 3 {
-		if _, err := h.Change(t.Context(), with("duty.secret", change)); err != nil {
+		if _, err := h.Change(t.Context(), withKey("duty.secret", change)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	done := operator.Record{Key: "duty", Call: "withdraw", Subject: "k", Change: "c", Revision: 4}
-	limited := done
-	limited.Code, limited.Revision = code.Unanswered, 0
-	if diff := cmp.Diff(audit{done, done, limited}, kept); diff != "" {
+	accepted := operator.AuditRecord{KeyID: "duty", Call: "withdraw", Subject: "k", ChangeID: "c", TableRevision: 4}
+	limited := accepted
+	limited.Code, limited.TableRevision = code.Unanswered, 0
+	if diff := cmp.Diff(auditRecords{accepted, accepted, limited}, recorded); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // A dump shows the entry's state to an operator, and nothing to a key that the leader refuses.
-func TestDumpNeedsAnOperatorsKey(t *testing.T) {
-	a := &asker{reply: &inner.Reply{Answer: &inner.Reply_Show{Show: &v1.ShowReply{Status: &v1.Status{}}}}}
-	h := &operator.Handler{Leader: a, Name: "e1", State: func() any { return map[string]int{"pending": 3} }}
-	reply, _ := h.Dump(t.Context(), with("duty.secret", &v1.DumpRequest{}))
+func TestDumpRequiresOperatorKey(t *testing.T) {
+	a := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Show{Show: &v1.ShowReply{Status: &v1.Status{}}}}}
+	h := &operator.Handler{Leader: a, EntryName: "e1", State: func() any { return map[string]int{"pending": 3} }}
+	reply, _ := h.Dump(t.Context(), withKey("duty.secret", &v1.DumpRequest{}))
 	if !strings.Contains(reply.Msg.GetText(), `"pending": 3`) {
 		t.Error(reply.Msg)
 	}
 	a.reply = &inner.Reply{Status: &v1.Status{Code: uint32(code.BadKey)}}
-	reply, _ = h.Dump(t.Context(), with("duty.secret", &v1.DumpRequest{}))
+	reply, _ = h.Dump(t.Context(), withKey("duty.secret", &v1.DumpRequest{}))
 	if reply.Msg.GetText() != "" || reply.Msg.GetStatus().GetCode() != uint32(code.BadKey) {
 		t.Error(reply.Msg)
 	}
@@ -202,17 +202,17 @@
 
 // An operator changes the table and looks who serves it. Idle entries must have
 // the new revision within a second, without any traffic that carries it.
-func TestTableIsInForceEverywhereWithinASecond(t *testing.T) {
+func TestIdleEntriesLearnTableRevisionWithinASecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(0)
+		w := newTestCell(0)
 		defer w.close()
 		time.Sleep(time.Second)
-		c := w.client(w.operator)
-		defer c.reset()
+		c := w.newClient(w.operatorKey)
+		defer c.closeIdle()
 		c.change(0, &v1.ChangeRequest{Id: "one", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{}}})
 		time.Sleep(600 * time.Millisecond)
 		for _, name := range entryNames {
-			if got := w.process(name).entry.Pool().Revision(); got != 1 {
+			if got := w.currentEntry(name).entry.Pool().Revision(); got != 1 {
 				t.Errorf("%s serves revision %d", name, got)
 			}
 		}
@@ -222,30 +222,30 @@
 // A backend server is cut off from everything while its task runs. Nobody can
 // tell it to stop, so it must stop by its own clock before the cell places the
 // task again.
-func TestServerStopsAtTheEndOfItsLease(t *testing.T) {
+func TestServerStopsTasksAtLeaseEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(0)
+		w := newTestCell(0)
 		defer w.close()
-		c := w.client(w.team)
-		defer c.reset()
+		c := w.newClient(w.teamKey)
+		defer c.closeIdle()
 		time.Sleep(500 * time.Millisecond) // both servers are there, and the first one is taken
-		c.submit(0, spec("long", false, server.Wish{Sleep: "8s"}.Input()))
+		c.submit(0, newSpec("long", false, server.Wish{Sleep: "8s"}.Input()))
 		time.Sleep(500 * time.Millisecond)
-		each(func(name string) bool { return strings.HasPrefix(name, "s1>") }, func(r *relay.Relay) {
+		onRelays(func(name string) bool { return strings.HasPrefix(name, "s1>") }, func(r *relay.Relay) {
 			r.Set(relay.Up, relay.Lose)
 			r.Set(relay.Down, relay.Lose)
 		})(w)
-		time.Sleep(w.cell.lease + time.Millisecond)
-		if n := w.backend("s1").Running(); n > 0 {
+		time.Sleep(w.ledger.leaseLength + time.Millisecond)
+		if n := w.backendServer("s1").Running(); n > 0 {
 			t.Errorf("%d tasks run past the lease", n)
 		}
 		if reply, _ := c.wait(0, "long"); reply.GetOutcome() != v1.Outcome_OUTCOME_DONE {
 			t.Errorf("outcome %v", reply.GetOutcome())
 		}
-		if starts := w.record.Starts(server.Task{Job: 1}); starts != 2 || len(w.record.Faults()) > 0 {
-			t.Errorf("%d starts, %v", starts, w.record.Faults())
+		if starts := w.taskRecord.Starts(server.Task{Job: 1}); starts != 2 || len(w.taskRecord.Faults()) > 0 {
+			t.Errorf("%d starts, %v", starts, w.taskRecord.Faults())
 		}
 	})
 }
 
-var _ control.Asker = (*asker)(nil)
+var _ control.Asker = (*stubLeader)(nil)
--- a/internal/edge/entry/state.go
+++ b/internal/edge/entry/state.go
@@ -23,7 +23,7 @@
 	Revision uint64
 }
 
-func (e *Entry) state() any {
+func (e *Entry) currentState() any {
 	leader, _ := e.pool.Leader()
 	return State{
 		Cell: e.Cell, Name: e.Name, Phase: phaseNames[e.phase.Load()], Leader: leader.Name,
@@ -31,21 +31,21 @@
 	}
 }
 
-// logAudit writes the audit to the log when nothing else is set.
-type logAudit struct{ log logr.Logger }
+// logAuditor writes the audit to the log when nothing else is set.
+type logAuditor struct{ log logr.Logger }
 
-// Audit logs the record.
-func (a logAudit) Audit(_ context.Context, r operator.Record) {
+// RecordCall logs the record.
+func (a logAuditor) RecordCall(_ context.Context, r operator.AuditRecord) {
 	id := event.Audit
 	if r.Code != code.OK {
 		id = event.AuditRefused
 	}
-	event.Log(a.log, id, "key", r.Key, "peer", r.Peer, "call", r.Call, "subject", r.Subject,
-		"change", r.Change, "code", uint32(r.Code), "revision", r.Revision)
+	event.Log(a.log, id, "key", r.KeyID, "peer", r.PeerAddress, "call", r.Call, "subject", r.Subject,
+		"change", r.ChangeID, "code", uint32(r.Code), "revision", r.TableRevision)
 }
 
-// newCount returns an interceptor that counts calls from outside.
-func newCount(set *metrics.Set) connect.UnaryInterceptorFunc {
+// newCallCounter returns an interceptor that counts calls from outside.
+func newCallCounter(set *metrics.Set) connect.UnaryInterceptorFunc {
 	return func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			set.GetOrCreateCounter(`gypsumreel_entry_calls_total{call="` + req.Spec().Procedure + `"}`).Inc()
@@ -55,4 +55,4 @@
 }
 
 // Dump returns the state of the process for a person to read.
-func (e *Entry) Dump() any { e.init(); return e.state() }
+func (e *Entry) Dump() any { e.init(); return e.currentState() }
--- a/internal/edge/entry/tls_test.go
+++ b/internal/edge/entry/tls_test.go
@@ -24,9 +24,9 @@
 	"gypsumreel/internal/fake/server"
 )
 
-// certificate returns a server's configuration and one for clients that trust only it.
-func certificate(t *testing.T) (forServer, forClient *tls.Config) {
-	secret, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+// newCertificate returns a server's configuration and one for clients that trust only it.
+func newCertificate(t *testing.T) (serverTLS, clientTLS *tls.Config) {
+	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 		SerialNumber: big.NewInt(1), NotAfter: time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true,
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 	}
-	der, err := x509.CreateCertificate(rand.Reader, template, template, &secret.PublicKey, secret)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &privateKey.PublicKey, privateKey)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,16 +42,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	roots := x509.NewCertPool()
-	roots.AddCert(leaf)
-	forServer = &tls.Config{Certificates: []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: secret}}, MinVersion: tls.VersionTLS13}
-	return forServer, &tls.Config{RootCAs: roots, MinVersion: tls.VersionTLS13}
+	rootCAs := x509.NewCertPool()
+	rootCAs.AddCert(leaf)
+	serverTLS = &tls.Config{Certificates: []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: privateKey}}, MinVersion: tls.VersionTLS13}
+	return serverTLS, &tls.Config{RootCAs: rootCAs, MinVersion: tls.VersionTLS13}
 }
 
 // A job runs with TLS on every link: caller over HTTP/1.1, backend server over
 // HTTP/2, and the entry to the leader.
 func TestJobRunsOverTLS(t *testing.T) {
-	forServer, forClient := certificate(t)
+	serverTLS, clientTLS := newCertificate(t)
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -59,20 +59,20 @@
 		}
 		return l
 	}
-	c := newCell()
+	c := newFakeLedger()
 	c.leader = "c1"
-	token := c.grant("team-key", "quarry", false)
+	token := c.grantKey("team-key", "quarry", false)
 	leader, callers, backends := listen(), listen(), listen()
 	ctx, cancel := context.WithCancel(t.Context())
-	r := &replica{cell: c, name: "c1"}
-	go r.serve(ctx, tls.NewListener(leader, forServer))
+	r := &fakeReplica{ledger: c, name: "c1"}
+	go r.serve(ctx, tls.NewListener(leader, serverTLS))
 	e := &entry.Entry{
-		Cell: "test", Name: "e1", Callers: callers, Backends: backends, Outside: forServer, Inside: forClient, Log: logr.Discard(),
-		Replicas:  []control.Replica{{Name: "c1", Address: leader.Addr().String()}},
-		Enrolment: []backend.Digest{key.Digest(enrolment)}, Linger: time.Millisecond,
+		Cell: "test", Name: "e1", CallerListener: callers, BackendListener: backends, OutsideTLS: serverTLS, InsideTLS: clientTLS, Log: logr.Discard(),
+		ControlReplicas:  []control.Replica{{Name: "c1", Address: leader.Addr().String()}},
+		EnrolmentDigests: []backend.Digest{key.Digest(enrolment)}, ShutdownDelay: time.Millisecond,
 	}
 	go func() { _ = e.Run(ctx) }()
-	s := &server.Server{Name: "s1", Secret: enrolment, Entries: []server.Entry{server.NewEntry(backends.Addr().String(), forClient, nil)}}
+	s := &server.Server{Name: "s1", Secret: enrolment, Entries: []server.Entry{server.NewEntry(backends.Addr().String(), clientTLS, nil)}}
 	go func() { _ = s.Run(ctx) }()
 	defer func() {
 		cancel()
@@ -80,18 +80,18 @@
 		<-s.Done()
 	}()
 
-	wire := &http.Transport{TLSClientConfig: forClient}
-	defer wire.CloseIdleConnections()
-	client := v1.NewCallerClient(&http.Client{Transport: wire}, "https://"+callers.Addr().String())
-	jobs := &v1.SubmitRequest{Jobs: []*v1.Spec{spec("job", false, []byte("input"))}}
+	transport := &http.Transport{TLSClientConfig: clientTLS}
+	defer transport.CloseIdleConnections()
+	client := v1.NewCallerClient(&http.Client{Transport: transport}, "https://"+callers.Addr().String())
+	jobs := &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec("job", false, []byte("input"))}}
 	for range 100 {
-		reply, err := client.Submit(ctx, with(token, jobs))
+		reply, err := client.Submit(ctx, withKey(token, jobs))
 		if err == nil && reply.Msg.GetJobs()[0].GetStatus().GetCode() == 0 {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	reply, err := client.Wait(ctx, with(token, &v1.WaitRequest{Id: "job", Patience: 5000}))
+	reply, err := client.Wait(ctx, withKey(token, &v1.WaitRequest{Id: "job", Patience: 5000}))
 	if err != nil || string(reply.Msg.GetChunk().GetData()) != "input" {
 		t.Errorf("%v, %v", reply, err)
 	}
--- a/internal/edge/entry/world_test.go
+++ b/internal/edge/entry/world_test.go
@@ -36,53 +36,53 @@
 	serverNames  = []string{"s1", "s2"}
 )
 
-// world is a cell in memory with a relay on each link: from each entry to each
+// testCell is a cell in memory with a relay on each link: from each entry to each
 // replica, and from each backend server and the caller to each entry.
-type world struct {
-	ctx      context.Context
-	cancel   context.CancelFunc
-	wg       sync.WaitGroup
-	memory   *relay.Memory
-	cell     *cell
-	replicas map[string]*replica
-	entries  map[string]*process
-	servers  map[string]*server.Server
-	stops    map[string]context.CancelFunc
-	relays   map[string]*relay.Relay
-	record   *server.Record
-	limit    int
-	team     string
-	operator string
-	// step is told of each step; injected is when the fault came.
-	step     func(string)
-	injected atomic.Pointer[time.Time]
-
-	mu    sync.Mutex
-	notes map[string][]string
+type testCell struct {
+	ctx         context.Context
+	cancel      context.CancelFunc
+	wg          sync.WaitGroup
+	network     *relay.Memory
+	ledger      *fakeLedger
+	replicas    map[string]*fakeReplica
+	entries     map[string]*entryRun
+	servers     map[string]*server.Server
+	stopFuncs   map[string]context.CancelFunc
+	relays      map[string]*relay.Relay
+	taskRecord  *server.Record
+	maxPending  int
+	teamKey     string
+	operatorKey string
+	// onStep is told of each step; injected is when the fault came.
+	onStep     func(string)
+	injectedAt atomic.Pointer[time.Time]
+
+	mu           sync.Mutex
+	observations map[string][]string
 }
 
-// end stops a replica or a backend server at once.
-func (w *world) end(name string) {
+// terminate stops a replica or a backend server at once.
+func (w *testCell) terminate(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.stops[name]()
+	w.stopFuncs[name]()
 }
 
-func (w *world) backend(name string) *server.Server {
+func (w *testCell) backendServer(name string) *server.Server {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.servers[name]
 }
 
-// process returns the present run of an entry.
-func (w *world) process(name string) *process {
+// currentEntry returns the present run of an entry.
+func (w *testCell) currentEntry(name string) *entryRun {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.entries[name]
 }
 
-// process is one run of an entry.
-type process struct {
+// entryRun is one run of an entry.
+type entryRun struct {
 	entry *entry.Entry
 	stop  context.CancelFunc
 	kill  func()
@@ -105,7 +105,7 @@
 	return c, err
 }
 
-func (l *trackedListener) kill() {
+func (l *trackedListener) closeAll() {
 	_ = l.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,29 +114,29 @@
 	}
 }
 
-func newWorld(limit int) *world {
-	w := &world{
-		memory: &relay.Memory{}, cell: newCell(), replicas: map[string]*replica{}, entries: map[string]*process{},
-		servers: map[string]*server.Server{}, stops: map[string]context.CancelFunc{}, relays: map[string]*relay.Relay{},
-		record: &server.Record{}, limit: limit, notes: map[string][]string{},
+func newTestCell(maxPending int) *testCell {
+	w := &testCell{
+		network: &relay.Memory{}, ledger: newFakeLedger(), replicas: map[string]*fakeReplica{}, entries: map[string]*entryRun{},
+		servers: map[string]*server.Server{}, stopFuncs: map[string]context.CancelFunc{}, relays: map[string]*relay.Relay{},
+		taskRecord: &server.Record{}, maxPending: maxPending, observations: map[string][]string{},
 	}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
-	w.team = w.cell.grant("team-key", "quarry", false)
-	w.operator = w.cell.grant("operator-key", "", true)
-	w.cell.leader = replicaNames[0]
+	w.teamKey = w.ledger.grantKey("team-key", "quarry", false)
+	w.operatorKey = w.ledger.grantKey("operator-key", "", true)
+	w.ledger.leader = replicaNames[0]
 	for _, name := range replicaNames {
-		w.replicas[name] = &replica{cell: w.cell, name: name}
+		w.replicas[name] = &fakeReplica{ledger: w.ledger, name: name}
 		w.startReplica(name)
 	}
 	for _, e := range entryNames {
 		for _, c := range replicaNames {
-			w.link(e, c)
+			w.addRelay(e, c)
 		}
-		w.link("caller", e+"-callers")
-		w.link("operator", e+"-operators")
-		w.link("probe", e+"-platform")
+		w.addRelay("caller", e+"-callers")
+		w.addRelay("operator", e+"-operators")
+		w.addRelay("probe", e+"-platform")
 		for _, s := range serverNames {
-			w.link(s, e+"-backends")
+			w.addRelay(s, e+"-backends")
 		}
 		w.startEntry(e)
 	}
@@ -146,7 +146,7 @@
 	return w
 }
 
-func (w *world) close() {
+func (w *testCell) close() {
 	w.cancel()
 	for _, r := range w.replicas {
 		r.gate.open()
@@ -154,62 +154,62 @@
 	w.wg.Wait()
 }
 
-// link puts a relay between two processes.
-func (w *world) link(from, to string) {
+// addRelay puts a relay between two processes.
+func (w *testCell) addRelay(from, to string) {
 	name := from + ">" + to
-	r := &relay.Relay{Listener: w.memory.Listen(name), Dial: w.memory.To(to)}
+	r := &relay.Relay{Listener: w.network.Listen(name), Dial: w.network.To(to)}
 	w.relays[name] = r
 	w.wg.Go(func() { _ = r.Run(w.ctx) })
 }
 
-// dial returns the dial function of a process: everything goes through its own relays.
-func (w *world) dial(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
+// dialFrom returns the dial function of a process: everything goes through its own relays.
+func (w *testCell) dialFrom(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		to, _, _ := strings.Cut(address, ":")
-		return w.memory.Dial(ctx, network, from+">"+to)
+		return w.network.Dial(ctx, network, from+">"+to)
 	}
 }
 
-func (w *world) startReplica(name string) {
+func (w *testCell) startReplica(name string) {
 	ctx, stop := context.WithCancel(w.ctx)
 	w.mu.Lock()
-	w.stops[name] = stop
+	w.stopFuncs[name] = stop
 	w.mu.Unlock()
-	l := w.memory.Listen(name)
+	l := w.network.Listen(name)
 	r := w.replicas[name]
 	w.wg.Go(func() { r.serve(ctx, l) })
 }
 
-// lead makes another replica the leader.
-func (w *world) lead(name string) {
-	w.cell.mu.Lock()
-	defer w.cell.mu.Unlock()
-	w.cell.leader = name
+// setLeader makes another replica the leader.
+func (w *testCell) setLeader(name string) {
+	w.ledger.mu.Lock()
+	defer w.ledger.mu.Unlock()
+	w.ledger.leader = name
 }
 
-func (w *world) startEntry(name string) {
+func (w *testCell) startEntry(name string) {
 	ctx, stop := context.WithCancel(w.ctx)
 	abort := make(chan struct{})
-	callers := &trackedListener{Listener: w.memory.Listen(name + "-callers")}
-	backends := &trackedListener{Listener: w.memory.Listen(name + "-backends")}
-	operators := &trackedListener{Listener: w.memory.Listen(name + "-operators")}
-	platform := &trackedListener{Listener: w.memory.Listen(name + "-platform")}
+	callers := &trackedListener{Listener: w.network.Listen(name + "-callers")}
+	backends := &trackedListener{Listener: w.network.Listen(name + "-backends")}
+	operators := &trackedListener{Listener: w.network.Listen(name + "-operators")}
+	platform := &trackedListener{Listener: w.network.Listen(name + "-platform")}
 	var replicas []control.Replica
 	for _, c := range replicaNames {
 		replicas = append(replicas, control.Replica{Name: c, Address: c + ":1"})
 	}
 	e := &entry.Entry{
-		Cell: "test", Name: name, Callers: callers, Backends: backends, Operators: operators, Platform: platform, Replicas: replicas, Dial: w.dial(name), Limit: w.limit,
-		Enrolment: []backend.Digest{key.Digest(enrolment)}, Log: logr.Discard(), Abort: abort,
-		Linger: time.Second, Drain: 5 * time.Second, Age: connectionAge,
+		Cell: "test", Name: name, CallerListener: callers, BackendListener: backends, OperatorListener: operators, PlatformListener: platform, ControlReplicas: replicas, Dial: w.dialFrom(name), MaxPendingRequests: w.maxPending,
+		EnrolmentDigests: []backend.Digest{key.Digest(enrolment)}, Log: logr.Discard(), Abort: abort,
+		ShutdownDelay: time.Second, DrainTimeout: 5 * time.Second, MaxConnectionAge: connectionAge,
 	}
 	var once sync.Once
-	p := &process{entry: e, stop: stop, kill: func() {
+	p := &entryRun{entry: e, stop: stop, kill: func() {
 		once.Do(func() { close(abort) })
-		callers.kill()
-		backends.kill()
-		operators.kill()
-		platform.kill()
+		callers.closeAll()
+		backends.closeAll()
+		operators.closeAll()
+		platform.closeAll()
 		stop()
 	}}
 	w.mu.Lock()
@@ -218,14 +218,14 @@
 	w.wg.Go(func() { _ = e.Run(ctx) })
 }
 
-func (w *world) startServer(name string) {
+func (w *testCell) startServer(name string) {
 	ctx, stop := context.WithCancel(w.ctx)
-	s := &server.Server{Name: name, Secret: enrolment, Record: w.record}
+	s := &server.Server{Name: name, Secret: enrolment, Record: w.taskRecord}
 	for _, e := range entryNames {
-		s.Entries = append(s.Entries, server.NewEntry(e+"-backends:1", nil, w.dial(name)))
+		s.Entries = append(s.Entries, server.NewEntry(e+"-backends:1", nil, w.dialFrom(name)))
 	}
 	w.mu.Lock()
-	w.servers[name], w.stops[name] = s, stop
+	w.servers[name], w.stopFuncs[name] = s, stop
 	w.mu.Unlock()
 	w.wg.Go(func() {
 		_ = s.Run(ctx)
@@ -235,55 +235,55 @@
 	})
 }
 
-// client is the caller, or the operator: it asks each entry in turn until it
+// retryingClient is the caller, or the operator: it asks each entry in turn until it
 // gets an answer that stands.
-type client struct {
-	world     *world
+type retryingClient struct {
+	cell      *testCell
 	key       string
 	callers   []v1.CallerClient
 	operators []v1.OperatorClient
-	reset     func()
+	closeIdle func()
 }
 
-func (w *world) client(key string) *client {
+func (w *testCell) newClient(key string) *retryingClient {
 	from := "caller"
-	if key == w.operator {
+	if key == w.operatorKey {
 		from = "operator"
 	}
-	wire := &http.Transport{DialContext: w.dial(from)}
-	c := &client{world: w, key: key, reset: wire.CloseIdleConnections}
+	transport := &http.Transport{DialContext: w.dialFrom(from)}
+	c := &retryingClient{cell: w, key: key, closeIdle: transport.CloseIdleConnections}
 	for _, e := range entryNames {
-		web := &http.Client{Transport: wire}
-		c.callers = append(c.callers, v1.NewCallerClient(web, "http://"+e+"-callers:1"))
-		c.operators = append(c.operators, v1.NewOperatorClient(web, "http://"+e+"-operators:1"))
+		httpClient := &http.Client{Transport: transport}
+		c.callers = append(c.callers, v1.NewCallerClient(httpClient, "http://"+e+"-callers:1"))
+		c.operators = append(c.operators, v1.NewOperatorClient(httpClient, "http://"+e+"-operators:1"))
 	}
 	return c
 }
 
-// ask makes one call with a deadline, and again at the next entry until final says so.
-func ask[Req, Rep any](c *client, at int, call func(i int, ctx context.Context, r *connect.Request[Req]) (*connect.Response[Rep], error), msg *Req, final func(*Rep) bool) *Rep {
-	for i := at; ; i++ {
-		ctx, cancel := context.WithTimeout(c.world.ctx, 1500*time.Millisecond)
+// callUntilFinal makes one call with a deadline, and again at the next entry until final says so.
+func callUntilFinal[Req, Rep any](c *retryingClient, firstEntry int, call func(i int, ctx context.Context, r *connect.Request[Req]) (*connect.Response[Rep], error), msg *Req, isFinal func(*Rep) bool) *Rep {
+	for i := firstEntry; ; i++ {
+		ctx, cancel := context.WithTimeout(c.cell.ctx, 1500*time.Millisecond)
 		req := connect.NewRequest(msg)
 		req.Header().Set("Authorization", "Bearer "+c.key)
 		reply, err := call(i%len(entryNames), ctx, req)
 		cancel()
-		if c.world.ctx.Err() != nil {
-			var none Rep
-			return &none
+		if c.cell.ctx.Err() != nil {
+			var zero Rep
+			return &zero
 		}
-		if err == nil && final(reply.Msg) {
+		if err == nil && isFinal(reply.Msg) {
 			return reply.Msg
 		}
 		if err != nil {
-			c.reset()
+			c.closeIdle()
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// transient tells whether a status only says to come back.
-func transient(s *v1.Status) bool {
+// isTransient tells whether a status only says to come back.
+func isTransient(s *v1.Status) bool {
 	switch code.Code(s.GetCode()) {
 	case code.Unanswered, code.NoLeader, code.Leaving, code.Unreachable, code.Overloaded, code.Internal:
 		return true
@@ -291,10 +291,10 @@
 	return false
 }
 
-func (c *client) submit(at int, spec *v1.Spec) *v1.Accepted {
-	reply := ask(c, at, func(i int, ctx context.Context, r *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitReply], error) {
+func (c *retryingClient) submit(firstEntry int, spec *v1.Spec) *v1.Accepted {
+	reply := callUntilFinal(c, firstEntry, func(i int, ctx context.Context, r *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitReply], error) {
 		return c.callers[i].Submit(ctx, r)
-	}, &v1.SubmitRequest{Jobs: []*v1.Spec{spec}}, func(m *v1.SubmitReply) bool { return !transient(m.GetJobs()[0].GetStatus()) })
+	}, &v1.SubmitRequest{Jobs: []*v1.Spec{spec}}, func(m *v1.SubmitReply) bool { return !isTransient(m.GetJobs()[0].GetStatus()) })
 	if len(reply.GetJobs()) == 0 {
 		return &v1.Accepted{}
 	}
@@ -302,13 +302,13 @@
 }
 
 // wait collects the whole answer, each chunk at another entry.
-func (c *client) wait(at int, id string) (*v1.WaitReply, []byte) {
+func (c *retryingClient) wait(firstEntry int, id string) (*v1.WaitReply, []byte) {
 	var parts answer.Parts
-	for n := uint32(0); ; {
-		reply := ask(c, at+int(n), func(i int, ctx context.Context, r *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
+	for chunk := uint32(0); ; {
+		reply := callUntilFinal(c, firstEntry+int(chunk), func(i int, ctx context.Context, r *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
 			return c.callers[i].Wait(ctx, r)
-		}, &v1.WaitRequest{Id: id, Chunk: n, Patience: 1000}, func(m *v1.WaitReply) bool {
-			return !transient(m.GetStatus()) && (m.GetOutcome() >= v1.Outcome_OUTCOME_DONE || m.GetStatus().GetCode() != 0)
+		}, &v1.WaitRequest{Id: id, Chunk: chunk, Patience: 1000}, func(m *v1.WaitReply) bool {
+			return !isTransient(m.GetStatus()) && (m.GetOutcome() >= v1.Outcome_OUTCOME_DONE || m.GetStatus().GetCode() != 0)
 		})
 		if reply.GetOutcome() != v1.Outcome_OUTCOME_DONE || reply.GetChunk() == nil {
 			return reply, nil
@@ -323,40 +323,40 @@
 		if ok {
 			return reply, whole
 		}
-		n++
+		chunk++
 	}
 }
 
-func (c *client) cancel(at int, id string) {
-	ask(c, at, func(i int, ctx context.Context, r *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelReply], error) {
+func (c *retryingClient) cancel(firstEntry int, id string) {
+	callUntilFinal(c, firstEntry, func(i int, ctx context.Context, r *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelReply], error) {
 		return c.callers[i].Cancel(ctx, r)
-	}, &v1.CancelRequest{Ids: []string{id}}, func(m *v1.CancelReply) bool { return !transient(m.GetStatus()) })
+	}, &v1.CancelRequest{Ids: []string{id}}, func(m *v1.CancelReply) bool { return !isTransient(m.GetStatus()) })
 }
 
-func (c *client) change(at int, req *v1.ChangeRequest) *v1.ChangeReply {
-	return ask(c, at, func(i int, ctx context.Context, r *connect.Request[v1.ChangeRequest]) (*connect.Response[v1.ChangeReply], error) {
+func (c *retryingClient) change(firstEntry int, req *v1.ChangeRequest) *v1.ChangeReply {
+	return callUntilFinal(c, firstEntry, func(i int, ctx context.Context, r *connect.Request[v1.ChangeRequest]) (*connect.Response[v1.ChangeReply], error) {
 		return c.operators[i].Change(ctx, r)
-	}, req, func(m *v1.ChangeReply) bool { return !transient(m.GetStatus()) })
+	}, req, func(m *v1.ChangeReply) bool { return !isTransient(m.GetStatus()) })
 }
 
-func spec(id string, once bool, input []byte) *v1.Spec {
+func newSpec(id string, once bool, input []byte) *v1.Spec {
 	return &v1.Spec{Id: id, Kind: v1.Kind_KIND_BATCH, Count: 1, Size: &v1.Size{Cpu: 1000, Memory: 10, Slots: 1}, Once: once, Input: input}
 }
 
-// wanted returns the answer that a job's input asks for.
-func wanted(input []byte, size int) []byte {
+// expectedAnswer returns the answer that a job's input asks for.
+func expectedAnswer(input []byte, size int) []byte {
 	if size > 0 {
 		return server.Pattern(size)
 	}
 	return input
 }
 
-// runs submits one job and checks its answer; it returns what went wrong.
-func (c *client) runs(at int, id string, wish server.Wish) string {
-	in := wish.Input()
-	c.submit(at, spec(id, false, in))
-	reply, whole := c.wait(at, id)
-	if reply.GetOutcome() != v1.Outcome_OUTCOME_DONE || !bytes.Equal(whole, wanted(in, wish.Size)) {
+// runJob submits one job and checks its answer; it returns what went wrong.
+func (c *retryingClient) runJob(firstEntry int, id string, wish server.Wish) string {
+	input := wish.Input()
+	c.submit(firstEntry, newSpec(id, false, input))
+	reply, whole := c.wait(firstEntry, id)
+	if reply.GetOutcome() != v1.Outcome_OUTCOME_DONE || !bytes.Equal(whole, expectedAnswer(input, wish.Size)) {
 		return fmt.Sprintf("%s: outcome %v, status %v, %d bytes", id, reply.GetOutcome(), reply.GetStatus(), len(whole))
 	}
 	return ""
--- a/internal/edge/operator/check.go
+++ b/internal/edge/operator/check.go
@@ -9,8 +9,8 @@
 	"gypsumreel/internal/edge/caller"
 )
 
-// MaxEdits bounds the rows that one change touches.
-const MaxEdits = 2000
+// MaxTableEdits bounds the rows that one change touches.
+const MaxTableEdits = 2000
 
 // maxShare is the whole cell in thousandths.
 const maxShare = 1000
@@ -38,8 +38,8 @@
 }
 
 func checkTable(t *v1.TableChange) error {
-	if len(t.GetEdits()) > MaxEdits {
-		return code.New(code.TooLarge, "up to %d edits", MaxEdits)
+	if len(t.GetEdits()) > MaxTableEdits {
+		return code.New(code.TooLarge, "up to %d edits", MaxTableEdits)
 	}
 	for _, e := range t.GetEdits() {
 		if err := checkEdit(e); err != nil {
@@ -54,18 +54,18 @@
 	if err := caller.CheckName("team", row.GetTeam()); err != nil {
 		return err
 	}
-	for _, name := range e.GetCells() {
-		switch name {
+	for _, cell := range e.GetCells() {
+		switch cell {
 		case "weight", "share", "cpu", "memory", "accel", "slots", "queue":
 		default:
-			return code.New(code.Malformed, "team %q has no cell %q", row.GetTeam(), name)
+			return code.New(code.Malformed, "team %q has no cell %q", row.GetTeam(), cell)
 		}
 	}
 	if row.GetShare() > maxShare {
 		return code.New(code.Malformed, "team %q: the share is at most %d thousandths", row.GetTeam(), maxShare)
 	}
-	l := row.GetLimit()
-	for _, n := range []int64{l.GetCpu(), l.GetMemory(), l.GetAccel(), l.GetSlots()} {
+	limit := row.GetLimit()
+	for _, n := range []int64{limit.GetCpu(), limit.GetMemory(), limit.GetAccel(), limit.GetSlots()} {
 		if n < -1 {
 			return code.New(code.Malformed, "team %q: a limit is -1 or more", row.GetTeam())
 		}
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// describe names a change and what it is about, for the audit.
-func describe(m *v1.ChangeRequest) (call, subject string) {
+// describeChange names a change and what it is about, for the audit.
+func describeChange(m *v1.ChangeRequest) (call, subject string) {
 	switch c := m.GetChange().(type) {
 	case *v1.ChangeRequest_Table:
 		return "table", fmt.Sprintf("base %d, %d rows", c.Table.GetBase(), len(c.Table.GetEdits()))
--- a/internal/edge/operator/limits.go
+++ b/internal/edge/operator/limits.go
@@ -11,41 +11,41 @@
 	DefaultRate = 50
 	// DefaultBurst is how many of them may come at once.
 	DefaultBurst = 200
-	// maxKeys bounds the keys remembered; an unknown key is not proved to exist.
-	maxKeys = 1024
+	// maxTrackedKeys bounds the keys remembered; an unknown key is not proved to exist.
+	maxTrackedKeys = 1024
 )
 
-// Limits bounds the rate of calls by key. The zero value has the defaults.
-type Limits struct {
+// RateLimits bounds the rate of calls by key. The zero value has the defaults.
+type RateLimits struct {
 	Rate  rate.Limit
 	Burst int
 
-	mu   sync.Mutex
-	keys map[string]*rate.Limiter
+	mu       sync.Mutex
+	limiters map[string]*rate.Limiter
 }
 
 // Allow tells whether one more call with the key is within the limit.
-func (l *Limits) Allow(key string) bool {
+func (l *RateLimits) Allow(key string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.keys == nil || len(l.keys) >= maxKeys {
-		l.keys = make(map[string]*rate.Limiter)
+	if l.limiters == nil || len(l.limiters) >= maxTrackedKeys {
+		l.limiters = make(map[string]*rate.Limiter)
 	}
-	one, ok := l.keys[key]
+	limiter, ok := l.limiters[key]
 	if !ok {
-		one = rate.NewLimiter(l.bounds())
-		l.keys[key] = one
+		limiter = rate.NewLimiter(l.rateAndBurst())
+		l.limiters[key] = limiter
 	}
-	return one.Allow()
+	return limiter.Allow()
 }
 
-func (l *Limits) bounds() (rate.Limit, int) {
-	r, b := l.Rate, l.Burst
-	if r == 0 {
-		r = DefaultRate
+func (l *RateLimits) rateAndBurst() (rate.Limit, int) {
+	limit, burst := l.Rate, l.Burst
+	if limit == 0 {
+		limit = DefaultRate
 	}
-	if b == 0 {
-		b = DefaultBurst
+	if burst == 0 {
+		burst = DefaultBurst
 	}
-	return r, b
+	return limit, burst
 }
