--- a/internal/edge/backend/backend.go
+++ b/internal/edge/backend/backend.go
@@ -1,5 +1,5 @@
-// Package backend serves the backend servers: it checks their enrolment and
-// forwards their announcements and syncs to the leader.
+// Package backend implements the Backend service of an entry. It checks the
+// enrolment secret of backend servers and forwards their requests to the leader.
 package backend
 
 import (
@@ -20,11 +20,12 @@
 )
 
 const (
-	// MaxPollWait bounds a Sync, so that a silent connection shows soon.
+	// MaxPollWait bounds the long poll of a Sync, so that a backend server soon
+	// notices a connection that carries no replies.
 	MaxPollWait = 2 * time.Second
-	// RequestTimeout bounds every other call.
+	// RequestTimeout bounds every call except Sync.
 	RequestTimeout = 2 * time.Second
-	// pollMargin is what a Sync may take beyond its patience.
+	// pollMargin is the time added to the poll wait of a Sync for the exchange with the leader.
 	pollMargin = 500 * time.Millisecond
 	// MaxRequestSize bounds the size of a request in bytes.
 	MaxRequestSize = 8 << 20
@@ -33,20 +34,21 @@
 // Digest is the SHA-256 of an enrolment secret.
 type Digest [sha256.Size]byte
 
-// Handler serves the Backend service. Set the fields, then mount it with Route.
+// Handler implements the Backend service. Set the fields, then mount it with Route.
 type Handler struct {
 	Leader control.Asker
-	// EnrolmentDigests holds the digests accepted; two while a secret is replaced. None admits nobody.
+	// EnrolmentDigests holds the digests of the accepted secrets: two while a
+	// secret is being replaced. With none, every request is refused.
 	EnrolmentDigests []Digest
 	Log              logr.Logger
 }
 
-// Route returns the path and the handler for an HTTP mux.
+// Route returns the URL path of the service and its HTTP handler.
 func (h *Handler) Route(opts ...connect.HandlerOption) (string, http.Handler) {
 	return v1.NewBackendHandler(h, append(opts, connect.WithReadMaxBytes(MaxRequestSize))...)
 }
 
-// Announce forwards the opening of a session.
+// Announce forwards the request of a backend server to open a session.
 func (h *Handler) Announce(ctx context.Context, req *connect.Request[v1.AnnounceRequest]) (*connect.Response[v1.AnnounceReply], error) {
 	reply, status := h.forward(ctx, req.Header(), req.Peer(), checkAnnounce(req.Msg), &inner.Item{Ask: &inner.Item_Announce{Announce: req.Msg}}, RequestTimeout)
 	if status != nil {
@@ -55,8 +57,9 @@
 	return connect.NewResponse(reply.GetAnnounce()), nil
 }
 
-// Sync forwards a bounded long poll. When no answer comes the server is sent to
-// another entry without any lease: the old one keeps running down.
+// Sync forwards a bounded long poll. If the leader does not answer, the reply
+// sends the backend server to another entry and grants no lease, so that the
+// server's current lease still expires on time.
 func (h *Handler) Sync(ctx context.Context, req *connect.Request[v1.SyncRequest]) (*connect.Response[v1.SyncReply], error) {
 	m := req.Msg
 	pollWait := time.Duration(min(m.GetPatience(), uint64(MaxPollWait.Milliseconds()))) * time.Millisecond
@@ -71,7 +74,7 @@
 	return connect.NewResponse(reply.GetSync()), nil
 }
 
-// Leave forwards the word that the server takes no new work.
+// Leave forwards the notice that the backend server takes no new work.
 func (h *Handler) Leave(ctx context.Context, req *connect.Request[v1.LeaveRequest]) (*connect.Response[v1.LeaveReply], error) {
 	reply, status := h.forward(ctx, req.Header(), req.Peer(), checkServer(req.Msg.GetServer()), &inner.Item{Ask: &inner.Item_Leave{Leave: req.Msg}}, RequestTimeout)
 	if status != nil {
@@ -80,6 +83,8 @@
 	return connect.NewResponse(reply.GetLeave()), nil
 }
 
+// forward checks the enrolment secret and sends the item to the leader, unless
+// validation of the request failed.
 func (h *Handler) forward(ctx context.Context, header http.Header, peer connect.Peer, validationErr error, item *inner.Item, timeout time.Duration) (*inner.Reply, *v1.Status) {
 	if !h.isEnrolled(control.Bearer(header)) {
 		event.Log(h.Log, event.EnrolmentRefused, "peer", peer.Addr)
@@ -92,7 +97,8 @@
 	return reply, control.Undecided(status)
 }
 
-// isEnrolled compares the secret's digest with all accepted ones in constant time.
+// isEnrolled reports whether the secret is accepted. It compares the digest with
+// all accepted ones in constant time.
 func (h *Handler) isEnrolled(secret string) bool {
 	presented := sha256.Sum256([]byte(secret))
 	match := 0
@@ -102,7 +108,7 @@
 	return match == 1 && secret != ""
 }
 
-// shouldTryOtherEntry tells whether another entry may do better.
+// shouldTryOtherEntry reports whether the same request may succeed at another entry.
 func shouldTryOtherEntry(s *v1.Status) bool {
 	switch code.Code(s.GetCode()) {
 	case code.Leaving, code.NoLeader, code.Unanswered:
--- a/internal/edge/backend/check.go
+++ b/internal/edge/backend/check.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// MaxReports bounds the attempts in one Sync.
+	// MaxReports bounds the attempt reports in one Sync.
 	MaxReports = 4096
-	// MaxCheckpointSize bounds the handle of a checkpoint in bytes.
+	// MaxCheckpointSize bounds the size of a checkpoint handle in bytes.
 	MaxCheckpointSize = 4096
 )
 
-// checkAnnounce returns a *code.Error when the announcement breaks a stated bound.
+// checkAnnounce returns a *code.Error if the request is malformed or exceeds a limit.
 func checkAnnounce(m *v1.AnnounceRequest) error {
 	if err := checkServer(m.GetServer()); err != nil {
 		return err
@@ -28,23 +28,23 @@
 	c := m.GetCapacity()
 	switch {
 	case m.GetNonce() == 0:
-		return code.New(code.Malformed, "the nonce is missing")
+		return code.New(code.Malformed, "the nonce must not be 0")
 	case !caller.IsValidSize(c) || c.GetCpu() == 0 || c.GetMemory() == 0 || c.GetSlots() == 0:
-		return code.New(code.Malformed, "the capacity needs processor time, memory and slots")
+		return code.New(code.Malformed, "the capacity must contain CPU, memory and slots above 0 and no negative or oversized value")
 	}
 	return caller.CheckLabels(m.GetLabels())
 }
 
-// checkSync returns a *code.Error when the sync breaks a stated bound.
+// checkSync returns a *code.Error if the request is malformed or exceeds a limit.
 func checkSync(m *v1.SyncRequest) error {
 	if err := checkServer(m.GetServer()); err != nil {
 		return err
 	}
 	if len(m.GetReports()) > MaxReports {
-		return code.New(code.TooLarge, "up to %d reports", MaxReports)
+		return code.New(code.TooLarge, "the request has %d reports, at most %d are allowed", len(m.GetReports()), MaxReports)
 	}
 	if m.GetIncarnation() == 0 || m.GetNumber() == 0 {
-		return code.New(code.Malformed, "incarnation and number start at 1")
+		return code.New(code.Malformed, "incarnation %d and number %d must be 1 or more", m.GetIncarnation(), m.GetNumber())
 	}
 	for _, r := range m.GetReports() {
 		if err := checkReport(r); err != nil {
@@ -54,24 +54,25 @@
 	return nil
 }
 
+// checkReport returns a *code.Error if the report is malformed or exceeds a limit.
 func checkReport(r *v1.Report) error {
 	a := r.GetAttempt()
 	switch {
 	case a.GetNumber() == 0:
-		return code.New(code.Malformed, "a report without an attempt")
+		return code.New(code.Malformed, "a report has no attempt number")
 	case r.GetPhase() < v1.Phase_PHASE_HELD || r.GetPhase() > v1.Phase_PHASE_SAVED:
-		return code.New(code.Malformed, "phase %d", r.GetPhase())
+		return code.New(code.Malformed, "a report has the unknown phase %d", r.GetPhase())
 	case r.GetPhase() != v1.Phase_PHASE_ENDED && (len(r.GetChunks()) > 0 || r.GetExit() != 0):
-		return code.New(code.Malformed, "an answer from a task that has not ended")
+		return code.New(code.Malformed, "a report in phase %d has an answer or an exit code, which only an ended task has", r.GetPhase())
 	case len(r.GetCheckpoint()) > MaxCheckpointSize:
-		return code.New(code.TooLarge, "the checkpoint's handle has up to %d bytes", MaxCheckpointSize)
+		return code.New(code.TooLarge, "the checkpoint handle has %d bytes, at most %d are allowed", len(r.GetCheckpoint()), MaxCheckpointSize)
 	}
 	for _, c := range r.GetChunks() {
 		if len(c.GetData()) > answer.ChunkSize || c.GetTotal() > answer.MaxTotal || c.GetNumber() >= c.GetCount() {
-			return code.New(code.TooLarge, "chunk %d of %d, %d bytes of %d", c.GetNumber(), c.GetCount(), len(c.GetData()), c.GetTotal())
+			return code.New(code.TooLarge, "invalid chunk: number %d of %d, %d of %d bytes", c.GetNumber(), c.GetCount(), len(c.GetData()), c.GetTotal())
 		}
 	}
 	return nil
 }
 
-func checkServer(name string) error { return caller.CheckName("server's name", name) }
+func checkServer(name string) error { return caller.CheckName("server name", name) }
--- a/internal/edge/caller/caller.go
+++ b/internal/edge/caller/caller.go
@@ -1,4 +1,5 @@
-// Package caller serves the callers of the cell: it checks bounds and forwards to the leader.
+// Package caller implements the Caller service of an entry. It checks the
+// requests of teams against the limits and forwards them to the leader.
 package caller
 
 import (
@@ -15,31 +16,32 @@
 )
 
 const (
-	// MaxPollWait bounds a Wait.
+	// MaxPollWait bounds the long poll of a Wait.
 	MaxPollWait = 10 * time.Second
-	// RequestTimeout bounds every other call.
+	// RequestTimeout bounds every call except Wait.
 	RequestTimeout = 5 * time.Second
-	// pollMargin is what a Wait may take beyond its patience.
+	// pollMargin is the time added to the poll wait of a Wait for the exchange with the leader.
 	pollMargin = time.Second
 	// MaxRequestSize bounds the size of a request in bytes.
 	MaxRequestSize = 4 << 20
 )
 
-// Handler serves the Caller service. Set the fields, then mount it with Route.
+// Handler implements the Caller service. Set the fields, then mount it with Route.
 type Handler struct {
 	Leader control.Asker
 }
 
-// Route returns the path and the handler for an HTTP mux.
+// Route returns the URL path of the service and its HTTP handler.
 func (h *Handler) Route(opts ...connect.HandlerOption) (string, http.Handler) {
 	return v1.NewCallerHandler(h, append(opts, connect.WithReadMaxBytes(MaxRequestSize))...)
 }
 
-// Submit forwards the jobs that are within bounds and merges the answers in the request's order.
+// Submit forwards the valid jobs to the leader and returns one answer for each
+// job, in the order of the request.
 func (h *Handler) Submit(ctx context.Context, req *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitReply], error) {
 	jobs := req.Msg.GetJobs()
 	if len(jobs) == 0 || len(jobs) > MaxJobsPerSubmit {
-		return nil, connect.NewError(connect.CodeInvalidArgument, code.New(code.Malformed, "1 to %d jobs at once", MaxJobsPerSubmit))
+		return nil, connect.NewError(connect.CodeInvalidArgument, code.New(code.Malformed, "the request has %d jobs, 1 to %d are allowed", len(jobs), MaxJobsPerSubmit))
 	}
 	results := make([]*v1.Accepted, len(jobs))
 	seenIDs := make(map[string]bool, len(jobs))
@@ -49,7 +51,7 @@
 		results[i] = &v1.Accepted{Id: spec.GetId()}
 		err := checkSpec(spec)
 		if err == nil && seenIDs[spec.GetId()] {
-			err = code.New(code.Malformed, "id %q stands twice in one request", spec.GetId())
+			err = code.New(code.Malformed, "id %q occurs twice in one request", spec.GetId())
 		}
 		if err != nil {
 			results[i].Status = control.Status(err)
@@ -67,7 +69,7 @@
 	return connect.NewResponse(&v1.SubmitReply{Jobs: results}), nil
 }
 
-// forwardJobs returns one answer for each job of the request.
+// forwardJobs sends the jobs to the leader and returns one answer for each of them.
 func (h *Handler) forwardJobs(ctx context.Context, header http.Header, req *v1.SubmitRequest) []*v1.Accepted {
 	credential, err := control.Presented(header)
 	if err != nil {
@@ -79,14 +81,15 @@
 	}
 	answers := reply.GetSubmit().GetJobs()
 	if len(answers) != len(req.GetJobs()) {
-		return answerAll(req, control.Refusal(code.Unanswered, "the answer does not fit the request"), v1.Outcome_OUTCOME_UNSPECIFIED)
+		return answerAll(req, control.Refusal(code.Unanswered, "the leader answered for %d of %d jobs", len(answers), len(req.GetJobs())), v1.Outcome_OUTCOME_UNSPECIFIED)
 	}
 	return answers
 }
 
-// refuseJobs answers for the entry. It cannot know whether an earlier request with
-// one of the ids got through elsewhere, so without the caller's word that this
-// is the first it says unknown and never not run.
+// refuseJobs returns the answers for jobs that the entry could not forward. An
+// earlier request with the same ids may have been accepted at another entry, so
+// the outcome is "not run" only if the caller states that this is the first
+// request. Otherwise the outcome is unknown.
 func refuseJobs(req *v1.SubmitRequest, s *v1.Status) []*v1.Accepted {
 	switch c := code.Code(s.GetCode()); {
 	case c != code.Unreachable && c != code.Overloaded:
@@ -97,6 +100,7 @@
 	return answerAll(req, &v1.Status{Code: uint32(code.Unanswered), Text: s.GetText(), Retry: s.GetRetry()}, v1.Outcome_OUTCOME_UNSPECIFIED)
 }
 
+// answerAll returns the same status and outcome for every job of the request.
 func answerAll(req *v1.SubmitRequest, s *v1.Status, o v1.Outcome) []*v1.Accepted {
 	answers := make([]*v1.Accepted, len(req.GetJobs()))
 	for i, spec := range req.GetJobs() {
@@ -105,7 +109,8 @@
 	return answers
 }
 
-// Wait forwards a long poll; it may be resumed at any entry by the job's id.
+// Wait forwards a bounded long poll for a job. The caller may continue it at any
+// entry with the same job id.
 func (h *Handler) Wait(ctx context.Context, req *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
 	m := req.Msg
 	pollWait := min(time.Duration(min(m.GetPatience(), uint64(MaxPollWait.Milliseconds())))*time.Millisecond, MaxPollWait)
@@ -117,7 +122,7 @@
 	return connect.NewResponse(reply.GetWait()), nil
 }
 
-// Cancel forwards a cancellation by ids or by labels.
+// Cancel forwards a request to cancel jobs by id or by label.
 func (h *Handler) Cancel(ctx context.Context, req *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelReply], error) {
 	reply, status := h.forward(ctx, req.Header(), checkCancel(req.Msg), &inner.Item{Ask: &inner.Item_Cancel{Cancel: req.Msg}}, RequestTimeout)
 	if status != nil {
@@ -141,7 +146,7 @@
 	return connect.NewResponse(reply.GetList()), nil
 }
 
-// Acknowledge forwards the word that outcomes may be forgotten.
+// Acknowledge forwards the notice that the cell may delete the outcomes of the jobs named.
 func (h *Handler) Acknowledge(ctx context.Context, req *connect.Request[v1.AcknowledgeRequest]) (*connect.Response[v1.AcknowledgeReply], error) {
 	reply, status := h.forward(ctx, req.Header(), checkIDs(req.Msg.GetIds()), &inner.Item{Ask: &inner.Item_Acknowledge{Acknowledge: req.Msg}}, RequestTimeout)
 	if status != nil {
@@ -150,7 +155,8 @@
 	return connect.NewResponse(reply.GetAcknowledge()), nil
 }
 
-// forward forwards an item under the caller's key unless its check failed.
+// forward sends an item with the caller's key to the leader, unless validation
+// of the request failed.
 func (h *Handler) forward(ctx context.Context, header http.Header, validationErr error, item *inner.Item, timeout time.Duration) (*inner.Reply, *v1.Status) {
 	if validationErr != nil {
 		return nil, control.Status(validationErr)
--- a/internal/edge/caller/check.go
+++ b/internal/edge/caller/check.go
@@ -8,55 +8,55 @@
 	"gypsumreel/internal/base/code"
 )
 
-// Bounds of what callers may ask.
+// Limits on the requests of callers.
 const (
-	// MaxJobsPerSubmit bounds the jobs of one submission.
+	// MaxJobsPerSubmit bounds the jobs in one Submit request.
 	MaxJobsPerSubmit = 1000
-	// MaxTasksPerJob bounds the tasks of one job.
+	// MaxTasksPerJob bounds the number of tasks of one job.
 	MaxTasksPerJob = 10_000
-	// MaxNameLength bounds ids, names and the parts of a label, in bytes.
+	// MaxNameLength bounds the length of ids, names, label keys and label values in bytes.
 	MaxNameLength = 128
-	// MaxLabels bounds the labels of one job or cancellation.
+	// MaxLabels bounds the labels of one job, cancellation or backend server.
 	MaxLabels = 16
-	// MaxInputSize bounds the input of a job in bytes.
+	// MaxInputSize bounds the size of a job's input in bytes.
 	MaxInputSize = 1 << 20
-	// MaxIDsPerRequest bounds the ids in one call.
+	// MaxIDsPerRequest bounds the job ids in one request.
 	MaxIDsPerRequest = 10_000
-	// MaxListedJobs bounds the lines of one List.
+	// MaxListedJobs bounds the jobs in one List reply.
 	MaxListedJobs = 1000
-	// MaxDeadline bounds the wait for a placement and the estimated run time.
+	// MaxDeadline bounds both the placement deadline and the estimated run time of a job.
 	MaxDeadline = 365 * 24 * time.Hour
-	// maxSizeValue bounds each field of a size, so that sums cannot overflow.
+	// maxSizeValue bounds each field of a size, so that sums of sizes cannot overflow.
 	maxSizeValue = 1 << 40
 )
 
-// checkSpec returns a *code.Error when the job breaks a stated bound.
+// checkSpec returns a *code.Error if the job is malformed or exceeds a limit.
 func checkSpec(s *v1.Spec) error {
 	if err := checkID(s.GetId()); err != nil {
 		return err
 	}
 	switch {
 	case s.GetKind() < v1.Kind_KIND_URGENT || s.GetKind() > v1.Kind_KIND_SERVICE:
-		return code.New(code.Malformed, "kind %d", s.GetKind())
+		return code.New(code.Malformed, "the job has the unknown kind %d", s.GetKind())
 	case !isPrintable(s.GetName()) || len(s.GetName()) > MaxNameLength:
-		return code.New(code.Malformed, "the name has up to %d printable bytes", MaxNameLength)
+		return code.New(code.Malformed, "the name must have at most %d bytes, all of them printable characters", MaxNameLength)
 	case s.GetCount() < 1 || s.GetCount() > MaxTasksPerJob:
-		return code.New(code.Malformed, "1 to %d tasks", MaxTasksPerJob)
+		return code.New(code.Malformed, "the job has %d tasks, 1 to %d are allowed", s.GetCount(), MaxTasksPerJob)
 	case !IsValidSize(s.GetSize()):
-		return code.New(code.Malformed, "the size needs fields from 0 to %d, and one above 0", maxSizeValue)
+		return code.New(code.Malformed, "every field of the size must be from 0 to %d, and at least one above 0", maxSizeValue)
 	case len(s.GetInput()) > MaxInputSize:
-		return code.New(code.TooLarge, "the input has up to %d bytes", MaxInputSize)
+		return code.New(code.TooLarge, "the input has %d bytes, at most %d are allowed", len(s.GetInput()), MaxInputSize)
 	case s.GetDeadline() > uint64(MaxDeadline.Milliseconds()):
-		return code.New(code.Malformed, "the deadline is at most %v", MaxDeadline)
+		return code.New(code.Malformed, "the deadline must be at most %v", MaxDeadline)
 	case s.GetRuntime() > uint64(MaxDeadline.Milliseconds()):
-		return code.New(code.Malformed, "the run time is at most %v", MaxDeadline)
+		return code.New(code.Malformed, "the estimated run time must be at most %v", MaxDeadline)
 	case s.GetFloor() > s.GetCount():
-		return code.New(code.Malformed, "the floor is above the count")
+		return code.New(code.Malformed, "the floor %d is above the count %d", s.GetFloor(), s.GetCount())
 	}
 	return CheckLabels(s.GetLabels())
 }
 
-// IsValidSize tells whether no field is negative or absurd and one is above zero.
+// IsValidSize reports whether every field is within its limits and at least one is above zero.
 func IsValidSize(s *v1.Size) bool {
 	anyPositive := false
 	for _, n := range []int64{s.GetCpu(), s.GetMemory(), s.GetAccel(), s.GetSlots()} {
@@ -68,23 +68,24 @@
 	return anyPositive
 }
 
-// CheckLabels returns a *code.Error when there are too many labels or one is malformed.
+// CheckLabels returns a *code.Error if there are too many labels or one is malformed.
 func CheckLabels(labels map[string]string) error {
 	if len(labels) > MaxLabels {
-		return code.New(code.Malformed, "up to %d labels", MaxLabels)
+		return code.New(code.Malformed, "%d labels given, at most %d are allowed", len(labels), MaxLabels)
 	}
 	for k, v := range labels {
 		if k == "" || len(k) > MaxNameLength || len(v) > MaxNameLength || !isPrintable(k) || !isPrintable(v) {
-			return code.New(code.Malformed, "label %q", k)
+			return code.New(code.Malformed, "label %q: key and value must have at most %d bytes, all of them printable characters, and the key at least 1", k, MaxNameLength)
 		}
 	}
 	return nil
 }
 
-// CheckName returns a *code.Error unless the text is a usable name of the thing given.
+// CheckName returns a *code.Error unless the name has 1 to MaxNameLength bytes and
+// only printable characters. The kind says in the error which name it is.
 func CheckName(kind, name string) error {
 	if name == "" || len(name) > MaxNameLength || !isPrintable(name) {
-		return code.New(code.Malformed, "the %s has 1 to %d printable bytes", kind, MaxNameLength)
+		return code.New(code.Malformed, "the %s must have 1 to %d bytes, all of them printable characters", kind, MaxNameLength)
 	}
 	return nil
 }
@@ -93,7 +94,7 @@
 
 func checkIDs(ids []string) error {
 	if len(ids) > MaxIDsPerRequest {
-		return code.New(code.TooLarge, "up to %d ids", MaxIDsPerRequest)
+		return code.New(code.TooLarge, "%d ids given, at most %d are allowed", len(ids), MaxIDsPerRequest)
 	}
 	for _, id := range ids {
 		if err := checkID(id); err != nil {
@@ -105,7 +106,7 @@
 
 func checkCancel(m *v1.CancelRequest) error {
 	if len(m.GetIds()) == 0 && len(m.GetLabels()) == 0 {
-		return code.New(code.Malformed, "a cancellation names ids or labels")
+		return code.New(code.Malformed, "a cancellation must name ids or labels")
 	}
 	if err := checkIDs(m.GetIds()); err != nil {
 		return err
--- a/internal/edge/codec/codec.go
+++ b/internal/edge/codec/codec.go
@@ -1,5 +1,5 @@
-// Package codec gives bad input from outside a numbered result code. The
-// library would refuse it too, but with a text of its own and no number.
+// Package codec provides message codecs that answer malformed input with a
+// numbered result code. The codecs of the Connect library report only a text.
 package codec
 
 import (
@@ -12,27 +12,28 @@
 	"gypsumreel/internal/base/code"
 )
 
-// The names under which the protocol knows the codecs.
+// Codec names as the Connect protocol defines them.
 const (
 	protoCodecName       = "proto"
 	jsonCodecName        = "json"
 	jsonCharsetCodecName = "json; charset=utf-8"
 )
 
-// HandlerOptions are the handler options that every service uses.
+// HandlerOptions returns the handler options that every service uses.
 func HandlerOptions() connect.HandlerOption {
 	return connect.WithHandlerOptions(
 		connect.WithCodec(protoCodec{}), connect.WithCodec(jsonCodec{jsonCodecName}), connect.WithCodec(jsonCodec{jsonCharsetCodecName}),
 	)
 }
 
-// LimitRequestSize refuses requests that say that they are larger than most bytes before
-// anything of them is read. Those that do not say are ended by the library.
+// LimitRequestSize refuses a request whose Content-Length exceeds maxBytes before
+// its body is read. The Connect library limits requests without a Content-Length
+// while it reads them.
 func LimitRequestSize(maxBytes int64, next http.Handler) http.Handler {
 	errorWriter := connect.NewErrorWriter()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength > maxBytes {
-			err := code.New(code.TooLarge, "%d bytes, at most %d", r.ContentLength, maxBytes)
+			err := code.New(code.TooLarge, "the request has %d bytes, at most %d are allowed", r.ContentLength, maxBytes)
 			_ = errorWriter.Write(w, r, connect.NewError(connect.CodeResourceExhausted, err))
 			return
 		}
@@ -40,7 +41,7 @@
 	})
 }
 
-// asMalformed gives an error of a codec its number.
+// asMalformed returns a decoding error with the result code for malformed input.
 func asMalformed(err error) error {
 	if err == nil {
 		return nil
@@ -48,7 +49,7 @@
 	return code.New(code.Malformed, "%v", err)
 }
 
-// protoCodec is the protobuf codec.
+// protoCodec encodes and decodes binary protobuf messages.
 type protoCodec struct{}
 
 // Name returns the codec's name in the protocol.
@@ -62,8 +63,8 @@
 	return asMalformed(proto.Unmarshal(data, m.(proto.Message)))
 }
 
-// jsonCodec is the JSON codec; fields that it does not know are passed over, so that
-// newer clients can speak to older entries.
+// jsonCodec encodes and decodes JSON messages. It ignores unknown fields, so that
+// newer clients can talk to older entries.
 type jsonCodec struct{ name string }
 
 // Name returns the codec's name in the protocol.
@@ -72,11 +73,11 @@
 // Marshal encodes a message.
 func (jsonCodec) Marshal(m any) ([]byte, error) { return protojson.Marshal(m.(proto.Message)) }
 
-// Unmarshal decodes a message. No bytes at all are no JSON: most likely the
-// request's body was lost on its way.
+// Unmarshal decodes a message. An empty body is malformed, since it is no JSON and
+// most likely means that the body was lost in transit.
 func (jsonCodec) Unmarshal(data []byte, m any) error {
 	if len(data) == 0 {
-		return code.New(code.Malformed, "an empty body is no JSON")
+		return code.New(code.Malformed, "the request body is empty, expected JSON")
 	}
 	return asMalformed(protojson.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(data, m.(proto.Message)))
 }
--- a/internal/edge/codec/codec_test.go
+++ b/internal/edge/codec/codec_test.go
@@ -10,28 +10,28 @@
 	"gypsumreel/internal/edge/codec"
 )
 
-// A script sends half a message, nothing, or far too much. Whoever reads the
-// answer finds the number of the fault in the list of codes.
+// A client that sends a truncated, empty or oversized message must get a numbered
+// result code, which it can look up in the list of codes.
 func TestBadInputGetsResultCode(t *testing.T) {
 	const maxBytes = 100
 	path, handler := v1.NewCallerHandler(v1.UnimplementedCallerHandler{}, codec.HandlerOptions())
 	h := codec.LimitRequestSize(maxBytes, handler)
 	for name, c := range map[string]struct {
-		kind, body, want string
+		contentType, body, want string
 	}{
-		"half of JSON":     {"application/json", `{"jobs":`, "501: "},
-		"nothing":          {"application/json", "", "501: "},
-		"wrong type":       {"application/json; charset=utf-8", `{"jobs":7}`, "501: "},
-		"half of protobuf": {"application/proto", "\x0a\x7f", "501: "},
-		"too much":         {"application/json", strings.Repeat(" ", maxBytes+1), "504: "},
-		"good":             {"application/json", `{"unknown":1}`, "unimplemented"},
+		"truncated JSON":     {"application/json", `{"jobs":`, "501: "},
+		"empty body":         {"application/json", "", "501: "},
+		"wrong type":         {"application/json; charset=utf-8", `{"jobs":7}`, "501: "},
+		"truncated protobuf": {"application/proto", "\x0a\x7f", "501: "},
+		"oversized body":     {"application/json", strings.Repeat(" ", maxBytes+1), "504: "},
+		"valid JSON":         {"application/json", `{"unknown":1}`, "unimplemented"},
 	} {
 		r := httptest.NewRequest(http.MethodPost, path+"Submit", strings.NewReader(c.body))
-		r.Header.Set("Content-Type", c.kind)
+		r.Header.Set("Content-Type", c.contentType)
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, r)
 		if w.Code == http.StatusOK || !strings.Contains(w.Body.String(), c.want) {
-			t.Errorf("%s: %d %s", name, w.Code, w.Body)
+			t.Errorf("%s: HTTP status %d, body %s; want an error that contains %q", name, w.Code, w.Body, c.want)
 		}
 	}
 }
--- a/internal/edge/entry/age.go
+++ b/internal/edge/entry/connage.go
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// ageJitter is the part by which the ages of connections differ, so that those
-// that were opened together do not end together.
+// ageJitter is the largest fraction by which the lifetime of a connection is
+// shortened at random, so that connections opened together do not close together.
 const ageJitter = 0.2
 
-// connExpiryKey finds the end of a connection's life in the context of its requests.
+// connExpiryKey is the context key of the time at which a connection expires.
 type connExpiryKey struct{}
 
-// withConnExpiry notes when a new connection is to end.
+// withConnExpiry returns the context of a new connection with its expiry time.
 func (e *Entry) withConnExpiry(ctx context.Context, _ net.Conn) context.Context {
 	lifetime := time.Duration(float64(e.MaxConnectionAge) * (1 - ageJitter*rand.Float64()))
 	return context.WithValue(ctx, connExpiryKey{}, time.Now().Add(lifetime))
 }
 
-// closeExpiredConns asks clients to leave a connection that has reached its age, with the
-// answer to a request: no request is cut off. Connections that live for ever
-// would keep an entry that came later without work, and one that goes busy.
+// closeExpiredConns asks the client to close a connection that has reached its
+// maximum age. The request arrives with the response to a call, so that no call is
+// interrupted. Without a maximum age, a newly added entry would get no load and an
+// entry that is to be removed would keep its load.
 func closeExpiredConns(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if expiresAt, ok := r.Context().Value(connExpiryKey{}).(time.Time); ok && time.Now().After(expiresAt) {
-			// Over HTTP/2 net/http turns this into GOAWAY.
+			// For HTTP/2 net/http sends GOAWAY instead of this header.
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry assembles the entry daemon: it serves callers, backend servers,
-// operators and the platform, and holds no durable state.
+// Package entry implements the entry, the front-end process of a cell. It serves
+// callers, backend servers, operators and the platform's health checks. It keeps no
+// durable state.
 package entry
 
 import (
@@ -29,19 +30,22 @@
 	"gypsumreel/internal/edge/platform"
 )
 
-// Defaults of the fields that are left zero.
+// Defaults of the fields of Entry that are zero.
 const (
-	// DefaultShutdownDelay is how long the entry serves on after readiness fails, for the balancer to notice.
+	// DefaultShutdownDelay is the time between the failing readiness check and the
+	// end of service, in which the load balancer removes the entry.
 	DefaultShutdownDelay = 5 * time.Second
-	// DefaultDrainTimeout bounds the wait for requests under way after that.
+	// DefaultDrainTimeout bounds the wait for pending requests after the shutdown delay.
 	DefaultDrainTimeout = 15 * time.Second
-	// DefaultMaxConnectionAge is the longest life of a connection from outside, but for the request under way.
+	// DefaultMaxConnectionAge is the age at which the entry closes a client
+	// connection, once its pending request is answered.
 	DefaultMaxConnectionAge = 5 * time.Minute
-	// DefaultMaxConnections bounds the connections from outside.
+	// DefaultMaxConnections bounds the open client connections of each listener.
 	DefaultMaxConnections = 20_000
 )
 
-// Bounds on what one connection may do; they end slow readers and slow writers.
+// Limits for one client connection. The timeouts disconnect clients that send
+// requests or read responses too slowly.
 const (
 	headerTimeout  = 5 * time.Second
 	readTimeout    = 30 * time.Second
@@ -51,58 +55,60 @@
 	maxStreams     = 256
 	pingIdleTime   = 10 * time.Second
 	pingTimeout    = 5 * time.Second
-	// minCompressBytes is a size that no answer reaches: an entry's processor time is worth more than its bytes.
+	// minCompressBytes is larger than any response, which turns compression off. CPU
+	// time of an entry is scarcer than network bandwidth.
 	minCompressBytes = 1 << 30
 )
 
-// Entry is the entry daemon. Set the fields, then call Run.
+// Entry is the front-end process of a cell. Set the fields, then call Run.
 type Entry struct {
 	// Cell and Name identify the entry to the leader.
 	Cell string
 	Name string
-	// CallerListener, Backends, Operators and Platform are the listeners, one for each
-	// peer; one that is nil is not served.
+	// CallerListener, BackendListener, OperatorListener and PlatformListener accept
+	// the connections for one service each. A service without a listener is off.
 	CallerListener   net.Listener
 	BackendListener  net.Listener
 	OperatorListener net.Listener
 	PlatformListener net.Listener
-	// OutsideTLS is the configuration for calls from outside; nil for plain ones.
+	// OutsideTLS is the TLS configuration for client connections. Nil means plain HTTP.
 	OutsideTLS *tls.Config
-	// ControlReplicas is the control group.
+	// ControlReplicas are the members of the control group, one of which is the leader.
 	ControlReplicas []control.Replica
-	// InsideTLS is the configuration for calls to the control group; nil for plain ones.
+	// InsideTLS is the TLS configuration for calls to the control group. Nil means plain HTTP.
 	InsideTLS *tls.Config
-	// Dial opens connections to the control group; nil for TCP.
+	// Dial opens connections to the control group. Nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// EnrolmentDigests holds the digests of the secrets that backend servers may show.
+	// EnrolmentDigests holds the digests of the enrolment secrets accepted from backend servers.
 	EnrolmentDigests []backend.Digest
 	Auditor          operator.Auditor
 	Log              logr.Logger
-	// Abort ends a graceful stop at once when closed: the second signal.
+	// Abort ends a graceful shutdown immediately when it is closed. It is closed on
+	// the second termination signal.
 	Abort <-chan struct{}
 
 	ShutdownDelay    time.Duration
 	DrainTimeout     time.Duration
 	MaxConnectionAge time.Duration
 	MaxConnections   int
-	// MaxPendingRequests bounds the requests that wait for the leader.
+	// MaxPendingRequests bounds the requests that wait for a reply of the leader.
 	MaxPendingRequests int
 
 	initOnce  sync.Once
 	pool      *control.Pool
 	metricSet *metrics.Set
 	phase     atomic.Int32
-	// reportedUnready is what the last probe was told.
+	// reportedUnready is true if the last readiness check failed.
 	reportedUnready atomic.Bool
 	done            chan struct{}
 }
 
-// The phases of an entry's life.
+// Phases of the lifecycle of an entry.
 const (
 	phaseServing int32 = iota
-	// phaseUnready still serves everything, but the balancer is told to look elsewhere.
+	// phaseUnready means that readiness checks fail, while requests are still served.
 	phaseUnready
-	// phaseDraining finishes what is under way.
+	// phaseDraining means that the entry only completes pending requests.
 	phaseDraining
 )
 
@@ -139,16 +145,16 @@
 // Done is closed when Run has returned.
 func (e *Entry) Done() <-chan struct{} { e.init(); return e.done }
 
-// Pool returns the entry's way to the leader.
+// Pool returns the connection pool that the entry uses to reach the leader.
 func (e *Entry) Pool() *control.Pool { e.init(); return e.pool }
 
-// service is one listener and what it serves.
+// service is one listener and the HTTP server that handles its connections.
 type service struct {
 	listener net.Listener
 	server   *http.Server
 }
 
-// services returns what there is to serve.
+// services returns the services that have a listener.
 func (e *Entry) services() []service {
 	options := connect.WithHandlerOptions(codec.HandlerOptions(), connect.WithInterceptors(newCallCounter(e.metricSet)), connect.WithCompressMinBytes(minCompressBytes))
 	all := []service{
@@ -160,7 +166,8 @@
 	return slices.DeleteFunc(all, func(s service) bool { return s.listener == nil })
 }
 
-// mountWithLimit serves a service at its path, with a bound on its requests in bytes.
+// mountWithLimit returns a function that mounts a handler at its path and limits
+// the size of requests.
 func mountWithLimit(maxRequestBytes int64) func(path string, h http.Handler) http.Handler {
 	return func(path string, h http.Handler) http.Handler {
 		mux := http.NewServeMux()
@@ -169,7 +176,7 @@
 	}
 }
 
-// checkReady answers the balancer's probe and logs when the answer changes.
+// checkReady returns the result of a readiness check and logs when it changes.
 func (e *Entry) checkReady() error {
 	err := e.readinessError()
 	if wasUnready := e.reportedUnready.Swap(err != nil); wasUnready != (err != nil) {
@@ -182,19 +189,20 @@
 	return err
 }
 
-// readinessError returns nil while the balancer may send requests here, else why not.
+// readinessError returns nil while the load balancer may send requests to the
+// entry, otherwise the reason why it must not.
 func (e *Entry) readinessError() error {
 	if e.phase.Load() != phaseServing {
 		return errStopping
 	}
 	if !e.pool.Fresh() {
-		return errors.New("no leader is in contact")
+		return errors.New("no contact with a leader")
 	}
 	return nil
 }
 
-// Run serves until ctx ends, then stops in order; see stop. It returns an error
-// when a listener fails or the stop was cut short.
+// Run serves until ctx is cancelled, then shuts down gracefully. It returns an
+// error if a listener fails or the graceful shutdown does not complete.
 func (e *Entry) Run(ctx context.Context) error {
 	e.init()
 	defer close(e.done)
@@ -223,10 +231,10 @@
 	}
 }
 
-// shutDownGracefully is the planned stop, in this order: readiness fails; everything is
-// served on until the balancer has noticed; long polls end with the word to
-// turn to another entry; requests under way finish. Each step is bounded, and
-// Abort ends them all.
+// shutDownGracefully makes readiness checks fail, serves all requests until the
+// shutdown delay is over, ends long polls with the advice to use another entry, and
+// waits for pending requests to complete. Each step has a time limit. Abort ends
+// the shutdown at any step.
 func (e *Entry) shutDownGracefully(services []service) error {
 	e.phase.Store(phaseUnready)
 	event.Log(e.Log, event.StopBegun, "linger", e.ShutdownDelay.String(), "drain", e.DrainTimeout.String())
@@ -234,7 +242,7 @@
 	select {
 	case <-time.After(e.ShutdownDelay):
 	case <-e.Abort:
-		return errors.New("the stop was cut short")
+		return errors.New("graceful shutdown aborted by a second signal")
 	}
 	e.phase.Store(phaseDraining)
 	e.pool.EndPolls()
@@ -250,12 +258,13 @@
 	}()
 	if err := shutDownServers(ctx, services); err != nil {
 		event.Fail(e.Log, event.StopForced, err, "pending", e.pool.Pending())
-		return errors.Wrap(err, "the stop was cut short")
+		return errors.Wrap(err, "graceful shutdown did not complete")
 	}
 	return nil
 }
 
-// shutDownServers lets the services finish what is under way.
+// shutDownServers closes the listeners of all services and waits until their
+// pending requests are complete or ctx ends.
 func shutDownServers(ctx context.Context, services []service) error {
 	var g errgroup.Group
 	for _, s := range services {
@@ -264,6 +273,8 @@
 	return g.Wait()
 }
 
+// newServer returns an HTTP server with the limits for client connections. It
+// accepts HTTP/1.1 and HTTP/2, with and without TLS.
 func (e *Entry) newServer(h http.Handler) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -278,12 +289,13 @@
 	}
 }
 
+// serve accepts connections of the service until its server is closed.
 func (e *Entry) serve(s service) error {
 	l := netutil.LimitListener(s.listener, e.MaxConnections)
 	if e.OutsideTLS == nil {
 		return s.server.Serve(l)
 	}
-	// net/http writes the protocols it speaks into the configuration it is given.
+	// net/http adds its protocols to the configuration it is given, so it gets a copy.
 	s.server.TLSConfig = e.OutsideTLS.Clone()
 	return s.server.ServeTLS(l, "", "")
 }
--- a/internal/edge/entry/state.go
+++ b/internal/edge/entry/state.go
@@ -12,7 +12,7 @@
 	"gypsumreel/internal/edge/operator"
 )
 
-// State is what a dump of an entry shows.
+// State is the state of an entry as a dump shows it.
 type State struct {
 	Cell     string
 	Name     string
@@ -31,7 +31,7 @@
 	}
 }
 
-// logAuditor writes the audit to the log when nothing else is set.
+// logAuditor writes audit records to the log. It is the default auditor.
 type logAuditor struct{ log logr.Logger }
 
 // RecordCall logs the record.
@@ -44,7 +44,7 @@
 		"change", r.ChangeID, "code", uint32(r.Code), "revision", r.TableRevision)
 }
 
-// newCallCounter returns an interceptor that counts calls from outside.
+// newCallCounter returns an interceptor that counts the calls of clients by procedure.
 func newCallCounter(set *metrics.Set) connect.UnaryInterceptorFunc {
 	return func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
@@ -54,5 +54,5 @@
 	}
 }
 
-// Dump returns the state of the process for a person to read.
+// Dump returns the state of the entry for a state dump.
 func (e *Entry) Dump() any { e.init(); return e.currentState() }
--- a/internal/edge/operator/check.go
+++ b/internal/edge/operator/check.go
@@ -9,13 +9,13 @@
 	"gypsumreel/internal/edge/caller"
 )
 
-// MaxTableEdits bounds the rows that one change touches.
+// MaxTableEdits bounds the rows that one table change edits.
 const MaxTableEdits = 2000
 
-// maxShare is the whole cell in thousandths.
+// maxShare is the largest guaranteed share, the whole cell, in thousandths.
 const maxShare = 1000
 
-// checkChange returns a *code.Error when the change breaks a stated bound.
+// checkChange returns a *code.Error if the change is malformed or exceeds a limit.
 func checkChange(m *v1.ChangeRequest) error {
 	if err := caller.CheckName("change id", m.GetId()); err != nil {
 		return err
@@ -28,18 +28,18 @@
 	case *v1.ChangeRequest_Withdraw:
 		return caller.CheckName("key id", c.Withdraw.GetId())
 	case *v1.ChangeRequest_Mark:
-		return caller.CheckName("server's name", c.Mark.GetServer())
+		return caller.CheckName("server name", c.Mark.GetServer())
 	case *v1.ChangeRequest_Member:
-		return caller.CheckName("replica", c.Member.GetReplica())
+		return caller.CheckName("replica name", c.Member.GetReplica())
 	case *v1.ChangeRequest_Zone:
-		return caller.CheckName("zone", c.Zone.GetZone())
+		return caller.CheckName("availability zone", c.Zone.GetZone())
 	}
-	return code.New(code.Malformed, "the change says nothing")
+	return code.New(code.Malformed, "the request contains no change")
 }
 
 func checkTable(t *v1.TableChange) error {
 	if len(t.GetEdits()) > MaxTableEdits {
-		return code.New(code.TooLarge, "up to %d edits", MaxTableEdits)
+		return code.New(code.TooLarge, "the change has %d edits, at most %d are allowed", len(t.GetEdits()), MaxTableEdits)
 	}
 	for _, e := range t.GetEdits() {
 		if err := checkEdit(e); err != nil {
@@ -62,12 +62,12 @@
 		}
 	}
 	if row.GetShare() > maxShare {
-		return code.New(code.Malformed, "team %q: the share is at most %d thousandths", row.GetTeam(), maxShare)
+		return code.New(code.Malformed, "team %q: the share is %d thousandths, at most %d are allowed", row.GetTeam(), row.GetShare(), maxShare)
 	}
 	limit := row.GetLimit()
 	for _, n := range []int64{limit.GetCpu(), limit.GetMemory(), limit.GetAccel(), limit.GetSlots()} {
 		if n < -1 {
-			return code.New(code.Malformed, "team %q: a limit is -1 or more", row.GetTeam())
+			return code.New(code.Malformed, "team %q: the limit %d is below -1, which means unlimited", row.GetTeam(), n)
 		}
 	}
 	return nil
@@ -79,9 +79,9 @@
 	}
 	switch {
 	case len(g.GetDigest()) != sha256.Size:
-		return code.New(code.Malformed, "the digest has %d bytes", sha256.Size)
+		return code.New(code.Malformed, "the digest has %d bytes, it must have %d", len(g.GetDigest()), sha256.Size)
 	case g.GetOperator() != (g.GetTeam() == ""):
-		return code.New(code.Malformed, "a key is either a team's or an operator's")
+		return code.New(code.Malformed, "a key must belong either to a team or to an operator")
 	}
 	if g.GetTeam() == "" {
 		return nil
@@ -91,12 +91,12 @@
 
 func checkShow(m *v1.ShowRequest) error {
 	if m.GetPart() < v1.Part_PART_TABLE || m.GetPart() > v1.Part_PART_ZONES {
-		return code.New(code.Malformed, "part %d", m.GetPart())
+		return code.New(code.Malformed, "unknown part %d", m.GetPart())
 	}
 	return nil
 }
 
-// describeChange names a change and what it is about, for the audit.
+// describeChange returns the call and the subject of a change for the audit record.
 func describeChange(m *v1.ChangeRequest) (call, subject string) {
 	switch c := m.GetChange().(type) {
 	case *v1.ChangeRequest_Table:
--- a/internal/edge/operator/limits.go
+++ b/internal/edge/operator/limits.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// DefaultRate is the calls per second that one key may make.
+	// DefaultRate is the sustained number of calls per second allowed for one key.
 	DefaultRate = 50
-	// DefaultBurst is how many of them may come at once.
+	// DefaultBurst is the number of calls that one key may make at once.
 	DefaultBurst = 200
-	// maxTrackedKeys bounds the keys remembered; an unknown key is not proved to exist.
+	// maxTrackedKeys bounds the number of limiters kept. A caller can present any
+	// number of key ids, because they are checked only later, by the leader.
 	maxTrackedKeys = 1024
 )
 
-// RateLimits bounds the rate of calls by key. The zero value has the defaults.
+// RateLimits limits the rate of calls for each key. The zero value uses the defaults.
 type RateLimits struct {
 	Rate  rate.Limit
 	Burst int
@@ -24,7 +25,7 @@
 	limiters map[string]*rate.Limiter
 }
 
-// Allow tells whether one more call with the key is within the limit.
+// Allow reports whether one more call with the key is within the limit.
 func (l *RateLimits) Allow(key string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/edge/operator/operator.go
+++ b/internal/edge/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator serves whoever is on duty: it limits the rate of changes,
-// records them and forwards to the leader.
+// Package operator implements the Operator service of an entry. It limits the rate
+// of calls, records changes for the audit and forwards the calls to the leader.
 package operator
 
 import (
@@ -17,62 +17,66 @@
 )
 
 const (
-	// RequestTimeout bounds every call.
+	// RequestTimeout bounds the wait for the leader in every call.
 	RequestTimeout = 5 * time.Second
 	// MaxRequestSize bounds the size of a request in bytes.
 	MaxRequestSize = 4 << 20
-	// MaxDumpSize bounds the text of a dump in bytes.
+	// MaxDumpSize bounds the size of a state dump in bytes.
 	MaxDumpSize = 1 << 20
-	// MaxShownRows bounds the lines of one Show.
+	// MaxShownRows bounds the rows in one Show reply.
 	MaxShownRows = 5000
 )
 
-// LeaderClient is what the handler needs of the way to the leader.
+// LeaderClient sends requests of the handler to the control group.
 type LeaderClient interface {
 	control.Asker
-	// Dump asks a process of the control group for its state.
+	// Dump returns the state dump of a process of the control group.
 	Dump(ctx context.Context, process string) (*v1.DumpReply, error)
 }
 
-// AuditRecord is one call of an operator, as the audit keeps it.
+// AuditRecord describes one call of an operator for the audit.
 type AuditRecord struct {
-	// KeyID is the id of the key presented, never its secret.
+	// KeyID is the id of the operator's key. The secret is never recorded.
 	KeyID string
-	// PeerAddress is the address that the call came from.
+	// PeerAddress is the network address of the client.
 	PeerAddress string
-	// Call names what was asked, Subject what it was about.
-	Call    string
+	// Call is the kind of call, such as "withdraw" or "dump".
+	Call string
+	// Subject is the object of the call, such as a key id or a server name.
 	Subject string
-	// ChangeID is the operator's change id.
+	// ChangeID is the change id that the operator chose.
 	ChangeID string
-	// Code is the result, Revision the table's revision after it.
-	Code          code.Code
+	// Code is the result code of the call.
+	Code code.Code
+	// TableRevision is the revision of the table after the call.
 	TableRevision uint64
 }
 
-// Auditor receives each change and each refusal, in the order they were answered.
+// Auditor receives a record of every Change and Dump call, including refused ones,
+// in the order in which they are answered.
 type Auditor interface {
 	RecordCall(ctx context.Context, r AuditRecord)
 }
 
-// Handler serves the Operator service. Set the fields, then mount it with Route.
+// Handler implements the Operator service. Set the fields, then mount it with Route.
 type Handler struct {
 	Leader  LeaderClient
 	Auditor Auditor
-	// EntryName is the entry's own; a dump of that name or none is of this process.
+	// EntryName is the name of this entry. A Dump request with this name or without
+	// a name returns the state of this process.
 	EntryName string
-	// State returns what a dump of this process shows; it must hold no secrets.
+	// State returns the state of this process for a dump. It must not contain secrets.
 	State func() any
-	// RateLimits bounds the rate of calls by key.
+	// RateLimits limits the rate of calls for each key.
 	RateLimits RateLimits
 }
 
-// Route returns the path and the handler for an HTTP mux.
+// Route returns the URL path of the service and its HTTP handler.
 func (h *Handler) Route(opts ...connect.HandlerOption) (string, http.Handler) {
 	return v1.NewOperatorHandler(h, append(opts, connect.WithReadMaxBytes(MaxRequestSize))...)
 }
 
-// Change forwards one change; the change id makes it safe to ask again.
+// Change forwards one change. The change id makes a repeated request idempotent.
 func (h *Handler) Change(ctx context.Context, req *connect.Request[v1.ChangeRequest]) (*connect.Response[v1.ChangeReply], error) {
 	m := req.Msg
 	reply, status := h.forward(ctx, req.Header(), checkChange(m), &inner.Item{Ask: &inner.Item_Change{Change: m}})
@@ -88,7 +92,7 @@
 	return connect.NewResponse(out), nil
 }
 
-// Show forwards a read.
+// Show forwards a request to read a part of the cell's state.
 func (h *Handler) Show(ctx context.Context, req *connect.Request[v1.ShowRequest]) (*connect.Response[v1.ShowReply], error) {
 	forwarded := &v1.ShowRequest{Part: req.Msg.GetPart(), After: req.Msg.GetAfter(), Limit: req.Msg.GetLimit()}
 	if forwarded.Limit == 0 || forwarded.Limit > MaxShownRows {
@@ -101,8 +105,9 @@
 	return connect.NewResponse(reply.GetShow()), nil
 }
 
-// Dump gives the state of this process or of one in the control group. The
-// entry holds no keys, so the leader judges the key by a small read first.
+// Dump returns the state of this process or of a process of the control group.
+// The entry stores no keys, so it first has the leader check the operator's key
+// with a small Show request.
 func (h *Handler) Dump(ctx context.Context, req *connect.Request[v1.DumpRequest]) (*connect.Response[v1.DumpReply], error) {
 	probe := &inner.Item{Ask: &inner.Item_Show{Show: &v1.ShowRequest{Part: v1.Part_PART_MEMBERS, Limit: 1}}}
 	reply, status := h.forward(ctx, req.Header(), nil, probe)
@@ -117,6 +122,7 @@
 	return connect.NewResponse(out), nil
 }
 
+// dumpProcess returns the state dump of the process named, or of this one.
 func (h *Handler) dumpProcess(ctx context.Context, process string) *v1.DumpReply {
 	if process != "" && process != h.EntryName {
 		reply, err := h.Leader.Dump(ctx, process)
@@ -132,13 +138,15 @@
 	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Text(state, MaxDumpSize)}
 }
 
+// forward applies the rate limit and sends the item with the operator's key to the
+// leader, unless validation of the request failed.
 func (h *Handler) forward(ctx context.Context, header http.Header, validationErr error, item *inner.Item) (*inner.Reply, *v1.Status) {
 	credential, err := control.Presented(header)
 	if err != nil {
 		return nil, control.Status(err)
 	}
 	if !h.RateLimits.Allow(credential.GetId()) {
-		return nil, control.Refusal(code.Unanswered, "too many calls with key %q; nothing was done", credential.GetId())
+		return nil, control.Refusal(code.Unanswered, "rate limit exceeded for key %q, the call was not forwarded", credential.GetId())
 	}
 	if validationErr != nil {
 		return nil, control.Status(validationErr)
@@ -148,6 +156,7 @@
 	return reply, control.Undecided(status)
 }
 
+// recordCall adds the key id and the client's address to the record and passes it to the auditor.
 func (h *Handler) recordCall(ctx context.Context, header http.Header, peer string, r AuditRecord) {
 	if h.Auditor == nil {
 		return
