--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -9,6 +9,8 @@
 	"gypsumreel/internal/fake/server"
 )
 
+// Guards against jobs that never finish and answers that arrive incomplete or
+// altered, with quick jobs, slow jobs and answers of several chunks.
 func TestJobsRunAndReturnCompleteAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(0)
--- a/internal/edge/entry/cell_test.go
+++ b/internal/edge/entry/fakeledger_test.go
@@ -16,12 +16,12 @@
 	"gypsumreel/internal/domain/key"
 )
 
-// fakeLedger is the committed state that all fake replicas share: a small stand-in
-// for the ledger, with jobs of one task each.
+// fakeLedger is the committed state that all fake replicas share. It replaces the
+// ledger in tests and supports only jobs with one task.
 type fakeLedger struct {
 	leaseLength time.Duration
 	leaseMargin time.Duration
-	// onStep is told of each step that the leader takes, before it counts.
+	// onStep is called with the name of each step before the leader performs it.
 	onStep func(string)
 
 	mu            sync.Mutex
@@ -33,11 +33,14 @@
 	jobsByNumber  map[uint64]*fakeJob
 	acceptedJobs  []*fakeJob
 	servers       map[string]*fakeServer
-	// lastAcceptedAt holds when the last job came in by key, withdrawn when a key ended.
+	// lastAcceptedAt is the time of the last accepted job by key id.
 	lastAcceptedAt map[string]time.Time
-	withdrawnAt    map[string]time.Time
-	drainedAt      map[string]time.Time
-	lastPlacedAt   map[string]time.Time
+	// withdrawnAt is the time at which a key was withdrawn, by key id.
+	withdrawnAt map[string]time.Time
+	// drainedAt is the time at which the drain of a backend server began, by server name.
+	drainedAt map[string]time.Time
+	// lastPlacedAt is the time of the last placement by server name.
+	lastPlacedAt map[string]time.Time
 }
 
 type fakeJob struct {
@@ -47,10 +50,10 @@
 	outcome       v1.Outcome
 	code          code.Code
 	attemptNumber uint32
-	// server is where the attempt is; empty while none is.
+	// server is the backend server of the current attempt, empty if there is none.
 	server    string
 	cancelled bool
-	// startSentInSync is the number of the sync whose answer last carried the order to start.
+	// startSentInSync is the number of the last sync whose reply contained the start order.
 	startSentInSync uint64
 	answerParts     answer.Parts
 	wholeAnswer     []byte
@@ -62,7 +65,7 @@
 	incarnation    uint64
 	slots          int64
 	leaseExpiresAt time.Time
-	// lastSyncNumber is that of the newest sync.
+	// lastSyncNumber is the highest number of a sync received from the server.
 	lastSyncNumber uint64
 	draining       bool
 	lost           bool
@@ -77,13 +80,14 @@
 	}
 }
 
-// grantKey adds a key and returns the text that is presented.
+// grantKey adds a key and returns the bearer token for it.
 func (c *fakeLedger) grantKey(id, team string, operator bool) string {
 	secret := "secret-" + id
 	c.keys[id] = key.Key{ID: id, Team: team, Operator: operator, Digest: key.Digest(secret)}
 	return id + "." + secret
 }
 
+// checkKey returns the status of a refusal, or nil if the key is valid for the service.
 func (c *fakeLedger) checkKey(credential *inner.Credential, operator bool) *v1.Status {
 	k, ok := c.keys[credential.GetId()]
 	if !ok || k.Withdrawn || !k.Matches(credential.GetDigest()) {
@@ -95,22 +99,22 @@
 	return nil
 }
 
-// replyTo returns the reply to an item, or nil while the leader holds it.
+// replyTo returns the reply to an item, or nil while its long poll has to wait.
 func (c *fakeLedger) replyTo(item *inner.Item, waitExpired bool) *inner.Reply {
 	refuse := func(s *v1.Status) *inner.Reply { return &inner.Reply{Status: s} }
 	credential := item.GetCredential()
-	switch ask := item.GetAsk().(type) {
+	switch request := item.GetAsk().(type) {
 	case *inner.Item_Submit:
 		c.onStep("submit")
 		if s := c.checkKey(credential, false); s != nil {
 			return refuse(s)
 		}
-		return &inner.Reply{Answer: &inner.Reply_Submit{Submit: c.submit(credential.GetId(), ask.Submit)}}
+		return &inner.Reply{Answer: &inner.Reply_Submit{Submit: c.submit(credential.GetId(), request.Submit)}}
 	case *inner.Item_Wait:
 		if s := c.checkKey(credential, false); s != nil {
 			return refuse(s)
 		}
-		if w := c.wait(c.keys[credential.GetId()].Team, ask.Wait, waitExpired); w != nil {
+		if w := c.wait(c.keys[credential.GetId()].Team, request.Wait, waitExpired); w != nil {
 			return &inner.Reply{Answer: &inner.Reply_Wait{Wait: w}}
 		}
 		return nil
@@ -119,7 +123,7 @@
 		if s := c.checkKey(credential, false); s != nil {
 			return refuse(s)
 		}
-		return &inner.Reply{Answer: &inner.Reply_Cancel{Cancel: c.cancel(c.keys[credential.GetId()].Team, ask.Cancel)}}
+		return &inner.Reply{Answer: &inner.Reply_Cancel{Cancel: c.cancel(c.keys[credential.GetId()].Team, request.Cancel)}}
 	case *inner.Item_List:
 		if s := c.checkKey(credential, false); s != nil {
 			return refuse(s)
@@ -128,20 +132,20 @@
 	case *inner.Item_Acknowledge:
 		return &inner.Reply{Answer: &inner.Reply_Acknowledge{Acknowledge: &v1.AcknowledgeReply{Status: &v1.Status{}}}}
 	case *inner.Item_Announce:
-		return &inner.Reply{Answer: &inner.Reply_Announce{Announce: c.announce(ask.Announce)}}
+		return &inner.Reply{Answer: &inner.Reply_Announce{Announce: c.announce(request.Announce)}}
 	case *inner.Item_Sync:
-		if r := c.sync(ask.Sync, waitExpired); r != nil {
+		if r := c.sync(request.Sync, waitExpired); r != nil {
 			return &inner.Reply{Answer: &inner.Reply_Sync{Sync: r}}
 		}
 		return nil
 	case *inner.Item_Leave:
-		c.drainServer(ask.Leave.GetServer())
+		c.drainServer(request.Leave.GetServer())
 		return &inner.Reply{Answer: &inner.Reply_Leave{Leave: &v1.LeaveReply{Status: &v1.Status{}}}}
 	case *inner.Item_Change:
 		if s := c.checkKey(credential, true); s != nil {
 			return refuse(s)
 		}
-		return &inner.Reply{Answer: &inner.Reply_Change{Change: c.change(ask.Change)}}
+		return &inner.Reply{Answer: &inner.Reply_Change{Change: c.change(request.Change)}}
 	}
 	if s := c.checkKey(credential, true); s != nil {
 		return refuse(s)
@@ -207,7 +211,7 @@
 	if !ok || s.nonce != req.GetNonce() {
 		incarnation := uint64(1)
 		if ok {
-			// The fake server stops everything before it announces anew.
+			// The fake backend server stops all tasks before it announces a new session.
 			incarnation = s.incarnation + 1
 			c.loseServer(s)
 		}
@@ -218,7 +222,8 @@
 	return &v1.AnnounceReply{Status: &v1.Status{}, Incarnation: s.incarnation, Lease: uint64(c.leaseLength.Milliseconds())}
 }
 
-// loseServer settles what a server had when it is proved to run nothing any more.
+// loseServer marks a backend server as lost and ends its attempts. The caller must
+// be sure that the server runs no tasks any more.
 func (c *fakeLedger) loseServer(s *fakeServer) {
 	s.lost = true
 	for _, j := range c.acceptedJobs {
@@ -228,6 +233,8 @@
 	}
 }
 
+// endInterruptedAttempt requeues a job whose attempt stopped without a result, or
+// gives it a final outcome if it must not run again.
 func (c *fakeLedger) endInterruptedAttempt(j *fakeJob) {
 	j.server = ""
 	switch {
@@ -246,7 +253,8 @@
 		return &v1.SyncReply{Number: req.GetNumber(), Status: &v1.Status{Code: uint32(code.Stale)}}
 	}
 	if req.GetNumber() < s.lastSyncNumber {
-		// A late copy: what it shows is past, and its answer would be dropped.
+		// A delayed copy of an earlier sync. Its reports are outdated, and the server
+		// would drop the reply.
 		return &v1.SyncReply{Status: &v1.Status{}, Number: req.GetNumber()}
 	}
 	s.lastSyncNumber = req.GetNumber()
@@ -262,7 +270,7 @@
 	return &v1.SyncReply{Status: &v1.Status{}, Number: req.GetNumber(), Orders: orders, Lease: uint64(c.leaseLength.Milliseconds())}
 }
 
-// updateOrders takes the reports in and returns what the server is to do.
+// updateOrders applies the reports of a sync and returns the orders for the server.
 func (c *fakeLedger) updateOrders(s *fakeServer, req *v1.SyncRequest) []*v1.Order {
 	var orders []*v1.Order
 	reported := map[uint64]bool{}
@@ -284,8 +292,9 @@
 		if j.server != s.name || reported[j.number] || j.isFinal() {
 			continue
 		}
-		// A sync later than the order does not show the attempt, so the order was
-		// lost and will be dropped if it comes: a leaving server is not sent it again.
+		// The sync is later than the start order and does not report the attempt, so
+		// the order was lost, and the server will drop it if it still arrives. A
+		// draining server does not get the order again.
 		if s.draining && req.GetNumber() > j.startSentInSync {
 			j.server, j.outcome = "", v1.Outcome_OUTCOME_QUEUED
 			if j.cancelled {
@@ -329,33 +338,33 @@
 		return earlierReply
 	}
 	reply := &v1.ChangeReply{Status: &v1.Status{}}
-	switch ch := req.GetChange().(type) {
+	switch change := req.GetChange().(type) {
 	case *v1.ChangeRequest_Table:
 		c.onStep("table")
-		if ch.Table.GetBase() != c.tableRevision {
+		if change.Table.GetBase() != c.tableRevision {
 			reply.Status = &v1.Status{Code: uint32(code.Conflict)}
 		} else {
 			c.tableRevision++
 		}
 	case *v1.ChangeRequest_Withdraw:
 		c.onStep("key")
-		c.keys[ch.Withdraw.GetId()] = c.keys[ch.Withdraw.GetId()].WithWithdrawn()
-		c.withdrawnAt[ch.Withdraw.GetId()] = time.Now()
+		c.keys[change.Withdraw.GetId()] = c.keys[change.Withdraw.GetId()].WithWithdrawn()
+		c.withdrawnAt[change.Withdraw.GetId()] = time.Now()
 	case *v1.ChangeRequest_Mark:
 		c.onStep("drain")
-		// A server that never announced can't be drained, as in the ledger;
-		// the answer is not kept, since the operator tries again.
-		if _, ok := c.servers[ch.Mark.GetServer()]; !ok {
+		// As in the ledger, a server without a session cannot be drained. The reply is
+		// not stored, so that the operator can retry with the same change id.
+		if _, ok := c.servers[change.Mark.GetServer()]; !ok {
 			return &v1.ChangeReply{Status: &v1.Status{Code: uint32(code.Unknown)}}
 		}
-		c.drainServer(ch.Mark.GetServer())
+		c.drainServer(change.Mark.GetServer())
 	}
 	reply.Revision = c.tableRevision
 	c.changeReplies[req.GetId()] = reply
 	return reply
 }
 
-// expireLeasesAndPlaceJobs ends leases that ran out and places what waits.
+// expireLeasesAndPlaceJobs marks servers with expired leases as lost and places queued jobs.
 func (c *fakeLedger) expireLeasesAndPlaceJobs() {
 	now := time.Now()
 	for _, name := range slices.Sorted(maps.Keys(c.servers)) {
@@ -396,5 +405,5 @@
 	return n
 }
 
-// hasWrongAnswer tells whether a done job's answer differs from what its input asks for.
+// hasWrongAnswer reports whether the answer of a finished job differs from the expected one.
 func (j *fakeJob) hasWrongAnswer(want []byte) bool { return !bytes.Equal(j.wholeAnswer, want) }
--- a/internal/edge/entry/leader_test.go
+++ b/internal/edge/entry/fakereplica_test.go
@@ -11,20 +11,22 @@
 	v1 "gypsumreel/internal/api/v1"
 )
 
-// fakeReplica is one fake process of the control group. The one that the cell names leads.
+// fakeReplica is a fake replica of the control group. The replica that the ledger
+// names is the leader.
 type fakeReplica struct {
 	ledger *fakeLedger
 	name   string
 	gate   pauseGate
-	// maxItemsPerPush bounds the items of one Push; 0 for no bound.
+	// maxItemsPerPush bounds the items accepted from one Push. Zero means no limit.
 	maxItemsPerPush int
 
 	sessions map[uint64]*entrySession
 	server   *http.Server
 }
 
-// pauseGate holds everything while it is shut, as a stopped process would. It waits
-// on a channel, since a virtual clock stands still while a mutex is waited for.
+// pauseGate blocks all work of a replica while it is closed, as if the process were
+// stopped. It blocks on a channel, because a virtual clock does not advance while a
+// goroutine waits for a mutex.
 type pauseGate struct {
 	mu     sync.Mutex
 	closed chan struct{}
@@ -56,13 +58,15 @@
 	}
 }
 
-// entrySession is one entry's, for as long as it stays with this replica.
+// entrySession is the session of one entry with this replica.
 type entrySession struct {
 	replies []*inner.Reply
-	// firstReplyNumber is the number of the first reply kept.
+	// firstReplyNumber is the number of the first unacknowledged reply.
 	firstReplyNumber uint64
-	parkedItems      map[uint64]*parkedItem
-	replyAdded       chan struct{}
+	// parkedItems are the items without a reply, by sequence number.
+	parkedItems map[uint64]*parkedItem
+	// replyAdded is closed and replaced when a reply is added.
+	replyAdded chan struct{}
 }
 
 type parkedItem struct {
@@ -70,7 +74,7 @@
 	deadline time.Time
 }
 
-// serve is one life of the replica: it ends with ctx, and its sessions with it.
+// serve runs the replica until ctx is cancelled. Sessions of an earlier run are lost.
 func (r *fakeReplica) serve(ctx context.Context, l net.Listener) {
 	r.ledger.mu.Lock()
 	r.sessions = map[uint64]*entrySession{}
@@ -102,6 +106,7 @@
 	return &inner.Redirect{Leader: r.ledger.leader, Address: r.ledger.leader}
 }
 
+// sessionFor returns the session with the given number and creates it if needed.
 func (r *fakeReplica) sessionFor(number uint64) *entrySession {
 	s, ok := r.sessions[number]
 	if !ok {
@@ -111,7 +116,7 @@
 	return s
 }
 
-// Push queues items.
+// Push accepts items from an entry and answers those that need not wait.
 func (r *fakeReplica) Push(_ context.Context, req *inner.PushRequest) (*inner.PushReply, error) {
 	r.gate.waitUntilOpen()
 	r.ledger.mu.Lock()
@@ -135,7 +140,8 @@
 func (r *fakeReplica) acceptItem(s *entrySession, item *inner.Item) {
 	if sync := item.GetSync(); sync != nil {
 		if b, ok := r.ledger.servers[sync.GetServer()]; ok && b.incarnation == sync.GetIncarnation() && !b.lost {
-			// The latest moment that the lease given below may count from.
+			// The lease in the reply counts from when the server sent the sync, which
+			// is no later than now.
 			b.leaseExpiresAt = time.Now().Add(r.ledger.leaseLength + r.ledger.leaseMargin)
 		}
 		r.dropOlderSyncs(sync)
@@ -144,7 +150,7 @@
 	s.parkedItems[item.GetSeq()] = &parkedItem{item, time.Now().Add(time.Duration(pollWait) * time.Millisecond)}
 }
 
-// dropOlderSyncs drops the parked syncs of the same server with lower numbers.
+// dropOlderSyncs removes the parked syncs of the same backend server with lower numbers.
 func (r *fakeReplica) dropOlderSyncs(sync *v1.SyncRequest) {
 	for _, s := range r.sessions {
 		for seq, p := range s.parkedItems {
@@ -155,7 +161,7 @@
 	}
 }
 
-// answerParkedItems answers what can be answered.
+// answerParkedItems adds a reply for each parked item that has one by now.
 func (r *fakeReplica) answerParkedItems() {
 	if !r.isLeader() {
 		return
@@ -177,7 +183,7 @@
 	}
 }
 
-// Pull hands out replies.
+// Pull returns the unacknowledged replies of a session, as a bounded long poll.
 func (r *fakeReplica) Pull(ctx context.Context, req *inner.PullRequest) (*inner.PullReply, error) {
 	timeout := time.After(time.Duration(req.GetPatience()) * time.Millisecond)
 	for waitExpired := false; ; {
@@ -213,7 +219,7 @@
 	return &inner.PullReply{First: s.firstReplyNumber, Replies: append([]*inner.Reply(nil), s.replies...), Revision: r.ledger.tableRevision}, nil
 }
 
-// Dump names the replica.
+// Dump returns the replica's name as its state dump.
 func (r *fakeReplica) Dump(context.Context, *v1.DumpRequest) (*v1.DumpReply, error) {
 	return &v1.DumpReply{Status: &v1.Status{}, Text: r.name}, nil
 }
--- a/internal/edge/entry/faults_test.go
+++ b/internal/edge/entry/faults_test.go
@@ -14,21 +14,24 @@
 	"gypsumreel/internal/fake/relay"
 )
 
-// fault is one thing that happens to the world: it comes at a step and is over after a while.
+// fault is a failure that is injected into a test cell at a step of a scenario.
 type fault struct {
 	name string
-	// duration is how long it stays.
+	// duration is the time between inject and heal.
 	duration time.Duration
 	inject   func(w *testCell)
-	heal     func(w *testCell)
+	// heal ends the fault. It is nil for faults that need no end.
+	heal func(w *testCell)
 }
 
+// silenceDuration is the time for which a link loses or duplicates data.
 const silenceDuration = 10 * time.Second
 
 var bothDirections = []relay.Way{relay.Up, relay.Down}
 
-// allFaults lists every fault of the matrix. "inner" is between the first entry
-// and the control group, "outer" between it and those that dial it.
+// allFaults returns every fault of the matrix. Inner faults affect the links between
+// the first entry and the control group, outer faults those between the first entry
+// and its clients.
 func allFaults() []fault {
 	faults := []fault{
 		{"entry killed", 2 * time.Second, func(w *testCell) { w.currentEntry("e1").kill() }, restartEntry},
@@ -44,14 +47,14 @@
 	}{{"inner", isInnerLink}, {"outer", isOuterLink}} {
 		faults = append(
 			faults,
-			fault{"silent up, " + side.name, silenceDuration, setFate(side.links, relay.Lose, relay.Up), setFate(side.links, relay.Pass, relay.Up)},
-			fault{"silent down, " + side.name, silenceDuration, setFate(side.links, relay.Lose, relay.Down), setFate(side.links, relay.Pass, relay.Down)},
-			fault{"silent both ways, " + side.name, silenceDuration, setFate(side.links, relay.Lose, bothDirections...), setFate(side.links, relay.Pass, bothDirections...)},
-			fault{"forgotten, " + side.name, 0, onRelays(side.links, func(r *relay.Relay) { r.Forget(bothDirections...) }), nil},
-			fault{"answer lost, " + side.name, 100 * time.Millisecond, setFate(side.links, relay.Lose, relay.Down), setFate(side.links, relay.Pass, relay.Down)},
-			fault{"answer late, " + side.name, 3 * time.Second, setFate(side.links, relay.Hold, relay.Down), setFate(side.links, relay.Pass, relay.Down)},
-			fault{"doubled, " + side.name, silenceDuration, onRelays(side.links, setDuplication(true)), onRelays(side.links, setDuplication(false))},
-			fault{"cut, " + side.name, 0, onRelays(side.links, (*relay.Relay).Cut), nil},
+			fault{"requests lost for 10 s, " + side.name, silenceDuration, setFate(side.links, relay.Lose, relay.Up), setFate(side.links, relay.Pass, relay.Up)},
+			fault{"replies lost for 10 s, " + side.name, silenceDuration, setFate(side.links, relay.Lose, relay.Down), setFate(side.links, relay.Pass, relay.Down)},
+			fault{"both directions lost for 10 s, " + side.name, silenceDuration, setFate(side.links, relay.Lose, bothDirections...), setFate(side.links, relay.Pass, bothDirections...)},
+			fault{"open connections silent for good, " + side.name, 0, onRelays(side.links, func(r *relay.Relay) { r.Forget(bothDirections...) }), nil},
+			fault{"replies lost for 0.1 s, " + side.name, 100 * time.Millisecond, setFate(side.links, relay.Lose, relay.Down), setFate(side.links, relay.Pass, relay.Down)},
+			fault{"replies delayed by 3 s, " + side.name, 3 * time.Second, setFate(side.links, relay.Hold, relay.Down), setFate(side.links, relay.Pass, relay.Down)},
+			fault{"requests duplicated, " + side.name, silenceDuration, onRelays(side.links, setDuplication(true)), onRelays(side.links, setDuplication(false))},
+			fault{"connections closed, " + side.name, 0, onRelays(side.links, (*relay.Relay).Cut), nil},
 		)
 	}
 	return append(
@@ -67,6 +70,7 @@
 
 func isAnyLink(name string) bool { return isInnerLink(name) || isOuterLink(name) }
 
+// onRelays returns a function that applies the action to each relay with a matching name.
 func onRelays(matches func(string) bool, action func(*relay.Relay)) func(*testCell) {
 	return func(w *testCell) {
 		for name, r := range w.relays {
@@ -77,6 +81,8 @@
 	}
 }
 
+// setFate returns a function that sets the fate of data in the given directions on
+// each relay with a matching name.
 func setFate(matches func(string) bool, fate relay.Fate, directions ...relay.Way) func(*testCell) {
 	return onRelays(matches, func(r *relay.Relay) {
 		for _, direction := range directions {
@@ -85,7 +91,8 @@
 	})
 }
 
-// setDuplication doubles what new connections send up, and makes all connections new.
+// setDuplication turns the duplication of requests on or off. It closes the open
+// connections, since the setting applies only to new ones.
 func setDuplication(enabled bool) func(*relay.Relay) {
 	return func(r *relay.Relay) {
 		r.Duplicate(enabled)
@@ -93,7 +100,7 @@
 	}
 }
 
-// restartEntry starts the first entry again unless its planned stop did so already.
+// restartEntry starts the first entry if its last run has ended.
 func restartEntry(w *testCell) {
 	select {
 	case <-w.currentEntry("e1").entry.Done():
@@ -102,19 +109,19 @@
 	}
 }
 
-// killLeader ends the leading replica; the other is elected a second later.
+// killLeader terminates the leader. The other replica is elected one second later.
 func killLeader(w *testCell) {
 	w.terminate("c1")
 	time.AfterFunc(time.Second, func() { w.setLeader("c2") })
 }
 
-// pauseLeader freezes the leading replica; the other is elected a second later.
+// pauseLeader pauses the leader. The other replica is elected one second later.
 func pauseLeader(w *testCell) {
 	w.replicas["c1"].gate.close()
 	time.AfterFunc(time.Second, func() { w.setLeader("c2") })
 }
 
-// openSlowReaders opens connections that ask for much and read nothing.
+// openSlowReaders opens 20 connections that request a long answer and never read it.
 func openSlowReaders(w *testCell) {
 	for range 20 {
 		if conn := w.openSlowReader(); conn != nil {
@@ -126,7 +133,8 @@
 	}
 }
 
-// openSlowReader asks for a long answer, past any relay that would read it instead.
+// openSlowReader requests a long answer on a connection that does not pass through a
+// relay, because a relay would read the answer.
 func (w *testCell) openSlowReader() net.Conn {
 	conn, err := w.network.Dial(w.ctx, "memory", "e1-callers")
 	if err != nil {
@@ -138,8 +146,9 @@
 	return conn
 }
 
-// submitBurst submits more at once than the first entry may hold. Each id is sent
-// once only, so the entry may say not run, and then it must be true for good.
+// submitBurst submits more jobs at once than the first entry may hold as pending
+// requests. Each id is sent only once, so the entry may refuse a job as not run. A
+// refused job must never run.
 func (w *testCell) submitBurst() {
 	c := w.newClient(w.teamKey)
 	defer c.closeIdle()
@@ -159,20 +168,22 @@
 	}
 }
 
-// observe keeps what was observed for the checks at the end.
+// observe stores an observation for the checks at the end of a scenario.
 func (w *testCell) observe(kind, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.observations[kind] = append(w.observations[kind], id)
 }
 
+// observed returns the stored observations of one kind.
 func (w *testCell) observed(kind string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.observations[kind])
 }
 
-// refusedButAccepted returns the jobs that were refused as not run and are in the ledger.
+// refusedButAccepted returns a violation for each job that was refused as not run
+// although it is in the ledger.
 func (w *testCell) refusedButAccepted() []string {
 	var violations []string
 	for _, id := range w.observed("refused") {
@@ -183,7 +194,8 @@
 	return violations
 }
 
-// acceptedAfterWithdrawal tells whether an answer that came at the time given used a key that was withdrawn before.
+// acceptedAfterWithdrawal reports whether a reply received at the given time shows
+// that a key still worked more than maxEnforcementDelay after its withdrawal.
 func (w *testCell) acceptedAfterWithdrawal(status *v1.Status, receivedAt time.Time) bool {
 	w.ledger.mu.Lock()
 	defer w.ledger.mu.Unlock()
--- a/internal/edge/entry/matrix_test.go
+++ b/internal/edge/entry/matrix_test.go
@@ -19,20 +19,23 @@
 	"gypsumreel/internal/fake/server"
 )
 
-// maxEnforcementDelay is how soon a withdrawn key and a drained server must be so everywhere.
+// maxEnforcementDelay bounds the time after which every entry must enforce the
+// withdrawal of a key and the drain of a backend server.
 const maxEnforcementDelay = 2 * time.Second
 
-// settleTimeout bounds a run of the matrix: by then everything must have its outcome.
+// settleTimeout bounds the virtual time of one scenario. Every job must have its
+// outcome by then.
 const settleTimeout = 3 * time.Minute
 
-// faultSteps are the points at which a fault comes: when the leader first takes or
-// gives one of these, or when the first entry begins its planned stop.
+// faultSteps are the points at which a fault is injected: when the leader first
+// handles a message of this kind, or when the first entry begins its graceful
+// shutdown ("stop").
 var faultSteps = []string{"submit", "order", "report", "answer", "cancel", "table", "key", "drain", "stop"}
 
-// A user sees a job lost, run twice, or answered in part or wrongly; a key that
-// still works; a change that vanished. It happens when a process or a connection
-// fails while a message of the step is on its way, so every fault is brought
-// about at every step, on a virtual clock, and all promises are checked.
+// A process or a connection may fail while any kind of message is in transit. The
+// test injects every fault at every step on a virtual clock. It guards against lost
+// jobs, jobs that run twice, incomplete or wrong answers, withdrawn keys that still
+// work and lost table changes.
 func TestEveryFaultAtEveryStep(t *testing.T) {
 	var mu sync.Mutex
 	checkCounts := map[string]int{}
@@ -59,7 +62,7 @@
 	}
 }
 
-// renderMatrix is the table of the runs: the number of promises checked in each.
+// renderMatrix returns a Markdown table with the number of promises checked in each scenario.
 func renderMatrix(checkCounts map[string]int) string {
 	var b strings.Builder
 	b.WriteString("| fault | " + strings.Join(faultSteps, " | ") + " |\n|---|" + strings.Repeat("---|", len(faultSteps)) + "\n")
@@ -77,7 +80,8 @@
 	return b.String()
 }
 
-// scenario is one run: callers, an operator and a planned stop, with one fault.
+// scenario is one run of a test cell with callers, an operator, a graceful shutdown
+// and one fault.
 type scenario struct {
 	t              *testing.T
 	cell           *testCell
@@ -103,7 +107,7 @@
 	defer s.extraKeyClient.closeIdle()
 	s.scheduleFault(f, step)
 	settleTimer := time.AfterFunc(settleTimeout, func() {
-		w.observe("late", "not settled in time")
+		w.observe("late", "the scenario did not settle within " + settleTimeout.String())
 		w.cancel()
 	})
 	defer settleTimer.Stop()
@@ -114,7 +118,7 @@
 	}
 	wg.Wait()
 	injectedAt := w.injectedAt.Load()
-	s.check(injectedAt != nil, "the fault never came")
+	s.check(injectedAt != nil, "the step was never reached, so no fault was injected")
 	if injectedAt != nil && f.duration > 0 {
 		sleepUntil(w.ctx, injectedAt.Add(f.duration+5*time.Second))
 	}
@@ -122,7 +126,8 @@
 	return int(s.checkCount.Load())
 }
 
-// scheduleFault brings the fault about when the step is first reached, and ends it.
+// scheduleFault injects the fault when the step is first reached and heals it after
+// its duration.
 func (s *scenario) scheduleFault(f fault, step string) {
 	var once sync.Once
 	w := s.cell
@@ -154,6 +159,7 @@
 	}
 }
 
+// check counts a checked promise and reports an error if it is broken.
 func (s *scenario) check(ok bool, format string, args ...any) {
 	s.checkCount.Add(1)
 	if !ok {
@@ -161,7 +167,8 @@
 	}
 }
 
-// runRepeatableJobs submits jobs that may be repeated, one of them longer than a lease, and wants the whole right answer to each.
+// runRepeatableJobs submits jobs that may run more than once, one of them longer
+// than a lease, and checks that each returns the complete and correct answer.
 func (s *scenario) runRepeatableJobs() {
 	for i, wish := range []server.Wish{{}, {Size: 150_000}, {Sleep: "4s"}, {Sleep: "200ms", Size: 10}} {
 		id := []string{"quick", "big", "long", "last"}[i]
@@ -175,25 +182,25 @@
 	input := server.Wish{Sleep: "500ms"}.Input()
 	s.teamClient.submit(0, newSpec("once", true, input))
 	reply, whole := s.teamClient.wait(0, "once")
-	s.check(reply.GetOutcome() >= v1.Outcome_OUTCOME_DONE, "once: no outcome, status %v", reply.GetStatus())
+	s.check(reply.GetOutcome() >= v1.Outcome_OUTCOME_DONE, "job once has no outcome, status %v", reply.GetStatus())
 	if reply.GetOutcome() == v1.Outcome_OUTCOME_DONE {
-		s.check(bytes.Equal(whole, input), "once: answer %q", whole)
+		s.check(bytes.Equal(whole, input), "job once has the wrong answer %q", whole)
 	} else {
 		s.checkCount.Add(1)
 	}
 }
 
-// cancelRunningJob submits a long job and takes it back.
+// cancelRunningJob submits a long job and cancels it.
 func (s *scenario) cancelRunningJob() {
 	s.teamClient.submit(0, newSpec("cancelled", false, server.Wish{Sleep: "1h"}.Input()))
 	time.Sleep(300 * time.Millisecond)
 	s.teamClient.cancel(0, "cancelled")
 	reply, _ := s.teamClient.wait(0, "cancelled")
 	resultCode := code.Code(reply.GetStatus().GetCode())
-	s.check(resultCode == code.Stopped || resultCode == code.Cancelled, "cancelled: status %v", reply.GetStatus())
+	s.check(resultCode == code.Stopped || resultCode == code.Cancelled, "the cancelled job has status %v", reply.GetStatus())
 }
 
-// changeTable makes changes, one of them twice and one from an old revision.
+// changeTable makes table changes, one of them twice and one from an outdated revision.
 func (s *scenario) changeTable() {
 	edit := func(id string, base uint64) *v1.ChangeReply {
 		return s.operatorClient.change(0, &v1.ChangeRequest{Id: id, Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{
@@ -205,12 +212,13 @@
 	second := edit("two", 1)
 	resent := edit("one", 0)
 	outdated := edit("three", 0)
-	s.check(first.GetRevision() == 1 && second.GetRevision() == 2, "revisions %d and %d", first.GetRevision(), second.GetRevision())
+	s.check(first.GetRevision() == 1 && second.GetRevision() == 2, "the changes gave revisions %d and %d, want 1 and 2", first.GetRevision(), second.GetRevision())
 	s.check(resent.GetRevision() == 1 && resent.GetStatus().GetCode() == 0, "the resent change got %v", resent)
-	s.check(outdated.GetStatus().GetCode() == uint32(code.Conflict), "the change from an old revision got %v", outdated.GetStatus())
+	s.check(outdated.GetStatus().GetCode() == uint32(code.Conflict), "the change from an outdated revision got %v", outdated.GetStatus())
 }
 
-// useWithdrawnKey uses a key at the first entry until well after it was withdrawn at the other.
+// useWithdrawnKey withdraws a key at the second entry and uses it at the first entry
+// until 5 s later.
 func (s *scenario) useWithdrawnKey() {
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
@@ -232,7 +240,7 @@
 	s.check(len(s.cell.observed("key")) == 0, "a withdrawn key still worked: %v", s.cell.observed("key"))
 }
 
-// callWithExtraKey reads and submits once with the extra key at the first entry.
+// callWithExtraKey makes one List and one Submit call with the extra key at the first entry.
 func (s *scenario) callWithExtraKey(i int) {
 	ctx, cancel := context.WithTimeout(s.cell.ctx, 1500*time.Millisecond)
 	defer cancel()
@@ -249,20 +257,20 @@
 	}
 }
 
-// drainServer marks the second server as leaving.
+// drainServer drains the second backend server.
 func (s *scenario) drainServer() {
 	time.Sleep(800 * time.Millisecond)
 	mark := &v1.ChangeRequest{Id: "drain", Change: &v1.ChangeRequest_Mark{Mark: &v1.ServerMark{Server: "s2", Drain: true}}}
 	reply := s.operatorClient.change(1, mark)
-	// With the leader gone from the start the server may not have announced yet.
+	// If the leader failed at the start, the server may not have a session yet.
 	for n := 0; n < 50 && reply.GetStatus().GetCode() == uint32(code.Unknown); n++ {
 		time.Sleep(200 * time.Millisecond)
 		reply = s.operatorClient.change(1, mark)
 	}
-	s.check(reply.GetStatus().GetCode() == 0, "drain: %v", reply.GetStatus())
+	s.check(reply.GetStatus().GetCode() == 0, "the drain was refused with status %v", reply.GetStatus())
 }
 
-// restartEntry ends the first entry as planned and starts it again.
+// restartEntry shuts the first entry down gracefully and starts it again.
 func (s *scenario) restartEntry() {
 	time.Sleep(1500 * time.Millisecond)
 	s.cell.onStep("stop")
@@ -276,23 +284,23 @@
 	s.cell.startEntry("e1")
 }
 
-// checkPromises checks what must hold when all is over.
+// checkPromises checks the promises that must hold at the end of the scenario.
 func (s *scenario) checkPromises() {
 	w := s.cell
-	for _, delay := range w.observed("late") {
-		s.t.Error(delay)
+	for _, problem := range w.observed("late") {
+		s.t.Error(problem)
 	}
 	s.check(len(w.taskRecord.Faults()) == 0, "%v", w.taskRecord.Faults())
 	violations := w.refusedButAccepted()
 	s.check(len(violations) == 0, "%v", violations)
 	w.ledger.mu.Lock()
 	defer w.ledger.mu.Unlock()
-	s.check(w.ledger.tableRevision == 2, "revision %d", w.ledger.tableRevision)
+	s.check(w.ledger.tableRevision == 2, "the table has revision %d, want 2", w.ledger.tableRevision)
 	if j, ok := w.ledger.jobsByID["quarry/once"]; ok {
 		starts := w.taskRecord.Starts(server.Task{Job: j.number})
-		s.check(starts <= 1, "once started %d times", starts)
-		s.check(j.outcome != v1.Outcome_OUTCOME_NOT_RUN || starts == 0, "once was refused as not run and started")
+		s.check(starts <= 1, "job once started %d times, want at most 1", starts)
+		s.check(j.outcome != v1.Outcome_OUTCOME_NOT_RUN || starts == 0, "job once was refused as not run and started")
 	}
 	delay := w.taskRecord.Latest("s2").Sub(w.ledger.drainedAt["s2"])
-	s.check(delay <= maxEnforcementDelay, "the drained server started work %v later", delay)
+	s.check(delay <= maxEnforcementDelay, "the drained server still started work %v after the drain", delay)
 }
--- a/internal/edge/entry/measure_test.go
+++ b/internal/edge/entry/measure_test.go
@@ -22,10 +22,11 @@
 	"gypsumreel/internal/fake/server"
 )
 
-// measureEnv turns the measurements on; docs/measures/edge.md has the commands.
+// measureEnv is the environment variable that enables the measurements. The
+// commands are in docs/measures/edge.md.
 const measureEnv = "GYPSUMREEL_MEASURE"
 
-// byteCounter counts the bytes of connections, without their headers below TCP.
+// byteCounter counts the payload bytes of TCP connections.
 type byteCounter struct{ received, sent atomic.Int64 }
 
 type countedConn struct {
@@ -66,10 +67,11 @@
 	return &countedConn{conn, c}, nil
 }
 
-// total returns all that went either way.
+// total returns the number of bytes in both directions.
 func (c *byteCounter) total() int64 { return c.received.Load() + c.sent.Load() }
 
-// processCPUTime returns what a process has used, in clock ticks of 10 ms.
+// processCPUTime returns the CPU time used by a process, with a resolution of one
+// clock tick of 10 ms.
 func processCPUTime(t *testing.T, pid int) time.Duration {
 	b, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
@@ -81,7 +83,8 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// instantLeader is a leader that accepts every job at once and holds syncs for their patience.
+// instantLeader is a fake leader that accepts every job immediately and never runs it.
+// It holds a sync until its poll wait is over.
 type instantLeader struct{ fakeReplica }
 
 func (q *instantLeader) Push(ctx context.Context, req *inner.PushRequest) (*inner.PushReply, error) {
@@ -119,7 +122,7 @@
 
 func newMeasurement(t *testing.T) *measurement {
 	if os.Getenv(measureEnv) == "" {
-		t.Skip("set " + measureEnv + " to measure")
+		t.Skip("set " + measureEnv + " to run the measurements")
 	}
 	m := &measurement{ledger: newFakeLedger(), insideBytes: &byteCounter{}}
 	m.ledger.leaseLength, m.ledger.leader = 6*time.Second, "c1"
@@ -141,11 +144,12 @@
 	}()
 	go func() { _ = http.Serve(&countedListener{l, m.insideBytes}, inner.NewControlServer(q)) }()
 	m.leaderAddress = l.Addr().String()
-	m.entry = startEntryProcess(t, m.leaderAddress, "GOMAXPROCS=2") // entry instances are small
+	m.entry = startEntryProcess(t, m.leaderAddress, "GOMAXPROCS=2") // an entry instance has few cores
 	return m
 }
 
-// runLoad makes calls at a steady rate and returns how long each took in µs.
+// runLoad makes calls at a constant rate and returns their latencies in µs and the
+// number of failed calls.
 func runLoad(rate int, duration time.Duration, call func(id string) error) (*hdrhistogram.Histogram, int) {
 	h := hdrhistogram.New(1, 10_000_000, 3)
 	var mu sync.Mutex
@@ -157,7 +161,8 @@
 		dueAt := startedAt.Add(time.Duration(i) * time.Second / time.Duration(rate))
 		time.Sleep(time.Until(dueAt))
 		wg.Go(func() {
-			// Counted from when the call was due, so that waiting in line counts too.
+			// The latency counts from the time at which the call was due, so that it
+			// includes queueing.
 			err := call(fmt.Sprintf("job-%d", i))
 			mu.Lock()
 			defer mu.Unlock()
@@ -171,10 +176,11 @@
 	return h, failed
 }
 
+// measureDuration is the length of one measurement.
 const measureDuration = 10 * time.Second
 
-// Submissions of one job with 200 bytes of input, through the entry's process
-// and, for comparison, from this process's own pool to the same leader.
+// Measures Submit calls of one job with 200 bytes of input through an entry process
+// and, for comparison, through a pool of this process that calls the leader directly.
 func TestMeasureRequests(t *testing.T) {
 	m := newMeasurement(t)
 	outsideBytes := &byteCounter{}
@@ -200,7 +206,7 @@
 			return err
 		})
 		n := viaEntry.TotalCount()
-		t.Logf("%d/s: entry %v a request, %d B outside and %d B inside a request; p50/p99 through the entry %.2f/%.2f ms, from a pool directly %.2f/%.2f ms; failed %d and %d",
+		t.Logf("%d/s: entry CPU %v per request, %d B outside and %d B inside per request; p50/p99 through the entry %.2f/%.2f ms, directly from a pool %.2f/%.2f ms; failed %d and %d",
 			rate, (processCPUTime(t, m.entry.cmd.Process.Pid)-cpuBefore)/time.Duration(n), (outsideBytes.total()-outsideBefore)/n, (m.insideBytes.total()-insideBefore)/n,
 			percentileMs(viaEntry, 50), percentileMs(viaEntry, 99), percentileMs(direct, 50), percentileMs(direct, 99), failed, directFailed)
 	}
@@ -210,7 +216,7 @@
 	return float64(h.ValueAtQuantile(percentile)) / 1000
 }
 
-// Backend servers without work: what each costs the entry.
+// Measures the CPU time and the traffic that idle backend servers cause at an entry.
 func TestMeasureIdleServers(t *testing.T) {
 	m := newMeasurement(t)
 	for _, n := range []int{0, 50, 200} {
@@ -226,7 +232,7 @@
 		time.Sleep(measureDuration)
 		seconds := int64(measureDuration / time.Second)
 		divisor := int64(max(n, 1))
-		t.Logf("%d servers: entry %.2f%% of a core; for each server %d B/s outside and %d B/s inside (all of it: %d B/s inside)", n,
+		t.Logf("%d servers: entry CPU %.2f%% of a core; per server %d B/s outside and %d B/s inside (%d B/s inside in total)", n,
 			100*float64(processCPUTime(t, m.entry.cmd.Process.Pid)-cpuBefore)/float64(measureDuration),
 			(outsideBytes.total()-outsideBefore)/seconds/divisor, (m.insideBytes.total()-insideBefore)/seconds/divisor, (m.insideBytes.total()-insideBefore)/seconds)
 		cancel()
--- a/internal/edge/entry/process_test.go
+++ b/internal/edge/entry/process_test.go
@@ -25,10 +25,11 @@
 	"gypsumreel/internal/edge/entry"
 )
 
-// childEnv makes the test program run as an entry; it holds the address of the leader.
+// childEnv is the environment variable that makes the test binary run as an entry.
+// Its value is the address of the leader.
 const childEnv = "GYPSUMREEL_TEST_ENTRY"
 
-// childAddresses is what the child prints once it listens.
+// childAddresses are the listen addresses that the child process prints at its start.
 type childAddresses struct{ Callers, Backends string }
 
 func TestMain(m *testing.M) {
@@ -39,7 +40,7 @@
 	os.Exit(m.Run())
 }
 
-// runChildEntry runs an entry on loopback until SIGTERM.
+// runChildEntry runs an entry on the loopback interface until SIGTERM.
 func runChildEntry(leader string) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -56,7 +57,7 @@
 	}
 }
 
-// entryProcess is an entry as a process of its own.
+// entryProcess is an entry that runs in a child process.
 type entryProcess struct {
 	childAddresses
 	cmd *exec.Cmd
@@ -84,7 +85,8 @@
 	return p
 }
 
-// startLoopbackLeader serves the stand-in for the leader on loopback.
+// startLoopbackLeader serves a fake leader on the loopback interface and returns its
+// ledger and address.
 func startLoopbackLeader(t testing.TB) (*fakeLedger, string) {
 	c := newFakeLedger()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -98,7 +100,7 @@
 	return c, l.Addr().String()
 }
 
-// waitReady waits until the entry answers.
+// waitReady waits until the entry answers and returns a client for it.
 func (p *entryProcess) waitReady(t testing.TB, token string) v1.CallerClient {
 	t.Helper()
 	c := v1.NewCallerClient(http.DefaultClient, "http://"+p.Callers)
@@ -108,13 +110,13 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatal("the entry does not answer")
+	t.Fatal("the entry did not answer a List call within 200 tries")
 	return nil
 }
 
-// An entry's process is frozen for a while, as on an overloaded instance, and a
-// key is withdrawn meanwhile. When it goes on it must not serve what it knew:
-// the request that waited in it is refused, and the next one too.
+// An entry process is stopped for 2.5 s, as on an overloaded instance, and a key is
+// withdrawn meanwhile. Guards against an entry that accepts the waiting request from
+// outdated state after it resumes.
 func TestResumedEntryRejectsWithdrawnKey(t *testing.T) {
 	c, leader := startLoopbackLeader(t)
 	token := c.grantKey("team-key", "quarry", false)
@@ -141,12 +143,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.jobsByID) > 0 {
-		t.Error("the job is in the ledger")
+		t.Error("the ledger contains a job submitted with a withdrawn key")
 	}
 }
 
-// SIGTERM reaches an entry while a caller waits. The call must be answered with
-// the word to go elsewhere, and the process must end by itself with 0.
+// Guards against a shutdown that drops calls. An entry gets SIGTERM during a long
+// poll. It must answer the call with the advice to use another entry, and the process
+// must exit with code 0.
 func TestSIGTERMAnswersPendingCallsAndExits(t *testing.T) {
 	c, leader := startLoopbackLeader(t)
 	token := c.grantKey("team-key", "quarry", false)
@@ -168,15 +171,15 @@
 	time.Sleep(100 * time.Millisecond)
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	if a := <-done; a.err != nil || a.reply.Msg.GetStatus().GetCode() != uint32(code.Leaving) {
-		t.Errorf("%v, %v", a.reply, a.err)
+		t.Errorf("the pending call got reply %v, error %v; want result code %d", a.reply, a.err, code.Leaving)
 	}
 	if err := p.cmd.Wait(); err != nil {
-		t.Error(err)
+		t.Errorf("the entry process did not exit with code 0: %v", err)
 	}
 }
 
-// The entry that a caller uses is killed after it took a job. The caller asks
-// another one with the same id and gets the outcome of the one job.
+// The entry that a caller uses is killed after it accepted a job. The caller submits
+// the same id at another entry. Guards against a second job with that id.
 func TestResubmitAfterEntryIsKilledIsIdempotent(t *testing.T) {
 	c, leader := startLoopbackLeader(t)
 	token := c.grantKey("team-key", "quarry", false)
@@ -190,11 +193,11 @@
 	_ = first.cmd.Process.Kill()
 	reply, err := secondClient.Submit(ctx, withKey(token, req))
 	if err != nil || reply.Msg.GetJobs()[0].GetStatus().GetCode() != 0 {
-		t.Errorf("%v, %v", reply, err)
+		t.Errorf("the repeated submission got reply %v, error %v", reply, err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.acceptedJobs) != 1 {
-		t.Errorf("%d jobs", len(c.acceptedJobs))
+		t.Errorf("the ledger has %d jobs, want 1", len(c.acceptedJobs))
 	}
 }
--- a/internal/edge/entry/service_test.go
+++ b/internal/edge/entry/service_test.go
@@ -22,7 +22,7 @@
 	"gypsumreel/internal/fake/server"
 )
 
-// stubLeader answers everything with one reply or error and keeps the last item.
+// stubLeader answers every item with the same reply or error and stores the last item.
 type stubLeader struct {
 	reply    *inner.Reply
 	err      error
@@ -44,9 +44,9 @@
 	return req
 }
 
-// A caller sends a job again at an entry that reaches no leader, after the
-// first request got through elsewhere. "Not run" would be false; only of a
-// first and only request may the entry say it.
+// A caller repeats a submission at an entry without a leader, after an earlier
+// request was accepted elsewhere. Guards against a false refusal as "not run", which
+// is allowed only for the first request with an id.
 func TestOnlyAFirstRequestIsRefusedAsNotRun(t *testing.T) {
 	for _, c := range []struct {
 		err     code.Code
@@ -67,25 +67,26 @@
 		}
 		got := reply.Msg.GetJobs()[0]
 		if code.Code(got.GetStatus().GetCode()) != c.code || got.GetOutcome() != c.outcome {
-			t.Errorf("%d, first %v: code %d, outcome %v", c.err, c.first, got.GetStatus().GetCode(), got.GetOutcome())
+			t.Errorf("error %d, first %v: code %d, outcome %v; want code %d, outcome %v", c.err, c.first, got.GetStatus().GetCode(), got.GetOutcome(), c.code, c.outcome)
 		}
 	}
 }
 
-// A caller polls for a job that runs while its entry reaches no leader. A code
-// of the class "not run" would read as the job's outcome.
+// A caller polls for a running job at an entry without a leader. Guards against a
+// result code of the class "not run", which the caller would take for the outcome of
+// the job.
 func TestPollsAreNeverRefusedAsNotRun(t *testing.T) {
 	for _, c := range []code.Code{code.Unreachable, code.Overloaded} {
 		h := &caller.Handler{Leader: &stubLeader{err: code.New(c, "")}}
 		reply, err := h.Wait(t.Context(), withKey("id.secret", &v1.WaitRequest{Id: "job"}))
 		if err != nil || reply.Msg.GetStatus().GetCode()/100 == 2 || reply.Msg.GetStatus().GetRetry() == 0 {
-			t.Errorf("%d: %v, %v", c, reply, err)
+			t.Errorf("error %d: reply %v, error %v; want no code of class 2 and a retry hint", c, reply, err)
 		}
 	}
 }
 
-// The answers of a submission stand in the request's order also when some jobs
-// never leave the entry because they break a bound.
+// Guards against answers in the wrong order when the entry refuses some jobs of a
+// submission as malformed and forwards only the others.
 func TestAnswersKeepRequestOrderDespiteMalformedJobs(t *testing.T) {
 	a := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Submit{Submit: &v1.SubmitReply{Jobs: []*v1.Accepted{{Id: "a"}, {Id: "b"}}}}}}
 	h := &caller.Handler{Leader: a}
@@ -110,26 +111,27 @@
 	}
 	digest := key.Digest("secret")
 	if c := a.lastItem.GetCredential(); c.GetId() != "id" || string(c.GetDigest()) != string(digest[:]) {
-		t.Errorf("credential %v", c)
+		t.Errorf("the leader got credential %v, want the id and the digest of the secret", c)
 	}
 }
 
-// Without a well-formed key nothing is asked of the leader.
+// Guards against calls without a well-formed key that reach the leader.
 func TestCallsWithoutAKeyAreRefused(t *testing.T) {
 	a := &stubLeader{}
 	h := &caller.Handler{Leader: a}
 	for _, token := range []string{"", "id", ".secret", "id.", strings.Repeat("x", 600) + ".secret"} {
 		reply, err := h.List(t.Context(), withKey(token, &v1.ListRequest{}))
 		if err != nil || reply.Msg.GetStatus().GetCode() != uint32(code.BadKey) {
-			t.Errorf("key %.10q: %v, %v", token, reply, err)
+			t.Errorf("key %.10q: reply %v, error %v", token, reply, err)
 		}
 	}
 	if a.lastItem != nil {
-		t.Error("the leader was asked")
+		t.Error("a call without a well-formed key reached the leader")
 	}
 }
 
-// A stranger must not announce a backend server and be handed the teams' inputs.
+// Guards against a client without the enrolment secret that announces itself as a
+// backend server and receives the inputs of jobs.
 func TestBackendServersNeedTheEnrolmentSecret(t *testing.T) {
 	a := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Announce{Announce: &v1.AnnounceReply{Status: &v1.Status{}, Incarnation: 1}}}}
 	h := &backend.Handler{Leader: a, EnrolmentDigests: []backend.Digest{key.Digest("old"), key.Digest("new")}}
@@ -148,17 +150,17 @@
 	} {
 		reply, err := h.Announce(t.Context(), withKey(c.secret, c.msg))
 		if err != nil || code.Code(reply.Msg.GetStatus().GetCode()) != c.want {
-			t.Errorf("secret %q: %v, %v", c.secret, reply.Msg, err)
+			t.Errorf("secret %q: reply %v, error %v; want code %d", c.secret, reply.Msg, err, c.want)
 		}
 	}
 }
 
-// A backend server whose entry gets no answer must not take the refusal for a lease.
+// Guards against a lease in the reply to a sync that the leader did not answer.
 func TestSyncWithoutAnAnswerGivesNoLease(t *testing.T) {
 	h := &backend.Handler{Leader: &stubLeader{err: code.New(code.Unanswered, "")}, EnrolmentDigests: []backend.Digest{key.Digest("s")}}
 	reply, err := h.Sync(t.Context(), withKey("s", &v1.SyncRequest{Server: "s1", Incarnation: 1, Number: 9}))
 	if err != nil || reply.Msg.GetLease() != 0 || !reply.Msg.GetElsewhere() || reply.Msg.GetNumber() != 9 {
-		t.Errorf("%v, %v", reply, err)
+		t.Errorf("reply %v, error %v; want number 9, no lease and the advice to use another entry", reply, err)
 	}
 }
 
@@ -166,7 +168,8 @@
 
 func (a *auditRecords) RecordCall(_ context.Context, r operator.AuditRecord) { *a = append(*a, r) }
 
-// Whoever guesses keys or floods the cell with changes is slowed down, and every change is on record.
+// Guards against clients that guess keys or flood the cell with changes, and against
+// changes without an audit record.
 func TestChangesAreRateLimitedAndAudited(t *testing.T) {
 	var recorded auditRecords
 	a := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Change{Change: &v1.ChangeReply{Status: &v1.Status{}, Revision: 4}}}}
@@ -185,23 +188,23 @@
 	}
 }
 
-// A dump shows the entry's state to an operator, and nothing to a key that the leader refuses.
+// Guards against a state dump for a key that the leader refuses.
 func TestDumpRequiresOperatorKey(t *testing.T) {
 	a := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Show{Show: &v1.ShowReply{Status: &v1.Status{}}}}}
 	h := &operator.Handler{Leader: a, EntryName: "e1", State: func() any { return map[string]int{"pending": 3} }}
 	reply, _ := h.Dump(t.Context(), withKey("duty.secret", &v1.DumpRequest{}))
 	if !strings.Contains(reply.Msg.GetText(), `"pending": 3`) {
-		t.Error(reply.Msg)
+		t.Errorf("an operator's key got %v, want the state", reply.Msg)
 	}
 	a.reply = &inner.Reply{Status: &v1.Status{Code: uint32(code.BadKey)}}
 	reply, _ = h.Dump(t.Context(), withKey("duty.secret", &v1.DumpRequest{}))
 	if reply.Msg.GetText() != "" || reply.Msg.GetStatus().GetCode() != uint32(code.BadKey) {
-		t.Error(reply.Msg)
+		t.Errorf("a refused key got %v, want code %d and no state", reply.Msg, code.BadKey)
 	}
 }
 
-// An operator changes the table and looks who serves it. Idle entries must have
-// the new revision within a second, without any traffic that carries it.
+// Guards against idle entries that keep an old table revision because no traffic
+// brings them the new one.
 func TestIdleEntriesLearnTableRevisionWithinASecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(0)
@@ -213,22 +216,22 @@
 		time.Sleep(600 * time.Millisecond)
 		for _, name := range entryNames {
 			if got := w.currentEntry(name).entry.Pool().Revision(); got != 1 {
-				t.Errorf("%s serves revision %d", name, got)
+				t.Errorf("entry %s has table revision %d, want 1", name, got)
 			}
 		}
 	})
 }
 
-// A backend server is cut off from everything while its task runs. Nobody can
-// tell it to stop, so it must stop by its own clock before the cell places the
-// task again.
+// A backend server loses all connections while its task runs. Guards against a task
+// that runs twice at the same time: the server must stop it when its lease ends,
+// before the cell places the task again.
 func TestServerStopsTasksAtLeaseEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(0)
 		defer w.close()
 		c := w.newClient(w.teamKey)
 		defer c.closeIdle()
-		time.Sleep(500 * time.Millisecond) // both servers are there, and the first one is taken
+		time.Sleep(500 * time.Millisecond) // both servers have announced; the first one gets the job
 		c.submit(0, newSpec("long", false, server.Wish{Sleep: "8s"}.Input()))
 		time.Sleep(500 * time.Millisecond)
 		onRelays(func(name string) bool { return strings.HasPrefix(name, "s1>") }, func(r *relay.Relay) {
@@ -237,13 +240,13 @@
 		})(w)
 		time.Sleep(w.ledger.leaseLength + time.Millisecond)
 		if n := w.backendServer("s1").Running(); n > 0 {
-			t.Errorf("%d tasks run past the lease", n)
+			t.Errorf("%d tasks still run after the end of the lease", n)
 		}
 		if reply, _ := c.wait(0, "long"); reply.GetOutcome() != v1.Outcome_OUTCOME_DONE {
-			t.Errorf("outcome %v", reply.GetOutcome())
+			t.Errorf("the job has outcome %v, want done", reply.GetOutcome())
 		}
 		if starts := w.taskRecord.Starts(server.Task{Job: 1}); starts != 2 || len(w.taskRecord.Faults()) > 0 {
-			t.Errorf("%d starts, %v", starts, w.taskRecord.Faults())
+			t.Errorf("the task started %d times, want 2; violations: %v", starts, w.taskRecord.Faults())
 		}
 	})
 }
--- a/internal/edge/entry/stop_test.go
+++ b/internal/edge/entry/stop_test.go
@@ -19,11 +19,10 @@
 	"gypsumreel/internal/fake/server"
 )
 
-// A user's request is cut off while an instance is replaced as planned. The
-// entry is told to stop while callers and backend servers are in the middle of
-// long polls and submissions; closing its listeners at once would break them.
-// Every call that was begun must get an answer, and long polls the word to go
-// elsewhere.
+// An entry shuts down during long polls and submissions, as when its instance is
+// replaced. Guards against calls that are dropped because the entry closes its
+// connections too early. Every call must get an answer, and long polls must get the
+// advice to use another entry.
 func TestGracefulShutdownUnderLoadAnswersEveryRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(0)
@@ -40,10 +39,10 @@
 		}
 		var calls, failed, redirected atomic.Int32
 		var wg sync.WaitGroup
-		// note counts the call and tells whether the caller goes on.
+		// countCall counts a call and reports whether the caller makes another one.
 		countCall := func(err error, status *v1.Status) bool {
 			if isRefusedDial(err) {
-				return false // the entry was gone before the call began
+				return false // the entry had stopped before the call began
 			}
 			calls.Add(1)
 			if err != nil {
@@ -83,12 +82,13 @@
 		elapsed := time.Since(startedAt)
 		wg.Wait()
 		if failed.Load() > 0 || redirected.Load() != 40 || elapsed > 7*time.Second {
-			t.Errorf("of %d calls %d were cut off, %d told to go elsewhere; the stop took %v", calls.Load(), failed.Load(), redirected.Load(), elapsed)
+			t.Errorf("%d of %d calls failed, %d were sent to another entry, want 0 and 40; the shutdown took %v, want at most 7s", failed.Load(), calls.Load(), redirected.Load(), elapsed)
 		}
 	})
 }
 
-// directClient returns a client without a relay, which tells a refused dial from a call that was cut off.
+// directClient returns a client that connects without a relay. With a relay, a refused
+// connection could not be told apart from a dropped call.
 func (w *testCell) directClient() *retryingClient {
 	transport := &http.Transport{DialContext: w.network.DialHost}
 	return &retryingClient{
@@ -97,13 +97,13 @@
 	}
 }
 
-// isRefusedDial tells whether a call never began because nobody listens any more.
+// isRefusedDial reports whether a call failed because the listener is closed.
 func isRefusedDial(err error) bool {
 	return err != nil && connect.CodeOf(err) == connect.CodeUnavailable && errors.Is(err, relay.ErrRefused)
 }
 
-// Whoever is on duty sends the signal a second time because the stop takes too
-// long. The entry must go at once, though the balancer's delay is not over.
+// An operator sends a second termination signal because the shutdown takes too long.
+// Guards against an entry that still waits for the end of its shutdown delay.
 func TestSecondSignalStopsEntryImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(0)
@@ -115,13 +115,14 @@
 		p.kill()
 		<-p.entry.Done()
 		if elapsed := time.Since(startedAt); elapsed > 200*time.Millisecond {
-			t.Errorf("the stop took %v", elapsed)
+			t.Errorf("the entry stopped after %v, want at most 200ms", elapsed)
 		}
 	})
 }
 
-// The balancer must see readiness fail before anything is refused: first when
-// the stop begins, and for as long as no leader is in contact.
+// Guards against a load balancer that sends requests to an entry which would refuse
+// them. Readiness checks must fail while the entry has no contact with a leader and
+// from the beginning of its shutdown.
 func TestReadinessReflectsLeaderContactAndShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(0)
@@ -153,8 +154,8 @@
 	})
 }
 
-// A caller reads its answer so slowly that the entry's memory would fill. Its
-// connection must be ended, and others must be served meanwhile.
+// A caller does not read its answer, so that the entry has to buffer it. Guards
+// against slow readers that fill the entry's memory or delay other callers.
 func TestSlowReadersAreDisconnectedWithoutDelayingOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(0)
@@ -168,7 +169,7 @@
 		defer func() { _ = slow.Close() }()
 		startedAt := time.Now()
 		if problem := c.runJob(0, "other", server.Wish{Size: 500_000}); problem != "" || time.Since(startedAt) > time.Second {
-			t.Errorf("%s after %v", problem, time.Since(startedAt))
+			t.Errorf("the other caller's job: problem %q, finished after %v, want at most 1s", problem, time.Since(startedAt))
 		}
 		time.Sleep(2 * time.Minute)
 		if _, err := slow.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
@@ -177,8 +178,8 @@
 	})
 }
 
-// A backend server must stay well under its 60 connections, also after its
-// entries were silent for a while.
+// Guards against connections that pile up on a backend server after its entries were
+// silent. A backend server may have 60 connections and must stay well below that.
 func TestBackendServerUsesFewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(0)
@@ -196,14 +197,14 @@
 			maxOpen = max(maxOpen, w.relays["s1>e1-backends"].Open()+w.relays["s1>e2-backends"].Open())
 		}
 		if maxOpen > 6 {
-			t.Errorf("%d connections at once", maxOpen)
+			t.Errorf("the backend server had %d connections at once, want at most 6", maxOpen)
 		}
 	})
 }
 
-// An entry that was added stays without work because callers and backend
-// servers keep their connections to the old ones for ever. Connections must be
-// left after their age, and no call may fail for it.
+// Guards against a new entry without load, because callers and backend servers never
+// close their connections to the old ones. Connections must be replaced when they
+// reach their maximum age, without a failed call.
 func TestConnectionsCloseAfterMaxAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(0)
@@ -214,13 +215,13 @@
 		for range 4 * int(connectionAge.Seconds()) {
 			reply, err := c.callers[0].List(w.ctx, withKey(w.teamKey, &v1.ListRequest{}))
 			if err != nil || reply.Msg.GetStatus().GetCode() != 0 {
-				t.Errorf("%v, %v", reply, err)
+				t.Errorf("a List call got reply %v, error %v", reply, err)
 			}
 			time.Sleep(time.Second)
 		}
 		callerConns, backendConns := w.network.Dialled("e1-callers"), w.relays["s1>e1-backends"].Opened()+w.relays["s1>e2-backends"].Opened()
 		if callerConns < 4 || callerConns > 6 || backendConns < 4 || backendConns > 6 {
-			t.Errorf("%d and %d connections in the time of four lives", callerConns, backendConns)
+			t.Errorf("the caller opened %d and the backend server %d connections within four maximum ages, want 4 to 6", callerConns, backendConns)
 		}
 	})
 }
--- a/internal/edge/entry/world_test.go
+++ b/internal/edge/entry/testcell_test.go
@@ -25,9 +25,11 @@
 	"gypsumreel/internal/fake/server"
 )
 
+// enrolment is the enrolment secret of the backend servers.
 const enrolment = "enrolment"
 
-// connectionAge is short, so that runs see connections that reach it.
+// connectionAge is the maximum age of connections. It is short, so that connections
+// reach it during a test.
 const connectionAge = 20 * time.Second
 
 var (
@@ -36,8 +38,8 @@
 	serverNames  = []string{"s1", "s2"}
 )
 
-// testCell is a cell in memory with a relay on each link: from each entry to each
-// replica, and from each backend server and the caller to each entry.
+// testCell is a cell whose processes run in memory. Every link between an entry and a
+// replica, a backend server or another client passes through a relay.
 type testCell struct {
 	ctx         context.Context
 	cancel      context.CancelFunc
@@ -53,15 +55,16 @@
 	maxPending  int
 	teamKey     string
 	operatorKey string
-	// onStep is told of each step; injected is when the fault came.
-	onStep     func(string)
+	// onStep is called with the name of each step of a scenario.
+	onStep func(string)
+	// injectedAt is the time at which the fault was injected, nil before.
 	injectedAt atomic.Pointer[time.Time]
 
 	mu           sync.Mutex
 	observations map[string][]string
 }
 
-// terminate stops a replica or a backend server at once.
+// terminate stops a replica or a backend server immediately.
 func (w *testCell) terminate(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -74,21 +77,22 @@
 	return w.servers[name]
 }
 
-// currentEntry returns the present run of an entry.
+// currentEntry returns the latest run of an entry.
 func (w *testCell) currentEntry(name string) *entryRun {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.entries[name]
 }
 
-// entryRun is one run of an entry.
+// entryRun is one run of an entry, from its start to its end.
 type entryRun struct {
 	entry *entry.Entry
 	stop  context.CancelFunc
 	kill  func()
 }
 
-// trackedListener closes what it accepted when the process is killed.
+// trackedListener records the accepted connections, so that they can be closed when
+// the entry is killed.
 type trackedListener struct {
 	net.Listener
 	mu    sync.Mutex
@@ -154,7 +158,7 @@
 	w.wg.Wait()
 }
 
-// addRelay puts a relay between two processes.
+// addRelay starts a relay for the link between two processes.
 func (w *testCell) addRelay(from, to string) {
 	name := from + ">" + to
 	r := &relay.Relay{Listener: w.network.Listen(name), Dial: w.network.To(to)}
@@ -162,7 +166,8 @@
 	w.wg.Go(func() { _ = r.Run(w.ctx) })
 }
 
-// dialFrom returns the dial function of a process: everything goes through its own relays.
+// dialFrom returns the dial function of a process, which connects through the relays
+// of that process.
 func (w *testCell) dialFrom(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		to, _, _ := strings.Cut(address, ":")
@@ -180,7 +185,7 @@
 	w.wg.Go(func() { r.serve(ctx, l) })
 }
 
-// setLeader makes another replica the leader.
+// setLeader makes the named replica the leader.
 func (w *testCell) setLeader(name string) {
 	w.ledger.mu.Lock()
 	defer w.ledger.mu.Unlock()
@@ -235,8 +240,8 @@
 	})
 }
 
-// retryingClient is the caller, or the operator: it asks each entry in turn until it
-// gets an answer that stands.
+// retryingClient is a caller or an operator. It retries each call at the next entry
+// until it gets a final reply.
 type retryingClient struct {
 	cell      *testCell
 	key       string
@@ -260,7 +265,8 @@
 	return c
 }
 
-// callUntilFinal makes one call with a deadline, and again at the next entry until final says so.
+// callUntilFinal makes a call with a timeout and repeats it at the next entry until
+// isFinal accepts the reply.
 func callUntilFinal[Req, Rep any](c *retryingClient, firstEntry int, call func(i int, ctx context.Context, r *connect.Request[Req]) (*connect.Response[Rep], error), msg *Req, isFinal func(*Rep) bool) *Rep {
 	for i := firstEntry; ; i++ {
 		ctx, cancel := context.WithTimeout(c.cell.ctx, 1500*time.Millisecond)
@@ -282,7 +288,7 @@
 	}
 }
 
-// isTransient tells whether a status only says to come back.
+// isTransient reports whether a status asks the client to retry.
 func isTransient(s *v1.Status) bool {
 	switch code.Code(s.GetCode()) {
 	case code.Unanswered, code.NoLeader, code.Leaving, code.Unreachable, code.Overloaded, code.Internal:
@@ -301,7 +307,7 @@
 	return reply.GetJobs()[0]
 }
 
-// wait collects the whole answer, each chunk at another entry.
+// wait fetches the complete answer of a job, each chunk from a different entry.
 func (c *retryingClient) wait(firstEntry int, id string) (*v1.WaitReply, []byte) {
 	var parts answer.Parts
 	for chunk := uint32(0); ; {
@@ -343,7 +349,7 @@
 	return &v1.Spec{Id: id, Kind: v1.Kind_KIND_BATCH, Count: 1, Size: &v1.Size{Cpu: 1000, Memory: 10, Slots: 1}, Once: once, Input: input}
 }
 
-// expectedAnswer returns the answer that a job's input asks for.
+// expectedAnswer returns the answer of a job with the given input and answer size.
 func expectedAnswer(input []byte, size int) []byte {
 	if size > 0 {
 		return server.Pattern(size)
@@ -351,7 +357,8 @@
 	return input
 }
 
-// runJob submits one job and checks its answer; it returns what went wrong.
+// runJob submits one job and checks its answer. It returns a description of the
+// problem, or "" if the answer is correct.
 func (c *retryingClient) runJob(firstEntry int, id string, wish server.Wish) string {
 	input := wish.Input()
 	c.submit(firstEntry, newSpec(id, false, input))
--- a/internal/edge/entry/tls_test.go
+++ b/internal/edge/entry/tls_test.go
@@ -24,7 +24,8 @@
 	"gypsumreel/internal/fake/server"
 )
 
-// newCertificate returns a server's configuration and one for clients that trust only it.
+// newCertificate creates a self-signed certificate. It returns a TLS configuration for
+// a server that uses it and one for clients that trust only this certificate.
 func newCertificate(t *testing.T) (serverTLS, clientTLS *tls.Config) {
 	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -48,8 +49,8 @@
 	return serverTLS, &tls.Config{RootCAs: rootCAs, MinVersion: tls.VersionTLS13}
 }
 
-// A job runs with TLS on every link: caller over HTTP/1.1, backend server over
-// HTTP/2, and the entry to the leader.
+// Guards against a link that does not work with TLS: the caller connects with
+// HTTP/1.1, the backend server with HTTP/2, and the entry to the leader.
 func TestJobRunsOverTLS(t *testing.T) {
 	serverTLS, clientTLS := newCertificate(t)
 	listen := func() net.Listener {
@@ -93,9 +94,9 @@
 	}
 	reply, err := client.Wait(ctx, withKey(token, &v1.WaitRequest{Id: "job", Patience: 5000}))
 	if err != nil || string(reply.Msg.GetChunk().GetData()) != "input" {
-		t.Errorf("%v, %v", reply, err)
+		t.Errorf("reply %v, error %v; want the job's input as its answer", reply, err)
 	}
 	if _, err := inner.NewControlProtobufClient("http://"+leader.Addr().String(), http.DefaultClient).Push(ctx, &inner.PushRequest{}); err == nil {
-		t.Error("the leader takes plain connections: the test shows nothing")
+		t.Error("the leader accepted a connection without TLS, so the test does not prove that TLS is used")
 	}
 }
