--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -154,8 +154,8 @@
 	server   *http.Server
 }
 
-// services returns the services that have a listener.
-func (e *Entry) services() []service {
+// configuredServices returns the services that have a listener.
+func (e *Entry) configuredServices() []service {
 	options := connect.WithHandlerOptions(codec.HandlerOptions(), connect.WithInterceptors(newCallCounter(e.metricSet)), connect.WithCompressMinBytes(minCompressBytes))
 	all := []service{
 		{e.CallerListener, e.newServer(mountWithLimit(caller.MaxRequestSize)((&caller.Handler{Leader: e.pool}).Route(options)))},
@@ -212,11 +212,11 @@
 	defer stopPool()
 	wg.Go(func() { _ = e.pool.Run(poolCtx) })
 
-	services := e.services()
+	services := e.configuredServices()
 	serveErrors := make(chan error, len(services))
 	for _, s := range services {
 		event.Log(e.Log, event.Listening, "address", s.listener.Addr().String())
-		wg.Go(func() { serveErrors <- e.serve(s) })
+		wg.Go(func() { serveErrors <- e.serveConnections(s) })
 	}
 	defer func() {
 		for _, s := range services {
@@ -289,8 +289,8 @@
 	}
 }
 
-// serve accepts connections of the service until its server is closed.
-func (e *Entry) serve(s service) error {
+// serveConnections accepts connections of the service until its server is closed.
+func (e *Entry) serveConnections(s service) error {
 	l := netutil.LimitListener(s.listener, e.MaxConnections)
 	if e.OutsideTLS == nil {
 		return s.server.Serve(l)
--- a/internal/edge/entry/faults_test.go
+++ b/internal/edge/entry/faults_test.go
@@ -37,7 +37,7 @@
 		{"entry killed", 2 * time.Second, func(w *testCell) { w.currentEntry("e1").kill() }, restartEntry},
 		{"leader killed", 3 * time.Second, killLeader, func(w *testCell) { w.startReplica("c1") }},
 		{"server killed", 2 * time.Second, func(w *testCell) { w.terminate("s1") }, func(w *testCell) { w.startServer("s1") }},
-		{"entry paused 30 s", 30 * time.Second, setFate(isAnyLink, relay.Hold, bothDirections...), setFate(isAnyLink, relay.Pass, bothDirections...)},
+		{"entry paused 30 s", 30 * time.Second, setRelayFate(isAnyLink, relay.Hold, bothDirections...), setRelayFate(isAnyLink, relay.Pass, bothDirections...)},
 		{"leader paused 30 s", 30 * time.Second, pauseLeader, func(w *testCell) { w.replicas["c1"].gate.open() }},
 		{"server paused 30 s", 30 * time.Second, func(w *testCell) { w.backendServer("s1").Pause() }, func(w *testCell) { w.backendServer("s1").Resume() }},
 	}
@@ -47,14 +47,14 @@
 	}{{"inner", isInnerLink}, {"outer", isOuterLink}} {
 		faults = append(
 			faults,
-			fault{"requests lost for 10 s, " + side.name, silenceDuration, setFate(side.links, relay.Lose, relay.Up), setFate(side.links, relay.Pass, relay.Up)},
-			fault{"replies lost for 10 s, " + side.name, silenceDuration, setFate(side.links, relay.Lose, relay.Down), setFate(side.links, relay.Pass, relay.Down)},
-			fault{"both directions lost for 10 s, " + side.name, silenceDuration, setFate(side.links, relay.Lose, bothDirections...), setFate(side.links, relay.Pass, bothDirections...)},
-			fault{"open connections silent for good, " + side.name, 0, onRelays(side.links, func(r *relay.Relay) { r.Forget(bothDirections...) }), nil},
-			fault{"replies lost for 0.1 s, " + side.name, 100 * time.Millisecond, setFate(side.links, relay.Lose, relay.Down), setFate(side.links, relay.Pass, relay.Down)},
-			fault{"replies delayed by 3 s, " + side.name, 3 * time.Second, setFate(side.links, relay.Hold, relay.Down), setFate(side.links, relay.Pass, relay.Down)},
-			fault{"requests duplicated, " + side.name, silenceDuration, onRelays(side.links, setDuplication(true)), onRelays(side.links, setDuplication(false))},
-			fault{"connections closed, " + side.name, 0, onRelays(side.links, (*relay.Relay).Cut), nil},
+			fault{"requests lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.links, relay.Lose, relay.Up), setRelayFate(side.links, relay.Pass, relay.Up)},
+			fault{"replies lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.links, relay.Lose, relay.Down), setRelayFate(side.links, relay.Pass, relay.Down)},
+			fault{"both directions lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.links, relay.Lose, bothDirections...), setRelayFate(side.links, relay.Pass, bothDirections...)},
+			fault{"open connections silent for good, " + side.name, 0, applyToRelays(side.links, func(r *relay.Relay) { r.Forget(bothDirections...) }), nil},
+			fault{"replies lost for 0.1 s, " + side.name, 100 * time.Millisecond, setRelayFate(side.links, relay.Lose, relay.Down), setRelayFate(side.links, relay.Pass, relay.Down)},
+			fault{"replies delayed by 3 s, " + side.name, 3 * time.Second, setRelayFate(side.links, relay.Hold, relay.Down), setRelayFate(side.links, relay.Pass, relay.Down)},
+			fault{"requests duplicated, " + side.name, silenceDuration, applyToRelays(side.links, setRequestDuplication(true)), applyToRelays(side.links, setRequestDuplication(false))},
+			fault{"connections closed, " + side.name, 0, applyToRelays(side.links, (*relay.Relay).Cut), nil},
 		)
 	}
 	return append(
@@ -70,8 +70,8 @@
 
 func isAnyLink(name string) bool { return isInnerLink(name) || isOuterLink(name) }
 
-// onRelays returns a function that applies the action to each relay with a matching name.
-func onRelays(matches func(string) bool, action func(*relay.Relay)) func(*testCell) {
+// applyToRelays returns a function that applies the action to each relay with a matching name.
+func applyToRelays(matches func(string) bool, action func(*relay.Relay)) func(*testCell) {
 	return func(w *testCell) {
 		for name, r := range w.relays {
 			if matches(name) {
@@ -81,19 +81,19 @@
 	}
 }
 
-// setFate returns a function that sets the fate of data in the given directions on
+// setRelayFate returns a function that sets the fate of data in the given directions on
 // each relay with a matching name.
-func setFate(matches func(string) bool, fate relay.Fate, directions ...relay.Way) func(*testCell) {
-	return onRelays(matches, func(r *relay.Relay) {
+func setRelayFate(matches func(string) bool, fate relay.Fate, directions ...relay.Way) func(*testCell) {
+	return applyToRelays(matches, func(r *relay.Relay) {
 		for _, direction := range directions {
 			r.Set(direction, fate)
 		}
 	})
 }
 
-// setDuplication turns the duplication of requests on or off. It closes the open
+// setRequestDuplication turns the duplication of requests on or off. It closes the open
 // connections, since the setting applies only to new ones.
-func setDuplication(enabled bool) func(*relay.Relay) {
+func setRequestDuplication(enabled bool) func(*relay.Relay) {
 	return func(r *relay.Relay) {
 		r.Duplicate(enabled)
 		r.Cut()
@@ -157,7 +157,7 @@
 		w.wg.Go(func() {
 			req := connect.NewRequest(&v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(id, false, []byte(id))}, First: true})
 			req.Header().Set("Authorization", "Bearer "+w.teamKey)
-			reply, err := c.callers[0].Submit(w.ctx, req)
+			reply, err := c.callerClients[0].Submit(w.ctx, req)
 			if err != nil {
 				return
 			}
--- a/internal/edge/entry/matrix_test.go
+++ b/internal/edge/entry/matrix_test.go
@@ -107,7 +107,7 @@
 	defer s.extraKeyClient.closeIdle()
 	s.scheduleFault(f, step)
 	settleTimer := time.AfterFunc(settleTimeout, func() {
-		w.observe("late", "the scenario did not settle within " + settleTimeout.String())
+		w.observe("late", "the scenario did not settle within "+settleTimeout.String())
 		w.cancel()
 	})
 	defer settleTimer.Stop()
@@ -152,10 +152,10 @@
 	w.ledger.onStep = w.onStep
 }
 
-func sleepUntil(ctx context.Context, at time.Time) {
+func sleepUntil(ctx context.Context, end time.Time) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(time.Until(at)):
+	case <-time.After(time.Until(end)):
 	}
 }
 
@@ -181,10 +181,10 @@
 func (s *scenario) runOnceJob() {
 	input := server.Wish{Sleep: "500ms"}.Input()
 	s.teamClient.submit(0, newSpec("once", true, input))
-	reply, whole := s.teamClient.wait(0, "once")
+	reply, data := s.teamClient.wait(0, "once")
 	s.check(reply.GetOutcome() >= v1.Outcome_OUTCOME_DONE, "job once has no outcome, status %v", reply.GetStatus())
 	if reply.GetOutcome() == v1.Outcome_OUTCOME_DONE {
-		s.check(bytes.Equal(whole, input), "job once has the wrong answer %q", whole)
+		s.check(bytes.Equal(data, input), "job once has the wrong answer %q", data)
 	} else {
 		s.checkCount.Add(1)
 	}
@@ -246,12 +246,12 @@
 	defer cancel()
 	list := connect.NewRequest(&v1.ListRequest{})
 	list.Header().Set("Authorization", "Bearer "+s.extraKeyClient.key)
-	if reply, err := s.extraKeyClient.callers[0].List(ctx, list); err == nil && s.cell.acceptedAfterWithdrawal(reply.Msg.GetStatus(), time.Now()) {
+	if reply, err := s.extraKeyClient.callerClients[0].List(ctx, list); err == nil && s.cell.acceptedAfterWithdrawal(reply.Msg.GetStatus(), time.Now()) {
 		s.cell.observe("key", fmt.Sprintf("read %d", i))
 	}
 	submit := connect.NewRequest(&v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(fmt.Sprintf("extra-%d", i), false, nil)}})
 	submit.Header().Set("Authorization", "Bearer "+s.extraKeyClient.key)
-	reply, err := s.extraKeyClient.callers[0].Submit(ctx, submit)
+	reply, err := s.extraKeyClient.callerClients[0].Submit(ctx, submit)
 	if err == nil && s.cell.acceptedAfterWithdrawal(reply.Msg.GetJobs()[0].GetStatus(), time.Now()) {
 		s.cell.observe("key", fmt.Sprintf("submission %d", i))
 	}
@@ -275,10 +275,10 @@
 	time.Sleep(1500 * time.Millisecond)
 	s.cell.onStep("stop")
 	time.Sleep(time.Millisecond)
-	p := s.cell.currentEntry("e1")
-	p.stop()
+	run := s.cell.currentEntry("e1")
+	run.stop()
 	select {
-	case <-p.entry.Done():
+	case <-run.entry.Done():
 	case <-s.cell.ctx.Done():
 	}
 	s.cell.startEntry("e1")
--- a/internal/edge/entry/measure_test.go
+++ b/internal/edge/entry/measure_test.go
@@ -77,9 +77,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+1:]))
-	user, _ := strconv.Atoi(f[11])
-	system, _ := strconv.Atoi(f[12])
+	fields := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+1:]))
+	user, _ := strconv.Atoi(fields[11])
+	system, _ := strconv.Atoi(fields[12])
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
@@ -115,7 +115,7 @@
 type measurement struct {
 	ledger        *fakeLedger
 	leaderAddress string
-	insideBytes   *byteCounter
+	insideTraffic *byteCounter
 	entry         *entryProcess
 	callerKey     string
 }
@@ -124,7 +124,7 @@
 	if os.Getenv(measureEnv) == "" {
 		t.Skip("set " + measureEnv + " to run the measurements")
 	}
-	m := &measurement{ledger: newFakeLedger(), insideBytes: &byteCounter{}}
+	m := &measurement{ledger: newFakeLedger(), insideTraffic: &byteCounter{}}
 	m.ledger.leaseLength, m.ledger.leader = 6*time.Second, "c1"
 	m.callerKey = m.ledger.grantKey("team-key", "quarry", false)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -142,7 +142,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}()
-	go func() { _ = http.Serve(&countedListener{l, m.insideBytes}, inner.NewControlServer(q)) }()
+	go func() { _ = http.Serve(&countedListener{l, m.insideTraffic}, inner.NewControlServer(q)) }()
 	m.leaderAddress = l.Addr().String()
 	m.entry = startEntryProcess(t, m.leaderAddress, "GOMAXPROCS=2") // an entry instance has few cores
 	return m
@@ -183,8 +183,8 @@
 // and, for comparison, through a pool of this process that calls the leader directly.
 func TestMeasureRequests(t *testing.T) {
 	m := newMeasurement(t)
-	outsideBytes := &byteCounter{}
-	httpClient := &http.Client{Transport: &http.Transport{DialContext: outsideBytes.dial, MaxIdleConnsPerHost: 256}}
+	outsideTraffic := &byteCounter{}
+	httpClient := &http.Client{Transport: &http.Transport{DialContext: outsideTraffic.dial, MaxIdleConnsPerHost: 256}}
 	client := v1.NewCallerClient(httpClient, "http://"+m.entry.Callers)
 	input := make([]byte, 200)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -197,7 +197,7 @@
 			_, err := pool.Ask(ctx, &inner.Item{Ask: &inner.Item_Submit{Submit: &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(id, false, input)}}}})
 			return err
 		})
-		cpuBefore, insideBefore, outsideBefore := processCPUTime(t, m.entry.cmd.Process.Pid), m.insideBytes.total(), outsideBytes.total()
+		cpuBefore, insideBefore, outsideBefore := processCPUTime(t, m.entry.cmd.Process.Pid), m.insideTraffic.total(), outsideTraffic.total()
 		viaEntry, failed := runLoad(rate, measureDuration, func(id string) error {
 			reply, err := client.Submit(ctx, withKey(m.callerKey, &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(id, false, input)}}))
 			if err == nil && reply.Msg.GetJobs()[0].GetStatus().GetCode() != 0 {
@@ -207,7 +207,7 @@
 		})
 		n := viaEntry.TotalCount()
 		t.Logf("%d/s: entry CPU %v per request, %d B outside and %d B inside per request; p50/p99 through the entry %.2f/%.2f ms, directly from a pool %.2f/%.2f ms; failed %d and %d",
-			rate, (processCPUTime(t, m.entry.cmd.Process.Pid)-cpuBefore)/time.Duration(n), (outsideBytes.total()-outsideBefore)/n, (m.insideBytes.total()-insideBefore)/n,
+			rate, (processCPUTime(t, m.entry.cmd.Process.Pid)-cpuBefore)/time.Duration(n), (outsideTraffic.total()-outsideBefore)/n, (m.insideTraffic.total()-insideBefore)/n,
 			percentileMs(viaEntry, 50), percentileMs(viaEntry, 99), percentileMs(direct, 50), percentileMs(direct, 99), failed, directFailed)
 	}
 }
@@ -220,21 +220,21 @@
 func TestMeasureIdleServers(t *testing.T) {
 	m := newMeasurement(t)
 	for _, n := range []int{0, 50, 200} {
-		outsideBytes := &byteCounter{}
+		outsideTraffic := &byteCounter{}
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
 		for i := range n {
-			s := &server.Server{Name: fmt.Sprintf("s%d-%d", n, i), Secret: enrolment, Entries: []server.Entry{server.NewEntry(m.entry.Backends, nil, outsideBytes.dial)}}
+			s := &server.Server{Name: fmt.Sprintf("s%d-%d", n, i), Secret: enrolment, Entries: []server.Entry{server.NewEntry(m.entry.Backends, nil, outsideTraffic.dial)}}
 			wg.Go(func() { _ = s.Run(ctx) })
 		}
 		time.Sleep(3 * time.Second)
-		cpuBefore, insideBefore, outsideBefore := processCPUTime(t, m.entry.cmd.Process.Pid), m.insideBytes.total(), outsideBytes.total()
+		cpuBefore, insideBefore, outsideBefore := processCPUTime(t, m.entry.cmd.Process.Pid), m.insideTraffic.total(), outsideTraffic.total()
 		time.Sleep(measureDuration)
 		seconds := int64(measureDuration / time.Second)
 		divisor := int64(max(n, 1))
 		t.Logf("%d servers: entry CPU %.2f%% of a core; per server %d B/s outside and %d B/s inside (%d B/s inside in total)", n,
 			100*float64(processCPUTime(t, m.entry.cmd.Process.Pid)-cpuBefore)/float64(measureDuration),
-			(outsideBytes.total()-outsideBefore)/seconds/divisor, (m.insideBytes.total()-insideBefore)/seconds/divisor, (m.insideBytes.total()-insideBefore)/seconds)
+			(outsideTraffic.total()-outsideBefore)/seconds/divisor, (m.insideTraffic.total()-insideBefore)/seconds/divisor, (m.insideTraffic.total()-insideBefore)/seconds)
 		cancel()
 		wg.Wait()
 	}
--- a/internal/edge/entry/process_test.go
+++ b/internal/edge/entry/process_test.go
@@ -25,15 +25,15 @@
 	"gypsumreel/internal/edge/entry"
 )
 
-// childEnv is the environment variable that makes the test binary run as an entry.
+// childEntryEnv is the environment variable that makes the test binary run as an entry.
 // Its value is the address of the leader.
-const childEnv = "GYPSUMREEL_TEST_ENTRY"
+const childEntryEnv = "GYPSUMREEL_TEST_ENTRY"
 
 // childAddresses are the listen addresses that the child process prints at its start.
 type childAddresses struct{ Callers, Backends string }
 
 func TestMain(m *testing.M) {
-	if leader := os.Getenv(childEnv); leader != "" {
+	if leader := os.Getenv(childEntryEnv); leader != "" {
 		runChildEntry(leader)
 		return
 	}
@@ -66,7 +66,7 @@
 func startEntryProcess(t testing.TB, leader string, env ...string) *entryProcess {
 	t.Helper()
 	p := &entryProcess{cmd: exec.Command(os.Args[0])}
-	p.cmd.Env = append(append(os.Environ(), childEnv+"="+leader), env...)
+	p.cmd.Env = append(append(os.Environ(), childEntryEnv+"="+leader), env...)
 	out, err := p.cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/edge/entry/service_test.go
+++ b/internal/edge/entry/service_test.go
@@ -234,7 +234,7 @@
 		time.Sleep(500 * time.Millisecond) // both servers have announced; the first one gets the job
 		c.submit(0, newSpec("long", false, server.Wish{Sleep: "8s"}.Input()))
 		time.Sleep(500 * time.Millisecond)
-		onRelays(func(name string) bool { return strings.HasPrefix(name, "s1>") }, func(r *relay.Relay) {
+		applyToRelays(func(name string) bool { return strings.HasPrefix(name, "s1>") }, func(r *relay.Relay) {
 			r.Set(relay.Up, relay.Lose)
 			r.Set(relay.Down, relay.Lose)
 		})(w)
--- a/internal/edge/entry/stop_test.go
+++ b/internal/edge/entry/stop_test.go
@@ -58,14 +58,14 @@
 			defer c.closeIdle()
 			wg.Go(func() {
 				for n, continues := 0, i%8 == 0; continues; n++ {
-					reply, err := c.callers[0].Submit(w.ctx, withKey(w.teamKey, &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(fmt.Sprintf("job-%d-%d", i, n), false, nil)}}))
+					reply, err := c.callerClients[0].Submit(w.ctx, withKey(w.teamKey, &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(fmt.Sprintf("job-%d-%d", i, n), false, nil)}}))
 					continues = countCall(err, nil) && reply != nil
 					time.Sleep(time.Millisecond)
 				}
 			})
 			wg.Go(func() {
 				for continues := true; continues; {
-					reply, err := c.callers[0].Wait(w.ctx, withKey(w.teamKey, &v1.WaitRequest{Id: "held", Patience: 10_000}))
+					reply, err := c.callerClients[0].Wait(w.ctx, withKey(w.teamKey, &v1.WaitRequest{Id: "held", Patience: 10_000}))
 					var status *v1.Status
 					if err == nil {
 						status = reply.Msg.GetStatus()
@@ -93,7 +93,7 @@
 	transport := &http.Transport{DialContext: w.network.DialHost}
 	return &retryingClient{
 		cell: w, key: w.teamKey, closeIdle: transport.CloseIdleConnections,
-		callers: []v1.CallerClient{v1.NewCallerClient(&http.Client{Transport: transport}, "http://e1-callers:1")},
+		callerClients: []v1.CallerClient{v1.NewCallerClient(&http.Client{Transport: transport}, "http://e1-callers:1")},
 	}
 }
 
@@ -139,16 +139,16 @@
 		}
 		time.Sleep(time.Second)
 		atStart := probe()
-		setFate(isInnerLink, relay.Lose, bothDirections...)(w)
+		setRelayFate(isInnerLink, relay.Lose, bothDirections...)(w)
 		time.Sleep(3 * time.Second)
 		withoutLeader := probe()
-		setFate(isInnerLink, relay.Pass, bothDirections...)(w)
+		setRelayFate(isInnerLink, relay.Pass, bothDirections...)(w)
 		time.Sleep(2 * time.Second)
 		reconnected := probe()
 		w.currentEntry("e1").stop()
 		time.Sleep(500 * time.Millisecond)
-		stopping := probe()
-		if got, want := [4]int{atStart, withoutLeader, reconnected, stopping}, [4]int{200, 503, 200, 503}; got != want {
+		duringShutdown := probe()
+		if got, want := [4]int{atStart, withoutLeader, reconnected, duringShutdown}, [4]int{200, 503, 200, 503}; got != want {
 			t.Errorf("readiness %v, want %v", got, want)
 		}
 	})
@@ -165,14 +165,14 @@
 		if problem := c.runJob(0, "big", server.Wish{Size: 500_000}); problem != "" {
 			t.Fatal(problem)
 		}
-		slow := w.openSlowReader()
-		defer func() { _ = slow.Close() }()
+		slowConn := w.openSlowReader()
+		defer func() { _ = slowConn.Close() }()
 		startedAt := time.Now()
 		if problem := c.runJob(0, "other", server.Wish{Size: 500_000}); problem != "" || time.Since(startedAt) > time.Second {
 			t.Errorf("the other caller's job: problem %q, finished after %v, want at most 1s", problem, time.Since(startedAt))
 		}
 		time.Sleep(2 * time.Minute)
-		if _, err := slow.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
+		if _, err := slowConn.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
 			t.Errorf("the slow reader's connection is still open: %v", err)
 		}
 	})
@@ -189,7 +189,7 @@
 		maxOpen := 0
 		for i := range 20 {
 			if i == 10 {
-				onRelays(isOuterLink, func(r *relay.Relay) { r.Forget(bothDirections...) })(w)
+				applyToRelays(isOuterLink, func(r *relay.Relay) { r.Forget(bothDirections...) })(w)
 			}
 			if problem := c.runJob(i, fmt.Sprintf("job-%d", i), server.Wish{Sleep: "300ms"}); problem != "" {
 				t.Error(problem)
@@ -213,7 +213,7 @@
 		defer c.closeIdle()
 		time.Sleep(time.Second)
 		for range 4 * int(connectionAge.Seconds()) {
-			reply, err := c.callers[0].List(w.ctx, withKey(w.teamKey, &v1.ListRequest{}))
+			reply, err := c.callerClients[0].List(w.ctx, withKey(w.teamKey, &v1.ListRequest{}))
 			if err != nil || reply.Msg.GetStatus().GetCode() != 0 {
 				t.Errorf("a List call got reply %v, error %v", reply, err)
 			}
--- a/internal/edge/entry/testcell_test.go
+++ b/internal/edge/entry/testcell_test.go
@@ -243,11 +243,11 @@
 // retryingClient is a caller or an operator. It retries each call at the next entry
 // until it gets a final reply.
 type retryingClient struct {
-	cell      *testCell
-	key       string
-	callers   []v1.CallerClient
-	operators []v1.OperatorClient
-	closeIdle func()
+	cell            *testCell
+	key             string
+	callerClients   []v1.CallerClient
+	operatorClients []v1.OperatorClient
+	closeIdle       func()
 }
 
 func (w *testCell) newClient(key string) *retryingClient {
@@ -259,8 +259,8 @@
 	c := &retryingClient{cell: w, key: key, closeIdle: transport.CloseIdleConnections}
 	for _, e := range entryNames {
 		httpClient := &http.Client{Transport: transport}
-		c.callers = append(c.callers, v1.NewCallerClient(httpClient, "http://"+e+"-callers:1"))
-		c.operators = append(c.operators, v1.NewOperatorClient(httpClient, "http://"+e+"-operators:1"))
+		c.callerClients = append(c.callerClients, v1.NewCallerClient(httpClient, "http://"+e+"-callers:1"))
+		c.operatorClients = append(c.operatorClients, v1.NewOperatorClient(httpClient, "http://"+e+"-operators:1"))
 	}
 	return c
 }
@@ -299,7 +299,7 @@
 
 func (c *retryingClient) submit(firstEntry int, spec *v1.Spec) *v1.Accepted {
 	reply := callUntilFinal(c, firstEntry, func(i int, ctx context.Context, r *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitReply], error) {
-		return c.callers[i].Submit(ctx, r)
+		return c.callerClients[i].Submit(ctx, r)
 	}, &v1.SubmitRequest{Jobs: []*v1.Spec{spec}}, func(m *v1.SubmitReply) bool { return !isTransient(m.GetJobs()[0].GetStatus()) })
 	if len(reply.GetJobs()) == 0 {
 		return &v1.Accepted{}
@@ -312,7 +312,7 @@
 	var parts answer.Parts
 	for chunk := uint32(0); ; {
 		reply := callUntilFinal(c, firstEntry+int(chunk), func(i int, ctx context.Context, r *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
-			return c.callers[i].Wait(ctx, r)
+			return c.callerClients[i].Wait(ctx, r)
 		}, &v1.WaitRequest{Id: id, Chunk: chunk, Patience: 1000}, func(m *v1.WaitReply) bool {
 			return !isTransient(m.GetStatus()) && (m.GetOutcome() >= v1.Outcome_OUTCOME_DONE || m.GetStatus().GetCode() != 0)
 		})
@@ -322,12 +322,12 @@
 		if err := parts.Add(reply.GetChunk()); err != nil {
 			return reply, []byte(err.Error())
 		}
-		whole, ok, err := parts.Whole()
+		data, ok, err := parts.Whole()
 		if err != nil {
 			return reply, []byte(err.Error())
 		}
 		if ok {
-			return reply, whole
+			return reply, data
 		}
 		chunk++
 	}
@@ -335,13 +335,13 @@
 
 func (c *retryingClient) cancel(firstEntry int, id string) {
 	callUntilFinal(c, firstEntry, func(i int, ctx context.Context, r *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelReply], error) {
-		return c.callers[i].Cancel(ctx, r)
+		return c.callerClients[i].Cancel(ctx, r)
 	}, &v1.CancelRequest{Ids: []string{id}}, func(m *v1.CancelReply) bool { return !isTransient(m.GetStatus()) })
 }
 
 func (c *retryingClient) change(firstEntry int, req *v1.ChangeRequest) *v1.ChangeReply {
 	return callUntilFinal(c, firstEntry, func(i int, ctx context.Context, r *connect.Request[v1.ChangeRequest]) (*connect.Response[v1.ChangeReply], error) {
-		return c.operators[i].Change(ctx, r)
+		return c.operatorClients[i].Change(ctx, r)
 	}, req, func(m *v1.ChangeReply) bool { return !isTransient(m.GetStatus()) })
 }
 
@@ -362,9 +362,9 @@
 func (c *retryingClient) runJob(firstEntry int, id string, wish server.Wish) string {
 	input := wish.Input()
 	c.submit(firstEntry, newSpec(id, false, input))
-	reply, whole := c.wait(firstEntry, id)
-	if reply.GetOutcome() != v1.Outcome_OUTCOME_DONE || !bytes.Equal(whole, expectedAnswer(input, wish.Size)) {
-		return fmt.Sprintf("%s: outcome %v, status %v, %d bytes", id, reply.GetOutcome(), reply.GetStatus(), len(whole))
+	reply, data := c.wait(firstEntry, id)
+	if reply.GetOutcome() != v1.Outcome_OUTCOME_DONE || !bytes.Equal(data, expectedAnswer(input, wish.Size)) {
+		return fmt.Sprintf("%s: outcome %v, status %v, %d bytes", id, reply.GetOutcome(), reply.GetStatus(), len(data))
 	}
 	return ""
 }
