--- a/internal/edge/entry/fakeledger_test.go
+++ b/internal/edge/entry/fakeledger_test.go
@@ -81,15 +81,15 @@
 }
 
 // grantKey adds a key and returns the bearer token for it.
-func (c *fakeLedger) grantKey(id, team string, operator bool) string {
+func (l *fakeLedger) grantKey(id, team string, operator bool) string {
 	secret := "secret-" + id
-	c.keys[id] = key.Key{ID: id, Team: team, Operator: operator, Digest: key.Digest(secret)}
+	l.keys[id] = key.Key{ID: id, Team: team, Operator: operator, Digest: key.Digest(secret)}
 	return id + "." + secret
 }
 
 // checkKey returns the status of a refusal, or nil if the key is valid for the service.
-func (c *fakeLedger) checkKey(credential *inner.Credential, operator bool) *v1.Status {
-	k, ok := c.keys[credential.GetId()]
+func (l *fakeLedger) checkKey(credential *inner.Credential, operator bool) *v1.Status {
+	k, ok := l.keys[credential.GetId()]
 	if !ok || k.Withdrawn || !k.Matches(credential.GetDigest()) {
 		return &v1.Status{Code: uint32(code.BadKey)}
 	}
@@ -100,74 +100,74 @@
 }
 
 // replyTo returns the reply to an item, or nil while its long poll has to wait.
-func (c *fakeLedger) replyTo(item *inner.Item, waitExpired bool) *inner.Reply {
+func (l *fakeLedger) replyTo(item *inner.Item, waitExpired bool) *inner.Reply {
 	refuse := func(s *v1.Status) *inner.Reply { return &inner.Reply{Status: s} }
 	credential := item.GetCredential()
 	switch request := item.GetAsk().(type) {
 	case *inner.Item_Submit:
-		c.onStep("submit")
-		if s := c.checkKey(credential, false); s != nil {
+		l.onStep("submit")
+		if s := l.checkKey(credential, false); s != nil {
 			return refuse(s)
 		}
-		return &inner.Reply{Answer: &inner.Reply_Submit{Submit: c.submit(credential.GetId(), request.Submit)}}
+		return &inner.Reply{Answer: &inner.Reply_Submit{Submit: l.submit(credential.GetId(), request.Submit)}}
 	case *inner.Item_Wait:
-		if s := c.checkKey(credential, false); s != nil {
+		if s := l.checkKey(credential, false); s != nil {
 			return refuse(s)
 		}
-		if w := c.wait(c.keys[credential.GetId()].Team, request.Wait, waitExpired); w != nil {
+		if w := l.wait(l.keys[credential.GetId()].Team, request.Wait, waitExpired); w != nil {
 			return &inner.Reply{Answer: &inner.Reply_Wait{Wait: w}}
 		}
 		return nil
 	case *inner.Item_Cancel:
-		c.onStep("cancel")
-		if s := c.checkKey(credential, false); s != nil {
+		l.onStep("cancel")
+		if s := l.checkKey(credential, false); s != nil {
 			return refuse(s)
 		}
-		return &inner.Reply{Answer: &inner.Reply_Cancel{Cancel: c.cancel(c.keys[credential.GetId()].Team, request.Cancel)}}
+		return &inner.Reply{Answer: &inner.Reply_Cancel{Cancel: l.cancel(l.keys[credential.GetId()].Team, request.Cancel)}}
 	case *inner.Item_List:
-		if s := c.checkKey(credential, false); s != nil {
+		if s := l.checkKey(credential, false); s != nil {
 			return refuse(s)
 		}
 		return &inner.Reply{Answer: &inner.Reply_List{List: &v1.ListReply{Status: &v1.Status{}}}}
 	case *inner.Item_Acknowledge:
 		return &inner.Reply{Answer: &inner.Reply_Acknowledge{Acknowledge: &v1.AcknowledgeReply{Status: &v1.Status{}}}}
 	case *inner.Item_Announce:
-		return &inner.Reply{Answer: &inner.Reply_Announce{Announce: c.announce(request.Announce)}}
+		return &inner.Reply{Answer: &inner.Reply_Announce{Announce: l.announce(request.Announce)}}
 	case *inner.Item_Sync:
-		if r := c.sync(request.Sync, waitExpired); r != nil {
+		if r := l.sync(request.Sync, waitExpired); r != nil {
 			return &inner.Reply{Answer: &inner.Reply_Sync{Sync: r}}
 		}
 		return nil
 	case *inner.Item_Leave:
-		c.drainServer(request.Leave.GetServer())
+		l.drainServer(request.Leave.GetServer())
 		return &inner.Reply{Answer: &inner.Reply_Leave{Leave: &v1.LeaveReply{Status: &v1.Status{}}}}
 	case *inner.Item_Change:
-		if s := c.checkKey(credential, true); s != nil {
+		if s := l.checkKey(credential, true); s != nil {
 			return refuse(s)
 		}
-		return &inner.Reply{Answer: &inner.Reply_Change{Change: c.change(request.Change)}}
+		return &inner.Reply{Answer: &inner.Reply_Change{Change: l.change(request.Change)}}
 	}
-	if s := c.checkKey(credential, true); s != nil {
+	if s := l.checkKey(credential, true); s != nil {
 		return refuse(s)
 	}
-	return &inner.Reply{Answer: &inner.Reply_Show{Show: &v1.ShowReply{Status: &v1.Status{}, Revision: c.tableRevision}}}
+	return &inner.Reply{Answer: &inner.Reply_Show{Show: &v1.ShowReply{Status: &v1.Status{}, Revision: l.tableRevision}}}
 }
 
-func (c *fakeLedger) submit(keyID string, req *v1.SubmitRequest) *v1.SubmitReply {
-	team := c.keys[keyID].Team
+func (l *fakeLedger) submit(keyID string, req *v1.SubmitRequest) *v1.SubmitReply {
+	team := l.keys[keyID].Team
 	reply := &v1.SubmitReply{}
 	for _, spec := range req.GetJobs() {
-		j, ok := c.jobsByID[team+"/"+spec.GetId()]
+		j, ok := l.jobsByID[team+"/"+spec.GetId()]
 		if ok && !proto.Equal(j.spec, spec) {
 			reply.Jobs = append(reply.Jobs, &v1.Accepted{Id: spec.GetId(), Status: &v1.Status{Code: uint32(code.IDReused)}})
 			continue
 		}
 		if !ok {
-			j = &fakeJob{number: uint64(len(c.acceptedJobs) + 1), team: team, spec: spec, outcome: v1.Outcome_OUTCOME_QUEUED}
-			c.jobsByID[team+"/"+spec.GetId()] = j
-			c.jobsByNumber[j.number] = j
-			c.acceptedJobs = append(c.acceptedJobs, j)
-			c.lastAcceptedAt[keyID] = time.Now()
+			j = &fakeJob{number: uint64(len(l.acceptedJobs) + 1), team: team, spec: spec, outcome: v1.Outcome_OUTCOME_QUEUED}
+			l.jobsByID[team+"/"+spec.GetId()] = j
+			l.jobsByNumber[j.number] = j
+			l.acceptedJobs = append(l.acceptedJobs, j)
+			l.lastAcceptedAt[keyID] = time.Now()
 		}
 		reply.Jobs = append(reply.Jobs, &v1.Accepted{Id: spec.GetId(), Status: j.status(), Outcome: j.outcome})
 	}
@@ -178,8 +178,8 @@
 
 func (j *fakeJob) isFinal() bool { return j.outcome >= v1.Outcome_OUTCOME_DONE }
 
-func (c *fakeLedger) wait(team string, req *v1.WaitRequest, waitExpired bool) *v1.WaitReply {
-	j, ok := c.jobsByID[team+"/"+req.GetId()]
+func (l *fakeLedger) wait(team string, req *v1.WaitRequest, waitExpired bool) *v1.WaitReply {
+	j, ok := l.jobsByID[team+"/"+req.GetId()]
 	if !ok {
 		return &v1.WaitReply{Id: req.GetId(), Status: &v1.Status{Code: uint32(code.Unknown)}}
 	}
@@ -188,15 +188,15 @@
 	}
 	reply := &v1.WaitReply{Id: req.GetId(), Outcome: j.outcome, Status: j.status()}
 	if j.outcome == v1.Outcome_OUTCOME_DONE {
-		c.onStep("answer")
+		l.onStep("answer")
 		reply.Chunk = answer.Cut(j.wholeAnswer, req.GetChunk())
 	}
 	return reply
 }
 
-func (c *fakeLedger) cancel(team string, req *v1.CancelRequest) *v1.CancelReply {
+func (l *fakeLedger) cancel(team string, req *v1.CancelRequest) *v1.CancelReply {
 	for _, id := range req.GetIds() {
-		if j, ok := c.jobsByID[team+"/"+id]; ok && !j.isFinal() {
+		if j, ok := l.jobsByID[team+"/"+id]; ok && !j.isFinal() {
 			j.cancelled = true
 			if j.server == "" {
 				j.outcome, j.code = v1.Outcome_OUTCOME_NOT_RUN, code.Cancelled
@@ -206,36 +206,36 @@
 	return &v1.CancelReply{Status: &v1.Status{}, Count: uint32(len(req.GetIds()))}
 }
 
-func (c *fakeLedger) announce(req *v1.AnnounceRequest) *v1.AnnounceReply {
-	s, ok := c.servers[req.GetServer()]
+func (l *fakeLedger) announce(req *v1.AnnounceRequest) *v1.AnnounceReply {
+	s, ok := l.servers[req.GetServer()]
 	if !ok || s.nonce != req.GetNonce() {
 		incarnation := uint64(1)
 		if ok {
 			// The fake backend server stops all tasks before it announces a new session.
 			incarnation = s.incarnation + 1
-			c.loseServer(s)
+			l.loseServer(s)
 		}
 		s = &fakeServer{name: req.GetServer(), nonce: req.GetNonce(), incarnation: incarnation, slots: req.GetCapacity().GetSlots()}
-		c.servers[s.name] = s
+		l.servers[s.name] = s
 	}
-	s.leaseExpiresAt = time.Now().Add(c.leaseLength + c.leaseMargin)
-	return &v1.AnnounceReply{Status: &v1.Status{}, Incarnation: s.incarnation, Lease: uint64(c.leaseLength.Milliseconds())}
+	s.leaseExpiresAt = time.Now().Add(l.leaseLength + l.leaseMargin)
+	return &v1.AnnounceReply{Status: &v1.Status{}, Incarnation: s.incarnation, Lease: uint64(l.leaseLength.Milliseconds())}
 }
 
 // loseServer marks a backend server as lost and ends its attempts. The caller must
 // be sure that the server runs no tasks any more.
-func (c *fakeLedger) loseServer(s *fakeServer) {
+func (l *fakeLedger) loseServer(s *fakeServer) {
 	s.lost = true
-	for _, j := range c.acceptedJobs {
+	for _, j := range l.acceptedJobs {
 		if j.server == s.name && !j.isFinal() {
-			c.endInterruptedAttempt(j)
+			l.endInterruptedAttempt(j)
 		}
 	}
 }
 
 // endInterruptedAttempt requeues a job whose attempt stopped without a result, or
 // gives it a final outcome if it must not run again.
-func (c *fakeLedger) endInterruptedAttempt(j *fakeJob) {
+func (l *fakeLedger) endInterruptedAttempt(j *fakeJob) {
 	j.server = ""
 	switch {
 	case j.spec.GetOnce():
@@ -247,8 +247,8 @@
 	}
 }
 
-func (c *fakeLedger) sync(req *v1.SyncRequest, waitExpired bool) *v1.SyncReply {
-	s, ok := c.servers[req.GetServer()]
+func (l *fakeLedger) sync(req *v1.SyncRequest, waitExpired bool) *v1.SyncReply {
+	s, ok := l.servers[req.GetServer()]
 	if !ok || s.incarnation != req.GetIncarnation() || s.lost {
 		return &v1.SyncReply{Number: req.GetNumber(), Status: &v1.Status{Code: uint32(code.Stale)}}
 	}
@@ -258,28 +258,28 @@
 		return &v1.SyncReply{Status: &v1.Status{}, Number: req.GetNumber()}
 	}
 	s.lastSyncNumber = req.GetNumber()
-	orders := c.updateOrders(s, req)
+	orders := l.updateOrders(s, req)
 	if len(orders) == 0 && !waitExpired {
 		return nil
 	}
 	for _, o := range orders {
 		if o.GetVerb() == v1.Verb_VERB_START {
-			c.onStep("order")
+			l.onStep("order")
 		}
 	}
-	return &v1.SyncReply{Status: &v1.Status{}, Number: req.GetNumber(), Orders: orders, Lease: uint64(c.leaseLength.Milliseconds())}
+	return &v1.SyncReply{Status: &v1.Status{}, Number: req.GetNumber(), Orders: orders, Lease: uint64(l.leaseLength.Milliseconds())}
 }
 
 // updateOrders applies the reports of a sync and returns the orders for the server.
-func (c *fakeLedger) updateOrders(s *fakeServer, req *v1.SyncRequest) []*v1.Order {
+func (l *fakeLedger) updateOrders(s *fakeServer, req *v1.SyncRequest) []*v1.Order {
 	var orders []*v1.Order
 	reported := map[uint64]bool{}
 	for _, r := range req.GetReports() {
-		j := c.jobsByNumber[r.GetAttempt().GetJob()]
+		j := l.jobsByNumber[r.GetAttempt().GetJob()]
 		isCurrent := j.server == s.name && j.attemptNumber == r.GetAttempt().GetNumber() && !j.isFinal()
 		if isCurrent {
 			reported[j.number] = true
-			c.applyReport(j, r)
+			l.applyReport(j, r)
 		}
 		switch {
 		case r.GetPhase() == v1.Phase_PHASE_RUNNING && (!isCurrent || j.cancelled):
@@ -288,7 +288,7 @@
 			orders = append(orders, &v1.Order{Verb: v1.Verb_VERB_FORGET, Attempt: r.GetAttempt()})
 		}
 	}
-	for _, j := range c.acceptedJobs {
+	for _, j := range l.acceptedJobs {
 		if j.server != s.name || reported[j.number] || j.isFinal() {
 			continue
 		}
@@ -311,10 +311,10 @@
 	return orders
 }
 
-func (c *fakeLedger) applyReport(j *fakeJob, r *v1.Report) {
+func (l *fakeLedger) applyReport(j *fakeJob, r *v1.Report) {
 	switch r.GetPhase() {
 	case v1.Phase_PHASE_ENDED:
-		c.onStep("report")
+		l.onStep("report")
 		for _, chunk := range r.GetChunks() {
 			_ = j.answerParts.Add(chunk)
 		}
@@ -322,82 +322,82 @@
 			j.wholeAnswer, j.outcome = data, v1.Outcome_OUTCOME_DONE
 		}
 	case v1.Phase_PHASE_STOPPED:
-		c.endInterruptedAttempt(j)
+		l.endInterruptedAttempt(j)
 	}
 }
 
-func (c *fakeLedger) drainServer(name string) {
-	if s, ok := c.servers[name]; ok && !s.draining {
+func (l *fakeLedger) drainServer(name string) {
+	if s, ok := l.servers[name]; ok && !s.draining {
 		s.draining = true
-		c.drainedAt[name] = time.Now()
+		l.drainedAt[name] = time.Now()
 	}
 }
 
-func (c *fakeLedger) change(req *v1.ChangeRequest) *v1.ChangeReply {
-	if earlierReply, ok := c.changeReplies[req.GetId()]; ok {
+func (l *fakeLedger) change(req *v1.ChangeRequest) *v1.ChangeReply {
+	if earlierReply, ok := l.changeReplies[req.GetId()]; ok {
 		return earlierReply
 	}
 	reply := &v1.ChangeReply{Status: &v1.Status{}}
 	switch change := req.GetChange().(type) {
 	case *v1.ChangeRequest_Table:
-		c.onStep("table")
-		if change.Table.GetBase() != c.tableRevision {
+		l.onStep("table")
+		if change.Table.GetBase() != l.tableRevision {
 			reply.Status = &v1.Status{Code: uint32(code.Conflict)}
 		} else {
-			c.tableRevision++
+			l.tableRevision++
 		}
 	case *v1.ChangeRequest_Withdraw:
-		c.onStep("key")
-		c.keys[change.Withdraw.GetId()] = c.keys[change.Withdraw.GetId()].WithWithdrawn()
-		c.withdrawnAt[change.Withdraw.GetId()] = time.Now()
+		l.onStep("key")
+		l.keys[change.Withdraw.GetId()] = l.keys[change.Withdraw.GetId()].WithWithdrawn()
+		l.withdrawnAt[change.Withdraw.GetId()] = time.Now()
 	case *v1.ChangeRequest_Mark:
-		c.onStep("drain")
+		l.onStep("drain")
 		// As in the ledger, a server without a session cannot be drained. The reply is
 		// not stored, so that the operator can retry with the same change id.
-		if _, ok := c.servers[change.Mark.GetServer()]; !ok {
+		if _, ok := l.servers[change.Mark.GetServer()]; !ok {
 			return &v1.ChangeReply{Status: &v1.Status{Code: uint32(code.Unknown)}}
 		}
-		c.drainServer(change.Mark.GetServer())
+		l.drainServer(change.Mark.GetServer())
 	}
-	reply.Revision = c.tableRevision
-	c.changeReplies[req.GetId()] = reply
+	reply.Revision = l.tableRevision
+	l.changeReplies[req.GetId()] = reply
 	return reply
 }
 
 // expireLeasesAndPlaceJobs marks servers with expired leases as lost and places queued jobs.
-func (c *fakeLedger) expireLeasesAndPlaceJobs() {
+func (l *fakeLedger) expireLeasesAndPlaceJobs() {
 	now := time.Now()
-	for _, name := range slices.Sorted(maps.Keys(c.servers)) {
-		s := c.servers[name]
+	for _, name := range slices.Sorted(maps.Keys(l.servers)) {
+		s := l.servers[name]
 		if !s.lost && now.After(s.leaseExpiresAt) {
-			c.loseServer(s)
+			l.loseServer(s)
 		}
 	}
-	for _, j := range c.acceptedJobs {
+	for _, j := range l.acceptedJobs {
 		if j.server == "" && !j.isFinal() && !j.cancelled {
-			c.placeJob(j)
+			l.placeJob(j)
 		}
 	}
 }
 
-func (c *fakeLedger) placeJob(j *fakeJob) {
-	for _, name := range slices.Sorted(maps.Keys(c.servers)) {
-		s := c.servers[name]
-		if s.lost || s.draining || c.heldSlots(name) >= s.slots {
+func (l *fakeLedger) placeJob(j *fakeJob) {
+	for _, name := range slices.Sorted(maps.Keys(l.servers)) {
+		s := l.servers[name]
+		if s.lost || s.draining || l.heldSlots(name) >= s.slots {
 			continue
 		}
 		j.server, j.outcome = name, v1.Outcome_OUTCOME_RUNNING
 		j.attemptNumber++
 		j.startSentInSync = 0
 		j.answerParts = answer.Parts{}
-		c.lastPlacedAt[name] = time.Now()
+		l.lastPlacedAt[name] = time.Now()
 		return
 	}
 }
 
-func (c *fakeLedger) heldSlots(name string) int64 {
+func (l *fakeLedger) heldSlots(name string) int64 {
 	n := int64(0)
-	for _, j := range c.acceptedJobs {
+	for _, j := range l.acceptedJobs {
 		if j.server == name && !j.isFinal() {
 			n++
 		}
--- a/internal/edge/entry/faults_test.go
+++ b/internal/edge/entry/faults_test.go
@@ -161,8 +161,8 @@
 			if err != nil {
 				return
 			}
-			if a := reply.Msg.GetJobs()[0]; a.GetOutcome() == v1.Outcome_OUTCOME_NOT_RUN {
-				w.observe("refused", a.GetId())
+			if accepted := reply.Msg.GetJobs()[0]; accepted.GetOutcome() == v1.Outcome_OUTCOME_NOT_RUN {
+				w.observe("refused", accepted.GetId())
 			}
 		})
 	}
--- a/internal/edge/entry/measure_test.go
+++ b/internal/edge/entry/measure_test.go
@@ -87,10 +87,10 @@
 // It holds a sync until its poll wait is over.
 type instantLeader struct{ fakeReplica }
 
-func (q *instantLeader) Push(ctx context.Context, req *inner.PushRequest) (*inner.PushReply, error) {
+func (l *instantLeader) Push(ctx context.Context, req *inner.PushRequest) (*inner.PushReply, error) {
 	var forwarded []*inner.Item
-	q.ledger.mu.Lock()
-	s := q.sessionFor(req.GetSession())
+	l.ledger.mu.Lock()
+	s := l.sessionFor(req.GetSession())
 	for _, item := range req.GetItems() {
 		submit := item.GetSubmit()
 		if submit == nil {
@@ -105,11 +105,11 @@
 	}
 	close(s.replyAdded)
 	s.replyAdded = make(chan struct{})
-	q.ledger.mu.Unlock()
+	l.ledger.mu.Unlock()
 	if len(forwarded) == 0 && len(req.GetItems()) > 0 {
 		return &inner.PushReply{}, nil
 	}
-	return q.fakeReplica.Push(ctx, &inner.PushRequest{Cell: req.GetCell(), Entry: req.GetEntry(), Session: req.GetSession(), Items: forwarded})
+	return l.fakeReplica.Push(ctx, &inner.PushRequest{Cell: req.GetCell(), Entry: req.GetEntry(), Session: req.GetSession(), Items: forwarded})
 }
 
 type measurement struct {
@@ -131,18 +131,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	q := &instantLeader{fakeReplica{ledger: m.ledger, name: "c1", sessions: map[uint64]*entrySession{}}}
+	leader := &instantLeader{fakeReplica{ledger: m.ledger, name: "c1", sessions: map[uint64]*entrySession{}}}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() {
 		for ctx.Err() == nil {
 			m.ledger.mu.Lock()
-			q.answerParkedItems()
+			leader.answerParkedItems()
 			m.ledger.mu.Unlock()
 			time.Sleep(10 * time.Millisecond)
 		}
 	}()
-	go func() { _ = http.Serve(&countedListener{l, m.insideTraffic}, inner.NewControlServer(q)) }()
+	go func() { _ = http.Serve(&countedListener{l, m.insideTraffic}, inner.NewControlServer(leader)) }()
 	m.leaderAddress = l.Addr().String()
 	m.entry = startEntryProcess(t, m.leaderAddress, "GOMAXPROCS=2") // an entry instance has few cores
 	return m
--- a/internal/edge/entry/process_test.go
+++ b/internal/edge/entry/process_test.go
@@ -67,7 +67,7 @@
 	t.Helper()
 	p := &entryProcess{cmd: exec.Command(os.Args[0])}
 	p.cmd.Env = append(append(os.Environ(), childEntryEnv+"="+leader), env...)
-	out, err := p.cmd.StdoutPipe()
+	stdout, err := p.cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 		_ = p.cmd.Process.Kill()
 		_ = p.cmd.Wait()
 	})
-	line, _ := bufio.NewReader(out).ReadString('\n')
+	line, _ := bufio.NewReader(stdout).ReadString('\n')
 	if err := json.NewDecoder(strings.NewReader(line)).Decode(&p.childAddresses); err != nil {
 		t.Fatal(err)
 	}
@@ -88,16 +88,16 @@
 // startLoopbackLeader serves a fake leader on the loopback interface and returns its
 // ledger and address.
 func startLoopbackLeader(t testing.TB) (*fakeLedger, string) {
-	c := newFakeLedger()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	ledger := newFakeLedger()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.leader = "c1"
+	ledger.leader = "c1"
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go (&fakeReplica{ledger: c, name: "c1"}).serve(ctx, l)
-	return c, l.Addr().String()
+	go (&fakeReplica{ledger: ledger, name: "c1"}).serve(ctx, listener)
+	return ledger, listener.Addr().String()
 }
 
 // waitReady waits until the entry answers and returns a client for it.
@@ -118,8 +118,8 @@
 // withdrawn meanwhile. Guards against an entry that accepts the waiting request from
 // outdated state after it resumes.
 func TestResumedEntryRejectsWithdrawnKey(t *testing.T) {
-	c, leader := startLoopbackLeader(t)
-	token := c.grantKey("team-key", "quarry", false)
+	ledger, leader := startLoopbackLeader(t)
+	token := ledger.grantKey("team-key", "quarry", false)
 	p := startEntryProcess(t, leader)
 	client := p.waitReady(t, token)
 	_ = p.cmd.Process.Signal(syscall.SIGSTOP)
@@ -132,17 +132,17 @@
 		}
 		done <- code.Code(reply.Msg.GetJobs()[0].GetStatus().GetCode())
 	}()
-	c.mu.Lock()
-	c.keys["team-key"] = c.keys["team-key"].WithWithdrawn()
-	c.mu.Unlock()
+	ledger.mu.Lock()
+	ledger.keys["team-key"] = ledger.keys["team-key"].WithWithdrawn()
+	ledger.mu.Unlock()
 	time.Sleep(2500 * time.Millisecond)
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	if got := <-done; got == code.OK {
 		t.Error("work was accepted with a withdrawn key")
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.jobsByID) > 0 {
+	ledger.mu.Lock()
+	defer ledger.mu.Unlock()
+	if len(ledger.jobsByID) > 0 {
 		t.Error("the ledger contains a job submitted with a withdrawn key")
 	}
 }
@@ -151,8 +151,8 @@
 // poll. It must answer the call with the advice to use another entry, and the process
 // must exit with code 0.
 func TestSIGTERMAnswersPendingCallsAndExits(t *testing.T) {
-	c, leader := startLoopbackLeader(t)
-	token := c.grantKey("team-key", "quarry", false)
+	ledger, leader := startLoopbackLeader(t)
+	token := ledger.grantKey("team-key", "quarry", false)
 	p := startEntryProcess(t, leader)
 	client := p.waitReady(t, token)
 	ctx := context.Background()
@@ -181,8 +181,8 @@
 // The entry that a caller uses is killed after it accepted a job. The caller submits
 // the same id at another entry. Guards against a second job with that id.
 func TestResubmitAfterEntryIsKilledIsIdempotent(t *testing.T) {
-	c, leader := startLoopbackLeader(t)
-	token := c.grantKey("team-key", "quarry", false)
+	ledger, leader := startLoopbackLeader(t)
+	token := ledger.grantKey("team-key", "quarry", false)
 	first, second := startEntryProcess(t, leader), startEntryProcess(t, leader)
 	firstClient, secondClient := first.waitReady(t, token), second.waitReady(t, token)
 	req := &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec("job", true, nil)}}
@@ -195,9 +195,9 @@
 	if err != nil || reply.Msg.GetJobs()[0].GetStatus().GetCode() != 0 {
 		t.Errorf("the repeated submission got reply %v, error %v", reply, err)
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.acceptedJobs) != 1 {
-		t.Errorf("the ledger has %d jobs, want 1", len(c.acceptedJobs))
+	ledger.mu.Lock()
+	defer ledger.mu.Unlock()
+	if len(ledger.acceptedJobs) != 1 {
+		t.Errorf("the ledger has %d jobs, want 1", len(ledger.acceptedJobs))
 	}
 }
--- a/internal/edge/entry/service_test.go
+++ b/internal/edge/entry/service_test.go
@@ -90,10 +90,10 @@
 func TestAnswersKeepRequestOrderDespiteMalformedJobs(t *testing.T) {
 	a := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Submit{Submit: &v1.SubmitReply{Jobs: []*v1.Accepted{{Id: "a"}, {Id: "b"}}}}}}
 	h := &caller.Handler{Leader: a}
-	huge := newSpec("huge", false, make([]byte, caller.MaxInputSize+1))
+	oversized := newSpec("huge", false, make([]byte, caller.MaxInputSize+1))
 	negative := newSpec("negative", false, nil)
 	negative.Size.Cpu = -1
-	jobs := []*v1.Spec{huge, newSpec("a", false, nil), negative, newSpec("b", false, nil), newSpec("a", false, nil), newSpec("a\nb", false, nil)}
+	jobs := []*v1.Spec{oversized, newSpec("a", false, nil), negative, newSpec("b", false, nil), newSpec("a", false, nil), newSpec("a\nb", false, nil)}
 	reply, err := h.Submit(t.Context(), withKey("id.secret", &v1.SubmitRequest{Jobs: jobs}))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/edge/entry/tls_test.go
+++ b/internal/edge/entry/tls_test.go
@@ -60,12 +60,12 @@
 		}
 		return l
 	}
-	c := newFakeLedger()
-	c.leader = "c1"
-	token := c.grantKey("team-key", "quarry", false)
+	ledger := newFakeLedger()
+	ledger.leader = "c1"
+	token := ledger.grantKey("team-key", "quarry", false)
 	leader, callers, backends := listen(), listen(), listen()
 	ctx, cancel := context.WithCancel(t.Context())
-	r := &fakeReplica{ledger: c, name: "c1"}
+	r := &fakeReplica{ledger: ledger, name: "c1"}
 	go r.serve(ctx, tls.NewListener(leader, serverTLS))
 	e := &entry.Entry{
 		Cell: "test", Name: "e1", CallerListener: callers, BackendListener: backends, OutsideTLS: serverTLS, InsideTLS: clientTLS, Log: logr.Discard(),
--- a/internal/edge/operator/operator.go
+++ b/internal/edge/operator/operator.go
@@ -80,16 +80,16 @@
 func (h *Handler) Change(ctx context.Context, req *connect.Request[v1.ChangeRequest]) (*connect.Response[v1.ChangeReply], error) {
 	m := req.Msg
 	reply, status := h.forward(ctx, req.Header(), checkChange(m), &inner.Item{Ask: &inner.Item_Change{Change: m}})
-	out := &v1.ChangeReply{Status: status}
+	response := &v1.ChangeReply{Status: status}
 	if status == nil {
-		out = reply.GetChange()
+		response = reply.GetChange()
 	}
 	call, subject := describeChange(m)
 	h.recordCall(ctx, req.Header(), req.Peer().Addr, AuditRecord{
 		Call: call, Subject: subject, ChangeID: m.GetId(),
-		Code: code.Code(out.GetStatus().GetCode()), TableRevision: out.GetRevision(),
+		Code: code.Code(response.GetStatus().GetCode()), TableRevision: response.GetRevision(),
 	})
-	return connect.NewResponse(out), nil
+	return connect.NewResponse(response), nil
 }
 
 // Show forwards a request to read a part of the cell's state.
@@ -114,12 +114,12 @@
 	if status == nil && reply.GetShow().GetStatus().GetCode() != 0 {
 		status = reply.GetShow().GetStatus()
 	}
-	out := &v1.DumpReply{Status: status}
+	response := &v1.DumpReply{Status: status}
 	if status == nil {
-		out = h.dumpProcess(ctx, req.Msg.GetProcess())
+		response = h.dumpProcess(ctx, req.Msg.GetProcess())
 	}
-	h.recordCall(ctx, req.Header(), req.Peer().Addr, AuditRecord{Call: "dump", Subject: req.Msg.GetProcess(), Code: code.Code(out.GetStatus().GetCode())})
-	return connect.NewResponse(out), nil
+	h.recordCall(ctx, req.Header(), req.Peer().Addr, AuditRecord{Call: "dump", Subject: req.Msg.GetProcess(), Code: code.Code(response.GetStatus().GetCode())})
+	return connect.NewResponse(response), nil
 }
 
 // dumpProcess returns the state dump of the process named, or of this one.
@@ -161,8 +161,8 @@
 	if h.Auditor == nil {
 		return
 	}
-	if cred, err := control.Presented(header); err == nil {
-		r.KeyID = cred.GetId()
+	if credential, err := control.Presented(header); err == nil {
+		r.KeyID = credential.GetId()
 	}
 	r.PeerAddress = peer
 	h.Auditor.RecordCall(ctx, r)
