--- a/internal/edge/entry/connage.go
+++ b/internal/edge/entry/connage.go
@@ -22,9 +22,9 @@
 }
 
 // closeExpiredConns asks the client to close a connection that has reached its
-// maximum age. The request arrives with the response to a call, so that no call is
-// interrupted. Without a maximum age, a newly added entry would get no load and an
-// entry that is to be removed would keep its load.
+// maximum age. It does so in the response to a call, so that no call is interrupted.
+// Without a maximum age, a newly added entry would get no load, and an entry that is
+// about to be removed would keep its load.
 func closeExpiredConns(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if expiresAt, ok := r.Context().Value(connExpiryKey{}).(time.Time); ok && time.Now().After(expiresAt) {
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -81,12 +81,14 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// EnrolmentDigests holds the digests of the enrolment secrets accepted from backend servers.
 	EnrolmentDigests []backend.Digest
-	Auditor          operator.Auditor
-	Log              logr.Logger
+	// Auditor receives the audit records of operators' calls. Nil means the log.
+	Auditor operator.Auditor
+	Log     logr.Logger
 	// Abort ends a graceful shutdown immediately when it is closed. It is closed on
 	// the second termination signal.
 	Abort <-chan struct{}
 
+	// In the following fields zero means the default given by the constants above.
 	ShutdownDelay    time.Duration
 	DrainTimeout     time.Duration
 	MaxConnectionAge time.Duration
@@ -94,6 +96,7 @@
 	// MaxPendingRequests bounds the requests that wait for a reply of the leader.
 	MaxPendingRequests int
 
+	// initOnce guards the initialisation of the defaults, the pool and the metrics.
 	initOnce  sync.Once
 	pool      *control.Pool
 	metricSet *metrics.Set
--- a/internal/edge/entry/faults_test.go
+++ b/internal/edge/entry/faults_test.go
@@ -24,7 +24,7 @@
 	heal func(w *testCell)
 }
 
-// silenceDuration is the time for which a link loses or duplicates data.
+// silenceDuration is the duration of faults in which links lose or duplicate data.
 const silenceDuration = 10 * time.Second
 
 var bothDirections = []relay.Way{relay.Up, relay.Down}
--- a/internal/edge/entry/testcell_test.go
+++ b/internal/edge/entry/testcell_test.go
@@ -41,17 +41,18 @@
 // testCell is a cell whose processes run in memory. Every link between an entry and a
 // replica, a backend server or another client passes through a relay.
 type testCell struct {
-	ctx         context.Context
-	cancel      context.CancelFunc
-	wg          sync.WaitGroup
-	network     *relay.Memory
-	ledger      *fakeLedger
-	replicas    map[string]*fakeReplica
-	entries     map[string]*entryRun
-	servers     map[string]*server.Server
-	stopFuncs   map[string]context.CancelFunc
-	relays      map[string]*relay.Relay
-	taskRecord  *server.Record
+	ctx        context.Context
+	cancel     context.CancelFunc
+	wg         sync.WaitGroup
+	network    *relay.Memory
+	ledger     *fakeLedger
+	replicas   map[string]*fakeReplica
+	entries    map[string]*entryRun
+	servers    map[string]*server.Server
+	stopFuncs  map[string]context.CancelFunc
+	relays     map[string]*relay.Relay
+	taskRecord *server.Record
+	// maxPending bounds the pending requests of each entry. Zero means the default.
 	maxPending  int
 	teamKey     string
 	operatorKey string
@@ -87,8 +88,10 @@
 // entryRun is one run of an entry, from its start to its end.
 type entryRun struct {
 	entry *entry.Entry
-	stop  context.CancelFunc
-	kill  func()
+	// stop begins a graceful shutdown.
+	stop context.CancelFunc
+	// kill ends the run immediately and closes all connections.
+	kill func()
 }
 
 // trackedListener records the accepted connections, so that they can be closed when
