--- a/internal/cli/entry/entry.go
+++ b/internal/cli/entry/entry.go
@@ -35,26 +35,26 @@
 
 // Run serves until ctx ends.
 func (c *command) Run(ctx context.Context, env verb.Env, _ []string) error {
-	s, err := verb.LoadSettings(env, c.Settings, settings.Entry)
+	s, err := verb.LoadSettings(env, c.Settings, settings.RoleEntry)
 	if err != nil {
 		return err
 	}
 	e, err := build(s)
 	if err != nil {
-		event.Fail(event.New(env.Err, s.Log), event.ListenFailed, err)
+		event.LogError(event.New(env.Err, s.LogLevel), event.ListenFailed, err)
 		return err
 	}
-	e.Log, e.Abort = event.New(env.Err, s.Log), verb.Again(ctx)
-	sides, err := verb.NewSides(ctx, s.TLS, s.Control, s.Time.Reload, e.Log)
+	e.Log, e.Abort = event.New(env.Err, s.LogLevel), verb.Again(ctx)
+	sides, err := verb.NewSides(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, e.Log)
 	if err != nil {
 		return err
 	}
 	e.OutsideTLS, e.InsideTLS = sides.Outside.Server(), sides.Inside.Client(sides.Replicas...)
 	pool := e.Pool()
-	pool.Timeout, pool.Freshness, pool.Batch = s.Time.Call, s.Time.Fresh, int(s.Limits.Batch)
+	pool.CallTimeout, pool.MaxContactAge, pool.MaxPushItems = s.Time.CallTimeout, s.Time.MaxLeaderSilence, int(s.Limits.BatchItems)
 	event.Log(e.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
 	defer event.Log(e.Log, event.Stopped, "process", s.Name)
-	signal := &dump.Signal{Name: s.Name, State: e.Dump, Max: int(s.Limits.Dump), Log: e.Log}
+	signal := &dump.SignalHandler{Name: s.Name, State: e.Dump, MaxBytes: int(s.Limits.DumpBytes), Log: e.Log}
 	go func() { _ = signal.Run(ctx) }()
 	return e.Run(ctx)
 }
@@ -62,12 +62,12 @@
 // build makes the daemon from its settings.
 func build(s *settings.Settings) (*entry.Entry, error) {
 	e := &entry.Entry{
-		Cell: s.Cell, Name: s.Name, DrainTimeout: s.Time.Finish,
+		Cell: s.Cell, Name: s.Name, DrainTimeout: s.Time.FinishTimeout,
 		// Zero would stand for the entry's own default.
-		ShutdownDelay:  max(s.Time.Drain, time.Nanosecond),
-		MaxConnections: min(int(s.Limits.Connections), files.New(files.Limit(s.Limits.Files)).Share(files.Callers)), MaxPendingRequests: int(s.Limits.Queue),
+		ShutdownDelay:  max(s.Time.DrainDelay, time.Nanosecond),
+		MaxConnections: min(int(s.Limits.Connections), files.NewBudget(files.ProcessLimit(s.Limits.OpenFiles)).Allowance(files.Callers)), MaxPendingRequests: int(s.Limits.QueuedRequests),
 	}
-	bounds.Memory(s.Limits.Memory)
+	bounds.LimitHeap(s.Limits.MemoryMiB)
 	for _, l := range []struct {
 		setting string
 		address string
@@ -83,10 +83,10 @@
 			return nil, errors.Wrap(err, l.setting)
 		}
 	}
-	for _, p := range s.Control {
+	for _, p := range s.ControlReplicas {
 		e.ControlReplicas = append(e.ControlReplicas, control.Replica{Name: p.Name, Address: p.Address})
 	}
-	for _, text := range s.Enrolment {
+	for _, text := range s.EnrolmentDigests {
 		digest, err := hex.DecodeString(text)
 		if err != nil || len(digest) != len(backend.Digest{}) {
 			return nil, errors.Newf("enrolment: %q is no digest", text)
--- a/internal/cli/flow/flow.go
+++ b/internal/cli/flow/flow.go
@@ -92,15 +92,15 @@
 // until the leader has answered or the time is over. Every request may be made
 // again: flows have ids, and cancelling or asking twice changes nothing.
 func (f flags) find(ctx context.Context, a *inner.FlowAsk) *inner.FlowAnswer {
-	client := wire.Client(connections, nil, files.Processes)
+	client := wire.NewClient(connections, nil, files.Processes)
 	known := strings.Split(f.Control, ",")
-	last := &inner.FlowAnswer{Code: uint32(code.Unanswered)}
+	last := &inner.FlowAnswer{Code: uint32(code.LeaderTimeout)}
 	for next := 0; ctx.Err() == nil; next++ {
 		address := known[next%len(known)]
 		for range 2 {
 			rep, err := inner.NewFlowsProtobufClient("http://"+address, client).Ask(ctx, a)
 			if err != nil {
-				last = &inner.FlowAnswer{Code: uint32(code.Unanswered), Detail: err.Error()}
+				last = &inner.FlowAnswer{Code: uint32(code.LeaderTimeout), Detail: err.Error()}
 				break
 			}
 			if code.Code(rep.GetCode()) != code.NoLeader {
@@ -153,7 +153,7 @@
 	if err := protojson.Unmarshal(plain, spec); err != nil {
 		return nil, verb.Misuse("The fields are those of FlowSpec in proto/v1/flow.proto.", "%s: %v", args[0], err)
 	}
-	if fault := domain.Check(spec); fault != nil {
+	if fault := domain.CheckSpec(spec); fault != nil {
 		return nil, verb.Misuse("Mend the file; nothing was sent.", "%s: %v", args[0], fault)
 	}
 	return spec, nil
--- a/internal/cli/flow/flow_test.go
+++ b/internal/cli/flow/flow_test.go
@@ -78,7 +78,7 @@
 		{&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_RUNNING}, verb.Unfinished},
 		{&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_DONE}, verb.OK},
 		{&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_FAILED}, verb.Failed},
-		{&inner.FlowAnswer{Code: uint32(code.Unknown)}, verb.Failed},
+		{&inner.FlowAnswer{Code: uint32(code.NotFound)}, verb.Failed},
 		{&inner.FlowAnswer{Code: uint32(code.Overloaded)}, verb.NotRun},
 		{&inner.FlowAnswer{Code: uint32(code.NoLeader)}, verb.Unreachable},
 	} {
--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	l.Shared = !c.Plain
+	l.Multiplexed = !c.Plain
 	m.Target = l.Addresses
 	if m.Table[0], err = c.revision(ctx); err != nil {
 		return err
--- a/internal/cli/remote/change.go
+++ b/internal/cli/remote/change.go
@@ -44,7 +44,7 @@
 		known.Next = fmt.Sprintf("It may have been made. Run the same command again with --change %s%s: it is not made twice.", req.GetId(), rest)
 	}
 	var refusal *code.Error
-	if errors.As(err, &refusal) && refusal.Code == code.Conflict {
+	if errors.As(err, &refusal) && refusal.Code == code.RevisionConflict {
 		known.Text += fmt.Sprintf("; the current revision is %d", revision)
 	}
 	return Made{Change: req.GetId(), Revision: revision}, explained
--- a/internal/cli/remote/remote.go
+++ b/internal/cli/remote/remote.go
@@ -156,7 +156,7 @@
 
 // transport returns advice about a call that never got an answer.
 func transport(refusal *code.Error) string {
-	if refusal.Code != code.Unanswered {
+	if refusal.Code != code.LeaderTimeout {
 		return ""
 	}
 	for _, h := range hints {
--- a/internal/cli/submit/submit.go
+++ b/internal/cli/submit/submit.go
@@ -97,7 +97,7 @@
 	if accepted(a) {
 		return nil
 	}
-	return remote.Explain(link.Status(s))
+	return remote.Explain(link.StatusError(s))
 }
 
 func (c *command) spec(env verb.Env) (*v1.Spec, error) {
--- a/internal/cli/table/table_test.go
+++ b/internal/cli/table/table_test.go
@@ -95,7 +95,7 @@
 // Two operators edit the same export. The second is told that the table has
 // changed, what the current revision is and what to do, by a code of its own.
 func TestConflictSaysWhatToDo(t *testing.T) {
-	e := &entry{status: &v1.Status{Code: uint32(code.Conflict)}}
+	e := &entry{status: &v1.Status{Code: uint32(code.RevisionConflict)}}
 	path := filepath.Join(t.TempDir(), "t.csv")
 	if err := os.WriteFile(path, []byte("team,weight,revision\nplans,3,5\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/cli/team/team.go
+++ b/internal/cli/team/team.go
@@ -48,7 +48,7 @@
 // Run adds a team.
 func (c *add) Run(ctx context.Context, env verb.Env, args []string) error {
 	const u = capacity.Unlimited
-	row := &v1.Row{Weight: team.DefaultWeight, Queue: team.DefaultQueue, Limit: &v1.Size{Cpu: u, Memory: u, Accel: u, Slots: u}}
+	row := &v1.Row{Weight: team.DefaultWeight, Queue: team.DefaultMaxWaitingJobs, Limit: &v1.Size{Cpu: u, Memory: u, Accel: u, Slots: u}}
 	return c.apply(ctx, env, args, &v1.Edit{Row: row}, "added")
 }
 
--- a/internal/cli/verb/exit.go
+++ b/internal/cli/verb/exit.go
@@ -56,24 +56,24 @@
 
 // advice says what to do about a result code.
 var advice = map[code.Code]string{
-	code.QueueFull:    "Wait for some of the team's jobs, or ask an operator for a longer queue.",
-	code.NeverFits:    "Make the tasks smaller, or ask an operator for the team's limit (`gypsumreel table show`).",
-	code.Overloaded:   "Run the same command again later, with the same id.",
-	code.Unreachable:  "Run the same command again with the same id.",
-	code.Unanswered:   "Run the same command again with the same id: it is not done twice.",
-	code.BadKey:       "Check --key or GYPSUMREEL_KEY; an operator grants keys with `gypsumreel key grant`.",
-	code.Forbidden:    "Use a key of the right kind: a team's key for jobs, an operator's key for everything else.",
-	code.IDReused:     "Choose another id, or ask what became of the earlier one (`gypsumreel wait` for a job).",
-	code.Unknown:      "Check the name; outcomes are forgotten once acknowledged or past their retention.",
-	code.Conflict:     "Run `gypsumreel table show`, look at what has changed, and make the change again from the current revision.",
-	code.InUse:        "Withdraw the team's keys and let its jobs end first.",
-	code.Busy:         "Wait until `gypsumreel member list` shows no change under way, then run the same command again.",
-	code.NoLeader:     "Nothing was done. Run the same command again; if it lasts, see docs/operate/handbook.md.",
-	code.Leaving:      "Run the same command again: another entry answers.",
-	code.DiskFull:     "An operator has to make room on the control instances' disks.",
-	code.Internal:     "Look at the events of the control processes (docs/EVENTS.md).",
-	code.TooLarge:     "Split the request.",
-	code.BadEnrolment: "Compare the secret with the entries' setting enrolment.",
+	code.QueueFull:               "Wait for some of the team's jobs, or ask an operator for a longer queue.",
+	code.Unplaceable:             "Make the tasks smaller, or ask an operator for the team's limit (`gypsumreel table show`).",
+	code.Overloaded:              "Run the same command again later, with the same id.",
+	code.ControlUnreachable:      "Run the same command again with the same id.",
+	code.LeaderTimeout:           "Run the same command again with the same id: it is not done twice.",
+	code.InvalidKey:              "Check --key or GYPSUMREEL_KEY; an operator grants keys with `gypsumreel key grant`.",
+	code.Forbidden:               "Use a key of the right kind: a team's key for jobs, an operator's key for everything else.",
+	code.IDReused:                "Choose another id, or ask what became of the earlier one (`gypsumreel wait` for a job).",
+	code.NotFound:                "Check the name; outcomes are forgotten once acknowledged or past their retention.",
+	code.RevisionConflict:        "Run `gypsumreel table show`, look at what has changed, and make the change again from the current revision.",
+	code.InUse:                   "Withdraw the team's keys and let its jobs end first.",
+	code.MembershipChangePending: "Wait until `gypsumreel member list` shows no change under way, then run the same command again.",
+	code.NoLeader:                "Nothing was done. Run the same command again; if it lasts, see docs/operate/handbook.md.",
+	code.ShuttingDown:            "Run the same command again: another entry answers.",
+	code.DiskFull:                "An operator has to make room on the control instances' disks.",
+	code.Internal:                "Look at the events of the control processes (docs/EVENTS.md).",
+	code.TooLarge:                "Split the request.",
+	code.InvalidEnrolment:        "Compare the secret with the entries' setting enrolment.",
 }
 
 // Refusal returns an Error for a result code of the cell.
@@ -90,13 +90,13 @@
 	switch {
 	case c == code.OK:
 		return OK
-	case c == code.Conflict:
+	case c == code.RevisionConflict:
 		return Conflict
-	case c == code.Unreachable || c == code.Unanswered || c == code.NoLeader || c == code.Leaving:
+	case c == code.ControlUnreachable || c == code.LeaderTimeout || c == code.NoLeader || c == code.ShuttingDown:
 		return Unreachable
 	case c/class == code.QueueFull/class:
 		return NotRun
-	case c/class == code.Lost/class:
+	case c/class == code.ServerLost/class:
 		return Unknown
 	}
 	return Failed
--- a/internal/cli/verb/role.go
+++ b/internal/cli/verb/role.go
@@ -14,7 +14,7 @@
 func LoadSettings(env Env, file string, role settings.Role) (*settings.Settings, error) {
 	s, err := settings.Load(file)
 	if err != nil {
-		event.Fail(event.New(env.Err, settings.DefaultLog), event.SettingsBad, err, "file", file)
+		event.LogError(event.New(env.Err, settings.DefaultLogLevel), event.SettingsBad, err, "file", file)
 		return nil, &Error{Exit: Usage, Text: err.Error()}
 	}
 	if s.Role != role {
@@ -32,7 +32,7 @@
 
 // NewSides reads the files of both sides. They are looked at until the process
 // ends, not only until ctx does: a planned stop may outlast a certificate.
-func NewSides(ctx context.Context, tls settings.TLS, replicas []settings.Peer, reload time.Duration, log logr.Logger) (Sides, error) {
+func NewSides(ctx context.Context, tls settings.TLS, replicas []settings.ControlReplica, reload time.Duration, log logr.Logger) (Sides, error) {
 	ctx = context.WithoutCancel(ctx)
 	inside, err := NewSide(ctx, tls.Inside, reload, log)
 	if err != nil {
--- a/internal/cli/verb/secure.go
+++ b/internal/cli/verb/secure.go
@@ -15,11 +15,11 @@
 // Side is one side of a daemon's connections. Server and Client return nil,
 // which is plain text, only when the settings say so.
 type Side struct {
-	store *secure.Store
+	store *secure.CertificateStore
 }
 
 // NewSide reads the files of a side and looks at them again until ctx ends.
-func NewSide(ctx context.Context, s settings.Side, reload time.Duration, log logr.Logger) (Side, error) {
+func NewSide(ctx context.Context, s settings.TLSConfig, reload time.Duration, log logr.Logger) (Side, error) {
 	if s.Plain {
 		event.Log(log, event.PlainInUse)
 		return Side{}, nil
@@ -38,7 +38,7 @@
 	if s.store == nil {
 		return nil
 	}
-	return s.store.Server()
+	return s.store.ServerConfig()
 }
 
 // Client returns the configuration of a dialler whose other end bears one of the names.
@@ -46,5 +46,5 @@
 	if s.store == nil {
 		return nil
 	}
-	return s.store.Client(names...)
+	return s.store.ClientConfig(names...)
 }
--- a/internal/cli/verb/verb_test.go
+++ b/internal/cli/verb/verb_test.go
@@ -53,11 +53,11 @@
 		"unknown flag":  {[]string{"echo", "--nothing"}, nil, verb.Usage},
 		"help":          {[]string{"echo", "--help"}, nil, verb.OK},
 		"plain error":   {[]string{"echo"}, errors.New("e"), verb.Failed},
-		"conflict":      {[]string{"echo"}, verb.Refusal(code.Conflict, ""), verb.Conflict},
+		"conflict":      {[]string{"echo"}, verb.Refusal(code.RevisionConflict, ""), verb.Conflict},
 		"not run":       {[]string{"echo"}, verb.Refusal(code.QueueFull, ""), verb.NotRun},
-		"unknown":       {[]string{"echo"}, verb.Refusal(code.Lost, ""), verb.Unknown},
-		"unanswered":    {[]string{"echo"}, verb.Refusal(code.Unanswered, ""), verb.Unreachable},
-		"bad key":       {[]string{"echo"}, verb.Refusal(code.BadKey, ""), verb.Failed},
+		"unknown":       {[]string{"echo"}, verb.Refusal(code.ServerLost, ""), verb.Unknown},
+		"unanswered":    {[]string{"echo"}, verb.Refusal(code.LeaderTimeout, ""), verb.Unreachable},
+		"bad key":       {[]string{"echo"}, verb.Refusal(code.InvalidKey, ""), verb.Failed},
 		"misuse":        {[]string{"echo"}, verb.Misuse("", "m"), verb.Usage},
 		"missing file":  {[]string{"check", "/nonexistent"}, nil, verb.Usage},
 		"not one file":  {[]string{"check"}, nil, verb.Usage},
@@ -94,7 +94,7 @@
 // A refusal that says only a number leaves whoever is on duty searching; every
 // one of them is to say what to do next.
 func TestRefusalSaysWhatToDoNext(t *testing.T) {
-	_, _, errs := run([]string{"echo"}, verb.Verb{Name: "echo", Runner: &echo{err: verb.Refusal(code.Conflict, "current revision 7")}})
+	_, _, errs := run([]string{"echo"}, verb.Verb{Name: "echo", Runner: &echo{err: verb.Refusal(code.RevisionConflict, "current revision 7")}})
 	for _, want := range []string{"601", "current revision 7", "table show"} {
 		if !strings.Contains(errs, want) {
 			t.Errorf("%q lacks %q", errs, want)
--- a/internal/demo/cell/cell.go
+++ b/internal/demo/cell/cell.go
@@ -166,13 +166,13 @@
 	p := &proc{abort: make(chan struct{}), conns: &conns{Listener: l}}
 	digest := key.Digest(c.secret)
 	n := &node.Node{
-		Cell: "demo", Name: name, Data: filepath.Join(c.Dir, name), Init: found,
+		Cell: "demo", Name: name, DataDir: filepath.Join(c.Dir, name), InitCell: found,
 		Listener: p.conns, Address: c.Network.Address(name), Replicas: c.members(),
-		Root: &v1.KeyGrant{Id: rootKey, Operator: true, Digest: digest[:]},
-		Dial: c.Network.Dialer(name), Abort: p.abort, Log: c.Log.WithValues("process", name), Control: leader.New(),
+		RootKey: &v1.KeyGrant{Id: rootKey, Operator: true, Digest: digest[:]},
+		Dial:    c.Network.Dialer(name), Abort: p.abort, Log: c.Log.WithValues("process", name), Control: leader.New(),
 	}
 	if c.Transport != nil {
-		n.Transport = func(id string, receive func(from string, data []byte)) node.Transport {
+		n.NewTransport = func(id string, receive func(from string, data []byte)) node.Transport {
 			return c.Transport(name, id, receive)
 		}
 	}
--- a/internal/edge/backend/backend.go
+++ b/internal/edge/backend/backend.go
@@ -36,7 +36,7 @@
 
 // Handler implements the Backend service. Set the fields, then mount it with Route.
 type Handler struct {
-	Leader control.Asker
+	Leader control.Sender
 	// EnrolmentDigests holds the digests of the accepted secrets: two while a
 	// secret is being replaced. With none, every request is refused.
 	EnrolmentDigests []Digest
@@ -86,15 +86,15 @@
 // forward checks the enrolment secret and sends the item to the leader, unless
 // validation of the request failed.
 func (h *Handler) forward(ctx context.Context, header http.Header, peer connect.Peer, validationErr error, item *inner.Item, timeout time.Duration) (*inner.Reply, *v1.Status) {
-	if !h.isEnrolled(control.Bearer(header)) {
+	if !h.isEnrolled(control.BearerToken(header)) {
 		event.Log(h.Log, event.EnrolmentRefused, "peer", peer.Addr)
-		return nil, control.Refusal(code.BadEnrolment, "")
+		return nil, control.NewStatus(code.InvalidEnrolment, "")
 	}
 	if validationErr != nil {
-		return nil, control.Status(validationErr)
+		return nil, control.StatusFromError(validationErr)
 	}
 	reply, status := control.Exchange(ctx, h.Leader, item, timeout)
-	return reply, control.Undecided(status)
+	return reply, control.StatusForNonSubmit(status)
 }
 
 // isEnrolled reports whether the secret is accepted. It compares the digest with
@@ -111,7 +111,7 @@
 // shouldTryOtherEntry reports whether the same request may succeed at another entry.
 func shouldTryOtherEntry(s *v1.Status) bool {
 	switch code.Code(s.GetCode()) {
-	case code.Leaving, code.NoLeader, code.Unanswered:
+	case code.ShuttingDown, code.NoLeader, code.LeaderTimeout:
 		return true
 	}
 	return false
--- a/internal/edge/backend/check.go
+++ b/internal/edge/backend/check.go
@@ -68,7 +68,7 @@
 		return code.New(code.TooLarge, "the checkpoint handle has %d bytes, at most %d are allowed", len(r.GetCheckpoint()), MaxCheckpointSize)
 	}
 	for _, c := range r.GetChunks() {
-		if len(c.GetData()) > answer.ChunkSize || c.GetTotal() > answer.MaxTotal || c.GetNumber() >= c.GetCount() {
+		if len(c.GetData()) > answer.ChunkSize || c.GetTotal() > answer.MaxTaskAnswer || c.GetNumber() >= c.GetCount() {
 			return code.New(code.TooLarge, "invalid chunk: number %d of %d, %d of %d bytes", c.GetNumber(), c.GetCount(), len(c.GetData()), c.GetTotal())
 		}
 	}
--- a/internal/edge/caller/caller.go
+++ b/internal/edge/caller/caller.go
@@ -28,7 +28,7 @@
 
 // Handler implements the Caller service. Set the fields, then mount it with Route.
 type Handler struct {
-	Leader control.Asker
+	Leader control.Sender
 }
 
 // Route returns the URL path of the service and its HTTP handler.
@@ -54,7 +54,7 @@
 			err = code.New(code.Malformed, "id %q occurs twice in one request", spec.GetId())
 		}
 		if err != nil {
-			results[i].Status = control.Status(err)
+			results[i].Status = control.StatusFromError(err)
 			continue
 		}
 		seenIDs[spec.GetId()] = true
@@ -71,9 +71,9 @@
 
 // forwardJobs sends the jobs to the leader and returns one answer for each of them.
 func (h *Handler) forwardJobs(ctx context.Context, header http.Header, req *v1.SubmitRequest) []*v1.Accepted {
-	credential, err := control.Presented(header)
+	credential, err := control.CredentialFromHeader(header)
 	if err != nil {
-		return answerAll(req, control.Status(err), v1.Outcome_OUTCOME_UNSPECIFIED)
+		return answerAll(req, control.StatusFromError(err), v1.Outcome_OUTCOME_UNSPECIFIED)
 	}
 	reply, status := control.Exchange(ctx, h.Leader, &inner.Item{Credential: credential, Ask: &inner.Item_Submit{Submit: req}}, RequestTimeout)
 	if status != nil {
@@ -81,7 +81,7 @@
 	}
 	answers := reply.GetSubmit().GetJobs()
 	if len(answers) != len(req.GetJobs()) {
-		return answerAll(req, control.Refusal(code.Unanswered, "the leader answered for %d of %d jobs", len(answers), len(req.GetJobs())), v1.Outcome_OUTCOME_UNSPECIFIED)
+		return answerAll(req, control.NewStatus(code.LeaderTimeout, "the leader answered for %d of %d jobs", len(answers), len(req.GetJobs())), v1.Outcome_OUTCOME_UNSPECIFIED)
 	}
 	return answers
 }
@@ -92,12 +92,12 @@
 // request. Otherwise the outcome is unknown.
 func refuseJobs(req *v1.SubmitRequest, s *v1.Status) []*v1.Accepted {
 	switch c := code.Code(s.GetCode()); {
-	case c != code.Unreachable && c != code.Overloaded:
+	case c != code.ControlUnreachable && c != code.Overloaded:
 		return answerAll(req, s, v1.Outcome_OUTCOME_UNSPECIFIED)
 	case req.GetFirst():
 		return answerAll(req, s, v1.Outcome_OUTCOME_NOT_RUN)
 	}
-	return answerAll(req, &v1.Status{Code: uint32(code.Unanswered), Text: s.GetText(), Retry: s.GetRetry()}, v1.Outcome_OUTCOME_UNSPECIFIED)
+	return answerAll(req, &v1.Status{Code: uint32(code.LeaderTimeout), Text: s.GetText(), Retry: s.GetRetry()}, v1.Outcome_OUTCOME_UNSPECIFIED)
 }
 
 // answerAll returns the same status and outcome for every job of the request.
@@ -159,13 +159,13 @@
 // of the request failed.
 func (h *Handler) forward(ctx context.Context, header http.Header, validationErr error, item *inner.Item, timeout time.Duration) (*inner.Reply, *v1.Status) {
 	if validationErr != nil {
-		return nil, control.Status(validationErr)
+		return nil, control.StatusFromError(validationErr)
 	}
-	credential, err := control.Presented(header)
+	credential, err := control.CredentialFromHeader(header)
 	if err != nil {
-		return nil, control.Status(err)
+		return nil, control.StatusFromError(err)
 	}
 	item.Credential = credential
 	reply, status := control.Exchange(ctx, h.Leader, item, timeout)
-	return reply, control.Undecided(status)
+	return reply, control.StatusForNonSubmit(status)
 }
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -98,7 +98,7 @@
 
 	// initOnce guards the initialisation of the defaults, the pool and the metrics.
 	initOnce  sync.Once
-	pool      *control.Pool
+	pool      *control.Client
 	metricSet *metrics.Set
 	phase     atomic.Int32
 	// reportedUnready is true if the last readiness check failed.
@@ -138,9 +138,9 @@
 		}
 		e.metricSet = metrics.NewSet()
 		e.done = make(chan struct{})
-		e.pool = &control.Pool{
+		e.pool = &control.Client{
 			Cell: e.Cell, Name: e.Name, Replicas: e.ControlReplicas, TLS: e.InsideTLS, Dial: e.Dial,
-			Log: e.Log, Meters: e.metricSet, Limit: e.MaxPendingRequests,
+			Log: e.Log, Metrics: e.metricSet, MaxPending: e.MaxPendingRequests,
 		}
 	})
 }
@@ -149,7 +149,7 @@
 func (e *Entry) Done() <-chan struct{} { e.init(); return e.done }
 
 // Pool returns the connection pool that the entry uses to reach the leader.
-func (e *Entry) Pool() *control.Pool { e.init(); return e.pool }
+func (e *Entry) Pool() *control.Client { e.init(); return e.pool }
 
 // service is one listener and the HTTP server that handles its connections.
 type service struct {
@@ -164,7 +164,7 @@
 		{e.CallerListener, e.newServer(mountWithLimit(caller.MaxRequestSize)((&caller.Handler{Leader: e.pool}).Route(options)))},
 		{e.BackendListener, e.newServer(mountWithLimit(backend.MaxRequestSize)((&backend.Handler{Leader: e.pool, EnrolmentDigests: e.EnrolmentDigests, Log: e.Log}).Route(options)))},
 		{e.OperatorListener, e.newServer(mountWithLimit(operator.MaxRequestSize)((&operator.Handler{Leader: e.pool, Auditor: e.Auditor, EntryName: e.Name, State: e.currentState}).Route(options)))},
-		{e.PlatformListener, e.newServer((&platform.Probes{Ready: e.checkReady, Meters: []*metrics.Set{e.metricSet, meter.Common}}).Route())},
+		{e.PlatformListener, e.newServer((&platform.Probes{Ready: e.checkReady, MetricSets: []*metrics.Set{e.metricSet, meter.ProcessMetrics}}).Handler())},
 	}
 	return slices.DeleteFunc(all, func(s service) bool { return s.listener == nil })
 }
@@ -184,7 +184,7 @@
 	err := e.readinessError()
 	if wasUnready := e.reportedUnready.Swap(err != nil); wasUnready != (err != nil) {
 		if err != nil {
-			event.Fail(e.Log, event.Unready, err)
+			event.LogError(e.Log, event.Unready, err)
 		} else {
 			event.Log(e.Log, event.Ready)
 		}
@@ -198,7 +198,7 @@
 	if e.phase.Load() != phaseServing {
 		return errStopping
 	}
-	if !e.pool.Fresh() {
+	if !e.pool.InContact() {
 		return errors.New("no contact with a leader")
 	}
 	return nil
@@ -248,7 +248,7 @@
 		return errors.New("graceful shutdown aborted by a second signal")
 	}
 	e.phase.Store(phaseDraining)
-	e.pool.EndPolls()
+	e.pool.EndLongPolls()
 	event.Log(e.Log, event.StopFinishing, "pending", e.pool.Pending())
 	ctx, cancel := context.WithTimeout(context.Background(), e.DrainTimeout)
 	defer cancel()
@@ -260,7 +260,7 @@
 		}
 	}()
 	if err := shutDownServers(ctx, services); err != nil {
-		event.Fail(e.Log, event.StopForced, err, "pending", e.pool.Pending())
+		event.LogError(e.Log, event.StopForced, err, "pending", e.pool.Pending())
 		return errors.Wrap(err, "graceful shutdown did not complete")
 	}
 	return nil
@@ -287,7 +287,7 @@
 		Handler: closeExpiredConns(h), Protocols: protocols, ConnContext: e.withConnExpiry,
 		ReadHeaderTimeout: headerTimeout, ReadTimeout: readTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog:       event.HTTPLog(e.Log),
+		ErrorLog:       event.HTTPErrorLog(e.Log),
 		HTTP2:          &http.HTTP2Config{MaxConcurrentStreams: maxStreams, SendPingTimeout: pingIdleTime, PingTimeout: pingTimeout},
 	}
 }
--- a/internal/edge/entry/fakeledger_test.go
+++ b/internal/edge/entry/fakeledger_test.go
@@ -55,7 +55,7 @@
 	cancelled bool
 	// startSentInSync is the number of the last sync whose reply contained the start order.
 	startSentInSync uint64
-	answerParts     answer.Parts
+	answerParts     answer.Assembler
 	wholeAnswer     []byte
 }
 
@@ -91,7 +91,7 @@
 func (l *fakeLedger) checkKey(credential *inner.Credential, operator bool) *v1.Status {
 	k, ok := l.keys[credential.GetId()]
 	if !ok || k.Withdrawn || !k.Matches(credential.GetDigest()) {
-		return &v1.Status{Code: uint32(code.BadKey)}
+		return &v1.Status{Code: uint32(code.InvalidKey)}
 	}
 	if k.Operator != operator {
 		return &v1.Status{Code: uint32(code.Forbidden)}
@@ -181,7 +181,7 @@
 func (l *fakeLedger) wait(team string, req *v1.WaitRequest, waitExpired bool) *v1.WaitReply {
 	j, ok := l.jobsByID[team+"/"+req.GetId()]
 	if !ok {
-		return &v1.WaitReply{Id: req.GetId(), Status: &v1.Status{Code: uint32(code.Unknown)}}
+		return &v1.WaitReply{Id: req.GetId(), Status: &v1.Status{Code: uint32(code.NotFound)}}
 	}
 	if !j.isFinal() && !waitExpired {
 		return nil
@@ -189,7 +189,7 @@
 	reply := &v1.WaitReply{Id: req.GetId(), Outcome: j.outcome, Status: j.status()}
 	if j.outcome == v1.Outcome_OUTCOME_DONE {
 		l.onStep("answer")
-		reply.Chunk = answer.Cut(j.wholeAnswer, req.GetChunk())
+		reply.Chunk = answer.ChunkAt(j.wholeAnswer, req.GetChunk())
 	}
 	return reply
 }
@@ -239,7 +239,7 @@
 	j.server = ""
 	switch {
 	case j.spec.GetOnce():
-		j.outcome, j.code = v1.Outcome_OUTCOME_UNKNOWN, code.Lost
+		j.outcome, j.code = v1.Outcome_OUTCOME_UNKNOWN, code.ServerLost
 	case j.cancelled:
 		j.outcome, j.code = v1.Outcome_OUTCOME_DONE, code.Stopped
 	default:
@@ -250,7 +250,7 @@
 func (l *fakeLedger) sync(req *v1.SyncRequest, waitExpired bool) *v1.SyncReply {
 	s, ok := l.servers[req.GetServer()]
 	if !ok || s.incarnation != req.GetIncarnation() || s.lost {
-		return &v1.SyncReply{Number: req.GetNumber(), Status: &v1.Status{Code: uint32(code.Stale)}}
+		return &v1.SyncReply{Number: req.GetNumber(), Status: &v1.Status{Code: uint32(code.SessionReplaced)}}
 	}
 	if req.GetNumber() < s.lastSyncNumber {
 		// A delayed copy of an earlier sync. Its reports are outdated, and the server
@@ -318,7 +318,7 @@
 		for _, chunk := range r.GetChunks() {
 			_ = j.answerParts.Add(chunk)
 		}
-		if data, ok, _ := j.answerParts.Whole(); ok {
+		if data, ok, _ := j.answerParts.Assemble(); ok {
 			j.wholeAnswer, j.outcome = data, v1.Outcome_OUTCOME_DONE
 		}
 	case v1.Phase_PHASE_STOPPED:
@@ -342,7 +342,7 @@
 	case *v1.ChangeRequest_Table:
 		l.onStep("table")
 		if change.Table.GetBase() != l.tableRevision {
-			reply.Status = &v1.Status{Code: uint32(code.Conflict)}
+			reply.Status = &v1.Status{Code: uint32(code.RevisionConflict)}
 		} else {
 			l.tableRevision++
 		}
@@ -355,7 +355,7 @@
 		// As in the ledger, a server without a session cannot be drained. The reply is
 		// not stored, so that the operator can retry with the same change id.
 		if _, ok := l.servers[change.Mark.GetServer()]; !ok {
-			return &v1.ChangeReply{Status: &v1.Status{Code: uint32(code.Unknown)}}
+			return &v1.ChangeReply{Status: &v1.Status{Code: uint32(code.NotFound)}}
 		}
 		l.drainServer(change.Mark.GetServer())
 	}
@@ -389,7 +389,7 @@
 		j.server, j.outcome = name, v1.Outcome_OUTCOME_RUNNING
 		j.attemptNumber++
 		j.startSentInSync = 0
-		j.answerParts = answer.Parts{}
+		j.answerParts = answer.Assembler{}
 		l.lastPlacedAt[name] = time.Now()
 		return
 	}
--- a/internal/edge/entry/matrix_test.go
+++ b/internal/edge/entry/matrix_test.go
@@ -58,7 +58,7 @@
 		}
 	})
 	if !t.Failed() && len(checkCounts) == len(allFaults())*len(faultSteps) {
-		page.Check(t, "../../../docs/faults/edge.md", renderMatrix(checkCounts))
+		page.CheckGenerated(t, "../../../docs/faults/edge.md", renderMatrix(checkCounts))
 	}
 }
 
@@ -214,7 +214,7 @@
 	outdated := edit("three", 0)
 	s.check(first.GetRevision() == 1 && second.GetRevision() == 2, "the changes gave revisions %d and %d, want 1 and 2", first.GetRevision(), second.GetRevision())
 	s.check(resent.GetRevision() == 1 && resent.GetStatus().GetCode() == 0, "the resent change got %v", resent)
-	s.check(outdated.GetStatus().GetCode() == uint32(code.Conflict), "the change from an outdated revision got %v", outdated.GetStatus())
+	s.check(outdated.GetStatus().GetCode() == uint32(code.RevisionConflict), "the change from an outdated revision got %v", outdated.GetStatus())
 }
 
 // useWithdrawnKey withdraws a key at the second entry and uses it at the first entry
@@ -263,7 +263,7 @@
 	mark := &v1.ChangeRequest{Id: "drain", Change: &v1.ChangeRequest_Mark{Mark: &v1.ServerMark{Server: "s2", Drain: true}}}
 	reply := s.operatorClient.change(1, mark)
 	// If the leader failed at the start, the server may not have a session yet.
-	for n := 0; n < 50 && reply.GetStatus().GetCode() == uint32(code.Unknown); n++ {
+	for n := 0; n < 50 && reply.GetStatus().GetCode() == uint32(code.NotFound); n++ {
 		time.Sleep(200 * time.Millisecond)
 		reply = s.operatorClient.change(1, mark)
 	}
--- a/internal/edge/entry/process_test.go
+++ b/internal/edge/entry/process_test.go
@@ -170,8 +170,8 @@
 	}()
 	time.Sleep(100 * time.Millisecond)
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
-	if a := <-done; a.err != nil || a.reply.Msg.GetStatus().GetCode() != uint32(code.Leaving) {
-		t.Errorf("the pending call got reply %v, error %v; want result code %d", a.reply, a.err, code.Leaving)
+	if a := <-done; a.err != nil || a.reply.Msg.GetStatus().GetCode() != uint32(code.ShuttingDown) {
+		t.Errorf("the pending call got reply %v, error %v; want result code %d", a.reply, a.err, code.ShuttingDown)
 	}
 	if err := p.cmd.Wait(); err != nil {
 		t.Errorf("the entry process did not exit with code 0: %v", err)
--- a/internal/edge/entry/service_test.go
+++ b/internal/edge/entry/service_test.go
@@ -29,7 +29,7 @@
 	lastItem *inner.Item
 }
 
-func (a *stubLeader) Ask(_ context.Context, item *inner.Item) (*inner.Reply, error) {
+func (a *stubLeader) Send(_ context.Context, item *inner.Item) (*inner.Reply, error) {
 	a.lastItem = item
 	return a.reply, a.err
 }
@@ -54,11 +54,11 @@
 		code    code.Code
 		outcome v1.Outcome
 	}{
-		{code.Unreachable, true, code.Unreachable, v1.Outcome_OUTCOME_NOT_RUN},
+		{code.ControlUnreachable, true, code.ControlUnreachable, v1.Outcome_OUTCOME_NOT_RUN},
 		{code.Overloaded, true, code.Overloaded, v1.Outcome_OUTCOME_NOT_RUN},
-		{code.Unanswered, true, code.Unanswered, v1.Outcome_OUTCOME_UNSPECIFIED},
-		{code.Unreachable, false, code.Unanswered, v1.Outcome_OUTCOME_UNSPECIFIED},
-		{code.Overloaded, false, code.Unanswered, v1.Outcome_OUTCOME_UNSPECIFIED},
+		{code.LeaderTimeout, true, code.LeaderTimeout, v1.Outcome_OUTCOME_UNSPECIFIED},
+		{code.ControlUnreachable, false, code.LeaderTimeout, v1.Outcome_OUTCOME_UNSPECIFIED},
+		{code.Overloaded, false, code.LeaderTimeout, v1.Outcome_OUTCOME_UNSPECIFIED},
 	} {
 		h := &caller.Handler{Leader: &stubLeader{err: code.New(c.err, "")}}
 		reply, err := h.Submit(t.Context(), withKey("id.secret", &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec("job", false, nil)}, First: c.first}))
@@ -76,7 +76,7 @@
 // result code of the class "not run", which the caller would take for the outcome of
 // the job.
 func TestPollsAreNeverRefusedAsNotRun(t *testing.T) {
-	for _, c := range []code.Code{code.Unreachable, code.Overloaded} {
+	for _, c := range []code.Code{code.ControlUnreachable, code.Overloaded} {
 		h := &caller.Handler{Leader: &stubLeader{err: code.New(c, "")}}
 		reply, err := h.Wait(t.Context(), withKey("id.secret", &v1.WaitRequest{Id: "job"}))
 		if err != nil || reply.Msg.GetStatus().GetCode()/100 == 2 || reply.Msg.GetStatus().GetRetry() == 0 {
@@ -121,7 +121,7 @@
 	h := &caller.Handler{Leader: a}
 	for _, token := range []string{"", "id", ".secret", "id.", strings.Repeat("x", 600) + ".secret"} {
 		reply, err := h.List(t.Context(), withKey(token, &v1.ListRequest{}))
-		if err != nil || reply.Msg.GetStatus().GetCode() != uint32(code.BadKey) {
+		if err != nil || reply.Msg.GetStatus().GetCode() != uint32(code.InvalidKey) {
 			t.Errorf("key %.10q: reply %v, error %v", token, reply, err)
 		}
 	}
@@ -144,8 +144,8 @@
 	}{
 		{"old", validRequest, code.OK},
 		{"new", validRequest, code.OK},
-		{"", validRequest, code.BadEnrolment},
-		{"wrong", validRequest, code.BadEnrolment},
+		{"", validRequest, code.InvalidEnrolment},
+		{"wrong", validRequest, code.InvalidEnrolment},
 		{"new", withoutCapacity, code.Malformed},
 	} {
 		reply, err := h.Announce(t.Context(), withKey(c.secret, c.msg))
@@ -157,7 +157,7 @@
 
 // Guards against a lease in the reply to a sync that the leader did not answer.
 func TestSyncWithoutAnAnswerGivesNoLease(t *testing.T) {
-	h := &backend.Handler{Leader: &stubLeader{err: code.New(code.Unanswered, "")}, EnrolmentDigests: []backend.Digest{key.Digest("s")}}
+	h := &backend.Handler{Leader: &stubLeader{err: code.New(code.LeaderTimeout, "")}, EnrolmentDigests: []backend.Digest{key.Digest("s")}}
 	reply, err := h.Sync(t.Context(), withKey("s", &v1.SyncRequest{Server: "s1", Incarnation: 1, Number: 9}))
 	if err != nil || reply.Msg.GetLease() != 0 || !reply.Msg.GetElsewhere() || reply.Msg.GetNumber() != 9 {
 		t.Errorf("reply %v, error %v; want number 9, no lease and the advice to use another entry", reply, err)
@@ -182,7 +182,7 @@
 	}
 	accepted := operator.AuditRecord{KeyID: "duty", Call: "withdraw", Subject: "k", ChangeID: "c", TableRevision: 4}
 	limited := accepted
-	limited.Code, limited.TableRevision = code.Unanswered, 0
+	limited.Code, limited.TableRevision = code.LeaderTimeout, 0
 	if diff := cmp.Diff(auditRecords{accepted, accepted, limited}, recorded); diff != "" {
 		t.Error(diff)
 	}
@@ -196,10 +196,10 @@
 	if !strings.Contains(reply.Msg.GetText(), `"pending": 3`) {
 		t.Errorf("an operator's key got %v, want the state", reply.Msg)
 	}
-	a.reply = &inner.Reply{Status: &v1.Status{Code: uint32(code.BadKey)}}
+	a.reply = &inner.Reply{Status: &v1.Status{Code: uint32(code.InvalidKey)}}
 	reply, _ = h.Dump(t.Context(), withKey("duty.secret", &v1.DumpRequest{}))
-	if reply.Msg.GetText() != "" || reply.Msg.GetStatus().GetCode() != uint32(code.BadKey) {
-		t.Errorf("a refused key got %v, want code %d and no state", reply.Msg, code.BadKey)
+	if reply.Msg.GetText() != "" || reply.Msg.GetStatus().GetCode() != uint32(code.InvalidKey) {
+		t.Errorf("a refused key got %v, want code %d and no state", reply.Msg, code.InvalidKey)
 	}
 }
 
@@ -215,7 +215,7 @@
 		c.change(0, &v1.ChangeRequest{Id: "one", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{}}})
 		time.Sleep(600 * time.Millisecond)
 		for _, name := range entryNames {
-			if got := w.currentEntry(name).entry.Pool().Revision(); got != 1 {
+			if got := w.currentEntry(name).entry.Pool().TableRevision(); got != 1 {
 				t.Errorf("entry %s has table revision %d, want 1", name, got)
 			}
 		}
@@ -251,4 +251,4 @@
 	})
 }
 
-var _ control.Asker = (*stubLeader)(nil)
+var _ control.Sender = (*stubLeader)(nil)
--- a/internal/edge/entry/state.go
+++ b/internal/edge/entry/state.go
@@ -27,7 +27,7 @@
 	leader, _ := e.pool.Leader()
 	return State{
 		Cell: e.Cell, Name: e.Name, Phase: phaseNames[e.phase.Load()], Leader: leader.Name,
-		Fresh: e.pool.Fresh(), Pending: e.pool.Pending(), Revision: e.pool.Revision(),
+		Fresh: e.pool.InContact(), Pending: e.pool.Pending(), Revision: e.pool.TableRevision(),
 	}
 }
 
--- a/internal/edge/entry/stop_test.go
+++ b/internal/edge/entry/stop_test.go
@@ -48,10 +48,10 @@
 			if err != nil {
 				failed.Add(1)
 			}
-			if status.GetCode() == uint32(code.Leaving) {
+			if status.GetCode() == uint32(code.ShuttingDown) {
 				redirected.Add(1)
 			}
-			return err == nil && status.GetCode() != uint32(code.Leaving)
+			return err == nil && status.GetCode() != uint32(code.ShuttingDown)
 		}
 		for i := range 40 {
 			c := w.directClient()
--- a/internal/edge/entry/testcell_test.go
+++ b/internal/edge/entry/testcell_test.go
@@ -294,7 +294,7 @@
 // isTransient reports whether a status asks the client to retry.
 func isTransient(s *v1.Status) bool {
 	switch code.Code(s.GetCode()) {
-	case code.Unanswered, code.NoLeader, code.Leaving, code.Unreachable, code.Overloaded, code.Internal:
+	case code.LeaderTimeout, code.NoLeader, code.ShuttingDown, code.ControlUnreachable, code.Overloaded, code.Internal:
 		return true
 	}
 	return false
@@ -312,7 +312,7 @@
 
 // wait fetches the complete answer of a job, each chunk from a different entry.
 func (c *retryingClient) wait(firstEntry int, id string) (*v1.WaitReply, []byte) {
-	var parts answer.Parts
+	var parts answer.Assembler
 	for chunk := uint32(0); ; {
 		reply := callUntilFinal(c, firstEntry+int(chunk), func(i int, ctx context.Context, r *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
 			return c.callerClients[i].Wait(ctx, r)
@@ -325,7 +325,7 @@
 		if err := parts.Add(reply.GetChunk()); err != nil {
 			return reply, []byte(err.Error())
 		}
-		data, ok, err := parts.Whole()
+		data, ok, err := parts.Assemble()
 		if err != nil {
 			return reply, []byte(err.Error())
 		}
--- a/internal/edge/operator/operator.go
+++ b/internal/edge/operator/operator.go
@@ -29,7 +29,7 @@
 
 // LeaderClient sends requests of the handler to the control group.
 type LeaderClient interface {
-	control.Asker
+	control.Sender
 	// Dump returns the state dump of a process of the control group.
 	Dump(ctx context.Context, process string) (*v1.DumpReply, error)
 }
@@ -127,7 +127,7 @@
 	if process != "" && process != h.EntryName {
 		reply, err := h.Leader.Dump(ctx, process)
 		if err != nil {
-			return &v1.DumpReply{Status: control.Status(err)}
+			return &v1.DumpReply{Status: control.StatusFromError(err)}
 		}
 		return reply
 	}
@@ -135,25 +135,25 @@
 	if h.State != nil {
 		state = h.State()
 	}
-	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Text(state, MaxDumpSize)}
+	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Render(state, MaxDumpSize)}
 }
 
 // forward applies the rate limit and sends the item with the operator's key to the
 // leader, unless validation of the request failed.
 func (h *Handler) forward(ctx context.Context, header http.Header, validationErr error, item *inner.Item) (*inner.Reply, *v1.Status) {
-	credential, err := control.Presented(header)
+	credential, err := control.CredentialFromHeader(header)
 	if err != nil {
-		return nil, control.Status(err)
+		return nil, control.StatusFromError(err)
 	}
 	if !h.RateLimits.Allow(credential.GetId()) {
-		return nil, control.Refusal(code.Unanswered, "rate limit exceeded for key %q, the call was not forwarded", credential.GetId())
+		return nil, control.NewStatus(code.LeaderTimeout, "rate limit exceeded for key %q, the call was not forwarded", credential.GetId())
 	}
 	if validationErr != nil {
-		return nil, control.Status(validationErr)
+		return nil, control.StatusFromError(validationErr)
 	}
 	item.Credential = credential
 	reply, status := control.Exchange(ctx, h.Leader, item, RequestTimeout)
-	return reply, control.Undecided(status)
+	return reply, control.StatusForNonSubmit(status)
 }
 
 // recordCall adds the key id and the client's address to the record and passes it to the auditor.
@@ -161,7 +161,7 @@
 	if h.Auditor == nil {
 		return
 	}
-	if credential, err := control.Presented(header); err == nil {
+	if credential, err := control.CredentialFromHeader(header); err == nil {
 		r.KeyID = credential.GetId()
 	}
 	r.PeerAddress = peer
