--- a/internal/edge/caller/check.go
+++ b/internal/edge/caller/check.go
@@ -8,83 +8,84 @@
 	"gypsumreel/internal/base/code"
 )
 
-// Bounds of what callers may ask.
+// Limits on the requests of callers.
 const (
-	// MaxJobs bounds the jobs of one submission.
-	MaxJobs = 1000
-	// MaxTasks bounds the tasks of one job.
-	MaxTasks = 10_000
-	// MaxName bounds ids, names and the parts of a label, in bytes.
-	MaxName = 128
-	// MaxLabels bounds the labels of one job or cancellation.
+	// MaxJobsPerSubmit bounds the jobs in one Submit request.
+	MaxJobsPerSubmit = 1000
+	// MaxTasksPerJob bounds the number of tasks of one job.
+	MaxTasksPerJob = 10_000
+	// MaxNameLength bounds the length of ids, names, label keys and label values in bytes.
+	MaxNameLength = 128
+	// MaxLabels bounds the labels of one job, cancellation or backend server.
 	MaxLabels = 16
-	// MaxInput bounds the input of a job in bytes.
-	MaxInput = 1 << 20
-	// MaxIDs bounds the ids in one call.
-	MaxIDs = 10_000
-	// MaxList bounds the lines of one List.
-	MaxList = 1000
-	// MaxDeadline bounds the wait for a placement and the estimated run time.
+	// MaxInputSize bounds the size of a job's input in bytes.
+	MaxInputSize = 1 << 20
+	// MaxIDsPerRequest bounds the job ids in one request.
+	MaxIDsPerRequest = 10_000
+	// MaxListedJobs bounds the jobs in one List reply.
+	MaxListedJobs = 1000
+	// MaxDeadline bounds both the placement deadline and the estimated run time of a job.
 	MaxDeadline = 365 * 24 * time.Hour
-	// maxAmount bounds each field of a size, so that sums cannot overflow.
-	maxAmount = 1 << 40
+	// maxSizeValue bounds each field of a size, so that sums of sizes cannot overflow.
+	maxSizeValue = 1 << 40
 )
 
-// checkSpec returns a *code.Error when the job breaks a stated bound.
+// checkSpec returns a *code.Error if the job is malformed or exceeds a limit.
 func checkSpec(s *v1.Spec) error {
 	if err := checkID(s.GetId()); err != nil {
 		return err
 	}
 	switch {
 	case s.GetKind() < v1.Kind_KIND_URGENT || s.GetKind() > v1.Kind_KIND_SERVICE:
-		return code.New(code.Malformed, "kind %d", s.GetKind())
-	case !printable(s.GetName()) || len(s.GetName()) > MaxName:
-		return code.New(code.Malformed, "the name has up to %d printable bytes", MaxName)
-	case s.GetCount() < 1 || s.GetCount() > MaxTasks:
-		return code.New(code.Malformed, "1 to %d tasks", MaxTasks)
-	case !CheckSize(s.GetSize()):
-		return code.New(code.Malformed, "the size needs fields from 0 to %d, and one above 0", maxAmount)
-	case len(s.GetInput()) > MaxInput:
-		return code.New(code.TooLarge, "the input has up to %d bytes", MaxInput)
+		return code.New(code.Malformed, "the job has the unknown kind %d", s.GetKind())
+	case !isPrintable(s.GetName()) || len(s.GetName()) > MaxNameLength:
+		return code.New(code.Malformed, "the name must have at most %d bytes, all of them printable characters", MaxNameLength)
+	case s.GetCount() < 1 || s.GetCount() > MaxTasksPerJob:
+		return code.New(code.Malformed, "the job has %d tasks, 1 to %d are allowed", s.GetCount(), MaxTasksPerJob)
+	case !IsValidSize(s.GetSize()):
+		return code.New(code.Malformed, "every field of the size must be from 0 to %d, and at least one above 0", maxSizeValue)
+	case len(s.GetInput()) > MaxInputSize:
+		return code.New(code.TooLarge, "the input has %d bytes, at most %d are allowed", len(s.GetInput()), MaxInputSize)
 	case s.GetDeadline() > uint64(MaxDeadline.Milliseconds()):
-		return code.New(code.Malformed, "the deadline is at most %v", MaxDeadline)
+		return code.New(code.Malformed, "the deadline must be at most %v", MaxDeadline)
 	case s.GetRuntime() > uint64(MaxDeadline.Milliseconds()):
-		return code.New(code.Malformed, "the run time is at most %v", MaxDeadline)
+		return code.New(code.Malformed, "the estimated run time must be at most %v", MaxDeadline)
 	case s.GetFloor() > s.GetCount():
-		return code.New(code.Malformed, "the floor is above the count")
+		return code.New(code.Malformed, "the floor %d is above the count %d", s.GetFloor(), s.GetCount())
 	}
 	return CheckLabels(s.GetLabels())
 }
 
-// CheckSize tells whether no field is negative or absurd and one is above zero.
-func CheckSize(s *v1.Size) bool {
-	some := false
+// IsValidSize reports whether every field is within its limits and at least one is above zero.
+func IsValidSize(s *v1.Size) bool {
+	anyPositive := false
 	for _, n := range []int64{s.GetCpu(), s.GetMemory(), s.GetAccel(), s.GetSlots()} {
-		if n < 0 || n > maxAmount {
+		if n < 0 || n > maxSizeValue {
 			return false
 		}
-		some = some || n > 0
+		anyPositive = anyPositive || n > 0
 	}
-	return some
+	return anyPositive
 }
 
-// CheckLabels returns a *code.Error when there are too many labels or one is malformed.
+// CheckLabels returns a *code.Error if there are too many labels or one is malformed.
 func CheckLabels(labels map[string]string) error {
 	if len(labels) > MaxLabels {
-		return code.New(code.Malformed, "up to %d labels", MaxLabels)
+		return code.New(code.Malformed, "%d labels given, at most %d are allowed", len(labels), MaxLabels)
 	}
 	for k, v := range labels {
-		if k == "" || len(k) > MaxName || len(v) > MaxName || !printable(k) || !printable(v) {
-			return code.New(code.Malformed, "label %q", k)
+		if k == "" || len(k) > MaxNameLength || len(v) > MaxNameLength || !isPrintable(k) || !isPrintable(v) {
+			return code.New(code.Malformed, "label %q: key and value must have at most %d bytes, all of them printable characters, and the key at least 1", k, MaxNameLength)
 		}
 	}
 	return nil
 }
 
-// CheckName returns a *code.Error unless the text is a usable name of the thing given.
-func CheckName(what, name string) error {
-	if name == "" || len(name) > MaxName || !printable(name) {
-		return code.New(code.Malformed, "the %s has 1 to %d printable bytes", what, MaxName)
+// CheckName returns a *code.Error unless the name has 1 to MaxNameLength bytes and
+// only printable characters. The kind says in the error which name it is.
+func CheckName(kind, name string) error {
+	if name == "" || len(name) > MaxNameLength || !isPrintable(name) {
+		return code.New(code.Malformed, "the %s must have 1 to %d bytes, all of them printable characters", kind, MaxNameLength)
 	}
 	return nil
 }
@@ -92,8 +93,8 @@
 func checkID(id string) error { return CheckName("id", id) }
 
 func checkIDs(ids []string) error {
-	if len(ids) > MaxIDs {
-		return code.New(code.TooLarge, "up to %d ids", MaxIDs)
+	if len(ids) > MaxIDsPerRequest {
+		return code.New(code.TooLarge, "%d ids given, at most %d are allowed", len(ids), MaxIDsPerRequest)
 	}
 	for _, id := range ids {
 		if err := checkID(id); err != nil {
@@ -105,7 +106,7 @@
 
 func checkCancel(m *v1.CancelRequest) error {
 	if len(m.GetIds()) == 0 && len(m.GetLabels()) == 0 {
-		return code.New(code.Malformed, "a cancellation names ids or labels")
+		return code.New(code.Malformed, "a cancellation must name ids or labels")
 	}
 	if err := checkIDs(m.GetIds()); err != nil {
 		return err
@@ -113,7 +114,7 @@
 	return CheckLabels(m.GetLabels())
 }
 
-func printable(s string) bool {
+func isPrintable(s string) bool {
 	for _, r := range s {
 		if !unicode.IsPrint(r) {
 			return false
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry assembles the entry daemon: it serves callers, backend servers,
-// operators and the platform, and holds no durable state.
+// Package entry implements the entry, the front-end process of a cell. It serves
+// callers, backend servers, operators and the platform's health checks. It keeps no
+// durable state.
 package entry
 
 import (
@@ -29,109 +30,117 @@
 	"gypsumreel/internal/edge/platform"
 )
 
-// Defaults of the fields that are left zero.
+// Defaults of the fields of Entry that are zero.
 const (
-	// DefaultLinger is how long the entry serves on after readiness fails, for the balancer to notice.
-	DefaultLinger = 5 * time.Second
-	// DefaultDrain bounds the wait for requests under way after that.
-	DefaultDrain = 15 * time.Second
-	// DefaultAge is the longest life of a connection from outside, but for the request under way.
-	DefaultAge = 5 * time.Minute
-	// DefaultConnections bounds the connections from outside.
-	DefaultConnections = 20_000
+	// DefaultShutdownDelay is the time between the failing readiness check and the
+	// end of service, in which the load balancer removes the entry.
+	DefaultShutdownDelay = 5 * time.Second
+	// DefaultDrainTimeout bounds the wait for pending requests after the shutdown delay.
+	DefaultDrainTimeout = 15 * time.Second
+	// DefaultMaxConnectionAge is the age at which the entry closes a client
+	// connection, once its pending request is answered.
+	DefaultMaxConnectionAge = 5 * time.Minute
+	// DefaultMaxConnections bounds the open client connections of each listener.
+	DefaultMaxConnections = 20_000
 )
 
-// Bounds on what one connection may do; they end slow readers and slow writers.
+// Limits for one client connection. The timeouts disconnect clients that send
+// requests or read responses too slowly.
 const (
-	headerTimeout = 5 * time.Second
-	readTimeout   = 30 * time.Second
-	writeTimeout  = 30 * time.Second
-	idleTimeout   = 60 * time.Second
-	maxHeader     = 16 << 10
-	maxStreams    = 256
-	pingAfter     = 10 * time.Second
-	pingTimeout   = 5 * time.Second
-	// noCompression is a size that no answer reaches: an entry's processor time is worth more than its bytes.
-	noCompression = 1 << 30
+	headerTimeout  = 5 * time.Second
+	readTimeout    = 30 * time.Second
+	writeTimeout   = 30 * time.Second
+	idleTimeout    = 60 * time.Second
+	maxHeaderBytes = 16 << 10
+	maxStreams     = 256
+	pingIdleTime   = 10 * time.Second
+	pingTimeout    = 5 * time.Second
+	// minCompressBytes is larger than any response, which turns compression off. CPU
+	// time of an entry is scarcer than network bandwidth.
+	minCompressBytes = 1 << 30
 )
 
-// Entry is the entry daemon. Set the fields, then call Run.
+// Entry is the front-end process of a cell. Set the fields, then call Run.
 type Entry struct {
 	// Cell and Name identify the entry to the leader.
 	Cell string
 	Name string
-	// Callers, Backends, Operators and Platform are the listeners, one for each
-	// peer; one that is nil is not served.
-	Callers   net.Listener
-	Backends  net.Listener
-	Operators net.Listener
-	Platform  net.Listener
-	// Outside is the configuration for calls from outside; nil for plain ones.
-	Outside *tls.Config
-	// Replicas is the control group.
-	Replicas []control.Replica
-	// Inside is the configuration for calls to the control group; nil for plain ones.
-	Inside *tls.Config
-	// Dial opens connections to the control group; nil for TCP.
+	// CallerListener, BackendListener, OperatorListener and PlatformListener accept
+	// the connections for one service each. A service without a listener is off.
+	CallerListener   net.Listener
+	BackendListener  net.Listener
+	OperatorListener net.Listener
+	PlatformListener net.Listener
+	// OutsideTLS is the TLS configuration for client connections. Nil means plain HTTP.
+	OutsideTLS *tls.Config
+	// ControlReplicas are the members of the control group, one of which is the leader.
+	ControlReplicas []control.Replica
+	// InsideTLS is the TLS configuration for calls to the control group. Nil means plain HTTP.
+	InsideTLS *tls.Config
+	// Dial opens connections to the control group. Nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Enrolment holds the digests of the secrets that backend servers may show.
-	Enrolment []backend.Digest
-	Audit     operator.Audit
-	Log       logr.Logger
-	// Abort ends a graceful stop at once when closed: the second signal.
+	// EnrolmentDigests holds the digests of the enrolment secrets accepted from backend servers.
+	EnrolmentDigests []backend.Digest
+	// Auditor receives the audit records of operators' calls. Nil means the log.
+	Auditor operator.Auditor
+	Log     logr.Logger
+	// Abort ends a graceful shutdown immediately when it is closed. It is closed on
+	// the second termination signal.
 	Abort <-chan struct{}
 
-	Linger      time.Duration
-	Drain       time.Duration
-	Age         time.Duration
-	Connections int
-	// Limit bounds the requests that wait for the leader.
-	Limit int
+	// In the following fields zero means the default given by the constants above.
+	ShutdownDelay    time.Duration
+	DrainTimeout     time.Duration
+	MaxConnectionAge time.Duration
+	MaxConnections   int
+	// MaxPendingRequests bounds the requests that wait for a reply of the leader.
+	MaxPendingRequests int
 
-	prepare sync.Once
-	pool    *control.Client
-	meters  *metrics.Set
-	phase   atomic.Int32
-	// unready is what the last probe was told.
-	unready atomic.Bool
-	done    chan struct{}
+	// initOnce guards the initialisation of the defaults, the pool and the metrics.
+	initOnce  sync.Once
+	pool      *control.Client
+	metricSet *metrics.Set
+	phase     atomic.Int32
+	// reportedUnready is true if the last readiness check failed.
+	reportedUnready atomic.Bool
+	done            chan struct{}
 }
 
-// The phases of an entry's life.
+// Phases of the lifecycle of an entry.
 const (
 	phaseServing int32 = iota
-	// phaseUnready still serves everything, but the balancer is told to look elsewhere.
+	// phaseUnready means that readiness checks fail, while requests are still served.
 	phaseUnready
-	// phaseDraining finishes what is under way.
+	// phaseDraining means that the entry only completes pending requests.
 	phaseDraining
 )
 
 var phaseNames = [...]string{"serving", "unready", "draining"}
 
-var errLeaving = errors.New("the entry is stopping")
+var errStopping = errors.New("the entry is stopping")
 
 func (e *Entry) init() {
-	e.prepare.Do(func() {
-		if e.Linger == 0 {
-			e.Linger = DefaultLinger
+	e.initOnce.Do(func() {
+		if e.ShutdownDelay == 0 {
+			e.ShutdownDelay = DefaultShutdownDelay
 		}
-		if e.Drain == 0 {
-			e.Drain = DefaultDrain
+		if e.DrainTimeout == 0 {
+			e.DrainTimeout = DefaultDrainTimeout
 		}
-		if e.Age == 0 {
-			e.Age = DefaultAge
+		if e.MaxConnectionAge == 0 {
+			e.MaxConnectionAge = DefaultMaxConnectionAge
 		}
-		if e.Connections == 0 {
-			e.Connections = DefaultConnections
+		if e.MaxConnections == 0 {
+			e.MaxConnections = DefaultMaxConnections
 		}
-		if e.Audit == nil {
-			e.Audit = logAudit{e.Log}
+		if e.Auditor == nil {
+			e.Auditor = logAuditor{e.Log}
 		}
-		e.meters = metrics.NewSet()
+		e.metricSet = metrics.NewSet()
 		e.done = make(chan struct{})
 		e.pool = &control.Client{
-			Cell: e.Cell, Name: e.Name, Replicas: e.Replicas, TLS: e.Inside, Dial: e.Dial,
-			Log: e.Log, Metrics: e.meters, MaxPending: e.Limit,
+			Cell: e.Cell, Name: e.Name, Replicas: e.ControlReplicas, TLS: e.InsideTLS, Dial: e.Dial,
+			Log: e.Log, Metrics: e.metricSet, MaxPending: e.MaxPendingRequests,
 		}
 	})
 }
@@ -139,76 +148,78 @@
 // Done is closed when Run has returned.
 func (e *Entry) Done() <-chan struct{} { e.init(); return e.done }
 
-// Pool returns the entry's way to the leader.
+// Pool returns the connection pool that the entry uses to reach the leader.
 func (e *Entry) Pool() *control.Client { e.init(); return e.pool }
 
-// service is one listener and what it serves.
+// service is one listener and the HTTP server that handles its connections.
 type service struct {
 	listener net.Listener
 	server   *http.Server
 }
 
-// services returns what there is to serve.
-func (e *Entry) services() []service {
-	count := connect.WithHandlerOptions(codec.Options(), connect.WithInterceptors(newCount(e.meters)), connect.WithCompressMinBytes(noCompression))
+// configuredServices returns the services that have a listener.
+func (e *Entry) configuredServices() []service {
+	options := connect.WithHandlerOptions(codec.HandlerOptions(), connect.WithInterceptors(newCallCounter(e.metricSet)), connect.WithCompressMinBytes(minCompressBytes))
 	all := []service{
-		{e.Callers, e.server(mounted(caller.MaxRequest)((&caller.Handler{Leader: e.pool}).Route(count)))},
-		{e.Backends, e.server(mounted(backend.MaxRequest)((&backend.Handler{Leader: e.pool, Enrolment: e.Enrolment, Log: e.Log}).Route(count)))},
-		{e.Operators, e.server(mounted(operator.MaxRequest)((&operator.Handler{Leader: e.pool, Audit: e.Audit, Name: e.Name, State: e.state}).Route(count)))},
-		{e.Platform, e.server((&platform.Probes{Ready: e.ready, MetricSets: []*metrics.Set{e.meters, meter.ProcessMetrics}}).Handler())},
+		{e.CallerListener, e.newServer(mountWithLimit(caller.MaxRequestSize)((&caller.Handler{Leader: e.pool}).Route(options)))},
+		{e.BackendListener, e.newServer(mountWithLimit(backend.MaxRequestSize)((&backend.Handler{Leader: e.pool, EnrolmentDigests: e.EnrolmentDigests, Log: e.Log}).Route(options)))},
+		{e.OperatorListener, e.newServer(mountWithLimit(operator.MaxRequestSize)((&operator.Handler{Leader: e.pool, Auditor: e.Auditor, EntryName: e.Name, State: e.currentState}).Route(options)))},
+		{e.PlatformListener, e.newServer((&platform.Probes{Ready: e.checkReady, MetricSets: []*metrics.Set{e.metricSet, meter.ProcessMetrics}}).Handler())},
 	}
 	return slices.DeleteFunc(all, func(s service) bool { return s.listener == nil })
 }
 
-// mounted serves a service at its path, with a bound on its requests in bytes.
-func mounted(most int64) func(path string, h http.Handler) http.Handler {
+// mountWithLimit returns a function that mounts a handler at its path and limits
+// the size of requests.
+func mountWithLimit(maxRequestBytes int64) func(path string, h http.Handler) http.Handler {
 	return func(path string, h http.Handler) http.Handler {
 		mux := http.NewServeMux()
-		mux.Handle(path, codec.Limit(most, h))
+		mux.Handle(path, codec.LimitRequestSize(maxRequestBytes, h))
 		return mux
 	}
 }
 
-// ready answers the balancer's probe and logs when the answer changes.
-func (e *Entry) ready() error {
-	fault := e.fault()
-	if was := e.unready.Swap(fault != nil); was != (fault != nil) {
-		if fault != nil {
-			event.LogError(e.Log, event.Unready, fault)
+// checkReady returns the result of a readiness check and logs when it changes.
+func (e *Entry) checkReady() error {
+	err := e.readinessError()
+	if wasUnready := e.reportedUnready.Swap(err != nil); wasUnready != (err != nil) {
+		if err != nil {
+			event.LogError(e.Log, event.Unready, err)
 		} else {
 			event.Log(e.Log, event.Ready)
 		}
 	}
-	return fault
+	return err
 }
 
-// fault returns nil while the balancer may send requests here, else why not.
-func (e *Entry) fault() error {
+// readinessError returns nil while the load balancer may send requests to the
+// entry, otherwise the reason why it must not.
+func (e *Entry) readinessError() error {
 	if e.phase.Load() != phaseServing {
-		return errLeaving
+		return errStopping
 	}
 	if !e.pool.InContact() {
-		return errors.New("no leader is in contact")
+		return errors.New("no contact with a leader")
 	}
 	return nil
 }
 
-// Run serves until ctx ends, then stops in order; see stop. It returns an error
-// when a listener fails or the stop was cut short.
+// Run serves until ctx is cancelled, then shuts down gracefully. It returns an
+// error if a listener fails or the graceful shutdown does not complete.
 func (e *Entry) Run(ctx context.Context) error {
 	e.init()
 	defer close(e.done)
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	running, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	wg.Go(func() { _ = e.pool.Run(running) })
+	poolCtx, stopPool := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopPool()
+	wg.Go(func() { _ = e.pool.Run(poolCtx) })
 
-	services := e.services()
-	faults := make(chan error, len(services))
+	services := e.configuredServices()
+	serveErrors := make(chan error, len(services))
 	for _, s := range services {
 		event.Log(e.Log, event.Listening, "address", s.listener.Addr().String())
-		wg.Go(func() { faults <- e.serve(s) })
+		wg.Go(func() { serveErrors <- e.serveConnections(s) })
 	}
 	defer func() {
 		for _, s := range services {
@@ -216,30 +227,30 @@
 		}
 	}()
 	select {
-	case err := <-faults:
+	case err := <-serveErrors:
 		return errors.Wrap(err, "serve")
 	case <-ctx.Done():
-		return e.stop(services)
+		return e.shutDownGracefully(services)
 	}
 }
 
-// stop is the planned stop, in this order: readiness fails; everything is
-// served on until the balancer has noticed; long polls end with the word to
-// turn to another entry; requests under way finish. Each step is bounded, and
-// Abort ends them all.
-func (e *Entry) stop(services []service) error {
+// shutDownGracefully makes readiness checks fail, serves all requests until the
+// shutdown delay is over, ends long polls with the advice to use another entry, and
+// waits for pending requests to complete. Each step has a time limit. Abort ends
+// the shutdown at any step.
+func (e *Entry) shutDownGracefully(services []service) error {
 	e.phase.Store(phaseUnready)
-	event.Log(e.Log, event.StopBegun, "linger", e.Linger.String(), "drain", e.Drain.String())
+	event.Log(e.Log, event.StopBegun, "linger", e.ShutdownDelay.String(), "drain", e.DrainTimeout.String())
 	event.Log(e.Log, event.StopDraining)
 	select {
-	case <-time.After(e.Linger):
+	case <-time.After(e.ShutdownDelay):
 	case <-e.Abort:
-		return errors.New("the stop was cut short")
+		return errors.New("graceful shutdown aborted by a second signal")
 	}
 	e.phase.Store(phaseDraining)
 	e.pool.EndLongPolls()
 	event.Log(e.Log, event.StopFinishing, "pending", e.pool.Pending())
-	ctx, cancel := context.WithTimeout(context.Background(), e.Drain)
+	ctx, cancel := context.WithTimeout(context.Background(), e.DrainTimeout)
 	defer cancel()
 	go func() {
 		select {
@@ -248,15 +259,16 @@
 		case <-ctx.Done():
 		}
 	}()
-	if err := shutdown(ctx, services); err != nil {
+	if err := shutDownServers(ctx, services); err != nil {
 		event.LogError(e.Log, event.StopForced, err, "pending", e.pool.Pending())
-		return errors.Wrap(err, "the stop was cut short")
+		return errors.Wrap(err, "graceful shutdown did not complete")
 	}
 	return nil
 }
 
-// shutdown lets the services finish what is under way.
-func shutdown(ctx context.Context, services []service) error {
+// shutDownServers closes the listeners of all services and waits until their
+// pending requests are complete or ctx ends.
+func shutDownServers(ctx context.Context, services []service) error {
 	var g errgroup.Group
 	for _, s := range services {
 		g.Go(func() error { return s.server.Shutdown(ctx) })
@@ -264,26 +276,29 @@
 	return g.Wait()
 }
 
-func (e *Entry) server(h http.Handler) *http.Server {
-	both := new(http.Protocols)
-	both.SetHTTP1(true)
-	both.SetHTTP2(true)
-	both.SetUnencryptedHTTP2(true)
+// newServer returns an HTTP server with the limits for client connections. It
+// accepts HTTP/1.1 and HTTP/2, with and without TLS.
+func (e *Entry) newServer(h http.Handler) *http.Server {
+	protocols := new(http.Protocols)
+	protocols.SetHTTP1(true)
+	protocols.SetHTTP2(true)
+	protocols.SetUnencryptedHTTP2(true)
 	return &http.Server{
-		Handler: aged(h), Protocols: both, ConnContext: e.born,
+		Handler: closeExpiredConns(h), Protocols: protocols, ConnContext: e.withConnExpiry,
 		ReadHeaderTimeout: headerTimeout, ReadTimeout: readTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: maxHeader,
+		MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog:       event.HTTPErrorLog(e.Log),
-		HTTP2:          &http.HTTP2Config{MaxConcurrentStreams: maxStreams, SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+		HTTP2:          &http.HTTP2Config{MaxConcurrentStreams: maxStreams, SendPingTimeout: pingIdleTime, PingTimeout: pingTimeout},
 	}
 }
 
-func (e *Entry) serve(s service) error {
-	l := netutil.LimitListener(s.listener, e.Connections)
-	if e.Outside == nil {
+// serveConnections accepts connections of the service until its server is closed.
+func (e *Entry) serveConnections(s service) error {
+	l := netutil.LimitListener(s.listener, e.MaxConnections)
+	if e.OutsideTLS == nil {
 		return s.server.Serve(l)
 	}
-	// net/http writes the protocols it speaks into the configuration it is given.
-	s.server.TLSConfig = e.Outside.Clone()
+	// net/http adds its protocols to the configuration it is given, so it gets a copy.
+	s.server.TLSConfig = e.OutsideTLS.Clone()
 	return s.server.ServeTLS(l, "", "")
 }
--- a/internal/edge/entry/process_test.go
+++ b/internal/edge/entry/process_test.go
@@ -25,48 +25,49 @@
 	"gypsumreel/internal/edge/entry"
 )
 
-// childVariable makes the test program run as an entry; it holds the address of the leader.
-const childVariable = "GYPSUMREEL_TEST_ENTRY"
+// childEntryEnv is the environment variable that makes the test binary run as an entry.
+// Its value is the address of the leader.
+const childEntryEnv = "GYPSUMREEL_TEST_ENTRY"
 
-// addresses is what the child prints once it listens.
-type addresses struct{ Callers, Backends string }
+// childAddresses are the listen addresses that the child process prints at its start.
+type childAddresses struct{ Callers, Backends string }
 
 func TestMain(m *testing.M) {
-	if leader := os.Getenv(childVariable); leader != "" {
-		child(leader)
+	if leader := os.Getenv(childEntryEnv); leader != "" {
+		runChildEntry(leader)
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// child runs an entry on loopback until SIGTERM.
-func child(leader string) {
+// runChildEntry runs an entry on the loopback interface until SIGTERM.
+func runChildEntry(leader string) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	callers, _ := net.Listen("tcp", "127.0.0.1:0")
 	backends, _ := net.Listen("tcp", "127.0.0.1:0")
 	e := &entry.Entry{
-		Cell: "test", Name: "child", Callers: callers, Backends: backends, Log: logr.Discard(),
-		Replicas: []control.Replica{{Name: "c1", Address: leader}}, Enrolment: []backend.Digest{key.Digest(enrolment)},
-		Linger: 200 * time.Millisecond, Drain: 5 * time.Second,
+		Cell: "test", Name: "child", CallerListener: callers, BackendListener: backends, Log: logr.Discard(),
+		ControlReplicas: []control.Replica{{Name: "c1", Address: leader}}, EnrolmentDigests: []backend.Digest{key.Digest(enrolment)},
+		ShutdownDelay: 200 * time.Millisecond, DrainTimeout: 5 * time.Second,
 	}
-	_ = json.NewEncoder(os.Stdout).Encode(addresses{callers.Addr().String(), backends.Addr().String()})
+	_ = json.NewEncoder(os.Stdout).Encode(childAddresses{callers.Addr().String(), backends.Addr().String()})
 	if e.Run(ctx) != nil {
 		os.Exit(1)
 	}
 }
 
-// entryProcess is an entry as a process of its own.
+// entryProcess is an entry that runs in a child process.
 type entryProcess struct {
-	addresses
+	childAddresses
 	cmd *exec.Cmd
 }
 
-func startProcess(t testing.TB, leader string, env ...string) *entryProcess {
+func startEntryProcess(t testing.TB, leader string, env ...string) *entryProcess {
 	t.Helper()
 	p := &entryProcess{cmd: exec.Command(os.Args[0])}
-	p.cmd.Env = append(append(os.Environ(), childVariable+"="+leader), env...)
-	out, err := p.cmd.StdoutPipe()
+	p.cmd.Env = append(append(os.Environ(), childEntryEnv+"="+leader), env...)
+	stdout, err := p.cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,83 +78,85 @@
 		_ = p.cmd.Process.Kill()
 		_ = p.cmd.Wait()
 	})
-	line, _ := bufio.NewReader(out).ReadString('\n')
-	if err := json.NewDecoder(strings.NewReader(line)).Decode(&p.addresses); err != nil {
+	line, _ := bufio.NewReader(stdout).ReadString('\n')
+	if err := json.NewDecoder(strings.NewReader(line)).Decode(&p.childAddresses); err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-// realLeader serves the stand-in for the leader on loopback.
-func realLeader(t testing.TB) (*cell, string) {
-	c := newCell()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// startLoopbackLeader serves a fake leader on the loopback interface and returns its
+// ledger and address.
+func startLoopbackLeader(t testing.TB) (*fakeLedger, string) {
+	ledger := newFakeLedger()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.leader = "c1"
+	ledger.leader = "c1"
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go (&replica{cell: c, name: "c1"}).serve(ctx, l)
-	return c, l.Addr().String()
+	go (&fakeReplica{ledger: ledger, name: "c1"}).serve(ctx, listener)
+	return ledger, listener.Addr().String()
 }
 
-// ready waits until the entry answers.
-func (p *entryProcess) ready(t testing.TB, token string) v1.CallerClient {
+// waitReady waits until the entry answers and returns a client for it.
+func (p *entryProcess) waitReady(t testing.TB, token string) v1.CallerClient {
 	t.Helper()
 	c := v1.NewCallerClient(http.DefaultClient, "http://"+p.Callers)
 	for range 200 {
-		if reply, err := c.List(context.Background(), with(token, &v1.ListRequest{})); err == nil && reply.Msg.GetStatus().GetCode() == 0 {
+		if reply, err := c.List(context.Background(), withKey(token, &v1.ListRequest{})); err == nil && reply.Msg.GetStatus().GetCode() == 0 {
 			return c
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatal("the entry does not answer")
+	t.Fatal("the entry did not answer a List call within 200 tries")
 	return nil
 }
 
-// An entry's process is frozen for a while, as on an overloaded instance, and a
-// key is withdrawn meanwhile. When it goes on it must not serve what it knew:
-// the request that waited in it is refused, and the next one too.
-func TestFrozenProcessHonoursAWithdrawnKey(t *testing.T) {
-	c, leader := realLeader(t)
-	token := c.grant("team-key", "quarry", false)
-	p := startProcess(t, leader)
-	client := p.ready(t, token)
+// An entry process is stopped for 2.5 s, as on an overloaded instance, and a key is
+// withdrawn meanwhile. Guards against an entry that accepts the waiting request from
+// outdated state after it resumes.
+func TestResumedEntryRejectsWithdrawnKey(t *testing.T) {
+	ledger, leader := startLoopbackLeader(t)
+	token := ledger.grantKey("team-key", "quarry", false)
+	p := startEntryProcess(t, leader)
+	client := p.waitReady(t, token)
 	_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 	done := make(chan code.Code, 1)
 	go func() {
-		reply, err := client.Submit(context.Background(), with(token, &v1.SubmitRequest{Jobs: []*v1.Spec{spec("late", false, nil)}}))
+		reply, err := client.Submit(context.Background(), withKey(token, &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec("late", false, nil)}}))
 		if err != nil {
 			done <- code.Internal
 			return
 		}
 		done <- code.Code(reply.Msg.GetJobs()[0].GetStatus().GetCode())
 	}()
-	c.mu.Lock()
-	c.keys["team-key"] = c.keys["team-key"].WithWithdrawn()
-	c.mu.Unlock()
+	ledger.mu.Lock()
+	ledger.keys["team-key"] = ledger.keys["team-key"].WithWithdrawn()
+	ledger.mu.Unlock()
 	time.Sleep(2500 * time.Millisecond)
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	if got := <-done; got == code.OK {
 		t.Error("work was accepted with a withdrawn key")
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.jobs) > 0 {
-		t.Error("the job is in the ledger")
+	ledger.mu.Lock()
+	defer ledger.mu.Unlock()
+	if len(ledger.jobsByID) > 0 {
+		t.Error("the ledger contains a job submitted with a withdrawn key")
 	}
 }
 
-// SIGTERM reaches an entry while a caller waits. The call must be answered with
-// the word to go elsewhere, and the process must end by itself with 0.
-func TestSignalEndsTheProcessWithoutCuttingACall(t *testing.T) {
-	c, leader := realLeader(t)
-	token := c.grant("team-key", "quarry", false)
-	p := startProcess(t, leader)
-	client := p.ready(t, token)
+// Guards against a shutdown that drops calls. An entry gets SIGTERM during a long
+// poll. It must answer the call with the advice to use another entry, and the process
+// must exit with code 0.
+func TestSIGTERMAnswersPendingCallsAndExits(t *testing.T) {
+	ledger, leader := startLoopbackLeader(t)
+	token := ledger.grantKey("team-key", "quarry", false)
+	p := startEntryProcess(t, leader)
+	client := p.waitReady(t, token)
 	ctx := context.Background()
-	if _, err := client.Submit(ctx, with(token, &v1.SubmitRequest{Jobs: []*v1.Spec{spec("waits", false, nil)}})); err != nil {
+	if _, err := client.Submit(ctx, withKey(token, &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec("waits", false, nil)}})); err != nil {
 		t.Fatal(err)
 	}
 	type answer struct {
@@ -162,39 +165,39 @@
 	}
 	done := make(chan answer, 1)
 	go func() {
-		reply, err := client.Wait(ctx, with(token, &v1.WaitRequest{Id: "waits", Patience: 10_000}))
+		reply, err := client.Wait(ctx, withKey(token, &v1.WaitRequest{Id: "waits", Patience: 10_000}))
 		done <- answer{reply, err}
 	}()
 	time.Sleep(100 * time.Millisecond)
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	if a := <-done; a.err != nil || a.reply.Msg.GetStatus().GetCode() != uint32(code.ShuttingDown) {
-		t.Errorf("%v, %v", a.reply, a.err)
+		t.Errorf("the pending call got reply %v, error %v; want result code %d", a.reply, a.err, code.ShuttingDown)
 	}
 	if err := p.cmd.Wait(); err != nil {
-		t.Error(err)
+		t.Errorf("the entry process did not exit with code 0: %v", err)
 	}
 }
 
-// The entry that a caller uses is killed after it took a job. The caller asks
-// another one with the same id and gets the outcome of the one job.
-func TestKilledProcessLosesNothing(t *testing.T) {
-	c, leader := realLeader(t)
-	token := c.grant("team-key", "quarry", false)
-	first, second := startProcess(t, leader), startProcess(t, leader)
-	a, b := first.ready(t, token), second.ready(t, token)
-	req := &v1.SubmitRequest{Jobs: []*v1.Spec{spec("job", true, nil)}}
+// The entry that a caller uses is killed after it accepted a job. The caller submits
+// the same id at another entry. Guards against a second job with that id.
+func TestResubmitAfterEntryIsKilledIsIdempotent(t *testing.T) {
+	ledger, leader := startLoopbackLeader(t)
+	token := ledger.grantKey("team-key", "quarry", false)
+	first, second := startEntryProcess(t, leader), startEntryProcess(t, leader)
+	firstClient, secondClient := first.waitReady(t, token), second.waitReady(t, token)
+	req := &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec("job", true, nil)}}
 	ctx := context.Background()
-	if _, err := a.Submit(ctx, with(token, req)); err != nil {
+	if _, err := firstClient.Submit(ctx, withKey(token, req)); err != nil {
 		t.Fatal(err)
 	}
 	_ = first.cmd.Process.Kill()
-	reply, err := b.Submit(ctx, with(token, req))
+	reply, err := secondClient.Submit(ctx, withKey(token, req))
 	if err != nil || reply.Msg.GetJobs()[0].GetStatus().GetCode() != 0 {
-		t.Errorf("%v, %v", reply, err)
+		t.Errorf("the repeated submission got reply %v, error %v", reply, err)
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.order) != 1 {
-		t.Errorf("%d jobs", len(c.order))
+	ledger.mu.Lock()
+	defer ledger.mu.Unlock()
+	if len(ledger.acceptedJobs) != 1 {
+		t.Errorf("the ledger has %d jobs, want 1", len(ledger.acceptedJobs))
 	}
 }
--- a/internal/edge/entry/stop_test.go
+++ b/internal/edge/entry/stop_test.go
@@ -19,117 +19,118 @@
 	"gypsumreel/internal/fake/server"
 )
 
-// A user's request is cut off while an instance is replaced as planned. The
-// entry is told to stop while callers and backend servers are in the middle of
-// long polls and submissions; closing its listeners at once would break them.
-// Every call that was begun must get an answer, and long polls the word to go
-// elsewhere.
-func TestPlannedStopUnderLoadCutsNoRequest(t *testing.T) {
+// An entry shuts down during long polls and submissions, as when its instance is
+// replaced. Guards against calls that are dropped because the entry closes its
+// connections too early. Every call must get an answer, and long polls must get the
+// advice to use another entry.
+func TestGracefulShutdownUnderLoadAnswersEveryRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(0)
+		w := newTestCell(0)
 		defer w.close()
 		time.Sleep(time.Second)
-		c := w.client(w.team)
-		defer c.reset()
-		c.submit(0, spec("held", false, server.Wish{Sleep: "1h"}.Input()))
+		c := w.newClient(w.teamKey)
+		defer c.closeIdle()
+		c.submit(0, newSpec("held", false, server.Wish{Sleep: "1h"}.Input()))
 		for name, r := range w.relays {
-			if innerLink(name) || outerLink(name) {
+			if isInnerLink(name) || isOuterLink(name) {
 				r.Delay(relay.Up, 3*time.Millisecond)
 				r.Delay(relay.Down, 3*time.Millisecond)
 			}
 		}
-		var calls, broken, leaving atomic.Int32
+		var calls, failed, redirected atomic.Int32
 		var wg sync.WaitGroup
-		// note counts the call and tells whether the caller goes on.
-		note := func(err error, status *v1.Status) bool {
-			if refusedDial(err) {
-				return false // the entry was gone before the call began
+		// countCall counts a call and reports whether the caller makes another one.
+		countCall := func(err error, status *v1.Status) bool {
+			if isRefusedDial(err) {
+				return false // the entry had stopped before the call began
 			}
 			calls.Add(1)
 			if err != nil {
-				broken.Add(1)
+				failed.Add(1)
 			}
 			if status.GetCode() == uint32(code.ShuttingDown) {
-				leaving.Add(1)
+				redirected.Add(1)
 			}
 			return err == nil && status.GetCode() != uint32(code.ShuttingDown)
 		}
 		for i := range 40 {
-			c := w.near()
-			defer c.reset()
+			c := w.directClient()
+			defer c.closeIdle()
 			wg.Go(func() {
-				for n, on := 0, i%8 == 0; on; n++ {
-					reply, err := c.callers[0].Submit(w.ctx, with(w.team, &v1.SubmitRequest{Jobs: []*v1.Spec{spec(fmt.Sprintf("job-%d-%d", i, n), false, nil)}}))
-					on = note(err, nil) && reply != nil
+				for n, continues := 0, i%8 == 0; continues; n++ {
+					reply, err := c.callerClients[0].Submit(w.ctx, withKey(w.teamKey, &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(fmt.Sprintf("job-%d-%d", i, n), false, nil)}}))
+					continues = countCall(err, nil) && reply != nil
 					time.Sleep(time.Millisecond)
 				}
 			})
 			wg.Go(func() {
-				for on := true; on; {
-					reply, err := c.callers[0].Wait(w.ctx, with(w.team, &v1.WaitRequest{Id: "held", Patience: 10_000}))
+				for continues := true; continues; {
+					reply, err := c.callerClients[0].Wait(w.ctx, withKey(w.teamKey, &v1.WaitRequest{Id: "held", Patience: 10_000}))
 					var status *v1.Status
 					if err == nil {
 						status = reply.Msg.GetStatus()
 					}
-					on = note(err, status)
+					continues = countCall(err, status)
 				}
 			})
 		}
 		time.Sleep(500 * time.Millisecond)
-		p := w.process("e1")
-		began := time.Now()
+		p := w.currentEntry("e1")
+		startedAt := time.Now()
 		p.stop()
 		<-p.entry.Done()
-		took := time.Since(began)
+		elapsed := time.Since(startedAt)
 		wg.Wait()
-		if broken.Load() > 0 || leaving.Load() != 40 || took > 7*time.Second {
-			t.Errorf("of %d calls %d were cut off, %d told to go elsewhere; the stop took %v", calls.Load(), broken.Load(), leaving.Load(), took)
+		if failed.Load() > 0 || redirected.Load() != 40 || elapsed > 7*time.Second {
+			t.Errorf("%d of %d calls failed, %d were sent to another entry, want 0 and 40; the shutdown took %v, want at most 7s", failed.Load(), calls.Load(), redirected.Load(), elapsed)
 		}
 	})
 }
 
-// near returns a client without a relay, which tells a refused dial from a call that was cut off.
-func (w *world) near() *client {
-	wire := &http.Transport{DialContext: w.memory.DialHost}
-	return &client{
-		world: w, key: w.team, reset: wire.CloseIdleConnections,
-		callers: []v1.CallerClient{v1.NewCallerClient(&http.Client{Transport: wire}, "http://e1-callers:1")},
+// directClient returns a client that connects without a relay. With a relay, a refused
+// connection could not be told apart from a dropped call.
+func (w *testCell) directClient() *retryingClient {
+	transport := &http.Transport{DialContext: w.network.DialHost}
+	return &retryingClient{
+		cell: w, key: w.teamKey, closeIdle: transport.CloseIdleConnections,
+		callerClients: []v1.CallerClient{v1.NewCallerClient(&http.Client{Transport: transport}, "http://e1-callers:1")},
 	}
 }
 
-// refusedDial tells whether a call never began because nobody listens any more.
-func refusedDial(err error) bool {
+// isRefusedDial reports whether a call failed because the listener is closed.
+func isRefusedDial(err error) bool {
 	return err != nil && connect.CodeOf(err) == connect.CodeUnavailable && errors.Is(err, relay.ErrRefused)
 }
 
-// Whoever is on duty sends the signal a second time because the stop takes too
-// long. The entry must go at once, though the balancer's delay is not over.
-func TestSecondSignalEndsAtOnce(t *testing.T) {
+// An operator sends a second termination signal because the shutdown takes too long.
+// Guards against an entry that still waits for the end of its shutdown delay.
+func TestSecondSignalStopsEntryImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(0)
+		w := newTestCell(0)
 		defer w.close()
-		p := w.process("e1")
-		began := time.Now()
+		p := w.currentEntry("e1")
+		startedAt := time.Now()
 		p.stop()
 		time.Sleep(100 * time.Millisecond)
 		p.kill()
 		<-p.entry.Done()
-		if took := time.Since(began); took > 200*time.Millisecond {
-			t.Errorf("the stop took %v", took)
+		if elapsed := time.Since(startedAt); elapsed > 200*time.Millisecond {
+			t.Errorf("the entry stopped after %v, want at most 200ms", elapsed)
 		}
 	})
 }
 
-// The balancer must see readiness fail before anything is refused: first when
-// the stop begins, and for as long as no leader is in contact.
-func TestReadinessFollowsTheLeaderAndTheStop(t *testing.T) {
+// Guards against a load balancer that sends requests to an entry which would refuse
+// them. Readiness checks must fail while the entry has no contact with a leader and
+// from the beginning of its shutdown.
+func TestReadinessReflectsLeaderContactAndShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(0)
+		w := newTestCell(0)
 		defer w.close()
-		wire := &http.Transport{DialContext: w.dial("probe")}
-		defer wire.CloseIdleConnections()
-		ready := func() int {
-			resp, err := (&http.Client{Transport: wire}).Get("http://e1-platform:1/readyz")
+		transport := &http.Transport{DialContext: w.dialFrom("probe")}
+		defer transport.CloseIdleConnections()
+		probe := func() int {
+			resp, err := (&http.Client{Transport: transport}).Get("http://e1-platform:1/readyz")
 			if err != nil {
 				return 0
 			}
@@ -137,90 +138,90 @@
 			return resp.StatusCode
 		}
 		time.Sleep(time.Second)
-		first := ready()
-		set(innerLink, relay.Lose, bothWays...)(w)
+		atStart := probe()
+		setRelayFate(isInnerLink, relay.Lose, bothDirections...)(w)
 		time.Sleep(3 * time.Second)
-		cut := ready()
-		set(innerLink, relay.Pass, bothWays...)(w)
+		withoutLeader := probe()
+		setRelayFate(isInnerLink, relay.Pass, bothDirections...)(w)
 		time.Sleep(2 * time.Second)
-		back := ready()
-		w.process("e1").stop()
+		reconnected := probe()
+		w.currentEntry("e1").stop()
 		time.Sleep(500 * time.Millisecond)
-		stopping := ready()
-		if got, want := [4]int{first, cut, back, stopping}, [4]int{200, 503, 200, 503}; got != want {
+		duringShutdown := probe()
+		if got, want := [4]int{atStart, withoutLeader, reconnected, duringShutdown}, [4]int{200, 503, 200, 503}; got != want {
 			t.Errorf("readiness %v, want %v", got, want)
 		}
 	})
 }
 
-// A caller reads its answer so slowly that the entry's memory would fill. Its
-// connection must be ended, and others must be served meanwhile.
-func TestSlowReadersAreEndedAndHoldNobodyUp(t *testing.T) {
+// A caller does not read its answer, so that the entry has to buffer it. Guards
+// against slow readers that fill the entry's memory or delay other callers.
+func TestSlowReadersAreDisconnectedWithoutDelayingOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(0)
+		w := newTestCell(0)
 		defer w.close()
-		c := w.client(w.team)
-		defer c.reset()
-		if fault := c.runs(0, "big", server.Wish{Size: 500_000}); fault != "" {
-			t.Fatal(fault)
+		c := w.newClient(w.teamKey)
+		defer c.closeIdle()
+		if problem := c.runJob(0, "big", server.Wish{Size: 500_000}); problem != "" {
+			t.Fatal(problem)
 		}
-		slow := w.slowReader()
-		defer func() { _ = slow.Close() }()
-		began := time.Now()
-		if fault := c.runs(0, "other", server.Wish{Size: 500_000}); fault != "" || time.Since(began) > time.Second {
-			t.Errorf("%s after %v", fault, time.Since(began))
+		slowConn := w.openSlowReader()
+		defer func() { _ = slowConn.Close() }()
+		startedAt := time.Now()
+		if problem := c.runJob(0, "other", server.Wish{Size: 500_000}); problem != "" || time.Since(startedAt) > time.Second {
+			t.Errorf("the other caller's job: problem %q, finished after %v, want at most 1s", problem, time.Since(startedAt))
 		}
 		time.Sleep(2 * time.Minute)
-		if _, err := slow.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
+		if _, err := slowConn.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
 			t.Errorf("the slow reader's connection is still open: %v", err)
 		}
 	})
 }
 
-// A backend server must stay well under its 60 connections, also after its
-// entries were silent for a while.
+// Guards against connections that pile up on a backend server after its entries were
+// silent. A backend server may have 60 connections and must stay well below that.
 func TestBackendServerUsesFewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(0)
+		w := newTestCell(0)
 		defer w.close()
-		c := w.client(w.team)
-		defer c.reset()
-		most := 0
+		c := w.newClient(w.teamKey)
+		defer c.closeIdle()
+		maxOpen := 0
 		for i := range 20 {
 			if i == 10 {
-				each(outerLink, func(r *relay.Relay) { r.Forget(bothWays...) })(w)
+				applyToRelays(isOuterLink, func(r *relay.Relay) { r.Forget(bothDirections...) })(w)
 			}
-			if fault := c.runs(i, fmt.Sprintf("job-%d", i), server.Wish{Sleep: "300ms"}); fault != "" {
-				t.Error(fault)
+			if problem := c.runJob(i, fmt.Sprintf("job-%d", i), server.Wish{Sleep: "300ms"}); problem != "" {
+				t.Error(problem)
 			}
-			most = max(most, w.relays["s1>e1-backends"].Open()+w.relays["s1>e2-backends"].Open())
+			maxOpen = max(maxOpen, w.relays["s1>e1-backends"].Open()+w.relays["s1>e2-backends"].Open())
 		}
-		if most > 6 {
-			t.Errorf("%d connections at once", most)
+		if maxOpen > 6 {
+			t.Errorf("the backend server had %d connections at once, want at most 6", maxOpen)
 		}
 	})
 }
 
-// An entry that was added stays without work because callers and backend
-// servers keep their connections to the old ones for ever. Connections must be
-// left after their age, and no call may fail for it.
-func TestConnectionsAreLeftAfterTheirAge(t *testing.T) {
+// Guards against a new entry without load, because callers and backend servers never
+// close their connections to the old ones. Connections must be replaced when they
+// reach their maximum age, without a failed call.
+func TestConnectionsCloseAfterMaxAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(0)
+		w := newTestCell(0)
 		defer w.close()
-		c := w.near()
-		defer c.reset()
+		c := w.directClient()
+		defer c.closeIdle()
 		time.Sleep(time.Second)
 		for range 4 * int(connectionAge.Seconds()) {
-			reply, err := c.callers[0].List(w.ctx, with(w.team, &v1.ListRequest{}))
+			reply, err := c.callerClients[0].List(w.ctx, withKey(w.teamKey, &v1.ListRequest{}))
 			if err != nil || reply.Msg.GetStatus().GetCode() != 0 {
-				t.Errorf("%v, %v", reply, err)
+				t.Errorf("a List call got reply %v, error %v", reply, err)
 			}
 			time.Sleep(time.Second)
 		}
-		caller, backend := w.memory.Dialled("e1-callers"), w.relays["s1>e1-backends"].Opened()+w.relays["s1>e2-backends"].Opened()
-		if caller < 4 || caller > 6 || backend < 4 || backend > 6 {
-			t.Errorf("%d and %d connections in the time of four lives", caller, backend)
+		callerConns, backendConns := w.network.Dialled("e1-callers"), w.relays["s1>e1-backends"].Opened()+w.relays["s1>e2-backends"].Opened()
+		if callerConns < 4 || callerConns > 6 || backendConns < 4 || backendConns > 6 {
+			t.Errorf("the caller opened %d and the backend server %d connections within four maximum ages, want 4 to 6", callerConns, backendConns)
 		}
 	})
 }
--- a/internal/edge/operator/limits.go
+++ b/internal/edge/operator/limits.go
@@ -7,45 +7,46 @@
 )
 
 const (
-	// DefaultRate is the calls per second that one key may make.
+	// DefaultRate is the sustained number of calls per second allowed for one key.
 	DefaultRate = 50
-	// DefaultBurst is how many of them may come at once.
+	// DefaultBurst is the number of calls that one key may make at once.
 	DefaultBurst = 200
-	// maxKeys bounds the keys remembered; an unknown key is not proved to exist.
-	maxKeys = 1024
+	// maxTrackedKeys bounds the number of limiters kept. A caller can present any
+	// number of key ids, because they are checked only later, by the leader.
+	maxTrackedKeys = 1024
 )
 
-// Limits bounds the rate of calls by key. The zero value has the defaults.
-type Limits struct {
+// RateLimits limits the rate of calls for each key. The zero value uses the defaults.
+type RateLimits struct {
 	Rate  rate.Limit
 	Burst int
 
-	mu   sync.Mutex
-	keys map[string]*rate.Limiter
+	mu       sync.Mutex
+	limiters map[string]*rate.Limiter
 }
 
-// Allow tells whether one more call with the key is within the limit.
-func (l *Limits) Allow(key string) bool {
+// Allow reports whether one more call with the key is within the limit.
+func (l *RateLimits) Allow(key string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.keys == nil || len(l.keys) >= maxKeys {
-		l.keys = make(map[string]*rate.Limiter)
+	if l.limiters == nil || len(l.limiters) >= maxTrackedKeys {
+		l.limiters = make(map[string]*rate.Limiter)
 	}
-	one, ok := l.keys[key]
+	limiter, ok := l.limiters[key]
 	if !ok {
-		one = rate.NewLimiter(l.bounds())
-		l.keys[key] = one
+		limiter = rate.NewLimiter(l.rateAndBurst())
+		l.limiters[key] = limiter
 	}
-	return one.Allow()
+	return limiter.Allow()
 }
 
-func (l *Limits) bounds() (rate.Limit, int) {
-	r, b := l.Rate, l.Burst
-	if r == 0 {
-		r = DefaultRate
+func (l *RateLimits) rateAndBurst() (rate.Limit, int) {
+	limit, burst := l.Rate, l.Burst
+	if limit == 0 {
+		limit = DefaultRate
 	}
-	if b == 0 {
-		b = DefaultBurst
+	if burst == 0 {
+		burst = DefaultBurst
 	}
-	return r, b
+	return limit, burst
 }
--- a/internal/edge/operator/operator.go
+++ b/internal/edge/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator serves whoever is on duty: it limits the rate of changes,
-// records them and forwards to the leader.
+// Package operator implements the Operator service of an entry. It limits the rate
+// of calls, records changes for the audit and forwards the calls to the leader.
 package operator
 
 import (
@@ -17,108 +17,114 @@
 )
 
 const (
-	// MaxAsk bounds every call.
-	MaxAsk = 5 * time.Second
-	// MaxRequest bounds the size of a request in bytes.
-	MaxRequest = 4 << 20
-	// MaxDump bounds the text of a dump in bytes.
-	MaxDump = 1 << 20
-	// MaxShow bounds the lines of one Show.
-	MaxShow = 5000
+	// RequestTimeout bounds the wait for the leader in every call.
+	RequestTimeout = 5 * time.Second
+	// MaxRequestSize bounds the size of a request in bytes.
+	MaxRequestSize = 4 << 20
+	// MaxDumpSize bounds the size of a state dump in bytes.
+	MaxDumpSize = 1 << 20
+	// MaxShownRows bounds the rows in one Show reply.
+	MaxShownRows = 5000
 )
 
-// Leader is what the handler needs of the way to the leader.
-type Leader interface {
+// LeaderClient sends requests of the handler to the control group.
+type LeaderClient interface {
 	control.Sender
-	// Dump asks a process of the control group for its state.
+	// Dump returns the state dump of a process of the control group.
 	Dump(ctx context.Context, process string) (*v1.DumpReply, error)
 }
 
-// Record is one call of an operator, as the audit keeps it.
-type Record struct {
-	// Key is the id of the key presented, never its secret.
-	Key string
-	// Peer is the address that the call came from.
-	Peer string
-	// Call names what was asked, Subject what it was about.
-	Call    string
+// AuditRecord describes one call of an operator for the audit.
+type AuditRecord struct {
+	// KeyID is the id of the operator's key. The secret is never recorded.
+	KeyID string
+	// PeerAddress is the network address of the client.
+	PeerAddress string
+	// Call is the kind of call, such as "withdraw" or "dump".
+	Call string
+	// Subject is the object of the call, such as a key id or a server name.
 	Subject string
-	// Change is the operator's change id.
-	Change string
-	// Code is the result, Revision the table's revision after it.
-	Code     code.Code
-	Revision uint64
+	// ChangeID is the change id that the operator chose.
+	ChangeID string
+	// Code is the result code of the call.
+	Code code.Code
+	// TableRevision is the revision of the table after the call.
+	TableRevision uint64
 }
 
-// Audit receives each change and each refusal, in the order they were answered.
-type Audit interface {
-	Audit(ctx context.Context, r Record)
+// Auditor receives a record of every Change and Dump call, including refused ones,
+// in the order in which they are answered.
+type Auditor interface {
+	RecordCall(ctx context.Context, r AuditRecord)
 }
 
-// Handler serves the Operator service. Set the fields, then mount it with Route.
+// Handler implements the Operator service. Set the fields, then mount it with Route.
 type Handler struct {
-	Leader Leader
-	Audit  Audit
-	// Name is the entry's own; a dump of that name or none is of this process.
-	Name string
-	// State returns what a dump of this process shows; it must hold no secrets.
+	Leader  LeaderClient
+	Auditor Auditor
+	// EntryName is the name of this entry. A Dump request with this name or without
+	// a name returns the state of this process.
+	EntryName string
+	// State returns the state of this process for a dump. It must not contain secrets.
 	State func() any
-	// Limits bounds the rate of calls by key.
-	Limits Limits
+	// RateLimits limits the rate of calls for each key.
+	RateLimits RateLimits
 }
 
-// Route returns the path and the handler for an HTTP mux.
+// Route returns the URL path of the service and its HTTP handler.
 func (h *Handler) Route(opts ...connect.HandlerOption) (string, http.Handler) {
-	return v1.NewOperatorHandler(h, append(opts, connect.WithReadMaxBytes(MaxRequest))...)
+	return v1.NewOperatorHandler(h, append(opts, connect.WithReadMaxBytes(MaxRequestSize))...)
 }
 
-// Change forwards one change; the change id makes it safe to ask again.
+// Change forwards one change. The change id makes a repeated request idempotent.
 func (h *Handler) Change(ctx context.Context, req *connect.Request[v1.ChangeRequest]) (*connect.Response[v1.ChangeReply], error) {
 	m := req.Msg
-	reply, status := h.exchange(ctx, req.Header(), checkChange(m), &inner.Item{Ask: &inner.Item_Change{Change: m}})
-	out := &v1.ChangeReply{Status: status}
+	reply, status := h.forward(ctx, req.Header(), checkChange(m), &inner.Item{Ask: &inner.Item_Change{Change: m}})
+	response := &v1.ChangeReply{Status: status}
 	if status == nil {
-		out = reply.GetChange()
+		response = reply.GetChange()
 	}
-	call, subject := describe(m)
-	h.record(ctx, req.Header(), req.Peer().Addr, Record{
-		Call: call, Subject: subject, Change: m.GetId(),
-		Code: code.Code(out.GetStatus().GetCode()), Revision: out.GetRevision(),
+	call, subject := describeChange(m)
+	h.recordCall(ctx, req.Header(), req.Peer().Addr, AuditRecord{
+		Call: call, Subject: subject, ChangeID: m.GetId(),
+		Code: code.Code(response.GetStatus().GetCode()), TableRevision: response.GetRevision(),
 	})
-	return connect.NewResponse(out), nil
+	return connect.NewResponse(response), nil
 }
 
-// Show forwards a read.
+// Show forwards a request to read a part of the cell's state.
 func (h *Handler) Show(ctx context.Context, req *connect.Request[v1.ShowRequest]) (*connect.Response[v1.ShowReply], error) {
-	ask := &v1.ShowRequest{Part: req.Msg.GetPart(), After: req.Msg.GetAfter(), Limit: req.Msg.GetLimit()}
-	if ask.Limit == 0 || ask.Limit > MaxShow {
-		ask.Limit = MaxShow
+	forwarded := &v1.ShowRequest{Part: req.Msg.GetPart(), After: req.Msg.GetAfter(), Limit: req.Msg.GetLimit()}
+	if forwarded.Limit == 0 || forwarded.Limit > MaxShownRows {
+		forwarded.Limit = MaxShownRows
 	}
-	reply, status := h.exchange(ctx, req.Header(), checkShow(ask), &inner.Item{Ask: &inner.Item_Show{Show: ask}})
+	reply, status := h.forward(ctx, req.Header(), checkShow(forwarded), &inner.Item{Ask: &inner.Item_Show{Show: forwarded}})
 	if status != nil {
 		return connect.NewResponse(&v1.ShowReply{Status: status}), nil
 	}
 	return connect.NewResponse(reply.GetShow()), nil
 }
 
-// Dump gives the state of this process or of one in the control group. The
-// entry holds no keys, so the leader judges the key by a small read first.
+// Dump returns the state of this process or of a process of the control group.
+// The entry stores no keys, so it first has the leader check the operator's key
+// with a small Show request.
 func (h *Handler) Dump(ctx context.Context, req *connect.Request[v1.DumpRequest]) (*connect.Response[v1.DumpReply], error) {
 	probe := &inner.Item{Ask: &inner.Item_Show{Show: &v1.ShowRequest{Part: v1.Part_PART_MEMBERS, Limit: 1}}}
-	reply, status := h.exchange(ctx, req.Header(), nil, probe)
+	reply, status := h.forward(ctx, req.Header(), nil, probe)
 	if status == nil && reply.GetShow().GetStatus().GetCode() != 0 {
 		status = reply.GetShow().GetStatus()
 	}
-	out := &v1.DumpReply{Status: status}
+	response := &v1.DumpReply{Status: status}
 	if status == nil {
-		out = h.dump(ctx, req.Msg.GetProcess())
+		response = h.dumpProcess(ctx, req.Msg.GetProcess())
 	}
-	h.record(ctx, req.Header(), req.Peer().Addr, Record{Call: "dump", Subject: req.Msg.GetProcess(), Code: code.Code(out.GetStatus().GetCode())})
-	return connect.NewResponse(out), nil
+	h.recordCall(ctx, req.Header(), req.Peer().Addr, AuditRecord{Call: "dump", Subject: req.Msg.GetProcess(), Code: code.Code(response.GetStatus().GetCode())})
+	return connect.NewResponse(response), nil
 }
 
-func (h *Handler) dump(ctx context.Context, process string) *v1.DumpReply {
-	if process != "" && process != h.Name {
+// dumpProcess returns the state dump of the process named, or of this one.
+func (h *Handler) dumpProcess(ctx context.Context, process string) *v1.DumpReply {
+	if process != "" && process != h.EntryName {
 		reply, err := h.Leader.Dump(ctx, process)
 		if err != nil {
 			return &v1.DumpReply{Status: control.StatusFromError(err)}
@@ -129,32 +135,35 @@
 	if h.State != nil {
 		state = h.State()
 	}
-	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Render(state, MaxDump)}
+	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Render(state, MaxDumpSize)}
 }
 
-func (h *Handler) exchange(ctx context.Context, header http.Header, fault error, item *inner.Item) (*inner.Reply, *v1.Status) {
-	cred, err := control.CredentialFromHeader(header)
+// forward applies the rate limit and sends the item with the operator's key to the
+// leader, unless validation of the request failed.
+func (h *Handler) forward(ctx context.Context, header http.Header, validationErr error, item *inner.Item) (*inner.Reply, *v1.Status) {
+	credential, err := control.CredentialFromHeader(header)
 	if err != nil {
 		return nil, control.StatusFromError(err)
 	}
-	if !h.Limits.Allow(cred.GetId()) {
-		return nil, control.NewStatus(code.LeaderTimeout, "too many calls with key %q; nothing was done", cred.GetId())
+	if !h.RateLimits.Allow(credential.GetId()) {
+		return nil, control.NewStatus(code.LeaderTimeout, "rate limit exceeded for key %q, the call was not forwarded", credential.GetId())
 	}
-	if fault != nil {
-		return nil, control.StatusFromError(fault)
+	if validationErr != nil {
+		return nil, control.StatusFromError(validationErr)
 	}
-	item.Credential = cred
-	reply, status := control.Exchange(ctx, h.Leader, item, MaxAsk)
+	item.Credential = credential
+	reply, status := control.Exchange(ctx, h.Leader, item, RequestTimeout)
 	return reply, control.StatusForNonSubmit(status)
 }
 
-func (h *Handler) record(ctx context.Context, header http.Header, peer string, r Record) {
-	if h.Audit == nil {
+// recordCall adds the key id and the client's address to the record and passes it to the auditor.
+func (h *Handler) recordCall(ctx context.Context, header http.Header, peer string, r AuditRecord) {
+	if h.Auditor == nil {
 		return
 	}
-	if cred, err := control.CredentialFromHeader(header); err == nil {
-		r.Key = cred.GetId()
+	if credential, err := control.CredentialFromHeader(header); err == nil {
+		r.KeyID = credential.GetId()
 	}
-	r.Peer = peer
-	h.Audit.Audit(ctx, r)
+	r.PeerAddress = peer
+	h.Auditor.RecordCall(ctx, r)
 }
