--- a/internal/api/v1/backend.connect.go
+++ b/internal/api/v1/backend.connect.go
@@ -42,11 +42,12 @@
 
 // BackendClient is a client for the gypsumreel.v1.Backend service.
 type BackendClient interface {
-	// Announce opens a session: a fresh incarnation of the backend server.
+	// Announce opens a session, which is a new incarnation of the backend server.
 	Announce(context.Context, *connect.Request[AnnounceRequest]) (*connect.Response[AnnounceReply], error)
-	// Sync is a bounded long poll: cumulative state up, orders and lease down.
+	// Sync is a bounded long poll. The request reports all attempts on the server, the
+	// reply brings orders and a lease.
 	Sync(context.Context, *connect.Request[SyncRequest]) (*connect.Response[SyncReply], error)
-	// Leave marks the backend server as leaving: it gets no new work.
+	// Leave drains the backend server. It gets no new work.
 	Leave(context.Context, *connect.Request[LeaveRequest]) (*connect.Response[LeaveReply], error)
 }
 
@@ -106,11 +107,12 @@
 
 // BackendHandler is an implementation of the gypsumreel.v1.Backend service.
 type BackendHandler interface {
-	// Announce opens a session: a fresh incarnation of the backend server.
+	// Announce opens a session, which is a new incarnation of the backend server.
 	Announce(context.Context, *connect.Request[AnnounceRequest]) (*connect.Response[AnnounceReply], error)
-	// Sync is a bounded long poll: cumulative state up, orders and lease down.
+	// Sync is a bounded long poll. The request reports all attempts on the server, the
+	// reply brings orders and a lease.
 	Sync(context.Context, *connect.Request[SyncRequest]) (*connect.Response[SyncReply], error)
-	// Leave marks the backend server as leaving: it gets no new work.
+	// Leave drains the backend server. It gets no new work.
 	Leave(context.Context, *connect.Request[LeaveRequest]) (*connect.Response[LeaveReply], error)
 }
 
--- a/internal/api/v1/caller.connect.go
+++ b/internal/api/v1/caller.connect.go
@@ -46,15 +46,16 @@
 
 // CallerClient is a client for the gypsumreel.v1.Caller service.
 type CallerClient interface {
-	// Submit accepts jobs. The same id again gives the same outcome.
+	// Submit accepts jobs. It is idempotent: a job with an id that was accepted before
+	// gives the outcome of the earlier job.
 	Submit(context.Context, *connect.Request[SubmitRequest]) (*connect.Response[SubmitReply], error)
-	// Wait is a bounded long poll for a job's outcome and one chunk of its answer.
+	// Wait is a bounded long poll for the outcome of a job and one chunk of its answer.
 	Wait(context.Context, *connect.Request[WaitRequest]) (*connect.Response[WaitReply], error)
-	// Cancel ends jobs by id or by label.
+	// Cancel cancels jobs by id or by label.
 	Cancel(context.Context, *connect.Request[CancelRequest]) (*connect.Response[CancelReply], error)
-	// List tells the state of the team's jobs without their answers.
+	// List returns the states of the team's jobs without their answers.
 	List(context.Context, *connect.Request[ListRequest]) (*connect.Response[ListReply], error)
-	// Acknowledge lets the cell forget the outcomes named.
+	// Acknowledge allows the cell to delete the outcomes of the named jobs.
 	Acknowledge(context.Context, *connect.Request[AcknowledgeRequest]) (*connect.Response[AcknowledgeReply], error)
 }
 
@@ -138,15 +139,16 @@
 
 // CallerHandler is an implementation of the gypsumreel.v1.Caller service.
 type CallerHandler interface {
-	// Submit accepts jobs. The same id again gives the same outcome.
+	// Submit accepts jobs. It is idempotent: a job with an id that was accepted before
+	// gives the outcome of the earlier job.
 	Submit(context.Context, *connect.Request[SubmitRequest]) (*connect.Response[SubmitReply], error)
-	// Wait is a bounded long poll for a job's outcome and one chunk of its answer.
+	// Wait is a bounded long poll for the outcome of a job and one chunk of its answer.
 	Wait(context.Context, *connect.Request[WaitRequest]) (*connect.Response[WaitReply], error)
-	// Cancel ends jobs by id or by label.
+	// Cancel cancels jobs by id or by label.
 	Cancel(context.Context, *connect.Request[CancelRequest]) (*connect.Response[CancelReply], error)
-	// List tells the state of the team's jobs without their answers.
+	// List returns the states of the team's jobs without their answers.
 	List(context.Context, *connect.Request[ListRequest]) (*connect.Response[ListReply], error)
-	// Acknowledge lets the cell forget the outcomes named.
+	// Acknowledge allows the cell to delete the outcomes of the named jobs.
 	Acknowledge(context.Context, *connect.Request[AcknowledgeRequest]) (*connect.Response[AcknowledgeReply], error)
 }
 
--- a/internal/api/v1/operator.connect.go
+++ b/internal/api/v1/operator.connect.go
@@ -42,11 +42,12 @@
 
 // OperatorClient is a client for the gypsumreel.v1.Operator service.
 type OperatorClient interface {
-	// Change makes one change. The same change id again gives the first answer.
+	// Change makes one change. It is idempotent: a change id that was used before gives
+	// the reply to the first request.
 	Change(context.Context, *connect.Request[ChangeRequest]) (*connect.Response[ChangeReply], error)
-	// Show reads a part of the state.
+	// Show returns a part of the cell's state.
 	Show(context.Context, *connect.Request[ShowRequest]) (*connect.Response[ShowReply], error)
-	// Dump gives the state of one process for a person to read.
+	// Dump returns the state of one process in a readable form.
 	Dump(context.Context, *connect.Request[DumpRequest]) (*connect.Response[DumpReply], error)
 }
 
@@ -106,11 +107,12 @@
 
 // OperatorHandler is an implementation of the gypsumreel.v1.Operator service.
 type OperatorHandler interface {
-	// Change makes one change. The same change id again gives the first answer.
+	// Change makes one change. It is idempotent: a change id that was used before gives
+	// the reply to the first request.
 	Change(context.Context, *connect.Request[ChangeRequest]) (*connect.Response[ChangeReply], error)
-	// Show reads a part of the state.
+	// Show returns a part of the cell's state.
 	Show(context.Context, *connect.Request[ShowRequest]) (*connect.Response[ShowReply], error)
-	// Dump gives the state of one process for a person to read.
+	// Dump returns the state of one process in a readable form.
 	Dump(context.Context, *connect.Request[DumpRequest]) (*connect.Response[DumpReply], error)
 }
 
