--- a/internal/cli/control/control.go
+++ b/internal/cli/control/control.go
@@ -20,8 +20,8 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// rootKey is the id of the first operator's key.
-const rootKey = "operator"
+// firstOperatorKeyID is the id of the first operator's key.
+const firstOperatorKeyID = "operator"
 
 // New returns the verb.
 func New() verb.Verb {
@@ -43,37 +43,37 @@
 	if err != nil {
 		return err
 	}
-	n, err := build(s)
+	n, err := newNode(s)
 	if err != nil {
 		event.LogError(event.New(env.Err, s.LogLevel), event.ListenFailed, err)
 		return err
 	}
-	n.Init, n.Log, n.Abort = c.Init, event.New(env.Err, s.LogLevel), verb.Again(ctx)
-	sides, err := verb.NewSides(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, n.Log)
+	n.Init, n.Log, n.Abort = c.Init, event.New(env.Err, s.LogLevel), verb.SecondSignal(ctx)
+	daemonTLS, err := verb.NewDaemonTLS(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, n.Log)
 	if err != nil {
 		return err
 	}
-	n.Server, n.Client, n.Outside = sides.Inside.Server(), sides.Inside.Client(sides.Replicas...), sides.Outside.Server()
-	n.Peers = sides.Inside.Client(sides.Replicas...)
+	n.Server, n.Client, n.Outside = daemonTLS.Inside.ServerConfig(), daemonTLS.Inside.ClientConfig(daemonTLS.ReplicaNames...), daemonTLS.Outside.ServerConfig()
+	n.Peers = daemonTLS.Inside.ClientConfig(daemonTLS.ReplicaNames...)
 	event.Log(n.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
 	defer event.Log(n.Log, event.Stopped, "process", s.Name)
-	signal := &dump.SignalHandler{Dir: s.DataDir, Name: s.Name, State: n.State, MaxBytes: int(s.Limits.DumpBytes), Log: n.Log}
-	go func() { _ = signal.Run(ctx) }()
+	dumpHandler := &dump.SignalHandler{Dir: s.DataDir, Name: s.Name, State: n.State, MaxBytes: int(s.Limits.DumpBytes), Log: n.Log}
+	go func() { _ = dumpHandler.Run(ctx) }()
 	return n.Run(ctx)
 }
 
-// build makes the daemon from its settings.
-func build(s *settings.Settings) (*node.Node, error) {
-	l, err := net.Listen("tcp", s.Listen.Control)
+// newNode makes the daemon from its settings.
+func newNode(s *settings.Settings) (*node.Node, error) {
+	controlListener, err := net.Listen("tcp", s.Listen.Control)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen.control")
 	}
-	probes, err := net.Listen("tcp", s.Listen.Platform)
+	platformListener, err := net.Listen("tcp", s.Listen.Platform)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen.platform")
 	}
 	n := &node.Node{
-		Cell: s.Cell, Name: s.Name, Data: s.DataDir, Listener: l, Platform: probes,
+		Cell: s.Cell, Name: s.Name, Data: s.DataDir, Listener: controlListener, Platform: platformListener,
 		Heartbeat: s.Time.HeartbeatInterval, Election: s.Time.ElectionTimeout, Patience: s.Time.MaxElectionTimeout, Control: leader.New(),
 		MaxDump: int(s.Limits.DumpBytes), Room: bounds.DiskReserve(s.Limits.DiskMiB), Clock: clock.SinceBoot,
 	}
@@ -94,7 +94,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "operator")
 		}
-		n.Root = &v1.KeyGrant{Id: rootKey, Operator: true, Digest: digest}
+		n.Root = &v1.KeyGrant{Id: firstOperatorKeyID, Operator: true, Digest: digest}
 	}
 	return n, nil
 }
--- a/internal/cli/demo/demo.go
+++ b/internal/cli/demo/demo.go
@@ -24,7 +24,7 @@
 }
 
 type command struct {
-	verb.Output
+	verb.OutputFlag
 }
 
 // Run runs the demo in a temporary folder.
@@ -34,38 +34,38 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	t := &scenario.Scenario{Dir: dir, Log: logr.Discard(), Step: progress(env.Err)}
-	report, err := t.Run(ctx)
+	demo := &scenario.Scenario{Dir: dir, Log: logr.Discard(), Step: showProgress(env.Err)}
+	report, err := demo.Run(ctx)
 	if err != nil {
 		return err
 	}
-	if err := c.Print(env.Out, report, grid(report)); err != nil {
+	if err := c.Print(env.Out, report, reportTable(report)); err != nil {
 		return err
 	}
 	if !report.Good() {
-		return &verb.Error{Exit: verb.Failed, Text: fmt.Sprintf("%d promises did not hold", len(report.Broken))}
+		return &verb.Error{ExitCode: verb.ExitFailed, Message: fmt.Sprintf("%d promises did not hold", len(report.Broken))}
 	}
 	return nil
 }
 
-// progress shows the steps: as a bar on a terminal, as lines elsewhere.
-func progress(w io.Writer) func(string, float64) {
+// showProgress shows the steps: as a bar on a terminal, as lines elsewhere.
+func showProgress(w io.Writer) func(string, float64) {
 	f, ok := w.(*os.File)
 	if info, err := f.Stat(); !ok || err != nil || info.Mode()&os.ModeCharDevice == 0 {
-		return func(what string, _ float64) { fmt.Fprintln(w, what) }
+		return func(step string, _ float64) { fmt.Fprintln(w, step) }
 	}
 	bar := progressbar.NewOptions(100, progressbar.OptionSetWriter(w), progressbar.OptionClearOnFinish())
-	return func(what string, part float64) {
-		bar.Describe(what)
-		_ = bar.Set(int(part * 100))
+	return func(step string, fraction float64) {
+		bar.Describe(step)
+		_ = bar.Set(int(fraction * 100))
 	}
 }
 
-func grid(r *scenario.Report) verb.Grid {
-	row := func(what string, format string, args ...any) []string {
-		return []string{what, fmt.Sprintf(format, args...)}
+func reportTable(r *scenario.Report) verb.TextTable {
+	row := func(label string, format string, args ...any) []string {
+		return []string{label, fmt.Sprintf(format, args...)}
 	}
-	g := verb.Grid{Head: []string{"WHAT", "FOUND"}, Rows: [][]string{
+	g := verb.TextTable{Header: []string{"WHAT", "FOUND"}, Rows: [][]string{
 		row("jobs accepted", "%d", r.Accepted),
 		row("done, answers whole", "%d", r.Done),
 		row("refused as not run", "%d", r.Refused),
--- a/internal/cli/entry/entry.go
+++ b/internal/cli/entry/entry.go
@@ -39,28 +39,28 @@
 	if err != nil {
 		return err
 	}
-	e, err := build(s)
+	e, err := newEntry(s)
 	if err != nil {
 		event.LogError(event.New(env.Err, s.LogLevel), event.ListenFailed, err)
 		return err
 	}
-	e.Log, e.Abort = event.New(env.Err, s.LogLevel), verb.Again(ctx)
-	sides, err := verb.NewSides(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, e.Log)
+	e.Log, e.Abort = event.New(env.Err, s.LogLevel), verb.SecondSignal(ctx)
+	daemonTLS, err := verb.NewDaemonTLS(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, e.Log)
 	if err != nil {
 		return err
 	}
-	e.Outside, e.Inside = sides.Outside.Server(), sides.Inside.Client(sides.Replicas...)
+	e.Outside, e.Inside = daemonTLS.Outside.ServerConfig(), daemonTLS.Inside.ClientConfig(daemonTLS.ReplicaNames...)
 	pool := e.Pool()
 	pool.Timeout, pool.Freshness, pool.Batch = s.Time.CallTimeout, s.Time.MaxLeaderSilence, int(s.Limits.BatchItems)
 	event.Log(e.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
 	defer event.Log(e.Log, event.Stopped, "process", s.Name)
-	signal := &dump.SignalHandler{Name: s.Name, State: e.Dump, MaxBytes: int(s.Limits.DumpBytes), Log: e.Log}
-	go func() { _ = signal.Run(ctx) }()
+	dumpHandler := &dump.SignalHandler{Name: s.Name, State: e.Dump, MaxBytes: int(s.Limits.DumpBytes), Log: e.Log}
+	go func() { _ = dumpHandler.Run(ctx) }()
 	return e.Run(ctx)
 }
 
-// build makes the daemon from its settings.
-func build(s *settings.Settings) (*entry.Entry, error) {
+// newEntry makes the daemon from its settings.
+func newEntry(s *settings.Settings) (*entry.Entry, error) {
 	e := &entry.Entry{
 		Cell: s.Cell, Name: s.Name, Drain: s.Time.FinishTimeout,
 		// Zero would stand for the entry's own default.
--- a/internal/cli/explain/cause.go
+++ b/internal/cli/explain/cause.go
@@ -10,168 +10,168 @@
 
 // The causes.
 const (
-	// InTime is no cause: the flow ended within its objective.
-	InTime Cause = "in time"
-	// Refused flows were never accepted.
-	Refused Cause = "refused"
-	// Unknown flows have no acceptance in the logs.
-	Unknown Cause = "not known"
-	// Failed flows have a task that failed as often as it may.
-	Failed Cause = "failed for good"
-	// Cancelled flows were cancelled by their caller.
-	Cancelled Cause = "cancelled"
-	// LeaderChanged flows waited while the lead changed.
-	LeaderChanged Cause = "change of the leader"
-	// Crashing flows were given up: servers crashed under a task again and again.
-	Crashing Cause = "crashed its servers"
-	// RunLost flows had a run that ended with its server, or never started.
-	RunLost Cause = "run lost"
-	// StoodStill flows had a run that was moved since it stood still or crawled.
-	StoodStill Cause = "run stood still"
-	// TaskFailed flows had a run that failed and was made again.
-	TaskFailed Cause = "task failed"
-	// NoPermit flows waited for the adviser.
-	NoPermit Cause = "no permit yet"
-	// NoRoom flows waited for room, or for their customer's limit.
-	NoRoom Cause = "no room"
-	// SlowRun flows were placed in time and ran for longer than was declared.
-	SlowRun Cause = "slow run"
-	// Open flows have no end in the logs, and no other cause.
-	Open Cause = "not ended"
+	// CauseInTime is no cause: the flow ended within its objective.
+	CauseInTime Cause = "in time"
+	// CauseRefused flows were never accepted.
+	CauseRefused Cause = "refused"
+	// CauseUnknown flows have no acceptance in the logs.
+	CauseUnknown Cause = "not known"
+	// CauseFailed flows have a task that failed as often as it may.
+	CauseFailed Cause = "failed for good"
+	// CauseCancelled flows were cancelled by their caller.
+	CauseCancelled Cause = "cancelled"
+	// CauseLeaderChanged flows waited while the lead changed.
+	CauseLeaderChanged Cause = "change of the leader"
+	// CauseServerCrashes flows were given up: servers crashed under a task again and again.
+	CauseServerCrashes Cause = "crashed its servers"
+	// CauseRunLost flows had a run that ended with its server, or never started.
+	CauseRunLost Cause = "run lost"
+	// CauseRunStalled flows had a run that was moved since it stood still or crawled.
+	CauseRunStalled Cause = "run stood still"
+	// CauseTaskFailed flows had a run that failed and was made again.
+	CauseTaskFailed Cause = "task failed"
+	// CauseNoPermit flows waited for the adviser.
+	CauseNoPermit Cause = "no permit yet"
+	// CauseNoCapacity flows waited for room, or for their customer's limit.
+	CauseNoCapacity Cause = "no room"
+	// CauseSlowRun flows were placed in time and ran for longer than was declared.
+	CauseSlowRun Cause = "slow run"
+	// CauseNotEnded flows have no end in the logs, and no other cause.
+	CauseNotEnded Cause = "not ended"
 )
 
-// waitPart is the part of its objective that a wait has to take to count as the cause.
-const waitPart = 0.15
+// minWaitShare is the part of its objective that a wait has to take to count as the cause.
+const minWaitShare = 0.15
 
-// journey is what the logs tell of one flow.
-type journey struct {
+// flowHistory is what the logs tell of one flow.
+type flowHistory struct {
 	queue, customer string
-	// accepted, answered, placed and ended are when it was accepted, when the
+	// acceptedAt, answered, placed and ended are when it was accepted, when the
 	// adviser first answered about it, when its first task was placed and when its
 	// last one ended; zero for never.
-	accepted, answered, placed, ended time.Time
-	// last is when the logs last speak of it.
-	last time.Time
-	// aim is its objective; 0 where the logs do not tell.
-	aim   time.Duration
-	state string
-	// lost, failed and moved count its runs that did not end well.
-	lost, failed, moved int
-	// gaveUp tells that servers crashed under it too often.
-	gaveUp bool
-	// refusal is the code of the last refusal.
-	refusal int
+	acceptedAt, firstAdviceAt, firstPlacedAt, endedAt time.Time
+	// lastSeenAt is when the logs last speak of it.
+	lastSeenAt time.Time
+	// objective is its objective; 0 where the logs do not tell.
+	objective time.Duration
+	state     string
+	// lostRuns, failed and moved count its runs that did not end well.
+	lostRuns, failedRuns, movedRuns int
+	// givenUp tells that servers crashed under it too often.
+	givenUp bool
+	// refusalCode is the code of the last refusal.
+	refusalCode int
 }
 
-// take takes one line about the flow.
-func (j *journey) take(l line) {
-	j.last = l.At
-	switch l.Name {
+// addLine takes one line about the flow.
+func (j *flowHistory) addLine(l logLine) {
+	j.lastSeenAt = l.Time
+	switch l.EventName {
 	case "flow-accepted":
-		if j.accepted.IsZero() {
-			j.accepted = l.At
+		if j.acceptedAt.IsZero() {
+			j.acceptedAt = l.Time
 		}
-		j.queue, j.customer = text(l, "queue"), text(l, "customer")
-		j.aim, _ = time.ParseDuration(text(l, "aim"))
+		j.queue, j.customer = stringField(l, "queue"), stringField(l, "customer")
+		j.objective, _ = time.ParseDuration(stringField(l, "aim"))
 	case "call-answered":
-		if n, ok := l.Facts["code"].(float64); ok && n != 0 && strings.Contains(text(l, "verb"), "SUBMIT") {
-			j.refusal = int(n)
+		if n, ok := l.Fields["code"].(float64); ok && n != 0 && strings.Contains(stringField(l, "verb"), "SUBMIT") {
+			j.refusalCode = int(n)
 		}
 	case "advice-taken":
-		first(&j.answered, l.At)
+		setIfZero(&j.firstAdviceAt, l.Time)
 	case "runs-placed":
-		first(&j.placed, l.At)
+		setIfZero(&j.firstPlacedAt, l.Time)
 	case "run-moved":
-		j.moved++
+		j.movedRuns++
 	case "run-ended":
-		j.end(l)
+		j.addRunEnd(l)
 	case "attempt-lost":
-		j.lost++
+		j.lostRuns++
 	case "flow-given-up":
-		j.gaveUp = true
-		first(&j.ended, l.At)
+		j.givenUp = true
+		setIfZero(&j.endedAt, l.Time)
 		j.state = "FAILED"
 	case "flow-cancelled":
 		j.state = "CANCELLED"
 	}
 }
 
-func (j *journey) end(l line) {
-	switch strings.TrimPrefix(text(l, "how"), "RUN_END_") {
+func (j *flowHistory) addRunEnd(l logLine) {
+	switch strings.TrimPrefix(stringField(l, "how"), "RUN_END_") {
 	case "FAILED":
-		j.failed++
+		j.failedRuns++
 	case "LOST", "LAPSED":
-		j.lost++
+		j.lostRuns++
 	}
-	if state := strings.TrimPrefix(text(l, "state"), "FLOW_STATE_"); j.ended.IsZero() && (state == "DONE" || state == "FAILED") {
-		j.ended, j.state = l.At, state
+	if state := strings.TrimPrefix(stringField(l, "state"), "FLOW_STATE_"); j.endedAt.IsZero() && (state == "DONE" || state == "FAILED") {
+		j.endedAt, j.state = l.Time, state
 	}
 }
 
-// took returns how long the flow took, or has taken when the logs end.
-func (j *journey) took(end time.Time) time.Duration {
-	if !j.ended.IsZero() {
-		end = j.ended
+// duration returns how long the flow took, or has taken when the logs end.
+func (j *flowHistory) duration(logsEnd time.Time) time.Duration {
+	if !j.endedAt.IsZero() {
+		logsEnd = j.endedAt
 	}
-	return end.Sub(j.accepted)
+	return logsEnd.Sub(j.acceptedAt)
 }
 
 // cause tells why the flow was late or not served; changes are when the lead changed.
-func (j *journey) cause(changes []time.Time, end time.Time) Cause {
+func (j *flowHistory) cause(leaderChanges []time.Time, logsEnd time.Time) Cause {
 	switch {
-	case j.accepted.IsZero() && j.ended.IsZero() && j.refusal != 0:
-		return Refused
-	case j.accepted.IsZero():
-		return Unknown
+	case j.acceptedAt.IsZero() && j.endedAt.IsZero() && j.refusalCode != 0:
+		return CauseRefused
+	case j.acceptedAt.IsZero():
+		return CauseUnknown
 	case j.state == "CANCELLED":
-		return Cancelled
-	case j.gaveUp:
-		return Crashing
+		return CauseCancelled
+	case j.givenUp:
+		return CauseServerCrashes
 	case j.state == "FAILED":
-		return Failed
-	case j.state == "DONE" && (j.aim == 0 || j.took(end) <= j.aim):
-		return InTime
+		return CauseFailed
+	case j.state == "DONE" && (j.objective == 0 || j.duration(logsEnd) <= j.objective):
+		return CauseInTime
 	}
-	long := time.Duration(waitPart * float64(j.aim))
+	minWait := time.Duration(minWaitShare * float64(j.objective))
 	switch {
-	case j.across(changes, end):
-		return LeaderChanged
-	case j.lost > 0:
-		return RunLost
-	case j.moved > 0:
-		return StoodStill
-	case j.failed > 0:
-		return TaskFailed
-	case !j.answered.IsZero() && j.answered.Sub(j.accepted) > long:
-		return NoPermit
-	case j.placed.IsZero() || j.placed.Sub(j.accepted) > long:
-		return NoRoom
-	case j.ended.IsZero():
-		return Open
+	case j.leaderChangedMeanwhile(leaderChanges, logsEnd):
+		return CauseLeaderChanged
+	case j.lostRuns > 0:
+		return CauseRunLost
+	case j.movedRuns > 0:
+		return CauseRunStalled
+	case j.failedRuns > 0:
+		return CauseTaskFailed
+	case !j.firstAdviceAt.IsZero() && j.firstAdviceAt.Sub(j.acceptedAt) > minWait:
+		return CauseNoPermit
+	case j.firstPlacedAt.IsZero() || j.firstPlacedAt.Sub(j.acceptedAt) > minWait:
+		return CauseNoCapacity
+	case j.endedAt.IsZero():
+		return CauseNotEnded
 	}
-	return SlowRun
+	return CauseSlowRun
 }
 
-// across tells whether the lead changed while the flow was under way.
-func (j *journey) across(changes []time.Time, end time.Time) bool {
-	if !j.ended.IsZero() {
-		end = j.ended
+// leaderChangedMeanwhile tells whether the lead changed while the flow was under way.
+func (j *flowHistory) leaderChangedMeanwhile(leaderChanges []time.Time, logsEnd time.Time) bool {
+	if !j.endedAt.IsZero() {
+		logsEnd = j.endedAt
 	}
-	for _, at := range changes {
-		if at.After(j.accepted) && at.Before(end) {
+	for _, at := range leaderChanges {
+		if at.After(j.acceptedAt) && at.Before(logsEnd) {
 			return true
 		}
 	}
 	return false
 }
 
-func first(at *time.Time, now time.Time) {
-	if at.IsZero() {
-		*at = now
+func setIfZero(stored *time.Time, value time.Time) {
+	if stored.IsZero() {
+		*stored = value
 	}
 }
 
-func text(l line, key string) string {
-	s, _ := l.Facts[key].(string)
+func stringField(l logLine, key string) string {
+	s, _ := l.Fields[key].(string)
 	return s
 }
--- a/internal/cli/explain/explain.go
+++ b/internal/cli/explain/explain.go
@@ -20,12 +20,12 @@
 
 // Bounds of what is read.
 const (
-	// maxLine bounds one line of a log, in bytes; longer ones are passed over.
-	maxLine = 1 << 20
+	// maxLineBytes bounds one line of a log, in bytes; longer ones are passed over.
+	maxLineBytes = 1 << 20
 	// maxLines bounds the lines that are kept.
 	maxLines = 20_000
-	// progressEvery is how often progress is told, in bytes read.
-	progressEvery = 64 << 20
+	// progressInterval is how often progress is told, in bytes read.
+	progressInterval = 64 << 20
 )
 
 // New returns the verb.
@@ -38,99 +38,99 @@
 }
 
 type command struct {
-	verb.Output
+	verb.OutputFlag
 	Logs []string `long:"logs" value-name:"FILE" required:"true" description:"a log file; may be given several times"`
 }
 
-// line is one line of a log.
-type line struct {
-	At    time.Time      `json:"time"`
-	Where string         `json:"where,omitempty"`
-	Name  string         `json:"name"`
-	Event int            `json:"event"`
-	Facts map[string]any `json:"facts"`
+// logLine is one line of a log.
+type logLine struct {
+	Time        time.Time      `json:"time"`
+	Process     string         `json:"where,omitempty"`
+	EventName   string         `json:"name"`
+	EventNumber int            `json:"event"`
+	Fields      map[string]any `json:"facts"`
 	// Gap is the time since the line before.
 	Gap time.Duration `json:"gap"`
 }
 
-// life is the result.
-type life struct {
-	ID    string `json:"id"`
-	Lines []line `json:"lines"`
-	// Longest is the longest gap, After the event that it follows.
-	Longest time.Duration `json:"longest"`
-	After   string        `json:"after"`
-	Foreign int           `json:"foreign"`
-	Left    int           `json:"left"`
+// timeline is the result.
+type timeline struct {
+	ID    string    `json:"id"`
+	Lines []logLine `json:"lines"`
+	// LongestGap is the longest gap, After the event that it follows.
+	LongestGap     time.Duration `json:"longest"`
+	EventBeforeGap string        `json:"after"`
+	ForeignLines   int           `json:"foreign"`
+	OmittedLines   int           `json:"left"`
 }
 
 // Run prints the life of the one id named.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 1 || len(args) == 1 && args[0] == "" {
-		return verb.Misuse("Run `gypsumreel explain ID --logs FILE`, or without an ID for all of them.", "explain takes one id, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel explain ID --logs FILE`, or without an ID for all of them.", "explain takes one id, got %d", len(args))
 	}
 	if len(args) == 0 {
-		return c.all(ctx, env)
+		return c.summarize(ctx, env)
 	}
-	r := &reader{id: args[0]}
-	s := source{err: env.Err, take: r.take}
-	if err := s.files(ctx, env, c.Logs); err != nil {
+	builder := &timelineBuilder{id: args[0]}
+	scanner := logScanner{progressWriter: env.Err, handle: builder.addLine}
+	if err := scanner.scanFiles(ctx, env, c.Logs); err != nil {
 		return err
 	}
-	r.foreign = s.foreign
-	l := r.life()
-	if len(l.Lines) == 0 {
-		return verb.Misuse("Check the id, and that the logs cover its time.", "no line about %s; %d lines are not of gypsumreel", args[0], r.foreign)
+	builder.foreignLines = scanner.foreignLines
+	timeline := builder.build()
+	if len(timeline.Lines) == 0 {
+		return verb.UsageError("Check the id, and that the logs cover its time.", "no line about %s; %d lines are not of gypsumreel", args[0], builder.foreignLines)
 	}
-	return c.Print(env.Out, l, l.grid())
+	return c.Print(env.Out, timeline, timeline.textTable())
 }
 
-// all prints what became of all flows.
-func (c *command) all(ctx context.Context, env verb.Env) error {
-	n := &census{flows: map[string]*journey{}}
-	s := source{err: env.Err, take: n.take}
-	if err := s.files(ctx, env, c.Logs); err != nil {
+// summarize prints what became of all flows.
+func (c *command) summarize(ctx context.Context, env verb.Env) error {
+	builder := &summaryBuilder{flows: map[string]*flowHistory{}}
+	scanner := logScanner{progressWriter: env.Err, handle: builder.addLine}
+	if err := scanner.scanFiles(ctx, env, c.Logs); err != nil {
 		return err
 	}
-	n.foreign = s.foreign
-	if len(n.flows) == 0 {
-		return verb.Misuse("Check that the logs are those of control replicas and entries.", "no line about a flow; %d lines are not of gypsumreel", n.foreign)
+	builder.foreignLines = scanner.foreignLines
+	if len(builder.flows) == 0 {
+		return verb.UsageError("Check that the logs are those of control replicas and entries.", "no line about a flow; %d lines are not of gypsumreel", builder.foreignLines)
 	}
-	sum := n.summary()
-	return c.Print(env.Out, sum, sum.grid())
+	summary := builder.build()
+	return c.Print(env.Out, summary, summary.textTable())
 }
 
-// reader collects the lines about one id.
-type reader struct {
-	id      string
-	own     []line
-	group   []line
-	foreign int
-	left    int
+// timelineBuilder collects the lines about one id.
+type timelineBuilder struct {
+	id           string
+	flowLines    []logLine
+	leaderLines  []logLine
+	foreignLines int
+	omittedLines int
 }
 
-// source reads logs line by line.
-type source struct {
-	err io.Writer
-	// take takes a line: the object, and what stands before it; false when it is none
+// logScanner reads logs line by line.
+type logScanner struct {
+	progressWriter io.Writer
+	// handle takes a line: the object, and what stands before it; false when it is none
 	// of gypsumreel's.
-	take func(before, object []byte) bool
-	// foreign counts the lines that are not of gypsumreel.
-	foreign int
-	read    int64
-	told    int64
+	handle func(before, object []byte) bool
+	// foreignLines counts the lines that are not of gypsumreel.
+	foreignLines  int
+	bytesRead     int64
+	bytesReported int64
 }
 
-func (r *source) files(ctx context.Context, env verb.Env, names []string) error {
+func (r *logScanner) scanFiles(ctx context.Context, env verb.Env, names []string) error {
 	for _, name := range names {
-		if err := r.file(ctx, env, name); err != nil {
+		if err := r.scanFile(ctx, env, name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *source) file(ctx context.Context, env verb.Env, name string) error {
+func (r *logScanner) scanFile(ctx context.Context, env verb.Env, name string) error {
 	in := env.In
 	if name != "-" {
 		f, err := os.Open(name)
@@ -140,16 +140,16 @@
 		defer func() { _ = f.Close() }()
 		in = f
 	}
-	s := bufio.NewReaderSize(in, maxLine)
+	s := bufio.NewReaderSize(in, maxLineBytes)
 	for ctx.Err() == nil {
 		b, err := s.ReadSlice('\n')
 		for err == bufio.ErrBufferFull {
-			r.foreign++
+			r.foreignLines++
 			_, err = s.ReadSlice('\n')
 			b = nil
 		}
-		r.split(b)
-		r.progress(name, len(b))
+		r.handleLine(b)
+		r.reportProgress(name, len(b))
 		if err == io.EOF {
 			return nil
 		}
@@ -160,109 +160,111 @@
 	return ctx.Err()
 }
 
-// split hands a line on in its two parts.
-func (r *source) split(b []byte) {
+// handleLine hands a line on in its two parts.
+func (r *logScanner) handleLine(b []byte) {
 	b = bytes.TrimSpace(b)
 	if len(b) == 0 {
 		return
 	}
 	start := bytes.IndexByte(b, '{')
-	if start < 0 || !r.take(b[:start], b[start:]) {
-		r.foreign++
+	if start < 0 || !r.handle(b[:start], b[start:]) {
+		r.foreignLines++
 	}
 }
 
-func (r *source) progress(name string, n int) {
-	if r.read += int64(n); r.read-r.told >= progressEvery {
-		r.told = r.read
-		fmt.Fprintf(r.err, "%s: %d MiB read\n", name, r.read>>20)
+func (r *logScanner) reportProgress(name string, n int) {
+	if r.bytesRead += int64(n); r.bytesRead-r.bytesReported >= progressInterval {
+		r.bytesReported = r.bytesRead
+		fmt.Fprintf(r.progressWriter, "%s: %d MiB read\n", name, r.bytesRead>>20)
 	}
 }
 
-// take keeps a line that is about the id, or about who led meanwhile. What
+// addLine keeps a line that is about the id, or about who led meanwhile. What
 // stands before the object, such as a process's name, says where it is from.
-func (r *reader) take(before, object []byte) bool {
-	about := bytes.Contains(before, []byte(r.id)) || bytes.Contains(object, []byte(r.id))
-	if !about && !bytes.Contains(object, []byte(`"leader-`)) && !bytes.Contains(object, []byte(`"quorum-lost"`)) {
+func (r *timelineBuilder) addLine(prefix, object []byte) bool {
+	matchesID := bytes.Contains(prefix, []byte(r.id)) || bytes.Contains(object, []byte(r.id))
+	if !matchesID && !bytes.Contains(object, []byte(`"leader-`)) && !bytes.Contains(object, []byte(`"quorum-lost"`)) {
 		return true
 	}
-	l, ok := parse(object)
+	l, ok := parseLine(object)
 	if !ok {
 		return false
 	}
-	if fields := strings.Fields(string(before)); len(fields) > 0 {
-		l.Where = fields[len(fields)-1]
+	if fields := strings.Fields(string(prefix)); len(fields) > 0 {
+		l.Process = fields[len(fields)-1]
 	}
 	switch {
-	case len(r.own)+len(r.group) >= maxLines:
-		r.left++
-	case about:
-		r.own = append(r.own, l)
+	case len(r.flowLines)+len(r.leaderLines) >= maxLines:
+		r.omittedLines++
+	case matchesID:
+		r.flowLines = append(r.flowLines, l)
 	default:
-		r.group = append(r.group, l)
+		r.leaderLines = append(r.leaderLines, l)
 	}
 	return true
 }
 
-// parse reads one line; false when it is none of ours.
-func parse(b []byte) (line, bool) {
-	var m map[string]any
-	if json.Unmarshal(b, &m) != nil {
-		return line{}, false
+// parseLine reads one line; false when it is none of ours.
+func parseLine(b []byte) (logLine, bool) {
+	var fields map[string]any
+	if json.Unmarshal(b, &fields) != nil {
+		return logLine{}, false
 	}
-	text, _ := m["time"].(string)
-	at, err := time.Parse(time.RFC3339Nano, text)
-	name, ok := m["name"].(string)
-	number, _ := m["event"].(float64)
+	timeText, _ := fields["time"].(string)
+	at, err := time.Parse(time.RFC3339Nano, timeText)
+	name, ok := fields["name"].(string)
+	number, _ := fields["event"].(float64)
 	if err != nil || !ok {
-		return line{}, false
+		return logLine{}, false
 	}
 	for _, k := range []string{"time", "level", "msg", "event", "name"} {
-		delete(m, k)
+		delete(fields, k)
 	}
-	return line{At: at, Name: name, Event: int(number), Facts: m}, true
+	return logLine{Time: at, EventName: name, EventNumber: int(number), Fields: fields}, true
 }
 
-// life puts the lines in order, with those of the control group that fall
+// build puts the lines in order, with those of the control group that fall
 // between the first and the last.
-func (r *reader) life() life {
-	byTime := func(a, b line) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Event, b.Event)) }
-	slices.SortStableFunc(r.own, byTime)
-	out := life{ID: r.id, Lines: r.own, Foreign: r.foreign, Left: r.left}
-	if len(r.own) == 0 {
-		return out
+func (r *timelineBuilder) build() timeline {
+	byTime := func(a, b logLine) int {
+		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.EventNumber, b.EventNumber))
 	}
-	first, last := r.own[0].At, r.own[len(r.own)-1].At
-	for _, l := range r.group {
-		if l.At.After(first) && l.At.Before(last) {
-			out.Lines = append(out.Lines, l)
+	slices.SortStableFunc(r.flowLines, byTime)
+	result := timeline{ID: r.id, Lines: r.flowLines, ForeignLines: r.foreignLines, OmittedLines: r.omittedLines}
+	if len(r.flowLines) == 0 {
+		return result
+	}
+	first, last := r.flowLines[0].Time, r.flowLines[len(r.flowLines)-1].Time
+	for _, l := range r.leaderLines {
+		if l.Time.After(first) && l.Time.Before(last) {
+			result.Lines = append(result.Lines, l)
 		}
 	}
-	slices.SortStableFunc(out.Lines, byTime)
-	for i := 1; i < len(out.Lines); i++ {
-		gap := out.Lines[i].At.Sub(out.Lines[i-1].At)
-		out.Lines[i].Gap = gap
-		if gap > out.Longest {
-			out.Longest, out.After = gap, out.Lines[i-1].Name
+	slices.SortStableFunc(result.Lines, byTime)
+	for i := 1; i < len(result.Lines); i++ {
+		gap := result.Lines[i].Time.Sub(result.Lines[i-1].Time)
+		result.Lines[i].Gap = gap
+		if gap > result.LongestGap {
+			result.LongestGap, result.EventBeforeGap = gap, result.Lines[i-1].EventName
 		}
 	}
-	return out
+	return result
 }
 
-func (l life) grid() verb.Grid {
-	g := verb.Grid{Head: []string{"time", "gap", "where", "event", "facts"}}
-	for _, one := range l.Lines {
+func (l timeline) textTable() verb.TextTable {
+	g := verb.TextTable{Header: []string{"time", "gap", "where", "event", "facts"}}
+	for _, line := range l.Lines {
 		g.Rows = append(g.Rows, []string{
-			one.At.Format("15:04:05.000"), one.Gap.Round(time.Millisecond).String(), one.Where,
-			fmt.Sprintf("%d %s", one.Event, one.Name), facts(one.Facts),
+			line.Time.Format("15:04:05.000"), line.Gap.Round(time.Millisecond).String(), line.Process,
+			fmt.Sprintf("%d %s", line.EventNumber, line.EventName), formatFields(line.Fields),
 		})
 	}
-	g.Rows = append(g.Rows, []string{"", "", "", "", fmt.Sprintf("longest gap %v, after %s; %d lines are not of gypsumreel, %d were left out", l.Longest.Round(time.Millisecond), l.After, l.Foreign, l.Left)})
+	g.Rows = append(g.Rows, []string{"", "", "", "", fmt.Sprintf("longest gap %v, after %s; %d lines are not of gypsumreel, %d were left out", l.LongestGap.Round(time.Millisecond), l.EventBeforeGap, l.ForeignLines, l.OmittedLines)})
 	return g
 }
 
-// facts prints the values of a line, in the order of their names.
-func facts(m map[string]any) string {
+// formatFields prints the values of a line, in the order of their names.
+func formatFields(m map[string]any) string {
 	var out []string
 	for k, v := range m {
 		out = append(out, fmt.Sprintf("%s=%v", k, v))
--- a/internal/cli/explain/summary.go
+++ b/internal/cli/explain/summary.go
@@ -16,228 +16,228 @@
 const (
 	// maxFlows bounds the flows that are kept.
 	maxFlows = 1_000_000
-	// barWidth is the length of the longest bar of the chart.
-	barWidth = 50
-	// worstCustomers bounds the customers that are shown.
-	worstCustomers = 10
+	// maxBarWidth is the length of the longest bar of the chart.
+	maxBarWidth = 50
+	// maxCustomers bounds the customers that are shown.
+	maxCustomers = 10
 )
 
-// row counts the flows of one queue and cause; late is the median of how much longer
+// causeRow counts the flows of one queue and cause; late is the median of how much longer
 // than their objective they took, in seconds.
-type row struct {
-	Queue string  `json:"queue"`
-	Cause Cause   `json:"cause"`
-	Flows int     `json:"flows"`
-	Ended int     `json:"ended"`
-	Late  float64 `json:"late"`
+type causeRow struct {
+	Queue             string  `json:"queue"`
+	Cause             Cause   `json:"cause"`
+	Flows             int     `json:"flows"`
+	Ended             int     `json:"ended"`
+	MedianLateSeconds float64 `json:"late"`
 }
 
-// share is how one customer fared; cause is what most of its other flows met.
-type share struct {
-	Customer string  `json:"customer"`
-	Flows    int     `json:"flows"`
-	InTime   float64 `json:"intime"`
-	Cause    Cause   `json:"cause"`
+// customerRow is how one customer fared; cause is what most of its other flows met.
+type customerRow struct {
+	Customer    string  `json:"customer"`
+	Flows       int     `json:"flows"`
+	InTimeShare float64 `json:"intime"`
+	Cause       Cause   `json:"cause"`
 }
 
-// second counts the flows that were accepted in a second, and those not in time.
-type second struct {
-	At      time.Time `json:"at"`
-	Flows   int       `json:"flows"`
-	Missed  int       `json:"missed"`
-	Changes int       `json:"changes"`
+// secondRow counts the flows that were accepted in a second, and those not in time.
+type secondRow struct {
+	Time          time.Time `json:"at"`
+	Flows         int       `json:"flows"`
+	Missed        int       `json:"missed"`
+	LeaderChanges int       `json:"changes"`
 }
 
 // summary is what became of all flows of a log.
 type summary struct {
-	Flows     int      `json:"flows"`
-	Rows      []row    `json:"rows"`
-	Customers []share  `json:"customers"`
-	Seconds   []second `json:"seconds"`
-	Refusals  []string `json:"refusals"`
-	Foreign   int      `json:"foreign"`
-	Left      int      `json:"left"`
+	Flows        int           `json:"flows"`
+	Rows         []causeRow    `json:"rows"`
+	Customers    []customerRow `json:"customers"`
+	Seconds      []secondRow   `json:"seconds"`
+	Refusals     []string      `json:"refusals"`
+	ForeignLines int           `json:"foreign"`
+	OmittedLines int           `json:"left"`
 }
 
-// census collects the journeys of all flows.
-type census struct {
-	flows   map[string]*journey
-	changes []time.Time
-	end     time.Time
-	foreign int
-	left    int
+// summaryBuilder collects the journeys of all flows.
+type summaryBuilder struct {
+	flows         map[string]*flowHistory
+	leaderChanges []time.Time
+	lastLineAt    time.Time
+	foreignLines  int
+	omittedLines  int
 }
 
-// names are the events that tell something of a flow or of the lead.
-var names = [][]byte{
+// summaryEvents are the events that tell something of a flow or of the lead.
+var summaryEvents = [][]byte{
 	[]byte(`"flow-accepted"`), []byte(`"call-answered"`), []byte(`"advice-taken"`), []byte(`"runs-placed"`),
 	[]byte(`"run-moved"`), []byte(`"run-ended"`), []byte(`"flow-cancelled"`), []byte(`"leader-elected"`),
 	[]byte(`"attempt-lost"`), []byte(`"flow-given-up"`),
 }
 
-// take takes one line of a log.
-func (c *census) take(_, object []byte) bool {
-	if !slices.ContainsFunc(names, func(n []byte) bool { return bytes.Contains(object, n) }) {
+// addLine takes one line of a log.
+func (c *summaryBuilder) addLine(_, object []byte) bool {
+	if !slices.ContainsFunc(summaryEvents, func(n []byte) bool { return bytes.Contains(object, n) }) {
 		return true
 	}
-	l, ok := parse(object)
+	l, ok := parseLine(object)
 	if !ok {
 		return false
 	}
-	if l.At.After(c.end) {
-		c.end = l.At
+	if l.Time.After(c.lastLineAt) {
+		c.lastLineAt = l.Time
 	}
-	if l.Name == "leader-elected" {
-		c.changes = append(c.changes, l.At)
+	if l.EventName == "leader-elected" {
+		c.leaderChanges = append(c.leaderChanges, l.Time)
 		return true
 	}
-	id := text(l, "flow")
-	j := c.flows[id]
+	id := stringField(l, "flow")
+	history := c.flows[id]
 	switch {
 	case id == "":
 		return true
-	case j == nil && len(c.flows) >= maxFlows:
-		c.left++
+	case history == nil && len(c.flows) >= maxFlows:
+		c.omittedLines++
 		return true
-	case j == nil:
-		if l.Name == "call-answered" && !strings.Contains(text(l, "verb"), "SUBMIT") {
+	case history == nil:
+		if l.EventName == "call-answered" && !strings.Contains(stringField(l, "verb"), "SUBMIT") {
 			return true
 		}
-		j = &journey{}
-		c.flows[id] = j
+		history = &flowHistory{}
+		c.flows[id] = history
 	}
-	j.take(l)
+	history.addLine(l)
 	return true
 }
 
-// summary counts what was collected.
-func (c *census) summary() summary {
-	out := summary{Flows: len(c.flows), Foreign: c.foreign, Left: c.left}
+// build counts what was collected.
+func (c *summaryBuilder) build() summary {
+	result := summary{Flows: len(c.flows), ForeignLines: c.foreignLines, OmittedLines: c.omittedLines}
 	type key struct {
 		queue string
 		cause Cause
 	}
-	rows, late := map[key]*row{}, map[key][]float64{}
-	customers, missed := map[string]*share{}, map[string]map[Cause]int{}
-	seconds, refusals := map[int64]*second{}, map[int]int{}
+	rows, lateSeconds := map[key]*causeRow{}, map[key][]float64{}
+	customers, missedByCustomer := map[string]*customerRow{}, map[string]map[Cause]int{}
+	seconds, refusals := map[int64]*secondRow{}, map[int]int{}
 	for _, j := range c.flows {
-		cause := j.cause(c.changes, c.end)
-		if cause == Refused {
-			refusals[j.refusal]++
+		cause := j.cause(c.leaderChanges, c.lastLineAt)
+		if cause == CauseRefused {
+			refusals[j.refusalCode]++
 		}
 		k := key{j.queue, cause}
 		r := rows[k]
 		if r == nil {
-			r = &row{Queue: j.queue, Cause: cause}
+			r = &causeRow{Queue: j.queue, Cause: cause}
 			rows[k] = r
 		}
 		r.Flows++
-		if !j.ended.IsZero() && !j.accepted.IsZero() {
+		if !j.endedAt.IsZero() && !j.acceptedAt.IsZero() {
 			r.Ended++
-			late[k] = append(late[k], (j.took(c.end) - j.aim).Seconds())
+			lateSeconds[k] = append(lateSeconds[k], (j.duration(c.lastLineAt) - j.objective).Seconds())
 		}
-		if j.accepted.IsZero() || cause == Cancelled {
+		if j.acceptedAt.IsZero() || cause == CauseCancelled {
 			continue
 		}
-		count(seconds, customers, missed, j, cause)
+		countAcceptedFlow(seconds, customers, missedByCustomer, j, cause)
 	}
-	for _, at := range c.changes {
+	for _, at := range c.leaderChanges {
 		if s := seconds[at.Unix()]; s != nil {
-			s.Changes++
+			s.LeaderChanges++
 		}
 	}
 	for k, r := range rows {
-		r.Late = median(late[k])
-		out.Rows = append(out.Rows, *r)
+		r.MedianLateSeconds = median(lateSeconds[k])
+		result.Rows = append(result.Rows, *r)
 	}
-	slices.SortFunc(out.Rows, func(a, b row) int {
+	slices.SortFunc(result.Rows, func(a, b causeRow) int {
 		return cmp.Or(cmp.Compare(a.Queue, b.Queue), cmp.Compare(b.Flows, a.Flows), cmp.Compare(a.Cause, b.Cause))
 	})
 	for name, s := range customers {
-		s.InTime /= float64(s.Flows)
-		s.Cause = most(missed[name])
-		out.Customers = append(out.Customers, *s)
+		s.InTimeShare /= float64(s.Flows)
+		s.Cause = mostFrequentCause(missedByCustomer[name])
+		result.Customers = append(result.Customers, *s)
 	}
-	slices.SortFunc(out.Customers, func(a, b share) int {
-		return cmp.Or(cmp.Compare(a.InTime, b.InTime), cmp.Compare(a.Customer, b.Customer))
+	slices.SortFunc(result.Customers, func(a, b customerRow) int {
+		return cmp.Or(cmp.Compare(a.InTimeShare, b.InTimeShare), cmp.Compare(a.Customer, b.Customer))
 	})
-	out.Customers = out.Customers[:min(len(out.Customers), worstCustomers)]
+	result.Customers = result.Customers[:min(len(result.Customers), maxCustomers)]
 	for _, at := range slices.Sorted(maps.Keys(seconds)) {
-		out.Seconds = append(out.Seconds, *seconds[at])
+		result.Seconds = append(result.Seconds, *seconds[at])
 	}
 	for _, code := range slices.Sorted(maps.Keys(refusals)) {
-		out.Refusals = append(out.Refusals, fmt.Sprintf("%d with code %d", refusals[code], code))
+		result.Refusals = append(result.Refusals, fmt.Sprintf("%d with code %d", refusals[code], code))
 	}
-	return out
+	return result
 }
 
-// count adds an accepted flow to its second and its customer.
-func count(seconds map[int64]*second, customers map[string]*share, missed map[string]map[Cause]int, j *journey, cause Cause) {
-	at := j.accepted.Unix()
+// countAcceptedFlow adds an accepted flow to its second and its customer.
+func countAcceptedFlow(seconds map[int64]*secondRow, customers map[string]*customerRow, missedByCustomer map[string]map[Cause]int, j *flowHistory, cause Cause) {
+	at := j.acceptedAt.Unix()
 	if seconds[at] == nil {
-		seconds[at] = &second{At: time.Unix(at, 0).UTC()}
+		seconds[at] = &secondRow{Time: time.Unix(at, 0).UTC()}
 	}
 	if customers[j.customer] == nil {
-		customers[j.customer], missed[j.customer] = &share{Customer: j.customer}, map[Cause]int{}
+		customers[j.customer], missedByCustomer[j.customer] = &customerRow{Customer: j.customer}, map[Cause]int{}
 	}
 	seconds[at].Flows++
 	customers[j.customer].Flows++
-	if cause == InTime {
-		customers[j.customer].InTime++
+	if cause == CauseInTime {
+		customers[j.customer].InTimeShare++
 		return
 	}
 	seconds[at].Missed++
-	missed[j.customer][cause]++
+	missedByCustomer[j.customer][cause]++
 }
 
-// most returns the cause that comes most often; InTime when there is none.
-func most(of map[Cause]int) Cause {
-	out := InTime
-	for _, c := range slices.Sorted(maps.Keys(of)) {
-		if of[c] > of[out] {
+// mostFrequentCause returns the cause that comes most often; InTime when there is none.
+func mostFrequentCause(counts map[Cause]int) Cause {
+	out := CauseInTime
+	for _, c := range slices.Sorted(maps.Keys(counts)) {
+		if counts[c] > counts[out] {
 			out = c
 		}
 	}
 	return out
 }
 
-func median(of []float64) float64 {
-	if len(of) == 0 {
+func median(values []float64) float64 {
+	if len(values) == 0 {
 		return 0
 	}
-	slices.Sort(of)
-	return of[len(of)/2]
+	slices.Sort(values)
+	return values[len(values)/2]
 }
 
-// grid is the summary as a person reads it: causes, the worst-served customers, and
+// textTable is the summary as a person reads it: causes, the worst-served customers, and
 // a chart of the flows that were accepted in each second, of which # were not in time.
-func (s summary) grid() verb.Grid {
-	g := verb.Grid{Head: []string{"queue", "cause", "flows", "ended", "late by, median"}}
+func (s summary) textTable() verb.TextTable {
+	g := verb.TextTable{Header: []string{"queue", "cause", "flows", "ended", "late by, median"}}
 	for _, r := range s.Rows {
 		late := ""
-		if r.Ended > 0 && r.Cause != InTime {
-			late = fmt.Sprintf("%.2f s", r.Late)
+		if r.Ended > 0 && r.Cause != CauseInTime {
+			late = fmt.Sprintf("%.2f s", r.MedianLateSeconds)
 		}
 		g.Rows = append(g.Rows, []string{r.Queue, string(r.Cause), fmt.Sprint(r.Flows), fmt.Sprint(r.Ended), late})
 	}
 	g.Rows = append(g.Rows, nil, []string{"customer", "most often", "flows", "in time", ""})
 	for _, c := range s.Customers {
-		g.Rows = append(g.Rows, []string{c.Customer, string(c.Cause), fmt.Sprint(c.Flows), fmt.Sprintf("%.3f", c.InTime), ""})
+		g.Rows = append(g.Rows, []string{c.Customer, string(c.Cause), fmt.Sprint(c.Flows), fmt.Sprintf("%.3f", c.InTimeShare), ""})
 	}
 	g.Rows = append(g.Rows, nil, []string{"second", "accepted, # not in time", "flows", "missed", "leaders elected"})
 	largest := 1
-	for _, one := range s.Seconds {
-		largest = max(largest, one.Flows)
+	for _, second := range s.Seconds {
+		largest = max(largest, second.Flows)
 	}
-	for _, one := range s.Seconds {
+	for _, second := range s.Seconds {
 		changes := ""
-		if one.Changes > 0 {
-			changes = fmt.Sprint(one.Changes)
+		if second.LeaderChanges > 0 {
+			changes = fmt.Sprint(second.LeaderChanges)
 		}
-		bar := strings.Repeat("#", one.Missed*barWidth/largest)
-		bar += strings.Repeat(".", one.Flows*barWidth/largest-len(bar))
-		g.Rows = append(g.Rows, []string{one.At.Format("15:04:05"), bar, fmt.Sprint(one.Flows), fmt.Sprint(one.Missed), changes})
+		bar := strings.Repeat("#", second.Missed*maxBarWidth/largest)
+		bar += strings.Repeat(".", second.Flows*maxBarWidth/largest-len(bar))
+		g.Rows = append(g.Rows, []string{second.Time.Format("15:04:05"), bar, fmt.Sprint(second.Flows), fmt.Sprint(second.Missed), changes})
 	}
-	note := fmt.Sprintf("%d flows; refused: %s; %d lines are not of gypsumreel, %d were left out", s.Flows, strings.Join(s.Refusals, ", "), s.Foreign, s.Left)
-	return verb.Grid{Head: g.Head, Rows: append(g.Rows, nil, []string{note})}
+	note := fmt.Sprintf("%d flows; refused: %s; %d lines are not of gypsumreel, %d were left out", s.Flows, strings.Join(s.Refusals, ", "), s.ForeignLines, s.OmittedLines)
+	return verb.TextTable{Header: g.Header, Rows: append(g.Rows, nil, []string{note})}
 }
--- a/internal/cli/explain/summary_test.go
+++ b/internal/cli/explain/summary_test.go
@@ -11,57 +11,57 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// at returns a line of a log: an event at a time in milliseconds after 15:20.
-func at(ms int, name, facts string) string {
+// logLine returns a line of a log: an event at a time in milliseconds after 15:20.
+func logLine(ms int, name, facts string) string {
 	return fmt.Sprintf(`{"time":"2026-02-27T15:20:%02d.%03dZ","level":"INFO","msg":"m","event":1,"name":%q,%s}`+"\n", ms/1000, ms%1000, name, facts)
 }
 
-// whole is a log with one flow for each cause.
-func whole() string {
+// logWithEveryCause is a log with one flow for each cause.
+func logWithEveryCause() string {
 	b := &strings.Builder{}
-	accept := func(ms int, id string) {
-		b.WriteString(at(ms, "flow-accepted", fmt.Sprintf(`"flow":%q,"queue":"q","customer":"c","aim":"1s"`, id)))
+	acceptFlow := func(ms int, id string) {
+		b.WriteString(logLine(ms, "flow-accepted", fmt.Sprintf(`"flow":%q,"queue":"q","customer":"c","aim":"1s"`, id)))
 	}
-	end := func(ms int, id, how, state string) {
-		b.WriteString(at(ms, "run-ended", fmt.Sprintf(`"flow":%q,"how":"RUN_END_%s","state":"FLOW_STATE_%s"`, id, how, state)))
+	endRun := func(ms int, id, how, state string) {
+		b.WriteString(logLine(ms, "run-ended", fmt.Sprintf(`"flow":%q,"how":"RUN_END_%s","state":"FLOW_STATE_%s"`, id, how, state)))
 	}
-	tell := func(ms int, name, id string) { b.WriteString(at(ms, name, fmt.Sprintf(`"flow":%q`, id))) }
+	addEvent := func(ms int, name, id string) { b.WriteString(logLine(ms, name, fmt.Sprintf(`"flow":%q`, id))) }
 	for _, id := range []string{"good", "lost", "failing", "hopeless", "moved", "unpermitted", "roomless", "slow", "cancelled", "crashing"} {
-		accept(1000, id)
+		acceptFlow(1000, id)
 		if id != "unpermitted" {
-			tell(1010, "advice-taken", id)
+			addEvent(1010, "advice-taken", id)
 		}
 		if id != "unpermitted" && id != "roomless" {
-			tell(1020, "runs-placed", id)
+			addEvent(1020, "runs-placed", id)
 		}
 	}
-	end(1900, "good", "DONE", "DONE")
-	end(1500, "lost", "LOST", "RUNNING")
-	end(2500, "lost", "DONE", "DONE")
-	end(1500, "failing", "FAILED", "RUNNING")
-	end(2500, "failing", "DONE", "DONE")
-	end(1500, "hopeless", "FAILED", "FAILED")
-	tell(1700, "run-moved", "moved")
-	end(2600, "moved", "DONE", "DONE")
-	tell(1800, "advice-taken", "unpermitted")
-	end(2700, "unpermitted", "DONE", "DONE")
-	tell(1800, "runs-placed", "roomless")
-	end(2700, "roomless", "DONE", "DONE")
-	end(2800, "slow", "DONE", "DONE")
-	tell(1100, "flow-cancelled", "cancelled")
-	tell(1500, "attempt-lost", "crashing")
-	tell(1600, "flow-given-up", "crashing")
-	accept(5000, "across")
-	b.WriteString(at(5500, "leader-elected", `"term":2`))
-	end(7000, "across", "DONE", "DONE")
-	b.WriteString(at(5600, "call-answered", `"flow":"turned-away","verb":"FLOW_VERB_SUBMIT","code":701`))
+	endRun(1900, "good", "DONE", "DONE")
+	endRun(1500, "lost", "LOST", "RUNNING")
+	endRun(2500, "lost", "DONE", "DONE")
+	endRun(1500, "failing", "FAILED", "RUNNING")
+	endRun(2500, "failing", "DONE", "DONE")
+	endRun(1500, "hopeless", "FAILED", "FAILED")
+	addEvent(1700, "run-moved", "moved")
+	endRun(2600, "moved", "DONE", "DONE")
+	addEvent(1800, "advice-taken", "unpermitted")
+	endRun(2700, "unpermitted", "DONE", "DONE")
+	addEvent(1800, "runs-placed", "roomless")
+	endRun(2700, "roomless", "DONE", "DONE")
+	endRun(2800, "slow", "DONE", "DONE")
+	addEvent(1100, "flow-cancelled", "cancelled")
+	addEvent(1500, "attempt-lost", "crashing")
+	addEvent(1600, "flow-given-up", "crashing")
+	acceptFlow(5000, "across")
+	b.WriteString(logLine(5500, "leader-elected", `"term":2`))
+	endRun(7000, "across", "DONE", "DONE")
+	b.WriteString(logLine(5600, "call-answered", `"flow":"turned-away","verb":"FLOW_VERB_SUBMIT","code":701`))
 	return b.String()
 }
 
 // Someone on call asks why so much was late: each flow counts once, by its cause.
-func TestCausesOverAWholeLog(t *testing.T) {
+func TestSummaryCountsEachFlowByCause(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "all.log")
-	if err := os.WriteFile(name, []byte(whole()+"not ours\n"), 0o600); err != nil {
+	if err := os.WriteFile(name, []byte(logWithEveryCause()+"not ours\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	exit, out, text := run(t, "", "--json", "--logs", name)
@@ -98,7 +98,7 @@
 }
 
 // The logs named hold nothing about flows: that is said, and no empty table shown.
-func TestSummaryOfForeignLogs(t *testing.T) {
+func TestSummaryFailsWithoutFlowLines(t *testing.T) {
 	if exit, out, _ := run(t, "nothing\n", "--logs", "-"); exit == 0 || out != "" {
 		t.Error(exit, out)
 	}
--- a/internal/cli/flow/flow.go
+++ b/internal/cli/flow/flow.go
@@ -25,35 +25,35 @@
 )
 
 const (
-	// maxFile bounds a flow's file, in bytes.
-	maxFile = 1 << 20
-	// connections bounds those to one replica: one call at a time, and one that was given up.
-	connections = 2
-	// pause is the time between two tries: an election takes a few of them.
-	pause = 100 * time.Millisecond
+	// maxFileBytes bounds a flow's file, in bytes.
+	maxFileBytes = 1 << 20
+	// connectionsPerReplica bounds those to one replica: one call at a time, and one that was given up.
+	connectionsPerReplica = 2
+	// retryDelay is the time between two tries: an election takes a few of them.
+	retryDelay = 100 * time.Millisecond
 )
 
 // New returns the verbs.
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "flow", Short: "check and hand in jobs of several steps, and ask how they stand",
-		Verbs: []verb.Verb{
-			{Name: "check", Short: "check a flow's file", Long: "Reads the flow in FILE (JSON with comments; - for standard input) and tells what is wrong with it. Nothing is sent.", Runner: &check{}},
+		Subverbs: []verb.Verb{
+			{Name: "check", Short: "check a flow's file", Long: "Reads the flow in FILE (JSON with comments; - for standard input) and tells what is wrong with it. Nothing is sent.", Runner: &checkCommand{}},
 			{
 				Name: "submit", Short: "hand in a flow",
 				Long:   "Hands in the flow in FILE (JSON with comments; - for standard input). Its id is part of the file; after a lost answer run the same command again: it remains one flow.",
-				Runner: &submit{},
+				Runner: &submitCommand{},
 			},
-			{Name: "state", Short: "tell how a flow stands", Long: "Tells how the flow ID stands. Exit code 7 while it waits or runs.", Runner: &state{}},
-			{Name: "cancel", Short: "cancel a flow", Long: "Cancels the flow ID: nothing of it starts any more, and what runs is stopped.", Runner: &cancel{}},
-			{Name: "pending", Short: "count a queue's flows of which nothing has started", Runner: &pending{}},
+			{Name: "state", Short: "tell how a flow stands", Long: "Tells how the flow ID stands. Exit code 7 while it waits or runs.", Runner: &stateCommand{}},
+			{Name: "cancel", Short: "cancel a flow", Long: "Cancels the flow ID: nothing of it starts any more, and what runs is stopped.", Runner: &cancelCommand{}},
+			{Name: "pending", Short: "count a queue's flows of which nothing has started", Runner: &pendingCommand{}},
 		},
 	}
 }
 
-// flags say where the control replicas are, who asks, and at which queue.
-type flags struct {
-	verb.Output
+// flowFlags say where the control replicas are, who asks, and at which queue.
+type flowFlags struct {
+	verb.OutputFlag
 	Control string        `long:"control" env:"GYPSUMREEL_CONTROL" required:"true" description:"control replicas, comma-separated: IP:PORT on the network inside the cell"`
 	Cell    string        `long:"cell" env:"GYPSUMREEL_CELL" default:"platform" description:"name of the cell"`
 	Key     string        `long:"key" env:"GYPSUMREEL_KEY" description:"the customer's key; better given by the environment than seen in the process list"`
@@ -62,115 +62,115 @@
 	Timeout time.Duration `long:"timeout" default:"10s" description:"longest wait for an answer, over all tries"`
 }
 
-// answer is what is printed.
-type answer struct {
+// flowResult is what is printed.
+type flowResult struct {
 	ID      string `json:"id,omitempty"`
 	State   string `json:"state,omitempty"`
 	Pending uint32 `json:"pending"`
 }
 
-// ask carries one request to the leader.
-func (f flags) ask(ctx context.Context, v inner.FlowVerb, id string, spec *v1.FlowSpec) (*inner.FlowAnswer, error) {
+// call carries one request to the leader.
+func (f flowFlags) call(ctx context.Context, flowVerb inner.FlowVerb, id string, spec *v1.FlowSpec) (*inner.FlowAnswer, error) {
 	if f.Timeout <= 0 {
-		return nil, verb.Misuse("Give a duration such as 10s.", "--timeout %s is not positive", f.Timeout)
+		return nil, verb.UsageError("Give a duration such as 10s.", "--timeout %s is not positive", f.Timeout)
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.Timeout)
 	defer cancel()
-	a := &inner.FlowAsk{Verb: v, Host: f.Host, Path: strings.TrimSuffix(f.Path, "/") + "/" + id, Spec: spec}
+	request := &inner.FlowAsk{Verb: flowVerb, Host: f.Host, Path: strings.TrimSuffix(f.Path, "/") + "/" + id, Spec: spec}
 	if f.Key != "" {
 		digest := sha256.Sum256([]byte(f.Key))
-		a.Key = digest[:]
+		request.Key = digest[:]
 	}
-	rep := f.find(ctx, a)
-	if c := code.Code(rep.GetCode()); c != code.OK {
-		return nil, verb.Refusal(c, rep.GetDetail())
+	answer := f.callLeader(ctx, request)
+	if resultCode := code.Code(answer.GetCode()); resultCode != code.OK {
+		return nil, verb.CodeError(resultCode, answer.GetDetail())
 	}
-	return rep, nil
+	return answer, nil
 }
 
-// find asks one replica after the other, and whoever each takes for the leader,
+// callLeader asks one replica after the other, and whoever each takes for the leader,
 // until the leader has answered or the time is over. Every request may be made
 // again: flows have ids, and cancelling or asking twice changes nothing.
-func (f flags) find(ctx context.Context, a *inner.FlowAsk) *inner.FlowAnswer {
-	client := wire.Client(connections, nil, files.Processes)
-	known := strings.Split(f.Control, ",")
-	last := &inner.FlowAnswer{Code: uint32(code.LeaderTimeout)}
-	for next := 0; ctx.Err() == nil; next++ {
-		address := known[next%len(known)]
+func (f flowFlags) callLeader(ctx context.Context, request *inner.FlowAsk) *inner.FlowAnswer {
+	client := wire.Client(connectionsPerReplica, nil, files.Processes)
+	addresses := strings.Split(f.Control, ",")
+	lastAnswer := &inner.FlowAnswer{Code: uint32(code.LeaderTimeout)}
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		address := addresses[attempt%len(addresses)]
 		for range 2 {
-			rep, err := inner.NewFlowsProtobufClient("http://"+address, client).Ask(ctx, a)
+			answer, err := inner.NewFlowsProtobufClient("http://"+address, client).Ask(ctx, request)
 			if err != nil {
-				last = &inner.FlowAnswer{Code: uint32(code.LeaderTimeout), Detail: err.Error()}
+				lastAnswer = &inner.FlowAnswer{Code: uint32(code.LeaderTimeout), Detail: err.Error()}
 				break
 			}
-			if code.Code(rep.GetCode()) != code.NoLeader {
-				return rep
+			if code.Code(answer.GetCode()) != code.NoLeader {
+				return answer
 			}
-			if last, address = rep, rep.GetLeader(); address == "" {
+			if lastAnswer, address = answer, answer.GetLeader(); address == "" {
 				break
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(retryDelay):
 		}
 	}
-	return last
+	return lastAnswer
 }
 
-// say prints a flow's state.
-func (f flags) say(env verb.Env, id string, rep *inner.FlowAnswer) error {
-	name := strings.ToLower(strings.TrimPrefix(rep.GetState().String(), "FLOW_STATE_"))
-	return f.Print(env.Out, answer{ID: id, State: name}, verb.Grid{Head: []string{"FLOW", "STATE"}, Rows: [][]string{{id, name}}})
+// printState prints a flow's state.
+func (f flowFlags) printState(env verb.Env, id string, answer *inner.FlowAnswer) error {
+	name := strings.ToLower(strings.TrimPrefix(answer.GetState().String(), "FLOW_STATE_"))
+	return f.Print(env.Out, flowResult{ID: id, State: name}, verb.TextTable{Header: []string{"FLOW", "STATE"}, Rows: [][]string{{id, name}}})
 }
 
-// read reads a flow's file and checks it as the leader would.
-func read(env verb.Env, args []string) (*v1.FlowSpec, error) {
+// readSpec reads a flow's file and checks it as the leader would.
+func readSpec(env verb.Env, args []string) (*v1.FlowSpec, error) {
 	if len(args) != 1 {
-		return nil, verb.Misuse("Name one FILE, or - for standard input.", "%d files", len(args))
+		return nil, verb.UsageError("Name one FILE, or - for standard input.", "%d files", len(args))
 	}
 	in := env.In
 	if args[0] != "-" {
 		file, err := os.Open(args[0])
 		if err != nil {
-			return nil, verb.Misuse("Check the file's name.", "%v", err)
+			return nil, verb.UsageError("Check the file's name.", "%v", err)
 		}
 		defer func() { _ = file.Close() }()
 		in = file
 	}
-	text, err := io.ReadAll(io.LimitReader(in, maxFile+1))
+	text, err := io.ReadAll(io.LimitReader(in, maxFileBytes+1))
 	switch {
 	case err != nil:
-		return nil, verb.Misuse("Check the file.", "%s: %v", args[0], err)
-	case len(text) > maxFile:
-		return nil, verb.Misuse("Give less input.", "%s has more than %d bytes", args[0], maxFile)
+		return nil, verb.UsageError("Check the file.", "%s: %v", args[0], err)
+	case len(text) > maxFileBytes:
+		return nil, verb.UsageError("Give less input.", "%s has more than %d bytes", args[0], maxFileBytes)
 	}
 	plain, err := hujson.Standardize(text)
 	if err != nil {
-		return nil, verb.Misuse("It must be JSON; comments are allowed.", "%s: %v", args[0], err)
+		return nil, verb.UsageError("It must be JSON; comments are allowed.", "%s: %v", args[0], err)
 	}
 	spec := &v1.FlowSpec{}
 	if err := protojson.Unmarshal(plain, spec); err != nil {
-		return nil, verb.Misuse("The fields are those of FlowSpec in proto/v1/flow.proto.", "%s: %v", args[0], err)
+		return nil, verb.UsageError("The fields are those of FlowSpec in proto/v1/flow.proto.", "%s: %v", args[0], err)
 	}
 	if fault := domain.Check(spec); fault != nil {
-		return nil, verb.Misuse("Mend the file; nothing was sent.", "%s: %v", args[0], fault)
+		return nil, verb.UsageError("Mend the file; nothing was sent.", "%s: %v", args[0], fault)
 	}
 	return spec, nil
 }
 
-func one(args []string) (string, error) {
+func parseID(args []string) (string, error) {
 	if len(args) != 1 || args[0] == "" {
-		return "", verb.Misuse("Name one flow ID.", "%d ids", len(args))
+		return "", verb.UsageError("Name one flow ID.", "%d ids", len(args))
 	}
 	return args[0], nil
 }
 
-type check struct{ verb.Output }
+type checkCommand struct{ verb.OutputFlag }
 
 // Run checks a file.
-func (c *check) Run(_ context.Context, env verb.Env, args []string) error {
-	spec, err := read(env, args)
+func (c *checkCommand) Run(_ context.Context, env verb.Env, args []string) error {
+	spec, err := readSpec(env, args)
 	if err != nil {
 		return err
 	}
@@ -184,70 +184,70 @@
 		Tasks uint32 `json:"tasks"`
 	}
 	out := sound{spec.GetId(), len(spec.GetSteps()), tasks}
-	return c.Print(env.Out, out, verb.Grid{Head: []string{"FLOW", "STEPS", "TASKS"}, Rows: [][]string{{out.ID, fmt.Sprint(out.Steps), fmt.Sprint(out.Tasks)}}})
+	return c.Print(env.Out, out, verb.TextTable{Header: []string{"FLOW", "STEPS", "TASKS"}, Rows: [][]string{{out.ID, fmt.Sprint(out.Steps), fmt.Sprint(out.Tasks)}}})
 }
 
-type submit struct{ flags }
+type submitCommand struct{ flowFlags }
 
 // Run hands a flow in.
-func (c *submit) Run(ctx context.Context, env verb.Env, args []string) error {
-	spec, err := read(env, args)
+func (c *submitCommand) Run(ctx context.Context, env verb.Env, args []string) error {
+	spec, err := readSpec(env, args)
 	if err != nil {
 		return err
 	}
-	rep, err := c.ask(ctx, inner.FlowVerb_FLOW_VERB_SUBMIT, spec.GetId(), spec)
+	answer, err := c.call(ctx, inner.FlowVerb_FLOW_VERB_SUBMIT, spec.GetId(), spec)
 	if err != nil {
 		return err
 	}
-	return c.say(env, spec.GetId(), rep)
+	return c.printState(env, spec.GetId(), answer)
 }
 
-type state struct{ flags }
+type stateCommand struct{ flowFlags }
 
 // Run tells how a flow stands.
-func (c *state) Run(ctx context.Context, env verb.Env, args []string) error {
-	id, err := one(args)
+func (c *stateCommand) Run(ctx context.Context, env verb.Env, args []string) error {
+	id, err := parseID(args)
 	if err != nil {
 		return err
 	}
-	rep, err := c.ask(ctx, inner.FlowVerb_FLOW_VERB_STATE, id, nil)
+	answer, err := c.call(ctx, inner.FlowVerb_FLOW_VERB_STATE, id, nil)
 	if err != nil {
 		return err
 	}
-	if err := c.say(env, id, rep); err != nil {
+	if err := c.printState(env, id, answer); err != nil {
 		return err
 	}
-	switch s := rep.GetState(); {
+	switch s := answer.GetState(); {
 	case s < v1.FlowState_FLOW_STATE_DONE:
-		return &verb.Error{Exit: verb.Unfinished}
+		return &verb.Error{ExitCode: verb.ExitUnfinished}
 	case s > v1.FlowState_FLOW_STATE_DONE:
-		return &verb.Error{Exit: verb.Failed}
+		return &verb.Error{ExitCode: verb.ExitFailed}
 	}
 	return nil
 }
 
-type cancel struct{ flags }
+type cancelCommand struct{ flowFlags }
 
 // Run cancels a flow.
-func (c *cancel) Run(ctx context.Context, env verb.Env, args []string) error {
-	id, err := one(args)
+func (c *cancelCommand) Run(ctx context.Context, env verb.Env, args []string) error {
+	id, err := parseID(args)
 	if err != nil {
 		return err
 	}
-	rep, err := c.ask(ctx, inner.FlowVerb_FLOW_VERB_CANCEL, id, nil)
+	answer, err := c.call(ctx, inner.FlowVerb_FLOW_VERB_CANCEL, id, nil)
 	if err != nil {
 		return err
 	}
-	return c.say(env, id, rep)
+	return c.printState(env, id, answer)
 }
 
-type pending struct{ flags }
+type pendingCommand struct{ flowFlags }
 
 // Run counts flows of which nothing has started.
-func (c *pending) Run(ctx context.Context, env verb.Env, _ []string) error {
-	rep, err := c.ask(ctx, inner.FlowVerb_FLOW_VERB_PENDING, "", nil)
+func (c *pendingCommand) Run(ctx context.Context, env verb.Env, _ []string) error {
+	answer, err := c.call(ctx, inner.FlowVerb_FLOW_VERB_PENDING, "", nil)
 	if err != nil {
 		return err
 	}
-	return c.Print(env.Out, answer{Pending: rep.GetPending()}, verb.Grid{Head: []string{"PENDING"}, Rows: [][]string{{fmt.Sprint(rep.GetPending())}}})
+	return c.Print(env.Out, flowResult{Pending: answer.GetPending()}, verb.TextTable{Header: []string{"PENDING"}, Rows: [][]string{{fmt.Sprint(answer.GetPending())}}})
 }
--- a/internal/cli/flow/flow_test.go
+++ b/internal/cli/flow/flow_test.go
@@ -18,7 +18,7 @@
 	"gypsumreel/internal/cli/verb"
 )
 
-const file = `{
+const flowFile = `{
 	// two steps, the second a gang
 	"id": "f1",
 	"steps": [
@@ -27,74 +27,74 @@
 	],
 }`
 
-// replica stands in for a control replica.
-type replica struct {
+// fakeReplica stands in for a control replica.
+type fakeReplica struct {
 	inner.Flows
-	asked  []*inner.FlowAsk
-	answer *inner.FlowAnswer
+	requests []*inner.FlowAsk
+	answer   *inner.FlowAnswer
 }
 
-func (r *replica) Ask(_ context.Context, a *inner.FlowAsk) (*inner.FlowAnswer, error) {
-	r.asked = append(r.asked, a)
+func (r *fakeReplica) Ask(_ context.Context, a *inner.FlowAsk) (*inner.FlowAnswer, error) {
+	r.requests = append(r.requests, a)
 	return r.answer, nil
 }
 
-func serve(t *testing.T, r *replica) string {
-	web := httptest.NewServer(inner.NewFlowsServer(r))
-	t.Cleanup(web.Close)
-	return strings.TrimPrefix(web.URL, "http://")
+func startReplica(t *testing.T, r *fakeReplica) string {
+	server := httptest.NewServer(inner.NewFlowsServer(r))
+	t.Cleanup(server.Close)
+	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func run(stdin string, args ...string) (verb.Exit, string, string) {
+func run(stdin string, args ...string) (verb.ExitCode, string, string) {
 	var out, err bytes.Buffer
 	exit := verb.Run(context.Background(), verb.Env{In: strings.NewReader(stdin), Out: &out, Err: &err}, append([]string{"flow"}, args...), flow.New())
 	return exit, out.String(), err.String()
 }
 
-func at(control string) []string {
+func connectionFlags(control string) []string {
 	return []string{"--control", control, "--host", "h", "--path", "/q/", "--key", "key", "--timeout", "500ms"}
 }
 
 // The first replica named does not lead, and knows who does.
-func TestSubmitFindsTheLeader(t *testing.T) {
-	lead := &replica{answer: &inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_QUEUED}}
-	other := &replica{answer: &inner.FlowAnswer{Code: uint32(code.NoLeader), Leader: serve(t, lead)}}
-	exit, out, errs := run(file, append([]string{"submit", "-"}, at(serve(t, other))...)...)
-	if exit != verb.OK || !strings.Contains(out, "queued") {
+func TestSubmitFollowsRedirectToLeader(t *testing.T) {
+	leader := &fakeReplica{answer: &inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_QUEUED}}
+	follower := &fakeReplica{answer: &inner.FlowAnswer{Code: uint32(code.NoLeader), Leader: startReplica(t, leader)}}
+	exit, out, errs := run(flowFile, append([]string{"submit", "-"}, connectionFlags(startReplica(t, follower))...)...)
+	if exit != verb.ExitOK || !strings.Contains(out, "queued") {
 		t.Fatalf("%d %s %s", exit, out, errs)
 	}
-	a := lead.asked[0]
+	request := leader.requests[0]
 	key := sha256.Sum256([]byte("key"))
-	if a.GetPath() != "/q/f1" || !bytes.Equal(a.GetKey(), key[:]) || len(a.GetSpec().GetSteps()) != 2 || !a.GetSpec().GetSteps()[1].GetGang() {
-		t.Errorf("asked: %v", a)
+	if request.GetPath() != "/q/f1" || !bytes.Equal(request.GetKey(), key[:]) || len(request.GetSpec().GetSteps()) != 2 || !request.GetSpec().GetSteps()[1].GetGang() {
+		t.Errorf("asked: %v", request)
 	}
 }
 
 func TestExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		answer *inner.FlowAnswer
-		want   verb.Exit
+		want   verb.ExitCode
 	}{
-		{&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_RUNNING}, verb.Unfinished},
-		{&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_DONE}, verb.OK},
-		{&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_FAILED}, verb.Failed},
-		{&inner.FlowAnswer{Code: uint32(code.NotFound)}, verb.Failed},
-		{&inner.FlowAnswer{Code: uint32(code.Overloaded)}, verb.NotRun},
-		{&inner.FlowAnswer{Code: uint32(code.NoLeader)}, verb.Unreachable},
+		{&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_RUNNING}, verb.ExitUnfinished},
+		{&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_DONE}, verb.ExitOK},
+		{&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_FAILED}, verb.ExitFailed},
+		{&inner.FlowAnswer{Code: uint32(code.NotFound)}, verb.ExitFailed},
+		{&inner.FlowAnswer{Code: uint32(code.Overloaded)}, verb.ExitNotRun},
+		{&inner.FlowAnswer{Code: uint32(code.NoLeader)}, verb.ExitUnreachable},
 	} {
-		exit, _, _ := run("", append([]string{"state", "f1"}, at(serve(t, &replica{answer: c.answer}))...)...)
+		exit, _, _ := run("", append([]string{"state", "f1"}, connectionFlags(startReplica(t, &fakeReplica{answer: c.answer}))...)...)
 		if diff := cmp.Diff(c.want, exit); diff != "" {
 			t.Errorf("%v: %s", c.answer, diff)
 		}
 	}
-	nobody := httptest.NewServer(http.NotFoundHandler())
-	nobody.Close()
-	if exit, _, _ := run("", append([]string{"cancel", "f1"}, at(strings.TrimPrefix(nobody.URL, "http://"))...)...); exit != verb.Unreachable {
+	closedServer := httptest.NewServer(http.NotFoundHandler())
+	closedServer.Close()
+	if exit, _, _ := run("", append([]string{"cancel", "f1"}, connectionFlags(strings.TrimPrefix(closedServer.URL, "http://"))...)...); exit != verb.ExitUnreachable {
 		t.Errorf("exit code %d where nobody listens", exit)
 	}
 }
 
-func TestBadFiles(t *testing.T) {
+func TestCheckReportsInvalidFiles(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"id": "f1", "steps": [`:                                    "JSON",
 		`{"id": "f1", "stepz": []}`:                                  "stepz",
@@ -103,11 +103,11 @@
 		`{"id": "f1", "steps": [{"count": 1}], "input": "not b64!"}`: "input",
 	} {
 		exit, _, errs := run(text, "check", "-")
-		if exit != verb.Usage || !strings.Contains(errs, want) {
+		if exit != verb.ExitUsage || !strings.Contains(errs, want) {
 			t.Errorf("%s: exit code %d, %s", text, exit, errs)
 		}
 	}
-	if exit, out, errs := run(file, "check", "-", "--json"); exit != verb.OK || !strings.Contains(out, `"tasks": 6`) {
+	if exit, out, errs := run(flowFile, "check", "-", "--json"); exit != verb.ExitOK || !strings.Contains(out, `"tasks": 6`) {
 		t.Errorf("a sound file: %d %s %s", exit, out, errs)
 	}
 }
--- a/internal/cli/key/key.go
+++ b/internal/cli/key/key.go
@@ -16,26 +16,26 @@
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "key", Short: "grant, withdraw and list keys",
-		Verbs: []verb.Verb{
+		Subverbs: []verb.Verb{
 			{
 				Name: "grant", Short: "grant a key to a team or an operator",
 				Long:   "Makes a secret here, sends only its digest, and prints the key ID.SECRET this one time.",
-				Runner: &grant{},
+				Runner: &grantCommand{},
 			},
-			{Name: "withdraw", Short: "withdraw a key", Long: "Withdraws the key with the given ID. It stops working everywhere within seconds.", Runner: &withdraw{}},
-			{Name: "list", Short: "list keys", Long: "Lists all keys. Secrets are not kept and can't be shown.", Runner: &list{}},
+			{Name: "withdraw", Short: "withdraw a key", Long: "Withdraws the key with the given ID. It stops working everywhere within seconds.", Runner: &withdrawCommand{}},
+			{Name: "list", Short: "list keys", Long: "Lists all keys. Secrets are not kept and can't be shown.", Runner: &listCommand{}},
 			{
 				Name: "secret", Short: "make an enrolment secret",
 				Long:   "Makes a secret for backend servers and its digest for the setting enrolment. Needs no cell.",
-				Runner: &secret{},
+				Runner: &secretCommand{},
 			},
 		},
 	}
 }
 
-type grant struct {
+type grantCommand struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	remote.ChangeID
 	Team     string `long:"team" description:"team that the key is for"`
 	Operator bool   `long:"operator" description:"an operator's key, which belongs to no team"`
@@ -43,9 +43,9 @@
 	Secret   string `long:"secret" env:"GYPSUMREEL_SECRET" description:"secret to use instead of a new one, to run a lost grant again"`
 }
 
-// granted is the result with --json.
-type granted struct {
-	remote.Made
+// grantResult is the result with --json.
+type grantResult struct {
+	remote.ChangeResult
 	ID   string `json:"id"`
 	Key  string `json:"key"`
 	Team string `json:"team,omitempty"`
@@ -53,9 +53,9 @@
 
 // Run grants a key. A grant without an answer may have been made, and its secret
 // exists only here, so that the error then carries what is needed to ask again.
-func (c *grant) Run(ctx context.Context, env verb.Env, args []string) error {
+func (c *grantCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 0 || (c.Team == "") != c.Operator {
-		return verb.Misuse("Run `gypsumreel key grant --team TEAM` or `gypsumreel key grant --operator`.", "a key is either for one team or for an operator")
+		return verb.UsageError("Run `gypsumreel key grant --team TEAM` or `gypsumreel key grant --operator`.", "a key is either for one team or for an operator")
 	}
 	if c.ID == "" {
 		c.ID = remote.NewID()
@@ -65,41 +65,41 @@
 	}
 	digest := key.Digest(c.Secret)
 	req := &v1.ChangeRequest{Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: c.ID, Team: c.Team, Digest: digest[:], Operator: c.Operator}}}
-	made, err := c.Make(ctx, c.ChangeID, req, fmt.Sprintf(" --id %s and GYPSUMREEL_SECRET=%s", c.ID, c.Secret))
+	change, err := c.SendChange(ctx, c.ChangeID, req, fmt.Sprintf(" --id %s and GYPSUMREEL_SECRET=%s", c.ID, c.Secret))
 	if err != nil {
 		return err
 	}
-	text := c.ID + "." + c.Secret
-	return c.Print(env.Out, granted{Made: made, ID: c.ID, Key: text, Team: c.Team}, verb.Grid{Rows: [][]string{{text}}})
+	fullKey := c.ID + "." + c.Secret
+	return c.Print(env.Out, grantResult{ChangeResult: change, ID: c.ID, Key: fullKey, Team: c.Team}, verb.TextTable{Rows: [][]string{{fullKey}}})
 }
 
-type withdraw struct {
+type withdrawCommand struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	remote.ChangeID
 }
 
 // Run withdraws the one key named.
-func (c *withdraw) Run(ctx context.Context, env verb.Env, args []string) error {
+func (c *withdrawCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) != 1 {
-		return verb.Misuse("Run `gypsumreel key withdraw ID`; `gypsumreel key list` shows the ids.", "withdraw takes one id, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel key withdraw ID`; `gypsumreel key list` shows the ids.", "withdraw takes one id, got %d", len(args))
 	}
 	req := &v1.ChangeRequest{Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: args[0]}}}
-	made, err := c.Make(ctx, c.ChangeID, req, "")
+	result, err := c.SendChange(ctx, c.ChangeID, req, "")
 	if err != nil {
 		return err
 	}
-	return c.Print(env.Out, made, made.Line("key "+args[0]+" withdrawn"))
+	return c.Print(env.Out, result, result.Describe("key "+args[0]+" withdrawn"))
 }
 
-type list struct {
+type listCommand struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	Team string `long:"team" description:"only the keys of this team"`
 }
 
-// line is one key with --json.
-type line struct {
+// keyLine is one key with --json.
+type keyLine struct {
 	ID       string `json:"id"`
 	Team     string `json:"team,omitempty"`
 	Operator bool   `json:"operator"`
@@ -107,49 +107,49 @@
 }
 
 // Run lists keys.
-func (c *list) Run(ctx context.Context, env verb.Env, _ []string) error {
+func (c *listCommand) Run(ctx context.Context, env verb.Env, _ []string) error {
 	r, err := c.Flags.Show(ctx, v1.Part_PART_KEYS)
 	if err != nil {
 		return err
 	}
-	out, g := []line{}, verb.Grid{Head: []string{"ID", "TEAM", "STATE"}}
+	out, g := []keyLine{}, verb.TextTable{Header: []string{"ID", "TEAM", "STATE"}}
 	for _, k := range r.GetKeys() {
 		if c.Team != "" && k.GetTeam() != c.Team {
 			continue
 		}
-		l := line{ID: k.GetId(), Team: k.GetTeam(), Operator: k.GetOperator(), State: state(k)}
+		l := keyLine{ID: k.GetId(), Team: k.GetTeam(), Operator: k.GetOperator(), State: keyState(k)}
 		out = append(out, l)
-		g.Rows = append(g.Rows, []string{l.ID, owner(k), l.State})
+		g.Rows = append(g.Rows, []string{l.ID, keyOwner(k), l.State})
 	}
 	return c.Print(env.Out, out, g)
 }
 
-func state(k *v1.KeyLine) string {
+func keyState(k *v1.KeyLine) string {
 	if k.GetWithdrawn() {
 		return "withdrawn"
 	}
 	return "valid"
 }
 
-func owner(k *v1.KeyLine) string {
+func keyOwner(k *v1.KeyLine) string {
 	if k.GetOperator() {
 		return "(operator)"
 	}
 	return k.GetTeam()
 }
 
-type secret struct{ verb.Output }
+type secretCommand struct{ verb.OutputFlag }
 
-// made is the result with --json.
-type made struct {
+// secretResult is the result with --json.
+type secretResult struct {
 	Secret string `json:"secret"`
 	Digest string `json:"digest"`
 }
 
 // Run makes a secret.
-func (c *secret) Run(_ context.Context, env verb.Env, _ []string) error {
-	text := key.NewSecret()
-	digest := key.Digest(text)
-	m := made{Secret: text, Digest: hex.EncodeToString(digest[:])}
-	return c.Print(env.Out, m, verb.Grid{Rows: [][]string{{"secret, for backend servers:", m.Secret}, {"digest, for the setting enrolment:", m.Digest}}})
+func (c *secretCommand) Run(_ context.Context, env verb.Env, _ []string) error {
+	secret := key.NewSecret()
+	digest := key.Digest(secret)
+	result := secretResult{Secret: secret, Digest: hex.EncodeToString(digest[:])}
+	return c.Print(env.Out, result, verb.TextTable{Rows: [][]string{{"secret, for backend servers:", result.Secret}, {"digest, for the setting enrolment:", result.Digest}}})
 }
--- a/internal/cli/member/member.go
+++ b/internal/cli/member/member.go
@@ -15,25 +15,25 @@
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "member", Short: "list, add and remove control replicas",
-		Verbs: []verb.Verb{
-			{Name: "list", Short: "list the processes of the cell", Long: "Lists control replicas and entries with their state and the table's revision that they confirmed.", Runner: &list{}},
+		Subverbs: []verb.Verb{
+			{Name: "list", Short: "list the processes of the cell", Long: "Lists control replicas and entries with their state and the table's revision that they confirmed.", Runner: &listCommand{}},
 			{
 				Name: "add", Short: "add a control replica",
 				Long:   "Adds the replica NAME at ADDRESS (IP:port). It counts once it has caught up. A replaced replica needs a new name: a blank disk must never vote with an old one.",
-				Runner: &add{},
+				Runner: &addCommand{},
 			},
-			{Name: "remove", Short: "remove a control replica", Long: "Removes the replica NAME; its name is never used again.", Runner: &remove{}},
+			{Name: "remove", Short: "remove a control replica", Long: "Removes the replica NAME; its name is never used again.", Runner: &removeCommand{}},
 		},
 	}
 }
 
-type list struct {
+type listCommand struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 }
 
-// line is one process with --json.
-type line struct {
+// processLine is one process with --json.
+type processLine struct {
 	Name     string `json:"name"`
 	Role     string `json:"role"`
 	Address  string `json:"address"`
@@ -43,14 +43,14 @@
 }
 
 // Run lists.
-func (c *list) Run(ctx context.Context, env verb.Env, _ []string) error {
+func (c *listCommand) Run(ctx context.Context, env verb.Env, _ []string) error {
 	r, err := c.Show(ctx, v1.Part_PART_MEMBERS)
 	if err != nil {
 		return err
 	}
-	out, g := []line{}, verb.Grid{Head: []string{"NAME", "ROLE", "ADDRESS", "STATE", "REVISION", "LEADER"}}
+	out, g := []processLine{}, verb.TextTable{Header: []string{"NAME", "ROLE", "ADDRESS", "STATE", "REVISION", "LEADER"}}
 	for _, m := range r.GetMembers() {
-		out = append(out, line{m.GetName(), m.GetRole(), m.GetAddress(), m.GetState(), m.GetRevision(), m.GetLeader()})
+		out = append(out, processLine{m.GetName(), m.GetRole(), m.GetAddress(), m.GetState(), m.GetRevision(), m.GetLeader()})
 		leader := ""
 		if m.GetLeader() {
 			leader = "leader"
@@ -60,41 +60,41 @@
 	return c.Print(env.Out, out, g)
 }
 
-type change struct {
+type changeFlags struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	remote.ChangeID
 }
 
-func (c *change) send(ctx context.Context, env verb.Env, m *v1.MemberChange, what string) error {
-	made, err := c.Make(ctx, c.ChangeID, &v1.ChangeRequest{Change: &v1.ChangeRequest_Member{Member: m}}, "")
+func (c *changeFlags) sendMemberChange(ctx context.Context, env verb.Env, m *v1.MemberChange, effect string) error {
+	result, err := c.SendChange(ctx, c.ChangeID, &v1.ChangeRequest{Change: &v1.ChangeRequest_Member{Member: m}}, "")
 	if err != nil {
 		return err
 	}
-	return c.Print(env.Out, made, made.Line("replica "+m.GetReplica()+" "+what))
+	return c.Print(env.Out, result, result.Describe("replica "+m.GetReplica()+" "+effect))
 }
 
-type add struct{ change }
+type addCommand struct{ changeFlags }
 
 // Run adds a replica.
-func (c *add) Run(ctx context.Context, env verb.Env, args []string) error {
-	const next = "Run `gypsumreel member add NAME IP:PORT`."
-	const both = 2
-	if len(args) != both {
-		return verb.Misuse(next, "add takes a name and an address, got %d", len(args))
+func (c *addCommand) Run(ctx context.Context, env verb.Env, args []string) error {
+	const usage = "Run `gypsumreel member add NAME IP:PORT`."
+	const argCount = 2
+	if len(args) != argCount {
+		return verb.UsageError(usage, "add takes a name and an address, got %d", len(args))
 	}
 	if a, err := netip.ParseAddrPort(args[1]); err != nil || a.Port() == 0 {
-		return verb.Misuse(next, "address %q is not allowed; allowed: IP:port", args[1])
+		return verb.UsageError(usage, "address %q is not allowed; allowed: IP:port", args[1])
 	}
-	return c.send(ctx, env, &v1.MemberChange{Replica: args[0], Address: args[1]}, "added")
+	return c.sendMemberChange(ctx, env, &v1.MemberChange{Replica: args[0], Address: args[1]}, "added")
 }
 
-type remove struct{ change }
+type removeCommand struct{ changeFlags }
 
 // Run removes a replica.
-func (c *remove) Run(ctx context.Context, env verb.Env, args []string) error {
+func (c *removeCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) != 1 {
-		return verb.Misuse("Run `gypsumreel member remove NAME`.", "remove takes one name, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel member remove NAME`.", "remove takes one name, got %d", len(args))
 	}
-	return c.send(ctx, env, &v1.MemberChange{Replica: args[0], Remove: true}, "removed")
+	return c.sendMemberChange(ctx, env, &v1.MemberChange{Replica: args[0], Remove: true}, "removed")
 }
--- a/internal/cli/sheet/sheet_test.go
+++ b/internal/cli/sheet/sheet_test.go
@@ -13,24 +13,24 @@
 	"gypsumreel/internal/cli/sheet"
 )
 
-func rows() []*v1.Row {
+func sampleRows() []*v1.Row {
 	return []*v1.Row{
 		{Team: "plans", Weight: 3, Share: 125, Limit: &v1.Size{Cpu: 1500, Memory: 4096, Accel: -1, Slots: 0}, Queue: 10},
 		{Team: "quotes", Weight: 1, Share: 1000, Limit: &v1.Size{Cpu: -1, Memory: -1, Accel: -1, Slots: -1}},
 	}
 }
 
-func TestExportComesBackUnchanged(t *testing.T) {
+func TestExportedSheetReadsBackUnchanged(t *testing.T) {
 	var b bytes.Buffer
-	if err := sheet.Write(&b, 7, rows()); err != nil {
+	if err := sheet.Write(&b, 7, sampleRows()); err != nil {
 		t.Fatal(err)
 	}
 	got, err := sheet.Read("f", b.Bytes())
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := []string{"weight", "share", "cpu", "memory", "accel", "slots", "queue"}
-	want := sheet.Sheet{Base: 7, Edits: []*v1.Edit{{Row: rows()[0], Cells: all}, {Row: rows()[1], Cells: all}}}
+	allColumns := []string{"weight", "share", "cpu", "memory", "accel", "slots", "queue"}
+	want := sheet.Sheet{BaseRevision: 7, Edits: []*v1.Edit{{Row: sampleRows()[0], Cells: allColumns}, {Row: sampleRows()[1], Cells: allColumns}}}
 	if diff := cmp.Diff(want, got, protocmp.Transform()); diff != "" {
 		t.Error(diff)
 	}
@@ -39,7 +39,7 @@
 // A spreadsheet set to Turkish saves semicolons and decimal commas and puts a
 // byte-order mark in front. The operator sees an ordinary sheet, so it must
 // mean the same.
-func TestSheetOfAnotherCountryMeansTheSame(t *testing.T) {
+func TestReadAcceptsLocalizedSheet(t *testing.T) {
 	got, err := sheet.Read("f", []byte("\ufeffTeam;Share;CPU\r\nplans;12,5%;1,5\r\n;;\r\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestEmptyCellsStayAsTheyAre(t *testing.T) {
+func TestEmptyCellsAreNotEdited(t *testing.T) {
 	got, err := sheet.Read("f", []byte("team,weight,share,queue\nplans,,5,\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestFaultsNameTheirPlace(t *testing.T) {
+func TestFaultsReportLineAndColumn(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                    "f:1:1: the sheet is empty",
 		"weight\n1":                           "f:1:1: no column team",
@@ -89,7 +89,7 @@
 
 // A data file of millions of short lines is imported by mistake. The report must
 // stay something a person reads, and the command must not eat the memory.
-func TestFaultsShownAreBounded(t *testing.T) {
+func TestFaultCountIsBounded(t *testing.T) {
 	_, err := sheet.Read("f", []byte("team,queue\n"+strings.Repeat("x\n", 100_000)))
 	var faults sheet.Faults
 	if !errors.As(err, &faults) || len(faults) != sheet.MaxFaults+1 {
@@ -118,9 +118,9 @@
 				t.Fatalf("accepted %v", e)
 			}
 			for _, name := range e.GetCells() {
-				c, _ := sheet.Find(name)
-				if back := (&v1.Row{}); !c.Set(back, c.Get(e.GetRow())) || c.Get(back) != c.Get(e.GetRow()) {
-					t.Fatalf("%s doesn't come back: %q", name, c.Get(e.GetRow()))
+				c, _ := sheet.FindColumn(name)
+				if back := (&v1.Row{}); !c.Parse(back, c.Format(e.GetRow())) || c.Format(back) != c.Format(e.GetRow()) {
+					t.Fatalf("%s doesn't come back: %q", name, c.Format(e.GetRow()))
 				}
 			}
 		}
--- a/internal/cli/team/team.go
+++ b/internal/cli/team/team.go
@@ -16,61 +16,61 @@
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "team", Short: "add, remove and list teams",
-		Verbs: []verb.Verb{
-			{Name: "add", Short: "add a team", Long: "Adds a row for TEAM with weight 1, no share and no limit; change it with `gypsumreel table set`.", Runner: &add{}},
-			{Name: "remove", Short: "remove a team", Long: "Removes the row of TEAM. Refused while it has work or valid keys.", Runner: &remove{}},
-			{Name: "list", Short: "list teams", Long: "Lists the names of all teams.", Runner: &list{}},
+		Subverbs: []verb.Verb{
+			{Name: "add", Short: "add a team", Long: "Adds a row for TEAM with weight 1, no share and no limit; change it with `gypsumreel table set`.", Runner: &addCommand{}},
+			{Name: "remove", Short: "remove a team", Long: "Removes the row of TEAM. Refused while it has work or valid keys.", Runner: &removeCommand{}},
+			{Name: "list", Short: "list teams", Long: "Lists the names of all teams.", Runner: &listCommand{}},
 		},
 	}
 }
 
-type edit struct {
+type editCommand struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	remote.ChangeID
-	table.Base
+	table.BaseFlag
 }
 
-func (c *edit) apply(ctx context.Context, env verb.Env, args []string, e *v1.Edit, what string) error {
+func (c *editCommand) apply(ctx context.Context, env verb.Env, args []string, e *v1.Edit, effect string) error {
 	if len(args) != 1 || args[0] == "" {
-		return verb.Misuse("Give the name of one team.", "one team is expected, got %d", len(args))
+		return verb.UsageError("Give the name of one team.", "one team is expected, got %d", len(args))
 	}
 	e.Row.Team = args[0]
-	made, err := table.Apply(ctx, c.Flags, c.ChangeID, c.Base, &v1.TableChange{Edits: []*v1.Edit{e}})
+	result, err := table.Apply(ctx, c.Flags, c.ChangeID, c.BaseFlag, &v1.TableChange{Edits: []*v1.Edit{e}})
 	if err != nil {
 		return err
 	}
-	return c.Print(env.Out, made, made.Line("team "+args[0]+" "+what))
+	return c.Print(env.Out, result, result.Describe("team "+args[0]+" "+effect))
 }
 
-type add struct{ edit }
+type addCommand struct{ editCommand }
 
 // Run adds a team.
-func (c *add) Run(ctx context.Context, env verb.Env, args []string) error {
-	const u = capacity.Unlimited
-	row := &v1.Row{Weight: team.DefaultWeight, Queue: team.DefaultQueue, Limit: &v1.Size{Cpu: u, Memory: u, Accel: u, Slots: u}}
+func (c *addCommand) Run(ctx context.Context, env verb.Env, args []string) error {
+	const unlimited = capacity.Unlimited
+	row := &v1.Row{Weight: team.DefaultWeight, Queue: team.DefaultQueue, Limit: &v1.Size{Cpu: unlimited, Memory: unlimited, Accel: unlimited, Slots: unlimited}}
 	return c.apply(ctx, env, args, &v1.Edit{Row: row}, "added")
 }
 
-type remove struct{ edit }
+type removeCommand struct{ editCommand }
 
 // Run removes a team.
-func (c *remove) Run(ctx context.Context, env verb.Env, args []string) error {
+func (c *removeCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	return c.apply(ctx, env, args, &v1.Edit{Row: &v1.Row{}, Remove: true}, "removed")
 }
 
-type list struct {
+type listCommand struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 }
 
 // Run lists teams.
-func (c *list) Run(ctx context.Context, env verb.Env, _ []string) error {
+func (c *listCommand) Run(ctx context.Context, env verb.Env, _ []string) error {
 	r, err := c.Show(ctx, v1.Part_PART_TABLE)
 	if err != nil {
 		return err
 	}
-	names, g := []string{}, verb.Grid{}
+	names, g := []string{}, verb.TextTable{}
 	for _, row := range r.GetRows() {
 		names = append(names, row.GetTeam())
 		g.Rows = append(g.Rows, []string{row.GetTeam()})
--- a/internal/cli/verb/daemon.go
+++ b/internal/cli/verb/daemon.go
@@ -7,16 +7,16 @@
 	"syscall"
 )
 
-// Again returns a channel that is closed by a signal to stop that comes after
+// SecondSignal returns a channel that is closed by a signal to stop that comes after
 // ctx has ended: whoever sends it does not want to wait for the planned stop.
-func Again(ctx context.Context) <-chan struct{} {
-	again := make(chan struct{})
+func SecondSignal(ctx context.Context) <-chan struct{} {
+	secondSignal := make(chan struct{})
 	go func() {
 		<-ctx.Done()
 		signals := make(chan os.Signal, 1)
 		signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 		<-signals
-		close(again)
+		close(secondSignal)
 	}()
-	return again
+	return secondSignal
 }
--- a/internal/cli/verb/verb.go
+++ b/internal/cli/verb/verb.go
@@ -26,8 +26,8 @@
 	Err io.Writer
 }
 
-// System returns the surroundings of the process.
-func System() Env { return Env{In: os.Stdin, Out: os.Stdout, Err: os.Stderr} }
+// StandardEnv returns the surroundings of the process.
+func StandardEnv() Env { return Env{In: os.Stdin, Out: os.Stdout, Err: os.Stderr} }
 
 // Runner does the work of a verb once its flags are set; args are what is left
 // of the command line. The error decides on the exit code, see Exit.
@@ -42,42 +42,42 @@
 	Long  string
 	// Runner holds the flags; nil when there are Verbs below.
 	Runner Runner
-	// Verbs are the verbs of a group, such as grant under key.
-	Verbs []Verb
+	// Subverbs are the verbs of a group, such as grant under key.
+	Subverbs []Verb
 }
 
-// adapter lets go-flags run a verb.
-type adapter struct {
+// invocation lets go-flags run a verb.
+type invocation struct {
 	Runner
 	ctx context.Context
 	env Env
 }
 
 // Run parses args and runs the verb that they name. It returns the exit code.
-func Run(ctx context.Context, env Env, args []string, verbs ...Verb) Exit {
+func Run(ctx context.Context, env Env, args []string, verbs ...Verb) ExitCode {
 	parser := flags.NewNamedParser(Program, flags.HelpFlag|flags.PassDoubleDash)
-	runners := map[*flags.Command]adapter{}
+	runners := map[*flags.Command]invocation{}
 	for _, v := range verbs {
-		if err := add(parser.Command, v, runners, adapter{ctx: ctx, env: env}); err != nil {
+		if err := addCommand(parser.Command, v, runners, invocation{ctx: ctx, env: env}); err != nil {
 			fmt.Fprintf(env.Err, "%s: %v\n", Program, err)
-			return Usage
+			return ExitUsage
 		}
 	}
 	// go-flags would call Execute itself; the handler keeps the choice here.
 	parser.CommandHandler = func(flags.Commander, []string) error { return nil }
 	rest, err := parser.ParseArgs(args)
 	if err != nil {
-		return misused(env, err)
+		return reportParseError(env, err)
 	}
-	a, ok := runners[innermost(parser.Command)]
+	a, ok := runners[activeCommand(parser.Command)]
 	if !ok {
 		parser.WriteHelp(env.Err)
-		return Usage
+		return ExitUsage
 	}
-	return conclude(env, a.Runner, a.Run(ctx, env, rest))
+	return reportResult(env, a.Runner, a.Run(ctx, env, rest))
 }
 
-func add(parent *flags.Command, v Verb, runners map[*flags.Command]adapter, a adapter) error {
+func addCommand(parent *flags.Command, v Verb, runners map[*flags.Command]invocation, a invocation) error {
 	data := any(&struct{}{})
 	if v.Runner != nil {
 		data = v.Runner
@@ -90,27 +90,27 @@
 		a.Runner = v.Runner
 		runners[c] = a
 	}
-	for _, sub := range v.Verbs {
-		if err := add(c, sub, runners, a); err != nil {
+	for _, sub := range v.Subverbs {
+		if err := addCommand(c, sub, runners, a); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func innermost(c *flags.Command) *flags.Command {
+func activeCommand(c *flags.Command) *flags.Command {
 	for c.Active != nil {
 		c = c.Active
 	}
 	return c
 }
 
-func misused(env Env, err error) Exit {
+func reportParseError(env Env, err error) ExitCode {
 	var flagErr *flags.Error
 	if errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp {
 		fmt.Fprintln(env.Out, flagErr.Message)
-		return OK
+		return ExitOK
 	}
 	fmt.Fprintf(env.Err, "%s: %v\nRun `%s --help` for the verbs and flags.\n", Program, err, Program)
-	return Usage
+	return ExitUsage
 }
--- a/internal/cli/zone/zone.go
+++ b/internal/cli/zone/zone.go
@@ -15,25 +15,25 @@
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "zone", Short: "list, drain and take back availability zones",
-		Verbs: []verb.Verb{
-			{Name: "list", Short: "list the availability zones", Long: "Lists the availability zones with their backend servers and what these still run.", Runner: &list{}},
+		Subverbs: []verb.Verb{
+			{Name: "list", Short: "list the availability zones", Long: "Lists the availability zones with their backend servers and what these still run.", Runner: &listCommand{}},
 			{
 				Name: "drain", Short: "give the servers of a zone no new work",
 				Long:   "Gives the backend servers in ZONE no new work, also those that come there later; what runs there finishes, and services are moved. It holds until `zone undrain ZONE`.",
-				Runner: &mark{drain: true},
+				Runner: &markCommand{drain: true},
 			},
-			{Name: "undrain", Short: "let the servers of a zone take work again", Long: "Lets the backend servers in ZONE take work again.", Runner: &mark{}},
+			{Name: "undrain", Short: "let the servers of a zone take work again", Long: "Lets the backend servers in ZONE take work again.", Runner: &markCommand{}},
 		},
 	}
 }
 
-type list struct {
+type listCommand struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 }
 
-// line is one zone with --json; since is in seconds, 0 for a zone that is not drained.
-type line struct {
+// zoneLine is one zone with --json; since is in seconds, 0 for a zone that is not drained.
+type zoneLine struct {
 	Zone    string  `json:"zone"`
 	Drained bool    `json:"drained"`
 	Since   float64 `json:"since"`
@@ -42,15 +42,15 @@
 }
 
 // Run lists.
-func (c *list) Run(ctx context.Context, env verb.Env, _ []string) error {
+func (c *listCommand) Run(ctx context.Context, env verb.Env, _ []string) error {
 	r, err := c.Show(ctx, v1.Part_PART_ZONES)
 	if err != nil {
 		return err
 	}
-	out, g := []line{}, verb.Grid{Head: []string{"ZONE", "STATE", "SINCE", "SERVERS", "TASKS"}}
+	out, g := []zoneLine{}, verb.TextTable{Header: []string{"ZONE", "STATE", "SINCE", "SERVERS", "TASKS"}}
 	for _, z := range r.GetZones() {
 		since := time.Duration(z.GetSince()) * time.Millisecond
-		out = append(out, line{z.GetZone(), z.GetDrained(), since.Seconds(), z.GetServers(), z.GetTasks()})
+		out = append(out, zoneLine{z.GetZone(), z.GetDrained(), since.Seconds(), z.GetServers(), z.GetTasks()})
 		state, ago := "open", ""
 		if z.GetDrained() {
 			state, ago = "drained", since.Round(time.Second).String()
@@ -60,26 +60,26 @@
 	return c.Print(env.Out, out, g)
 }
 
-type mark struct {
+type markCommand struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	remote.ChangeID
 	drain bool
 }
 
 // Run drains a zone or takes it back.
-func (c *mark) Run(ctx context.Context, env verb.Env, args []string) error {
+func (c *markCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) != 1 {
-		return verb.Misuse("Run `gypsumreel zone list` for their names.", "one zone is needed, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel zone list` for their names.", "one zone is needed, got %d", len(args))
 	}
 	req := &v1.ChangeRequest{Change: &v1.ChangeRequest_Zone{Zone: &v1.ZoneMark{Zone: args[0], Drain: c.drain}}}
-	made, err := c.Make(ctx, c.ChangeID, req, "")
+	result, err := c.SendChange(ctx, c.ChangeID, req, "")
 	if err != nil {
 		return err
 	}
-	what := " takes work again"
+	effect := " takes work again"
 	if c.drain {
-		what = " is drained"
+		effect = " is drained"
 	}
-	return c.Print(env.Out, made, made.Line("zone "+args[0]+what))
+	return c.Print(env.Out, result, result.Describe("zone "+args[0]+effect))
 }
