--- a/internal/cli/ack/ack.go
+++ b/internal/cli/ack/ack.go
@@ -1,4 +1,4 @@
-// Package ack is the verb that lets the cell forget outcomes.
+// Package ack implements the verb that acknowledges job outcomes.
 package ack
 
 import (
@@ -12,8 +12,8 @@
 // New returns the verb.
 func New() verb.Verb {
 	return verb.Verb{
-		Name: "ack", Short: "let the cell forget outcomes",
-		Long:   "Acknowledges the outcomes of the jobs with the given IDs. The cell may forget them and their answers.",
+		Name: "ack", Short: "acknowledge outcomes",
+		Long:   "Acknowledges the outcomes of the jobs with the given IDs. The cell may then discard them and their answers.",
 		Runner: &command{},
 	}
 }
@@ -23,15 +23,15 @@
 	verb.OutputFlag
 }
 
-// ackResult is the result with --json.
+// ackResult is the result printed with --json.
 type ackResult struct {
 	Acknowledged []string `json:"acknowledged"`
 }
 
-// Run acknowledges.
+// Run acknowledges the outcomes of the jobs named by args.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) == 0 {
-		return verb.UsageError("Run `gypsumreel ack ID...`.", "no id")
+		return verb.UsageError("Run `gypsumreel ack ID...`.", "no job id given")
 	}
 	client, ctx, cancel, err := c.CallerClient(ctx)
 	if err != nil {
--- a/internal/cli/cancel/cancel.go
+++ b/internal/cli/cancel/cancel.go
@@ -1,4 +1,4 @@
-// Package cancel is the verb that cancels jobs.
+// Package cancel implements the verb that cancels jobs.
 package cancel
 
 import (
@@ -13,7 +13,7 @@
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "cancel", Short: "cancel jobs by id or by label",
-		Long:   "Cancels the jobs with the given IDs, or all jobs of the team that carry every --label. What has not begun ends as not run.",
+		Long:   "Cancels the jobs with the given IDs, or all jobs of the team that carry every --label. Jobs that have not started end as not run.",
 		Runner: &command{},
 	}
 }
@@ -24,24 +24,25 @@
 	Label map[string]string `long:"label" description:"label as NAME:VALUE; may be repeated"`
 }
 
-// cancelResult is the result with --json.
+// cancelResult is the result printed with --json.
 type cancelResult struct {
+	// Reached is the number of jobs that the request matched.
 	Reached uint32 `json:"reached"`
 }
 
-// Run cancels.
+// Run cancels the jobs named by args or selected by --label.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) == 0 && len(c.Label) == 0 {
-		return verb.UsageError("Run `gypsumreel cancel ID...` or `gypsumreel cancel --label NAME:VALUE`.", "nothing to cancel")
+		return verb.UsageError("Run `gypsumreel cancel ID...` or `gypsumreel cancel --label NAME:VALUE`.", "no job id and no label given")
 	}
 	client, ctx, cancel, err := c.CallerClient(ctx)
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	n, err := client.Cancel(ctx, args, c.Label)
+	reached, err := client.Cancel(ctx, args, c.Label)
 	if err != nil {
 		return remote.UserError(err)
 	}
-	return c.Print(env.Out, cancelResult{n}, verb.TextTable{Rows: [][]string{{fmt.Sprintf("%d jobs reached", n)}}})
+	return c.Print(env.Out, cancelResult{reached}, verb.TextTable{Rows: [][]string{{fmt.Sprintf("%d jobs reached", reached)}}})
 }
--- a/internal/cli/control/control.go
+++ b/internal/cli/control/control.go
@@ -1,4 +1,4 @@
-// Package control is the verb that runs the control daemon.
+// Package control implements the verb that runs a control replica.
 package control
 
 import (
@@ -20,24 +20,24 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// firstOperatorKeyID is the id of the first operator's key.
+// firstOperatorKeyID is the id of the operator's key that the settings file provides.
 const firstOperatorKeyID = "operator"
 
 // New returns the verb.
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "control", Short: "run a control replica",
-		Long:   "Runs a control replica until SIGTERM. With --init, once, at the first start of a new cell on all its control replicas.",
+		Long:   "Runs a control replica until SIGTERM. Give --init once, on all control replicas, at the first start of a new cell.",
 		Runner: &command{},
 	}
 }
 
 type command struct {
 	Settings string `long:"settings" value-name:"FILE" required:"true" description:"the settings file"`
-	Init     bool   `long:"init" description:"found a new cell: only at its very first start"`
+	Init     bool   `long:"init" description:"create a new cell; only at its first start"`
 }
 
-// Run serves until ctx ends.
+// Run runs the control replica until ctx is cancelled.
 func (c *command) Run(ctx context.Context, env verb.Env, _ []string) error {
 	s, err := verb.LoadSettings(env, c.Settings, settings.RoleControl)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return n.Run(ctx)
 }
 
-// newNode makes the daemon from its settings.
+// newNode opens the listeners and builds the control replica from its settings.
 func newNode(s *settings.Settings) (*node.Node, error) {
 	controlListener, err := net.Listen("tcp", s.Listen.Control)
 	if err != nil {
@@ -78,10 +78,10 @@
 		MaxDump: int(s.Limits.DumpBytes), Room: bounds.DiskReserve(s.Limits.DiskMiB), Clock: clock.SinceBoot,
 	}
 	bounds.LimitHeap(s.Limits.MemoryMiB)
-	for _, p := range s.ControlReplicas {
-		n.Replicas = append(n.Replicas, quorum.Member{ID: p.Name, Address: p.Address})
-		if p.Name == s.Name {
-			n.Address = p.Address
+	for _, replica := range s.ControlReplicas {
+		n.Replicas = append(n.Replicas, quorum.Member{ID: replica.Name, Address: replica.Address})
+		if replica.Name == s.Name {
+			n.Address = replica.Address
 		}
 	}
 	n.Control.LeaseTerms.Length = s.Time.LeaseDuration
--- a/internal/cli/demo/demo.go
+++ b/internal/cli/demo/demo.go
@@ -1,4 +1,5 @@
-// Package demo is the verb that shows a whole cell at work, without any set-up.
+// Package demo implements the verb that runs a complete cell on the local machine
+// without any set-up.
 package demo
 
 import (
@@ -18,7 +19,7 @@
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "demo", Short: "run a whole cell on this machine and check its promises",
-		Long:   "Runs three control replicas, three entries and twelve fake backend servers on loopback for about 15 seconds, kills the leader halfway, withdraws a key, and prints what came of it. Exit code 0 only if every promise held.",
+		Long:   "Runs three control replicas, three entries and twelve fake backend servers on loopback for about 15 seconds, kills the leader halfway, withdraws a key, and prints the results. Exit code 0 only if every promise held.",
 		Runner: &command{},
 	}
 }
@@ -27,7 +28,7 @@
 	verb.OutputFlag
 }
 
-// Run runs the demo in a temporary folder.
+// Run runs the demo in a temporary directory and prints its report.
 func (c *command) Run(ctx context.Context, env verb.Env, _ []string) error {
 	dir, err := os.MkdirTemp("", "gypsumreel-demo-")
 	if err != nil {
@@ -48,7 +49,8 @@
 	return nil
 }
 
-// showProgress shows the steps: as a bar on a terminal, as lines elsewhere.
+// showProgress returns a function that displays the current step and the completed
+// fraction: as a progress bar on a terminal, as one line per step otherwise.
 func showProgress(w io.Writer) func(string, float64) {
 	f, ok := w.(*os.File)
 	if info, err := f.Stat(); !ok || err != nil || info.Mode()&os.ModeCharDevice == 0 {
@@ -61,24 +63,24 @@
 	}
 }
 
-func reportTable(r *scenario.Report) verb.TextTable {
+func reportTable(report *scenario.Report) verb.TextTable {
 	row := func(label string, format string, args ...any) []string {
 		return []string{label, fmt.Sprintf(format, args...)}
 	}
-	g := verb.TextTable{Header: []string{"WHAT", "FOUND"}, Rows: [][]string{
-		row("jobs accepted", "%d", r.Accepted),
-		row("done, answers whole", "%d", r.Done),
-		row("refused as not run", "%d", r.Refused),
-		row("unknown (may not be repeated)", "%d", r.Unknown),
-		row("ran twice or in two places", "%d", r.Duplicates),
-		row("lost", "%d", r.Lost),
-		row("leader killed, next acceptance after", "%d ms", r.Failover),
-		row("withdrawn key refused everywhere after", "%d ms", r.Withdrawal),
-		row("submission to whole answer p50 / p99 / max", "%.1f / %.1f / %.1f ms", r.Wait.P50, r.Wait.P99, r.Wait.Max),
-		row("took", "%.1f s", r.Seconds),
+	table := verb.TextTable{Header: []string{"WHAT", "FOUND"}, Rows: [][]string{
+		row("jobs accepted", "%d", report.Accepted),
+		row("done, answers whole", "%d", report.Done),
+		row("refused as not run", "%d", report.Refused),
+		row("unknown (may not be repeated)", "%d", report.Unknown),
+		row("ran twice or in two places", "%d", report.Duplicates),
+		row("lost", "%d", report.Lost),
+		row("leader killed, next acceptance after", "%d ms", report.Failover),
+		row("withdrawn key refused everywhere after", "%d ms", report.Withdrawal),
+		row("submission to whole answer p50 / p99 / max", "%.1f / %.1f / %.1f ms", report.Wait.P50, report.Wait.P99, report.Wait.Max),
+		row("took", "%.1f s", report.Seconds),
 	}}
-	for _, b := range r.Broken {
-		g.Rows = append(g.Rows, row("broken promise", "%s", b))
+	for _, promise := range report.Broken {
+		table.Rows = append(table.Rows, row("broken promise", "%s", promise))
 	}
-	return g
+	return table
 }
--- a/internal/cli/drain/drain.go
+++ b/internal/cli/drain/drain.go
@@ -1,4 +1,4 @@
-// Package drain is the verb that empties a backend server.
+// Package drain implements the verb that drains a backend server.
 package drain
 
 import (
@@ -14,8 +14,8 @@
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "drain", Short: "drain a backend server, or list servers",
-		Long: "Gives the backend SERVER no new work; what runs there finishes or is checkpointed. " +
-			"With --undo it takes work again. Without a SERVER it lists all of them; one that drains and has 0 tasks may be stopped.",
+		Long: "Gives the backend SERVER no new work; running tasks finish or are checkpointed. " +
+			"With --undo the server takes work again. Without a SERVER it lists all backend servers. A draining server with 0 tasks may be stopped.",
 		Runner: &command{},
 	}
 }
@@ -27,13 +27,14 @@
 	Undo bool `long:"undo" description:"let the server take work again"`
 }
 
-// Run marks a server, or lists them.
+// Run starts or ends the drain of the server named by args, or lists all servers when
+// args are empty.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	switch {
 	case len(args) > 1:
 		return verb.UsageError("Run `gypsumreel drain SERVER` for each of them.", "drain takes one server, got %d", len(args))
 	case len(args) == 0 && (c.Undo || c.Change != ""):
-		return verb.UsageError("Run `gypsumreel drain SERVER`.", "no server")
+		return verb.UsageError("Run `gypsumreel drain SERVER`.", "--undo and --change need a server")
 	case len(args) == 0:
 		return c.list(ctx, env)
 	}
@@ -49,7 +50,8 @@
 	return c.Print(env.Out, result, result.Describe("server "+args[0]+effect))
 }
 
-// serverLine is one server with --json: cpu in thousandths of a core, memory in MiB.
+// serverLine is one server as printed with --json. CPU amounts are in thousandths of a
+// core, memory amounts in MiB.
 type serverLine struct {
 	Server     string `json:"server"`
 	State      string `json:"state"`
@@ -69,19 +71,19 @@
 	if err != nil {
 		return err
 	}
-	out, g := []serverLine{}, verb.TextTable{Header: []string{"SERVER", "STATE", "ZONE", "RACK", "TASKS", "CPU", "MEMORY", "SLOTS"}}
+	lines, table := []serverLine{}, verb.TextTable{Header: []string{"SERVER", "STATE", "ZONE", "RACK", "TASKS", "CPU", "MEMORY", "SLOTS"}}
 	for _, s := range r.GetServers() {
 		held, capacity := s.GetHeld(), s.GetCapacity()
-		out = append(out, serverLine{
+		lines = append(lines, serverLine{
 			s.GetServer(), s.GetState(), s.GetZone(), s.GetRack(), s.GetTasks(),
 			held.GetCpu(), capacity.GetCpu(), held.GetMemory(), capacity.GetMemory(), held.GetSlots(), capacity.GetSlots(),
 		})
-		g.Rows = append(g.Rows, []string{
+		table.Rows = append(table.Rows, []string{
 			s.GetServer(), s.GetState(), s.GetZone(), s.GetRack(), strconv.FormatUint(uint64(s.GetTasks()), 10),
 			heldOfTotal(held.GetCpu(), capacity.GetCpu()), heldOfTotal(held.GetMemory(), capacity.GetMemory()), heldOfTotal(held.GetSlots(), capacity.GetSlots()),
 		})
 	}
-	return c.Print(env.Out, out, g)
+	return c.Print(env.Out, lines, table)
 }
 
 func heldOfTotal(held, total int64) string {
--- a/internal/cli/dump/dump.go
+++ b/internal/cli/dump/dump.go
@@ -1,4 +1,4 @@
-// Package dump is the verb that prints the state of a process.
+// Package dump implements the verb that prints the state of a process.
 package dump
 
 import (
@@ -13,15 +13,15 @@
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "dump", Short: "print the state of a process",
-		Long: "Prints the state of the process NAME as JSON, bounded in size and without secrets; " +
-			"without a NAME that of the entry that answers. `gypsumreel member list` shows the names.",
+		Long: "Prints the state of the process NAME as JSON, bounded in size and without secrets. " +
+			"Without a NAME it prints the state of the entry that answers. `gypsumreel member list` shows the names.",
 		Runner: &command{},
 	}
 }
 
 type command struct{ remote.Flags }
 
-// Run prints a dump.
+// Run prints the state dump of the process named by args.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 1 {
 		return verb.UsageError("Run `gypsumreel dump NAME` for each of them.", "dump takes one name, got %d", len(args))
--- a/internal/cli/entry/entry.go
+++ b/internal/cli/entry/entry.go
@@ -1,4 +1,4 @@
-// Package entry is the verb that runs the entry daemon.
+// Package entry implements the verb that runs an entry.
 package entry
 
 import (
@@ -24,7 +24,7 @@
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "entry", Short: "run an entry",
-		Long:   "Runs an entry until SIGTERM, and then until the requests in flight have ended. A second signal ends it at once.",
+		Long:   "Runs an entry until SIGTERM and then finishes the requests in flight. A second signal stops it at once.",
 		Runner: &command{},
 	}
 }
@@ -33,7 +33,7 @@
 	Settings string `long:"settings" value-name:"FILE" required:"true" description:"the settings file"`
 }
 
-// Run serves until ctx ends.
+// Run runs the entry until ctx is cancelled.
 func (c *command) Run(ctx context.Context, env verb.Env, _ []string) error {
 	s, err := verb.LoadSettings(env, c.Settings, settings.RoleEntry)
 	if err != nil {
@@ -59,19 +59,20 @@
 	return e.Run(ctx)
 }
 
-// newEntry makes the daemon from its settings.
+// newEntry opens the listeners and builds the entry from its settings.
 func newEntry(s *settings.Settings) (*entry.Entry, error) {
 	e := &entry.Entry{
 		Cell: s.Cell, Name: s.Name, Drain: s.Time.FinishTimeout,
-		// Zero would stand for the entry's own default.
+		// A zero Linger selects the default of package entry, so a configured delay of 0
+		// is passed as 1 ns.
 		Linger:      max(s.Time.DrainDelay, time.Nanosecond),
 		Connections: min(int(s.Limits.Connections), files.NewBudget(files.ProcessLimit(s.Limits.OpenFiles)).Allowance(files.Callers)), Limit: int(s.Limits.QueuedRequests),
 	}
 	bounds.LimitHeap(s.Limits.MemoryMiB)
 	for _, l := range []struct {
-		setting string
-		address string
-		to      *net.Listener
+		setting  string
+		address  string
+		listener *net.Listener
 	}{
 		{"listen.callers", s.Listen.Callers, &e.Callers},
 		{"listen.backends", s.Listen.Backends, &e.Backends},
@@ -79,17 +80,17 @@
 		{"listen.platform", s.Listen.Platform, &e.Platform},
 	} {
 		var err error
-		if *l.to, err = net.Listen("tcp", l.address); err != nil {
+		if *l.listener, err = net.Listen("tcp", l.address); err != nil {
 			return nil, errors.Wrap(err, l.setting)
 		}
 	}
-	for _, p := range s.ControlReplicas {
-		e.Replicas = append(e.Replicas, control.Replica{Name: p.Name, Address: p.Address})
+	for _, replica := range s.ControlReplicas {
+		e.Replicas = append(e.Replicas, control.Replica{Name: replica.Name, Address: replica.Address})
 	}
-	for _, text := range s.EnrolmentDigests {
-		digest, err := hex.DecodeString(text)
+	for _, digestText := range s.EnrolmentDigests {
+		digest, err := hex.DecodeString(digestText)
 		if err != nil || len(digest) != len(backend.Digest{}) {
-			return nil, errors.Newf("enrolment: %q is no digest", text)
+			return nil, errors.Newf("enrolment: %q is not a valid digest", digestText)
 		}
 		e.Enrolment = append(e.Enrolment, backend.Digest(digest))
 	}
--- a/internal/cli/explain/cause.go
+++ b/internal/cli/explain/cause.go
@@ -5,160 +5,169 @@
 	"time"
 )
 
-// Cause is what made a flow late or kept it from its end, by the first that fits.
+// Cause is the reason why a flow was late or did not end. A flow is counted under the
+// first cause that applies.
 type Cause string
 
-// The causes.
+// Causes of late or unfinished flows.
 const (
-	// CauseInTime is no cause: the flow ended within its objective.
+	// CauseInTime means that the flow ended within its objective.
 	CauseInTime Cause = "in time"
-	// CauseRefused flows were never accepted.
+	// CauseRefused means that the flow was never accepted.
 	CauseRefused Cause = "refused"
-	// CauseUnknown flows have no acceptance in the logs.
+	// CauseUnknown means that the logs do not contain the acceptance of the flow.
 	CauseUnknown Cause = "not known"
-	// CauseFailed flows have a task that failed as often as it may.
+	// CauseFailed means that a task failed as often as it is allowed to.
 	CauseFailed Cause = "failed for good"
-	// CauseCancelled flows were cancelled by their caller.
+	// CauseCancelled means that the caller cancelled the flow.
 	CauseCancelled Cause = "cancelled"
-	// CauseLeaderChanged flows waited while the lead changed.
+	// CauseLeaderChanged means that a new leader was elected while the flow was open.
 	CauseLeaderChanged Cause = "change of the leader"
-	// CauseServerCrashes flows were given up: servers crashed under a task again and again.
+	// CauseServerCrashes means that the cell gave up the flow because a task repeatedly
+	// crashed its backend server.
 	CauseServerCrashes Cause = "crashed its servers"
-	// CauseRunLost flows had a run that ended with its server, or never started.
+	// CauseRunLost means that a run ended with its backend server or never started.
 	CauseRunLost Cause = "run lost"
-	// CauseRunStalled flows had a run that was moved since it stood still or crawled.
+	// CauseRunStalled means that a run made little or no progress and was moved.
 	CauseRunStalled Cause = "run stood still"
-	// CauseTaskFailed flows had a run that failed and was made again.
+	// CauseTaskFailed means that a run failed and was repeated.
 	CauseTaskFailed Cause = "task failed"
-	// CauseNoPermit flows waited for the adviser.
+	// CauseNoPermit means that the flow waited for the adviser's permit.
 	CauseNoPermit Cause = "no permit yet"
-	// CauseNoCapacity flows waited for room, or for their customer's limit.
+	// CauseNoCapacity means that the flow waited for free capacity or for its customer's
+	// limit.
 	CauseNoCapacity Cause = "no room"
-	// CauseSlowRun flows were placed in time and ran for longer than was declared.
+	// CauseSlowRun means that the flow was placed in time but ran longer than declared.
 	CauseSlowRun Cause = "slow run"
-	// CauseNotEnded flows have no end in the logs, and no other cause.
+	// CauseNotEnded means that the logs contain no end of the flow and no other cause.
 	CauseNotEnded Cause = "not ended"
 )
 
-// minWaitShare is the part of its objective that a wait has to take to count as the cause.
+// minWaitShare is the fraction of the objective above which a wait counts as the cause.
 const minWaitShare = 0.15
 
-// flowHistory is what the logs tell of one flow.
+// flowHistory holds what the logs contain about one flow.
 type flowHistory struct {
 	queue, customer string
-	// acceptedAt, answered, placed and ended are when it was accepted, when the
-	// adviser first answered about it, when its first task was placed and when its
-	// last one ended; zero for never.
+	// The times at which the flow was accepted, the adviser first answered about it, its
+	// first task was placed and its last task ended. Zero means never.
 	acceptedAt, firstAdviceAt, firstPlacedAt, endedAt time.Time
-	// lastSeenAt is when the logs last speak of it.
+	// lastSeenAt is the time of the last log line about the flow.
 	lastSeenAt time.Time
-	// objective is its objective; 0 where the logs do not tell.
+	// objective is the time within which the flow should end, 0 if the logs do not
+	// contain it.
 	objective time.Duration
-	state     string
-	// lostRuns, failed and moved count its runs that did not end well.
+	// state is the final state of the flow, empty while it is open.
+	state string
+	// The numbers of runs that were lost, failed or were moved to another server.
 	lostRuns, failedRuns, movedRuns int
-	// givenUp tells that servers crashed under it too often.
+	// givenUp is true if the cell gave up the flow after repeated server crashes.
 	givenUp bool
-	// refusalCode is the code of the last refusal.
+	// refusalCode is the result code of the last refused submission.
 	refusalCode int
 }
 
-// addLine takes one line about the flow.
-func (j *flowHistory) addLine(l logLine) {
-	j.lastSeenAt = l.Time
+// addLine adds one log line about the flow to its history.
+func (h *flowHistory) addLine(l logLine) {
+	h.lastSeenAt = l.Time
 	switch l.EventName {
 	case "flow-accepted":
-		if j.acceptedAt.IsZero() {
-			j.acceptedAt = l.Time
+		if h.acceptedAt.IsZero() {
+			h.acceptedAt = l.Time
 		}
-		j.queue, j.customer = stringField(l, "queue"), stringField(l, "customer")
-		j.objective, _ = time.ParseDuration(stringField(l, "aim"))
+		h.queue, h.customer = stringField(l, "queue"), stringField(l, "customer")
+		h.objective, _ = time.ParseDuration(stringField(l, "aim"))
 	case "call-answered":
 		if n, ok := l.Fields["code"].(float64); ok && n != 0 && strings.Contains(stringField(l, "verb"), "SUBMIT") {
-			j.refusalCode = int(n)
+			h.refusalCode = int(n)
 		}
 	case "advice-taken":
-		setIfZero(&j.firstAdviceAt, l.Time)
+		setIfZero(&h.firstAdviceAt, l.Time)
 	case "runs-placed":
-		setIfZero(&j.firstPlacedAt, l.Time)
+		setIfZero(&h.firstPlacedAt, l.Time)
 	case "run-moved":
-		j.movedRuns++
+		h.movedRuns++
 	case "run-ended":
-		j.addRunEnd(l)
+		h.addRunEnd(l)
 	case "attempt-lost":
-		j.lostRuns++
+		h.lostRuns++
 	case "flow-given-up":
-		j.givenUp = true
-		setIfZero(&j.endedAt, l.Time)
-		j.state = "FAILED"
+		h.givenUp = true
+		setIfZero(&h.endedAt, l.Time)
+		h.state = "FAILED"
 	case "flow-cancelled":
-		j.state = "CANCELLED"
+		h.state = "CANCELLED"
 	}
 }
 
-func (j *flowHistory) addRunEnd(l logLine) {
+// addRunEnd adds the end of a run, and the end of the flow if the line contains its final
+// state.
+func (h *flowHistory) addRunEnd(l logLine) {
 	switch strings.TrimPrefix(stringField(l, "how"), "RUN_END_") {
 	case "FAILED":
-		j.failedRuns++
+		h.failedRuns++
 	case "LOST", "LAPSED":
-		j.lostRuns++
+		h.lostRuns++
 	}
-	if state := strings.TrimPrefix(stringField(l, "state"), "FLOW_STATE_"); j.endedAt.IsZero() && (state == "DONE" || state == "FAILED") {
-		j.endedAt, j.state = l.Time, state
+	if state := strings.TrimPrefix(stringField(l, "state"), "FLOW_STATE_"); h.endedAt.IsZero() && (state == "DONE" || state == "FAILED") {
+		h.endedAt, h.state = l.Time, state
 	}
 }
 
-// duration returns how long the flow took, or has taken when the logs end.
-func (j *flowHistory) duration(logsEnd time.Time) time.Duration {
-	if !j.endedAt.IsZero() {
-		logsEnd = j.endedAt
+// duration returns the time from acceptance to the end of the flow, or to the end of the
+// logs if the flow is open.
+func (h *flowHistory) duration(logsEnd time.Time) time.Duration {
+	if !h.endedAt.IsZero() {
+		logsEnd = h.endedAt
 	}
-	return logsEnd.Sub(j.acceptedAt)
+	return logsEnd.Sub(h.acceptedAt)
 }
 
-// cause tells why the flow was late or not served; changes are when the lead changed.
-func (j *flowHistory) cause(leaderChanges []time.Time, logsEnd time.Time) Cause {
+// cause returns the first cause that applies to the flow. The leaderChanges are the times
+// of leader elections in the logs.
+func (h *flowHistory) cause(leaderChanges []time.Time, logsEnd time.Time) Cause {
 	switch {
-	case j.acceptedAt.IsZero() && j.endedAt.IsZero() && j.refusalCode != 0:
+	case h.acceptedAt.IsZero() && h.endedAt.IsZero() && h.refusalCode != 0:
 		return CauseRefused
-	case j.acceptedAt.IsZero():
+	case h.acceptedAt.IsZero():
 		return CauseUnknown
-	case j.state == "CANCELLED":
+	case h.state == "CANCELLED":
 		return CauseCancelled
-	case j.givenUp:
+	case h.givenUp:
 		return CauseServerCrashes
-	case j.state == "FAILED":
+	case h.state == "FAILED":
 		return CauseFailed
-	case j.state == "DONE" && (j.objective == 0 || j.duration(logsEnd) <= j.objective):
+	case h.state == "DONE" && (h.objective == 0 || h.duration(logsEnd) <= h.objective):
 		return CauseInTime
 	}
-	minWait := time.Duration(minWaitShare * float64(j.objective))
+	minWait := time.Duration(minWaitShare * float64(h.objective))
 	switch {
-	case j.leaderChangedMeanwhile(leaderChanges, logsEnd):
+	case h.leaderChangedMeanwhile(leaderChanges, logsEnd):
 		return CauseLeaderChanged
-	case j.lostRuns > 0:
+	case h.lostRuns > 0:
 		return CauseRunLost
-	case j.movedRuns > 0:
+	case h.movedRuns > 0:
 		return CauseRunStalled
-	case j.failedRuns > 0:
+	case h.failedRuns > 0:
 		return CauseTaskFailed
-	case !j.firstAdviceAt.IsZero() && j.firstAdviceAt.Sub(j.acceptedAt) > minWait:
+	case !h.firstAdviceAt.IsZero() && h.firstAdviceAt.Sub(h.acceptedAt) > minWait:
 		return CauseNoPermit
-	case j.firstPlacedAt.IsZero() || j.firstPlacedAt.Sub(j.acceptedAt) > minWait:
+	case h.firstPlacedAt.IsZero() || h.firstPlacedAt.Sub(h.acceptedAt) > minWait:
 		return CauseNoCapacity
-	case j.endedAt.IsZero():
+	case h.endedAt.IsZero():
 		return CauseNotEnded
 	}
 	return CauseSlowRun
 }
 
-// leaderChangedMeanwhile tells whether the lead changed while the flow was under way.
-func (j *flowHistory) leaderChangedMeanwhile(leaderChanges []time.Time, logsEnd time.Time) bool {
-	if !j.endedAt.IsZero() {
-		logsEnd = j.endedAt
+// leaderChangedMeanwhile reports whether a leader was elected between the acceptance and
+// the end of the flow.
+func (h *flowHistory) leaderChangedMeanwhile(leaderChanges []time.Time, logsEnd time.Time) bool {
+	if !h.endedAt.IsZero() {
+		logsEnd = h.endedAt
 	}
 	for _, at := range leaderChanges {
-		if at.After(j.acceptedAt) && at.Before(logsEnd) {
+		if at.After(h.acceptedAt) && at.Before(logsEnd) {
 			return true
 		}
 	}
--- a/internal/cli/explain/explain.go
+++ b/internal/cli/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain is the verb that tells the life of one request from the logs
-// of any number of processes.
+// Package explain implements the verb that reconstructs from the logs of any number of
+// processes what happened to one request, or to all of them.
 package explain
 
 import (
@@ -18,56 +18,62 @@
 	"gypsumreel/internal/cli/verb"
 )
 
-// Bounds of what is read.
+// Limits for reading logs.
 const (
-	// maxLineBytes bounds one line of a log, in bytes; longer ones are passed over.
+	// maxLineBytes is the maximum length of a log line. Longer lines are skipped.
 	maxLineBytes = 1 << 20
-	// maxLines bounds the lines that are kept.
+	// maxLines is the maximum number of lines kept for a timeline.
 	maxLines = 20_000
-	// progressInterval is how often progress is told, in bytes read.
+	// progressInterval is the number of bytes read between two progress messages.
 	progressInterval = 64 << 20
 )
 
 // New returns the verb.
 func New() verb.Verb {
 	return verb.Verb{
-		Name: "explain", Short: "tell the life of a request, or what became of all, from logs",
-		Long:   "Without an ID: counts what became of all flows of the logs, by cause, customer and second. With one: reads the logs named (- for standard input) and prints, in the order of time, every line about the flow ID and what befell the control group meanwhile, with the gaps between them. Lines that are not of gypsumreel are counted and passed over.",
+		Name: "explain", Short: "show from logs what happened to one request, or to all",
+		Long:   "Without an ID: counts all flows in the logs by cause of delay, customer and second. With an ID: prints in order of time every log line about the flow ID and about leader changes meanwhile, with the gaps between them. Give - as FILE for standard input. Lines that are not from gypsumreel are counted and skipped.",
 		Runner: &command{},
 	}
 }
 
 type command struct {
 	verb.OutputFlag
-	Logs []string `long:"logs" value-name:"FILE" required:"true" description:"a log file; may be given several times"`
+	Logs []string `long:"logs" value-name:"FILE" required:"true" description:"a log file; may be repeated"`
 }
 
-// logLine is one line of a log.
+// logLine is one parsed line of a log.
 type logLine struct {
-	Time        time.Time      `json:"time"`
-	Process     string         `json:"where,omitempty"`
-	EventName   string         `json:"name"`
-	EventNumber int            `json:"event"`
-	Fields      map[string]any `json:"facts"`
-	// Gap is the time since the line before.
+	Time time.Time `json:"time"`
+	// Process is the last word before the JSON object, usually the name of the process.
+	Process     string `json:"where,omitempty"`
+	EventName   string `json:"name"`
+	EventNumber int    `json:"event"`
+	// Fields holds the remaining keys and values of the line.
+	Fields map[string]any `json:"facts"`
+	// Gap is the time since the previous line of the timeline.
 	Gap time.Duration `json:"gap"`
 }
 
-// timeline is the result.
+// timeline holds the log lines about one id in order of time.
 type timeline struct {
 	ID    string    `json:"id"`
 	Lines []logLine `json:"lines"`
-	// LongestGap is the longest gap, After the event that it follows.
-	LongestGap     time.Duration `json:"longest"`
-	EventBeforeGap string        `json:"after"`
-	ForeignLines   int           `json:"foreign"`
-	OmittedLines   int           `json:"left"`
+	// LongestGap is the longest time between two consecutive lines.
+	LongestGap time.Duration `json:"longest"`
+	// EventBeforeGap is the name of the event that precedes the longest gap.
+	EventBeforeGap string `json:"after"`
+	// ForeignLines is the number of lines that are not from gypsumreel.
+	ForeignLines int `json:"foreign"`
+	// OmittedLines is the number of matching lines beyond maxLines.
+	OmittedLines int `json:"left"`
 }
 
-// Run prints the life of the one id named.
+// Run prints the timeline of the id given by args, or a summary of all flows when args
+// are empty.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 1 || len(args) == 1 && args[0] == "" {
-		return verb.UsageError("Run `gypsumreel explain ID --logs FILE`, or without an ID for all of them.", "explain takes one id, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel explain ID --logs FILE`, or without an ID for a summary of all flows.", "explain takes one id, got %d", len(args))
 	}
 	if len(args) == 0 {
 		return c.summarize(ctx, env)
@@ -80,12 +86,12 @@
 	builder.foreignLines = scanner.foreignLines
 	timeline := builder.build()
 	if len(timeline.Lines) == 0 {
-		return verb.UsageError("Check the id, and that the logs cover its time.", "no line about %s; %d lines are not of gypsumreel", args[0], builder.foreignLines)
+		return verb.UsageError("Check the id, and that the logs cover the time of the flow.", "no log line about %s; %d lines are not from gypsumreel", args[0], builder.foreignLines)
 	}
 	return c.Print(env.Out, timeline, timeline.textTable())
 }
 
-// summarize prints what became of all flows.
+// summarize prints the counts of all flows in the logs.
 func (c *command) summarize(ctx context.Context, env verb.Env) error {
 	builder := &summaryBuilder{flows: map[string]*flowHistory{}}
 	scanner := logScanner{progressWriter: env.Err, handle: builder.addLine}
@@ -94,7 +100,7 @@
 	}
 	builder.foreignLines = scanner.foreignLines
 	if len(builder.flows) == 0 {
-		return verb.UsageError("Check that the logs are those of control replicas and entries.", "no line about a flow; %d lines are not of gypsumreel", builder.foreignLines)
+		return verb.UsageError("Check that the logs are those of control replicas and entries.", "no log line about a flow; %d lines are not from gypsumreel", builder.foreignLines)
 	}
 	summary := builder.build()
 	return c.Print(env.Out, summary, summary.textTable())
@@ -102,35 +108,42 @@
 
 // timelineBuilder collects the lines about one id.
 type timelineBuilder struct {
-	id           string
-	flowLines    []logLine
-	leaderLines  []logLine
+	id string
+	// flowLines holds the lines that contain the id.
+	flowLines []logLine
+	// leaderLines holds the lines about elections and loss of the leader.
+	leaderLines []logLine
+	// foreignLines is the number of lines that are not from gypsumreel.
 	foreignLines int
+	// omittedLines is the number of matching lines beyond maxLines.
 	omittedLines int
 }
 
 // logScanner reads logs line by line.
 type logScanner struct {
+	// progressWriter receives the progress messages.
 	progressWriter io.Writer
-	// handle takes a line: the object, and what stands before it; false when it is none
-	// of gypsumreel's.
-	handle func(before, object []byte) bool
-	// foreignLines counts the lines that are not of gypsumreel.
-	foreignLines  int
-	bytesRead     int64
+	// handle receives each line as the JSON object and the text before it. It returns
+	// false if the line is not from gypsumreel.
+	handle func(prefix, object []byte) bool
+	// foreignLines is the number of lines that are not from gypsumreel.
+	foreignLines int
+	// bytesRead is the number of bytes read from all files so far.
+	bytesRead int64
+	// bytesReported is the value of bytesRead at the last progress message.
 	bytesReported int64
 }
 
-func (r *logScanner) scanFiles(ctx context.Context, env verb.Env, names []string) error {
+func (s *logScanner) scanFiles(ctx context.Context, env verb.Env, names []string) error {
 	for _, name := range names {
-		if err := r.scanFile(ctx, env, name); err != nil {
+		if err := s.scanFile(ctx, env, name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *logScanner) scanFile(ctx context.Context, env verb.Env, name string) error {
+func (s *logScanner) scanFile(ctx context.Context, env verb.Env, name string) error {
 	in := env.In
 	if name != "-" {
 		f, err := os.Open(name)
@@ -140,16 +153,16 @@
 		defer func() { _ = f.Close() }()
 		in = f
 	}
-	s := bufio.NewReaderSize(in, maxLineBytes)
+	lines := bufio.NewReaderSize(in, maxLineBytes)
 	for ctx.Err() == nil {
-		b, err := s.ReadSlice('\n')
+		b, err := lines.ReadSlice('\n')
 		for err == bufio.ErrBufferFull {
-			r.foreignLines++
-			_, err = s.ReadSlice('\n')
+			s.foreignLines++
+			_, err = lines.ReadSlice('\n')
 			b = nil
 		}
-		r.handleLine(b)
-		r.reportProgress(name, len(b))
+		s.handleLine(b)
+		s.reportProgress(name, len(b))
 		if err == io.EOF {
 			return nil
 		}
@@ -160,29 +173,31 @@
 	return ctx.Err()
 }
 
-// handleLine hands a line on in its two parts.
-func (r *logScanner) handleLine(b []byte) {
+// handleLine splits a line into the JSON object and the text before it and passes both
+// to handle.
+func (s *logScanner) handleLine(b []byte) {
 	b = bytes.TrimSpace(b)
 	if len(b) == 0 {
 		return
 	}
 	start := bytes.IndexByte(b, '{')
-	if start < 0 || !r.handle(b[:start], b[start:]) {
-		r.foreignLines++
+	if start < 0 || !s.handle(b[:start], b[start:]) {
+		s.foreignLines++
 	}
 }
 
-func (r *logScanner) reportProgress(name string, n int) {
-	if r.bytesRead += int64(n); r.bytesRead-r.bytesReported >= progressInterval {
-		r.bytesReported = r.bytesRead
-		fmt.Fprintf(r.progressWriter, "%s: %d MiB read\n", name, r.bytesRead>>20)
+func (s *logScanner) reportProgress(name string, n int) {
+	if s.bytesRead += int64(n); s.bytesRead-s.bytesReported >= progressInterval {
+		s.bytesReported = s.bytesRead
+		fmt.Fprintf(s.progressWriter, "%s: %d MiB read\n", name, s.bytesRead>>20)
 	}
 }
 
-// addLine keeps a line that is about the id, or about who led meanwhile. What
-// stands before the object, such as a process's name, says where it is from.
-func (r *timelineBuilder) addLine(prefix, object []byte) bool {
-	matchesID := bytes.Contains(prefix, []byte(r.id)) || bytes.Contains(object, []byte(r.id))
+// addLine keeps the line if it contains the id or is about the leader. The last word
+// before the JSON object becomes the process name. It returns false if the line is not
+// from gypsumreel.
+func (b *timelineBuilder) addLine(prefix, object []byte) bool {
+	matchesID := bytes.Contains(prefix, []byte(b.id)) || bytes.Contains(object, []byte(b.id))
 	if !matchesID && !bytes.Contains(object, []byte(`"leader-`)) && !bytes.Contains(object, []byte(`"quorum-lost"`)) {
 		return true
 	}
@@ -194,17 +209,18 @@
 		l.Process = fields[len(fields)-1]
 	}
 	switch {
-	case len(r.flowLines)+len(r.leaderLines) >= maxLines:
-		r.omittedLines++
+	case len(b.flowLines)+len(b.leaderLines) >= maxLines:
+		b.omittedLines++
 	case matchesID:
-		r.flowLines = append(r.flowLines, l)
+		b.flowLines = append(b.flowLines, l)
 	default:
-		r.leaderLines = append(r.leaderLines, l)
+		b.leaderLines = append(b.leaderLines, l)
 	}
 	return true
 }
 
-// parseLine reads one line; false when it is none of ours.
+// parseLine parses the JSON object of a line. It returns false if the object lacks the
+// time or the event name of a gypsumreel log line.
 func parseLine(b []byte) (logLine, bool) {
 	var fields map[string]any
 	if json.Unmarshal(b, &fields) != nil {
@@ -223,19 +239,19 @@
 	return logLine{Time: at, EventName: name, EventNumber: int(number), Fields: fields}, true
 }
 
-// build puts the lines in order, with those of the control group that fall
-// between the first and the last.
-func (r *timelineBuilder) build() timeline {
+// build returns the lines in order of time. It includes the lines about the leader that
+// lie between the first and the last line about the id.
+func (b *timelineBuilder) build() timeline {
 	byTime := func(a, b logLine) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.EventNumber, b.EventNumber))
 	}
-	slices.SortStableFunc(r.flowLines, byTime)
-	result := timeline{ID: r.id, Lines: r.flowLines, ForeignLines: r.foreignLines, OmittedLines: r.omittedLines}
-	if len(r.flowLines) == 0 {
+	slices.SortStableFunc(b.flowLines, byTime)
+	result := timeline{ID: b.id, Lines: b.flowLines, ForeignLines: b.foreignLines, OmittedLines: b.omittedLines}
+	if len(b.flowLines) == 0 {
 		return result
 	}
-	first, last := r.flowLines[0].Time, r.flowLines[len(r.flowLines)-1].Time
-	for _, l := range r.leaderLines {
+	first, last := b.flowLines[0].Time, b.flowLines[len(b.flowLines)-1].Time
+	for _, l := range b.leaderLines {
 		if l.Time.After(first) && l.Time.Before(last) {
 			result.Lines = append(result.Lines, l)
 		}
@@ -251,24 +267,24 @@
 	return result
 }
 
-func (l timeline) textTable() verb.TextTable {
-	g := verb.TextTable{Header: []string{"time", "gap", "where", "event", "facts"}}
-	for _, line := range l.Lines {
-		g.Rows = append(g.Rows, []string{
+func (t timeline) textTable() verb.TextTable {
+	table := verb.TextTable{Header: []string{"time", "gap", "where", "event", "facts"}}
+	for _, line := range t.Lines {
+		table.Rows = append(table.Rows, []string{
 			line.Time.Format("15:04:05.000"), line.Gap.Round(time.Millisecond).String(), line.Process,
 			fmt.Sprintf("%d %s", line.EventNumber, line.EventName), formatFields(line.Fields),
 		})
 	}
-	g.Rows = append(g.Rows, []string{"", "", "", "", fmt.Sprintf("longest gap %v, after %s; %d lines are not of gypsumreel, %d were left out", l.LongestGap.Round(time.Millisecond), l.EventBeforeGap, l.ForeignLines, l.OmittedLines)})
-	return g
+	table.Rows = append(table.Rows, []string{"", "", "", "", fmt.Sprintf("longest gap %v, after %s; %d lines are not from gypsumreel, %d were left out", t.LongestGap.Round(time.Millisecond), t.EventBeforeGap, t.ForeignLines, t.OmittedLines)})
+	return table
 }
 
-// formatFields prints the values of a line, in the order of their names.
-func formatFields(m map[string]any) string {
-	var out []string
-	for k, v := range m {
-		out = append(out, fmt.Sprintf("%s=%v", k, v))
+// formatFields returns the fields of a line as key=value pairs sorted by key.
+func formatFields(fields map[string]any) string {
+	var pairs []string
+	for k, v := range fields {
+		pairs = append(pairs, fmt.Sprintf("%s=%v", k, v))
 	}
-	slices.Sort(out)
-	return strings.Join(out, " ")
+	slices.Sort(pairs)
+	return strings.Join(pairs, " ")
 }
--- a/internal/cli/explain/explain_test.go
+++ b/internal/cli/explain/explain_test.go
@@ -15,11 +15,15 @@
 	"gypsumreel/internal/cli/verb"
 )
 
+// entryLog holds lines of an entry, each with a prefix that ends with the process name,
+// and one line that is not from gypsumreel.
 const entryLog = `  2.1 front-1 {"time":"2026-02-27T15:20:10.100Z","level":"INFO","msg":"m","event":818,"name":"call-answered","flow":"abc","code":0}
 not ours
   2.2 front-1 {"time":"2026-02-27T15:20:10.200Z","level":"INFO","msg":"m","event":818,"name":"call-answered","flow":"other","code":0}
 `
 
+// controlLog holds lines of a control replica: one flow, two leader elections, of which
+// the second follows the end of the flow, and one line without a valid time.
 const controlLog = `{"time":"2026-02-27T15:20:10.050Z","level":"INFO","msg":"m","event":801,"name":"flow-accepted","flow":"abc","term":2}
 {"time":"2026-02-27T15:20:12.000Z","level":"INFO","msg":"m","event":200,"name":"leader-elected","term":3}
 {"time":"2026-02-27T15:20:14.500Z","level":"INFO","msg":"m","event":806,"name":"run-ended","flow":"abc","how":"RUN_END_DONE"}
@@ -34,9 +38,9 @@
 	return exit, out.String(), err.String()
 }
 
-// Someone on call has an id and the logs of two processes, one with a prefix on
-// each line. The answer is the order of events over both, what befell the control
-// group between them, and where the time went.
+// Guards against a timeline that misses or misorders events when they are spread over the
+// logs of two processes: it has to merge both, include leader changes and find the
+// longest gap.
 func TestTimelineMergesSeveralLogs(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "core.log")
 	if err := os.WriteFile(name, []byte(controlLog), 0o600); err != nil {
@@ -68,8 +72,8 @@
 }
 
 func TestUnknownIDIsUsageError(t *testing.T) {
-	exit, _, err := run(t, entryLog, "nobody", "--logs", "-")
-	if exit != verb.ExitUsage || !strings.Contains(err, "no line about nobody") {
-		t.Error(exit, err)
+	exit, _, errs := run(t, entryLog, "absent", "--logs", "-")
+	if exit != verb.ExitUsage || !strings.Contains(errs, "no log line about absent") {
+		t.Errorf("exit code %d, errors %q", exit, errs)
 	}
 }
--- a/internal/cli/explain/summary.go
+++ b/internal/cli/explain/summary.go
@@ -12,43 +12,49 @@
 	"gypsumreel/internal/cli/verb"
 )
 
-// Bounds of a summary.
+// Limits of a summary.
 const (
-	// maxFlows bounds the flows that are kept.
+	// maxFlows is the maximum number of flows kept in memory.
 	maxFlows = 1_000_000
-	// maxBarWidth is the length of the longest bar of the chart.
+	// maxBarWidth is the length in characters of the longest bar in the chart.
 	maxBarWidth = 50
-	// maxCustomers bounds the customers that are shown.
+	// maxCustomers is the maximum number of customers shown.
 	maxCustomers = 10
 )
 
-// causeRow counts the flows of one queue and cause; late is the median of how much longer
-// than their objective they took, in seconds.
+// causeRow counts the flows of one queue and cause.
 type causeRow struct {
-	Queue             string  `json:"queue"`
-	Cause             Cause   `json:"cause"`
-	Flows             int     `json:"flows"`
-	Ended             int     `json:"ended"`
+	Queue string `json:"queue"`
+	Cause Cause  `json:"cause"`
+	Flows int    `json:"flows"`
+	// Ended is the number of flows whose acceptance and end are both in the logs.
+	Ended int `json:"ended"`
+	// MedianLateSeconds is the median time by which the ended flows exceeded their
+	// objective.
 	MedianLateSeconds float64 `json:"late"`
 }
 
-// customerRow is how one customer fared; cause is what most of its other flows met.
+// customerRow describes the service level of one customer.
 type customerRow struct {
-	Customer    string  `json:"customer"`
-	Flows       int     `json:"flows"`
+	Customer string `json:"customer"`
+	Flows    int    `json:"flows"`
+	// InTimeShare is the fraction of the flows that ended within their objective.
 	InTimeShare float64 `json:"intime"`
-	Cause       Cause   `json:"cause"`
+	// Cause is the most frequent cause among the other flows.
+	Cause Cause `json:"cause"`
 }
 
-// secondRow counts the flows that were accepted in a second, and those not in time.
+// secondRow counts the flows that were accepted within one second.
 type secondRow struct {
-	Time          time.Time `json:"at"`
-	Flows         int       `json:"flows"`
-	Missed        int       `json:"missed"`
-	LeaderChanges int       `json:"changes"`
+	Time  time.Time `json:"at"`
+	Flows int       `json:"flows"`
+	// Missed is the number of these flows that did not end within their objective.
+	Missed int `json:"missed"`
+	// LeaderChanges is the number of leader elections in that second.
+	LeaderChanges int `json:"changes"`
 }
 
-// summary is what became of all flows of a log.
+// summary holds the counts of all flows in the logs.
 type summary struct {
 	Flows        int           `json:"flows"`
 	Rows         []causeRow    `json:"rows"`
@@ -59,7 +65,7 @@
 	OmittedLines int           `json:"left"`
 }
 
-// summaryBuilder collects the journeys of all flows.
+// summaryBuilder collects the histories of all flows and the times of leader changes.
 type summaryBuilder struct {
 	flows         map[string]*flowHistory
 	leaderChanges []time.Time
@@ -68,15 +74,17 @@
 	omittedLines  int
 }
 
-// summaryEvents are the events that tell something of a flow or of the lead.
+// summaryEvents are the quoted names of the events that the summary is built from. Lines
+// without one of them are not parsed.
 var summaryEvents = [][]byte{
 	[]byte(`"flow-accepted"`), []byte(`"call-answered"`), []byte(`"advice-taken"`), []byte(`"runs-placed"`),
 	[]byte(`"run-moved"`), []byte(`"run-ended"`), []byte(`"flow-cancelled"`), []byte(`"leader-elected"`),
 	[]byte(`"attempt-lost"`), []byte(`"flow-given-up"`),
 }
 
-// addLine takes one line of a log.
-func (c *summaryBuilder) addLine(_, object []byte) bool {
+// addLine adds one line of a log to the history of its flow. It returns false if the line
+// is not from gypsumreel.
+func (b *summaryBuilder) addLine(_, object []byte) bool {
 	if !slices.ContainsFunc(summaryEvents, func(n []byte) bool { return bytes.Contains(object, n) }) {
 		return true
 	}
@@ -84,35 +92,35 @@
 	if !ok {
 		return false
 	}
-	if l.Time.After(c.lastLineAt) {
-		c.lastLineAt = l.Time
+	if l.Time.After(b.lastLineAt) {
+		b.lastLineAt = l.Time
 	}
 	if l.EventName == "leader-elected" {
-		c.leaderChanges = append(c.leaderChanges, l.Time)
+		b.leaderChanges = append(b.leaderChanges, l.Time)
 		return true
 	}
 	id := stringField(l, "flow")
-	history := c.flows[id]
+	history := b.flows[id]
 	switch {
 	case id == "":
 		return true
-	case history == nil && len(c.flows) >= maxFlows:
-		c.omittedLines++
+	case history == nil && len(b.flows) >= maxFlows:
+		b.omittedLines++
 		return true
 	case history == nil:
 		if l.EventName == "call-answered" && !strings.Contains(stringField(l, "verb"), "SUBMIT") {
 			return true
 		}
 		history = &flowHistory{}
-		c.flows[id] = history
+		b.flows[id] = history
 	}
 	history.addLine(l)
 	return true
 }
 
-// build counts what was collected.
-func (c *summaryBuilder) build() summary {
-	result := summary{Flows: len(c.flows), ForeignLines: c.foreignLines, OmittedLines: c.omittedLines}
+// build returns the counts over the collected histories.
+func (b *summaryBuilder) build() summary {
+	result := summary{Flows: len(b.flows), ForeignLines: b.foreignLines, OmittedLines: b.omittedLines}
 	type key struct {
 		queue string
 		cause Cause
@@ -120,28 +128,28 @@
 	rows, lateSeconds := map[key]*causeRow{}, map[key][]float64{}
 	customers, missedByCustomer := map[string]*customerRow{}, map[string]map[Cause]int{}
 	seconds, refusals := map[int64]*secondRow{}, map[int]int{}
-	for _, j := range c.flows {
-		cause := j.cause(c.leaderChanges, c.lastLineAt)
+	for _, history := range b.flows {
+		cause := history.cause(b.leaderChanges, b.lastLineAt)
 		if cause == CauseRefused {
-			refusals[j.refusalCode]++
+			refusals[history.refusalCode]++
 		}
-		k := key{j.queue, cause}
+		k := key{history.queue, cause}
 		r := rows[k]
 		if r == nil {
-			r = &causeRow{Queue: j.queue, Cause: cause}
+			r = &causeRow{Queue: history.queue, Cause: cause}
 			rows[k] = r
 		}
 		r.Flows++
-		if !j.endedAt.IsZero() && !j.acceptedAt.IsZero() {
+		if !history.endedAt.IsZero() && !history.acceptedAt.IsZero() {
 			r.Ended++
-			lateSeconds[k] = append(lateSeconds[k], (j.duration(c.lastLineAt) - j.objective).Seconds())
+			lateSeconds[k] = append(lateSeconds[k], (history.duration(b.lastLineAt) - history.objective).Seconds())
 		}
-		if j.acceptedAt.IsZero() || cause == CauseCancelled {
+		if history.acceptedAt.IsZero() || cause == CauseCancelled {
 			continue
 		}
-		countAcceptedFlow(seconds, customers, missedByCustomer, j, cause)
+		countAcceptedFlow(seconds, customers, missedByCustomer, history, cause)
 	}
-	for _, at := range c.leaderChanges {
+	for _, at := range b.leaderChanges {
 		if s := seconds[at.Unix()]; s != nil {
 			s.LeaderChanges++
 		}
@@ -171,34 +179,35 @@
 	return result
 }
 
-// countAcceptedFlow adds an accepted flow to its second and its customer.
-func countAcceptedFlow(seconds map[int64]*secondRow, customers map[string]*customerRow, missedByCustomer map[string]map[Cause]int, j *flowHistory, cause Cause) {
-	at := j.acceptedAt.Unix()
-	if seconds[at] == nil {
-		seconds[at] = &secondRow{Time: time.Unix(at, 0).UTC()}
+// countAcceptedFlow adds an accepted flow to the counts of its second and its customer.
+func countAcceptedFlow(seconds map[int64]*secondRow, customers map[string]*customerRow, missedByCustomer map[string]map[Cause]int, history *flowHistory, cause Cause) {
+	acceptedSecond := history.acceptedAt.Unix()
+	if seconds[acceptedSecond] == nil {
+		seconds[acceptedSecond] = &secondRow{Time: time.Unix(acceptedSecond, 0).UTC()}
 	}
-	if customers[j.customer] == nil {
-		customers[j.customer], missedByCustomer[j.customer] = &customerRow{Customer: j.customer}, map[Cause]int{}
+	if customers[history.customer] == nil {
+		customers[history.customer], missedByCustomer[history.customer] = &customerRow{Customer: history.customer}, map[Cause]int{}
 	}
-	seconds[at].Flows++
-	customers[j.customer].Flows++
+	seconds[acceptedSecond].Flows++
+	customers[history.customer].Flows++
 	if cause == CauseInTime {
-		customers[j.customer].InTimeShare++
+		customers[history.customer].InTimeShare++
 		return
 	}
-	seconds[at].Missed++
-	missedByCustomer[j.customer][cause]++
+	seconds[acceptedSecond].Missed++
+	missedByCustomer[history.customer][cause]++
 }
 
-// mostFrequentCause returns the cause that comes most often; InTime when there is none.
+// mostFrequentCause returns the cause with the highest count, or CauseInTime if there are
+// no counts.
 func mostFrequentCause(counts map[Cause]int) Cause {
-	out := CauseInTime
+	frequent := CauseInTime
 	for _, c := range slices.Sorted(maps.Keys(counts)) {
-		if counts[c] > counts[out] {
-			out = c
+		if counts[c] > counts[frequent] {
+			frequent = c
 		}
 	}
-	return out
+	return frequent
 }
 
 func median(values []float64) float64 {
@@ -209,22 +218,23 @@
 	return values[len(values)/2]
 }
 
-// textTable is the summary as a person reads it: causes, the worst-served customers, and
-// a chart of the flows that were accepted in each second, of which # were not in time.
+// textTable returns the summary as text: the causes, the customers with the lowest
+// fraction in time, and a bar chart of the flows accepted in each second. The part of a
+// bar drawn with # stands for the flows that were not in time.
 func (s summary) textTable() verb.TextTable {
-	g := verb.TextTable{Header: []string{"queue", "cause", "flows", "ended", "late by, median"}}
+	table := verb.TextTable{Header: []string{"queue", "cause", "flows", "ended", "late by, median"}}
 	for _, r := range s.Rows {
 		late := ""
 		if r.Ended > 0 && r.Cause != CauseInTime {
 			late = fmt.Sprintf("%.2f s", r.MedianLateSeconds)
 		}
-		g.Rows = append(g.Rows, []string{r.Queue, string(r.Cause), fmt.Sprint(r.Flows), fmt.Sprint(r.Ended), late})
+		table.Rows = append(table.Rows, []string{r.Queue, string(r.Cause), fmt.Sprint(r.Flows), fmt.Sprint(r.Ended), late})
 	}
-	g.Rows = append(g.Rows, nil, []string{"customer", "most often", "flows", "in time", ""})
+	table.Rows = append(table.Rows, nil, []string{"customer", "most often", "flows", "in time", ""})
 	for _, c := range s.Customers {
-		g.Rows = append(g.Rows, []string{c.Customer, string(c.Cause), fmt.Sprint(c.Flows), fmt.Sprintf("%.3f", c.InTimeShare), ""})
+		table.Rows = append(table.Rows, []string{c.Customer, string(c.Cause), fmt.Sprint(c.Flows), fmt.Sprintf("%.3f", c.InTimeShare), ""})
 	}
-	g.Rows = append(g.Rows, nil, []string{"second", "accepted, # not in time", "flows", "missed", "leaders elected"})
+	table.Rows = append(table.Rows, nil, []string{"second", "accepted, # not in time", "flows", "missed", "leaders elected"})
 	largest := 1
 	for _, second := range s.Seconds {
 		largest = max(largest, second.Flows)
@@ -236,8 +246,8 @@
 		}
 		bar := strings.Repeat("#", second.Missed*maxBarWidth/largest)
 		bar += strings.Repeat(".", second.Flows*maxBarWidth/largest-len(bar))
-		g.Rows = append(g.Rows, []string{second.Time.Format("15:04:05"), bar, fmt.Sprint(second.Flows), fmt.Sprint(second.Missed), changes})
+		table.Rows = append(table.Rows, []string{second.Time.Format("15:04:05"), bar, fmt.Sprint(second.Flows), fmt.Sprint(second.Missed), changes})
 	}
-	note := fmt.Sprintf("%d flows; refused: %s; %d lines are not of gypsumreel, %d were left out", s.Flows, strings.Join(s.Refusals, ", "), s.ForeignLines, s.OmittedLines)
-	return verb.TextTable{Header: g.Header, Rows: append(g.Rows, nil, []string{note})}
+	footer := fmt.Sprintf("%d flows; refused: %s; %d lines are not from gypsumreel, %d were left out", s.Flows, strings.Join(s.Refusals, ", "), s.ForeignLines, s.OmittedLines)
+	return verb.TextTable{Header: table.Header, Rows: append(table.Rows, nil, []string{footer})}
 }
--- a/internal/cli/explain/summary_test.go
+++ b/internal/cli/explain/summary_test.go
@@ -11,12 +11,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// logLine returns a line of a log: an event at a time in milliseconds after 15:20.
+// logLine returns a log line with an event at the given milliseconds after 15:20.
 func logLine(ms int, name, facts string) string {
 	return fmt.Sprintf(`{"time":"2026-02-27T15:20:%02d.%03dZ","level":"INFO","msg":"m","event":1,"name":%q,%s}`+"\n", ms/1000, ms%1000, name, facts)
 }
 
-// logWithEveryCause is a log with one flow for each cause.
+// logWithEveryCause returns a log with one flow for each cause that the test checks.
 func logWithEveryCause() string {
 	b := &strings.Builder{}
 	acceptFlow := func(ms int, id string) {
@@ -58,7 +58,8 @@
 	return b.String()
 }
 
-// Someone on call asks why so much was late: each flow counts once, by its cause.
+// Guards against flows that are counted twice or under a wrong cause: every flow counts
+// once, under the first cause that applies.
 func TestSummaryCountsEachFlowByCause(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "all.log")
 	if err := os.WriteFile(name, []byte(logWithEveryCause()+"not ours\n"), 0o600); err != nil {
@@ -97,7 +98,8 @@
 	}
 }
 
-// The logs named hold nothing about flows: that is said, and no empty table shown.
+// Guards against an empty table as the only answer when the logs contain no line about a
+// flow: the verb has to fail instead.
 func TestSummaryFailsWithoutFlowLines(t *testing.T) {
 	if exit, out, _ := run(t, "nothing\n", "--logs", "-"); exit == 0 || out != "" {
 		t.Error(exit, out)
--- a/internal/cli/flow/flow.go
+++ b/internal/cli/flow/flow.go
@@ -1,6 +1,6 @@
-// Package flow holds the verbs that hand in flows, jobs of several steps, and ask
-// how they stand. They speak to the control replicas themselves, on the network
-// inside the cell, as an entry does.
+// Package flow implements the verbs that submit, query and cancel flows, which are jobs
+// of several steps. Like an entry, the verbs call the control replicas directly on the
+// network inside the cell.
 package flow
 
 import (
@@ -25,51 +25,54 @@
 )
 
 const (
-	// maxFileBytes bounds a flow's file, in bytes.
+	// maxFileBytes is the maximum size of a flow's file.
 	maxFileBytes = 1 << 20
-	// connectionsPerReplica bounds those to one replica: one call at a time, and one that was given up.
+	// connectionsPerReplica limits the connections to one replica: one for the current
+	// call and one for a call that was abandoned.
 	connectionsPerReplica = 2
-	// retryDelay is the time between two tries: an election takes a few of them.
+	// retryDelay is the delay between two attempts. An election takes a few of these
+	// delays.
 	retryDelay = 100 * time.Millisecond
 )
 
 // New returns the verbs.
 func New() verb.Verb {
 	return verb.Verb{
-		Name: "flow", Short: "check and hand in jobs of several steps, and ask how they stand",
+		Name: "flow", Short: "check, submit, query and cancel jobs of several steps",
 		Subverbs: []verb.Verb{
-			{Name: "check", Short: "check a flow's file", Long: "Reads the flow in FILE (JSON with comments; - for standard input) and tells what is wrong with it. Nothing is sent.", Runner: &checkCommand{}},
+			{Name: "check", Short: "check a flow's file", Long: "Validates the flow in FILE (JSON with comments; - for standard input) and prints the first fault. Nothing is sent.", Runner: &checkCommand{}},
 			{
-				Name: "submit", Short: "hand in a flow",
-				Long:   "Hands in the flow in FILE (JSON with comments; - for standard input). Its id is part of the file; after a lost answer run the same command again: it remains one flow.",
+				Name: "submit", Short: "submit a flow",
+				Long:   "Submits the flow in FILE (JSON with comments; - for standard input). Its id is part of the file. After a lost answer run the same command again: the flow is not created twice.",
 				Runner: &submitCommand{},
 			},
-			{Name: "state", Short: "tell how a flow stands", Long: "Tells how the flow ID stands. Exit code 7 while it waits or runs.", Runner: &stateCommand{}},
-			{Name: "cancel", Short: "cancel a flow", Long: "Cancels the flow ID: nothing of it starts any more, and what runs is stopped.", Runner: &cancelCommand{}},
-			{Name: "pending", Short: "count a queue's flows of which nothing has started", Runner: &pendingCommand{}},
+			{Name: "state", Short: "print the state of a flow", Long: "Prints the state of the flow ID. Exit code 7 while it waits or runs.", Runner: &stateCommand{}},
+			{Name: "cancel", Short: "cancel a flow", Long: "Cancels the flow ID: none of its tasks starts any more, and running tasks are stopped.", Runner: &cancelCommand{}},
+			{Name: "pending", Short: "count a queue's flows that have not started", Runner: &pendingCommand{}},
 		},
 	}
 }
 
-// flowFlags say where the control replicas are, who asks, and at which queue.
+// flowFlags hold the addresses of the control replicas, the customer's key and the queue.
 type flowFlags struct {
 	verb.OutputFlag
-	Control string        `long:"control" env:"GYPSUMREEL_CONTROL" required:"true" description:"control replicas, comma-separated: IP:PORT on the network inside the cell"`
+	Control string        `long:"control" env:"GYPSUMREEL_CONTROL" required:"true" description:"addresses of the control replicas, comma-separated: IP:PORT on the network inside the cell"`
 	Cell    string        `long:"cell" env:"GYPSUMREEL_CELL" default:"platform" description:"name of the cell"`
-	Key     string        `long:"key" env:"GYPSUMREEL_KEY" description:"the customer's key; better given by the environment than seen in the process list"`
+	Key     string        `long:"key" env:"GYPSUMREEL_KEY" description:"the customer's key; prefer the environment variable, as the process list shows flags"`
 	Host    string        `long:"host" required:"true" description:"the queue's host"`
 	Path    string        `long:"path" required:"true" description:"the queue's path, up to the flow's id"`
-	Timeout time.Duration `long:"timeout" default:"10s" description:"longest wait for an answer, over all tries"`
+	Timeout time.Duration `long:"timeout" default:"10s" description:"maximum wait for an answer, including retries"`
 }
 
-// flowResult is what is printed.
+// flowResult is the result printed with --json.
 type flowResult struct {
 	ID      string `json:"id,omitempty"`
 	State   string `json:"state,omitempty"`
 	Pending uint32 `json:"pending"`
 }
 
-// call carries one request to the leader.
+// call sends one request to the leader and returns its answer. A result code other than
+// OK becomes an Error.
 func (f flowFlags) call(ctx context.Context, flowVerb inner.FlowVerb, id string, spec *v1.FlowSpec) (*inner.FlowAnswer, error) {
 	if f.Timeout <= 0 {
 		return nil, verb.UsageError("Give a duration such as 10s.", "--timeout %s is not positive", f.Timeout)
@@ -88,9 +91,9 @@
 	return answer, nil
 }
 
-// callLeader asks one replica after the other, and whoever each takes for the leader,
-// until the leader has answered or the time is over. Every request may be made
-// again: flows have ids, and cancelling or asking twice changes nothing.
+// callLeader calls the replicas in turn, each followed by the leader that it names, until
+// the leader answers or ctx is cancelled. Every request is safe to repeat: flows have
+// ids, and a repeated cancellation or query changes nothing.
 func (f flowFlags) callLeader(ctx context.Context, request *inner.FlowAsk) *inner.FlowAnswer {
 	client := wire.Client(connectionsPerReplica, nil, files.Processes)
 	addresses := strings.Split(f.Control, ",")
@@ -118,16 +121,16 @@
 	return lastAnswer
 }
 
-// printState prints a flow's state.
+// printState prints the id and the state of a flow.
 func (f flowFlags) printState(env verb.Env, id string, answer *inner.FlowAnswer) error {
 	name := strings.ToLower(strings.TrimPrefix(answer.GetState().String(), "FLOW_STATE_"))
 	return f.Print(env.Out, flowResult{ID: id, State: name}, verb.TextTable{Header: []string{"FLOW", "STATE"}, Rows: [][]string{{id, name}}})
 }
 
-// readSpec reads a flow's file and checks it as the leader would.
+// readSpec reads a flow's file and validates it like the leader does.
 func readSpec(env verb.Env, args []string) (*v1.FlowSpec, error) {
 	if len(args) != 1 {
-		return nil, verb.UsageError("Name one FILE, or - for standard input.", "%d files", len(args))
+		return nil, verb.UsageError("Name one FILE, or - for standard input.", "the verb takes one file, got %d", len(args))
 	}
 	in := env.In
 	if args[0] != "-" {
@@ -143,32 +146,32 @@
 	case err != nil:
 		return nil, verb.UsageError("Check the file.", "%s: %v", args[0], err)
 	case len(text) > maxFileBytes:
-		return nil, verb.UsageError("Give less input.", "%s has more than %d bytes", args[0], maxFileBytes)
+		return nil, verb.UsageError("Give a smaller file.", "%s is larger than %d bytes", args[0], maxFileBytes)
 	}
 	plain, err := hujson.Standardize(text)
 	if err != nil {
-		return nil, verb.UsageError("It must be JSON; comments are allowed.", "%s: %v", args[0], err)
+		return nil, verb.UsageError("The file must be JSON; comments are allowed.", "%s: %v", args[0], err)
 	}
 	spec := &v1.FlowSpec{}
 	if err := protojson.Unmarshal(plain, spec); err != nil {
 		return nil, verb.UsageError("The fields are those of FlowSpec in proto/v1/flow.proto.", "%s: %v", args[0], err)
 	}
 	if fault := domain.Check(spec); fault != nil {
-		return nil, verb.UsageError("Mend the file; nothing was sent.", "%s: %v", args[0], fault)
+		return nil, verb.UsageError("Correct the file; nothing was sent.", "%s: %v", args[0], fault)
 	}
 	return spec, nil
 }
 
 func parseID(args []string) (string, error) {
 	if len(args) != 1 || args[0] == "" {
-		return "", verb.UsageError("Name one flow ID.", "%d ids", len(args))
+		return "", verb.UsageError("Name one flow ID.", "the verb takes one flow id, got %d", len(args))
 	}
 	return args[0], nil
 }
 
 type checkCommand struct{ verb.OutputFlag }
 
-// Run checks a file.
+// Run validates a flow's file and prints its number of steps and tasks.
 func (c *checkCommand) Run(_ context.Context, env verb.Env, args []string) error {
 	spec, err := readSpec(env, args)
 	if err != nil {
@@ -178,18 +181,18 @@
 	for _, s := range spec.GetSteps() {
 		tasks += s.GetCount()
 	}
-	type sound struct {
+	type checkResult struct {
 		ID    string `json:"id"`
 		Steps int    `json:"steps"`
 		Tasks uint32 `json:"tasks"`
 	}
-	out := sound{spec.GetId(), len(spec.GetSteps()), tasks}
-	return c.Print(env.Out, out, verb.TextTable{Header: []string{"FLOW", "STEPS", "TASKS"}, Rows: [][]string{{out.ID, fmt.Sprint(out.Steps), fmt.Sprint(out.Tasks)}}})
+	result := checkResult{spec.GetId(), len(spec.GetSteps()), tasks}
+	return c.Print(env.Out, result, verb.TextTable{Header: []string{"FLOW", "STEPS", "TASKS"}, Rows: [][]string{{result.ID, fmt.Sprint(result.Steps), fmt.Sprint(result.Tasks)}}})
 }
 
 type submitCommand struct{ flowFlags }
 
-// Run hands a flow in.
+// Run submits the flow in the given file and prints its state.
 func (c *submitCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	spec, err := readSpec(env, args)
 	if err != nil {
@@ -204,7 +207,7 @@
 
 type stateCommand struct{ flowFlags }
 
-// Run tells how a flow stands.
+// Run prints the state of the flow named by args. The exit code depends on that state.
 func (c *stateCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	id, err := parseID(args)
 	if err != nil {
@@ -228,7 +231,7 @@
 
 type cancelCommand struct{ flowFlags }
 
-// Run cancels a flow.
+// Run cancels the flow named by args and prints its state.
 func (c *cancelCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	id, err := parseID(args)
 	if err != nil {
@@ -243,7 +246,7 @@
 
 type pendingCommand struct{ flowFlags }
 
-// Run counts flows of which nothing has started.
+// Run prints the number of the queue's flows that have not started.
 func (c *pendingCommand) Run(ctx context.Context, env verb.Env, _ []string) error {
 	answer, err := c.call(ctx, inner.FlowVerb_FLOW_VERB_PENDING, "", nil)
 	if err != nil {
--- a/internal/cli/flow/flow_test.go
+++ b/internal/cli/flow/flow_test.go
@@ -18,6 +18,7 @@
 	"gypsumreel/internal/cli/verb"
 )
 
+// flowFile is a valid flow with comments and trailing commas.
 const flowFile = `{
 	// two steps, the second a gang
 	"id": "f1",
@@ -27,7 +28,7 @@
 	],
 }`
 
-// fakeReplica stands in for a control replica.
+// fakeReplica is a control replica that records requests and always returns one answer.
 type fakeReplica struct {
 	inner.Flows
 	requests []*inner.FlowAsk
@@ -55,7 +56,8 @@
 	return []string{"--control", control, "--host", "h", "--path", "/q/", "--key", "key", "--timeout", "500ms"}
 }
 
-// The first replica named does not lead, and knows who does.
+// Guards against a submission that fails because the first address is a follower's: the
+// client follows the leader address in the follower's answer.
 func TestSubmitFollowsRedirectToLeader(t *testing.T) {
 	leader := &fakeReplica{answer: &inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_QUEUED}}
 	follower := &fakeReplica{answer: &inner.FlowAnswer{Code: uint32(code.NoLeader), Leader: startReplica(t, leader)}}
@@ -66,7 +68,7 @@
 	request := leader.requests[0]
 	key := sha256.Sum256([]byte("key"))
 	if request.GetPath() != "/q/f1" || !bytes.Equal(request.GetKey(), key[:]) || len(request.GetSpec().GetSteps()) != 2 || !request.GetSpec().GetSteps()[1].GetGang() {
-		t.Errorf("asked: %v", request)
+		t.Errorf("the leader received %v", request)
 	}
 }
 
@@ -90,7 +92,7 @@
 	closedServer := httptest.NewServer(http.NotFoundHandler())
 	closedServer.Close()
 	if exit, _, _ := run("", append([]string{"cancel", "f1"}, connectionFlags(strings.TrimPrefix(closedServer.URL, "http://"))...)...); exit != verb.ExitUnreachable {
-		t.Errorf("exit code %d where nobody listens", exit)
+		t.Errorf("exit code %d when nothing listens at the address, want %d", exit, verb.ExitUnreachable)
 	}
 }
 
@@ -108,6 +110,6 @@
 		}
 	}
 	if exit, out, errs := run(flowFile, "check", "-", "--json"); exit != verb.ExitOK || !strings.Contains(out, `"tasks": 6`) {
-		t.Errorf("a sound file: %d %s %s", exit, out, errs)
+		t.Errorf("valid file: exit code %d, output %s, errors %s", exit, out, errs)
 	}
 }
--- a/internal/cli/key/key.go
+++ b/internal/cli/key/key.go
@@ -1,4 +1,4 @@
-// Package key holds the verbs that grant, withdraw and list keys.
+// Package key implements the verbs that grant, withdraw and list keys.
 package key
 
 import (
@@ -19,14 +19,14 @@
 		Subverbs: []verb.Verb{
 			{
 				Name: "grant", Short: "grant a key to a team or an operator",
-				Long:   "Makes a secret here, sends only its digest, and prints the key ID.SECRET this one time.",
+				Long:   "Generates a secret locally, sends only its digest, and prints the key ID.SECRET once.",
 				Runner: &grantCommand{},
 			},
 			{Name: "withdraw", Short: "withdraw a key", Long: "Withdraws the key with the given ID. It stops working everywhere within seconds.", Runner: &withdrawCommand{}},
-			{Name: "list", Short: "list keys", Long: "Lists all keys. Secrets are not kept and can't be shown.", Runner: &listCommand{}},
+			{Name: "list", Short: "list keys", Long: "Lists all keys. The cell doesn't store secrets, so they can't be shown.", Runner: &listCommand{}},
 			{
-				Name: "secret", Short: "make an enrolment secret",
-				Long:   "Makes a secret for backend servers and its digest for the setting enrolment. Needs no cell.",
+				Name: "secret", Short: "generate an enrolment secret",
+				Long:   "Generates a secret for backend servers and its digest for the setting enrolment. Needs no cell.",
 				Runner: &secretCommand{},
 			},
 		},
@@ -39,11 +39,11 @@
 	remote.ChangeID
 	Team     string `long:"team" description:"team that the key is for"`
 	Operator bool   `long:"operator" description:"an operator's key, which belongs to no team"`
-	ID       string `long:"id" description:"id of the key; made when left out"`
-	Secret   string `long:"secret" env:"GYPSUMREEL_SECRET" description:"secret to use instead of a new one, to run a lost grant again"`
+	ID       string `long:"id" description:"id of the key; generated when left out"`
+	Secret   string `long:"secret" env:"GYPSUMREEL_SECRET" description:"secret to use instead of a new one, to repeat a grant whose answer was lost"`
 }
 
-// grantResult is the result with --json.
+// grantResult is the result of a grant as printed with --json.
 type grantResult struct {
 	remote.ChangeResult
 	ID   string `json:"id"`
@@ -51,8 +51,9 @@
 	Team string `json:"team,omitempty"`
 }
 
-// Run grants a key. A grant without an answer may have been made, and its secret
-// exists only here, so that the error then carries what is needed to ask again.
+// Run grants a key. When no answer arrives, the cell may have stored the grant, and
+// only this process knows the secret. The error therefore contains the id and the
+// secret needed to repeat the grant.
 func (c *grantCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 0 || (c.Team == "") != c.Operator {
 		return verb.UsageError("Run `gypsumreel key grant --team TEAM` or `gypsumreel key grant --operator`.", "a key is either for one team or for an operator")
@@ -65,12 +66,12 @@
 	}
 	digest := key.Digest(c.Secret)
 	req := &v1.ChangeRequest{Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: c.ID, Team: c.Team, Digest: digest[:], Operator: c.Operator}}}
-	change, err := c.SendChange(ctx, c.ChangeID, req, fmt.Sprintf(" --id %s and GYPSUMREEL_SECRET=%s", c.ID, c.Secret))
+	result, err := c.SendChange(ctx, c.ChangeID, req, fmt.Sprintf(" --id %s and GYPSUMREEL_SECRET=%s", c.ID, c.Secret))
 	if err != nil {
 		return err
 	}
 	fullKey := c.ID + "." + c.Secret
-	return c.Print(env.Out, grantResult{ChangeResult: change, ID: c.ID, Key: fullKey, Team: c.Team}, verb.TextTable{Rows: [][]string{{fullKey}}})
+	return c.Print(env.Out, grantResult{ChangeResult: result, ID: c.ID, Key: fullKey, Team: c.Team}, verb.TextTable{Rows: [][]string{{fullKey}}})
 }
 
 type withdrawCommand struct {
@@ -79,7 +80,7 @@
 	remote.ChangeID
 }
 
-// Run withdraws the one key named.
+// Run withdraws the key named by args.
 func (c *withdrawCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) != 1 {
 		return verb.UsageError("Run `gypsumreel key withdraw ID`; `gypsumreel key list` shows the ids.", "withdraw takes one id, got %d", len(args))
@@ -98,7 +99,7 @@
 	Team string `long:"team" description:"only the keys of this team"`
 }
 
-// keyLine is one key with --json.
+// keyLine is one key as printed with --json.
 type keyLine struct {
 	ID       string `json:"id"`
 	Team     string `json:"team,omitempty"`
@@ -106,22 +107,22 @@
 	State    string `json:"state"`
 }
 
-// Run lists keys.
+// Run lists all keys, or with --team the keys of one team.
 func (c *listCommand) Run(ctx context.Context, env verb.Env, _ []string) error {
 	r, err := c.Flags.Show(ctx, v1.Part_PART_KEYS)
 	if err != nil {
 		return err
 	}
-	out, g := []keyLine{}, verb.TextTable{Header: []string{"ID", "TEAM", "STATE"}}
+	lines, table := []keyLine{}, verb.TextTable{Header: []string{"ID", "TEAM", "STATE"}}
 	for _, k := range r.GetKeys() {
 		if c.Team != "" && k.GetTeam() != c.Team {
 			continue
 		}
 		l := keyLine{ID: k.GetId(), Team: k.GetTeam(), Operator: k.GetOperator(), State: keyState(k)}
-		out = append(out, l)
-		g.Rows = append(g.Rows, []string{l.ID, keyOwner(k), l.State})
+		lines = append(lines, l)
+		table.Rows = append(table.Rows, []string{l.ID, keyOwner(k), l.State})
 	}
-	return c.Print(env.Out, out, g)
+	return c.Print(env.Out, lines, table)
 }
 
 func keyState(k *v1.KeyLine) string {
@@ -140,13 +141,13 @@
 
 type secretCommand struct{ verb.OutputFlag }
 
-// secretResult is the result with --json.
+// secretResult is the result printed with --json.
 type secretResult struct {
 	Secret string `json:"secret"`
 	Digest string `json:"digest"`
 }
 
-// Run makes a secret.
+// Run generates an enrolment secret and prints it with its digest.
 func (c *secretCommand) Run(_ context.Context, env verb.Env, _ []string) error {
 	secret := key.NewSecret()
 	digest := key.Digest(secret)
--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -1,4 +1,4 @@
-// Package load is the verb that loads a running cell and measures it.
+// Package load implements the verb that puts load on a running cell and measures it.
 package load
 
 import (
@@ -26,16 +26,16 @@
 	"gypsumreel/internal/load/work"
 )
 
-// Bounds of a run, so that a slip of the finger is no flood.
+// Limits of a run. They prevent a typing error in a flag from overloading the cell.
 const (
 	maxRate        = 20_000
 	maxDuration    = time.Hour
 	maxJobs        = 2_000_000
 	maxServers     = 1_000
 	maxAnswerBytes = 1 << 20
-	// readyTimeout is how long the tool's own servers have to be ready in.
+	// readyTimeout is the time in which the tool's own servers have to become ready.
 	readyTimeout = 10 * time.Second
-	// serversPerRack and zones spread the tool's own servers.
+	// serversPerRack and zoneCount distribute the tool's own servers over racks and zones.
 	serversPerRack = 8
 	zoneCount      = 3
 )
@@ -43,9 +43,9 @@
 // New returns the verb.
 func New() verb.Verb {
 	return verb.Verb{
-		Name: "load", Short: "load a running cell and measure it",
-		Long: "Submits jobs to a running cell at random times of a given mean rate, whatever became of earlier ones, and measures from the time at which each was to arrive. " +
-			"Checks that every answer is whole and its job's own, and with --servers that each ran as often as the cell says. " +
+		Name: "load", Short: "put load on a running cell and measure it",
+		Long: "Submits jobs to a running cell at random times with a given mean rate, regardless of the progress of earlier jobs, and measures latency from each job's planned arrival time. " +
+			"Checks that every answer is complete and belongs to its job, and with --servers that each job ran as often as the cell reports. " +
 			"Exit code 0 when every promise that was checked held.",
 		Runner: &command{},
 	}
@@ -54,34 +54,34 @@
 type command struct {
 	remote.Flags
 	verb.OutputFlag
-	Rate              float64       `long:"rate" default:"50" description:"mean arrivals a second"`
+	Rate              float64       `long:"rate" default:"50" description:"mean arrivals per second"`
 	Duration          time.Duration `long:"duration" default:"10s" description:"length of the run"`
-	OutcomeTimeout    time.Duration `long:"tail" default:"60s" description:"longest wait for outcomes after the last arrival"`
-	Seed              uint64        `long:"seed" default:"1" description:"the same seed makes the same jobs"`
-	Mix               string        `long:"mix" default:"urgent=70,batch=25,gang=4,service=1" description:"weights of the kinds"`
-	AtMostOnceShare   float64       `long:"once" default:"0.1" description:"part of the jobs that may run at most once, 0 to 1"`
-	AnswerBytes       int           `long:"answer" default:"1000" description:"mean bytes of a task's answer"`
-	GangTasks         uint32        `long:"gang" default:"4" description:"tasks of a gang"`
+	OutcomeTimeout    time.Duration `long:"tail" default:"60s" description:"maximum wait for outcomes after the last arrival"`
+	Seed              uint64        `long:"seed" default:"1" description:"seed of the generated jobs; the same seed gives the same jobs"`
+	Mix               string        `long:"mix" default:"urgent=70,batch=25,gang=4,service=1" description:"weights of the job kinds"`
+	AtMostOnceShare   float64       `long:"once" default:"0.1" description:"fraction of the jobs that may run at most once, 0 to 1"`
+	AnswerBytes       int           `long:"answer" default:"1000" description:"mean size of a task's answer in bytes"`
+	GangTasks         uint32        `long:"gang" default:"4" description:"number of tasks of a gang"`
 	RuntimeScale      float64       `long:"scale" default:"1" description:"factor on all run times"`
 	Deadline          time.Duration `long:"deadline" description:"deadline of urgent jobs"`
 	KeepOutcomes      bool          `long:"keep" description:"do not acknowledge outcomes"`
-	CallPerConnection bool          `long:"single" description:"one connection for each call under way, where a balancer passes on no HTTP/2 without TLS"`
+	CallPerConnection bool          `long:"single" description:"use one connection for each call in flight, for load balancers that don't forward HTTP/2 without TLS"`
 
-	Servers         int    `long:"servers" description:"own fake backend servers; without them, those of the cell have to echo nothing in particular and content is not checked"`
-	Backends        string `long:"backends" description:"the entries' listeners for backend servers, as --address"`
-	EnrolmentSecret string `long:"enrolment" env:"GYPSUMREEL_ENROLMENT" description:"enrolment secret of the own backend servers"`
-	Cores           int64  `long:"cores" default:"16" description:"cores of each own backend server"`
-	Memory          int64  `long:"memory" default:"32768" description:"MiB of each own backend server"`
-	Slots           int64  `long:"slots" default:"8" description:"slots of each own backend server"`
+	Servers         int    `long:"servers" description:"number of fake backend servers to start; with 0 the cell's own servers run the jobs, may return anything, and the content of answers is not checked"`
+	Backends        string `long:"backends" description:"the entries' listeners for backend servers, in the form of --address"`
+	EnrolmentSecret string `long:"enrolment" env:"GYPSUMREEL_ENROLMENT" description:"enrolment secret of the fake backend servers"`
+	Cores           int64  `long:"cores" default:"16" description:"cores of each fake backend server"`
+	Memory          int64  `long:"memory" default:"32768" description:"MiB of memory of each fake backend server"`
+	Slots           int64  `long:"slots" default:"8" description:"slots of each fake backend server"`
 
-	OperatorKey     string   `long:"operator" env:"GYPSUMREEL_OPERATOR" description:"operator's key, to name the table's revision in the result"`
-	OperatorAddress string   `long:"operators" description:"address for operators, as --address, when it is another"`
-	SettingsFiles   []string `long:"settings" description:"settings file in force, to name its digest in the result; may be repeated"`
-	Revision        string   `long:"revision" description:"revision of the code measured; that of this build when left out"`
-	Note            string   `long:"note" description:"text to keep in the result"`
+	OperatorKey     string   `long:"operator" env:"GYPSUMREEL_OPERATOR" description:"operator's key, to record the table revision in the result"`
+	OperatorAddress string   `long:"operators" description:"address for operators, in the form of --address, if it differs"`
+	SettingsFiles   []string `long:"settings" description:"settings file in use, to record its digest in the result; may be repeated"`
+	Revision        string   `long:"revision" description:"revision of the measured code; that of this build when left out"`
+	Note            string   `long:"note" description:"text to record in the result"`
 }
 
-// Run loads the cell.
+// Run puts load on the cell and prints the measurements.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	plan, err := c.buildPlan(args)
 	if err != nil {
@@ -91,12 +91,12 @@
 	if err != nil {
 		return err
 	}
-	l, err := c.Link()
+	entries, err := c.Link()
 	if err != nil {
 		return err
 	}
-	l.Shared = !c.CallPerConnection
-	measured.Target = l.Addresses
+	entries.Shared = !c.CallPerConnection
+	measured.Target = entries.Addresses
 	if measured.Table[0], err = c.tableRevision(ctx); err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 		return err
 	}
 	driver := &drive.Driver{
-		Caller: &caller.Client{Link: l}, Jobs: plan.Jobs(), Tail: c.OutcomeTimeout, Foreign: c.Servers == 0, Keep: c.KeepOutcomes,
+		Caller: &caller.Client{Link: entries}, Jobs: plan.Jobs(), Tail: c.OutcomeTimeout, Foreign: c.Servers == 0, Keep: c.KeepOutcomes,
 		Progress: progressFunc(env, c.JSON),
 	}
 	measured.Began = time.Now()
@@ -117,9 +117,10 @@
 	}
 	result := report.Sum(measured, measured.Began, outcome, workRecord)
 	result.Promises.Faults = append(result.Promises.Faults, serverRecord.Faults()...)
-	// A run that ended in a fault of the cell is the one whose result counts most.
+	// An error here is only printed: the result matters most when the cell failed during
+	// the run.
 	if result.Measured.Table[1], err = c.tableRevision(ctx); err != nil {
-		fmt.Fprintf(env.Err, "the table's revision after the run is not known: %v\n", err)
+		fmt.Fprintf(env.Err, "could not read the table revision after the run: %v\n", err)
 	}
 	return c.printResult(env, result)
 }
@@ -159,7 +160,7 @@
 	case c.Servers < 0 || c.Servers > maxServers:
 		return mix.Plan{}, verb.UsageError(usage, "--servers %d; allowed: 0 to %d", c.Servers, maxServers)
 	case c.Servers > 0 && (c.Backends == "" || c.EnrolmentSecret == ""):
-		return mix.Plan{}, verb.UsageError("Give --backends https://IP:PORT and --enrolment SECRET.", "--servers without the way to enrol them")
+		return mix.Plan{}, verb.UsageError("Give --backends https://IP:PORT and --enrolment SECRET.", "--servers needs --backends and --enrolment")
 	}
 	shapes := mix.DefaultShapes()
 	for kind, s := range shapes {
@@ -175,16 +176,16 @@
 	}, nil
 }
 
-func (c *command) describeRun(p mix.Plan) (report.Measured, error) {
+func (c *command) describeRun(plan mix.Plan) (report.Measured, error) {
 	measured := report.Measured{
 		Revision: report.Revision(), Settings: map[string]string{}, Note: c.Note,
-		Rate: p.Rate, Duration: p.Duration.String(), Seed: p.Seed, Mix: map[string]float64{}, Once: p.Once,
-		Answer: p.Answer, Deadline: p.Deadline.String(), Servers: c.Servers,
+		Rate: plan.Rate, Duration: plan.Duration.String(), Seed: plan.Seed, Mix: map[string]float64{}, Once: plan.Once,
+		Answer: plan.Answer, Deadline: plan.Deadline.String(), Servers: c.Servers,
 	}
 	if c.Revision != "" {
 		measured.Revision = c.Revision
 	}
-	for kind, weight := range p.Shares {
+	for kind, weight := range plan.Shares {
 		measured.Mix[kind.String()] = weight
 	}
 	for _, path := range c.SettingsFiles {
@@ -197,24 +198,24 @@
 	return measured, nil
 }
 
-// tableRevision returns the table's revision; 0 without an operator's key.
+// tableRevision returns the table revision, or 0 without an operator's key.
 func (c *command) tableRevision(ctx context.Context) (uint64, error) {
 	if c.OperatorKey == "" {
 		return 0, nil
 	}
-	f := c.Flags
-	f.Key = c.OperatorKey
+	flags := c.Flags
+	flags.Key = c.OperatorKey
 	if c.OperatorAddress != "" {
-		f.Address = c.OperatorAddress
+		flags.Address = c.OperatorAddress
 	}
-	r, err := f.Show(ctx, v1.Part_PART_TABLE)
+	r, err := flags.Show(ctx, v1.Part_PART_TABLE)
 	if err != nil {
 		return 0, err
 	}
 	return r.GetRevision(), nil
 }
 
-// startServers starts the tool's own backend servers and returns what stops them.
+// startServers starts the fake backend servers and returns a function that stops them.
 func (c *command) startServers(ctx context.Context, workRecord *work.Record, serverRecord *server.Record) (stop func(), err error) {
 	if c.Servers == 0 {
 		return func() {}, nil
@@ -228,7 +229,7 @@
 		}
 	}
 	for i := range servers {
-		go func() { _ = servers[i].Run(ctx) }() // ends with ctx, which is its only error
+		go func() { _ = servers[i].Run(ctx) }() // the only error is that of the cancelled ctx
 	}
 	stop = func() {
 		cancel()
@@ -244,9 +245,9 @@
 }
 
 func (c *command) newServer(i int, workRecord *work.Record, serverRecord *server.Record) (*server.Server, error) {
-	f := c.Flags
-	f.Address = c.Backends
-	l, err := f.Link()
+	flags := c.Flags
+	flags.Address = c.Backends
+	entries, err := flags.Link()
 	if err != nil {
 		return nil, err
 	}
@@ -255,29 +256,29 @@
 		Rack: fmt.Sprintf("rack-%d", i/serversPerRack), Zone: fmt.Sprintf("zone-%d", i%zoneCount),
 		Capacity: &v1.Size{Cpu: c.Cores * 1000, Memory: c.Memory, Slots: c.Slots},
 	}
-	for _, a := range l.Addresses {
-		if host, secure := strings.CutPrefix(a, "https://"); secure {
-			s.Entries = append(s.Entries, server.NewEntry(host, l.TLS.Clone(), nil))
+	for _, address := range entries.Addresses {
+		if host, secure := strings.CutPrefix(address, "https://"); secure {
+			s.Entries = append(s.Entries, server.NewEntry(host, entries.TLS.Clone(), nil))
 			continue
 		}
-		s.Entries = append(s.Entries, server.NewEntry(strings.TrimPrefix(a, "http://"), nil, nil))
+		s.Entries = append(s.Entries, server.NewEntry(strings.TrimPrefix(address, "http://"), nil, nil))
 	}
 	return s, nil
 }
 
-// waitUntilReady waits until a quarter of the settling time passes or, with an operator's
-// key, until the cell counts all servers as ready.
+// waitUntilReady waits until the cell reports all fake backend servers as ready. Without
+// an operator's key the state is unknown, and it waits for a quarter of readyTimeout.
 func (c *command) waitUntilReady(ctx context.Context) error {
 	if c.OperatorKey == "" {
 		time.Sleep(readyTimeout / 4)
 		return nil
 	}
-	f := c.Flags
-	f.Key, f.Timeout = c.OperatorKey, readyTimeout
+	flags := c.Flags
+	flags.Key, flags.Timeout = c.OperatorKey, readyTimeout
 	if c.OperatorAddress != "" {
-		f.Address = c.OperatorAddress
+		flags.Address = c.OperatorAddress
 	}
-	client, ctx, cancel, err := f.OperatorClient(ctx)
+	client, ctx, cancel, err := flags.OperatorClient(ctx)
 	if err != nil {
 		return err
 	}
@@ -285,7 +286,7 @@
 	for {
 		r, err := client.Show(ctx, v1.Part_PART_SERVERS)
 		if err != nil && ctx.Err() != nil {
-			return &verb.Error{ExitCode: verb.ExitUnreachable, Message: "the own backend servers were not ready in time", Advice: "Check --backends and --enrolment."}
+			return &verb.Error{ExitCode: verb.ExitUnreachable, Message: "the fake backend servers were not ready in time", Advice: "Check --backends and --enrolment."}
 		}
 		if err != nil {
 			return remote.UserError(err)
@@ -303,7 +304,8 @@
 	}
 }
 
-// progressFunc returns what draws a bar on a terminal; nil when there is none.
+// progressFunc returns a function that updates a progress bar. It returns nil when quiet
+// is set or the error output is not a terminal.
 func progressFunc(env verb.Env, quiet bool) func(sent, ended int) {
 	f, ok := env.Err.(*os.File)
 	if quiet || !ok || !term.IsTerminal(int(f.Fd())) {
@@ -312,6 +314,6 @@
 	bar := progressbar.NewOptions(-1, progressbar.OptionSetWriter(f), progressbar.OptionSetDescription("jobs"), progressbar.OptionClearOnFinish())
 	return func(sent, ended int) {
 		bar.Describe(fmt.Sprintf("%d sent, %d ended", sent, ended))
-		_ = bar.Add(1) // drawing is all it does
+		_ = bar.Add(1) // it only draws, so an error is ignored
 	}
 }
--- a/internal/cli/member/member.go
+++ b/internal/cli/member/member.go
@@ -1,4 +1,5 @@
-// Package member holds the verbs that list and change the control replicas.
+// Package member implements the verbs that list the processes of the cell and that add
+// and remove control replicas.
 package member
 
 import (
@@ -16,13 +17,13 @@
 	return verb.Verb{
 		Name: "member", Short: "list, add and remove control replicas",
 		Subverbs: []verb.Verb{
-			{Name: "list", Short: "list the processes of the cell", Long: "Lists control replicas and entries with their state and the table's revision that they confirmed.", Runner: &listCommand{}},
+			{Name: "list", Short: "list the processes of the cell", Long: "Lists control replicas and entries with their state and the table revision that they have confirmed.", Runner: &listCommand{}},
 			{
 				Name: "add", Short: "add a control replica",
-				Long:   "Adds the replica NAME at ADDRESS (IP:port). It counts once it has caught up. A replaced replica needs a new name: a blank disk must never vote with an old one.",
+				Long:   "Adds the replica NAME at ADDRESS (IP:port). It gets a vote once it has caught up with the log. A replaced replica needs a new name, because a replica that lost its disk must not vote under its old name.",
 				Runner: &addCommand{},
 			},
-			{Name: "remove", Short: "remove a control replica", Long: "Removes the replica NAME; its name is never used again.", Runner: &removeCommand{}},
+			{Name: "remove", Short: "remove a control replica", Long: "Removes the replica NAME. The name can't be used again.", Runner: &removeCommand{}},
 		},
 	}
 }
@@ -32,7 +33,7 @@
 	verb.OutputFlag
 }
 
-// processLine is one process with --json.
+// processLine is one process as printed with --json.
 type processLine struct {
 	Name     string `json:"name"`
 	Role     string `json:"role"`
@@ -42,41 +43,42 @@
 	Leader   bool   `json:"leader"`
 }
 
-// Run lists.
+// Run lists the control replicas and entries of the cell.
 func (c *listCommand) Run(ctx context.Context, env verb.Env, _ []string) error {
 	r, err := c.Show(ctx, v1.Part_PART_MEMBERS)
 	if err != nil {
 		return err
 	}
-	out, g := []processLine{}, verb.TextTable{Header: []string{"NAME", "ROLE", "ADDRESS", "STATE", "REVISION", "LEADER"}}
+	lines, table := []processLine{}, verb.TextTable{Header: []string{"NAME", "ROLE", "ADDRESS", "STATE", "REVISION", "LEADER"}}
 	for _, m := range r.GetMembers() {
-		out = append(out, processLine{m.GetName(), m.GetRole(), m.GetAddress(), m.GetState(), m.GetRevision(), m.GetLeader()})
+		lines = append(lines, processLine{m.GetName(), m.GetRole(), m.GetAddress(), m.GetState(), m.GetRevision(), m.GetLeader()})
 		leader := ""
 		if m.GetLeader() {
 			leader = "leader"
 		}
-		g.Rows = append(g.Rows, []string{m.GetName(), m.GetRole(), m.GetAddress(), m.GetState(), strconv.FormatUint(m.GetRevision(), 10), leader})
+		table.Rows = append(table.Rows, []string{m.GetName(), m.GetRole(), m.GetAddress(), m.GetState(), strconv.FormatUint(m.GetRevision(), 10), leader})
 	}
-	return c.Print(env.Out, out, g)
+	return c.Print(env.Out, lines, table)
 }
 
+// changeFlags are the flags of the verbs that change the membership.
 type changeFlags struct {
 	remote.Flags
 	verb.OutputFlag
 	remote.ChangeID
 }
 
-func (c *changeFlags) sendMemberChange(ctx context.Context, env verb.Env, m *v1.MemberChange, effect string) error {
-	result, err := c.SendChange(ctx, c.ChangeID, &v1.ChangeRequest{Change: &v1.ChangeRequest_Member{Member: m}}, "")
+func (c *changeFlags) sendMemberChange(ctx context.Context, env verb.Env, change *v1.MemberChange, effect string) error {
+	result, err := c.SendChange(ctx, c.ChangeID, &v1.ChangeRequest{Change: &v1.ChangeRequest_Member{Member: change}}, "")
 	if err != nil {
 		return err
 	}
-	return c.Print(env.Out, result, result.Describe("replica "+m.GetReplica()+" "+effect))
+	return c.Print(env.Out, result, result.Describe("replica "+change.GetReplica()+" "+effect))
 }
 
 type addCommand struct{ changeFlags }
 
-// Run adds a replica.
+// Run adds the replica whose name and address are given by args.
 func (c *addCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	const usage = "Run `gypsumreel member add NAME IP:PORT`."
 	const argCount = 2
@@ -91,7 +93,7 @@
 
 type removeCommand struct{ changeFlags }
 
-// Run removes a replica.
+// Run removes the replica named by args.
 func (c *removeCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) != 1 {
 		return verb.UsageError("Run `gypsumreel member remove NAME`.", "remove takes one name, got %d", len(args))
--- a/internal/cli/remote/remote.go
+++ b/internal/cli/remote/remote.go
@@ -1,4 +1,4 @@
-// Package remote holds the flags with which the verbs reach a running cell.
+// Package remote holds the flags that the verbs use to connect to a running cell.
 package remote
 
 import (
@@ -21,19 +21,20 @@
 	"gypsumreel/internal/client/operator"
 )
 
-// idBytes is the entropy of an id that the command makes.
+// idBytes is the number of random bytes in a generated id.
 const idBytes = 12
 
-// Flags say where the cell is and who asks.
+// Flags hold the address of the cell, the client's credentials and the timeout.
 type Flags struct {
-	Address           string        `long:"address" env:"GYPSUMREEL_ADDRESS" description:"entries or their balancer, comma-separated: https://IP:PORT, or http://IP:PORT without TLS"`
-	Key               string        `long:"key" env:"GYPSUMREEL_KEY" description:"key as ID.SECRET; better given by the environment than seen in the process list"`
+	Address           string        `long:"address" env:"GYPSUMREEL_ADDRESS" description:"addresses of entries or of their load balancer, comma-separated: https://IP:PORT, or http://IP:PORT without TLS"`
+	Key               string        `long:"key" env:"GYPSUMREEL_KEY" description:"key as ID.SECRET; prefer the environment variable, as the process list shows flags"`
 	Authority         string        `long:"authority" env:"GYPSUMREEL_AUTHORITY" description:"PEM file of the authorities that signed the entries' certificates"`
-	ClientCertificate string        `long:"certificate" env:"GYPSUMREEL_CERTIFICATE" description:"PEM file with this client's certificate and key, when the entries want one"`
-	Timeout           time.Duration `long:"timeout" default:"30s" description:"longest wait for an answer, over all tries"`
+	ClientCertificate string        `long:"certificate" env:"GYPSUMREEL_CERTIFICATE" description:"PEM file with this client's certificate and key, when the entries require one"`
+	Timeout           time.Duration `long:"timeout" default:"30s" description:"maximum wait for an answer, including retries"`
 }
 
-// CallerClient returns the client of a team and the context that bounds its calls.
+// CallerClient returns a client for a team's calls and a context that ends after the
+// timeout.
 func (f Flags) CallerClient(ctx context.Context) (*caller.Client, context.Context, context.CancelFunc, error) {
 	l, err := f.Link()
 	if err != nil {
@@ -43,7 +44,8 @@
 	return &caller.Client{Link: l}, ctx, cancel, nil
 }
 
-// OperatorClient returns the client of an operator and the context that bounds its calls.
+// OperatorClient returns a client for an operator's calls and a context that ends after
+// the timeout.
 func (f Flags) OperatorClient(ctx context.Context) (*operator.Client, context.Context, context.CancelFunc, error) {
 	l, err := f.Link()
 	if err != nil {
@@ -53,7 +55,7 @@
 	return &operator.Client{Link: l}, ctx, cancel, nil
 }
 
-// Show reads all lines of a part of the state.
+// Show returns all lines of one part of the cell's state.
 func (f Flags) Show(ctx context.Context, part v1.Part) (*v1.ShowReply, error) {
 	client, ctx, cancel, err := f.OperatorClient(ctx)
 	if err != nil {
@@ -67,13 +69,13 @@
 	return r, nil
 }
 
-// Link checks the flags and returns the way to the entries.
+// Link validates the flags and returns the connection to the entries.
 func (f Flags) Link() (*link.Link, error) {
 	if f.Timeout <= 0 {
 		return nil, verb.UsageError("Give a duration such as 30s.", "--timeout %s is not positive", f.Timeout)
 	}
 	if f.Key == "" {
-		return nil, verb.UsageError("Set --key or GYPSUMREEL_KEY to ID.SECRET.", "no key")
+		return nil, verb.UsageError("Set --key or GYPSUMREEL_KEY to ID.SECRET.", "no key given")
 	}
 	addresses, err := f.parseAddresses()
 	if err != nil {
@@ -89,20 +91,20 @@
 func (f Flags) parseAddresses() ([]string, error) {
 	const usage = "Set --address or GYPSUMREEL_ADDRESS to https://IP:PORT of an entry, or http://IP:PORT for one without TLS."
 	if f.Address == "" {
-		return nil, verb.UsageError(usage, "no address")
+		return nil, verb.UsageError(usage, "no address given")
 	}
-	var out []string
-	for _, a := range strings.Split(f.Address, ",") {
-		u, err := url.Parse(strings.TrimSpace(a))
-		if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-			return nil, verb.UsageError(usage, "address %q is not allowed", a)
+	var addresses []string
+	for _, address := range strings.Split(f.Address, ",") {
+		parsed, err := url.Parse(strings.TrimSpace(address))
+		if err != nil || parsed.Host == "" || parsed.Scheme != "http" && parsed.Scheme != "https" {
+			return nil, verb.UsageError(usage, "address %q is not allowed", address)
 		}
-		out = append(out, strings.TrimSuffix(u.String(), "/"))
+		addresses = append(addresses, strings.TrimSuffix(parsed.String(), "/"))
 	}
-	return out, nil
+	return addresses, nil
 }
 
-// TLSConfig returns the configuration for https addresses.
+// TLSConfig returns the TLS configuration for https addresses.
 func (f Flags) TLSConfig() (*tls.Config, error) {
 	cfg := &tls.Config{MinVersion: tls.VersionTLS13}
 	if f.Authority != "" {
@@ -112,7 +114,7 @@
 		}
 		cfg.RootCAs = x509.NewCertPool()
 		if !cfg.RootCAs.AppendCertsFromPEM(pem) {
-			return nil, verb.UsageError("Check --authority.", "%s holds no certificate in PEM", f.Authority)
+			return nil, verb.UsageError("Check --authority.", "%s contains no certificate in PEM format", f.Authority)
 		}
 	}
 	if f.ClientCertificate != "" {
@@ -125,14 +127,15 @@
 	return cfg, nil
 }
 
-// NewID returns an id that nobody else makes.
+// NewID returns a random id that is unique in practice.
 func NewID() string {
 	b := make([]byte, idBytes)
 	_, _ = rand.Read(b) // never fails: crypto/rand ends the process instead
 	return hex.EncodeToString(b)
 }
 
-// UserError turns an error of a client into one with an exit code and advice.
+// UserError converts a client error that carries a result code into a verb.Error with
+// exit code and advice. It returns other errors unchanged.
 func UserError(err error) error {
 	var refusal *code.Error
 	if !errors.As(err, &refusal) {
@@ -145,23 +148,24 @@
 	return verbErr
 }
 
-// transportHints tells by a part of the transport's message what the user can mend.
-var transportHints = []struct{ part, next string }{
-	{"certificate required", "The entry wants a certificate of its clients: give --certificate; or the address is not that of an entry."},
+// transportHints maps a substring of a transport error to advice for the user.
+var transportHints = []struct{ substring, advice string }{
+	{"certificate required", "The entry requires a client certificate: give --certificate. Or the address is not that of an entry."},
 	{"x509:", "The entry's certificate is not trusted: check --authority (GYPSUMREEL_AUTHORITY) and that the certificate names the address."},
-	{"HTTP response to HTTPS client", "The entry speaks plain text there: use http://, if its settings are meant to."},
-	{"400 Bad Request", "The entry may speak TLS there: use https://."},
-	{"connection refused", "Nothing listens there: check the address, and whether the entry runs."},
+	{"HTTP response to HTTPS client", "The entry expects plain text at this address: use http:// if its settings intend that."},
+	{"400 Bad Request", "The entry may expect TLS at this address: use https://."},
+	{"connection refused", "Nothing listens at this address: check the address, and whether the entry runs."},
 }
 
-// transportAdvice returns advice about a call that never got an answer.
+// transportAdvice returns advice about a call that got no answer. It returns an empty
+// string when no hint matches.
 func transportAdvice(refusal *code.Error) string {
 	if refusal.Code != code.LeaderTimeout {
 		return ""
 	}
-	for _, h := range transportHints {
-		if strings.Contains(refusal.Detail, h.part) {
-			return h.next
+	for _, hint := range transportHints {
+		if strings.Contains(refusal.Detail, hint.substring) {
+			return hint.advice
 		}
 	}
 	return ""
--- a/internal/cli/remote/remote_test.go
+++ b/internal/cli/remote/remote_test.go
@@ -16,8 +16,8 @@
 	"gypsumreel/internal/cli/verb"
 )
 
-// An operator mixes up http and https, forgets the authority or dials the wrong
-// port. The cell never hears of it, so that only the advice can tell what is wrong.
+// Guards against bare transport errors when the operator confuses http and https, omits
+// --authority or gives the wrong port. The advice has to name what to correct.
 func TestConnectionErrorsNameTheFlagToFix(t *testing.T) {
 	plain, secure := httptest.NewServer(http.NotFoundHandler()), httptest.NewTLSServer(http.NotFoundHandler())
 	t.Cleanup(plain.Close)
@@ -26,7 +26,7 @@
 		secure.URL: "--authority",
 		"https" + strings.TrimPrefix(plain.URL, "http"):  "use http://",
 		"http" + strings.TrimPrefix(secure.URL, "https"): "use https://",
-		"http://127.0.0.1:1":                             "Nothing listens there",
+		"http://127.0.0.1:1":                             "Nothing listens at this address",
 		plain.URL:                                        "",
 	} {
 		t.Run(address, func(t *testing.T) {
--- a/internal/cli/sheet/cell.go
+++ b/internal/cli/sheet/cell.go
@@ -11,30 +11,32 @@
 	"gypsumreel/internal/domain/capacity"
 )
 
-// Unlimited is how a limit that binds nothing is written.
+// Unlimited is the text of a limit that does not apply.
 const Unlimited = "unlimited"
 
-// Bounds of the cells.
+// Maximum values and units of the columns.
 const (
 	maxWeight          = 1_000_000
-	maxSharePermille   = 1_000
+	maxSharePermille   = 1_000 // 100%
 	maxQueue           = math.MaxUint32
-	maxAmount          = 1 << 40
+	maxAmount          = 1 << 40 // for each resource of a limit; CPU counts thousandths of a core
 	milliPerCore       = 1_000
 	permillePerPercent = 10
 )
 
-// Column is one column of the table.
+// Column is one column of the table with its conversion from and to text.
 type Column struct {
-	// Name is the column's header and the field's name in an edit.
+	// Name is the header of the column and the name of the field in an edit.
 	Name string
-	// Allowed is the form and the bounds.
+	// Allowed describes the allowed values in error messages.
 	Allowed string
-	parse   func(r *v1.Row, text string) bool
-	format  func(r *v1.Row) string
+	// parse stores the value of text in the row and returns false if it is not allowed.
+	parse func(r *v1.Row, text string) bool
+	// format returns the text of the value in the row.
+	format func(r *v1.Row) string
 }
 
-// Columns returns the columns after the team's name, in their order.
+// Columns returns the columns after the team's name in display order.
 func Columns() []Column { return cellColumns }
 
 var cellColumns = []Column{
@@ -80,17 +82,19 @@
 	}
 }
 
-func formatAmount(n, unit int64) string {
-	if n == capacity.Unlimited {
+func formatAmount(amount, unit int64) string {
+	if amount == capacity.Unlimited {
 		return Unlimited
 	}
-	return strconv.FormatFloat(float64(n)/float64(unit), 'f', -1, 64)
+	return strconv.FormatFloat(float64(amount)/float64(unit), 'f', -1, 64)
 }
 
-// decimalPattern keeps out what ParseFloat takes besides: NaN, exponents, hexadecimal.
+// decimalPattern matches plain decimal numbers. It excludes NaN, exponents and
+// hexadecimal numbers, which strconv.ParseFloat accepts.
 var decimalPattern = regexp.MustCompile(`^[0-9]{1,15}(\.[0-9]{1,3})?$`)
 
-// parseScaled reads a decimal number as a whole number of parts.
+// parseScaled multiplies a decimal number by unit. It returns false if the result is
+// not a whole number or exceeds maxAmount.
 func parseScaled(text string, unit float64) (int64, bool) {
 	if !decimalPattern.MatchString(text) {
 		return 0, false
@@ -116,16 +120,16 @@
 	return true
 }
 
-func parseShare(r *v1.Row, text string) bool {
-	n, ok := parseScaled(strings.TrimSpace(strings.TrimSuffix(text, "%")), permillePerPercent)
-	if !ok || n > maxSharePermille {
+func parseShare(row *v1.Row, text string) bool {
+	share, ok := parseScaled(strings.TrimSpace(strings.TrimSuffix(text, "%")), permillePerPercent)
+	if !ok || share > maxSharePermille {
 		return false
 	}
-	r.Share = uint32(n)
+	row.Share = uint32(share)
 	return true
 }
 
-// FindColumn returns the column of that name.
+// FindColumn returns the column with the given name and whether it exists.
 func FindColumn(name string) (Column, bool) {
 	for _, c := range cellColumns {
 		if c.Name == name {
@@ -135,18 +139,18 @@
 	return Column{}, false
 }
 
-// Parse reads a cell into the row; false when the text is not allowed.
-func (c Column) Parse(r *v1.Row, text string) bool {
-	if r.Limit == nil {
-		r.Limit = &v1.Size{}
+// Parse stores the value of text in the row. It returns false if the text is not allowed.
+func (column Column) Parse(row *v1.Row, text string) bool {
+	if row.Limit == nil {
+		row.Limit = &v1.Size{}
 	}
-	return c.parse(r, text)
+	return column.parse(row, text)
 }
 
-// Format prints a cell of the row.
-func (c Column) Format(r *v1.Row) string {
-	if r.GetLimit() == nil {
-		r = &v1.Row{Team: r.GetTeam(), Weight: r.GetWeight(), Share: r.GetShare(), Queue: r.GetQueue(), Limit: &v1.Size{}}
+// Format returns the text of this column's value in the row.
+func (column Column) Format(row *v1.Row) string {
+	if row.GetLimit() == nil {
+		row = &v1.Row{Team: row.GetTeam(), Weight: row.GetWeight(), Share: row.GetShare(), Queue: row.GetQueue(), Limit: &v1.Size{}}
 	}
-	return c.format(r)
+	return column.format(row)
 }
--- a/internal/cli/sheet/sheet.go
+++ b/internal/cli/sheet/sheet.go
@@ -1,10 +1,10 @@
 // Package sheet reads and writes the operators' table as CSV for a spreadsheet.
 //
-// The header names the columns, in any order: team, any of the cells, and
-// revision, which carries the revision that the sheet was exported from through
-// the spreadsheet and back. An empty cell leaves a value as it is. Sheets saved
-// with semicolons or tabs, with a decimal comma or with a byte-order mark, as
-// spreadsheets of many countries do, are read as well.
+// The header names the columns in any order: team, any of the value columns, and
+// revision, the table revision that the sheet was exported from. An empty cell leaves
+// the value unchanged. Sheets with semicolons or tabs as separators, with decimal commas
+// or with a byte-order mark are accepted too, because spreadsheets write them in many
+// locales.
 package sheet
 
 import (
@@ -19,7 +19,7 @@
 	v1 "gypsumreel/internal/api/v1"
 )
 
-// Names of the columns that are no cells.
+// Names of the columns that hold no value to set.
 const (
 	teamColumn     = "team"
 	revisionColumn = "revision"
@@ -27,34 +27,36 @@
 
 // Bounds of a sheet.
 const (
-	// MaxBytes is the longest sheet.
+	// MaxBytes is the maximum size of a sheet.
 	MaxBytes = 8 << 20
-	// MaxRows is the most teams.
+	// MaxRows is the maximum number of teams.
 	MaxRows = 10_000
-	// MaxFaults is the most faults that are looked for: a large file that is no
-	// sheet would else make a report far larger than itself.
+	// MaxFaults is the number of faults after which reading stops. Without it, a large
+	// file that is not a sheet produces a report far larger than the file.
 	MaxFaults = 100
 )
 
-// Sheet is what a file asks for.
+// Sheet is the parsed content of a file.
 type Sheet struct {
-	// BaseRevision is the revision that the sheet was exported from; 0 when it doesn't say.
+	// BaseRevision is the revision that the sheet was exported from, 0 if not given.
 	BaseRevision uint64
-	Edits        []*v1.Edit
+	// Edits holds one edit for each team of the sheet.
+	Edits []*v1.Edit
 }
 
-// Fault is one thing wrong with a sheet.
+// Fault is one error in a sheet with its position.
 type Fault struct {
 	File string
-	// Line and Column count from 1; the column in bytes.
+	// Line and Column count from 1. Column counts bytes.
 	Line, Column int
-	Text         string
+	// Text describes the error.
+	Text string
 }
 
-// Faults is every fault of a sheet.
+// Faults holds all errors found in a sheet.
 type Faults []Fault
 
-// Error returns one line file:line:column for each fault.
+// Error returns one line for each fault, in the form file:line:column: text.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -63,14 +65,14 @@
 	return strings.Join(lines, "\n")
 }
 
-// Write writes rows as CSV.
+// Write writes the rows as CSV. Each row carries the given table revision.
 func Write(w io.Writer, revision uint64, rows []*v1.Row) error {
 	writer := csv.NewWriter(w)
 	header := []string{teamColumn}
 	for _, column := range cellColumns {
 		header = append(header, column.Name)
 	}
-	_ = writer.Write(append(header, revisionColumn)) // an error stays with the writer until Error
+	_ = writer.Write(append(header, revisionColumn)) // the error is returned by writer.Error below
 	for _, r := range rows {
 		record := []string{r.GetTeam()}
 		for _, column := range cellColumns {
@@ -84,16 +86,20 @@
 
 // reader reads one sheet and collects its faults.
 type reader struct {
-	fileName     string
-	csv          *csv.Reader
+	fileName string
+	csv      *csv.Reader
+	// decimalComma is true when the separator is not a comma, so that numbers may
+	// contain a decimal comma.
 	decimalComma bool
-	columns      []string
-	sheet        Sheet
-	seenTeams    map[string]bool
-	faults       Faults
+	// columns holds the column names of the header in the order of the sheet.
+	columns   []string
+	sheet     Sheet
+	seenTeams map[string]bool
+	faults    Faults
 }
 
-// Read reads a sheet; name is used in reports. The error is Faults.
+// Read parses a sheet. The name is the file name in error messages. The error, if any,
+// is of type Faults.
 func Read(name string, text []byte) (Sheet, error) {
 	if len(text) > MaxBytes {
 		return Sheet{}, Faults{{File: name, Line: 1, Column: 1, Text: fmt.Sprintf("%d bytes; allowed: up to %d", len(text), MaxBytes)}}
@@ -111,7 +117,8 @@
 	return r.sheet, nil
 }
 
-// separator is the first of the usual ones in the header line.
+// separator returns the first comma, semicolon or tab of the header line, and a comma if
+// there is none.
 func separator(text []byte) rune {
 	header, _, _ := bytes.Cut(text, []byte("\n"))
 	if i := bytes.IndexAny(header, ",;\t"); i >= 0 {
@@ -138,7 +145,7 @@
 			return
 		}
 		if len(r.faults) >= MaxFaults {
-			r.addFault(0, "and perhaps more; mend these first")
+			r.addFault(0, "there may be more faults; correct these first")
 			return
 		}
 		if len(r.sheet.Edits) >= MaxRows {
@@ -149,7 +156,8 @@
 	}
 }
 
-// nextRecord returns a record; false at the end or at a fault of the CSV itself.
+// nextRecord returns the next record. It returns false at the end of the sheet or at
+// invalid CSV.
 func (r *reader) nextRecord() ([]string, bool) {
 	record, err := r.csv.Read()
 	var parseErr *csv.ParseError
@@ -178,7 +186,7 @@
 		case !known && name != teamColumn && name != revisionColumn:
 			r.addFault(i, fmt.Sprintf("unknown column %q; allowed: %s", name, allowedColumns()))
 		case seen[name]:
-			r.addFault(i, fmt.Sprintf("column %q stands twice; allowed: once", name))
+			r.addFault(i, fmt.Sprintf("column %q appears twice; allowed: once", name))
 		}
 		seen[name] = true
 		r.columns = append(r.columns, name)
@@ -212,7 +220,7 @@
 	case name == "":
 		r.addFault(0, "the team's name is missing")
 	case r.seenTeams[name]:
-		r.addFault(0, fmt.Sprintf("team %s stands twice; allowed: once", name))
+		r.addFault(0, fmt.Sprintf("team %s appears twice; allowed: once", name))
 	case len(edit.GetCells()) == 0:
 		r.addFault(0, fmt.Sprintf("team %s has no value to set", name))
 	default:
@@ -250,9 +258,9 @@
 	}
 }
 
-// readRevision takes the base that a row carries. It guards against rows pasted
-// together from two exports: one of them would be applied over changes that its
-// author never saw.
+// readRevision reads the base revision of a row. All rows must have the same revision:
+// if rows of two exports were combined, the older ones would overwrite changes that
+// their author has not seen.
 func (r *reader) readRevision(i int, text string) {
 	n, err := strconv.ParseUint(text, 10, 64)
 	switch {
--- a/internal/cli/sheet/sheet_test.go
+++ b/internal/cli/sheet/sheet_test.go
@@ -36,9 +36,8 @@
 	}
 }
 
-// A spreadsheet set to Turkish saves semicolons and decimal commas and puts a
-// byte-order mark in front. The operator sees an ordinary sheet, so it must
-// mean the same.
+// Guards against rejecting or misreading a sheet that a spreadsheet with a Turkish locale
+// saved with semicolons, decimal commas and a byte-order mark.
 func TestReadAcceptsLocalizedSheet(t *testing.T) {
 	got, err := sheet.Read("f", []byte("\ufeffTeam;Share;CPU\r\nplans;12,5%;1,5\r\n;;\r\n"))
 	if err != nil {
@@ -65,7 +64,7 @@
 		"":                                    "f:1:1: the sheet is empty",
 		"weight\n1":                           "f:1:1: no column team",
 		"team,wait\n":                         `f:1:6: unknown column "wait"`,
-		"team,weight,weight\n":                `f:1:13: column "weight" stands twice`,
+		"team,weight,weight\n":                `f:1:13: column "weight" appears twice`,
 		"team,weight\na,0\n":                  `f:2:3: weight is "0"; allowed: a whole number from 1`,
 		"team,share\na,100.1%\n":              `f:2:3: share is "100.1%"`,
 		"team,share\na,0.05%\n":               `f:2:3: share is "0.05%"`,
@@ -73,7 +72,7 @@
 		"team,cpu\na,NaN\n":                   `f:2:3: cpu is "NaN"`,
 		"team,memory\na,1.5\n":                `f:2:3: memory is "1.5"`,
 		"team,queue\na,-1\n":                  `f:2:3: queue is "-1"`,
-		"team,queue\na,1\na,2\n":              "f:3:1: team a stands twice",
+		"team,queue\na,1\na,2\n":              "f:3:1: team a appears twice",
 		"team,queue\n,1\n":                    "f:2:1: the team's name is missing",
 		"team,queue\na,1,9\n":                 "f:2:5: more cells than columns",
 		"team\na\n":                           "f:2:1: team a has no value to set",
@@ -87,13 +86,13 @@
 	}
 }
 
-// A data file of millions of short lines is imported by mistake. The report must
-// stay something a person reads, and the command must not eat the memory.
+// Guards against an unreadable report and high memory use when a data file with millions
+// of short lines is imported by mistake.
 func TestFaultCountIsBounded(t *testing.T) {
 	_, err := sheet.Read("f", []byte("team,queue\n"+strings.Repeat("x\n", 100_000)))
 	var faults sheet.Faults
 	if !errors.As(err, &faults) || len(faults) != sheet.MaxFaults+1 {
-		t.Errorf("%d faults", len(faults))
+		t.Errorf("got %d faults, want %d: %v", len(faults), sheet.MaxFaults+1, err)
 	}
 }
 
@@ -109,18 +108,18 @@
 		var faults sheet.Faults
 		if err != nil {
 			if !errors.As(err, &faults) || len(faults) == 0 {
-				t.Fatalf("not a list of faults: %v", err)
+				t.Fatalf("Read returned an error other than a non-empty Faults: %v", err)
 			}
 			return
 		}
 		for _, e := range s.Edits {
 			if e.GetRow().GetTeam() == "" || len(e.GetCells()) == 0 {
-				t.Fatalf("accepted %v", e)
+				t.Fatalf("accepted an edit without team or cells: %v", e)
 			}
 			for _, name := range e.GetCells() {
 				c, _ := sheet.FindColumn(name)
-				if back := (&v1.Row{}); !c.Parse(back, c.Format(e.GetRow())) || c.Format(back) != c.Format(e.GetRow()) {
-					t.Fatalf("%s doesn't come back: %q", name, c.Format(e.GetRow()))
+				if reparsed := (&v1.Row{}); !c.Parse(reparsed, c.Format(e.GetRow())) || c.Format(reparsed) != c.Format(e.GetRow()) {
+					t.Fatalf("column %s: parsing %q does not give the same value again", name, c.Format(e.GetRow()))
 				}
 			}
 		}
--- a/internal/cli/status/status.go
+++ b/internal/cli/status/status.go
@@ -1,4 +1,4 @@
-// Package status is the verb that lists a team's jobs.
+// Package status implements the verb that lists jobs.
 package status
 
 import (
@@ -14,7 +14,7 @@
 // New returns the verb.
 func New() verb.Verb {
 	return verb.Verb{
-		Name: "status", Short: "show where jobs stand",
+		Name: "status", Short: "show the state of jobs",
 		Long:   "Shows the jobs with the given IDs, or a page of all the team's jobs. With --all and an operator's key, the jobs of all teams.",
 		Runner: &command{},
 	}
@@ -23,12 +23,12 @@
 type command struct {
 	remote.Flags
 	verb.OutputFlag
-	After string `long:"after" description:"start after this id"`
+	After string `long:"after" description:"list the jobs that follow this id"`
 	All   bool   `long:"all" description:"the jobs of all teams, with an operator's key and the operators' address"`
-	Limit uint32 `long:"limit" default:"100" description:"most jobs to show"`
+	Limit uint32 `long:"limit" default:"100" description:"maximum number of jobs to show"`
 }
 
-// JobLine is one job with --json.
+// JobLine is one job as printed with --json.
 type JobLine struct {
 	ID      string `json:"id"`
 	Team    string `json:"team"`
@@ -41,7 +41,7 @@
 	Ended   uint32 `json:"ended"`
 }
 
-// Run lists.
+// Run lists the team's jobs, or with --all the jobs of all teams.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	if c.All {
 		return c.listAllTeams(ctx, env, args)
@@ -58,43 +58,43 @@
 	return c.Print(env.Out, JobLines(jobs), JobTable(jobs))
 }
 
-// listAllTeams lists the jobs of all teams.
+// listAllTeams lists the jobs of all teams, which needs an operator's key.
 func (c *command) listAllTeams(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 0 {
-		return verb.UsageError("Leave the ids or --all out.", "ids belong to one team, --all to none")
+		return verb.UsageError("Leave the ids or --all out.", "job ids can't be combined with --all")
 	}
-	r, err := c.Show(ctx, v1.Part_PART_JOBS)
+	reply, err := c.Show(ctx, v1.Part_PART_JOBS)
 	if err != nil {
 		return err
 	}
-	jobs := r.GetJobs()
+	jobs := reply.GetJobs()
 	jobs = jobs[:min(len(jobs), int(c.Limit))]
 	return c.Print(env.Out, JobLines(jobs), JobTable(jobs))
 }
 
-// JobLines returns jobs as they are printed in JSON.
+// JobLines converts jobs to the form printed with --json.
 func JobLines(jobs []*v1.Summary) []JobLine {
-	out := make([]JobLine, len(jobs))
+	lines := make([]JobLine, len(jobs))
 	for i, j := range jobs {
-		out[i] = JobLine{
+		lines[i] = JobLine{
 			ID: j.GetId(), Team: j.GetTeam(), Kind: verb.KindName(j.GetKind()), Name: j.GetName(), Outcome: verb.OutcomeName(j.GetOutcome()),
 			Code: j.GetStatus().GetCode(), Tasks: j.GetTasks(), Running: j.GetRunning(), Ended: j.GetEnded(),
 		}
 	}
-	return out
+	return lines
 }
 
-// JobTable returns jobs as a person reads them.
+// JobTable returns the jobs as a text table.
 func JobTable(jobs []*v1.Summary) verb.TextTable {
-	g := verb.TextTable{Header: []string{"ID", "TEAM", "KIND", "NAME", "OUTCOME", "TASKS", "RUNNING", "ENDED", "TEXT"}}
+	table := verb.TextTable{Header: []string{"ID", "TEAM", "KIND", "NAME", "OUTCOME", "TASKS", "RUNNING", "ENDED", "TEXT"}}
 	for _, l := range JobLines(jobs) {
 		text := ""
 		if l.Code != uint32(code.OK) {
 			text = code.New(code.Code(l.Code), "").Error()
 		}
-		g.Rows = append(g.Rows, []string{l.ID, l.Team, l.Kind, l.Name, l.Outcome, formatCount(l.Tasks), formatCount(l.Running), formatCount(l.Ended), text})
+		table.Rows = append(table.Rows, []string{l.ID, l.Team, l.Kind, l.Name, l.Outcome, formatCount(l.Tasks), formatCount(l.Running), formatCount(l.Ended), text})
 	}
-	return g
+	return table
 }
 
 func formatCount(n uint32) string { return strconv.FormatUint(uint64(n), 10) }
--- a/internal/cli/submit/submit.go
+++ b/internal/cli/submit/submit.go
@@ -1,4 +1,4 @@
-// Package submit is the verb that hands a job to the cell.
+// Package submit implements the verb that submits a job.
 package submit
 
 import (
@@ -16,15 +16,15 @@
 	"gypsumreel/internal/client/link"
 )
 
-// maxInputBytes bounds a job's input in bytes.
+// maxInputBytes is the maximum size of a job's input.
 const maxInputBytes = 4 << 20
 
 // New returns the verb.
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "submit", Short: "submit a job",
-		Long: "Submits one job and prints its id. After a lost answer run the same command with the same --id: the job is not made twice. " +
-			"With --wait it also waits for the outcome, as the verb wait does.",
+		Long: "Submits one job and prints its id. After a lost answer run the same command with the same --id: the job is not created twice. " +
+			"With --wait it also waits for the outcome, like the verb wait.",
 		Runner: &command{},
 	}
 }
@@ -32,18 +32,18 @@
 type command struct {
 	remote.Flags
 	verb.OutputFlag
-	ID         string            `long:"id" description:"request id, unique within the team; made when left out"`
-	Kind       string            `long:"kind" default:"batch" choice:"urgent" choice:"batch" choice:"gang" choice:"service" description:"which policy decides"`
-	Name       string            `long:"name" default:"job" description:"name of the program; estimates are learned by it"`
+	ID         string            `long:"id" description:"request id, unique within the team; generated when left out"`
+	Kind       string            `long:"kind" default:"batch" choice:"urgent" choice:"batch" choice:"gang" choice:"service" description:"kind of job, which selects the scheduling policy"`
+	Name       string            `long:"name" default:"job" description:"name of the program; run time estimates are learned per name"`
 	Count      uint32            `long:"count" default:"1" description:"number of tasks"`
 	CPU        float64           `long:"cpu" default:"1" description:"cores for each task"`
 	Memory     int64             `long:"memory" default:"256" description:"MiB of memory for each task"`
 	Accel      int64             `long:"accel" description:"accelerators for each task"`
 	Slots      int64             `long:"slots" default:"1" description:"slots for each task"`
 	Runtime    time.Duration     `long:"runtime" description:"estimated run time of a task"`
-	Deadline   time.Duration     `long:"deadline" description:"refuse as not run what is not placed by then"`
+	Deadline   time.Duration     `long:"deadline" description:"time within which the job has to be placed; otherwise it is refused as not run"`
 	AtMostOnce bool              `long:"once" description:"run each task at most once"`
-	MinRunning uint32            `long:"floor" description:"for a service: tasks that replacement leaves running"`
+	MinRunning uint32            `long:"floor" description:"for a service: minimum number of tasks that replacement leaves running"`
 	Label      map[string]string `long:"label" description:"label as NAME:VALUE; may be repeated"`
 	Input      string            `long:"input" description:"text passed to every task"`
 	InputFile  string            `long:"input-file" description:"file passed to every task; - for standard input"`
@@ -51,7 +51,7 @@
 	AnswerFile string            `long:"out" description:"with --wait: file for the answer instead of standard output"`
 }
 
-// submitResult is the result with --json.
+// submitResult is the result printed with --json.
 type submitResult struct {
 	ID      string `json:"id"`
 	Outcome string `json:"outcome"`
@@ -59,12 +59,12 @@
 	Text    string `json:"text"`
 }
 
-// Run submits and, if asked, waits.
+// Run submits one job and with --wait waits for its outcome.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 0 {
 		return verb.UsageError("Everything is given by flags: `gypsumreel submit --help`.", "unexpected %q", args[0])
 	}
-	// An id that the user chose may have been sent by an earlier run.
+	// A job with an id given by the user may already exist from an earlier run.
 	idGenerated := c.ID == ""
 	spec, err := c.buildSpec(env)
 	if err != nil {
@@ -85,19 +85,19 @@
 	return c.printResult(env, replies[0])
 }
 
-func isAccepted(a *v1.Accepted) bool { return a.GetStatus().GetCode() == uint32(code.OK) }
+func isAccepted(accepted *v1.Accepted) bool { return accepted.GetStatus().GetCode() == uint32(code.OK) }
 
-func (c *command) printResult(env verb.Env, a *v1.Accepted) error {
-	s := a.GetStatus()
-	r := submitResult{ID: a.GetId(), Outcome: verb.OutcomeName(a.GetOutcome()), Code: s.GetCode(), Text: code.Code(s.GetCode()).String()}
-	g := verb.TextTable{Header: []string{"ID", "OUTCOME", "CODE", "TEXT"}, Rows: [][]string{{r.ID, r.Outcome, strconv.FormatUint(uint64(r.Code), 10), r.Text}}}
-	if err := c.Print(env.Out, r, g); err != nil {
+func (c *command) printResult(env verb.Env, accepted *v1.Accepted) error {
+	status := accepted.GetStatus()
+	result := submitResult{ID: accepted.GetId(), Outcome: verb.OutcomeName(accepted.GetOutcome()), Code: status.GetCode(), Text: code.Code(status.GetCode()).String()}
+	table := verb.TextTable{Header: []string{"ID", "OUTCOME", "CODE", "TEXT"}, Rows: [][]string{{result.ID, result.Outcome, strconv.FormatUint(uint64(result.Code), 10), result.Text}}}
+	if err := c.Print(env.Out, result, table); err != nil {
 		return err
 	}
-	if isAccepted(a) {
+	if isAccepted(accepted) {
 		return nil
 	}
-	return remote.UserError(link.Status(s))
+	return remote.UserError(link.Status(status))
 }
 
 func (c *command) buildSpec(env verb.Env) (*v1.Spec, error) {
@@ -132,7 +132,7 @@
 	case c.InputFile == "":
 		return []byte(c.Input), nil
 	case c.Input != "":
-		return nil, verb.UsageError("Give one of them.", "--input and --input-file are both given")
+		return nil, verb.UsageError("Give only one of them.", "--input and --input-file are both given")
 	}
 	in := env.In
 	if c.InputFile != "-" {
@@ -143,12 +143,12 @@
 		defer f.Close()
 		in = f
 	}
-	b, err := io.ReadAll(io.LimitReader(in, maxInputBytes+1))
+	input, err := io.ReadAll(io.LimitReader(in, maxInputBytes+1))
 	switch {
 	case err != nil:
 		return nil, verb.UsageError("Check --input-file.", "%v", err)
-	case len(b) > maxInputBytes:
-		return nil, verb.UsageError("Pass a reference to the data instead.", "the input exceeds %d bytes", maxInputBytes)
+	case len(input) > maxInputBytes:
+		return nil, verb.UsageError("Pass a reference to the data instead.", "the input is larger than %d bytes", maxInputBytes)
 	}
-	return b, nil
+	return input, nil
 }
--- a/internal/cli/table/table.go
+++ b/internal/cli/table/table.go
@@ -1,5 +1,5 @@
-// Package table holds the verbs that show and change the table of weights,
-// shares and limits.
+// Package table implements the verbs that show and change the table of the teams'
+// weights, shares and limits.
 package table
 
 import (
@@ -16,7 +16,7 @@
 	"gypsumreel/internal/cli/verb"
 )
 
-// exportFilePerms are those of an exported sheet.
+// exportFilePerms are the permissions of an exported sheet.
 const exportFilePerms = 0o644
 
 // New returns the verbs.
@@ -24,17 +24,17 @@
 	return verb.Verb{
 		Name: "table", Short: "show, set, export and import the table",
 		Subverbs: []verb.Verb{
-			{Name: "show", Short: "show the table", Long: "Shows every team's row, what it holds now, and which processes have not confirmed the revision.", Runner: &showCommand{}},
+			{Name: "show", Short: "show the table", Long: "Shows every team's row, the capacity that it holds, and which processes have not confirmed the revision.", Runner: &showCommand{}},
 			{
 				Name: "set", Short: "set cells of one team's row",
-				Long:   "Sets cells, as in `gypsumreel table set TEAM weight=3 share=12.5% cpu=64 memory=unlimited`. A team without a row gets one.",
+				Long:   "Sets cells of a row, as in `gypsumreel table set TEAM weight=3 share=12.5% cpu=64 memory=unlimited`. A team without a row gets one.",
 				Runner: &setCommand{},
 			},
-			{Name: "export", Short: "write the table as CSV", Long: "Writes the table for a spreadsheet to the given FILE, or to standard output.", Runner: &exportCommand{}},
+			{Name: "export", Short: "write the table as CSV", Long: "Writes the table as CSV for a spreadsheet to the given FILE, or to standard output.", Runner: &exportCommand{}},
 			{
 				Name: "import", Short: "apply a CSV sheet",
-				Long: "Applies the sheet in the given FILE, - for standard input. Its column revision, or --base, says what it started from; " +
-					"when the table has changed since, nothing is applied (exit code 6). Empty cells stay as they are; with --replace teams that the sheet lacks lose their rows.",
+				Long: "Applies the sheet in the given FILE, - for standard input. Its column revision, or --base, names the revision that the sheet is based on. " +
+					"When the table has changed since, nothing is applied (exit code 6). Empty cells leave the value unchanged. With --replace teams that the sheet lacks lose their rows.",
 				Runner: &importCommand{},
 			},
 		},
@@ -46,7 +46,8 @@
 	verb.OutputFlag
 }
 
-// sizeResult is a size with --json; -1 is unlimited.
+// sizeResult is a size as printed with --json. CPU is in thousandths of a core, memory
+// in MiB; -1 means unlimited.
 type sizeResult struct {
 	CPU    int64 `json:"cpu"`
 	Memory int64 `json:"memory"`
@@ -58,7 +59,8 @@
 	return sizeResult{s.GetCpu(), s.GetMemory(), s.GetAccel(), s.GetSlots()}
 }
 
-// teamRow is a team with --json: share in thousandths, cpu in thousandths of a core.
+// teamRow is the row of a team as printed with --json. Share is in thousandths of the
+// cell.
 type teamRow struct {
 	Team   string     `json:"team"`
 	Weight uint32     `json:"weight"`
@@ -68,15 +70,15 @@
 	Held   sizeResult `json:"held"`
 }
 
-// tableResult is the result with --json.
+// tableResult is the table as printed with --json.
 type tableResult struct {
 	Revision uint64    `json:"revision"`
 	Rows     []teamRow `json:"rows"`
-	// Unconfirmed names the processes that serve an older revision.
+	// Unconfirmed lists the entries that still serve an older revision.
 	Unconfirmed []string `json:"unconfirmed"`
 }
 
-// Run shows.
+// Run prints the table.
 func (c *showCommand) Run(ctx context.Context, env verb.Env, _ []string) error {
 	client, ctx, cancel, err := c.OperatorClient(ctx)
 	if err != nil {
@@ -102,8 +104,9 @@
 	return err
 }
 
-// unconfirmedEntries takes the entries that report an older revision; control replicas
-// serve what they have committed and report none.
+// unconfirmedEntries returns the names of the entries that report a revision older than
+// the given one. Control replicas are left out: they serve the committed table and report
+// no revision.
 func unconfirmedEntries(m *v1.ShowReply, revision uint64) []string {
 	names := []string{}
 	for _, member := range m.GetMembers() {
@@ -129,39 +132,40 @@
 }
 
 func textTable(r *v1.ShowReply) verb.TextTable {
-	g := verb.TextTable{Header: []string{"TEAM"}}
-	for _, c := range sheet.Columns() {
-		g.Header = append(g.Header, strings.ToUpper(c.Name))
+	out := verb.TextTable{Header: []string{"TEAM"}}
+	for _, column := range sheet.Columns() {
+		out.Header = append(out.Header, strings.ToUpper(column.Name))
 	}
-	g.Header = append(g.Header, "HELD CPU", "HELD MEMORY", "HELD ACCEL", "HELD SLOTS")
+	out.Header = append(out.Header, "HELD CPU", "HELD MEMORY", "HELD ACCEL", "HELD SLOTS")
 	for i, row := range r.GetRows() {
-		line := []string{row.GetTeam()}
-		for _, c := range sheet.Columns() {
-			line = append(line, c.Format(row))
+		cells := []string{row.GetTeam()}
+		for _, column := range sheet.Columns() {
+			cells = append(cells, column.Format(row))
 		}
 		heldRow := &v1.Row{Limit: heldByRow(r, i)}
 		for _, name := range []string{"cpu", "memory", "accel", "slots"} {
-			c, _ := sheet.FindColumn(name)
-			line = append(line, c.Format(heldRow))
+			column, _ := sheet.FindColumn(name)
+			cells = append(cells, column.Format(heldRow))
 		}
-		g.Rows = append(g.Rows, line)
+		out.Rows = append(out.Rows, cells)
 	}
-	return g
+	return out
 }
 
-// BaseFlag is the flag of the verbs that change the table.
+// BaseFlag is the flag of the verbs that change the table. The cell refuses a change
+// whose base revision is not the current one.
 type BaseFlag struct {
-	Revision *uint64 `long:"base" description:"revision that the change starts from; the current one when left out"`
+	Revision *uint64 `long:"base" description:"revision that the change is based on; the current one when left out"`
 }
 
-// Apply sends edits and prints what came of them. Without a base it reads the
-// current revision first.
+// Apply sends a change of the table. Without a base revision it first reads the current
+// revision and uses that.
 func Apply(ctx context.Context, f remote.Flags, id remote.ChangeID, base BaseFlag, change *v1.TableChange) (remote.ChangeResult, error) {
 	if base.Revision != nil {
 		change.Base = *base.Revision
 	} else {
 		if id.Change != "" {
-			return remote.ChangeResult{}, verb.UsageError("Give the --base that the first try printed or was given.", "--change without --base: a change sent again has to start from the same revision")
+			return remote.ChangeResult{}, verb.UsageError("Give the --base that the first attempt printed or was given.", "--change without --base: a repeated change needs the same base revision")
 		}
 		client, ctx, cancel, err := f.OperatorClient(ctx)
 		if err != nil {
@@ -185,7 +189,7 @@
 	BaseFlag
 }
 
-// Run sets cells of one row.
+// Run sets the cells given by args in one team's row.
 func (c *setCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	edit, err := parseEdit(args)
 	if err != nil {
@@ -221,7 +225,7 @@
 
 type exportCommand struct{ remote.Flags }
 
-// Run writes the table.
+// Run writes the table as CSV.
 func (c *exportCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 1 {
 		return verb.UsageError("Run `gypsumreel table export FILE`.", "export takes one file, got %d", len(args))
@@ -252,7 +256,7 @@
 	Replace bool `long:"replace" description:"remove the rows of teams that the sheet lacks"`
 }
 
-// Run applies a sheet.
+// Run applies the sheet named by args.
 func (c *importCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) != 1 {
 		return verb.UsageError("Run `gypsumreel table import FILE`.", "import takes one file, got %d", len(args))
@@ -263,14 +267,14 @@
 	}
 	imported, err := sheet.Read(args[0], text)
 	if err != nil {
-		return verb.UsageError("Nothing was sent. Mend the sheet and import it again.", "the sheet has faults:\n%v", err)
+		return verb.UsageError("Nothing was sent. Correct the sheet and import it again.", "the sheet is invalid:\n%v", err)
 	}
 	base := c.BaseFlag
 	if base.Revision == nil && imported.BaseRevision != 0 {
 		base.Revision = &imported.BaseRevision
 	}
 	if base.Revision == nil {
-		return verb.UsageError("Export the table and edit that sheet, or give --base with the revision that `gypsumreel table show` prints.", "the sheet does not say which revision it started from")
+		return verb.UsageError("Export the table and edit that sheet, or give --base with the revision that `gypsumreel table show` prints.", "the sheet does not name the revision that it is based on")
 	}
 	result, err := Apply(ctx, c.Flags, c.ChangeID, base, &v1.TableChange{Edits: imported.Edits, Replace: c.Replace})
 	if err != nil {
--- a/internal/cli/table/table_test.go
+++ b/internal/cli/table/table_test.go
@@ -24,7 +24,8 @@
 	keys "gypsumreel/internal/domain/key"
 )
 
-// fakeEntry keeps what it is asked and answers with one status.
+// fakeEntry is an operator API that records the requested changes and answers all of
+// them with the same status or error.
 type fakeEntry struct {
 	v1.UnimplementedOperatorHandler
 	changes   []*v1.ChangeRequest
@@ -92,8 +93,8 @@
 	}
 }
 
-// Two operators edit the same export. The second is told that the table has
-// changed, what the current revision is and what to do, by a code of its own.
+// Guards against lost updates when two operators edit the same export: the second import
+// is refused with its own exit code, the current revision and advice.
 func TestConflictPrintsCurrentRevisionAndAdvice(t *testing.T) {
 	e := &fakeEntry{status: &v1.Status{Code: uint32(code.RevisionConflict)}}
 	path := filepath.Join(t.TempDir(), "t.csv")
@@ -109,8 +110,8 @@
 	}
 }
 
-// The answer to a change is lost. Running the command as it was would make a
-// second change, so that the error names the flags that make it the same one.
+// Guards against a change being applied twice after its answer was lost: the error names
+// the flags that make the repeated command idempotent.
 func TestLostAnswerPrintsRetryFlags(t *testing.T) {
 	e := &fakeEntry{changeErr: connect.NewError(connect.CodeUnavailable, errors.New("gone"))}
 	exit, _, errs := run(t, e, "team", "add", "quotes", "--timeout", "100ms")
@@ -119,7 +120,7 @@
 	}
 	for _, r := range e.changes {
 		if r.GetId() != e.changes[0].GetId() {
-			t.Error("asked again under another id")
+			t.Errorf("retry with change id %q, want %q", r.GetId(), e.changes[0].GetId())
 		}
 	}
 }
@@ -143,7 +144,8 @@
 	}
 }
 
-// Whoever reads the traffic or the ledger must not be able to use a granted key.
+// Guards against the secret of a granted key leaving the command: only its digest is
+// sent, so that traffic and ledger do not reveal a usable key.
 func TestGrantDoesNotSendSecret(t *testing.T) {
 	e := &fakeEntry{status: &v1.Status{}}
 	exit, out, errs := run(t, e, "key", "grant", "--team", "plans")
@@ -160,6 +162,6 @@
 		t.Error(diff)
 	}
 	if strings.Contains(e.changes[0].String(), secret) {
-		t.Error("the secret was sent")
+		t.Error("the request contains the secret of the key")
 	}
 }
--- a/internal/cli/team/team.go
+++ b/internal/cli/team/team.go
@@ -1,4 +1,4 @@
-// Package team holds the verbs that add, remove and list teams.
+// Package team implements the verbs that add, remove and list teams.
 package team
 
 import (
@@ -17,13 +17,14 @@
 	return verb.Verb{
 		Name: "team", Short: "add, remove and list teams",
 		Subverbs: []verb.Verb{
-			{Name: "add", Short: "add a team", Long: "Adds a row for TEAM with weight 1, no share and no limit; change it with `gypsumreel table set`.", Runner: &addCommand{}},
-			{Name: "remove", Short: "remove a team", Long: "Removes the row of TEAM. Refused while it has work or valid keys.", Runner: &removeCommand{}},
+			{Name: "add", Short: "add a team", Long: "Adds a row for TEAM with weight 1, no share and no limit. Change the row with `gypsumreel table set`.", Runner: &addCommand{}},
+			{Name: "remove", Short: "remove a team", Long: "Removes the row of TEAM. Refused while the team has work or valid keys.", Runner: &removeCommand{}},
 			{Name: "list", Short: "list teams", Long: "Lists the names of all teams.", Runner: &listCommand{}},
 		},
 	}
 }
 
+// editCommand holds the flags of the verbs that add and remove a team's row.
 type editCommand struct {
 	remote.Flags
 	verb.OutputFlag
@@ -31,12 +32,12 @@
 	table.BaseFlag
 }
 
-func (c *editCommand) apply(ctx context.Context, env verb.Env, args []string, e *v1.Edit, effect string) error {
+func (c *editCommand) apply(ctx context.Context, env verb.Env, args []string, edit *v1.Edit, effect string) error {
 	if len(args) != 1 || args[0] == "" {
 		return verb.UsageError("Give the name of one team.", "one team is expected, got %d", len(args))
 	}
-	e.Row.Team = args[0]
-	result, err := table.Apply(ctx, c.Flags, c.ChangeID, c.BaseFlag, &v1.TableChange{Edits: []*v1.Edit{e}})
+	edit.Row.Team = args[0]
+	result, err := table.Apply(ctx, c.Flags, c.ChangeID, c.BaseFlag, &v1.TableChange{Edits: []*v1.Edit{edit}})
 	if err != nil {
 		return err
 	}
@@ -45,7 +46,7 @@
 
 type addCommand struct{ editCommand }
 
-// Run adds a team.
+// Run adds the team named by args.
 func (c *addCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	const unlimited = capacity.Unlimited
 	row := &v1.Row{Weight: team.DefaultWeight, Queue: team.DefaultQueue, Limit: &v1.Size{Cpu: unlimited, Memory: unlimited, Accel: unlimited, Slots: unlimited}}
@@ -54,7 +55,7 @@
 
 type removeCommand struct{ editCommand }
 
-// Run removes a team.
+// Run removes the team named by args.
 func (c *removeCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	return c.apply(ctx, env, args, &v1.Edit{Row: &v1.Row{}, Remove: true}, "removed")
 }
@@ -64,16 +65,16 @@
 	verb.OutputFlag
 }
 
-// Run lists teams.
+// Run lists the names of all teams.
 func (c *listCommand) Run(ctx context.Context, env verb.Env, _ []string) error {
 	r, err := c.Show(ctx, v1.Part_PART_TABLE)
 	if err != nil {
 		return err
 	}
-	names, g := []string{}, verb.TextTable{}
+	names, rows := []string{}, verb.TextTable{}
 	for _, row := range r.GetRows() {
 		names = append(names, row.GetTeam())
-		g.Rows = append(g.Rows, []string{row.GetTeam()})
+		rows.Rows = append(rows.Rows, []string{row.GetTeam()})
 	}
-	return c.Print(env.Out, names, g)
+	return c.Print(env.Out, names, rows)
 }
--- a/internal/cli/verb/daemon.go
+++ b/internal/cli/verb/daemon.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// SecondSignal returns a channel that is closed by a signal to stop that comes after
-// ctx has ended: whoever sends it does not want to wait for the planned stop.
+// SecondSignal returns a channel that is closed when SIGINT or SIGTERM arrives after ctx
+// is cancelled. A second signal aborts the graceful shutdown.
 func SecondSignal(ctx context.Context) <-chan struct{} {
 	secondSignal := make(chan struct{})
 	go func() {
--- a/internal/cli/verb/exit.go
+++ b/internal/cli/verb/exit.go
@@ -9,22 +9,23 @@
 	"gypsumreel/internal/base/code"
 )
 
-// ExitCode is the exit code of the command; README lists them for scripts.
+// ExitCode is the exit code of the command. README lists the codes for scripts.
 type ExitCode int
 
-// The exit codes.
+// Exit codes of the command.
 const (
-	// ExitOK means that what was asked is done.
+	// ExitOK means that the request succeeded.
 	ExitOK ExitCode = 0
-	// ExitFailed means that the cell refused or a job ended with a failure; the text has the result code.
+	// ExitFailed means that the cell refused the request or that a job failed. The
+	// message contains the result code.
 	ExitFailed ExitCode = 1
-	// ExitUsage means a mistake on the command line or in a file; nothing was sent.
+	// ExitUsage means that the command line or a file is invalid. No request was sent.
 	ExitUsage ExitCode = 2
-	// ExitUnreachable means that no answer came; the same command may be run again.
+	// ExitUnreachable means that no answer arrived. The same command can be run again.
 	ExitUnreachable ExitCode = 3
-	// ExitNotRun means that the job did not run and never will.
+	// ExitNotRun means that the job did not run and will never run.
 	ExitNotRun ExitCode = 4
-	// ExitUnknown means that the job may or may not have run to its end.
+	// ExitUnknown means that the job may or may not have run to completion.
 	ExitUnknown ExitCode = 5
 	// ExitConflict means that the table has changed since the base revision.
 	ExitConflict ExitCode = 6
@@ -32,16 +33,17 @@
 	ExitUnfinished ExitCode = 7
 )
 
-// Error ends a verb with an exit code, a message and what to do next.
+// Error is the error of a verb with its exit code and advice for the user.
 type Error struct {
 	ExitCode ExitCode
-	// Message may be empty when the verb has printed what there is to say.
+	// Message describes the failure. It is empty when the verb has already printed the
+	// reason.
 	Message string
-	// Advice says what the reader can do about it; may be empty.
+	// Advice tells the user how to proceed. It may be empty.
 	Advice string
 }
 
-// Error returns the message and the advice.
+// Error returns the message, followed by the advice on a line of its own.
 func (e *Error) Error() string {
 	if e.Advice == "" {
 		return e.Message
@@ -49,12 +51,12 @@
 	return e.Message + "\n" + e.Advice
 }
 
-// UsageError returns an Error for a mistake in what the user gave.
+// UsageError returns an Error with ExitUsage for invalid user input.
 func UsageError(next, format string, args ...any) *Error {
 	return &Error{ExitCode: ExitUsage, Message: fmt.Sprintf(format, args...), Advice: next}
 }
 
-// adviceByCode says what to do about a result code.
+// adviceByCode maps result codes of the cell to advice for the user.
 var adviceByCode = map[code.Code]string{
 	code.QueueFull:               "Wait for some of the team's jobs, or ask an operator for a longer queue.",
 	code.Unplaceable:             "Make the tasks smaller, or ask an operator for the team's limit (`gypsumreel table show`).",
@@ -76,7 +78,7 @@
 	code.InvalidEnrolment:        "Compare the secret with the entries' setting enrolment.",
 }
 
-// CodeError returns an Error for a result code of the cell.
+// CodeError returns an Error for a result code of the cell, with the advice for it.
 func CodeError(c code.Code, detail string) *Error {
 	text := fmt.Sprintf("%d: %s", uint32(c), c)
 	if detail != "" {
@@ -86,7 +88,7 @@
 }
 
 func exitCodeOf(c code.Code) ExitCode {
-	const class = 100
+	const codesPerClass = 100 // codes with the same hundreds digit belong to one class
 	switch {
 	case c == code.OK:
 		return ExitOK
@@ -94,38 +96,38 @@
 		return ExitConflict
 	case c == code.ControlUnreachable || c == code.LeaderTimeout || c == code.NoLeader || c == code.ShuttingDown:
 		return ExitUnreachable
-	case c/class == code.QueueFull/class:
+	case c/codesPerClass == code.QueueFull/codesPerClass:
 		return ExitNotRun
-	case c/class == code.ServerLost/class:
+	case c/codesPerClass == code.ServerLost/codesPerClass:
 		return ExitUnknown
 	}
 	return ExitFailed
 }
 
-// failureReport is what is printed with --json when a verb did not succeed.
+// failureReport is the JSON form of an error, printed with --json.
 type failureReport struct {
 	ExitCode ExitCode `json:"exit"`
 	Message  string   `json:"error"`
 	Advice   string   `json:"next,omitempty"`
 }
 
-// reportResult prints how a verb ended and returns its exit code.
-func reportResult(env Env, r Runner, err error) ExitCode {
+// reportResult prints the error of a verb, if any, and returns the exit code.
+func reportResult(env Env, runner Runner, err error) ExitCode {
 	if err == nil {
 		return ExitOK
 	}
-	f := failureReport{ExitCode: ExitFailed, Message: strings.TrimSpace(err.Error())}
-	var known *Error
-	if errors.As(err, &known) {
-		f = failureReport{ExitCode: known.ExitCode, Message: strings.TrimSpace(known.Message), Advice: known.Advice}
+	report := failureReport{ExitCode: ExitFailed, Message: strings.TrimSpace(err.Error())}
+	var verbErr *Error
+	if errors.As(err, &verbErr) {
+		report = failureReport{ExitCode: verbErr.ExitCode, Message: strings.TrimSpace(verbErr.Message), Advice: verbErr.Advice}
 	}
-	output, ok := r.(interface{ wantsJSON() bool })
+	output, ok := runner.(interface{ wantsJSON() bool })
 	switch {
-	case f.Message == "":
+	case report.Message == "":
 	case ok && output.wantsJSON():
-		_ = json.NewEncoder(env.Err).Encode(f)
+		_ = json.NewEncoder(env.Err).Encode(report)
 	default:
 		fmt.Fprintf(env.Err, "%s: %s\n", Program, strings.TrimSpace(err.Error()))
 	}
-	return f.ExitCode
+	return report.ExitCode
 }
--- a/internal/cli/verb/outcome.go
+++ b/internal/cli/verb/outcome.go
@@ -6,8 +6,8 @@
 	v1 "gypsumreel/internal/api/v1"
 )
 
-// OutcomeName returns an outcome as people and scripts read it: done, not-run.
-// none stands for an outcome that is not known, since the request was refused.
+// OutcomeName returns the printed name of an outcome, such as done or not-run. It
+// returns none when the outcome is unspecified because the request was refused.
 func OutcomeName(o v1.Outcome) string {
 	if o == v1.Outcome_OUTCOME_UNSPECIFIED {
 		return "none"
@@ -15,7 +15,7 @@
 	return enumName(o.String(), "OUTCOME_")
 }
 
-// KindName returns a kind of job in lower case.
+// KindName returns the printed name of a job kind, such as batch.
 func KindName(k v1.Kind) string { return enumName(k.String(), "KIND_") }
 
 func enumName(name, prefix string) string {
--- a/internal/cli/verb/print.go
+++ b/internal/cli/verb/print.go
@@ -8,37 +8,37 @@
 	"text/tabwriter"
 )
 
-// OutputFlag is the flag of every verb that prints a result.
+// OutputFlag selects the output format. Every verb that prints a result embeds it.
 type OutputFlag struct {
 	JSON bool `long:"json" description:"print JSON for a program to read"`
 }
 
 func (o OutputFlag) wantsJSON() bool { return o.JSON }
 
-// TextTable is a result as a person reads it.
+// TextTable is a result laid out as plain-text columns.
 type TextTable struct {
 	Header []string
 	Rows   [][]string
 }
 
-// Print writes v as JSON, or the grid for a person.
-func (o OutputFlag) Print(w io.Writer, v any, g TextTable) error {
+// Print writes v as indented JSON with --json, otherwise the text table.
+func (o OutputFlag) Print(w io.Writer, v any, table TextTable) error {
 	if o.JSON {
-		e := json.NewEncoder(w)
-		e.SetIndent("", "  ")
-		return e.Encode(v)
+		encoder := json.NewEncoder(w)
+		encoder.SetIndent("", "  ")
+		return encoder.Encode(v)
 	}
-	return g.write(w)
+	return table.write(w)
 }
 
-func (g TextTable) write(w io.Writer) error {
+func (table TextTable) write(w io.Writer) error {
 	const padding = 2
-	t := tabwriter.NewWriter(w, 0, 0, padding, ' ', 0)
-	if len(g.Header) > 0 {
-		fmt.Fprintln(t, strings.Join(g.Header, "\t"))
+	columns := tabwriter.NewWriter(w, 0, 0, padding, ' ', 0)
+	if len(table.Header) > 0 {
+		fmt.Fprintln(columns, strings.Join(table.Header, "\t"))
 	}
-	for _, row := range g.Rows {
-		fmt.Fprintln(t, strings.Join(row, "\t"))
+	for _, row := range table.Rows {
+		fmt.Fprintln(columns, strings.Join(row, "\t"))
 	}
-	return t.Flush()
+	return columns.Flush()
 }
--- a/internal/cli/verb/role.go
+++ b/internal/cli/verb/role.go
@@ -10,7 +10,8 @@
 	"gypsumreel/internal/base/settings"
 )
 
-// LoadSettings reads the settings file of a daemon and refuses one for the other role.
+// LoadSettings reads the settings file of a daemon. A file written for another role is
+// a usage error.
 func LoadSettings(env Env, file string, role settings.Role) (*settings.Settings, error) {
 	s, err := settings.Load(file)
 	if err != nil {
@@ -23,15 +24,17 @@
 	return s, nil
 }
 
-// DaemonTLS holds the two sides of a daemon's connections.
+// DaemonTLS holds the TLS material of a daemon: Inside for connections within the
+// cell, Outside for connections from callers, backend servers and operators.
 type DaemonTLS struct {
 	Inside, Outside ReloadingTLS
-	// ReplicaNames are the names that the other end of a call to control may bear.
+	// ReplicaNames are the certificate names accepted from control replicas.
 	ReplicaNames []string
 }
 
-// NewDaemonTLS reads the files of both sides. They are looked at until the process
-// ends, not only until ctx does: a planned stop may outlast a certificate.
+// NewDaemonTLS loads the certificate files for inside and outside connections and keeps
+// reloading them until the process ends. Reloading goes on after ctx is cancelled,
+// because a graceful shutdown may outlast a certificate.
 func NewDaemonTLS(ctx context.Context, tls settings.TLS, replicas []settings.ControlReplica, reload time.Duration, log logr.Logger) (DaemonTLS, error) {
 	ctx = context.WithoutCancel(ctx)
 	inside, err := NewReloadingTLS(ctx, tls.Inside, reload, log)
@@ -43,8 +46,8 @@
 		return DaemonTLS{}, err
 	}
 	daemonTLS := DaemonTLS{Inside: inside, Outside: outside}
-	for _, p := range replicas {
-		daemonTLS.ReplicaNames = append(daemonTLS.ReplicaNames, p.Name)
+	for _, replica := range replicas {
+		daemonTLS.ReplicaNames = append(daemonTLS.ReplicaNames, replica.Name)
 	}
 	return daemonTLS, nil
 }
--- a/internal/cli/verb/secure.go
+++ b/internal/cli/verb/secure.go
@@ -12,13 +12,15 @@
 	"gypsumreel/internal/base/settings"
 )
 
-// ReloadingTLS is one side of a daemon's connections. Server and Client return nil,
-// which is plain text, only when the settings say so.
+// ReloadingTLS provides TLS configurations whose certificates are reloaded from files.
+// ServerConfig and ClientConfig return nil, which means plain text, only when the
+// settings ask for plain text.
 type ReloadingTLS struct {
-	store *secure.CertificateStore
+	certificates *secure.CertificateStore
 }
 
-// NewReloadingTLS reads the files of a side and looks at them again until ctx ends.
+// NewReloadingTLS loads the certificate files and checks them for changes at every
+// reload interval until ctx is cancelled.
 func NewReloadingTLS(ctx context.Context, s settings.TLSConfig, reload time.Duration, log logr.Logger) (ReloadingTLS, error) {
 	if s.Plain {
 		event.Log(log, event.PlainInUse)
@@ -30,21 +32,22 @@
 		return ReloadingTLS{}, &Error{ExitCode: ExitUsage, Message: err.Error()}
 	}
 	go func() { _ = store.Run(ctx) }()
-	return ReloadingTLS{store: store}, nil
+	return ReloadingTLS{certificates: store}, nil
 }
 
-// ServerConfig returns the configuration of a listener.
+// ServerConfig returns the TLS configuration for a listener.
 func (s ReloadingTLS) ServerConfig() *tls.Config {
-	if s.store == nil {
+	if s.certificates == nil {
 		return nil
 	}
-	return s.store.ServerConfig()
+	return s.certificates.ServerConfig()
 }
 
-// ClientConfig returns the configuration of a dialler whose other end bears one of the names.
+// ClientConfig returns the TLS configuration for outgoing connections to a server whose
+// certificate carries one of the names.
 func (s ReloadingTLS) ClientConfig(names ...string) *tls.Config {
-	if s.store == nil {
+	if s.certificates == nil {
 		return nil
 	}
-	return s.store.ClientConfig(names...)
+	return s.certificates.ClientConfig(names...)
 }
--- a/internal/cli/verb/verb.go
+++ b/internal/cli/verb/verb.go
@@ -1,9 +1,9 @@
-// Package verb is what every verb of the command line is made of: its
-// registration, its surroundings, its exit code and its way to print.
+// Package verb defines the subcommands of the command line, called verbs: their
+// registration, environment, exit codes and output.
 //
-// A verb is a package under internal/cli that exports New() verb.Verb;
-// cmd/gypsumreel lists the packages. The flags of a verb are fields of a type
-// with go-flags tags whose Run does the work.
+// Each verb is a package under internal/cli that exports New() verb.Verb, and
+// cmd/gypsumreel lists these packages. The flags of a verb are the fields of its
+// Runner, described by go-flags tags.
 package verb
 
 import (
@@ -19,41 +19,44 @@
 // Program is the name of the command.
 const Program = "gypsumreel"
 
-// Env is what a verb may touch of the process that runs it.
+// Env holds the standard streams that a verb reads and writes.
 type Env struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
 }
 
-// StandardEnv returns the surroundings of the process.
+// StandardEnv returns the standard streams of the process.
 func StandardEnv() Env { return Env{In: os.Stdin, Out: os.Stdout, Err: os.Stderr} }
 
-// Runner does the work of a verb once its flags are set; args are what is left
-// of the command line. The error decides on the exit code, see Exit.
+// Runner executes a verb after its flags have been parsed. The args are the
+// remaining positional arguments. The returned error determines the exit code, see
+// ExitCode.
 type Runner interface {
 	Run(ctx context.Context, env Env, args []string) error
 }
 
-// Verb registers one verb.
+// Verb describes one subcommand, or a group of subcommands.
 type Verb struct {
-	Name  string
+	Name string
+	// Short is the one-line description in the list of verbs.
 	Short string
-	Long  string
-	// Runner holds the flags; nil when there are Verbs below.
+	// Long is the description in the help text of the verb.
+	Long string
+	// Runner holds the flags and executes the verb. It is nil for a group of Subverbs.
 	Runner Runner
-	// Subverbs are the verbs of a group, such as grant under key.
+	// Subverbs are the verbs of a group, such as grant in the group key.
 	Subverbs []Verb
 }
 
-// invocation lets go-flags run a verb.
+// invocation is a Runner with the context and the environment that it runs in.
 type invocation struct {
 	Runner
 	ctx context.Context
 	env Env
 }
 
-// Run parses args and runs the verb that they name. It returns the exit code.
+// Run parses args, runs the verb that they name and returns the exit code.
 func Run(ctx context.Context, env Env, args []string, verbs ...Verb) ExitCode {
 	parser := flags.NewNamedParser(Program, flags.HelpFlag|flags.PassDoubleDash)
 	runners := map[*flags.Command]invocation{}
@@ -63,35 +66,35 @@
 			return ExitUsage
 		}
 	}
-	// go-flags would call Execute itself; the handler keeps the choice here.
+	// The empty handler stops go-flags from calling Execute; the verb is run below.
 	parser.CommandHandler = func(flags.Commander, []string) error { return nil }
-	rest, err := parser.ParseArgs(args)
+	positional, err := parser.ParseArgs(args)
 	if err != nil {
 		return reportParseError(env, err)
 	}
-	a, ok := runners[activeCommand(parser.Command)]
+	selected, ok := runners[activeCommand(parser.Command)]
 	if !ok {
 		parser.WriteHelp(env.Err)
 		return ExitUsage
 	}
-	return reportResult(env, a.Runner, a.Run(ctx, env, rest))
+	return reportResult(env, selected.Runner, selected.Run(ctx, env, positional))
 }
 
-func addCommand(parent *flags.Command, v Verb, runners map[*flags.Command]invocation, a invocation) error {
+func addCommand(parent *flags.Command, v Verb, runners map[*flags.Command]invocation, template invocation) error {
 	data := any(&struct{}{})
 	if v.Runner != nil {
 		data = v.Runner
 	}
-	c, err := parent.AddCommand(v.Name, v.Short, v.Long, data)
+	command, err := parent.AddCommand(v.Name, v.Short, v.Long, data)
 	if err != nil {
 		return fmt.Errorf("verb %s: %w", v.Name, err)
 	}
 	if v.Runner != nil {
-		a.Runner = v.Runner
-		runners[c] = a
+		template.Runner = v.Runner
+		runners[command] = template
 	}
 	for _, sub := range v.Subverbs {
-		if err := addCommand(c, sub, runners, a); err != nil {
+		if err := addCommand(command, sub, runners, template); err != nil {
 			return err
 		}
 	}
--- a/internal/cli/verb/verb_test.go
+++ b/internal/cli/verb/verb_test.go
@@ -16,19 +16,19 @@
 
 type echoRunner struct {
 	Word     string `long:"word"`
-	result   error
+	err      error
 	received []string
 }
 
 func (e *echoRunner) Run(_ context.Context, _ verb.Env, args []string) error {
 	e.received = append([]string{e.Word}, args...)
-	return e.result
+	return e.err
 }
 
 func run(args []string, verbs ...verb.Verb) (exit verb.ExitCode, out, errs string) {
-	var o, e bytes.Buffer
-	exit = verb.Run(context.Background(), verb.Env{Out: &o, Err: &e}, args, verbs...)
-	return exit, o.String(), e.String()
+	var stdout, stderr bytes.Buffer
+	exit = verb.Run(context.Background(), verb.Env{Out: &stdout, Err: &stderr}, args, verbs...)
+	return exit, stdout.String(), stderr.String()
 }
 
 func TestSubverbReceivesFlagsAndArgs(t *testing.T) {
@@ -63,7 +63,7 @@
 		"not one file":  {[]string{"check"}, nil, verb.ExitUsage},
 		"good settings": {[]string{"check", "../../../examples/entry.json"}, nil, verb.ExitOK},
 	} {
-		got, _, errs := run(c.args, verb.Verb{Name: "echo", Runner: &echoRunner{result: c.err}}, check.New())
+		got, _, errs := run(c.args, verb.Verb{Name: "echo", Runner: &echoRunner{err: c.err}}, check.New())
 		if got != c.want {
 			t.Errorf("%s: exit %d, want %d: %s", name, got, c.want, errs)
 		}
@@ -91,10 +91,10 @@
 	}
 }
 
-// A refusal that says only a number leaves whoever is on duty searching; every
-// one of them is to say what to do next.
+// Guards against refusals that show the operator only a result code: the message also
+// contains the detail and the advice for that code.
 func TestCodeErrorPrintsAdvice(t *testing.T) {
-	_, _, errs := run([]string{"echo"}, verb.Verb{Name: "echo", Runner: &echoRunner{result: verb.CodeError(code.RevisionConflict, "current revision 7")}})
+	_, _, errs := run([]string{"echo"}, verb.Verb{Name: "echo", Runner: &echoRunner{err: verb.CodeError(code.RevisionConflict, "current revision 7")}})
 	for _, want := range []string{"601", "current revision 7", "table show"} {
 		if !strings.Contains(errs, want) {
 			t.Errorf("%q lacks %q", errs, want)
--- a/internal/cli/zone/zone.go
+++ b/internal/cli/zone/zone.go
@@ -1,4 +1,4 @@
-// Package zone holds the verbs that drain availability zones.
+// Package zone implements the verbs that list and drain availability zones.
 package zone
 
 import (
@@ -14,12 +14,12 @@
 // New returns the verbs.
 func New() verb.Verb {
 	return verb.Verb{
-		Name: "zone", Short: "list, drain and take back availability zones",
+		Name: "zone", Short: "list, drain and undrain availability zones",
 		Subverbs: []verb.Verb{
-			{Name: "list", Short: "list the availability zones", Long: "Lists the availability zones with their backend servers and what these still run.", Runner: &listCommand{}},
+			{Name: "list", Short: "list the availability zones", Long: "Lists the availability zones with the number of their backend servers and running tasks.", Runner: &listCommand{}},
 			{
 				Name: "drain", Short: "give the servers of a zone no new work",
-				Long:   "Gives the backend servers in ZONE no new work, also those that come there later; what runs there finishes, and services are moved. It holds until `zone undrain ZONE`.",
+				Long:   "Gives the backend servers in ZONE no new work, including servers that join the zone later. Running tasks finish, and services are moved. The drain lasts until `zone undrain ZONE`.",
 				Runner: &markCommand{drain: true},
 			},
 			{Name: "undrain", Short: "let the servers of a zone take work again", Long: "Lets the backend servers in ZONE take work again.", Runner: &markCommand{}},
@@ -32,7 +32,8 @@
 	verb.OutputFlag
 }
 
-// zoneLine is one zone with --json; since is in seconds, 0 for a zone that is not drained.
+// zoneLine is one zone as printed with --json. Since is the time in seconds since the
+// drain began, 0 for a zone that is not drained.
 type zoneLine struct {
 	Zone    string  `json:"zone"`
 	Drained bool    `json:"drained"`
@@ -41,25 +42,26 @@
 	Tasks   uint32  `json:"tasks"`
 }
 
-// Run lists.
+// Run lists the availability zones.
 func (c *listCommand) Run(ctx context.Context, env verb.Env, _ []string) error {
 	r, err := c.Show(ctx, v1.Part_PART_ZONES)
 	if err != nil {
 		return err
 	}
-	out, g := []zoneLine{}, verb.TextTable{Header: []string{"ZONE", "STATE", "SINCE", "SERVERS", "TASKS"}}
+	lines, table := []zoneLine{}, verb.TextTable{Header: []string{"ZONE", "STATE", "SINCE", "SERVERS", "TASKS"}}
 	for _, z := range r.GetZones() {
 		since := time.Duration(z.GetSince()) * time.Millisecond
-		out = append(out, zoneLine{z.GetZone(), z.GetDrained(), since.Seconds(), z.GetServers(), z.GetTasks()})
-		state, ago := "open", ""
+		lines = append(lines, zoneLine{z.GetZone(), z.GetDrained(), since.Seconds(), z.GetServers(), z.GetTasks()})
+		state, drainedFor := "open", ""
 		if z.GetDrained() {
-			state, ago = "drained", since.Round(time.Second).String()
+			state, drainedFor = "drained", since.Round(time.Second).String()
 		}
-		g.Rows = append(g.Rows, []string{z.GetZone(), state, ago, strconv.FormatUint(uint64(z.GetServers()), 10), strconv.FormatUint(uint64(z.GetTasks()), 10)})
+		table.Rows = append(table.Rows, []string{z.GetZone(), state, drainedFor, strconv.FormatUint(uint64(z.GetServers()), 10), strconv.FormatUint(uint64(z.GetTasks()), 10)})
 	}
-	return c.Print(env.Out, out, g)
+	return c.Print(env.Out, lines, table)
 }
 
+// markCommand starts the drain of a zone when drain is set, and ends it otherwise.
 type markCommand struct {
 	remote.Flags
 	verb.OutputFlag
@@ -67,10 +69,10 @@
 	drain bool
 }
 
-// Run drains a zone or takes it back.
+// Run starts or ends the drain of the zone named by args.
 func (c *markCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) != 1 {
-		return verb.UsageError("Run `gypsumreel zone list` for their names.", "one zone is needed, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel zone list` for their names.", "the verb takes one zone, got %d", len(args))
 	}
 	req := &v1.ChangeRequest{Change: &v1.ChangeRequest_Zone{Zone: &v1.ZoneMark{Zone: args[0], Drain: c.drain}}}
 	result, err := c.SendChange(ctx, c.ChangeID, req, "")
