--- a/internal/cli/explain/explain_test.go
+++ b/internal/cli/explain/explain_test.go
@@ -33,9 +33,9 @@
 
 func run(t *testing.T, stdin string, args ...string) (verb.ExitCode, string, string) {
 	t.Helper()
-	var out, err bytes.Buffer
-	exit := verb.Run(context.Background(), verb.Env{In: strings.NewReader(stdin), Out: &out, Err: &err}, append([]string{"explain"}, args...), explain.New())
-	return exit, out.String(), err.String()
+	var out, errs bytes.Buffer
+	exit := verb.Run(context.Background(), verb.Env{In: strings.NewReader(stdin), Out: &out, Err: &errs}, append([]string{"explain"}, args...), explain.New())
+	return exit, out.String(), errs.String()
 }
 
 // Guards against a timeline that misses or misorders events when they are spread over the
--- a/internal/cli/flow/flow_test.go
+++ b/internal/cli/flow/flow_test.go
@@ -47,9 +47,9 @@
 }
 
 func run(stdin string, args ...string) (verb.ExitCode, string, string) {
-	var out, err bytes.Buffer
-	exit := verb.Run(context.Background(), verb.Env{In: strings.NewReader(stdin), Out: &out, Err: &err}, append([]string{"flow"}, args...), flow.New())
-	return exit, out.String(), err.String()
+	var out, errs bytes.Buffer
+	exit := verb.Run(context.Background(), verb.Env{In: strings.NewReader(stdin), Out: &out, Err: &errs}, append([]string{"flow"}, args...), flow.New())
+	return exit, out.String(), errs.String()
 }
 
 func connectionFlags(control string) []string {
--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -65,7 +65,7 @@
 	RuntimeScale      float64       `long:"scale" default:"1" description:"factor on all run times"`
 	Deadline          time.Duration `long:"deadline" description:"deadline of urgent jobs"`
 	KeepOutcomes      bool          `long:"keep" description:"do not acknowledge outcomes"`
-	CallPerConnection bool          `long:"single" description:"use one connection for each call in flight, for load balancers that don't forward HTTP/2 without TLS"`
+	ConnectionPerCall bool          `long:"single" description:"use one connection for each call in flight, for load balancers that don't forward HTTP/2 without TLS"`
 
 	Servers         int    `long:"servers" description:"number of fake backend servers to start; with 0 the cell's own servers run the jobs, may return anything, and the content of answers is not checked"`
 	Backends        string `long:"backends" description:"the entries' listeners for backend servers, in the form of --address"`
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	entries.Shared = !c.CallPerConnection
+	entries.Shared = !c.ConnectionPerCall
 	measured.Target = entries.Addresses
 	if measured.Table[0], err = c.tableRevision(ctx); err != nil {
 		return err
--- a/internal/cli/remote/change.go
+++ b/internal/cli/remote/change.go
@@ -52,6 +52,6 @@
 }
 
 // Describe returns the text output for the change: the summary, its id and the revision.
-func (m ChangeResult) Describe(summary string) verb.TextTable {
-	return verb.TextTable{Rows: [][]string{{fmt.Sprintf("%s (change %s, revision %d)", summary, m.Change, m.Revision)}}}
+func (r ChangeResult) Describe(summary string) verb.TextTable {
+	return verb.TextTable{Rows: [][]string{{fmt.Sprintf("%s (change %s, revision %d)", summary, r.Change, r.Revision)}}}
 }
--- a/internal/cli/sheet/cell.go
+++ b/internal/cli/sheet/cell.go
@@ -140,17 +140,17 @@
 }
 
 // Parse stores the value of text in the row. It returns false if the text is not allowed.
-func (column Column) Parse(row *v1.Row, text string) bool {
+func (c Column) Parse(row *v1.Row, text string) bool {
 	if row.Limit == nil {
 		row.Limit = &v1.Size{}
 	}
-	return column.parse(row, text)
+	return c.parse(row, text)
 }
 
 // Format returns the text of this column's value in the row.
-func (column Column) Format(row *v1.Row) string {
+func (c Column) Format(row *v1.Row) string {
 	if row.GetLimit() == nil {
 		row = &v1.Row{Team: row.GetTeam(), Weight: row.GetWeight(), Share: row.GetShare(), Queue: row.GetQueue(), Limit: &v1.Size{}}
 	}
-	return column.format(row)
+	return c.format(row)
 }
--- a/internal/cli/submit/submit.go
+++ b/internal/cli/submit/submit.go
@@ -101,7 +101,7 @@
 }
 
 func (c *command) buildSpec(env verb.Env) (*v1.Spec, error) {
-	const milli = 1000
+	const milliPerCore = 1000
 	input, err := c.readInput(env)
 	if err != nil {
 		return nil, err
@@ -114,7 +114,7 @@
 	}
 	return &v1.Spec{
 		Id: c.ID, Kind: kindsByName[c.Kind], Name: c.Name, Count: c.Count,
-		Size:    &v1.Size{Cpu: int64(c.CPU * milli), Memory: c.Memory, Accel: c.Accel, Slots: c.Slots},
+		Size:    &v1.Size{Cpu: int64(c.CPU * milliPerCore), Memory: c.Memory, Accel: c.Accel, Slots: c.Slots},
 		Runtime: uint64(c.Runtime.Milliseconds()), Deadline: uint64(c.Deadline.Milliseconds()),
 		Once: c.AtMostOnce, Floor: c.MinRunning, Labels: c.Label, Input: input,
 	}, nil
--- a/internal/cli/table/table.go
+++ b/internal/cli/table/table.go
@@ -158,9 +158,9 @@
 	Revision *uint64 `long:"base" description:"revision that the change is based on; the current one when left out"`
 }
 
-// Apply sends a change of the table. Without a base revision it first reads the current
+// SendTableChange sends a change of the table. Without a base revision it first reads the current
 // revision and uses that.
-func Apply(ctx context.Context, f remote.Flags, id remote.ChangeID, base BaseFlag, change *v1.TableChange) (remote.ChangeResult, error) {
+func SendTableChange(ctx context.Context, f remote.Flags, id remote.ChangeID, base BaseFlag, change *v1.TableChange) (remote.ChangeResult, error) {
 	if base.Revision != nil {
 		change.Base = *base.Revision
 	} else {
@@ -195,7 +195,7 @@
 	if err != nil {
 		return err
 	}
-	result, err := Apply(ctx, c.Flags, c.ChangeID, c.BaseFlag, &v1.TableChange{Edits: []*v1.Edit{edit}})
+	result, err := SendTableChange(ctx, c.Flags, c.ChangeID, c.BaseFlag, &v1.TableChange{Edits: []*v1.Edit{edit}})
 	if err != nil {
 		return err
 	}
@@ -276,7 +276,7 @@
 	if base.Revision == nil {
 		return verb.UsageError("Export the table and edit that sheet, or give --base with the revision that `gypsumreel table show` prints.", "the sheet does not name the revision that it is based on")
 	}
-	result, err := Apply(ctx, c.Flags, c.ChangeID, base, &v1.TableChange{Edits: imported.Edits, Replace: c.Replace})
+	result, err := SendTableChange(ctx, c.Flags, c.ChangeID, base, &v1.TableChange{Edits: imported.Edits, Replace: c.Replace})
 	if err != nil {
 		return err
 	}
--- a/internal/cli/team/team.go
+++ b/internal/cli/team/team.go
@@ -37,7 +37,7 @@
 		return verb.UsageError("Give the name of one team.", "one team is expected, got %d", len(args))
 	}
 	edit.Row.Team = args[0]
-	result, err := table.Apply(ctx, c.Flags, c.ChangeID, c.BaseFlag, &v1.TableChange{Edits: []*v1.Edit{edit}})
+	result, err := table.SendTableChange(ctx, c.Flags, c.ChangeID, c.BaseFlag, &v1.TableChange{Edits: []*v1.Edit{edit}})
 	if err != nil {
 		return err
 	}
--- a/internal/cli/verb/exit.go
+++ b/internal/cli/verb/exit.go
@@ -52,8 +52,8 @@
 }
 
 // UsageError returns an Error with ExitUsage for invalid user input.
-func UsageError(next, format string, args ...any) *Error {
-	return &Error{ExitCode: ExitUsage, Message: fmt.Sprintf(format, args...), Advice: next}
+func UsageError(advice, format string, args ...any) *Error {
+	return &Error{ExitCode: ExitUsage, Message: fmt.Sprintf(format, args...), Advice: advice}
 }
 
 // adviceByCode maps result codes of the cell to advice for the user.
--- a/internal/cli/verb/print.go
+++ b/internal/cli/verb/print.go
@@ -31,13 +31,13 @@
 	return table.write(w)
 }
 
-func (table TextTable) write(w io.Writer) error {
+func (t TextTable) write(w io.Writer) error {
 	const padding = 2
 	columns := tabwriter.NewWriter(w, 0, 0, padding, ' ', 0)
-	if len(table.Header) > 0 {
-		fmt.Fprintln(columns, strings.Join(table.Header, "\t"))
+	if len(t.Header) > 0 {
+		fmt.Fprintln(columns, strings.Join(t.Header, "\t"))
 	}
-	for _, row := range table.Rows {
+	for _, row := range t.Rows {
 		fmt.Fprintln(columns, strings.Join(row, "\t"))
 	}
 	return columns.Flush()
--- a/internal/cli/verb/secure.go
+++ b/internal/cli/verb/secure.go
@@ -36,18 +36,18 @@
 }
 
 // ServerConfig returns the TLS configuration for a listener.
-func (s ReloadingTLS) ServerConfig() *tls.Config {
-	if s.certificates == nil {
+func (r ReloadingTLS) ServerConfig() *tls.Config {
+	if r.certificates == nil {
 		return nil
 	}
-	return s.certificates.ServerConfig()
+	return r.certificates.ServerConfig()
 }
 
 // ClientConfig returns the TLS configuration for outgoing connections to a server whose
 // certificate carries one of the names.
-func (s ReloadingTLS) ClientConfig(names ...string) *tls.Config {
-	if s.certificates == nil {
+func (r ReloadingTLS) ClientConfig(names ...string) *tls.Config {
+	if r.certificates == nil {
 		return nil
 	}
-	return s.certificates.ClientConfig(names...)
+	return r.certificates.ClientConfig(names...)
 }
