--- a/internal/cli/explain/explain_test.go
+++ b/internal/cli/explain/explain_test.go
@@ -18,7 +18,7 @@
 // entryLog holds lines of an entry, each with a prefix that ends with the process name,
 // and one line that is not from gypsumreel.
 const entryLog = `  2.1 front-1 {"time":"2026-02-27T15:20:10.100Z","level":"INFO","msg":"m","event":818,"name":"call-answered","flow":"abc","code":0}
-not ours
+a line of another program
   2.2 front-1 {"time":"2026-02-27T15:20:10.200Z","level":"INFO","msg":"m","event":818,"name":"call-answered","flow":"other","code":0}
 `
 
@@ -28,7 +28,7 @@
 {"time":"2026-02-27T15:20:12.000Z","level":"INFO","msg":"m","event":200,"name":"leader-elected","term":3}
 {"time":"2026-02-27T15:20:14.500Z","level":"INFO","msg":"m","event":806,"name":"run-ended","flow":"abc","how":"RUN_END_DONE"}
 {"time":"2026-02-27T15:20:19.000Z","level":"INFO","msg":"m","event":200,"name":"leader-elected","term":4}
-{"time":"garbage","name":"abc"}
+{"time":"invalid","name":"abc"}
 `
 
 func run(t *testing.T, stdin string, args ...string) (verb.ExitCode, string, string) {
@@ -57,7 +57,7 @@
 		Foreign int
 	}
 	if err := json.Unmarshal([]byte(out), &got); err != nil || exit != 0 {
-		t.Fatal(exit, err, out)
+		t.Fatalf("exit code %d, error %v, output %s", exit, err, out)
 	}
 	var names []string
 	for _, l := range got.Lines {
@@ -67,7 +67,7 @@
 		t.Error(diff)
 	}
 	if got.After != "leader-elected" || got.Longest != 2_500_000_000 || got.Foreign != 2 {
-		t.Errorf("%+v", got)
+		t.Errorf("longest gap, event before it or number of foreign lines is wrong: %+v", got)
 	}
 }
 
--- a/internal/cli/explain/summary.go
+++ b/internal/cli/explain/summary.go
@@ -56,22 +56,31 @@
 
 // summary holds the counts of all flows in the logs.
 type summary struct {
-	Flows        int           `json:"flows"`
-	Rows         []causeRow    `json:"rows"`
-	Customers    []customerRow `json:"customers"`
-	Seconds      []secondRow   `json:"seconds"`
-	Refusals     []string      `json:"refusals"`
-	ForeignLines int           `json:"foreign"`
-	OmittedLines int           `json:"left"`
+	Flows int        `json:"flows"`
+	Rows  []causeRow `json:"rows"`
+	// Customers holds the customers with the lowest fraction of flows in time.
+	Customers []customerRow `json:"customers"`
+	Seconds   []secondRow   `json:"seconds"`
+	// Refusals holds the number of refused flows for each result code, as text.
+	Refusals []string `json:"refusals"`
+	// ForeignLines is the number of lines that are not from gypsumreel.
+	ForeignLines int `json:"foreign"`
+	// OmittedLines is the number of lines about flows beyond maxFlows.
+	OmittedLines int `json:"left"`
 }
 
 // summaryBuilder collects the histories of all flows and the times of leader changes.
 type summaryBuilder struct {
-	flows         map[string]*flowHistory
+	// flows maps the id of a flow to its history.
+	flows map[string]*flowHistory
+	// leaderChanges holds the times of leader elections.
 	leaderChanges []time.Time
-	lastLineAt    time.Time
-	foreignLines  int
-	omittedLines  int
+	// lastLineAt is the time of the latest line, which stands for the end of the logs.
+	lastLineAt time.Time
+	// foreignLines is the number of lines that are not from gypsumreel.
+	foreignLines int
+	// omittedLines is the number of lines about flows beyond maxFlows.
+	omittedLines int
 }
 
 // summaryEvents are the quoted names of the events that the summary is built from. Lines
--- a/internal/cli/explain/summary_test.go
+++ b/internal/cli/explain/summary_test.go
@@ -26,35 +26,35 @@
 		b.WriteString(logLine(ms, "run-ended", fmt.Sprintf(`"flow":%q,"how":"RUN_END_%s","state":"FLOW_STATE_%s"`, id, how, state)))
 	}
 	addEvent := func(ms int, name, id string) { b.WriteString(logLine(ms, name, fmt.Sprintf(`"flow":%q`, id))) }
-	for _, id := range []string{"good", "lost", "failing", "hopeless", "moved", "unpermitted", "roomless", "slow", "cancelled", "crashing"} {
+	for _, id := range []string{"in-time", "lost", "retried", "failed", "moved", "no-permit", "no-capacity", "slow", "cancelled", "crashing"} {
 		acceptFlow(1000, id)
-		if id != "unpermitted" {
+		if id != "no-permit" {
 			addEvent(1010, "advice-taken", id)
 		}
-		if id != "unpermitted" && id != "roomless" {
+		if id != "no-permit" && id != "no-capacity" {
 			addEvent(1020, "runs-placed", id)
 		}
 	}
-	endRun(1900, "good", "DONE", "DONE")
+	endRun(1900, "in-time", "DONE", "DONE")
 	endRun(1500, "lost", "LOST", "RUNNING")
 	endRun(2500, "lost", "DONE", "DONE")
-	endRun(1500, "failing", "FAILED", "RUNNING")
-	endRun(2500, "failing", "DONE", "DONE")
-	endRun(1500, "hopeless", "FAILED", "FAILED")
+	endRun(1500, "retried", "FAILED", "RUNNING")
+	endRun(2500, "retried", "DONE", "DONE")
+	endRun(1500, "failed", "FAILED", "FAILED")
 	addEvent(1700, "run-moved", "moved")
 	endRun(2600, "moved", "DONE", "DONE")
-	addEvent(1800, "advice-taken", "unpermitted")
-	endRun(2700, "unpermitted", "DONE", "DONE")
-	addEvent(1800, "runs-placed", "roomless")
-	endRun(2700, "roomless", "DONE", "DONE")
+	addEvent(1800, "advice-taken", "no-permit")
+	endRun(2700, "no-permit", "DONE", "DONE")
+	addEvent(1800, "runs-placed", "no-capacity")
+	endRun(2700, "no-capacity", "DONE", "DONE")
 	endRun(2800, "slow", "DONE", "DONE")
 	addEvent(1100, "flow-cancelled", "cancelled")
 	addEvent(1500, "attempt-lost", "crashing")
 	addEvent(1600, "flow-given-up", "crashing")
-	acceptFlow(5000, "across")
+	acceptFlow(5000, "leader-change")
 	b.WriteString(logLine(5500, "leader-elected", `"term":2`))
-	endRun(7000, "across", "DONE", "DONE")
-	b.WriteString(logLine(5600, "call-answered", `"flow":"turned-away","verb":"FLOW_VERB_SUBMIT","code":701`))
+	endRun(7000, "leader-change", "DONE", "DONE")
+	b.WriteString(logLine(5600, "call-answered", `"flow":"refused","verb":"FLOW_VERB_SUBMIT","code":701`))
 	return b.String()
 }
 
@@ -62,10 +62,10 @@
 // once, under the first cause that applies.
 func TestSummaryCountsEachFlowByCause(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "all.log")
-	if err := os.WriteFile(name, []byte(logWithEveryCause()+"not ours\n"), 0o600); err != nil {
+	if err := os.WriteFile(name, []byte(logWithEveryCause()+"a line of another program\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	exit, out, text := run(t, "", "--json", "--logs", name)
+	exit, out, errs := run(t, "", "--json", "--logs", name)
 	var got struct {
 		Flows   int
 		Foreign int
@@ -77,7 +77,7 @@
 		Seconds  []struct{ Flows, Missed, Changes int }
 	}
 	if err := json.Unmarshal([]byte(out), &got); err != nil || exit != 0 {
-		t.Fatal(exit, err, out, text)
+		t.Fatalf("exit code %d, error %v, output %s, errors %s", exit, err, out, errs)
 	}
 	causes := map[string]int{}
 	for _, r := range got.Rows {
@@ -91,10 +91,10 @@
 		t.Error(diff)
 	}
 	if diff := cmp.Diff([]string{"1 with code 701"}, got.Refusals); diff != "" || got.Flows != 12 || got.Foreign != 1 {
-		t.Error(diff, got.Flows, got.Foreign)
+		t.Errorf("refusals: %s; got %d flows and %d foreign lines, want 12 and 1", diff, got.Flows, got.Foreign)
 	}
 	if len(got.Seconds) != 2 || got.Seconds[0].Flows != 9 || got.Seconds[0].Missed != 8 || got.Seconds[1].Changes != 1 {
-		t.Errorf("%+v", got.Seconds)
+		t.Errorf("counts per second are wrong: %+v", got.Seconds)
 	}
 }
 
@@ -102,6 +102,6 @@
 // flow: the verb has to fail instead.
 func TestSummaryFailsWithoutFlowLines(t *testing.T) {
 	if exit, out, _ := run(t, "nothing\n", "--logs", "-"); exit == 0 || out != "" {
-		t.Error(exit, out)
+		t.Errorf("exit code %d, output %q; want a failure without output", exit, out)
 	}
 }
--- a/internal/cli/key/key.go
+++ b/internal/cli/key/key.go
@@ -132,6 +132,7 @@
 	return "valid"
 }
 
+// keyOwner returns the team of a key, or "(operator)" for an operator's key.
 func keyOwner(k *v1.KeyLine) string {
 	if k.GetOperator() {
 		return "(operator)"
--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -67,7 +67,7 @@
 	KeepOutcomes      bool          `long:"keep" description:"do not acknowledge outcomes"`
 	ConnectionPerCall bool          `long:"single" description:"use one connection for each call in flight, for load balancers that don't forward HTTP/2 without TLS"`
 
-	Servers         int    `long:"servers" description:"number of fake backend servers to start; with 0 the cell's own servers run the jobs, may return anything, and the content of answers is not checked"`
+	Servers         int    `long:"servers" description:"number of fake backend servers to start; with 0 the cell's own servers run the jobs, and the content of answers is not checked because it may be anything"`
 	Backends        string `long:"backends" description:"the entries' listeners for backend servers, in the form of --address"`
 	EnrolmentSecret string `long:"enrolment" env:"GYPSUMREEL_ENROLMENT" description:"enrolment secret of the fake backend servers"`
 	Cores           int64  `long:"cores" default:"16" description:"cores of each fake backend server"`
@@ -125,6 +125,7 @@
 	return c.printResult(env, result)
 }
 
+// printResult prints the result and returns an Error if a promise was broken.
 func (c *command) printResult(env verb.Env, result report.Result) error {
 	if c.JSON {
 		if err := c.Print(env.Out, result, verb.TextTable{}); err != nil {
@@ -139,6 +140,7 @@
 	return &verb.Error{ExitCode: verb.ExitFailed, Message: "a promise did not hold", Advice: "Keep logs and dumps of the processes and report it with this result."}
 }
 
+// buildPlan validates the flags and returns the plan of the run.
 func (c *command) buildPlan(args []string) (mix.Plan, error) {
 	const usage = "See `gypsumreel load --help`."
 	shares, err := mix.ParseShares(c.Mix)
@@ -176,6 +178,7 @@
 	}, nil
 }
 
+// describeRun returns the parameters of the run as they appear in the result.
 func (c *command) describeRun(plan mix.Plan) (report.Measured, error) {
 	measured := report.Measured{
 		Revision: report.Revision(), Settings: map[string]string{}, Note: c.Note,
--- a/internal/cli/remote/remote.go
+++ b/internal/cli/remote/remote.go
@@ -97,7 +97,7 @@
 	for _, address := range strings.Split(f.Address, ",") {
 		parsed, err := url.Parse(strings.TrimSpace(address))
 		if err != nil || parsed.Host == "" || parsed.Scheme != "http" && parsed.Scheme != "https" {
-			return nil, verb.UsageError(usage, "address %q is not allowed", address)
+			return nil, verb.UsageError(usage, "invalid address %q", address)
 		}
 		addresses = append(addresses, strings.TrimSuffix(parsed.String(), "/"))
 	}
@@ -130,7 +130,7 @@
 // NewID returns a random id that is unique in practice.
 func NewID() string {
 	b := make([]byte, idBytes)
-	_, _ = rand.Read(b) // never fails: crypto/rand ends the process instead
+	_, _ = rand.Read(b) // never returns an error: crypto/rand crashes the process instead
 	return hex.EncodeToString(b)
 }
 
--- a/internal/cli/remote/remote_test.go
+++ b/internal/cli/remote/remote_test.go
@@ -18,7 +18,7 @@
 
 // Guards against bare transport errors when the operator confuses http and https, omits
 // --authority or gives the wrong port. The advice has to name what to correct.
-func TestConnectionErrorsNameTheFlagToFix(t *testing.T) {
+func TestConnectionErrorsSuggestCorrection(t *testing.T) {
 	plain, secure := httptest.NewServer(http.NotFoundHandler()), httptest.NewTLSServer(http.NotFoundHandler())
 	t.Cleanup(plain.Close)
 	t.Cleanup(secure.Close)
@@ -40,7 +40,7 @@
 			_, err = client.Show(ctx, v1.Part_PART_TABLE)
 			var got *verb.Error
 			if !errors.As(remote.UserError(err), &got) || !strings.Contains(got.Advice, want) {
-				t.Errorf("%s: %v", address, err)
+				t.Errorf("address %s: got error %v, want advice that contains %q", address, err, want)
 			}
 		})
 	}
@@ -57,14 +57,14 @@
 		t.Fatalf("%v, %v", l, err)
 	}
 	for name, change := range map[string]func(*remote.Flags){
-		"no key":        func(f *remote.Flags) { f.Key = "" },
-		"no address":    func(f *remote.Flags) { f.Address = "" },
-		"no scheme":     func(f *remote.Flags) { f.Address = "10.0.0.1:7401" },
-		"other scheme":  func(f *remote.Flags) { f.Address = "ftp://10.0.0.1" },
-		"no time":       func(f *remote.Flags) { f.Timeout = 0 },
-		"no authority":  func(f *remote.Flags) { f.Authority = empty + "x" },
-		"bad authority": func(f *remote.Flags) { f.Authority = empty },
-		"bad proof":     func(f *remote.Flags) { f.ClientCertificate = empty },
+		"no key":                 func(f *remote.Flags) { f.Key = "" },
+		"no address":             func(f *remote.Flags) { f.Address = "" },
+		"no scheme":              func(f *remote.Flags) { f.Address = "10.0.0.1:7401" },
+		"other scheme":           func(f *remote.Flags) { f.Address = "ftp://10.0.0.1" },
+		"no timeout":             func(f *remote.Flags) { f.Timeout = 0 },
+		"missing authority file": func(f *remote.Flags) { f.Authority = empty + "x" },
+		"invalid authority file": func(f *remote.Flags) { f.Authority = empty },
+		"invalid certificate":    func(f *remote.Flags) { f.ClientCertificate = empty },
 	} {
 		f := good
 		change(&f)
--- a/internal/cli/sheet/sheet.go
+++ b/internal/cli/sheet/sheet.go
@@ -127,6 +127,8 @@
 	return ','
 }
 
+// readAll reads the header and all rows. It stops after MaxFaults faults or MaxRows
+// teams.
 func (r *reader) readAll() {
 	header, ok := r.nextRecord()
 	if !ok {
@@ -172,6 +174,7 @@
 	return nil, false
 }
 
+// addFault records a fault at the position of the given field of the current record.
 func (r *reader) addFault(field int, text string) {
 	line, column := r.csv.FieldPos(field)
 	r.faults = append(r.faults, Fault{r.fileName, line, column, text})
@@ -204,6 +207,7 @@
 	return strings.Join(append(names, revisionColumn), ", ")
 }
 
+// readRow converts a record to an edit. Blank records are skipped.
 func (r *reader) readRow(record []string) {
 	if isBlank(record) {
 		return
@@ -238,6 +242,7 @@
 	return true
 }
 
+// readCell stores the text of column i in the edit. An empty text changes nothing.
 func (r *reader) readCell(edit *v1.Edit, i int, text string) {
 	switch name := r.columns[i]; {
 	case text == "":
--- a/internal/cli/submit/submit.go
+++ b/internal/cli/submit/submit.go
@@ -85,6 +85,7 @@
 	return c.printResult(env, replies[0])
 }
 
+// isAccepted reports whether the cell accepted the job.
 func isAccepted(accepted *v1.Accepted) bool { return accepted.GetStatus().GetCode() == uint32(code.OK) }
 
 func (c *command) printResult(env verb.Env, accepted *v1.Accepted) error {
@@ -100,6 +101,7 @@
 	return remote.UserError(link.Status(status))
 }
 
+// buildSpec builds the job from the flags. It generates an id if none was given.
 func (c *command) buildSpec(env verb.Env) (*v1.Spec, error) {
 	const milliPerCore = 1000
 	input, err := c.readInput(env)
@@ -127,6 +129,7 @@
 	"service": v1.Kind_KIND_SERVICE,
 }
 
+// readInput returns the text of --input or the content of --input-file.
 func (c *command) readInput(env verb.Env) ([]byte, error) {
 	switch {
 	case c.InputFile == "":
--- a/internal/cli/table/table.go
+++ b/internal/cli/table/table.go
@@ -124,6 +124,8 @@
 	return ", not confirmed by " + strings.Join(names, ", ")
 }
 
+// heldByRow returns the capacity that the team of row i holds, or zero if the reply does
+// not contain it.
 func heldByRow(r *v1.ShowReply, i int) *v1.Size {
 	if i < len(r.GetHeld()) {
 		return r.GetHeld()[i]
@@ -131,6 +133,7 @@
 	return &v1.Size{}
 }
 
+// textTable returns the rows of the table and the capacity that each team holds.
 func textTable(r *v1.ShowReply) verb.TextTable {
 	out := verb.TextTable{Header: []string{"TEAM"}}
 	for _, column := range sheet.Columns() {
@@ -202,6 +205,7 @@
 	return c.Print(env.Out, result, result.Describe("team "+edit.GetRow().GetTeam()+" set"))
 }
 
+// parseEdit converts the arguments TEAM NAME=VALUE... to an edit.
 func parseEdit(args []string) (*v1.Edit, error) {
 	const usage = "Run `gypsumreel table set TEAM NAME=VALUE...`."
 	const minArgs = 2
--- a/internal/cli/table/table_test.go
+++ b/internal/cli/table/table_test.go
@@ -106,7 +106,7 @@
 		t.Errorf("exit %d: %s", exit, errs)
 	}
 	if base := e.changes[0].GetTable().GetBase(); base != 5 {
-		t.Errorf("base %d", base)
+		t.Errorf("the import has base revision %d, want 5", base)
 	}
 }
 
--- a/internal/cli/verb/exit.go
+++ b/internal/cli/verb/exit.go
@@ -58,21 +58,21 @@
 
 // adviceByCode maps result codes of the cell to advice for the user.
 var adviceByCode = map[code.Code]string{
-	code.QueueFull:               "Wait for some of the team's jobs, or ask an operator for a longer queue.",
+	code.QueueFull:               "Wait until some of the team's jobs have ended, or ask an operator for a longer queue.",
 	code.Unplaceable:             "Make the tasks smaller, or ask an operator for the team's limit (`gypsumreel table show`).",
 	code.Overloaded:              "Run the same command again later, with the same id.",
 	code.ControlUnreachable:      "Run the same command again with the same id.",
 	code.LeaderTimeout:           "Run the same command again with the same id: it is not done twice.",
 	code.InvalidKey:              "Check --key or GYPSUMREEL_KEY; an operator grants keys with `gypsumreel key grant`.",
 	code.Forbidden:               "Use a key of the right kind: a team's key for jobs, an operator's key for everything else.",
-	code.IDReused:                "Choose another id, or ask what became of the earlier one (`gypsumreel wait` for a job).",
-	code.NotFound:                "Check the name; outcomes are forgotten once acknowledged or past their retention.",
-	code.RevisionConflict:        "Run `gypsumreel table show`, look at what has changed, and make the change again from the current revision.",
+	code.IDReused:                "Choose another id, or query the outcome of the earlier request (`gypsumreel wait` for a job).",
+	code.NotFound:                "Check the name; outcomes are deleted when they are acknowledged or their retention time ends.",
+	code.RevisionConflict:        "Run `gypsumreel table show`, check what has changed, and repeat the change with the current revision as its base.",
 	code.InUse:                   "Withdraw the team's keys and let its jobs end first.",
-	code.MembershipChangePending: "Wait until `gypsumreel member list` shows no change under way, then run the same command again.",
+	code.MembershipChangePending: "Wait until `gypsumreel member list` shows no change in progress, then run the same command again.",
 	code.NoLeader:                "Nothing was done. Run the same command again; if it lasts, see docs/operate/handbook.md.",
 	code.ShuttingDown:            "Run the same command again: another entry answers.",
-	code.DiskFull:                "An operator has to make room on the control instances' disks.",
+	code.DiskFull:                "An operator has to free space on the disks of the control instances.",
 	code.Internal:                "Look at the events of the control processes (docs/EVENTS.md).",
 	code.TooLarge:                "Split the request.",
 	code.InvalidEnrolment:        "Compare the secret with the entries' setting enrolment.",
@@ -87,8 +87,11 @@
 	return &Error{ExitCode: exitCodeOf(c), Message: text, Advice: adviceByCode[c]}
 }
 
+// exitCodeOf returns the exit code for a result code. Codes that no case covers map to
+// ExitFailed.
 func exitCodeOf(c code.Code) ExitCode {
-	const codesPerClass = 100 // codes with the same hundreds digit belong to one class
+	// Codes with the same hundreds digit belong to one class of outcomes.
+	const codesPerClass = 100
 	switch {
 	case c == code.OK:
 		return ExitOK
--- a/internal/cli/verb/role.go
+++ b/internal/cli/verb/role.go
@@ -10,8 +10,8 @@
 	"gypsumreel/internal/base/settings"
 )
 
-// LoadSettings reads the settings file of a daemon. A file written for another role is
-// a usage error.
+// LoadSettings reads the settings file of a daemon. An invalid file, or a file for
+// another role, is a usage error.
 func LoadSettings(env Env, file string, role settings.Role) (*settings.Settings, error) {
 	s, err := settings.Load(file)
 	if err != nil {
--- a/internal/cli/verb/verb.go
+++ b/internal/cli/verb/verb.go
@@ -49,7 +49,7 @@
 	Subverbs []Verb
 }
 
-// invocation is a Runner with the context and the environment that it runs in.
+// invocation holds a Runner with the context and the environment to run it in.
 type invocation struct {
 	Runner
 	ctx context.Context
@@ -80,6 +80,8 @@
 	return reportResult(env, selected.Runner, selected.Run(ctx, env, positional))
 }
 
+// addCommand registers a verb and its subverbs with go-flags below parent. It adds each
+// verb that has a Runner to runners, as a copy of template with that Runner.
 func addCommand(parent *flags.Command, v Verb, runners map[*flags.Command]invocation, template invocation) error {
 	data := any(&struct{}{})
 	if v.Runner != nil {
@@ -101,6 +103,7 @@
 	return nil
 }
 
+// activeCommand returns the innermost command that was selected on the command line.
 func activeCommand(c *flags.Command) *flags.Command {
 	for c.Active != nil {
 		c = c.Active
@@ -108,6 +111,8 @@
 	return c
 }
 
+// reportParseError prints the help text if it was requested, otherwise the parse error,
+// and returns the exit code.
 func reportParseError(env Env, err error) ExitCode {
 	var flagErr *flags.Error
 	if errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp {
--- a/internal/cli/wait/wait.go
+++ b/internal/cli/wait/wait.go
@@ -99,5 +99,5 @@
 	case v1.Outcome_OUTCOME_UNKNOWN:
 		return newError(verb.ExitUnknown, "The job may or may not have run to its end; find out before you submit it again.")
 	}
-	return newError(verb.ExitUnfinished, "Run the same command again, with a longer --timeout.")
+	return newError(verb.ExitUnfinished, "The job has not finished. Run the same command again, with a longer --timeout.")
 }
