--- a/internal/cli/control/control.go
+++ b/internal/cli/control/control.go
@@ -48,13 +48,13 @@
 		event.LogError(event.New(env.Err, s.LogLevel), event.ListenFailed, err)
 		return err
 	}
-	n.Init, n.Log, n.Abort = c.Init, event.New(env.Err, s.LogLevel), verb.SecondSignal(ctx)
+	n.InitCell, n.Log, n.Abort = c.Init, event.New(env.Err, s.LogLevel), verb.SecondSignal(ctx)
 	daemonTLS, err := verb.NewDaemonTLS(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, n.Log)
 	if err != nil {
 		return err
 	}
-	n.Server, n.Client, n.Outside = daemonTLS.Inside.ServerConfig(), daemonTLS.Inside.ClientConfig(daemonTLS.ReplicaNames...), daemonTLS.Outside.ServerConfig()
-	n.Peers = daemonTLS.Inside.ClientConfig(daemonTLS.ReplicaNames...)
+	n.ServerTLS, n.ClientTLS, n.ProbeTLS = daemonTLS.Inside.ServerConfig(), daemonTLS.Inside.ClientConfig(daemonTLS.ReplicaNames...), daemonTLS.Outside.ServerConfig()
+	n.PeerTLS = daemonTLS.Inside.ClientConfig(daemonTLS.ReplicaNames...)
 	event.Log(n.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
 	defer event.Log(n.Log, event.Stopped, "process", s.Name)
 	dumpHandler := &dump.SignalHandler{Dir: s.DataDir, Name: s.Name, State: n.State, MaxBytes: int(s.Limits.DumpBytes), Log: n.Log}
@@ -73,9 +73,9 @@
 		return nil, errors.Wrap(err, "listen.platform")
 	}
 	n := &node.Node{
-		Cell: s.Cell, Name: s.Name, Data: s.DataDir, Listener: controlListener, Platform: platformListener,
-		Heartbeat: s.Time.HeartbeatInterval, Election: s.Time.ElectionTimeout, Patience: s.Time.MaxElectionTimeout, Control: leader.New(),
-		MaxDump: int(s.Limits.DumpBytes), Room: bounds.DiskReserve(s.Limits.DiskMiB), Clock: clock.SinceBoot,
+		Cell: s.Cell, Name: s.Name, DataDir: s.DataDir, Listener: controlListener, ProbeListener: platformListener,
+		HeartbeatInterval: s.Time.HeartbeatInterval, ElectionTimeout: s.Time.ElectionTimeout, MaxElectionTimeout: s.Time.MaxElectionTimeout, Control: leader.New(),
+		MaxDumpBytes: int(s.Limits.DumpBytes), MinFreeBytes: bounds.DiskReserve(s.Limits.DiskMiB), Clock: clock.SinceBoot,
 	}
 	bounds.LimitHeap(s.Limits.MemoryMiB)
 	for _, replica := range s.ControlReplicas {
@@ -94,7 +94,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "operator")
 		}
-		n.Root = &v1.KeyGrant{Id: firstOperatorKeyID, Operator: true, Digest: digest}
+		n.RootKey = &v1.KeyGrant{Id: firstOperatorKeyID, Operator: true, Digest: digest}
 	}
 	return n, nil
 }
--- a/internal/cli/entry/entry.go
+++ b/internal/cli/entry/entry.go
@@ -49,9 +49,9 @@
 	if err != nil {
 		return err
 	}
-	e.Outside, e.Inside = daemonTLS.Outside.ServerConfig(), daemonTLS.Inside.ClientConfig(daemonTLS.ReplicaNames...)
+	e.OutsideTLS, e.InsideTLS = daemonTLS.Outside.ServerConfig(), daemonTLS.Inside.ClientConfig(daemonTLS.ReplicaNames...)
 	pool := e.Pool()
-	pool.Timeout, pool.Freshness, pool.Batch = s.Time.CallTimeout, s.Time.MaxLeaderSilence, int(s.Limits.BatchItems)
+	pool.CallTimeout, pool.MaxContactAge, pool.MaxPushItems = s.Time.CallTimeout, s.Time.MaxLeaderSilence, int(s.Limits.BatchItems)
 	event.Log(e.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
 	defer event.Log(e.Log, event.Stopped, "process", s.Name)
 	dumpHandler := &dump.SignalHandler{Name: s.Name, State: e.Dump, MaxBytes: int(s.Limits.DumpBytes), Log: e.Log}
@@ -62,11 +62,11 @@
 // newEntry opens the listeners and builds the entry from its settings.
 func newEntry(s *settings.Settings) (*entry.Entry, error) {
 	e := &entry.Entry{
-		Cell: s.Cell, Name: s.Name, Drain: s.Time.FinishTimeout,
+		Cell: s.Cell, Name: s.Name, DrainTimeout: s.Time.FinishTimeout,
 		// A zero Linger selects the default of package entry, so a configured delay of 0
 		// is passed as 1 ns.
-		Linger:      max(s.Time.DrainDelay, time.Nanosecond),
-		Connections: min(int(s.Limits.Connections), files.NewBudget(files.ProcessLimit(s.Limits.OpenFiles)).Allowance(files.Callers)), Limit: int(s.Limits.QueuedRequests),
+		ShutdownDelay:  max(s.Time.DrainDelay, time.Nanosecond),
+		MaxConnections: min(int(s.Limits.Connections), files.NewBudget(files.ProcessLimit(s.Limits.OpenFiles)).Allowance(files.Callers)), MaxPendingRequests: int(s.Limits.QueuedRequests),
 	}
 	bounds.LimitHeap(s.Limits.MemoryMiB)
 	for _, l := range []struct {
@@ -74,10 +74,10 @@
 		address  string
 		listener *net.Listener
 	}{
-		{"listen.callers", s.Listen.Callers, &e.Callers},
-		{"listen.backends", s.Listen.Backends, &e.Backends},
-		{"listen.operators", s.Listen.Operators, &e.Operators},
-		{"listen.platform", s.Listen.Platform, &e.Platform},
+		{"listen.callers", s.Listen.Callers, &e.CallerListener},
+		{"listen.backends", s.Listen.Backends, &e.BackendListener},
+		{"listen.operators", s.Listen.Operators, &e.OperatorListener},
+		{"listen.platform", s.Listen.Platform, &e.PlatformListener},
 	} {
 		var err error
 		if *l.listener, err = net.Listen("tcp", l.address); err != nil {
@@ -85,14 +85,14 @@
 		}
 	}
 	for _, replica := range s.ControlReplicas {
-		e.Replicas = append(e.Replicas, control.Replica{Name: replica.Name, Address: replica.Address})
+		e.ControlReplicas = append(e.ControlReplicas, control.Replica{Name: replica.Name, Address: replica.Address})
 	}
 	for _, digestText := range s.EnrolmentDigests {
 		digest, err := hex.DecodeString(digestText)
 		if err != nil || len(digest) != len(backend.Digest{}) {
 			return nil, errors.Newf("enrolment: %q is not a valid digest", digestText)
 		}
-		e.Enrolment = append(e.Enrolment, backend.Digest(digest))
+		e.EnrolmentDigests = append(e.EnrolmentDigests, backend.Digest(digest))
 	}
 	return e, nil
 }
--- a/internal/cli/flow/flow.go
+++ b/internal/cli/flow/flow.go
@@ -95,7 +95,7 @@
 // the leader answers or ctx is cancelled. Every request is safe to repeat: flows have
 // ids, and a repeated cancellation or query changes nothing.
 func (f flowFlags) callLeader(ctx context.Context, request *inner.FlowAsk) *inner.FlowAnswer {
-	client := wire.Client(connectionsPerReplica, nil, files.Processes)
+	client := wire.NewClient(connectionsPerReplica, nil, files.Processes)
 	addresses := strings.Split(f.Control, ",")
 	lastAnswer := &inner.FlowAnswer{Code: uint32(code.LeaderTimeout)}
 	for attempt := 0; ctx.Err() == nil; attempt++ {
@@ -156,7 +156,7 @@
 	if err := protojson.Unmarshal(plain, spec); err != nil {
 		return nil, verb.UsageError("The fields are those of FlowSpec in proto/v1/flow.proto.", "%s: %v", args[0], err)
 	}
-	if fault := domain.Check(spec); fault != nil {
+	if fault := domain.CheckSpec(spec); fault != nil {
 		return nil, verb.UsageError("Correct the file; nothing was sent.", "%s: %v", args[0], fault)
 	}
 	return spec, nil
--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	entries.Shared = !c.ConnectionPerCall
+	entries.Multiplexed = !c.ConnectionPerCall
 	measured.Target = entries.Addresses
 	if measured.Table[0], err = c.tableRevision(ctx); err != nil {
 		return err
--- a/internal/cli/submit/submit.go
+++ b/internal/cli/submit/submit.go
@@ -98,7 +98,7 @@
 	if isAccepted(accepted) {
 		return nil
 	}
-	return remote.UserError(link.Status(status))
+	return remote.UserError(link.StatusError(status))
 }
 
 // buildSpec builds the job from the flags. It generates an id if none was given.
--- a/internal/cli/team/team.go
+++ b/internal/cli/team/team.go
@@ -49,7 +49,7 @@
 // Run adds the team named by args.
 func (c *addCommand) Run(ctx context.Context, env verb.Env, args []string) error {
 	const unlimited = capacity.Unlimited
-	row := &v1.Row{Weight: team.DefaultWeight, Queue: team.DefaultQueue, Limit: &v1.Size{Cpu: unlimited, Memory: unlimited, Accel: unlimited, Slots: unlimited}}
+	row := &v1.Row{Weight: team.DefaultWeight, Queue: team.DefaultMaxWaitingJobs, Limit: &v1.Size{Cpu: unlimited, Memory: unlimited, Accel: unlimited, Slots: unlimited}}
 	return c.apply(ctx, env, args, &v1.Edit{Row: row}, "added")
 }
 
--- a/internal/control/dispatch/zone.go
+++ b/internal/control/dispatch/zone.go
@@ -85,7 +85,7 @@
 	}
 	for _, s := range d.leader.sortedSessions {
 		b, known := ledger.Server(s.id)
-		if known && ledger.AcceptsWork(b) && s.isUsable(now) && b.Pool == q.GetPool() && steps.HasLabel(step.Spec.GetLabel(), b) && flow.SizeOf(step.Spec).Fits(b.FreeCapacity()) {
+		if known && ledger.AcceptsWork(b) && s.isUsable(now) && b.Pool == q.GetPool() && steps.HasLabel(step.Spec.GetLabel(), b) && flow.TaskSize(step.Spec).Fits(b.FreeCapacity()) {
 			return true
 		}
 	}
--- a/internal/load/report/report.go
+++ b/internal/load/report/report.go
@@ -235,7 +235,7 @@
 	case one.Outcome == v1.Outcome_OUTCOME_UNKNOWN:
 		s.Counts.Unknown++
 	}
-	if one.Accepted > 0 && !caller.Final(one.Outcome) {
+	if one.Accepted > 0 && !caller.IsFinal(one.Outcome) {
 		s.Promises.Lost++
 	}
 }
