--- a/internal/cli/control/control.go
+++ b/internal/cli/control/control.go
@@ -1,4 +1,4 @@
-// Package control is the verb that runs the control daemon.
+// Package control implements the verb that runs a control replica.
 package control
 
 import (
@@ -20,68 +20,68 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// rootKey is the id of the first operator's key.
-const rootKey = "operator"
+// firstOperatorKeyID is the id of the operator's key that the settings file provides.
+const firstOperatorKeyID = "operator"
 
 // New returns the verb.
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "control", Short: "run a control replica",
-		Long:   "Runs a control replica until SIGTERM. With --init, once, at the first start of a new cell on all its control replicas.",
+		Long:   "Runs a control replica until SIGTERM. Give --init once, on all control replicas, at the first start of a new cell.",
 		Runner: &command{},
 	}
 }
 
 type command struct {
 	Settings string `long:"settings" value-name:"FILE" required:"true" description:"the settings file"`
-	Init     bool   `long:"init" description:"found a new cell: only at its very first start"`
+	Init     bool   `long:"init" description:"create a new cell; only at its first start"`
 }
 
-// Run serves until ctx ends.
+// Run runs the control replica until ctx is cancelled.
 func (c *command) Run(ctx context.Context, env verb.Env, _ []string) error {
 	s, err := verb.LoadSettings(env, c.Settings, settings.RoleControl)
 	if err != nil {
 		return err
 	}
-	n, err := build(s)
+	n, err := newNode(s)
 	if err != nil {
 		event.LogError(event.New(env.Err, s.LogLevel), event.ListenFailed, err)
 		return err
 	}
-	n.InitCell, n.Log, n.Abort = c.Init, event.New(env.Err, s.LogLevel), verb.Again(ctx)
-	sides, err := verb.NewSides(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, n.Log)
+	n.InitCell, n.Log, n.Abort = c.Init, event.New(env.Err, s.LogLevel), verb.SecondSignal(ctx)
+	daemonTLS, err := verb.NewDaemonTLS(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, n.Log)
 	if err != nil {
 		return err
 	}
-	n.ServerTLS, n.ClientTLS, n.ProbeTLS = sides.Inside.Server(), sides.Inside.Client(sides.Replicas...), sides.Outside.Server()
-	n.PeerTLS = sides.Inside.Client(sides.Replicas...)
+	n.ServerTLS, n.ClientTLS, n.ProbeTLS = daemonTLS.Inside.ServerConfig(), daemonTLS.Inside.ClientConfig(daemonTLS.ReplicaNames...), daemonTLS.Outside.ServerConfig()
+	n.PeerTLS = daemonTLS.Inside.ClientConfig(daemonTLS.ReplicaNames...)
 	event.Log(n.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
 	defer event.Log(n.Log, event.Stopped, "process", s.Name)
-	signal := &dump.SignalHandler{Dir: s.DataDir, Name: s.Name, State: n.State, MaxBytes: int(s.Limits.DumpBytes), Log: n.Log}
-	go func() { _ = signal.Run(ctx) }()
+	dumpHandler := &dump.SignalHandler{Dir: s.DataDir, Name: s.Name, State: n.State, MaxBytes: int(s.Limits.DumpBytes), Log: n.Log}
+	go func() { _ = dumpHandler.Run(ctx) }()
 	return n.Run(ctx)
 }
 
-// build makes the daemon from its settings.
-func build(s *settings.Settings) (*node.Node, error) {
-	l, err := net.Listen("tcp", s.Listen.Control)
+// newNode opens the listeners and builds the control replica from its settings.
+func newNode(s *settings.Settings) (*node.Node, error) {
+	controlListener, err := net.Listen("tcp", s.Listen.Control)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen.control")
 	}
-	probes, err := net.Listen("tcp", s.Listen.Platform)
+	platformListener, err := net.Listen("tcp", s.Listen.Platform)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen.platform")
 	}
 	n := &node.Node{
-		Cell: s.Cell, Name: s.Name, DataDir: s.DataDir, Listener: l, ProbeListener: probes,
+		Cell: s.Cell, Name: s.Name, DataDir: s.DataDir, Listener: controlListener, ProbeListener: platformListener,
 		HeartbeatInterval: s.Time.HeartbeatInterval, ElectionTimeout: s.Time.ElectionTimeout, MaxElectionTimeout: s.Time.MaxElectionTimeout, Control: leader.New(),
 		MaxDumpBytes: int(s.Limits.DumpBytes), MinFreeBytes: bounds.DiskReserve(s.Limits.DiskMiB), Clock: clock.SinceBoot,
 	}
 	bounds.LimitHeap(s.Limits.MemoryMiB)
-	for _, p := range s.ControlReplicas {
-		n.Replicas = append(n.Replicas, quorum.Member{ID: p.Name, Address: p.Address})
-		if p.Name == s.Name {
-			n.Address = p.Address
+	for _, replica := range s.ControlReplicas {
+		n.Replicas = append(n.Replicas, quorum.Member{ID: replica.Name, Address: replica.Address})
+		if replica.Name == s.Name {
+			n.Address = replica.Address
 		}
 	}
 	n.Control.LeaseTerms.Length = s.Time.LeaseDuration
@@ -94,7 +94,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "operator")
 		}
-		n.RootKey = &v1.KeyGrant{Id: rootKey, Operator: true, Digest: digest}
+		n.RootKey = &v1.KeyGrant{Id: firstOperatorKeyID, Operator: true, Digest: digest}
 	}
 	return n, nil
 }
--- a/internal/cli/entry/entry.go
+++ b/internal/cli/entry/entry.go
@@ -1,4 +1,4 @@
-// Package entry is the verb that runs the entry daemon.
+// Package entry implements the verb that runs an entry.
 package entry
 
 import (
@@ -24,7 +24,7 @@
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "entry", Short: "run an entry",
-		Long:   "Runs an entry until SIGTERM, and then until the requests in flight have ended. A second signal ends it at once.",
+		Long:   "Runs an entry until SIGTERM and then finishes the requests in flight. A second signal stops it at once.",
 		Runner: &command{},
 	}
 }
@@ -33,45 +33,46 @@
 	Settings string `long:"settings" value-name:"FILE" required:"true" description:"the settings file"`
 }
 
-// Run serves until ctx ends.
+// Run runs the entry until ctx is cancelled.
 func (c *command) Run(ctx context.Context, env verb.Env, _ []string) error {
 	s, err := verb.LoadSettings(env, c.Settings, settings.RoleEntry)
 	if err != nil {
 		return err
 	}
-	e, err := build(s)
+	e, err := newEntry(s)
 	if err != nil {
 		event.LogError(event.New(env.Err, s.LogLevel), event.ListenFailed, err)
 		return err
 	}
-	e.Log, e.Abort = event.New(env.Err, s.LogLevel), verb.Again(ctx)
-	sides, err := verb.NewSides(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, e.Log)
+	e.Log, e.Abort = event.New(env.Err, s.LogLevel), verb.SecondSignal(ctx)
+	daemonTLS, err := verb.NewDaemonTLS(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, e.Log)
 	if err != nil {
 		return err
 	}
-	e.OutsideTLS, e.InsideTLS = sides.Outside.Server(), sides.Inside.Client(sides.Replicas...)
+	e.OutsideTLS, e.InsideTLS = daemonTLS.Outside.ServerConfig(), daemonTLS.Inside.ClientConfig(daemonTLS.ReplicaNames...)
 	pool := e.Pool()
 	pool.CallTimeout, pool.MaxContactAge, pool.MaxPushItems = s.Time.CallTimeout, s.Time.MaxLeaderSilence, int(s.Limits.BatchItems)
 	event.Log(e.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
 	defer event.Log(e.Log, event.Stopped, "process", s.Name)
-	signal := &dump.SignalHandler{Name: s.Name, State: e.Dump, MaxBytes: int(s.Limits.DumpBytes), Log: e.Log}
-	go func() { _ = signal.Run(ctx) }()
+	dumpHandler := &dump.SignalHandler{Name: s.Name, State: e.Dump, MaxBytes: int(s.Limits.DumpBytes), Log: e.Log}
+	go func() { _ = dumpHandler.Run(ctx) }()
 	return e.Run(ctx)
 }
 
-// build makes the daemon from its settings.
-func build(s *settings.Settings) (*entry.Entry, error) {
+// newEntry opens the listeners and builds the entry from its settings.
+func newEntry(s *settings.Settings) (*entry.Entry, error) {
 	e := &entry.Entry{
 		Cell: s.Cell, Name: s.Name, DrainTimeout: s.Time.FinishTimeout,
-		// Zero would stand for the entry's own default.
+		// A zero Linger selects the default of package entry, so a configured delay of 0
+		// is passed as 1 ns.
 		ShutdownDelay:  max(s.Time.DrainDelay, time.Nanosecond),
 		MaxConnections: min(int(s.Limits.Connections), files.NewBudget(files.ProcessLimit(s.Limits.OpenFiles)).Allowance(files.Callers)), MaxPendingRequests: int(s.Limits.QueuedRequests),
 	}
 	bounds.LimitHeap(s.Limits.MemoryMiB)
 	for _, l := range []struct {
-		setting string
-		address string
-		to      *net.Listener
+		setting  string
+		address  string
+		listener *net.Listener
 	}{
 		{"listen.callers", s.Listen.Callers, &e.CallerListener},
 		{"listen.backends", s.Listen.Backends, &e.BackendListener},
@@ -79,17 +80,17 @@
 		{"listen.platform", s.Listen.Platform, &e.PlatformListener},
 	} {
 		var err error
-		if *l.to, err = net.Listen("tcp", l.address); err != nil {
+		if *l.listener, err = net.Listen("tcp", l.address); err != nil {
 			return nil, errors.Wrap(err, l.setting)
 		}
 	}
-	for _, p := range s.ControlReplicas {
-		e.ControlReplicas = append(e.ControlReplicas, control.Replica{Name: p.Name, Address: p.Address})
+	for _, replica := range s.ControlReplicas {
+		e.ControlReplicas = append(e.ControlReplicas, control.Replica{Name: replica.Name, Address: replica.Address})
 	}
-	for _, text := range s.EnrolmentDigests {
-		digest, err := hex.DecodeString(text)
+	for _, digestText := range s.EnrolmentDigests {
+		digest, err := hex.DecodeString(digestText)
 		if err != nil || len(digest) != len(backend.Digest{}) {
-			return nil, errors.Newf("enrolment: %q is no digest", text)
+			return nil, errors.Newf("enrolment: %q is not a valid digest", digestText)
 		}
 		e.EnrolmentDigests = append(e.EnrolmentDigests, backend.Digest(digest))
 	}
--- a/internal/cli/explain/cause.go
+++ b/internal/cli/explain/cause.go
@@ -5,173 +5,182 @@
 	"time"
 )
 
-// Cause is what made a flow late or kept it from its end, by the first that fits.
+// Cause is the reason why a flow was late or did not end. A flow is counted under the
+// first cause that applies.
 type Cause string
 
-// The causes.
+// Causes of late or unfinished flows.
 const (
-	// InTime is no cause: the flow ended within its objective.
-	InTime Cause = "in time"
-	// Refused flows were never accepted.
-	Refused Cause = "refused"
-	// Unknown flows have no acceptance in the logs.
-	Unknown Cause = "not known"
-	// Failed flows have a task that failed as often as it may.
-	Failed Cause = "failed for good"
-	// Cancelled flows were cancelled by their caller.
-	Cancelled Cause = "cancelled"
-	// LeaderChanged flows waited while the lead changed.
-	LeaderChanged Cause = "change of the leader"
-	// Crashing flows were given up: servers crashed under a task again and again.
-	Crashing Cause = "crashed its servers"
-	// RunLost flows had a run that ended with its server, or never started.
-	RunLost Cause = "run lost"
-	// StoodStill flows had a run that was moved since it stood still or crawled.
-	StoodStill Cause = "run stood still"
-	// TaskFailed flows had a run that failed and was made again.
-	TaskFailed Cause = "task failed"
-	// NoPermit flows waited for the adviser.
-	NoPermit Cause = "no permit yet"
-	// NoRoom flows waited for room, or for their customer's limit.
-	NoRoom Cause = "no room"
-	// SlowRun flows were placed in time and ran for longer than was declared.
-	SlowRun Cause = "slow run"
-	// Open flows have no end in the logs, and no other cause.
-	Open Cause = "not ended"
+	// CauseInTime means that the flow ended within its objective.
+	CauseInTime Cause = "in time"
+	// CauseRefused means that the flow was never accepted.
+	CauseRefused Cause = "refused"
+	// CauseUnknown means that the logs do not contain the acceptance of the flow.
+	CauseUnknown Cause = "not known"
+	// CauseFailed means that a task failed as often as it is allowed to.
+	CauseFailed Cause = "failed for good"
+	// CauseCancelled means that the caller cancelled the flow.
+	CauseCancelled Cause = "cancelled"
+	// CauseLeaderChanged means that a new leader was elected while the flow was open.
+	CauseLeaderChanged Cause = "change of the leader"
+	// CauseServerCrashes means that the cell gave up the flow because a task repeatedly
+	// crashed its backend server.
+	CauseServerCrashes Cause = "crashed its servers"
+	// CauseRunLost means that a run ended with its backend server or never started.
+	CauseRunLost Cause = "run lost"
+	// CauseRunStalled means that a run made little or no progress and was moved.
+	CauseRunStalled Cause = "run stood still"
+	// CauseTaskFailed means that a run failed and was repeated.
+	CauseTaskFailed Cause = "task failed"
+	// CauseNoPermit means that the flow waited for the adviser's permit.
+	CauseNoPermit Cause = "no permit yet"
+	// CauseNoCapacity means that the flow waited for free capacity or for its customer's
+	// limit.
+	CauseNoCapacity Cause = "no room"
+	// CauseSlowRun means that the flow was placed in time but ran longer than declared.
+	CauseSlowRun Cause = "slow run"
+	// CauseNotEnded means that the logs contain no end of the flow and no other cause.
+	CauseNotEnded Cause = "not ended"
 )
 
-// waitPart is the part of its objective that a wait has to take to count as the cause.
-const waitPart = 0.15
+// minWaitShare is the fraction of the objective above which a wait counts as the cause.
+const minWaitShare = 0.15
 
-// journey is what the logs tell of one flow.
-type journey struct {
+// flowHistory holds what the logs contain about one flow.
+type flowHistory struct {
 	queue, customer string
-	// accepted, answered, placed and ended are when it was accepted, when the
-	// adviser first answered about it, when its first task was placed and when its
-	// last one ended; zero for never.
-	accepted, answered, placed, ended time.Time
-	// last is when the logs last speak of it.
-	last time.Time
-	// aim is its objective; 0 where the logs do not tell.
-	aim   time.Duration
+	// The times at which the flow was accepted, the adviser first answered about it, its
+	// first task was placed and its last task ended. Zero means never.
+	acceptedAt, firstAdviceAt, firstPlacedAt, endedAt time.Time
+	// lastSeenAt is the time of the last log line about the flow.
+	lastSeenAt time.Time
+	// objective is the time within which the flow should end, 0 if the logs do not
+	// contain it.
+	objective time.Duration
+	// state is the final state of the flow, empty while it is open.
 	state string
-	// lost, failed and moved count its runs that did not end well.
-	lost, failed, moved int
-	// gaveUp tells that servers crashed under it too often.
-	gaveUp bool
-	// refusal is the code of the last refusal.
-	refusal int
+	// The numbers of runs that were lost, failed or were moved to another server.
+	lostRuns, failedRuns, movedRuns int
+	// givenUp is true if the cell gave up the flow after repeated server crashes.
+	givenUp bool
+	// refusalCode is the result code of the last refused submission.
+	refusalCode int
 }
 
-// take takes one line about the flow.
-func (j *journey) take(l line) {
-	j.last = l.At
-	switch l.Name {
+// addLine adds one log line about the flow to its history.
+func (h *flowHistory) addLine(l logLine) {
+	h.lastSeenAt = l.Time
+	switch l.EventName {
 	case "flow-accepted":
-		if j.accepted.IsZero() {
-			j.accepted = l.At
+		if h.acceptedAt.IsZero() {
+			h.acceptedAt = l.Time
 		}
-		j.queue, j.customer = text(l, "queue"), text(l, "customer")
-		j.aim, _ = time.ParseDuration(text(l, "aim"))
+		h.queue, h.customer = stringField(l, "queue"), stringField(l, "customer")
+		h.objective, _ = time.ParseDuration(stringField(l, "aim"))
 	case "call-answered":
-		if n, ok := l.Facts["code"].(float64); ok && n != 0 && strings.Contains(text(l, "verb"), "SUBMIT") {
-			j.refusal = int(n)
+		if n, ok := l.Fields["code"].(float64); ok && n != 0 && strings.Contains(stringField(l, "verb"), "SUBMIT") {
+			h.refusalCode = int(n)
 		}
 	case "advice-taken":
-		first(&j.answered, l.At)
+		setIfZero(&h.firstAdviceAt, l.Time)
 	case "runs-placed":
-		first(&j.placed, l.At)
+		setIfZero(&h.firstPlacedAt, l.Time)
 	case "run-moved":
-		j.moved++
+		h.movedRuns++
 	case "run-ended":
-		j.end(l)
+		h.addRunEnd(l)
 	case "attempt-lost":
-		j.lost++
+		h.lostRuns++
 	case "flow-given-up":
-		j.gaveUp = true
-		first(&j.ended, l.At)
-		j.state = "FAILED"
+		h.givenUp = true
+		setIfZero(&h.endedAt, l.Time)
+		h.state = "FAILED"
 	case "flow-cancelled":
-		j.state = "CANCELLED"
+		h.state = "CANCELLED"
 	}
 }
 
-func (j *journey) end(l line) {
-	switch strings.TrimPrefix(text(l, "how"), "RUN_END_") {
+// addRunEnd adds the end of a run, and the end of the flow if the line contains its final
+// state.
+func (h *flowHistory) addRunEnd(l logLine) {
+	switch strings.TrimPrefix(stringField(l, "how"), "RUN_END_") {
 	case "FAILED":
-		j.failed++
+		h.failedRuns++
 	case "LOST", "LAPSED":
-		j.lost++
+		h.lostRuns++
 	}
-	if state := strings.TrimPrefix(text(l, "state"), "FLOW_STATE_"); j.ended.IsZero() && (state == "DONE" || state == "FAILED") {
-		j.ended, j.state = l.At, state
+	if state := strings.TrimPrefix(stringField(l, "state"), "FLOW_STATE_"); h.endedAt.IsZero() && (state == "DONE" || state == "FAILED") {
+		h.endedAt, h.state = l.Time, state
 	}
 }
 
-// took returns how long the flow took, or has taken when the logs end.
-func (j *journey) took(end time.Time) time.Duration {
-	if !j.ended.IsZero() {
-		end = j.ended
+// duration returns the time from acceptance to the end of the flow, or to the end of the
+// logs if the flow is open.
+func (h *flowHistory) duration(logsEnd time.Time) time.Duration {
+	if !h.endedAt.IsZero() {
+		logsEnd = h.endedAt
 	}
-	return end.Sub(j.accepted)
+	return logsEnd.Sub(h.acceptedAt)
 }
 
-// cause tells why the flow was late or not served; changes are when the lead changed.
-func (j *journey) cause(changes []time.Time, end time.Time) Cause {
+// cause returns the first cause that applies to the flow. The leaderChanges are the times
+// of leader elections in the logs.
+func (h *flowHistory) cause(leaderChanges []time.Time, logsEnd time.Time) Cause {
 	switch {
-	case j.accepted.IsZero() && j.ended.IsZero() && j.refusal != 0:
-		return Refused
-	case j.accepted.IsZero():
-		return Unknown
-	case j.state == "CANCELLED":
-		return Cancelled
-	case j.gaveUp:
-		return Crashing
-	case j.state == "FAILED":
-		return Failed
-	case j.state == "DONE" && (j.aim == 0 || j.took(end) <= j.aim):
-		return InTime
+	case h.acceptedAt.IsZero() && h.endedAt.IsZero() && h.refusalCode != 0:
+		return CauseRefused
+	case h.acceptedAt.IsZero():
+		return CauseUnknown
+	case h.state == "CANCELLED":
+		return CauseCancelled
+	case h.givenUp:
+		return CauseServerCrashes
+	case h.state == "FAILED":
+		return CauseFailed
+	case h.state == "DONE" && (h.objective == 0 || h.duration(logsEnd) <= h.objective):
+		return CauseInTime
 	}
-	long := time.Duration(waitPart * float64(j.aim))
+	minWait := time.Duration(minWaitShare * float64(h.objective))
 	switch {
-	case j.across(changes, end):
-		return LeaderChanged
-	case j.lost > 0:
-		return RunLost
-	case j.moved > 0:
-		return StoodStill
-	case j.failed > 0:
-		return TaskFailed
-	case !j.answered.IsZero() && j.answered.Sub(j.accepted) > long:
-		return NoPermit
-	case j.placed.IsZero() || j.placed.Sub(j.accepted) > long:
-		return NoRoom
-	case j.ended.IsZero():
-		return Open
+	case h.leaderChangedMeanwhile(leaderChanges, logsEnd):
+		return CauseLeaderChanged
+	case h.lostRuns > 0:
+		return CauseRunLost
+	case h.movedRuns > 0:
+		return CauseRunStalled
+	case h.failedRuns > 0:
+		return CauseTaskFailed
+	case !h.firstAdviceAt.IsZero() && h.firstAdviceAt.Sub(h.acceptedAt) > minWait:
+		return CauseNoPermit
+	case h.firstPlacedAt.IsZero() || h.firstPlacedAt.Sub(h.acceptedAt) > minWait:
+		return CauseNoCapacity
+	case h.endedAt.IsZero():
+		return CauseNotEnded
 	}
-	return SlowRun
+	return CauseSlowRun
 }
 
-// across tells whether the lead changed while the flow was under way.
-func (j *journey) across(changes []time.Time, end time.Time) bool {
-	if !j.ended.IsZero() {
-		end = j.ended
+// leaderChangedMeanwhile reports whether a leader was elected between the acceptance and
+// the end of the flow.
+func (h *flowHistory) leaderChangedMeanwhile(leaderChanges []time.Time, logsEnd time.Time) bool {
+	if !h.endedAt.IsZero() {
+		logsEnd = h.endedAt
 	}
-	for _, at := range changes {
-		if at.After(j.accepted) && at.Before(end) {
+	for _, at := range leaderChanges {
+		if at.After(h.acceptedAt) && at.Before(logsEnd) {
 			return true
 		}
 	}
 	return false
 }
 
-func first(at *time.Time, now time.Time) {
-	if at.IsZero() {
-		*at = now
+func setIfZero(stored *time.Time, value time.Time) {
+	if stored.IsZero() {
+		*stored = value
 	}
 }
 
-func text(l line, key string) string {
-	s, _ := l.Facts[key].(string)
+func stringField(l logLine, key string) string {
+	s, _ := l.Fields[key].(string)
 	return s
 }
--- a/internal/cli/explain/explain.go
+++ b/internal/cli/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain is the verb that tells the life of one request from the logs
-// of any number of processes.
+// Package explain implements the verb that reconstructs from the logs of any number of
+// processes what happened to one request, or to all of them.
 package explain
 
 import (
@@ -18,119 +18,132 @@
 	"gypsumreel/internal/cli/verb"
 )
 
-// Bounds of what is read.
+// Limits for reading logs.
 const (
-	// maxLine bounds one line of a log, in bytes; longer ones are passed over.
-	maxLine = 1 << 20
-	// maxLines bounds the lines that are kept.
+	// maxLineBytes is the maximum length of a log line. Longer lines are skipped.
+	maxLineBytes = 1 << 20
+	// maxLines is the maximum number of lines kept for a timeline.
 	maxLines = 20_000
-	// progressEvery is how often progress is told, in bytes read.
-	progressEvery = 64 << 20
+	// progressInterval is the number of bytes read between two progress messages.
+	progressInterval = 64 << 20
 )
 
 // New returns the verb.
 func New() verb.Verb {
 	return verb.Verb{
-		Name: "explain", Short: "tell the life of a request, or what became of all, from logs",
-		Long:   "Without an ID: counts what became of all flows of the logs, by cause, customer and second. With one: reads the logs named (- for standard input) and prints, in the order of time, every line about the flow ID and what befell the control group meanwhile, with the gaps between them. Lines that are not of gypsumreel are counted and passed over.",
+		Name: "explain", Short: "show from logs what happened to one request, or to all",
+		Long:   "Without an ID: counts all flows in the logs by cause of delay, customer and second. With an ID: prints in order of time every log line about the flow ID and about leader changes meanwhile, with the gaps between them. Give - as FILE for standard input. Lines that are not from gypsumreel are counted and skipped.",
 		Runner: &command{},
 	}
 }
 
 type command struct {
-	verb.Output
-	Logs []string `long:"logs" value-name:"FILE" required:"true" description:"a log file; may be given several times"`
+	verb.OutputFlag
+	Logs []string `long:"logs" value-name:"FILE" required:"true" description:"a log file; may be repeated"`
 }
 
-// line is one line of a log.
-type line struct {
-	At    time.Time      `json:"time"`
-	Where string         `json:"where,omitempty"`
-	Name  string         `json:"name"`
-	Event int            `json:"event"`
-	Facts map[string]any `json:"facts"`
-	// Gap is the time since the line before.
+// logLine is one parsed line of a log.
+type logLine struct {
+	Time time.Time `json:"time"`
+	// Process is the last word before the JSON object, usually the name of the process.
+	Process     string `json:"where,omitempty"`
+	EventName   string `json:"name"`
+	EventNumber int    `json:"event"`
+	// Fields holds the remaining keys and values of the line.
+	Fields map[string]any `json:"facts"`
+	// Gap is the time since the previous line of the timeline.
 	Gap time.Duration `json:"gap"`
 }
 
-// life is the result.
-type life struct {
-	ID    string `json:"id"`
-	Lines []line `json:"lines"`
-	// Longest is the longest gap, After the event that it follows.
-	Longest time.Duration `json:"longest"`
-	After   string        `json:"after"`
-	Foreign int           `json:"foreign"`
-	Left    int           `json:"left"`
+// timeline holds the log lines about one id in order of time.
+type timeline struct {
+	ID    string    `json:"id"`
+	Lines []logLine `json:"lines"`
+	// LongestGap is the longest time between two consecutive lines.
+	LongestGap time.Duration `json:"longest"`
+	// EventBeforeGap is the name of the event that precedes the longest gap.
+	EventBeforeGap string `json:"after"`
+	// ForeignLines is the number of lines that are not from gypsumreel.
+	ForeignLines int `json:"foreign"`
+	// OmittedLines is the number of matching lines beyond maxLines.
+	OmittedLines int `json:"left"`
 }
 
-// Run prints the life of the one id named.
+// Run prints the timeline of the id given by args, or a summary of all flows when args
+// are empty.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 1 || len(args) == 1 && args[0] == "" {
-		return verb.Misuse("Run `gypsumreel explain ID --logs FILE`, or without an ID for all of them.", "explain takes one id, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel explain ID --logs FILE`, or without an ID for a summary of all flows.", "explain takes one id, got %d", len(args))
 	}
 	if len(args) == 0 {
-		return c.all(ctx, env)
+		return c.summarize(ctx, env)
 	}
-	r := &reader{id: args[0]}
-	s := source{err: env.Err, take: r.take}
-	if err := s.files(ctx, env, c.Logs); err != nil {
+	builder := &timelineBuilder{id: args[0]}
+	scanner := logScanner{progressWriter: env.Err, handle: builder.addLine}
+	if err := scanner.scanFiles(ctx, env, c.Logs); err != nil {
 		return err
 	}
-	r.foreign = s.foreign
-	l := r.life()
-	if len(l.Lines) == 0 {
-		return verb.Misuse("Check the id, and that the logs cover its time.", "no line about %s; %d lines are not of gypsumreel", args[0], r.foreign)
+	builder.foreignLines = scanner.foreignLines
+	timeline := builder.build()
+	if len(timeline.Lines) == 0 {
+		return verb.UsageError("Check the id, and that the logs cover the time of the flow.", "no log line about %s; %d lines are not from gypsumreel", args[0], builder.foreignLines)
 	}
-	return c.Print(env.Out, l, l.grid())
+	return c.Print(env.Out, timeline, timeline.textTable())
 }
 
-// all prints what became of all flows.
-func (c *command) all(ctx context.Context, env verb.Env) error {
-	n := &census{flows: map[string]*journey{}}
-	s := source{err: env.Err, take: n.take}
-	if err := s.files(ctx, env, c.Logs); err != nil {
+// summarize prints the counts of all flows in the logs.
+func (c *command) summarize(ctx context.Context, env verb.Env) error {
+	builder := &summaryBuilder{flows: map[string]*flowHistory{}}
+	scanner := logScanner{progressWriter: env.Err, handle: builder.addLine}
+	if err := scanner.scanFiles(ctx, env, c.Logs); err != nil {
 		return err
 	}
-	n.foreign = s.foreign
-	if len(n.flows) == 0 {
-		return verb.Misuse("Check that the logs are those of control replicas and entries.", "no line about a flow; %d lines are not of gypsumreel", n.foreign)
+	builder.foreignLines = scanner.foreignLines
+	if len(builder.flows) == 0 {
+		return verb.UsageError("Check that the logs are those of control replicas and entries.", "no log line about a flow; %d lines are not from gypsumreel", builder.foreignLines)
 	}
-	sum := n.summary()
-	return c.Print(env.Out, sum, sum.grid())
+	summary := builder.build()
+	return c.Print(env.Out, summary, summary.textTable())
 }
 
-// reader collects the lines about one id.
-type reader struct {
-	id      string
-	own     []line
-	group   []line
-	foreign int
-	left    int
+// timelineBuilder collects the lines about one id.
+type timelineBuilder struct {
+	id string
+	// flowLines holds the lines that contain the id.
+	flowLines []logLine
+	// leaderLines holds the lines about elections and loss of the leader.
+	leaderLines []logLine
+	// foreignLines is the number of lines that are not from gypsumreel.
+	foreignLines int
+	// omittedLines is the number of matching lines beyond maxLines.
+	omittedLines int
 }
 
-// source reads logs line by line.
-type source struct {
-	err io.Writer
-	// take takes a line: the object, and what stands before it; false when it is none
-	// of gypsumreel's.
-	take func(before, object []byte) bool
-	// foreign counts the lines that are not of gypsumreel.
-	foreign int
-	read    int64
-	told    int64
+// logScanner reads logs line by line.
+type logScanner struct {
+	// progressWriter receives the progress messages.
+	progressWriter io.Writer
+	// handle receives each line as the JSON object and the text before it. It returns
+	// false if the line is not from gypsumreel.
+	handle func(prefix, object []byte) bool
+	// foreignLines is the number of lines that are not from gypsumreel.
+	foreignLines int
+	// bytesRead is the number of bytes read from all files so far.
+	bytesRead int64
+	// bytesReported is the value of bytesRead at the last progress message.
+	bytesReported int64
 }
 
-func (r *source) files(ctx context.Context, env verb.Env, names []string) error {
+func (s *logScanner) scanFiles(ctx context.Context, env verb.Env, names []string) error {
 	for _, name := range names {
-		if err := r.file(ctx, env, name); err != nil {
+		if err := s.scanFile(ctx, env, name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *source) file(ctx context.Context, env verb.Env, name string) error {
+func (s *logScanner) scanFile(ctx context.Context, env verb.Env, name string) error {
 	in := env.In
 	if name != "-" {
 		f, err := os.Open(name)
@@ -140,16 +153,16 @@
 		defer func() { _ = f.Close() }()
 		in = f
 	}
-	s := bufio.NewReaderSize(in, maxLine)
+	lines := bufio.NewReaderSize(in, maxLineBytes)
 	for ctx.Err() == nil {
-		b, err := s.ReadSlice('\n')
+		b, err := lines.ReadSlice('\n')
 		for err == bufio.ErrBufferFull {
-			r.foreign++
-			_, err = s.ReadSlice('\n')
+			s.foreignLines++
+			_, err = lines.ReadSlice('\n')
 			b = nil
 		}
-		r.split(b)
-		r.progress(name, len(b))
+		s.handleLine(b)
+		s.reportProgress(name, len(b))
 		if err == io.EOF {
 			return nil
 		}
@@ -160,113 +173,118 @@
 	return ctx.Err()
 }
 
-// split hands a line on in its two parts.
-func (r *source) split(b []byte) {
+// handleLine splits a line into the JSON object and the text before it and passes both
+// to handle.
+func (s *logScanner) handleLine(b []byte) {
 	b = bytes.TrimSpace(b)
 	if len(b) == 0 {
 		return
 	}
 	start := bytes.IndexByte(b, '{')
-	if start < 0 || !r.take(b[:start], b[start:]) {
-		r.foreign++
+	if start < 0 || !s.handle(b[:start], b[start:]) {
+		s.foreignLines++
 	}
 }
 
-func (r *source) progress(name string, n int) {
-	if r.read += int64(n); r.read-r.told >= progressEvery {
-		r.told = r.read
-		fmt.Fprintf(r.err, "%s: %d MiB read\n", name, r.read>>20)
+func (s *logScanner) reportProgress(name string, n int) {
+	if s.bytesRead += int64(n); s.bytesRead-s.bytesReported >= progressInterval {
+		s.bytesReported = s.bytesRead
+		fmt.Fprintf(s.progressWriter, "%s: %d MiB read\n", name, s.bytesRead>>20)
 	}
 }
 
-// take keeps a line that is about the id, or about who led meanwhile. What
-// stands before the object, such as a process's name, says where it is from.
-func (r *reader) take(before, object []byte) bool {
-	about := bytes.Contains(before, []byte(r.id)) || bytes.Contains(object, []byte(r.id))
-	if !about && !bytes.Contains(object, []byte(`"leader-`)) && !bytes.Contains(object, []byte(`"quorum-lost"`)) {
+// addLine keeps the line if it contains the id or is about the leader. The last word
+// before the JSON object becomes the process name. It returns false if the line is not
+// from gypsumreel.
+func (b *timelineBuilder) addLine(prefix, object []byte) bool {
+	matchesID := bytes.Contains(prefix, []byte(b.id)) || bytes.Contains(object, []byte(b.id))
+	if !matchesID && !bytes.Contains(object, []byte(`"leader-`)) && !bytes.Contains(object, []byte(`"quorum-lost"`)) {
 		return true
 	}
-	l, ok := parse(object)
+	l, ok := parseLine(object)
 	if !ok {
 		return false
 	}
-	if fields := strings.Fields(string(before)); len(fields) > 0 {
-		l.Where = fields[len(fields)-1]
+	if fields := strings.Fields(string(prefix)); len(fields) > 0 {
+		l.Process = fields[len(fields)-1]
 	}
 	switch {
-	case len(r.own)+len(r.group) >= maxLines:
-		r.left++
-	case about:
-		r.own = append(r.own, l)
+	case len(b.flowLines)+len(b.leaderLines) >= maxLines:
+		b.omittedLines++
+	case matchesID:
+		b.flowLines = append(b.flowLines, l)
 	default:
-		r.group = append(r.group, l)
+		b.leaderLines = append(b.leaderLines, l)
 	}
 	return true
 }
 
-// parse reads one line; false when it is none of ours.
-func parse(b []byte) (line, bool) {
-	var m map[string]any
-	if json.Unmarshal(b, &m) != nil {
-		return line{}, false
+// parseLine parses the JSON object of a line. It returns false if the object lacks the
+// time or the event name of a gypsumreel log line.
+func parseLine(b []byte) (logLine, bool) {
+	var fields map[string]any
+	if json.Unmarshal(b, &fields) != nil {
+		return logLine{}, false
 	}
-	text, _ := m["time"].(string)
-	at, err := time.Parse(time.RFC3339Nano, text)
-	name, ok := m["name"].(string)
-	number, _ := m["event"].(float64)
+	timeText, _ := fields["time"].(string)
+	at, err := time.Parse(time.RFC3339Nano, timeText)
+	name, ok := fields["name"].(string)
+	number, _ := fields["event"].(float64)
 	if err != nil || !ok {
-		return line{}, false
+		return logLine{}, false
 	}
 	for _, k := range []string{"time", "level", "msg", "event", "name"} {
-		delete(m, k)
+		delete(fields, k)
 	}
-	return line{At: at, Name: name, Event: int(number), Facts: m}, true
+	return logLine{Time: at, EventName: name, EventNumber: int(number), Fields: fields}, true
 }
 
-// life puts the lines in order, with those of the control group that fall
-// between the first and the last.
-func (r *reader) life() life {
-	byTime := func(a, b line) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Event, b.Event)) }
-	slices.SortStableFunc(r.own, byTime)
-	out := life{ID: r.id, Lines: r.own, Foreign: r.foreign, Left: r.left}
-	if len(r.own) == 0 {
-		return out
+// build returns the lines in order of time. It includes the lines about the leader that
+// lie between the first and the last line about the id.
+func (b *timelineBuilder) build() timeline {
+	byTime := func(a, b logLine) int {
+		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.EventNumber, b.EventNumber))
 	}
-	first, last := r.own[0].At, r.own[len(r.own)-1].At
-	for _, l := range r.group {
-		if l.At.After(first) && l.At.Before(last) {
-			out.Lines = append(out.Lines, l)
+	slices.SortStableFunc(b.flowLines, byTime)
+	result := timeline{ID: b.id, Lines: b.flowLines, ForeignLines: b.foreignLines, OmittedLines: b.omittedLines}
+	if len(b.flowLines) == 0 {
+		return result
+	}
+	first, last := b.flowLines[0].Time, b.flowLines[len(b.flowLines)-1].Time
+	for _, l := range b.leaderLines {
+		if l.Time.After(first) && l.Time.Before(last) {
+			result.Lines = append(result.Lines, l)
 		}
 	}
-	slices.SortStableFunc(out.Lines, byTime)
-	for i := 1; i < len(out.Lines); i++ {
-		gap := out.Lines[i].At.Sub(out.Lines[i-1].At)
-		out.Lines[i].Gap = gap
-		if gap > out.Longest {
-			out.Longest, out.After = gap, out.Lines[i-1].Name
+	slices.SortStableFunc(result.Lines, byTime)
+	for i := 1; i < len(result.Lines); i++ {
+		gap := result.Lines[i].Time.Sub(result.Lines[i-1].Time)
+		result.Lines[i].Gap = gap
+		if gap > result.LongestGap {
+			result.LongestGap, result.EventBeforeGap = gap, result.Lines[i-1].EventName
 		}
 	}
-	return out
+	return result
 }
 
-func (l life) grid() verb.Grid {
-	g := verb.Grid{Head: []string{"time", "gap", "where", "event", "facts"}}
-	for _, one := range l.Lines {
-		g.Rows = append(g.Rows, []string{
-			one.At.Format("15:04:05.000"), one.Gap.Round(time.Millisecond).String(), one.Where,
-			fmt.Sprintf("%d %s", one.Event, one.Name), facts(one.Facts),
+func (t timeline) textTable() verb.TextTable {
+	table := verb.TextTable{Header: []string{"time", "gap", "where", "event", "facts"}}
+	for _, line := range t.Lines {
+		table.Rows = append(table.Rows, []string{
+			line.Time.Format("15:04:05.000"), line.Gap.Round(time.Millisecond).String(), line.Process,
+			fmt.Sprintf("%d %s", line.EventNumber, line.EventName), formatFields(line.Fields),
 		})
 	}
-	g.Rows = append(g.Rows, []string{"", "", "", "", fmt.Sprintf("longest gap %v, after %s; %d lines are not of gypsumreel, %d were left out", l.Longest.Round(time.Millisecond), l.After, l.Foreign, l.Left)})
-	return g
+	table.Rows = append(table.Rows, []string{"", "", "", "", fmt.Sprintf("longest gap %v, after %s; %d lines are not from gypsumreel, %d were left out", t.LongestGap.Round(time.Millisecond), t.EventBeforeGap, t.ForeignLines, t.OmittedLines)})
+	return table
 }
 
-// facts prints the values of a line, in the order of their names.
-func facts(m map[string]any) string {
-	var out []string
-	for k, v := range m {
-		out = append(out, fmt.Sprintf("%s=%v", k, v))
+// formatFields returns the fields of a line as key=value pairs sorted by key.
+func formatFields(fields map[string]any) string {
+	var pairs []string
+	for k, v := range fields {
+		pairs = append(pairs, fmt.Sprintf("%s=%v", k, v))
 	}
-	slices.Sort(out)
-	return strings.Join(out, " ")
+	slices.Sort(pairs)
+	return strings.Join(pairs, " ")
 }
--- a/internal/cli/explain/summary_test.go
+++ b/internal/cli/explain/summary_test.go
@@ -11,60 +11,61 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// at returns a line of a log: an event at a time in milliseconds after 15:20.
-func at(ms int, name, facts string) string {
+// logLine returns a log line with an event at the given milliseconds after 15:20.
+func logLine(ms int, name, facts string) string {
 	return fmt.Sprintf(`{"time":"2026-02-27T15:20:%02d.%03dZ","level":"INFO","msg":"m","event":1,"name":%q,%s}`+"\n", ms/1000, ms%1000, name, facts)
 }
 
-// whole is a log with one flow for each cause.
-func whole() string {
+// logWithEveryCause returns a log with one flow for each cause that the test checks.
+func logWithEveryCause() string {
 	b := &strings.Builder{}
-	accept := func(ms int, id string) {
-		b.WriteString(at(ms, "flow-accepted", fmt.Sprintf(`"flow":%q,"queue":"q","customer":"c","aim":"1s"`, id)))
+	acceptFlow := func(ms int, id string) {
+		b.WriteString(logLine(ms, "flow-accepted", fmt.Sprintf(`"flow":%q,"queue":"q","customer":"c","aim":"1s"`, id)))
 	}
-	end := func(ms int, id, how, state string) {
-		b.WriteString(at(ms, "run-ended", fmt.Sprintf(`"flow":%q,"how":"RUN_END_%s","state":"FLOW_STATE_%s"`, id, how, state)))
+	endRun := func(ms int, id, how, state string) {
+		b.WriteString(logLine(ms, "run-ended", fmt.Sprintf(`"flow":%q,"how":"RUN_END_%s","state":"FLOW_STATE_%s"`, id, how, state)))
 	}
-	tell := func(ms int, name, id string) { b.WriteString(at(ms, name, fmt.Sprintf(`"flow":%q`, id))) }
-	for _, id := range []string{"good", "lost", "failing", "hopeless", "moved", "unpermitted", "roomless", "slow", "cancelled", "crashing"} {
-		accept(1000, id)
-		if id != "unpermitted" {
-			tell(1010, "advice-taken", id)
+	addEvent := func(ms int, name, id string) { b.WriteString(logLine(ms, name, fmt.Sprintf(`"flow":%q`, id))) }
+	for _, id := range []string{"in-time", "lost", "retried", "failed", "moved", "no-permit", "no-capacity", "slow", "cancelled", "crashing"} {
+		acceptFlow(1000, id)
+		if id != "no-permit" {
+			addEvent(1010, "advice-taken", id)
 		}
-		if id != "unpermitted" && id != "roomless" {
-			tell(1020, "runs-placed", id)
+		if id != "no-permit" && id != "no-capacity" {
+			addEvent(1020, "runs-placed", id)
 		}
 	}
-	end(1900, "good", "DONE", "DONE")
-	end(1500, "lost", "LOST", "RUNNING")
-	end(2500, "lost", "DONE", "DONE")
-	end(1500, "failing", "FAILED", "RUNNING")
-	end(2500, "failing", "DONE", "DONE")
-	end(1500, "hopeless", "FAILED", "FAILED")
-	tell(1700, "run-moved", "moved")
-	end(2600, "moved", "DONE", "DONE")
-	tell(1800, "advice-taken", "unpermitted")
-	end(2700, "unpermitted", "DONE", "DONE")
-	tell(1800, "runs-placed", "roomless")
-	end(2700, "roomless", "DONE", "DONE")
-	end(2800, "slow", "DONE", "DONE")
-	tell(1100, "flow-cancelled", "cancelled")
-	tell(1500, "attempt-lost", "crashing")
-	tell(1600, "flow-given-up", "crashing")
-	accept(5000, "across")
-	b.WriteString(at(5500, "leader-elected", `"term":2`))
-	end(7000, "across", "DONE", "DONE")
-	b.WriteString(at(5600, "call-answered", `"flow":"turned-away","verb":"FLOW_VERB_SUBMIT","code":701`))
+	endRun(1900, "in-time", "DONE", "DONE")
+	endRun(1500, "lost", "LOST", "RUNNING")
+	endRun(2500, "lost", "DONE", "DONE")
+	endRun(1500, "retried", "FAILED", "RUNNING")
+	endRun(2500, "retried", "DONE", "DONE")
+	endRun(1500, "failed", "FAILED", "FAILED")
+	addEvent(1700, "run-moved", "moved")
+	endRun(2600, "moved", "DONE", "DONE")
+	addEvent(1800, "advice-taken", "no-permit")
+	endRun(2700, "no-permit", "DONE", "DONE")
+	addEvent(1800, "runs-placed", "no-capacity")
+	endRun(2700, "no-capacity", "DONE", "DONE")
+	endRun(2800, "slow", "DONE", "DONE")
+	addEvent(1100, "flow-cancelled", "cancelled")
+	addEvent(1500, "attempt-lost", "crashing")
+	addEvent(1600, "flow-given-up", "crashing")
+	acceptFlow(5000, "leader-change")
+	b.WriteString(logLine(5500, "leader-elected", `"term":2`))
+	endRun(7000, "leader-change", "DONE", "DONE")
+	b.WriteString(logLine(5600, "call-answered", `"flow":"refused","verb":"FLOW_VERB_SUBMIT","code":701`))
 	return b.String()
 }
 
-// Someone on call asks why so much was late: each flow counts once, by its cause.
-func TestCausesOverAWholeLog(t *testing.T) {
+// Guards against flows that are counted twice or under a wrong cause: every flow counts
+// once, under the first cause that applies.
+func TestSummaryCountsEachFlowByCause(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "all.log")
-	if err := os.WriteFile(name, []byte(whole()+"not ours\n"), 0o600); err != nil {
+	if err := os.WriteFile(name, []byte(logWithEveryCause()+"a line of another program\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	exit, out, text := run(t, "", "--json", "--logs", name)
+	exit, out, errs := run(t, "", "--json", "--logs", name)
 	var got struct {
 		Flows   int
 		Foreign int
@@ -76,7 +77,7 @@
 		Seconds  []struct{ Flows, Missed, Changes int }
 	}
 	if err := json.Unmarshal([]byte(out), &got); err != nil || exit != 0 {
-		t.Fatal(exit, err, out, text)
+		t.Fatalf("exit code %d, error %v, output %s, errors %s", exit, err, out, errs)
 	}
 	causes := map[string]int{}
 	for _, r := range got.Rows {
@@ -90,16 +91,17 @@
 		t.Error(diff)
 	}
 	if diff := cmp.Diff([]string{"1 with code 701"}, got.Refusals); diff != "" || got.Flows != 12 || got.Foreign != 1 {
-		t.Error(diff, got.Flows, got.Foreign)
+		t.Errorf("refusals: %s; got %d flows and %d foreign lines, want 12 and 1", diff, got.Flows, got.Foreign)
 	}
 	if len(got.Seconds) != 2 || got.Seconds[0].Flows != 9 || got.Seconds[0].Missed != 8 || got.Seconds[1].Changes != 1 {
-		t.Errorf("%+v", got.Seconds)
+		t.Errorf("counts per second are wrong: %+v", got.Seconds)
 	}
 }
 
-// The logs named hold nothing about flows: that is said, and no empty table shown.
-func TestSummaryOfForeignLogs(t *testing.T) {
+// Guards against an empty table as the only answer when the logs contain no line about a
+// flow: the verb has to fail instead.
+func TestSummaryFailsWithoutFlowLines(t *testing.T) {
 	if exit, out, _ := run(t, "nothing\n", "--logs", "-"); exit == 0 || out != "" {
-		t.Error(exit, out)
+		t.Errorf("exit code %d, output %q; want a failure without output", exit, out)
 	}
 }
--- a/internal/cli/remote/remote.go
+++ b/internal/cli/remote/remote.go
@@ -1,4 +1,4 @@
-// Package remote holds the flags with which the verbs reach a running cell.
+// Package remote holds the flags that the verbs use to connect to a running cell.
 package remote
 
 import (
@@ -21,20 +21,21 @@
 	"gypsumreel/internal/client/operator"
 )
 
-// idBytes is the entropy of an id that the command makes.
+// idBytes is the number of random bytes in a generated id.
 const idBytes = 12
 
-// Flags say where the cell is and who asks.
+// Flags hold the address of the cell, the client's credentials and the timeout.
 type Flags struct {
-	Address   string        `long:"address" env:"GYPSUMREEL_ADDRESS" description:"entries or their balancer, comma-separated: https://IP:PORT, or http://IP:PORT without TLS"`
-	Key       string        `long:"key" env:"GYPSUMREEL_KEY" description:"key as ID.SECRET; better given by the environment than seen in the process list"`
-	Authority string        `long:"authority" env:"GYPSUMREEL_AUTHORITY" description:"PEM file of the authorities that signed the entries' certificates"`
-	Proof     string        `long:"certificate" env:"GYPSUMREEL_CERTIFICATE" description:"PEM file with this client's certificate and key, when the entries want one"`
-	Timeout   time.Duration `long:"timeout" default:"30s" description:"longest wait for an answer, over all tries"`
+	Address           string        `long:"address" env:"GYPSUMREEL_ADDRESS" description:"addresses of entries or of their load balancer, comma-separated: https://IP:PORT, or http://IP:PORT without TLS"`
+	Key               string        `long:"key" env:"GYPSUMREEL_KEY" description:"key as ID.SECRET; prefer the environment variable, as the process list shows flags"`
+	Authority         string        `long:"authority" env:"GYPSUMREEL_AUTHORITY" description:"PEM file of the authorities that signed the entries' certificates"`
+	ClientCertificate string        `long:"certificate" env:"GYPSUMREEL_CERTIFICATE" description:"PEM file with this client's certificate and key, when the entries require one"`
+	Timeout           time.Duration `long:"timeout" default:"30s" description:"maximum wait for an answer, including retries"`
 }
 
-// Caller returns the client of a team and the context that bounds its calls.
-func (f Flags) Caller(ctx context.Context) (*caller.Client, context.Context, context.CancelFunc, error) {
+// CallerClient returns a client for a team's calls and a context that ends after the
+// timeout.
+func (f Flags) CallerClient(ctx context.Context) (*caller.Client, context.Context, context.CancelFunc, error) {
 	l, err := f.Link()
 	if err != nil {
 		return nil, nil, nil, err
@@ -43,8 +44,9 @@
 	return &caller.Client{Link: l}, ctx, cancel, nil
 }
 
-// Operator returns the client of an operator and the context that bounds its calls.
-func (f Flags) Operator(ctx context.Context) (*operator.Client, context.Context, context.CancelFunc, error) {
+// OperatorClient returns a client for an operator's calls and a context that ends after
+// the timeout.
+func (f Flags) OperatorClient(ctx context.Context) (*operator.Client, context.Context, context.CancelFunc, error) {
 	l, err := f.Link()
 	if err != nil {
 		return nil, nil, nil, err
@@ -53,115 +55,117 @@
 	return &operator.Client{Link: l}, ctx, cancel, nil
 }
 
-// Show reads all lines of a part of the state.
+// Show returns all lines of one part of the cell's state.
 func (f Flags) Show(ctx context.Context, part v1.Part) (*v1.ShowReply, error) {
-	client, ctx, cancel, err := f.Operator(ctx)
+	client, ctx, cancel, err := f.OperatorClient(ctx)
 	if err != nil {
 		return nil, err
 	}
 	defer cancel()
 	r, err := client.Show(ctx, part)
 	if err != nil {
-		return nil, Explain(err)
+		return nil, UserError(err)
 	}
 	return r, nil
 }
 
-// Link checks the flags and returns the way to the entries.
+// Link validates the flags and returns the connection to the entries.
 func (f Flags) Link() (*link.Link, error) {
 	if f.Timeout <= 0 {
-		return nil, verb.Misuse("Give a duration such as 30s.", "--timeout %s is not positive", f.Timeout)
+		return nil, verb.UsageError("Give a duration such as 30s.", "--timeout %s is not positive", f.Timeout)
 	}
 	if f.Key == "" {
-		return nil, verb.Misuse("Set --key or GYPSUMREEL_KEY to ID.SECRET.", "no key")
+		return nil, verb.UsageError("Set --key or GYPSUMREEL_KEY to ID.SECRET.", "no key given")
 	}
-	addresses, err := f.addresses()
+	addresses, err := f.parseAddresses()
 	if err != nil {
 		return nil, err
 	}
-	cfg, err := f.TLS()
+	cfg, err := f.TLSConfig()
 	if err != nil {
 		return nil, err
 	}
 	return &link.Link{Addresses: addresses, Key: f.Key, TLS: cfg}, nil
 }
 
-func (f Flags) addresses() ([]string, error) {
-	const next = "Set --address or GYPSUMREEL_ADDRESS to https://IP:PORT of an entry, or http://IP:PORT for one without TLS."
+func (f Flags) parseAddresses() ([]string, error) {
+	const usage = "Set --address or GYPSUMREEL_ADDRESS to https://IP:PORT of an entry, or http://IP:PORT for one without TLS."
 	if f.Address == "" {
-		return nil, verb.Misuse(next, "no address")
+		return nil, verb.UsageError(usage, "no address given")
 	}
-	var out []string
-	for _, a := range strings.Split(f.Address, ",") {
-		u, err := url.Parse(strings.TrimSpace(a))
-		if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-			return nil, verb.Misuse(next, "address %q is not allowed", a)
+	var addresses []string
+	for _, address := range strings.Split(f.Address, ",") {
+		parsed, err := url.Parse(strings.TrimSpace(address))
+		if err != nil || parsed.Host == "" || parsed.Scheme != "http" && parsed.Scheme != "https" {
+			return nil, verb.UsageError(usage, "invalid address %q", address)
 		}
-		out = append(out, strings.TrimSuffix(u.String(), "/"))
+		addresses = append(addresses, strings.TrimSuffix(parsed.String(), "/"))
 	}
-	return out, nil
+	return addresses, nil
 }
 
-// TLS returns the configuration for https addresses.
-func (f Flags) TLS() (*tls.Config, error) {
+// TLSConfig returns the TLS configuration for https addresses.
+func (f Flags) TLSConfig() (*tls.Config, error) {
 	cfg := &tls.Config{MinVersion: tls.VersionTLS13}
 	if f.Authority != "" {
 		pem, err := os.ReadFile(f.Authority)
 		if err != nil {
-			return nil, verb.Misuse("Check --authority.", "%v", err)
+			return nil, verb.UsageError("Check --authority.", "%v", err)
 		}
 		cfg.RootCAs = x509.NewCertPool()
 		if !cfg.RootCAs.AppendCertsFromPEM(pem) {
-			return nil, verb.Misuse("Check --authority.", "%s holds no certificate in PEM", f.Authority)
+			return nil, verb.UsageError("Check --authority.", "%s contains no certificate in PEM format", f.Authority)
 		}
 	}
-	if f.Proof != "" {
-		pair, err := tls.LoadX509KeyPair(f.Proof, f.Proof)
+	if f.ClientCertificate != "" {
+		pair, err := tls.LoadX509KeyPair(f.ClientCertificate, f.ClientCertificate)
 		if err != nil {
-			return nil, verb.Misuse("Check --certificate.", "%v", err)
+			return nil, verb.UsageError("Check --certificate.", "%v", err)
 		}
 		cfg.Certificates = []tls.Certificate{pair}
 	}
 	return cfg, nil
 }
 
-// NewID returns an id that nobody else makes.
+// NewID returns a random id that is unique in practice.
 func NewID() string {
 	b := make([]byte, idBytes)
-	_, _ = rand.Read(b) // never fails: crypto/rand ends the process instead
+	_, _ = rand.Read(b) // never returns an error: crypto/rand crashes the process instead
 	return hex.EncodeToString(b)
 }
 
-// Explain turns an error of a client into one with an exit code and advice.
-func Explain(err error) error {
+// UserError converts a client error that carries a result code into a verb.Error with
+// exit code and advice. It returns other errors unchanged.
+func UserError(err error) error {
 	var refusal *code.Error
 	if !errors.As(err, &refusal) {
 		return err
 	}
-	out := verb.Refusal(refusal.Code, refusal.Detail)
-	if next := transport(refusal); next != "" {
-		out.Next = next
+	verbErr := verb.CodeError(refusal.Code, refusal.Detail)
+	if advice := transportAdvice(refusal); advice != "" {
+		verbErr.Advice = advice
 	}
-	return out
+	return verbErr
 }
 
-// hints tells by a part of the transport's message what the user can mend.
-var hints = []struct{ part, next string }{
-	{"certificate required", "The entry wants a certificate of its clients: give --certificate; or the address is not that of an entry."},
+// transportHints maps a substring of a transport error to advice for the user.
+var transportHints = []struct{ substring, advice string }{
+	{"certificate required", "The entry requires a client certificate: give --certificate. Or the address is not that of an entry."},
 	{"x509:", "The entry's certificate is not trusted: check --authority (GYPSUMREEL_AUTHORITY) and that the certificate names the address."},
-	{"HTTP response to HTTPS client", "The entry speaks plain text there: use http://, if its settings are meant to."},
-	{"400 Bad Request", "The entry may speak TLS there: use https://."},
-	{"connection refused", "Nothing listens there: check the address, and whether the entry runs."},
+	{"HTTP response to HTTPS client", "The entry expects plain text at this address: use http:// if its settings intend that."},
+	{"400 Bad Request", "The entry may expect TLS at this address: use https://."},
+	{"connection refused", "Nothing listens at this address: check the address, and whether the entry runs."},
 }
 
-// transport returns advice about a call that never got an answer.
-func transport(refusal *code.Error) string {
+// transportAdvice returns advice about a call that got no answer. It returns an empty
+// string when no hint matches.
+func transportAdvice(refusal *code.Error) string {
 	if refusal.Code != code.LeaderTimeout {
 		return ""
 	}
-	for _, h := range hints {
-		if strings.Contains(refusal.Detail, h.part) {
-			return h.next
+	for _, hint := range transportHints {
+		if strings.Contains(refusal.Detail, hint.substring) {
+			return hint.advice
 		}
 	}
 	return ""
--- a/internal/cli/remote/remote_test.go
+++ b/internal/cli/remote/remote_test.go
@@ -16,9 +16,9 @@
 	"gypsumreel/internal/cli/verb"
 )
 
-// An operator mixes up http and https, forgets the authority or dials the wrong
-// port. The cell never hears of it, so that only the advice can tell what is wrong.
-func TestMixedUpAddressesSayWhatToMend(t *testing.T) {
+// Guards against bare transport errors when the operator confuses http and https, omits
+// --authority or gives the wrong port. The advice has to name what to correct.
+func TestConnectionErrorsSuggestCorrection(t *testing.T) {
 	plain, secure := httptest.NewServer(http.NotFoundHandler()), httptest.NewTLSServer(http.NotFoundHandler())
 	t.Cleanup(plain.Close)
 	t.Cleanup(secure.Close)
@@ -26,27 +26,27 @@
 		secure.URL: "--authority",
 		"https" + strings.TrimPrefix(plain.URL, "http"):  "use http://",
 		"http" + strings.TrimPrefix(secure.URL, "https"): "use https://",
-		"http://127.0.0.1:1":                             "Nothing listens there",
+		"http://127.0.0.1:1":                             "Nothing listens at this address",
 		plain.URL:                                        "",
 	} {
 		t.Run(address, func(t *testing.T) {
 			t.Parallel()
 			f := remote.Flags{Address: address, Key: "id.secret", Timeout: 2 * time.Second}
-			client, ctx, cancel, err := f.Operator(context.Background())
+			client, ctx, cancel, err := f.OperatorClient(context.Background())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer cancel()
 			_, err = client.Show(ctx, v1.Part_PART_TABLE)
 			var got *verb.Error
-			if !errors.As(remote.Explain(err), &got) || !strings.Contains(got.Next, want) {
-				t.Errorf("%s: %v", address, err)
+			if !errors.As(remote.UserError(err), &got) || !strings.Contains(got.Advice, want) {
+				t.Errorf("address %s: got error %v, want advice that contains %q", address, err, want)
 			}
 		})
 	}
 }
 
-func TestBadFlagsSendNothing(t *testing.T) {
+func TestInvalidFlagsAreUsageErrors(t *testing.T) {
 	empty := filepath.Join(t.TempDir(), "empty.pem")
 	if err := os.WriteFile(empty, nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -57,19 +57,19 @@
 		t.Fatalf("%v, %v", l, err)
 	}
 	for name, change := range map[string]func(*remote.Flags){
-		"no key":        func(f *remote.Flags) { f.Key = "" },
-		"no address":    func(f *remote.Flags) { f.Address = "" },
-		"no scheme":     func(f *remote.Flags) { f.Address = "10.0.0.1:7401" },
-		"other scheme":  func(f *remote.Flags) { f.Address = "ftp://10.0.0.1" },
-		"no time":       func(f *remote.Flags) { f.Timeout = 0 },
-		"no authority":  func(f *remote.Flags) { f.Authority = empty + "x" },
-		"bad authority": func(f *remote.Flags) { f.Authority = empty },
-		"bad proof":     func(f *remote.Flags) { f.Proof = empty },
+		"no key":                 func(f *remote.Flags) { f.Key = "" },
+		"no address":             func(f *remote.Flags) { f.Address = "" },
+		"no scheme":              func(f *remote.Flags) { f.Address = "10.0.0.1:7401" },
+		"other scheme":           func(f *remote.Flags) { f.Address = "ftp://10.0.0.1" },
+		"no timeout":             func(f *remote.Flags) { f.Timeout = 0 },
+		"missing authority file": func(f *remote.Flags) { f.Authority = empty + "x" },
+		"invalid authority file": func(f *remote.Flags) { f.Authority = empty },
+		"invalid certificate":    func(f *remote.Flags) { f.ClientCertificate = empty },
 	} {
 		f := good
 		change(&f)
 		var got *verb.Error
-		if _, err := f.Link(); !errors.As(err, &got) || got.Exit != verb.Usage || got.Next == "" {
+		if _, err := f.Link(); !errors.As(err, &got) || got.ExitCode != verb.ExitUsage || got.Advice == "" {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/cli/submit/submit.go
+++ b/internal/cli/submit/submit.go
@@ -1,4 +1,4 @@
-// Package submit is the verb that hands a job to the cell.
+// Package submit implements the verb that submits a job.
 package submit
 
 import (
@@ -16,93 +16,95 @@
 	"gypsumreel/internal/client/link"
 )
 
-// maxInput bounds a job's input in bytes.
-const maxInput = 4 << 20
+// maxInputBytes is the maximum size of a job's input.
+const maxInputBytes = 4 << 20
 
 // New returns the verb.
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "submit", Short: "submit a job",
-		Long: "Submits one job and prints its id. After a lost answer run the same command with the same --id: the job is not made twice. " +
-			"With --wait it also waits for the outcome, as the verb wait does.",
+		Long: "Submits one job and prints its id. After a lost answer run the same command with the same --id: the job is not created twice. " +
+			"With --wait it also waits for the outcome, like the verb wait.",
 		Runner: &command{},
 	}
 }
 
 type command struct {
 	remote.Flags
-	verb.Output
-	ID       string            `long:"id" description:"request id, unique within the team; made when left out"`
-	Kind     string            `long:"kind" default:"batch" choice:"urgent" choice:"batch" choice:"gang" choice:"service" description:"which policy decides"`
-	Name     string            `long:"name" default:"job" description:"name of the program; estimates are learned by it"`
-	Count    uint32            `long:"count" default:"1" description:"number of tasks"`
-	CPU      float64           `long:"cpu" default:"1" description:"cores for each task"`
-	Memory   int64             `long:"memory" default:"256" description:"MiB of memory for each task"`
-	Accel    int64             `long:"accel" description:"accelerators for each task"`
-	Slots    int64             `long:"slots" default:"1" description:"slots for each task"`
-	Runtime  time.Duration     `long:"runtime" description:"estimated run time of a task"`
-	Deadline time.Duration     `long:"deadline" description:"refuse as not run what is not placed by then"`
-	Once     bool              `long:"once" description:"run each task at most once"`
-	Floor    uint32            `long:"floor" description:"for a service: tasks that replacement leaves running"`
-	Label    map[string]string `long:"label" description:"label as NAME:VALUE; may be repeated"`
-	Input    string            `long:"input" description:"text passed to every task"`
-	File     string            `long:"input-file" description:"file passed to every task; - for standard input"`
-	Wait     bool              `long:"wait" description:"wait for the outcome"`
-	Out      string            `long:"out" description:"with --wait: file for the answer instead of standard output"`
+	verb.OutputFlag
+	ID         string            `long:"id" description:"request id, unique within the team; generated when left out"`
+	Kind       string            `long:"kind" default:"batch" choice:"urgent" choice:"batch" choice:"gang" choice:"service" description:"kind of job, which selects the scheduling policy"`
+	Name       string            `long:"name" default:"job" description:"name of the program; run time estimates are learned per name"`
+	Count      uint32            `long:"count" default:"1" description:"number of tasks"`
+	CPU        float64           `long:"cpu" default:"1" description:"cores for each task"`
+	Memory     int64             `long:"memory" default:"256" description:"MiB of memory for each task"`
+	Accel      int64             `long:"accel" description:"accelerators for each task"`
+	Slots      int64             `long:"slots" default:"1" description:"slots for each task"`
+	Runtime    time.Duration     `long:"runtime" description:"estimated run time of a task"`
+	Deadline   time.Duration     `long:"deadline" description:"time within which the job has to be placed; otherwise it is refused as not run"`
+	AtMostOnce bool              `long:"once" description:"run each task at most once"`
+	MinRunning uint32            `long:"floor" description:"for a service: minimum number of tasks that replacement leaves running"`
+	Label      map[string]string `long:"label" description:"label as NAME:VALUE; may be repeated"`
+	Input      string            `long:"input" description:"text passed to every task"`
+	InputFile  string            `long:"input-file" description:"file passed to every task; - for standard input"`
+	Wait       bool              `long:"wait" description:"wait for the outcome"`
+	AnswerFile string            `long:"out" description:"with --wait: file for the answer instead of standard output"`
 }
 
-// receipt is the result with --json.
-type receipt struct {
+// submitResult is the result printed with --json.
+type submitResult struct {
 	ID      string `json:"id"`
 	Outcome string `json:"outcome"`
 	Code    uint32 `json:"code"`
 	Text    string `json:"text"`
 }
 
-// Run submits and, if asked, waits.
+// Run submits one job and with --wait waits for its outcome.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 0 {
-		return verb.Misuse("Everything is given by flags: `gypsumreel submit --help`.", "unexpected %q", args[0])
+		return verb.UsageError("Everything is given by flags: `gypsumreel submit --help`.", "unexpected %q", args[0])
 	}
-	// An id that the user chose may have been sent by an earlier run.
-	fresh := c.ID == ""
-	spec, err := c.spec(env)
+	// A job with an id given by the user may already exist from an earlier run.
+	idGenerated := c.ID == ""
+	spec, err := c.buildSpec(env)
 	if err != nil {
 		return err
 	}
-	client, ctx, cancel, err := c.Caller(ctx)
+	client, ctx, cancel, err := c.CallerClient(ctx)
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	out, err := client.Submit(ctx, []*v1.Spec{spec}, fresh)
+	replies, err := client.Submit(ctx, []*v1.Spec{spec}, idGenerated)
 	if err != nil {
-		return remote.Explain(err)
+		return remote.UserError(err)
 	}
-	if c.Wait && accepted(out[0]) {
-		return wait.Print(ctx, env, client, spec.GetId(), c.Output, c.Out)
+	if c.Wait && isAccepted(replies[0]) {
+		return wait.PrintAnswer(ctx, env, client, spec.GetId(), c.OutputFlag, c.AnswerFile)
 	}
-	return c.report(env, out[0])
+	return c.printResult(env, replies[0])
 }
 
-func accepted(a *v1.Accepted) bool { return a.GetStatus().GetCode() == uint32(code.OK) }
+// isAccepted reports whether the cell accepted the job.
+func isAccepted(accepted *v1.Accepted) bool { return accepted.GetStatus().GetCode() == uint32(code.OK) }
 
-func (c *command) report(env verb.Env, a *v1.Accepted) error {
-	s := a.GetStatus()
-	r := receipt{ID: a.GetId(), Outcome: verb.Outcome(a.GetOutcome()), Code: s.GetCode(), Text: code.Code(s.GetCode()).String()}
-	g := verb.Grid{Head: []string{"ID", "OUTCOME", "CODE", "TEXT"}, Rows: [][]string{{r.ID, r.Outcome, strconv.FormatUint(uint64(r.Code), 10), r.Text}}}
-	if err := c.Print(env.Out, r, g); err != nil {
+func (c *command) printResult(env verb.Env, accepted *v1.Accepted) error {
+	status := accepted.GetStatus()
+	result := submitResult{ID: accepted.GetId(), Outcome: verb.OutcomeName(accepted.GetOutcome()), Code: status.GetCode(), Text: code.Code(status.GetCode()).String()}
+	table := verb.TextTable{Header: []string{"ID", "OUTCOME", "CODE", "TEXT"}, Rows: [][]string{{result.ID, result.Outcome, strconv.FormatUint(uint64(result.Code), 10), result.Text}}}
+	if err := c.Print(env.Out, result, table); err != nil {
 		return err
 	}
-	if accepted(a) {
+	if isAccepted(accepted) {
 		return nil
 	}
-	return remote.Explain(link.StatusError(s))
+	return remote.UserError(link.StatusError(status))
 }
 
-func (c *command) spec(env verb.Env) (*v1.Spec, error) {
-	const milli = 1000
-	input, err := c.input(env)
+// buildSpec builds the job from the flags. It generates an id if none was given.
+func (c *command) buildSpec(env verb.Env) (*v1.Spec, error) {
+	const milliPerCore = 1000
+	input, err := c.readInput(env)
 	if err != nil {
 		return nil, err
 	}
@@ -110,45 +112,46 @@
 		c.ID = remote.NewID()
 	}
 	if c.Runtime < 0 || c.Deadline < 0 || c.CPU < 0 || c.Memory < 0 || c.Accel < 0 || c.Slots < 0 {
-		return nil, verb.Misuse("Give amounts of 0 or more.", "an amount is negative")
+		return nil, verb.UsageError("Give amounts of 0 or more.", "an amount is negative")
 	}
 	return &v1.Spec{
-		Id: c.ID, Kind: kinds[c.Kind], Name: c.Name, Count: c.Count,
-		Size:    &v1.Size{Cpu: int64(c.CPU * milli), Memory: c.Memory, Accel: c.Accel, Slots: c.Slots},
+		Id: c.ID, Kind: kindsByName[c.Kind], Name: c.Name, Count: c.Count,
+		Size:    &v1.Size{Cpu: int64(c.CPU * milliPerCore), Memory: c.Memory, Accel: c.Accel, Slots: c.Slots},
 		Runtime: uint64(c.Runtime.Milliseconds()), Deadline: uint64(c.Deadline.Milliseconds()),
-		Once: c.Once, Floor: c.Floor, Labels: c.Label, Input: input,
+		Once: c.AtMostOnce, Floor: c.MinRunning, Labels: c.Label, Input: input,
 	}, nil
 }
 
-var kinds = map[string]v1.Kind{
+var kindsByName = map[string]v1.Kind{
 	"urgent":  v1.Kind_KIND_URGENT,
 	"batch":   v1.Kind_KIND_BATCH,
 	"gang":    v1.Kind_KIND_GANG,
 	"service": v1.Kind_KIND_SERVICE,
 }
 
-func (c *command) input(env verb.Env) ([]byte, error) {
+// readInput returns the text of --input or the content of --input-file.
+func (c *command) readInput(env verb.Env) ([]byte, error) {
 	switch {
-	case c.File == "":
+	case c.InputFile == "":
 		return []byte(c.Input), nil
 	case c.Input != "":
-		return nil, verb.Misuse("Give one of them.", "--input and --input-file are both given")
+		return nil, verb.UsageError("Give only one of them.", "--input and --input-file are both given")
 	}
 	in := env.In
-	if c.File != "-" {
-		f, err := os.Open(c.File)
+	if c.InputFile != "-" {
+		f, err := os.Open(c.InputFile)
 		if err != nil {
-			return nil, verb.Misuse("Check --input-file.", "%v", err)
+			return nil, verb.UsageError("Check --input-file.", "%v", err)
 		}
 		defer f.Close()
 		in = f
 	}
-	b, err := io.ReadAll(io.LimitReader(in, maxInput+1))
+	input, err := io.ReadAll(io.LimitReader(in, maxInputBytes+1))
 	switch {
 	case err != nil:
-		return nil, verb.Misuse("Check --input-file.", "%v", err)
-	case len(b) > maxInput:
-		return nil, verb.Misuse("Pass a reference to the data instead.", "the input exceeds %d bytes", maxInput)
+		return nil, verb.UsageError("Check --input-file.", "%v", err)
+	case len(input) > maxInputBytes:
+		return nil, verb.UsageError("Pass a reference to the data instead.", "the input is larger than %d bytes", maxInputBytes)
 	}
-	return b, nil
+	return input, nil
 }
--- a/internal/cli/verb/print.go
+++ b/internal/cli/verb/print.go
@@ -8,37 +8,37 @@
 	"text/tabwriter"
 )
 
-// Output is the flag of every verb that prints a result.
-type Output struct {
+// OutputFlag selects the output format. Every verb that prints a result embeds it.
+type OutputFlag struct {
 	JSON bool `long:"json" description:"print JSON for a program to read"`
 }
 
-func (o Output) wantsJSON() bool { return o.JSON }
+func (o OutputFlag) wantsJSON() bool { return o.JSON }
 
-// Grid is a result as a person reads it.
-type Grid struct {
-	Head []string
-	Rows [][]string
+// TextTable is a result laid out as plain-text columns.
+type TextTable struct {
+	Header []string
+	Rows   [][]string
 }
 
-// Print writes v as JSON, or the grid for a person.
-func (o Output) Print(w io.Writer, v any, g Grid) error {
+// Print writes v as indented JSON with --json, otherwise the text table.
+func (o OutputFlag) Print(w io.Writer, v any, table TextTable) error {
 	if o.JSON {
-		e := json.NewEncoder(w)
-		e.SetIndent("", "  ")
-		return e.Encode(v)
+		encoder := json.NewEncoder(w)
+		encoder.SetIndent("", "  ")
+		return encoder.Encode(v)
 	}
-	return g.write(w)
+	return table.write(w)
 }
 
-func (g Grid) write(w io.Writer) error {
+func (t TextTable) write(w io.Writer) error {
 	const padding = 2
-	t := tabwriter.NewWriter(w, 0, 0, padding, ' ', 0)
-	if len(g.Head) > 0 {
-		fmt.Fprintln(t, strings.Join(g.Head, "\t"))
+	columns := tabwriter.NewWriter(w, 0, 0, padding, ' ', 0)
+	if len(t.Header) > 0 {
+		fmt.Fprintln(columns, strings.Join(t.Header, "\t"))
 	}
-	for _, row := range g.Rows {
-		fmt.Fprintln(t, strings.Join(row, "\t"))
+	for _, row := range t.Rows {
+		fmt.Fprintln(columns, strings.Join(row, "\t"))
 	}
-	return t.Flush()
+	return columns.Flush()
 }
--- a/internal/cli/verb/secure.go
+++ b/internal/cli/verb/secure.go
@@ -12,39 +12,42 @@
 	"gypsumreel/internal/base/settings"
 )
 
-// Side is one side of a daemon's connections. Server and Client return nil,
-// which is plain text, only when the settings say so.
-type Side struct {
-	store *secure.CertificateStore
+// ReloadingTLS provides TLS configurations whose certificates are reloaded from files.
+// ServerConfig and ClientConfig return nil, which means plain text, only when the
+// settings ask for plain text.
+type ReloadingTLS struct {
+	certificates *secure.CertificateStore
 }
 
-// NewSide reads the files of a side and looks at them again until ctx ends.
-func NewSide(ctx context.Context, s settings.TLSConfig, reload time.Duration, log logr.Logger) (Side, error) {
+// NewReloadingTLS loads the certificate files and checks them for changes at every
+// reload interval until ctx is cancelled.
+func NewReloadingTLS(ctx context.Context, s settings.TLSConfig, reload time.Duration, log logr.Logger) (ReloadingTLS, error) {
 	if s.Plain {
 		event.Log(log, event.PlainInUse)
-		return Side{}, nil
+		return ReloadingTLS{}, nil
 	}
 	store := secure.New(secure.Files{Certificate: s.Certificate, Key: s.Key, Authority: s.Authority}, log)
 	store.Interval = reload
 	if err := store.Load(); err != nil {
-		return Side{}, &Error{Exit: Usage, Text: err.Error()}
+		return ReloadingTLS{}, &Error{ExitCode: ExitUsage, Message: err.Error()}
 	}
 	go func() { _ = store.Run(ctx) }()
-	return Side{store: store}, nil
+	return ReloadingTLS{certificates: store}, nil
 }
 
-// Server returns the configuration of a listener.
-func (s Side) Server() *tls.Config {
-	if s.store == nil {
+// ServerConfig returns the TLS configuration for a listener.
+func (r ReloadingTLS) ServerConfig() *tls.Config {
+	if r.certificates == nil {
 		return nil
 	}
-	return s.store.ServerConfig()
+	return r.certificates.ServerConfig()
 }
 
-// Client returns the configuration of a dialler whose other end bears one of the names.
-func (s Side) Client(names ...string) *tls.Config {
-	if s.store == nil {
+// ClientConfig returns the TLS configuration for outgoing connections to a server whose
+// certificate carries one of the names.
+func (r ReloadingTLS) ClientConfig(names ...string) *tls.Config {
+	if r.certificates == nil {
 		return nil
 	}
-	return s.store.ClientConfig(names...)
+	return r.certificates.ClientConfig(names...)
 }
