--- a/cmd/gypsumreel/verbs.go
+++ b/cmd/gypsumreel/verbs.go
@@ -23,8 +23,8 @@
 	"gypsumreel/internal/cli/zone"
 )
 
-// verbs lists the verbs in the order of the help text.
-func verbs() []verb.Verb {
+// commands lists the verbs in the order of the help text.
+func commands() []verb.Verb {
 	return []verb.Verb{
 		check.New(),
 		control.New(),
--- a/internal/control/dispatch/ask.go
+++ b/internal/control/dispatch/ask.go
@@ -227,9 +227,9 @@
 	})
 }
 
-// Put activates a configuration document. A document that is not newer than the active one
+// PutDocument activates a configuration document. A document that is not newer than the active one
 // is acknowledged without effect. An invalid document is refused.
-func (d *Dispatcher) Put(ctx context.Context, doc *v1.Document) *code.Error {
+func (d *Dispatcher) PutDocument(ctx context.Context, doc *v1.Document) *code.Error {
 	if err := flow.CheckDocument(doc); err != nil {
 		event.Fail(d.Log, event.DocumentRefused, err, "version", doc.GetVersion())
 		return err
@@ -246,9 +246,9 @@
 	return err
 }
 
-// Read returns the text of the active configuration document as it was sent. A proof of
+// ReadDocument returns the text of the active configuration document as it was sent. A proof of
 // leadership ensures that it is the newest one.
-func (d *Dispatcher) Read(ctx context.Context) ([]byte, *code.Error) {
+func (d *Dispatcher) ReadDocument(ctx context.Context) ([]byte, *code.Error) {
 	receivedAt := d.Now()
 	text, err := runOnLeader(ctx, d, errNotLeading, func(reply func([]byte)) {
 		d.Host.AfterLeadershipProof(receivedAt, func() {
