--- a/cmd/gypsumreel/verbs.go
+++ b/cmd/gypsumreel/commands.go
@@ -23,7 +23,7 @@
 	"gypsumreel/internal/cli/zone"
 )
 
-// commands lists the verbs in the order of the help text.
+// commands returns the subcommands in the order of the help text.
 func commands() []verb.Verb {
 	return []verb.Verb{
 		check.New(),
