--- a/internal/base/bounds/bounds.go
+++ b/internal/base/bounds/bounds.go
@@ -15,13 +15,13 @@
 	mebibyte = 1 << 20
 )
 
-// Memory keeps the heap well below the instance's memory, in MiB; 0 for not known.
-func Memory(mib int64) {
+// LimitHeap keeps the heap well below the instance's memory, in MiB; 0 for not known.
+func LimitHeap(mib int64) {
 	if mib > 0 {
 		debug.SetMemoryLimit(mib * mebibyte * heapPart / heapOf)
 	}
 }
 
-// Room returns the bytes that are kept free on a disk of so many MiB; 0, which
+// DiskReserve returns the bytes that are kept free on a disk of so many MiB; 0, which
 // stands for the default, when its size is not known.
-func Room(mib int64) uint64 { return uint64(mib) * mebibyte / roomOf }
+func DiskReserve(mib int64) uint64 { return uint64(mib) * mebibyte / roomOf }
--- a/internal/base/clock/agreed.go
+++ b/internal/base/clock/agreed.go
@@ -16,11 +16,11 @@
 	medianAge = 50 * time.Millisecond
 )
 
-// Agreed is the time of day by the word of many processes. That of a single machine
+// MedianClock is the time of day by the word of many processes. That of a single machine
 // may jump by seconds: scheduled work would begin too early, and all that waits
 // would look older than it is. The median stands while most are right. The zero
 // value has heard nobody.
-type Agreed struct {
+type MedianClock struct {
 	voices map[string]voice
 	// beyond is the median as found at made, 0 before there was one.
 	beyond time.Duration
@@ -33,18 +33,18 @@
 	heard  time.Duration
 }
 
-// Hear takes a process's time of day, since 1970, at a time on our steady clock.
-func (a *Agreed) Hear(from string, said, at time.Duration) {
+// Observe takes a process's time of day, since 1970, at a time on our steady clock.
+func (a *MedianClock) Observe(from string, said, at time.Duration) {
 	if a.voices == nil {
 		a.voices = map[string]voice{}
 	}
 	a.voices[from] = voice{beyond: said - at, heard: at}
 }
 
-// At returns the time of day, since 1970, at a time on our steady clock. While too
+// TimeOfDay returns the time of day, since 1970, at a time on our steady clock. While too
 // few are heard the last median stands, since our steady clock goes on; false before
 // there was one.
-func (a *Agreed) At(now time.Duration) (time.Duration, bool) {
+func (a *MedianClock) TimeOfDay(now time.Duration) (time.Duration, bool) {
 	if a.made > 0 && now-a.made < medianAge {
 		return now + a.beyond, true
 	}
--- a/internal/base/clock/clock.go
+++ b/internal/base/clock/clock.go
@@ -8,11 +8,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns the time since the machine was booted, with the time in which it
+// SinceBoot returns the time since the machine was booted, with the time in which it
 // was suspended. The steady clock of the language stands still meanwhile: a
 // leader that wakes from a suspension would believe that its last proof of
 // leadership is fresh, and go on to give orders beside its successor.
-func Boot() time.Duration {
+func SinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		// Every kernel that Go runs on has this clock.
--- a/internal/base/code/code.go
+++ b/internal/base/code/code.go
@@ -21,56 +21,56 @@
 	TaskFailed Code = 101
 	// Stopped means that a job was stopped by cancellation after some of it had started; the outcome is done.
 	Stopped Code = 102
-	// Parked means that a job failed on several healthy servers and was given up; the outcome is done.
-	Parked Code = 103
+	// GivenUp means that a job failed on several healthy servers and was given up; the outcome is done.
+	GivenUp Code = 103
 
 	// QueueFull means not run: the team has too many jobs waiting.
 	QueueFull Code = 201
-	// NeverFits means not run: no announced server, or no limit, could ever hold it.
-	NeverFits Code = 202
+	// Unplaceable means not run: no announced server, or no limit, could ever hold it.
+	Unplaceable Code = 202
 	// DeadlinePassed means not run: it could not be placed in time.
 	DeadlinePassed Code = 203
 	// Cancelled means not run: cancelled before anything of it started.
 	Cancelled Code = 204
 	// Overloaded means not run: the cell sheds load, come back after the time given.
 	Overloaded Code = 205
-	// Unreachable means not run: the request never left the entry that answers.
-	Unreachable Code = 206
+	// ControlUnreachable means not run: the request never left the entry that answers.
+	ControlUnreachable Code = 206
 
-	// Lost means unknown: the server went away under a task that may not be repeated.
-	Lost Code = 301
-	// Unanswered means unknown for now: the leader did not answer in time; ask again with the same id.
-	Unanswered Code = 302
+	// ServerLost means unknown: the server went away under a task that may not be repeated.
+	ServerLost Code = 301
+	// LeaderTimeout means unknown for now: the leader did not answer in time; ask again with the same id.
+	LeaderTimeout Code = 302
 
-	// BadKey means that the key is unknown, wrong or withdrawn.
-	BadKey Code = 401
+	// InvalidKey means that the key is unknown, wrong or withdrawn.
+	InvalidKey Code = 401
 	// Forbidden means that the key does not allow this call.
 	Forbidden Code = 402
-	// BadEnrolment means that a backend server showed no valid enrolment secret.
-	BadEnrolment Code = 403
+	// InvalidEnrolment means that a backend server showed no valid enrolment secret.
+	InvalidEnrolment Code = 403
 
 	// Malformed means that the request breaks a stated bound or form.
 	Malformed Code = 501
 	// IDReused means that the id stands for other content already.
 	IDReused Code = 502
-	// Unknown means that nothing of that name is known, or no longer.
-	Unknown Code = 503
+	// NotFound means that nothing of that name is known, or no longer.
+	NotFound Code = 503
 	// TooLarge means that the request exceeds a size bound.
 	TooLarge Code = 504
 
-	// Conflict means that the change started from another revision than the current one.
-	Conflict Code = 601
+	// RevisionConflict means that the change started from another revision than the current one.
+	RevisionConflict Code = 601
 	// InUse means that what is to be removed still has work or keys.
 	InUse Code = 602
-	// Stale means that the session was replaced by a newer incarnation.
-	Stale Code = 603
-	// Busy means that another membership change is under way.
-	Busy Code = 604
+	// SessionReplaced means that the session was replaced by a newer incarnation.
+	SessionReplaced Code = 603
+	// MembershipChangePending means that another membership change is under way.
+	MembershipChangePending Code = 604
 
 	// NoLeader means that no leader is known or it cannot prove to be current; nothing was done.
 	NoLeader Code = 701
-	// Leaving means that this process is stopping; turn to another entry.
-	Leaving Code = 702
+	// ShuttingDown means that this process is stopping; turn to another entry.
+	ShuttingDown Code = 702
 	// DiskFull means not run: the control group cannot store more.
 	DiskFull Code = 703
 	// Internal means a fault in the cell itself; events tell more.
@@ -79,33 +79,33 @@
 
 // texts gives each code its standing text.
 var texts = map[Code]string{
-	OK:             "ok",
-	TaskFailed:     "a task ended with an error",
-	Stopped:        "stopped after cancellation",
-	Parked:         "given up after failing on several servers",
-	QueueFull:      "the team has too many jobs waiting",
-	NeverFits:      "no server or limit could ever hold it",
-	DeadlinePassed: "not placed before its deadline",
-	Cancelled:      "cancelled before it started",
-	Overloaded:     "the cell sheds load",
-	Unreachable:    "the request did not reach the control group",
-	Lost:           "the server went away under a task that may not be repeated",
-	Unanswered:     "no answer in time; ask again with the same id",
-	BadKey:         "the key is unknown, wrong or withdrawn",
-	Forbidden:      "the key does not allow this",
-	BadEnrolment:   "the enrolment secret is missing or wrong",
-	Malformed:      "the request is malformed",
-	IDReused:       "the id stands for other content",
-	Unknown:        "nothing of that name is known",
-	TooLarge:       "the request is too large",
-	Conflict:       "the change starts from another revision",
-	InUse:          "still in use",
-	Stale:          "replaced by a newer session",
-	Busy:           "another membership change is under way",
-	NoLeader:       "no leader can prove to be current",
-	Leaving:        "this process is stopping",
-	DiskFull:       "the control group cannot store more",
-	Internal:       "internal fault",
+	OK:                      "ok",
+	TaskFailed:              "a task ended with an error",
+	Stopped:                 "stopped after cancellation",
+	GivenUp:                 "given up after failing on several servers",
+	QueueFull:               "the team has too many jobs waiting",
+	Unplaceable:             "no server or limit could ever hold it",
+	DeadlinePassed:          "not placed before its deadline",
+	Cancelled:               "cancelled before it started",
+	Overloaded:              "the cell sheds load",
+	ControlUnreachable:      "the request did not reach the control group",
+	ServerLost:              "the server went away under a task that may not be repeated",
+	LeaderTimeout:           "no answer in time; ask again with the same id",
+	InvalidKey:              "the key is unknown, wrong or withdrawn",
+	Forbidden:               "the key does not allow this",
+	InvalidEnrolment:        "the enrolment secret is missing or wrong",
+	Malformed:               "the request is malformed",
+	IDReused:                "the id stands for other content",
+	NotFound:                "nothing of that name is known",
+	TooLarge:                "the request is too large",
+	RevisionConflict:        "the change starts from another revision",
+	InUse:                   "still in use",
+	SessionReplaced:         "replaced by a newer session",
+	MembershipChangePending: "another membership change is under way",
+	NoLeader:                "no leader can prove to be current",
+	ShuttingDown:            "this process is stopping",
+	DiskFull:                "the control group cannot store more",
+	Internal:                "internal fault",
 }
 
 // String returns the standing text of the code.
--- a/internal/base/code/code_test.go
+++ b/internal/base/code/code_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestPageListsEveryCode(t *testing.T) {
-	page.Check(t, "../../../docs/CODES.md", code.Markdown())
+	page.CheckGenerated(t, "../../../docs/CODES.md", code.Markdown())
 }
 
 // A code without a text would reach callers as a bare number.
--- a/internal/base/dump/dump.go
+++ b/internal/base/dump/dump.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// DefaultMax bounds a dump in bytes.
-const DefaultMax = 1 << 20
+// DefaultMaxBytes bounds a dump in bytes.
+const DefaultMaxBytes = 1 << 20
 
-// Hidden stands where a secret was.
-const Hidden = "(hidden)"
+// Redacted stands where a secret was.
+const Redacted = "(hidden)"
 
 // more marks what was cut, in lists and objects.
 const more = "(cut)"
@@ -25,11 +25,11 @@
 // after the other until the dump fits.
 var cuts = []int{1_000_000, 10_000, 1_000, 100, 10, 3}
 
-// Text returns v as JSON of up to max bytes; max of 0 stands for DefaultMax.
+// Render returns v as JSON of up to max bytes; max of 0 stands for DefaultMax.
 // What does not fit is cut and marked, and the text stays valid JSON.
-func Text(v any, limit int) string {
+func Render(v any, limit int) string {
 	if limit <= 0 {
-		limit = DefaultMax
+		limit = DefaultMaxBytes
 	}
 	tree, err := plain(v)
 	if err != nil {
@@ -63,7 +63,7 @@
 	case map[string]any:
 		for name, one := range v {
 			if isSecret(name) {
-				v[name] = Hidden
+				v[name] = Redacted
 				continue
 			}
 			v[name] = hide(one)
--- a/internal/base/dump/signal.go
+++ b/internal/base/dump/signal.go
@@ -21,23 +21,23 @@
 	perms = 0o600
 )
 
-// Signal writes a dump at every SIGUSR1. Set the fields, then call Run.
-type Signal struct {
+// SignalHandler writes a dump at every SIGUSR1. Set the fields, then call Run.
+type SignalHandler struct {
 	// Dir is the folder for the files; empty to log the dumps instead.
 	Dir string
 	// Name is that of the process.
 	Name string
 	// State returns what to show.
 	State func() any
-	// Max bounds a dump in bytes; 0 for DefaultMax.
-	Max int
-	Log logr.Logger
+	// MaxBytes bounds a dump in bytes; 0 for DefaultMax.
+	MaxBytes int
+	Log      logr.Logger
 
 	n int
 }
 
 // Run serves the signal until ctx ends.
-func (s *Signal) Run(ctx context.Context) error {
+func (s *SignalHandler) Run(ctx context.Context) error {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGUSR1)
 	defer signal.Stop(c)
@@ -53,8 +53,8 @@
 
 // Write writes one dump. The files take turns, so that asking often doesn't fill
 // the disk that the journal needs.
-func (s *Signal) Write() {
-	text := Text(s.State(), s.Max)
+func (s *SignalHandler) Write() {
+	text := Render(s.State(), s.MaxBytes)
 	if s.Dir == "" {
 		event.Log(s.Log, event.Dumped, "state", text)
 		return
@@ -62,7 +62,7 @@
 	path := filepath.Join(s.Dir, fmt.Sprintf("dump-%s-%d.json", s.Name, s.n%keep))
 	s.n++
 	if err := os.WriteFile(path, []byte(text+"\n"), perms); err != nil {
-		event.Fail(s.Log, event.DumpFailed, err)
+		event.LogError(s.Log, event.DumpFailed, err)
 		return
 	}
 	event.Log(s.Log, event.Dumped, "file", path)
--- a/internal/base/event/catalogue.go
+++ b/internal/base/event/catalogue.go
@@ -156,6 +156,6 @@
 
 // planned are the events that nothing raises yet. Whoever raises one takes it
 // out of this list.
-var planned = []ID{
+var planned = []Definition{
 	JournalTorn, QuarantineCapped, ReservationMade,
 }
--- a/internal/base/event/event.go
+++ b/internal/base/event/event.go
@@ -39,9 +39,9 @@
 	return levelNames[l]
 }
 
-// ID is one kind of event. The number never changes its meaning; the hundreds
+// Definition is one kind of event. The number never changes its meaning; the hundreds
 // tell the area.
-type ID struct {
+type Definition struct {
 	Number uint32
 	// Name is short and hyphenated; metrics and alarms use it.
 	Name  string
@@ -61,7 +61,7 @@
 // Log logs an event with further keys and values, as logr takes them. Secrets
 // never belong in them. Each event is counted in gypsumreel_base_events_total,
 // whatever the level that is logged, so that alarms can be set on events.
-func Log(logger logr.Logger, id ID, kv ...any) {
+func Log(logger logr.Logger, id Definition, kv ...any) {
 	count(id)
 	all := append([]any{NumberKey, id.Number, NameKey, id.Name}, kv...)
 	switch id.Level {
@@ -78,12 +78,12 @@
 }
 
 // count counts an event, whether its line is written or not.
-func count(id ID) {
-	meter.Common.GetOrCreateCounter(meter.Name("base", "events_total", meter.Label{Name: "event", Value: id.Name}, meter.Label{Name: "level", Value: id.Level.String()})).Inc()
+func count(id Definition) {
+	meter.ProcessMetrics.GetOrCreateCounter(meter.Name("base", "events_total", meter.Label{Name: "event", Value: id.Name}, meter.Label{Name: "level", Value: id.Level.String()})).Inc()
 }
 
-// Fail logs an event with the error behind it.
-func Fail(logger logr.Logger, id ID, err error, kv ...any) {
+// LogError logs an event with the error behind it.
+func LogError(logger logr.Logger, id Definition, err error, kv ...any) {
 	Log(logger, id, append([]any{"err", err}, kv...)...)
 }
 
@@ -112,10 +112,10 @@
 	return slog.LevelInfo
 }
 
-// HTTPLog returns what net/http servers log to, as their ErrorLog. Handshakes
+// HTTPErrorLog returns what net/http servers log to, as their ErrorLog. Handshakes
 // that failed become event 707, faults of a handler event 111; the rest is for
 // developers.
-func HTTPLog(logger logr.Logger) *log.Logger {
+func HTTPErrorLog(logger logr.Logger) *log.Logger {
 	return log.New(httpWriter{logger}, "", 0)
 }
 
--- a/internal/base/event/event_test.go
+++ b/internal/base/event/event_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestPageListsEveryEvent(t *testing.T) {
-	page.Check(t, "../../../docs/EVENTS.md", event.Markdown())
+	page.CheckGenerated(t, "../../../docs/EVENTS.md", event.Markdown())
 }
 
 // Two events of one number would send whoever is on duty to the wrong page.
@@ -39,7 +39,7 @@
 
 func TestLogCarriesNumberNameAndLevel(t *testing.T) {
 	for _, c := range []struct {
-		id    event.ID
+		id    event.Definition
 		level string
 	}{
 		{event.SnapshotWritten, "DEBUG"},
@@ -48,7 +48,7 @@
 		{event.DiskFull, "ERROR"},
 	} {
 		var b bytes.Buffer
-		event.Fail(event.New(&b, "debug"), c.id, errors.New("cause"), "cell", "main")
+		event.LogError(event.New(&b, "debug"), c.id, errors.New("cause"), "cell", "main")
 		var got map[string]any
 		if err := json.Unmarshal(b.Bytes(), &got); err != nil {
 			t.Fatalf("%s: %v", b.String(), err)
@@ -77,7 +77,7 @@
 		t.Error("a warning was dropped")
 	}
 	b.Reset()
-	meter.Common.WritePrometheus(&b)
+	meter.ProcessMetrics.WritePrometheus(&b)
 	for _, name := range []string{"started", "leader-lost"} {
 		if !strings.Contains(b.String(), `gypsumreel_base_events_total{event="`+name+`"`) {
 			t.Errorf("%s is not counted", name)
@@ -94,7 +94,7 @@
 		"http2: server: error reading preface":                                                `"event":709`,
 	} {
 		var b bytes.Buffer
-		event.HTTPLog(event.New(&b, "debug")).Println(text)
+		event.HTTPErrorLog(event.New(&b, "debug")).Println(text)
 		if !strings.Contains(b.String(), want) {
 			t.Errorf("%s: %s", text, b.String())
 		}
--- a/internal/base/event/limit.go
+++ b/internal/base/event/limit.go
@@ -7,13 +7,13 @@
 	"github.com/go-logr/logr"
 )
 
-// LimitEvery is the least time between two lines of one event of a Limit.
-const LimitEvery = time.Second
+// LogInterval is the least time between two lines of one event of a Limit.
+const LogInterval = time.Second
 
-// Limit logs events that can come in thousands: one line a second of each kind,
+// RateLimiter logs events that can come in thousands: one line a second of each kind,
 // with the number of those left out. The counters count all of them. The zero
 // value is ready.
-type Limit struct {
+type RateLimiter struct {
 	// Now is the time of day; nil for the system's.
 	Now func() time.Time
 
@@ -23,7 +23,7 @@
 }
 
 // Log logs the event, or counts it as left out.
-func (l *Limit) Log(logger logr.Logger, id ID, kv ...any) {
+func (l *RateLimiter) Log(logger logr.Logger, id Definition, kv ...any) {
 	left, ok := l.take(id.Number)
 	if !ok {
 		count(id)
@@ -35,7 +35,7 @@
 	Log(logger, id, kv...)
 }
 
-func (l *Limit) take(number uint32) (left int, ok bool) {
+func (l *RateLimiter) take(number uint32) (left int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -45,7 +45,7 @@
 	if l.last == nil {
 		l.last, l.left = map[uint32]time.Time{}, map[uint32]int{}
 	}
-	if at, seen := l.last[number]; seen && now.Sub(at) < LimitEvery {
+	if at, seen := l.last[number]; seen && now.Sub(at) < LogInterval {
 		l.left[number]++
 		return 0, false
 	}
--- a/internal/base/event/raised_test.go
+++ b/internal/base/event/raised_test.go
@@ -51,7 +51,7 @@
 	// And this one, in the stream that the lines are missing from.
 	used["LinesLost"] = true
 	planned := map[uint32]bool{}
-	for _, id := range event.Planned() {
+	for _, id := range event.Unraised() {
 		planned[id.Number] = true
 	}
 	for _, name := range names(t) {
--- a/internal/base/event/registry.go
+++ b/internal/base/event/registry.go
@@ -7,23 +7,23 @@
 	"strings"
 )
 
-var catalogue []ID
+var catalogue []Definition
 
-func def(number uint32, name string, level Level, text, advice string) ID {
-	id := ID{Number: number, Name: name, Level: level, Text: text, Advice: advice}
+func def(number uint32, name string, level Level, text, advice string) Definition {
+	id := Definition{Number: number, Name: name, Level: level, Text: text, Advice: advice}
 	catalogue = append(catalogue, id)
 	return id
 }
 
 // All returns the catalogue in the order of numbers.
-func All() []ID {
+func All() []Definition {
 	all := slices.Clone(catalogue)
-	slices.SortFunc(all, func(a, b ID) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(all, func(a, b Definition) int { return cmp.Compare(a.Number, b.Number) })
 	return all
 }
 
-// Planned returns the events that nothing raises yet.
-func Planned() []ID { return slices.Clone(planned) }
+// Unraised returns the events that nothing raises yet.
+func Unraised() []Definition { return slices.Clone(planned) }
 
 // Markdown returns the table that docs/EVENTS.md holds.
 func Markdown() string {
--- a/internal/base/event/writer.go
+++ b/internal/base/event/writer.go
@@ -25,10 +25,10 @@
 	lossEvery = time.Second
 )
 
-// Writer hands lines to a slow reader without ever waiting for it: a process
+// AsyncWriter hands lines to a slow reader without ever waiting for it: a process
 // must not stand still because nobody reads its log. Lines that find no room are
 // dropped and counted. Set Out, then call Run.
-type Writer struct {
+type AsyncWriter struct {
 	Out io.Writer
 
 	once  sync.Once
@@ -38,9 +38,9 @@
 }
 
 // drops counts the lines left out; it is there, at 0, in every process.
-var drops = meter.Common.GetOrCreateCounter(meter.Name("base", "log_drops_total"))
+var drops = meter.ProcessMetrics.GetOrCreateCounter(meter.Name("base", "log_drops_total"))
 
-func (w *Writer) init() {
+func (w *AsyncWriter) init() {
 	w.once.Do(func() {
 		w.lines = make(chan []byte, writerQueue)
 		w.done = make(chan struct{})
@@ -48,7 +48,7 @@
 }
 
 // Write queues one line; it never blocks and never fails.
-func (w *Writer) Write(b []byte) (int, error) {
+func (w *AsyncWriter) Write(b []byte) (int, error) {
 	w.init()
 	if len(w.lines) >= writerQueue-reserve && bytes.Contains(b, ordinary) {
 		w.drop()
@@ -65,16 +65,16 @@
 // ordinary marks a line that may be left out first.
 var ordinary = []byte(`"level":"INFO"`)
 
-func (w *Writer) drop() {
+func (w *AsyncWriter) drop() {
 	w.lost.Add(1)
 	drops.Inc()
 }
 
 // Done is closed when Run has returned.
-func (w *Writer) Done() <-chan struct{} { w.init(); return w.done }
+func (w *AsyncWriter) Done() <-chan struct{} { w.init(); return w.done }
 
 // Run writes the lines until stop is closed, then what still waits.
-func (w *Writer) Run(stop <-chan struct{}) {
+func (w *AsyncWriter) Run(stop <-chan struct{}) {
 	w.init()
 	defer close(w.done)
 	out := bufio.NewWriterSize(w.Out, writerBuffer)
@@ -99,7 +99,7 @@
 	}
 }
 
-func (w *Writer) drain(out *bufio.Writer) {
+func (w *AsyncWriter) drain(out *bufio.Writer) {
 	for {
 		select {
 		case line := <-w.lines:
--- a/internal/base/event/writer_test.go
+++ b/internal/base/event/writer_test.go
@@ -26,7 +26,7 @@
 // still; what it leaves out is counted, and refusals are left out last.
 func TestWriterNeverWaitsForItsReader(t *testing.T) {
 	out := &stuck{}
-	w := &event.Writer{Out: out}
+	w := &event.AsyncWriter{Out: out}
 	log := event.New(w, "info")
 	stop := make(chan struct{})
 	out.mu.Lock()
--- a/internal/base/files/conn.go
+++ b/internal/base/files/conn.go
@@ -11,19 +11,19 @@
 // patience is how long a dial waits for room.
 const patience = time.Second
 
-// Dial opens a connection.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dial returns a dial whose connections count for a use. One that finds no room
+// LimitDial returns a dial whose connections count for a use. One that finds no room
 // calls full, which closes idle ones, and waits.
-func (b *Budget) Dial(u Use, dial Dial, full func()) Dial {
+func (b *Budget) LimitDial(u Purpose, dial DialFunc, full func()) DialFunc {
 	if b == nil {
 		return dial
 	}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		waiting, cancel := context.WithTimeout(ctx, patience)
 		defer cancel()
-		if err := b.Wait(waiting, u, full); err != nil {
+		if err := b.Acquire(waiting, u, full); err != nil {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: err}
 		}
 		return b.counted(u, func() (net.Conn, error) { return dial(ctx, network, address) })
@@ -31,13 +31,13 @@
 }
 
 // counted returns a connection for which there is room; it counts until it is closed.
-func (b *Budget) counted(u Use, open func() (net.Conn, error)) (net.Conn, error) {
+func (b *Budget) counted(u Purpose, open func() (net.Conn, error)) (net.Conn, error) {
 	c, err := open()
 	if err != nil {
-		b.Free(u)
+		b.Release(u)
 		return nil, err
 	}
-	return &conn{Conn: c, close: sync.OnceFunc(func() { b.Free(u) })}, nil
+	return &conn{Conn: c, close: sync.OnceFunc(func() { b.Release(u) })}, nil
 }
 
 // conn is a connection that counts until it is closed.
@@ -51,9 +51,9 @@
 	return c.Conn.Close()
 }
 
-// Listen returns a listener whose connections count for a use. Without room none is
+// LimitListener returns a listener whose connections count for a use. Without room none is
 // taken: those that come wait until another is closed.
-func (b *Budget) Listen(u Use, l net.Listener) net.Listener {
+func (b *Budget) LimitListener(u Purpose, l net.Listener) net.Listener {
 	if b == nil {
 		return l
 	}
@@ -64,13 +64,13 @@
 type listener struct {
 	net.Listener
 	budget *Budget
-	use    Use
+	use    Purpose
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
 func (l *listener) Accept() (net.Conn, error) {
-	if err := l.budget.Wait(l.ctx, l.use, func() {}); err != nil {
+	if err := l.budget.Acquire(l.ctx, l.use, func() {}); err != nil {
 		return nil, net.ErrClosed
 	}
 	return l.budget.counted(l.use, l.Listener.Accept)
@@ -81,14 +81,14 @@
 	return l.Listener.Close()
 }
 
-// Serve returns a handler that lets connections end after their answer while the
+// CloseUnderPressure returns a handler that lets connections end after their answer while the
 // use is pressed, so that others find room.
-func (b *Budget) Serve(u Use, h http.Handler) http.Handler {
+func (b *Budget) CloseUnderPressure(u Purpose, h http.Handler) http.Handler {
 	if b == nil {
 		return h
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.ProtoMajor == 1 && b.Pressed(u) {
+		if r.ProtoMajor == 1 && b.UnderPressure(u) {
 			w.Header().Set("Connection", "close")
 		}
 		h.ServeHTTP(w, r)
--- a/internal/base/files/files.go
+++ b/internal/base/files/files.go
@@ -14,14 +14,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Use is what files are open for. The uses before one come first.
-type Use uint8
+// Purpose is what files are open for. The uses before one come first.
+type Purpose uint8
 
 // The uses, the most important first.
 const (
-	// Own are journal, snapshot, listeners, what the runtime needs, and the few that
+	// Essential are journal, snapshot, listeners, what the runtime needs, and the few that
 	// ask how the process is.
-	Own Use = iota
+	Essential Purpose = iota
 	// Peers are the connections of the consensus group.
 	Peers
 	// Processes are those between our own processes, and to services beside them.
@@ -36,7 +36,7 @@
 var names = [uses]string{"own", "peers", "processes", "callers", "servers"}
 
 // String returns the name of the use.
-func (u Use) String() string { return names[u] }
+func (u Purpose) String() string { return names[u] }
 
 // What is kept for each use, in files or as one part of so many of what is left.
 const (
@@ -56,8 +56,8 @@
 	again = 20 * time.Millisecond
 )
 
-// ErrNone means that a use has no file left; nothing was opened.
-var ErrNone = errors.New("the process may open no more files for this")
+// ErrNoFiles means that a use has no file left; nothing was opened.
+var ErrNoFiles = errors.New("the process may open no more files for this")
 
 // Budget is how many files a process may open for each use. What is opened for Own
 // and Peers need not be taken: what is kept for them is theirs. A nil Budget bounds
@@ -73,21 +73,21 @@
 	queues [uses][]chan struct{}
 }
 
-// New returns the budget of a process that may open so many files.
-func New(limit int) *Budget {
+// NewBudget returns the budget of a process that may open so many files.
+func NewBudget(limit int) *Budget {
 	b := &Budget{limit: limit}
-	b.kept[Own] = min(own, limit/ownOf)
+	b.kept[Essential] = min(own, limit/ownOf)
 	b.kept[Peers] = min(peers, limit/ownOf)
-	left := limit - b.kept[Own] - b.kept[Peers]
+	left := limit - b.kept[Essential] - b.kept[Peers]
 	b.kept[Processes] = left / processesOf
 	b.kept[Callers] = left / callersOf
 	b.kept[Servers] = left - b.kept[Processes] - b.kept[Callers]
 	return b
 }
 
-// Limit returns how many files this process may open: what the system allows, and
+// ProcessLimit returns how many files this process may open: what the system allows, and
 // at most what the settings say, if that is more than 0.
-func Limit(settings int64) int {
+func ProcessLimit(settings int64) int {
 	most := uint64(unbounded)
 	if settings > 0 {
 		most = min(most, uint64(settings))
@@ -99,9 +99,9 @@
 	return int(most)
 }
 
-// Share returns how many files a use may have open now: all but what is kept for,
+// Allowance returns how many files a use may have open now: all but what is kept for,
 // or used by, the uses before it, and what those after it use.
-func (b *Budget) Share(u Use) int {
+func (b *Budget) Allowance(u Purpose) int {
 	if b == nil {
 		return unbounded
 	}
@@ -110,7 +110,7 @@
 	return b.share(u)
 }
 
-func (b *Budget) share(u Use) int {
+func (b *Budget) share(u Purpose) int {
 	left := b.limit
 	for other := range uses {
 		switch {
@@ -123,8 +123,8 @@
 	return max(left, 0)
 }
 
-// Take opens a file for a use, unless there is no room.
-func (b *Budget) Take(u Use) bool {
+// TryAcquire opens a file for a use, unless there is no room.
+func (b *Budget) TryAcquire(u Purpose) bool {
 	if b == nil {
 		return true
 	}
@@ -137,10 +137,10 @@
 	return true
 }
 
-// Wait opens a file for a use, as soon as there is room; ErrNone when ctx ends
+// Acquire opens a file for a use, as soon as there is room; ErrNone when ctx ends
 // before. Where it finds none it calls full now and then, which may make some.
-func (b *Budget) Wait(ctx context.Context, u Use, full func()) error {
-	if b.Take(u) {
+func (b *Budget) Acquire(ctx context.Context, u Purpose, full func()) error {
+	if b.TryAcquire(u) {
 		return nil
 	}
 	full()
@@ -165,14 +165,14 @@
 }
 
 // first tells whether somebody is the first in a queue.
-func (b *Budget) first(u Use, mine chan struct{}) bool {
+func (b *Budget) first(u Purpose, mine chan struct{}) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.queues[u]) > 0 && b.queues[u][0] == mine
 }
 
 // give ends somebody's wait without a file.
-func (b *Budget) give(u Use, mine chan struct{}) error {
+func (b *Budget) give(u Purpose, mine chan struct{}) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if i := slices.Index(b.queues[u], mine); i >= 0 {
@@ -181,7 +181,7 @@
 		b.open[u]-- // it was given one in this moment
 		b.next()
 	}
-	return errors.Wrapf(ErrNone, "%s", u)
+	return errors.Wrapf(ErrNoFiles, "%s", u)
 }
 
 // next lets those go on for whom there is room, the most important use first.
@@ -195,8 +195,8 @@
 	}
 }
 
-// Free closes a file.
-func (b *Budget) Free(u Use) {
+// Release closes a file.
+func (b *Budget) Release(u Purpose) {
 	if b == nil {
 		return
 	}
@@ -206,9 +206,9 @@
 	b.next()
 }
 
-// Pressed tells that a use has little left: what it keeps open without need should
+// UnderPressure tells that a use has little left: what it keeps open without need should
 // be closed.
-func (b *Budget) Pressed(u Use) bool {
+func (b *Budget) UnderPressure(u Purpose) bool {
 	if b == nil {
 		return false
 	}
@@ -218,24 +218,24 @@
 	return b.open[u] >= share-share/pressedOf
 }
 
-// Row is one use of the budget.
-type Row struct {
+// PurposeUsage is one use of the budget.
+type PurposeUsage struct {
 	Use string
 	// Kept is how many files the uses after it leave it, Open how many it has,
 	// Share how many it may have now, Waits how often it found none.
 	Kept, Open, Share, Waits int
 }
 
-// Rows returns all uses, for dumps and metrics.
-func (b *Budget) Rows() []Row {
+// Usage returns all uses, for dumps and metrics.
+func (b *Budget) Usage() []PurposeUsage {
 	if b == nil {
 		return nil
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]Row, 0, uses)
+	out := make([]PurposeUsage, 0, uses)
 	for u := range uses {
-		out = append(out, Row{Use: u.String(), Kept: b.kept[u], Open: b.open[u], Share: b.share(u), Waits: b.waits[u]})
+		out = append(out, PurposeUsage{Use: u.String(), Kept: b.kept[u], Open: b.open[u], Share: b.share(u), Waits: b.waits[u]})
 	}
 	return out
 }
--- a/internal/base/files/files_test.go
+++ b/internal/base/files/files_test.go
@@ -19,17 +19,17 @@
 // Calls to servers that take every file leave none for the log, for votes and for
 // those who ask.
 func TestCallsLeaveFilesForTheRest(t *testing.T) {
-	b := files.New(1000)
+	b := files.NewBudget(1000)
 	servers := 0
-	for b.Take(files.Servers) {
+	for b.TryAcquire(files.Servers) {
 		servers++
 	}
 	callers := 0
-	for b.Take(files.Callers) {
+	for b.TryAcquire(files.Callers) {
 		callers++
 	}
 	processes := 0
-	for b.Take(files.Processes) {
+	for b.TryAcquire(files.Processes) {
 		processes++
 	}
 	if servers < 200 || callers < 100 || processes < 50 {
@@ -45,29 +45,29 @@
 func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(0, 5000).Draw(t, "limit")
-		b := files.New(limit)
-		open := map[files.Use]int{}
+		b := files.NewBudget(limit)
+		open := map[files.Purpose]int{}
 		for range rapid.IntRange(0, 300).Draw(t, "steps") {
-			u := files.Use(rapid.IntRange(int(files.Processes), int(files.Servers)).Draw(t, "use"))
+			u := files.Purpose(rapid.IntRange(int(files.Processes), int(files.Servers)).Draw(t, "use"))
 			if many := rapid.IntRange(-20, 200).Draw(t, "many"); many > 0 {
 				for range many {
-					if b.Take(u) {
+					if b.TryAcquire(u) {
 						open[u]++
 					}
 				}
 			} else if open[u] > 0 {
-				b.Free(u)
+				b.Release(u)
 				open[u]--
 			}
 			total := 0
-			for _, r := range b.Rows() {
+			for _, r := range b.Usage() {
 				total += r.Open
-				if r.Use == files.Own.String() || r.Use == files.Peers.String() {
+				if r.Use == files.Essential.String() || r.Use == files.Peers.String() {
 					total += r.Kept
 				}
 			}
 			if total > limit {
-				t.Fatalf("%d of %d: %+v", total, limit, b.Rows())
+				t.Fatalf("%d of %d: %+v", total, limit, b.Usage())
 			}
 		}
 	})
@@ -77,14 +77,14 @@
 // must not wait for ever.
 func TestWaitEndsWithRoomOrTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := files.New(100)
-		for b.Take(files.Servers) {
+		b := files.NewBudget(100)
+		for b.TryAcquire(files.Servers) {
 		}
-		for b.Take(files.Callers) {
+		for b.TryAcquire(files.Callers) {
 		}
-		var order []files.Use
-		wait := func(u files.Use) {
-			if err := b.Wait(t.Context(), u, func() {}); err == nil {
+		var order []files.Purpose
+		wait := func(u files.Purpose) {
+			if err := b.Acquire(t.Context(), u, func() {}); err == nil {
 				order = append(order, u)
 			}
 		}
@@ -92,17 +92,17 @@
 		time.Sleep(time.Millisecond)
 		go wait(files.Callers)
 		time.Sleep(time.Millisecond)
-		b.Free(files.Callers)
+		b.Release(files.Callers)
 		synctest.Wait()
 		if len(order) != 1 || order[0] != files.Callers {
 			t.Errorf("went on: %v", order)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if err := b.Wait(ctx, files.Callers, func() {}); !errors.Is(err, files.ErrNone) {
+		if err := b.Acquire(ctx, files.Callers, func() {}); !errors.Is(err, files.ErrNoFiles) {
 			t.Errorf("got %v", err)
 		}
-		b.Free(files.Servers)
+		b.Release(files.Servers)
 		synctest.Wait()
 		if len(order) != 2 {
 			t.Errorf("went on: %v", order)
@@ -112,9 +112,9 @@
 
 // Idle connections of callers that keep all others out are let go.
 func TestIdleCallersMakeRoom(t *testing.T) {
-	b := files.New(40)
+	b := files.NewBudget(40)
 	var open atomic.Int32
-	s := httptest.NewUnstartedServer(b.Serve(files.Callers, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})))
+	s := httptest.NewUnstartedServer(b.CloseUnderPressure(files.Callers, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})))
 	s.Config.ConnState = func(_ net.Conn, st http.ConnState) {
 		switch st {
 		case http.StateNew:
@@ -123,7 +123,7 @@
 			open.Add(-1)
 		}
 	}
-	s.Listener = b.Listen(files.Callers, s.Listener)
+	s.Listener = b.LimitListener(files.Callers, s.Listener)
 	s.Start()
 	defer s.Close()
 	for range 200 {
@@ -143,13 +143,13 @@
 
 // The limit is the lower one of the system's and the settings'.
 func TestLimitIsTheLowerOne(t *testing.T) {
-	if got := files.Limit(100); got != 100 {
+	if got := files.ProcessLimit(100); got != 100 {
 		t.Errorf("with 100 in the settings: %d", got)
 	}
-	if got := files.Limit(0); got < 100 {
+	if got := files.ProcessLimit(0); got < 100 {
 		t.Errorf("without settings: %d", got)
 	}
-	if got := files.Limit(1 << 40); got != files.Limit(0) {
+	if got := files.ProcessLimit(1 << 40); got != files.ProcessLimit(0) {
 		t.Errorf("with more in the settings than the system allows: %d", got)
 	}
 }
--- a/internal/base/files/meter.go
+++ b/internal/base/files/meter.go
@@ -6,14 +6,14 @@
 	"gypsumreel/internal/base/meter"
 )
 
-// Meter shows the budget in a set of metrics.
-func (b *Budget) Meter(set *metrics.Set) {
-	for i, r := range b.Rows() {
-		gauge := func(what string, value func(Row) int) {
-			set.NewGauge(meter.Name("files", what, meter.Label{Name: "use", Value: r.Use}), func() float64 { return float64(value(b.Rows()[i])) })
+// RegisterMetrics shows the budget in a set of metrics.
+func (b *Budget) RegisterMetrics(set *metrics.Set) {
+	for i, r := range b.Usage() {
+		gauge := func(what string, value func(PurposeUsage) int) {
+			set.NewGauge(meter.Name("files", what, meter.Label{Name: "use", Value: r.Use}), func() float64 { return float64(value(b.Usage()[i])) })
 		}
-		gauge("open", func(r Row) int { return r.Open })
-		gauge("share", func(r Row) int { return r.Share })
-		gauge("waits_total", func(r Row) int { return r.Waits })
+		gauge("open", func(r PurposeUsage) int { return r.Open })
+		gauge("share", func(r PurposeUsage) int { return r.Share })
+		gauge("waits_total", func(r PurposeUsage) int { return r.Waits })
 	}
 }
--- a/internal/base/collect/collect.go
+++ b/internal/base/gctuner/collect.go
@@ -2,7 +2,7 @@
 // all that is live. In a small cell that is soon done, and garbage as large as the
 // live heap costs memory for little; in a large one the leader would spend on
 // marking what its decisions need. A fixed setting suits one size of cell only.
-package collect
+package gctuner
 
 import (
 	"context"
@@ -30,9 +30,9 @@
 	step = 5
 )
 
-// Percent returns the garbage that may pile up beside a live heap of so many bytes,
+// GCPercent returns the garbage that may pile up beside a live heap of so many bytes,
 // in percent of it.
-func Percent(live uint64) int {
+func GCPercent(live uint64) int {
 	const even = 100
 	return int(min(max(even*live/evenHeap, leastPercent), mostPercent))
 }
@@ -46,7 +46,7 @@
 	debug.SetGCPercent(set)
 	for {
 		metrics.Read(read)
-		p := Percent(read[0].Value.Uint64())
+		p := GCPercent(read[0].Value.Uint64())
 		if time.Since(begin) < firstTime {
 			p = max(p, firstPercent)
 		}
--- a/internal/base/collect/collect_test.go
+++ b/internal/base/gctuner/collect_test.go
@@ -1,9 +1,9 @@
-package collect_test
+package gctuner_test
 
 import (
 	"testing"
 
-	"gypsumreel/internal/base/collect"
+	"gypsumreel/internal/base/gctuner"
 )
 
 // The leader of hundreds of servers collected at twice its live heap, and callers
@@ -16,7 +16,7 @@
 		live uint64
 		want int
 	}{{0, 50}, {4 * mb, 50}, {10 * mb, 100}, {30 * mb, 300}, {1000 * mb, 400}} {
-		got := collect.Percent(c.live)
+		got := gctuner.GCPercent(c.live)
 		if got != c.want || got < last {
 			t.Errorf("%d MB: %d percent, want %d", c.live/mb, got, c.want)
 		}
--- a/internal/base/meter/meter.go
+++ b/internal/base/meter/meter.go
@@ -12,9 +12,9 @@
 // Prefix begins every name.
 const Prefix = "gypsumreel"
 
-// Common holds the metrics of all processes; /metrics shows it beside the sets
+// ProcessMetrics holds the metrics of all processes; /metrics shows it beside the sets
 // of the parts that a process runs.
-var Common = metrics.NewSet()
+var ProcessMetrics = metrics.NewSet()
 
 // Label is one label of a metric.
 type Label struct{ Name, Value string }
--- a/internal/base/meter/meter_test.go
+++ b/internal/base/meter/meter_test.go
@@ -11,7 +11,7 @@
 		`gypsumreel_entry_calls_total`: meter.Name("entry", "calls_total"),
 		`gypsumreel_a_b{c="\"",d="e"}`: meter.Name("a", "b", meter.Label{Name: "c", Value: `"`}, meter.Label{Name: "d", Value: "e"}),
 	} {
-		meter.Common.GetOrCreateCounter(got).Inc()
+		meter.ProcessMetrics.GetOrCreateCounter(got).Inc()
 		if got != want {
 			t.Errorf("got %s, want %s", got, want)
 		}
--- a/internal/base/page/page.go
+++ b/internal/base/page/page.go
@@ -10,8 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Update is the environment variable that makes Check rewrite pages.
-const Update = "UPDATE_PAGES"
+// UpdateVariable is the environment variable that makes Check rewrite pages.
+const UpdateVariable = "UPDATE_PAGES"
 
 const (
 	open  = "<!-- generated: do not edit below; run UPDATE_PAGES=1 go test -->\n"
@@ -19,8 +19,8 @@
 	perms = 0o644
 )
 
-// Check compares the generated part of a page, between its two markers, with want.
-func Check(t testing.TB, path, want string) {
+// CheckGenerated compares the generated part of a page, between its two markers, with want.
+func CheckGenerated(t testing.TB, path, want string) {
 	t.Helper()
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -34,8 +34,8 @@
 	if got == want {
 		return
 	}
-	if os.Getenv(Update) == "" {
-		t.Fatalf("%s is out of date; run %s=1 go test:\n%s", path, Update, cmp.Diff(want, got))
+	if os.Getenv(UpdateVariable) == "" {
+		t.Fatalf("%s is out of date; run %s=1 go test:\n%s", path, UpdateVariable, cmp.Diff(want, got))
 	}
 	if err := os.WriteFile(path, []byte(head+open+want+shut+tail), perms); err != nil {
 		t.Fatal(err)
--- a/internal/base/secure/config.go
+++ b/internal/base/secure/config.go
@@ -13,14 +13,14 @@
 var (
 	// ErrNoCertificate means that the other end showed none.
 	ErrNoCertificate = errors.New("no certificate")
-	// ErrName means that the other end is none of those expected.
-	ErrName = errors.New("the certificate bears no expected name")
+	// ErrUnexpectedName means that the other end is none of those expected.
+	ErrUnexpectedName = errors.New("the certificate bears no expected name")
 )
 
-// Server returns the configuration of a listener. With an authority, a client
+// ServerConfig returns the configuration of a listener. With an authority, a client
 // without a certificate that it signed is refused in the handshake, before
 // anything of a request is read.
-func (s *Store) Server() *tls.Config {
+func (s *CertificateStore) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{"h2", "http/1.1"},
@@ -46,9 +46,9 @@
 	return cfg
 }
 
-// Client returns the configuration of a dialler inside the cell. The other end
+// ClientConfig returns the configuration of a dialler inside the cell. The other end
 // has to bear one of the names given, whatever its address is.
-func (s *Store) Client(names ...string) *tls.Config {
+func (s *CertificateStore) ClientConfig(names ...string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (s *Store) verify(state tls.ConnectionState, names []string) error {
+func (s *CertificateStore) verify(state tls.ConnectionState, names []string) error {
 	if len(state.PeerCertificates) == 0 {
 		return ErrNoCertificate
 	}
@@ -81,25 +81,25 @@
 			return nil
 		}
 	}
-	return errors.Wrapf(ErrName, "%q, not one of %q", leaf.DNSNames, names)
+	return errors.Wrapf(ErrUnexpectedName, "%q, not one of %q", leaf.DNSNames, names)
 }
 
-// Names returns the names in the certificate of whoever sent a request; none
+// PeerNames returns the names in the certificate of whoever sent a request; none
 // for a connection without TLS or without a certificate.
-func Names(r *http.Request) []string {
+func PeerNames(r *http.Request) []string {
 	if r.TLS == nil || len(r.TLS.VerifiedChains) == 0 {
 		return nil
 	}
 	return r.TLS.PeerCertificates[0].DNSNames
 }
 
-// Only lets requests through whose sender bears a name that allow accepts.
+// RequireName lets requests through whose sender bears a name that allow accepts.
 // Others are refused before their body is read. It guards against a process of
 // the cell in the wrong role: an entry's certificate must not vote.
-func Only(allow func(name string) bool, next http.Handler) http.Handler {
+func RequireName(allow func(name string) bool, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !slices.ContainsFunc(Names(r), allow) {
-			http.Error(w, ErrName.Error(), http.StatusForbidden)
+		if !slices.ContainsFunc(PeerNames(r), allow) {
+			http.Error(w, ErrUnexpectedName.Error(), http.StatusForbidden)
 			return
 		}
 		next.ServeHTTP(w, r)
--- a/internal/base/secure/secure.go
+++ b/internal/base/secure/secure.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// DefaultInterval is the time between two looks at the files.
-	DefaultInterval = 5 * time.Second
-	// Expiring is the rest of a certificate's life from which it is warned about.
-	Expiring = 14 * 24 * time.Hour
+	// DefaultReloadInterval is the time between two looks at the files.
+	DefaultReloadInterval = 5 * time.Second
+	// ExpiryWarning is the rest of a certificate's life from which it is warned about.
+	ExpiryWarning = 14 * 24 * time.Hour
 	// warnEvery is the time between two such warnings.
 	warnEvery = 12 * time.Hour
 )
@@ -35,9 +35,9 @@
 	Authority string
 }
 
-// Store holds what the files said last. Set the exported fields, call Load, and
+// CertificateStore holds what the files said last. Set the exported fields, call Load, and
 // Run for as long as the configurations are in use.
-type Store struct {
+type CertificateStore struct {
 	Files Files
 	// Interval is the time between two looks at the files.
 	Interval time.Duration
@@ -59,15 +59,15 @@
 }
 
 // New returns a store of the files.
-func New(files Files, log logr.Logger) *Store {
-	return &Store{Files: files, Log: log, done: make(chan struct{})}
+func New(files Files, log logr.Logger) *CertificateStore {
+	return &CertificateStore{Files: files, Log: log, done: make(chan struct{})}
 }
 
 // Done is closed when Run has returned.
-func (s *Store) Done() <-chan struct{} { return s.done }
+func (s *CertificateStore) Done() <-chan struct{} { return s.done }
 
 // Load reads the files for the first time. A process doesn't start without.
-func (s *Store) Load() error {
+func (s *CertificateStore) Load() error {
 	raw, err := s.read()
 	if err != nil {
 		return err
@@ -82,11 +82,11 @@
 }
 
 // Run looks at the files until ctx ends.
-func (s *Store) Run(ctx context.Context) error {
+func (s *CertificateStore) Run(ctx context.Context) error {
 	defer close(s.done)
 	interval := s.Interval
 	if interval <= 0 {
-		interval = DefaultInterval
+		interval = DefaultReloadInterval
 	}
 	t := time.NewTicker(interval)
 	defer t.Stop()
@@ -95,17 +95,17 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-t.C:
-			s.Refresh(now)
+			s.Reload(now)
 		}
 	}
 }
 
-// Refresh takes changed files into force for new connections. It guards against
+// Reload takes changed files into force for new connections. It guards against
 // files caught halfway through their replacement, such as a new certificate
 // beside the old key: whatever does not fit together leaves the old ones in
 // force and is read again at the next look. A file is judged by its content,
 // since a time of change has too coarse a step on some file systems.
-func (s *Store) Refresh(now time.Time) {
+func (s *CertificateStore) Reload(now time.Time) {
 	old := s.current.Load()
 	s.warn(now, old)
 	raw, err := s.read()
@@ -128,7 +128,7 @@
 }
 
 // refuse says once what is wrong with one state of the files.
-func (s *Store) refuse(raw [3][]byte, err error) {
+func (s *CertificateStore) refuse(raw [3][]byte, err error) {
 	if s.bad[0] != nil && same(raw, s.bad) {
 		return
 	}
@@ -136,18 +136,18 @@
 	if s.bad[0] == nil {
 		s.bad[0] = []byte{}
 	}
-	event.Fail(s.Log, event.TLSBad, err, "certificate", s.Files.Certificate)
+	event.LogError(s.Log, event.TLSBad, err, "certificate", s.Files.Certificate)
 }
 
-func (s *Store) warn(now time.Time, m *material) {
-	if m.ends.Sub(now) > Expiring || now.Sub(s.warned) < warnEvery {
+func (s *CertificateStore) warn(now time.Time, m *material) {
+	if m.ends.Sub(now) > ExpiryWarning || now.Sub(s.warned) < warnEvery {
 		return
 	}
 	s.warned = now
 	event.Log(s.Log, event.TLSExpiring, "certificate", s.Files.Certificate, "ends", m.ends)
 }
 
-func (s *Store) read() (raw [3][]byte, err error) {
+func (s *CertificateStore) read() (raw [3][]byte, err error) {
 	for i, path := range []string{s.Files.Certificate, s.Files.Key, s.Files.Authority} {
 		if path == "" && i == len(raw)-1 {
 			continue
--- a/internal/base/secure/secure_test.go
+++ b/internal/base/secure/secure_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func load(t *testing.T, f secure.Files, log logr.Logger) *secure.Store {
+func load(t *testing.T, f secure.Files, log logr.Logger) *secure.CertificateStore {
 	s := secure.New(f, log)
 	if err := s.Load(); err != nil {
 		t.Fatal(err)
@@ -130,14 +130,14 @@
 func TestBadProofIsRefusedBeforeAnyWork(t *testing.T) {
 	good, other := newAuthority(t), newAuthority(t)
 	server := load(t, good.issue(t.TempDir(), "control-a", time.Hour), logr.Discard())
-	url, count := serve(t, server.Server(), nil)
+	url, count := serve(t, server.ServerConfig(), nil)
 
 	alien := other.issue(t.TempDir(), "control-b", time.Hour)
 	write(t, alien.Authority, good.pem) // trusts the server, but isn't trusted
 	ended := good.issue(t.TempDir(), "control-b", -time.Minute)
 	for name, cfg := range map[string]*tls.Config{
-		"other authority": load(t, alien, logr.Discard()).Client("control-a"),
-		"ended":           load(t, ended, logr.Discard()).Client("control-a"),
+		"other authority": load(t, alien, logr.Discard()).ClientConfig("control-a"),
+		"ended":           load(t, ended, logr.Discard()).ClientConfig("control-a"),
 		"none":            {InsecureSkipVerify: true},
 	} {
 		if _, err := get(cfg, url); err == nil {
@@ -151,22 +151,22 @@
 		t.Errorf("%d requests reached the handler", n)
 	}
 	ok := load(t, good.issue(t.TempDir(), "control-b", time.Hour), logr.Discard())
-	if status, err := get(ok.Client("control-a"), url); err != nil || status != http.StatusOK || count.Load() != 1 {
+	if status, err := get(ok.ClientConfig("control-a"), url); err != nil || status != http.StatusOK || count.Load() != 1 {
 		t.Errorf("good proof: %d, %v", status, err)
 	}
 }
 
 func TestDiallerChecksTheNameAndTheAuthority(t *testing.T) {
 	good, other := newAuthority(t), newAuthority(t)
-	url, _ := serve(t, load(t, good.issue(t.TempDir(), "entry-1", time.Hour), logr.Discard()).Server(), nil)
+	url, _ := serve(t, load(t, good.issue(t.TempDir(), "entry-1", time.Hour), logr.Discard()).ServerConfig(), nil)
 	client := load(t, good.issue(t.TempDir(), "control-b", time.Hour), logr.Discard())
-	if _, err := get(client.Client("control-a", "control-c"), url); err == nil || !strings.Contains(err.Error(), secure.ErrName.Error()) {
+	if _, err := get(client.ClientConfig("control-a", "control-c"), url); err == nil || !strings.Contains(err.Error(), secure.ErrUnexpectedName.Error()) {
 		t.Errorf("another name: %v", err)
 	}
-	if _, err := get(load(t, other.issue(t.TempDir(), "control-b", time.Hour), logr.Discard()).Client("entry-1"), url); err == nil {
+	if _, err := get(load(t, other.issue(t.TempDir(), "control-b", time.Hour), logr.Discard()).ClientConfig("entry-1"), url); err == nil {
 		t.Error("a server of another authority was trusted")
 	}
-	if _, err := get(client.Client(), url); err == nil {
+	if _, err := get(client.ClientConfig(), url); err == nil {
 		t.Error("a dialler that expects nobody was content")
 	}
 }
@@ -176,12 +176,12 @@
 func TestOnlyExpectedNamesPass(t *testing.T) {
 	a := newAuthority(t)
 	only := func(h http.Handler) http.Handler {
-		return secure.Only(func(name string) bool { return name == "control-b" }, h)
+		return secure.RequireName(func(name string) bool { return name == "control-b" }, h)
 	}
-	url, count := serve(t, load(t, a.issue(t.TempDir(), "control-a", time.Hour), logr.Discard()).Server(), only)
+	url, count := serve(t, load(t, a.issue(t.TempDir(), "control-a", time.Hour), logr.Discard()).ServerConfig(), only)
 	for name, want := range map[string]int{"entry-1": http.StatusForbidden, "control-b": http.StatusOK} {
 		client := load(t, a.issue(t.TempDir(), name, time.Hour), logr.Discard())
-		if status, err := get(client.Client("control-a"), url); err != nil || status != want {
+		if status, err := get(client.ClientConfig("control-a"), url); err != nil || status != want {
 			t.Errorf("%s: %d, %v", name, status, err)
 		}
 	}
@@ -204,9 +204,9 @@
 	server := load(t, before.issue(dir, "control-a", time.Hour), logr.Discard())
 	client := load(t, before.issue(clientDir, "control-b", time.Hour), logr.Discard())
 	leftBehind := load(t, before.issue(t.TempDir(), "control-c", time.Hour), logr.Discard())
-	url, _ := serve(t, server.Server(), nil)
+	url, _ := serve(t, server.ServerConfig(), nil)
 
-	live := &http.Client{Transport: &http.Transport{TLSClientConfig: client.Client("control-a"), ForceAttemptHTTP2: true}}
+	live := &http.Client{Transport: &http.Transport{TLSClientConfig: client.ClientConfig("control-a"), ForceAttemptHTTP2: true}}
 	r, w := io.Pipe()
 	first := make(chan error, 1)
 	go func() {
@@ -223,13 +223,13 @@
 
 	after.issue(dir, "control-a", time.Hour)
 	after.issue(clientDir, "control-b", time.Hour)
-	server.Refresh(time.Now())
-	client.Refresh(time.Now())
+	server.Reload(time.Now())
+	client.Reload(time.Now())
 
-	if status, err := get(client.Client("control-a"), url); err != nil || status != http.StatusOK {
+	if status, err := get(client.ClientConfig("control-a"), url); err != nil || status != http.StatusOK {
 		t.Errorf("new connection: %d, %v", status, err)
 	}
-	if _, err := get(leftBehind.Client("control-a"), url); err == nil {
+	if _, err := get(leftBehind.ClientConfig("control-a"), url); err == nil {
 		t.Error("the old authority is still trusted")
 	}
 	if _, err := w.Write([]byte("ended")); err != nil {
@@ -250,7 +250,7 @@
 	f := a.issue(dir, "control-a", time.Hour)
 	server := load(t, f, event.New(&log, "info"))
 	client := load(t, a.issue(t.TempDir(), "control-b", time.Hour), logr.Discard())
-	url, _ := serve(t, server.Server(), nil)
+	url, _ := serve(t, server.ServerConfig(), nil)
 	oldKey, err := os.ReadFile(f.Key)
 	if err != nil {
 		t.Fatal(err)
@@ -261,23 +261,23 @@
 		t.Fatal(err)
 	}
 	write(t, f.Key, oldKey)
-	server.Refresh(time.Now())
-	server.Refresh(time.Now())
-	if _, err := get(client.Client("control-a"), url); err != nil {
+	server.Reload(time.Now())
+	server.Reload(time.Now())
+	if _, err := get(client.ClientConfig("control-a"), url); err != nil {
 		t.Error(err)
 	}
 	if n := strings.Count(log.String(), `"name":"tls-bad"`); n != 1 {
 		t.Errorf("told %d times:\n%s", n, log.String())
 	}
 	write(t, f.Key, newKey)
-	server.Refresh(time.Now())
+	server.Reload(time.Now())
 	if n := strings.Count(log.String(), `"name":"tls-reloaded"`); n != 1 {
 		t.Errorf("reloaded %d times:\n%s", n, log.String())
 	}
 	if err := os.Remove(f.Authority); err != nil {
 		t.Fatal(err)
 	}
-	server.Refresh(time.Now())
+	server.Reload(time.Now())
 	if _, err := get(&tls.Config{InsecureSkipVerify: true}, url); err == nil {
 		t.Error("a missing authority file opened the listener to everyone")
 	}
@@ -287,12 +287,12 @@
 	var log strings.Builder
 	s := load(t, newAuthority(t).issue(t.TempDir(), "control-a", 20*24*time.Hour), event.New(&log, "info"))
 	now := time.Now()
-	s.Refresh(now)
+	s.Reload(now)
 	if strings.Contains(log.String(), "tls-expiring") {
 		t.Error("warned too early")
 	}
-	s.Refresh(now.Add(7 * 24 * time.Hour))
-	s.Refresh(now.Add(7*24*time.Hour + time.Minute))
+	s.Reload(now.Add(7 * 24 * time.Hour))
+	s.Reload(now.Add(7*24*time.Hour + time.Minute))
 	if n := strings.Count(log.String(), "tls-expiring"); n != 1 {
 		t.Errorf("warned %d times", n)
 	}
--- a/internal/base/settings/check.go
+++ b/internal/base/settings/check.go
@@ -28,7 +28,7 @@
 func (r *reader) checkPeers(s *Settings, root value) {
 	names, addresses := map[string]bool{}, map[string]bool{}
 	v := r.at("control", root)
-	for _, p := range s.Control {
+	for _, p := range s.ControlReplicas {
 		if p.Name != "" && names[p.Name] {
 			r.report(v, "name "+p.Name+" stands twice; allowed: once")
 		}
@@ -37,17 +37,17 @@
 		}
 		names[p.Name], addresses[p.Address] = true, true
 	}
-	if !r.sets("control") || r.bad["name"] || s.Role != Control {
+	if !r.sets("control") || r.bad["name"] || s.Role != RoleControl {
 		return
 	}
-	if _, ok := s.Lookup(s.Name); !ok {
+	if _, ok := s.FindReplica(s.Name); !ok {
 		r.report(v, fmt.Sprintf("does not list this replica; allowed: a list with the name %q", s.Name))
 	}
 }
 
 // checkSide refuses a side that is neither secured nor plainly meant to be open:
 // a forgotten file must not turn into an unsecured listener.
-func (r *reader) checkSide(path string, side Side, mutual bool, root value) {
+func (r *reader) checkSide(path string, side TLSConfig, mutual bool, root value) {
 	v := r.at(path+".plain", root)
 	files := side.Certificate != "" || side.Key != "" || side.Authority != ""
 	switch {
@@ -64,13 +64,13 @@
 }
 
 func (r *reader) checkTimes(s *Settings, root value) {
-	if s.Time.Election < ElectionBeats*s.Time.Heartbeat {
-		r.report(r.at("time.election", root), fmt.Sprintf("%s; allowed: at least %d times time.heartbeat, %s", s.Time.Election, ElectionBeats, s.Time.Heartbeat))
+	if s.Time.ElectionTimeout < MinElectionHeartbeats*s.Time.HeartbeatInterval {
+		r.report(r.at("time.election", root), fmt.Sprintf("%s; allowed: at least %d times time.heartbeat, %s", s.Time.ElectionTimeout, MinElectionHeartbeats, s.Time.HeartbeatInterval))
 	}
-	if s.Time.Patience < s.Time.Election {
-		r.report(r.at("time.patience", root), fmt.Sprintf("%s; allowed: at least time.election, %s", s.Time.Patience, s.Time.Election))
+	if s.Time.MaxElectionTimeout < s.Time.ElectionTimeout {
+		r.report(r.at("time.patience", root), fmt.Sprintf("%s; allowed: at least time.election, %s", s.Time.MaxElectionTimeout, s.Time.ElectionTimeout))
 	}
-	if s.Time.Lease < 2*s.Time.Patience {
-		r.report(r.at("time.lease", root), fmt.Sprintf("%s; allowed: at least twice time.patience, %s", s.Time.Lease, s.Time.Patience))
+	if s.Time.LeaseDuration < 2*s.Time.MaxElectionTimeout {
+		r.report(r.at("time.lease", root), fmt.Sprintf("%s; allowed: at least twice time.patience, %s", s.Time.LeaseDuration, s.Time.MaxElectionTimeout))
 	}
 }
--- a/internal/base/settings/fault.go
+++ b/internal/base/settings/fault.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// MaxFaults bounds the faults that are shown with their places: to find a place
+// MaxReportedFaults bounds the faults that are shown with their places: to find a place
 // takes a walk over the file, and a file that is no settings file at all may
 // have tens of thousands of faults, which would take a start many seconds.
-const MaxFaults = 100
+const MaxReportedFaults = 100
 
 // Fault is one thing wrong with a file.
 type Fault struct {
--- a/internal/base/settings/kind.go
+++ b/internal/base/settings/kind.go
@@ -157,14 +157,14 @@
 		r.refuse(v, allowedPeers)
 		return
 	}
-	s.Control = nil
+	s.ControlReplicas = nil
 	for _, item := range items {
-		s.Control = append(s.Control, readPeer(r, item))
+		s.ControlReplicas = append(s.ControlReplicas, readPeer(r, item))
 	}
 }
 
-func readPeer(r *reader, v value) Peer {
-	var p Peer
+func readPeer(r *reader, v value) ControlReplica {
+	var p ControlReplica
 	fields := r.members(v, "name", "address")
 	for name, field := range fields {
 		t, ok := field.text()
@@ -209,7 +209,7 @@
 
 func readDigests(r *reader, s *Settings, v value) {
 	for _, t := range r.texts(v, MaxDigests, allowedDigests, allowedDigest, isDigest) {
-		s.Enrolment = append(s.Enrolment, strings.ToLower(t))
+		s.EnrolmentDigests = append(s.EnrolmentDigests, strings.ToLower(t))
 	}
 }
 
--- a/internal/base/settings/read.go
+++ b/internal/base/settings/read.go
@@ -83,7 +83,7 @@
 func (r *reader) report(v value, text string) {
 	key, _, _ := strings.Cut(v.path, "[")
 	r.bad[key] = true
-	if len(r.faults) >= MaxFaults {
+	if len(r.faults) >= MaxReportedFaults {
 		r.more++
 		return
 	}
@@ -116,7 +116,7 @@
 	s := &Settings{}
 	r.object(s, value{node: &root})
 	if s.Role == "" {
-		s.Role = Control
+		s.Role = RoleControl
 	}
 	fill(s, r.sets)
 	r.check(s, value{node: &root})
--- a/internal/base/settings/settings.go
+++ b/internal/base/settings/settings.go
@@ -14,8 +14,8 @@
 
 // The roles.
 const (
-	Control Role = "control"
-	Entry   Role = "entry"
+	RoleControl Role = "control"
+	RoleEntry   Role = "entry"
 )
 
 // Settings is what a daemon starts from. Default gives one that runs.
@@ -30,24 +30,24 @@
 	// backend servers are in.
 	Zones []string
 	Role  Role
-	// Data is the folder of the journal and snapshots; control only.
-	Data   string
-	Listen Listen
-	// Control lists the control replicas of the cell.
-	Control []Peer
-	// Enrolment holds the SHA-256 digests, in hexadecimal, of the secrets that
+	// DataDir is the folder of the journal and snapshots; control only.
+	DataDir string
+	Listen  Listen
+	// ControlReplicas lists the control replicas of the cell.
+	ControlReplicas []ControlReplica
+	// EnrolmentDigests holds the SHA-256 digests, in hexadecimal, of the secrets that
 	// backend servers may show; two during a change of secret.
-	Enrolment []string
-	// Operator is the digest of the first operator's secret, in hexadecimal.
-	Operator string
-	TLS      TLS
-	Time     Time
-	Limits   Limits
+	EnrolmentDigests []string
+	// OperatorDigest is the digest of the first operator's secret, in hexadecimal.
+	OperatorDigest string
+	TLS            TLS
+	Time           Time
+	Limits         Limits
 	// Platform is what only the adapter to a platform reads, as it stands in the
 	// file; empty for none.
 	Platform []byte
-	// Log is the least level that is logged: debug, info, warn or error.
-	Log string
+	// LogLevel is the least level that is logged: debug, info, warn or error.
+	LogLevel string
 }
 
 // Listen holds the addresses, IP:port, that the process listens on.
@@ -62,8 +62,8 @@
 	Platform string
 }
 
-// Peer is one control replica.
-type Peer struct {
+// ControlReplica is one control replica.
+type ControlReplica struct {
 	Name string
 	// Address is IP:port of its Listen.Control.
 	Address string
@@ -72,13 +72,13 @@
 // TLS holds the two sides of a process.
 type TLS struct {
 	// Outside is towards callers, backend servers, operators and the platform.
-	Outside Side
+	Outside TLSConfig
 	// Inside is between the processes of the cell; both ends show a certificate.
-	Inside Side
+	Inside TLSConfig
 }
 
-// Side says how connections of one side are secured.
-type Side struct {
+// TLSConfig says how connections of one side are secured.
+type TLSConfig struct {
 	// Plain turns TLS off; nothing else does.
 	Plain bool
 	// Certificate, Key and Authority are PEM files. With an authority a
@@ -90,47 +90,47 @@
 
 // Time holds intervals and delays.
 type Time struct {
-	// Lease is how long a backend server may run work unheard.
-	Lease time.Duration
-	// Heartbeat is the interval between a leader's heartbeats.
-	Heartbeat time.Duration
-	// Election is the least silence of a leader that starts an election, Patience the
+	// LeaseDuration is how long a backend server may run work unheard.
+	LeaseDuration time.Duration
+	// HeartbeatInterval is the interval between a leader's heartbeats.
+	HeartbeatInterval time.Duration
+	// ElectionTimeout is the least silence of a leader that starts an election, Patience the
 	// longest that it grows to.
-	Election time.Duration
-	Patience time.Duration
-	// Retention is how long an outcome is kept that nobody acknowledged.
-	Retention time.Duration
-	// Poll is the longest long poll.
-	Poll time.Duration
-	// Call is the deadline of an entry's call to a control replica, beyond a poll.
-	Call time.Duration
-	// Fresh is the age of the last contact with the leader past which an entry refuses.
-	Fresh time.Duration
-	// Drain is how long a stopping entry serves on after it fails its readiness.
-	Drain time.Duration
-	// Finish is the longest wait for requests in flight at a planned stop.
-	Finish time.Duration
-	// Reload is the interval at which the TLS files are looked at.
-	Reload time.Duration
+	ElectionTimeout    time.Duration
+	MaxElectionTimeout time.Duration
+	// OutcomeRetention is how long an outcome is kept that nobody acknowledged.
+	OutcomeRetention time.Duration
+	// MaxPoll is the longest long poll.
+	MaxPoll time.Duration
+	// CallTimeout is the deadline of an entry's call to a control replica, beyond a poll.
+	CallTimeout time.Duration
+	// MaxLeaderSilence is the age of the last contact with the leader past which an entry refuses.
+	MaxLeaderSilence time.Duration
+	// DrainDelay is how long a stopping entry serves on after it fails its readiness.
+	DrainDelay time.Duration
+	// FinishTimeout is the longest wait for requests in flight at a planned stop.
+	FinishTimeout time.Duration
+	// ReloadInterval is the interval at which the TLS files are looked at.
+	ReloadInterval time.Duration
 }
 
 // Limits bounds sizes and queues.
 type Limits struct {
-	// Batch is the most items in one message to the leader.
-	Batch int64
-	// Queue is the most requests that wait at an entry.
-	Queue int64
+	// BatchItems is the most items in one message to the leader.
+	BatchItems int64
+	// QueuedRequests is the most requests that wait at an entry.
+	QueuedRequests int64
 	// Connections is the most open connections of a listener.
 	Connections int64
-	// Snapshot is the number of entries between two snapshots.
-	Snapshot int64
-	// Dump is the largest state dump in bytes.
-	Dump int64
-	// Memory, Disk and Files are what the instance gives: MiB of memory, MiB on
+	// SnapshotEntries is the number of entries between two snapshots.
+	SnapshotEntries int64
+	// DumpBytes is the largest state dump in bytes.
+	DumpBytes int64
+	// MemoryMiB, Disk and Files are what the instance gives: MiB of memory, MiB on
 	// the data folder's disk, open files. 0 is not known.
-	Memory int64
-	Disk   int64
-	Files  int64
+	MemoryMiB int64
+	DiskMiB   int64
+	OpenFiles int64
 }
 
 // maxFile bounds a settings file in bytes, and with it the parser's recursion.
@@ -156,23 +156,23 @@
 func Default(role Role) *Settings {
 	s := &Settings{Role: role}
 	fill(s, func(string) bool { return false })
-	s.TLS = TLS{Outside: Side{Plain: true}, Inside: Side{Plain: true}}
+	s.TLS = TLS{Outside: TLSConfig{Plain: true}, Inside: TLSConfig{Plain: true}}
 	return s
 }
 
-// Lookup returns the replica of that name.
-func (s *Settings) Lookup(name string) (Peer, bool) {
-	for _, p := range s.Control {
+// FindReplica returns the replica of that name.
+func (s *Settings) FindReplica(name string) (ControlReplica, bool) {
+	for _, p := range s.ControlReplicas {
 		if p.Name == name {
 			return p, true
 		}
 	}
-	return Peer{}, false
+	return ControlReplica{}, false
 }
 
 func (s *Settings) resolve(dir string) {
 	for _, p := range []*string{
-		&s.Data,
+		&s.DataDir,
 		&s.TLS.Outside.Certificate, &s.TLS.Outside.Key, &s.TLS.Outside.Authority,
 		&s.TLS.Inside.Certificate, &s.TLS.Inside.Key, &s.TLS.Inside.Authority,
 	} {
--- a/internal/base/settings/settings_test.go
+++ b/internal/base/settings/settings_test.go
@@ -18,7 +18,7 @@
 const open = `"tls": {"outside": {"plain": true}, "inside": {"plain": true}}`
 
 func TestShortestFileIsTheDefault(t *testing.T) {
-	for _, role := range []settings.Role{settings.Control, settings.Entry} {
+	for _, role := range []settings.Role{settings.RoleControl, settings.RoleEntry} {
 		got, err := settings.Parse("f", []byte(`{"role": "`+string(role)+`", `+open+`}`))
 		if err != nil {
 			t.Fatal(err)
@@ -36,10 +36,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := settings.Default(settings.Control)
-	want.Name, want.Data = "c-2", "d"
-	want.Control = []settings.Peer{{Name: "c-2", Address: "10.0.0.1:7"}}
-	want.Time.Lease, want.Limits.Snapshot = 20*time.Second, 70
+	want := settings.Default(settings.RoleControl)
+	want.Name, want.DataDir = "c-2", "d"
+	want.ControlReplicas = []settings.ControlReplica{{Name: "c-2", Address: "10.0.0.1:7"}}
+	want.Time.LeaseDuration, want.Limits.SnapshotEntries = 20*time.Second, 70
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
@@ -126,10 +126,10 @@
 	const n = 40_000
 	_, err := settings.Parse("f", []byte("{"+strings.Repeat(`"a":1,`, n)+open+"}"))
 	var faults settings.Faults
-	if !errors.As(err, &faults) || len(faults) != settings.MaxFaults+1 {
+	if !errors.As(err, &faults) || len(faults) != settings.MaxReportedFaults+1 {
 		t.Fatalf("%d faults", len(faults))
 	}
-	if got, want := faults[settings.MaxFaults].String(), "f: 39900 more faults are not shown"; got != want {
+	if got, want := faults[settings.MaxReportedFaults].String(), "f: 39900 more faults are not shown"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
@@ -143,8 +143,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := filepath.Join(filepath.Dir(path), settings.DefaultData); s.Data != want {
-		t.Errorf("data is %s, want %s", s.Data, want)
+	if want := filepath.Join(filepath.Dir(path), settings.DefaultDataDir); s.DataDir != want {
+		t.Errorf("data is %s, want %s", s.DataDir, want)
 	}
 	if _, err := settings.Load(path + "x"); err == nil {
 		t.Error("a missing file was read")
@@ -152,7 +152,7 @@
 }
 
 func TestPageListsEverySetting(t *testing.T) {
-	page.Check(t, "../../../docs/SETTINGS.md", settings.Markdown())
+	page.CheckGenerated(t, "../../../docs/SETTINGS.md", settings.Markdown())
 }
 
 // A setting that is read and checked but used by nothing is worse than none: an
@@ -197,7 +197,7 @@
 			t.Fatal("neither settings nor faults")
 		case err != nil && (!errors.As(err, &faults) || len(faults) == 0):
 			t.Fatalf("not a list of faults: %v", err)
-		case err == nil && (s.Time.Lease <= 0 || len(s.Control) == 0):
+		case err == nil && (s.Time.LeaseDuration <= 0 || len(s.ControlReplicas) == 0):
 			t.Fatalf("accepted settings that can't run: %+v", s)
 		}
 	})
--- a/internal/base/turn/turn.go
+++ b/internal/base/yield/turn.go
@@ -2,7 +2,7 @@
 // processor whatever waits, a heartbeat among it, waits for as long as that goroutine
 // goes on; and where hundreds wait, one that stood back for all of them again and again
 // would come to nothing itself.
-package turn
+package yield
 
 import (
 	"runtime"
@@ -12,16 +12,16 @@
 // most bounds how long a turn takes: what waits may have to wait for several.
 const most = 20 * time.Millisecond
 
-// Turn is the turns of one goroutine. The zero value is ready.
-type Turn struct {
+// Yielder is the turns of one goroutine. The zero value is ready.
+type Yielder struct {
 	// since is when this turn began, least how long it may take: as long as the others
 	// had before it.
 	since time.Time
 	least time.Duration
 }
 
-// Rest lets the other goroutines run, unless they had as much time lately as this one.
-func (t *Turn) Rest() {
+// YieldIfDue lets the other goroutines run, unless they had as much time lately as this one.
+func (t *Yielder) YieldIfDue() {
 	now := time.Now()
 	if now.Sub(t.since) < t.least {
 		return
--- a/internal/base/turn/turn_test.go
+++ b/internal/base/yield/turn_test.go
@@ -1,4 +1,4 @@
-package turn_test
+package yield_test
 
 import (
 	"runtime"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"gypsumreel/internal/base/turn"
+	"gypsumreel/internal/base/yield"
 )
 
 // work keeps the processor busy for so long.
@@ -35,12 +35,12 @@
 			}
 		}()
 	}
-	var own turn.Turn
-	own.Rest()
+	var own yield.Yielder
+	own.YieldIfDue()
 	begin := time.Now()
 	for range steps {
 		work(step)
-		own.Rest()
+		own.YieldIfDue()
 	}
 	// Alone the steps take 20 ms; a step between two rests of 10 ms would take 4 s.
 	if took := time.Since(begin); took > time.Second {
@@ -60,10 +60,10 @@
 			runtime.Gosched()
 		}
 	}()
-	var own turn.Turn
+	var own yield.Yielder
 	for range 100 {
 		work(100 * time.Microsecond)
-		own.Rest()
+		own.YieldIfDue()
 	}
 	if n := turns.Load(); n < 50 {
 		t.Errorf("%d turns beside 100 steps", n)
--- a/internal/cli/control/control.go
+++ b/internal/cli/control/control.go
@@ -39,25 +39,25 @@
 
 // Run serves until ctx ends.
 func (c *command) Run(ctx context.Context, env verb.Env, _ []string) error {
-	s, err := verb.LoadSettings(env, c.Settings, settings.Control)
+	s, err := verb.LoadSettings(env, c.Settings, settings.RoleControl)
 	if err != nil {
 		return err
 	}
 	n, err := build(s)
 	if err != nil {
-		event.Fail(event.New(env.Err, s.Log), event.ListenFailed, err)
+		event.LogError(event.New(env.Err, s.LogLevel), event.ListenFailed, err)
 		return err
 	}
-	n.Init, n.Log, n.Abort = c.Init, event.New(env.Err, s.Log), verb.Again(ctx)
-	sides, err := verb.NewSides(ctx, s.TLS, s.Control, s.Time.Reload, n.Log)
+	n.InitCell, n.Log, n.Abort = c.Init, event.New(env.Err, s.LogLevel), verb.SecondSignal(ctx)
+	sides, err := verb.NewDaemonTLS(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, n.Log)
 	if err != nil {
 		return err
 	}
-	n.Server, n.Client, n.Outside = sides.Inside.Server(), sides.Inside.Client(sides.Replicas...), sides.Outside.Server()
-	n.Peers = sides.Inside.Client(sides.Replicas...)
+	n.ServerTLS, n.ClientTLS, n.ProbeTLS = sides.Inside.ServerConfig(), sides.Inside.ClientConfig(sides.ReplicaNames...), sides.Outside.ServerConfig()
+	n.PeerTLS = sides.Inside.ClientConfig(sides.ReplicaNames...)
 	event.Log(n.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
 	defer event.Log(n.Log, event.Stopped, "process", s.Name)
-	signal := &dump.Signal{Dir: s.Data, Name: s.Name, State: n.State, Max: int(s.Limits.Dump), Log: n.Log}
+	signal := &dump.SignalHandler{Dir: s.DataDir, Name: s.Name, State: n.State, MaxBytes: int(s.Limits.DumpBytes), Log: n.Log}
 	go func() { _ = signal.Run(ctx) }()
 	return n.Run(ctx)
 }
@@ -73,28 +73,28 @@
 		return nil, errors.Wrap(err, "listen.platform")
 	}
 	n := &node.Node{
-		Cell: s.Cell, Name: s.Name, Data: s.Data, Listener: l, Platform: probes,
-		Heartbeat: s.Time.Heartbeat, Election: s.Time.Election, Patience: s.Time.Patience, Control: leader.New(),
-		MaxDump: int(s.Limits.Dump), Room: bounds.Room(s.Limits.Disk), Clock: clock.Boot,
+		Cell: s.Cell, Name: s.Name, DataDir: s.DataDir, Listener: l, ProbeListener: probes,
+		HeartbeatInterval: s.Time.HeartbeatInterval, ElectionTimeout: s.Time.ElectionTimeout, MaxElectionTimeout: s.Time.MaxElectionTimeout, Control: leader.New(),
+		MaxDumpBytes: int(s.Limits.DumpBytes), MinFreeBytes: bounds.DiskReserve(s.Limits.DiskMiB), Clock: clock.SinceBoot,
 	}
-	bounds.Memory(s.Limits.Memory)
-	for _, p := range s.Control {
+	bounds.LimitHeap(s.Limits.MemoryMiB)
+	for _, p := range s.ControlReplicas {
 		n.Replicas = append(n.Replicas, quorum.Member{ID: p.Name, Address: p.Address})
 		if p.Name == s.Name {
 			n.Address = p.Address
 		}
 	}
-	n.Control.LeaseTerms.Length = s.Time.Lease
-	n.Control.Retention = s.Time.Retention
+	n.Control.LeaseTerms.Length = s.Time.LeaseDuration
+	n.Control.Retention = s.Time.OutcomeRetention
 	n.Control.Zones = s.Zones
-	n.Control.MaxPollWait = s.Time.Poll
-	n.Control.SnapshotInterval = uint64(s.Limits.Snapshot)
-	if s.Operator != "" {
-		digest, err := hex.DecodeString(s.Operator)
+	n.Control.MaxPollWait = s.Time.MaxPoll
+	n.Control.SnapshotInterval = uint64(s.Limits.SnapshotEntries)
+	if s.OperatorDigest != "" {
+		digest, err := hex.DecodeString(s.OperatorDigest)
 		if err != nil {
 			return nil, errors.Wrap(err, "operator")
 		}
-		n.Root = &v1.KeyGrant{Id: rootKey, Operator: true, Digest: digest}
+		n.RootKey = &v1.KeyGrant{Id: rootKey, Operator: true, Digest: digest}
 	}
 	return n, nil
 }
--- a/internal/cli/entry/entry.go
+++ b/internal/cli/entry/entry.go
@@ -35,26 +35,26 @@
 
 // Run serves until ctx ends.
 func (c *command) Run(ctx context.Context, env verb.Env, _ []string) error {
-	s, err := verb.LoadSettings(env, c.Settings, settings.Entry)
+	s, err := verb.LoadSettings(env, c.Settings, settings.RoleEntry)
 	if err != nil {
 		return err
 	}
 	e, err := build(s)
 	if err != nil {
-		event.Fail(event.New(env.Err, s.Log), event.ListenFailed, err)
+		event.LogError(event.New(env.Err, s.LogLevel), event.ListenFailed, err)
 		return err
 	}
-	e.Log, e.Abort = event.New(env.Err, s.Log), verb.Again(ctx)
-	sides, err := verb.NewSides(ctx, s.TLS, s.Control, s.Time.Reload, e.Log)
+	e.Log, e.Abort = event.New(env.Err, s.LogLevel), verb.SecondSignal(ctx)
+	sides, err := verb.NewDaemonTLS(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, e.Log)
 	if err != nil {
 		return err
 	}
-	e.Outside, e.Inside = sides.Outside.Server(), sides.Inside.Client(sides.Replicas...)
+	e.OutsideTLS, e.InsideTLS = sides.Outside.ServerConfig(), sides.Inside.ClientConfig(sides.ReplicaNames...)
 	pool := e.Pool()
-	pool.Timeout, pool.Freshness, pool.Batch = s.Time.Call, s.Time.Fresh, int(s.Limits.Batch)
+	pool.CallTimeout, pool.MaxContactAge, pool.MaxPushItems = s.Time.CallTimeout, s.Time.MaxLeaderSilence, int(s.Limits.BatchItems)
 	event.Log(e.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
 	defer event.Log(e.Log, event.Stopped, "process", s.Name)
-	signal := &dump.Signal{Name: s.Name, State: e.Dump, Max: int(s.Limits.Dump), Log: e.Log}
+	signal := &dump.SignalHandler{Name: s.Name, State: e.Dump, MaxBytes: int(s.Limits.DumpBytes), Log: e.Log}
 	go func() { _ = signal.Run(ctx) }()
 	return e.Run(ctx)
 }
@@ -62,36 +62,36 @@
 // build makes the daemon from its settings.
 func build(s *settings.Settings) (*entry.Entry, error) {
 	e := &entry.Entry{
-		Cell: s.Cell, Name: s.Name, Drain: s.Time.Finish,
+		Cell: s.Cell, Name: s.Name, DrainTimeout: s.Time.FinishTimeout,
 		// Zero would stand for the entry's own default.
-		Linger:      max(s.Time.Drain, time.Nanosecond),
-		Connections: min(int(s.Limits.Connections), files.New(files.Limit(s.Limits.Files)).Share(files.Callers)), Limit: int(s.Limits.Queue),
+		ShutdownDelay:  max(s.Time.DrainDelay, time.Nanosecond),
+		MaxConnections: min(int(s.Limits.Connections), files.NewBudget(files.ProcessLimit(s.Limits.OpenFiles)).Allowance(files.Callers)), MaxPendingRequests: int(s.Limits.QueuedRequests),
 	}
-	bounds.Memory(s.Limits.Memory)
+	bounds.LimitHeap(s.Limits.MemoryMiB)
 	for _, l := range []struct {
 		setting string
 		address string
 		to      *net.Listener
 	}{
-		{"listen.callers", s.Listen.Callers, &e.Callers},
-		{"listen.backends", s.Listen.Backends, &e.Backends},
-		{"listen.operators", s.Listen.Operators, &e.Operators},
-		{"listen.platform", s.Listen.Platform, &e.Platform},
+		{"listen.callers", s.Listen.Callers, &e.CallerListener},
+		{"listen.backends", s.Listen.Backends, &e.BackendListener},
+		{"listen.operators", s.Listen.Operators, &e.OperatorListener},
+		{"listen.platform", s.Listen.Platform, &e.PlatformListener},
 	} {
 		var err error
 		if *l.to, err = net.Listen("tcp", l.address); err != nil {
 			return nil, errors.Wrap(err, l.setting)
 		}
 	}
-	for _, p := range s.Control {
-		e.Replicas = append(e.Replicas, control.Replica{Name: p.Name, Address: p.Address})
+	for _, p := range s.ControlReplicas {
+		e.ControlReplicas = append(e.ControlReplicas, control.Replica{Name: p.Name, Address: p.Address})
 	}
-	for _, text := range s.Enrolment {
+	for _, text := range s.EnrolmentDigests {
 		digest, err := hex.DecodeString(text)
 		if err != nil || len(digest) != len(backend.Digest{}) {
 			return nil, errors.Newf("enrolment: %q is no digest", text)
 		}
-		e.Enrolment = append(e.Enrolment, backend.Digest(digest))
+		e.EnrolmentDigests = append(e.EnrolmentDigests, backend.Digest(digest))
 	}
 	return e, nil
 }
--- a/internal/client/caller/caller_test.go
+++ b/internal/client/caller/caller_test.go
@@ -96,7 +96,7 @@
 		},
 		accept(code.OK),
 	}}
-	other := &entry{submit: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){accept(code.OK, code.Unanswered)}}
+	other := &entry{submit: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){accept(code.OK, code.LeaderTimeout)}}
 	got, err := client(serve(t, lost), serve(t, other)).Submit(t.Context(), []*v1.Spec{{Id: "a"}, {Id: "b"}}, true)
 	if err != nil {
 		t.Fatal(err)
@@ -131,13 +131,13 @@
 			return nil, connect.NewError(connect.CodeUnauthenticated, errors.New("no"))
 		},
 	}}
-	if _, err := client(serve(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); link.Refusal(err).Code != code.BadKey {
+	if _, err := client(serve(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); link.AsCodeError(err).Code != code.InvalidKey {
 		t.Errorf("got %v", err)
 	}
 }
 
 func notRun(*v1.SubmitRequest) (*v1.SubmitReply, error) {
-	return &v1.SubmitReply{Jobs: []*v1.Accepted{{Id: "a", Status: status(code.Unreachable), Outcome: v1.Outcome_OUTCOME_NOT_RUN}}}, nil
+	return &v1.SubmitReply{Jobs: []*v1.Accepted{{Id: "a", Status: status(code.ControlUnreachable), Outcome: v1.Outcome_OUTCOME_NOT_RUN}}}, nil
 }
 
 // The leader has just died. The entries say for about a second that they can't
@@ -158,7 +158,7 @@
 // try may have been accepted, so that no later one may claim to be the first,
 // and what an entry says of itself is not taken for the whole truth.
 func TestRefusalAfterALostAnswerIsNotTheFirst(t *testing.T) {
-	e := &entry{submit: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){accept(code.Unanswered), accept(code.Unanswered), accept(code.QueueFull)}}
+	e := &entry{submit: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){accept(code.LeaderTimeout), accept(code.LeaderTimeout), accept(code.QueueFull)}}
 	if _, err := client(serve(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); err != nil {
 		t.Error(err)
 	}
@@ -170,7 +170,7 @@
 func TestPersistenceEnds(t *testing.T) {
 	e := &entry{submit: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){notRun, notRun}}
 	c := client(serve(t, e))
-	c.Persist = time.Nanosecond
+	c.RetryUnreachableFor = time.Nanosecond
 	got, err := c.Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true)
 	if err != nil || got[0].GetOutcome() != v1.Outcome_OUTCOME_NOT_RUN || len(e.first) != 1 {
 		t.Errorf("got %v, %v after %d tries", got, err, len(e.first))
@@ -183,7 +183,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	got, err := client("http://127.0.0.1:1").Submit(ctx, []*v1.Spec{{Id: "a"}}, true)
-	if err != nil || got[0].GetStatus().GetCode() != uint32(code.Unanswered) || got[0].GetOutcome() != v1.Outcome_OUTCOME_UNSPECIFIED {
+	if err != nil || got[0].GetStatus().GetCode() != uint32(code.LeaderTimeout) || got[0].GetOutcome() != v1.Outcome_OUTCOME_UNSPECIFIED {
 		t.Errorf("got %v, %v", got, err)
 	}
 }
--- a/internal/client/link/status_test.go
+++ b/internal/client/link/status_test.go
@@ -12,14 +12,14 @@
 // prints it adds both again; a person is to read them once.
 func TestStatusIsSaidOnce(t *testing.T) {
 	for text, want := range map[string]string{
-		"":                                      "",
-		code.Conflict.String():                  "",
-		code.New(code.Conflict, "").Error():     "",
-		code.New(code.Conflict, "at 7").Error(): "at 7",
-		"at 7":                                  "at 7",
+		"":                             "",
+		code.RevisionConflict.String(): "",
+		code.New(code.RevisionConflict, "").Error():     "",
+		code.New(code.RevisionConflict, "at 7").Error(): "at 7",
+		"at 7": "at 7",
 	} {
-		got := link.Status(&v1.Status{Code: uint32(code.Conflict), Text: text})
-		if got.Code != code.Conflict || got.Detail != want {
+		got := link.StatusError(&v1.Status{Code: uint32(code.RevisionConflict), Text: text})
+		if got.Code != code.RevisionConflict || got.Detail != want {
 			t.Errorf("%q: got %q, want %q", text, got.Detail, want)
 		}
 	}
--- a/internal/control/dispatch/ask.go
+++ b/internal/control/dispatch/ask.go
@@ -24,7 +24,7 @@
 
 // errDeposed is returned when the outcome of a request is unknown because the replica was
 // deposed.
-var errDeposed = code.New(code.Unanswered, "the leader changed before the request was committed; its outcome is unknown")
+var errDeposed = code.New(code.LeaderTimeout, "the leader changed before the request was committed; its outcome is unknown")
 
 // runOnLeader runs fn on the control thread if this replica leads, and waits for the reply.
 // fn calls reply once, immediately or later. A request without a reply fails with
@@ -59,7 +59,7 @@
 	case r := <-answered:
 		return r.value, r.err
 	case <-ctx.Done():
-		return zero, code.New(code.Unanswered, "no decision before the timeout of the request")
+		return zero, code.New(code.LeaderTimeout, "no decision before the timeout of the request")
 	}
 }
 
@@ -101,17 +101,17 @@
 	// A refusal depends on the configuration. It is sent after the commit of that
 	// configuration, which may otherwise never take effect.
 	refuse := func(err *code.Error) { d.Host.AfterCommit(func() { reply(refusalAnswer(err, 0)) }) }
-	q, id, ok := config.At(a.GetHost(), a.GetPath())
+	q, id, ok := config.QueueAt(a.GetHost(), a.GetPath())
 	if !ok {
 		refuse(code.New(code.Forbidden, "no queue at %s%s", a.GetHost(), a.GetPath()))
 		return
 	}
 	owner := ""
-	if c, known := config.Owner(a.GetKey()); known {
+	if c, known := config.KeyOwner(a.GetKey()); known {
 		owner = c.GetName()
 	} else if !q.GetOpen() {
-		d.flowMetrics.countRefusal(code.BadKey)
-		refuse(code.New(code.BadKey, ""))
+		d.flowMetrics.countRefusal(code.InvalidKey)
+		refuse(code.New(code.InvalidKey, ""))
 		return
 	}
 	switch a.GetVerb() {
@@ -147,7 +147,7 @@
 	}
 	if err, retryAfter := d.checkAdmission(a, q); err != nil {
 		d.flowMetrics.countRefusal(err.Code)
-		event.Fail(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", owner, "open", ledger.OpenFlows(), "retry", retryAfter.String())
+		event.LogError(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", owner, "open", ledger.OpenFlows(), "retry", retryAfter.String())
 		reply(refusalAnswer(err, retryAfter))
 		return
 	}
@@ -172,7 +172,7 @@
 // checkAdmission returns why a flow is refused and the time after which the caller may
 // retry, or nil if the flow is admitted.
 func (d *Dispatcher) checkAdmission(a *inner.FlowAsk, q *v1.Queue) (*code.Error, time.Duration) {
-	if err := flow.Check(a.GetSpec()); err != nil {
+	if err := flow.CheckSpec(a.GetSpec()); err != nil {
 		return err, 0
 	}
 	if d.Host.DiskFull() {
@@ -211,7 +211,7 @@
 			fn(f)
 			return
 		}
-		reply(refusalAnswer(code.New(code.Unknown, "%s", id), 0))
+		reply(refusalAnswer(code.New(code.NotFound, "%s", id), 0))
 	})
 }
 
@@ -231,7 +231,7 @@
 // is acknowledged without effect. An invalid document is refused.
 func (d *Dispatcher) PutDocument(ctx context.Context, doc *v1.Document) *code.Error {
 	if err := flow.CheckDocument(doc); err != nil {
-		event.Fail(d.Log, event.DocumentRefused, err, "version", doc.GetVersion())
+		event.LogError(d.Log, event.DocumentRefused, err, "version", doc.GetVersion())
 		return err
 	}
 	receivedAt := d.Now()
--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -160,7 +160,7 @@
 	// does not lead.
 	leader *leaderState
 	// agreedTime is the wall-clock time on which the processes agree.
-	agreedTime clock.Agreed
+	agreedTime clock.MedianClock
 	// helperPool holds the registered processes. joiningReplicas holds, by id, the
 	// registered replicas that may not be members yet.
 	helperPool      *helpers.Pool
@@ -287,7 +287,7 @@
 // differ.
 func (d *Dispatcher) applyOrLog(f *record.Flow) bool {
 	if err := d.Host.ApplyCommand(f); err != nil {
-		event.Fail(d.Log, event.DecisionRefused, err, "term", d.leader.term)
+		event.LogError(d.Log, event.DecisionRefused, err, "term", d.leader.term)
 		return false
 	}
 	d.leader.planNeeded = true
--- a/internal/control/dispatch/dispatch_test.go
+++ b/internal/control/dispatch/dispatch_test.go
@@ -458,7 +458,7 @@
 		if err := w.dispatcher.PutDocument(t.Context(), next); err != nil {
 			t.Fatal(err)
 		}
-		if answer := w.askFlow(inner.FlowVerb_FLOW_VERB_SUBMIT, "a", newStep(1, 1000)); code.Code(answer.GetCode()) != code.BadKey {
+		if answer := w.askFlow(inner.FlowVerb_FLOW_VERB_SUBMIT, "a", newStep(1, 1000)); code.Code(answer.GetCode()) != code.InvalidKey {
 			t.Errorf("submit with a withdrawn key returned %v", answer)
 		}
 	})
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -336,7 +336,7 @@
 		if err == nil {
 			return
 		}
-		if err.Code != code.Busy {
+		if err.Code != code.MembershipChangePending {
 			w.t.Error(err)
 			return
 		}
--- a/internal/control/dispatch/helper.go
+++ b/internal/control/dispatch/helper.go
@@ -46,7 +46,7 @@
 	}
 	d.helperPool.RecordGreeting(g.GetAddress(), receivedAt)
 	if g.GetClock() > 0 {
-		d.agreedTime.Hear(g.GetAddress(), time.Duration(g.GetClock()), receivedAt)
+		d.agreedTime.Observe(g.GetAddress(), time.Duration(g.GetClock()), receivedAt)
 	}
 }
 
--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -56,7 +56,7 @@
 		// one, so the new one is accepted only when they are settled.
 		d.beginClosing(s, "a later incarnation reported")
 		if d.leader.sessions[r.GetId()] != nil {
-			reply(code.New(code.Busy, "the session of the previous incarnation is still being closed"))
+			reply(code.New(code.MembershipChangePending, "the session of the previous incarnation is still being closed"))
 			return
 		}
 	case s != nil && s.incarnation == r.GetBorn() && r.Number < s.reportNumber:
@@ -72,7 +72,7 @@
 	}
 	r.FlowServer.Call = r.Number
 	if !d.applyOrLog(&record.Flow{What: &record.Flow_Server{Server: r.FlowServer}}) {
-		reply(code.New(code.Stale, "%s", r.GetId()))
+		reply(code.New(code.SessionReplaced, "%s", r.GetId()))
 		return
 	}
 	current, _ := ledger.Server(r.GetId())
--- a/internal/control/dispatch/wave.go
+++ b/internal/control/dispatch/wave.go
@@ -76,7 +76,7 @@
 		})
 	})
 	if err == nil && !r.known {
-		err = code.New(code.Unknown, "wave %d", number)
+		err = code.New(code.NotFound, "wave %d", number)
 	}
 	return r.complete, err
 }
--- a/internal/control/dispatch/zone.go
+++ b/internal/control/dispatch/zone.go
@@ -23,8 +23,8 @@
 			return
 		}
 		if !d.Host.HasZone(zone) {
-			err := code.New(code.Unknown, "zone %q", zone)
-			event.Fail(d.Log, event.ZoneRefused, err, "zone", zone, "drain", drain)
+			err := code.New(code.NotFound, "zone %q", zone)
+			event.LogError(d.Log, event.ZoneRefused, err, "zone", zone, "drain", drain)
 			reply(err)
 			return
 		}
@@ -85,7 +85,7 @@
 	}
 	for _, s := range d.leader.sortedSessions {
 		b, known := ledger.Server(s.id)
-		if known && ledger.AcceptsWork(b) && s.isUsable(now) && b.Pool == q.GetPool() && steps.HasLabel(step.Spec.GetLabel(), b) && flow.SizeOf(step.Spec).Fits(b.FreeCapacity()) {
+		if known && ledger.AcceptsWork(b) && s.isUsable(now) && b.Pool == q.GetPool() && steps.HasLabel(step.Spec.GetLabel(), b) && flow.TaskSize(step.Spec).Fits(b.FreeCapacity()) {
 			return true
 		}
 	}
--- a/internal/control/dispatch/zone_test.go
+++ b/internal/control/dispatch/zone_test.go
@@ -210,7 +210,7 @@
 func TestUnknownZoneIsRefused(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		for _, name := range []string{"", "nowhere"} {
-			if err := w.dispatcher.SetZoneDrain(t.Context(), name, true); err == nil || err.Code != code.Unknown {
+			if err := w.dispatcher.SetZoneDrain(t.Context(), name, true); err == nil || err.Code != code.NotFound {
 				t.Errorf("drain of unknown zone %q returned %v", name, err)
 			}
 		}
--- a/internal/control/leader/eventlog.go
+++ b/internal/control/leader/eventlog.go
@@ -81,7 +81,7 @@
 }
 
 // serverEvents returns the events for a change in a server's state.
-func serverEvents(previous, current reportedServer, wasKnown bool) (events []event.ID) {
+func serverEvents(previous, current reportedServer, wasKnown bool) (events []event.Definition) {
 	switch {
 	case !wasKnown && current.state != backend.Gone:
 		events = append(events, event.ServerAnnounced)
@@ -156,7 +156,7 @@
 	switch {
 	case j.Outcome == v1.Outcome_OUTCOME_UNKNOWN:
 		l.logLimiter.Log(l.Log, event.OutcomeUnknown, "team", j.Spec.Team, "job", j.Spec.ID)
-	case j.Code == code.Parked:
+	case j.Code == code.GivenUp:
 		l.logLimiter.Log(l.Log, event.JobParked, "team", j.Spec.Team, "job", j.Spec.ID)
 	}
 }
@@ -184,7 +184,7 @@
 	case code.QueueFull, code.Overloaded, code.DiskFull:
 		l.leadership.reported.lastRefusalAt = l.Now()
 		l.logLimiter.Log(l.Log, event.Overload, "team", teamName, "code", uint32(c))
-	case code.NeverFits:
+	case code.Unplaceable:
 		l.logLimiter.Log(l.Log, event.JobNeverFits, "team", teamName, "job", id)
 	case code.IDReused:
 		l.logLimiter.Log(l.Log, event.IDReused, "team", teamName, "id", id)
@@ -197,7 +197,7 @@
 func (l *Leader) logChange(keyID string, req *v1.ChangeRequest, r state.Result, oldRows []team.Row) {
 	switch r.Code {
 	case code.OK:
-	case code.Conflict:
+	case code.RevisionConflict:
 		event.Log(l.Log, event.TableConflict, "key", keyID, "change", req.GetId(), "detail", r.Detail)
 		return
 	case code.IDReused:
--- a/internal/control/leader/eventlog_test.go
+++ b/internal/control/leader/eventlog_test.go
@@ -64,7 +64,7 @@
 		r := h.mustReply(h.push(&inner.Item{Credential: h.credential("op"), Ask: &inner.Item_Change{Change: &v1.ChangeRequest{
 			Id: "late", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Base: 0, Edits: []*v1.Edit{{Row: &v1.Row{Team: "x", Weight: 1}}}}},
 		}}}))
-		expectCode(t, code.Conflict, r.GetChange().GetStatus())
+		expectCode(t, code.RevisionConflict, r.GetChange().GetStatus())
 		log.expectOnce(t, "table-conflict")
 		h.applyChange("lower", &v1.ChangeRequest{Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Base: 1, Edits: []*v1.Edit{
 			{Row: &v1.Row{Team: "rail", Weight: 1, Queue: 1, Limit: &v1.Size{Cpu: 500, Memory: -1, Accel: -1, Slots: -1}}},
@@ -146,7 +146,7 @@
 			t.Errorf("jobs listed: %v", got)
 		}
 		r := h.mustReply(h.pushShow(&v1.ShowRequest{Part: v1.Part_PART_JOBS, After: "rail/none"})).GetShow()
-		expectCode(t, code.Unknown, r.GetStatus())
+		expectCode(t, code.NotFound, r.GetStatus())
 	})
 }
 
@@ -164,7 +164,7 @@
 		const count = 34
 		b := h.announceServer("b1", 4000)
 		h.submitAndReply(&v1.Spec{Id: "wide", Kind: v1.Kind_KIND_BATCH, Count: count, Size: &v1.Size{Cpu: 10}})
-		data := bytes.Repeat([]byte("q"), answer.MaxTotal)
+		data := bytes.Repeat([]byte("q"), answer.MaxTaskAnswer)
 		var reports []*v1.Report
 		for range 12 { // the server has 8 slots
 			for _, a := range startOrders(b.syncAndWait(reports...)) {
@@ -175,16 +175,16 @@
 		}
 		waitReply := h.waitOutcome("wide")
 		expectCode(t, code.TooLarge, waitReply.GetStatus())
-		if waitReply.GetOutcome() != v1.Outcome_OUTCOME_DONE || waitReply.GetChunk().GetTotal() != answer.MaxJob {
+		if waitReply.GetOutcome() != v1.Outcome_OUTCOME_DONE || waitReply.GetChunk().GetTotal() != answer.MaxJobAnswer {
 			t.Fatalf("outcome %v, answer of %d bytes", waitReply.GetOutcome(), waitReply.GetChunk().GetTotal())
 		}
 		h.withLedger(func(s *state.State) {
 			j, _ := s.FindJob(state.RequestID{Team: "rail", ID: "wide"})
-			if len(s.JobAnswer(j)) != answer.MaxJob {
+			if len(s.JobAnswer(j)) != answer.MaxJobAnswer {
 				t.Error("the ledger's answer does not have answer.MaxJob bytes")
 			}
 		})
-		last := answer.Count(answer.MaxJob) - 1
+		last := answer.ChunkCount(answer.MaxJobAnswer) - 1
 		waitSeq := h.push(&inner.Item{Credential: h.credential("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: "wide", Chunk: last}}})
 		if got := h.mustReply(waitSeq).GetWait().GetChunk(); got.GetNumber() != last || got.GetSum() != waitReply.GetChunk().GetSum() || len(got.GetData()) != answer.ChunkSize {
 			t.Error("the last chunk of the answer is wrong or missing")
--- a/internal/control/leader/item.go
+++ b/internal/control/leader/item.go
@@ -76,7 +76,7 @@
 	k, ok := l.ledger.Key(c.GetId())
 	if !ok || !k.Matches(c.GetDigest()) || k.Withdrawn {
 		l.logLimiter.Log(l.Log, event.KeyRefused, "key", c.GetId(), "withdrawn", k.Withdrawn)
-		return key.Key{}, code.New(code.BadKey, "")
+		return key.Key{}, code.New(code.InvalidKey, "")
 	}
 	return k, nil
 }
@@ -192,7 +192,7 @@
 		l.answerWait(target, j, 0)
 		return
 	}
-	l.refuse(target, code.New(code.Unknown, "%s", id.ID))
+	l.refuse(target, code.New(code.NotFound, "%s", id.ID))
 }
 
 // pollDeadline returns when a long poll ends. That is the earliest of the requested
@@ -230,14 +230,14 @@
 		l.answerParkedWait(w, j)
 		return
 	}
-	l.refuse(w.target, code.New(code.Unknown, "%s", id.ID))
+	l.refuse(w.target, code.New(code.NotFound, "%s", id.ID))
 }
 
 // answerParkedWait answers a parked wait. The key of the wait may have been
 // withdrawn since it was parked; a withdrawn key gets no answer.
 func (l *Leader) answerParkedWait(w *parkedWait, j *state.Job) {
 	if k, ok := l.ledger.Key(w.keyID); !ok || k.Withdrawn {
-		l.refuse(w.target, code.New(code.BadKey, ""))
+		l.refuse(w.target, code.New(code.InvalidKey, ""))
 		return
 	}
 	l.answerWait(w.target, j, w.chunk)
--- a/internal/control/leader/leader.go
+++ b/internal/control/leader/leader.go
@@ -17,7 +17,7 @@
 	"gypsumreel/internal/api/inner"
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/event"
-	"gypsumreel/internal/base/turn"
+	"gypsumreel/internal/base/yield"
 	"gypsumreel/internal/control/mailbox"
 	"gypsumreel/internal/domain/lease"
 	"gypsumreel/internal/ledger/state"
@@ -194,7 +194,7 @@
 	status atomic.Pointer[Status]
 
 	// The fields below are used by the control thread only.
-	processorYield   turn.Turn
+	processorYield   yield.Yielder
 	ledger           *state.State
 	appliedIndex     uint64
 	snapshotIndex    uint64
@@ -203,7 +203,7 @@
 	membership       group.MembershipChanged
 	diskFull         bool
 	controlMetrics   *controlMetrics
-	logLimiter       event.Limit
+	logLimiter       event.RateLimiter
 	// leaderlessSince is when the last known leader was lost. leaderlessLogged reports
 	// whether the loss has been logged.
 	leaderlessSince  time.Duration
@@ -219,7 +219,7 @@
 // New returns a control thread with the default settings.
 func New() *Leader {
 	l := &Leader{
-		LeaseTerms:         lease.Terms{Length: lease.DefaultLength, Drift: lease.DefaultDrift},
+		LeaseTerms:         lease.Terms{Length: lease.DefaultLength, MaxClockDrift: lease.DefaultMaxClockDrift},
 		SyncTimeout:        DefaultSyncTimeout,
 		Retention:          DefaultRetention,
 		MaxPollWait:        DefaultMaxPollWait,
@@ -314,7 +314,7 @@
 // the group passes through several goroutines. A leader that computes for a long
 // time without yielding would delay its heartbeats and lose the leadership because
 // of its own load. Rest is called on the control thread.
-func (l *Leader) YieldProcessor() { l.processorYield.Rest() }
+func (l *Leader) YieldProcessor() { l.processorYield.YieldIfDue() }
 
 // drainInbox runs further functions that are already queued, so that their commands
 // share one commit.
--- a/internal/control/leader/leader_test.go
+++ b/internal/control/leader/leader_test.go
@@ -41,7 +41,7 @@
 		if len(r.GetOrders()) != 1 || r.GetOrders()[0].GetVerb() != v1.Verb_VERB_FORGET {
 			t.Errorf("orders after the attempt ended: %v", r.GetOrders())
 		}
-		want := &v1.WaitReply{Id: "plan", Outcome: v1.Outcome_OUTCOME_DONE, Status: &v1.Status{Text: "0: ok"}, Chunk: answer.Cut([]byte("forty trucks"), 0)}
+		want := &v1.WaitReply{Id: "plan", Outcome: v1.Outcome_OUTCOME_DONE, Status: &v1.Status{Text: "0: ok"}, Chunk: answer.ChunkAt([]byte("forty trucks"), 0)}
 		if diff := cmp.Diff(want, h.mustReply(waitSeq).GetWait(), protocmp.Transform()); diff != "" {
 			t.Errorf("reply to the wait: %s", diff)
 		}
@@ -103,7 +103,7 @@
 		h.announceServer("b1", 8000)
 		h.applyChange("out", &v1.ChangeRequest{Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: "rail1"}}})
 		r := h.mustReply(h.pushSubmit(batchSpec("plan")))
-		expectCode(t, code.BadKey, r.GetStatus())
+		expectCode(t, code.InvalidKey, r.GetStatus())
 	})
 }
 
@@ -166,13 +166,13 @@
 			}
 		}
 		var movedAttempts []*v1.Attempt
-		for h.group.now() < silentSince+2*h.leader.LeaseTerms.Wait() && movedAttempts == nil {
+		for h.group.now() < silentSince+2*h.leader.LeaseTerms.ExpiryWait() && movedAttempts == nil {
 			movedAttempts = startOrders(otherServer.syncAndWait())
 		}
 		if len(movedAttempts) != 1 || movedAttempts[0].GetNumber() != 2 {
 			t.Fatalf("attempts started elsewhere: %v, want one with number 2", movedAttempts)
 		}
-		expectCode(t, code.Stale, s.syncAndWait().GetStatus())
+		expectCode(t, code.SessionReplaced, s.syncAndWait().GetStatus())
 	})
 }
 
@@ -217,7 +217,7 @@
 		if got.GetOutcome() != v1.Outcome_OUTCOME_UNKNOWN {
 			t.Errorf("the lost task has outcome %v, want unknown", got.GetOutcome())
 		}
-		expectCode(t, code.Lost, got.GetStatus())
+		expectCode(t, code.ServerLost, got.GetStatus())
 	})
 }
 
@@ -248,7 +248,7 @@
 		}
 		unknown := &v1.ChangeRequest{Id: "unknown", Change: &v1.ChangeRequest_Zone{Zone: &v1.ZoneMark{Zone: "nowhere", Drain: true}}}
 		r := h.mustReply(h.push(&inner.Item{Credential: h.credential("op"), Ask: &inner.Item_Change{Change: unknown}}))
-		expectCode(t, code.Unknown, r.GetStatus())
+		expectCode(t, code.NotFound, r.GetStatus())
 		setDrain("drain", zoneName, true)
 		h.submitAndReply(batchSpec("plan"))
 		if got := startOrders(s.syncAndWait()); len(got) > 0 {
@@ -315,7 +315,7 @@
 		first := h.applyChange("x", edit(7))
 		second := h.applyChange("y", edit(9))
 		expectCode(t, code.OK, first.GetStatus())
-		expectCode(t, code.Conflict, second.GetStatus())
+		expectCode(t, code.RevisionConflict, second.GetStatus())
 		if second.GetRevision() != 2 {
 			t.Errorf("the conflict names revision %d, want 2", second.GetRevision())
 		}
@@ -342,7 +342,7 @@
 			t.Errorf("the poll returned outcome %v, want running", got.GetOutcome())
 		}
 		r := h.mustReply(h.push(&inner.Item{Credential: h.credential("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: "none"}}}))
-		expectCode(t, code.Unknown, r.GetStatus())
+		expectCode(t, code.NotFound, r.GetStatus())
 	})
 }
 
@@ -395,7 +395,7 @@
 		waitSeq := h.pushWait("plan")
 		h.applyChange("out", &v1.ChangeRequest{Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: "rail1"}}})
 		time.Sleep(1100 * time.Millisecond)
-		expectCode(t, code.BadKey, h.mustReply(waitSeq).GetStatus())
+		expectCode(t, code.InvalidKey, h.mustReply(waitSeq).GetStatus())
 	})
 }
 
--- a/internal/control/leader/member.go
+++ b/internal/control/leader/member.go
@@ -56,7 +56,7 @@
 		l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Change{Change: reply}})
 	case l.Now() >= deadline:
 		event.Log(l.Log, event.MemberRefused, "member", c.GetReplica(), "remove", c.GetRemove())
-		status := statusOf(code.New(code.Busy, "the membership change is not in force yet; retry"))
+		status := statusOf(code.New(code.MembershipChangePending, "the membership change is not in force yet; retry"))
 		status.Retry = uint64(promotionInterval / time.Millisecond)
 		reply := &v1.ChangeReply{Status: status, Revision: l.ledger.Table().Revision()}
 		l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Change{Change: reply}})
--- a/internal/control/leader/operator.go
+++ b/internal/control/leader/operator.go
@@ -25,7 +25,7 @@
 		return
 	}
 	if c := req.GetZone(); c != nil && !l.HasZone(c.GetZone()) {
-		l.refuse(target, code.New(code.Unknown, "zone %q", c.GetZone()))
+		l.refuse(target, code.New(code.NotFound, "zone %q", c.GetZone()))
 		return
 	}
 	oldRows := l.ledger.Table().Rows()
--- a/internal/control/leader/page.go
+++ b/internal/control/leader/page.go
@@ -27,7 +27,7 @@
 	if after != "" {
 		j, ok := l.ledger.FindJob(requestID(teamName, after))
 		if !ok {
-			return nil, code.New(code.Unknown, "job %s is no longer known; list from the beginning", after)
+			return nil, code.New(code.NotFound, "job %s is no longer known; list from the beginning", after)
 		}
 		afterNumber = j.Number
 	}
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -36,7 +36,7 @@
 	syncNumber uint64
 	// reportedPhases are the attempt phases listed in the latest sync.
 	reportedPhases map[task.Attempt]v1.Phase
-	answerParts    map[task.Attempt]*answer.Parts
+	answerParts    map[task.Attempt]*answer.Assembler
 	// stopSentAt is when a stop order for an attempt was last sent.
 	stopSentAt map[task.Attempt]time.Duration
 	// throttlePending are the attempts whose throttle order is still to be sent.
@@ -52,7 +52,7 @@
 	if s == nil || s.incarnation != b.Incarnation {
 		s = &session{
 			incarnation: b.Incarnation, lastSyncAt: l.Now(),
-			reportedPhases: map[task.Attempt]v1.Phase{}, answerParts: map[task.Attempt]*answer.Parts{},
+			reportedPhases: map[task.Attempt]v1.Phase{}, answerParts: map[task.Attempt]*answer.Assembler{},
 			stopSentAt: map[task.Attempt]time.Duration{}, throttlePending: map[task.Attempt]bool{},
 		}
 		l.leadership.sessions[b.ID] = s
@@ -66,7 +66,7 @@
 		Rack: req.GetRack(), Zone: req.GetZone(), Labels: req.GetLabels(),
 	}}})
 	status := statusOf(&code.Error{Code: r.Code, Detail: r.Detail})
-	if r.Code == code.Busy {
+	if r.Code == code.MembershipChangePending {
 		status.Retry = uint64(l.SyncTimeout / time.Millisecond)
 	}
 	if b, ok := l.ledger.Server(req.GetServer()); ok && r.Code == code.OK {
@@ -79,7 +79,7 @@
 func (l *Leader) handleLeave(target ReplyTarget, req *v1.LeaveRequest) {
 	r := l.markServer(req.GetServer(), backend.Draining)
 	if b, _ := l.ledger.Server(req.GetServer()); b.Incarnation != req.GetIncarnation() {
-		r = state.Result{Code: code.Stale}
+		r = state.Result{Code: code.SessionReplaced}
 	}
 	l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Leave{Leave: &v1.LeaveReply{Status: statusOf(&code.Error{Code: r.Code})}}})
 }
@@ -90,7 +90,7 @@
 func (l *Leader) handleSync(target ReplyTarget, req *v1.SyncRequest) {
 	b, ok := l.ledger.Server(req.GetServer())
 	if !ok || b.Incarnation != req.GetIncarnation() || b.Server.State == backend.Gone {
-		l.replySync(target, &v1.SyncReply{Status: statusOf(code.New(code.Stale, "the session has ended; announce the server again")), Number: req.GetNumber()})
+		l.replySync(target, &v1.SyncReply{Status: statusOf(code.New(code.SessionReplaced, "the session has ended; announce the server again")), Number: req.GetNumber()})
 		return
 	}
 	s := l.sessionFor(b)
@@ -162,7 +162,7 @@
 func (l *Leader) assembleAnswer(s *session, a task.Attempt, chunks []*v1.Chunk) ([]byte, bool) {
 	parts := s.answerParts[a]
 	if parts == nil {
-		parts = &answer.Parts{}
+		parts = &answer.Assembler{}
 		s.answerParts[a] = parts
 	}
 	for _, c := range chunks {
@@ -172,7 +172,7 @@
 			return nil, false
 		}
 	}
-	data, ok, err := parts.Whole()
+	data, ok, err := parts.Assemble()
 	if err != nil {
 		l.logLimiter.Log(l.Log, event.DigestMismatch, "job", a.Job, "task", a.Index, "error", err.Error())
 		delete(s.answerParts, a)
--- a/internal/control/node/disk.go
+++ b/internal/control/node/disk.go
@@ -16,7 +16,7 @@
 type disk struct {
 	group.Journal
 	log   logr.Logger
-	limit event.Limit
+	limit event.RateLimiter
 	syncs *metrics.PrometheusHistogram
 }
 
@@ -31,7 +31,7 @@
 	took := time.Since(begin)
 	d.syncs.Update(took.Seconds())
 	if err != nil {
-		event.Fail(d.log, event.SyncFailed, err)
+		event.LogError(d.log, event.SyncFailed, err)
 		return err
 	}
 	if took > slowSync {
@@ -58,7 +58,7 @@
 	err := a.SnapshotStore.Save(meta, state)
 	if err != nil {
 		a.failed.Inc()
-		event.Fail(a.log, event.StoragePutOff, err, "what", "snapshot", "index", meta.Index, "bytes", len(state))
+		event.LogError(a.log, event.StoragePutOff, err, "what", "snapshot", "index", meta.Index, "bytes", len(state))
 		return err
 	}
 	event.Log(a.log, event.SnapshotWritten, "index", meta.Index, "bytes", len(state), "took", time.Since(begin).String())
--- a/internal/control/node/watch.go
+++ b/internal/control/node/watch.go
@@ -29,15 +29,15 @@
 // replica: with an entry's certificate, messages of consensus could be forged.
 // Without TLS there is nothing to look at, and the settings say so.
 func (n *Node) replicas(h http.Handler) http.Handler {
-	if n.Server == nil {
+	if n.ServerTLS == nil {
 		return h
 	}
 	known := func(name string) bool {
 		return slices.ContainsFunc(n.Replicas, func(m quorum.Member) bool { return m.ID == name })
 	}
-	only := secure.Only(known, h)
+	only := secure.RequireName(known, h)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if names := secure.Names(r); !slices.ContainsFunc(names, known) {
+		if names := secure.PeerNames(r); !slices.ContainsFunc(names, known) {
 			n.limit.Log(n.Log, event.PeerRefused, "peer", strings.Join(names, " "), "error", "its certificate names no control replica, this is "+n.Name)
 		}
 		only.ServeHTTP(w, r)
@@ -66,19 +66,19 @@
 		case err == nil && !ready:
 			event.Log(n.Log, event.Ready)
 		case err != nil && ready:
-			event.Fail(n.Log, event.Unready, err)
+			event.LogError(n.Log, event.Unready, err)
 		}
 		ready = err == nil
-		n.service.Load().Look()
+		n.service.Load().LogTableConfirmations()
 	}
 }
 
 // damaged logs an error of the files at the start as an event, when it is damage.
-func (n *Node) damaged(id event.ID, err error) error {
+func (n *Node) damaged(id event.Definition, err error) error {
 	var j *journal.CorruptionError
 	var s *snapshot.CorruptionError
 	if errors.As(err, &j) || errors.As(err, &s) {
-		event.Fail(n.Log, id, err)
+		event.LogError(n.Log, id, err)
 	}
 	return err
 }
--- a/internal/demo/fault/matrix_test.go
+++ b/internal/demo/fault/matrix_test.go
@@ -200,5 +200,5 @@
 		fmt.Fprintf(&b, "| %s | %s |\n", f.name, strings.Join(steps, ", "))
 	}
 	fmt.Fprintf(&b, "\n%d single cases, %d pairs.\n", len(faults)*len(steps), len(pairs()))
-	page.Check(t, "../../../docs/FAULTS.md", b.String())
+	page.CheckGenerated(t, "../../../docs/FAULTS.md", b.String())
 }
--- a/internal/demo/scenario/work.go
+++ b/internal/demo/scenario/work.go
@@ -69,7 +69,7 @@
 	t.took()
 	r, err := c.Wait(ctx, spec.GetId())
 	switch {
-	case err != nil || !caller.Final(r.Outcome):
+	case err != nil || !caller.IsFinal(r.Outcome):
 		t.count(&t.report.Lost)
 	case r.Outcome == v1.Outcome_OUTCOME_UNKNOWN && spec.GetOnce():
 		t.count(&t.report.Unknown)
@@ -181,12 +181,12 @@
 		for ctx.Err() == nil {
 			_, err := c.List(ctx, &v1.ListRequest{})
 			var refusal *code.Error
-			if errors.As(err, &refusal) && refusal.Code == code.BadKey {
+			if errors.As(err, &refusal) && refusal.Code == code.InvalidKey {
 				break
 			}
 			pause(ctx, 10*time.Millisecond)
 		}
-		c.Link.Next()
+		c.Link.NextEntry()
 	}
 	d := time.Since(begin)
 	t.mu.Lock()
--- a/internal/edge/control/ask.go
+++ b/internal/edge/control/ask.go
@@ -25,22 +25,22 @@
 	maxPresented = 512
 )
 
-// Asker carries an item to the leader; *Pool is one.
-type Asker interface {
-	Ask(ctx context.Context, item *inner.Item) (*inner.Reply, error)
+// Sender carries an item to the leader; *Pool is one.
+type Sender interface {
+	Send(ctx context.Context, item *inner.Item) (*inner.Reply, error)
 }
 
 // Exchange asks within the caller's deadline and the bound, and returns either
 // the leader's answer or the status that stands in its place.
-func Exchange(ctx context.Context, a Asker, item *inner.Item, bound time.Duration) (*inner.Reply, *v1.Status) {
+func Exchange(ctx context.Context, a Sender, item *inner.Item, bound time.Duration) (*inner.Reply, *v1.Status) {
 	if until, ok := ctx.Deadline(); ok {
 		bound = min(bound, time.Until(until)-returnMargin)
 	}
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
-	reply, err := a.Ask(ctx, item)
+	reply, err := a.Send(ctx, item)
 	if err != nil {
-		return nil, Status(err)
+		return nil, StatusFromError(err)
 	}
 	if s := reply.GetStatus(); s.GetCode() != 0 {
 		return nil, s
@@ -48,42 +48,42 @@
 	return reply, nil
 }
 
-// Status returns the status for an error, with a retry hint where coming back helps.
-func Status(err error) *v1.Status {
+// StatusFromError returns the status for an error, with a retry hint where coming back helps.
+func StatusFromError(err error) *v1.Status {
 	var numbered *code.Error
 	if !errors.As(err, &numbered) {
 		numbered = code.New(code.Internal, "%v", err)
 	}
 	s := &v1.Status{Code: uint32(numbered.Code), Text: numbered.Error()}
 	switch numbered.Code {
-	case code.Unreachable, code.Overloaded, code.Unanswered, code.NoLeader:
+	case code.ControlUnreachable, code.Overloaded, code.LeaderTimeout, code.NoLeader:
 		s.Retry = uint64((retryLeast + rand.N(retrySpread)).Milliseconds())
-	case code.Leaving:
+	case code.ShuttingDown:
 		s.Retry = 1
 	}
 	return s
 }
 
-// Refusal returns a status made of the code and a formatted detail.
-func Refusal(c code.Code, format string, args ...any) *v1.Status {
-	return Status(code.New(c, format, args...))
+// NewStatus returns a status made of the code and a formatted detail.
+func NewStatus(c code.Code, format string, args ...any) *v1.Status {
+	return StatusFromError(code.New(c, format, args...))
 }
 
-// Undecided rewrites a refusal by the entry for calls that are not a first
+// StatusForNonSubmit rewrites a refusal by the entry for calls that are not a first
 // submission. Codes of the class "not run" speak about a job; here only the
 // call itself did not get through, and the job may well run.
-func Undecided(s *v1.Status) *v1.Status {
+func StatusForNonSubmit(s *v1.Status) *v1.Status {
 	switch code.Code(s.GetCode()) {
-	case code.Unreachable:
+	case code.ControlUnreachable:
 		return &v1.Status{Code: uint32(code.NoLeader), Text: s.GetText(), Retry: s.GetRetry()}
 	case code.Overloaded:
-		return &v1.Status{Code: uint32(code.Unanswered), Text: s.GetText(), Retry: s.GetRetry()}
+		return &v1.Status{Code: uint32(code.LeaderTimeout), Text: s.GetText(), Retry: s.GetRetry()}
 	}
 	return s
 }
 
-// Bearer returns the token of the Authorization header, empty when there is none.
-func Bearer(h http.Header) string {
+// BearerToken returns the token of the Authorization header, empty when there is none.
+func BearerToken(h http.Header) string {
 	scheme, token, ok := strings.Cut(h.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") || len(token) > maxPresented {
 		return ""
@@ -91,12 +91,12 @@
 	return strings.TrimSpace(token)
 }
 
-// Presented returns the credential of the key in the Authorization header. The
+// CredentialFromHeader returns the credential of the key in the Authorization header. The
 // secret goes no further than this: the leader gets its digest.
-func Presented(h http.Header) (*inner.Credential, error) {
-	id, secret, err := key.Parse(Bearer(h))
+func CredentialFromHeader(h http.Header) (*inner.Credential, error) {
+	id, secret, err := key.Parse(BearerToken(h))
 	if err != nil {
-		return nil, code.New(code.BadKey, "%v", err)
+		return nil, code.New(code.InvalidKey, "%v", err)
 	}
 	digest := key.Digest(secret)
 	return &inner.Credential{Id: id, Digest: digest[:]}, nil
--- a/internal/edge/control/book.go
+++ b/internal/edge/control/book.go
@@ -74,7 +74,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.leaving && patience(item) > 0 {
-		return nil, code.New(code.Leaving, "")
+		return nil, code.New(code.ShuttingDown, "")
 	}
 	if len(b.calls) >= b.limit {
 		return nil, code.New(code.Overloaded, "%d requests wait at this entry", len(b.calls))
@@ -231,7 +231,7 @@
 	b.leaving = true
 	for _, c := range b.calls {
 		if patience(c.item) > 0 {
-			b.finish(c, outcome{err: code.New(code.Leaving, "")})
+			b.finish(c, outcome{err: code.New(code.ShuttingDown, "")})
 		}
 	}
 }
@@ -282,9 +282,9 @@
 // leader only if no Push ever carried it. The caller holds mu.
 func (b *book) verdict(c *call, why string) error {
 	if c.exposed {
-		return code.New(code.Unanswered, "%s", why)
+		return code.New(code.LeaderTimeout, "%s", why)
 	}
-	return code.New(code.Unreachable, "%s", why)
+	return code.New(code.ControlUnreachable, "%s", why)
 }
 
 // patience returns how long the leader may hold the item before it answers.
--- a/internal/edge/control/find.go
+++ b/internal/edge/control/find.go
@@ -8,8 +8,8 @@
 
 // find asks all replicas at once, with an empty Push, whether they lead. Asking
 // everybody is safe, and a silent replica then costs no time.
-func (p *Pool) find(ctx context.Context) (*link, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.Timeout)
+func (p *Client) find(ctx context.Context) (*link, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.CallTimeout)
 	defer cancel()
 	type answer struct {
 		link  *link
--- a/internal/edge/control/link.go
+++ b/internal/edge/control/link.go
@@ -37,7 +37,7 @@
 
 // link is the session with one replica while it leads.
 type link struct {
-	pool    *Pool
+	pool    *Client
 	replica Replica
 	// session is new with each link, so that what an earlier link left on the
 	// way can neither acknowledge nor answer anything of this one.
@@ -70,7 +70,7 @@
 		DialContext:         l.pool.Dial,
 		TLSClientConfig:     l.pool.TLS.Clone(),
 		Protocols:           only,
-		MaxIdleConnsPerHost: l.pool.Flights + 1,
+		MaxIdleConnsPerHost: l.pool.MaxParallelPushes + 1,
 		IdleConnTimeout:     10 * time.Second,
 		DisableCompression:  true,
 	}
@@ -108,7 +108,7 @@
 func (l *link) dispatch(ctx context.Context, fail context.CancelCauseFunc) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	flights := make(chan struct{}, l.pool.Flights)
+	flights := make(chan struct{}, l.pool.MaxParallelPushes)
 	landed := make(chan struct{}, 1)
 	for {
 		select {
@@ -130,7 +130,7 @@
 			case <-ctx.Done():
 				return
 			}
-			batch := l.pool.book.take(l.pool.Batch)
+			batch := l.pool.book.take(l.pool.MaxPushItems)
 			if len(batch) == 0 {
 				<-flights
 				continue
@@ -194,7 +194,7 @@
 }
 
 func (l *link) try(ctx context.Context, req *inner.PushRequest) (*inner.PushReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, l.pool.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, l.pool.CallTimeout)
 	defer cancel()
 	return l.client.Push(ctx, req)
 }
@@ -261,19 +261,19 @@
 }
 
 func (l *link) poll(ctx context.Context, at mark) (*inner.PullReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, l.pool.Patience+l.pool.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, l.pool.LongPollWait+l.pool.CallTimeout)
 	defer cancel()
 	l.repoll.Store(&cancel)
 	return l.client.Pull(ctx, &inner.PullRequest{
 		Cell: l.pool.Cell, Entry: l.pool.Name, Session: l.session,
-		Epoch: at.epoch, Ack: at.ack, Revision: l.pool.Revision(), Patience: uint64(l.pool.Patience.Milliseconds()),
+		Epoch: at.epoch, Ack: at.ack, Revision: l.pool.TableRevision(), Patience: uint64(l.pool.LongPollWait.Milliseconds()),
 	})
 }
 
 // alive asks over another connection whether the replica still leads, after a
 // Pull that stayed silent: only its connection may be at fault.
 func (l *link) alive(ctx context.Context, fail context.CancelCauseFunc) bool {
-	ctx, cancel := context.WithTimeout(ctx, l.pool.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, l.pool.CallTimeout)
 	defer cancel()
 	if _, leads := l.probe(ctx); !leads {
 		fail(errSilent)
--- a/internal/edge/control/meter.go
+++ b/internal/edge/control/meter.go
@@ -14,14 +14,14 @@
 	moves    *metrics.Counter
 }
 
-func newMeter(p *Pool) *meter {
-	set := p.Meters
+func newMeter(p *Client) *meter {
+	set := p.Metrics
 	if set == nil {
 		set = metrics.NewSet()
 	}
 	set.NewGauge("gypsumreel_entry_leader_age_seconds", func() float64 { return p.age().Seconds() })
 	set.NewGauge("gypsumreel_entry_pending_items", func() float64 { return float64(p.book.size()) })
-	set.NewGauge("gypsumreel_entry_table_revision", func() float64 { return float64(p.Revision()) })
+	set.NewGauge("gypsumreel_entry_table_revision", func() float64 { return float64(p.TableRevision()) })
 	return &meter{
 		pushes:   set.NewCounter("gypsumreel_entry_pushes_total"),
 		items:    set.NewCounter("gypsumreel_entry_items_total"),
--- a/internal/edge/control/pool.go
+++ b/internal/edge/control/pool.go
@@ -25,20 +25,20 @@
 
 // Defaults of the fields that are left zero.
 const (
-	// DefaultLimit bounds the items that wait for a reply.
-	DefaultLimit = 8192
-	// DefaultFlights bounds the Push calls under way at once.
-	DefaultFlights = 4
-	// DefaultBatch bounds the items of one Push.
-	DefaultBatch = 512
-	// DefaultPatience is how long a Pull without replies is held open.
-	DefaultPatience = 500 * time.Millisecond
-	// DefaultTimeout bounds a Push, and what a Pull may take beyond its patience.
-	DefaultTimeout = 400 * time.Millisecond
-	// DefaultFreshness is the age of the last contact with the leader past which everything is refused.
-	DefaultFreshness = 2 * time.Second
-	// DefaultGrace is how long an item waits for a leader to be found.
-	DefaultGrace = time.Second
+	// DefaultMaxPending bounds the items that wait for a reply.
+	DefaultMaxPending = 8192
+	// DefaultMaxParallelPushes bounds the Push calls under way at once.
+	DefaultMaxParallelPushes = 4
+	// DefaultMaxPushItems bounds the items of one Push.
+	DefaultMaxPushItems = 512
+	// DefaultLongPollWait is how long a Pull without replies is held open.
+	DefaultLongPollWait = 500 * time.Millisecond
+	// DefaultCallTimeout bounds a Push, and what a Pull may take beyond its patience.
+	DefaultCallTimeout = 400 * time.Millisecond
+	// DefaultMaxContactAge is the age of the last contact with the leader past which everything is refused.
+	DefaultMaxContactAge = 2 * time.Second
+	// DefaultLeaderWait is how long an item waits for a leader to be found.
+	DefaultLeaderWait = time.Second
 )
 
 const (
@@ -46,7 +46,7 @@
 	sweepEvery = 50 * time.Millisecond
 	// retryRate and retryBurst bound the calls and items that are sent again, per second.
 	retryRate  = 400
-	retryBurst = 2 * DefaultLimit
+	retryBurst = 2 * DefaultMaxPending
 )
 
 // Replica is one process of the control group.
@@ -55,8 +55,8 @@
 	Address string
 }
 
-// Pool carries items to the leader and replies back. Set the fields, then call Run.
-type Pool struct {
+// Client carries items to the leader and replies back. Set the fields, then call Run.
+type Client struct {
 	// Cell and Name identify the entry to the leader.
 	Cell string
 	Name string
@@ -67,16 +67,16 @@
 	// Dial opens connections; nil for TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	Log  logr.Logger
-	// Meters receives the pool's metrics; nil for none.
-	Meters *metrics.Set
+	// Metrics receives the pool's metrics; nil for none.
+	Metrics *metrics.Set
 
-	Limit     int
-	Flights   int
-	Batch     int
-	Patience  time.Duration
-	Timeout   time.Duration
-	Freshness time.Duration
-	Grace     time.Duration
+	MaxPending        int
+	MaxParallelPushes int
+	MaxPushItems      int
+	LongPollWait      time.Duration
+	CallTimeout       time.Duration
+	MaxContactAge     time.Duration
+	LeaderWait        time.Duration
 
 	prepare  sync.Once
 	book     *book
@@ -89,21 +89,21 @@
 	done     chan struct{}
 }
 
-func (p *Pool) init() {
+func (p *Client) init() {
 	p.prepare.Do(func() {
-		setDefault(&p.Limit, DefaultLimit)
-		setDefault(&p.Flights, DefaultFlights)
-		setDefault(&p.Batch, DefaultBatch)
-		setDefault(&p.Patience, DefaultPatience)
-		setDefault(&p.Timeout, DefaultTimeout)
-		setDefault(&p.Freshness, DefaultFreshness)
-		setDefault(&p.Grace, DefaultGrace)
+		setDefault(&p.MaxPending, DefaultMaxPending)
+		setDefault(&p.MaxParallelPushes, DefaultMaxParallelPushes)
+		setDefault(&p.MaxPushItems, DefaultMaxPushItems)
+		setDefault(&p.LongPollWait, DefaultLongPollWait)
+		setDefault(&p.CallTimeout, DefaultCallTimeout)
+		setDefault(&p.MaxContactAge, DefaultMaxContactAge)
+		setDefault(&p.LeaderWait, DefaultLeaderWait)
 		if p.Dial == nil {
-			p.Dial = (&net.Dialer{Timeout: p.Timeout}).DialContext
+			p.Dial = (&net.Dialer{Timeout: p.CallTimeout}).DialContext
 		}
 		p.started = time.Now()
-		p.contact.Store(-int64(p.Freshness) - 1)
-		p.book = newBook(p.Limit)
+		p.contact.Store(-int64(p.MaxContactAge) - 1)
+		p.book = newBook(p.MaxPending)
 		p.retries = rate.NewLimiter(retryRate, retryBurst)
 		p.meter = newMeter(p)
 		p.done = make(chan struct{})
@@ -118,13 +118,13 @@
 }
 
 // Done is closed when Run has returned.
-func (p *Pool) Done() <-chan struct{} { p.init(); return p.done }
+func (p *Client) Done() <-chan struct{} { p.init(); return p.done }
 
-// Revision returns the newest revision of the table heard of from a leader.
-func (p *Pool) Revision() uint64 { return p.revision.Load() }
+// TableRevision returns the newest revision of the table heard of from a leader.
+func (p *Client) TableRevision() uint64 { return p.revision.Load() }
 
 // Leader returns the replica that leads as far as known.
-func (p *Pool) Leader() (Replica, bool) {
+func (p *Client) Leader() (Replica, bool) {
 	r := p.leader.Load()
 	if r == nil {
 		return Replica{}, false
@@ -132,18 +132,18 @@
 	return *r, true
 }
 
-// Fresh tells whether a leader answered a call that began within the freshness bound.
-func (p *Pool) Fresh() bool { p.init(); return p.age() <= p.Freshness }
+// InContact tells whether a leader answered a call that began within the freshness bound.
+func (p *Client) InContact() bool { p.init(); return p.age() <= p.MaxContactAge }
 
 // Pending returns the number of items that wait for a reply.
-func (p *Pool) Pending() int { p.init(); return p.book.size() }
+func (p *Client) Pending() int { p.init(); return p.book.size() }
 
-func (p *Pool) age() time.Duration {
+func (p *Client) age() time.Duration {
 	return time.Since(p.started) - time.Duration(p.contact.Load())
 }
 
 // confirm notes that a leader answered a call that began at sent.
-func (p *Pool) confirm(sent time.Time) {
+func (p *Client) confirm(sent time.Time) {
 	at := int64(sent.Sub(p.started))
 	for {
 		old := p.contact.Load()
@@ -154,7 +154,7 @@
 }
 
 // learn notes a revision of the table; an older one, from a late reply, is ignored.
-func (p *Pool) learn(revision uint64) {
+func (p *Client) learn(revision uint64) {
 	for {
 		old := p.revision.Load()
 		if revision <= old || p.revision.CompareAndSwap(old, revision) {
@@ -163,14 +163,14 @@
 	}
 }
 
-// Ask sends the item to the leader and returns its reply. The error is a
+// Send sends the item to the leader and returns its reply. The error is a
 // *code.Error: Unreachable or Overloaded when the item provably did not reach
 // a leader, otherwise Unanswered.
-func (p *Pool) Ask(ctx context.Context, item *inner.Item) (*inner.Reply, error) {
+func (p *Client) Send(ctx context.Context, item *inner.Item) (*inner.Reply, error) {
 	p.init()
-	if !p.Fresh() && p.age() > p.Freshness+p.Grace {
+	if !p.InContact() && p.age() > p.MaxContactAge+p.LeaderWait {
 		p.meter.refused.Inc()
-		return nil, code.New(code.Unreachable, "no leader for %v", p.age().Round(time.Millisecond))
+		return nil, code.New(code.ControlUnreachable, "no leader for %v", p.age().Round(time.Millisecond))
 	}
 	c, err := p.book.add(ctx, item)
 	if err != nil {
@@ -187,11 +187,11 @@
 	}
 }
 
-// EndPolls ends the long polls under way with Leaving and refuses new ones, for a planned stop.
-func (p *Pool) EndPolls() { p.init(); p.book.endPolls() }
+// EndLongPolls ends the long polls under way with Leaving and refuses new ones, for a planned stop.
+func (p *Client) EndLongPolls() { p.init(); p.book.endPolls() }
 
 // Run serves until ctx ends. Items that still wait are then answered with an error.
-func (p *Pool) Run(ctx context.Context) error {
+func (p *Client) Run(ctx context.Context) error {
 	p.init()
 	defer close(p.done)
 	var wg sync.WaitGroup
@@ -212,7 +212,7 @@
 		p.leader.Store(nil)
 		p.meter.moves.Inc()
 		p.left(ctx, l, err)
-		if time.Since(began) > p.Freshness {
+		if time.Since(began) > p.MaxContactAge {
 			wait.Reset()
 		} else {
 			sleep(ctx, wait.NextBackOff())
@@ -222,18 +222,18 @@
 }
 
 // left logs why a link ended, unless the entry stops.
-func (p *Pool) left(ctx context.Context, l *link, why error) {
+func (p *Client) left(ctx context.Context, l *link, why error) {
 	switch {
 	case ctx.Err() != nil || errors.Is(why, errAged):
 	case errors.Is(why, errMoved):
 		event.Log(p.Log, event.LeaderChanged, "from", l.replica.Name)
 	default:
-		event.Fail(p.Log, event.LeaderAway, why, "replica", l.replica.Name)
+		event.LogError(p.Log, event.LeaderAway, why, "replica", l.replica.Name)
 	}
 }
 
 // sweep refuses items that no leader was found for and sends unanswered ones again.
-func (p *Pool) sweep(ctx context.Context) {
+func (p *Client) sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
 	for {
@@ -244,17 +244,17 @@
 		}
 		// A key may have been withdrawn since the last contact: past the bound
 		// nothing that waits may be answered by what an old leader said.
-		if !p.Fresh() {
-			p.meter.stale.Add(p.book.failStale(time.Now().Add(-p.Grace)))
+		if !p.InContact() {
+			p.meter.stale.Add(p.book.failStale(time.Now().Add(-p.LeaderWait)))
 			continue
 		}
-		p.book.failUnsent(time.Now().Add(-p.Grace))
+		p.book.failUnsent(time.Now().Add(-p.LeaderWait))
 		p.meter.resent.Add(p.book.requeueOverdue(time.Now(), p.retries))
 	}
 }
 
 // Dump asks the replica of that name for its state.
-func (p *Pool) Dump(ctx context.Context, process string) (*v1.DumpReply, error) {
+func (p *Client) Dump(ctx context.Context, process string) (*v1.DumpReply, error) {
 	p.init()
 	for _, r := range p.Replicas {
 		if r.Name != process {
@@ -264,15 +264,15 @@
 		defer l.close()
 		reply, err := l.client.Dump(ctx, &v1.DumpRequest{Process: process})
 		if err != nil {
-			return nil, code.New(code.Unanswered, "%s did not answer", process)
+			return nil, code.New(code.LeaderTimeout, "%s did not answer", process)
 		}
 		return reply, nil
 	}
-	return nil, code.New(code.Unknown, "process %q", process)
+	return nil, code.New(code.NotFound, "process %q", process)
 }
 
 // link makes the connections to one replica, under a session number of its own.
-func (p *Pool) link(r Replica) *link {
+func (p *Client) link(r Replica) *link {
 	l := &link{pool: p, replica: r, session: rand.Uint64()}
 	l.open()
 	return l
--- a/internal/edge/control/pool_test.go
+++ b/internal/edge/control/pool_test.go
@@ -97,7 +97,7 @@
 
 // bench runs a pool against scripts called c1, c2, ..., each behind a relay.
 type bench struct {
-	pool   *control.Pool
+	pool   *control.Client
 	relays map[string]*relay.Relay
 	memory *relay.Memory
 }
@@ -107,7 +107,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
 		b := &bench{memory: &relay.Memory{}, relays: map[string]*relay.Relay{}}
-		b.pool = &control.Pool{Cell: "cell", Name: "e1", Limit: 4, Dial: b.memory.Dial}
+		b.pool = &control.Client{Cell: "cell", Name: "e1", MaxPending: 4, Dial: b.memory.Dial}
 		for name, s := range scripts {
 			s.news = make(chan struct{})
 			server := &http.Server{Handler: inner.NewControlServer(s)}
@@ -133,7 +133,7 @@
 func (b *bench) listWithin(d time.Duration) code.Code {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
-	_, err := b.pool.Ask(ctx, &inner.Item{Ask: &inner.Item_List{List: &v1.ListRequest{}}})
+	_, err := b.pool.Send(ctx, &inner.Item{Ask: &inner.Item_List{List: &v1.ListRequest{}}})
 	var numbered *code.Error
 	if errors.As(err, &numbered) {
 		return numbered.Code
@@ -157,7 +157,7 @@
 		if took := time.Since(began); took > 0 {
 			t.Errorf("the refusal without a leader took %v", took)
 		}
-		want := []code.Code{code.Unanswered, code.Unreachable, code.Unreachable}
+		want := []code.Code{code.LeaderTimeout, code.ControlUnreachable, code.ControlUnreachable}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
@@ -170,7 +170,7 @@
 	s := &script{mute: true}
 	run(t, map[string]*script{"c1": s}, func(b *bench) {
 		b.relays["c1"].Set(relay.Down, relay.Lose)
-		if got := b.list(); got != code.Unanswered {
+		if got := b.list(); got != code.LeaderTimeout {
 			t.Errorf("code %d", got)
 		}
 		s.mu.Lock()
@@ -196,7 +196,7 @@
 func TestFullQueueRefusesAtOnce(t *testing.T) {
 	run(t, map[string]*script{"c1": {mute: true}}, func(b *bench) {
 		var wg sync.WaitGroup
-		for range b.pool.Limit {
+		for range b.pool.MaxPending {
 			wg.Go(func() { b.list() })
 		}
 		synctest.Wait()
@@ -217,7 +217,7 @@
 		s.mu.Lock()
 		s.answer(s.pushed[0])
 		s.mu.Unlock()
-		if got := b.listWithin(200 * time.Millisecond); got != code.Unanswered {
+		if got := b.listWithin(200 * time.Millisecond); got != code.LeaderTimeout {
 			t.Errorf("code %d: a late reply answered another request", got)
 		}
 	})
@@ -241,7 +241,7 @@
 			}
 			b.relays["c1"].Forget(relay.Up, relay.Down)
 			began := time.Now()
-			if got := b.listWithin(5 * time.Second); got != code.OK || time.Since(began) > control.DefaultTimeout+100*time.Millisecond {
+			if got := b.listWithin(5 * time.Second); got != code.OK || time.Since(began) > control.DefaultCallTimeout+100*time.Millisecond {
 				t.Errorf("code %d after %v", got, time.Since(began))
 			}
 		}
@@ -333,17 +333,17 @@
 func TestCutOffEntryRefusesWithinTheBound(t *testing.T) {
 	run(t, map[string]*script{"c1": {mute: true}}, func(b *bench) {
 		time.Sleep(time.Second)
-		if b.pool.Revision() != 7 || !b.pool.Fresh() {
-			t.Errorf("revision %d, fresh %v", b.pool.Revision(), b.pool.Fresh())
+		if b.pool.TableRevision() != 7 || !b.pool.InContact() {
+			t.Errorf("revision %d, fresh %v", b.pool.TableRevision(), b.pool.InContact())
 		}
 		b.relays["c1"].Set(relay.Up, relay.Lose)
 		b.relays["c1"].Set(relay.Down, relay.Lose)
 		began := time.Now()
 		got := b.listWithin(time.Minute)
-		if took := time.Since(began); got != code.Unanswered || took > control.DefaultFreshness+100*time.Millisecond {
+		if took := time.Since(began); got != code.LeaderTimeout || took > control.DefaultMaxContactAge+100*time.Millisecond {
 			t.Errorf("code %d after %v", got, took)
 		}
-		if b.pool.Fresh() {
+		if b.pool.InContact() {
 			t.Error("still fresh")
 		}
 	})
@@ -361,7 +361,7 @@
 		b.relays["c1"].Set(relay.Down, relay.Lose)
 		began := time.Now()
 		b.listWithin(time.Minute)
-		if took := time.Since(began); took > control.DefaultFreshness-slow+100*time.Millisecond {
+		if took := time.Since(began); took > control.DefaultMaxContactAge-slow+100*time.Millisecond {
 			t.Errorf("refused %v after the last answer could have left", took)
 		}
 	})
--- a/internal/edge/entry/cell_test.go
+++ b/internal/edge/entry/cell_test.go
@@ -52,7 +52,7 @@
 	cancelled bool
 	// ordered is the number of the sync whose answer last carried the order to start.
 	ordered uint64
-	parts   answer.Parts
+	parts   answer.Assembler
 	whole   []byte
 }
 
@@ -87,7 +87,7 @@
 func (c *cell) check(cred *inner.Credential, operator bool) *v1.Status {
 	k, ok := c.keys[cred.GetId()]
 	if !ok || k.Withdrawn || !k.Matches(cred.GetDigest()) {
-		return &v1.Status{Code: uint32(code.BadKey)}
+		return &v1.Status{Code: uint32(code.InvalidKey)}
 	}
 	if k.Operator != operator {
 		return &v1.Status{Code: uint32(code.Forbidden)}
@@ -177,7 +177,7 @@
 func (c *cell) wait(team string, req *v1.WaitRequest, over bool) *v1.WaitReply {
 	j, ok := c.jobs[team+"/"+req.GetId()]
 	if !ok {
-		return &v1.WaitReply{Id: req.GetId(), Status: &v1.Status{Code: uint32(code.Unknown)}}
+		return &v1.WaitReply{Id: req.GetId(), Status: &v1.Status{Code: uint32(code.NotFound)}}
 	}
 	if !j.final() && !over {
 		return nil
@@ -185,7 +185,7 @@
 	reply := &v1.WaitReply{Id: req.GetId(), Outcome: j.outcome, Status: j.status()}
 	if j.outcome == v1.Outcome_OUTCOME_DONE {
 		c.step("answer")
-		reply.Chunk = answer.Cut(j.whole, req.GetChunk())
+		reply.Chunk = answer.ChunkAt(j.whole, req.GetChunk())
 	}
 	return reply
 }
@@ -232,7 +232,7 @@
 	j.server = ""
 	switch {
 	case j.spec.GetOnce():
-		j.outcome, j.code = v1.Outcome_OUTCOME_UNKNOWN, code.Lost
+		j.outcome, j.code = v1.Outcome_OUTCOME_UNKNOWN, code.ServerLost
 	case j.cancelled:
 		j.outcome, j.code = v1.Outcome_OUTCOME_DONE, code.Stopped
 	default:
@@ -243,7 +243,7 @@
 func (c *cell) sync(req *v1.SyncRequest, over bool) *v1.SyncReply {
 	s, ok := c.servers[req.GetServer()]
 	if !ok || s.incarnation != req.GetIncarnation() || s.gone {
-		return &v1.SyncReply{Number: req.GetNumber(), Status: &v1.Status{Code: uint32(code.Stale)}}
+		return &v1.SyncReply{Number: req.GetNumber(), Status: &v1.Status{Code: uint32(code.SessionReplaced)}}
 	}
 	if req.GetNumber() < s.number {
 		// A late copy: what it shows is past, and its answer would be dropped.
@@ -309,7 +309,7 @@
 		for _, chunk := range r.GetChunks() {
 			_ = j.parts.Add(chunk)
 		}
-		if whole, ok, _ := j.parts.Whole(); ok {
+		if whole, ok, _ := j.parts.Assemble(); ok {
 			j.whole, j.outcome = whole, v1.Outcome_OUTCOME_DONE
 		}
 	case v1.Phase_PHASE_STOPPED:
@@ -333,7 +333,7 @@
 	case *v1.ChangeRequest_Table:
 		c.step("table")
 		if ch.Table.GetBase() != c.revision {
-			reply.Status = &v1.Status{Code: uint32(code.Conflict)}
+			reply.Status = &v1.Status{Code: uint32(code.RevisionConflict)}
 		} else {
 			c.revision++
 		}
@@ -346,7 +346,7 @@
 		// A server that never announced can't be drained, as in the ledger;
 		// the answer is not kept, since the operator tries again.
 		if _, ok := c.servers[ch.Mark.GetServer()]; !ok {
-			return &v1.ChangeReply{Status: &v1.Status{Code: uint32(code.Unknown)}}
+			return &v1.ChangeReply{Status: &v1.Status{Code: uint32(code.NotFound)}}
 		}
 		c.drain(ch.Mark.GetServer())
 	}
@@ -380,7 +380,7 @@
 		j.server, j.outcome = name, v1.Outcome_OUTCOME_RUNNING
 		j.attempt++
 		j.ordered = 0
-		j.parts = answer.Parts{}
+		j.parts = answer.Assembler{}
 		c.placed[name] = time.Now()
 		return
 	}
--- a/internal/edge/entry/matrix_test.go
+++ b/internal/edge/entry/matrix_test.go
@@ -55,7 +55,7 @@
 		}
 	})
 	if !t.Failed() && len(checks) == len(faults())*len(steps) {
-		page.Check(t, "../../../docs/faults/edge.md", matrix(checks))
+		page.CheckGenerated(t, "../../../docs/faults/edge.md", matrix(checks))
 	}
 }
 
@@ -207,7 +207,7 @@
 	old := edit("three", 0)
 	s.check(first.GetRevision() == 1 && second.GetRevision() == 2, "revisions %d and %d", first.GetRevision(), second.GetRevision())
 	s.check(again.GetRevision() == 1 && again.GetStatus().GetCode() == 0, "the resent change got %v", again)
-	s.check(old.GetStatus().GetCode() == uint32(code.Conflict), "the change from an old revision got %v", old.GetStatus())
+	s.check(old.GetStatus().GetCode() == uint32(code.RevisionConflict), "the change from an old revision got %v", old.GetStatus())
 }
 
 // keys uses a key at the first entry until well after it was withdrawn at the other.
@@ -255,7 +255,7 @@
 	mark := &v1.ChangeRequest{Id: "drain", Change: &v1.ChangeRequest_Mark{Mark: &v1.ServerMark{Server: "s2", Drain: true}}}
 	reply := s.duty.change(1, mark)
 	// With the leader gone from the start the server may not have announced yet.
-	for n := 0; n < 50 && reply.GetStatus().GetCode() == uint32(code.Unknown); n++ {
+	for n := 0; n < 50 && reply.GetStatus().GetCode() == uint32(code.NotFound); n++ {
 		time.Sleep(200 * time.Millisecond)
 		reply = s.duty.change(1, mark)
 	}
--- a/internal/edge/entry/measure_test.go
+++ b/internal/edge/entry/measure_test.go
@@ -183,12 +183,12 @@
 	input := make([]byte, 200)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	pool := &control.Pool{Cell: "test", Name: "direct", Log: logr.Discard(), Replicas: []control.Replica{{Name: "c1", Address: m.leader}}}
+	pool := &control.Client{Cell: "test", Name: "direct", Log: logr.Discard(), Replicas: []control.Replica{{Name: "c1", Address: m.leader}}}
 	go func() { _ = pool.Run(ctx) }()
 	time.Sleep(time.Second)
 	for _, rate := range []int{200, 1400, 3000} {
 		direct, lost := load(rate, measured, func(id string) error {
-			_, err := pool.Ask(ctx, &inner.Item{Ask: &inner.Item_Submit{Submit: &v1.SubmitRequest{Jobs: []*v1.Spec{spec(id, false, input)}}}})
+			_, err := pool.Send(ctx, &inner.Item{Ask: &inner.Item_Submit{Submit: &v1.SubmitRequest{Jobs: []*v1.Spec{spec(id, false, input)}}}})
 			return err
 		})
 		used, in, out := processorTime(t, m.child.cmd.Process.Pid), m.inside.bytes(), outside.bytes()
--- a/internal/edge/entry/stop_test.go
+++ b/internal/edge/entry/stop_test.go
@@ -49,10 +49,10 @@
 			if err != nil {
 				broken.Add(1)
 			}
-			if status.GetCode() == uint32(code.Leaving) {
+			if status.GetCode() == uint32(code.ShuttingDown) {
 				leaving.Add(1)
 			}
-			return err == nil && status.GetCode() != uint32(code.Leaving)
+			return err == nil && status.GetCode() != uint32(code.ShuttingDown)
 		}
 		for i := range 40 {
 			c := w.near()
--- a/internal/edge/helper/helper.go
+++ b/internal/edge/helper/helper.go
@@ -27,9 +27,9 @@
 	Call(ctx context.Context, c *inner.ServerCall) *inner.ServerAnswer
 }
 
-// Follower is told of a new leader, and says who it is itself.
-type Follower interface {
-	Announced(address string, w *inner.Welcome) *inner.Greeting
+// LeaderObserver is told of a new leader, and says who it is itself.
+type LeaderObserver interface {
+	LeaderAnnounced(address string, w *inner.Welcome) *inner.Greeting
 }
 
 // Server makes calls for the leader. The exported fields are set before use.
@@ -37,8 +37,8 @@
 	Cell     string
 	Adviser  Adviser
 	Backends Backends
-	// Follower is told of new leaders; nil for nobody is.
-	Follower Follower
+	// LeaderObserver is told of new leaders; nil for nobody is.
+	LeaderObserver LeaderObserver
 }
 
 var _ inner.Helper = (*Server)(nil)
@@ -71,10 +71,10 @@
 	if err := s.check(a.GetCell()); err != nil {
 		return nil, err
 	}
-	if s.Follower == nil {
+	if s.LeaderObserver == nil {
 		return &inner.Greeting{}, nil
 	}
-	return s.Follower.Announced(a.GetAddress(), a.GetWelcome()), nil
+	return s.LeaderObserver.LeaderAnnounced(a.GetAddress(), a.GetWelcome()), nil
 }
 
 func (s *Server) check(cell string) error {
@@ -84,28 +84,28 @@
 	return nil
 }
 
-// Pool calls helpers, this process among them. The exported fields are set
+// Client calls helpers, this process among them. The exported fields are set
 // before use.
-type Pool struct {
-	Self   *Server
-	Client *http.Client
+type Client struct {
+	Local      *Server
+	HTTPClient *http.Client
 }
 
 // Advise lets the process at that address ask; this process when it is empty.
-func (p *Pool) Advise(ctx context.Context, address string, r *inner.AdviseRequest) *inner.AdviseReply {
+func (p *Client) Advise(ctx context.Context, address string, r *inner.AdviseRequest) *inner.AdviseReply {
 	if address == "" {
-		return p.Self.Adviser.Advise(ctx, r)
+		return p.Local.Adviser.Advise(ctx, r)
 	}
-	rep, err := inner.NewHelperProtobufClient("http://"+address, p.Client).Advise(ctx, r)
+	rep, err := inner.NewHelperProtobufClient("http://"+address, p.HTTPClient).Advise(ctx, r)
 	if err != nil {
-		return &inner.AdviseReply{Code: uint32(code.Unanswered), Detail: err.Error()}
+		return &inner.AdviseReply{Code: uint32(code.LeaderTimeout), Detail: err.Error()}
 	}
 	return rep
 }
 
 // Announce tells the process at that address who leads; nil when it does not answer.
-func (p *Pool) Announce(ctx context.Context, address string, a *inner.Announcement) *inner.Greeting {
-	g, err := inner.NewHelperProtobufClient("http://"+address, p.Client).Announce(ctx, a)
+func (p *Client) Announce(ctx context.Context, address string, a *inner.Announcement) *inner.Greeting {
+	g, err := inner.NewHelperProtobufClient("http://"+address, p.HTTPClient).Announce(ctx, a)
 	if err != nil {
 		return nil
 	}
@@ -114,8 +114,8 @@
 
 // Relay lets the process at that address call a backend server. What goes wrong
 // on the way to it may have happened after the call left.
-func (p *Pool) Relay(ctx context.Context, address string, c *inner.ServerCall) *inner.ServerAnswer {
-	rep, err := inner.NewHelperProtobufClient("http://"+address, p.Client).Relay(ctx, c)
+func (p *Client) Relay(ctx context.Context, address string, c *inner.ServerCall) *inner.ServerAnswer {
+	rep, err := inner.NewHelperProtobufClient("http://"+address, p.HTTPClient).Relay(ctx, c)
 	switch {
 	case err == nil:
 		return rep
--- a/internal/edge/helper/helper_test.go
+++ b/internal/edge/helper/helper_test.go
@@ -27,7 +27,7 @@
 func (slowAdviser) Advise(ctx context.Context, r *inner.AdviseRequest) *inner.AdviseReply {
 	if r.GetFlow() == lost {
 		<-ctx.Done()
-		return &inner.AdviseReply{Code: uint32(code.Unanswered)}
+		return &inner.AdviseReply{Code: uint32(code.LeaderTimeout)}
 	}
 	time.Sleep(answerTime)
 	return &inner.AdviseReply{}
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	s := &http.Server{Handler: (&helper.Server{Adviser: slowAdviser{}, Backends: slowBackends{}}).Handler()}
-	wire.Serving(s)
+	wire.ConfigureServer(s)
 	go func() { _ = s.Serve(in) }()
 	t.Cleanup(func() { _ = s.Close() })
 	front, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +70,7 @@
 // and the calls relayed beside it still go through.
 func TestCallsOutliveRefusedConnections(t *testing.T) {
 	r, address := behind(t)
-	p := &helper.Pool{Client: wire.Shared(nil)}
+	p := &helper.Client{HTTPClient: wire.NewMultiplexedClient(nil)}
 	ask := func(flow string, limit time.Duration) error {
 		ctx, cancel := context.WithTimeout(t.Context(), limit)
 		defer cancel()
@@ -108,7 +108,7 @@
 // waiting on that connection when a new one would do.
 func TestSilentConnectionIsLeft(t *testing.T) {
 	r, address := behind(t)
-	p := &helper.Pool{Client: wire.Shared(nil)}
+	p := &helper.Client{HTTPClient: wire.NewMultiplexedClient(nil)}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	ask := func(limit time.Duration) bool {
--- a/internal/edge/leader/carry.go
+++ b/internal/edge/leader/carry.go
@@ -16,17 +16,17 @@
 // Ask carries a request to the leader. Every request may be made again: flows
 // have ids, and cancelling or asking twice changes nothing. The answer has code
 // NoLeader when nothing can have been done, and Unanswered when that is not known.
-func (l *Link) Ask(ctx context.Context, a *inner.FlowAsk) *inner.FlowAnswer {
+func (l *Client) Ask(ctx context.Context, a *inner.FlowAsk) *inner.FlowAnswer {
 	begin := l.Now()
 	rep := l.carry(ctx, a)
-	if changes(a) || rep.GetCode() == uint32(code.Unanswered) {
+	if changes(a) || rep.GetCode() == uint32(code.LeaderTimeout) {
 		event.Log(l.Log, event.CallAnswered, "flow", path.Base(a.GetPath()), "verb", a.GetVerb().String(), "code", rep.GetCode(), "detail", rep.GetDetail(), "term", rep.GetTerm(), "retry", rep.GetRetry(), "took", (l.Now() - begin).String())
 	}
 	return rep
 }
 
 // carry asks the leader, and the next one, until one has answered.
-func (l *Link) carry(ctx context.Context, a *inner.FlowAsk) *inner.FlowAnswer {
+func (l *Client) carry(ctx context.Context, a *inner.FlowAsk) *inner.FlowAnswer {
 	a.Cell = l.Cell
 	sent := false
 	give := time.NewTimer(l.patience())
@@ -72,7 +72,7 @@
 
 // patience returns how long a request that was not sent waits for a leader: less
 // the longer none is known, and not at all when an election should be over.
-func (l *Link) patience() time.Duration {
+func (l *Client) patience() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leader != "" {
@@ -83,7 +83,7 @@
 
 // settling bounds the time in which a request that may have been taken is asked
 // again: half of its caller's, who then has the other half to ask by itself.
-func (l *Link) settling(ctx context.Context) (context.Context, context.CancelFunc) {
+func (l *Client) settling(ctx context.Context) (context.Context, context.CancelFunc) {
 	end, ok := ctx.Deadline()
 	if !ok {
 		return context.WithCancel(ctx)
@@ -91,16 +91,16 @@
 	return context.WithTimeout(ctx, time.Until(end)/2)
 }
 
-func (l *Link) unanswered(a *inner.FlowAsk, sent bool) *inner.FlowAnswer {
+func (l *Client) unanswered(a *inner.FlowAsk, sent bool) *inner.FlowAnswer {
 	c := code.NoLeader
 	if sent {
-		c = code.Unanswered
+		c = code.LeaderTimeout
 	}
 	event.Log(l.Log, event.CallUnanswered, "flow", path.Base(a.GetPath()), "verb", a.GetVerb().String(), "code", uint32(c), "leader", l.leaderName())
 	return &inner.FlowAnswer{Code: uint32(c), Retry: uint64(comeBack / time.Millisecond)}
 }
 
-func (l *Link) leaderName() string {
+func (l *Client) leaderName() string {
 	leader, _, _ := l.at()
 	return leader
 }
@@ -108,7 +108,7 @@
 // try makes one call; nil when it has to be made again. reached tells that the
 // leader may have taken the request. A call to a leader that was replaced
 // meanwhile is given up: it may stand still for seconds.
-func (l *Link) try(ctx context.Context, leader string, changed <-chan struct{}, a *inner.FlowAsk) (rep *inner.FlowAnswer, reached bool) {
+func (l *Client) try(ctx context.Context, leader string, changed <-chan struct{}, a *inner.FlowAsk) (rep *inner.FlowAnswer, reached bool) {
 	limit := tryTimeout
 	if end, ok := ctx.Deadline(); ok {
 		limit = min(limit, time.Until(end))
@@ -123,7 +123,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	rep, err := inner.NewFlowsProtobufClient("http://"+leader, l.Client).Ask(ctx, a)
+	rep, err := inner.NewFlowsProtobufClient("http://"+leader, l.HTTPClient).Ask(ctx, a)
 	if err != nil {
 		// A call that ended with its caller's time tells nothing of the leader.
 		if wire.NeverSent(err) || limit == tryTimeout && errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -135,7 +135,7 @@
 	case code.NoLeader:
 		l.moved(leader, rep.GetLeader())
 		return nil, false
-	case code.Unanswered:
+	case code.LeaderTimeout:
 		return nil, true
 	}
 	if rep.GetTerm() > 0 {
@@ -145,7 +145,7 @@
 }
 
 // moved notes that a replica does not lead, and whom it takes for the leader.
-func (l *Link) moved(from, to string) {
+func (l *Client) moved(from, to string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leader != from {
@@ -156,7 +156,7 @@
 	}
 }
 
-func (l *Link) answered(term uint64) {
+func (l *Client) answered(term uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.term, l.heard = max(l.term, term), l.Now()
--- a/internal/edge/leader/greet.go
+++ b/internal/edge/leader/greet.go
@@ -12,7 +12,7 @@
 )
 
 // Run keeps the process known to the leader until ctx ends.
-func (l *Link) Run(ctx context.Context) error {
+func (l *Client) Run(ctx context.Context) error {
 	l.init()
 	defer close(l.done)
 	l.mu.Lock()
@@ -21,7 +21,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for turn := 0; ctx.Err() == nil; turn++ {
-		if !l.Leads() {
+		if !l.IsLeader() {
 			for _, address := range l.targets(turn) {
 				wg.Go(func() { l.greet(ctx, address) })
 			}
@@ -35,7 +35,7 @@
 }
 
 // next returns how long the next greeting waits.
-func (l *Link) next() time.Duration {
+func (l *Client) next() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leader == "" {
@@ -47,7 +47,7 @@
 // targets returns whom to greet now: the leader, and one of the others, in turn.
 // A leader that is cut off or stands still does not tell that it was replaced;
 // one of the others does, before calls to the old one have timed out.
-func (l *Link) targets(turn int) []string {
+func (l *Client) targets(turn int) []string {
 	leader, _, _ := l.at()
 	all := l.known()
 	if len(all) == 0 {
@@ -70,7 +70,7 @@
 }
 
 // greet greets one address, and whoever that one takes for the leader.
-func (l *Link) greet(ctx context.Context, address string) {
+func (l *Client) greet(ctx context.Context, address string) {
 	w, asked := l.hello(ctx, address)
 	if !asked {
 		return
@@ -91,14 +91,14 @@
 
 // hello greets one address, unless a greeting to it is under way. Asked again and
 // again while it is slow, a replica would become slower with each. Nil is no answer.
-func (l *Link) hello(ctx context.Context, address string) (w *inner.Welcome, asked bool) {
+func (l *Client) hello(ctx context.Context, address string) (w *inner.Welcome, asked bool) {
 	if !l.begin(address) {
 		return nil, false
 	}
 	defer l.end(address)
 	ctx, cancel := context.WithTimeout(ctx, greetTimeout)
 	defer cancel()
-	w, err := inner.NewFlowsProtobufClient("http://"+address, l.Client).Greet(ctx, l.self())
+	w, err := inner.NewFlowsProtobufClient("http://"+address, l.HTTPClient).Greet(ctx, l.self())
 	if err != nil {
 		return nil, true
 	}
@@ -106,22 +106,22 @@
 }
 
 // self returns what this process says of itself now.
-func (l *Link) self() *inner.Greeting {
+func (l *Client) self() *inner.Greeting {
 	g := proto.CloneOf(l.Greeting)
 	g.Clock = time.Now().UnixNano()
 	return g
 }
 
-// Announced takes the word of a leader that has just begun, which comes long before
+// LeaderAnnounced takes the word of a leader that has just begun, which comes long before
 // the next greeting would find it.
-func (l *Link) Announced(address string, w *inner.Welcome) *inner.Greeting {
+func (l *Client) LeaderAnnounced(address string, w *inner.Welcome) *inner.Greeting {
 	l.init()
 	l.found(address, w)
 	return l.self()
 }
 
 // begin notes a greeting to an address; false when one is under way.
-func (l *Link) begin(address string) bool {
+func (l *Client) begin(address string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.greeting[address] {
@@ -131,14 +131,14 @@
 	return true
 }
 
-func (l *Link) end(address string) {
+func (l *Client) end(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.greeting, address)
 }
 
 // known lists the addresses where the leader may be.
-func (l *Link) known() []string {
+func (l *Client) known() []string {
 	l.mu.Lock()
 	all := append(slices.Clone(l.members), l.Seeds()...)
 	l.mu.Unlock()
--- a/internal/edge/leader/leader.go
+++ b/internal/edge/leader/leader.go
@@ -42,18 +42,18 @@
 	freshTime = 4 * time.Second
 )
 
-// Link is the way to the leader. The exported fields are set before Run.
-type Link struct {
+// Client is the way to the leader. The exported fields are set before Run.
+type Client struct {
 	Cell string
 	// Greeting is what this process says of itself; its replica is empty for an entry.
 	Greeting *inner.Greeting
 	// Seeds are addresses to look for the leader at, first and when all others fail.
 	Seeds func() []string
-	// Leads tells that the leader is this process itself; nil for never.
-	Leads  func() bool
-	Client *http.Client
-	Now    func() time.Duration
-	Log    logr.Logger
+	// IsLeader tells that the leader is this process itself; nil for never.
+	IsLeader   func() bool
+	HTTPClient *http.Client
+	Now        func() time.Duration
+	Log        logr.Logger
 
 	once    sync.Once
 	done    chan struct{}
@@ -73,22 +73,22 @@
 	changed chan struct{}
 }
 
-func (l *Link) init() {
+func (l *Client) init() {
 	l.once.Do(func() {
 		l.done, l.changed = make(chan struct{}), make(chan struct{})
 		l.pause, l.greeting = greetEvery, map[string]bool{}
-		if l.Leads == nil {
-			l.Leads = func() bool { return false }
+		if l.IsLeader == nil {
+			l.IsLeader = func() bool { return false }
 		}
 	})
 }
 
 // Done is closed when Run has returned.
-func (l *Link) Done() <-chan struct{} { l.init(); return l.done }
+func (l *Client) Done() <-chan struct{} { l.init(); return l.done }
 
-// Fresh returns nil while the leader was heard of lately and has a
+// CheckContact returns nil while the leader was heard of lately and has a
 // configuration in force, else why not.
-func (l *Link) Fresh() error {
+func (l *Client) CheckContact() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
@@ -111,14 +111,14 @@
 }
 
 // State returns the state of the link for a person to read.
-func (l *Link) State() any {
+func (l *Client) State() any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return Dump{Leader: l.leader, Term: l.term, Members: l.members, Version: l.version, Heard: (l.Now() - l.heard).String()}
 }
 
 // found takes the word of a leader; that of an earlier term is not listened to.
-func (l *Link) found(address string, w *inner.Welcome) {
+func (l *Client) found(address string, w *inner.Welcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if w.GetTerm() < l.term {
@@ -138,7 +138,7 @@
 }
 
 // lost notes that a leader does not answer any more.
-func (l *Link) lost(address string) {
+func (l *Client) lost(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if address != "" && l.leader == address {
@@ -148,7 +148,7 @@
 }
 
 // at returns the leader, and what is closed when another one is known.
-func (l *Link) at() (leader string, term uint64, changed <-chan struct{}) {
+func (l *Client) at() (leader string, term uint64, changed <-chan struct{}) {
 	l.init()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/edge/leader/leader_test.go
+++ b/internal/edge/leader/leader_test.go
@@ -85,15 +85,15 @@
 	return &inner.Welcome{Term: r.term, Leads: r.leads, Leader: r.leader, Version: 1, Pause: r.pause}, nil
 }
 
-func newLink(t *testing.T, replicas ...*replica) *leader.Link {
+func newLink(t *testing.T, replicas ...*replica) *leader.Client {
 	var seeds []string
 	for _, r := range replicas {
 		seeds = append(seeds, r.address())
 	}
 	begin := time.Now()
-	l := &leader.Link{
+	l := &leader.Client{
 		Greeting: &inner.Greeting{Name: "entry", Address: "127.0.0.1:1"}, Seeds: func() []string { return seeds },
-		Client: wire.Client(4, nil, files.Servers), Now: func() time.Duration { return time.Since(begin) + time.Hour }, Log: logr.Discard(),
+		HTTPClient: wire.NewClient(4, nil, files.Servers), Now: func() time.Duration { return time.Since(begin) + time.Hour }, Log: logr.Discard(),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() { cancel(); <-l.Done() })
@@ -102,7 +102,7 @@
 }
 
 // within asks until the answer is of that term.
-func within(t *testing.T, l *leader.Link, term uint32, limit time.Duration) *inner.FlowAnswer {
+func within(t *testing.T, l *leader.Client, term uint32, limit time.Duration) *inner.FlowAnswer {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	defer cancel()
@@ -123,7 +123,7 @@
 	b.set(func() { b.term, b.leader = 1, a.address() })
 	l := newLink(t, a, b)
 	within(t, l, 1, 5*time.Second)
-	if err := l.Fresh(); err != nil {
+	if err := l.CheckContact(); err != nil {
 		t.Error(err)
 	}
 	a.set(func() { a.leads, a.leader, a.term = false, b.address(), 2 })
@@ -193,7 +193,7 @@
 }
 
 // linkToFrozen returns a link whose leader, the only replica, stands still.
-func linkToFrozen(t *testing.T) *leader.Link {
+func linkToFrozen(t *testing.T) *leader.Client {
 	a := newReplica(t)
 	a.set(func() { a.leads, a.term = true, 1 })
 	l := newLink(t, a)
@@ -211,7 +211,7 @@
 	l := linkToFrozen(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
-	if rep := l.Ask(ctx, &inner.FlowAsk{Verb: inner.FlowVerb_FLOW_VERB_SUBMIT}); code.Code(rep.GetCode()) != code.Unanswered {
+	if rep := l.Ask(ctx, &inner.FlowAsk{Verb: inner.FlowVerb_FLOW_VERB_SUBMIT}); code.Code(rep.GetCode()) != code.LeaderTimeout {
 		t.Errorf("answered with %v", rep)
 	}
 }
@@ -283,14 +283,14 @@
 	answered := make(chan *inner.FlowAnswer)
 	go func() { answered <- l.Ask(t.Context(), &inner.FlowAsk{}) }()
 	time.Sleep(20 * time.Millisecond)
-	if g := l.Announced(next.address(), &inner.Welcome{Term: 2, Leads: true, Version: 1}); g.GetAddress() == "" || g.GetClock() == 0 {
+	if g := l.LeaderAnnounced(next.address(), &inner.Welcome{Term: 2, Leads: true, Version: 1}); g.GetAddress() == "" || g.GetClock() == 0 {
 		t.Error(g)
 	}
 	begin := time.Now()
 	if rep := <-answered; rep.GetTerm() != 2 || time.Since(begin) > 200*time.Millisecond {
 		t.Errorf("%v after %v", rep, time.Since(begin))
 	}
-	if l.Announced(old.address(), &inner.Welcome{Term: 1, Leads: true}); l.Ask(t.Context(), &inner.FlowAsk{}).GetTerm() != 2 {
+	if l.LeaderAnnounced(old.address(), &inner.Welcome{Term: 1, Leads: true}); l.Ask(t.Context(), &inner.FlowAsk{}).GetTerm() != 2 {
 		t.Error("the word of an earlier term was taken")
 	}
 }
--- a/internal/edge/platform/platform.go
+++ b/internal/edge/platform/platform.go
@@ -11,12 +11,12 @@
 type Probes struct {
 	// Ready returns nil when the balancer may send requests here, else why not.
 	Ready func() error
-	// Meters are the sets of metrics to show beside the process's own.
-	Meters []*metrics.Set
+	// MetricSets are the sets of metrics to show beside the process's own.
+	MetricSets []*metrics.Set
 }
 
-// Route returns the handler for /healthz, /readyz and /metrics.
-func (p *Probes) Route() http.Handler {
+// Handler returns the handler for /healthz, /readyz and /metrics.
+func (p *Probes) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { answer(w, nil) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) { answer(w, p.Ready()) })
@@ -36,7 +36,7 @@
 
 func (p *Probes) metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-	for _, set := range p.Meters {
+	for _, set := range p.MetricSets {
 		set.WritePrometheus(w)
 	}
 	metrics.WriteProcessMetrics(w)
--- a/internal/edge/wire/files_test.go
+++ b/internal/edge/wire/files_test.go
@@ -88,7 +88,7 @@
 	}
 	defer func() { _ = unix.Setrlimit(unix.RLIMIT_NOFILE, &before) }()
 
-	client := wire.Client(4, files.New(files.Limit(0)), files.Servers)
+	client := wire.NewClient(4, files.NewBudget(files.ProcessLimit(0)), files.Servers)
 	defer client.CloseIdleConnections()
 	var wg sync.WaitGroup
 	for i := range servers {
--- a/internal/edge/wire/wire.go
+++ b/internal/edge/wire/wire.go
@@ -39,36 +39,36 @@
 // idleParts is the part of what a use may open that its idle connections take up.
 const idleParts = 2
 
-// Client returns a client for calls with their own deadlines, whose connections
+// NewClient returns a client for calls with their own deadlines, whose connections
 // count for a use of the budget. It speaks HTTP/1.1, where a call that is given up
 // closes its own connection: one that went silent is never used twice.
-func Client(perHost int, budget *files.Budget, use files.Use) *http.Client {
+func NewClient(perHost int, budget *files.Budget, use files.Purpose) *http.Client {
 	only := new(http.Protocols)
 	only.SetHTTP1(true)
 	t := &http.Transport{
-		Protocols: only, DisableCompression: true, MaxIdleConns: budget.Share(use) / idleParts,
+		Protocols: only, DisableCompression: true, MaxIdleConns: budget.Allowance(use) / idleParts,
 		MaxIdleConnsPerHost: perHost, MaxConnsPerHost: perHost, IdleConnTimeout: IdleTimeout,
 	}
-	t.DialContext = budget.Dial(use, dial, t.CloseIdleConnections)
+	t.DialContext = budget.LimitDial(use, dial, t.CloseIdleConnections)
 	return &http.Client{Transport: t, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
-// Shared returns a client for calls between our own processes. All calls to one
+// NewMultiplexedClient returns a client for calls between our own processes. All calls to one
 // process travel on one connection, which outlives those that are given up: some
 // failures of a network let open connections live and refuse new ones, and a
 // process that had to dial for its next call would be alone until they are over.
 // A connection that went silent would be used again, so it is pinged.
-func Shared(budget *files.Budget) *http.Client {
+func NewMultiplexedClient(budget *files.Budget) *http.Client {
 	only := new(http.Protocols)
 	only.SetUnencryptedHTTP2(true)
 	return &http.Client{Transport: &http.Transport{
-		DialContext: budget.Dial(files.Processes, dial, func() {}), Protocols: only, DisableCompression: true, MaxConnsPerHost: 1, IdleConnTimeout: IdleTimeout,
+		DialContext: budget.LimitDial(files.Processes, dial, func() {}), Protocols: only, DisableCompression: true, MaxConnsPerHost: 1, IdleConnTimeout: IdleTimeout,
 		HTTP2: &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTime},
 	}}
 }
 
-// Serving sets a server up for calls of both kinds of clients.
-func Serving(s *http.Server) {
+// ConfigureServer sets a server up for calls of both kinds of clients.
+func ConfigureServer(s *http.Server) {
 	s.Protocols = new(http.Protocols)
 	s.Protocols.SetHTTP1(true)
 	s.Protocols.SetUnencryptedHTTP2(true)
@@ -105,6 +105,6 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// Refused tells whether nobody listens at the address: the machine is there
+// ConnectionRefused tells whether nobody listens at the address: the machine is there
 // and the process is not.
-func Refused(err error) bool { return NeverSent(err) && errors.Is(err, unix.ECONNREFUSED) }
+func ConnectionRefused(err error) bool { return NeverSent(err) && errors.Is(err, unix.ECONNREFUSED) }
--- a/internal/fake/server/server.go
+++ b/internal/fake/server/server.go
@@ -266,7 +266,7 @@
 	if c == code.OK {
 		return nil
 	}
-	if c == code.Stale || c == code.Unknown {
+	if c == code.SessionReplaced || c == code.NotFound {
 		s.lock()
 		s.drop()
 		s.mu.Unlock()
--- a/internal/ledger/flows/lifecycle.go
+++ b/internal/ledger/flows/lifecycle.go
@@ -14,7 +14,7 @@
 	if _, ok := l.flows[id]; ok {
 		return nil // a resend of a flow that was already accepted
 	}
-	if err := flow.Check(a.GetSpec()); err != nil {
+	if err := flow.CheckSpec(a.GetSpec()); err != nil {
 		return err
 	}
 	f := &Flow{
@@ -62,7 +62,7 @@
 func (l *Ledger) beginDueTurn(now time.Duration, d *record.FlowDue) *code.Error {
 	f, ok := l.flows[d.GetId()]
 	if !ok || f.Final() || f.NextTurn >= f.Spec.GetTimes() {
-		return code.New(code.Unknown, "flow %s has no turn left to start", d.GetId())
+		return code.New(code.NotFound, "flow %s has no turn left to start", d.GetId())
 	}
 	l.addTextToDigest(d.GetId())
 	l.beginTurn(now, f)
@@ -72,7 +72,7 @@
 func (l *Ledger) cancelFlow(now time.Duration, c *record.FlowCancel) *code.Error {
 	f, ok := l.flows[c.GetId()]
 	if !ok {
-		return code.New(code.Unknown, "%s", c.GetId())
+		return code.New(code.NotFound, "%s", c.GetId())
 	}
 	if f.Final() {
 		return nil
--- a/internal/ledger/flows/run.go
+++ b/internal/ledger/flows/run.go
@@ -18,7 +18,7 @@
 func (l *Ledger) applyServerReport(now time.Duration, m *record.FlowServer) *code.Error {
 	old, known := l.servers[m.GetId()]
 	if known && m.GetBorn() < old.StartedAtMs {
-		return code.New(code.Stale, "server %s: report of an older incarnation", m.GetId())
+		return code.New(code.SessionReplaced, "server %s: report of an older incarnation", m.GetId())
 	}
 	b := &Server{
 		ID: m.GetId(), StartedAtMs: m.GetBorn(), Address: m.GetAddress(), Zone: m.GetZone(), Pool: m.GetPool(), Machine: m.GetMachine(),
@@ -26,10 +26,10 @@
 	}
 	if known && m.GetBorn() == old.StartedAtMs {
 		if old.Ended {
-			return code.New(code.Stale, "server %s: this incarnation has ended", m.GetId())
+			return code.New(code.SessionReplaced, "server %s: this incarnation has ended", m.GetId())
 		}
 		if m.GetCall() < old.LastReport {
-			return code.New(code.Stale, "server %s: a later report is already recorded", m.GetId())
+			return code.New(code.SessionReplaced, "server %s: a later report is already recorded", m.GetId())
 		}
 		b.ShuttingDown = b.ShuttingDown || old.ShuttingDown
 		b.EndCursor, b.Used, b.HeldRuns = old.EndCursor, old.Used, old.HeldRuns
@@ -52,7 +52,7 @@
 func (l *Ledger) clearServer(now time.Duration, c *record.FlowClear) *code.Error {
 	b, ok := l.servers[c.GetId()]
 	if !ok || b.StartedAtMs != c.GetBorn() {
-		return code.New(code.Stale, "server %s runs another incarnation", c.GetId())
+		return code.New(code.SessionReplaced, "server %s runs another incarnation", c.GetId())
 	}
 	b.Ended = b.Ended || c.GetOver()
 	l.addTextToDigest(b.ID)
@@ -80,7 +80,7 @@
 func (l *Ledger) endAllRuns(now time.Duration, b *Server, runEnd inner.RunEnd, saved []*record.FlowSaved) {
 	checkpoints := map[flow.RunID]string{}
 	for _, s := range saved {
-		checkpoints[flow.RunOf(s.GetRun())] = s.GetCheckpoint()
+		checkpoints[flow.RunIDFromMessage(s.GetRun())] = s.GetCheckpoint()
 	}
 	for _, id := range sortedTaskIDs(b.HeldRuns) {
 		h := b.HeldRuns[id]
@@ -97,12 +97,12 @@
 		return err
 	}
 	for _, p := range c.GetPlaces() {
-		id := flow.RunOf(p.GetRun())
+		id := flow.RunIDFromMessage(p.GetRun())
 		s, _ := l.Step(id.StepID)
 		b := l.servers[p.GetServer()]
 		t := &s.Tasks[id.Index]
 		t.LatestRun, t.Server, t.ServerStartedAtMs = id.Number, b.ID, b.StartedAtMs
-		l.addHeldRun(b, &HeldRun{RunID: id, Server: b.ID, Customer: s.Flow.Customer, Size: flow.SizeOf(s.Spec), PlacedAt: now})
+		l.addHeldRun(b, &HeldRun{RunID: id, Server: b.ID, Customer: s.Flow.Customer, Size: flow.TaskSize(s.Spec), PlacedAt: now})
 		l.moveTask(s, id.Index, chart.Place)
 		if s.Flow.State == v1.FlowState_FLOW_STATE_QUEUED {
 			l.pendingFlows[s.Flow.QueueName]--
@@ -119,28 +119,28 @@
 	addedByServer, addedByCustomer := map[string]capacity.Size{}, map[string]capacity.Size{}
 	placedByGang, seen := map[flow.StepID]int{}, map[flow.TaskID]bool{}
 	for _, p := range places {
-		id := flow.RunOf(p.GetRun())
+		id := flow.RunIDFromMessage(p.GetRun())
 		s, ok := l.Step(id.StepID)
 		switch {
 		case !ok || s.UnfinishedDependencies > 0 || int(id.Index) >= len(s.Tasks) || s.Flow.Final():
-			return code.New(code.Unknown, "run %s: its task cannot be started", id)
+			return code.New(code.NotFound, "run %s: its task cannot be started", id)
 		case s.Tasks[id.Index].Phase != Queued || seen[id.TaskID] || id.Number <= s.Tasks[id.Index].LatestRun:
 			return code.New(code.Internal, "run %s: its task is not queued", id)
 		}
 		seen[id.TaskID] = true
 		b, ok := l.servers[p.GetServer()]
 		if !ok || !l.AcceptsWork(b) {
-			return code.New(code.Stale, "server %s accepts no new work", p.GetServer())
+			return code.New(code.SessionReplaced, "server %s accepts no new work", p.GetServer())
 		}
-		size := flow.SizeOf(s.Spec)
+		size := flow.TaskSize(s.Spec)
 		addedByServer[b.ID] = addedByServer[b.ID].Add(size)
 		if !b.Used.Add(addedByServer[b.ID]).Fits(b.Capacity) {
-			return code.New(code.NeverFits, "server %s has too little free capacity", b.ID)
+			return code.New(code.Unplaceable, "server %s has too little free capacity", b.ID)
 		}
 		customer := s.Flow.Customer
 		addedByCustomer[customer] = addedByCustomer[customer].Add(size)
 		if !l.customerUsage[customer].Add(addedByCustomer[customer]).Within(l.CustomerLimit(customer)) {
-			return code.New(code.NeverFits, "limit of customer %s exceeded", customer)
+			return code.New(code.Unplaceable, "limit of customer %s exceeded", customer)
 		}
 		if s.Spec.GetGang() {
 			placedByGang[s.StepID]++
@@ -182,10 +182,10 @@
 func (l *Ledger) recordEnds(now time.Duration, c *record.FlowEnds) *code.Error {
 	b, ok := l.servers[c.GetServer()]
 	if !ok || b.StartedAtMs != c.GetBorn() {
-		return code.New(code.Stale, "server %s runs another incarnation", c.GetServer())
+		return code.New(code.SessionReplaced, "server %s runs another incarnation", c.GetServer())
 	}
 	for _, e := range c.GetEnds() {
-		l.recordEnd(now, b, flow.RunOf(e.GetRun()), e.GetHow(), e.GetCheckpoint())
+		l.recordEnd(now, b, flow.RunIDFromMessage(e.GetRun()), e.GetHow(), e.GetCheckpoint())
 	}
 	b.EndCursor = max(b.EndCursor, c.GetCursor())
 	l.addTextToDigest(b.ID)
--- a/internal/ledger/flows/wave.go
+++ b/internal/ledger/flows/wave.go
@@ -88,11 +88,11 @@
 func (l *Ledger) recordMaintenance(s *record.WaveStep) *code.Error {
 	w, ok := l.waves[s.GetWave()]
 	if !ok {
-		return code.New(code.Unknown, "unknown wave %d", s.GetWave())
+		return code.New(code.NotFound, "unknown wave %d", s.GetWave())
 	}
 	i := slices.IndexFunc(w.Machines, func(m *Machine) bool { return m.Name == s.GetMachine() })
 	if i < 0 {
-		return code.New(code.Unknown, "machine %s is not part of wave %d", s.GetMachine(), s.GetWave())
+		return code.New(code.NotFound, "machine %s is not part of wave %d", s.GetMachine(), s.GetWave())
 	}
 	m := w.Machines[i]
 	switch {
@@ -101,7 +101,7 @@
 	case m.MaintenanceStarted:
 		return nil
 	case w.DownMachines() >= w.MaxDown:
-		return code.New(code.Busy, "%d machines of wave %d are already down", w.DownMachines(), w.Number)
+		return code.New(code.MembershipChangePending, "%d machines of wave %d are already down", w.DownMachines(), w.Number)
 	default:
 		m.MaintenanceStarted = true
 		if b, ok := l.ServerOnMachine(m.Name); ok {
--- a/internal/ledger/state/change.go
+++ b/internal/ledger/state/change.go
@@ -52,13 +52,13 @@
 // first.
 func (s *State) editTable(c *v1.TableChange) Result {
 	if c.GetBase() != s.table.Revision() {
-		return refused(code.Conflict, fmt.Sprintf("base %d, current %d", c.GetBase(), s.table.Revision()))
+		return refused(code.RevisionConflict, fmt.Sprintf("base %d, current %d", c.GetBase(), s.table.Revision()))
 	}
 	set, removed, r := s.resolveEdits(c)
 	if r.Code != code.OK {
 		return r
 	}
-	next := s.table.With(set, removed)
+	next := s.table.Update(set, removed)
 	for _, name := range removed {
 		if s.teamInUse(name) {
 			return refused(code.InUse, name)
@@ -124,9 +124,9 @@
 		case "weight":
 			row = row.WithWeight(m.GetWeight())
 		case "share":
-			row = row.WithShare(m.GetShare())
+			row = row.WithGuaranteedShare(m.GetShare())
 		case "queue":
-			row = row.WithQueue(m.GetQueue())
+			row = row.WithMaxWaitingJobs(m.GetQueue())
 		case "cpu":
 			limit.CPU = newLimit.CPU
 		case "memory":
@@ -146,7 +146,7 @@
 	switch l := r.Limit; {
 	case r.Weight < 1 || r.Weight > MaxWeight:
 		return r, code.New(code.Malformed, "%s: weight is 1 to %d", r.Name, MaxWeight)
-	case r.Share > MaxShare:
+	case r.GuaranteedShare > MaxShare:
 		return r, code.New(code.Malformed, "%s: share is 0 to %d thousandths", r.Name, MaxShare)
 	case min(l.CPU, l.Memory, l.Accel, l.Slots) < -1:
 		return r, code.New(code.Malformed, "%s: a limit is -1 (none) or more", r.Name)
@@ -177,7 +177,7 @@
 		return refused(code.Malformed, "a key needs an id, a digest, and a team or the operator's mark")
 	}
 	if _, ok := s.table.Row(k.Team); !ok && !k.Operator {
-		return refused(code.Unknown, "team "+k.Team)
+		return refused(code.NotFound, "team "+k.Team)
 	}
 	copy(k.Digest[:], g.GetDigest())
 	s.putKey(k)
@@ -187,7 +187,7 @@
 func (s *State) withdrawKey(w *v1.KeyWithdraw) Result {
 	k, ok := s.keys[w.GetId()]
 	if !ok {
-		return refused(code.Unknown, "key "+w.GetId())
+		return refused(code.NotFound, "key "+w.GetId())
 	}
 	if k.Operator && !k.Withdrawn && s.activeOperatorKeys() == 1 {
 		return refused(code.InUse, "the last operator's key")
@@ -209,7 +209,7 @@
 func (s *State) setServerDrain(m *v1.ServerMark) Result {
 	b, ok := s.servers[m.GetServer()]
 	if !ok {
-		return refused(code.Unknown, "backend server "+m.GetServer())
+		return refused(code.NotFound, "backend server "+m.GetServer())
 	}
 	b.DrainRequested = m.GetDrain()
 	s.putServer(b)
--- a/internal/ledger/state/job.go
+++ b/internal/ledger/state/job.go
@@ -73,7 +73,7 @@
 	}
 	k, ok := s.keys[a.GetKey()]
 	if !ok || k.Withdrawn || k.Team != a.GetTeam() {
-		return refused(code.BadKey, "")
+		return refused(code.InvalidKey, "")
 	}
 	j := s.newJob(a.GetTeam(), a.GetSpec())
 	j.Outcome = v1.Outcome_OUTCOME_QUEUED
@@ -141,7 +141,7 @@
 func (s *State) dropJob(d *record.Drop) Result {
 	j, ok := s.jobs[d.GetJob()]
 	if !ok || j.Final() || j.GiveUpCode != code.OK {
-		return refused(code.Unknown, "")
+		return refused(code.NotFound, "")
 	}
 	reason := code.Code(d.GetCode())
 	if reason == code.DeadlinePassed && !s.neverPlaced(j) {
@@ -225,7 +225,7 @@
 	for i := range j.Spec.Count {
 		t := s.tasks[task.ID{Job: j.Number, Index: i}]
 		if t.Phase == Unknown {
-			return v1.Outcome_OUTCOME_UNKNOWN, code.Lost
+			return v1.Outcome_OUTCOME_UNKNOWN, code.ServerLost
 		}
 		ran = ran || t.Phase == Done
 		failed = failed || t.ExitCode != 0
--- a/internal/ledger/state/server.go
+++ b/internal/ledger/state/server.go
@@ -24,7 +24,7 @@
 		return Result{Incarnation: b.Incarnation}
 	}
 	if ok && b.Server.State != gone && len(s.placedTasks[b.ID]) > 0 {
-		return refused(code.Busy, "the lease of the older session has not expired")
+		return refused(code.MembershipChangePending, "the lease of the older session has not expired")
 	}
 	b.Server = backend.Server{
 		ID:          a.GetServer(),
@@ -35,7 +35,7 @@
 		Zone:        a.GetZone(),
 		Labels:      a.GetLabels(),
 		State:       backend.Ready,
-		Since:       s.now,
+		StateSince:  s.now,
 	}
 	// A drain requested by an operator survives a restart of the server. A drain that
 	// the server requested for its own shutdown ends when the server announces itself
@@ -49,7 +49,7 @@
 func (s *State) markServer(m *record.Mark) Result {
 	b, ok := s.servers[m.GetServer()]
 	if !ok || b.Incarnation != m.GetIncarnation() || b.Server.State == gone {
-		return refused(code.Stale, m.GetServer())
+		return refused(code.SessionReplaced, m.GetServer())
 	}
 	event, ok := markEvents[backend.State(m.GetState())]
 	if !ok {
@@ -60,7 +60,7 @@
 	}
 	next, err := sessionChart.Next(chart.State(b.Server.State.String()), event)
 	if err != nil {
-		return refused(code.Stale, err.Error())
+		return refused(code.SessionReplaced, err.Error())
 	}
 	b.Server = b.WithState(stateByName(next), s.now)
 	s.putServer(b)
@@ -94,7 +94,7 @@
 func (s *State) fenceServer(f *record.Fence) Result {
 	b, ok := s.servers[f.GetServer()]
 	if !ok || b.Incarnation != f.GetIncarnation() || b.Server.State == gone {
-		return refused(code.Stale, f.GetServer())
+		return refused(code.SessionReplaced, f.GetServer())
 	}
 	b.Server = b.WithState(gone, s.now)
 	s.putServer(b)
--- a/internal/load/drive/drive.go
+++ b/internal/load/drive/drive.go
@@ -122,11 +122,11 @@
 	s.Sent = d.since()
 	got, err := d.Caller.Submit(ctx, []*v1.Spec{spec}, true)
 	if err != nil {
-		s.Code = link.Refusal(err).Code
+		s.Code = link.AsCodeError(err).Code
 		return
 	}
 	s.Code, s.Outcome = code.Code(got[0].GetStatus().GetCode()), got[0].GetOutcome()
-	if s.Code != code.OK || caller.Final(s.Outcome) && s.Outcome != v1.Outcome_OUTCOME_DONE {
+	if s.Code != code.OK || caller.IsFinal(s.Outcome) && s.Outcome != v1.Outcome_OUTCOME_DONE {
 		return
 	}
 	s.Accepted = d.since()
@@ -146,14 +146,14 @@
 func (d *Driver) collect(ctx context.Context, s *Seen) {
 	r, err := d.Caller.Wait(ctx, s.Job.Spec.GetId())
 	if err != nil {
-		s.Code = link.Refusal(err).Code
+		s.Code = link.AsCodeError(err).Code
 		// The outcome is known here, but what should be the answer is not whole.
 		s.Damaged = r.Outcome == v1.Outcome_OUTCOME_DONE
 		s.Outcome = r.Outcome
 		return
 	}
 	s.Outcome, s.Code = r.Outcome, r.Code
-	if !caller.Final(r.Outcome) {
+	if !caller.IsFinal(r.Outcome) {
 		return
 	}
 	s.Answered = d.since()
--- a/internal/load/history/history.go
+++ b/internal/load/history/history.go
@@ -103,7 +103,7 @@
 	if a, ok := s.answers[c.ID]; ok {
 		return s, a
 	}
-	a := Changed{Code: code.Conflict, Revision: s.now.Revision}
+	a := Changed{Code: code.RevisionConflict, Revision: s.now.Revision}
 	if c.Base == s.now.Revision {
 		s.now = Looked{Revision: c.Base + 1, Weight: c.Weight}
 		a = Changed{Code: code.OK, Revision: s.now.Revision}
--- a/internal/load/history/history_test.go
+++ b/internal/load/history/history_test.go
@@ -21,7 +21,7 @@
 func TestTableHistories(t *testing.T) {
 	first := history.Looked{Revision: 1, Weight: 1}
 	a, b := history.Change{ID: "a", Base: 1, Weight: 2}, history.Change{ID: "b", Base: 1, Weight: 3}
-	won, lost := history.Changed{Code: code.OK, Revision: 2}, history.Changed{Code: code.Conflict, Revision: 2}
+	won, lost := history.Changed{Code: code.OK, Revision: 2}, history.Changed{Code: code.RevisionConflict, Revision: 2}
 	for name, c := range map[string]struct {
 		ops []porcupine.Operation
 		ok  bool
--- a/internal/load/measure/flow.go
+++ b/internal/load/measure/flow.go
@@ -153,7 +153,7 @@
 	var last time.Duration
 	n := 0.0
 	for i := range seen {
-		if s := &seen[i]; s.Outcome == v1.Outcome_OUTCOME_DONE && caller.Final(s.Outcome) {
+		if s := &seen[i]; s.Outcome == v1.Outcome_OUTCOME_DONE && caller.IsFinal(s.Outcome) {
 			n += float64(s.Job.Spec.GetCount())
 			last = max(last, s.Answered)
 		}
--- a/internal/load/report/report.go
+++ b/internal/load/report/report.go
@@ -235,13 +235,13 @@
 	case one.Outcome == v1.Outcome_OUTCOME_UNKNOWN:
 		s.Counts.Unknown++
 	}
-	if one.Accepted > 0 && !caller.Final(one.Outcome) {
+	if one.Accepted > 0 && !caller.IsFinal(one.Outcome) {
 		s.Promises.Lost++
 	}
 }
 
 func link(c code.Code) bool {
-	return c == code.Unanswered || c == code.NoLeader || c == code.Leaving
+	return c == code.LeaderTimeout || c == code.NoLeader || c == code.ShuttingDown
 }
 
 // compare holds what the caller was told against what really ran.
--- a/internal/load/report/report_test.go
+++ b/internal/load/report/report_test.go
@@ -72,7 +72,7 @@
 	}{
 		"good":      {seen("good", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Promises{}},
 		"refused":   {seen("none", second, 0, 0, v1.Outcome_OUTCOME_NOT_RUN, code.QueueFull), report.Promises{}},
-		"unsure":    {seen("doubled-never", second, 0, 0, 0, code.Unanswered), report.Promises{}},
+		"unsure":    {seen("doubled-never", second, 0, 0, 0, code.LeaderTimeout), report.Promises{}},
 		"lost":      {seen("good", second, second, 0, v1.Outcome_OUTCOME_RUNNING, code.OK), report.Promises{Lost: 1}},
 		"damaged":   {damaged, report.Promises{Damaged: 1}},
 		"doubled":   {seen("doubled", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Promises{Doubled: 1}},
--- a/internal/load/rig/cut.go
+++ b/internal/load/rig/cut.go
@@ -50,7 +50,7 @@
 func pin(ctx context.Context, address, token string, n *Calls) {
 	l := &link.Link{Addresses: []string{address}, Key: token}
 	defer l.Close()
-	_, err := link.Once(context.WithoutCancel(ctx), l, list, &v1.ListRequest{})
+	_, err := link.TryOnce(context.WithoutCancel(ctx), l, list, &v1.ListRequest{})
 	n.Made.Add(1)
 	if err != nil {
 		n.Cut.Add(1)
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -100,7 +100,7 @@
 
 // CallerClient returns a client with a team's key.
 func (r *Rig) CallerClient(token string) *caller.Client {
-	return &caller.Client{Link: &link.Link{Addresses: r.Callers(), Key: token, Shared: true}}
+	return &caller.Client{Link: &link.Link{Addresses: r.Callers(), Key: token, Multiplexed: true}}
 }
 
 // Team makes a team without limits and returns its key.
--- a/internal/load/rig/process_test.go
+++ b/internal/load/rig/process_test.go
@@ -248,8 +248,8 @@
 				if err == nil {
 					return history.Changed{Code: code.OK, Revision: revision}, true
 				}
-				c := link.Refusal(err).Code
-				return history.Changed{Code: c, Revision: revision}, c == code.Conflict
+				c := link.AsCodeError(err).Code
+				return history.Changed{Code: c, Revision: revision}, c == code.RevisionConflict
 			})
 		}
 	})
--- a/internal/policy/bench/bench.go
+++ b/internal/policy/bench/bench.go
@@ -129,7 +129,7 @@
 func (w *World) fault(s Setup) {
 	w.Meter.Fault = w.now
 	small := capacity.Size{CPU: 1000, Memory: 1 << 10, Slots: 1}
-	flood := &job.Spec{Team: "dov", Kind: job.Batch, Name: "flood", Count: 10_000, Size: small, Runtime: time.Minute}
+	flood := &job.Spec{Team: "dov", Kind: job.Batch, Name: "flood", Count: 10_000, Size: small, EstimatedRuntime: time.Minute}
 	switch s.Fault {
 	case ZoneLost:
 		w.Lose(func(b backend.Server) bool { return b.Zone == "z00" }, s.Length/4, true)
@@ -146,10 +146,10 @@
 		w.At(w.now+10*time.Second, func() { w.Cancel(id) })
 	case Lowered:
 		row, _ := w.table.Row("ada")
-		w.SetTable(w.table.With(append(w.table.Rows()[:0:0], row.WithLimit(part(s.Site.total(), 8))), nil))
+		w.SetTable(w.table.Update(append(w.table.Rows()[:0:0], row.WithLimit(part(s.Site.total(), 8))), nil))
 	case Weights:
 		row, _ := w.table.Row("cem")
-		w.SetTable(w.table.With(append(w.table.Rows()[:0:0], row.WithWeight(6)), nil))
+		w.SetTable(w.table.Update(append(w.table.Rows()[:0:0], row.WithWeight(6)), nil))
 	case Endless:
 		never := *flood
 		never.Size, never.Count = s.Site.Size.Times(2), 200
--- a/internal/policy/bench/check.go
+++ b/internal/policy/bench/check.go
@@ -46,7 +46,7 @@
 	case plan.Place:
 		c.place(w, d)
 	case plan.Preempt:
-		if r := w.runs[d.Task]; r != nil && r.spec.Once {
+		if r := w.runs[d.Task]; r != nil && r.spec.AtMostOnce {
 			c.broken("%v: task %v that may run once is preempted", w.now, d.Task)
 		}
 	}
@@ -86,7 +86,7 @@
 
 // whole checks that a gang's tasks that are not done all start in one decision.
 func (c *Checker) whole(w *World, d plan.Decision) {
-	if len(w.jobs[d.Job]) == 0 || !w.jobs[d.Job][0].spec.Whole() {
+	if len(w.jobs[d.Job]) == 0 || !w.jobs[d.Job][0].spec.AllOrNothing() {
 		return
 	}
 	n := 0
--- a/internal/policy/bench/meter.go
+++ b/internal/policy/bench/meter.go
@@ -60,7 +60,7 @@
 
 func (m *Meter) decided(d plan.Decision) {
 	m.verbs[d.Action]++
-	if d.Action == plan.Place && m.on() && m.w.jobs[d.Job][0].spec.Whole() {
+	if d.Action == plan.Place && m.on() && m.w.jobs[d.Job][0].spec.AllOrNothing() {
 		racks, zones := map[string]bool{}, map[string]bool{}
 		for _, l := range d.Placements {
 			s := m.w.servers[l.Server]
@@ -81,7 +81,7 @@
 
 // submitted notes when a gang could start at the soonest if nothing else waited.
 func (m *Meter) submitted(id uint64) {
-	if m.on() && m.w.jobs[id][0].spec.Whole() {
+	if m.on() && m.w.jobs[id][0].spec.AllOrNothing() {
 		m.alone[id] = m.w.soonest(m.w.jobs[id])
 	}
 }
@@ -147,8 +147,8 @@
 			wants = wants.Add(r.spec.Size)
 		}
 	}
-	if bound := min(1, used.Add(wants).Dominant(usable)); !wants.IsZero() && bound > 0.95 {
-		m.packing = append(m.packing, used.Dominant(usable)/bound)
+	if bound := min(1, used.Add(wants).DominantShare(usable)); !wants.IsZero() && bound > 0.95 {
+		m.packing = append(m.packing, used.DominantShare(usable)/bound)
 		m.distance(waiting, usable)
 	}
 }
@@ -159,12 +159,12 @@
 	rows := m.w.table.Rows()
 	for _, row := range rows {
 		has := m.w.Check.teams[row.Name]
-		held = append(held, has.Dominant(usable))
-		want := has.Add(waiting[row.Name]).Dominant(usable)
-		if bound := row.Limit.Dominant(usable); bound > 0 {
+		held = append(held, has.DominantShare(usable))
+		want := has.Add(waiting[row.Name]).DominantShare(usable)
+		if bound := row.Limit.DominantShare(usable); bound > 0 {
 			want = min(want, bound)
 		}
-		claims = append(claims, share.Team{Guarantee: float64(row.Share) / 1000, Weight: float64(row.Weight), Demand: min(1, want)})
+		claims = append(claims, share.Team{Guarantee: float64(row.GuaranteedShare) / 1000, Weight: float64(row.Weight), Demand: min(1, want)})
 	}
 	sum := 0.0
 	for i, target := range share.Divide(claims) {
--- a/internal/policy/bench/scale.go
+++ b/internal/policy/bench/scale.go
@@ -48,7 +48,7 @@
 	s := &Scale{Planner: p, site: site, rng: rand.New(rand.NewPCG(seed, 3)), teams: teams, specs: map[uint64]*job.Spec{}, at: map[task.ID]int{}}
 	rows := make([]team.Row, 0, teams)
 	for i := range teams {
-		rows = append(rows, team.New(name(i)).WithShare(uint32(500/teams)).WithWeight(uint32(1+i%4)))
+		rows = append(rows, team.New(name(i)).WithGuaranteedShare(uint32(500/teams)).WithWeight(uint32(1+i%4)))
 	}
 	p.SetTable(table.Restore(1, rows))
 	for _, b := range site.servers() {
@@ -84,7 +84,7 @@
 	n := s.rng.IntN(5)
 	size, _, mean := src.shape(min(kind, job.Batch), n)
 	s.next++
-	spec := &job.Spec{Team: name(s.rng.IntN(s.teams)), Kind: kind, Name: fmt.Sprint("n", n), Count: 1, Size: size, Runtime: mean}
+	spec := &job.Spec{Team: name(s.rng.IntN(s.teams)), Kind: kind, Name: fmt.Sprint("n", n), Count: 1, Size: size, EstimatedRuntime: mean}
 	s.specs[s.next] = spec
 	s.Planner.AddWaiting(plan.WaitingTask{ID: task.ID{Job: s.next}, Job: spec, AcceptedAt: s.now, ReadyAt: s.now})
 }
--- a/internal/policy/bench/workload.go
+++ b/internal/policy/bench/workload.go
@@ -84,12 +84,12 @@
 	row  team.Row
 	part float64
 }{
-	{team.New("ada").WithShare(250).WithWeight(3), 0.35},
-	{team.New("bor").WithShare(200).WithWeight(3), 0.25},
-	{team.New("cem").WithShare(100), 0.15},
-	{team.New("dov").WithShare(100), 0.10},
-	{team.New("eda").WithShare(50), 0.10},
-	{team.New("fen").WithShare(50), 0.05},
+	{team.New("ada").WithGuaranteedShare(250).WithWeight(3), 0.35},
+	{team.New("bor").WithGuaranteedShare(200).WithWeight(3), 0.25},
+	{team.New("cem").WithGuaranteedShare(100), 0.15},
+	{team.New("dov").WithGuaranteedShare(100), 0.10},
+	{team.New("eda").WithGuaranteedShare(50), 0.10},
+	{team.New("fen").WithGuaranteedShare(50), 0.05},
 }
 
 // Rows returns the table that the workloads start with.
@@ -142,14 +142,14 @@
 	size, n, mean := s.shape(kind, name)
 	d := draft{spec: &job.Spec{
 		Team: s.team(), Kind: kind, Name: fmt.Sprintf("%s%d", kind, name), Count: uint32(n), Size: size,
-		Once: kind == job.Batch && s.rng.Float64() < 0.1,
+		AtMostOnce: kind == job.Batch && s.rng.Float64() < 0.1,
 	}}
 	for range n {
 		d.times = append(d.times, s.runtime(kind, mean))
 	}
-	d.spec.Runtime = mean
+	d.spec.EstimatedRuntime = mean
 	if s.off {
-		d.spec.Runtime = time.Duration(float64(mean) * math.Pow(10, 2*s.rng.Float64()-1))
+		d.spec.EstimatedRuntime = time.Duration(float64(mean) * math.Pow(10, 2*s.rng.Float64()-1))
 	}
 	d.used = size
 	if s.rng.Float64() < s.greedy {
@@ -241,14 +241,14 @@
 func (w *World) serve(site Site, load float64) {
 	size := site.Gang
 	size.Accel = 0
-	per := size.Dominant(site.total())
+	per := size.DominantShare(site.total())
 	n := int(load / per)
 	for _, c := range customers {
 		k := int(float64(n) * c.part)
 		if k == 0 {
 			continue
 		}
-		spec := &job.Spec{Team: c.row.Name, Kind: job.Service, Name: "service", Count: uint32(k), Size: size, Floor: uint32(k - 1)}
+		spec := &job.Spec{Team: c.row.Name, Kind: job.Service, Name: "service", Count: uint32(k), Size: size, MinRunningTasks: uint32(k - 1)}
 		times := make([]time.Duration, k)
 		for i := range times {
 			times[i] = 1000 * time.Hour
--- a/internal/replica/group/meter.go
+++ b/internal/replica/group/meter.go
@@ -29,7 +29,7 @@
 	// received.
 	lastLeaderMessageAt time.Duration
 	// logLimit limits how often slow heartbeat rounds are logged.
-	logLimit event.Limit
+	logLimit event.RateLimiter
 }
 
 func newLatencyMetrics(set *metrics.Set) *latencyMetrics {
