--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -96,8 +96,8 @@
 		return err
 	}
 	l.Shared = !c.Plain
-	m.Target = l.Addresses
-	if m.Table[0], err = c.revision(ctx); err != nil {
+	m.Targets = l.Addresses
+	if m.TableRevisions[0], err = c.revision(ctx); err != nil {
 		return err
 	}
 	record, seen := &work.Record{}, &server.Record{}
@@ -106,19 +106,19 @@
 		return err
 	}
 	d := &drive.Driver{
-		Caller: &caller.Client{Link: l}, Jobs: plan.Jobs(), Tail: c.Tail, Foreign: c.Servers == 0, Keep: c.Keep,
+		Client: &caller.Client{Link: l}, Jobs: plan.Jobs(), Tail: c.Tail, ForeignServers: c.Servers == 0, KeepOutcomes: c.Keep,
 		Progress: progress(env, c.JSON),
 	}
-	m.Began = time.Now()
+	m.StartedAt = time.Now()
 	outcome := d.Run(ctx)
 	stop()
 	if c.Servers == 0 {
 		record = nil
 	}
-	r := report.Sum(m, m.Began, outcome, record)
-	r.Promises.Faults = append(r.Promises.Faults, seen.Faults()...)
+	r := report.Summarize(m, m.StartedAt, outcome, record)
+	r.Violations.ServerFaults = append(r.Violations.ServerFaults, seen.Faults()...)
 	// A run that ended in a fault of the cell is the one whose result counts most.
-	if r.Measured.Table[1], err = c.revision(ctx); err != nil {
+	if r.Info.TableRevisions[1], err = c.revision(ctx); err != nil {
 		fmt.Fprintf(env.Err, "the table's revision after the run is not known: %v\n", err)
 	}
 	return c.finish(env, r)
@@ -132,7 +132,7 @@
 	} else if err := r.Write(env.Out); err != nil {
 		return err
 	}
-	if r.Promises.Kept() {
+	if r.Violations.None() {
 		return nil
 	}
 	return &verb.Error{Exit: verb.Failed, Text: "a promise did not hold", Next: "Keep logs and dumps of the processes and report it with this result."}
@@ -140,7 +140,7 @@
 
 func (c *command) plan(args []string) (mix.Plan, error) {
 	const next = "See `gypsumreel load --help`."
-	shares, err := mix.ParseShares(c.Mix)
+	shares, err := mix.ParseKindWeights(c.Mix)
 	switch {
 	case len(args) > 0:
 		return mix.Plan{}, verb.Misuse(next, "unexpected %q", args[0])
@@ -170,21 +170,21 @@
 		shapes[kind] = s
 	}
 	return mix.Plan{
-		Rate: c.Rate, Duration: c.Duration, Seed: c.Seed, Shares: shares, Shapes: shapes, Once: c.Once,
-		Answer: c.Answer, Deadline: c.Deadline, Prefix: "load-" + remote.NewID() + "-",
+		Rate: c.Rate, Duration: c.Duration, Seed: c.Seed, Weights: shares, Shapes: shapes, OnceFraction: c.Once,
+		MeanAnswerBytes: c.Answer, Deadline: c.Deadline, IDPrefix: "load-" + remote.NewID() + "-",
 	}, nil
 }
 
-func (c *command) measured(p mix.Plan) (report.Measured, error) {
-	m := report.Measured{
-		Revision: report.Revision(), Settings: map[string]string{}, Note: c.Note,
-		Rate: p.Rate, Duration: p.Duration.String(), Seed: p.Seed, Mix: map[string]float64{}, Once: p.Once,
-		Answer: p.Answer, Deadline: p.Deadline.String(), Servers: c.Servers,
+func (c *command) measured(p mix.Plan) (report.RunInfo, error) {
+	m := report.RunInfo{
+		Revision: report.BuildRevision(), SettingsDigests: map[string]string{}, Note: c.Note,
+		Rate: p.Rate, Duration: p.Duration.String(), Seed: p.Seed, Mix: map[string]float64{}, OnceFraction: p.OnceFraction,
+		AnswerBytes: p.MeanAnswerBytes, Deadline: p.Deadline.String(), Servers: c.Servers,
 	}
 	if c.Revision != "" {
 		m.Revision = c.Revision
 	}
-	for kind, weight := range p.Shares {
+	for kind, weight := range p.Weights {
 		m.Mix[kind.String()] = weight
 	}
 	for _, path := range c.Settings {
@@ -192,7 +192,7 @@
 		if err != nil {
 			return m, verb.Misuse("Check --settings.", "%v", err)
 		}
-		m.Settings[path] = strconv.FormatUint(xxhash.Sum64(b), 16)
+		m.SettingsDigests[path] = strconv.FormatUint(xxhash.Sum64(b), 16)
 	}
 	return m, nil
 }
--- a/internal/load/drive/drive.go
+++ b/internal/load/drive/drive.go
@@ -27,150 +27,150 @@
 	// DefaultTail is how long outcomes are waited for after the last arrival.
 	DefaultTail = 60 * time.Second
 	// ackBatch and ackPause gather acknowledgements.
-	ackBatch   = 500
-	ackPause   = 200 * time.Millisecond
-	ackTimeout = 10 * time.Second
+	ackBatch    = 500
+	ackInterval = 200 * time.Millisecond
+	ackTimeout  = 10 * time.Second
 )
 
-// Seen is what became of one job. Times are from the start of the run; 0 when
+// JobResult is what became of one job. Times are from the start of the run; 0 when
 // the step never came.
-type Seen struct {
+type JobResult struct {
 	Job mix.Job
-	// Sent is when the request really left.
-	Sent     time.Duration
-	Accepted time.Duration
-	Answered time.Duration
-	Outcome  v1.Outcome
-	Code     code.Code
-	// Whole tells that the answer is the job's own, all of it.
-	Whole bool
-	// Damaged tells that there was an answer, but not that.
-	Damaged bool
+	// SentAt is when the request really left.
+	SentAt     time.Duration
+	AcceptedAt time.Duration
+	AnsweredAt time.Duration
+	Outcome    v1.Outcome
+	Code       code.Code
+	// AnswerMatches tells that the answer is the job's own, all of it.
+	AnswerMatches bool
+	// AnswerDamaged tells that there was an answer, but not that.
+	AnswerDamaged bool
 }
 
 // Driver runs a plan. Set the fields, then call Run.
 type Driver struct {
-	Caller *caller.Client
+	Client *caller.Client
 	Jobs   []mix.Job
 	// Tail is how long outcomes are waited for after the last arrival.
 	Tail time.Duration
-	// Foreign tells that the backend servers are not the tool's own, so that
+	// ForeignServers tells that the backend servers are not the tool's own, so that
 	// the content of answers is not known.
-	Foreign bool
-	// Keep leaves outcomes unacknowledged.
-	Keep bool
+	ForeignServers bool
+	// KeepOutcomes leaves outcomes unacknowledged.
+	KeepOutcomes bool
 	// Progress is called now and then; nil for none.
 	Progress func(sent, ended int)
 
-	begin time.Time
-	ended atomic.Int64
-	acks  chan string
+	start       time.Time
+	endedJobs   atomic.Int64
+	pendingAcks chan string
 }
 
 // Run submits everything and returns what became of it, in the order of the jobs.
-func (d *Driver) Run(ctx context.Context) []Seen {
+func (d *Driver) Run(ctx context.Context) []JobResult {
 	if d.Tail <= 0 {
 		d.Tail = DefaultTail
 	}
-	out := make([]Seen, len(d.Jobs))
-	d.acks = make(chan string, len(d.Jobs))
-	d.begin = time.Now()
-	last := time.Duration(0)
+	results := make([]JobResult, len(d.Jobs))
+	d.pendingAcks = make(chan string, len(d.Jobs))
+	d.start = time.Now()
+	lastArrival := time.Duration(0)
 	if len(d.Jobs) > 0 {
-		last = d.Jobs[len(d.Jobs)-1].At
+		lastArrival = d.Jobs[len(d.Jobs)-1].ArrivesAt
 	}
-	ctx, cancel := context.WithDeadline(ctx, d.begin.Add(last+d.Tail))
+	ctx, cancel := context.WithDeadline(ctx, d.start.Add(lastArrival+d.Tail))
 	defer cancel()
 	var acks, jobs sync.WaitGroup
 	acks.Go(d.acknowledge)
 	for i := range d.Jobs {
-		out[i].Job = d.Jobs[i]
-		if !link.Sleep(ctx, time.Until(d.begin.Add(d.Jobs[i].At))) {
+		results[i].Job = d.Jobs[i]
+		if !link.Sleep(ctx, time.Until(d.start.Add(d.Jobs[i].ArrivesAt))) {
 			break
 		}
-		d.tell(i)
+		d.reportProgress(i)
 		jobs.Go(func() {
-			d.one(ctx, &out[i])
-			d.ended.Add(1)
+			d.runJob(ctx, &results[i])
+			d.endedJobs.Add(1)
 		})
 	}
 	jobs.Wait()
-	close(d.acks)
+	close(d.pendingAcks)
 	acks.Wait()
-	d.tell(len(d.Jobs))
-	return out
+	d.reportProgress(len(d.Jobs))
+	return results
 }
 
-const tellEvery = 64
+const progressInterval = 64
 
-func (d *Driver) tell(sent int) {
-	if d.Progress != nil && (sent%tellEvery == 0 || sent == len(d.Jobs)) {
-		d.Progress(sent, int(d.ended.Load()))
+func (d *Driver) reportProgress(sent int) {
+	if d.Progress != nil && (sent%progressInterval == 0 || sent == len(d.Jobs)) {
+		d.Progress(sent, int(d.endedJobs.Load()))
 	}
 }
 
-func (d *Driver) since() time.Duration { return time.Since(d.begin) }
+func (d *Driver) elapsed() time.Duration { return time.Since(d.start) }
 
-// one takes a job from its submission to its answer.
-func (d *Driver) one(ctx context.Context, s *Seen) {
-	spec := s.Job.Spec
-	in := work.Input{ID: spec.GetId(), Runtime: s.Job.Runtime, Answer: s.Job.Answer}
-	if s.Job.Kind == job.Service {
-		in.Runtime = -1
+// runJob takes a job from its submission to its answer.
+func (d *Driver) runJob(ctx context.Context, result *JobResult) {
+	spec := result.Job.Spec
+	input := work.Input{ID: spec.GetId(), Runtime: result.Job.Runtime, Answer: result.Job.AnswerBytes}
+	if result.Job.Kind == job.Service {
+		input.Runtime = -1
 	}
-	spec.Input = in.Bytes()
-	s.Sent = d.since()
-	got, err := d.Caller.Submit(ctx, []*v1.Spec{spec}, true)
+	spec.Input = input.Bytes()
+	result.SentAt = d.elapsed()
+	accepted, err := d.Client.Submit(ctx, []*v1.Spec{spec}, true)
 	if err != nil {
-		s.Code = link.Refusal(err).Code
+		result.Code = link.Refusal(err).Code
 		return
 	}
-	s.Code, s.Outcome = code.Code(got[0].GetStatus().GetCode()), got[0].GetOutcome()
-	if s.Code != code.OK || caller.Final(s.Outcome) && s.Outcome != v1.Outcome_OUTCOME_DONE {
+	result.Code, result.Outcome = code.Code(accepted[0].GetStatus().GetCode()), accepted[0].GetOutcome()
+	if result.Code != code.OK || caller.Final(result.Outcome) && result.Outcome != v1.Outcome_OUTCOME_DONE {
 		return
 	}
-	s.Accepted = d.since()
-	if s.Job.Kind == job.Service {
-		d.retire(ctx, s)
+	result.AcceptedAt = d.elapsed()
+	if result.Job.Kind == job.Service {
+		d.cancelService(ctx, result)
 	}
-	d.collect(ctx, s)
+	d.awaitAnswer(ctx, result)
 }
 
-// retire cancels a service once it has lived for its time.
-func (d *Driver) retire(ctx context.Context, s *Seen) {
-	if link.Sleep(ctx, s.Job.Runtime) {
-		_, _ = d.Caller.Cancel(ctx, []string{s.Job.Spec.GetId()}, nil) // the outcome below tells whether it came through
+// cancelService cancels a service once it has lived for its time.
+func (d *Driver) cancelService(ctx context.Context, result *JobResult) {
+	if link.Sleep(ctx, result.Job.Runtime) {
+		_, _ = d.Client.Cancel(ctx, []string{result.Job.Spec.GetId()}, nil) // the outcome below tells whether it came through
 	}
 }
 
-func (d *Driver) collect(ctx context.Context, s *Seen) {
-	r, err := d.Caller.Wait(ctx, s.Job.Spec.GetId())
+func (d *Driver) awaitAnswer(ctx context.Context, result *JobResult) {
+	reply, err := d.Client.Wait(ctx, result.Job.Spec.GetId())
 	if err != nil {
-		s.Code = link.Refusal(err).Code
+		result.Code = link.Refusal(err).Code
 		// The outcome is known here, but what should be the answer is not whole.
-		s.Damaged = r.Outcome == v1.Outcome_OUTCOME_DONE
-		s.Outcome = r.Outcome
+		result.AnswerDamaged = reply.Outcome == v1.Outcome_OUTCOME_DONE
+		result.Outcome = reply.Outcome
 		return
 	}
-	s.Outcome, s.Code = r.Outcome, r.Code
-	if !caller.Final(r.Outcome) {
+	result.Outcome, result.Code = reply.Outcome, reply.Code
+	if !caller.Final(reply.Outcome) {
 		return
 	}
-	s.Answered = d.since()
-	if r.Outcome == v1.Outcome_OUTCOME_DONE && r.Code == code.OK {
-		s.Whole = d.Foreign || bytes.Equal(r.Data, work.Whole(s.Job.Spec.GetId(), s.Job.Spec.GetCount(), s.Job.Answer))
-		s.Damaged = !s.Whole
+	result.AnsweredAt = d.elapsed()
+	if reply.Outcome == v1.Outcome_OUTCOME_DONE && reply.Code == code.OK {
+		result.AnswerMatches = d.ForeignServers || bytes.Equal(reply.Data, work.Whole(result.Job.Spec.GetId(), result.Job.Spec.GetCount(), result.Job.AnswerBytes))
+		result.AnswerDamaged = !result.AnswerMatches
 	}
-	if !d.Keep {
-		d.acks <- s.Job.Spec.GetId()
+	if !d.KeepOutcomes {
+		d.pendingAcks <- result.Job.Spec.GetId()
 	}
 }
 
 // acknowledge lets the cell forget in batches what has been answered, as callers
 // are meant to: the ledger would else grow with the length of the run.
 func (d *Driver) acknowledge() {
-	t := time.NewTicker(ackPause)
-	defer t.Stop()
+	ticker := time.NewTicker(ackInterval)
+	defer ticker.Stop()
 	var ids []string
 	send := func() {
 		if len(ids) == 0 {
@@ -178,12 +178,12 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), ackTimeout)
 		defer cancel()
-		_ = d.Caller.Acknowledge(ctx, ids) // what stays unacknowledged ends with its retention
+		_ = d.Client.Acknowledge(ctx, ids) // what stays unacknowledged ends with its retention
 		ids = nil
 	}
 	for {
 		select {
-		case id, ok := <-d.acks:
+		case id, ok := <-d.pendingAcks:
 			if !ok {
 				send()
 				return
@@ -191,7 +191,7 @@
 			if ids = append(ids, id); len(ids) >= ackBatch {
 				send()
 			}
-		case <-t.C:
+		case <-ticker.C:
 			send()
 		}
 	}
--- a/internal/load/drive/drive_test.go
+++ b/internal/load/drive/drive_test.go
@@ -22,25 +22,25 @@
 	"gypsumreel/internal/load/work"
 )
 
-// entry holds every submission until as many as it waits for are there.
-type entry struct {
+// fakeEntry holds every submission until as many as it waits for are there.
+type fakeEntry struct {
 	v1.UnimplementedCallerHandler
-	want int
-	all  chan struct{}
+	expected     int
+	allSubmitted chan struct{}
 
-	mu   sync.Mutex
-	have int
-	acks map[string]int
+	mu        sync.Mutex
+	submitted int
+	acks      map[string]int
 }
 
-func (e *entry) Submit(ctx context.Context, r *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitReply], error) {
+func (e *fakeEntry) Submit(ctx context.Context, r *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitReply], error) {
 	e.mu.Lock()
-	if e.have++; e.have == e.want {
-		close(e.all)
+	if e.submitted++; e.submitted == e.expected {
+		close(e.allSubmitted)
 	}
 	e.mu.Unlock()
 	select {
-	case <-e.all:
+	case <-e.allSubmitted:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -48,7 +48,7 @@
 }
 
 // Wait answers job-1 with the answer of another.
-func (e *entry) Wait(_ context.Context, r *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
+func (e *fakeEntry) Wait(_ context.Context, r *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
 	id := r.Msg.GetId()
 	if id == "job-1" {
 		id = "job-0"
@@ -56,7 +56,7 @@
 	return connect.NewResponse(&v1.WaitReply{Outcome: v1.Outcome_OUTCOME_DONE, Chunk: answer.Cut(work.Whole(id, 2, 10), r.Msg.GetChunk())}), nil
 }
 
-func (e *entry) Acknowledge(_ context.Context, r *connect.Request[v1.AcknowledgeRequest]) (*connect.Response[v1.AcknowledgeReply], error) {
+func (e *fakeEntry) Acknowledge(_ context.Context, r *connect.Request[v1.AcknowledgeRequest]) (*connect.Response[v1.AcknowledgeReply], error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, id := range r.Msg.GetIds() {
@@ -70,21 +70,21 @@
 // answer of another, whole and with the right checksum, which must be noticed.
 func TestLoopIsOpenAndAnswersAreChecked(t *testing.T) {
 	const n = 40
-	e := &entry{want: n, all: make(chan struct{}), acks: map[string]int{}}
+	e := &fakeEntry{expected: n, allSubmitted: make(chan struct{}), acks: map[string]int{}}
 	mux := http.NewServeMux()
 	mux.Handle(v1.NewCallerHandler(e))
-	s := httptest.NewServer(mux)
-	t.Cleanup(s.Close)
-	d := &drive.Driver{Caller: &caller.Client{Link: &link.Link{Addresses: []string{s.URL}}}, Tail: 20 * time.Second}
+	server := httptest.NewServer(mux)
+	t.Cleanup(server.Close)
+	driver := &drive.Driver{Client: &caller.Client{Link: &link.Link{Addresses: []string{server.URL}}}, Tail: 20 * time.Second}
 	want := map[string]int{}
 	for i := range n {
 		id := fmt.Sprintf("job-%d", i)
-		d.Jobs = append(d.Jobs, mix.Job{At: time.Duration(i) * time.Millisecond, Kind: job.Batch, Answer: 10, Spec: &v1.Spec{Id: id, Count: 2}})
+		driver.Jobs = append(driver.Jobs, mix.Job{ArrivesAt: time.Duration(i) * time.Millisecond, Kind: job.Batch, AnswerBytes: 10, Spec: &v1.Spec{Id: id, Count: 2}})
 		want[id] = 1
 	}
-	for i, one := range d.Run(t.Context()) {
-		if one.Whole == (i == 1) || one.Damaged != (i == 1) || one.Answered < one.Accepted || one.Accepted < one.Sent {
-			t.Errorf("job %d: %+v", i, one)
+	for i, result := range driver.Run(t.Context()) {
+		if result.AnswerMatches == (i == 1) || result.AnswerDamaged != (i == 1) || result.AnsweredAt < result.AcceptedAt || result.AcceptedAt < result.SentAt {
+			t.Errorf("job %d: %+v", i, result)
 		}
 	}
 	if diff := cmp.Diff(want, e.acks); diff != "" {
--- a/internal/load/history/history.go
+++ b/internal/load/history/history.go
@@ -15,27 +15,27 @@
 
 // Recorder gathers the operations of many clients.
 type Recorder struct {
-	begin time.Time
+	start time.Time
 	mu    sync.Mutex
 	ops   []porcupine.Operation
 }
 
 // NewRecorder returns an empty recorder.
-func NewRecorder() *Recorder { return &Recorder{begin: time.Now()} }
+func NewRecorder() *Recorder { return &Recorder{start: time.Now()} }
 
-// Do runs an operation of a client and records it with its answer. An answer
+// Record runs an operation of a client and records it with its answer. An answer
 // that is not known may come true at any time after the call, also never: it
 // is recorded as one that is still under way.
-func (r *Recorder) Do(client int, input any, run func() (output any, known bool)) {
-	call := time.Since(r.begin).Nanoseconds()
-	output, known := run()
-	back := time.Since(r.begin).Nanoseconds()
+func (r *Recorder) Record(client int, input any, operation func() (output any, known bool)) {
+	call := time.Since(r.start).Nanoseconds()
+	output, known := operation()
+	returned := time.Since(r.start).Nanoseconds()
 	if !known {
-		output, back = nil, math.MaxInt64
+		output, returned = nil, math.MaxInt64
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ops = append(r.ops, porcupine.Operation{ClientId: client, Input: input, Call: call, Output: output, Return: back})
+	r.ops = append(r.ops, porcupine.Operation{ClientId: client, Input: input, Call: call, Output: output, Return: returned})
 }
 
 // Operations returns what was recorded.
@@ -45,76 +45,76 @@
 	return append([]porcupine.Operation(nil), r.ops...)
 }
 
-// Explained tells whether an order of the operations explains every answer; a
+// Linearizable tells whether an order of the operations explains every answer; a
 // check that does not end within limit counts as none.
-func Explained(m porcupine.Model, ops []porcupine.Operation, limit time.Duration) bool {
-	return porcupine.CheckOperationsTimeout(m, ops, limit) == porcupine.Ok
+func Linearizable(m porcupine.Model, ops []porcupine.Operation, timeout time.Duration) bool {
+	return porcupine.CheckOperationsTimeout(m, ops, timeout) == porcupine.Ok
 }
 
-// Change asks for a weight of the one team from a base revision, under a change id.
-type Change struct {
-	ID     string
-	Base   uint64
-	Weight uint32
+// TableChange asks for a weight of the one team from a base revision, under a change id.
+type TableChange struct {
+	ID           string
+	BaseRevision uint64
+	Weight       uint32
 }
 
-// Changed is the answer to a Change.
-type Changed struct {
+// TableChangeReply is the answer to a Change.
+type TableChangeReply struct {
 	Code     code.Code
 	Revision uint64
 }
 
-// Look reads the table.
-type Look struct{}
+// TableRead reads the table.
+type TableRead struct{}
 
-// Looked is the answer to a Look.
-type Looked struct {
+// TableReadReply is the answer to a Look.
+type TableReadReply struct {
 	Revision uint64
 	Weight   uint32
 }
 
 // tableState is a table of one weight, with the answers already given.
 type tableState struct {
-	now     Looked
-	answers map[string]Changed
+	current TableReadReply
+	replies map[string]TableChangeReply
 }
 
-// Table is the model of the operators' table: a change takes effect when its
+// TableModel is the model of the operators' table: a change takes effect when its
 // base is the current revision, and its id is answered alike ever after.
-func Table(first Looked) porcupine.Model {
+func TableModel(initial TableReadReply) porcupine.Model {
 	return porcupine.Model{
-		Init: func() any { return tableState{now: first} },
+		Init: func() any { return tableState{current: initial} },
 		Step: func(state, input, output any) (bool, any) {
 			s := state.(tableState)
-			if _, ok := input.(Look); ok {
-				return output == nil || output.(Looked) == s.now, s
+			if _, ok := input.(TableRead); ok {
+				return output == nil || output.(TableReadReply) == s.current, s
 			}
-			next, want := s.change(input.(Change))
-			return output == nil || output.(Changed) == want, next
+			next, want := s.apply(input.(TableChange))
+			return output == nil || output.(TableChangeReply) == want, next
 		},
 		Equal: func(a, b any) bool {
 			x, y := a.(tableState), b.(tableState)
-			return x.now == y.now && maps.Equal(x.answers, y.answers)
+			return x.current == y.current && maps.Equal(x.replies, y.replies)
 		},
 	}
 }
 
-func (s tableState) change(c Change) (tableState, Changed) {
-	if a, ok := s.answers[c.ID]; ok {
-		return s, a
+func (s tableState) apply(c TableChange) (tableState, TableChangeReply) {
+	if reply, ok := s.replies[c.ID]; ok {
+		return s, reply
 	}
-	a := Changed{Code: code.RevisionConflict, Revision: s.now.Revision}
-	if c.Base == s.now.Revision {
-		s.now = Looked{Revision: c.Base + 1, Weight: c.Weight}
-		a = Changed{Code: code.OK, Revision: s.now.Revision}
+	reply := TableChangeReply{Code: code.RevisionConflict, Revision: s.current.Revision}
+	if c.BaseRevision == s.current.Revision {
+		s.current = TableReadReply{Revision: c.BaseRevision + 1, Weight: c.Weight}
+		reply = TableChangeReply{Code: code.OK, Revision: s.current.Revision}
 	}
-	answers := maps.Clone(s.answers)
-	if answers == nil {
-		answers = map[string]Changed{}
+	replies := maps.Clone(s.replies)
+	if replies == nil {
+		replies = map[string]TableChangeReply{}
 	}
-	answers[c.ID] = a
-	s.answers = answers
-	return s, a
+	replies[c.ID] = reply
+	s.replies = replies
+	return s, reply
 }
 
 // Submit hands in content under a request id.
@@ -126,44 +126,44 @@
 // Wait asks for the outcome of a request id.
 type Wait struct{ ID string }
 
-// Answer is what a Wait gives: the content whose answer it is.
-type Answer struct{ Content string }
+// WaitReply is what a Wait gives: the content whose answer it is.
+type WaitReply struct{ Content string }
 
-// Requests is the model of request ids: the first content of an id stands, other
+// RequestModel is the model of request ids: the first content of an id stands, other
 // content is refused, and the answer is that of the content which stands.
-func Requests() porcupine.Model {
+func RequestModel() porcupine.Model {
 	return porcupine.Model{
-		Partition: byID,
+		Partition: partitionByID,
 		Init:      func() any { return "" },
 		Step: func(state, input, output any) (bool, any) {
-			stands := state.(string)
+			accepted := state.(string)
 			switch in := input.(type) {
 			case Submit:
-				return submit(stands, in.Content, output)
+				return submitStep(accepted, in.Content, output)
 			case Wait:
-				return output == nil || stands != "" && output.(Answer).Content == stands, stands
+				return output == nil || accepted != "" && output.(WaitReply).Content == accepted, accepted
 			}
-			return false, stands
+			return false, accepted
 		},
 	}
 }
 
-func submit(stands, content string, output any) (bool, any) {
+func submitStep(accepted, content string, output any) (bool, any) {
 	want := code.OK
-	switch stands {
+	switch accepted {
 	case "":
-		stands = content
+		accepted = content
 	case content:
 	default:
 		want = code.IDReused
 	}
-	return output == nil || output.(code.Code) == want, stands
+	return output == nil || output.(code.Code) == want, accepted
 }
 
-// byID splits a history by request id: ids have nothing to do with each other.
-func byID(ops []porcupine.Operation) [][]porcupine.Operation {
-	at := map[string]int{}
-	var out [][]porcupine.Operation
+// partitionByID splits a history by request id: ids have nothing to do with each other.
+func partitionByID(ops []porcupine.Operation) [][]porcupine.Operation {
+	index := map[string]int{}
+	var partitions [][]porcupine.Operation
 	for _, op := range ops {
 		id := ""
 		switch in := op.Input.(type) {
@@ -172,12 +172,12 @@
 		case Wait:
 			id = in.ID
 		}
-		i, ok := at[id]
+		i, ok := index[id]
 		if !ok {
-			i = len(out)
-			at[id], out = i, append(out, nil)
+			i = len(partitions)
+			index[id], partitions = i, append(partitions, nil)
 		}
-		out[i] = append(out[i], op)
+		partitions[i] = append(partitions[i], op)
 	}
-	return out
+	return partitions
 }
--- a/internal/load/mix/mix.go
+++ b/internal/load/mix/mix.go
@@ -14,8 +14,8 @@
 	"gypsumreel/internal/domain/job"
 )
 
-// Shares holds the weight of each kind among the arrivals.
-type Shares map[job.Kind]float64
+// KindWeights holds the weight of each kind among the arrivals.
+type KindWeights map[job.Kind]float64
 
 // Kinds are all kinds in the order of reports.
 var Kinds = []job.Kind{job.Urgent, job.Batch, job.Gang, job.Service}
@@ -23,26 +23,26 @@
 // maxWeight bounds the weight of a kind.
 const maxWeight = 1_000_000
 
-// ParseShares reads weights such as urgent=70,batch=25,gang=4,service=1.
-func ParseShares(text string) (Shares, error) {
-	out, sum := Shares{}, 0.0
+// ParseKindWeights reads weights such as urgent=70,batch=25,gang=4,service=1.
+func ParseKindWeights(text string) (KindWeights, error) {
+	weights, sum := KindWeights{}, 0.0
 	for _, part := range strings.Split(text, ",") {
 		name, weight, _ := strings.Cut(strings.TrimSpace(part), "=")
-		kind, ok := kindOf(name)
-		f, err := strconv.ParseFloat(weight, 64)
-		if _, twice := out[kind]; !ok || twice || err != nil || !(f >= 0 && f <= maxWeight) {
+		kind, ok := parseKind(name)
+		value, err := strconv.ParseFloat(weight, 64)
+		if _, duplicate := weights[kind]; !ok || duplicate || err != nil || !(value >= 0 && value <= maxWeight) {
 			return nil, fmt.Errorf("%q is not allowed; allowed: each of urgent, batch, gang, service once, as NAME=WEIGHT", part)
 		}
-		out[kind] = f
-		sum += f
+		weights[kind] = value
+		sum += value
 	}
 	if sum == 0 {
 		return nil, fmt.Errorf("all weights are 0; allowed: one above 0")
 	}
-	return out, nil
+	return weights, nil
 }
 
-func kindOf(name string) (job.Kind, bool) {
+func parseKind(name string) (job.Kind, bool) {
 	for _, k := range Kinds {
 		if k.String() == name {
 			return k, true
@@ -51,8 +51,8 @@
 	return 0, false
 }
 
-// pick returns a kind for x from 0 to 1.
-func (s Shares) pick(x float64) job.Kind {
+// selectKind returns a kind for x from 0 to 1.
+func (s KindWeights) selectKind(x float64) job.Kind {
 	sum := 0.0
 	for _, k := range Kinds {
 		sum += s[k]
@@ -91,62 +91,62 @@
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
-	Shares   Shares
+	Weights  KindWeights
 	Shapes   map[job.Kind]Shape
-	// Once is the part of the jobs, 0 to 1, that may run at most once.
-	Once float64
-	// Answer is the mean length of a task's answer in bytes.
-	Answer int
+	// OnceFraction is the part of the jobs, 0 to 1, that may run at most once.
+	OnceFraction float64
+	// MeanAnswerBytes is the mean length of a task's answer in bytes.
+	MeanAnswerBytes int
 	// Deadline is that of urgent jobs; 0 for none.
 	Deadline time.Duration
-	// Prefix begins every id.
-	Prefix string
+	// IDPrefix begins every id.
+	IDPrefix string
 }
 
 // Job is one arrival.
 type Job struct {
-	// At is when it arrives, from the start of the run.
-	At   time.Duration
-	Spec *v1.Spec
-	Kind job.Kind
+	// ArrivesAt is when it arrives, from the start of the run.
+	ArrivesAt time.Duration
+	Spec      *v1.Spec
+	Kind      job.Kind
 	// Runtime is how long each task really runs; a service is cancelled then.
 	Runtime time.Duration
-	// Answer is the length of each task's answer in bytes.
-	Answer int
+	// AnswerBytes is the length of each task's answer in bytes.
+	AnswerBytes int
 }
 
 const (
-	// longest bounds a drawn value in multiples of its mean.
-	longest = 5
-	// spread is the standard deviation of the logarithm of declared over real run time.
-	spread = 0.5
-	// streams keeps the generator apart from others of the same seed.
-	streams = 0x6c6f6164
+	// maxMeanMultiple bounds a drawn value in multiples of its mean.
+	maxMeanMultiple = 5
+	// runtimeErrorSigma is the standard deviation of the logarithm of declared over real run time.
+	runtimeErrorSigma = 0.5
+	// rngStream keeps the generator apart from others of the same seed.
+	rngStream = 0x6c6f6164
 )
 
 // Jobs draws all arrivals in the order of their times.
 func (p Plan) Jobs() []Job {
-	r := rand.New(rand.NewPCG(p.Seed, streams))
-	var out []Job
-	at := time.Duration(0)
+	r := rand.New(rand.NewPCG(p.Seed, rngStream))
+	var jobs []Job
+	arrivesAt := time.Duration(0)
 	for {
-		at += time.Duration(r.ExpFloat64() / p.Rate * float64(time.Second))
-		if at >= p.Duration {
-			return out
+		arrivesAt += time.Duration(r.ExpFloat64() / p.Rate * float64(time.Second))
+		if arrivesAt >= p.Duration {
+			return jobs
 		}
-		out = append(out, p.job(r, len(out), at))
+		jobs = append(jobs, p.drawJob(r, len(jobs), arrivesAt))
 	}
 }
 
-func (p Plan) job(r *rand.Rand, n int, at time.Duration) Job {
-	kind := p.Shares.pick(r.Float64())
+func (p Plan) drawJob(r *rand.Rand, number int, arrivesAt time.Duration) Job {
+	kind := p.Weights.selectKind(r.Float64())
 	shape := p.Shapes[kind]
-	j := Job{At: at, Kind: kind, Runtime: drawn(r, shape.Runtime), Answer: int(drawn(r, time.Duration(p.Answer)))}
+	j := Job{ArrivesAt: arrivesAt, Kind: kind, Runtime: drawExponential(r, shape.Runtime), AnswerBytes: int(drawExponential(r, time.Duration(p.MeanAnswerBytes)))}
 	// Declared run times are often far off; the cell has to live with it.
-	declared := float64(j.Runtime.Milliseconds()) * math.Exp(r.NormFloat64()*spread)
-	once := r.Float64() < p.Once && kind != job.Service
+	declared := float64(j.Runtime.Milliseconds()) * math.Exp(r.NormFloat64()*runtimeErrorSigma)
+	once := r.Float64() < p.OnceFraction && kind != job.Service
 	j.Spec = &v1.Spec{
-		Id: p.Prefix + strconv.Itoa(n), Kind: v1.Kind(kind), Name: "load-" + kind.String(), Count: shape.Count,
+		Id: p.IDPrefix + strconv.Itoa(number), Kind: v1.Kind(kind), Name: "load-" + kind.String(), Count: shape.Count,
 		Size:    &v1.Size{Cpu: shape.CPU, Memory: shape.Memory, Slots: 1},
 		Runtime: uint64(max(1, declared)), Once: once,
 	}
@@ -156,7 +156,7 @@
 	return j
 }
 
-// drawn returns a value with an exponential distribution of the mean given.
-func drawn(r *rand.Rand, mean time.Duration) time.Duration {
-	return time.Duration(min(r.ExpFloat64(), longest) * float64(mean))
+// drawExponential returns a value with an exponential distribution of the mean given.
+func drawExponential(r *rand.Rand, mean time.Duration) time.Duration {
+	return time.Duration(min(r.ExpFloat64(), maxMeanMultiple) * float64(mean))
 }
--- a/internal/load/mix/mix_test.go
+++ b/internal/load/mix/mix_test.go
@@ -12,17 +12,17 @@
 	"gypsumreel/internal/load/mix"
 )
 
-func plan(t *testing.T, seed uint64) mix.Plan {
-	shares, err := mix.ParseShares("urgent=70,batch=25,gang=5")
+func newPlan(t *testing.T, seed uint64) mix.Plan {
+	shares, err := mix.ParseKindWeights("urgent=70,batch=25,gang=5")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return mix.Plan{Rate: 1000, Duration: 10 * time.Second, Seed: seed, Shares: shares, Shapes: mix.DefaultShapes(), Once: 0.5, Answer: 100, Prefix: "p-"}
+	return mix.Plan{Rate: 1000, Duration: 10 * time.Second, Seed: seed, Weights: shares, Shapes: mix.DefaultShapes(), OnceFraction: 0.5, MeanAnswerBytes: 100, IDPrefix: "p-"}
 }
 
-func TestSameSeedMakesTheSameJobs(t *testing.T) {
+func TestSameSeedGeneratesSameJobs(t *testing.T) {
 	const n = 200
-	a, b, c := plan(t, 1).Jobs()[:n], plan(t, 1).Jobs()[:n], plan(t, 2).Jobs()[:n]
+	a, b, c := newPlan(t, 1).Jobs()[:n], newPlan(t, 1).Jobs()[:n], newPlan(t, 2).Jobs()[:n]
 	if diff := cmp.Diff(a, b, protocmp.Transform()); diff != "" {
 		t.Error(diff)
 	}
@@ -31,11 +31,11 @@
 	}
 }
 
-func TestJobsFollowThePlan(t *testing.T) {
-	jobs := plan(t, 3).Jobs()
-	count, once, ids := map[job.Kind]int{}, 0, map[string]bool{}
+func TestGeneratedJobsMatchPlan(t *testing.T) {
+	jobs := newPlan(t, 3).Jobs()
+	countByKind, once, ids := map[job.Kind]int{}, 0, map[string]bool{}
 	for i, j := range jobs {
-		count[j.Kind]++
+		countByKind[j.Kind]++
 		if j.Spec.GetOnce() {
 			once++
 		}
@@ -43,28 +43,28 @@
 			t.Errorf("id %s twice", j.Spec.GetId())
 		}
 		ids[j.Spec.GetId()] = true
-		if i > 0 && j.At < jobs[i-1].At {
+		if i > 0 && j.ArrivesAt < jobs[i-1].ArrivesAt {
 			t.Error("out of order")
 		}
 	}
-	near := func(what string, got int, want float64) {
+	assertNear := func(name string, got int, want float64) {
 		if math.Abs(float64(got)-want) > want/10 {
-			t.Errorf("%s: %d, want about %.0f", what, got, want)
+			t.Errorf("%s: %d, want about %.0f", name, got, want)
 		}
 	}
-	near("jobs", len(jobs), 10_000)
-	near("urgent", count[job.Urgent], 7_000)
-	near("batch", count[job.Batch], 2_500)
-	near("gangs", count[job.Gang], 500)
-	near("at most once", once, 5_000)
-	if count[job.Service] != 0 {
+	assertNear("jobs", len(jobs), 10_000)
+	assertNear("urgent", countByKind[job.Urgent], 7_000)
+	assertNear("batch", countByKind[job.Batch], 2_500)
+	assertNear("gangs", countByKind[job.Gang], 500)
+	assertNear("at most once", once, 5_000)
+	if countByKind[job.Service] != 0 {
 		t.Error("services without a weight")
 	}
 }
 
-func TestBadSharesAreRefused(t *testing.T) {
+func TestInvalidWeightsAreRejected(t *testing.T) {
 	for _, text := range []string{"", "urgent", "urgent=-1", "urgent=NaN", "urgent=1,urgent=2", "fast=1", "batch=0"} {
-		if got, err := mix.ParseShares(text); err == nil {
+		if got, err := mix.ParseKindWeights(text); err == nil {
 			t.Errorf("%q gives %v", text, got)
 		}
 	}
--- a/internal/load/report/report_test.go
+++ b/internal/load/report/report_test.go
@@ -17,38 +17,38 @@
 	"gypsumreel/internal/load/work"
 )
 
-func seen(id string, at, accepted, answered time.Duration, o v1.Outcome, c code.Code) drive.Seen {
-	return drive.Seen{
-		Job:  mix.Job{At: at, Kind: job.Urgent, Spec: &v1.Spec{Id: id, Count: 1, Once: true}},
-		Sent: at + 1, Accepted: accepted, Answered: answered, Outcome: o, Code: c,
+func jobResult(id string, at, accepted, answered time.Duration, o v1.Outcome, c code.Code) drive.JobResult {
+	return drive.JobResult{
+		Job:    mix.Job{ArrivesAt: at, Kind: job.Urgent, Spec: &v1.Spec{Id: id, Count: 1, Once: true}},
+		SentAt: at + 1, AcceptedAt: accepted, AnsweredAt: answered, Outcome: o, Code: c,
 	}
 }
 
 // The cell stands still for ten seconds while a job arrives each second. A tool
 // that counts from when it got round to sending would report short waits; whoever
 // was on the phone waited for up to ten seconds.
-func TestWaitsCountFromTheArrival(t *testing.T) {
-	var all []drive.Seen
+func TestWaitsAreMeasuredFromArrival(t *testing.T) {
+	var results []drive.JobResult
 	for i := range 10 {
-		one := seen("x", time.Duration(i)*time.Second, 10*time.Second, 10*time.Second, v1.Outcome_OUTCOME_DONE, code.OK)
-		one.Sent = 10*time.Second - time.Millisecond
-		all = append(all, one)
+		result := jobResult("x", time.Duration(i)*time.Second, 10*time.Second, 10*time.Second, v1.Outcome_OUTCOME_DONE, code.OK)
+		result.SentAt = 10*time.Second - time.Millisecond
+		results = append(results, result)
 	}
-	k := report.Sum(report.Measured{}, time.Time{}, all, nil).Kinds["urgent"]
+	k := report.Summarize(report.RunInfo{}, time.Time{}, results, nil).Kinds["urgent"]
 	if k.Accept.Max < 9990 || k.Accept.P50 < 4990 || k.Lag.Max < 9980 {
 		t.Errorf("accept %+v, lag %+v", k.Accept, k.Lag)
 	}
 }
 
-func ran(t *testing.T, r *work.Record, id string, times int, whole bool) {
+func recordRuns(t *testing.T, r *work.Record, id string, times int, complete bool) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	if !whole {
+	if !complete {
 		cancel()
 	}
 	for range times {
 		runtime := time.Duration(0)
-		if !whole {
+		if !complete {
 			runtime = time.Hour
 		}
 		r.Work(ctx, &v1.Order{Input: work.Input{ID: id, Runtime: runtime}.Bytes(), Attempt: &v1.Attempt{}})
@@ -57,36 +57,36 @@
 
 // Each broken promise is found by holding what callers were told against what
 // the backend servers ran.
-func TestBrokenPromisesAreFound(t *testing.T) {
+func TestViolationsAreCounted(t *testing.T) {
 	const second = time.Second
 	r := &work.Record{}
-	ran(t, r, "good", 1, true)
-	ran(t, r, "doubled", 2, true)
-	ran(t, r, "false", 1, false)
-	ran(t, r, "unran", 1, false)
-	damaged := seen("good", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK)
-	damaged.Damaged = true
+	recordRuns(t, r, "good", 1, true)
+	recordRuns(t, r, "doubled", 2, true)
+	recordRuns(t, r, "false", 1, false)
+	recordRuns(t, r, "unran", 1, false)
+	damaged := jobResult("good", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK)
+	damaged.AnswerDamaged = true
 	for name, c := range map[string]struct {
-		one  drive.Seen
-		want report.Promises
+		one  drive.JobResult
+		want report.Violations
 	}{
-		"good":      {seen("good", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Promises{}},
-		"refused":   {seen("none", second, 0, 0, v1.Outcome_OUTCOME_NOT_RUN, code.QueueFull), report.Promises{}},
-		"unsure":    {seen("doubled-never", second, 0, 0, 0, code.LeaderTimeout), report.Promises{}},
-		"lost":      {seen("good", second, second, 0, v1.Outcome_OUTCOME_RUNNING, code.OK), report.Promises{Lost: 1}},
-		"damaged":   {damaged, report.Promises{Damaged: 1}},
-		"doubled":   {seen("doubled", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Promises{Doubled: 1}},
-		"false":     {seen("false", second, 0, 0, v1.Outcome_OUTCOME_NOT_RUN, code.Cancelled), report.Promises{False: 1}},
-		"unran":     {seen("unran", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Promises{Unran: 1}},
-		"unstarted": {seen("none", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Promises{Unran: 1}},
+		"good":      {jobResult("good", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Violations{}},
+		"refused":   {jobResult("none", second, 0, 0, v1.Outcome_OUTCOME_NOT_RUN, code.QueueFull), report.Violations{}},
+		"unsure":    {jobResult("doubled-never", second, 0, 0, 0, code.LeaderTimeout), report.Violations{}},
+		"lost":      {jobResult("good", second, second, 0, v1.Outcome_OUTCOME_RUNNING, code.OK), report.Violations{LostJobs: 1}},
+		"damaged":   {damaged, report.Violations{DamagedAnswers: 1}},
+		"doubled":   {jobResult("doubled", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Violations{RepeatedOnceJobs: 1}},
+		"false":     {jobResult("false", second, 0, 0, v1.Outcome_OUTCOME_NOT_RUN, code.Cancelled), report.Violations{FalseNotRun: 1}},
+		"unran":     {jobResult("unran", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Violations{UnfinishedDone: 1}},
+		"unstarted": {jobResult("none", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Violations{UnfinishedDone: 1}},
 	} {
-		got := report.Sum(report.Measured{}, time.Now(), []drive.Seen{c.one}, r)
-		c.want.Faults = []string{}
-		if diff := cmp.Diff(c.want, got.Promises); diff != "" {
+		got := report.Summarize(report.RunInfo{}, time.Now(), []drive.JobResult{c.one}, r)
+		c.want.ServerFaults = []string{}
+		if diff := cmp.Diff(c.want, got.Violations); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
-		if kept := got.Promises.Kept(); kept != cmp.Equal(c.want, report.Promises{Faults: []string{}}) {
-			t.Errorf("%s: kept %v", name, kept)
+		if none := got.Violations.None(); none != cmp.Equal(c.want, report.Violations{ServerFaults: []string{}}) {
+			t.Errorf("%s: kept %v", name, none)
 		}
 		var b strings.Builder
 		if err := got.Write(&b); err != nil || !strings.Contains(b.String(), "promises: ") {
--- a/internal/load/rig/process_test.go
+++ b/internal/load/rig/process_test.go
@@ -105,13 +105,13 @@
 func TestPromisesOverFailuresOfProcesses(t *testing.T) {
 	r, fleet, token := start(t, 6)
 	jobs := mix.Plan{
-		Rate: 80, Duration: 10 * time.Second, Seed: 1, Shares: mix.Shares{job.Urgent: 8, job.Batch: 1, job.Gang: 1},
-		Shapes: mix.DefaultShapes(), Once: 0.3, Answer: 1000, Prefix: "smoke-",
+		Rate: 80, Duration: 10 * time.Second, Seed: 1, Weights: mix.KindWeights{job.Urgent: 8, job.Batch: 1, job.Gang: 1},
+		Shapes: mix.DefaultShapes(), OnceFraction: 0.3, MeanAnswerBytes: 1000, IDPrefix: "smoke-",
 	}.Jobs()
-	d := &drive.Driver{Caller: r.CallerClient(token), Jobs: jobs, Tail: 60 * time.Second}
+	d := &drive.Driver{Client: r.CallerClient(token), Jobs: jobs, Tail: 60 * time.Second}
 	var w sync.WaitGroup
 	defer w.Wait()
-	var seen []drive.Seen
+	var seen []drive.JobResult
 	began := time.Now()
 	w.Go(func() { seen = d.Run(t.Context()) })
 	var calls rig.Calls
@@ -142,9 +142,9 @@
 	unpin()
 	w.Wait()
 
-	sum := report.Sum(report.Measured{}, began, seen, fleet.Record)
-	if faults := fleet.Seen.Faults(); !sum.Promises.Kept() || len(faults) > 0 {
-		t.Errorf("promises %+v, servers saw %v", sum.Promises, faults)
+	sum := report.Summarize(report.RunInfo{}, began, seen, fleet.Record)
+	if faults := fleet.Seen.Faults(); !sum.Violations.None() || len(faults) > 0 {
+		t.Errorf("promises %+v, servers saw %v", sum.Violations, faults)
 	}
 	if sum.Counts.Accepted == 0 || calls.Made.Load() == 0 {
 		t.Errorf("nothing was tested: %+v, %d calls", sum.Counts, calls.Made.Load())
@@ -218,12 +218,12 @@
 func TestTableIsLinearizable(t *testing.T) {
 	r, _, _ := start(t, 0)
 	op := r.OperatorClient()
-	look := func(ctx context.Context) (history.Looked, bool) {
+	look := func(ctx context.Context) (history.TableReadReply, bool) {
 		reply, err := op.Show(ctx, v1.Part_PART_TABLE)
 		if err != nil || len(reply.GetRows()) != 1 {
-			return history.Looked{}, false
+			return history.TableReadReply{}, false
 		}
-		return history.Looked{Revision: reply.GetRevision(), Weight: reply.GetRows()[0].GetWeight()}, true
+		return history.TableReadReply{Revision: reply.GetRevision(), Weight: reply.GetRows()[0].GetWeight()}, true
 	}
 	first, ok := look(t.Context())
 	if !ok {
@@ -234,38 +234,38 @@
 		ctx, cancel := context.WithTimeout(t.Context(), patience)
 		defer cancel()
 		var base uint64
-		h.Do(client, history.Look{}, func() (any, bool) {
+		h.Record(client, history.TableRead{}, func() (any, bool) {
 			now, ok := look(ctx)
 			base = now.Revision
 			return now, ok
 		})
-		in := history.Change{ID: fmt.Sprintf("c%d-%d", client, i), Base: base, Weight: uint32(2 + client*perClient + i)}
+		in := history.TableChange{ID: fmt.Sprintf("c%d-%d", client, i), BaseRevision: base, Weight: uint32(2 + client*perClient + i)}
 		for range 2 {
-			h.Do(client, in, func() (any, bool) {
+			h.Record(client, in, func() (any, bool) {
 				revision, err := op.Change(ctx, &v1.ChangeRequest{Id: in.ID, Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{
-					Base: in.Base, Edits: []*v1.Edit{{Row: &v1.Row{Team: "quarry", Weight: in.Weight}, Cells: []string{"weight"}}},
+					Base: in.BaseRevision, Edits: []*v1.Edit{{Row: &v1.Row{Team: "quarry", Weight: in.Weight}, Cells: []string{"weight"}}},
 				}}})
 				if err == nil {
-					return history.Changed{Code: code.OK, Revision: revision}, true
+					return history.TableChangeReply{Code: code.OK, Revision: revision}, true
 				}
 				c := link.Refusal(err).Code
-				return history.Changed{Code: c, Revision: revision}, c == code.RevisionConflict
+				return history.TableChangeReply{Code: c, Revision: revision}, c == code.RevisionConflict
 			})
 		}
 	})
 	ops := h.Operations()
-	if !history.Explained(history.Table(first), ops, checking) {
+	if !history.Linearizable(history.TableModel(first), ops, checking) {
 		t.Errorf("no order explains the %d operations", len(ops))
 	}
 	// The same history with one read that never was: the check can fail.
 	for i := range ops {
-		if got, ok := ops[i].Output.(history.Looked); ok {
+		if got, ok := ops[i].Output.(history.TableReadReply); ok {
 			got.Weight++
 			ops[i].Output = got
 			break
 		}
 	}
-	if history.Explained(history.Table(first), ops, checking) {
+	if history.Linearizable(history.TableModel(first), ops, checking) {
 		t.Error("a wrong read is explained")
 	}
 }
@@ -281,7 +281,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), patience)
 		defer cancel()
 		in := history.Submit{ID: fmt.Sprintf("id-%d-%d", client/2, i), Content: fmt.Sprintf("content-%d", client%2)}
-		h.Do(client, in, func() (any, bool) {
+		h.Record(client, in, func() (any, bool) {
 			got, err := c.Submit(ctx, []*v1.Spec{spec(in)}, false)
 			if err != nil {
 				return nil, false
@@ -289,27 +289,27 @@
 			k := code.Code(got[0].GetStatus().GetCode())
 			return k, k == code.OK || k == code.IDReused
 		})
-		h.Do(client, history.Wait{ID: in.ID}, func() (any, bool) {
+		h.Record(client, history.Wait{ID: in.ID}, func() (any, bool) {
 			got, err := c.Wait(ctx, in.ID)
 			if err != nil || got.Outcome != v1.Outcome_OUTCOME_DONE {
 				return nil, false
 			}
-			return history.Answer{Content: contentOf(got)}, true
+			return history.WaitReply{Content: contentOf(got)}, true
 		})
 	})
 	ops := h.Operations()
-	if !history.Explained(history.Requests(), ops, checking) {
+	if !history.Linearizable(history.RequestModel(), ops, checking) {
 		t.Errorf("no order explains the %d operations", len(ops))
 	}
 	answered := false
 	for i := range ops {
-		if _, ok := ops[i].Output.(history.Answer); ok {
-			ops[i].Output = history.Answer{Content: "nobody's"}
+		if _, ok := ops[i].Output.(history.WaitReply); ok {
+			ops[i].Output = history.WaitReply{Content: "nobody's"}
 			answered = true
 			break
 		}
 	}
-	if !answered || history.Explained(history.Requests(), ops, checking) {
+	if !answered || history.Linearizable(history.RequestModel(), ops, checking) {
 		t.Errorf("answered is %v, and a wrong answer is explained", answered)
 	}
 }
--- a/internal/policy/bench/check.go
+++ b/internal/policy/bench/check.go
@@ -14,94 +14,94 @@
 // Checker holds every decision to what must always hold: no server is
 // overcommitted, no team exceeds its limit, a gang starts whole, a task runs once.
 type Checker struct {
-	// Broken lists what was violated, the first few.
-	Broken  []string
-	table   table.Table
-	servers map[string]backend.Server
-	on      map[string][]*Attempt
-	room    map[string]capacity.Size
-	teams   map[string]capacity.Size
+	// Violations lists what was violated, the first few.
+	Violations []string
+	table      table.Table
+	servers    map[string]backend.Server
+	tasks      map[string][]*Task
+	used       map[string]capacity.Size
+	teamUsage  map[string]capacity.Size
 }
 
-// mostBroken bounds the list of violations.
-const mostBroken = 10
+// maxViolations bounds the list of violations.
+const maxViolations = 10
 
 // NewChecker returns a checker that has seen nothing.
 func NewChecker() *Checker {
 	return &Checker{
-		servers: map[string]backend.Server{}, on: map[string][]*Attempt{},
-		room: map[string]capacity.Size{}, teams: map[string]capacity.Size{},
+		servers: map[string]backend.Server{}, tasks: map[string][]*Task{},
+		used: map[string]capacity.Size{}, teamUsage: map[string]capacity.Size{},
 	}
 }
 
-func (c *Checker) broken(format string, args ...any) {
-	if len(c.Broken) < mostBroken {
-		c.Broken = append(c.Broken, fmt.Sprintf(format, args...))
+func (c *Checker) addViolation(format string, args ...any) {
+	if len(c.Violations) < maxViolations {
+		c.Violations = append(c.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// Decision checks one decision before it is applied.
-func (c *Checker) Decision(w *World, d plan.Decision) {
+// CheckDecision checks one decision before it is applied.
+func (c *Checker) CheckDecision(w *World, d plan.Decision) {
 	switch d.Action {
 	case plan.Place:
-		c.place(w, d)
+		c.checkPlacements(w, d)
 	case plan.Preempt:
-		if r := w.runs[d.Task]; r != nil && r.spec.Once {
-			c.broken("%v: task %v that may run once is preempted", w.now, d.Task)
+		if t := w.unfinished[d.Task]; t != nil && t.spec.Once {
+			c.addViolation("%v: task %v that may run once is preempted", w.now, d.Task)
 		}
 	}
 }
 
-func (c *Checker) place(w *World, d plan.Decision) {
-	for _, l := range d.Placements {
-		r := w.runs[task.ID{Job: d.Job, Index: l.Index}]
-		if r == nil || r.held {
-			c.broken("%v: job %d task %d is placed and does not wait", w.now, d.Job, l.Index)
+func (c *Checker) checkPlacements(w *World, d plan.Decision) {
+	for _, placement := range d.Placements {
+		t := w.unfinished[task.ID{Job: d.Job, Index: placement.Index}]
+		if t == nil || t.placed {
+			c.addViolation("%v: job %d task %d is placed and does not wait", w.now, d.Job, placement.Index)
 			continue
 		}
-		c.one(w, r, l.Server)
+		c.addTask(w, t, placement.Server)
 	}
-	c.whole(w, d)
+	c.checkGang(w, d)
 }
 
-func (c *Checker) one(w *World, r *Attempt, server string) {
+func (c *Checker) addTask(w *World, t *Task, server string) {
 	s := c.servers[server]
 	if s.State != backend.Ready && s.State != backend.Quarantined {
-		c.broken("%v: %s is %s and is given work", w.now, server, s.State)
+		c.addViolation("%v: %s is %s and is given work", w.now, server, s.State)
 	}
-	if s.State == backend.Quarantined && len(c.on[server]) > 0 {
-		c.broken("%v: %s is quarantined and is given more than a probe", w.now, server)
+	if s.State == backend.Quarantined && len(c.tasks[server]) > 0 {
+		c.addViolation("%v: %s is quarantined and is given more than a probe", w.now, server)
 	}
-	c.on[server] = append(c.on[server], r)
-	c.room[server] = c.room[server].Add(r.spec.Size)
-	if !c.room[server].Fits(s.Capacity) {
-		c.broken("%v: %s is overcommitted: %v of %v", w.now, server, c.room[server], s.Capacity)
+	c.tasks[server] = append(c.tasks[server], t)
+	c.used[server] = c.used[server].Add(t.spec.Size)
+	if !c.used[server].Fits(s.Capacity) {
+		c.addViolation("%v: %s is overcommitted: %v of %v", w.now, server, c.used[server], s.Capacity)
 	}
-	team := r.spec.Team
-	c.teams[team] = c.teams[team].Add(r.spec.Size)
-	if row, ok := c.table.Row(team); !ok || !c.teams[team].Within(row.Limit) {
-		c.broken("%v: team %s is above its limit: %v of %v", w.now, team, c.teams[team], row.Limit)
+	team := t.spec.Team
+	c.teamUsage[team] = c.teamUsage[team].Add(t.spec.Size)
+	if row, ok := c.table.Row(team); !ok || !c.teamUsage[team].Within(row.Limit) {
+		c.addViolation("%v: team %s is above its limit: %v of %v", w.now, team, c.teamUsage[team], row.Limit)
 	}
 }
 
-// whole checks that a gang's tasks that are not done all start in one decision.
-func (c *Checker) whole(w *World, d plan.Decision) {
+// checkGang checks that a gang's tasks that are not done all start in one decision.
+func (c *Checker) checkGang(w *World, d plan.Decision) {
 	if len(w.jobs[d.Job]) == 0 || !w.jobs[d.Job][0].spec.Whole() {
 		return
 	}
 	n := 0
-	for _, r := range w.jobs[d.Job] {
-		if w.runs[r.id] == r {
+	for _, t := range w.jobs[d.Job] {
+		if w.unfinished[t.id] == t {
 			n++
 		}
 	}
 	if n != len(d.Placements) {
-		c.broken("%v: gang %d starts %d of %d tasks", w.now, d.Job, len(d.Placements), n)
+		c.addViolation("%v: gang %d starts %d of %d tasks", w.now, d.Job, len(d.Placements), n)
 	}
 }
 
-func (c *Checker) released(r *Attempt) {
-	c.on[r.server] = slices.DeleteFunc(c.on[r.server], func(o *Attempt) bool { return o == r })
-	c.room[r.server] = c.room[r.server].Sub(r.spec.Size)
-	c.teams[r.spec.Team] = c.teams[r.spec.Team].Sub(r.spec.Size)
+func (c *Checker) removeTask(t *Task) {
+	c.tasks[t.server] = slices.DeleteFunc(c.tasks[t.server], func(other *Task) bool { return other == t })
+	c.used[t.server] = c.used[t.server].Sub(t.spec.Size)
+	c.teamUsage[t.spec.Team] = c.teamUsage[t.spec.Team].Sub(t.spec.Size)
 }
--- a/internal/policy/bench/meter.go
+++ b/internal/policy/bench/meter.go
@@ -11,179 +11,179 @@
 	"gypsumreel/internal/policy/share"
 )
 
-// Meter takes the measures of a run.
-type Meter struct {
-	// From is when measuring begins.
-	From time.Duration
-	// Fault is when something went wrong.
-	Fault time.Duration
-
-	w       *World
-	waits   [job.Service + 1][]time.Duration
-	done    [job.Service + 1]float64
-	wasted  float64
-	packing []float64
-	dist    []float64
-	minute  map[string][]float64
-	worst   float64
-	notes   int
-	count   int
-	spent   time.Duration
-	calls   []time.Duration
-	verbs   [plan.Restore + 1]int
-	// reasons holds the work lost by what it was stopped for.
-	reasons map[string]float64
-	alone   map[uint64]time.Duration
-	slow    []float64
-	// racks and zones hold 1 for each gang that started in one of them, else 0.
-	racks, zones []float64
-	after, again []time.Duration
-}
-
-func newMeter(w *World) *Meter {
-	return &Meter{w: w, minute: map[string][]float64{}, reasons: map[string]float64{}, alone: map[uint64]time.Duration{}}
-}
-
-func (m *Meter) on() bool { return m.w.now >= m.From }
-
-func (m *Meter) time(fn func() []plan.Decision) []plan.Decision {
-	began := time.Now()
-	out := fn()
-	took := time.Since(began)
-	m.spent += took
-	m.count += len(out)
-	if len(out) > 0 {
-		m.calls = append(m.calls, took/time.Duration(len(out)))
-	}
-	return out
-}
-
-func (m *Meter) decided(d plan.Decision) {
-	m.verbs[d.Action]++
-	if d.Action == plan.Place && m.on() && m.w.jobs[d.Job][0].spec.Whole() {
+// Metrics takes the measures of a run.
+type Metrics struct {
+	// MeasureFrom is when measuring begins.
+	MeasureFrom time.Duration
+	// FaultAt is when something went wrong.
+	FaultAt time.Duration
+
+	world           *World
+	waits           [job.Service + 1][]time.Duration
+	coreSecondsDone [job.Service + 1]float64
+	coreSecondsLost float64
+	packing         []float64
+	shareDistances  []float64
+	lastMinute      map[string][]float64
+	worstDistance   float64
+	queuedTasks     int
+	decisionCount   int
+	decideTime      time.Duration
+	decisionTimes   []time.Duration
+	actionCounts    [plan.Restore + 1]int
+	// lostByReason holds the work lost by what it was stopped for.
+	lostByReason map[string]float64
+	idealWaits   map[uint64]time.Duration
+	slowdowns    []float64
+	// inOneRack and zones hold 1 for each gang that started in one of them, else 0.
+	inOneRack, inOneZone            []float64
+	waitsAfterFault, waitsAfterLoss []time.Duration
+}
+
+func newMetrics(w *World) *Metrics {
+	return &Metrics{world: w, lastMinute: map[string][]float64{}, lostByReason: map[string]float64{}, idealWaits: map[uint64]time.Duration{}}
+}
+
+func (m *Metrics) measuring() bool { return m.world.now >= m.MeasureFrom }
+
+func (m *Metrics) timeDecide(decide func() []plan.Decision) []plan.Decision {
+	start := time.Now()
+	decisions := decide()
+	elapsed := time.Since(start)
+	m.decideTime += elapsed
+	m.decisionCount += len(decisions)
+	if len(decisions) > 0 {
+		m.decisionTimes = append(m.decisionTimes, elapsed/time.Duration(len(decisions)))
+	}
+	return decisions
+}
+
+func (m *Metrics) recordDecision(d plan.Decision) {
+	m.actionCounts[d.Action]++
+	if d.Action == plan.Place && m.measuring() && m.world.jobs[d.Job][0].spec.Whole() {
 		racks, zones := map[string]bool{}, map[string]bool{}
-		for _, l := range d.Placements {
-			s := m.w.servers[l.Server]
+		for _, placement := range d.Placements {
+			s := m.world.servers[placement.Server]
 			racks[s.Zone+s.Rack], zones[s.Zone] = true, true
 		}
-		m.racks = append(m.racks, one(len(racks)))
-		m.zones = append(m.zones, one(len(zones)))
+		m.inOneRack = append(m.inOneRack, oneIfSingle(len(racks)))
+		m.inOneZone = append(m.inOneZone, oneIfSingle(len(zones)))
 	}
 }
 
-// one is 1 if n is 1.
-func one(n int) float64 {
+// oneIfSingle is 1 if n is 1.
+func oneIfSingle(n int) float64 {
 	if n == 1 {
 		return 1
 	}
 	return 0
 }
 
-// submitted notes when a gang could start at the soonest if nothing else waited.
-func (m *Meter) submitted(id uint64) {
-	if m.on() && m.w.jobs[id][0].spec.Whole() {
-		m.alone[id] = m.w.soonest(m.w.jobs[id])
+// recordSubmission notes when a gang could start at the soonest if nothing else waited.
+func (m *Metrics) recordSubmission(id uint64) {
+	if m.measuring() && m.world.jobs[id][0].spec.Whole() {
+		m.idealWaits[id] = m.world.idealWait(m.world.jobs[id])
 	}
 }
 
-func (m *Meter) placed(r *Attempt) {
-	if !r.fresh || !m.on() {
+func (m *Metrics) recordPlacement(t *Task) {
+	if !t.measureWait || !m.measuring() {
 		return
 	}
-	wait := m.w.now - r.waits
-	if m.Fault > 0 && r.spec.Kind == job.Urgent {
-		if r.attempts > 0 {
-			m.again = append(m.again, wait)
-		} else if r.accepted >= m.Fault && r.accepted < m.Fault+30*time.Second {
-			m.after = append(m.after, wait)
+	wait := m.world.now - t.waitingSince
+	if m.FaultAt > 0 && t.spec.Kind == job.Urgent {
+		if t.attempts > 0 {
+			m.waitsAfterLoss = append(m.waitsAfterLoss, wait)
+		} else if t.acceptedAt >= m.FaultAt && t.acceptedAt < m.FaultAt+30*time.Second {
+			m.waitsAfterFault = append(m.waitsAfterFault, wait)
 		}
 	}
-	m.waits[r.spec.Kind] = append(m.waits[r.spec.Kind], wait)
-	if alone, ok := m.alone[r.id.Job]; ok && r.id.Index == 0 && r.attempts == 0 {
-		m.slow = append(m.slow, wait.Seconds()/max(1, alone.Seconds()))
+	m.waits[t.spec.Kind] = append(m.waits[t.spec.Kind], wait)
+	if idealWait, ok := m.idealWaits[t.id.Job]; ok && t.id.Index == 0 && t.attempts == 0 {
+		m.slowdowns = append(m.slowdowns, wait.Seconds()/max(1, idealWait.Seconds()))
 	}
 }
 
-func (m *Meter) finished(r *Attempt) {
-	if m.on() {
-		m.done[r.spec.Kind] += work(r, m.w.now-max(r.base, m.From))
+func (m *Metrics) recordCompletion(t *Task) {
+	if m.measuring() {
+		m.coreSecondsDone[t.spec.Kind] += coreSeconds(t, m.world.now-max(t.startedAt, m.MeasureFrom))
 	}
 }
 
-func (m *Meter) lost(r *Attempt, d time.Duration) {
-	if m.on() {
-		m.wasted += work(r, d)
-		m.reasons[r.why] += work(r, d) / 3600
-		m.done[r.spec.Kind] += work(r, max(0, m.w.now-max(r.base, m.From)-d))
+func (m *Metrics) recordLostWork(t *Task, d time.Duration) {
+	if m.measuring() {
+		m.coreSecondsLost += coreSeconds(t, d)
+		m.lostByReason[t.stopReason] += coreSeconds(t, d) / 3600
+		m.coreSecondsDone[t.spec.Kind] += coreSeconds(t, max(0, m.world.now-max(t.startedAt, m.MeasureFrom)-d))
 	}
 }
 
-// work is processor time in core-seconds.
-func work(r *Attempt, d time.Duration) float64 {
-	return float64(r.spec.Size.CPU) / 1000 * d.Seconds()
+// coreSeconds is processor time in core-seconds.
+func coreSeconds(t *Task, d time.Duration) float64 {
+	return float64(t.spec.Size.CPU) / 1000 * d.Seconds()
 }
 
 // Sample takes the measures that are taken once a second.
-func (m *Meter) Sample() {
-	if m.on() {
-		m.sample()
+func (m *Metrics) Sample() {
+	if m.measuring() {
+		m.takeSample()
 	}
-	m.w.At(m.w.now+time.Second, m.Sample)
+	m.world.Schedule(m.world.now+time.Second, m.Sample)
 }
 
-func (m *Meter) sample() {
-	w := m.w
-	var usable, used, wants capacity.Size
-	for _, id := range w.order {
+func (m *Metrics) takeSample() {
+	w := m.world
+	var capacityReady, used, demand capacity.Size
+	for _, id := range w.serverIDs {
 		if w.servers[id].State == backend.Ready {
-			usable = usable.Add(w.servers[id].Capacity)
-			used = used.Add(w.Check.room[id])
+			capacityReady = capacityReady.Add(w.servers[id].Capacity)
+			used = used.Add(w.Checker.used[id])
 		}
 	}
 	waiting := map[string]capacity.Size{}
-	for _, r := range w.runs {
-		if !r.held && r.spec.Size.Fits(w.most) {
-			waiting[r.spec.Team] = waiting[r.spec.Team].Add(r.spec.Size)
-			wants = wants.Add(r.spec.Size)
+	for _, t := range w.unfinished {
+		if !t.placed && t.spec.Size.Fits(w.maxCapacity) {
+			waiting[t.spec.Team] = waiting[t.spec.Team].Add(t.spec.Size)
+			demand = demand.Add(t.spec.Size)
 		}
 	}
-	if bound := min(1, used.Add(wants).Dominant(usable)); !wants.IsZero() && bound > 0.95 {
-		m.packing = append(m.packing, used.Dominant(usable)/bound)
-		m.distance(waiting, usable)
+	if bound := min(1, used.Add(demand).Dominant(capacityReady)); !demand.IsZero() && bound > 0.95 {
+		m.packing = append(m.packing, used.Dominant(capacityReady)/bound)
+		m.recordShareDistance(waiting, capacityReady)
 	}
 }
 
-func (m *Meter) distance(waiting map[string]capacity.Size, usable capacity.Size) {
+func (m *Metrics) recordShareDistance(waiting map[string]capacity.Size, capacityReady capacity.Size) {
 	var claims []share.Team
-	var held []float64
-	rows := m.w.table.Rows()
+	var usedShares []float64
+	rows := m.world.table.Rows()
 	for _, row := range rows {
-		has := m.w.Check.teams[row.Name]
-		held = append(held, has.Dominant(usable))
-		want := has.Add(waiting[row.Name]).Dominant(usable)
-		if bound := row.Limit.Dominant(usable); bound > 0 {
-			want = min(want, bound)
+		used := m.world.Checker.teamUsage[row.Name]
+		usedShares = append(usedShares, used.Dominant(capacityReady))
+		demand := used.Add(waiting[row.Name]).Dominant(capacityReady)
+		if bound := row.Limit.Dominant(capacityReady); bound > 0 {
+			demand = min(demand, bound)
 		}
-		claims = append(claims, share.Team{Guarantee: float64(row.Share) / 1000, Weight: float64(row.Weight), Demand: min(1, want)})
+		claims = append(claims, share.Team{Guarantee: float64(row.Share) / 1000, Weight: float64(row.Weight), Demand: min(1, demand)})
 	}
 	sum := 0.0
 	for i, target := range share.Divide(claims) {
-		off := max(target-held[i], held[i]-target)
-		sum += off
-		m.note(rows[i].Name, off)
+		distance := max(target-usedShares[i], usedShares[i]-target)
+		sum += distance
+		m.recordTeamDistance(rows[i].Name, distance)
 	}
-	m.dist = append(m.dist, sum/float64(len(rows)))
+	m.shareDistances = append(m.shareDistances, sum/float64(len(rows)))
 }
 
-// note keeps the worst mean of a team's distance over a minute.
-func (m *Meter) note(team string, off float64) {
-	last := append(m.minute[team], off)
-	if len(last) > 60 {
-		last = last[1:]
+// recordTeamDistance keeps the worst mean of a team's distance over a minute.
+func (m *Metrics) recordTeamDistance(team string, distance float64) {
+	lastMinute := append(m.lastMinute[team], distance)
+	if len(lastMinute) > 60 {
+		lastMinute = lastMinute[1:]
 	}
-	m.minute[team] = last
-	if len(last) == 60 {
-		m.worst = max(m.worst, mean(last))
+	m.lastMinute[team] = lastMinute
+	if len(lastMinute) == 60 {
+		m.worstDistance = max(m.worstDistance, mean(lastMinute))
 	}
 }
 
@@ -195,7 +195,7 @@
 	return sum / float64(max(1, len(x)))
 }
 
-func average(x []time.Duration) time.Duration {
+func meanDuration(x []time.Duration) time.Duration {
 	sum := time.Duration(0)
 	for _, d := range x {
 		sum += d
@@ -212,31 +212,31 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// soonest is how long a gang would wait if nothing else waited and what runs
+// idealWait is how long a gang would wait if nothing else waited and what runs
 // ended as it really will: servers free up in the order of those ends.
-func (w *World) soonest(tasks []*Attempt) time.Duration {
+func (w *World) idealWait(tasks []*Task) time.Duration {
 	type end struct {
 		at time.Duration
-		r  *Attempt
+		r  *Task
 	}
-	room := map[string]capacity.Size{}
+	free := map[string]capacity.Size{}
 	var ends []end
-	for _, id := range w.order {
+	for _, id := range w.serverIDs {
 		if w.servers[id].State != backend.Ready {
 			continue
 		}
-		room[id] = w.servers[id].Capacity.Sub(w.Check.room[id])
-		for _, r := range w.Check.on[id] {
-			ends = append(ends, end{r.base + r.left, r})
+		free[id] = w.servers[id].Capacity.Sub(w.Checker.used[id])
+		for _, t := range w.Checker.tasks[id] {
+			ends = append(ends, end{t.startedAt + t.remaining, t})
 		}
 	}
 	slices.SortStableFunc(ends, func(a, b end) int { return int(a.at - b.at) })
 	size := tasks[0].spec.Size
 	fits := func() bool {
 		n := 0
-		for _, free := range room {
-			for size.Fits(free) {
-				free = free.Sub(size)
+		for _, left := range free {
+			for size.Fits(left) {
+				left = left.Sub(size)
 				n++
 			}
 		}
@@ -246,7 +246,7 @@
 		return 0
 	}
 	for _, e := range ends {
-		room[e.r.server] = room[e.r.server].Add(e.r.spec.Size)
+		free[e.r.server] = free[e.r.server].Add(e.r.spec.Size)
 		if fits() {
 			return max(0, e.at-w.now)
 		}
--- a/internal/policy/bench/scale.go
+++ b/internal/policy/bench/scale.go
@@ -12,43 +12,43 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// Scale is a planner over a full cell of a given size. Each Step ends some of
+// FullCell is a planner over a full cell of a given size. Each Step ends some of
 // the running tasks, queues new ones and asks for decisions, one at a time, as
 // the control thread would at its peak.
-type Scale struct {
+type FullCell struct {
 	// Planner decides.
 	Planner plan.Planner
-	// Took is the time of each call of Decide.
-	Took []time.Duration
+	// DecideTimes is the time of each call of Decide.
+	DecideTimes []time.Duration
 
 	site    Site
 	rng     *rand.Rand
 	teams   int
 	now     time.Duration
-	next    uint64
-	running []running
-	at      map[task.ID]int
+	lastJob uint64
+	running []runningTask
+	index   map[task.ID]int
 	specs   map[uint64]*job.Spec
 }
 
-// running is a task that is held.
-type running struct {
-	id     task.ID
-	spec   *job.Spec
-	server string
-	since  time.Duration
+// runningTask is a task that is held.
+type runningTask struct {
+	id       task.ID
+	spec     *job.Spec
+	server   string
+	placedAt time.Duration
 }
 
-// NewScale returns a cell of that many servers, teams and running tasks, a fifth
+// NewFullCell returns a cell of that many servers, teams and running tasks, a fifth
 // of them services. With 0 tasks it is filled until nothing more is placed, and
 // some of each team's work is left waiting.
-func NewScale(p plan.Planner, servers, teams, tasks int, seed uint64) *Scale {
+func NewFullCell(p plan.Planner, servers, teams, tasks int, seed uint64) *FullCell {
 	site := Coralwave()
 	site.Servers, site.Zones = servers, max(3, min(21, servers/100))
-	s := &Scale{Planner: p, site: site, rng: rand.New(rand.NewPCG(seed, 3)), teams: teams, specs: map[uint64]*job.Spec{}, at: map[task.ID]int{}}
+	s := &FullCell{Planner: p, site: site, rng: rand.New(rand.NewPCG(seed, 3)), teams: teams, specs: map[uint64]*job.Spec{}, index: map[task.ID]int{}}
 	rows := make([]team.Row, 0, teams)
 	for i := range teams {
-		rows = append(rows, team.New(name(i)).WithShare(uint32(500/teams)).WithWeight(uint32(1+i%4)))
+		rows = append(rows, team.New(teamName(i)).WithShare(uint32(500/teams)).WithWeight(uint32(1+i%4)))
 	}
 	p.SetTable(table.Restore(1, rows))
 	for _, b := range site.servers() {
@@ -65,14 +65,14 @@
 	for range 4 * teams {
 		s.submit()
 	}
-	s.Took = s.Took[:0]
+	s.DecideTimes = s.DecideTimes[:0]
 	return s
 }
 
-func name(i int) string { return fmt.Sprintf("team%04d", i) }
+func teamName(i int) string { return fmt.Sprintf("team%04d", i) }
 
 // submit queues one task: a tenth urgent, a fifth services, the rest batch.
-func (s *Scale) submit() {
+func (s *FullCell) submit() {
 	kind := job.Batch
 	switch n := s.rng.IntN(10); {
 	case n == 0:
@@ -80,63 +80,63 @@
 	case n < 3:
 		kind = job.Service
 	}
-	src := source{rng: s.rng, site: s.site}
+	source := jobSource{rng: s.rng, site: s.site}
 	n := s.rng.IntN(5)
-	size, _, mean := src.shape(min(kind, job.Batch), n)
-	s.next++
-	spec := &job.Spec{Team: name(s.rng.IntN(s.teams)), Kind: kind, Name: fmt.Sprint("n", n), Count: 1, Size: size, Runtime: mean}
-	s.specs[s.next] = spec
-	s.Planner.AddWaiting(plan.WaitingTask{ID: task.ID{Job: s.next}, Job: spec, AcceptedAt: s.now, ReadyAt: s.now})
+	size, _, mean := source.drawShape(min(kind, job.Batch), n)
+	s.lastJob++
+	spec := &job.Spec{Team: teamName(s.rng.IntN(s.teams)), Kind: kind, Name: fmt.Sprint("n", n), Count: 1, Size: size, Runtime: mean}
+	s.specs[s.lastJob] = spec
+	s.Planner.AddWaiting(plan.WaitingTask{ID: task.ID{Job: s.lastJob}, Job: spec, AcceptedAt: s.now, ReadyAt: s.now})
 }
 
 // decide asks for decisions and applies them.
-func (s *Scale) decide(limit int) int {
-	began := time.Now()
-	out := s.Planner.Decide(s.now, limit)
-	s.Took = append(s.Took, time.Since(began))
+func (s *FullCell) decide(limit int) int {
+	start := time.Now()
+	decisions := s.Planner.Decide(s.now, limit)
+	s.DecideTimes = append(s.DecideTimes, time.Since(start))
 	placed := 0
-	for _, d := range out {
+	for _, d := range decisions {
 		switch d.Action {
 		case plan.Place:
 			placed += len(d.Placements)
-			s.hold(d)
+			s.place(d)
 		case plan.Preempt:
-			s.stop(d.Task)
+			s.preempt(d.Task)
 		}
 	}
 	return placed
 }
 
-func (s *Scale) hold(d plan.Decision) {
+func (s *FullCell) place(d plan.Decision) {
 	spec := s.specs[d.Job]
-	for _, l := range d.Placements {
-		id := task.ID{Job: d.Job, Index: l.Index}
-		s.Planner.SetPlaced(plan.PlacedTask{ID: id, Job: spec, Server: l.Server, PlacedAt: s.now})
-		s.at[id] = len(s.running)
-		s.running = append(s.running, running{id, spec, l.Server, s.now})
+	for _, placement := range d.Placements {
+		id := task.ID{Job: d.Job, Index: placement.Index}
+		s.Planner.SetPlaced(plan.PlacedTask{ID: id, Job: spec, Server: placement.Server, PlacedAt: s.now})
+		s.index[id] = len(s.running)
+		s.running = append(s.running, runningTask{id, spec, placement.Server, s.now})
 	}
 }
 
-func (s *Scale) stop(id task.ID) {
-	at := s.at[id]
-	r := s.running[at]
-	s.release(at)
-	s.Planner.AddWaiting(plan.WaitingTask{ID: id, Job: r.spec, AcceptedAt: r.since, ReadyAt: s.now, Attempts: 1})
+func (s *FullCell) preempt(id task.ID) {
+	i := s.index[id]
+	r := s.running[i]
+	s.release(i)
+	s.Planner.AddWaiting(plan.WaitingTask{ID: id, Job: r.spec, AcceptedAt: r.placedAt, ReadyAt: s.now, Attempts: 1})
 }
 
 // release ends the i-th running task.
-func (s *Scale) release(i int) {
+func (s *FullCell) release(i int) {
 	r, last := s.running[i], s.running[len(s.running)-1]
 	s.running[i] = last
-	s.at[last.id] = i
-	delete(s.at, r.id)
+	s.index[last.id] = i
+	delete(s.index, r.id)
 	s.running = s.running[:len(s.running)-1]
 	s.Planner.EndAttempt(r.id, plan.AttemptEnd{EndedAt: s.now, Started: true})
 }
 
 // Step lets a millisecond pass in which n tasks end, n are queued, and one
 // decision after the other is asked for until none is left or n are made.
-func (s *Scale) Step(n int) int {
+func (s *FullCell) Step(n int) int {
 	s.now += time.Millisecond
 	for range min(n, len(s.running)) {
 		s.release(s.rng.IntN(len(s.running)))
@@ -146,9 +146,9 @@
 	}
 	placed := 0
 	for range 2 * n {
-		got := s.decide(1)
-		placed += got
-		if got == 0 {
+		placements := s.decide(1)
+		placed += placements
+		if placements == 0 {
 			break
 		}
 	}
@@ -156,7 +156,7 @@
 }
 
 // Running returns the number of tasks held.
-func (s *Scale) Running() int { return len(s.running) }
+func (s *FullCell) Running() int { return len(s.running) }
 
-// P99 returns the 99th percentile of the time of one decision.
-func (s *Scale) P99() time.Duration { return quantile(s.Took, 0.99) }
+// DecideP99 returns the 99th percentile of the time of one decision.
+func (s *FullCell) DecideP99() time.Duration { return quantile(s.DecideTimes, 0.99) }
--- a/internal/policy/bench/view.go
+++ b/internal/policy/bench/view.go
@@ -17,33 +17,33 @@
 // Table returns the table in force.
 func (w *World) Table() table.Table { return w.table }
 
-// On returns the servers on which tasks of the job are, in the order of the tasks.
-func (w *World) On(id uint64) []string {
-	var on []string
-	for _, r := range w.jobs[id] {
-		if w.runs[r.id] == r && r.held {
-			on = append(on, r.server)
+// ServersOf returns the servers on which tasks of the job are, in the order of the tasks.
+func (w *World) ServersOf(id uint64) []string {
+	var servers []string
+	for _, t := range w.jobs[id] {
+		if w.unfinished[t.id] == t && t.placed {
+			servers = append(servers, t.server)
 		}
 	}
-	return on
+	return servers
 }
 
-// Running returns the number of the job's tasks that run and are not being stopped.
-func (w *World) Running(id uint64) int {
+// RunningTasks returns the number of the job's tasks that run and are not being stopped.
+func (w *World) RunningTasks(id uint64) int {
 	n := 0
-	for _, r := range w.jobs[id] {
-		if r.held && !r.stopping {
+	for _, t := range w.jobs[id] {
+		if t.placed && !t.stopping {
 			n++
 		}
 	}
 	return n
 }
 
-// Left returns the number of the job's tasks that are neither done nor given up.
-func (w *World) Left(id uint64) int {
+// UnfinishedTasks returns the number of the job's tasks that are neither done nor given up.
+func (w *World) UnfinishedTasks(id uint64) int {
 	n := 0
-	for _, r := range w.jobs[id] {
-		if w.runs[r.id] == r {
+	for _, t := range w.jobs[id] {
+		if w.unfinished[t.id] == t {
 			n++
 		}
 	}
@@ -52,47 +52,47 @@
 
 // Attempts returns the number of placements of a task.
 func (w *World) Attempts(id task.ID) uint32 {
-	for _, r := range w.jobs[id.Job] {
-		if r.id == id {
-			return r.attempts
+	for _, t := range w.jobs[id.Job] {
+		if t.id == id {
+			return t.attempts
 		}
 	}
 	return 0
 }
 
-// Team returns what the team holds.
-func (w *World) Team(name string) capacity.Size { return w.Check.teams[name] }
+// TeamUsage returns what the team holds.
+func (w *World) TeamUsage(name string) capacity.Size { return w.Checker.teamUsage[name] }
 
-// Count returns how often the verb was decided.
-func (w *World) Count(v plan.Action) int { return w.Meter.verbs[v] }
+// DecisionCount returns how often the verb was decided.
+func (w *World) DecisionCount(v plan.Action) int { return w.Metrics.actionCounts[v] }
 
-// Longest returns the longest wait measured of the kind.
-func (w *World) Longest(k job.Kind) time.Duration { return quantile(w.Meter.waits[k], 1) }
+// MaxWait returns the longest wait measured of the kind.
+func (w *World) MaxWait(k job.Kind) time.Duration { return quantile(w.Metrics.waits[k], 1) }
 
-// Fail has the server fail everything that starts on it, or no longer.
-func (w *World) Fail(id string, fails bool) { w.holes[id] = fails }
+// SetFailing has the server fail everything that starts on it, or no longer.
+func (w *World) SetFailing(id string, fails bool) { w.failingServers[id] = fails }
 
-// Replan puts a new planner in place, told of the state as after a failover.
-func (w *World) Replan(p plan.Planner) {
+// ReplacePlanner puts a new planner in place, told of the state as after a failover.
+func (w *World) ReplacePlanner(p plan.Planner) {
 	w.Planner = p
 	p.SetTable(w.table)
-	for _, id := range w.order {
+	for _, id := range w.serverIDs {
 		p.SetServer(w.servers[id])
 	}
-	for id := uint64(1); id <= w.nextJob; id++ {
-		w.replay(id)
+	for id := uint64(1); id <= w.lastJob; id++ {
+		w.restoreJob(id)
 	}
-	w.poke()
+	w.scheduleDecision()
 }
 
-func (w *World) replay(id uint64) {
-	for _, r := range w.jobs[id] {
+func (w *World) restoreJob(id uint64) {
+	for _, t := range w.jobs[id] {
 		switch {
-		case w.runs[r.id] != r:
-		case r.held:
-			w.Planner.SetPlaced(plan.PlacedTask{ID: r.id, Job: r.spec, AcceptedAt: r.accepted, Server: r.server, PlacedAt: r.since, Stopping: r.stopping})
+		case w.unfinished[t.id] != t:
+		case t.placed:
+			w.Planner.SetPlaced(plan.PlacedTask{ID: t.id, Job: t.spec, AcceptedAt: t.acceptedAt, Server: t.server, PlacedAt: t.placedAt, Stopping: t.stopping})
 		default:
-			w.Planner.AddWaiting(plan.WaitingTask{ID: r.id, Job: r.spec, AcceptedAt: r.accepted, ReadyAt: r.waits, Attempts: r.attempts})
+			w.Planner.AddWaiting(plan.WaitingTask{ID: t.id, Job: t.spec, AcceptedAt: t.acceptedAt, ReadyAt: t.waitingSince, Attempts: t.attempts})
 		}
 	}
 }
--- a/internal/policy/bench/world.go
+++ b/internal/policy/bench/world.go
@@ -18,117 +18,117 @@
 const (
 	// orderDelay is the time from a decision to its effect on a server.
 	orderDelay = 5 * time.Millisecond
-	// roundDelay is the time in which notes gather before a decision.
-	roundDelay = 2 * time.Millisecond
+	// decisionDelay is the time in which notes gather before a decision.
+	decisionDelay = 2 * time.Millisecond
 	// tickPeriod is the longest time between two decisions.
 	tickPeriod = 50 * time.Millisecond
-	// checkpointTime is the time that a preempted task takes to stop.
-	checkpointTime = 250 * time.Millisecond
+	// stopDuration is the time that a preempted task takes to stop.
+	stopDuration = 250 * time.Millisecond
 	// checkpointPeriod is the time between a task's own checkpoints; what it did
 	// since the last one is lost when it is stopped.
 	checkpointPeriod = 30 * time.Second
-	// leaseTime is the time from a server's silence until its tasks are proved lost.
-	leaseTime = time.Second
-	// reportPeriod is the time between reports of use.
-	reportPeriod = 10 * time.Second
-	// batchOf is the number of decisions asked for at once.
-	batchOf = 64
+	// leaseDuration is the time from a server's silence until its tasks are proved lost.
+	leaseDuration = time.Second
+	// usageReportPeriod is the time between reports of use.
+	usageReportPeriod = 10 * time.Second
+	// decisionBatch is the number of decisions asked for at once.
+	decisionBatch = 64
 )
 
-// Attempt is one task in the fakes, with its latest attempt.
-type Attempt struct {
-	id       task.ID
-	spec     *job.Spec
-	accepted time.Duration
-	waits    time.Duration
-	left     time.Duration
-	used     capacity.Size
-	crashes  bool
-	attempts uint32
-	// fresh is true until the first placement, and after a loss.
-	fresh    bool
-	held     bool
-	stopping bool
-	over     bool
-	since    time.Duration
-	server   string
-	base     time.Duration
-	// why is what it was last stopped for.
-	why string
+// Task is one task in the fakes, with its latest attempt.
+type Task struct {
+	id           task.ID
+	spec         *job.Spec
+	acceptedAt   time.Duration
+	waitingSince time.Duration
+	remaining    time.Duration
+	usage        capacity.Size
+	crashes      bool
+	attempts     uint32
+	// measureWait is true until the first placement, and after a loss.
+	measureWait bool
+	placed      bool
+	stopping    bool
+	ended       bool
+	placedAt    time.Duration
+	server      string
+	startedAt   time.Duration
+	// stopReason is what it was last stopped for.
+	stopReason string
 }
 
 type event struct {
-	at  time.Duration
-	seq int
-	do  func()
+	at     time.Duration
+	seq    int
+	action func()
 }
 
-type events []event
+type eventHeap []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventHeap) Len() int { return len(e) }
+func (e eventHeap) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
 // Push adds an event.
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (e *eventHeap) Push(x any) { *e = append(*e, x.(event)) }
 
 // Pop removes the last event.
-func (e *events) Pop() any {
+func (e *eventHeap) Pop() any {
 	old := *e
-	x := old[len(old)-1]
+	last := old[len(old)-1]
 	*e = old[:len(old)-1]
-	return x
+	return last
 }
 
 // World is the fake ledger and its fake servers.
 type World struct {
 	// Planner decides.
 	Planner plan.Planner
-	// Check is told of every decision.
-	Check *Checker
-	// Meter takes the measures.
-	Meter *Meter
-
-	now     time.Duration
-	queue   events
-	seq     int
-	pending bool
-	started bool
-	servers map[string]backend.Server
-	order   []string
-	runs    map[task.ID]*Attempt
-	jobs    map[uint64][]*Attempt
-	holes   map[string]bool
-	// dead are the servers that went silent, and when.
-	dead map[string]time.Duration
-	// given are the jobs given up or dropped.
-	given   map[uint64]bool
-	table   table.Table
-	nextJob uint64
-	// most is the largest server's capacity.
-	most capacity.Size
+	// Checker is told of every decision.
+	Checker *Checker
+	// Metrics takes the measures.
+	Metrics *Metrics
+
+	now               time.Duration
+	queue             eventHeap
+	seq               int
+	decisionScheduled bool
+	started           bool
+	servers           map[string]backend.Server
+	serverIDs         []string
+	unfinished        map[task.ID]*Task
+	jobs              map[uint64][]*Task
+	failingServers    map[string]bool
+	// silentSince are the servers that went silent, and when.
+	silentSince map[string]time.Duration
+	// abandonedJobs are the jobs given up or dropped.
+	abandonedJobs map[uint64]bool
+	table         table.Table
+	lastJob       uint64
+	// maxCapacity is the largest server's capacity.
+	maxCapacity capacity.Size
 }
 
 // NewWorld returns a world with the servers and the table given.
 func NewWorld(p plan.Planner, servers []backend.Server, t table.Table) *World {
 	w := &World{
-		Planner: p, Check: NewChecker(), servers: map[string]backend.Server{}, runs: map[task.ID]*Attempt{},
-		jobs: map[uint64][]*Attempt{}, holes: map[string]bool{}, dead: map[string]time.Duration{}, given: map[uint64]bool{},
+		Planner: p, Checker: NewChecker(), servers: map[string]backend.Server{}, unfinished: map[task.ID]*Task{},
+		jobs: map[uint64][]*Task{}, failingServers: map[string]bool{}, silentSince: map[string]time.Duration{}, abandonedJobs: map[uint64]bool{},
 	}
-	w.Meter = newMeter(w)
+	w.Metrics = newMetrics(w)
 	w.SetTable(t)
 	for _, s := range servers {
-		w.order = append(w.order, s.ID)
-		w.most = w.most.Max(s.Capacity)
+		w.serverIDs = append(w.serverIDs, s.ID)
+		w.maxCapacity = w.maxCapacity.Max(s.Capacity)
 		w.SetServer(s)
 	}
 	return w
 }
 
-// At has fn run at the given time.
-func (w *World) At(at time.Duration, fn func()) {
+// Schedule has fn run at the given time.
+func (w *World) Schedule(at time.Duration, fn func()) {
 	w.seq++
 	heap.Push(&w.queue, event{max(at, w.now), w.seq, fn})
 }
@@ -138,106 +138,106 @@
 	if !w.started {
 		w.started = true
 		w.tick()
-		w.report()
+		w.reportUsage()
 	}
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
-		e.do()
+		e.action()
 	}
 	w.now = until
 }
 
 func (w *World) tick() {
 	w.decide()
-	w.At(w.now+tickPeriod, w.tick)
+	w.Schedule(w.now+tickPeriod, w.tick)
 }
 
-// poke has a decision follow soon.
-func (w *World) poke() {
-	if w.pending {
+// scheduleDecision has a decision follow soon.
+func (w *World) scheduleDecision() {
+	if w.decisionScheduled {
 		return
 	}
-	w.pending = true
-	w.At(w.now+roundDelay, func() { w.pending = false; w.decide() })
+	w.decisionScheduled = true
+	w.Schedule(w.now+decisionDelay, func() { w.decisionScheduled = false; w.decide() })
 }
 
 // SetTable puts a table in force.
 func (w *World) SetTable(t table.Table) {
 	w.table = t
-	w.Check.table = t
+	w.Checker.table = t
 	w.Planner.SetTable(t)
-	w.poke()
+	w.scheduleDecision()
 }
 
 // SetServer adds or changes a server.
 func (w *World) SetServer(s backend.Server) {
 	w.servers[s.ID] = s
-	w.Check.servers[s.ID] = s
+	w.Checker.servers[s.ID] = s
 	w.Planner.SetServer(s)
-	w.poke()
+	w.scheduleDecision()
 }
 
 // Submit queues a job whose tasks run for the times given.
-func (w *World) Submit(spec *job.Spec, times []time.Duration, used capacity.Size, crashes bool) uint64 {
-	w.nextJob++
-	id := w.nextJob
-	for i, d := range times {
-		r := &Attempt{
-			id: task.ID{Job: id, Index: uint32(i)}, spec: spec, accepted: w.now, waits: w.now,
-			left: d, used: used, crashes: crashes, fresh: true,
+func (w *World) Submit(spec *job.Spec, runtimes []time.Duration, usage capacity.Size, crashes bool) uint64 {
+	w.lastJob++
+	id := w.lastJob
+	for i, runtime := range runtimes {
+		t := &Task{
+			id: task.ID{Job: id, Index: uint32(i)}, spec: spec, acceptedAt: w.now, waitingSince: w.now,
+			remaining: runtime, usage: usage, crashes: crashes, measureWait: true,
 		}
-		w.runs[r.id] = r
-		w.jobs[id] = append(w.jobs[id], r)
-		w.enqueue(r)
+		w.unfinished[t.id] = t
+		w.jobs[id] = append(w.jobs[id], t)
+		w.enqueue(t)
 	}
-	w.Meter.submitted(id)
+	w.Metrics.recordSubmission(id)
 	return id
 }
 
-func (w *World) enqueue(r *Attempt) {
-	w.Meter.notes++
-	w.Planner.AddWaiting(plan.WaitingTask{ID: r.id, Job: r.spec, AcceptedAt: r.accepted, ReadyAt: w.now, Attempts: r.attempts})
-	w.poke()
+func (w *World) enqueue(t *Task) {
+	w.Metrics.queuedTasks++
+	w.Planner.AddWaiting(plan.WaitingTask{ID: t.id, Job: t.spec, AcceptedAt: t.acceptedAt, ReadyAt: w.now, Attempts: t.attempts})
+	w.scheduleDecision()
 }
 
 // Cancel takes what waits of the job out of the queue.
 func (w *World) Cancel(id uint64) {
-	for _, r := range w.jobs[id] {
-		if w.runs[r.id] == r && !r.held {
-			delete(w.runs, r.id)
-			w.Planner.RemoveWaiting(r.id)
+	for _, t := range w.jobs[id] {
+		if w.unfinished[t.id] == t && !t.placed {
+			delete(w.unfinished, t.id)
+			w.Planner.RemoveWaiting(t.id)
 		}
 	}
-	w.poke()
+	w.scheduleDecision()
 }
 
 func (w *World) decide() {
 	for {
-		out := w.Meter.time(func() []plan.Decision { return w.Planner.Decide(w.now, batchOf) })
-		for _, d := range out {
+		decisions := w.Metrics.timeDecide(func() []plan.Decision { return w.Planner.Decide(w.now, decisionBatch) })
+		for _, d := range decisions {
 			w.apply(d)
 		}
-		if len(out) < batchOf {
+		if len(decisions) < decisionBatch {
 			return
 		}
 	}
 }
 
 func (w *World) apply(d plan.Decision) {
-	w.Check.Decision(w, d)
-	w.Meter.decided(d)
+	w.Checker.CheckDecision(w, d)
+	w.Metrics.recordDecision(d)
 	switch d.Action {
 	case plan.Place:
-		for _, l := range d.Placements {
-			w.place(w.runs[task.ID{Job: d.Job, Index: l.Index}], l.Server)
+		for _, placement := range d.Placements {
+			w.place(w.unfinished[task.ID{Job: d.Job, Index: placement.Index}], placement.Server)
 		}
 	case plan.Preempt, plan.Stop:
-		w.stop(w.runs[d.Task], d.Reason)
+		w.stop(w.unfinished[d.Task], d.Reason)
 	case plan.Throttle:
-		w.throttle(w.runs[d.Task])
+		w.throttle(w.unfinished[d.Task])
 	case plan.Drop, plan.Park:
-		w.given[d.Job] = true
+		w.abandonedJobs[d.Job] = true
 		w.Cancel(d.Job)
 	case plan.Quarantine:
 		w.SetServer(w.servers[d.Server].WithState(backend.Quarantined, w.now))
@@ -246,126 +246,126 @@
 	}
 }
 
-func (w *World) place(r *Attempt, server string) {
-	w.Meter.placed(r)
-	r.held, r.fresh, r.server, r.since = true, false, server, w.now
-	r.attempts++
-	r.base = w.now + orderDelay
-	w.Planner.SetPlaced(plan.PlacedTask{ID: r.id, Job: r.spec, AcceptedAt: r.accepted, Server: server, PlacedAt: w.now})
-	n := r.attempts
-	length := r.left
-	failed := r.crashes || w.holes[server]
-	if failed {
-		length = min(length, 200*time.Millisecond)
+func (w *World) place(t *Task, server string) {
+	w.Metrics.recordPlacement(t)
+	t.placed, t.measureWait, t.server, t.placedAt = true, false, server, w.now
+	t.attempts++
+	t.startedAt = w.now + orderDelay
+	w.Planner.SetPlaced(plan.PlacedTask{ID: t.id, Job: t.spec, AcceptedAt: t.acceptedAt, Server: server, PlacedAt: w.now})
+	attempt := t.attempts
+	runtime := t.remaining
+	fails := t.crashes || w.failingServers[server]
+	if fails {
+		runtime = min(runtime, 200*time.Millisecond)
 	}
-	w.At(r.base+length, func() { w.end(r, n, failed) })
+	w.Schedule(t.startedAt+runtime, func() { w.finish(t, attempt, fails) })
 }
 
-// end is a task ending by itself.
-func (w *World) end(r *Attempt, attempt uint32, failed bool) {
-	if _, dead := w.dead[r.server]; dead || !r.held || r.attempts != attempt {
+// finish is a task ending by itself.
+func (w *World) finish(t *Task, attempt uint32, failed bool) {
+	if _, silent := w.silentSince[t.server]; silent || !t.placed || t.attempts != attempt {
 		return
 	}
 	if failed {
-		w.release(r, plan.AttemptEnd{EndedAt: w.now, Started: true, Failed: true}, true)
+		w.release(t, plan.AttemptEnd{EndedAt: w.now, Started: true, Failed: true}, true)
 		return
 	}
-	w.Meter.finished(r)
-	w.release(r, plan.AttemptEnd{EndedAt: w.now, Started: true}, false)
+	w.Metrics.recordCompletion(t)
+	w.release(t, plan.AttemptEnd{EndedAt: w.now, Started: true}, false)
 }
 
-func (w *World) release(r *Attempt, how plan.AttemptEnd, retry bool) {
-	r.held, r.stopping, r.over = false, false, false
-	w.Planner.EndAttempt(r.id, how)
-	w.Check.released(r)
-	if !retry || w.given[r.id.Job] {
-		delete(w.runs, r.id)
-		w.poke()
+func (w *World) release(t *Task, end plan.AttemptEnd, retry bool) {
+	t.placed, t.stopping, t.ended = false, false, false
+	w.Planner.EndAttempt(t.id, end)
+	w.Checker.removeTask(t)
+	if !retry || w.abandonedJobs[t.id.Job] {
+		delete(w.unfinished, t.id)
+		w.scheduleDecision()
 		return
 	}
-	r.waits = w.now
-	r.fresh = how.ServerLost
-	w.enqueue(r)
+	t.waitingSince = w.now
+	t.measureWait = end.ServerLost
+	w.enqueue(t)
 }
 
 // stop ends an attempt with a checkpoint: what was done since the last one the
 // task made by itself is lost.
-func (w *World) stop(r *Attempt, why string) {
-	if r == nil || !r.held || r.stopping {
+func (w *World) stop(t *Task, reason string) {
+	if t == nil || !t.placed || t.stopping {
 		return
 	}
-	r.stopping, r.why = true, why
-	w.Planner.SetPlaced(plan.PlacedTask{ID: r.id, Job: r.spec, AcceptedAt: r.accepted, Server: r.server, PlacedAt: r.since, Stopping: true})
-	n := r.attempts
-	w.At(w.now+orderDelay+checkpointTime, func() {
-		if r.held && r.attempts == n {
-			w.save(r)
-			w.release(r, plan.AttemptEnd{EndedAt: w.now, Started: true}, true)
+	t.stopping, t.stopReason = true, reason
+	w.Planner.SetPlaced(plan.PlacedTask{ID: t.id, Job: t.spec, AcceptedAt: t.acceptedAt, Server: t.server, PlacedAt: t.placedAt, Stopping: true})
+	attempt := t.attempts
+	w.Schedule(w.now+orderDelay+stopDuration, func() {
+		if t.placed && t.attempts == attempt {
+			w.saveProgress(t)
+			w.release(t, plan.AttemptEnd{EndedAt: w.now, Started: true}, true)
 		}
 	})
 }
 
-func (w *World) save(r *Attempt) {
+func (w *World) saveProgress(t *Task) {
 	until := w.now
-	if silent, dead := w.dead[r.server]; dead {
-		until = silent
+	if silentSince, silent := w.silentSince[t.server]; silent {
+		until = silentSince
 	}
-	ran := max(0, until-r.base)
+	ran := max(0, until-t.startedAt)
 	kept := ran - ran%checkpointPeriod
-	r.left -= kept
-	w.Meter.lost(r, ran-kept)
+	t.remaining -= kept
+	w.Metrics.recordLostWork(t, ran-kept)
 }
 
-func (w *World) throttle(r *Attempt) {
-	if r != nil && r.used.Memory <= r.spec.Size.Memory {
-		r.used = r.spec.Size
+func (w *World) throttle(t *Task) {
+	if t != nil && t.usage.Memory <= t.spec.Size.Memory {
+		t.usage = t.spec.Size
 	}
 }
 
-// report tells of the use of every task.
-func (w *World) report() {
-	for _, id := range w.order {
-		for _, r := range w.Check.on[id] {
-			if w.now-r.since > time.Second && r.used != r.spec.Size {
-				w.Planner.SetUsage(r.id, r.used, w.now)
+// reportUsage tells of the use of every task.
+func (w *World) reportUsage() {
+	for _, id := range w.serverIDs {
+		for _, t := range w.Checker.tasks[id] {
+			if w.now-t.placedAt > time.Second && t.usage != t.spec.Size {
+				w.Planner.SetUsage(t.id, t.usage, w.now)
 			}
 		}
 	}
-	w.At(w.now+reportPeriod, w.report)
+	w.Schedule(w.now+usageReportPeriod, w.reportUsage)
 }
 
-// Lose takes the servers away that match, and brings them back later. They are
+// FailServers takes the servers away that match, and brings them back later. They are
 // marked suspect at once, or, for comparison, only when their lease is over.
-func (w *World) Lose(match func(backend.Server) bool, back time.Duration, mark bool) {
-	for _, id := range w.order {
+func (w *World) FailServers(match func(backend.Server) bool, outage time.Duration, markSuspect bool) {
+	for _, id := range w.serverIDs {
 		s := w.servers[id]
 		if !match(s) {
 			continue
 		}
-		w.dead[id] = w.now
-		if mark {
+		w.silentSince[id] = w.now
+		if markSuspect {
 			w.SetServer(s.WithState(backend.Suspect, w.now))
 		}
-		w.At(w.now+leaseTime, func() { w.gone(id) })
-		w.At(w.now+back, func() {
-			n := w.servers[id].WithState(backend.Ready, w.now)
-			n.Incarnation++
-			w.SetServer(n)
+		w.Schedule(w.now+leaseDuration, func() { w.expireLease(id) })
+		w.Schedule(w.now+outage, func() {
+			restored := w.servers[id].WithState(backend.Ready, w.now)
+			restored.Incarnation++
+			w.SetServer(restored)
 		})
 	}
 }
 
-func (w *World) gone(id string) {
+func (w *World) expireLease(id string) {
 	w.SetServer(w.servers[id].WithState(backend.Gone, w.now))
-	for _, r := range append([]*Attempt(nil), w.Check.on[id]...) {
-		r.why = "its server was lost"
-		w.save(r)
-		silent := max(w.dead[id], r.since)
-		w.release(r, plan.AttemptEnd{EndedAt: w.now, Started: true, ServerLost: true}, true)
-		if silent == r.since && r.attempts == 1 {
-			silent = r.accepted
+	for _, t := range append([]*Task(nil), w.Checker.tasks[id]...) {
+		t.stopReason = "its server was lost"
+		w.saveProgress(t)
+		silentSince := max(w.silentSince[id], t.placedAt)
+		w.release(t, plan.AttemptEnd{EndedAt: w.now, Started: true, ServerLost: true}, true)
+		if silentSince == t.placedAt && t.attempts == 1 {
+			silentSince = t.acceptedAt
 		}
-		r.waits = silent
+		t.waitingSince = silentSince
 	}
-	delete(w.dead, id)
+	delete(w.silentSince, id)
 }
