--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -251,7 +251,7 @@
 		return nil, err
 	}
 	s := &server.Server{
-		Name: fmt.Sprintf("load-%03d", i), Secret: c.Secret, Work: record.Work, Record: seen, Log: logr.Discard(),
+		Name: fmt.Sprintf("load-%03d", i), Secret: c.Secret, Work: record.RunTask, Record: seen, Log: logr.Discard(),
 		Rack: fmt.Sprintf("rack-%d", i/perRack), Zone: fmt.Sprintf("zone-%d", i%zones),
 		Capacity: &v1.Size{Cpu: c.Cores * 1000, Memory: c.Memory, Slots: c.Slots},
 	}
--- a/internal/load/drive/drive.go
+++ b/internal/load/drive/drive.go
@@ -114,11 +114,11 @@
 // runJob takes a job from its submission to its answer.
 func (d *Driver) runJob(ctx context.Context, result *JobResult) {
 	spec := result.Job.Spec
-	input := work.Input{ID: spec.GetId(), Runtime: result.Job.Runtime, Answer: result.Job.AnswerBytes}
+	input := work.Input{ID: spec.GetId(), Runtime: result.Job.Runtime, AnswerBytes: result.Job.AnswerBytes}
 	if result.Job.Kind == job.Service {
 		input.Runtime = -1
 	}
-	spec.Input = input.Bytes()
+	spec.Input = input.Encode()
 	result.SentAt = d.elapsed()
 	accepted, err := d.Client.Submit(ctx, []*v1.Spec{spec}, true)
 	if err != nil {
@@ -158,7 +158,7 @@
 	}
 	result.AnsweredAt = d.elapsed()
 	if reply.Outcome == v1.Outcome_OUTCOME_DONE && reply.Code == code.OK {
-		result.AnswerMatches = d.ForeignServers || bytes.Equal(reply.Data, work.Whole(result.Job.Spec.GetId(), result.Job.Spec.GetCount(), result.Job.AnswerBytes))
+		result.AnswerMatches = d.ForeignServers || bytes.Equal(reply.Data, work.JobAnswer(result.Job.Spec.GetId(), result.Job.Spec.GetCount(), result.Job.AnswerBytes))
 		result.AnswerDamaged = !result.AnswerMatches
 	}
 	if !d.KeepOutcomes {
--- a/internal/load/measure/change.go
+++ b/internal/load/measure/change.go
@@ -14,9 +14,9 @@
 	"gypsumreel/internal/load/rig"
 )
 
-// spread is a row about how fast changes are in force everywhere, in ms from
+// delayRow is a row about how fast changes are in force everywhere, in ms from
 // the moment at which the operator asks.
-type spread struct {
+type delayRow struct {
 	Part  string  `json:"part"`
 	Place string  `json:"place"`
 	Count int     `json:"count"`
@@ -26,29 +26,29 @@
 }
 
 const (
-	// tries is how many changes of each sort are made.
-	tries = 60
-	// askEvery is how often each process is asked meanwhile.
-	askEvery = 2 * time.Millisecond
+	// changesPerKind is how many changes of each sort are made.
+	changesPerKind = 60
+	// pollInterval is how often each process is asked meanwhile.
+	pollInterval = 2 * time.Millisecond
 )
 
-// change measures key withdrawals and table changes until they are in force everywhere.
-func change(ctx context.Context, b *bench) error {
-	return b.served(ctx, func(ctx context.Context, r *rig.Rig, _ *rig.Fleet, _ string) error {
-		for name, one := range map[string]func(context.Context, *rig.Rig, int) (time.Duration, error){
-			"key-withdrawal": withdrawal, "table-change": tableChange,
+// measureChanges measures key withdrawals and table changes until they are in force everywhere.
+func measureChanges(ctx context.Context, b *measurement) error {
+	return b.withServers(ctx, func(ctx context.Context, r *rig.Rig, _ *rig.Fleet, _ string) error {
+		for name, measureOne := range map[string]func(context.Context, *rig.Rig, int) (time.Duration, error){
+			"key-withdrawal": measureWithdrawal, "table-change": measureTableChange,
 		} {
-			var all []time.Duration
-			for i := range tries {
-				d, err := one(ctx, r, i)
+			var delays []time.Duration
+			for i := range changesPerKind {
+				d, err := measureOne(ctx, r, i)
 				if err != nil {
 					return err
 				}
-				all = append(all, d)
+				delays = append(delays, d)
 			}
-			slices.Sort(all)
-			at := func(q float64) float64 { return ms(all[int(math.Ceil(q*float64(len(all))))-1]) }
-			if err := emit(spread{Part: name, Place: b.Place, Count: len(all), P50: at(0.5), P99: at(0.99), Max: at(1)}); err != nil {
+			slices.Sort(delays)
+			quantile := func(q float64) float64 { return ms(delays[int(math.Ceil(q*float64(len(delays))))-1]) }
+			if err := printRow(delayRow{Part: name, Place: b.DelaySet, Count: len(delays), P50: quantile(0.5), P99: quantile(0.99), Max: quantile(1)}); err != nil {
 				return err
 			}
 		}
@@ -56,55 +56,55 @@
 	})
 }
 
-// withdrawal withdraws a key and asks every entry with it until all refuse.
-func withdrawal(ctx context.Context, r *rig.Rig, i int) (time.Duration, error) {
+// measureWithdrawal withdraws a key and asks every entry with it until all refuse.
+func measureWithdrawal(ctx context.Context, r *rig.Rig, i int) (time.Duration, error) {
 	id := fmt.Sprintf("dead-%d", i)
-	token, err := r.Grant(ctx, "measured", id)
+	token, err := r.GrantKey(ctx, "measured", id)
 	if err != nil {
 		return 0, err
 	}
-	began := time.Now()
+	start := time.Now()
 	_, err = r.OperatorClient().Change(ctx, &v1.ChangeRequest{Id: "withdraw-" + id, Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: id}}})
 	if err != nil {
 		return 0, err
 	}
-	for _, address := range r.Callers() {
+	for _, address := range r.CallerURLs() {
 		c := &caller.Client{Link: &link.Link{Addresses: []string{address}, Key: token}}
 		for {
 			got, err := c.Submit(ctx, []*v1.Spec{{Id: "x", Kind: v1.Kind_KIND_BATCH, Name: "x", Count: 1, Size: &v1.Size{Cpu: 1, Memory: 1, Slots: 1}, Runtime: 1}}, true)
 			if err == nil && code.Code(got[0].GetStatus().GetCode()) == code.InvalidKey || err != nil && link.Refusal(err).Code == code.InvalidKey {
 				break
 			}
-			if !link.Sleep(ctx, askEvery) {
+			if !link.Sleep(ctx, pollInterval) {
 				return 0, ctx.Err()
 			}
 		}
 		c.Link.Close()
 	}
-	return time.Since(began), nil
+	return time.Since(start), nil
 }
 
-// tableChange changes a cell of the table until every process says that it serves it.
-func tableChange(ctx context.Context, r *rig.Rig, i int) (time.Duration, error) {
+// measureTableChange changes a cell of the table until every process says that it serves it.
+func measureTableChange(ctx context.Context, r *rig.Rig, i int) (time.Duration, error) {
 	op := r.OperatorClient()
 	defer op.Link.Close()
-	now, err := op.Show(ctx, v1.Part_PART_TABLE)
+	table, err := op.Show(ctx, v1.Part_PART_TABLE)
 	if err != nil {
 		return 0, err
 	}
-	began := time.Now()
+	start := time.Now()
 	revision, err := op.Change(ctx, &v1.ChangeRequest{Id: fmt.Sprintf("weight-%d", i), Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{
-		Base: now.GetRevision(), Edits: []*v1.Edit{{Row: &v1.Row{Team: "measured", Weight: uint32(2 + i)}, Cells: []string{"weight"}}},
+		Base: table.GetRevision(), Edits: []*v1.Edit{{Row: &v1.Row{Team: "measured", Weight: uint32(2 + i)}, Cells: []string{"weight"}}},
 	}}})
 	if err != nil {
 		return 0, err
 	}
-	for _, name := range append(r.Controls(), r.EntryNames()...) {
-		for r.Revision(name) < revision {
-			if !link.Sleep(ctx, askEvery) {
+	for _, name := range append(r.ControlNames(), r.EntryNames()...) {
+		for r.TableRevision(name) < revision {
+			if !link.Sleep(ctx, pollInterval) {
 				return 0, ctx.Err()
 			}
 		}
 	}
-	return time.Since(began), nil
+	return time.Since(start), nil
 }
--- a/internal/load/measure/fault.go
+++ b/internal/load/measure/fault.go
@@ -15,24 +15,24 @@
 const (
 	// faultRate is the load under which faults are made, in jobs a second.
 	faultRate = 400
-	// faultAt is when the fault comes.
-	faultAt = 4 * time.Second
-	// frozen is how long a leader is paused.
-	frozen = 10 * time.Second
-	// stopLimit bounds a planned stop.
-	stopLimit = 20 * time.Second
+	// faultDelay is when the fault comes.
+	faultDelay = 4 * time.Second
+	// pauseDuration is how long a leader is paused.
+	pauseDuration = 10 * time.Second
+	// stopTimeout bounds a planned stop.
+	stopTimeout = 20 * time.Second
 )
 
-// fault is one sort of fault, with the length of the load around it.
-type fault struct {
+// faultCase is one sort of fault, with the length of the load around it.
+type faultCase struct {
 	name     string
 	duration time.Duration
 	// planned tells that nothing may be cut off.
 	planned bool
-	make    func(ctx context.Context, r *rig.Rig) error
+	inject  func(ctx context.Context, r *rig.Rig) error
 }
 
-var allFaults = []fault{
+var faultCases = []faultCase{
 	{"leader-kill", 12 * time.Second, false, func(ctx context.Context, r *rig.Rig) error {
 		lead, _ := r.Leader()
 		r.Kill(lead)
@@ -42,7 +42,7 @@
 	{"leader-pause", 20 * time.Second, false, func(ctx context.Context, r *rig.Rig) error {
 		lead, _ := r.Leader()
 		r.Pause(lead)
-		link.Sleep(ctx, frozen)
+		link.Sleep(ctx, pauseDuration)
 		r.Resume(lead)
 		return nil
 	}},
@@ -51,40 +51,40 @@
 		link.Sleep(ctx, 3*time.Second)
 		return r.Restart("entry-1")
 	}},
-	{"rolling", 40 * time.Second, true, rolling},
+	{"rolling", 40 * time.Second, true, rollingRestart},
 }
 
-// rolling restarts every process in turn as planned, the leader last.
-func rolling(ctx context.Context, r *rig.Rig) error {
+// rollingRestart restarts every process in turn as planned, the leader last.
+func rollingRestart(ctx context.Context, r *rig.Rig) error {
 	order := r.EntryNames()
 	lead, _ := r.Leader()
-	for _, name := range r.Controls() {
+	for _, name := range r.ControlNames() {
 		if name != lead {
 			order = append(order, name)
 		}
 	}
 	for _, name := range append(order, lead) {
-		if err := r.Stop(name, stopLimit); err != nil {
+		if err := r.Stop(name, stopTimeout); err != nil {
 			return fmt.Errorf("stop of %s: %w", name, err)
 		}
 		if err := r.Restart(name); err != nil {
 			return err
 		}
-		if err := r.Settled(ctx); err != nil {
+		if err := r.WaitReady(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// faults measures a cell under load while processes fail or are restarted.
-func faults(ctx context.Context, b *bench) error {
-	for _, f := range allFaults {
+// measureFaults measures a cell under load while processes fail or are restarted.
+func measureFaults(ctx context.Context, b *measurement) error {
+	for _, f := range faultCases {
 		if !strings.Contains(","+b.Faults+",", ","+f.name+",") {
 			continue
 		}
-		if err := b.served(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
-			return b.fault(ctx, r, fleet, token, f)
+		if err := b.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
+			return b.measureFault(ctx, r, fleet, token, f)
 		}); err != nil {
 			return fmt.Errorf("%s: %w", f.name, err)
 		}
@@ -92,35 +92,35 @@
 	return nil
 }
 
-func (b *bench) fault(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, f fault) error {
-	if err := b.warm(ctx, r, fleet, token); err != nil {
+func (b *measurement) measureFault(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, f faultCase) error {
+	if err := b.warmUp(ctx, r, fleet, token); err != nil {
 		return err
 	}
 	var w sync.WaitGroup
-	var made error
-	var calls rig.Calls
-	watched, stop := context.WithCancel(ctx)
+	var injectErr error
+	var calls rig.CallCounts
+	callContext, stop := context.WithCancel(ctx)
 	defer stop()
 	if f.planned {
-		w.Go(func() { r.Pin(watched, token, &calls) })
+		w.Go(func() { r.RunPinnedCallers(callContext, token, &calls) })
 	}
 	w.Go(func() {
 		defer stop()
-		link.Sleep(ctx, faultAt)
-		made = f.make(ctx, r)
+		link.Sleep(ctx, faultDelay)
+		injectErr = f.inject(ctx, r)
 	})
-	row, err := b.drive(ctx, r, fleet, token, flow{rate: faultRate, duration: f.duration, kind: job.Urgent, count: 1, runtime: 50 * time.Millisecond, once: 0.3}, "fault-")
+	row, err := b.runLoad(ctx, r, fleet, token, loadSpec{rate: faultRate, duration: f.duration, kind: job.Urgent, tasksPerJob: 1, runtime: 50 * time.Millisecond, onceFraction: 0.3}, "fault-")
 	if err != nil {
 		return err
 	}
 	w.Wait()
-	if made != nil {
-		return made
+	if injectErr != nil {
+		return injectErr
 	}
 	row.Fault = f.name
 	if f.planned {
-		cut := calls.Cut.Load()
-		row.CutOff, row.Pinned = &cut, calls.Made.Load()
+		cut := calls.CutOff.Load()
+		row.CutOff, row.PinnedCalls = &cut, calls.Made.Load()
 	}
-	return emit(row)
+	return printRow(row)
 }
--- a/internal/load/measure/flow.go
+++ b/internal/load/measure/flow.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// tail is how long outcomes are waited for after the last arrival.
-	tail = 20 * time.Second
+	// outcomeTimeout is how long outcomes are waited for after the last arrival.
+	outcomeTimeout = 20 * time.Second
 	// crossings of an urgent request: caller and server each come and go, and
 	// both the acceptance and the answer go to the leader, to a quorum and back.
 	clientCrossings = 4
@@ -29,82 +29,82 @@
 	answerBytes = 1000
 )
 
-// loaded is a row about a cell under load.
-type loaded struct {
-	Part   string  `json:"part"`
-	Place  string  `json:"place"`
-	Rate   float64 `json:"rate"`
-	Tasks  uint32  `json:"tasks_per_job"`
-	Starts float64 `json:"starts_per_s"`
-	// Network is the part of the injected delays in an answer's time, in ms.
-	Network float64 `json:"network_ms"`
-	// Delayed are the one-way delays as measured beside the load, in ms: zone and
+// loadRow is a row about a cell under load.
+type loadRow struct {
+	Part            string  `json:"part"`
+	Place           string  `json:"place"`
+	Rate            float64 `json:"rate"`
+	TasksPerJob     uint32  `json:"tasks_per_job"`
+	StartsPerSecond float64 `json:"starts_per_s"`
+	// NetworkDelay is the part of the injected delays in an answer's time, in ms.
+	NetworkDelay float64 `json:"network_ms"`
+	// MeasuredDelays are the one-way delays as measured beside the load, in ms: zone and
 	// client, median and 99th percentile.
-	Delayed [4]float64 `json:"delayed_ms"`
-	// Added is a job's time from arrival to answer less its run time and
+	MeasuredDelays [4]float64 `json:"delayed_ms"`
+	// AddedLatency is a job's time from arrival to answer less its run time and
 	// Network, in ms.
-	Added report.WaitStats `json:"added"`
-	Start report.WaitStats `json:"start"`
-	Lag   report.WaitStats `json:"lag"`
-	// Gap is the longest time without an answer while jobs arrived, in ms.
-	Gap      float64           `json:"gap_ms"`
-	Promises report.Violations `json:"promises"`
-	Counts   report.Counts     `json:"counts"`
-	Refusals map[string]int    `json:"refusals"`
-	Costs    costs             `json:"costs"`
-	Fault    string            `json:"fault,omitempty"`
+	AddedLatency report.WaitStats `json:"added"`
+	Start        report.WaitStats `json:"start"`
+	Lag          report.WaitStats `json:"lag"`
+	// LongestGap is the longest time without an answer while jobs arrived, in ms.
+	LongestGap float64           `json:"gap_ms"`
+	Violations report.Violations `json:"promises"`
+	Counts     report.Counts     `json:"counts"`
+	Refusals   map[string]int    `json:"refusals"`
+	Usage      cellUsage         `json:"costs"`
+	Fault      string            `json:"fault,omitempty"`
 	// CutOff are the calls without an answer of Pinned ones at single entries.
-	CutOff *int64 `json:"cut_off,omitempty"`
-	Pinned int64  `json:"pinned,omitempty"`
+	CutOff      *int64 `json:"cut_off,omitempty"`
+	PinnedCalls int64  `json:"pinned,omitempty"`
 }
 
-// flow is a load of one kind.
-type flow struct {
-	rate     float64
-	duration time.Duration
-	kind     job.Kind
-	count    uint32
-	runtime  time.Duration
-	once     float64
+// loadSpec is a load of one kind.
+type loadSpec struct {
+	rate         float64
+	duration     time.Duration
+	kind         job.Kind
+	tasksPerJob  uint32
+	runtime      time.Duration
+	onceFraction float64
 }
 
-func (f flow) jobs(prefix string) []mix.Job {
+func (f loadSpec) drawJobs(prefix string) []mix.Job {
 	return mix.Plan{
 		Rate: f.rate, Duration: f.duration, Seed: 1, Weights: mix.KindWeights{f.kind: 1},
-		Shapes:       map[job.Kind]mix.Shape{f.kind: {Count: f.count, CPU: 500, Memory: 256, Runtime: f.runtime}},
-		OnceFraction: f.once, MeanAnswerBytes: answerBytes, IDPrefix: prefix,
+		Shapes:       map[job.Kind]mix.Shape{f.kind: {Count: f.tasksPerJob, CPU: 500, Memory: 256, Runtime: f.runtime}},
+		OnceFraction: f.onceFraction, MeanAnswerBytes: answerBytes, IDPrefix: prefix,
 	}.Jobs()
 }
 
-// drive loads a cell with a flow and returns the row and what became of each job.
-func (b *bench) drive(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, f flow, prefix string) (loaded, error) {
-	from, err := take(r)
+// runLoad loads a cell with a flow and returns the row and what became of each job.
+func (b *measurement) runLoad(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, spec loadSpec, prefix string) (loadRow, error) {
+	before, err := takeSample(r)
 	if err != nil {
-		return loaded{}, err
+		return loadRow{}, err
 	}
 	client := r.CallerClient(token)
-	d := &drive.Driver{Client: client, Jobs: f.jobs(prefix), Tail: tail}
-	row := loaded{Part: prefix, Place: b.Place, Rate: f.rate, Tasks: f.count}
-	var beside sync.WaitGroup
-	for i, delay := range delays[b.Place] {
-		beside.Go(func() {
-			median, late, _ := r.Delayed(ctx, delay, f.duration) // a failed one shows as 0
-			row.Delayed[2*i], row.Delayed[2*i+1] = ms(median), ms(late)
+	driver := &drive.Driver{Client: client, Jobs: spec.drawJobs(prefix), Tail: outcomeTimeout}
+	row := loadRow{Part: prefix, Place: b.DelaySet, Rate: spec.rate, TasksPerJob: spec.tasksPerJob}
+	var delayMeasurements sync.WaitGroup
+	for i, delay := range delays[b.DelaySet] {
+		delayMeasurements.Go(func() {
+			median, p99, _ := r.MeasureDelay(ctx, delay, spec.duration) // a failed one shows as 0
+			row.MeasuredDelays[2*i], row.MeasuredDelays[2*i+1] = ms(median), ms(p99)
 		})
 	}
-	began := time.Now()
-	seen := d.Run(ctx)
-	beside.Wait()
-	sum := report.Summarize(report.RunInfo{}, began, seen, fleet.Record)
-	row.Promises, row.Counts, row.Refusals = sum.Violations, sum.Counts, sum.Refusals
-	row.Promises.ServerFaults = append(row.Promises.ServerFaults, fleet.Seen.Faults()...)
-	row.Start, row.Lag = sum.Kinds[f.kind.String()].Start, sum.Kinds[f.kind.String()].Lag
-	path := clientCrossings*delays[b.Place][1] + zoneCrossings*delays[b.Place][0]
-	row.Network = ms(path)
-	row.Added, row.Gap = added(seen, path), gap(seen, f.duration)
-	row.Starts = startsPerSecond(seen)
-	if to, err := take(r); err == nil {
-		row.Costs = between(r, from, to)
+	startedAt := time.Now()
+	results := driver.Run(ctx)
+	delayMeasurements.Wait()
+	summary := report.Summarize(report.RunInfo{}, startedAt, results, fleet.TaskRuns)
+	row.Violations, row.Counts, row.Refusals = summary.Violations, summary.Counts, summary.Refusals
+	row.Violations.ServerFaults = append(row.Violations.ServerFaults, fleet.ServerRecord.Faults()...)
+	row.Start, row.Lag = summary.Kinds[spec.kind.String()].Start, summary.Kinds[spec.kind.String()].Lag
+	networkDelay := clientCrossings*delays[b.DelaySet][1] + zoneCrossings*delays[b.DelaySet][0]
+	row.NetworkDelay = ms(networkDelay)
+	row.AddedLatency, row.LongestGap = addedLatency(results, networkDelay), longestGap(results, spec.duration)
+	row.StartsPerSecond = startsPerSecond(results)
+	if after, err := takeSample(r); err == nil {
+		row.Usage = usageBetween(r, before, after)
 	}
 	client.Link.Close()
 	return row, nil
@@ -112,66 +112,66 @@
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// added sums up what the cell adds to run time and network.
-func added(seen []drive.JobResult, path time.Duration) report.WaitStats {
+// addedLatency sums up what the cell adds to run time and network.
+func addedLatency(results []drive.JobResult, networkDelay time.Duration) report.WaitStats {
 	const digits = 3
 	h := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), digits)
-	for i := range seen {
-		if s := &seen[i]; s.AnsweredAt > 0 && s.Outcome == v1.Outcome_OUTCOME_DONE {
-			d := s.AnsweredAt - s.Job.ArrivesAt - s.Job.Runtime - path
+	for i := range results {
+		if s := &results[i]; s.AnsweredAt > 0 && s.Outcome == v1.Outcome_OUTCOME_DONE {
+			d := s.AnsweredAt - s.Job.ArrivesAt - s.Job.Runtime - networkDelay
 			_ = h.RecordValue(max(1, d.Microseconds())) // below the bound: never fails
 		}
 	}
-	at := func(q float64) float64 { return ms(time.Duration(h.ValueAtQuantile(q)) * time.Microsecond) }
+	quantile := func(q float64) float64 { return ms(time.Duration(h.ValueAtQuantile(q)) * time.Microsecond) }
 	return report.WaitStats{
-		Count: h.TotalCount(), Mean: h.Mean() / 1000, P50: at(50), P90: at(90), P99: at(99), P999: at(99.9),
+		Count: h.TotalCount(), Mean: h.Mean() / 1000, P50: quantile(50), P90: quantile(90), P99: quantile(99), P999: quantile(99.9),
 		Max: ms(time.Duration(h.Max()) * time.Microsecond),
 	}
 }
 
-// gap returns the longest time without an answer while jobs arrived, in ms.
-func gap(seen []drive.JobResult, duration time.Duration) float64 {
-	var at []time.Duration
-	for i := range seen {
-		if seen[i].AnsweredAt > 0 {
-			at = append(at, seen[i].AnsweredAt)
+// longestGap returns the longest time without an answer while jobs arrived, in ms.
+func longestGap(results []drive.JobResult, duration time.Duration) float64 {
+	var answeredAt []time.Duration
+	for i := range results {
+		if results[i].AnsweredAt > 0 {
+			answeredAt = append(answeredAt, results[i].AnsweredAt)
 		}
 	}
-	slices.Sort(at)
-	longest, last := time.Duration(0), time.Duration(0)
-	for _, t := range at {
-		if last > duration {
+	slices.Sort(answeredAt)
+	longest, previous := time.Duration(0), time.Duration(0)
+	for _, t := range answeredAt {
+		if previous > duration {
 			break
 		}
-		longest, last = max(longest, t-last), t
+		longest, previous = max(longest, t-previous), t
 	}
 	return ms(longest)
 }
 
 // startsPerSecond counts the tasks of jobs that ran, over the time to the last answer.
-func startsPerSecond(seen []drive.JobResult) float64 {
-	var last time.Duration
+func startsPerSecond(results []drive.JobResult) float64 {
+	var lastAnswer time.Duration
 	n := 0.0
-	for i := range seen {
-		if s := &seen[i]; s.Outcome == v1.Outcome_OUTCOME_DONE && caller.Final(s.Outcome) {
+	for i := range results {
+		if s := &results[i]; s.Outcome == v1.Outcome_OUTCOME_DONE && caller.Final(s.Outcome) {
 			n += float64(s.Job.Spec.GetCount())
-			last = max(last, s.AnsweredAt)
+			lastAnswer = max(lastAnswer, s.AnsweredAt)
 		}
 	}
-	if last == 0 {
+	if lastAnswer == 0 {
 		return 0
 	}
-	return n / last.Seconds()
+	return n / lastAnswer.Seconds()
 }
 
-// served runs fn on a fresh cell with its backend servers and a team.
-func (b *bench) served(ctx context.Context, fn func(context.Context, *rig.Rig, *rig.Fleet, string) error) error {
-	return b.cell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
-		token, err := r.Team(ctx, "measured")
+// withServers runs fn on a fresh cell with its backend servers and a team.
+func (b *measurement) withServers(ctx context.Context, fn func(context.Context, *rig.Rig, *rig.Fleet, string) error) error {
+	return b.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
+		token, err := r.CreateTeam(ctx, "measured")
 		if err != nil {
 			return err
 		}
-		fleet, err := r.Fleet(ctx, b.Servers, size(b.Slots))
+		fleet, err := r.StartFleet(ctx, b.Servers, serverCapacity(b.Slots))
 		if err != nil {
 			return err
 		}
@@ -180,24 +180,24 @@
 	})
 }
 
-// warm lets connections and estimates settle before a measure.
-func (b *bench) warm(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
-	_, err := b.drive(ctx, r, fleet, token, flow{rate: 200, duration: 2 * time.Second, kind: job.Urgent, count: 1, runtime: 20 * time.Millisecond}, "warm-")
+// warmUp lets connections and estimates settle before a measure.
+func (b *measurement) warmUp(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
+	_, err := b.runLoad(ctx, r, fleet, token, loadSpec{rate: 200, duration: 2 * time.Second, kind: job.Urgent, tasksPerJob: 1, runtime: 20 * time.Millisecond}, "warm-")
 	return err
 }
 
-// latency measures urgent requests.
-func latency(ctx context.Context, b *bench) error {
+// measureLatency measures urgent requests.
+func measureLatency(ctx context.Context, b *measurement) error {
 	for _, rate := range b.Rates {
-		err := b.served(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
-			if err := b.warm(ctx, r, fleet, token); err != nil {
+		err := b.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
+			if err := b.warmUp(ctx, r, fleet, token); err != nil {
 				return err
 			}
-			row, err := b.drive(ctx, r, fleet, token, flow{rate: rate, duration: b.Duration, kind: job.Urgent, count: 1, runtime: 50 * time.Millisecond}, "latency-")
+			row, err := b.runLoad(ctx, r, fleet, token, loadSpec{rate: rate, duration: b.Duration, kind: job.Urgent, tasksPerJob: 1, runtime: 50 * time.Millisecond}, "latency-")
 			if err != nil {
 				return err
 			}
-			return emit(row)
+			return printRow(row)
 		})
 		if err != nil {
 			return err
@@ -206,24 +206,24 @@
 	return nil
 }
 
-// tasksPerJob are the sizes of jobs at which the most starts are looked for.
-var tasksPerJob = []uint32{1, 10}
+// jobSizes are the sizes of jobs at which the most starts are looked for.
+var jobSizes = []uint32{1, 10}
 
-// starts measures how many tasks a cell starts a second: the rates are those of
+// measureStarts measures how many tasks a cell starts a second: the rates are those of
 // tasks, and what comes of them is the figure.
-func starts(ctx context.Context, b *bench) error {
-	for _, count := range tasksPerJob {
+func measureStarts(ctx context.Context, b *measurement) error {
+	for _, count := range jobSizes {
 		for _, rate := range b.Rates {
-			err := b.served(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
-				if err := b.warm(ctx, r, fleet, token); err != nil {
+			err := b.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
+				if err := b.warmUp(ctx, r, fleet, token); err != nil {
 					return err
 				}
-				f := flow{rate: rate / float64(count), duration: b.Duration, kind: job.Batch, count: count, runtime: 10 * time.Millisecond}
-				row, err := b.drive(ctx, r, fleet, token, f, fmt.Sprintf("starts-%d-", count))
+				spec := loadSpec{rate: rate / float64(count), duration: b.Duration, kind: job.Batch, tasksPerJob: count, runtime: 10 * time.Millisecond}
+				row, err := b.runLoad(ctx, r, fleet, token, spec, fmt.Sprintf("starts-%d-", count))
 				if err != nil {
 					return err
 				}
-				return emit(row)
+				return printRow(row)
 			})
 			if err != nil {
 				return err
--- a/internal/load/measure/idle.go
+++ b/internal/load/measure/idle.go
@@ -8,49 +8,49 @@
 	"gypsumreel/internal/load/rig"
 )
 
-// rested is a row about a cell at rest.
-type rested struct {
+// idleRow is a row about a cell at rest.
+type idleRow struct {
 	Part    string `json:"part"`
 	Servers int    `json:"servers"`
-	// PerServer is bytes a second between an entry and one idle backend server.
-	PerServer float64 `json:"bytes_per_s_per_server"`
-	Costs     costs   `json:"costs"`
+	// BytesPerServer is bytes a second between an entry and one idle backend server.
+	BytesPerServer float64   `json:"bytes_per_s_per_server"`
+	Usage          cellUsage `json:"costs"`
 }
 
-// rest is how long a cell at rest is measured.
-const rest = 8 * time.Second
+// idleTime is how long a cell at rest is measured.
+const idleTime = 8 * time.Second
 
-// idle measures a cell that has nothing to do.
-func idle(ctx context.Context, b *bench) error {
-	return b.cell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
-		row, err := b.rest(ctx, r, b.Servers)
+// measureIdle measures a cell that has nothing to do.
+func measureIdle(ctx context.Context, b *measurement) error {
+	return b.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
+		row, err := b.runIdle(ctx, r, b.Servers)
 		if err != nil {
 			return err
 		}
-		return emit(row)
+		return printRow(row)
 	})
 }
 
-func (b *bench) rest(ctx context.Context, r *rig.Rig, servers int) (rested, error) {
-	row := rested{Part: "idle", Servers: servers}
-	fleet, err := r.Fleet(ctx, servers, size(b.Slots))
+func (b *measurement) runIdle(ctx context.Context, r *rig.Rig, servers int) (idleRow, error) {
+	row := idleRow{Part: "idle", Servers: servers}
+	fleet, err := r.StartFleet(ctx, servers, serverCapacity(b.Slots))
 	if err != nil {
 		return row, err
 	}
 	defer fleet.Close()
-	link.Sleep(ctx, rig.Quiet)
-	from, err := take(r)
+	link.Sleep(ctx, rig.SettleTime)
+	before, err := takeSample(r)
 	if err != nil {
 		return row, err
 	}
-	link.Sleep(ctx, rest)
-	to, err := take(r)
+	link.Sleep(ctx, idleTime)
+	after, err := takeSample(r)
 	if err != nil {
 		return row, err
 	}
-	row.Costs = between(r, from, to)
+	row.Usage = usageBetween(r, before, after)
 	if servers > 0 {
-		row.PerServer = row.Costs.Backend / float64(servers)
+		row.BytesPerServer = row.Usage.BackendBytes / float64(servers)
 	}
 	return row, nil
 }
--- a/internal/load/measure/main.go
+++ b/internal/load/measure/main.go
@@ -26,17 +26,17 @@
 
 // options are the command line.
 type options struct {
-	Parts    string        `long:"parts" default:"latency,starts,idle,change,faults" description:"which parts: latency, starts, idle, change, faults, slopes"`
-	Place    string        `long:"place" default:"balastas" choice:"balastas" choice:"coralwave" choice:"none" description:"whose delays"`
-	Port     int           `long:"port" default:"19000" description:"first of 300 ports on loopback"`
-	Servers  int           `long:"servers" default:"50" description:"backend servers"`
-	Slots    int64         `long:"slots" default:"8" description:"slots of each backend server"`
-	Rates    []float64     `long:"rate" default:"1400" description:"starts a second; may be repeated"`
-	Duration time.Duration `long:"duration" default:"12s" description:"length of each load"`
-	Faults   string        `long:"faults" default:"leader-kill,leader-pause,entry-kill,rolling" description:"which faults"`
-	Slopes   string        `long:"slopes" default:"start,server,memory" description:"which slopes"`
-	Program  string        `long:"program" description:"the gypsumreel program; built when left out"`
-	Keep     string        `long:"keep" description:"folder for settings and logs, kept; a temporary one when left out"`
+	Parts     string        `long:"parts" default:"latency,starts,idle,change,faults" description:"which parts: latency, starts, idle, change, faults, slopes"`
+	DelaySet  string        `long:"place" default:"balastas" choice:"balastas" choice:"coralwave" choice:"none" description:"whose delays"`
+	FirstPort int           `long:"port" default:"19000" description:"first of 300 ports on loopback"`
+	Servers   int           `long:"servers" default:"50" description:"backend servers"`
+	Slots     int64         `long:"slots" default:"8" description:"slots of each backend server"`
+	Rates     []float64     `long:"rate" default:"1400" description:"starts a second; may be repeated"`
+	Duration  time.Duration `long:"duration" default:"12s" description:"length of each load"`
+	Faults    string        `long:"faults" default:"leader-kill,leader-pause,entry-kill,rolling" description:"which faults"`
+	Slopes    string        `long:"slopes" default:"start,server,memory" description:"which slopes"`
+	Program   string        `long:"program" description:"the gypsumreel program; built when left out"`
+	KeepDir   string        `long:"keep" description:"folder for settings and logs, kept; a temporary one when left out"`
 }
 
 // delays are one-way delays between zones and from clients, as the two
@@ -51,17 +51,17 @@
 const (
 	replicas = 3
 	entries  = 4
-	// cores and memory of a server are so large that its slots bind.
-	cores  = 1_000_000
-	memory = 1 << 24
+	// serverCPU and memory of a server are so large that its slots bind.
+	serverCPU    = 1_000_000
+	serverMemory = 1 << 24
 )
 
-// bench is one call of the program.
-type bench struct {
+// measurement is one call of the program.
+type measurement struct {
 	options
 	program string
 	dir     string
-	runs    int
+	cells   int
 }
 
 func main() {
@@ -74,11 +74,11 @@
 }
 
 func run(ctx context.Context) error {
-	b := &bench{}
+	b := &measurement{}
 	if _, err := flags.Parse(&b.options); err != nil {
 		os.Exit(2)
 	}
-	b.dir = b.Keep
+	b.dir = b.KeepDir
 	if b.dir == "" {
 		dir, err := os.MkdirTemp("", "measure-")
 		if err != nil {
@@ -94,7 +94,7 @@
 		}
 	}
 	for _, part := range strings.Split(b.Parts, ",") {
-		fn, ok := parts[part]
+		fn, ok := measurements[part]
 		if !ok {
 			return fmt.Errorf("part %q is not known", part)
 		}
@@ -105,20 +105,20 @@
 	return nil
 }
 
-var parts = map[string]func(context.Context, *bench) error{
-	"latency": latency, "starts": starts, "idle": idle, "change": change, "faults": faults, "slopes": slopes,
+var measurements = map[string]func(context.Context, *measurement) error{
+	"latency": measureLatency, "starts": measureStarts, "idle": measureIdle, "change": measureChanges, "faults": measureFaults, "slopes": measureSlopes,
 }
 
-// cell runs fn on a fresh cell.
-func (b *bench) cell(ctx context.Context, entries int, fn func(context.Context, *rig.Rig) error) error {
-	b.runs++
+// withCell runs fn on a fresh cell.
+func (b *measurement) withCell(ctx context.Context, entries int, fn func(context.Context, *rig.Rig) error) error {
+	b.cells++
 	// What another run left in the folder is another cell.
-	dir := filepath.Join(b.dir, fmt.Sprintf("run-%d", b.runs))
+	dir := filepath.Join(b.dir, fmt.Sprintf("run-%d", b.cells))
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return err
 	}
-	d := delays[b.Place]
-	r := &rig.Rig{Program: b.program, Dir: dir, First: b.Port, Replicas: replicas, Entries: entries, Zone: d[0], Client: d[1]}
+	delay := delays[b.DelaySet]
+	r := &rig.Rig{Program: b.program, Dir: dir, FirstPort: b.FirstPort, Replicas: replicas, Entries: entries, ZoneDelay: delay[0], ClientDelay: delay[1]}
 	defer r.Close()
 	if err := r.Start(ctx); err != nil {
 		return err
@@ -126,79 +126,81 @@
 	return fn(ctx, r)
 }
 
-// size is a backend server's capacity.
-func size(slots int64) *v1.Size { return &v1.Size{Cpu: cores, Memory: memory, Slots: slots} }
+// serverCapacity is a backend server's capacity.
+func serverCapacity(slots int64) *v1.Size {
+	return &v1.Size{Cpu: serverCPU, Memory: serverMemory, Slots: slots}
+}
 
-// emit prints a row.
-func emit(row any) error { return json.NewEncoder(os.Stdout).Encode(row) }
+// printRow prints a row.
+func printRow(row any) error { return json.NewEncoder(os.Stdout).Encode(row) }
 
-// cost is what the processes of one role used in a time, summed over the role.
-type cost struct {
+// roleUsage is what the processes of one role used in a time, summed over the role.
+type roleUsage struct {
 	// CPU is in cores.
 	CPU float64 `json:"cores"`
-	// Waited is in threads that were ready to run and had no processor.
-	Waited float64 `json:"waiting_threads"`
+	// RunnableWait is in threads that were ready to run and had no processor.
+	RunnableWait float64 `json:"waiting_threads"`
 	// Bytes is a second, on the listeners of the role.
 	Bytes float64 `json:"bytes_per_s"`
 	// RSS is in MiB, the largest of the role's processes.
 	RSS float64 `json:"rss_mib"`
 }
 
-// costs are those of the roles.
-type costs struct {
-	Leader   cost `json:"leader"`
-	Follower cost `json:"follower"`
-	Entry    cost `json:"entry"`
-	// Backend is what went between entries and backend servers, bytes a second.
-	Backend float64 `json:"backend_bytes_per_s"`
-	// Tool is the cores that this process used: servers, callers and relays.
-	Tool float64 `json:"tool_cores"`
+// cellUsage are those of the roles.
+type cellUsage struct {
+	Leader   roleUsage `json:"leader"`
+	Follower roleUsage `json:"follower"`
+	Entry    roleUsage `json:"entry"`
+	// BackendBytes is what went between entries and backend servers, bytes a second.
+	BackendBytes float64 `json:"backend_bytes_per_s"`
+	// ToolCPU is the cores that this process used: servers, callers and relays.
+	ToolCPU float64 `json:"tool_cores"`
 }
 
-// sample is what had been used at a time.
-type sample struct {
-	at      time.Time
-	usage   map[string]rig.Usage
-	bytes   map[string]int64
-	backend int64
-	tool    rig.Usage
+// usageSample is what had been used at a time.
+type usageSample struct {
+	takenAt       time.Time
+	processes     map[string]rig.Usage
+	listenerBytes map[string]int64
+	backendBytes  int64
+	tool          rig.Usage
 }
 
-func take(r *rig.Rig) (sample, error) {
-	s := sample{at: time.Now(), usage: map[string]rig.Usage{}, bytes: map[string]int64{}}
+func takeSample(r *rig.Rig) (usageSample, error) {
+	s := usageSample{takenAt: time.Now(), processes: map[string]rig.Usage{}, listenerBytes: map[string]int64{}}
 	var err error
-	for _, name := range slices.Concat(r.Controls(), r.EntryNames()) {
-		if s.usage[name], err = r.Usage(name); err != nil {
+	for _, name := range slices.Concat(r.ControlNames(), r.EntryNames()) {
+		if s.processes[name], err = r.ProcessUsage(name); err != nil {
 			return s, err
 		}
-		s.bytes[name] = r.Bytes(name)
+		s.listenerBytes[name] = r.ListenerBytes(name)
 	}
 	for _, name := range r.EntryNames() {
-		s.backend += r.BackendBytes(name)
+		s.backendBytes += r.BackendBytes(name)
 	}
-	s.tool, err = rig.Spent(os.Getpid())
+	s.tool, err = rig.UsageOf(os.Getpid())
 	return s, err
 }
 
-// between sums up by role what was used from one sample to another.
-func between(r *rig.Rig, from, to sample) costs {
-	var out costs
-	seconds := to.at.Sub(from.at).Seconds()
-	lead, _ := r.Leader()
-	for name, u := range to.usage {
-		c := &out.Follower
+// usageBetween sums up by role what was used from one sample to another.
+func usageBetween(r *rig.Rig, before, after usageSample) cellUsage {
+	var usage cellUsage
+	seconds := after.takenAt.Sub(before.takenAt).Seconds()
+	leader, _ := r.Leader()
+	for name, u := range after.processes {
+		c := &usage.Follower
 		switch {
-		case name == lead:
-			c = &out.Leader
+		case name == leader:
+			c = &usage.Leader
 		case strings.HasPrefix(name, "entry"):
-			c = &out.Entry
+			c = &usage.Entry
 		}
-		c.CPU += (u.CPU - from.usage[name].CPU).Seconds() / seconds
-		c.Waited += (u.Waited - from.usage[name].Waited).Seconds() / seconds
-		c.Bytes += float64(to.bytes[name]-from.bytes[name]) / seconds
+		c.CPU += (u.CPU - before.processes[name].CPU).Seconds() / seconds
+		c.RunnableWait += (u.RunnableWait - before.processes[name].RunnableWait).Seconds() / seconds
+		c.Bytes += float64(after.listenerBytes[name]-before.listenerBytes[name]) / seconds
 		c.RSS = max(c.RSS, float64(u.RSS)/(1<<20))
 	}
-	out.Backend = float64(to.backend-from.backend) / seconds
-	out.Tool = (to.tool.CPU - from.tool.CPU).Seconds() / seconds
-	return out
+	usage.BackendBytes = float64(after.backendBytes-before.backendBytes) / seconds
+	usage.ToolCPU = (after.tool.CPU - before.tool.CPU).Seconds() / seconds
+	return usage
 }
--- a/internal/load/measure/slopes.go
+++ b/internal/load/measure/slopes.go
@@ -15,10 +15,10 @@
 
 // Sizes at which the slopes are measured.
 var (
-	slopeRates   = []float64{50, 200, 800, 1600}
-	slopeServers = []int{0, 50, 100, 200}
-	slopeTasks   = []int{0, 1000, 2000, 3000}
-	slopeFleets  = []int{0, 100, 200, 400}
+	slopeRates        = []float64{50, 200, 800, 1600}
+	slopeServerCounts = []int{0, 50, 100, 200}
+	slopeTaskCounts   = []int{0, 1000, 2000, 3000}
+	slopeFleetSizes   = []int{0, 100, 200, 400}
 )
 
 // point is one measured size and value, slope the line through all of them.
@@ -29,56 +29,56 @@
 
 // slope is a fitted line.
 type slope struct {
-	What string `json:"what"`
+	Name string `json:"what"`
 	Unit string `json:"unit"`
-	// Per is the value that one more of the size costs, At0 that of none.
-	Per    float64 `json:"per"`
-	At0    float64 `json:"at0"`
-	Points []point `json:"points"`
+	// Slope is the value that one more of the size costs, At0 that of none.
+	Slope     float64 `json:"per"`
+	Intercept float64 `json:"at0"`
+	Points    []point `json:"points"`
 }
 
-// fit draws the line with the least squares.
-func fit(what, unit string, points []point) slope {
+// fitLine draws the line with the least squares.
+func fitLine(name, unit string, points []point) slope {
 	var n, sx, sy, sxx, sxy float64
 	for _, p := range points {
 		n, sx, sy, sxx, sxy = n+1, sx+p.Size, sy+p.Value, sxx+p.Size*p.Size, sxy+p.Size*p.Value
 	}
-	per := (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	return slope{What: what, Unit: unit, Per: per, At0: (sy - per*sx) / n, Points: points}
+	slopeValue := (n*sxy - sx*sy) / (n*sxx - sx*sx)
+	return slope{Name: name, Unit: unit, Slope: slopeValue, Intercept: (sy - slopeValue*sx) / n, Points: points}
 }
 
-// lines gathers points under their names and fits them in the order they came.
-type lines struct {
-	order []string
-	unit  map[string]string
-	at    map[string][]point
+// lineSet gathers points under their names and fits them in the order they came.
+type lineSet struct {
+	names  []string
+	units  map[string]string
+	points map[string][]point
 }
 
-func (l *lines) add(what, unit string, size, value float64) {
-	if l.at == nil {
-		l.unit, l.at = map[string]string{}, map[string][]point{}
+func (l *lineSet) add(name, unit string, size, value float64) {
+	if l.points == nil {
+		l.units, l.points = map[string]string{}, map[string][]point{}
 	}
-	if l.at[what] == nil {
-		l.order = append(l.order, what)
+	if l.points[name] == nil {
+		l.names = append(l.names, name)
 	}
-	l.unit[what] = unit
-	l.at[what] = append(l.at[what], point{size, value})
+	l.units[name] = unit
+	l.points[name] = append(l.points[name], point{size, value})
 }
 
-func (l *lines) emit() error {
-	for _, what := range l.order {
-		if err := emit(fit(what, l.unit[what], l.at[what])); err != nil {
+func (l *lineSet) print() error {
+	for _, name := range l.names {
+		if err := printRow(fitLine(name, l.units[name], l.points[name])); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// slopes measures what one more start, server, sync and running task costs.
-func slopes(ctx context.Context, b *bench) error {
-	l := &lines{}
+// measureSlopes measures what one more start, server, sync and running task costs.
+func measureSlopes(ctx context.Context, b *measurement) error {
+	l := &lineSet{}
 	for _, part := range strings.Split(b.Slopes, ",") {
-		fn, ok := map[string]func(context.Context, *bench, *lines) error{"start": perStart, "server": perServer, "memory": perTask}[part]
+		fn, ok := map[string]func(context.Context, *measurement, *lineSet) error{"start": measurePerStart, "server": measurePerServer, "memory": measurePerTask}[part]
 		if !ok {
 			return fmt.Errorf("slope %q is not known", part)
 		}
@@ -86,26 +86,26 @@
 			return err
 		}
 	}
-	return l.emit()
+	return l.print()
 }
 
-const micro = 1e6
+const microsPerSecond = 1e6
 
-func perStart(ctx context.Context, b *bench, l *lines) error {
+func measurePerStart(ctx context.Context, b *measurement, l *lineSet) error {
 	for _, rate := range slopeRates {
-		err := b.served(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
-			if err := b.warm(ctx, r, fleet, token); err != nil {
+		err := b.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
+			if err := b.warmUp(ctx, r, fleet, token); err != nil {
 				return err
 			}
-			row, err := b.drive(ctx, r, fleet, token, flow{rate: rate, duration: b.Duration, kind: job.Urgent, count: 1, runtime: 50 * time.Millisecond}, "slope-")
-			c := row.Costs
-			l.add("cpu of the leader per start", "us", row.Starts, c.Leader.CPU*micro)
-			l.add("cpu of a follower per start", "us", row.Starts, c.Follower.CPU*micro/(replicas-1))
-			l.add("cpu of the entries per start, all together", "us", row.Starts, c.Entry.CPU*micro)
-			l.add("bytes at the leader's listener per start", "B", row.Starts, c.Leader.Bytes)
-			l.add("bytes at a follower's listener per start", "B", row.Starts, c.Follower.Bytes/(replicas-1))
-			l.add("bytes at the entries' listeners per start, all together", "B", row.Starts, c.Entry.Bytes)
-			l.add("bytes between entries and servers per start", "B", row.Starts, c.Backend)
+			row, err := b.runLoad(ctx, r, fleet, token, loadSpec{rate: rate, duration: b.Duration, kind: job.Urgent, tasksPerJob: 1, runtime: 50 * time.Millisecond}, "slope-")
+			c := row.Usage
+			l.add("cpu of the leader per start", "us", row.StartsPerSecond, c.Leader.CPU*microsPerSecond)
+			l.add("cpu of a follower per start", "us", row.StartsPerSecond, c.Follower.CPU*microsPerSecond/(replicas-1))
+			l.add("cpu of the entries per start, all together", "us", row.StartsPerSecond, c.Entry.CPU*microsPerSecond)
+			l.add("bytes at the leader's listener per start", "B", row.StartsPerSecond, c.Leader.Bytes)
+			l.add("bytes at a follower's listener per start", "B", row.StartsPerSecond, c.Follower.Bytes/(replicas-1))
+			l.add("bytes at the entries' listeners per start, all together", "B", row.StartsPerSecond, c.Entry.Bytes)
+			l.add("bytes between entries and servers per start", "B", row.StartsPerSecond, c.BackendBytes)
 			return err
 		})
 		if err != nil {
@@ -115,15 +115,15 @@
 	return nil
 }
 
-func perServer(ctx context.Context, b *bench, l *lines) error {
-	for _, n := range slopeServers {
-		err := b.cell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
-			row, err := b.rest(ctx, r, n)
-			c, x := row.Costs, float64(n)
-			l.add("cpu of the leader per idle server and second", "us", x, c.Leader.CPU*micro)
-			l.add("cpu of a follower per idle server and second", "us", x, c.Follower.CPU*micro/(replicas-1))
-			l.add("cpu of the entries per idle server and second, all together", "us", x, c.Entry.CPU*micro)
-			l.add("bytes between entry and idle server per second", "B", x, c.Backend)
+func measurePerServer(ctx context.Context, b *measurement, l *lineSet) error {
+	for _, n := range slopeServerCounts {
+		err := b.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
+			row, err := b.runIdle(ctx, r, n)
+			c, x := row.Usage, float64(n)
+			l.add("cpu of the leader per idle server and second", "us", x, c.Leader.CPU*microsPerSecond)
+			l.add("cpu of a follower per idle server and second", "us", x, c.Follower.CPU*microsPerSecond/(replicas-1))
+			l.add("cpu of the entries per idle server and second, all together", "us", x, c.Entry.CPU*microsPerSecond)
+			l.add("bytes between entry and idle server per second", "B", x, c.BackendBytes)
 			l.add("bytes at the leader's listener per idle server and second", "B", x, c.Leader.Bytes)
 			l.add("bytes at an idle follower's listener per second, by servers", "B", x, c.Follower.Bytes/(replicas-1))
 			return err
@@ -135,37 +135,37 @@
 	return nil
 }
 
-// perTask measures resident memory, of which the collector keeps a part that is
+// measurePerTask measures resident memory, of which the collector keeps a part that is
 // not in use: a slope of it is an upper bound of what a task needs.
-func perTask(ctx context.Context, b *bench, l *lines) error {
-	for _, n := range slopeTasks {
-		err := b.cell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
-			token, err := r.Team(ctx, "measured")
+func measurePerTask(ctx context.Context, b *measurement, l *lineSet) error {
+	for _, n := range slopeTaskCounts {
+		err := b.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
+			token, err := r.CreateTeam(ctx, "measured")
 			if err != nil {
 				return err
 			}
-			fleet, err := r.Fleet(ctx, b.Servers, size(int64(slopeTasks[len(slopeTasks)-1])))
+			fleet, err := r.StartFleet(ctx, b.Servers, serverCapacity(int64(slopeTaskCounts[len(slopeTaskCounts)-1])))
 			if err != nil {
 				return err
 			}
 			defer fleet.Close()
-			if err := hold(ctx, r, fleet, token, n); err != nil {
+			if err := startLongTasks(ctx, r, fleet, token, n); err != nil {
 				return err
 			}
-			return resident(ctx, r, l, "running tasks", float64(n)/1000)
+			return addMemoryPoints(ctx, r, l, "running tasks", float64(n)/1000)
 		})
 		if err != nil {
 			return err
 		}
 	}
-	for _, n := range slopeFleets {
-		err := b.cell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
-			fleet, err := r.Fleet(ctx, n, size(b.Slots))
+	for _, n := range slopeFleetSizes {
+		err := b.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
+			fleet, err := r.StartFleet(ctx, n, serverCapacity(b.Slots))
 			if err != nil {
 				return err
 			}
 			defer fleet.Close()
-			return resident(ctx, r, l, "servers", float64(n)/1000)
+			return addMemoryPoints(ctx, r, l, "servers", float64(n)/1000)
 		})
 		if err != nil {
 			return err
@@ -174,18 +174,18 @@
 	return nil
 }
 
-func resident(ctx context.Context, r *rig.Rig, l *lines, what string, size float64) error {
-	link.Sleep(ctx, rig.Quiet)
-	s, err := take(r)
-	c := between(r, s, s)
-	l.add("resident memory of the leader per 1,000 "+what, "MiB", size, c.Leader.RSS)
-	l.add("resident memory of a follower per 1,000 "+what, "MiB", size, c.Follower.RSS)
-	l.add("resident memory of an entry per 1,000 "+what, "MiB", size, c.Entry.RSS)
+func addMemoryPoints(ctx context.Context, r *rig.Rig, l *lineSet, subject string, size float64) error {
+	link.Sleep(ctx, rig.SettleTime)
+	s, err := takeSample(r)
+	c := usageBetween(r, s, s)
+	l.add("resident memory of the leader per 1,000 "+subject, "MiB", size, c.Leader.RSS)
+	l.add("resident memory of a follower per 1,000 "+subject, "MiB", size, c.Follower.RSS)
+	l.add("resident memory of an entry per 1,000 "+subject, "MiB", size, c.Entry.RSS)
 	return err
 }
 
-// hold submits n tasks that run until the fleet ends and waits until all run.
-func hold(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, n int) error {
+// startLongTasks submits n tasks that run until the fleet ends and waits until all run.
+func startLongTasks(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, n int) error {
 	const perJob, perCall = 10, 50
 	client := r.CallerClient(token)
 	defer client.Link.Close()
@@ -197,22 +197,22 @@
 			ids = append(ids, id)
 			jobs = append(jobs, &v1.Spec{
 				Id: id, Kind: v1.Kind(job.Batch), Name: "held", Count: perJob, Size: &v1.Size{Cpu: 1, Memory: 1, Slots: 1},
-				Runtime: uint64(time.Hour.Milliseconds()), Input: work.Input{ID: id, Runtime: time.Hour}.Bytes(),
+				Runtime: uint64(time.Hour.Milliseconds()), Input: work.Input{ID: id, Runtime: time.Hour}.Encode(),
 			})
 		}
 		if _, err := client.Submit(ctx, jobs, true); err != nil {
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, tail)
+	ctx, cancel := context.WithTimeout(ctx, outcomeTimeout)
 	defer cancel()
 	for _, id := range ids {
 		for running := 0; running < perJob; {
 			running = 0
-			for _, one := range fleet.Record.Of(id, perJob) {
-				running += one.Started
+			for _, taskRuns := range fleet.TaskRuns.JobRuns(id, perJob) {
+				running += taskRuns.Started
 			}
-			if running < perJob && !link.Sleep(ctx, askPause) {
+			if running < perJob && !link.Sleep(ctx, taskPollInterval) {
 				return fmt.Errorf("%s: %d of %d tasks run", id, running, perJob)
 			}
 		}
@@ -220,4 +220,4 @@
 	return nil
 }
 
-const askPause = 10 * time.Millisecond
+const taskPollInterval = 10 * time.Millisecond
--- a/internal/load/report/report.go
+++ b/internal/load/report/report.go
@@ -249,7 +249,7 @@
 	if s.runs == nil {
 		return
 	}
-	runs := s.runs.Of(result.Job.Spec.GetId(), result.Job.Spec.GetCount())
+	runs := s.runs.JobRuns(result.Job.Spec.GetId(), result.Job.Spec.GetCount())
 	started, ended, repeated := 0, 0, false
 	var lastStart time.Time
 	for _, r := range runs {
@@ -262,8 +262,8 @@
 		if r.Ended > 1 {
 			s.Counts.RepeatedTasks++
 		}
-		if r.First.After(lastStart) {
-			lastStart = r.First
+		if r.FirstStart.After(lastStart) {
+			lastStart = r.FirstStart
 		}
 		repeated = repeated || result.Job.Spec.GetOnce() && r.Started > 1
 	}
--- a/internal/load/report/report_test.go
+++ b/internal/load/report/report_test.go
@@ -51,7 +51,7 @@
 		if !complete {
 			runtime = time.Hour
 		}
-		r.Work(ctx, &v1.Order{Input: work.Input{ID: id, Runtime: runtime}.Bytes(), Attempt: &v1.Attempt{}})
+		r.RunTask(ctx, &v1.Order{Input: work.Input{ID: id, Runtime: runtime}.Encode(), Attempt: &v1.Attempt{}})
 	}
 }
 
--- a/internal/load/rig/cut.go
+++ b/internal/load/rig/cut.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// pinned is how many callers stay at each entry.
-	pinned = 4
-	// pinPause is kept between two calls of such a caller.
-	pinPause = 20 * time.Millisecond
+	// callersPerEntry is how many callers stay at each entry.
+	callersPerEntry = 4
+	// callPause is kept between two calls of such a caller.
+	callPause = 20 * time.Millisecond
 )
 
-// Calls counts calls at single entries.
-type Calls struct {
+// CallCounts counts calls at single entries.
+type CallCounts struct {
 	Made atomic.Int64
-	// Cut are those that ended without any answer of the entry.
-	Cut atomic.Int64
+	// CutOff are those that ended without any answer of the entry.
+	CutOff atomic.Int64
 }
 
-// Pin keeps callers at each entry until ctx ends. They act as behind a balancer:
+// RunPinnedCallers keeps callers at each entry until ctx ends. They act as behind a balancer:
 // they begin calls while the entry's readiness probe succeeds, and retry nothing.
-func (r *Rig) Pin(ctx context.Context, token string, n *Calls) {
+func (r *Rig) RunPinnedCallers(ctx context.Context, token string, counts *CallCounts) {
 	var w sync.WaitGroup
 	for _, name := range r.EntryNames() {
-		for range pinned {
+		for range callersPerEntry {
 			w.Go(func() {
 				for ctx.Err() == nil {
 					if r.Ready(name) {
-						pin(ctx, r.direct(name), token, n)
+						callEntry(ctx, r.directURL(name), token, counts)
 					}
-					link.Sleep(ctx, pinPause)
+					link.Sleep(ctx, callPause)
 				}
 			})
 		}
@@ -45,18 +45,18 @@
 	w.Wait()
 }
 
-// pin makes one call over a connection of its own. The call outlives ctx, so
+// callEntry makes one call over a connection of its own. The call outlives ctx, so
 // that the end of the measure cuts none.
-func pin(ctx context.Context, address, token string, n *Calls) {
+func callEntry(ctx context.Context, address, token string, counts *CallCounts) {
 	l := &link.Link{Addresses: []string{address}, Key: token}
 	defer l.Close()
-	_, err := link.Once(context.WithoutCancel(ctx), l, list, &v1.ListRequest{})
-	n.Made.Add(1)
+	_, err := link.Once(context.WithoutCancel(ctx), l, newListCall, &v1.ListRequest{})
+	counts.Made.Add(1)
 	if err != nil {
-		n.Cut.Add(1)
+		counts.CutOff.Add(1)
 	}
 }
 
-func list(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListReply], error) {
+func newListCall(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListReply], error) {
 	return v1.NewCallerClient(c, base, opts...).List
 }
--- a/internal/load/rig/delay.go
+++ b/internal/load/rig/delay.go
@@ -10,9 +10,9 @@
 	"gypsumreel/internal/fake/relay"
 )
 
-// Delayed measures what the relays' delays really are: the median and the 99th
+// MeasureDelay measures what the relays' delays really are: the median and the 99th
 // percentile of half a round trip of one byte through a relay, over a time.
-func (r *Rig) Delayed(ctx context.Context, delay, over time.Duration) (median, late time.Duration, err error) {
+func (r *Rig) MeasureDelay(ctx context.Context, delay, duration time.Duration) (median, p99 time.Duration, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	echo, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,37 +25,37 @@
 			_, _ = io.Copy(c, c) // ends with the connection
 		}
 	}()
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return 0, 0, err
 	}
-	between := &relay.Relay{Listener: front, Sleep: nap, Dial: func(ctx context.Context) (net.Conn, error) {
+	proxy := &relay.Relay{Listener: listener, Sleep: preciseSleep, Dial: func(ctx context.Context) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", echo.Addr().String())
 	}}
-	between.Delay(relay.Up, delay)
-	between.Delay(relay.Down, delay)
-	go func() { _ = between.Run(ctx) }() // ends with ctx, which is its only error
-	c, err := net.Dial("tcp", front.Addr().String())
+	proxy.Delay(relay.Up, delay)
+	proxy.Delay(relay.Down, delay)
+	go func() { _ = proxy.Run(ctx) }() // ends with ctx, which is its only error
+	c, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		return 0, 0, err
 	}
 	defer func() { _ = c.Close() }()
-	var all []time.Duration
-	one := make([]byte, 1)
-	for end := time.Now().Add(over); time.Now().Before(end) && ctx.Err() == nil; {
-		began := time.Now()
-		if _, err := c.Write(one); err != nil {
+	var delays []time.Duration
+	buf := make([]byte, 1)
+	for end := time.Now().Add(duration); time.Now().Before(end) && ctx.Err() == nil; {
+		start := time.Now()
+		if _, err := c.Write(buf); err != nil {
 			return 0, 0, err
 		}
-		if _, err := io.ReadFull(c, one); err != nil {
+		if _, err := io.ReadFull(c, buf); err != nil {
 			return 0, 0, err
 		}
-		all = append(all, time.Since(began)/2)
-		nap(echoPause)
+		delays = append(delays, time.Since(start)/2)
+		preciseSleep(echoInterval)
 	}
-	slices.Sort(all)
-	return all[len(all)/2], all[len(all)*99/100], nil
+	slices.Sort(delays)
+	return delays[len(delays)/2], delays[len(delays)*99/100], nil
 }
 
-// echoPause is kept between two bytes.
-const echoPause = 20 * time.Millisecond
+// echoInterval is kept between two bytes.
+const echoInterval = 20 * time.Millisecond
--- a/internal/load/rig/file.go
+++ b/internal/load/rig/file.go
@@ -7,21 +7,21 @@
 	"gypsumreel/internal/domain/key"
 )
 
-// sheet holds the settings of one process, as a settings file spells them.
-type sheet struct {
-	Cell      string   `json:"cell"`
-	Role      string   `json:"role"`
-	Name      string   `json:"name"`
-	Data      string   `json:"data,omitempty"`
-	Listen    listen   `json:"listen"`
-	Control   []peer   `json:"control"`
-	Operator  string   `json:"operator,omitempty"`
-	Enrolment []string `json:"enrolment,omitempty"`
-	TLS       tls      `json:"tls"`
-	Time      times    `json:"time,omitzero"`
+// settingsFile holds the settings of one process, as a settings file spells them.
+type settingsFile struct {
+	Cell      string         `json:"cell"`
+	Role      string         `json:"role"`
+	Name      string         `json:"name"`
+	Data      string         `json:"data,omitempty"`
+	Listen    listenSettings `json:"listen"`
+	Control   []peerSettings `json:"control"`
+	Operator  string         `json:"operator,omitempty"`
+	Enrolment []string       `json:"enrolment,omitempty"`
+	TLS       tlsSettings    `json:"tls"`
+	Time      timeSettings   `json:"time,omitzero"`
 }
 
-type listen struct {
+type listenSettings struct {
 	Control   string `json:"control,omitempty"`
 	Callers   string `json:"callers,omitempty"`
 	Backends  string `json:"backends,omitempty"`
@@ -29,48 +29,48 @@
 	Platform  string `json:"platform"`
 }
 
-type peer struct {
+type peerSettings struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-type tls struct {
-	Outside plain `json:"outside"`
-	Inside  plain `json:"inside"`
+type tlsSettings struct {
+	Outside listenerTLS `json:"outside"`
+	Inside  listenerTLS `json:"inside"`
 }
 
-type plain struct {
+type listenerTLS struct {
 	Plain bool `json:"plain"`
 }
 
-type times struct {
+type timeSettings struct {
 	Drain string `json:"drain,omitempty"`
 }
 
-// settings writes the settings file of a process. The replicas are named by
+// writeSettings writes the settings file of a process. The replicas are named by
 // their relays' addresses, so that everything between processes is delayed.
-func (r *Rig) settings(name string, control bool) error {
-	f := sheet{Cell: "measured", Name: name, TLS: tls{plain{true}, plain{true}}}
-	for _, c := range r.Controls() {
-		f.Control = append(f.Control, peer{c, r.port(c, atRelays)})
+func (r *Rig) writeSettings(name string, control bool) error {
+	f := settingsFile{Cell: "measured", Name: name, TLS: tlsSettings{listenerTLS{true}, listenerTLS{true}}}
+	for _, c := range r.ControlNames() {
+		f.Control = append(f.Control, peerSettings{c, r.address(c, relayOffset)})
 	}
-	f.Listen.Platform = r.port(name, atPlatform)
+	f.Listen.Platform = r.address(name, platformOffset)
 	if control {
-		f.Role, f.Data, f.Operator = "control", r.file(name, ".data"), digest(r.root)
-		f.Listen.Control = r.port(name, 0)
+		f.Role, f.Data, f.Operator = "control", r.path(name, ".data"), hexDigest(r.operatorSecret)
+		f.Listen.Control = r.address(name, 0)
 	} else {
-		f.Role, f.Enrolment = "entry", []string{digest(r.Enrolment)}
-		f.Listen.Callers, f.Listen.Backends, f.Listen.Operators = r.port(name, atCallers), r.port(name, atBackends), r.port(name, atOperators)
-		f.Time.Drain = r.Drain.String()
+		f.Role, f.Enrolment = "entry", []string{hexDigest(r.EnrolmentSecret)}
+		f.Listen.Callers, f.Listen.Backends, f.Listen.Operators = r.address(name, callersOffset), r.address(name, backendsOffset), r.address(name, operatorsOffset)
+		f.Time.Drain = r.DrainTime.String()
 	}
 	text, err := json.MarshalIndent(f, "", "  ")
 	if err != nil {
 		return err
 	}
-	return r.write(name, text)
+	return r.writeSettingsFile(name, text)
 }
 
-func digest(secret string) string {
+func hexDigest(secret string) string {
 	d := key.Digest(secret)
 	return hex.EncodeToString(d[:])
 }
--- a/internal/load/rig/process.go
+++ b/internal/load/rig/process.go
@@ -23,26 +23,26 @@
 	err  error
 }
 
-// ticks is the number of processor ticks a second in /proc, fixed by Linux's ABI.
-const ticks = 100
+// ticksPerSecond is the number of processor ticks a second in /proc, fixed by Linux's ABI.
+const ticksPerSecond = 100
 
 // probeTimeout bounds a probe; a frozen process answers none.
 const probeTimeout = 200 * time.Millisecond
 
 // launch starts a process; found is for the first start of a replica.
-func (r *Rig) launch(name string, found bool) error {
+func (r *Rig) launch(name string, initialize bool) error {
 	control := strings.HasPrefix(name, "control")
-	if err := r.settings(name, control); err != nil {
+	if err := r.writeSettings(name, control); err != nil {
 		return err
 	}
-	args := []string{"entry", "--settings", r.file(name, ".json")}
+	args := []string{"entry", "--settings", r.path(name, ".json")}
 	if control {
 		args[0] = "control"
 	}
-	if found {
+	if initialize {
 		args = append(args, "--init")
 	}
-	log, err := os.OpenFile(r.file(name, ".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(r.path(name, ".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -60,14 +60,14 @@
 	}()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.procs[name] = p
+	r.processes[name] = p
 	return nil
 }
 
 func (r *Rig) process(name string) *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.procs[name]
+	return r.processes[name]
 }
 
 // Running tells whether the process has not ended.
@@ -129,7 +129,7 @@
 
 func (r *Rig) probe(name, path string) ([]byte, bool) {
 	c := http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	res, err := c.Get("http://" + r.port(name, atPlatform) + path)
+	res, err := c.Get("http://" + r.address(name, platformOffset) + path)
 	if err != nil {
 		return nil, false
 	}
@@ -140,30 +140,30 @@
 
 // Leader returns the replica that says that it leads, in the highest term.
 func (r *Rig) Leader() (string, bool) {
-	best, term := "", -1.0
-	for _, name := range r.Controls() {
+	leader, term := "", -1.0
+	for _, name := range r.ControlNames() {
 		if !r.Running(name) {
 			continue
 		}
 		b, ok := r.probe(name, "/metrics")
-		if ok && gauge(b, "control_leads") == 1 && gauge(b, "control_term") > term {
-			best, term = name, gauge(b, "control_term")
+		if ok && metricValue(b, "control_leads") == 1 && metricValue(b, "control_term") > term {
+			leader, term = name, metricValue(b, "control_term")
 		}
 	}
-	return best, best != ""
+	return leader, leader != ""
 }
 
-// Revision returns the table's revision that a process says it serves; 0 without an answer.
-func (r *Rig) Revision(name string) uint64 {
+// TableRevision returns the table's revision that a process says it serves; 0 without an answer.
+func (r *Rig) TableRevision(name string) uint64 {
 	b, _ := r.probe(name, "/metrics")
 	if strings.HasPrefix(name, "entry") {
-		return uint64(max(0, gauge(b, "entry_table_revision")))
+		return uint64(max(0, metricValue(b, "entry_table_revision")))
 	}
-	return uint64(max(0, gauge(b, "control_revision")))
+	return uint64(max(0, metricValue(b, "control_revision")))
 }
 
-// gauge returns the value of the metric whose name ends so; -1 for none.
-func gauge(text []byte, suffix string) float64 {
+// metricValue returns the value of the metric whose name ends so; -1 for none.
+func metricValue(text []byte, suffix string) float64 {
 	for line := range bytes.Lines(text) {
 		name, value, _ := strings.Cut(strings.TrimSpace(string(line)), " ")
 		if strings.HasSuffix(name, "_"+suffix) {
@@ -179,20 +179,20 @@
 type Usage struct {
 	// CPU is processor time of user and system since its start.
 	CPU time.Duration
-	// Waited is the time that its threads were ready to run and no processor was
+	// RunnableWait is the time that its threads were ready to run and no processor was
 	// free; that of threads which have ended is not in it.
-	Waited time.Duration
+	RunnableWait time.Duration
 	// RSS is its resident memory in bytes.
 	RSS int64
 }
 
-// Usage reads what a process has used from /proc.
-func (r *Rig) Usage(name string) (Usage, error) {
-	return Spent(r.process(name).cmd.Process.Pid)
+// ProcessUsage reads what a process has used from /proc.
+func (r *Rig) ProcessUsage(name string) (Usage, error) {
+	return UsageOf(r.process(name).cmd.Process.Pid)
 }
 
-// Spent reads what a process has used from /proc.
-func Spent(pid int) (Usage, error) {
+// UsageOf reads what a process has used from /proc.
+func UsageOf(pid int) (Usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return Usage{}, err
@@ -202,14 +202,14 @@
 	const user, system, resident = 11, 12, 21
 	number := func(i int) int64 { n, _ := strconv.ParseInt(fields[i], 10, 64); return n }
 	return Usage{
-		Waited: waited(pid),
-		CPU:    time.Duration(number(user)+number(system)) * time.Second / ticks,
-		RSS:    number(resident) * int64(os.Getpagesize()),
+		RunnableWait: runnableWait(pid),
+		CPU:          time.Duration(number(user)+number(system)) * time.Second / ticksPerSecond,
+		RSS:          number(resident) * int64(os.Getpagesize()),
 	}, nil
 }
 
-// waited sums up the threads' waits for a processor.
-func waited(pid int) time.Duration {
+// runnableWait sums up the threads' waits for a processor.
+func runnableWait(pid int) time.Duration {
 	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is well formed
 	var sum time.Duration
 	for _, path := range paths {
--- a/internal/load/rig/process_test.go
+++ b/internal/load/rig/process_test.go
@@ -27,11 +27,11 @@
 var program string
 
 func TestMain(m *testing.M) {
-	os.Exit(run(m))
+	os.Exit(buildAndRun(m))
 }
 
-// run builds the program once for all tests.
-func run(m *testing.M) int {
+// buildAndRun builds the program once for all tests.
+func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "rig-")
 	if err != nil {
 		panic(err)
@@ -44,8 +44,8 @@
 	return m.Run()
 }
 
-// start runs a cell with a team and a few backend servers.
-func start(t *testing.T, servers int) (*rig.Rig, *rig.Fleet, string) {
+// startCell runs a cell with a team and a few backend servers.
+func startCell(t *testing.T, servers int) (*rig.Rig, *rig.Fleet, string) {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("real processes")
@@ -54,7 +54,7 @@
 	var r *rig.Rig
 	err := fmt.Errorf("no ports")
 	for port := first; err != nil && port < last; port += step {
-		r = &rig.Rig{Program: program, Dir: t.TempDir(), First: port, Replicas: 3, Entries: 2}
+		r = &rig.Rig{Program: program, Dir: t.TempDir(), FirstPort: port, Replicas: 3, Entries: 2}
 		if err = r.Start(t.Context()); err != nil {
 			t.Log(err)
 			r.Close()
@@ -64,11 +64,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
-	token, err := r.Team(t.Context(), "quarry")
+	token, err := r.CreateTeam(t.Context(), "quarry")
 	if err != nil {
 		t.Fatal(err)
 	}
-	fleet, err := r.Fleet(t.Context(), servers, &v1.Size{Cpu: 64_000, Memory: 64 << 10, Slots: 32})
+	fleet, err := r.StartFleet(t.Context(), servers, &v1.Size{Cpu: 64_000, Memory: 64 << 10, Slots: 32})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,23 +76,23 @@
 	return r, fleet, token
 }
 
-// leader waits until a replica leads.
-func leader(t *testing.T, r *rig.Rig) string {
+// waitLeader waits until a replica leads.
+func waitLeader(t *testing.T, r *rig.Rig) string {
 	t.Helper()
-	if err := r.Settled(t.Context()); err != nil {
+	if err := r.WaitReady(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	name, _ := r.Leader()
 	return name
 }
 
-// reached waits until the servers have started so many tasks.
-func reached(t *testing.T, fleet *rig.Fleet, n int) {
+// waitStarted waits until the servers have started so many tasks.
+func waitStarted(t *testing.T, fleet *rig.Fleet, n int) {
 	t.Helper()
-	const patience = 30 * time.Second
-	for end := time.Now().Add(patience); fleet.Seen.Total() < n; time.Sleep(10 * time.Millisecond) {
+	const timeout = 30 * time.Second
+	for end := time.Now().Add(timeout); fleet.ServerRecord.Total() < n; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d of %d starts after %s", fleet.Seen.Total(), n, patience)
+			t.Fatalf("%d of %d starts after %s", fleet.ServerRecord.Total(), n, timeout)
 		}
 	}
 }
@@ -102,112 +102,112 @@
 // lead and goes on, and an entry is stopped as planned and started again. Every
 // caller still gets its own whole answer, nothing that runs once runs twice, and
 // callers that stay at one entry until its probe fails lose no call.
-func TestPromisesOverFailuresOfProcesses(t *testing.T) {
-	r, fleet, token := start(t, 6)
+func TestGuaranteesHoldDuringProcessFailures(t *testing.T) {
+	r, fleet, token := startCell(t, 6)
 	jobs := mix.Plan{
 		Rate: 80, Duration: 10 * time.Second, Seed: 1, Weights: mix.KindWeights{job.Urgent: 8, job.Batch: 1, job.Gang: 1},
 		Shapes: mix.DefaultShapes(), OnceFraction: 0.3, MeanAnswerBytes: 1000, IDPrefix: "smoke-",
 	}.Jobs()
-	d := &drive.Driver{Client: r.CallerClient(token), Jobs: jobs, Tail: 60 * time.Second}
+	driver := &drive.Driver{Client: r.CallerClient(token), Jobs: jobs, Tail: 60 * time.Second}
 	var w sync.WaitGroup
 	defer w.Wait()
-	var seen []drive.JobResult
-	began := time.Now()
-	w.Go(func() { seen = d.Run(t.Context()) })
-	var calls rig.Calls
-	pinned, unpin := context.WithCancel(t.Context())
-	defer unpin()
+	var results []drive.JobResult
+	startedAt := time.Now()
+	w.Go(func() { results = driver.Run(t.Context()) })
+	var calls rig.CallCounts
+	callContext, stopCalls := context.WithCancel(t.Context())
+	defer stopCalls()
 
-	part := len(jobs) / 8
-	reached(t, fleet, part)
-	old := leader(t, r)
-	r.Kill(old)
-	reached(t, fleet, 2*part)
-	if err := r.Restart(old); err != nil {
+	eighth := len(jobs) / 8
+	waitStarted(t, fleet, eighth)
+	firstLeader := waitLeader(t, r)
+	r.Kill(firstLeader)
+	waitStarted(t, fleet, 2*eighth)
+	if err := r.Restart(firstLeader); err != nil {
 		t.Fatal(err)
 	}
-	second := leader(t, r)
-	r.Pause(second)
-	reached(t, fleet, 4*part)
-	r.Resume(second)
-	w.Go(func() { r.Pin(pinned, token, &calls) })
-	reached(t, fleet, 5*part)
+	secondLeader := waitLeader(t, r)
+	r.Pause(secondLeader)
+	waitStarted(t, fleet, 4*eighth)
+	r.Resume(secondLeader)
+	w.Go(func() { r.RunPinnedCallers(callContext, token, &calls) })
+	waitStarted(t, fleet, 5*eighth)
 	if err := r.Stop("entry-1", 30*time.Second); err != nil {
 		t.Errorf("planned stop: %v", err)
 	}
 	if err := r.Restart("entry-1"); err != nil {
 		t.Fatal(err)
 	}
-	reached(t, fleet, 7*part)
-	unpin()
+	waitStarted(t, fleet, 7*eighth)
+	stopCalls()
 	w.Wait()
 
-	sum := report.Summarize(report.RunInfo{}, began, seen, fleet.Record)
-	if faults := fleet.Seen.Faults(); !sum.Violations.None() || len(faults) > 0 {
-		t.Errorf("promises %+v, servers saw %v", sum.Violations, faults)
+	summary := report.Summarize(report.RunInfo{}, startedAt, results, fleet.TaskRuns)
+	if faults := fleet.ServerRecord.Faults(); !summary.Violations.None() || len(faults) > 0 {
+		t.Errorf("promises %+v, servers saw %v", summary.Violations, faults)
 	}
-	if sum.Counts.Accepted == 0 || calls.Made.Load() == 0 {
-		t.Errorf("nothing was tested: %+v, %d calls", sum.Counts, calls.Made.Load())
+	if summary.Counts.Accepted == 0 || calls.Made.Load() == 0 {
+		t.Errorf("nothing was tested: %+v, %d calls", summary.Counts, calls.Made.Load())
 	}
-	if calls.Cut.Load() > 0 {
-		t.Errorf("%d of %d calls were cut off by a planned stop", calls.Cut.Load(), calls.Made.Load())
+	if calls.CutOff.Load() > 0 {
+		t.Errorf("%d of %d calls were cut off by a planned stop", calls.CutOff.Load(), calls.Made.Load())
 	}
 }
 
-// quota counts operations and lets the test act after each share of them.
-type quota struct {
-	done  atomic.Int64
-	parts []chan struct{}
-	share int64
+// milestones counts operations and lets the test act after each share of them.
+type milestones struct {
+	operations atomic.Int64
+	reached    []chan struct{}
+	interval   int64
 }
 
-func newQuota(total, parts int64) *quota {
-	q := &quota{share: total / parts}
+func newMilestones(total, parts int64) *milestones {
+	m := &milestones{interval: total / parts}
 	for range parts {
-		q.parts = append(q.parts, make(chan struct{}))
+		m.reached = append(m.reached, make(chan struct{}))
 	}
-	return q
+	return m
 }
 
-func (q *quota) one() {
-	if n := q.done.Add(1); n%q.share == 0 && n/q.share <= int64(len(q.parts)) {
-		close(q.parts[n/q.share-1])
+func (m *milestones) countOperation() {
+	if n := m.operations.Add(1); n%m.interval == 0 && n/m.interval <= int64(len(m.reached)) {
+		close(m.reached[n/m.interval-1])
 	}
 }
 
 const (
-	clients   = 6
-	perClient = 20
-	patience  = 20 * time.Second
-	checking  = 60 * time.Second
+	clients             = 6
+	operationsPerClient = 20
+	clientTimeout       = 20 * time.Second
+	checkTimeout        = 60 * time.Second
 )
 
-// withFailures runs each client's operations while the leader is killed and
+// runDuringFailures runs each client's operations while the leader is killed and
 // brought back and its successor is frozen and goes on.
-func withFailures(t *testing.T, r *rig.Rig, one func(client, i int)) {
+func runDuringFailures(t *testing.T, r *rig.Rig, operation func(client, i int)) {
 	t.Helper()
-	q := newQuota(clients*perClient, 6)
+	m := newMilestones(clients*operationsPerClient, 6)
 	var w sync.WaitGroup
 	for c := range clients {
 		w.Go(func() {
-			for i := range perClient {
-				one(c, i)
-				q.one()
+			for i := range operationsPerClient {
+				operation(c, i)
+				m.countOperation()
 			}
 		})
 	}
-	<-q.parts[0]
-	old := leader(t, r)
-	r.Kill(old)
-	<-q.parts[1]
-	if err := r.Restart(old); err != nil {
+	<-m.reached[0]
+	firstLeader := waitLeader(t, r)
+	r.Kill(firstLeader)
+	<-m.reached[1]
+	if err := r.Restart(firstLeader); err != nil {
 		t.Fatal(err)
 	}
-	<-q.parts[2]
-	second := leader(t, r)
-	r.Pause(second)
-	<-q.parts[4]
-	r.Resume(second)
+	<-m.reached[2]
+	secondLeader := waitLeader(t, r)
+	r.Pause(secondLeader)
+	<-m.reached[4]
+	r.Resume(secondLeader)
 	w.Wait()
 }
 
@@ -216,56 +216,56 @@
 // old leader answered from its own state, or a resend counted anew, no order of
 // the operations explains the answers.
 func TestTableIsLinearizable(t *testing.T) {
-	r, _, _ := start(t, 0)
+	r, _, _ := startCell(t, 0)
 	op := r.OperatorClient()
-	look := func(ctx context.Context) (history.TableReadReply, bool) {
+	readTable := func(ctx context.Context) (history.TableReadReply, bool) {
 		reply, err := op.Show(ctx, v1.Part_PART_TABLE)
 		if err != nil || len(reply.GetRows()) != 1 {
 			return history.TableReadReply{}, false
 		}
 		return history.TableReadReply{Revision: reply.GetRevision(), Weight: reply.GetRows()[0].GetWeight()}, true
 	}
-	first, ok := look(t.Context())
+	initial, ok := readTable(t.Context())
 	if !ok {
 		t.Fatal("the table cannot be read")
 	}
-	h := history.NewRecorder()
-	withFailures(t, r, func(client, i int) {
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+	recorder := history.NewRecorder()
+	runDuringFailures(t, r, func(client, i int) {
+		ctx, cancel := context.WithTimeout(t.Context(), clientTimeout)
 		defer cancel()
 		var base uint64
-		h.Record(client, history.TableRead{}, func() (any, bool) {
-			now, ok := look(ctx)
-			base = now.Revision
-			return now, ok
+		recorder.Record(client, history.TableRead{}, func() (any, bool) {
+			current, ok := readTable(ctx)
+			base = current.Revision
+			return current, ok
 		})
-		in := history.TableChange{ID: fmt.Sprintf("c%d-%d", client, i), BaseRevision: base, Weight: uint32(2 + client*perClient + i)}
+		change := history.TableChange{ID: fmt.Sprintf("c%d-%d", client, i), BaseRevision: base, Weight: uint32(2 + client*operationsPerClient + i)}
 		for range 2 {
-			h.Record(client, in, func() (any, bool) {
-				revision, err := op.Change(ctx, &v1.ChangeRequest{Id: in.ID, Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{
-					Base: in.BaseRevision, Edits: []*v1.Edit{{Row: &v1.Row{Team: "quarry", Weight: in.Weight}, Cells: []string{"weight"}}},
+			recorder.Record(client, change, func() (any, bool) {
+				revision, err := op.Change(ctx, &v1.ChangeRequest{Id: change.ID, Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{
+					Base: change.BaseRevision, Edits: []*v1.Edit{{Row: &v1.Row{Team: "quarry", Weight: change.Weight}, Cells: []string{"weight"}}},
 				}}})
 				if err == nil {
 					return history.TableChangeReply{Code: code.OK, Revision: revision}, true
 				}
-				c := link.Refusal(err).Code
-				return history.TableChangeReply{Code: c, Revision: revision}, c == code.RevisionConflict
+				resultCode := link.Refusal(err).Code
+				return history.TableChangeReply{Code: resultCode, Revision: revision}, resultCode == code.RevisionConflict
 			})
 		}
 	})
-	ops := h.Operations()
-	if !history.Linearizable(history.TableModel(first), ops, checking) {
+	ops := recorder.Operations()
+	if !history.Linearizable(history.TableModel(initial), ops, checkTimeout) {
 		t.Errorf("no order explains the %d operations", len(ops))
 	}
 	// The same history with one read that never was: the check can fail.
 	for i := range ops {
-		if got, ok := ops[i].Output.(history.TableReadReply); ok {
-			got.Weight++
-			ops[i].Output = got
+		if read, ok := ops[i].Output.(history.TableReadReply); ok {
+			read.Weight++
+			ops[i].Output = read
 			break
 		}
 	}
-	if history.Linearizable(history.TableModel(first), ops, checking) {
+	if history.Linearizable(history.TableModel(initial), ops, checkTimeout) {
 		t.Error("a wrong read is explained")
 	}
 }
@@ -274,31 +274,31 @@
 // while leaders fail. One content stands, the other is refused, and whoever waits
 // gets the answer of the one that stands.
 func TestRequestIDsAreLinearizable(t *testing.T) {
-	r, _, token := start(t, 4)
-	c := r.CallerClient(token)
-	h := history.NewRecorder()
-	withFailures(t, r, func(client, i int) {
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+	r, _, token := startCell(t, 4)
+	callers := r.CallerClient(token)
+	recorder := history.NewRecorder()
+	runDuringFailures(t, r, func(client, i int) {
+		ctx, cancel := context.WithTimeout(t.Context(), clientTimeout)
 		defer cancel()
-		in := history.Submit{ID: fmt.Sprintf("id-%d-%d", client/2, i), Content: fmt.Sprintf("content-%d", client%2)}
-		h.Record(client, in, func() (any, bool) {
-			got, err := c.Submit(ctx, []*v1.Spec{spec(in)}, false)
+		submission := history.Submit{ID: fmt.Sprintf("id-%d-%d", client/2, i), Content: fmt.Sprintf("content-%d", client%2)}
+		recorder.Record(client, submission, func() (any, bool) {
+			got, err := callers.Submit(ctx, []*v1.Spec{newSpec(submission)}, false)
 			if err != nil {
 				return nil, false
 			}
-			k := code.Code(got[0].GetStatus().GetCode())
-			return k, k == code.OK || k == code.IDReused
+			resultCode := code.Code(got[0].GetStatus().GetCode())
+			return resultCode, resultCode == code.OK || resultCode == code.IDReused
 		})
-		h.Record(client, history.Wait{ID: in.ID}, func() (any, bool) {
-			got, err := c.Wait(ctx, in.ID)
+		recorder.Record(client, history.Wait{ID: submission.ID}, func() (any, bool) {
+			got, err := callers.Wait(ctx, submission.ID)
 			if err != nil || got.Outcome != v1.Outcome_OUTCOME_DONE {
 				return nil, false
 			}
 			return history.WaitReply{Content: contentOf(got)}, true
 		})
 	})
-	ops := h.Operations()
-	if !history.Linearizable(history.RequestModel(), ops, checking) {
+	ops := recorder.Operations()
+	if !history.Linearizable(history.RequestModel(), ops, checkTimeout) {
 		t.Errorf("no order explains the %d operations", len(ops))
 	}
 	answered := false
@@ -309,24 +309,24 @@
 			break
 		}
 	}
-	if !answered || history.Linearizable(history.RequestModel(), ops, checking) {
+	if !answered || history.Linearizable(history.RequestModel(), ops, checkTimeout) {
 		t.Errorf("answered is %v, and a wrong answer is explained", answered)
 	}
 }
 
-const answerLength = 64
+const answerBytes = 64
 
-func spec(in history.Submit) *v1.Spec {
+func newSpec(submission history.Submit) *v1.Spec {
 	return &v1.Spec{
-		Id: in.ID, Kind: v1.Kind_KIND_URGENT, Name: "raced", Count: 1, Size: &v1.Size{Cpu: 100, Memory: 64, Slots: 1}, Runtime: 10,
-		Input: work.Input{ID: in.Content, Runtime: 5 * time.Millisecond, Answer: answerLength}.Bytes(),
+		Id: submission.ID, Kind: v1.Kind_KIND_URGENT, Name: "raced", Count: 1, Size: &v1.Size{Cpu: 100, Memory: 64, Slots: 1}, Runtime: 10,
+		Input: work.Input{ID: submission.Content, Runtime: 5 * time.Millisecond, AnswerBytes: answerBytes}.Encode(),
 	}
 }
 
 // contentOf tells whose answer it is.
-func contentOf(got caller.Result) string {
+func contentOf(result caller.Result) string {
 	for _, content := range []string{"content-0", "content-1"} {
-		if string(work.Answer(content, 0, answerLength)) == string(got.Data) {
+		if string(work.TaskAnswer(content, 0, answerBytes)) == string(result.Data) {
 			return content
 		}
 	}
--- a/internal/load/rig/rig.go
+++ b/internal/load/rig/rig.go
@@ -23,19 +23,19 @@
 
 // Ports of a process, counted from its first one.
 const (
-	perProcess   = 10
-	entriesFrom  = 100
-	atCallers    = 0
-	atBackends   = 1
-	atOperators  = 2
-	atPlatform   = 3
-	atRelays     = 5
-	startTimeout = 20 * time.Second
-	lookEvery    = 20 * time.Millisecond
+	portsPerProcess = 10
+	entryPortOffset = 100
+	callersOffset   = 0
+	backendsOffset  = 1
+	operatorsOffset = 2
+	platformOffset  = 3
+	relayOffset     = 5
+	startTimeout    = 20 * time.Second
+	pollInterval    = 20 * time.Millisecond
 )
 
-// rootKey is the id of the first operator's key.
-const rootKey = "operator"
+// operatorKeyID is the id of the first operator's key.
+const operatorKeyID = "operator"
 
 // Rig is a cell of processes. Set the exported fields, then call Start.
 type Rig struct {
@@ -43,43 +43,43 @@
 	Program string
 	// Dir holds settings, data and logs.
 	Dir string
-	// First is the first of 300 ports on loopback.
-	First int
+	// FirstPort is the first of 300 ports on loopback.
+	FirstPort int
 	// Replicas and Entries are numbers of processes.
 	Replicas int
 	Entries  int
-	// Zone and Client are the one-way delays between processes of the cell, and
+	// ZoneDelay and Client are the one-way delays between processes of the cell, and
 	// from callers and backend servers to entries.
-	Zone   time.Duration
-	Client time.Duration
-	// Drain is how long a stopping entry serves on; 0 for one second.
-	Drain time.Duration
+	ZoneDelay   time.Duration
+	ClientDelay time.Duration
+	// DrainTime is how long a stopping entry serves on; 0 for one second.
+	DrainTime time.Duration
 
-	// Operator is the first operator's key, Enrolment the secret of backend servers.
-	Operator  string
-	Enrolment string
+	// OperatorKey is the first operator's key, Enrolment the secret of backend servers.
+	OperatorKey     string
+	EnrolmentSecret string
 
-	root   string
-	mu     sync.Mutex
-	procs  map[string]*process
-	relays map[string]*relay.Relay
-	cancel context.CancelFunc
-	ctx    context.Context
+	operatorSecret string
+	mu             sync.Mutex
+	processes      map[string]*process
+	relays         map[string]*relay.Relay
+	cancel         context.CancelFunc
+	ctx            context.Context
 }
 
 // Start founds the cell and returns once a replica leads and every entry is ready.
 func (r *Rig) Start(ctx context.Context) error {
 	r.ctx, r.cancel = context.WithCancel(ctx)
-	r.root, r.Enrolment = key.NewSecret(), key.NewSecret()
-	r.Operator = rootKey + "." + r.root
-	r.procs, r.relays = map[string]*process{}, map[string]*relay.Relay{}
-	if r.Drain == 0 {
-		r.Drain = time.Second
+	r.operatorSecret, r.EnrolmentSecret = key.NewSecret(), key.NewSecret()
+	r.OperatorKey = operatorKeyID + "." + r.operatorSecret
+	r.processes, r.relays = map[string]*process{}, map[string]*relay.Relay{}
+	if r.DrainTime == 0 {
+		r.DrainTime = time.Second
 	}
 	if err := r.openRelays(); err != nil {
 		return err
 	}
-	for _, name := range r.Controls() {
+	for _, name := range r.ControlNames() {
 		if err := r.launch(name, true); err != nil {
 			return err
 		}
@@ -89,15 +89,15 @@
 			return err
 		}
 	}
-	if err := r.Settled(ctx); err != nil {
+	if err := r.WaitReady(ctx); err != nil {
 		return err
 	}
-	return r.rooted(ctx)
+	return r.waitOperatorKey(ctx)
 }
 
-// rooted waits until the operator's key counts: the first leader grants it only
+// waitOperatorKey waits until the operator's key counts: the first leader grants it only
 // after it was elected.
-func (r *Rig) rooted(ctx context.Context) error {
+func (r *Rig) waitOperatorKey(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	op := r.OperatorClient()
@@ -107,14 +107,14 @@
 		if err == nil {
 			return nil
 		}
-		if !link.Sleep(ctx, lookEvery) {
+		if !link.Sleep(ctx, pollInterval) {
 			return errors.Wrap(err, "the operator's key")
 		}
 	}
 }
 
-// Settled waits until a replica leads and every process that runs is ready.
-func (r *Rig) Settled(ctx context.Context) error {
+// WaitReady waits until a replica leads and every process that runs is ready.
+func (r *Rig) WaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
@@ -124,13 +124,13 @@
 		select {
 		case <-ctx.Done():
 			return errors.Newf("the cell is not ready; logs are in %s", r.Dir)
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
 func (r *Rig) allReady() bool {
-	for _, name := range append(r.Controls(), r.EntryNames()...) {
+	for _, name := range append(r.ControlNames(), r.EntryNames()...) {
 		if r.Running(name) && !r.Ready(name) {
 			return false
 		}
@@ -138,66 +138,66 @@
 	return true
 }
 
-// Controls returns the names of the control replicas.
-func (r *Rig) Controls() []string { return names("control", r.Replicas) }
+// ControlNames returns the names of the control replicas.
+func (r *Rig) ControlNames() []string { return processNames("control", r.Replicas) }
 
 // EntryNames returns the names of the entries.
-func (r *Rig) EntryNames() []string { return names("entry", r.Entries) }
+func (r *Rig) EntryNames() []string { return processNames("entry", r.Entries) }
 
-func names(sort string, n int) []string {
+func processNames(role string, n int) []string {
 	out := make([]string, n)
 	for i := range n {
-		out[i] = fmt.Sprintf("%s-%d", sort, i+1)
+		out[i] = fmt.Sprintf("%s-%d", role, i+1)
 	}
 	return out
 }
 
-func (r *Rig) port(name string, at int) string {
+func (r *Rig) address(name string, offset int) string {
 	var i int
-	base := r.First
+	base := r.FirstPort
 	if _, err := fmt.Sscanf(name, "entry-%d", &i); err == nil {
-		base += entriesFrom
+		base += entryPortOffset
 	} else {
 		_, _ = fmt.Sscanf(name, "control-%d", &i) // names come from Controls and EntryNames
 	}
-	return fmt.Sprintf("127.0.0.1:%d", base+(i-1)*perProcess+at)
+	return fmt.Sprintf("127.0.0.1:%d", base+(i-1)*portsPerProcess+offset)
 }
 
-// Callers returns the addresses of all entries for callers behind the relays.
-func (r *Rig) Callers() []string { return r.urls(atRelays + atCallers) }
+// CallerURLs returns the addresses of all entries for callers behind the relays.
+func (r *Rig) CallerURLs() []string { return r.entryURLs(relayOffset + callersOffset) }
 
-// Operators returns the entries' addresses for operators behind the relays.
-func (r *Rig) Operators() []string { return r.urls(atRelays + atOperators) }
+// OperatorURLs returns the entries' addresses for operators behind the relays.
+func (r *Rig) OperatorURLs() []string { return r.entryURLs(relayOffset + operatorsOffset) }
 
-// Backends returns the entries' addresses for backend servers behind the relays, as HOST:PORT.
-func (r *Rig) Backends() []string {
+// BackendAddresses returns the entries' addresses for backend servers behind the relays, as HOST:PORT.
+func (r *Rig) BackendAddresses() []string {
 	var out []string
 	for _, name := range r.EntryNames() {
-		out = append(out, r.port(name, atRelays+atBackends))
+		out = append(out, r.address(name, relayOffset+backendsOffset))
 	}
 	return out
 }
 
-// direct returns the address for callers of one entry, past the relay.
-func (r *Rig) direct(name string) string { return "http://" + r.port(name, atCallers) }
+// directURL returns the address for callers of one entry, past the relay.
+func (r *Rig) directURL(name string) string { return "http://" + r.address(name, callersOffset) }
 
-func (r *Rig) urls(at int) []string {
+func (r *Rig) entryURLs(offset int) []string {
 	var out []string
 	for _, name := range r.EntryNames() {
-		out = append(out, "http://"+r.port(name, at))
+		out = append(out, "http://"+r.address(name, offset))
 	}
 	return out
 }
 
 func (r *Rig) openRelays() error {
-	for _, name := range r.Controls() {
-		if err := r.openRelay(name, atCallers, r.Zone); err != nil {
+	for _, name := range r.ControlNames() {
+		if err := r.openRelay(name, callersOffset, r.ZoneDelay); err != nil {
 			return err
 		}
 	}
 	for _, name := range r.EntryNames() {
-		for _, at := range []int{atCallers, atBackends, atOperators} {
-			if err := r.openRelay(name, at, r.Client); err != nil {
+		for _, offset := range []int{callersOffset, backendsOffset, operatorsOffset} {
+			if err := r.openRelay(name, offset, r.ClientDelay); err != nil {
 				return err
 			}
 		}
@@ -205,29 +205,29 @@
 	return nil
 }
 
-func (r *Rig) openRelay(name string, at int, delay time.Duration) error {
-	l, err := net.Listen("tcp", r.port(name, atRelays+at))
+func (r *Rig) openRelay(name string, offset int, delay time.Duration) error {
+	l, err := net.Listen("tcp", r.address(name, relayOffset+offset))
 	if err != nil {
 		return err
 	}
-	target := r.port(name, at)
-	one := &relay.Relay{Listener: l, Sleep: nap, Dial: func(ctx context.Context) (net.Conn, error) {
+	target := r.address(name, offset)
+	proxy := &relay.Relay{Listener: l, Sleep: preciseSleep, Dial: func(ctx context.Context) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", target)
 	}}
-	one.Delay(relay.Up, delay)
-	one.Delay(relay.Down, delay)
-	r.relays[fmt.Sprintf("%s/%d", name, at)] = one
-	go func() { _ = one.Run(r.ctx) }() // ends with the rig, which is its only error
+	proxy.Delay(relay.Up, delay)
+	proxy.Delay(relay.Down, delay)
+	r.relays[fmt.Sprintf("%s/%d", name, offset)] = proxy
+	go func() { _ = proxy.Run(r.ctx) }() // ends with the rig, which is its only error
 	return nil
 }
 
-// Bytes returns what has passed to and from a process's listeners: those inside
+// ListenerBytes returns what has passed to and from a process's listeners: those inside
 // the cell for a replica; callers, backend servers and operators for an entry.
-func (r *Rig) Bytes(name string) int64 {
+func (r *Rig) ListenerBytes(name string) int64 {
 	var sum int64
-	for _, at := range []int{atCallers, atBackends, atOperators} {
-		if one := r.relays[fmt.Sprintf("%s/%d", name, at)]; one != nil {
-			sum += one.Carried(relay.Up) + one.Carried(relay.Down)
+	for _, offset := range []int{callersOffset, backendsOffset, operatorsOffset} {
+		if proxy := r.relays[fmt.Sprintf("%s/%d", name, offset)]; proxy != nil {
+			sum += proxy.Carried(relay.Up) + proxy.Carried(relay.Down)
 		}
 	}
 	return sum
@@ -235,33 +235,33 @@
 
 // BackendBytes returns what has passed between an entry and backend servers.
 func (r *Rig) BackendBytes(name string) int64 {
-	one := r.relays[fmt.Sprintf("%s/%d", name, atBackends)]
-	return one.Carried(relay.Up) + one.Carried(relay.Down)
+	proxy := r.relays[fmt.Sprintf("%s/%d", name, backendsOffset)]
+	return proxy.Carried(relay.Up) + proxy.Carried(relay.Down)
 }
 
 // Close ends all processes and relays at once.
 func (r *Rig) Close() {
-	for _, name := range append(r.Controls(), r.EntryNames()...) {
+	for _, name := range append(r.ControlNames(), r.EntryNames()...) {
 		r.Kill(name)
 	}
 	r.cancel()
-	for _, one := range r.relays {
-		<-one.Done()
+	for _, proxy := range r.relays {
+		<-proxy.Done()
 	}
 }
 
-func (r *Rig) file(name, suffix string) string { return filepath.Join(r.Dir, name+suffix) }
+func (r *Rig) path(name, suffix string) string { return filepath.Join(r.Dir, name+suffix) }
 
-func (r *Rig) write(name string, text []byte) error {
-	return os.WriteFile(r.file(name, ".json"), text, 0o600)
+func (r *Rig) writeSettingsFile(name string, text []byte) error {
+	return os.WriteFile(r.path(name, ".json"), text, 0o600)
 }
 
-// nap sleeps on a thread of its own. The runtime's timers count in whole
+// preciseSleep sleeps on a thread of its own. The runtime's timers count in whole
 // milliseconds while the process is idle, too coarse for delays of one or two.
-func nap(d time.Duration) {
-	left := syscall.NsecToTimespec(d.Nanoseconds())
-	err := syscall.Nanosleep(&left, &left)
+func preciseSleep(d time.Duration) {
+	remaining := syscall.NsecToTimespec(d.Nanoseconds())
+	err := syscall.Nanosleep(&remaining, &remaining)
 	for err == syscall.EINTR {
-		err = syscall.Nanosleep(&left, &left)
+		err = syscall.Nanosleep(&remaining, &remaining)
 	}
 }
--- a/internal/load/trial/main.go
+++ b/internal/load/trial/main.go
@@ -24,12 +24,12 @@
 
 // options are the command line.
 type options struct {
-	Seeds   int           `long:"seeds" default:"40" description:"how many seeds each way plays"`
-	First   uint64        `long:"first" default:"1" description:"the first seed"`
-	Servers int           `long:"servers" default:"48" description:"backend servers, about"`
-	Lease   time.Duration `long:"lease" description:"how long a server runs on unheard; drawn by the seed when left out"`
-	Ways    []string      `long:"way" description:"product, fifo, strict, or without-MECHANISM; may be repeated; all when left out"`
-	Jobs    int           `long:"jobs" default:"4" description:"plays at a time"`
+	SeedCount int           `long:"seeds" default:"40" description:"how many seeds each way plays"`
+	FirstSeed uint64        `long:"first" default:"1" description:"the first seed"`
+	Servers   int           `long:"servers" default:"48" description:"backend servers, about"`
+	Lease     time.Duration `long:"lease" description:"how long a server runs on unheard; drawn by the seed when left out"`
+	Policies  []string      `long:"way" description:"product, fifo, strict, or without-MECHANISM; may be repeated; all when left out"`
+	Parallel  int           `long:"jobs" default:"4" description:"plays at a time"`
 }
 
 func main() {
@@ -43,65 +43,65 @@
 	}
 }
 
-// names lists all ways.
-func names() []string {
-	out := []string{"product"}
+// policyNames lists all ways.
+func policyNames() []string {
+	names := []string{"product"}
 	for name := range simulator.Mechanisms {
-		out = append(out, "without-"+name)
+		names = append(names, "without-"+name)
 	}
-	slices.Sort(out[1:])
-	return append(out, "strict", "fifo")
+	slices.Sort(names[1:])
+	return append(names, "strict", "fifo")
 }
 
-// policyOf returns the way of that name.
-func policyOf(name string, lease time.Duration) (simulator.Policy, error) {
+// parsePolicy returns the way of that name.
+func parsePolicy(name string, lease time.Duration) (simulator.Policy, error) {
 	p := simulator.Policy{Lease: lease}
-	part, without := strings.CutPrefix(name, "without-")
+	mechanism, without := strings.CutPrefix(name, "without-")
 	switch {
 	case name == "product":
 	case name == "fifo":
 		p.FIFO, p.Disabled = true, simulator.LateLast|simulator.Headroom|simulator.GangReservation|simulator.QuestionSize|simulator.ParallelQuestions
 	case name == "strict":
 		p.StrictPriority, p.Disabled = true, simulator.LateLast|simulator.Headroom|simulator.GangReservation|simulator.QuestionSize|simulator.ParallelQuestions
-	case without && simulator.Mechanisms[part] != 0:
-		p.Disabled = simulator.Mechanisms[part]
+	case without && simulator.Mechanisms[mechanism] != 0:
+		p.Disabled = simulator.Mechanisms[mechanism]
 	default:
-		return p, fmt.Errorf("%q is no way to decide; there are %s", name, strings.Join(names(), ", "))
+		return p, fmt.Errorf("%q is no way to decide; there are %s", name, strings.Join(policyNames(), ", "))
 	}
 	return p, nil
 }
 
 func run(o options, out, progress io.Writer) error {
-	ways := o.Ways
-	if len(ways) == 0 {
-		ways = names()
+	names := o.Policies
+	if len(names) == 0 {
+		names = policyNames()
 	}
-	results := make([][]simulator.Result, len(ways))
+	results := make([][]simulator.Result, len(names))
 	var policies []simulator.Policy
-	for i, name := range ways {
-		p, err := policyOf(name, o.Lease)
+	for i, name := range names {
+		p, err := parsePolicy(name, o.Lease)
 		if err != nil {
 			return err
 		}
 		policies = append(policies, p)
-		results[i] = make([]simulator.Result, o.Seeds)
+		results[i] = make([]simulator.Result, o.SeedCount)
 	}
-	bar := progressbar.NewOptions(len(ways)*o.Seeds, progressbar.OptionSetWriter(progress), progressbar.OptionSetDescription("plays"), progressbar.OptionThrottle(time.Second))
+	bar := progressbar.NewOptions(len(names)*o.SeedCount, progressbar.OptionSetWriter(progress), progressbar.OptionSetDescription("plays"), progressbar.OptionThrottle(time.Second))
 	var wg sync.WaitGroup
-	free := make(chan struct{}, min(o.Jobs, runtime.NumCPU()))
-	for i := range ways {
-		for n := range o.Seeds {
+	slots := make(chan struct{}, min(o.Parallel, runtime.NumCPU()))
+	for i := range names {
+		for n := range o.SeedCount {
 			wg.Go(func() {
-				free <- struct{}{}
-				defer func() { <-free }()
-				results[i][n] = simulator.New(simulator.GenerateScenario(o.First+uint64(n), o.Servers), policies[i]).Run()
+				slots <- struct{}{}
+				defer func() { <-slots }()
+				results[i][n] = simulator.New(simulator.GenerateScenario(o.FirstSeed+uint64(n), o.Servers), policies[i]).Run()
 				_ = bar.Add(1)
 			})
 		}
 	}
 	wg.Wait()
 	fmt.Fprintln(progress)
-	return write(out, ways, results)
+	return writeTable(out, names, results)
 }
 
 // columns are the figures of a table, each of one play.
@@ -126,49 +126,49 @@
 }
 
 const (
-	barWidth = 40
-	padding  = 2
+	scoreBarWidth = 40
+	columnPadding = 2
 )
 
-// write prints a row a way: means over the seeds, the spread of the worth, and how
+// writeTable prints a row a way: means over the seeds, the spread of the worth, and how
 // far the worth is from that of the first way, seed by seed.
-func write(out io.Writer, ways []string, results [][]simulator.Result) error {
-	t := tabwriter.NewWriter(out, 0, 0, padding, ' ', tabwriter.AlignRight)
+func writeTable(out io.Writer, names []string, results [][]simulator.Result) error {
+	t := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "way\t")
 	for _, c := range columns {
 		fmt.Fprintf(t, "%s\t", c.name)
 	}
 	fmt.Fprintln(t, "spread\tbeside first\t")
-	for i, name := range ways {
+	for i, name := range names {
 		fmt.Fprintf(t, "%s\t", name)
 		for _, c := range columns {
-			mean, _ := meanOf(results[i], c.of)
+			mean, _ := meanAndDeviation(results[i], c.of)
 			fmt.Fprintf(t, "%.3f\t", mean)
 		}
-		_, spread := meanOf(results[i], simulator.Result.Score)
-		n := -1
-		beside, err := meanOf(results[i], func(r simulator.Result) float64 { n++; return r.Score() - results[0][n].Score() })
-		fmt.Fprintf(t, "%.3f\t%+.4f ± %.4f\t\n", spread, beside, err/math.Sqrt(float64(len(results[i]))))
+		_, spread := meanAndDeviation(results[i], simulator.Result.Score)
+		seed := -1
+		difference, deviation := meanAndDeviation(results[i], func(r simulator.Result) float64 { seed++; return r.Score() - results[0][seed].Score() })
+		fmt.Fprintf(t, "%.3f\t%+.4f ± %.4f\t\n", spread, difference, deviation/math.Sqrt(float64(len(results[i]))))
 	}
-	if err := t.Flush(); err != nil {
-		return err
+	if deviation := t.Flush(); deviation != nil {
+		return deviation
 	}
-	for i, name := range ways {
-		mean, _ := meanOf(results[i], simulator.Result.Score)
-		fmt.Fprintf(out, "%24s %s %.3f\n", name, strings.Repeat("█", int(math.Round(max(mean, 0)*barWidth))), mean)
+	for i, name := range names {
+		mean, _ := meanAndDeviation(results[i], simulator.Result.Score)
+		fmt.Fprintf(out, "%24s %s %.3f\n", name, strings.Repeat("█", int(math.Round(max(mean, 0)*scoreBarWidth))), mean)
 	}
 	return nil
 }
 
-// meanOf returns the mean and the standard deviation of a figure.
-func meanOf(all []simulator.Result, of func(simulator.Result) float64) (mean, deviation float64) {
-	values := make([]float64, len(all))
-	for i, r := range all {
-		values[i] = of(r)
-		mean += values[i] / float64(len(all))
+// meanAndDeviation returns the mean and the standard deviation of a figure.
+func meanAndDeviation(results []simulator.Result, figure func(simulator.Result) float64) (mean, deviation float64) {
+	values := make([]float64, len(results))
+	for i, r := range results {
+		values[i] = figure(r)
+		mean += values[i] / float64(len(results))
 	}
 	for _, v := range values {
-		deviation += (v - mean) * (v - mean) / float64(len(all))
+		deviation += (v - mean) * (v - mean) / float64(len(results))
 	}
 	return mean, math.Sqrt(deviation)
 }
