--- a/internal/load/drive/drive.go
+++ b/internal/load/drive/drive.go
@@ -1,10 +1,10 @@
-// Package drive submits the jobs of a load run at their times, whatever became
-// of earlier ones, and checks every answer.
+// Package drive submits the jobs of a load run at their scheduled times and checks
+// every answer.
 //
-// The loop is open: a job's waits are counted from the time at which it was to
-// arrive and not from when it was sent. A cell, or a load tool, that falls
-// behind would otherwise hide the waits of all who queued up meanwhile
-// (coordinated omission).
+// The loop is open: a job is sent at its arrival time even if earlier jobs are
+// unanswered, and its waits are measured from the arrival time, not from the send
+// time. Measuring from the send time would hide the queueing delay when the cell or
+// the load tool falls behind (coordinated omission).
 package drive
 
 import (
@@ -24,42 +24,45 @@
 )
 
 const (
-	// DefaultTail is how long outcomes are waited for after the last arrival.
+	// DefaultTail is how long the driver waits for outcomes after the last arrival.
 	DefaultTail = 60 * time.Second
-	// ackBatch and ackPause gather acknowledgements.
+	// Acknowledgements are sent in batches of at most ackBatch jobs, at least every
+	// ackInterval.
 	ackBatch    = 500
 	ackInterval = 200 * time.Millisecond
 	ackTimeout  = 10 * time.Second
 )
 
-// JobResult is what became of one job. Times are from the start of the run; 0 when
-// the step never came.
+// JobResult holds the result of one job. Times are relative to the start of the run; 0
+// means that the step did not happen.
 type JobResult struct {
 	Job mix.Job
-	// SentAt is when the request really left.
+	// SentAt is when the submission was sent, which may be later than the arrival.
 	SentAt     time.Duration
 	AcceptedAt time.Duration
 	AnsweredAt time.Duration
 	Outcome    v1.Outcome
 	Code       code.Code
-	// AnswerMatches tells that the answer is the job's own, all of it.
+	// AnswerMatches is true if the complete answer equals the expected one.
 	AnswerMatches bool
-	// AnswerDamaged tells that there was an answer, but not that.
+	// AnswerDamaged is true if the job is done but its answer is incomplete or wrong.
 	AnswerDamaged bool
 }
 
-// Driver runs a plan. Set the fields, then call Run.
+// Driver submits the jobs of a load run. Set the exported fields, then call Run.
 type Driver struct {
 	Client *caller.Client
 	Jobs   []mix.Job
-	// Tail is how long outcomes are waited for after the last arrival.
+	// Tail is how long the driver waits for outcomes after the last arrival.
 	Tail time.Duration
-	// ForeignServers tells that the backend servers are not the tool's own, so that
-	// the content of answers is not known.
+	// ForeignServers is true if the backend servers do not belong to the load tool. The
+	// expected answers are then unknown and not compared.
 	ForeignServers bool
-	// KeepOutcomes leaves outcomes unacknowledged.
+	// KeepOutcomes disables the acknowledgement of outcomes, so that the cell keeps
+	// them.
 	KeepOutcomes bool
-	// Progress is called now and then; nil for none.
+	// Progress is called with the numbers of sent and ended jobs every progressInterval
+	// jobs and at the end. It may be nil.
 	Progress func(sent, ended int)
 
 	start       time.Time
@@ -67,7 +70,7 @@
 	pendingAcks chan string
 }
 
-// Run submits everything and returns what became of it, in the order of the jobs.
+// Run submits all jobs and returns their results in the order of the jobs.
 func (d *Driver) Run(ctx context.Context) []JobResult {
 	if d.Tail <= 0 {
 		d.Tail = DefaultTail
@@ -111,7 +114,7 @@
 
 func (d *Driver) elapsed() time.Duration { return time.Since(d.start) }
 
-// runJob takes a job from its submission to its answer.
+// runJob submits one job and waits for its answer.
 func (d *Driver) runJob(ctx context.Context, result *JobResult) {
 	spec := result.Job.Spec
 	input := work.Input{ID: spec.GetId(), Runtime: result.Job.Runtime, AnswerBytes: result.Job.AnswerBytes}
@@ -136,10 +139,10 @@
 	d.awaitAnswer(ctx, result)
 }
 
-// cancelService cancels a service once it has lived for its time.
+// cancelService cancels a service after its run time.
 func (d *Driver) cancelService(ctx context.Context, result *JobResult) {
 	if link.Sleep(ctx, result.Job.Runtime) {
-		_, _ = d.Client.Cancel(ctx, []string{result.Job.Spec.GetId()}, nil) // the outcome below tells whether it came through
+		_, _ = d.Client.Cancel(ctx, []string{result.Job.Spec.GetId()}, nil) // a failed call shows in the outcome that is collected next
 	}
 }
 
@@ -147,7 +150,7 @@
 	reply, err := d.Client.Wait(ctx, result.Job.Spec.GetId())
 	if err != nil {
 		result.Code = link.Refusal(err).Code
-		// The outcome is known here, but what should be the answer is not whole.
+		// The job is done, but its answer could not be read completely.
 		result.AnswerDamaged = reply.Outcome == v1.Outcome_OUTCOME_DONE
 		result.Outcome = reply.Outcome
 		return
@@ -166,8 +169,8 @@
 	}
 }
 
-// acknowledge lets the cell forget in batches what has been answered, as callers
-// are meant to: the ledger would else grow with the length of the run.
+// acknowledge acknowledges finished jobs in batches, so that the cell can delete their
+// outcomes. Without it the ledger would grow with the length of the run.
 func (d *Driver) acknowledge() {
 	ticker := time.NewTicker(ackInterval)
 	defer ticker.Stop()
@@ -178,7 +181,7 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), ackTimeout)
 		defer cancel()
-		_ = d.Client.Acknowledge(ctx, ids) // what stays unacknowledged ends with its retention
+		_ = d.Client.Acknowledge(ctx, ids) // the cell deletes unacknowledged outcomes after their retention time
 		ids = nil
 	}
 	for {
--- a/internal/load/drive/drive_test.go
+++ b/internal/load/drive/drive_test.go
@@ -22,7 +22,8 @@
 	"gypsumreel/internal/load/work"
 )
 
-// fakeEntry holds every submission until as many as it waits for are there.
+// fakeEntry is an entry that answers no submission until the expected number has
+// arrived.
 type fakeEntry struct {
 	v1.UnimplementedCallerHandler
 	expected     int
@@ -47,7 +48,8 @@
 	return connect.NewResponse(&v1.SubmitReply{Jobs: []*v1.Accepted{{Id: r.Msg.GetJobs()[0].GetId(), Status: &v1.Status{}, Outcome: v1.Outcome_OUTCOME_QUEUED}}}), nil
 }
 
-// Wait answers job-1 with the answer of another.
+// Wait returns the answer of job-0 for job-1, and the right answer for every other
+// job.
 func (e *fakeEntry) Wait(_ context.Context, r *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
 	id := r.Msg.GetId()
 	if id == "job-1" {
@@ -65,10 +67,11 @@
 	return connect.NewResponse(&v1.AcknowledgeReply{}), nil
 }
 
-// The cell answers nothing until every job has been sent. A closed loop would
-// wait for the first answer and never send the rest. One caller then gets the
-// answer of another, whole and with the right checksum, which must be noticed.
-func TestLoopIsOpenAndAnswersAreChecked(t *testing.T) {
+// Guards against a closed loop, which would wait for the first acceptance and never
+// send the other jobs: the entry answers nothing until every job is sent. Also guards
+// against an unnoticed wrong answer: one job gets the complete answer of another, with
+// a valid checksum.
+func TestDriverSendsWithoutWaitingAndChecksAnswers(t *testing.T) {
 	const n = 40
 	e := &fakeEntry{expected: n, allSubmitted: make(chan struct{}), acks: map[string]int{}}
 	mux := http.NewServeMux()
@@ -84,10 +87,10 @@
 	}
 	for i, result := range driver.Run(t.Context()) {
 		if result.AnswerMatches == (i == 1) || result.AnswerDamaged != (i == 1) || result.AnsweredAt < result.AcceptedAt || result.AcceptedAt < result.SentAt {
-			t.Errorf("job %d: %+v", i, result)
+			t.Errorf("job %d: wrong times or answer check: %+v", i, result)
 		}
 	}
 	if diff := cmp.Diff(want, e.acks); diff != "" {
-		t.Error(diff)
+		t.Errorf("acknowledged jobs (-want +got):\n%s", diff)
 	}
 }
--- a/internal/load/history/history.go
+++ b/internal/load/history/history.go
@@ -1,5 +1,5 @@
-// Package history records what clients asked and were told, and checks that
-// there is an order of the operations, one at a time, that explains every answer.
+// Package history records the concurrent operations of clients with their replies and
+// checks that the history is linearizable.
 package history
 
 import (
@@ -13,19 +13,19 @@
 	"gypsumreel/internal/base/code"
 )
 
-// Recorder gathers the operations of many clients.
+// Recorder collects the operations of concurrent clients.
 type Recorder struct {
 	start time.Time
 	mu    sync.Mutex
 	ops   []porcupine.Operation
 }
 
-// NewRecorder returns an empty recorder.
+// NewRecorder returns an empty Recorder.
 func NewRecorder() *Recorder { return &Recorder{start: time.Now()} }
 
-// Record runs an operation of a client and records it with its answer. An answer
-// that is not known may come true at any time after the call, also never: it
-// is recorded as one that is still under way.
+// Record runs an operation of a client and records it with its reply. If the reply is
+// not known, the operation may take effect at any later time or never; it is recorded
+// as still running.
 func (r *Recorder) Record(client int, input any, operation func() (output any, known bool)) {
 	call := time.Since(r.start).Nanoseconds()
 	output, known := operation()
@@ -38,27 +38,28 @@
 	r.ops = append(r.ops, porcupine.Operation{ClientId: client, Input: input, Call: call, Output: output, Return: returned})
 }
 
-// Operations returns what was recorded.
+// Operations returns a copy of the recorded operations.
 func (r *Recorder) Operations() []porcupine.Operation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]porcupine.Operation(nil), r.ops...)
 }
 
-// Linearizable tells whether an order of the operations explains every answer; a
-// check that does not end within limit counts as none.
+// Linearizable reports whether some sequential order of the operations explains every
+// reply. A check that exceeds the timeout counts as false.
 func Linearizable(m porcupine.Model, ops []porcupine.Operation, timeout time.Duration) bool {
 	return porcupine.CheckOperationsTimeout(m, ops, timeout) == porcupine.Ok
 }
 
-// TableChange asks for a weight of the one team from a base revision, under a change id.
+// TableChange sets the weight of the only team. It names the revision it is based on
+// and carries a change id.
 type TableChange struct {
 	ID           string
 	BaseRevision uint64
 	Weight       uint32
 }
 
-// TableChangeReply is the answer to a Change.
+// TableChangeReply is the reply to a TableChange.
 type TableChangeReply struct {
 	Code     code.Code
 	Revision uint64
@@ -67,20 +68,22 @@
 // TableRead reads the table.
 type TableRead struct{}
 
-// TableReadReply is the answer to a Look.
+// TableReadReply is the reply to a TableRead.
 type TableReadReply struct {
 	Revision uint64
 	Weight   uint32
 }
 
-// tableState is a table of one weight, with the answers already given.
+// tableState is the state of the model: the table with its one weight, and the reply
+// given to each change id.
 type tableState struct {
 	current TableReadReply
 	replies map[string]TableChangeReply
 }
 
-// TableModel is the model of the operators' table: a change takes effect when its
-// base is the current revision, and its id is answered alike ever after.
+// TableModel returns the model of the operators' table. A change takes effect if its
+// base is the current revision. Every later change with the same id gets the same
+// reply.
 func TableModel(initial TableReadReply) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return tableState{current: initial} },
@@ -117,20 +120,21 @@
 	return s, reply
 }
 
-// Submit hands in content under a request id.
+// Submit submits content under a request id.
 type Submit struct {
 	ID      string
 	Content string
 }
 
-// Wait asks for the outcome of a request id.
+// Wait waits for the answer to a request id.
 type Wait struct{ ID string }
 
-// WaitReply is what a Wait gives: the content whose answer it is.
+// WaitReply is the reply to a Wait: the content from which the answer was computed.
 type WaitReply struct{ Content string }
 
-// RequestModel is the model of request ids: the first content of an id stands, other
-// content is refused, and the answer is that of the content which stands.
+// RequestModel returns the model of request ids. The first content submitted under an
+// id is accepted, other content is refused, and a Wait returns the answer for the
+// accepted content.
 func RequestModel() porcupine.Model {
 	return porcupine.Model{
 		Partition: partitionByID,
@@ -160,7 +164,8 @@
 	return output == nil || output.(code.Code) == want, accepted
 }
 
-// partitionByID splits a history by request id: ids have nothing to do with each other.
+// partitionByID splits a history by request id. Operations on different ids are
+// independent, which keeps the check fast.
 func partitionByID(ops []porcupine.Operation) [][]porcupine.Operation {
 	index := map[string]int{}
 	var partitions [][]porcupine.Operation
--- a/internal/load/history/history_test.go
+++ b/internal/load/history/history_test.go
@@ -16,8 +16,8 @@
 	return porcupine.Operation{ClientId: client, Call: call, Return: returned, Input: input, Output: output}
 }
 
-// Each wrong history is one that a cell with a certain fault would leave behind:
-// the checker has to reject it, or it proves nothing of the real ones.
+// Guards against a model that accepts wrong histories: each rejected history is one
+// that a cell with a certain fault would produce, such as a stale read.
 func TestTableHistories(t *testing.T) {
 	first := history.TableReadReply{Revision: 1, Weight: 1}
 	a, b := history.TableChange{ID: "a", BaseRevision: 1, Weight: 2}, history.TableChange{ID: "b", BaseRevision: 1, Weight: 3}
@@ -26,16 +26,16 @@
 		ops []porcupine.Operation
 		ok  bool
 	}{
-		"one wins":              {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(1, 0, 5, b, lost), operation(0, 6, 7, history.TableRead{}, history.TableReadReply{Revision: 2, Weight: 2})}, true},
-		"a resend":              {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(0, 6, 9, a, won), operation(1, 10, 11, b, lost)}, true},
-		"an unanswered change":  {[]porcupine.Operation{operation(0, 0, 1<<40, a, nil), operation(1, 5, 6, history.TableRead{}, history.TableReadReply{Revision: 2, Weight: 2})}, true},
-		"both win":              {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(1, 0, 5, b, won)}, false},
-		"a resend is refused":   {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(0, 6, 9, a, lost)}, false},
-		"a stale read":          {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(1, 6, 7, history.TableRead{}, first)}, false},
-		"a change that reverts": {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(1, 6, 7, history.TableRead{}, history.TableReadReply{Revision: 2, Weight: 2}), operation(1, 8, 9, history.TableRead{}, first)}, false},
+		"one of two changes is applied": {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(1, 0, 5, b, lost), operation(0, 6, 7, history.TableRead{}, history.TableReadReply{Revision: 2, Weight: 2})}, true},
+		"a resend":                      {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(0, 6, 9, a, won), operation(1, 10, 11, b, lost)}, true},
+		"an unanswered change":          {[]porcupine.Operation{operation(0, 0, 1<<40, a, nil), operation(1, 5, 6, history.TableRead{}, history.TableReadReply{Revision: 2, Weight: 2})}, true},
+		"both changes are applied":      {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(1, 0, 5, b, won)}, false},
+		"a resend is refused":           {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(0, 6, 9, a, lost)}, false},
+		"a stale read":                  {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(1, 6, 7, history.TableRead{}, first)}, false},
+		"a change that reverts":         {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(1, 6, 7, history.TableRead{}, history.TableReadReply{Revision: 2, Weight: 2}), operation(1, 8, 9, history.TableRead{}, first)}, false},
 	} {
 		if got := history.Linearizable(history.TableModel(first), c.ops, checkTimeout); got != c.ok {
-			t.Errorf("%s: explained is %v", name, got)
+			t.Errorf("%s: Linearizable = %v, want %v", name, got, c.ok)
 		}
 	}
 }
@@ -47,13 +47,13 @@
 		ops []porcupine.Operation
 		ok  bool
 	}{
-		"the first stands":         {[]porcupine.Operation{operation(0, 0, 5, x, code.OK), operation(1, 0, 5, y, code.IDReused), operation(1, 6, 7, wait, history.WaitReply{Content: "x"})}, true},
-		"both are accepted":        {[]porcupine.Operation{operation(0, 0, 5, x, code.OK), operation(1, 0, 5, y, code.OK)}, false},
-		"the accepted one is lost": {[]porcupine.Operation{operation(0, 0, 5, x, code.OK), operation(1, 6, 9, y, code.OK)}, false},
-		"another's answer":         {[]porcupine.Operation{operation(0, 0, 5, x, code.OK), operation(1, 6, 7, wait, history.WaitReply{Content: "y"})}, false},
+		"the first content is accepted": {[]porcupine.Operation{operation(0, 0, 5, x, code.OK), operation(1, 0, 5, y, code.IDReused), operation(1, 6, 7, wait, history.WaitReply{Content: "x"})}, true},
+		"both are accepted":             {[]porcupine.Operation{operation(0, 0, 5, x, code.OK), operation(1, 0, 5, y, code.OK)}, false},
+		"the accepted one is lost":      {[]porcupine.Operation{operation(0, 0, 5, x, code.OK), operation(1, 6, 9, y, code.OK)}, false},
+		"the answer for other content":  {[]porcupine.Operation{operation(0, 0, 5, x, code.OK), operation(1, 6, 7, wait, history.WaitReply{Content: "y"})}, false},
 	} {
 		if got := history.Linearizable(history.RequestModel(), c.ops, checkTimeout); got != c.ok {
-			t.Errorf("%s: explained is %v", name, got)
+			t.Errorf("%s: Linearizable = %v, want %v", name, got, c.ok)
 		}
 	}
 }
--- a/internal/load/measure/change.go
+++ b/internal/load/measure/change.go
@@ -14,8 +14,8 @@
 	"gypsumreel/internal/load/rig"
 )
 
-// delayRow is a row about how fast changes are in force everywhere, in ms from
-// the moment at which the operator asks.
+// delayRow is the output row of a change measurement. The delays run from the
+// operator's request until every process applies the change.
 type delayRow struct {
 	Part  string  `json:"part"`
 	Place string  `json:"place"`
@@ -26,13 +26,14 @@
 }
 
 const (
-	// changesPerKind is how many changes of each sort are made.
+	// changesPerKind is the number of measured changes of each kind.
 	changesPerKind = 60
-	// pollInterval is how often each process is asked meanwhile.
+	// pollInterval is the pause between two polls of a process.
 	pollInterval = 2 * time.Millisecond
 )
 
-// measureChanges measures key withdrawals and table changes until they are in force everywhere.
+// measureChanges measures how long key withdrawals and table changes take until every
+// process applies them.
 func measureChanges(ctx context.Context, b *measurement) error {
 	return b.withServers(ctx, func(ctx context.Context, r *rig.Rig, _ *rig.Fleet, _ string) error {
 		for name, measureOne := range map[string]func(context.Context, *rig.Rig, int) (time.Duration, error){
@@ -56,7 +57,8 @@
 	})
 }
 
-// measureWithdrawal withdraws a key and asks every entry with it until all refuse.
+// measureWithdrawal withdraws a key and polls each entry with it until all entries
+// refuse it.
 func measureWithdrawal(ctx context.Context, r *rig.Rig, i int) (time.Duration, error) {
 	id := fmt.Sprintf("dead-%d", i)
 	token, err := r.GrantKey(ctx, "measured", id)
@@ -84,7 +86,8 @@
 	return time.Since(start), nil
 }
 
-// measureTableChange changes a cell of the table until every process says that it serves it.
+// measureTableChange changes a team's weight and polls each process until all report
+// the new revision.
 func measureTableChange(ctx context.Context, r *rig.Rig, i int) (time.Duration, error) {
 	op := r.OperatorClient()
 	defer op.Link.Close()
--- a/internal/load/measure/fault.go
+++ b/internal/load/measure/fault.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// faultRate is the load under which faults are made, in jobs a second.
+	// faultRate is the load during a fault, in jobs per second.
 	faultRate = 400
-	// faultDelay is when the fault comes.
+	// faultDelay is the time from the start of the load to the fault.
 	faultDelay = 4 * time.Second
 	// pauseDuration is how long a leader is paused.
 	pauseDuration = 10 * time.Second
-	// stopTimeout bounds a planned stop.
+	// stopTimeout limits a graceful shutdown.
 	stopTimeout = 20 * time.Second
 )
 
-// faultCase is one sort of fault, with the length of the load around it.
+// faultCase is one fault to inject, with the duration of the load around it.
 type faultCase struct {
 	name     string
 	duration time.Duration
-	// planned tells that nothing may be cut off.
+	// planned is true if the fault is a graceful restart, which must cut off no call.
 	planned bool
 	inject  func(ctx context.Context, r *rig.Rig) error
 }
@@ -54,7 +54,7 @@
 	{"rolling", 40 * time.Second, true, rollingRestart},
 }
 
-// rollingRestart restarts every process in turn as planned, the leader last.
+// rollingRestart gracefully restarts one process after another, the leader last.
 func rollingRestart(ctx context.Context, r *rig.Rig) error {
 	order := r.EntryNames()
 	lead, _ := r.Leader()
@@ -65,7 +65,7 @@
 	}
 	for _, name := range append(order, lead) {
 		if err := r.Stop(name, stopTimeout); err != nil {
-			return fmt.Errorf("stop of %s: %w", name, err)
+			return fmt.Errorf("stop %s: %w", name, err)
 		}
 		if err := r.Restart(name); err != nil {
 			return err
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// measureFaults measures a cell under load while processes fail or are restarted.
+// measureFaults measures a cell under load during each selected fault.
 func measureFaults(ctx context.Context, b *measurement) error {
 	for _, f := range faultCases {
 		if !strings.Contains(","+b.Faults+",", ","+f.name+",") {
@@ -99,10 +99,10 @@
 	var w sync.WaitGroup
 	var injectErr error
 	var calls rig.CallCounts
-	callContext, stop := context.WithCancel(ctx)
+	callCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	if f.planned {
-		w.Go(func() { r.RunPinnedCallers(callContext, token, &calls) })
+		w.Go(func() { r.RunPinnedCallers(callCtx, token, &calls) })
 	}
 	w.Go(func() {
 		defer stop()
--- a/internal/load/measure/idle.go
+++ b/internal/load/measure/idle.go
@@ -8,19 +8,20 @@
 	"gypsumreel/internal/load/rig"
 )
 
-// idleRow is a row about a cell at rest.
+// idleRow is the output row of an idle cell.
 type idleRow struct {
 	Part    string `json:"part"`
 	Servers int    `json:"servers"`
-	// BytesPerServer is bytes a second between an entry and one idle backend server.
+	// BytesPerServer is the traffic between an entry and one idle backend server, in
+	// bytes per second.
 	BytesPerServer float64   `json:"bytes_per_s_per_server"`
 	Usage          cellUsage `json:"costs"`
 }
 
-// idleTime is how long a cell at rest is measured.
+// idleTime is how long an idle cell is measured.
 const idleTime = 8 * time.Second
 
-// measureIdle measures a cell that has nothing to do.
+// measureIdle measures the resource usage of a cell without jobs.
 func measureIdle(ctx context.Context, b *measurement) error {
 	return b.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
 		row, err := b.runIdle(ctx, r, b.Servers)
--- a/internal/load/measure/flow.go
+++ b/internal/load/measure/load.go
@@ -19,30 +19,32 @@
 )
 
 const (
-	// outcomeTimeout is how long outcomes are waited for after the last arrival.
+	// outcomeTimeout is how long outcomes are awaited after the last arrival.
 	outcomeTimeout = 20 * time.Second
-	// crossings of an urgent request: caller and server each come and go, and
-	// both the acceptance and the answer go to the leader, to a quorum and back.
+	// An urgent request crosses the client link four times: the request and the answer
+	// of the caller, and the order to and the result from the backend server. It crosses
+	// the zone link eight times, because both the acceptance and the answer go to the
+	// leader, from there to a quorum, and back.
 	clientCrossings = 4
 	zoneCrossings   = 8
-	// mean bytes of an answer.
+	// answerBytes is the mean length of an answer.
 	answerBytes = 1000
 )
 
-// loadRow is a row about a cell under load.
+// loadRow is the output row of a cell under load.
 type loadRow struct {
 	Part            string  `json:"part"`
 	Place           string  `json:"place"`
 	Rate            float64 `json:"rate"`
 	TasksPerJob     uint32  `json:"tasks_per_job"`
 	StartsPerSecond float64 `json:"starts_per_s"`
-	// NetworkDelay is the part of the injected delays in an answer's time, in ms.
+	// NetworkDelay is the sum of the injected delays on the path of a request, in ms.
 	NetworkDelay float64 `json:"network_ms"`
-	// MeasuredDelays are the one-way delays as measured beside the load, in ms: zone and
-	// client, median and 99th percentile.
+	// MeasuredDelays holds the one-way delays measured during the load, in ms: median
+	// and 99th percentile of the zone delay, then of the client delay.
 	MeasuredDelays [4]float64 `json:"delayed_ms"`
-	// AddedLatency is a job's time from arrival to answer less its run time and
-	// Network, in ms.
+	// AddedLatency is the time from arrival to answer minus the run time and
+	// NetworkDelay, in ms.
 	AddedLatency report.WaitStats `json:"added"`
 	Start        report.WaitStats `json:"start"`
 	Lag          report.WaitStats `json:"lag"`
@@ -53,12 +55,13 @@
 	Refusals   map[string]int    `json:"refusals"`
 	Usage      cellUsage         `json:"costs"`
 	Fault      string            `json:"fault,omitempty"`
-	// CutOff are the calls without an answer of Pinned ones at single entries.
+	// CutOff counts the calls without an answer among PinnedCalls, the calls of callers
+	// that use one entry each.
 	CutOff      *int64 `json:"cut_off,omitempty"`
 	PinnedCalls int64  `json:"pinned,omitempty"`
 }
 
-// loadSpec is a load of one kind.
+// loadSpec describes a load with jobs of one kind.
 type loadSpec struct {
 	rate         float64
 	duration     time.Duration
@@ -76,7 +79,7 @@
 	}.Jobs()
 }
 
-// runLoad loads a cell with a flow and returns the row and what became of each job.
+// runLoad puts a cell under the load of spec and returns the output row.
 func (b *measurement) runLoad(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, spec loadSpec, prefix string) (loadRow, error) {
 	before, err := takeSample(r)
 	if err != nil {
@@ -88,7 +91,7 @@
 	var delayMeasurements sync.WaitGroup
 	for i, delay := range delays[b.DelaySet] {
 		delayMeasurements.Go(func() {
-			median, p99, _ := r.MeasureDelay(ctx, delay, spec.duration) // a failed one shows as 0
+			median, p99, _ := r.MeasureDelay(ctx, delay, spec.duration) // a failed measurement shows as 0
 			row.MeasuredDelays[2*i], row.MeasuredDelays[2*i+1] = ms(median), ms(p99)
 		})
 	}
@@ -112,14 +115,15 @@
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// addedLatency sums up what the cell adds to run time and network.
+// addedLatency returns the statistics of the time that the cell adds to run time and
+// network delay.
 func addedLatency(results []drive.JobResult, networkDelay time.Duration) report.WaitStats {
 	const digits = 3
 	h := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), digits)
 	for i := range results {
 		if s := &results[i]; s.AnsweredAt > 0 && s.Outcome == v1.Outcome_OUTCOME_DONE {
 			d := s.AnsweredAt - s.Job.ArrivesAt - s.Job.Runtime - networkDelay
-			_ = h.RecordValue(max(1, d.Microseconds())) // below the bound: never fails
+			_ = h.RecordValue(max(1, d.Microseconds())) // cannot fail: the value is below the maximum
 		}
 	}
 	quantile := func(q float64) float64 { return ms(time.Duration(h.ValueAtQuantile(q)) * time.Microsecond) }
@@ -148,7 +152,8 @@
 	return ms(longest)
 }
 
-// startsPerSecond counts the tasks of jobs that ran, over the time to the last answer.
+// startsPerSecond returns the number of tasks of finished jobs divided by the time
+// until the last answer.
 func startsPerSecond(results []drive.JobResult) float64 {
 	var lastAnswer time.Duration
 	n := 0.0
@@ -164,7 +169,7 @@
 	return n / lastAnswer.Seconds()
 }
 
-// withServers runs fn on a fresh cell with its backend servers and a team.
+// withServers runs fn on a new cell with a team and backend servers.
 func (b *measurement) withServers(ctx context.Context, fn func(context.Context, *rig.Rig, *rig.Fleet, string) error) error {
 	return b.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
 		token, err := r.CreateTeam(ctx, "measured")
@@ -180,13 +185,14 @@
 	})
 }
 
-// warmUp lets connections and estimates settle before a measure.
+// warmUp runs a short load before a measurement, so that connections are open and
+// run-time estimates exist.
 func (b *measurement) warmUp(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
 	_, err := b.runLoad(ctx, r, fleet, token, loadSpec{rate: 200, duration: 2 * time.Second, kind: job.Urgent, tasksPerJob: 1, runtime: 20 * time.Millisecond}, "warm-")
 	return err
 }
 
-// measureLatency measures urgent requests.
+// measureLatency measures the latency of urgent requests at each rate.
 func measureLatency(ctx context.Context, b *measurement) error {
 	for _, rate := range b.Rates {
 		err := b.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
@@ -206,11 +212,11 @@
 	return nil
 }
 
-// jobSizes are the sizes of jobs at which the most starts are looked for.
+// jobSizes holds the numbers of tasks per job at which the start rate is measured.
 var jobSizes = []uint32{1, 10}
 
-// measureStarts measures how many tasks a cell starts a second: the rates are those of
-// tasks, and what comes of them is the figure.
+// measureStarts measures how many tasks a cell starts per second. The offered rates
+// count tasks, and the result is the reached rate.
 func measureStarts(ctx context.Context, b *measurement) error {
 	for _, count := range jobSizes {
 		for _, rate := range b.Rates {
--- a/internal/load/measure/main.go
+++ b/internal/load/measure/main.go
@@ -1,8 +1,8 @@
-// Command measure starts a cell of real processes on loopback, measures it and
-// stops it: three control replicas, four entries, and fake backend servers and
-// callers in this process behind relays that add the network's delays.
+// Command measure starts a cell of real processes on loopback, measures it and stops
+// it. The cell has three control replicas and four entries. Fake backend servers and
+// callers run in this process, behind relays that add network delays.
 //
-// It prints one JSON object a row; docs/measures has the figures.
+// Each result is printed as one JSON object per line. docs/measures holds the results.
 package main
 
 import (
@@ -24,39 +24,40 @@
 	"gypsumreel/internal/load/rig"
 )
 
-// options are the command line.
+// options are the command-line options.
 type options struct {
-	Parts     string        `long:"parts" default:"latency,starts,idle,change,faults" description:"which parts: latency, starts, idle, change, faults, slopes"`
-	DelaySet  string        `long:"place" default:"balastas" choice:"balastas" choice:"coralwave" choice:"none" description:"whose delays"`
+	Parts     string        `long:"parts" default:"latency,starts,idle,change,faults" description:"measurements to run: latency, starts, idle, change, faults, slopes"`
+	DelaySet  string        `long:"place" default:"balastas" choice:"balastas" choice:"coralwave" choice:"none" description:"deployment whose network delays are added"`
 	FirstPort int           `long:"port" default:"19000" description:"first of 300 ports on loopback"`
-	Servers   int           `long:"servers" default:"50" description:"backend servers"`
+	Servers   int           `long:"servers" default:"50" description:"number of backend servers"`
 	Slots     int64         `long:"slots" default:"8" description:"slots of each backend server"`
-	Rates     []float64     `long:"rate" default:"1400" description:"starts a second; may be repeated"`
-	Duration  time.Duration `long:"duration" default:"12s" description:"length of each load"`
-	Faults    string        `long:"faults" default:"leader-kill,leader-pause,entry-kill,rolling" description:"which faults"`
-	Slopes    string        `long:"slopes" default:"start,server,memory" description:"which slopes"`
-	Program   string        `long:"program" description:"the gypsumreel program; built when left out"`
-	KeepDir   string        `long:"keep" description:"folder for settings and logs, kept; a temporary one when left out"`
+	Rates     []float64     `long:"rate" default:"1400" description:"starts per second; may be repeated"`
+	Duration  time.Duration `long:"duration" default:"12s" description:"duration of each load"`
+	Faults    string        `long:"faults" default:"leader-kill,leader-pause,entry-kill,rolling" description:"faults to inject"`
+	Slopes    string        `long:"slopes" default:"start,server,memory" description:"slopes to measure"`
+	Program   string        `long:"program" description:"path of the gypsumreel program; built by default"`
+	KeepDir   string        `long:"keep" description:"folder in which settings and logs are kept; a temporary folder by default"`
 }
 
-// delays are one-way delays between zones and from clients, as the two
-// deployments have them.
+// delays holds the one-way delays between zones and between clients and entries, for
+// each value of --place.
 var delays = map[string][2]time.Duration{
 	"balastas":  {1500 * time.Microsecond, 3 * time.Millisecond},
 	"coralwave": {time.Millisecond, time.Millisecond},
 	"none":      {},
 }
 
-// replicas and entries are the processes of the measured cell.
+// The measured cell has this many control replicas and entries.
 const (
 	replicas = 3
 	entries  = 4
-	// serverCPU and memory of a server are so large that its slots bind.
+	// serverCPU, in millicores, and serverMemory, in MiB, are so large that only the
+	// slots limit a server.
 	serverCPU    = 1_000_000
 	serverMemory = 1 << 24
 )
 
-// measurement is one call of the program.
+// measurement is one run of this program.
 type measurement struct {
 	options
 	program string
@@ -96,7 +97,7 @@
 	for _, part := range strings.Split(b.Parts, ",") {
 		fn, ok := measurements[part]
 		if !ok {
-			return fmt.Errorf("part %q is not known", part)
+			return fmt.Errorf("unknown part %q", part)
 		}
 		if err := fn(ctx, b); err != nil {
 			return fmt.Errorf("%s: %w", part, err)
@@ -109,10 +110,11 @@
 	"latency": measureLatency, "starts": measureStarts, "idle": measureIdle, "change": measureChanges, "faults": measureFaults, "slopes": measureSlopes,
 }
 
-// withCell runs fn on a fresh cell.
+// withCell runs fn on a new cell.
 func (b *measurement) withCell(ctx context.Context, entries int, fn func(context.Context, *rig.Rig) error) error {
 	b.cells++
-	// What another run left in the folder is another cell.
+	// Each cell needs an empty folder, because a replica would load the data of an
+	// earlier cell.
 	dir := filepath.Join(b.dir, fmt.Sprintf("run-%d", b.cells))
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return err
@@ -126,38 +128,41 @@
 	return fn(ctx, r)
 }
 
-// serverCapacity is a backend server's capacity.
+// serverCapacity returns the capacity of a backend server with the given slots.
 func serverCapacity(slots int64) *v1.Size {
 	return &v1.Size{Cpu: serverCPU, Memory: serverMemory, Slots: slots}
 }
 
-// printRow prints a row.
+// printRow prints a row as JSON.
 func printRow(row any) error { return json.NewEncoder(os.Stdout).Encode(row) }
 
-// roleUsage is what the processes of one role used in a time, summed over the role.
+// roleUsage is the resource usage of all processes of a role over an interval.
 type roleUsage struct {
-	// CPU is in cores.
+	// CPU is the mean number of used cores.
 	CPU float64 `json:"cores"`
-	// RunnableWait is in threads that were ready to run and had no processor.
+	// RunnableWait is the mean number of threads that were runnable but had no
+	// processor.
 	RunnableWait float64 `json:"waiting_threads"`
-	// Bytes is a second, on the listeners of the role.
+	// Bytes is the traffic on the listeners of the role, in bytes per second.
 	Bytes float64 `json:"bytes_per_s"`
-	// RSS is in MiB, the largest of the role's processes.
+	// RSS is the largest resident memory of a process of the role, in MiB.
 	RSS float64 `json:"rss_mib"`
 }
 
-// cellUsage are those of the roles.
+// cellUsage holds the resource usage of each role.
 type cellUsage struct {
 	Leader   roleUsage `json:"leader"`
 	Follower roleUsage `json:"follower"`
 	Entry    roleUsage `json:"entry"`
-	// BackendBytes is what went between entries and backend servers, bytes a second.
+	// BackendBytes is the traffic between entries and backend servers, in bytes per
+	// second.
 	BackendBytes float64 `json:"backend_bytes_per_s"`
-	// ToolCPU is the cores that this process used: servers, callers and relays.
+	// ToolCPU is the mean number of cores that this process used for its servers,
+	// callers and relays.
 	ToolCPU float64 `json:"tool_cores"`
 }
 
-// usageSample is what had been used at a time.
+// usageSample holds the total resource usage of all processes at one time.
 type usageSample struct {
 	takenAt       time.Time
 	processes     map[string]rig.Usage
@@ -182,7 +187,7 @@
 	return s, err
 }
 
-// usageBetween sums up by role what was used from one sample to another.
+// usageBetween returns the resource usage of each role between two samples.
 func usageBetween(r *rig.Rig, before, after usageSample) cellUsage {
 	var usage cellUsage
 	seconds := after.takenAt.Sub(before.takenAt).Seconds()
--- a/internal/load/measure/slopes.go
+++ b/internal/load/measure/slopes.go
@@ -13,7 +13,7 @@
 	"gypsumreel/internal/load/work"
 )
 
-// Sizes at which the slopes are measured.
+// The slopes are measured at these sizes.
 var (
 	slopeRates        = []float64{50, 200, 800, 1600}
 	slopeServerCounts = []int{0, 50, 100, 200}
@@ -21,23 +21,23 @@
 	slopeFleetSizes   = []int{0, 100, 200, 400}
 )
 
-// point is one measured size and value, slope the line through all of them.
+// point is a measured value at one size.
 type point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
 }
 
-// slope is a fitted line.
+// slope is a straight line fitted to measured points.
 type slope struct {
 	Name string `json:"what"`
 	Unit string `json:"unit"`
-	// Slope is the value that one more of the size costs, At0 that of none.
+	// Slope is the cost of one more unit of size, and Intercept the cost at size 0.
 	Slope     float64 `json:"per"`
 	Intercept float64 `json:"at0"`
 	Points    []point `json:"points"`
 }
 
-// fitLine draws the line with the least squares.
+// fitLine fits a line by least squares.
 func fitLine(name, unit string, points []point) slope {
 	var n, sx, sy, sxx, sxy float64
 	for _, p := range points {
@@ -47,7 +47,8 @@
 	return slope{Name: name, Unit: unit, Slope: slopeValue, Intercept: (sy - slopeValue*sx) / n, Points: points}
 }
 
-// lineSet gathers points under their names and fits them in the order they came.
+// lineSet collects points by name and fits a line for each name, in the order of first
+// use.
 type lineSet struct {
 	names  []string
 	units  map[string]string
@@ -74,13 +75,13 @@
 	return nil
 }
 
-// measureSlopes measures what one more start, server, sync and running task costs.
+// measureSlopes measures the cost of one more start, idle server and running task.
 func measureSlopes(ctx context.Context, b *measurement) error {
 	l := &lineSet{}
 	for _, part := range strings.Split(b.Slopes, ",") {
 		fn, ok := map[string]func(context.Context, *measurement, *lineSet) error{"start": measurePerStart, "server": measurePerServer, "memory": measurePerTask}[part]
 		if !ok {
-			return fmt.Errorf("slope %q is not known", part)
+			return fmt.Errorf("unknown slope %q", part)
 		}
 		if err := fn(ctx, b, l); err != nil {
 			return err
@@ -135,8 +136,8 @@
 	return nil
 }
 
-// measurePerTask measures resident memory, of which the collector keeps a part that is
-// not in use: a slope of it is an upper bound of what a task needs.
+// measurePerTask measures resident memory. The garbage collector keeps some unused
+// memory, so the slope is an upper bound of what a task or server needs.
 func measurePerTask(ctx context.Context, b *measurement, l *lineSet) error {
 	for _, n := range slopeTaskCounts {
 		err := b.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
@@ -184,7 +185,8 @@
 	return err
 }
 
-// startLongTasks submits n tasks that run until the fleet ends and waits until all run.
+// startLongTasks submits n tasks that run for an hour and waits until all have
+// started.
 func startLongTasks(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, n int) error {
 	const perJob, perCall = 10, 50
 	client := r.CallerClient(token)
@@ -213,7 +215,7 @@
 				running += taskRuns.Started
 			}
 			if running < perJob && !link.Sleep(ctx, taskPollInterval) {
-				return fmt.Errorf("%s: %d of %d tasks run", id, running, perJob)
+				return fmt.Errorf("job %s: %d of %d tasks started (limit %s)", id, running, perJob, outcomeTimeout)
 			}
 		}
 	}
--- a/internal/load/mix/mix.go
+++ b/internal/load/mix/mix.go
@@ -1,5 +1,5 @@
-// Package mix makes the jobs of a load run: which kinds, when, how large. The
-// same seed makes the same jobs.
+// Package mix generates the jobs of a load run: their arrival times, kinds and sizes.
+// The same seed generates the same jobs.
 package mix
 
 import (
@@ -14,16 +14,16 @@
 	"gypsumreel/internal/domain/job"
 )
 
-// KindWeights holds the weight of each kind among the arrivals.
+// KindWeights holds the relative weight of each kind among the arrivals.
 type KindWeights map[job.Kind]float64
 
-// Kinds are all kinds in the order of reports.
+// Kinds lists all kinds in the order in which reports print them.
 var Kinds = []job.Kind{job.Urgent, job.Batch, job.Gang, job.Service}
 
-// maxWeight bounds the weight of a kind.
+// maxWeight is the largest weight of a kind that is accepted.
 const maxWeight = 1_000_000
 
-// ParseKindWeights reads weights such as urgent=70,batch=25,gang=4,service=1.
+// ParseKindWeights parses weights such as urgent=70,batch=25,gang=4,service=1.
 func ParseKindWeights(text string) (KindWeights, error) {
 	weights, sum := KindWeights{}, 0.0
 	for _, part := range strings.Split(text, ",") {
@@ -51,7 +51,7 @@
 	return 0, false
 }
 
-// selectKind returns a kind for x from 0 to 1.
+// selectKind maps x, from 0 to 1, to a kind in proportion to the weights.
 func (s KindWeights) selectKind(x float64) job.Kind {
 	sum := 0.0
 	for _, k := range Kinds {
@@ -66,7 +66,8 @@
 	return Kinds[0]
 }
 
-// Shape is the size and mean run time of a kind's tasks.
+// Shape holds the size and the mean run time of the tasks of a kind. CPU is in
+// millicores and Memory in MiB.
 type Shape struct {
 	Count   uint32
 	CPU     int64
@@ -74,8 +75,8 @@
 	Runtime time.Duration
 }
 
-// DefaultShapes are like the work of an order service: quotes, stock runs,
-// plans for whole sections, and a service that stays for a while.
+// DefaultShapes models the work of an order service: urgent tasks are quotes, batch
+// tasks are stock runs, gangs plan whole sections, and services run for a while.
 func DefaultShapes() map[job.Kind]Shape {
 	return map[job.Kind]Shape{
 		job.Urgent:  {Count: 1, CPU: 500, Memory: 256, Runtime: 50 * time.Millisecond},
@@ -85,46 +86,49 @@
 	}
 }
 
-// Plan says what a run submits. Set the fields, then call Jobs.
+// Plan describes the jobs of a load run. Set the fields, then call Jobs.
 type Plan struct {
-	// Rate is the mean number of arrivals a second; they are independent.
+	// Rate is the mean number of arrivals per second. Arrivals are independent of each
+	// other.
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
 	Weights  KindWeights
 	Shapes   map[job.Kind]Shape
-	// OnceFraction is the part of the jobs, 0 to 1, that may run at most once.
+	// OnceFraction is the fraction of the jobs, from 0 to 1, that may run at most once.
 	OnceFraction float64
-	// MeanAnswerBytes is the mean length of a task's answer in bytes.
+	// MeanAnswerBytes is the mean length of a task's answer.
 	MeanAnswerBytes int
-	// Deadline is that of urgent jobs; 0 for none.
+	// Deadline is the deadline of urgent jobs; 0 means none.
 	Deadline time.Duration
-	// IDPrefix begins every id.
+	// IDPrefix is the prefix of every job id.
 	IDPrefix string
 }
 
-// Job is one arrival.
+// Job is one job of a load run.
 type Job struct {
-	// ArrivesAt is when it arrives, from the start of the run.
+	// ArrivesAt is the arrival time, relative to the start of the run.
 	ArrivesAt time.Duration
 	Spec      *v1.Spec
 	Kind      job.Kind
-	// Runtime is how long each task really runs; a service is cancelled then.
+	// Runtime is the real run time of each task. A service is cancelled after it.
 	Runtime time.Duration
-	// AnswerBytes is the length of each task's answer in bytes.
+	// AnswerBytes is the length of each task's answer.
 	AnswerBytes int
 }
 
 const (
-	// maxMeanMultiple bounds a drawn value in multiples of its mean.
+	// maxMeanMultiple limits drawn values to this multiple of their mean.
 	maxMeanMultiple = 5
-	// runtimeErrorSigma is the standard deviation of the logarithm of declared over real run time.
+	// runtimeErrorSigma is the standard deviation of the logarithm of the ratio of
+	// declared to real run time.
 	runtimeErrorSigma = 0.5
-	// rngStream keeps the generator apart from others of the same seed.
+	// rngStream selects the generator's stream, so that other generators with the same
+	// seed draw other values. It spells "load" in ASCII.
 	rngStream = 0x6c6f6164
 )
 
-// Jobs draws all arrivals in the order of their times.
+// Jobs draws all jobs, ordered by arrival time.
 func (p Plan) Jobs() []Job {
 	r := rand.New(rand.NewPCG(p.Seed, rngStream))
 	var jobs []Job
@@ -142,7 +146,7 @@
 	kind := p.Weights.selectKind(r.Float64())
 	shape := p.Shapes[kind]
 	j := Job{ArrivesAt: arrivesAt, Kind: kind, Runtime: drawExponential(r, shape.Runtime), AnswerBytes: int(drawExponential(r, time.Duration(p.MeanAnswerBytes)))}
-	// Declared run times are often far off; the cell has to live with it.
+	// Declared run times are often wrong, and the cell has to tolerate it.
 	declared := float64(j.Runtime.Milliseconds()) * math.Exp(r.NormFloat64()*runtimeErrorSigma)
 	once := r.Float64() < p.OnceFraction && kind != job.Service
 	j.Spec = &v1.Spec{
@@ -156,7 +160,8 @@
 	return j
 }
 
-// drawExponential returns a value with an exponential distribution of the mean given.
+// drawExponential draws a value from an exponential distribution with the given mean,
+// limited to maxMeanMultiple times the mean.
 func drawExponential(r *rand.Rand, mean time.Duration) time.Duration {
 	return time.Duration(min(r.ExpFloat64(), maxMeanMultiple) * float64(mean))
 }
--- a/internal/load/mix/mix_test.go
+++ b/internal/load/mix/mix_test.go
@@ -24,10 +24,10 @@
 	const n = 200
 	a, b, c := newPlan(t, 1).Jobs()[:n], newPlan(t, 1).Jobs()[:n], newPlan(t, 2).Jobs()[:n]
 	if diff := cmp.Diff(a, b, protocmp.Transform()); diff != "" {
-		t.Error(diff)
+		t.Errorf("jobs of the same seed differ:\n%s", diff)
 	}
 	if cmp.Equal(a, c, protocmp.Transform()) {
-		t.Error("another seed makes the same jobs")
+		t.Error("seeds 1 and 2 generate the same jobs")
 	}
 }
 
@@ -40,16 +40,16 @@
 			once++
 		}
 		if ids[j.Spec.GetId()] {
-			t.Errorf("id %s twice", j.Spec.GetId())
+			t.Errorf("two jobs have the id %s", j.Spec.GetId())
 		}
 		ids[j.Spec.GetId()] = true
 		if i > 0 && j.ArrivesAt < jobs[i-1].ArrivesAt {
-			t.Error("out of order")
+			t.Errorf("job %d arrives before job %d", i, i-1)
 		}
 	}
 	assertNear := func(name string, got int, want float64) {
 		if math.Abs(float64(got)-want) > want/10 {
-			t.Errorf("%s: %d, want about %.0f", name, got, want)
+			t.Errorf("%s: got %d, want %.0f within 10%%", name, got, want)
 		}
 	}
 	assertNear("jobs", len(jobs), 10_000)
@@ -58,14 +58,14 @@
 	assertNear("gangs", countByKind[job.Gang], 500)
 	assertNear("at most once", once, 5_000)
 	if countByKind[job.Service] != 0 {
-		t.Error("services without a weight")
+		t.Errorf("%d services, want 0 without a weight", countByKind[job.Service])
 	}
 }
 
 func TestInvalidWeightsAreRejected(t *testing.T) {
 	for _, text := range []string{"", "urgent", "urgent=-1", "urgent=NaN", "urgent=1,urgent=2", "fast=1", "batch=0"} {
 		if got, err := mix.ParseKindWeights(text); err == nil {
-			t.Errorf("%q gives %v", text, got)
+			t.Errorf("ParseKindWeights(%q) = %v, want an error", text, got)
 		}
 	}
 }
--- a/internal/load/report/chart.go
+++ b/internal/load/report/chart.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// barWidth is the length of the longest bar.
+	// barWidth is the length of the longest bar in characters.
 	barWidth = 40
-	// timelineWidth is the number of columns of a course over time.
+	// timelineWidth is the maximum number of columns of a timeline.
 	timelineWidth = 60
 	padding       = 2
 )
 
-// timelineLevels are the heights of a course over time.
+// timelineLevels are the characters of a timeline, from 0 to the maximum.
 var timelineLevels = []rune(" ▁▂▃▄▅▆▇█")
 
-// Write prints the result for a person.
+// Write writes the result as text.
 func (r Result) Write(w io.Writer) error {
 	fmt.Fprintf(w, "revision %s, table %d to %d, seed %d, %.4g jobs/s for %s, %d own backend servers\n",
 		r.Info.Revision, r.Info.TableRevisions[0], r.Info.TableRevisions[1], r.Info.Seed, r.Info.Rate, r.Info.Duration, r.Info.Servers)
@@ -55,7 +55,7 @@
 	}
 }
 
-// waitRow is one wait of a kind by name.
+// waitRow is one row of the table of waits.
 type waitRow struct {
 	name  string
 	waits WaitStats
@@ -81,7 +81,7 @@
 	return t.Flush()
 }
 
-// writeBars draws the wait for a start on a scale of powers of ten.
+// writeBars draws the waits for the answer as bars on a logarithmic scale.
 func (r Result) writeBars(w io.Writer) {
 	fmt.Fprintln(w, "wait until the answer, p50 / p99, logarithmic")
 	maxP99 := 1.0
--- a/internal/load/report/report.go
+++ b/internal/load/report/report.go
@@ -1,4 +1,4 @@
-// Package report sums up a load run: counts, broken promises and waits.
+// Package report summarizes a load run: job counts, violated guarantees and waits.
 package report
 
 import (
@@ -16,28 +16,28 @@
 	"gypsumreel/internal/load/work"
 )
 
-// Result is the outcome of a run; its JSON is what comparisons read.
+// Result is the summary of a load run. Its JSON form is meant for comparing runs.
 type Result struct {
 	Info RunInfo `json:"measured"`
-	// Violations counts what must never happen; all are 0 for a good run.
+	// Violations counts violated guarantees. All are 0 in a correct run.
 	Violations Violations            `json:"promises"`
 	Counts     Counts                `json:"counts"`
 	Kinds      map[string]KindReport `json:"kinds"`
-	// Refusals counts result codes of jobs that were not accepted.
+	// Refusals counts the jobs that were not accepted, by result code.
 	Refusals map[string]int `json:"refusals"`
 	Seconds  []SecondCounts `json:"seconds"`
 }
 
-// RunInfo names what was measured.
+// RunInfo describes the load run and the cell under load.
 type RunInfo struct {
-	// Revision is that of the code of this tool.
+	// Revision is the source revision of the load tool.
 	Revision string `json:"revision"`
-	// TableRevisions is the revision of the cell's table before and after; 0 when no
-	// operator's key was given.
+	// TableRevisions holds the revision of the cell's team table before and after the
+	// run. Both are 0 if no operator's key was given.
 	TableRevisions [2]uint64 `json:"table"`
 	StartedAt      time.Time `json:"began"`
 	Targets        []string  `json:"target"`
-	// SettingsDigests are digests of the settings files named.
+	// SettingsDigests holds the digest of each settings file given on the command line.
 	SettingsDigests map[string]string `json:"settings"`
 	Note            string            `json:"note,omitempty"`
 
@@ -51,28 +51,30 @@
 	Servers      int                `json:"servers"`
 }
 
-// Violations counts broken ones.
+// Violations counts violated guarantees.
 type Violations struct {
-	// LostJobs jobs were accepted and have no outcome at the end of the tail.
+	// LostJobs counts jobs that were accepted but had no outcome at the end of the run.
 	LostJobs int `json:"lost"`
-	// DamagedAnswers answers are not whole or not the job's own.
+	// DamagedAnswers counts answers that were incomplete or belonged to another job.
 	DamagedAnswers int `json:"damaged"`
-	// RepeatedOnceJobs jobs may run at most once and ran more often.
+	// RepeatedOnceJobs counts at-most-once jobs that had a task started more than once.
 	RepeatedOnceJobs int `json:"doubled"`
-	// FalseNotRun refusals said not run of something that ran.
+	// FalseNotRun counts jobs that were reported as not run although a task started.
 	FalseNotRun int `json:"false"`
-	// UnfinishedDone jobs are done without a run to the end of every task.
+	// UnfinishedDone counts jobs that were reported as done although a task did not run
+	// to its end.
 	UnfinishedDone int `json:"unran"`
-	// ServerFaults are what the backend servers saw: a task in two places.
+	// ServerFaults lists the faults that backend servers noticed, such as a task in two
+	// places.
 	ServerFaults []string `json:"faults"`
 }
 
-// None tells whether every promise that was checked held.
+// None reports whether no checked guarantee was violated.
 func (p Violations) None() bool {
 	return p.LostJobs+p.DamagedAnswers+p.RepeatedOnceJobs+p.FalseNotRun+p.UnfinishedDone+len(p.ServerFaults) == 0
 }
 
-// Counts are jobs.
+// Counts holds the numbers of jobs by what became of them.
 type Counts struct {
 	Planned  int `json:"planned"`
 	Sent     int `json:"sent"`
@@ -83,24 +85,25 @@
 	Refused  int `json:"refused"`
 	NotRun   int `json:"notrun"`
 	Unknown  int `json:"unknown"`
-	// Unanswered submissions have no answer; they may or may not be accepted.
+	// Unanswered counts submissions without an answer. They may or may not be accepted.
 	Unanswered int `json:"unanswered"`
-	// RepeatedTasks tasks ran to their end more than once, as they may.
+	// RepeatedTasks counts tasks that ran to their end more than once, which is allowed.
 	RepeatedTasks int `json:"repeated"`
 }
 
-// KindReport holds the waits of a kind of job, from the time of its arrival.
+// KindReport holds the waits of the jobs of one kind, measured from their arrival.
 type KindReport struct {
 	Jobs int `json:"jobs"`
-	// Accept is until the acceptance, Start until the last task began, Answer
-	// until the whole answer; Lag is how late the tool itself sent.
+	// Accept is the wait until the acceptance, Start until the last task began, and
+	// Answer until the complete answer. Lag is the delay with which the load tool sent
+	// the job.
 	Accept WaitStats `json:"accept"`
 	Start  WaitStats `json:"start"`
 	Answer WaitStats `json:"answer"`
 	Lag    WaitStats `json:"lag"`
 }
 
-// WaitStats are percentiles in milliseconds.
+// WaitStats holds statistics of waits in milliseconds.
 type WaitStats struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean"`
@@ -111,20 +114,20 @@
 	Max   float64 `json:"max"`
 }
 
-// SecondCounts is one second of the run.
+// SecondCounts holds the counts of one second of the run.
 type SecondCounts struct {
 	Sent     int `json:"sent"`
 	Answered int `json:"answered"`
 }
 
-// Bounds of the histograms, in microseconds.
+// The histograms record microseconds from minMicros to maxMicros (one hour).
 const (
 	minMicros         = 1
 	maxMicros         = int64(time.Hour / time.Microsecond)
 	significantDigits = 3
 )
 
-// kindHistograms are those of one kind.
+// kindHistograms holds the histograms of one kind of job.
 type kindHistograms struct {
 	jobs                       int
 	accept, start, answer, lag *hdrhistogram.Histogram
@@ -135,8 +138,9 @@
 	return &kindHistograms{accept: newHistogram(), start: newHistogram(), answer: newHistogram(), lag: newHistogram()}
 }
 
+// recordWait records d, limited to the bounds of the histogram.
 func recordWait(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros)) // within the bounds: never fails
+	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros)) // cannot fail: the value is within the bounds
 }
 
 func waitStats(h *hdrhistogram.Histogram) WaitStats {
@@ -151,17 +155,17 @@
 	}
 }
 
-// builder is a report in the making.
+// builder builds a Result from the job results.
 type builder struct {
 	Result
 	start time.Time
-	// runs is nil when the backend servers are not the tool's own.
+	// runs is nil if the backend servers do not belong to the load tool.
 	runs       *work.Record
 	histograms map[job.Kind]*kindHistograms
 }
 
-// Summarize sums a run up. Record is nil when the backend servers are not the tool's
-// own; begin is when the run began.
+// Summarize builds the result of a run that began at start. If the backend servers do
+// not belong to the load tool, runs is nil.
 func Summarize(info RunInfo, start time.Time, results []drive.JobResult, runs *work.Record) Result {
 	s := &builder{start: start, runs: runs, histograms: map[job.Kind]*kindHistograms{}}
 	s.Info, s.Kinds, s.Refusals = info, map[string]KindReport{}, map[string]int{}
@@ -240,11 +244,13 @@
 	}
 }
 
+// noAnswer reports whether the code means that the submission got no answer.
 func noAnswer(c code.Code) bool {
 	return c == code.LeaderTimeout || c == code.NoLeader || c == code.ShuttingDown
 }
 
-// checkRuns holds what the caller was told against what really ran.
+// checkRuns compares the outcome that the caller got with the attempts that really
+// ran.
 func (s *builder) checkRuns(result *drive.JobResult, h *kindHistograms) {
 	if s.runs == nil {
 		return
@@ -281,7 +287,7 @@
 	}
 }
 
-// BuildRevision returns the version-control revision that the program was built from.
+// BuildRevision returns the version-control revision from which the program was built.
 func BuildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/load/report/report_test.go
+++ b/internal/load/report/report_test.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// The cell stands still for ten seconds while a job arrives each second. A tool
-// that counts from when it got round to sending would report short waits; whoever
-// was on the phone waited for up to ten seconds.
+// Guards against coordinated omission: the cell answers nothing for 10 s while one job
+// arrives per second. Waits measured from the send time would look short, although the
+// first caller waited 10 s.
 func TestWaitsAreMeasuredFromArrival(t *testing.T) {
 	var results []drive.JobResult
 	for i := range 10 {
@@ -36,7 +36,7 @@
 	}
 	k := report.Summarize(report.RunInfo{}, time.Time{}, results, nil).Kinds["urgent"]
 	if k.Accept.Max < 9990 || k.Accept.P50 < 4990 || k.Lag.Max < 9980 {
-		t.Errorf("accept %+v, lag %+v", k.Accept, k.Lag)
+		t.Errorf("waits do not start at the arrival: accept %+v, lag %+v", k.Accept, k.Lag)
 	}
 }
 
@@ -55,8 +55,8 @@
 	}
 }
 
-// Each broken promise is found by holding what callers were told against what
-// the backend servers ran.
+// Guards against violations that go unnoticed: the outcomes that callers got are
+// compared with the attempts that the backend servers ran.
 func TestViolationsAreCounted(t *testing.T) {
 	const second = time.Second
 	r := &work.Record{}
@@ -83,14 +83,14 @@
 		got := report.Summarize(report.RunInfo{}, time.Now(), []drive.JobResult{c.one}, r)
 		c.want.ServerFaults = []string{}
 		if diff := cmp.Diff(c.want, got.Violations); diff != "" {
-			t.Errorf("%s: %s", name, diff)
+			t.Errorf("%s: violations (-want +got):\n%s", name, diff)
 		}
 		if none := got.Violations.None(); none != cmp.Equal(c.want, report.Violations{ServerFaults: []string{}}) {
-			t.Errorf("%s: kept %v", name, none)
+			t.Errorf("%s: None() = %v", name, none)
 		}
 		var b strings.Builder
 		if err := got.Write(&b); err != nil || !strings.Contains(b.String(), "promises: ") {
-			t.Errorf("%s: %v\n%s", name, err, b.String())
+			t.Errorf("%s: Write: %v, output:\n%s", name, err, b.String())
 		}
 	}
 }
--- a/internal/load/rig/delay.go
+++ b/internal/load/rig/delay.go
@@ -10,8 +10,9 @@
 	"gypsumreel/internal/fake/relay"
 )
 
-// MeasureDelay measures what the relays' delays really are: the median and the 99th
-// percentile of half a round trip of one byte through a relay, over a time.
+// MeasureDelay measures the one-way delay that a relay really adds. It returns the
+// median and the 99th percentile of half the round-trip time of one byte, measured for
+// the given duration.
 func (r *Rig) MeasureDelay(ctx context.Context, delay, duration time.Duration) (median, p99 time.Duration, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -22,7 +23,7 @@
 	defer func() { _ = echo.Close() }()
 	go func() {
 		if c, err := echo.Accept(); err == nil {
-			_, _ = io.Copy(c, c) // ends with the connection
+			_, _ = io.Copy(c, c) // ends when the connection closes
 		}
 	}()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,7 +35,7 @@
 	}}
 	proxy.Delay(relay.Up, delay)
 	proxy.Delay(relay.Down, delay)
-	go func() { _ = proxy.Run(ctx) }() // ends with ctx, which is its only error
+	go func() { _ = proxy.Run(ctx) }() // ends with ctx, which causes its only error
 	c, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		return 0, 0, err
@@ -57,5 +58,5 @@
 	return delays[len(delays)/2], delays[len(delays)*99/100], nil
 }
 
-// echoInterval is kept between two bytes.
+// echoInterval is the pause between two bytes.
 const echoInterval = 20 * time.Millisecond
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -17,21 +17,22 @@
 	"gypsumreel/internal/load/work"
 )
 
-// Racks and zones of the fake backend servers.
+// The fake backend servers are spread over racks and availability zones.
 const (
 	serversPerRack = 8
 	zoneCount      = 3
 )
 
-// unlimited is a limit or a queue that binds nothing.
+// unlimited is the value of a limit that does not apply.
 const unlimited = -1
 
-// maxQueue is the longest queue that the team of a run may have.
+// maxQueue is the maximum queue length of a team that CreateTeam makes.
 const maxQueue = 1_000_000
 
-// Fleet is a number of fake backend servers in this process.
+// Fleet is a group of fake backend servers that run in this process.
 type Fleet struct {
-	// TaskRuns is what the load's tasks did, Seen what broke a promise.
+	// TaskRuns records the attempts of each task. ServerRecord counts the starts and
+	// records the faults that the servers notice.
 	TaskRuns     *work.Record
 	ServerRecord *server.Record
 
@@ -39,7 +40,8 @@
 	cancel  context.CancelFunc
 }
 
-// StartFleet starts n backend servers and returns once the cell counts all as ready.
+// StartFleet starts n backend servers and waits until the cell reports all of them as
+// ready.
 func (r *Rig) StartFleet(ctx context.Context, n int, capacity *v1.Size) (*Fleet, error) {
 	f := &Fleet{TaskRuns: &work.Record{}, ServerRecord: &server.Record{}}
 	running, cancel := context.WithCancel(ctx)
@@ -53,7 +55,7 @@
 			s.Entries = append(s.Entries, server.NewEntry(address, nil, nil))
 		}
 		f.servers = append(f.servers, s)
-		go func() { _ = s.Run(running) }() // ends with the fleet, which is its only error
+		go func() { _ = s.Run(running) }() // ends with the fleet, which causes its only error
 	}
 	if err := r.waitServersReady(ctx, n); err != nil {
 		f.Close()
@@ -62,7 +64,7 @@
 	return f, nil
 }
 
-// Close ends the backend servers at once.
+// Close stops the backend servers without a graceful shutdown.
 func (f *Fleet) Close() {
 	f.cancel()
 	for _, s := range f.servers {
@@ -70,7 +72,7 @@
 	}
 }
 
-// waitServersReady waits until n servers are ready.
+// waitServersReady waits until the cell reports n servers as ready.
 func (r *Rig) waitServersReady(ctx context.Context, n int) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -87,23 +89,23 @@
 			return nil
 		}
 		if !link.Sleep(ctx, pollInterval) {
-			return errors.Newf("%d of %d servers are ready: %v", ready, n, err)
+			return errors.Newf("%d of %d backend servers are ready (limit %s): %v", ready, n, startTimeout, err)
 		}
 	}
 	return nil
 }
 
-// OperatorClient returns a client with the first operator's key.
+// OperatorClient returns a client that uses the first operator's key.
 func (r *Rig) OperatorClient() *operator.Client {
 	return &operator.Client{Link: &link.Link{Addresses: r.OperatorURLs(), Key: r.OperatorKey}}
 }
 
-// CallerClient returns a client with a team's key.
+// CallerClient returns a client that uses the given team key.
 func (r *Rig) CallerClient(token string) *caller.Client {
 	return &caller.Client{Link: &link.Link{Addresses: r.CallerURLs(), Key: token, Shared: true}}
 }
 
-// CreateTeam makes a team without limits and returns its key.
+// CreateTeam creates a team without limits and returns its key.
 func (r *Rig) CreateTeam(ctx context.Context, team string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -125,7 +127,7 @@
 	return r.GrantKey(ctx, team, "key-"+team)
 }
 
-// GrantKey grants a team a key and returns it as it is presented.
+// GrantKey grants a new key to a team and returns the token that callers present.
 func (r *Rig) GrantKey(ctx context.Context, team, id string) (string, error) {
 	secret := key.NewSecret()
 	d := key.Digest(secret)
@@ -135,5 +137,6 @@
 	return id + "." + secret, err
 }
 
-// SettleTime is how long a cell is left alone before it is measured at rest.
+// SettleTime is the pause before an idle cell is measured, so that its start no longer
+// shows.
 const SettleTime = 2 * time.Second
--- a/internal/load/rig/cut.go
+++ b/internal/load/rig/pinned.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	// callersPerEntry is how many callers stay at each entry.
+	// callersPerEntry is the number of pinned callers of each entry.
 	callersPerEntry = 4
-	// callPause is kept between two calls of such a caller.
+	// callPause is the pause of a pinned caller between two calls.
 	callPause = 20 * time.Millisecond
 )
 
-// CallCounts counts calls at single entries.
+// CallCounts counts the calls of pinned callers.
 type CallCounts struct {
 	Made atomic.Int64
-	// CutOff are those that ended without any answer of the entry.
+	// CutOff counts the calls that ended without an answer from the entry.
 	CutOff atomic.Int64
 }
 
-// RunPinnedCallers keeps callers at each entry until ctx ends. They act as behind a balancer:
-// they begin calls while the entry's readiness probe succeeds, and retry nothing.
+// RunPinnedCallers calls each entry directly until ctx ends. The callers behave as if
+// behind a load balancer: they call an entry only while its readiness probe succeeds,
+// and they never retry.
 func (r *Rig) RunPinnedCallers(ctx context.Context, token string, counts *CallCounts) {
 	var w sync.WaitGroup
 	for _, name := range r.EntryNames() {
@@ -45,8 +46,8 @@
 	w.Wait()
 }
 
-// callEntry makes one call over a connection of its own. The call outlives ctx, so
-// that the end of the measure cuts none.
+// callEntry makes one call over a new connection. The call ignores the cancellation of
+// ctx, so that the end of the measurement cuts off no call.
 func callEntry(ctx context.Context, address, token string, counts *CallCounts) {
 	l := &link.Link{Addresses: []string{address}, Key: token}
 	defer l.Close()
--- a/internal/load/rig/process.go
+++ b/internal/load/rig/process.go
@@ -16,20 +16,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// process is one run of a daemon.
+// process is one started process of the cell.
 type process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
 	err  error
 }
 
-// ticksPerSecond is the number of processor ticks a second in /proc, fixed by Linux's ABI.
+// ticksPerSecond is the number of processor ticks per second in /proc. Linux's ABI
+// fixes it at 100.
 const ticksPerSecond = 100
 
-// probeTimeout bounds a probe; a frozen process answers none.
+// probeTimeout limits a probe, because a paused process does not answer.
 const probeTimeout = 200 * time.Millisecond
 
-// launch starts a process; found is for the first start of a replica.
+// launch starts a process. With initialize, a control replica creates a new cell.
 func (r *Rig) launch(name string, initialize bool) error {
 	control := strings.HasPrefix(name, "control")
 	if err := r.writeSettings(name, control); err != nil {
@@ -49,7 +50,7 @@
 	defer func() { _ = log.Close() }()
 	p := &process{cmd: exec.Command(r.Program, args...), done: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	// What the rig's own end leaves behind must not go on.
+	// Linux kills the child when this process dies, so that no process is left over.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		return err
@@ -70,7 +71,7 @@
 	return r.processes[name]
 }
 
-// Running tells whether the process has not ended.
+// Running reports whether the process was started and has not ended.
 func (r *Rig) Running(name string) bool {
 	p := r.process(name)
 	if p == nil {
@@ -86,27 +87,27 @@
 
 func (r *Rig) signal(name string, s os.Signal) {
 	if p := r.process(name); p != nil {
-		_ = p.cmd.Process.Signal(s) // fails only when it has ended
+		_ = p.cmd.Process.Signal(s) // fails only if the process has ended
 	}
 }
 
-// Kill ends a process at once, as a crash does.
+// Kill kills a process with SIGKILL, as in a crash, and waits for its end.
 func (r *Rig) Kill(name string) {
 	p := r.process(name)
 	if p == nil {
 		return
 	}
-	_ = p.cmd.Process.Kill() // fails only when it has ended
+	_ = p.cmd.Process.Kill() // fails only if the process has ended
 	<-p.done
 }
 
-// Pause freezes a process, Resume lets it go on.
+// Pause suspends a process with SIGSTOP.
 func (r *Rig) Pause(name string) { r.signal(name, syscall.SIGSTOP) }
 
-// Resume lets a frozen process go on.
+// Resume continues a paused process.
 func (r *Rig) Resume(name string) { r.signal(name, syscall.SIGCONT) }
 
-// Stop ends a process as planned and returns how it ended.
+// Stop shuts a process down gracefully with SIGTERM and returns its exit error.
 func (r *Rig) Stop(name string, limit time.Duration) error {
 	r.signal(name, syscall.SIGTERM)
 	p := r.process(name)
@@ -114,14 +115,14 @@
 	case <-p.done:
 		return p.err
 	case <-time.After(limit):
-		return errors.Newf("%s did not stop within %s", name, limit)
+		return errors.Newf("%s did not shut down within %s", name, limit)
 	}
 }
 
-// Restart starts a process again that has ended.
+// Restart starts an ended process again.
 func (r *Rig) Restart(name string) error { return r.launch(name, false) }
 
-// Ready tells whether the process's readiness probe succeeds.
+// Ready reports whether the readiness probe of the process succeeds.
 func (r *Rig) Ready(name string) bool {
 	_, ok := r.probe(name, "/readyz")
 	return ok
@@ -138,7 +139,7 @@
 	return b, err == nil && res.StatusCode == http.StatusOK
 }
 
-// Leader returns the replica that says that it leads, in the highest term.
+// Leader returns the control replica that reports leadership in the highest term.
 func (r *Rig) Leader() (string, bool) {
 	leader, term := "", -1.0
 	for _, name := range r.ControlNames() {
@@ -153,7 +154,8 @@
 	return leader, leader != ""
 }
 
-// TableRevision returns the table's revision that a process says it serves; 0 without an answer.
+// TableRevision returns the table revision that a process reports in its metrics; 0 if
+// it does not answer.
 func (r *Rig) TableRevision(name string) uint64 {
 	b, _ := r.probe(name, "/metrics")
 	if strings.HasPrefix(name, "entry") {
@@ -162,7 +164,8 @@
 	return uint64(max(0, metricValue(b, "control_revision")))
 }
 
-// metricValue returns the value of the metric whose name ends so; -1 for none.
+// metricValue returns the value of the metric whose name ends in suffix; -1 if there
+// is none.
 func metricValue(text []byte, suffix string) float64 {
 	for line := range bytes.Lines(text) {
 		name, value, _ := strings.Cut(strings.TrimSpace(string(line)), " ")
@@ -175,29 +178,30 @@
 	return -1
 }
 
-// Usage is what a process has used.
+// Usage holds the resources that a process has used.
 type Usage struct {
-	// CPU is processor time of user and system since its start.
+	// CPU is the user and system time since the start of the process.
 	CPU time.Duration
-	// RunnableWait is the time that its threads were ready to run and no processor was
-	// free; that of threads which have ended is not in it.
+	// RunnableWait is the total time that its threads were runnable but had no
+	// processor. Threads that have ended are not included.
 	RunnableWait time.Duration
-	// RSS is its resident memory in bytes.
+	// RSS is the resident memory in bytes.
 	RSS int64
 }
 
-// ProcessUsage reads what a process has used from /proc.
+// ProcessUsage returns the resource usage of a process of the cell.
 func (r *Rig) ProcessUsage(name string) (Usage, error) {
 	return UsageOf(r.process(name).cmd.Process.Pid)
 }
 
-// UsageOf reads what a process has used from /proc.
+// UsageOf reads the resource usage of a process from /proc.
 func UsageOf(pid int) (Usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return Usage{}, err
 	}
-	// The fields after the name in parentheses: 12 and 13 are user and system ticks, 22 resident pages.
+	// Of the fields after the name in parentheses, the 12th and 13th are user and system
+	// ticks, and the 22nd is resident pages.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	const user, system, resident = 11, 12, 21
 	number := func(i int) int64 { n, _ := strconv.ParseInt(fields[i], 10, 64); return n }
@@ -208,9 +212,10 @@
 	}, nil
 }
 
-// runnableWait sums up the threads' waits for a processor.
+// runnableWait returns the total time that the process's threads waited for a
+// processor.
 func runnableWait(pid int) time.Duration {
-	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is well formed
+	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is valid
 	var sum time.Duration
 	for _, path := range paths {
 		var ran, wait int64
--- a/internal/load/rig/process_test.go
+++ b/internal/load/rig/process_test.go
@@ -30,7 +30,7 @@
 	os.Exit(buildAndRun(m))
 }
 
-// buildAndRun builds the program once for all tests.
+// buildAndRun builds the program once and runs all tests.
 func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "rig-")
 	if err != nil {
@@ -44,15 +44,15 @@
 	return m.Run()
 }
 
-// startCell runs a cell with a team and a few backend servers.
+// startCell starts a cell with one team and the given number of backend servers.
 func startCell(t *testing.T, servers int) (*rig.Rig, *rig.Fleet, string) {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("real processes")
+		t.Skip("starts real processes")
 	}
 	const first, last, step = 19300, 19900, 150
 	var r *rig.Rig
-	err := fmt.Errorf("no ports")
+	err := fmt.Errorf("no free ports from %d to %d", first, last)
 	for port := first; err != nil && port < last; port += step {
 		r = &rig.Rig{Program: program, Dir: t.TempDir(), FirstPort: port, Replicas: 3, Entries: 2}
 		if err = r.Start(t.Context()); err != nil {
@@ -76,7 +76,7 @@
 	return r, fleet, token
 }
 
-// waitLeader waits until a replica leads.
+// waitLeader waits until a replica leads and returns its name.
 func waitLeader(t *testing.T, r *rig.Rig) string {
 	t.Helper()
 	if err := r.WaitReady(t.Context()); err != nil {
@@ -86,22 +86,22 @@
 	return name
 }
 
-// waitStarted waits until the servers have started so many tasks.
+// waitStarted waits until the servers have started n tasks.
 func waitStarted(t *testing.T, fleet *rig.Fleet, n int) {
 	t.Helper()
 	const timeout = 30 * time.Second
 	for end := time.Now().Add(timeout); fleet.ServerRecord.Total() < n; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d of %d starts after %s", fleet.ServerRecord.Total(), n, timeout)
+			t.Fatalf("%d of %d tasks started within %s", fleet.ServerRecord.Total(), n, timeout)
 		}
 	}
 }
 
-// Callers submit without a pause, some of it work that may run only once. The
-// leader is killed, comes back, its successor is frozen past its lease on the
-// lead and goes on, and an entry is stopped as planned and started again. Every
-// caller still gets its own whole answer, nothing that runs once runs twice, and
-// callers that stay at one entry until its probe fails lose no call.
+// Guards the guarantees to callers against failures of processes: the leader is killed
+// and restarted, its successor is paused beyond its lease, and an entry is restarted
+// gracefully, all under load. Every caller has to get its own complete answer, no
+// at-most-once task may run twice, and callers that follow an entry's readiness probe
+// may lose no call.
 func TestGuaranteesHoldDuringProcessFailures(t *testing.T) {
 	r, fleet, token := startCell(t, 6)
 	jobs := mix.Plan{
@@ -115,7 +115,7 @@
 	startedAt := time.Now()
 	w.Go(func() { results = driver.Run(t.Context()) })
 	var calls rig.CallCounts
-	callContext, stopCalls := context.WithCancel(t.Context())
+	callCtx, stopCalls := context.WithCancel(t.Context())
 	defer stopCalls()
 
 	eighth := len(jobs) / 8
@@ -130,10 +130,10 @@
 	r.Pause(secondLeader)
 	waitStarted(t, fleet, 4*eighth)
 	r.Resume(secondLeader)
-	w.Go(func() { r.RunPinnedCallers(callContext, token, &calls) })
+	w.Go(func() { r.RunPinnedCallers(callCtx, token, &calls) })
 	waitStarted(t, fleet, 5*eighth)
 	if err := r.Stop("entry-1", 30*time.Second); err != nil {
-		t.Errorf("planned stop: %v", err)
+		t.Errorf("graceful stop of entry-1: %v", err)
 	}
 	if err := r.Restart("entry-1"); err != nil {
 		t.Fatal(err)
@@ -144,17 +144,17 @@
 
 	summary := report.Summarize(report.RunInfo{}, startedAt, results, fleet.TaskRuns)
 	if faults := fleet.ServerRecord.Faults(); !summary.Violations.None() || len(faults) > 0 {
-		t.Errorf("promises %+v, servers saw %v", summary.Violations, faults)
+		t.Errorf("violated guarantees: %+v, faults noticed by servers: %v", summary.Violations, faults)
 	}
 	if summary.Counts.Accepted == 0 || calls.Made.Load() == 0 {
-		t.Errorf("nothing was tested: %+v, %d calls", summary.Counts, calls.Made.Load())
+		t.Errorf("no job was accepted or no call was made: %+v, %d calls", summary.Counts, calls.Made.Load())
 	}
 	if calls.CutOff.Load() > 0 {
-		t.Errorf("%d of %d calls were cut off by a planned stop", calls.CutOff.Load(), calls.Made.Load())
+		t.Errorf("%d of %d calls were cut off by a graceful stop", calls.CutOff.Load(), calls.Made.Load())
 	}
 }
 
-// milestones counts operations and lets the test act after each share of them.
+// milestones counts operations and closes one channel after each equal part of them.
 type milestones struct {
 	operations atomic.Int64
 	reached    []chan struct{}
@@ -182,8 +182,8 @@
 	checkTimeout        = 60 * time.Second
 )
 
-// runDuringFailures runs each client's operations while the leader is killed and
-// brought back and its successor is frozen and goes on.
+// runDuringFailures runs the operations of all clients while the leader is killed and
+// restarted and its successor is paused and resumed.
 func runDuringFailures(t *testing.T, r *rig.Rig, operation func(client, i int)) {
 	t.Helper()
 	m := newMilestones(clients*operationsPerClient, 6)
@@ -211,10 +211,9 @@
 	w.Wait()
 }
 
-// Operators race for the table from the bases that they see, each sends every
-// change twice under its change id, and others read, while leaders fail. If an
-// old leader answered from its own state, or a resend counted anew, no order of
-// the operations explains the answers.
+// Guards against a deposed leader that answers from its own state and against a resent
+// change that is applied twice. Operators read the table and change it concurrently,
+// each sending every change twice with the same change id, while leaders fail.
 func TestTableIsLinearizable(t *testing.T) {
 	r, _, _ := startCell(t, 0)
 	op := r.OperatorClient()
@@ -227,7 +226,7 @@
 	}
 	initial, ok := readTable(t.Context())
 	if !ok {
-		t.Fatal("the table cannot be read")
+		t.Fatal("cannot read the table before the test")
 	}
 	recorder := history.NewRecorder()
 	runDuringFailures(t, r, func(client, i int) {
@@ -255,9 +254,10 @@
 	})
 	ops := recorder.Operations()
 	if !history.Linearizable(history.TableModel(initial), ops, checkTimeout) {
-		t.Errorf("no order explains the %d operations", len(ops))
+		t.Errorf("history of %d operations is not linearizable", len(ops))
 	}
-	// The same history with one read that never was: the check can fail.
+	// A history with one wrong read has to be rejected, which shows that the check can
+	// fail.
 	for i := range ops {
 		if read, ok := ops[i].Output.(history.TableReadReply); ok {
 			read.Weight++
@@ -266,23 +266,24 @@
 		}
 	}
 	if history.Linearizable(history.TableModel(initial), ops, checkTimeout) {
-		t.Error("a wrong read is explained")
+		t.Error("history with a wrong read is accepted as linearizable")
 	}
 }
 
-// Two callers use the same request id for different work at once, at any entry,
-// while leaders fail. One content stands, the other is refused, and whoever waits
-// gets the answer of the one that stands.
+// Guards against request ids that are accepted twice: pairs of callers submit
+// different content under the same id at any entry while leaders fail. One content has
+// to be accepted, the other refused, and every waiting caller has to get the answer
+// for the accepted content.
 func TestRequestIDsAreLinearizable(t *testing.T) {
 	r, _, token := startCell(t, 4)
-	callers := r.CallerClient(token)
+	callerClient := r.CallerClient(token)
 	recorder := history.NewRecorder()
 	runDuringFailures(t, r, func(client, i int) {
 		ctx, cancel := context.WithTimeout(t.Context(), clientTimeout)
 		defer cancel()
 		submission := history.Submit{ID: fmt.Sprintf("id-%d-%d", client/2, i), Content: fmt.Sprintf("content-%d", client%2)}
 		recorder.Record(client, submission, func() (any, bool) {
-			got, err := callers.Submit(ctx, []*v1.Spec{newSpec(submission)}, false)
+			got, err := callerClient.Submit(ctx, []*v1.Spec{newSpec(submission)}, false)
 			if err != nil {
 				return nil, false
 			}
@@ -290,7 +291,7 @@
 			return resultCode, resultCode == code.OK || resultCode == code.IDReused
 		})
 		recorder.Record(client, history.Wait{ID: submission.ID}, func() (any, bool) {
-			got, err := callers.Wait(ctx, submission.ID)
+			got, err := callerClient.Wait(ctx, submission.ID)
 			if err != nil || got.Outcome != v1.Outcome_OUTCOME_DONE {
 				return nil, false
 			}
@@ -299,7 +300,7 @@
 	})
 	ops := recorder.Operations()
 	if !history.Linearizable(history.RequestModel(), ops, checkTimeout) {
-		t.Errorf("no order explains the %d operations", len(ops))
+		t.Errorf("history of %d operations is not linearizable", len(ops))
 	}
 	answered := false
 	for i := range ops {
@@ -310,7 +311,7 @@
 		}
 	}
 	if !answered || history.Linearizable(history.RequestModel(), ops, checkTimeout) {
-		t.Errorf("answered is %v, and a wrong answer is explained", answered)
+		t.Errorf("history with a wrong answer is accepted as linearizable, or no answer was recorded (answered = %v)", answered)
 	}
 }
 
@@ -323,7 +324,7 @@
 	}
 }
 
-// contentOf tells whose answer it is.
+// contentOf returns the content from which the answer was computed.
 func contentOf(result caller.Result) string {
 	for _, content := range []string{"content-0", "content-1"} {
 		if string(work.TaskAnswer(content, 0, answerBytes)) == string(result.Data) {
--- a/internal/load/rig/rig.go
+++ b/internal/load/rig/rig.go
@@ -1,6 +1,6 @@
-// Package rig runs a whole cell as real processes on loopback, behind relays
-// that hold every byte for the network's one-way delays, and reads what each
-// process costs.
+// Package rig runs a cell as real processes on loopback. Relays between the processes
+// add one-way network delays. The package also reads the resource usage of each
+// process.
 package rig
 
 import (
@@ -21,7 +21,8 @@
 	"gypsumreel/internal/fake/relay"
 )
 
-// Ports of a process, counted from its first one.
+// A process has ten ports. The offsets select a port by its use; relayOffset is added
+// for the relay in front of it.
 const (
 	portsPerProcess = 10
 	entryPortOffset = 100
@@ -37,25 +38,26 @@
 // operatorKeyID is the id of the first operator's key.
 const operatorKeyID = "operator"
 
-// Rig is a cell of processes. Set the exported fields, then call Start.
+// Rig is a cell of real processes. Set the exported fields, then call Start.
 type Rig struct {
 	// Program is the path of the gypsumreel program.
 	Program string
-	// Dir holds settings, data and logs.
+	// Dir holds the settings, data and log files.
 	Dir string
-	// FirstPort is the first of 300 ports on loopback.
+	// FirstPort is the first of 300 consecutive ports on loopback.
 	FirstPort int
-	// Replicas and Entries are numbers of processes.
+	// Replicas is the number of control replicas and Entries the number of entries.
 	Replicas int
 	Entries  int
-	// ZoneDelay and Client are the one-way delays between processes of the cell, and
-	// from callers and backend servers to entries.
+	// ZoneDelay is the one-way delay between processes of the cell. ClientDelay is the
+	// one-way delay between entries and callers, backend servers or operators.
 	ZoneDelay   time.Duration
 	ClientDelay time.Duration
-	// DrainTime is how long a stopping entry serves on; 0 for one second.
+	// DrainTime is how long a stopping entry continues to serve; 0 means one second.
 	DrainTime time.Duration
 
-	// OperatorKey is the first operator's key, Enrolment the secret of backend servers.
+	// OperatorKey is the first operator's key. EnrolmentSecret is the secret with which
+	// backend servers enroll.
 	OperatorKey     string
 	EnrolmentSecret string
 
@@ -67,7 +69,7 @@
 	ctx            context.Context
 }
 
-// Start founds the cell and returns once a replica leads and every entry is ready.
+// Start starts a new cell and waits until a replica leads and every entry is ready.
 func (r *Rig) Start(ctx context.Context) error {
 	r.ctx, r.cancel = context.WithCancel(ctx)
 	r.operatorSecret, r.EnrolmentSecret = key.NewSecret(), key.NewSecret()
@@ -95,8 +97,8 @@
 	return r.waitOperatorKey(ctx)
 }
 
-// waitOperatorKey waits until the operator's key counts: the first leader grants it only
-// after it was elected.
+// waitOperatorKey waits until the operator's key is accepted. The first leader grants
+// the key only after its election.
 func (r *Rig) waitOperatorKey(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -108,12 +110,12 @@
 			return nil
 		}
 		if !link.Sleep(ctx, pollInterval) {
-			return errors.Wrap(err, "the operator's key")
+			return errors.Wrapf(err, "operator's key not accepted (limit %s)", startTimeout)
 		}
 	}
 }
 
-// WaitReady waits until a replica leads and every process that runs is ready.
+// WaitReady waits until a replica leads and every running process is ready.
 func (r *Rig) WaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -123,7 +125,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Newf("the cell is not ready; logs are in %s", r.Dir)
+			return errors.Newf("cell not ready (limit %s); logs are in %s", startTimeout, r.Dir)
 		case <-time.After(pollInterval):
 		}
 	}
@@ -158,18 +160,20 @@
 	if _, err := fmt.Sscanf(name, "entry-%d", &i); err == nil {
 		base += entryPortOffset
 	} else {
-		_, _ = fmt.Sscanf(name, "control-%d", &i) // names come from Controls and EntryNames
+		_, _ = fmt.Sscanf(name, "control-%d", &i) // names come from ControlNames and EntryNames
 	}
 	return fmt.Sprintf("127.0.0.1:%d", base+(i-1)*portsPerProcess+offset)
 }
 
-// CallerURLs returns the addresses of all entries for callers behind the relays.
+// CallerURLs returns the URLs at which callers reach the entries through the relays.
 func (r *Rig) CallerURLs() []string { return r.entryURLs(relayOffset + callersOffset) }
 
-// OperatorURLs returns the entries' addresses for operators behind the relays.
+// OperatorURLs returns the URLs at which operators reach the entries through the
+// relays.
 func (r *Rig) OperatorURLs() []string { return r.entryURLs(relayOffset + operatorsOffset) }
 
-// BackendAddresses returns the entries' addresses for backend servers behind the relays, as HOST:PORT.
+// BackendAddresses returns the addresses, as HOST:PORT, at which backend servers reach
+// the entries through the relays.
 func (r *Rig) BackendAddresses() []string {
 	var out []string
 	for _, name := range r.EntryNames() {
@@ -178,7 +182,7 @@
 	return out
 }
 
-// directURL returns the address for callers of one entry, past the relay.
+// directURL returns the URL at which callers reach an entry without a relay.
 func (r *Rig) directURL(name string) string { return "http://" + r.address(name, callersOffset) }
 
 func (r *Rig) entryURLs(offset int) []string {
@@ -217,12 +221,13 @@
 	proxy.Delay(relay.Up, delay)
 	proxy.Delay(relay.Down, delay)
 	r.relays[fmt.Sprintf("%s/%d", name, offset)] = proxy
-	go func() { _ = proxy.Run(r.ctx) }() // ends with the rig, which is its only error
+	go func() { _ = proxy.Run(r.ctx) }() // ends with the rig, which causes its only error
 	return nil
 }
 
-// ListenerBytes returns what has passed to and from a process's listeners: those inside
-// the cell for a replica; callers, backend servers and operators for an entry.
+// ListenerBytes returns the number of bytes that the relays carried to and from a
+// process. For a replica this is traffic within the cell. For an entry it is traffic
+// with callers, backend servers and operators.
 func (r *Rig) ListenerBytes(name string) int64 {
 	var sum int64
 	for _, offset := range []int{callersOffset, backendsOffset, operatorsOffset} {
@@ -233,13 +238,14 @@
 	return sum
 }
 
-// BackendBytes returns what has passed between an entry and backend servers.
+// BackendBytes returns the number of bytes that the relays carried between an entry
+// and backend servers.
 func (r *Rig) BackendBytes(name string) int64 {
 	proxy := r.relays[fmt.Sprintf("%s/%d", name, backendsOffset)]
 	return proxy.Carried(relay.Up) + proxy.Carried(relay.Down)
 }
 
-// Close ends all processes and relays at once.
+// Close kills all processes and stops the relays.
 func (r *Rig) Close() {
 	for _, name := range append(r.ControlNames(), r.EntryNames()...) {
 		r.Kill(name)
@@ -256,8 +262,9 @@
 	return os.WriteFile(r.path(name, ".json"), text, 0o600)
 }
 
-// preciseSleep sleeps on a thread of its own. The runtime's timers count in whole
-// milliseconds while the process is idle, too coarse for delays of one or two.
+// preciseSleep sleeps in a system call. While the process is idle, the timers of the
+// Go runtime have a resolution of whole milliseconds, which is too coarse for delays
+// of 1 or 2 ms.
 func preciseSleep(d time.Duration) {
 	remaining := syscall.NsecToTimespec(d.Nanoseconds())
 	err := syscall.Nanosleep(&remaining, &remaining)
--- a/internal/load/rig/file.go
+++ b/internal/load/rig/settings.go
@@ -7,7 +7,7 @@
 	"gypsumreel/internal/domain/key"
 )
 
-// settingsFile holds the settings of one process, as a settings file spells them.
+// settingsFile is the JSON settings file of one process.
 type settingsFile struct {
 	Cell      string         `json:"cell"`
 	Role      string         `json:"role"`
@@ -47,8 +47,8 @@
 	Drain string `json:"drain,omitempty"`
 }
 
-// writeSettings writes the settings file of a process. The replicas are named by
-// their relays' addresses, so that everything between processes is delayed.
+// writeSettings writes the settings file of a process. Control replicas are addressed
+// through their relays, so that all traffic between processes is delayed.
 func (r *Rig) writeSettings(name string, control bool) error {
 	f := settingsFile{Cell: "measured", Name: name, TLS: tlsSettings{listenerTLS{true}, listenerTLS{true}}}
 	for _, c := range r.ControlNames() {
--- a/internal/load/trial/main.go
+++ b/internal/load/trial/main.go
@@ -1,7 +1,7 @@
-// Command trial plays flows in virtual time (package policy/model) over many seeds
-// and compares ways to decide: the product's, the product's without one mechanism
-// at a time, first come first fit, and strict priority. Every way plays the same
-// seeds.
+// Command trial simulates flows in virtual time (package policy/simulator) over many
+// seeds and compares scheduling policies: the product's policy, the product's policy
+// without one mechanism at a time, first come first fit, and strict priority. Every
+// policy runs the same seeds.
 package main
 
 import (
@@ -22,14 +22,14 @@
 	"gypsumreel/internal/policy/simulator"
 )
 
-// options are the command line.
+// options are the command-line options.
 type options struct {
-	SeedCount int           `long:"seeds" default:"40" description:"how many seeds each way plays"`
+	SeedCount int           `long:"seeds" default:"40" description:"number of seeds that each policy runs"`
 	FirstSeed uint64        `long:"first" default:"1" description:"the first seed"`
-	Servers   int           `long:"servers" default:"48" description:"backend servers, about"`
-	Lease     time.Duration `long:"lease" description:"how long a server runs on unheard; drawn by the seed when left out"`
-	Policies  []string      `long:"way" description:"product, fifo, strict, or without-MECHANISM; may be repeated; all when left out"`
-	Parallel  int           `long:"jobs" default:"4" description:"plays at a time"`
+	Servers   int           `long:"servers" default:"48" description:"approximate number of backend servers"`
+	Lease     time.Duration `long:"lease" description:"how long a server runs without contact to the cell; drawn from the seed by default"`
+	Policies  []string      `long:"way" description:"product, fifo, strict, or without-MECHANISM; may be repeated; all by default"`
+	Parallel  int           `long:"jobs" default:"4" description:"number of parallel runs"`
 }
 
 func main() {
@@ -43,7 +43,7 @@
 	}
 }
 
-// policyNames lists all ways.
+// policyNames returns the names of all policies.
 func policyNames() []string {
 	names := []string{"product"}
 	for name := range simulator.Mechanisms {
@@ -53,7 +53,7 @@
 	return append(names, "strict", "fifo")
 }
 
-// parsePolicy returns the way of that name.
+// parsePolicy returns the policy with the given name.
 func parsePolicy(name string, lease time.Duration) (simulator.Policy, error) {
 	p := simulator.Policy{Lease: lease}
 	mechanism, without := strings.CutPrefix(name, "without-")
@@ -66,7 +66,7 @@
 	case without && simulator.Mechanisms[mechanism] != 0:
 		p.Disabled = simulator.Mechanisms[mechanism]
 	default:
-		return p, fmt.Errorf("%q is no way to decide; there are %s", name, strings.Join(policyNames(), ", "))
+		return p, fmt.Errorf("unknown policy %q; known: %s", name, strings.Join(policyNames(), ", "))
 	}
 	return p, nil
 }
@@ -86,7 +86,7 @@
 		policies = append(policies, p)
 		results[i] = make([]simulator.Result, o.SeedCount)
 	}
-	bar := progressbar.NewOptions(len(names)*o.SeedCount, progressbar.OptionSetWriter(progress), progressbar.OptionSetDescription("plays"), progressbar.OptionThrottle(time.Second))
+	bar := progressbar.NewOptions(len(names)*o.SeedCount, progressbar.OptionSetWriter(progress), progressbar.OptionSetDescription("runs"), progressbar.OptionThrottle(time.Second))
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, min(o.Parallel, runtime.NumCPU()))
 	for i := range names {
@@ -104,7 +104,8 @@
 	return writeTable(out, names, results)
 }
 
-// columns are the figures of a table, each of one play.
+// columns are the columns of the table. Each value is the mean of a figure over all
+// runs.
 var columns = []struct {
 	name string
 	of   func(simulator.Result) float64
@@ -130,8 +131,9 @@
 	columnPadding = 2
 )
 
-// writeTable prints a row a way: means over the seeds, the spread of the worth, and how
-// far the worth is from that of the first way, seed by seed.
+// writeTable prints one row per policy: the means over the seeds, the standard
+// deviation of the score, and the mean difference of the score from that of the first
+// policy on the same seed. Below the table it prints a bar per score.
 func writeTable(out io.Writer, names []string, results [][]simulator.Result) error {
 	t := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "way\t")
--- a/internal/load/work/work.go
+++ b/internal/load/work/work.go
@@ -1,5 +1,5 @@
-// Package work is what the load tool's own backend servers run: tasks whose
-// answers can be told from any other's, with a record of what ran how often.
+// Package work implements the tasks that the load tool's own backend servers run. Each
+// task has a distinct answer, and a record counts the attempts of each task.
 package work
 
 import (
@@ -14,23 +14,24 @@
 	"gypsumreel/internal/fake/server"
 )
 
-// Input is what a job passes to its tasks.
+// Input is the input that a job passes to its tasks.
 type Input struct {
 	ID string `json:"id"`
-	// Runtime is how long a task runs, in nanoseconds; below 0 until it is stopped.
+	// Runtime is the run time of a task in nanoseconds. A negative value means until it
+	// is stopped.
 	Runtime time.Duration `json:"runtime"`
-	// AnswerBytes is the length of a task's answer in bytes.
+	// AnswerBytes is the length of a task's answer.
 	AnswerBytes int `json:"answer"`
 }
 
-// Encode returns the input as a job carries it.
+// Encode returns the input as the JSON that a job carries.
 func (i Input) Encode() []byte {
-	b, _ := json.Marshal(i) // plain fields only: never fails
+	b, _ := json.Marshal(i) // cannot fail: the struct has only plain fields
 	return b
 }
 
-// TaskAnswer returns the bytes that one task of a job answers with. They depend on
-// id and index, so that another job's answer is noticed.
+// TaskAnswer returns the answer of one task. It is derived from the job id and the
+// task index, so that the answer of another job does not match.
 func TaskAnswer(id string, index uint32, length int) []byte {
 	answer := make([]byte, length)
 	state := xxhash.Sum64String(id) + uint64(index)
@@ -41,7 +42,7 @@
 	return answer
 }
 
-// JobAnswer returns the answer of a whole job: those of its tasks in their order.
+// JobAnswer returns the answer of a job: the answers of its tasks in order.
 func JobAnswer(id string, count uint32, length int) []byte {
 	var answer []byte
 	for i := range count {
@@ -50,27 +51,27 @@
 	return answer
 }
 
-// TaskRuns is what the record holds of one task.
+// TaskRuns counts the attempts of one task.
 type TaskRuns struct {
-	// Started and Ended count the attempts that began and that ran to their end.
+	// Started counts the attempts that began, Ended those that ran to their end.
 	Started, Ended int
-	// FirstStart is when the first began.
+	// FirstStart is when the first attempt began.
 	FirstStart time.Time
 }
 
-// taskKey names a task by its job's id.
+// taskKey identifies a task by the id of its job and its index.
 type taskKey struct {
 	id    string
 	index uint32
 }
 
-// Record notes what ran. The zero value is ready.
+// Record records the attempts of all tasks. The zero value is ready to use.
 type Record struct {
 	mu   sync.Mutex
 	runs map[taskKey]TaskRuns
 }
 
-// RunTask runs a task as its input says; it fits server.Server.Work.
+// RunTask runs a task as its input says. It has the signature of server.Server.Work.
 func (r *Record) RunTask(ctx context.Context, order *v1.Order) server.Result {
 	var input Input
 	if json.Unmarshal(order.GetInput(), &input) != nil {
@@ -101,7 +102,8 @@
 	r.runs[key] = n
 }
 
-// sleep waits and tells whether ctx is still alive.
+// sleep waits for d and reports whether ctx is still active. If d is negative, it
+// waits until ctx is done.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d < 0 {
 		<-ctx.Done()
@@ -117,7 +119,7 @@
 	}
 }
 
-// JobRuns returns what ran of a job, one element a task.
+// JobRuns returns the recorded attempts of a job, one element per task.
 func (r *Record) JobRuns(id string, count uint32) []TaskRuns {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/policy/bench/bench.go
+++ b/internal/policy/bench/bench.go
@@ -15,16 +15,17 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// Fault is something that goes wrong in a run.
+// Fault is a disturbance that is injected halfway through a run.
 type Fault string
 
-// The faults.
+// The values name the faults in the printed results.
 const (
 	NoFault  Fault = "none"
 	ZoneLost Fault = "zone lost"
-	// RackOutages goes on: every 20 s a rack goes silent, for 15 s.
+	// RackOutages makes one rack after another silent for 15 s, one every 20 s.
 	RackOutages Fault = "racks lost"
-	// UnmarkedOutages is Racks with the servers given work until their lease is over.
+	// UnmarkedOutages is RackOutages without marking the silent servers suspect: the
+	// planner places tasks on them until their leases expire.
 	UnmarkedOutages Fault = "racks lost unmarked"
 	WrongRuntimes   Fault = "run times off"
 	Overuse         Fault = "use beyond size"
@@ -36,57 +37,68 @@
 	UnplaceableJob  Fault = "never runnable"
 )
 
-// Faults lists all of them.
+// Faults lists all faults.
 var Faults = []Fault{NoFault, ZoneLost, RackOutages, UnmarkedOutages, WrongRuntimes, Overuse, CrashingJobs, FailingServer, CancelWave, LimitLowered, WeightsEdited, UnplaceableJob}
 
-// Setup is one run.
+// Setup holds the parameters of one run.
 type Setup struct {
-	// Site, Load and Fault shape it.
+	// Site is the shape of the cell, Load the offered load as a fraction of its
+	// capacity, and Fault the injected fault.
 	Site  Site
 	Load  float64
 	Fault Fault
-	// Seed gives the same run each time.
+	// Seed seeds the random generator. The same seed gives the same run.
 	Seed uint64
-	// Length is the time played; the first eighth is not measured.
+	// Length is the virtual duration of the run. The first eighth is warm-up and is not
+	// measured.
 	Length time.Duration
 }
 
-// Result is what a run measured.
+// Result holds the measurements of one run.
 type Result struct {
-	// Waits are p50, p99 and p99.9 by kind.
+	// Waits holds the p50, p99 and p99.9 wait for placement of each kind.
 	Waits [job.Service + 1][3]time.Duration
-	// UrgentAfterFault is the p99 wait of urgent tasks accepted in the half minute after the
-	// fault, and Again that of tasks lost with their server, from its silence on.
+	// UrgentAfterFault is the p99 wait of urgent tasks that were accepted within 30 s
+	// after the fault. UrgentAfterLoss is the p99 wait of urgent tasks that were lost
+	// with their server, counted from the time at which the server went silent.
 	UrgentAfterFault, UrgentAfterLoss time.Duration
-	// Placed counts first placements by kind.
+	// Placed counts the first placements of each kind.
 	Placed [job.Service + 1]int
-	// Packing is used ÷ its bound while work waits.
+	// Packing is the used capacity divided by the most that could be used, averaged over
+	// the samples in which tasks wait.
 	Packing float64
-	// ShareDistance and Worst are how far teams were from their shares.
+	// ShareDistance is the mean distance of the teams' usage from their fair shares.
+	// WorstDistance is the largest one-minute mean of a single team.
 	ShareDistance, WorstDistance float64
-	// CoreHoursDone is the batch and gang work done and Lost the work lost, in core-hours.
+	// CoreHoursDone is the finished batch and gang work, and CoreHoursLost the work that
+	// was lost since the last checkpoint, in core-hours.
 	CoreHoursDone, CoreHoursLost float64
-	// SlowdownP99 is the largest wait of a gang in units of what it would have waited alone.
+	// SlowdownP99 and SlowdownMax are the p99 and the maximum of a gang's wait divided
+	// by the wait that it would have had with no other task waiting.
 	SlowdownP99, SlowdownMax float64
-	// InOneRack and Zone are the parts of the gangs that started in one.
+	// InOneRack and InOneZone are the fractions of the gangs whose tasks all started in
+	// one rack or in one zone.
 	InOneRack, InOneZone float64
-	// BatchMeanWait is the mean wait of batch.
+	// BatchMeanWait is the mean wait of batch tasks.
 	BatchMeanWait time.Duration
-	// DecisionRate is decisions a second and P99 the time of one decision.
+	// DecisionRate is the number of decisions per second of processor time, and
+	// DecisionP99 the p99 time of one decision.
 	DecisionRate float64
 	DecisionP99  time.Duration
-	// ActionCounts counts the decisions.
+	// ActionCounts counts the decisions of each action.
 	ActionCounts [plan.Restore + 1]int
-	// LostByReason holds the core-hours lost by what tasks were stopped for.
+	// LostByReason holds the lost core-hours by the reason for which the tasks were
+	// stopped.
 	LostByReason map[string]float64
-	// Violations lists violated invariants.
+	// Violations lists the violated invariants.
 	Violations []string
 }
 
-// FIFO returns the baseline that takes everything in the order of arrival.
+// FIFO returns the baseline planner that places tasks in the order of arrival.
 func FIFO() plan.Planner { return fifo.New() }
 
-// StrictPriority returns the baseline in which a kind goes strictly before the next.
+// StrictPriority returns the baseline planner that places all tasks of a kind before
+// those of the next kind.
 func StrictPriority() plan.Planner {
 	order := [...]int{job.Urgent: 0, job.Service: 1, job.Gang: 2, job.Batch: 3}
 	p := fifo.New()
@@ -94,17 +106,17 @@
 	return p
 }
 
-// DRF returns the baseline of dominant-resource fairness with best fit: nothing
-// is preempted, reserved or learned.
+// DRF returns the baseline planner of dominant-resource fairness with best fit. It has
+// no preemption, no reservations and no learned run times.
 func DRF() plan.Planner {
 	return cell.New(cell.Config{Disabled: cell.UrgentReserve | cell.SharePreempt | cell.UrgentPreempt | cell.RuntimeEstimates |
 		cell.GangReservation | cell.Quarantine | cell.RackLocality | cell.ShortestFirst})
 }
 
-// Product returns the product's planner without the parts given.
+// Product returns the product's planner without the given mechanisms.
 func Product(disabled cell.Mechanism) plan.Planner { return cell.New(cell.Config{Disabled: disabled}) }
 
-// Run plays the set-up.
+// Run simulates one run and returns its measurements.
 func Run(p plan.Planner, s Setup) Result {
 	w := NewWorld(p, s.Site.servers(), InitialTable())
 	w.Metrics.MeasureFrom = s.Length / 8
@@ -125,7 +137,7 @@
 	return w.Metrics.result()
 }
 
-// injectFault lets go wrong what the set-up says.
+// injectFault starts the fault of the setup.
 func (w *World) injectFault(s Setup) {
 	w.Metrics.FaultAt = w.now
 	small := capacity.Size{CPU: 1000, Memory: 1 << 10, Slots: 1}
@@ -183,13 +195,13 @@
 	return r
 }
 
-// Header is the first line of a table of results.
+// Header returns the header of the Markdown table of results.
 func Header() string {
 	return "| run | urgent p50/p99/p99.9 | p99 after fault, of lost | service p99 | gang p50/p99 | gangs in one rack/zone | batch p50/mean/p99 | packing | distance mean/worst | done | lost | gang ×alone p99/most | dec/s | p99/dec | preempt |\n" +
 		"|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|"
 }
 
-// Row is one line of a table of results.
+// Row returns the result as one row of the Markdown table.
 func (r Result) Row(name string) string {
 	format := func(d time.Duration) string {
 		if d > time.Second {
@@ -208,7 +220,7 @@
 	return "| " + strings.Join(columns, " | ") + " |"
 }
 
-// Print writes one line and what was violated.
+// Print writes the row of the result and its violations.
 func (r Result) Print(out io.Writer, name string) {
 	fmt.Fprintln(out, r.Row(name))
 	for _, b := range r.Violations {
@@ -216,14 +228,14 @@
 	}
 }
 
-// failRacks takes one rack after the other away for a while.
+// failRacks makes one rack silent for 15 s and schedules the next rack 20 s later.
 func (w *World) failRacks(n int, markSuspect bool) {
 	rack := w.servers[w.serverIDs[n*7%len(w.serverIDs)]].Rack
 	w.FailServers(func(b backend.Server) bool { return b.Rack == rack }, 15*time.Second, markSuspect)
 	w.Schedule(w.now+20*time.Second, func() { w.failRacks(n+1, markSuspect) })
 }
 
-// sizeFraction returns one nth of a size.
+// sizeFraction returns the nth part of a size, with unlimited accelerators.
 func sizeFraction(s capacity.Size, n int64) capacity.Size {
 	return capacity.Size{CPU: s.CPU / n, Memory: s.Memory / n, Accel: capacity.Unlimited, Slots: s.Slots / n}
 }
--- a/internal/policy/bench/bench_test.go
+++ b/internal/policy/bench/bench_test.go
@@ -15,8 +15,9 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// TestMeasure prints the tables of docs/measures/policy.md. It runs for minutes
-// and so only when asked: GYPSUMREEL_MEASURE=goals, faults or parts.
+// TestMeasure prints the tables of docs/measures/policy.md. It runs for minutes and
+// therefore only when GYPSUMREEL_MEASURE is set, for example to goals, faults or
+// parts.
 func TestMeasure(t *testing.T) {
 	selection := os.Getenv("GYPSUMREEL_MEASURE")
 	if selection == "" {
@@ -52,7 +53,7 @@
 	}
 }
 
-// seed and length of the runs; GYPSUMREEL_SEED sets another seed.
+// seed and duration apply to every run. GYPSUMREEL_SEED overrides the seed.
 var seed, duration = uint64(1), time.Hour
 
 func chooseSeed() {
@@ -64,17 +65,18 @@
 func runGoals(site bench.Site) {
 	for _, load := range []float64{0.6, 0.9, 1.2} {
 		for _, p := range planners {
-			runPlanner(p.make(), site, load, bench.NoFault, p.name)
+			runPlanner(p.newPlanner(), site, load, bench.NoFault, p.name)
 		}
 	}
 }
 
-// runMechanisms shows each mechanism with and without it, under the fault it is for.
+// runMechanisms runs the planner with and without each mechanism, under the fault that
+// the mechanism handles.
 func runMechanisms(site bench.Site) {
 	for _, p := range []struct {
-		part  cell.Mechanism
-		fault bench.Fault
-		name  string
+		disabled cell.Mechanism
+		fault    bench.Fault
+		name     string
 	}{
 		{0, bench.NoFault, "whole"},
 		{cell.UrgentReserve, bench.NoFault, "without reserve"},
@@ -94,13 +96,13 @@
 		{0, bench.FailingServer, "whole"},
 		{cell.Quarantine, bench.FailingServer, "without quarantine"},
 	} {
-		runPlanner(bench.Product(p.part), site, 1.2, p.fault, p.name)
+		runPlanner(bench.Product(p.disabled), site, 1.2, p.fault, p.name)
 	}
 }
 
 var planners = []struct {
-	name string
-	make func() plan.Planner
+	name       string
+	newPlanner func() plan.Planner
 }{
 	{"fifo", bench.FIFO},
 	{"strict", bench.StrictPriority},
@@ -116,36 +118,37 @@
 	r.Print(os.Stdout, fmt.Sprintf("%s %.0f%% %s %s", site.Name, 100*load, f, name))
 }
 
-// The goals of the policy on a short seeded run of each deployment at 120% load:
-// urgent work is placed within 50 ms, and within 1.2 s when a zone is lost, the
-// cell is packed, and teams are near their shares. Every decision is checked.
+// Guards the goals of the policy on a short run of each deployment at 120% load:
+// urgent tasks wait at most 50 ms, or 1.2 s when a zone is lost, the servers are well
+// packed, and the teams are near their fair shares. Every decision is checked.
 func TestPolicyGoals(t *testing.T) {
 	for _, site := range []bench.Site{bench.Balastas(), bench.Coralwave()} {
 		for _, f := range []bench.Fault{bench.NoFault, bench.ZoneLost} {
 			t.Run(site.Name+" "+string(f), func(t *testing.T) {
 				r := bench.Run(bench.Product(0), bench.Setup{Site: site, Load: 1.2, Fault: f, Seed: 1, Length: 8 * time.Minute})
 				if diff := cmp.Diff([]string(nil), r.Violations); diff != "" {
-					t.Fatal(diff)
+					t.Fatalf("violations (-want +got):\n%s", diff)
 				}
 				maxWait := 50 * time.Millisecond
 				if f == bench.ZoneLost {
 					maxWait = 1200 * time.Millisecond
 				}
 				if p99 := max(r.Waits[job.Urgent][1], r.UrgentAfterFault); p99 > maxWait {
-					t.Errorf("urgent work waits %v", p99)
+					t.Errorf("p99 wait of urgent tasks is %v, want at most %v", p99, maxWait)
 				}
 				if r.Packing < 0.95 {
-					t.Errorf("packing %.3f of its bound", r.Packing)
+					t.Errorf("packing is %.3f of its bound, want at least 0.95", r.Packing)
 				}
 				if f == bench.NoFault && (r.ShareDistance > 0.01 || r.WorstDistance > 0.05) {
-					t.Errorf("distance to share %.4f, worst %.4f", r.ShareDistance, r.WorstDistance)
+					t.Errorf("mean distance from the fair shares is %.4f, want at most 0.01; worst one-minute mean is %.4f, want at most 0.05", r.ShareDistance, r.WorstDistance)
 				}
 			})
 		}
 	}
 }
 
-// The same seed gives the same decisions, whatever the faults.
+// Guards against decisions that depend on map order or wall-clock time: the same seed
+// has to give the same decisions, also after a fault.
 func TestSameSeedSameDecisions(t *testing.T) {
 	runOnce := func() bench.Result {
 		r := bench.Run(bench.Product(0), bench.Setup{Site: bench.Coralwave(), Load: 1.2, Fault: bench.ZoneLost, Seed: 2, Length: 4 * time.Minute})
@@ -153,6 +156,6 @@
 		return r
 	}
 	if diff := cmp.Diff(runOnce(), runOnce()); diff != "" {
-		t.Error(diff)
+		t.Errorf("results of the two runs differ (-first +second):\n%s", diff)
 	}
 }
--- a/internal/policy/bench/check.go
+++ b/internal/policy/bench/check.go
@@ -11,10 +11,11 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// Checker holds every decision to what must always hold: no server is
-// overcommitted, no team exceeds its limit, a gang starts whole, a task runs once.
+// Checker checks every decision against the invariants: no server is overcommitted, no
+// team exceeds its limit, all tasks of a gang start together, and a task runs in one
+// place only.
 type Checker struct {
-	// Violations lists what was violated, the first few.
+	// Violations lists the first violations, at most maxViolations.
 	Violations []string
 	table      table.Table
 	servers    map[string]backend.Server
@@ -23,10 +24,10 @@
 	teamUsage  map[string]capacity.Size
 }
 
-// maxViolations bounds the list of violations.
+// maxViolations is the maximum length of the list of violations.
 const maxViolations = 10
 
-// NewChecker returns a checker that has seen nothing.
+// NewChecker returns a checker without servers and tasks.
 func NewChecker() *Checker {
 	return &Checker{
 		servers: map[string]backend.Server{}, tasks: map[string][]*Task{},
@@ -47,7 +48,7 @@
 		c.checkPlacements(w, d)
 	case plan.Preempt:
 		if t := w.unfinished[d.Task]; t != nil && t.spec.Once {
-			c.addViolation("%v: task %v that may run once is preempted", w.now, d.Task)
+			c.addViolation("%v: task %v of an at-most-once job is preempted", w.now, d.Task)
 		}
 	}
 }
@@ -56,7 +57,7 @@
 	for _, placement := range d.Placements {
 		t := w.unfinished[task.ID{Job: d.Job, Index: placement.Index}]
 		if t == nil || t.placed {
-			c.addViolation("%v: job %d task %d is placed and does not wait", w.now, d.Job, placement.Index)
+			c.addViolation("%v: job %d task %d is placed but is not waiting", w.now, d.Job, placement.Index)
 			continue
 		}
 		c.addTask(w, t, placement.Server)
@@ -67,24 +68,24 @@
 func (c *Checker) addTask(w *World, t *Task, server string) {
 	s := c.servers[server]
 	if s.State != backend.Ready && s.State != backend.Quarantined {
-		c.addViolation("%v: %s is %s and is given work", w.now, server, s.State)
+		c.addViolation("%v: server %s in state %s gets a task", w.now, server, s.State)
 	}
 	if s.State == backend.Quarantined && len(c.tasks[server]) > 0 {
-		c.addViolation("%v: %s is quarantined and is given more than a probe", w.now, server)
+		c.addViolation("%v: quarantined server %s gets a second task", w.now, server)
 	}
 	c.tasks[server] = append(c.tasks[server], t)
 	c.used[server] = c.used[server].Add(t.spec.Size)
 	if !c.used[server].Fits(s.Capacity) {
-		c.addViolation("%v: %s is overcommitted: %v of %v", w.now, server, c.used[server], s.Capacity)
+		c.addViolation("%v: server %s is overcommitted: uses %v of %v", w.now, server, c.used[server], s.Capacity)
 	}
 	team := t.spec.Team
 	c.teamUsage[team] = c.teamUsage[team].Add(t.spec.Size)
 	if row, ok := c.table.Row(team); !ok || !c.teamUsage[team].Within(row.Limit) {
-		c.addViolation("%v: team %s is above its limit: %v of %v", w.now, team, c.teamUsage[team], row.Limit)
+		c.addViolation("%v: team %s is above its limit: uses %v of %v", w.now, team, c.teamUsage[team], row.Limit)
 	}
 }
 
-// checkGang checks that a gang's tasks that are not done all start in one decision.
+// checkGang checks that one decision starts all unfinished tasks of a gang.
 func (c *Checker) checkGang(w *World, d plan.Decision) {
 	if len(w.jobs[d.Job]) == 0 || !w.jobs[d.Job][0].spec.Whole() {
 		return
@@ -96,7 +97,7 @@
 		}
 	}
 	if n != len(d.Placements) {
-		c.addViolation("%v: gang %d starts %d of %d tasks", w.now, d.Job, len(d.Placements), n)
+		c.addViolation("%v: gang %d starts with %d of %d tasks", w.now, d.Job, len(d.Placements), n)
 	}
 }
 
--- a/internal/policy/bench/meter.go
+++ b/internal/policy/bench/metrics.go
@@ -11,11 +11,11 @@
 	"gypsumreel/internal/policy/share"
 )
 
-// Metrics takes the measures of a run.
+// Metrics collects the measurements of one run.
 type Metrics struct {
-	// MeasureFrom is when measuring begins.
+	// MeasureFrom is the virtual time at which the warm-up ends.
 	MeasureFrom time.Duration
-	// FaultAt is when something went wrong.
+	// FaultAt is the virtual time at which the fault is injected; 0 before it.
 	FaultAt time.Duration
 
 	world           *World
@@ -31,11 +31,13 @@
 	decideTime      time.Duration
 	decisionTimes   []time.Duration
 	actionCounts    [plan.Restore + 1]int
-	// lostByReason holds the work lost by what it was stopped for.
+	// lostByReason holds the lost core-hours by the reason for which the tasks were
+	// stopped.
 	lostByReason map[string]float64
 	idealWaits   map[uint64]time.Duration
 	slowdowns    []float64
-	// inOneRack and zones hold 1 for each gang that started in one of them, else 0.
+	// inOneRack and inOneZone hold one value for each gang: 1 if all its tasks started
+	// in one rack or one zone, else 0.
 	inOneRack, inOneZone            []float64
 	waitsAfterFault, waitsAfterLoss []time.Duration
 }
@@ -71,7 +73,7 @@
 	}
 }
 
-// oneIfSingle is 1 if n is 1.
+// oneIfSingle returns 1 if n is 1, else 0.
 func oneIfSingle(n int) float64 {
 	if n == 1 {
 		return 1
@@ -79,7 +81,7 @@
 	return 0
 }
 
-// recordSubmission notes when a gang could start at the soonest if nothing else waited.
+// recordSubmission records how long a gang would wait if no other task waited.
 func (m *Metrics) recordSubmission(id uint64) {
 	if m.measuring() && m.world.jobs[id][0].spec.Whole() {
 		m.idealWaits[id] = m.world.idealWait(m.world.jobs[id])
@@ -118,12 +120,12 @@
 	}
 }
 
-// coreSeconds is processor time in core-seconds.
+// coreSeconds returns the processor time of a task over d, in core-seconds.
 func coreSeconds(t *Task, d time.Duration) float64 {
 	return float64(t.spec.Size.CPU) / 1000 * d.Seconds()
 }
 
-// Sample takes the measures that are taken once a second.
+// Sample takes a sample once a second of virtual time.
 func (m *Metrics) Sample() {
 	if m.measuring() {
 		m.takeSample()
@@ -133,10 +135,10 @@
 
 func (m *Metrics) takeSample() {
 	w := m.world
-	var capacityReady, used, demand capacity.Size
+	var readyCapacity, used, demand capacity.Size
 	for _, id := range w.serverIDs {
 		if w.servers[id].State == backend.Ready {
-			capacityReady = capacityReady.Add(w.servers[id].Capacity)
+			readyCapacity = readyCapacity.Add(w.servers[id].Capacity)
 			used = used.Add(w.Checker.used[id])
 		}
 	}
@@ -147,21 +149,21 @@
 			demand = demand.Add(t.spec.Size)
 		}
 	}
-	if bound := min(1, used.Add(demand).Dominant(capacityReady)); !demand.IsZero() && bound > 0.95 {
-		m.packing = append(m.packing, used.Dominant(capacityReady)/bound)
-		m.recordShareDistance(waiting, capacityReady)
+	if bound := min(1, used.Add(demand).Dominant(readyCapacity)); !demand.IsZero() && bound > 0.95 {
+		m.packing = append(m.packing, used.Dominant(readyCapacity)/bound)
+		m.recordShareDistance(waiting, readyCapacity)
 	}
 }
 
-func (m *Metrics) recordShareDistance(waiting map[string]capacity.Size, capacityReady capacity.Size) {
+func (m *Metrics) recordShareDistance(waiting map[string]capacity.Size, readyCapacity capacity.Size) {
 	var claims []share.Team
 	var usedShares []float64
 	rows := m.world.table.Rows()
 	for _, row := range rows {
 		used := m.world.Checker.teamUsage[row.Name]
-		usedShares = append(usedShares, used.Dominant(capacityReady))
-		demand := used.Add(waiting[row.Name]).Dominant(capacityReady)
-		if bound := row.Limit.Dominant(capacityReady); bound > 0 {
+		usedShares = append(usedShares, used.Dominant(readyCapacity))
+		demand := used.Add(waiting[row.Name]).Dominant(readyCapacity)
+		if bound := row.Limit.Dominant(readyCapacity); bound > 0 {
 			demand = min(demand, bound)
 		}
 		claims = append(claims, share.Team{Guarantee: float64(row.Share) / 1000, Weight: float64(row.Weight), Demand: min(1, demand)})
@@ -175,7 +177,8 @@
 	m.shareDistances = append(m.shareDistances, sum/float64(len(rows)))
 }
 
-// recordTeamDistance keeps the worst mean of a team's distance over a minute.
+// recordTeamDistance records a team's distance from its fair share and updates the
+// largest one-minute mean.
 func (m *Metrics) recordTeamDistance(team string, distance float64) {
 	lastMinute := append(m.lastMinute[team], distance)
 	if len(lastMinute) > 60 {
@@ -212,12 +215,13 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// idealWait is how long a gang would wait if nothing else waited and what runs
-// ended as it really will: servers free up in the order of those ends.
+// idealWait returns how long a gang would wait if no other task waited. It frees the
+// capacity of the running tasks in the order of their real end times until the gang
+// fits.
 func (w *World) idealWait(tasks []*Task) time.Duration {
 	type end struct {
-		at time.Duration
-		r  *Task
+		at   time.Duration
+		task *Task
 	}
 	free := map[string]capacity.Size{}
 	var ends []end
@@ -246,7 +250,7 @@
 		return 0
 	}
 	for _, e := range ends {
-		free[e.r.server] = free[e.r.server].Add(e.r.spec.Size)
+		free[e.task.server] = free[e.task.server].Add(e.task.spec.Size)
 		if fits() {
 			return max(0, e.at-w.now)
 		}
--- a/internal/policy/bench/scale.go
+++ b/internal/policy/bench/scale.go
@@ -12,13 +12,13 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// FullCell is a planner over a full cell of a given size. Each Step ends some of
-// the running tasks, queues new ones and asks for decisions, one at a time, as
-// the control thread would at its peak.
+// FullCell drives a planner over a full cell of a given size. Each Step ends some
+// running tasks, queues new ones and asks for single decisions, as the control thread
+// does at peak load.
 type FullCell struct {
-	// Planner decides.
+	// Planner is the planner under test.
 	Planner plan.Planner
-	// DecideTimes is the time of each call of Decide.
+	// DecideTimes holds the duration of each call of Decide.
 	DecideTimes []time.Duration
 
 	site    Site
@@ -31,7 +31,7 @@
 	specs   map[uint64]*job.Spec
 }
 
-// runningTask is a task that is held.
+// runningTask is a task that is placed on a server.
 type runningTask struct {
 	id       task.ID
 	spec     *job.Spec
@@ -39,9 +39,9 @@
 	placedAt time.Duration
 }
 
-// NewFullCell returns a cell of that many servers, teams and running tasks, a fifth
-// of them services. With 0 tasks it is filled until nothing more is placed, and
-// some of each team's work is left waiting.
+// NewFullCell returns a cell with the given numbers of servers, teams and running
+// tasks. A fifth of the tasks are services. If tasks is 0, the cell is filled until
+// one call of the planner places fewer than 64. Four tasks per team are left waiting.
 func NewFullCell(p plan.Planner, servers, teams, tasks int, seed uint64) *FullCell {
 	site := Coralwave()
 	site.Servers, site.Zones = servers, max(3, min(21, servers/100))
@@ -71,7 +71,8 @@
 
 func teamName(i int) string { return fmt.Sprintf("team%04d", i) }
 
-// submit queues one task: a tenth urgent, a fifth services, the rest batch.
+// submit queues one task. One in ten is urgent, two in ten are services and the rest
+// are batch.
 func (s *FullCell) submit() {
 	kind := job.Batch
 	switch n := s.rng.IntN(10); {
@@ -89,7 +90,8 @@
 	s.Planner.AddWaiting(plan.WaitingTask{ID: task.ID{Job: s.lastJob}, Job: spec, AcceptedAt: s.now, ReadyAt: s.now})
 }
 
-// decide asks for decisions and applies them.
+// decide asks the planner for at most limit decisions, applies them and returns the
+// number of placements.
 func (s *FullCell) decide(limit int) int {
 	start := time.Now()
 	decisions := s.Planner.Decide(s.now, limit)
@@ -134,8 +136,9 @@
 	s.Planner.EndAttempt(r.id, plan.AttemptEnd{EndedAt: s.now, Started: true})
 }
 
-// Step lets a millisecond pass in which n tasks end, n are queued, and one
-// decision after the other is asked for until none is left or n are made.
+// Step advances the time by 1 ms, ends n tasks, queues n tasks and asks for one
+// decision at a time, at most 2n, until the planner places nothing. It returns the
+// number of placements.
 func (s *FullCell) Step(n int) int {
 	s.now += time.Millisecond
 	for range min(n, len(s.running)) {
@@ -155,8 +158,8 @@
 	return placed
 }
 
-// Running returns the number of tasks held.
+// Running returns the number of placed tasks.
 func (s *FullCell) Running() int { return len(s.running) }
 
-// DecideP99 returns the 99th percentile of the time of one decision.
+// DecideP99 returns the p99 duration of a call of Decide.
 func (s *FullCell) DecideP99() time.Duration { return quantile(s.DecideTimes, 0.99) }
--- a/internal/policy/bench/scale_test.go
+++ b/internal/policy/bench/scale_test.go
@@ -8,8 +8,9 @@
 	"gypsumreel/internal/policy/bench"
 )
 
-// BenchmarkScale measures placements per second of one core, notes to the
-// planner included, and the time of one decision, in full cells of four sizes.
+// BenchmarkScale measures the placements per second of one core and the time of one
+// decision, in full cells of four sizes. The time includes reporting the changes to
+// the planner.
 func BenchmarkScale(b *testing.B) {
 	for _, n := range []struct{ servers, teams, tasks int }{{50, 6, 220}, {500, 60, 2200}, {5000, 300, 22_000}, {16_000, 960, 70_000}, {50, 6, 0}, {500, 60, 0}, {5000, 300, 0}, {16_000, 960, 0}} {
 		b.Run(fmt.Sprintf("servers=%d/tasks=%d", n.servers, n.tasks), func(b *testing.B) {
--- a/internal/policy/bench/view.go
+++ b/internal/policy/bench/view.go
@@ -11,13 +11,14 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// Server returns the server as the ledger has it.
+// Server returns a server in its current state.
 func (w *World) Server(id string) backend.Server { return w.servers[id] }
 
-// Table returns the table in force.
+// Table returns the current team table.
 func (w *World) Table() table.Table { return w.table }
 
-// ServersOf returns the servers on which tasks of the job are, in the order of the tasks.
+// ServersOf returns the servers on which tasks of the job are placed, in the order of
+// the tasks.
 func (w *World) ServersOf(id uint64) []string {
 	var servers []string
 	for _, t := range w.jobs[id] {
@@ -28,7 +29,8 @@
 	return servers
 }
 
-// RunningTasks returns the number of the job's tasks that run and are not being stopped.
+// RunningTasks returns the number of the job's tasks that are placed and not being
+// stopped.
 func (w *World) RunningTasks(id uint64) int {
 	n := 0
 	for _, t := range w.jobs[id] {
@@ -39,7 +41,8 @@
 	return n
 }
 
-// UnfinishedTasks returns the number of the job's tasks that are neither done nor given up.
+// UnfinishedTasks returns the number of the job's tasks that are neither done nor
+// cancelled.
 func (w *World) UnfinishedTasks(id uint64) int {
 	n := 0
 	for _, t := range w.jobs[id] {
@@ -50,7 +53,7 @@
 	return n
 }
 
-// Attempts returns the number of placements of a task.
+// Attempts returns how often a task was placed.
 func (w *World) Attempts(id task.ID) uint32 {
 	for _, t := range w.jobs[id.Job] {
 		if t.id == id {
@@ -60,19 +63,20 @@
 	return 0
 }
 
-// TeamUsage returns what the team holds.
+// TeamUsage returns the capacity that the team's placed tasks use.
 func (w *World) TeamUsage(name string) capacity.Size { return w.Checker.teamUsage[name] }
 
-// DecisionCount returns how often the verb was decided.
+// DecisionCount returns the number of decisions of the action.
 func (w *World) DecisionCount(v plan.Action) int { return w.Metrics.actionCounts[v] }
 
-// MaxWait returns the longest wait measured of the kind.
+// MaxWait returns the longest measured wait of the kind.
 func (w *World) MaxWait(k job.Kind) time.Duration { return quantile(w.Metrics.waits[k], 1) }
 
-// SetFailing has the server fail everything that starts on it, or no longer.
+// SetFailing sets whether every task that starts on the server fails.
 func (w *World) SetFailing(id string, fails bool) { w.failingServers[id] = fails }
 
-// ReplacePlanner puts a new planner in place, told of the state as after a failover.
+// ReplacePlanner replaces the planner and passes the current state to the new one, as
+// a failover does.
 func (w *World) ReplacePlanner(p plan.Planner) {
 	w.Planner = p
 	p.SetTable(w.table)
--- a/internal/policy/bench/workload.go
+++ b/internal/policy/bench/workload.go
@@ -13,19 +13,22 @@
 	"gypsumreel/internal/domain/team"
 )
 
-// Site is the shape of a deployment.
+// Site describes the servers and task sizes of a deployment.
 type Site struct {
-	// Name names the deployment.
+	// Name is printed in the results.
 	Name string
-	// ServerCapacity is one server's capacity; every second rack has the accelerators.
+	// ServerCapacity is the capacity of one server. Only every second rack has
+	// accelerators.
 	ServerCapacity capacity.Size
-	// Servers, PerRack and Zones shape the cell.
+	// Servers is the number of servers, ServersPerRack the number in one rack and Zones
+	// the number of availability zones.
 	Servers, ServersPerRack, Zones int
-	// MaxBatchSize, Gang and Urgent are the largest sizes of a task of each kind.
+	// MaxBatchSize, MaxGangSize and MaxUrgentSize are the largest sizes of a task of
+	// each kind.
 	MaxBatchSize, MaxGangSize, MaxUrgentSize capacity.Size
 }
 
-// Balastas has many small orders and quotes.
+// Balastas is a deployment with many small orders and quotes.
 func Balastas() Site {
 	return Site{
 		Name: "balastas", ServerCapacity: capacity.Size{CPU: 16_000, Memory: 32 << 10, Slots: 8},
@@ -36,7 +39,7 @@
 	}
 }
 
-// Coralwave has heavy sweeps, some on accelerators.
+// Coralwave is a deployment with large parameter sweeps, some of them on accelerators.
 func Coralwave() Site {
 	return Site{
 		Name: "coralwave", ServerCapacity: capacity.Size{CPU: 32_000, Memory: 128 << 10, Accel: 4, Slots: 8},
@@ -47,14 +50,14 @@
 	}
 }
 
-// Heavy is Balastas with batch of up to half a server.
+// Heavy is Balastas with batch tasks that take up to half a server.
 func Heavy() Site {
 	s := Balastas()
 	s.Name, s.MaxBatchSize = "heavy", capacity.Size{CPU: 8000, Memory: 16 << 10, Slots: 4}
 	return s
 }
 
-// servers returns the servers of the site.
+// servers returns the backend servers of the site.
 func (s Site) servers() []backend.Server {
 	var list []backend.Server
 	for i := range s.Servers {
@@ -79,10 +82,11 @@
 	return sum
 }
 
-// customers are six teams; the first two are large.
+// customers lists six teams with their table rows and their fractions of the load. The
+// first two are large.
 var customers = []struct {
-	row  team.Row
-	part float64
+	row          team.Row
+	loadFraction float64
 }{
 	{team.New("ada").WithShare(250).WithWeight(3), 0.35},
 	{team.New("bor").WithShare(200).WithWeight(3), 0.25},
@@ -92,7 +96,7 @@
 	{team.New("fen").WithShare(50), 0.05},
 }
 
-// InitialTable returns the table that the workloads start with.
+// InitialTable returns the team table at the start of a run.
 func InitialTable() table.Table {
 	var rows []team.Row
 	for _, c := range customers {
@@ -101,28 +105,33 @@
 	return table.Restore(1, rows)
 }
 
-// The mix of a workload.
+// The fractions of a workload.
 const (
-	urgentFraction  = 0.45
-	gangFraction    = 0.05
+	// urgentFraction and gangFraction are the fractions of the drawn jobs that are of
+	// that kind. The other drawn jobs are batch.
+	urgentFraction = 0.45
+	gangFraction   = 0.05
+	// serviceFraction is the fraction of the cell's capacity that the services take.
 	serviceFraction = 0.15
-	// diurnalSwing is the part by which the diurnal peak exceeds the mean.
+	// diurnalSwing is the fraction by which the diurnal peak exceeds the mean arrival
+	// rate.
 	diurnalSwing = 0.3
 )
 
-// jobSource draws jobs.
+// jobSource draws random jobs.
 type jobSource struct {
 	rng  *rand.Rand
 	site Site
-	// wrongRuntimes makes declared run times wrong by up to 10 times either way.
+	// wrongRuntimes multiplies the declared run times by a random factor from 0.1 to 10.
 	wrongRuntimes bool
-	// crashFraction is the part of the jobs that always crash.
+	// crashFraction is the fraction of the jobs whose tasks always crash.
 	crashFraction float64
-	// overuseFraction is the part of the jobs that use more than they declare.
+	// overuseFraction is the fraction of the jobs whose tasks use more than they
+	// declare.
 	overuseFraction float64
 }
 
-// drawnJob is a job drawn.
+// drawnJob is a job together with the real behavior of its tasks.
 type drawnJob struct {
 	spec     *job.Spec
 	runtimes []time.Duration
@@ -183,7 +192,9 @@
 	return size, 1 + int(s.rng.ExpFloat64()*4), time.Duration(15<<name) * time.Second
 }
 
-// drawRuntime is heavy-tailed for batch: a Pareto distribution cut at 20 times the mean.
+// drawRuntime draws the run time of one task. Batch run times are heavy-tailed: a
+// Pareto distribution cut off at 20 times the mean. Others vary by at most half the
+// mean.
 func (s *jobSource) drawRuntime(kind job.Kind, mean time.Duration) time.Duration {
 	factor := 0.5 + s.rng.Float64()
 	if kind == job.Batch {
@@ -195,15 +206,15 @@
 func (s *jobSource) drawTeam() string {
 	p := s.rng.Float64()
 	for _, c := range customers {
-		if p -= c.part; p < 0 {
+		if p -= c.loadFraction; p < 0 {
 			return c.row.Name
 		}
 	}
 	return customers[0].row.Name
 }
 
-// arrivalRate returns the jobs a second that make up the given load of the cell: the
-// largest part of it in any field that they take on average.
+// arrivalRate returns the number of jobs per second that gives the wanted load. The
+// load is that of the most used resource, averaged over 20,000 drawn jobs.
 func (s *jobSource) arrivalRate(load float64) float64 {
 	const draws = 20_000
 	var sum [capacity.Dimensions]float64
@@ -227,7 +238,8 @@
 	return (load - serviceFraction) * draws / maxTaken
 }
 
-// submitArrivals submits jobs at the rate with its diurnal swing, for as long as the world runs.
+// submitArrivals submits jobs at the given mean rate with the diurnal swing until the
+// run ends.
 func (w *World) submitArrivals(s *jobSource, rate float64, period time.Duration) {
 	d := s.draw()
 	gap := s.rng.ExpFloat64() / (rate * (1 + diurnalSwing*math.Sin(2*math.Pi*w.now.Seconds()/period.Seconds())))
@@ -237,14 +249,14 @@
 	})
 }
 
-// submitServices submits the services that run all the time.
+// submitServices submits the services, which run for the whole simulation.
 func (w *World) submitServices(site Site, load float64) {
 	size := site.MaxGangSize
 	size.Accel = 0
 	taskShare := size.Dominant(site.totalCapacity())
 	n := int(load / taskShare)
 	for _, c := range customers {
-		k := int(float64(n) * c.part)
+		k := int(float64(n) * c.loadFraction)
 		if k == 0 {
 			continue
 		}
--- a/internal/policy/bench/world.go
+++ b/internal/policy/bench/world.go
@@ -1,5 +1,5 @@
-// Package bench drives planners on a virtual clock against small fakes of the
-// ledger and of backend servers, and measures what comes out.
+// Package bench runs planners on a virtual clock against simple fakes of the ledger
+// and the backend servers, and measures waits, packing and fairness.
 package bench
 
 import (
@@ -14,28 +14,29 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// Delays of the fakes.
+// The fakes use these delays and periods.
 const (
-	// orderDelay is the time from a decision to its effect on a server.
+	// orderDelay is the time until a decision takes effect on a server.
 	orderDelay = 5 * time.Millisecond
-	// decisionDelay is the time in which notes gather before a decision.
+	// decisionDelay is the time over which changes are gathered before the next
+	// decision.
 	decisionDelay = 2 * time.Millisecond
-	// tickPeriod is the longest time between two decisions.
+	// tickPeriod is the longest time between two calls of the planner.
 	tickPeriod = 50 * time.Millisecond
 	// stopDuration is the time that a preempted task takes to stop.
 	stopDuration = 250 * time.Millisecond
-	// checkpointPeriod is the time between a task's own checkpoints; what it did
-	// since the last one is lost when it is stopped.
+	// checkpointPeriod is the time between the checkpoints of a task. A stopped task
+	// loses the work since its last checkpoint.
 	checkpointPeriod = 30 * time.Second
-	// leaseDuration is the time from a server's silence until its tasks are proved lost.
+	// leaseDuration is the time from a server's silence until its tasks count as lost.
 	leaseDuration = time.Second
-	// usageReportPeriod is the time between reports of use.
+	// usageReportPeriod is the time between two reports of resource usage.
 	usageReportPeriod = 10 * time.Second
-	// decisionBatch is the number of decisions asked for at once.
+	// decisionBatch is the maximum number of decisions of one call of the planner.
 	decisionBatch = 64
 )
 
-// Task is one task in the fakes, with its latest attempt.
+// Task is one task of a job with the state of its latest attempt.
 type Task struct {
 	id           task.ID
 	spec         *job.Spec
@@ -45,7 +46,8 @@
 	usage        capacity.Size
 	crashes      bool
 	attempts     uint32
-	// measureWait is true until the first placement, and after a loss.
+	// measureWait is true if the next placement ends a wait that is measured: before the
+	// first placement, and after the task was lost with its server.
 	measureWait bool
 	placed      bool
 	stopping    bool
@@ -53,7 +55,7 @@
 	placedAt    time.Duration
 	server      string
 	startedAt   time.Duration
-	// stopReason is what it was last stopped for.
+	// stopReason is the reason for which the last attempt was stopped.
 	stopReason string
 }
 
@@ -71,10 +73,10 @@
 }
 func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push adds an event.
+// Push implements heap.Interface.
 func (e *eventHeap) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop removes the last event.
+// Pop implements heap.Interface.
 func (e *eventHeap) Pop() any {
 	old := *e
 	last := old[len(old)-1]
@@ -82,13 +84,13 @@
 	return last
 }
 
-// World is the fake ledger and its fake servers.
+// World simulates the ledger and the backend servers on a virtual clock.
 type World struct {
-	// Planner decides.
+	// Planner is the planner under test.
 	Planner plan.Planner
-	// Checker is told of every decision.
+	// Checker checks every decision.
 	Checker *Checker
-	// Metrics takes the measures.
+	// Metrics collects the measurements.
 	Metrics *Metrics
 
 	now               time.Duration
@@ -101,17 +103,17 @@
 	unfinished        map[task.ID]*Task
 	jobs              map[uint64][]*Task
 	failingServers    map[string]bool
-	// silentSince are the servers that went silent, and when.
+	// silentSince holds the time at which each silent server went silent.
 	silentSince map[string]time.Duration
-	// abandonedJobs are the jobs given up or dropped.
+	// abandonedJobs holds the jobs that the planner dropped or parked.
 	abandonedJobs map[uint64]bool
 	table         table.Table
 	lastJob       uint64
-	// maxCapacity is the largest server's capacity.
+	// maxCapacity is the largest capacity of a server in each dimension.
 	maxCapacity capacity.Size
 }
 
-// NewWorld returns a world with the servers and the table given.
+// NewWorld returns a world with the given planner, servers and team table.
 func NewWorld(p plan.Planner, servers []backend.Server, t table.Table) *World {
 	w := &World{
 		Planner: p, Checker: NewChecker(), servers: map[string]backend.Server{}, unfinished: map[task.ID]*Task{},
@@ -127,13 +129,13 @@
 	return w
 }
 
-// Schedule has fn run at the given time.
+// Schedule runs fn at the given virtual time, or now if that time has passed.
 func (w *World) Schedule(at time.Duration, fn func()) {
 	w.seq++
 	heap.Push(&w.queue, event{max(at, w.now), w.seq, fn})
 }
 
-// Run plays until the given time.
+// Run simulates until the given virtual time.
 func (w *World) Run(until time.Duration) {
 	if !w.started {
 		w.started = true
@@ -153,7 +155,8 @@
 	w.Schedule(w.now+tickPeriod, w.tick)
 }
 
-// scheduleDecision has a decision follow soon.
+// scheduleDecision schedules a call of the planner after decisionDelay unless one is
+// pending.
 func (w *World) scheduleDecision() {
 	if w.decisionScheduled {
 		return
@@ -162,7 +165,7 @@
 	w.Schedule(w.now+decisionDelay, func() { w.decisionScheduled = false; w.decide() })
 }
 
-// SetTable puts a table in force.
+// SetTable replaces the team table.
 func (w *World) SetTable(t table.Table) {
 	w.table = t
 	w.Checker.table = t
@@ -178,7 +181,7 @@
 	w.scheduleDecision()
 }
 
-// Submit queues a job whose tasks run for the times given.
+// Submit queues a job with the given run time for each task and returns its number.
 func (w *World) Submit(spec *job.Spec, runtimes []time.Duration, usage capacity.Size, crashes bool) uint64 {
 	w.lastJob++
 	id := w.lastJob
@@ -201,7 +204,7 @@
 	w.scheduleDecision()
 }
 
-// Cancel takes what waits of the job out of the queue.
+// Cancel removes the waiting tasks of the job from the queue.
 func (w *World) Cancel(id uint64) {
 	for _, t := range w.jobs[id] {
 		if w.unfinished[t.id] == t && !t.placed {
@@ -261,7 +264,8 @@
 	w.Schedule(t.startedAt+runtime, func() { w.finish(t, attempt, fails) })
 }
 
-// finish is a task ending by itself.
+// finish ends an attempt that ran to its end or failed. It does nothing if the attempt
+// already ended or its server is silent.
 func (w *World) finish(t *Task, attempt uint32, failed bool) {
 	if _, silent := w.silentSince[t.server]; silent || !t.placed || t.attempts != attempt {
 		return
@@ -288,8 +292,8 @@
 	w.enqueue(t)
 }
 
-// stop ends an attempt with a checkpoint: what was done since the last one the
-// task made by itself is lost.
+// stop ends an attempt after stopDuration. Only the work up to the task's last periodic
+// checkpoint is kept.
 func (w *World) stop(t *Task, reason string) {
 	if t == nil || !t.placed || t.stopping {
 		return
@@ -322,7 +326,7 @@
 	}
 }
 
-// reportUsage tells of the use of every task.
+// reportUsage reports the usage of each task that differs from its declared size.
 func (w *World) reportUsage() {
 	for _, id := range w.serverIDs {
 		for _, t := range w.Checker.tasks[id] {
@@ -334,8 +338,9 @@
 	w.Schedule(w.now+usageReportPeriod, w.reportUsage)
 }
 
-// FailServers takes the servers away that match, and brings them back later. They are
-// marked suspect at once, or, for comparison, only when their lease is over.
+// FailServers makes the matching servers silent and restores them after the outage.
+// With markSuspect they are marked suspect at once. Without it they stay ready until
+// their lease expires.
 func (w *World) FailServers(match func(backend.Server) bool, outage time.Duration, markSuspect bool) {
 	for _, id := range w.serverIDs {
 		s := w.servers[id]
