--- a/internal/load/trial/main.go
+++ b/internal/load/trial/main.go
@@ -152,8 +152,8 @@
 		difference, deviation := meanAndDeviation(results[i], func(r simulator.Result) float64 { seed++; return r.Score() - results[0][seed].Score() })
 		fmt.Fprintf(t, "%.3f\t%+.4f ± %.4f\t\n", spread, difference, deviation/math.Sqrt(float64(len(results[i]))))
 	}
-	if deviation := t.Flush(); deviation != nil {
-		return deviation
+	if err := t.Flush(); err != nil {
+		return err
 	}
 	for i, name := range names {
 		mean, _ := meanAndDeviation(results[i], simulator.Result.Score)
