--- a/internal/load/measure/change.go
+++ b/internal/load/measure/change.go
@@ -34,8 +34,8 @@
 
 // measureChanges measures how long key withdrawals and table changes take until every
 // process applies them.
-func measureChanges(ctx context.Context, b *measurement) error {
-	return b.withServers(ctx, func(ctx context.Context, r *rig.Rig, _ *rig.Fleet, _ string) error {
+func measureChanges(ctx context.Context, m *measurement) error {
+	return m.withServers(ctx, func(ctx context.Context, r *rig.Rig, _ *rig.Fleet, _ string) error {
 		for name, measureOne := range map[string]func(context.Context, *rig.Rig, int) (time.Duration, error){
 			"key-withdrawal": measureWithdrawal, "table-change": measureTableChange,
 		} {
@@ -49,7 +49,7 @@
 			}
 			slices.Sort(delays)
 			quantile := func(q float64) float64 { return ms(delays[int(math.Ceil(q*float64(len(delays))))-1]) }
-			if err := printRow(delayRow{Part: name, Place: b.DelaySet, Count: len(delays), P50: quantile(0.5), P99: quantile(0.99), Max: quantile(1)}); err != nil {
+			if err := printRow(delayRow{Part: name, Place: m.DelaySet, Count: len(delays), P50: quantile(0.5), P99: quantile(0.99), Max: quantile(1)}); err != nil {
 				return err
 			}
 		}
--- a/internal/load/measure/fault.go
+++ b/internal/load/measure/fault.go
@@ -57,13 +57,13 @@
 // rollingRestart gracefully restarts one process after another, the leader last.
 func rollingRestart(ctx context.Context, r *rig.Rig) error {
 	order := r.EntryNames()
-	lead, _ := r.Leader()
+	leader, _ := r.Leader()
 	for _, name := range r.ControlNames() {
-		if name != lead {
+		if name != leader {
 			order = append(order, name)
 		}
 	}
-	for _, name := range append(order, lead) {
+	for _, name := range append(order, leader) {
 		if err := r.Stop(name, stopTimeout); err != nil {
 			return fmt.Errorf("stop %s: %w", name, err)
 		}
@@ -78,13 +78,13 @@
 }
 
 // measureFaults measures a cell under load during each selected fault.
-func measureFaults(ctx context.Context, b *measurement) error {
+func measureFaults(ctx context.Context, m *measurement) error {
 	for _, f := range faultCases {
-		if !strings.Contains(","+b.Faults+",", ","+f.name+",") {
+		if !strings.Contains(","+m.Faults+",", ","+f.name+",") {
 			continue
 		}
-		if err := b.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
-			return b.measureFault(ctx, r, fleet, token, f)
+		if err := m.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
+			return m.measureFault(ctx, r, fleet, token, f)
 		}); err != nil {
 			return fmt.Errorf("%s: %w", f.name, err)
 		}
@@ -92,8 +92,8 @@
 	return nil
 }
 
-func (b *measurement) measureFault(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, f faultCase) error {
-	if err := b.warmUp(ctx, r, fleet, token); err != nil {
+func (m *measurement) measureFault(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, f faultCase) error {
+	if err := m.warmUp(ctx, r, fleet, token); err != nil {
 		return err
 	}
 	var w sync.WaitGroup
@@ -109,7 +109,7 @@
 		link.Sleep(ctx, faultDelay)
 		injectErr = f.inject(ctx, r)
 	})
-	row, err := b.runLoad(ctx, r, fleet, token, loadSpec{rate: faultRate, duration: f.duration, kind: job.Urgent, tasksPerJob: 1, runtime: 50 * time.Millisecond, onceFraction: 0.3}, "fault-")
+	row, err := m.runLoad(ctx, r, fleet, token, loadSpec{rate: faultRate, duration: f.duration, kind: job.Urgent, tasksPerJob: 1, runtime: 50 * time.Millisecond, onceFraction: 0.3}, "fault-")
 	if err != nil {
 		return err
 	}
--- a/internal/load/measure/idle.go
+++ b/internal/load/measure/idle.go
@@ -22,9 +22,9 @@
 const idleTime = 8 * time.Second
 
 // measureIdle measures the resource usage of a cell without jobs.
-func measureIdle(ctx context.Context, b *measurement) error {
-	return b.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
-		row, err := b.runIdle(ctx, r, b.Servers)
+func measureIdle(ctx context.Context, m *measurement) error {
+	return m.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
+		row, err := m.runIdle(ctx, r, m.Servers)
 		if err != nil {
 			return err
 		}
@@ -32,9 +32,9 @@
 	})
 }
 
-func (b *measurement) runIdle(ctx context.Context, r *rig.Rig, servers int) (idleRow, error) {
+func (m *measurement) runIdle(ctx context.Context, r *rig.Rig, servers int) (idleRow, error) {
 	row := idleRow{Part: "idle", Servers: servers}
-	fleet, err := r.StartFleet(ctx, servers, serverCapacity(b.Slots))
+	fleet, err := r.StartFleet(ctx, servers, serverCapacity(m.Slots))
 	if err != nil {
 		return row, err
 	}
--- a/internal/load/measure/load.go
+++ b/internal/load/measure/load.go
@@ -80,16 +80,16 @@
 }
 
 // runLoad puts a cell under the load of spec and returns the output row.
-func (b *measurement) runLoad(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, spec loadSpec, prefix string) (loadRow, error) {
+func (m *measurement) runLoad(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, spec loadSpec, prefix string) (loadRow, error) {
 	before, err := takeSample(r)
 	if err != nil {
 		return loadRow{}, err
 	}
 	client := r.CallerClient(token)
 	driver := &drive.Driver{Client: client, Jobs: spec.drawJobs(prefix), Tail: outcomeTimeout}
-	row := loadRow{Part: prefix, Place: b.DelaySet, Rate: spec.rate, TasksPerJob: spec.tasksPerJob}
+	row := loadRow{Part: prefix, Place: m.DelaySet, Rate: spec.rate, TasksPerJob: spec.tasksPerJob}
 	var delayMeasurements sync.WaitGroup
-	for i, delay := range delays[b.DelaySet] {
+	for i, delay := range delays[m.DelaySet] {
 		delayMeasurements.Go(func() {
 			median, p99, _ := r.MeasureDelay(ctx, delay, spec.duration) // a failed measurement shows as 0
 			row.MeasuredDelays[2*i], row.MeasuredDelays[2*i+1] = ms(median), ms(p99)
@@ -102,7 +102,7 @@
 	row.Violations, row.Counts, row.Refusals = summary.Violations, summary.Counts, summary.Refusals
 	row.Violations.ServerFaults = append(row.Violations.ServerFaults, fleet.ServerRecord.Faults()...)
 	row.Start, row.Lag = summary.Kinds[spec.kind.String()].Start, summary.Kinds[spec.kind.String()].Lag
-	networkDelay := clientCrossings*delays[b.DelaySet][1] + zoneCrossings*delays[b.DelaySet][0]
+	networkDelay := clientCrossings*delays[m.DelaySet][1] + zoneCrossings*delays[m.DelaySet][0]
 	row.NetworkDelay = ms(networkDelay)
 	row.AddedLatency, row.LongestGap = addedLatency(results, networkDelay), longestGap(results, spec.duration)
 	row.StartsPerSecond = startsPerSecond(results)
@@ -156,27 +156,27 @@
 // until the last answer.
 func startsPerSecond(results []drive.JobResult) float64 {
 	var lastAnswer time.Duration
-	n := 0.0
+	startedTasks := 0.0
 	for i := range results {
 		if s := &results[i]; s.Outcome == v1.Outcome_OUTCOME_DONE && caller.Final(s.Outcome) {
-			n += float64(s.Job.Spec.GetCount())
+			startedTasks += float64(s.Job.Spec.GetCount())
 			lastAnswer = max(lastAnswer, s.AnsweredAt)
 		}
 	}
 	if lastAnswer == 0 {
 		return 0
 	}
-	return n / lastAnswer.Seconds()
+	return startedTasks / lastAnswer.Seconds()
 }
 
 // withServers runs fn on a new cell with a team and backend servers.
-func (b *measurement) withServers(ctx context.Context, fn func(context.Context, *rig.Rig, *rig.Fleet, string) error) error {
-	return b.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
+func (m *measurement) withServers(ctx context.Context, fn func(context.Context, *rig.Rig, *rig.Fleet, string) error) error {
+	return m.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
 		token, err := r.CreateTeam(ctx, "measured")
 		if err != nil {
 			return err
 		}
-		fleet, err := r.StartFleet(ctx, b.Servers, serverCapacity(b.Slots))
+		fleet, err := r.StartFleet(ctx, m.Servers, serverCapacity(m.Slots))
 		if err != nil {
 			return err
 		}
@@ -187,19 +187,19 @@
 
 // warmUp runs a short load before a measurement, so that connections are open and
 // run-time estimates exist.
-func (b *measurement) warmUp(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
-	_, err := b.runLoad(ctx, r, fleet, token, loadSpec{rate: 200, duration: 2 * time.Second, kind: job.Urgent, tasksPerJob: 1, runtime: 20 * time.Millisecond}, "warm-")
+func (m *measurement) warmUp(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
+	_, err := m.runLoad(ctx, r, fleet, token, loadSpec{rate: 200, duration: 2 * time.Second, kind: job.Urgent, tasksPerJob: 1, runtime: 20 * time.Millisecond}, "warm-")
 	return err
 }
 
 // measureLatency measures the latency of urgent requests at each rate.
-func measureLatency(ctx context.Context, b *measurement) error {
-	for _, rate := range b.Rates {
-		err := b.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
-			if err := b.warmUp(ctx, r, fleet, token); err != nil {
+func measureLatency(ctx context.Context, m *measurement) error {
+	for _, rate := range m.Rates {
+		err := m.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
+			if err := m.warmUp(ctx, r, fleet, token); err != nil {
 				return err
 			}
-			row, err := b.runLoad(ctx, r, fleet, token, loadSpec{rate: rate, duration: b.Duration, kind: job.Urgent, tasksPerJob: 1, runtime: 50 * time.Millisecond}, "latency-")
+			row, err := m.runLoad(ctx, r, fleet, token, loadSpec{rate: rate, duration: m.Duration, kind: job.Urgent, tasksPerJob: 1, runtime: 50 * time.Millisecond}, "latency-")
 			if err != nil {
 				return err
 			}
@@ -217,15 +217,15 @@
 
 // measureStarts measures how many tasks a cell starts per second. The offered rates
 // count tasks, and the result is the reached rate.
-func measureStarts(ctx context.Context, b *measurement) error {
+func measureStarts(ctx context.Context, m *measurement) error {
 	for _, count := range jobSizes {
-		for _, rate := range b.Rates {
-			err := b.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
-				if err := b.warmUp(ctx, r, fleet, token); err != nil {
+		for _, rate := range m.Rates {
+			err := m.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
+				if err := m.warmUp(ctx, r, fleet, token); err != nil {
 					return err
 				}
-				spec := loadSpec{rate: rate / float64(count), duration: b.Duration, kind: job.Batch, tasksPerJob: count, runtime: 10 * time.Millisecond}
-				row, err := b.runLoad(ctx, r, fleet, token, spec, fmt.Sprintf("starts-%d-", count))
+				spec := loadSpec{rate: rate / float64(count), duration: m.Duration, kind: job.Batch, tasksPerJob: count, runtime: 10 * time.Millisecond}
+				row, err := m.runLoad(ctx, r, fleet, token, spec, fmt.Sprintf("starts-%d-", count))
 				if err != nil {
 					return err
 				}
--- a/internal/load/measure/main.go
+++ b/internal/load/measure/main.go
@@ -75,31 +75,31 @@
 }
 
 func run(ctx context.Context) error {
-	b := &measurement{}
-	if _, err := flags.Parse(&b.options); err != nil {
+	m := &measurement{}
+	if _, err := flags.Parse(&m.options); err != nil {
 		os.Exit(2)
 	}
-	b.dir = b.KeepDir
-	if b.dir == "" {
+	m.dir = m.KeepDir
+	if m.dir == "" {
 		dir, err := os.MkdirTemp("", "measure-")
 		if err != nil {
 			return err
 		}
 		defer func() { _ = os.RemoveAll(dir) }()
-		b.dir = dir
+		m.dir = dir
 	}
-	if b.program = b.Program; b.program == "" {
-		b.program = filepath.Join(b.dir, "gypsumreel")
-		if out, err := exec.CommandContext(ctx, "go", "build", "-o", b.program, "gypsumreel/cmd/gypsumreel").CombinedOutput(); err != nil {
+	if m.program = m.Program; m.program == "" {
+		m.program = filepath.Join(m.dir, "gypsumreel")
+		if out, err := exec.CommandContext(ctx, "go", "build", "-o", m.program, "gypsumreel/cmd/gypsumreel").CombinedOutput(); err != nil {
 			return fmt.Errorf("build: %w: %s", err, out)
 		}
 	}
-	for _, part := range strings.Split(b.Parts, ",") {
+	for _, part := range strings.Split(m.Parts, ",") {
 		fn, ok := measurements[part]
 		if !ok {
 			return fmt.Errorf("unknown part %q", part)
 		}
-		if err := fn(ctx, b); err != nil {
+		if err := fn(ctx, m); err != nil {
 			return fmt.Errorf("%s: %w", part, err)
 		}
 	}
@@ -111,16 +111,16 @@
 }
 
 // withCell runs fn on a new cell.
-func (b *measurement) withCell(ctx context.Context, entries int, fn func(context.Context, *rig.Rig) error) error {
-	b.cells++
+func (m *measurement) withCell(ctx context.Context, entries int, fn func(context.Context, *rig.Rig) error) error {
+	m.cells++
 	// Each cell needs an empty folder, because a replica would load the data of an
 	// earlier cell.
-	dir := filepath.Join(b.dir, fmt.Sprintf("run-%d", b.cells))
+	dir := filepath.Join(m.dir, fmt.Sprintf("run-%d", m.cells))
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return err
 	}
-	delay := delays[b.DelaySet]
-	r := &rig.Rig{Program: b.program, Dir: dir, FirstPort: b.FirstPort, Replicas: replicas, Entries: entries, ZoneDelay: delay[0], ClientDelay: delay[1]}
+	delay := delays[m.DelaySet]
+	r := &rig.Rig{Program: m.program, Dir: dir, FirstPort: m.FirstPort, Replicas: replicas, Entries: entries, ZoneDelay: delay[0], ClientDelay: delay[1]}
 	defer r.Close()
 	if err := r.Start(ctx); err != nil {
 		return err
@@ -165,26 +165,26 @@
 // usageSample holds the total resource usage of all processes at one time.
 type usageSample struct {
 	takenAt       time.Time
-	processes     map[string]rig.Usage
+	processUsage  map[string]rig.Usage
 	listenerBytes map[string]int64
 	backendBytes  int64
-	tool          rig.Usage
+	toolUsage     rig.Usage
 }
 
 func takeSample(r *rig.Rig) (usageSample, error) {
-	s := usageSample{takenAt: time.Now(), processes: map[string]rig.Usage{}, listenerBytes: map[string]int64{}}
+	sample := usageSample{takenAt: time.Now(), processUsage: map[string]rig.Usage{}, listenerBytes: map[string]int64{}}
 	var err error
 	for _, name := range slices.Concat(r.ControlNames(), r.EntryNames()) {
-		if s.processes[name], err = r.ProcessUsage(name); err != nil {
-			return s, err
+		if sample.processUsage[name], err = r.ProcessUsage(name); err != nil {
+			return sample, err
 		}
-		s.listenerBytes[name] = r.ListenerBytes(name)
+		sample.listenerBytes[name] = r.ListenerBytes(name)
 	}
 	for _, name := range r.EntryNames() {
-		s.backendBytes += r.BackendBytes(name)
+		sample.backendBytes += r.BackendBytes(name)
 	}
-	s.tool, err = rig.UsageOf(os.Getpid())
-	return s, err
+	sample.toolUsage, err = rig.UsageOf(os.Getpid())
+	return sample, err
 }
 
 // usageBetween returns the resource usage of each role between two samples.
@@ -192,7 +192,7 @@
 	var usage cellUsage
 	seconds := after.takenAt.Sub(before.takenAt).Seconds()
 	leader, _ := r.Leader()
-	for name, u := range after.processes {
+	for name, u := range after.processUsage {
 		c := &usage.Follower
 		switch {
 		case name == leader:
@@ -200,12 +200,12 @@
 		case strings.HasPrefix(name, "entry"):
 			c = &usage.Entry
 		}
-		c.CPU += (u.CPU - before.processes[name].CPU).Seconds() / seconds
-		c.RunnableWait += (u.RunnableWait - before.processes[name].RunnableWait).Seconds() / seconds
+		c.CPU += (u.CPU - before.processUsage[name].CPU).Seconds() / seconds
+		c.RunnableWait += (u.RunnableWait - before.processUsage[name].RunnableWait).Seconds() / seconds
 		c.Bytes += float64(after.listenerBytes[name]-before.listenerBytes[name]) / seconds
 		c.RSS = max(c.RSS, float64(u.RSS)/(1<<20))
 	}
 	usage.BackendBytes = float64(after.backendBytes-before.backendBytes) / seconds
-	usage.ToolCPU = (after.tool.CPU - before.tool.CPU).Seconds() / seconds
+	usage.ToolCPU = (after.toolUsage.CPU - before.toolUsage.CPU).Seconds() / seconds
 	return usage
 }
--- a/internal/load/measure/slopes.go
+++ b/internal/load/measure/slopes.go
@@ -43,8 +43,8 @@
 	for _, p := range points {
 		n, sx, sy, sxx, sxy = n+1, sx+p.Size, sy+p.Value, sxx+p.Size*p.Size, sxy+p.Size*p.Value
 	}
-	slopeValue := (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	return slope{Name: name, Unit: unit, Slope: slopeValue, Intercept: (sy - slopeValue*sx) / n, Points: points}
+	gradient := (n*sxy - sx*sy) / (n*sxx - sx*sx)
+	return slope{Name: name, Unit: unit, Slope: gradient, Intercept: (sy - gradient*sx) / n, Points: points}
 }
 
 // lineSet collects points by name and fits a line for each name, in the order of first
@@ -76,14 +76,14 @@
 }
 
 // measureSlopes measures the cost of one more start, idle server and running task.
-func measureSlopes(ctx context.Context, b *measurement) error {
+func measureSlopes(ctx context.Context, m *measurement) error {
 	l := &lineSet{}
-	for _, part := range strings.Split(b.Slopes, ",") {
+	for _, part := range strings.Split(m.Slopes, ",") {
 		fn, ok := map[string]func(context.Context, *measurement, *lineSet) error{"start": measurePerStart, "server": measurePerServer, "memory": measurePerTask}[part]
 		if !ok {
 			return fmt.Errorf("unknown slope %q", part)
 		}
-		if err := fn(ctx, b, l); err != nil {
+		if err := fn(ctx, m, l); err != nil {
 			return err
 		}
 	}
@@ -92,21 +92,21 @@
 
 const microsPerSecond = 1e6
 
-func measurePerStart(ctx context.Context, b *measurement, l *lineSet) error {
+func measurePerStart(ctx context.Context, m *measurement, l *lineSet) error {
 	for _, rate := range slopeRates {
-		err := b.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
-			if err := b.warmUp(ctx, r, fleet, token); err != nil {
+		err := m.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
+			if err := m.warmUp(ctx, r, fleet, token); err != nil {
 				return err
 			}
-			row, err := b.runLoad(ctx, r, fleet, token, loadSpec{rate: rate, duration: b.Duration, kind: job.Urgent, tasksPerJob: 1, runtime: 50 * time.Millisecond}, "slope-")
-			c := row.Usage
-			l.add("cpu of the leader per start", "us", row.StartsPerSecond, c.Leader.CPU*microsPerSecond)
-			l.add("cpu of a follower per start", "us", row.StartsPerSecond, c.Follower.CPU*microsPerSecond/(replicas-1))
-			l.add("cpu of the entries per start, all together", "us", row.StartsPerSecond, c.Entry.CPU*microsPerSecond)
-			l.add("bytes at the leader's listener per start", "B", row.StartsPerSecond, c.Leader.Bytes)
-			l.add("bytes at a follower's listener per start", "B", row.StartsPerSecond, c.Follower.Bytes/(replicas-1))
-			l.add("bytes at the entries' listeners per start, all together", "B", row.StartsPerSecond, c.Entry.Bytes)
-			l.add("bytes between entries and servers per start", "B", row.StartsPerSecond, c.BackendBytes)
+			row, err := m.runLoad(ctx, r, fleet, token, loadSpec{rate: rate, duration: m.Duration, kind: job.Urgent, tasksPerJob: 1, runtime: 50 * time.Millisecond}, "slope-")
+			usage := row.Usage
+			l.add("cpu of the leader per start", "us", row.StartsPerSecond, usage.Leader.CPU*microsPerSecond)
+			l.add("cpu of a follower per start", "us", row.StartsPerSecond, usage.Follower.CPU*microsPerSecond/(replicas-1))
+			l.add("cpu of the entries per start, all together", "us", row.StartsPerSecond, usage.Entry.CPU*microsPerSecond)
+			l.add("bytes at the leader's listener per start", "B", row.StartsPerSecond, usage.Leader.Bytes)
+			l.add("bytes at a follower's listener per start", "B", row.StartsPerSecond, usage.Follower.Bytes/(replicas-1))
+			l.add("bytes at the entries' listeners per start, all together", "B", row.StartsPerSecond, usage.Entry.Bytes)
+			l.add("bytes between entries and servers per start", "B", row.StartsPerSecond, usage.BackendBytes)
 			return err
 		})
 		if err != nil {
@@ -116,17 +116,17 @@
 	return nil
 }
 
-func measurePerServer(ctx context.Context, b *measurement, l *lineSet) error {
+func measurePerServer(ctx context.Context, m *measurement, l *lineSet) error {
 	for _, n := range slopeServerCounts {
-		err := b.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
-			row, err := b.runIdle(ctx, r, n)
-			c, x := row.Usage, float64(n)
-			l.add("cpu of the leader per idle server and second", "us", x, c.Leader.CPU*microsPerSecond)
-			l.add("cpu of a follower per idle server and second", "us", x, c.Follower.CPU*microsPerSecond/(replicas-1))
-			l.add("cpu of the entries per idle server and second, all together", "us", x, c.Entry.CPU*microsPerSecond)
-			l.add("bytes between entry and idle server per second", "B", x, c.BackendBytes)
-			l.add("bytes at the leader's listener per idle server and second", "B", x, c.Leader.Bytes)
-			l.add("bytes at an idle follower's listener per second, by servers", "B", x, c.Follower.Bytes/(replicas-1))
+		err := m.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
+			row, err := m.runIdle(ctx, r, n)
+			usage, servers := row.Usage, float64(n)
+			l.add("cpu of the leader per idle server and second", "us", servers, usage.Leader.CPU*microsPerSecond)
+			l.add("cpu of a follower per idle server and second", "us", servers, usage.Follower.CPU*microsPerSecond/(replicas-1))
+			l.add("cpu of the entries per idle server and second, all together", "us", servers, usage.Entry.CPU*microsPerSecond)
+			l.add("bytes between entry and idle server per second", "B", servers, usage.BackendBytes)
+			l.add("bytes at the leader's listener per idle server and second", "B", servers, usage.Leader.Bytes)
+			l.add("bytes at an idle follower's listener per second, by servers", "B", servers, usage.Follower.Bytes/(replicas-1))
 			return err
 		})
 		if err != nil {
@@ -138,14 +138,14 @@
 
 // measurePerTask measures resident memory. The garbage collector keeps some unused
 // memory, so the slope is an upper bound of what a task or server needs.
-func measurePerTask(ctx context.Context, b *measurement, l *lineSet) error {
+func measurePerTask(ctx context.Context, m *measurement, l *lineSet) error {
 	for _, n := range slopeTaskCounts {
-		err := b.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
+		err := m.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
 			token, err := r.CreateTeam(ctx, "measured")
 			if err != nil {
 				return err
 			}
-			fleet, err := r.StartFleet(ctx, b.Servers, serverCapacity(int64(slopeTaskCounts[len(slopeTaskCounts)-1])))
+			fleet, err := r.StartFleet(ctx, m.Servers, serverCapacity(int64(slopeTaskCounts[len(slopeTaskCounts)-1])))
 			if err != nil {
 				return err
 			}
@@ -160,8 +160,8 @@
 		}
 	}
 	for _, n := range slopeFleetSizes {
-		err := b.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
-			fleet, err := r.StartFleet(ctx, n, serverCapacity(b.Slots))
+		err := m.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
+			fleet, err := r.StartFleet(ctx, n, serverCapacity(m.Slots))
 			if err != nil {
 				return err
 			}
@@ -177,28 +177,28 @@
 
 func addMemoryPoints(ctx context.Context, r *rig.Rig, l *lineSet, subject string, size float64) error {
 	link.Sleep(ctx, rig.SettleTime)
-	s, err := takeSample(r)
-	c := usageBetween(r, s, s)
-	l.add("resident memory of the leader per 1,000 "+subject, "MiB", size, c.Leader.RSS)
-	l.add("resident memory of a follower per 1,000 "+subject, "MiB", size, c.Follower.RSS)
-	l.add("resident memory of an entry per 1,000 "+subject, "MiB", size, c.Entry.RSS)
+	sample, err := takeSample(r)
+	usage := usageBetween(r, sample, sample)
+	l.add("resident memory of the leader per 1,000 "+subject, "MiB", size, usage.Leader.RSS)
+	l.add("resident memory of a follower per 1,000 "+subject, "MiB", size, usage.Follower.RSS)
+	l.add("resident memory of an entry per 1,000 "+subject, "MiB", size, usage.Entry.RSS)
 	return err
 }
 
 // startLongTasks submits n tasks that run for an hour and waits until all have
 // started.
 func startLongTasks(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, n int) error {
-	const perJob, perCall = 10, 50
+	const tasksPerJob, jobsPerCall = 10, 50
 	client := r.CallerClient(token)
 	defer client.Link.Close()
 	var ids []string
-	for first := 0; first < n; first += perJob * perCall {
+	for first := 0; first < n; first += tasksPerJob * jobsPerCall {
 		var jobs []*v1.Spec
-		for i := first; i < min(n, first+perJob*perCall); i += perJob {
+		for i := first; i < min(n, first+tasksPerJob*jobsPerCall); i += tasksPerJob {
 			id := fmt.Sprintf("held-%d", i)
 			ids = append(ids, id)
 			jobs = append(jobs, &v1.Spec{
-				Id: id, Kind: v1.Kind(job.Batch), Name: "held", Count: perJob, Size: &v1.Size{Cpu: 1, Memory: 1, Slots: 1},
+				Id: id, Kind: v1.Kind(job.Batch), Name: "held", Count: tasksPerJob, Size: &v1.Size{Cpu: 1, Memory: 1, Slots: 1},
 				Runtime: uint64(time.Hour.Milliseconds()), Input: work.Input{ID: id, Runtime: time.Hour}.Encode(),
 			})
 		}
@@ -209,13 +209,13 @@
 	ctx, cancel := context.WithTimeout(ctx, outcomeTimeout)
 	defer cancel()
 	for _, id := range ids {
-		for running := 0; running < perJob; {
+		for running := 0; running < tasksPerJob; {
 			running = 0
-			for _, taskRuns := range fleet.TaskRuns.JobRuns(id, perJob) {
+			for _, taskRuns := range fleet.TaskRuns.JobRuns(id, tasksPerJob) {
 				running += taskRuns.Started
 			}
-			if running < perJob && !link.Sleep(ctx, taskPollInterval) {
-				return fmt.Errorf("job %s: %d of %d tasks started (limit %s)", id, running, perJob, outcomeTimeout)
+			if running < tasksPerJob && !link.Sleep(ctx, taskPollInterval) {
+				return fmt.Errorf("job %s: %d of %d tasks started (limit %s)", id, running, tasksPerJob, outcomeTimeout)
 			}
 		}
 	}
--- a/internal/load/report/report.go
+++ b/internal/load/report/report.go
@@ -185,27 +185,27 @@
 }
 
 func (s *builder) add(result *drive.JobResult) {
-	h := s.histograms[result.Job.Kind]
-	if h == nil {
-		h = newHistograms()
-		s.histograms[result.Job.Kind] = h
+	histograms := s.histograms[result.Job.Kind]
+	if histograms == nil {
+		histograms = newHistograms()
+		s.histograms[result.Job.Kind] = histograms
 	}
-	h.jobs++
+	histograms.jobs++
 	s.Counts.Sent++
 	s.secondAt(result.SentAt).Sent++
-	recordWait(h.lag, result.SentAt-result.Job.ArrivesAt)
+	recordWait(histograms.lag, result.SentAt-result.Job.ArrivesAt)
 	if result.AcceptedAt > 0 {
 		s.Counts.Accepted++
-		recordWait(h.accept, result.AcceptedAt-result.Job.ArrivesAt)
+		recordWait(histograms.accept, result.AcceptedAt-result.Job.ArrivesAt)
 	}
 	if result.AnsweredAt > 0 && result.Outcome == v1.Outcome_OUTCOME_DONE {
 		s.secondAt(result.AnsweredAt).Answered++
 		if result.Job.Kind != job.Service {
-			recordWait(h.answer, result.AnsweredAt-result.Job.ArrivesAt)
+			recordWait(histograms.answer, result.AnsweredAt-result.Job.ArrivesAt)
 		}
 	}
 	s.countOutcome(result)
-	s.checkRuns(result, h)
+	s.checkRuns(result, histograms)
 }
 
 func (s *builder) secondAt(at time.Duration) *SecondCounts {
@@ -251,7 +251,7 @@
 
 // checkRuns compares the outcome that the caller got with the attempts that really
 // ran.
-func (s *builder) checkRuns(result *drive.JobResult, h *kindHistograms) {
+func (s *builder) checkRuns(result *drive.JobResult, histograms *kindHistograms) {
 	if s.runs == nil {
 		return
 	}
@@ -283,7 +283,7 @@
 		s.Violations.UnfinishedDone++
 	}
 	if started == len(runs) {
-		recordWait(h.start, lastStart.Sub(s.start)-result.Job.ArrivesAt)
+		recordWait(histograms.start, lastStart.Sub(s.start)-result.Job.ArrivesAt)
 	}
 }
 
--- a/internal/policy/bench/bench.go
+++ b/internal/policy/bench/bench.go
@@ -49,9 +49,9 @@
 	Fault Fault
 	// Seed seeds the random generator. The same seed gives the same run.
 	Seed uint64
-	// Length is the virtual duration of the run. The first eighth is warm-up and is not
+	// Duration is the virtual duration of the run. The first eighth is warm-up and is not
 	// measured.
-	Length time.Duration
+	Duration time.Duration
 }
 
 // Result holds the measurements of one run.
@@ -119,7 +119,7 @@
 // Run simulates one run and returns its measurements.
 func Run(p plan.Planner, s Setup) Result {
 	w := NewWorld(p, s.Site.servers(), InitialTable())
-	w.Metrics.MeasureFrom = s.Length / 8
+	w.Metrics.MeasureFrom = s.Duration / 8
 	src := &jobSource{rng: rand.New(rand.NewPCG(s.Seed, 7)), site: s.Site}
 	rate := src.arrivalRate(s.Load)
 	src.wrongRuntimes = s.Fault == WrongRuntimes
@@ -130,10 +130,10 @@
 		src.overuseFraction = 0.05
 	}
 	w.submitServices(s.Site, serviceFraction)
-	w.submitArrivals(src, rate, s.Length)
+	w.submitArrivals(src, rate, s.Duration)
 	w.Schedule(0, w.Metrics.Sample)
-	w.Schedule(s.Length/2, func() { w.injectFault(s) })
-	w.Run(s.Length)
+	w.Schedule(s.Duration/2, func() { w.injectFault(s) })
+	w.Run(s.Duration)
 	return w.Metrics.result()
 }
 
@@ -144,7 +144,7 @@
 	flood := &job.Spec{Team: "dov", Kind: job.Batch, Name: "flood", Count: 10_000, Size: small, Runtime: time.Minute}
 	switch s.Fault {
 	case ZoneLost:
-		w.FailServers(func(b backend.Server) bool { return b.Zone == "z00" }, s.Length/4, true)
+		w.FailServers(func(b backend.Server) bool { return b.Zone == "z00" }, s.Duration/4, true)
 	case RackOutages, UnmarkedOutages:
 		w.failRacks(0, s.Fault == RackOutages)
 	case FailingServer:
--- a/internal/policy/bench/bench_test.go
+++ b/internal/policy/bench/bench_test.go
@@ -111,7 +111,7 @@
 }
 
 func runPlanner(p plan.Planner, site bench.Site, load float64, f bench.Fault, name string) {
-	r := bench.Run(p, bench.Setup{Site: site, Load: load, Fault: f, Seed: seed, Length: duration})
+	r := bench.Run(p, bench.Setup{Site: site, Load: load, Fault: f, Seed: seed, Duration: duration})
 	if os.Getenv("GYPSUMREEL_REASONS") != "" {
 		fmt.Println(r.LostByReason, r.ActionCounts)
 	}
@@ -125,7 +125,7 @@
 	for _, site := range []bench.Site{bench.Balastas(), bench.Coralwave()} {
 		for _, f := range []bench.Fault{bench.NoFault, bench.ZoneLost} {
 			t.Run(site.Name+" "+string(f), func(t *testing.T) {
-				r := bench.Run(bench.Product(0), bench.Setup{Site: site, Load: 1.2, Fault: f, Seed: 1, Length: 8 * time.Minute})
+				r := bench.Run(bench.Product(0), bench.Setup{Site: site, Load: 1.2, Fault: f, Seed: 1, Duration: 8 * time.Minute})
 				if diff := cmp.Diff([]string(nil), r.Violations); diff != "" {
 					t.Fatalf("violations (-want +got):\n%s", diff)
 				}
@@ -151,7 +151,7 @@
 // has to give the same decisions, also after a fault.
 func TestSameSeedSameDecisions(t *testing.T) {
 	runOnce := func() bench.Result {
-		r := bench.Run(bench.Product(0), bench.Setup{Site: bench.Coralwave(), Load: 1.2, Fault: bench.ZoneLost, Seed: 2, Length: 4 * time.Minute})
+		r := bench.Run(bench.Product(0), bench.Setup{Site: bench.Coralwave(), Load: 1.2, Fault: bench.ZoneLost, Seed: 2, Duration: 4 * time.Minute})
 		r.DecisionRate, r.DecisionP99 = 0, 0
 		return r
 	}
