--- a/internal/load/measure/fault.go
+++ b/internal/load/measure/fault.go
@@ -34,16 +34,16 @@
 
 var faultCases = []faultCase{
 	{"leader-kill", 12 * time.Second, false, func(ctx context.Context, r *rig.Rig) error {
-		lead, _ := r.Leader()
-		r.Kill(lead)
+		leader, _ := r.Leader()
+		r.Kill(leader)
 		link.Sleep(ctx, 3*time.Second)
-		return r.Restart(lead)
+		return r.Restart(leader)
 	}},
 	{"leader-pause", 20 * time.Second, false, func(ctx context.Context, r *rig.Rig) error {
-		lead, _ := r.Leader()
-		r.Pause(lead)
+		leader, _ := r.Leader()
+		r.Pause(leader)
 		link.Sleep(ctx, pauseDuration)
-		r.Resume(lead)
+		r.Resume(leader)
 		return nil
 	}},
 	{"entry-kill", 12 * time.Second, false, func(ctx context.Context, r *rig.Rig) error {
--- a/internal/load/measure/load.go
+++ b/internal/load/measure/load.go
@@ -71,11 +71,11 @@
 	onceFraction float64
 }
 
-func (f loadSpec) drawJobs(prefix string) []mix.Job {
+func (s loadSpec) drawJobs(prefix string) []mix.Job {
 	return mix.Plan{
-		Rate: f.rate, Duration: f.duration, Seed: 1, Weights: mix.KindWeights{f.kind: 1},
-		Shapes:       map[job.Kind]mix.Shape{f.kind: {Count: f.tasksPerJob, CPU: 500, Memory: 256, Runtime: f.runtime}},
-		OnceFraction: f.onceFraction, MeanAnswerBytes: answerBytes, IDPrefix: prefix,
+		Rate: s.rate, Duration: s.duration, Seed: 1, Weights: mix.KindWeights{s.kind: 1},
+		Shapes:       map[job.Kind]mix.Shape{s.kind: {Count: s.tasksPerJob, CPU: 500, Memory: 256, Runtime: s.runtime}},
+		OnceFraction: s.onceFraction, MeanAnswerBytes: answerBytes, IDPrefix: prefix,
 	}.Jobs()
 }
 
--- a/internal/load/measure/slopes.go
+++ b/internal/load/measure/slopes.go
@@ -90,8 +90,11 @@
 	return l.print()
 }
 
+// microsPerSecond converts cores, which are seconds per second, to microseconds per
+// second.
 const microsPerSecond = 1e6
 
+// measurePerStart measures the processor time and traffic per started task.
 func measurePerStart(ctx context.Context, m *measurement, l *lineSet) error {
 	for _, rate := range slopeRates {
 		err := m.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
@@ -116,6 +119,7 @@
 	return nil
 }
 
+// measurePerServer measures the processor time and traffic per idle backend server.
 func measurePerServer(ctx context.Context, m *measurement, l *lineSet) error {
 	for _, n := range slopeServerCounts {
 		err := m.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
--- a/internal/load/report/report.go
+++ b/internal/load/report/report.go
@@ -70,8 +70,8 @@
 }
 
 // None reports whether no checked guarantee was violated.
-func (p Violations) None() bool {
-	return p.LostJobs+p.DamagedAnswers+p.RepeatedOnceJobs+p.FalseNotRun+p.UnfinishedDone+len(p.ServerFaults) == 0
+func (v Violations) None() bool {
+	return v.LostJobs+v.DamagedAnswers+v.RepeatedOnceJobs+v.FalseNotRun+v.UnfinishedDone+len(v.ServerFaults) == 0
 }
 
 // Counts holds the numbers of jobs by what became of them.
--- a/internal/load/rig/rig.go
+++ b/internal/load/rig/rig.go
@@ -31,8 +31,10 @@
 	operatorsOffset = 2
 	platformOffset  = 3
 	relayOffset     = 5
-	startTimeout    = 20 * time.Second
-	pollInterval    = 20 * time.Millisecond
+	// startTimeout limits each wait for the cell to become ready.
+	startTimeout = 20 * time.Second
+	// pollInterval is the pause between two polls of the cell.
+	pollInterval = 20 * time.Millisecond
 )
 
 // operatorKeyID is the id of the first operator's key.
--- a/internal/load/trial/main.go
+++ b/internal/load/trial/main.go
@@ -107,8 +107,8 @@
 // columns are the columns of the table. Each value is the mean of a figure over all
 // runs.
 var columns = []struct {
-	name string
-	of   func(simulator.Result) float64
+	name  string
+	value func(simulator.Result) float64
 }{
 	{"worth", simulator.Result.Score},
 	{"whole", func(r simulator.Result) float64 { return r.Overall.Value() }},
@@ -133,7 +133,8 @@
 
 // writeTable prints one row per policy: the means over the seeds, the standard
 // deviation of the score, and the mean difference of the score from that of the first
-// policy on the same seed. Below the table it prints a bar per score.
+// policy on the same seed with its standard error. Below the table it prints a bar for
+// the mean score of each policy.
 func writeTable(out io.Writer, names []string, results [][]simulator.Result) error {
 	t := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "way\t")
@@ -144,12 +145,12 @@
 	for i, name := range names {
 		fmt.Fprintf(t, "%s\t", name)
 		for _, c := range columns {
-			mean, _ := meanAndDeviation(results[i], c.of)
+			mean, _ := meanAndDeviation(results[i], c.value)
 			fmt.Fprintf(t, "%.3f\t", mean)
 		}
 		_, spread := meanAndDeviation(results[i], simulator.Result.Score)
-		seed := -1
-		difference, deviation := meanAndDeviation(results[i], func(r simulator.Result) float64 { seed++; return r.Score() - results[0][seed].Score() })
+		seedIndex := -1
+		difference, deviation := meanAndDeviation(results[i], func(r simulator.Result) float64 { seedIndex++; return r.Score() - results[0][seedIndex].Score() })
 		fmt.Fprintf(t, "%.3f\t%+.4f ± %.4f\t\n", spread, difference, deviation/math.Sqrt(float64(len(results[i]))))
 	}
 	if err := t.Flush(); err != nil {
--- a/internal/load/work/work.go
+++ b/internal/load/work/work.go
@@ -17,8 +17,8 @@
 // Input is the input that a job passes to its tasks.
 type Input struct {
 	ID string `json:"id"`
-	// Runtime is the run time of a task in nanoseconds. A negative value means until it
-	// is stopped.
+	// Runtime is the run time of a task in nanoseconds. A task with a value below 0 runs
+	// until it is stopped.
 	Runtime time.Duration `json:"runtime"`
 	// AnswerBytes is the length of a task's answer.
 	AnswerBytes int `json:"answer"`
--- a/internal/policy/bench/bench.go
+++ b/internal/policy/bench/bench.go
@@ -64,8 +64,8 @@
 	UrgentAfterFault, UrgentAfterLoss time.Duration
 	// Placed counts the first placements of each kind.
 	Placed [job.Service + 1]int
-	// Packing is the used capacity divided by the most that could be used, averaged over
-	// the samples in which tasks wait.
+	// Packing is the used capacity divided by the capacity that placed and waiting tasks
+	// could use together, averaged over the samples in which tasks wait.
 	Packing float64
 	// ShareDistance is the mean distance of the teams' usage from their fair shares.
 	// WorstDistance is the largest one-minute mean of a single team.
@@ -113,7 +113,7 @@
 		cell.GangReservation | cell.Quarantine | cell.RackLocality | cell.ShortestFirst})
 }
 
-// Product returns the product's planner without the given mechanisms.
+// Product returns the planner of gypsumreel without the given mechanisms.
 func Product(disabled cell.Mechanism) plan.Planner { return cell.New(cell.Config{Disabled: disabled}) }
 
 // Run simulates one run and returns its measurements.
