--- a/internal/client/link/link_test.go
+++ b/internal/client/link/link_test.go
@@ -78,8 +78,8 @@
 func TestWrongProtocolIsMalformed(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(s.Close)
-	_, err := link.Once(t.Context(), &link.Link{Addresses: []string{s.URL}}, list, &v1.ListRequest{})
-	if got := link.Refusal(err).Code; got != code.Malformed {
+	_, err := link.TryOnce(t.Context(), &link.Link{Addresses: []string{s.URL}}, list, &v1.ListRequest{})
+	if got := link.AsCodeError(err).Code; got != code.Malformed {
 		t.Errorf("got %v", err)
 	}
 }
--- a/internal/client/link/status_test.go
+++ b/internal/client/link/status_test.go
@@ -18,7 +18,7 @@
 		code.New(code.RevisionConflict, "at 7").Error(): "at 7",
 		"at 7": "at 7",
 	} {
-		got := link.Status(&v1.Status{Code: uint32(code.RevisionConflict), Text: text})
+		got := link.StatusError(&v1.Status{Code: uint32(code.RevisionConflict), Text: text})
 		if got.Code != code.RevisionConflict || got.Detail != want {
 			t.Errorf("%q: got %q, want %q", text, got.Detail, want)
 		}
--- a/internal/client/operator/operator.go
+++ b/internal/client/operator/operator.go
@@ -123,7 +123,7 @@
 
 func refused(s *v1.Status) error {
 	if code.Code(s.GetCode()) != code.OK {
-		return link.Status(s)
+		return link.StatusError(s)
 	}
 	return nil
 }
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -287,7 +287,7 @@
 	doc.Version = 2
 	doc.Queues[0].Factor, doc.Queues[0].Target = 1.5, 250
 	doc.Queues = append(doc.Queues, &v1.Queue{Name: "later", Host: "host", Path: "/later/", Pool: "pool", Timeout: 3000, Priority: 1})
-	if err := w.dispatcher.Put(w.t.Context(), doc); err != nil {
+	if err := w.dispatcher.PutDocument(w.t.Context(), doc); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -303,7 +303,7 @@
 	w.committedRecord = w.ledger.Record()
 	go w.run()
 	w.electNewLeader()
-	if err := w.dispatcher.Put(t.Context(), testDocument()); err != nil {
+	if err := w.dispatcher.PutDocument(t.Context(), testDocument()); err != nil {
 		t.Fatal(err)
 	}
 	for i := range n {
@@ -378,7 +378,7 @@
 
 func (w *testCluster) sendReport(id string, incarnation int64, leaving bool) *code.Error {
 	size := &v1.Size{Cpu: w.capacity.CPU, Memory: w.capacity.Memory}
-	return w.dispatcher.Report(w.t.Context(), dispatch.Report{FlowServer: &record.FlowServer{
+	return w.dispatcher.AcceptReport(w.t.Context(), dispatch.Report{FlowServer: &record.FlowServer{
 		Id: id, Born: incarnation, Address: id, Zone: zoneOf(id), Pool: "pool", Machine: "m-" + id, Capacity: size, Leaving: leaving,
 	}, Remaining: 2000})
 }
--- a/internal/control/dispatch/plan.go
+++ b/internal/control/dispatch/plan.go
@@ -167,7 +167,7 @@
 
 // addPlacedRun adds a run that was just placed to its session.
 func (d *Dispatcher) addPlacedRun(place *record.FlowPlace, urgent bool, now time.Duration) *run {
-	id := flow.RunOf(place.GetRun())
+	id := flow.RunIDFromMessage(place.GetRun())
 	b, _ := d.Host.Flows().Server(place.GetServer())
 	r := &run{RunID: id, allocation: b.HeldRuns[id.TaskID], placedAt: now, urgent: urgent}
 	if advice := d.leader.adviceByStep[id.StepID]; advice != nil {
--- a/internal/control/dispatch/wave.go
+++ b/internal/control/dispatch/wave.go
@@ -48,8 +48,8 @@
 	UpkeepUnknownMachine
 )
 
-// Wave adds an upkeep wave to the ledger and returns when it is committed.
-func (d *Dispatcher) Wave(ctx context.Context, w *record.Wave) *code.Error {
+// StartWave adds an upkeep wave to the ledger and returns when it is committed.
+func (d *Dispatcher) StartWave(ctx context.Context, w *record.Wave) *code.Error {
 	fault, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
 		if err := d.Host.ApplyCommand(&record.Flow{What: &record.Flow_Wave{Wave: w}}); err != nil {
 			reply(err)
--- a/internal/control/leader/decide.go
+++ b/internal/control/leader/decide.go
@@ -217,7 +217,7 @@
 			// new work under a lease that is about to expire.
 			l.markServer(b.ID, backend.Suspect)
 		}
-		if lead.leases.Over(b.ID, now) {
+		if lead.leases.Expired(b.ID, now) {
 			l.applyAndQueue(&record.Command{What: &record.Command_Fence{Fence: &record.Fence{Server: b.ID, Incarnation: b.Incarnation}}})
 			delete(lead.sessions, b.ID)
 			lead.leases.Forget(b.ID)
--- a/internal/demo/fault/world_test.go
+++ b/internal/demo/fault/world_test.go
@@ -84,7 +84,7 @@
 	}}}})
 	digest := key.Digest("secret")
 	w.change(&v1.ChangeRequest{Id: "grant", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "rail", Digest: digest[:]}}})
-	w.caller = &caller.Client{Link: w.link("callers", "k.secret"), Patience: patience}
+	w.caller = &caller.Client{Link: w.link("callers", "k.secret"), MaxPollWait: patience}
 	return w
 }
 
@@ -164,7 +164,7 @@
 	res, err := w.caller.Wait(ctx, spec.GetId())
 	w.at("answer")
 	r.outcome, r.code, r.answer, r.err = res.Outcome, res.Code, res.Data, err
-	if err == nil && !caller.Final(r.outcome) {
+	if err == nil && !caller.IsFinal(r.outcome) {
 		r.err = errors.New("no outcome in time")
 	}
 	return r
--- a/internal/demo/scenario/scenario.go
+++ b/internal/demo/scenario/scenario.go
@@ -159,7 +159,7 @@
 		if err != nil {
 			return err
 		}
-		t.callers[name] = &caller.Client{Link: t.link("callers", k), Patience: 2 * time.Second}
+		t.callers[name] = &caller.Client{Link: t.link("callers", k), MaxPollWait: 2 * time.Second}
 	}
 	return nil
 }
--- a/internal/demo/scenario/work.go
+++ b/internal/demo/scenario/work.go
@@ -69,7 +69,7 @@
 	t.took()
 	r, err := c.Wait(ctx, spec.GetId())
 	switch {
-	case err != nil || !caller.Final(r.Outcome):
+	case err != nil || !caller.IsFinal(r.Outcome):
 		t.count(&t.report.Lost)
 	case r.Outcome == v1.Outcome_OUTCOME_UNKNOWN && spec.GetOnce():
 		t.count(&t.report.Unknown)
@@ -186,7 +186,7 @@
 			}
 			pause(ctx, 10*time.Millisecond)
 		}
-		c.Link.Next()
+		c.Link.NextEntry()
 	}
 	d := time.Since(begin)
 	t.mu.Lock()
--- a/internal/fake/worker/worker.go
+++ b/internal/fake/worker/worker.go
@@ -199,9 +199,9 @@
 	case *inner.ServerCall_Start:
 		a.Verdict = w.start(c, what.Start)
 	case *inner.ServerCall_Stop:
-		w.stop(flow.RunOf(what.Stop.GetRun()))
+		w.stop(flow.RunIDFromMessage(what.Stop.GetRun()))
 	case *inner.ServerCall_Pace:
-		w.paces[flow.RunOf(what.Pace.GetRun()).TaskID] = what.Pace.GetPercent()
+		w.paces[flow.RunIDFromMessage(what.Pace.GetRun()).TaskID] = what.Pace.GetPercent()
 	case *inner.ServerCall_Hold:
 		w.hold(a, what.Hold.GetAck())
 	}
@@ -209,7 +209,7 @@
 }
 
 func (w *Worker) start(c *inner.ServerCall, s *inner.StartRun) inner.Verdict {
-	id := flow.RunOf(s.GetRun())
+	id := flow.RunIDFromMessage(s.GetRun())
 	if r := w.runs[id.TaskID]; r != nil && r.Number == id.Number {
 		return inner.Verdict_VERDICT_DONE
 	}
--- a/internal/ledger/flows/snapshot.go
+++ b/internal/ledger/flows/snapshot.go
@@ -175,7 +175,7 @@
 	}
 	l.servers[b.ID] = b
 	for _, h := range m.GetHeld() {
-		id := flow.RunOf(h.GetRun())
+		id := flow.RunIDFromMessage(h.GetRun())
 		l.addHeldRun(b, &HeldRun{RunID: id, Server: b.ID, Customer: h.GetCustomer(), Size: sizeFromMessage(h.GetSize()), PlacedAt: time.Duration(h.GetSince())})
 	}
 }
--- a/internal/load/drive/drive.go
+++ b/internal/load/drive/drive.go
@@ -125,11 +125,11 @@
 	result.SentAt = d.elapsed()
 	accepted, err := d.Client.Submit(ctx, []*v1.Spec{spec}, true)
 	if err != nil {
-		result.Code = link.Refusal(err).Code
+		result.Code = link.AsCodeError(err).Code
 		return
 	}
 	result.Code, result.Outcome = code.Code(accepted[0].GetStatus().GetCode()), accepted[0].GetOutcome()
-	if result.Code != code.OK || caller.Final(result.Outcome) && result.Outcome != v1.Outcome_OUTCOME_DONE {
+	if result.Code != code.OK || caller.IsFinal(result.Outcome) && result.Outcome != v1.Outcome_OUTCOME_DONE {
 		return
 	}
 	result.AcceptedAt = d.elapsed()
@@ -149,14 +149,14 @@
 func (d *Driver) awaitAnswer(ctx context.Context, result *JobResult) {
 	reply, err := d.Client.Wait(ctx, result.Job.Spec.GetId())
 	if err != nil {
-		result.Code = link.Refusal(err).Code
+		result.Code = link.AsCodeError(err).Code
 		// The job is done, but its answer could not be read completely.
 		result.AnswerDamaged = reply.Outcome == v1.Outcome_OUTCOME_DONE
 		result.Outcome = reply.Outcome
 		return
 	}
 	result.Outcome, result.Code = reply.Outcome, reply.Code
-	if !caller.Final(reply.Outcome) {
+	if !caller.IsFinal(reply.Outcome) {
 		return
 	}
 	result.AnsweredAt = d.elapsed()
--- a/internal/load/drive/drive_test.go
+++ b/internal/load/drive/drive_test.go
@@ -55,7 +55,7 @@
 	if id == "job-1" {
 		id = "job-0"
 	}
-	return connect.NewResponse(&v1.WaitReply{Outcome: v1.Outcome_OUTCOME_DONE, Chunk: answer.Cut(work.JobAnswer(id, 2, 10), r.Msg.GetChunk())}), nil
+	return connect.NewResponse(&v1.WaitReply{Outcome: v1.Outcome_OUTCOME_DONE, Chunk: answer.ChunkAt(work.JobAnswer(id, 2, 10), r.Msg.GetChunk())}), nil
 }
 
 func (e *fakeEntry) Acknowledge(_ context.Context, r *connect.Request[v1.AcknowledgeRequest]) (*connect.Response[v1.AcknowledgeReply], error) {
--- a/internal/load/measure/change.go
+++ b/internal/load/measure/change.go
@@ -74,7 +74,7 @@
 		c := &caller.Client{Link: &link.Link{Addresses: []string{address}, Key: token}}
 		for {
 			got, err := c.Submit(ctx, []*v1.Spec{{Id: "x", Kind: v1.Kind_KIND_BATCH, Name: "x", Count: 1, Size: &v1.Size{Cpu: 1, Memory: 1, Slots: 1}, Runtime: 1}}, true)
-			if err == nil && code.Code(got[0].GetStatus().GetCode()) == code.InvalidKey || err != nil && link.Refusal(err).Code == code.InvalidKey {
+			if err == nil && code.Code(got[0].GetStatus().GetCode()) == code.InvalidKey || err != nil && link.AsCodeError(err).Code == code.InvalidKey {
 				break
 			}
 			if !link.Sleep(ctx, pollInterval) {
--- a/internal/load/measure/load.go
+++ b/internal/load/measure/load.go
@@ -158,7 +158,7 @@
 	var lastAnswer time.Duration
 	startedTasks := 0.0
 	for i := range results {
-		if s := &results[i]; s.Outcome == v1.Outcome_OUTCOME_DONE && caller.Final(s.Outcome) {
+		if s := &results[i]; s.Outcome == v1.Outcome_OUTCOME_DONE && caller.IsFinal(s.Outcome) {
 			startedTasks += float64(s.Job.Spec.GetCount())
 			lastAnswer = max(lastAnswer, s.AnsweredAt)
 		}
--- a/internal/load/report/report.go
+++ b/internal/load/report/report.go
@@ -239,7 +239,7 @@
 	case result.Outcome == v1.Outcome_OUTCOME_UNKNOWN:
 		s.Counts.Unknown++
 	}
-	if result.AcceptedAt > 0 && !caller.Final(result.Outcome) {
+	if result.AcceptedAt > 0 && !caller.IsFinal(result.Outcome) {
 		s.Violations.LostJobs++
 	}
 }
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -102,7 +102,7 @@
 
 // CallerClient returns a client that uses the given team key.
 func (r *Rig) CallerClient(token string) *caller.Client {
-	return &caller.Client{Link: &link.Link{Addresses: r.CallerURLs(), Key: token, Shared: true}}
+	return &caller.Client{Link: &link.Link{Addresses: r.CallerURLs(), Key: token, Multiplexed: true}}
 }
 
 // CreateTeam creates a team without limits and returns its key.
--- a/internal/load/rig/pinned.go
+++ b/internal/load/rig/pinned.go
@@ -51,7 +51,7 @@
 func callEntry(ctx context.Context, address, token string, counts *CallCounts) {
 	l := &link.Link{Addresses: []string{address}, Key: token}
 	defer l.Close()
-	_, err := link.Once(context.WithoutCancel(ctx), l, newListCall, &v1.ListRequest{})
+	_, err := link.TryOnce(context.WithoutCancel(ctx), l, newListCall, &v1.ListRequest{})
 	counts.Made.Add(1)
 	if err != nil {
 		counts.CutOff.Add(1)
--- a/internal/load/rig/process_test.go
+++ b/internal/load/rig/process_test.go
@@ -247,7 +247,7 @@
 				if err == nil {
 					return history.TableChangeReply{Code: code.OK, Revision: revision}, true
 				}
-				resultCode := link.Refusal(err).Code
+				resultCode := link.AsCodeError(err).Code
 				return history.TableChangeReply{Code: resultCode, Revision: revision}, resultCode == code.RevisionConflict
 			})
 		}
--- a/internal/policy/bench/bench.go
+++ b/internal/policy/bench/bench.go
@@ -141,7 +141,7 @@
 func (w *World) injectFault(s Setup) {
 	w.Metrics.FaultAt = w.now
 	small := capacity.Size{CPU: 1000, Memory: 1 << 10, Slots: 1}
-	flood := &job.Spec{Team: "dov", Kind: job.Batch, Name: "flood", Count: 10_000, Size: small, Runtime: time.Minute}
+	flood := &job.Spec{Team: "dov", Kind: job.Batch, Name: "flood", Count: 10_000, Size: small, EstimatedRuntime: time.Minute}
 	switch s.Fault {
 	case ZoneLost:
 		w.FailServers(func(b backend.Server) bool { return b.Zone == "z00" }, s.Duration/4, true)
@@ -158,10 +158,10 @@
 		w.Schedule(w.now+10*time.Second, func() { w.Cancel(id) })
 	case LimitLowered:
 		row, _ := w.table.Row("ada")
-		w.SetTable(w.table.With(append(w.table.Rows()[:0:0], row.WithLimit(sizeFraction(s.Site.totalCapacity(), 8))), nil))
+		w.SetTable(w.table.Update(append(w.table.Rows()[:0:0], row.WithLimit(sizeFraction(s.Site.totalCapacity(), 8))), nil))
 	case WeightsEdited:
 		row, _ := w.table.Row("cem")
-		w.SetTable(w.table.With(append(w.table.Rows()[:0:0], row.WithWeight(6)), nil))
+		w.SetTable(w.table.Update(append(w.table.Rows()[:0:0], row.WithWeight(6)), nil))
 	case UnplaceableJob:
 		unplaceable := *flood
 		unplaceable.Size, unplaceable.Count = s.Site.ServerCapacity.Times(2), 200
--- a/internal/policy/bench/check.go
+++ b/internal/policy/bench/check.go
@@ -47,7 +47,7 @@
 	case plan.Place:
 		c.checkPlacements(w, d)
 	case plan.Preempt:
-		if t := w.unfinished[d.Task]; t != nil && t.spec.Once {
+		if t := w.unfinished[d.Task]; t != nil && t.spec.AtMostOnce {
 			c.addViolation("%v: task %v of an at-most-once job is preempted", w.now, d.Task)
 		}
 	}
@@ -87,7 +87,7 @@
 
 // checkGang checks that one decision starts all unfinished tasks of a gang.
 func (c *Checker) checkGang(w *World, d plan.Decision) {
-	if len(w.jobs[d.Job]) == 0 || !w.jobs[d.Job][0].spec.Whole() {
+	if len(w.jobs[d.Job]) == 0 || !w.jobs[d.Job][0].spec.AllOrNothing() {
 		return
 	}
 	n := 0
--- a/internal/policy/bench/metrics.go
+++ b/internal/policy/bench/metrics.go
@@ -62,7 +62,7 @@
 
 func (m *Metrics) recordDecision(d plan.Decision) {
 	m.actionCounts[d.Action]++
-	if d.Action == plan.Place && m.measuring() && m.world.jobs[d.Job][0].spec.Whole() {
+	if d.Action == plan.Place && m.measuring() && m.world.jobs[d.Job][0].spec.AllOrNothing() {
 		racks, zones := map[string]bool{}, map[string]bool{}
 		for _, placement := range d.Placements {
 			s := m.world.servers[placement.Server]
@@ -83,7 +83,7 @@
 
 // recordSubmission records how long a gang would wait if no other task waited.
 func (m *Metrics) recordSubmission(id uint64) {
-	if m.measuring() && m.world.jobs[id][0].spec.Whole() {
+	if m.measuring() && m.world.jobs[id][0].spec.AllOrNothing() {
 		m.idealWaits[id] = m.world.idealWait(m.world.jobs[id])
 	}
 }
@@ -149,8 +149,8 @@
 			demand = demand.Add(t.spec.Size)
 		}
 	}
-	if bound := min(1, used.Add(demand).Dominant(readyCapacity)); !demand.IsZero() && bound > 0.95 {
-		m.packing = append(m.packing, used.Dominant(readyCapacity)/bound)
+	if bound := min(1, used.Add(demand).DominantShare(readyCapacity)); !demand.IsZero() && bound > 0.95 {
+		m.packing = append(m.packing, used.DominantShare(readyCapacity)/bound)
 		m.recordShareDistance(waiting, readyCapacity)
 	}
 }
@@ -161,12 +161,12 @@
 	rows := m.world.table.Rows()
 	for _, row := range rows {
 		used := m.world.Checker.teamUsage[row.Name]
-		usedShares = append(usedShares, used.Dominant(readyCapacity))
-		demand := used.Add(waiting[row.Name]).Dominant(readyCapacity)
-		if bound := row.Limit.Dominant(readyCapacity); bound > 0 {
+		usedShares = append(usedShares, used.DominantShare(readyCapacity))
+		demand := used.Add(waiting[row.Name]).DominantShare(readyCapacity)
+		if bound := row.Limit.DominantShare(readyCapacity); bound > 0 {
 			demand = min(demand, bound)
 		}
-		claims = append(claims, share.Team{Guarantee: float64(row.Share) / 1000, Weight: float64(row.Weight), Demand: min(1, demand)})
+		claims = append(claims, share.Team{Guarantee: float64(row.GuaranteedShare) / 1000, Weight: float64(row.Weight), Demand: min(1, demand)})
 	}
 	sum := 0.0
 	for i, target := range share.Divide(claims) {
--- a/internal/policy/bench/scale.go
+++ b/internal/policy/bench/scale.go
@@ -48,7 +48,7 @@
 	s := &FullCell{Planner: p, site: site, rng: rand.New(rand.NewPCG(seed, 3)), teams: teams, specs: map[uint64]*job.Spec{}, index: map[task.ID]int{}}
 	rows := make([]team.Row, 0, teams)
 	for i := range teams {
-		rows = append(rows, team.New(teamName(i)).WithShare(uint32(500/teams)).WithWeight(uint32(1+i%4)))
+		rows = append(rows, team.New(teamName(i)).WithGuaranteedShare(uint32(500/teams)).WithWeight(uint32(1+i%4)))
 	}
 	p.SetTable(table.Restore(1, rows))
 	for _, b := range site.servers() {
@@ -85,7 +85,7 @@
 	n := s.rng.IntN(5)
 	size, _, mean := source.drawShape(min(kind, job.Batch), n)
 	s.lastJob++
-	spec := &job.Spec{Team: teamName(s.rng.IntN(s.teams)), Kind: kind, Name: fmt.Sprint("n", n), Count: 1, Size: size, Runtime: mean}
+	spec := &job.Spec{Team: teamName(s.rng.IntN(s.teams)), Kind: kind, Name: fmt.Sprint("n", n), Count: 1, Size: size, EstimatedRuntime: mean}
 	s.specs[s.lastJob] = spec
 	s.Planner.AddWaiting(plan.WaitingTask{ID: task.ID{Job: s.lastJob}, Job: spec, AcceptedAt: s.now, ReadyAt: s.now})
 }
--- a/internal/policy/bench/workload.go
+++ b/internal/policy/bench/workload.go
@@ -88,12 +88,12 @@
 	row          team.Row
 	loadFraction float64
 }{
-	{team.New("ada").WithShare(250).WithWeight(3), 0.35},
-	{team.New("bor").WithShare(200).WithWeight(3), 0.25},
-	{team.New("cem").WithShare(100), 0.15},
-	{team.New("dov").WithShare(100), 0.10},
-	{team.New("eda").WithShare(50), 0.10},
-	{team.New("fen").WithShare(50), 0.05},
+	{team.New("ada").WithGuaranteedShare(250).WithWeight(3), 0.35},
+	{team.New("bor").WithGuaranteedShare(200).WithWeight(3), 0.25},
+	{team.New("cem").WithGuaranteedShare(100), 0.15},
+	{team.New("dov").WithGuaranteedShare(100), 0.10},
+	{team.New("eda").WithGuaranteedShare(50), 0.10},
+	{team.New("fen").WithGuaranteedShare(50), 0.05},
 }
 
 // InitialTable returns the team table at the start of a run.
@@ -151,14 +151,14 @@
 	size, n, mean := s.drawShape(kind, name)
 	d := drawnJob{spec: &job.Spec{
 		Team: s.drawTeam(), Kind: kind, Name: fmt.Sprintf("%s%d", kind, name), Count: uint32(n), Size: size,
-		Once: kind == job.Batch && s.rng.Float64() < 0.1,
+		AtMostOnce: kind == job.Batch && s.rng.Float64() < 0.1,
 	}}
 	for range n {
 		d.runtimes = append(d.runtimes, s.drawRuntime(kind, mean))
 	}
-	d.spec.Runtime = mean
+	d.spec.EstimatedRuntime = mean
 	if s.wrongRuntimes {
-		d.spec.Runtime = time.Duration(float64(mean) * math.Pow(10, 2*s.rng.Float64()-1))
+		d.spec.EstimatedRuntime = time.Duration(float64(mean) * math.Pow(10, 2*s.rng.Float64()-1))
 	}
 	d.usage = size
 	if s.rng.Float64() < s.overuseFraction {
@@ -253,14 +253,14 @@
 func (w *World) submitServices(site Site, load float64) {
 	size := site.MaxGangSize
 	size.Accel = 0
-	taskShare := size.Dominant(site.totalCapacity())
+	taskShare := size.DominantShare(site.totalCapacity())
 	n := int(load / taskShare)
 	for _, c := range customers {
 		k := int(float64(n) * c.loadFraction)
 		if k == 0 {
 			continue
 		}
-		spec := &job.Spec{Team: c.row.Name, Kind: job.Service, Name: "service", Count: uint32(k), Size: size, Floor: uint32(k - 1)}
+		spec := &job.Spec{Team: c.row.Name, Kind: job.Service, Name: "service", Count: uint32(k), Size: size, MinRunningTasks: uint32(k - 1)}
 		times := make([]time.Duration, k)
 		for i := range times {
 			times[i] = 1000 * time.Hour
--- a/internal/policy/cell/cell_test.go
+++ b/internal/policy/cell/cell_test.go
@@ -79,7 +79,7 @@
 // repeatable task is preempted for it, and tasks that may run only once are not.
 func TestUrgentTaskIsPlacedAheadOfBacklog(t *testing.T) {
 	w := newWorld(2)
-	onceJob := submit(w, job.Spec{Once: true, Name: "once"}, 6, time.Hour)
+	onceJob := submit(w, job.Spec{AtMostOnce: true, Name: "once"}, 6, time.Hour)
 	submit(w, job.Spec{Name: "batch"}, 5000, time.Hour)
 	runUntil(t, w, time.Minute)
 	urgent := submit(w, job.Spec{Kind: job.Urgent}, 1, time.Second)
@@ -139,7 +139,7 @@
 	submit(w, job.Spec{Team: "b"}, 100, time.Hour)
 	runUntil(t, w, 10*time.Second)
 	preemptionsBefore := w.DecisionCount(plan.Preempt)
-	w.SetTable(w.Table().With([]team.Row{team.New("a").WithWeight(3)}, nil))
+	w.SetTable(w.Table().Update([]team.Row{team.New("a").WithWeight(3)}, nil))
 	runUntil(t, w, 20*time.Second)
 	assertEqual(t, "slots of team a", int64(18), w.TeamUsage("a").Slots)
 	runUntil(t, w, 5*time.Minute)
@@ -150,12 +150,12 @@
 // preempted until it is within the limit. Tasks that may run only once continue to their end.
 func TestLoweredLimitPreemptsYoungestTasks(t *testing.T) {
 	w := newWorld(4)
-	onceJob := submit(w, job.Spec{Once: true, Name: "once"}, 2, time.Hour)
+	onceJob := submit(w, job.Spec{AtMostOnce: true, Name: "once"}, 2, time.Hour)
 	oldJob := submit(w, job.Spec{Name: "old"}, 4, time.Hour)
 	runUntil(t, w, time.Minute)
 	youngJob := submit(w, job.Spec{Name: "young"}, 4, time.Hour)
 	runUntil(t, w, 2*time.Minute)
-	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize.Times(6))}, nil))
+	w.SetTable(w.Table().Update([]team.Row{team.New("a").WithLimit(taskSize.Times(6))}, nil))
 	runUntil(t, w, 3*time.Minute)
 	assertEqual(t, "running tasks of the jobs once, old, young", []int{2, 4, 0}, []int{len(w.ServersOf(onceJob)), len(w.ServersOf(oldJob)), len(w.ServersOf(youngJob))})
 }
@@ -164,9 +164,9 @@
 // to its floor and no further, even though the team stays above its limit.
 func TestLoweredLimitKeepsServiceFloor(t *testing.T) {
 	w := newWorld(4)
-	service := submit(w, job.Spec{Kind: job.Service, Floor: 3}, 6, 1000*time.Hour)
+	service := submit(w, job.Spec{Kind: job.Service, MinRunningTasks: 3}, 6, 1000*time.Hour)
 	runUntil(t, w, time.Second)
-	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize)}, nil))
+	w.SetTable(w.Table().Update([]team.Row{team.New("a").WithLimit(taskSize)}, nil))
 	runUntil(t, w, time.Minute)
 	assertEqual(t, "running service tasks", 3, w.RunningTasks(service))
 }
@@ -175,7 +175,7 @@
 // would wait until a batch task ends.
 func TestUrgentTaskAtLimitPreemptsOwnBatch(t *testing.T) {
 	w := newWorld(4)
-	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize.Times(3))}, nil))
+	w.SetTable(w.Table().Update([]team.Row{team.New("a").WithLimit(taskSize.Times(3))}, nil))
 	submit(w, job.Spec{}, 10, time.Hour)
 	runUntil(t, w, time.Minute)
 	urgent := submit(w, job.Spec{Kind: job.Urgent}, 1, time.Second)
@@ -187,7 +187,7 @@
 // limit would go to the team's next small task.
 func TestGangAtLimitIsNotStarved(t *testing.T) {
 	w := newWorld(4)
-	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize.Times(6))}, nil))
+	w.SetTable(w.Table().Update([]team.Row{team.New("a").WithLimit(taskSize.Times(6))}, nil))
 	submit(w, job.Spec{Name: "small"}, 500, 5*time.Second)
 	runUntil(t, w, time.Minute)
 	gang := submit(w, job.Spec{Kind: job.Gang}, 5, time.Minute)
@@ -199,9 +199,9 @@
 // job of which a task has been placed must not be dropped, because it did run.
 func TestDeadlineDropsOnlyJobsThatNeverRan(t *testing.T) {
 	w := newWorld(1)
-	started := submit(w, job.Spec{Name: "started", Deadline: time.Minute}, 6, time.Hour)
+	started := submit(w, job.Spec{Name: "started", PlacementTimeout: time.Minute}, 6, time.Hour)
 	runUntil(t, w, time.Second)
-	expired := submit(w, job.Spec{Name: "late", Deadline: time.Minute}, 2, time.Hour)
+	expired := submit(w, job.Spec{Name: "late", PlacementTimeout: time.Minute}, 2, time.Hour)
 	runUntil(t, w, 2*time.Minute)
 	assertEqual(t, "drops", 1, w.DecisionCount(plan.Drop))
 	assertEqual(t, "tasks left of the started and the expired job", []int{6, 0}, []int{w.UnfinishedTasks(started), w.UnfinishedTasks(expired)})
--- a/internal/policy/cell/fault_test.go
+++ b/internal/policy/cell/fault_test.go
@@ -60,7 +60,7 @@
 // one. When servers drain, the tasks move one at a time and never fall below the floor.
 func TestServiceSpreadsAndDrainsOneTaskAtATime(t *testing.T) {
 	w := newWorld(12)
-	service := submit(w, job.Spec{Kind: job.Service, Floor: 5}, 6, 1000*time.Hour)
+	service := submit(w, job.Spec{Kind: job.Service, MinRunningTasks: 5}, 6, 1000*time.Hour)
 	runUntil(t, w, time.Second)
 	tasksByZone, tasksByRack := map[string]int{}, map[string]int{}
 	for _, id := range w.ServersOf(service) {
@@ -87,9 +87,9 @@
 // retried. Neither a lowered limit nor a draining server may stop them.
 func TestOnceServiceIsNeverStopped(t *testing.T) {
 	w := newWorld(2)
-	service := submit(w, job.Spec{Kind: job.Service, Once: true}, 4, time.Hour)
+	service := submit(w, job.Spec{Kind: job.Service, AtMostOnce: true}, 4, time.Hour)
 	runUntil(t, w, time.Second)
-	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize)}, nil))
+	w.SetTable(w.Table().Update([]team.Row{team.New("a").WithLimit(taskSize)}, nil))
 	w.SetServer(w.Server(w.ServersOf(service)[0]).WithState(backend.Draining, time.Second))
 	runUntil(t, w, time.Minute)
 	assertEqual(t, "running service tasks", 4, w.RunningTasks(service))
@@ -178,7 +178,7 @@
 // stopped, because the ledger refuses to stop it. Its server gets no tasks until it has ended.
 func TestOveruseOfOnceTaskIsOnlyThrottled(t *testing.T) {
 	w := newWorld(1)
-	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize, Once: true}
+	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize, AtMostOnce: true}
 	overuser := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 1000, Memory: 4096, Slots: 1}, false)
 	runUntil(t, w, 12*time.Second)
 	others := submit(w, job.Spec{Team: "b"}, 3, time.Hour)
@@ -357,12 +357,12 @@
 // tasks that are really short, because the planner uses the run times learned for their name.
 func TestLearnedRuntimeOrdersQueue(t *testing.T) {
 	w := newWorld(1)
-	submit(w, job.Spec{Name: "liar", Runtime: time.Second}, 8, 30*time.Second)
+	submit(w, job.Spec{Name: "liar", EstimatedRuntime: time.Second}, 8, 30*time.Second)
 	runUntil(t, w, 2*time.Minute)
-	blocker := submit(w, job.Spec{Name: "blocker", Runtime: time.Second}, 4, 10*time.Second)
+	blocker := submit(w, job.Spec{Name: "blocker", EstimatedRuntime: time.Second}, 4, 10*time.Second)
 	runUntil(t, w, 2*time.Minute+time.Second)
-	underdeclared := submit(w, job.Spec{Name: "liar", Runtime: time.Second}, 4, 30*time.Second)
-	short := submit(w, job.Spec{Name: "short", Runtime: 5 * time.Second}, 4, 5*time.Second)
+	underdeclared := submit(w, job.Spec{Name: "liar", EstimatedRuntime: time.Second}, 4, 30*time.Second)
+	short := submit(w, job.Spec{Name: "short", EstimatedRuntime: 5 * time.Second}, 4, 5*time.Second)
 	runUntil(t, w, 2*time.Minute+12*time.Second)
 	assertEqual(t, "blocker, liar, short running", []int{0, 0, 4}, []int{len(w.ServersOf(blocker)), len(w.ServersOf(underdeclared)), len(w.ServersOf(short))})
 }
--- a/internal/policy/steps/view.go
+++ b/internal/policy/steps/view.go
@@ -114,7 +114,7 @@
 
 // Size returns the total size of the tasks in the placement.
 func (p Placement) Size() capacity.Size {
-	return flow.SizeOf(p.Item.Spec).Times(int64(len(p.Assignments)))
+	return flow.TaskSize(p.Item.Spec).Times(int64(len(p.Assignments)))
 }
 
 // Question asks the adviser for permits of one step. The most useful servers come first.
