--- a/internal/load/measure/main.go
+++ b/internal/load/measure/main.go
@@ -1,8 +1,8 @@
-// Command measure starts a cell of real processes on loopback, measures it and
-// stops it: three control replicas, four entries, and fake backend servers and
-// callers in this process behind relays that add the network's delays.
+// Command measure starts a cell of real processes on loopback, measures it and stops
+// it. The cell has three control replicas and four entries. Fake backend servers and
+// callers run in this process, behind relays that add network delays.
 //
-// It prints one JSON object a row; docs/measures has the figures.
+// Each result is printed as one JSON object per line. docs/measures holds the results.
 package main
 
 import (
@@ -24,44 +24,45 @@
 	"gypsumreel/internal/load/rig"
 )
 
-// options are the command line.
+// options are the command-line options.
 type options struct {
-	Parts    string        `long:"parts" default:"latency,starts,idle,change,faults" description:"which parts: latency, starts, idle, change, faults, slopes"`
-	Place    string        `long:"place" default:"balastas" choice:"balastas" choice:"coralwave" choice:"none" description:"whose delays"`
-	Port     int           `long:"port" default:"19000" description:"first of 300 ports on loopback"`
-	Servers  int           `long:"servers" default:"50" description:"backend servers"`
-	Slots    int64         `long:"slots" default:"8" description:"slots of each backend server"`
-	Rates    []float64     `long:"rate" default:"1400" description:"starts a second; may be repeated"`
-	Duration time.Duration `long:"duration" default:"12s" description:"length of each load"`
-	Faults   string        `long:"faults" default:"leader-kill,leader-pause,entry-kill,rolling" description:"which faults"`
-	Slopes   string        `long:"slopes" default:"start,server,memory" description:"which slopes"`
-	Program  string        `long:"program" description:"the gypsumreel program; built when left out"`
-	Keep     string        `long:"keep" description:"folder for settings and logs, kept; a temporary one when left out"`
+	Parts     string        `long:"parts" default:"latency,starts,idle,change,faults" description:"measurements to run: latency, starts, idle, change, faults, slopes"`
+	DelaySet  string        `long:"place" default:"balastas" choice:"balastas" choice:"coralwave" choice:"none" description:"deployment whose network delays are added"`
+	FirstPort int           `long:"port" default:"19000" description:"first of 300 ports on loopback"`
+	Servers   int           `long:"servers" default:"50" description:"number of backend servers"`
+	Slots     int64         `long:"slots" default:"8" description:"slots of each backend server"`
+	Rates     []float64     `long:"rate" default:"1400" description:"starts per second; may be repeated"`
+	Duration  time.Duration `long:"duration" default:"12s" description:"duration of each load"`
+	Faults    string        `long:"faults" default:"leader-kill,leader-pause,entry-kill,rolling" description:"faults to inject"`
+	Slopes    string        `long:"slopes" default:"start,server,memory" description:"slopes to measure"`
+	Program   string        `long:"program" description:"path of the gypsumreel program; built by default"`
+	KeepDir   string        `long:"keep" description:"folder in which settings and logs are kept; a temporary folder by default"`
 }
 
-// delays are one-way delays between zones and from clients, as the two
-// deployments have them.
+// delays holds the one-way delays between zones and between clients and entries, for
+// each value of --place.
 var delays = map[string][2]time.Duration{
 	"balastas":  {1500 * time.Microsecond, 3 * time.Millisecond},
 	"coralwave": {time.Millisecond, time.Millisecond},
 	"none":      {},
 }
 
-// replicas and entries are the processes of the measured cell.
+// The measured cell has this many control replicas and entries.
 const (
 	replicas = 3
 	entries  = 4
-	// cores and memory of a server are so large that its slots bind.
-	cores  = 1_000_000
-	memory = 1 << 24
+	// serverCPU, in millicores, and serverMemory, in MiB, are so large that only the
+	// slots limit a server.
+	serverCPU    = 1_000_000
+	serverMemory = 1 << 24
 )
 
-// bench is one call of the program.
-type bench struct {
+// measurement is one run of this program.
+type measurement struct {
 	options
 	program string
 	dir     string
-	runs    int
+	cells   int
 }
 
 func main() {
@@ -74,51 +75,52 @@
 }
 
 func run(ctx context.Context) error {
-	b := &bench{}
-	if _, err := flags.Parse(&b.options); err != nil {
+	m := &measurement{}
+	if _, err := flags.Parse(&m.options); err != nil {
 		os.Exit(2)
 	}
-	b.dir = b.Keep
-	if b.dir == "" {
+	m.dir = m.KeepDir
+	if m.dir == "" {
 		dir, err := os.MkdirTemp("", "measure-")
 		if err != nil {
 			return err
 		}
 		defer func() { _ = os.RemoveAll(dir) }()
-		b.dir = dir
+		m.dir = dir
 	}
-	if b.program = b.Program; b.program == "" {
-		b.program = filepath.Join(b.dir, "gypsumreel")
-		if out, err := exec.CommandContext(ctx, "go", "build", "-o", b.program, "gypsumreel/cmd/gypsumreel").CombinedOutput(); err != nil {
+	if m.program = m.Program; m.program == "" {
+		m.program = filepath.Join(m.dir, "gypsumreel")
+		if out, err := exec.CommandContext(ctx, "go", "build", "-o", m.program, "gypsumreel/cmd/gypsumreel").CombinedOutput(); err != nil {
 			return fmt.Errorf("build: %w: %s", err, out)
 		}
 	}
-	for _, part := range strings.Split(b.Parts, ",") {
-		fn, ok := parts[part]
+	for _, part := range strings.Split(m.Parts, ",") {
+		fn, ok := measurements[part]
 		if !ok {
-			return fmt.Errorf("part %q is not known", part)
+			return fmt.Errorf("unknown part %q", part)
 		}
-		if err := fn(ctx, b); err != nil {
+		if err := fn(ctx, m); err != nil {
 			return fmt.Errorf("%s: %w", part, err)
 		}
 	}
 	return nil
 }
 
-var parts = map[string]func(context.Context, *bench) error{
-	"latency": latency, "starts": starts, "idle": idle, "change": change, "faults": faults, "slopes": slopes,
+var measurements = map[string]func(context.Context, *measurement) error{
+	"latency": measureLatency, "starts": measureStarts, "idle": measureIdle, "change": measureChanges, "faults": measureFaults, "slopes": measureSlopes,
 }
 
-// cell runs fn on a fresh cell.
-func (b *bench) cell(ctx context.Context, entries int, fn func(context.Context, *rig.Rig) error) error {
-	b.runs++
-	// What another run left in the folder is another cell.
-	dir := filepath.Join(b.dir, fmt.Sprintf("run-%d", b.runs))
+// withCell runs fn on a new cell.
+func (m *measurement) withCell(ctx context.Context, entries int, fn func(context.Context, *rig.Rig) error) error {
+	m.cells++
+	// Each cell needs an empty folder, because a replica would load the data of an
+	// earlier cell.
+	dir := filepath.Join(m.dir, fmt.Sprintf("run-%d", m.cells))
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return err
 	}
-	d := delays[b.Place]
-	r := &rig.Rig{Program: b.program, Dir: dir, First: b.Port, Replicas: replicas, Entries: entries, Zone: d[0], Client: d[1]}
+	delay := delays[m.DelaySet]
+	r := &rig.Rig{Program: m.program, Dir: dir, FirstPort: m.FirstPort, Replicas: replicas, Entries: entries, ZoneDelay: delay[0], ClientDelay: delay[1]}
 	defer r.Close()
 	if err := r.Start(ctx); err != nil {
 		return err
@@ -126,79 +128,84 @@
 	return fn(ctx, r)
 }
 
-// size is a backend server's capacity.
-func size(slots int64) *v1.Size { return &v1.Size{Cpu: cores, Memory: memory, Slots: slots} }
+// serverCapacity returns the capacity of a backend server with the given slots.
+func serverCapacity(slots int64) *v1.Size {
+	return &v1.Size{Cpu: serverCPU, Memory: serverMemory, Slots: slots}
+}
 
-// emit prints a row.
-func emit(row any) error { return json.NewEncoder(os.Stdout).Encode(row) }
+// printRow prints a row as JSON.
+func printRow(row any) error { return json.NewEncoder(os.Stdout).Encode(row) }
 
-// cost is what the processes of one role used in a time, summed over the role.
-type cost struct {
-	// CPU is in cores.
+// roleUsage is the resource usage of all processes of a role over an interval.
+type roleUsage struct {
+	// CPU is the mean number of used cores.
 	CPU float64 `json:"cores"`
-	// Waited is in threads that were ready to run and had no processor.
-	Waited float64 `json:"waiting_threads"`
-	// Bytes is a second, on the listeners of the role.
+	// RunnableWait is the mean number of threads that were runnable but had no
+	// processor.
+	RunnableWait float64 `json:"waiting_threads"`
+	// Bytes is the traffic on the listeners of the role, in bytes per second.
 	Bytes float64 `json:"bytes_per_s"`
-	// RSS is in MiB, the largest of the role's processes.
+	// RSS is the largest resident memory of a process of the role, in MiB.
 	RSS float64 `json:"rss_mib"`
 }
 
-// costs are those of the roles.
-type costs struct {
-	Leader   cost `json:"leader"`
-	Follower cost `json:"follower"`
-	Entry    cost `json:"entry"`
-	// Backend is what went between entries and backend servers, bytes a second.
-	Backend float64 `json:"backend_bytes_per_s"`
-	// Tool is the cores that this process used: servers, callers and relays.
-	Tool float64 `json:"tool_cores"`
+// cellUsage holds the resource usage of each role.
+type cellUsage struct {
+	Leader   roleUsage `json:"leader"`
+	Follower roleUsage `json:"follower"`
+	Entry    roleUsage `json:"entry"`
+	// BackendBytes is the traffic between entries and backend servers, in bytes per
+	// second.
+	BackendBytes float64 `json:"backend_bytes_per_s"`
+	// ToolCPU is the mean number of cores that this process used for its servers,
+	// callers and relays.
+	ToolCPU float64 `json:"tool_cores"`
 }
 
-// sample is what had been used at a time.
-type sample struct {
-	at      time.Time
-	usage   map[string]rig.Usage
-	bytes   map[string]int64
-	backend int64
-	tool    rig.Usage
+// usageSample holds the total resource usage of all processes at one time.
+type usageSample struct {
+	takenAt       time.Time
+	processUsage  map[string]rig.Usage
+	listenerBytes map[string]int64
+	backendBytes  int64
+	toolUsage     rig.Usage
 }
 
-func take(r *rig.Rig) (sample, error) {
-	s := sample{at: time.Now(), usage: map[string]rig.Usage{}, bytes: map[string]int64{}}
+func takeSample(r *rig.Rig) (usageSample, error) {
+	sample := usageSample{takenAt: time.Now(), processUsage: map[string]rig.Usage{}, listenerBytes: map[string]int64{}}
 	var err error
-	for _, name := range slices.Concat(r.Controls(), r.EntryNames()) {
-		if s.usage[name], err = r.Usage(name); err != nil {
-			return s, err
+	for _, name := range slices.Concat(r.ControlNames(), r.EntryNames()) {
+		if sample.processUsage[name], err = r.ProcessUsage(name); err != nil {
+			return sample, err
 		}
-		s.bytes[name] = r.Bytes(name)
+		sample.listenerBytes[name] = r.ListenerBytes(name)
 	}
 	for _, name := range r.EntryNames() {
-		s.backend += r.BackendBytes(name)
+		sample.backendBytes += r.BackendBytes(name)
 	}
-	s.tool, err = rig.Spent(os.Getpid())
-	return s, err
+	sample.toolUsage, err = rig.UsageOf(os.Getpid())
+	return sample, err
 }
 
-// between sums up by role what was used from one sample to another.
-func between(r *rig.Rig, from, to sample) costs {
-	var out costs
-	seconds := to.at.Sub(from.at).Seconds()
-	lead, _ := r.Leader()
-	for name, u := range to.usage {
-		c := &out.Follower
+// usageBetween returns the resource usage of each role between two samples.
+func usageBetween(r *rig.Rig, before, after usageSample) cellUsage {
+	var usage cellUsage
+	seconds := after.takenAt.Sub(before.takenAt).Seconds()
+	leader, _ := r.Leader()
+	for name, u := range after.processUsage {
+		c := &usage.Follower
 		switch {
-		case name == lead:
-			c = &out.Leader
+		case name == leader:
+			c = &usage.Leader
 		case strings.HasPrefix(name, "entry"):
-			c = &out.Entry
+			c = &usage.Entry
 		}
-		c.CPU += (u.CPU - from.usage[name].CPU).Seconds() / seconds
-		c.Waited += (u.Waited - from.usage[name].Waited).Seconds() / seconds
-		c.Bytes += float64(to.bytes[name]-from.bytes[name]) / seconds
+		c.CPU += (u.CPU - before.processUsage[name].CPU).Seconds() / seconds
+		c.RunnableWait += (u.RunnableWait - before.processUsage[name].RunnableWait).Seconds() / seconds
+		c.Bytes += float64(after.listenerBytes[name]-before.listenerBytes[name]) / seconds
 		c.RSS = max(c.RSS, float64(u.RSS)/(1<<20))
 	}
-	out.Backend = float64(to.backend-from.backend) / seconds
-	out.Tool = (to.tool.CPU - from.tool.CPU).Seconds() / seconds
-	return out
+	usage.BackendBytes = float64(after.backendBytes-before.backendBytes) / seconds
+	usage.ToolCPU = (after.toolUsage.CPU - before.toolUsage.CPU).Seconds() / seconds
+	return usage
 }
--- a/internal/load/measure/slopes.go
+++ b/internal/load/measure/slopes.go
@@ -13,99 +13,103 @@
 	"gypsumreel/internal/load/work"
 )
 
-// Sizes at which the slopes are measured.
+// The slopes are measured at these sizes.
 var (
-	slopeRates   = []float64{50, 200, 800, 1600}
-	slopeServers = []int{0, 50, 100, 200}
-	slopeTasks   = []int{0, 1000, 2000, 3000}
-	slopeFleets  = []int{0, 100, 200, 400}
+	slopeRates        = []float64{50, 200, 800, 1600}
+	slopeServerCounts = []int{0, 50, 100, 200}
+	slopeTaskCounts   = []int{0, 1000, 2000, 3000}
+	slopeFleetSizes   = []int{0, 100, 200, 400}
 )
 
-// point is one measured size and value, slope the line through all of them.
+// point is a measured value at one size.
 type point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
 }
 
-// slope is a fitted line.
+// slope is a straight line fitted to measured points.
 type slope struct {
-	What string `json:"what"`
+	Name string `json:"what"`
 	Unit string `json:"unit"`
-	// Per is the value that one more of the size costs, At0 that of none.
-	Per    float64 `json:"per"`
-	At0    float64 `json:"at0"`
-	Points []point `json:"points"`
+	// Slope is the cost of one more unit of size, and Intercept the cost at size 0.
+	Slope     float64 `json:"per"`
+	Intercept float64 `json:"at0"`
+	Points    []point `json:"points"`
 }
 
-// fit draws the line with the least squares.
-func fit(what, unit string, points []point) slope {
+// fitLine fits a line by least squares.
+func fitLine(name, unit string, points []point) slope {
 	var n, sx, sy, sxx, sxy float64
 	for _, p := range points {
 		n, sx, sy, sxx, sxy = n+1, sx+p.Size, sy+p.Value, sxx+p.Size*p.Size, sxy+p.Size*p.Value
 	}
-	per := (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	return slope{What: what, Unit: unit, Per: per, At0: (sy - per*sx) / n, Points: points}
+	gradient := (n*sxy - sx*sy) / (n*sxx - sx*sx)
+	return slope{Name: name, Unit: unit, Slope: gradient, Intercept: (sy - gradient*sx) / n, Points: points}
 }
 
-// lines gathers points under their names and fits them in the order they came.
-type lines struct {
-	order []string
-	unit  map[string]string
-	at    map[string][]point
+// lineSet collects points by name and fits a line for each name, in the order of first
+// use.
+type lineSet struct {
+	names  []string
+	units  map[string]string
+	points map[string][]point
 }
 
-func (l *lines) add(what, unit string, size, value float64) {
-	if l.at == nil {
-		l.unit, l.at = map[string]string{}, map[string][]point{}
+func (l *lineSet) add(name, unit string, size, value float64) {
+	if l.points == nil {
+		l.units, l.points = map[string]string{}, map[string][]point{}
 	}
-	if l.at[what] == nil {
-		l.order = append(l.order, what)
+	if l.points[name] == nil {
+		l.names = append(l.names, name)
 	}
-	l.unit[what] = unit
-	l.at[what] = append(l.at[what], point{size, value})
+	l.units[name] = unit
+	l.points[name] = append(l.points[name], point{size, value})
 }
 
-func (l *lines) emit() error {
-	for _, what := range l.order {
-		if err := emit(fit(what, l.unit[what], l.at[what])); err != nil {
+func (l *lineSet) print() error {
+	for _, name := range l.names {
+		if err := printRow(fitLine(name, l.units[name], l.points[name])); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// slopes measures what one more start, server, sync and running task costs.
-func slopes(ctx context.Context, b *bench) error {
-	l := &lines{}
-	for _, part := range strings.Split(b.Slopes, ",") {
-		fn, ok := map[string]func(context.Context, *bench, *lines) error{"start": perStart, "server": perServer, "memory": perTask}[part]
+// measureSlopes measures the cost of one more start, idle server and running task.
+func measureSlopes(ctx context.Context, m *measurement) error {
+	l := &lineSet{}
+	for _, part := range strings.Split(m.Slopes, ",") {
+		fn, ok := map[string]func(context.Context, *measurement, *lineSet) error{"start": measurePerStart, "server": measurePerServer, "memory": measurePerTask}[part]
 		if !ok {
-			return fmt.Errorf("slope %q is not known", part)
+			return fmt.Errorf("unknown slope %q", part)
 		}
-		if err := fn(ctx, b, l); err != nil {
+		if err := fn(ctx, m, l); err != nil {
 			return err
 		}
 	}
-	return l.emit()
+	return l.print()
 }
 
-const micro = 1e6
+// microsPerSecond converts cores, which are seconds per second, to microseconds per
+// second.
+const microsPerSecond = 1e6
 
-func perStart(ctx context.Context, b *bench, l *lines) error {
+// measurePerStart measures the processor time and traffic per started task.
+func measurePerStart(ctx context.Context, m *measurement, l *lineSet) error {
 	for _, rate := range slopeRates {
-		err := b.served(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
-			if err := b.warm(ctx, r, fleet, token); err != nil {
+		err := m.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
+			if err := m.warmUp(ctx, r, fleet, token); err != nil {
 				return err
 			}
-			row, err := b.drive(ctx, r, fleet, token, flow{rate: rate, duration: b.Duration, kind: job.Urgent, count: 1, runtime: 50 * time.Millisecond}, "slope-")
-			c := row.Costs
-			l.add("cpu of the leader per start", "us", row.Starts, c.Leader.CPU*micro)
-			l.add("cpu of a follower per start", "us", row.Starts, c.Follower.CPU*micro/(replicas-1))
-			l.add("cpu of the entries per start, all together", "us", row.Starts, c.Entry.CPU*micro)
-			l.add("bytes at the leader's listener per start", "B", row.Starts, c.Leader.Bytes)
-			l.add("bytes at a follower's listener per start", "B", row.Starts, c.Follower.Bytes/(replicas-1))
-			l.add("bytes at the entries' listeners per start, all together", "B", row.Starts, c.Entry.Bytes)
-			l.add("bytes between entries and servers per start", "B", row.Starts, c.Backend)
+			row, err := m.runLoad(ctx, r, fleet, token, loadSpec{rate: rate, duration: m.Duration, kind: job.Urgent, tasksPerJob: 1, runtime: 50 * time.Millisecond}, "slope-")
+			usage := row.Usage
+			l.add("cpu of the leader per start", "us", row.StartsPerSecond, usage.Leader.CPU*microsPerSecond)
+			l.add("cpu of a follower per start", "us", row.StartsPerSecond, usage.Follower.CPU*microsPerSecond/(replicas-1))
+			l.add("cpu of the entries per start, all together", "us", row.StartsPerSecond, usage.Entry.CPU*microsPerSecond)
+			l.add("bytes at the leader's listener per start", "B", row.StartsPerSecond, usage.Leader.Bytes)
+			l.add("bytes at a follower's listener per start", "B", row.StartsPerSecond, usage.Follower.Bytes/(replicas-1))
+			l.add("bytes at the entries' listeners per start, all together", "B", row.StartsPerSecond, usage.Entry.Bytes)
+			l.add("bytes between entries and servers per start", "B", row.StartsPerSecond, usage.BackendBytes)
 			return err
 		})
 		if err != nil {
@@ -115,17 +119,18 @@
 	return nil
 }
 
-func perServer(ctx context.Context, b *bench, l *lines) error {
-	for _, n := range slopeServers {
-		err := b.cell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
-			row, err := b.rest(ctx, r, n)
-			c, x := row.Costs, float64(n)
-			l.add("cpu of the leader per idle server and second", "us", x, c.Leader.CPU*micro)
-			l.add("cpu of a follower per idle server and second", "us", x, c.Follower.CPU*micro/(replicas-1))
-			l.add("cpu of the entries per idle server and second, all together", "us", x, c.Entry.CPU*micro)
-			l.add("bytes between entry and idle server per second", "B", x, c.Backend)
-			l.add("bytes at the leader's listener per idle server and second", "B", x, c.Leader.Bytes)
-			l.add("bytes at an idle follower's listener per second, by servers", "B", x, c.Follower.Bytes/(replicas-1))
+// measurePerServer measures the processor time and traffic per idle backend server.
+func measurePerServer(ctx context.Context, m *measurement, l *lineSet) error {
+	for _, n := range slopeServerCounts {
+		err := m.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
+			row, err := m.runIdle(ctx, r, n)
+			usage, servers := row.Usage, float64(n)
+			l.add("cpu of the leader per idle server and second", "us", servers, usage.Leader.CPU*microsPerSecond)
+			l.add("cpu of a follower per idle server and second", "us", servers, usage.Follower.CPU*microsPerSecond/(replicas-1))
+			l.add("cpu of the entries per idle server and second, all together", "us", servers, usage.Entry.CPU*microsPerSecond)
+			l.add("bytes between entry and idle server per second", "B", servers, usage.BackendBytes)
+			l.add("bytes at the leader's listener per idle server and second", "B", servers, usage.Leader.Bytes)
+			l.add("bytes at an idle follower's listener per second, by servers", "B", servers, usage.Follower.Bytes/(replicas-1))
 			return err
 		})
 		if err != nil {
@@ -135,37 +140,37 @@
 	return nil
 }
 
-// perTask measures resident memory, of which the collector keeps a part that is
-// not in use: a slope of it is an upper bound of what a task needs.
-func perTask(ctx context.Context, b *bench, l *lines) error {
-	for _, n := range slopeTasks {
-		err := b.cell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
-			token, err := r.Team(ctx, "measured")
+// measurePerTask measures resident memory. The garbage collector keeps some unused
+// memory, so the slope is an upper bound of what a task or server needs.
+func measurePerTask(ctx context.Context, m *measurement, l *lineSet) error {
+	for _, n := range slopeTaskCounts {
+		err := m.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
+			token, err := r.CreateTeam(ctx, "measured")
 			if err != nil {
 				return err
 			}
-			fleet, err := r.Fleet(ctx, b.Servers, size(int64(slopeTasks[len(slopeTasks)-1])))
+			fleet, err := r.StartFleet(ctx, m.Servers, serverCapacity(int64(slopeTaskCounts[len(slopeTaskCounts)-1])))
 			if err != nil {
 				return err
 			}
 			defer fleet.Close()
-			if err := hold(ctx, r, fleet, token, n); err != nil {
+			if err := startLongTasks(ctx, r, fleet, token, n); err != nil {
 				return err
 			}
-			return resident(ctx, r, l, "running tasks", float64(n)/1000)
+			return addMemoryPoints(ctx, r, l, "running tasks", float64(n)/1000)
 		})
 		if err != nil {
 			return err
 		}
 	}
-	for _, n := range slopeFleets {
-		err := b.cell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
-			fleet, err := r.Fleet(ctx, n, size(b.Slots))
+	for _, n := range slopeFleetSizes {
+		err := m.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
+			fleet, err := r.StartFleet(ctx, n, serverCapacity(m.Slots))
 			if err != nil {
 				return err
 			}
 			defer fleet.Close()
-			return resident(ctx, r, l, "servers", float64(n)/1000)
+			return addMemoryPoints(ctx, r, l, "servers", float64(n)/1000)
 		})
 		if err != nil {
 			return err
@@ -174,50 +179,51 @@
 	return nil
 }
 
-func resident(ctx context.Context, r *rig.Rig, l *lines, what string, size float64) error {
-	link.Sleep(ctx, rig.Quiet)
-	s, err := take(r)
-	c := between(r, s, s)
-	l.add("resident memory of the leader per 1,000 "+what, "MiB", size, c.Leader.RSS)
-	l.add("resident memory of a follower per 1,000 "+what, "MiB", size, c.Follower.RSS)
-	l.add("resident memory of an entry per 1,000 "+what, "MiB", size, c.Entry.RSS)
+func addMemoryPoints(ctx context.Context, r *rig.Rig, l *lineSet, subject string, size float64) error {
+	link.Sleep(ctx, rig.SettleTime)
+	sample, err := takeSample(r)
+	usage := usageBetween(r, sample, sample)
+	l.add("resident memory of the leader per 1,000 "+subject, "MiB", size, usage.Leader.RSS)
+	l.add("resident memory of a follower per 1,000 "+subject, "MiB", size, usage.Follower.RSS)
+	l.add("resident memory of an entry per 1,000 "+subject, "MiB", size, usage.Entry.RSS)
 	return err
 }
 
-// hold submits n tasks that run until the fleet ends and waits until all run.
-func hold(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, n int) error {
-	const perJob, perCall = 10, 50
+// startLongTasks submits n tasks that run for an hour and waits until all have
+// started.
+func startLongTasks(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, n int) error {
+	const tasksPerJob, jobsPerCall = 10, 50
 	client := r.CallerClient(token)
 	defer client.Link.Close()
 	var ids []string
-	for first := 0; first < n; first += perJob * perCall {
+	for first := 0; first < n; first += tasksPerJob * jobsPerCall {
 		var jobs []*v1.Spec
-		for i := first; i < min(n, first+perJob*perCall); i += perJob {
+		for i := first; i < min(n, first+tasksPerJob*jobsPerCall); i += tasksPerJob {
 			id := fmt.Sprintf("held-%d", i)
 			ids = append(ids, id)
 			jobs = append(jobs, &v1.Spec{
-				Id: id, Kind: v1.Kind(job.Batch), Name: "held", Count: perJob, Size: &v1.Size{Cpu: 1, Memory: 1, Slots: 1},
-				Runtime: uint64(time.Hour.Milliseconds()), Input: work.Input{ID: id, Runtime: time.Hour}.Bytes(),
+				Id: id, Kind: v1.Kind(job.Batch), Name: "held", Count: tasksPerJob, Size: &v1.Size{Cpu: 1, Memory: 1, Slots: 1},
+				Runtime: uint64(time.Hour.Milliseconds()), Input: work.Input{ID: id, Runtime: time.Hour}.Encode(),
 			})
 		}
 		if _, err := client.Submit(ctx, jobs, true); err != nil {
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, tail)
+	ctx, cancel := context.WithTimeout(ctx, outcomeTimeout)
 	defer cancel()
 	for _, id := range ids {
-		for running := 0; running < perJob; {
+		for running := 0; running < tasksPerJob; {
 			running = 0
-			for _, one := range fleet.Record.Of(id, perJob) {
-				running += one.Started
+			for _, taskRuns := range fleet.TaskRuns.JobRuns(id, tasksPerJob) {
+				running += taskRuns.Started
 			}
-			if running < perJob && !link.Sleep(ctx, askPause) {
-				return fmt.Errorf("%s: %d of %d tasks run", id, running, perJob)
+			if running < tasksPerJob && !link.Sleep(ctx, taskPollInterval) {
+				return fmt.Errorf("job %s: %d of %d tasks started (limit %s)", id, running, tasksPerJob, outcomeTimeout)
 			}
 		}
 	}
 	return nil
 }
 
-const askPause = 10 * time.Millisecond
+const taskPollInterval = 10 * time.Millisecond
--- a/internal/load/mix/mix.go
+++ b/internal/load/mix/mix.go
@@ -1,5 +1,5 @@
-// Package mix makes the jobs of a load run: which kinds, when, how large. The
-// same seed makes the same jobs.
+// Package mix generates the jobs of a load run: their arrival times, kinds and sizes.
+// The same seed generates the same jobs.
 package mix
 
 import (
@@ -14,35 +14,35 @@
 	"gypsumreel/internal/domain/job"
 )
 
-// Shares holds the weight of each kind among the arrivals.
-type Shares map[job.Kind]float64
+// KindWeights holds the relative weight of each kind among the arrivals.
+type KindWeights map[job.Kind]float64
 
-// Kinds are all kinds in the order of reports.
+// Kinds lists all kinds in the order in which reports print them.
 var Kinds = []job.Kind{job.Urgent, job.Batch, job.Gang, job.Service}
 
-// maxWeight bounds the weight of a kind.
+// maxWeight is the largest weight of a kind that is accepted.
 const maxWeight = 1_000_000
 
-// ParseShares reads weights such as urgent=70,batch=25,gang=4,service=1.
-func ParseShares(text string) (Shares, error) {
-	out, sum := Shares{}, 0.0
+// ParseKindWeights parses weights such as urgent=70,batch=25,gang=4,service=1.
+func ParseKindWeights(text string) (KindWeights, error) {
+	weights, sum := KindWeights{}, 0.0
 	for _, part := range strings.Split(text, ",") {
 		name, weight, _ := strings.Cut(strings.TrimSpace(part), "=")
-		kind, ok := kindOf(name)
-		f, err := strconv.ParseFloat(weight, 64)
-		if _, twice := out[kind]; !ok || twice || err != nil || !(f >= 0 && f <= maxWeight) {
+		kind, ok := parseKind(name)
+		value, err := strconv.ParseFloat(weight, 64)
+		if _, duplicate := weights[kind]; !ok || duplicate || err != nil || !(value >= 0 && value <= maxWeight) {
 			return nil, fmt.Errorf("%q is not allowed; allowed: each of urgent, batch, gang, service once, as NAME=WEIGHT", part)
 		}
-		out[kind] = f
-		sum += f
+		weights[kind] = value
+		sum += value
 	}
 	if sum == 0 {
 		return nil, fmt.Errorf("all weights are 0; allowed: one above 0")
 	}
-	return out, nil
+	return weights, nil
 }
 
-func kindOf(name string) (job.Kind, bool) {
+func parseKind(name string) (job.Kind, bool) {
 	for _, k := range Kinds {
 		if k.String() == name {
 			return k, true
@@ -51,8 +51,8 @@
 	return 0, false
 }
 
-// pick returns a kind for x from 0 to 1.
-func (s Shares) pick(x float64) job.Kind {
+// selectKind maps x, from 0 to 1, to a kind in proportion to the weights.
+func (s KindWeights) selectKind(x float64) job.Kind {
 	sum := 0.0
 	for _, k := range Kinds {
 		sum += s[k]
@@ -66,7 +66,8 @@
 	return Kinds[0]
 }
 
-// Shape is the size and mean run time of a kind's tasks.
+// Shape holds the size and the mean run time of the tasks of a kind. CPU is in
+// millicores and Memory in MiB.
 type Shape struct {
 	Count   uint32
 	CPU     int64
@@ -74,8 +75,8 @@
 	Runtime time.Duration
 }
 
-// DefaultShapes are like the work of an order service: quotes, stock runs,
-// plans for whole sections, and a service that stays for a while.
+// DefaultShapes models the work of an order service: urgent tasks are quotes, batch
+// tasks are stock runs, gangs plan whole sections, and services run for a while.
 func DefaultShapes() map[job.Kind]Shape {
 	return map[job.Kind]Shape{
 		job.Urgent:  {Count: 1, CPU: 500, Memory: 256, Runtime: 50 * time.Millisecond},
@@ -85,68 +86,71 @@
 	}
 }
 
-// Plan says what a run submits. Set the fields, then call Jobs.
+// Plan describes the jobs of a load run. Set the fields, then call Jobs.
 type Plan struct {
-	// Rate is the mean number of arrivals a second; they are independent.
+	// Rate is the mean number of arrivals per second. Arrivals are independent of each
+	// other.
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
-	Shares   Shares
+	Weights  KindWeights
 	Shapes   map[job.Kind]Shape
-	// Once is the part of the jobs, 0 to 1, that may run at most once.
-	Once float64
-	// Answer is the mean length of a task's answer in bytes.
-	Answer int
-	// Deadline is that of urgent jobs; 0 for none.
+	// OnceFraction is the fraction of the jobs, from 0 to 1, that may run at most once.
+	OnceFraction float64
+	// MeanAnswerBytes is the mean length of a task's answer.
+	MeanAnswerBytes int
+	// Deadline is the deadline of urgent jobs; 0 means none.
 	Deadline time.Duration
-	// Prefix begins every id.
-	Prefix string
+	// IDPrefix is the prefix of every job id.
+	IDPrefix string
 }
 
-// Job is one arrival.
+// Job is one job of a load run.
 type Job struct {
-	// At is when it arrives, from the start of the run.
-	At   time.Duration
-	Spec *v1.Spec
-	Kind job.Kind
-	// Runtime is how long each task really runs; a service is cancelled then.
+	// ArrivesAt is the arrival time, relative to the start of the run.
+	ArrivesAt time.Duration
+	Spec      *v1.Spec
+	Kind      job.Kind
+	// Runtime is the real run time of each task. A service is cancelled after it.
 	Runtime time.Duration
-	// Answer is the length of each task's answer in bytes.
-	Answer int
+	// AnswerBytes is the length of each task's answer.
+	AnswerBytes int
 }
 
 const (
-	// longest bounds a drawn value in multiples of its mean.
-	longest = 5
-	// spread is the standard deviation of the logarithm of declared over real run time.
-	spread = 0.5
-	// streams keeps the generator apart from others of the same seed.
-	streams = 0x6c6f6164
+	// maxMeanMultiple limits drawn values to this multiple of their mean.
+	maxMeanMultiple = 5
+	// runtimeErrorSigma is the standard deviation of the logarithm of the ratio of
+	// declared to real run time.
+	runtimeErrorSigma = 0.5
+	// rngStream selects the generator's stream, so that other generators with the same
+	// seed draw other values. It spells "load" in ASCII.
+	rngStream = 0x6c6f6164
 )
 
-// Jobs draws all arrivals in the order of their times.
+// Jobs draws all jobs, ordered by arrival time.
 func (p Plan) Jobs() []Job {
-	r := rand.New(rand.NewPCG(p.Seed, streams))
-	var out []Job
-	at := time.Duration(0)
+	r := rand.New(rand.NewPCG(p.Seed, rngStream))
+	var jobs []Job
+	arrivesAt := time.Duration(0)
 	for {
-		at += time.Duration(r.ExpFloat64() / p.Rate * float64(time.Second))
-		if at >= p.Duration {
-			return out
+		arrivesAt += time.Duration(r.ExpFloat64() / p.Rate * float64(time.Second))
+		if arrivesAt >= p.Duration {
+			return jobs
 		}
-		out = append(out, p.job(r, len(out), at))
+		jobs = append(jobs, p.drawJob(r, len(jobs), arrivesAt))
 	}
 }
 
-func (p Plan) job(r *rand.Rand, n int, at time.Duration) Job {
-	kind := p.Shares.pick(r.Float64())
+func (p Plan) drawJob(r *rand.Rand, number int, arrivesAt time.Duration) Job {
+	kind := p.Weights.selectKind(r.Float64())
 	shape := p.Shapes[kind]
-	j := Job{At: at, Kind: kind, Runtime: drawn(r, shape.Runtime), Answer: int(drawn(r, time.Duration(p.Answer)))}
-	// Declared run times are often far off; the cell has to live with it.
-	declared := float64(j.Runtime.Milliseconds()) * math.Exp(r.NormFloat64()*spread)
-	once := r.Float64() < p.Once && kind != job.Service
+	j := Job{ArrivesAt: arrivesAt, Kind: kind, Runtime: drawExponential(r, shape.Runtime), AnswerBytes: int(drawExponential(r, time.Duration(p.MeanAnswerBytes)))}
+	// Declared run times are often wrong, and the cell has to tolerate it.
+	declared := float64(j.Runtime.Milliseconds()) * math.Exp(r.NormFloat64()*runtimeErrorSigma)
+	once := r.Float64() < p.OnceFraction && kind != job.Service
 	j.Spec = &v1.Spec{
-		Id: p.Prefix + strconv.Itoa(n), Kind: v1.Kind(kind), Name: "load-" + kind.String(), Count: shape.Count,
+		Id: p.IDPrefix + strconv.Itoa(number), Kind: v1.Kind(kind), Name: "load-" + kind.String(), Count: shape.Count,
 		Size:    &v1.Size{Cpu: shape.CPU, Memory: shape.Memory, Slots: 1},
 		Runtime: uint64(max(1, declared)), Once: once,
 	}
@@ -156,7 +160,8 @@
 	return j
 }
 
-// drawn returns a value with an exponential distribution of the mean given.
-func drawn(r *rand.Rand, mean time.Duration) time.Duration {
-	return time.Duration(min(r.ExpFloat64(), longest) * float64(mean))
+// drawExponential draws a value from an exponential distribution with the given mean,
+// limited to maxMeanMultiple times the mean.
+func drawExponential(r *rand.Rand, mean time.Duration) time.Duration {
+	return time.Duration(min(r.ExpFloat64(), maxMeanMultiple) * float64(mean))
 }
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -17,61 +17,63 @@
 	"gypsumreel/internal/load/work"
 )
 
-// Racks and zones of the fake backend servers.
+// The fake backend servers are spread over racks and availability zones.
 const (
-	perRack = 8
-	zones   = 3
+	serversPerRack = 8
+	zoneCount      = 3
 )
 
-// unlimited is a limit or a queue that binds nothing.
+// unlimited is the value of a limit that does not apply.
 const unlimited = -1
 
-// maxQueue is the longest queue that the team of a run may have.
+// maxQueue is the maximum queue length of a team that CreateTeam makes.
 const maxQueue = 1_000_000
 
-// Fleet is a number of fake backend servers in this process.
+// Fleet is a group of fake backend servers that run in this process.
 type Fleet struct {
-	// Record is what the load's tasks did, Seen what broke a promise.
-	Record *work.Record
-	Seen   *server.Record
+	// TaskRuns records the attempts of each task. ServerRecord counts the starts and
+	// records the faults that the servers notice.
+	TaskRuns     *work.Record
+	ServerRecord *server.Record
 
-	all    []*server.Server
-	cancel context.CancelFunc
+	servers []*server.Server
+	cancel  context.CancelFunc
 }
 
-// Fleet starts n backend servers and returns once the cell counts all as ready.
-func (r *Rig) Fleet(ctx context.Context, n int, capacity *v1.Size) (*Fleet, error) {
-	f := &Fleet{Record: &work.Record{}, Seen: &server.Record{}}
+// StartFleet starts n backend servers and waits until the cell reports all of them as
+// ready.
+func (r *Rig) StartFleet(ctx context.Context, n int, capacity *v1.Size) (*Fleet, error) {
+	f := &Fleet{TaskRuns: &work.Record{}, ServerRecord: &server.Record{}}
 	running, cancel := context.WithCancel(ctx)
 	f.cancel = cancel
 	for i := range n {
 		s := &server.Server{
-			Name: fmt.Sprintf("load-%03d", i), Secret: r.Enrolment, Work: f.Record.Work, Record: f.Seen, Log: logr.Discard(),
-			Rack: fmt.Sprintf("rack-%d", i/perRack), Zone: fmt.Sprintf("zone-%d", i%zones), Capacity: capacity,
+			Name: fmt.Sprintf("load-%03d", i), Secret: r.EnrolmentSecret, Work: f.TaskRuns.RunTask, Record: f.ServerRecord, Log: logr.Discard(),
+			Rack: fmt.Sprintf("rack-%d", i/serversPerRack), Zone: fmt.Sprintf("zone-%d", i%zoneCount), Capacity: capacity,
 		}
-		for _, address := range r.Backends() {
+		for _, address := range r.BackendAddresses() {
 			s.Entries = append(s.Entries, server.NewEntry(address, nil, nil))
 		}
-		f.all = append(f.all, s)
-		go func() { _ = s.Run(running) }() // ends with the fleet, which is its only error
+		f.servers = append(f.servers, s)
+		go func() { _ = s.Run(running) }() // ends with the fleet, which causes its only error
 	}
-	if err := r.counted(ctx, n); err != nil {
+	if err := r.waitServersReady(ctx, n); err != nil {
 		f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// Close ends the backend servers at once.
+// Close stops the backend servers without a graceful shutdown.
 func (f *Fleet) Close() {
 	f.cancel()
-	for _, s := range f.all {
+	for _, s := range f.servers {
 		<-s.Done()
 	}
 }
 
-// counted waits until n servers are ready.
-func (r *Rig) counted(ctx context.Context, n int) error {
+// waitServersReady waits until the cell reports n servers as ready.
+func (r *Rig) waitServersReady(ctx context.Context, n int) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	op := r.OperatorClient()
@@ -86,25 +88,25 @@
 		if ready >= n {
 			return nil
 		}
-		if !link.Sleep(ctx, lookEvery) {
-			return errors.Newf("%d of %d servers are ready: %v", ready, n, err)
+		if !link.Sleep(ctx, pollInterval) {
+			return errors.Newf("%d of %d backend servers are ready (limit %s): %v", ready, n, startTimeout, err)
 		}
 	}
 	return nil
 }
 
-// OperatorClient returns a client with the first operator's key.
+// OperatorClient returns a client that uses the first operator's key.
 func (r *Rig) OperatorClient() *operator.Client {
-	return &operator.Client{Link: &link.Link{Addresses: r.Operators(), Key: r.Operator}}
+	return &operator.Client{Link: &link.Link{Addresses: r.OperatorURLs(), Key: r.OperatorKey}}
 }
 
-// CallerClient returns a client with a team's key.
+// CallerClient returns a client that uses the given team key.
 func (r *Rig) CallerClient(token string) *caller.Client {
-	return &caller.Client{Link: &link.Link{Addresses: r.Callers(), Key: token, Multiplexed: true}}
+	return &caller.Client{Link: &link.Link{Addresses: r.CallerURLs(), Key: token, Multiplexed: true}}
 }
 
-// Team makes a team without limits and returns its key.
-func (r *Rig) Team(ctx context.Context, team string) (string, error) {
+// CreateTeam creates a team without limits and returns its key.
+func (r *Rig) CreateTeam(ctx context.Context, team string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	op := r.OperatorClient()
@@ -122,11 +124,11 @@
 	if err != nil {
 		return "", err
 	}
-	return r.Grant(ctx, team, "key-"+team)
+	return r.GrantKey(ctx, team, "key-"+team)
 }
 
-// Grant grants a team a key and returns it as it is presented.
-func (r *Rig) Grant(ctx context.Context, team, id string) (string, error) {
+// GrantKey grants a new key to a team and returns the token that callers present.
+func (r *Rig) GrantKey(ctx context.Context, team, id string) (string, error) {
 	secret := key.NewSecret()
 	d := key.Digest(secret)
 	_, err := r.OperatorClient().Change(ctx, &v1.ChangeRequest{Id: "grant-" + id, Change: &v1.ChangeRequest_Grant{
@@ -135,5 +137,6 @@
 	return id + "." + secret, err
 }
 
-// Quiet is how long a cell is left alone before it is measured at rest.
-const Quiet = 2 * time.Second
+// SettleTime is the pause before an idle cell is measured, so that its start no longer
+// shows.
+const SettleTime = 2 * time.Second
