--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -191,7 +191,7 @@
 		urgentDemand: map[string]*startDemand{}, urgentServers: map[string]*shortlease.Selection{}, recurringFlows: map[string]bool{},
 		rateBuckets: map[string]*rateBucket{}, surplusFlows: map[string]bool{},
 		serverSpeeds: map[string]*serverSpeed{}, stepTimes: map[flow.StepID]steps.Timing{}, avoidedServers: map[flow.StepID]map[string]bool{},
-		pendingRequests: map[uint64]func(){}, drainingForUpkeep: map[string]bool{}, upkeepRetryAt: map[string]time.Duration{},
+		pendingRequests: map[uint64]func(){}, nextForMaintenance: map[string]bool{}, maintenanceRetryAt: map[string]time.Duration{},
 	}
 	ledger := d.Host.Flows()
 	for _, b := range ledger.Servers() {
--- a/internal/control/dispatch/dispatch_test.go
+++ b/internal/control/dispatch/dispatch_test.go
@@ -433,7 +433,7 @@
 
 // Guards against placing work on a server whose departure was acknowledged. The next leader
 // and a late report without the leaving flag must not change that.
-func TestLeavingServerGetsNoNewTasks(t *testing.T) {
+func TestShuttingDownServerGetsNoNewTasks(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		if err := w.sendReport("s1", 1, true); err != nil {
 			t.Fatal(err)
@@ -584,7 +584,7 @@
 
 // Guards against losing the work since the last checkpoint when a server leaves with a long
 // run on it. The run has to continue from its checkpoint on another server.
-func TestLeavingServerIsEvacuated(t *testing.T) {
+func TestShuttingDownServerIsEvacuated(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
 			backend.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
@@ -627,7 +627,7 @@
 // Guards against exceeding the cap of an upkeep wave, also across a leader change. Lasting
 // tasks are moved one at a time before their machine goes down, and the wave completes when
 // all machines are back.
-func TestUpkeepWaveRespectsCap(t *testing.T) {
+func TestMaintenanceWaveRespectsCap(t *testing.T) {
 	runWithCluster(t, 4, func(t *testing.T, w *testCluster) {
 		lasting := newStep(3, 1000)
 		lasting.Lasting, lasting.Absent = true, 1
@@ -666,8 +666,8 @@
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.maxUnderUpkeep != 1 || w.interruptedRuns != 0 {
-			t.Errorf("%d machines were down at the same time, want 1; %d runs were interrupted, want 0", w.maxUnderUpkeep, w.interruptedRuns)
+		if w.maxUnderMaintenance != 1 || w.interruptedRuns != 0 {
+			t.Errorf("%d machines were down at the same time, want 1; %d runs were interrupted, want 0", w.maxUnderMaintenance, w.interruptedRuns)
 		}
 		if minAtWork < 2 {
 			t.Errorf("only %d of 3 lasting tasks were running, want at least 2", minAtWork)
@@ -678,7 +678,7 @@
 // Guards against two leaders that order upkeep at the same time. The order of a replaced
 // leader may still be in transit. An order of the new leader within that time would make
 // two duty holders alternate on a platform that does not check fencing tokens.
-func TestNewLeaderDelaysUpkeepOrders(t *testing.T) {
+func TestNewLeaderDelaysMaintenanceOrders(t *testing.T) {
 	runWithCluster(t, 3, func(t *testing.T, w *testCluster) {
 		wave := &record.Wave{Number: 1, Machines: []string{"m-s1", "m-s2", "m-s3"}, Duration: 60_000, Cap: 1}
 		time.Sleep(5 * time.Second)
@@ -691,8 +691,8 @@
 		time.Sleep(10 * time.Second)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if len(w.firstUpkeepOrders) != 2 || w.firstUpkeepOrders[2]-electedAt < 3*time.Second {
-			t.Errorf("first upkeep order by fencing token: %v; the second leader was elected at %v", w.firstUpkeepOrders, electedAt)
+		if len(w.firstMaintenanceOrders) != 2 || w.firstMaintenanceOrders[2]-electedAt < 3*time.Second {
+			t.Errorf("first upkeep order by fencing token: %v; the second leader was elected at %v", w.firstMaintenanceOrders, electedAt)
 		}
 	})
 }
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -170,14 +170,14 @@
 	runOutcome func(flow.RunID) (time.Duration, inner.RunEnd)
 	// restarts waits for the crashed workers that are restarting.
 	restarts sync.WaitGroup
-	// underUpkeep holds the workers under upkeep, maxUnderUpkeep is the highest number of
+	// underMaintenance holds the workers under upkeep, maxUnderUpkeep is the highest number of
 	// them at the same time, and interruptedRuns counts the runs that an upkeep
 	// interrupted.
-	underUpkeep     map[string]bool
-	maxUnderUpkeep  int
-	interruptedRuns int
-	// firstUpkeepOrders holds the time of the first upkeep order for each fencing token.
-	firstUpkeepOrders map[uint64]time.Duration
+	underMaintenance    map[string]bool
+	maxUnderMaintenance int
+	interruptedRuns     int
+	// firstMaintenanceOrders holds the time of the first upkeep order for each fencing token.
+	firstMaintenanceOrders map[uint64]time.Duration
 	// leaderCutOff makes all direct calls of the leader time out. lastRelay holds the
 	// helper through which each worker was last called.
 	leaderCutOff atomic.Bool
@@ -238,36 +238,36 @@
 	return w.callWorker(ctx, c)
 }
 
-// StartUpkeep takes a worker down for two seconds.
-func (w *testCluster) StartUpkeep(_ context.Context, machine string, _, fence uint64) dispatch.UpkeepResult {
+// StartMaintenance takes a worker down for two seconds.
+func (w *testCluster) StartMaintenance(_ context.Context, machine string, _, fence uint64) dispatch.MaintenanceResult {
 	id := strings.TrimPrefix(machine, "m-")
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, ok := w.firstUpkeepOrders[fence]; !ok {
-		w.firstUpkeepOrders[fence] = w.now()
+	if _, ok := w.firstMaintenanceOrders[fence]; !ok {
+		w.firstMaintenanceOrders[fence] = w.now()
 	}
-	if w.underUpkeep[id] {
-		return dispatch.UpkeepStarted
+	if w.underMaintenance[id] {
+		return dispatch.MaintenanceStarted
 	}
-	w.underUpkeep[id] = true
+	w.underMaintenance[id] = true
 	downCount := 0
-	for _, down := range w.underUpkeep {
+	for _, down := range w.underMaintenance {
 		if down {
 			downCount++
 		}
 	}
-	w.maxUnderUpkeep = max(w.maxUnderUpkeep, downCount)
+	w.maxUnderMaintenance = max(w.maxUnderMaintenance, downCount)
 	backend := w.workers[id]
 	w.interruptedRuns += len(backend.Running())
 	backend.Crash()
 	time.AfterFunc(2*time.Second, func() {
 		w.startWorker(id, backend.Born+1)
 		w.mu.Lock()
-		w.underUpkeep[id] = false
+		w.underMaintenance[id] = false
 		w.mu.Unlock()
 		w.reportUntilAccepted(id, backend.Born+1)
 	})
-	return dispatch.UpkeepStarted
+	return dispatch.MaintenanceStarted
 }
 
 var keyHash = sha256.Sum256([]byte("key"))
@@ -296,7 +296,7 @@
 func newTestCluster(t *testing.T, n int) *testCluster {
 	w := &testCluster{
 		fakeHost: &fakeHost{t: t, startedAt: time.Now(), postedFuncs: make(chan func(), 1024), stopped: make(chan struct{}), ledger: flows.New()},
-		workers:  map[string]*worker.Worker{}, crashCounts: map[flow.TaskID]int{}, startCounts: map[flow.RunID]int{}, underUpkeep: map[string]bool{}, lastRelay: map[string]string{}, lastDirectCall: map[string]time.Duration{}, firstUpkeepOrders: map[uint64]time.Duration{},
+		workers:  map[string]*worker.Worker{}, crashCounts: map[flow.TaskID]int{}, startCounts: map[flow.RunID]int{}, underMaintenance: map[string]bool{}, lastRelay: map[string]string{}, lastDirectCall: map[string]time.Duration{}, firstMaintenanceOrders: map[uint64]time.Duration{},
 		runOutcome: func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Second, inner.RunEnd_RUN_END_DONE },
 		capacity:   capacity.Size{CPU: 4000, Memory: 4000},
 	}
@@ -376,10 +376,10 @@
 	return maps.Clone(w.startCounts)
 }
 
-func (w *testCluster) sendReport(id string, incarnation int64, leaving bool) *code.Error {
+func (w *testCluster) sendReport(id string, incarnation int64, shuttingDown bool) *code.Error {
 	size := &v1.Size{Cpu: w.capacity.CPU, Memory: w.capacity.Memory}
 	return w.dispatcher.AcceptReport(w.t.Context(), dispatch.Report{FlowServer: &record.FlowServer{
-		Id: id, Born: incarnation, Address: id, Zone: zoneOf(id), Pool: "pool", Machine: "m-" + id, Capacity: size, Leaving: leaving,
+		Id: id, Born: incarnation, Address: id, Zone: zoneOf(id), Pool: "pool", Machine: "m-" + id, Capacity: size, Leaving: shuttingDown,
 	}, Remaining: 2000})
 }
 
--- a/internal/control/dispatch/lead.go
+++ b/internal/control/dispatch/lead.go
@@ -55,14 +55,14 @@
 	pendingRequests map[uint64]func()
 	lastRequestID   uint64
 
-	// drainingForUpkeep holds the servers that are drained for an upkeep. upkeepRetryAt is
+	// nextForMaintenance holds the servers that are drained for an upkeep. upkeepRetryAt is
 	// the time until which the answer to the last order about a machine is awaited.
-	drainingForUpkeep map[string]bool
+	nextForMaintenance map[string]bool
 	// drainedZones holds the drained zones as of the last check.
-	drainedZones   map[string]time.Duration
-	upkeepRetryAt  map[string]time.Duration
-	wavesCheckedAt time.Duration
-	zonesCheckedAt time.Duration
+	drainedZones       map[string]time.Duration
+	maintenanceRetryAt map[string]time.Duration
+	wavesCheckedAt     time.Duration
+	zonesCheckedAt     time.Duration
 
 	// pendingStops holds the runs whose stop is repeated until it is answered.
 	pendingStops map[*run]*session
--- a/internal/control/dispatch/pace.go
+++ b/internal/control/dispatch/pace.go
@@ -61,10 +61,10 @@
 // checkpoints continues on another server without loss. Lasting tasks are moved only as
 // many at a time as their flow can miss.
 func (d *Dispatcher) evacuate(s *session, b *flows.Server, now time.Duration) {
-	if s.leavesAt == 0 {
+	if s.exitsAt == 0 {
 		return
 	}
-	timeLeft := s.leavesAt - now
+	timeLeft := s.exitsAt - now
 	for _, r := range s.runs {
 		step, ok := d.Host.Flows().Step(r.StepID)
 		if !ok || r.stopping || !r.reportedByServer {
--- a/internal/control/dispatch/session.go
+++ b/internal/control/dispatch/session.go
@@ -89,8 +89,8 @@
 	// whether the server has both fill tasks and serving tasks.
 	pacePercent         int
 	mixesFillAndServing bool
-	// leavesAt is the earliest time at which the server exits; 0 if it is not leaving.
-	leavesAt time.Duration
+	// exitsAt is the earliest time at which the server exits; 0 if it is not leaving.
+	exitsAt time.Duration
 
 	// closeReason is why the session is being closed; empty if it is not.
 	closeReason  string
@@ -104,7 +104,7 @@
 		s.observeClock(r.Clock, receivedAt)
 	}
 	if r.GetLeaving() {
-		s.leavesAt = receivedAt + time.Duration(r.Remaining)*time.Millisecond
+		s.exitsAt = receivedAt + time.Duration(r.Remaining)*time.Millisecond
 	}
 }
 
--- a/internal/control/dispatch/wave.go
+++ b/internal/control/dispatch/wave.go
@@ -14,38 +14,38 @@
 const (
 	// waveCheckInterval is the interval between checks of the active waves.
 	waveCheckInterval = 200 * time.Millisecond
-	// upkeepOrderTimeout is the timeout of one upkeep order.
-	upkeepOrderTimeout = 2 * time.Second
-	// upkeepHandoverDelay is how long a new leader waits before it sends upkeep orders. An
+	// maintenanceOrderTimeout is the timeout of one upkeep order.
+	maintenanceOrderTimeout = 2 * time.Second
+	// maintenanceHandoverDelay is how long a new leader waits before it sends upkeep orders. An
 	// order of the previous leader may still be in transit.
-	upkeepHandoverDelay = 3500 * time.Millisecond
-	// upkeepDuration is the assumed time that a machine is down for upkeep. It is used to
+	maintenanceHandoverDelay = 3500 * time.Millisecond
+	// maintenanceDuration is the assumed time that a machine is down for upkeep. It is used to
 	// estimate how long the wave can wait for the next machine.
-	upkeepDuration = 4 * time.Second
+	maintenanceDuration = 4 * time.Second
 )
 
 // Machines starts the upkeep of machines through the platform that owns them.
 type Machines interface {
-	// StartUpkeep takes a machine down for upkeep. Repeating an order that was already
+	// StartMaintenance takes a machine down for upkeep. Repeating an order that was already
 	// executed is not an error.
-	StartUpkeep(ctx context.Context, machine string, wave, fence uint64) UpkeepResult
+	StartMaintenance(ctx context.Context, machine string, wave, fence uint64) MaintenanceResult
 }
 
-// UpkeepResult is the result of an upkeep order.
-type UpkeepResult uint8
+// MaintenanceResult is the result of an upkeep order.
+type MaintenanceResult uint8
 
 // Results of an upkeep order.
 const (
-	// UpkeepUnconfirmed means that the order may have been executed or may still be
+	// MaintenanceUnconfirmed means that the order may have been executed or may still be
 	// executed.
-	UpkeepUnconfirmed UpkeepResult = iota
-	// UpkeepStarted means that the machine is down, or has already been down for this
+	MaintenanceUnconfirmed MaintenanceResult = iota
+	// MaintenanceStarted means that the machine is down, or has already been down for this
 	// upkeep.
-	UpkeepStarted
-	// UpkeepBusy means that the order was not executed and may be repeated.
-	UpkeepBusy
-	// UpkeepUnknownMachine means that the machine no longer exists.
-	UpkeepUnknownMachine
+	MaintenanceStarted
+	// MaintenanceBusy means that the order was not executed and may be repeated.
+	MaintenanceBusy
+	// MaintenanceUnknownMachine means that the machine no longer exists.
+	MaintenanceUnknownMachine
 )
 
 // StartWave adds an upkeep wave to the ledger and returns when it is committed.
@@ -87,7 +87,7 @@
 		return
 	}
 	d.leader.wavesCheckedAt = now
-	clear(d.leader.drainingForUpkeep)
+	clear(d.leader.nextForMaintenance)
 	for _, w := range d.Host.Flows().Waves() {
 		if !w.Complete() {
 			d.advanceWave(w, now)
@@ -115,15 +115,15 @@
 // server has reported, and repeats the order if it is due.
 func (d *Dispatcher) checkMachineReturned(w *flows.Wave, m *flows.Machine, now time.Duration) {
 	if b, ok := d.Host.Flows().ServerOnMachine(m.Name); ok && b.StartedAtMs > m.ServerStartedAtMs {
-		d.recordUpkeepDone(w, m)
+		d.recordMaintenanceDone(w, m)
 		return
 	}
-	if now-d.leader.electedAt >= upkeepHandoverDelay && now >= d.leader.upkeepRetryAt[m.Name] {
-		d.orderUpkeep(w, m, now) // the answer may be lost, or the leader that sent the order was replaced
+	if now-d.leader.electedAt >= maintenanceHandoverDelay && now >= d.leader.maintenanceRetryAt[m.Name] {
+		d.orderMaintenance(w, m, now) // the answer may be lost, or the leader that sent the order was replaced
 	}
 }
 
-func (d *Dispatcher) recordUpkeepDone(w *flows.Wave, m *flows.Machine) {
+func (d *Dispatcher) recordMaintenanceDone(w *flows.Wave, m *flows.Machine) {
 	event.Log(d.Log, event.MachineUpkept, "wave", w.Number, "machine", m.Name)
 	d.applyOrLog(&record.Flow{What: &record.Flow_Upkeep{Upkeep: &record.WaveStep{Wave: w.Number, Machine: m.Name, Done: true}}})
 }
@@ -133,7 +133,7 @@
 func (d *Dispatcher) emptyMachine(w *flows.Wave, m *flows.Machine, now time.Duration) {
 	b, ok := d.Host.Flows().ServerOnMachine(m.Name)
 	if ok {
-		d.leader.drainingForUpkeep[b.ID] = true
+		d.leader.nextForMaintenance[b.ID] = true
 		if s := d.leader.sessions[b.ID]; s != nil {
 			d.stopMovableRuns(s)
 			if len(s.runs) > 0 && (d.hasLastingTask(s) || !d.isWaveLate(w)) {
@@ -141,13 +141,13 @@
 			}
 		}
 	}
-	if now-d.leader.electedAt < upkeepHandoverDelay {
+	if now-d.leader.electedAt < maintenanceHandoverDelay {
 		return
 	}
 	if !d.applyOrLog(&record.Flow{What: &record.Flow_Upkeep{Upkeep: &record.WaveStep{Wave: w.Number, Machine: m.Name}}}) {
 		return
 	}
-	d.Host.AfterCommit(func() { d.orderUpkeep(w, m, d.Now()) })
+	d.Host.AfterCommit(func() { d.orderMaintenance(w, m, d.Now()) })
 }
 
 // stopMovableRuns stops runs that continue from a checkpoint on another server, and lasting
@@ -184,21 +184,21 @@
 		}
 	}
 	rounds := (remaining + w.MaxDown - 1) / w.MaxDown
-	return d.Host.LedgerTime()-w.RequestedAt+time.Duration(rounds)*upkeepDuration >= w.Duration
+	return d.Host.LedgerTime()-w.RequestedAt+time.Duration(rounds)*maintenanceDuration >= w.Duration
 }
 
-// orderUpkeep sends the order to take a machine down.
-func (d *Dispatcher) orderUpkeep(w *flows.Wave, m *flows.Machine, now time.Duration) {
-	d.leader.upkeepRetryAt[m.Name] = now + upkeepOrderTimeout + time.Second
+// orderMaintenance sends the order to take a machine down.
+func (d *Dispatcher) orderMaintenance(w *flows.Wave, m *flows.Machine, now time.Duration) {
+	d.leader.maintenanceRetryAt[m.Name] = now + maintenanceOrderTimeout + time.Second
 	term, ctx, name, number := d.leader.term, d.leader.ctx, m.Name, w.Number
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, upkeepOrderTimeout)
+		ctx, cancel := context.WithTimeout(ctx, maintenanceOrderTimeout)
 		defer cancel()
-		outcome := d.Machines.StartUpkeep(ctx, name, number, term)
+		result := d.Machines.StartMaintenance(ctx, name, number, term)
 		d.postInTerm(term, func() {
-			event.Log(d.Log, event.MachineOrdered, "wave", number, "machine", name, "outcome", int(outcome))
-			if outcome == UpkeepUnknownMachine {
-				d.recordUpkeepDone(w, m)
+			event.Log(d.Log, event.MachineOrdered, "wave", number, "machine", name, "outcome", int(result))
+			if result == MaintenanceUnknownMachine {
+				d.recordMaintenanceDone(w, m)
 			}
 		})
 	}()
--- a/internal/control/leader/eventlog.go
+++ b/internal/control/leader/eventlog.go
@@ -116,9 +116,9 @@
 	return s.state != backend.Gone && (s.drainRequested || s.state == backend.Draining)
 }
 
-// recordRelease records that an attempt ended, and logs when a draining server has
+// countAttemptEnd records that an attempt ended, and logs when a draining server has
 // become idle.
-func (l *Leader) recordRelease(t *state.Task, end state.AttemptEnd) {
+func (l *Leader) countAttemptEnd(t *state.Task, end state.AttemptEnd) {
 	reported := &l.leadership.reported
 	reported.runningTasks--
 	if end.Lost || end.Failed || !end.Started {
