--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -137,7 +137,7 @@
 	// The other servers are called through helpers. Nil means no limit. It must be safe for
 	// concurrent use.
 	MaxDirectServers func() int
-	// Machines starts the upkeep (maintenance) of machines; nil disables upkeep.
+	// Machines starts the maintenance of machines; nil disables maintenance waves.
 	Machines Machines
 	// MaxLease is the longest lease that a backend server grants.
 	MaxLease time.Duration
--- a/internal/control/dispatch/dispatch_test.go
+++ b/internal/control/dispatch/dispatch_test.go
@@ -431,8 +431,8 @@
 	})
 }
 
-// Guards against placing work on a server whose departure was acknowledged. The next leader
-// and a late report without the leaving flag must not change that.
+// Guards against placing work on a server whose graceful shutdown was acknowledged. A leader
+// change and a late report without the shutdown flag must not end the shutdown.
 func TestShuttingDownServerGetsNoNewTasks(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		if err := w.sendReport("s1", 1, true); err != nil {
@@ -582,8 +582,8 @@
 	})
 }
 
-// Guards against losing the work since the last checkpoint when a server leaves with a long
-// run on it. The run has to continue from its checkpoint on another server.
+// Guards against losing the work since the last checkpoint when a server with a long run
+// shuts down. The run has to continue from its checkpoint on another server.
 func TestShuttingDownServerIsEvacuated(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
@@ -624,7 +624,7 @@
 	})
 }
 
-// Guards against exceeding the cap of an upkeep wave, also across a leader change. Lasting
+// Guards against exceeding the cap of a maintenance wave, also across a leader change. Lasting
 // tasks are moved one at a time before their machine goes down, and the wave completes when
 // all machines are back.
 func TestMaintenanceWaveRespectsCap(t *testing.T) {
@@ -675,7 +675,7 @@
 	})
 }
 
-// Guards against two leaders that order upkeep at the same time. The order of a replaced
+// Guards against two leaders that order maintenance at the same time. The order of a replaced
 // leader may still be in transit. An order of the new leader within that time would make
 // two duty holders alternate on a platform that does not check fencing tokens.
 func TestNewLeaderDelaysMaintenanceOrders(t *testing.T) {
@@ -692,7 +692,7 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if len(w.firstMaintenanceOrders) != 2 || w.firstMaintenanceOrders[2]-electedAt < 3*time.Second {
-			t.Errorf("first upkeep order by fencing token: %v; the second leader was elected at %v", w.firstMaintenanceOrders, electedAt)
+			t.Errorf("first maintenance order by fencing token: %v; the second leader was elected at %v", w.firstMaintenanceOrders, electedAt)
 		}
 	})
 }
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -170,13 +170,14 @@
 	runOutcome func(flow.RunID) (time.Duration, inner.RunEnd)
 	// restarts waits for the crashed workers that are restarting.
 	restarts sync.WaitGroup
-	// underMaintenance holds the workers under upkeep, maxUnderUpkeep is the highest number of
-	// them at the same time, and interruptedRuns counts the runs that an upkeep
-	// interrupted.
+	// underMaintenance holds the workers under maintenance, maxUnderMaintenance is the
+	// highest number of them at the same time, and interruptedRuns counts the runs that a
+	// maintenance interrupted.
 	underMaintenance    map[string]bool
 	maxUnderMaintenance int
 	interruptedRuns     int
-	// firstMaintenanceOrders holds the time of the first upkeep order for each fencing token.
+	// firstMaintenanceOrders holds the time of the first maintenance order for each
+	// fencing token.
 	firstMaintenanceOrders map[uint64]time.Duration
 	// leaderCutOff makes all direct calls of the leader time out. lastRelay holds the
 	// helper through which each worker was last called.
--- a/internal/control/dispatch/lead.go
+++ b/internal/control/dispatch/lead.go
@@ -55,8 +55,9 @@
 	pendingRequests map[uint64]func()
 	lastRequestID   uint64
 
-	// nextForMaintenance holds the servers that are drained for an upkeep. upkeepRetryAt is
-	// the time until which the answer to the last order about a machine is awaited.
+	// nextForMaintenance holds the servers whose machines are next for maintenance. They
+	// get no new tasks. maintenanceRetryAt holds, by machine name, the time at which an
+	// unanswered maintenance order is sent again.
 	nextForMaintenance map[string]bool
 	// drainedZones holds the drained zones as of the last check.
 	drainedZones       map[string]time.Duration
--- a/internal/control/dispatch/learn.go
+++ b/internal/control/dispatch/learn.go
@@ -102,7 +102,8 @@
 }
 
 // inspectRuns stops runs that make no progress or are much too slow, so that they are
-// placed on another server. It also evacuates leaving servers.
+// placed on another server. It also evacuates servers that are shutting
+// down.
 func (d *Dispatcher) inspectRuns(s *session, now time.Duration) {
 	if s.unresponsive || !s.listReceived || s.closeReason != "" || s.lastAnswerAt == s.inspectedListAt {
 		return // no new run list since the last check
--- a/internal/control/dispatch/pace.go
+++ b/internal/control/dispatch/pace.go
@@ -57,7 +57,7 @@
 	})
 }
 
-// evacuate stops the runs on a leaving server that would not end in time. A run that saves
+// evacuate stops the runs that would not end before their server has shut down. A run that saves
 // checkpoints continues on another server without loss. Lasting tasks are moved only as
 // many at a time as their flow can miss.
 func (d *Dispatcher) evacuate(s *session, b *flows.Server, now time.Duration) {
--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -20,12 +20,13 @@
 	Number uint64
 	// Clock is the server's clock in milliseconds; 0 if not sent.
 	Clock int64
-	// Remaining is the least time in milliseconds that a leaving server has left.
+	// Remaining is the least time in milliseconds until a server that is shutting down
+	// exits.
 	Remaining int64
 }
 
 // AcceptReport processes a report of a backend server. It returns when all changes from the
-// report are committed. After it is acknowledged, a leaving server gets no new tasks.
+// report are committed. After it is acknowledged, a server that is shutting down gets no new tasks.
 func (d *Dispatcher) AcceptReport(ctx context.Context, r Report) *code.Error {
 	receivedAt := d.Now()
 	fault, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
@@ -89,8 +90,8 @@
 	d.Host.AfterCommit(func() { reply(nil) })
 }
 
-// coldMargin is the least extension of a server's slow start that is recorded. The reported
-// time is approximate and includes the delay of the report.
+// coldMargin is the minimum extension of a server's slow start that is recorded. The
+// reported time is approximate and includes the delay of the report.
 const coldMargin = time.Second
 
 // staysColdLonger reports whether the server announces a longer slow start than the ledger
@@ -106,14 +107,15 @@
 		b.Capacity == size && slices.Equal(b.Labels, r.GetLabels()) && (b.ShuttingDown || !r.GetLeaving())
 }
 
-// AcceptExitNotice handles the notice that a server exits. Its runs count as running until their end
-// is proved, because the notice may be a delayed one of an earlier incarnation.
+// AcceptExitNotice handles the notice that a server exits. The server's runs count as
+// running until their end is proved, because the notice may be a delayed one of an earlier
+// incarnation.
 func (d *Dispatcher) AcceptExitNotice(ctx context.Context, id string) *code.Error {
 	_, err := runOnLeader(ctx, d, errDeposed, func(reply func(struct{})) {
 		if b, ok := d.Host.Flows().Server(id); ok && !b.Ended && !b.ShuttingDown {
-			leaving := serverRecord(b)
-			leaving.Leaving = true
-			d.applyOrLog(&record.Flow{What: &record.Flow_Server{Server: leaving}})
+			updated := serverRecord(b)
+			updated.Leaving = true
+			d.applyOrLog(&record.Flow{What: &record.Flow_Server{Server: updated}})
 		}
 		event.Log(d.Log, event.ServerLeft, "server", id)
 		d.Host.AfterCommit(func() { reply(struct{}{}) })
--- a/internal/control/dispatch/session.go
+++ b/internal/control/dispatch/session.go
@@ -89,7 +89,8 @@
 	// whether the server has both fill tasks and serving tasks.
 	pacePercent         int
 	mixesFillAndServing bool
-	// exitsAt is the earliest time at which the server exits; 0 if it is not leaving.
+	// exitsAt is the earliest time at which the server exits; 0 if it is not shutting
+	// down.
 	exitsAt time.Duration
 
 	// closeReason is why the session is being closed; empty if it is not.
--- a/internal/control/dispatch/wave.go
+++ b/internal/control/dispatch/wave.go
@@ -10,37 +10,37 @@
 	"gypsumreel/internal/ledger/flows"
 )
 
-// Timing of upkeep waves.
+// Timing of maintenance waves.
 const (
 	// waveCheckInterval is the interval between checks of the active waves.
 	waveCheckInterval = 200 * time.Millisecond
-	// maintenanceOrderTimeout is the timeout of one upkeep order.
+	// maintenanceOrderTimeout is the timeout of one maintenance order.
 	maintenanceOrderTimeout = 2 * time.Second
-	// maintenanceHandoverDelay is how long a new leader waits before it sends upkeep orders. An
-	// order of the previous leader may still be in transit.
+	// maintenanceHandoverDelay is how long a new leader waits before it sends maintenance
+	// orders. An order of the previous leader may still be in transit.
 	maintenanceHandoverDelay = 3500 * time.Millisecond
-	// maintenanceDuration is the assumed time that a machine is down for upkeep. It is used to
-	// estimate how long the wave can wait for the next machine.
+	// maintenanceDuration is the assumed time that a machine is down for maintenance. It is
+	// used to estimate how long the wave can wait for the next machine.
 	maintenanceDuration = 4 * time.Second
 )
 
-// Machines starts the upkeep of machines through the platform that owns them.
+// Machines starts the maintenance of machines through the platform that owns them.
 type Machines interface {
-	// StartMaintenance takes a machine down for upkeep. Repeating an order that was already
+	// StartMaintenance takes a machine down for maintenance. Repeating an order that was already
 	// executed is not an error.
 	StartMaintenance(ctx context.Context, machine string, wave, fence uint64) MaintenanceResult
 }
 
-// MaintenanceResult is the result of an upkeep order.
+// MaintenanceResult is the result of a maintenance order.
 type MaintenanceResult uint8
 
-// Results of an upkeep order.
+// Results of a maintenance order.
 const (
 	// MaintenanceUnconfirmed means that the order may have been executed or may still be
 	// executed.
 	MaintenanceUnconfirmed MaintenanceResult = iota
 	// MaintenanceStarted means that the machine is down, or has already been down for this
-	// upkeep.
+	// maintenance.
 	MaintenanceStarted
 	// MaintenanceBusy means that the order was not executed and may be repeated.
 	MaintenanceBusy
@@ -48,7 +48,7 @@
 	MaintenanceUnknownMachine
 )
 
-// StartWave adds an upkeep wave to the ledger and returns when it is committed.
+// StartWave adds a maintenance wave to the ledger and returns when it is committed.
 func (d *Dispatcher) StartWave(ctx context.Context, w *record.Wave) *code.Error {
 	fault, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
 		if err := d.Host.ApplyCommand(&record.Flow{What: &record.Flow_Wave{Wave: w}}); err != nil {
@@ -64,7 +64,7 @@
 	return fault
 }
 
-// WaveState reports whether all machines of a wave have completed their upkeep.
+// WaveState reports whether all machines of a wave have completed their maintenance.
 func (d *Dispatcher) WaveState(ctx context.Context, number uint64) (complete bool, fault *code.Error) {
 	receivedAt := d.Now()
 	type result struct{ known, complete bool }
@@ -95,8 +95,9 @@
 	}
 }
 
-// advanceWave takes machines down as far as the wave's cap allows. The next machines are
-// drained: they get no new tasks, and runs that can continue elsewhere are moved.
+// advanceWave takes machines down, at most MaxDown of them at the same time. Before a
+// machine goes down, its server gets no new tasks, and runs that can continue on another
+// server are moved.
 func (d *Dispatcher) advanceWave(w *flows.Wave, now time.Duration) {
 	freeSlots := w.MaxDown - w.DownMachines()
 	for _, m := range w.Machines {
@@ -111,7 +112,7 @@
 	}
 }
 
-// checkMachineReturned completes the upkeep of a machine when a later incarnation of its
+// checkMachineReturned completes the maintenance of a machine when a later incarnation of its
 // server has reported, and repeats the order if it is due.
 func (d *Dispatcher) checkMachineReturned(w *flows.Wave, m *flows.Machine, now time.Duration) {
 	if b, ok := d.Host.Flows().ServerOnMachine(m.Name); ok && b.StartedAtMs > m.ServerStartedAtMs {
@@ -119,7 +120,7 @@
 		return
 	}
 	if now-d.leader.electedAt >= maintenanceHandoverDelay && now >= d.leader.maintenanceRetryAt[m.Name] {
-		d.orderMaintenance(w, m, now) // the answer may be lost, or the leader that sent the order was replaced
+		d.orderMaintenance(w, m, now) // the answer may be lost, or the leader that sent the order may have been replaced
 	}
 }
 
@@ -128,8 +129,9 @@
 	d.applyOrLog(&record.Flow{What: &record.Flow_Upkeep{Upkeep: &record.WaveStep{Wave: w.Number, Machine: m.Name, Done: true}}})
 }
 
-// emptyMachine drains a machine and takes it down when it is empty, or when waiting longer
-// would delay the wave. It always waits for lasting tasks that their flow cannot miss.
+// emptyMachine moves runs off a machine. It takes the machine down when no run is left, or
+// when waiting longer would make the wave exceed its duration. It always waits while a
+// lasting task runs on the machine.
 func (d *Dispatcher) emptyMachine(w *flows.Wave, m *flows.Machine, now time.Duration) {
 	b, ok := d.Host.Flows().ServerOnMachine(m.Name)
 	if ok {
--- a/internal/control/entry/tracker.go
+++ b/internal/control/entry/tracker.go
@@ -97,7 +97,7 @@
 	confirmedRevision uint64
 }
 
-// checkConfirmations removes entries that have not pulled for forgetAfter. It returns
+// checkConfirmations removes entries that have not pulled for removeAfter. It returns
 // the entries that newly exceed confirmationTimeout, and those that exceeded it
 // before and have now confirmed.
 func (t *entryTracker) checkConfirmations(revision uint64, now time.Duration) (lagging, caughtUp []entryRevision) {
--- a/internal/control/leader/answer.go
+++ b/internal/control/leader/answer.go
@@ -44,16 +44,16 @@
 }
 
 // withinAnswerLimit returns a task's answer, or nil when it would make the job's
-// whole answer exceed answer.MaxJob. In that case the job is dropped with the code
-// TooLarge, because a caller could not fetch the whole answer and must not take a
-// part of it for the whole.
+// whole answer exceed answer.MaxJobAnswer. In that case the job is dropped with the code
+// TooLarge, because a caller could not fetch the whole answer and must not mistake
+// a part of it for the whole.
 func (l *Leader) withinAnswerLimit(jobNumber uint64, data []byte) []byte {
 	j, ok := l.ledger.Job(jobNumber)
 	if !ok {
 		return data
 	}
 	if j.Spec.Count <= answer.MaxJobAnswer/answer.MaxTaskAnswer {
-		return data // so few tasks cannot exceed the limit
+		return data // the answers of this number of tasks cannot exceed the job's limit
 	}
 	size, ok := l.leadership.answerCache.partialSizes[jobNumber]
 	if !ok {
--- a/internal/control/leader/decide.go
+++ b/internal/control/leader/decide.go
@@ -71,7 +71,7 @@
 
 // resyncPlanner passes the ledger's state of the servers and tasks of a refused
 // decision to the planner again. The planner reverts a placement by itself when no
-// Hold confirms it.
+// SetPlaced confirms it.
 func (l *Leader) resyncPlanner(d plan.Decision) {
 	for _, p := range d.Placements {
 		if b, ok := l.ledger.Server(p.Server); ok {
@@ -102,7 +102,7 @@
 
 // recallUnstarted halts tasks that were placed on a draining server and that the
 // server has not reported. Their start orders may have been lost with a sync reply.
-// Sending them again would give new work to a server that is leaving. The server
+// Sending them again would give new work to a server that must not get any. The server
 // records the stop of an attempt that it does not know and reports that nothing was
 // started.
 func (l *Leader) recallUnstarted(b state.Server, s *session) {
@@ -160,7 +160,7 @@
 	w.leader.leadership.planNeeded = true
 }
 
-// WaitingRemoved tells the planner that a task is no longer waiting.
+// WaitingRemoved tells the planner that a task no longer waits and was not placed.
 func (w ledgerWatcher) WaitingRemoved(id task.ID) { w.leader.leadership.planner.RemoveWaiting(id) }
 
 // TaskPlaced passes a placement to the planner and marks the session of its server as
--- a/internal/control/leader/eventlog.go
+++ b/internal/control/leader/eventlog.go
@@ -116,8 +116,8 @@
 	return s.state != backend.Gone && (s.drainRequested || s.state == backend.Draining)
 }
 
-// countAttemptEnd records that an attempt ended, and logs when a draining server has
-// become idle.
+// countAttemptEnd updates the counters for an ended attempt, and logs when a draining
+// server has become idle.
 func (l *Leader) countAttemptEnd(t *state.Task, end state.AttemptEnd) {
 	reported := &l.leadership.reported
 	reported.runningTasks--
--- a/internal/control/leader/leader.go
+++ b/internal/control/leader/leader.go
@@ -313,7 +313,7 @@
 // YieldProcessor yields the processor to the other goroutines of the process. A message of
 // the group passes through several goroutines. A leader that computes for a long
 // time without yielding would delay its heartbeats and lose the leadership because
-// of its own load. Rest is called on the control thread.
+// of its own load. YieldProcessor is called on the control thread.
 func (l *Leader) YieldProcessor() { l.processorYield.YieldIfDue() }
 
 // drainInbox runs further functions that are already queued, so that their commands
--- a/internal/domain/backend/backend.go
+++ b/internal/domain/backend/backend.go
@@ -21,7 +21,8 @@
 	// Quarantined servers failed tasks that other servers completed; they receive
 	// only probe tasks.
 	Quarantined
-	// Gone servers run nothing, because they have left or their lease has expired.
+	// Gone servers run nothing, because they have shut down or their lease has
+	// expired.
 	Gone
 )
 
--- a/internal/ledger/state/observer.go
+++ b/internal/ledger/state/observer.go
@@ -14,7 +14,7 @@
 	ServerChanged(b Server)
 	// WaitingAdded is called for a task that starts to wait for a placement.
 	WaitingAdded(j *Job, t *Task)
-	// WaitingRemoved is called for a waiting task that will not be placed.
+	// WaitingRemoved is called for a task that no longer waits and was not placed.
 	WaitingRemoved(id task.ID)
 	// TaskPlaced is called for a task with a new attempt.
 	TaskPlaced(j *Job, t *Task)
