--- a/internal/control/dispatch/closing.go
+++ b/internal/control/dispatch/closing.go
@@ -59,20 +59,20 @@
 // recordLostRuns records in the ledger that none of the runs of a session is running any
 // more.
 func (d *Dispatcher) recordLostRuns(s *session, closed bool) {
-	cleared := &record.FlowClear{Id: s.id, Born: s.incarnation, Over: closed}
+	command := &record.FlowClear{Id: s.id, Born: s.incarnation, Over: closed}
 	end := inner.RunEnd_RUN_END_LOST
 	if closed && d.endedUnexpectedly(s) {
-		end, cleared.Blamed = inner.RunEnd_RUN_END_CRASHED, d.blamedRuns(s)
+		end, command.Blamed = inner.RunEnd_RUN_END_CRASHED, d.blamedRuns(s)
 	}
 	wantedBefore, otherRuns := d.wantedRuns(s), len(s.runs)-1
 	for _, r := range s.runs {
 		if r.checkpoint != "" {
-			cleared.Saved = append(cleared.Saved, &record.FlowSaved{Run: r.Message(), Checkpoint: r.checkpoint})
+			command.Saved = append(command.Saved, &record.FlowSaved{Run: r.Message(), Checkpoint: r.checkpoint})
 		}
 		event.Log(d.Log, event.AttemptLost, "flow", r.Flow, "run", r.String(), "server", s.id, "how", end.String(), "checkpoint", r.checkpoint, "over", closed, "age", d.runAge(s, r).String(), "beside", otherRuns)
 		d.flowMetrics.countRunEnd(end)
 	}
-	if d.applyOrLog(&record.Flow{What: &record.Flow_Clear{Clear: cleared}}) {
+	if d.applyOrLog(&record.Flow{What: &record.Flow_Clear{Clear: command}}) {
 		d.logFailedFlows(s, wantedBefore)
 		s.runs = map[flow.TaskID]*run{}
 		s.listReceived = false
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -404,11 +404,11 @@
 }
 
 // crashWorker crashes a worker. It is restarted under another name after three seconds.
-func (w *testCluster) crashWorker(id string, culprit *flow.TaskID) {
+func (w *testCluster) crashWorker(id string, crashingTask *flow.TaskID) {
 	w.mu.Lock()
 	backend := w.workers[id]
-	if culprit != nil {
-		w.crashCounts[*culprit]++
+	if crashingTask != nil {
+		w.crashCounts[*crashingTask]++
 	}
 	w.mu.Unlock()
 	backend.Crash()
--- a/internal/control/leader/answer.go
+++ b/internal/control/leader/answer.go
@@ -8,21 +8,21 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// maxCachedHeads limits the number of cached answer heads.
-const maxCachedHeads = 4096
+// maxCachedHeaders limits the number of cached answer heads.
+const maxCachedHeaders = 4096
 
 // answerState is data about job answers that the leader keeps outside the ledger.
 type answerState struct {
-	// headsByJob caches the heads of answers that are being fetched, by job number. The
+	// headersByJob caches the heads of answers that are being fetched, by job number. The
 	// answer of an ended job never changes.
-	headsByJob map[uint64]answer.Header
+	headersByJob map[uint64]answer.Header
 	// partialSizes are the sizes in bytes of the answers that unfinished jobs have
 	// returned so far, by job number.
 	partialSizes map[uint64]int
 }
 
 func newAnswerState() answerState {
-	return answerState{headsByJob: map[uint64]answer.Header{}, partialSizes: map[uint64]int{}}
+	return answerState{headersByJob: map[uint64]answer.Header{}, partialSizes: map[uint64]int{}}
 }
 
 // answerChunk returns one chunk of an ended job's answer, or nil when there is no
@@ -30,14 +30,14 @@
 // cached, not repeated for every chunk.
 func (l *Leader) answerChunk(j *state.Job, number uint32) *v1.Chunk {
 	pieces := l.ledger.TaskAnswers(j)
-	h, ok := l.leadership.answerCache.headsByJob[j.Number]
+	h, ok := l.leadership.answerCache.headersByJob[j.Number]
 	if !ok {
 		h = answer.NewHeader(pieces)
-		if len(l.leadership.answerCache.headsByJob) >= maxCachedHeads {
-			clear(l.leadership.answerCache.headsByJob)
+		if len(l.leadership.answerCache.headersByJob) >= maxCachedHeaders {
+			clear(l.leadership.answerCache.headersByJob)
 		}
 		if answer.ChunkCount(h.Total) > 1 {
-			l.leadership.answerCache.headsByJob[j.Number] = h
+			l.leadership.answerCache.headersByJob[j.Number] = h
 		}
 	}
 	return h.ChunkAt(pieces, number)
--- a/internal/control/leader/extension.go
+++ b/internal/control/leader/extension.go
@@ -51,8 +51,8 @@
 
 // AfterLeadershipProof runs fn once a quorum has confirmed that this replica still led at a time
 // after received. If the replica is deposed first, fn does not run.
-func (l *Leader) AfterLeadershipProof(received time.Duration, fn func()) {
-	l.leadership.pendingReads = append(l.leadership.pendingReads, pendingRead{receivedAt: received, run: fn})
+func (l *Leader) AfterLeadershipProof(receivedAt time.Duration, fn func()) {
+	l.leadership.pendingReads = append(l.leadership.pendingReads, pendingRead{receivedAt: receivedAt, run: fn})
 }
 
 // Leads reports whether this replica leads and a quorum has recently confirmed it.
--- a/internal/control/leader/inspect.go
+++ b/internal/control/leader/inspect.go
@@ -109,16 +109,16 @@
 // sorting all of them.
 type smallest[T any] struct {
 	compare func(a, b T) int
-	kept    []T
+	items   []T
 }
 
 func (f *smallest[T]) insert(v T) {
-	if len(f.kept) == maxViewLines && f.compare(v, f.kept[maxViewLines-1]) >= 0 {
+	if len(f.items) == maxViewLines && f.compare(v, f.items[maxViewLines-1]) >= 0 {
 		return
 	}
-	i, _ := slices.BinarySearchFunc(f.kept, v, f.compare)
-	f.kept = slices.Insert(f.kept, i, v)
-	f.kept = f.kept[:min(len(f.kept), maxViewLines)]
+	i, _ := slices.BinarySearchFunc(f.items, v, f.compare)
+	f.items = slices.Insert(f.items, i, v)
+	f.items = f.items[:min(len(f.items), maxViewLines)]
 }
 
 func (l *Leader) teamViews() []TeamView {
@@ -128,7 +128,7 @@
 			out.insert(TeamView{r.Name, n})
 		}
 	}
-	return out.kept
+	return out.items
 }
 
 func (l *Leader) oldestJobs() []JobView {
@@ -139,7 +139,7 @@
 		}
 	})
 	var out []JobView
-	for _, j := range oldest.kept {
+	for _, j := range oldest.items {
 		out = append(out, JobView{j.Spec.Team, j.Spec.ID, j.Number, (l.ledgerTime() - j.AcceptedAt).Seconds(), j.WaitingTasks})
 	}
 	return out
@@ -157,7 +157,7 @@
 		}
 		out.insert(LeaseView{id, displayedState(b), (now - s.lastSyncAt).Seconds(), l.leadership.leases.Remaining(id, now).Seconds(), l.ledger.PlacedTaskCount(id)})
 	}
-	return out.kept
+	return out.items
 }
 
 // displayedState returns the name of a server's state. A server drained by an
--- a/internal/control/leader/item.go
+++ b/internal/control/leader/item.go
@@ -197,11 +197,11 @@
 
 // pollDeadline returns when a long poll ends. That is the earliest of the requested
 // wait, the limit on poll waits, and the caller's deadline.
-func (l *Leader) pollDeadline(target ReplyTarget, patience uint64) time.Duration {
+func (l *Leader) pollDeadline(target ReplyTarget, requestedWaitMs uint64) time.Duration {
 	// A server renews its lease once per poll. If a poll lasted as long as the lease,
 	// the lease would expire between two polls.
 	maxWait := min(l.MaxPollWait, l.LeaseTerms.Length/minPollsPerLease)
-	wait := time.Duration(min(patience, uint64(maxWait/time.Millisecond))) * time.Millisecond
+	wait := time.Duration(min(requestedWaitMs, uint64(maxWait/time.Millisecond))) * time.Millisecond
 	deadline := target.ReceivedAt + wait
 	if target.Deadline > 0 {
 		deadline = min(deadline, target.Deadline)
@@ -322,14 +322,14 @@
 }
 
 func (l *Leader) handleAcknowledge(target ReplyTarget, k key.Key, req *v1.AcknowledgeRequest) {
-	forget := &record.Forget{}
+	command := &record.Forget{}
 	for _, id := range req.GetIds() {
 		if j, ok := l.ledger.FindJob(state.RequestID{Team: k.Team, ID: id}); ok && j.Final() {
-			forget.Jobs = append(forget.Jobs, j.Number)
+			command.Jobs = append(command.Jobs, j.Number)
 		}
 	}
-	if len(forget.Jobs) > 0 {
-		l.applyAndQueue(&record.Command{What: &record.Command_Forget{Forget: forget}})
+	if len(command.Jobs) > 0 {
+		l.applyAndQueue(&record.Command{What: &record.Command_Forget{Forget: command}})
 	}
 	l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Acknowledge{Acknowledge: &v1.AcknowledgeReply{Status: &v1.Status{}}}})
 }
--- a/internal/ledger/flows/crash_test.go
+++ b/internal/ledger/flows/crash_test.go
@@ -53,9 +53,9 @@
 
 // endIncarnation ends a server incarnation if over is true, and otherwise only its
 // lease.
-func (c *crashFixture) endIncarnation(server string, ended bool, blamed ...*inner.Run) {
+func (c *crashFixture) endIncarnation(server string, processEnded bool, blamed ...*inner.Run) {
 	c.t.Helper()
-	c.apply(&record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: server, Born: 1, Over: ended, Blamed: blamed}}})
+	c.apply(&record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: server, Born: 1, Over: processEnded, Blamed: blamed}}})
 }
 
 // restoreFromSnapshot replaces the ledger by one restored from its own snapshot.
--- a/internal/policy/cell/gang.go
+++ b/internal/policy/cell/gang.go
@@ -152,14 +152,14 @@
 }
 
 // findVictimsNear searches for victims in the preferred zone first, then in all zones.
-func (p *Planner) findVictimsNear(preferredZone *zone, u *unit, includeOwn bool, filter victimFilter) (*server, []*placedTask) {
+func (p *Planner) findVictimsNear(preferredZone *zone, u *unit, includeOwnTeam bool, filter victimFilter) (*server, []*placedTask) {
 	if preferredZone != nil && !p.disabled(RackLocality) {
 		inZone := func(pt *placedTask) bool { return pt.server.rack.zone == preferredZone && filter(pt) }
-		if srv, victims := p.findVictims(u, u.taskSize, includeOwn, inZone); srv != nil {
+		if srv, victims := p.findVictims(u, u.taskSize, includeOwnTeam, inZone); srv != nil {
 			return srv, victims
 		}
 	}
-	return p.findVictims(u, u.taskSize, includeOwn, filter)
+	return p.findVictims(u, u.taskSize, includeOwnTeam, filter)
 }
 
 // bestInZone returns the best server of zone z, or of all zones if z is nil.
@@ -292,16 +292,16 @@
 // use it. It returns false if no suitable victims exist. With allowOwn set, tasks of the
 // gang's own team may be preempted, and tasks of other teams only while the gang's team is
 // within its share and its limit.
-func (p *Planner) reserveByPreemption(u *unit, allowOwn bool) bool {
+func (p *Planner) reserveByPreemption(u *unit, includeOwnTeam bool) bool {
 	filter := p.aboveShareFilter(p.cfg.ShareSlack / 2)
-	if allowOwn {
+	if includeOwnTeam {
 		aboveShare, t := filter, u.jobState.team
 		belowShare := p.withinLimit(t, u.taskSize) && t.allocated.Add(t.reserved).Sub(u.reservedSize()).Sub(t.stopping).DominantShare(p.totalCapacity) <= t.fairShare+p.cfg.ShareSlack
 		filter = func(pt *placedTask) bool {
 			return pt.team == t && !pt.Job.AllOrNothing() || belowShare && aboveShare(pt)
 		}
 	}
-	srv, victims := p.findVictimsNear(u.reservedZone(), u, allowOwn, filter)
+	srv, victims := p.findVictimsNear(u.reservedZone(), u, includeOwnTeam, filter)
 	if srv == nil {
 		return false
 	}
--- a/internal/policy/recovery/queue.go
+++ b/internal/policy/recovery/queue.go
@@ -40,12 +40,12 @@
 // Next returns the next server to contact. It returns false if there is none or too many
 // requests are pending.
 func (q *Queue[T]) Next(now time.Duration) (T, bool) {
-	var none T
+	var zero T
 	if len(q.pending) >= maxPending {
 		q.dropTimedOut(now)
 	}
 	if len(q.pending) >= maxPending {
-		return none, false
+		return zero, false
 	}
 	for p, servers := range q.waiting {
 		if len(servers) == 0 {
@@ -58,7 +58,7 @@
 		q.pending[servers[0]] = now
 		return servers[0], true
 	}
-	return none, false
+	return zero, false
 }
 
 // Done marks the request to a server as answered or failed.
--- a/internal/policy/steps/candidate.go
+++ b/internal/policy/steps/candidate.go
@@ -38,20 +38,20 @@
 
 // penalty returns the rank of a server for an item. Lower values come first.
 func penalty(it Item, r *serverState) int {
-	points := -min(max(r.speedClass, -maxSpeedClass), maxSpeedClass)
+	total := -min(max(r.speedClass, -maxSpeedClass), maxSpeedClass)
 	if !inPreferredRack(it, r) {
-		points += farPenalty
+		total += farPenalty
 	}
 	if it.Urgent != r.ShortLease {
-		points += leasePenalty
+		total += leasePenalty
 	}
 	if r.Cold {
-		points += coldPenalty
+		total += coldPenalty
 	}
 	if it.FailedOn[r.ID] {
-		points += failedPenalty
+		total += failedPenalty
 	}
-	return points
+	return total
 }
 
 // candidates returns the servers on which a task of the item can start now, best first. After
--- a/internal/policy/steps/gang.go
+++ b/internal/policy/steps/gang.go
@@ -155,22 +155,22 @@
 // findSlots appends the slots for tasks of an item that a server has now and later.
 func (p *planner) findSlots(out []slot, it Item, r *serverState) []slot {
 	size, maxSlots := flow.TaskSize(it.Spec), int64(it.QueuedTasks)
-	if apart := it.Spec.GetApart(); apart > 0 {
-		maxSlots = min(maxSlots, int64(apart))
+	if maxPerServer := it.Spec.GetApart(); maxPerServer > 0 {
+		maxSlots = min(maxSlots, int64(maxPerServer))
 	}
 	free, found := r.free.Sub(r.reserved), int64(0)
-	add := func(after time.Duration) {
+	addSlots := func(after time.Duration) {
 		for n := min(fittingTasks(size, free), maxSlots); found < n; found++ {
 			out = append(out, slot{after, r})
 		}
 	}
-	add(0)
+	addSlots(0)
 	if p.view.Releases == nil || found == maxSlots {
 		return out
 	}
 	for _, release := range p.releases(r) {
 		free = free.Add(release.Size)
-		add(release.After)
+		addSlots(release.After)
 	}
 	return out
 }
--- a/internal/policy/steps/steps_test.go
+++ b/internal/policy/steps/steps_test.go
@@ -150,7 +150,7 @@
 	t.Error("the flow behind the blocked steps did not start within 20 plans")
 }
 
-func TestLabelRackAndApartAreRespected(t *testing.T) {
+func TestLabelRackAndMaxTasksPerServerAreRespected(t *testing.T) {
 	spec := tasks(4, 1000)
 	spec.Label, spec.Rack, spec.Apart = "big", "r1", 2
 	servers := []steps.Server{server("a", 9000, "big", "r2"), server("b", 9000, "big", "r1"), server("c", 9000, "small", "r1")}
--- a/internal/policy/watchdog/watchdog_test.go
+++ b/internal/policy/watchdog/watchdog_test.go
@@ -9,7 +9,7 @@
 
 // The progress of a run on a hanging server never changes. A long run that advances by one
 // percent from time to time is healthy.
-func TestStuck(t *testing.T) {
+func TestIsStuck(t *testing.T) {
 	for _, c := range []struct {
 		still, typical time.Duration
 		want           bool
