--- a/internal/control/dispatch/advice.go
+++ b/internal/control/dispatch/advice.go
@@ -59,8 +59,8 @@
 }
 
 // replaceQuestions replaces the pending questions by those of a new plan and sends as many
-// as there are free helpers. The rest is sent when helpers become free before the next
-// plan.
+// as there are free helpers. The other questions are sent as helpers
+// become free.
 func (d *Dispatcher) replaceQuestions(wants []steps.Question, now time.Duration) {
 	d.leader.pendingQuestions = wants
 	d.askPendingQuestions(now)
--- a/internal/control/dispatch/ask.go
+++ b/internal/control/dispatch/ask.go
@@ -14,8 +14,8 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// retryDelay is sent to callers that a full cell refuses. In about this time as many short
-// flows end as arrive in a second.
+// retryDelay is the delay after which a caller may retry when a full cell refused its
+// flow. In about this time, as many short flows end as callers submit in a second.
 const retryDelay = time.Second
 
 // errNotLeading is returned when this replica does not lead and has not executed the
@@ -98,8 +98,8 @@
 		reply(refusalAnswer(code.New(code.NoLeader, "no configuration document has been put"), retryDelay))
 		return
 	}
-	// A refusal depends on the configuration. It is sent after the commit of that
-	// configuration, which may otherwise never take effect.
+	// A refusal is based on the active configuration, which may not be committed yet and
+	// may be lost with this leader. The refusal is therefore sent after its commit.
 	refuse := func(err *code.Error) { d.Host.AfterCommit(func() { reply(refusalAnswer(err, 0)) }) }
 	q, id, ok := config.QueueAt(a.GetHost(), a.GetPath())
 	if !ok {
--- a/internal/control/dispatch/closing.go
+++ b/internal/control/dispatch/closing.go
@@ -24,8 +24,9 @@
 	}
 }
 
-// beginClosing starts to close the session of an incarnation that has ended. Starts in
-// transit may reach the next incarnation at the same address, so they are settled first.
+// beginClosing starts to close the session of an incarnation that has ended. A start in
+// transit may reach the next incarnation at the same address, so the session stays until no
+// start can be executed any more.
 func (d *Dispatcher) beginClosing(s *session, reason string) {
 	if s.closeReason == "" {
 		s.closeReason, s.closingSince = reason, d.Now()
@@ -34,9 +35,9 @@
 	d.closeWhenSettled(s, d.Now())
 }
 
-// closeWhenSettled closes a session when no start sent to it can still be executed. Each
-// unconfirmed start is stopped at the address, or its time limit passes. A run that such a
-// stop found on the next incarnation may continue for as long as a stop takes.
+// closeWhenSettled closes a session when no start sent to it can still be executed. An
+// unconfirmed start is stopped at the server's address, unless its time limit passes first.
+// If the stop reaches the next incarnation, a run there may continue for MaxStopTime.
 func (d *Dispatcher) closeWhenSettled(s *session, now time.Duration) {
 	if now < s.closingSince+d.MaxLease+2*callTimeout {
 		for _, r := range s.runs {
--- a/internal/control/dispatch/order.go
+++ b/internal/control/dispatch/order.go
@@ -229,7 +229,7 @@
 
 // disbandGang stops the other members of a run's gang. The ledger keeps the members as
 // wanted until the end of one of them is recorded. That can take long, for example on an
-// unreachable server, and meanwhile the others would hold capacity in vain.
+// unreachable server, and meanwhile the others would hold capacity without making progress.
 func (d *Dispatcher) disbandGang(r *run) {
 	step := d.gangStep(r)
 	if step == nil {
--- a/internal/control/dispatch/sessions.go
+++ b/internal/control/dispatch/sessions.go
@@ -29,7 +29,8 @@
 	return s
 }
 
-// removeSession removes a session and keeps the list and the count of relayed sessions in step.
+// removeSession removes a session and updates the sorted sessions and the count of relayed
+// sessions.
 func (d *Dispatcher) removeSession(s *session) {
 	if s.relayAddress != "" {
 		d.leader.relayedSessions--
--- a/internal/control/leader/answer.go
+++ b/internal/control/leader/answer.go
@@ -8,12 +8,12 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// maxCachedHeaders limits the number of cached answer heads.
+// maxCachedHeaders limits the number of cached answer headers.
 const maxCachedHeaders = 4096
 
 // answerState is data about job answers that the leader keeps outside the ledger.
 type answerState struct {
-	// headersByJob caches the heads of answers that are being fetched, by job number. The
+	// headersByJob caches the headers of answers that are being fetched, by job number. The
 	// answer of an ended job never changes.
 	headersByJob map[uint64]answer.Header
 	// partialSizes are the sizes in bytes of the answers that unfinished jobs have
--- a/internal/control/leader/eventlog_test.go
+++ b/internal/control/leader/eventlog_test.go
@@ -181,7 +181,7 @@
 		h.withLedger(func(s *state.State) {
 			j, _ := s.FindJob(state.RequestID{Team: "rail", ID: "wide"})
 			if len(s.JobAnswer(j)) != answer.MaxJobAnswer {
-				t.Error("the ledger's answer does not have answer.MaxJob bytes")
+				t.Error("the ledger's answer does not have answer.MaxJobAnswer bytes")
 			}
 		})
 		last := answer.ChunkCount(answer.MaxJobAnswer) - 1
--- a/internal/control/leader/extension.go
+++ b/internal/control/leader/extension.go
@@ -34,7 +34,7 @@
 
 // ApplyCommand applies a flow command to the working ledger and queues it for the log. A
 // command that the ledger refuses changes nothing and is not logged. Only an
-// Extension may call Decide, and only while the replica leads.
+// Extension may call ApplyCommand, and only while the replica leads.
 func (l *Leader) ApplyCommand(f *record.Flow) *code.Error {
 	r := l.applyIfAccepted(&record.Command{What: &record.Command_Flow{Flow: f}})
 	if r.Code != code.OK {
@@ -49,8 +49,8 @@
 	l.leadership.pendingEffects = append(l.leadership.pendingEffects, effect{l.leadership.lastIndex, fn})
 }
 
-// AfterLeadershipProof runs fn once a quorum has confirmed that this replica still led at a time
-// after received. If the replica is deposed first, fn does not run.
+// AfterLeadershipProof runs fn once a quorum has confirmed that this replica still led at a
+// time after receivedAt. If the replica is deposed first, fn does not run.
 func (l *Leader) AfterLeadershipProof(receivedAt time.Duration, fn func()) {
 	l.leadership.pendingReads = append(l.leadership.pendingReads, pendingRead{receivedAt: receivedAt, run: fn})
 }
--- a/internal/control/leader/inspect.go
+++ b/internal/control/leader/inspect.go
@@ -105,8 +105,8 @@
 	return v
 }
 
-// smallest keeps the maxViewLines smallest of the inserted items in order, without
-// sorting all of them.
+// smallest holds the maxViewLines smallest of the inserted items in ascending order. It
+// never holds or sorts all of them.
 type smallest[T any] struct {
 	compare func(a, b T) int
 	items   []T
--- a/internal/control/leader/item.go
+++ b/internal/control/leader/item.go
@@ -322,14 +322,14 @@
 }
 
 func (l *Leader) handleAcknowledge(target ReplyTarget, k key.Key, req *v1.AcknowledgeRequest) {
-	command := &record.Forget{}
+	forgetCommand := &record.Forget{}
 	for _, id := range req.GetIds() {
 		if j, ok := l.ledger.FindJob(state.RequestID{Team: k.Team, ID: id}); ok && j.Final() {
-			command.Jobs = append(command.Jobs, j.Number)
+			forgetCommand.Jobs = append(forgetCommand.Jobs, j.Number)
 		}
 	}
-	if len(command.Jobs) > 0 {
-		l.applyAndQueue(&record.Command{What: &record.Command_Forget{Forget: command}})
+	if len(forgetCommand.Jobs) > 0 {
+		l.applyAndQueue(&record.Command{What: &record.Command_Forget{Forget: forgetCommand}})
 	}
 	l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Acknowledge{Acknowledge: &v1.AcknowledgeReply{Status: &v1.Status{}}}})
 }
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -107,8 +107,8 @@
 	l.schedule(s.parkedUntil, func() { l.leadership.updatedServers[b.ID] = true })
 }
 
-// applyReports records ended attempts in the ledger and the phases of the others in
-// the session.
+// applyReports records the ends of attempts in the ledger and the reported phases of all
+// attempts in the session.
 func (l *Leader) applyReports(b state.Server, s *session, reports []*v1.Report) {
 	clear(s.reportedPhases)
 	for _, r := range reports {
--- a/internal/ledger/chart/chart_test.go
+++ b/internal/ledger/chart/chart_test.go
@@ -71,8 +71,8 @@
 }
 
 // Guards against a chart that reports "not run" for a task that may have run: only
-// GiveUpUnstarted leads to NotRun, it never starts from Done, and nothing leads out of
-// NotRun or Unknown. The tests of package state show that a started task never gets
+// GiveUpUnstarted leads to NotRun, Done has no transition to NotRun, and NotRun and Unknown
+// have no transitions. The tests of package state show that a started task never gets
 // this event.
 func TestOnlyGiveUpUnstartedLeadsToNotRun(t *testing.T) {
 	c := chart.MustLoad(chart.Task)
--- a/internal/ledger/chart/names.go
+++ b/internal/ledger/chart/names.go
@@ -64,8 +64,8 @@
 )
 
 // The events of tasks and attempts. EndUnknown ends a task whose outcome is unknown.
-// GiveUpStarted and GiveUpUnstarted end a task whose job was given up, after an attempt
-// started and before any did. Decline reports that the server refused the start order.
+// GiveUpStarted and GiveUpUnstarted end a task whose job was given up, the first if an
+// attempt has started, the second if none has. Decline reports that the server refused the start order.
 const (
 	Place           Event = "place"
 	GiveUpUnstarted Event = "refuse"
--- a/internal/ledger/flows/crash_test.go
+++ b/internal/ledger/flows/crash_test.go
@@ -51,8 +51,8 @@
 	c.apply(&record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{Id: server, Born: 1, Pool: "p", Capacity: &v1.Size{Cpu: 4, Memory: 100}, Leaving: shuttingDown}}})
 }
 
-// endIncarnation ends a server incarnation if over is true, and otherwise only its
-// lease.
+// endIncarnation records the end of a server incarnation if processEnded is true, and
+// otherwise only the end of its lease.
 func (c *crashFixture) endIncarnation(server string, processEnded bool, blamed ...*inner.Run) {
 	c.t.Helper()
 	c.apply(&record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: server, Born: 1, Over: processEnded, Blamed: blamed}}})
--- a/internal/policy/cell/gang.go
+++ b/internal/policy/cell/gang.go
@@ -171,9 +171,9 @@
 	return s
 }
 
-// reserveForGang reserves capacity for one more task of the gang. A gang reserves in the
-// order of teamsByNeed like other work is placed, and the reserved capacity counts against
-// its team's share. This keeps smaller tasks from taking each server that becomes free.
+// reserveForGang reserves capacity for one more task of the gang. Gangs reserve capacity in
+// the order of teamsByNeed, in which other work is placed, too. The reserved capacity counts
+// against the share of the gang's team. The reservation keeps smaller tasks from taking each server that becomes free.
 // A team reserves for one gang at a time.
 func (p *Planner) reserveForGang(u *unit) bool {
 	if p.disabled(GangReservation) || !p.mayReserveForGang(u) {
@@ -289,7 +289,7 @@
 }
 
 // reserveByPreemption reserves capacity for one task of the gang and preempts the tasks that
-// use it. It returns false if no suitable victims exist. With allowOwn set, tasks of the
+// use it. It returns false if no suitable victims exist. With includeOwnTeam set, tasks of the
 // gang's own team may be preempted, and tasks of other teams only while the gang's team is
 // within its share and its limit.
 func (p *Planner) reserveByPreemption(u *unit, includeOwnTeam bool) bool {
--- a/internal/policy/cell/reservation.go
+++ b/internal/policy/cell/reservation.go
@@ -185,7 +185,7 @@
 }
 
 // findVictims returns the server on which need can be freed with the least lost work, and
-// the tasks to stop there. It searches the unit's own team if includeOwn is set, then the
+// the tasks to stop there. It searches the unit's own team if includeOwnTeam is set, then the
 // teams with the highest usage relative to their share.
 func (p *Planner) findVictims(u *unit, need capacity.Size, includeOwnTeam bool, filter victimFilter) (*server, []*placedTask) {
 	v := victimSearch{planner: p, unit: u, need: need, filter: filter, evaluated: map[*server]bool{}}
--- a/internal/policy/cell/sizecount.go
+++ b/internal/policy/cell/sizecount.go
@@ -31,7 +31,7 @@
 	t.counts = slices.Delete(t.counts, i, i+1)
 }
 
-// anyPlaceable reports whether some waiting size is not known to fit on no server.
+// anyPlaceable reports whether some waiting size may fit on a server, as far as f knows.
 func (t *sizeCounts) anyPlaceable(f *unplaceableSizes) bool {
 	for _, s := range t.sizes {
 		if !f.covers(s) {
--- a/internal/policy/cell/waiting.go
+++ b/internal/policy/cell/waiting.go
@@ -330,8 +330,8 @@
 
 // queueRank returns the unit's sort key in its team's queue. Urgent and service units are
 // ordered by age. Batch is ordered by age plus runtimeWeight times the expected run time,
-// at most maxRuntimeRank. A later job can therefore overtake a unit only if it was accepted
-// within that time after it. Gangs get gangHeadStart.
+// at most maxRuntimeRank. A job can therefore overtake an earlier one only if it was
+// accepted at most maxRuntimeRank later. Gangs get gangHeadStart.
 func (p *Planner) queueRank(u *unit) time.Duration {
 	rank := u.tasks[0].AcceptedAt
 	switch k := u.jobState.spec.Kind; {
--- a/internal/policy/fit/fit.go
+++ b/internal/policy/fit/fit.go
@@ -164,8 +164,8 @@
 func (x *Index[T]) BucketCount() int { return len(x.summaries) }
 
 // Best returns the item on which need leaves the smallest dominant remainder, to the
-// accuracy of a bucket, and its score. Only items that accepts returns true for and that
-// score below bound are considered. accepts may be nil.
+// accuracy of a bucket, and its score. It considers only items for which accepts returns
+// true and whose score is below bound. accepts may be nil.
 func (x *Index[T]) Best(need capacity.Size, bound float64, accepts func(T) bool) (T, float64, bool) {
 	var best *Element[T]
 	for i := range x.summaries {
--- a/internal/policy/plan/plan.go
+++ b/internal/policy/plan/plan.go
@@ -21,7 +21,8 @@
 	SetTable(t table.Table)
 	// SetServer adds or updates a backend server.
 	SetServer(s backend.Server)
-	// AddWaiting adds a task that waits to be placed, not before its ReadyAt. The caller adds
+	// AddWaiting adds a task that waits to be placed, which happens no earlier than at its
+	// ReadyAt. The caller adds
 	// all waiting tasks of a job before the next Decide: the tasks of a new job together, and
 	// a task to be retried together with its EndAttempt. A gang is therefore always complete,
 	// and a task that is not added again has ended.
--- a/internal/policy/simulator/result.go
+++ b/internal/policy/simulator/result.go
@@ -17,10 +17,11 @@
 	minUnserved = 0.001
 )
 
-// Share is the value earned out of the value that was possible.
+// Share is a part of a total: the earned and the possible value, or the used and the total
+// CPU capacity.
 type Share struct{ Earned, Possible float64 }
 
-// Value returns the earned part of the possible value. It is 1 if no value was possible.
+// Value returns Earned as a fraction of Possible. It is 1 if nothing was possible.
 func (s Share) Value() float64 {
 	if s.Possible == 0 {
 		return 1
--- a/internal/policy/steps/gang.go
+++ b/internal/policy/steps/gang.go
@@ -77,9 +77,9 @@
 	return out
 }
 
-// takeCandidates takes n tasks from the candidates in their order, but those with a valid
-// permit first, so that a gang does not wait for a permit that it does not need. It returns
-// false if fewer than n tasks fit.
+// takeCandidates returns the candidates on which n tasks start. Candidates with a valid
+// permit come first, so that a gang does not wait for a permit that it does not need. It
+// returns false if fewer than n tasks fit.
 func takeCandidates(n int, candidates []candidate) ([]candidate, bool) {
 	candidates = slices.Clone(candidates)
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
