--- a/internal/control/dispatch/ask.go
+++ b/internal/control/dispatch/ask.go
@@ -106,9 +106,9 @@
 		refuse(code.New(code.Forbidden, "no queue at %s%s", a.GetHost(), a.GetPath()))
 		return
 	}
-	owner := ""
+	customer := ""
 	if c, known := config.KeyOwner(a.GetKey()); known {
-		owner = c.GetName()
+		customer = c.GetName()
 	} else if !q.GetOpen() {
 		d.flowMetrics.countRefusal(code.InvalidKey)
 		refuse(code.New(code.InvalidKey, ""))
@@ -120,11 +120,11 @@
 			refuse(code.New(code.Malformed, "flow id %q does not match the id %q in the request path", a.GetSpec().GetId(), id))
 			return
 		}
-		d.submitFlow(a, q, owner, reply)
+		d.submitFlow(a, q, customer, reply)
 	case inner.FlowVerb_FLOW_VERB_CANCEL:
-		d.cancelFlow(id, owner, receivedAt, reply)
+		d.cancelFlow(id, customer, receivedAt, reply)
 	case inner.FlowVerb_FLOW_VERB_STATE:
-		d.replyState(id, owner, receivedAt, reply)
+		d.replyState(id, customer, receivedAt, reply)
 	case inner.FlowVerb_FLOW_VERB_PENDING:
 		d.Host.AfterCommit(func() { reply(&inner.FlowAnswer{Pending: uint32(d.Host.Flows().PendingFlows(q.GetName()))}) })
 	default:
@@ -134,11 +134,11 @@
 
 // submitFlow adds a flow to the ledger and replies after the commit. A repeated submit with
 // the same id is idempotent.
-func (d *Dispatcher) submitFlow(a *inner.FlowAsk, q *v1.Queue, owner string, reply func(*inner.FlowAnswer)) {
+func (d *Dispatcher) submitFlow(a *inner.FlowAsk, q *v1.Queue, customer string, reply func(*inner.FlowAnswer)) {
 	ledger := d.Host.Flows()
 	id := a.GetSpec().GetId()
 	if f, ok := ledger.Flow(id); ok {
-		if f.Customer != owner {
+		if f.Customer != customer {
 			reply(refusalAnswer(code.New(code.IDReused, "%s", id), 0))
 			return
 		}
@@ -147,11 +147,11 @@
 	}
 	if err, retryAfter := d.checkAdmission(a, q); err != nil {
 		d.flowMetrics.countRefusal(err.Code)
-		event.LogError(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", owner, "open", ledger.OpenFlows(), "retry", retryAfter.String())
+		event.LogError(d.Log, event.FlowRefused, err, "flow", id, "queue", q.GetName(), "customer", customer, "open", ledger.OpenFlows(), "retry", retryAfter.String())
 		reply(refusalAnswer(err, retryAfter))
 		return
 	}
-	acceptance := &record.FlowAccept{Queue: q.GetName(), Customer: owner, Spec: a.GetSpec()}
+	acceptance := &record.FlowAccept{Queue: q.GetName(), Customer: customer, Spec: a.GetSpec()}
 	if !d.applyOrLog(&record.Flow{What: &record.Flow_Accept{Accept: acceptance}}) {
 		reply(refusalAnswer(code.New(code.Internal, "%s", id), 0))
 		return
@@ -159,12 +159,12 @@
 	if a.GetSpec().GetTimes() > 0 {
 		d.leader.recurringFlows[id] = true
 	}
-	d.markSurplusFlow(owner, id)
+	d.markSurplusFlow(customer, id)
 	startedAt := d.Now()
 	d.Host.AfterCommit(func() {
 		d.flowMetrics.accepted.Inc()
 		d.flowMetrics.commitSeconds.Update((d.Now() - startedAt).Seconds())
-		event.Log(d.Log, event.FlowAccepted, "flow", id, "queue", q.GetName(), "customer", owner, "version", ledger.Config().GetVersion(), "steps", len(a.GetSpec().GetSteps()), "aim", steps.Objective(a.GetSpec(), q).String(), "term", d.leader.term)
+		event.Log(d.Log, event.FlowAccepted, "flow", id, "queue", q.GetName(), "customer", customer, "version", ledger.Config().GetVersion(), "steps", len(a.GetSpec().GetSteps()), "aim", steps.Objective(a.GetSpec(), q).String(), "term", d.leader.term)
 		reply(&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_QUEUED})
 	})
 }
@@ -192,8 +192,8 @@
 // replyState replies with the state of a flow after that state is committed. The reply that
 // a flow is unknown requires a proof of leadership: a deposed leader would not know the
 // flows that its successor accepted.
-func (d *Dispatcher) replyState(id, owner string, receivedAt time.Duration, reply func(*inner.FlowAnswer)) {
-	d.withFlow(id, owner, receivedAt, reply, func(f *flows.Flow) {
+func (d *Dispatcher) replyState(id, customer string, receivedAt time.Duration, reply func(*inner.FlowAnswer)) {
+	d.withFlow(id, customer, receivedAt, reply, func(f *flows.Flow) {
 		answer := stateAnswer(f)
 		d.Host.AfterCommit(func() { reply(answer) })
 	})
@@ -201,13 +201,13 @@
 
 // withFlow calls fn with the flow if it exists and belongs to the customer, and refuses the
 // request otherwise.
-func (d *Dispatcher) withFlow(id, owner string, receivedAt time.Duration, reply func(*inner.FlowAnswer), fn func(*flows.Flow)) {
-	if f, ok := d.Host.Flows().Flow(id); ok && f.Customer == owner {
+func (d *Dispatcher) withFlow(id, customer string, receivedAt time.Duration, reply func(*inner.FlowAnswer), fn func(*flows.Flow)) {
+	if f, ok := d.Host.Flows().Flow(id); ok && f.Customer == customer {
 		fn(f)
 		return
 	}
 	d.Host.AfterLeadershipProof(receivedAt, func() {
-		if f, ok := d.Host.Flows().Flow(id); ok && f.Customer == owner {
+		if f, ok := d.Host.Flows().Flow(id); ok && f.Customer == customer {
 			fn(f)
 			return
 		}
@@ -217,8 +217,8 @@
 
 // cancelFlow cancels a flow and replies after the commit. No task of the flow is started
 // after the cancellation is applied.
-func (d *Dispatcher) cancelFlow(id, owner string, receivedAt time.Duration, reply func(*inner.FlowAnswer)) {
-	d.withFlow(id, owner, receivedAt, reply, func(f *flows.Flow) {
+func (d *Dispatcher) cancelFlow(id, customer string, receivedAt time.Duration, reply func(*inner.FlowAnswer)) {
+	d.withFlow(id, customer, receivedAt, reply, func(f *flows.Flow) {
 		if !f.Final() {
 			event.Log(d.Log, event.FlowCancelled, "flow", id, "held", f.HeldRuns, "term", d.leader.term)
 			d.applyOrLog(&record.Flow{What: &record.Flow_Cancel{Cancel: &record.FlowCancel{Id: id}}})
--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -63,7 +63,7 @@
 	case s != nil && s.incarnation == r.GetBorn() && r.Number < s.reportNumber:
 		reply(nil)
 		return
-	case known && s != nil && isUnchanged(previous, r.FlowServer) && !d.staysColdLonger(previous, r.FlowServer):
+	case known && s != nil && isUnchanged(previous, r.FlowServer) && !d.extendsSlowStart(previous, r.FlowServer):
 		// The change that this report repeats may not be committed yet.
 		d.Host.AfterCommit(func() { reply(nil) })
 		return
@@ -90,14 +90,14 @@
 	d.Host.AfterCommit(func() { reply(nil) })
 }
 
-// coldMargin is the minimum extension of a server's slow start that is recorded. The
+// slowStartMargin is the minimum extension of a server's slow start that is recorded. The
 // reported time is approximate and includes the delay of the report.
-const coldMargin = time.Second
+const slowStartMargin = time.Second
 
-// staysColdLonger reports whether the server announces a longer slow start than the ledger
+// extendsSlowStart reports whether the server announces a longer slow start than the ledger
 // has.
-func (d *Dispatcher) staysColdLonger(b *flows.Server, r *record.FlowServer) bool {
-	return d.Host.LedgerTime()+time.Duration(r.GetCold())*time.Millisecond > max(b.WarmUpEndsAt, d.Host.LedgerTime())+coldMargin
+func (d *Dispatcher) extendsSlowStart(b *flows.Server, r *record.FlowServer) bool {
+	return d.Host.LedgerTime()+time.Duration(r.GetCold())*time.Millisecond > max(b.SlowStartEndsAt, d.Host.LedgerTime())+slowStartMargin
 }
 
 // isUnchanged reports whether the report equals the server's state in the ledger.
--- a/internal/control/dispatch/wave.go
+++ b/internal/control/dispatch/wave.go
@@ -65,7 +65,7 @@
 }
 
 // WaveState reports whether all machines of a wave have completed their maintenance.
-func (d *Dispatcher) WaveState(ctx context.Context, number uint64) (complete bool, fault *code.Error) {
+func (d *Dispatcher) WaveState(ctx context.Context, number uint64) (complete bool, refusal *code.Error) {
 	receivedAt := d.Now()
 	type result struct{ known, complete bool }
 	r, err := runOnLeader(ctx, d, errNotLeading, func(reply func(result)) {
--- a/internal/control/entry/entry.go
+++ b/internal/control/entry/entry.go
@@ -119,11 +119,11 @@
 // pullTimeout returns how long a Pull may wait, given the requested time in
 // milliseconds. An entry treats a Pull that takes longer than requested as a dead
 // connection and reconnects.
-func pullTimeout(ms uint64) time.Duration {
-	if ms == 0 || ms > uint64(maxPullWait/time.Millisecond) {
+func pullTimeout(requestedMs uint64) time.Duration {
+	if requestedMs == 0 || requestedMs > uint64(maxPullWait/time.Millisecond) {
 		return maxPullWait
 	}
-	return time.Duration(ms) * time.Millisecond
+	return time.Duration(requestedMs) * time.Millisecond
 }
 
 // checkCell refuses calls from processes of another cell. This prevents a wrong
--- a/internal/control/leader/decide.go
+++ b/internal/control/leader/decide.go
@@ -167,7 +167,7 @@
 // updated.
 func (w ledgerWatcher) TaskPlaced(j *state.Job, t *state.Task) {
 	w.leader.leadership.planner.SetPlaced(placedTask(j, t))
-	w.leader.recordPlacement(t)
+	w.leader.countPlacement(t)
 	w.leader.leadership.updatedServers[t.Server] = true
 }
 
--- a/internal/control/leader/eventlog.go
+++ b/internal/control/leader/eventlog.go
@@ -141,7 +141,7 @@
 	}
 }
 
-func (l *Leader) recordPlacement(t *state.Task) {
+func (l *Leader) countPlacement(t *state.Task) {
 	reported := &l.leadership.reported
 	reported.runningTasks++
 	if s, ok := reported.servers[t.Server]; ok && s.idle {
--- a/internal/policy/cell/cell.go
+++ b/internal/policy/cell/cell.go
@@ -155,20 +155,20 @@
 	gangReservationCount int
 
 	runtimeEstimates *health.Estimates
-	healthGuard      *health.FaultDetector
+	faultDetector    *health.FaultDetector
 
 	// Work lists for the next call of Decide.
-	unconfirmedTasks   []*placedTask
-	pendingDecisions   []plan.Decision
-	overuseTasks       []*placedTask
-	brokenGangs        []*jobState
-	exhaustedJobs      []*jobState
-	suspectServers     []*server
-	overLimitTeams     []*teamState
-	servicesToMove     []*placedTask
-	quarantinedServers []*server
-	displacedServices  []*unit
-	idleJobs           []*jobState
+	unconfirmedTasks     []*placedTask
+	pendingDecisions     []plan.Decision
+	overuseTasks         []*placedTask
+	brokenGangs          []*jobState
+	exhaustedJobs        []*jobState
+	quarantineCandidates []*server
+	overLimitTeams       []*teamState
+	servicesToMove       []*placedTask
+	quarantinedServers   []*server
+	displacedServices    []*unit
+	idleJobs             []*jobState
 
 	// rebalancedAt is the time of the last computation of target shares, reclaimedAt that of
 	// the last preemption round for shares. targetsStale forces a new computation.
@@ -192,7 +192,7 @@
 		teams: map[string]*teamState{}, serversByID: map[string]*server{}, racks: map[rackKey]*rack{}, serverSizes: map[capacity.Size]int{},
 		jobs: map[uint64]*jobState{}, placed: map[task.ID]*placedTask{}, waiting: map[task.ID]*unit{},
 		rackIndex:        fit.NewIndex[*rack](),
-		runtimeEstimates: health.NewEstimates(), healthGuard: health.NewFaultDetector(),
+		runtimeEstimates: health.NewEstimates(), faultDetector: health.NewFaultDetector(),
 	}
 	p.teamsByNeed = queue.New(func(t *teamState) string { return t.name }, byUsageRatio)
 	p.delayedUnits = queue.New(unitKey, byReadyTime)
@@ -232,7 +232,7 @@
 	p.refreshFree(srv)
 	p.targetsStale = true
 	if s.State != backend.Quarantined && old.State == backend.Quarantined || s.Incarnation != old.Incarnation {
-		p.healthGuard.Release(srv.number)
+		p.faultDetector.Release(srv.number)
 	}
 	if unreachable(s) && !unreachable(old) {
 		srv.silentSince = s.StateSince
@@ -286,7 +286,7 @@
 		return
 	}
 	p.removeTask(pt)
-	p.recordEnd(pt, end)
+	p.recordAttemptEnd(pt, end)
 	if pt.Job.AllOrNothing() {
 		p.handleGangTaskEnd(pt, end)
 	}
--- a/internal/policy/cell/watch.go
+++ b/internal/policy/cell/watch.go
@@ -96,11 +96,11 @@
 	p.brokenGangs = p.brokenGangs[:0]
 }
 
-// recordEnd updates failure budget, run time estimate and server health after an attempt.
+// recordAttemptEnd updates failure budget, run time estimate and server health after an attempt.
 // An attempt stopped for its usage counts against the job. Other stopped attempts count
 // neither against the job nor against the server. An attempt lost with its server counts
 // against the job only if it had just started.
-func (p *Planner) recordEnd(pt *placedTask, end plan.AttemptEnd) {
+func (p *Planner) recordAttemptEnd(pt *placedTask, end plan.AttemptEnd) {
 	if pt.stoppedForUsage && !end.ServerLost {
 		pt.jobState.failureBudget.RecordStop()
 	}
@@ -115,21 +115,21 @@
 	name := health.JobNameOf(pt.Job)
 	if !end.Failed {
 		p.runtimeEstimates.Observe(pt.Job, end.EndedAt-pt.PlacedAt)
-		p.healthGuard.RecordSuccess(name, pt.server.number)
+		p.faultDetector.RecordSuccess(name, pt.server.number)
 		return
 	}
-	p.healthGuard.RecordFailure(name, pt.server.number, end.EndedAt)
+	p.faultDetector.RecordFailure(name, pt.server.number, end.EndedAt)
 	if pt.server.State != backend.Quarantined {
 		pt.jobState.failureBudget.RecordFailure(pt.server.number)
 	}
-	if p.healthGuard.ShouldQuarantine(pt.server.number, len(p.serverList)) {
-		p.suspectServers = append(p.suspectServers, pt.server)
+	if p.faultDetector.ShouldQuarantine(pt.server.number, len(p.serverList)) {
+		p.quarantineCandidates = append(p.quarantineCandidates, pt.server)
 	}
 }
 
 // markQuarantined records that the server is in quarantine.
 func (p *Planner) markQuarantined(s *server, since time.Duration) {
-	p.healthGuard.Quarantine(s.number, since)
+	p.faultDetector.Quarantine(s.number, since)
 	if !slices.Contains(p.quarantinedServers, s) {
 		p.quarantinedServers = append(p.quarantinedServers, s)
 	}
@@ -137,15 +137,15 @@
 
 // updateQuarantine quarantines failing servers and restores those whose probes succeeded.
 func (p *Planner) updateQuarantine() {
-	for _, s := range p.suspectServers {
-		if s.State == backend.Ready && p.healthGuard.ShouldQuarantine(s.number, len(p.serverList)) && !p.disabled(Quarantine) {
+	for _, s := range p.quarantineCandidates {
+		if s.State == backend.Ready && p.faultDetector.ShouldQuarantine(s.number, len(p.serverList)) && !p.disabled(Quarantine) {
 			p.quarantineServer(s)
 		}
 	}
-	p.suspectServers = p.suspectServers[:0]
+	p.quarantineCandidates = p.quarantineCandidates[:0]
 	p.quarantinedServers = slices.DeleteFunc(p.quarantinedServers, func(s *server) bool { return s.State != backend.Quarantined })
 	for _, s := range p.quarantinedServers {
-		if p.healthGuard.Recovered(s.number) && (s.restoreDecidedAt == 0 || p.now >= s.restoreDecidedAt+restoreRetryInterval) {
+		if p.faultDetector.Recovered(s.number) && (s.restoreDecidedAt == 0 || p.now >= s.restoreDecidedAt+restoreRetryInterval) {
 			s.restoreDecidedAt = max(p.now, 1)
 			p.emit(plan.Decision{Action: plan.Restore, Server: s.ID, Reason: "probes succeeded"})
 		}
@@ -215,7 +215,7 @@
 		if p.atDecisionLimit() {
 			return
 		}
-		if s.State != backend.Quarantined || !p.healthGuard.MayProbe(s.number, p.now) || len(s.tasks) > 0 {
+		if s.State != backend.Quarantined || !p.faultDetector.MayProbe(s.number, p.now) || len(s.tasks) > 0 {
 			continue
 		}
 		if u := p.selectProbe(s); u != nil {
--- a/internal/policy/steps/candidate.go
+++ b/internal/policy/steps/candidate.go
@@ -45,7 +45,7 @@
 	if it.Urgent != r.ShortLease {
 		total += leasePenalty
 	}
-	if r.Cold {
+	if r.InSlowStart {
 		total += coldPenalty
 	}
 	if it.FailedOn[r.ID] {
