--- a/internal/control/dispatch/timeofday.go
+++ b/internal/control/dispatch/timeofday.go
@@ -13,7 +13,7 @@
 }
 
 // maxClockSkew is the difference from the agreed time above which a machine's clock is
-// logged as wrong. It is far more than synchronized clocks differ.
+// logged as wrong. Synchronized clocks differ by far less.
 const maxClockSkew = 500 * time.Millisecond
 
 // compareClocks adds this machine's wall clock to those of the other processes. It logs
--- a/internal/control/dispatch/zone_test.go
+++ b/internal/control/dispatch/zone_test.go
@@ -284,12 +284,12 @@
 		w.submit("a", newStep(4, 1000))
 		time.Sleep(100 * time.Millisecond)
 		if got := w.runsInZone("x"); len(got) > 0 {
-			t.Error("runs on the cold server while another has room:", got)
+			t.Error("runs on the server in slow start while another has room:", got)
 		}
 		w.submit("b", newStep(2, 1000))
 		time.Sleep(100 * time.Millisecond)
 		if len(w.runsInZone("x")) == 0 {
-			t.Error("no run on the cold server although only it has room")
+			t.Error("no run on the server in slow start although only it has room")
 		}
 	})
 }
--- a/internal/ledger/flows/crash_test.go
+++ b/internal/ledger/flows/crash_test.go
@@ -101,7 +101,7 @@
 }
 
 // Guards against healthy tasks that are given up because of planned shutdowns, expired
-// leases, or rare crashes under a long-running task.
+// leases, or rare crashes under a lasting task.
 func TestPlannedOrRareServerLossesDoNotFailTheFlow(t *testing.T) {
 	step := func() *v1.FlowStep { return &v1.FlowStep{Count: 1, Size: &v1.Size{Cpu: 1}, Lasting: true} }
 	t.Run("graceful shutdown", func(t *testing.T) {
@@ -147,7 +147,7 @@
 			fixture.endIncarnation(server, true)
 		}
 		if fixture.flowFailed() {
-			t.Error("flow failed because of rare crashes of a long-running task")
+			t.Error("flow failed because of rare crashes of a lasting task")
 		}
 	})
 }
--- a/internal/ledger/flows/run.go
+++ b/internal/ledger/flows/run.go
@@ -297,7 +297,8 @@
 }
 
 // countFailure counts a run that failed or crashed its server, and reports whether the
-// limit is reached. Failed runs of steps that run until cancelled are not limited.
+// limit is reached. Failed runs of lasting steps, whose tasks run until
+// cancelled, are not limited.
 func (l *Ledger) countFailure(s *Step, id flow.RunID, runEnd inner.RunEnd) bool {
 	switch {
 	case runEnd == inner.RunEnd_RUN_END_CRASHED:
--- a/internal/policy/pace/pace.go
+++ b/internal/policy/pace/pace.go
@@ -1,5 +1,6 @@
-// Package pace computes how much CPU the batch tasks on a server may use beside its service
-// tasks. It has no side effects.
+// Package pace computes how much CPU the fill tasks on a server may use beside its serving
+// tasks. Fill tasks use only CPU time that other tasks leave, and serving tasks have a target
+// for their tail latency. The package has no side effects.
 package pace
 
 // Parameters of the control loop. The pace is a percentage of full speed.
@@ -14,20 +15,20 @@
 	reductionFactor = 0.6
 	// raiseStep is the increase of the pace per update while all targets are met, in percent.
 	raiseStep = 10
-	// minPace is the pace below which a batch task is stopped. A slower task would disturb the
-	// services without useful progress.
+	// minPace is the pace below which a fill task is stopped. A slower task would disturb the
+	// serving tasks without useful progress.
 	minPace = 5
 )
 
-// ServingTask is a service task as reported by its server.
+// ServingTask is a serving task as reported by its server.
 type ServingTask struct {
 	// TailLatency and TargetLatency are in milliseconds.
 	TailLatency   float64
 	TargetLatency float64
 }
 
-// Next returns the new pace of the batch tasks on a server, in percent, from their present
-// pace. The service task with the highest ratio of tail latency to target decides.
+// Next returns the new pace of the fill tasks on a server, in percent, from their present
+// pace. The serving task with the highest ratio of tail latency to target decides.
 func Next(percent int, servingTasks []ServingTask) int {
 	worstRatio := 0.0
 	for _, s := range servingTasks {
--- a/internal/policy/pace/pace_test.go
+++ b/internal/policy/pace/pace_test.go
@@ -6,9 +6,9 @@
 	"gypsumreel/internal/policy/pace"
 )
 
-// At full pace, the batch tasks raise the latency of a service to three times its target, and
+// At full pace, the fill tasks raise the latency of a serving task to three times its target, and
 // the latency grows with the pace. With two updates a second, the target must be met well
-// within four seconds, and the batch tasks must get back most of the pace that does no harm.
+// within four seconds, and the fill tasks must get back most of the pace that does no harm.
 func TestLatencyTargetIsMetAndCapacityIsUsed(t *testing.T) {
 	latencyAt := func(percent int) float64 { return 50 + 2.5*float64(percent) }
 	percent, missed := pace.Full, 0
--- a/internal/policy/steps/candidate.go
+++ b/internal/policy/steps/candidate.go
@@ -26,14 +26,14 @@
 }
 
 // Penalties in ascending order of importance: the server is slow, its lease does not suit the
-// item, it is outside the preferred rack, it is cold, a task of the step failed there. Each
+// item, it is outside the preferred rack, it is in its slow start, a task of the step failed there. Each
 // penalty outweighs all smaller ones together.
 const (
-	maxSpeedClass = 1 << 20
-	leasePenalty  = 2 * maxSpeedClass
-	farPenalty    = 2 * leasePenalty
-	coldPenalty   = 2 * farPenalty
-	failedPenalty = 2 * coldPenalty
+	maxSpeedClass    = 1 << 20
+	leasePenalty     = 2 * maxSpeedClass
+	farPenalty       = 2 * leasePenalty
+	slowStartPenalty = 2 * farPenalty
+	failedPenalty    = 2 * slowStartPenalty
 )
 
 // penalty returns the rank of a server for an item. Lower values come first.
@@ -46,7 +46,7 @@
 		total += leasePenalty
 	}
 	if r.InSlowStart {
-		total += coldPenalty
+		total += slowStartPenalty
 	}
 	if it.FailedOn[r.ID] {
 		total += failedPenalty
--- a/internal/policy/steps/gang.go
+++ b/internal/policy/steps/gang.go
@@ -60,8 +60,9 @@
 	return takeCandidates(it.QueuedTasks, candidates)
 }
 
-// labelsByRoom returns the labels of the candidates in ascending order of the tasks that fit
-// there. The rack is one of the labels of a server; it does not matter here which one.
+// labelsByRoom returns the labels of the candidates, ordered by the number of tasks that fit
+// on the servers with the label, lowest first. The rack of a server is one of its labels, so
+// the result contains all racks.
 func labelsByRoom(candidates []candidate) []string {
 	taskRoom := map[string]int64{}
 	for _, c := range candidates {
--- a/internal/policy/steps/headroom.go
+++ b/internal/policy/steps/headroom.go
@@ -12,8 +12,8 @@
 	Tasks int64
 }
 
-// mayUseHeadroom reports whether an item may use the headroom. Urgent items may. So may
-// services, whose users are affected while a task is not running.
+// mayUseHeadroom reports whether an item may use the headroom. Urgent items may use it. So
+// may lasting items: they run services, and users notice a missing task.
 func (it Item) mayUseHeadroom() bool { return it.Urgent || it.Spec.GetLasting() }
 
 // initHeadroom computes the headroom values of a pool.
--- a/internal/policy/steps/steps.go
+++ b/internal/policy/steps/steps.go
@@ -99,7 +99,7 @@
 }
 
 // usable returns the room that an item can use now. It includes room reserved for a gang only
-// if the item runs as a service or ends before the gang can start.
+// if the item is lasting or ends before the gang can start.
 func (r *serverState) usable(it Item) capacity.Size {
 	if it.Spec.GetLasting() || r.reservedUntil > 0 && it.ExpectedRuntime > 0 && it.ExpectedRuntime <= r.reservedUntil {
 		return r.free
@@ -268,8 +268,8 @@
 	staleServers []string
 }
 
-// placeTasks starts tasks on a server. If the server needs a new permit, it only keeps their
-// room.
+// placeTasks starts tasks on a server. If the server needs a new permit, placeTasks only
+// allocates their room, so that it is free when the permit arrives.
 func (p *planner) placeTasks(placement *stepPlacement, c candidate, tasks []uint32) {
 	p.allocate(placement.item, c.serverState, int64(len(tasks)))
 	if c.permission != Granted {
