--- a/internal/policy/cell/fault_test.go
+++ b/internal/policy/cell/fault_test.go
@@ -164,13 +164,13 @@
 func TestMemoryOveruseStopsTaskAndParksJob(t *testing.T) {
 	w := newWorld(1)
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize}
-	overuser := w.Submit(spec, []time.Duration{time.Hour}, capacity.Size{CPU: 1000, Memory: 2048, Slots: 1}, false)
+	overusingJob := w.Submit(spec, []time.Duration{time.Hour}, capacity.Size{CPU: 1000, Memory: 2048, Slots: 1}, false)
 	runUntil(t, w, 12*time.Second)
 	others := submit(w, job.Spec{Team: "b"}, 3, time.Hour)
 	runUntil(t, w, 13*time.Second)
 	assertEqual(t, "other tasks on the server", 2, len(w.On(others)))
 	runUntil(t, w, 5*time.Minute)
-	assertEqual(t, "tasks left of the overuser", 0, w.Left(overuser))
+	assertEqual(t, "tasks left of the overuser", 0, w.Left(overusingJob))
 	assertEqual(t, "stop and park decisions", []int{3, 1}, []int{w.Count(plan.Stop), w.Count(plan.Park)})
 }
 
@@ -179,13 +179,13 @@
 func TestOveruseOfOnceTaskIsOnlyThrottled(t *testing.T) {
 	w := newWorld(1)
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize, AtMostOnce: true}
-	overuser := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 1000, Memory: 4096, Slots: 1}, false)
+	overusingJob := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 1000, Memory: 4096, Slots: 1}, false)
 	runUntil(t, w, 12*time.Second)
 	others := submit(w, job.Spec{Team: "b"}, 3, time.Hour)
 	runUntil(t, w, 50*time.Second)
-	assertEqual(t, "running tasks of the overuser, other tasks on the server", []int{1, 0}, []int{w.Running(overuser), len(w.On(others))})
+	assertEqual(t, "running tasks of the overuser, other tasks on the server", []int{1, 0}, []int{w.Running(overusingJob), len(w.On(others))})
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "tasks left of the overuser, other tasks placed afterwards", []int{0, 3}, []int{w.Left(overuser), len(w.On(others))})
+	assertEqual(t, "tasks left of the overuser, other tasks placed afterwards", []int{0, 3}, []int{w.Left(overusingJob), len(w.On(others))})
 	assertEqual(t, "throttle and stop decisions", []int{1, 0}, []int{w.Count(plan.Throttle), w.Count(plan.Stop)})
 }
 
@@ -194,9 +194,9 @@
 func TestCPUOveruseIsThrottled(t *testing.T) {
 	w := newWorld(1)
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize}
-	overuser := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 2500, Memory: 1024, Slots: 1}, false)
+	overusingJob := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 2500, Memory: 1024, Slots: 1}, false)
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "tasks left of the overuser", 0, w.Left(overuser))
+	assertEqual(t, "tasks left of the overuser", 0, w.Left(overusingJob))
 	assertEqual(t, "throttle and stop decisions", []int{1, 0}, []int{w.Count(plan.Throttle), w.Count(plan.Stop)})
 }
 
@@ -257,7 +257,7 @@
 			lastJob++
 			runAttempt(lastJob, "good", allServers[i].ID, true)
 		}
-		runAttempt(1, "sound", allServers[i].ID, true)
+		runAttempt(1, "healthy", allServers[i].ID, true)
 		for range 8 {
 			lastJob++
 			runAttempt(lastJob, "good", "s39", false)
@@ -357,12 +357,12 @@
 // tasks that are really short, because the planner uses the run times learned for their name.
 func TestLearnedRuntimeOrdersQueue(t *testing.T) {
 	w := newWorld(1)
-	submit(w, job.Spec{Name: "liar", EstimatedRuntime: time.Second}, 8, 30*time.Second)
+	submit(w, job.Spec{Name: "underdeclared", EstimatedRuntime: time.Second}, 8, 30*time.Second)
 	runUntil(t, w, 2*time.Minute)
 	blocker := submit(w, job.Spec{Name: "blocker", EstimatedRuntime: time.Second}, 4, 10*time.Second)
 	runUntil(t, w, 2*time.Minute+time.Second)
-	underdeclared := submit(w, job.Spec{Name: "liar", EstimatedRuntime: time.Second}, 4, 30*time.Second)
+	underdeclared := submit(w, job.Spec{Name: "underdeclared", EstimatedRuntime: time.Second}, 4, 30*time.Second)
 	short := submit(w, job.Spec{Name: "short", EstimatedRuntime: 5 * time.Second}, 4, 5*time.Second)
 	runUntil(t, w, 2*time.Minute+12*time.Second)
-	assertEqual(t, "blocker, liar, short running", []int{0, 0, 4}, []int{len(w.On(blocker)), len(w.On(underdeclared)), len(w.On(short))})
+	assertEqual(t, "blocker, underdeclared, short running", []int{0, 0, 4}, []int{len(w.On(blocker)), len(w.On(underdeclared)), len(w.On(short))})
 }
--- a/internal/policy/simulator/plan.go
+++ b/internal/policy/simulator/plan.go
@@ -65,22 +65,22 @@
 		m.timings[s.StepID] = timing
 	}
 	runtime := time.Duration(float64(s.Spec.GetRuntime()) * max(m.runtimeRatio, 1) * float64(time.Millisecond))
-	it := steps.Item{
+	item := steps.Item{
 		Step: s, Pool: pool, Priority: queue.GetPriority(), Urgent: queue.GetPriority() == 0, ExpectedRuntime: runtime,
 		QuestionSize: m.questionSize(queue.GetAdvice(), runtime), NeedsPermit: true, AdviserAsked: m.advice[s.StepID] != nil,
 	}
 	age := m.now - s.Flow.AcceptedAt
-	it = it.WithAge(timing, age)
+	item = item.WithAge(timing, age)
 	if m.policy.Disabled&LateLast != 0 {
-		it.Late, it.Worthless = false, false
+		item.Late, item.Worthless = false, false
 	}
 	if m.policy.Disabled&SlackOrder != 0 || m.policy.StrictPriority {
-		it.Slack = -age
+		item.Slack = -age
 	}
 	if m.policy.FIFO {
-		it.Priority, it.Slack = 0, -age
+		item.Priority, item.Slack = 0, -age
 	}
-	return it
+	return item
 }
 
 // questionSize returns the number of servers in a question about a step.
--- a/internal/policy/steps/ask.go
+++ b/internal/policy/steps/ask.go
@@ -9,7 +9,7 @@
 
 // requestPermits asks for new permits on servers that are allowed to run the item. If there are
 // too many servers, the first ones are used.
-func (p *planner) requestPermits(it Item, servers []string, candidates []candidate) {
+func (p *planner) requestPermits(item Item, servers []string, candidates []candidate) {
 	spares := spareServers
 	for _, c := range candidates {
 		if spares == 0 || len(servers) >= MaxServersPerStep {
@@ -20,19 +20,19 @@
 			spares--
 		}
 	}
-	servers = append(servers, p.soonAvailable(it, servers)...)
-	p.plan.Questions = append(p.plan.Questions, Question{it, servers[:min(len(servers), MaxServersPerStep)]})
+	servers = append(servers, p.soonAvailable(item, servers)...)
+	p.plan.Questions = append(p.plan.Questions, Question{item, servers[:min(len(servers), MaxServersPerStep)]})
 }
 
 // requestPermitsEarly asks for new permits on servers that will soon have room for the next
 // steps, so that the room is not idle while the adviser answers.
-func (p *planner) requestPermitsEarly(it Item) {
-	if !it.NeedsPermit || p.earlyRequests[it.Pool] >= minReservedGangs+p.poolSizes[it.Pool]/serversPerReservedGang {
+func (p *planner) requestPermitsEarly(item Item) {
+	if !item.NeedsPermit || p.earlyRequests[item.Pool] >= minReservedGangs+p.poolSizes[item.Pool]/serversPerReservedGang {
 		return
 	}
-	p.earlyRequests[it.Pool]++
-	if servers := p.soonAvailable(it, nil); len(servers) > 0 {
-		p.plan.Questions = append(p.plan.Questions, Question{it, servers[:min(len(servers), MaxServersPerStep)]})
+	p.earlyRequests[item.Pool]++
+	if servers := p.soonAvailable(item, nil); len(servers) > 0 {
+		p.plan.Questions = append(p.plan.Questions, Question{item, servers[:min(len(servers), MaxServersPerStep)]})
 	}
 }
 
@@ -41,15 +41,15 @@
 // exclude and returns the earliest servers first, at most one for each queued task. If the
 // tasks of a step start one by one as room becomes free, this saves one question for each task,
 // during which the room would be idle.
-func (p *planner) soonAvailable(it Item, exclude []string) []string {
-	limit := it.QueuedTasks - len(exclude)
+func (p *planner) soonAvailable(item Item, exclude []string) []string {
+	limit := item.QueuedTasks - len(exclude)
 	if p.view.Releases == nil || limit <= 0 {
 		return nil
 	}
 	var slots []slot
-	for _, r := range p.knownServersFor(it) {
-		if eligible(it, r) && p.permission(it, r) == Stale && !slices.Contains(exclude, r.ID) {
-			if after, ok := p.availableAfter(it, r); ok {
+	for _, r := range p.knownServersFor(item) {
+		if eligible(item, r) && p.permission(item, r) == Stale && !slices.Contains(exclude, r.ID) {
+			if after, ok := p.availableAfter(item, r); ok {
 				slots = append(slots, slot{after, r})
 			}
 		}
@@ -64,8 +64,8 @@
 
 // availableAfter returns the time after which a server should have room for a task of the item.
 // It returns false if a permit requested now expires earlier.
-func (p *planner) availableAfter(it Item, r *serverState) (time.Duration, bool) {
-	size, free := flow.TaskSize(it.Spec), r.free.Sub(r.reserved)
+func (p *planner) availableAfter(item Item, r *serverState) (time.Duration, bool) {
+	size, free := flow.TaskSize(item.Spec), r.free.Sub(r.reserved)
 	for _, release := range p.releases(r) {
 		if release.After > questionLeadTime+permitValidity {
 			return 0, false
@@ -82,32 +82,32 @@
 // first. It names as many servers as should hold all queued tasks, given the share of servers
 // that the adviser allows. Small questions in sequence would delay the start of a gang by one
 // round trip each. It returns false if there are no such servers.
-func (p *planner) askAdviser(it Item) bool {
-	if !it.NeedsPermit || p.poolFull(it) {
+func (p *planner) askAdviser(item Item) bool {
+	if !item.NeedsPermit || p.poolFull(item) {
 		return false
 	}
-	p.knownServersFor(it)
-	size := flow.TaskSize(it.Spec)
+	p.knownServersFor(item)
+	size := flow.TaskSize(item.Spec)
 	allowedShare := 1.0
 	if p.view.AllowedShare != nil {
-		allowedShare = p.view.AllowedShare(it)
+		allowedShare = p.view.AllowedShare(item)
 	}
-	neededTasks, expectedTasks := capacityFactor*float64(it.QueuedTasks), 0.0
-	minServers := max(it.QuestionSize, MinServersPerQuestion)
-	question := Question{Item: it}
+	neededTasks, expectedTasks := capacityFactor*float64(item.QueuedTasks), 0.0
+	minServers := max(item.QuestionSize, MinServersPerQuestion)
+	question := Question{Item: item}
 	var withoutRoom []string
-	for r := range p.byFreeRoom(it) {
+	for r := range p.byFreeRoom(item) {
 		if len(question.Servers) >= MaxServersPerStep || expectedTasks >= neededTasks && len(question.Servers) >= minServers {
 			break
 		}
-		if p.permission(it, r) != NotAsked || !eligible(it, r) {
+		if p.permission(item, r) != NotAsked || !eligible(item, r) {
 			continue
 		}
-		if it.AdviserAsked && fittingTasks(size, r.usable(it)) == 0 {
+		if item.AdviserAsked && fittingTasks(size, r.usable(item)) == 0 {
 			withoutRoom = append(withoutRoom, r.ID)
 			continue
 		}
-		expectedTasks += allowedShare * float64(min(fittingTasks(size, r.free), int64(it.QueuedTasks)))
+		expectedTasks += allowedShare * float64(min(fittingTasks(size, r.free), int64(item.QueuedTasks)))
 		question.Servers = append(question.Servers, r.ID)
 	}
 	if len(question.Servers) == 0 {
--- a/internal/policy/steps/bench_test.go
+++ b/internal/policy/steps/bench_test.go
@@ -22,9 +22,9 @@
 	}
 	var items []steps.Item
 	for i := range 8 {
-		it := item(fmt.Sprintf("f%03d", i), tasks(4, 1500))
-		it.NeedsPermit = true
-		items = append(items, it)
+		testItem := item(fmt.Sprintf("f%03d", i), tasks(4, 1500))
+		testItem.NeedsPermit = true
+		items = append(items, testItem)
 	}
 	v := view(servers, items...)
 	var p steps.Planner
@@ -46,9 +46,9 @@
 	for i := range 128 {
 		spec := tasks(8, 1000)
 		spec.Gang = i%2 == 0
-		it := item(fmt.Sprintf("f%03d", i), spec)
-		it.NeedsPermit = true
-		items = append(items, it)
+		testItem := item(fmt.Sprintf("f%03d", i), spec)
+		testItem.NeedsPermit = true
+		items = append(items, testItem)
 	}
 	v := view(servers, items...)
 	var p steps.Planner
@@ -72,16 +72,16 @@
 	permissions := map[flow.StepID]map[string]steps.Permission{}
 	var items []steps.Item
 	for i := range itemCount {
-		it := item(fmt.Sprintf("f%03d", i), tasks(4, 3900))
-		it.NeedsPermit, it.Urgent, it.Priority = true, i%3 > 0, uint32(i%3)
+		testItem := item(fmt.Sprintf("f%03d", i), tasks(4, 3900))
+		testItem.NeedsPermit, testItem.Urgent, testItem.Priority = true, i%3 > 0, uint32(i%3)
 		if i%2 == 0 {
-			it.AdviserAsked = true
-			permissions[it.StepID] = map[string]steps.Permission{}
+			testItem.AdviserAsked = true
+			permissions[testItem.StepID] = map[string]steps.Permission{}
 			for j := range knownPerItem {
-				permissions[it.StepID][servers[(i*31+j*17)%serverCount].ID] = steps.Permission(1 + j%3)
+				permissions[testItem.StepID][servers[(i*31+j*17)%serverCount].ID] = steps.Permission(1 + j%3)
 			}
 		}
-		items = append(items, it)
+		items = append(items, testItem)
 	}
 	v := view(servers, items...)
 	v.Permissions = func(id flow.StepID) iter.Seq2[string, steps.Permission] { return maps.All(permissions[id]) }
--- a/internal/policy/steps/candidate.go
+++ b/internal/policy/steps/candidate.go
@@ -37,18 +37,18 @@
 )
 
 // penalty returns the rank of a server for an item. Lower values come first.
-func penalty(it Item, r *serverState) int {
+func penalty(item Item, r *serverState) int {
 	total := -min(max(r.speedClass, -maxSpeedClass), maxSpeedClass)
-	if !inPreferredRack(it, r) {
+	if !inPreferredRack(item, r) {
 		total += farPenalty
 	}
-	if it.Urgent != r.ShortLease {
+	if item.Urgent != r.ShortLease {
 		total += leasePenalty
 	}
 	if r.InSlowStart {
 		total += slowStartPenalty
 	}
-	if it.FailedOn[r.ID] {
+	if item.FailedOn[r.ID] {
 		total += failedPenalty
 	}
 	return total
@@ -57,28 +57,28 @@
 // candidates returns the servers on which a task of the item can start now, best first. After
 // the penalty, servers with less free CPU come first, so that large gaps stay free for large
 // tasks.
-func (p *planner) candidates(it Item) (out []candidate) {
-	size := flow.TaskSize(it.Spec)
-	if p.poolFull(it) {
+func (p *planner) candidates(item Item) (out []candidate) {
+	size := flow.TaskSize(item.Spec)
+	if p.poolFull(item) {
 		return nil
 	}
 	placedOn := map[string]int64{}
-	for _, t := range it.Tasks {
+	for _, t := range item.Tasks {
 		if t.Phase == flows.Placed {
 			placedOn[t.Server]++
 		}
 	}
-	for _, r := range p.knownServersFor(it) {
-		permission := p.permission(it, r)
-		if permission == Denied || r.heldForSuspect || !eligible(it, r) {
+	for _, r := range p.knownServersFor(item) {
+		permission := p.permission(item, r)
+		if permission == Denied || r.heldForSuspect || !eligible(item, r) {
 			continue
 		}
-		n := fittingTasks(size, r.usable(it))
-		if maxPerServer := it.Spec.GetApart(); maxPerServer > 0 {
+		n := fittingTasks(size, r.usable(item))
+		if maxPerServer := item.Spec.GetApart(); maxPerServer > 0 {
 			n = min(n, int64(maxPerServer)-placedOn[r.ID])
 		}
 		if n > 0 {
-			out = append(out, candidate{serverState: r, permission: permission, taskCount: n, penalty: penalty(it, r)})
+			out = append(out, candidate{serverState: r, permission: permission, taskCount: n, penalty: penalty(item, r)})
 		}
 	}
 	slices.SortFunc(out, candidate.compare)
@@ -88,8 +88,8 @@
 // poolFull reports whether no server of the pool had enough free CPU for a task of the item
 // when the plan began and no question needs to be sent. This is the common case with a long
 // backlog.
-func (p *planner) poolFull(it Item) bool {
-	return (it.AdviserAsked || !it.NeedsPermit) && it.Spec.GetSize().GetCpu() > p.maxFreeCPU[it.Pool]
+func (p *planner) poolFull(item Item) bool {
+	return (item.AdviserAsked || !item.NeedsPermit) && item.Spec.GetSize().GetCpu() > p.maxFreeCPU[item.Pool]
 }
 
 // speedClass groups servers whose speeds cannot be told apart after a few runs, so that free
@@ -101,7 +101,7 @@
 
 // inPreferredRack reports whether the server is in the rack that holds the data of the step, or
 // the step names no rack.
-func inPreferredRack(it Item, r *serverState) bool {
-	rack := it.Spec.GetRack()
+func inPreferredRack(item Item, r *serverState) bool {
+	rack := item.Spec.GetRack()
 	return rack == "" || slices.Contains(r.Labels, rack)
 }
--- a/internal/policy/steps/deadline.go
+++ b/internal/policy/steps/deadline.go
@@ -71,12 +71,12 @@
 }
 
 // WithAge returns the item with Slack, Late and Worthless computed from the age of its flow.
-func (it Item) WithAge(t Timing, age time.Duration) Item {
+func (item Item) WithAge(t Timing, age time.Duration) Item {
 	minDuration := age + time.Duration(minRemainingFactor*float64(t.Remaining))
-	finite := !it.Spec.GetLasting()
-	it.Slack = t.Objective - age - t.Remaining
+	finite := !item.Spec.GetLasting()
+	item.Slack = t.Objective - age - t.Remaining
 	// Urgent work is never marked late: its callers keep waiting, and it is short.
-	it.Late = finite && !it.Urgent && minDuration > t.Objective
-	it.Worthless = finite && minDuration > worthlessFactor*t.TolerantObjective
-	return it
+	item.Late = finite && !item.Urgent && minDuration > t.Objective
+	item.Worthless = finite && minDuration > worthlessFactor*t.TolerantObjective
+	return item
 }
--- a/internal/policy/steps/gang.go
+++ b/internal/policy/steps/gang.go
@@ -10,54 +10,54 @@
 
 // placeGang places all tasks of a step together or none of them. If there is no room, it
 // reserves the servers that will have room earliest.
-func (p *planner) placeGang(it Item) {
-	if it.QueuedTasks < len(it.Tasks) || p.allowedByLimit(it) < int64(it.QueuedTasks) {
+func (p *planner) placeGang(item Item) {
+	if item.QueuedTasks < len(item.Tasks) || p.allowedByLimit(item) < int64(item.QueuedTasks) {
 		return
 	}
 	p.nextItem()
-	candidates := p.candidates(it)
-	chosen, ok := chooseGangServers(it, candidates)
-	if !ok || !p.leavesHeadroom(it, chosen) {
-		p.reserve(it)
-		p.askAdviser(it)
+	candidates := p.candidates(item)
+	chosen, ok := chooseGangServers(item, candidates)
+	if !ok || !p.leavesHeadroom(item, chosen) {
+		p.reserve(item)
+		p.askAdviser(item)
 		return
 	}
 	var assignments []Assignment
 	var stale, granted []string
-	next := queuedTasks(it.Step)
+	next := queuedTasks(item.Step)
 	for _, c := range chosen {
-		p.allocate(it, c.serverState, c.taskCount)
+		p.allocate(item, c.serverState, c.taskCount)
 		if c.permission == Granted {
 			granted = append(granted, c.ID)
 		} else {
 			stale = append(stale, c.ID)
 		}
 		for range c.taskCount {
-			assignments = append(assignments, Assignment{flow.TaskID{StepID: it.StepID, Index: next()}, c.ID})
+			assignments = append(assignments, Assignment{flow.TaskID{StepID: item.StepID, Index: next()}, c.ID})
 		}
 	}
 	if len(stale) > 0 {
 		// All members need permits that are valid at the same time.
-		p.requestPermits(it, append(stale, granted...), candidates)
+		p.requestPermits(item, append(stale, granted...), candidates)
 		return
 	}
-	p.holdForSuspectGang(it, chosen)
-	p.plan.Placements = append(p.plan.Placements, Placement{it, assignments})
+	p.holdForSuspectGang(item, chosen)
+	p.plan.Placements = append(p.plan.Placements, Placement{item, assignments})
 }
 
 // chooseGangServers selects servers for all tasks of a gang. If the tasks run slower across
 // racks, it uses a single rack if one has enough room. It returns false if there is not enough
 // room.
-func chooseGangServers(it Item, candidates []candidate) ([]candidate, bool) {
-	if it.Spec.GetTogether() {
+func chooseGangServers(item Item, candidates []candidate) ([]candidate, bool) {
+	if item.Spec.GetTogether() {
 		for _, rack := range labelsByRoom(candidates) {
 			inRack := slices.DeleteFunc(slices.Clone(candidates), func(o candidate) bool { return !slices.Contains(o.Labels, rack) })
-			if c, ok := takeCandidates(it.QueuedTasks, inRack); ok {
+			if c, ok := takeCandidates(item.QueuedTasks, inRack); ok {
 				return c, true
 			}
 		}
 	}
-	return takeCandidates(it.QueuedTasks, candidates)
+	return takeCandidates(item.QueuedTasks, candidates)
 }
 
 // labelsByRoom returns the labels of the candidates, ordered by the number of tasks that fit
@@ -111,36 +111,36 @@
 // reserve reserves room for a gang on the allowed servers where it can start earliest. Tasks
 // that end before the start of the gang can still use the room. Longer tasks cannot, since they
 // could make the gang wait forever.
-func (p *planner) reserve(it Item) {
-	if p.reservedGangs[it.Pool] >= minReservedGangs+p.poolSizes[it.Pool]/serversPerReservedGang {
+func (p *planner) reserve(item Item) {
+	if p.reservedGangs[item.Pool] >= minReservedGangs+p.poolSizes[item.Pool]/serversPerReservedGang {
 		return
 	}
 	var slots []slot
-	for _, r := range p.knownServersFor(it) {
-		permission := p.permission(it, r)
-		if eligible(it, r) && (permission == Stale || permission == Granted) {
-			slots = p.findSlots(slots, it, r)
+	for _, r := range p.knownServersFor(item) {
+		permission := p.permission(item, r)
+		if eligible(item, r) && (permission == Stale || permission == Granted) {
+			slots = p.findSlots(slots, item, r)
 		}
 	}
-	if len(slots) < it.QueuedTasks {
+	if len(slots) < item.QueuedTasks {
 		return // the servers with known permissions can never hold the gang
 	}
 	slices.SortStableFunc(slots, compareSlots)
-	slots = slots[:it.QueuedTasks]
-	p.reservedGangs[it.Pool]++
+	slots = slots[:item.QueuedTasks]
+	p.reservedGangs[item.Pool]++
 	startAfter := slots[len(slots)-1].after
 	var servers []string
 	stale := false
 	for _, s := range slots {
-		s.reserved = s.reserved.Add(flow.TaskSize(it.Spec))
+		s.reserved = s.reserved.Add(flow.TaskSize(item.Spec))
 		s.reservedUntil = max(s.reservedUntil, startAfter)
 		if !slices.Contains(servers, s.ID) {
 			servers = append(servers, s.ID)
-			stale = stale || p.permission(it, s.serverState) == Stale
+			stale = stale || p.permission(item, s.serverState) == Stale
 		}
 	}
 	if stale && startAfter <= questionLeadTime {
-		p.plan.Questions = append(p.plan.Questions, Question{it, servers[:min(len(servers), MaxServersPerStep)]})
+		p.plan.Questions = append(p.plan.Questions, Question{item, servers[:min(len(servers), MaxServersPerStep)]})
 	}
 }
 
@@ -154,9 +154,9 @@
 }
 
 // findSlots appends the slots for tasks of an item that a server has now and later.
-func (p *planner) findSlots(out []slot, it Item, r *serverState) []slot {
-	size, maxSlots := flow.TaskSize(it.Spec), int64(it.QueuedTasks)
-	if maxPerServer := it.Spec.GetApart(); maxPerServer > 0 {
+func (p *planner) findSlots(out []slot, item Item, r *serverState) []slot {
+	size, maxSlots := flow.TaskSize(item.Spec), int64(item.QueuedTasks)
+	if maxPerServer := item.Spec.GetApart(); maxPerServer > 0 {
 		maxSlots = min(maxSlots, int64(maxPerServer))
 	}
 	free, found := r.free.Sub(r.reserved), int64(0)
--- a/internal/policy/steps/headroom.go
+++ b/internal/policy/steps/headroom.go
@@ -14,7 +14,7 @@
 
 // mayUseHeadroom reports whether an item may use the headroom. Urgent items may use it. So
 // may lasting items: they run services, and users notice a missing task.
-func (it Item) mayUseHeadroom() bool { return it.Urgent || it.Spec.GetLasting() }
+func (item Item) mayUseHeadroom() bool { return item.Urgent || item.Spec.GetLasting() }
 
 // initHeadroom computes the headroom values of a pool.
 func (p *planner) initHeadroom(pool string, servers []*serverState) {
@@ -34,22 +34,22 @@
 
 // headroomCost returns by how many urgent tasks the free room of a server shrinks when n tasks
 // of an item start there.
-func (p *planner) headroomCost(it Item, r *serverState, n int64) int64 {
+func (p *planner) headroomCost(item Item, r *serverState, n int64) int64 {
 	headroom := p.headrooms[r.Pool]
 	if headroom.Tasks == 0 {
 		return 0
 	}
-	return fittingTasks(headroom.Size, r.free) - fittingTasks(headroom.Size, r.free.Sub(flow.TaskSize(it.Spec).Times(n)))
+	return fittingTasks(headroom.Size, r.free) - fittingTasks(headroom.Size, r.free.Sub(flow.TaskSize(item.Spec).Times(n)))
 }
 
 // limitByHeadroom returns how many of n tasks of an item may start on a server without using
 // the headroom. Tasks that use only room too small for an urgent task are not limited.
-func (p *planner) limitByHeadroom(it Item, r *serverState, n int64) int64 {
-	if it.mayUseHeadroom() {
+func (p *planner) limitByHeadroom(item Item, r *serverState, n int64) int64 {
+	if item.mayUseHeadroom() {
 		return n
 	}
 	for n > 0 {
-		if cost := p.headroomCost(it, r, n); cost == 0 || cost <= p.spareHeadroom[r.Pool] {
+		if cost := p.headroomCost(item, r, n); cost == 0 || cost <= p.spareHeadroom[r.Pool] {
 			break
 		}
 		n--
@@ -59,14 +59,14 @@
 
 // leavesHeadroom reports whether the headroom stays free when a gang starts. It also returns
 // true for a gang that is too large to ever leave the headroom free.
-func (p *planner) leavesHeadroom(it Item, chosen []candidate) bool {
-	if it.mayUseHeadroom() {
+func (p *planner) leavesHeadroom(item Item, chosen []candidate) bool {
+	if item.mayUseHeadroom() {
 		return true
 	}
 	total := int64(0)
 	for _, c := range chosen {
-		total += p.headroomCost(it, c.serverState, c.taskCount)
+		total += p.headroomCost(item, c.serverState, c.taskCount)
 	}
-	exceedsPool := total > p.headroomCapacity[it.Pool]-p.headrooms[it.Pool].Tasks
-	return total == 0 || total <= p.spareHeadroom[it.Pool] || exceedsPool
+	exceedsPool := total > p.headroomCapacity[item.Pool]-p.headrooms[item.Pool].Tasks
+	return total == 0 || total <= p.spareHeadroom[item.Pool] || exceedsPool
 }
--- a/internal/policy/steps/order.go
+++ b/internal/policy/steps/order.go
@@ -31,13 +31,13 @@
 
 // byFreeRoom iterates over the servers of the pool of an item, those with the most free CPU
 // first. For urgent items, all servers with a short lease come before the others.
-func (p *planner) byFreeRoom(it Item) iter.Seq[*serverState] {
+func (p *planner) byFreeRoom(item Item) iter.Seq[*serverState] {
 	if p.serversByGroup == nil {
 		p.groupServers()
 	}
-	shortLease, others := p.serversByGroup[serverGroup{it.Pool, true}], p.serversByGroup[serverGroup{it.Pool, false}]
+	shortLease, others := p.serversByGroup[serverGroup{item.Pool, true}], p.serversByGroup[serverGroup{item.Pool, false}]
 	return func(yield func(*serverState) bool) {
-		if it.Urgent {
+		if item.Urgent {
 			_ = p.yieldByFreeRoom(yield, shortLease) && p.yieldByFreeRoom(yield, others)
 			return
 		}
--- a/internal/policy/steps/permission.go
+++ b/internal/policy/steps/permission.go
@@ -35,15 +35,15 @@
 // the permissions once and only when they are needed: with a long backlog, most items are
 // reached when there is no room left, and a large pool has many more servers than there are
 // known permissions.
-func (p *planner) knownServersFor(it Item) []*serverState {
-	if !it.NeedsPermit {
+func (p *planner) knownServersFor(item Item) []*serverState {
+	if !item.NeedsPermit {
 		return p.servers
 	}
 	if p.permissionsLoaded {
 		return p.knownServers
 	}
 	p.permissionsLoaded, p.knownServers = true, p.knownServers[:0]
-	for server, permission := range p.view.Permissions(it.StepID) {
+	for server, permission := range p.view.Permissions(item.StepID) {
 		if r := p.byID[server]; r != nil {
 			r.itemPermission = itemPermission{p.itemNumber, permission}
 			p.knownServers = append(p.knownServers, r)
@@ -54,9 +54,9 @@
 
 // permission returns the permission of a server for the current item. knownServersFor must have
 // been called before.
-func (p *planner) permission(it Item, r *serverState) Permission {
+func (p *planner) permission(item Item, r *serverState) Permission {
 	switch {
-	case !it.NeedsPermit:
+	case !item.NeedsPermit:
 		return Granted
 	case r.itemNumber == p.itemNumber:
 		return r.itemPermission.permission
--- a/internal/policy/steps/probation.go
+++ b/internal/policy/steps/probation.go
@@ -30,12 +30,12 @@
 // start anywhere and suspects that start on a server of their own. If no probation slot is
 // left, a task that was blamed for few crashes starts as a normal task. A task that would be
 // given up after one more crash waits for a slot.
-func (p *planner) queuedBySuspicion(it Item, limit int) (normal, suspects []uint32) {
-	next := queuedTasks(it.Step)
-	for range it.QueuedTasks {
+func (p *planner) queuedBySuspicion(item Item, limit int) (normal, suspects []uint32) {
+	next := queuedTasks(item.Step)
+	for range item.QueuedTasks {
 		i := next()
-		switch t := it.Tasks[i]; {
-		case isSuspect(t) && len(suspects) < p.probationSlots[it.Pool]:
+		switch t := item.Tasks[i]; {
+		case isSuspect(t) && len(suspects) < p.probationSlots[item.Pool]:
 			suspects = append(suspects, i)
 		case t.BlamedCrashes < flows.MaxBlamedCrashes-1:
 			normal = append(normal, i)
@@ -81,12 +81,12 @@
 
 // holdForSuspectGang keeps other tasks from starting on the servers of a gang if one of its
 // tasks is a suspect.
-func (p *planner) holdForSuspectGang(it Item, chosen []candidate) {
-	if !slices.ContainsFunc(it.Tasks, isSuspect) {
+func (p *planner) holdForSuspectGang(item Item, chosen []candidate) {
+	if !slices.ContainsFunc(item.Tasks, isSuspect) {
 		return
 	}
 	for _, c := range chosen {
-		if p.probationSlots[it.Pool] > 0 {
+		if p.probationSlots[item.Pool] > 0 {
 			p.holdForSuspect(c.serverState)
 		}
 	}
--- a/internal/policy/steps/probation_test.go
+++ b/internal/policy/steps/probation_test.go
@@ -9,11 +9,11 @@
 )
 
 // suspect marks the first n tasks of an item as suspected of a server crash.
-func suspect(it steps.Item, n int) steps.Item {
+func suspect(testItem steps.Item, n int) steps.Item {
 	for i := range n {
-		it.Tasks[i].BlamedCrashes = 1
+		testItem.Tasks[i].BlamedCrashes = 1
 	}
-	return it
+	return testItem
 }
 
 // If a task that may crash its server starts beside other tasks, they are lost with it, and the
--- a/internal/policy/steps/select.go
+++ b/internal/policy/steps/select.go
@@ -20,8 +20,8 @@
 // items and a part of the rest that changes with the plan number. Otherwise leading items that
 // can never start would block all others.
 func SelectItems(v View, planNumber int) []Item {
-	items := slices.DeleteFunc(slices.Clone(v.Items), func(it Item) bool {
-		return fittingTasks(flow.TaskSize(it.Spec), v.RemainingLimit(it.Flow.Customer)) == 0
+	items := slices.DeleteFunc(slices.Clone(v.Items), func(item Item) bool {
+		return fittingTasks(flow.TaskSize(item.Spec), v.RemainingLimit(item.Flow.Customer)) == 0
 	})
 	slices.SortFunc(items, Compare)
 	if len(items) <= maxLeadingItems+maxRotatingItems {
--- a/internal/policy/steps/steps.go
+++ b/internal/policy/steps/steps.go
@@ -100,8 +100,8 @@
 
 // usable returns the room that an item can use now. It includes room reserved for a gang only
 // if the item is lasting or ends before the gang can start.
-func (r *serverState) usable(it Item) capacity.Size {
-	if it.Spec.GetLasting() || r.reservedUntil > 0 && it.ExpectedRuntime > 0 && it.ExpectedRuntime <= r.reservedUntil {
+func (r *serverState) usable(item Item) capacity.Size {
+	if item.Spec.GetLasting() || r.reservedUntil > 0 && item.ExpectedRuntime > 0 && item.ExpectedRuntime <= r.reservedUntil {
 		return r.free
 	}
 	return r.free.Sub(r.reserved)
@@ -152,14 +152,14 @@
 	}
 	items := slices.Clone(v.Items)
 	slices.SortStableFunc(items, Compare)
-	for i, it := range items {
+	for i, item := range items {
 		if v.Yield != nil && i%itemsPerYield == 0 {
 			v.Yield()
 		}
-		if it.Spec.GetGang() {
-			p.placeGang(it)
+		if item.Spec.GetGang() {
+			p.placeGang(item)
 		} else {
-			p.placeSingles(it)
+			p.placeSingles(item)
 		}
 	}
 	return p.plan
@@ -214,11 +214,11 @@
 
 // eligible reports whether the server is in the pool of the item and has the label that it
 // requires.
-func eligible(it Item, r *serverState) bool {
-	if r.Pool != it.Pool {
+func eligible(item Item, r *serverState) bool {
+	if r.Pool != item.Pool {
 		return false
 	}
-	return HasLabel(it.Spec.GetLabel(), r.Server.Server)
+	return HasLabel(item.Spec.GetLabel(), r.Server.Server)
 }
 
 // HasLabel reports whether a server has the label that a step requires. An empty label matches
@@ -246,18 +246,18 @@
 }
 
 // allowedByLimit returns the number of tasks of the item that the limit of its customer allows.
-func (p *planner) allowedByLimit(it Item) int64 {
-	size := flow.TaskSize(it.Spec)
-	remaining := p.view.RemainingLimit(it.Flow.Customer).Sub(p.customerUsage[it.Flow.Customer])
+func (p *planner) allowedByLimit(item Item) int64 {
+	size := flow.TaskSize(item.Spec)
+	remaining := p.view.RemainingLimit(item.Flow.Customer).Sub(p.customerUsage[item.Flow.Customer])
 	return fittingTasks(size, remaining)
 }
 
 // allocate takes the room of n tasks of an item on a server.
-func (p *planner) allocate(it Item, r *serverState, n int64) {
-	size := flow.TaskSize(it.Spec).Times(n)
-	p.spareHeadroom[it.Pool] -= p.headroomCost(it, r, n)
+func (p *planner) allocate(item Item, r *serverState, n int64) {
+	size := flow.TaskSize(item.Spec).Times(n)
+	p.spareHeadroom[item.Pool] -= p.headroomCost(item, r, n)
 	r.free = r.free.Sub(size)
-	p.customerUsage[it.Flow.Customer] = p.customerUsage[it.Flow.Customer].Add(size)
+	p.customerUsage[item.Flow.Customer] = p.customerUsage[item.Flow.Customer].Add(size)
 }
 
 // stepPlacement collects the assignments of a step whose tasks start independently.
@@ -282,34 +282,34 @@
 }
 
 // placeSingles places the tasks of a step independently of each other.
-func (p *planner) placeSingles(it Item) {
-	limit := min(int64(it.QueuedTasks), p.allowedByLimit(it))
+func (p *planner) placeSingles(item Item) {
+	limit := min(int64(item.QueuedTasks), p.allowedByLimit(item))
 	if limit <= 0 {
 		return
 	}
 	p.nextItem()
-	candidates := p.candidates(it)
-	placement := &stepPlacement{item: it}
-	normal, suspects := p.queuedBySuspicion(it, int(limit))
+	candidates := p.candidates(item)
+	placement := &stepPlacement{item: item}
+	normal, suspects := p.queuedBySuspicion(item, int(limit))
 	for _, c := range candidates {
 		if len(normal) == 0 {
 			break
 		}
-		if n := p.limitByHeadroom(it, c.serverState, min(c.taskCount, int64(len(normal)))); n > 0 {
+		if n := p.limitByHeadroom(item, c.serverState, min(c.taskCount, int64(len(normal)))); n > 0 {
 			p.placeTasks(placement, c, normal[:n])
 			normal = normal[n:]
 		}
 	}
 	suspects = p.placeSuspects(placement, candidates, suspects)
 	if len(placement.assignments) > 0 {
-		p.plan.Placements = append(p.plan.Placements, Placement{it, placement.assignments})
+		p.plan.Placements = append(p.plan.Placements, Placement{item, placement.assignments})
 	}
 	switch {
 	case len(placement.staleServers) > 0:
-		p.requestPermits(it, placement.staleServers, candidates)
+		p.requestPermits(item, placement.staleServers, candidates)
 	case len(normal)+len(suspects) > 0:
-		if !p.askAdviser(it) {
-			p.requestPermitsEarly(it)
+		if !p.askAdviser(item) {
+			p.requestPermitsEarly(item)
 		}
 	}
 }
--- a/internal/policy/steps/steps_test.go
+++ b/internal/policy/steps/steps_test.go
@@ -112,8 +112,8 @@
 	items := []steps.Item{worthless, overShare, early, late, urgent}
 	slices.SortFunc(items, steps.Compare)
 	var got []string
-	for _, it := range items {
-		got = append(got, it.Flow.ID)
+	for _, testItem := range items {
+		got = append(got, testItem.Flow.ID)
 	}
 	if diff := cmp.Diff([]string{"urgent", "late", "early", "over share", "worthless"}, got); diff != "" {
 		t.Error(diff)
@@ -269,9 +269,9 @@
 	for i := range 200 {
 		servers = append(servers, server(fmt.Sprintf("s%03d", i), 4000))
 	}
-	it := item("x", gang(200, 4000))
-	it.NeedsPermit = true
-	v := view(servers, it)
+	testItem := item("x", gang(200, 4000))
+	testItem.NeedsPermit = true
+	v := view(servers, testItem)
 	v.Permissions = permissionsOf(v.Servers, func(_ flow.StepID, s string) steps.Permission {
 		if s < "s150" {
 			return steps.Granted
@@ -300,9 +300,9 @@
 		servers = append(servers, server(fmt.Sprintf("s%03d", i), 4000))
 	}
 	asked := func(count uint32, share float64) int {
-		it := item("x", gang(count, 3000))
-		it.NeedsPermit = true
-		v := view(servers, it)
+		testItem := item("x", gang(count, 3000))
+		testItem.NeedsPermit = true
+		v := view(servers, testItem)
 		v.Permissions = permissionsOf(nil, nil)
 		v.AllowedShare = func(steps.Item) float64 { return share }
 		return len(steps.Make(v).Questions[0].Servers)
@@ -333,9 +333,9 @@
 		s.Used = capacity.Size{CPU: int64(i) * 100}
 		servers = append(servers, s)
 	}
-	it := item("x", tasks(1, 1000))
-	it.NeedsPermit = true
-	v := view(servers, it)
+	testItem := item("x", tasks(1, 1000))
+	testItem.NeedsPermit = true
+	v := view(servers, testItem)
 	v.Permissions = permissionsOf(nil, nil)
 	p := steps.Make(v)
 	if len(p.Questions) != 1 || len(p.Questions[0].Servers) != steps.MinServersPerQuestion || p.Questions[0].Servers[0] != "s00" {
@@ -358,10 +358,10 @@
 			spec := tasks(uint32(rapid.IntRange(1, 10).Draw(t, "count")), rapid.Int64Range(1, 5000).Draw(t, "size"))
 			spec.Gang = rapid.Bool().Draw(t, "gang")
 			spec.Apart = uint32(rapid.IntRange(0, 2).Draw(t, "apart"))
-			it := item(fmt.Sprintf("f%d", i), spec)
-			it.NeedsPermit = rapid.Bool().Draw(t, "permits")
-			it.Priority = uint32(rapid.IntRange(0, 2).Draw(t, "priority"))
-			items = append(items, it)
+			testItem := item(fmt.Sprintf("f%d", i), spec)
+			testItem.NeedsPermit = rapid.Bool().Draw(t, "permits")
+			testItem.Priority = uint32(rapid.IntRange(0, 2).Draw(t, "priority"))
+			items = append(items, testItem)
 		}
 		limit := rapid.Int64Range(0, 60000).Draw(t, "limit")
 		v := view(servers, items...)
@@ -411,9 +411,9 @@
 	for _, s := range []steps.Server{freeSoon, busyForLong, denied} {
 		s.Used = capacity.Size{CPU: 4000}
 	}
-	it := item("x", tasks(2, 4000))
-	it.NeedsPermit, it.AdviserAsked = true, true
-	v := view([]steps.Server{freeSoon, busyForLong, denied}, it)
+	testItem := item("x", tasks(2, 4000))
+	testItem.NeedsPermit, testItem.AdviserAsked = true, true
+	v := view([]steps.Server{freeSoon, busyForLong, denied}, testItem)
 	v.Permissions = permissionsOf(v.Servers, func(_ flow.StepID, server string) steps.Permission {
 		if server == "other" {
 			return steps.Denied
@@ -452,12 +452,12 @@
 		servers = append(servers, s)
 	}
 	for i := range 50 {
-		it := item(fmt.Sprintf("f%02d", i), tasks(4, 4000))
+		testItem := item(fmt.Sprintf("f%02d", i), tasks(4, 4000))
 		if i%2 == 0 {
-			it = item(fmt.Sprintf("f%02d", i), gang(4, 4000))
+			testItem = item(fmt.Sprintf("f%02d", i), gang(4, 4000))
 		}
-		it.NeedsPermit, it.AdviserAsked = true, true
-		items = append(items, it)
+		testItem.NeedsPermit, testItem.AdviserAsked = true, true
+		items = append(items, testItem)
 	}
 	v := view(servers, items...)
 	stale := permissionsOf(servers, func(flow.StepID, string) steps.Permission { return steps.Stale })
@@ -548,9 +548,9 @@
 		servers = append(servers, s)
 	}
 	advice := &v1.Advice{Base: 480, Each: 6.9}
-	it := item("a", tasks(8, 1000))
-	it.NeedsPermit, it.AdviserAsked, it.QuestionSize = true, true, steps.QuestionSize(advice, 6*time.Second)
-	v := view(servers, it)
+	testItem := item("a", tasks(8, 1000))
+	testItem.NeedsPermit, testItem.AdviserAsked, testItem.QuestionSize = true, true, steps.QuestionSize(advice, 6*time.Second)
+	v := view(servers, testItem)
 	v.Permissions = permissionsOf(servers, func(flow.StepID, string) steps.Permission { return steps.NotAsked })
 	questions := steps.Make(v).Questions
 	if len(questions) != 1 || len(questions[0].Servers) < 60 {
--- a/internal/policy/steps/view.go
+++ b/internal/policy/steps/view.go
@@ -83,7 +83,7 @@
 	Permissions func(id flow.StepID) iter.Seq2[string, Permission]
 	// AllowedShare returns the share of servers on which the adviser allows steps of the queue
 	// of the item. It is nil while no share is known.
-	AllowedShare func(it Item) float64
+	AllowedShare func(item Item) float64
 	// Headroom returns the room in a pool that work which is not urgent leaves free. It is nil
 	// if no headroom is kept.
 	Headroom func(pool string) Headroom
