--- a/internal/control/dispatch/advice.go
+++ b/internal/control/dispatch/advice.go
@@ -29,8 +29,8 @@
 
 // stepAdvice holds the adviser's answers about one step.
 type stepAdvice struct {
-	// allowedServers tells for each server asked about whether it may run the step. The
-	// adviser never changes that answer.
+	// allowedServers holds, for each server that the adviser was asked about, whether
+	// the server may run the step. The adviser never changes that answer.
 	allowedServers map[string]bool
 	// permits holds the latest permit of each server.
 	permits map[string]permit
--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -199,8 +199,8 @@
 			continue
 		}
 		s := d.openSession(b)
-		// The previous leader may have renewed leases until it noticed that it was deposed.
-		// It noticed that no later than when its last proof of leadership expired.
+		// The previous leader may have renewed leases until its last proof of leadership
+		// expired. That proof expires at most maxLeadershipProofAge from now.
 		s.leaseEndsAt = d.Now() + maxLeadershipProofAge + d.MaxLease + leaseMargin
 	}
 	d.announceLeadership()
--- a/internal/control/dispatch/dispatch_test.go
+++ b/internal/control/dispatch/dispatch_test.go
@@ -335,7 +335,7 @@
 
 // Guards against gang members that wait for a server that became unreachable during the
 // start. The lease of the lost member is longer than the gang timeout, so the others would
-// hold their capacity in vain.
+// hold their capacity without making progress.
 func TestGangDoesNotWaitForUnresponsiveServer(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(id string, backend *worker.Worker) {
--- a/internal/control/leader/leader_test.go
+++ b/internal/control/leader/leader_test.go
@@ -107,8 +107,8 @@
 	})
 }
 
-// Guards against running a job that its caller was told was not run. A delayed copy
-// of the refused request arrives when the queue has room again.
+// Guards against running a job after its caller received the outcome "not run". A
+// delayed copy of the refused request arrives when the queue has room again.
 func TestALateCopyOfARefusedRequestNeverRuns(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		s := h.announceServer("b1", 4000)
--- a/internal/ledger/state/attempt.go
+++ b/internal/ledger/state/attempt.go
@@ -141,7 +141,7 @@
 		return chart.EndUnknown
 	case j.Spec.AtMostOnce && t.Started && !j.Cancelled:
 		// The server stopped the program while it was running. The program must not
-		// start again, and the ledger does not know how far it got.
+		// start again, and the ledger does not know how much of its work is done.
 		return chart.EndUnknown
 	case jobGivenUp:
 		t.Started = t.Started || end.Lost
--- a/internal/policy/blame/blame.go
+++ b/internal/policy/blame/blame.go
@@ -18,8 +18,9 @@
 	Blamed uint32
 }
 
-// Suspects returns the indices of the runs that may have caused the crash: among the runs that
-// had just started, those that were blamed most often before.
+// Suspects returns the indexes of the runs that may have caused the crash. Only runs that had
+// just started can have caused it. Of these, it returns the ones that were blamed most often
+// before.
 func Suspects(runs []Run) []int {
 	var out []int
 	maxBlamed := uint32(0)
--- a/internal/policy/cell/sizecount.go
+++ b/internal/policy/cell/sizecount.go
@@ -31,7 +31,8 @@
 	t.counts = slices.Delete(t.counts, i, i+1)
 }
 
-// anyPlaceable reports whether some waiting size may fit on a server, as far as f knows.
+// anyPlaceable reports whether f does not cover some waiting size, so that tasks of that size
+// may fit on a server.
 func (t *sizeCounts) anyPlaceable(f *unplaceableSizes) bool {
 	for _, s := range t.sizes {
 		if !f.covers(s) {
--- a/internal/policy/roster/roster.go
+++ b/internal/policy/roster/roster.go
@@ -18,7 +18,8 @@
 	// AbsentAfter is how long a voter must be silent before a learner with the whole log
 	// replaces it. A voter that was stopped only briefly rejoins as a learner.
 	AbsentAfter = 1500 * time.Millisecond
-	// AliveWithin is how recently a replica must have been heard of to join or to be promoted.
+	// AliveWithin is the maximum time since its last announcement for a replica to join or to
+	// be promoted.
 	AliveWithin = time.Second
 )
 
@@ -28,7 +29,7 @@
 // KnownReplica is a replica that has announced itself to the leader.
 type KnownReplica struct {
 	quorum.Member
-	// SilentFor is the time since the replica was last heard of.
+	// SilentFor is the time since the last announcement of the replica.
 	SilentFor time.Duration
 }
 
@@ -159,8 +160,8 @@
 	return n
 }
 
-// silentFor returns the time since a replica was last heard of. If it never was, that is the
-// time since the leader was elected.
+// silentFor returns the time since the last announcement of a replica, or the time since the
+// leader was elected if there was none.
 func (v GroupView) silentFor(id string) time.Duration {
 	for _, k := range v.Known {
 		if k.ID == id {
--- a/internal/policy/roster/roster_test.go
+++ b/internal/policy/roster/roster_test.go
@@ -28,7 +28,7 @@
 	return v
 }
 
-// setSilentFor sets the time since the replica was last heard of.
+// setSilentFor sets the time since the last announcement of the replica.
 func setSilentFor(v *roster.GroupView, id string, d time.Duration) {
 	for i := range v.Known {
 		if v.Known[i].ID == id {
--- a/internal/policy/steps/deadline.go
+++ b/internal/policy/steps/deadline.go
@@ -12,8 +12,8 @@
 	// value to its caller.
 	worthlessFactor = 3
 	// minRemainingFactor is the part of the declared remaining run time that a flow is expected
-	// to need at least. Declared run times are inaccurate, and a flow that is put back too
-	// early ends late.
+	// to need at least. Declared run times are inaccurate, and a flow that is counted
+	// as late too early is placed after others and ends late.
 	minRemainingFactor = 0.75
 	// runtimeTolerance is the multiple of its declared run time that a flow may need before it
 	// counts as worthless. A flow that is counted as worthless by mistake earns nothing.
--- a/internal/policy/steps/view.go
+++ b/internal/policy/steps/view.go
@@ -51,7 +51,7 @@
 	// a fault of its tasks.
 	RecentlyStarted bool
 	// OnProbation is true while a task that is suspected of crashing servers starts there.
-	// Nothing else is placed on the server meanwhile.
+	// Nothing else is placed on the server during that time.
 	OnProbation bool
 	// ShortLease is true when the server is set aside for urgent work and has a short lease.
 	ShortLease bool
