--- a/internal/control/leader/leader.go
+++ b/internal/control/leader/leader.go
@@ -302,7 +302,7 @@
 			}
 		case fn := <-l.inbox:
 			fn()
-			l.drainInbox()
+			l.runQueuedFunctions()
 		case <-ticker.C:
 			l.runTimers()
 		}
@@ -316,9 +316,9 @@
 // of its own load. YieldProcessor is called on the control thread.
 func (l *Leader) YieldProcessor() { l.processorYield.YieldIfDue() }
 
-// drainInbox runs further functions that are already queued, so that their commands
+// runQueuedFunctions runs further functions that are already queued, so that their commands
 // share one commit.
-func (l *Leader) drainInbox() {
+func (l *Leader) runQueuedFunctions() {
 	for range maxBatchesPerTurn {
 		l.YieldProcessor()
 		select {
--- a/internal/policy/simulator/simulation.go
+++ b/internal/policy/simulator/simulation.go
@@ -34,8 +34,8 @@
 	planInterval = 20 * time.Millisecond
 	// permitValidity is the time for which a permit is valid.
 	permitValidity = 1200 * time.Millisecond
-	// drainTime is the time that the simulation continues after the last request arrives.
-	drainTime = 20 * time.Second
+	// settleTime is the time that the simulation continues after the last request arrives.
+	settleTime = 20 * time.Second
 )
 
 // Mechanism is a part of the policy that can be disabled in a simulation.
@@ -159,7 +159,7 @@
 	m.scheduleRequests()
 	m.scheduleFaults()
 	m.tick()
-	end := m.scenario.Duration + drainTime
+	end := m.scenario.Duration + settleTime
 	for len(m.queue) > 0 && m.queue[0].time <= end {
 		e := heap.Pop(&m.queue).(event)
 		m.now = e.time
@@ -225,7 +225,7 @@
 			}
 		}
 	}
-	if m.now < m.scenario.Duration+drainTime {
+	if m.now < m.scenario.Duration+settleTime {
 		m.scheduleAfter(planInterval, m.tick)
 	}
 }
