--- a/internal/control/leader/item.go
+++ b/internal/control/leader/item.go
@@ -46,7 +46,7 @@
 		l.handleSync(target, request.Sync)
 		return
 	case *inner.Item_Leave:
-		l.handleLeave(target, request.Leave)
+		l.handleShutdownNotice(target, request.Leave)
 		return
 	}
 	k, err := l.authorize(item.GetCredential())
--- a/internal/control/leader/leader_test.go
+++ b/internal/control/leader/leader_test.go
@@ -23,7 +23,7 @@
 	"gypsumreel/internal/replica/group"
 )
 
-func TestARequestIsServedFromEndToEnd(t *testing.T) {
+func TestJobRunsFromSubmitToAnswer(t *testing.T) {
 	runWithLeader(t, func(h *harness) {
 		s := h.announceServer("b1", 8000)
 		syncSeq := s.sendSync()
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -76,7 +76,7 @@
 	l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Announce{Announce: reply}})
 }
 
-func (l *Leader) handleLeave(target ReplyTarget, req *v1.LeaveRequest) {
+func (l *Leader) handleShutdownNotice(target ReplyTarget, req *v1.LeaveRequest) {
 	r := l.markServer(req.GetServer(), backend.Draining)
 	if b, _ := l.ledger.Server(req.GetServer()); b.Incarnation != req.GetIncarnation() {
 		r = state.Result{Code: code.SessionReplaced}
--- a/internal/policy/cell/fault_test.go
+++ b/internal/policy/cell/fault_test.go
@@ -58,7 +58,7 @@
 
 // Service tasks must be spread over zones and racks, so that the service survives the loss of
 // one. When servers drain, the tasks move one at a time and never fall below the floor.
-func TestServiceSpreadsAndDrainsOneTaskAtATime(t *testing.T) {
+func TestServiceSpreadsAndMovesOneTaskAtATime(t *testing.T) {
 	w := newWorld(12)
 	service := submit(w, job.Spec{Kind: job.Service, MinRunningTasks: 5}, 6, 1000*time.Hour)
 	runUntil(t, w, time.Second)
