--- a/internal/control/leader/page.go
+++ b/internal/control/leader/page.go
@@ -15,9 +15,10 @@
 )
 
 // listJobs returns one page of a team's jobs in the order of acceptance, starting
-// after the job that the parameter after names. If teamName is empty, it lists the jobs of all teams,
-// which are named TEAM/ID. It refuses the request when the job after is no longer
-// known. Starting over would return the first page again and again.
+// after the job that the parameter after names. If teamName is empty, it lists the
+// jobs of all teams, which are named TEAM/ID. It refuses the request when the job
+// named by after is unknown. A list that started from the beginning instead would
+// return the first page again and again.
 func (l *Leader) listJobs(teamName, after string, limit uint32) ([]*v1.Summary, *code.Error) {
 	if limit == 0 {
 		limit = defaultPageSize
--- a/internal/domain/backend/backend.go
+++ b/internal/domain/backend/backend.go
@@ -14,7 +14,8 @@
 const (
 	// Ready servers accept new work.
 	Ready State = iota + 1
-	// Draining servers finish their tasks and receive no new work.
+	// Draining servers finish their tasks and receive no new work. They shut down
+	// gracefully, or an operator drains them or their zone.
 	Draining
 	// Suspect servers have stopped reporting; they receive no new work.
 	Suspect
--- a/internal/ledger/state/server.go
+++ b/internal/ledger/state/server.go
@@ -37,9 +37,8 @@
 		State:       backend.Ready,
 		StateSince:  s.now,
 	}
-	// A drain requested by an operator survives a restart of the server. A drain that
-	// the server requested for its own shutdown ends when the server announces itself
-	// again.
+	// A drain requested by an operator survives a restart of the server. A graceful
+	// shutdown that the server requested ends when the server announces itself again.
 	s.putServer(b)
 	s.observer().ServerChanged(s.withZoneDrain(s.servers[b.ID]))
 	return Result{Incarnation: b.Incarnation}
--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -34,18 +34,18 @@
 		want  code.Code
 		retry bool
 	}{
-		"admitted":                            {small, view(nil), code.OK, false},
-		"no task":                             {with(func(s *job.Spec) { s.Count = 0 }), view(nil), code.Malformed, false},
-		"task larger than any server":         {with(func(s *job.Spec) { s.Size.CPU = 4001 }), view(nil), code.Unplaceable, false},
-		"gang larger than the cell":           {with(func(s *job.Spec) { s.Kind, s.Count = job.Gang, 41 }), view(nil), code.Unplaceable, false},
-		"above the team limit":                {small, view(func(v *admit.View) { v.Row.Limit.CPU = 999 }), code.Unplaceable, false},
-		"no server announced yet":             {small, view(func(v *admit.View) { v.ServerSizes = nil }), code.OK, false},
-		"team queue full":                     {small, view(func(v *admit.View) { v.TeamWaiting = 100 }), code.QueueFull, true},
-		"cell queue nearly full by this team": {small, view(func(v *admit.View) { v.CellWaiting, v.TeamWaiting, v.WaitingTeams = 900, 99, 10 }), code.Overloaded, true},
-		"cell queue nearly full by others":    {small, view(func(v *admit.View) { v.CellWaiting, v.TeamWaiting, v.WaitingTeams = 900, 10, 10 }), code.OK, false},
-		"deadline shorter than the wait":      {with(func(s *job.Spec) { s.PlacementTimeout = time.Second }), view(func(v *admit.View) { v.TeamWaiting, v.PlacementRate = 50, 10 }), code.DeadlinePassed, true},
-		"urgent does not wait in the queue":   {with(func(s *job.Spec) { s.PlacementTimeout, s.Kind = time.Second, job.Urgent }), view(func(v *admit.View) { v.TeamWaiting, v.PlacementRate = 50, 10 }), code.OK, false},
-		"deadline with an unknown drain rate": {with(func(s *job.Spec) { s.PlacementTimeout = time.Second }), view(func(v *admit.View) { v.TeamWaiting = 50 }), code.OK, false},
+		"admitted":                                {small, view(nil), code.OK, false},
+		"no task":                                 {with(func(s *job.Spec) { s.Count = 0 }), view(nil), code.Malformed, false},
+		"task larger than any server":             {with(func(s *job.Spec) { s.Size.CPU = 4001 }), view(nil), code.Unplaceable, false},
+		"gang larger than the cell":               {with(func(s *job.Spec) { s.Kind, s.Count = job.Gang, 41 }), view(nil), code.Unplaceable, false},
+		"above the team limit":                    {small, view(func(v *admit.View) { v.Row.Limit.CPU = 999 }), code.Unplaceable, false},
+		"no server announced yet":                 {small, view(func(v *admit.View) { v.ServerSizes = nil }), code.OK, false},
+		"team queue full":                         {small, view(func(v *admit.View) { v.TeamWaiting = 100 }), code.QueueFull, true},
+		"cell queue nearly full by this team":     {small, view(func(v *admit.View) { v.CellWaiting, v.TeamWaiting, v.WaitingTeams = 900, 99, 10 }), code.Overloaded, true},
+		"cell queue nearly full by others":        {small, view(func(v *admit.View) { v.CellWaiting, v.TeamWaiting, v.WaitingTeams = 900, 10, 10 }), code.OK, false},
+		"deadline shorter than the wait":          {with(func(s *job.Spec) { s.PlacementTimeout = time.Second }), view(func(v *admit.View) { v.TeamWaiting, v.PlacementRate = 50, 10 }), code.DeadlinePassed, true},
+		"urgent does not wait in the queue":       {with(func(s *job.Spec) { s.PlacementTimeout, s.Kind = time.Second, job.Urgent }), view(func(v *admit.View) { v.TeamWaiting, v.PlacementRate = 50, 10 }), code.OK, false},
+		"deadline with an unknown placement rate": {with(func(s *job.Spec) { s.PlacementTimeout = time.Second }), view(func(v *admit.View) { v.TeamWaiting = 50 }), code.OK, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
