--- a/internal/control/dispatch/crash.go
+++ b/internal/control/dispatch/crash.go
@@ -71,11 +71,12 @@
 	}
 }
 
-// freshPeriod is the time after its start during which a server counts as fresh. A server
-// in a crash loop crashes again within seconds.
-const freshPeriod = 10 * time.Second
+// recentStartPeriod is the time during which a server counts as recently started. A server in
+// a crash loop crashes again within seconds.
+const recentStartPeriod = 10 * time.Second
 
-// isFresh reports whether the server's incarnation started within freshPeriod.
-func isFresh(b *flows.Server, clock time.Duration) bool {
-	return clock-time.Duration(b.StartedAtMs)*time.Millisecond < freshPeriod
+// isRecentlyStarted reports whether the server's incarnation started within
+// recentStartPeriod.
+func isRecentlyStarted(b *flows.Server, clock time.Duration) bool {
+	return clock-time.Duration(b.StartedAtMs)*time.Millisecond < recentStartPeriod
 }
--- a/internal/control/dispatch/route.go
+++ b/internal/control/dispatch/route.go
@@ -51,8 +51,8 @@
 	return d.MaxDirectServers == nil || len(d.leader.sessions)-d.leader.relayedSessions+additional <= d.MaxDirectServers()
 }
 
-// nextRelay returns the helper to try next for a server that did not answer: each helper in
-// turn, then empty for the direct route. Each server uses its own order of the helpers. A
+// nextRelay returns the address of the helper through which a server that did not answer is
+// called next. It returns each helper in turn, and then the empty address for the direct route. Each server uses its own order of the helpers. A
 // single helper that relays for all servers would run out of connections, because each
 // relayed call is a long poll.
 func (d *Dispatcher) nextRelay(server, current string) string {
--- a/internal/ledger/flows/crash.go
+++ b/internal/ledger/flows/crash.go
@@ -16,8 +16,8 @@
 	MaxBlamedCrashes = 3
 	// MaxConsecutiveCrashes is the number of consecutive crashes, whatever their cause,
 	// after which the task is given up. It covers a task that crashes its servers only
-	// after running for a while, because such a task looks like the tasks
-	// beside it.
+	// after running for a while, because such a task cannot be
+	// distinguished from the other tasks on the server.
 	MaxConsecutiveCrashes = 4
 	// stableRunTime is the run time after which a task is considered stable. Its crash
 	// counts are then reset.
