--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -29,7 +29,7 @@
 // report are committed. After it is acknowledged, a server that is shutting down gets no new tasks.
 func (d *Dispatcher) AcceptReport(ctx context.Context, r Report) *code.Error {
 	receivedAt := d.Now()
-	fault, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
+	refusal, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
 		d.handleReport(r, reply)
 		if s := d.leader.sessions[r.GetId()]; s != nil && s.incarnation == r.GetBorn() {
 			s.applyReport(r, receivedAt)
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	return fault
+	return refusal
 }
 
 func (d *Dispatcher) handleReport(r Report, reply func(*code.Error)) {
--- a/internal/control/dispatch/urgent.go
+++ b/internal/control/dispatch/urgent.go
@@ -11,8 +11,8 @@
 
 // Parameters of the headroom for urgent tasks.
 const (
-	// headroomPeriod is the period of urgent starts for which capacity is kept free. In
-	// about that time running tasks release the same capacity. Without headroom, urgent
+	// headroomPeriod is the period for whose urgent starts capacity is kept free. Running
+	// tasks release about as much capacity within it. Without headroom, urgent
 	// tasks find every server full and wait for runs of several seconds to end.
 	headroomPeriod = 250 * time.Millisecond
 	// demandDecayTime is the time constant with which past starts lose weight in the
--- a/internal/control/dispatch/zone.go
+++ b/internal/control/dispatch/zone.go
@@ -15,7 +15,7 @@
 // SetZoneDrain starts or ends the drain of an availability zone. It returns when the change is
 // committed. From the commit of a drain on, no leader starts a task in the zone.
 func (d *Dispatcher) SetZoneDrain(ctx context.Context, zone string, drain bool) *code.Error {
-	fault, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
+	refusal, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
 		if ctx.Err() != nil {
 			// The sender has given up and may have sent the opposite order to another
 			// replica. Executing this order now would undo the newer one.
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	return fault
+	return refusal
 }
 
 // checkZones requests a new plan when the drained zones have changed for any reason, and
--- a/internal/control/leader/snapshot_test.go
+++ b/internal/control/leader/snapshot_test.go
@@ -19,7 +19,7 @@
 		committedEntries := append([]quorum.Entry{}, h.group.logEntries()...)
 		h.group.holdCommits()
 		h.withLedger(func(*state.State) { h.leader.SnapshotInterval = 1 })
-		h.pushSubmit(batchSpec("ghost"))
+		h.pushSubmit(batchSpec("uncommitted"))
 		time.Sleep(time.Second) // the snapshot is encoded and waits for its commit
 		for i := range 50 {
 			index := uint64(len(committedEntries)) + 1
@@ -39,7 +39,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, ok := st.FindJob(state.RequestID{Team: "rail", ID: "ghost"}); ok {
+			if _, ok := st.FindJob(state.RequestID{Team: "rail", ID: "uncommitted"}); ok {
 				t.Error("a snapshot holds a job that was never committed")
 			}
 		}
--- a/internal/policy/shortlease/selection.go
+++ b/internal/policy/shortlease/selection.go
@@ -1,7 +1,7 @@
 // Package shortlease selects the backend servers of a pool that are set aside for urgent work
 // and get short leases. When a server goes silent, its tasks are placed again only after its
 // lease has expired. A long lease keeps tasks of several minutes running while there is no
-// leader, but urgent tasks of a second have lost their value by then. A server has a single
+// leader, but an urgent task that takes a second has lost its value by then. A server has a single
 // lease with the longest duration that any of its tasks needs, so urgent work is kept on a few
 // separate servers.
 package shortlease
