--- a/internal/control/dispatch/advice.go
+++ b/internal/control/dispatch/advice.go
@@ -29,8 +29,8 @@
 
 // stepAdvice holds the adviser's answers about one step.
 type stepAdvice struct {
-	// allowedServers tells for each server asked about whether it may run the step. The
-	// adviser never changes that answer.
+	// allowedServers holds, for each server that the adviser was asked about, whether
+	// the server may run the step. The adviser never changes that answer.
 	allowedServers map[string]bool
 	// permits holds the latest permit of each server.
 	permits map[string]permit
@@ -59,8 +59,8 @@
 }
 
 // replaceQuestions replaces the pending questions by those of a new plan and sends as many
-// as there are free helpers. The rest is sent when helpers become free before the next
-// plan.
+// as there are free helpers. The other questions are sent as helpers
+// become free.
 func (d *Dispatcher) replaceQuestions(wants []steps.Question, now time.Duration) {
 	d.leader.pendingQuestions = wants
 	d.askPendingQuestions(now)
--- a/internal/control/dispatch/closing.go
+++ b/internal/control/dispatch/closing.go
@@ -24,8 +24,9 @@
 	}
 }
 
-// beginClosing starts to close the session of an incarnation that has ended. Starts in
-// transit may reach the next incarnation at the same address, so they are settled first.
+// beginClosing starts to close the session of an incarnation that has ended. A start in
+// transit may reach the next incarnation at the same address, so the session stays until no
+// start can be executed any more.
 func (d *Dispatcher) beginClosing(s *session, reason string) {
 	if s.closeReason == "" {
 		s.closeReason, s.closingSince = reason, d.Now()
@@ -34,9 +35,9 @@
 	d.closeWhenSettled(s, d.Now())
 }
 
-// closeWhenSettled closes a session when no start sent to it can still be executed. Each
-// unconfirmed start is stopped at the address, or its time limit passes. A run that such a
-// stop found on the next incarnation may continue for as long as a stop takes.
+// closeWhenSettled closes a session when no start sent to it can still be executed. An
+// unconfirmed start is stopped at the server's address, unless its time limit passes first.
+// If the stop reaches the next incarnation, a run there may continue for MaxStopTime.
 func (d *Dispatcher) closeWhenSettled(s *session, now time.Duration) {
 	if now < s.closingSince+d.MaxLease+2*callTimeout {
 		for _, r := range s.runs {
@@ -59,20 +60,20 @@
 // recordLostRuns records in the ledger that none of the runs of a session is running any
 // more.
 func (d *Dispatcher) recordLostRuns(s *session, closed bool) {
-	cleared := &record.FlowClear{Id: s.id, Born: s.incarnation, Over: closed}
+	command := &record.FlowClear{Id: s.id, Born: s.incarnation, Over: closed}
 	end := inner.RunEnd_RUN_END_LOST
 	if closed && d.endedUnexpectedly(s) {
-		end, cleared.Blamed = inner.RunEnd_RUN_END_CRASHED, d.blamedRuns(s)
+		end, command.Blamed = inner.RunEnd_RUN_END_CRASHED, d.blamedRuns(s)
 	}
 	wantedBefore, otherRuns := d.wantedRuns(s), len(s.runs)-1
 	for _, r := range s.runs {
 		if r.checkpoint != "" {
-			cleared.Saved = append(cleared.Saved, &record.FlowSaved{Run: r.Message(), Checkpoint: r.checkpoint})
+			command.Saved = append(command.Saved, &record.FlowSaved{Run: r.Message(), Checkpoint: r.checkpoint})
 		}
 		event.Log(d.Log, event.AttemptLost, "flow", r.Flow, "run", r.String(), "server", s.id, "how", end.String(), "checkpoint", r.checkpoint, "over", closed, "age", d.runAge(s, r).String(), "beside", otherRuns)
 		d.flowMetrics.countRunEnd(end)
 	}
-	if d.applyOrLog(&record.Flow{What: &record.Flow_Clear{Clear: cleared}}) {
+	if d.applyOrLog(&record.Flow{What: &record.Flow_Clear{Clear: command}}) {
 		d.logFailedFlows(s, wantedBefore)
 		s.runs = map[flow.TaskID]*run{}
 		s.listReceived = false
--- a/internal/control/dispatch/dispatch.go
+++ b/internal/control/dispatch/dispatch.go
@@ -137,7 +137,7 @@
 	// The other servers are called through helpers. Nil means no limit. It must be safe for
 	// concurrent use.
 	MaxDirectServers func() int
-	// Machines starts the upkeep (maintenance) of machines; nil disables upkeep.
+	// Machines starts the maintenance of machines; nil disables maintenance waves.
 	Machines Machines
 	// MaxLease is the longest lease that a backend server grants.
 	MaxLease time.Duration
@@ -191,7 +191,7 @@
 		urgentDemand: map[string]*startDemand{}, urgentServers: map[string]*shortlease.Selection{}, recurringFlows: map[string]bool{},
 		rateBuckets: map[string]*rateBucket{}, surplusFlows: map[string]bool{},
 		serverSpeeds: map[string]*serverSpeed{}, stepTimes: map[flow.StepID]steps.Timing{}, avoidedServers: map[flow.StepID]map[string]bool{},
-		pendingRequests: map[uint64]func(){}, drainingForUpkeep: map[string]bool{}, upkeepRetryAt: map[string]time.Duration{},
+		pendingRequests: map[uint64]func(){}, nextForMaintenance: map[string]bool{}, maintenanceRetryAt: map[string]time.Duration{},
 	}
 	ledger := d.Host.Flows()
 	for _, b := range ledger.Servers() {
@@ -199,8 +199,8 @@
 			continue
 		}
 		s := d.openSession(b)
-		// The previous leader may have renewed leases until it noticed that it was deposed.
-		// It noticed that no later than when its last proof of leadership expired.
+		// The previous leader may have renewed leases until its last proof of leadership
+		// expired. That proof expires at most maxLeadershipProofAge from now.
 		s.leaseEndsAt = d.Now() + maxLeadershipProofAge + d.MaxLease + leaseMargin
 	}
 	d.announceLeadership()
--- a/internal/control/leader/eventlog.go
+++ b/internal/control/leader/eventlog.go
@@ -116,9 +116,9 @@
 	return s.state != backend.Gone && (s.drainRequested || s.state == backend.Draining)
 }
 
-// recordRelease records that an attempt ended, and logs when a draining server has
-// become idle.
-func (l *Leader) recordRelease(t *state.Task, end state.AttemptEnd) {
+// countAttemptEnd updates the counters for an ended attempt, and logs when a draining
+// server has become idle.
+func (l *Leader) countAttemptEnd(t *state.Task, end state.AttemptEnd) {
 	reported := &l.leadership.reported
 	reported.runningTasks--
 	if end.Lost || end.Failed || !end.Started {
@@ -141,7 +141,7 @@
 	}
 }
 
-func (l *Leader) recordPlacement(t *state.Task) {
+func (l *Leader) countPlacement(t *state.Task) {
 	reported := &l.leadership.reported
 	reported.runningTasks++
 	if s, ok := reported.servers[t.Server]; ok && s.idle {
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -76,7 +76,7 @@
 	l.replyWhenCommitted(target, &inner.Reply{Answer: &inner.Reply_Announce{Announce: reply}})
 }
 
-func (l *Leader) handleLeave(target ReplyTarget, req *v1.LeaveRequest) {
+func (l *Leader) handleShutdownNotice(target ReplyTarget, req *v1.LeaveRequest) {
 	r := l.markServer(req.GetServer(), backend.Draining)
 	if b, _ := l.ledger.Server(req.GetServer()); b.Incarnation != req.GetIncarnation() {
 		r = state.Result{Code: code.SessionReplaced}
@@ -107,8 +107,8 @@
 	l.schedule(s.parkedUntil, func() { l.leadership.updatedServers[b.ID] = true })
 }
 
-// applyReports records ended attempts in the ledger and the phases of the others in
-// the session.
+// applyReports records the ends of attempts in the ledger and the reported phases of all
+// attempts in the session.
 func (l *Leader) applyReports(b state.Server, s *session, reports []*v1.Report) {
 	clear(s.reportedPhases)
 	for _, r := range reports {
--- a/internal/domain/backend/backend.go
+++ b/internal/domain/backend/backend.go
@@ -14,14 +14,16 @@
 const (
 	// Ready servers accept new work.
 	Ready State = iota + 1
-	// Draining servers finish their tasks and receive no new work.
+	// Draining servers finish their tasks and receive no new work. They shut down
+	// gracefully, or an operator drains them or their zone.
 	Draining
 	// Suspect servers have stopped reporting; they receive no new work.
 	Suspect
 	// Quarantined servers failed tasks that other servers completed; they receive
 	// only probe tasks.
 	Quarantined
-	// Gone servers run nothing, because they have left or their lease has expired.
+	// Gone servers run nothing, because they have shut down or their lease has
+	// expired.
 	Gone
 )
 
--- a/internal/ledger/flows/crash_test.go
+++ b/internal/ledger/flows/crash_test.go
@@ -51,11 +51,11 @@
 	c.apply(&record.Flow{What: &record.Flow_Server{Server: &record.FlowServer{Id: server, Born: 1, Pool: "p", Capacity: &v1.Size{Cpu: 4, Memory: 100}, Leaving: shuttingDown}}})
 }
 
-// endIncarnation ends a server incarnation if over is true, and otherwise only its
-// lease.
-func (c *crashFixture) endIncarnation(server string, ended bool, blamed ...*inner.Run) {
+// endIncarnation records the end of a server incarnation if processEnded is true, and
+// otherwise only the end of its lease.
+func (c *crashFixture) endIncarnation(server string, processEnded bool, blamed ...*inner.Run) {
 	c.t.Helper()
-	c.apply(&record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: server, Born: 1, Over: ended, Blamed: blamed}}})
+	c.apply(&record.Flow{What: &record.Flow_Clear{Clear: &record.FlowClear{Id: server, Born: 1, Over: processEnded, Blamed: blamed}}})
 }
 
 // restoreFromSnapshot replaces the ledger by one restored from its own snapshot.
@@ -101,7 +101,7 @@
 }
 
 // Guards against healthy tasks that are given up because of planned shutdowns, expired
-// leases, or rare crashes under a long-running task.
+// leases, or rare crashes under a lasting task.
 func TestPlannedOrRareServerLossesDoNotFailTheFlow(t *testing.T) {
 	step := func() *v1.FlowStep { return &v1.FlowStep{Count: 1, Size: &v1.Size{Cpu: 1}, Lasting: true} }
 	t.Run("graceful shutdown", func(t *testing.T) {
@@ -147,7 +147,7 @@
 			fixture.endIncarnation(server, true)
 		}
 		if fixture.flowFailed() {
-			t.Error("flow failed because of rare crashes of a long-running task")
+			t.Error("flow failed because of rare crashes of a lasting task")
 		}
 	})
 }
--- a/internal/ledger/flows/run.go
+++ b/internal/ledger/flows/run.go
@@ -22,7 +22,7 @@
 	}
 	b := &Server{
 		ID: m.GetId(), StartedAtMs: m.GetBorn(), Address: m.GetAddress(), Zone: m.GetZone(), Pool: m.GetPool(), Machine: m.GetMachine(),
-		Capacity: sizeFromMessage(m.GetCapacity()), Labels: m.GetLabels(), ShuttingDown: m.GetLeaving(), LastReport: m.GetCall(), WarmUpEndsAt: now + time.Duration(m.GetCold())*time.Millisecond, HeldRuns: map[flow.TaskID]*HeldRun{},
+		Capacity: sizeFromMessage(m.GetCapacity()), Labels: m.GetLabels(), ShuttingDown: m.GetLeaving(), LastReport: m.GetCall(), SlowStartEndsAt: now + time.Duration(m.GetCold())*time.Millisecond, HeldRuns: map[flow.TaskID]*HeldRun{},
 	}
 	if known && m.GetBorn() == old.StartedAtMs {
 		if old.Ended {
@@ -297,7 +297,8 @@
 }
 
 // countFailure counts a run that failed or crashed its server, and reports whether the
-// limit is reached. Failed runs of steps that run until cancelled are not limited.
+// limit is reached. Failed runs of lasting steps, whose tasks run until
+// cancelled, are not limited.
 func (l *Ledger) countFailure(s *Step, id flow.RunID, runEnd inner.RunEnd) bool {
 	switch {
 	case runEnd == inner.RunEnd_RUN_END_CRASHED:
--- a/internal/policy/cell/fault_test.go
+++ b/internal/policy/cell/fault_test.go
@@ -58,7 +58,7 @@
 
 // Service tasks must be spread over zones and racks, so that the service survives the loss of
 // one. When servers drain, the tasks move one at a time and never fall below the floor.
-func TestServiceSpreadsAndDrainsOneTaskAtATime(t *testing.T) {
+func TestServiceSpreadsAndMovesOneTaskAtATime(t *testing.T) {
 	w := newWorld(12)
 	service := submit(w, job.Spec{Kind: job.Service, MinRunningTasks: 5}, 6, 1000*time.Hour)
 	runUntil(t, w, time.Second)
@@ -164,13 +164,13 @@
 func TestMemoryOveruseStopsTaskAndParksJob(t *testing.T) {
 	w := newWorld(1)
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize}
-	overuser := w.Submit(spec, []time.Duration{time.Hour}, capacity.Size{CPU: 1000, Memory: 2048, Slots: 1}, false)
+	overusingJob := w.Submit(spec, []time.Duration{time.Hour}, capacity.Size{CPU: 1000, Memory: 2048, Slots: 1}, false)
 	runUntil(t, w, 12*time.Second)
 	others := submit(w, job.Spec{Team: "b"}, 3, time.Hour)
 	runUntil(t, w, 13*time.Second)
 	assertEqual(t, "other tasks on the server", 2, len(w.ServersOf(others)))
 	runUntil(t, w, 5*time.Minute)
-	assertEqual(t, "tasks left of the overuser", 0, w.UnfinishedTasks(overuser))
+	assertEqual(t, "tasks left of the overuser", 0, w.UnfinishedTasks(overusingJob))
 	assertEqual(t, "stop and park decisions", []int{3, 1}, []int{w.DecisionCount(plan.Stop), w.DecisionCount(plan.Park)})
 }
 
@@ -179,13 +179,13 @@
 func TestOveruseOfOnceTaskIsOnlyThrottled(t *testing.T) {
 	w := newWorld(1)
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize, AtMostOnce: true}
-	overuser := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 1000, Memory: 4096, Slots: 1}, false)
+	overusingJob := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 1000, Memory: 4096, Slots: 1}, false)
 	runUntil(t, w, 12*time.Second)
 	others := submit(w, job.Spec{Team: "b"}, 3, time.Hour)
 	runUntil(t, w, 50*time.Second)
-	assertEqual(t, "running tasks of the overuser, other tasks on the server", []int{1, 0}, []int{w.RunningTasks(overuser), len(w.ServersOf(others))})
+	assertEqual(t, "running tasks of the overuser, other tasks on the server", []int{1, 0}, []int{w.RunningTasks(overusingJob), len(w.ServersOf(others))})
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "tasks left of the overuser, other tasks placed afterwards", []int{0, 3}, []int{w.UnfinishedTasks(overuser), len(w.ServersOf(others))})
+	assertEqual(t, "tasks left of the overuser, other tasks placed afterwards", []int{0, 3}, []int{w.UnfinishedTasks(overusingJob), len(w.ServersOf(others))})
 	assertEqual(t, "throttle and stop decisions", []int{1, 0}, []int{w.DecisionCount(plan.Throttle), w.DecisionCount(plan.Stop)})
 }
 
@@ -194,9 +194,9 @@
 func TestCPUOveruseIsThrottled(t *testing.T) {
 	w := newWorld(1)
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize}
-	overuser := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 2500, Memory: 1024, Slots: 1}, false)
+	overusingJob := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 2500, Memory: 1024, Slots: 1}, false)
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "tasks left of the overuser", 0, w.UnfinishedTasks(overuser))
+	assertEqual(t, "tasks left of the overuser", 0, w.UnfinishedTasks(overusingJob))
 	assertEqual(t, "throttle and stop decisions", []int{1, 0}, []int{w.DecisionCount(plan.Throttle), w.DecisionCount(plan.Stop)})
 }
 
@@ -257,7 +257,7 @@
 			lastJob++
 			runAttempt(lastJob, "good", allServers[i].ID, true)
 		}
-		runAttempt(1, "sound", allServers[i].ID, true)
+		runAttempt(1, "healthy", allServers[i].ID, true)
 		for range 8 {
 			lastJob++
 			runAttempt(lastJob, "good", "s39", false)
@@ -357,12 +357,12 @@
 // tasks that are really short, because the planner uses the run times learned for their name.
 func TestLearnedRuntimeOrdersQueue(t *testing.T) {
 	w := newWorld(1)
-	submit(w, job.Spec{Name: "liar", EstimatedRuntime: time.Second}, 8, 30*time.Second)
+	submit(w, job.Spec{Name: "underdeclared", EstimatedRuntime: time.Second}, 8, 30*time.Second)
 	runUntil(t, w, 2*time.Minute)
 	blocker := submit(w, job.Spec{Name: "blocker", EstimatedRuntime: time.Second}, 4, 10*time.Second)
 	runUntil(t, w, 2*time.Minute+time.Second)
-	underdeclared := submit(w, job.Spec{Name: "liar", EstimatedRuntime: time.Second}, 4, 30*time.Second)
+	underdeclared := submit(w, job.Spec{Name: "underdeclared", EstimatedRuntime: time.Second}, 4, 30*time.Second)
 	short := submit(w, job.Spec{Name: "short", EstimatedRuntime: 5 * time.Second}, 4, 5*time.Second)
 	runUntil(t, w, 2*time.Minute+12*time.Second)
-	assertEqual(t, "blocker, liar, short running", []int{0, 0, 4}, []int{len(w.ServersOf(blocker)), len(w.ServersOf(underdeclared)), len(w.ServersOf(short))})
+	assertEqual(t, "blocker, underdeclared, short running", []int{0, 0, 4}, []int{len(w.ServersOf(blocker)), len(w.ServersOf(underdeclared)), len(w.ServersOf(short))})
 }
--- a/internal/policy/pace/pace_test.go
+++ b/internal/policy/pace/pace_test.go
@@ -6,9 +6,9 @@
 	"gypsumreel/internal/policy/pace"
 )
 
-// At full pace, the batch tasks raise the latency of a service to three times its target, and
+// At full pace, the fill tasks raise the latency of a serving task to three times its target, and
 // the latency grows with the pace. With two updates a second, the target must be met well
-// within four seconds, and the batch tasks must get back most of the pace that does no harm.
+// within four seconds, and the fill tasks must get back most of the pace that does no harm.
 func TestLatencyTargetIsMetAndCapacityIsUsed(t *testing.T) {
 	latencyAt := func(percent int) float64 { return 50 + 2.5*float64(percent) }
 	percent, missed := pace.Full, 0
@@ -19,7 +19,7 @@
 				t.Errorf("target missed in update %d with a pace of %d", round, percent)
 			}
 		}
-		percent = pace.Next(percent, []pace.ServiceTask{{TailLatency: latencyAt(percent), TargetLatency: 100}})
+		percent = pace.Next(percent, []pace.ServingTask{{TailLatency: latencyAt(percent), TargetLatency: 100}})
 	}
 	if missed > 4 || percent < 5 {
 		t.Errorf("target missed %d times, the final pace is %d", missed, percent)
@@ -32,12 +32,12 @@
 	}
 	percent := pace.Full
 	for range 5 {
-		percent = pace.Next(percent, []pace.ServiceTask{{TailLatency: 500, TargetLatency: 100}})
+		percent = pace.Next(percent, []pace.ServingTask{{TailLatency: 500, TargetLatency: 100}})
 	}
 	if percent != 0 {
 		t.Error(percent)
 	}
-	if got := pace.Next(0, []pace.ServiceTask{{TailLatency: 1, TargetLatency: 100}}); got == 0 {
+	if got := pace.Next(0, []pace.ServingTask{{TailLatency: 1, TargetLatency: 100}}); got == 0 {
 		t.Error("a stopped task is not resumed although the target is met")
 	}
 }
--- a/internal/policy/steps/deadline.go
+++ b/internal/policy/steps/deadline.go
@@ -12,8 +12,8 @@
 	// value to its caller.
 	worthlessFactor = 3
 	// minRemainingFactor is the part of the declared remaining run time that a flow is expected
-	// to need at least. Declared run times are inaccurate, and a flow that is put back too
-	// early ends late.
+	// to need at least. Declared run times are inaccurate, and a flow that is counted
+	// as late too early is placed after others and ends late.
 	minRemainingFactor = 0.75
 	// runtimeTolerance is the multiple of its declared run time that a flow may need before it
 	// counts as worthless. A flow that is counted as worthless by mistake earns nothing.
@@ -71,12 +71,12 @@
 }
 
 // WithAge returns the item with Slack, Late and Worthless computed from the age of its flow.
-func (it Item) WithAge(t Timing, age time.Duration) Item {
+func (item Item) WithAge(t Timing, age time.Duration) Item {
 	minDuration := age + time.Duration(minRemainingFactor*float64(t.Remaining))
-	finite := !it.Spec.GetLasting()
-	it.Slack = t.Objective - age - t.Remaining
+	finite := !item.Spec.GetLasting()
+	item.Slack = t.Objective - age - t.Remaining
 	// Urgent work is never marked late: its callers keep waiting, and it is short.
-	it.Late = finite && !it.Urgent && minDuration > t.Objective
-	it.Worthless = finite && minDuration > worthlessFactor*t.TolerantObjective
-	return it
+	item.Late = finite && !item.Urgent && minDuration > t.Objective
+	item.Worthless = finite && minDuration > worthlessFactor*t.TolerantObjective
+	return item
 }
--- a/internal/policy/steps/view.go
+++ b/internal/policy/steps/view.go
@@ -45,13 +45,13 @@
 	*flows.Server
 	// Speed is the speed relative to the other servers; 1 is the average.
 	Speed float64
-	// Cold is true while the server is slow because it has just started.
-	Cold bool
+	// InSlowStart is true while the server is slow because it has just started.
+	InSlowStart bool
 	// RecentlyStarted is true just after a start of the server, when it may crash again without
 	// a fault of its tasks.
 	RecentlyStarted bool
 	// OnProbation is true while a task that is suspected of crashing servers starts there.
-	// Nothing else is placed on the server meanwhile.
+	// Nothing else is placed on the server during that time.
 	OnProbation bool
 	// ShortLease is true when the server is set aside for urgent work and has a short lease.
 	ShortLease bool
@@ -83,7 +83,7 @@
 	Permissions func(id flow.StepID) iter.Seq2[string, Permission]
 	// AllowedShare returns the share of servers on which the adviser allows steps of the queue
 	// of the item. It is nil while no share is known.
-	AllowedShare func(it Item) float64
+	AllowedShare func(item Item) float64
 	// Headroom returns the room in a pool that work which is not urgent leaves free. It is nil
 	// if no headroom is kept.
 	Headroom func(pool string) Headroom
