--- a/internal/replica/group/group.go
+++ b/internal/replica/group/group.go
@@ -54,7 +54,7 @@
 type Journal interface {
 	// Append writes without syncing. An entry whose index is already in the journal
 	// replaces the stored entry and all entries after it. When Append returns
-	// disk.ErrFull, the journal is unchanged.
+	// disk.ErrDiskFull, the journal is unchanged.
 	Append(hard *quorum.HardState, entries []quorum.Entry) error
 	// Sync returns once everything appended is on stable storage.
 	Sync() error
