--- a/internal/cli/entry/entry.go
+++ b/internal/cli/entry/entry.go
@@ -50,8 +50,8 @@
 		return err
 	}
 	e.OutsideTLS, e.InsideTLS = daemonTLS.Outside.ServerConfig(), daemonTLS.Inside.ClientConfig(daemonTLS.ReplicaNames...)
-	pool := e.Pool()
-	pool.CallTimeout, pool.MaxContactAge, pool.MaxPushItems = s.Time.CallTimeout, s.Time.MaxLeaderSilence, int(s.Limits.BatchItems)
+	leaderClient := e.LeaderClient()
+	leaderClient.CallTimeout, leaderClient.MaxContactAge, leaderClient.MaxPushItems = s.Time.CallTimeout, s.Time.MaxLeaderSilence, int(s.Limits.BatchItems)
 	event.Log(e.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
 	defer event.Log(e.Log, event.Stopped, "process", s.Name)
 	dumpHandler := &dump.SignalHandler{Name: s.Name, State: e.Dump, MaxBytes: int(s.Limits.DumpBytes), Log: e.Log}
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -97,10 +97,10 @@
 	MaxPendingRequests int
 
 	// initOnce guards the initialisation of the defaults, the pool and the metrics.
-	initOnce  sync.Once
-	pool      *control.Client
-	metricSet *metrics.Set
-	phase     atomic.Int32
+	initOnce     sync.Once
+	leaderClient *control.Client
+	metricSet    *metrics.Set
+	phase        atomic.Int32
 	// reportedUnready is true if the last readiness check failed.
 	reportedUnready atomic.Bool
 	done            chan struct{}
@@ -138,7 +138,7 @@
 		}
 		e.metricSet = metrics.NewSet()
 		e.done = make(chan struct{})
-		e.pool = &control.Client{
+		e.leaderClient = &control.Client{
 			Cell: e.Cell, Name: e.Name, Replicas: e.ControlReplicas, TLS: e.InsideTLS, Dial: e.Dial,
 			Log: e.Log, Metrics: e.metricSet, MaxPending: e.MaxPendingRequests,
 		}
@@ -148,8 +148,8 @@
 // Done is closed when Run has returned.
 func (e *Entry) Done() <-chan struct{} { e.init(); return e.done }
 
-// Pool returns the connection pool that the entry uses to reach the leader.
-func (e *Entry) Pool() *control.Client { e.init(); return e.pool }
+// LeaderClient returns the connection pool that the entry uses to reach the leader.
+func (e *Entry) LeaderClient() *control.Client { e.init(); return e.leaderClient }
 
 // service is one listener and the HTTP server that handles its connections.
 type service struct {
@@ -161,9 +161,9 @@
 func (e *Entry) configuredServices() []service {
 	options := connect.WithHandlerOptions(codec.HandlerOptions(), connect.WithInterceptors(newCallCounter(e.metricSet)), connect.WithCompressMinBytes(minCompressBytes))
 	all := []service{
-		{e.CallerListener, e.newServer(mountWithLimit(caller.MaxRequestSize)((&caller.Handler{Leader: e.pool}).Route(options)))},
-		{e.BackendListener, e.newServer(mountWithLimit(backend.MaxRequestSize)((&backend.Handler{Leader: e.pool, EnrolmentDigests: e.EnrolmentDigests, Log: e.Log}).Route(options)))},
-		{e.OperatorListener, e.newServer(mountWithLimit(operator.MaxRequestSize)((&operator.Handler{Leader: e.pool, Auditor: e.Auditor, EntryName: e.Name, State: e.currentState}).Route(options)))},
+		{e.CallerListener, e.newServer(mountWithLimit(caller.MaxRequestSize)((&caller.Handler{Leader: e.leaderClient}).Route(options)))},
+		{e.BackendListener, e.newServer(mountWithLimit(backend.MaxRequestSize)((&backend.Handler{Leader: e.leaderClient, EnrolmentDigests: e.EnrolmentDigests, Log: e.Log}).Route(options)))},
+		{e.OperatorListener, e.newServer(mountWithLimit(operator.MaxRequestSize)((&operator.Handler{Leader: e.leaderClient, Auditor: e.Auditor, EntryName: e.Name, State: e.currentState}).Route(options)))},
 		{e.PlatformListener, e.newServer((&platform.Probes{Ready: e.checkReady, MetricSets: []*metrics.Set{e.metricSet, meter.ProcessMetrics}}).Handler())},
 	}
 	return slices.DeleteFunc(all, func(s service) bool { return s.listener == nil })
@@ -198,7 +198,7 @@
 	if e.phase.Load() != phaseServing {
 		return errStopping
 	}
-	if !e.pool.InContact() {
+	if !e.leaderClient.InContact() {
 		return errors.New("no contact with a leader")
 	}
 	return nil
@@ -211,9 +211,9 @@
 	defer close(e.done)
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	poolCtx, stopPool := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopPool()
-	wg.Go(func() { _ = e.pool.Run(poolCtx) })
+	clientCtx, stopClient := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopClient()
+	wg.Go(func() { _ = e.leaderClient.Run(clientCtx) })
 
 	services := e.configuredServices()
 	serveErrors := make(chan error, len(services))
@@ -248,8 +248,8 @@
 		return errors.New("graceful shutdown aborted by a second signal")
 	}
 	e.phase.Store(phaseDraining)
-	e.pool.EndLongPolls()
-	event.Log(e.Log, event.StopFinishing, "pending", e.pool.Pending())
+	e.leaderClient.EndLongPolls()
+	event.Log(e.Log, event.StopFinishing, "pending", e.leaderClient.Pending())
 	ctx, cancel := context.WithTimeout(context.Background(), e.DrainTimeout)
 	defer cancel()
 	go func() {
@@ -260,7 +260,7 @@
 		}
 	}()
 	if err := shutDownServers(ctx, services); err != nil {
-		event.LogError(e.Log, event.StopForced, err, "pending", e.pool.Pending())
+		event.LogError(e.Log, event.StopForced, err, "pending", e.leaderClient.Pending())
 		return errors.Wrap(err, "graceful shutdown did not complete")
 	}
 	return nil
--- a/internal/edge/entry/measure_test.go
+++ b/internal/edge/entry/measure_test.go
@@ -189,12 +189,12 @@
 	input := make([]byte, 200)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	pool := &control.Client{Cell: "test", Name: "direct", Log: logr.Discard(), Replicas: []control.Replica{{Name: "c1", Address: m.leaderAddress}}}
-	go func() { _ = pool.Run(ctx) }()
+	directClient := &control.Client{Cell: "test", Name: "direct", Log: logr.Discard(), Replicas: []control.Replica{{Name: "c1", Address: m.leaderAddress}}}
+	go func() { _ = directClient.Run(ctx) }()
 	time.Sleep(time.Second)
 	for _, rate := range []int{200, 1400, 3000} {
 		direct, directFailed := runLoad(rate, measureDuration, func(id string) error {
-			_, err := pool.Send(ctx, &inner.Item{Ask: &inner.Item_Submit{Submit: &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(id, false, input)}}}})
+			_, err := directClient.Send(ctx, &inner.Item{Ask: &inner.Item_Submit{Submit: &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(id, false, input)}}}})
 			return err
 		})
 		cpuBefore, insideBefore, outsideBefore := processCPUTime(t, m.entry.cmd.Process.Pid), m.insideTraffic.total(), outsideTraffic.total()
--- a/internal/edge/entry/service_test.go
+++ b/internal/edge/entry/service_test.go
@@ -215,7 +215,7 @@
 		c.change(0, &v1.ChangeRequest{Id: "one", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{}}})
 		time.Sleep(600 * time.Millisecond)
 		for _, name := range entryNames {
-			if got := w.currentEntry(name).entry.Pool().TableRevision(); got != 1 {
+			if got := w.currentEntry(name).entry.LeaderClient().TableRevision(); got != 1 {
 				t.Errorf("entry %s has table revision %d, want 1", name, got)
 			}
 		}
--- a/internal/edge/entry/state.go
+++ b/internal/edge/entry/state.go
@@ -24,10 +24,10 @@
 }
 
 func (e *Entry) currentState() any {
-	leader, _ := e.pool.Leader()
+	leader, _ := e.leaderClient.Leader()
 	return State{
 		Cell: e.Cell, Name: e.Name, Phase: phaseNames[e.phase.Load()], Leader: leader.Name,
-		Fresh: e.pool.InContact(), Pending: e.pool.Pending(), Revision: e.pool.TableRevision(),
+		Fresh: e.leaderClient.InContact(), Pending: e.leaderClient.Pending(), Revision: e.leaderClient.TableRevision(),
 	}
 }
 
