--- a/internal/cli/entry/entry.go
+++ b/internal/cli/entry/entry.go
@@ -63,7 +63,7 @@
 func newEntry(s *settings.Settings) (*entry.Entry, error) {
 	e := &entry.Entry{
 		Cell: s.Cell, Name: s.Name, DrainTimeout: s.Time.FinishTimeout,
-		// A zero Linger selects the default of package entry, so a configured delay of 0
+		// A zero ShutdownDelay selects the default of package entry, so a configured delay of 0
 		// is passed as 1 ns.
 		ShutdownDelay:  max(s.Time.DrainDelay, time.Nanosecond),
 		MaxConnections: min(int(s.Limits.Connections), files.NewBudget(files.ProcessLimit(s.Limits.OpenFiles)).Allowance(files.Callers)), MaxPendingRequests: int(s.Limits.QueuedRequests),
--- a/internal/cli/verb/daemon.go
+++ b/internal/cli/verb/daemon.go
@@ -2,21 +2,52 @@
 
 import (
 	"context"
-	"os"
-	"os/signal"
-	"syscall"
+	"time"
+
+	"github.com/go-logr/logr"
+
+	"gypsumreel/internal/base/event"
+	"gypsumreel/internal/base/settings"
 )
 
-// SecondSignal returns a channel that is closed when SIGINT or SIGTERM arrives after ctx
-// is cancelled. A second signal aborts the graceful shutdown.
-func SecondSignal(ctx context.Context) <-chan struct{} {
-	secondSignal := make(chan struct{})
-	go func() {
-		<-ctx.Done()
-		signals := make(chan os.Signal, 1)
-		signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
-		<-signals
-		close(secondSignal)
-	}()
-	return secondSignal
+// LoadSettings reads the settings file of a daemon. An invalid file, or a file for
+// another role, is a usage error.
+func LoadSettings(env Env, file string, role settings.Role) (*settings.Settings, error) {
+	s, err := settings.Load(file)
+	if err != nil {
+		event.LogError(event.New(env.Err, settings.DefaultLogLevel), event.SettingsBad, err, "file", file)
+		return nil, &Error{ExitCode: ExitUsage, Message: err.Error()}
+	}
+	if s.Role != role {
+		return nil, UsageError("Run `gypsumreel "+string(s.Role)+" --settings FILE`.", "%s is for role %s", file, s.Role)
+	}
+	return s, nil
+}
+
+// DaemonTLS holds the TLS material of a daemon: Inside for connections within the
+// cell, Outside for connections from callers, backend servers and operators.
+type DaemonTLS struct {
+	Inside, Outside ReloadingTLS
+	// ReplicaNames are the certificate names accepted from control replicas.
+	ReplicaNames []string
+}
+
+// NewDaemonTLS loads the certificate files for inside and outside connections and keeps
+// reloading them until the process ends. Reloading goes on after ctx is cancelled,
+// because a graceful shutdown may outlast a certificate.
+func NewDaemonTLS(ctx context.Context, tls settings.TLS, replicas []settings.ControlReplica, reload time.Duration, log logr.Logger) (DaemonTLS, error) {
+	ctx = context.WithoutCancel(ctx)
+	inside, err := NewReloadingTLS(ctx, tls.Inside, reload, log)
+	if err != nil {
+		return DaemonTLS{}, err
+	}
+	outside, err := NewReloadingTLS(ctx, tls.Outside, reload, log)
+	if err != nil {
+		return DaemonTLS{}, err
+	}
+	daemonTLS := DaemonTLS{Inside: inside, Outside: outside}
+	for _, replica := range replicas {
+		daemonTLS.ReplicaNames = append(daemonTLS.ReplicaNames, replica.Name)
+	}
+	return daemonTLS, nil
 }
--- a/internal/client/caller/caller.go
+++ b/internal/client/caller/caller.go
@@ -160,7 +160,7 @@
 	return pending
 }
 
-// markUnanswered sets the code Unanswered for jobs that have no reply when ctx ends.
+// markUnanswered sets the code LeaderTimeout for jobs that have no reply when ctx ends.
 func markUnanswered(jobs []*v1.Spec, replies []*v1.Accepted, err error) []*v1.Accepted {
 	detail := "no answer before the deadline"
 	if err != nil {
--- a/internal/client/caller/caller_test.go
+++ b/internal/client/caller/caller_test.go
@@ -178,7 +178,7 @@
 }
 
 // No entry answers before the caller's context ends. The job may run, so the reply must
-// have the code Unanswered and no outcome.
+// have the code LeaderTimeout and no outcome.
 func TestSubmitTimeoutReportsNoOutcome(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
--- a/internal/client/link/link.go
+++ b/internal/client/link/link.go
@@ -218,7 +218,7 @@
 }
 
 // AsCodeError returns the code.Error that err wraps. Any other error is converted to
-// one with the code Unanswered.
+// one with the code LeaderTimeout.
 func AsCodeError(err error) *code.Error {
 	var codeErr *code.Error
 	if errors.As(err, &codeErr) {
--- a/internal/edge/control/client.go
+++ b/internal/edge/control/client.go
@@ -36,7 +36,7 @@
 	// DefaultCallTimeout is the timeout of a Push. The timeout of a Pull is the long-poll
 	// wait plus this value.
 	DefaultCallTimeout = 400 * time.Millisecond
-	// DefaultMaxContactAge is the maximum age of the last contact with a leader. Beyond
+	// DefaultMaxContactAge is the maximum age of the last contact with the leader. Beyond
 	// it, requests fail unless a leader is found within the leader wait.
 	DefaultMaxContactAge = 2 * time.Second
 	// DefaultLeaderWait is how long an item waits until a leader is found.
@@ -171,13 +171,14 @@
 }
 
 // Send sends the item to the leader and returns its reply. The error is a *code.Error.
-// Its code is Unreachable or Overloaded if the item provably was not processed by a
-// leader, Leaving for a long poll while the entry shuts down, and Unanswered otherwise.
+// Its code is ControlUnreachable or Overloaded if the item provably was not processed by a
+// leader, ShuttingDown for a long poll while the entry shuts down, and LeaderTimeout
+// otherwise.
 func (c *Client) Send(ctx context.Context, item *inner.Item) (*inner.Reply, error) {
 	c.init()
 	if !c.InContact() && c.contactAge() > c.MaxContactAge+c.LeaderWait {
 		c.metrics.refusedItems.Inc()
-		return nil, code.New(code.ControlUnreachable, "no contact with a leader for %v", c.contactAge().Round(time.Millisecond))
+		return nil, code.New(code.ControlUnreachable, "no contact with the leader for %v", c.contactAge().Round(time.Millisecond))
 	}
 	pendingCall, err := c.queue.add(ctx, item)
 	if err != nil {
@@ -194,8 +195,8 @@
 	}
 }
 
-// EndLongPolls fails the pending long polls with Leaving and refuses new ones. It is part
-// of a graceful shutdown.
+// EndLongPolls fails the pending long polls with ShuttingDown and refuses new ones. It is
+// part of a graceful shutdown.
 func (c *Client) EndLongPolls() { c.init(); c.queue.endLongPolls() }
 
 // Run finds the leader and exchanges items and replies with it until ctx is canceled.
--- a/internal/edge/control/client_test.go
+++ b/internal/edge/control/client_test.go
@@ -176,7 +176,7 @@
 	withClient(t, map[string]*scriptedLeader{"c1": l}, func(c *testClient) {
 		c.relays["c1"].Set(relay.Down, relay.Lose)
 		if got := c.listCode(); got != code.LeaderTimeout {
-			t.Errorf("got code %d, want Unanswered", got)
+			t.Errorf("got code %d, want LeaderTimeout", got)
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -224,7 +224,7 @@
 		l.addReply(l.pushedSeqs[0])
 		l.mu.Unlock()
 		if got := c.listCodeWithin(200 * time.Millisecond); got != code.LeaderTimeout {
-			t.Errorf("got code %d, want Unanswered: a late reply was delivered to another request", got)
+			t.Errorf("got code %d, want LeaderTimeout: a late reply was delivered to another request", got)
 		}
 	})
 }
@@ -348,7 +348,7 @@
 		startedAt := time.Now()
 		got := c.listCodeWithin(time.Minute)
 		if elapsed := time.Since(startedAt); got != code.LeaderTimeout || elapsed > control.DefaultMaxContactAge+100*time.Millisecond {
-			t.Errorf("got code %d after %v, want Unanswered within the maximum contact age", got, elapsed)
+			t.Errorf("got code %d after %v, want LeaderTimeout within the maximum contact age", got, elapsed)
 		}
 		if c.client.InContact() {
 			t.Error("the client still reports contact with the leader")
--- a/internal/edge/control/queue.go
+++ b/internal/edge/control/queue.go
@@ -222,7 +222,7 @@
 }
 
 // failAddedBefore fails all calls that were added before the given time, because there
-// is no contact with a leader.
+// is no contact with the leader.
 func (q *callQueue) failAddedBefore(addedBefore time.Time) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -236,7 +236,7 @@
 	return failed
 }
 
-// endLongPolls fails all pending long polls with Leaving and makes add refuse new ones.
+// endLongPolls fails all pending long polls with ShuttingDown and makes add refuse new ones.
 func (q *callQueue) endLongPolls() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -292,9 +292,9 @@
 	return nil, q.noReplyError(c, reason)
 }
 
-// noReplyError returns the error for a call without a reply. The code is Unreachable
-// only if no Push that carried the item can have reached a leader, and Unanswered
-// otherwise. The caller holds mu.
+// noReplyError returns the error for a call without a reply. The code is
+// ControlUnreachable only if no Push that carried the item can have reached a leader, and
+// LeaderTimeout otherwise. The caller holds mu.
 func (q *callQueue) noReplyError(c *call, reason string) error {
 	if c.mayHaveArrived {
 		return code.New(code.LeaderTimeout, "%s", reason)
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -96,7 +96,7 @@
 	// MaxPendingRequests bounds the requests that wait for a reply of the leader.
 	MaxPendingRequests int
 
-	// initOnce guards the initialisation of the defaults, the pool and the metrics.
+	// initOnce guards the initialisation of the defaults, the leader client and the metrics.
 	initOnce     sync.Once
 	leaderClient *control.Client
 	metricSet    *metrics.Set
@@ -148,7 +148,7 @@
 // Done is closed when Run has returned.
 func (e *Entry) Done() <-chan struct{} { e.init(); return e.done }
 
-// LeaderClient returns the connection pool that the entry uses to reach the leader.
+// LeaderClient returns the client that forwards the requests of the entry to the leader.
 func (e *Entry) LeaderClient() *control.Client { e.init(); return e.leaderClient }
 
 // service is one listener and the HTTP server that handles its connections.
@@ -199,7 +199,7 @@
 		return errStopping
 	}
 	if !e.leaderClient.InContact() {
-		return errors.New("no contact with a leader")
+		return errors.New("no contact with the leader")
 	}
 	return nil
 }
--- a/internal/edge/entry/measure_test.go
+++ b/internal/edge/entry/measure_test.go
@@ -180,7 +180,7 @@
 const measureDuration = 10 * time.Second
 
 // Measures Submit calls of one job with 200 bytes of input through an entry process
-// and, for comparison, through a pool of this process that calls the leader directly.
+// and, for comparison, through a client of this process that calls the leader directly.
 func TestMeasureRequests(t *testing.T) {
 	m := newMeasurement(t)
 	outsideTraffic := &byteCounter{}
@@ -206,7 +206,7 @@
 			return err
 		})
 		n := viaEntry.TotalCount()
-		t.Logf("%d/s: entry CPU %v per request, %d B outside and %d B inside per request; p50/p99 through the entry %.2f/%.2f ms, directly from a pool %.2f/%.2f ms; failed %d and %d",
+		t.Logf("%d/s: entry CPU %v per request, %d B outside and %d B inside per request; p50/p99 through the entry %.2f/%.2f ms, directly from a client %.2f/%.2f ms; failed %d and %d",
 			rate, (processCPUTime(t, m.entry.cmd.Process.Pid)-cpuBefore)/time.Duration(n), (outsideTraffic.total()-outsideBefore)/n, (m.insideTraffic.total()-insideBefore)/n,
 			percentileMs(viaEntry, 50), percentileMs(viaEntry, 99), percentileMs(direct, 50), percentileMs(direct, 99), failed, directFailed)
 	}
--- a/internal/edge/entry/stop_test.go
+++ b/internal/edge/entry/stop_test.go
@@ -121,7 +121,7 @@
 }
 
 // Guards against a load balancer that sends requests to an entry which would refuse
-// them. Readiness checks must fail while the entry has no contact with a leader and
+// them. Readiness checks must fail while the entry has no contact with the leader and
 // from the beginning of its shutdown.
 func TestReadinessReflectsLeaderContactAndShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -178,8 +178,8 @@
 	})
 }
 
-// Guards against connections that pile up on a backend server after its entries were
-// silent. A backend server may have 60 connections and must stay well below that.
+// Guards against a backend server that accumulates connections while its entries do not
+// respond. A backend server may have 60 connections and must stay well below that.
 func TestBackendServerUsesFewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(0)
--- a/internal/edge/entry/tls_test.go
+++ b/internal/edge/entry/tls_test.go
@@ -49,7 +49,7 @@
 	return serverTLS, &tls.Config{RootCAs: rootCAs, MinVersion: tls.VersionTLS13}
 }
 
-// Guards against a link that does not work with TLS: the caller connects with
+// Guards against a connection that does not work with TLS: the caller connects with
 // HTTP/1.1, the backend server with HTTP/2, and the entry to the leader.
 func TestJobRunsOverTLS(t *testing.T) {
 	serverTLS, clientTLS := newCertificate(t)
--- a/internal/edge/leader/leader_test.go
+++ b/internal/edge/leader/leader_test.go
@@ -217,7 +217,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	if answer := c.Ask(ctx, &inner.FlowAsk{Verb: inner.FlowVerb_FLOW_VERB_SUBMIT}); code.Code(answer.GetCode()) != code.LeaderTimeout {
-		t.Errorf("got answer %v, want code Unanswered", answer)
+		t.Errorf("got answer %v, want code LeaderTimeout", answer)
 	}
 }
 
--- a/internal/edge/leader/request.go
+++ b/internal/edge/leader/request.go
@@ -16,7 +16,7 @@
 // Ask forwards a request to the leader and returns the answer. It may send the request
 // more than once, because requests are idempotent: flows have ids, and a repeated cancel
 // or query has no further effect. Without an answer from a leader, the code is NoLeader
-// if the request provably had no effect, and Unanswered if this is unknown.
+// if the request provably had no effect, and LeaderTimeout if this is unknown.
 func (c *Client) Ask(ctx context.Context, request *inner.FlowAsk) *inner.FlowAnswer {
 	startedAt := c.Now()
 	answer := c.askUntilAnswered(ctx, request)
@@ -58,7 +58,7 @@
 			if mayHaveArrived {
 				// The request may have taken effect, so "not run" would be wrong.
 				// The next leader can give a definite answer, which is better for
-				// the caller than the code Unanswered.
+				// the caller than the code LeaderTimeout.
 				continue
 			}
 		case <-ctx.Done():
--- a/internal/replica/disk/crash_test.go
+++ b/internal/replica/disk/crash_test.go
@@ -352,8 +352,8 @@
 
 // A replica that was offline installs a snapshot while its disk is full, so that no new
 // segment can be created. The log must continue in the preallocated space of the old
-// segment. Otherwise the replica ends, and ends again after each restart until an
-// operator frees disk space.
+// segment. Otherwise the replica would exit, also after each restart, until an operator
+// frees disk space.
 func TestSnapshotInstalledOnFullDisk(t *testing.T) {
 	memoryDisk := &disk.Memory{}
 	c := journal.Config{Disk: memoryDisk, Preallocation: 1000}
--- a/internal/replica/quorum/measure_test.go
+++ b/internal/replica/quorum/measure_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// A replica is down for long while commands are committed, for example in an outage of an hour.
+// A replica is down for a long time while commands are committed, for example for an hour.
 // The leader must not keep all entries for it in memory. After its restart the replica catches
 // up from a snapshot and the entries after it.
 func TestLogStaysBoundedWhileReplicaIsDown(t *testing.T) {
--- a/internal/replica/quorum/timeout.go
+++ b/internal/replica/quorum/timeout.go
@@ -16,8 +16,8 @@
 	// silenceDecayTime is the time in which a recorded silence loses two thirds of its
 	// weight.
 	silenceDecayTime = 10 * time.Second
-	// stableLeadershipTime is how long a leader must stay in office to reset the count of
-	// consecutive leader changes.
+	// stableLeadershipTime is how long a leader must lead without interruption to reset the
+	// count of consecutive leader changes.
 	stableLeadershipTime = 5 * time.Second
 	// maxTimeoutFactor limits the timeout during an election storm, as a multiple of
 	// MaxElectionTimeout. A takeover can cause more work than MaxElectionTimeout allows for.
