--- a/internal/base/secure/secure_test.go
+++ b/internal/base/secure/secure_test.go
@@ -128,16 +128,16 @@
 // Guards against handling a request of a client without a certificate, with one of
 // another authority, or with an expired one.
 func TestInvalidClientCertificateIsRefusedInTheHandshake(t *testing.T) {
-	good, other := newTestAuthority(t), newTestAuthority(t)
-	server := loadStore(t, good.issue(t.TempDir(), "control-a", time.Hour), logr.Discard())
+	trustedAuthority, otherAuthority := newTestAuthority(t), newTestAuthority(t)
+	server := loadStore(t, trustedAuthority.issue(t.TempDir(), "control-a", time.Hour), logr.Discard())
 	url, count := startServer(t, server.ServerConfig(), nil)
 
-	foreign := other.issue(t.TempDir(), "control-b", time.Hour)
-	writeFile(t, foreign.Authority, good.pem) // this client trusts the server, but the server does not trust it
-	expired := good.issue(t.TempDir(), "control-b", -time.Minute)
+	foreignFiles := otherAuthority.issue(t.TempDir(), "control-b", time.Hour)
+	writeFile(t, foreignFiles.Authority, trustedAuthority.pem) // this client trusts the server, but the server does not trust it
+	expiredFiles := trustedAuthority.issue(t.TempDir(), "control-b", -time.Minute)
 	for name, cfg := range map[string]*tls.Config{
-		"other authority": loadStore(t, foreign, logr.Discard()).ClientConfig("control-a"),
-		"expired":         loadStore(t, expired, logr.Discard()).ClientConfig("control-a"),
+		"other authority": loadStore(t, foreignFiles, logr.Discard()).ClientConfig("control-a"),
+		"expired":         loadStore(t, expiredFiles, logr.Discard()).ClientConfig("control-a"),
 		"none":            {InsecureSkipVerify: true},
 	} {
 		if _, err := get(cfg, url); err == nil {
@@ -150,20 +150,20 @@
 	if n := count.Load(); n != 0 {
 		t.Errorf("%d requests reached the handler", n)
 	}
-	client := loadStore(t, good.issue(t.TempDir(), "control-b", time.Hour), logr.Discard())
+	client := loadStore(t, trustedAuthority.issue(t.TempDir(), "control-b", time.Hour), logr.Discard())
 	if status, err := get(client.ClientConfig("control-a"), url); err != nil || status != http.StatusOK || count.Load() != 1 {
 		t.Errorf("valid certificate: status %d, error %v", status, err)
 	}
 }
 
 func TestClientVerifiesTheServerNameAndAuthority(t *testing.T) {
-	good, other := newTestAuthority(t), newTestAuthority(t)
-	url, _ := startServer(t, loadStore(t, good.issue(t.TempDir(), "entry-1", time.Hour), logr.Discard()).ServerConfig(), nil)
-	client := loadStore(t, good.issue(t.TempDir(), "control-b", time.Hour), logr.Discard())
+	trustedAuthority, otherAuthority := newTestAuthority(t), newTestAuthority(t)
+	url, _ := startServer(t, loadStore(t, trustedAuthority.issue(t.TempDir(), "entry-1", time.Hour), logr.Discard()).ServerConfig(), nil)
+	client := loadStore(t, trustedAuthority.issue(t.TempDir(), "control-b", time.Hour), logr.Discard())
 	if _, err := get(client.ClientConfig("control-a", "control-c"), url); err == nil || !strings.Contains(err.Error(), secure.ErrUnexpectedName.Error()) {
 		t.Errorf("server with an unexpected name: %v, want %v", err, secure.ErrUnexpectedName)
 	}
-	if _, err := get(loadStore(t, other.issue(t.TempDir(), "control-b", time.Hour), logr.Discard()).ClientConfig("entry-1"), url); err == nil {
+	if _, err := get(loadStore(t, otherAuthority.issue(t.TempDir(), "control-b", time.Hour), logr.Discard()).ClientConfig("entry-1"), url); err == nil {
 		t.Error("a server of another authority was trusted")
 	}
 	if _, err := get(client.ClientConfig(), url); err == nil {
--- a/internal/base/settings/parse.go
+++ b/internal/base/settings/parse.go
@@ -31,7 +31,7 @@
 	return l.String(), true
 }
 
-func (v value) boolean() (on, ok bool) {
+func (v value) boolean() (enabled, ok bool) {
 	l, ok := v.node.Value.(hujson.Literal)
 	if !ok || l.Kind() != 't' && l.Kind() != 'f' {
 		return false, false
--- a/internal/base/settings/settings_test.go
+++ b/internal/base/settings/settings_test.go
@@ -167,10 +167,10 @@
 	}
 	s := reflect.TypeFor[settings.Settings]()
 	for _, group := range []string{"Listen", "Time", "Limits"} {
-		f, _ := s.FieldByName(group)
-		for i := range f.Type.NumField() {
-			if use := "s." + group + "." + f.Type.Field(i).Name; !strings.Contains(string(sources), use) {
-				t.Errorf("no daemon uses %s", use)
+		groupField, _ := s.FieldByName(group)
+		for i := range groupField.Type.NumField() {
+			if settingUse := "s." + group + "." + groupField.Type.Field(i).Name; !strings.Contains(string(sources), settingUse) {
+				t.Errorf("no daemon uses %s", settingUse)
 			}
 		}
 	}
--- a/internal/cli/cancel/cancel.go
+++ b/internal/cli/cancel/cancel.go
@@ -40,9 +40,9 @@
 		return err
 	}
 	defer cancel()
-	reached, err := client.Cancel(ctx, args, c.Label)
+	matchedCount, err := client.Cancel(ctx, args, c.Label)
 	if err != nil {
 		return remote.UserError(err)
 	}
-	return c.Print(env.Out, cancelResult{reached}, verb.TextTable{Rows: [][]string{{fmt.Sprintf("%d jobs reached", reached)}}})
+	return c.Print(env.Out, cancelResult{matchedCount}, verb.TextTable{Rows: [][]string{{fmt.Sprintf("%d jobs reached", matchedCount)}}})
 }
--- a/internal/cli/explain/cause.go
+++ b/internal/cli/explain/cause.go
@@ -166,8 +166,8 @@
 	if !h.endedAt.IsZero() {
 		logsEnd = h.endedAt
 	}
-	for _, at := range leaderChanges {
-		if at.After(h.acceptedAt) && at.Before(logsEnd) {
+	for _, changedAt := range leaderChanges {
+		if changedAt.After(h.acceptedAt) && changedAt.Before(logsEnd) {
 			return true
 		}
 	}
--- a/internal/cli/explain/explain.go
+++ b/internal/cli/explain/explain.go
@@ -227,7 +227,7 @@
 		return logLine{}, false
 	}
 	timeText, _ := fields["time"].(string)
-	at, err := time.Parse(time.RFC3339Nano, timeText)
+	loggedAt, err := time.Parse(time.RFC3339Nano, timeText)
 	name, ok := fields["name"].(string)
 	number, _ := fields["event"].(float64)
 	if err != nil || !ok {
@@ -236,7 +236,7 @@
 	for _, k := range []string{"time", "level", "msg", "event", "name"} {
 		delete(fields, k)
 	}
-	return logLine{Time: at, EventName: name, EventNumber: int(number), Fields: fields}, true
+	return logLine{Time: loggedAt, EventName: name, EventNumber: int(number), Fields: fields}, true
 }
 
 // build returns the lines in order of time. It includes the lines about the leader that
--- a/internal/cli/explain/summary_test.go
+++ b/internal/cli/explain/summary_test.go
@@ -12,20 +12,20 @@
 )
 
 // logLine returns a log line with an event at the given milliseconds after 15:20.
-func logLine(ms int, name, facts string) string {
-	return fmt.Sprintf(`{"time":"2026-02-27T15:20:%02d.%03dZ","level":"INFO","msg":"m","event":1,"name":%q,%s}`+"\n", ms/1000, ms%1000, name, facts)
+func logLine(millis int, name, fields string) string {
+	return fmt.Sprintf(`{"time":"2026-02-27T15:20:%02d.%03dZ","level":"INFO","msg":"m","event":1,"name":%q,%s}`+"\n", millis/1000, millis%1000, name, fields)
 }
 
 // logWithEveryCause returns a log with one flow for each cause that the test checks.
 func logWithEveryCause() string {
 	b := &strings.Builder{}
-	acceptFlow := func(ms int, id string) {
-		b.WriteString(logLine(ms, "flow-accepted", fmt.Sprintf(`"flow":%q,"queue":"q","customer":"c","aim":"1s"`, id)))
+	acceptFlow := func(millis int, id string) {
+		b.WriteString(logLine(millis, "flow-accepted", fmt.Sprintf(`"flow":%q,"queue":"q","customer":"c","aim":"1s"`, id)))
 	}
-	endRun := func(ms int, id, how, state string) {
-		b.WriteString(logLine(ms, "run-ended", fmt.Sprintf(`"flow":%q,"how":"RUN_END_%s","state":"FLOW_STATE_%s"`, id, how, state)))
+	endRun := func(millis int, id, runEnd, state string) {
+		b.WriteString(logLine(millis, "run-ended", fmt.Sprintf(`"flow":%q,"how":"RUN_END_%s","state":"FLOW_STATE_%s"`, id, runEnd, state)))
 	}
-	addEvent := func(ms int, name, id string) { b.WriteString(logLine(ms, name, fmt.Sprintf(`"flow":%q`, id))) }
+	addEvent := func(millis int, name, id string) { b.WriteString(logLine(millis, name, fmt.Sprintf(`"flow":%q`, id))) }
 	for _, id := range []string{"in-time", "lost", "retried", "failed", "moved", "no-permit", "no-capacity", "slow", "cancelled", "crashing"} {
 		acceptFlow(1000, id)
 		if id != "no-permit" {
--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -87,17 +87,17 @@
 	if err != nil {
 		return err
 	}
-	measured, err := c.describeRun(plan)
+	runInfo, err := c.describeRun(plan)
 	if err != nil {
 		return err
 	}
-	entries, err := c.Link()
+	entryLink, err := c.Link()
 	if err != nil {
 		return err
 	}
-	entries.Multiplexed = !c.ConnectionPerCall
-	measured.Target = entries.Addresses
-	if measured.Table[0], err = c.tableRevision(ctx); err != nil {
+	entryLink.Multiplexed = !c.ConnectionPerCall
+	runInfo.Target = entryLink.Addresses
+	if runInfo.Table[0], err = c.tableRevision(ctx); err != nil {
 		return err
 	}
 	workRecord, serverRecord := &work.Record{}, &server.Record{}
@@ -106,16 +106,16 @@
 		return err
 	}
 	driver := &drive.Driver{
-		Caller: &caller.Client{Link: entries}, Jobs: plan.Jobs(), Tail: c.OutcomeTimeout, Foreign: c.Servers == 0, Keep: c.KeepOutcomes,
+		Caller: &caller.Client{Link: entryLink}, Jobs: plan.Jobs(), Tail: c.OutcomeTimeout, Foreign: c.Servers == 0, Keep: c.KeepOutcomes,
 		Progress: progressFunc(env, c.JSON),
 	}
-	measured.Began = time.Now()
+	runInfo.Began = time.Now()
 	outcome := driver.Run(ctx)
 	stopServers()
 	if c.Servers == 0 {
 		workRecord = nil
 	}
-	result := report.Sum(measured, measured.Began, outcome, workRecord)
+	result := report.Sum(runInfo, runInfo.Began, outcome, workRecord)
 	result.Promises.Faults = append(result.Promises.Faults, serverRecord.Faults()...)
 	// An error here is only printed: the result matters most when the cell failed during
 	// the run.
@@ -180,25 +180,25 @@
 
 // describeRun returns the parameters of the run as they appear in the result.
 func (c *command) describeRun(plan mix.Plan) (report.Measured, error) {
-	measured := report.Measured{
+	runInfo := report.Measured{
 		Revision: report.Revision(), Settings: map[string]string{}, Note: c.Note,
 		Rate: plan.Rate, Duration: plan.Duration.String(), Seed: plan.Seed, Mix: map[string]float64{}, Once: plan.Once,
 		Answer: plan.Answer, Deadline: plan.Deadline.String(), Servers: c.Servers,
 	}
 	if c.Revision != "" {
-		measured.Revision = c.Revision
+		runInfo.Revision = c.Revision
 	}
 	for kind, weight := range plan.Shares {
-		measured.Mix[kind.String()] = weight
+		runInfo.Mix[kind.String()] = weight
 	}
 	for _, path := range c.SettingsFiles {
 		b, err := os.ReadFile(path)
 		if err != nil {
-			return measured, verb.UsageError("Check --settings.", "%v", err)
+			return runInfo, verb.UsageError("Check --settings.", "%v", err)
 		}
-		measured.Settings[path] = strconv.FormatUint(xxhash.Sum64(b), 16)
+		runInfo.Settings[path] = strconv.FormatUint(xxhash.Sum64(b), 16)
 	}
-	return measured, nil
+	return runInfo, nil
 }
 
 // tableRevision returns the table revision, or 0 without an operator's key.
@@ -250,7 +250,7 @@
 func (c *command) newServer(i int, workRecord *work.Record, serverRecord *server.Record) (*server.Server, error) {
 	flags := c.Flags
 	flags.Address = c.Backends
-	entries, err := flags.Link()
+	entryLink, err := flags.Link()
 	if err != nil {
 		return nil, err
 	}
@@ -259,9 +259,9 @@
 		Rack: fmt.Sprintf("rack-%d", i/serversPerRack), Zone: fmt.Sprintf("zone-%d", i%zoneCount),
 		Capacity: &v1.Size{Cpu: c.Cores * 1000, Memory: c.Memory, Slots: c.Slots},
 	}
-	for _, address := range entries.Addresses {
+	for _, address := range entryLink.Addresses {
 		if host, secure := strings.CutPrefix(address, "https://"); secure {
-			s.Entries = append(s.Entries, server.NewEntry(host, entries.TLS.Clone(), nil))
+			s.Entries = append(s.Entries, server.NewEntry(host, entryLink.TLS.Clone(), nil))
 			continue
 		}
 		s.Entries = append(s.Entries, server.NewEntry(strings.TrimPrefix(address, "http://"), nil, nil))
--- a/internal/client/link/link.go
+++ b/internal/client/link/link.go
@@ -245,8 +245,8 @@
 		return code.New(code.LeaderTimeout, "%v", err)
 	}
 	for _, d := range connectErr.Details() {
-		if v, derr := d.Value(); derr == nil {
-			if s, ok := v.(*v1.Status); ok {
+		if detail, detailErr := d.Value(); detailErr == nil {
+			if s, ok := detail.(*v1.Status); ok {
 				return StatusError(s)
 			}
 		}
--- a/internal/edge/entry/matrix_test.go
+++ b/internal/edge/entry/matrix_test.go
@@ -244,14 +244,14 @@
 func (s *scenario) callWithExtraKey(i int) {
 	ctx, cancel := context.WithTimeout(s.cell.ctx, 1500*time.Millisecond)
 	defer cancel()
-	list := connect.NewRequest(&v1.ListRequest{})
-	list.Header().Set("Authorization", "Bearer "+s.extraKeyClient.key)
-	if reply, err := s.extraKeyClient.callerClients[0].List(ctx, list); err == nil && s.cell.acceptedAfterWithdrawal(reply.Msg.GetStatus(), time.Now()) {
+	listRequest := connect.NewRequest(&v1.ListRequest{})
+	listRequest.Header().Set("Authorization", "Bearer "+s.extraKeyClient.key)
+	if reply, err := s.extraKeyClient.callerClients[0].List(ctx, listRequest); err == nil && s.cell.acceptedAfterWithdrawal(reply.Msg.GetStatus(), time.Now()) {
 		s.cell.observe("key", fmt.Sprintf("read %d", i))
 	}
-	submit := connect.NewRequest(&v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(fmt.Sprintf("extra-%d", i), false, nil)}})
-	submit.Header().Set("Authorization", "Bearer "+s.extraKeyClient.key)
-	reply, err := s.extraKeyClient.callerClients[0].Submit(ctx, submit)
+	submitRequest := connect.NewRequest(&v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(fmt.Sprintf("extra-%d", i), false, nil)}})
+	submitRequest.Header().Set("Authorization", "Bearer "+s.extraKeyClient.key)
+	reply, err := s.extraKeyClient.callerClients[0].Submit(ctx, submitRequest)
 	if err == nil && s.cell.acceptedAfterWithdrawal(reply.Msg.GetJobs()[0].GetStatus(), time.Now()) {
 		s.cell.observe("key", fmt.Sprintf("submission %d", i))
 	}
@@ -260,12 +260,12 @@
 // drainServer drains the second backend server.
 func (s *scenario) drainServer() {
 	time.Sleep(800 * time.Millisecond)
-	mark := &v1.ChangeRequest{Id: "drain", Change: &v1.ChangeRequest_Mark{Mark: &v1.ServerMark{Server: "s2", Drain: true}}}
-	reply := s.operatorClient.change(1, mark)
+	drainRequest := &v1.ChangeRequest{Id: "drain", Change: &v1.ChangeRequest_Mark{Mark: &v1.ServerMark{Server: "s2", Drain: true}}}
+	reply := s.operatorClient.change(1, drainRequest)
 	// If the leader failed at the start, the server may not have a session yet.
 	for n := 0; n < 50 && reply.GetStatus().GetCode() == uint32(code.NotFound); n++ {
 		time.Sleep(200 * time.Millisecond)
-		reply = s.operatorClient.change(1, mark)
+		reply = s.operatorClient.change(1, drainRequest)
 	}
 	s.check(reply.GetStatus().GetCode() == 0, "the drain was refused with status %v", reply.GetStatus())
 }
--- a/internal/edge/wire/wire.go
+++ b/internal/edge/wire/wire.go
@@ -44,14 +44,14 @@
 // NewClient returns an HTTP/1.1 client for calls that have deadlines. Its connections
 // count against the budget for the given use. With HTTP/1.1, canceling a call closes its
 // connection, so a connection that stopped responding is not used a second time.
-func NewClient(connsPerHost int, budget *files.Budget, use files.Purpose) *http.Client {
+func NewClient(connsPerHost int, budget *files.Budget, purpose files.Purpose) *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	transport := &http.Transport{
-		Protocols: protocols, DisableCompression: true, MaxIdleConns: budget.Allowance(use) / idleShareDivisor,
+		Protocols: protocols, DisableCompression: true, MaxIdleConns: budget.Allowance(purpose) / idleShareDivisor,
 		MaxIdleConnsPerHost: connsPerHost, MaxConnsPerHost: connsPerHost, IdleConnTimeout: IdleTimeout,
 	}
-	transport.DialContext = budget.LimitDial(use, dial, transport.CloseIdleConnections)
+	transport.DialContext = budget.LimitDial(purpose, dial, transport.CloseIdleConnections)
 	return &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
--- a/internal/replica/group/group_test.go
+++ b/internal/replica/group/group_test.go
@@ -205,12 +205,12 @@
 			replicas = append(replicas, startReplica(t, n, m.ID, stores[i], threeMembers()...))
 		}
 		leader := waitForLeader(t, replicas...)
-		stopped := 0
-		for replicas[stopped] == leader {
-			stopped++
+		stoppedIndex := 0
+		for replicas[stoppedIndex] == leader {
+			stoppedIndex++
 		}
-		replicas[stopped].cancel()
-		<-replicas[stopped].group.Done()
+		replicas[stoppedIndex].cancel()
+		<-replicas[stoppedIndex].group.Done()
 		largeCommand := strings.Repeat("x", 1<<20)
 		for range 2 * quorum.DefaultLogTailBytes >> 20 {
 			leader.propose(largeCommand)
@@ -219,7 +219,7 @@
 		// Log index 1 is the first membership, index 2 the empty entry of the leader.
 		// The snapshot at index 17 therefore contains fifteen commands.
 		for _, r := range replicas {
-			if r != replicas[stopped] {
+			if r != replicas[stoppedIndex] {
 				r.group.Compact(17, []byte("fifteen"))
 			}
 		}
@@ -227,13 +227,13 @@
 		want, _ := leader.currentState()
 		want = append([]string{"fifteen"}, want[15:]...)
 		for range 2 {
-			replicas[stopped] = startReplica(t, n, replicas[stopped].group.Config.ID, stores[stopped], threeMembers()...)
+			replicas[stoppedIndex] = startReplica(t, n, replicas[stoppedIndex].group.Config.ID, stores[stoppedIndex], threeMembers()...)
 			time.Sleep(3 * time.Second)
-			if got, _ := replicas[stopped].currentState(); !slices.Equal(want, got) {
-				t.Fatalf("the replica has applied %d commands, want %d: %+v", len(got), len(want), replicas[stopped].group.Dump())
+			if got, _ := replicas[stoppedIndex].currentState(); !slices.Equal(want, got) {
+				t.Fatalf("the replica has applied %d commands, want %d: %+v", len(got), len(want), replicas[stoppedIndex].group.Dump())
 			}
-			replicas[stopped].cancel()
-			<-replicas[stopped].group.Done()
+			replicas[stoppedIndex].cancel()
+			<-replicas[stoppedIndex].group.Done()
 		}
 	})
 }
--- a/internal/replica/journal/bench_test.go
+++ b/internal/replica/journal/bench_test.go
@@ -35,29 +35,29 @@
 func benchmarkSyncBatch(b *testing.B, batchLen int) {
 	dir := b.TempDir()
 	j, _, err := journal.Open(filepath.Join(dir, "journal"))
-	mustB(b, err)
+	requireNoBenchmarkError(b, err)
 	rawFile, err := os.Create(filepath.Join(dir, "raw"))
-	mustB(b, err)
+	requireNoBenchmarkError(b, err)
 	var journalTime, rawTime time.Duration
 	size := batchLen * entryDataSize
 	rawData := make([]byte, size)
 	for i := 0; b.Loop(); i++ {
 		entries := fixedSizeEntries(uint64(i*batchLen+1), batchLen)
 		start := time.Now()
-		mustB(b, j.Append(nil, entries))
-		mustB(b, j.Sync())
+		requireNoBenchmarkError(b, j.Append(nil, entries))
+		requireNoBenchmarkError(b, j.Sync())
 		journalTime += time.Since(start)
 		start = time.Now()
 		_, err := rawFile.WriteAt(rawData, int64(i*size))
-		mustB(b, err)
-		mustB(b, rawFile.Sync())
+		requireNoBenchmarkError(b, err)
+		requireNoBenchmarkError(b, rawFile.Sync())
 		rawTime += time.Since(start)
 	}
 	b.ReportMetric(float64(b.N)/journalTime.Seconds(), "journal-syncs/s")
 	b.ReportMetric(float64(b.N)/rawTime.Seconds(), "raw-syncs/s")
 	b.ReportMetric(rawTime.Seconds()/journalTime.Seconds(), "ratio")
-	mustB(b, j.Close())
-	mustB(b, rawFile.Close())
+	requireNoBenchmarkError(b, j.Close())
+	requireNoBenchmarkError(b, rawFile.Close())
 }
 
 // BenchmarkOpen opens journals of several lengths and reports the time per entry,
@@ -67,25 +67,25 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
 			j, _, err := journal.Open(dir)
-			mustB(b, err)
+			requireNoBenchmarkError(b, err)
 			for i := 1; i <= n; i += 50 {
-				mustB(b, j.Append(nil, fixedSizeEntries(uint64(i), 50)))
+				requireNoBenchmarkError(b, j.Append(nil, fixedSizeEntries(uint64(i), 50)))
 			}
-			mustB(b, j.Close())
+			requireNoBenchmarkError(b, j.Close())
 			for b.Loop() {
 				j, r, err := journal.Open(dir)
-				mustB(b, err)
+				requireNoBenchmarkError(b, err)
 				if len(r.Entries) < n {
 					b.Fatalf("recovered %d entries, want %d", len(r.Entries), n)
 				}
-				mustB(b, j.Close())
+				requireNoBenchmarkError(b, j.Close())
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/float64(n), "µs/entry")
 		})
 	}
 }
 
-func mustB(b *testing.B, err error) {
+func requireNoBenchmarkError(b *testing.B, err error) {
 	b.Helper()
 	if err != nil {
 		b.Fatal(err)
--- a/internal/replica/quorum/invariant_test.go
+++ b/internal/replica/quorum/invariant_test.go
@@ -21,8 +21,8 @@
 	if e.Index != n.appliedIndex+1 {
 		s.fail("%s applies entry %d after entry %d", n.id, e.Index, n.appliedIndex)
 	}
-	if old, ok := s.committed[e.Index]; ok && (old.Term != e.Term || string(old.Data) != string(e.Data)) {
-		s.fail("%s: committed entry %d changed from %v to %v", n.id, e.Index, old, e)
+	if committedEntry, ok := s.committed[e.Index]; ok && (committedEntry.Term != e.Term || string(committedEntry.Data) != string(e.Data)) {
+		s.fail("%s: committed entry %d changed from %v to %v", n.id, e.Index, committedEntry, e)
 	}
 	n.appliedIndex, n.stateDigest = e.Index, hashOf(n.stateDigest, e.Term, string(e.Data))
 	s.committed[e.Index], s.digestByIndex[e.Index] = e, n.stateDigest
@@ -127,7 +127,7 @@
 		}
 		entry := [2]uint64{previousTerm, hashOf(e.Kind, string(e.Data))}
 		key := [2]uint64{e.Index, e.Term}
-		if known, ok := s.knownEntries[key]; ok && known != entry {
+		if knownEntry, ok := s.knownEntries[key]; ok && knownEntry != entry {
 			s.fail("%s: entry %d of term %d differs between logs", n.id, e.Index, e.Term)
 		}
 		s.knownEntries[key] = entry
--- a/internal/replica/quorum/log.go
+++ b/internal/replica/quorum/log.go
@@ -31,17 +31,17 @@
 }
 
 // entriesBetween returns the entries after index after, up to and including index last.
-func (l *entryLog) entriesBetween(after, last uint64) []Entry {
-	if last <= after {
+func (l *entryLog) entriesBetween(afterIndex, lastIndex uint64) []Entry {
+	if lastIndex <= afterIndex {
 		return nil
 	}
-	return l.entries[after-l.base : last-l.base : last-l.base]
+	return l.entries[afterIndex-l.base : lastIndex-l.base : lastIndex-l.base]
 }
 
 // batchAfter returns entries after index after, up to a total size of maxBytes. If the
 // first entry is larger, it is returned alone.
-func (l *entryLog) batchAfter(after uint64, maxBytes int) []Entry {
-	remaining := l.entriesBetween(after, l.lastIndex())
+func (l *entryLog) batchAfter(afterIndex uint64, maxBytes int) []Entry {
+	remaining := l.entriesBetween(afterIndex, l.lastIndex())
 	batchBytes := 0
 	for i, e := range remaining {
 		batchBytes += e.bytes()
@@ -80,11 +80,11 @@
 
 // lastNotAboveTerm returns the highest index, at most index, whose entry has a term of at
 // most term. No later entry can match an entry of that term in another log.
-func (l *entryLog) lastNotAboveTerm(index, term uint64) (uint64, uint64) {
+func (l *entryLog) lastNotAboveTerm(index, maxTerm uint64) (uint64, uint64) {
 	index = min(index, l.lastIndex())
 	for index > l.base {
 		indexTerm, _ := l.termAt(index)
-		if indexTerm <= term {
+		if indexTerm <= maxTerm {
 			return index, indexTerm
 		}
 		index--
--- a/internal/replica/quorum/matrix_test.go
+++ b/internal/replica/quorum/matrix_test.go
@@ -208,18 +208,18 @@
 
 // run runs a scenario with faults at steps. It returns the violated invariant, if any, and
 // whether all faults were injected. The first fault may prevent the step of the second one.
-func (sc scenario) run(steps []string, injected ...faultAtStep) (failure string, allInjected bool) {
+func (sc scenario) run(steps []string, faults ...faultAtStep) (failure string, allInjected bool) {
 	s := startGroup()
-	done := make([]bool, len(injected))
+	injected := make([]bool, len(faults))
 	s.onEvent = func(label string, n *simReplica) {
 		label += " at " + n.name
-		for i, x := range injected {
-			if done[i] || steps[x.step] != label {
+		for i, f := range faults {
+			if injected[i] || steps[f.step] != label {
 				continue
 			}
-			done[i] = true
-			s.schedule(0, func() { x.fault.start(s, n) })
-			s.schedule(faultDuration, func() { x.fault.stop(s, n) })
+			injected[i] = true
+			s.schedule(0, func() { f.fault.start(s, n) })
+			s.schedule(faultDuration, func() { f.fault.stop(s, n) })
 		}
 	}
 	sc.start(s)
@@ -229,7 +229,7 @@
 	if s.failure == "" {
 		s.endFaultsAndCheck()
 	}
-	return s.failure, !slices.Contains(done, false)
+	return s.failure, !slices.Contains(injected, false)
 }
 
 // runCounts counts the runs and how often all faults of a run were injected.
