--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -91,12 +91,12 @@
 	if err != nil {
 		return err
 	}
-	entryLink, err := c.Link()
+	transportClient, err := c.Transport()
 	if err != nil {
 		return err
 	}
-	entryLink.Multiplexed = !c.ConnectionPerCall
-	runInfo.Target = entryLink.Addresses
+	transportClient.Multiplexed = !c.ConnectionPerCall
+	runInfo.Target = transportClient.Addresses
 	if runInfo.Table[0], err = c.tableRevision(ctx); err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 		return err
 	}
 	driver := &drive.Driver{
-		Caller: &caller.Client{Link: entryLink}, Jobs: plan.Jobs(), Tail: c.OutcomeTimeout, Foreign: c.Servers == 0, Keep: c.KeepOutcomes,
+		Caller: &caller.Client{Transport: transportClient}, Jobs: plan.Jobs(), Tail: c.OutcomeTimeout, Foreign: c.Servers == 0, Keep: c.KeepOutcomes,
 		Progress: progressFunc(env, c.JSON),
 	}
 	runInfo.Began = time.Now()
@@ -250,7 +250,7 @@
 func (c *command) newServer(i int, workRecord *work.Record, serverRecord *server.Record) (*server.Server, error) {
 	flags := c.Flags
 	flags.Address = c.Backends
-	entryLink, err := flags.Link()
+	transportClient, err := flags.Transport()
 	if err != nil {
 		return nil, err
 	}
@@ -259,9 +259,9 @@
 		Rack: fmt.Sprintf("rack-%d", i/serversPerRack), Zone: fmt.Sprintf("zone-%d", i%zoneCount),
 		Capacity: &v1.Size{Cpu: c.Cores * 1000, Memory: c.Memory, Slots: c.Slots},
 	}
-	for _, address := range entryLink.Addresses {
+	for _, address := range transportClient.Addresses {
 		if host, secure := strings.CutPrefix(address, "https://"); secure {
-			s.Entries = append(s.Entries, server.NewEntry(host, entryLink.TLS.Clone(), nil))
+			s.Entries = append(s.Entries, server.NewEntry(host, transportClient.TLS.Clone(), nil))
 			continue
 		}
 		s.Entries = append(s.Entries, server.NewEntry(strings.TrimPrefix(address, "http://"), nil, nil))
--- a/internal/cli/remote/remote.go
+++ b/internal/cli/remote/remote.go
@@ -36,23 +36,23 @@
 // CallerClient returns a client for a team's calls and a context that ends after the
 // timeout.
 func (f Flags) CallerClient(ctx context.Context) (*caller.Client, context.Context, context.CancelFunc, error) {
-	l, err := f.Link()
+	transportClient, err := f.Transport()
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.Timeout)
-	return &caller.Client{Link: l}, ctx, cancel, nil
+	return &caller.Client{Transport: transportClient}, ctx, cancel, nil
 }
 
 // OperatorClient returns a client for an operator's calls and a context that ends after
 // the timeout.
 func (f Flags) OperatorClient(ctx context.Context) (*operator.Client, context.Context, context.CancelFunc, error) {
-	l, err := f.Link()
+	transportClient, err := f.Transport()
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.Timeout)
-	return &operator.Client{Link: l}, ctx, cancel, nil
+	return &operator.Client{Transport: transportClient}, ctx, cancel, nil
 }
 
 // Show returns all lines of one part of the cell's state.
@@ -69,8 +69,8 @@
 	return r, nil
 }
 
-// Link validates the flags and returns the connection to the entries.
-func (f Flags) Link() (*link.Link, error) {
+// Transport validates the flags and returns the connection to the entries.
+func (f Flags) Transport() (*link.Client, error) {
 	if f.Timeout <= 0 {
 		return nil, verb.UsageError("Give a duration such as 30s.", "--timeout %s is not positive", f.Timeout)
 	}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &link.Link{Addresses: addresses, Key: f.Key, TLS: cfg}, nil
+	return &link.Client{Addresses: addresses, Key: f.Key, TLS: cfg}, nil
 }
 
 func (f Flags) parseAddresses() ([]string, error) {
--- a/internal/cli/remote/remote_test.go
+++ b/internal/cli/remote/remote_test.go
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	good := remote.Flags{Address: "https://10.0.0.1:7401, http://10.0.0.2:7401/", Key: "id.secret", Timeout: time.Second}
-	l, err := good.Link()
+	l, err := good.Transport()
 	if err != nil || len(l.Addresses) != 2 || l.Addresses[1] != "http://10.0.0.2:7401" {
 		t.Fatalf("%v, %v", l, err)
 	}
@@ -69,7 +69,7 @@
 		f := good
 		change(&f)
 		var got *verb.Error
-		if _, err := f.Link(); !errors.As(err, &got) || got.ExitCode != verb.ExitUsage || got.Advice == "" {
+		if _, err := f.Transport(); !errors.As(err, &got) || got.ExitCode != verb.ExitUsage || got.Advice == "" {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/client/caller/caller.go
+++ b/internal/client/caller/caller.go
@@ -22,7 +22,7 @@
 // Client submits jobs and retrieves their answers. Every call is retried, at one entry
 // after the other, until it is answered or its context ends.
 type Client struct {
-	Link *link.Link
+	Transport *link.Client
 	// MaxPollWait is the maximum duration of a long poll; 0 means DefaultMaxPollWait.
 	MaxPollWait time.Duration
 	// RetryUnreachableFor is how long Submit retries a job that no entry could pass to
@@ -131,7 +131,7 @@
 // attempt makes one call, stores the replies of the pending jobs and returns the delay
 // that the cell requests before a retry.
 func (c *Client) attempt(ctx context.Context, req *v1.SubmitRequest, pending []int, replies []*v1.Accepted) (time.Duration, error) {
-	submitReply, err := link.TryOnce(ctx, c.Link, submitMethod, req)
+	submitReply, err := link.TryOnce(ctx, c.Transport, submitMethod, req)
 	if err != nil {
 		return 0, err
 	}
@@ -144,7 +144,7 @@
 		retryAfter = max(retryAfter, time.Duration(reply.GetStatus().GetRetry())*time.Millisecond)
 	}
 	if len(jobsToRetry(replies, true)) > 0 {
-		c.Link.NextEntry()
+		c.Transport.NextEntry()
 	}
 	return retryAfter, nil
 }
@@ -225,13 +225,13 @@
 		pollWait = min(pollWait, max(time.Until(deadline)/2, time.Millisecond))
 	}
 	req := &v1.WaitRequest{Id: id, Chunk: chunkNumber, Patience: uint64(pollWait.Milliseconds())}
-	return link.Call(ctx, c.Link, waitMethod, req, (*v1.WaitReply).GetStatus)
+	return link.Call(ctx, c.Transport, waitMethod, req, (*v1.WaitReply).GetStatus)
 }
 
 // Cancel cancels the jobs with the given ids, or those that have all of the labels. It
 // returns the number of jobs that the cancellation reached.
 func (c *Client) Cancel(ctx context.Context, ids []string, labels map[string]string) (uint32, error) {
-	reply, err := link.Call(ctx, c.Link, cancelMethod, &v1.CancelRequest{Ids: ids, Labels: labels}, (*v1.CancelReply).GetStatus)
+	reply, err := link.Call(ctx, c.Transport, cancelMethod, &v1.CancelRequest{Ids: ids, Labels: labels}, (*v1.CancelReply).GetStatus)
 	if err != nil {
 		return 0, err
 	}
@@ -240,7 +240,7 @@
 
 // List returns a page of the team's jobs, sorted by id.
 func (c *Client) List(ctx context.Context, req *v1.ListRequest) ([]*v1.Summary, error) {
-	reply, err := link.Call(ctx, c.Link, listMethod, req, (*v1.ListReply).GetStatus)
+	reply, err := link.Call(ctx, c.Transport, listMethod, req, (*v1.ListReply).GetStatus)
 	if err != nil {
 		return nil, err
 	}
@@ -249,7 +249,7 @@
 
 // Acknowledge allows the cell to delete the outcomes of the given jobs.
 func (c *Client) Acknowledge(ctx context.Context, ids []string) error {
-	reply, err := link.Call(ctx, c.Link, acknowledgeMethod, &v1.AcknowledgeRequest{Ids: ids}, (*v1.AcknowledgeReply).GetStatus)
+	reply, err := link.Call(ctx, c.Transport, acknowledgeMethod, &v1.AcknowledgeRequest{Ids: ids}, (*v1.AcknowledgeReply).GetStatus)
 	if err != nil {
 		return err
 	}
--- a/internal/client/caller/caller_test.go
+++ b/internal/client/caller/caller_test.go
@@ -72,7 +72,7 @@
 }
 
 func newClient(addresses ...string) *caller.Client {
-	return &caller.Client{Link: &link.Link{Addresses: addresses, Key: "id.secret", Timeout: 5 * time.Second}}
+	return &caller.Client{Transport: &link.Client{Addresses: addresses, Key: "id.secret", Timeout: 5 * time.Second}}
 }
 
 func newStatus(c code.Code) *v1.Status { return &v1.Status{Code: uint32(c)} }
--- a/internal/client/link/link.go
+++ b/internal/client/link/link.go
@@ -40,9 +40,9 @@
 	maxReplyBytes = 64 << 20
 )
 
-// Link sends calls to the entries of a cell. The exported fields must be set before
+// Client sends calls to the entries of a cell. The exported fields must be set before
 // the first call.
-type Link struct {
+type Client struct {
 	// Addresses are the URLs of the entries or of a load balancer in front of them,
 	// as https://HOST:PORT, or as http://HOST:PORT for plain text.
 	Addresses []string
@@ -70,13 +70,13 @@
 
 // TryOnce makes one call to the current entry. If the entry does not answer, the next
 // call uses the next entry and a new connection.
-func TryOnce[Req, Res any](ctx context.Context, l *Link, method Method[Req, Res], msg *Req) (*Res, error) {
-	client, base, entryIndex := l.currentEntry()
-	ctx, cancel := context.WithTimeout(ctx, l.timeout())
+func TryOnce[Req, Res any](ctx context.Context, c *Client, method Method[Req, Res], msg *Req) (*Res, error) {
+	client, base, entryIndex := c.currentEntry()
+	ctx, cancel := context.WithTimeout(ctx, c.timeout())
 	defer cancel()
 	req := connect.NewRequest(msg)
-	if l.Key != "" {
-		req.Header().Set("Authorization", "Bearer "+l.Key)
+	if c.Key != "" {
+		req.Header().Set("Authorization", "Bearer "+c.Key)
 	}
 	res, err := method(client, base, connect.WithReadMaxBytes(maxReplyBytes))(ctx, req)
 	if err == nil {
@@ -84,18 +84,18 @@
 	}
 	codeErr := toCodeError(err)
 	if IsRetryable(codeErr.Code) {
-		l.replaceConnections(entryIndex)
+		c.replaceConnections(entryIndex)
 	}
 	return nil, codeErr
 }
 
 // Call repeats a call until an entry returns a result that is not retryable, or until
 // ctx ends. The function status returns the status of a reply.
-func Call[Req, Res any](ctx context.Context, l *Link, method Method[Req, Res], msg *Req, status func(*Res) *v1.Status) (*Res, error) {
+func Call[Req, Res any](ctx context.Context, c *Client, method Method[Req, Res], msg *Req, status func(*Res) *v1.Status) (*Res, error) {
 	retryBackoff := NewBackoff()
 	var lastErr error
 	for {
-		res, err := TryOnce(ctx, l, method, msg)
+		res, err := TryOnce(ctx, c, method, msg)
 		if err != nil && ctx.Err() != nil && lastErr != nil {
 			// ctx ended during this attempt. The resulting error would hide why the
 			// previous attempts failed.
@@ -109,7 +109,7 @@
 			}
 			retryAfter = time.Duration(s.GetRetry()) * time.Millisecond
 			err = StatusError(s)
-			l.NextEntry()
+			c.NextEntry()
 		}
 		if codeErr := AsCodeError(err); !IsRetryable(codeErr.Code) {
 			return nil, err
@@ -122,35 +122,35 @@
 }
 
 // NextEntry makes the following calls use the next entry.
-func (l *Link) NextEntry() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.entryIndex++
+func (c *Client) NextEntry() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.entryIndex++
 }
 
 // Close drops the idle connections.
-func (l *Link) Close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.httpClient != nil {
-		l.httpClient.CloseIdleConnections()
+func (c *Client) Close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.httpClient != nil {
+		c.httpClient.CloseIdleConnections()
 	}
 }
 
-func (l *Link) timeout() time.Duration {
-	if l.Timeout > 0 {
-		return l.Timeout
+func (c *Client) timeout() time.Duration {
+	if c.Timeout > 0 {
+		return c.Timeout
 	}
 	return DefaultTimeout
 }
 
-func (l *Link) currentEntry() (client *http.Client, base string, entryIndex int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.httpClient == nil {
-		l.httpClient = l.newHTTPClient()
+func (c *Client) currentEntry() (client *http.Client, base string, entryIndex int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.httpClient == nil {
+		c.httpClient = c.newHTTPClient()
 	}
-	return l.httpClient, l.Addresses[l.entryIndex%len(l.Addresses)], l.entryIndex
+	return c.httpClient, c.Addresses[c.entryIndex%len(c.Addresses)], c.entryIndex
 }
 
 // replaceConnections switches to the next entry and to a new connection pool after a
@@ -158,28 +158,28 @@
 // every call would time out although new connections work. Calls in progress on the
 // old pool are not interrupted. If several calls to the same entry fail, only the
 // first of them replaces the pool.
-func (l *Link) replaceConnections(entryIndex int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.entryIndex != entryIndex {
+func (c *Client) replaceConnections(entryIndex int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.entryIndex != entryIndex {
 		return
 	}
-	l.entryIndex++
-	l.httpClient.CloseIdleConnections()
-	l.httpClient = nil
+	c.entryIndex++
+	c.httpClient.CloseIdleConnections()
+	c.httpClient = nil
 }
 
-func (l *Link) newHTTPClient() *http.Client {
+func (c *Client) newHTTPClient() *http.Client {
 	var protocols *http.Protocols
-	if l.Multiplexed {
+	if c.Multiplexed {
 		protocols = new(http.Protocols)
 		protocols.SetHTTP2(true)
 		protocols.SetUnencryptedHTTP2(true)
 	}
 	return &http.Client{Transport: &http.Transport{
-		DialContext:         l.Dial,
+		DialContext:         c.Dial,
 		Protocols:           protocols,
-		TLSClientConfig:     l.TLS,
+		TLSClientConfig:     c.TLS,
 		ForceAttemptHTTP2:   true,
 		TLSHandshakeTimeout: dialTimeout,
 		MaxIdleConnsPerHost: maxIdleConnsPerEntry,
--- a/internal/client/link/link_test.go
+++ b/internal/client/link/link_test.go
@@ -56,7 +56,7 @@
 	t.Cleanup(func() { close(e.unblock) })
 
 	tlsConfig := s.Client().Transport.(*http.Transport).TLSClientConfig
-	l := &link.Link{Addresses: []string{s.URL}, TLS: tlsConfig, Timeout: 300 * time.Millisecond}
+	l := &link.Client{Addresses: []string{s.URL}, TLS: tlsConfig, Timeout: 300 * time.Millisecond}
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	callList := func() error {
@@ -78,7 +78,7 @@
 func TestWrongProtocolIsMalformed(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(s.Close)
-	_, err := link.TryOnce(t.Context(), &link.Link{Addresses: []string{s.URL}}, listMethod, &v1.ListRequest{})
+	_, err := link.TryOnce(t.Context(), &link.Client{Addresses: []string{s.URL}}, listMethod, &v1.ListRequest{})
 	if got := link.AsCodeError(err).Code; got != code.Malformed {
 		t.Errorf("got %v", err)
 	}
--- a/internal/control/node/assemble.go
+++ b/internal/control/node/assemble.go
@@ -58,7 +58,7 @@
 	if n.NewTransport != nil {
 		return n.NewTransport(id, receive)
 	}
-	return &peer.Pool{Cell: n.Cell, Self: id, TLS: n.PeerTLS, Deliver: receive, OnEvent: n.logPeerEvent}
+	return &peer.Transport{Cell: n.Cell, Self: id, TLS: n.PeerTLS, Deliver: receive, OnEvent: n.logPeerEvent}
 }
 
 // logPeerEvent logs problems of the connections to other replicas, and their end.
--- a/internal/demo/fault/world_test.go
+++ b/internal/demo/fault/world_test.go
@@ -77,21 +77,21 @@
 	if err := w.cell.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	w.operator = &operator.Client{Link: w.link("operators", w.cell.Operator)}
+	w.operator = &operator.Client{Transport: w.link("operators", w.cell.Operator)}
 	limit := &v1.Size{Cpu: teamCores, Memory: -1, Accel: -1, Slots: -1}
 	w.change(&v1.ChangeRequest{Id: "table", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
 		{Row: &v1.Row{Team: "rail", Weight: 1, Queue: 100, Limit: limit}},
 	}}}})
 	digest := key.Digest("secret")
 	w.change(&v1.ChangeRequest{Id: "grant", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "rail", Digest: digest[:]}}})
-	w.caller = &caller.Client{Link: w.link("callers", "k.secret"), MaxPollWait: patience}
+	w.caller = &caller.Client{Transport: w.link("callers", "k.secret"), MaxPollWait: patience}
 	return w
 }
 
 func (w *world) close() {
 	w.cell.Close()
-	w.caller.Link.Close()
-	w.operator.Link.Close()
+	w.caller.Transport.Close()
+	w.operator.Transport.Close()
 	w.cancel()
 	// A server of package http lets a connection linger before it closes it.
 	time.Sleep(linger)
@@ -127,8 +127,8 @@
 }
 
 // link returns a client's way to a service of all entries.
-func (w *world) link(service, k string) *link.Link {
-	l := &link.Link{Key: k, Timeout: callTimeout, Dial: w.net.Dialer("caller")}
+func (w *world) link(service, k string) *link.Client {
+	l := &link.Client{Key: k, Timeout: callTimeout, Dial: w.net.Dialer("caller")}
 	for _, e := range w.cell.Names("e", entries) {
 		l.Addresses = append(l.Addresses, "http://"+w.net.Address(e+"-"+service))
 	}
--- a/internal/demo/scenario/scenario.go
+++ b/internal/demo/scenario/scenario.go
@@ -128,8 +128,8 @@
 }
 
 // link returns a client's way to a service of all entries.
-func (t *Scenario) link(service, k string) *link.Link {
-	l := &link.Link{Key: k, Timeout: 4 * time.Second}
+func (t *Scenario) link(service, k string) *link.Client {
+	l := &link.Client{Key: k, Timeout: 4 * time.Second}
 	for _, e := range t.cell.Names("e", entries) {
 		l.Addresses = append(l.Addresses, "http://"+t.cell.Network.Address(e+"-"+service))
 	}
@@ -140,7 +140,7 @@
 func (t *Scenario) prepare(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, settle)
 	defer cancel()
-	t.operator = &operator.Client{Link: t.link("operators", t.cell.Operator)}
+	t.operator = &operator.Client{Transport: t.link("operators", t.cell.Operator)}
 	change := &v1.TableChange{}
 	for _, name := range teams {
 		change.Edits = append(change.Edits, &v1.Edit{Row: &v1.Row{
@@ -159,7 +159,7 @@
 		if err != nil {
 			return err
 		}
-		t.callers[name] = &caller.Client{Link: t.link("callers", k), MaxPollWait: 2 * time.Second}
+		t.callers[name] = &caller.Client{Transport: t.link("callers", k), MaxPollWait: 2 * time.Second}
 	}
 	return nil
 }
--- a/internal/demo/scenario/work.go
+++ b/internal/demo/scenario/work.go
@@ -186,7 +186,7 @@
 			}
 			pause(ctx, 10*time.Millisecond)
 		}
-		c.Link.NextEntry()
+		c.Transport.NextEntry()
 	}
 	d := time.Since(begin)
 	t.mu.Lock()
--- a/internal/load/measure/change.go
+++ b/internal/load/measure/change.go
@@ -69,7 +69,7 @@
 		return 0, err
 	}
 	for _, address := range r.Callers() {
-		c := &caller.Client{Link: &link.Link{Addresses: []string{address}, Key: token}}
+		c := &caller.Client{Transport: &link.Client{Addresses: []string{address}, Key: token}}
 		for {
 			got, err := c.Submit(ctx, []*v1.Spec{{Id: "x", Kind: v1.Kind_KIND_BATCH, Name: "x", Count: 1, Size: &v1.Size{Cpu: 1, Memory: 1, Slots: 1}, Runtime: 1}}, true)
 			if err == nil && code.Code(got[0].GetStatus().GetCode()) == code.InvalidKey || err != nil && link.AsCodeError(err).Code == code.InvalidKey {
@@ -79,7 +79,7 @@
 				return 0, ctx.Err()
 			}
 		}
-		c.Link.Close()
+		c.Transport.Close()
 	}
 	return time.Since(began), nil
 }
@@ -87,7 +87,7 @@
 // tableChange changes a cell of the table until every process says that it serves it.
 func tableChange(ctx context.Context, r *rig.Rig, i int) (time.Duration, error) {
 	op := r.OperatorClient()
-	defer op.Link.Close()
+	defer op.Transport.Close()
 	now, err := op.Show(ctx, v1.Part_PART_TABLE)
 	if err != nil {
 		return 0, err
--- a/internal/load/measure/flow.go
+++ b/internal/load/measure/flow.go
@@ -106,7 +106,7 @@
 	if to, err := take(r); err == nil {
 		row.Costs = between(r, from, to)
 	}
-	client.Link.Close()
+	client.Transport.Close()
 	return row, nil
 }
 
--- a/internal/load/measure/slopes.go
+++ b/internal/load/measure/slopes.go
@@ -188,7 +188,7 @@
 func hold(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, n int) error {
 	const perJob, perCall = 10, 50
 	client := r.CallerClient(token)
-	defer client.Link.Close()
+	defer client.Transport.Close()
 	var ids []string
 	for first := 0; first < n; first += perJob * perCall {
 		var jobs []*v1.Spec
--- a/internal/load/rig/cut.go
+++ b/internal/load/rig/cut.go
@@ -48,7 +48,7 @@
 // pin makes one call over a connection of its own. The call outlives ctx, so
 // that the end of the measure cuts none.
 func pin(ctx context.Context, address, token string, n *Calls) {
-	l := &link.Link{Addresses: []string{address}, Key: token}
+	l := &link.Client{Addresses: []string{address}, Key: token}
 	defer l.Close()
 	_, err := link.TryOnce(context.WithoutCancel(ctx), l, list, &v1.ListRequest{})
 	n.Made.Add(1)
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -95,12 +95,12 @@
 
 // OperatorClient returns a client with the first operator's key.
 func (r *Rig) OperatorClient() *operator.Client {
-	return &operator.Client{Link: &link.Link{Addresses: r.Operators(), Key: r.Operator}}
+	return &operator.Client{Transport: &link.Client{Addresses: r.Operators(), Key: r.Operator}}
 }
 
 // CallerClient returns a client with a team's key.
 func (r *Rig) CallerClient(token string) *caller.Client {
-	return &caller.Client{Link: &link.Link{Addresses: r.Callers(), Key: token, Multiplexed: true}}
+	return &caller.Client{Transport: &link.Client{Addresses: r.Callers(), Key: token, Multiplexed: true}}
 }
 
 // Team makes a team without limits and returns its key.
--- a/internal/load/rig/rig.go
+++ b/internal/load/rig/rig.go
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	op := r.OperatorClient()
-	defer op.Link.Close()
+	defer op.Transport.Close()
 	for {
 		_, err := op.Show(ctx, v1.Part_PART_TABLE)
 		if err == nil {
--- a/internal/replica/peer/clientconn.go
+++ b/internal/replica/peer/clientconn.go
@@ -25,7 +25,7 @@
 
 // newClientConn returns a client of the sender's peer.
 func (s *sender) newClientConn() *clientConn {
-	c := &clientConn{dialer: net.Dialer{Timeout: s.pool.callTimeout()}}
+	c := &clientConn{dialer: net.Dialer{Timeout: s.transport.callTimeout()}}
 	http2Only := new(http.Protocols)
 	http2Only.SetHTTP2(true)
 	http2Only.SetUnencryptedHTTP2(true)
@@ -37,9 +37,9 @@
 		IdleConnTimeout:    IdleTimeout,
 	}
 	scheme := "http://"
-	if s.pool.TLS != nil {
+	if s.transport.TLS != nil {
 		scheme = "https://"
-		c.transport.TLSClientConfig = s.pool.TLS.Clone()
+		c.transport.TLSClientConfig = s.transport.TLS.Clone()
 		c.transport.TLSClientConfig.ServerName = replicaName(s.peerID)
 	}
 	c.Replica = inner.NewReplicaProtobufClient(scheme+s.address, &http.Client{Transport: c.transport})
--- a/internal/replica/peer/identity_test.go
+++ b/internal/replica/peer/identity_test.go
@@ -72,7 +72,7 @@
 }
 
 // startTLSServer starts a server for the handler of p with the given TLS configuration.
-func startTLSServer(p *peer.Pool, cfg *tls.Config) *httptest.Server {
+func startTLSServer(p *peer.Transport, cfg *tls.Config) *httptest.Server {
 	p.TLS = cfg
 	server := httptest.NewUnstartedServer(p.Handler())
 	server.EnableHTTP2 = true
@@ -85,10 +85,10 @@
 
 func TestMutualTLSDelivers(t *testing.T) {
 	ca := newAuthority(t)
-	a, _, _ := newTestPool("a/1")
+	a, _, _ := newTestTransport("a/1")
 	a.TLS = ca.clientServerConfig(t, "a")
 	defer a.Close()
-	b, delivered, _ := newTestPool("b/1")
+	b, delivered, _ := newTestTransport("b/1")
 	server := startTLSServer(b, ca.clientServerConfig(t, "b"))
 	defer server.Close()
 	a.Send("b/1", serverAddress(server), [][]byte{[]byte("hello")})
@@ -102,10 +102,10 @@
 // would be lost on the same connection.
 func TestSilentTLSConnectionIsReplaced(t *testing.T) {
 	ca := newAuthority(t)
-	a, _, events := newTestPool("a/1")
+	a, _, events := newTestTransport("a/1")
 	a.TLS = ca.clientServerConfig(t, "a")
 	defer a.Close()
-	b, delivered, _ := newTestPool("b/1")
+	b, delivered, _ := newTestTransport("b/1")
 	server := startTLSServer(b, ca.clientServerConfig(t, "b"))
 	defer server.Close()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -160,9 +160,9 @@
 		"server named another": {ca.clientServerConfig(t, "a"), ca.clientServerConfig(t, "c")},
 		"plain client":         {nil, ca.clientServerConfig(t, "b")},
 	} {
-		a, _, failures := newTestPool("a/1")
+		a, _, failures := newTestTransport("a/1")
 		a.TLS = configs.client
-		b, delivered, _ := newTestPool("b/1")
+		b, delivered, _ := newTestTransport("b/1")
 		server := startTLSServer(b, configs.server)
 		a.Send("b/1", serverAddress(server), [][]byte{[]byte("vote")})
 		if e := receive(t, failures); e.Kind != peer.CallsFailing {
--- a/internal/replica/peer/peer_test.go
+++ b/internal/replica/peer/peer_test.go
@@ -24,10 +24,10 @@
 // message is a message that a pool has delivered.
 type message struct{ From, Data string }
 
-// newTestPool returns a pool, and the channels that receive its messages and events.
-func newTestPool(self string) (*peer.Pool, chan message, chan peer.Event) {
+// newTestTransport returns a pool, and the channels that receive its messages and events.
+func newTestTransport(self string) (*peer.Transport, chan message, chan peer.Event) {
 	messages, events := make(chan message, 1000), make(chan peer.Event, 1000)
-	return &peer.Pool{
+	return &peer.Transport{
 		Cell: "cell", Self: self, CallTimeout: 200 * time.Millisecond,
 		Deliver: func(from string, data []byte) { messages <- message{from, string(data)} },
 		OnEvent: func(e peer.Event) { events <- e },
@@ -61,9 +61,9 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func TestSendKeepsOrder(t *testing.T) {
-	a, _, _ := newTestPool("a/1")
+	a, _, _ := newTestTransport("a/1")
 	defer a.Close()
-	b, delivered, _ := newTestPool("b/1")
+	b, delivered, _ := newTestTransport("b/1")
 	server := startServer(b.Handler())
 	defer server.Close()
 	var want, received []message
@@ -157,9 +157,9 @@
 // has dropped its state of their connection. The firewall discards all packets
 // without a reset, while new connections work. The leader must open a new connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	a, _, events := newTestPool("a/1")
+	a, _, events := newTestTransport("a/1")
 	defer a.Close()
-	b, delivered, _ := newTestPool("b/1")
+	b, delivered, _ := newTestTransport("b/1")
 	server := startServer(b.Handler())
 	defer server.Close()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -191,14 +191,14 @@
 // the address of a replica now belongs to another cell, another replica or a replaced
 // replica. The messages must be refused, and both sides must report an event.
 func TestWrongPeerIsRefused(t *testing.T) {
-	for want, misconfigure := range map[string]func(a *peer.Pool) (to string){
-		"another cell":     func(a *peer.Pool) string { a.Cell = "other"; return "b/1" },
-		"another replica":  func(*peer.Pool) string { return "c/1" },
-		"for another repl": func(*peer.Pool) string { return "b/2" },
-		"as its sender":    func(a *peer.Pool) string { a.Self = "b/1"; return "b/1" },
+	for want, misconfigure := range map[string]func(a *peer.Transport) (to string){
+		"another cell":     func(a *peer.Transport) string { a.Cell = "other"; return "b/1" },
+		"another replica":  func(*peer.Transport) string { return "c/1" },
+		"for another repl": func(*peer.Transport) string { return "b/2" },
+		"as its sender":    func(a *peer.Transport) string { a.Self = "b/1"; return "b/1" },
 	} {
-		a, _, failures := newTestPool("a/1")
-		b, delivered, refusals := newTestPool("b/1")
+		a, _, failures := newTestTransport("a/1")
+		b, delivered, refusals := newTestTransport("b/1")
 		server := startServer(b.Handler())
 		a.Send(misconfigure(a), serverAddress(server), [][]byte{[]byte("vote")})
 		if e := receive(t, refusals); e.Kind != peer.MessageRefused || !strings.Contains(e.Err.Error(), want) {
@@ -219,10 +219,10 @@
 // The queue must drop the oldest messages, and the peer must receive the newest ones
 // when it answers again.
 func TestQueueDropsOldest(t *testing.T) {
-	a, _, _ := newTestPool("a/1")
+	a, _, _ := newTestTransport("a/1")
 	a.MaxQueueBytes, a.CallTimeout = 100, testTimeout
 	defer a.Close()
-	b, delivered, _ := newTestPool("b/1")
+	b, delivered, _ := newTestTransport("b/1")
 	callStarted, release := make(chan struct{}, 10), make(chan struct{})
 	handler := b.Handler()
 	server := startServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -256,7 +256,7 @@
 // Guards against an endless request body that fills the memory. The server must stop
 // reading soon after the size of the largest message.
 func TestRequestBodyIsLimited(t *testing.T) {
-	b, delivered, _ := newTestPool("b/1")
+	b, delivered, _ := newTestTransport("b/1")
 	server := startServer(b.Handler())
 	defer server.Close()
 	body := &zeroReader{remaining: 8 * peer.MaxMessageBytes}
--- a/internal/replica/peer/pipeline.go
+++ b/internal/replica/peer/pipeline.go
@@ -78,10 +78,10 @@
 // call delivers one batch within the call timeout and records the result.
 func (p *pipeline) call(number uint64, batch []*inner.Envelope) {
 	s := p.sender
-	ctx, cancel := context.WithTimeout(s.ctx, s.pool.callTimeout())
+	ctx, cancel := context.WithTimeout(s.ctx, s.transport.callTimeout())
 	defer cancel()
 	_, err := p.conn.Deliver(ctx, &inner.DeliverRequest{
-		Cell: s.pool.Cell, From: s.pool.Self, To: s.peerID, Envelopes: batch, Wire: p.connectionID, Number: number,
+		Cell: s.transport.Cell, From: s.transport.Self, To: s.peerID, Envelopes: batch, Wire: p.connectionID, Number: number,
 	})
 	if err == nil {
 		p.succeeded.Store(true)
--- a/internal/replica/peer/sender.go
+++ b/internal/replica/peer/sender.go
@@ -19,11 +19,11 @@
 
 // sender queues the messages for one peer and sends them over one connection.
 type sender struct {
-	pool    *Pool
-	peerID  string
-	address string
-	ctx     context.Context
-	cancel  context.CancelFunc
+	transport *Transport
+	peerID    string
+	address   string
+	ctx       context.Context
+	cancel    context.CancelFunc
 	// wakeup tells run that a message was queued or a call has failed.
 	wakeup chan struct{}
 	// callsFailing is true from the first failed call until the next successful one.
@@ -35,8 +35,8 @@
 	queuedBytes int
 }
 
-func newSender(p *Pool, peerID, address string) *sender {
-	s := &sender{pool: p, peerID: peerID, address: address, wakeup: make(chan struct{}, 1)}
+func newSender(p *Transport, peerID, address string) *sender {
+	s := &sender{transport: p, peerID: peerID, address: address, wakeup: make(chan struct{}, 1)}
 	s.ctx, s.cancel = context.WithCancel(p.ctx)
 	return s
 }
@@ -48,7 +48,7 @@
 	s.mu.Lock()
 	s.queue = append(s.queue, b)
 	s.queuedBytes += len(b)
-	for s.queuedBytes > s.pool.maxQueueBytes() && len(s.queue) > 1 {
+	for s.queuedBytes > s.transport.maxQueueBytes() && len(s.queue) > 1 {
 		s.dequeue()
 	}
 	s.mu.Unlock()
@@ -89,7 +89,7 @@
 // run sends queued messages in batches until the sender is canceled or has been idle
 // for IdleTimeout.
 func (s *sender) run() {
-	defer s.pool.sendersRunning.Done()
+	defer s.transport.sendersRunning.Done()
 	defer s.cancel()
 	retryBackoff := &backoff.ExponentialBackOff{
 		InitialInterval: minBackoff, MaxInterval: maxBackoff, RandomizationFactor: backoff.DefaultRandomizationFactor,
@@ -99,7 +99,7 @@
 	defer func() { p.close() }()
 	for {
 		if s.isEmpty() && p.err() == nil {
-			if !s.waitForMessages() && s.pool.removeIdle(s) {
+			if !s.waitForMessages() && s.transport.removeIdle(s) {
 				return
 			}
 			continue
@@ -135,14 +135,14 @@
 // failures.
 func (s *sender) reportFailure(err error) {
 	if !s.callsFailing.Swap(true) {
-		s.pool.report(Event{CallsFailing, s.peerID, err})
+		s.transport.report(Event{CallsFailing, s.peerID, err})
 	}
 }
 
 // reportRecovery sends a CallsRecovered event for the first success after failures.
 func (s *sender) reportRecovery() {
 	if s.callsFailing.Swap(false) {
-		s.pool.report(Event{Kind: CallsRecovered, Peer: s.peerID})
+		s.transport.report(Event{Kind: CallsRecovered, Peer: s.peerID})
 	}
 }
 
--- a/internal/replica/peer/server.go
+++ b/internal/replica/peer/server.go
@@ -35,7 +35,7 @@
 
 // Handler returns the HTTP handler for messages from peers. If TLS is set, its
 // listener must request and verify client certificates.
-func (p *Pool) Handler() http.Handler {
+func (p *Transport) Handler() http.Handler {
 	p.initialize()
 	server := inner.NewReplicaServer(replicaService{p})
 	slots := make(chan struct{}, maxConcurrentRequests)
@@ -54,18 +54,18 @@
 }
 
 // replicaService implements the Replica service.
-type replicaService struct{ pool *Pool }
+type replicaService struct{ transport *Transport }
 
 // Deliver passes on the messages of an authenticated peer.
 func (s replicaService) Deliver(ctx context.Context, r *inner.DeliverRequest) (*inner.DeliverReply, error) {
 	if err := s.check(ctx, r); err != nil {
-		s.pool.report(Event{MessageRefused, r.GetFrom(), err})
+		s.transport.report(Event{MessageRefused, r.GetFrom(), err})
 		return nil, twirp.PermissionDenied.Error(err.Error())
 	}
-	done := s.pool.callOrder.waitForTurn(r.GetFrom(), r.GetWire(), r.GetNumber())
+	done := s.transport.callOrder.waitForTurn(r.GetFrom(), r.GetWire(), r.GetNumber())
 	defer done()
 	for _, e := range r.GetEnvelopes() {
-		s.pool.Deliver(r.GetFrom(), e.GetData())
+		s.transport.Deliver(r.GetFrom(), e.GetData())
 	}
 	return &inner.DeliverReply{}, nil
 }
@@ -75,13 +75,13 @@
 // address, messages of one group could count as votes in another group.
 func (s replicaService) check(ctx context.Context, r *inner.DeliverRequest) error {
 	switch {
-	case r.GetCell() != s.pool.Cell:
+	case r.GetCell() != s.transport.Cell:
 		return errors.Wrapf(errWrongCell, "%q", r.GetCell())
-	case r.GetTo() != s.pool.Self:
+	case r.GetTo() != s.transport.Self:
 		return errors.Wrapf(errWrongReplica, "%q", r.GetTo())
-	case r.GetFrom() == s.pool.Self:
+	case r.GetFrom() == s.transport.Self:
 		return errSenderIsSelf
-	case s.pool.TLS == nil:
+	case s.transport.TLS == nil:
 		return nil
 	}
 	state, _ := ctx.Value(tlsStateKey{}).(*tls.ConnectionState)
