--- a/internal/cli/remote/remote.go
+++ b/internal/cli/remote/remote.go
@@ -17,8 +17,8 @@
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/cli/verb"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
 	"gypsumreel/internal/client/operator"
+	"gypsumreel/internal/client/transport"
 )
 
 // idBytes is the number of random bytes in a generated id.
@@ -70,7 +70,7 @@
 }
 
 // Transport validates the flags and returns the connection to the entries.
-func (f Flags) Transport() (*link.Client, error) {
+func (f Flags) Transport() (*transport.Client, error) {
 	if f.Timeout <= 0 {
 		return nil, verb.UsageError("Give a duration such as 30s.", "--timeout %s is not positive", f.Timeout)
 	}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &link.Client{Addresses: addresses, Key: f.Key, TLS: cfg}, nil
+	return &transport.Client{Addresses: addresses, Key: f.Key, TLS: cfg}, nil
 }
 
 func (f Flags) parseAddresses() ([]string, error) {
--- a/internal/cli/submit/submit.go
+++ b/internal/cli/submit/submit.go
@@ -13,7 +13,7 @@
 	"gypsumreel/internal/cli/remote"
 	"gypsumreel/internal/cli/verb"
 	"gypsumreel/internal/cli/wait"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 )
 
 // maxInputBytes is the maximum size of a job's input.
@@ -98,7 +98,7 @@
 	if isAccepted(accepted) {
 		return nil
 	}
-	return remote.UserError(link.StatusError(status))
+	return remote.UserError(transport.StatusError(status))
 }
 
 // buildSpec builds the job from the flags. It generates an id if none was given.
--- a/internal/client/caller/caller.go
+++ b/internal/client/caller/caller.go
@@ -9,7 +9,7 @@
 
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/answer"
 )
 
@@ -22,7 +22,7 @@
 // Client submits jobs and retrieves their answers. Every call is retried, at one entry
 // after the other, until it is answered or its context ends.
 type Client struct {
-	Transport *link.Client
+	Transport *transport.Client
 	// MaxPollWait is the maximum duration of a long poll; 0 means DefaultMaxPollWait.
 	MaxPollWait time.Duration
 	// RetryUnreachableFor is how long Submit retries a job that no entry could pass to
@@ -79,11 +79,11 @@
 	for i := range jobs {
 		pending[i] = i
 	}
-	retryBackoff, unreachableDeadline := link.NewBackoff(), time.Now().Add(c.retryUnreachableFor())
+	retryBackoff, unreachableDeadline := transport.NewBackoff(), time.Now().Add(c.retryUnreachableFor())
 	for {
 		req := newSubmitRequest(jobs, pending, firstAttempt)
 		retryAfter, err := c.attempt(ctx, req, pending, replies)
-		if err != nil && !link.IsRetryable(link.AsCodeError(err).Code) {
+		if err != nil && !transport.IsRetryable(transport.AsCodeError(err).Code) {
 			return nil, err
 		}
 		firstAttempt = firstAttempt && err == nil && allNeverSent(replies)
@@ -91,7 +91,7 @@
 		if len(pending) == 0 {
 			return replies, nil
 		}
-		if !link.Sleep(ctx, max(retryAfter, retryBackoff.NextBackOff())) {
+		if !transport.Sleep(ctx, max(retryAfter, retryBackoff.NextBackOff())) {
 			return markUnanswered(jobs, replies, err), nil
 		}
 	}
@@ -131,7 +131,7 @@
 // attempt makes one call, stores the replies of the pending jobs and returns the delay
 // that the cell requests before a retry.
 func (c *Client) attempt(ctx context.Context, req *v1.SubmitRequest, pending []int, replies []*v1.Accepted) (time.Duration, error) {
-	submitReply, err := link.TryOnce(ctx, c.Transport, submitMethod, req)
+	submitReply, err := transport.TryOnce(ctx, c.Transport, submitMethod, req)
 	if err != nil {
 		return 0, err
 	}
@@ -153,7 +153,7 @@
 func jobsToRetry(replies []*v1.Accepted, retryNeverSent bool) []int {
 	var pending []int
 	for i, reply := range replies {
-		if reply == nil || link.IsRetryable(code.Code(reply.GetStatus().GetCode())) || retryNeverSent && neverSent(reply) {
+		if reply == nil || transport.IsRetryable(code.Code(reply.GetStatus().GetCode())) || retryNeverSent && neverSent(reply) {
 			pending = append(pending, i)
 		}
 	}
@@ -200,7 +200,7 @@
 		case err != nil:
 			return result, err
 		}
-		result = Result{ID: id, Outcome: reply.GetOutcome(), Code: code.Code(reply.GetStatus().GetCode()), Text: link.StatusError(reply.GetStatus()).Detail}
+		result = Result{ID: id, Outcome: reply.GetOutcome(), Code: code.Code(reply.GetStatus().GetCode()), Text: transport.StatusError(reply.GetStatus()).Detail}
 		switch {
 		case reply.GetOutcome() == v1.Outcome_OUTCOME_DONE:
 			if err := assembler.Add(reply.GetChunk()); err != nil {
@@ -209,7 +209,7 @@
 		case IsFinal(reply.GetOutcome()):
 			return result, nil
 		case result.Code != code.OK:
-			return result, link.StatusError(reply.GetStatus())
+			return result, transport.StatusError(reply.GetStatus())
 		case ctx.Err() != nil:
 			return result, nil
 		}
@@ -225,13 +225,13 @@
 		pollWait = min(pollWait, max(time.Until(deadline)/2, time.Millisecond))
 	}
 	req := &v1.WaitRequest{Id: id, Chunk: chunkNumber, Patience: uint64(pollWait.Milliseconds())}
-	return link.Call(ctx, c.Transport, waitMethod, req, (*v1.WaitReply).GetStatus)
+	return transport.Call(ctx, c.Transport, waitMethod, req, (*v1.WaitReply).GetStatus)
 }
 
 // Cancel cancels the jobs with the given ids, or those that have all of the labels. It
 // returns the number of jobs that the cancellation reached.
 func (c *Client) Cancel(ctx context.Context, ids []string, labels map[string]string) (uint32, error) {
-	reply, err := link.Call(ctx, c.Transport, cancelMethod, &v1.CancelRequest{Ids: ids, Labels: labels}, (*v1.CancelReply).GetStatus)
+	reply, err := transport.Call(ctx, c.Transport, cancelMethod, &v1.CancelRequest{Ids: ids, Labels: labels}, (*v1.CancelReply).GetStatus)
 	if err != nil {
 		return 0, err
 	}
@@ -240,7 +240,7 @@
 
 // List returns a page of the team's jobs, sorted by id.
 func (c *Client) List(ctx context.Context, req *v1.ListRequest) ([]*v1.Summary, error) {
-	reply, err := link.Call(ctx, c.Transport, listMethod, req, (*v1.ListReply).GetStatus)
+	reply, err := transport.Call(ctx, c.Transport, listMethod, req, (*v1.ListReply).GetStatus)
 	if err != nil {
 		return nil, err
 	}
@@ -249,7 +249,7 @@
 
 // Acknowledge allows the cell to delete the outcomes of the given jobs.
 func (c *Client) Acknowledge(ctx context.Context, ids []string) error {
-	reply, err := link.Call(ctx, c.Transport, acknowledgeMethod, &v1.AcknowledgeRequest{Ids: ids}, (*v1.AcknowledgeReply).GetStatus)
+	reply, err := transport.Call(ctx, c.Transport, acknowledgeMethod, &v1.AcknowledgeRequest{Ids: ids}, (*v1.AcknowledgeReply).GetStatus)
 	if err != nil {
 		return err
 	}
@@ -258,7 +258,7 @@
 
 func statusError(s *v1.Status) error {
 	if code.Code(s.GetCode()) != code.OK {
-		return link.StatusError(s)
+		return transport.StatusError(s)
 	}
 	return nil
 }
--- a/internal/client/caller/caller_test.go
+++ b/internal/client/caller/caller_test.go
@@ -17,7 +17,7 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 )
 
 // scriptedEntry is a fake entry that answers each Submit and Wait with the next function
@@ -72,7 +72,7 @@
 }
 
 func newClient(addresses ...string) *caller.Client {
-	return &caller.Client{Transport: &link.Client{Addresses: addresses, Key: "id.secret", Timeout: 5 * time.Second}}
+	return &caller.Client{Transport: &transport.Client{Addresses: addresses, Key: "id.secret", Timeout: 5 * time.Second}}
 }
 
 func newStatus(c code.Code) *v1.Status { return &v1.Status{Code: uint32(c)} }
@@ -132,7 +132,7 @@
 			return nil, connect.NewError(connect.CodeUnauthenticated, errors.New("no"))
 		},
 	}}
-	if _, err := newClient(startServer(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); link.AsCodeError(err).Code != code.InvalidKey {
+	if _, err := newClient(startServer(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); transport.AsCodeError(err).Code != code.InvalidKey {
 		t.Errorf("got %v", err)
 	}
 }
--- a/internal/client/operator/operator.go
+++ b/internal/client/operator/operator.go
@@ -8,7 +8,7 @@
 
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 )
 
 // linesPerPage is the number of lines requested per page.
@@ -16,7 +16,7 @@
 
 // Client changes the settings of a cell and reads its state.
 type Client struct {
-	Transport *link.Client
+	Transport *transport.Client
 }
 
 func changeMethod(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ChangeRequest]) (*connect.Response[v1.ChangeReply], error) {
@@ -34,7 +34,7 @@
 // Change makes one change and retries it with the same id until it is answered. It
 // returns the revision of the team table, also if the change is refused.
 func (c *Client) Change(ctx context.Context, req *v1.ChangeRequest) (uint64, error) {
-	reply, err := link.Call(ctx, c.Transport, changeMethod, req, (*v1.ChangeReply).GetStatus)
+	reply, err := transport.Call(ctx, c.Transport, changeMethod, req, (*v1.ChangeReply).GetStatus)
 	if err != nil {
 		return 0, err
 	}
@@ -49,7 +49,7 @@
 	all := &v1.ShowReply{}
 	after, firstName := "", ""
 	for {
-		page, err := link.Call(ctx, c.Transport, showMethod, &v1.ShowRequest{Part: part, After: after, Limit: linesPerPage}, (*v1.ShowReply).GetStatus)
+		page, err := transport.Call(ctx, c.Transport, showMethod, &v1.ShowRequest{Part: part, After: after, Limit: linesPerPage}, (*v1.ShowReply).GetStatus)
 		if err != nil {
 			return nil, err
 		}
@@ -114,7 +114,7 @@
 // Dump returns the state of one process as JSON text. An empty name stands for the
 // entry that receives the call.
 func (c *Client) Dump(ctx context.Context, process string) (string, error) {
-	reply, err := link.Call(ctx, c.Transport, dumpMethod, &v1.DumpRequest{Process: process}, (*v1.DumpReply).GetStatus)
+	reply, err := transport.Call(ctx, c.Transport, dumpMethod, &v1.DumpRequest{Process: process}, (*v1.DumpReply).GetStatus)
 	if err != nil {
 		return "", err
 	}
@@ -123,7 +123,7 @@
 
 func statusError(s *v1.Status) error {
 	if code.Code(s.GetCode()) != code.OK {
-		return link.StatusError(s)
+		return transport.StatusError(s)
 	}
 	return nil
 }
--- a/internal/client/link/link.go
+++ b/internal/client/transport/link.go
@@ -1,7 +1,7 @@
 // Package link connects a client to the entries of a cell. It retries calls and
 // switches between entries until one answers. Retries are safe because every request
 // of the protocol has a unique id and is idempotent.
-package link
+package transport
 
 import (
 	"context"
--- a/internal/demo/fault/world_test.go
+++ b/internal/demo/fault/world_test.go
@@ -15,8 +15,8 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
 	"gypsumreel/internal/client/operator"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/control/leader"
 	"gypsumreel/internal/demo/cell"
 	"gypsumreel/internal/domain/key"
@@ -127,8 +127,8 @@
 }
 
 // link returns a client's way to a service of all entries.
-func (w *world) link(service, k string) *link.Client {
-	l := &link.Client{Key: k, Timeout: callTimeout, Dial: w.net.Dialer("caller")}
+func (w *world) link(service, k string) *transport.Client {
+	l := &transport.Client{Key: k, Timeout: callTimeout, Dial: w.net.Dialer("caller")}
 	for _, e := range w.cell.Names("e", entries) {
 		l.Addresses = append(l.Addresses, "http://"+w.net.Address(e+"-"+service))
 	}
--- a/internal/demo/scenario/scenario.go
+++ b/internal/demo/scenario/scenario.go
@@ -15,8 +15,8 @@
 
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
 	"gypsumreel/internal/client/operator"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/demo/cell"
 	"gypsumreel/internal/domain/key"
 	"gypsumreel/internal/fake/server"
@@ -128,8 +128,8 @@
 }
 
 // link returns a client's way to a service of all entries.
-func (t *Scenario) link(service, k string) *link.Client {
-	l := &link.Client{Key: k, Timeout: 4 * time.Second}
+func (t *Scenario) link(service, k string) *transport.Client {
+	l := &transport.Client{Key: k, Timeout: 4 * time.Second}
 	for _, e := range t.cell.Names("e", entries) {
 		l.Addresses = append(l.Addresses, "http://"+t.cell.Network.Address(e+"-"+service))
 	}
--- a/internal/load/drive/drive.go
+++ b/internal/load/drive/drive.go
@@ -17,7 +17,7 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/job"
 	"gypsumreel/internal/load/mix"
 	"gypsumreel/internal/load/work"
@@ -85,7 +85,7 @@
 	acks.Go(d.acknowledge)
 	for i := range d.Jobs {
 		out[i].Job = d.Jobs[i]
-		if !link.Sleep(ctx, time.Until(d.begin.Add(d.Jobs[i].At))) {
+		if !transport.Sleep(ctx, time.Until(d.begin.Add(d.Jobs[i].At))) {
 			break
 		}
 		d.tell(i)
@@ -122,7 +122,7 @@
 	s.Sent = d.since()
 	got, err := d.Caller.Submit(ctx, []*v1.Spec{spec}, true)
 	if err != nil {
-		s.Code = link.AsCodeError(err).Code
+		s.Code = transport.AsCodeError(err).Code
 		return
 	}
 	s.Code, s.Outcome = code.Code(got[0].GetStatus().GetCode()), got[0].GetOutcome()
@@ -138,7 +138,7 @@
 
 // retire cancels a service once it has lived for its time.
 func (d *Driver) retire(ctx context.Context, s *Seen) {
-	if link.Sleep(ctx, s.Job.Runtime) {
+	if transport.Sleep(ctx, s.Job.Runtime) {
 		_, _ = d.Caller.Cancel(ctx, []string{s.Job.Spec.GetId()}, nil) // the outcome below tells whether it came through
 	}
 }
@@ -146,7 +146,7 @@
 func (d *Driver) collect(ctx context.Context, s *Seen) {
 	r, err := d.Caller.Wait(ctx, s.Job.Spec.GetId())
 	if err != nil {
-		s.Code = link.AsCodeError(err).Code
+		s.Code = transport.AsCodeError(err).Code
 		// The outcome is known here, but what should be the answer is not whole.
 		s.Damaged = r.Outcome == v1.Outcome_OUTCOME_DONE
 		s.Outcome = r.Outcome
--- a/internal/load/drive/drive_test.go
+++ b/internal/load/drive/drive_test.go
@@ -14,7 +14,7 @@
 
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/answer"
 	"gypsumreel/internal/domain/job"
 	"gypsumreel/internal/load/drive"
@@ -75,7 +75,7 @@
 	mux.Handle(v1.NewCallerHandler(e))
 	s := httptest.NewServer(mux)
 	t.Cleanup(s.Close)
-	d := &drive.Driver{Caller: &caller.Client{Transport: &link.Client{Addresses: []string{s.URL}}}, Tail: 20 * time.Second}
+	d := &drive.Driver{Caller: &caller.Client{Transport: &transport.Client{Addresses: []string{s.URL}}}, Tail: 20 * time.Second}
 	want := map[string]int{}
 	for i := range n {
 		id := fmt.Sprintf("job-%d", i)
--- a/internal/load/measure/change.go
+++ b/internal/load/measure/change.go
@@ -10,7 +10,7 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/load/rig"
 )
 
@@ -69,13 +69,13 @@
 		return 0, err
 	}
 	for _, address := range r.Callers() {
-		c := &caller.Client{Transport: &link.Client{Addresses: []string{address}, Key: token}}
+		c := &caller.Client{Transport: &transport.Client{Addresses: []string{address}, Key: token}}
 		for {
 			got, err := c.Submit(ctx, []*v1.Spec{{Id: "x", Kind: v1.Kind_KIND_BATCH, Name: "x", Count: 1, Size: &v1.Size{Cpu: 1, Memory: 1, Slots: 1}, Runtime: 1}}, true)
-			if err == nil && code.Code(got[0].GetStatus().GetCode()) == code.InvalidKey || err != nil && link.AsCodeError(err).Code == code.InvalidKey {
+			if err == nil && code.Code(got[0].GetStatus().GetCode()) == code.InvalidKey || err != nil && transport.AsCodeError(err).Code == code.InvalidKey {
 				break
 			}
-			if !link.Sleep(ctx, askEvery) {
+			if !transport.Sleep(ctx, askEvery) {
 				return 0, ctx.Err()
 			}
 		}
@@ -101,7 +101,7 @@
 	}
 	for _, name := range append(r.Controls(), r.EntryNames()...) {
 		for r.Revision(name) < revision {
-			if !link.Sleep(ctx, askEvery) {
+			if !transport.Sleep(ctx, askEvery) {
 				return 0, ctx.Err()
 			}
 		}
--- a/internal/load/measure/fault.go
+++ b/internal/load/measure/fault.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/job"
 	"gypsumreel/internal/load/rig"
 )
@@ -36,19 +36,19 @@
 	{"leader-kill", 12 * time.Second, false, func(ctx context.Context, r *rig.Rig) error {
 		lead, _ := r.Leader()
 		r.Kill(lead)
-		link.Sleep(ctx, 3*time.Second)
+		transport.Sleep(ctx, 3*time.Second)
 		return r.Restart(lead)
 	}},
 	{"leader-pause", 20 * time.Second, false, func(ctx context.Context, r *rig.Rig) error {
 		lead, _ := r.Leader()
 		r.Pause(lead)
-		link.Sleep(ctx, frozen)
+		transport.Sleep(ctx, frozen)
 		r.Resume(lead)
 		return nil
 	}},
 	{"entry-kill", 12 * time.Second, false, func(ctx context.Context, r *rig.Rig) error {
 		r.Kill("entry-1")
-		link.Sleep(ctx, 3*time.Second)
+		transport.Sleep(ctx, 3*time.Second)
 		return r.Restart("entry-1")
 	}},
 	{"rolling", 40 * time.Second, true, rolling},
@@ -106,7 +106,7 @@
 	}
 	w.Go(func() {
 		defer stop()
-		link.Sleep(ctx, faultAt)
+		transport.Sleep(ctx, faultAt)
 		made = f.make(ctx, r)
 	})
 	row, err := b.drive(ctx, r, fleet, token, flow{rate: faultRate, duration: f.duration, kind: job.Urgent, count: 1, runtime: 50 * time.Millisecond, once: 0.3}, "fault-")
--- a/internal/load/measure/idle.go
+++ b/internal/load/measure/idle.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/load/rig"
 )
 
@@ -38,12 +38,12 @@
 		return row, err
 	}
 	defer fleet.Close()
-	link.Sleep(ctx, rig.Quiet)
+	transport.Sleep(ctx, rig.Quiet)
 	from, err := take(r)
 	if err != nil {
 		return row, err
 	}
-	link.Sleep(ctx, rest)
+	transport.Sleep(ctx, rest)
 	to, err := take(r)
 	if err != nil {
 		return row, err
--- a/internal/load/measure/slopes.go
+++ b/internal/load/measure/slopes.go
@@ -7,7 +7,7 @@
 	"time"
 
 	v1 "gypsumreel/internal/api/v1"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/job"
 	"gypsumreel/internal/load/rig"
 	"gypsumreel/internal/load/work"
@@ -175,7 +175,7 @@
 }
 
 func resident(ctx context.Context, r *rig.Rig, l *lines, what string, size float64) error {
-	link.Sleep(ctx, rig.Quiet)
+	transport.Sleep(ctx, rig.Quiet)
 	s, err := take(r)
 	c := between(r, s, s)
 	l.add("resident memory of the leader per 1,000 "+what, "MiB", size, c.Leader.RSS)
@@ -212,7 +212,7 @@
 			for _, one := range fleet.Record.Of(id, perJob) {
 				running += one.Started
 			}
-			if running < perJob && !link.Sleep(ctx, askPause) {
+			if running < perJob && !transport.Sleep(ctx, askPause) {
 				return fmt.Errorf("%s: %d of %d tasks run", id, running, perJob)
 			}
 		}
--- a/internal/load/rig/cut.go
+++ b/internal/load/rig/cut.go
@@ -9,7 +9,7 @@
 	"connectrpc.com/connect"
 
 	v1 "gypsumreel/internal/api/v1"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 )
 
 const (
@@ -37,7 +37,7 @@
 					if r.Ready(name) {
 						pin(ctx, r.direct(name), token, n)
 					}
-					link.Sleep(ctx, pinPause)
+					transport.Sleep(ctx, pinPause)
 				}
 			})
 		}
@@ -48,9 +48,9 @@
 // pin makes one call over a connection of its own. The call outlives ctx, so
 // that the end of the measure cuts none.
 func pin(ctx context.Context, address, token string, n *Calls) {
-	l := &link.Client{Addresses: []string{address}, Key: token}
+	l := &transport.Client{Addresses: []string{address}, Key: token}
 	defer l.Close()
-	_, err := link.TryOnce(context.WithoutCancel(ctx), l, list, &v1.ListRequest{})
+	_, err := transport.TryOnce(context.WithoutCancel(ctx), l, list, &v1.ListRequest{})
 	n.Made.Add(1)
 	if err != nil {
 		n.Cut.Add(1)
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -10,8 +10,8 @@
 
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
 	"gypsumreel/internal/client/operator"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/key"
 	"gypsumreel/internal/fake/server"
 	"gypsumreel/internal/load/work"
@@ -86,7 +86,7 @@
 		if ready >= n {
 			return nil
 		}
-		if !link.Sleep(ctx, lookEvery) {
+		if !transport.Sleep(ctx, lookEvery) {
 			return errors.Newf("%d of %d servers are ready: %v", ready, n, err)
 		}
 	}
@@ -95,12 +95,12 @@
 
 // OperatorClient returns a client with the first operator's key.
 func (r *Rig) OperatorClient() *operator.Client {
-	return &operator.Client{Transport: &link.Client{Addresses: r.Operators(), Key: r.Operator}}
+	return &operator.Client{Transport: &transport.Client{Addresses: r.Operators(), Key: r.Operator}}
 }
 
 // CallerClient returns a client with a team's key.
 func (r *Rig) CallerClient(token string) *caller.Client {
-	return &caller.Client{Transport: &link.Client{Addresses: r.Callers(), Key: token, Multiplexed: true}}
+	return &caller.Client{Transport: &transport.Client{Addresses: r.Callers(), Key: token, Multiplexed: true}}
 }
 
 // Team makes a team without limits and returns its key.
--- a/internal/load/rig/process_test.go
+++ b/internal/load/rig/process_test.go
@@ -14,7 +14,7 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/job"
 	"gypsumreel/internal/load/drive"
 	"gypsumreel/internal/load/history"
@@ -248,7 +248,7 @@
 				if err == nil {
 					return history.Changed{Code: code.OK, Revision: revision}, true
 				}
-				c := link.AsCodeError(err).Code
+				c := transport.AsCodeError(err).Code
 				return history.Changed{Code: c, Revision: revision}, c == code.RevisionConflict
 			})
 		}
--- a/internal/load/rig/rig.go
+++ b/internal/load/rig/rig.go
@@ -16,7 +16,7 @@
 	"github.com/cockroachdb/errors"
 
 	v1 "gypsumreel/internal/api/v1"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/key"
 	"gypsumreel/internal/fake/relay"
 )
@@ -107,7 +107,7 @@
 		if err == nil {
 			return nil
 		}
-		if !link.Sleep(ctx, lookEvery) {
+		if !transport.Sleep(ctx, lookEvery) {
 			return errors.Wrap(err, "the operator's key")
 		}
 	}
