--- a/internal/cli/remote/remote_test.go
+++ b/internal/cli/remote/remote_test.go
@@ -52,9 +52,9 @@
 		t.Fatal(err)
 	}
 	good := remote.Flags{Address: "https://10.0.0.1:7401, http://10.0.0.2:7401/", Key: "id.secret", Timeout: time.Second}
-	l, err := good.Transport()
-	if err != nil || len(l.Addresses) != 2 || l.Addresses[1] != "http://10.0.0.2:7401" {
-		t.Fatalf("%v, %v", l, err)
+	transportClient, err := good.Transport()
+	if err != nil || len(transportClient.Addresses) != 2 || transportClient.Addresses[1] != "http://10.0.0.2:7401" {
+		t.Fatalf("%v, %v", transportClient, err)
 	}
 	for name, change := range map[string]func(*remote.Flags){
 		"no key":                 func(f *remote.Flags) { f.Key = "" },
--- a/internal/client/transport/link_test.go
+++ b/internal/client/transport/transport_test.go
@@ -56,11 +56,11 @@
 	t.Cleanup(func() { close(e.unblock) })
 
 	tlsConfig := s.Client().Transport.(*http.Transport).TLSClientConfig
-	l := &transport.Client{Addresses: []string{s.URL}, TLS: tlsConfig, Timeout: 300 * time.Millisecond}
+	client := &transport.Client{Addresses: []string{s.URL}, TLS: tlsConfig, Timeout: 300 * time.Millisecond}
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	callList := func() error {
-		_, err := transport.Call(ctx, l, listMethod, &v1.ListRequest{}, (*v1.ListReply).GetStatus)
+		_, err := transport.Call(ctx, client, listMethod, &v1.ListRequest{}, (*v1.ListReply).GetStatus)
 		return err
 	}
 	if err := callList(); err != nil {
--- a/internal/edge/entry/faults_test.go
+++ b/internal/edge/entry/faults_test.go
@@ -37,14 +37,14 @@
 		{"entry killed", 2 * time.Second, func(w *testCell) { w.currentEntry("e1").kill() }, restartEntry},
 		{"leader killed", 3 * time.Second, killLeader, func(w *testCell) { w.startReplica("c1") }},
 		{"server killed", 2 * time.Second, func(w *testCell) { w.terminate("s1") }, func(w *testCell) { w.startServer("s1") }},
-		{"entry paused 30 s", 30 * time.Second, setRelayFate(isAnyLink, relay.Hold, bothDirections...), setRelayFate(isAnyLink, relay.Pass, bothDirections...)},
+		{"entry paused 30 s", 30 * time.Second, setRelayFate(isEntryConnection, relay.Hold, bothDirections...), setRelayFate(isEntryConnection, relay.Pass, bothDirections...)},
 		{"leader paused 30 s", 30 * time.Second, pauseLeader, func(w *testCell) { w.replicas["c1"].gate.open() }},
 		{"server paused 30 s", 30 * time.Second, func(w *testCell) { w.backendServer("s1").Pause() }, func(w *testCell) { w.backendServer("s1").Resume() }},
 	}
 	for _, side := range []struct {
 		name  string
 		links func(name string) bool
-	}{{"inner", isInnerLink}, {"outer", isOuterLink}} {
+	}{{"inner", isInnerConnection}, {"outer", isOuterConnection}} {
 		faults = append(
 			faults,
 			fault{"requests lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.links, relay.Lose, relay.Up), setRelayFate(side.links, relay.Pass, relay.Up)},
@@ -64,11 +64,11 @@
 	)
 }
 
-func isInnerLink(name string) bool { return strings.HasPrefix(name, "e1>") }
+func isInnerConnection(name string) bool { return strings.HasPrefix(name, "e1>") }
 
-func isOuterLink(name string) bool { return strings.Contains(name, ">e1-") }
+func isOuterConnection(name string) bool { return strings.Contains(name, ">e1-") }
 
-func isAnyLink(name string) bool { return isInnerLink(name) || isOuterLink(name) }
+func isEntryConnection(name string) bool { return isInnerConnection(name) || isOuterConnection(name) }
 
 // applyToRelays returns a function that applies the action to each relay with a matching name.
 func applyToRelays(matches func(string) bool, action func(*relay.Relay)) func(*testCell) {
--- a/internal/edge/entry/stop_test.go
+++ b/internal/edge/entry/stop_test.go
@@ -32,7 +32,7 @@
 		defer c.closeIdle()
 		c.submit(0, newSpec("held", false, server.Wish{Sleep: "1h"}.Input()))
 		for name, r := range w.relays {
-			if isInnerLink(name) || isOuterLink(name) {
+			if isInnerConnection(name) || isOuterConnection(name) {
 				r.Delay(relay.Up, 3*time.Millisecond)
 				r.Delay(relay.Down, 3*time.Millisecond)
 			}
@@ -139,10 +139,10 @@
 		}
 		time.Sleep(time.Second)
 		atStart := probe()
-		setRelayFate(isInnerLink, relay.Lose, bothDirections...)(w)
+		setRelayFate(isInnerConnection, relay.Lose, bothDirections...)(w)
 		time.Sleep(3 * time.Second)
 		withoutLeader := probe()
-		setRelayFate(isInnerLink, relay.Pass, bothDirections...)(w)
+		setRelayFate(isInnerConnection, relay.Pass, bothDirections...)(w)
 		time.Sleep(2 * time.Second)
 		reconnected := probe()
 		w.currentEntry("e1").stop()
@@ -189,7 +189,7 @@
 		maxOpen := 0
 		for i := range 20 {
 			if i == 10 {
-				applyToRelays(isOuterLink, func(r *relay.Relay) { r.Forget(bothDirections...) })(w)
+				applyToRelays(isOuterConnection, func(r *relay.Relay) { r.Forget(bothDirections...) })(w)
 			}
 			if problem := c.runJob(i, fmt.Sprintf("job-%d", i), server.Wish{Sleep: "300ms"}); problem != "" {
 				t.Error(problem)
--- a/internal/replica/peer/clientconn.go
+++ b/internal/replica/peer/clientconn.go
@@ -14,8 +14,8 @@
 // smaller.
 type clientConn struct {
 	inner.Replica
-	transport *http.Transport
-	dialer    net.Dialer
+	httpTransport *http.Transport
+	dialer        net.Dialer
 
 	mu sync.Mutex
 	// conns holds every connection that was dialled, so that close can close them.
@@ -29,7 +29,7 @@
 	http2Only := new(http.Protocols)
 	http2Only.SetHTTP2(true)
 	http2Only.SetUnencryptedHTTP2(true)
-	c.transport = &http.Transport{
+	c.httpTransport = &http.Transport{
 		Protocols:          http2Only,
 		DialContext:        c.dial,
 		MaxConnsPerHost:    1,
@@ -39,10 +39,10 @@
 	scheme := "http://"
 	if s.transport.TLS != nil {
 		scheme = "https://"
-		c.transport.TLSClientConfig = s.transport.TLS.Clone()
-		c.transport.TLSClientConfig.ServerName = replicaName(s.peerID)
+		c.httpTransport.TLSClientConfig = s.transport.TLS.Clone()
+		c.httpTransport.TLSClientConfig.ServerName = replicaName(s.peerID)
 	}
-	c.Replica = inner.NewReplicaProtobufClient(scheme+s.address, &http.Client{Transport: c.transport})
+	c.Replica = inner.NewReplicaProtobufClient(scheme+s.address, &http.Client{Transport: c.httpTransport})
 	return c
 }
 
@@ -71,5 +71,5 @@
 	for _, conn := range c.conns {
 		_ = conn.Close()
 	}
-	c.transport.CloseIdleConnections()
+	c.httpTransport.CloseIdleConnections()
 }
--- a/internal/replica/peer/peer.go
+++ b/internal/replica/peer/peer.go
@@ -86,36 +86,36 @@
 }
 
 // initialize sets up the unexported fields on first use.
-func (p *Transport) initialize() {
-	p.initOnce.Do(func() {
-		p.ctx, p.cancel = context.WithCancel(context.Background())
-		p.done = make(chan struct{})
-		p.senders = map[string]*sender{}
+func (t *Transport) initialize() {
+	t.initOnce.Do(func() {
+		t.ctx, t.cancel = context.WithCancel(context.Background())
+		t.done = make(chan struct{})
+		t.senders = map[string]*sender{}
 	})
 }
 
 // Send queues messages for a peer. If the queue is full, its oldest messages are
 // dropped. Send never blocks and does not report whether messages are delivered.
-func (p *Transport) Send(to, address string, data [][]byte) {
-	p.initialize()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.closed {
+func (t *Transport) Send(to, address string, data [][]byte) {
+	t.initialize()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.closed {
 		return
 	}
-	s := p.senders[to]
+	s := t.senders[to]
 	if s == nil || s.address != address {
 		if s != nil {
 			s.cancel()
 		}
-		s = newSender(p, to, address)
-		p.senders[to] = s
-		p.sendersRunning.Add(1)
+		s = newSender(t, to, address)
+		t.senders[to] = s
+		t.sendersRunning.Add(1)
 		go s.run()
 	}
 	for _, b := range data {
 		if len(b) > MaxMessageBytes {
-			p.report(Event{MessageTooLarge, to, errors.Newf("message of %d bytes exceeds the limit of %d bytes", len(b), MaxMessageBytes)})
+			t.report(Event{MessageTooLarge, to, errors.Newf("message of %d bytes exceeds the limit of %d bytes", len(b), MaxMessageBytes)})
 			continue
 		}
 		s.enqueue(b)
@@ -123,57 +123,57 @@
 }
 
 // Close closes all connections and waits until all senders have stopped.
-func (p *Transport) Close() {
-	p.initialize()
-	p.mu.Lock()
-	firstCall := !p.closed
-	p.closed = true
-	p.mu.Unlock()
-	p.cancel()
-	p.sendersRunning.Wait()
+func (t *Transport) Close() {
+	t.initialize()
+	t.mu.Lock()
+	firstCall := !t.closed
+	t.closed = true
+	t.mu.Unlock()
+	t.cancel()
+	t.sendersRunning.Wait()
 	if firstCall {
-		close(p.done)
+		close(t.done)
 	}
 }
 
 // Done returns a channel that is closed when Close has finished.
-func (p *Transport) Done() <-chan struct{} {
-	p.initialize()
-	return p.done
+func (t *Transport) Done() <-chan struct{} {
+	t.initialize()
+	return t.done
 }
 
 // removeIdle removes an idle sender. It returns false if a message has been queued in
 // the meantime.
-func (p *Transport) removeIdle(s *sender) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (t *Transport) removeIdle(s *sender) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if !s.isEmpty() {
 		return false
 	}
-	if p.senders[s.peerID] == s {
-		delete(p.senders, s.peerID)
+	if t.senders[s.peerID] == s {
+		delete(t.senders, s.peerID)
 	}
 	return true
 }
 
-func (p *Transport) report(e Event) {
-	if p.OnEvent != nil {
-		p.OnEvent(e)
+func (t *Transport) report(e Event) {
+	if t.OnEvent != nil {
+		t.OnEvent(e)
 	}
 }
 
-func (p *Transport) callTimeout() time.Duration {
-	if p.CallTimeout == 0 {
+func (t *Transport) callTimeout() time.Duration {
+	if t.CallTimeout == 0 {
 		return DefaultCallTimeout
 	}
-	return p.CallTimeout
+	return t.CallTimeout
 }
 
-func (p *Transport) maxQueueBytes() int {
-	if p.MaxQueueBytes == 0 {
+func (t *Transport) maxQueueBytes() int {
+	if t.MaxQueueBytes == 0 {
 		return DefaultMaxQueueBytes
 	}
-	return p.MaxQueueBytes
+	return t.MaxQueueBytes
 }
 
 // replicaName returns the NAME part of an ID. Certificates are issued for that name.
--- a/internal/replica/peer/sender.go
+++ b/internal/replica/peer/sender.go
@@ -35,9 +35,9 @@
 	queuedBytes int
 }
 
-func newSender(p *Transport, peerID, address string) *sender {
-	s := &sender{transport: p, peerID: peerID, address: address, wakeup: make(chan struct{}, 1)}
-	s.ctx, s.cancel = context.WithCancel(p.ctx)
+func newSender(t *Transport, peerID, address string) *sender {
+	s := &sender{transport: t, peerID: peerID, address: address, wakeup: make(chan struct{}, 1)}
+	s.ctx, s.cancel = context.WithCancel(t.ctx)
 	return s
 }
 
--- a/internal/replica/peer/server.go
+++ b/internal/replica/peer/server.go
@@ -35,16 +35,16 @@
 
 // Handler returns the HTTP handler for messages from peers. If TLS is set, its
 // listener must request and verify client certificates.
-func (p *Transport) Handler() http.Handler {
-	p.initialize()
-	server := inner.NewReplicaServer(replicaService{p})
+func (t *Transport) Handler() http.Handler {
+	t.initialize()
+	server := inner.NewReplicaServer(replicaService{t})
 	slots := make(chan struct{}, maxConcurrentRequests)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case slots <- struct{}{}:
 			defer func() { <-slots }()
 		default:
-			p.report(Event{MessageRefused, r.RemoteAddr, errTooManyRequests})
+			t.report(Event{MessageRefused, r.RemoteAddr, errTooManyRequests})
 			http.Error(w, errTooManyRequests.Error(), http.StatusServiceUnavailable)
 			return
 		}
--- a/internal/replica/quorum/core.go
+++ b/internal/replica/quorum/core.go
@@ -166,14 +166,14 @@
 
 // Step processes an event at time now and returns the resulting effects. The time must
 // not decrease from call to call.
-func (c *Core) Step(now time.Duration, ev Event) Effects {
+func (c *Core) Step(now time.Duration, event Event) Effects {
 	if !c.started {
 		c.started = true
 		c.timeoutEstimator.recordSilence(c.cfg.MaxElectionTimeout/startSilenceDivisor, now)
 	}
 	c.now = max(c.now, now)
 	c.stepDownIfUnconfirmed()
-	switch ev := ev.(type) {
+	switch ev := event.(type) {
 	case Tick:
 		c.tick()
 	case Receive:
--- a/internal/replica/quorum/matrix_test.go
+++ b/internal/replica/quorum/matrix_test.go
@@ -310,7 +310,7 @@
 func runMatrix(t *testing.T, sc scenario) runCounts {
 	steps := sc.steps()
 	c := runCounts{steps: len(steps)}
-	n := 0
+	pairNumber := 0
 	var runs [][]faultAtStep
 	for i := range steps {
 		for _, f := range faults {
@@ -318,7 +318,7 @@
 			c.singleFaults++
 			for j := i; j < min(i+3, len(steps)); j++ {
 				for _, g := range faults {
-					if n++; n%*pairInterval == 0 {
+					if pairNumber++; pairNumber%*pairInterval == 0 {
 						runs = append(runs, []faultAtStep{{i, f}, {j, g}})
 						c.pairs++
 					}
@@ -354,10 +354,10 @@
 	return c
 }
 
-func describeFaults(steps []string, injected []faultAtStep) string {
+func describeFaults(steps []string, faults []faultAtStep) string {
 	var descriptions []string
-	for _, x := range injected {
-		descriptions = append(descriptions, fmt.Sprintf("%s at step %d (%s)", x.fault.name, x.step, steps[x.step]))
+	for _, f := range faults {
+		descriptions = append(descriptions, fmt.Sprintf("%s at step %d (%s)", f.fault.name, f.step, steps[f.step]))
 	}
 	return strings.Join(descriptions, " and ")
 }
--- a/internal/replica/quorum/sim_test.go
+++ b/internal/replica/quorum/sim_test.go
@@ -81,13 +81,13 @@
 	messageBytes     map[string]int
 }
 
-func newSimulation(replicas int, seed uint64) *simulation {
+func newSimulation(replicaCount int, seed uint64) *simulation {
 	s := &simulation{
 		seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), oneWayDelay: zoneOneWayDelay, tickInterval: defaultTickInterval, cutLinks: map[[2]string]bool{},
 		leaderByTerm: map[uint64]string{}, knownEntries: map[[2]uint64][2]uint64{}, lostIdentities: map[string]bool{},
 		committed: map[uint64]quorum.Entry{}, digestByIndex: map[uint64]uint64{0: 0}, messageBytes: map[string]int{},
 	}
-	s.bootstrap(replicas)
+	s.bootstrap(replicaCount)
 	return s
 }
 
@@ -210,8 +210,8 @@
 	return old
 }
 
-func (s *simulation) step(n *simReplica, ev quorum.Event) {
-	effects := n.core.Step(s.now, ev)
+func (s *simulation) step(n *simReplica, event quorum.Event) {
+	effects := n.core.Step(s.now, event)
 	if w := effects.Write; w != nil {
 		n.pendingWrite = w
 		s.trace("write", n)
