--- a/internal/cli/explain/cause.go
+++ b/internal/cli/explain/cause.go
@@ -49,8 +49,9 @@
 // flowHistory holds what the logs contain about one flow.
 type flowHistory struct {
 	queue, customer string
-	// The times at which the flow was accepted, the adviser first answered about it, its
-	// first task was placed and its last task ended. Zero means never.
+	// acceptedAt is the time at which the flow was accepted, firstAdviceAt that of the
+	// first answer of the adviser about it, firstPlacedAt that at which its first task was
+	// placed, and endedAt that at which its last task ended. Zero means never.
 	acceptedAt, firstAdviceAt, firstPlacedAt, endedAt time.Time
 	// lastSeenAt is the time of the last log line about the flow.
 	lastSeenAt time.Time
@@ -59,7 +60,8 @@
 	objective time.Duration
 	// state is the final state of the flow, empty while it is open.
 	state string
-	// The numbers of runs that were lost, failed or were moved to another server.
+	// lostRuns, failedRuns and movedRuns are the numbers of runs that were lost, failed, or
+	// were moved to another server.
 	lostRuns, failedRuns, movedRuns int
 	// givenUp is true if the cell gave up the flow after repeated server crashes.
 	givenUp bool
--- a/internal/cli/remote/remote.go
+++ b/internal/cli/remote/remote.go
@@ -69,7 +69,7 @@
 	return r, nil
 }
 
-// Transport validates the flags and returns the connection to the entries.
+// Transport validates the flags and returns the client that sends calls to the entries.
 func (f Flags) Transport() (*transport.Client, error) {
 	if f.Timeout <= 0 {
 		return nil, verb.UsageError("Give a duration such as 30s.", "--timeout %s is not positive", f.Timeout)
--- a/internal/client/caller/caller.go
+++ b/internal/client/caller/caller.go
@@ -22,6 +22,7 @@
 // Client submits jobs and retrieves their answers. Every call is retried, at one entry
 // after the other, until it is answered or its context ends.
 type Client struct {
+	// Transport sends the calls to the entries.
 	Transport *transport.Client
 	// MaxPollWait is the maximum duration of a long poll; 0 means DefaultMaxPollWait.
 	MaxPollWait time.Duration
--- a/internal/client/operator/operator.go
+++ b/internal/client/operator/operator.go
@@ -16,6 +16,7 @@
 
 // Client changes the settings of a cell and reads its state.
 type Client struct {
+	// Transport sends the calls to the entries.
 	Transport *transport.Client
 }
 
--- a/internal/client/transport/transport.go
+++ b/internal/client/transport/transport.go
@@ -1,6 +1,6 @@
-// Package link connects a client to the entries of a cell. It retries calls and
-// switches between entries until one answers. Retries are safe because every request
-// of the protocol has a unique id and is idempotent.
+// Package transport sends the calls of a client to the entries of a cell. It retries
+// calls and switches between entries until one answers. Retries are safe because every
+// request of the protocol has a unique id and is idempotent.
 package transport
 
 import (
@@ -20,9 +20,9 @@
 	"gypsumreel/internal/base/code"
 )
 
-// Defaults of Link fields, and limits of calls and connections.
+// Defaults of Client fields, and limits of calls and connections.
 const (
-	// DefaultTimeout is the default of Link.Timeout.
+	// DefaultTimeout is the default of Client.Timeout.
 	DefaultTimeout = 15 * time.Second
 	// initialBackoff and maxBackoff limit the wait between two attempts.
 	initialBackoff = 50 * time.Millisecond
--- a/internal/edge/entry/fakeledger_test.go
+++ b/internal/edge/entry/fakeledger_test.go
@@ -253,8 +253,8 @@
 		return &v1.SyncReply{Number: req.GetNumber(), Status: &v1.Status{Code: uint32(code.SessionReplaced)}}
 	}
 	if req.GetNumber() < s.lastSyncNumber {
-		// A delayed copy of an earlier sync. Its reports are outdated, and the server
-		// would drop the reply.
+		// This is a delayed copy of an earlier sync. Its reports are outdated, and the
+		// server drops the reply.
 		return &v1.SyncReply{Status: &v1.Status{}, Number: req.GetNumber()}
 	}
 	s.lastSyncNumber = req.GetNumber()
--- a/internal/edge/entry/fakereplica_test.go
+++ b/internal/edge/entry/fakereplica_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// answerParkedItems adds a reply for each parked item that has one by now.
+// answerParkedItems adds a reply for each parked item that can be answered now.
 func (r *fakeReplica) answerParkedItems() {
 	if !r.isLeader() {
 		return
--- a/internal/edge/entry/faults_test.go
+++ b/internal/edge/entry/faults_test.go
@@ -24,14 +24,14 @@
 	heal func(w *testCell)
 }
 
-// silenceDuration is the duration of faults in which links lose or duplicate data.
+// silenceDuration is the duration of faults in which connections lose or duplicate data.
 const silenceDuration = 10 * time.Second
 
 var bothDirections = []relay.Way{relay.Up, relay.Down}
 
-// allFaults returns every fault of the matrix. Inner faults affect the links between
-// the first entry and the control group, outer faults those between the first entry
-// and its clients.
+// allFaults returns every fault of the matrix. Inner faults affect the connections
+// between the first entry and the control group, outer faults those between the first
+// entry and its clients.
 func allFaults() []fault {
 	faults := []fault{
 		{"entry killed", 2 * time.Second, func(w *testCell) { w.currentEntry("e1").kill() }, restartEntry},
@@ -42,19 +42,19 @@
 		{"server paused 30 s", 30 * time.Second, func(w *testCell) { w.backendServer("s1").Pause() }, func(w *testCell) { w.backendServer("s1").Resume() }},
 	}
 	for _, side := range []struct {
-		name  string
-		links func(name string) bool
+		name    string
+		matches func(name string) bool
 	}{{"inner", isInnerConnection}, {"outer", isOuterConnection}} {
 		faults = append(
 			faults,
-			fault{"requests lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.links, relay.Lose, relay.Up), setRelayFate(side.links, relay.Pass, relay.Up)},
-			fault{"replies lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.links, relay.Lose, relay.Down), setRelayFate(side.links, relay.Pass, relay.Down)},
-			fault{"both directions lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.links, relay.Lose, bothDirections...), setRelayFate(side.links, relay.Pass, bothDirections...)},
-			fault{"open connections silent for good, " + side.name, 0, applyToRelays(side.links, func(r *relay.Relay) { r.Forget(bothDirections...) }), nil},
-			fault{"replies lost for 0.1 s, " + side.name, 100 * time.Millisecond, setRelayFate(side.links, relay.Lose, relay.Down), setRelayFate(side.links, relay.Pass, relay.Down)},
-			fault{"replies delayed by 3 s, " + side.name, 3 * time.Second, setRelayFate(side.links, relay.Hold, relay.Down), setRelayFate(side.links, relay.Pass, relay.Down)},
-			fault{"requests duplicated, " + side.name, silenceDuration, applyToRelays(side.links, setRequestDuplication(true)), applyToRelays(side.links, setRequestDuplication(false))},
-			fault{"connections closed, " + side.name, 0, applyToRelays(side.links, (*relay.Relay).Cut), nil},
+			fault{"requests lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.matches, relay.Lose, relay.Up), setRelayFate(side.matches, relay.Pass, relay.Up)},
+			fault{"replies lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.matches, relay.Lose, relay.Down), setRelayFate(side.matches, relay.Pass, relay.Down)},
+			fault{"both directions lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.matches, relay.Lose, bothDirections...), setRelayFate(side.matches, relay.Pass, bothDirections...)},
+			fault{"open connections silent for good, " + side.name, 0, applyToRelays(side.matches, func(r *relay.Relay) { r.Forget(bothDirections...) }), nil},
+			fault{"replies lost for 0.1 s, " + side.name, 100 * time.Millisecond, setRelayFate(side.matches, relay.Lose, relay.Down), setRelayFate(side.matches, relay.Pass, relay.Down)},
+			fault{"replies delayed by 3 s, " + side.name, 3 * time.Second, setRelayFate(side.matches, relay.Hold, relay.Down), setRelayFate(side.matches, relay.Pass, relay.Down)},
+			fault{"requests duplicated, " + side.name, silenceDuration, applyToRelays(side.matches, setRequestDuplication(true)), applyToRelays(side.matches, setRequestDuplication(false))},
+			fault{"connections closed, " + side.name, 0, applyToRelays(side.matches, (*relay.Relay).Cut), nil},
 		)
 	}
 	return append(
--- a/internal/edge/entry/testcell_test.go
+++ b/internal/edge/entry/testcell_test.go
@@ -38,8 +38,8 @@
 	serverNames  = []string{"s1", "s2"}
 )
 
-// testCell is a cell whose processes run in memory. Every link between an entry and a
-// replica, a backend server or another client passes through a relay.
+// testCell is a cell whose processes run in memory. Every connection between an entry and
+// a replica, a backend server or another client passes through a relay.
 type testCell struct {
 	ctx        context.Context
 	cancel     context.CancelFunc
@@ -161,7 +161,7 @@
 	w.wg.Wait()
 }
 
-// addRelay starts a relay for the link between two processes.
+// addRelay starts a relay for the connections from one process to another.
 func (w *testCell) addRelay(from, to string) {
 	name := from + ">" + to
 	r := &relay.Relay{Listener: w.network.Listen(name), Dial: w.network.To(to)}
--- a/internal/edge/leader/leader_test.go
+++ b/internal/edge/leader/leader_test.go
@@ -155,7 +155,7 @@
 }
 
 // Guards against following a former leader that resumes and still considers itself the
-// leader. Its data is older than what the callers of this entry have seen.
+// leader. Its data is older than the data that callers of this entry have received.
 func TestLeaderOfEarlierTermIsIgnored(t *testing.T) {
 	replicaA, replicaB := newReplica(t), newReplica(t)
 	replicaA.update(func() { replicaA.leads, replicaA.term, replicaA.greetDelay = true, 1, 50*time.Millisecond }) // its welcome arrives last
--- a/internal/edge/wire/wire.go
+++ b/internal/edge/wire/wire.go
@@ -37,12 +37,12 @@
 	maxConcurrentStreams = 1000
 )
 
-// idleShareDivisor limits idle connections to the budget share of their use divided by
-// this value.
+// idleShareDivisor divides the allowance of a purpose in the file budget to give the
+// maximum number of its idle connections.
 const idleShareDivisor = 2
 
 // NewClient returns an HTTP/1.1 client for calls that have deadlines. Its connections
-// count against the budget for the given use. With HTTP/1.1, canceling a call closes its
+// count against the budget for the given purpose. With HTTP/1.1, canceling a call closes its
 // connection, so a connection that stopped responding is not used a second time.
 func NewClient(connsPerHost int, budget *files.Budget, purpose files.Purpose) *http.Client {
 	protocols := new(http.Protocols)
--- a/internal/replica/group/bench_test.go
+++ b/internal/replica/group/bench_test.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// loopbackTransport sends messages with peer.Pool over the loopback interface and
+// loopbackTransport sends messages with peer.Transport over the loopback interface and
 // counts the bytes on the server side.
 func loopbackTransport(listeners []net.Listener) transportFactory {
 	return func(cluster *benchCluster, i int, m quorum.Member) (group.Transport, func()) {
--- a/internal/replica/group/store.go
+++ b/internal/replica/group/store.go
@@ -19,7 +19,7 @@
 	// lastIndex is the index of the last entry in the journal. It is 0 while the
 	// journal is empty.
 	lastIndex uint64
-	// reportedFull is the disk state that the event loop was told last.
+	// reportedFull is the disk state in the last report to the event loop.
 	reportedFull bool
 }
 
--- a/internal/replica/peer/peer.go
+++ b/internal/replica/peer/peer.go
@@ -13,11 +13,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Defaults and limits of a Pool.
+// Defaults and limits of a Transport.
 const (
 	// DefaultCallTimeout is the default timeout of a call, including dialling.
 	DefaultCallTimeout = time.Second
-	// DefaultMaxQueueBytes is the default of Pool.MaxQueueBytes.
+	// DefaultMaxQueueBytes is the default of Transport.MaxQueueBytes.
 	DefaultMaxQueueBytes = 32 << 20
 	// MaxBatchBytes limits the messages in one call. A single message may be larger.
 	MaxBatchBytes = 1 << 20
--- a/internal/replica/peer/peer_test.go
+++ b/internal/replica/peer/peer_test.go
@@ -21,10 +21,11 @@
 // testTimeout ends a test that would otherwise hang. It is no requirement on latency.
 const testTimeout = 20 * time.Second
 
-// message is a message that a pool has delivered.
+// message is a message that a transport has delivered.
 type message struct{ From, Data string }
 
-// newTestTransport returns a pool, and the channels that receive its messages and events.
+// newTestTransport returns a transport, and the channels that receive its messages and
+// events.
 func newTestTransport(self string) (*peer.Transport, chan message, chan peer.Event) {
 	messages, events := make(chan message, 1000), make(chan peer.Event, 1000)
 	return &peer.Transport{
--- a/internal/replica/quorum/core.go
+++ b/internal/replica/quorum/core.go
@@ -91,8 +91,9 @@
 	for _, e := range entriesAfterSnapshot(state) {
 		c.appendEntry(e)
 	}
-	// A snapshot from a leader can be saved before the leader's term is synced. This
-	// replica has sent no vote in that term then, and must not vote in earlier terms.
+	// A snapshot from a leader can be saved before the leader's term is synced. In that
+	// case this replica has sent no vote in that term, and it must not vote in earlier
+	// terms.
 	if c.log.lastTerm() > c.hardState.Term {
 		c.hardState = HardState{Term: c.log.lastTerm()}
 	}
--- a/internal/replica/quorum/log.go
+++ b/internal/replica/quorum/log.go
@@ -30,7 +30,7 @@
 	return l.entries[index-l.base-1].Term, true
 }
 
-// entriesBetween returns the entries after index after, up to and including index last.
+// entriesBetween returns the entries from afterIndex+1 to lastIndex.
 func (l *entryLog) entriesBetween(afterIndex, lastIndex uint64) []Entry {
 	if lastIndex <= afterIndex {
 		return nil
@@ -38,8 +38,8 @@
 	return l.entries[afterIndex-l.base : lastIndex-l.base : lastIndex-l.base]
 }
 
-// batchAfter returns entries after index after, up to a total size of maxBytes. If the
-// first entry is larger, it is returned alone.
+// batchAfter returns the entries that follow afterIndex, up to a total size of maxBytes. If
+// the first entry is larger, it is returned alone.
 func (l *entryLog) batchAfter(afterIndex uint64, maxBytes int) []Entry {
 	remaining := l.entriesBetween(afterIndex, l.lastIndex())
 	batchBytes := 0
@@ -78,8 +78,8 @@
 	l.base, l.baseTerm = index, term
 }
 
-// lastNotAboveTerm returns the highest index, at most index, whose entry has a term of at
-// most term. No later entry can match an entry of that term in another log.
+// lastNotAboveTerm returns the index and term of the last entry up to index whose term does
+// not exceed maxTerm. No later entry can match an entry of term maxTerm in another log.
 func (l *entryLog) lastNotAboveTerm(index, maxTerm uint64) (uint64, uint64) {
 	index = min(index, l.lastIndex())
 	for index > l.base {
