--- a/internal/base/event/raised_test.go
+++ b/internal/base/event/raised_test.go
@@ -13,9 +13,9 @@
 	"gypsumreel/internal/base/event"
 )
 
-// raised returns the names of the event variables that the code of all packages uses.
-func raised(t *testing.T) map[string]bool {
-	used := map[string]bool{}
+// raisedEvents returns the names of the event variables that the code of all packages uses.
+func raisedEvents(t *testing.T) map[string]bool {
+	usedVariables := map[string]bool{}
 	collectUses := func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
@@ -27,7 +27,7 @@
 		ast.Inspect(f, func(n ast.Node) bool {
 			if s, ok := n.(*ast.SelectorExpr); ok {
 				if x, ok := s.X.(*ast.Ident); ok && x.Name == "event" {
-					used[s.Sel.Name] = true
+					usedVariables[s.Sel.Name] = true
 				}
 			}
 			return true
@@ -39,39 +39,39 @@
 			t.Fatal(err)
 		}
 	}
-	return used
+	return usedVariables
 }
 
 // Guards against an alarm on an event that no code logs: it would never fire. Such
 // events must be listed as not raised.
 func TestUnraisedEventsAreMarked(t *testing.T) {
-	used := raised(t)
+	usedVariables := raisedEvents(t)
 	// HTTPErrorLog logs these events.
-	used["TLSRefused"], used["RequestMalformed"], used["Panicked"] = true, true, true
+	usedVariables["TLSRefused"], usedVariables["RequestMalformed"], usedVariables["Panicked"] = true, true, true
 	// AsyncWriter writes this event to its output.
-	used["LinesLost"] = true
+	usedVariables["LinesLost"] = true
 	unraised := map[uint32]bool{}
 	for _, d := range event.Unraised() {
 		unraised[d.Number] = true
 	}
-	for _, v := range variables(t) {
-		if !used[v.name] && !unraised[v.number] {
+	for _, v := range catalogueVariables(t) {
+		if !usedVariables[v.name] && !unraised[v.number] {
 			t.Errorf("no code logs event %d (%s), but it is not listed as not raised", v.number, v.name)
 		}
-		if used[v.name] && unraised[v.number] {
+		if usedVariables[v.name] && unraised[v.number] {
 			t.Errorf("event %d (%s) is logged, but it is listed as not raised", v.number, v.name)
 		}
 	}
 }
 
-// variable is a variable of the catalogue with the number of its event.
-type variable struct {
+// catalogueVariable is a variable of the catalogue with the number of its event.
+type catalogueVariable struct {
 	name   string
 	number uint32
 }
 
-// variables returns the variables that catalogue.go declares.
-func variables(t *testing.T) []variable {
+// catalogueVariables returns the variables that catalogue.go declares.
+func catalogueVariables(t *testing.T) []catalogueVariable {
 	f, err := parser.ParseFile(token.NewFileSet(), "catalogue.go", nil, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 	for _, d := range event.All() {
 		numbers[d.Name] = d.Number
 	}
-	var out []variable
+	var result []catalogueVariable
 	ast.Inspect(f, func(n ast.Node) bool {
 		v, ok := n.(*ast.ValueSpec)
 		if !ok || len(v.Values) != 1 {
@@ -92,11 +92,11 @@
 			return true
 		}
 		m := eventName.FindStringSubmatch(call.Args[1].(*ast.BasicLit).Value)
-		out = append(out, variable{v.Names[0].Name, numbers[m[1]]})
+		result = append(result, catalogueVariable{v.Names[0].Name, numbers[m[1]]})
 		return true
 	})
-	if len(out) != len(event.All()) {
-		t.Fatalf("catalogue.go declares %d variables for %d events", len(out), len(event.All()))
+	if len(result) != len(event.All()) {
+		t.Fatalf("catalogue.go declares %d variables for %d events", len(result), len(event.All()))
 	}
-	return out
+	return result
 }
--- a/internal/base/settings/keytypes.go
+++ b/internal/base/settings/keytypes.go
@@ -56,22 +56,22 @@
 }
 
 // textKey returns the key of a text that valid accepts.
-func textKey(path string, role Role, allowed, defaultValue string, valid func(string) bool, help string, field func(*Settings) *string) Key {
+func textKey(path string, role Role, allowed, defaultValue string, isValid func(string) bool, help string, field func(*Settings) *string) Key {
 	displayedDefault := defaultValue
 	if defaultValue == "" {
 		displayedDefault = "none"
 	}
 	return Key{
 		Path: path, Role: role, Allowed: allowed, Default: displayedDefault, Help: help,
-		parse:      parseText(allowed, valid, field),
+		parse:      parseText(allowed, isValid, field),
 		setDefault: func(s *Settings) { *field(s) = defaultValue },
 	}
 }
 
 // parseText returns a parser for a text that valid accepts.
-func parseText(allowed string, valid func(string) bool, field func(*Settings) *string) func(*parser, *Settings, value) {
+func parseText(allowed string, isValid func(string) bool, field func(*Settings) *string) func(*parser, *Settings, value) {
 	return func(p *parser, s *Settings, v value) {
-		if t, ok := v.text(); ok && valid(t) {
+		if t, ok := v.text(); ok && isValid(t) {
 			*field(s) = t
 			return
 		}
@@ -201,7 +201,7 @@
 
 // parseList parses a list of at most maxItems texts that valid accepts. Faults describe
 // the list with allowed and an item with allowedItem.
-func (p *parser) parseList(v value, maxItems int, allowed, allowedItem string, valid func(string) bool) (out []string) {
+func (p *parser) parseList(v value, maxItems int, allowed, allowedItem string, isValid func(string) bool) (out []string) {
 	items, ok := v.elements()
 	if !ok || len(items) > maxItems {
 		p.refuse(v, allowed)
@@ -209,7 +209,7 @@
 	}
 	for _, item := range items {
 		t, ok := item.text()
-		if !ok || !valid(t) {
+		if !ok || !isValid(t) {
 			p.refuse(item, allowedItem)
 			continue
 		}
--- a/internal/client/caller/caller_test.go
+++ b/internal/client/caller/caller_test.go
@@ -91,14 +91,14 @@
 // jobs. Both jobs must be accepted once. Every attempt must use the same ids and the
 // same key, and answered jobs must not be submitted again.
 func TestSubmitRetriesWithSameIDs(t *testing.T) {
-	unreliable := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){
+	failingEntry := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){
 		func(*v1.SubmitRequest) (*v1.SubmitReply, error) {
 			return nil, connect.NewError(connect.CodeUnavailable, errors.New("gone"))
 		},
 		replyWithCodes(code.OK),
 	}}
-	reliable := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyWithCodes(code.OK, code.LeaderTimeout)}}
-	got, err := newClient(startServer(t, unreliable), startServer(t, reliable)).Submit(t.Context(), []*v1.Spec{{Id: "a"}, {Id: "b"}}, true)
+	healthyEntry := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyWithCodes(code.OK, code.LeaderTimeout)}}
+	got, err := newClient(startServer(t, failingEntry), startServer(t, healthyEntry)).Submit(t.Context(), []*v1.Spec{{Id: "a"}, {Id: "b"}}, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,17 +107,17 @@
 			t.Errorf("reply %d is %v", i, got[i])
 		}
 	}
-	if diff := cmp.Diff([][]string{{"a", "b"}, {"b"}}, unreliable.submittedIDs); diff != "" {
+	if diff := cmp.Diff([][]string{{"a", "b"}, {"b"}}, failingEntry.submittedIDs); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([][]string{{"a", "b"}}, reliable.submittedIDs); diff != "" {
+	if diff := cmp.Diff([][]string{{"a", "b"}}, healthyEntry.submittedIDs); diff != "" {
 		t.Error(diff)
 	}
-	if got := slices.Concat(unreliable.firstFlags, reliable.firstFlags); !slices.Equal(got, []bool{true, false, false}) {
+	if got := slices.Concat(failingEntry.firstFlags, healthyEntry.firstFlags); !slices.Equal(got, []bool{true, false, false}) {
 		t.Errorf("First flags of the attempts: %v", got)
 	}
-	if want := []string{"Bearer id.secret", "Bearer id.secret"}; !slices.Equal(unreliable.authorizations, want) {
-		t.Errorf("keys %q", unreliable.authorizations)
+	if want := []string{"Bearer id.secret", "Bearer id.secret"}; !slices.Equal(failingEntry.authorizations, want) {
+		t.Errorf("keys %q", failingEntry.authorizations)
 	}
 }
 
--- a/internal/edge/control/client_test.go
+++ b/internal/edge/control/client_test.go
@@ -283,17 +283,17 @@
 		// The leader serves the two connections independently, so the second copy of
 		// an item may arrive after the first copy of a later item. Each item arrives
 		// twice, and the first copies arrive in the order of the requests.
-		var first []uint64
-		count := map[uint64]int{}
+		var firstCopies []uint64
+		copyCounts := map[uint64]int{}
 		for _, seq := range l.pushedSeqs {
-			if count[seq]++; count[seq] == 1 {
-				first = append(first, seq)
+			if copyCounts[seq]++; copyCounts[seq] == 1 {
+				firstCopies = append(firstCopies, seq)
 			}
 		}
-		if diff := cmp.Diff([]uint64{1, 2, 3}, first); diff != "" {
+		if diff := cmp.Diff([]uint64{1, 2, 3}, firstCopies); diff != "" {
 			t.Error(diff)
 		}
-		if diff := cmp.Diff(map[uint64]int{1: 2, 2: 2, 3: 2}, count); diff != "" {
+		if diff := cmp.Diff(map[uint64]int{1: 2, 2: 2, 3: 2}, copyCounts); diff != "" {
 			t.Error(diff)
 		}
 	})
@@ -302,8 +302,8 @@
 // Guards against losing pending requests when the leader changes. The client sends their
 // items to the new leader without any action by the callers.
 func TestPendingItemsAreResentToNewLeader(t *testing.T) {
-	first, second := &scriptedLeader{ignoresItems: true}, &scriptedLeader{redirect: "c1"}
-	withClient(t, map[string]*scriptedLeader{"c1": first, "c2": second}, func(c *testClient) {
+	oldLeader, newLeader := &scriptedLeader{ignoresItems: true}, &scriptedLeader{redirect: "c1"}
+	withClient(t, map[string]*scriptedLeader{"c1": oldLeader, "c2": newLeader}, func(c *testClient) {
 		var wg sync.WaitGroup
 		for range 3 {
 			wg.Go(func() {
@@ -313,8 +313,8 @@
 			})
 		}
 		time.Sleep(100 * time.Millisecond)
-		second.setRedirect("")
-		first.setRedirect("c2")
+		newLeader.setRedirect("")
+		oldLeader.setRedirect("c2")
 		startedAt := time.Now()
 		wg.Wait()
 		if elapsed := time.Since(startedAt); elapsed > 200*time.Millisecond {
--- a/internal/edge/entry/service_test.go
+++ b/internal/edge/entry/service_test.go
@@ -29,9 +29,9 @@
 	lastItem *inner.Item
 }
 
-func (a *stubLeader) Send(_ context.Context, item *inner.Item) (*inner.Reply, error) {
-	a.lastItem = item
-	return a.reply, a.err
+func (l *stubLeader) Send(_ context.Context, item *inner.Item) (*inner.Reply, error) {
+	l.lastItem = item
+	return l.reply, l.err
 }
 
 func (*stubLeader) Dump(context.Context, string) (*v1.DumpReply, error) { return &v1.DumpReply{}, nil }
@@ -88,8 +88,8 @@
 // Guards against answers in the wrong order when the entry refuses some jobs of a
 // submission as malformed and forwards only the others.
 func TestAnswersKeepRequestOrderDespiteMalformedJobs(t *testing.T) {
-	a := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Submit{Submit: &v1.SubmitReply{Jobs: []*v1.Accepted{{Id: "a"}, {Id: "b"}}}}}}
-	h := &caller.Handler{Leader: a}
+	leader := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Submit{Submit: &v1.SubmitReply{Jobs: []*v1.Accepted{{Id: "a"}, {Id: "b"}}}}}}
+	h := &caller.Handler{Leader: leader}
 	oversized := newSpec("huge", false, make([]byte, caller.MaxInputSize+1))
 	negative := newSpec("negative", false, nil)
 	negative.Size.Cpu = -1
@@ -110,22 +110,22 @@
 		t.Error(diff)
 	}
 	digest := key.Digest("secret")
-	if c := a.lastItem.GetCredential(); c.GetId() != "id" || string(c.GetDigest()) != string(digest[:]) {
+	if c := leader.lastItem.GetCredential(); c.GetId() != "id" || string(c.GetDigest()) != string(digest[:]) {
 		t.Errorf("the leader got credential %v, want the id and the digest of the secret", c)
 	}
 }
 
 // Guards against calls without a well-formed key that reach the leader.
 func TestCallsWithoutAKeyAreRefused(t *testing.T) {
-	a := &stubLeader{}
-	h := &caller.Handler{Leader: a}
+	leader := &stubLeader{}
+	h := &caller.Handler{Leader: leader}
 	for _, token := range []string{"", "id", ".secret", "id.", strings.Repeat("x", 600) + ".secret"} {
 		reply, err := h.List(t.Context(), withKey(token, &v1.ListRequest{}))
 		if err != nil || reply.Msg.GetStatus().GetCode() != uint32(code.InvalidKey) {
 			t.Errorf("key %.10q: reply %v, error %v", token, reply, err)
 		}
 	}
-	if a.lastItem != nil {
+	if leader.lastItem != nil {
 		t.Error("a call without a well-formed key reached the leader")
 	}
 }
--- a/internal/edge/entry/stop_test.go
+++ b/internal/edge/entry/stop_test.go
@@ -57,28 +57,28 @@
 			c := w.directClient()
 			defer c.closeIdle()
 			wg.Go(func() {
-				for n, continues := 0, i%8 == 0; continues; n++ {
+				for n, callAgain := 0, i%8 == 0; callAgain; n++ {
 					reply, err := c.callerClients[0].Submit(w.ctx, withKey(w.teamKey, &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(fmt.Sprintf("job-%d-%d", i, n), false, nil)}}))
-					continues = countCall(err, nil) && reply != nil
+					callAgain = countCall(err, nil) && reply != nil
 					time.Sleep(time.Millisecond)
 				}
 			})
 			wg.Go(func() {
-				for continues := true; continues; {
+				for callAgain := true; callAgain; {
 					reply, err := c.callerClients[0].Wait(w.ctx, withKey(w.teamKey, &v1.WaitRequest{Id: "held", Patience: 10_000}))
 					var status *v1.Status
 					if err == nil {
 						status = reply.Msg.GetStatus()
 					}
-					continues = countCall(err, status)
+					callAgain = countCall(err, status)
 				}
 			})
 		}
 		time.Sleep(500 * time.Millisecond)
-		p := w.currentEntry("e1")
+		run := w.currentEntry("e1")
 		startedAt := time.Now()
-		p.stop()
-		<-p.entry.Done()
+		run.stop()
+		<-run.entry.Done()
 		elapsed := time.Since(startedAt)
 		wg.Wait()
 		if failed.Load() > 0 || redirected.Load() != 40 || elapsed > 7*time.Second {
@@ -108,12 +108,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(0)
 		defer w.close()
-		p := w.currentEntry("e1")
+		run := w.currentEntry("e1")
 		startedAt := time.Now()
-		p.stop()
+		run.stop()
 		time.Sleep(100 * time.Millisecond)
-		p.kill()
-		<-p.entry.Done()
+		run.kill()
+		<-run.entry.Done()
 		if elapsed := time.Since(startedAt); elapsed > 200*time.Millisecond {
 			t.Errorf("the entry stopped after %v, want at most 200ms", elapsed)
 		}
--- a/internal/edge/entry/testcell_test.go
+++ b/internal/edge/entry/testcell_test.go
@@ -212,7 +212,7 @@
 		ShutdownDelay: time.Second, DrainTimeout: 5 * time.Second, MaxConnectionAge: connectionAge,
 	}
 	var once sync.Once
-	p := &entryRun{entry: e, stop: stop, kill: func() {
+	run := &entryRun{entry: e, stop: stop, kill: func() {
 		once.Do(func() { close(abort) })
 		callers.closeAll()
 		backends.closeAll()
@@ -221,7 +221,7 @@
 		stop()
 	}}
 	w.mu.Lock()
-	w.entries[name] = p
+	w.entries[name] = run
 	w.mu.Unlock()
 	w.wg.Go(func() { _ = e.Run(ctx) })
 }
--- a/internal/replica/quorum/sim_test.go
+++ b/internal/replica/quorum/sim_test.go
@@ -173,7 +173,7 @@
 func (s *simulation) crash(n *simReplica, tornTenths int) {
 	n.core = nil
 	if w := n.pendingWrite; w != nil && tornTenths > 0 {
-		n.disk.HardState = *hardStateOr(w.HardState, &n.disk.HardState)
+		n.disk.HardState = *newestHardState(w.HardState, &n.disk.HardState)
 		n.disk.Entries = writeJournal(n.disk.Entries, w.Entries[:len(w.Entries)*tornTenths/10])
 	}
 	n.pendingWrite, n.pendingSnapshot = nil, nil
@@ -190,24 +190,24 @@
 	s.start(n)
 }
 
-func hardStateOr(a, b *quorum.HardState) *quorum.HardState {
-	if a == nil {
-		return b
+func newestHardState(written, stored *quorum.HardState) *quorum.HardState {
+	if written == nil {
+		return stored
 	}
-	return a
+	return written
 }
 
 // writeJournal returns the journal after a write. A written entry replaces the old entries from
 // its index on.
-func writeJournal(old, entries []quorum.Entry) []quorum.Entry {
+func writeJournal(journal, entries []quorum.Entry) []quorum.Entry {
 	for _, e := range entries {
-		i := slices.IndexFunc(old, func(x quorum.Entry) bool { return x.Index >= e.Index })
+		i := slices.IndexFunc(journal, func(x quorum.Entry) bool { return x.Index >= e.Index })
 		if i >= 0 {
-			old = old[:i:i]
+			journal = journal[:i:i]
 		}
-		old = append(old, e)
+		journal = append(journal, e)
 	}
-	return old
+	return journal
 }
 
 func (s *simulation) step(n *simReplica, event quorum.Event) {
@@ -239,7 +239,7 @@
 }
 
 func (s *simulation) syncWrite(n *simReplica, w *quorum.JournalWrite) {
-	n.disk.HardState = *hardStateOr(w.HardState, &n.disk.HardState)
+	n.disk.HardState = *newestHardState(w.HardState, &n.disk.HardState)
 	n.disk.Entries = writeJournal(n.disk.Entries, w.Entries)
 	n.pendingWrite = nil
 	s.trace("synced", n)
