--- a/internal/base/files/files_test.go
+++ b/internal/base/files/files_test.go
@@ -115,8 +115,8 @@
 	b := files.NewBudget(40)
 	var open atomic.Int32
 	s := httptest.NewUnstartedServer(b.CloseUnderPressure(files.Callers, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})))
-	s.Config.ConnState = func(_ net.Conn, st http.ConnState) {
-		switch st {
+	s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
+		switch state {
 		case http.StateNew:
 			open.Add(1)
 		case http.StateClosed:
--- a/internal/base/yield/yield_test.go
+++ b/internal/base/yield/yield_test.go
@@ -11,7 +11,7 @@
 
 // busyLoop keeps the processor busy for the given duration.
 func busyLoop(d time.Duration) {
-	for begin := time.Now(); time.Since(begin) < d; {
+	for startedAt := time.Now(); time.Since(startedAt) < d; {
 		continue
 	}
 }
@@ -37,14 +37,14 @@
 	}
 	var yielder yield.Yielder
 	yielder.YieldIfDue()
-	begin := time.Now()
+	startedAt := time.Now()
 	for range steps {
 		busyLoop(step)
 		yielder.YieldIfDue()
 	}
 	// Without other goroutines the steps take 20 ms in total. Yielding for 10 ms
 	// after each step would take 4 s.
-	if elapsed := time.Since(begin); elapsed > time.Second {
+	if elapsed := time.Since(startedAt); elapsed > time.Second {
 		t.Errorf("%d steps of %v took %v", steps, step, elapsed)
 	}
 }
--- a/internal/cli/explain/summary.go
+++ b/internal/cli/explain/summary.go
@@ -233,11 +233,11 @@
 func (s summary) textTable() verb.TextTable {
 	table := verb.TextTable{Header: []string{"queue", "cause", "flows", "ended", "late by, median"}}
 	for _, r := range s.Rows {
-		late := ""
+		lateText := ""
 		if r.Ended > 0 && r.Cause != CauseInTime {
-			late = fmt.Sprintf("%.2f s", r.MedianLateSeconds)
+			lateText = fmt.Sprintf("%.2f s", r.MedianLateSeconds)
 		}
-		table.Rows = append(table.Rows, []string{r.Queue, string(r.Cause), fmt.Sprint(r.Flows), fmt.Sprint(r.Ended), late})
+		table.Rows = append(table.Rows, []string{r.Queue, string(r.Cause), fmt.Sprint(r.Flows), fmt.Sprint(r.Ended), lateText})
 	}
 	table.Rows = append(table.Rows, nil, []string{"customer", "most often", "flows", "in time", ""})
 	for _, c := range s.Customers {
@@ -249,13 +249,13 @@
 		largest = max(largest, second.Flows)
 	}
 	for _, second := range s.Seconds {
-		changes := ""
+		leaderChangeText := ""
 		if second.LeaderChanges > 0 {
-			changes = fmt.Sprint(second.LeaderChanges)
+			leaderChangeText = fmt.Sprint(second.LeaderChanges)
 		}
 		bar := strings.Repeat("#", second.Missed*maxBarWidth/largest)
 		bar += strings.Repeat(".", second.Flows*maxBarWidth/largest-len(bar))
-		table.Rows = append(table.Rows, []string{second.Time.Format("15:04:05"), bar, fmt.Sprint(second.Flows), fmt.Sprint(second.Missed), changes})
+		table.Rows = append(table.Rows, []string{second.Time.Format("15:04:05"), bar, fmt.Sprint(second.Flows), fmt.Sprint(second.Missed), leaderChangeText})
 	}
 	footer := fmt.Sprintf("%d flows; refused: %s; %d lines are not from gypsumreel, %d were left out", s.Flows, strings.Join(s.Refusals, ", "), s.ForeignLines, s.OmittedLines)
 	return verb.TextTable{Header: table.Header, Rows: append(table.Rows, nil, []string{footer})}
--- a/internal/cli/verb/daemon.go
+++ b/internal/cli/verb/daemon.go
@@ -35,13 +35,13 @@
 // NewDaemonTLS loads the certificate files for inside and outside connections and keeps
 // reloading them until the process ends. Reloading goes on after ctx is cancelled,
 // because a graceful shutdown may outlast a certificate.
-func NewDaemonTLS(ctx context.Context, tls settings.TLS, replicas []settings.ControlReplica, reload time.Duration, log logr.Logger) (DaemonTLS, error) {
+func NewDaemonTLS(ctx context.Context, tls settings.TLS, replicas []settings.ControlReplica, reloadInterval time.Duration, log logr.Logger) (DaemonTLS, error) {
 	ctx = context.WithoutCancel(ctx)
-	inside, err := NewReloadingTLS(ctx, tls.Inside, reload, log)
+	inside, err := NewReloadingTLS(ctx, tls.Inside, reloadInterval, log)
 	if err != nil {
 		return DaemonTLS{}, err
 	}
-	outside, err := NewReloadingTLS(ctx, tls.Outside, reload, log)
+	outside, err := NewReloadingTLS(ctx, tls.Outside, reloadInterval, log)
 	if err != nil {
 		return DaemonTLS{}, err
 	}
--- a/internal/cli/verb/secure.go
+++ b/internal/cli/verb/secure.go
@@ -21,13 +21,13 @@
 
 // NewReloadingTLS loads the certificate files and checks them for changes at every
 // reload interval until ctx is cancelled.
-func NewReloadingTLS(ctx context.Context, s settings.TLSConfig, reload time.Duration, log logr.Logger) (ReloadingTLS, error) {
+func NewReloadingTLS(ctx context.Context, s settings.TLSConfig, reloadInterval time.Duration, log logr.Logger) (ReloadingTLS, error) {
 	if s.Plain {
 		event.Log(log, event.PlainInUse)
 		return ReloadingTLS{}, nil
 	}
 	store := secure.New(secure.Files{Certificate: s.Certificate, Key: s.Key, Authority: s.Authority}, log)
-	store.Interval = reload
+	store.Interval = reloadInterval
 	if err := store.Load(); err != nil {
 		return ReloadingTLS{}, &Error{ExitCode: ExitUsage, Message: err.Error()}
 	}
--- a/internal/edge/entry/process_test.go
+++ b/internal/edge/entry/process_test.go
@@ -183,14 +183,14 @@
 func TestResubmitAfterEntryIsKilledIsIdempotent(t *testing.T) {
 	ledger, leader := startLoopbackLeader(t)
 	token := ledger.grantKey("team-key", "quarry", false)
-	first, second := startEntryProcess(t, leader), startEntryProcess(t, leader)
-	firstClient, secondClient := first.waitReady(t, token), second.waitReady(t, token)
+	firstEntry, secondEntry := startEntryProcess(t, leader), startEntryProcess(t, leader)
+	firstClient, secondClient := firstEntry.waitReady(t, token), secondEntry.waitReady(t, token)
 	req := &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec("job", true, nil)}}
 	ctx := context.Background()
 	if _, err := firstClient.Submit(ctx, withKey(token, req)); err != nil {
 		t.Fatal(err)
 	}
-	_ = first.cmd.Process.Kill()
+	_ = firstEntry.cmd.Process.Kill()
 	reply, err := secondClient.Submit(ctx, withKey(token, req))
 	if err != nil || reply.Msg.GetJobs()[0].GetStatus().GetCode() != 0 {
 		t.Errorf("the repeated submission got reply %v, error %v", reply, err)
--- a/internal/edge/entry/service_test.go
+++ b/internal/edge/entry/service_test.go
@@ -133,8 +133,8 @@
 // Guards against a client without the enrolment secret that announces itself as a
 // backend server and receives the inputs of jobs.
 func TestBackendServersNeedTheEnrolmentSecret(t *testing.T) {
-	a := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Announce{Announce: &v1.AnnounceReply{Status: &v1.Status{}, Incarnation: 1}}}}
-	h := &backend.Handler{Leader: a, EnrolmentDigests: []backend.Digest{key.Digest("old"), key.Digest("new")}}
+	leader := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Announce{Announce: &v1.AnnounceReply{Status: &v1.Status{}, Incarnation: 1}}}}
+	h := &backend.Handler{Leader: leader, EnrolmentDigests: []backend.Digest{key.Digest("old"), key.Digest("new")}}
 	validRequest := &v1.AnnounceRequest{Server: "s1", Nonce: 1, Rack: "r", Zone: "z", Capacity: &v1.Size{Cpu: 1, Memory: 1, Slots: 1}}
 	withoutCapacity := &v1.AnnounceRequest{Server: "s1", Nonce: 1, Rack: "r", Zone: "z"}
 	for _, c := range []struct {
@@ -172,8 +172,8 @@
 // changes without an audit record.
 func TestChangesAreRateLimitedAndAudited(t *testing.T) {
 	var recorded auditRecords
-	a := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Change{Change: &v1.ChangeReply{Status: &v1.Status{}, Revision: 4}}}}
-	h := &operator.Handler{Leader: a, Auditor: &recorded, RateLimits: operator.RateLimits{Rate: 0.001, Burst: 2}}
+	leader := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Change{Change: &v1.ChangeReply{Status: &v1.Status{}, Revision: 4}}}}
+	h := &operator.Handler{Leader: leader, Auditor: &recorded, RateLimits: operator.RateLimits{Rate: 0.001, Burst: 2}}
 	change := &v1.ChangeRequest{Id: "c", Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: "k"}}}
 	for range 3 {
 		if _, err := h.Change(t.Context(), withKey("duty.secret", change)); err != nil {
@@ -190,13 +190,13 @@
 
 // Guards against a state dump for a key that the leader refuses.
 func TestDumpRequiresOperatorKey(t *testing.T) {
-	a := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Show{Show: &v1.ShowReply{Status: &v1.Status{}}}}}
-	h := &operator.Handler{Leader: a, EntryName: "e1", State: func() any { return map[string]int{"pending": 3} }}
+	leader := &stubLeader{reply: &inner.Reply{Answer: &inner.Reply_Show{Show: &v1.ShowReply{Status: &v1.Status{}}}}}
+	h := &operator.Handler{Leader: leader, EntryName: "e1", State: func() any { return map[string]int{"pending": 3} }}
 	reply, _ := h.Dump(t.Context(), withKey("duty.secret", &v1.DumpRequest{}))
 	if !strings.Contains(reply.Msg.GetText(), `"pending": 3`) {
 		t.Errorf("an operator's key got %v, want the state", reply.Msg)
 	}
-	a.reply = &inner.Reply{Status: &v1.Status{Code: uint32(code.InvalidKey)}}
+	leader.reply = &inner.Reply{Status: &v1.Status{Code: uint32(code.InvalidKey)}}
 	reply, _ = h.Dump(t.Context(), withKey("duty.secret", &v1.DumpRequest{}))
 	if reply.Msg.GetText() != "" || reply.Msg.GetStatus().GetCode() != uint32(code.InvalidKey) {
 		t.Errorf("a refused key got %v, want code %d and no state", reply.Msg, code.InvalidKey)
--- a/internal/replica/quorum/invariant_test.go
+++ b/internal/replica/quorum/invariant_test.go
@@ -96,8 +96,8 @@
 }
 
 func (s *simulation) checkInvariants(n *simReplica) {
-	if last := n.core.LastEntry(); last != n.checkedEntry {
-		n.checkedEntry = last
+	if lastEntry := n.core.LastEntry(); lastEntry != n.checkedEntry {
+		n.checkedEntry = lastEntry
 		s.checkLogMatching(n)
 	}
 	term, isLeader := n.core.TermAndLeading()
@@ -107,9 +107,9 @@
 	if n.leadership != nil && s.now-n.confirmedAt > s.maxUnconfirmedLeadership() {
 		s.fail("%s leads although the last confirmed round started at %v", n.id, n.confirmedAt)
 	}
-	if known, ok := s.leaderByTerm[term]; ok {
-		if known != n.id {
-			s.fail("%s and %s both lead in term %d", known, n.id, term)
+	if knownLeader, ok := s.leaderByTerm[term]; ok {
+		if knownLeader != n.id {
+			s.fail("%s and %s both lead in term %d", knownLeader, n.id, term)
 		}
 		return
 	}
--- a/internal/replica/quorum/safety_test.go
+++ b/internal/replica/quorum/safety_test.go
@@ -55,20 +55,20 @@
 // entries.
 func TestLearnerIsPromotedOnlyAfterCatchUp(t *testing.T) {
 	c := newCommittedLeader(t)
-	d := quorum.Member{ID: "d/0", Address: "d", Learner: true}
-	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 4, Member: d})
+	learner := quorum.Member{ID: "d/0", Address: "d", Learner: true}
+	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 4, Member: learner})
 	c.Step(2*time.Second, quorum.WriteSynced{Seq: 3})
 	c.Step(2*time.Second, replyFromB(quorum.AppendEntriesReply, 4, 4))
 	c.Step(2*time.Second, quorum.ConfirmLeadership{})
 	c.Step(2*time.Second, replyInTerm4(quorum.HeartbeatReply, "b/0", 4, 2))
 	c.Step(2*time.Second, replyInTerm4(quorum.HeartbeatReply, "d/0", 0, 2))
-	d.Learner = false
-	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 5, Member: d})
+	learner.Learner = false
+	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 5, Member: learner})
 	if k := lastEntryKind(c); k != quorum.EntryNoOp {
 		t.Errorf("learner without committed entries: entry of kind %d, want %d", k, quorum.EntryNoOp)
 	}
 	c.Step(2*time.Second, replyInTerm4(quorum.AppendEntriesReply, "d/0", 5, 0))
-	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 6, Member: d})
+	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 6, Member: learner})
 	if k := lastEntryKind(c); k != quorum.EntryMembership {
 		t.Errorf("learner with all entries: entry of kind %d, want %d", k, quorum.EntryMembership)
 	}
