--- a/internal/base/settings/keytypes.go
+++ b/internal/base/settings/keytypes.go
@@ -55,7 +55,7 @@
 	return err == nil && len(b) == sha256.Size && [sha256.Size]byte(b) != sha256.Sum256(nil)
 }
 
-// textKey returns the key of a text that valid accepts.
+// textKey returns the key of a text that isValid accepts.
 func textKey(path string, role Role, allowed, defaultValue string, isValid func(string) bool, help string, field func(*Settings) *string) Key {
 	displayedDefault := defaultValue
 	if defaultValue == "" {
@@ -68,7 +68,7 @@
 	}
 }
 
-// parseText returns a parser for a text that valid accepts.
+// parseText returns a parser for a text that isValid accepts.
 func parseText(allowed string, isValid func(string) bool, field func(*Settings) *string) func(*parser, *Settings, value) {
 	return func(p *parser, s *Settings, v value) {
 		if t, ok := v.text(); ok && isValid(t) {
@@ -199,7 +199,7 @@
 	return replica
 }
 
-// parseList parses a list of at most maxItems texts that valid accepts. Faults describe
+// parseList parses a list of at most maxItems texts that isValid accepts. Faults describe
 // the list with allowed and an item with allowedItem.
 func (p *parser) parseList(v value, maxItems int, allowed, allowedItem string, isValid func(string) bool) (out []string) {
 	items, ok := v.elements()
--- a/internal/cli/explain/summary.go
+++ b/internal/cli/explain/summary.go
@@ -158,8 +158,8 @@
 		}
 		countAcceptedFlow(seconds, customers, missedByCustomer, history, cause)
 	}
-	for _, at := range b.leaderChanges {
-		if s := seconds[at.Unix()]; s != nil {
+	for _, changedAt := range b.leaderChanges {
+		if s := seconds[changedAt.Unix()]; s != nil {
 			s.LeaderChanges++
 		}
 	}
@@ -179,8 +179,8 @@
 		return cmp.Or(cmp.Compare(a.InTimeShare, b.InTimeShare), cmp.Compare(a.Customer, b.Customer))
 	})
 	result.Customers = result.Customers[:min(len(result.Customers), maxCustomers)]
-	for _, at := range slices.Sorted(maps.Keys(seconds)) {
-		result.Seconds = append(result.Seconds, *seconds[at])
+	for _, unixSecond := range slices.Sorted(maps.Keys(seconds)) {
+		result.Seconds = append(result.Seconds, *seconds[unixSecond])
 	}
 	for _, code := range slices.Sorted(maps.Keys(refusals)) {
 		result.Refusals = append(result.Refusals, fmt.Sprintf("%d with code %d", refusals[code], code))
--- a/internal/cli/verb/daemon.go
+++ b/internal/cli/verb/daemon.go
@@ -24,7 +24,7 @@
 	return s, nil
 }
 
-// DaemonTLS holds the TLS material of a daemon: Inside for connections within the
+// DaemonTLS holds the TLS configurations of a daemon: Inside for connections within the
 // cell, Outside for connections from callers, backend servers and operators.
 type DaemonTLS struct {
 	Inside, Outside ReloadingTLS
@@ -33,8 +33,8 @@
 }
 
 // NewDaemonTLS loads the certificate files for inside and outside connections and keeps
-// reloading them until the process ends. Reloading goes on after ctx is cancelled,
-// because a graceful shutdown may outlast a certificate.
+// reloading them until the process ends. Reloading continues after ctx is cancelled,
+// because a certificate may expire during a graceful shutdown.
 func NewDaemonTLS(ctx context.Context, tls settings.TLS, replicas []settings.ControlReplica, reloadInterval time.Duration, log logr.Logger) (DaemonTLS, error) {
 	ctx = context.WithoutCancel(ctx)
 	inside, err := NewReloadingTLS(ctx, tls.Inside, reloadInterval, log)
--- a/internal/edge/control/client_test.go
+++ b/internal/edge/control/client_test.go
@@ -336,7 +336,7 @@
 
 // Guards against accepting a withdrawn key at an entry that silently lost contact with
 // the leader. Pending requests fail within two seconds, because the entry cannot know
-// what has changed since.
+// which changes it has missed.
 func TestIsolatedEntryRefusesWithinMaxContactAge(t *testing.T) {
 	withClient(t, map[string]*scriptedLeader{"c1": {ignoresItems: true}}, func(c *testClient) {
 		time.Sleep(time.Second)
--- a/internal/edge/entry/process_test.go
+++ b/internal/edge/entry/process_test.go
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// An entry process is stopped for 2.5 s, as on an overloaded instance, and a key is
+// An entry process is paused for 2.5 s, as on an overloaded instance, and a key is
 // withdrawn meanwhile. Guards against an entry that accepts the waiting request from
 // outdated state after it resumes.
 func TestResumedEntryRejectsWithdrawnKey(t *testing.T) {
--- a/internal/edge/entry/stop_test.go
+++ b/internal/edge/entry/stop_test.go
@@ -202,7 +202,7 @@
 	})
 }
 
-// Guards against a new entry without load, because callers and backend servers never
+// Guards against a new entry that gets no load, because callers and backend servers never
 // close their connections to the old ones. Connections must be replaced when they
 // reach their maximum age, without a failed call.
 func TestConnectionsCloseAfterMaxAge(t *testing.T) {
--- a/internal/replica/quorum/safety_test.go
+++ b/internal/replica/quorum/safety_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// The network from the leader to one replica fails, the opposite direction works. The
-// replica receives no heartbeats, but must not depose a leader that a quorum follows.
+// Messages from the leader to one replica are lost, those in the opposite direction arrive.
+// The replica receives no heartbeats, but must not depose a leader that a quorum follows.
 // Otherwise the leases of the leader would be interrupted again and again.
 func TestReplicaCutOffFromLeaderDoesNotDeposeLeader(t *testing.T) {
 	s := newSimulation(3, 1)
