--- a/internal/base/gctuner/gctuner.go
+++ b/internal/base/gctuner/gctuner.go
@@ -34,32 +34,32 @@
 
 // GCPercent returns the garbage collection target percentage for a live heap of
 // the given size in bytes.
-func GCPercent(live uint64) int {
+func GCPercent(liveBytes uint64) int {
 	const balancedPercent = 100
-	return int(min(max(balancedPercent*live/balancedHeapBytes, minPercent), maxPercent))
+	return int(min(max(balancedPercent*liveBytes/balancedHeapBytes, minPercent), maxPercent))
 }
 
 // Run adjusts the garbage collector until ctx ends.
 func Run(ctx context.Context) {
-	ticks := time.NewTicker(pollInterval)
-	defer ticks.Stop()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	samples := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
-	startedAt, current := time.Now(), startupPercent
-	debug.SetGCPercent(current)
+	startedAt, currentPercent := time.Now(), startupPercent
+	debug.SetGCPercent(currentPercent)
 	for {
 		metrics.Read(samples)
-		p := GCPercent(samples[0].Value.Uint64())
+		percent := GCPercent(samples[0].Value.Uint64())
 		if time.Since(startedAt) < startupDuration {
-			p = max(p, startupPercent)
+			percent = max(percent, startupPercent)
 		}
-		if (p-current)*minChangeDivisor > current || (current-p)*minChangeDivisor > current {
-			current = p
-			debug.SetGCPercent(p)
+		if (percent-currentPercent)*minChangeDivisor > currentPercent || (currentPercent-percent)*minChangeDivisor > currentPercent {
+			currentPercent = percent
+			debug.SetGCPercent(percent)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-ticks.C:
+		case <-ticker.C:
 		}
 	}
 }
--- a/internal/base/page/page.go
+++ b/internal/base/page/page.go
@@ -28,8 +28,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, rest, hasStart := strings.Cut(string(b), startMarker)
-	got, after, hasEnd := strings.Cut(rest, endMarker)
+	beforeStartMarker, afterStartMarker, hasStart := strings.Cut(string(b), startMarker)
+	got, afterEndMarker, hasEnd := strings.Cut(afterStartMarker, endMarker)
 	if !hasStart || !hasEnd {
 		t.Fatalf("%s: a marker of the generated part is missing", path)
 	}
@@ -39,7 +39,7 @@
 	if os.Getenv(UpdateVariable) == "" {
 		t.Fatalf("%s is out of date; run %s=1 go test:\n%s", path, UpdateVariable, cmp.Diff(want, got))
 	}
-	if err := os.WriteFile(path, []byte(before+startMarker+want+endMarker+after), fileMode); err != nil {
+	if err := os.WriteFile(path, []byte(beforeStartMarker+startMarker+want+endMarker+afterEndMarker), fileMode); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/base/secure/secure_test.go
+++ b/internal/base/secure/secure_test.go
@@ -174,18 +174,18 @@
 // Guards against handling consensus messages from an entry. Its certificate is valid
 // in the cell, but an entry is not a control replica.
 func TestRequestsFromUnexpectedNamesAreRefused(t *testing.T) {
-	a := newTestAuthority(t)
+	authority := newTestAuthority(t)
 	requireControlB := func(h http.Handler) http.Handler {
 		return secure.RequireName(func(name string) bool { return name == "control-b" }, h)
 	}
-	url, count := startServer(t, loadStore(t, a.issue(t.TempDir(), "control-a", time.Hour), logr.Discard()).ServerConfig(), requireControlB)
+	url, requestCount := startServer(t, loadStore(t, authority.issue(t.TempDir(), "control-a", time.Hour), logr.Discard()).ServerConfig(), requireControlB)
 	for name, want := range map[string]int{"entry-1": http.StatusForbidden, "control-b": http.StatusOK} {
-		client := loadStore(t, a.issue(t.TempDir(), name, time.Hour), logr.Discard())
+		client := loadStore(t, authority.issue(t.TempDir(), name, time.Hour), logr.Discard())
 		if status, err := get(client.ClientConfig("control-a"), url); err != nil || status != want {
 			t.Errorf("client %s: status %d, error %v; want status %d", name, status, err, want)
 		}
 	}
-	if n := count.Load(); n != 1 {
+	if n := requestCount.Load(); n != 1 {
 		t.Errorf("%d requests reached the handler", n)
 	}
 	withoutTLS := httptest.NewRecorder()
@@ -203,7 +203,7 @@
 	dir, clientDir := t.TempDir(), t.TempDir()
 	server := loadStore(t, oldAuthority.issue(dir, "control-a", time.Hour), logr.Discard())
 	client := loadStore(t, oldAuthority.issue(clientDir, "control-b", time.Hour), logr.Discard())
-	outdated := loadStore(t, oldAuthority.issue(t.TempDir(), "control-c", time.Hour), logr.Discard())
+	clientOfOldAuthority := loadStore(t, oldAuthority.issue(t.TempDir(), "control-c", time.Hour), logr.Discard())
 	url, _ := startServer(t, server.ServerConfig(), nil)
 
 	openClient := &http.Client{Transport: &http.Transport{TLSClientConfig: client.ClientConfig("control-a"), ForceAttemptHTTP2: true}}
@@ -229,7 +229,7 @@
 	if status, err := get(client.ClientConfig("control-a"), url); err != nil || status != http.StatusOK {
 		t.Errorf("new connection: status %d, error %v", status, err)
 	}
-	if _, err := get(outdated.ClientConfig("control-a"), url); err == nil {
+	if _, err := get(clientOfOldAuthority.ClientConfig("control-a"), url); err == nil {
 		t.Error("the old authority is still trusted")
 	}
 	if _, err := w.Write([]byte("ended")); err != nil {
@@ -244,18 +244,18 @@
 // Guards against a loss of the listener when the files are read after the certificate
 // was replaced and before its key was.
 func TestMismatchedFilesKeepThePreviousCredentials(t *testing.T) {
-	a := newTestAuthority(t)
+	authority := newTestAuthority(t)
 	dir := t.TempDir()
 	var log strings.Builder
-	f := a.issue(dir, "control-a", time.Hour)
+	f := authority.issue(dir, "control-a", time.Hour)
 	server := loadStore(t, f, event.New(&log, "info"))
-	client := loadStore(t, a.issue(t.TempDir(), "control-b", time.Hour), logr.Discard())
+	client := loadStore(t, authority.issue(t.TempDir(), "control-b", time.Hour), logr.Discard())
 	url, _ := startServer(t, server.ServerConfig(), nil)
 	oldKey, err := os.ReadFile(f.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.issue(dir, "control-a", time.Hour)
+	authority.issue(dir, "control-a", time.Hour)
 	newKey, err := os.ReadFile(f.Key)
 	if err != nil {
 		t.Fatal(err)
@@ -299,11 +299,11 @@
 }
 
 func TestLoadRefusesMissingOrMismatchedFiles(t *testing.T) {
-	a := newTestAuthority(t)
-	f, other := a.issue(t.TempDir(), "x", time.Hour), a.issue(t.TempDir(), "y", time.Hour)
+	authority := newTestAuthority(t)
+	f, otherFiles := authority.issue(t.TempDir(), "x", time.Hour), authority.issue(t.TempDir(), "y", time.Hour)
 	for problem, files := range map[string]secure.Files{
 		"missing":      {Certificate: f.Certificate, Key: f.Key + "x"},
-		"other key":    {Certificate: f.Certificate, Key: other.Key},
+		"other key":    {Certificate: f.Certificate, Key: otherFiles.Key},
 		"no authority": {Certificate: f.Certificate, Key: f.Key, Authority: f.Key},
 	} {
 		if err := secure.New(files, logr.Discard()).Load(); err == nil {
--- a/internal/cli/table/table_test.go
+++ b/internal/cli/table/table_test.go
@@ -42,15 +42,15 @@
 }
 
 func (e *fakeEntry) Show(_ context.Context, r *connect.Request[v1.ShowRequest]) (*connect.Response[v1.ShowReply], error) {
-	out := &v1.ShowReply{Revision: 7}
+	reply := &v1.ShowReply{Revision: 7}
 	switch r.Msg.GetPart() {
 	case v1.Part_PART_TABLE:
-		out.Rows = []*v1.Row{{Team: "plans", Weight: 2, Share: 500, Limit: &v1.Size{Cpu: -1}}}
-		out.Held = []*v1.Size{{Cpu: 1500}}
+		reply.Rows = []*v1.Row{{Team: "plans", Weight: 2, Share: 500, Limit: &v1.Size{Cpu: -1}}}
+		reply.Held = []*v1.Size{{Cpu: 1500}}
 	case v1.Part_PART_MEMBERS:
-		out.Members = []*v1.MemberLine{{Name: "e1", Role: "entry", Revision: 7}, {Name: "e2", Role: "entry", Revision: 6}, {Name: "c1", Role: "control"}}
+		reply.Members = []*v1.MemberLine{{Name: "e1", Role: "entry", Revision: 7}, {Name: "e2", Role: "entry", Revision: 6}, {Name: "c1", Role: "control"}}
 	}
-	return connect.NewResponse(out), nil
+	return connect.NewResponse(reply), nil
 }
 
 func run(t *testing.T, e *fakeEntry, args ...string) (verb.ExitCode, string, string) {
--- a/internal/edge/control/queue.go
+++ b/internal/edge/control/queue.go
@@ -195,18 +195,18 @@
 func (q *callQueue) requeueOverdue(now time.Time, limiter *rate.Limiter) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	requeued := 0
+	requeuedCount := 0
 	for _, c := range q.pending {
 		if c.queued || !c.mayHaveArrived || now.Before(c.resendAt) {
 			continue
 		}
 		if !limiter.Allow() {
-			return requeued
+			return requeuedCount
 		}
 		q.enqueue(c)
-		requeued++
+		requeuedCount++
 	}
-	return requeued
+	return requeuedCount
 }
 
 // failUnsent fails the calls that were added before the given time and whose items
@@ -226,14 +226,14 @@
 func (q *callQueue) failAddedBefore(addedBefore time.Time) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	failed := 0
+	failedCount := 0
 	for _, c := range q.pending {
 		if c.addedAt.Before(addedBefore) {
 			q.complete(c, callResult{err: q.noReplyError(c, "no contact with the leader")})
-			failed++
+			failedCount++
 		}
 	}
-	return failed
+	return failedCount
 }
 
 // endLongPolls fails all pending long polls with ShuttingDown and makes add refuse new ones.
--- a/internal/edge/entry/matrix_test.go
+++ b/internal/edge/entry/matrix_test.go
@@ -208,13 +208,13 @@
 		}}})
 	}
 	time.Sleep(400 * time.Millisecond)
-	first := edit("one", 0)
-	second := edit("two", 1)
-	resent := edit("one", 0)
-	outdated := edit("three", 0)
-	s.check(first.GetRevision() == 1 && second.GetRevision() == 2, "the changes gave revisions %d and %d, want 1 and 2", first.GetRevision(), second.GetRevision())
-	s.check(resent.GetRevision() == 1 && resent.GetStatus().GetCode() == 0, "the resent change got %v", resent)
-	s.check(outdated.GetStatus().GetCode() == uint32(code.RevisionConflict), "the change from an outdated revision got %v", outdated.GetStatus())
+	firstReply := edit("one", 0)
+	secondReply := edit("two", 1)
+	resentReply := edit("one", 0)
+	outdatedReply := edit("three", 0)
+	s.check(firstReply.GetRevision() == 1 && secondReply.GetRevision() == 2, "the changes gave revisions %d and %d, want 1 and 2", firstReply.GetRevision(), secondReply.GetRevision())
+	s.check(resentReply.GetRevision() == 1 && resentReply.GetStatus().GetCode() == 0, "the resent change got %v", resentReply)
+	s.check(outdatedReply.GetStatus().GetCode() == uint32(code.RevisionConflict), "the change from an outdated revision got %v", outdatedReply.GetStatus())
 }
 
 // useWithdrawnKey withdraws a key at the second entry and uses it at the first entry
--- a/internal/replica/journal/journal.go
+++ b/internal/replica/journal/journal.go
@@ -243,8 +243,8 @@
 			frameData += len(entries[count].Data)
 			count++
 		}
-		rec := record{syncedSize: uint64(j.syncedSize), hardState: hardState, entries: entries[:count], resetLog: resetLog}
-		b = appendFrame(b, j.segments.newest().number, j.dataSize+int64(len(b)), rec)
+		r := record{syncedSize: uint64(j.syncedSize), hardState: hardState, entries: entries[:count], resetLog: resetLog}
+		b = appendFrame(b, j.segments.newest().number, j.dataSize+int64(len(b)), r)
 		hardState, entries, resetLog = nil, entries[count:], false
 	}
 	return b
--- a/internal/replica/quorum/safety_test.go
+++ b/internal/replica/quorum/safety_test.go
@@ -121,8 +121,8 @@
 // has a quorum. It must not depose that leader.
 func TestDelayedVoteRequestDoesNotDeposeLeader(t *testing.T) {
 	c := newCommittedLeader(t)
-	delayed := quorum.Message{Kind: quorum.VoteRequest, From: "c/0", To: "a/0", Term: 9, Index: 3, LogTerm: 4}
-	c.Step(2*time.Second, quorum.Receive{Message: delayed})
+	delayedRequest := quorum.Message{Kind: quorum.VoteRequest, From: "c/0", To: "a/0", Term: 9, Index: 3, LogTerm: 4}
+	c.Step(2*time.Second, quorum.Receive{Message: delayedRequest})
 	if term, isLeader := c.TermAndLeading(); term != 4 || !isLeader {
 		t.Errorf("term %d, is leader %v; want leader of term 4", term, isLeader)
 	}
@@ -241,11 +241,11 @@
 // after it would look like valid entries that follow the snapshot.
 func TestJournalDropsEntriesAfterAnchorIsSynced(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0", Address: "a"}, {ID: "b/0", Address: "b"}, {ID: "c/0", Address: "c"}}
-	saved := quorum.PersistedState{HardState: quorum.HardState{Term: 1}}
+	persistedState := quorum.PersistedState{HardState: quorum.HardState{Term: 1}}
 	for i := range uint64(4) {
-		saved.Entries = append(saved.Entries, quorum.Entry{Index: i + 1, Term: 1, Kind: quorum.EntryNoOp})
+		persistedState.Entries = append(persistedState.Entries, quorum.Entry{Index: i + 1, Term: 1, Kind: quorum.EntryNoOp})
 	}
-	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, saved)
+	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, persistedState)
 	state := quorum.Snapshot{State: []byte("x")}
 	effects := c.Step(time.Second, quorum.Receive{Message: quorum.Message{
 		Kind: quorum.SnapshotChunk, From: "b/0", To: "c/0", Term: 2, Index: 3, LogTerm: 2,
