--- a/internal/cli/explain/cause.go
+++ b/internal/cli/explain/cause.go
@@ -49,9 +49,9 @@
 // flowHistory holds what the logs contain about one flow.
 type flowHistory struct {
 	queue, customer string
-	// acceptedAt is the time at which the flow was accepted, firstAdviceAt that of the
-	// first answer of the adviser about it, firstPlacedAt that at which its first task was
-	// placed, and endedAt that at which its last task ended. Zero means never.
+	// These are the times of the acceptance of the flow, of the first answer of the adviser
+	// about it, of the placement of its first task, and of the end of its last task. Zero
+	// means that the logs do not contain the event.
 	acceptedAt, firstAdviceAt, firstPlacedAt, endedAt time.Time
 	// lastSeenAt is the time of the last log line about the flow.
 	lastSeenAt time.Time
