--- a/internal/base/settings/settings.go
+++ b/internal/base/settings/settings.go
@@ -105,7 +105,7 @@
 	// starts an election. The timeout grows up to MaxElectionTimeout.
 	ElectionTimeout    time.Duration
 	MaxElectionTimeout time.Duration
-	// OutcomeRetention is how long an outcome is kept without an acknowledgement.
+	// OutcomeRetention is how long an outcome is kept without an acknowledgment.
 	OutcomeRetention time.Duration
 	// MaxPoll is the maximum duration of a long poll.
 	MaxPoll time.Duration
--- a/internal/edge/control/client.go
+++ b/internal/edge/control/client.go
@@ -199,7 +199,7 @@
 // part of a graceful shutdown.
 func (c *Client) EndLongPolls() { c.init(); c.queue.endLongPolls() }
 
-// Run finds the leader and exchanges items and replies with it until ctx is canceled.
+// Run finds the leader and exchanges items and replies with it until ctx is cancelled.
 // Pending items then fail with an error.
 func (c *Client) Run(ctx context.Context) error {
 	c.init()
--- a/internal/edge/control/client_test.go
+++ b/internal/edge/control/client_test.go
@@ -18,7 +18,7 @@
 	"gypsumreel/internal/fake/relay"
 )
 
-// scriptedLeader is a fake leader with configurable behavior. By default it answers list
+// scriptedLeader is a fake leader with configurable behaviour. By default it answers list
 // requests.
 type scriptedLeader struct {
 	mu             sync.Mutex
--- a/internal/edge/control/session.go
+++ b/internal/edge/control/session.go
@@ -54,7 +54,7 @@
 	consecutiveFailures [2]atomic.Int32
 	// cancelPull cancels the Pull in flight, so that it is repeated over a new connection.
 	cancelPull atomic.Pointer[context.CancelFunc]
-	// pullRestarted is true if restartPull canceled the Pull in flight.
+	// pullRestarted is true if restartPull cancelled the Pull in flight.
 	pullRestarted atomic.Bool
 }
 
@@ -64,7 +64,7 @@
 	pullCall
 )
 
-// initTransport creates the HTTP transport and the RPC client. With HTTP/1.1, canceling
+// initTransport creates the HTTP transport and the RPC client. With HTTP/1.1, cancelling
 // a call closes its connection. A connection that a middlebox dropped silently is
 // therefore not used a second time.
 func (s *session) initTransport() {
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -96,7 +96,7 @@
 	// MaxPendingRequests bounds the requests that wait for a reply of the leader.
 	MaxPendingRequests int
 
-	// initOnce guards the initialisation of the defaults, the leader client and the metrics.
+	// initOnce guards the initialization of the defaults, the leader client and the metrics.
 	initOnce     sync.Once
 	leaderClient *control.Client
 	metricSet    *metrics.Set
--- a/internal/edge/leader/greet.go
+++ b/internal/edge/leader/greet.go
@@ -12,7 +12,7 @@
 )
 
 // Run sends greetings to the leader, and to other replicas to find the leader, until ctx
-// is canceled.
+// is cancelled.
 func (c *Client) Run(ctx context.Context) error {
 	c.init()
 	defer close(c.done)
--- a/internal/edge/leader/request.go
+++ b/internal/edge/leader/request.go
@@ -111,7 +111,7 @@
 
 // attempt makes one call to the leader. It returns a nil answer if the request must be
 // sent again. mayHaveArrived reports whether the leader may have processed the request.
-// The call is canceled when another leader is recorded, because a replaced leader may
+// The call is cancelled when another leader is recorded, because a replaced leader may
 // not answer for seconds.
 func (c *Client) attempt(ctx context.Context, leader string, leaderChanged <-chan struct{}, request *inner.FlowAsk) (answer *inner.FlowAnswer, mayHaveArrived bool) {
 	timeout := attemptTimeout
--- a/internal/edge/wire/wire.go
+++ b/internal/edge/wire/wire.go
@@ -42,7 +42,7 @@
 const idleShareDivisor = 2
 
 // NewClient returns an HTTP/1.1 client for calls that have deadlines. Its connections
-// count against the budget for the given purpose. With HTTP/1.1, canceling a call closes its
+// count against the budget for the given purpose. With HTTP/1.1, cancelling a call closes its
 // connection, so a connection that stopped responding is not used a second time.
 func NewClient(connsPerHost int, budget *files.Budget, purpose files.Purpose) *http.Client {
 	protocols := new(http.Protocols)
@@ -57,7 +57,7 @@
 
 // NewMultiplexedClient returns an HTTP/2 client for calls between processes of the cell.
 // All calls to one process share one connection, which stays open when a call is
-// canceled. Some network faults keep open connections and refuse new ones. A process that
+// cancelled. Some network faults keep open connections and refuse new ones. A process that
 // needed a new connection for its next call would be isolated until the end of such a
 // fault. The connection is checked by pings, because otherwise a connection that stopped
 // responding would be used again.
--- a/internal/replica/peer/pipeline.go
+++ b/internal/replica/peer/pipeline.go
@@ -49,7 +49,7 @@
 }
 
 // acquireSlot waits until another call may start. It returns an error if an earlier
-// call has failed or the sender is canceled.
+// call has failed or the sender is cancelled.
 func (p *pipeline) acquireSlot() error {
 	if err := p.err(); err != nil {
 		return err
--- a/internal/replica/peer/sender.go
+++ b/internal/replica/peer/sender.go
@@ -86,7 +86,7 @@
 	return batch
 }
 
-// run sends queued messages in batches until the sender is canceled or has been idle
+// run sends queued messages in batches until the sender is cancelled or has been idle
 // for IdleTimeout.
 func (s *sender) run() {
 	defer s.transport.sendersRunning.Done()
@@ -147,7 +147,7 @@
 }
 
 // waitForMessages waits until a message is queued or a call fails. It returns false
-// if that does not happen within IdleTimeout or if the sender is canceled.
+// if that does not happen within IdleTimeout or if the sender is cancelled.
 func (s *sender) waitForMessages() bool {
 	idleTimer := time.NewTimer(IdleTimeout)
 	defer idleTimer.Stop()
