--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -96,8 +96,8 @@
 		return err
 	}
 	transportClient.Multiplexed = !c.ConnectionPerCall
-	runInfo.Target = transportClient.Addresses
-	if runInfo.Table[0], err = c.tableRevision(ctx); err != nil {
+	runInfo.Targets = transportClient.Addresses
+	if runInfo.TableRevisions[0], err = c.tableRevision(ctx); err != nil {
 		return err
 	}
 	workRecord, serverRecord := &work.Record{}, &server.Record{}
@@ -106,20 +106,20 @@
 		return err
 	}
 	driver := &drive.Driver{
-		Caller: &caller.Client{Transport: transportClient}, Jobs: plan.Jobs(), Tail: c.OutcomeTimeout, Foreign: c.Servers == 0, Keep: c.KeepOutcomes,
+		Client: &caller.Client{Transport: transportClient}, Jobs: plan.Jobs(), Tail: c.OutcomeTimeout, ForeignServers: c.Servers == 0, KeepOutcomes: c.KeepOutcomes,
 		Progress: progressFunc(env, c.JSON),
 	}
-	runInfo.Began = time.Now()
+	runInfo.StartedAt = time.Now()
 	outcome := driver.Run(ctx)
 	stopServers()
 	if c.Servers == 0 {
 		workRecord = nil
 	}
-	result := report.Sum(runInfo, runInfo.Began, outcome, workRecord)
-	result.Promises.Faults = append(result.Promises.Faults, serverRecord.Faults()...)
+	result := report.Summarize(runInfo, runInfo.StartedAt, outcome, workRecord)
+	result.Violations.ServerFaults = append(result.Violations.ServerFaults, serverRecord.Faults()...)
 	// An error here is only printed: the result matters most when the cell failed during
 	// the run.
-	if result.Measured.Table[1], err = c.tableRevision(ctx); err != nil {
+	if result.Info.TableRevisions[1], err = c.tableRevision(ctx); err != nil {
 		fmt.Fprintf(env.Err, "could not read the table revision after the run: %v\n", err)
 	}
 	return c.printResult(env, result)
@@ -134,7 +134,7 @@
 	} else if err := result.Write(env.Out); err != nil {
 		return err
 	}
-	if result.Promises.Kept() {
+	if result.Violations.None() {
 		return nil
 	}
 	return &verb.Error{ExitCode: verb.ExitFailed, Message: "a promise did not hold", Advice: "Keep logs and dumps of the processes and report it with this result."}
@@ -143,7 +143,7 @@
 // buildPlan validates the flags and returns the plan of the run.
 func (c *command) buildPlan(args []string) (mix.Plan, error) {
 	const usage = "See `gypsumreel load --help`."
-	shares, err := mix.ParseShares(c.Mix)
+	shares, err := mix.ParseKindWeights(c.Mix)
 	switch {
 	case len(args) > 0:
 		return mix.Plan{}, verb.UsageError(usage, "unexpected %q", args[0])
@@ -173,22 +173,22 @@
 		shapes[kind] = s
 	}
 	return mix.Plan{
-		Rate: c.Rate, Duration: c.Duration, Seed: c.Seed, Shares: shares, Shapes: shapes, Once: c.AtMostOnceShare,
-		Answer: c.AnswerBytes, Deadline: c.Deadline, Prefix: "load-" + remote.NewID() + "-",
+		Rate: c.Rate, Duration: c.Duration, Seed: c.Seed, Weights: shares, Shapes: shapes, OnceFraction: c.AtMostOnceShare,
+		MeanAnswerBytes: c.AnswerBytes, Deadline: c.Deadline, IDPrefix: "load-" + remote.NewID() + "-",
 	}, nil
 }
 
 // describeRun returns the parameters of the run as they appear in the result.
-func (c *command) describeRun(plan mix.Plan) (report.Measured, error) {
-	runInfo := report.Measured{
-		Revision: report.Revision(), Settings: map[string]string{}, Note: c.Note,
-		Rate: plan.Rate, Duration: plan.Duration.String(), Seed: plan.Seed, Mix: map[string]float64{}, Once: plan.Once,
-		Answer: plan.Answer, Deadline: plan.Deadline.String(), Servers: c.Servers,
+func (c *command) describeRun(plan mix.Plan) (report.RunInfo, error) {
+	runInfo := report.RunInfo{
+		Revision: report.BuildRevision(), SettingsDigests: map[string]string{}, Note: c.Note,
+		Rate: plan.Rate, Duration: plan.Duration.String(), Seed: plan.Seed, Mix: map[string]float64{}, OnceFraction: plan.OnceFraction,
+		AnswerBytes: plan.MeanAnswerBytes, Deadline: plan.Deadline.String(), Servers: c.Servers,
 	}
 	if c.Revision != "" {
 		runInfo.Revision = c.Revision
 	}
-	for kind, weight := range plan.Shares {
+	for kind, weight := range plan.Weights {
 		runInfo.Mix[kind.String()] = weight
 	}
 	for _, path := range c.SettingsFiles {
@@ -196,7 +196,7 @@
 		if err != nil {
 			return runInfo, verb.UsageError("Check --settings.", "%v", err)
 		}
-		runInfo.Settings[path] = strconv.FormatUint(xxhash.Sum64(b), 16)
+		runInfo.SettingsDigests[path] = strconv.FormatUint(xxhash.Sum64(b), 16)
 	}
 	return runInfo, nil
 }
@@ -255,7 +255,7 @@
 		return nil, err
 	}
 	s := &server.Server{
-		Name: fmt.Sprintf("load-%03d", i), Secret: c.EnrolmentSecret, Work: workRecord.Work, Record: serverRecord, Log: logr.Discard(),
+		Name: fmt.Sprintf("load-%03d", i), Secret: c.EnrolmentSecret, Work: workRecord.RunTask, Record: serverRecord, Log: logr.Discard(),
 		Rack: fmt.Sprintf("rack-%d", i/serversPerRack), Zone: fmt.Sprintf("zone-%d", i%zoneCount),
 		Capacity: &v1.Size{Cpu: c.Cores * 1000, Memory: c.Memory, Slots: c.Slots},
 	}
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -238,8 +238,8 @@
 	return w.callWorker(ctx, c)
 }
 
-// StartUpkeep takes a worker down for two seconds.
-func (w *testCluster) StartUpkeep(_ context.Context, machine string, _, fence uint64) dispatch.UpkeepResult {
+// StartMaintenance takes a worker down for two seconds.
+func (w *testCluster) StartMaintenance(_ context.Context, machine string, _, fence uint64) dispatch.MaintenanceResult {
 	id := strings.TrimPrefix(machine, "m-")
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -247,7 +247,7 @@
 		w.firstUpkeepOrders[fence] = w.now()
 	}
 	if w.underUpkeep[id] {
-		return dispatch.UpkeepStarted
+		return dispatch.MaintenanceStarted
 	}
 	w.underUpkeep[id] = true
 	downCount := 0
@@ -267,7 +267,7 @@
 		w.mu.Unlock()
 		w.reportUntilAccepted(id, backend.Born+1)
 	})
-	return dispatch.UpkeepStarted
+	return dispatch.MaintenanceStarted
 }
 
 var keyHash = sha256.Sum256([]byte("key"))
--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -96,7 +96,7 @@
 // staysColdLonger reports whether the server announces a longer slow start than the ledger
 // has.
 func (d *Dispatcher) staysColdLonger(b *flows.Server, r *record.FlowServer) bool {
-	return d.Host.LedgerTime()+time.Duration(r.GetCold())*time.Millisecond > max(b.WarmUpEndsAt, d.Host.LedgerTime())+coldMargin
+	return d.Host.LedgerTime()+time.Duration(r.GetCold())*time.Millisecond > max(b.SlowStartEndsAt, d.Host.LedgerTime())+coldMargin
 }
 
 // isUnchanged reports whether the report equals the server's state in the ledger.
--- a/internal/control/leader/leadership.go
+++ b/internal/control/leader/leadership.go
@@ -164,7 +164,7 @@
 			case t.Phase.HoldsCapacity():
 				ledgerWatcher{l}.TaskPlaced(j, t)
 			case t.Phase == state.Queued:
-				ledgerWatcher{l}.TaskQueued(j, t)
+				ledgerWatcher{l}.WaitingAdded(j, t)
 			}
 		})
 	}
--- a/internal/ledger/flows/run.go
+++ b/internal/ledger/flows/run.go
@@ -22,7 +22,7 @@
 	}
 	b := &Server{
 		ID: m.GetId(), StartedAtMs: m.GetBorn(), Address: m.GetAddress(), Zone: m.GetZone(), Pool: m.GetPool(), Machine: m.GetMachine(),
-		Capacity: sizeFromMessage(m.GetCapacity()), Labels: m.GetLabels(), ShuttingDown: m.GetLeaving(), LastReport: m.GetCall(), WarmUpEndsAt: now + time.Duration(m.GetCold())*time.Millisecond, HeldRuns: map[flow.TaskID]*HeldRun{},
+		Capacity: sizeFromMessage(m.GetCapacity()), Labels: m.GetLabels(), ShuttingDown: m.GetLeaving(), LastReport: m.GetCall(), SlowStartEndsAt: now + time.Duration(m.GetCold())*time.Millisecond, HeldRuns: map[flow.TaskID]*HeldRun{},
 	}
 	if known && m.GetBorn() == old.StartedAtMs {
 		if old.Ended {
--- a/internal/ledger/state/attempt.go
+++ b/internal/ledger/state/attempt.go
@@ -118,9 +118,9 @@
 	id := t.ID
 	t.SaveCheckpoint = false
 	s.moveTask(t, s.nextEvent(j, t, end, done))
-	s.observer().TaskReleased(j, s.tasks[id], end)
+	s.observer().AttemptEnded(j, s.tasks[id], end)
 	if t.Phase == Queued {
-		s.observer().TaskQueued(s.jobs[id.Job], s.tasks[id])
+		s.observer().WaitingAdded(s.jobs[id.Job], s.tasks[id])
 	}
 	if j.Spec.AllOrNothing() && (t.Phase == WaitingForGang || s.hasTaskWaitingForGang(j)) {
 		s.restartGang(id.Job)
@@ -191,7 +191,7 @@
 		s.moveTask(&t, chart.Retry)
 	}
 	for i := range j.Spec.Count {
-		s.observer().TaskQueued(s.jobs[number], s.tasks[task.ID{Job: number, Index: i}])
+		s.observer().WaitingAdded(s.jobs[number], s.tasks[task.ID{Job: number, Index: i}])
 	}
 }
 
@@ -214,7 +214,7 @@
 			continue
 		}
 		s.moveTask(&t, chart.Retry)
-		s.observer().TaskQueued(s.jobs[j.Number], s.tasks[t.ID])
+		s.observer().WaitingAdded(s.jobs[j.Number], s.tasks[t.ID])
 	}
 }
 
--- a/internal/load/measure/change.go
+++ b/internal/load/measure/change.go
@@ -48,7 +48,7 @@
 			}
 			slices.Sort(all)
 			at := func(q float64) float64 { return ms(all[int(math.Ceil(q*float64(len(all))))-1]) }
-			if err := emit(spread{Part: name, Place: b.Place, Count: len(all), P50: at(0.5), P99: at(0.99), Max: at(1)}); err != nil {
+			if err := emit(spread{Part: name, Place: b.DelaySet, Count: len(all), P50: at(0.5), P99: at(0.99), Max: at(1)}); err != nil {
 				return err
 			}
 		}
@@ -59,7 +59,7 @@
 // withdrawal withdraws a key and asks every entry with it until all refuse.
 func withdrawal(ctx context.Context, r *rig.Rig, i int) (time.Duration, error) {
 	id := fmt.Sprintf("dead-%d", i)
-	token, err := r.Grant(ctx, "measured", id)
+	token, err := r.GrantKey(ctx, "measured", id)
 	if err != nil {
 		return 0, err
 	}
@@ -68,7 +68,7 @@
 	if err != nil {
 		return 0, err
 	}
-	for _, address := range r.Callers() {
+	for _, address := range r.CallerURLs() {
 		c := &caller.Client{Transport: &transport.Client{Addresses: []string{address}, Key: token}}
 		for {
 			got, err := c.Submit(ctx, []*v1.Spec{{Id: "x", Kind: v1.Kind_KIND_BATCH, Name: "x", Count: 1, Size: &v1.Size{Cpu: 1, Memory: 1, Slots: 1}, Runtime: 1}}, true)
@@ -99,8 +99,8 @@
 	if err != nil {
 		return 0, err
 	}
-	for _, name := range append(r.Controls(), r.EntryNames()...) {
-		for r.Revision(name) < revision {
+	for _, name := range append(r.ControlNames(), r.EntryNames()...) {
+		for r.TableRevision(name) < revision {
 			if !transport.Sleep(ctx, askEvery) {
 				return 0, ctx.Err()
 			}
--- a/internal/load/measure/fault.go
+++ b/internal/load/measure/fault.go
@@ -58,7 +58,7 @@
 func rolling(ctx context.Context, r *rig.Rig) error {
 	order := r.EntryNames()
 	lead, _ := r.Leader()
-	for _, name := range r.Controls() {
+	for _, name := range r.ControlNames() {
 		if name != lead {
 			order = append(order, name)
 		}
@@ -70,7 +70,7 @@
 		if err := r.Restart(name); err != nil {
 			return err
 		}
-		if err := r.Settled(ctx); err != nil {
+		if err := r.WaitReady(ctx); err != nil {
 			return err
 		}
 	}
@@ -98,11 +98,11 @@
 	}
 	var w sync.WaitGroup
 	var made error
-	var calls rig.Calls
+	var calls rig.CallCounts
 	watched, stop := context.WithCancel(ctx)
 	defer stop()
 	if f.planned {
-		w.Go(func() { r.Pin(watched, token, &calls) })
+		w.Go(func() { r.RunPinnedCallers(watched, token, &calls) })
 	}
 	w.Go(func() {
 		defer stop()
@@ -119,8 +119,8 @@
 	}
 	row.Fault = f.name
 	if f.planned {
-		cut := calls.Cut.Load()
-		row.CutOff, row.Pinned = &cut, calls.Made.Load()
+		cut := calls.CutOff.Load()
+		row.CutOff, row.PinnedCalls = &cut, calls.Made.Load()
 	}
 	return emit(row)
 }
--- a/internal/policy/admit/admit.go
+++ b/internal/policy/admit/admit.go
@@ -39,8 +39,8 @@
 	ServerSizes []capacity.Size
 	// TotalCapacity is the capacity of all announced backend servers together.
 	TotalCapacity capacity.Size
-	// DrainRate is the number of the team's waiting jobs that are placed per second, 0 if unknown.
-	DrainRate float64
+	// PlacementRate is the number of the team's waiting jobs that are placed per second, 0 if unknown.
+	PlacementRate float64
 }
 
 // Check returns nil if the job is admitted, otherwise the reason of the refusal. The duration
@@ -102,15 +102,15 @@
 // missesDeadline reports whether the job would wait beyond its deadline. Urgent jobs are always
 // admitted, because they do not wait behind the team's queue.
 func missesDeadline(spec *job.Spec, v View) bool {
-	return spec.PlacementTimeout > 0 && spec.Kind != job.Urgent && v.DrainRate > 0 && estimatedWait(v) > spec.PlacementTimeout
+	return spec.PlacementTimeout > 0 && spec.Kind != job.Urgent && v.PlacementRate > 0 && estimatedWait(v) > spec.PlacementTimeout
 }
 
 // estimatedWait returns the time until the team's waiting jobs are placed, 0 if unknown.
 func estimatedWait(v View) time.Duration {
-	if v.DrainRate <= 0 {
+	if v.PlacementRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(v.TeamWaiting) / v.DrainRate * float64(time.Second))
+	return time.Duration(float64(v.TeamWaiting) / v.PlacementRate * float64(time.Second))
 }
 
 // retryAfter returns a time between one and two tenths of the estimated wait, so that the
--- a/internal/policy/bench/workload.go
+++ b/internal/policy/bench/workload.go
@@ -17,40 +17,40 @@
 type Site struct {
 	// Name names the deployment.
 	Name string
-	// Size is one server's capacity; every second rack has the accelerators.
-	Size capacity.Size
+	// ServerCapacity is one server's capacity; every second rack has the accelerators.
+	ServerCapacity capacity.Size
 	// Servers, PerRack and Zones shape the cell.
-	Servers, PerRack, Zones int
-	// Batch, Gang and Urgent are the largest sizes of a task of each kind.
-	Batch, Gang, Urgent capacity.Size
+	Servers, ServersPerRack, Zones int
+	// MaxBatchSize, Gang and Urgent are the largest sizes of a task of each kind.
+	MaxBatchSize, MaxGangSize, MaxUrgentSize capacity.Size
 }
 
 // Balastas has many small orders and quotes.
 func Balastas() Site {
 	return Site{
-		Name: "balastas", Size: capacity.Size{CPU: 16_000, Memory: 32 << 10, Slots: 8},
-		Servers: 50, PerRack: 8, Zones: 3,
-		Batch:  capacity.Size{CPU: 4000, Memory: 8 << 10, Slots: 1},
-		Gang:   capacity.Size{CPU: 2000, Memory: 4 << 10, Slots: 1},
-		Urgent: capacity.Size{CPU: 1000, Memory: 1 << 10, Slots: 1},
+		Name: "balastas", ServerCapacity: capacity.Size{CPU: 16_000, Memory: 32 << 10, Slots: 8},
+		Servers: 50, ServersPerRack: 8, Zones: 3,
+		MaxBatchSize:  capacity.Size{CPU: 4000, Memory: 8 << 10, Slots: 1},
+		MaxGangSize:   capacity.Size{CPU: 2000, Memory: 4 << 10, Slots: 1},
+		MaxUrgentSize: capacity.Size{CPU: 1000, Memory: 1 << 10, Slots: 1},
 	}
 }
 
 // Coralwave has heavy sweeps, some on accelerators.
 func Coralwave() Site {
 	return Site{
-		Name: "coralwave", Size: capacity.Size{CPU: 32_000, Memory: 128 << 10, Accel: 4, Slots: 8},
-		Servers: 50, PerRack: 6, Zones: 4,
-		Batch:  capacity.Size{CPU: 8000, Memory: 32 << 10, Slots: 1},
-		Gang:   capacity.Size{CPU: 4000, Memory: 16 << 10, Accel: 1, Slots: 1},
-		Urgent: capacity.Size{CPU: 2000, Memory: 2 << 10, Slots: 1},
+		Name: "coralwave", ServerCapacity: capacity.Size{CPU: 32_000, Memory: 128 << 10, Accel: 4, Slots: 8},
+		Servers: 50, ServersPerRack: 6, Zones: 4,
+		MaxBatchSize:  capacity.Size{CPU: 8000, Memory: 32 << 10, Slots: 1},
+		MaxGangSize:   capacity.Size{CPU: 4000, Memory: 16 << 10, Accel: 1, Slots: 1},
+		MaxUrgentSize: capacity.Size{CPU: 2000, Memory: 2 << 10, Slots: 1},
 	}
 }
 
 // Heavy is Balastas with batch of up to half a server.
 func Heavy() Site {
 	s := Balastas()
-	s.Name, s.Batch = "heavy", capacity.Size{CPU: 8000, Memory: 16 << 10, Slots: 4}
+	s.Name, s.MaxBatchSize = "heavy", capacity.Size{CPU: 8000, Memory: 16 << 10, Slots: 4}
 	return s
 }
 
@@ -58,8 +58,8 @@
 func (s Site) servers() []backend.Server {
 	var list []backend.Server
 	for i := range s.Servers {
-		r := i / s.PerRack
-		size := s.Size
+		r := i / s.ServersPerRack
+		size := s.ServerCapacity
 		if r%2 == 1 {
 			size.Accel = 0
 		}
@@ -92,8 +92,8 @@
 	{team.New("fen").WithGuaranteedShare(50), 0.05},
 }
 
-// Rows returns the table that the workloads start with.
-func Rows() table.Table {
+// InitialTable returns the table that the workloads start with.
+func InitialTable() table.Table {
 	var rows []team.Row
 	for _, c := range customers {
 		rows = append(rows, c.row)
@@ -162,9 +162,9 @@
 func (s *source) shape(kind job.Kind, name int) (capacity.Size, int, time.Duration) {
 	switch kind {
 	case job.Urgent:
-		return s.site.Urgent, 1, 1200 * time.Millisecond
+		return s.site.MaxUrgentSize, 1, 1200 * time.Millisecond
 	case job.Gang:
-		size := s.site.Gang
+		size := s.site.MaxGangSize
 		n := 4 << s.rng.IntN(3)
 		if name%2 == 0 || size.Accel == 0 {
 			size.Accel = 0
@@ -173,12 +173,12 @@
 		}
 		return size, n, time.Duration(30+30*name) * time.Second
 	}
-	size := s.site.Batch
+	size := s.site.MaxBatchSize
 	for range s.rng.IntN(3) {
 		size.CPU, size.Memory = size.CPU/2, size.Memory/2
 	}
 	if name == 4 {
-		size.Memory = min(size.Memory*2, s.site.Batch.Memory)
+		size.Memory = min(size.Memory*2, s.site.MaxBatchSize.Memory)
 	}
 	return size, 1 + int(s.rng.ExpFloat64()*4), time.Duration(15<<name) * time.Second
 }
@@ -231,7 +231,7 @@
 func (w *World) feed(s *source, rate float64, day time.Duration) {
 	d := s.draw()
 	gap := s.rng.ExpFloat64() / (rate * (1 + swing*math.Sin(2*math.Pi*w.now.Seconds()/day.Seconds())))
-	w.At(w.now+time.Duration(gap*float64(time.Second)), func() {
+	w.Schedule(w.now+time.Duration(gap*float64(time.Second)), func() {
 		w.Submit(d.spec, d.times, d.used, d.crashes)
 		w.feed(s, rate, day)
 	})
@@ -239,7 +239,7 @@
 
 // serve submits the services that run all the time.
 func (w *World) serve(site Site, load float64) {
-	size := site.Gang
+	size := site.MaxGangSize
 	size.Accel = 0
 	per := size.DominantShare(site.total())
 	n := int(load / per)
--- a/internal/policy/steps/candidate.go
+++ b/internal/policy/steps/candidate.go
@@ -45,7 +45,7 @@
 	if it.Urgent != r.ShortLease {
 		points += leasePenalty
 	}
-	if r.Cold {
+	if r.InSlowStart {
 		points += coldPenalty
 	}
 	if it.FailedOn[r.ID] {
--- a/internal/policy/steps/view.go
+++ b/internal/policy/steps/view.go
@@ -45,8 +45,8 @@
 	*flows.Server
 	// Speed is the speed relative to the other servers; 1 is the average.
 	Speed float64
-	// Cold is true while the server is slow because it has just started.
-	Cold bool
+	// InSlowStart is true while the server is slow because it has just started.
+	InSlowStart bool
 	// RecentlyStarted is true just after a start of the server, when it may crash again without
 	// a fault of its tasks.
 	RecentlyStarted bool
