--- a/internal/base/secure/secure_test.go
+++ b/internal/base/secure/secure_test.go
@@ -128,16 +128,16 @@
 // Guards against handling a request of a client without a certificate, with one of
 // another authority, or with an expired one.
 func TestInvalidClientCertificateIsRefusedInTheHandshake(t *testing.T) {
-	good, other := newTestAuthority(t), newTestAuthority(t)
-	server := loadStore(t, good.issue(t.TempDir(), "control-a", time.Hour), logr.Discard())
+	trustedAuthority, otherAuthority := newTestAuthority(t), newTestAuthority(t)
+	server := loadStore(t, trustedAuthority.issue(t.TempDir(), "control-a", time.Hour), logr.Discard())
 	url, count := startServer(t, server.ServerConfig(), nil)
 
-	foreign := other.issue(t.TempDir(), "control-b", time.Hour)
-	writeFile(t, foreign.Authority, good.pem) // this client trusts the server, but the server does not trust it
-	expired := good.issue(t.TempDir(), "control-b", -time.Minute)
+	foreignFiles := otherAuthority.issue(t.TempDir(), "control-b", time.Hour)
+	writeFile(t, foreignFiles.Authority, trustedAuthority.pem) // this client trusts the server, but the server does not trust it
+	expiredFiles := trustedAuthority.issue(t.TempDir(), "control-b", -time.Minute)
 	for name, cfg := range map[string]*tls.Config{
-		"other authority": loadStore(t, foreign, logr.Discard()).ClientConfig("control-a"),
-		"expired":         loadStore(t, expired, logr.Discard()).ClientConfig("control-a"),
+		"other authority": loadStore(t, foreignFiles, logr.Discard()).ClientConfig("control-a"),
+		"expired":         loadStore(t, expiredFiles, logr.Discard()).ClientConfig("control-a"),
 		"none":            {InsecureSkipVerify: true},
 	} {
 		if _, err := get(cfg, url); err == nil {
@@ -150,20 +150,20 @@
 	if n := count.Load(); n != 0 {
 		t.Errorf("%d requests reached the handler", n)
 	}
-	client := loadStore(t, good.issue(t.TempDir(), "control-b", time.Hour), logr.Discard())
+	client := loadStore(t, trustedAuthority.issue(t.TempDir(), "control-b", time.Hour), logr.Discard())
 	if status, err := get(client.ClientConfig("control-a"), url); err != nil || status != http.StatusOK || count.Load() != 1 {
 		t.Errorf("valid certificate: status %d, error %v", status, err)
 	}
 }
 
 func TestClientVerifiesTheServerNameAndAuthority(t *testing.T) {
-	good, other := newTestAuthority(t), newTestAuthority(t)
-	url, _ := startServer(t, loadStore(t, good.issue(t.TempDir(), "entry-1", time.Hour), logr.Discard()).ServerConfig(), nil)
-	client := loadStore(t, good.issue(t.TempDir(), "control-b", time.Hour), logr.Discard())
+	trustedAuthority, otherAuthority := newTestAuthority(t), newTestAuthority(t)
+	url, _ := startServer(t, loadStore(t, trustedAuthority.issue(t.TempDir(), "entry-1", time.Hour), logr.Discard()).ServerConfig(), nil)
+	client := loadStore(t, trustedAuthority.issue(t.TempDir(), "control-b", time.Hour), logr.Discard())
 	if _, err := get(client.ClientConfig("control-a", "control-c"), url); err == nil || !strings.Contains(err.Error(), secure.ErrUnexpectedName.Error()) {
 		t.Errorf("server with an unexpected name: %v, want %v", err, secure.ErrUnexpectedName)
 	}
-	if _, err := get(loadStore(t, other.issue(t.TempDir(), "control-b", time.Hour), logr.Discard()).ClientConfig("entry-1"), url); err == nil {
+	if _, err := get(loadStore(t, otherAuthority.issue(t.TempDir(), "control-b", time.Hour), logr.Discard()).ClientConfig("entry-1"), url); err == nil {
 		t.Error("a server of another authority was trusted")
 	}
 	if _, err := get(client.ClientConfig(), url); err == nil {
@@ -174,18 +174,18 @@
 // Guards against handling consensus messages from an entry. Its certificate is valid
 // in the cell, but an entry is not a control replica.
 func TestRequestsFromUnexpectedNamesAreRefused(t *testing.T) {
-	a := newTestAuthority(t)
+	authority := newTestAuthority(t)
 	requireControlB := func(h http.Handler) http.Handler {
 		return secure.RequireName(func(name string) bool { return name == "control-b" }, h)
 	}
-	url, count := startServer(t, loadStore(t, a.issue(t.TempDir(), "control-a", time.Hour), logr.Discard()).ServerConfig(), requireControlB)
+	url, requestCount := startServer(t, loadStore(t, authority.issue(t.TempDir(), "control-a", time.Hour), logr.Discard()).ServerConfig(), requireControlB)
 	for name, want := range map[string]int{"entry-1": http.StatusForbidden, "control-b": http.StatusOK} {
-		client := loadStore(t, a.issue(t.TempDir(), name, time.Hour), logr.Discard())
+		client := loadStore(t, authority.issue(t.TempDir(), name, time.Hour), logr.Discard())
 		if status, err := get(client.ClientConfig("control-a"), url); err != nil || status != want {
 			t.Errorf("client %s: status %d, error %v; want status %d", name, status, err, want)
 		}
 	}
-	if n := count.Load(); n != 1 {
+	if n := requestCount.Load(); n != 1 {
 		t.Errorf("%d requests reached the handler", n)
 	}
 	withoutTLS := httptest.NewRecorder()
@@ -203,7 +203,7 @@
 	dir, clientDir := t.TempDir(), t.TempDir()
 	server := loadStore(t, oldAuthority.issue(dir, "control-a", time.Hour), logr.Discard())
 	client := loadStore(t, oldAuthority.issue(clientDir, "control-b", time.Hour), logr.Discard())
-	outdated := loadStore(t, oldAuthority.issue(t.TempDir(), "control-c", time.Hour), logr.Discard())
+	clientOfOldAuthority := loadStore(t, oldAuthority.issue(t.TempDir(), "control-c", time.Hour), logr.Discard())
 	url, _ := startServer(t, server.ServerConfig(), nil)
 
 	openClient := &http.Client{Transport: &http.Transport{TLSClientConfig: client.ClientConfig("control-a"), ForceAttemptHTTP2: true}}
@@ -229,7 +229,7 @@
 	if status, err := get(client.ClientConfig("control-a"), url); err != nil || status != http.StatusOK {
 		t.Errorf("new connection: status %d, error %v", status, err)
 	}
-	if _, err := get(outdated.ClientConfig("control-a"), url); err == nil {
+	if _, err := get(clientOfOldAuthority.ClientConfig("control-a"), url); err == nil {
 		t.Error("the old authority is still trusted")
 	}
 	if _, err := w.Write([]byte("ended")); err != nil {
@@ -244,18 +244,18 @@
 // Guards against a loss of the listener when the files are read after the certificate
 // was replaced and before its key was.
 func TestMismatchedFilesKeepThePreviousCredentials(t *testing.T) {
-	a := newTestAuthority(t)
+	authority := newTestAuthority(t)
 	dir := t.TempDir()
 	var log strings.Builder
-	f := a.issue(dir, "control-a", time.Hour)
+	f := authority.issue(dir, "control-a", time.Hour)
 	server := loadStore(t, f, event.New(&log, "info"))
-	client := loadStore(t, a.issue(t.TempDir(), "control-b", time.Hour), logr.Discard())
+	client := loadStore(t, authority.issue(t.TempDir(), "control-b", time.Hour), logr.Discard())
 	url, _ := startServer(t, server.ServerConfig(), nil)
 	oldKey, err := os.ReadFile(f.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.issue(dir, "control-a", time.Hour)
+	authority.issue(dir, "control-a", time.Hour)
 	newKey, err := os.ReadFile(f.Key)
 	if err != nil {
 		t.Fatal(err)
@@ -299,11 +299,11 @@
 }
 
 func TestLoadRefusesMissingOrMismatchedFiles(t *testing.T) {
-	a := newTestAuthority(t)
-	f, other := a.issue(t.TempDir(), "x", time.Hour), a.issue(t.TempDir(), "y", time.Hour)
+	authority := newTestAuthority(t)
+	f, otherFiles := authority.issue(t.TempDir(), "x", time.Hour), authority.issue(t.TempDir(), "y", time.Hour)
 	for problem, files := range map[string]secure.Files{
 		"missing":      {Certificate: f.Certificate, Key: f.Key + "x"},
-		"other key":    {Certificate: f.Certificate, Key: other.Key},
+		"other key":    {Certificate: f.Certificate, Key: otherFiles.Key},
 		"no authority": {Certificate: f.Certificate, Key: f.Key, Authority: f.Key},
 	} {
 		if err := secure.New(files, logr.Discard()).Load(); err == nil {
--- a/internal/cli/explain/cause.go
+++ b/internal/cli/explain/cause.go
@@ -49,8 +49,9 @@
 // flowHistory holds what the logs contain about one flow.
 type flowHistory struct {
 	queue, customer string
-	// The times at which the flow was accepted, the adviser first answered about it, its
-	// first task was placed and its last task ended. Zero means never.
+	// These are the times of the acceptance of the flow, of the first answer of the adviser
+	// about it, of the placement of its first task, and of the end of its last task. Zero
+	// means that the logs do not contain the event.
 	acceptedAt, firstAdviceAt, firstPlacedAt, endedAt time.Time
 	// lastSeenAt is the time of the last log line about the flow.
 	lastSeenAt time.Time
@@ -59,7 +60,8 @@
 	objective time.Duration
 	// state is the final state of the flow, empty while it is open.
 	state string
-	// The numbers of runs that were lost, failed or were moved to another server.
+	// lostRuns, failedRuns and movedRuns are the numbers of runs that were lost, failed, or
+	// were moved to another server.
 	lostRuns, failedRuns, movedRuns int
 	// givenUp is true if the cell gave up the flow after repeated server crashes.
 	givenUp bool
@@ -166,8 +168,8 @@
 	if !h.endedAt.IsZero() {
 		logsEnd = h.endedAt
 	}
-	for _, at := range leaderChanges {
-		if at.After(h.acceptedAt) && at.Before(logsEnd) {
+	for _, changedAt := range leaderChanges {
+		if changedAt.After(h.acceptedAt) && changedAt.Before(logsEnd) {
 			return true
 		}
 	}
--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -87,17 +87,17 @@
 	if err != nil {
 		return err
 	}
-	measured, err := c.describeRun(plan)
+	runInfo, err := c.describeRun(plan)
 	if err != nil {
 		return err
 	}
-	entries, err := c.Link()
+	transportClient, err := c.Transport()
 	if err != nil {
 		return err
 	}
-	entries.Multiplexed = !c.ConnectionPerCall
-	measured.Targets = entries.Addresses
-	if measured.TableRevisions[0], err = c.tableRevision(ctx); err != nil {
+	transportClient.Multiplexed = !c.ConnectionPerCall
+	runInfo.Targets = transportClient.Addresses
+	if runInfo.TableRevisions[0], err = c.tableRevision(ctx); err != nil {
 		return err
 	}
 	workRecord, serverRecord := &work.Record{}, &server.Record{}
@@ -106,16 +106,16 @@
 		return err
 	}
 	driver := &drive.Driver{
-		Client: &caller.Client{Link: entries}, Jobs: plan.Jobs(), Tail: c.OutcomeTimeout, ForeignServers: c.Servers == 0, KeepOutcomes: c.KeepOutcomes,
+		Client: &caller.Client{Transport: transportClient}, Jobs: plan.Jobs(), Tail: c.OutcomeTimeout, ForeignServers: c.Servers == 0, KeepOutcomes: c.KeepOutcomes,
 		Progress: progressFunc(env, c.JSON),
 	}
-	measured.StartedAt = time.Now()
+	runInfo.StartedAt = time.Now()
 	outcome := driver.Run(ctx)
 	stopServers()
 	if c.Servers == 0 {
 		workRecord = nil
 	}
-	result := report.Summarize(measured, measured.StartedAt, outcome, workRecord)
+	result := report.Summarize(runInfo, runInfo.StartedAt, outcome, workRecord)
 	result.Violations.ServerFaults = append(result.Violations.ServerFaults, serverRecord.Faults()...)
 	// An error here is only printed: the result matters most when the cell failed during
 	// the run.
@@ -180,25 +180,25 @@
 
 // describeRun returns the parameters of the run as they appear in the result.
 func (c *command) describeRun(plan mix.Plan) (report.RunInfo, error) {
-	measured := report.RunInfo{
+	runInfo := report.RunInfo{
 		Revision: report.BuildRevision(), SettingsDigests: map[string]string{}, Note: c.Note,
 		Rate: plan.Rate, Duration: plan.Duration.String(), Seed: plan.Seed, Mix: map[string]float64{}, OnceFraction: plan.OnceFraction,
 		AnswerBytes: plan.MeanAnswerBytes, Deadline: plan.Deadline.String(), Servers: c.Servers,
 	}
 	if c.Revision != "" {
-		measured.Revision = c.Revision
+		runInfo.Revision = c.Revision
 	}
 	for kind, weight := range plan.Weights {
-		measured.Mix[kind.String()] = weight
+		runInfo.Mix[kind.String()] = weight
 	}
 	for _, path := range c.SettingsFiles {
 		b, err := os.ReadFile(path)
 		if err != nil {
-			return measured, verb.UsageError("Check --settings.", "%v", err)
+			return runInfo, verb.UsageError("Check --settings.", "%v", err)
 		}
-		measured.SettingsDigests[path] = strconv.FormatUint(xxhash.Sum64(b), 16)
+		runInfo.SettingsDigests[path] = strconv.FormatUint(xxhash.Sum64(b), 16)
 	}
-	return measured, nil
+	return runInfo, nil
 }
 
 // tableRevision returns the table revision, or 0 without an operator's key.
@@ -250,7 +250,7 @@
 func (c *command) newServer(i int, workRecord *work.Record, serverRecord *server.Record) (*server.Server, error) {
 	flags := c.Flags
 	flags.Address = c.Backends
-	entries, err := flags.Link()
+	transportClient, err := flags.Transport()
 	if err != nil {
 		return nil, err
 	}
@@ -259,9 +259,9 @@
 		Rack: fmt.Sprintf("rack-%d", i/serversPerRack), Zone: fmt.Sprintf("zone-%d", i%zoneCount),
 		Capacity: &v1.Size{Cpu: c.Cores * 1000, Memory: c.Memory, Slots: c.Slots},
 	}
-	for _, address := range entries.Addresses {
+	for _, address := range transportClient.Addresses {
 		if host, secure := strings.CutPrefix(address, "https://"); secure {
-			s.Entries = append(s.Entries, server.NewEntry(host, entries.TLS.Clone(), nil))
+			s.Entries = append(s.Entries, server.NewEntry(host, transportClient.TLS.Clone(), nil))
 			continue
 		}
 		s.Entries = append(s.Entries, server.NewEntry(strings.TrimPrefix(address, "http://"), nil, nil))
--- a/internal/client/caller/caller_test.go
+++ b/internal/client/caller/caller_test.go
@@ -17,7 +17,7 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 )
 
 // scriptedEntry is a fake entry that answers each Submit and Wait with the next function
@@ -72,7 +72,7 @@
 }
 
 func newClient(addresses ...string) *caller.Client {
-	return &caller.Client{Link: &link.Link{Addresses: addresses, Key: "id.secret", Timeout: 5 * time.Second}}
+	return &caller.Client{Transport: &transport.Client{Addresses: addresses, Key: "id.secret", Timeout: 5 * time.Second}}
 }
 
 func newStatus(c code.Code) *v1.Status { return &v1.Status{Code: uint32(c)} }
@@ -91,14 +91,14 @@
 // jobs. Both jobs must be accepted once. Every attempt must use the same ids and the
 // same key, and answered jobs must not be submitted again.
 func TestSubmitRetriesWithSameIDs(t *testing.T) {
-	unreliable := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){
+	failingEntry := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){
 		func(*v1.SubmitRequest) (*v1.SubmitReply, error) {
 			return nil, connect.NewError(connect.CodeUnavailable, errors.New("gone"))
 		},
 		replyWithCodes(code.OK),
 	}}
-	reliable := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyWithCodes(code.OK, code.LeaderTimeout)}}
-	got, err := newClient(startServer(t, unreliable), startServer(t, reliable)).Submit(t.Context(), []*v1.Spec{{Id: "a"}, {Id: "b"}}, true)
+	healthyEntry := &scriptedEntry{submitSteps: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){replyWithCodes(code.OK, code.LeaderTimeout)}}
+	got, err := newClient(startServer(t, failingEntry), startServer(t, healthyEntry)).Submit(t.Context(), []*v1.Spec{{Id: "a"}, {Id: "b"}}, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,17 +107,17 @@
 			t.Errorf("reply %d is %v", i, got[i])
 		}
 	}
-	if diff := cmp.Diff([][]string{{"a", "b"}, {"b"}}, unreliable.submittedIDs); diff != "" {
+	if diff := cmp.Diff([][]string{{"a", "b"}, {"b"}}, failingEntry.submittedIDs); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([][]string{{"a", "b"}}, reliable.submittedIDs); diff != "" {
+	if diff := cmp.Diff([][]string{{"a", "b"}}, healthyEntry.submittedIDs); diff != "" {
 		t.Error(diff)
 	}
-	if got := slices.Concat(unreliable.firstFlags, reliable.firstFlags); !slices.Equal(got, []bool{true, false, false}) {
+	if got := slices.Concat(failingEntry.firstFlags, healthyEntry.firstFlags); !slices.Equal(got, []bool{true, false, false}) {
 		t.Errorf("First flags of the attempts: %v", got)
 	}
-	if want := []string{"Bearer id.secret", "Bearer id.secret"}; !slices.Equal(unreliable.authorizations, want) {
-		t.Errorf("keys %q", unreliable.authorizations)
+	if want := []string{"Bearer id.secret", "Bearer id.secret"}; !slices.Equal(failingEntry.authorizations, want) {
+		t.Errorf("keys %q", failingEntry.authorizations)
 	}
 }
 
@@ -132,7 +132,7 @@
 			return nil, connect.NewError(connect.CodeUnauthenticated, errors.New("no"))
 		},
 	}}
-	if _, err := newClient(startServer(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); link.AsCodeError(err).Code != code.InvalidKey {
+	if _, err := newClient(startServer(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); transport.AsCodeError(err).Code != code.InvalidKey {
 		t.Errorf("got %v", err)
 	}
 }
@@ -178,7 +178,7 @@
 }
 
 // No entry answers before the caller's context ends. The job may run, so the reply must
-// have the code Unanswered and no outcome.
+// have the code LeaderTimeout and no outcome.
 func TestSubmitTimeoutReportsNoOutcome(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
--- a/internal/edge/control/client_test.go
+++ b/internal/edge/control/client_test.go
@@ -18,7 +18,7 @@
 	"gypsumreel/internal/fake/relay"
 )
 
-// scriptedLeader is a fake leader with configurable behavior. By default it answers list
+// scriptedLeader is a fake leader with configurable behaviour. By default it answers list
 // requests.
 type scriptedLeader struct {
 	mu             sync.Mutex
@@ -176,7 +176,7 @@
 	withClient(t, map[string]*scriptedLeader{"c1": l}, func(c *testClient) {
 		c.relays["c1"].Set(relay.Down, relay.Lose)
 		if got := c.listCode(); got != code.LeaderTimeout {
-			t.Errorf("got code %d, want Unanswered", got)
+			t.Errorf("got code %d, want LeaderTimeout", got)
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -224,7 +224,7 @@
 		l.addReply(l.pushedSeqs[0])
 		l.mu.Unlock()
 		if got := c.listCodeWithin(200 * time.Millisecond); got != code.LeaderTimeout {
-			t.Errorf("got code %d, want Unanswered: a late reply was delivered to another request", got)
+			t.Errorf("got code %d, want LeaderTimeout: a late reply was delivered to another request", got)
 		}
 	})
 }
@@ -283,17 +283,17 @@
 		// The leader serves the two connections independently, so the second copy of
 		// an item may arrive after the first copy of a later item. Each item arrives
 		// twice, and the first copies arrive in the order of the requests.
-		var first []uint64
-		count := map[uint64]int{}
+		var firstCopies []uint64
+		copyCounts := map[uint64]int{}
 		for _, seq := range l.pushedSeqs {
-			if count[seq]++; count[seq] == 1 {
-				first = append(first, seq)
+			if copyCounts[seq]++; copyCounts[seq] == 1 {
+				firstCopies = append(firstCopies, seq)
 			}
 		}
-		if diff := cmp.Diff([]uint64{1, 2, 3}, first); diff != "" {
+		if diff := cmp.Diff([]uint64{1, 2, 3}, firstCopies); diff != "" {
 			t.Error(diff)
 		}
-		if diff := cmp.Diff(map[uint64]int{1: 2, 2: 2, 3: 2}, count); diff != "" {
+		if diff := cmp.Diff(map[uint64]int{1: 2, 2: 2, 3: 2}, copyCounts); diff != "" {
 			t.Error(diff)
 		}
 	})
@@ -302,8 +302,8 @@
 // Guards against losing pending requests when the leader changes. The client sends their
 // items to the new leader without any action by the callers.
 func TestPendingItemsAreResentToNewLeader(t *testing.T) {
-	first, second := &scriptedLeader{ignoresItems: true}, &scriptedLeader{redirect: "c1"}
-	withClient(t, map[string]*scriptedLeader{"c1": first, "c2": second}, func(c *testClient) {
+	oldLeader, newLeader := &scriptedLeader{ignoresItems: true}, &scriptedLeader{redirect: "c1"}
+	withClient(t, map[string]*scriptedLeader{"c1": oldLeader, "c2": newLeader}, func(c *testClient) {
 		var wg sync.WaitGroup
 		for range 3 {
 			wg.Go(func() {
@@ -313,8 +313,8 @@
 			})
 		}
 		time.Sleep(100 * time.Millisecond)
-		second.setRedirect("")
-		first.setRedirect("c2")
+		newLeader.setRedirect("")
+		oldLeader.setRedirect("c2")
 		startedAt := time.Now()
 		wg.Wait()
 		if elapsed := time.Since(startedAt); elapsed > 200*time.Millisecond {
@@ -336,7 +336,7 @@
 
 // Guards against accepting a withdrawn key at an entry that silently lost contact with
 // the leader. Pending requests fail within two seconds, because the entry cannot know
-// what has changed since.
+// which changes it has missed.
 func TestIsolatedEntryRefusesWithinMaxContactAge(t *testing.T) {
 	withClient(t, map[string]*scriptedLeader{"c1": {ignoresItems: true}}, func(c *testClient) {
 		time.Sleep(time.Second)
@@ -348,7 +348,7 @@
 		startedAt := time.Now()
 		got := c.listCodeWithin(time.Minute)
 		if elapsed := time.Since(startedAt); got != code.LeaderTimeout || elapsed > control.DefaultMaxContactAge+100*time.Millisecond {
-			t.Errorf("got code %d after %v, want Unanswered within the maximum contact age", got, elapsed)
+			t.Errorf("got code %d after %v, want LeaderTimeout within the maximum contact age", got, elapsed)
 		}
 		if c.client.InContact() {
 			t.Error("the client still reports contact with the leader")
--- a/internal/edge/entry/stop_test.go
+++ b/internal/edge/entry/stop_test.go
@@ -32,7 +32,7 @@
 		defer c.closeIdle()
 		c.submit(0, newSpec("held", false, server.Wish{Sleep: "1h"}.Input()))
 		for name, r := range w.relays {
-			if isInnerLink(name) || isOuterLink(name) {
+			if isInnerConnection(name) || isOuterConnection(name) {
 				r.Delay(relay.Up, 3*time.Millisecond)
 				r.Delay(relay.Down, 3*time.Millisecond)
 			}
@@ -57,28 +57,28 @@
 			c := w.directClient()
 			defer c.closeIdle()
 			wg.Go(func() {
-				for n, continues := 0, i%8 == 0; continues; n++ {
+				for n, callAgain := 0, i%8 == 0; callAgain; n++ {
 					reply, err := c.callerClients[0].Submit(w.ctx, withKey(w.teamKey, &v1.SubmitRequest{Jobs: []*v1.Spec{newSpec(fmt.Sprintf("job-%d-%d", i, n), false, nil)}}))
-					continues = countCall(err, nil) && reply != nil
+					callAgain = countCall(err, nil) && reply != nil
 					time.Sleep(time.Millisecond)
 				}
 			})
 			wg.Go(func() {
-				for continues := true; continues; {
+				for callAgain := true; callAgain; {
 					reply, err := c.callerClients[0].Wait(w.ctx, withKey(w.teamKey, &v1.WaitRequest{Id: "held", Patience: 10_000}))
 					var status *v1.Status
 					if err == nil {
 						status = reply.Msg.GetStatus()
 					}
-					continues = countCall(err, status)
+					callAgain = countCall(err, status)
 				}
 			})
 		}
 		time.Sleep(500 * time.Millisecond)
-		p := w.currentEntry("e1")
+		run := w.currentEntry("e1")
 		startedAt := time.Now()
-		p.stop()
-		<-p.entry.Done()
+		run.stop()
+		<-run.entry.Done()
 		elapsed := time.Since(startedAt)
 		wg.Wait()
 		if failed.Load() > 0 || redirected.Load() != 40 || elapsed > 7*time.Second {
@@ -108,12 +108,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(0)
 		defer w.close()
-		p := w.currentEntry("e1")
+		run := w.currentEntry("e1")
 		startedAt := time.Now()
-		p.stop()
+		run.stop()
 		time.Sleep(100 * time.Millisecond)
-		p.kill()
-		<-p.entry.Done()
+		run.kill()
+		<-run.entry.Done()
 		if elapsed := time.Since(startedAt); elapsed > 200*time.Millisecond {
 			t.Errorf("the entry stopped after %v, want at most 200ms", elapsed)
 		}
@@ -121,7 +121,7 @@
 }
 
 // Guards against a load balancer that sends requests to an entry which would refuse
-// them. Readiness checks must fail while the entry has no contact with a leader and
+// them. Readiness checks must fail while the entry has no contact with the leader and
 // from the beginning of its shutdown.
 func TestReadinessReflectsLeaderContactAndShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -139,10 +139,10 @@
 		}
 		time.Sleep(time.Second)
 		atStart := probe()
-		setRelayFate(isInnerLink, relay.Lose, bothDirections...)(w)
+		setRelayFate(isInnerConnection, relay.Lose, bothDirections...)(w)
 		time.Sleep(3 * time.Second)
 		withoutLeader := probe()
-		setRelayFate(isInnerLink, relay.Pass, bothDirections...)(w)
+		setRelayFate(isInnerConnection, relay.Pass, bothDirections...)(w)
 		time.Sleep(2 * time.Second)
 		reconnected := probe()
 		w.currentEntry("e1").stop()
@@ -178,8 +178,8 @@
 	})
 }
 
-// Guards against connections that pile up on a backend server after its entries were
-// silent. A backend server may have 60 connections and must stay well below that.
+// Guards against a backend server that accumulates connections while its entries do not
+// respond. A backend server may have 60 connections and must stay well below that.
 func TestBackendServerUsesFewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(0)
@@ -189,7 +189,7 @@
 		maxOpen := 0
 		for i := range 20 {
 			if i == 10 {
-				applyToRelays(isOuterLink, func(r *relay.Relay) { r.Forget(bothDirections...) })(w)
+				applyToRelays(isOuterConnection, func(r *relay.Relay) { r.Forget(bothDirections...) })(w)
 			}
 			if problem := c.runJob(i, fmt.Sprintf("job-%d", i), server.Wish{Sleep: "300ms"}); problem != "" {
 				t.Error(problem)
@@ -202,7 +202,7 @@
 	})
 }
 
-// Guards against a new entry without load, because callers and backend servers never
+// Guards against a new entry that gets no load, because callers and backend servers never
 // close their connections to the old ones. Connections must be replaced when they
 // reach their maximum age, without a failed call.
 func TestConnectionsCloseAfterMaxAge(t *testing.T) {
--- a/internal/edge/wire/wire.go
+++ b/internal/edge/wire/wire.go
@@ -37,27 +37,27 @@
 	maxConcurrentStreams = 1000
 )
 
-// idleShareDivisor limits idle connections to the budget share of their use divided by
-// this value.
+// idleShareDivisor divides the allowance of a purpose in the file budget to give the
+// maximum number of its idle connections.
 const idleShareDivisor = 2
 
 // NewClient returns an HTTP/1.1 client for calls that have deadlines. Its connections
-// count against the budget for the given use. With HTTP/1.1, canceling a call closes its
+// count against the budget for the given purpose. With HTTP/1.1, cancelling a call closes its
 // connection, so a connection that stopped responding is not used a second time.
-func NewClient(connsPerHost int, budget *files.Budget, use files.Purpose) *http.Client {
+func NewClient(connsPerHost int, budget *files.Budget, purpose files.Purpose) *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	transport := &http.Transport{
-		Protocols: protocols, DisableCompression: true, MaxIdleConns: budget.Allowance(use) / idleShareDivisor,
+		Protocols: protocols, DisableCompression: true, MaxIdleConns: budget.Allowance(purpose) / idleShareDivisor,
 		MaxIdleConnsPerHost: connsPerHost, MaxConnsPerHost: connsPerHost, IdleConnTimeout: IdleTimeout,
 	}
-	transport.DialContext = budget.LimitDial(use, dial, transport.CloseIdleConnections)
+	transport.DialContext = budget.LimitDial(purpose, dial, transport.CloseIdleConnections)
 	return &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
 // NewMultiplexedClient returns an HTTP/2 client for calls between processes of the cell.
 // All calls to one process share one connection, which stays open when a call is
-// canceled. Some network faults keep open connections and refuse new ones. A process that
+// cancelled. Some network faults keep open connections and refuse new ones. A process that
 // needed a new connection for its next call would be isolated until the end of such a
 // fault. The connection is checked by pings, because otherwise a connection that stopped
 // responding would be used again.
--- a/internal/load/drive/drive.go
+++ b/internal/load/drive/drive.go
@@ -17,7 +17,7 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/job"
 	"gypsumreel/internal/load/mix"
 	"gypsumreel/internal/load/work"
@@ -88,7 +88,7 @@
 	acks.Go(d.acknowledge)
 	for i := range d.Jobs {
 		results[i].Job = d.Jobs[i]
-		if !link.Sleep(ctx, time.Until(d.start.Add(d.Jobs[i].ArrivesAt))) {
+		if !transport.Sleep(ctx, time.Until(d.start.Add(d.Jobs[i].ArrivesAt))) {
 			break
 		}
 		d.reportProgress(i)
@@ -125,7 +125,7 @@
 	result.SentAt = d.elapsed()
 	accepted, err := d.Client.Submit(ctx, []*v1.Spec{spec}, true)
 	if err != nil {
-		result.Code = link.AsCodeError(err).Code
+		result.Code = transport.AsCodeError(err).Code
 		return
 	}
 	result.Code, result.Outcome = code.Code(accepted[0].GetStatus().GetCode()), accepted[0].GetOutcome()
@@ -141,7 +141,7 @@
 
 // cancelService cancels a service after its run time.
 func (d *Driver) cancelService(ctx context.Context, result *JobResult) {
-	if link.Sleep(ctx, result.Job.Runtime) {
+	if transport.Sleep(ctx, result.Job.Runtime) {
 		_, _ = d.Client.Cancel(ctx, []string{result.Job.Spec.GetId()}, nil) // a failed call shows in the outcome that is collected next
 	}
 }
@@ -149,7 +149,7 @@
 func (d *Driver) awaitAnswer(ctx context.Context, result *JobResult) {
 	reply, err := d.Client.Wait(ctx, result.Job.Spec.GetId())
 	if err != nil {
-		result.Code = link.AsCodeError(err).Code
+		result.Code = transport.AsCodeError(err).Code
 		// The job is done, but its answer could not be read completely.
 		result.AnswerDamaged = reply.Outcome == v1.Outcome_OUTCOME_DONE
 		result.Outcome = reply.Outcome
--- a/internal/load/measure/change.go
+++ b/internal/load/measure/change.go
@@ -10,7 +10,7 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/load/rig"
 )
 
@@ -71,17 +71,17 @@
 		return 0, err
 	}
 	for _, address := range r.CallerURLs() {
-		c := &caller.Client{Link: &link.Link{Addresses: []string{address}, Key: token}}
+		c := &caller.Client{Transport: &transport.Client{Addresses: []string{address}, Key: token}}
 		for {
 			got, err := c.Submit(ctx, []*v1.Spec{{Id: "x", Kind: v1.Kind_KIND_BATCH, Name: "x", Count: 1, Size: &v1.Size{Cpu: 1, Memory: 1, Slots: 1}, Runtime: 1}}, true)
-			if err == nil && code.Code(got[0].GetStatus().GetCode()) == code.InvalidKey || err != nil && link.AsCodeError(err).Code == code.InvalidKey {
+			if err == nil && code.Code(got[0].GetStatus().GetCode()) == code.InvalidKey || err != nil && transport.AsCodeError(err).Code == code.InvalidKey {
 				break
 			}
-			if !link.Sleep(ctx, pollInterval) {
+			if !transport.Sleep(ctx, pollInterval) {
 				return 0, ctx.Err()
 			}
 		}
-		c.Link.Close()
+		c.Transport.Close()
 	}
 	return time.Since(start), nil
 }
@@ -90,7 +90,7 @@
 // the new revision.
 func measureTableChange(ctx context.Context, r *rig.Rig, i int) (time.Duration, error) {
 	op := r.OperatorClient()
-	defer op.Link.Close()
+	defer op.Transport.Close()
 	table, err := op.Show(ctx, v1.Part_PART_TABLE)
 	if err != nil {
 		return 0, err
@@ -104,7 +104,7 @@
 	}
 	for _, name := range append(r.ControlNames(), r.EntryNames()...) {
 		for r.TableRevision(name) < revision {
-			if !link.Sleep(ctx, pollInterval) {
+			if !transport.Sleep(ctx, pollInterval) {
 				return 0, ctx.Err()
 			}
 		}
--- a/internal/load/measure/fault.go
+++ b/internal/load/measure/fault.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/job"
 	"gypsumreel/internal/load/rig"
 )
@@ -36,19 +36,19 @@
 	{"leader-kill", 12 * time.Second, false, func(ctx context.Context, r *rig.Rig) error {
 		leader, _ := r.Leader()
 		r.Kill(leader)
-		link.Sleep(ctx, 3*time.Second)
+		transport.Sleep(ctx, 3*time.Second)
 		return r.Restart(leader)
 	}},
 	{"leader-pause", 20 * time.Second, false, func(ctx context.Context, r *rig.Rig) error {
 		leader, _ := r.Leader()
 		r.Pause(leader)
-		link.Sleep(ctx, pauseDuration)
+		transport.Sleep(ctx, pauseDuration)
 		r.Resume(leader)
 		return nil
 	}},
 	{"entry-kill", 12 * time.Second, false, func(ctx context.Context, r *rig.Rig) error {
 		r.Kill("entry-1")
-		link.Sleep(ctx, 3*time.Second)
+		transport.Sleep(ctx, 3*time.Second)
 		return r.Restart("entry-1")
 	}},
 	{"rolling", 40 * time.Second, true, rollingRestart},
@@ -106,7 +106,7 @@
 	}
 	w.Go(func() {
 		defer stop()
-		link.Sleep(ctx, faultDelay)
+		transport.Sleep(ctx, faultDelay)
 		injectErr = f.inject(ctx, r)
 	})
 	row, err := m.runLoad(ctx, r, fleet, token, loadSpec{rate: faultRate, duration: f.duration, kind: job.Urgent, tasksPerJob: 1, runtime: 50 * time.Millisecond, onceFraction: 0.3}, "fault-")
--- a/internal/load/measure/idle.go
+++ b/internal/load/measure/idle.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/load/rig"
 )
 
@@ -39,12 +39,12 @@
 		return row, err
 	}
 	defer fleet.Close()
-	link.Sleep(ctx, rig.SettleTime)
+	transport.Sleep(ctx, rig.SettleTime)
 	before, err := takeSample(r)
 	if err != nil {
 		return row, err
 	}
-	link.Sleep(ctx, idleTime)
+	transport.Sleep(ctx, idleTime)
 	after, err := takeSample(r)
 	if err != nil {
 		return row, err
--- a/internal/load/measure/load.go
+++ b/internal/load/measure/load.go
@@ -109,7 +109,7 @@
 	if after, err := takeSample(r); err == nil {
 		row.Usage = usageBetween(r, before, after)
 	}
-	client.Link.Close()
+	client.Transport.Close()
 	return row, nil
 }
 
--- a/internal/load/measure/slopes.go
+++ b/internal/load/measure/slopes.go
@@ -7,7 +7,7 @@
 	"time"
 
 	v1 "gypsumreel/internal/api/v1"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/job"
 	"gypsumreel/internal/load/rig"
 	"gypsumreel/internal/load/work"
@@ -180,7 +180,7 @@
 }
 
 func addMemoryPoints(ctx context.Context, r *rig.Rig, l *lineSet, subject string, size float64) error {
-	link.Sleep(ctx, rig.SettleTime)
+	transport.Sleep(ctx, rig.SettleTime)
 	sample, err := takeSample(r)
 	usage := usageBetween(r, sample, sample)
 	l.add("resident memory of the leader per 1,000 "+subject, "MiB", size, usage.Leader.RSS)
@@ -194,7 +194,7 @@
 func startLongTasks(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, n int) error {
 	const tasksPerJob, jobsPerCall = 10, 50
 	client := r.CallerClient(token)
-	defer client.Link.Close()
+	defer client.Transport.Close()
 	var ids []string
 	for first := 0; first < n; first += tasksPerJob * jobsPerCall {
 		var jobs []*v1.Spec
@@ -218,7 +218,7 @@
 			for _, taskRuns := range fleet.TaskRuns.JobRuns(id, tasksPerJob) {
 				running += taskRuns.Started
 			}
-			if running < tasksPerJob && !link.Sleep(ctx, taskPollInterval) {
+			if running < tasksPerJob && !transport.Sleep(ctx, taskPollInterval) {
 				return fmt.Errorf("job %s: %d of %d tasks started (limit %s)", id, running, tasksPerJob, outcomeTimeout)
 			}
 		}
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -10,8 +10,8 @@
 
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
 	"gypsumreel/internal/client/operator"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/key"
 	"gypsumreel/internal/fake/server"
 	"gypsumreel/internal/load/work"
@@ -88,7 +88,7 @@
 		if ready >= n {
 			return nil
 		}
-		if !link.Sleep(ctx, pollInterval) {
+		if !transport.Sleep(ctx, pollInterval) {
 			return errors.Newf("%d of %d backend servers are ready (limit %s): %v", ready, n, startTimeout, err)
 		}
 	}
@@ -97,12 +97,12 @@
 
 // OperatorClient returns a client that uses the first operator's key.
 func (r *Rig) OperatorClient() *operator.Client {
-	return &operator.Client{Link: &link.Link{Addresses: r.OperatorURLs(), Key: r.OperatorKey}}
+	return &operator.Client{Transport: &transport.Client{Addresses: r.OperatorURLs(), Key: r.OperatorKey}}
 }
 
 // CallerClient returns a client that uses the given team key.
 func (r *Rig) CallerClient(token string) *caller.Client {
-	return &caller.Client{Link: &link.Link{Addresses: r.CallerURLs(), Key: token, Multiplexed: true}}
+	return &caller.Client{Transport: &transport.Client{Addresses: r.CallerURLs(), Key: token, Multiplexed: true}}
 }
 
 // CreateTeam creates a team without limits and returns its key.
--- a/internal/load/rig/pinned.go
+++ b/internal/load/rig/pinned.go
@@ -9,7 +9,7 @@
 	"connectrpc.com/connect"
 
 	v1 "gypsumreel/internal/api/v1"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 )
 
 const (
@@ -38,7 +38,7 @@
 					if r.Ready(name) {
 						callEntry(ctx, r.directURL(name), token, counts)
 					}
-					link.Sleep(ctx, callPause)
+					transport.Sleep(ctx, callPause)
 				}
 			})
 		}
@@ -49,9 +49,9 @@
 // callEntry makes one call over a new connection. The call ignores the cancellation of
 // ctx, so that the end of the measurement cuts off no call.
 func callEntry(ctx context.Context, address, token string, counts *CallCounts) {
-	l := &link.Link{Addresses: []string{address}, Key: token}
+	l := &transport.Client{Addresses: []string{address}, Key: token}
 	defer l.Close()
-	_, err := link.TryOnce(context.WithoutCancel(ctx), l, newListCall, &v1.ListRequest{})
+	_, err := transport.TryOnce(context.WithoutCancel(ctx), l, newListCall, &v1.ListRequest{})
 	counts.Made.Add(1)
 	if err != nil {
 		counts.CutOff.Add(1)
--- a/internal/load/rig/process_test.go
+++ b/internal/load/rig/process_test.go
@@ -14,7 +14,7 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/job"
 	"gypsumreel/internal/load/drive"
 	"gypsumreel/internal/load/history"
@@ -247,7 +247,7 @@
 				if err == nil {
 					return history.TableChangeReply{Code: code.OK, Revision: revision}, true
 				}
-				resultCode := link.AsCodeError(err).Code
+				resultCode := transport.AsCodeError(err).Code
 				return history.TableChangeReply{Code: resultCode, Revision: revision}, resultCode == code.RevisionConflict
 			})
 		}
--- a/internal/load/rig/rig.go
+++ b/internal/load/rig/rig.go
@@ -16,7 +16,7 @@
 	"github.com/cockroachdb/errors"
 
 	v1 "gypsumreel/internal/api/v1"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/key"
 	"gypsumreel/internal/fake/relay"
 )
@@ -105,13 +105,13 @@
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	op := r.OperatorClient()
-	defer op.Link.Close()
+	defer op.Transport.Close()
 	for {
 		_, err := op.Show(ctx, v1.Part_PART_TABLE)
 		if err == nil {
 			return nil
 		}
-		if !link.Sleep(ctx, pollInterval) {
+		if !transport.Sleep(ctx, pollInterval) {
 			return errors.Wrapf(err, "operator's key not accepted (limit %s)", startTimeout)
 		}
 	}
--- a/internal/replica/quorum/core.go
+++ b/internal/replica/quorum/core.go
@@ -91,8 +91,9 @@
 	for _, e := range entriesAfterSnapshot(state) {
 		c.appendEntry(e)
 	}
-	// A snapshot from a leader can be saved before the leader's term is synced. This
-	// replica has sent no vote in that term then, and must not vote in earlier terms.
+	// A snapshot from a leader can be saved before the leader's term is synced. In that
+	// case this replica has sent no vote in that term, and it must not vote in earlier
+	// terms.
 	if c.log.lastTerm() > c.hardState.Term {
 		c.hardState = HardState{Term: c.log.lastTerm()}
 	}
@@ -166,14 +167,14 @@
 
 // Step processes an event at time now and returns the resulting effects. The time must
 // not decrease from call to call.
-func (c *Core) Step(now time.Duration, ev Event) Effects {
+func (c *Core) Step(now time.Duration, event Event) Effects {
 	if !c.started {
 		c.started = true
 		c.timeoutEstimator.recordSilence(c.cfg.MaxElectionTimeout/startSilenceDivisor, now)
 	}
 	c.now = max(c.now, now)
 	c.stepDownIfUnconfirmed()
-	switch ev := ev.(type) {
+	switch ev := event.(type) {
 	case Tick:
 		c.tick()
 	case Receive:
--- a/internal/replica/quorum/matrix_test.go
+++ b/internal/replica/quorum/matrix_test.go
@@ -208,18 +208,18 @@
 
 // run runs a scenario with faults at steps. It returns the violated invariant, if any, and
 // whether all faults were injected. The first fault may prevent the step of the second one.
-func (sc scenario) run(steps []string, injected ...faultAtStep) (failure string, allInjected bool) {
+func (sc scenario) run(steps []string, faults ...faultAtStep) (failure string, allInjected bool) {
 	s := startGroup()
-	done := make([]bool, len(injected))
+	injected := make([]bool, len(faults))
 	s.onEvent = func(label string, n *simReplica) {
 		label += " at " + n.name
-		for i, x := range injected {
-			if done[i] || steps[x.step] != label {
+		for i, f := range faults {
+			if injected[i] || steps[f.step] != label {
 				continue
 			}
-			done[i] = true
-			s.schedule(0, func() { x.fault.start(s, n) })
-			s.schedule(faultDuration, func() { x.fault.stop(s, n) })
+			injected[i] = true
+			s.schedule(0, func() { f.fault.start(s, n) })
+			s.schedule(faultDuration, func() { f.fault.stop(s, n) })
 		}
 	}
 	sc.start(s)
@@ -229,7 +229,7 @@
 	if s.failure == "" {
 		s.endFaultsAndCheck()
 	}
-	return s.failure, !slices.Contains(done, false)
+	return s.failure, !slices.Contains(injected, false)
 }
 
 // runCounts counts the runs and how often all faults of a run were injected.
@@ -310,7 +310,7 @@
 func runMatrix(t *testing.T, sc scenario) runCounts {
 	steps := sc.steps()
 	c := runCounts{steps: len(steps)}
-	n := 0
+	pairNumber := 0
 	var runs [][]faultAtStep
 	for i := range steps {
 		for _, f := range faults {
@@ -318,7 +318,7 @@
 			c.singleFaults++
 			for j := i; j < min(i+3, len(steps)); j++ {
 				for _, g := range faults {
-					if n++; n%*pairInterval == 0 {
+					if pairNumber++; pairNumber%*pairInterval == 0 {
 						runs = append(runs, []faultAtStep{{i, f}, {j, g}})
 						c.pairs++
 					}
@@ -354,10 +354,10 @@
 	return c
 }
 
-func describeFaults(steps []string, injected []faultAtStep) string {
+func describeFaults(steps []string, faults []faultAtStep) string {
 	var descriptions []string
-	for _, x := range injected {
-		descriptions = append(descriptions, fmt.Sprintf("%s at step %d (%s)", x.fault.name, x.step, steps[x.step]))
+	for _, f := range faults {
+		descriptions = append(descriptions, fmt.Sprintf("%s at step %d (%s)", f.fault.name, f.step, steps[f.step]))
 	}
 	return strings.Join(descriptions, " and ")
 }
--- a/internal/replica/quorum/safety_test.go
+++ b/internal/replica/quorum/safety_test.go
@@ -55,20 +55,20 @@
 // entries.
 func TestLearnerIsPromotedOnlyAfterCatchUp(t *testing.T) {
 	c := newCommittedLeader(t)
-	d := quorum.Member{ID: "d/0", Address: "d", Learner: true}
-	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 4, Member: d})
+	learner := quorum.Member{ID: "d/0", Address: "d", Learner: true}
+	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 4, Member: learner})
 	c.Step(2*time.Second, quorum.WriteSynced{Seq: 3})
 	c.Step(2*time.Second, replyFromB(quorum.AppendEntriesReply, 4, 4))
 	c.Step(2*time.Second, quorum.ConfirmLeadership{})
 	c.Step(2*time.Second, replyInTerm4(quorum.HeartbeatReply, "b/0", 4, 2))
 	c.Step(2*time.Second, replyInTerm4(quorum.HeartbeatReply, "d/0", 0, 2))
-	d.Learner = false
-	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 5, Member: d})
+	learner.Learner = false
+	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 5, Member: learner})
 	if k := lastEntryKind(c); k != quorum.EntryNoOp {
 		t.Errorf("learner without committed entries: entry of kind %d, want %d", k, quorum.EntryNoOp)
 	}
 	c.Step(2*time.Second, replyInTerm4(quorum.AppendEntriesReply, "d/0", 5, 0))
-	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 6, Member: d})
+	c.Step(2*time.Second, quorum.ChangeMembership{Term: 4, Index: 6, Member: learner})
 	if k := lastEntryKind(c); k != quorum.EntryMembership {
 		t.Errorf("learner with all entries: entry of kind %d, want %d", k, quorum.EntryMembership)
 	}
@@ -99,8 +99,8 @@
 	}
 }
 
-// The network from the leader to one replica fails, the opposite direction works. The
-// replica receives no heartbeats, but must not depose a leader that a quorum follows.
+// Messages from the leader to one replica are lost, those in the opposite direction arrive.
+// The replica receives no heartbeats, but must not depose a leader that a quorum follows.
 // Otherwise the leases of the leader would be interrupted again and again.
 func TestReplicaCutOffFromLeaderDoesNotDeposeLeader(t *testing.T) {
 	s := newSimulation(3, 1)
@@ -121,8 +121,8 @@
 // has a quorum. It must not depose that leader.
 func TestDelayedVoteRequestDoesNotDeposeLeader(t *testing.T) {
 	c := newCommittedLeader(t)
-	delayed := quorum.Message{Kind: quorum.VoteRequest, From: "c/0", To: "a/0", Term: 9, Index: 3, LogTerm: 4}
-	c.Step(2*time.Second, quorum.Receive{Message: delayed})
+	delayedRequest := quorum.Message{Kind: quorum.VoteRequest, From: "c/0", To: "a/0", Term: 9, Index: 3, LogTerm: 4}
+	c.Step(2*time.Second, quorum.Receive{Message: delayedRequest})
 	if term, isLeader := c.TermAndLeading(); term != 4 || !isLeader {
 		t.Errorf("term %d, is leader %v; want leader of term 4", term, isLeader)
 	}
@@ -241,11 +241,11 @@
 // after it would look like valid entries that follow the snapshot.
 func TestJournalDropsEntriesAfterAnchorIsSynced(t *testing.T) {
 	members := []quorum.Member{{ID: "a/0", Address: "a"}, {ID: "b/0", Address: "b"}, {ID: "c/0", Address: "c"}}
-	saved := quorum.PersistedState{HardState: quorum.HardState{Term: 1}}
+	persistedState := quorum.PersistedState{HardState: quorum.HardState{Term: 1}}
 	for i := range uint64(4) {
-		saved.Entries = append(saved.Entries, quorum.Entry{Index: i + 1, Term: 1, Kind: quorum.EntryNoOp})
+		persistedState.Entries = append(persistedState.Entries, quorum.Entry{Index: i + 1, Term: 1, Kind: quorum.EntryNoOp})
 	}
-	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, saved)
+	c := quorum.New(quorum.Config{ID: "c/0", Seed: 1}, persistedState)
 	state := quorum.Snapshot{State: []byte("x")}
 	effects := c.Step(time.Second, quorum.Receive{Message: quorum.Message{
 		Kind: quorum.SnapshotChunk, From: "b/0", To: "c/0", Term: 2, Index: 3, LogTerm: 2,
