--- a/internal/cli/demo/demo.go
+++ b/internal/cli/demo/demo.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	t := &scenario.Scenario{Dir: dir, Log: logr.Discard(), Step: progress(env.Err)}
+	t := &scenario.Scenario{Dir: dir, Log: logr.Discard(), OnStep: progress(env.Err)}
 	report, err := t.Run(ctx)
 	if err != nil {
 		return err
@@ -42,8 +42,8 @@
 	if err := c.Print(env.Out, report, grid(report)); err != nil {
 		return err
 	}
-	if !report.Good() {
-		return &verb.Error{Exit: verb.Failed, Text: fmt.Sprintf("%d promises did not hold", len(report.Broken))}
+	if !report.Passed() {
+		return &verb.Error{Exit: verb.Failed, Text: fmt.Sprintf("%d promises did not hold", len(report.BrokenPromises))}
 	}
 	return nil
 }
@@ -77,7 +77,7 @@
 		row("submission to whole answer p50 / p99 / max", "%.1f / %.1f / %.1f ms", r.Wait.P50, r.Wait.P99, r.Wait.Max),
 		row("took", "%.1f s", r.Seconds),
 	}}
-	for _, b := range r.Broken {
+	for _, b := range r.BrokenPromises {
 		g.Rows = append(g.Rows, row("broken promise", "%s", b))
 	}
 	return g
--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -100,7 +100,7 @@
 	if m.Table[0], err = c.revision(ctx); err != nil {
 		return err
 	}
-	record, seen := &work.Record{}, &server.Record{}
+	record, seen := &work.Record{}, &server.Recorder{}
 	stop, err := c.serve(ctx, record, seen)
 	if err != nil {
 		return err
@@ -116,7 +116,7 @@
 		record = nil
 	}
 	r := report.Sum(m, m.Began, outcome, record)
-	r.Promises.Faults = append(r.Promises.Faults, seen.Faults()...)
+	r.Promises.Faults = append(r.Promises.Faults, seen.Violations()...)
 	// A run that ended in a fault of the cell is the one whose result counts most.
 	if r.Measured.Table[1], err = c.revision(ctx); err != nil {
 		fmt.Fprintf(env.Err, "the table's revision after the run is not known: %v\n", err)
@@ -215,7 +215,7 @@
 }
 
 // serve starts the tool's own backend servers and returns what stops them.
-func (c *command) serve(ctx context.Context, record *work.Record, seen *server.Record) (stop func(), err error) {
+func (c *command) serve(ctx context.Context, record *work.Record, seen *server.Recorder) (stop func(), err error) {
 	if c.Servers == 0 {
 		return func() {}, nil
 	}
@@ -243,7 +243,7 @@
 	return stop, nil
 }
 
-func (c *command) server(i int, record *work.Record, seen *server.Record) (*server.Server, error) {
+func (c *command) server(i int, record *work.Record, seen *server.Recorder) (*server.Server, error) {
 	f := c.Flags
 	f.Address = c.Backends
 	l, err := f.Link()
@@ -251,7 +251,7 @@
 		return nil, err
 	}
 	s := &server.Server{
-		Name: fmt.Sprintf("load-%03d", i), Secret: c.Secret, Work: record.Work, Record: seen, Log: logr.Discard(),
+		Name: fmt.Sprintf("load-%03d", i), Secret: c.Secret, Work: record.Work, Recorder: seen, Log: logr.Discard(),
 		Rack: fmt.Sprintf("rack-%d", i/perRack), Zone: fmt.Sprintf("zone-%d", i%zones),
 		Capacity: &v1.Size{Cpu: c.Cores * 1000, Memory: c.Memory, Slots: c.Slots},
 	}
--- a/internal/control/dispatch/dispatch_test.go
+++ b/internal/control/dispatch/dispatch_test.go
@@ -82,7 +82,7 @@
 					return worker.Fault{}
 				}
 				isFirst = false
-				return worker.Fault{Lost: true}
+				return worker.Fault{LoseReply: true}
 			}
 		})
 		w.submit("a", newStep(1, 1000))
@@ -112,7 +112,7 @@
 				}
 				switch starts.Add(1) {
 				case 1:
-					return worker.Fault{Lost: true}
+					return worker.Fault{LoseReply: true}
 				case 2:
 					return worker.Fault{Verdict: inner.Verdict_VERDICT_PERMIT}
 				}
@@ -139,7 +139,7 @@
 				if c.GetStart() == nil || starts.Add(1) > 2 {
 					return worker.Fault{}
 				}
-				return worker.Fault{Late: 4 * time.Second}
+				return worker.Fault{Delay: 4 * time.Second}
 			}
 		})
 		w.submit("a", newStep(1, 1000))
@@ -152,7 +152,7 @@
 func TestTaskOfUnresponsiveServerIsPlacedAfterLeaseEnd(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
-			backend.Rate = 0.98
+			backend.ClockRate = 0.98
 			backend.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
 				if r.Number == 1 {
 					return time.Hour, inner.RunEnd_RUN_END_DONE
@@ -163,7 +163,7 @@
 		w.submit("a", newStep(1, 1000))
 		time.Sleep(500 * time.Millisecond)
 		for _, backend := range w.busyWorkers() {
-			backend.Change(func(backend *worker.Worker) {
+			backend.Update(func(backend *worker.Worker) {
 				backend.Fault = func(*inner.ServerCall) worker.Fault { return worker.Fault{Verdict: inner.Verdict_VERDICT_SILENT} }
 			})
 		}
@@ -182,7 +182,7 @@
 		w.runAndWait(func() { w.dispatcher.MaxLease = 10 * time.Second })
 		w.putUrgentQueue()
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
-			backend.Rate = 0.98
+			backend.ClockRate = 0.98
 			backend.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
 				if r.Flow == "b" {
 					return time.Minute, inner.RunEnd_RUN_END_DONE
@@ -203,7 +203,7 @@
 		for _, backend := range w.busyWorkers() {
 			if backend.Running()[0].Flow == "a" {
 				cutOffServers++
-				backend.Change(func(backend *worker.Worker) {
+				backend.Update(func(backend *worker.Worker) {
 					backend.Fault = func(*inner.ServerCall) worker.Fault { return worker.Fault{Verdict: inner.Verdict_VERDICT_SILENT} }
 				})
 			}
@@ -293,7 +293,7 @@
 				go func() {
 					backend.Crash()
 					nextIncarnation := w.startWorker(id, 2)
-					nextIncarnation.Change(func(nextIncarnation *worker.Worker) {
+					nextIncarnation.Update(func(nextIncarnation *worker.Worker) {
 						nextIncarnation.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return 5 * time.Second, inner.RunEnd_RUN_END_DONE }
 					})
 					nextIncarnation.Call(t.Context(), c)
@@ -343,7 +343,7 @@
 			isGone := false
 			backend.Fault = func(c *inner.ServerCall) worker.Fault {
 				if isGone = isGone || id == "s1" && c.GetStart() != nil; isGone {
-					return worker.Fault{Late: time.Hour}
+					return worker.Fault{Delay: time.Hour}
 				}
 				return worker.Fault{}
 			}
@@ -512,7 +512,7 @@
 		w.putUrgentQueue()
 		var firstStarted atomic.Bool
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
-			backend.StopTime = 900 * time.Millisecond
+			backend.StopDuration = 900 * time.Millisecond
 			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) {
 				if !firstStarted.Swap(true) {
 					return 1000 * time.Hour, inner.RunEnd_RUN_END_DONE
@@ -554,7 +554,7 @@
 		var tailLatency atomic.Int64
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
 			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Hour, inner.RunEnd_RUN_END_DONE }
-			backend.Load = func(r flow.RunID, paces map[flow.TaskID]uint32) float64 {
+			backend.ReportedLoad = func(r flow.RunID, paces map[flow.TaskID]uint32) float64 {
 				if r.Flow == "fill" {
 					return 0
 				}
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -261,11 +261,11 @@
 	w.interruptedRuns += len(backend.Running())
 	backend.Crash()
 	time.AfterFunc(2*time.Second, func() {
-		w.startWorker(id, backend.Born+1)
+		w.startWorker(id, backend.Incarnation+1)
 		w.mu.Lock()
 		w.underUpkeep[id] = false
 		w.mu.Unlock()
-		w.reportUntilAccepted(id, backend.Born+1)
+		w.reportUntilAccepted(id, backend.Incarnation+1)
 	})
 	return dispatch.UpkeepStarted
 }
@@ -320,9 +320,9 @@
 
 // startWorker starts an incarnation of a worker at its address.
 func (w *testCluster) startWorker(id string, incarnation int64) *worker.Worker {
-	backend := &worker.Worker{ID: id, Born: incarnation, StopTime: 50 * time.Millisecond}
+	backend := &worker.Worker{ID: id, Incarnation: incarnation, StopDuration: 50 * time.Millisecond}
 	backend.Work = w.runOutcome
-	backend.Started = func(r flow.RunID) { w.recordStart(id, r) }
+	backend.OnStart = func(r flow.RunID) { w.recordStart(id, r) }
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.workers[id] = backend
@@ -356,7 +356,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, backend := range w.workers {
-		backend.Change(func(backend *worker.Worker) { fn(id, backend) })
+		backend.Update(func(backend *worker.Worker) { fn(id, backend) })
 	}
 }
 
@@ -415,7 +415,7 @@
 		select {
 		case <-w.stopped:
 		case <-time.After(3 * time.Second):
-			w.addWorker("r"+id, backend.Born+1)
+			w.addWorker("r"+id, backend.Incarnation+1)
 		}
 	})
 }
--- a/internal/control/dispatch/takeover_test.go
+++ b/internal/control/dispatch/takeover_test.go
@@ -154,7 +154,7 @@
 			backend.Work = w.runOutcome
 			backend.Fault = func(c *inner.ServerCall) worker.Fault {
 				if c.GetStart() != nil && starts.Add(1) <= 2 {
-					return worker.Fault{Late: 300 * time.Millisecond}
+					return worker.Fault{Delay: 300 * time.Millisecond}
 				}
 				return worker.Fault{}
 			}
--- a/internal/control/dispatch/zone_test.go
+++ b/internal/control/dispatch/zone_test.go
@@ -153,7 +153,7 @@
 		zones := []string{"x", "y"}
 		w.changeWorkers(func(id string, backend *worker.Worker) {
 			zoneDrained := &drained[map[string]int{"x": 0, "y": 1}[zoneOf(id)]]
-			backend.Started = func(r flow.RunID) {
+			backend.OnStart = func(r flow.RunID) {
 				w.recordStart(id, r)
 				if zoneDrained.Load() {
 					t.Errorf("run %s was started on server %s in a drained zone", r, id)
--- a/internal/demo/cell/cell.go
+++ b/internal/demo/cell/cell.go
@@ -48,127 +48,127 @@
 	Capacity *v1.Size
 	// Transport makes a replica's way to the others.
 	Transport func(name, id string, receive func(from string, data []byte)) node.Transport
-	// Control lets a test change a replica's control thread before it runs; may be nil.
-	Control func(name string, l *leader.Leader)
-	// Record is told of all starts and stops.
-	Record *server.Record
+	// ConfigureControl lets a test change a replica's control thread before it runs; may be nil.
+	ConfigureControl func(name string, l *leader.Leader)
+	// Recorder is told of all starts and stops.
+	Recorder *server.Recorder
 	// Work runs tasks; nil for server.Obey.
 	Work server.Work
 	Log  logr.Logger
 	// Linger is the time that a stopping entry serves on.
 	Linger time.Duration
 
-	// Operator is the first operator's key, as it is presented.
-	Operator string
+	// OperatorKey is the first operator's key, as it is presented.
+	OperatorKey string
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	secret string
-	enrol  string
-	mu     sync.Mutex
-	procs  map[string]*proc
-	faults chan error
+	ctx             context.Context
+	cancel          context.CancelFunc
+	operatorSecret  string
+	enrolmentSecret string
+	mu              sync.Mutex
+	processes       map[string]*process
+	processErrors   chan error
 }
 
-// proc is one run of a process.
-type proc struct {
-	stop  context.CancelFunc
-	abort chan struct{}
-	done  <-chan struct{}
-	node  *node.Node
-	entry *entry.Entry
-	back  *server.Server
-	conns *conns
+// process is one run of a process.
+type process struct {
+	cancel      context.CancelFunc
+	abort       chan struct{}
+	done        <-chan struct{}
+	node        *node.Node
+	entry       *entry.Entry
+	server      *server.Server
+	connections *connTracker
 }
 
-// rootKey is the id of the first operator's key.
-const rootKey = "operator"
+// operatorKeyID is the id of the first operator's key.
+const operatorKeyID = "operator"
 
 // Start runs all processes; the replicas found a new group.
 func (c *Cell) Start(ctx context.Context) error {
 	c.ctx, c.cancel = context.WithCancel(ctx)
-	c.secret, c.enrol = key.NewSecret(), key.NewSecret()
-	c.Operator = rootKey + "." + c.secret
-	c.procs = map[string]*proc{}
-	c.faults = make(chan error, 64)
-	for _, name := range c.Names("c", c.Replicas) {
-		if err := c.startNode(name, true); err != nil {
+	c.operatorSecret, c.enrolmentSecret = key.NewSecret(), key.NewSecret()
+	c.OperatorKey = operatorKeyID + "." + c.operatorSecret
+	c.processes = map[string]*process{}
+	c.processErrors = make(chan error, 64)
+	for _, name := range c.ProcessNames("c", c.Replicas) {
+		if err := c.startReplica(name, true); err != nil {
 			return err
 		}
 	}
-	for _, name := range c.Names("e", c.Entries) {
+	for _, name := range c.ProcessNames("e", c.Entries) {
 		if err := c.startEntry(name); err != nil {
 			return err
 		}
 	}
-	for i, name := range c.Names("b", c.Servers) {
+	for i, name := range c.ProcessNames("b", c.Servers) {
 		c.startServer(name, i)
 	}
 	return nil
 }
 
-// Names returns the names of n processes of a sort.
-func (c *Cell) Names(sort string, n int) []string {
+// ProcessNames returns the names of n processes of a sort.
+func (c *Cell) ProcessNames(prefix string, n int) []string {
 	out := make([]string, n)
 	for i := range n {
-		out[i] = fmt.Sprintf("%s%d", sort, i+1)
+		out[i] = fmt.Sprintf("%s%d", prefix, i+1)
 	}
 	return out
 }
 
 func (c *Cell) members() []quorum.Member {
 	var out []quorum.Member
-	for _, name := range c.Names("c", c.Replicas) {
+	for _, name := range c.ProcessNames("c", c.Replicas) {
 		out = append(out, quorum.Member{ID: name, Address: c.Network.Address(name)})
 	}
 	return out
 }
 
 // Node returns the latest run of a replica.
-func (c *Cell) Node(name string) *node.Node { return c.proc(name).node }
+func (c *Cell) Node(name string) *node.Node { return c.process(name).node }
 
 // Entry returns the latest run of an entry.
-func (c *Cell) Entry(name string) *entry.Entry { return c.proc(name).entry }
+func (c *Cell) Entry(name string) *entry.Entry { return c.process(name).entry }
 
 // Server returns the latest run of a backend server.
-func (c *Cell) Server(name string) *server.Server { return c.proc(name).back }
+func (c *Cell) Server(name string) *server.Server { return c.process(name).server }
 
-func (c *Cell) proc(name string) *proc {
+func (c *Cell) process(name string) *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.procs[name]
+	return c.processes[name]
 }
 
-func (c *Cell) run(name string, p *proc, run func(context.Context) error) {
+func (c *Cell) runProcess(name string, p *process, run func(context.Context) error) {
 	ctx, stop := context.WithCancel(c.ctx)
-	p.stop = stop
+	p.cancel = stop
 	c.mu.Lock()
-	c.procs[name] = p
+	c.processes[name] = p
 	c.mu.Unlock()
 	go func() {
 		if err := run(ctx); err != nil && ctx.Err() == nil {
 			select {
-			case c.faults <- errors.Wrap(err, name):
+			case c.processErrors <- errors.Wrap(err, name):
 			default:
 			}
 		}
 	}()
 }
 
-// Faults gives the errors of processes that ended without being told to.
-func (c *Cell) Faults() <-chan error { return c.faults }
+// ProcessErrors gives the errors of processes that ended without being told to.
+func (c *Cell) ProcessErrors() <-chan error { return c.processErrors }
 
-func (c *Cell) startNode(name string, found bool) error {
+func (c *Cell) startReplica(name string, foundGroup bool) error {
 	l, err := c.Network.Listen(c.Network.Address(name))
 	if err != nil {
 		return err
 	}
-	p := &proc{abort: make(chan struct{}), conns: &conns{Listener: l}}
-	digest := key.Digest(c.secret)
+	p := &process{abort: make(chan struct{}), connections: &connTracker{Listener: l}}
+	digest := key.Digest(c.operatorSecret)
 	n := &node.Node{
-		Cell: "demo", Name: name, Data: filepath.Join(c.Dir, name), Init: found,
-		Listener: p.conns, Address: c.Network.Address(name), Replicas: c.members(),
-		Root: &v1.KeyGrant{Id: rootKey, Operator: true, Digest: digest[:]},
+		Cell: "demo", Name: name, Data: filepath.Join(c.Dir, name), Init: foundGroup,
+		Listener: p.connections, Address: c.Network.Address(name), Replicas: c.members(),
+		Root: &v1.KeyGrant{Id: operatorKeyID, Operator: true, Digest: digest[:]},
 		Dial: c.Network.Dialer(name), Abort: p.abort, Log: c.Log.WithValues("process", name), Control: leader.New(),
 	}
 	if c.Transport != nil {
@@ -176,17 +176,17 @@
 			return c.Transport(name, id, receive)
 		}
 	}
-	if c.Control != nil {
-		c.Control(name, n.Control)
+	if c.ConfigureControl != nil {
+		c.ConfigureControl(name, n.Control)
 	}
 	p.node, p.done = n, n.Done()
-	c.run(name, p, n.Run)
+	c.runProcess(name, p, n.Run)
 	return nil
 }
 
 func (c *Cell) startEntry(name string) error {
-	p := &proc{abort: make(chan struct{}), conns: &conns{}}
-	digest := key.Digest(c.enrol)
+	p := &process{abort: make(chan struct{}), connections: &connTracker{}}
+	digest := key.Digest(c.enrolmentSecret)
 	e := &entry.Entry{
 		Cell: "demo", Name: name, Enrolment: []backend.Digest{digest}, Dial: c.Network.Dialer(name),
 		Abort: p.abort, Linger: c.Linger, Log: c.Log.WithValues("process", name),
@@ -202,40 +202,40 @@
 		if err != nil {
 			return err
 		}
-		*l.to = p.conns.over(raw)
+		*l.to = p.connections.track(raw)
 	}
 	p.entry, p.done = e, e.Done()
-	c.run(name, p, e.Run)
+	c.runProcess(name, p, e.Run)
 	return nil
 }
 
 func (c *Cell) startServer(name string, i int) {
 	s := &server.Server{
-		Name: name, Secret: c.enrol, Capacity: c.Capacity, Rack: fmt.Sprintf("r%d", i/c.Zones/2), Zone: fmt.Sprintf("z%d", i%c.Zones),
-		Record: c.Record, Work: c.Work, Log: c.Log.WithValues("process", name),
+		Name: name, Secret: c.enrolmentSecret, Capacity: c.Capacity, Rack: fmt.Sprintf("r%d", i/c.Zones/2), Zone: fmt.Sprintf("z%d", i%c.Zones),
+		Recorder: c.Recorder, Work: c.Work, Log: c.Log.WithValues("process", name),
 	}
-	for _, e := range c.Names("e", c.Entries) {
+	for _, e := range c.ProcessNames("e", c.Entries) {
 		s.Entries = append(s.Entries, server.NewEntry(c.Network.Address(e+"-backends"), nil, c.Network.Dialer(name)))
 	}
-	p := &proc{abort: make(chan struct{}), back: s, done: s.Done()}
-	c.run(name, p, s.Run)
+	p := &process{abort: make(chan struct{}), server: s, done: s.Done()}
+	c.runProcess(name, p, s.Run)
 }
 
 // Kill ends a process as a crash does: its connections break, nothing is finished.
 func (c *Cell) Kill(name string) {
-	p := c.proc(name)
+	p := c.process(name)
 	close(p.abort)
-	if p.conns != nil {
-		p.conns.kill()
+	if p.connections != nil {
+		p.connections.closeAll()
 	}
-	p.stop()
+	p.cancel()
 	<-p.done
 }
 
 // Stop ends a process as planned.
 func (c *Cell) Stop(name string) {
-	p := c.proc(name)
-	p.stop()
+	p := c.process(name)
+	p.cancel()
 	<-p.done
 }
 
@@ -243,7 +243,7 @@
 func (c *Cell) Restart(name string) error {
 	switch name[0] {
 	case 'c':
-		return c.startNode(name, false)
+		return c.startReplica(name, false)
 	case 'e':
 		return c.startEntry(name)
 	}
@@ -255,8 +255,8 @@
 
 // Leader returns the name of the replica that leads, if one does.
 func (c *Cell) Leader() (string, bool) {
-	for _, name := range c.Names("c", c.Replicas) {
-		p := c.proc(name)
+	for _, name := range c.ProcessNames("c", c.Replicas) {
+		p := c.process(name)
 		select {
 		case <-p.done:
 			continue
@@ -272,7 +272,7 @@
 // Close ends all processes at once and waits for them.
 func (c *Cell) Close() {
 	c.mu.Lock()
-	procs := c.procs
+	procs := c.processes
 	c.mu.Unlock()
 	for _, p := range procs {
 		select {
@@ -283,8 +283,8 @@
 	}
 	c.cancel()
 	for _, p := range procs {
-		if p.conns != nil {
-			p.conns.kill()
+		if p.connections != nil {
+			p.connections.closeAll()
 		}
 		<-p.done
 	}
--- a/internal/demo/cell/conns.go
+++ b/internal/demo/cell/conns.go
@@ -5,46 +5,46 @@
 	"sync"
 )
 
-// conns keeps what listeners accepted, so that a kill can break it as the end
+// connTracker keeps what listeners accepted, so that a kill can break it as the end
 // of a process would.
-type conns struct {
+type connTracker struct {
 	net.Listener
 
-	mu   sync.Mutex
-	open []net.Conn
-	more []net.Listener
+	mu        sync.Mutex
+	open      []net.Conn
+	listeners []net.Listener
 }
 
-// over returns a listener that tells c of what it accepts.
-func (c *conns) over(l net.Listener) net.Listener {
+// track returns a listener that tells c of what it accepts.
+func (c *connTracker) track(l net.Listener) net.Listener {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.more = append(c.more, l)
-	return &told{Listener: l, to: c}
+	c.listeners = append(c.listeners, l)
+	return &trackedListener{Listener: l, tracker: c}
 }
 
 // Accept takes a connection and keeps it.
-func (c *conns) Accept() (net.Conn, error) {
+func (c *connTracker) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err == nil {
-		c.keep(conn)
+		c.add(conn)
 	}
 	return conn, err
 }
 
-func (c *conns) keep(conn net.Conn) {
+func (c *connTracker) add(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.open = append(c.open, conn)
 }
 
-func (c *conns) kill() {
+func (c *connTracker) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.Listener != nil {
 		_ = c.Listener.Close()
 	}
-	for _, l := range c.more {
+	for _, l := range c.listeners {
 		_ = l.Close()
 	}
 	for _, conn := range c.open {
@@ -52,16 +52,16 @@
 	}
 }
 
-type told struct {
+type trackedListener struct {
 	net.Listener
-	to *conns
+	tracker *connTracker
 }
 
 // Accept takes a connection and tells of it.
-func (t *told) Accept() (net.Conn, error) {
+func (t *trackedListener) Accept() (net.Conn, error) {
 	conn, err := t.Listener.Accept()
 	if err == nil {
-		t.to.keep(conn)
+		t.tracker.add(conn)
 	}
 	return conn, err
 }
--- a/internal/demo/cell/loopback.go
+++ b/internal/demo/cell/loopback.go
@@ -11,7 +11,7 @@
 type Loopback struct {
 	mu        sync.Mutex
 	addresses map[string]string
-	waiting   map[string]net.Listener
+	reserved  map[string]net.Listener
 }
 
 // Address returns the address of a name; its port is taken at the first call.
@@ -26,10 +26,10 @@
 		return ""
 	}
 	if l.addresses == nil {
-		l.addresses, l.waiting = map[string]string{}, map[string]net.Listener{}
+		l.addresses, l.reserved = map[string]string{}, map[string]net.Listener{}
 	}
 	a := ln.Addr().String()
-	l.addresses[name], l.waiting[a] = a, ln
+	l.addresses[name], l.reserved[a] = a, ln
 	return a
 }
 
@@ -37,8 +37,8 @@
 // busy for a moment.
 func (l *Loopback) Listen(address string) (net.Listener, error) {
 	l.mu.Lock()
-	ln, ok := l.waiting[address]
-	delete(l.waiting, address)
+	ln, ok := l.reserved[address]
+	delete(l.reserved, address)
 	l.mu.Unlock()
 	if ok {
 		return ln, nil
--- a/internal/demo/fault/fault_test.go
+++ b/internal/demo/fault/fault_test.go
@@ -9,13 +9,13 @@
 	v1 "gypsumreel/internal/api/v1"
 )
 
-func TestNoFault(t *testing.T) {
+func TestJobsCompleteWithoutFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newTestCell(t)
 		defer w.close()
 		begin := time.Now()
-		results := w.all(specs())
-		if faults := w.check(results); len(faults) > 0 {
+		results := w.runJobs(jobSpecs())
+		if faults := w.brokenPromises(results); len(faults) > 0 {
 			t.Error(faults)
 		}
 		for _, r := range results {
@@ -29,8 +29,8 @@
 	})
 }
 
-// specs are one job of each kind, repeatable and not.
-func specs() []*v1.Spec {
+// jobSpecs are one job of each kind, repeatable and not.
+func jobSpecs() []*v1.Spec {
 	size := &v1.Size{Cpu: taskCores, Memory: 1000, Slots: 1}
 	var out []*v1.Spec
 	for _, s := range []*v1.Spec{
@@ -46,12 +46,12 @@
 	return out
 }
 
-// all serves jobs side by side.
-func (w *world) all(jobs []*v1.Spec) []result {
+// runJobs serves jobs side by side.
+func (w *testCell) runJobs(jobs []*v1.Spec) []result {
 	out := make([]result, len(jobs))
 	var wg sync.WaitGroup
 	for i, s := range jobs {
-		wg.Go(func() { out[i] = w.serve(s) })
+		wg.Go(func() { out[i] = w.runJob(s) })
 	}
 	wg.Wait()
 	return out
--- a/internal/demo/fault/matrix_test.go
+++ b/internal/demo/fault/matrix_test.go
@@ -11,20 +11,20 @@
 	"gypsumreel/internal/base/page"
 )
 
-// steps are the points of a request's way at which a fault may come.
-var steps = []string{"submit", "accepted", "run", "report", "answer"}
+// requestSteps are the points of a request's way at which a fault may come.
+var requestSteps = []string{"submit", "accepted", "run", "report", "answer"}
 
 // fault is one thing that goes wrong, and how it ends.
 type fault struct {
-	name  string
-	start func(*world) string
-	end   func(*world, string)
+	name   string
+	inject func(*testCell) string
+	repair func(*testCell, string)
 }
 
-func nothing(*world, string) {}
+func noRepair(*testCell, string) {}
 
 // leader returns the name of the leader, or the first replica when there is none.
-func (w *world) leader() string {
+func (w *testCell) leader() string {
 	if name, ok := w.cell.Leader(); ok {
 		return name
 	}
@@ -32,9 +32,9 @@
 }
 
 // follower returns the name of a replica that does not lead.
-func (w *world) follower() string {
+func (w *testCell) follower() string {
 	lead := w.leader()
-	for _, name := range w.cell.Names("c", replicas) {
+	for _, name := range w.cell.ProcessNames("c", replicas) {
 		if name != lead {
 			return name
 		}
@@ -42,86 +42,86 @@
 	return ""
 }
 
-func restart(w *world, name string) {
+func restart(w *testCell, name string) {
 	if err := w.cell.Restart(name); err != nil {
 		w.t.Error(err)
 	}
 }
 
-func heal(w *world, name string) { w.net.heal(name) }
+func healLinks(w *testCell, name string) { w.net.heal(name) }
 
-// on returns a fault that does something to a process picked when it comes.
-func on(name string, pick func(*world) string, do func(*world, string), end func(*world, string)) fault {
-	return fault{name: name, start: func(w *world) string { p := pick(w); do(w, p); return p }, end: end}
+// newFault returns a fault that does something to a process picked when it comes.
+func newFault(name string, selectProcess func(*testCell) string, inject func(*testCell, string), repair func(*testCell, string)) fault {
+	return fault{name: name, inject: func(w *testCell) string { process := selectProcess(w); inject(w, process); return process }, repair: repair}
 }
 
-func named(name string) func(*world) string { return func(*world) string { return name } }
+func processNamed(name string) func(*testCell) string { return func(*testCell) string { return name } }
 
-func kill(w *world, name string)   { w.cell.Kill(name) }
-func stop(w *world, name string)   { w.cell.Stop(name) }
-func cut(w *world, name string)    { w.net.cut(name) }
-func hold(w *world, name string)   { w.net.hold(name) }
-func forget(w *world, name string) { w.net.forget(name) }
+func kill(w *testCell, name string)          { w.cell.Kill(name) }
+func stop(w *testCell, name string)          { w.cell.Stop(name) }
+func dropTraffic(w *testCell, name string)   { w.net.dropTraffic(name) }
+func holdTraffic(w *testCell, name string)   { w.net.holdTraffic(name) }
+func blackholeOpen(w *testCell, name string) { w.net.blackholeOpen(name) }
 
-func pause(w *world, name string)  { w.cell.Server(name).Pause() }
-func resume(w *world, name string) { w.cell.Server(name).Resume() }
+func pause(w *testCell, name string)  { w.cell.Server(name).Pause() }
+func resume(w *testCell, name string) { w.cell.Server(name).Resume() }
 
 // faults are those of the brief, for each sort of process.
 var faults = []fault{
-	on("leader killed", (*world).leader, kill, restart),
-	on("leader stopped as planned", (*world).leader, stop, restart),
-	on("leader cut off silently", (*world).leader, cut, heal),
-	on("leader paused", (*world).leader, hold, heal),
-	on("leader heard by no replica", (*world).leader, func(w *world, p string) { w.net.silence(p, false) }, heal),
-	on("leader hears no replica", (*world).leader, func(w *world, p string) { w.net.silence(p, true) }, heal),
-	on("leader's connections forgotten", (*world).leader, forget, nothing),
-	on("follower killed", (*world).follower, kill, restart),
-	on("follower cut off silently", (*world).follower, cut, heal),
-	on("entry killed", named("e1"), kill, restart),
-	on("entry stopped as planned", named("e1"), stop, restart),
-	on("entry cut off silently", named("e1"), cut, heal),
-	on("entry paused", named("e1"), hold, heal),
-	on("entry's connections forgotten", named("e1"), forget, nothing),
-	on("backend server killed", named("b1"), kill, restart),
-	on("backend server cut off silently", named("b1"), cut, heal),
-	on("backend server paused", named("b1"), pause, resume),
-	on("backend server's connections forgotten", named("b1"), forget, nothing),
-	on("backend server leaves", named("b1"), func(w *world, p string) { w.cell.Server(p).Leave() }, nothing),
+	newFault("leader killed", (*testCell).leader, kill, restart),
+	newFault("leader stopped as planned", (*testCell).leader, stop, restart),
+	newFault("leader cut off silently", (*testCell).leader, dropTraffic, healLinks),
+	newFault("leader paused", (*testCell).leader, holdTraffic, healLinks),
+	newFault("leader heard by no replica", (*testCell).leader, func(w *testCell, p string) { w.net.blockReplica(p, false) }, healLinks),
+	newFault("leader hears no replica", (*testCell).leader, func(w *testCell, p string) { w.net.blockReplica(p, true) }, healLinks),
+	newFault("leader's connections forgotten", (*testCell).leader, blackholeOpen, noRepair),
+	newFault("follower killed", (*testCell).follower, kill, restart),
+	newFault("follower cut off silently", (*testCell).follower, dropTraffic, healLinks),
+	newFault("entry killed", processNamed("e1"), kill, restart),
+	newFault("entry stopped as planned", processNamed("e1"), stop, restart),
+	newFault("entry cut off silently", processNamed("e1"), dropTraffic, healLinks),
+	newFault("entry paused", processNamed("e1"), holdTraffic, healLinks),
+	newFault("entry's connections forgotten", processNamed("e1"), blackholeOpen, noRepair),
+	newFault("backend server killed", processNamed("b1"), kill, restart),
+	newFault("backend server cut off silently", processNamed("b1"), dropTraffic, healLinks),
+	newFault("backend server paused", processNamed("b1"), pause, resume),
+	newFault("backend server's connections forgotten", processNamed("b1"), blackholeOpen, noRepair),
+	newFault("backend server leaves", processNamed("b1"), func(w *testCell, p string) { w.cell.Server(p).Leave() }, noRepair),
 }
 
-// hit is a fault at a step.
-type hit struct {
+// injection is a fault at a step.
+type injection struct {
 	fault fault
 	step  string
 }
 
-func (h hit) String() string { return h.fault.name + " at " + h.step }
+func (h injection) String() string { return h.fault.name + " at " + h.step }
 
-// run serves all jobs with the faults coming at their steps and ending later,
+// runWithFaults serves all jobs with the faults coming at their steps and ending later,
 // and returns what promises broke.
-func run(t *testing.T, hits ...hit) (broken []string) {
+func runWithFaults(t *testing.T, injections ...injection) (broken []string) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newTestCell(t)
 		defer w.close()
-		var once sync.Map
+		var injected sync.Map
 		var wg sync.WaitGroup
-		w.at = func(step string) {
-			for i, h := range hits {
-				if _, done := once.LoadOrStore([2]any{i, step}, true); h.step != step || done {
+		w.onStep = func(step string) {
+			for i, h := range injections {
+				if _, done := injected.LoadOrStore([2]any{i, step}, true); h.step != step || done {
 					continue
 				}
 				wg.Go(func() {
-					target := h.fault.start(w)
-					time.Sleep(healAfter)
-					h.fault.end(w, target)
+					target := h.fault.inject(w)
+					time.Sleep(faultDuration)
+					h.fault.repair(w, target)
 				})
 			}
 		}
-		results := w.all(specs())
+		results := w.runJobs(jobSpecs())
 		wg.Wait()
 		time.Sleep(10 * time.Second)
-		if broken = w.check(results); len(broken) > 0 {
-			broken = append(broken, w.story())
+		if broken = w.brokenPromises(results); len(broken) > 0 {
+			broken = append(broken, w.describeUnfinishedJobs())
 		}
 	})
 	return broken
@@ -133,72 +133,72 @@
 // not, and no server or team is over its bounds.
 func TestEveryFaultAtEveryStep(t *testing.T) {
 	for _, f := range faults {
-		for _, s := range steps {
-			try(t, hit{f, s})
+		for _, s := range requestSteps {
+			testInjections(t, injection{f, s})
 		}
 	}
 }
 
-// try runs one case.
-func try(t *testing.T, hits ...hit) {
-	names := make([]string, len(hits))
-	for i, h := range hits {
+// testInjections runs one case.
+func testInjections(t *testing.T, injections ...injection) {
+	names := make([]string, len(injections))
+	for i, h := range injections {
 		names[i] = h.String()
 	}
 	t.Run(strings.ReplaceAll(strings.Join(names, " and "), " ", "_"), func(t *testing.T) {
 		t.Parallel() // each case has a network, disks and a clock of its own
-		if broken := run(t, hits...); len(broken) > 0 {
+		if broken := runWithFaults(t, injections...); len(broken) > 0 {
 			t.Error(strings.Join(broken, "\n"))
 		}
 	})
 }
 
-// apart tells whether two faults strike different processes: one fault starting
+// targetsDiffer tells whether two faults strike different processes: one fault starting
 // a process again that the other has cut off is a third fault, not these two.
-func apart(a, b fault) bool {
-	return target(a) != target(b)
+func targetsDiffer(a, b fault) bool {
+	return targetProcess(a) != targetProcess(b)
 }
 
-func target(f fault) string {
+func targetProcess(f fault) string {
 	words := strings.Fields(strings.ReplaceAll(f.name, "'s", ""))
 	return words[0]
 }
 
-// pairs are the pairs of faults at the step of the first, by a stride that takes
+// faultPairs are the pairs of faults at the step of the first, by a stride that takes
 // each fault as first and as second several times.
-func pairs() (out [][2]hit) {
+func faultPairs() (out [][2]injection) {
 	n := 0
 	for i, a := range faults {
 		for j, b := range faults {
-			if !apart(a, b) {
+			if !targetsDiffer(a, b) {
 				continue
 			}
-			if n++; n%stride == 0 {
-				out = append(out, [2]hit{{a, steps[(i+j)%len(steps)]}, {b, steps[(i+2*j)%len(steps)]}})
+			if n++; n%pairStride == 0 {
+				out = append(out, [2]injection{{a, requestSteps[(i+j)%len(requestSteps)]}, {b, requestSteps[(i+2*j)%len(requestSteps)]}})
 			}
 		}
 	}
 	return out
 }
 
-// stride is how many of the pairs one is taken from.
-const stride = 4
+// pairStride is how many of the pairs one is taken from.
+const pairStride = 4
 
 // Two things go wrong at once, or one while the other is being repaired, such as
 // a second instance lost right after a repair. The same promises hold.
 func TestPairsOfFaults(t *testing.T) {
-	for _, p := range pairs() {
-		try(t, p[0], p[1])
+	for _, p := range faultPairs() {
+		testInjections(t, p[0], p[1])
 	}
 }
 
 // The page of the matrix names every fault and step and the number of cases.
-func TestThePageCountsTheCases(t *testing.T) {
+func TestFaultPageIsUpToDate(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("| fault | steps |\n| --- | --- |\n")
 	for _, f := range faults {
-		fmt.Fprintf(&b, "| %s | %s |\n", f.name, strings.Join(steps, ", "))
+		fmt.Fprintf(&b, "| %s | %s |\n", f.name, strings.Join(requestSteps, ", "))
 	}
-	fmt.Fprintf(&b, "\n%d single cases, %d pairs.\n", len(faults)*len(steps), len(pairs()))
+	fmt.Fprintf(&b, "\n%d single cases, %d pairs.\n", len(faults)*len(requestSteps), len(faultPairs()))
 	page.CheckGenerated(t, "../../../docs/FAULTS.md", b.String())
 }
--- a/internal/demo/fault/network_test.go
+++ b/internal/demo/fault/network_test.go
@@ -16,20 +16,20 @@
 // break any of them.
 type network struct {
 	ctx    context.Context
-	memory relay.Memory
+	memory relay.MemoryNetwork
 	mu     sync.Mutex
 	links  map[[2]string]*relay.Relay
-	// fates are those of processes that were cut off: links made later share them.
-	fates map[string]bool
-	wires map[string]func(from string, data []byte)
-	// deaf and mute hold the replicas that hear, or are heard by, no other one.
-	deaf, mute map[string]bool
+	// isolated are those of processes that were cut off: links made later share them.
+	isolated  map[string]bool
+	receivers map[string]func(from string, data []byte)
+	// inboundBlocked and mute hold the replicas that hear, or are heard by, no other one.
+	inboundBlocked, outboundBlocked map[string]bool
 }
 
 func newNetwork(ctx context.Context) *network {
 	return &network{
-		ctx: ctx, links: map[[2]string]*relay.Relay{}, fates: map[string]bool{},
-		wires: map[string]func(string, []byte){}, deaf: map[string]bool{}, mute: map[string]bool{},
+		ctx: ctx, links: map[[2]string]*relay.Relay{}, isolated: map[string]bool{},
+		receivers: map[string]func(string, []byte){}, inboundBlocked: map[string]bool{}, outboundBlocked: map[string]bool{},
 	}
 }
 
@@ -54,12 +54,12 @@
 	if r := n.links[key]; r != nil {
 		return r
 	}
-	r := &relay.Relay{Listener: n.memory.Listen(from + ">" + to), Dial: n.memory.To(to)}
+	r := &relay.Relay{Listener: n.memory.Listen(from + ">" + to), Dial: n.memory.DialerTo(to)}
 	n.links[key] = r
 	go func() { _ = r.Run(n.ctx) }()
-	if n.fates[from] || n.fates[owner(to)] {
-		r.Set(relay.Up, relay.Lose)
-		r.Set(relay.Down, relay.Lose)
+	if n.isolated[from] || n.isolated[owner(to)] {
+		r.SetMode(relay.Upstream, relay.Drop)
+		r.SetMode(relay.Downstream, relay.Drop)
 	}
 	return r
 }
@@ -71,8 +71,8 @@
 	return name
 }
 
-// each calls fn for every link that a process has part in.
-func (n *network) each(name string, fn func(*relay.Relay)) {
+// eachLink calls fn for every link that a process has part in.
+func (n *network) eachLink(name string, fn func(*relay.Relay)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for k, r := range n.links {
@@ -82,88 +82,88 @@
 	}
 }
 
-// cut makes every link of a process lose everything, silently.
-func (n *network) cut(name string) {
+// dropTraffic makes every link of a process lose everything, silently.
+func (n *network) dropTraffic(name string) {
 	n.mu.Lock()
-	n.fates[name], n.deaf[name], n.mute[name] = true, true, true
+	n.isolated[name], n.inboundBlocked[name], n.outboundBlocked[name] = true, true, true
 	n.mu.Unlock()
-	n.each(name, func(r *relay.Relay) { r.Set(relay.Up, relay.Lose); r.Set(relay.Down, relay.Lose) })
+	n.eachLink(name, func(r *relay.Relay) { r.SetMode(relay.Upstream, relay.Drop); r.SetMode(relay.Downstream, relay.Drop) })
 }
 
-// hold keeps every byte of a process back, as when the process is paused.
-func (n *network) hold(name string) {
+// holdTraffic keeps every byte of a process back, as when the process is paused.
+func (n *network) holdTraffic(name string) {
 	n.mu.Lock()
-	n.deaf[name], n.mute[name] = true, true
+	n.inboundBlocked[name], n.outboundBlocked[name] = true, true
 	n.mu.Unlock()
-	n.each(name, func(r *relay.Relay) { r.Set(relay.Up, relay.Hold); r.Set(relay.Down, relay.Hold) })
+	n.eachLink(name, func(r *relay.Relay) { r.SetMode(relay.Upstream, relay.Hold); r.SetMode(relay.Downstream, relay.Hold) })
 }
 
-// silence lets a replica hear the others and be heard by none, or the other way round.
-func (n *network) silence(name string, heard bool) {
+// blockReplica lets a replica hear the others and be heard by none, or the other way round.
+func (n *network) blockReplica(name string, inbound bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if heard {
-		n.deaf[name] = true
+	if inbound {
+		n.inboundBlocked[name] = true
 		return
 	}
-	n.mute[name] = true
+	n.outboundBlocked[name] = true
 }
 
-// forget makes the open connections of a process silent for good; new ones work.
-func (n *network) forget(name string) {
-	n.each(name, func(r *relay.Relay) { r.Forget(relay.Up, relay.Down) })
+// blackholeOpen makes the open connections of a process silent for good; new ones work.
+func (n *network) blackholeOpen(name string) {
+	n.eachLink(name, func(r *relay.Relay) { r.BlackholeOpen(relay.Upstream, relay.Downstream) })
 }
 
 // heal ends every fault of a process's links.
 func (n *network) heal(name string) {
 	n.mu.Lock()
-	delete(n.fates, name)
-	delete(n.deaf, name)
-	delete(n.mute, name)
+	delete(n.isolated, name)
+	delete(n.inboundBlocked, name)
+	delete(n.outboundBlocked, name)
 	n.mu.Unlock()
-	n.each(name, func(r *relay.Relay) {
-		r.Set(relay.Up, relay.Pass)
-		r.Set(relay.Down, relay.Pass)
+	n.eachLink(name, func(r *relay.Relay) {
+		r.SetMode(relay.Upstream, relay.Pass)
+		r.SetMode(relay.Downstream, relay.Pass)
 	})
 }
 
-// wire is a replica's way to the others.
-type wire struct {
-	n    *network
-	name string
-	id   string
+// transport is a replica's way to the others.
+type transport struct {
+	network *network
+	name    string
+	id      string
 }
 
-func (n *network) wire(name, id string, receive func(string, []byte)) node.Transport {
+func (n *network) newTransport(name, id string, receive func(string, []byte)) node.Transport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.wires[id] = receive
-	return &wire{n: n, name: name, id: id}
+	n.receivers[id] = receive
+	return &transport{network: n, name: name, id: id}
 }
 
-// latency is the time that a consensus message takes.
-const latency = time.Millisecond
+// messageDelay is the time that a consensus message takes.
+const messageDelay = time.Millisecond
 
-func (w *wire) Send(to, _ string, data [][]byte) {
+func (w *transport) Send(to, _ string, data [][]byte) {
 	peer, _, _ := strings.Cut(to, "/")
-	w.n.mu.Lock()
-	lost := w.n.mute[w.name] || w.n.deaf[peer]
-	receive := w.n.wires[to]
-	w.n.mu.Unlock()
+	w.network.mu.Lock()
+	lost := w.network.outboundBlocked[w.name] || w.network.inboundBlocked[peer]
+	receive := w.network.receivers[to]
+	w.network.mu.Unlock()
 	if lost || receive == nil {
 		return
 	}
-	time.AfterFunc(latency, func() {
+	time.AfterFunc(messageDelay, func() {
 		for _, d := range data {
 			receive(w.id, d)
 		}
 	})
 }
 
-func (w *wire) Handler() http.Handler { return http.NotFoundHandler() }
+func (w *transport) Handler() http.Handler { return http.NotFoundHandler() }
 
-func (w *wire) Close() {
-	w.n.mu.Lock()
-	defer w.n.mu.Unlock()
-	delete(w.n.wires, w.id)
+func (w *transport) Close() {
+	w.network.mu.Lock()
+	defer w.network.mu.Unlock()
+	delete(w.network.receivers, w.id)
 }
--- a/internal/demo/fault/repair_test.go
+++ b/internal/demo/fault/repair_test.go
@@ -19,14 +19,14 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// id returns the identity of a replica's latest run.
-func (w *world) id(name string) string {
+// replicaID returns the identity of a replica's latest run.
+func (w *testCell) replicaID(name string) string {
 	d, _ := w.cell.Node(name).State().(node.Dump)
 	return d.Group.ID
 }
 
-// until waits for something to come true, and fails the test when it does not.
-func (w *world) until(what string, ok func() bool) {
+// waitUntil waits for something to come true, and fails the test when it does not.
+func (w *testCell) waitUntil(condition string, ok func() bool) {
 	w.t.Helper()
 	for range 600 {
 		if ok() {
@@ -34,14 +34,14 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	w.t.Fatalf("in vain: %s", what)
+	w.t.Fatalf("in vain: %s", condition)
 }
 
-// member makes one change of membership, asked for until it is in force.
-func (w *world) member(c *v1.MemberChange) {
+// changeMember makes one change of membership, asked for until it is in force.
+func (w *testCell) changeMember(c *v1.MemberChange) {
 	w.t.Helper()
 	n := 0
-	w.until(fmt.Sprint("member ", c), func() bool {
+	w.waitUntil(fmt.Sprint("member ", c), func() bool {
 		n++
 		_, err := w.operator.Change(w.ctx, &v1.ChangeRequest{
 			Id: fmt.Sprintf("%s-%v-%d", c.GetReplica(), c.GetRemove(), n), Change: &v1.ChangeRequest_Member{Member: c},
@@ -50,8 +50,8 @@
 	})
 }
 
-// line returns a replica as the list of members shows it; nil for none.
-func (w *world) line(id string) *v1.MemberLine {
+// memberLine returns a replica as the list of members shows it; nil for none.
+func (w *testCell) memberLine(id string) *v1.MemberLine {
 	r, err := w.operator.Show(w.ctx, v1.Part_PART_MEMBERS)
 	if err != nil {
 		return nil
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// join starts a replica on a blank disk and adds it as a member.
-func (w *world) join(name string) string {
+// joinWithBlankDisk starts a replica on a blank disk and adds it as a member.
+func (w *testCell) joinWithBlankDisk(name string) string {
 	w.t.Helper()
 	if err := os.RemoveAll(filepath.Join(w.cell.Dir, name)); err != nil {
 		w.t.Fatal(err)
@@ -73,29 +73,29 @@
 	if err := w.cell.Restart(name); err != nil {
 		w.t.Fatal(err)
 	}
-	w.until("a new identity", func() bool { return w.id(name) != "" })
-	fresh := w.id(name)
-	w.member(&v1.MemberChange{Replica: fresh, Address: w.net.Address(name)})
+	w.waitUntil("a new identity", func() bool { return w.replicaID(name) != "" })
+	fresh := w.replicaID(name)
+	w.changeMember(&v1.MemberChange{Replica: fresh, Address: w.net.Address(name)})
 	return fresh
 }
 
-func (w *world) remove(id string) {
+func (w *testCell) removeMember(id string) {
 	w.t.Helper()
-	w.member(&v1.MemberChange{Replica: id, Remove: true})
-	if w.line(id) != nil {
+	w.changeMember(&v1.MemberChange{Replica: id, Remove: true})
+	if w.memberLine(id) != nil {
 		w.t.Errorf("%s is still listed", id)
 	}
 }
 
-func (w *world) votes(id string) {
+func (w *testCell) waitForVoter(id string) {
 	w.t.Helper()
-	w.until(id+" votes", func() bool { return w.line(id).GetState() == "voter" })
+	w.waitUntil(id+" votes", func() bool { return w.memberLine(id).GetState() == "voter" })
 }
 
-// edit makes one table change and returns the new revision.
-func (w *world) edit(base uint64, queue uint32) uint64 {
+// editTable makes one table change and returns the new revision.
+func (w *testCell) editTable(base uint64, queue uint32) uint64 {
 	w.t.Helper()
-	ctx, cancel := context.WithTimeout(w.ctx, deadline)
+	ctx, cancel := context.WithTimeout(w.ctx, requestTimeout)
 	defer cancel()
 	row := &v1.Row{Team: "rail", Weight: 1, Queue: queue, Limit: &v1.Size{Cpu: teamCores, Memory: -1, Accel: -1, Slots: -1}}
 	rev, err := w.operator.Change(ctx, &v1.ChangeRequest{
@@ -107,9 +107,9 @@
 	return rev
 }
 
-// encodings returns the whole state of each replica.
-func (w *world) encodings() (out [][]byte) {
-	for _, name := range w.cell.Names("c", replicas) {
+// encodedStates returns the whole state of each replica.
+func (w *testCell) encodedStates() (out [][]byte) {
+	for _, name := range w.cell.ProcessNames("c", replicas) {
 		err := w.cell.Node(name).Control.Execute(w.ctx, func(st *state.State) {
 			b, err := st.Encode()
 			if err != nil {
@@ -128,33 +128,33 @@
 // and right after the old one is removed another replica dies for good. What was accepted before and during the repair must
 // all be answered, and the table must not fall back: the blank disk counted for
 // a quorum only once it held everything.
-func TestARepairedReplicaCarriesTheCell(t *testing.T) {
+func TestCellSurvivesReplicaLossAfterRepair(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWith(t, func(_ string, l *leader.Leader) { l.SnapshotInterval = 50 })
+		w := newConfiguredTestCell(t, func(_ string, l *leader.Leader) { l.SnapshotInterval = 50 })
 		defer w.close()
 		revision := uint64(1)
 		for range 40 {
-			revision = w.edit(revision, 100+uint32(revision))
+			revision = w.editTable(revision, 100+uint32(revision))
 		}
 		lost := w.follower()
-		old := w.id(lost)
+		old := w.replicaID(lost)
 		w.cell.Kill(lost)
 		answers := make(chan []result, 1)
-		go func() { answers <- w.all(specs()) }()
+		go func() { answers <- w.runJobs(jobSpecs()) }()
 		w.cell.Replicas++
-		fresh := w.join("c4")
-		w.votes(fresh)
-		w.remove(old)
-		revision = w.edit(revision, 500)
-		w.until("the new replica has the table", func() bool { return w.line(fresh).GetRevision() == revision })
+		fresh := w.joinWithBlankDisk("c4")
+		w.waitForVoter(fresh)
+		w.removeMember(old)
+		revision = w.editTable(revision, 500)
+		w.waitUntil("the new replica has the table", func() bool { return w.memberLine(fresh).GetRevision() == revision })
 		leads, _ := w.cell.Leader()
 		w.cell.Kill(leads)
-		w.until("another replica leads", func() bool { next, ok := w.cell.Leader(); return ok && next != leads })
-		if faults := w.check(<-answers); len(faults) > 0 && !allDead(faults, leads) {
+		w.waitUntil("another replica leads", func() bool { next, ok := w.cell.Leader(); return ok && next != leads })
+		if faults := w.brokenPromises(<-answers); len(faults) > 0 && !allFromReplica(faults, leads) {
 			t.Error(faults)
 		}
 		more := []*v1.Spec{{Id: "after", Name: "after", Kind: v1.Kind_KIND_URGENT, Count: 1, Input: []byte("after"), Size: &v1.Size{Cpu: taskCores, Slots: 1}}}
-		if r := w.all(more)[0]; r.outcome != v1.Outcome_OUTCOME_DONE || r.code != code.OK {
+		if r := w.runJobs(more)[0]; r.outcome != v1.Outcome_OUTCOME_DONE || r.code != code.OK {
 			t.Errorf("after the second loss: %+v", r)
 		}
 		if r, err := w.operator.Show(w.ctx, v1.Part_PART_TABLE); err != nil || r.GetRevision() != revision || r.GetRows()[0].GetQueue() != 500 {
@@ -163,8 +163,8 @@
 	})
 }
 
-// allDead tells whether the only faults are that a killed replica has no ledger.
-func allDead(faults []string, name string) bool {
+// allFromReplica tells whether the only faults are that a killed replica has no ledger.
+func allFromReplica(faults []string, name string) bool {
 	for _, f := range faults {
 		if len(f) < len(name) || f[:len(name)] != name {
 			return false
@@ -176,43 +176,43 @@
 // All instances lose power at once after a few hundred changes. Every replica
 // comes back from its snapshot and journal with the state that it had, byte for
 // byte: a difference would show later as a wrong answer or a broken promise.
-func TestARestartOfAllGivesTheSameState(t *testing.T) {
+func TestFullRestartRestoresSameState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWith(t, func(_ string, l *leader.Leader) { l.SnapshotInterval = 120 })
+		w := newConfiguredTestCell(t, func(_ string, l *leader.Leader) { l.SnapshotInterval = 120 })
 		defer w.close()
 		revision := uint64(1)
 		for range 300 {
-			revision = w.edit(revision, 100+uint32(revision))
+			revision = w.editTable(revision, 100+uint32(revision))
 		}
-		if faults := w.check(w.all(specs())); len(faults) > 0 {
+		if faults := w.brokenPromises(w.runJobs(jobSpecs())); len(faults) > 0 {
 			t.Error(faults)
 		}
 		for _, sort := range []string{"b", "e"} {
-			for _, name := range w.cell.Names(sort, map[string]int{"b": servers, "e": entries}[sort]) {
+			for _, name := range w.cell.ProcessNames(sort, map[string]int{"b": servers, "e": entries}[sort]) {
 				w.cell.Kill(name)
 			}
 		}
 		time.Sleep(40 * time.Second) // their leases are over
 		var before [][]byte
-		w.until("the replicas agree", func() bool { before = w.encodings(); return equal(before) })
-		for _, name := range w.cell.Names("c", replicas) {
+		w.waitUntil("the replicas agree", func() bool { before = w.encodedStates(); return allEqual(before) })
+		for _, name := range w.cell.ProcessNames("c", replicas) {
 			w.cell.Kill(name)
 		}
-		for _, name := range w.cell.Names("c", replicas) {
+		for _, name := range w.cell.ProcessNames("c", replicas) {
 			if err := w.cell.Restart(name); err != nil {
 				t.Fatal(err)
 			}
 		}
-		w.until("a leader", func() bool { _, ok := w.cell.Leader(); return ok })
+		w.waitUntil("a leader", func() bool { _, ok := w.cell.Leader(); return ok })
 		time.Sleep(time.Second)
-		after := w.encodings()
-		if !equal(append(after, before...)) {
+		after := w.encodedStates()
+		if !allEqual(append(after, before...)) {
 			t.Errorf("%d bytes before the restart; after it %d, %d and %d", len(before[0]), len(after[0]), len(after[1]), len(after[2]))
 		}
 	})
 }
 
-func equal(all [][]byte) bool {
+func allEqual(all [][]byte) bool {
 	for _, b := range all[1:] {
 		if !bytes.Equal(all[0], b) {
 			return false
@@ -224,12 +224,12 @@
 // A replica's memory or disk has changed a bit, and its state is no longer that
 // of the others. It would pass the damage on once it leads: at the next check
 // it ends with an error, and it comes back with fresh data as a new member.
-func TestAReplicaWhoseStateDiffersLeaves(t *testing.T) {
+func TestDivergedReplicaStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newTestCell(t)
 		defer w.close()
 		bad := w.follower()
-		old := w.id(bad)
+		old := w.replicaID(bad)
 		err := w.cell.Node(bad).Control.Execute(w.ctx, func(st *state.State) {
 			st.Apply(&record.Command{At: int64(st.Now()), What: &record.Command_Change{Change: &record.Change{By: "damage", Request: &v1.ChangeRequest{Id: "damage"}}}})
 		})
@@ -237,23 +237,23 @@
 			t.Fatal(err)
 		}
 		select {
-		case err := <-w.cell.Faults():
+		case err := <-w.cell.ProcessErrors():
 			if !errors.Is(err, leader.ErrDiverged) {
 				t.Fatalf("it ended with %v", err)
 			}
 		case <-time.After(30 * time.Second):
 			t.Fatal("it goes on with a state of its own")
 		}
-		if faults := w.check(w.all(specs())); len(faults) > 0 {
+		if faults := w.brokenPromises(w.runJobs(jobSpecs())); len(faults) > 0 {
 			t.Error(faults)
 		}
-		fresh := w.join(bad)
+		fresh := w.joinWithBlankDisk(bad)
 		if fresh == old {
 			t.Error("a blank disk has the old identity")
 		}
 		// One machine never counts twice: it votes once its old identity is gone.
-		w.remove(old)
-		w.votes(fresh)
-		w.until("it holds what the others hold", func() bool { return equal(w.encodings()) })
+		w.removeMember(old)
+		w.waitForVoter(fresh)
+		w.waitUntil("it holds what the others hold", func() bool { return allEqual(w.encodedStates()) })
 	})
 }
--- a/internal/demo/fault/world_test.go
+++ b/internal/demo/fault/world_test.go
@@ -24,102 +24,102 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// world is a whole cell on a network in memory, with what its promises are
+// testCell is a whole cell on a network in memory, with what its promises are
 // checked against.
-type world struct {
+type testCell struct {
 	t        *testing.T
 	ctx      context.Context
 	cancel   context.CancelFunc
 	net      *network
 	cell     *cell.Cell
-	record   *server.Record
+	recorder *server.Recorder
 	caller   *caller.Client
 	operator *operator.Client
 
-	mu   sync.Mutex
-	runs map[string]int
-	// at is told of each step that a job of the test comes to.
-	at func(step string)
+	mu        sync.Mutex
+	runCounts map[string]int
+	// onStep is told of each step that a job of the test comes to.
+	onStep func(step string)
 }
 
 // The sizes of the world.
 const (
-	replicas    = 3
-	entries     = 2
-	servers     = 3
-	coresEach   = 4000
-	teamCores   = 9000
-	taskCores   = 1000
-	answerSize  = 200_000
-	healAfter   = 12 * time.Second
-	patience    = 1500 * time.Millisecond
-	deadline    = 90 * time.Second
-	callTimeout = 3 * time.Second
-	linger      = 5 * time.Second
+	replicas       = 3
+	entries        = 2
+	servers        = 3
+	serverCores    = 4000
+	teamCores      = 9000
+	taskCores      = 1000
+	answerSize     = 200_000
+	faultDuration  = 12 * time.Second
+	longPollWait   = 1500 * time.Millisecond
+	requestTimeout = 90 * time.Second
+	callTimeout    = 3 * time.Second
+	httpLingerTime = 5 * time.Second
 )
 
-// newWorld starts a cell and sets up a team with a key and a limit.
-func newWorld(t *testing.T) *world { return newWorldWith(t, nil) }
+// newTestCell starts a cell and sets up a team with a key and a limit.
+func newTestCell(t *testing.T) *testCell { return newConfiguredTestCell(t, nil) }
 
-// newWorldWith lets the test change the replicas' control threads before they run.
-func newWorldWith(t *testing.T, control func(name string, l *leader.Leader)) *world {
+// newConfiguredTestCell lets the test change the replicas' control threads before they run.
+func newConfiguredTestCell(t *testing.T, configureControl func(name string, l *leader.Leader)) *testCell {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &world{
-		t: t, ctx: ctx, cancel: cancel, net: newNetwork(ctx), record: &server.Record{}, runs: map[string]int{},
-		at: func(string) {},
+	w := &testCell{
+		t: t, ctx: ctx, cancel: cancel, net: newNetwork(ctx), recorder: &server.Recorder{}, runCounts: map[string]int{},
+		onStep: func(string) {},
 	}
 	w.cell = &cell.Cell{
 		Network: w.net, Dir: t.TempDir(), Replicas: replicas, Entries: entries, Servers: servers, Zones: 3,
-		Capacity:  &v1.Size{Cpu: coresEach, Memory: 64_000, Accel: 4, Slots: 8},
-		Transport: w.net.wire, Record: w.record, Work: w.work, Log: logr.Discard(), Linger: time.Second,
-		Control: control,
+		Capacity:  &v1.Size{Cpu: serverCores, Memory: 64_000, Accel: 4, Slots: 8},
+		Transport: w.net.newTransport, Recorder: w.recorder, Work: w.runTask, Log: logr.Discard(), Linger: time.Second,
+		ConfigureControl: configureControl,
 	}
 	if err := w.cell.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	w.operator = &operator.Client{Link: w.link("operators", w.cell.Operator)}
+	w.operator = &operator.Client{Link: w.link("operators", w.cell.OperatorKey)}
 	limit := &v1.Size{Cpu: teamCores, Memory: -1, Accel: -1, Slots: -1}
 	w.change(&v1.ChangeRequest{Id: "table", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
 		{Row: &v1.Row{Team: "rail", Weight: 1, Queue: 100, Limit: limit}},
 	}}}})
 	digest := key.Digest("secret")
 	w.change(&v1.ChangeRequest{Id: "grant", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "rail", Digest: digest[:]}}})
-	w.caller = &caller.Client{Link: w.link("callers", "k.secret"), Patience: patience}
+	w.caller = &caller.Client{Link: w.link("callers", "k.secret"), Patience: longPollWait}
 	return w
 }
 
-func (w *world) close() {
+func (w *testCell) close() {
 	w.cell.Close()
 	w.caller.Link.Close()
 	w.operator.Link.Close()
 	w.cancel()
 	// A server of package http lets a connection linger before it closes it.
-	time.Sleep(linger)
+	time.Sleep(httpLingerTime)
 }
 
-// work runs a task: it takes a moment, counts its runs by request, and gives an
+// runTask runs a task: it takes a moment, counts its runs by request, and gives an
 // answer that no other task gives.
-func (w *world) work(ctx context.Context, o *v1.Order) server.Result {
+func (w *testCell) runTask(ctx context.Context, o *v1.Order) server.Result {
 	id := string(o.GetInput())
 	w.mu.Lock()
-	w.runs[fmt.Sprintf("%s/%d", id, o.GetAttempt().GetTask())]++
+	w.runCounts[fmt.Sprintf("%s/%d", id, o.GetAttempt().GetTask())]++
 	w.mu.Unlock()
-	w.at("run")
+	w.onStep("run")
 	select {
 	case <-time.After(300 * time.Millisecond):
 	case <-ctx.Done():
 	}
-	w.at("report")
-	return server.Result{Answer: pattern(id)}
+	w.onStep("report")
+	return server.Result{Answer: answerPattern(id)}
 }
 
-func pattern(id string) []byte {
+func answerPattern(id string) []byte {
 	return bytes.Repeat([]byte(id+";"), answerSize/(len(id)+1))
 }
 
-func (w *world) change(req *v1.ChangeRequest) {
+func (w *testCell) change(req *v1.ChangeRequest) {
 	w.t.Helper()
-	ctx, cancel := context.WithTimeout(w.ctx, deadline)
+	ctx, cancel := context.WithTimeout(w.ctx, requestTimeout)
 	defer cancel()
 	if _, err := w.operator.Change(ctx, req); err != nil {
 		w.t.Fatalf("change %s: %v", req.GetId(), err)
@@ -127,9 +127,9 @@
 }
 
 // link returns a client's way to a service of all entries.
-func (w *world) link(service, k string) *link.Link {
+func (w *testCell) link(service, k string) *link.Link {
 	l := &link.Link{Key: k, Timeout: callTimeout, Dial: w.net.Dialer("caller")}
-	for _, e := range w.cell.Names("e", entries) {
+	for _, e := range w.cell.ProcessNames("e", entries) {
 		l.Addresses = append(l.Addresses, "http://"+w.net.Address(e+"-"+service))
 	}
 	return l
@@ -145,24 +145,24 @@
 	err     error
 }
 
-// serve submits a job and waits for its outcome and whole answer.
-func (w *world) serve(spec *v1.Spec) result {
-	ctx, cancel := context.WithTimeout(w.ctx, deadline)
+// runJob submits a job and waits for its outcome and whole answer.
+func (w *testCell) runJob(spec *v1.Spec) result {
+	ctx, cancel := context.WithTimeout(w.ctx, requestTimeout)
 	defer cancel()
 	r := result{id: spec.GetId(), spec: spec}
-	w.at("submit")
+	w.onStep("submit")
 	as, err := w.caller.Submit(ctx, []*v1.Spec{spec}, true)
 	if err != nil {
 		r.err = err
 		return r
 	}
-	w.at("accepted")
+	w.onStep("accepted")
 	if a := as[0]; a.GetOutcome() == v1.Outcome_OUTCOME_NOT_RUN || a.GetStatus().GetCode() != 0 {
 		r.outcome, r.code = a.GetOutcome(), code.Code(a.GetStatus().GetCode())
 		return r
 	}
 	res, err := w.caller.Wait(ctx, spec.GetId())
-	w.at("answer")
+	w.onStep("answer")
 	r.outcome, r.code, r.answer, r.err = res.Outcome, res.Code, res.Data, err
 	if err == nil && !caller.Final(r.outcome) {
 		r.err = errors.New("no outcome in time")
@@ -170,15 +170,15 @@
 	return r
 }
 
-// check holds what came out against the promises, and returns what is broken.
-func (w *world) check(results []result) (faults []string) {
-	faults = append(faults, w.record.Faults()...)
+// brokenPromises holds what came out against the promises, and returns what is broken.
+func (w *testCell) brokenPromises(results []result) (faults []string) {
+	faults = append(faults, w.recorder.Violations()...)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, r := range results {
 		runs, most := 0, 0
 		for i := range r.spec.GetCount() {
-			n := w.runs[fmt.Sprintf("%s/%d", r.id, i)]
+			n := w.runCounts[fmt.Sprintf("%s/%d", r.id, i)]
 			runs, most = runs+n, max(most, n)
 		}
 		switch {
@@ -188,18 +188,18 @@
 			faults = append(faults, fmt.Sprintf("%s may not be repeated and ran %d times", r.id, most))
 		case r.outcome == v1.Outcome_OUTCOME_NOT_RUN && runs > 0:
 			faults = append(faults, fmt.Sprintf("%s was said not to have run and ran %d times", r.id, runs))
-		case r.outcome == v1.Outcome_OUTCOME_DONE && r.code == code.OK && !bytes.Equal(r.answer, bytes.Repeat(pattern(r.id), int(r.spec.GetCount()))):
+		case r.outcome == v1.Outcome_OUTCOME_DONE && r.code == code.OK && !bytes.Equal(r.answer, bytes.Repeat(answerPattern(r.id), int(r.spec.GetCount()))):
 			faults = append(faults, fmt.Sprintf("%s: the answer is not whole", r.id))
 		case r.outcome == v1.Outcome_OUTCOME_UNKNOWN && !r.spec.GetOnce():
 			faults = append(faults, fmt.Sprintf("%s may be repeated and is unknown", r.id))
 		}
 	}
-	return append(faults, w.ledgers()...)
+	return append(faults, w.ledgerViolations()...)
 }
 
-// ledgers holds every replica's ledger against capacity and limits.
-func (w *world) ledgers() (faults []string) {
-	for _, name := range w.cell.Names("c", replicas) {
+// ledgerViolations holds every replica's ledger against capacity and limits.
+func (w *testCell) ledgerViolations() (faults []string) {
+	for _, name := range w.cell.ProcessNames("c", replicas) {
 		n := w.cell.Node(name)
 		ctx, cancel := context.WithTimeout(w.ctx, time.Second)
 		err := n.Control.Execute(ctx, func(st *state.State) {
@@ -225,8 +225,8 @@
 	return faults
 }
 
-// story tells how the leader's ledger holds the jobs that have not ended.
-func (w *world) story() string {
+// describeUnfinishedJobs tells how the leader's ledger holds the jobs that have not ended.
+func (w *testCell) describeUnfinishedJobs() string {
 	var b strings.Builder
 	name, ok := w.cell.Leader()
 	if !ok {
--- a/internal/demo/scenario/scenario.go
+++ b/internal/demo/scenario/scenario.go
@@ -28,16 +28,16 @@
 	entries  = 3
 	servers  = 12
 	zones    = 3
-	// length is how long jobs are submitted.
-	length = 9 * time.Second
+	// submitDuration is how long jobs are submitted.
+	submitDuration = 9 * time.Second
 	// DefaultInterval is the time between two submissions.
 	DefaultInterval = 15 * time.Millisecond
-	// settle bounds the wait for the last outcomes.
-	settle = 15 * time.Second
+	// settleTimeout bounds the wait for the last outcomes.
+	settleTimeout = 15 * time.Second
 	// answerBytes is the length of each answer.
 	answerBytes = 100_000
-	// longest is the longest wait that the histogram holds, in microseconds.
-	longest = 60_000_000
+	// maxRecordedWait is the longest wait that the histogram holds, in microseconds.
+	maxRecordedWait = 60_000_000
 )
 
 // teams are the demo's teams and what their jobs are like.
@@ -58,8 +58,8 @@
 	// Withdrawal is the time until every entry refused the withdrawn key, in ms.
 	Withdrawal int64 `json:"withdrawal"`
 	Wait       Wait  `json:"wait"`
-	// Broken lists the promises that did not hold.
-	Broken []string `json:"broken"`
+	// BrokenPromises lists the promises that did not hold.
+	BrokenPromises []string `json:"broken"`
 	// Seconds is how long the demo took.
 	Seconds float64 `json:"seconds"`
 }
@@ -71,8 +71,8 @@
 	Max float64 `json:"max"`
 }
 
-// Good tells whether every promise that was checked held.
-func (r *Report) Good() bool { return len(r.Broken) == 0 }
+// Passed tells whether every promise that was checked held.
+func (r *Report) Passed() bool { return len(r.BrokenPromises) == 0 }
 
 // Scenario runs the demo. The exported fields are set before Run.
 type Scenario struct {
@@ -80,67 +80,67 @@
 	Dir string
 	// Interval is the time between two submissions; DefaultInterval when 0.
 	Interval time.Duration
-	// Step is told what happens, and how far the demo is, from 0 to 1.
-	Step func(what string, part float64)
-	Log  logr.Logger
+	// OnStep is told what happens, and how far the demo is, from 0 to 1.
+	OnStep func(what string, part float64)
+	Log    logr.Logger
 
 	cell     *cell.Cell
-	record   *server.Record
+	recorder *server.Recorder
 	operator *operator.Client
 	callers  map[string]*caller.Client
 
-	mu       sync.Mutex
-	report   Report
-	waits    *hdrhistogram.Histogram
-	accepted []time.Time
+	mu            sync.Mutex
+	report        Report
+	waitHistogram *hdrhistogram.Histogram
+	acceptedAt    []time.Time
 }
 
 // Run runs the demo and returns what it found; an error means that it could not run.
 func (t *Scenario) Run(ctx context.Context) (*Report, error) {
-	begin := time.Now()
-	if t.Step == nil {
-		t.Step = func(string, float64) {}
+	startedAt := time.Now()
+	if t.OnStep == nil {
+		t.OnStep = func(string, float64) {}
 	}
 	if t.Interval == 0 {
 		t.Interval = DefaultInterval
 	}
-	t.record = &server.Record{}
-	t.waits = hdrhistogram.New(1, longest, 3)
+	t.recorder = &server.Recorder{}
+	t.waitHistogram = hdrhistogram.New(1, maxRecordedWait, 3)
 	t.callers = map[string]*caller.Client{}
 	t.cell = &cell.Cell{
 		Network: &cell.Loopback{}, Dir: t.Dir, Replicas: replicas, Entries: entries, Servers: servers, Zones: zones,
-		Capacity: &v1.Size{Cpu: 16_000, Memory: 32_000, Slots: 8}, Record: t.record, Log: t.Log, Linger: 100 * time.Millisecond,
+		Capacity: &v1.Size{Cpu: 16_000, Memory: 32_000, Slots: 8}, Recorder: t.recorder, Log: t.Log, Linger: 100 * time.Millisecond,
 	}
-	t.Step("start three control replicas, three entries and twelve backend servers in three zones", 0)
+	t.OnStep("start three control replicas, three entries and twelve backend servers in three zones", 0)
 	if err := t.cell.Start(ctx); err != nil {
 		return nil, errors.Wrap(err, "start the cell")
 	}
 	defer t.cell.Close()
-	if err := t.prepare(ctx); err != nil {
+	if err := t.createTeams(ctx); err != nil {
 		return nil, errors.Wrap(err, "set up teams and keys")
 	}
-	if err := t.work(ctx); err != nil {
+	if err := t.runWorkload(ctx); err != nil {
 		return nil, err
 	}
-	t.sum()
-	t.report.Seconds = time.Since(begin).Seconds()
+	t.completeReport()
+	t.report.Seconds = time.Since(startedAt).Seconds()
 	return &t.report, nil
 }
 
 // link returns a client's way to a service of all entries.
 func (t *Scenario) link(service, k string) *link.Link {
 	l := &link.Link{Key: k, Timeout: 4 * time.Second}
-	for _, e := range t.cell.Names("e", entries) {
+	for _, e := range t.cell.ProcessNames("e", entries) {
 		l.Addresses = append(l.Addresses, "http://"+t.cell.Network.Address(e+"-"+service))
 	}
 	return l
 }
 
-// prepare makes the teams and their keys.
-func (t *Scenario) prepare(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, settle)
+// createTeams makes the teams and their keys.
+func (t *Scenario) createTeams(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	t.operator = &operator.Client{Link: t.link("operators", t.cell.Operator)}
+	t.operator = &operator.Client{Link: t.link("operators", t.cell.OperatorKey)}
 	change := &v1.TableChange{}
 	for _, name := range teams {
 		change.Edits = append(change.Edits, &v1.Edit{Row: &v1.Row{
@@ -155,7 +155,7 @@
 		if name == "spare" {
 			team = teams[0]
 		}
-		k, err := t.grant(ctx, name, team)
+		k, err := t.grantKey(ctx, name, team)
 		if err != nil {
 			return err
 		}
@@ -164,7 +164,7 @@
 	return nil
 }
 
-func (t *Scenario) grant(ctx context.Context, id, team string) (string, error) {
+func (t *Scenario) grantKey(ctx context.Context, id, team string) (string, error) {
 	secret := key.NewSecret()
 	digest := key.Digest(secret)
 	_, err := t.operator.Change(ctx, &v1.ChangeRequest{Id: "grant-" + id, Change: &v1.ChangeRequest_Grant{
@@ -173,25 +173,25 @@
 	return id + "." + secret, err
 }
 
-func (t *Scenario) broken(format string, args ...any) {
+func (t *Scenario) recordBrokenPromise(format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.report.Broken = append(t.report.Broken, fmt.Sprintf(format, args...))
+	t.report.BrokenPromises = append(t.report.BrokenPromises, fmt.Sprintf(format, args...))
 }
 
-// sum fills in what is known only at the end.
-func (t *Scenario) sum() {
+// completeReport fills in what is known only at the end.
+func (t *Scenario) completeReport() {
 	r := &t.report
 	ms := func(us int64) float64 { return float64(us) / 1000 }
-	r.Wait = Wait{P50: ms(t.waits.ValueAtQuantile(50)), P99: ms(t.waits.ValueAtQuantile(99)), Max: ms(t.waits.Max())}
-	r.Duplicates += len(t.record.Faults())
-	for _, f := range t.record.Faults() {
-		t.broken("%s", f)
+	r.Wait = Wait{P50: ms(t.waitHistogram.ValueAtQuantile(50)), P99: ms(t.waitHistogram.ValueAtQuantile(99)), Max: ms(t.waitHistogram.Max())}
+	r.Duplicates += len(t.recorder.Violations())
+	for _, f := range t.recorder.Violations() {
+		t.recordBrokenPromise("%s", f)
 	}
 	if r.Lost > 0 {
-		t.broken("%d accepted jobs were lost", r.Lost)
+		t.recordBrokenPromise("%d accepted jobs were lost", r.Lost)
 	}
-	if r.Broken == nil {
-		r.Broken = []string{}
+	if r.BrokenPromises == nil {
+		r.BrokenPromises = []string{}
 	}
 }
--- a/internal/demo/scenario/scenario_test.go
+++ b/internal/demo/scenario/scenario_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !r.Good() || r.Accepted == 0 || r.Done+r.Unknown != r.Accepted || r.Duplicates+r.Lost != 0 {
+	if !r.Passed() || r.Accepted == 0 || r.Done+r.Unknown != r.Accepted || r.Duplicates+r.Lost != 0 {
 		t.Errorf("%+v", *r)
 	}
 }
--- a/internal/demo/scenario/work.go
+++ b/internal/demo/scenario/work.go
@@ -15,35 +15,35 @@
 	"gypsumreel/internal/fake/server"
 )
 
-// withdrawBound is the promise about a withdrawn key.
-const withdrawBound = 2 * time.Second
+// maxWithdrawalTime is the promise about a withdrawn key.
+const maxWithdrawalTime = 2 * time.Second
 
-// work submits jobs all along while things go wrong, and waits for the outcomes.
-func (t *Scenario) work(ctx context.Context) error {
+// runWorkload submits jobs all along while things go wrong, and waits for the outcomes.
+func (t *Scenario) runWorkload(ctx context.Context) error {
 	var wg sync.WaitGroup
 	faults := make(chan error, 1)
-	wg.Go(func() { faults <- t.trouble(ctx) })
-	wg.Go(func() { t.service(ctx) })
-	end := time.Now().Add(length)
+	wg.Go(func() { faults <- t.injectFaults(ctx) })
+	wg.Go(func() { t.runService(ctx) })
+	end := time.Now().Add(submitDuration)
 	tick := time.NewTicker(t.Interval)
 	defer tick.Stop()
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
-		spec := job(n)
-		wg.Go(func() { t.serve(ctx, t.callers[teams[n%len(teams)]], spec) })
+		spec := jobSpec(n)
+		wg.Go(func() { t.runJob(ctx, t.callers[teams[n%len(teams)]], spec) })
 		<-tick.C
 	}
-	t.Step("wait for the last answers", 0.9)
+	t.OnStep("wait for the last answers", 0.9)
 	wg.Wait()
-	t.failover()
+	t.computeFailover()
 	return errors.CombineErrors(<-faults, ctx.Err())
 }
 
-// job returns the n-th job: two quotes, then a batch job or a gang of three.
-func job(n int) *v1.Spec {
+// jobSpec returns the n-th job: two quotes, then a batch job or a gang of three.
+func jobSpec(n int) *v1.Spec {
 	spec := &v1.Spec{
 		Id: fmt.Sprintf("job-%d", n), Name: "quote", Kind: v1.Kind_KIND_URGENT, Count: 1,
 		Size:  &v1.Size{Cpu: 1000, Memory: 512, Slots: 1},
-		Input: server.Wish{Sleep: "20ms", Size: answerBytes}.Input(),
+		Input: server.TaskScript{Sleep: "20ms", AnswerSize: answerBytes}.Input(),
 	}
 	switch n % 6 {
 	case 2:
@@ -56,77 +56,77 @@
 	return spec
 }
 
-// serve submits one job and checks its outcome and answer.
-func (t *Scenario) serve(ctx context.Context, c *caller.Client, spec *v1.Spec) {
-	ctx, cancel := context.WithTimeout(ctx, length+settle)
+// runJob submits one job and checks its outcome and answer.
+func (t *Scenario) runJob(ctx context.Context, c *caller.Client, spec *v1.Spec) {
+	ctx, cancel := context.WithTimeout(ctx, submitDuration+settleTimeout)
 	defer cancel()
 	begin := time.Now()
 	as, err := c.Submit(ctx, []*v1.Spec{spec}, true)
 	if err != nil || as[0].GetStatus().GetCode() != 0 {
-		t.count(&t.report.Refused)
+		t.increment(&t.report.Refused)
 		return
 	}
-	t.took()
+	t.recordAccepted()
 	r, err := c.Wait(ctx, spec.GetId())
 	switch {
 	case err != nil || !caller.Final(r.Outcome):
-		t.count(&t.report.Lost)
+		t.increment(&t.report.Lost)
 	case r.Outcome == v1.Outcome_OUTCOME_UNKNOWN && spec.GetOnce():
-		t.count(&t.report.Unknown)
+		t.increment(&t.report.Unknown)
 	case r.Outcome != v1.Outcome_OUTCOME_DONE || r.Code != code.OK:
-		t.count(&t.report.Lost)
-		t.broken("%s ended as %v, %s", spec.GetId(), r.Outcome, r.Text)
+		t.increment(&t.report.Lost)
+		t.recordBrokenPromise("%s ended as %v, %s", spec.GetId(), r.Outcome, r.Text)
 	case !bytes.Equal(r.Data, bytes.Repeat(server.Pattern(answerBytes), int(spec.GetCount()))):
-		t.count(&t.report.Lost)
-		t.broken("%s: the answer is not whole: %d bytes", spec.GetId(), len(r.Data))
+		t.increment(&t.report.Lost)
+		t.recordBrokenPromise("%s: the answer is not whole: %d bytes", spec.GetId(), len(r.Data))
 	default:
-		t.done(time.Since(begin))
+		t.recordDone(time.Since(begin))
 	}
 }
 
-func (t *Scenario) count(n *int) {
+func (t *Scenario) increment(n *int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	*n++
 }
 
-func (t *Scenario) took() {
+func (t *Scenario) recordAccepted() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report.Accepted++
-	t.accepted = append(t.accepted, time.Now())
+	t.acceptedAt = append(t.acceptedAt, time.Now())
 }
 
-func (t *Scenario) done(d time.Duration) {
+func (t *Scenario) recordDone(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report.Done++
-	_ = t.waits.RecordValue(d.Microseconds())
+	_ = t.waitHistogram.RecordValue(d.Microseconds())
 }
 
-// trouble kills the leader halfway, starts it again, and withdraws a key.
-func (t *Scenario) trouble(ctx context.Context) error {
-	t.Step("submit urgent, batch, gang and service work for two teams", 0.1)
-	pause(ctx, length/3)
+// injectFaults kills the leader halfway, starts it again, and withdraws a key.
+func (t *Scenario) injectFaults(ctx context.Context) error {
+	t.OnStep("submit urgent, batch, gang and service work for two teams", 0.1)
+	pause(ctx, submitDuration/3)
 	name, err := t.leader(ctx)
 	if err != nil {
 		return err
 	}
-	t.Step("kill the leader, "+name, 0.4)
-	t.killed(time.Now())
+	t.OnStep("kill the leader, "+name, 0.4)
+	t.recordLeaderKill(time.Now())
 	t.cell.Kill(name)
-	pause(ctx, length/3)
-	t.Step("start "+name+" again", 0.6)
+	pause(ctx, submitDuration/3)
+	t.OnStep("start "+name+" again", 0.6)
 	if err := t.cell.Restart(name); err != nil {
 		return err
 	}
-	t.Step("withdraw a key", 0.7)
-	return t.withdraw(ctx)
+	t.OnStep("withdraw a key", 0.7)
+	return t.withdrawKey(ctx)
 }
 
 // leader returns the name of the leader; on a busy machine there may be none for a moment.
 func (t *Scenario) leader(ctx context.Context) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, settle)
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		if name, ok := t.cell.Leader(); ok {
@@ -144,20 +144,20 @@
 	}
 }
 
-// killed notes when the leader ended.
-func (t *Scenario) killed(at time.Time) {
+// recordLeaderKill notes when the leader ended.
+func (t *Scenario) recordLeaderKill(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report.Failover = at.UnixMilli()
 }
 
-// failover turns the time of the leader's end into the time until the next acceptance.
-func (t *Scenario) failover() {
+// computeFailover turns the time of the leader's end into the time until the next acceptance.
+func (t *Scenario) computeFailover() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := time.UnixMilli(t.report.Failover)
 	t.report.Failover = -1
-	for _, a := range t.accepted {
+	for _, a := range t.acceptedAt {
 		// An acceptance that was committed before the end may arrive just after it.
 		d := a.Sub(at).Milliseconds()
 		if d > 50 && (t.report.Failover < 0 || d < t.report.Failover) {
@@ -166,9 +166,9 @@
 	}
 }
 
-// withdraw withdraws the spare key and asks every entry until it is refused.
-func (t *Scenario) withdraw(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, settle)
+// withdrawKey withdraws the spare key and asks every entry until it is refused.
+func (t *Scenario) withdrawKey(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	begin := time.Now()
 	if _, err := t.operator.Change(ctx, &v1.ChangeRequest{Id: "withdraw", Change: &v1.ChangeRequest_Withdraw{
@@ -192,40 +192,40 @@
 	t.mu.Lock()
 	t.report.Withdrawal = d.Milliseconds()
 	t.mu.Unlock()
-	if d > withdrawBound {
-		t.broken("a withdrawn key worked for %v", d)
+	if d > maxWithdrawalTime {
+		t.recordBrokenPromise("a withdrawn key worked for %v", d)
 	}
 	return nil
 }
 
-// service runs a service of three tasks all along and cancels it at the end.
-func (t *Scenario) service(ctx context.Context) {
+// runService runs a service of three tasks all along and cancels it at the end.
+func (t *Scenario) runService(ctx context.Context) {
 	c := t.callers[teams[0]]
 	spec := &v1.Spec{
 		Id: "service", Name: "catalogue", Kind: v1.Kind_KIND_SERVICE, Count: 3, Floor: 2,
-		Size: &v1.Size{Cpu: 1000, Memory: 512, Slots: 1}, Input: server.Wish{Sleep: "10m"}.Input(),
+		Size: &v1.Size{Cpu: 1000, Memory: 512, Slots: 1}, Input: server.TaskScript{Sleep: "10m"}.Input(),
 	}
 	as, err := c.Submit(ctx, []*v1.Spec{spec}, true)
 	if err != nil || as[0].GetStatus().GetCode() != 0 {
-		t.broken("the service was refused: %v", err)
+		t.recordBrokenPromise("the service was refused: %v", err)
 		return
 	}
-	t.took()
-	pause(ctx, length)
+	t.recordAccepted()
+	pause(ctx, submitDuration)
 	js, err := c.List(ctx, &v1.ListRequest{Ids: []string{spec.GetId()}})
 	if err != nil || len(js) != 1 || js[0].GetRunning() != spec.GetCount() {
-		t.broken("the service does not run whole: %v %v", js, err)
+		t.recordBrokenPromise("the service does not run whole: %v %v", js, err)
 	}
 	if _, err := c.Cancel(ctx, []string{spec.GetId()}, nil); err != nil {
-		t.broken("the service was not cancelled: %v", err)
+		t.recordBrokenPromise("the service was not cancelled: %v", err)
 		return
 	}
-	wait, cancel := context.WithTimeout(ctx, settle)
+	wait, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	r, err := c.Wait(wait, spec.GetId())
 	if err != nil || r.Code != code.Stopped {
-		t.broken("the service ended as %v, %s (%v)", r.Outcome, r.Text, err)
+		t.recordBrokenPromise("the service ended as %v, %s (%v)", r.Outcome, r.Text, err)
 		return
 	}
-	t.count(&t.report.Done)
+	t.increment(&t.report.Done)
 }
--- a/internal/edge/control/client_test.go
+++ b/internal/edge/control/client_test.go
@@ -101,7 +101,7 @@
 type testClient struct {
 	client *control.Client
 	relays map[string]*relay.Relay
-	memory *relay.Memory
+	memory *relay.MemoryNetwork
 }
 
 // withClient runs test with a client that is connected to the leaders, on virtual time.
@@ -109,7 +109,7 @@
 	synctest.Test(t, func(_ *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
-		c := &testClient{memory: &relay.Memory{}, relays: map[string]*relay.Relay{}}
+		c := &testClient{memory: &relay.MemoryNetwork{}, relays: map[string]*relay.Relay{}}
 		c.client = &control.Client{Cell: "cell", Name: "e1", MaxPending: 4, Dial: c.memory.Dial}
 		for name, leader := range leaders {
 			leader.repliesChanged = make(chan struct{})
@@ -117,7 +117,7 @@
 			listener := c.memory.Listen(name)
 			wg.Go(func() { _ = server.Serve(listener) })
 			context.AfterFunc(ctx, func() { _ = server.Close() })
-			r := &relay.Relay{Listener: c.memory.Listen(name + "x:1"), Dial: c.memory.To(name)}
+			r := &relay.Relay{Listener: c.memory.Listen(name + "x:1"), Dial: c.memory.DialerTo(name)}
 			c.relays[name] = r
 			wg.Go(func() { _ = r.Run(ctx) })
 			c.client.Replicas = append(c.client.Replicas, control.Replica{Name: name, Address: name + "x:1"})
@@ -152,8 +152,8 @@
 	l := &scriptedLeader{ignoresItems: true}
 	withClient(t, map[string]*scriptedLeader{"c1": l}, func(c *testClient) {
 		got := []code.Code{c.listCode()}
-		c.relays["c1"].Refuse(true)
-		c.relays["c1"].Cut()
+		c.relays["c1"].SetRefuse(true)
+		c.relays["c1"].CloseConnections()
 		time.Sleep(500 * time.Millisecond)
 		got = append(got, c.listCodeWithin(300*time.Millisecond))
 		time.Sleep(5 * time.Second)
@@ -174,7 +174,7 @@
 func TestLostPushReplyReportsUnknownOutcome(t *testing.T) {
 	l := &scriptedLeader{ignoresItems: true}
 	withClient(t, map[string]*scriptedLeader{"c1": l}, func(c *testClient) {
-		c.relays["c1"].Set(relay.Down, relay.Lose)
+		c.relays["c1"].SetMode(relay.Downstream, relay.Drop)
 		if got := c.listCode(); got != code.LeaderTimeout {
 			t.Errorf("got code %d, want Unanswered", got)
 		}
@@ -235,17 +235,17 @@
 func TestSilentlyDroppedConnectionsAreReplaced(t *testing.T) {
 	withClient(t, map[string]*scriptedLeader{"c1": {}}, func(c *testClient) {
 		for range 5 {
-			c.relays["c1"].Delay(relay.Down, 20*time.Millisecond)
+			c.relays["c1"].SetDelay(relay.Downstream, 20*time.Millisecond)
 			var wg sync.WaitGroup
 			for range 4 {
 				wg.Go(func() { c.listCode() })
 				time.Sleep(3 * time.Millisecond)
 			}
 			wg.Wait()
-			if open := c.relays["c1"].Open(); open < 4 {
+			if open := c.relays["c1"].OpenConnections(); open < 4 {
 				t.Fatalf("%d connections are open, want at least 4, otherwise the test proves nothing", open)
 			}
-			c.relays["c1"].Forget(relay.Up, relay.Down)
+			c.relays["c1"].BlackholeOpen(relay.Upstream, relay.Downstream)
 			startedAt := time.Now()
 			if got := c.listCodeWithin(5 * time.Second); got != code.OK || time.Since(startedAt) > control.DefaultCallTimeout+100*time.Millisecond {
 				t.Errorf("got code %d after %v, want OK within one call timeout", got, time.Since(startedAt))
@@ -269,8 +269,8 @@
 func TestDuplicatedConnectionDeliversOneReply(t *testing.T) {
 	l := &scriptedLeader{}
 	withClient(t, map[string]*scriptedLeader{"c1": l}, func(c *testClient) {
-		c.relays["c1"].Duplicate(true)
-		c.relays["c1"].Cut()
+		c.relays["c1"].SetDuplicate(true)
+		c.relays["c1"].CloseConnections()
 		time.Sleep(time.Second)
 		for range 3 {
 			if got := c.listCode(); got != code.OK {
@@ -343,8 +343,8 @@
 		if c.client.TableRevision() != 7 || !c.client.InContact() {
 			t.Errorf("got table revision %d, in contact %v, want 7 and true", c.client.TableRevision(), c.client.InContact())
 		}
-		c.relays["c1"].Set(relay.Up, relay.Lose)
-		c.relays["c1"].Set(relay.Down, relay.Lose)
+		c.relays["c1"].SetMode(relay.Upstream, relay.Drop)
+		c.relays["c1"].SetMode(relay.Downstream, relay.Drop)
 		startedAt := time.Now()
 		got := c.listCodeWithin(time.Minute)
 		if elapsed := time.Since(startedAt); got != code.LeaderTimeout || elapsed > control.DefaultMaxContactAge+100*time.Millisecond {
@@ -362,10 +362,10 @@
 func TestContactAgeCountsFromStartOfCall(t *testing.T) {
 	withClient(t, map[string]*scriptedLeader{"c1": {ignoresItems: true}}, func(c *testClient) {
 		const replyDelay = 300 * time.Millisecond
-		c.relays["c1"].Delay(relay.Down, replyDelay)
+		c.relays["c1"].SetDelay(relay.Downstream, replyDelay)
 		time.Sleep(3 * time.Second)
-		c.relays["c1"].Set(relay.Up, relay.Lose)
-		c.relays["c1"].Set(relay.Down, relay.Lose)
+		c.relays["c1"].SetMode(relay.Upstream, relay.Drop)
+		c.relays["c1"].SetMode(relay.Downstream, relay.Drop)
 		startedAt := time.Now()
 		c.listCodeWithin(time.Minute)
 		if elapsed := time.Since(startedAt); elapsed > control.DefaultMaxContactAge-replyDelay+100*time.Millisecond {
--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -16,13 +16,13 @@
 		c := w.client(w.team)
 		defer c.reset()
 		began := time.Now()
-		for i, wish := range []server.Wish{{}, {Sleep: "300ms"}, {Size: 200_000}} {
+		for i, wish := range []server.TaskScript{{}, {Sleep: "300ms"}, {AnswerSize: 200_000}} {
 			if fault := c.runs(i, fmt.Sprintf("job-%d", i), wish); fault != "" {
 				t.Error(fault)
 			}
 			t.Log(time.Since(began))
 		}
-		for _, f := range w.record.Faults() {
+		for _, f := range w.record.Violations() {
 			t.Error(f)
 		}
 	})
--- a/internal/edge/entry/faults_test.go
+++ b/internal/edge/entry/faults_test.go
@@ -25,7 +25,7 @@
 
 const silence = 10 * time.Second
 
-var bothWays = []relay.Way{relay.Up, relay.Down}
+var bothWays = []relay.Direction{relay.Upstream, relay.Downstream}
 
 // faults lists every fault of the matrix. "inner" is between the first entry
 // and the control group, "outer" between it and those that dial it.
@@ -44,14 +44,14 @@
 	}{{"inner", innerLink}, {"outer", outerLink}} {
 		out = append(
 			out,
-			fault{"silent up, " + side.name, silence, set(side.links, relay.Lose, relay.Up), set(side.links, relay.Pass, relay.Up)},
-			fault{"silent down, " + side.name, silence, set(side.links, relay.Lose, relay.Down), set(side.links, relay.Pass, relay.Down)},
-			fault{"silent both ways, " + side.name, silence, set(side.links, relay.Lose, bothWays...), set(side.links, relay.Pass, bothWays...)},
-			fault{"forgotten, " + side.name, 0, each(side.links, func(r *relay.Relay) { r.Forget(bothWays...) }), nil},
-			fault{"answer lost, " + side.name, 100 * time.Millisecond, set(side.links, relay.Lose, relay.Down), set(side.links, relay.Pass, relay.Down)},
-			fault{"answer late, " + side.name, 3 * time.Second, set(side.links, relay.Hold, relay.Down), set(side.links, relay.Pass, relay.Down)},
+			fault{"silent up, " + side.name, silence, set(side.links, relay.Drop, relay.Upstream), set(side.links, relay.Pass, relay.Upstream)},
+			fault{"silent down, " + side.name, silence, set(side.links, relay.Drop, relay.Downstream), set(side.links, relay.Pass, relay.Downstream)},
+			fault{"silent both ways, " + side.name, silence, set(side.links, relay.Drop, bothWays...), set(side.links, relay.Pass, bothWays...)},
+			fault{"forgotten, " + side.name, 0, each(side.links, func(r *relay.Relay) { r.BlackholeOpen(bothWays...) }), nil},
+			fault{"answer lost, " + side.name, 100 * time.Millisecond, set(side.links, relay.Drop, relay.Downstream), set(side.links, relay.Pass, relay.Downstream)},
+			fault{"answer late, " + side.name, 3 * time.Second, set(side.links, relay.Hold, relay.Downstream), set(side.links, relay.Pass, relay.Downstream)},
 			fault{"doubled, " + side.name, silence, each(side.links, double(true)), each(side.links, double(false))},
-			fault{"cut, " + side.name, 0, each(side.links, (*relay.Relay).Cut), nil},
+			fault{"cut, " + side.name, 0, each(side.links, (*relay.Relay).CloseConnections), nil},
 		)
 	}
 	return append(
@@ -77,10 +77,10 @@
 	}
 }
 
-func set(links func(string) bool, f relay.Fate, ways ...relay.Way) func(*world) {
+func set(links func(string) bool, f relay.Mode, ways ...relay.Direction) func(*world) {
 	return each(links, func(r *relay.Relay) {
 		for _, way := range ways {
-			r.Set(way, f)
+			r.SetMode(way, f)
 		}
 	})
 }
@@ -88,8 +88,8 @@
 // double doubles what new connections send up, and makes all connections new.
 func double(on bool) func(*relay.Relay) {
 	return func(r *relay.Relay) {
-		r.Duplicate(on)
-		r.Cut()
+		r.SetDuplicate(on)
+		r.CloseConnections()
 	}
 }
 
--- a/internal/edge/entry/matrix_test.go
+++ b/internal/edge/entry/matrix_test.go
@@ -163,7 +163,7 @@
 
 // work submits jobs that may be repeated, one of them longer than a lease, and wants the whole right answer to each.
 func (s *story) work() {
-	for i, wish := range []server.Wish{{}, {Size: 150_000}, {Sleep: "4s"}, {Sleep: "200ms", Size: 10}} {
+	for i, wish := range []server.TaskScript{{}, {AnswerSize: 150_000}, {Sleep: "4s"}, {Sleep: "200ms", AnswerSize: 10}} {
 		id := []string{"quick", "big", "long", "last"}[i]
 		fault := s.team.runs(0, id, wish)
 		s.check(fault == "", "%s", fault)
@@ -172,7 +172,7 @@
 
 // once submits a job that may run at most once.
 func (s *story) once() {
-	in := server.Wish{Sleep: "500ms"}.Input()
+	in := server.TaskScript{Sleep: "500ms"}.Input()
 	s.team.submit(0, spec("once", true, in))
 	reply, whole := s.team.wait(0, "once")
 	s.check(reply.GetOutcome() >= v1.Outcome_OUTCOME_DONE, "once: no outcome, status %v", reply.GetStatus())
@@ -185,7 +185,7 @@
 
 // cancelled submits a long job and takes it back.
 func (s *story) cancelled() {
-	s.team.submit(0, spec("cancelled", false, server.Wish{Sleep: "1h"}.Input()))
+	s.team.submit(0, spec("cancelled", false, server.TaskScript{Sleep: "1h"}.Input()))
 	time.Sleep(300 * time.Millisecond)
 	s.team.cancel(0, "cancelled")
 	reply, _ := s.team.wait(0, "cancelled")
@@ -282,17 +282,17 @@
 	for _, late := range w.noted("late") {
 		s.t.Error(late)
 	}
-	s.check(len(w.record.Faults()) == 0, "%v", w.record.Faults())
+	s.check(len(w.record.Violations()) == 0, "%v", w.record.Violations())
 	broken := w.refusedButRan()
 	s.check(len(broken) == 0, "%v", broken)
 	w.cell.mu.Lock()
 	defer w.cell.mu.Unlock()
 	s.check(w.cell.revision == 2, "revision %d", w.cell.revision)
 	if j, ok := w.cell.jobs["quarry/once"]; ok {
-		starts := w.record.Starts(server.Task{Job: j.number})
+		starts := w.record.StartCount(server.Task{Job: j.number})
 		s.check(starts <= 1, "once started %d times", starts)
 		s.check(j.outcome != v1.Outcome_OUTCOME_NOT_RUN || starts == 0, "once was refused as not run and started")
 	}
-	late := w.record.Latest("s2").Sub(w.cell.drained["s2"])
+	late := w.record.LastStart("s2").Sub(w.cell.drained["s2"])
 	s.check(late <= inForce, "the drained server started work %v later", late)
 }
--- a/internal/edge/entry/service_test.go
+++ b/internal/edge/entry/service_test.go
@@ -229,11 +229,11 @@
 		c := w.client(w.team)
 		defer c.reset()
 		time.Sleep(500 * time.Millisecond) // both servers are there, and the first one is taken
-		c.submit(0, spec("long", false, server.Wish{Sleep: "8s"}.Input()))
+		c.submit(0, spec("long", false, server.TaskScript{Sleep: "8s"}.Input()))
 		time.Sleep(500 * time.Millisecond)
 		each(func(name string) bool { return strings.HasPrefix(name, "s1>") }, func(r *relay.Relay) {
-			r.Set(relay.Up, relay.Lose)
-			r.Set(relay.Down, relay.Lose)
+			r.SetMode(relay.Upstream, relay.Drop)
+			r.SetMode(relay.Downstream, relay.Drop)
 		})(w)
 		time.Sleep(w.cell.lease + time.Millisecond)
 		if n := w.backend("s1").Running(); n > 0 {
@@ -242,8 +242,8 @@
 		if reply, _ := c.wait(0, "long"); reply.GetOutcome() != v1.Outcome_OUTCOME_DONE {
 			t.Errorf("outcome %v", reply.GetOutcome())
 		}
-		if starts := w.record.Starts(server.Task{Job: 1}); starts != 2 || len(w.record.Faults()) > 0 {
-			t.Errorf("%d starts, %v", starts, w.record.Faults())
+		if starts := w.record.StartCount(server.Task{Job: 1}); starts != 2 || len(w.record.Violations()) > 0 {
+			t.Errorf("%d starts, %v", starts, w.record.Violations())
 		}
 	})
 }
--- a/internal/edge/entry/stop_test.go
+++ b/internal/edge/entry/stop_test.go
@@ -31,11 +31,11 @@
 		time.Sleep(time.Second)
 		c := w.client(w.team)
 		defer c.reset()
-		c.submit(0, spec("held", false, server.Wish{Sleep: "1h"}.Input()))
+		c.submit(0, spec("held", false, server.TaskScript{Sleep: "1h"}.Input()))
 		for name, r := range w.relays {
 			if innerLink(name) || outerLink(name) {
-				r.Delay(relay.Up, 3*time.Millisecond)
-				r.Delay(relay.Down, 3*time.Millisecond)
+				r.SetDelay(relay.Upstream, 3*time.Millisecond)
+				r.SetDelay(relay.Downstream, 3*time.Millisecond)
 			}
 		}
 		var calls, broken, leaving atomic.Int32
@@ -99,7 +99,7 @@
 
 // refusedDial tells whether a call never began because nobody listens any more.
 func refusedDial(err error) bool {
-	return err != nil && connect.CodeOf(err) == connect.CodeUnavailable && errors.Is(err, relay.ErrRefused)
+	return err != nil && connect.CodeOf(err) == connect.CodeUnavailable && errors.Is(err, relay.ErrConnectionRefused)
 }
 
 // Whoever is on duty sends the signal a second time because the stop takes too
@@ -138,7 +138,7 @@
 		}
 		time.Sleep(time.Second)
 		first := ready()
-		set(innerLink, relay.Lose, bothWays...)(w)
+		set(innerLink, relay.Drop, bothWays...)(w)
 		time.Sleep(3 * time.Second)
 		cut := ready()
 		set(innerLink, relay.Pass, bothWays...)(w)
@@ -161,13 +161,13 @@
 		defer w.close()
 		c := w.client(w.team)
 		defer c.reset()
-		if fault := c.runs(0, "big", server.Wish{Size: 500_000}); fault != "" {
+		if fault := c.runs(0, "big", server.TaskScript{AnswerSize: 500_000}); fault != "" {
 			t.Fatal(fault)
 		}
 		slow := w.slowReader()
 		defer func() { _ = slow.Close() }()
 		began := time.Now()
-		if fault := c.runs(0, "other", server.Wish{Size: 500_000}); fault != "" || time.Since(began) > time.Second {
+		if fault := c.runs(0, "other", server.TaskScript{AnswerSize: 500_000}); fault != "" || time.Since(began) > time.Second {
 			t.Errorf("%s after %v", fault, time.Since(began))
 		}
 		time.Sleep(2 * time.Minute)
@@ -188,12 +188,12 @@
 		most := 0
 		for i := range 20 {
 			if i == 10 {
-				each(outerLink, func(r *relay.Relay) { r.Forget(bothWays...) })(w)
+				each(outerLink, func(r *relay.Relay) { r.BlackholeOpen(bothWays...) })(w)
 			}
-			if fault := c.runs(i, fmt.Sprintf("job-%d", i), server.Wish{Sleep: "300ms"}); fault != "" {
+			if fault := c.runs(i, fmt.Sprintf("job-%d", i), server.TaskScript{Sleep: "300ms"}); fault != "" {
 				t.Error(fault)
 			}
-			most = max(most, w.relays["s1>e1-backends"].Open()+w.relays["s1>e2-backends"].Open())
+			most = max(most, w.relays["s1>e1-backends"].OpenConnections()+w.relays["s1>e2-backends"].OpenConnections())
 		}
 		if most > 6 {
 			t.Errorf("%d connections at once", most)
@@ -218,7 +218,7 @@
 			}
 			time.Sleep(time.Second)
 		}
-		caller, backend := w.memory.Dialled("e1-callers"), w.relays["s1>e1-backends"].Opened()+w.relays["s1>e2-backends"].Opened()
+		caller, backend := w.memory.DialCount("e1-callers"), w.relays["s1>e1-backends"].TotalConnections()+w.relays["s1>e2-backends"].TotalConnections()
 		if caller < 4 || caller > 6 || backend < 4 || backend > 6 {
 			t.Errorf("%d and %d connections in the time of four lives", caller, backend)
 		}
--- a/internal/edge/entry/world_test.go
+++ b/internal/edge/entry/world_test.go
@@ -42,14 +42,14 @@
 	ctx      context.Context
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
-	memory   *relay.Memory
+	memory   *relay.MemoryNetwork
 	cell     *cell
 	replicas map[string]*replica
 	entries  map[string]*process
 	servers  map[string]*server.Server
 	stops    map[string]context.CancelFunc
 	relays   map[string]*relay.Relay
-	record   *server.Record
+	record   *server.Recorder
 	limit    int
 	team     string
 	operator string
@@ -116,9 +116,9 @@
 
 func newWorld(limit int) *world {
 	w := &world{
-		memory: &relay.Memory{}, cell: newCell(), replicas: map[string]*replica{}, entries: map[string]*process{},
+		memory: &relay.MemoryNetwork{}, cell: newCell(), replicas: map[string]*replica{}, entries: map[string]*process{},
 		servers: map[string]*server.Server{}, stops: map[string]context.CancelFunc{}, relays: map[string]*relay.Relay{},
-		record: &server.Record{}, limit: limit, notes: map[string][]string{},
+		record: &server.Recorder{}, limit: limit, notes: map[string][]string{},
 	}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	w.team = w.cell.grant("team-key", "quarry", false)
@@ -157,7 +157,7 @@
 // link puts a relay between two processes.
 func (w *world) link(from, to string) {
 	name := from + ">" + to
-	r := &relay.Relay{Listener: w.memory.Listen(name), Dial: w.memory.To(to)}
+	r := &relay.Relay{Listener: w.memory.Listen(name), Dial: w.memory.DialerTo(to)}
 	w.relays[name] = r
 	w.wg.Go(func() { _ = r.Run(w.ctx) })
 }
@@ -220,7 +220,7 @@
 
 func (w *world) startServer(name string) {
 	ctx, stop := context.WithCancel(w.ctx)
-	s := &server.Server{Name: name, Secret: enrolment, Record: w.record}
+	s := &server.Server{Name: name, Secret: enrolment, Recorder: w.record}
 	for _, e := range entryNames {
 		s.Entries = append(s.Entries, server.NewEntry(e+"-backends:1", nil, w.dial(name)))
 	}
@@ -230,7 +230,7 @@
 	w.wg.Go(func() {
 		_ = s.Run(ctx)
 		for _, e := range s.Entries {
-			e.Reset()
+			e.CloseIdle()
 		}
 	})
 }
@@ -352,11 +352,11 @@
 }
 
 // runs submits one job and checks its answer; it returns what went wrong.
-func (c *client) runs(at int, id string, wish server.Wish) string {
+func (c *client) runs(at int, id string, wish server.TaskScript) string {
 	in := wish.Input()
 	c.submit(at, spec(id, false, in))
 	reply, whole := c.wait(at, id)
-	if reply.GetOutcome() != v1.Outcome_OUTCOME_DONE || !bytes.Equal(whole, wanted(in, wish.Size)) {
+	if reply.GetOutcome() != v1.Outcome_OUTCOME_DONE || !bytes.Equal(whole, wanted(in, wish.AnswerSize)) {
 		return fmt.Sprintf("%s: outcome %v, status %v, %d bytes", id, reply.GetOutcome(), reply.GetStatus(), len(whole))
 	}
 	return ""
--- a/internal/edge/helper/helper_test.go
+++ b/internal/edge/helper/helper_test.go
@@ -83,7 +83,7 @@
 	if err := ask("first", time.Second); err != nil {
 		t.Fatal(err)
 	}
-	r.Refuse(true)
+	r.SetRefuse(true)
 	var wg sync.WaitGroup
 	for i := range 20 {
 		if err := ask(unansweredFlow, 2*answerDelay); err == nil {
@@ -119,7 +119,7 @@
 	if !ask(time.Second) {
 		t.Fatal("no answer before the fault")
 	}
-	r.Forget(relay.Up, relay.Down)
+	r.BlackholeOpen(relay.Upstream, relay.Downstream)
 	startedAt := time.Now()
 	for !ask(200 * time.Millisecond) {
 		if ctx.Err() != nil {
--- a/internal/fake/relay/memory.go
+++ b/internal/fake/relay/memory.go
@@ -8,35 +8,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrRefused is what a dial of an address without a listener returns.
-var ErrRefused = errors.New("connection refused")
+// ErrConnectionRefused is what a dial of an address without a listener returns.
+var ErrConnectionRefused = errors.New("connection refused")
 
-// Memory is a network of in-memory connections, for tests on a virtual clock.
+// MemoryNetwork is a network of in-memory connections, for tests on a virtual clock.
 // The zero value is ready.
-type Memory struct {
-	mu        sync.Mutex
-	listeners map[string]*memoryListener
-	dialled   map[string]int
+type MemoryNetwork struct {
+	mu         sync.Mutex
+	listeners  map[string]*memoryListener
+	dialCounts map[string]int
 }
 
 // Listen returns the listener of an address, which must be free.
-func (m *Memory) Listen(address string) net.Listener {
+func (m *MemoryNetwork) Listen(address string) net.Listener {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.listeners == nil {
-		m.listeners, m.dialled = make(map[string]*memoryListener), make(map[string]int)
+		m.listeners, m.dialCounts = make(map[string]*memoryListener), make(map[string]int)
 	}
-	l := &memoryListener{memory: m, address: address, conns: make(chan net.Conn), done: make(chan struct{})}
+	l := &memoryListener{network: m, address: address, conns: make(chan net.Conn), done: make(chan struct{})}
 	m.listeners[address] = l
 	return l
 }
 
 // Dial connects to an address; network is ignored.
-func (m *Memory) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (m *MemoryNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	m.mu.Lock()
 	l := m.listeners[address]
 	m.mu.Unlock()
-	refused := &net.OpError{Op: "dial", Net: network, Addr: memoryAddr(address), Err: ErrRefused}
+	refused := &net.OpError{Op: "dial", Net: network, Addr: memoryAddr(address), Err: ErrConnectionRefused}
 	if l == nil {
 		return nil, refused
 	}
@@ -45,7 +45,7 @@
 	case l.conns <- far:
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.dialled[address]++
+		m.dialCounts[address]++
 		return near, nil
 	case <-l.done:
 		return nil, refused
@@ -54,15 +54,15 @@
 	}
 }
 
-// Dialled returns the number of connections made to an address.
-func (m *Memory) Dialled(address string) int {
+// DialCount returns the number of connections made to an address.
+func (m *MemoryNetwork) DialCount(address string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.dialled[address]
+	return m.dialCounts[address]
 }
 
 // DialHost connects to the host of an address, whatever its port.
-func (m *Memory) DialHost(ctx context.Context, network, address string) (net.Conn, error) {
+func (m *MemoryNetwork) DialHost(ctx context.Context, network, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
@@ -70,17 +70,17 @@
 	return m.Dial(ctx, network, host)
 }
 
-// To returns a dial function for one address, as Relay takes it.
-func (m *Memory) To(address string) func(ctx context.Context) (net.Conn, error) {
+// DialerTo returns a dial function for one address, as Relay takes it.
+func (m *MemoryNetwork) DialerTo(address string) func(ctx context.Context) (net.Conn, error) {
 	return func(ctx context.Context) (net.Conn, error) { return m.Dial(ctx, "memory", address) }
 }
 
 type memoryListener struct {
-	memory  *Memory
-	address string
-	conns   chan net.Conn
-	done    chan struct{}
-	once    sync.Once
+	network   *MemoryNetwork
+	address   string
+	conns     chan net.Conn
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
 // Accept returns the next connection.
@@ -95,12 +95,12 @@
 
 // Close frees the address; dials are refused from now on.
 func (l *memoryListener) Close() error {
-	l.once.Do(func() {
+	l.closeOnce.Do(func() {
 		close(l.done)
-		l.memory.mu.Lock()
-		defer l.memory.mu.Unlock()
-		if l.memory.listeners[l.address] == l {
-			delete(l.memory.listeners, l.address)
+		l.network.mu.Lock()
+		defer l.network.mu.Unlock()
+		if l.network.listeners[l.address] == l {
+			delete(l.network.listeners, l.address)
 		}
 	})
 	return nil
--- a/internal/fake/relay/relay.go
+++ b/internal/fake/relay/relay.go
@@ -10,36 +10,36 @@
 	"time"
 )
 
-// Way is a direction through the relay.
-type Way uint8
+// Direction is a direction through the relay.
+type Direction uint8
 
 // The two directions.
 const (
-	// Up is from whoever dialled to the target.
-	Up Way = iota
-	// Down is from the target back.
-	Down
+	// Upstream is from whoever dialled to the target.
+	Upstream Direction = iota
+	// Downstream is from the target back.
+	Downstream
 )
 
-// Fate is what becomes of bytes.
-type Fate uint8
+// Mode is what becomes of bytes.
+type Mode uint8
 
 // The fates.
 const (
 	// Pass carries bytes.
-	Pass Fate = iota
+	Pass Mode = iota
 	// Hold keeps bytes back until the fate is Pass again: an answer comes late.
 	Hold
-	// Lose drops bytes. A connection that lost some stays silent that way for
+	// Drop drops bytes. A connection that lost some stays silent that way for
 	// good, as one does whose packets are no longer forwarded.
-	Lose
+	Drop
 )
 
-// pieceSize is the most that is read at once in bytes.
-const pieceSize = 8 << 10
+// readBufferSize is the most that is read at once in bytes.
+const readBufferSize = 8 << 10
 
-// queueLength bounds the pieces on the way in each direction of a connection.
-const queueLength = 256
+// maxQueuedChunks bounds the pieces on the way in each direction of a connection.
+const maxQueuedChunks = 256
 
 // Relay carries connections from Listener to a target. Set the fields, then call Run.
 type Relay struct {
@@ -49,34 +49,34 @@
 	// Sleep waits for a delay; nil for a timer, which may be a millisecond late.
 	Sleep func(time.Duration)
 
-	mu    sync.Mutex
-	fates [2]Fate
-	delay [2]time.Duration
-	// changed is closed and replaced whenever a fate changes.
-	changed chan struct{}
-	refuse  bool
-	double  bool
-	pairs   map[*pair]struct{}
-	carried [2]int64
-	opened  int
-	done    chan struct{}
-	once    sync.Once
+	mu     sync.Mutex
+	modes  [2]Mode
+	delays [2]time.Duration
+	// modeChanged is closed and replaced whenever a fate changes.
+	modeChanged      chan struct{}
+	refuseNew        bool
+	duplicateNew     bool
+	connections      map[*connection]struct{}
+	forwardedBytes   [2]int64
+	totalConnections int
+	done             chan struct{}
+	initOnce         sync.Once
 }
 
-// pair is one connection through the relay.
-type pair struct {
-	relay      *Relay
-	near, far  net.Conn
-	shadow     net.Conn
-	forgotten  [2]bool
-	ended      chan struct{}
-	endingOnce sync.Once
+// connection is one connection through the relay.
+type connection struct {
+	relay          *Relay
+	client, target net.Conn
+	duplicate      net.Conn
+	blackholed     [2]bool
+	closed         chan struct{}
+	closeOnce      sync.Once
 }
 
 func (r *Relay) init() {
-	r.once.Do(func() {
-		r.changed = make(chan struct{})
-		r.pairs = make(map[*pair]struct{})
+	r.initOnce.Do(func() {
+		r.modeChanged = make(chan struct{})
+		r.connections = make(map[*connection]struct{})
 		r.done = make(chan struct{})
 	})
 }
@@ -92,235 +92,239 @@
 	defer wg.Wait()
 	stop := context.AfterFunc(ctx, func() {
 		_ = r.Listener.Close()
-		r.Cut()
+		r.CloseConnections()
 	})
 	defer stop()
-	defer r.Cut()
+	defer r.CloseConnections()
 	for {
-		near, err := r.Listener.Accept()
+		client, err := r.Listener.Accept()
 		if err != nil {
 			return err
 		}
-		wg.Go(func() { r.carry(ctx, near) })
+		wg.Go(func() { r.handleConnection(ctx, client) })
 	}
 }
 
-// Set gives all connections, open and new, a fate in one direction.
-func (r *Relay) Set(w Way, f Fate) {
+// SetMode gives all connections, open and new, a fate in one direction.
+func (r *Relay) SetMode(dir Direction, mode Mode) {
 	r.init()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fates[w] = f
-	r.wake()
+	r.modes[dir] = mode
+	r.notifyModeChange()
 }
 
-// Forget makes the open connections silent for good in the directions given; new ones work.
-func (r *Relay) Forget(ways ...Way) {
+// BlackholeOpen makes the open connections silent for good in the directions given; new ones work.
+func (r *Relay) BlackholeOpen(dirs ...Direction) {
 	r.init()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.pairs {
-		for _, w := range ways {
-			p.forgotten[w] = true
+	for c := range r.connections {
+		for _, dir := range dirs {
+			c.blackholed[dir] = true
 		}
 	}
-	r.wake()
+	r.notifyModeChange()
 }
 
-// Delay holds every byte for the time given in one direction.
-func (r *Relay) Delay(w Way, d time.Duration) {
+// SetDelay holds every byte for the time given in one direction.
+func (r *Relay) SetDelay(dir Direction, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.delay[w] = d
+	r.delays[dir] = d
 }
 
-// Refuse closes new connections at once, or no longer.
-func (r *Relay) Refuse(on bool) {
+// SetRefuse closes new connections at once, or no longer.
+func (r *Relay) SetRefuse(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.refuse = on
+	r.refuseNew = on
 }
 
-// Duplicate sends what goes up on new connections to the target a second time,
+// SetDuplicate sends what goes up on new connections to the target a second time,
 // over a connection whose answers nobody reads.
-func (r *Relay) Duplicate(on bool) {
+func (r *Relay) SetDuplicate(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.double = on
+	r.duplicateNew = on
 }
 
-// Cut closes the open connections.
-func (r *Relay) Cut() {
+// CloseConnections closes the open connections.
+func (r *Relay) CloseConnections() {
 	r.init()
 	r.mu.Lock()
-	var open []*pair
-	for p := range r.pairs {
-		open = append(open, p)
+	var open []*connection
+	for c := range r.connections {
+		open = append(open, c)
 	}
 	r.mu.Unlock()
-	for _, p := range open {
-		p.end()
+	for _, c := range open {
+		c.close()
 	}
 }
 
-// Carried returns the bytes passed on in one direction.
-func (r *Relay) Carried(w Way) int64 { r.mu.Lock(); defer r.mu.Unlock(); return r.carried[w] }
+// ForwardedBytes returns the bytes passed on in one direction.
+func (r *Relay) ForwardedBytes(dir Direction) int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.forwardedBytes[dir]
+}
 
-// Open returns the connections open now, Opened all that there ever were.
-func (r *Relay) Open() int { r.mu.Lock(); defer r.mu.Unlock(); return len(r.pairs) }
+// OpenConnections returns the connections open now, Opened all that there ever were.
+func (r *Relay) OpenConnections() int { r.mu.Lock(); defer r.mu.Unlock(); return len(r.connections) }
 
-// Opened returns the number of connections that there ever were.
-func (r *Relay) Opened() int { r.mu.Lock(); defer r.mu.Unlock(); return r.opened }
+// TotalConnections returns the number of connections that there ever were.
+func (r *Relay) TotalConnections() int { r.mu.Lock(); defer r.mu.Unlock(); return r.totalConnections }
 
-// wake lets held pieces look at their fate again. The caller holds mu.
-func (r *Relay) wake() {
-	close(r.changed)
-	r.changed = make(chan struct{})
+// notifyModeChange lets held pieces look at their fate again. The caller holds mu.
+func (r *Relay) notifyModeChange() {
+	close(r.modeChanged)
+	r.modeChanged = make(chan struct{})
 }
 
-func (r *Relay) carry(ctx context.Context, near net.Conn) {
+func (r *Relay) handleConnection(ctx context.Context, client net.Conn) {
 	r.mu.Lock()
-	refuse, double := r.refuse, r.double
+	refuse, duplicate := r.refuseNew, r.duplicateNew
 	r.mu.Unlock()
 	if refuse {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	far, err := r.Dial(ctx)
+	target, err := r.Dial(ctx)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	p := &pair{relay: r, near: near, far: far, ended: make(chan struct{})}
+	c := &connection{relay: r, client: client, target: target, closed: make(chan struct{})}
 	var wg sync.WaitGroup
-	if double {
-		if p.shadow, err = r.Dial(ctx); err == nil {
-			wg.Go(func() { discard(p.shadow) })
+	if duplicate {
+		if c.duplicate, err = r.Dial(ctx); err == nil {
+			wg.Go(func() { discard(c.duplicate) })
 		} else {
-			p.shadow = nil
+			c.duplicate = nil
 		}
 	}
 	r.mu.Lock()
-	r.pairs[p] = struct{}{}
-	r.opened++
+	r.connections[c] = struct{}{}
+	r.totalConnections++
 	r.mu.Unlock()
 	if ctx.Err() != nil {
-		p.end()
+		c.close()
 	}
-	wg.Go(func() { p.pump(Up, near, far) })
-	wg.Go(func() { p.pump(Down, far, near) })
+	wg.Go(func() { c.forward(Upstream, client, target) })
+	wg.Go(func() { c.forward(Downstream, target, client) })
 	wg.Wait()
 	r.mu.Lock()
-	delete(r.pairs, p)
+	delete(r.connections, c)
 	r.mu.Unlock()
 }
 
-func (p *pair) end() {
-	p.endingOnce.Do(func() {
-		close(p.ended)
-		_ = p.near.Close()
-		_ = p.far.Close()
-		if p.shadow != nil {
-			_ = p.shadow.Close()
+func (c *connection) close() {
+	c.closeOnce.Do(func() {
+		close(c.closed)
+		_ = c.client.Close()
+		_ = c.target.Close()
+		if c.duplicate != nil {
+			_ = c.duplicate.Close()
 		}
 	})
 }
 
-// piece is what was read at once, and when.
-type piece struct {
-	data []byte
-	at   time.Time
+// chunk is what was read at once, and when.
+type chunk struct {
+	data   []byte
+	readAt time.Time
 }
 
-// pump carries one direction; reading goes on while pieces wait to be written.
-func (p *pair) pump(w Way, from, to net.Conn) {
-	pieces := make(chan piece, queueLength)
+// forward carries one direction; reading goes on while pieces wait to be written.
+func (c *connection) forward(dir Direction, from, to net.Conn) {
+	chunks := make(chan chunk, maxQueuedChunks)
 	var wg sync.WaitGroup
-	wg.Go(func() { p.deliver(w, pieces, to) })
-	buf := make([]byte, pieceSize)
+	wg.Go(func() { c.writeChunks(dir, chunks, to) })
+	buf := make([]byte, readBufferSize)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
 			select {
-			case pieces <- piece{append([]byte(nil), buf[:n]...), time.Now()}:
-			case <-p.ended:
+			case chunks <- chunk{append([]byte(nil), buf[:n]...), time.Now()}:
+			case <-c.closed:
 			}
 		}
 		if err != nil {
 			break
 		}
 	}
-	close(pieces)
+	close(chunks)
 	wg.Wait()
 }
 
-// deliver writes the pieces as their fate allows, then ends the pair. A
+// writeChunks writes the pieces as their fate allows, then ends the pair. A
 // direction that lost bytes tells nobody of the end either.
-func (p *pair) deliver(w Way, pieces <-chan piece, to net.Conn) {
-	lost := false
-	for c := range pieces {
-		if lost || !p.release(w, c.at) {
-			lost = true
+func (conn *connection) writeChunks(dir Direction, chunks <-chan chunk, to net.Conn) {
+	dropped := false
+	for chunk := range chunks {
+		if dropped || !conn.awaitForward(dir, chunk.readAt) {
+			dropped = true
 			continue
 		}
-		if _, err := to.Write(c.data); err != nil {
+		if _, err := to.Write(chunk.data); err != nil {
 			break
 		}
-		if w == Up && p.shadow != nil {
-			_, _ = p.shadow.Write(c.data)
+		if dir == Upstream && conn.duplicate != nil {
+			_, _ = conn.duplicate.Write(chunk.data)
 		}
-		p.relay.mu.Lock()
-		p.relay.carried[w] += int64(len(c.data))
-		p.relay.mu.Unlock()
+		conn.relay.mu.Lock()
+		conn.relay.forwardedBytes[dir] += int64(len(chunk.data))
+		conn.relay.mu.Unlock()
 	}
-	if lost || !p.release(w, time.Now()) {
-		<-p.ended
+	if dropped || !conn.awaitForward(dir, time.Now()) {
+		<-conn.closed
 	}
-	p.end()
+	conn.close()
 }
 
-// release waits until a piece may go on and returns false when it is lost.
-func (p *pair) release(w Way, at time.Time) bool {
+// awaitForward waits until a piece may go on and returns false when it is lost.
+func (c *connection) awaitForward(dir Direction, readAt time.Time) bool {
 	for {
-		p.relay.mu.Lock()
-		fate, changed, delay := p.relay.fates[w], p.relay.changed, p.relay.delay[w]
-		if p.forgotten[w] {
-			fate = Lose
+		c.relay.mu.Lock()
+		mode, modeChanged, delay := c.relay.modes[dir], c.relay.modeChanged, c.relay.delays[dir]
+		if c.blackholed[dir] {
+			mode = Drop
 		}
-		p.relay.mu.Unlock()
-		switch fate {
-		case Lose:
+		c.relay.mu.Unlock()
+		switch mode {
+		case Drop:
 			return false
 		case Pass:
-			p.wait(time.Until(at.Add(delay)))
+			c.sleep(time.Until(readAt.Add(delay)))
 			return true
 		}
 		select {
-		case <-changed:
-		case <-p.ended:
+		case <-modeChanged:
+		case <-c.closed:
 			return false
 		}
 	}
 }
 
-func (p *pair) wait(d time.Duration) {
+func (c *connection) sleep(d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	if p.relay.Sleep != nil {
-		p.relay.Sleep(d)
+	if c.relay.Sleep != nil {
+		c.relay.Sleep(d)
 		return
 	}
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-p.ended:
+	case <-c.closed:
 	}
 }
 
 func discard(c net.Conn) {
-	buf := make([]byte, pieceSize)
+	buf := make([]byte, readBufferSize)
 	for {
 		if _, err := c.Read(buf); err != nil {
 			return
--- a/internal/fake/seed/seed.go
+++ b/internal/fake/seed/seed.go
@@ -9,11 +9,11 @@
 	_ "pgregory.net/rapid" // defines the flag before it is set here
 )
 
-// fixed is the seed of every run that names none.
-const fixed = "1"
+// defaultSeed is the seed of every run that names none.
+const defaultSeed = "1"
 
 func init() {
-	if err := flag.Set("rapid.seed", fixed); err != nil {
+	if err := flag.Set("rapid.seed", defaultSeed); err != nil {
 		panic(err)
 	}
 }
--- a/internal/fake/server/run.go
+++ b/internal/fake/server/run.go
@@ -20,43 +20,43 @@
 	Number uint32
 }
 
-func attemptOf(a *v1.Attempt) Attempt {
+func attemptFromMessage(a *v1.Attempt) Attempt {
 	return Attempt{Task{a.GetJob(), a.GetTask()}, a.GetNumber()}
 }
 
-func (a Attempt) message() *v1.Attempt {
+func (a Attempt) toMessage() *v1.Attempt {
 	return &v1.Attempt{Job: a.Job, Task: a.Index, Number: a.Number}
 }
 
 // run is one attempt on this server.
 type run struct {
-	attempt   Attempt
-	phase     v1.Phase
-	size      *v1.Size
-	began     time.Time
-	cancel    context.CancelFunc
-	exit      int32
-	chunks    []*v1.Chunk
-	next      int
-	throttled bool
-	progress  []byte
-}
-
-// state returns the Sync request with everything held. The caller holds mu.
-func (s *Server) state(number uint64) *v1.SyncRequest {
+	attempt    Attempt
+	phase      v1.Phase
+	size       *v1.Size
+	startedAt  time.Time
+	cancel     context.CancelFunc
+	exitCode   int32
+	chunks     []*v1.Chunk
+	nextChunk  int
+	throttled  bool
+	checkpoint []byte
+}
+
+// syncRequest returns the Sync request with everything held. The caller holds mu.
+func (s *Server) syncRequest(number uint64) *v1.SyncRequest {
 	req := &v1.SyncRequest{
 		Server: s.Name, Incarnation: s.incarnation, Number: number,
-		Patience: uint64(s.poll.Milliseconds()),
+		Patience: uint64(s.sessionPollWait.Milliseconds()),
 	}
-	room := windowBytes
+	byteBudget := maxChunkBytes
 	for _, r := range s.runs {
-		report := &v1.Report{Attempt: r.attempt.message(), Phase: r.phase, Used: r.size, Started: !r.began.IsZero()}
+		report := &v1.Report{Attempt: r.attempt.toMessage(), Phase: r.phase, Used: r.size, Started: !r.startedAt.IsZero()}
 		switch r.phase {
 		case v1.Phase_PHASE_ENDED:
-			report.Exit = r.exit
-			report.Chunks = r.window(&room)
+			report.Exit = r.exitCode
+			report.Chunks = r.nextChunks(&byteBudget)
 		case v1.Phase_PHASE_SAVED:
-			report.Checkpoint = r.progress
+			report.Checkpoint = r.checkpoint
 		}
 		// More pieces are waiting: the cell should not hold this request.
 		if len(report.Chunks) < len(r.chunks) {
@@ -67,66 +67,66 @@
 	return req
 }
 
-// window returns the next pieces of the answer that fit into room. Pieces come
+// nextChunks returns the next pieces of the answer that fit into room. Pieces come
 // round again until the cell says that it has them all.
-func (r *run) window(room *int) []*v1.Chunk {
+func (r *run) nextChunks(byteBudget *int) []*v1.Chunk {
 	var out []*v1.Chunk
 	for range r.chunks {
-		c := r.chunks[r.next%len(r.chunks)]
-		if len(c.GetData()) > *room {
+		c := r.chunks[r.nextChunk%len(r.chunks)]
+		if len(c.GetData()) > *byteBudget {
 			break
 		}
-		*room -= len(c.GetData())
+		*byteBudget -= len(c.GetData())
 		out = append(out, c)
-		r.next++
+		r.nextChunk++
 	}
 	return out
 }
 
-// obey takes the lease and the orders of an answer.
-func (s *Server) obey(reply *v1.SyncReply, sent time.Time) {
+// applyReply takes the lease and the orders of an answer.
+func (s *Server) applyReply(reply *v1.SyncReply, sentAt time.Time) {
 	s.lock()
 	defer s.mu.Unlock()
 	// An answer to an older request may carry orders that were taken back since.
-	if reply.GetNumber() != s.number {
+	if reply.GetNumber() != s.syncNumber {
 		return
 	}
 	// A pause may have outlasted the lease: what ran under it stops before the new one counts.
-	s.checkLease()
+	s.stopIfLeaseExpired()
 	if reply.GetLease() > 0 {
-		s.renew(sent.Add(time.Duration(reply.GetLease()) * time.Millisecond))
+		s.renewLease(sentAt.Add(time.Duration(reply.GetLease()) * time.Millisecond))
 	}
 	for _, o := range reply.GetOrders() {
-		s.order(o)
+		s.applyOrder(o)
 	}
 }
 
-// renew moves the lease's end and the watchdog. The caller holds mu.
-func (s *Server) renew(end time.Time) {
+// renewLease moves the lease's end and the watchdog. The caller holds mu.
+func (s *Server) renewLease(end time.Time) {
 	if !end.After(*s.leaseEnd.Load()) {
 		return
 	}
 	s.leaseEnd.Store(&end)
-	if s.watchdog == nil {
-		s.watchdog = time.AfterFunc(time.Until(end), s.expire)
+	if s.leaseTimer == nil {
+		s.leaseTimer = time.AfterFunc(time.Until(end), s.onLeaseTimer)
 		return
 	}
-	s.watchdog.Reset(time.Until(end))
+	s.leaseTimer.Reset(time.Until(end))
 }
 
-// expire is the watchdog: at the lease's end everything stops, whether or not the cell can be reached.
-func (s *Server) expire() {
+// onLeaseTimer is the watchdog: at the lease's end everything stops, whether or not the cell can be reached.
+func (s *Server) onLeaseTimer() {
 	s.lock()
 	defer s.mu.Unlock()
-	s.checkLease()
+	s.stopIfLeaseExpired()
 }
 
-// leased tells whether the lease still runs.
-func (s *Server) leased() bool { return time.Now().Before(*s.leaseEnd.Load()) }
+// leaseValid tells whether the lease still runs.
+func (s *Server) leaseValid() bool { return time.Now().Before(*s.leaseEnd.Load()) }
 
-// checkLease stops everything when the lease is over. The caller holds mu.
-func (s *Server) checkLease() {
-	if !s.leased() {
+// stopIfLeaseExpired stops everything when the lease is over. The caller holds mu.
+func (s *Server) stopIfLeaseExpired() {
+	if !s.leaseValid() {
 		s.stopAll()
 	}
 }
@@ -145,13 +145,13 @@
 	}
 	r.cancel()
 	r.phase = phase
-	s.Record.stopped(s, r.attempt)
-	s.tell()
+	s.Recorder.recordStop(s, r.attempt)
+	s.triggerSync()
 }
 
-// order obeys one order. The caller holds mu.
-func (s *Server) order(o *v1.Order) {
-	a := attemptOf(o.GetAttempt())
+// applyOrder obeys one order. The caller holds mu.
+func (s *Server) applyOrder(o *v1.Order) {
+	a := attemptFromMessage(o.GetAttempt())
 	r := s.runs[a]
 	switch o.GetVerb() {
 	case v1.Verb_VERB_START:
@@ -162,12 +162,12 @@
 			return
 		}
 		// Stopped before it came: the start must not follow.
-		s.seen[a] = struct{}{}
+		s.seenAttempts[a] = struct{}{}
 		s.runs[a] = &run{attempt: a, phase: v1.Phase_PHASE_STOPPED}
-		s.tell()
+		s.triggerSync()
 	case v1.Verb_VERB_CHECKPOINT:
 		if r != nil {
-			r.progress = saveProgress(r.progress, time.Since(r.began))
+			r.checkpoint = addRunTime(r.checkpoint, time.Since(r.startedAt))
 			s.stop(r, v1.Phase_PHASE_SAVED)
 		}
 	case v1.Verb_VERB_THROTTLE:
@@ -183,18 +183,18 @@
 
 // start begins an attempt, once ever and only under a lease. The caller holds mu.
 func (s *Server) start(a Attempt, o *v1.Order) {
-	if _, ok := s.seen[a]; ok {
+	if _, ok := s.seenAttempts[a]; ok {
 		return
 	}
-	if !s.leased() {
+	if !s.leaseValid() {
 		return
 	}
-	s.seen[a] = struct{}{}
+	s.seenAttempts[a] = struct{}{}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &run{attempt: a, phase: v1.Phase_PHASE_RUNNING, size: o.GetSize(), began: time.Now(), cancel: cancel, progress: o.GetCheckpoint()}
+	r := &run{attempt: a, phase: v1.Phase_PHASE_RUNNING, size: o.GetSize(), startedAt: time.Now(), cancel: cancel, checkpoint: o.GetCheckpoint()}
 	s.runs[a] = r
-	s.Record.started(s, a)
-	s.tell()
+	s.Recorder.recordStart(s, a)
+	s.triggerSync()
 	go func() {
 		defer cancel()
 		result := s.Work(ctx, o)
@@ -207,15 +207,15 @@
 	s.lock()
 	defer s.mu.Unlock()
 	// The watchdog may have been late, after a pause: an end past the lease does not count.
-	s.checkLease()
+	s.stopIfLeaseExpired()
 	if r.phase != v1.Phase_PHASE_RUNNING {
 		return
 	}
 	if result.Crash {
-		s.drop()
+		s.resetSession()
 		return
 	}
 	s.stop(r, v1.Phase_PHASE_ENDED)
-	r.exit = result.Exit
+	r.exitCode = result.ExitCode
 	r.chunks = answer.Split(result.Answer)
 }
--- a/internal/fake/server/server.go
+++ b/internal/fake/server/server.go
@@ -21,16 +21,16 @@
 
 // Defaults of the fields that are left zero.
 const (
-	// DefaultPatience is the wait asked of the cell in one Sync.
-	DefaultPatience = 2 * time.Second
+	// DefaultLongPollWait is the wait asked of the cell in one Sync.
+	DefaultLongPollWait = 2 * time.Second
 	// DefaultTimeout is what a call may take beyond its patience.
 	DefaultTimeout = time.Second
-	// DefaultGather is how long news is gathered before it is reported.
-	DefaultGather = time.Millisecond
+	// DefaultReportDelay is how long news is gathered before it is reported.
+	DefaultReportDelay = time.Millisecond
 	// pollsPerLease is how many polls fit into a lease.
 	pollsPerLease = 3
-	// windowBytes bounds the pieces sent in one Sync.
-	windowBytes = 1 << 20
+	// maxChunkBytes bounds the pieces sent in one Sync.
+	maxChunkBytes = 1 << 20
 )
 
 // Server is one fake backend server. Set the fields, then call Run.
@@ -47,33 +47,33 @@
 	Labels map[string]string
 	// Work runs a task; nil for Obey.
 	Work Work
-	// Record is told of every start and stop; nil for none.
-	Record *Record
-	Log    logr.Logger
+	// Recorder is told of every start and stop; nil for none.
+	Recorder *Recorder
+	Log      logr.Logger
 
-	Patience time.Duration
-	Timeout  time.Duration
-	Gather   time.Duration
+	LongPollWait time.Duration
+	Timeout      time.Duration
+	ReportDelay  time.Duration
 
-	prepare sync.Once
-	done    chan struct{}
+	initOnce sync.Once
+	done     chan struct{}
 
 	mu          sync.Mutex
 	resumed     sync.Cond
 	leaving     bool
 	nonce       uint64
 	incarnation uint64
-	number      uint64
-	// poll is the patience of a Sync in this session.
-	poll     time.Duration
-	watchdog *time.Timer
-	runs     map[Attempt]*run
-	seen     map[Attempt]struct{}
-	// news is true when something is to be reported at once.
-	news bool
-	// abandon ends the Sync under way; nil when none is.
-	abandon context.CancelFunc
-	entry   int
+	syncNumber  uint64
+	// sessionPollWait is the patience of a Sync in this session.
+	sessionPollWait time.Duration
+	leaseTimer      *time.Timer
+	runs            map[Attempt]*run
+	seenAttempts    map[Attempt]struct{}
+	// reportPending is true when something is to be reported at once.
+	reportPending bool
+	// cancelSync ends the Sync under way; nil when none is.
+	cancelSync context.CancelFunc
+	entryIndex int
 
 	// paused and leaseEnd change under mu; the record reads them without it.
 	paused atomic.Bool
@@ -82,23 +82,23 @@
 }
 
 func (s *Server) init() {
-	s.prepare.Do(func() {
-		setDefault(&s.Patience, DefaultPatience)
+	s.initOnce.Do(func() {
+		setDefault(&s.LongPollWait, DefaultLongPollWait)
 		setDefault(&s.Timeout, DefaultTimeout)
-		setDefault(&s.Gather, DefaultGather)
+		setDefault(&s.ReportDelay, DefaultReportDelay)
 		setDefault(&s.Rack, "rack-1")
 		setDefault(&s.Zone, "zone-1")
 		if s.Capacity == nil {
 			s.Capacity = &v1.Size{Cpu: 16_000, Memory: 32 << 10, Slots: 8}
 		}
 		if s.Work == nil {
-			s.Work = Obey
+			s.Work = RunScript
 		}
 		s.resumed.L = &s.mu
 		s.leaseEnd.Store(&time.Time{})
 		s.runs = make(map[Attempt]*run)
-		s.seen = make(map[Attempt]struct{})
-		s.entry = int(xxhash.Sum64String(s.Name) % uint64(max(1, len(s.Entries))))
+		s.seenAttempts = make(map[Attempt]struct{})
+		s.entryIndex = int(xxhash.Sum64String(s.Name) % uint64(max(1, len(s.Entries))))
 		s.done = make(chan struct{})
 	})
 }
@@ -135,7 +135,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.paused.Store(false)
-	s.checkLease()
+	s.stopIfLeaseExpired()
 	s.resumed.Broadcast()
 }
 
@@ -145,7 +145,7 @@
 	s.lock()
 	defer s.mu.Unlock()
 	s.leaving = true
-	s.tell()
+	s.triggerSync()
 }
 
 // Running returns the number of tasks that run now.
@@ -167,57 +167,57 @@
 func (s *Server) Run(ctx context.Context) error {
 	s.init()
 	defer close(s.done)
-	defer s.kill()
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = 20 * time.Millisecond
-	pause.MaxInterval = 500 * time.Millisecond
-	told := false
+	defer s.terminate()
+	retryBackoff := backoff.NewExponentialBackOff()
+	retryBackoff.InitialInterval = 20 * time.Millisecond
+	retryBackoff.MaxInterval = 500 * time.Millisecond
+	leaveAcknowledged := false
 	for ctx.Err() == nil {
 		var err error
 		switch {
-		case s.session() == 0:
+		case s.currentIncarnation() == 0:
 			err = s.announce(ctx)
-		case s.isLeaving() && !told:
-			err = s.sayLeave(ctx)
-			told = err == nil
+		case s.isLeaving() && !leaveAcknowledged:
+			err = s.callLeave(ctx)
+			leaveAcknowledged = err == nil
 		case s.isLeaving() && s.idle():
 			return nil
 		default:
 			err = s.sync(ctx)
 		}
 		if err == nil {
-			pause.Reset()
+			retryBackoff.Reset()
 			continue
 		}
 		s.Log.V(1).Info("call failed", "server", s.Name, "error", err.Error())
-		s.turn()
-		sleep(ctx, pause.NextBackOff())
+		s.switchEntry()
+		sleep(ctx, retryBackoff.NextBackOff())
 	}
 	return ctx.Err()
 }
 
-func (s *Server) session() uint64 { s.lock(); defer s.mu.Unlock(); return s.incarnation }
+func (s *Server) currentIncarnation() uint64 { s.lock(); defer s.mu.Unlock(); return s.incarnation }
 
 func (s *Server) isLeaving() bool { s.lock(); defer s.mu.Unlock(); return s.leaving }
 
-func (s *Server) patience() time.Duration { s.lock(); defer s.mu.Unlock(); return s.poll }
+func (s *Server) pollWait() time.Duration { s.lock(); defer s.mu.Unlock(); return s.sessionPollWait }
 
 func (s *Server) idle() bool { s.lock(); defer s.mu.Unlock(); return len(s.runs) == 0 }
 
-// turn moves on to the next entry, leaving the connections to this one behind.
-func (s *Server) turn() {
+// switchEntry moves on to the next entry, leaving the connections to this one behind.
+func (s *Server) switchEntry() {
 	s.lock()
 	defer s.mu.Unlock()
-	if reset := s.Entries[s.entry].Reset; reset != nil {
+	if reset := s.Entries[s.entryIndex].CloseIdle; reset != nil {
 		reset()
 	}
-	s.entry = (s.entry + 1) % len(s.Entries)
+	s.entryIndex = (s.entryIndex + 1) % len(s.Entries)
 }
 
 func (s *Server) client() v1.BackendClient {
 	s.lock()
 	defer s.mu.Unlock()
-	return s.Entries[s.entry].Client
+	return s.Entries[s.entryIndex].Client
 }
 
 // announce opens a session. The nonce stays the same until an answer comes, so
@@ -242,33 +242,33 @@
 	}
 	s.lock()
 	defer s.mu.Unlock()
-	s.incarnation, s.number = reply.Msg.GetIncarnation(), 0
+	s.incarnation, s.syncNumber = reply.Msg.GetIncarnation(), 0
 	// A lease counts from the send, so it has run for a whole poll when it comes
 	// and must last through the next one: a poll may take a third of it at most.
 	lease := time.Duration(reply.Msg.GetLease()) * time.Millisecond
-	s.poll = min(s.Patience, lease/pollsPerLease)
+	s.sessionPollWait = min(s.LongPollWait, lease/pollsPerLease)
 	return nil
 }
 
-func (s *Server) sayLeave(ctx context.Context) error {
+func (s *Server) callLeave(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
-	reply, err := s.client().Leave(ctx, request(s.Secret, &v1.LeaveRequest{Server: s.Name, Incarnation: s.session()}))
+	reply, err := s.client().Leave(ctx, request(s.Secret, &v1.LeaveRequest{Server: s.Name, Incarnation: s.currentIncarnation()}))
 	if err != nil {
 		return err
 	}
-	return s.judge(reply.Msg.GetStatus())
+	return s.checkStatus(reply.Msg.GetStatus())
 }
 
-// judge turns a status into an error, and gives the session up when the cell no longer knows it.
-func (s *Server) judge(status *v1.Status) error {
+// checkStatus turns a status into an error, and gives the session up when the cell no longer knows it.
+func (s *Server) checkStatus(status *v1.Status) error {
 	c := code.Code(status.GetCode())
 	if c == code.OK {
 		return nil
 	}
 	if c == code.SessionReplaced || c == code.NotFound {
 		s.lock()
-		s.drop()
+		s.resetSession()
 		s.mu.Unlock()
 	}
 	return code.New(c, "%s", status.GetText())
@@ -276,65 +276,65 @@
 
 // sync makes one Sync call and obeys its answer.
 func (s *Server) sync(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, s.patience()+s.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, s.pollWait()+s.Timeout)
 	defer cancel()
 	s.lock()
-	s.checkLease()
-	s.number++
-	number := s.number
-	req := s.state(number)
-	s.news, s.abandon = false, cancel
+	s.stopIfLeaseExpired()
+	s.syncNumber++
+	number := s.syncNumber
+	req := s.syncRequest(number)
+	s.reportPending, s.cancelSync = false, cancel
 	s.mu.Unlock()
 
 	// The lease counts from here: the leader can only have received it later.
-	sent := time.Now()
+	sentAt := time.Now()
 	reply, err := s.client().Sync(ctx, request(s.Secret, req))
 
 	s.lock()
-	s.abandon = nil
-	abandoned := s.news
+	s.cancelSync = nil
+	canceled := s.reportPending
 	s.mu.Unlock()
-	if err != nil && abandoned {
-		sleep(context.Background(), s.Gather)
+	if err != nil && canceled {
+		sleep(context.Background(), s.ReportDelay)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	if err := s.judge(reply.Msg.GetStatus()); err != nil {
+	if err := s.checkStatus(reply.Msg.GetStatus()); err != nil {
 		return err
 	}
-	s.obey(reply.Msg, sent)
+	s.applyReply(reply.Msg, sentAt)
 	if reply.Msg.GetElsewhere() {
-		s.turn()
+		s.switchEntry()
 	}
 	return nil
 }
 
-// tell makes the Sync under way give way to one that carries the news. The
+// triggerSync makes the Sync under way give way to one that carries the news. The
 // caller holds mu.
-func (s *Server) tell() {
-	s.news = true
-	if s.abandon != nil {
-		s.abandon()
+func (s *Server) triggerSync() {
+	s.reportPending = true
+	if s.cancelSync != nil {
+		s.cancelSync()
 	}
 }
 
-// kill ends everything at once, as the death of the process would.
-func (s *Server) kill() {
+// terminate ends everything at once, as the death of the process would.
+func (s *Server) terminate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.paused.Store(false)
 	s.resumed.Broadcast()
-	if s.watchdog != nil {
-		s.watchdog.Stop()
+	if s.leaseTimer != nil {
+		s.leaseTimer.Stop()
 	}
-	s.drop()
+	s.resetSession()
 }
 
-// drop stops all tasks and forgets the session; what was seen stays known. The
+// resetSession stops all tasks and forgets the session; what was seen stays known. The
 // caller holds mu.
-func (s *Server) drop() {
+func (s *Server) resetSession() {
 	s.stopAll()
 	s.runs = make(map[Attempt]*run)
 	s.incarnation, s.nonce = 0, 0
--- a/internal/fake/server/work.go
+++ b/internal/fake/server/work.go
@@ -11,9 +11,9 @@
 
 // Result is how a task ended.
 type Result struct {
-	// Exit is 0 for success.
-	Exit   int32
-	Answer []byte
+	// ExitCode is 0 for success.
+	ExitCode int32
+	Answer   []byte
 	// Crash makes the whole server die and come back as a fresh incarnation.
 	Crash bool
 }
@@ -21,43 +21,43 @@
 // Work runs a task until it ends or ctx does.
 type Work func(ctx context.Context, o *v1.Order) Result
 
-// Wish is an input that Obey understands, as a JSON object.
-type Wish struct {
+// TaskScript is an input that Obey understands, as a JSON object.
+type TaskScript struct {
 	// Sleep is the run time, as time.ParseDuration reads it.
 	Sleep string `json:"sleep,omitempty"`
-	// Fail is the exit to end with.
-	Fail int32 `json:"fail,omitempty"`
-	// Size is the length of the answer in bytes; 0 echoes the input.
-	Size int `json:"size,omitempty"`
+	// ExitCode is the exit to end with.
+	ExitCode int32 `json:"fail,omitempty"`
+	// AnswerSize is the length of the answer in bytes; 0 echoes the input.
+	AnswerSize int `json:"size,omitempty"`
 	// Crash makes the server die at the end of the run time.
 	Crash bool `json:"crash,omitempty"`
 }
 
 // Input returns the wish as a job's input.
-func (w Wish) Input() []byte {
-	b, _ := json.Marshal(w) // cannot fail: plain fields only
+func (s TaskScript) Input() []byte {
+	b, _ := json.Marshal(s) // cannot fail: plain fields only
 	return b
 }
 
-// Obey does what a Wish says and echoes any other input at once.
-func Obey(ctx context.Context, o *v1.Order) Result {
-	var w Wish
-	if json.Unmarshal(o.GetInput(), &w) != nil {
+// RunScript does what a Wish says and echoes any other input at once.
+func RunScript(ctx context.Context, o *v1.Order) Result {
+	var script TaskScript
+	if json.Unmarshal(o.GetInput(), &script) != nil {
 		return Result{Answer: o.GetInput()}
 	}
-	d, _ := time.ParseDuration(w.Sleep)
-	if d -= loadProgress(o.GetCheckpoint()); d > 0 {
+	d, _ := time.ParseDuration(script.Sleep)
+	if d -= parseRunTime(o.GetCheckpoint()); d > 0 {
 		sleep(ctx, d)
 	}
 	answer := o.GetInput()
-	if w.Size > 0 {
-		answer = Pattern(w.Size)
+	if script.AnswerSize > 0 {
+		answer = Pattern(script.AnswerSize)
 	}
-	return Result{Exit: w.Fail, Answer: answer, Crash: w.Crash}
+	return Result{ExitCode: script.ExitCode, Answer: answer, Crash: script.Crash}
 }
 
-// Timed returns work that takes the time given and then echoes its input.
-func Timed(d time.Duration) Work {
+// SleepAndEcho returns work that takes the time given and then echoes its input.
+func SleepAndEcho(d time.Duration) Work {
 	return func(ctx context.Context, o *v1.Order) Result {
 		sleep(ctx, d)
 		return Result{Answer: o.GetInput()}
@@ -74,12 +74,12 @@
 	return b[:n]
 }
 
-// saveProgress returns a checkpoint: the milliseconds run so far.
-func saveProgress(earlier []byte, d time.Duration) []byte {
-	return strconv.AppendInt(nil, (loadProgress(earlier) + d).Milliseconds(), 10)
+// addRunTime returns a checkpoint: the milliseconds run so far.
+func addRunTime(earlier []byte, d time.Duration) []byte {
+	return strconv.AppendInt(nil, (parseRunTime(earlier) + d).Milliseconds(), 10)
 }
 
-func loadProgress(checkpoint []byte) time.Duration {
+func parseRunTime(checkpoint []byte) time.Duration {
 	n, _ := strconv.ParseInt(string(checkpoint), 10, 64)
 	return time.Duration(n) * time.Millisecond
 }
--- a/internal/fake/worker/worker.go
+++ b/internal/fake/worker/worker.go
@@ -19,82 +19,82 @@
 	// Verdict is the answer in place of the worker's, which sees nothing of the
 	// call; zero for none.
 	Verdict inner.Verdict
-	// Lost loses the answer of a call that is carried out.
-	Lost bool
-	// Late carries the call out so much later, and answers nothing.
-	Late time.Duration
+	// LoseReply loses the answer of a call that is carried out.
+	LoseReply bool
+	// Delay carries the call out so much later, and answers nothing.
+	Delay time.Duration
 }
 
-// End is one run that a worker saw ending.
-type End struct {
+// RunEnding is one run that a worker saw ending.
+type RunEnding struct {
 	flow.RunID
 	Worker string
-	How    inner.RunEnd
+	Reason inner.RunEnd
 }
 
 // Worker is one life of a backend server. The exported fields are set before use.
 type Worker struct {
-	ID   string
-	Born int64
-	// Rate is the speed of its clock beside the true one; 0 for 1.
-	Rate float64
-	// HoldMax is the longest lease, StopTime how long a stop takes.
-	HoldMax  time.Duration
-	StopTime time.Duration
+	ID          string
+	Incarnation int64
+	// ClockRate is the speed of its clock beside the true one; 0 for 1.
+	ClockRate float64
+	// MaxLease is the longest lease, StopTime how long a stop takes.
+	MaxLease     time.Duration
+	StopDuration time.Duration
 	// Work returns how long a run takes and how it ends; one whose end is
 	// unspecified lasts, and is at work from its start.
 	Work func(r flow.RunID) (time.Duration, inner.RunEnd)
 	// Fault returns what goes wrong with a call; nil for nothing. It must not
 	// call the worker.
 	Fault func(c *inner.ServerCall) Fault
-	// Permit tells whether a permit is good; nil for every one.
-	Permit func(r flow.RunID, ticket string) bool
-	// Load returns what a run shows of its use; nil for nothing. It is given the
+	// PermitValid tells whether a permit is good; nil for every one.
+	PermitValid func(r flow.RunID, ticket string) bool
+	// ReportedLoad returns what a run shows of its use; nil for nothing. It is given the
 	// pace of all runs.
-	Load func(r flow.RunID, paces map[flow.TaskID]uint32) float64
-	// Started is told of each run that begins.
-	Started func(r flow.RunID)
+	ReportedLoad func(r flow.RunID, paces map[flow.TaskID]uint32) float64
+	// OnStart is told of each run that begins.
+	OnStart func(r flow.RunID)
 
-	once    sync.Once
-	mu      sync.Mutex
-	begin   time.Time
-	gone    bool
-	fence   uint64
-	until   int64
-	runs    map[flow.TaskID]*run
-	highest map[flow.TaskID]uint32
-	paces   map[flow.TaskID]uint32
-	ended   []*inner.EndedRun
-	number  uint64
+	initOnce      sync.Once
+	mu            sync.Mutex
+	createdAt     time.Time
+	crashed       bool
+	fence         uint64
+	leaseUntil    int64
+	runs          map[flow.TaskID]*run
+	highestRun    map[flow.TaskID]uint32
+	pacePercent   map[flow.TaskID]uint32
+	endedRuns     []*inner.EndedRun
+	lastEndNumber uint64
 }
 
 type run struct {
 	flow.RunID
-	begun    time.Time
-	takes    time.Duration
-	how      inner.RunEnd
-	stopping time.Time
-	saved    string
+	startedAt  time.Time
+	duration   time.Duration
+	endReason  inner.RunEnd
+	stopAt     time.Time
+	checkpoint string
 }
 
 func (w *Worker) init() {
-	w.once.Do(func() {
-		w.begin = time.Now()
-		w.runs, w.highest = map[flow.TaskID]*run{}, map[flow.TaskID]uint32{}
-		w.paces = map[flow.TaskID]uint32{}
-		if w.Rate == 0 {
-			w.Rate = 1
+	w.initOnce.Do(func() {
+		w.createdAt = time.Now()
+		w.runs, w.highestRun = map[flow.TaskID]*run{}, map[flow.TaskID]uint32{}
+		w.pacePercent = map[flow.TaskID]uint32{}
+		if w.ClockRate == 0 {
+			w.ClockRate = 1
 		}
-		if w.HoldMax == 0 {
-			w.HoldMax = 6 * time.Second
+		if w.MaxLease == 0 {
+			w.MaxLease = 6 * time.Second
 		}
 	})
 }
 
 // clock is the worker's clock in milliseconds. It does not start at zero.
 func (w *Worker) clock() int64 {
-	const first = 1000
-	return first + int64(float64(time.Since(w.begin).Milliseconds())*w.Rate)
+	const initialClock = 1000
+	return initialClock + int64(float64(time.Since(w.createdAt).Milliseconds())*w.ClockRate)
 }
 
 // Crash ends the worker's process: everything that ran is gone.
@@ -102,12 +102,12 @@
 	w.init()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.gone = true
+	w.crashed = true
 	w.runs = map[flow.TaskID]*run{}
 }
 
-// Change changes the exported fields of a worker that takes calls.
-func (w *Worker) Change(fn func(w *Worker)) {
+// Update changes the exported fields of a worker that takes calls.
+func (w *Worker) Update(fn func(w *Worker)) {
 	w.init()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -119,7 +119,7 @@
 	w.init()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.advance()
+	w.endDueRuns()
 	var out []flow.RunID
 	for _, r := range w.runs {
 		out = append(out, r.RunID)
@@ -131,7 +131,7 @@
 func (w *Worker) Call(ctx context.Context, c *inner.ServerCall) *inner.ServerAnswer {
 	w.init()
 	w.mu.Lock()
-	gone := w.gone
+	crashed := w.crashed
 	var f Fault
 	if w.Fault != nil {
 		f = w.Fault(c)
@@ -140,34 +140,34 @@
 	switch {
 	case f.Verdict != 0:
 		return &inner.ServerAnswer{Verdict: f.Verdict}
-	case gone:
+	case crashed:
 		return &inner.ServerAnswer{Verdict: inner.Verdict_VERDICT_ABSENT}
-	case f.Late > 0:
-		time.AfterFunc(f.Late, func() { w.carryOut(c) })
+	case f.Delay > 0:
+		time.AfterFunc(f.Delay, func() { w.execute(c) })
 		<-ctx.Done()
 		return &inner.ServerAnswer{Verdict: inner.Verdict_VERDICT_SILENT}
 	}
-	a := w.carryOut(c)
+	a := w.execute(c)
 	if h := c.GetHold(); h != nil && len(a.Ended) == 0 && a.Verdict == inner.Verdict_VERDICT_DONE {
-		a = w.wait(ctx, c, time.Duration(h.GetWait())*time.Millisecond, a)
+		a = w.waitForEnd(ctx, c, time.Duration(h.GetWait())*time.Millisecond, a)
 	}
-	if f.Lost {
+	if f.LoseReply {
 		<-ctx.Done()
 		return &inner.ServerAnswer{Verdict: inner.Verdict_VERDICT_SILENT}
 	}
 	return a
 }
 
-// wait holds an answer back until something ends.
-func (w *Worker) wait(ctx context.Context, c *inner.ServerCall, patience time.Duration, a *inner.ServerAnswer) *inner.ServerAnswer {
-	const look = 5 * time.Millisecond
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+// waitForEnd holds an answer back until something ends.
+func (w *Worker) waitForEnd(ctx context.Context, c *inner.ServerCall, longPollWait time.Duration, a *inner.ServerAnswer) *inner.ServerAnswer {
+	const checkInterval = 5 * time.Millisecond
+	for deadline := time.Now().Add(longPollWait); time.Now().Before(deadline); {
 		select {
 		case <-ctx.Done():
 			return a
-		case <-time.After(look):
+		case <-time.After(checkInterval):
 		}
-		a = w.carryOut(c)
+		a = w.execute(c)
 		switch {
 		case a.Verdict == inner.Verdict_VERDICT_ABSENT:
 			// Its process died, and the connection broke.
@@ -179,13 +179,13 @@
 	return a
 }
 
-// carryOut does what a call says.
-func (w *Worker) carryOut(c *inner.ServerCall) *inner.ServerAnswer {
+// execute does what a call says.
+func (w *Worker) execute(c *inner.ServerCall) *inner.ServerAnswer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.advance()
-	a := &inner.ServerAnswer{Clock: w.clock(), Born: w.Born, Verdict: inner.Verdict_VERDICT_DONE}
-	if w.gone {
+	w.endDueRuns()
+	a := &inner.ServerAnswer{Clock: w.clock(), Born: w.Incarnation, Verdict: inner.Verdict_VERDICT_DONE}
+	if w.crashed {
 		a.Verdict = inner.Verdict_VERDICT_ABSENT
 		return a
 	}
@@ -194,16 +194,16 @@
 		return a
 	}
 	w.fence = c.GetFence()
-	w.until = max(w.until, min(c.GetUntil(), w.clock()+int64(float64(w.HoldMax.Milliseconds())*w.Rate)))
+	w.leaseUntil = max(w.leaseUntil, min(c.GetUntil(), w.clock()+int64(float64(w.MaxLease.Milliseconds())*w.ClockRate)))
 	switch what := c.GetWhat().(type) {
 	case *inner.ServerCall_Start:
 		a.Verdict = w.start(c, what.Start)
 	case *inner.ServerCall_Stop:
 		w.stop(flow.RunOf(what.Stop.GetRun()))
 	case *inner.ServerCall_Pace:
-		w.paces[flow.RunOf(what.Pace.GetRun()).TaskID] = what.Pace.GetPercent()
+		w.pacePercent[flow.RunOf(what.Pace.GetRun()).TaskID] = what.Pace.GetPercent()
 	case *inner.ServerCall_Hold:
-		w.hold(a, what.Hold.GetAck())
+		w.listRuns(a, what.Hold.GetAck())
 	}
 	return a
 }
@@ -214,48 +214,48 @@
 		return inner.Verdict_VERDICT_DONE
 	}
 	switch {
-	case id.Number <= w.highest[id.TaskID]:
+	case id.Number <= w.highestRun[id.TaskID]:
 		return inner.Verdict_VERDICT_OLD
 	case c.GetUntil() <= w.clock():
 		return inner.Verdict_VERDICT_LATE
-	case w.Permit != nil && !w.Permit(id, s.GetPermit()):
+	case w.PermitValid != nil && !w.PermitValid(id, s.GetPermit()):
 		return inner.Verdict_VERDICT_PERMIT
 	}
-	takes, how := w.Work(id)
-	w.runs[id.TaskID] = &run{RunID: id, begun: time.Now(), takes: takes, how: how, saved: s.GetCheckpoint()}
-	if w.Started != nil {
-		w.Started(id)
+	duration, reason := w.Work(id)
+	w.runs[id.TaskID] = &run{RunID: id, startedAt: time.Now(), duration: duration, endReason: reason, checkpoint: s.GetCheckpoint()}
+	if w.OnStart != nil {
+		w.OnStart(id)
 	}
 	return inner.Verdict_VERDICT_DONE
 }
 
 // stop begins to stop a run; one that is not there is refused from now on.
 func (w *Worker) stop(id flow.RunID) {
-	w.highest[id.TaskID] = max(w.highest[id.TaskID], id.Number)
-	if r := w.runs[id.TaskID]; r != nil && r.Number == id.Number && r.stopping.IsZero() {
-		r.stopping = time.Now().Add(w.StopTime)
+	w.highestRun[id.TaskID] = max(w.highestRun[id.TaskID], id.Number)
+	if r := w.runs[id.TaskID]; r != nil && r.Number == id.Number && r.stopAt.IsZero() {
+		r.stopAt = time.Now().Add(w.StopDuration)
 	}
-	w.advance()
+	w.endDueRuns()
 }
 
-func (w *Worker) hold(a *inner.ServerAnswer, ack uint64) {
-	w.ended = slices.DeleteFunc(w.ended, func(e *inner.EndedRun) bool { return e.GetNumber() <= ack })
-	a.Ended = slices.Clone(w.ended)
+func (w *Worker) listRuns(a *inner.ServerAnswer, ack uint64) {
+	w.endedRuns = slices.DeleteFunc(w.endedRuns, func(e *inner.EndedRun) bool { return e.GetNumber() <= ack })
+	a.Ended = slices.Clone(w.endedRuns)
 	for _, r := range w.runs {
-		percent := 100 * float64(time.Since(r.begun)) / float64(max(r.takes, 1))
-		if r.how == inner.RunEnd_RUN_END_UNSPECIFIED {
+		percent := 100 * float64(time.Since(r.startedAt)) / float64(max(r.duration, 1))
+		if r.endReason == inner.RunEnd_RUN_END_UNSPECIFIED {
 			percent = 100
 		}
-		one := &inner.RunningRun{Run: r.Message(), Checkpoint: r.saved, Percent: min(percent, 100)}
-		if w.Load != nil {
-			one.Load = w.Load(r.RunID, w.paces)
+		running := &inner.RunningRun{Run: r.Message(), Checkpoint: r.checkpoint, Percent: min(percent, 100)}
+		if w.ReportedLoad != nil {
+			running.Load = w.ReportedLoad(r.RunID, w.pacePercent)
 		}
-		a.Running = append(a.Running, one)
+		a.Running = append(a.Running, running)
 	}
 }
 
-// advance ends what has ended by now, in the order of the names.
-func (w *Worker) advance() {
+// endDueRuns ends what has ended by now, in the order of the names.
+func (w *Worker) endDueRuns() {
 	now := time.Now()
 	runs := make([]*run, 0, len(w.runs))
 	for _, r := range w.runs {
@@ -264,19 +264,19 @@
 	slices.SortFunc(runs, func(a, b *run) int { return cmp.Compare(a.String(), b.String()) })
 	for _, r := range runs {
 		switch {
-		case w.until > 0 && w.clock() >= w.until:
-			w.end(r, inner.RunEnd_RUN_END_LAPSED)
-		case !r.stopping.IsZero() && !now.Before(r.stopping):
-			w.end(r, inner.RunEnd_RUN_END_STOPPED)
-		case r.how != inner.RunEnd_RUN_END_UNSPECIFIED && now.Sub(r.begun) >= r.takes:
-			w.end(r, r.how)
+		case w.leaseUntil > 0 && w.clock() >= w.leaseUntil:
+			w.endRun(r, inner.RunEnd_RUN_END_LAPSED)
+		case !r.stopAt.IsZero() && !now.Before(r.stopAt):
+			w.endRun(r, inner.RunEnd_RUN_END_STOPPED)
+		case r.endReason != inner.RunEnd_RUN_END_UNSPECIFIED && now.Sub(r.startedAt) >= r.duration:
+			w.endRun(r, r.endReason)
 		}
 	}
 }
 
-func (w *Worker) end(r *run, how inner.RunEnd) {
+func (w *Worker) endRun(r *run, reason inner.RunEnd) {
 	delete(w.runs, r.TaskID)
-	w.highest[r.TaskID] = max(w.highest[r.TaskID], r.Number)
-	w.number++
-	w.ended = append(w.ended, &inner.EndedRun{Number: w.number, Run: r.Message(), How: how, Checkpoint: r.saved})
+	w.highestRun[r.TaskID] = max(w.highestRun[r.TaskID], r.Number)
+	w.lastEndNumber++
+	w.endedRuns = append(w.endedRuns, &inner.EndedRun{Number: w.lastEndNumber, Run: r.Message(), How: reason, Checkpoint: r.checkpoint})
 }
--- a/internal/load/measure/flow.go
+++ b/internal/load/measure/flow.go
@@ -97,7 +97,7 @@
 	beside.Wait()
 	sum := report.Sum(report.Measured{}, began, seen, fleet.Record)
 	row.Promises, row.Counts, row.Refusals = sum.Promises, sum.Counts, sum.Refusals
-	row.Promises.Faults = append(row.Promises.Faults, fleet.Seen.Faults()...)
+	row.Promises.Faults = append(row.Promises.Faults, fleet.Seen.Violations()...)
 	row.Start, row.Lag = sum.Kinds[f.kind.String()].Start, sum.Kinds[f.kind.String()].Lag
 	path := clientCrossings*delays[b.Place][1] + zoneCrossings*delays[b.Place][0]
 	row.Network = ms(path)
--- a/internal/load/rig/delay.go
+++ b/internal/load/rig/delay.go
@@ -32,8 +32,8 @@
 	between := &relay.Relay{Listener: front, Sleep: nap, Dial: func(ctx context.Context) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", echo.Addr().String())
 	}}
-	between.Delay(relay.Up, delay)
-	between.Delay(relay.Down, delay)
+	between.SetDelay(relay.Upstream, delay)
+	between.SetDelay(relay.Downstream, delay)
 	go func() { _ = between.Run(ctx) }() // ends with ctx, which is its only error
 	c, err := net.Dial("tcp", front.Addr().String())
 	if err != nil {
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -33,7 +33,7 @@
 type Fleet struct {
 	// Record is what the load's tasks did, Seen what broke a promise.
 	Record *work.Record
-	Seen   *server.Record
+	Seen   *server.Recorder
 
 	all    []*server.Server
 	cancel context.CancelFunc
@@ -41,12 +41,12 @@
 
 // Fleet starts n backend servers and returns once the cell counts all as ready.
 func (r *Rig) Fleet(ctx context.Context, n int, capacity *v1.Size) (*Fleet, error) {
-	f := &Fleet{Record: &work.Record{}, Seen: &server.Record{}}
+	f := &Fleet{Record: &work.Record{}, Seen: &server.Recorder{}}
 	running, cancel := context.WithCancel(ctx)
 	f.cancel = cancel
 	for i := range n {
 		s := &server.Server{
-			Name: fmt.Sprintf("load-%03d", i), Secret: r.Enrolment, Work: f.Record.Work, Record: f.Seen, Log: logr.Discard(),
+			Name: fmt.Sprintf("load-%03d", i), Secret: r.Enrolment, Work: f.Record.Work, Recorder: f.Seen, Log: logr.Discard(),
 			Rack: fmt.Sprintf("rack-%d", i/perRack), Zone: fmt.Sprintf("zone-%d", i%zones), Capacity: capacity,
 		}
 		for _, address := range r.Backends() {
--- a/internal/load/rig/process_test.go
+++ b/internal/load/rig/process_test.go
@@ -90,9 +90,9 @@
 func reached(t *testing.T, fleet *rig.Fleet, n int) {
 	t.Helper()
 	const patience = 30 * time.Second
-	for end := time.Now().Add(patience); fleet.Seen.Total() < n; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(patience); fleet.Seen.TotalStarts() < n; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d of %d starts after %s", fleet.Seen.Total(), n, patience)
+			t.Fatalf("%d of %d starts after %s", fleet.Seen.TotalStarts(), n, patience)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 	w.Wait()
 
 	sum := report.Sum(report.Measured{}, began, seen, fleet.Record)
-	if faults := fleet.Seen.Faults(); !sum.Promises.Kept() || len(faults) > 0 {
+	if faults := fleet.Seen.Violations(); !sum.Promises.Kept() || len(faults) > 0 {
 		t.Errorf("promises %+v, servers saw %v", sum.Promises, faults)
 	}
 	if sum.Counts.Accepted == 0 || calls.Made.Load() == 0 {
--- a/internal/load/rig/rig.go
+++ b/internal/load/rig/rig.go
@@ -214,8 +214,8 @@
 	one := &relay.Relay{Listener: l, Sleep: nap, Dial: func(ctx context.Context) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", target)
 	}}
-	one.Delay(relay.Up, delay)
-	one.Delay(relay.Down, delay)
+	one.SetDelay(relay.Upstream, delay)
+	one.SetDelay(relay.Downstream, delay)
 	r.relays[fmt.Sprintf("%s/%d", name, at)] = one
 	go func() { _ = one.Run(r.ctx) }() // ends with the rig, which is its only error
 	return nil
@@ -227,7 +227,7 @@
 	var sum int64
 	for _, at := range []int{atCallers, atBackends, atOperators} {
 		if one := r.relays[fmt.Sprintf("%s/%d", name, at)]; one != nil {
-			sum += one.Carried(relay.Up) + one.Carried(relay.Down)
+			sum += one.ForwardedBytes(relay.Upstream) + one.ForwardedBytes(relay.Downstream)
 		}
 	}
 	return sum
@@ -236,7 +236,7 @@
 // BackendBytes returns what has passed between an entry and backend servers.
 func (r *Rig) BackendBytes(name string) int64 {
 	one := r.relays[fmt.Sprintf("%s/%d", name, atBackends)]
-	return one.Carried(relay.Up) + one.Carried(relay.Down)
+	return one.ForwardedBytes(relay.Upstream) + one.ForwardedBytes(relay.Downstream)
 }
 
 // Close ends all processes and relays at once.
--- a/internal/load/work/work.go
+++ b/internal/load/work/work.go
@@ -84,7 +84,7 @@
 		n.Started++
 	})
 	if !pass(ctx, in.Runtime) {
-		return server.Result{Exit: 1}
+		return server.Result{ExitCode: 1}
 	}
 	r.note(key, func(n *Runs) { n.Ended++ })
 	return server.Result{Answer: Answer(in.ID, key.index, in.Answer)}
