--- a/internal/fake/relay/memory.go
+++ b/internal/fake/relay/memory.go
@@ -8,18 +8,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrConnectionRefused is what a dial of an address without a listener returns.
+// ErrConnectionRefused is the error of a dial to an address without a listener.
 var ErrConnectionRefused = errors.New("connection refused")
 
-// MemoryNetwork is a network of in-memory connections, for tests on a virtual clock.
-// The zero value is ready.
+// MemoryNetwork is a network of in-memory connections for tests on a virtual clock.
+// The zero value is ready to use.
 type MemoryNetwork struct {
 	mu         sync.Mutex
 	listeners  map[string]*memoryListener
 	dialCounts map[string]int
 }
 
-// Listen returns the listener of an address, which must be free.
+// Listen returns a listener on the address. No other listener may be open on it.
 func (m *MemoryNetwork) Listen(address string) net.Listener {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -31,7 +31,7 @@
 	return l
 }
 
-// Dial connects to an address; network is ignored.
+// Dial connects to an address. The network appears only in errors.
 func (m *MemoryNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	m.mu.Lock()
 	l := m.listeners[address]
@@ -61,7 +61,7 @@
 	return m.dialCounts[address]
 }
 
-// DialHost connects to the host of an address, whatever its port.
+// DialHost connects to the listener named after the host of the address and ignores the port.
 func (m *MemoryNetwork) DialHost(ctx context.Context, network, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return m.Dial(ctx, network, host)
 }
 
-// DialerTo returns a dial function for one address, as Relay takes it.
+// DialerTo returns a dial function for one address, for the Dial field of Relay.
 func (m *MemoryNetwork) DialerTo(address string) func(ctx context.Context) (net.Conn, error) {
 	return func(ctx context.Context) (net.Conn, error) { return m.Dial(ctx, "memory", address) }
 }
@@ -93,7 +93,7 @@
 	}
 }
 
-// Close frees the address; dials are refused from now on.
+// Close frees the address. Later dials to it are refused.
 func (l *memoryListener) Close() error {
 	l.closeOnce.Do(func() {
 		close(l.done)
--- a/internal/fake/relay/relay.go
+++ b/internal/fake/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay is a TCP relay that misbehaves on order: it goes silent one way
-// or both, forgets open connections while new ones work, holds bytes back,
-// delays, cuts and duplicates. Tests put it between any two processes.
+// Package relay is a TCP relay that injects network faults between two processes of
+// a test. It drops traffic in one direction or both, blackholes open connections while
+// new ones work, holds bytes back, delays and duplicates them, and closes connections.
 package relay
 
 import (
@@ -10,49 +10,51 @@
 	"time"
 )
 
-// Direction is a direction through the relay.
+// Direction is the direction of traffic through the relay.
 type Direction uint8
 
 // The two directions.
 const (
-	// Upstream is from whoever dialled to the target.
+	// Upstream is from the client to the target.
 	Upstream Direction = iota
-	// Downstream is from the target back.
+	// Downstream is from the target to the client.
 	Downstream
 )
 
-// Mode is what becomes of bytes.
+// Mode says how the relay treats bytes.
 type Mode uint8
 
-// The fates.
+// The modes.
 const (
-	// Pass carries bytes.
+	// Pass forwards bytes.
 	Pass Mode = iota
-	// Hold keeps bytes back until the fate is Pass again: an answer comes late.
+	// Hold buffers bytes until the mode is Pass again, so that a reply arrives late.
 	Hold
-	// Drop drops bytes. A connection that lost some stays silent that way for
-	// good, as one does whose packets are no longer forwarded.
+	// Drop discards bytes. A connection that lost bytes delivers nothing more in that
+	// direction, like a connection whose packets are no longer routed.
 	Drop
 )
 
-// readBufferSize is the most that is read at once in bytes.
+// readBufferSize is the maximum size of one read in bytes.
 const readBufferSize = 8 << 10
 
-// maxQueuedChunks bounds the pieces on the way in each direction of a connection.
+// maxQueuedChunks limits the chunks that are read but not yet written, per direction
+// of a connection.
 const maxQueuedChunks = 256
 
-// Relay carries connections from Listener to a target. Set the fields, then call Run.
+// Relay forwards connections from Listener to a target. The exported fields are set
+// before Run.
 type Relay struct {
 	Listener net.Listener
 	// Dial opens the connection to the target.
 	Dial func(ctx context.Context) (net.Conn, error)
-	// Sleep waits for a delay; nil for a timer, which may be a millisecond late.
+	// Sleep waits for a delay. If nil, a timer is used, which may fire a millisecond late.
 	Sleep func(time.Duration)
 
 	mu     sync.Mutex
 	modes  [2]Mode
 	delays [2]time.Duration
-	// modeChanged is closed and replaced whenever a fate changes.
+	// modeChanged is closed and replaced whenever a mode changes.
 	modeChanged      chan struct{}
 	refuseNew        bool
 	duplicateNew     bool
@@ -63,14 +65,15 @@
 	initOnce         sync.Once
 }
 
-// connection is one connection through the relay.
+// connection is a client connection and the matching connection to the target.
 type connection struct {
 	relay          *Relay
 	client, target net.Conn
-	duplicate      net.Conn
-	blackholed     [2]bool
-	closed         chan struct{}
-	closeOnce      sync.Once
+	// duplicate is a second connection to the target that receives the same bytes, or nil.
+	duplicate  net.Conn
+	blackholed [2]bool
+	closed     chan struct{}
+	closeOnce  sync.Once
 }
 
 func (r *Relay) init() {
@@ -84,7 +87,7 @@
 // Done is closed when Run has returned.
 func (r *Relay) Done() <-chan struct{} { r.init(); return r.done }
 
-// Run relays until ctx ends.
+// Run forwards connections until ctx is canceled.
 func (r *Relay) Run(ctx context.Context) error {
 	r.init()
 	defer close(r.done)
@@ -105,7 +108,7 @@
 	}
 }
 
-// SetMode gives all connections, open and new, a fate in one direction.
+// SetMode sets the mode of all open and new connections in one direction.
 func (r *Relay) SetMode(dir Direction, mode Mode) {
 	r.init()
 	r.mu.Lock()
@@ -114,7 +117,8 @@
 	r.notifyModeChange()
 }
 
-// BlackholeOpen makes the open connections silent for good in the directions given; new ones work.
+// BlackholeOpen drops all further bytes of the open connections in the given directions.
+// New connections work.
 func (r *Relay) BlackholeOpen(dirs ...Direction) {
 	r.init()
 	r.mu.Lock()
@@ -127,22 +131,22 @@
 	r.notifyModeChange()
 }
 
-// SetDelay holds every byte for the time given in one direction.
+// SetDelay delays all bytes in one direction by d.
 func (r *Relay) SetDelay(dir Direction, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delays[dir] = d
 }
 
-// SetRefuse closes new connections at once, or no longer.
+// SetRefuse makes the relay close new connections immediately, or accept them again.
 func (r *Relay) SetRefuse(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refuseNew = on
 }
 
-// SetDuplicate sends what goes up on new connections to the target a second time,
-// over a connection whose answers nobody reads.
+// SetDuplicate makes the relay send the upstream bytes of new connections to the target
+// a second time, over a separate connection whose replies are discarded.
 func (r *Relay) SetDuplicate(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,20 +167,21 @@
 	}
 }
 
-// ForwardedBytes returns the bytes passed on in one direction.
+// ForwardedBytes returns the number of bytes forwarded in one direction.
 func (r *Relay) ForwardedBytes(dir Direction) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.forwardedBytes[dir]
 }
 
-// OpenConnections returns the connections open now, Opened all that there ever were.
+// OpenConnections returns the number of connections that are open now.
 func (r *Relay) OpenConnections() int { r.mu.Lock(); defer r.mu.Unlock(); return len(r.connections) }
 
-// TotalConnections returns the number of connections that there ever were.
+// TotalConnections returns the number of connections opened since the start.
 func (r *Relay) TotalConnections() int { r.mu.Lock(); defer r.mu.Unlock(); return r.totalConnections }
 
-// notifyModeChange lets held pieces look at their fate again. The caller holds mu.
+// notifyModeChange wakes the goroutines that hold chunks back, so that they read the
+// mode again. The caller holds mu.
 func (r *Relay) notifyModeChange() {
 	close(r.modeChanged)
 	r.modeChanged = make(chan struct{})
@@ -230,13 +235,14 @@
 	})
 }
 
-// chunk is what was read at once, and when.
+// chunk holds the bytes of one read and the time of the read.
 type chunk struct {
 	data   []byte
 	readAt time.Time
 }
 
-// forward carries one direction; reading goes on while pieces wait to be written.
+// forward copies one direction of a connection. Reading continues while chunks wait to
+// be written.
 func (c *connection) forward(dir Direction, from, to net.Conn) {
 	chunks := make(chan chunk, maxQueuedChunks)
 	var wg sync.WaitGroup
@@ -258,32 +264,33 @@
 	wg.Wait()
 }
 
-// writeChunks writes the pieces as their fate allows, then ends the pair. A
-// direction that lost bytes tells nobody of the end either.
-func (conn *connection) writeChunks(dir Direction, chunks <-chan chunk, to net.Conn) {
+// writeChunks writes the chunks as the mode allows and then closes the connection. If
+// bytes were dropped, the end of the stream is not passed on either.
+func (c *connection) writeChunks(dir Direction, chunks <-chan chunk, to net.Conn) {
 	dropped := false
 	for chunk := range chunks {
-		if dropped || !conn.awaitForward(dir, chunk.readAt) {
+		if dropped || !c.awaitForward(dir, chunk.readAt) {
 			dropped = true
 			continue
 		}
 		if _, err := to.Write(chunk.data); err != nil {
 			break
 		}
-		if dir == Upstream && conn.duplicate != nil {
-			_, _ = conn.duplicate.Write(chunk.data)
+		if dir == Upstream && c.duplicate != nil {
+			_, _ = c.duplicate.Write(chunk.data)
 		}
-		conn.relay.mu.Lock()
-		conn.relay.forwardedBytes[dir] += int64(len(chunk.data))
-		conn.relay.mu.Unlock()
+		c.relay.mu.Lock()
+		c.relay.forwardedBytes[dir] += int64(len(chunk.data))
+		c.relay.mu.Unlock()
 	}
-	if dropped || !conn.awaitForward(dir, time.Now()) {
-		<-conn.closed
+	if dropped || !c.awaitForward(dir, time.Now()) {
+		<-c.closed
 	}
-	conn.close()
+	c.close()
 }
 
-// awaitForward waits until a piece may go on and returns false when it is lost.
+// awaitForward blocks until a chunk may be written. It returns false if the chunk is
+// dropped or the connection is closed.
 func (c *connection) awaitForward(dir Direction, readAt time.Time) bool {
 	for {
 		c.relay.mu.Lock()
--- a/internal/fake/seed/seed.go
+++ b/internal/fake/seed/seed.go
@@ -1,15 +1,15 @@
-// Package seed fixes the seed of random tests, so that every run gives the same
-// verdict. A test package imports it for its effect; -rapid.seed on the command
-// line still counts, and 0 draws a new one.
+// Package seed sets a fixed default seed for property-based tests, so that every run
+// gives the same result. Test packages import it for its side effect. The flag
+// -rapid.seed overrides the default, and 0 selects a random seed.
 package seed
 
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // defines the flag before it is set here
+	_ "pgregory.net/rapid" // registers the flag -rapid.seed
 )
 
-// defaultSeed is the seed of every run that names none.
+// defaultSeed is the seed of runs without -rapid.seed.
 const defaultSeed = "1"
 
 func init() {
--- a/internal/fake/server/entry.go
+++ b/internal/fake/server/entry.go
@@ -10,21 +10,23 @@
 	v1 "gypsumreel/internal/api/v1"
 )
 
+// HTTP/2 health check of a connection to an entry.
 const (
+	// pingIdleTime is how long a connection receives nothing before a ping is sent.
 	pingIdleTime = 2 * time.Second
 	pingTimeout  = time.Second
 )
 
-// Entry is one way into the cell.
+// Entry is a client of one entry of the cell.
 type Entry struct {
 	Client v1.BackendClient
-	// CloseIdle gives up the connections that are idle; nil for nothing.
+	// CloseIdle closes idle connections to the entry; may be nil.
 	CloseIdle func()
 }
 
-// NewEntry returns the way to the entry at the address, over HTTP/2 with pings,
-// so that one connection carries everything and a silent one is noticed. The
-// configuration is nil for plain connections, dial is nil for TCP.
+// NewEntry returns a client of the entry at the address. It uses HTTP/2 with pings, so
+// that one connection carries all calls and a dead connection is detected. A nil config
+// selects plain-text connections and a nil dial selects TCP.
 func NewEntry(address string, config *tls.Config, dial func(ctx context.Context, network, address string) (net.Conn, error)) Entry {
 	protocols := new(http.Protocols)
 	scheme := "http://"
--- a/internal/fake/server/record.go
+++ b/internal/fake/server/record.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Recorder keeps what all servers of a test started and stopped, and what of it
-// broke a promise. The zero value is ready.
+// Recorder records which tasks all servers of a test started and stopped, and detects
+// tasks that run on two servers and attempts that start twice. The zero value is ready
+// to use.
 type Recorder struct {
 	mu sync.Mutex
-	// starts holds the attempts of each task that started, in order.
+	// starts holds the started attempts of each task, in order of their start.
 	starts  map[Task][]Attempt
 	running map[Task]*Server
-	// lastStart is when a server last started something.
+	// lastStart is the time of the last start of a task, by server name.
 	lastStart   map[string]time.Time
 	violations  []string
 	totalStarts int
@@ -53,34 +54,35 @@
 	}
 }
 
-// stillRuns tells whether what is recorded as running here really does: a paused
-// process runs nothing, and stops what is past its lease before it goes on.
+// stillRuns reports whether a task recorded as running on s conflicts with its start on
+// another server. A paused process executes nothing, and it stops tasks whose lease has
+// expired before it continues.
 func (s *Server) stillRuns(starting *Server) bool {
 	return s == starting || !s.paused.Load() || s.leaseValid()
 }
 
-// StartCount returns how many attempts of the task started.
+// StartCount returns the number of attempts of the task that started.
 func (r *Recorder) StartCount(t Task) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.starts[t])
 }
 
-// LastStart returns when the server of that name last started something.
+// LastStart returns the time at which the named server last started a task.
 func (r *Recorder) LastStart(name string) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lastStart[name]
 }
 
-// TotalStarts returns how many attempts started in all.
+// TotalStarts returns the number of attempts that started on all servers.
 func (r *Recorder) TotalStarts() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.totalStarts
 }
 
-// StartCounts returns the number of starts of each task.
+// StartCounts returns the number of started attempts of each task.
 func (r *Recorder) StartCounts() map[Task]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,7 +93,8 @@
 	return out
 }
 
-// Violations returns what broke a promise: a task in two places, an attempt started twice.
+// Violations describes each task that ran on two servers and each attempt that started
+// twice.
 func (r *Recorder) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fake/server/run.go
+++ b/internal/fake/server/run.go
@@ -8,13 +8,13 @@
 	"gypsumreel/internal/domain/answer"
 )
 
-// Task names a task.
+// Task identifies a task by its job and its index in the job.
 type Task struct {
 	Job   uint64
 	Index uint32
 }
 
-// Attempt names one placement of a task.
+// Attempt identifies one placement of a task.
 type Attempt struct {
 	Task
 	Number uint32
@@ -42,7 +42,8 @@
 	checkpoint []byte
 }
 
-// syncRequest returns the Sync request with everything held. The caller holds mu.
+// syncRequest returns a Sync request that reports all attempts on this server. The
+// caller holds mu.
 func (s *Server) syncRequest(number uint64) *v1.SyncRequest {
 	req := &v1.SyncRequest{
 		Server: s.Name, Incarnation: s.incarnation, Number: number,
@@ -58,7 +59,7 @@
 		case v1.Phase_PHASE_SAVED:
 			report.Checkpoint = r.checkpoint
 		}
-		// More pieces are waiting: the cell should not hold this request.
+		// More chunks wait to be sent, so the entry must not hold this request open.
 		if len(report.Chunks) < len(r.chunks) {
 			req.Patience = 0
 		}
@@ -67,8 +68,8 @@
 	return req
 }
 
-// nextChunks returns the next pieces of the answer that fit into room. Pieces come
-// round again until the cell says that it has them all.
+// nextChunks returns the next chunks of the answer that fit into byteBudget. It cycles
+// through the chunks, which are sent again until the cell confirms all of them.
 func (r *run) nextChunks(byteBudget *int) []*v1.Chunk {
 	var out []*v1.Chunk
 	for range r.chunks {
@@ -83,15 +84,16 @@
 	return out
 }
 
-// applyReply takes the lease and the orders of an answer.
+// applyReply applies the lease and the orders of a Sync reply.
 func (s *Server) applyReply(reply *v1.SyncReply, sentAt time.Time) {
 	s.lock()
 	defer s.mu.Unlock()
-	// An answer to an older request may carry orders that were taken back since.
+	// A reply to an older request may carry orders that were withdrawn since.
 	if reply.GetNumber() != s.syncNumber {
 		return
 	}
-	// A pause may have outlasted the lease: what ran under it stops before the new one counts.
+	// The lease may have expired during a pause. Tasks that ran under it stop before the
+	// new lease applies.
 	s.stopIfLeaseExpired()
 	if reply.GetLease() > 0 {
 		s.renewLease(sentAt.Add(time.Duration(reply.GetLease()) * time.Millisecond))
@@ -101,7 +103,7 @@
 	}
 }
 
-// renewLease moves the lease's end and the watchdog. The caller holds mu.
+// renewLease extends the lease to end and restarts the lease timer. The caller holds mu.
 func (s *Server) renewLease(end time.Time) {
 	if !end.After(*s.leaseEnd.Load()) {
 		return
@@ -114,31 +116,31 @@
 	s.leaseTimer.Reset(time.Until(end))
 }
 
-// onLeaseTimer is the watchdog: at the lease's end everything stops, whether or not the cell can be reached.
+// onLeaseTimer stops all tasks when the lease expires, even if the cell is unreachable.
 func (s *Server) onLeaseTimer() {
 	s.lock()
 	defer s.mu.Unlock()
 	s.stopIfLeaseExpired()
 }
 
-// leaseValid tells whether the lease still runs.
+// leaseValid reports whether the lease has not expired.
 func (s *Server) leaseValid() bool { return time.Now().Before(*s.leaseEnd.Load()) }
 
-// stopIfLeaseExpired stops everything when the lease is over. The caller holds mu.
+// stopIfLeaseExpired stops all tasks if the lease has expired. The caller holds mu.
 func (s *Server) stopIfLeaseExpired() {
 	if !s.leaseValid() {
 		s.stopAll()
 	}
 }
 
-// stopAll stops all that runs. The caller holds mu.
+// stopAll stops all running tasks. The caller holds mu.
 func (s *Server) stopAll() {
 	for _, r := range s.runs {
 		s.stop(r, v1.Phase_PHASE_STOPPED)
 	}
 }
 
-// stop ends a running attempt in the phase given. The caller holds mu.
+// stop ends a running attempt and sets its phase. The caller holds mu.
 func (s *Server) stop(r *run, phase v1.Phase) {
 	if r.phase != v1.Phase_PHASE_RUNNING {
 		return
@@ -149,7 +151,7 @@
 	s.triggerSync()
 }
 
-// applyOrder obeys one order. The caller holds mu.
+// applyOrder carries out one order. The caller holds mu.
 func (s *Server) applyOrder(o *v1.Order) {
 	a := attemptFromMessage(o.GetAttempt())
 	r := s.runs[a]
@@ -161,7 +163,7 @@
 			s.stop(r, v1.Phase_PHASE_STOPPED)
 			return
 		}
-		// Stopped before it came: the start must not follow.
+		// The stop order arrived before the start order, which must be ignored later.
 		s.seenAttempts[a] = struct{}{}
 		s.runs[a] = &run{attempt: a, phase: v1.Phase_PHASE_STOPPED}
 		s.triggerSync()
@@ -181,7 +183,8 @@
 	}
 }
 
-// start begins an attempt, once ever and only under a lease. The caller holds mu.
+// start starts an attempt if the lease is valid and the attempt is new. The caller
+// holds mu.
 func (s *Server) start(a Attempt, o *v1.Order) {
 	if _, ok := s.seenAttempts[a]; ok {
 		return
@@ -202,11 +205,11 @@
 	}()
 }
 
-// finish keeps the result of an attempt that ended by itself.
+// finish stores the result of an attempt that ended without being stopped.
 func (s *Server) finish(r *run, result Result) {
 	s.lock()
 	defer s.mu.Unlock()
-	// The watchdog may have been late, after a pause: an end past the lease does not count.
+	// After a pause the lease timer may be late. A result after the lease's end does not count.
 	s.stopIfLeaseExpired()
 	if r.phase != v1.Phase_PHASE_RUNNING {
 		return
--- a/internal/fake/server/server.go
+++ b/internal/fake/server/server.go
@@ -1,6 +1,6 @@
-// Package server is a fake backend server for tests, the demo and the load
-// tool: it announces itself, syncs, and runs tasks as functions under a lease.
-// Hundreds of them fit into one process.
+// Package server is a fake backend server for tests, the demo and the load tool. It
+// announces itself, calls Sync, and runs tasks as Go functions under a lease. Hundreds
+// of servers fit into one process.
 package server
 
 import (
@@ -19,35 +19,35 @@
 	"gypsumreel/internal/base/code"
 )
 
-// Defaults of the fields that are left zero.
+// Default values of Server fields and internal limits.
 const (
-	// DefaultLongPollWait is the wait asked of the cell in one Sync.
+	// DefaultLongPollWait is how long the cell may hold one Sync request open.
 	DefaultLongPollWait = 2 * time.Second
-	// DefaultTimeout is what a call may take beyond its patience.
+	// DefaultTimeout is how long a call may take beyond its long-poll wait.
 	DefaultTimeout = time.Second
-	// DefaultReportDelay is how long news is gathered before it is reported.
+	// DefaultReportDelay is how long status changes are collected before they are reported.
 	DefaultReportDelay = time.Millisecond
-	// pollsPerLease is how many polls fit into a lease.
+	// pollsPerLease is the minimum number of long polls per lease.
 	pollsPerLease = 3
-	// maxChunkBytes bounds the pieces sent in one Sync.
+	// maxChunkBytes limits the answer chunks sent in one Sync request.
 	maxChunkBytes = 1 << 20
 )
 
-// Server is one fake backend server. Set the fields, then call Run.
+// Server is one fake backend server. The exported fields are set before Run.
 type Server struct {
 	Name string
-	// Entries are tried in turn, from one that the name picks; NewEntry makes one.
+	// Entries are tried in turn. The hash of the name selects the first one.
 	Entries []Entry
-	// Secret is the enrolment secret.
+	// Secret is the enrolment secret of the cell.
 	Secret   string
 	Capacity *v1.Size
 	Rack     string
 	// Zone is the availability zone.
 	Zone   string
 	Labels map[string]string
-	// Work runs a task; nil for Obey.
+	// Work runs a task; nil for RunScript.
 	Work Work
-	// Recorder is told of every start and stop; nil for none.
+	// Recorder records each start and stop of a task; may be nil.
 	Recorder *Recorder
 	Log      logr.Logger
 
@@ -64,18 +64,18 @@
 	nonce       uint64
 	incarnation uint64
 	syncNumber  uint64
-	// sessionPollWait is the patience of a Sync in this session.
+	// sessionPollWait is the long-poll wait of a Sync request in this session.
 	sessionPollWait time.Duration
 	leaseTimer      *time.Timer
 	runs            map[Attempt]*run
 	seenAttempts    map[Attempt]struct{}
-	// reportPending is true when something is to be reported at once.
+	// reportPending is true if a status change waits to be reported.
 	reportPending bool
-	// cancelSync ends the Sync under way; nil when none is.
+	// cancelSync cancels the Sync call in progress; nil if there is none.
 	cancelSync context.CancelFunc
 	entryIndex int
 
-	// paused and leaseEnd change under mu; the record reads them without it.
+	// paused and leaseEnd are written under mu. The Recorder reads them without mu.
 	paused atomic.Bool
 	// leaseEnd is on this process's monotonic clock.
 	leaseEnd atomic.Pointer[time.Time]
@@ -121,7 +121,7 @@
 	}
 }
 
-// Pause freezes the server as a stopped process would be, until Resume.
+// Pause freezes the server until Resume, like a process stopped by SIGSTOP.
 func (s *Server) Pause() {
 	s.init()
 	s.mu.Lock()
@@ -129,7 +129,7 @@
 	s.paused.Store(true)
 }
 
-// Resume ends a pause. What ran looks at its lease before it goes on.
+// Resume ends a pause. The server checks its lease before any task continues.
 func (s *Server) Resume() {
 	s.init()
 	s.mu.Lock()
@@ -139,7 +139,7 @@
 	s.resumed.Broadcast()
 }
 
-// Leave makes the server leave: Run returns once nothing is left to do.
+// Leave starts a graceful shutdown. Run returns once no attempt is left to run or report.
 func (s *Server) Leave() {
 	s.init()
 	s.lock()
@@ -148,7 +148,7 @@
 	s.triggerSync()
 }
 
-// Running returns the number of tasks that run now.
+// Running returns the number of running tasks.
 func (s *Server) Running() int {
 	s.init()
 	s.mu.Lock()
@@ -162,8 +162,8 @@
 	return n
 }
 
-// Run serves until ctx ends, which kills all tasks as a crash would, or until
-// the server has left.
+// Run serves until ctx is canceled or the server has left. Canceling ctx kills all tasks
+// like a crash.
 func (s *Server) Run(ctx context.Context) error {
 	s.init()
 	defer close(s.done)
@@ -204,7 +204,7 @@
 
 func (s *Server) idle() bool { s.lock(); defer s.mu.Unlock(); return len(s.runs) == 0 }
 
-// switchEntry moves on to the next entry, leaving the connections to this one behind.
+// switchEntry closes the idle connections to the current entry and selects the next one.
 func (s *Server) switchEntry() {
 	s.lock()
 	defer s.mu.Unlock()
@@ -220,8 +220,8 @@
 	return s.Entries[s.entryIndex].Client
 }
 
-// announce opens a session. The nonce stays the same until an answer comes, so
-// that an announcement whose answer was lost opens no second one.
+// announce opens a session. The nonce stays the same until a reply arrives, so that a
+// repeated announcement after a lost reply does not open a second session.
 func (s *Server) announce(ctx context.Context) error {
 	s.lock()
 	if s.nonce == 0 {
@@ -243,8 +243,9 @@
 	s.lock()
 	defer s.mu.Unlock()
 	s.incarnation, s.syncNumber = reply.Msg.GetIncarnation(), 0
-	// A lease counts from the send, so it has run for a whole poll when it comes
-	// and must last through the next one: a poll may take a third of it at most.
+	// A lease starts when the request is sent. It has already run for one long poll when
+	// the reply arrives, and must last through the next one. A long poll therefore takes
+	// at most a third of the lease.
 	lease := time.Duration(reply.Msg.GetLease()) * time.Millisecond
 	s.sessionPollWait = min(s.LongPollWait, lease/pollsPerLease)
 	return nil
@@ -260,7 +261,8 @@
 	return s.checkStatus(reply.Msg.GetStatus())
 }
 
-// checkStatus turns a status into an error, and gives the session up when the cell no longer knows it.
+// checkStatus returns the error that a status describes. It resets the session if the
+// cell no longer knows it.
 func (s *Server) checkStatus(status *v1.Status) error {
 	c := code.Code(status.GetCode())
 	if c == code.OK {
@@ -274,7 +276,7 @@
 	return code.New(c, "%s", status.GetText())
 }
 
-// sync makes one Sync call and obeys its answer.
+// sync makes one Sync call and applies the reply.
 func (s *Server) sync(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.pollWait()+s.Timeout)
 	defer cancel()
@@ -286,7 +288,7 @@
 	s.reportPending, s.cancelSync = false, cancel
 	s.mu.Unlock()
 
-	// The lease counts from here: the leader can only have received it later.
+	// The lease starts here, because the leader can only receive the request later.
 	sentAt := time.Now()
 	reply, err := s.client().Sync(ctx, request(s.Secret, req))
 
@@ -311,8 +313,8 @@
 	return nil
 }
 
-// triggerSync makes the Sync under way give way to one that carries the news. The
-// caller holds mu.
+// triggerSync cancels the Sync call in progress, so that the next one reports the latest
+// status changes. The caller holds mu.
 func (s *Server) triggerSync() {
 	s.reportPending = true
 	if s.cancelSync != nil {
@@ -320,7 +322,7 @@
 	}
 }
 
-// terminate ends everything at once, as the death of the process would.
+// terminate stops the lease timer and all tasks immediately, like the end of the process.
 func (s *Server) terminate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -332,8 +334,8 @@
 	s.resetSession()
 }
 
-// resetSession stops all tasks and forgets the session; what was seen stays known. The
-// caller holds mu.
+// resetSession stops all tasks and discards the session. The seen attempts are kept, so
+// that none of them starts again. The caller holds mu.
 func (s *Server) resetSession() {
 	s.stopAll()
 	s.runs = make(map[Attempt]*run)
--- a/internal/fake/server/server_test.go
+++ b/internal/fake/server/server_test.go
@@ -14,10 +14,11 @@
 
 const lease = 3 * time.Second
 
-// scriptedCell answers a fake server as a test says.
+// scriptedCell is a cell whose Sync replies are defined by the test.
 type scriptedCell struct {
 	v1.UnimplementedBackendHandler
-	// sync answers the n-th Sync, counted from 1; nil makes it hang.
+	// sync returns the reply to the n-th Sync request, counted from 1. If it returns nil,
+	// the request gets no reply.
 	sync     func(n uint64, req *v1.SyncRequest) *v1.SyncReply
 	received []*v1.SyncRequest
 }
@@ -60,9 +61,9 @@
 
 var oneHourTask = server.TaskScript{Sleep: "1h"}
 
-// A task runs in two places: the answer with the lease took a second on its
-// way, the cell counts from before it was sent, and the server from when it
-// came. The server must count from its own sending.
+// The reply with the lease takes a second to arrive. If the server counted the lease
+// from the arrival, it would run the task longer than the cell assumes, and the task
+// could run on two servers. The lease must start when the request is sent.
 func TestLeaseStartsWhenRequestIsSent(t *testing.T) {
 	c := &scriptedCell{sync: func(n uint64, _ *v1.SyncRequest) *v1.SyncReply {
 		if n > 1 {
@@ -76,12 +77,13 @@
 		before := s.Running()
 		time.Sleep(2 * time.Millisecond)
 		if after := s.Running(); before != 1 || after != 0 {
-			t.Errorf("%d tasks run before the lease's end, %d after", before, after)
+			t.Errorf("%d tasks run before the end of the lease, want 1; %d after it, want 0", before, after)
 		}
 	})
 }
 
-// The same order comes again, as after a lost answer. It must not start twice.
+// The same start order arrives again, as after a lost reply. The attempt must not start
+// twice.
 func TestRepeatedOrderStartsOnce(t *testing.T) {
 	c := &scriptedCell{sync: func(n uint64, _ *v1.SyncRequest) *v1.SyncReply {
 		time.Sleep(10 * time.Millisecond)
@@ -90,13 +92,13 @@
 	runServer(t, c, func(_ *server.Server, r *server.Recorder) {
 		time.Sleep(time.Second)
 		if r.TotalStarts() != 1 {
-			t.Errorf("%d starts", r.TotalStarts())
+			t.Errorf("%d attempts started, want 1", r.TotalStarts())
 		}
 	})
 }
 
-// An answer to a request that was given up comes late. Its orders may have been
-// taken back since and must not be obeyed.
+// A reply to a canceled request arrives late. Its orders may have been withdrawn since
+// and must be ignored.
 func TestReplyToOlderRequestIsIgnored(t *testing.T) {
 	c := &scriptedCell{sync: func(n uint64, _ *v1.SyncRequest) *v1.SyncReply {
 		time.Sleep(10 * time.Millisecond)
@@ -108,13 +110,14 @@
 	runServer(t, c, func(_ *server.Server, r *server.Recorder) {
 		time.Sleep(time.Second)
 		if r.TotalStarts() != 0 {
-			t.Errorf("%d starts", r.TotalStarts())
+			t.Errorf("%d attempts started, want 0", r.TotalStarts())
 		}
 	})
 }
 
-// A server stands still past its lease and goes on. The cell has placed its task
-// elsewhere; the task must stop before it does anything, and its end not count.
+// A server is paused until after its lease has expired, and the cell has placed its task
+// on another server. On resume the task must stop before it continues, and its result
+// must not count.
 func TestPausedServerStopsExpiredTaskOnResume(t *testing.T) {
 	c := &scriptedCell{sync: func(n uint64, _ *v1.SyncRequest) *v1.SyncReply {
 		if n > 1 {
@@ -131,12 +134,12 @@
 		synctest.Wait()
 		last := c.received[len(c.received)-1].GetReports()
 		if s.Running() != 0 || len(last) != 1 || last[0].GetPhase() != v1.Phase_PHASE_STOPPED {
-			t.Errorf("%d run, reports %v", s.Running(), last)
+			t.Errorf("%d tasks run after the lease expired, want 0; last reports: %v", s.Running(), last)
 		}
 	})
 }
 
-// An answer comes without a lease. Nothing may start under it.
+// A reply carries a start order but no lease. The task must not start.
 func TestNothingStartsWithoutLease(t *testing.T) {
 	c := &scriptedCell{sync: func(n uint64, _ *v1.SyncRequest) *v1.SyncReply {
 		time.Sleep(10 * time.Millisecond)
@@ -145,12 +148,13 @@
 	runServer(t, c, func(_ *server.Server, r *server.Recorder) {
 		time.Sleep(time.Second)
 		if r.TotalStarts() != 0 {
-			t.Errorf("%d starts", r.TotalStarts())
+			t.Errorf("%d attempts started, want 0", r.TotalStarts())
 		}
 	})
 }
 
-// A big answer goes up in pieces that come round until the cell has them all.
+// An answer larger than one Sync request is sent in chunks, which are repeated until the
+// cell has all of them.
 func TestLargeAnswerIsSentCompletely(t *testing.T) {
 	received := map[uint32]bool{}
 	want := 0
@@ -167,6 +171,6 @@
 	}
 	runServer(t, c, func(*server.Server, *server.Recorder) { time.Sleep(time.Second) })
 	if len(received) != want || want < 2 {
-		t.Errorf("%d of %d pieces", len(received), want)
+		t.Errorf("received %d of %d answer chunks", len(received), want)
 	}
 }
--- a/internal/fake/server/work.go
+++ b/internal/fake/server/work.go
@@ -9,37 +9,37 @@
 	v1 "gypsumreel/internal/api/v1"
 )
 
-// Result is how a task ended.
+// Result is the outcome of a task.
 type Result struct {
 	// ExitCode is 0 for success.
 	ExitCode int32
 	Answer   []byte
-	// Crash makes the whole server die and come back as a fresh incarnation.
+	// Crash makes the whole server crash and return with a new incarnation.
 	Crash bool
 }
 
-// Work runs a task until it ends or ctx does.
+// Work runs a task until it ends or ctx is canceled.
 type Work func(ctx context.Context, o *v1.Order) Result
 
-// TaskScript is an input that Obey understands, as a JSON object.
+// TaskScript is a job input that tells RunScript what to do, encoded as JSON.
 type TaskScript struct {
-	// Sleep is the run time, as time.ParseDuration reads it.
+	// Sleep is the run time in the format of time.ParseDuration.
 	Sleep string `json:"sleep,omitempty"`
-	// ExitCode is the exit to end with.
+	// ExitCode is the exit code of the task.
 	ExitCode int32 `json:"fail,omitempty"`
-	// AnswerSize is the length of the answer in bytes; 0 echoes the input.
+	// AnswerSize is the length of the answer in bytes. If 0, the answer is the input.
 	AnswerSize int `json:"size,omitempty"`
-	// Crash makes the server die at the end of the run time.
+	// Crash makes the server crash at the end of the run time.
 	Crash bool `json:"crash,omitempty"`
 }
 
-// Input returns the wish as a job's input.
+// Input returns the script encoded as a job input.
 func (s TaskScript) Input() []byte {
-	b, _ := json.Marshal(s) // cannot fail: plain fields only
+	b, _ := json.Marshal(s) // cannot fail: all fields are basic types
 	return b
 }
 
-// RunScript does what a Wish says and echoes any other input at once.
+// RunScript runs a TaskScript. It immediately returns any other input as the answer.
 func RunScript(ctx context.Context, o *v1.Order) Result {
 	var script TaskScript
 	if json.Unmarshal(o.GetInput(), &script) != nil {
@@ -56,7 +56,7 @@
 	return Result{ExitCode: script.ExitCode, Answer: answer, Crash: script.Crash}
 }
 
-// SleepAndEcho returns work that takes the time given and then echoes its input.
+// SleepAndEcho returns a Work function that sleeps for d and returns the input as the answer.
 func SleepAndEcho(d time.Duration) Work {
 	return func(ctx context.Context, o *v1.Order) Result {
 		sleep(ctx, d)
@@ -64,7 +64,7 @@
 	}
 }
 
-// Pattern returns n bytes in which no two pieces of an answer are alike.
+// Pattern returns n bytes of increasing numbers, so that no two chunks of an answer are equal.
 func Pattern(n int) []byte {
 	b := make([]byte, 0, n+20)
 	for i := 0; len(b) < n; i++ {
@@ -74,9 +74,9 @@
 	return b[:n]
 }
 
-// addRunTime returns a checkpoint: the milliseconds run so far.
-func addRunTime(earlier []byte, d time.Duration) []byte {
-	return strconv.AppendInt(nil, (parseRunTime(earlier) + d).Milliseconds(), 10)
+// addRunTime returns a checkpoint with the total run time in milliseconds, d included.
+func addRunTime(checkpoint []byte, d time.Duration) []byte {
+	return strconv.AppendInt(nil, (parseRunTime(checkpoint) + d).Milliseconds(), 10)
 }
 
 func parseRunTime(checkpoint []byte) time.Duration {
--- a/internal/fake/worker/worker.go
+++ b/internal/fake/worker/worker.go
@@ -1,6 +1,7 @@
-// Package worker is a stand-in for a backend server that the leader calls: it
-// runs tasks for as long as a test says, keeps leases on a clock of its own,
-// refuses what is fenced or old, and can lose answers, be late, or be gone.
+// Package worker is a fake of a backend server that the leader calls. It runs tasks for
+// durations that the test sets, measures leases on a clock with a configurable rate, and
+// rejects calls with an old fencing token and old runs. It can lose replies, delay calls
+// and crash.
 package worker
 
 import (
@@ -14,45 +15,44 @@
 	"gypsumreel/internal/domain/flow"
 )
 
-// Fault is what goes wrong with one call.
+// Fault describes the fault to inject into one call.
 type Fault struct {
-	// Verdict is the answer in place of the worker's, which sees nothing of the
-	// call; zero for none.
+	// Verdict is returned without passing the call to the worker; zero for no fault.
 	Verdict inner.Verdict
-	// LoseReply loses the answer of a call that is carried out.
+	// LoseReply executes the call and drops the reply.
 	LoseReply bool
-	// Delay carries the call out so much later, and answers nothing.
+	// Delay executes the call after this time and sends no reply.
 	Delay time.Duration
 }
 
-// RunEnding is one run that a worker saw ending.
+// RunEnding is the end of a run as seen by a worker.
 type RunEnding struct {
 	flow.RunID
 	Worker string
 	Reason inner.RunEnd
 }
 
-// Worker is one life of a backend server. The exported fields are set before use.
+// Worker is one incarnation of a backend server. The exported fields are set before use.
 type Worker struct {
 	ID          string
 	Incarnation int64
-	// ClockRate is the speed of its clock beside the true one; 0 for 1.
+	// ClockRate is the speed of the worker's clock relative to real time; 0 for 1.
 	ClockRate float64
-	// MaxLease is the longest lease, StopTime how long a stop takes.
+	// MaxLease is the longest lease, and StopDuration the time that stopping a run takes.
 	MaxLease     time.Duration
 	StopDuration time.Duration
-	// Work returns how long a run takes and how it ends; one whose end is
-	// unspecified lasts, and is at work from its start.
+	// Work returns the duration of a run and how it ends. A run whose end is unspecified
+	// never ends and reports 100 percent from its start.
 	Work func(r flow.RunID) (time.Duration, inner.RunEnd)
-	// Fault returns what goes wrong with a call; nil for nothing. It must not
-	// call the worker.
+	// Fault returns the fault to inject into a call. It may be nil and must not call the
+	// worker.
 	Fault func(c *inner.ServerCall) Fault
-	// PermitValid tells whether a permit is good; nil for every one.
+	// PermitValid reports whether a permit is valid; nil accepts all permits.
 	PermitValid func(r flow.RunID, ticket string) bool
-	// ReportedLoad returns what a run shows of its use; nil for nothing. It is given the
-	// pace of all runs.
+	// ReportedLoad returns the load that a run reports, given the pace in percent of each
+	// task; may be nil.
 	ReportedLoad func(r flow.RunID, paces map[flow.TaskID]uint32) float64
-	// OnStart is told of each run that begins.
+	// OnStart is called for each run that starts; may be nil.
 	OnStart func(r flow.RunID)
 
 	initOnce      sync.Once
@@ -91,13 +91,14 @@
 	})
 }
 
-// clock is the worker's clock in milliseconds. It does not start at zero.
+// clock returns the time of the worker's clock in milliseconds. The clock does not start
+// at zero.
 func (w *Worker) clock() int64 {
 	const initialClock = 1000
 	return initialClock + int64(float64(time.Since(w.createdAt).Milliseconds())*w.ClockRate)
 }
 
-// Crash ends the worker's process: everything that ran is gone.
+// Crash ends the worker's process and all its runs.
 func (w *Worker) Crash() {
 	w.init()
 	w.mu.Lock()
@@ -106,7 +107,8 @@
 	w.runs = map[flow.TaskID]*run{}
 }
 
-// Update changes the exported fields of a worker that takes calls.
+// Update calls fn under the worker's lock, to change exported fields while the worker
+// serves calls.
 func (w *Worker) Update(fn func(w *Worker)) {
 	w.init()
 	w.mu.Lock()
@@ -114,7 +116,7 @@
 	fn(w)
 }
 
-// Running returns the runs under way.
+// Running returns the runs in progress.
 func (w *Worker) Running() []flow.RunID {
 	w.init()
 	w.mu.Lock()
@@ -127,7 +129,7 @@
 	return out
 }
 
-// Call takes one call.
+// Call handles one call of the leader.
 func (w *Worker) Call(ctx context.Context, c *inner.ServerCall) *inner.ServerAnswer {
 	w.init()
 	w.mu.Lock()
@@ -158,7 +160,7 @@
 	return a
 }
 
-// waitForEnd holds an answer back until something ends.
+// waitForEnd delays a reply until a run ends, at most for longPollWait.
 func (w *Worker) waitForEnd(ctx context.Context, c *inner.ServerCall, longPollWait time.Duration, a *inner.ServerAnswer) *inner.ServerAnswer {
 	const checkInterval = 5 * time.Millisecond
 	for deadline := time.Now().Add(longPollWait); time.Now().Before(deadline); {
@@ -170,7 +172,7 @@
 		a = w.execute(c)
 		switch {
 		case a.Verdict == inner.Verdict_VERDICT_ABSENT:
-			// Its process died, and the connection broke.
+			// The worker crashed, which breaks the connection.
 			return &inner.ServerAnswer{Verdict: inner.Verdict_VERDICT_SILENT}
 		case len(a.Ended) > 0:
 			return a
@@ -179,7 +181,7 @@
 	return a
 }
 
-// execute does what a call says.
+// execute carries out a call and returns the reply.
 func (w *Worker) execute(c *inner.ServerCall) *inner.ServerAnswer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -195,15 +197,15 @@
 	}
 	w.fence = c.GetFence()
 	w.leaseUntil = max(w.leaseUntil, min(c.GetUntil(), w.clock()+int64(float64(w.MaxLease.Milliseconds())*w.ClockRate)))
-	switch what := c.GetWhat().(type) {
+	switch order := c.GetWhat().(type) {
 	case *inner.ServerCall_Start:
-		a.Verdict = w.start(c, what.Start)
+		a.Verdict = w.start(c, order.Start)
 	case *inner.ServerCall_Stop:
-		w.stop(flow.RunOf(what.Stop.GetRun()))
+		w.stop(flow.RunOf(order.Stop.GetRun()))
 	case *inner.ServerCall_Pace:
-		w.pacePercent[flow.RunOf(what.Pace.GetRun()).TaskID] = what.Pace.GetPercent()
+		w.pacePercent[flow.RunOf(order.Pace.GetRun()).TaskID] = order.Pace.GetPercent()
 	case *inner.ServerCall_Hold:
-		w.listRuns(a, what.Hold.GetAck())
+		w.listRuns(a, order.Hold.GetAck())
 	}
 	return a
 }
@@ -229,7 +231,7 @@
 	return inner.Verdict_VERDICT_DONE
 }
 
-// stop begins to stop a run; one that is not there is refused from now on.
+// stop begins to stop a run. A run that is not known is rejected from now on.
 func (w *Worker) stop(id flow.RunID) {
 	w.highestRun[id.TaskID] = max(w.highestRun[id.TaskID], id.Number)
 	if r := w.runs[id.TaskID]; r != nil && r.Number == id.Number && r.stopAt.IsZero() {
@@ -254,7 +256,8 @@
 	}
 }
 
-// endDueRuns ends what has ended by now, in the order of the names.
+// endDueRuns ends the runs whose lease, stop time or duration has passed, in the order of
+// their names.
 func (w *Worker) endDueRuns() {
 	now := time.Now()
 	runs := make([]*run, 0, len(w.runs))
