--- a/internal/cli/demo/demo.go
+++ b/internal/cli/demo/demo.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	if !report.Passed() {
-		return &verb.Error{Exit: verb.Failed, Text: fmt.Sprintf("%d promises did not hold", len(report.BrokenPromises))}
+		return &verb.Error{Exit: verb.Failed, Text: fmt.Sprintf("%d promises did not hold", len(report.Violations))}
 	}
 	return nil
 }
@@ -77,7 +77,7 @@
 		row("submission to whole answer p50 / p99 / max", "%.1f / %.1f / %.1f ms", r.Wait.P50, r.Wait.P99, r.Wait.Max),
 		row("took", "%.1f s", r.Seconds),
 	}}
-	for _, b := range r.BrokenPromises {
+	for _, b := range r.Violations {
 		g.Rows = append(g.Rows, row("broken promise", "%s", b))
 	}
 	return g
--- a/internal/demo/fault/fault_test.go
+++ b/internal/demo/fault/fault_test.go
@@ -13,17 +13,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(t)
 		defer w.close()
-		begin := time.Now()
+		startedAt := time.Now()
 		results := w.runJobs(jobSpecs())
-		if faults := w.brokenPromises(results); len(faults) > 0 {
-			t.Error(faults)
+		if violations := w.violations(results); len(violations) > 0 {
+			t.Error(violations)
 		}
 		for _, r := range results {
 			if r.outcome != v1.Outcome_OUTCOME_DONE || r.code != 0 {
 				t.Errorf("%s: %v, code %d", r.id, r.outcome, r.code)
 			}
 		}
-		if d := time.Since(begin); d > 5*time.Second {
+		if d := time.Since(startedAt); d > 5*time.Second {
 			t.Errorf("it took %v", d)
 		}
 	})
--- a/internal/demo/fault/matrix_test.go
+++ b/internal/demo/fault/matrix_test.go
@@ -95,11 +95,11 @@
 	step  string
 }
 
-func (h injection) String() string { return h.fault.name + " at " + h.step }
+func (i injection) String() string { return i.fault.name + " at " + i.step }
 
 // runWithFaults serves all jobs with the faults coming at their steps and ending later,
 // and returns what promises broke.
-func runWithFaults(t *testing.T, injections ...injection) (broken []string) {
+func runWithFaults(t *testing.T, injections ...injection) (violations []string) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(t)
 		defer w.close()
@@ -120,11 +120,11 @@
 		results := w.runJobs(jobSpecs())
 		wg.Wait()
 		time.Sleep(10 * time.Second)
-		if broken = w.brokenPromises(results); len(broken) > 0 {
-			broken = append(broken, w.describeUnfinishedJobs())
+		if violations = w.violations(results); len(violations) > 0 {
+			violations = append(violations, w.describeUnfinishedJobs())
 		}
 	})
-	return broken
+	return violations
 }
 
 // A user's requests are under way when one thing of the brief goes wrong, at
@@ -134,21 +134,21 @@
 func TestEveryFaultAtEveryStep(t *testing.T) {
 	for _, f := range faults {
 		for _, s := range requestSteps {
-			testInjections(t, injection{f, s})
+			runCase(t, injection{f, s})
 		}
 	}
 }
 
-// testInjections runs one case.
-func testInjections(t *testing.T, injections ...injection) {
+// runCase runs one case.
+func runCase(t *testing.T, injections ...injection) {
 	names := make([]string, len(injections))
 	for i, h := range injections {
 		names[i] = h.String()
 	}
 	t.Run(strings.ReplaceAll(strings.Join(names, " and "), " ", "_"), func(t *testing.T) {
 		t.Parallel() // each case has a network, disks and a clock of its own
-		if broken := runWithFaults(t, injections...); len(broken) > 0 {
-			t.Error(strings.Join(broken, "\n"))
+		if violations := runWithFaults(t, injections...); len(violations) > 0 {
+			t.Error(strings.Join(violations, "\n"))
 		}
 	})
 }
@@ -188,7 +188,7 @@
 // a second instance lost right after a repair. The same promises hold.
 func TestPairsOfFaults(t *testing.T) {
 	for _, p := range faultPairs() {
-		testInjections(t, p[0], p[1])
+		runCase(t, p[0], p[1])
 	}
 }
 
--- a/internal/demo/fault/network_test.go
+++ b/internal/demo/fault/network_test.go
@@ -57,15 +57,15 @@
 	r := &relay.Relay{Listener: n.memory.Listen(from + ">" + to), Dial: n.memory.DialerTo(to)}
 	n.links[key] = r
 	go func() { _ = r.Run(n.ctx) }()
-	if n.isolated[from] || n.isolated[owner(to)] {
+	if n.isolated[from] || n.isolated[listeningProcess(to)] {
 		r.SetMode(relay.Upstream, relay.Drop)
 		r.SetMode(relay.Downstream, relay.Drop)
 	}
 	return r
 }
 
-// owner returns the process that listens at an address.
-func owner(address string) string {
+// listeningProcess returns the process that listens at an address.
+func listeningProcess(address string) string {
 	name, _, _ := strings.Cut(address, ":")
 	name, _, _ = strings.Cut(name, "-")
 	return name
@@ -76,7 +76,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for k, r := range n.links {
-		if k[0] == name || owner(k[1]) == name {
+		if k[0] == name || listeningProcess(k[1]) == name {
 			fn(r)
 		}
 	}
@@ -147,10 +147,10 @@
 func (w *transport) Send(to, _ string, data [][]byte) {
 	peer, _, _ := strings.Cut(to, "/")
 	w.network.mu.Lock()
-	lost := w.network.outboundBlocked[w.name] || w.network.inboundBlocked[peer]
+	dropped := w.network.outboundBlocked[w.name] || w.network.inboundBlocked[peer]
 	receive := w.network.receivers[to]
 	w.network.mu.Unlock()
-	if lost || receive == nil {
+	if dropped || receive == nil {
 		return
 	}
 	time.AfterFunc(messageDelay, func() {
--- a/internal/demo/fault/repair_test.go
+++ b/internal/demo/fault/repair_test.go
@@ -40,11 +40,11 @@
 // changeMember makes one change of membership, asked for until it is in force.
 func (w *testCell) changeMember(c *v1.MemberChange) {
 	w.t.Helper()
-	n := 0
+	attempt := 0
 	w.waitUntil(fmt.Sprint("member ", c), func() bool {
-		n++
+		attempt++
 		_, err := w.operator.Change(w.ctx, &v1.ChangeRequest{
-			Id: fmt.Sprintf("%s-%v-%d", c.GetReplica(), c.GetRemove(), n), Change: &v1.ChangeRequest_Member{Member: c},
+			Id: fmt.Sprintf("%s-%v-%d", c.GetReplica(), c.GetRemove(), attempt), Change: &v1.ChangeRequest_Member{Member: c},
 		})
 		return err == nil
 	})
@@ -74,9 +74,9 @@
 		w.t.Fatal(err)
 	}
 	w.waitUntil("a new identity", func() bool { return w.replicaID(name) != "" })
-	fresh := w.replicaID(name)
-	w.changeMember(&v1.MemberChange{Replica: fresh, Address: w.net.Address(name)})
-	return fresh
+	newID := w.replicaID(name)
+	w.changeMember(&v1.MemberChange{Replica: newID, Address: w.net.Address(name)})
+	return newID
 }
 
 func (w *testCell) removeMember(id string) {
@@ -136,25 +136,25 @@
 		for range 40 {
 			revision = w.editTable(revision, 100+uint32(revision))
 		}
-		lost := w.follower()
-		old := w.replicaID(lost)
-		w.cell.Kill(lost)
-		answers := make(chan []result, 1)
-		go func() { answers <- w.runJobs(jobSpecs()) }()
+		failedReplica := w.follower()
+		oldID := w.replicaID(failedReplica)
+		w.cell.Kill(failedReplica)
+		results := make(chan []result, 1)
+		go func() { results <- w.runJobs(jobSpecs()) }()
 		w.cell.Replicas++
-		fresh := w.joinWithBlankDisk("c4")
-		w.waitForVoter(fresh)
-		w.removeMember(old)
+		newID := w.joinWithBlankDisk("c4")
+		w.waitForVoter(newID)
+		w.removeMember(oldID)
 		revision = w.editTable(revision, 500)
-		w.waitUntil("the new replica has the table", func() bool { return w.memberLine(fresh).GetRevision() == revision })
-		leads, _ := w.cell.Leader()
-		w.cell.Kill(leads)
-		w.waitUntil("another replica leads", func() bool { next, ok := w.cell.Leader(); return ok && next != leads })
-		if faults := w.brokenPromises(<-answers); len(faults) > 0 && !allFromReplica(faults, leads) {
-			t.Error(faults)
+		w.waitUntil("the new replica has the table", func() bool { return w.memberLine(newID).GetRevision() == revision })
+		leader, _ := w.cell.Leader()
+		w.cell.Kill(leader)
+		w.waitUntil("another replica leads", func() bool { next, ok := w.cell.Leader(); return ok && next != leader })
+		if violations := w.violations(<-results); len(violations) > 0 && !allFromReplica(violations, leader) {
+			t.Error(violations)
 		}
-		more := []*v1.Spec{{Id: "after", Name: "after", Kind: v1.Kind_KIND_URGENT, Count: 1, Input: []byte("after"), Size: &v1.Size{Cpu: taskCores, Slots: 1}}}
-		if r := w.runJobs(more)[0]; r.outcome != v1.Outcome_OUTCOME_DONE || r.code != code.OK {
+		laterJobs := []*v1.Spec{{Id: "after", Name: "after", Kind: v1.Kind_KIND_URGENT, Count: 1, Input: []byte("after"), Size: &v1.Size{Cpu: taskCores, Slots: 1}}}
+		if r := w.runJobs(laterJobs)[0]; r.outcome != v1.Outcome_OUTCOME_DONE || r.code != code.OK {
 			t.Errorf("after the second loss: %+v", r)
 		}
 		if r, err := w.operator.Show(w.ctx, v1.Part_PART_TABLE); err != nil || r.GetRevision() != revision || r.GetRows()[0].GetQueue() != 500 {
@@ -164,8 +164,8 @@
 }
 
 // allFromReplica tells whether the only faults are that a killed replica has no ledger.
-func allFromReplica(faults []string, name string) bool {
-	for _, f := range faults {
+func allFromReplica(violations []string, name string) bool {
+	for _, f := range violations {
 		if len(f) < len(name) || f[:len(name)] != name {
 			return false
 		}
@@ -184,11 +184,11 @@
 		for range 300 {
 			revision = w.editTable(revision, 100+uint32(revision))
 		}
-		if faults := w.brokenPromises(w.runJobs(jobSpecs())); len(faults) > 0 {
-			t.Error(faults)
+		if violations := w.violations(w.runJobs(jobSpecs())); len(violations) > 0 {
+			t.Error(violations)
 		}
-		for _, sort := range []string{"b", "e"} {
-			for _, name := range w.cell.ProcessNames(sort, map[string]int{"b": servers, "e": entries}[sort]) {
+		for _, prefix := range []string{"b", "e"} {
+			for _, name := range w.cell.ProcessNames(prefix, map[string]int{"b": servers, "e": entries}[prefix]) {
 				w.cell.Kill(name)
 			}
 		}
@@ -228,9 +228,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(t)
 		defer w.close()
-		bad := w.follower()
-		old := w.replicaID(bad)
-		err := w.cell.Node(bad).Control.Execute(w.ctx, func(st *state.State) {
+		divergedReplica := w.follower()
+		oldID := w.replicaID(divergedReplica)
+		err := w.cell.Node(divergedReplica).Control.Execute(w.ctx, func(st *state.State) {
 			st.Apply(&record.Command{At: int64(st.Now()), What: &record.Command_Change{Change: &record.Change{By: "damage", Request: &v1.ChangeRequest{Id: "damage"}}}})
 		})
 		if err != nil {
@@ -244,16 +244,16 @@
 		case <-time.After(30 * time.Second):
 			t.Fatal("it goes on with a state of its own")
 		}
-		if faults := w.brokenPromises(w.runJobs(jobSpecs())); len(faults) > 0 {
-			t.Error(faults)
+		if violations := w.violations(w.runJobs(jobSpecs())); len(violations) > 0 {
+			t.Error(violations)
 		}
-		fresh := w.joinWithBlankDisk(bad)
-		if fresh == old {
+		newID := w.joinWithBlankDisk(divergedReplica)
+		if newID == oldID {
 			t.Error("a blank disk has the old identity")
 		}
 		// One machine never counts twice: it votes once its old identity is gone.
-		w.removeMember(old)
-		w.waitForVoter(fresh)
+		w.removeMember(oldID)
+		w.waitForVoter(newID)
 		w.waitUntil("it holds what the others hold", func() bool { return allEqual(w.encodedStates()) })
 	})
 }
--- a/internal/demo/fault/world_test.go
+++ b/internal/demo/fault/world_test.go
@@ -77,14 +77,14 @@
 	if err := w.cell.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	w.operator = &operator.Client{Link: w.link("operators", w.cell.OperatorKey)}
+	w.operator = &operator.Client{Link: w.entryLink("operators", w.cell.OperatorKey)}
 	limit := &v1.Size{Cpu: teamCores, Memory: -1, Accel: -1, Slots: -1}
-	w.change(&v1.ChangeRequest{Id: "table", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
+	w.applyChange(&v1.ChangeRequest{Id: "table", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
 		{Row: &v1.Row{Team: "rail", Weight: 1, Queue: 100, Limit: limit}},
 	}}}})
 	digest := key.Digest("secret")
-	w.change(&v1.ChangeRequest{Id: "grant", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "rail", Digest: digest[:]}}})
-	w.caller = &caller.Client{Link: w.link("callers", "k.secret"), Patience: longPollWait}
+	w.applyChange(&v1.ChangeRequest{Id: "grant", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "rail", Digest: digest[:]}}})
+	w.caller = &caller.Client{Link: w.entryLink("callers", "k.secret"), Patience: longPollWait}
 	return w
 }
 
@@ -117,7 +117,7 @@
 	return bytes.Repeat([]byte(id+";"), answerSize/(len(id)+1))
 }
 
-func (w *testCell) change(req *v1.ChangeRequest) {
+func (w *testCell) applyChange(req *v1.ChangeRequest) {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(w.ctx, requestTimeout)
 	defer cancel()
@@ -126,8 +126,8 @@
 	}
 }
 
-// link returns a client's way to a service of all entries.
-func (w *testCell) link(service, k string) *link.Link {
+// entryLink returns a client's way to a service of all entries.
+func (w *testCell) entryLink(service, k string) *link.Link {
 	l := &link.Link{Key: k, Timeout: callTimeout, Dial: w.net.Dialer("caller")}
 	for _, e := range w.cell.ProcessNames("e", entries) {
 		l.Addresses = append(l.Addresses, "http://"+w.net.Address(e+"-"+service))
@@ -170,59 +170,59 @@
 	return r
 }
 
-// brokenPromises holds what came out against the promises, and returns what is broken.
-func (w *testCell) brokenPromises(results []result) (faults []string) {
-	faults = append(faults, w.recorder.Violations()...)
+// violations holds what came out against the promises, and returns what is broken.
+func (w *testCell) violations(results []result) (violations []string) {
+	violations = append(violations, w.recorder.Violations()...)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, r := range results {
-		runs, most := 0, 0
+		runs, maxRuns := 0, 0
 		for i := range r.spec.GetCount() {
 			n := w.runCounts[fmt.Sprintf("%s/%d", r.id, i)]
-			runs, most = runs+n, max(most, n)
+			runs, maxRuns = runs+n, max(maxRuns, n)
 		}
 		switch {
 		case r.err != nil:
-			faults = append(faults, fmt.Sprintf("%s: no answer: %v", r.id, r.err))
-		case r.spec.GetOnce() && most > 1:
-			faults = append(faults, fmt.Sprintf("%s may not be repeated and ran %d times", r.id, most))
+			violations = append(violations, fmt.Sprintf("%s: no answer: %v", r.id, r.err))
+		case r.spec.GetOnce() && maxRuns > 1:
+			violations = append(violations, fmt.Sprintf("%s may not be repeated and ran %d times", r.id, maxRuns))
 		case r.outcome == v1.Outcome_OUTCOME_NOT_RUN && runs > 0:
-			faults = append(faults, fmt.Sprintf("%s was said not to have run and ran %d times", r.id, runs))
+			violations = append(violations, fmt.Sprintf("%s was said not to have run and ran %d times", r.id, runs))
 		case r.outcome == v1.Outcome_OUTCOME_DONE && r.code == code.OK && !bytes.Equal(r.answer, bytes.Repeat(answerPattern(r.id), int(r.spec.GetCount()))):
-			faults = append(faults, fmt.Sprintf("%s: the answer is not whole", r.id))
+			violations = append(violations, fmt.Sprintf("%s: the answer is not whole", r.id))
 		case r.outcome == v1.Outcome_OUTCOME_UNKNOWN && !r.spec.GetOnce():
-			faults = append(faults, fmt.Sprintf("%s may be repeated and is unknown", r.id))
+			violations = append(violations, fmt.Sprintf("%s may be repeated and is unknown", r.id))
 		}
 	}
-	return append(faults, w.ledgerViolations()...)
+	return append(violations, w.ledgerViolations()...)
 }
 
 // ledgerViolations holds every replica's ledger against capacity and limits.
-func (w *testCell) ledgerViolations() (faults []string) {
+func (w *testCell) ledgerViolations() (violations []string) {
 	for _, name := range w.cell.ProcessNames("c", replicas) {
 		n := w.cell.Node(name)
 		ctx, cancel := context.WithTimeout(w.ctx, time.Second)
 		err := n.Control.Execute(ctx, func(st *state.State) {
 			if st.InvalidTransitions() > 0 {
-				faults = append(faults, name+": an event that no chart allows")
+				violations = append(violations, name+": an event that no chart allows")
 			}
 			for _, b := range st.Servers() {
 				if !b.HeldCapacity.Fits(b.Capacity) {
-					faults = append(faults, fmt.Sprintf("%s: %s is overcommitted", name, b.ID))
+					violations = append(violations, fmt.Sprintf("%s: %s is overcommitted", name, b.ID))
 				}
 			}
 			for _, r := range st.Table().Rows() {
 				if !st.TeamHeldCapacity(r.Name).Within(r.Limit) {
-					faults = append(faults, fmt.Sprintf("%s: %s is over its limit", name, r.Name))
+					violations = append(violations, fmt.Sprintf("%s: %s is over its limit", name, r.Name))
 				}
 			}
 		})
 		cancel()
 		if err != nil && !strings.Contains(err.Error(), "ended") {
-			faults = append(faults, fmt.Sprintf("%s: %v", name, err))
+			violations = append(violations, fmt.Sprintf("%s: %v", name, err))
 		}
 	}
-	return faults
+	return violations
 }
 
 // describeUnfinishedJobs tells how the leader's ledger holds the jobs that have not ended.
--- a/internal/demo/scenario/scenario.go
+++ b/internal/demo/scenario/scenario.go
@@ -36,8 +36,8 @@
 	settleTimeout = 15 * time.Second
 	// answerBytes is the length of each answer.
 	answerBytes = 100_000
-	// maxRecordedWait is the longest wait that the histogram holds, in microseconds.
-	maxRecordedWait = 60_000_000
+	// maxRecordedWaitMicros is the longest wait that the histogram holds, in microseconds.
+	maxRecordedWaitMicros = 60_000_000
 )
 
 // teams are the demo's teams and what their jobs are like.
@@ -58,8 +58,8 @@
 	// Withdrawal is the time until every entry refused the withdrawn key, in ms.
 	Withdrawal int64 `json:"withdrawal"`
 	Wait       Wait  `json:"wait"`
-	// BrokenPromises lists the promises that did not hold.
-	BrokenPromises []string `json:"broken"`
+	// Violations lists the promises that did not hold.
+	Violations []string `json:"broken"`
 	// Seconds is how long the demo took.
 	Seconds float64 `json:"seconds"`
 }
@@ -72,7 +72,7 @@
 }
 
 // Passed tells whether every promise that was checked held.
-func (r *Report) Passed() bool { return len(r.BrokenPromises) == 0 }
+func (r *Report) Passed() bool { return len(r.Violations) == 0 }
 
 // Scenario runs the demo. The exported fields are set before Run.
 type Scenario struct {
@@ -89,10 +89,10 @@
 	operator *operator.Client
 	callers  map[string]*caller.Client
 
-	mu            sync.Mutex
-	report        Report
-	waitHistogram *hdrhistogram.Histogram
-	acceptedAt    []time.Time
+	mu              sync.Mutex
+	report          Report
+	waitHistogram   *hdrhistogram.Histogram
+	acceptanceTimes []time.Time
 }
 
 // Run runs the demo and returns what it found; an error means that it could not run.
@@ -105,7 +105,7 @@
 		t.Interval = DefaultInterval
 	}
 	t.recorder = &server.Recorder{}
-	t.waitHistogram = hdrhistogram.New(1, maxRecordedWait, 3)
+	t.waitHistogram = hdrhistogram.New(1, maxRecordedWaitMicros, 3)
 	t.callers = map[string]*caller.Client{}
 	t.cell = &cell.Cell{
 		Network: &cell.Loopback{}, Dir: t.Dir, Replicas: replicas, Entries: entries, Servers: servers, Zones: zones,
@@ -127,8 +127,8 @@
 	return &t.report, nil
 }
 
-// link returns a client's way to a service of all entries.
-func (t *Scenario) link(service, k string) *link.Link {
+// entryLink returns a client's way to a service of all entries.
+func (t *Scenario) entryLink(service, k string) *link.Link {
 	l := &link.Link{Key: k, Timeout: 4 * time.Second}
 	for _, e := range t.cell.ProcessNames("e", entries) {
 		l.Addresses = append(l.Addresses, "http://"+t.cell.Network.Address(e+"-"+service))
@@ -140,7 +140,7 @@
 func (t *Scenario) createTeams(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	t.operator = &operator.Client{Link: t.link("operators", t.cell.OperatorKey)}
+	t.operator = &operator.Client{Link: t.entryLink("operators", t.cell.OperatorKey)}
 	change := &v1.TableChange{}
 	for _, name := range teams {
 		change.Edits = append(change.Edits, &v1.Edit{Row: &v1.Row{
@@ -159,7 +159,7 @@
 		if err != nil {
 			return err
 		}
-		t.callers[name] = &caller.Client{Link: t.link("callers", k), Patience: 2 * time.Second}
+		t.callers[name] = &caller.Client{Link: t.entryLink("callers", k), Patience: 2 * time.Second}
 	}
 	return nil
 }
@@ -173,10 +173,10 @@
 	return id + "." + secret, err
 }
 
-func (t *Scenario) recordBrokenPromise(format string, args ...any) {
+func (t *Scenario) recordViolation(format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.report.BrokenPromises = append(t.report.BrokenPromises, fmt.Sprintf(format, args...))
+	t.report.Violations = append(t.report.Violations, fmt.Sprintf(format, args...))
 }
 
 // completeReport fills in what is known only at the end.
@@ -186,12 +186,12 @@
 	r.Wait = Wait{P50: ms(t.waitHistogram.ValueAtQuantile(50)), P99: ms(t.waitHistogram.ValueAtQuantile(99)), Max: ms(t.waitHistogram.Max())}
 	r.Duplicates += len(t.recorder.Violations())
 	for _, f := range t.recorder.Violations() {
-		t.recordBrokenPromise("%s", f)
+		t.recordViolation("%s", f)
 	}
 	if r.Lost > 0 {
-		t.recordBrokenPromise("%d accepted jobs were lost", r.Lost)
+		t.recordViolation("%d accepted jobs were lost", r.Lost)
 	}
-	if r.BrokenPromises == nil {
-		r.BrokenPromises = []string{}
+	if r.Violations == nil {
+		r.Violations = []string{}
 	}
 }
--- a/internal/demo/scenario/scenario_test.go
+++ b/internal/demo/scenario/scenario_test.go
@@ -14,11 +14,11 @@
 		t.Skip("takes ten seconds")
 	}
 	// The race detector makes every copied byte cost tens of times more.
-	r, err := (&scenario.Scenario{Dir: t.TempDir(), Interval: 100 * time.Millisecond}).Run(t.Context())
+	report, err := (&scenario.Scenario{Dir: t.TempDir(), Interval: 100 * time.Millisecond}).Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !r.Passed() || r.Accepted == 0 || r.Done+r.Unknown != r.Accepted || r.Duplicates+r.Lost != 0 {
-		t.Errorf("%+v", *r)
+	if !report.Passed() || report.Accepted == 0 || report.Done+report.Unknown != report.Accepted || report.Duplicates+report.Lost != 0 {
+		t.Errorf("%+v", *report)
 	}
 }
--- a/internal/demo/scenario/work.go
+++ b/internal/demo/scenario/work.go
@@ -15,8 +15,8 @@
 	"gypsumreel/internal/fake/server"
 )
 
-// maxWithdrawalTime is the promise about a withdrawn key.
-const maxWithdrawalTime = 2 * time.Second
+// maxKeyWithdrawalTime is the promise about a withdrawn key.
+const maxKeyWithdrawalTime = 2 * time.Second
 
 // runWorkload submits jobs all along while things go wrong, and waits for the outcomes.
 func (t *Scenario) runWorkload(ctx context.Context) error {
@@ -75,10 +75,10 @@
 		t.increment(&t.report.Unknown)
 	case r.Outcome != v1.Outcome_OUTCOME_DONE || r.Code != code.OK:
 		t.increment(&t.report.Lost)
-		t.recordBrokenPromise("%s ended as %v, %s", spec.GetId(), r.Outcome, r.Text)
+		t.recordViolation("%s ended as %v, %s", spec.GetId(), r.Outcome, r.Text)
 	case !bytes.Equal(r.Data, bytes.Repeat(server.Pattern(answerBytes), int(spec.GetCount()))):
 		t.increment(&t.report.Lost)
-		t.recordBrokenPromise("%s: the answer is not whole: %d bytes", spec.GetId(), len(r.Data))
+		t.recordViolation("%s: the answer is not whole: %d bytes", spec.GetId(), len(r.Data))
 	default:
 		t.recordDone(time.Since(begin))
 	}
@@ -94,7 +94,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report.Accepted++
-	t.acceptedAt = append(t.acceptedAt, time.Now())
+	t.acceptanceTimes = append(t.acceptanceTimes, time.Now())
 }
 
 func (t *Scenario) recordDone(d time.Duration) {
@@ -157,7 +157,7 @@
 	defer t.mu.Unlock()
 	at := time.UnixMilli(t.report.Failover)
 	t.report.Failover = -1
-	for _, a := range t.acceptedAt {
+	for _, a := range t.acceptanceTimes {
 		// An acceptance that was committed before the end may arrive just after it.
 		d := a.Sub(at).Milliseconds()
 		if d > 50 && (t.report.Failover < 0 || d < t.report.Failover) {
@@ -192,8 +192,8 @@
 	t.mu.Lock()
 	t.report.Withdrawal = d.Milliseconds()
 	t.mu.Unlock()
-	if d > maxWithdrawalTime {
-		t.recordBrokenPromise("a withdrawn key worked for %v", d)
+	if d > maxKeyWithdrawalTime {
+		t.recordViolation("a withdrawn key worked for %v", d)
 	}
 	return nil
 }
@@ -207,24 +207,24 @@
 	}
 	as, err := c.Submit(ctx, []*v1.Spec{spec}, true)
 	if err != nil || as[0].GetStatus().GetCode() != 0 {
-		t.recordBrokenPromise("the service was refused: %v", err)
+		t.recordViolation("the service was refused: %v", err)
 		return
 	}
 	t.recordAccepted()
 	pause(ctx, submitDuration)
 	js, err := c.List(ctx, &v1.ListRequest{Ids: []string{spec.GetId()}})
 	if err != nil || len(js) != 1 || js[0].GetRunning() != spec.GetCount() {
-		t.recordBrokenPromise("the service does not run whole: %v %v", js, err)
+		t.recordViolation("the service does not run whole: %v %v", js, err)
 	}
 	if _, err := c.Cancel(ctx, []string{spec.GetId()}, nil); err != nil {
-		t.recordBrokenPromise("the service was not cancelled: %v", err)
+		t.recordViolation("the service was not cancelled: %v", err)
 		return
 	}
 	wait, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	r, err := c.Wait(wait, spec.GetId())
 	if err != nil || r.Code != code.Stopped {
-		t.recordBrokenPromise("the service ended as %v, %s (%v)", r.Outcome, r.Text, err)
+		t.recordViolation("the service ended as %v, %s (%v)", r.Outcome, r.Text, err)
 		return
 	}
 	t.increment(&t.report.Done)
