--- a/internal/demo/cell/cell.go
+++ b/internal/demo/cell/cell.go
@@ -1,6 +1,6 @@
-// Package cell runs a whole cell in one process: control replicas, entries and
-// fake backend servers, which can be killed, stopped and started again one by
-// one. The demo runs it on loopback, the fault tests on a network in memory.
+// Package cell runs a whole cell in one Go process. Each control replica, entry and fake
+// backend server can be killed, stopped and restarted separately. The demo uses the
+// loopback network, and the fault tests use an in-memory network.
 package cell
 
 import (
@@ -25,40 +25,41 @@
 	"gypsumreel/internal/replica/quorum"
 )
 
-// Network is what the processes of a cell talk over.
+// Network connects the processes of a cell.
 type Network interface {
-	// Listen returns a listener at the address that Address gave for the name.
+	// Listen returns a listener on an address returned by Address.
 	Listen(address string) (net.Listener, error)
-	// Address returns the address of a named listener, the same at each call.
+	// Address returns the address of the named listener. It is the same on each call.
 	Address(name string) string
-	// Dialer returns how the process of that name opens connections; nil for TCP.
+	// Dialer returns the dial function of the named process; nil for TCP.
 	Dialer(name string) func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Cell is a cell in one process. The exported fields are set before Start.
+// Cell is a cell in one Go process. The exported fields are set before Start.
 type Cell struct {
 	Network Network
-	// Dir holds the replicas' data folders.
+	// Dir is the folder that holds the data folder of each replica.
 	Dir string
-	// Replicas, Entries and Servers are the numbers of processes.
+	// Replicas, Entries and Servers are the number of processes of each kind.
 	Replicas, Entries, Servers int
-	// Zones is the number of availability zones that all are spread over.
+	// Zones is the number of availability zones over which the backend servers are spread.
 	Zones int
-	// Capacity is that of each backend server.
+	// Capacity is the capacity of each backend server.
 	Capacity *v1.Size
-	// Transport makes a replica's way to the others.
+	// Transport creates a replica's transport for consensus messages; nil for the default.
 	Transport func(name, id string, receive func(from string, data []byte)) node.Transport
-	// ConfigureControl lets a test change a replica's control thread before it runs; may be nil.
+	// ConfigureControl changes the settings of a replica's control thread before it starts;
+	// may be nil.
 	ConfigureControl func(name string, l *leader.Leader)
-	// Recorder is told of all starts and stops.
+	// Recorder records each start and stop of a task; may be nil.
 	Recorder *server.Recorder
-	// Work runs tasks; nil for server.Obey.
+	// Work runs tasks; nil for server.RunScript.
 	Work server.Work
 	Log  logr.Logger
-	// Linger is the time that a stopping entry serves on.
+	// Linger is how long an entry continues to serve during a graceful shutdown.
 	Linger time.Duration
 
-	// OperatorKey is the first operator's key, as it is presented.
+	// OperatorKey is the full key of the first operator, ID and secret. Start sets it.
 	OperatorKey string
 
 	ctx             context.Context
@@ -70,7 +71,7 @@
 	processErrors   chan error
 }
 
-// process is one run of a process.
+// process is one process of the cell from its start to its end.
 type process struct {
 	cancel      context.CancelFunc
 	abort       chan struct{}
@@ -81,10 +82,10 @@
 	connections *connTracker
 }
 
-// operatorKeyID is the id of the first operator's key.
+// operatorKeyID is the ID of the first operator's key.
 const operatorKeyID = "operator"
 
-// Start runs all processes; the replicas found a new group.
+// Start starts all processes. The replicas initialize a new consensus group.
 func (c *Cell) Start(ctx context.Context) error {
 	c.ctx, c.cancel = context.WithCancel(ctx)
 	c.operatorSecret, c.enrolmentSecret = key.NewSecret(), key.NewSecret()
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// ProcessNames returns the names of n processes of a sort.
+// ProcessNames returns the names of n processes: the prefix followed by a number from 1.
 func (c *Cell) ProcessNames(prefix string, n int) []string {
 	out := make([]string, n)
 	for i := range n {
@@ -124,13 +125,13 @@
 	return out
 }
 
-// Node returns the latest run of a replica.
+// Node returns the node that the named replica last started.
 func (c *Cell) Node(name string) *node.Node { return c.process(name).node }
 
-// Entry returns the latest run of an entry.
+// Entry returns the entry that the named process last started.
 func (c *Cell) Entry(name string) *entry.Entry { return c.process(name).entry }
 
-// Server returns the latest run of a backend server.
+// Server returns the fake server that the named backend server last started.
 func (c *Cell) Server(name string) *server.Server { return c.process(name).server }
 
 func (c *Cell) process(name string) *process {
@@ -155,7 +156,7 @@
 	}()
 }
 
-// ProcessErrors gives the errors of processes that ended without being told to.
+// ProcessErrors returns a channel of the errors of processes that ended unexpectedly.
 func (c *Cell) ProcessErrors() <-chan error { return c.processErrors }
 
 func (c *Cell) startReplica(name string, foundGroup bool) error {
@@ -221,7 +222,7 @@
 	c.runProcess(name, p, s.Run)
 }
 
-// Kill ends a process as a crash does: its connections break, nothing is finished.
+// Kill ends a process like a crash. Its connections break and no work is completed.
 func (c *Cell) Kill(name string) {
 	p := c.process(name)
 	close(p.abort)
@@ -232,14 +233,14 @@
 	<-p.done
 }
 
-// Stop ends a process as planned.
+// Stop ends a process by a graceful shutdown.
 func (c *Cell) Stop(name string) {
 	p := c.process(name)
 	p.cancel()
 	<-p.done
 }
 
-// Restart starts a process again that was killed or stopped.
+// Restart starts a killed or stopped process again.
 func (c *Cell) Restart(name string) error {
 	switch name[0] {
 	case 'c':
@@ -253,7 +254,7 @@
 	return nil
 }
 
-// Leader returns the name of the replica that leads, if one does.
+// Leader returns the name of the leader and whether there is one.
 func (c *Cell) Leader() (string, bool) {
 	for _, name := range c.ProcessNames("c", c.Replicas) {
 		p := c.process(name)
@@ -269,7 +270,7 @@
 	return "", false
 }
 
-// Close ends all processes at once and waits for them.
+// Close kills all processes and waits until they have ended.
 func (c *Cell) Close() {
 	c.mu.Lock()
 	procs := c.processes
--- a/internal/demo/cell/conns.go
+++ b/internal/demo/cell/conns.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// connTracker keeps what listeners accepted, so that a kill can break it as the end
-// of a process would.
+// connTracker records the connections that the listeners of a process accept, so that
+// Kill can close them all as the end of the process would.
 type connTracker struct {
 	net.Listener
 
@@ -15,7 +15,7 @@
 	listeners []net.Listener
 }
 
-// track returns a listener that tells c of what it accepts.
+// track returns a listener whose accepted connections are recorded in c.
 func (c *connTracker) track(l net.Listener) net.Listener {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -23,7 +23,7 @@
 	return &trackedListener{Listener: l, tracker: c}
 }
 
-// Accept takes a connection and keeps it.
+// Accept accepts a connection and records it.
 func (c *connTracker) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err == nil {
@@ -57,7 +57,7 @@
 	tracker *connTracker
 }
 
-// Accept takes a connection and tells of it.
+// Accept accepts a connection and records it in the tracker.
 func (t *trackedListener) Accept() (net.Conn, error) {
 	conn, err := t.Listener.Accept()
 	if err == nil {
--- a/internal/demo/cell/loopback.go
+++ b/internal/demo/cell/loopback.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Loopback is the network of a cell on 127.0.0.1. The zero value is ready.
+// Loopback is a network on 127.0.0.1. The zero value is ready to use.
 type Loopback struct {
 	mu        sync.Mutex
 	addresses map[string]string
 	reserved  map[string]net.Listener
 }
 
-// Address returns the address of a name; its port is taken at the first call.
+// Address returns the address of the named listener. The first call reserves a port.
 func (l *Loopback) Address(name string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -33,8 +33,8 @@
 	return a
 }
 
-// Listen returns the listener of an address. After a restart the port may be
-// busy for a moment.
+// Listen returns a listener on the address. It retries, because the port may still be in
+// use for a moment after a restart.
 func (l *Loopback) Listen(address string) (net.Listener, error) {
 	l.mu.Lock()
 	ln, ok := l.reserved[address]
@@ -53,7 +53,7 @@
 	return nil, err
 }
 
-// Dialer returns nil: connections are opened over TCP as they are.
+// Dialer returns nil, which selects TCP.
 func (l *Loopback) Dialer(string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return nil
 }
--- a/internal/demo/fault/fault_test.go
+++ b/internal/demo/fault/fault_test.go
@@ -9,6 +9,7 @@
 	v1 "gypsumreel/internal/api/v1"
 )
 
+// Without any fault, all jobs must complete within five seconds.
 func TestJobsCompleteWithoutFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(t)
@@ -20,16 +21,16 @@
 		}
 		for _, r := range results {
 			if r.outcome != v1.Outcome_OUTCOME_DONE || r.code != 0 {
-				t.Errorf("%s: %v, code %d", r.id, r.outcome, r.code)
+				t.Errorf("%s: outcome %v, code %d", r.id, r.outcome, r.code)
 			}
 		}
 		if d := time.Since(startedAt); d > 5*time.Second {
-			t.Errorf("it took %v", d)
+			t.Errorf("the jobs took %v, limit 5s", d)
 		}
 	})
 }
 
-// jobSpecs are one job of each kind, repeatable and not.
+// jobSpecs returns urgent, batch and gang jobs; two of them must run at most once.
 func jobSpecs() []*v1.Spec {
 	size := &v1.Size{Cpu: taskCores, Memory: 1000, Slots: 1}
 	var out []*v1.Spec
@@ -46,7 +47,7 @@
 	return out
 }
 
-// runJobs serves jobs side by side.
+// runJobs runs jobs concurrently and returns their results in the same order.
 func (w *testCell) runJobs(jobs []*v1.Spec) []result {
 	out := make([]result, len(jobs))
 	var wg sync.WaitGroup
--- a/internal/demo/fault/matrix_test.go
+++ b/internal/demo/fault/matrix_test.go
@@ -11,10 +11,11 @@
 	"gypsumreel/internal/base/page"
 )
 
-// requestSteps are the points of a request's way at which a fault may come.
+// requestSteps are the steps of a request at which a fault can be injected.
 var requestSteps = []string{"submit", "accepted", "run", "report", "answer"}
 
-// fault is one thing that goes wrong, and how it ends.
+// fault describes how a fault is injected into a cell and how it is repaired. The inject
+// function returns the name of the affected process.
 type fault struct {
 	name   string
 	inject func(*testCell) string
@@ -23,7 +24,7 @@
 
 func noRepair(*testCell, string) {}
 
-// leader returns the name of the leader, or the first replica when there is none.
+// leader returns the name of the leader, or of the first replica if there is no leader.
 func (w *testCell) leader() string {
 	if name, ok := w.cell.Leader(); ok {
 		return name
@@ -31,11 +32,11 @@
 	return "c1"
 }
 
-// follower returns the name of a replica that does not lead.
+// follower returns the name of a replica that is not the leader.
 func (w *testCell) follower() string {
-	lead := w.leader()
+	leader := w.leader()
 	for _, name := range w.cell.ProcessNames("c", replicas) {
-		if name != lead {
+		if name != leader {
 			return name
 		}
 	}
@@ -50,7 +51,8 @@
 
 func healLinks(w *testCell, name string) { w.net.heal(name) }
 
-// newFault returns a fault that does something to a process picked when it comes.
+// newFault returns a fault that affects the process that selectProcess returns at the time
+// of the injection.
 func newFault(name string, selectProcess func(*testCell) string, inject func(*testCell, string), repair func(*testCell, string)) fault {
 	return fault{name: name, inject: func(w *testCell) string { process := selectProcess(w); inject(w, process); return process }, repair: repair}
 }
@@ -66,30 +68,30 @@
 func pause(w *testCell, name string)  { w.cell.Server(name).Pause() }
 func resume(w *testCell, name string) { w.cell.Server(name).Resume() }
 
-// faults are those of the brief, for each sort of process.
+// faults lists the injected faults of each kind of process.
 var faults = []fault{
 	newFault("leader killed", (*testCell).leader, kill, restart),
-	newFault("leader stopped as planned", (*testCell).leader, stop, restart),
-	newFault("leader cut off silently", (*testCell).leader, dropTraffic, healLinks),
+	newFault("leader shut down gracefully", (*testCell).leader, stop, restart),
+	newFault("leader's traffic dropped silently", (*testCell).leader, dropTraffic, healLinks),
 	newFault("leader paused", (*testCell).leader, holdTraffic, healLinks),
-	newFault("leader heard by no replica", (*testCell).leader, func(w *testCell, p string) { w.net.blockReplica(p, false) }, healLinks),
-	newFault("leader hears no replica", (*testCell).leader, func(w *testCell, p string) { w.net.blockReplica(p, true) }, healLinks),
-	newFault("leader's connections forgotten", (*testCell).leader, blackholeOpen, noRepair),
+	newFault("leader's outgoing consensus messages dropped", (*testCell).leader, func(w *testCell, p string) { w.net.blockReplica(p, false) }, healLinks),
+	newFault("leader's incoming consensus messages dropped", (*testCell).leader, func(w *testCell, p string) { w.net.blockReplica(p, true) }, healLinks),
+	newFault("leader's open connections blackholed", (*testCell).leader, blackholeOpen, noRepair),
 	newFault("follower killed", (*testCell).follower, kill, restart),
-	newFault("follower cut off silently", (*testCell).follower, dropTraffic, healLinks),
+	newFault("follower's traffic dropped silently", (*testCell).follower, dropTraffic, healLinks),
 	newFault("entry killed", processNamed("e1"), kill, restart),
-	newFault("entry stopped as planned", processNamed("e1"), stop, restart),
-	newFault("entry cut off silently", processNamed("e1"), dropTraffic, healLinks),
+	newFault("entry shut down gracefully", processNamed("e1"), stop, restart),
+	newFault("entry's traffic dropped silently", processNamed("e1"), dropTraffic, healLinks),
 	newFault("entry paused", processNamed("e1"), holdTraffic, healLinks),
-	newFault("entry's connections forgotten", processNamed("e1"), blackholeOpen, noRepair),
+	newFault("entry's open connections blackholed", processNamed("e1"), blackholeOpen, noRepair),
 	newFault("backend server killed", processNamed("b1"), kill, restart),
-	newFault("backend server cut off silently", processNamed("b1"), dropTraffic, healLinks),
+	newFault("backend server's traffic dropped silently", processNamed("b1"), dropTraffic, healLinks),
 	newFault("backend server paused", processNamed("b1"), pause, resume),
-	newFault("backend server's connections forgotten", processNamed("b1"), blackholeOpen, noRepair),
+	newFault("backend server's open connections blackholed", processNamed("b1"), blackholeOpen, noRepair),
 	newFault("backend server leaves", processNamed("b1"), func(w *testCell, p string) { w.cell.Server(p).Leave() }, noRepair),
 }
 
-// injection is a fault at a step.
+// injection is a fault and the request step at which it is injected.
 type injection struct {
 	fault fault
 	step  string
@@ -97,8 +99,8 @@
 
 func (i injection) String() string { return i.fault.name + " at " + i.step }
 
-// runWithFaults serves all jobs with the faults coming at their steps and ending later,
-// and returns what promises broke.
+// runWithFaults runs all jobs, injects each fault at its step and repairs it after
+// faultDuration. It returns the violations found.
 func runWithFaults(t *testing.T, injections ...injection) (violations []string) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(t)
@@ -106,14 +108,14 @@
 		var injected sync.Map
 		var wg sync.WaitGroup
 		w.onStep = func(step string) {
-			for i, h := range injections {
-				if _, done := injected.LoadOrStore([2]any{i, step}, true); h.step != step || done {
+			for i, inj := range injections {
+				if _, done := injected.LoadOrStore([2]any{i, step}, true); inj.step != step || done {
 					continue
 				}
 				wg.Go(func() {
-					target := h.fault.inject(w)
+					target := inj.fault.inject(w)
 					time.Sleep(faultDuration)
-					h.fault.repair(w, target)
+					inj.fault.repair(w, target)
 				})
 			}
 		}
@@ -127,10 +129,10 @@
 	return violations
 }
 
-// A user's requests are under way when one thing of the brief goes wrong, at
-// each step in turn, and ends twelve seconds later. Every request gets its whole
-// answer or a true refusal, nothing runs in two places or twice when it must
-// not, and no server or team is over its bounds.
+// One fault is injected while requests are in progress and repaired twelve seconds later,
+// for each fault and each step of a request. Every request must get its complete answer or
+// a correct refusal. No task may run on two servers, or twice if it must run at most once,
+// and no server or team may exceed its capacity or limit.
 func TestEveryFaultAtEveryStep(t *testing.T) {
 	for _, f := range faults {
 		for _, s := range requestSteps {
@@ -139,33 +141,35 @@
 	}
 }
 
-// runCase runs one case.
+// runCase runs one combination of faults as a subtest.
 func runCase(t *testing.T, injections ...injection) {
 	names := make([]string, len(injections))
-	for i, h := range injections {
-		names[i] = h.String()
+	for i, inj := range injections {
+		names[i] = inj.String()
 	}
 	t.Run(strings.ReplaceAll(strings.Join(names, " and "), " ", "_"), func(t *testing.T) {
-		t.Parallel() // each case has a network, disks and a clock of its own
+		t.Parallel() // cases share no network, disk or clock
 		if violations := runWithFaults(t, injections...); len(violations) > 0 {
 			t.Error(strings.Join(violations, "\n"))
 		}
 	})
 }
 
-// targetsDiffer tells whether two faults strike different processes: one fault starting
-// a process again that the other has cut off is a third fault, not these two.
+// targetsDiffer reports whether two faults affect different kinds of processes. Two faults
+// of one process interfere, because the restart of one fault ends the isolation of the
+// other.
 func targetsDiffer(a, b fault) bool {
 	return targetProcess(a) != targetProcess(b)
 }
 
+// targetProcess returns the kind of process that a fault affects, the first word of its name.
 func targetProcess(f fault) string {
 	words := strings.Fields(strings.ReplaceAll(f.name, "'s", ""))
 	return words[0]
 }
 
-// faultPairs are the pairs of faults at the step of the first, by a stride that takes
-// each fault as first and as second several times.
+// faultPairs returns every pairStride-th pair of faults that affect different processes.
+// Each fault occurs several times as the first and as the second of a pair.
 func faultPairs() (out [][2]injection) {
 	n := 0
 	for i, a := range faults {
@@ -181,18 +185,19 @@
 	return out
 }
 
-// pairStride is how many of the pairs one is taken from.
+// pairStride selects one of every four pairs, to limit the run time.
 const pairStride = 4
 
-// Two things go wrong at once, or one while the other is being repaired, such as
-// a second instance lost right after a repair. The same promises hold.
+// Two faults are injected at the same time, or the second while the first is being
+// repaired, such as a second instance lost right after a repair. The same guarantees must
+// hold as for one fault.
 func TestPairsOfFaults(t *testing.T) {
 	for _, p := range faultPairs() {
 		runCase(t, p[0], p[1])
 	}
 }
 
-// The page of the matrix names every fault and step and the number of cases.
+// docs/FAULTS.md must list all faults and steps and the number of cases.
 func TestFaultPageIsUpToDate(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("| fault | steps |\n| --- | --- |\n")
--- a/internal/demo/fault/network_test.go
+++ b/internal/demo/fault/network_test.go
@@ -12,17 +12,19 @@
 	"gypsumreel/internal/fake/relay"
 )
 
-// network is a network in memory with a relay on each link, so that a test can
-// break any of them.
+// network is an in-memory network with a relay on each link, so that a test can inject
+// faults into any link.
 type network struct {
 	ctx    context.Context
 	memory relay.MemoryNetwork
 	mu     sync.Mutex
 	links  map[[2]string]*relay.Relay
-	// isolated are those of processes that were cut off: links made later share them.
-	isolated  map[string]bool
+	// isolated holds the processes whose traffic is dropped, also on links created later.
+	isolated map[string]bool
+	// receivers holds the function that receives consensus messages, by replica identity.
 	receivers map[string]func(from string, data []byte)
-	// inboundBlocked and mute hold the replicas that hear, or are heard by, no other one.
+	// inboundBlocked and outboundBlocked hold the replicas whose incoming or outgoing
+	// consensus messages are dropped.
 	inboundBlocked, outboundBlocked map[string]bool
 }
 
@@ -33,13 +35,14 @@
 	}
 }
 
-// Address names a listener with the port that HTTP clients want to see.
+// Address returns the name with a port, which HTTP clients require.
 func (n *network) Address(name string) string { return name + ":1" }
 
-// Listen returns the listener of an address.
+// Listen returns a listener on the address.
 func (n *network) Listen(address string) (net.Listener, error) { return n.memory.Listen(address), nil }
 
-// Dialer returns how a process opens connections: through its own relay to each address.
+// Dialer returns the dial function of a process, which connects through a separate relay
+// for each address.
 func (n *network) Dialer(name string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		n.link(name, address)
@@ -64,14 +67,14 @@
 	return r
 }
 
-// listeningProcess returns the process that listens at an address.
+// listeningProcess returns the name of the process that listens on an address.
 func listeningProcess(address string) string {
 	name, _, _ := strings.Cut(address, ":")
 	name, _, _ = strings.Cut(name, "-")
 	return name
 }
 
-// eachLink calls fn for every link that a process has part in.
+// eachLink calls fn for every link from or to a process.
 func (n *network) eachLink(name string, fn func(*relay.Relay)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -82,7 +85,7 @@
 	}
 }
 
-// dropTraffic makes every link of a process lose everything, silently.
+// dropTraffic silently drops all traffic of a process.
 func (n *network) dropTraffic(name string) {
 	n.mu.Lock()
 	n.isolated[name], n.inboundBlocked[name], n.outboundBlocked[name] = true, true, true
@@ -90,7 +93,8 @@
 	n.eachLink(name, func(r *relay.Relay) { r.SetMode(relay.Upstream, relay.Drop); r.SetMode(relay.Downstream, relay.Drop) })
 }
 
-// holdTraffic keeps every byte of a process back, as when the process is paused.
+// holdTraffic holds back all traffic of a process, as if the process were paused.
+// Consensus messages are dropped.
 func (n *network) holdTraffic(name string) {
 	n.mu.Lock()
 	n.inboundBlocked[name], n.outboundBlocked[name] = true, true
@@ -98,7 +102,7 @@
 	n.eachLink(name, func(r *relay.Relay) { r.SetMode(relay.Upstream, relay.Hold); r.SetMode(relay.Downstream, relay.Hold) })
 }
 
-// blockReplica lets a replica hear the others and be heard by none, or the other way round.
+// blockReplica drops the incoming or the outgoing consensus messages of a replica.
 func (n *network) blockReplica(name string, inbound bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -109,12 +113,13 @@
 	n.outboundBlocked[name] = true
 }
 
-// blackholeOpen makes the open connections of a process silent for good; new ones work.
+// blackholeOpen drops all further traffic on the open connections of a process. New
+// connections work.
 func (n *network) blackholeOpen(name string) {
 	n.eachLink(name, func(r *relay.Relay) { r.BlackholeOpen(relay.Upstream, relay.Downstream) })
 }
 
-// heal ends every fault of a process's links.
+// heal ends dropTraffic, holdTraffic and blockReplica for a process.
 func (n *network) heal(name string) {
 	n.mu.Lock()
 	delete(n.isolated, name)
@@ -127,7 +132,7 @@
 	})
 }
 
-// transport is a replica's way to the others.
+// transport sends the consensus messages of one replica over the network.
 type transport struct {
 	network *network
 	name    string
@@ -141,7 +146,7 @@
 	return &transport{network: n, name: name, id: id}
 }
 
-// messageDelay is the time that a consensus message takes.
+// messageDelay is the network delay of a consensus message.
 const messageDelay = time.Millisecond
 
 func (w *transport) Send(to, _ string, data [][]byte) {
--- a/internal/demo/fault/repair_test.go
+++ b/internal/demo/fault/repair_test.go
@@ -19,13 +19,13 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// replicaID returns the identity of a replica's latest run.
+// replicaID returns the identity that the named replica had at its last start.
 func (w *testCell) replicaID(name string) string {
 	d, _ := w.cell.Node(name).State().(node.Dump)
 	return d.Group.ID
 }
 
-// waitUntil waits for something to come true, and fails the test when it does not.
+// waitUntil polls ok until it returns true. It fails the test after a minute.
 func (w *testCell) waitUntil(condition string, ok func() bool) {
 	w.t.Helper()
 	for range 600 {
@@ -34,14 +34,14 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	w.t.Fatalf("in vain: %s", condition)
+	w.t.Fatalf("not reached within one minute: %s", condition)
 }
 
-// changeMember makes one change of membership, asked for until it is in force.
+// changeMember requests one membership change and retries until it succeeds.
 func (w *testCell) changeMember(c *v1.MemberChange) {
 	w.t.Helper()
 	attempt := 0
-	w.waitUntil(fmt.Sprint("member ", c), func() bool {
+	w.waitUntil(fmt.Sprint("membership change ", c), func() bool {
 		attempt++
 		_, err := w.operator.Change(w.ctx, &v1.ChangeRequest{
 			Id: fmt.Sprintf("%s-%v-%d", c.GetReplica(), c.GetRemove(), attempt), Change: &v1.ChangeRequest_Member{Member: c},
@@ -50,7 +50,8 @@
 	})
 }
 
-// memberLine returns a replica as the list of members shows it; nil for none.
+// memberLine returns the line of a replica in the list of members, or nil if it is not
+// listed.
 func (w *testCell) memberLine(id string) *v1.MemberLine {
 	r, err := w.operator.Show(w.ctx, v1.Part_PART_MEMBERS)
 	if err != nil {
@@ -64,7 +65,8 @@
 	return nil
 }
 
-// joinWithBlankDisk starts a replica on a blank disk and adds it as a member.
+// joinWithBlankDisk starts a replica on an empty disk, adds it as a member and returns its
+// new identity.
 func (w *testCell) joinWithBlankDisk(name string) string {
 	w.t.Helper()
 	if err := os.RemoveAll(filepath.Join(w.cell.Dir, name)); err != nil {
@@ -73,7 +75,7 @@
 	if err := w.cell.Restart(name); err != nil {
 		w.t.Fatal(err)
 	}
-	w.waitUntil("a new identity", func() bool { return w.replicaID(name) != "" })
+	w.waitUntil(name+" has an identity", func() bool { return w.replicaID(name) != "" })
 	newID := w.replicaID(name)
 	w.changeMember(&v1.MemberChange{Replica: newID, Address: w.net.Address(name)})
 	return newID
@@ -89,10 +91,10 @@
 
 func (w *testCell) waitForVoter(id string) {
 	w.t.Helper()
-	w.waitUntil(id+" votes", func() bool { return w.memberLine(id).GetState() == "voter" })
+	w.waitUntil(id+" is a voter", func() bool { return w.memberLine(id).GetState() == "voter" })
 }
 
-// editTable makes one table change and returns the new revision.
+// editTable changes the queue limit of the team and returns the new revision of the table.
 func (w *testCell) editTable(base uint64, queue uint32) uint64 {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(w.ctx, requestTimeout)
@@ -102,12 +104,12 @@
 		Id: fmt.Sprint("edit-", base), Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Base: base, Edits: []*v1.Edit{{Row: row}}}},
 	})
 	if err != nil {
-		w.t.Fatalf("edit from %d: %v", base, err)
+		w.t.Fatalf("table change on revision %d: %v", base, err)
 	}
 	return rev
 }
 
-// encodedStates returns the whole state of each replica.
+// encodedStates returns the encoded ledger state of each replica.
 func (w *testCell) encodedStates() (out [][]byte) {
 	for _, name := range w.cell.ProcessNames("c", replicas) {
 		err := w.cell.Node(name).Control.Execute(w.ctx, func(st *state.State) {
@@ -124,10 +126,10 @@
 	return out
 }
 
-// A follower's disk dies. Whoever is on duty adds a new replica on a blank disk,
-// and right after the old one is removed another replica dies for good. What was accepted before and during the repair must
-// all be answered, and the table must not fall back: the blank disk counted for
-// a quorum only once it held everything.
+// A follower loses its disk, and an operator replaces it by a new replica with an empty
+// disk. Right after the old replica is removed, another replica fails permanently. All jobs
+// accepted before and during the repair must be answered, and the table must not revert to
+// an older revision. This fails if the new replica votes before it has the whole log.
 func TestCellSurvivesReplicaLossAfterRepair(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newConfiguredTestCell(t, func(_ string, l *leader.Leader) { l.SnapshotInterval = 50 })
@@ -155,15 +157,16 @@
 		}
 		laterJobs := []*v1.Spec{{Id: "after", Name: "after", Kind: v1.Kind_KIND_URGENT, Count: 1, Input: []byte("after"), Size: &v1.Size{Cpu: taskCores, Slots: 1}}}
 		if r := w.runJobs(laterJobs)[0]; r.outcome != v1.Outcome_OUTCOME_DONE || r.code != code.OK {
-			t.Errorf("after the second loss: %+v", r)
+			t.Errorf("job after the second replica failure: %+v", r)
 		}
 		if r, err := w.operator.Show(w.ctx, v1.Part_PART_TABLE); err != nil || r.GetRevision() != revision || r.GetRows()[0].GetQueue() != 500 {
-			t.Errorf("the table is %v, %v; revision %d was confirmed", r, err, revision)
+			t.Errorf("table is %v (error: %v), want the confirmed revision %d with queue 500", r, err, revision)
 		}
 	})
 }
 
-// allFromReplica tells whether the only faults are that a killed replica has no ledger.
+// allFromReplica reports whether all violations concern the named replica, which has no
+// ledger to check after it was killed.
 func allFromReplica(violations []string, name string) bool {
 	for _, f := range violations {
 		if len(f) < len(name) || f[:len(name)] != name {
@@ -173,9 +176,9 @@
 	return true
 }
 
-// All instances lose power at once after a few hundred changes. Every replica
-// comes back from its snapshot and journal with the state that it had, byte for
-// byte: a difference would show later as a wrong answer or a broken promise.
+// All instances lose power at the same time after a few hundred changes. Every replica must
+// restore exactly the same state, byte for byte, from its snapshot and journal. A
+// difference would later cause wrong answers or violated guarantees.
 func TestFullRestartRestoresSameState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newConfiguredTestCell(t, func(_ string, l *leader.Leader) { l.SnapshotInterval = 120 })
@@ -192,9 +195,9 @@
 				w.cell.Kill(name)
 			}
 		}
-		time.Sleep(40 * time.Second) // their leases are over
+		time.Sleep(40 * time.Second) // longer than any lease of a backend server
 		var before [][]byte
-		w.waitUntil("the replicas agree", func() bool { before = w.encodedStates(); return allEqual(before) })
+		w.waitUntil("all replicas have the same state", func() bool { before = w.encodedStates(); return allEqual(before) })
 		for _, name := range w.cell.ProcessNames("c", replicas) {
 			w.cell.Kill(name)
 		}
@@ -203,11 +206,11 @@
 				t.Fatal(err)
 			}
 		}
-		w.waitUntil("a leader", func() bool { _, ok := w.cell.Leader(); return ok })
+		w.waitUntil("a leader is elected", func() bool { _, ok := w.cell.Leader(); return ok })
 		time.Sleep(time.Second)
 		after := w.encodedStates()
 		if !allEqual(append(after, before...)) {
-			t.Errorf("%d bytes before the restart; after it %d, %d and %d", len(before[0]), len(after[0]), len(after[1]), len(after[2]))
+			t.Errorf("states differ: %d bytes before the restart, %d, %d and %d bytes after it", len(before[0]), len(after[0]), len(after[1]), len(after[2]))
 		}
 	})
 }
@@ -221,9 +224,9 @@
 	return true
 }
 
-// A replica's memory or disk has changed a bit, and its state is no longer that
-// of the others. It would pass the damage on once it leads: at the next check
-// it ends with an error, and it comes back with fresh data as a new member.
+// A bit error in memory or on disk makes the state of one replica differ from the others.
+// As leader it would spread the corrupt state. The replica must stop with an error at the
+// next consistency check, and it can join again as a new member with an empty disk.
 func TestDivergedReplicaStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell(t)
@@ -239,21 +242,22 @@
 		select {
 		case err := <-w.cell.ProcessErrors():
 			if !errors.Is(err, leader.ErrDiverged) {
-				t.Fatalf("it ended with %v", err)
+				t.Fatalf("replica ended with error %v, want %v", err, leader.ErrDiverged)
 			}
 		case <-time.After(30 * time.Second):
-			t.Fatal("it goes on with a state of its own")
+			t.Fatal("replica with a diverged state still runs after 30 s")
 		}
 		if violations := w.violations(w.runJobs(jobSpecs())); len(violations) > 0 {
 			t.Error(violations)
 		}
 		newID := w.joinWithBlankDisk(divergedReplica)
 		if newID == oldID {
-			t.Error("a blank disk has the old identity")
+			t.Error("replica with an empty disk has its old identity")
 		}
-		// One machine never counts twice: it votes once its old identity is gone.
+		// A machine must not vote twice, so the new identity becomes a voter only after the
+		// old one is removed.
 		w.removeMember(oldID)
 		w.waitForVoter(newID)
-		w.waitUntil("it holds what the others hold", func() bool { return allEqual(w.encodedStates()) })
+		w.waitUntil("the new replica has the same state as the others", func() bool { return allEqual(w.encodedStates()) })
 	})
 }
--- a/internal/demo/fault/world_test.go
+++ b/internal/demo/fault/world_test.go
@@ -24,8 +24,8 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// testCell is a whole cell on a network in memory, with what its promises are
-// checked against.
+// testCell is a whole cell on an in-memory network, with clients and with a record of the
+// runs, against which the guarantees are checked.
 type testCell struct {
 	t        *testing.T
 	ctx      context.Context
@@ -36,13 +36,14 @@
 	caller   *caller.Client
 	operator *operator.Client
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// runCounts holds the number of runs of each task, by job ID and task index.
 	runCounts map[string]int
-	// onStep is told of each step that a job of the test comes to.
+	// onStep is called at each step that a job reaches.
 	onStep func(step string)
 }
 
-// The sizes of the world.
+// The size of the test cell, its limits and its timeouts. Cores are in thousandths.
 const (
 	replicas       = 3
 	entries        = 2
@@ -61,7 +62,8 @@
 // newTestCell starts a cell and sets up a team with a key and a limit.
 func newTestCell(t *testing.T) *testCell { return newConfiguredTestCell(t, nil) }
 
-// newConfiguredTestCell lets the test change the replicas' control threads before they run.
+// newConfiguredTestCell is newTestCell with a function that changes the settings of each
+// replica's control thread before it starts.
 func newConfiguredTestCell(t *testing.T, configureControl func(name string, l *leader.Leader)) *testCell {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &testCell{
@@ -93,12 +95,12 @@
 	w.caller.Link.Close()
 	w.operator.Link.Close()
 	w.cancel()
-	// A server of package http lets a connection linger before it closes it.
+	// net/http servers keep a connection open for a while before they close it.
 	time.Sleep(httpLingerTime)
 }
 
-// runTask runs a task: it takes a moment, counts its runs by request, and gives an
-// answer that no other task gives.
+// runTask runs a task for 300 ms, counts the run, and returns an answer that is unique to
+// the job.
 func (w *testCell) runTask(ctx context.Context, o *v1.Order) server.Result {
 	id := string(o.GetInput())
 	w.mu.Lock()
@@ -126,7 +128,7 @@
 	}
 }
 
-// entryLink returns a client's way to a service of all entries.
+// entryLink returns a client link to one service of all entries, with the given API key.
 func (w *testCell) entryLink(service, k string) *link.Link {
 	l := &link.Link{Key: k, Timeout: callTimeout, Dial: w.net.Dialer("caller")}
 	for _, e := range w.cell.ProcessNames("e", entries) {
@@ -135,7 +137,7 @@
 	return l
 }
 
-// result is how a job ended for its caller.
+// result is the outcome of a job as its caller sees it.
 type result struct {
 	id      string
 	spec    *v1.Spec
@@ -145,7 +147,7 @@
 	err     error
 }
 
-// runJob submits a job and waits for its outcome and whole answer.
+// runJob submits a job and waits for its outcome and complete answer.
 func (w *testCell) runJob(spec *v1.Spec) result {
 	ctx, cancel := context.WithTimeout(w.ctx, requestTimeout)
 	defer cancel()
@@ -165,12 +167,13 @@
 	w.onStep("answer")
 	r.outcome, r.code, r.answer, r.err = res.Outcome, res.Code, res.Data, err
 	if err == nil && !caller.Final(r.outcome) {
-		r.err = errors.New("no outcome in time")
+		r.err = errors.New("no final outcome before the request timeout")
 	}
 	return r
 }
 
-// violations holds what came out against the promises, and returns what is broken.
+// violations checks the results, the recorded runs and the ledgers, and describes each
+// violated guarantee.
 func (w *testCell) violations(results []result) (violations []string) {
 	violations = append(violations, w.recorder.Violations()...)
 	w.mu.Lock()
@@ -185,26 +188,27 @@
 		case r.err != nil:
 			violations = append(violations, fmt.Sprintf("%s: no answer: %v", r.id, r.err))
 		case r.spec.GetOnce() && maxRuns > 1:
-			violations = append(violations, fmt.Sprintf("%s may not be repeated and ran %d times", r.id, maxRuns))
+			violations = append(violations, fmt.Sprintf("%s must run at most once and ran %d times", r.id, maxRuns))
 		case r.outcome == v1.Outcome_OUTCOME_NOT_RUN && runs > 0:
-			violations = append(violations, fmt.Sprintf("%s was said not to have run and ran %d times", r.id, runs))
+			violations = append(violations, fmt.Sprintf("%s was reported as not run and ran %d times", r.id, runs))
 		case r.outcome == v1.Outcome_OUTCOME_DONE && r.code == code.OK && !bytes.Equal(r.answer, bytes.Repeat(answerPattern(r.id), int(r.spec.GetCount()))):
-			violations = append(violations, fmt.Sprintf("%s: the answer is not whole", r.id))
+			violations = append(violations, fmt.Sprintf("%s: answer of %d bytes is incomplete or wrong", r.id, len(r.answer)))
 		case r.outcome == v1.Outcome_OUTCOME_UNKNOWN && !r.spec.GetOnce():
-			violations = append(violations, fmt.Sprintf("%s may be repeated and is unknown", r.id))
+			violations = append(violations, fmt.Sprintf("%s is repeatable but its outcome is unknown", r.id))
 		}
 	}
 	return append(violations, w.ledgerViolations()...)
 }
 
-// ledgerViolations holds every replica's ledger against capacity and limits.
+// ledgerViolations checks the ledger of every replica against server capacities and team
+// limits.
 func (w *testCell) ledgerViolations() (violations []string) {
 	for _, name := range w.cell.ProcessNames("c", replicas) {
 		n := w.cell.Node(name)
 		ctx, cancel := context.WithTimeout(w.ctx, time.Second)
 		err := n.Control.Execute(ctx, func(st *state.State) {
 			if st.InvalidTransitions() > 0 {
-				violations = append(violations, name+": an event that no chart allows")
+				violations = append(violations, name+": ledger has an event that its state chart does not allow")
 			}
 			for _, b := range st.Servers() {
 				if !b.HeldCapacity.Fits(b.Capacity) {
@@ -225,7 +229,7 @@
 	return violations
 }
 
-// describeUnfinishedJobs tells how the leader's ledger holds the jobs that have not ended.
+// describeUnfinishedJobs describes the unfinished jobs and the servers in the leader's ledger.
 func (w *testCell) describeUnfinishedJobs() string {
 	var b strings.Builder
 	name, ok := w.cell.Leader()
--- a/internal/demo/scenario/scenario.go
+++ b/internal/demo/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario is the demo: a whole cell on loopback serves urgent, batch, gang
-// and service work while its leader is killed and a key is withdrawn, and every
-// promise that can be seen from outside is checked.
+// Package scenario implements the demo. A whole cell on loopback runs urgent, batch, gang
+// and service jobs while the leader is killed and an API key is withdrawn. The demo checks
+// every guarantee that a client can observe.
 package scenario
 
 import (
@@ -22,66 +22,66 @@
 	"gypsumreel/internal/fake/server"
 )
 
-// The size of the cell and of its work.
+// The size of the cell and of the workload.
 const (
 	replicas = 3
 	entries  = 3
 	servers  = 12
 	zones    = 3
-	// submitDuration is how long jobs are submitted.
+	// submitDuration is how long the demo submits jobs.
 	submitDuration = 9 * time.Second
 	// DefaultInterval is the time between two submissions.
 	DefaultInterval = 15 * time.Millisecond
-	// settleTimeout bounds the wait for the last outcomes.
+	// settleTimeout limits the wait for the last outcomes, and each operator request.
 	settleTimeout = 15 * time.Second
-	// answerBytes is the length of each answer.
+	// answerBytes is the length of the answer of each task.
 	answerBytes = 100_000
-	// maxRecordedWaitMicros is the longest wait that the histogram holds, in microseconds.
+	// maxRecordedWaitMicros is the highest value of the wait histogram in microseconds.
 	maxRecordedWaitMicros = 60_000_000
 )
 
-// teams are the demo's teams and what their jobs are like.
+// teams are the names of the teams that submit jobs.
 var teams = []string{"quotes", "sweeps"}
 
-// Report is what the demo found.
+// Report is the result of the demo.
 type Report struct {
 	Accepted int `json:"accepted"`
 	Done     int `json:"done"`
 	Refused  int `json:"refused"`
 	Unknown  int `json:"unknown"`
-	// Duplicates counts tasks that ran twice and may not, or in two places.
+	// Duplicates counts tasks that ran on two servers and attempts that started twice.
 	Duplicates int `json:"duplicates"`
-	// Lost counts accepted jobs without an outcome or with an answer that is not whole.
+	// Lost counts accepted jobs without an outcome or with an incomplete answer.
 	Lost int `json:"lost"`
-	// Failover is the time from the leader's end to the next acceptance, in ms.
+	// Failover is the time from the kill of the leader to the next accepted job, in ms.
 	Failover int64 `json:"failover"`
-	// Withdrawal is the time until every entry refused the withdrawn key, in ms.
+	// Withdrawal is the time until all entries refused the withdrawn key, in ms.
 	Withdrawal int64 `json:"withdrawal"`
 	Wait       Wait  `json:"wait"`
-	// Violations lists the promises that did not hold.
+	// Violations describes each violated guarantee.
 	Violations []string `json:"broken"`
-	// Seconds is how long the demo took.
+	// Seconds is the duration of the demo.
 	Seconds float64 `json:"seconds"`
 }
 
-// Wait holds percentiles of the time from submission to the whole answer, in ms.
+// Wait holds percentiles of the time from submission to the complete answer, in ms.
 type Wait struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 	Max float64 `json:"max"`
 }
 
-// Passed tells whether every promise that was checked held.
+// Passed reports whether the demo found no violation.
 func (r *Report) Passed() bool { return len(r.Violations) == 0 }
 
 // Scenario runs the demo. The exported fields are set before Run.
 type Scenario struct {
-	// Dir holds the replicas' data; it is the caller's to remove.
+	// Dir is the folder for the replicas' data. The caller removes it.
 	Dir string
 	// Interval is the time between two submissions; DefaultInterval when 0.
 	Interval time.Duration
-	// OnStep is told what happens, and how far the demo is, from 0 to 1.
-	OnStep func(what string, part float64)
+	// OnStep is called at each step with a description and the progress from 0 to 1; may be nil.
+	OnStep func(description string, progress float64)
 	Log    logr.Logger
 
 	cell     *cell.Cell
@@ -95,7 +95,7 @@
 	acceptanceTimes []time.Time
 }
 
-// Run runs the demo and returns what it found; an error means that it could not run.
+// Run runs the demo and returns its report. An error means that the demo could not run.
 func (t *Scenario) Run(ctx context.Context) (*Report, error) {
 	startedAt := time.Now()
 	if t.OnStep == nil {
@@ -111,7 +111,7 @@
 		Network: &cell.Loopback{}, Dir: t.Dir, Replicas: replicas, Entries: entries, Servers: servers, Zones: zones,
 		Capacity: &v1.Size{Cpu: 16_000, Memory: 32_000, Slots: 8}, Recorder: t.recorder, Log: t.Log, Linger: 100 * time.Millisecond,
 	}
-	t.OnStep("start three control replicas, three entries and twelve backend servers in three zones", 0)
+	t.OnStep("starting three control replicas, three entries and twelve backend servers in three zones", 0)
 	if err := t.cell.Start(ctx); err != nil {
 		return nil, errors.Wrap(err, "start the cell")
 	}
@@ -127,7 +127,7 @@
 	return &t.report, nil
 }
 
-// entryLink returns a client's way to a service of all entries.
+// entryLink returns a client link to one service of all entries, with the given API key.
 func (t *Scenario) entryLink(service, k string) *link.Link {
 	l := &link.Link{Key: k, Timeout: 4 * time.Second}
 	for _, e := range t.cell.ProcessNames("e", entries) {
@@ -136,7 +136,8 @@
 	return l
 }
 
-// createTeams makes the teams and their keys.
+// createTeams creates the teams and an API key for each, and a spare key that is
+// withdrawn later.
 func (t *Scenario) createTeams(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
@@ -179,7 +180,7 @@
 	t.report.Violations = append(t.report.Violations, fmt.Sprintf(format, args...))
 }
 
-// completeReport fills in what is known only at the end.
+// completeReport adds the wait percentiles and the violations to the report.
 func (t *Scenario) completeReport() {
 	r := &t.report
 	ms := func(us int64) float64 { return float64(us) / 1000 }
@@ -189,7 +190,7 @@
 		t.recordViolation("%s", f)
 	}
 	if r.Lost > 0 {
-		t.recordViolation("%d accepted jobs were lost", r.Lost)
+		t.recordViolation("%d accepted jobs have no outcome or an incomplete answer", r.Lost)
 	}
 	if r.Violations == nil {
 		r.Violations = []string{}
--- a/internal/demo/scenario/scenario_test.go
+++ b/internal/demo/scenario/scenario_test.go
@@ -7,13 +7,14 @@
 	"gypsumreel/internal/demo/scenario"
 )
 
-// The demo kills the leader of a busy cell: nothing accepted is lost, nothing
-// runs twice, and every promise that it checks holds.
+// The demo kills the leader of a cell under load. No accepted job may be lost, no task may
+// run twice, and the demo must find no violation.
 func TestTheDemoHolds(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes ten seconds")
 	}
-	// The race detector makes every copied byte cost tens of times more.
+	// The interval is longer than the default, because the race detector makes copying
+	// answers tens of times slower.
 	report, err := (&scenario.Scenario{Dir: t.TempDir(), Interval: 100 * time.Millisecond}).Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/demo/scenario/work.go
+++ b/internal/demo/scenario/work.go
@@ -15,10 +15,10 @@
 	"gypsumreel/internal/fake/server"
 )
 
-// maxKeyWithdrawalTime is the promise about a withdrawn key.
+// maxKeyWithdrawalTime is the guaranteed time after which no entry accepts a withdrawn key.
 const maxKeyWithdrawalTime = 2 * time.Second
 
-// runWorkload submits jobs all along while things go wrong, and waits for the outcomes.
+// runWorkload submits jobs while faults are injected, and waits for their outcomes.
 func (t *Scenario) runWorkload(ctx context.Context) error {
 	var wg sync.WaitGroup
 	faults := make(chan error, 1)
@@ -32,13 +32,14 @@
 		wg.Go(func() { t.runJob(ctx, t.callers[teams[n%len(teams)]], spec) })
 		<-tick.C
 	}
-	t.OnStep("wait for the last answers", 0.9)
+	t.OnStep("waiting for the last answers", 0.9)
 	wg.Wait()
 	t.computeFailover()
 	return errors.CombineErrors(<-faults, ctx.Err())
 }
 
-// jobSpec returns the n-th job: two quotes, then a batch job or a gang of three.
+// jobSpec returns the specification of the n-th job. Of six consecutive jobs three are
+// urgent, two are batch jobs, and one is a gang of three tasks.
 func jobSpec(n int) *v1.Spec {
 	spec := &v1.Spec{
 		Id: fmt.Sprintf("job-%d", n), Name: "quote", Kind: v1.Kind_KIND_URGENT, Count: 1,
@@ -75,10 +76,10 @@
 		t.increment(&t.report.Unknown)
 	case r.Outcome != v1.Outcome_OUTCOME_DONE || r.Code != code.OK:
 		t.increment(&t.report.Lost)
-		t.recordViolation("%s ended as %v, %s", spec.GetId(), r.Outcome, r.Text)
+		t.recordViolation("%s ended with outcome %v: %s", spec.GetId(), r.Outcome, r.Text)
 	case !bytes.Equal(r.Data, bytes.Repeat(server.Pattern(answerBytes), int(spec.GetCount()))):
 		t.increment(&t.report.Lost)
-		t.recordViolation("%s: the answer is not whole: %d bytes", spec.GetId(), len(r.Data))
+		t.recordViolation("%s: answer of %d bytes is incomplete or wrong", spec.GetId(), len(r.Data))
 	default:
 		t.recordDone(time.Since(begin))
 	}
@@ -104,27 +105,29 @@
 	_ = t.waitHistogram.RecordValue(d.Microseconds())
 }
 
-// injectFaults kills the leader halfway, starts it again, and withdraws a key.
+// injectFaults kills the leader, restarts it, and withdraws an API key, a third of the
+// submission time apart.
 func (t *Scenario) injectFaults(ctx context.Context) error {
-	t.OnStep("submit urgent, batch, gang and service work for two teams", 0.1)
+	t.OnStep("submitting urgent, batch, gang and service jobs for two teams", 0.1)
 	pause(ctx, submitDuration/3)
 	name, err := t.leader(ctx)
 	if err != nil {
 		return err
 	}
-	t.OnStep("kill the leader, "+name, 0.4)
+	t.OnStep("killing the leader, "+name, 0.4)
 	t.recordLeaderKill(time.Now())
 	t.cell.Kill(name)
 	pause(ctx, submitDuration/3)
-	t.OnStep("start "+name+" again", 0.6)
+	t.OnStep("restarting "+name, 0.6)
 	if err := t.cell.Restart(name); err != nil {
 		return err
 	}
-	t.OnStep("withdraw a key", 0.7)
+	t.OnStep("withdrawing a key", 0.7)
 	return t.withdrawKey(ctx)
 }
 
-// leader returns the name of the leader; on a busy machine there may be none for a moment.
+// leader returns the name of the leader. It waits for one, because a loaded machine may
+// delay heartbeats until the leader is lost.
 func (t *Scenario) leader(ctx context.Context) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
@@ -134,7 +137,7 @@
 		}
 		pause(ctx, 10*time.Millisecond)
 	}
-	return "", errors.New("no replica leads")
+	return "", errors.New("no leader found before the timeout")
 }
 
 func pause(ctx context.Context, d time.Duration) {
@@ -144,21 +147,23 @@
 	}
 }
 
-// recordLeaderKill notes when the leader ended.
+// recordLeaderKill stores the time of the kill in Report.Failover until computeFailover
+// replaces it.
 func (t *Scenario) recordLeaderKill(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report.Failover = at.UnixMilli()
 }
 
-// computeFailover turns the time of the leader's end into the time until the next acceptance.
+// computeFailover sets Report.Failover to the time from the kill of the leader to the next
+// accepted job, or to -1 if there is none.
 func (t *Scenario) computeFailover() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := time.UnixMilli(t.report.Failover)
 	t.report.Failover = -1
 	for _, a := range t.acceptanceTimes {
-		// An acceptance that was committed before the end may arrive just after it.
+		// Up to 50 ms after the kill, an acceptance may still come from the killed leader.
 		d := a.Sub(at).Milliseconds()
 		if d > 50 && (t.report.Failover < 0 || d < t.report.Failover) {
 			t.report.Failover = d
@@ -166,7 +171,7 @@
 	}
 }
 
-// withdrawKey withdraws the spare key and asks every entry until it is refused.
+// withdrawKey withdraws the spare key and calls each entry until the key is refused.
 func (t *Scenario) withdrawKey(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
@@ -193,12 +198,13 @@
 	t.report.Withdrawal = d.Milliseconds()
 	t.mu.Unlock()
 	if d > maxKeyWithdrawalTime {
-		t.recordViolation("a withdrawn key worked for %v", d)
+		t.recordViolation("a withdrawn key was accepted for %v, limit %v", d, maxKeyWithdrawalTime)
 	}
 	return nil
 }
 
-// runService runs a service of three tasks all along and cancels it at the end.
+// runService submits a service of three tasks, checks that all of them run when job
+// submission ends, and cancels it.
 func (t *Scenario) runService(ctx context.Context) {
 	c := t.callers[teams[0]]
 	spec := &v1.Spec{
@@ -214,17 +220,17 @@
 	pause(ctx, submitDuration)
 	js, err := c.List(ctx, &v1.ListRequest{Ids: []string{spec.GetId()}})
 	if err != nil || len(js) != 1 || js[0].GetRunning() != spec.GetCount() {
-		t.recordViolation("the service does not run whole: %v %v", js, err)
+		t.recordViolation("not all %d tasks of the service run: %v (error: %v)", spec.GetCount(), js, err)
 	}
 	if _, err := c.Cancel(ctx, []string{spec.GetId()}, nil); err != nil {
-		t.recordViolation("the service was not cancelled: %v", err)
+		t.recordViolation("canceling the service failed: %v", err)
 		return
 	}
 	wait, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	r, err := c.Wait(wait, spec.GetId())
 	if err != nil || r.Code != code.Stopped {
-		t.recordViolation("the service ended as %v, %s (%v)", r.Outcome, r.Text, err)
+		t.recordViolation("canceled service ended with outcome %v: %s (error: %v)", r.Outcome, r.Text, err)
 		return
 	}
 	t.increment(&t.report.Done)
