--- a/internal/demo/cell/cell.go
+++ b/internal/demo/cell/cell.go
@@ -141,8 +141,8 @@
 }
 
 func (c *Cell) runProcess(name string, p *process, run func(context.Context) error) {
-	ctx, stop := context.WithCancel(c.ctx)
-	p.cancel = stop
+	ctx, cancel := context.WithCancel(c.ctx)
+	p.cancel = cancel
 	c.mu.Lock()
 	c.processes[name] = p
 	c.mu.Unlock()
@@ -199,20 +199,20 @@
 		peer string
 		to   *net.Listener
 	}{{"callers", &e.Callers}, {"backends", &e.Backends}, {"operators", &e.Operators}} {
-		raw, err := c.Network.Listen(c.Network.Address(name + "-" + l.peer))
+		listener, err := c.Network.Listen(c.Network.Address(name + "-" + l.peer))
 		if err != nil {
 			return err
 		}
-		*l.to = p.connections.track(raw)
+		*l.to = p.connections.track(listener)
 	}
 	p.entry, p.done = e, e.Done()
 	c.runProcess(name, p, e.Run)
 	return nil
 }
 
-func (c *Cell) startServer(name string, i int) {
+func (c *Cell) startServer(name string, index int) {
 	s := &server.Server{
-		Name: name, Secret: c.enrolmentSecret, Capacity: c.Capacity, Rack: fmt.Sprintf("r%d", i/c.Zones/2), Zone: fmt.Sprintf("z%d", i%c.Zones),
+		Name: name, Secret: c.enrolmentSecret, Capacity: c.Capacity, Rack: fmt.Sprintf("r%d", index/c.Zones/2), Zone: fmt.Sprintf("z%d", index%c.Zones),
 		Recorder: c.Recorder, Work: c.Work, Log: c.Log.WithValues("process", name),
 	}
 	for _, e := range c.ProcessNames("e", c.Entries) {
--- a/internal/demo/fault/world_test.go
+++ b/internal/demo/fault/world_test.go
@@ -129,8 +129,8 @@
 }
 
 // entryLink returns a client link to one service of all entries, with the given API key.
-func (w *testCell) entryLink(service, k string) *link.Link {
-	l := &link.Link{Key: k, Timeout: callTimeout, Dial: w.net.Dialer("caller")}
+func (w *testCell) entryLink(service, apiKey string) *link.Link {
+	l := &link.Link{Key: apiKey, Timeout: callTimeout, Dial: w.net.Dialer("caller")}
 	for _, e := range w.cell.ProcessNames("e", entries) {
 		l.Addresses = append(l.Addresses, "http://"+w.net.Address(e+"-"+service))
 	}
@@ -153,13 +153,13 @@
 	defer cancel()
 	r := result{id: spec.GetId(), spec: spec}
 	w.onStep("submit")
-	as, err := w.caller.Submit(ctx, []*v1.Spec{spec}, true)
+	acceptances, err := w.caller.Submit(ctx, []*v1.Spec{spec}, true)
 	if err != nil {
 		r.err = err
 		return r
 	}
 	w.onStep("accepted")
-	if a := as[0]; a.GetOutcome() == v1.Outcome_OUTCOME_NOT_RUN || a.GetStatus().GetCode() != 0 {
+	if a := acceptances[0]; a.GetOutcome() == v1.Outcome_OUTCOME_NOT_RUN || a.GetStatus().GetCode() != 0 {
 		r.outcome, r.code = a.GetOutcome(), code.Code(a.GetStatus().GetCode())
 		return r
 	}
--- a/internal/demo/scenario/scenario.go
+++ b/internal/demo/scenario/scenario.go
@@ -128,8 +128,8 @@
 }
 
 // entryLink returns a client link to one service of all entries, with the given API key.
-func (t *Scenario) entryLink(service, k string) *link.Link {
-	l := &link.Link{Key: k, Timeout: 4 * time.Second}
+func (t *Scenario) entryLink(service, apiKey string) *link.Link {
+	l := &link.Link{Key: apiKey, Timeout: 4 * time.Second}
 	for _, e := range t.cell.ProcessNames("e", entries) {
 		l.Addresses = append(l.Addresses, "http://"+t.cell.Network.Address(e+"-"+service))
 	}
--- a/internal/demo/scenario/work.go
+++ b/internal/demo/scenario/work.go
@@ -21,8 +21,8 @@
 // runWorkload submits jobs while faults are injected, and waits for their outcomes.
 func (t *Scenario) runWorkload(ctx context.Context) error {
 	var wg sync.WaitGroup
-	faults := make(chan error, 1)
-	wg.Go(func() { faults <- t.injectFaults(ctx) })
+	faultError := make(chan error, 1)
+	wg.Go(func() { faultError <- t.injectFaults(ctx) })
 	wg.Go(func() { t.runService(ctx) })
 	end := time.Now().Add(submitDuration)
 	tick := time.NewTicker(t.Interval)
@@ -35,7 +35,7 @@
 	t.OnStep("waiting for the last answers", 0.9)
 	wg.Wait()
 	t.computeFailover()
-	return errors.CombineErrors(<-faults, ctx.Err())
+	return errors.CombineErrors(<-faultError, ctx.Err())
 }
 
 // jobSpec returns the specification of the n-th job. Of six consecutive jobs three are
@@ -61,27 +61,27 @@
 func (t *Scenario) runJob(ctx context.Context, c *caller.Client, spec *v1.Spec) {
 	ctx, cancel := context.WithTimeout(ctx, submitDuration+settleTimeout)
 	defer cancel()
-	begin := time.Now()
-	as, err := c.Submit(ctx, []*v1.Spec{spec}, true)
-	if err != nil || as[0].GetStatus().GetCode() != 0 {
+	submittedAt := time.Now()
+	acceptances, err := c.Submit(ctx, []*v1.Spec{spec}, true)
+	if err != nil || acceptances[0].GetStatus().GetCode() != 0 {
 		t.increment(&t.report.Refused)
 		return
 	}
 	t.recordAccepted()
-	r, err := c.Wait(ctx, spec.GetId())
+	result, err := c.Wait(ctx, spec.GetId())
 	switch {
-	case err != nil || !caller.Final(r.Outcome):
+	case err != nil || !caller.Final(result.Outcome):
 		t.increment(&t.report.Lost)
-	case r.Outcome == v1.Outcome_OUTCOME_UNKNOWN && spec.GetOnce():
+	case result.Outcome == v1.Outcome_OUTCOME_UNKNOWN && spec.GetOnce():
 		t.increment(&t.report.Unknown)
-	case r.Outcome != v1.Outcome_OUTCOME_DONE || r.Code != code.OK:
+	case result.Outcome != v1.Outcome_OUTCOME_DONE || result.Code != code.OK:
 		t.increment(&t.report.Lost)
-		t.recordViolation("%s ended with outcome %v: %s", spec.GetId(), r.Outcome, r.Text)
-	case !bytes.Equal(r.Data, bytes.Repeat(server.Pattern(answerBytes), int(spec.GetCount()))):
+		t.recordViolation("%s ended with outcome %v: %s", spec.GetId(), result.Outcome, result.Text)
+	case !bytes.Equal(result.Data, bytes.Repeat(server.Pattern(answerBytes), int(spec.GetCount()))):
 		t.increment(&t.report.Lost)
-		t.recordViolation("%s: answer of %d bytes is incomplete or wrong", spec.GetId(), len(r.Data))
+		t.recordViolation("%s: answer of %d bytes is incomplete or wrong", spec.GetId(), len(result.Data))
 	default:
-		t.recordDone(time.Since(begin))
+		t.recordDone(time.Since(submittedAt))
 	}
 }
 
@@ -149,10 +149,10 @@
 
 // recordLeaderKill stores the time of the kill in Report.Failover until computeFailover
 // replaces it.
-func (t *Scenario) recordLeaderKill(at time.Time) {
+func (t *Scenario) recordLeaderKill(killedAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.report.Failover = at.UnixMilli()
+	t.report.Failover = killedAt.UnixMilli()
 }
 
 // computeFailover sets Report.Failover to the time from the kill of the leader to the next
@@ -160,11 +160,11 @@
 func (t *Scenario) computeFailover() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := time.UnixMilli(t.report.Failover)
+	killedAt := time.UnixMilli(t.report.Failover)
 	t.report.Failover = -1
-	for _, a := range t.acceptanceTimes {
+	for _, acceptedAt := range t.acceptanceTimes {
 		// Up to 50 ms after the kill, an acceptance may still come from the killed leader.
-		d := a.Sub(at).Milliseconds()
+		d := acceptedAt.Sub(killedAt).Milliseconds()
 		if d > 50 && (t.report.Failover < 0 || d < t.report.Failover) {
 			t.report.Failover = d
 		}
@@ -175,7 +175,7 @@
 func (t *Scenario) withdrawKey(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	begin := time.Now()
+	requestedAt := time.Now()
 	if _, err := t.operator.Change(ctx, &v1.ChangeRequest{Id: "withdraw", Change: &v1.ChangeRequest_Withdraw{
 		Withdraw: &v1.KeyWithdraw{Id: "spare"},
 	}}); err != nil {
@@ -193,7 +193,7 @@
 		}
 		c.Link.Next()
 	}
-	d := time.Since(begin)
+	d := time.Since(requestedAt)
 	t.mu.Lock()
 	t.report.Withdrawal = d.Milliseconds()
 	t.mu.Unlock()
@@ -211,26 +211,26 @@
 		Id: "service", Name: "catalogue", Kind: v1.Kind_KIND_SERVICE, Count: 3, Floor: 2,
 		Size: &v1.Size{Cpu: 1000, Memory: 512, Slots: 1}, Input: server.TaskScript{Sleep: "10m"}.Input(),
 	}
-	as, err := c.Submit(ctx, []*v1.Spec{spec}, true)
-	if err != nil || as[0].GetStatus().GetCode() != 0 {
+	acceptances, err := c.Submit(ctx, []*v1.Spec{spec}, true)
+	if err != nil || acceptances[0].GetStatus().GetCode() != 0 {
 		t.recordViolation("the service was refused: %v", err)
 		return
 	}
 	t.recordAccepted()
 	pause(ctx, submitDuration)
-	js, err := c.List(ctx, &v1.ListRequest{Ids: []string{spec.GetId()}})
-	if err != nil || len(js) != 1 || js[0].GetRunning() != spec.GetCount() {
-		t.recordViolation("not all %d tasks of the service run: %v (error: %v)", spec.GetCount(), js, err)
+	jobs, err := c.List(ctx, &v1.ListRequest{Ids: []string{spec.GetId()}})
+	if err != nil || len(jobs) != 1 || jobs[0].GetRunning() != spec.GetCount() {
+		t.recordViolation("not all %d tasks of the service run: %v (error: %v)", spec.GetCount(), jobs, err)
 	}
 	if _, err := c.Cancel(ctx, []string{spec.GetId()}, nil); err != nil {
 		t.recordViolation("canceling the service failed: %v", err)
 		return
 	}
-	wait, cancel := context.WithTimeout(ctx, settleTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	r, err := c.Wait(wait, spec.GetId())
-	if err != nil || r.Code != code.Stopped {
-		t.recordViolation("canceled service ended with outcome %v: %s (error: %v)", r.Outcome, r.Text, err)
+	result, err := c.Wait(waitCtx, spec.GetId())
+	if err != nil || result.Code != code.Stopped {
+		t.recordViolation("canceled service ended with outcome %v: %s (error: %v)", result.Outcome, result.Text, err)
 		return
 	}
 	t.increment(&t.report.Done)
--- a/internal/fake/server/server.go
+++ b/internal/fake/server/server.go
@@ -231,7 +231,7 @@
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
-	reply, err := s.client().Announce(ctx, request(s.Secret, &v1.AnnounceRequest{
+	reply, err := s.client().Announce(ctx, authorizedRequest(s.Secret, &v1.AnnounceRequest{
 		Server: s.Name, Nonce: nonce, Capacity: s.Capacity, Rack: s.Rack, Zone: s.Zone, Labels: s.Labels,
 	}))
 	if err != nil {
@@ -254,7 +254,7 @@
 func (s *Server) callLeave(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
-	reply, err := s.client().Leave(ctx, request(s.Secret, &v1.LeaveRequest{Server: s.Name, Incarnation: s.currentIncarnation()}))
+	reply, err := s.client().Leave(ctx, authorizedRequest(s.Secret, &v1.LeaveRequest{Server: s.Name, Incarnation: s.currentIncarnation()}))
 	if err != nil {
 		return err
 	}
@@ -290,7 +290,7 @@
 
 	// The lease starts here, because the leader can only receive the request later.
 	sentAt := time.Now()
-	reply, err := s.client().Sync(ctx, request(s.Secret, req))
+	reply, err := s.client().Sync(ctx, authorizedRequest(s.Secret, req))
 
 	s.lock()
 	s.cancelSync = nil
@@ -343,7 +343,7 @@
 	s.leaseEnd.Store(&time.Time{})
 }
 
-func request[T any](secret string, msg *T) *connect.Request[T] {
+func authorizedRequest[T any](secret string, msg *T) *connect.Request[T] {
 	req := connect.NewRequest(msg)
 	req.Header().Set("Authorization", "Bearer "+secret)
 	return req
