--- a/internal/fake/worker/worker.go
+++ b/internal/fake/worker/worker.go
@@ -55,19 +55,23 @@
 	// OnStart is called for each run that starts; may be nil.
 	OnStart func(r flow.RunID)
 
-	initOnce      sync.Once
-	mu            sync.Mutex
-	createdAt     time.Time
-	crashed       bool
-	fence         uint64
-	leaseUntil    int64
-	runs          map[flow.TaskID]*run
-	highestRun    map[flow.TaskID]uint32
-	pacePercent   map[flow.TaskID]uint32
+	initOnce  sync.Once
+	mu        sync.Mutex
+	createdAt time.Time
+	crashed   bool
+	fence     uint64
+	// leaseUntil is the end of the lease on the worker's clock, in milliseconds.
+	leaseUntil int64
+	runs       map[flow.TaskID]*run
+	// highestRun holds the highest run number of each task that ended or was stopped.
+	highestRun  map[flow.TaskID]uint32
+	pacePercent map[flow.TaskID]uint32
+	// endedRuns holds the ends of runs that the leader has not acknowledged.
 	endedRuns     []*inner.EndedRun
 	lastEndNumber uint64
 }
 
+// run is a run in progress.
 type run struct {
 	flow.RunID
 	startedAt  time.Time
