--- a/spec/call.pml
+++ b/spec/call.pml
@@ -1,131 +1,135 @@
 /*
- * One task and two backend servers that the leader calls. A start may be
- * delivered late or never; a server may lose its lease, or crash and begin
- * another life that knows nothing of the one before; the leader may be replaced
- * by one that knows what was placed and nothing of what was sent or answered.
+ * Model of one task and two backend servers that the leader calls. A start call may be
+ * delivered late or never. A server may lose its lease, or crash and restart as a new
+ * incarnation without any state of the previous one. The leader may be replaced by one
+ * that knows the placements, but not which calls were sent or answered.
  *
- * Promise: the task never runs on both servers at the same time. Each MUTATE_
- * name takes one guard away; spec/check shows that the promise then breaks.
+ * Invariant: the task never runs on both servers at the same time. Each MUTATE_ name
+ * removes one guard. spec/check shows that the invariant is then violated.
  */
 
 #define SERVERS 2
 #define RUNS 3
 
-/* A task is placed again without proof that its lease is over. */
+/* Guard: a task is placed again only after its lease has expired. */
 #ifdef MUTATE_NO_WAIT_FOR_LEASE
-#define over(s) true
+#define leaseOver(s) true
 #else
-#define over(s) lapsed[s]
+#define leaseOver(s) leaseExpired[s]
 #endif
 
-/* A list that does not show the run frees it, though nothing was answered. */
+/* Guard: a list without the run frees its placement only if a stop call was answered. */
 #ifdef MUTATE_TRUST_ANY_LIST
-#define settled(s) true
+#define stopConfirmed(s) true
 #else
-#define settled(s) answered
+#define stopConfirmed(s) stopAnswered
 #endif
 
-/* A life is closed while a start may still reach the next one, or has. */
+/* Guard: after a crash, the placement is kept while a start call may still reach the next
+ * incarnation, or has reached it and no stop call was answered. */
 #ifdef MUTATE_START_INTO_NEXT_LIFE
-#define closable(s) true
+#define incarnationClosable(s) true
 #else
-#define closable(s) (!open[s] && (!ghost || answered))
+#define incarnationClosable(s) (!callOpen[s] && (!startAfterCrash || stopAnswered))
 #endif
 
-/* What a stop found in the next life works on for a while. */
+/* Guard: a run that was stopped in the next incarnation must have ended, because stopping
+ * takes time. */
 #ifdef MUTATE_STOP_AT_ONCE
-#define stopped(s) true
+#define runStopped(s) true
 #else
-#define stopped(s) (running[s] == 0)
+#define runStopped(s) (runningNumber[s] == 0)
 #endif
 
-/* A server refuses a run that it was told to stop and did not know. */
+/* Guard: a server refuses an unknown run for which it received a stop call. */
 #ifdef MUTATE_FORGET_STOP
-#define remember(s, n) skip
+#define refuseFromNowOn(s, n) skip
 #else
-#define remember(s, n) highest[s] = n
+#define refuseFromNowOn(s, n) highestRefused[s] = n
 #endif
 
-/* The lease that comes with a start is a time, and passes on its way. */
+/* Guard: the lease of a start call is a point in time, so it may expire on the way. */
 #ifdef MUTATE_LENGTH_NOT_TIME
-#define inTime(s) true
+#define leaseCurrent(s) true
 #else
-#define inTime(s) (granted[s] == epoch[s])
+#define leaseCurrent(s) (startLease[s] == leaseEpoch[s])
 #endif
 
-/* At each server: the run that works, the highest run refused, whether the
- * process lives, the lease that is in force and whether the last one is over. */
-byte running[SERVERS];
-byte highest[SERVERS];
+/* Per server: the number of the running run (0 for none), the highest refused run number,
+ * whether the process is alive, the number of its current lease, and whether the previous
+ * lease has expired. */
+byte runningNumber[SERVERS];
+byte highestRefused[SERVERS];
 bool alive[SERVERS] = true;
-byte epoch[SERVERS];
-bool lapsed[SERVERS];
-/* A crash is seen: nobody listens. */
-bool gone[SERVERS];
+byte leaseEpoch[SERVERS];
+bool leaseExpired[SERVERS];
+/* The leader has seen that the process crashed, because its port is closed. */
+bool crashSeen[SERVERS];
 
-/* On the way: the number of a start, and the lease that it carries. While its
- * call is open it may reach the next life; after that only the one it was sent to,
- * which may carry it out late. A call is given up long before a lease is over. */
-byte flying[SERVERS];
-byte granted[SERVERS];
-bool open[SERVERS];
+/* Per server: the run number of a start call in flight (0 for none), the lease that it
+ * carries, and whether its call is open. While the call is open, the start may reach the
+ * next incarnation. Later only the incarnation that it was sent to may execute it. A call
+ * times out long before a lease expires. */
+byte startInFlight[SERVERS];
+byte startLease[SERVERS];
+bool callOpen[SERVERS];
 
-/* The leader: where the task is placed (0 nowhere), its latest number, whether a
- * stop of it was answered. */
-byte at;
-byte number;
-bool answered;
-/* A start may have reached another life than it was sent to. */
-bool ghost;
+/* The leader's state: the server on which the task is placed (1 or 2, 0 for none), the
+ * latest run number, and whether a stop call of it was answered. */
+byte placedOn;
+byte latestNumber;
+bool stopAnswered;
+/* A start call may have reached a later incarnation than the one it was sent to. */
+bool startAfterCrash;
 
-inline once() { assert(!(running[0] > 0 && running[1] > 0)) }
+inline checkSingleRun() { assert(!(runningNumber[0] > 0 && runningNumber[1] > 0)) }
 
 active proctype leader() {
   byte s;
   do
-  :: atomic { at == 0 && number < RUNS ->
+  :: atomic { placedOn == 0 && latestNumber < RUNS ->
        if :: s = 0 :: s = 1 fi;
        if
-       :: alive[s] && flying[s] == 0 ->
-            number++; at = s + 1; answered = false; ghost = false; lapsed[s] = false; gone[s] = false;
-            flying[s] = number; granted[s] = epoch[s]; open[s] = true
+       :: alive[s] && startInFlight[s] == 0 ->
+            latestNumber++; placedOn = s + 1; stopAnswered = false; startAfterCrash = false; leaseExpired[s] = false; crashSeen[s] = false;
+            startInFlight[s] = latestNumber; startLease[s] = leaseEpoch[s]; callOpen[s] = true
        :: else
        fi }
-  /* A stop that is answered: the server remembers it, and stops what it has. */
-  :: atomic { at > 0 && !answered && alive[at - 1] -> remember(at - 1, number); answered = true }
-  /* A list made after that shows what works. */
-  :: atomic { at > 0 && settled(at - 1) && alive[at - 1] && !gone[at - 1] && running[at - 1] != number -> at = 0 }
-  :: atomic { at > 0 && over(at - 1) -> at = 0 }
-  /* The process is gone: what may reach the next life is stopped there first. */
-  :: atomic { at > 0 && gone[at - 1] && closable(at - 1) && stopped(at - 1) -> at = 0 }
-  /* Another leader knows the placement alone. */
-  :: atomic { at > 0 && answered -> answered = false }
+  /* A stop call is answered. The server refuses the run from now on and stops it. */
+  :: atomic { placedOn > 0 && !stopAnswered && alive[placedOn - 1] -> refuseFromNowOn(placedOn - 1, latestNumber); stopAnswered = true }
+  /* A list made after that shows that the run does not run. */
+  :: atomic { placedOn > 0 && stopConfirmed(placedOn - 1) && alive[placedOn - 1] && !crashSeen[placedOn - 1] && runningNumber[placedOn - 1] != latestNumber -> placedOn = 0 }
+  :: atomic { placedOn > 0 && leaseOver(placedOn - 1) -> placedOn = 0 }
+  /* The process crashed. A start that may reach the next incarnation is stopped there first. */
+  :: atomic { placedOn > 0 && crashSeen[placedOn - 1] && incarnationClosable(placedOn - 1) && runStopped(placedOn - 1) -> placedOn = 0 }
+  /* A new leader knows only the placement. */
+  :: atomic { placedOn > 0 && stopAnswered -> stopAnswered = false }
   od
 }
 
 active [SERVERS] proctype server() {
   byte s = _pid - 1;
   do
-  :: atomic { flying[s] > 0 && alive[s] ->
+  :: atomic { startInFlight[s] > 0 && alive[s] ->
        if
-       :: flying[s] > highest[s] && inTime(s) -> running[s] = flying[s]; once()
+       :: startInFlight[s] > highestRefused[s] && leaseCurrent(s) -> runningNumber[s] = startInFlight[s]; checkSingleRun()
        :: else
        fi;
-       flying[s] = 0 }
-  :: atomic { flying[s] > 0 -> flying[s] = 0 }
-  /* The call ends, or is given up; what was sent to a life that has ended is lost. */
-  :: atomic { open[s] -> open[s] = false; if :: gone[s] -> flying[s] = 0 :: else fi }
-  /* The stop of a run, or its end. */
-  :: atomic { running[s] > 0 -> running[s] = 0 }
-  /* The lease runs out: all is killed, and what carries it comes too late. */
-  :: atomic { alive[s] && !open[s] && epoch[s] < RUNS -> running[s] = 0; epoch[s]++; lapsed[s] = true }
-  :: atomic { alive[s] && !gone[s] ->
-       alive[s] = false; running[s] = 0; gone[s] = true;
+       startInFlight[s] = 0 }
+  :: atomic { startInFlight[s] > 0 -> startInFlight[s] = 0 }
+  /* The call ends or times out. A start sent to a crashed incarnation is lost. */
+  :: atomic { callOpen[s] -> callOpen[s] = false; if :: crashSeen[s] -> startInFlight[s] = 0 :: else fi }
+  /* The run is stopped or ends. */
+  :: atomic { runningNumber[s] > 0 -> runningNumber[s] = 0 }
+  /* The lease expires. The run is killed, and a start call with this lease comes too late. */
+  :: atomic { alive[s] && !callOpen[s] && leaseEpoch[s] < RUNS -> runningNumber[s] = 0; leaseEpoch[s]++; leaseExpired[s] = true }
+  :: atomic { alive[s] && !crashSeen[s] ->
+       alive[s] = false; runningNumber[s] = 0; crashSeen[s] = true;
        if
-       :: open[s] && at == s + 1 -> ghost = true; answered = false
-       :: else -> flying[s] = 0
+       :: callOpen[s] && placedOn == s + 1 -> startAfterCrash = true; stopAnswered = false
+       :: else -> startInFlight[s] = 0
        fi }
-  /* The next life knows no stop, and its clock takes any lease for a later one. */
-  :: atomic { !alive[s] -> alive[s] = true; highest[s] = 0; granted[s] = epoch[s] }
+  /* The next incarnation knows no earlier stop call. Its new clock takes any lease as valid. */
+  :: atomic { !alive[s] -> alive[s] = true; highestRefused[s] = 0; startLease[s] = leaseEpoch[s] }
   od
 }
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,285 +1,285 @@
 /*
- * Term, lease and placement: one task, a backend server A that holds its first
- * attempt, another server B, a leader of term 1 that may be deposed without
- * noticing, and its successor of term 2.
+ * Model of terms, leases and placement: one task, a backend server A with its first
+ * attempt, a second server B, a leader of term 1 that may be deposed without noticing,
+ * and its successor of term 2.
  *
- * Promise: the task never runs on both servers at once, and a task that may not
- * be repeated starts at most once.
+ * Invariant: the task never runs on both servers at the same time, and a task that must
+ * not be repeated starts at most once.
  *
- * Times are kept as ages and as what is left, each up to where it stops to
- * matter, so that the model covers runs of any length. What a watchdog does at
- * an instant happens together with the tick that leads to it. Each MUTATE_ name
- * takes one guard away; spec/check shows that the promise then breaks.
+ * Times are stored as ages and as remaining times, each limited to the range that
+ * matters, so that the model covers runs of any length. A lease timer fires in the same
+ * step as the clock tick at which it is due. Each MUTATE_ name removes one guard.
+ * spec/check shows that the invariant is then violated.
  */
 
-#define L 2                 /* length of a lease, in ticks */
-#define MARGIN 1            /* what the slowest permitted clock loses over a lease */
-#define LONG (L + MARGIN)   /* ages stop here */
-#define PATIENCE 1          /* how long a leader may hold a request back */
+#define LEASE 2                    /* length of a lease, in clock ticks */
+#define MARGIN 1                   /* ticks that the slowest permitted clock loses over a lease */
+#define AGE_LIMIT (LEASE + MARGIN) /* ages do not grow beyond this */
+#define MAX_HOLD 1                 /* longest time that a leader holds a request open, in ticks */
 
 #define A 0
 #define B 1
 
-/* What server A reports of attempt 1. */
+/* The phase of attempt 1 that server A reports. */
 #define ABSENT 0
-#define HELD 1
+#define RUNNING 1
 #define ENDED 2
 #define DECLINED 3
 
 /*
- * The guards, each with what takes it away.
+ * The guards, each with the mutation that removes it.
  */
 
-/* A leader takes attempt 1 for over only when its server says so, not when a
- * sync does not show it: its order may still arrive. */
+/* A leader treats attempt 1 as ended only if its server reports the end. A sync request
+ * without the attempt is not enough, because the order may still arrive. */
 #ifdef MUTATE_TRUST_ABSENCE
-#define reportedOver (report != HELD)
+#define reportedEnded (reportedPhase != RUNNING)
 #else
-#define reportedOver (report == ENDED || report == DECLINED)
+#define reportedEnded (reportedPhase == ENDED || reportedPhase == DECLINED)
 #endif
 
-/* What may not be repeated is placed again only if it was never started. */
+/* A task that must not be repeated is placed again only if it was never started. */
 #ifdef MUTATE_REPEAT
 #define mayRepeat(r) true
 #else
-#define mayRepeat(r) (!once || r == DECLINED || r == ABSENT)
+#define mayRepeat(r) (!notRepeatable || r == DECLINED || r == ABSENT)
 #endif
 
-/* The time granted ends with the lease that began with the round. Age is that of
- * the round, held how long ago the request came in. */
+/* A granted lease ends with the lease that began with the heartbeat round. The parameter
+ * age is the age of the round, and holdTime is the time since the request arrived. */
 #ifdef MUTATE_GRANT_FROM_SEND
-#define reach(age) L
+#define leaseFromRound(age) LEASE
 #else
-#define reach(age) (L + held - age)
+#define leaseFromRound(age) (LEASE + holdTime - age)
 #endif
 
-/* It is never longer than a lease, also from a round that began after the request
- * came in: the margin covers what a clock loses over one lease. */
+/* A grant is never longer than one lease, even if the round began after the request
+ * arrived, because the margin covers only the loss of a clock over one lease. */
 #ifdef MUTATE_GRANT_BEYOND
-#define span(age) reach(age)
+#define grantFromRound(age) leaseFromRound(age)
 #else
-#define span(age) (reach(age) > L -> L : reach(age))
+#define grantFromRound(age) (leaseFromRound(age) > LEASE -> LEASE : leaseFromRound(age))
 #endif
 
-/* A leader notes what it grants from before the answer leaves. */
+/* A leader records the round of a grant before it sends the reply. */
 #ifdef MUTATE_NOT_NOTED
-#define notes(t0) false
+#define recordsRound(t0) false
 #else
-#define notes(t0) (t0 < used)
+#define recordsRound(t0) (t0 < usedRoundAge)
 #endif
 
-/* A placement counts when a quorum has it. */
+/* A placement takes effect only when a quorum has stored it. */
 #ifdef MUTATE_UNCOMMITTED
 #define mayCommit true
 #else
 #define mayCommit (!candidate)
 #endif
 
-/* A server drops an answer to a request that it gave up. */
+/* A server drops a reply to a request that it abandoned. */
 #ifdef MUTATE_LATE_ORDER
-#define dropsLate false
+#define dropsLateReplies false
 #else
-#define dropsLate true
+#define dropsLateReplies true
 #endif
 
-/* A server drops an attempt that it has seen. */
+/* A server ignores an order for an attempt that it has already seen. */
 #ifdef MUTATE_FORGET_SEEN
-#define fresh1 (runs == 0)
+#define startable1 (runningAttempt == 0)
 #else
-#define fresh1 (!seen1)
+#define startable1 (!seen1)
 #endif
 
-/* A server looks at its lease before it starts anything. */
+/* A server checks its lease before it starts an attempt. */
 #ifdef MUTATE_START_EXPIRED
 #define mayStart true
 #else
-#define mayStart (left > 0)
+#define mayStart (leaseLeft > 0)
 #endif
 
-/* A server looks at its lease before it goes on after a pause. */
+/* A server checks its lease before it continues after a pause. */
 #ifdef MUTATE_RESUME_BLIND
-#define look() skip
+#define checkLeaseOnResume() skip
 #else
-#define look() watchdog()
+#define checkLeaseOnResume() stopIfLeaseExpired()
 #endif
 
-/* A replica confirms no round of a term that it has left. */
+/* A replica does not confirm a round of a term older than its current term. */
 #ifdef MUTATE_CONFIRM_OLD_TERM
 #define confirms true
 #else
 #define confirms (!voted || !candidate)
 #endif
 
-/* The sitting leader waits from the newest round that it granted from. */
+/* The current leader waits from the newest round that it used for a grant. */
 #ifdef MUTATE_NO_SITTING_WAIT
-#define waitedFirst true
+#define waited1 true
 #else
-#define waitedFirst (used == LONG)
+#define waited1 (usedRoundAge == AGE_LIMIT)
 #endif
 
-/* The wait covers the drift of clocks. */
+/* The wait includes the margin for clock drift. */
 #ifdef MUTATE_NO_MARGIN
-#define WAIT L
+#define LEASE_WAIT LEASE
 #else
-#define WAIT LONG
+#define LEASE_WAIT AGE_LIMIT
 #endif
 
-/* A new leader waits from its own election, and from its own grants. */
+/* A new leader waits from its election and from its newest grant. */
 #ifdef MUTATE_NO_WAIT
 #define waitedElection true
 #else
-#define waitedElection (elected1 >= WAIT)
+#define waitedElection (electionAge >= LEASE_WAIT)
 #endif
-#define waitedSecond (waitedElection && granted >= WAIT)
+#define waited2 (waitedElection && grantAge >= LEASE_WAIT)
 
-bool once;                  /* the task may not be repeated */
-byte slow;                  /* what the clock of server A loses over a lease */
+bool notRepeatable; /* the task must not be repeated */
+byte clockLoss;     /* ticks that the clock of server A loses over a lease */
 byte starts;
 
-/* The replicas besides the leader of term 1: one votes, one becomes leader. */
-bool voted;                 /* the voter has given its vote in term 2 */
-bool candidate;             /* the other has gone to term 2 */
+/* The two other replicas: a voter, and the candidate that becomes leader of term 2. */
+bool voted;     /* the voter has voted in term 2 */
+bool candidate; /* the candidate has entered term 2 */
 bool elected;
-byte elected1;              /* age of the election */
+byte electionAge; /* age of the election */
 
 /* The leader of term 1. */
-byte confirmed;             /* age of its newest confirmed round */
-byte round;                 /* age of the round under way */
-bool asked;                 /* a round is under way */
-bool acked;                 /* a replica has confirmed it; the leader may not know yet */
-byte used;                  /* age of the newest round used for a grant to A */
-byte attempt1 = 1;          /* the attempt and its server, as it knows them */
+byte confirmedRoundAge; /* age of its newest confirmed round */
+byte openRoundAge;      /* age of the round in progress */
+bool roundOpen;         /* a round is in progress */
+bool roundAcked;        /* a replica has confirmed it; the leader may not know yet */
+byte usedRoundAge;      /* age of the newest round used for a grant to A */
+byte attempt1 = 1;      /* the attempt and its server in the leader's state */
 bit place1 = A;
-bool stopping1;             /* it wants attempt 1 stopped */
+bool stopping1; /* the leader wants attempt 1 stopped */
 
-/* The leader of term 2, and the committed ledger, which it begins with. */
-byte granted = LONG;        /* age of its newest grant to A */
+/* The leader of term 2, and the committed ledger that it starts from. */
+byte grantAge = AGE_LIMIT; /* age of its newest grant to A */
 byte attempt = 1;
 bit place = A;
 bool stopping2;
 
 /* Server A. */
-byte left;                  /* time until its watchdog stops what runs */
-byte sent;                  /* age of its newest sync request */
-bool waiting;               /* for the answer to it */
-byte runs;                  /* attempt that runs; 0 for none */
-bool seen1, seen2;          /* attempts whose orders it has seen */
-bool began1;
+byte leaseLeft;      /* time until its lease timer stops the running attempt */
+byte requestAge;     /* age of its newest sync request */
+bool awaitsReply;    /* waits for the reply to that request */
+byte runningAttempt; /* the running attempt; 0 for none */
+bool seen1, seen2;   /* attempts for which it has received orders */
+bool started1;
 bool paused;
 
-/* Server B. What it runs, it runs for good: the worst that it can do. */
-bool other;
+/* Server B. It never stops the task, which is the worst case. */
+bool runsOnB;
 
-/* The network: the newest request of A, the answer to it, and an answer to a
- * request that A gave up. */
-bool asks;
-byte report;
-byte held;                  /* how long ago the leader that answers received it */
-bool answers, late;
-byte grant, lateGrant;
-byte order, lateOrder;
-bool stop, lateStop;
+/* The network: the newest request of A, the reply to it, and a late reply to a request
+ * that A abandoned. */
+bool requestInFlight;
+byte reportedPhase;
+byte holdTime; /* time since the replying leader received the request */
+bool replyInFlight, lateReplyInFlight;
+byte replyGrant, lateGrant;
+byte replyOrder, lateOrder;
+bool replyStop, lateStop;
 
-#define executes (runs > 0 && !paused)
-#define check() assert(!(executes && other)); assert(!(once && starts > 1))
+#define executesOnA (runningAttempt > 0 && !paused)
+#define checkInvariant() assert(!(executesOnA && runsOnB)); assert(!(notRepeatable && starts > 1))
 
-inline older(age, most) {
+inline increaseAge(age, limit) {
   if
-  :: age < most -> age++
+  :: age < limit -> age++
   :: else
   fi
 }
 
-inline watchdog() {
+inline stopIfLeaseExpired() {
   if
-  :: !paused && left == 0 -> runs = 0
+  :: !paused && leaseLeft == 0 -> runningAttempt = 0
   :: else
   fi
 }
 
-inline tick() {
-  older(confirmed, L + PATIENCE);
+inline advanceTime() {
+  increaseAge(confirmedRoundAge, LEASE + MAX_HOLD);
   if
-  :: asked -> older(round, L + PATIENCE)
+  :: roundOpen -> increaseAge(openRoundAge, LEASE + MAX_HOLD)
   :: else
   fi;
-  older(used, LONG);
-  older(granted, LONG);
+  increaseAge(usedRoundAge, AGE_LIMIT);
+  increaseAge(grantAge, AGE_LIMIT);
   if
-  :: elected -> older(elected1, LONG)
+  :: elected -> increaseAge(electionAge, AGE_LIMIT)
   :: else
   fi;
-  older(sent, LONG);
+  increaseAge(requestAge, AGE_LIMIT);
   if
-  :: left > 0 -> left--
+  :: leaseLeft > 0 -> leaseLeft--
   :: else
   fi;
-  watchdog()
+  stopIfLeaseExpired()
 }
 
-/* A sends a cumulative sync; it gives up the request before. */
+/* A sends a cumulative sync request and abandons the previous one. */
 inline sendSync() {
   if
-  :: answers -> late = true; lateGrant = grant; lateOrder = order; lateStop = stop; loseAnswer()
-  :: true -> loseAnswer()
+  :: replyInFlight -> lateReplyInFlight = true; lateGrant = replyGrant; lateOrder = replyOrder; lateStop = replyStop; dropReply()
+  :: true -> dropReply()
   fi;
   if
-  :: runs == 1 -> report = HELD
-  :: runs != 1 && seen1 && began1 -> report = ENDED
-  :: runs != 1 && seen1 && !began1 -> report = DECLINED
-  :: else -> report = ABSENT
+  :: runningAttempt == 1 -> reportedPhase = RUNNING
+  :: runningAttempt != 1 && seen1 && started1 -> reportedPhase = ENDED
+  :: runningAttempt != 1 && seen1 && !started1 -> reportedPhase = DECLINED
+  :: else -> reportedPhase = ABSENT
   fi;
-  sent = 0;
-  waiting = true;
-  asks = true
+  requestAge = 0;
+  awaitsReply = true;
+  requestInFlight = true
 }
 
-inline loseAnswer() {
-  answers = false; grant = 0; order = 0; stop = false
+inline dropReply() {
+  replyInFlight = false; replyGrant = 0; replyOrder = 0; replyStop = false
 }
 
-inline loseLate() {
-  late = false; lateGrant = 0; lateOrder = 0; lateStop = false
+inline dropLateReply() {
+  lateReplyInFlight = false; lateGrant = 0; lateOrder = 0; lateStop = false
 }
 
-/* The answer may come some time after the request. */
-inline holdBack() {
+/* The leader may hold the request open before it replies. */
+inline chooseHoldTime() {
   if
-  :: held = 0
-  :: sent >= PATIENCE -> held = PATIENCE
+  :: holdTime = 0
+  :: requestAge >= MAX_HOLD -> holdTime = MAX_HOLD
   fi
 }
 
-/* The leader of term 1 answers, deposed or not. */
-inline answerFirst() {
-  holdBack();
+/* The leader of term 1 replies, whether or not it is deposed. */
+inline replyFromTerm1() {
+  chooseHoldTime();
   if
-  :: attempt1 == 1 && reportedOver && mayRepeat(report) -> commitFirst()
+  :: attempt1 == 1 && reportedEnded && mayRepeat(reportedPhase) -> placeSecondAttempt()
   :: true
   fi;
   if
-  :: confirmed < L + held ->
+  :: confirmedRoundAge < LEASE + holdTime ->
     if
-    :: notes(confirmed) -> used = confirmed
+    :: recordsRound(confirmedRoundAge) -> usedRoundAge = confirmedRoundAge
     :: else
     fi;
-    answers = true;
-    grant = span(confirmed);
-    order = (place1 == A && !(stopping1 && attempt1 == 1) -> attempt1 : 0);
-    stop = stopping1
+    replyInFlight = true;
+    replyGrant = grantFromRound(confirmedRoundAge);
+    replyOrder = (place1 == A && !(stopping1 && attempt1 == 1) -> attempt1 : 0);
+    replyStop = stopping1
   :: else
   fi;
-  asks = false;
-  report = 0;
-  held = 0
+  requestInFlight = false;
+  reportedPhase = 0;
+  holdTime = 0
 }
 
 /* The leader of term 1 places the second attempt. */
-inline commitFirst() {
+inline placeSecondAttempt() {
   if
   :: mayCommit ->
     attempt1 = 2;
-    choose(place1);
+    chooseServer(place1);
     if
     :: !candidate -> attempt = 2; place = place1
     :: else
@@ -288,122 +288,122 @@
   fi
 }
 
-inline choose(place) {
+inline chooseServer(place) {
   if
   :: place = A
   :: place = B
   fi
 }
 
-/* The leader of term 2 answers. Its rounds are as fresh as can be. */
-inline answerSecond() {
-  holdBack();
+/* The leader of term 2 replies. Its newest round always has age 0. */
+inline replyFromTerm2() {
+  chooseHoldTime();
   if
-  :: attempt == 1 && reportedOver && mayRepeat(report) -> attempt = 2; choose(place)
+  :: attempt == 1 && reportedEnded && mayRepeat(reportedPhase) -> attempt = 2; chooseServer(place)
   :: true
   fi;
-  granted = 0;
-  answers = true;
-  grant = span(0);
-  order = (place == A && !(stopping2 && attempt == 1) -> attempt : 0);
-  stop = stopping2;
-  asks = false;
-  report = 0;
-  held = 0
+  grantAge = 0;
+  replyInFlight = true;
+  replyGrant = grantFromRound(0);
+  replyOrder = (place == A && !(stopping2 && attempt == 1) -> attempt : 0);
+  replyStop = stopping2;
+  requestInFlight = false;
+  reportedPhase = 0;
+  holdTime = 0
 }
 
-/* What a slow clock loses grows with what it measures. */
-#define lost(g) (g > L -> 2 * slow : slow)
+/* The loss of a slow clock grows with the measured time. */
+#define lossOver(g) (g > LEASE -> 2 * clockLoss : clockLoss)
 
-/* A takes an answer. It counts the time granted from when it sent the request. */
-inline takeAnswer(g, o, s) {
-  waiting = false;
+/* A receives a reply. The granted lease starts when A sent the request. */
+inline receiveReply(g, o, s) {
+  awaitsReply = false;
   if
-  :: g + lost(g) > sent && g + lost(g) - sent > left -> left = g + lost(g) - sent
+  :: g + lossOver(g) > requestAge && g + lossOver(g) - requestAge > leaseLeft -> leaseLeft = g + lossOver(g) - requestAge
   :: else
   fi;
   if
-  :: s -> stopFirst()
+  :: s -> stopAttempt1()
   :: else
   fi;
-  start(o)
+  startAttempt(o)
 }
 
-/* A stops attempt 1, and drops its order if that is still to come. */
-inline stopFirst() {
+/* A stops attempt 1, and ignores the order for it if that arrives later. */
+inline stopAttempt1() {
   seen1 = true;
   if
-  :: runs == 1 -> runs = 0
+  :: runningAttempt == 1 -> runningAttempt = 0
   :: else
   fi
 }
 
 /* A starts an attempt. */
-inline start(o) {
+inline startAttempt(o) {
   if
-  :: o == 1 && fresh1 && mayStart -> assert(runs == 0); runs = 1; seen1 = true; began1 = true; count()
-  :: o == 2 && !seen2 && mayStart -> assert(runs == 0); runs = 2; seen2 = true; count()
+  :: o == 1 && startable1 && mayStart -> assert(runningAttempt == 0); runningAttempt = 1; seen1 = true; started1 = true; countStart()
+  :: o == 2 && !seen2 && mayStart -> assert(runningAttempt == 0); runningAttempt = 2; seen2 = true; countStart()
   :: else
   fi
 }
 
-inline count() {
+inline countStart() {
   if
   :: starts < 2 -> starts++
   :: else
   fi;
-  check()
+  checkInvariant()
 }
 
 active proctype System() {
   atomic {
     if
-    :: once = true
-    :: once = false
+    :: notRepeatable = true
+    :: notRepeatable = false
     fi;
     if
-    :: slow = 0
-    :: slow = MARGIN
+    :: clockLoss = 0
+    :: clockLoss = MARGIN
     fi
   }
   do
-  :: atomic { true -> tick() }
+  :: atomic { true -> advanceTime() }
 
-  /* Rounds of term 1. */
-  :: atomic { !asked || round > 0 -> asked = true; acked = false; round = 0 }
-  :: atomic { asked && !acked && confirms -> acked = true }
-  :: atomic { acked -> confirmed = round; asked = false; acked = false; round = 0 }
+  /* Heartbeat rounds of term 1. */
+  :: atomic { !roundOpen || openRoundAge > 0 -> roundOpen = true; roundAcked = false; openRoundAge = 0 }
+  :: atomic { roundOpen && !roundAcked && confirms -> roundAcked = true }
+  :: atomic { roundAcked -> confirmedRoundAge = openRoundAge; roundOpen = false; roundAcked = false; openRoundAge = 0 }
 
   /* The election of term 2. */
   :: atomic { !candidate -> candidate = true }
   :: atomic { candidate && !voted -> voted = true }
   :: atomic { voted && !elected -> elected = true }
 
-  /* The leader of term 1 wants attempt 1 stopped, or gives its server up. */
+  /* The leader of term 1 wants attempt 1 stopped, or treats its server as failed. */
   :: atomic { !stopping1 && attempt1 == 1 -> stopping1 = true }
-  :: atomic { attempt1 == 1 && mayRepeat(ENDED) && waitedFirst && mayCommit -> commitFirst() }
+  :: atomic { attempt1 == 1 && mayRepeat(ENDED) && waited1 && mayCommit -> placeSecondAttempt() }
 
-  /* So does the leader of term 2. */
+  /* The leader of term 2 does the same. */
   :: atomic { elected && !stopping2 && attempt == 1 -> stopping2 = true }
-  :: atomic { elected && attempt == 1 && mayRepeat(ENDED) && waitedSecond -> attempt = 2; choose(place) }
+  :: atomic { elected && attempt == 1 && mayRepeat(ENDED) && waited2 -> attempt = 2; chooseServer(place) }
 
-  /* Syncs of A. Any message may be lost or late. */
+  /* Sync requests of A. Any message may be lost or late. */
   :: atomic { !paused -> sendSync() }
-  :: atomic { asks -> answerFirst() }
-  :: atomic { asks && elected -> answerSecond() }
-  :: atomic { answers && waiting && !paused -> takeAnswer(grant, order, stop); loseAnswer() }
-  :: atomic { late && !paused && dropsLate -> loseLate() }
-  :: atomic { late && !paused && !dropsLate -> takeAnswer(lateGrant, lateOrder, lateStop); loseLate() }
+  :: atomic { requestInFlight -> replyFromTerm1() }
+  :: atomic { requestInFlight && elected -> replyFromTerm2() }
+  :: atomic { replyInFlight && awaitsReply && !paused -> receiveReply(replyGrant, replyOrder, replyStop); dropReply() }
+  :: atomic { lateReplyInFlight && !paused && dropsLateReplies -> dropLateReply() }
+  :: atomic { lateReplyInFlight && !paused && !dropsLateReplies -> receiveReply(lateGrant, lateOrder, lateStop); dropLateReply() }
 
   /* An order reaches B. */
-  :: atomic { !other && (attempt1 == 2 && place1 == B || elected && attempt == 2 && place == B) ->
-      other = true; count() }
+  :: atomic { !runsOnB && (attempt1 == 2 && place1 == B || elected && attempt == 2 && place == B) ->
+      runsOnB = true; countStart() }
 
-  /* The task ends by itself on A. */
-  :: atomic { executes -> runs = 0 }
+  /* The task finishes on A. */
+  :: atomic { executesOnA -> runningAttempt = 0 }
 
-  /* A is paused as a whole, and goes on. */
+  /* The whole process of A is paused and later resumed. */
   :: atomic { !paused -> paused = true }
-  :: atomic { paused -> paused = false; look(); check() }
+  :: atomic { paused -> paused = false; checkLeaseOnResume(); checkInvariant() }
   od
 }
--- a/spec/roster.pml
+++ b/spec/roster.pml
@@ -1,57 +1,58 @@
 /*
- * A control group of three voters that replaces its members by itself. A voter may
- * be stopped and come back, or lose its disk and come back at its address with a
- * blank one. No further disk is lost before the group has its three voters again
- * and all of them run: that is what the group is built to bear, scaled down.
+ * Model of a consensus group of three voters that replaces failed members automatically. A
+ * voter may stop and restart, or lose its disk and restart at its address with an empty
+ * one. No second disk is lost before the group has three running voters again. That is
+ * the fault tolerance of the real group at a smaller scale.
  *
- * Promise: what was acknowledged stays. Whatever quorum of voters elects a leader,
- * one of them has it; and there always is one that could. Each MUTATE_ name takes
- * one guard away; spec/check shows that the promise then breaks.
+ * Invariant: acknowledged entries are never lost. Every quorum of voters that can elect a
+ * leader includes a voter that has the entries, and such a quorum always exists. Each
+ * MUTATE_ name removes one guard. spec/check shows that the invariant is then violated.
  */
 
-#define TARGET 3
-#define IDS 6       /* identities, of which the first three found the group */
-#define ADDRESSES 4 /* one machine more than the group needs */
+#define TARGET_VOTERS 3
+#define IDENTITIES 6 /* identities; the first three are the initial voters */
+#define ADDRESSES 4  /* one machine more than the group needs */
 
-/* A blank disk gets an identity of its own, and never votes as the one before it. */
+/* A replica with an empty disk gets a new identity and never votes under its old one. */
 #ifdef MUTATE_OLD_IDENTITY
-#define returns(v) intact[v] = true; up[v] = true
+#define returnAfterDiskLoss(v) diskIntact[v] = true; processUp[v] = true
 #else
-#define returns(v) fresh(address[v])
+#define returnAfterDiskLoss(v) joinWithNewIdentity(address[v])
 #endif
 
-/* A learner votes when it has the whole log. */
+/* A learner becomes a voter only when it has the whole log. */
 #ifdef MUTATE_PROMOTE_BEFORE_SYNCED
-#define synced(i) true
+#define mayVote(i) true
 #else
-#define synced(i) has[i]
+#define mayVote(i) hasLog[i]
 #endif
 
-bool voter[IDS];
-bool learner[IDS];
-bool known[IDS];
-/* The disk is there, the process runs, what was acknowledged is on the disk. */
-bool intact[IDS];
-bool up[IDS];
-bool has[IDS];
-byte address[IDS];
-byte born;
-/* At each machine: a process of its own, or none. */
-bool occupied[ADDRESSES];
-/* The voter whose machine is about to come back with a blank disk. */
-byte blank = IDS;
+bool voter[IDENTITIES];
+bool learner[IDENTITIES];
+bool registered[IDENTITIES];
+/* Per identity: the disk is intact, the process runs, and the acknowledged entries are on
+ * the disk. */
+bool diskIntact[IDENTITIES];
+bool processUp[IDENTITIES];
+bool hasLog[IDENTITIES];
+byte address[IDENTITIES];
+byte nextIdentity;
+/* Per machine: a replica has been started on it. */
+bool machineInUse[ADDRESSES];
+/* The voter whose machine restarts next with an empty disk; IDENTITIES for none. */
+byte lostVoter = IDENTITIES;
 
-/* Set anew in each step, and no part of the state. */
-hidden byte i, j, n, voters, able, lacking, running;
+/* Recomputed in each step and excluded from the state. */
+hidden byte i, j, n, voterCount, intactVoters, votersWithoutLog, runningVoters;
 
-inline count() {
-  voters = 0; able = 0; lacking = 0; running = 0; n = 0;
+inline countVoters() {
+  voterCount = 0; intactVoters = 0; votersWithoutLog = 0; runningVoters = 0; n = 0;
   do
-  :: n < IDS ->
+  :: n < IDENTITIES ->
        if
        :: voter[n] ->
-            voters++;
-            if :: intact[n] -> able++; if :: !has[n] -> lacking++ :: else fi; if :: up[n] -> running++ :: else fi :: else fi
+            voterCount++;
+            if :: diskIntact[n] -> intactVoters++; if :: !hasLog[n] -> votersWithoutLog++ :: else fi; if :: processUp[n] -> runningVoters++ :: else fi :: else fi
        :: else
        fi;
        n++
@@ -60,75 +61,75 @@
 }
 
 /* More than half of the voters. */
-#define quorum (voters / 2 + 1)
-#define leads (running >= quorum)
-#define whole (voters == TARGET && running == voters && able == voters)
+#define quorum (voterCount / 2 + 1)
+#define hasLeader (runningVoters >= quorum)
+#define groupComplete (voterCount == TARGET_VOTERS && runningVoters == voterCount && intactVoters == voterCount)
 
-inline fresh(a) {
+inline joinWithNewIdentity(a) {
   if
-  :: born < IDS -> address[born] = a; intact[born] = true; up[born] = true; known[born] = true; occupied[a] = true; born++
+  :: nextIdentity < IDENTITIES -> address[nextIdentity] = a; diskIntact[nextIdentity] = true; processUp[nextIdentity] = true; registered[nextIdentity] = true; machineInUse[a] = true; nextIdentity++
   :: else
   fi
 }
 
-inline check() {
-  count();
-  assert(able >= quorum);
-  assert(lacking < quorum)
+inline checkInvariant() {
+  countVoters();
+  assert(intactVoters >= quorum);
+  assert(votersWithoutLog < quorum)
 }
 
 active proctype group() {
   atomic {
     i = 0;
     do
-    :: i < TARGET -> voter[i] = true; known[i] = true; intact[i] = true; up[i] = true; address[i] = i; occupied[i] = true; i++
+    :: i < TARGET_VOTERS -> voter[i] = true; registered[i] = true; diskIntact[i] = true; processUp[i] = true; address[i] = i; machineInUse[i] = true; i++
     :: else -> break
     od;
-    born = TARGET;
-    /* Acknowledged: on a quorum's disks. */
-    has[0] = true; has[1] = true
+    nextIdentity = TARGET_VOTERS;
+    /* The entries are acknowledged, because a quorum has them on disk. */
+    hasLog[0] = true; hasLog[1] = true
   }
   do
-  /* The log reaches whoever runs, while somebody leads. */
-  :: atomic { count();
+  /* While there is a leader, the log reaches a running voter or learner. */
+  :: atomic { countVoters();
        if
-       :: leads -> if :: i = 0 :: i = 1 :: i = 2 :: i = 3 :: i = 4 :: i = 5 fi;
-            if :: up[i] && intact[i] && (voter[i] || learner[i]) -> has[i] = true :: else fi
+       :: hasLeader -> if :: i = 0 :: i = 1 :: i = 2 :: i = 3 :: i = 4 :: i = 5 fi;
+            if :: processUp[i] && diskIntact[i] && (voter[i] || learner[i]) -> hasLog[i] = true :: else fi
        :: else
        fi }
-  /* A process is stopped, one at a time, or comes back. */
-  :: atomic { count();
+  /* One process stops, while all voters run, or a stopped process restarts. */
+  :: atomic { countVoters();
        if :: i = 0 :: i = 1 :: i = 2 :: i = 3 :: i = 4 :: i = 5 fi;
        if
-       :: intact[i] && up[i] && whole -> up[i] = false
-       :: intact[i] && !up[i] -> up[i] = true
+       :: diskIntact[i] && processUp[i] && groupComplete -> processUp[i] = false
+       :: diskIntact[i] && !processUp[i] -> processUp[i] = true
        :: else
        fi }
-  /* A voter loses its disk, and its machine comes back. */
-  :: atomic { count();
+  /* A voter loses its disk. In the next step its machine restarts with an empty disk. */
+  :: atomic { countVoters();
        if :: i = 0 :: i = 1 :: i = 2 :: i = 3 :: i = 4 :: i = 5 fi;
        if
-       :: whole && voter[i] && blank == IDS && born < IDS ->
-            intact[i] = false; up[i] = false; has[i] = false; blank = i; check()
+       :: groupComplete && voter[i] && lostVoter == IDENTITIES && nextIdentity < IDENTITIES ->
+            diskIntact[i] = false; processUp[i] = false; hasLog[i] = false; lostVoter = i; checkInvariant()
        :: else
        fi }
-  :: atomic { blank < IDS -> i = blank; blank = IDS; returns(i); check() }
-  /* A machine that waits for a place starts. */
-  :: atomic { !occupied[3] -> fresh(3) }
+  :: atomic { lostVoter < IDENTITIES -> i = lostVoter; lostVoter = IDENTITIES; returnAfterDiskLoss(i); checkInvariant() }
+  /* The spare machine starts. */
+  :: atomic { !machineInUse[3] -> joinWithNewIdentity(3) }
   /* The leader changes one member at a time. */
-  :: atomic { count();
+  :: atomic { countVoters();
        if
-       :: leads ->
+       :: hasLeader ->
             if :: i = 0 :: i = 1 :: i = 2 :: i = 3 :: i = 4 :: i = 5 fi;
             if :: j = 0 :: j = 1 :: j = 2 :: j = 3 :: j = 4 :: j = 5 fi;
             if
-            :: voter[i] && known[j] && up[j] && i != j && !voter[j] && address[i] == address[j] -> voter[i] = false; known[i] = false
-            :: known[i] && up[i] && !voter[i] && !learner[i] -> learner[i] = true
-            :: learner[i] && up[i] && synced(i) && voters < TARGET -> learner[i] = false; voter[i] = true
-            :: voter[i] && !up[i] && voters == TARGET && learner[j] && up[j] && synced(j) -> voter[i] = false
+            :: voter[i] && registered[j] && processUp[j] && i != j && !voter[j] && address[i] == address[j] -> voter[i] = false; registered[i] = false
+            :: registered[i] && processUp[i] && !voter[i] && !learner[i] -> learner[i] = true
+            :: learner[i] && processUp[i] && mayVote(i) && voterCount < TARGET_VOTERS -> learner[i] = false; voter[i] = true
+            :: voter[i] && !processUp[i] && voterCount == TARGET_VOTERS && learner[j] && processUp[j] && mayVote(j) -> voter[i] = false
             :: else
             fi;
-            check()
+            checkInvariant()
        :: else
        fi }
   od
--- a/spec/table.pml
+++ b/spec/table.pml
@@ -1,171 +1,172 @@
 /*
- * Table and revision: two operators with one change each, sent any number of
- * times to a leader of term 1 that may be deposed without noticing and to its
- * successor of term 2, which may restart; and an entry that serves the table.
+ * Model of the team table and its revisions. Two operators have one change each and send
+ * it any number of times, to a leader of term 1 that may be deposed without noticing and
+ * to its successor of term 2, which may restart. An entry serves the table.
  *
- * Promise: of changes with equal base revisions one wins; every resend gets the
- * first answer; what was answered or shown never reverts. Each MUTATE_ name
- * takes one guard away; spec/check shows that the promise then breaks.
+ * Invariants: of two changes with the same base revision, only one is accepted. Every
+ * retry of a change gets the first answer. Answered changes and served revisions never
+ * revert. Each MUTATE_ name removes one guard. spec/check shows that an invariant is then
+ * violated.
  */
 
 #define NONE 0
-/* 1 and 2: accepted as that revision. */
+/* Outcomes 1 and 2: the change was accepted and created that revision. */
 #define CONFLICT 3
-#define accepted(o) (o == 1 || o == 2)
+#define accepted(result) (result == 1 || result == 2)
 
-/* A change is compared with the current revision. */
+/* A change is accepted only if its base is the current revision. */
 #ifdef MUTATE_EQUAL_BASE
-#define fits(rev, op) true
+#define baseMatches(revision, author) true
 #else
-#define fits(rev, op) (base[op] == rev)
+#define baseMatches(revision, author) (base[author] == revision)
 #endif
 
-/* The outcome of a change is kept with its id, and looked up first. */
+/* The outcome of a change is stored by the ID of the change and looked up first. */
 #ifdef MUTATE_REPEAT_CHANGE
-#define known(o) false
+#define hasOutcome(result) false
 #else
-#define known(o) (o != NONE)
+#define hasOutcome(result) (result != NONE)
 #endif
 
-/* Outcomes outlast snapshot, restart and failover, as the table does. */
+/* Like the table, outcomes survive snapshots, restarts and failovers. */
 #ifdef MUTATE_FORGET_CHANGE
-#define kept(o) NONE
+#define outcomeAfterRestart(result) NONE
 #else
-#define kept(o) o
+#define outcomeAfterRestart(result) result
 #endif
 
-/* An answer leaves when a quorum has what it tells. */
+/* A leader answers only when a quorum has stored the outcome. */
 #ifdef MUTATE_ANSWER_EARLY
-#define mayTell(v) work[v]
+#define answerState(leader) decided[leader]
 #else
-#define mayTell(v) sure[v]
+#define answerState(leader) committed[leader]
 #endif
 
-/* A leader spreads a table when a quorum has it. */
+/* A leader sends a table to entries only when a quorum has stored it. */
 #ifdef MUTATE_SPREAD_EARLY
-#define maySpread(v) work[v]
+#define servedState(leader) decided[leader]
 #else
-#define maySpread(v) sure[v]
+#define servedState(leader) committed[leader]
 #endif
 
-/* A replica that voted in term 2 takes nothing from term 1. */
+/* A replica that voted in term 2 accepts no log entries of term 1. */
 #ifdef MUTATE_APPEND_OLD_TERM
 #define mayAppend true
 #else
 #define mayAppend (!voted)
 #endif
 
-/* An entry takes a table only if it is newer than what it serves. */
+/* An entry accepts a table only if it is newer than the one that it serves. */
 #ifdef MUTATE_OLD_TABLE
-#define newer(rev) true
+#define acceptsTable(revision) true
 #else
-#define newer(rev) (rev > shown)
+#define acceptsTable(revision) (revision > servedRevision)
 #endif
 
 typedef Ledger {
-  byte rev;
-  byte out[2]   /* outcome per operator's change */
+  byte revision;
+  byte outcome[2] /* outcome of each operator's change */
 }
 
-Ledger work[2];     /* what each leader has decided */
-Ledger sure[2];     /* what each knows that a quorum has */
-Ledger log;         /* what the voter between the two leaders has synced */
-Ledger won;         /* what it had when it voted; the new leader has as much */
+Ledger decided[2];   /* ledger with all decisions, per leader */
+Ledger committed[2]; /* ledger known to be stored by a quorum, per leader */
+Ledger voterLog;     /* ledger that the voter has synced to disk */
+Ledger electedLog;   /* voterLog at the time of the vote; the new leader has the same */
 
 bool voted, elected;
 byte base[2];
 bool sent[2];
-byte got[2];        /* first answer per operator */
-byte shown;         /* revision that the entry serves */
-byte owner;         /* operator whose change made it, and one; 0 for none */
-byte l, o;          /* leader, operator */
+byte firstAnswer[2];   /* first answer to each operator */
+byte servedRevision;   /* revision that the entry serves */
+byte servedOwner;      /* 1 + the operator whose change created servedRevision; 0 for none */
+byte leader, operator; /* the leader and operator of the current step */
 
-/* What a quorum has for good. */
-#define lasting(f) (elected -> sure[1].f : (voted -> won.f : log.f))
+/* A field of the ledger that a quorum has stored durably. */
+#define durable(field) (elected -> committed[1].field : (voted -> electedLog.field : voterLog.field))
 
-inline copy(to, from) {
-  to.rev = from.rev; to.out[0] = from.out[0]; to.out[1] = from.out[1]
+inline copyLedger(to, from) {
+  to.revision = from.revision; to.outcome[0] = from.outcome[0]; to.outcome[1] = from.outcome[1]
 }
 
-/* Leader l takes the change of operator o. */
+/* The leader decides the operator's change. */
 inline decide() {
   if
-  :: known(work[l].out[o]) -> skip
-  :: !known(work[l].out[o]) && fits(work[l].rev, o) && work[l].rev < 2 ->
-    work[l].rev++;
-    work[l].out[o] = work[l].rev
-  :: else -> work[l].out[o] = CONFLICT
+  :: hasOutcome(decided[leader].outcome[operator]) -> skip
+  :: !hasOutcome(decided[leader].outcome[operator]) && baseMatches(decided[leader].revision, operator) && decided[leader].revision < 2 ->
+    decided[leader].revision++;
+    decided[leader].outcome[operator] = decided[leader].revision
+  :: else -> decided[leader].outcome[operator] = CONFLICT
   fi
 }
 
-/* Operator o gets an answer of leader l. */
-inline tell() {
-  assert(got[o] == NONE || got[o] == mayTell(l).out[o]);
-  got[o] = mayTell(l).out[o];
-  check()
+/* The operator receives an answer from the leader. */
+inline answerOperator() {
+  assert(firstAnswer[operator] == NONE || firstAnswer[operator] == answerState(leader).outcome[operator]);
+  firstAnswer[operator] = answerState(leader).outcome[operator];
+  checkInvariant()
 }
 
-/* The entry gets the table of leader l, which may be late. */
-inline spread() {
+/* The entry receives the table of the leader, possibly late. */
+inline serveTable() {
   if
-  :: newer(maySpread(l).rev) ->
-    assert(maySpread(l).rev >= shown);
-    shown = maySpread(l).rev;
-    owner = 0;
+  :: acceptsTable(servedState(leader).revision) ->
+    assert(servedState(leader).revision >= servedRevision);
+    servedRevision = servedState(leader).revision;
+    servedOwner = 0;
     if
-    :: shown > 0 && maySpread(l).out[0] == shown -> owner = 1
-    :: shown > 0 && maySpread(l).out[1] == shown -> owner = 2
+    :: servedRevision > 0 && servedState(leader).outcome[0] == servedRevision -> servedOwner = 1
+    :: servedRevision > 0 && servedState(leader).outcome[1] == servedRevision -> servedOwner = 2
     :: else
     fi;
-    check()
+    checkInvariant()
   :: else
   fi
 }
 
-inline check() {
-  assert(!accepted(got[0]) || lasting(out[0]) == got[0]);
-  assert(!accepted(got[1]) || lasting(out[1]) == got[1]);
-  assert(!(accepted(got[0]) && accepted(got[1]) && base[0] == base[1]));
-  assert(shown <= lasting(rev));
-  assert(owner != 1 || shown > lasting(rev) || lasting(out[0]) == shown);
-  assert(owner != 2 || shown > lasting(rev) || lasting(out[1]) == shown)
+inline checkInvariant() {
+  assert(!accepted(firstAnswer[0]) || durable(outcome[0]) == firstAnswer[0]);
+  assert(!accepted(firstAnswer[1]) || durable(outcome[1]) == firstAnswer[1]);
+  assert(!(accepted(firstAnswer[0]) && accepted(firstAnswer[1]) && base[0] == base[1]));
+  assert(servedRevision <= durable(revision));
+  assert(servedOwner != 1 || servedRevision > durable(revision) || durable(outcome[0]) == servedRevision);
+  assert(servedOwner != 2 || servedRevision > durable(revision) || durable(outcome[1]) == servedRevision)
 }
 
-/* The leader of term 2 goes on from what is lasting. */
+/* The leader of term 2 restarts from the durable ledger. */
 inline restart() {
-  sure[1].out[0] = kept(sure[1].out[0]);
-  sure[1].out[1] = kept(sure[1].out[1]);
-  copy(work[1], sure[1])
+  committed[1].outcome[0] = outcomeAfterRestart(committed[1].outcome[0]);
+  committed[1].outcome[1] = outcomeAfterRestart(committed[1].outcome[1]);
+  copyLedger(decided[1], committed[1])
 }
 
-inline choose(v) {
+inline chooseOperator(chosen) {
   if
-  :: v = 0
-  :: v = 1
+  :: chosen = 0
+  :: chosen = 1
   fi
 }
 
 active proctype System() {
   do
   /* An operator reads the table at the entry, and sends and resends a change. */
-  :: atomic { choose(o); if :: !sent[o] -> sent[o] = true; base[o] = shown :: else fi; o = 0 }
-  :: atomic { choose(o); if :: sent[o] -> l = 0; decide() :: else fi; l = 0; o = 0 }
-  :: atomic { elected -> choose(o); if :: sent[o] -> l = 1; decide() :: else fi; l = 0; o = 0 }
-
-  /* The log of term 1 reaches the voter; its leader learns that later. */
-  :: atomic { mayAppend -> copy(log, work[0]) }
-  :: atomic { true -> copy(sure[0], log) }
-
-  /* Term 2. */
-  :: atomic { !voted -> voted = true; copy(won, log) }
-  :: atomic { voted && !elected -> elected = true; copy(sure[1], won); restart(); check() }
-  :: atomic { elected -> copy(sure[1], work[1]) }
-  :: atomic { elected -> restart(); check() }
-
-  /* Answers and tables. */
-  :: atomic { choose(o); if :: mayTell(0).out[o] != NONE -> l = 0; tell() :: else fi; l = 0; o = 0 }
-  :: atomic { elected -> choose(o); if :: mayTell(1).out[o] != NONE -> l = 1; tell() :: else fi; l = 0; o = 0 }
-  :: atomic { l = 0; spread() }
-  :: atomic { elected -> l = 1; spread(); l = 0 }
+  :: atomic { chooseOperator(operator); if :: !sent[operator] -> sent[operator] = true; base[operator] = servedRevision :: else fi; operator = 0 }
+  :: atomic { chooseOperator(operator); if :: sent[operator] -> leader = 0; decide() :: else fi; leader = 0; operator = 0 }
+  :: atomic { elected -> chooseOperator(operator); if :: sent[operator] -> leader = 1; decide() :: else fi; leader = 0; operator = 0 }
+
+  /* The log of term 1 reaches the voter, and the leader of term 1 learns this later. */
+  :: atomic { mayAppend -> copyLedger(voterLog, decided[0]) }
+  :: atomic { true -> copyLedger(committed[0], voterLog) }
+
+  /* The vote, the election, a commit and a restart of term 2. */
+  :: atomic { !voted -> voted = true; copyLedger(electedLog, voterLog) }
+  :: atomic { voted && !elected -> elected = true; copyLedger(committed[1], electedLog); restart(); checkInvariant() }
+  :: atomic { elected -> copyLedger(committed[1], decided[1]) }
+  :: atomic { elected -> restart(); checkInvariant() }
+
+  /* Answers to operators, and tables sent to the entry. */
+  :: atomic { chooseOperator(operator); if :: answerState(0).outcome[operator] != NONE -> leader = 0; answerOperator() :: else fi; leader = 0; operator = 0 }
+  :: atomic { elected -> chooseOperator(operator); if :: answerState(1).outcome[operator] != NONE -> leader = 1; answerOperator() :: else fi; leader = 0; operator = 0 }
+  :: atomic { leader = 0; serveTable() }
+  :: atomic { elected -> leader = 1; serveTable(); leader = 0 }
   od
 }
