--- a/internal/cli/remote/remote.go
+++ b/internal/cli/remote/remote.go
@@ -139,7 +139,7 @@
 		return err
 	}
 	out := verb.Refusal(refusal.Code, refusal.Detail)
-	if next := transport(refusal); next != "" {
+	if next := transportAdvice(refusal); next != "" {
 		out.Next = next
 	}
 	return out
@@ -154,8 +154,8 @@
 	{"connection refused", "Nothing listens there: check the address, and whether the entry runs."},
 }
 
-// transport returns advice about a call that never got an answer.
-func transport(refusal *code.Error) string {
+// transportAdvice returns advice about a call that never got an answer.
+func transportAdvice(refusal *code.Error) string {
 	if refusal.Code != code.LeaderTimeout {
 		return ""
 	}
--- a/internal/demo/fault/network_test.go
+++ b/internal/demo/fault/network_test.go
@@ -132,8 +132,8 @@
 	})
 }
 
-// transport sends the consensus messages of one replica over the network.
-type transport struct {
+// replicaTransport sends the consensus messages of one replica over the network.
+type replicaTransport struct {
 	network *network
 	name    string
 	id      string
@@ -143,13 +143,13 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.receivers[id] = receive
-	return &transport{network: n, name: name, id: id}
+	return &replicaTransport{network: n, name: name, id: id}
 }
 
 // messageDelay is the network delay of a consensus message.
 const messageDelay = time.Millisecond
 
-func (w *transport) Send(to, _ string, data [][]byte) {
+func (w *replicaTransport) Send(to, _ string, data [][]byte) {
 	peer, _, _ := strings.Cut(to, "/")
 	w.network.mu.Lock()
 	dropped := w.network.outboundBlocked[w.name] || w.network.inboundBlocked[peer]
@@ -165,9 +165,9 @@
 	})
 }
 
-func (w *transport) Handler() http.Handler { return http.NotFoundHandler() }
+func (w *replicaTransport) Handler() http.Handler { return http.NotFoundHandler() }
 
-func (w *transport) Close() {
+func (w *replicaTransport) Close() {
 	w.network.mu.Lock()
 	defer w.network.mu.Unlock()
 	delete(w.network.receivers, w.id)
