--- a/cmd/gypsumreel/main.go
+++ b/cmd/gypsumreel/main.go
@@ -12,7 +12,7 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	exit := verb.Run(ctx, verb.System(), os.Args[1:], verbs()...)
+	exit := verb.Run(ctx, verb.StandardEnv(), os.Args[1:], verbs()...)
 	stop()
 	os.Exit(int(exit))
 }
--- a/internal/cli/ack/ack.go
+++ b/internal/cli/ack/ack.go
@@ -20,7 +20,7 @@
 
 type command struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 }
 
 // forgotten is the result with --json.
@@ -31,15 +31,15 @@
 // Run acknowledges.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) == 0 {
-		return verb.Misuse("Run `gypsumreel ack ID...`.", "no id")
+		return verb.UsageError("Run `gypsumreel ack ID...`.", "no id")
 	}
-	client, ctx, cancel, err := c.Caller(ctx)
+	client, ctx, cancel, err := c.CallerClient(ctx)
 	if err != nil {
 		return err
 	}
 	defer cancel()
 	if err := client.Acknowledge(ctx, args); err != nil {
-		return remote.Explain(err)
+		return remote.UserError(err)
 	}
-	return c.Print(env.Out, forgotten{args}, verb.Grid{Rows: [][]string{{fmt.Sprintf("%d acknowledged", len(args))}}})
+	return c.Print(env.Out, forgotten{args}, verb.TextTable{Rows: [][]string{{fmt.Sprintf("%d acknowledged", len(args))}}})
 }
--- a/internal/cli/cancel/cancel.go
+++ b/internal/cli/cancel/cancel.go
@@ -20,7 +20,7 @@
 
 type command struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	Label map[string]string `long:"label" description:"label as NAME:VALUE; may be repeated"`
 }
 
@@ -32,16 +32,16 @@
 // Run cancels.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) == 0 && len(c.Label) == 0 {
-		return verb.Misuse("Run `gypsumreel cancel ID...` or `gypsumreel cancel --label NAME:VALUE`.", "nothing to cancel")
+		return verb.UsageError("Run `gypsumreel cancel ID...` or `gypsumreel cancel --label NAME:VALUE`.", "nothing to cancel")
 	}
-	client, ctx, cancel, err := c.Caller(ctx)
+	client, ctx, cancel, err := c.CallerClient(ctx)
 	if err != nil {
 		return err
 	}
 	defer cancel()
 	n, err := client.Cancel(ctx, args, c.Label)
 	if err != nil {
-		return remote.Explain(err)
+		return remote.UserError(err)
 	}
-	return c.Print(env.Out, reached{n}, verb.Grid{Rows: [][]string{{fmt.Sprintf("%d jobs reached", n)}}})
+	return c.Print(env.Out, reached{n}, verb.TextTable{Rows: [][]string{{fmt.Sprintf("%d jobs reached", n)}}})
 }
--- a/internal/cli/check/check.go
+++ b/internal/cli/check/check.go
@@ -20,12 +20,12 @@
 }
 
 type command struct {
-	verb.Output
+	verb.OutputFlag
 }
 
 // verdict is the result with --json.
 type verdict struct {
-	Good   bool             `json:"good"`
+	Valid  bool             `json:"good"`
 	Role   settings.Role    `json:"role,omitempty"`
 	Faults []settings.Fault `json:"faults,omitempty"`
 }
@@ -33,20 +33,20 @@
 // Run checks the one file named.
 func (c *command) Run(_ context.Context, env verb.Env, args []string) error {
 	if len(args) != 1 {
-		return verb.Misuse("Run `gypsumreel check FILE`.", "check takes one file, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel check FILE`.", "check takes one file, got %d", len(args))
 	}
 	s, err := settings.Load(args[0])
 	if err == nil {
-		g := verb.Grid{Rows: [][]string{{fmt.Sprintf("%s: good settings for role %s", args[0], s.Role)}}}
-		return c.Print(env.Out, verdict{Good: true, Role: s.Role}, g)
+		g := verb.TextTable{Rows: [][]string{{fmt.Sprintf("%s: good settings for role %s", args[0], s.Role)}}}
+		return c.Print(env.Out, verdict{Valid: true, Role: s.Role}, g)
 	}
 	var faults settings.Faults
 	if c.JSON && errors.As(err, &faults) {
-		if err := c.Print(env.Out, verdict{Faults: faults}, verb.Grid{}); err != nil {
+		if err := c.Print(env.Out, verdict{Faults: faults}, verb.TextTable{}); err != nil {
 			return err
 		}
 	} else {
 		fmt.Fprintln(env.Err, err)
 	}
-	return &verb.Error{Exit: verb.Usage}
+	return &verb.Error{ExitCode: verb.ExitUsage}
 }
--- a/internal/cli/control/control.go
+++ b/internal/cli/control/control.go
@@ -48,13 +48,13 @@
 		event.LogError(event.New(env.Err, s.LogLevel), event.ListenFailed, err)
 		return err
 	}
-	n.Init, n.Log, n.Abort = c.Init, event.New(env.Err, s.LogLevel), verb.Again(ctx)
-	sides, err := verb.NewSides(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, n.Log)
+	n.InitCell, n.Log, n.Abort = c.Init, event.New(env.Err, s.LogLevel), verb.SecondSignal(ctx)
+	sides, err := verb.NewDaemonTLS(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, n.Log)
 	if err != nil {
 		return err
 	}
-	n.Server, n.Client, n.Outside = sides.Inside.Server(), sides.Inside.Client(sides.Replicas...), sides.Outside.Server()
-	n.Peers = sides.Inside.Client(sides.Replicas...)
+	n.ServerTLS, n.ClientTLS, n.ProbeTLS = sides.Inside.ServerConfig(), sides.Inside.ClientConfig(sides.ReplicaNames...), sides.Outside.ServerConfig()
+	n.PeerTLS = sides.Inside.ClientConfig(sides.ReplicaNames...)
 	event.Log(n.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
 	defer event.Log(n.Log, event.Stopped, "process", s.Name)
 	signal := &dump.SignalHandler{Dir: s.DataDir, Name: s.Name, State: n.State, MaxBytes: int(s.Limits.DumpBytes), Log: n.Log}
@@ -73,9 +73,9 @@
 		return nil, errors.Wrap(err, "listen.platform")
 	}
 	n := &node.Node{
-		Cell: s.Cell, Name: s.Name, Data: s.DataDir, Listener: l, Platform: probes,
-		Heartbeat: s.Time.HeartbeatInterval, Election: s.Time.ElectionTimeout, Patience: s.Time.MaxElectionTimeout, Control: leader.New(),
-		MaxDump: int(s.Limits.DumpBytes), Room: bounds.DiskReserve(s.Limits.DiskMiB), Clock: clock.SinceBoot,
+		Cell: s.Cell, Name: s.Name, DataDir: s.DataDir, Listener: l, ProbeListener: probes,
+		HeartbeatInterval: s.Time.HeartbeatInterval, ElectionTimeout: s.Time.ElectionTimeout, MaxElectionTimeout: s.Time.MaxElectionTimeout, Control: leader.New(),
+		MaxDumpBytes: int(s.Limits.DumpBytes), MinFreeBytes: bounds.DiskReserve(s.Limits.DiskMiB), Clock: clock.SinceBoot,
 	}
 	bounds.LimitHeap(s.Limits.MemoryMiB)
 	for _, p := range s.ControlReplicas {
@@ -94,7 +94,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "operator")
 		}
-		n.Root = &v1.KeyGrant{Id: rootKey, Operator: true, Digest: digest}
+		n.RootKey = &v1.KeyGrant{Id: rootKey, Operator: true, Digest: digest}
 	}
 	return n, nil
 }
--- a/internal/cli/demo/demo.go
+++ b/internal/cli/demo/demo.go
@@ -24,7 +24,7 @@
 }
 
 type command struct {
-	verb.Output
+	verb.OutputFlag
 }
 
 // Run runs the demo in a temporary folder.
@@ -43,7 +43,7 @@
 		return err
 	}
 	if !report.Passed() {
-		return &verb.Error{Exit: verb.Failed, Text: fmt.Sprintf("%d promises did not hold", len(report.Violations))}
+		return &verb.Error{ExitCode: verb.ExitFailed, Message: fmt.Sprintf("%d promises did not hold", len(report.Violations))}
 	}
 	return nil
 }
@@ -61,11 +61,11 @@
 	}
 }
 
-func grid(r *scenario.Report) verb.Grid {
+func grid(r *scenario.Report) verb.TextTable {
 	row := func(what string, format string, args ...any) []string {
 		return []string{what, fmt.Sprintf(format, args...)}
 	}
-	g := verb.Grid{Head: []string{"WHAT", "FOUND"}, Rows: [][]string{
+	g := verb.TextTable{Header: []string{"WHAT", "FOUND"}, Rows: [][]string{
 		row("jobs accepted", "%d", r.Accepted),
 		row("done, answers whole", "%d", r.Done),
 		row("refused as not run", "%d", r.Refused),
--- a/internal/cli/drain/drain.go
+++ b/internal/cli/drain/drain.go
@@ -22,7 +22,7 @@
 
 type command struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	remote.ChangeID
 	Undo bool `long:"undo" description:"let the server take work again"`
 }
@@ -31,14 +31,14 @@
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	switch {
 	case len(args) > 1:
-		return verb.Misuse("Run `gypsumreel drain SERVER` for each of them.", "drain takes one server, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel drain SERVER` for each of them.", "drain takes one server, got %d", len(args))
 	case len(args) == 0 && (c.Undo || c.Change != ""):
-		return verb.Misuse("Run `gypsumreel drain SERVER`.", "no server")
+		return verb.UsageError("Run `gypsumreel drain SERVER`.", "no server")
 	case len(args) == 0:
 		return c.list(ctx, env)
 	}
 	req := &v1.ChangeRequest{Change: &v1.ChangeRequest_Mark{Mark: &v1.ServerMark{Server: args[0], Drain: !c.Undo}}}
-	made, err := c.Make(ctx, c.ChangeID, req, "")
+	made, err := c.SendChange(ctx, c.ChangeID, req, "")
 	if err != nil {
 		return err
 	}
@@ -46,22 +46,22 @@
 	if c.Undo {
 		what = " takes work again"
 	}
-	return c.Print(env.Out, made, made.Line("server "+args[0]+what))
+	return c.Print(env.Out, made, made.Describe("server "+args[0]+what))
 }
 
 // line is one server with --json: cpu in thousandths of a core, memory in MiB.
 type line struct {
-	Server   string `json:"server"`
-	State    string `json:"state"`
-	Zone     string `json:"zone"`
-	Rack     string `json:"rack"`
-	Tasks    uint32 `json:"tasks"`
-	HeldCPU  int64  `json:"heldcpu"`
-	CPU      int64  `json:"cpu"`
-	HeldMem  int64  `json:"heldmemory"`
-	Memory   int64  `json:"memory"`
-	HeldSlot int64  `json:"heldslots"`
-	Slots    int64  `json:"slots"`
+	Server     string `json:"server"`
+	State      string `json:"state"`
+	Zone       string `json:"zone"`
+	Rack       string `json:"rack"`
+	Tasks      uint32 `json:"tasks"`
+	HeldCPU    int64  `json:"heldcpu"`
+	CPU        int64  `json:"cpu"`
+	HeldMemory int64  `json:"heldmemory"`
+	Memory     int64  `json:"memory"`
+	HeldSlots  int64  `json:"heldslots"`
+	Slots      int64  `json:"slots"`
 }
 
 func (c *command) list(ctx context.Context, env verb.Env) error {
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	out, g := []line{}, verb.Grid{Head: []string{"SERVER", "STATE", "ZONE", "RACK", "TASKS", "CPU", "MEMORY", "SLOTS"}}
+	out, g := []line{}, verb.TextTable{Header: []string{"SERVER", "STATE", "ZONE", "RACK", "TASKS", "CPU", "MEMORY", "SLOTS"}}
 	for _, s := range r.GetServers() {
 		h, all := s.GetHeld(), s.GetCapacity()
 		out = append(out, line{
--- a/internal/cli/dump/dump.go
+++ b/internal/cli/dump/dump.go
@@ -24,20 +24,20 @@
 // Run prints a dump.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 1 {
-		return verb.Misuse("Run `gypsumreel dump NAME` for each of them.", "dump takes one name, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel dump NAME` for each of them.", "dump takes one name, got %d", len(args))
 	}
 	name := ""
 	if len(args) == 1 {
 		name = args[0]
 	}
-	client, ctx, cancel, err := c.Operator(ctx)
+	client, ctx, cancel, err := c.OperatorClient(ctx)
 	if err != nil {
 		return err
 	}
 	defer cancel()
 	text, err := client.Dump(ctx, name)
 	if err != nil {
-		return remote.Explain(err)
+		return remote.UserError(err)
 	}
 	_, err = fmt.Fprintln(env.Out, text)
 	return err
--- a/internal/cli/entry/entry.go
+++ b/internal/cli/entry/entry.go
@@ -44,13 +44,13 @@
 		event.LogError(event.New(env.Err, s.LogLevel), event.ListenFailed, err)
 		return err
 	}
-	e.Log, e.Abort = event.New(env.Err, s.LogLevel), verb.Again(ctx)
-	sides, err := verb.NewSides(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, e.Log)
+	e.Log, e.Abort = event.New(env.Err, s.LogLevel), verb.SecondSignal(ctx)
+	sides, err := verb.NewDaemonTLS(ctx, s.TLS, s.ControlReplicas, s.Time.ReloadInterval, e.Log)
 	if err != nil {
 		return err
 	}
-	e.Outside, e.Inside = sides.Outside.Server(), sides.Inside.Client(sides.Replicas...)
-	pool := e.Pool()
+	e.OutsideTLS, e.InsideTLS = sides.Outside.ServerConfig(), sides.Inside.ClientConfig(sides.ReplicaNames...)
+	pool := e.LeaderClient()
 	pool.CallTimeout, pool.MaxContactAge, pool.MaxPushItems = s.Time.CallTimeout, s.Time.MaxLeaderSilence, int(s.Limits.BatchItems)
 	event.Log(e.Log, event.Started, "role", s.Role, "process", s.Name, "cell", s.Cell, "zone", s.Zone)
 	defer event.Log(e.Log, event.Stopped, "process", s.Name)
@@ -62,10 +62,10 @@
 // build makes the daemon from its settings.
 func build(s *settings.Settings) (*entry.Entry, error) {
 	e := &entry.Entry{
-		Cell: s.Cell, Name: s.Name, Drain: s.Time.FinishTimeout,
+		Cell: s.Cell, Name: s.Name, DrainTimeout: s.Time.FinishTimeout,
 		// Zero would stand for the entry's own default.
-		Linger:      max(s.Time.DrainDelay, time.Nanosecond),
-		Connections: min(int(s.Limits.Connections), files.NewBudget(files.ProcessLimit(s.Limits.OpenFiles)).Allowance(files.Callers)), Limit: int(s.Limits.QueuedRequests),
+		ShutdownDelay:  max(s.Time.DrainDelay, time.Nanosecond),
+		MaxConnections: min(int(s.Limits.Connections), files.NewBudget(files.ProcessLimit(s.Limits.OpenFiles)).Allowance(files.Callers)), MaxPendingRequests: int(s.Limits.QueuedRequests),
 	}
 	bounds.LimitHeap(s.Limits.MemoryMiB)
 	for _, l := range []struct {
@@ -73,10 +73,10 @@
 		address string
 		to      *net.Listener
 	}{
-		{"listen.callers", s.Listen.Callers, &e.Callers},
-		{"listen.backends", s.Listen.Backends, &e.Backends},
-		{"listen.operators", s.Listen.Operators, &e.Operators},
-		{"listen.platform", s.Listen.Platform, &e.Platform},
+		{"listen.callers", s.Listen.Callers, &e.CallerListener},
+		{"listen.backends", s.Listen.Backends, &e.BackendListener},
+		{"listen.operators", s.Listen.Operators, &e.OperatorListener},
+		{"listen.platform", s.Listen.Platform, &e.PlatformListener},
 	} {
 		var err error
 		if *l.to, err = net.Listen("tcp", l.address); err != nil {
@@ -84,14 +84,14 @@
 		}
 	}
 	for _, p := range s.ControlReplicas {
-		e.Replicas = append(e.Replicas, control.Replica{Name: p.Name, Address: p.Address})
+		e.ControlReplicas = append(e.ControlReplicas, control.Replica{Name: p.Name, Address: p.Address})
 	}
 	for _, text := range s.EnrolmentDigests {
 		digest, err := hex.DecodeString(text)
 		if err != nil || len(digest) != len(backend.Digest{}) {
 			return nil, errors.Newf("enrolment: %q is no digest", text)
 		}
-		e.Enrolment = append(e.Enrolment, backend.Digest(digest))
+		e.EnrolmentDigests = append(e.EnrolmentDigests, backend.Digest(digest))
 	}
 	return e, nil
 }
--- a/internal/cli/explain/cause.go
+++ b/internal/cli/explain/cause.go
@@ -10,34 +10,34 @@
 
 // The causes.
 const (
-	// InTime is no cause: the flow ended within its objective.
-	InTime Cause = "in time"
-	// Refused flows were never accepted.
-	Refused Cause = "refused"
-	// Unknown flows have no acceptance in the logs.
-	Unknown Cause = "not known"
-	// Failed flows have a task that failed as often as it may.
-	Failed Cause = "failed for good"
-	// Cancelled flows were cancelled by their caller.
-	Cancelled Cause = "cancelled"
-	// LeaderChanged flows waited while the lead changed.
-	LeaderChanged Cause = "change of the leader"
-	// Crashing flows were given up: servers crashed under a task again and again.
-	Crashing Cause = "crashed its servers"
-	// RunLost flows had a run that ended with its server, or never started.
-	RunLost Cause = "run lost"
-	// StoodStill flows had a run that was moved since it stood still or crawled.
-	StoodStill Cause = "run stood still"
-	// TaskFailed flows had a run that failed and was made again.
-	TaskFailed Cause = "task failed"
-	// NoPermit flows waited for the adviser.
-	NoPermit Cause = "no permit yet"
-	// NoRoom flows waited for room, or for their customer's limit.
-	NoRoom Cause = "no room"
-	// SlowRun flows were placed in time and ran for longer than was declared.
-	SlowRun Cause = "slow run"
-	// Open flows have no end in the logs, and no other cause.
-	Open Cause = "not ended"
+	// CauseInTime is no cause: the flow ended within its objective.
+	CauseInTime Cause = "in time"
+	// CauseRefused flows were never accepted.
+	CauseRefused Cause = "refused"
+	// CauseUnknown flows have no acceptance in the logs.
+	CauseUnknown Cause = "not known"
+	// CauseFailed flows have a task that failed as often as it may.
+	CauseFailed Cause = "failed for good"
+	// CauseCancelled flows were cancelled by their caller.
+	CauseCancelled Cause = "cancelled"
+	// CauseLeaderChanged flows waited while the lead changed.
+	CauseLeaderChanged Cause = "change of the leader"
+	// CauseServerCrashes flows were given up: servers crashed under a task again and again.
+	CauseServerCrashes Cause = "crashed its servers"
+	// CauseRunLost flows had a run that ended with its server, or never started.
+	CauseRunLost Cause = "run lost"
+	// CauseRunStalled flows had a run that was moved since it stood still or crawled.
+	CauseRunStalled Cause = "run stood still"
+	// CauseTaskFailed flows had a run that failed and was made again.
+	CauseTaskFailed Cause = "task failed"
+	// CauseNoPermit flows waited for the adviser.
+	CauseNoPermit Cause = "no permit yet"
+	// CauseNoCapacity flows waited for room, or for their customer's limit.
+	CauseNoCapacity Cause = "no room"
+	// CauseSlowRun flows were placed in time and ran for longer than was declared.
+	CauseSlowRun Cause = "slow run"
+	// CauseNotEnded flows have no end in the logs, and no other cause.
+	CauseNotEnded Cause = "not ended"
 )
 
 // waitPart is the part of its objective that a wait has to take to count as the cause.
@@ -65,22 +65,22 @@
 
 // take takes one line about the flow.
 func (j *journey) take(l line) {
-	j.last = l.At
-	switch l.Name {
+	j.last = l.Time
+	switch l.EventName {
 	case "flow-accepted":
 		if j.accepted.IsZero() {
-			j.accepted = l.At
+			j.accepted = l.Time
 		}
 		j.queue, j.customer = text(l, "queue"), text(l, "customer")
 		j.aim, _ = time.ParseDuration(text(l, "aim"))
 	case "call-answered":
-		if n, ok := l.Facts["code"].(float64); ok && n != 0 && strings.Contains(text(l, "verb"), "SUBMIT") {
+		if n, ok := l.Fields["code"].(float64); ok && n != 0 && strings.Contains(text(l, "verb"), "SUBMIT") {
 			j.refusal = int(n)
 		}
 	case "advice-taken":
-		first(&j.answered, l.At)
+		first(&j.answered, l.Time)
 	case "runs-placed":
-		first(&j.placed, l.At)
+		first(&j.placed, l.Time)
 	case "run-moved":
 		j.moved++
 	case "run-ended":
@@ -89,7 +89,7 @@
 		j.lost++
 	case "flow-given-up":
 		j.gaveUp = true
-		first(&j.ended, l.At)
+		first(&j.ended, l.Time)
 		j.state = "FAILED"
 	case "flow-cancelled":
 		j.state = "CANCELLED"
@@ -104,7 +104,7 @@
 		j.lost++
 	}
 	if state := strings.TrimPrefix(text(l, "state"), "FLOW_STATE_"); j.ended.IsZero() && (state == "DONE" || state == "FAILED") {
-		j.ended, j.state = l.At, state
+		j.ended, j.state = l.Time, state
 	}
 }
 
@@ -120,36 +120,36 @@
 func (j *journey) cause(changes []time.Time, end time.Time) Cause {
 	switch {
 	case j.accepted.IsZero() && j.ended.IsZero() && j.refusal != 0:
-		return Refused
+		return CauseRefused
 	case j.accepted.IsZero():
-		return Unknown
+		return CauseUnknown
 	case j.state == "CANCELLED":
-		return Cancelled
+		return CauseCancelled
 	case j.gaveUp:
-		return Crashing
+		return CauseServerCrashes
 	case j.state == "FAILED":
-		return Failed
+		return CauseFailed
 	case j.state == "DONE" && (j.aim == 0 || j.took(end) <= j.aim):
-		return InTime
+		return CauseInTime
 	}
 	long := time.Duration(waitPart * float64(j.aim))
 	switch {
 	case j.across(changes, end):
-		return LeaderChanged
+		return CauseLeaderChanged
 	case j.lost > 0:
-		return RunLost
+		return CauseRunLost
 	case j.moved > 0:
-		return StoodStill
+		return CauseRunStalled
 	case j.failed > 0:
-		return TaskFailed
+		return CauseTaskFailed
 	case !j.answered.IsZero() && j.answered.Sub(j.accepted) > long:
-		return NoPermit
+		return CauseNoPermit
 	case j.placed.IsZero() || j.placed.Sub(j.accepted) > long:
-		return NoRoom
+		return CauseNoCapacity
 	case j.ended.IsZero():
-		return Open
+		return CauseNotEnded
 	}
-	return SlowRun
+	return CauseSlowRun
 }
 
 // across tells whether the lead changed while the flow was under way.
@@ -172,6 +172,6 @@
 }
 
 func text(l line, key string) string {
-	s, _ := l.Facts[key].(string)
+	s, _ := l.Fields[key].(string)
 	return s
 }
--- a/internal/cli/explain/explain.go
+++ b/internal/cli/explain/explain.go
@@ -38,17 +38,17 @@
 }
 
 type command struct {
-	verb.Output
+	verb.OutputFlag
 	Logs []string `long:"logs" value-name:"FILE" required:"true" description:"a log file; may be given several times"`
 }
 
 // line is one line of a log.
 type line struct {
-	At    time.Time      `json:"time"`
-	Where string         `json:"where,omitempty"`
-	Name  string         `json:"name"`
-	Event int            `json:"event"`
-	Facts map[string]any `json:"facts"`
+	Time        time.Time      `json:"time"`
+	Process     string         `json:"where,omitempty"`
+	EventName   string         `json:"name"`
+	EventNumber int            `json:"event"`
+	Fields      map[string]any `json:"facts"`
 	// Gap is the time since the line before.
 	Gap time.Duration `json:"gap"`
 }
@@ -57,17 +57,17 @@
 type life struct {
 	ID    string `json:"id"`
 	Lines []line `json:"lines"`
-	// Longest is the longest gap, After the event that it follows.
-	Longest time.Duration `json:"longest"`
-	After   string        `json:"after"`
-	Foreign int           `json:"foreign"`
-	Left    int           `json:"left"`
+	// LongestGap is the longest gap, After the event that it follows.
+	LongestGap     time.Duration `json:"longest"`
+	EventBeforeGap string        `json:"after"`
+	ForeignLines   int           `json:"foreign"`
+	OmittedLines   int           `json:"left"`
 }
 
 // Run prints the life of the one id named.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 1 || len(args) == 1 && args[0] == "" {
-		return verb.Misuse("Run `gypsumreel explain ID --logs FILE`, or without an ID for all of them.", "explain takes one id, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel explain ID --logs FILE`, or without an ID for all of them.", "explain takes one id, got %d", len(args))
 	}
 	if len(args) == 0 {
 		return c.all(ctx, env)
@@ -80,7 +80,7 @@
 	r.foreign = s.foreign
 	l := r.life()
 	if len(l.Lines) == 0 {
-		return verb.Misuse("Check the id, and that the logs cover its time.", "no line about %s; %d lines are not of gypsumreel", args[0], r.foreign)
+		return verb.UsageError("Check the id, and that the logs cover its time.", "no line about %s; %d lines are not of gypsumreel", args[0], r.foreign)
 	}
 	return c.Print(env.Out, l, l.grid())
 }
@@ -94,7 +94,7 @@
 	}
 	n.foreign = s.foreign
 	if len(n.flows) == 0 {
-		return verb.Misuse("Check that the logs are those of control replicas and entries.", "no line about a flow; %d lines are not of gypsumreel", n.foreign)
+		return verb.UsageError("Check that the logs are those of control replicas and entries.", "no line about a flow; %d lines are not of gypsumreel", n.foreign)
 	}
 	sum := n.summary()
 	return c.Print(env.Out, sum, sum.grid())
@@ -191,7 +191,7 @@
 		return false
 	}
 	if fields := strings.Fields(string(before)); len(fields) > 0 {
-		l.Where = fields[len(fields)-1]
+		l.Process = fields[len(fields)-1]
 	}
 	switch {
 	case len(r.own)+len(r.group) >= maxLines:
@@ -220,44 +220,44 @@
 	for _, k := range []string{"time", "level", "msg", "event", "name"} {
 		delete(m, k)
 	}
-	return line{At: at, Name: name, Event: int(number), Facts: m}, true
+	return line{Time: at, EventName: name, EventNumber: int(number), Fields: m}, true
 }
 
 // life puts the lines in order, with those of the control group that fall
 // between the first and the last.
 func (r *reader) life() life {
-	byTime := func(a, b line) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Event, b.Event)) }
+	byTime := func(a, b line) int { return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.EventNumber, b.EventNumber)) }
 	slices.SortStableFunc(r.own, byTime)
-	out := life{ID: r.id, Lines: r.own, Foreign: r.foreign, Left: r.left}
+	out := life{ID: r.id, Lines: r.own, ForeignLines: r.foreign, OmittedLines: r.left}
 	if len(r.own) == 0 {
 		return out
 	}
-	first, last := r.own[0].At, r.own[len(r.own)-1].At
+	first, last := r.own[0].Time, r.own[len(r.own)-1].Time
 	for _, l := range r.group {
-		if l.At.After(first) && l.At.Before(last) {
+		if l.Time.After(first) && l.Time.Before(last) {
 			out.Lines = append(out.Lines, l)
 		}
 	}
 	slices.SortStableFunc(out.Lines, byTime)
 	for i := 1; i < len(out.Lines); i++ {
-		gap := out.Lines[i].At.Sub(out.Lines[i-1].At)
+		gap := out.Lines[i].Time.Sub(out.Lines[i-1].Time)
 		out.Lines[i].Gap = gap
-		if gap > out.Longest {
-			out.Longest, out.After = gap, out.Lines[i-1].Name
+		if gap > out.LongestGap {
+			out.LongestGap, out.EventBeforeGap = gap, out.Lines[i-1].EventName
 		}
 	}
 	return out
 }
 
-func (l life) grid() verb.Grid {
-	g := verb.Grid{Head: []string{"time", "gap", "where", "event", "facts"}}
+func (l life) grid() verb.TextTable {
+	g := verb.TextTable{Header: []string{"time", "gap", "where", "event", "facts"}}
 	for _, one := range l.Lines {
 		g.Rows = append(g.Rows, []string{
-			one.At.Format("15:04:05.000"), one.Gap.Round(time.Millisecond).String(), one.Where,
-			fmt.Sprintf("%d %s", one.Event, one.Name), facts(one.Facts),
+			one.Time.Format("15:04:05.000"), one.Gap.Round(time.Millisecond).String(), one.Process,
+			fmt.Sprintf("%d %s", one.EventNumber, one.EventName), facts(one.Fields),
 		})
 	}
-	g.Rows = append(g.Rows, []string{"", "", "", "", fmt.Sprintf("longest gap %v, after %s; %d lines are not of gypsumreel, %d were left out", l.Longest.Round(time.Millisecond), l.After, l.Foreign, l.Left)})
+	g.Rows = append(g.Rows, []string{"", "", "", "", fmt.Sprintf("longest gap %v, after %s; %d lines are not of gypsumreel, %d were left out", l.LongestGap.Round(time.Millisecond), l.EventBeforeGap, l.ForeignLines, l.OmittedLines)})
 	return g
 }
 
--- a/internal/cli/explain/explain_test.go
+++ b/internal/cli/explain/explain_test.go
@@ -27,7 +27,7 @@
 {"time":"garbage","name":"abc"}
 `
 
-func run(t *testing.T, stdin string, args ...string) (verb.Exit, string, string) {
+func run(t *testing.T, stdin string, args ...string) (verb.ExitCode, string, string) {
 	t.Helper()
 	var out, err bytes.Buffer
 	exit := verb.Run(context.Background(), verb.Env{In: strings.NewReader(stdin), Out: &out, Err: &err}, append([]string{"explain"}, args...), explain.New())
@@ -69,7 +69,7 @@
 
 func TestNothingFound(t *testing.T) {
 	exit, _, err := run(t, entry, "nobody", "--logs", "-")
-	if exit != verb.Usage || !strings.Contains(err, "no line about nobody") {
+	if exit != verb.ExitUsage || !strings.Contains(err, "no line about nobody") {
 		t.Error(exit, err)
 	}
 }
--- a/internal/cli/flow/flow.go
+++ b/internal/cli/flow/flow.go
@@ -37,7 +37,7 @@
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "flow", Short: "check and hand in jobs of several steps, and ask how they stand",
-		Verbs: []verb.Verb{
+		Subverbs: []verb.Verb{
 			{Name: "check", Short: "check a flow's file", Long: "Reads the flow in FILE (JSON with comments; - for standard input) and tells what is wrong with it. Nothing is sent.", Runner: &check{}},
 			{
 				Name: "submit", Short: "hand in a flow",
@@ -53,7 +53,7 @@
 
 // flags say where the control replicas are, who asks, and at which queue.
 type flags struct {
-	verb.Output
+	verb.OutputFlag
 	Control string        `long:"control" env:"GYPSUMREEL_CONTROL" required:"true" description:"control replicas, comma-separated: IP:PORT on the network inside the cell"`
 	Cell    string        `long:"cell" env:"GYPSUMREEL_CELL" default:"platform" description:"name of the cell"`
 	Key     string        `long:"key" env:"GYPSUMREEL_KEY" description:"the customer's key; better given by the environment than seen in the process list"`
@@ -72,7 +72,7 @@
 // ask carries one request to the leader.
 func (f flags) ask(ctx context.Context, v inner.FlowVerb, id string, spec *v1.FlowSpec) (*inner.FlowAnswer, error) {
 	if f.Timeout <= 0 {
-		return nil, verb.Misuse("Give a duration such as 10s.", "--timeout %s is not positive", f.Timeout)
+		return nil, verb.UsageError("Give a duration such as 10s.", "--timeout %s is not positive", f.Timeout)
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.Timeout)
 	defer cancel()
@@ -83,7 +83,7 @@
 	}
 	rep := f.find(ctx, a)
 	if c := code.Code(rep.GetCode()); c != code.OK {
-		return nil, verb.Refusal(c, rep.GetDetail())
+		return nil, verb.CodeError(c, rep.GetDetail())
 	}
 	return rep, nil
 }
@@ -121,19 +121,19 @@
 // say prints a flow's state.
 func (f flags) say(env verb.Env, id string, rep *inner.FlowAnswer) error {
 	name := strings.ToLower(strings.TrimPrefix(rep.GetState().String(), "FLOW_STATE_"))
-	return f.Print(env.Out, answer{ID: id, State: name}, verb.Grid{Head: []string{"FLOW", "STATE"}, Rows: [][]string{{id, name}}})
+	return f.Print(env.Out, answer{ID: id, State: name}, verb.TextTable{Header: []string{"FLOW", "STATE"}, Rows: [][]string{{id, name}}})
 }
 
 // read reads a flow's file and checks it as the leader would.
 func read(env verb.Env, args []string) (*v1.FlowSpec, error) {
 	if len(args) != 1 {
-		return nil, verb.Misuse("Name one FILE, or - for standard input.", "%d files", len(args))
+		return nil, verb.UsageError("Name one FILE, or - for standard input.", "%d files", len(args))
 	}
 	in := env.In
 	if args[0] != "-" {
 		file, err := os.Open(args[0])
 		if err != nil {
-			return nil, verb.Misuse("Check the file's name.", "%v", err)
+			return nil, verb.UsageError("Check the file's name.", "%v", err)
 		}
 		defer func() { _ = file.Close() }()
 		in = file
@@ -141,32 +141,32 @@
 	text, err := io.ReadAll(io.LimitReader(in, maxFile+1))
 	switch {
 	case err != nil:
-		return nil, verb.Misuse("Check the file.", "%s: %v", args[0], err)
+		return nil, verb.UsageError("Check the file.", "%s: %v", args[0], err)
 	case len(text) > maxFile:
-		return nil, verb.Misuse("Give less input.", "%s has more than %d bytes", args[0], maxFile)
+		return nil, verb.UsageError("Give less input.", "%s has more than %d bytes", args[0], maxFile)
 	}
 	plain, err := hujson.Standardize(text)
 	if err != nil {
-		return nil, verb.Misuse("It must be JSON; comments are allowed.", "%s: %v", args[0], err)
+		return nil, verb.UsageError("It must be JSON; comments are allowed.", "%s: %v", args[0], err)
 	}
 	spec := &v1.FlowSpec{}
 	if err := protojson.Unmarshal(plain, spec); err != nil {
-		return nil, verb.Misuse("The fields are those of FlowSpec in proto/v1/flow.proto.", "%s: %v", args[0], err)
+		return nil, verb.UsageError("The fields are those of FlowSpec in proto/v1/flow.proto.", "%s: %v", args[0], err)
 	}
-	if fault := domain.Check(spec); fault != nil {
-		return nil, verb.Misuse("Mend the file; nothing was sent.", "%s: %v", args[0], fault)
+	if fault := domain.CheckSpec(spec); fault != nil {
+		return nil, verb.UsageError("Mend the file; nothing was sent.", "%s: %v", args[0], fault)
 	}
 	return spec, nil
 }
 
 func one(args []string) (string, error) {
 	if len(args) != 1 || args[0] == "" {
-		return "", verb.Misuse("Name one flow ID.", "%d ids", len(args))
+		return "", verb.UsageError("Name one flow ID.", "%d ids", len(args))
 	}
 	return args[0], nil
 }
 
-type check struct{ verb.Output }
+type check struct{ verb.OutputFlag }
 
 // Run checks a file.
 func (c *check) Run(_ context.Context, env verb.Env, args []string) error {
@@ -184,7 +184,7 @@
 		Tasks uint32 `json:"tasks"`
 	}
 	out := sound{spec.GetId(), len(spec.GetSteps()), tasks}
-	return c.Print(env.Out, out, verb.Grid{Head: []string{"FLOW", "STEPS", "TASKS"}, Rows: [][]string{{out.ID, fmt.Sprint(out.Steps), fmt.Sprint(out.Tasks)}}})
+	return c.Print(env.Out, out, verb.TextTable{Header: []string{"FLOW", "STEPS", "TASKS"}, Rows: [][]string{{out.ID, fmt.Sprint(out.Steps), fmt.Sprint(out.Tasks)}}})
 }
 
 type submit struct{ flags }
@@ -219,9 +219,9 @@
 	}
 	switch s := rep.GetState(); {
 	case s < v1.FlowState_FLOW_STATE_DONE:
-		return &verb.Error{Exit: verb.Unfinished}
+		return &verb.Error{ExitCode: verb.ExitUnfinished}
 	case s > v1.FlowState_FLOW_STATE_DONE:
-		return &verb.Error{Exit: verb.Failed}
+		return &verb.Error{ExitCode: verb.ExitFailed}
 	}
 	return nil
 }
@@ -249,5 +249,5 @@
 	if err != nil {
 		return err
 	}
-	return c.Print(env.Out, answer{Pending: rep.GetPending()}, verb.Grid{Head: []string{"PENDING"}, Rows: [][]string{{fmt.Sprint(rep.GetPending())}}})
+	return c.Print(env.Out, answer{Pending: rep.GetPending()}, verb.TextTable{Header: []string{"PENDING"}, Rows: [][]string{{fmt.Sprint(rep.GetPending())}}})
 }
--- a/internal/cli/flow/flow_test.go
+++ b/internal/cli/flow/flow_test.go
@@ -45,7 +45,7 @@
 	return strings.TrimPrefix(web.URL, "http://")
 }
 
-func run(stdin string, args ...string) (verb.Exit, string, string) {
+func run(stdin string, args ...string) (verb.ExitCode, string, string) {
 	var out, err bytes.Buffer
 	exit := verb.Run(context.Background(), verb.Env{In: strings.NewReader(stdin), Out: &out, Err: &err}, append([]string{"flow"}, args...), flow.New())
 	return exit, out.String(), err.String()
@@ -60,7 +60,7 @@
 	lead := &replica{answer: &inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_QUEUED}}
 	other := &replica{answer: &inner.FlowAnswer{Code: uint32(code.NoLeader), Leader: serve(t, lead)}}
 	exit, out, errs := run(file, append([]string{"submit", "-"}, at(serve(t, other))...)...)
-	if exit != verb.OK || !strings.Contains(out, "queued") {
+	if exit != verb.ExitOK || !strings.Contains(out, "queued") {
 		t.Fatalf("%d %s %s", exit, out, errs)
 	}
 	a := lead.asked[0]
@@ -73,14 +73,14 @@
 func TestExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		answer *inner.FlowAnswer
-		want   verb.Exit
+		want   verb.ExitCode
 	}{
-		{&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_RUNNING}, verb.Unfinished},
-		{&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_DONE}, verb.OK},
-		{&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_FAILED}, verb.Failed},
-		{&inner.FlowAnswer{Code: uint32(code.NotFound)}, verb.Failed},
-		{&inner.FlowAnswer{Code: uint32(code.Overloaded)}, verb.NotRun},
-		{&inner.FlowAnswer{Code: uint32(code.NoLeader)}, verb.Unreachable},
+		{&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_RUNNING}, verb.ExitUnfinished},
+		{&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_DONE}, verb.ExitOK},
+		{&inner.FlowAnswer{State: v1.FlowState_FLOW_STATE_FAILED}, verb.ExitFailed},
+		{&inner.FlowAnswer{Code: uint32(code.NotFound)}, verb.ExitFailed},
+		{&inner.FlowAnswer{Code: uint32(code.Overloaded)}, verb.ExitNotRun},
+		{&inner.FlowAnswer{Code: uint32(code.NoLeader)}, verb.ExitUnreachable},
 	} {
 		exit, _, _ := run("", append([]string{"state", "f1"}, at(serve(t, &replica{answer: c.answer}))...)...)
 		if diff := cmp.Diff(c.want, exit); diff != "" {
@@ -89,7 +89,7 @@
 	}
 	nobody := httptest.NewServer(http.NotFoundHandler())
 	nobody.Close()
-	if exit, _, _ := run("", append([]string{"cancel", "f1"}, at(strings.TrimPrefix(nobody.URL, "http://"))...)...); exit != verb.Unreachable {
+	if exit, _, _ := run("", append([]string{"cancel", "f1"}, at(strings.TrimPrefix(nobody.URL, "http://"))...)...); exit != verb.ExitUnreachable {
 		t.Errorf("exit code %d where nobody listens", exit)
 	}
 }
@@ -103,11 +103,11 @@
 		`{"id": "f1", "steps": [{"count": 1}], "input": "not b64!"}`: "input",
 	} {
 		exit, _, errs := run(text, "check", "-")
-		if exit != verb.Usage || !strings.Contains(errs, want) {
+		if exit != verb.ExitUsage || !strings.Contains(errs, want) {
 			t.Errorf("%s: exit code %d, %s", text, exit, errs)
 		}
 	}
-	if exit, out, errs := run(file, "check", "-", "--json"); exit != verb.OK || !strings.Contains(out, `"tasks": 6`) {
+	if exit, out, errs := run(file, "check", "-", "--json"); exit != verb.ExitOK || !strings.Contains(out, `"tasks": 6`) {
 		t.Errorf("a sound file: %d %s %s", exit, out, errs)
 	}
 }
--- a/internal/cli/key/key.go
+++ b/internal/cli/key/key.go
@@ -16,7 +16,7 @@
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "key", Short: "grant, withdraw and list keys",
-		Verbs: []verb.Verb{
+		Subverbs: []verb.Verb{
 			{
 				Name: "grant", Short: "grant a key to a team or an operator",
 				Long:   "Makes a secret here, sends only its digest, and prints the key ID.SECRET this one time.",
@@ -35,7 +35,7 @@
 
 type grant struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	remote.ChangeID
 	Team     string `long:"team" description:"team that the key is for"`
 	Operator bool   `long:"operator" description:"an operator's key, which belongs to no team"`
@@ -45,7 +45,7 @@
 
 // granted is the result with --json.
 type granted struct {
-	remote.Made
+	remote.ChangeResult
 	ID   string `json:"id"`
 	Key  string `json:"key"`
 	Team string `json:"team,omitempty"`
@@ -55,7 +55,7 @@
 // exists only here, so that the error then carries what is needed to ask again.
 func (c *grant) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 0 || (c.Team == "") != c.Operator {
-		return verb.Misuse("Run `gypsumreel key grant --team TEAM` or `gypsumreel key grant --operator`.", "a key is either for one team or for an operator")
+		return verb.UsageError("Run `gypsumreel key grant --team TEAM` or `gypsumreel key grant --operator`.", "a key is either for one team or for an operator")
 	}
 	if c.ID == "" {
 		c.ID = remote.NewID()
@@ -65,36 +65,36 @@
 	}
 	digest := key.Digest(c.Secret)
 	req := &v1.ChangeRequest{Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: c.ID, Team: c.Team, Digest: digest[:], Operator: c.Operator}}}
-	made, err := c.Make(ctx, c.ChangeID, req, fmt.Sprintf(" --id %s and GYPSUMREEL_SECRET=%s", c.ID, c.Secret))
+	made, err := c.SendChange(ctx, c.ChangeID, req, fmt.Sprintf(" --id %s and GYPSUMREEL_SECRET=%s", c.ID, c.Secret))
 	if err != nil {
 		return err
 	}
 	text := c.ID + "." + c.Secret
-	return c.Print(env.Out, granted{Made: made, ID: c.ID, Key: text, Team: c.Team}, verb.Grid{Rows: [][]string{{text}}})
+	return c.Print(env.Out, granted{ChangeResult: made, ID: c.ID, Key: text, Team: c.Team}, verb.TextTable{Rows: [][]string{{text}}})
 }
 
 type withdraw struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	remote.ChangeID
 }
 
 // Run withdraws the one key named.
 func (c *withdraw) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) != 1 {
-		return verb.Misuse("Run `gypsumreel key withdraw ID`; `gypsumreel key list` shows the ids.", "withdraw takes one id, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel key withdraw ID`; `gypsumreel key list` shows the ids.", "withdraw takes one id, got %d", len(args))
 	}
 	req := &v1.ChangeRequest{Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: args[0]}}}
-	made, err := c.Make(ctx, c.ChangeID, req, "")
+	made, err := c.SendChange(ctx, c.ChangeID, req, "")
 	if err != nil {
 		return err
 	}
-	return c.Print(env.Out, made, made.Line("key "+args[0]+" withdrawn"))
+	return c.Print(env.Out, made, made.Describe("key "+args[0]+" withdrawn"))
 }
 
 type list struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	Team string `long:"team" description:"only the keys of this team"`
 }
 
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	out, g := []line{}, verb.Grid{Head: []string{"ID", "TEAM", "STATE"}}
+	out, g := []line{}, verb.TextTable{Header: []string{"ID", "TEAM", "STATE"}}
 	for _, k := range r.GetKeys() {
 		if c.Team != "" && k.GetTeam() != c.Team {
 			continue
@@ -138,7 +138,7 @@
 	return k.GetTeam()
 }
 
-type secret struct{ verb.Output }
+type secret struct{ verb.OutputFlag }
 
 // made is the result with --json.
 type made struct {
@@ -151,5 +151,5 @@
 	text := key.NewSecret()
 	digest := key.Digest(text)
 	m := made{Secret: text, Digest: hex.EncodeToString(digest[:])}
-	return c.Print(env.Out, m, verb.Grid{Rows: [][]string{{"secret, for backend servers:", m.Secret}, {"digest, for the setting enrolment:", m.Digest}}})
+	return c.Print(env.Out, m, verb.TextTable{Rows: [][]string{{"secret, for backend servers:", m.Secret}, {"digest, for the setting enrolment:", m.Digest}}})
 }
--- a/internal/cli/member/member.go
+++ b/internal/cli/member/member.go
@@ -15,7 +15,7 @@
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "member", Short: "list, add and remove control replicas",
-		Verbs: []verb.Verb{
+		Subverbs: []verb.Verb{
 			{Name: "list", Short: "list the processes of the cell", Long: "Lists control replicas and entries with their state and the table's revision that they confirmed.", Runner: &list{}},
 			{
 				Name: "add", Short: "add a control replica",
@@ -29,7 +29,7 @@
 
 type list struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 }
 
 // line is one process with --json.
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	out, g := []line{}, verb.Grid{Head: []string{"NAME", "ROLE", "ADDRESS", "STATE", "REVISION", "LEADER"}}
+	out, g := []line{}, verb.TextTable{Header: []string{"NAME", "ROLE", "ADDRESS", "STATE", "REVISION", "LEADER"}}
 	for _, m := range r.GetMembers() {
 		out = append(out, line{m.GetName(), m.GetRole(), m.GetAddress(), m.GetState(), m.GetRevision(), m.GetLeader()})
 		leader := ""
@@ -62,16 +62,16 @@
 
 type change struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	remote.ChangeID
 }
 
 func (c *change) send(ctx context.Context, env verb.Env, m *v1.MemberChange, what string) error {
-	made, err := c.Make(ctx, c.ChangeID, &v1.ChangeRequest{Change: &v1.ChangeRequest_Member{Member: m}}, "")
+	made, err := c.SendChange(ctx, c.ChangeID, &v1.ChangeRequest{Change: &v1.ChangeRequest_Member{Member: m}}, "")
 	if err != nil {
 		return err
 	}
-	return c.Print(env.Out, made, made.Line("replica "+m.GetReplica()+" "+what))
+	return c.Print(env.Out, made, made.Describe("replica "+m.GetReplica()+" "+what))
 }
 
 type add struct{ change }
@@ -81,10 +81,10 @@
 	const next = "Run `gypsumreel member add NAME IP:PORT`."
 	const both = 2
 	if len(args) != both {
-		return verb.Misuse(next, "add takes a name and an address, got %d", len(args))
+		return verb.UsageError(next, "add takes a name and an address, got %d", len(args))
 	}
 	if a, err := netip.ParseAddrPort(args[1]); err != nil || a.Port() == 0 {
-		return verb.Misuse(next, "address %q is not allowed; allowed: IP:port", args[1])
+		return verb.UsageError(next, "address %q is not allowed; allowed: IP:port", args[1])
 	}
 	return c.send(ctx, env, &v1.MemberChange{Replica: args[0], Address: args[1]}, "added")
 }
@@ -94,7 +94,7 @@
 // Run removes a replica.
 func (c *remove) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) != 1 {
-		return verb.Misuse("Run `gypsumreel member remove NAME`.", "remove takes one name, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel member remove NAME`.", "remove takes one name, got %d", len(args))
 	}
 	return c.send(ctx, env, &v1.MemberChange{Replica: args[0], Remove: true}, "removed")
 }
--- a/internal/cli/remote/remote_test.go
+++ b/internal/cli/remote/remote_test.go
@@ -32,14 +32,14 @@
 		t.Run(address, func(t *testing.T) {
 			t.Parallel()
 			f := remote.Flags{Address: address, Key: "id.secret", Timeout: 2 * time.Second}
-			client, ctx, cancel, err := f.Operator(context.Background())
+			client, ctx, cancel, err := f.OperatorClient(context.Background())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer cancel()
 			_, err = client.Show(ctx, v1.Part_PART_TABLE)
 			var got *verb.Error
-			if !errors.As(remote.Explain(err), &got) || !strings.Contains(got.Next, want) {
+			if !errors.As(remote.UserError(err), &got) || !strings.Contains(got.Advice, want) {
 				t.Errorf("%s: %v", address, err)
 			}
 		})
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	good := remote.Flags{Address: "https://10.0.0.1:7401, http://10.0.0.2:7401/", Key: "id.secret", Timeout: time.Second}
-	l, err := good.Link()
+	l, err := good.Transport()
 	if err != nil || len(l.Addresses) != 2 || l.Addresses[1] != "http://10.0.0.2:7401" {
 		t.Fatalf("%v, %v", l, err)
 	}
@@ -64,12 +64,12 @@
 		"no time":       func(f *remote.Flags) { f.Timeout = 0 },
 		"no authority":  func(f *remote.Flags) { f.Authority = empty + "x" },
 		"bad authority": func(f *remote.Flags) { f.Authority = empty },
-		"bad proof":     func(f *remote.Flags) { f.Proof = empty },
+		"bad proof":     func(f *remote.Flags) { f.ClientCertificate = empty },
 	} {
 		f := good
 		change(&f)
 		var got *verb.Error
-		if _, err := f.Link(); !errors.As(err, &got) || got.Exit != verb.Usage || got.Next == "" {
+		if _, err := f.Transport(); !errors.As(err, &got) || got.ExitCode != verb.ExitUsage || got.Advice == "" {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/cli/sheet/cell.go
+++ b/internal/cli/sheet/cell.go
@@ -24,8 +24,8 @@
 	permille  = 10
 )
 
-// Cell is one column of the table.
-type Cell struct {
+// Column is one column of the table.
+type Column struct {
 	// Name is the column's header and the field's name in an edit.
 	Name string
 	// Allowed is the form and the bounds.
@@ -34,10 +34,10 @@
 	get     func(r *v1.Row) string
 }
 
-// Cells returns the columns after the team's name, in their order.
-func Cells() []Cell { return cells }
+// Columns returns the columns after the team's name, in their order.
+func Columns() []Column { return cells }
 
-var cells = []Cell{
+var cells = []Column{
 	whole("weight", 1, maxWeight, func(r *v1.Row) *uint32 { return &r.Weight }),
 	{
 		Name: "share", Allowed: "a part of the cell from 0% to 100%, in steps of 0.1%",
@@ -57,8 +57,8 @@
 	whole("queue", 0, maxQueue, func(r *v1.Row) *uint32 { return &r.Queue }),
 }
 
-func whole(name string, low, high uint64, at func(*v1.Row) *uint32) Cell {
-	return Cell{
+func whole(name string, low, high uint64, at func(*v1.Row) *uint32) Column {
+	return Column{
 		Name: name, Allowed: fmt.Sprintf("a whole number from %d to %d", low, high),
 		set: func(r *v1.Row, text string) bool {
 			n, err := strconv.ParseUint(text, 10, 32)
@@ -72,8 +72,8 @@
 	}
 }
 
-func limit(name, unit string, at func(*v1.Size) *int64) Cell {
-	return Cell{
+func limit(name, unit string, at func(*v1.Size) *int64) Column {
+	return Column{
 		Name: name, Allowed: fmt.Sprintf("a whole number of %s from 0 to %d, or %s", unit, int64(maxAmount), Unlimited),
 		set: func(r *v1.Row, text string) bool { return setLimit(at(r.Limit), text, 1) },
 		get: func(r *v1.Row) string { return amount(*at(r.GetLimit()), 1) },
@@ -125,26 +125,26 @@
 	return true
 }
 
-// Find returns the column of that name.
-func Find(name string) (Cell, bool) {
+// FindColumn returns the column of that name.
+func FindColumn(name string) (Column, bool) {
 	for _, c := range cells {
 		if c.Name == name {
 			return c, true
 		}
 	}
-	return Cell{}, false
+	return Column{}, false
 }
 
-// Set reads a cell into the row; false when the text is not allowed.
-func (c Cell) Set(r *v1.Row, text string) bool {
+// Parse reads a cell into the row; false when the text is not allowed.
+func (c Column) Parse(r *v1.Row, text string) bool {
 	if r.Limit == nil {
 		r.Limit = &v1.Size{}
 	}
 	return c.set(r, text)
 }
 
-// Get prints a cell of the row.
-func (c Cell) Get(r *v1.Row) string {
+// Format prints a cell of the row.
+func (c Column) Format(r *v1.Row) string {
 	if r.GetLimit() == nil {
 		r = &v1.Row{Team: r.GetTeam(), Weight: r.GetWeight(), Share: r.GetShare(), Queue: r.GetQueue(), Limit: &v1.Size{}}
 	}
--- a/internal/cli/sheet/sheet.go
+++ b/internal/cli/sheet/sheet.go
@@ -38,9 +38,9 @@
 
 // Sheet is what a file asks for.
 type Sheet struct {
-	// Base is the revision that the sheet was exported from; 0 when it doesn't say.
-	Base  uint64
-	Edits []*v1.Edit
+	// BaseRevision is the revision that the sheet was exported from; 0 when it doesn't say.
+	BaseRevision uint64
+	Edits        []*v1.Edit
 }
 
 // Fault is one thing wrong with a sheet.
@@ -74,7 +74,7 @@
 	for _, r := range rows {
 		line := []string{r.GetTeam()}
 		for _, cell := range cells {
-			line = append(line, cell.Get(r))
+			line = append(line, cell.Format(r))
 		}
 		_ = c.Write(append(line, strconv.FormatUint(revision, 10)))
 	}
@@ -173,7 +173,7 @@
 	seen := map[string]bool{}
 	for i, name := range record {
 		name = strings.ToLower(strings.TrimSpace(name))
-		_, known := Find(name)
+		_, known := FindColumn(name)
 		switch {
 		case !known && name != teamColumn && name != revisionColumn:
 			r.report(i, fmt.Sprintf("unknown column %q; allowed: %s", name, allowedColumns()))
@@ -238,11 +238,11 @@
 	case name == revisionColumn:
 		r.revision(i, text)
 	default:
-		c, _ := Find(name)
+		c, _ := FindColumn(name)
 		if r.comma {
 			text = strings.Replace(text, ",", ".", 1)
 		}
-		if !c.Set(edit.Row, text) {
+		if !c.Parse(edit.Row, text) {
 			r.report(i, fmt.Sprintf("%s is %q; allowed: %s", name, text, c.Allowed))
 			return
 		}
@@ -258,9 +258,9 @@
 	switch {
 	case err != nil || n == 0:
 		r.report(i, fmt.Sprintf("revision is %q; allowed: the number that the export gave", text))
-	case r.sheet.Base != 0 && r.sheet.Base != n:
-		r.report(i, fmt.Sprintf("revision is %d here and %d above; allowed: rows of one export", n, r.sheet.Base))
+	case r.sheet.BaseRevision != 0 && r.sheet.BaseRevision != n:
+		r.report(i, fmt.Sprintf("revision is %d here and %d above; allowed: rows of one export", n, r.sheet.BaseRevision))
 	default:
-		r.sheet.Base = n
+		r.sheet.BaseRevision = n
 	}
 }
--- a/internal/cli/sheet/sheet_test.go
+++ b/internal/cli/sheet/sheet_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	all := []string{"weight", "share", "cpu", "memory", "accel", "slots", "queue"}
-	want := sheet.Sheet{Base: 7, Edits: []*v1.Edit{{Row: rows()[0], Cells: all}, {Row: rows()[1], Cells: all}}}
+	want := sheet.Sheet{BaseRevision: 7, Edits: []*v1.Edit{{Row: rows()[0], Cells: all}, {Row: rows()[1], Cells: all}}}
 	if diff := cmp.Diff(want, got, protocmp.Transform()); diff != "" {
 		t.Error(diff)
 	}
@@ -118,9 +118,9 @@
 				t.Fatalf("accepted %v", e)
 			}
 			for _, name := range e.GetCells() {
-				c, _ := sheet.Find(name)
-				if back := (&v1.Row{}); !c.Set(back, c.Get(e.GetRow())) || c.Get(back) != c.Get(e.GetRow()) {
-					t.Fatalf("%s doesn't come back: %q", name, c.Get(e.GetRow()))
+				c, _ := sheet.FindColumn(name)
+				if back := (&v1.Row{}); !c.Parse(back, c.Format(e.GetRow())) || c.Format(back) != c.Format(e.GetRow()) {
+					t.Fatalf("%s doesn't come back: %q", name, c.Format(e.GetRow()))
 				}
 			}
 		}
--- a/internal/cli/status/status.go
+++ b/internal/cli/status/status.go
@@ -22,14 +22,14 @@
 
 type command struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	After string `long:"after" description:"start after this id"`
 	All   bool   `long:"all" description:"the jobs of all teams, with an operator's key and the operators' address"`
 	Limit uint32 `long:"limit" default:"100" description:"most jobs to show"`
 }
 
-// Line is one job with --json.
-type Line struct {
+// JobLine is one job with --json.
+type JobLine struct {
 	ID      string `json:"id"`
 	Team    string `json:"team"`
 	Kind    string `json:"kind"`
@@ -46,22 +46,22 @@
 	if c.All {
 		return c.everyone(ctx, env, args)
 	}
-	client, ctx, cancel, err := c.Caller(ctx)
+	client, ctx, cancel, err := c.CallerClient(ctx)
 	if err != nil {
 		return err
 	}
 	defer cancel()
 	jobs, err := client.List(ctx, &v1.ListRequest{Ids: args, After: c.After, Limit: c.Limit})
 	if err != nil {
-		return remote.Explain(err)
+		return remote.UserError(err)
 	}
-	return c.Print(env.Out, Lines(jobs), Grid(jobs))
+	return c.Print(env.Out, JobLines(jobs), JobTable(jobs))
 }
 
 // everyone lists the jobs of all teams.
 func (c *command) everyone(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 0 {
-		return verb.Misuse("Leave the ids or --all out.", "ids belong to one team, --all to none")
+		return verb.UsageError("Leave the ids or --all out.", "ids belong to one team, --all to none")
 	}
 	r, err := c.Show(ctx, v1.Part_PART_JOBS)
 	if err != nil {
@@ -69,25 +69,25 @@
 	}
 	jobs := r.GetJobs()
 	jobs = jobs[:min(len(jobs), int(c.Limit))]
-	return c.Print(env.Out, Lines(jobs), Grid(jobs))
+	return c.Print(env.Out, JobLines(jobs), JobTable(jobs))
 }
 
-// Lines returns jobs as they are printed in JSON.
-func Lines(jobs []*v1.Summary) []Line {
-	out := make([]Line, len(jobs))
+// JobLines returns jobs as they are printed in JSON.
+func JobLines(jobs []*v1.Summary) []JobLine {
+	out := make([]JobLine, len(jobs))
 	for i, j := range jobs {
-		out[i] = Line{
-			ID: j.GetId(), Team: j.GetTeam(), Kind: verb.Kind(j.GetKind()), Name: j.GetName(), Outcome: verb.Outcome(j.GetOutcome()),
+		out[i] = JobLine{
+			ID: j.GetId(), Team: j.GetTeam(), Kind: verb.KindName(j.GetKind()), Name: j.GetName(), Outcome: verb.OutcomeName(j.GetOutcome()),
 			Code: j.GetStatus().GetCode(), Tasks: j.GetTasks(), Running: j.GetRunning(), Ended: j.GetEnded(),
 		}
 	}
 	return out
 }
 
-// Grid returns jobs as a person reads them.
-func Grid(jobs []*v1.Summary) verb.Grid {
-	g := verb.Grid{Head: []string{"ID", "TEAM", "KIND", "NAME", "OUTCOME", "TASKS", "RUNNING", "ENDED", "TEXT"}}
-	for _, l := range Lines(jobs) {
+// JobTable returns jobs as a person reads them.
+func JobTable(jobs []*v1.Summary) verb.TextTable {
+	g := verb.TextTable{Header: []string{"ID", "TEAM", "KIND", "NAME", "OUTCOME", "TASKS", "RUNNING", "ENDED", "TEXT"}}
+	for _, l := range JobLines(jobs) {
 		text := ""
 		if l.Code != uint32(code.OK) {
 			text = code.New(code.Code(l.Code), "").Error()
--- a/internal/cli/submit/submit.go
+++ b/internal/cli/submit/submit.go
@@ -13,7 +13,7 @@
 	"gypsumreel/internal/cli/remote"
 	"gypsumreel/internal/cli/verb"
 	"gypsumreel/internal/cli/wait"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 )
 
 // maxInput bounds a job's input in bytes.
@@ -31,24 +31,24 @@
 
 type command struct {
 	remote.Flags
-	verb.Output
-	ID       string            `long:"id" description:"request id, unique within the team; made when left out"`
-	Kind     string            `long:"kind" default:"batch" choice:"urgent" choice:"batch" choice:"gang" choice:"service" description:"which policy decides"`
-	Name     string            `long:"name" default:"job" description:"name of the program; estimates are learned by it"`
-	Count    uint32            `long:"count" default:"1" description:"number of tasks"`
-	CPU      float64           `long:"cpu" default:"1" description:"cores for each task"`
-	Memory   int64             `long:"memory" default:"256" description:"MiB of memory for each task"`
-	Accel    int64             `long:"accel" description:"accelerators for each task"`
-	Slots    int64             `long:"slots" default:"1" description:"slots for each task"`
-	Runtime  time.Duration     `long:"runtime" description:"estimated run time of a task"`
-	Deadline time.Duration     `long:"deadline" description:"refuse as not run what is not placed by then"`
-	Once     bool              `long:"once" description:"run each task at most once"`
-	Floor    uint32            `long:"floor" description:"for a service: tasks that replacement leaves running"`
-	Label    map[string]string `long:"label" description:"label as NAME:VALUE; may be repeated"`
-	Input    string            `long:"input" description:"text passed to every task"`
-	File     string            `long:"input-file" description:"file passed to every task; - for standard input"`
-	Wait     bool              `long:"wait" description:"wait for the outcome"`
-	Out      string            `long:"out" description:"with --wait: file for the answer instead of standard output"`
+	verb.OutputFlag
+	ID         string            `long:"id" description:"request id, unique within the team; made when left out"`
+	Kind       string            `long:"kind" default:"batch" choice:"urgent" choice:"batch" choice:"gang" choice:"service" description:"which policy decides"`
+	Name       string            `long:"name" default:"job" description:"name of the program; estimates are learned by it"`
+	Count      uint32            `long:"count" default:"1" description:"number of tasks"`
+	CPU        float64           `long:"cpu" default:"1" description:"cores for each task"`
+	Memory     int64             `long:"memory" default:"256" description:"MiB of memory for each task"`
+	Accel      int64             `long:"accel" description:"accelerators for each task"`
+	Slots      int64             `long:"slots" default:"1" description:"slots for each task"`
+	Runtime    time.Duration     `long:"runtime" description:"estimated run time of a task"`
+	Deadline   time.Duration     `long:"deadline" description:"refuse as not run what is not placed by then"`
+	AtMostOnce bool              `long:"once" description:"run each task at most once"`
+	MinRunning uint32            `long:"floor" description:"for a service: tasks that replacement leaves running"`
+	Label      map[string]string `long:"label" description:"label as NAME:VALUE; may be repeated"`
+	Input      string            `long:"input" description:"text passed to every task"`
+	InputFile  string            `long:"input-file" description:"file passed to every task; - for standard input"`
+	Wait       bool              `long:"wait" description:"wait for the outcome"`
+	AnswerFile string            `long:"out" description:"with --wait: file for the answer instead of standard output"`
 }
 
 // receipt is the result with --json.
@@ -62,7 +62,7 @@
 // Run submits and, if asked, waits.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 0 {
-		return verb.Misuse("Everything is given by flags: `gypsumreel submit --help`.", "unexpected %q", args[0])
+		return verb.UsageError("Everything is given by flags: `gypsumreel submit --help`.", "unexpected %q", args[0])
 	}
 	// An id that the user chose may have been sent by an earlier run.
 	fresh := c.ID == ""
@@ -70,17 +70,17 @@
 	if err != nil {
 		return err
 	}
-	client, ctx, cancel, err := c.Caller(ctx)
+	client, ctx, cancel, err := c.CallerClient(ctx)
 	if err != nil {
 		return err
 	}
 	defer cancel()
 	out, err := client.Submit(ctx, []*v1.Spec{spec}, fresh)
 	if err != nil {
-		return remote.Explain(err)
+		return remote.UserError(err)
 	}
 	if c.Wait && accepted(out[0]) {
-		return wait.Print(ctx, env, client, spec.GetId(), c.Output, c.Out)
+		return wait.PrintAnswer(ctx, env, client, spec.GetId(), c.OutputFlag, c.AnswerFile)
 	}
 	return c.report(env, out[0])
 }
@@ -89,15 +89,15 @@
 
 func (c *command) report(env verb.Env, a *v1.Accepted) error {
 	s := a.GetStatus()
-	r := receipt{ID: a.GetId(), Outcome: verb.Outcome(a.GetOutcome()), Code: s.GetCode(), Text: code.Code(s.GetCode()).String()}
-	g := verb.Grid{Head: []string{"ID", "OUTCOME", "CODE", "TEXT"}, Rows: [][]string{{r.ID, r.Outcome, strconv.FormatUint(uint64(r.Code), 10), r.Text}}}
+	r := receipt{ID: a.GetId(), Outcome: verb.OutcomeName(a.GetOutcome()), Code: s.GetCode(), Text: code.Code(s.GetCode()).String()}
+	g := verb.TextTable{Header: []string{"ID", "OUTCOME", "CODE", "TEXT"}, Rows: [][]string{{r.ID, r.Outcome, strconv.FormatUint(uint64(r.Code), 10), r.Text}}}
 	if err := c.Print(env.Out, r, g); err != nil {
 		return err
 	}
 	if accepted(a) {
 		return nil
 	}
-	return remote.Explain(link.Status(s))
+	return remote.UserError(transport.StatusError(s))
 }
 
 func (c *command) spec(env verb.Env) (*v1.Spec, error) {
@@ -110,13 +110,13 @@
 		c.ID = remote.NewID()
 	}
 	if c.Runtime < 0 || c.Deadline < 0 || c.CPU < 0 || c.Memory < 0 || c.Accel < 0 || c.Slots < 0 {
-		return nil, verb.Misuse("Give amounts of 0 or more.", "an amount is negative")
+		return nil, verb.UsageError("Give amounts of 0 or more.", "an amount is negative")
 	}
 	return &v1.Spec{
 		Id: c.ID, Kind: kinds[c.Kind], Name: c.Name, Count: c.Count,
 		Size:    &v1.Size{Cpu: int64(c.CPU * milli), Memory: c.Memory, Accel: c.Accel, Slots: c.Slots},
 		Runtime: uint64(c.Runtime.Milliseconds()), Deadline: uint64(c.Deadline.Milliseconds()),
-		Once: c.Once, Floor: c.Floor, Labels: c.Label, Input: input,
+		Once: c.AtMostOnce, Floor: c.MinRunning, Labels: c.Label, Input: input,
 	}, nil
 }
 
@@ -129,16 +129,16 @@
 
 func (c *command) input(env verb.Env) ([]byte, error) {
 	switch {
-	case c.File == "":
+	case c.InputFile == "":
 		return []byte(c.Input), nil
 	case c.Input != "":
-		return nil, verb.Misuse("Give one of them.", "--input and --input-file are both given")
+		return nil, verb.UsageError("Give one of them.", "--input and --input-file are both given")
 	}
 	in := env.In
-	if c.File != "-" {
-		f, err := os.Open(c.File)
+	if c.InputFile != "-" {
+		f, err := os.Open(c.InputFile)
 		if err != nil {
-			return nil, verb.Misuse("Check --input-file.", "%v", err)
+			return nil, verb.UsageError("Check --input-file.", "%v", err)
 		}
 		defer f.Close()
 		in = f
@@ -146,9 +146,9 @@
 	b, err := io.ReadAll(io.LimitReader(in, maxInput+1))
 	switch {
 	case err != nil:
-		return nil, verb.Misuse("Check --input-file.", "%v", err)
+		return nil, verb.UsageError("Check --input-file.", "%v", err)
 	case len(b) > maxInput:
-		return nil, verb.Misuse("Pass a reference to the data instead.", "the input exceeds %d bytes", maxInput)
+		return nil, verb.UsageError("Pass a reference to the data instead.", "the input exceeds %d bytes", maxInput)
 	}
 	return b, nil
 }
--- a/internal/cli/table/table.go
+++ b/internal/cli/table/table.go
@@ -23,7 +23,7 @@
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "table", Short: "show, set, export and import the table",
-		Verbs: []verb.Verb{
+		Subverbs: []verb.Verb{
 			{Name: "show", Short: "show the table", Long: "Shows every team's row, what it holds now, and which processes have not confirmed the revision.", Runner: &show{}},
 			{
 				Name: "set", Short: "set cells of one team's row",
@@ -43,7 +43,7 @@
 
 type show struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 }
 
 // size is a size with --json; -1 is unlimited.
@@ -78,18 +78,18 @@
 
 // Run shows.
 func (c *show) Run(ctx context.Context, env verb.Env, _ []string) error {
-	client, ctx, cancel, err := c.Operator(ctx)
+	client, ctx, cancel, err := c.OperatorClient(ctx)
 	if err != nil {
 		return err
 	}
 	defer cancel()
 	r, err := client.Show(ctx, v1.Part_PART_TABLE)
 	if err != nil {
-		return remote.Explain(err)
+		return remote.UserError(err)
 	}
 	m, err := client.Show(ctx, v1.Part_PART_MEMBERS)
 	if err != nil {
-		return remote.Explain(err)
+		return remote.UserError(err)
 	}
 	out := whole{Revision: r.GetRevision(), Rows: []row{}, Unconfirmed: unconfirmed(m, r.GetRevision())}
 	for i, one := range r.GetRows() {
@@ -128,61 +128,61 @@
 	return &v1.Size{}
 }
 
-func grid(r *v1.ShowReply) verb.Grid {
-	g := verb.Grid{Head: []string{"TEAM"}}
-	for _, c := range sheet.Cells() {
-		g.Head = append(g.Head, strings.ToUpper(c.Name))
+func grid(r *v1.ShowReply) verb.TextTable {
+	g := verb.TextTable{Header: []string{"TEAM"}}
+	for _, c := range sheet.Columns() {
+		g.Header = append(g.Header, strings.ToUpper(c.Name))
 	}
-	g.Head = append(g.Head, "HELD CPU", "HELD MEMORY", "HELD ACCEL", "HELD SLOTS")
+	g.Header = append(g.Header, "HELD CPU", "HELD MEMORY", "HELD ACCEL", "HELD SLOTS")
 	for i, one := range r.GetRows() {
 		line := []string{one.GetTeam()}
-		for _, c := range sheet.Cells() {
-			line = append(line, c.Get(one))
+		for _, c := range sheet.Columns() {
+			line = append(line, c.Format(one))
 		}
 		h := &v1.Row{Limit: held(r, i)}
 		for _, name := range []string{"cpu", "memory", "accel", "slots"} {
-			c, _ := sheet.Find(name)
-			line = append(line, c.Get(h))
+			c, _ := sheet.FindColumn(name)
+			line = append(line, c.Format(h))
 		}
 		g.Rows = append(g.Rows, line)
 	}
 	return g
 }
 
-// Base is the flag of the verbs that change the table.
-type Base struct {
-	Base *uint64 `long:"base" description:"revision that the change starts from; the current one when left out"`
+// BaseFlag is the flag of the verbs that change the table.
+type BaseFlag struct {
+	Revision *uint64 `long:"base" description:"revision that the change starts from; the current one when left out"`
 }
 
-// Apply sends edits and prints what came of them. Without a base it reads the
+// SendTableChange sends edits and prints what came of them. Without a base it reads the
 // current revision first.
-func Apply(ctx context.Context, f remote.Flags, id remote.ChangeID, base Base, change *v1.TableChange) (remote.Made, error) {
-	if base.Base != nil {
-		change.Base = *base.Base
+func SendTableChange(ctx context.Context, f remote.Flags, id remote.ChangeID, base BaseFlag, change *v1.TableChange) (remote.ChangeResult, error) {
+	if base.Revision != nil {
+		change.Base = *base.Revision
 	} else {
 		if id.Change != "" {
-			return remote.Made{}, verb.Misuse("Give the --base that the first try printed or was given.", "--change without --base: a change sent again has to start from the same revision")
+			return remote.ChangeResult{}, verb.UsageError("Give the --base that the first try printed or was given.", "--change without --base: a change sent again has to start from the same revision")
 		}
-		client, ctx, cancel, err := f.Operator(ctx)
+		client, ctx, cancel, err := f.OperatorClient(ctx)
 		if err != nil {
-			return remote.Made{}, err
+			return remote.ChangeResult{}, err
 		}
 		defer cancel()
 		r, err := client.Show(ctx, v1.Part_PART_TABLE)
 		if err != nil {
-			return remote.Made{}, remote.Explain(err)
+			return remote.ChangeResult{}, remote.UserError(err)
 		}
 		change.Base = r.GetRevision()
 	}
 	req := &v1.ChangeRequest{Change: &v1.ChangeRequest_Table{Table: change}}
-	return f.Make(ctx, id, req, fmt.Sprintf(" --base %d", change.GetBase()))
+	return f.SendChange(ctx, id, req, fmt.Sprintf(" --base %d", change.GetBase()))
 }
 
 type set struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	remote.ChangeID
-	Base
+	BaseFlag
 }
 
 // Run sets cells of one row.
@@ -191,28 +191,28 @@
 	if err != nil {
 		return err
 	}
-	made, err := Apply(ctx, c.Flags, c.ChangeID, c.Base, &v1.TableChange{Edits: []*v1.Edit{edit}})
+	made, err := SendTableChange(ctx, c.Flags, c.ChangeID, c.BaseFlag, &v1.TableChange{Edits: []*v1.Edit{edit}})
 	if err != nil {
 		return err
 	}
-	return c.Print(env.Out, made, made.Line("team "+edit.GetRow().GetTeam()+" set"))
+	return c.Print(env.Out, made, made.Describe("team "+edit.GetRow().GetTeam()+" set"))
 }
 
 func parse(args []string) (*v1.Edit, error) {
 	const next = "Run `gypsumreel table set TEAM NAME=VALUE...`."
 	const least = 2
 	if len(args) < least {
-		return nil, verb.Misuse(next, "set takes a team and at least one NAME=VALUE")
+		return nil, verb.UsageError(next, "set takes a team and at least one NAME=VALUE")
 	}
 	edit := &v1.Edit{Row: &v1.Row{Team: args[0], Limit: &v1.Size{}}}
 	for _, a := range args[1:] {
 		name, text, ok := strings.Cut(a, "=")
-		cell, known := sheet.Find(name)
+		cell, known := sheet.FindColumn(name)
 		switch {
 		case !ok || !known:
-			return nil, verb.Misuse(next, "%q is not allowed; allowed names: weight, share, cpu, memory, accel, slots, queue", a)
-		case !cell.Set(edit.Row, text):
-			return nil, verb.Misuse(next, "%s is %q; allowed: %s", name, text, cell.Allowed)
+			return nil, verb.UsageError(next, "%q is not allowed; allowed names: weight, share, cpu, memory, accel, slots, queue", a)
+		case !cell.Parse(edit.Row, text):
+			return nil, verb.UsageError(next, "%s is %q; allowed: %s", name, text, cell.Allowed)
 		}
 		edit.Cells = append(edit.Cells, name)
 	}
@@ -224,7 +224,7 @@
 // Run writes the table.
 func (c *export) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) > 1 {
-		return verb.Misuse("Run `gypsumreel table export FILE`.", "export takes one file, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel table export FILE`.", "export takes one file, got %d", len(args))
 	}
 	r, err := c.Show(ctx, v1.Part_PART_TABLE)
 	if err != nil {
@@ -239,44 +239,44 @@
 		return err
 	}
 	if err := os.WriteFile(args[0], []byte(b.String()), perms); err != nil {
-		return verb.Misuse("Choose another FILE.", "%v", err)
+		return verb.UsageError("Choose another FILE.", "%v", err)
 	}
 	return nil
 }
 
 type load struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	remote.ChangeID
-	Base
+	BaseFlag
 	Replace bool `long:"replace" description:"remove the rows of teams that the sheet lacks"`
 }
 
 // Run applies a sheet.
 func (c *load) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) != 1 {
-		return verb.Misuse("Run `gypsumreel table import FILE`.", "import takes one file, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel table import FILE`.", "import takes one file, got %d", len(args))
 	}
 	text, err := read(env, args[0])
 	if err != nil {
-		return verb.Misuse("Choose another FILE.", "%v", err)
+		return verb.UsageError("Choose another FILE.", "%v", err)
 	}
 	s, err := sheet.Read(args[0], text)
 	if err != nil {
-		return verb.Misuse("Nothing was sent. Mend the sheet and import it again.", "the sheet has faults:\n%v", err)
+		return verb.UsageError("Nothing was sent. Mend the sheet and import it again.", "the sheet has faults:\n%v", err)
 	}
-	base := c.Base
-	if base.Base == nil && s.Base != 0 {
-		base.Base = &s.Base
+	base := c.BaseFlag
+	if base.Revision == nil && s.BaseRevision != 0 {
+		base.Revision = &s.BaseRevision
 	}
-	if base.Base == nil {
-		return verb.Misuse("Export the table and edit that sheet, or give --base with the revision that `gypsumreel table show` prints.", "the sheet does not say which revision it started from")
+	if base.Revision == nil {
+		return verb.UsageError("Export the table and edit that sheet, or give --base with the revision that `gypsumreel table show` prints.", "the sheet does not say which revision it started from")
 	}
-	made, err := Apply(ctx, c.Flags, c.ChangeID, base, &v1.TableChange{Edits: s.Edits, Replace: c.Replace})
+	made, err := SendTableChange(ctx, c.Flags, c.ChangeID, base, &v1.TableChange{Edits: s.Edits, Replace: c.Replace})
 	if err != nil {
 		return err
 	}
-	return c.Print(env.Out, made, made.Line(strconv.Itoa(len(s.Edits))+" rows set"))
+	return c.Print(env.Out, made, made.Describe(strconv.Itoa(len(s.Edits))+" rows set"))
 }
 
 func read(env verb.Env, name string) ([]byte, error) {
--- a/internal/cli/table/table_test.go
+++ b/internal/cli/table/table_test.go
@@ -52,7 +52,7 @@
 	return connect.NewResponse(out), nil
 }
 
-func run(t *testing.T, e *entry, args ...string) (verb.Exit, string, string) {
+func run(t *testing.T, e *entry, args ...string) (verb.ExitCode, string, string) {
 	mux := http.NewServeMux()
 	mux.Handle(v1.NewOperatorHandler(e))
 	s := httptest.NewServer(mux)
@@ -66,17 +66,17 @@
 
 func TestShowNamesWhoHasNotConfirmed(t *testing.T) {
 	exit, out, errs := run(t, &entry{}, "table", "show")
-	if exit != verb.OK || !strings.Contains(out, "revision 7, not confirmed by e2\n") || !strings.Contains(out, "unlimited") {
+	if exit != verb.ExitOK || !strings.Contains(out, "revision 7, not confirmed by e2\n") || !strings.Contains(out, "unlimited") {
 		t.Errorf("exit %d\n%s%s", exit, out, errs)
 	}
 }
 
 func TestSetStartsFromTheCurrentRevision(t *testing.T) {
 	e := &entry{status: &v1.Status{}}
-	if exit, _, errs := run(t, e, "table", "set", "plans", "share=12.5%", "cpu=unlimited", "--change", "c1", "--base", "3"); exit != verb.OK {
+	if exit, _, errs := run(t, e, "table", "set", "plans", "share=12.5%", "cpu=unlimited", "--change", "c1", "--base", "3"); exit != verb.ExitOK {
 		t.Fatal(errs)
 	}
-	if exit, _, errs := run(t, e, "table", "set", "plans", "weight=4"); exit != verb.OK {
+	if exit, _, errs := run(t, e, "table", "set", "plans", "weight=4"); exit != verb.ExitOK {
 		t.Fatal(errs)
 	}
 	limit := func(n int64) *v1.Size { return &v1.Size{Cpu: n} }
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	exit, _, errs := run(t, e, "table", "import", path)
-	if exit != verb.Conflict || !strings.Contains(errs, "the current revision is 8") || !strings.Contains(errs, "table show") {
+	if exit != verb.ExitConflict || !strings.Contains(errs, "the current revision is 8") || !strings.Contains(errs, "table show") {
 		t.Errorf("exit %d: %s", exit, errs)
 	}
 	if base := e.asked[0].GetTable().GetBase(); base != 5 {
@@ -114,7 +114,7 @@
 func TestLostAnswerSaysHowToAskAgain(t *testing.T) {
 	e := &entry{fail: connect.NewError(connect.CodeUnavailable, errors.New("gone"))}
 	exit, _, errs := run(t, e, "team", "add", "quotes", "--timeout", "100ms")
-	if exit != verb.Unreachable || !strings.Contains(errs, "--change "+e.asked[0].GetId()+" --base 7") {
+	if exit != verb.ExitUnreachable || !strings.Contains(errs, "--change "+e.asked[0].GetId()+" --base 7") {
 		t.Errorf("exit %d: %s", exit, errs)
 	}
 	for _, r := range e.asked {
@@ -137,7 +137,7 @@
 		{"key", "withdraw"},
 	} {
 		e := &entry{status: &v1.Status{}}
-		if exit, _, errs := run(t, e, args...); exit != verb.Usage || errs == "" || len(e.asked) > 0 {
+		if exit, _, errs := run(t, e, args...); exit != verb.ExitUsage || errs == "" || len(e.asked) > 0 {
 			t.Errorf("%q: exit %d, sent %d: %s", args, exit, len(e.asked), errs)
 		}
 	}
@@ -147,7 +147,7 @@
 func TestSecretOfAGrantStaysHere(t *testing.T) {
 	e := &entry{status: &v1.Status{}}
 	exit, out, errs := run(t, e, "key", "grant", "--team", "plans")
-	if exit != verb.OK {
+	if exit != verb.ExitOK {
 		t.Fatal(errs)
 	}
 	id, secret, err := keys.Parse(strings.TrimSpace(out))
--- a/internal/cli/verb/daemon.go
+++ b/internal/cli/verb/daemon.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// Again returns a channel that is closed by a signal to stop that comes after
+// SecondSignal returns a channel that is closed by a signal to stop that comes after
 // ctx has ended: whoever sends it does not want to wait for the planned stop.
-func Again(ctx context.Context) <-chan struct{} {
+func SecondSignal(ctx context.Context) <-chan struct{} {
 	again := make(chan struct{})
 	go func() {
 		<-ctx.Done()
--- a/internal/cli/verb/exit.go
+++ b/internal/cli/verb/exit.go
@@ -9,49 +9,49 @@
 	"gypsumreel/internal/base/code"
 )
 
-// Exit is the exit code of the command; README lists them for scripts.
-type Exit int
+// ExitCode is the exit code of the command; README lists them for scripts.
+type ExitCode int
 
 // The exit codes.
 const (
-	// OK means that what was asked is done.
-	OK Exit = 0
-	// Failed means that the cell refused or a job ended with a failure; the text has the result code.
-	Failed Exit = 1
-	// Usage means a mistake on the command line or in a file; nothing was sent.
-	Usage Exit = 2
-	// Unreachable means that no answer came; the same command may be run again.
-	Unreachable Exit = 3
-	// NotRun means that the job did not run and never will.
-	NotRun Exit = 4
-	// Unknown means that the job may or may not have run to its end.
-	Unknown Exit = 5
-	// Conflict means that the table has changed since the base revision.
-	Conflict Exit = 6
-	// Unfinished means that the job is still queued or running.
-	Unfinished Exit = 7
+	// ExitOK means that what was asked is done.
+	ExitOK ExitCode = 0
+	// ExitFailed means that the cell refused or a job ended with a failure; the text has the result code.
+	ExitFailed ExitCode = 1
+	// ExitUsage means a mistake on the command line or in a file; nothing was sent.
+	ExitUsage ExitCode = 2
+	// ExitUnreachable means that no answer came; the same command may be run again.
+	ExitUnreachable ExitCode = 3
+	// ExitNotRun means that the job did not run and never will.
+	ExitNotRun ExitCode = 4
+	// ExitUnknown means that the job may or may not have run to its end.
+	ExitUnknown ExitCode = 5
+	// ExitConflict means that the table has changed since the base revision.
+	ExitConflict ExitCode = 6
+	// ExitUnfinished means that the job is still queued or running.
+	ExitUnfinished ExitCode = 7
 )
 
 // Error ends a verb with an exit code, a message and what to do next.
 type Error struct {
-	Exit Exit
-	// Text may be empty when the verb has printed what there is to say.
-	Text string
-	// Next says what the reader can do about it; may be empty.
-	Next string
+	ExitCode ExitCode
+	// Message may be empty when the verb has printed what there is to say.
+	Message string
+	// Advice says what the reader can do about it; may be empty.
+	Advice string
 }
 
 // Error returns the message and the advice.
 func (e *Error) Error() string {
-	if e.Next == "" {
-		return e.Text
+	if e.Advice == "" {
+		return e.Message
 	}
-	return e.Text + "\n" + e.Next
+	return e.Message + "\n" + e.Advice
 }
 
-// Misuse returns an Error for a mistake in what the user gave.
-func Misuse(next, format string, args ...any) *Error {
-	return &Error{Exit: Usage, Text: fmt.Sprintf(format, args...), Next: next}
+// UsageError returns an Error for a mistake in what the user gave.
+func UsageError(next, format string, args ...any) *Error {
+	return &Error{ExitCode: ExitUsage, Message: fmt.Sprintf(format, args...), Advice: next}
 }
 
 // advice says what to do about a result code.
@@ -76,56 +76,56 @@
 	code.InvalidEnrolment:        "Compare the secret with the entries' setting enrolment.",
 }
 
-// Refusal returns an Error for a result code of the cell.
-func Refusal(c code.Code, detail string) *Error {
+// CodeError returns an Error for a result code of the cell.
+func CodeError(c code.Code, detail string) *Error {
 	text := fmt.Sprintf("%d: %s", uint32(c), c)
 	if detail != "" {
 		text += ": " + detail
 	}
-	return &Error{Exit: exitOf(c), Text: text, Next: advice[c]}
+	return &Error{ExitCode: exitOf(c), Message: text, Advice: advice[c]}
 }
 
-func exitOf(c code.Code) Exit {
+func exitOf(c code.Code) ExitCode {
 	const class = 100
 	switch {
 	case c == code.OK:
-		return OK
+		return ExitOK
 	case c == code.RevisionConflict:
-		return Conflict
+		return ExitConflict
 	case c == code.ControlUnreachable || c == code.LeaderTimeout || c == code.NoLeader || c == code.ShuttingDown:
-		return Unreachable
+		return ExitUnreachable
 	case c/class == code.QueueFull/class:
-		return NotRun
+		return ExitNotRun
 	case c/class == code.ServerLost/class:
-		return Unknown
+		return ExitUnknown
 	}
-	return Failed
+	return ExitFailed
 }
 
 // failure is what is printed with --json when a verb did not succeed.
 type failure struct {
-	Exit Exit   `json:"exit"`
-	Text string `json:"error"`
-	Next string `json:"next,omitempty"`
+	ExitCode ExitCode `json:"exit"`
+	Message  string   `json:"error"`
+	Advice   string   `json:"next,omitempty"`
 }
 
 // conclude prints how a verb ended and returns its exit code.
-func conclude(env Env, r Runner, err error) Exit {
+func conclude(env Env, r Runner, err error) ExitCode {
 	if err == nil {
-		return OK
+		return ExitOK
 	}
-	f := failure{Exit: Failed, Text: strings.TrimSpace(err.Error())}
+	f := failure{ExitCode: ExitFailed, Message: strings.TrimSpace(err.Error())}
 	var known *Error
 	if errors.As(err, &known) {
-		f = failure{Exit: known.Exit, Text: strings.TrimSpace(known.Text), Next: known.Next}
+		f = failure{ExitCode: known.ExitCode, Message: strings.TrimSpace(known.Message), Advice: known.Advice}
 	}
 	asked, ok := r.(interface{ wantsJSON() bool })
 	switch {
-	case f.Text == "":
+	case f.Message == "":
 	case ok && asked.wantsJSON():
 		_ = json.NewEncoder(env.Err).Encode(f)
 	default:
 		fmt.Fprintf(env.Err, "%s: %s\n", Program, strings.TrimSpace(err.Error()))
 	}
-	return f.Exit
+	return f.ExitCode
 }
--- a/internal/cli/verb/outcome.go
+++ b/internal/cli/verb/outcome.go
@@ -6,17 +6,17 @@
 	v1 "gypsumreel/internal/api/v1"
 )
 
-// Outcome returns an outcome as people and scripts read it: done, not-run.
+// OutcomeName returns an outcome as people and scripts read it: done, not-run.
 // none stands for an outcome that is not known, since the request was refused.
-func Outcome(o v1.Outcome) string {
+func OutcomeName(o v1.Outcome) string {
 	if o == v1.Outcome_OUTCOME_UNSPECIFIED {
 		return "none"
 	}
 	return plain(o.String(), "OUTCOME_")
 }
 
-// Kind returns a kind of job in lower case.
-func Kind(k v1.Kind) string { return plain(k.String(), "KIND_") }
+// KindName returns a kind of job in lower case.
+func KindName(k v1.Kind) string { return plain(k.String(), "KIND_") }
 
 func plain(name, prefix string) string {
 	return strings.ReplaceAll(strings.ToLower(strings.TrimPrefix(name, prefix)), "_", "-")
--- a/internal/cli/verb/print.go
+++ b/internal/cli/verb/print.go
@@ -8,21 +8,21 @@
 	"text/tabwriter"
 )
 
-// Output is the flag of every verb that prints a result.
-type Output struct {
+// OutputFlag is the flag of every verb that prints a result.
+type OutputFlag struct {
 	JSON bool `long:"json" description:"print JSON for a program to read"`
 }
 
-func (o Output) wantsJSON() bool { return o.JSON }
+func (o OutputFlag) wantsJSON() bool { return o.JSON }
 
-// Grid is a result as a person reads it.
-type Grid struct {
-	Head []string
-	Rows [][]string
+// TextTable is a result as a person reads it.
+type TextTable struct {
+	Header []string
+	Rows   [][]string
 }
 
 // Print writes v as JSON, or the grid for a person.
-func (o Output) Print(w io.Writer, v any, g Grid) error {
+func (o OutputFlag) Print(w io.Writer, v any, g TextTable) error {
 	if o.JSON {
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
@@ -31,11 +31,11 @@
 	return g.write(w)
 }
 
-func (g Grid) write(w io.Writer) error {
+func (g TextTable) write(w io.Writer) error {
 	const padding = 2
 	t := tabwriter.NewWriter(w, 0, 0, padding, ' ', 0)
-	if len(g.Head) > 0 {
-		fmt.Fprintln(t, strings.Join(g.Head, "\t"))
+	if len(g.Header) > 0 {
+		fmt.Fprintln(t, strings.Join(g.Header, "\t"))
 	}
 	for _, row := range g.Rows {
 		fmt.Fprintln(t, strings.Join(row, "\t"))
--- a/internal/cli/verb/verb.go
+++ b/internal/cli/verb/verb.go
@@ -26,8 +26,8 @@
 	Err io.Writer
 }
 
-// System returns the surroundings of the process.
-func System() Env { return Env{In: os.Stdin, Out: os.Stdout, Err: os.Stderr} }
+// StandardEnv returns the surroundings of the process.
+func StandardEnv() Env { return Env{In: os.Stdin, Out: os.Stdout, Err: os.Stderr} }
 
 // Runner does the work of a verb once its flags are set; args are what is left
 // of the command line. The error decides on the exit code, see Exit.
@@ -42,8 +42,8 @@
 	Long  string
 	// Runner holds the flags; nil when there are Verbs below.
 	Runner Runner
-	// Verbs are the verbs of a group, such as grant under key.
-	Verbs []Verb
+	// Subverbs are the verbs of a group, such as grant under key.
+	Subverbs []Verb
 }
 
 // adapter lets go-flags run a verb.
@@ -54,13 +54,13 @@
 }
 
 // Run parses args and runs the verb that they name. It returns the exit code.
-func Run(ctx context.Context, env Env, args []string, verbs ...Verb) Exit {
+func Run(ctx context.Context, env Env, args []string, verbs ...Verb) ExitCode {
 	parser := flags.NewNamedParser(Program, flags.HelpFlag|flags.PassDoubleDash)
 	runners := map[*flags.Command]adapter{}
 	for _, v := range verbs {
 		if err := add(parser.Command, v, runners, adapter{ctx: ctx, env: env}); err != nil {
 			fmt.Fprintf(env.Err, "%s: %v\n", Program, err)
-			return Usage
+			return ExitUsage
 		}
 	}
 	// go-flags would call Execute itself; the handler keeps the choice here.
@@ -72,7 +72,7 @@
 	a, ok := runners[innermost(parser.Command)]
 	if !ok {
 		parser.WriteHelp(env.Err)
-		return Usage
+		return ExitUsage
 	}
 	return conclude(env, a.Runner, a.Run(ctx, env, rest))
 }
@@ -90,7 +90,7 @@
 		a.Runner = v.Runner
 		runners[c] = a
 	}
-	for _, sub := range v.Verbs {
+	for _, sub := range v.Subverbs {
 		if err := add(c, sub, runners, a); err != nil {
 			return err
 		}
@@ -105,12 +105,12 @@
 	return c
 }
 
-func misused(env Env, err error) Exit {
+func misused(env Env, err error) ExitCode {
 	var flagErr *flags.Error
 	if errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp {
 		fmt.Fprintln(env.Out, flagErr.Message)
-		return OK
+		return ExitOK
 	}
 	fmt.Fprintf(env.Err, "%s: %v\nRun `%s --help` for the verbs and flags.\n", Program, err, Program)
-	return Usage
+	return ExitUsage
 }
--- a/internal/cli/verb/verb_test.go
+++ b/internal/cli/verb/verb_test.go
@@ -25,7 +25,7 @@
 	return e.err
 }
 
-func run(args []string, verbs ...verb.Verb) (exit verb.Exit, out, errs string) {
+func run(args []string, verbs ...verb.Verb) (exit verb.ExitCode, out, errs string) {
 	var o, e bytes.Buffer
 	exit = verb.Run(context.Background(), verb.Env{Out: &o, Err: &e}, args, verbs...)
 	return exit, o.String(), e.String()
@@ -33,8 +33,8 @@
 
 func TestVerbOfAGroupGetsItsFlags(t *testing.T) {
 	e := &echo{}
-	group := verb.Verb{Name: "outer", Verbs: []verb.Verb{{Name: "inner", Runner: e}}}
-	if exit, _, errs := run([]string{"outer", "inner", "--word", "w", "rest"}, group); exit != verb.OK {
+	group := verb.Verb{Name: "outer", Subverbs: []verb.Verb{{Name: "inner", Runner: e}}}
+	if exit, _, errs := run([]string{"outer", "inner", "--word", "w", "rest"}, group); exit != verb.ExitOK {
 		t.Fatalf("exit %d: %s", exit, errs)
 	}
 	if diff := cmp.Diff([]string{"w", "rest"}, e.got); diff != "" {
@@ -46,22 +46,22 @@
 	for name, c := range map[string]struct {
 		args []string
 		err  error
-		want verb.Exit
+		want verb.ExitCode
 	}{
-		"no verb":       {nil, nil, verb.Usage},
-		"unknown verb":  {[]string{"nothing"}, nil, verb.Usage},
-		"unknown flag":  {[]string{"echo", "--nothing"}, nil, verb.Usage},
-		"help":          {[]string{"echo", "--help"}, nil, verb.OK},
-		"plain error":   {[]string{"echo"}, errors.New("e"), verb.Failed},
-		"conflict":      {[]string{"echo"}, verb.Refusal(code.RevisionConflict, ""), verb.Conflict},
-		"not run":       {[]string{"echo"}, verb.Refusal(code.QueueFull, ""), verb.NotRun},
-		"unknown":       {[]string{"echo"}, verb.Refusal(code.ServerLost, ""), verb.Unknown},
-		"unanswered":    {[]string{"echo"}, verb.Refusal(code.LeaderTimeout, ""), verb.Unreachable},
-		"bad key":       {[]string{"echo"}, verb.Refusal(code.InvalidKey, ""), verb.Failed},
-		"misuse":        {[]string{"echo"}, verb.Misuse("", "m"), verb.Usage},
-		"missing file":  {[]string{"check", "/nonexistent"}, nil, verb.Usage},
-		"not one file":  {[]string{"check"}, nil, verb.Usage},
-		"good settings": {[]string{"check", "../../../examples/entry.json"}, nil, verb.OK},
+		"no verb":       {nil, nil, verb.ExitUsage},
+		"unknown verb":  {[]string{"nothing"}, nil, verb.ExitUsage},
+		"unknown flag":  {[]string{"echo", "--nothing"}, nil, verb.ExitUsage},
+		"help":          {[]string{"echo", "--help"}, nil, verb.ExitOK},
+		"plain error":   {[]string{"echo"}, errors.New("e"), verb.ExitFailed},
+		"conflict":      {[]string{"echo"}, verb.CodeError(code.RevisionConflict, ""), verb.ExitConflict},
+		"not run":       {[]string{"echo"}, verb.CodeError(code.QueueFull, ""), verb.ExitNotRun},
+		"unknown":       {[]string{"echo"}, verb.CodeError(code.ServerLost, ""), verb.ExitUnknown},
+		"unanswered":    {[]string{"echo"}, verb.CodeError(code.LeaderTimeout, ""), verb.ExitUnreachable},
+		"bad key":       {[]string{"echo"}, verb.CodeError(code.InvalidKey, ""), verb.ExitFailed},
+		"misuse":        {[]string{"echo"}, verb.UsageError("", "m"), verb.ExitUsage},
+		"missing file":  {[]string{"check", "/nonexistent"}, nil, verb.ExitUsage},
+		"not one file":  {[]string{"check"}, nil, verb.ExitUsage},
+		"good settings": {[]string{"check", "../../../examples/entry.json"}, nil, verb.ExitOK},
 	} {
 		got, _, errs := run(c.args, verb.Verb{Name: "echo", Runner: &echo{err: c.err}}, check.New())
 		if got != c.want {
@@ -71,7 +71,7 @@
 }
 
 type printer struct {
-	verb.Output
+	verb.OutputFlag
 	err error
 }
 
@@ -79,11 +79,11 @@
 
 func TestAFailureIsJSONWhereTheResultIs(t *testing.T) {
 	show := func() verb.Verb {
-		return verb.Verb{Name: "show", Runner: &printer{err: verb.Misuse("do this", "that failed")}}
+		return verb.Verb{Name: "show", Runner: &printer{err: verb.UsageError("do this", "that failed")}}
 	}
 	exit, out, errs := run([]string{"show", "--json"}, show())
 	want := `{"exit":2,"error":"that failed","next":"do this"}` + "\n"
-	if diff := cmp.Diff(want, errs); diff != "" || exit != verb.Usage || out != "" {
+	if diff := cmp.Diff(want, errs); diff != "" || exit != verb.ExitUsage || out != "" {
 		t.Errorf("exit %d, output %q: %s", exit, out, diff)
 	}
 	if _, _, errs = run([]string{"show"}, show()); strings.Contains(errs, "{") {
@@ -94,7 +94,7 @@
 // A refusal that says only a number leaves whoever is on duty searching; every
 // one of them is to say what to do next.
 func TestRefusalSaysWhatToDoNext(t *testing.T) {
-	_, _, errs := run([]string{"echo"}, verb.Verb{Name: "echo", Runner: &echo{err: verb.Refusal(code.RevisionConflict, "current revision 7")}})
+	_, _, errs := run([]string{"echo"}, verb.Verb{Name: "echo", Runner: &echo{err: verb.CodeError(code.RevisionConflict, "current revision 7")}})
 	for _, want := range []string{"601", "current revision 7", "table show"} {
 		if !strings.Contains(errs, want) {
 			t.Errorf("%q lacks %q", errs, want)
--- a/internal/cli/wait/wait.go
+++ b/internal/cli/wait/wait.go
@@ -28,21 +28,21 @@
 
 type command struct {
 	remote.Flags
-	verb.Output
-	Out string `long:"out" description:"file for the answer instead of standard output"`
+	verb.OutputFlag
+	AnswerFile string `long:"out" description:"file for the answer instead of standard output"`
 }
 
 // Run waits for the one job named.
 func (c *command) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) != 1 {
-		return verb.Misuse("Run `gypsumreel wait ID`.", "wait takes one id, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel wait ID`.", "wait takes one id, got %d", len(args))
 	}
-	client, ctx, cancel, err := c.Caller(ctx)
+	client, ctx, cancel, err := c.CallerClient(ctx)
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	return Print(ctx, env, client, args[0], c.Output, c.Out)
+	return PrintAnswer(ctx, env, client, args[0], c.OutputFlag, c.AnswerFile)
 }
 
 // answer is the result with --json.
@@ -55,12 +55,12 @@
 	Data []byte `json:"data,omitempty"`
 }
 
-// Print waits for a job and prints its answer to a file, or to standard output
+// PrintAnswer waits for a job and prints its answer to a file, or to standard output
 // when no file is named.
-func Print(ctx context.Context, env verb.Env, client *caller.Client, id string, o verb.Output, file string) error {
+func PrintAnswer(ctx context.Context, env verb.Env, client *caller.Client, id string, o verb.OutputFlag, file string) error {
 	r, err := client.Wait(ctx, id)
 	if err != nil {
-		return remote.Explain(err)
+		return remote.UserError(err)
 	}
 	if err := write(env, r, o, file); err != nil {
 		return err
@@ -68,15 +68,15 @@
 	return verdict(r)
 }
 
-func write(env verb.Env, r caller.Result, o verb.Output, file string) error {
+func write(env verb.Env, r caller.Result, o verb.OutputFlag, file string) error {
 	if file != "" && r.Outcome == v1.Outcome_OUTCOME_DONE {
 		if err := os.WriteFile(file, r.Data, perms); err != nil {
-			return verb.Misuse("Check --out, then run `gypsumreel wait` with the same id.", "%v", err)
+			return verb.UsageError("Check --out, then run `gypsumreel wait` with the same id.", "%v", err)
 		}
 		r.Data = nil
 	}
 	if o.JSON {
-		return o.Print(env.Out, answer{ID: r.ID, Outcome: verb.Outcome(r.Outcome), Code: uint32(r.Code), Text: r.Code.String(), Data: r.Data}, verb.Grid{})
+		return o.Print(env.Out, answer{ID: r.ID, Outcome: verb.OutcomeName(r.Outcome), Code: uint32(r.Code), Text: r.Code.String(), Data: r.Data}, verb.TextTable{})
 	}
 	_, err := env.Out.Write(r.Data)
 	return err
@@ -84,19 +84,19 @@
 
 // verdict turns an outcome into an exit code.
 func verdict(r caller.Result) error {
-	fail := func(exit verb.Exit, next string) error {
-		return &verb.Error{Exit: exit, Text: fmt.Sprintf("job %s: %s: %d: %s", r.ID, verb.Outcome(r.Outcome), uint32(r.Code), r.Code), Next: next}
+	fail := func(exit verb.ExitCode, next string) error {
+		return &verb.Error{ExitCode: exit, Message: fmt.Sprintf("job %s: %s: %d: %s", r.ID, verb.OutcomeName(r.Outcome), uint32(r.Code), r.Code), Advice: next}
 	}
 	switch r.Outcome {
 	case v1.Outcome_OUTCOME_DONE:
 		if r.Code == code.OK {
 			return nil
 		}
-		return fail(verb.Failed, "")
+		return fail(verb.ExitFailed, "")
 	case v1.Outcome_OUTCOME_NOT_RUN:
-		return fail(verb.NotRun, "It did not run and never will; submit it under a new id if it is still wanted.")
+		return fail(verb.ExitNotRun, "It did not run and never will; submit it under a new id if it is still wanted.")
 	case v1.Outcome_OUTCOME_UNKNOWN:
-		return fail(verb.Unknown, "It may or may not have run to its end; find out before you submit it again.")
+		return fail(verb.ExitUnknown, "It may or may not have run to its end; find out before you submit it again.")
 	}
-	return fail(verb.Unfinished, "Run the same command again, with a longer --timeout.")
+	return fail(verb.ExitUnfinished, "Run the same command again, with a longer --timeout.")
 }
--- a/internal/cli/zone/zone.go
+++ b/internal/cli/zone/zone.go
@@ -15,7 +15,7 @@
 func New() verb.Verb {
 	return verb.Verb{
 		Name: "zone", Short: "list, drain and take back availability zones",
-		Verbs: []verb.Verb{
+		Subverbs: []verb.Verb{
 			{Name: "list", Short: "list the availability zones", Long: "Lists the availability zones with their backend servers and what these still run.", Runner: &list{}},
 			{
 				Name: "drain", Short: "give the servers of a zone no new work",
@@ -29,7 +29,7 @@
 
 type list struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 }
 
 // line is one zone with --json; since is in seconds, 0 for a zone that is not drained.
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	out, g := []line{}, verb.Grid{Head: []string{"ZONE", "STATE", "SINCE", "SERVERS", "TASKS"}}
+	out, g := []line{}, verb.TextTable{Header: []string{"ZONE", "STATE", "SINCE", "SERVERS", "TASKS"}}
 	for _, z := range r.GetZones() {
 		since := time.Duration(z.GetSince()) * time.Millisecond
 		out = append(out, line{z.GetZone(), z.GetDrained(), since.Seconds(), z.GetServers(), z.GetTasks()})
@@ -62,7 +62,7 @@
 
 type mark struct {
 	remote.Flags
-	verb.Output
+	verb.OutputFlag
 	remote.ChangeID
 	drain bool
 }
@@ -70,10 +70,10 @@
 // Run drains a zone or takes it back.
 func (c *mark) Run(ctx context.Context, env verb.Env, args []string) error {
 	if len(args) != 1 {
-		return verb.Misuse("Run `gypsumreel zone list` for their names.", "one zone is needed, got %d", len(args))
+		return verb.UsageError("Run `gypsumreel zone list` for their names.", "one zone is needed, got %d", len(args))
 	}
 	req := &v1.ChangeRequest{Change: &v1.ChangeRequest_Zone{Zone: &v1.ZoneMark{Zone: args[0], Drain: c.drain}}}
-	made, err := c.Make(ctx, c.ChangeID, req, "")
+	made, err := c.SendChange(ctx, c.ChangeID, req, "")
 	if err != nil {
 		return err
 	}
@@ -81,5 +81,5 @@
 	if c.drain {
 		what = " is drained"
 	}
-	return c.Print(env.Out, made, made.Line("zone "+args[0]+what))
+	return c.Print(env.Out, made, made.Describe("zone "+args[0]+what))
 }
--- a/internal/client/caller/caller.go
+++ b/internal/client/caller/caller.go
@@ -9,25 +9,25 @@
 
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/answer"
 )
 
 // Defaults of the fields that are left zero.
 const (
-	DefaultPatience = 5 * time.Second
-	DefaultPersist  = 5 * time.Second
+	DefaultMaxPollWait         = 5 * time.Second
+	DefaultRetryUnreachableFor = 5 * time.Second
 )
 
 // Client submits jobs and collects their answers. Every call goes on, from entry
 // to entry, until there is an answer or its context ends.
 type Client struct {
-	Link *link.Link
-	// Patience is the length of a long poll.
-	Patience time.Duration
-	// Persist is how long a job is submitted again that no entry could hand to
+	Transport *transport.Client
+	// MaxPollWait is the length of a long poll.
+	MaxPollWait time.Duration
+	// RetryUnreachableFor is how long a job is submitted again that no entry could hand to
 	// the leader: longer than an election, so that callers see none.
-	Persist time.Duration
+	RetryUnreachableFor time.Duration
 }
 
 // Result is the outcome of one job.
@@ -40,8 +40,8 @@
 	Data []byte
 }
 
-// Final tells whether an outcome never changes.
-func Final(o v1.Outcome) bool {
+// IsFinal tells whether an outcome never changes.
+func IsFinal(o v1.Outcome) bool {
 	return o == v1.Outcome_OUTCOME_DONE || o == v1.Outcome_OUTCOME_NOT_RUN || o == v1.Outcome_OUTCOME_UNKNOWN
 }
 
@@ -78,11 +78,11 @@
 	for i := range jobs {
 		open[i] = i
 	}
-	pause, persist := link.Pause(), time.Now().Add(c.persist())
+	pause, persist := transport.NewBackoff(), time.Now().Add(c.persist())
 	for {
 		req := request(jobs, open, fresh)
 		retry, err := c.attempt(ctx, req, open, out)
-		if err != nil && !link.Again(link.Refusal(err).Code) {
+		if err != nil && !transport.IsRetryable(transport.AsCodeError(err).Code) {
 			return nil, err
 		}
 		fresh = fresh && err == nil && untouched(out)
@@ -90,17 +90,17 @@
 		if len(open) == 0 {
 			return out, nil
 		}
-		if !link.Sleep(ctx, max(retry, pause.NextBackOff())) {
+		if !transport.Sleep(ctx, max(retry, pause.NextBackOff())) {
 			return finish(jobs, out, err), nil
 		}
 	}
 }
 
 func (c *Client) persist() time.Duration {
-	if c.Persist > 0 {
-		return c.Persist
+	if c.RetryUnreachableFor > 0 {
+		return c.RetryUnreachableFor
 	}
-	return DefaultPersist
+	return DefaultRetryUnreachableFor
 }
 
 // untouched tells whether every answer says that the request never left the
@@ -129,7 +129,7 @@
 
 // attempt fills in what one call answered and returns how long the cell asks to wait.
 func (c *Client) attempt(ctx context.Context, req *v1.SubmitRequest, open []int, out []*v1.Accepted) (time.Duration, error) {
-	res, err := link.Once(ctx, c.Link, submit, req)
+	res, err := transport.TryOnce(ctx, c.Transport, submit, req)
 	if err != nil {
 		return 0, err
 	}
@@ -142,7 +142,7 @@
 		retry = max(retry, time.Duration(a.GetStatus().GetRetry())*time.Millisecond)
 	}
 	if len(unanswered(out, true)) > 0 {
-		c.Link.Next()
+		c.Transport.NextEntry()
 	}
 	return retry, nil
 }
@@ -151,7 +151,7 @@
 func unanswered(out []*v1.Accepted, persist bool) []int {
 	var open []int
 	for i, a := range out {
-		if a == nil || link.Again(code.Code(a.GetStatus().GetCode())) || persist && unreachable(a) {
+		if a == nil || transport.IsRetryable(code.Code(a.GetStatus().GetCode())) || persist && unreachable(a) {
 			open = append(open, i)
 		}
 	}
@@ -175,12 +175,12 @@
 // Wait returns the outcome of a job with its whole answer. When ctx ends first
 // the result is not final and tells where the job stands.
 func (c *Client) Wait(ctx context.Context, id string) (Result, error) {
-	a := answer.Parts{Most: answer.MaxJob}
+	a := answer.Assembler{MaxBytes: answer.MaxJobAnswer}
 	last := Result{ID: id}
 	for {
-		number, more := a.Next()
+		number, more := a.NextMissing()
 		if !more {
-			data, _, err := a.Whole()
+			data, _, err := a.Assemble()
 			if err != nil {
 				return last, code.New(code.Internal, "%s: %v", id, err)
 			}
@@ -198,16 +198,16 @@
 		case err != nil:
 			return last, err
 		}
-		last = Result{ID: id, Outcome: r.GetOutcome(), Code: code.Code(r.GetStatus().GetCode()), Text: link.Status(r.GetStatus()).Detail}
+		last = Result{ID: id, Outcome: r.GetOutcome(), Code: code.Code(r.GetStatus().GetCode()), Text: transport.StatusError(r.GetStatus()).Detail}
 		switch {
 		case r.GetOutcome() == v1.Outcome_OUTCOME_DONE:
 			if err := a.Add(r.GetChunk()); err != nil {
 				return last, code.New(code.Internal, "%s: %v", id, err)
 			}
-		case Final(r.GetOutcome()):
+		case IsFinal(r.GetOutcome()):
 			return last, nil
 		case last.Code != code.OK:
-			return last, link.Status(r.GetStatus())
+			return last, transport.StatusError(r.GetStatus())
 		case ctx.Err() != nil:
 			return last, nil
 		}
@@ -215,21 +215,21 @@
 }
 
 func (c *Client) poll(ctx context.Context, id string, number uint32) (*v1.WaitReply, error) {
-	patience := c.Patience
+	patience := c.MaxPollWait
 	if patience <= 0 {
-		patience = DefaultPatience
+		patience = DefaultMaxPollWait
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		patience = min(patience, max(time.Until(deadline)/2, time.Millisecond))
 	}
 	req := &v1.WaitRequest{Id: id, Chunk: number, Patience: uint64(patience.Milliseconds())}
-	return link.Call(ctx, c.Link, wait, req, (*v1.WaitReply).GetStatus)
+	return transport.Call(ctx, c.Transport, wait, req, (*v1.WaitReply).GetStatus)
 }
 
 // Cancel cancels the jobs named, or those that carry all of the labels, and
 // returns how many it reached.
 func (c *Client) Cancel(ctx context.Context, ids []string, labels map[string]string) (uint32, error) {
-	r, err := link.Call(ctx, c.Link, cancel, &v1.CancelRequest{Ids: ids, Labels: labels}, (*v1.CancelReply).GetStatus)
+	r, err := transport.Call(ctx, c.Transport, cancel, &v1.CancelRequest{Ids: ids, Labels: labels}, (*v1.CancelReply).GetStatus)
 	if err != nil {
 		return 0, err
 	}
@@ -238,7 +238,7 @@
 
 // List returns a page of the team's jobs in the order of their ids.
 func (c *Client) List(ctx context.Context, req *v1.ListRequest) ([]*v1.Summary, error) {
-	r, err := link.Call(ctx, c.Link, list, req, (*v1.ListReply).GetStatus)
+	r, err := transport.Call(ctx, c.Transport, list, req, (*v1.ListReply).GetStatus)
 	if err != nil {
 		return nil, err
 	}
@@ -247,7 +247,7 @@
 
 // Acknowledge lets the cell forget the outcomes of the jobs named.
 func (c *Client) Acknowledge(ctx context.Context, ids []string) error {
-	r, err := link.Call(ctx, c.Link, acknowledge, &v1.AcknowledgeRequest{Ids: ids}, (*v1.AcknowledgeReply).GetStatus)
+	r, err := transport.Call(ctx, c.Transport, acknowledge, &v1.AcknowledgeRequest{Ids: ids}, (*v1.AcknowledgeReply).GetStatus)
 	if err != nil {
 		return err
 	}
@@ -256,7 +256,7 @@
 
 func refused(s *v1.Status) error {
 	if code.Code(s.GetCode()) != code.OK {
-		return link.Status(s)
+		return transport.StatusError(s)
 	}
 	return nil
 }
--- a/internal/client/caller/caller_test.go
+++ b/internal/client/caller/caller_test.go
@@ -17,7 +17,7 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 )
 
 // entry is a stand-in that answers each Submit and Wait by the next step of a script.
@@ -71,7 +71,7 @@
 }
 
 func client(addresses ...string) *caller.Client {
-	return &caller.Client{Link: &link.Link{Addresses: addresses, Key: "id.secret", Timeout: 5 * time.Second}}
+	return &caller.Client{Transport: &transport.Client{Addresses: addresses, Key: "id.secret", Timeout: 5 * time.Second}}
 }
 
 func status(c code.Code) *v1.Status { return &v1.Status{Code: uint32(c)} }
@@ -131,7 +131,7 @@
 			return nil, connect.NewError(connect.CodeUnauthenticated, errors.New("no"))
 		},
 	}}
-	if _, err := client(serve(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); link.Refusal(err).Code != code.InvalidKey {
+	if _, err := client(serve(t, e)).Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true); transport.AsCodeError(err).Code != code.InvalidKey {
 		t.Errorf("got %v", err)
 	}
 }
@@ -170,7 +170,7 @@
 func TestPersistenceEnds(t *testing.T) {
 	e := &entry{submit: []func(*v1.SubmitRequest) (*v1.SubmitReply, error){notRun, notRun}}
 	c := client(serve(t, e))
-	c.Persist = time.Nanosecond
+	c.RetryUnreachableFor = time.Nanosecond
 	got, err := c.Submit(t.Context(), []*v1.Spec{{Id: "a"}}, true)
 	if err != nil || got[0].GetOutcome() != v1.Outcome_OUTCOME_NOT_RUN || len(e.first) != 1 {
 		t.Errorf("got %v, %v after %d tries", got, err, len(e.first))
--- a/internal/client/operator/operator.go
+++ b/internal/client/operator/operator.go
@@ -8,7 +8,7 @@
 
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 )
 
 // pageSize is the number of lines asked for at once.
@@ -16,7 +16,7 @@
 
 // Client makes changes and reads the state.
 type Client struct {
-	Link *link.Link
+	Transport *transport.Client
 }
 
 func change(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[v1.ChangeRequest]) (*connect.Response[v1.ChangeReply], error) {
@@ -34,7 +34,7 @@
 // Change makes one change, asked for with the same id until it is answered. It
 // returns the table's revision, also with a refusal.
 func (c *Client) Change(ctx context.Context, req *v1.ChangeRequest) (uint64, error) {
-	r, err := link.Call(ctx, c.Link, change, req, (*v1.ChangeReply).GetStatus)
+	r, err := transport.Call(ctx, c.Transport, change, req, (*v1.ChangeReply).GetStatus)
 	if err != nil {
 		return 0, err
 	}
@@ -49,7 +49,7 @@
 	whole := &v1.ShowReply{}
 	after, head := "", ""
 	for {
-		r, err := link.Call(ctx, c.Link, show, &v1.ShowRequest{Part: part, After: after, Limit: pageSize}, (*v1.ShowReply).GetStatus)
+		r, err := transport.Call(ctx, c.Transport, show, &v1.ShowRequest{Part: part, After: after, Limit: pageSize}, (*v1.ShowReply).GetStatus)
 		if err != nil {
 			return nil, err
 		}
@@ -114,7 +114,7 @@
 // Dump returns the state of one process as JSON text; an empty name stands for
 // the entry that answers.
 func (c *Client) Dump(ctx context.Context, process string) (string, error) {
-	r, err := link.Call(ctx, c.Link, dump, &v1.DumpRequest{Process: process}, (*v1.DumpReply).GetStatus)
+	r, err := transport.Call(ctx, c.Transport, dump, &v1.DumpRequest{Process: process}, (*v1.DumpReply).GetStatus)
 	if err != nil {
 		return "", err
 	}
@@ -123,7 +123,7 @@
 
 func refused(s *v1.Status) error {
 	if code.Code(s.GetCode()) != code.OK {
-		return link.Status(s)
+		return transport.StatusError(s)
 	}
 	return nil
 }
--- a/internal/client/link/link.go
+++ b/internal/client/transport/link.go
@@ -1,7 +1,7 @@
 // Package link is a client's way to the entries of a cell: it tries one entry
 // after the other until one answers. Every request of the protocol carries an id
 // of its own, so that asking again never does a thing twice.
-package link
+package transport
 
 import (
 	"context"
@@ -38,8 +38,8 @@
 	maxReply = 64 << 20
 )
 
-// Link reaches the entries. Set the exported fields before the first call.
-type Link struct {
+// Client reaches the entries. Set the exported fields before the first call.
+type Client struct {
 	// Addresses are URLs of entries or of their balancer: https://HOST:PORT, or
 	// http://HOST:PORT for plain text.
 	Addresses []string
@@ -51,9 +51,9 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// Timeout bounds one call to one entry.
 	Timeout time.Duration
-	// Shared puts all calls on few connections with http addresses too, by
+	// Multiplexed puts all calls on few connections with http addresses too, by
 	// HTTP/2 without TLS. A balancer in between has to pass it on.
-	Shared bool
+	Multiplexed bool
 
 	mu     sync.Mutex
 	turn   int
@@ -63,9 +63,9 @@
 // Method is one call of a generated client, bound to an entry.
 type Method[Req, Res any] func(c connect.HTTPClient, base string, opts ...connect.ClientOption) func(context.Context, *connect.Request[Req]) (*connect.Response[Res], error)
 
-// Once makes one call to the entry whose turn it is. When the entry doesn't
+// TryOnce makes one call to the entry whose turn it is. When the entry doesn't
 // answer, the next call goes to the next entry and over a new connection.
-func Once[Req, Res any](ctx context.Context, l *Link, m Method[Req, Res], msg *Req) (*Res, error) {
+func TryOnce[Req, Res any](ctx context.Context, l *Client, m Method[Req, Res], msg *Req) (*Res, error) {
 	client, base, turn := l.take()
 	ctx, cancel := context.WithTimeout(ctx, l.timeout())
 	defer cancel()
@@ -78,7 +78,7 @@
 		return res.Msg, nil
 	}
 	refusal := classify(err)
-	if Again(refusal.Code) {
+	if IsRetryable(refusal.Code) {
 		l.pass(turn)
 	}
 	return nil, refusal
@@ -86,11 +86,11 @@
 
 // Call makes a call until an entry answers with something that asking again
 // would not change, or ctx ends. Status picks the reply's status.
-func Call[Req, Res any](ctx context.Context, l *Link, m Method[Req, Res], msg *Req, status func(*Res) *v1.Status) (*Res, error) {
-	pause := Pause()
+func Call[Req, Res any](ctx context.Context, l *Client, m Method[Req, Res], msg *Req, status func(*Res) *v1.Status) (*Res, error) {
+	pause := NewBackoff()
 	var cause error
 	for {
-		res, err := Once(ctx, l, m, msg)
+		res, err := TryOnce(ctx, l, m, msg)
 		if err != nil && ctx.Err() != nil && cause != nil {
 			// The time ran out in the middle of a try: that says nothing, and
 			// would hide why the tries before it failed.
@@ -99,14 +99,14 @@
 		var retry time.Duration
 		if err == nil {
 			s := status(res)
-			if !Again(code.Code(s.GetCode())) {
+			if !IsRetryable(code.Code(s.GetCode())) {
 				return res, nil
 			}
 			retry = time.Duration(s.GetRetry()) * time.Millisecond
-			err = Status(s)
-			l.Next()
+			err = StatusError(s)
+			l.NextEntry()
 		}
-		if refusal := Refusal(err); !Again(refusal.Code) {
+		if refusal := AsCodeError(err); !IsRetryable(refusal.Code) {
 			return nil, err
 		}
 		cause = err
@@ -116,15 +116,15 @@
 	}
 }
 
-// Next makes the following calls go to the next entry.
-func (l *Link) Next() {
+// NextEntry makes the following calls go to the next entry.
+func (l *Client) NextEntry() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.turn++
 }
 
 // Close drops the idle connections.
-func (l *Link) Close() {
+func (l *Client) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.client != nil {
@@ -132,14 +132,14 @@
 	}
 }
 
-func (l *Link) timeout() time.Duration {
+func (l *Client) timeout() time.Duration {
 	if l.Timeout > 0 {
 		return l.Timeout
 	}
 	return DefaultTimeout
 }
 
-func (l *Link) take() (client *http.Client, base string, turn int) {
+func (l *Client) take() (client *http.Client, base string, turn int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.client == nil {
@@ -153,7 +153,7 @@
 // call without an answer the pool is left behind whole; calls still using it
 // end as they would have. Only the first of several calls that failed in one
 // turn does so.
-func (l *Link) pass(turn int) {
+func (l *Client) pass(turn int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.turn != turn {
@@ -164,9 +164,9 @@
 	l.client = nil
 }
 
-func (l *Link) dialler() *http.Client {
+func (l *Client) dialler() *http.Client {
 	var protocols *http.Protocols
-	if l.Shared {
+	if l.Multiplexed {
 		protocols = new(http.Protocols)
 		protocols.SetHTTP2(true)
 		protocols.SetUnencryptedHTTP2(true)
@@ -183,8 +183,8 @@
 	}}
 }
 
-// Pause returns the growing, jittered waits between tries.
-func Pause() *backoff.ExponentialBackOff {
+// NewBackoff returns the growing, jittered waits between tries.
+func NewBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval = firstPause, longestPause
 	return b
@@ -202,9 +202,9 @@
 	}
 }
 
-// Again tells whether the same request may fare better at another try: nothing
+// IsRetryable tells whether the same request may fare better at another try: nothing
 // final was said.
-func Again(c code.Code) bool {
+func IsRetryable(c code.Code) bool {
 	switch c {
 	case code.LeaderTimeout, code.NoLeader, code.ShuttingDown:
 		return true
@@ -212,8 +212,8 @@
 	return false
 }
 
-// Refusal returns err as a result code; what is no code counts as unanswered.
-func Refusal(err error) *code.Error {
+// AsCodeError returns err as a result code; what is no code counts as unanswered.
+func AsCodeError(err error) *code.Error {
 	var known *code.Error
 	if errors.As(err, &known) {
 		return known
@@ -221,9 +221,9 @@
 	return code.New(code.LeaderTimeout, "%v", err)
 }
 
-// Status returns a status as a result code. The detail is what its text says
+// StatusError returns a status as a result code. The detail is what its text says
 // beyond the number and the standing text, which an Error prints itself.
-func Status(s *v1.Status) *code.Error {
+func StatusError(s *v1.Status) *code.Error {
 	c := code.Code(s.GetCode())
 	detail := strings.TrimPrefix(s.GetText(), code.New(c, "").Error())
 	detail = strings.TrimPrefix(strings.TrimPrefix(detail, ": "), c.String())
@@ -240,7 +240,7 @@
 	for _, d := range ce.Details() {
 		if v, derr := d.Value(); derr == nil {
 			if s, ok := v.(*v1.Status); ok {
-				return Status(s)
+				return StatusError(s)
 			}
 		}
 	}
--- a/internal/client/link/link_test.go
+++ b/internal/client/transport/link_test.go
@@ -1,4 +1,4 @@
-package link_test
+package transport_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 )
 
 type entry struct {
@@ -56,11 +56,11 @@
 	t.Cleanup(func() { close(e.hold) })
 
 	secure := s.Client().Transport.(*http.Transport).TLSClientConfig
-	l := &link.Link{Addresses: []string{s.URL}, TLS: secure, Timeout: 300 * time.Millisecond}
+	l := &transport.Client{Addresses: []string{s.URL}, TLS: secure, Timeout: 300 * time.Millisecond}
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	ask := func() error {
-		_, err := link.Call(ctx, l, list, &v1.ListRequest{}, (*v1.ListReply).GetStatus)
+		_, err := transport.Call(ctx, l, list, &v1.ListRequest{}, (*v1.ListReply).GetStatus)
 		return err
 	}
 	if err := ask(); err != nil {
@@ -78,8 +78,8 @@
 func TestWrongProtocolIsMalformed(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(s.Close)
-	_, err := link.Once(t.Context(), &link.Link{Addresses: []string{s.URL}}, list, &v1.ListRequest{})
-	if got := link.Refusal(err).Code; got != code.Malformed {
+	_, err := transport.TryOnce(t.Context(), &transport.Client{Addresses: []string{s.URL}}, list, &v1.ListRequest{})
+	if got := transport.AsCodeError(err).Code; got != code.Malformed {
 		t.Errorf("got %v", err)
 	}
 }
--- a/internal/client/link/status_test.go
+++ b/internal/client/transport/status_test.go
@@ -1,11 +1,11 @@
-package link_test
+package transport_test
 
 import (
 	"testing"
 
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 )
 
 // A status carries the number and the standing text beside its detail, and who
@@ -18,7 +18,7 @@
 		code.New(code.RevisionConflict, "at 7").Error(): "at 7",
 		"at 7": "at 7",
 	} {
-		got := link.Status(&v1.Status{Code: uint32(code.RevisionConflict), Text: text})
+		got := transport.StatusError(&v1.Status{Code: uint32(code.RevisionConflict), Text: text})
 		if got.Code != code.RevisionConflict || got.Detail != want {
 			t.Errorf("%q: got %q, want %q", text, got.Detail, want)
 		}
--- a/internal/control/dispatch/advice_test.go
+++ b/internal/control/dispatch/advice_test.go
@@ -39,7 +39,7 @@
 		doc.Version = 2
 		doc.Queues[0].Advice = &v1.Advice{Base: 500, Each: 8, Valid: 2000}
 		doc.Queues = append(doc.Queues, &v1.Queue{Name: "quick", Host: "host", Path: "/quick/", Pool: "pool", Timeout: 3000, Advice: &v1.Advice{Base: 5, Each: 0.1, Valid: 2000}})
-		if err := w.dispatcher.Put(t.Context(), doc); err != nil {
+		if err := w.dispatcher.PutDocument(t.Context(), doc); err != nil {
 			t.Fatal(err)
 		}
 		for i := range 8 {
@@ -85,7 +85,7 @@
 		doc := testDocument()
 		doc.Version = 2
 		doc.Queues[0].Advice = &v1.Advice{Base: 5, Each: 0.1, Valid: 20000}
-		if err := w.dispatcher.Put(t.Context(), doc); err != nil {
+		if err := w.dispatcher.PutDocument(t.Context(), doc); err != nil {
 			t.Fatal(err)
 		}
 		for i := range helpers {
--- a/internal/control/dispatch/ask.go
+++ b/internal/control/dispatch/ask.go
@@ -101,13 +101,13 @@
 	// A refusal depends on the configuration. It is sent after the commit of that
 	// configuration, which may otherwise never take effect.
 	refuse := func(err *code.Error) { d.Host.AfterCommit(func() { reply(refusalAnswer(err, 0)) }) }
-	q, id, ok := config.At(a.GetHost(), a.GetPath())
+	q, id, ok := config.QueueAt(a.GetHost(), a.GetPath())
 	if !ok {
 		refuse(code.New(code.Forbidden, "no queue at %s%s", a.GetHost(), a.GetPath()))
 		return
 	}
 	owner := ""
-	if c, known := config.Owner(a.GetKey()); known {
+	if c, known := config.KeyOwner(a.GetKey()); known {
 		owner = c.GetName()
 	} else if !q.GetOpen() {
 		d.flowMetrics.countRefusal(code.InvalidKey)
@@ -172,7 +172,7 @@
 // checkAdmission returns why a flow is refused and the time after which the caller may
 // retry, or nil if the flow is admitted.
 func (d *Dispatcher) checkAdmission(a *inner.FlowAsk, q *v1.Queue) (*code.Error, time.Duration) {
-	if err := flow.Check(a.GetSpec()); err != nil {
+	if err := flow.CheckSpec(a.GetSpec()); err != nil {
 		return err, 0
 	}
 	if d.Host.DiskFull() {
@@ -227,9 +227,9 @@
 	})
 }
 
-// Put activates a configuration document. A document that is not newer than the active one
+// PutDocument activates a configuration document. A document that is not newer than the active one
 // is acknowledged without effect. An invalid document is refused.
-func (d *Dispatcher) Put(ctx context.Context, doc *v1.Document) *code.Error {
+func (d *Dispatcher) PutDocument(ctx context.Context, doc *v1.Document) *code.Error {
 	if err := flow.CheckDocument(doc); err != nil {
 		event.LogError(d.Log, event.DocumentRefused, err, "version", doc.GetVersion())
 		return err
@@ -246,9 +246,9 @@
 	return err
 }
 
-// Read returns the text of the active configuration document as it was sent. A proof of
+// ReadDocument returns the text of the active configuration document as it was sent. A proof of
 // leadership ensures that it is the newest one.
-func (d *Dispatcher) Read(ctx context.Context) ([]byte, *code.Error) {
+func (d *Dispatcher) ReadDocument(ctx context.Context) ([]byte, *code.Error) {
 	receivedAt := d.Now()
 	text, err := runOnLeader(ctx, d, errNotLeading, func(reply func([]byte)) {
 		d.Host.AfterLeadershipProof(receivedAt, func() {
--- a/internal/control/dispatch/capacity_test.go
+++ b/internal/control/dispatch/capacity_test.go
@@ -16,7 +16,7 @@
 // CPU capacity.
 func (w *testCluster) reportCapacity(id string, cpu int64, call uint64) {
 	w.t.Helper()
-	err := w.dispatcher.Report(w.t.Context(), dispatch.Report{FlowServer: &record.FlowServer{
+	err := w.dispatcher.AcceptReport(w.t.Context(), dispatch.Report{FlowServer: &record.FlowServer{
 		Id: id, Born: 1, Address: id, Zone: zoneOf(id), Pool: "pool", Machine: "m-" + id, Capacity: &v1.Size{Cpu: cpu, Memory: w.capacity.Memory},
 	}, Number: call})
 	if err != nil {
--- a/internal/control/dispatch/dispatch_test.go
+++ b/internal/control/dispatch/dispatch_test.go
@@ -455,7 +455,7 @@
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		next := testDocument()
 		next.Version, next.Customers[0].Keys = 2, nil
-		if err := w.dispatcher.Put(t.Context(), next); err != nil {
+		if err := w.dispatcher.PutDocument(t.Context(), next); err != nil {
 			t.Fatal(err)
 		}
 		if answer := w.askFlow(inner.FlowVerb_FLOW_VERB_SUBMIT, "a", newStep(1, 1000)); code.Code(answer.GetCode()) != code.InvalidKey {
@@ -470,16 +470,16 @@
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		sameVersion := testDocument()
 		sameVersion.Text = []byte("other")
-		if err := w.dispatcher.Put(t.Context(), sameVersion); err != nil {
+		if err := w.dispatcher.PutDocument(t.Context(), sameVersion); err != nil {
 			t.Fatal(err)
 		}
-		text, err := w.dispatcher.Read(t.Context())
+		text, err := w.dispatcher.ReadDocument(t.Context())
 		if err != nil || string(text) != "one" {
 			t.Errorf("Read returned %q, %v", text, err)
 		}
 		invalid := testDocument()
 		invalid.Queues[0].Pool = "none"
-		if err := w.dispatcher.Put(t.Context(), invalid); err == nil || err.Code != code.Malformed {
+		if err := w.dispatcher.PutDocument(t.Context(), invalid); err == nil || err.Code != code.Malformed {
 			t.Errorf("Put of an invalid document returned %v", err)
 		}
 	})
@@ -635,7 +635,7 @@
 		w.submit("a", lasting)
 		time.Sleep(time.Second)
 		wave := &record.Wave{Number: 1, Machines: []string{"m-s1", "m-s2", "m-s3", "m-s4"}, Duration: 60_000, Cap: 1}
-		if err := w.dispatcher.Wave(t.Context(), wave); err != nil {
+		if err := w.dispatcher.StartWave(t.Context(), wave); err != nil {
 			t.Fatal(err)
 		}
 		minAtWork := 3
@@ -682,7 +682,7 @@
 	runWithCluster(t, 3, func(t *testing.T, w *testCluster) {
 		wave := &record.Wave{Number: 1, Machines: []string{"m-s1", "m-s2", "m-s3"}, Duration: 60_000, Cap: 1}
 		time.Sleep(5 * time.Second)
-		if err := w.dispatcher.Wave(t.Context(), wave); err != nil {
+		if err := w.dispatcher.StartWave(t.Context(), wave); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
@@ -704,7 +704,7 @@
 		w.submit("a", newStep(12, 1000))
 		next := testDocument()
 		next.Version, next.Queues = 2, nil
-		if err := w.dispatcher.Put(t.Context(), next); err != nil {
+		if err := w.dispatcher.PutDocument(t.Context(), next); err != nil {
 			t.Fatal(err)
 		}
 		if answer := w.askFlow(inner.FlowVerb_FLOW_VERB_SUBMIT, "b", newStep(1, 1000)); code.Code(answer.GetCode()) != code.Forbidden {
@@ -715,7 +715,7 @@
 		time.Sleep(8 * time.Second)
 		restored := testDocument()
 		restored.Version = 3
-		if err := w.dispatcher.Put(t.Context(), restored); err != nil {
+		if err := w.dispatcher.PutDocument(t.Context(), restored); err != nil {
 			t.Fatal(err)
 		}
 		if got := w.flowState("a"); got != stateDone {
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -238,8 +238,8 @@
 	return w.callWorker(ctx, c)
 }
 
-// StartUpkeep takes a worker down for two seconds.
-func (w *testCluster) StartUpkeep(_ context.Context, machine string, _, fence uint64) dispatch.UpkeepResult {
+// StartMaintenance takes a worker down for two seconds.
+func (w *testCluster) StartMaintenance(_ context.Context, machine string, _, fence uint64) dispatch.MaintenanceResult {
 	id := strings.TrimPrefix(machine, "m-")
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -247,7 +247,7 @@
 		w.firstUpkeepOrders[fence] = w.now()
 	}
 	if w.underUpkeep[id] {
-		return dispatch.UpkeepStarted
+		return dispatch.MaintenanceStarted
 	}
 	w.underUpkeep[id] = true
 	downCount := 0
@@ -267,7 +267,7 @@
 		w.mu.Unlock()
 		w.reportUntilAccepted(id, backend.Incarnation+1)
 	})
-	return dispatch.UpkeepStarted
+	return dispatch.MaintenanceStarted
 }
 
 var keyHash = sha256.Sum256([]byte("key"))
@@ -287,7 +287,7 @@
 	doc.Version = 2
 	doc.Queues[0].Factor, doc.Queues[0].Target = 1.5, 250
 	doc.Queues = append(doc.Queues, &v1.Queue{Name: "later", Host: "host", Path: "/later/", Pool: "pool", Timeout: 3000, Priority: 1})
-	if err := w.dispatcher.Put(w.t.Context(), doc); err != nil {
+	if err := w.dispatcher.PutDocument(w.t.Context(), doc); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -303,7 +303,7 @@
 	w.committedRecord = w.ledger.Record()
 	go w.run()
 	w.electNewLeader()
-	if err := w.dispatcher.Put(t.Context(), testDocument()); err != nil {
+	if err := w.dispatcher.PutDocument(t.Context(), testDocument()); err != nil {
 		t.Fatal(err)
 	}
 	for i := range n {
@@ -378,7 +378,7 @@
 
 func (w *testCluster) sendReport(id string, incarnation int64, leaving bool) *code.Error {
 	size := &v1.Size{Cpu: w.capacity.CPU, Memory: w.capacity.Memory}
-	return w.dispatcher.Report(w.t.Context(), dispatch.Report{FlowServer: &record.FlowServer{
+	return w.dispatcher.AcceptReport(w.t.Context(), dispatch.Report{FlowServer: &record.FlowServer{
 		Id: id, Born: incarnation, Address: id, Zone: zoneOf(id), Pool: "pool", Machine: "m-" + id, Capacity: size, Leaving: leaving,
 	}, Remaining: 2000})
 }
--- a/internal/control/dispatch/lists.go
+++ b/internal/control/dispatch/lists.go
@@ -13,7 +13,7 @@
 func (d *Dispatcher) applyRunList(s *session, a *inner.ServerAnswer, sentAt, receivedAt time.Duration) {
 	s.listCount++
 	for _, entry := range a.GetRunning() {
-		id := flow.RunOf(entry.GetRun())
+		id := flow.RunIDFromMessage(entry.GetRun())
 		r := s.runs[id.TaskID]
 		if r == nil || r.Number != id.Number {
 			d.stopStrayRun(s, id)
@@ -24,7 +24,7 @@
 	}
 	ends := &record.FlowEnds{Server: s.id, Born: s.incarnation}
 	for _, entry := range a.GetEnded() {
-		id := flow.RunOf(entry.GetRun())
+		id := flow.RunIDFromMessage(entry.GetRun())
 		if r := s.runs[id.TaskID]; r != nil && r.Number == id.Number {
 			r.lastListNumber = s.listCount
 		}
@@ -63,7 +63,7 @@
 		return
 	}
 	for _, end := range ends.GetEnds() {
-		id := flow.RunOf(end.GetRun())
+		id := flow.RunIDFromMessage(end.GetRun())
 		r := s.runs[id.TaskID]
 		if r == nil || r.Number != id.Number {
 			continue
--- a/internal/control/dispatch/pace.go
+++ b/internal/control/dispatch/pace.go
@@ -13,7 +13,7 @@
 // adjustPace sets the pace of the fill tasks on a server from the tail latency of its
 // serving tasks in the latest run list.
 func (d *Dispatcher) adjustPace(s *session) {
-	var serving []pace.ServiceTask
+	var serving []pace.ServingTask
 	var fillRuns []*run
 	for _, r := range s.runs {
 		step, ok := d.Host.Flows().Step(r.StepID)
@@ -22,7 +22,7 @@
 		case step.Spec.GetFills():
 			fillRuns = append(fillRuns, r)
 		case step.Spec.GetTarget() > 0:
-			serving = append(serving, pace.ServiceTask{TailLatency: r.load, TargetLatency: float64(step.Spec.GetTarget())})
+			serving = append(serving, pace.ServingTask{TailLatency: r.load, TargetLatency: float64(step.Spec.GetTarget())})
 		}
 	}
 	s.mixesFillAndServing = len(fillRuns) > 0 && len(serving) > 0
--- a/internal/control/dispatch/plan.go
+++ b/internal/control/dispatch/plan.go
@@ -36,7 +36,7 @@
 	for _, s := range d.leader.sortedSessions {
 		b, ok := ledger.Server(s.id)
 		if ok && ledger.AcceptsWork(b) && b.StartedAtMs == s.incarnation && s.isUsable(now) && !d.leader.drainingForUpkeep[s.id] {
-			view.Servers = append(view.Servers, steps.Server{Server: b, Speed: d.relativeSpeed(s), Cold: clock < b.WarmUpEndsAt, RecentlyStarted: isFresh(b, clock), OnProbation: now < s.probationUntil, ShortLease: d.leader.urgentServers[b.Pool].Contains(s.id)})
+			view.Servers = append(view.Servers, steps.Server{Server: b, Speed: d.relativeSpeed(s), InSlowStart: clock < b.SlowStartEndsAt, RecentlyStarted: isFresh(b, clock), OnProbation: now < s.probationUntil, ShortLease: d.leader.urgentServers[b.Pool].Contains(s.id)})
 		}
 	}
 	view.Headroom = func(pool string) steps.Headroom { return d.headroom(pool, poolCapacity(view.Servers, pool), now) }
@@ -167,7 +167,7 @@
 
 // addPlacedRun adds a run that was just placed to its session.
 func (d *Dispatcher) addPlacedRun(place *record.FlowPlace, urgent bool, now time.Duration) *run {
-	id := flow.RunOf(place.GetRun())
+	id := flow.RunIDFromMessage(place.GetRun())
 	b, _ := d.Host.Flows().Server(place.GetServer())
 	r := &run{RunID: id, allocation: b.HeldRuns[id.TaskID], placedAt: now, urgent: urgent}
 	if advice := d.leader.adviceByStep[id.StepID]; advice != nil {
--- a/internal/control/dispatch/server.go
+++ b/internal/control/dispatch/server.go
@@ -24,9 +24,9 @@
 	Remaining int64
 }
 
-// Report processes a report of a backend server. It returns when all changes from the
+// AcceptReport processes a report of a backend server. It returns when all changes from the
 // report are committed. After it is acknowledged, a leaving server gets no new tasks.
-func (d *Dispatcher) Report(ctx context.Context, r Report) *code.Error {
+func (d *Dispatcher) AcceptReport(ctx context.Context, r Report) *code.Error {
 	receivedAt := d.Now()
 	fault, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
 		d.handleReport(r, reply)
@@ -96,7 +96,7 @@
 // staysColdLonger reports whether the server announces a longer slow start than the ledger
 // has.
 func (d *Dispatcher) staysColdLonger(b *flows.Server, r *record.FlowServer) bool {
-	return d.Host.LedgerTime()+time.Duration(r.GetCold())*time.Millisecond > max(b.WarmUpEndsAt, d.Host.LedgerTime())+coldMargin
+	return d.Host.LedgerTime()+time.Duration(r.GetCold())*time.Millisecond > max(b.SlowStartEndsAt, d.Host.LedgerTime())+coldMargin
 }
 
 // isUnchanged reports whether the report equals the server's state in the ledger.
@@ -106,9 +106,9 @@
 		b.Capacity == size && slices.Equal(b.Labels, r.GetLabels()) && (b.ShuttingDown || !r.GetLeaving())
 }
 
-// Leave handles the notice that a server exits. Its runs count as running until their end
+// AcceptExitNotice handles the notice that a server exits. Its runs count as running until their end
 // is proved, because the notice may be a delayed one of an earlier incarnation.
-func (d *Dispatcher) Leave(ctx context.Context, id string) *code.Error {
+func (d *Dispatcher) AcceptExitNotice(ctx context.Context, id string) *code.Error {
 	_, err := runOnLeader(ctx, d, errDeposed, func(reply func(struct{})) {
 		if b, ok := d.Host.Flows().Server(id); ok && !b.Ended && !b.ShuttingDown {
 			leaving := serverRecord(b)
--- a/internal/control/dispatch/wave.go
+++ b/internal/control/dispatch/wave.go
@@ -26,30 +26,30 @@
 
 // Machines starts the upkeep of machines through the platform that owns them.
 type Machines interface {
-	// StartUpkeep takes a machine down for upkeep. Repeating an order that was already
+	// StartMaintenance takes a machine down for upkeep. Repeating an order that was already
 	// executed is not an error.
-	StartUpkeep(ctx context.Context, machine string, wave, fence uint64) UpkeepResult
+	StartMaintenance(ctx context.Context, machine string, wave, fence uint64) MaintenanceResult
 }
 
-// UpkeepResult is the result of an upkeep order.
-type UpkeepResult uint8
+// MaintenanceResult is the result of an upkeep order.
+type MaintenanceResult uint8
 
 // Results of an upkeep order.
 const (
-	// UpkeepUnconfirmed means that the order may have been executed or may still be
+	// MaintenanceUnconfirmed means that the order may have been executed or may still be
 	// executed.
-	UpkeepUnconfirmed UpkeepResult = iota
-	// UpkeepStarted means that the machine is down, or has already been down for this
+	MaintenanceUnconfirmed MaintenanceResult = iota
+	// MaintenanceStarted means that the machine is down, or has already been down for this
 	// upkeep.
-	UpkeepStarted
-	// UpkeepBusy means that the order was not executed and may be repeated.
-	UpkeepBusy
-	// UpkeepUnknownMachine means that the machine no longer exists.
-	UpkeepUnknownMachine
+	MaintenanceStarted
+	// MaintenanceBusy means that the order was not executed and may be repeated.
+	MaintenanceBusy
+	// MaintenanceUnknownMachine means that the machine no longer exists.
+	MaintenanceUnknownMachine
 )
 
-// Wave adds an upkeep wave to the ledger and returns when it is committed.
-func (d *Dispatcher) Wave(ctx context.Context, w *record.Wave) *code.Error {
+// StartWave adds an upkeep wave to the ledger and returns when it is committed.
+func (d *Dispatcher) StartWave(ctx context.Context, w *record.Wave) *code.Error {
 	fault, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
 		if err := d.Host.ApplyCommand(&record.Flow{What: &record.Flow_Wave{Wave: w}}); err != nil {
 			reply(err)
@@ -194,10 +194,10 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, upkeepOrderTimeout)
 		defer cancel()
-		outcome := d.Machines.StartUpkeep(ctx, name, number, term)
+		outcome := d.Machines.StartMaintenance(ctx, name, number, term)
 		d.postInTerm(term, func() {
 			event.Log(d.Log, event.MachineOrdered, "wave", number, "machine", name, "outcome", int(outcome))
-			if outcome == UpkeepUnknownMachine {
+			if outcome == MaintenanceUnknownMachine {
 				d.recordUpkeepDone(w, m)
 			}
 		})
--- a/internal/control/dispatch/zone.go
+++ b/internal/control/dispatch/zone.go
@@ -12,9 +12,9 @@
 	"gypsumreel/internal/policy/steps"
 )
 
-// Zone starts or ends the drain of an availability zone. It returns when the change is
+// SetZoneDrain starts or ends the drain of an availability zone. It returns when the change is
 // committed. From the commit of a drain on, no leader starts a task in the zone.
-func (d *Dispatcher) Zone(ctx context.Context, zone string, drain bool) *code.Error {
+func (d *Dispatcher) SetZoneDrain(ctx context.Context, zone string, drain bool) *code.Error {
 	fault, err := runOnLeader(ctx, d, errDeposed, func(reply func(*code.Error)) {
 		if ctx.Err() != nil {
 			// The sender has given up and may have sent the opposite order to another
@@ -85,7 +85,7 @@
 	}
 	for _, s := range d.leader.sortedSessions {
 		b, known := ledger.Server(s.id)
-		if known && ledger.AcceptsWork(b) && s.isUsable(now) && b.Pool == q.GetPool() && steps.HasLabel(step.Spec.GetLabel(), b) && flow.SizeOf(step.Spec).Fits(b.FreeCapacity()) {
+		if known && ledger.AcceptsWork(b) && s.isUsable(now) && b.Pool == q.GetPool() && steps.HasLabel(step.Spec.GetLabel(), b) && flow.TaskSize(step.Spec).Fits(b.FreeCapacity()) {
 			return true
 		}
 	}
--- a/internal/control/dispatch/zone_test.go
+++ b/internal/control/dispatch/zone_test.go
@@ -20,7 +20,7 @@
 // markZone starts or ends the drain of a zone and fails the test if that is refused.
 func (w *testCluster) markZone(zone string, drain bool) {
 	w.t.Helper()
-	if err := w.dispatcher.Zone(w.t.Context(), zone, drain); err != nil {
+	if err := w.dispatcher.SetZoneDrain(w.t.Context(), zone, drain); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -210,7 +210,7 @@
 func TestUnknownZoneIsRefused(t *testing.T) {
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		for _, name := range []string{"", "nowhere"} {
-			if err := w.dispatcher.Zone(t.Context(), name, true); err == nil || err.Code != code.NotFound {
+			if err := w.dispatcher.SetZoneDrain(t.Context(), name, true); err == nil || err.Code != code.NotFound {
 				t.Errorf("drain of unknown zone %q returned %v", name, err)
 			}
 		}
@@ -224,7 +224,7 @@
 		release := make(chan struct{})
 		w.Post(func() { <-release })
 		answered := make(chan struct{})
-		go func() { _ = w.dispatcher.Zone(ctx, "x", true); close(answered) }()
+		go func() { _ = w.dispatcher.SetZoneDrain(ctx, "x", true); close(answered) }()
 		time.Sleep(time.Millisecond)
 		cancel()
 		<-answered
@@ -276,7 +276,7 @@
 			if id == "s1" {
 				r.Cold = 5000
 			}
-			if err := w.dispatcher.Report(t.Context(), r); err != nil {
+			if err := w.dispatcher.AcceptReport(t.Context(), r); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/control/entry/entry.go
+++ b/internal/control/entry/entry.go
@@ -37,11 +37,11 @@
 	Leader *leader.Leader
 	// Now is the group's monotonic clock.
 	Now func() time.Duration
-	// Dumper returns the state of the process for a person to read.
-	Dumper func() any
-	// MaxDump bounds a dump in bytes; 0 for the default of package dump.
-	MaxDump int
-	Log     logr.Logger
+	// DumpState returns the state of the process for a person to read.
+	DumpState func() any
+	// MaxDumpBytes bounds a dump in bytes; 0 for the default of package dump.
+	MaxDumpBytes int
+	Log          logr.Logger
 
 	members roll
 	limit   event.RateLimiter
@@ -108,10 +108,10 @@
 
 // Dump returns the state of this process.
 func (s *Server) Dump(context.Context, *v1.DumpRequest) (*v1.DumpReply, error) {
-	if s.Dumper == nil {
+	if s.DumpState == nil {
 		return &v1.DumpReply{Status: &v1.Status{}}, nil
 	}
-	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Render(s.Dumper(), s.MaxDump)}, nil
+	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Render(s.DumpState(), s.MaxDumpBytes)}, nil
 }
 
 // patience returns how long a Pull is held open. An entry takes one that lasts
@@ -160,9 +160,9 @@
 	return b
 }
 
-// WakeAll lets all waiting Pulls return, so that entries learn at once of a new
+// WakeMailboxes lets all waiting Pulls return, so that entries learn at once of a new
 // revision of the table.
-func (s *Server) WakeAll() {
+func (s *Server) WakeMailboxes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, b := range s.boxes {
@@ -170,8 +170,8 @@
 	}
 }
 
-// CloseAll ends all mailboxes; the control process calls it when it stops to lead.
-func (s *Server) CloseAll() {
+// CloseMailboxes ends all mailboxes; the control process calls it when it stops to lead.
+func (s *Server) CloseMailboxes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closeAll()
--- a/internal/control/entry/roll.go
+++ b/internal/control/entry/roll.go
@@ -118,9 +118,9 @@
 // that each has confirmed.
 func (s *Server) Entries() []*v1.MemberLine { return s.members.lines(s.Now()) }
 
-// Look raises an alarm for each entry that does not confirm the table's
+// LogTableConfirmations raises an alarm for each entry that does not confirm the table's
 // revision. It is called about once a second.
-func (s *Server) Look() {
+func (s *Server) LogTableConfirmations() {
 	st := s.Leader.Status()
 	if !st.Leads {
 		s.members.clear()
@@ -135,8 +135,8 @@
 	}
 }
 
-// Box is one mailbox as a dump shows it.
-type Box struct {
+// MailboxView is one mailbox as a dump shows it.
+type MailboxView struct {
 	Entry   string
 	Session uint64
 	// Replies are those that wait to be fetched.
@@ -145,14 +145,14 @@
 	Idle float64
 }
 
-// Boxes lists the mailboxes.
-func (s *Server) Boxes() []Box {
+// Mailboxes lists the mailboxes.
+func (s *Server) Mailboxes() []MailboxView {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []Box
+	var out []MailboxView
 	for n, b := range s.boxes {
-		out = append(out, Box{Entry: n.Entry, Session: n.Session, Replies: b.Len(), Idle: b.IdleTime().Seconds()})
+		out = append(out, MailboxView{Entry: n.Entry, Session: n.Session, Replies: b.Len(), Idle: b.IdleTime().Seconds()})
 	}
-	slices.SortFunc(out, func(a, b Box) int { return strings.Compare(a.Entry, b.Entry) })
+	slices.SortFunc(out, func(a, b MailboxView) int { return strings.Compare(a.Entry, b.Entry) })
 	return out
 }
--- a/internal/control/entry/roll_test.go
+++ b/internal/control/entry/roll_test.go
@@ -83,7 +83,7 @@
 	serve(t, func(s *entry.Server, l *leader.Leader, log *bytes.Buffer) {
 		digest := key.Digest("secret")
 		pull(t, s, "e1", 0, 10) // makes its mailbox
-		s.Look()
+		s.LogTableConfirmations()
 		_, err := s.Push(context.Background(), &inner.PushRequest{Cell: "rail", Entry: "e1", Session: 1, Items: []*inner.Item{{
 			Seq: 1, Credential: &inner.Credential{Id: "op", Digest: digest[:]}, Ask: &inner.Item_Change{Change: &v1.ChangeRequest{
 				Id: "1", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{{Row: &v1.Row{Team: "rail", Weight: 1, Limit: &v1.Size{}}}}}},
@@ -99,14 +99,14 @@
 		for range 8 {
 			pull(t, s, "e1", 1, 10)
 			pull(t, s, "e2", 0, 10)
-			s.Look()
+			s.LogTableConfirmations()
 			time.Sleep(time.Second)
 		}
 		if n := strings.Count(log.String(), `"name":"table-unconfirmed","process":"e2"`); n != 1 || strings.Contains(log.String(), `"process":"e1"`) {
 			t.Error(log.String())
 		}
 		pull(t, s, "e2", 1, 10)
-		s.Look()
+		s.LogTableConfirmations()
 		if !strings.Contains(log.String(), `"name":"table-confirmed","process":"e2"`) {
 			t.Error(log.String())
 		}
--- a/internal/control/leader/answer.go
+++ b/internal/control/leader/answer.go
@@ -15,14 +15,14 @@
 type answerState struct {
 	// headsByJob caches the heads of answers that are being fetched, by job number. The
 	// answer of an ended job never changes.
-	headsByJob map[uint64]answer.Head
+	headsByJob map[uint64]answer.Header
 	// partialSizes are the sizes in bytes of the answers that unfinished jobs have
 	// returned so far, by job number.
 	partialSizes map[uint64]int
 }
 
 func newAnswerState() answerState {
-	return answerState{headsByJob: map[uint64]answer.Head{}, partialSizes: map[uint64]int{}}
+	return answerState{headsByJob: map[uint64]answer.Header{}, partialSizes: map[uint64]int{}}
 }
 
 // answerChunk returns one chunk of an ended job's answer, or nil when there is no
@@ -32,15 +32,15 @@
 	pieces := l.ledger.TaskAnswers(j)
 	h, ok := l.leadership.answerCache.headsByJob[j.Number]
 	if !ok {
-		h = answer.NewHead(pieces)
+		h = answer.NewHeader(pieces)
 		if len(l.leadership.answerCache.headsByJob) >= maxCachedHeads {
 			clear(l.leadership.answerCache.headsByJob)
 		}
-		if answer.Count(h.Total) > 1 {
+		if answer.ChunkCount(h.Total) > 1 {
 			l.leadership.answerCache.headsByJob[j.Number] = h
 		}
 	}
-	return h.Cut(pieces, number)
+	return h.ChunkAt(pieces, number)
 }
 
 // withinAnswerLimit returns a task's answer, or nil when it would make the job's
@@ -52,7 +52,7 @@
 	if !ok {
 		return data
 	}
-	if j.Spec.Count <= answer.MaxJob/answer.MaxTotal {
+	if j.Spec.Count <= answer.MaxJobAnswer/answer.MaxTaskAnswer {
 		return data // so few tasks cannot exceed the limit
 	}
 	size, ok := l.leadership.answerCache.partialSizes[jobNumber]
@@ -61,7 +61,7 @@
 			size += len(p)
 		}
 	}
-	if size+len(data) > answer.MaxJob {
+	if size+len(data) > answer.MaxJobAnswer {
 		l.applyAndQueue(&record.Command{What: &record.Command_Drop{Drop: &record.Drop{Job: jobNumber, Code: uint32(code.TooLarge)}}})
 		return nil
 	}
--- a/internal/control/leader/decide.go
+++ b/internal/control/leader/decide.go
@@ -154,14 +154,14 @@
 	w.leader.leadership.planNeeded = true
 }
 
-// TaskQueued passes a waiting task to the planner.
-func (w ledgerWatcher) TaskQueued(j *state.Job, t *state.Task) {
+// WaitingAdded passes a waiting task to the planner.
+func (w ledgerWatcher) WaitingAdded(j *state.Job, t *state.Task) {
 	w.leader.leadership.planner.AddWaiting(plan.WaitingTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.AcceptedAt, Attempts: t.Attempt})
 	w.leader.leadership.planNeeded = true
 }
 
-// TaskUnqueued tells the planner that a task is no longer waiting.
-func (w ledgerWatcher) TaskUnqueued(id task.ID) { w.leader.leadership.planner.RemoveWaiting(id) }
+// WaitingRemoved tells the planner that a task is no longer waiting.
+func (w ledgerWatcher) WaitingRemoved(id task.ID) { w.leader.leadership.planner.RemoveWaiting(id) }
 
 // TaskPlaced passes a placement to the planner and marks the session of its server as
 // updated.
@@ -182,8 +182,8 @@
 	return plan.PlacedTask{ID: t.ID, Job: j.Spec, AcceptedAt: j.AcceptedAt, Server: t.Server, PlacedAt: t.PhaseSince, Stopping: t.Phase == state.Stopping}
 }
 
-// TaskReleased tells the planner that an attempt no longer runs.
-func (w ledgerWatcher) TaskReleased(_ *state.Job, t *state.Task, end state.AttemptEnd) {
+// AttemptEnded tells the planner that an attempt no longer runs.
+func (w ledgerWatcher) AttemptEnded(_ *state.Job, t *state.Task, end state.AttemptEnd) {
 	w.leader.recordRelease(t, end)
 	w.leader.leadership.planner.EndAttempt(t.ID, plan.AttemptEnd{EndedAt: w.leader.ledger.Now(), Started: end.Started, Failed: end.Failed, ServerLost: end.Lost})
 	w.leader.leadership.planNeeded = true
@@ -217,7 +217,7 @@
 			// new work under a lease that is about to expire.
 			l.markServer(b.ID, backend.Suspect)
 		}
-		if lead.leases.Over(b.ID, now) {
+		if lead.leases.Expired(b.ID, now) {
 			l.applyAndQueue(&record.Command{What: &record.Command_Fence{Fence: &record.Fence{Server: b.ID, Incarnation: b.Incarnation}}})
 			delete(lead.sessions, b.ID)
 			lead.leases.Forget(b.ID)
--- a/internal/control/leader/eventlog_test.go
+++ b/internal/control/leader/eventlog_test.go
@@ -164,7 +164,7 @@
 		const count = 34
 		b := h.announceServer("b1", 4000)
 		h.submitAndReply(&v1.Spec{Id: "wide", Kind: v1.Kind_KIND_BATCH, Count: count, Size: &v1.Size{Cpu: 10}})
-		data := bytes.Repeat([]byte("q"), answer.MaxTotal)
+		data := bytes.Repeat([]byte("q"), answer.MaxTaskAnswer)
 		var reports []*v1.Report
 		for range 12 { // the server has 8 slots
 			for _, a := range startOrders(b.syncAndWait(reports...)) {
@@ -175,16 +175,16 @@
 		}
 		waitReply := h.waitOutcome("wide")
 		expectCode(t, code.TooLarge, waitReply.GetStatus())
-		if waitReply.GetOutcome() != v1.Outcome_OUTCOME_DONE || waitReply.GetChunk().GetTotal() != answer.MaxJob {
+		if waitReply.GetOutcome() != v1.Outcome_OUTCOME_DONE || waitReply.GetChunk().GetTotal() != answer.MaxJobAnswer {
 			t.Fatalf("outcome %v, answer of %d bytes", waitReply.GetOutcome(), waitReply.GetChunk().GetTotal())
 		}
 		h.withLedger(func(s *state.State) {
 			j, _ := s.FindJob(state.RequestID{Team: "rail", ID: "wide"})
-			if len(s.JobAnswer(j)) != answer.MaxJob {
+			if len(s.JobAnswer(j)) != answer.MaxJobAnswer {
 				t.Error("the ledger's answer does not have answer.MaxJob bytes")
 			}
 		})
-		last := answer.Count(answer.MaxJob) - 1
+		last := answer.ChunkCount(answer.MaxJobAnswer) - 1
 		waitSeq := h.push(&inner.Item{Credential: h.credential("rail1"), Ask: &inner.Item_Wait{Wait: &v1.WaitRequest{Id: "wide", Chunk: last}}})
 		if got := h.mustReply(waitSeq).GetWait().GetChunk(); got.GetNumber() != last || got.GetSum() != waitReply.GetChunk().GetSum() || len(got.GetData()) != answer.ChunkSize {
 			t.Error("the last chunk of the answer is wrong or missing")
--- a/internal/control/leader/inspect.go
+++ b/internal/control/leader/inspect.go
@@ -155,7 +155,7 @@
 		if !ok || b.Server.State == backend.Gone {
 			continue
 		}
-		out.insert(LeaseView{id, displayedState(b), (now - s.lastSyncAt).Seconds(), l.leadership.leases.Left(id, now).Seconds(), l.ledger.PlacedTaskCount(id)})
+		out.insert(LeaseView{id, displayedState(b), (now - s.lastSyncAt).Seconds(), l.leadership.leases.Remaining(id, now).Seconds(), l.ledger.PlacedTaskCount(id)})
 	}
 	return out.kept
 }
--- a/internal/control/leader/leader.go
+++ b/internal/control/leader/leader.go
@@ -219,7 +219,7 @@
 // New returns a control thread with the default settings.
 func New() *Leader {
 	l := &Leader{
-		LeaseTerms:         lease.Terms{Length: lease.DefaultLength, Drift: lease.DefaultDrift},
+		LeaseTerms:         lease.Terms{Length: lease.DefaultLength, MaxClockDrift: lease.DefaultMaxClockDrift},
 		SyncTimeout:        DefaultSyncTimeout,
 		Retention:          DefaultRetention,
 		MaxPollWait:        DefaultMaxPollWait,
--- a/internal/control/leader/leader_test.go
+++ b/internal/control/leader/leader_test.go
@@ -41,7 +41,7 @@
 		if len(r.GetOrders()) != 1 || r.GetOrders()[0].GetVerb() != v1.Verb_VERB_FORGET {
 			t.Errorf("orders after the attempt ended: %v", r.GetOrders())
 		}
-		want := &v1.WaitReply{Id: "plan", Outcome: v1.Outcome_OUTCOME_DONE, Status: &v1.Status{Text: "0: ok"}, Chunk: answer.Cut([]byte("forty trucks"), 0)}
+		want := &v1.WaitReply{Id: "plan", Outcome: v1.Outcome_OUTCOME_DONE, Status: &v1.Status{Text: "0: ok"}, Chunk: answer.ChunkAt([]byte("forty trucks"), 0)}
 		if diff := cmp.Diff(want, h.mustReply(waitSeq).GetWait(), protocmp.Transform()); diff != "" {
 			t.Errorf("reply to the wait: %s", diff)
 		}
@@ -166,7 +166,7 @@
 			}
 		}
 		var movedAttempts []*v1.Attempt
-		for h.group.now() < silentSince+2*h.leader.LeaseTerms.Wait() && movedAttempts == nil {
+		for h.group.now() < silentSince+2*h.leader.LeaseTerms.ExpiryWait() && movedAttempts == nil {
 			movedAttempts = startOrders(otherServer.syncAndWait())
 		}
 		if len(movedAttempts) != 1 || movedAttempts[0].GetNumber() != 2 {
--- a/internal/control/leader/leadership.go
+++ b/internal/control/leader/leadership.go
@@ -34,7 +34,7 @@
 	confirmedAt         time.Duration
 	leadershipConfirmed bool
 	planner             plan.Planner
-	leases              *lease.Book
+	leases              *lease.Tracker
 	// pendingCommands are the encoded commands that are not yet handed to the
 	// group.
 	pendingCommands [][]byte
@@ -114,7 +114,7 @@
 		lastIndex:         n.LastIndex,
 		commitIndex:       n.LastIndex,
 		planner:           l.NewPlanner(),
-		leases:            lease.NewBook(l.LeaseTerms, n.ElectedAt),
+		leases:            lease.NewTracker(l.LeaseTerms, n.ElectedAt),
 		parkedWaits:       map[state.RequestID][]*parkedWait{},
 		sessions:          map[string]*session{},
 		updatedServers:    map[string]bool{},
@@ -139,7 +139,7 @@
 		l.Extension.OnElected(n.Term, n.ElectedAt)
 	}
 	if l.leadership.reported.runningTasks > 0 {
-		event.Log(l.Log, event.RecoveryWait, "wait", l.LeaseTerms.Wait().String(), "tasks", l.leadership.reported.runningTasks)
+		event.Log(l.Log, event.RecoveryWait, "wait", l.LeaseTerms.ExpiryWait().String(), "tasks", l.leadership.reported.runningTasks)
 	}
 }
 
@@ -164,7 +164,7 @@
 			case t.Phase.HoldsCapacity():
 				ledgerWatcher{l}.TaskPlaced(j, t)
 			case t.Phase == state.Queued:
-				ledgerWatcher{l}.TaskQueued(j, t)
+				ledgerWatcher{l}.WaitingAdded(j, t)
 			}
 		})
 	}
--- a/internal/control/leader/session.go
+++ b/internal/control/leader/session.go
@@ -36,7 +36,7 @@
 	syncNumber uint64
 	// reportedPhases are the attempt phases listed in the latest sync.
 	reportedPhases map[task.Attempt]v1.Phase
-	answerParts    map[task.Attempt]*answer.Parts
+	answerParts    map[task.Attempt]*answer.Assembler
 	// stopSentAt is when a stop order for an attempt was last sent.
 	stopSentAt map[task.Attempt]time.Duration
 	// throttlePending are the attempts whose throttle order is still to be sent.
@@ -52,7 +52,7 @@
 	if s == nil || s.incarnation != b.Incarnation {
 		s = &session{
 			incarnation: b.Incarnation, lastSyncAt: l.Now(),
-			reportedPhases: map[task.Attempt]v1.Phase{}, answerParts: map[task.Attempt]*answer.Parts{},
+			reportedPhases: map[task.Attempt]v1.Phase{}, answerParts: map[task.Attempt]*answer.Assembler{},
 			stopSentAt: map[task.Attempt]time.Duration{}, throttlePending: map[task.Attempt]bool{},
 		}
 		l.leadership.sessions[b.ID] = s
@@ -162,7 +162,7 @@
 func (l *Leader) assembleAnswer(s *session, a task.Attempt, chunks []*v1.Chunk) ([]byte, bool) {
 	parts := s.answerParts[a]
 	if parts == nil {
-		parts = &answer.Parts{}
+		parts = &answer.Assembler{}
 		s.answerParts[a] = parts
 	}
 	for _, c := range chunks {
@@ -172,7 +172,7 @@
 			return nil, false
 		}
 	}
-	data, ok, err := parts.Whole()
+	data, ok, err := parts.Assemble()
 	if err != nil {
 		l.logLimiter.Log(l.Log, event.DigestMismatch, "job", a.Job, "task", a.Index, "error", err.Error())
 		delete(s.answerParts, a)
--- a/internal/control/node/assemble.go
+++ b/internal/control/node/assemble.go
@@ -31,13 +31,13 @@
 	a := &assembly{handshake: n.handshake(self)}
 	a.group = &group.Group{
 		Journal: newDisk(d.journal, n.meters, n.Log), Snapshots: newArchive(&d.snapshots, n.meters, n.Log),
-		Recovered: d.saved, Now: n.now, MinFreeBytes: n.Room, Metrics: n.meters, Log: n.Log,
+		Recovered: d.saved, Now: n.now, MinFreeBytes: n.MinFreeBytes, Metrics: n.meters, Log: n.Log,
 	}
 	n.group.Store(a.group)
-	a.service = &entry.Server{Cell: n.Cell, Leader: n.Control, Now: n.now, Dumper: n.State, MaxDump: n.MaxDump, Log: n.Log}
+	a.service = &entry.Server{Cell: n.Cell, Leader: n.Control, Now: n.now, DumpState: n.State, MaxDumpBytes: n.MaxDumpBytes, Log: n.Log}
 	n.service.Store(a.service)
 	n.Control.EntryMembers = a.service.Entries
-	n.Control.OnDeposed, n.Control.OnTableRevision = a.service.CloseAll, a.service.WakeAll
+	n.Control.OnDeposed, n.Control.OnTableRevision = a.service.CloseMailboxes, a.service.WakeMailboxes
 	// Before anything can come in: what arrives is checked against the identity.
 	n.configure(self, a.group)
 	a.transport = n.transport(self.ID, a.group.Receive)
@@ -46,18 +46,18 @@
 	mux.Handle("/twirp/gypsumreel.inner.Control/", a.service.Handler())
 	mux.Handle("/twirp/gypsumreel.inner.Bootstrap/", n.replicas(a.handshake.Handler()))
 	mux.Handle("/", n.replicas(a.transport.Handler()))
-	if n.Routes != nil {
-		n.Routes(mux)
+	if n.AddRoutes != nil {
+		n.AddRoutes(mux)
 	}
-	a.server = n.server(mux, n.Server)
+	a.server = n.server(mux, n.ServerTLS)
 	return a
 }
 
 func (n *Node) transport(id string, receive func(from string, data []byte)) Transport {
-	if n.Transport != nil {
-		return n.Transport(id, receive)
+	if n.NewTransport != nil {
+		return n.NewTransport(id, receive)
 	}
-	return &peer.Pool{Cell: n.Cell, Self: id, TLS: n.Peers, Deliver: receive, OnEvent: n.event}
+	return &peer.Transport{Cell: n.Cell, Self: id, TLS: n.PeerTLS, Deliver: receive, OnEvent: n.event}
 }
 
 // event logs what an operator may want to know of the way to the others.
@@ -77,12 +77,12 @@
 func (n *Node) configure(self quorum.Member, g *group.Group) {
 	cfg := &g.Config
 	cfg.ID, cfg.Address = self.ID, self.Address
-	cfg.HeartbeatInterval, cfg.ElectionTimeout, cfg.MaxElectionTimeout = n.Heartbeat, n.Election, n.Patience
+	cfg.HeartbeatInterval, cfg.ElectionTimeout, cfg.MaxElectionTimeout = n.HeartbeatInterval, n.ElectionTimeout, n.MaxElectionTimeout
 	var seed [8]byte
 	_, _ = rand.Read(seed[:])
 	cfg.Seed = binary.LittleEndian.Uint64(seed[:])
 	l := n.Control
-	l.Group, l.Now, l.RootKey, l.Log, l.Metrics = g, n.now, n.Root, n.Log, n.meters
+	l.Group, l.Now, l.RootKey, l.Log, l.Metrics = g, n.now, n.RootKey, n.Log, n.meters
 	l.TransferLeadership = func() { go n.yield(g) }
 	l.MatchIndexes = func() map[string]uint64 { return matches(g.Dump()) }
 	if l.NewPlanner == nil {
--- a/internal/control/node/disk_test.go
+++ b/internal/control/node/disk_test.go
@@ -30,7 +30,7 @@
 // that it was the disk: whoever restarts it on the same one loses it again.
 func TestAFailedSyncIsAnAlarm(t *testing.T) {
 	var log bytes.Buffer
-	d := node.NewDisk(brokenDisk{}, metrics.NewSet(), event.New(&log, "info"))
+	d := node.NewMonitoredJournal(brokenDisk{}, metrics.NewSet(), event.New(&log, "info"))
 	if err := d.Sync(); !errors.Is(err, errDisk) {
 		t.Errorf("the error is lost: %v", err)
 	}
@@ -47,9 +47,9 @@
 		l := listen(t)
 		digest := make([]byte, 32)
 		n := &node.Node{
-			Cell: "test", Name: "c1", Data: data, Init: true, Listener: l, Address: l.Addr().String(), Log: event.New(log, "info"),
+			Cell: "test", Name: "c1", DataDir: data, InitCell: true, Listener: l, Address: l.Addr().String(), Log: event.New(log, "info"),
 			Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}},
-			Root:     &v1.KeyGrant{Id: "op", Operator: true, Digest: digest},
+			RootKey:  &v1.KeyGrant{Id: "op", Operator: true, Digest: digest},
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
--- a/internal/control/node/export_test.go
+++ b/internal/control/node/export_test.go
@@ -1,4 +1,4 @@
 package node
 
-// NewDisk is the journal that tells how its syncs went.
-var NewDisk = newDisk
+// NewMonitoredJournal is the journal that tells how its syncs went.
+var NewMonitoredJournal = newDisk
--- a/internal/control/node/found.go
+++ b/internal/control/node/found.go
@@ -12,13 +12,13 @@
 // found learns the first membership: from the other replicas when the group is
 // founded now, else from the disk.
 func (n *Node) found(ctx context.Context, a *assembly, self quorum.Member, saved quorum.PersistedState) error {
-	if !n.Init || !blank(saved) {
+	if !n.InitCell || !blank(saved) {
 		a.handshake.SetMembers(known(saved, self))
 		return nil
 	}
-	if len(n.Founders) > 0 {
-		if slices.ContainsFunc(n.Founders, func(m quorum.Member) bool { return m.ID == self.ID }) {
-			a.group.Config.InitialMembers = n.Founders
+	if len(n.InitialMembers) > 0 {
+		if slices.ContainsFunc(n.InitialMembers, func(m quorum.Member) bool { return m.ID == self.ID }) {
+			a.group.Config.InitialMembers = n.InitialMembers
 		}
 		return nil
 	}
@@ -29,11 +29,11 @@
 
 func (n *Node) handshake(self quorum.Member) *bootstrap.Handshake {
 	f := &bootstrap.Handshake{Cell: n.Cell, Self: self, Scheme: "http"}
-	if n.Client != nil {
+	if n.ClientTLS != nil {
 		f.Scheme = "https"
 	}
 	// No connection is kept: the founding happens once.
-	f.Client = &http.Client{Transport: &http.Transport{TLSClientConfig: n.Client, DialContext: n.Dial, DisableKeepAlives: true}}
+	f.Client = &http.Client{Transport: &http.Transport{TLSClientConfig: n.ClientTLS, DialContext: n.Dial, DisableKeepAlives: true}}
 	for _, r := range n.Replicas {
 		if r.ID != n.Name {
 			f.Peers = append(f.Peers, r)
--- a/internal/control/node/node.go
+++ b/internal/control/node/node.go
@@ -30,71 +30,71 @@
 	"gypsumreel/internal/replica/snapshot"
 )
 
-// DefaultHandover bounds the handing over of the lead at a planned stop.
-const DefaultHandover = 5 * time.Second
+// DefaultTransferTimeout bounds the handing over of the lead at a planned stop.
+const DefaultTransferTimeout = 5 * time.Second
 
 // headerTimeout bounds the reading of a request's header.
 const headerTimeout = 5 * time.Second
 
-// ErrJournalGone ends a replica that has its identity and no journal: it has
+// ErrJournalMissing ends a replica that has its identity and no journal: it has
 // forgotten for whom it voted, and would vote a second time under its old name.
-var ErrJournalGone = errors.New("the journal is gone and the identity is not; empty the data folder and add this replica as a new member")
+var ErrJournalMissing = errors.New("the journal is gone and the identity is not; empty the data folder and add this replica as a new member")
 
 // Node is the control daemon. The exported fields are set before Run.
 type Node struct {
 	Cell string
 	Name string
-	// Data is the folder of everything that must last.
-	Data string
-	// Init founds a new cell together with the other replicas.
-	Init bool
+	// DataDir is the folder of everything that must last.
+	DataDir string
+	// InitCell founds a new cell together with the other replicas.
+	InitCell bool
 	// Listener takes entries and other replicas.
 	Listener net.Listener
-	// Platform takes the platform's probes; nil for none.
-	Platform net.Listener
-	// Outside secures Platform; nil for plain text.
-	Outside *tls.Config
+	// ProbeListener takes the platform's probes; nil for none.
+	ProbeListener net.Listener
+	// ProbeTLS secures Platform; nil for plain text.
+	ProbeTLS *tls.Config
 	// Address is where the others reach this replica.
 	Address string
 	// Replicas are all control replicas of the settings, by name; this one among them.
 	Replicas []quorum.Member
-	// Server and Client secure connections inside the cell; nil for plain ones.
-	Server *tls.Config
-	Client *tls.Config
-	// Peers secures the way between replicas, for both ends; nil for plain text.
-	Peers *tls.Config
-	// Root is the first operator's key.
-	Root *v1.KeyGrant
+	// ServerTLS and Client secure connections inside the cell; nil for plain ones.
+	ServerTLS *tls.Config
+	ClientTLS *tls.Config
+	// PeerTLS secures the way between replicas, for both ends; nil for plain text.
+	PeerTLS *tls.Config
+	// RootKey is the first operator's key.
+	RootKey *v1.KeyGrant
 	// Control is the control thread, set up but for what Run adds.
-	Control   *leader.Leader
-	Heartbeat time.Duration
-	Election  time.Duration
-	Patience  time.Duration
-	Handover  time.Duration
+	Control            *leader.Leader
+	HeartbeatInterval  time.Duration
+	ElectionTimeout    time.Duration
+	MaxElectionTimeout time.Duration
+	TransferTimeout    time.Duration
 	// Clock is the clock that the parts share: that of package clock in a daemon,
 	// since it counts suspensions. Nil for the language's steady clock, which
 	// tests run on virtual time.
 	Clock func() time.Duration
-	// Founders are the identities that found a new cell, when they are known
+	// InitialMembers are the identities that found a new cell, when they are known
 	// beforehand; without them the replicas ask each other. A replica that is
 	// not among them waits to be taken in.
-	Founders []quorum.Member
-	// Nonce is where the identity of a blank disk is drawn from; nil for chance.
-	Nonce io.Reader
-	// Room is the room on the disk that is kept free, in bytes; 0 for the default.
-	Room uint64
-	// Routes adds services to the one for entries and other replicas; nil for none.
-	Routes func(mux *http.ServeMux)
-	// Transport makes the way to the other replicas; receive takes what they
+	InitialMembers []quorum.Member
+	// NonceSource is where the identity of a blank disk is drawn from; nil for chance.
+	NonceSource io.Reader
+	// MinFreeBytes is the room on the disk that is kept free, in bytes; 0 for the default.
+	MinFreeBytes uint64
+	// AddRoutes adds services to the one for entries and other replicas; nil for none.
+	AddRoutes func(mux *http.ServeMux)
+	// NewTransport makes the way to the other replicas; receive takes what they
 	// send. Nil for package peer.
-	Transport func(id string, receive func(from string, data []byte)) Transport
+	NewTransport func(id string, receive func(from string, data []byte)) Transport
 	// Dial opens connections to other replicas at the founding; nil for TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// Abort ends a planned stop at once when closed: the second signal.
 	Abort <-chan struct{}
-	// MaxDump bounds a dump in bytes; 0 for the default of package dump.
-	MaxDump int
-	Log     logr.Logger
+	// MaxDumpBytes bounds a dump in bytes; 0 for the default of package dump.
+	MaxDumpBytes int
+	Log          logr.Logger
 
 	once  sync.Once
 	done  chan struct{}
@@ -124,8 +124,8 @@
 		if n.Control == nil {
 			n.Control = leader.New()
 		}
-		if n.Handover == 0 {
-			n.Handover = DefaultHandover
+		if n.TransferTimeout == 0 {
+			n.TransferTimeout = DefaultTransferTimeout
 		}
 	})
 }
@@ -140,8 +140,8 @@
 // Now returns the time on the clock that the parts of the daemon share.
 func (n *Node) Now() time.Duration { n.init(); return n.now() }
 
-// Meters returns the set of the daemon's metrics.
-func (n *Node) Meters() *metrics.Set { n.init(); return n.meters }
+// Metrics returns the set of the daemon's metrics.
+func (n *Node) Metrics() *metrics.Set { n.init(); return n.meters }
 
 // Self returns NAME/NONCE of this replica; empty before Run has read its disk.
 func (n *Node) Self() string {
@@ -154,12 +154,12 @@
 func (n *Node) Run(ctx context.Context) error {
 	n.init()
 	defer close(n.done)
-	lock, err := member.AcquireLock(n.Data)
+	lock, err := member.AcquireLock(n.DataDir)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = lock.Release() }()
-	store := snapshot.Store{Dir: filepath.Join(n.Data, "snapshot")}
+	store := snapshot.Store{Dir: filepath.Join(n.DataDir, "snapshot")}
 	saved, err := load(store)
 	if err != nil {
 		return n.damaged(event.SnapshotDamaged, err)
@@ -176,7 +176,7 @@
 	}
 	if recovered.New && !fresh {
 		_ = log.Close()
-		return ErrJournalGone
+		return ErrJournalMissing
 	}
 	n.self.Store(self.ID)
 	saved.HardState, saved.Entries = recovered.HardState, recovered.Entries
@@ -189,7 +189,7 @@
 	return journal.Config{OnRollPostponed: func(err error) {
 		put.Inc()
 		event.LogError(n.Log, event.StoragePutOff, err, "what", "segment")
-	}}.Open(filepath.Join(n.Data, "journal"))
+	}}.Open(filepath.Join(n.DataDir, "journal"))
 }
 
 func load(store snapshot.Store) (quorum.PersistedState, error) {
@@ -202,11 +202,11 @@
 
 // identity returns this replica's own, and whether its disk is blank.
 func (n *Node) identity() (quorum.Member, bool, error) {
-	store := member.Store{Dir: n.Data}
+	store := member.Store{Dir: n.DataDir}
 	id, err := store.Load(n.Cell, n.Name)
 	fresh := errors.Is(err, member.ErrNoIdentity)
 	if fresh {
-		nonce := n.Nonce
+		nonce := n.NonceSource
 		if nonce == nil {
 			nonce = rand.Reader
 		}
@@ -241,10 +241,10 @@
 		})
 	}
 	run("listen", func() error { return listen(a.server, n.Listener) })
-	if n.Platform != nil {
-		probes := n.server(n.probes(), n.Outside)
+	if n.ProbeListener != nil {
+		probes := n.server(n.probes(), n.ProbeTLS)
 		defer func() { _ = probes.Close() }()
-		run("platform", func() error { return listen(probes, n.Platform) })
+		run("platform", func() error { return listen(probes, n.ProbeListener) })
 	}
 	if err := n.found(ctx, a, self, d.saved); err != nil {
 		if ctx.Err() != nil {
@@ -259,7 +259,7 @@
 	case err := <-faults:
 		return err
 	case <-ctx.Done():
-		event.Log(n.Log, event.StopBegun, "handover", n.Handover.String())
+		event.Log(n.Log, event.StopBegun, "handover", n.TransferTimeout.String())
 		n.handOver()
 		return nil
 	}
@@ -277,7 +277,7 @@
 
 // yield hands the lead over, when another can take it.
 func (n *Node) yield(g *group.Group) {
-	ctx, cancel := context.WithTimeout(context.Background(), n.Handover)
+	ctx, cancel := context.WithTimeout(context.Background(), n.TransferTimeout)
 	defer cancel()
 	if err := g.TransferLeadership(ctx); err == nil {
 		event.Log(n.Log, event.LeaderTransferred, "cause", "the disk is full")
@@ -290,7 +290,7 @@
 	if !n.Control.Status().Leads {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), n.Handover)
+	ctx, cancel := context.WithTimeout(context.Background(), n.TransferTimeout)
 	defer cancel()
 	go func() {
 		select {
--- a/internal/control/node/node_test.go
+++ b/internal/control/node/node_test.go
@@ -39,13 +39,13 @@
 	cl, callers, backends, operators := listen(t), listen(t), listen(t), listen(t)
 	digest := key.Digest("secret")
 	n := &node.Node{
-		Cell: "test", Name: "c1", Data: t.TempDir(), Init: true, Listener: cl, Address: cl.Addr().String(),
+		Cell: "test", Name: "c1", DataDir: t.TempDir(), InitCell: true, Listener: cl, Address: cl.Addr().String(),
 		Replicas: []quorum.Member{{ID: "c1", Address: cl.Addr().String()}},
-		Root:     &v1.KeyGrant{Id: "op", Operator: true, Digest: digest[:]},
+		RootKey:  &v1.KeyGrant{Id: "op", Operator: true, Digest: digest[:]},
 	}
 	e := &entry.Entry{
-		Cell: "test", Name: "e1", Callers: callers, Backends: backends, Operators: operators, Replicas: []control.Replica{{Name: "c1", Address: cl.Addr().String()}},
-		Enrolment: []backend.Digest{backend.Digest(key.Digest("enrol"))}, Linger: time.Millisecond,
+		Cell: "test", Name: "e1", CallerListener: callers, BackendListener: backends, OperatorListener: operators, ControlReplicas: []control.Replica{{Name: "c1", Address: cl.Addr().String()}},
+		EnrolmentDigests: []backend.Digest{backend.Digest(key.Digest("enrol"))}, ShutdownDelay: time.Millisecond,
 	}
 	s := &server.Server{
 		Name: "b1", Entries: []server.Entry{server.NewEntry(backends.Addr().String(), nil, nil)}, Secret: "enrol",
@@ -123,7 +123,7 @@
 	start := func(found bool) (*node.Node, context.CancelFunc, chan error) {
 		l := listen(t)
 		n := &node.Node{
-			Cell: "test", Name: "c1", Data: dir, Init: found, Listener: l, Address: l.Addr().String(),
+			Cell: "test", Name: "c1", DataDir: dir, InitCell: found, Listener: l, Address: l.Addr().String(),
 			Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}}, Control: leader.New(),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -144,7 +144,7 @@
 	}
 	_, cancel, ended = start(false)
 	defer cancel()
-	if err := <-ended; !errors.Is(err, node.ErrJournalGone) {
+	if err := <-ended; !errors.Is(err, node.ErrJournalMissing) {
 		t.Errorf("it ended with %v", err)
 	}
 }
@@ -169,7 +169,7 @@
 			t.Fatal(err)
 		}
 		n := &node.Node{
-			Cell: "test", Name: name, Data: filepath.Join(dir, name), Init: true, Listener: l, Address: addresses[name],
+			Cell: "test", Name: name, DataDir: filepath.Join(dir, name), InitCell: true, Listener: l, Address: addresses[name],
 			Replicas: members, Control: leader.New(),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/control/node/pull_test.go
+++ b/internal/control/node/pull_test.go
@@ -55,9 +55,9 @@
 	l := listen(t)
 	digest := key.Digest("secret")
 	n := &node.Node{
-		Cell: "test", Name: "c1", Data: t.TempDir(), Init: true, Listener: l, Address: l.Addr().String(),
+		Cell: "test", Name: "c1", DataDir: t.TempDir(), InitCell: true, Listener: l, Address: l.Addr().String(),
 		Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}},
-		Root:     &v1.KeyGrant{Id: "op", Operator: true, Digest: digest[:]},
+		RootKey:  &v1.KeyGrant{Id: "op", Operator: true, Digest: digest[:]},
 	}
 	go func() { _ = n.Run(ctx) }() // ends with ctx
 	t.Cleanup(func() {
--- a/internal/control/node/state.go
+++ b/internal/control/node/state.go
@@ -30,7 +30,7 @@
 	Fault   string
 	// Entries are those that fetch replies here, Mailboxes where they do.
 	Entries   []*v1.MemberLine
-	Mailboxes []entry.Box
+	Mailboxes []entry.MailboxView
 }
 
 // State returns the state of the process for a person to read.
@@ -43,7 +43,7 @@
 		d.Group = g.Dump()
 	}
 	if s := n.service.Load(); s != nil {
-		d.Entries, d.Mailboxes = s.Entries(), s.Boxes()
+		d.Entries, d.Mailboxes = s.Entries(), s.Mailboxes()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), inspectWait)
 	defer cancel()
@@ -68,10 +68,10 @@
 	})
 	set.NewGauge(meter.Name("control", "term"), func() float64 { return float64(status().Term) })
 	set.NewGauge(meter.Name("control", "revision"), func() float64 { return float64(status().Revision) })
-	set.NewGauge(meter.Name("control", "mailboxes"), func() float64 { return float64(len(n.service.Load().Boxes())) })
+	set.NewGauge(meter.Name("control", "mailboxes"), func() float64 { return float64(len(n.service.Load().Mailboxes())) })
 	set.NewGauge(meter.Name("control", "mailbox_replies"), func() float64 {
 		sum := 0
-		for _, b := range n.service.Load().Boxes() {
+		for _, b := range n.service.Load().Mailboxes() {
 			sum += b.Replies
 		}
 		return float64(sum)
--- a/internal/control/node/watch.go
+++ b/internal/control/node/watch.go
@@ -29,7 +29,7 @@
 // replica: with an entry's certificate, messages of consensus could be forged.
 // Without TLS there is nothing to look at, and the settings say so.
 func (n *Node) replicas(h http.Handler) http.Handler {
-	if n.Server == nil {
+	if n.ServerTLS == nil {
 		return h
 	}
 	known := func(name string) bool {
@@ -69,7 +69,7 @@
 			event.LogError(n.Log, event.Unready, err)
 		}
 		ready = err == nil
-		n.service.Load().Look()
+		n.service.Load().LogTableConfirmations()
 	}
 }
 
--- a/internal/control/node/watch_test.go
+++ b/internal/control/node/watch_test.go
@@ -77,8 +77,8 @@
 	l := listen(t)
 	mutual := &tls.Config{Certificates: []tls.Certificate{*issue(t, "c1", root)}, ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert}
 	start(t, &node.Node{
-		Cell: "test", Name: "c1", Data: t.TempDir(), Init: true, Listener: l, Address: l.Addr().String(),
-		Server: mutual, Peers: mutual, Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}},
+		Cell: "test", Name: "c1", DataDir: t.TempDir(), InitCell: true, Listener: l, Address: l.Addr().String(),
+		ServerTLS: mutual, PeerTLS: mutual, Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}},
 	})
 	for name, want := range map[string]bool{"c1": false, "e1": true} {
 		wire := &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{
@@ -106,7 +106,7 @@
 func TestMetricsAreThoseOfThePage(t *testing.T) {
 	l, probes := listen(t), listen(t)
 	start(t, &node.Node{
-		Cell: "test", Name: "c1", Data: t.TempDir(), Init: true, Listener: l, Address: l.Addr().String(), Platform: probes,
+		Cell: "test", Name: "c1", DataDir: t.TempDir(), InitCell: true, Listener: l, Address: l.Addr().String(), ProbeListener: probes,
 		Replicas: []quorum.Member{{ID: "c1", Address: l.Addr().String()}},
 	})
 	name := regexp.MustCompile(`gypsumreel_(control|base)_[a-z_]+`)
--- a/internal/demo/cell/cell.go
+++ b/internal/demo/cell/cell.go
@@ -167,13 +167,13 @@
 	p := &process{abort: make(chan struct{}), connections: &connTracker{Listener: l}}
 	digest := key.Digest(c.operatorSecret)
 	n := &node.Node{
-		Cell: "demo", Name: name, Data: filepath.Join(c.Dir, name), Init: foundGroup,
+		Cell: "demo", Name: name, DataDir: filepath.Join(c.Dir, name), InitCell: foundGroup,
 		Listener: p.connections, Address: c.Network.Address(name), Replicas: c.members(),
-		Root: &v1.KeyGrant{Id: operatorKeyID, Operator: true, Digest: digest[:]},
-		Dial: c.Network.Dialer(name), Abort: p.abort, Log: c.Log.WithValues("process", name), Control: leader.New(),
+		RootKey: &v1.KeyGrant{Id: operatorKeyID, Operator: true, Digest: digest[:]},
+		Dial:    c.Network.Dialer(name), Abort: p.abort, Log: c.Log.WithValues("process", name), Control: leader.New(),
 	}
 	if c.Transport != nil {
-		n.Transport = func(id string, receive func(from string, data []byte)) node.Transport {
+		n.NewTransport = func(id string, receive func(from string, data []byte)) node.Transport {
 			return c.Transport(name, id, receive)
 		}
 	}
@@ -189,16 +189,16 @@
 	p := &process{abort: make(chan struct{}), connections: &connTracker{}}
 	digest := key.Digest(c.enrolmentSecret)
 	e := &entry.Entry{
-		Cell: "demo", Name: name, Enrolment: []backend.Digest{digest}, Dial: c.Network.Dialer(name),
-		Abort: p.abort, Linger: c.Linger, Log: c.Log.WithValues("process", name),
+		Cell: "demo", Name: name, EnrolmentDigests: []backend.Digest{digest}, Dial: c.Network.Dialer(name),
+		Abort: p.abort, ShutdownDelay: c.Linger, Log: c.Log.WithValues("process", name),
 	}
 	for _, m := range c.members() {
-		e.Replicas = append(e.Replicas, control.Replica{Name: m.ID, Address: m.Address})
+		e.ControlReplicas = append(e.ControlReplicas, control.Replica{Name: m.ID, Address: m.Address})
 	}
 	for _, l := range []struct {
 		peer string
 		to   *net.Listener
-	}{{"callers", &e.Callers}, {"backends", &e.Backends}, {"operators", &e.Operators}} {
+	}{{"callers", &e.CallerListener}, {"backends", &e.BackendListener}, {"operators", &e.OperatorListener}} {
 		listener, err := c.Network.Listen(c.Network.Address(name + "-" + l.peer))
 		if err != nil {
 			return err
--- a/internal/demo/fault/cell_test.go
+++ b/internal/demo/fault/cell_test.go
@@ -15,8 +15,8 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
 	"gypsumreel/internal/client/operator"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/control/leader"
 	"gypsumreel/internal/demo/cell"
 	"gypsumreel/internal/domain/key"
@@ -79,21 +79,21 @@
 	if err := w.cell.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	w.operator = &operator.Client{Link: w.entryLink("operators", w.cell.OperatorKey)}
+	w.operator = &operator.Client{Transport: w.entryLink("operators", w.cell.OperatorKey)}
 	limit := &v1.Size{Cpu: teamCores, Memory: -1, Accel: -1, Slots: -1}
 	w.applyChange(&v1.ChangeRequest{Id: "table", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
 		{Row: &v1.Row{Team: "rail", Weight: 1, Queue: 100, Limit: limit}},
 	}}}})
 	digest := key.Digest("secret")
 	w.applyChange(&v1.ChangeRequest{Id: "grant", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "rail", Digest: digest[:]}}})
-	w.caller = &caller.Client{Link: w.entryLink("callers", "k.secret"), Patience: longPollWait}
+	w.caller = &caller.Client{Transport: w.entryLink("callers", "k.secret"), MaxPollWait: longPollWait}
 	return w
 }
 
 func (w *testCell) close() {
 	w.cell.Close()
-	w.caller.Link.Close()
-	w.operator.Link.Close()
+	w.caller.Transport.Close()
+	w.operator.Transport.Close()
 	w.cancel()
 	// net/http servers keep a connection open for a while before they close it.
 	time.Sleep(httpLingerTime)
@@ -129,8 +129,8 @@
 }
 
 // entryLink returns a client link to one service of all entries, with the given API key.
-func (w *testCell) entryLink(service, apiKey string) *link.Link {
-	l := &link.Link{Key: apiKey, Timeout: callTimeout, Dial: w.net.Dialer("caller")}
+func (w *testCell) entryLink(service, apiKey string) *transport.Client {
+	l := &transport.Client{Key: apiKey, Timeout: callTimeout, Dial: w.net.Dialer("caller")}
 	for _, e := range w.cell.ProcessNames("e", entries) {
 		l.Addresses = append(l.Addresses, "http://"+w.net.Address(e+"-"+service))
 	}
@@ -166,7 +166,7 @@
 	res, err := w.caller.Wait(ctx, spec.GetId())
 	w.onStep("answer")
 	r.outcome, r.code, r.answer, r.err = res.Outcome, res.Code, res.Data, err
-	if err == nil && !caller.Final(r.outcome) {
+	if err == nil && !caller.IsFinal(r.outcome) {
 		r.err = errors.New("no final outcome before the request timeout")
 	}
 	return r
--- a/internal/demo/scenario/scenario.go
+++ b/internal/demo/scenario/scenario.go
@@ -15,8 +15,8 @@
 
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
 	"gypsumreel/internal/client/operator"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/demo/cell"
 	"gypsumreel/internal/domain/key"
 	"gypsumreel/internal/fake/server"
@@ -128,8 +128,8 @@
 }
 
 // entryLink returns a client link to one service of all entries, with the given API key.
-func (t *Scenario) entryLink(service, apiKey string) *link.Link {
-	l := &link.Link{Key: apiKey, Timeout: 4 * time.Second}
+func (t *Scenario) entryLink(service, apiKey string) *transport.Client {
+	l := &transport.Client{Key: apiKey, Timeout: 4 * time.Second}
 	for _, e := range t.cell.ProcessNames("e", entries) {
 		l.Addresses = append(l.Addresses, "http://"+t.cell.Network.Address(e+"-"+service))
 	}
@@ -141,7 +141,7 @@
 func (t *Scenario) createTeams(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	t.operator = &operator.Client{Link: t.entryLink("operators", t.cell.OperatorKey)}
+	t.operator = &operator.Client{Transport: t.entryLink("operators", t.cell.OperatorKey)}
 	change := &v1.TableChange{}
 	for _, name := range teams {
 		change.Edits = append(change.Edits, &v1.Edit{Row: &v1.Row{
@@ -160,7 +160,7 @@
 		if err != nil {
 			return err
 		}
-		t.callers[name] = &caller.Client{Link: t.entryLink("callers", k), Patience: 2 * time.Second}
+		t.callers[name] = &caller.Client{Transport: t.entryLink("callers", k), MaxPollWait: 2 * time.Second}
 	}
 	return nil
 }
--- a/internal/demo/scenario/work.go
+++ b/internal/demo/scenario/work.go
@@ -70,7 +70,7 @@
 	t.recordAccepted()
 	result, err := c.Wait(ctx, spec.GetId())
 	switch {
-	case err != nil || !caller.Final(result.Outcome):
+	case err != nil || !caller.IsFinal(result.Outcome):
 		t.increment(&t.report.Lost)
 	case result.Outcome == v1.Outcome_OUTCOME_UNKNOWN && spec.GetOnce():
 		t.increment(&t.report.Unknown)
@@ -191,7 +191,7 @@
 			}
 			pause(ctx, 10*time.Millisecond)
 		}
-		c.Link.Next()
+		c.Transport.NextEntry()
 	}
 	d := time.Since(requestedAt)
 	t.mu.Lock()
--- a/internal/domain/answer/answer_test.go
+++ b/internal/domain/answer/answer_test.go
@@ -18,13 +18,13 @@
 		data := bytes.Repeat([]byte("cabinet"), size/7+1)[:size]
 		chunks := answer.Split(data)
 		order := rapid.Permutation(append(chunks, chunks...)).Draw(t, "order")
-		var p answer.Parts
+		var p answer.Assembler
 		for _, c := range order {
 			if err := p.Add(c); err != nil {
 				t.Fatal(err)
 			}
 		}
-		got, ok, err := p.Whole()
+		got, ok, err := p.Assemble()
 		if !ok || err != nil {
 			t.Fatalf("not whole: %v", err)
 		}
@@ -40,14 +40,14 @@
 func TestChunksOfTwoAnswersNeverMix(t *testing.T) {
 	one := answer.Split(bytes.Repeat([]byte("a"), answer.ChunkSize+1))
 	two := answer.Split(bytes.Repeat([]byte("b"), answer.ChunkSize+1))
-	var p answer.Parts
+	var p answer.Assembler
 	if err := p.Add(one[0]); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.Add(two[1]); err == nil {
 		t.Error("a chunk of another answer was taken")
 	}
-	if _, ok, _ := p.Whole(); ok {
+	if _, ok, _ := p.Assemble(); ok {
 		t.Error("half an answer passes for a whole one")
 	}
 }
@@ -55,11 +55,11 @@
 func TestDamageShows(t *testing.T) {
 	chunks := answer.Split([]byte("resonance"))
 	chunks[0].Data = []byte("resonanbe")
-	var p answer.Parts
+	var p answer.Assembler
 	if err := p.Add(chunks[0]); err != nil {
 		t.Fatal(err)
 	}
-	_, ok, err := p.Whole()
+	_, ok, err := p.Assemble()
 	if diff := cmp.Diff(false, ok); diff != "" || err == nil {
 		t.Errorf("a damaged answer passes: %v", err)
 	}
--- a/internal/domain/backend/backend.go
+++ b/internal/domain/backend/backend.go
@@ -47,12 +47,12 @@
 	Zone   string
 	Labels map[string]string
 	State  State
-	// Since is when the state was entered, on the ledger's clock.
-	Since time.Duration
+	// StateSince is when the state was entered, on the ledger's clock.
+	StateSince time.Duration
 }
 
 // WithState returns the server in another state, entered at the time given.
 func (s Server) WithState(state State, at time.Duration) Server {
-	s.State, s.Since = state, at
+	s.State, s.StateSince = state, at
 	return s
 }
--- a/internal/domain/capacity/capacity.go
+++ b/internal/domain/capacity/capacity.go
@@ -62,9 +62,9 @@
 // IsZero tells whether every field is zero.
 func (s Size) IsZero() bool { return s == Size{} }
 
-// Dominant returns the largest fraction that s takes of total, the share that
+// DominantShare returns the largest fraction that s takes of total, the share that
 // dominant-resource fairness compares. Fields that total lacks do not count.
-func (s Size) Dominant(total Size) float64 {
+func (s Size) DominantShare(total Size) float64 {
 	f := fraction(s.CPU, total.CPU)
 	f = math.Max(f, fraction(s.Memory, total.Memory))
 	f = math.Max(f, fraction(s.Accel, total.Accel))
--- a/internal/domain/flow/check.go
+++ b/internal/domain/flow/check.go
@@ -7,21 +7,21 @@
 
 // Bounds of a flow. They keep one caller's flow from filling the ledger.
 const (
-	// MaxInput bounds what is passed to each task, in bytes.
-	MaxInput = 16 << 10
+	// MaxInputBytes bounds what is passed to each task, in bytes.
+	MaxInputBytes = 16 << 10
 	// MaxSteps bounds the steps of a flow.
 	MaxSteps = 256
-	// MaxTasks bounds the tasks of one turn of a flow.
-	MaxTasks = 10_000
+	// MaxTasksPerTurn bounds the tasks of one turn of a flow.
+	MaxTasksPerTurn = 10_000
 )
 
-// Check tells what is wrong with a flow, or nil.
-func Check(s *v1.FlowSpec) *code.Error {
+// CheckSpec tells what is wrong with a flow, or nil.
+func CheckSpec(s *v1.FlowSpec) *code.Error {
 	switch {
 	case s.GetId() == "":
 		return code.New(code.Malformed, "a flow needs an id")
-	case len(s.GetInput()) > MaxInput:
-		return code.New(code.TooLarge, "%d bytes of input, at most %d", len(s.GetInput()), MaxInput)
+	case len(s.GetInput()) > MaxInputBytes:
+		return code.New(code.TooLarge, "%d bytes of input, at most %d", len(s.GetInput()), MaxInputBytes)
 	case len(s.GetSteps()) == 0 || len(s.GetSteps()) > MaxSteps:
 		return code.New(code.Malformed, "%d steps, 1 to %d are allowed", len(s.GetSteps()), MaxSteps)
 	}
@@ -30,8 +30,8 @@
 		if err := checkStep(i, step); err != nil {
 			return err
 		}
-		if tasks += step.GetCount(); tasks > MaxTasks {
-			return code.New(code.TooLarge, "more than %d tasks", MaxTasks)
+		if tasks += step.GetCount(); tasks > MaxTasksPerTurn {
+			return code.New(code.TooLarge, "more than %d tasks", MaxTasksPerTurn)
 		}
 	}
 	return nil
@@ -40,10 +40,10 @@
 // checkStep looks at one step. Steps depend on earlier ones only, so that no
 // circle can keep a flow waiting for itself for ever.
 func checkStep(i int, s *v1.FlowStep) *code.Error {
-	if s.GetCount() == 0 || s.GetCount() > MaxTasks {
-		return code.New(code.Malformed, "step %d has %d tasks, 1 to %d are allowed", i, s.GetCount(), MaxTasks)
+	if s.GetCount() == 0 || s.GetCount() > MaxTasksPerTurn {
+		return code.New(code.Malformed, "step %d has %d tasks, 1 to %d are allowed", i, s.GetCount(), MaxTasksPerTurn)
 	}
-	if size := SizeOf(s); !size.Valid() {
+	if size := TaskSize(s); !size.Valid() {
 		return code.New(code.Malformed, "step %d has a negative size", i)
 	}
 	for _, before := range s.GetAfter() {
--- a/internal/domain/flow/document.go
+++ b/internal/domain/flow/document.go
@@ -96,8 +96,8 @@
 	return c
 }
 
-// Same tells whether two documents were sent with the same bytes.
-func (c *Config) Same(d *v1.Document) bool { return bytes.Equal(c.GetText(), d.GetText()) }
+// SameText tells whether two documents were sent with the same bytes.
+func (c *Config) SameText(d *v1.Document) bool { return bytes.Equal(c.GetText(), d.GetText()) }
 
 // Queue returns a queue by its name.
 func (c *Config) Queue(name string) (*v1.Queue, bool) {
@@ -117,8 +117,8 @@
 	return m, ok
 }
 
-// Owner returns the customer that a key belongs to, by the key's SHA-256.
-func (c *Config) Owner(digest []byte) (*v1.Customer, bool) {
+// KeyOwner returns the customer that a key belongs to, by the key's SHA-256.
+func (c *Config) KeyOwner(digest []byte) (*v1.Customer, bool) {
 	if len(digest) != sha256.Size {
 		return nil, false
 	}
@@ -126,9 +126,9 @@
 	return m, ok
 }
 
-// At returns the queue at a place, the one with the longest path that the given
+// QueueAt returns the queue at a place, the one with the longest path that the given
 // path begins with, and the rest of the path.
-func (c *Config) At(host, path string) (q *v1.Queue, rest string, ok bool) {
+func (c *Config) QueueAt(host, path string) (q *v1.Queue, rest string, ok bool) {
 	for _, one := range c.hosts[host] {
 		if strings.HasPrefix(path, one.GetPath()) && (q == nil || len(one.GetPath()) > len(q.GetPath())) {
 			q = one
--- a/internal/domain/flow/flow.go
+++ b/internal/domain/flow/flow.go
@@ -39,8 +39,8 @@
 // String returns FLOW.TURN.STEP.INDEX#NUMBER.
 func (id RunID) String() string { return fmt.Sprintf("%s#%d", id.TaskID, id.Number) }
 
-// RunOf returns the name that a message carries.
-func RunOf(m *inner.Run) RunID {
+// RunIDFromMessage returns the name that a message carries.
+func RunIDFromMessage(m *inner.Run) RunID {
 	step := StepID{Flow: m.GetFlow(), Turn: m.GetTurn(), Step: m.GetStep()}
 	return RunID{TaskID: TaskID{StepID: step, Index: m.GetIndex()}, Number: m.GetNumber()}
 }
@@ -50,9 +50,9 @@
 	return &inner.Run{Flow: id.Flow, Turn: id.Turn, Step: id.Step, Index: id.Index, Number: id.Number}
 }
 
-// SizeOf returns what a task of the step takes from a server's capacity. A task
+// TaskSize returns what a task of the step takes from a server's capacity. A task
 // that fills takes no processor time: it runs on what others leave.
-func SizeOf(s *v1.FlowStep) capacity.Size {
+func TaskSize(s *v1.FlowStep) capacity.Size {
 	m := s.GetSize()
 	size := capacity.Size{CPU: m.GetCpu(), Memory: m.GetMemory(), Accel: m.GetAccel()}
 	if s.GetFills() {
--- a/internal/domain/job/job.go
+++ b/internal/domain/job/job.go
@@ -40,20 +40,20 @@
 	Count uint32
 	// Size is the declared size of each task.
 	Size capacity.Size
-	// Runtime is the caller's estimate for each task; 0 when unknown.
-	Runtime time.Duration
-	// Once marks tasks that may run at most once.
-	Once  bool
-	Input []byte
-	// Deadline bounds the wait for a placement, from acceptance; 0 for none.
-	Deadline time.Duration
-	Labels   map[string]string
-	// Floor is the least number of a service's tasks that replacement leaves running.
-	Floor uint32
+	// EstimatedRuntime is the caller's estimate for each task; 0 when unknown.
+	EstimatedRuntime time.Duration
+	// AtMostOnce marks tasks that may run at most once.
+	AtMostOnce bool
+	Input      []byte
+	// PlacementTimeout bounds the wait for a placement, from acceptance; 0 for none.
+	PlacementTimeout time.Duration
+	Labels           map[string]string
+	// MinRunningTasks is the least number of a service's tasks that replacement leaves running.
+	MinRunningTasks uint32
 }
 
-// Whole tells whether the tasks start together or not at all.
-func (s *Spec) Whole() bool { return s.Kind == Gang }
+// AllOrNothing tells whether the tasks start together or not at all.
+func (s *Spec) AllOrNothing() bool { return s.Kind == Gang }
 
-// Total returns the size of all tasks together.
-func (s *Spec) Total() capacity.Size { return s.Size.Times(int64(s.Count)) }
+// TotalSize returns the size of all tasks together.
+func (s *Spec) TotalSize() capacity.Size { return s.Size.Times(int64(s.Count)) }
--- a/internal/domain/lease/lease.go
+++ b/internal/domain/lease/lease.go
@@ -9,22 +9,22 @@
 const (
 	// DefaultLength is how long a server may go on after its last confirmed renewal.
 	DefaultLength = 6 * time.Second
-	// DefaultDrift bounds how much two clocks' rates differ, as a fraction.
-	DefaultDrift = 0.01
+	// DefaultMaxClockDrift bounds how much two clocks' rates differ, as a fraction.
+	DefaultMaxClockDrift = 0.01
 )
 
 // Terms are what leader and backend servers agree on.
 type Terms struct {
 	// Length of a lease, counted from the start of a confirmed heartbeat round.
 	Length time.Duration
-	// Drift bounds the difference of two clocks' rates, as a fraction of 1.
-	Drift float64
+	// MaxClockDrift bounds the difference of two clocks' rates, as a fraction of 1.
+	MaxClockDrift float64
 }
 
-// Wait returns how long the leader waits on its own clock until a lease of full
+// ExpiryWait returns how long the leader waits on its own clock until a lease of full
 // length is over on any server's clock.
-func (t Terms) Wait() time.Duration {
-	return t.Length + time.Duration(float64(t.Length)*t.Drift)
+func (t Terms) ExpiryWait() time.Duration {
+	return t.Length + time.Duration(float64(t.Length)*t.MaxClockDrift)
 }
 
 // Grant returns the lease of a renewal, counted by the server from when it sent
@@ -40,38 +40,38 @@
 	return max(0, min(t.Length, start+t.Length-received))
 }
 
-// Book notes until when each server's lease may reach, on the leader's clock.
-type Book struct {
+// Tracker notes until when each server's lease may reach, on the leader's clock.
+type Tracker struct {
 	terms   Terms
 	elected time.Duration
 	ends    map[string]time.Duration
 }
 
-// NewBook returns the book of a leader elected at the time given. Its
+// NewTracker returns the book of a leader elected at the time given. Its
 // predecessor may have renewed any lease until then, so none is over before a
 // full wait has passed.
-func NewBook(terms Terms, elected time.Duration) *Book {
-	return &Book{terms: terms, elected: elected, ends: map[string]time.Duration{}}
+func NewTracker(terms Terms, elected time.Duration) *Tracker {
+	return &Tracker{terms: terms, elected: elected, ends: map[string]time.Duration{}}
 }
 
 // Renew notes a renewal before its answer leaves, and returns what to grant.
-func (b *Book) Renew(server string, start, received time.Duration) time.Duration {
+func (b *Tracker) Renew(server string, start, received time.Duration) time.Duration {
 	grant := b.terms.Grant(start, received)
 	if grant > 0 {
-		b.ends[server] = max(b.ends[server], start+b.terms.Wait())
+		b.ends[server] = max(b.ends[server], start+b.terms.ExpiryWait())
 	}
 	return grant
 }
 
-// Over tells whether the server's lease is over on every clock.
-func (b *Book) Over(server string, now time.Duration) bool {
-	return now > b.elected+b.terms.Wait() && now > b.ends[server]
+// Expired tells whether the server's lease is over on every clock.
+func (b *Tracker) Expired(server string, now time.Duration) bool {
+	return now > b.elected+b.terms.ExpiryWait() && now > b.ends[server]
 }
 
-// Left returns how long it takes until the server's lease is over on every clock.
-func (b *Book) Left(server string, now time.Duration) time.Duration {
-	return max(0, max(b.elected+b.terms.Wait(), b.ends[server])-now)
+// Remaining returns how long it takes until the server's lease is over on every clock.
+func (b *Tracker) Remaining(server string, now time.Duration) time.Duration {
+	return max(0, max(b.elected+b.terms.ExpiryWait(), b.ends[server])-now)
 }
 
 // Forget drops a server's line; its session must be closed before.
-func (b *Book) Forget(server string) { delete(b.ends, server) }
+func (b *Tracker) Forget(server string) { delete(b.ends, server) }
--- a/internal/domain/lease/lease_test.go
+++ b/internal/domain/lease/lease_test.go
@@ -16,7 +16,7 @@
 // its lease must be over when the new leader's wait is, even on clocks whose
 // rates differ by the stated drift.
 func TestNoLeaseOutlivesTheNextLeadersWait(t *testing.T) {
-	terms := lease.Terms{Length: lease.DefaultLength, Drift: lease.DefaultDrift}
+	terms := lease.Terms{Length: lease.DefaultLength, MaxClockDrift: lease.DefaultMaxClockDrift}
 	rapid.Check(t, func(t *rapid.T) {
 		ms := func(name string, most int64) time.Duration {
 			return time.Duration(rapid.Int64Range(0, most).Draw(t, name)) * time.Millisecond
@@ -29,18 +29,18 @@
 		// A later leader is elected after the round that this one had confirmed began.
 		elected := start + ms("elected", 10_000)
 
-		old := lease.NewBook(terms, 0)
+		old := lease.NewTracker(terms, 0)
 		grant := old.Renew("s", start, received)
 		if grant == 0 {
 			return
 		}
 		// The server's clock may be the slower one.
-		end := sent + time.Duration(float64(grant)*(1+terms.Drift))
-		next := lease.NewBook(terms, elected)
-		if next.Over("s", end-1) {
+		end := sent + time.Duration(float64(grant)*(1+terms.MaxClockDrift))
+		next := lease.NewTracker(terms, elected)
+		if next.Expired("s", end-1) {
 			t.Fatalf("the next leader calls the lease over at %v, it ends at %v", end-1, end)
 		}
-		if old.Over("s", end-1) {
+		if old.Expired("s", end-1) {
 			t.Fatalf("the same leader calls the lease over at %v, it ends at %v", end-1, end)
 		}
 	})
--- a/internal/domain/table/table.go
+++ b/internal/domain/table/table.go
@@ -61,9 +61,9 @@
 	return out
 }
 
-// With returns the next revision, in which the rows set replace or join those
+// Update returns the next revision, in which the rows set replace or join those
 // of the same name and the rows named in removed are gone.
-func (t Table) With(set []team.Row, removed []string) Table {
+func (t Table) Update(set []team.Row, removed []string) Table {
 	next := Table{revision: t.revision + 1}
 	if t.rows == nil {
 		next.rows = btree.NewG(degree, byName)
--- a/internal/domain/table/table_test.go
+++ b/internal/domain/table/table_test.go
@@ -20,9 +20,9 @@
 		names := rapid.SliceOfN(rapid.StringMatching(`[a-e][0-9]`), 1, 40).Draw(t, "names")
 		for i, name := range names {
 			if rapid.Bool().Draw(t, "remove") {
-				now = now.With(nil, []string{name})
+				now = now.Update(nil, []string{name})
 			} else {
-				now = now.With([]team.Row{team.New(name).WithWeight(uint32(i + 1))}, nil)
+				now = now.Update([]team.Row{team.New(name).WithWeight(uint32(i + 1))}, nil)
 			}
 			all, seen = append(all, now), append(seen, now.Rows())
 		}
--- a/internal/edge/backend/backend.go
+++ b/internal/edge/backend/backend.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// MaxPatience bounds a Sync, so that a silent connection shows soon.
-	MaxPatience = 2 * time.Second
-	// MaxAsk bounds every other call.
-	MaxAsk = 2 * time.Second
+	// MaxPollWait bounds a Sync, so that a silent connection shows soon.
+	MaxPollWait = 2 * time.Second
+	// RequestTimeout bounds every other call.
+	RequestTimeout = 2 * time.Second
 	// pollMargin is what a Sync may take beyond its patience.
 	pollMargin = 500 * time.Millisecond
-	// MaxRequest bounds the size of a request in bytes.
-	MaxRequest = 8 << 20
+	// MaxRequestSize bounds the size of a request in bytes.
+	MaxRequestSize = 8 << 20
 )
 
 // Digest is the SHA-256 of an enrolment secret.
@@ -36,19 +36,19 @@
 // Handler serves the Backend service. Set the fields, then mount it with Route.
 type Handler struct {
 	Leader control.Sender
-	// Enrolment holds the digests accepted; two while a secret is replaced. None admits nobody.
-	Enrolment []Digest
-	Log       logr.Logger
+	// EnrolmentDigests holds the digests accepted; two while a secret is replaced. None admits nobody.
+	EnrolmentDigests []Digest
+	Log              logr.Logger
 }
 
 // Route returns the path and the handler for an HTTP mux.
 func (h *Handler) Route(opts ...connect.HandlerOption) (string, http.Handler) {
-	return v1.NewBackendHandler(h, append(opts, connect.WithReadMaxBytes(MaxRequest))...)
+	return v1.NewBackendHandler(h, append(opts, connect.WithReadMaxBytes(MaxRequestSize))...)
 }
 
 // Announce forwards the opening of a session.
 func (h *Handler) Announce(ctx context.Context, req *connect.Request[v1.AnnounceRequest]) (*connect.Response[v1.AnnounceReply], error) {
-	reply, status := h.exchange(ctx, req.Header(), req.Peer(), checkAnnounce(req.Msg), &inner.Item{Ask: &inner.Item_Announce{Announce: req.Msg}}, MaxAsk)
+	reply, status := h.exchange(ctx, req.Header(), req.Peer(), checkAnnounce(req.Msg), &inner.Item{Ask: &inner.Item_Announce{Announce: req.Msg}}, RequestTimeout)
 	if status != nil {
 		return connect.NewResponse(&v1.AnnounceReply{Status: status}), nil
 	}
@@ -59,7 +59,7 @@
 // another entry without any lease: the old one keeps running down.
 func (h *Handler) Sync(ctx context.Context, req *connect.Request[v1.SyncRequest]) (*connect.Response[v1.SyncReply], error) {
 	m := req.Msg
-	patience := time.Duration(min(m.GetPatience(), uint64(MaxPatience.Milliseconds()))) * time.Millisecond
+	patience := time.Duration(min(m.GetPatience(), uint64(MaxPollWait.Milliseconds()))) * time.Millisecond
 	ask := &v1.SyncRequest{
 		Server: m.GetServer(), Incarnation: m.GetIncarnation(), Number: m.GetNumber(), Reports: m.GetReports(),
 		Patience: uint64(patience.Milliseconds()),
@@ -73,7 +73,7 @@
 
 // Leave forwards the word that the server takes no new work.
 func (h *Handler) Leave(ctx context.Context, req *connect.Request[v1.LeaveRequest]) (*connect.Response[v1.LeaveReply], error) {
-	reply, status := h.exchange(ctx, req.Header(), req.Peer(), checkServer(req.Msg.GetServer()), &inner.Item{Ask: &inner.Item_Leave{Leave: req.Msg}}, MaxAsk)
+	reply, status := h.exchange(ctx, req.Header(), req.Peer(), checkServer(req.Msg.GetServer()), &inner.Item{Ask: &inner.Item_Leave{Leave: req.Msg}}, RequestTimeout)
 	if status != nil {
 		return connect.NewResponse(&v1.LeaveReply{Status: status}), nil
 	}
@@ -96,7 +96,7 @@
 func (h *Handler) enrolled(secret string) bool {
 	got := sha256.Sum256([]byte(secret))
 	match := 0
-	for _, want := range h.Enrolment {
+	for _, want := range h.EnrolmentDigests {
 		match |= subtle.ConstantTimeCompare(got[:], want[:])
 	}
 	return match == 1 && secret != ""
--- a/internal/edge/backend/check.go
+++ b/internal/edge/backend/check.go
@@ -10,8 +10,8 @@
 const (
 	// MaxReports bounds the attempts in one Sync.
 	MaxReports = 4096
-	// MaxCheckpoint bounds the handle of a checkpoint in bytes.
-	MaxCheckpoint = 4096
+	// MaxCheckpointSize bounds the handle of a checkpoint in bytes.
+	MaxCheckpointSize = 4096
 )
 
 // checkAnnounce returns a *code.Error when the announcement breaks a stated bound.
@@ -29,7 +29,7 @@
 	switch {
 	case m.GetNonce() == 0:
 		return code.New(code.Malformed, "the nonce is missing")
-	case !caller.CheckSize(c) || c.GetCpu() == 0 || c.GetMemory() == 0 || c.GetSlots() == 0:
+	case !caller.IsValidSize(c) || c.GetCpu() == 0 || c.GetMemory() == 0 || c.GetSlots() == 0:
 		return code.New(code.Malformed, "the capacity needs processor time, memory and slots")
 	}
 	return caller.CheckLabels(m.GetLabels())
@@ -63,11 +63,11 @@
 		return code.New(code.Malformed, "phase %d", r.GetPhase())
 	case r.GetPhase() != v1.Phase_PHASE_ENDED && (len(r.GetChunks()) > 0 || r.GetExit() != 0):
 		return code.New(code.Malformed, "an answer from a task that has not ended")
-	case len(r.GetCheckpoint()) > MaxCheckpoint:
-		return code.New(code.TooLarge, "the checkpoint's handle has up to %d bytes", MaxCheckpoint)
+	case len(r.GetCheckpoint()) > MaxCheckpointSize:
+		return code.New(code.TooLarge, "the checkpoint's handle has up to %d bytes", MaxCheckpointSize)
 	}
 	for _, c := range r.GetChunks() {
-		if len(c.GetData()) > answer.ChunkSize || c.GetTotal() > answer.MaxTotal || c.GetNumber() >= c.GetCount() {
+		if len(c.GetData()) > answer.ChunkSize || c.GetTotal() > answer.MaxTaskAnswer || c.GetNumber() >= c.GetCount() {
 			return code.New(code.TooLarge, "chunk %d of %d, %d bytes of %d", c.GetNumber(), c.GetCount(), len(c.GetData()), c.GetTotal())
 		}
 	}
