--- a/internal/edge/caller/caller.go
+++ b/internal/edge/caller/caller.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// MaxPatience bounds a Wait.
-	MaxPatience = 10 * time.Second
-	// MaxAsk bounds every other call.
-	MaxAsk = 5 * time.Second
+	// MaxPollWait bounds a Wait.
+	MaxPollWait = 10 * time.Second
+	// RequestTimeout bounds every other call.
+	RequestTimeout = 5 * time.Second
 	// pollMargin is what a Wait may take beyond its patience.
 	pollMargin = time.Second
-	// MaxRequest bounds the size of a request in bytes.
-	MaxRequest = 4 << 20
+	// MaxRequestSize bounds the size of a request in bytes.
+	MaxRequestSize = 4 << 20
 )
 
 // Handler serves the Caller service. Set the fields, then mount it with Route.
@@ -32,14 +32,14 @@
 
 // Route returns the path and the handler for an HTTP mux.
 func (h *Handler) Route(opts ...connect.HandlerOption) (string, http.Handler) {
-	return v1.NewCallerHandler(h, append(opts, connect.WithReadMaxBytes(MaxRequest))...)
+	return v1.NewCallerHandler(h, append(opts, connect.WithReadMaxBytes(MaxRequestSize))...)
 }
 
 // Submit forwards the jobs that are within bounds and merges the answers in the request's order.
 func (h *Handler) Submit(ctx context.Context, req *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitReply], error) {
 	jobs := req.Msg.GetJobs()
-	if len(jobs) == 0 || len(jobs) > MaxJobs {
-		return nil, connect.NewError(connect.CodeInvalidArgument, code.New(code.Malformed, "1 to %d jobs at once", MaxJobs))
+	if len(jobs) == 0 || len(jobs) > MaxJobsPerSubmit {
+		return nil, connect.NewError(connect.CodeInvalidArgument, code.New(code.Malformed, "1 to %d jobs at once", MaxJobsPerSubmit))
 	}
 	out := make([]*v1.Accepted, len(jobs))
 	seen := make(map[string]bool, len(jobs))
@@ -73,7 +73,7 @@
 	if err != nil {
 		return alike(req, control.StatusFromError(err), v1.Outcome_OUTCOME_UNSPECIFIED)
 	}
-	reply, status := control.Exchange(ctx, h.Leader, &inner.Item{Credential: cred, Ask: &inner.Item_Submit{Submit: req}}, MaxAsk)
+	reply, status := control.Exchange(ctx, h.Leader, &inner.Item{Credential: cred, Ask: &inner.Item_Submit{Submit: req}}, RequestTimeout)
 	if status != nil {
 		return refused(req, status)
 	}
@@ -108,7 +108,7 @@
 // Wait forwards a long poll; it may be resumed at any entry by the job's id.
 func (h *Handler) Wait(ctx context.Context, req *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
 	m := req.Msg
-	patience := min(time.Duration(min(m.GetPatience(), uint64(MaxPatience.Milliseconds())))*time.Millisecond, MaxPatience)
+	patience := min(time.Duration(min(m.GetPatience(), uint64(MaxPollWait.Milliseconds())))*time.Millisecond, MaxPollWait)
 	ask := &v1.WaitRequest{Id: m.GetId(), Chunk: m.GetChunk(), Patience: uint64(patience.Milliseconds())}
 	reply, status := h.exchange(ctx, req.Header(), checkID(m.GetId()), &inner.Item{Ask: &inner.Item_Wait{Wait: ask}}, patience+pollMargin)
 	if status != nil {
@@ -119,7 +119,7 @@
 
 // Cancel forwards a cancellation by ids or by labels.
 func (h *Handler) Cancel(ctx context.Context, req *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelReply], error) {
-	reply, status := h.exchange(ctx, req.Header(), checkCancel(req.Msg), &inner.Item{Ask: &inner.Item_Cancel{Cancel: req.Msg}}, MaxAsk)
+	reply, status := h.exchange(ctx, req.Header(), checkCancel(req.Msg), &inner.Item{Ask: &inner.Item_Cancel{Cancel: req.Msg}}, RequestTimeout)
 	if status != nil {
 		return connect.NewResponse(&v1.CancelReply{Status: status}), nil
 	}
@@ -130,11 +130,11 @@
 func (h *Handler) List(ctx context.Context, req *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListReply], error) {
 	m := req.Msg
 	limit := m.GetLimit()
-	if limit == 0 || limit > MaxList {
-		limit = MaxList
+	if limit == 0 || limit > MaxListedJobs {
+		limit = MaxListedJobs
 	}
 	ask := &v1.ListRequest{Ids: m.GetIds(), After: m.GetAfter(), Limit: limit}
-	reply, status := h.exchange(ctx, req.Header(), checkIDs(m.GetIds()), &inner.Item{Ask: &inner.Item_List{List: ask}}, MaxAsk)
+	reply, status := h.exchange(ctx, req.Header(), checkIDs(m.GetIds()), &inner.Item{Ask: &inner.Item_List{List: ask}}, RequestTimeout)
 	if status != nil {
 		return connect.NewResponse(&v1.ListReply{Status: status}), nil
 	}
@@ -143,7 +143,7 @@
 
 // Acknowledge forwards the word that outcomes may be forgotten.
 func (h *Handler) Acknowledge(ctx context.Context, req *connect.Request[v1.AcknowledgeRequest]) (*connect.Response[v1.AcknowledgeReply], error) {
-	reply, status := h.exchange(ctx, req.Header(), checkIDs(req.Msg.GetIds()), &inner.Item{Ask: &inner.Item_Acknowledge{Acknowledge: req.Msg}}, MaxAsk)
+	reply, status := h.exchange(ctx, req.Header(), checkIDs(req.Msg.GetIds()), &inner.Item{Ask: &inner.Item_Acknowledge{Acknowledge: req.Msg}}, RequestTimeout)
 	if status != nil {
 		return connect.NewResponse(&v1.AcknowledgeReply{Status: status}), nil
 	}
--- a/internal/edge/caller/check.go
+++ b/internal/edge/caller/check.go
@@ -10,20 +10,20 @@
 
 // Bounds of what callers may ask.
 const (
-	// MaxJobs bounds the jobs of one submission.
-	MaxJobs = 1000
-	// MaxTasks bounds the tasks of one job.
-	MaxTasks = 10_000
-	// MaxName bounds ids, names and the parts of a label, in bytes.
-	MaxName = 128
+	// MaxJobsPerSubmit bounds the jobs of one submission.
+	MaxJobsPerSubmit = 1000
+	// MaxTasksPerJob bounds the tasks of one job.
+	MaxTasksPerJob = 10_000
+	// MaxNameLength bounds ids, names and the parts of a label, in bytes.
+	MaxNameLength = 128
 	// MaxLabels bounds the labels of one job or cancellation.
 	MaxLabels = 16
-	// MaxInput bounds the input of a job in bytes.
-	MaxInput = 1 << 20
-	// MaxIDs bounds the ids in one call.
-	MaxIDs = 10_000
-	// MaxList bounds the lines of one List.
-	MaxList = 1000
+	// MaxInputSize bounds the input of a job in bytes.
+	MaxInputSize = 1 << 20
+	// MaxIDsPerRequest bounds the ids in one call.
+	MaxIDsPerRequest = 10_000
+	// MaxListedJobs bounds the lines of one List.
+	MaxListedJobs = 1000
 	// MaxDeadline bounds the wait for a placement and the estimated run time.
 	MaxDeadline = 365 * 24 * time.Hour
 	// maxAmount bounds each field of a size, so that sums cannot overflow.
@@ -38,14 +38,14 @@
 	switch {
 	case s.GetKind() < v1.Kind_KIND_URGENT || s.GetKind() > v1.Kind_KIND_SERVICE:
 		return code.New(code.Malformed, "kind %d", s.GetKind())
-	case !printable(s.GetName()) || len(s.GetName()) > MaxName:
-		return code.New(code.Malformed, "the name has up to %d printable bytes", MaxName)
-	case s.GetCount() < 1 || s.GetCount() > MaxTasks:
-		return code.New(code.Malformed, "1 to %d tasks", MaxTasks)
-	case !CheckSize(s.GetSize()):
+	case !printable(s.GetName()) || len(s.GetName()) > MaxNameLength:
+		return code.New(code.Malformed, "the name has up to %d printable bytes", MaxNameLength)
+	case s.GetCount() < 1 || s.GetCount() > MaxTasksPerJob:
+		return code.New(code.Malformed, "1 to %d tasks", MaxTasksPerJob)
+	case !IsValidSize(s.GetSize()):
 		return code.New(code.Malformed, "the size needs fields from 0 to %d, and one above 0", maxAmount)
-	case len(s.GetInput()) > MaxInput:
-		return code.New(code.TooLarge, "the input has up to %d bytes", MaxInput)
+	case len(s.GetInput()) > MaxInputSize:
+		return code.New(code.TooLarge, "the input has up to %d bytes", MaxInputSize)
 	case s.GetDeadline() > uint64(MaxDeadline.Milliseconds()):
 		return code.New(code.Malformed, "the deadline is at most %v", MaxDeadline)
 	case s.GetRuntime() > uint64(MaxDeadline.Milliseconds()):
@@ -56,8 +56,8 @@
 	return CheckLabels(s.GetLabels())
 }
 
-// CheckSize tells whether no field is negative or absurd and one is above zero.
-func CheckSize(s *v1.Size) bool {
+// IsValidSize tells whether no field is negative or absurd and one is above zero.
+func IsValidSize(s *v1.Size) bool {
 	some := false
 	for _, n := range []int64{s.GetCpu(), s.GetMemory(), s.GetAccel(), s.GetSlots()} {
 		if n < 0 || n > maxAmount {
@@ -74,7 +74,7 @@
 		return code.New(code.Malformed, "up to %d labels", MaxLabels)
 	}
 	for k, v := range labels {
-		if k == "" || len(k) > MaxName || len(v) > MaxName || !printable(k) || !printable(v) {
+		if k == "" || len(k) > MaxNameLength || len(v) > MaxNameLength || !printable(k) || !printable(v) {
 			return code.New(code.Malformed, "label %q", k)
 		}
 	}
@@ -83,8 +83,8 @@
 
 // CheckName returns a *code.Error unless the text is a usable name of the thing given.
 func CheckName(what, name string) error {
-	if name == "" || len(name) > MaxName || !printable(name) {
-		return code.New(code.Malformed, "the %s has 1 to %d printable bytes", what, MaxName)
+	if name == "" || len(name) > MaxNameLength || !printable(name) {
+		return code.New(code.Malformed, "the %s has 1 to %d printable bytes", what, MaxNameLength)
 	}
 	return nil
 }
@@ -92,8 +92,8 @@
 func checkID(id string) error { return CheckName("id", id) }
 
 func checkIDs(ids []string) error {
-	if len(ids) > MaxIDs {
-		return code.New(code.TooLarge, "up to %d ids", MaxIDs)
+	if len(ids) > MaxIDsPerRequest {
+		return code.New(code.TooLarge, "up to %d ids", MaxIDsPerRequest)
 	}
 	for _, id := range ids {
 		if err := checkID(id); err != nil {
--- a/internal/edge/codec/codec.go
+++ b/internal/edge/codec/codec.go
@@ -19,16 +19,16 @@
 	nameJSONCharset = "json; charset=utf-8"
 )
 
-// Options are the handler options that every service uses.
-func Options() connect.HandlerOption {
+// HandlerOptions are the handler options that every service uses.
+func HandlerOptions() connect.HandlerOption {
 	return connect.WithHandlerOptions(
 		connect.WithCodec(binary{}), connect.WithCodec(text{nameJSON}), connect.WithCodec(text{nameJSONCharset}),
 	)
 }
 
-// Limit refuses requests that say that they are larger than most bytes before
+// LimitRequestSize refuses requests that say that they are larger than most bytes before
 // anything of them is read. Those that do not say are ended by the library.
-func Limit(most int64, next http.Handler) http.Handler {
+func LimitRequestSize(most int64, next http.Handler) http.Handler {
 	errs := connect.NewErrorWriter()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength > most {
--- a/internal/edge/codec/codec_test.go
+++ b/internal/edge/codec/codec_test.go
@@ -14,8 +14,8 @@
 // answer finds the number of the fault in the list of codes.
 func TestBadInputGetsANumber(t *testing.T) {
 	const most = 100
-	path, handler := v1.NewCallerHandler(v1.UnimplementedCallerHandler{}, codec.Options())
-	h := codec.Limit(most, handler)
+	path, handler := v1.NewCallerHandler(v1.UnimplementedCallerHandler{}, codec.HandlerOptions())
+	h := codec.LimitRequestSize(most, handler)
 	for name, c := range map[string]struct {
 		kind, body, want string
 	}{
--- a/internal/edge/entry/age.go
+++ b/internal/edge/entry/age.go
@@ -17,7 +17,7 @@
 
 // born notes when a new connection is to end.
 func (e *Entry) born(ctx context.Context, _ net.Conn) context.Context {
-	life := time.Duration(float64(e.Age) * (1 - ageSpread*rand.Float64()))
+	life := time.Duration(float64(e.MaxConnectionAge) * (1 - ageSpread*rand.Float64()))
 	return context.WithValue(ctx, expiryKey{}, time.Now().Add(life))
 }
 
--- a/internal/edge/entry/cell_test.go
+++ b/internal/edge/entry/cell_test.go
@@ -52,7 +52,7 @@
 	cancelled bool
 	// ordered is the number of the sync whose answer last carried the order to start.
 	ordered uint64
-	parts   answer.Parts
+	parts   answer.Assembler
 	whole   []byte
 }
 
@@ -185,7 +185,7 @@
 	reply := &v1.WaitReply{Id: req.GetId(), Outcome: j.outcome, Status: j.status()}
 	if j.outcome == v1.Outcome_OUTCOME_DONE {
 		c.step("answer")
-		reply.Chunk = answer.Cut(j.whole, req.GetChunk())
+		reply.Chunk = answer.ChunkAt(j.whole, req.GetChunk())
 	}
 	return reply
 }
@@ -309,7 +309,7 @@
 		for _, chunk := range r.GetChunks() {
 			_ = j.parts.Add(chunk)
 		}
-		if whole, ok, _ := j.parts.Whole(); ok {
+		if whole, ok, _ := j.parts.Assemble(); ok {
 			j.whole, j.outcome = whole, v1.Outcome_OUTCOME_DONE
 		}
 	case v1.Phase_PHASE_STOPPED:
@@ -380,7 +380,7 @@
 		j.server, j.outcome = name, v1.Outcome_OUTCOME_RUNNING
 		j.attempt++
 		j.ordered = 0
-		j.parts = answer.Parts{}
+		j.parts = answer.Assembler{}
 		c.placed[name] = time.Now()
 		return
 	}
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -31,14 +31,14 @@
 
 // Defaults of the fields that are left zero.
 const (
-	// DefaultLinger is how long the entry serves on after readiness fails, for the balancer to notice.
-	DefaultLinger = 5 * time.Second
-	// DefaultDrain bounds the wait for requests under way after that.
-	DefaultDrain = 15 * time.Second
-	// DefaultAge is the longest life of a connection from outside, but for the request under way.
-	DefaultAge = 5 * time.Minute
-	// DefaultConnections bounds the connections from outside.
-	DefaultConnections = 20_000
+	// DefaultShutdownDelay is how long the entry serves on after readiness fails, for the balancer to notice.
+	DefaultShutdownDelay = 5 * time.Second
+	// DefaultDrainTimeout bounds the wait for requests under way after that.
+	DefaultDrainTimeout = 15 * time.Second
+	// DefaultMaxConnectionAge is the longest life of a connection from outside, but for the request under way.
+	DefaultMaxConnectionAge = 5 * time.Minute
+	// DefaultMaxConnections bounds the connections from outside.
+	DefaultMaxConnections = 20_000
 )
 
 // Bounds on what one connection may do; they end slow readers and slow writers.
@@ -60,33 +60,33 @@
 	// Cell and Name identify the entry to the leader.
 	Cell string
 	Name string
-	// Callers, Backends, Operators and Platform are the listeners, one for each
+	// CallerListener, Backends, Operators and Platform are the listeners, one for each
 	// peer; one that is nil is not served.
-	Callers   net.Listener
-	Backends  net.Listener
-	Operators net.Listener
-	Platform  net.Listener
-	// Outside is the configuration for calls from outside; nil for plain ones.
-	Outside *tls.Config
-	// Replicas is the control group.
-	Replicas []control.Replica
-	// Inside is the configuration for calls to the control group; nil for plain ones.
-	Inside *tls.Config
+	CallerListener   net.Listener
+	BackendListener  net.Listener
+	OperatorListener net.Listener
+	PlatformListener net.Listener
+	// OutsideTLS is the configuration for calls from outside; nil for plain ones.
+	OutsideTLS *tls.Config
+	// ControlReplicas is the control group.
+	ControlReplicas []control.Replica
+	// InsideTLS is the configuration for calls to the control group; nil for plain ones.
+	InsideTLS *tls.Config
 	// Dial opens connections to the control group; nil for TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Enrolment holds the digests of the secrets that backend servers may show.
-	Enrolment []backend.Digest
-	Audit     operator.Audit
-	Log       logr.Logger
+	// EnrolmentDigests holds the digests of the secrets that backend servers may show.
+	EnrolmentDigests []backend.Digest
+	Auditor          operator.Auditor
+	Log              logr.Logger
 	// Abort ends a graceful stop at once when closed: the second signal.
 	Abort <-chan struct{}
 
-	Linger      time.Duration
-	Drain       time.Duration
-	Age         time.Duration
-	Connections int
-	// Limit bounds the requests that wait for the leader.
-	Limit int
+	ShutdownDelay    time.Duration
+	DrainTimeout     time.Duration
+	MaxConnectionAge time.Duration
+	MaxConnections   int
+	// MaxPendingRequests bounds the requests that wait for the leader.
+	MaxPendingRequests int
 
 	prepare sync.Once
 	pool    *control.Client
@@ -112,26 +112,26 @@
 
 func (e *Entry) init() {
 	e.prepare.Do(func() {
-		if e.Linger == 0 {
-			e.Linger = DefaultLinger
+		if e.ShutdownDelay == 0 {
+			e.ShutdownDelay = DefaultShutdownDelay
 		}
-		if e.Drain == 0 {
-			e.Drain = DefaultDrain
+		if e.DrainTimeout == 0 {
+			e.DrainTimeout = DefaultDrainTimeout
 		}
-		if e.Age == 0 {
-			e.Age = DefaultAge
+		if e.MaxConnectionAge == 0 {
+			e.MaxConnectionAge = DefaultMaxConnectionAge
 		}
-		if e.Connections == 0 {
-			e.Connections = DefaultConnections
+		if e.MaxConnections == 0 {
+			e.MaxConnections = DefaultMaxConnections
 		}
-		if e.Audit == nil {
-			e.Audit = logAudit{e.Log}
+		if e.Auditor == nil {
+			e.Auditor = logAudit{e.Log}
 		}
 		e.meters = metrics.NewSet()
 		e.done = make(chan struct{})
 		e.pool = &control.Client{
-			Cell: e.Cell, Name: e.Name, Replicas: e.Replicas, TLS: e.Inside, Dial: e.Dial,
-			Log: e.Log, Metrics: e.meters, MaxPending: e.Limit,
+			Cell: e.Cell, Name: e.Name, Replicas: e.ControlReplicas, TLS: e.InsideTLS, Dial: e.Dial,
+			Log: e.Log, Metrics: e.meters, MaxPending: e.MaxPendingRequests,
 		}
 	})
 }
@@ -139,8 +139,8 @@
 // Done is closed when Run has returned.
 func (e *Entry) Done() <-chan struct{} { e.init(); return e.done }
 
-// Pool returns the entry's way to the leader.
-func (e *Entry) Pool() *control.Client { e.init(); return e.pool }
+// LeaderClient returns the entry's way to the leader.
+func (e *Entry) LeaderClient() *control.Client { e.init(); return e.pool }
 
 // service is one listener and what it serves.
 type service struct {
@@ -150,12 +150,12 @@
 
 // services returns what there is to serve.
 func (e *Entry) services() []service {
-	count := connect.WithHandlerOptions(codec.Options(), connect.WithInterceptors(newCount(e.meters)), connect.WithCompressMinBytes(noCompression))
+	count := connect.WithHandlerOptions(codec.HandlerOptions(), connect.WithInterceptors(newCount(e.meters)), connect.WithCompressMinBytes(noCompression))
 	all := []service{
-		{e.Callers, e.server(mounted(caller.MaxRequest)((&caller.Handler{Leader: e.pool}).Route(count)))},
-		{e.Backends, e.server(mounted(backend.MaxRequest)((&backend.Handler{Leader: e.pool, Enrolment: e.Enrolment, Log: e.Log}).Route(count)))},
-		{e.Operators, e.server(mounted(operator.MaxRequest)((&operator.Handler{Leader: e.pool, Audit: e.Audit, Name: e.Name, State: e.state}).Route(count)))},
-		{e.Platform, e.server((&platform.Probes{Ready: e.ready, MetricSets: []*metrics.Set{e.meters, meter.ProcessMetrics}}).Handler())},
+		{e.CallerListener, e.server(mounted(caller.MaxRequestSize)((&caller.Handler{Leader: e.pool}).Route(count)))},
+		{e.BackendListener, e.server(mounted(backend.MaxRequestSize)((&backend.Handler{Leader: e.pool, EnrolmentDigests: e.EnrolmentDigests, Log: e.Log}).Route(count)))},
+		{e.OperatorListener, e.server(mounted(operator.MaxRequestSize)((&operator.Handler{Leader: e.pool, Auditor: e.Auditor, EntryName: e.Name, State: e.state}).Route(count)))},
+		{e.PlatformListener, e.server((&platform.Probes{Ready: e.ready, MetricSets: []*metrics.Set{e.meters, meter.ProcessMetrics}}).Handler())},
 	}
 	return slices.DeleteFunc(all, func(s service) bool { return s.listener == nil })
 }
@@ -164,7 +164,7 @@
 func mounted(most int64) func(path string, h http.Handler) http.Handler {
 	return func(path string, h http.Handler) http.Handler {
 		mux := http.NewServeMux()
-		mux.Handle(path, codec.Limit(most, h))
+		mux.Handle(path, codec.LimitRequestSize(most, h))
 		return mux
 	}
 }
@@ -229,17 +229,17 @@
 // Abort ends them all.
 func (e *Entry) stop(services []service) error {
 	e.phase.Store(phaseUnready)
-	event.Log(e.Log, event.StopBegun, "linger", e.Linger.String(), "drain", e.Drain.String())
+	event.Log(e.Log, event.StopBegun, "linger", e.ShutdownDelay.String(), "drain", e.DrainTimeout.String())
 	event.Log(e.Log, event.StopDraining)
 	select {
-	case <-time.After(e.Linger):
+	case <-time.After(e.ShutdownDelay):
 	case <-e.Abort:
 		return errors.New("the stop was cut short")
 	}
 	e.phase.Store(phaseDraining)
 	e.pool.EndLongPolls()
 	event.Log(e.Log, event.StopFinishing, "pending", e.pool.Pending())
-	ctx, cancel := context.WithTimeout(context.Background(), e.Drain)
+	ctx, cancel := context.WithTimeout(context.Background(), e.DrainTimeout)
 	defer cancel()
 	go func() {
 		select {
@@ -279,11 +279,11 @@
 }
 
 func (e *Entry) serve(s service) error {
-	l := netutil.LimitListener(s.listener, e.Connections)
-	if e.Outside == nil {
+	l := netutil.LimitListener(s.listener, e.MaxConnections)
+	if e.OutsideTLS == nil {
 		return s.server.Serve(l)
 	}
 	// net/http writes the protocols it speaks into the configuration it is given.
-	s.server.TLSConfig = e.Outside.Clone()
+	s.server.TLSConfig = e.OutsideTLS.Clone()
 	return s.server.ServeTLS(l, "", "")
 }
--- a/internal/edge/entry/process_test.go
+++ b/internal/edge/entry/process_test.go
@@ -46,9 +46,9 @@
 	callers, _ := net.Listen("tcp", "127.0.0.1:0")
 	backends, _ := net.Listen("tcp", "127.0.0.1:0")
 	e := &entry.Entry{
-		Cell: "test", Name: "child", Callers: callers, Backends: backends, Log: logr.Discard(),
-		Replicas: []control.Replica{{Name: "c1", Address: leader}}, Enrolment: []backend.Digest{key.Digest(enrolment)},
-		Linger: 200 * time.Millisecond, Drain: 5 * time.Second,
+		Cell: "test", Name: "child", CallerListener: callers, BackendListener: backends, Log: logr.Discard(),
+		ControlReplicas: []control.Replica{{Name: "c1", Address: leader}}, EnrolmentDigests: []backend.Digest{key.Digest(enrolment)},
+		ShutdownDelay: 200 * time.Millisecond, DrainTimeout: 5 * time.Second,
 	}
 	_ = json.NewEncoder(os.Stdout).Encode(addresses{callers.Addr().String(), backends.Addr().String()})
 	if e.Run(ctx) != nil {
--- a/internal/edge/entry/service_test.go
+++ b/internal/edge/entry/service_test.go
@@ -89,7 +89,7 @@
 func TestMalformedJobsDoNotShiftTheAnswers(t *testing.T) {
 	a := &asker{reply: &inner.Reply{Answer: &inner.Reply_Submit{Submit: &v1.SubmitReply{Jobs: []*v1.Accepted{{Id: "a"}, {Id: "b"}}}}}}
 	h := &caller.Handler{Leader: a}
-	huge := spec("huge", false, make([]byte, caller.MaxInput+1))
+	huge := spec("huge", false, make([]byte, caller.MaxInputSize+1))
 	negative := spec("negative", false, nil)
 	negative.Size.Cpu = -1
 	jobs := []*v1.Spec{huge, spec("a", false, nil), negative, spec("b", false, nil), spec("a", false, nil), spec("a\nb", false, nil)}
@@ -132,7 +132,7 @@
 // A stranger must not announce a backend server and be handed the teams' inputs.
 func TestBackendServersNeedTheEnrolmentSecret(t *testing.T) {
 	a := &asker{reply: &inner.Reply{Answer: &inner.Reply_Announce{Announce: &v1.AnnounceReply{Status: &v1.Status{}, Incarnation: 1}}}}
-	h := &backend.Handler{Leader: a, Enrolment: []backend.Digest{key.Digest("old"), key.Digest("new")}}
+	h := &backend.Handler{Leader: a, EnrolmentDigests: []backend.Digest{key.Digest("old"), key.Digest("new")}}
 	good := &v1.AnnounceRequest{Server: "s1", Nonce: 1, Rack: "r", Zone: "z", Capacity: &v1.Size{Cpu: 1, Memory: 1, Slots: 1}}
 	bare := &v1.AnnounceRequest{Server: "s1", Nonce: 1, Rack: "r", Zone: "z"}
 	for _, c := range []struct {
@@ -155,31 +155,31 @@
 
 // A backend server whose entry gets no answer must not take the refusal for a lease.
 func TestSyncWithoutAnAnswerGivesNoLease(t *testing.T) {
-	h := &backend.Handler{Leader: &asker{err: code.New(code.LeaderTimeout, "")}, Enrolment: []backend.Digest{key.Digest("s")}}
+	h := &backend.Handler{Leader: &asker{err: code.New(code.LeaderTimeout, "")}, EnrolmentDigests: []backend.Digest{key.Digest("s")}}
 	reply, err := h.Sync(t.Context(), with("s", &v1.SyncRequest{Server: "s1", Incarnation: 1, Number: 9}))
 	if err != nil || reply.Msg.GetLease() != 0 || !reply.Msg.GetElsewhere() || reply.Msg.GetNumber() != 9 {
 		t.Errorf("%v, %v", reply, err)
 	}
 }
 
-type audit []operator.Record
+type audit []operator.AuditRecord
 
-func (a *audit) Audit(_ context.Context, r operator.Record) { *a = append(*a, r) }
+func (a *audit) RecordCall(_ context.Context, r operator.AuditRecord) { *a = append(*a, r) }
 
 // Whoever guesses keys or floods the cell with changes is slowed down, and every change is on record.
 func TestChangesAreLimitedAndRecorded(t *testing.T) {
 	var kept audit
 	a := &asker{reply: &inner.Reply{Answer: &inner.Reply_Change{Change: &v1.ChangeReply{Status: &v1.Status{}, Revision: 4}}}}
-	h := &operator.Handler{Leader: a, Audit: &kept, Limits: operator.Limits{Rate: 0.001, Burst: 2}}
+	h := &operator.Handler{Leader: a, Auditor: &kept, RateLimits: operator.RateLimits{Rate: 0.001, Burst: 2}}
 	change := &v1.ChangeRequest{Id: "c", Change: &v1.ChangeRequest_Withdraw{Withdraw: &v1.KeyWithdraw{Id: "k"}}}
 	for range 3 {
 		if _, err := h.Change(t.Context(), with("duty.secret", change)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	done := operator.Record{Key: "duty", Call: "withdraw", Subject: "k", Change: "c", Revision: 4}
+	done := operator.AuditRecord{KeyID: "duty", Call: "withdraw", Subject: "k", ChangeID: "c", TableRevision: 4}
 	limited := done
-	limited.Code, limited.Revision = code.LeaderTimeout, 0
+	limited.Code, limited.TableRevision = code.LeaderTimeout, 0
 	if diff := cmp.Diff(audit{done, done, limited}, kept); diff != "" {
 		t.Error(diff)
 	}
@@ -188,7 +188,7 @@
 // A dump shows the entry's state to an operator, and nothing to a key that the leader refuses.
 func TestDumpNeedsAnOperatorsKey(t *testing.T) {
 	a := &asker{reply: &inner.Reply{Answer: &inner.Reply_Show{Show: &v1.ShowReply{Status: &v1.Status{}}}}}
-	h := &operator.Handler{Leader: a, Name: "e1", State: func() any { return map[string]int{"pending": 3} }}
+	h := &operator.Handler{Leader: a, EntryName: "e1", State: func() any { return map[string]int{"pending": 3} }}
 	reply, _ := h.Dump(t.Context(), with("duty.secret", &v1.DumpRequest{}))
 	if !strings.Contains(reply.Msg.GetText(), `"pending": 3`) {
 		t.Error(reply.Msg)
@@ -212,7 +212,7 @@
 		c.change(0, &v1.ChangeRequest{Id: "one", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{}}})
 		time.Sleep(600 * time.Millisecond)
 		for _, name := range entryNames {
-			if got := w.process(name).entry.Pool().TableRevision(); got != 1 {
+			if got := w.process(name).entry.LeaderClient().TableRevision(); got != 1 {
 				t.Errorf("%s serves revision %d", name, got)
 			}
 		}
--- a/internal/edge/entry/state.go
+++ b/internal/edge/entry/state.go
@@ -34,14 +34,14 @@
 // logAudit writes the audit to the log when nothing else is set.
 type logAudit struct{ log logr.Logger }
 
-// Audit logs the record.
-func (a logAudit) Audit(_ context.Context, r operator.Record) {
+// RecordCall logs the record.
+func (a logAudit) RecordCall(_ context.Context, r operator.AuditRecord) {
 	id := event.Audit
 	if r.Code != code.OK {
 		id = event.AuditRefused
 	}
-	event.Log(a.log, id, "key", r.Key, "peer", r.Peer, "call", r.Call, "subject", r.Subject,
-		"change", r.Change, "code", uint32(r.Code), "revision", r.Revision)
+	event.Log(a.log, id, "key", r.KeyID, "peer", r.PeerAddress, "call", r.Call, "subject", r.Subject,
+		"change", r.ChangeID, "code", uint32(r.Code), "revision", r.TableRevision)
 }
 
 // newCount returns an interceptor that counts calls from outside.
--- a/internal/edge/entry/tls_test.go
+++ b/internal/edge/entry/tls_test.go
@@ -67,9 +67,9 @@
 	r := &replica{cell: c, name: "c1"}
 	go r.serve(ctx, tls.NewListener(leader, forServer))
 	e := &entry.Entry{
-		Cell: "test", Name: "e1", Callers: callers, Backends: backends, Outside: forServer, Inside: forClient, Log: logr.Discard(),
-		Replicas:  []control.Replica{{Name: "c1", Address: leader.Addr().String()}},
-		Enrolment: []backend.Digest{key.Digest(enrolment)}, Linger: time.Millisecond,
+		Cell: "test", Name: "e1", CallerListener: callers, BackendListener: backends, OutsideTLS: forServer, InsideTLS: forClient, Log: logr.Discard(),
+		ControlReplicas:  []control.Replica{{Name: "c1", Address: leader.Addr().String()}},
+		EnrolmentDigests: []backend.Digest{key.Digest(enrolment)}, ShutdownDelay: time.Millisecond,
 	}
 	go func() { _ = e.Run(ctx) }()
 	s := &server.Server{Name: "s1", Secret: enrolment, Entries: []server.Entry{server.NewEntry(backends.Addr().String(), forClient, nil)}}
--- a/internal/edge/entry/world_test.go
+++ b/internal/edge/entry/world_test.go
@@ -199,9 +199,9 @@
 		replicas = append(replicas, control.Replica{Name: c, Address: c + ":1"})
 	}
 	e := &entry.Entry{
-		Cell: "test", Name: name, Callers: callers, Backends: backends, Operators: operators, Platform: platform, Replicas: replicas, Dial: w.dial(name), Limit: w.limit,
-		Enrolment: []backend.Digest{key.Digest(enrolment)}, Log: logr.Discard(), Abort: abort,
-		Linger: time.Second, Drain: 5 * time.Second, Age: connectionAge,
+		Cell: "test", Name: name, CallerListener: callers, BackendListener: backends, OperatorListener: operators, PlatformListener: platform, ControlReplicas: replicas, Dial: w.dial(name), MaxPendingRequests: w.limit,
+		EnrolmentDigests: []backend.Digest{key.Digest(enrolment)}, Log: logr.Discard(), Abort: abort,
+		ShutdownDelay: time.Second, DrainTimeout: 5 * time.Second, MaxConnectionAge: connectionAge,
 	}
 	var once sync.Once
 	p := &process{entry: e, stop: stop, kill: func() {
@@ -303,7 +303,7 @@
 
 // wait collects the whole answer, each chunk at another entry.
 func (c *client) wait(at int, id string) (*v1.WaitReply, []byte) {
-	var parts answer.Parts
+	var parts answer.Assembler
 	for n := uint32(0); ; {
 		reply := ask(c, at+int(n), func(i int, ctx context.Context, r *connect.Request[v1.WaitRequest]) (*connect.Response[v1.WaitReply], error) {
 			return c.callers[i].Wait(ctx, r)
@@ -316,7 +316,7 @@
 		if err := parts.Add(reply.GetChunk()); err != nil {
 			return reply, []byte(err.Error())
 		}
-		whole, ok, err := parts.Whole()
+		whole, ok, err := parts.Assemble()
 		if err != nil {
 			return reply, []byte(err.Error())
 		}
--- a/internal/edge/operator/check.go
+++ b/internal/edge/operator/check.go
@@ -9,8 +9,8 @@
 	"gypsumreel/internal/edge/caller"
 )
 
-// MaxEdits bounds the rows that one change touches.
-const MaxEdits = 2000
+// MaxTableEdits bounds the rows that one change touches.
+const MaxTableEdits = 2000
 
 // maxShare is the whole cell in thousandths.
 const maxShare = 1000
@@ -38,8 +38,8 @@
 }
 
 func checkTable(t *v1.TableChange) error {
-	if len(t.GetEdits()) > MaxEdits {
-		return code.New(code.TooLarge, "up to %d edits", MaxEdits)
+	if len(t.GetEdits()) > MaxTableEdits {
+		return code.New(code.TooLarge, "up to %d edits", MaxTableEdits)
 	}
 	for _, e := range t.GetEdits() {
 		if err := checkEdit(e); err != nil {
--- a/internal/edge/operator/limits.go
+++ b/internal/edge/operator/limits.go
@@ -15,8 +15,8 @@
 	maxKeys = 1024
 )
 
-// Limits bounds the rate of calls by key. The zero value has the defaults.
-type Limits struct {
+// RateLimits bounds the rate of calls by key. The zero value has the defaults.
+type RateLimits struct {
 	Rate  rate.Limit
 	Burst int
 
@@ -25,7 +25,7 @@
 }
 
 // Allow tells whether one more call with the key is within the limit.
-func (l *Limits) Allow(key string) bool {
+func (l *RateLimits) Allow(key string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.keys == nil || len(l.keys) >= maxKeys {
@@ -39,7 +39,7 @@
 	return one.Allow()
 }
 
-func (l *Limits) bounds() (rate.Limit, int) {
+func (l *RateLimits) bounds() (rate.Limit, int) {
 	r, b := l.Rate, l.Burst
 	if r == 0 {
 		r = DefaultRate
--- a/internal/edge/operator/operator.go
+++ b/internal/edge/operator/operator.go
@@ -17,59 +17,59 @@
 )
 
 const (
-	// MaxAsk bounds every call.
-	MaxAsk = 5 * time.Second
-	// MaxRequest bounds the size of a request in bytes.
-	MaxRequest = 4 << 20
-	// MaxDump bounds the text of a dump in bytes.
-	MaxDump = 1 << 20
-	// MaxShow bounds the lines of one Show.
-	MaxShow = 5000
+	// RequestTimeout bounds every call.
+	RequestTimeout = 5 * time.Second
+	// MaxRequestSize bounds the size of a request in bytes.
+	MaxRequestSize = 4 << 20
+	// MaxDumpSize bounds the text of a dump in bytes.
+	MaxDumpSize = 1 << 20
+	// MaxShownRows bounds the lines of one Show.
+	MaxShownRows = 5000
 )
 
-// Leader is what the handler needs of the way to the leader.
-type Leader interface {
+// LeaderClient is what the handler needs of the way to the leader.
+type LeaderClient interface {
 	control.Sender
 	// Dump asks a process of the control group for its state.
 	Dump(ctx context.Context, process string) (*v1.DumpReply, error)
 }
 
-// Record is one call of an operator, as the audit keeps it.
-type Record struct {
-	// Key is the id of the key presented, never its secret.
-	Key string
-	// Peer is the address that the call came from.
-	Peer string
+// AuditRecord is one call of an operator, as the audit keeps it.
+type AuditRecord struct {
+	// KeyID is the id of the key presented, never its secret.
+	KeyID string
+	// PeerAddress is the address that the call came from.
+	PeerAddress string
 	// Call names what was asked, Subject what it was about.
 	Call    string
 	Subject string
-	// Change is the operator's change id.
-	Change string
+	// ChangeID is the operator's change id.
+	ChangeID string
 	// Code is the result, Revision the table's revision after it.
-	Code     code.Code
-	Revision uint64
+	Code          code.Code
+	TableRevision uint64
 }
 
-// Audit receives each change and each refusal, in the order they were answered.
-type Audit interface {
-	Audit(ctx context.Context, r Record)
+// Auditor receives each change and each refusal, in the order they were answered.
+type Auditor interface {
+	RecordCall(ctx context.Context, r AuditRecord)
 }
 
 // Handler serves the Operator service. Set the fields, then mount it with Route.
 type Handler struct {
-	Leader Leader
-	Audit  Audit
-	// Name is the entry's own; a dump of that name or none is of this process.
-	Name string
+	Leader  LeaderClient
+	Auditor Auditor
+	// EntryName is the entry's own; a dump of that name or none is of this process.
+	EntryName string
 	// State returns what a dump of this process shows; it must hold no secrets.
 	State func() any
-	// Limits bounds the rate of calls by key.
-	Limits Limits
+	// RateLimits bounds the rate of calls by key.
+	RateLimits RateLimits
 }
 
 // Route returns the path and the handler for an HTTP mux.
 func (h *Handler) Route(opts ...connect.HandlerOption) (string, http.Handler) {
-	return v1.NewOperatorHandler(h, append(opts, connect.WithReadMaxBytes(MaxRequest))...)
+	return v1.NewOperatorHandler(h, append(opts, connect.WithReadMaxBytes(MaxRequestSize))...)
 }
 
 // Change forwards one change; the change id makes it safe to ask again.
@@ -81,9 +81,9 @@
 		out = reply.GetChange()
 	}
 	call, subject := describe(m)
-	h.record(ctx, req.Header(), req.Peer().Addr, Record{
-		Call: call, Subject: subject, Change: m.GetId(),
-		Code: code.Code(out.GetStatus().GetCode()), Revision: out.GetRevision(),
+	h.record(ctx, req.Header(), req.Peer().Addr, AuditRecord{
+		Call: call, Subject: subject, ChangeID: m.GetId(),
+		Code: code.Code(out.GetStatus().GetCode()), TableRevision: out.GetRevision(),
 	})
 	return connect.NewResponse(out), nil
 }
@@ -91,8 +91,8 @@
 // Show forwards a read.
 func (h *Handler) Show(ctx context.Context, req *connect.Request[v1.ShowRequest]) (*connect.Response[v1.ShowReply], error) {
 	ask := &v1.ShowRequest{Part: req.Msg.GetPart(), After: req.Msg.GetAfter(), Limit: req.Msg.GetLimit()}
-	if ask.Limit == 0 || ask.Limit > MaxShow {
-		ask.Limit = MaxShow
+	if ask.Limit == 0 || ask.Limit > MaxShownRows {
+		ask.Limit = MaxShownRows
 	}
 	reply, status := h.exchange(ctx, req.Header(), checkShow(ask), &inner.Item{Ask: &inner.Item_Show{Show: ask}})
 	if status != nil {
@@ -113,12 +113,12 @@
 	if status == nil {
 		out = h.dump(ctx, req.Msg.GetProcess())
 	}
-	h.record(ctx, req.Header(), req.Peer().Addr, Record{Call: "dump", Subject: req.Msg.GetProcess(), Code: code.Code(out.GetStatus().GetCode())})
+	h.record(ctx, req.Header(), req.Peer().Addr, AuditRecord{Call: "dump", Subject: req.Msg.GetProcess(), Code: code.Code(out.GetStatus().GetCode())})
 	return connect.NewResponse(out), nil
 }
 
 func (h *Handler) dump(ctx context.Context, process string) *v1.DumpReply {
-	if process != "" && process != h.Name {
+	if process != "" && process != h.EntryName {
 		reply, err := h.Leader.Dump(ctx, process)
 		if err != nil {
 			return &v1.DumpReply{Status: control.StatusFromError(err)}
@@ -129,7 +129,7 @@
 	if h.State != nil {
 		state = h.State()
 	}
-	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Render(state, MaxDump)}
+	return &v1.DumpReply{Status: &v1.Status{}, Text: dump.Render(state, MaxDumpSize)}
 }
 
 func (h *Handler) exchange(ctx context.Context, header http.Header, fault error, item *inner.Item) (*inner.Reply, *v1.Status) {
@@ -137,24 +137,24 @@
 	if err != nil {
 		return nil, control.StatusFromError(err)
 	}
-	if !h.Limits.Allow(cred.GetId()) {
+	if !h.RateLimits.Allow(cred.GetId()) {
 		return nil, control.NewStatus(code.LeaderTimeout, "too many calls with key %q; nothing was done", cred.GetId())
 	}
 	if fault != nil {
 		return nil, control.StatusFromError(fault)
 	}
 	item.Credential = cred
-	reply, status := control.Exchange(ctx, h.Leader, item, MaxAsk)
+	reply, status := control.Exchange(ctx, h.Leader, item, RequestTimeout)
 	return reply, control.StatusForNonSubmit(status)
 }
 
-func (h *Handler) record(ctx context.Context, header http.Header, peer string, r Record) {
-	if h.Audit == nil {
+func (h *Handler) record(ctx context.Context, header http.Header, peer string, r AuditRecord) {
+	if h.Auditor == nil {
 		return
 	}
 	if cred, err := control.CredentialFromHeader(header); err == nil {
-		r.Key = cred.GetId()
+		r.KeyID = cred.GetId()
 	}
-	r.Peer = peer
-	h.Audit.Audit(ctx, r)
+	r.PeerAddress = peer
+	h.Auditor.RecordCall(ctx, r)
 }
--- a/internal/fake/worker/worker.go
+++ b/internal/fake/worker/worker.go
@@ -205,9 +205,9 @@
 	case *inner.ServerCall_Start:
 		a.Verdict = w.start(c, order.Start)
 	case *inner.ServerCall_Stop:
-		w.stop(flow.RunOf(order.Stop.GetRun()))
+		w.stop(flow.RunIDFromMessage(order.Stop.GetRun()))
 	case *inner.ServerCall_Pace:
-		w.pacePercent[flow.RunOf(order.Pace.GetRun()).TaskID] = order.Pace.GetPercent()
+		w.pacePercent[flow.RunIDFromMessage(order.Pace.GetRun()).TaskID] = order.Pace.GetPercent()
 	case *inner.ServerCall_Hold:
 		w.listRuns(a, order.Hold.GetAck())
 	}
@@ -215,7 +215,7 @@
 }
 
 func (w *Worker) start(c *inner.ServerCall, s *inner.StartRun) inner.Verdict {
-	id := flow.RunOf(s.GetRun())
+	id := flow.RunIDFromMessage(s.GetRun())
 	if r := w.runs[id.TaskID]; r != nil && r.Number == id.Number {
 		return inner.Verdict_VERDICT_DONE
 	}
--- a/internal/ledger/command/command.go
+++ b/internal/ledger/command/command.go
@@ -50,18 +50,18 @@
 // SpecFromMessage converts a job specification from its message.
 func SpecFromMessage(teamName string, m *v1.Spec) *job.Spec {
 	return &job.Spec{
-		ID:       m.GetId(),
-		Team:     teamName,
-		Kind:     job.Kind(m.GetKind()),
-		Name:     m.GetName(),
-		Count:    m.GetCount(),
-		Size:     SizeFromMessage(m.GetSize()),
-		Runtime:  time.Duration(m.GetRuntime()) * time.Millisecond,
-		Once:     m.GetOnce(),
-		Input:    m.GetInput(),
-		Deadline: time.Duration(m.GetDeadline()) * time.Millisecond,
-		Labels:   m.GetLabels(),
-		Floor:    m.GetFloor(),
+		ID:               m.GetId(),
+		Team:             teamName,
+		Kind:             job.Kind(m.GetKind()),
+		Name:             m.GetName(),
+		Count:            m.GetCount(),
+		Size:             SizeFromMessage(m.GetSize()),
+		EstimatedRuntime: time.Duration(m.GetRuntime()) * time.Millisecond,
+		AtMostOnce:       m.GetOnce(),
+		Input:            m.GetInput(),
+		PlacementTimeout: time.Duration(m.GetDeadline()) * time.Millisecond,
+		Labels:           m.GetLabels(),
+		MinRunningTasks:  m.GetFloor(),
 	}
 }
 
@@ -73,21 +73,21 @@
 		Name:     s.Name,
 		Count:    s.Count,
 		Size:     SizeMessage(s.Size),
-		Runtime:  uint64(s.Runtime / time.Millisecond),
-		Once:     s.Once,
+		Runtime:  uint64(s.EstimatedRuntime / time.Millisecond),
+		Once:     s.AtMostOnce,
 		Input:    s.Input,
-		Deadline: uint64(s.Deadline / time.Millisecond),
+		Deadline: uint64(s.PlacementTimeout / time.Millisecond),
 		Labels:   s.Labels,
-		Floor:    s.Floor,
+		Floor:    s.MinRunningTasks,
 	}
 }
 
 // RowFromMessage converts a row of the table from its message.
 func RowFromMessage(m *v1.Row) team.Row {
-	return team.Row{Name: m.GetTeam(), Weight: m.GetWeight(), Share: m.GetShare(), Limit: SizeFromMessage(m.GetLimit()), Queue: m.GetQueue()}
+	return team.Row{Name: m.GetTeam(), Weight: m.GetWeight(), GuaranteedShare: m.GetShare(), Limit: SizeFromMessage(m.GetLimit()), MaxWaitingJobs: m.GetQueue()}
 }
 
 // RowMessage converts a row of the table to its message.
 func RowMessage(r team.Row) *v1.Row {
-	return &v1.Row{Team: r.Name, Weight: r.Weight, Share: r.Share, Limit: SizeMessage(r.Limit), Queue: r.Queue}
+	return &v1.Row{Team: r.Name, Weight: r.Weight, Share: r.GuaranteedShare, Limit: SizeMessage(r.Limit), Queue: r.MaxWaitingJobs}
 }
--- a/internal/ledger/flows/crash.go
+++ b/internal/ledger/flows/crash.go
@@ -53,7 +53,7 @@
 		t.ConsecutiveCrashes++
 	}
 	for _, m := range blamed {
-		id := flow.RunOf(m)
+		id := flow.RunIDFromMessage(m)
 		if h := b.HeldRuns[id.TaskID]; h == nil || h.Number != id.Number {
 			continue
 		}
--- a/internal/ledger/flows/flows.go
+++ b/internal/ledger/flows/flows.go
@@ -122,9 +122,9 @@
 	Labels      []string
 	// ShuttingDown is true for a server in graceful shutdown, which gets no new work.
 	ShuttingDown bool
-	// WarmUpEndsAt is the time, on the ledger's clock, at which the server no longer
+	// SlowStartEndsAt is the time, on the ledger's clock, at which the server no longer
 	// runs slowly after its start.
-	WarmUpEndsAt time.Duration
+	SlowStartEndsAt time.Duration
 	// LastReport is the number of the latest report that changed this record.
 	LastReport uint64
 	// Ended is true once this incarnation has ended.
--- a/internal/ledger/flows/lifecycle.go
+++ b/internal/ledger/flows/lifecycle.go
@@ -14,7 +14,7 @@
 	if _, ok := l.flows[id]; ok {
 		return nil // a resend of a flow that was already accepted
 	}
-	if err := flow.Check(a.GetSpec()); err != nil {
+	if err := flow.CheckSpec(a.GetSpec()); err != nil {
 		return err
 	}
 	f := &Flow{
--- a/internal/ledger/flows/run.go
+++ b/internal/ledger/flows/run.go
@@ -22,7 +22,7 @@
 	}
 	b := &Server{
 		ID: m.GetId(), StartedAtMs: m.GetBorn(), Address: m.GetAddress(), Zone: m.GetZone(), Pool: m.GetPool(), Machine: m.GetMachine(),
-		Capacity: sizeFromMessage(m.GetCapacity()), Labels: m.GetLabels(), ShuttingDown: m.GetLeaving(), LastReport: m.GetCall(), WarmUpEndsAt: now + time.Duration(m.GetCold())*time.Millisecond, HeldRuns: map[flow.TaskID]*HeldRun{},
+		Capacity: sizeFromMessage(m.GetCapacity()), Labels: m.GetLabels(), ShuttingDown: m.GetLeaving(), LastReport: m.GetCall(), SlowStartEndsAt: now + time.Duration(m.GetCold())*time.Millisecond, HeldRuns: map[flow.TaskID]*HeldRun{},
 	}
 	if known && m.GetBorn() == old.StartedAtMs {
 		if old.Ended {
@@ -80,7 +80,7 @@
 func (l *Ledger) endAllRuns(now time.Duration, b *Server, runEnd inner.RunEnd, saved []*record.FlowSaved) {
 	checkpoints := map[flow.RunID]string{}
 	for _, s := range saved {
-		checkpoints[flow.RunOf(s.GetRun())] = s.GetCheckpoint()
+		checkpoints[flow.RunIDFromMessage(s.GetRun())] = s.GetCheckpoint()
 	}
 	for _, id := range sortedTaskIDs(b.HeldRuns) {
 		h := b.HeldRuns[id]
@@ -97,12 +97,12 @@
 		return err
 	}
 	for _, p := range c.GetPlaces() {
-		id := flow.RunOf(p.GetRun())
+		id := flow.RunIDFromMessage(p.GetRun())
 		s, _ := l.Step(id.StepID)
 		b := l.servers[p.GetServer()]
 		t := &s.Tasks[id.Index]
 		t.LatestRun, t.Server, t.ServerStartedAtMs = id.Number, b.ID, b.StartedAtMs
-		l.addHeldRun(b, &HeldRun{RunID: id, Server: b.ID, Customer: s.Flow.Customer, Size: flow.SizeOf(s.Spec), PlacedAt: now})
+		l.addHeldRun(b, &HeldRun{RunID: id, Server: b.ID, Customer: s.Flow.Customer, Size: flow.TaskSize(s.Spec), PlacedAt: now})
 		l.moveTask(s, id.Index, chart.Place)
 		if s.Flow.State == v1.FlowState_FLOW_STATE_QUEUED {
 			l.pendingFlows[s.Flow.QueueName]--
@@ -119,7 +119,7 @@
 	addedByServer, addedByCustomer := map[string]capacity.Size{}, map[string]capacity.Size{}
 	placedByGang, seen := map[flow.StepID]int{}, map[flow.TaskID]bool{}
 	for _, p := range places {
-		id := flow.RunOf(p.GetRun())
+		id := flow.RunIDFromMessage(p.GetRun())
 		s, ok := l.Step(id.StepID)
 		switch {
 		case !ok || s.UnfinishedDependencies > 0 || int(id.Index) >= len(s.Tasks) || s.Flow.Final():
@@ -132,7 +132,7 @@
 		if !ok || !l.AcceptsWork(b) {
 			return code.New(code.SessionReplaced, "server %s accepts no new work", p.GetServer())
 		}
-		size := flow.SizeOf(s.Spec)
+		size := flow.TaskSize(s.Spec)
 		addedByServer[b.ID] = addedByServer[b.ID].Add(size)
 		if !b.Used.Add(addedByServer[b.ID]).Fits(b.Capacity) {
 			return code.New(code.Unplaceable, "server %s has too little free capacity", b.ID)
@@ -185,7 +185,7 @@
 		return code.New(code.SessionReplaced, "server %s runs another incarnation", c.GetServer())
 	}
 	for _, e := range c.GetEnds() {
-		l.recordEnd(now, b, flow.RunOf(e.GetRun()), e.GetHow(), e.GetCheckpoint())
+		l.recordEnd(now, b, flow.RunIDFromMessage(e.GetRun()), e.GetHow(), e.GetCheckpoint())
 	}
 	b.EndCursor = max(b.EndCursor, c.GetCursor())
 	l.addTextToDigest(b.ID)
--- a/internal/ledger/flows/snapshot.go
+++ b/internal/ledger/flows/snapshot.go
@@ -69,7 +69,7 @@
 		Id: b.ID, Born: b.StartedAtMs, Address: b.Address, Zone: b.Zone, Pool: b.Pool, Machine: b.Machine,
 		Capacity: &v1.Size{Cpu: b.Capacity.CPU, Memory: b.Capacity.Memory, Accel: b.Capacity.Accel, Slots: b.Capacity.Slots},
 		Labels:   b.Labels, Leaving: b.ShuttingDown, Cursor: b.EndCursor, Call: b.LastReport,
-	}, Over: b.Ended, Warm: int64(b.WarmUpEndsAt)}
+	}, Over: b.Ended, Warm: int64(b.SlowStartEndsAt)}
 	for _, id := range sortedTaskIDs(b.HeldRuns) {
 		h := b.HeldRuns[id]
 		r.Held = append(r.Held, &record.HeldRecord{
@@ -171,11 +171,11 @@
 	b := &Server{
 		ID: s.GetId(), StartedAtMs: s.GetBorn(), Address: s.GetAddress(), Zone: s.GetZone(), Pool: s.GetPool(), Machine: s.GetMachine(),
 		Capacity: sizeFromMessage(s.GetCapacity()), Labels: s.GetLabels(), ShuttingDown: s.GetLeaving(), EndCursor: s.GetCursor(),
-		LastReport: s.GetCall(), Ended: m.GetOver(), WarmUpEndsAt: time.Duration(m.GetWarm()), HeldRuns: map[flow.TaskID]*HeldRun{},
+		LastReport: s.GetCall(), Ended: m.GetOver(), SlowStartEndsAt: time.Duration(m.GetWarm()), HeldRuns: map[flow.TaskID]*HeldRun{},
 	}
 	l.servers[b.ID] = b
 	for _, h := range m.GetHeld() {
-		id := flow.RunOf(h.GetRun())
+		id := flow.RunIDFromMessage(h.GetRun())
 		l.addHeldRun(b, &HeldRun{RunID: id, Server: b.ID, Customer: h.GetCustomer(), Size: sizeFromMessage(h.GetSize()), PlacedAt: time.Duration(h.GetSince())})
 	}
 }
--- a/internal/ledger/state/attempt.go
+++ b/internal/ledger/state/attempt.go
@@ -18,7 +18,7 @@
 	if !ok || j.Final() || j.Cancelled || j.GiveUpCode != code.OK {
 		return refused(code.NotFound, "job is unknown, final or given up")
 	}
-	if j.Spec.Whole() && uint32(len(p.GetSpots())) != j.Spec.Count {
+	if j.Spec.AllOrNothing() && uint32(len(p.GetSpots())) != j.Spec.Count {
 		return refused(code.Internal, "gang is not placed as a whole")
 	}
 	if r := s.checkPlacement(j, p.GetSpots()); r.Code != code.OK {
@@ -96,9 +96,9 @@
 // not be repeated, or its job was cancelled or given up.
 func (s *State) isTaskDone(j *Job, t *Task) bool {
 	if j.Spec.Kind == job.Service {
-		return j.Spec.Once || j.Cancelled
+		return j.Spec.AtMostOnce || j.Cancelled
 	}
-	return t.ExitCode == 0 || j.Spec.Once || j.Cancelled || j.GiveUpCode != code.OK
+	return t.ExitCode == 0 || j.Spec.AtMostOnce || j.Cancelled || j.GiveUpCode != code.OK
 }
 
 // AttemptEnd describes how an attempt ended.
@@ -118,11 +118,11 @@
 	id := t.ID
 	t.SaveCheckpoint = false
 	s.moveTask(t, s.nextEvent(j, t, end, done))
-	s.observer().TaskReleased(j, s.tasks[id], end)
+	s.observer().AttemptEnded(j, s.tasks[id], end)
 	if t.Phase == Queued {
-		s.observer().TaskQueued(s.jobs[id.Job], s.tasks[id])
+		s.observer().WaitingAdded(s.jobs[id.Job], s.tasks[id])
 	}
-	if j.Spec.Whole() && (t.Phase == WaitingForGang || s.hasTaskWaitingForGang(j)) {
+	if j.Spec.AllOrNothing() && (t.Phase == WaitingForGang || s.hasTaskWaitingForGang(j)) {
 		s.restartGang(id.Job)
 	}
 	s.updateOutcome(id.Job)
@@ -135,18 +135,18 @@
 	switch {
 	case done:
 		return chart.Finish
-	case end.Lost && j.Spec.Once:
+	case end.Lost && j.Spec.AtMostOnce:
 		// The start order may have been sent and the program may have run. A second
 		// attempt could repeat it, and the outcome "not run" could be false.
 		return chart.EndUnknown
-	case j.Spec.Once && t.Started && !j.Cancelled:
+	case j.Spec.AtMostOnce && t.Started && !j.Cancelled:
 		// The server stopped the program while it was running. The program must not
 		// start again, and the ledger does not know how far it got.
 		return chart.EndUnknown
 	case jobGivenUp:
 		t.Started = t.Started || end.Lost
 		return giveUpEvent(t.Started)
-	case j.Spec.Whole():
+	case j.Spec.AllOrNothing():
 		return chart.WaitForGang
 	}
 	return chart.Requeue
@@ -178,7 +178,7 @@
 	if j.HeldTasks > 0 || j.Cancelled || j.GiveUpCode != code.OK {
 		return
 	}
-	if j.Spec.Once {
+	if j.Spec.AtMostOnce {
 		s.endUnrepeatableGang(j)
 		return
 	}
@@ -191,7 +191,7 @@
 		s.moveTask(&t, chart.Retry)
 	}
 	for i := range j.Spec.Count {
-		s.observer().TaskQueued(s.jobs[number], s.tasks[task.ID{Job: number, Index: i}])
+		s.observer().WaitingAdded(s.jobs[number], s.tasks[task.ID{Job: number, Index: i}])
 	}
 }
 
@@ -214,7 +214,7 @@
 			continue
 		}
 		s.moveTask(&t, chart.Retry)
-		s.observer().TaskQueued(s.jobs[j.Number], s.tasks[t.ID])
+		s.observer().WaitingAdded(s.jobs[j.Number], s.tasks[t.ID])
 	}
 }
 
@@ -224,11 +224,11 @@
 	if !ok {
 		return refused(code.NotFound, "job is unknown")
 	}
-	if j.Spec.Once && !j.Cancelled && !h.GetIdle() {
+	if j.Spec.AtMostOnce && !j.Cancelled && !h.GetIdle() {
 		return refused(code.InUse, "job may not be repeated")
 	}
 	indexes := h.GetIndexes()
-	if j.Spec.Whole() {
+	if j.Spec.AllOrNothing() {
 		indexes = nil
 		for i := range j.Spec.Count {
 			indexes = append(indexes, i)
--- a/internal/ledger/state/change.go
+++ b/internal/ledger/state/change.go
@@ -58,7 +58,7 @@
 	if r.Code != code.OK {
 		return r
 	}
-	next := s.table.With(set, removed)
+	next := s.table.Update(set, removed)
 	for _, name := range removed {
 		if s.teamInUse(name) {
 			return refused(code.InUse, name)
@@ -124,9 +124,9 @@
 		case "weight":
 			row = row.WithWeight(m.GetWeight())
 		case "share":
-			row = row.WithShare(m.GetShare())
+			row = row.WithGuaranteedShare(m.GetShare())
 		case "queue":
-			row = row.WithQueue(m.GetQueue())
+			row = row.WithMaxWaitingJobs(m.GetQueue())
 		case "cpu":
 			limit.CPU = newLimit.CPU
 		case "memory":
@@ -146,7 +146,7 @@
 	switch l := r.Limit; {
 	case r.Weight < 1 || r.Weight > MaxWeight:
 		return r, code.New(code.Malformed, "%s: weight is 1 to %d", r.Name, MaxWeight)
-	case r.Share > MaxShare:
+	case r.GuaranteedShare > MaxShare:
 		return r, code.New(code.Malformed, "%s: share is 0 to %d thousandths", r.Name, MaxShare)
 	case min(l.CPU, l.Memory, l.Accel, l.Slots) < -1:
 		return r, code.New(code.Malformed, "%s: a limit is -1 (none) or more", r.Name)
--- a/internal/ledger/state/job.go
+++ b/internal/ledger/state/job.go
@@ -81,7 +81,7 @@
 	for i := range j.Spec.Count {
 		id := task.ID{Job: j.Number, Index: i}
 		s.putTask(&Task{ID: id, Phase: Queued, PhaseSince: s.now})
-		s.observer().TaskQueued(s.jobs[j.Number], s.tasks[id])
+		s.observer().WaitingAdded(s.jobs[j.Number], s.tasks[id])
 	}
 	return Result{Job: s.jobs[j.Number]}
 }
@@ -170,7 +170,7 @@
 		t := s.tasks[task.ID{Job: number, Index: i}]
 		switch t.Phase {
 		case Queued:
-			s.observer().TaskUnqueued(t.ID)
+			s.observer().WaitingRemoved(t.ID)
 			s.giveUpTask(t)
 		case WaitingForGang:
 			s.giveUpTask(t)
--- a/internal/ledger/state/observer.go
+++ b/internal/ledger/state/observer.go
@@ -12,16 +12,16 @@
 	TableChanged(t table.Table)
 	// ServerChanged is called for a new or changed backend server.
 	ServerChanged(b Server)
-	// TaskQueued is called for a task that starts to wait for a placement.
-	TaskQueued(j *Job, t *Task)
-	// TaskUnqueued is called for a waiting task that will not be placed.
-	TaskUnqueued(id task.ID)
+	// WaitingAdded is called for a task that starts to wait for a placement.
+	WaitingAdded(j *Job, t *Task)
+	// WaitingRemoved is called for a waiting task that will not be placed.
+	WaitingRemoved(id task.ID)
 	// TaskPlaced is called for a task with a new attempt.
 	TaskPlaced(j *Job, t *Task)
 	// TaskStopping is called for a task whose attempt has to be ordered to stop.
 	TaskStopping(j *Job, t *Task)
-	// TaskReleased is called for a task whose attempt ended.
-	TaskReleased(j *Job, t *Task, end AttemptEnd)
+	// AttemptEnded is called for a task whose attempt ended.
+	AttemptEnded(j *Job, t *Task, end AttemptEnd)
 	// JobEnded is called for a job whose outcome became final.
 	JobEnded(j *Job)
 }
@@ -31,11 +31,11 @@
 
 func (noopObserver) TableChanged(table.Table)             {}
 func (noopObserver) ServerChanged(Server)                 {}
-func (noopObserver) TaskQueued(*Job, *Task)               {}
-func (noopObserver) TaskUnqueued(task.ID)                 {}
+func (noopObserver) WaitingAdded(*Job, *Task)             {}
+func (noopObserver) WaitingRemoved(task.ID)               {}
 func (noopObserver) TaskPlaced(*Job, *Task)               {}
 func (noopObserver) TaskStopping(*Job, *Task)             {}
-func (noopObserver) TaskReleased(*Job, *Task, AttemptEnd) {}
+func (noopObserver) AttemptEnded(*Job, *Task, AttemptEnd) {}
 func (noopObserver) JobEnded(*Job)                        {}
 
 func (s *State) observer() Observer {
--- a/internal/ledger/state/retention.go
+++ b/internal/ledger/state/retention.go
@@ -75,7 +75,7 @@
 		}),
 		Servers: s.goneServers.popOlderThan(cutoff, limit, func(item retained[string]) bool {
 			b, ok := s.servers[item.key]
-			return ok && b.Server.State == gone && b.Since == item.since
+			return ok && b.Server.State == gone && b.StateSince == item.since
 		}),
 	}
 }
--- a/internal/ledger/state/server.go
+++ b/internal/ledger/state/server.go
@@ -35,7 +35,7 @@
 		Zone:        a.GetZone(),
 		Labels:      a.GetLabels(),
 		State:       backend.Ready,
-		Since:       s.now,
+		StateSince:  s.now,
 	}
 	// A drain requested by an operator survives a restart of the server. A drain that
 	// the server requested for its own shutdown ends when the server announces itself
--- a/internal/ledger/state/snapshot.go
+++ b/internal/ledger/state/snapshot.go
@@ -192,7 +192,7 @@
 func serverRecord(b Server) *record.Server {
 	return &record.Server{
 		Id: b.ID, Incarnation: b.Incarnation, Nonce: b.Nonce, Capacity: command.SizeMessage(b.Capacity),
-		Rack: b.Rack, Zone: b.Zone, Labels: b.Labels, State: uint32(b.Server.State), Since: int64(b.Since), Drain: b.DrainRequested,
+		Rack: b.Rack, Zone: b.Zone, Labels: b.Labels, State: uint32(b.Server.State), Since: int64(b.StateSince), Drain: b.DrainRequested,
 	}
 }
 
@@ -201,7 +201,7 @@
 		Server: backend.Server{
 			ID: r.GetId(), Incarnation: r.GetIncarnation(), Nonce: r.GetNonce(), Capacity: command.SizeFromMessage(r.GetCapacity()),
 			Rack: r.GetRack(), Zone: r.GetZone(), Labels: r.GetLabels(),
-			State: backend.State(r.GetState()), Since: time.Duration(r.GetSince()),
+			State: backend.State(r.GetState()), StateSince: time.Duration(r.GetSince()),
 		},
 		DrainRequested: r.GetDrain(),
 	}
--- a/internal/ledger/state/state_test.go
+++ b/internal/ledger/state/state_test.go
@@ -106,7 +106,7 @@
 		if j.Outcome == v1.Outcome_OUTCOME_NOT_RUN && startedTasks > 0 {
 			t.Fatalf("job %d: outcome is not run, but %d tasks started", j.Number, startedTasks)
 		}
-		if j.Spec.Whole() && !j.Final() && heldTasks == 0 && j.WaitingTasks != j.Spec.Count {
+		if j.Spec.AllOrNothing() && !j.Final() && heldTasks == 0 && j.WaitingTasks != j.Spec.Count {
 			t.Fatalf("gang %d is stuck: no task holds capacity and only %d of %d tasks wait", j.Number, j.WaitingTasks, j.Spec.Count)
 		}
 		pair.first.EachTask(j, func(k *state.Task) {
@@ -114,7 +114,7 @@
 				t.Fatalf("task %v waits forever for its gang", k.ID)
 			}
 		})
-		if j.Spec.Whole() && heldTasks > 0 && j.WaitingTasks > 0 && heldTasks+j.WaitingTasks+j.FinalTasks == j.Spec.Count && partlyPlaced(pair.first, j) {
+		if j.Spec.AllOrNothing() && heldTasks > 0 && j.WaitingTasks > 0 && heldTasks+j.WaitingTasks+j.FinalTasks == j.Spec.Count && partlyPlaced(pair.first, j) {
 			t.Fatalf("gang %d has both placed and queued tasks", j.Number)
 		}
 		if j.HeldTasks != heldTasks {
@@ -195,7 +195,7 @@
 					k := ts[drawIndex("task", len(ts))]
 					j, _ := pair.first.Job(k.ID.Job)
 					indexes := []uint32{k.ID.Index}
-					if j.Spec.Whole() && drawIndex("whole", 4) > 0 {
+					if j.Spec.AllOrNothing() && drawIndex("whole", 4) > 0 {
 						indexes = nil
 						for i := range j.Spec.Count {
 							indexes = append(indexes, i)
@@ -217,7 +217,7 @@
 					return
 				}
 				starts[k.ID]++
-				if j, _ := pair.first.Job(k.ID.Job); j.Spec.Once && starts[k.ID] > 1 {
+				if j, _ := pair.first.Job(k.ID.Job); j.Spec.AtMostOnce && starts[k.ID] > 1 {
 					t.Fatalf("task %v may not be repeated but started %d times", k.ID, starts[k.ID])
 				}
 			},
--- a/internal/ledger/state/store.go
+++ b/internal/ledger/state/store.go
@@ -156,7 +156,7 @@
 	s.snapshotBuilder.beforeServerChange(b.ID)
 	s.servers[b.ID] = b
 	if b.Server.State == gone {
-		s.goneServers.push(retained[string]{b.ID, b.Since})
+		s.goneServers.push(retained[string]{b.ID, b.StateSince})
 	}
 }
 
--- a/internal/load/drive/drive.go
+++ b/internal/load/drive/drive.go
@@ -17,7 +17,7 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/job"
 	"gypsumreel/internal/load/mix"
 	"gypsumreel/internal/load/work"
@@ -32,33 +32,33 @@
 	ackTimeout = 10 * time.Second
 )
 
-// Seen is what became of one job. Times are from the start of the run; 0 when
+// JobResult is what became of one job. Times are from the start of the run; 0 when
 // the step never came.
-type Seen struct {
+type JobResult struct {
 	Job mix.Job
-	// Sent is when the request really left.
-	Sent     time.Duration
-	Accepted time.Duration
-	Answered time.Duration
-	Outcome  v1.Outcome
-	Code     code.Code
-	// Whole tells that the answer is the job's own, all of it.
-	Whole bool
-	// Damaged tells that there was an answer, but not that.
-	Damaged bool
+	// SentAt is when the request really left.
+	SentAt     time.Duration
+	AcceptedAt time.Duration
+	AnsweredAt time.Duration
+	Outcome    v1.Outcome
+	Code       code.Code
+	// AnswerMatches tells that the answer is the job's own, all of it.
+	AnswerMatches bool
+	// AnswerDamaged tells that there was an answer, but not that.
+	AnswerDamaged bool
 }
 
 // Driver runs a plan. Set the fields, then call Run.
 type Driver struct {
-	Caller *caller.Client
+	Client *caller.Client
 	Jobs   []mix.Job
 	// Tail is how long outcomes are waited for after the last arrival.
 	Tail time.Duration
-	// Foreign tells that the backend servers are not the tool's own, so that
+	// ForeignServers tells that the backend servers are not the tool's own, so that
 	// the content of answers is not known.
-	Foreign bool
-	// Keep leaves outcomes unacknowledged.
-	Keep bool
+	ForeignServers bool
+	// KeepOutcomes leaves outcomes unacknowledged.
+	KeepOutcomes bool
 	// Progress is called now and then; nil for none.
 	Progress func(sent, ended int)
 
@@ -68,16 +68,16 @@
 }
 
 // Run submits everything and returns what became of it, in the order of the jobs.
-func (d *Driver) Run(ctx context.Context) []Seen {
+func (d *Driver) Run(ctx context.Context) []JobResult {
 	if d.Tail <= 0 {
 		d.Tail = DefaultTail
 	}
-	out := make([]Seen, len(d.Jobs))
+	out := make([]JobResult, len(d.Jobs))
 	d.acks = make(chan string, len(d.Jobs))
 	d.begin = time.Now()
 	last := time.Duration(0)
 	if len(d.Jobs) > 0 {
-		last = d.Jobs[len(d.Jobs)-1].At
+		last = d.Jobs[len(d.Jobs)-1].ArrivesAt
 	}
 	ctx, cancel := context.WithDeadline(ctx, d.begin.Add(last+d.Tail))
 	defer cancel()
@@ -85,7 +85,7 @@
 	acks.Go(d.acknowledge)
 	for i := range d.Jobs {
 		out[i].Job = d.Jobs[i]
-		if !link.Sleep(ctx, time.Until(d.begin.Add(d.Jobs[i].At))) {
+		if !transport.Sleep(ctx, time.Until(d.begin.Add(d.Jobs[i].ArrivesAt))) {
 			break
 		}
 		d.tell(i)
@@ -112,24 +112,24 @@
 func (d *Driver) since() time.Duration { return time.Since(d.begin) }
 
 // one takes a job from its submission to its answer.
-func (d *Driver) one(ctx context.Context, s *Seen) {
+func (d *Driver) one(ctx context.Context, s *JobResult) {
 	spec := s.Job.Spec
-	in := work.Input{ID: spec.GetId(), Runtime: s.Job.Runtime, Answer: s.Job.Answer}
+	in := work.Input{ID: spec.GetId(), Runtime: s.Job.Runtime, AnswerBytes: s.Job.AnswerBytes}
 	if s.Job.Kind == job.Service {
 		in.Runtime = -1
 	}
-	spec.Input = in.Bytes()
-	s.Sent = d.since()
-	got, err := d.Caller.Submit(ctx, []*v1.Spec{spec}, true)
+	spec.Input = in.Encode()
+	s.SentAt = d.since()
+	got, err := d.Client.Submit(ctx, []*v1.Spec{spec}, true)
 	if err != nil {
-		s.Code = link.Refusal(err).Code
+		s.Code = transport.AsCodeError(err).Code
 		return
 	}
 	s.Code, s.Outcome = code.Code(got[0].GetStatus().GetCode()), got[0].GetOutcome()
-	if s.Code != code.OK || caller.Final(s.Outcome) && s.Outcome != v1.Outcome_OUTCOME_DONE {
+	if s.Code != code.OK || caller.IsFinal(s.Outcome) && s.Outcome != v1.Outcome_OUTCOME_DONE {
 		return
 	}
-	s.Accepted = d.since()
+	s.AcceptedAt = d.since()
 	if s.Job.Kind == job.Service {
 		d.retire(ctx, s)
 	}
@@ -137,31 +137,31 @@
 }
 
 // retire cancels a service once it has lived for its time.
-func (d *Driver) retire(ctx context.Context, s *Seen) {
-	if link.Sleep(ctx, s.Job.Runtime) {
-		_, _ = d.Caller.Cancel(ctx, []string{s.Job.Spec.GetId()}, nil) // the outcome below tells whether it came through
+func (d *Driver) retire(ctx context.Context, s *JobResult) {
+	if transport.Sleep(ctx, s.Job.Runtime) {
+		_, _ = d.Client.Cancel(ctx, []string{s.Job.Spec.GetId()}, nil) // the outcome below tells whether it came through
 	}
 }
 
-func (d *Driver) collect(ctx context.Context, s *Seen) {
-	r, err := d.Caller.Wait(ctx, s.Job.Spec.GetId())
+func (d *Driver) collect(ctx context.Context, s *JobResult) {
+	r, err := d.Client.Wait(ctx, s.Job.Spec.GetId())
 	if err != nil {
-		s.Code = link.Refusal(err).Code
+		s.Code = transport.AsCodeError(err).Code
 		// The outcome is known here, but what should be the answer is not whole.
-		s.Damaged = r.Outcome == v1.Outcome_OUTCOME_DONE
+		s.AnswerDamaged = r.Outcome == v1.Outcome_OUTCOME_DONE
 		s.Outcome = r.Outcome
 		return
 	}
 	s.Outcome, s.Code = r.Outcome, r.Code
-	if !caller.Final(r.Outcome) {
+	if !caller.IsFinal(r.Outcome) {
 		return
 	}
-	s.Answered = d.since()
+	s.AnsweredAt = d.since()
 	if r.Outcome == v1.Outcome_OUTCOME_DONE && r.Code == code.OK {
-		s.Whole = d.Foreign || bytes.Equal(r.Data, work.Whole(s.Job.Spec.GetId(), s.Job.Spec.GetCount(), s.Job.Answer))
-		s.Damaged = !s.Whole
+		s.AnswerMatches = d.ForeignServers || bytes.Equal(r.Data, work.JobAnswer(s.Job.Spec.GetId(), s.Job.Spec.GetCount(), s.Job.AnswerBytes))
+		s.AnswerDamaged = !s.AnswerMatches
 	}
-	if !d.Keep {
+	if !d.KeepOutcomes {
 		d.acks <- s.Job.Spec.GetId()
 	}
 }
@@ -178,7 +178,7 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), ackTimeout)
 		defer cancel()
-		_ = d.Caller.Acknowledge(ctx, ids) // what stays unacknowledged ends with its retention
+		_ = d.Client.Acknowledge(ctx, ids) // what stays unacknowledged ends with its retention
 		ids = nil
 	}
 	for {
--- a/internal/load/drive/drive_test.go
+++ b/internal/load/drive/drive_test.go
@@ -14,7 +14,7 @@
 
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/answer"
 	"gypsumreel/internal/domain/job"
 	"gypsumreel/internal/load/drive"
@@ -53,7 +53,7 @@
 	if id == "job-1" {
 		id = "job-0"
 	}
-	return connect.NewResponse(&v1.WaitReply{Outcome: v1.Outcome_OUTCOME_DONE, Chunk: answer.Cut(work.Whole(id, 2, 10), r.Msg.GetChunk())}), nil
+	return connect.NewResponse(&v1.WaitReply{Outcome: v1.Outcome_OUTCOME_DONE, Chunk: answer.ChunkAt(work.JobAnswer(id, 2, 10), r.Msg.GetChunk())}), nil
 }
 
 func (e *entry) Acknowledge(_ context.Context, r *connect.Request[v1.AcknowledgeRequest]) (*connect.Response[v1.AcknowledgeReply], error) {
@@ -75,15 +75,15 @@
 	mux.Handle(v1.NewCallerHandler(e))
 	s := httptest.NewServer(mux)
 	t.Cleanup(s.Close)
-	d := &drive.Driver{Caller: &caller.Client{Link: &link.Link{Addresses: []string{s.URL}}}, Tail: 20 * time.Second}
+	d := &drive.Driver{Client: &caller.Client{Transport: &transport.Client{Addresses: []string{s.URL}}}, Tail: 20 * time.Second}
 	want := map[string]int{}
 	for i := range n {
 		id := fmt.Sprintf("job-%d", i)
-		d.Jobs = append(d.Jobs, mix.Job{At: time.Duration(i) * time.Millisecond, Kind: job.Batch, Answer: 10, Spec: &v1.Spec{Id: id, Count: 2}})
+		d.Jobs = append(d.Jobs, mix.Job{ArrivesAt: time.Duration(i) * time.Millisecond, Kind: job.Batch, AnswerBytes: 10, Spec: &v1.Spec{Id: id, Count: 2}})
 		want[id] = 1
 	}
 	for i, one := range d.Run(t.Context()) {
-		if one.Whole == (i == 1) || one.Damaged != (i == 1) || one.Answered < one.Accepted || one.Accepted < one.Sent {
+		if one.AnswerMatches == (i == 1) || one.AnswerDamaged != (i == 1) || one.AnsweredAt < one.AcceptedAt || one.AcceptedAt < one.SentAt {
 			t.Errorf("job %d: %+v", i, one)
 		}
 	}
--- a/internal/load/history/history.go
+++ b/internal/load/history/history.go
@@ -23,10 +23,10 @@
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder { return &Recorder{begin: time.Now()} }
 
-// Do runs an operation of a client and records it with its answer. An answer
+// Record runs an operation of a client and records it with its answer. An answer
 // that is not known may come true at any time after the call, also never: it
 // is recorded as one that is still under way.
-func (r *Recorder) Do(client int, input any, run func() (output any, known bool)) {
+func (r *Recorder) Record(client int, input any, run func() (output any, known bool)) {
 	call := time.Since(r.begin).Nanoseconds()
 	output, known := run()
 	back := time.Since(r.begin).Nanoseconds()
@@ -45,52 +45,52 @@
 	return append([]porcupine.Operation(nil), r.ops...)
 }
 
-// Explained tells whether an order of the operations explains every answer; a
+// Linearizable tells whether an order of the operations explains every answer; a
 // check that does not end within limit counts as none.
-func Explained(m porcupine.Model, ops []porcupine.Operation, limit time.Duration) bool {
+func Linearizable(m porcupine.Model, ops []porcupine.Operation, limit time.Duration) bool {
 	return porcupine.CheckOperationsTimeout(m, ops, limit) == porcupine.Ok
 }
 
-// Change asks for a weight of the one team from a base revision, under a change id.
-type Change struct {
-	ID     string
-	Base   uint64
-	Weight uint32
+// TableChange asks for a weight of the one team from a base revision, under a change id.
+type TableChange struct {
+	ID           string
+	BaseRevision uint64
+	Weight       uint32
 }
 
-// Changed is the answer to a Change.
-type Changed struct {
+// TableChangeReply is the answer to a Change.
+type TableChangeReply struct {
 	Code     code.Code
 	Revision uint64
 }
 
-// Look reads the table.
-type Look struct{}
+// TableRead reads the table.
+type TableRead struct{}
 
-// Looked is the answer to a Look.
-type Looked struct {
+// TableReadReply is the answer to a Look.
+type TableReadReply struct {
 	Revision uint64
 	Weight   uint32
 }
 
 // tableState is a table of one weight, with the answers already given.
 type tableState struct {
-	now     Looked
-	answers map[string]Changed
+	now     TableReadReply
+	answers map[string]TableChangeReply
 }
 
-// Table is the model of the operators' table: a change takes effect when its
+// TableModel is the model of the operators' table: a change takes effect when its
 // base is the current revision, and its id is answered alike ever after.
-func Table(first Looked) porcupine.Model {
+func TableModel(first TableReadReply) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return tableState{now: first} },
 		Step: func(state, input, output any) (bool, any) {
 			s := state.(tableState)
-			if _, ok := input.(Look); ok {
-				return output == nil || output.(Looked) == s.now, s
+			if _, ok := input.(TableRead); ok {
+				return output == nil || output.(TableReadReply) == s.now, s
 			}
-			next, want := s.change(input.(Change))
-			return output == nil || output.(Changed) == want, next
+			next, want := s.change(input.(TableChange))
+			return output == nil || output.(TableChangeReply) == want, next
 		},
 		Equal: func(a, b any) bool {
 			x, y := a.(tableState), b.(tableState)
@@ -99,18 +99,18 @@
 	}
 }
 
-func (s tableState) change(c Change) (tableState, Changed) {
+func (s tableState) change(c TableChange) (tableState, TableChangeReply) {
 	if a, ok := s.answers[c.ID]; ok {
 		return s, a
 	}
-	a := Changed{Code: code.RevisionConflict, Revision: s.now.Revision}
-	if c.Base == s.now.Revision {
-		s.now = Looked{Revision: c.Base + 1, Weight: c.Weight}
-		a = Changed{Code: code.OK, Revision: s.now.Revision}
+	a := TableChangeReply{Code: code.RevisionConflict, Revision: s.now.Revision}
+	if c.BaseRevision == s.now.Revision {
+		s.now = TableReadReply{Revision: c.BaseRevision + 1, Weight: c.Weight}
+		a = TableChangeReply{Code: code.OK, Revision: s.now.Revision}
 	}
 	answers := maps.Clone(s.answers)
 	if answers == nil {
-		answers = map[string]Changed{}
+		answers = map[string]TableChangeReply{}
 	}
 	answers[c.ID] = a
 	s.answers = answers
@@ -126,12 +126,12 @@
 // Wait asks for the outcome of a request id.
 type Wait struct{ ID string }
 
-// Answer is what a Wait gives: the content whose answer it is.
-type Answer struct{ Content string }
+// WaitReply is what a Wait gives: the content whose answer it is.
+type WaitReply struct{ Content string }
 
-// Requests is the model of request ids: the first content of an id stands, other
+// RequestModel is the model of request ids: the first content of an id stands, other
 // content is refused, and the answer is that of the content which stands.
-func Requests() porcupine.Model {
+func RequestModel() porcupine.Model {
 	return porcupine.Model{
 		Partition: byID,
 		Init:      func() any { return "" },
@@ -141,7 +141,7 @@
 			case Submit:
 				return submit(stands, in.Content, output)
 			case Wait:
-				return output == nil || stands != "" && output.(Answer).Content == stands, stands
+				return output == nil || stands != "" && output.(WaitReply).Content == stands, stands
 			}
 			return false, stands
 		},
--- a/internal/load/measure/change.go
+++ b/internal/load/measure/change.go
@@ -10,7 +10,7 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/load/rig"
 )
 
@@ -48,7 +48,7 @@
 			}
 			slices.Sort(all)
 			at := func(q float64) float64 { return ms(all[int(math.Ceil(q*float64(len(all))))-1]) }
-			if err := emit(spread{Part: name, Place: b.Place, Count: len(all), P50: at(0.5), P99: at(0.99), Max: at(1)}); err != nil {
+			if err := emit(spread{Part: name, Place: b.DelaySet, Count: len(all), P50: at(0.5), P99: at(0.99), Max: at(1)}); err != nil {
 				return err
 			}
 		}
@@ -59,7 +59,7 @@
 // withdrawal withdraws a key and asks every entry with it until all refuse.
 func withdrawal(ctx context.Context, r *rig.Rig, i int) (time.Duration, error) {
 	id := fmt.Sprintf("dead-%d", i)
-	token, err := r.Grant(ctx, "measured", id)
+	token, err := r.GrantKey(ctx, "measured", id)
 	if err != nil {
 		return 0, err
 	}
@@ -68,18 +68,18 @@
 	if err != nil {
 		return 0, err
 	}
-	for _, address := range r.Callers() {
-		c := &caller.Client{Link: &link.Link{Addresses: []string{address}, Key: token}}
+	for _, address := range r.CallerURLs() {
+		c := &caller.Client{Transport: &transport.Client{Addresses: []string{address}, Key: token}}
 		for {
 			got, err := c.Submit(ctx, []*v1.Spec{{Id: "x", Kind: v1.Kind_KIND_BATCH, Name: "x", Count: 1, Size: &v1.Size{Cpu: 1, Memory: 1, Slots: 1}, Runtime: 1}}, true)
-			if err == nil && code.Code(got[0].GetStatus().GetCode()) == code.InvalidKey || err != nil && link.Refusal(err).Code == code.InvalidKey {
+			if err == nil && code.Code(got[0].GetStatus().GetCode()) == code.InvalidKey || err != nil && transport.AsCodeError(err).Code == code.InvalidKey {
 				break
 			}
-			if !link.Sleep(ctx, askEvery) {
+			if !transport.Sleep(ctx, askEvery) {
 				return 0, ctx.Err()
 			}
 		}
-		c.Link.Close()
+		c.Transport.Close()
 	}
 	return time.Since(began), nil
 }
@@ -87,7 +87,7 @@
 // tableChange changes a cell of the table until every process says that it serves it.
 func tableChange(ctx context.Context, r *rig.Rig, i int) (time.Duration, error) {
 	op := r.OperatorClient()
-	defer op.Link.Close()
+	defer op.Transport.Close()
 	now, err := op.Show(ctx, v1.Part_PART_TABLE)
 	if err != nil {
 		return 0, err
@@ -99,9 +99,9 @@
 	if err != nil {
 		return 0, err
 	}
-	for _, name := range append(r.Controls(), r.EntryNames()...) {
-		for r.Revision(name) < revision {
-			if !link.Sleep(ctx, askEvery) {
+	for _, name := range append(r.ControlNames(), r.EntryNames()...) {
+		for r.TableRevision(name) < revision {
+			if !transport.Sleep(ctx, askEvery) {
 				return 0, ctx.Err()
 			}
 		}
--- a/internal/load/measure/fault.go
+++ b/internal/load/measure/fault.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/job"
 	"gypsumreel/internal/load/rig"
 )
@@ -36,19 +36,19 @@
 	{"leader-kill", 12 * time.Second, false, func(ctx context.Context, r *rig.Rig) error {
 		lead, _ := r.Leader()
 		r.Kill(lead)
-		link.Sleep(ctx, 3*time.Second)
+		transport.Sleep(ctx, 3*time.Second)
 		return r.Restart(lead)
 	}},
 	{"leader-pause", 20 * time.Second, false, func(ctx context.Context, r *rig.Rig) error {
 		lead, _ := r.Leader()
 		r.Pause(lead)
-		link.Sleep(ctx, frozen)
+		transport.Sleep(ctx, frozen)
 		r.Resume(lead)
 		return nil
 	}},
 	{"entry-kill", 12 * time.Second, false, func(ctx context.Context, r *rig.Rig) error {
 		r.Kill("entry-1")
-		link.Sleep(ctx, 3*time.Second)
+		transport.Sleep(ctx, 3*time.Second)
 		return r.Restart("entry-1")
 	}},
 	{"rolling", 40 * time.Second, true, rolling},
@@ -58,7 +58,7 @@
 func rolling(ctx context.Context, r *rig.Rig) error {
 	order := r.EntryNames()
 	lead, _ := r.Leader()
-	for _, name := range r.Controls() {
+	for _, name := range r.ControlNames() {
 		if name != lead {
 			order = append(order, name)
 		}
@@ -70,7 +70,7 @@
 		if err := r.Restart(name); err != nil {
 			return err
 		}
-		if err := r.Settled(ctx); err != nil {
+		if err := r.WaitReady(ctx); err != nil {
 			return err
 		}
 	}
@@ -98,15 +98,15 @@
 	}
 	var w sync.WaitGroup
 	var made error
-	var calls rig.Calls
+	var calls rig.CallCounts
 	watched, stop := context.WithCancel(ctx)
 	defer stop()
 	if f.planned {
-		w.Go(func() { r.Pin(watched, token, &calls) })
+		w.Go(func() { r.RunPinnedCallers(watched, token, &calls) })
 	}
 	w.Go(func() {
 		defer stop()
-		link.Sleep(ctx, faultAt)
+		transport.Sleep(ctx, faultAt)
 		made = f.make(ctx, r)
 	})
 	row, err := b.drive(ctx, r, fleet, token, flow{rate: faultRate, duration: f.duration, kind: job.Urgent, count: 1, runtime: 50 * time.Millisecond, once: 0.3}, "fault-")
@@ -119,8 +119,8 @@
 	}
 	row.Fault = f.name
 	if f.planned {
-		cut := calls.Cut.Load()
-		row.CutOff, row.Pinned = &cut, calls.Made.Load()
+		cut := calls.CutOff.Load()
+		row.CutOff, row.PinnedCalls = &cut, calls.Made.Load()
 	}
 	return emit(row)
 }
--- a/internal/load/measure/flow.go
+++ b/internal/load/measure/flow.go
@@ -31,31 +31,31 @@
 
 // loaded is a row about a cell under load.
 type loaded struct {
-	Part   string  `json:"part"`
-	Place  string  `json:"place"`
-	Rate   float64 `json:"rate"`
-	Tasks  uint32  `json:"tasks_per_job"`
-	Starts float64 `json:"starts_per_s"`
-	// Network is the part of the injected delays in an answer's time, in ms.
-	Network float64 `json:"network_ms"`
-	// Delayed are the one-way delays as measured beside the load, in ms: zone and
+	Part            string  `json:"part"`
+	Place           string  `json:"place"`
+	Rate            float64 `json:"rate"`
+	TasksPerJob     uint32  `json:"tasks_per_job"`
+	StartsPerSecond float64 `json:"starts_per_s"`
+	// NetworkDelay is the part of the injected delays in an answer's time, in ms.
+	NetworkDelay float64 `json:"network_ms"`
+	// MeasuredDelays are the one-way delays as measured beside the load, in ms: zone and
 	// client, median and 99th percentile.
-	Delayed [4]float64 `json:"delayed_ms"`
-	// Added is a job's time from arrival to answer less its run time and
+	MeasuredDelays [4]float64 `json:"delayed_ms"`
+	// AddedLatency is a job's time from arrival to answer less its run time and
 	// Network, in ms.
-	Added report.Waits `json:"added"`
-	Start report.Waits `json:"start"`
-	Lag   report.Waits `json:"lag"`
-	// Gap is the longest time without an answer while jobs arrived, in ms.
-	Gap      float64         `json:"gap_ms"`
-	Promises report.Promises `json:"promises"`
-	Counts   report.Counts   `json:"counts"`
-	Refusals map[string]int  `json:"refusals"`
-	Costs    costs           `json:"costs"`
-	Fault    string          `json:"fault,omitempty"`
+	AddedLatency report.WaitStats `json:"added"`
+	Start        report.WaitStats `json:"start"`
+	Lag          report.WaitStats `json:"lag"`
+	// LongestGap is the longest time without an answer while jobs arrived, in ms.
+	LongestGap float64           `json:"gap_ms"`
+	Violations report.Violations `json:"promises"`
+	Counts     report.Counts     `json:"counts"`
+	Refusals   map[string]int    `json:"refusals"`
+	Usage      costs             `json:"costs"`
+	Fault      string            `json:"fault,omitempty"`
 	// CutOff are the calls without an answer of Pinned ones at single entries.
-	CutOff *int64 `json:"cut_off,omitempty"`
-	Pinned int64  `json:"pinned,omitempty"`
+	CutOff      *int64 `json:"cut_off,omitempty"`
+	PinnedCalls int64  `json:"pinned,omitempty"`
 }
 
 // flow is a load of one kind.
@@ -70,9 +70,9 @@
 
 func (f flow) jobs(prefix string) []mix.Job {
 	return mix.Plan{
-		Rate: f.rate, Duration: f.duration, Seed: 1, Shares: mix.Shares{f.kind: 1},
-		Shapes: map[job.Kind]mix.Shape{f.kind: {Count: f.count, CPU: 500, Memory: 256, Runtime: f.runtime}},
-		Once:   f.once, Answer: answerBytes, Prefix: prefix,
+		Rate: f.rate, Duration: f.duration, Seed: 1, Weights: mix.KindWeights{f.kind: 1},
+		Shapes:       map[job.Kind]mix.Shape{f.kind: {Count: f.count, CPU: 500, Memory: 256, Runtime: f.runtime}},
+		OnceFraction: f.once, MeanAnswerBytes: answerBytes, IDPrefix: prefix,
 	}.Jobs()
 }
 
@@ -83,58 +83,58 @@
 		return loaded{}, err
 	}
 	client := r.CallerClient(token)
-	d := &drive.Driver{Caller: client, Jobs: f.jobs(prefix), Tail: tail}
-	row := loaded{Part: prefix, Place: b.Place, Rate: f.rate, Tasks: f.count}
+	d := &drive.Driver{Client: client, Jobs: f.jobs(prefix), Tail: tail}
+	row := loaded{Part: prefix, Place: b.DelaySet, Rate: f.rate, TasksPerJob: f.count}
 	var beside sync.WaitGroup
-	for i, delay := range delays[b.Place] {
+	for i, delay := range delays[b.DelaySet] {
 		beside.Go(func() {
-			median, late, _ := r.Delayed(ctx, delay, f.duration) // a failed one shows as 0
-			row.Delayed[2*i], row.Delayed[2*i+1] = ms(median), ms(late)
+			median, late, _ := r.MeasureDelay(ctx, delay, f.duration) // a failed one shows as 0
+			row.MeasuredDelays[2*i], row.MeasuredDelays[2*i+1] = ms(median), ms(late)
 		})
 	}
 	began := time.Now()
 	seen := d.Run(ctx)
 	beside.Wait()
-	sum := report.Sum(report.Measured{}, began, seen, fleet.Record)
-	row.Promises, row.Counts, row.Refusals = sum.Promises, sum.Counts, sum.Refusals
-	row.Promises.Faults = append(row.Promises.Faults, fleet.Seen.Violations()...)
+	sum := report.Summarize(report.RunInfo{}, began, seen, fleet.TaskRuns)
+	row.Violations, row.Counts, row.Refusals = sum.Violations, sum.Counts, sum.Refusals
+	row.Violations.ServerFaults = append(row.Violations.ServerFaults, fleet.ServerRecord.Violations()...)
 	row.Start, row.Lag = sum.Kinds[f.kind.String()].Start, sum.Kinds[f.kind.String()].Lag
-	path := clientCrossings*delays[b.Place][1] + zoneCrossings*delays[b.Place][0]
-	row.Network = ms(path)
-	row.Added, row.Gap = added(seen, path), gap(seen, f.duration)
-	row.Starts = startsPerSecond(seen)
+	path := clientCrossings*delays[b.DelaySet][1] + zoneCrossings*delays[b.DelaySet][0]
+	row.NetworkDelay = ms(path)
+	row.AddedLatency, row.LongestGap = added(seen, path), gap(seen, f.duration)
+	row.StartsPerSecond = startsPerSecond(seen)
 	if to, err := take(r); err == nil {
-		row.Costs = between(r, from, to)
+		row.Usage = between(r, from, to)
 	}
-	client.Link.Close()
+	client.Transport.Close()
 	return row, nil
 }
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 // added sums up what the cell adds to run time and network.
-func added(seen []drive.Seen, path time.Duration) report.Waits {
+func added(seen []drive.JobResult, path time.Duration) report.WaitStats {
 	const digits = 3
 	h := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), digits)
 	for i := range seen {
-		if s := &seen[i]; s.Answered > 0 && s.Outcome == v1.Outcome_OUTCOME_DONE {
-			d := s.Answered - s.Job.At - s.Job.Runtime - path
+		if s := &seen[i]; s.AnsweredAt > 0 && s.Outcome == v1.Outcome_OUTCOME_DONE {
+			d := s.AnsweredAt - s.Job.ArrivesAt - s.Job.Runtime - path
 			_ = h.RecordValue(max(1, d.Microseconds())) // below the bound: never fails
 		}
 	}
 	at := func(q float64) float64 { return ms(time.Duration(h.ValueAtQuantile(q)) * time.Microsecond) }
-	return report.Waits{
+	return report.WaitStats{
 		Count: h.TotalCount(), Mean: h.Mean() / 1000, P50: at(50), P90: at(90), P99: at(99), P999: at(99.9),
 		Max: ms(time.Duration(h.Max()) * time.Microsecond),
 	}
 }
 
 // gap returns the longest time without an answer while jobs arrived, in ms.
-func gap(seen []drive.Seen, duration time.Duration) float64 {
+func gap(seen []drive.JobResult, duration time.Duration) float64 {
 	var at []time.Duration
 	for i := range seen {
-		if seen[i].Answered > 0 {
-			at = append(at, seen[i].Answered)
+		if seen[i].AnsweredAt > 0 {
+			at = append(at, seen[i].AnsweredAt)
 		}
 	}
 	slices.Sort(at)
@@ -149,13 +149,13 @@
 }
 
 // startsPerSecond counts the tasks of jobs that ran, over the time to the last answer.
-func startsPerSecond(seen []drive.Seen) float64 {
+func startsPerSecond(seen []drive.JobResult) float64 {
 	var last time.Duration
 	n := 0.0
 	for i := range seen {
-		if s := &seen[i]; s.Outcome == v1.Outcome_OUTCOME_DONE && caller.Final(s.Outcome) {
+		if s := &seen[i]; s.Outcome == v1.Outcome_OUTCOME_DONE && caller.IsFinal(s.Outcome) {
 			n += float64(s.Job.Spec.GetCount())
-			last = max(last, s.Answered)
+			last = max(last, s.AnsweredAt)
 		}
 	}
 	if last == 0 {
@@ -167,11 +167,11 @@
 // served runs fn on a fresh cell with its backend servers and a team.
 func (b *bench) served(ctx context.Context, fn func(context.Context, *rig.Rig, *rig.Fleet, string) error) error {
 	return b.cell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
-		token, err := r.Team(ctx, "measured")
+		token, err := r.CreateTeam(ctx, "measured")
 		if err != nil {
 			return err
 		}
-		fleet, err := r.Fleet(ctx, b.Servers, size(b.Slots))
+		fleet, err := r.StartFleet(ctx, b.Servers, size(b.Slots))
 		if err != nil {
 			return err
 		}
--- a/internal/load/measure/idle.go
+++ b/internal/load/measure/idle.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/load/rig"
 )
 
@@ -12,9 +12,9 @@
 type rested struct {
 	Part    string `json:"part"`
 	Servers int    `json:"servers"`
-	// PerServer is bytes a second between an entry and one idle backend server.
-	PerServer float64 `json:"bytes_per_s_per_server"`
-	Costs     costs   `json:"costs"`
+	// BytesPerServer is bytes a second between an entry and one idle backend server.
+	BytesPerServer float64 `json:"bytes_per_s_per_server"`
+	Usage          costs   `json:"costs"`
 }
 
 // rest is how long a cell at rest is measured.
@@ -33,24 +33,24 @@
 
 func (b *bench) rest(ctx context.Context, r *rig.Rig, servers int) (rested, error) {
 	row := rested{Part: "idle", Servers: servers}
-	fleet, err := r.Fleet(ctx, servers, size(b.Slots))
+	fleet, err := r.StartFleet(ctx, servers, size(b.Slots))
 	if err != nil {
 		return row, err
 	}
 	defer fleet.Close()
-	link.Sleep(ctx, rig.Quiet)
+	transport.Sleep(ctx, rig.SettleTime)
 	from, err := take(r)
 	if err != nil {
 		return row, err
 	}
-	link.Sleep(ctx, rest)
+	transport.Sleep(ctx, rest)
 	to, err := take(r)
 	if err != nil {
 		return row, err
 	}
-	row.Costs = between(r, from, to)
+	row.Usage = between(r, from, to)
 	if servers > 0 {
-		row.PerServer = row.Costs.Backend / float64(servers)
+		row.BytesPerServer = row.Usage.BackendBytes / float64(servers)
 	}
 	return row, nil
 }
--- a/internal/load/measure/main.go
+++ b/internal/load/measure/main.go
@@ -26,17 +26,17 @@
 
 // options are the command line.
 type options struct {
-	Parts    string        `long:"parts" default:"latency,starts,idle,change,faults" description:"which parts: latency, starts, idle, change, faults, slopes"`
-	Place    string        `long:"place" default:"balastas" choice:"balastas" choice:"coralwave" choice:"none" description:"whose delays"`
-	Port     int           `long:"port" default:"19000" description:"first of 300 ports on loopback"`
-	Servers  int           `long:"servers" default:"50" description:"backend servers"`
-	Slots    int64         `long:"slots" default:"8" description:"slots of each backend server"`
-	Rates    []float64     `long:"rate" default:"1400" description:"starts a second; may be repeated"`
-	Duration time.Duration `long:"duration" default:"12s" description:"length of each load"`
-	Faults   string        `long:"faults" default:"leader-kill,leader-pause,entry-kill,rolling" description:"which faults"`
-	Slopes   string        `long:"slopes" default:"start,server,memory" description:"which slopes"`
-	Program  string        `long:"program" description:"the gypsumreel program; built when left out"`
-	Keep     string        `long:"keep" description:"folder for settings and logs, kept; a temporary one when left out"`
+	Parts     string        `long:"parts" default:"latency,starts,idle,change,faults" description:"which parts: latency, starts, idle, change, faults, slopes"`
+	DelaySet  string        `long:"place" default:"balastas" choice:"balastas" choice:"coralwave" choice:"none" description:"whose delays"`
+	FirstPort int           `long:"port" default:"19000" description:"first of 300 ports on loopback"`
+	Servers   int           `long:"servers" default:"50" description:"backend servers"`
+	Slots     int64         `long:"slots" default:"8" description:"slots of each backend server"`
+	Rates     []float64     `long:"rate" default:"1400" description:"starts a second; may be repeated"`
+	Duration  time.Duration `long:"duration" default:"12s" description:"length of each load"`
+	Faults    string        `long:"faults" default:"leader-kill,leader-pause,entry-kill,rolling" description:"which faults"`
+	Slopes    string        `long:"slopes" default:"start,server,memory" description:"which slopes"`
+	Program   string        `long:"program" description:"the gypsumreel program; built when left out"`
+	KeepDir   string        `long:"keep" description:"folder for settings and logs, kept; a temporary one when left out"`
 }
 
 // delays are one-way delays between zones and from clients, as the two
@@ -78,7 +78,7 @@
 	if _, err := flags.Parse(&b.options); err != nil {
 		os.Exit(2)
 	}
-	b.dir = b.Keep
+	b.dir = b.KeepDir
 	if b.dir == "" {
 		dir, err := os.MkdirTemp("", "measure-")
 		if err != nil {
@@ -117,8 +117,8 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return err
 	}
-	d := delays[b.Place]
-	r := &rig.Rig{Program: b.program, Dir: dir, First: b.Port, Replicas: replicas, Entries: entries, Zone: d[0], Client: d[1]}
+	d := delays[b.DelaySet]
+	r := &rig.Rig{Program: b.program, Dir: dir, FirstPort: b.FirstPort, Replicas: replicas, Entries: entries, ZoneDelay: d[0], ClientDelay: d[1]}
 	defer r.Close()
 	if err := r.Start(ctx); err != nil {
 		return err
@@ -136,8 +136,8 @@
 type cost struct {
 	// CPU is in cores.
 	CPU float64 `json:"cores"`
-	// Waited is in threads that were ready to run and had no processor.
-	Waited float64 `json:"waiting_threads"`
+	// RunnableWait is in threads that were ready to run and had no processor.
+	RunnableWait float64 `json:"waiting_threads"`
 	// Bytes is a second, on the listeners of the role.
 	Bytes float64 `json:"bytes_per_s"`
 	// RSS is in MiB, the largest of the role's processes.
@@ -149,10 +149,10 @@
 	Leader   cost `json:"leader"`
 	Follower cost `json:"follower"`
 	Entry    cost `json:"entry"`
-	// Backend is what went between entries and backend servers, bytes a second.
-	Backend float64 `json:"backend_bytes_per_s"`
-	// Tool is the cores that this process used: servers, callers and relays.
-	Tool float64 `json:"tool_cores"`
+	// BackendBytes is what went between entries and backend servers, bytes a second.
+	BackendBytes float64 `json:"backend_bytes_per_s"`
+	// ToolCPU is the cores that this process used: servers, callers and relays.
+	ToolCPU float64 `json:"tool_cores"`
 }
 
 // sample is what had been used at a time.
@@ -167,16 +167,16 @@
 func take(r *rig.Rig) (sample, error) {
 	s := sample{at: time.Now(), usage: map[string]rig.Usage{}, bytes: map[string]int64{}}
 	var err error
-	for _, name := range slices.Concat(r.Controls(), r.EntryNames()) {
-		if s.usage[name], err = r.Usage(name); err != nil {
+	for _, name := range slices.Concat(r.ControlNames(), r.EntryNames()) {
+		if s.usage[name], err = r.ProcessUsage(name); err != nil {
 			return s, err
 		}
-		s.bytes[name] = r.Bytes(name)
+		s.bytes[name] = r.ListenerBytes(name)
 	}
 	for _, name := range r.EntryNames() {
 		s.backend += r.BackendBytes(name)
 	}
-	s.tool, err = rig.Spent(os.Getpid())
+	s.tool, err = rig.UsageOf(os.Getpid())
 	return s, err
 }
 
@@ -194,11 +194,11 @@
 			c = &out.Entry
 		}
 		c.CPU += (u.CPU - from.usage[name].CPU).Seconds() / seconds
-		c.Waited += (u.Waited - from.usage[name].Waited).Seconds() / seconds
+		c.RunnableWait += (u.RunnableWait - from.usage[name].RunnableWait).Seconds() / seconds
 		c.Bytes += float64(to.bytes[name]-from.bytes[name]) / seconds
 		c.RSS = max(c.RSS, float64(u.RSS)/(1<<20))
 	}
-	out.Backend = float64(to.backend-from.backend) / seconds
-	out.Tool = (to.tool.CPU - from.tool.CPU).Seconds() / seconds
+	out.BackendBytes = float64(to.backend-from.backend) / seconds
+	out.ToolCPU = (to.tool.CPU - from.tool.CPU).Seconds() / seconds
 	return out
 }
--- a/internal/load/measure/slopes.go
+++ b/internal/load/measure/slopes.go
@@ -7,7 +7,7 @@
 	"time"
 
 	v1 "gypsumreel/internal/api/v1"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/job"
 	"gypsumreel/internal/load/rig"
 	"gypsumreel/internal/load/work"
@@ -29,12 +29,12 @@
 
 // slope is a fitted line.
 type slope struct {
-	What string `json:"what"`
+	Name string `json:"what"`
 	Unit string `json:"unit"`
-	// Per is the value that one more of the size costs, At0 that of none.
-	Per    float64 `json:"per"`
-	At0    float64 `json:"at0"`
-	Points []point `json:"points"`
+	// Slope is the value that one more of the size costs, At0 that of none.
+	Slope     float64 `json:"per"`
+	Intercept float64 `json:"at0"`
+	Points    []point `json:"points"`
 }
 
 // fit draws the line with the least squares.
@@ -44,7 +44,7 @@
 		n, sx, sy, sxx, sxy = n+1, sx+p.Size, sy+p.Value, sxx+p.Size*p.Size, sxy+p.Size*p.Value
 	}
 	per := (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	return slope{What: what, Unit: unit, Per: per, At0: (sy - per*sx) / n, Points: points}
+	return slope{Name: what, Unit: unit, Slope: per, Intercept: (sy - per*sx) / n, Points: points}
 }
 
 // lines gathers points under their names and fits them in the order they came.
@@ -98,14 +98,14 @@
 				return err
 			}
 			row, err := b.drive(ctx, r, fleet, token, flow{rate: rate, duration: b.Duration, kind: job.Urgent, count: 1, runtime: 50 * time.Millisecond}, "slope-")
-			c := row.Costs
-			l.add("cpu of the leader per start", "us", row.Starts, c.Leader.CPU*micro)
-			l.add("cpu of a follower per start", "us", row.Starts, c.Follower.CPU*micro/(replicas-1))
-			l.add("cpu of the entries per start, all together", "us", row.Starts, c.Entry.CPU*micro)
-			l.add("bytes at the leader's listener per start", "B", row.Starts, c.Leader.Bytes)
-			l.add("bytes at a follower's listener per start", "B", row.Starts, c.Follower.Bytes/(replicas-1))
-			l.add("bytes at the entries' listeners per start, all together", "B", row.Starts, c.Entry.Bytes)
-			l.add("bytes between entries and servers per start", "B", row.Starts, c.Backend)
+			c := row.Usage
+			l.add("cpu of the leader per start", "us", row.StartsPerSecond, c.Leader.CPU*micro)
+			l.add("cpu of a follower per start", "us", row.StartsPerSecond, c.Follower.CPU*micro/(replicas-1))
+			l.add("cpu of the entries per start, all together", "us", row.StartsPerSecond, c.Entry.CPU*micro)
+			l.add("bytes at the leader's listener per start", "B", row.StartsPerSecond, c.Leader.Bytes)
+			l.add("bytes at a follower's listener per start", "B", row.StartsPerSecond, c.Follower.Bytes/(replicas-1))
+			l.add("bytes at the entries' listeners per start, all together", "B", row.StartsPerSecond, c.Entry.Bytes)
+			l.add("bytes between entries and servers per start", "B", row.StartsPerSecond, c.BackendBytes)
 			return err
 		})
 		if err != nil {
@@ -119,11 +119,11 @@
 	for _, n := range slopeServers {
 		err := b.cell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
 			row, err := b.rest(ctx, r, n)
-			c, x := row.Costs, float64(n)
+			c, x := row.Usage, float64(n)
 			l.add("cpu of the leader per idle server and second", "us", x, c.Leader.CPU*micro)
 			l.add("cpu of a follower per idle server and second", "us", x, c.Follower.CPU*micro/(replicas-1))
 			l.add("cpu of the entries per idle server and second, all together", "us", x, c.Entry.CPU*micro)
-			l.add("bytes between entry and idle server per second", "B", x, c.Backend)
+			l.add("bytes between entry and idle server per second", "B", x, c.BackendBytes)
 			l.add("bytes at the leader's listener per idle server and second", "B", x, c.Leader.Bytes)
 			l.add("bytes at an idle follower's listener per second, by servers", "B", x, c.Follower.Bytes/(replicas-1))
 			return err
@@ -140,11 +140,11 @@
 func perTask(ctx context.Context, b *bench, l *lines) error {
 	for _, n := range slopeTasks {
 		err := b.cell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
-			token, err := r.Team(ctx, "measured")
+			token, err := r.CreateTeam(ctx, "measured")
 			if err != nil {
 				return err
 			}
-			fleet, err := r.Fleet(ctx, b.Servers, size(int64(slopeTasks[len(slopeTasks)-1])))
+			fleet, err := r.StartFleet(ctx, b.Servers, size(int64(slopeTasks[len(slopeTasks)-1])))
 			if err != nil {
 				return err
 			}
@@ -160,7 +160,7 @@
 	}
 	for _, n := range slopeFleets {
 		err := b.cell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
-			fleet, err := r.Fleet(ctx, n, size(b.Slots))
+			fleet, err := r.StartFleet(ctx, n, size(b.Slots))
 			if err != nil {
 				return err
 			}
@@ -175,7 +175,7 @@
 }
 
 func resident(ctx context.Context, r *rig.Rig, l *lines, what string, size float64) error {
-	link.Sleep(ctx, rig.Quiet)
+	transport.Sleep(ctx, rig.SettleTime)
 	s, err := take(r)
 	c := between(r, s, s)
 	l.add("resident memory of the leader per 1,000 "+what, "MiB", size, c.Leader.RSS)
@@ -188,7 +188,7 @@
 func hold(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string, n int) error {
 	const perJob, perCall = 10, 50
 	client := r.CallerClient(token)
-	defer client.Link.Close()
+	defer client.Transport.Close()
 	var ids []string
 	for first := 0; first < n; first += perJob * perCall {
 		var jobs []*v1.Spec
@@ -197,7 +197,7 @@
 			ids = append(ids, id)
 			jobs = append(jobs, &v1.Spec{
 				Id: id, Kind: v1.Kind(job.Batch), Name: "held", Count: perJob, Size: &v1.Size{Cpu: 1, Memory: 1, Slots: 1},
-				Runtime: uint64(time.Hour.Milliseconds()), Input: work.Input{ID: id, Runtime: time.Hour}.Bytes(),
+				Runtime: uint64(time.Hour.Milliseconds()), Input: work.Input{ID: id, Runtime: time.Hour}.Encode(),
 			})
 		}
 		if _, err := client.Submit(ctx, jobs, true); err != nil {
@@ -209,10 +209,10 @@
 	for _, id := range ids {
 		for running := 0; running < perJob; {
 			running = 0
-			for _, one := range fleet.Record.Of(id, perJob) {
+			for _, one := range fleet.TaskRuns.JobRuns(id, perJob) {
 				running += one.Started
 			}
-			if running < perJob && !link.Sleep(ctx, askPause) {
+			if running < perJob && !transport.Sleep(ctx, askPause) {
 				return fmt.Errorf("%s: %d of %d tasks run", id, running, perJob)
 			}
 		}
--- a/internal/load/mix/mix.go
+++ b/internal/load/mix/mix.go
@@ -14,8 +14,8 @@
 	"gypsumreel/internal/domain/job"
 )
 
-// Shares holds the weight of each kind among the arrivals.
-type Shares map[job.Kind]float64
+// KindWeights holds the weight of each kind among the arrivals.
+type KindWeights map[job.Kind]float64
 
 // Kinds are all kinds in the order of reports.
 var Kinds = []job.Kind{job.Urgent, job.Batch, job.Gang, job.Service}
@@ -23,9 +23,9 @@
 // maxWeight bounds the weight of a kind.
 const maxWeight = 1_000_000
 
-// ParseShares reads weights such as urgent=70,batch=25,gang=4,service=1.
-func ParseShares(text string) (Shares, error) {
-	out, sum := Shares{}, 0.0
+// ParseKindWeights reads weights such as urgent=70,batch=25,gang=4,service=1.
+func ParseKindWeights(text string) (KindWeights, error) {
+	out, sum := KindWeights{}, 0.0
 	for _, part := range strings.Split(text, ",") {
 		name, weight, _ := strings.Cut(strings.TrimSpace(part), "=")
 		kind, ok := kindOf(name)
@@ -52,7 +52,7 @@
 }
 
 // pick returns a kind for x from 0 to 1.
-func (s Shares) pick(x float64) job.Kind {
+func (s KindWeights) pick(x float64) job.Kind {
 	sum := 0.0
 	for _, k := range Kinds {
 		sum += s[k]
@@ -91,28 +91,28 @@
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
-	Shares   Shares
+	Weights  KindWeights
 	Shapes   map[job.Kind]Shape
-	// Once is the part of the jobs, 0 to 1, that may run at most once.
-	Once float64
-	// Answer is the mean length of a task's answer in bytes.
-	Answer int
+	// OnceFraction is the part of the jobs, 0 to 1, that may run at most once.
+	OnceFraction float64
+	// MeanAnswerBytes is the mean length of a task's answer in bytes.
+	MeanAnswerBytes int
 	// Deadline is that of urgent jobs; 0 for none.
 	Deadline time.Duration
-	// Prefix begins every id.
-	Prefix string
+	// IDPrefix begins every id.
+	IDPrefix string
 }
 
 // Job is one arrival.
 type Job struct {
-	// At is when it arrives, from the start of the run.
-	At   time.Duration
-	Spec *v1.Spec
-	Kind job.Kind
+	// ArrivesAt is when it arrives, from the start of the run.
+	ArrivesAt time.Duration
+	Spec      *v1.Spec
+	Kind      job.Kind
 	// Runtime is how long each task really runs; a service is cancelled then.
 	Runtime time.Duration
-	// Answer is the length of each task's answer in bytes.
-	Answer int
+	// AnswerBytes is the length of each task's answer in bytes.
+	AnswerBytes int
 }
 
 const (
@@ -139,14 +139,14 @@
 }
 
 func (p Plan) job(r *rand.Rand, n int, at time.Duration) Job {
-	kind := p.Shares.pick(r.Float64())
+	kind := p.Weights.pick(r.Float64())
 	shape := p.Shapes[kind]
-	j := Job{At: at, Kind: kind, Runtime: drawn(r, shape.Runtime), Answer: int(drawn(r, time.Duration(p.Answer)))}
+	j := Job{ArrivesAt: at, Kind: kind, Runtime: drawn(r, shape.Runtime), AnswerBytes: int(drawn(r, time.Duration(p.MeanAnswerBytes)))}
 	// Declared run times are often far off; the cell has to live with it.
 	declared := float64(j.Runtime.Milliseconds()) * math.Exp(r.NormFloat64()*spread)
-	once := r.Float64() < p.Once && kind != job.Service
+	once := r.Float64() < p.OnceFraction && kind != job.Service
 	j.Spec = &v1.Spec{
-		Id: p.Prefix + strconv.Itoa(n), Kind: v1.Kind(kind), Name: "load-" + kind.String(), Count: shape.Count,
+		Id: p.IDPrefix + strconv.Itoa(n), Kind: v1.Kind(kind), Name: "load-" + kind.String(), Count: shape.Count,
 		Size:    &v1.Size{Cpu: shape.CPU, Memory: shape.Memory, Slots: 1},
 		Runtime: uint64(max(1, declared)), Once: once,
 	}
--- a/internal/load/mix/mix_test.go
+++ b/internal/load/mix/mix_test.go
@@ -13,11 +13,11 @@
 )
 
 func plan(t *testing.T, seed uint64) mix.Plan {
-	shares, err := mix.ParseShares("urgent=70,batch=25,gang=5")
+	shares, err := mix.ParseKindWeights("urgent=70,batch=25,gang=5")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return mix.Plan{Rate: 1000, Duration: 10 * time.Second, Seed: seed, Shares: shares, Shapes: mix.DefaultShapes(), Once: 0.5, Answer: 100, Prefix: "p-"}
+	return mix.Plan{Rate: 1000, Duration: 10 * time.Second, Seed: seed, Weights: shares, Shapes: mix.DefaultShapes(), OnceFraction: 0.5, MeanAnswerBytes: 100, IDPrefix: "p-"}
 }
 
 func TestSameSeedMakesTheSameJobs(t *testing.T) {
@@ -43,7 +43,7 @@
 			t.Errorf("id %s twice", j.Spec.GetId())
 		}
 		ids[j.Spec.GetId()] = true
-		if i > 0 && j.At < jobs[i-1].At {
+		if i > 0 && j.ArrivesAt < jobs[i-1].ArrivesAt {
 			t.Error("out of order")
 		}
 	}
@@ -64,7 +64,7 @@
 
 func TestBadSharesAreRefused(t *testing.T) {
 	for _, text := range []string{"", "urgent", "urgent=-1", "urgent=NaN", "urgent=1,urgent=2", "fast=1", "batch=0"} {
-		if got, err := mix.ParseShares(text); err == nil {
+		if got, err := mix.ParseKindWeights(text); err == nil {
 			t.Errorf("%q gives %v", text, got)
 		}
 	}
--- a/internal/load/report/chart.go
+++ b/internal/load/report/chart.go
@@ -25,13 +25,13 @@
 // Write prints the result for a person.
 func (r Result) Write(w io.Writer) error {
 	fmt.Fprintf(w, "revision %s, table %d to %d, seed %d, %.4g jobs/s for %s, %d own backend servers\n",
-		r.Measured.Revision, r.Measured.Table[0], r.Measured.Table[1], r.Measured.Seed, r.Measured.Rate, r.Measured.Duration, r.Measured.Servers)
+		r.Info.Revision, r.Info.TableRevisions[0], r.Info.TableRevisions[1], r.Info.Seed, r.Info.Rate, r.Info.Duration, r.Info.Servers)
 	c := r.Counts
 	fmt.Fprintf(w, "sent %d  accepted %d  done %d  failed %d  stopped %d  refused %d  not run %d  unknown %d  unanswered %d  repeated tasks %d\n",
-		c.Sent, c.Accepted, c.Done, c.Failed, c.Stopped, c.Refused, c.NotRun, c.Unknown, c.Unanswered, c.Repeated)
-	p := r.Promises
-	fmt.Fprintf(w, "promises: lost %d  damaged %d  doubled %d  false %d  unran %d  faults %d\n", p.Lost, p.Damaged, p.Doubled, p.False, p.Unran, len(p.Faults))
-	for _, f := range p.Faults {
+		c.Sent, c.Accepted, c.Done, c.Failed, c.Stopped, c.Refused, c.NotRun, c.Unknown, c.Unanswered, c.RepeatedTasks)
+	p := r.Violations
+	fmt.Fprintf(w, "promises: lost %d  damaged %d  doubled %d  false %d  unran %d  faults %d\n", p.LostJobs, p.DamagedAnswers, p.RepeatedOnceJobs, p.FalseNotRun, p.UnfinishedDone, len(p.ServerFaults))
+	for _, f := range p.ServerFaults {
 		fmt.Fprintln(w, "  "+f)
 	}
 	r.refusals(w)
@@ -39,8 +39,8 @@
 		return err
 	}
 	r.bars(w)
-	r.course(w, "sent/s    ", func(s Second) int { return s.Sent })
-	r.course(w, "answered/s", func(s Second) int { return s.Answered })
+	r.course(w, "sent/s    ", func(s SecondCounts) int { return s.Sent })
+	r.course(w, "answered/s", func(s SecondCounts) int { return s.Answered })
 	return nil
 }
 
@@ -58,10 +58,10 @@
 // step is one wait of a kind by name.
 type step struct {
 	name  string
-	waits Waits
+	waits WaitStats
 }
 
-func (k Kind) steps() []step {
+func (k KindReport) steps() []step {
 	return []step{{"accept", k.Accept}, {"start", k.Start}, {"answer", k.Answer}, {"lag", k.Lag}}
 }
 
@@ -102,7 +102,7 @@
 }
 
 // course draws a count over the seconds of the run.
-func (r Result) course(w io.Writer, name string, of func(Second) int) {
+func (r Result) course(w io.Writer, name string, of func(SecondCounts) int) {
 	n := len(r.Seconds)
 	if n == 0 {
 		return
--- a/internal/load/report/report.go
+++ b/internal/load/report/report.go
@@ -18,58 +18,58 @@
 
 // Result is the outcome of a run; its JSON is what comparisons read.
 type Result struct {
-	Measured Measured `json:"measured"`
-	// Promises counts what must never happen; all are 0 for a good run.
-	Promises Promises        `json:"promises"`
-	Counts   Counts          `json:"counts"`
-	Kinds    map[string]Kind `json:"kinds"`
+	Info RunInfo `json:"measured"`
+	// Violations counts what must never happen; all are 0 for a good run.
+	Violations Violations            `json:"promises"`
+	Counts     Counts                `json:"counts"`
+	Kinds      map[string]KindReport `json:"kinds"`
 	// Refusals counts result codes of jobs that were not accepted.
 	Refusals map[string]int `json:"refusals"`
-	Seconds  []Second       `json:"seconds"`
+	Seconds  []SecondCounts `json:"seconds"`
 }
 
-// Measured names what was measured.
-type Measured struct {
+// RunInfo names what was measured.
+type RunInfo struct {
 	// Revision is that of the code of this tool.
 	Revision string `json:"revision"`
-	// Table is the revision of the cell's table before and after; 0 when no
+	// TableRevisions is the revision of the cell's table before and after; 0 when no
 	// operator's key was given.
-	Table  [2]uint64 `json:"table"`
-	Began  time.Time `json:"began"`
-	Target []string  `json:"target"`
-	// Settings are digests of the settings files named.
-	Settings map[string]string `json:"settings"`
-	Note     string            `json:"note,omitempty"`
+	TableRevisions [2]uint64 `json:"table"`
+	StartedAt      time.Time `json:"began"`
+	Targets        []string  `json:"target"`
+	// SettingsDigests are digests of the settings files named.
+	SettingsDigests map[string]string `json:"settings"`
+	Note            string            `json:"note,omitempty"`
 
-	Rate     float64            `json:"rate"`
-	Duration string             `json:"duration"`
-	Seed     uint64             `json:"seed"`
-	Mix      map[string]float64 `json:"mix"`
-	Once     float64            `json:"once"`
-	Answer   int                `json:"answer"`
-	Deadline string             `json:"deadline"`
-	Servers  int                `json:"servers"`
+	Rate         float64            `json:"rate"`
+	Duration     string             `json:"duration"`
+	Seed         uint64             `json:"seed"`
+	Mix          map[string]float64 `json:"mix"`
+	OnceFraction float64            `json:"once"`
+	AnswerBytes  int                `json:"answer"`
+	Deadline     string             `json:"deadline"`
+	Servers      int                `json:"servers"`
 }
 
-// Promises counts broken ones.
-type Promises struct {
-	// Lost jobs were accepted and have no outcome at the end of the tail.
-	Lost int `json:"lost"`
-	// Damaged answers are not whole or not the job's own.
-	Damaged int `json:"damaged"`
-	// Doubled jobs may run at most once and ran more often.
-	Doubled int `json:"doubled"`
-	// False refusals said not run of something that ran.
-	False int `json:"false"`
-	// Unran jobs are done without a run to the end of every task.
-	Unran int `json:"unran"`
-	// Faults are what the backend servers saw: a task in two places.
-	Faults []string `json:"faults"`
+// Violations counts broken ones.
+type Violations struct {
+	// LostJobs jobs were accepted and have no outcome at the end of the tail.
+	LostJobs int `json:"lost"`
+	// DamagedAnswers answers are not whole or not the job's own.
+	DamagedAnswers int `json:"damaged"`
+	// RepeatedOnceJobs jobs may run at most once and ran more often.
+	RepeatedOnceJobs int `json:"doubled"`
+	// FalseNotRun refusals said not run of something that ran.
+	FalseNotRun int `json:"false"`
+	// UnfinishedDone jobs are done without a run to the end of every task.
+	UnfinishedDone int `json:"unran"`
+	// ServerFaults are what the backend servers saw: a task in two places.
+	ServerFaults []string `json:"faults"`
 }
 
-// Kept tells whether every promise that was checked held.
-func (p Promises) Kept() bool {
-	return p.Lost+p.Damaged+p.Doubled+p.False+p.Unran+len(p.Faults) == 0
+// None tells whether every promise that was checked held.
+func (p Violations) None() bool {
+	return p.LostJobs+p.DamagedAnswers+p.RepeatedOnceJobs+p.FalseNotRun+p.UnfinishedDone+len(p.ServerFaults) == 0
 }
 
 // Counts are jobs.
@@ -85,23 +85,23 @@
 	Unknown  int `json:"unknown"`
 	// Unanswered submissions have no answer; they may or may not be accepted.
 	Unanswered int `json:"unanswered"`
-	// Repeated tasks ran to their end more than once, as they may.
-	Repeated int `json:"repeated"`
+	// RepeatedTasks tasks ran to their end more than once, as they may.
+	RepeatedTasks int `json:"repeated"`
 }
 
-// Kind holds the waits of a kind of job, from the time of its arrival.
-type Kind struct {
+// KindReport holds the waits of a kind of job, from the time of its arrival.
+type KindReport struct {
 	Jobs int `json:"jobs"`
 	// Accept is until the acceptance, Start until the last task began, Answer
 	// until the whole answer; Lag is how late the tool itself sent.
-	Accept Waits `json:"accept"`
-	Start  Waits `json:"start"`
-	Answer Waits `json:"answer"`
-	Lag    Waits `json:"lag"`
+	Accept WaitStats `json:"accept"`
+	Start  WaitStats `json:"start"`
+	Answer WaitStats `json:"answer"`
+	Lag    WaitStats `json:"lag"`
 }
 
-// Waits are percentiles in milliseconds.
-type Waits struct {
+// WaitStats are percentiles in milliseconds.
+type WaitStats struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean"`
 	P50   float64 `json:"p50"`
@@ -111,8 +111,8 @@
 	Max   float64 `json:"max"`
 }
 
-// Second is one second of the run.
-type Second struct {
+// SecondCounts is one second of the run.
+type SecondCounts struct {
 	Sent     int `json:"sent"`
 	Answered int `json:"answered"`
 }
@@ -139,12 +139,12 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), shortest), longest)) // within the bounds: never fails
 }
 
-func waits(h *hdrhistogram.Histogram) Waits {
+func waits(h *hdrhistogram.Histogram) WaitStats {
 	ms := func(us int64) float64 { return float64(us) / float64(time.Millisecond/time.Microsecond) }
 	if h.TotalCount() == 0 {
-		return Waits{}
+		return WaitStats{}
 	}
-	return Waits{
+	return WaitStats{
 		Count: h.TotalCount(), Mean: h.Mean() / float64(time.Millisecond/time.Microsecond),
 		P50: ms(h.ValueAtQuantile(50)), P90: ms(h.ValueAtQuantile(90)), P99: ms(h.ValueAtQuantile(99)),
 		P999: ms(h.ValueAtQuantile(99.9)), Max: ms(h.Max()),
@@ -160,27 +160,27 @@
 	hist   map[job.Kind]*histograms
 }
 
-// Sum sums a run up. Record is nil when the backend servers are not the tool's
+// Summarize sums a run up. Record is nil when the backend servers are not the tool's
 // own; begin is when the run began.
-func Sum(m Measured, begin time.Time, seen []drive.Seen, record *work.Record) Result {
+func Summarize(m RunInfo, begin time.Time, seen []drive.JobResult, record *work.Record) Result {
 	s := &summing{begin: begin, record: record, hist: map[job.Kind]*histograms{}}
-	s.Measured, s.Kinds, s.Refusals = m, map[string]Kind{}, map[string]int{}
-	s.Promises.Faults = []string{}
+	s.Info, s.Kinds, s.Refusals = m, map[string]KindReport{}, map[string]int{}
+	s.Violations.ServerFaults = []string{}
 	s.Counts.Planned = len(seen)
 	for i := range seen {
-		if seen[i].Sent > 0 {
+		if seen[i].SentAt > 0 {
 			s.add(&seen[i])
 		}
 	}
 	for _, k := range mix.Kinds {
 		if h := s.hist[k]; h != nil {
-			s.Kinds[k.String()] = Kind{Jobs: h.jobs, Accept: waits(h.accept), Start: waits(h.start), Answer: waits(h.answer), Lag: waits(h.lag)}
+			s.Kinds[k.String()] = KindReport{Jobs: h.jobs, Accept: waits(h.accept), Start: waits(h.start), Answer: waits(h.answer), Lag: waits(h.lag)}
 		}
 	}
 	return s.Result
 }
 
-func (s *summing) add(one *drive.Seen) {
+func (s *summing) add(one *drive.JobResult) {
 	h := s.hist[one.Job.Kind]
 	if h == nil {
 		h = newHistograms()
@@ -188,40 +188,40 @@
 	}
 	h.jobs++
 	s.Counts.Sent++
-	s.second(one.Sent).Sent++
-	note(h.lag, one.Sent-one.Job.At)
-	if one.Accepted > 0 {
+	s.second(one.SentAt).Sent++
+	note(h.lag, one.SentAt-one.Job.ArrivesAt)
+	if one.AcceptedAt > 0 {
 		s.Counts.Accepted++
-		note(h.accept, one.Accepted-one.Job.At)
+		note(h.accept, one.AcceptedAt-one.Job.ArrivesAt)
 	}
-	if one.Answered > 0 && one.Outcome == v1.Outcome_OUTCOME_DONE {
-		s.second(one.Answered).Answered++
+	if one.AnsweredAt > 0 && one.Outcome == v1.Outcome_OUTCOME_DONE {
+		s.second(one.AnsweredAt).Answered++
 		if one.Job.Kind != job.Service {
-			note(h.answer, one.Answered-one.Job.At)
+			note(h.answer, one.AnsweredAt-one.Job.ArrivesAt)
 		}
 	}
 	s.count(one)
 	s.compare(one, h)
 }
 
-func (s *summing) second(at time.Duration) *Second {
+func (s *summing) second(at time.Duration) *SecondCounts {
 	n := int(at / time.Second)
 	for len(s.Seconds) <= n {
-		s.Seconds = append(s.Seconds, Second{})
+		s.Seconds = append(s.Seconds, SecondCounts{})
 	}
 	return &s.Seconds[n]
 }
 
-func (s *summing) count(one *drive.Seen) {
-	if one.Damaged {
-		s.Promises.Damaged++
+func (s *summing) count(one *drive.JobResult) {
+	if one.AnswerDamaged {
+		s.Violations.DamagedAnswers++
 	}
 	switch {
-	case one.Accepted == 0 && one.Outcome == v1.Outcome_OUTCOME_UNKNOWN:
+	case one.AcceptedAt == 0 && one.Outcome == v1.Outcome_OUTCOME_UNKNOWN:
 		s.Counts.Unknown++
-	case one.Accepted == 0 && link(one.Code):
+	case one.AcceptedAt == 0 && link(one.Code):
 		s.Counts.Unanswered++
-	case one.Accepted == 0:
+	case one.AcceptedAt == 0:
 		s.Counts.Refused++
 		s.Refusals[one.Code.String()]++
 	case one.Outcome == v1.Outcome_OUTCOME_DONE && one.Code == code.OK:
@@ -235,8 +235,8 @@
 	case one.Outcome == v1.Outcome_OUTCOME_UNKNOWN:
 		s.Counts.Unknown++
 	}
-	if one.Accepted > 0 && !caller.Final(one.Outcome) {
-		s.Promises.Lost++
+	if one.AcceptedAt > 0 && !caller.IsFinal(one.Outcome) {
+		s.Violations.LostJobs++
 	}
 }
 
@@ -245,11 +245,11 @@
 }
 
 // compare holds what the caller was told against what really ran.
-func (s *summing) compare(one *drive.Seen, h *histograms) {
+func (s *summing) compare(one *drive.JobResult, h *histograms) {
 	if s.record == nil {
 		return
 	}
-	runs := s.record.Of(one.Job.Spec.GetId(), one.Job.Spec.GetCount())
+	runs := s.record.JobRuns(one.Job.Spec.GetId(), one.Job.Spec.GetCount())
 	begun, ended, doubled := 0, 0, false
 	var last time.Time
 	for _, r := range runs {
@@ -260,29 +260,29 @@
 			ended++
 		}
 		if r.Ended > 1 {
-			s.Counts.Repeated++
+			s.Counts.RepeatedTasks++
 		}
-		if r.First.After(last) {
-			last = r.First
+		if r.FirstStart.After(last) {
+			last = r.FirstStart
 		}
 		doubled = doubled || one.Job.Spec.GetOnce() && r.Started > 1
 	}
 	if doubled {
-		s.Promises.Doubled++
+		s.Violations.RepeatedOnceJobs++
 	}
 	if begun > 0 && one.Outcome == v1.Outcome_OUTCOME_NOT_RUN {
-		s.Promises.False++
+		s.Violations.FalseNotRun++
 	}
 	if ended < len(runs) && one.Outcome == v1.Outcome_OUTCOME_DONE && one.Code == code.OK {
-		s.Promises.Unran++
+		s.Violations.UnfinishedDone++
 	}
 	if begun == len(runs) {
-		note(h.start, last.Sub(s.begin)-one.Job.At)
+		note(h.start, last.Sub(s.begin)-one.Job.ArrivesAt)
 	}
 }
 
-// Revision returns the version-control revision that the program was built from.
-func Revision() string {
+// BuildRevision returns the version-control revision that the program was built from.
+func BuildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
--- a/internal/load/report/report_test.go
+++ b/internal/load/report/report_test.go
@@ -17,10 +17,10 @@
 	"gypsumreel/internal/load/work"
 )
 
-func seen(id string, at, accepted, answered time.Duration, o v1.Outcome, c code.Code) drive.Seen {
-	return drive.Seen{
-		Job:  mix.Job{At: at, Kind: job.Urgent, Spec: &v1.Spec{Id: id, Count: 1, Once: true}},
-		Sent: at + 1, Accepted: accepted, Answered: answered, Outcome: o, Code: c,
+func seen(id string, at, accepted, answered time.Duration, o v1.Outcome, c code.Code) drive.JobResult {
+	return drive.JobResult{
+		Job:    mix.Job{ArrivesAt: at, Kind: job.Urgent, Spec: &v1.Spec{Id: id, Count: 1, Once: true}},
+		SentAt: at + 1, AcceptedAt: accepted, AnsweredAt: answered, Outcome: o, Code: c,
 	}
 }
 
@@ -28,13 +28,13 @@
 // that counts from when it got round to sending would report short waits; whoever
 // was on the phone waited for up to ten seconds.
 func TestWaitsCountFromTheArrival(t *testing.T) {
-	var all []drive.Seen
+	var all []drive.JobResult
 	for i := range 10 {
 		one := seen("x", time.Duration(i)*time.Second, 10*time.Second, 10*time.Second, v1.Outcome_OUTCOME_DONE, code.OK)
-		one.Sent = 10*time.Second - time.Millisecond
+		one.SentAt = 10*time.Second - time.Millisecond
 		all = append(all, one)
 	}
-	k := report.Sum(report.Measured{}, time.Time{}, all, nil).Kinds["urgent"]
+	k := report.Summarize(report.RunInfo{}, time.Time{}, all, nil).Kinds["urgent"]
 	if k.Accept.Max < 9990 || k.Accept.P50 < 4990 || k.Lag.Max < 9980 {
 		t.Errorf("accept %+v, lag %+v", k.Accept, k.Lag)
 	}
@@ -51,7 +51,7 @@
 		if !whole {
 			runtime = time.Hour
 		}
-		r.Work(ctx, &v1.Order{Input: work.Input{ID: id, Runtime: runtime}.Bytes(), Attempt: &v1.Attempt{}})
+		r.RunTask(ctx, &v1.Order{Input: work.Input{ID: id, Runtime: runtime}.Encode(), Attempt: &v1.Attempt{}})
 	}
 }
 
@@ -65,27 +65,27 @@
 	ran(t, r, "false", 1, false)
 	ran(t, r, "unran", 1, false)
 	damaged := seen("good", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK)
-	damaged.Damaged = true
+	damaged.AnswerDamaged = true
 	for name, c := range map[string]struct {
-		one  drive.Seen
-		want report.Promises
+		one  drive.JobResult
+		want report.Violations
 	}{
-		"good":      {seen("good", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Promises{}},
-		"refused":   {seen("none", second, 0, 0, v1.Outcome_OUTCOME_NOT_RUN, code.QueueFull), report.Promises{}},
-		"unsure":    {seen("doubled-never", second, 0, 0, 0, code.LeaderTimeout), report.Promises{}},
-		"lost":      {seen("good", second, second, 0, v1.Outcome_OUTCOME_RUNNING, code.OK), report.Promises{Lost: 1}},
-		"damaged":   {damaged, report.Promises{Damaged: 1}},
-		"doubled":   {seen("doubled", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Promises{Doubled: 1}},
-		"false":     {seen("false", second, 0, 0, v1.Outcome_OUTCOME_NOT_RUN, code.Cancelled), report.Promises{False: 1}},
-		"unran":     {seen("unran", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Promises{Unran: 1}},
-		"unstarted": {seen("none", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Promises{Unran: 1}},
+		"good":      {seen("good", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Violations{}},
+		"refused":   {seen("none", second, 0, 0, v1.Outcome_OUTCOME_NOT_RUN, code.QueueFull), report.Violations{}},
+		"unsure":    {seen("doubled-never", second, 0, 0, 0, code.LeaderTimeout), report.Violations{}},
+		"lost":      {seen("good", second, second, 0, v1.Outcome_OUTCOME_RUNNING, code.OK), report.Violations{LostJobs: 1}},
+		"damaged":   {damaged, report.Violations{DamagedAnswers: 1}},
+		"doubled":   {seen("doubled", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Violations{RepeatedOnceJobs: 1}},
+		"false":     {seen("false", second, 0, 0, v1.Outcome_OUTCOME_NOT_RUN, code.Cancelled), report.Violations{FalseNotRun: 1}},
+		"unran":     {seen("unran", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Violations{UnfinishedDone: 1}},
+		"unstarted": {seen("none", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Violations{UnfinishedDone: 1}},
 	} {
-		got := report.Sum(report.Measured{}, time.Now(), []drive.Seen{c.one}, r)
-		c.want.Faults = []string{}
-		if diff := cmp.Diff(c.want, got.Promises); diff != "" {
+		got := report.Summarize(report.RunInfo{}, time.Now(), []drive.JobResult{c.one}, r)
+		c.want.ServerFaults = []string{}
+		if diff := cmp.Diff(c.want, got.Violations); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
-		if kept := got.Promises.Kept(); kept != cmp.Equal(c.want, report.Promises{Faults: []string{}}) {
+		if kept := got.Violations.None(); kept != cmp.Equal(c.want, report.Violations{ServerFaults: []string{}}) {
 			t.Errorf("%s: kept %v", name, kept)
 		}
 		var b strings.Builder
--- a/internal/load/rig/cut.go
+++ b/internal/load/rig/cut.go
@@ -9,7 +9,7 @@
 	"connectrpc.com/connect"
 
 	v1 "gypsumreel/internal/api/v1"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 )
 
 const (
@@ -19,16 +19,16 @@
 	pinPause = 20 * time.Millisecond
 )
 
-// Calls counts calls at single entries.
-type Calls struct {
+// CallCounts counts calls at single entries.
+type CallCounts struct {
 	Made atomic.Int64
-	// Cut are those that ended without any answer of the entry.
-	Cut atomic.Int64
+	// CutOff are those that ended without any answer of the entry.
+	CutOff atomic.Int64
 }
 
-// Pin keeps callers at each entry until ctx ends. They act as behind a balancer:
+// RunPinnedCallers keeps callers at each entry until ctx ends. They act as behind a balancer:
 // they begin calls while the entry's readiness probe succeeds, and retry nothing.
-func (r *Rig) Pin(ctx context.Context, token string, n *Calls) {
+func (r *Rig) RunPinnedCallers(ctx context.Context, token string, n *CallCounts) {
 	var w sync.WaitGroup
 	for _, name := range r.EntryNames() {
 		for range pinned {
@@ -37,7 +37,7 @@
 					if r.Ready(name) {
 						pin(ctx, r.direct(name), token, n)
 					}
-					link.Sleep(ctx, pinPause)
+					transport.Sleep(ctx, pinPause)
 				}
 			})
 		}
@@ -47,13 +47,13 @@
 
 // pin makes one call over a connection of its own. The call outlives ctx, so
 // that the end of the measure cuts none.
-func pin(ctx context.Context, address, token string, n *Calls) {
-	l := &link.Link{Addresses: []string{address}, Key: token}
+func pin(ctx context.Context, address, token string, n *CallCounts) {
+	l := &transport.Client{Addresses: []string{address}, Key: token}
 	defer l.Close()
-	_, err := link.Once(context.WithoutCancel(ctx), l, list, &v1.ListRequest{})
+	_, err := transport.TryOnce(context.WithoutCancel(ctx), l, list, &v1.ListRequest{})
 	n.Made.Add(1)
 	if err != nil {
-		n.Cut.Add(1)
+		n.CutOff.Add(1)
 	}
 }
 
--- a/internal/load/rig/delay.go
+++ b/internal/load/rig/delay.go
@@ -10,9 +10,9 @@
 	"gypsumreel/internal/fake/relay"
 )
 
-// Delayed measures what the relays' delays really are: the median and the 99th
+// MeasureDelay measures what the relays' delays really are: the median and the 99th
 // percentile of half a round trip of one byte through a relay, over a time.
-func (r *Rig) Delayed(ctx context.Context, delay, over time.Duration) (median, late time.Duration, err error) {
+func (r *Rig) MeasureDelay(ctx context.Context, delay, over time.Duration) (median, late time.Duration, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	echo, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/load/rig/file.go
+++ b/internal/load/rig/file.go
@@ -51,7 +51,7 @@
 // their relays' addresses, so that everything between processes is delayed.
 func (r *Rig) settings(name string, control bool) error {
 	f := sheet{Cell: "measured", Name: name, TLS: tls{plain{true}, plain{true}}}
-	for _, c := range r.Controls() {
+	for _, c := range r.ControlNames() {
 		f.Control = append(f.Control, peer{c, r.port(c, atRelays)})
 	}
 	f.Listen.Platform = r.port(name, atPlatform)
@@ -59,9 +59,9 @@
 		f.Role, f.Data, f.Operator = "control", r.file(name, ".data"), digest(r.root)
 		f.Listen.Control = r.port(name, 0)
 	} else {
-		f.Role, f.Enrolment = "entry", []string{digest(r.Enrolment)}
+		f.Role, f.Enrolment = "entry", []string{digest(r.EnrolmentSecret)}
 		f.Listen.Callers, f.Listen.Backends, f.Listen.Operators = r.port(name, atCallers), r.port(name, atBackends), r.port(name, atOperators)
-		f.Time.Drain = r.Drain.String()
+		f.Time.Drain = r.DrainTime.String()
 	}
 	text, err := json.MarshalIndent(f, "", "  ")
 	if err != nil {
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -10,8 +10,8 @@
 
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
 	"gypsumreel/internal/client/operator"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/key"
 	"gypsumreel/internal/fake/server"
 	"gypsumreel/internal/load/work"
@@ -31,25 +31,25 @@
 
 // Fleet is a number of fake backend servers in this process.
 type Fleet struct {
-	// Record is what the load's tasks did, Seen what broke a promise.
-	Record *work.Record
-	Seen   *server.Recorder
+	// TaskRuns is what the load's tasks did, Seen what broke a promise.
+	TaskRuns     *work.Record
+	ServerRecord *server.Recorder
 
 	all    []*server.Server
 	cancel context.CancelFunc
 }
 
-// Fleet starts n backend servers and returns once the cell counts all as ready.
-func (r *Rig) Fleet(ctx context.Context, n int, capacity *v1.Size) (*Fleet, error) {
-	f := &Fleet{Record: &work.Record{}, Seen: &server.Recorder{}}
+// StartFleet starts n backend servers and returns once the cell counts all as ready.
+func (r *Rig) StartFleet(ctx context.Context, n int, capacity *v1.Size) (*Fleet, error) {
+	f := &Fleet{TaskRuns: &work.Record{}, ServerRecord: &server.Recorder{}}
 	running, cancel := context.WithCancel(ctx)
 	f.cancel = cancel
 	for i := range n {
 		s := &server.Server{
-			Name: fmt.Sprintf("load-%03d", i), Secret: r.Enrolment, Work: f.Record.Work, Recorder: f.Seen, Log: logr.Discard(),
+			Name: fmt.Sprintf("load-%03d", i), Secret: r.EnrolmentSecret, Work: f.TaskRuns.RunTask, Recorder: f.ServerRecord, Log: logr.Discard(),
 			Rack: fmt.Sprintf("rack-%d", i/perRack), Zone: fmt.Sprintf("zone-%d", i%zones), Capacity: capacity,
 		}
-		for _, address := range r.Backends() {
+		for _, address := range r.BackendAddresses() {
 			s.Entries = append(s.Entries, server.NewEntry(address, nil, nil))
 		}
 		f.all = append(f.all, s)
@@ -86,7 +86,7 @@
 		if ready >= n {
 			return nil
 		}
-		if !link.Sleep(ctx, lookEvery) {
+		if !transport.Sleep(ctx, lookEvery) {
 			return errors.Newf("%d of %d servers are ready: %v", ready, n, err)
 		}
 	}
@@ -95,16 +95,16 @@
 
 // OperatorClient returns a client with the first operator's key.
 func (r *Rig) OperatorClient() *operator.Client {
-	return &operator.Client{Link: &link.Link{Addresses: r.Operators(), Key: r.Operator}}
+	return &operator.Client{Transport: &transport.Client{Addresses: r.OperatorURLs(), Key: r.OperatorKey}}
 }
 
 // CallerClient returns a client with a team's key.
 func (r *Rig) CallerClient(token string) *caller.Client {
-	return &caller.Client{Link: &link.Link{Addresses: r.Callers(), Key: token, Shared: true}}
+	return &caller.Client{Transport: &transport.Client{Addresses: r.CallerURLs(), Key: token, Multiplexed: true}}
 }
 
-// Team makes a team without limits and returns its key.
-func (r *Rig) Team(ctx context.Context, team string) (string, error) {
+// CreateTeam makes a team without limits and returns its key.
+func (r *Rig) CreateTeam(ctx context.Context, team string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	op := r.OperatorClient()
@@ -122,11 +122,11 @@
 	if err != nil {
 		return "", err
 	}
-	return r.Grant(ctx, team, "key-"+team)
+	return r.GrantKey(ctx, team, "key-"+team)
 }
 
-// Grant grants a team a key and returns it as it is presented.
-func (r *Rig) Grant(ctx context.Context, team, id string) (string, error) {
+// GrantKey grants a team a key and returns it as it is presented.
+func (r *Rig) GrantKey(ctx context.Context, team, id string) (string, error) {
 	secret := key.NewSecret()
 	d := key.Digest(secret)
 	_, err := r.OperatorClient().Change(ctx, &v1.ChangeRequest{Id: "grant-" + id, Change: &v1.ChangeRequest_Grant{
@@ -135,5 +135,5 @@
 	return id + "." + secret, err
 }
 
-// Quiet is how long a cell is left alone before it is measured at rest.
-const Quiet = 2 * time.Second
+// SettleTime is how long a cell is left alone before it is measured at rest.
+const SettleTime = 2 * time.Second
--- a/internal/load/rig/process.go
+++ b/internal/load/rig/process.go
@@ -141,7 +141,7 @@
 // Leader returns the replica that says that it leads, in the highest term.
 func (r *Rig) Leader() (string, bool) {
 	best, term := "", -1.0
-	for _, name := range r.Controls() {
+	for _, name := range r.ControlNames() {
 		if !r.Running(name) {
 			continue
 		}
@@ -153,8 +153,8 @@
 	return best, best != ""
 }
 
-// Revision returns the table's revision that a process says it serves; 0 without an answer.
-func (r *Rig) Revision(name string) uint64 {
+// TableRevision returns the table's revision that a process says it serves; 0 without an answer.
+func (r *Rig) TableRevision(name string) uint64 {
 	b, _ := r.probe(name, "/metrics")
 	if strings.HasPrefix(name, "entry") {
 		return uint64(max(0, gauge(b, "entry_table_revision")))
@@ -179,20 +179,20 @@
 type Usage struct {
 	// CPU is processor time of user and system since its start.
 	CPU time.Duration
-	// Waited is the time that its threads were ready to run and no processor was
+	// RunnableWait is the time that its threads were ready to run and no processor was
 	// free; that of threads which have ended is not in it.
-	Waited time.Duration
+	RunnableWait time.Duration
 	// RSS is its resident memory in bytes.
 	RSS int64
 }
 
-// Usage reads what a process has used from /proc.
-func (r *Rig) Usage(name string) (Usage, error) {
-	return Spent(r.process(name).cmd.Process.Pid)
+// ProcessUsage reads what a process has used from /proc.
+func (r *Rig) ProcessUsage(name string) (Usage, error) {
+	return UsageOf(r.process(name).cmd.Process.Pid)
 }
 
-// Spent reads what a process has used from /proc.
-func Spent(pid int) (Usage, error) {
+// UsageOf reads what a process has used from /proc.
+func UsageOf(pid int) (Usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return Usage{}, err
@@ -202,9 +202,9 @@
 	const user, system, resident = 11, 12, 21
 	number := func(i int) int64 { n, _ := strconv.ParseInt(fields[i], 10, 64); return n }
 	return Usage{
-		Waited: waited(pid),
-		CPU:    time.Duration(number(user)+number(system)) * time.Second / ticks,
-		RSS:    number(resident) * int64(os.Getpagesize()),
+		RunnableWait: waited(pid),
+		CPU:          time.Duration(number(user)+number(system)) * time.Second / ticks,
+		RSS:          number(resident) * int64(os.Getpagesize()),
 	}, nil
 }
 
--- a/internal/load/rig/process_test.go
+++ b/internal/load/rig/process_test.go
@@ -14,7 +14,7 @@
 	v1 "gypsumreel/internal/api/v1"
 	"gypsumreel/internal/base/code"
 	"gypsumreel/internal/client/caller"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/job"
 	"gypsumreel/internal/load/drive"
 	"gypsumreel/internal/load/history"
@@ -54,7 +54,7 @@
 	var r *rig.Rig
 	err := fmt.Errorf("no ports")
 	for port := first; err != nil && port < last; port += step {
-		r = &rig.Rig{Program: program, Dir: t.TempDir(), First: port, Replicas: 3, Entries: 2}
+		r = &rig.Rig{Program: program, Dir: t.TempDir(), FirstPort: port, Replicas: 3, Entries: 2}
 		if err = r.Start(t.Context()); err != nil {
 			t.Log(err)
 			r.Close()
@@ -64,11 +64,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
-	token, err := r.Team(t.Context(), "quarry")
+	token, err := r.CreateTeam(t.Context(), "quarry")
 	if err != nil {
 		t.Fatal(err)
 	}
-	fleet, err := r.Fleet(t.Context(), servers, &v1.Size{Cpu: 64_000, Memory: 64 << 10, Slots: 32})
+	fleet, err := r.StartFleet(t.Context(), servers, &v1.Size{Cpu: 64_000, Memory: 64 << 10, Slots: 32})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 // leader waits until a replica leads.
 func leader(t *testing.T, r *rig.Rig) string {
 	t.Helper()
-	if err := r.Settled(t.Context()); err != nil {
+	if err := r.WaitReady(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	name, _ := r.Leader()
@@ -90,9 +90,9 @@
 func reached(t *testing.T, fleet *rig.Fleet, n int) {
 	t.Helper()
 	const patience = 30 * time.Second
-	for end := time.Now().Add(patience); fleet.Seen.TotalStarts() < n; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(patience); fleet.ServerRecord.TotalStarts() < n; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d of %d starts after %s", fleet.Seen.TotalStarts(), n, patience)
+			t.Fatalf("%d of %d starts after %s", fleet.ServerRecord.TotalStarts(), n, patience)
 		}
 	}
 }
@@ -105,16 +105,16 @@
 func TestPromisesOverFailuresOfProcesses(t *testing.T) {
 	r, fleet, token := start(t, 6)
 	jobs := mix.Plan{
-		Rate: 80, Duration: 10 * time.Second, Seed: 1, Shares: mix.Shares{job.Urgent: 8, job.Batch: 1, job.Gang: 1},
-		Shapes: mix.DefaultShapes(), Once: 0.3, Answer: 1000, Prefix: "smoke-",
+		Rate: 80, Duration: 10 * time.Second, Seed: 1, Weights: mix.KindWeights{job.Urgent: 8, job.Batch: 1, job.Gang: 1},
+		Shapes: mix.DefaultShapes(), OnceFraction: 0.3, MeanAnswerBytes: 1000, IDPrefix: "smoke-",
 	}.Jobs()
-	d := &drive.Driver{Caller: r.CallerClient(token), Jobs: jobs, Tail: 60 * time.Second}
+	d := &drive.Driver{Client: r.CallerClient(token), Jobs: jobs, Tail: 60 * time.Second}
 	var w sync.WaitGroup
 	defer w.Wait()
-	var seen []drive.Seen
+	var seen []drive.JobResult
 	began := time.Now()
 	w.Go(func() { seen = d.Run(t.Context()) })
-	var calls rig.Calls
+	var calls rig.CallCounts
 	pinned, unpin := context.WithCancel(t.Context())
 	defer unpin()
 
@@ -130,7 +130,7 @@
 	r.Pause(second)
 	reached(t, fleet, 4*part)
 	r.Resume(second)
-	w.Go(func() { r.Pin(pinned, token, &calls) })
+	w.Go(func() { r.RunPinnedCallers(pinned, token, &calls) })
 	reached(t, fleet, 5*part)
 	if err := r.Stop("entry-1", 30*time.Second); err != nil {
 		t.Errorf("planned stop: %v", err)
@@ -142,15 +142,15 @@
 	unpin()
 	w.Wait()
 
-	sum := report.Sum(report.Measured{}, began, seen, fleet.Record)
-	if faults := fleet.Seen.Violations(); !sum.Promises.Kept() || len(faults) > 0 {
-		t.Errorf("promises %+v, servers saw %v", sum.Promises, faults)
+	sum := report.Summarize(report.RunInfo{}, began, seen, fleet.TaskRuns)
+	if faults := fleet.ServerRecord.Violations(); !sum.Violations.None() || len(faults) > 0 {
+		t.Errorf("promises %+v, servers saw %v", sum.Violations, faults)
 	}
 	if sum.Counts.Accepted == 0 || calls.Made.Load() == 0 {
 		t.Errorf("nothing was tested: %+v, %d calls", sum.Counts, calls.Made.Load())
 	}
-	if calls.Cut.Load() > 0 {
-		t.Errorf("%d of %d calls were cut off by a planned stop", calls.Cut.Load(), calls.Made.Load())
+	if calls.CutOff.Load() > 0 {
+		t.Errorf("%d of %d calls were cut off by a planned stop", calls.CutOff.Load(), calls.Made.Load())
 	}
 }
 
@@ -218,12 +218,12 @@
 func TestTableIsLinearizable(t *testing.T) {
 	r, _, _ := start(t, 0)
 	op := r.OperatorClient()
-	look := func(ctx context.Context) (history.Looked, bool) {
+	look := func(ctx context.Context) (history.TableReadReply, bool) {
 		reply, err := op.Show(ctx, v1.Part_PART_TABLE)
 		if err != nil || len(reply.GetRows()) != 1 {
-			return history.Looked{}, false
+			return history.TableReadReply{}, false
 		}
-		return history.Looked{Revision: reply.GetRevision(), Weight: reply.GetRows()[0].GetWeight()}, true
+		return history.TableReadReply{Revision: reply.GetRevision(), Weight: reply.GetRows()[0].GetWeight()}, true
 	}
 	first, ok := look(t.Context())
 	if !ok {
@@ -234,38 +234,38 @@
 		ctx, cancel := context.WithTimeout(t.Context(), patience)
 		defer cancel()
 		var base uint64
-		h.Do(client, history.Look{}, func() (any, bool) {
+		h.Record(client, history.TableRead{}, func() (any, bool) {
 			now, ok := look(ctx)
 			base = now.Revision
 			return now, ok
 		})
-		in := history.Change{ID: fmt.Sprintf("c%d-%d", client, i), Base: base, Weight: uint32(2 + client*perClient + i)}
+		in := history.TableChange{ID: fmt.Sprintf("c%d-%d", client, i), BaseRevision: base, Weight: uint32(2 + client*perClient + i)}
 		for range 2 {
-			h.Do(client, in, func() (any, bool) {
+			h.Record(client, in, func() (any, bool) {
 				revision, err := op.Change(ctx, &v1.ChangeRequest{Id: in.ID, Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{
-					Base: in.Base, Edits: []*v1.Edit{{Row: &v1.Row{Team: "quarry", Weight: in.Weight}, Cells: []string{"weight"}}},
+					Base: in.BaseRevision, Edits: []*v1.Edit{{Row: &v1.Row{Team: "quarry", Weight: in.Weight}, Cells: []string{"weight"}}},
 				}}})
 				if err == nil {
-					return history.Changed{Code: code.OK, Revision: revision}, true
+					return history.TableChangeReply{Code: code.OK, Revision: revision}, true
 				}
-				c := link.Refusal(err).Code
-				return history.Changed{Code: c, Revision: revision}, c == code.RevisionConflict
+				c := transport.AsCodeError(err).Code
+				return history.TableChangeReply{Code: c, Revision: revision}, c == code.RevisionConflict
 			})
 		}
 	})
 	ops := h.Operations()
-	if !history.Explained(history.Table(first), ops, checking) {
+	if !history.Linearizable(history.TableModel(first), ops, checking) {
 		t.Errorf("no order explains the %d operations", len(ops))
 	}
 	// The same history with one read that never was: the check can fail.
 	for i := range ops {
-		if got, ok := ops[i].Output.(history.Looked); ok {
+		if got, ok := ops[i].Output.(history.TableReadReply); ok {
 			got.Weight++
 			ops[i].Output = got
 			break
 		}
 	}
-	if history.Explained(history.Table(first), ops, checking) {
+	if history.Linearizable(history.TableModel(first), ops, checking) {
 		t.Error("a wrong read is explained")
 	}
 }
@@ -281,7 +281,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), patience)
 		defer cancel()
 		in := history.Submit{ID: fmt.Sprintf("id-%d-%d", client/2, i), Content: fmt.Sprintf("content-%d", client%2)}
-		h.Do(client, in, func() (any, bool) {
+		h.Record(client, in, func() (any, bool) {
 			got, err := c.Submit(ctx, []*v1.Spec{spec(in)}, false)
 			if err != nil {
 				return nil, false
@@ -289,27 +289,27 @@
 			k := code.Code(got[0].GetStatus().GetCode())
 			return k, k == code.OK || k == code.IDReused
 		})
-		h.Do(client, history.Wait{ID: in.ID}, func() (any, bool) {
+		h.Record(client, history.Wait{ID: in.ID}, func() (any, bool) {
 			got, err := c.Wait(ctx, in.ID)
 			if err != nil || got.Outcome != v1.Outcome_OUTCOME_DONE {
 				return nil, false
 			}
-			return history.Answer{Content: contentOf(got)}, true
+			return history.WaitReply{Content: contentOf(got)}, true
 		})
 	})
 	ops := h.Operations()
-	if !history.Explained(history.Requests(), ops, checking) {
+	if !history.Linearizable(history.RequestModel(), ops, checking) {
 		t.Errorf("no order explains the %d operations", len(ops))
 	}
 	answered := false
 	for i := range ops {
-		if _, ok := ops[i].Output.(history.Answer); ok {
-			ops[i].Output = history.Answer{Content: "nobody's"}
+		if _, ok := ops[i].Output.(history.WaitReply); ok {
+			ops[i].Output = history.WaitReply{Content: "nobody's"}
 			answered = true
 			break
 		}
 	}
-	if !answered || history.Explained(history.Requests(), ops, checking) {
+	if !answered || history.Linearizable(history.RequestModel(), ops, checking) {
 		t.Errorf("answered is %v, and a wrong answer is explained", answered)
 	}
 }
@@ -319,14 +319,14 @@
 func spec(in history.Submit) *v1.Spec {
 	return &v1.Spec{
 		Id: in.ID, Kind: v1.Kind_KIND_URGENT, Name: "raced", Count: 1, Size: &v1.Size{Cpu: 100, Memory: 64, Slots: 1}, Runtime: 10,
-		Input: work.Input{ID: in.Content, Runtime: 5 * time.Millisecond, Answer: answerLength}.Bytes(),
+		Input: work.Input{ID: in.Content, Runtime: 5 * time.Millisecond, AnswerBytes: answerLength}.Encode(),
 	}
 }
 
 // contentOf tells whose answer it is.
 func contentOf(got caller.Result) string {
 	for _, content := range []string{"content-0", "content-1"} {
-		if string(work.Answer(content, 0, answerLength)) == string(got.Data) {
+		if string(work.TaskAnswer(content, 0, answerLength)) == string(got.Data) {
 			return content
 		}
 	}
--- a/internal/load/rig/rig.go
+++ b/internal/load/rig/rig.go
@@ -16,7 +16,7 @@
 	"github.com/cockroachdb/errors"
 
 	v1 "gypsumreel/internal/api/v1"
-	"gypsumreel/internal/client/link"
+	"gypsumreel/internal/client/transport"
 	"gypsumreel/internal/domain/key"
 	"gypsumreel/internal/fake/relay"
 )
@@ -43,21 +43,21 @@
 	Program string
 	// Dir holds settings, data and logs.
 	Dir string
-	// First is the first of 300 ports on loopback.
-	First int
+	// FirstPort is the first of 300 ports on loopback.
+	FirstPort int
 	// Replicas and Entries are numbers of processes.
 	Replicas int
 	Entries  int
-	// Zone and Client are the one-way delays between processes of the cell, and
+	// ZoneDelay and Client are the one-way delays between processes of the cell, and
 	// from callers and backend servers to entries.
-	Zone   time.Duration
-	Client time.Duration
-	// Drain is how long a stopping entry serves on; 0 for one second.
-	Drain time.Duration
+	ZoneDelay   time.Duration
+	ClientDelay time.Duration
+	// DrainTime is how long a stopping entry serves on; 0 for one second.
+	DrainTime time.Duration
 
-	// Operator is the first operator's key, Enrolment the secret of backend servers.
-	Operator  string
-	Enrolment string
+	// OperatorKey is the first operator's key, Enrolment the secret of backend servers.
+	OperatorKey     string
+	EnrolmentSecret string
 
 	root   string
 	mu     sync.Mutex
@@ -70,16 +70,16 @@
 // Start founds the cell and returns once a replica leads and every entry is ready.
 func (r *Rig) Start(ctx context.Context) error {
 	r.ctx, r.cancel = context.WithCancel(ctx)
-	r.root, r.Enrolment = key.NewSecret(), key.NewSecret()
-	r.Operator = rootKey + "." + r.root
+	r.root, r.EnrolmentSecret = key.NewSecret(), key.NewSecret()
+	r.OperatorKey = rootKey + "." + r.root
 	r.procs, r.relays = map[string]*process{}, map[string]*relay.Relay{}
-	if r.Drain == 0 {
-		r.Drain = time.Second
+	if r.DrainTime == 0 {
+		r.DrainTime = time.Second
 	}
 	if err := r.openRelays(); err != nil {
 		return err
 	}
-	for _, name := range r.Controls() {
+	for _, name := range r.ControlNames() {
 		if err := r.launch(name, true); err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 			return err
 		}
 	}
-	if err := r.Settled(ctx); err != nil {
+	if err := r.WaitReady(ctx); err != nil {
 		return err
 	}
 	return r.rooted(ctx)
@@ -101,20 +101,20 @@
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	op := r.OperatorClient()
-	defer op.Link.Close()
+	defer op.Transport.Close()
 	for {
 		_, err := op.Show(ctx, v1.Part_PART_TABLE)
 		if err == nil {
 			return nil
 		}
-		if !link.Sleep(ctx, lookEvery) {
+		if !transport.Sleep(ctx, lookEvery) {
 			return errors.Wrap(err, "the operator's key")
 		}
 	}
 }
 
-// Settled waits until a replica leads and every process that runs is ready.
-func (r *Rig) Settled(ctx context.Context) error {
+// WaitReady waits until a replica leads and every process that runs is ready.
+func (r *Rig) WaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
@@ -130,7 +130,7 @@
 }
 
 func (r *Rig) allReady() bool {
-	for _, name := range append(r.Controls(), r.EntryNames()...) {
+	for _, name := range append(r.ControlNames(), r.EntryNames()...) {
 		if r.Running(name) && !r.Ready(name) {
 			return false
 		}
@@ -138,8 +138,8 @@
 	return true
 }
 
-// Controls returns the names of the control replicas.
-func (r *Rig) Controls() []string { return names("control", r.Replicas) }
+// ControlNames returns the names of the control replicas.
+func (r *Rig) ControlNames() []string { return names("control", r.Replicas) }
 
 // EntryNames returns the names of the entries.
 func (r *Rig) EntryNames() []string { return names("entry", r.Entries) }
@@ -154,7 +154,7 @@
 
 func (r *Rig) port(name string, at int) string {
 	var i int
-	base := r.First
+	base := r.FirstPort
 	if _, err := fmt.Sscanf(name, "entry-%d", &i); err == nil {
 		base += entriesFrom
 	} else {
@@ -163,14 +163,14 @@
 	return fmt.Sprintf("127.0.0.1:%d", base+(i-1)*perProcess+at)
 }
 
-// Callers returns the addresses of all entries for callers behind the relays.
-func (r *Rig) Callers() []string { return r.urls(atRelays + atCallers) }
+// CallerURLs returns the addresses of all entries for callers behind the relays.
+func (r *Rig) CallerURLs() []string { return r.urls(atRelays + atCallers) }
 
-// Operators returns the entries' addresses for operators behind the relays.
-func (r *Rig) Operators() []string { return r.urls(atRelays + atOperators) }
+// OperatorURLs returns the entries' addresses for operators behind the relays.
+func (r *Rig) OperatorURLs() []string { return r.urls(atRelays + atOperators) }
 
-// Backends returns the entries' addresses for backend servers behind the relays, as HOST:PORT.
-func (r *Rig) Backends() []string {
+// BackendAddresses returns the entries' addresses for backend servers behind the relays, as HOST:PORT.
+func (r *Rig) BackendAddresses() []string {
 	var out []string
 	for _, name := range r.EntryNames() {
 		out = append(out, r.port(name, atRelays+atBackends))
@@ -190,14 +190,14 @@
 }
 
 func (r *Rig) openRelays() error {
-	for _, name := range r.Controls() {
-		if err := r.openRelay(name, atCallers, r.Zone); err != nil {
+	for _, name := range r.ControlNames() {
+		if err := r.openRelay(name, atCallers, r.ZoneDelay); err != nil {
 			return err
 		}
 	}
 	for _, name := range r.EntryNames() {
 		for _, at := range []int{atCallers, atBackends, atOperators} {
-			if err := r.openRelay(name, at, r.Client); err != nil {
+			if err := r.openRelay(name, at, r.ClientDelay); err != nil {
 				return err
 			}
 		}
@@ -221,9 +221,9 @@
 	return nil
 }
 
-// Bytes returns what has passed to and from a process's listeners: those inside
+// ListenerBytes returns what has passed to and from a process's listeners: those inside
 // the cell for a replica; callers, backend servers and operators for an entry.
-func (r *Rig) Bytes(name string) int64 {
+func (r *Rig) ListenerBytes(name string) int64 {
 	var sum int64
 	for _, at := range []int{atCallers, atBackends, atOperators} {
 		if one := r.relays[fmt.Sprintf("%s/%d", name, at)]; one != nil {
@@ -241,7 +241,7 @@
 
 // Close ends all processes and relays at once.
 func (r *Rig) Close() {
-	for _, name := range append(r.Controls(), r.EntryNames()...) {
+	for _, name := range append(r.ControlNames(), r.EntryNames()...) {
 		r.Kill(name)
 	}
 	r.cancel()
--- a/internal/load/trial/main.go
+++ b/internal/load/trial/main.go
@@ -24,12 +24,12 @@
 
 // options are the command line.
 type options struct {
-	Seeds   int           `long:"seeds" default:"40" description:"how many seeds each way plays"`
-	First   uint64        `long:"first" default:"1" description:"the first seed"`
-	Servers int           `long:"servers" default:"48" description:"backend servers, about"`
-	Lease   time.Duration `long:"lease" description:"how long a server runs on unheard; drawn by the seed when left out"`
-	Ways    []string      `long:"way" description:"product, fifo, strict, or without-MECHANISM; may be repeated; all when left out"`
-	Jobs    int           `long:"jobs" default:"4" description:"plays at a time"`
+	SeedCount int           `long:"seeds" default:"40" description:"how many seeds each way plays"`
+	FirstSeed uint64        `long:"first" default:"1" description:"the first seed"`
+	Servers   int           `long:"servers" default:"48" description:"backend servers, about"`
+	Lease     time.Duration `long:"lease" description:"how long a server runs on unheard; drawn by the seed when left out"`
+	Policies  []string      `long:"way" description:"product, fifo, strict, or without-MECHANISM; may be repeated; all when left out"`
+	Parallel  int           `long:"jobs" default:"4" description:"plays at a time"`
 }
 
 func main() {
@@ -72,7 +72,7 @@
 }
 
 func run(o options, out, progress io.Writer) error {
-	ways := o.Ways
+	ways := o.Policies
 	if len(ways) == 0 {
 		ways = names()
 	}
@@ -84,17 +84,17 @@
 			return err
 		}
 		policies = append(policies, p)
-		results[i] = make([]simulator.Result, o.Seeds)
+		results[i] = make([]simulator.Result, o.SeedCount)
 	}
-	bar := progressbar.NewOptions(len(ways)*o.Seeds, progressbar.OptionSetWriter(progress), progressbar.OptionSetDescription("plays"), progressbar.OptionThrottle(time.Second))
+	bar := progressbar.NewOptions(len(ways)*o.SeedCount, progressbar.OptionSetWriter(progress), progressbar.OptionSetDescription("plays"), progressbar.OptionThrottle(time.Second))
 	var wg sync.WaitGroup
-	free := make(chan struct{}, min(o.Jobs, runtime.NumCPU()))
+	free := make(chan struct{}, min(o.Parallel, runtime.NumCPU()))
 	for i := range ways {
-		for n := range o.Seeds {
+		for n := range o.SeedCount {
 			wg.Go(func() {
 				free <- struct{}{}
 				defer func() { <-free }()
-				results[i][n] = simulator.New(simulator.GenerateScenario(o.First+uint64(n), o.Servers), policies[i]).Run()
+				results[i][n] = simulator.New(simulator.GenerateScenario(o.FirstSeed+uint64(n), o.Servers), policies[i]).Run()
 				_ = bar.Add(1)
 			})
 		}
--- a/internal/load/work/work.go
+++ b/internal/load/work/work.go
@@ -19,19 +19,19 @@
 	ID string `json:"id"`
 	// Runtime is how long a task runs, in nanoseconds; below 0 until it is stopped.
 	Runtime time.Duration `json:"runtime"`
-	// Answer is the length of a task's answer in bytes.
-	Answer int `json:"answer"`
+	// AnswerBytes is the length of a task's answer in bytes.
+	AnswerBytes int `json:"answer"`
 }
 
-// Bytes returns the input as a job carries it.
-func (i Input) Bytes() []byte {
+// Encode returns the input as a job carries it.
+func (i Input) Encode() []byte {
 	b, _ := json.Marshal(i) // plain fields only: never fails
 	return b
 }
 
-// Answer returns the bytes that one task of a job answers with. They depend on
+// TaskAnswer returns the bytes that one task of a job answers with. They depend on
 // id and index, so that another job's answer is noticed.
-func Answer(id string, index uint32, length int) []byte {
+func TaskAnswer(id string, index uint32, length int) []byte {
 	out := make([]byte, length)
 	x := xxhash.Sum64String(id) + uint64(index)
 	for i := range out {
@@ -41,21 +41,21 @@
 	return out
 }
 
-// Whole returns the answer of a whole job: those of its tasks in their order.
-func Whole(id string, count uint32, length int) []byte {
+// JobAnswer returns the answer of a whole job: those of its tasks in their order.
+func JobAnswer(id string, count uint32, length int) []byte {
 	var out []byte
 	for i := range count {
-		out = append(out, Answer(id, i, length)...)
+		out = append(out, TaskAnswer(id, i, length)...)
 	}
 	return out
 }
 
-// Runs is what the record holds of one task.
-type Runs struct {
+// TaskRuns is what the record holds of one task.
+type TaskRuns struct {
 	// Started and Ended count the attempts that began and that ran to their end.
 	Started, Ended int
-	// First is when the first began.
-	First time.Time
+	// FirstStart is when the first began.
+	FirstStart time.Time
 }
 
 // taskKey names a task by its job's id.
@@ -67,34 +67,34 @@
 // Record notes what ran. The zero value is ready.
 type Record struct {
 	mu   sync.Mutex
-	runs map[taskKey]Runs
+	runs map[taskKey]TaskRuns
 }
 
-// Work runs a task as its input says; it fits server.Server.Work.
-func (r *Record) Work(ctx context.Context, o *v1.Order) server.Result {
+// RunTask runs a task as its input says; it fits server.Server.Work.
+func (r *Record) RunTask(ctx context.Context, o *v1.Order) server.Result {
 	var in Input
 	if json.Unmarshal(o.GetInput(), &in) != nil {
 		return server.Result{Answer: o.GetInput()}
 	}
 	key := taskKey{in.ID, o.GetAttempt().GetTask()}
-	r.note(key, func(n *Runs) {
+	r.note(key, func(n *TaskRuns) {
 		if n.Started == 0 {
-			n.First = time.Now()
+			n.FirstStart = time.Now()
 		}
 		n.Started++
 	})
 	if !pass(ctx, in.Runtime) {
 		return server.Result{ExitCode: 1}
 	}
-	r.note(key, func(n *Runs) { n.Ended++ })
-	return server.Result{Answer: Answer(in.ID, key.index, in.Answer)}
+	r.note(key, func(n *TaskRuns) { n.Ended++ })
+	return server.Result{Answer: TaskAnswer(in.ID, key.index, in.AnswerBytes)}
 }
 
-func (r *Record) note(key taskKey, change func(*Runs)) {
+func (r *Record) note(key taskKey, change func(*TaskRuns)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.runs == nil {
-		r.runs = make(map[taskKey]Runs)
+		r.runs = make(map[taskKey]TaskRuns)
 	}
 	n := r.runs[key]
 	change(&n)
@@ -117,11 +117,11 @@
 	}
 }
 
-// Of returns what ran of a job, one element a task.
-func (r *Record) Of(id string, count uint32) []Runs {
+// JobRuns returns what ran of a job, one element a task.
+func (r *Record) JobRuns(id string, count uint32) []TaskRuns {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make([]Runs, count)
+	out := make([]TaskRuns, count)
 	for i := range out {
 		out[i] = r.runs[taskKey{id, uint32(i)}]
 	}
--- a/internal/policy/admit/admit.go
+++ b/internal/policy/admit/admit.go
@@ -39,8 +39,8 @@
 	ServerSizes []capacity.Size
 	// TotalCapacity is the capacity of all announced backend servers together.
 	TotalCapacity capacity.Size
-	// DrainRate is the number of the team's waiting jobs that are placed per second, 0 if unknown.
-	DrainRate float64
+	// PlacementRate is the number of the team's waiting jobs that are placed per second, 0 if unknown.
+	PlacementRate float64
 }
 
 // Check returns nil if the job is admitted, otherwise the reason of the refusal. The duration
@@ -50,7 +50,7 @@
 	if err := checkFits(spec, v); err != nil {
 		return err, 0
 	}
-	if v.Row.Queue > 0 && v.TeamWaiting >= int(v.Row.Queue) {
+	if v.Row.MaxWaitingJobs > 0 && v.TeamWaiting >= int(v.Row.MaxWaitingJobs) {
 		return code.New(code.QueueFull, "team %s already has %d waiting jobs", spec.Team, v.TeamWaiting), retryAfter(v, jitter)
 	}
 	if overloaded(v) {
@@ -69,8 +69,8 @@
 		return code.New(code.Malformed, "invalid job: count %d, size %v", spec.Count, spec.Size)
 	}
 	minSize := spec.Size
-	if spec.Whole() {
-		minSize = spec.Total()
+	if spec.AllOrNothing() {
+		minSize = spec.TotalSize()
 	}
 	if !minSize.Within(v.Row.Limit) {
 		return code.New(code.Unplaceable, "the job exceeds the team limit of %v", v.Row.Limit)
@@ -78,7 +78,7 @@
 	if len(v.ServerSizes) == 0 {
 		return nil
 	}
-	if spec.Whole() && !minSize.Fits(v.TotalCapacity) {
+	if spec.AllOrNothing() && !minSize.Fits(v.TotalCapacity) {
 		return code.New(code.Unplaceable, "the gang exceeds the total cell capacity of %v", v.TotalCapacity)
 	}
 	for _, s := range v.ServerSizes {
@@ -102,15 +102,15 @@
 // missesDeadline reports whether the job would wait beyond its deadline. Urgent jobs are always
 // admitted, because they do not wait behind the team's queue.
 func missesDeadline(spec *job.Spec, v View) bool {
-	return spec.Deadline > 0 && spec.Kind != job.Urgent && v.DrainRate > 0 && estimatedWait(v) > spec.Deadline
+	return spec.PlacementTimeout > 0 && spec.Kind != job.Urgent && v.PlacementRate > 0 && estimatedWait(v) > spec.PlacementTimeout
 }
 
 // estimatedWait returns the time until the team's waiting jobs are placed, 0 if unknown.
 func estimatedWait(v View) time.Duration {
-	if v.DrainRate <= 0 {
+	if v.PlacementRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(v.TeamWaiting) / v.DrainRate * float64(time.Second))
+	return time.Duration(float64(v.TeamWaiting) / v.PlacementRate * float64(time.Second))
 }
 
 // retryAfter returns a time between one and two tenths of the estimated wait, so that the
--- a/internal/policy/admit/admit_test.go
+++ b/internal/policy/admit/admit_test.go
@@ -18,7 +18,7 @@
 
 // view returns a view that admits small jobs, after the given change.
 func view(change func(*admit.View)) admit.View {
-	v := admit.View{Row: team.New("a").WithQueue(100), WaitingTeams: 1, MaxWaiting: 1000, ServerSizes: []capacity.Size{serverSize}, TotalCapacity: serverSize.Times(10)}
+	v := admit.View{Row: team.New("a").WithMaxWaitingJobs(100), WaitingTeams: 1, MaxWaiting: 1000, ServerSizes: []capacity.Size{serverSize}, TotalCapacity: serverSize.Times(10)}
 	if change != nil {
 		change(&v)
 	}
@@ -43,9 +43,9 @@
 		"team queue full":                     {small, view(func(v *admit.View) { v.TeamWaiting = 100 }), code.QueueFull, true},
 		"cell queue nearly full by this team": {small, view(func(v *admit.View) { v.CellWaiting, v.TeamWaiting, v.WaitingTeams = 900, 99, 10 }), code.Overloaded, true},
 		"cell queue nearly full by others":    {small, view(func(v *admit.View) { v.CellWaiting, v.TeamWaiting, v.WaitingTeams = 900, 10, 10 }), code.OK, false},
-		"deadline shorter than the wait":      {with(func(s *job.Spec) { s.Deadline = time.Second }), view(func(v *admit.View) { v.TeamWaiting, v.DrainRate = 50, 10 }), code.DeadlinePassed, true},
-		"urgent does not wait in the queue":   {with(func(s *job.Spec) { s.Deadline, s.Kind = time.Second, job.Urgent }), view(func(v *admit.View) { v.TeamWaiting, v.DrainRate = 50, 10 }), code.OK, false},
-		"deadline with an unknown drain rate": {with(func(s *job.Spec) { s.Deadline = time.Second }), view(func(v *admit.View) { v.TeamWaiting = 50 }), code.OK, false},
+		"deadline shorter than the wait":      {with(func(s *job.Spec) { s.PlacementTimeout = time.Second }), view(func(v *admit.View) { v.TeamWaiting, v.PlacementRate = 50, 10 }), code.DeadlinePassed, true},
+		"urgent does not wait in the queue":   {with(func(s *job.Spec) { s.PlacementTimeout, s.Kind = time.Second, job.Urgent }), view(func(v *admit.View) { v.TeamWaiting, v.PlacementRate = 50, 10 }), code.OK, false},
+		"deadline with an unknown drain rate": {with(func(s *job.Spec) { s.PlacementTimeout = time.Second }), view(func(v *admit.View) { v.TeamWaiting = 50 }), code.OK, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 // Callers that are refused together must not retry together, because they would be refused
 // again. The retry times are spread by the jitter.
 func TestRetryTimesAreSpread(t *testing.T) {
-	v := view(func(v *admit.View) { v.TeamWaiting, v.DrainRate = 100, 1 })
+	v := view(func(v *admit.View) { v.TeamWaiting, v.PlacementRate = 100, 1 })
 	spec := &job.Spec{Team: "a", Count: 1, Size: capacity.Size{CPU: 1}}
 	_, first := admit.Check(spec, v, 0)
 	_, last := admit.Check(spec, v, 0.99)
--- a/internal/policy/bench/bench_test.go
+++ b/internal/policy/bench/bench_test.go
@@ -30,23 +30,23 @@
 			goals(site)
 		case "sweep":
 			for _, patience := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second, 15 * time.Second} {
-				run(cell.New(cell.Config{GangPreemptDelay: patience}), site, 1.2, bench.None, fmt.Sprint("patience ", patience))
+				run(cell.New(cell.Config{GangPreemptDelay: patience}), site, 1.2, bench.NoFault, fmt.Sprint("patience ", patience))
 			}
 			for _, slack := range []float64{0.005, 0.01, 0.02, 0.03} {
-				run(cell.New(cell.Config{ShareSlack: slack}), site, 1.2, bench.None, fmt.Sprint("slack ", slack))
+				run(cell.New(cell.Config{ShareSlack: slack}), site, 1.2, bench.NoFault, fmt.Sprint("slack ", slack))
 			}
 		case "racks":
-			run(bench.Cell(0), site, 0.9, bench.Racks, "cell")
-			run(bench.Cell(0), site, 0.9, bench.Unmarked, "cell")
-			run(bench.Cell(0), bench.Heavy(), 1.2, bench.None, "cell")
-			run(bench.Cell(cell.BestFit), bench.Heavy(), 1.2, bench.None, "without best fit")
+			run(bench.Product(0), site, 0.9, bench.RackOutages, "cell")
+			run(bench.Product(0), site, 0.9, bench.UnmarkedOutages, "cell")
+			run(bench.Product(0), bench.Heavy(), 1.2, bench.NoFault, "cell")
+			run(bench.Product(cell.BestFit), bench.Heavy(), 1.2, bench.NoFault, "without best fit")
 		case "parts":
 			parts(site)
 		case "one":
-			run(bench.Cell(0), site, 1.2, bench.None, "cell")
+			run(bench.Product(0), site, 1.2, bench.NoFault, "cell")
 		case "faults":
 			for _, f := range bench.Faults {
-				run(bench.Cell(0), site, 1.2, f, "cell")
+				run(bench.Product(0), site, 1.2, f, "cell")
 			}
 		}
 	}
@@ -64,7 +64,7 @@
 func goals(site bench.Site) {
 	for _, load := range []float64{0.6, 0.9, 1.2} {
 		for _, p := range planners {
-			run(p.make(), site, load, bench.None, p.name)
+			run(p.make(), site, load, bench.NoFault, p.name)
 		}
 	}
 }
@@ -76,25 +76,25 @@
 		fault bench.Fault
 		name  string
 	}{
-		{0, bench.None, "whole"},
-		{cell.UrgentReserve, bench.None, "without reserve"},
-		{cell.UrgentPreempt, bench.None, "without urgent preemption"},
-		{cell.UrgentReserve | cell.UrgentPreempt, bench.None, "without both"},
-		{cell.SharePreempt, bench.None, "without taking back"},
-		{cell.GangReservation, bench.None, "without gathering"},
-		{cell.BestFit, bench.None, "without best fit"},
-		{cell.RackLocality, bench.None, "without racks"},
-		{cell.GangPriority, bench.None, "without lead of gangs"},
-		{cell.ShortestFirst, bench.None, "without shortest first"},
-		{0, bench.WrongRun, "whole"},
-		{cell.RuntimeEstimates, bench.WrongRun, "without estimates"},
+		{0, bench.NoFault, "whole"},
+		{cell.UrgentReserve, bench.NoFault, "without reserve"},
+		{cell.UrgentPreempt, bench.NoFault, "without urgent preemption"},
+		{cell.UrgentReserve | cell.UrgentPreempt, bench.NoFault, "without both"},
+		{cell.SharePreempt, bench.NoFault, "without taking back"},
+		{cell.GangReservation, bench.NoFault, "without gathering"},
+		{cell.BestFit, bench.NoFault, "without best fit"},
+		{cell.RackLocality, bench.NoFault, "without racks"},
+		{cell.GangPriority, bench.NoFault, "without lead of gangs"},
+		{cell.ShortestFirst, bench.NoFault, "without shortest first"},
+		{0, bench.WrongRuntimes, "whole"},
+		{cell.RuntimeEstimates, bench.WrongRuntimes, "without estimates"},
 		{0, bench.ZoneLost, "whole"},
 		{cell.UrgentReserve, bench.ZoneLost, "without reserve"},
 		{cell.UrgentPreempt, bench.ZoneLost, "without urgent preemption"},
-		{0, bench.Hole, "whole"},
-		{cell.Quarantine, bench.Hole, "without quarantine"},
+		{0, bench.FailingServer, "whole"},
+		{cell.Quarantine, bench.FailingServer, "without quarantine"},
 	} {
-		run(bench.Cell(p.part), site, 1.2, p.fault, p.name)
+		run(bench.Product(p.part), site, 1.2, p.fault, p.name)
 	}
 }
 
@@ -102,16 +102,16 @@
 	name string
 	make func() plan.Planner
 }{
-	{"fifo", bench.Fifo},
-	{"strict", bench.Strict},
-	{"drf", bench.Plain},
-	{"cell", func() plan.Planner { return bench.Cell(0) }},
+	{"fifo", bench.FIFO},
+	{"strict", bench.StrictPriority},
+	{"drf", bench.DRF},
+	{"cell", func() plan.Planner { return bench.Product(0) }},
 }
 
 func run(p plan.Planner, site bench.Site, load float64, f bench.Fault, name string) {
-	r := bench.Run(p, bench.Setup{Site: site, Load: load, Fault: f, Seed: seed, Length: length})
+	r := bench.Run(p, bench.Setup{Site: site, Load: load, Fault: f, Seed: seed, Duration: length})
 	if os.Getenv("GYPSUMREEL_REASONS") != "" {
-		fmt.Println(r.Reasons, r.Verbs)
+		fmt.Println(r.LostByReason, r.ActionCounts)
 	}
 	r.Print(os.Stdout, fmt.Sprintf("%s %.0f%% %s %s", site.Name, 100*load, f, name))
 }
@@ -121,24 +121,24 @@
 // cell is packed, and teams are near their shares. Every decision is checked.
 func TestGoals(t *testing.T) {
 	for _, site := range []bench.Site{bench.Balastas(), bench.Coralwave()} {
-		for _, f := range []bench.Fault{bench.None, bench.ZoneLost} {
+		for _, f := range []bench.Fault{bench.NoFault, bench.ZoneLost} {
 			t.Run(site.Name+" "+string(f), func(t *testing.T) {
-				r := bench.Run(bench.Cell(0), bench.Setup{Site: site, Load: 1.2, Fault: f, Seed: 1, Length: 8 * time.Minute})
-				if diff := cmp.Diff([]string(nil), r.Broken); diff != "" {
+				r := bench.Run(bench.Product(0), bench.Setup{Site: site, Load: 1.2, Fault: f, Seed: 1, Duration: 8 * time.Minute})
+				if diff := cmp.Diff([]string(nil), r.Violations); diff != "" {
 					t.Fatal(diff)
 				}
 				most := 50 * time.Millisecond
 				if f == bench.ZoneLost {
 					most = 1200 * time.Millisecond
 				}
-				if p99 := max(r.Waits[job.Urgent][1], r.After); p99 > most {
+				if p99 := max(r.Waits[job.Urgent][1], r.UrgentAfterFault); p99 > most {
 					t.Errorf("urgent work waits %v", p99)
 				}
 				if r.Packing < 0.95 {
 					t.Errorf("packing %.3f of its bound", r.Packing)
 				}
-				if f == bench.None && (r.Distance > 0.01 || r.Worst > 0.05) {
-					t.Errorf("distance to share %.4f, worst %.4f", r.Distance, r.Worst)
+				if f == bench.NoFault && (r.ShareDistance > 0.01 || r.WorstDistance > 0.05) {
+					t.Errorf("distance to share %.4f, worst %.4f", r.ShareDistance, r.WorstDistance)
 				}
 			})
 		}
@@ -148,8 +148,8 @@
 // The same seed gives the same decisions, whatever the faults.
 func TestSameSeedSameDecisions(t *testing.T) {
 	play := func() bench.Result {
-		r := bench.Run(bench.Cell(0), bench.Setup{Site: bench.Coralwave(), Load: 1.2, Fault: bench.ZoneLost, Seed: 2, Length: 4 * time.Minute})
-		r.Rate, r.P99 = 0, 0
+		r := bench.Run(bench.Product(0), bench.Setup{Site: bench.Coralwave(), Load: 1.2, Fault: bench.ZoneLost, Seed: 2, Duration: 4 * time.Minute})
+		r.DecisionRate, r.DecisionP99 = 0, 0
 		return r
 	}
 	if diff := cmp.Diff(play(), play()); diff != "" {
--- a/internal/policy/bench/check.go
+++ b/internal/policy/bench/check.go
@@ -14,13 +14,13 @@
 // Checker holds every decision to what must always hold: no server is
 // overcommitted, no team exceeds its limit, a gang starts whole, a task runs once.
 type Checker struct {
-	// Broken lists what was violated, the first few.
-	Broken  []string
-	table   table.Table
-	servers map[string]backend.Server
-	on      map[string][]*Attempt
-	room    map[string]capacity.Size
-	teams   map[string]capacity.Size
+	// Violations lists what was violated, the first few.
+	Violations []string
+	table      table.Table
+	servers    map[string]backend.Server
+	on         map[string][]*Task
+	room       map[string]capacity.Size
+	teams      map[string]capacity.Size
 }
 
 // mostBroken bounds the list of violations.
@@ -29,24 +29,24 @@
 // NewChecker returns a checker that has seen nothing.
 func NewChecker() *Checker {
 	return &Checker{
-		servers: map[string]backend.Server{}, on: map[string][]*Attempt{},
+		servers: map[string]backend.Server{}, on: map[string][]*Task{},
 		room: map[string]capacity.Size{}, teams: map[string]capacity.Size{},
 	}
 }
 
 func (c *Checker) broken(format string, args ...any) {
-	if len(c.Broken) < mostBroken {
-		c.Broken = append(c.Broken, fmt.Sprintf(format, args...))
+	if len(c.Violations) < mostBroken {
+		c.Violations = append(c.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// Decision checks one decision before it is applied.
-func (c *Checker) Decision(w *World, d plan.Decision) {
+// CheckDecision checks one decision before it is applied.
+func (c *Checker) CheckDecision(w *World, d plan.Decision) {
 	switch d.Action {
 	case plan.Place:
 		c.place(w, d)
 	case plan.Preempt:
-		if r := w.runs[d.Task]; r != nil && r.spec.Once {
+		if r := w.runs[d.Task]; r != nil && r.spec.AtMostOnce {
 			c.broken("%v: task %v that may run once is preempted", w.now, d.Task)
 		}
 	}
@@ -64,7 +64,7 @@
 	c.whole(w, d)
 }
 
-func (c *Checker) one(w *World, r *Attempt, server string) {
+func (c *Checker) one(w *World, r *Task, server string) {
 	s := c.servers[server]
 	if s.State != backend.Ready && s.State != backend.Quarantined {
 		c.broken("%v: %s is %s and is given work", w.now, server, s.State)
@@ -86,7 +86,7 @@
 
 // whole checks that a gang's tasks that are not done all start in one decision.
 func (c *Checker) whole(w *World, d plan.Decision) {
-	if len(w.jobs[d.Job]) == 0 || !w.jobs[d.Job][0].spec.Whole() {
+	if len(w.jobs[d.Job]) == 0 || !w.jobs[d.Job][0].spec.AllOrNothing() {
 		return
 	}
 	n := 0
@@ -100,8 +100,8 @@
 	}
 }
 
-func (c *Checker) released(r *Attempt) {
-	c.on[r.server] = slices.DeleteFunc(c.on[r.server], func(o *Attempt) bool { return o == r })
+func (c *Checker) released(r *Task) {
+	c.on[r.server] = slices.DeleteFunc(c.on[r.server], func(o *Task) bool { return o == r })
 	c.room[r.server] = c.room[r.server].Sub(r.spec.Size)
 	c.teams[r.spec.Team] = c.teams[r.spec.Team].Sub(r.spec.Size)
 }
--- a/internal/policy/bench/meter.go
+++ b/internal/policy/bench/meter.go
@@ -11,12 +11,12 @@
 	"gypsumreel/internal/policy/share"
 )
 
-// Meter takes the measures of a run.
-type Meter struct {
-	// From is when measuring begins.
-	From time.Duration
-	// Fault is when something went wrong.
-	Fault time.Duration
+// Metrics takes the measures of a run.
+type Metrics struct {
+	// MeasureFrom is when measuring begins.
+	MeasureFrom time.Duration
+	// FaultAt is when something went wrong.
+	FaultAt time.Duration
 
 	w       *World
 	waits   [job.Service + 1][]time.Duration
@@ -40,13 +40,13 @@
 	after, again []time.Duration
 }
 
-func newMeter(w *World) *Meter {
-	return &Meter{w: w, minute: map[string][]float64{}, reasons: map[string]float64{}, alone: map[uint64]time.Duration{}}
+func newMeter(w *World) *Metrics {
+	return &Metrics{w: w, minute: map[string][]float64{}, reasons: map[string]float64{}, alone: map[uint64]time.Duration{}}
 }
 
-func (m *Meter) on() bool { return m.w.now >= m.From }
+func (m *Metrics) on() bool { return m.w.now >= m.MeasureFrom }
 
-func (m *Meter) time(fn func() []plan.Decision) []plan.Decision {
+func (m *Metrics) time(fn func() []plan.Decision) []plan.Decision {
 	began := time.Now()
 	out := fn()
 	took := time.Since(began)
@@ -58,9 +58,9 @@
 	return out
 }
 
-func (m *Meter) decided(d plan.Decision) {
+func (m *Metrics) decided(d plan.Decision) {
 	m.verbs[d.Action]++
-	if d.Action == plan.Place && m.on() && m.w.jobs[d.Job][0].spec.Whole() {
+	if d.Action == plan.Place && m.on() && m.w.jobs[d.Job][0].spec.AllOrNothing() {
 		racks, zones := map[string]bool{}, map[string]bool{}
 		for _, l := range d.Placements {
 			s := m.w.servers[l.Server]
@@ -80,21 +80,21 @@
 }
 
 // submitted notes when a gang could start at the soonest if nothing else waited.
-func (m *Meter) submitted(id uint64) {
-	if m.on() && m.w.jobs[id][0].spec.Whole() {
+func (m *Metrics) submitted(id uint64) {
+	if m.on() && m.w.jobs[id][0].spec.AllOrNothing() {
 		m.alone[id] = m.w.soonest(m.w.jobs[id])
 	}
 }
 
-func (m *Meter) placed(r *Attempt) {
+func (m *Metrics) placed(r *Task) {
 	if !r.fresh || !m.on() {
 		return
 	}
 	wait := m.w.now - r.waits
-	if m.Fault > 0 && r.spec.Kind == job.Urgent {
+	if m.FaultAt > 0 && r.spec.Kind == job.Urgent {
 		if r.attempts > 0 {
 			m.again = append(m.again, wait)
-		} else if r.accepted >= m.Fault && r.accepted < m.Fault+30*time.Second {
+		} else if r.accepted >= m.FaultAt && r.accepted < m.FaultAt+30*time.Second {
 			m.after = append(m.after, wait)
 		}
 	}
@@ -104,40 +104,40 @@
 	}
 }
 
-func (m *Meter) finished(r *Attempt) {
+func (m *Metrics) finished(r *Task) {
 	if m.on() {
-		m.done[r.spec.Kind] += work(r, m.w.now-max(r.base, m.From))
+		m.done[r.spec.Kind] += work(r, m.w.now-max(r.base, m.MeasureFrom))
 	}
 }
 
-func (m *Meter) lost(r *Attempt, d time.Duration) {
+func (m *Metrics) lost(r *Task, d time.Duration) {
 	if m.on() {
 		m.wasted += work(r, d)
 		m.reasons[r.why] += work(r, d) / 3600
-		m.done[r.spec.Kind] += work(r, max(0, m.w.now-max(r.base, m.From)-d))
+		m.done[r.spec.Kind] += work(r, max(0, m.w.now-max(r.base, m.MeasureFrom)-d))
 	}
 }
 
 // work is processor time in core-seconds.
-func work(r *Attempt, d time.Duration) float64 {
+func work(r *Task, d time.Duration) float64 {
 	return float64(r.spec.Size.CPU) / 1000 * d.Seconds()
 }
 
 // Sample takes the measures that are taken once a second.
-func (m *Meter) Sample() {
+func (m *Metrics) Sample() {
 	if m.on() {
 		m.sample()
 	}
-	m.w.At(m.w.now+time.Second, m.Sample)
+	m.w.Schedule(m.w.now+time.Second, m.Sample)
 }
 
-func (m *Meter) sample() {
+func (m *Metrics) sample() {
 	w := m.w
 	var usable, used, wants capacity.Size
 	for _, id := range w.order {
 		if w.servers[id].State == backend.Ready {
 			usable = usable.Add(w.servers[id].Capacity)
-			used = used.Add(w.Check.room[id])
+			used = used.Add(w.Checker.room[id])
 		}
 	}
 	waiting := map[string]capacity.Size{}
@@ -147,24 +147,24 @@
 			wants = wants.Add(r.spec.Size)
 		}
 	}
-	if bound := min(1, used.Add(wants).Dominant(usable)); !wants.IsZero() && bound > 0.95 {
-		m.packing = append(m.packing, used.Dominant(usable)/bound)
+	if bound := min(1, used.Add(wants).DominantShare(usable)); !wants.IsZero() && bound > 0.95 {
+		m.packing = append(m.packing, used.DominantShare(usable)/bound)
 		m.distance(waiting, usable)
 	}
 }
 
-func (m *Meter) distance(waiting map[string]capacity.Size, usable capacity.Size) {
+func (m *Metrics) distance(waiting map[string]capacity.Size, usable capacity.Size) {
 	var claims []share.Team
 	var held []float64
 	rows := m.w.table.Rows()
 	for _, row := range rows {
-		has := m.w.Check.teams[row.Name]
-		held = append(held, has.Dominant(usable))
-		want := has.Add(waiting[row.Name]).Dominant(usable)
-		if bound := row.Limit.Dominant(usable); bound > 0 {
+		has := m.w.Checker.teams[row.Name]
+		held = append(held, has.DominantShare(usable))
+		want := has.Add(waiting[row.Name]).DominantShare(usable)
+		if bound := row.Limit.DominantShare(usable); bound > 0 {
 			want = min(want, bound)
 		}
-		claims = append(claims, share.Team{Guarantee: float64(row.Share) / 1000, Weight: float64(row.Weight), Demand: min(1, want)})
+		claims = append(claims, share.Team{Guarantee: float64(row.GuaranteedShare) / 1000, Weight: float64(row.Weight), Demand: min(1, want)})
 	}
 	sum := 0.0
 	for i, target := range share.Divide(claims) {
@@ -176,7 +176,7 @@
 }
 
 // note keeps the worst mean of a team's distance over a minute.
-func (m *Meter) note(team string, off float64) {
+func (m *Metrics) note(team string, off float64) {
 	last := append(m.minute[team], off)
 	if len(last) > 60 {
 		last = last[1:]
@@ -214,10 +214,10 @@
 
 // soonest is how long a gang would wait if nothing else waited and what runs
 // ended as it really will: servers free up in the order of those ends.
-func (w *World) soonest(tasks []*Attempt) time.Duration {
+func (w *World) soonest(tasks []*Task) time.Duration {
 	type end struct {
 		at time.Duration
-		r  *Attempt
+		r  *Task
 	}
 	room := map[string]capacity.Size{}
 	var ends []end
@@ -225,8 +225,8 @@
 		if w.servers[id].State != backend.Ready {
 			continue
 		}
-		room[id] = w.servers[id].Capacity.Sub(w.Check.room[id])
-		for _, r := range w.Check.on[id] {
+		room[id] = w.servers[id].Capacity.Sub(w.Checker.room[id])
+		for _, r := range w.Checker.on[id] {
 			ends = append(ends, end{r.base + r.left, r})
 		}
 	}
--- a/internal/policy/bench/scale.go
+++ b/internal/policy/bench/scale.go
@@ -12,14 +12,14 @@
 	"gypsumreel/internal/policy/plan"
 )
 
-// Scale is a planner over a full cell of a given size. Each Step ends some of
+// FullCell is a planner over a full cell of a given size. Each Step ends some of
 // the running tasks, queues new ones and asks for decisions, one at a time, as
 // the control thread would at its peak.
-type Scale struct {
+type FullCell struct {
 	// Planner decides.
 	Planner plan.Planner
-	// Took is the time of each call of Decide.
-	Took []time.Duration
+	// DecideTimes is the time of each call of Decide.
+	DecideTimes []time.Duration
 
 	site    Site
 	rng     *rand.Rand
@@ -39,16 +39,16 @@
 	since  time.Duration
 }
 
-// NewScale returns a cell of that many servers, teams and running tasks, a fifth
+// NewFullCell returns a cell of that many servers, teams and running tasks, a fifth
 // of them services. With 0 tasks it is filled until nothing more is placed, and
 // some of each team's work is left waiting.
-func NewScale(p plan.Planner, servers, teams, tasks int, seed uint64) *Scale {
+func NewFullCell(p plan.Planner, servers, teams, tasks int, seed uint64) *FullCell {
 	site := Coralwave()
 	site.Servers, site.Zones = servers, max(3, min(21, servers/100))
-	s := &Scale{Planner: p, site: site, rng: rand.New(rand.NewPCG(seed, 3)), teams: teams, specs: map[uint64]*job.Spec{}, at: map[task.ID]int{}}
+	s := &FullCell{Planner: p, site: site, rng: rand.New(rand.NewPCG(seed, 3)), teams: teams, specs: map[uint64]*job.Spec{}, at: map[task.ID]int{}}
 	rows := make([]team.Row, 0, teams)
 	for i := range teams {
-		rows = append(rows, team.New(name(i)).WithShare(uint32(500/teams)).WithWeight(uint32(1+i%4)))
+		rows = append(rows, team.New(name(i)).WithGuaranteedShare(uint32(500/teams)).WithWeight(uint32(1+i%4)))
 	}
 	p.SetTable(table.Restore(1, rows))
 	for _, b := range site.servers() {
@@ -65,14 +65,14 @@
 	for range 4 * teams {
 		s.submit()
 	}
-	s.Took = s.Took[:0]
+	s.DecideTimes = s.DecideTimes[:0]
 	return s
 }
 
 func name(i int) string { return fmt.Sprintf("team%04d", i) }
 
 // submit queues one task: a tenth urgent, a fifth services, the rest batch.
-func (s *Scale) submit() {
+func (s *FullCell) submit() {
 	kind := job.Batch
 	switch n := s.rng.IntN(10); {
 	case n == 0:
@@ -84,16 +84,16 @@
 	n := s.rng.IntN(5)
 	size, _, mean := src.shape(min(kind, job.Batch), n)
 	s.next++
-	spec := &job.Spec{Team: name(s.rng.IntN(s.teams)), Kind: kind, Name: fmt.Sprint("n", n), Count: 1, Size: size, Runtime: mean}
+	spec := &job.Spec{Team: name(s.rng.IntN(s.teams)), Kind: kind, Name: fmt.Sprint("n", n), Count: 1, Size: size, EstimatedRuntime: mean}
 	s.specs[s.next] = spec
 	s.Planner.AddWaiting(plan.WaitingTask{ID: task.ID{Job: s.next}, Job: spec, AcceptedAt: s.now, ReadyAt: s.now})
 }
 
 // decide asks for decisions and applies them.
-func (s *Scale) decide(limit int) int {
+func (s *FullCell) decide(limit int) int {
 	began := time.Now()
 	out := s.Planner.Decide(s.now, limit)
-	s.Took = append(s.Took, time.Since(began))
+	s.DecideTimes = append(s.DecideTimes, time.Since(began))
 	placed := 0
 	for _, d := range out {
 		switch d.Action {
@@ -107,7 +107,7 @@
 	return placed
 }
 
-func (s *Scale) hold(d plan.Decision) {
+func (s *FullCell) hold(d plan.Decision) {
 	spec := s.specs[d.Job]
 	for _, l := range d.Placements {
 		id := task.ID{Job: d.Job, Index: l.Index}
@@ -117,7 +117,7 @@
 	}
 }
 
-func (s *Scale) stop(id task.ID) {
+func (s *FullCell) stop(id task.ID) {
 	at := s.at[id]
 	r := s.running[at]
 	s.release(at)
@@ -125,7 +125,7 @@
 }
 
 // release ends the i-th running task.
-func (s *Scale) release(i int) {
+func (s *FullCell) release(i int) {
 	r, last := s.running[i], s.running[len(s.running)-1]
 	s.running[i] = last
 	s.at[last.id] = i
@@ -136,7 +136,7 @@
 
 // Step lets a millisecond pass in which n tasks end, n are queued, and one
 // decision after the other is asked for until none is left or n are made.
-func (s *Scale) Step(n int) int {
+func (s *FullCell) Step(n int) int {
 	s.now += time.Millisecond
 	for range min(n, len(s.running)) {
 		s.release(s.rng.IntN(len(s.running)))
@@ -156,7 +156,7 @@
 }
 
 // Running returns the number of tasks held.
-func (s *Scale) Running() int { return len(s.running) }
+func (s *FullCell) Running() int { return len(s.running) }
 
-// P99 returns the 99th percentile of the time of one decision.
-func (s *Scale) P99() time.Duration { return quantile(s.Took, 0.99) }
+// DecideP99 returns the 99th percentile of the time of one decision.
+func (s *FullCell) DecideP99() time.Duration { return quantile(s.DecideTimes, 0.99) }
--- a/internal/policy/bench/scale_test.go
+++ b/internal/policy/bench/scale_test.go
@@ -13,7 +13,7 @@
 func BenchmarkScale(b *testing.B) {
 	for _, n := range []struct{ servers, teams, tasks int }{{50, 6, 220}, {500, 60, 2200}, {5000, 300, 22_000}, {16_000, 960, 70_000}, {50, 6, 0}, {500, 60, 0}, {5000, 300, 0}, {16_000, 960, 0}} {
 		b.Run(fmt.Sprintf("servers=%d/tasks=%d", n.servers, n.tasks), func(b *testing.B) {
-			s := bench.NewScale(bench.Cell(0), n.servers, n.teams, n.tasks, 1)
+			s := bench.NewFullCell(bench.Product(0), n.servers, n.teams, n.tasks, 1)
 			b.ReportAllocs()
 			b.ResetTimer()
 			began, placed := time.Now(), 0
@@ -21,7 +21,7 @@
 				placed += s.Step(2)
 			}
 			b.ReportMetric(float64(placed)/time.Since(began).Seconds(), "placements/s")
-			b.ReportMetric(float64(s.P99().Nanoseconds()), "p99-ns/decision")
+			b.ReportMetric(float64(s.DecideP99().Nanoseconds()), "p99-ns/decision")
 			b.ReportMetric(float64(s.Running()), "running")
 		})
 	}
--- a/internal/policy/bench/view.go
+++ b/internal/policy/bench/view.go
@@ -17,8 +17,8 @@
 // Table returns the table in force.
 func (w *World) Table() table.Table { return w.table }
 
-// On returns the servers on which tasks of the job are, in the order of the tasks.
-func (w *World) On(id uint64) []string {
+// ServersOf returns the servers on which tasks of the job are, in the order of the tasks.
+func (w *World) ServersOf(id uint64) []string {
 	var on []string
 	for _, r := range w.jobs[id] {
 		if w.runs[r.id] == r && r.held {
@@ -28,8 +28,8 @@
 	return on
 }
 
-// Running returns the number of the job's tasks that run and are not being stopped.
-func (w *World) Running(id uint64) int {
+// RunningTasks returns the number of the job's tasks that run and are not being stopped.
+func (w *World) RunningTasks(id uint64) int {
 	n := 0
 	for _, r := range w.jobs[id] {
 		if r.held && !r.stopping {
@@ -39,8 +39,8 @@
 	return n
 }
 
-// Left returns the number of the job's tasks that are neither done nor given up.
-func (w *World) Left(id uint64) int {
+// UnfinishedTasks returns the number of the job's tasks that are neither done nor given up.
+func (w *World) UnfinishedTasks(id uint64) int {
 	n := 0
 	for _, r := range w.jobs[id] {
 		if w.runs[r.id] == r {
@@ -60,20 +60,20 @@
 	return 0
 }
 
-// Team returns what the team holds.
-func (w *World) Team(name string) capacity.Size { return w.Check.teams[name] }
+// TeamUsage returns what the team holds.
+func (w *World) TeamUsage(name string) capacity.Size { return w.Checker.teams[name] }
 
-// Count returns how often the verb was decided.
-func (w *World) Count(v plan.Action) int { return w.Meter.verbs[v] }
+// DecisionCount returns how often the verb was decided.
+func (w *World) DecisionCount(v plan.Action) int { return w.Metrics.verbs[v] }
 
-// Longest returns the longest wait measured of the kind.
-func (w *World) Longest(k job.Kind) time.Duration { return quantile(w.Meter.waits[k], 1) }
+// MaxWait returns the longest wait measured of the kind.
+func (w *World) MaxWait(k job.Kind) time.Duration { return quantile(w.Metrics.waits[k], 1) }
 
-// Fail has the server fail everything that starts on it, or no longer.
-func (w *World) Fail(id string, fails bool) { w.holes[id] = fails }
+// SetFailing has the server fail everything that starts on it, or no longer.
+func (w *World) SetFailing(id string, fails bool) { w.holes[id] = fails }
 
-// Replan puts a new planner in place, told of the state as after a failover.
-func (w *World) Replan(p plan.Planner) {
+// ReplacePlanner puts a new planner in place, told of the state as after a failover.
+func (w *World) ReplacePlanner(p plan.Planner) {
 	w.Planner = p
 	p.SetTable(w.table)
 	for _, id := range w.order {
--- a/internal/policy/bench/workload.go
+++ b/internal/policy/bench/workload.go
@@ -17,40 +17,40 @@
 type Site struct {
 	// Name names the deployment.
 	Name string
-	// Size is one server's capacity; every second rack has the accelerators.
-	Size capacity.Size
+	// ServerCapacity is one server's capacity; every second rack has the accelerators.
+	ServerCapacity capacity.Size
 	// Servers, PerRack and Zones shape the cell.
-	Servers, PerRack, Zones int
-	// Batch, Gang and Urgent are the largest sizes of a task of each kind.
-	Batch, Gang, Urgent capacity.Size
+	Servers, ServersPerRack, Zones int
+	// MaxBatchSize, Gang and Urgent are the largest sizes of a task of each kind.
+	MaxBatchSize, MaxGangSize, MaxUrgentSize capacity.Size
 }
 
 // Balastas has many small orders and quotes.
 func Balastas() Site {
 	return Site{
-		Name: "balastas", Size: capacity.Size{CPU: 16_000, Memory: 32 << 10, Slots: 8},
-		Servers: 50, PerRack: 8, Zones: 3,
-		Batch:  capacity.Size{CPU: 4000, Memory: 8 << 10, Slots: 1},
-		Gang:   capacity.Size{CPU: 2000, Memory: 4 << 10, Slots: 1},
-		Urgent: capacity.Size{CPU: 1000, Memory: 1 << 10, Slots: 1},
+		Name: "balastas", ServerCapacity: capacity.Size{CPU: 16_000, Memory: 32 << 10, Slots: 8},
+		Servers: 50, ServersPerRack: 8, Zones: 3,
+		MaxBatchSize:  capacity.Size{CPU: 4000, Memory: 8 << 10, Slots: 1},
+		MaxGangSize:   capacity.Size{CPU: 2000, Memory: 4 << 10, Slots: 1},
+		MaxUrgentSize: capacity.Size{CPU: 1000, Memory: 1 << 10, Slots: 1},
 	}
 }
 
 // Coralwave has heavy sweeps, some on accelerators.
 func Coralwave() Site {
 	return Site{
-		Name: "coralwave", Size: capacity.Size{CPU: 32_000, Memory: 128 << 10, Accel: 4, Slots: 8},
-		Servers: 50, PerRack: 6, Zones: 4,
-		Batch:  capacity.Size{CPU: 8000, Memory: 32 << 10, Slots: 1},
-		Gang:   capacity.Size{CPU: 4000, Memory: 16 << 10, Accel: 1, Slots: 1},
-		Urgent: capacity.Size{CPU: 2000, Memory: 2 << 10, Slots: 1},
+		Name: "coralwave", ServerCapacity: capacity.Size{CPU: 32_000, Memory: 128 << 10, Accel: 4, Slots: 8},
+		Servers: 50, ServersPerRack: 6, Zones: 4,
+		MaxBatchSize:  capacity.Size{CPU: 8000, Memory: 32 << 10, Slots: 1},
+		MaxGangSize:   capacity.Size{CPU: 4000, Memory: 16 << 10, Accel: 1, Slots: 1},
+		MaxUrgentSize: capacity.Size{CPU: 2000, Memory: 2 << 10, Slots: 1},
 	}
 }
 
 // Heavy is Balastas with batch of up to half a server.
 func Heavy() Site {
 	s := Balastas()
-	s.Name, s.Batch = "heavy", capacity.Size{CPU: 8000, Memory: 16 << 10, Slots: 4}
+	s.Name, s.MaxBatchSize = "heavy", capacity.Size{CPU: 8000, Memory: 16 << 10, Slots: 4}
 	return s
 }
 
@@ -58,8 +58,8 @@
 func (s Site) servers() []backend.Server {
 	var list []backend.Server
 	for i := range s.Servers {
-		r := i / s.PerRack
-		size := s.Size
+		r := i / s.ServersPerRack
+		size := s.ServerCapacity
 		if r%2 == 1 {
 			size.Accel = 0
 		}
@@ -84,16 +84,16 @@
 	row  team.Row
 	part float64
 }{
-	{team.New("ada").WithShare(250).WithWeight(3), 0.35},
-	{team.New("bor").WithShare(200).WithWeight(3), 0.25},
-	{team.New("cem").WithShare(100), 0.15},
-	{team.New("dov").WithShare(100), 0.10},
-	{team.New("eda").WithShare(50), 0.10},
-	{team.New("fen").WithShare(50), 0.05},
+	{team.New("ada").WithGuaranteedShare(250).WithWeight(3), 0.35},
+	{team.New("bor").WithGuaranteedShare(200).WithWeight(3), 0.25},
+	{team.New("cem").WithGuaranteedShare(100), 0.15},
+	{team.New("dov").WithGuaranteedShare(100), 0.10},
+	{team.New("eda").WithGuaranteedShare(50), 0.10},
+	{team.New("fen").WithGuaranteedShare(50), 0.05},
 }
 
-// Rows returns the table that the workloads start with.
-func Rows() table.Table {
+// InitialTable returns the table that the workloads start with.
+func InitialTable() table.Table {
 	var rows []team.Row
 	for _, c := range customers {
 		rows = append(rows, c.row)
@@ -142,14 +142,14 @@
 	size, n, mean := s.shape(kind, name)
 	d := draft{spec: &job.Spec{
 		Team: s.team(), Kind: kind, Name: fmt.Sprintf("%s%d", kind, name), Count: uint32(n), Size: size,
-		Once: kind == job.Batch && s.rng.Float64() < 0.1,
+		AtMostOnce: kind == job.Batch && s.rng.Float64() < 0.1,
 	}}
 	for range n {
 		d.times = append(d.times, s.runtime(kind, mean))
 	}
-	d.spec.Runtime = mean
+	d.spec.EstimatedRuntime = mean
 	if s.off {
-		d.spec.Runtime = time.Duration(float64(mean) * math.Pow(10, 2*s.rng.Float64()-1))
+		d.spec.EstimatedRuntime = time.Duration(float64(mean) * math.Pow(10, 2*s.rng.Float64()-1))
 	}
 	d.used = size
 	if s.rng.Float64() < s.greedy {
@@ -162,9 +162,9 @@
 func (s *source) shape(kind job.Kind, name int) (capacity.Size, int, time.Duration) {
 	switch kind {
 	case job.Urgent:
-		return s.site.Urgent, 1, 1200 * time.Millisecond
+		return s.site.MaxUrgentSize, 1, 1200 * time.Millisecond
 	case job.Gang:
-		size := s.site.Gang
+		size := s.site.MaxGangSize
 		n := 4 << s.rng.IntN(3)
 		if name%2 == 0 || size.Accel == 0 {
 			size.Accel = 0
@@ -173,12 +173,12 @@
 		}
 		return size, n, time.Duration(30+30*name) * time.Second
 	}
-	size := s.site.Batch
+	size := s.site.MaxBatchSize
 	for range s.rng.IntN(3) {
 		size.CPU, size.Memory = size.CPU/2, size.Memory/2
 	}
 	if name == 4 {
-		size.Memory = min(size.Memory*2, s.site.Batch.Memory)
+		size.Memory = min(size.Memory*2, s.site.MaxBatchSize.Memory)
 	}
 	return size, 1 + int(s.rng.ExpFloat64()*4), time.Duration(15<<name) * time.Second
 }
@@ -231,7 +231,7 @@
 func (w *World) feed(s *source, rate float64, day time.Duration) {
 	d := s.draw()
 	gap := s.rng.ExpFloat64() / (rate * (1 + swing*math.Sin(2*math.Pi*w.now.Seconds()/day.Seconds())))
-	w.At(w.now+time.Duration(gap*float64(time.Second)), func() {
+	w.Schedule(w.now+time.Duration(gap*float64(time.Second)), func() {
 		w.Submit(d.spec, d.times, d.used, d.crashes)
 		w.feed(s, rate, day)
 	})
@@ -239,16 +239,16 @@
 
 // serve submits the services that run all the time.
 func (w *World) serve(site Site, load float64) {
-	size := site.Gang
+	size := site.MaxGangSize
 	size.Accel = 0
-	per := size.Dominant(site.total())
+	per := size.DominantShare(site.total())
 	n := int(load / per)
 	for _, c := range customers {
 		k := int(float64(n) * c.part)
 		if k == 0 {
 			continue
 		}
-		spec := &job.Spec{Team: c.row.Name, Kind: job.Service, Name: "service", Count: uint32(k), Size: size, Floor: uint32(k - 1)}
+		spec := &job.Spec{Team: c.row.Name, Kind: job.Service, Name: "service", Count: uint32(k), Size: size, MinRunningTasks: uint32(k - 1)}
 		times := make([]time.Duration, k)
 		for i := range times {
 			times[i] = 1000 * time.Hour
--- a/internal/policy/bench/world.go
+++ b/internal/policy/bench/world.go
@@ -35,8 +35,8 @@
 	batchOf = 64
 )
 
-// Attempt is one task in the fakes, with its latest attempt.
-type Attempt struct {
+// Task is one task in the fakes, with its latest attempt.
+type Task struct {
 	id       task.ID
 	spec     *job.Spec
 	accepted time.Duration
@@ -86,10 +86,10 @@
 type World struct {
 	// Planner decides.
 	Planner plan.Planner
-	// Check is told of every decision.
-	Check *Checker
-	// Meter takes the measures.
-	Meter *Meter
+	// Checker is told of every decision.
+	Checker *Checker
+	// Metrics takes the measures.
+	Metrics *Metrics
 
 	now     time.Duration
 	queue   events
@@ -98,8 +98,8 @@
 	started bool
 	servers map[string]backend.Server
 	order   []string
-	runs    map[task.ID]*Attempt
-	jobs    map[uint64][]*Attempt
+	runs    map[task.ID]*Task
+	jobs    map[uint64][]*Task
 	holes   map[string]bool
 	// dead are the servers that went silent, and when.
 	dead map[string]time.Duration
@@ -114,10 +114,10 @@
 // NewWorld returns a world with the servers and the table given.
 func NewWorld(p plan.Planner, servers []backend.Server, t table.Table) *World {
 	w := &World{
-		Planner: p, Check: NewChecker(), servers: map[string]backend.Server{}, runs: map[task.ID]*Attempt{},
-		jobs: map[uint64][]*Attempt{}, holes: map[string]bool{}, dead: map[string]time.Duration{}, given: map[uint64]bool{},
+		Planner: p, Checker: NewChecker(), servers: map[string]backend.Server{}, runs: map[task.ID]*Task{},
+		jobs: map[uint64][]*Task{}, holes: map[string]bool{}, dead: map[string]time.Duration{}, given: map[uint64]bool{},
 	}
-	w.Meter = newMeter(w)
+	w.Metrics = newMeter(w)
 	w.SetTable(t)
 	for _, s := range servers {
 		w.order = append(w.order, s.ID)
@@ -127,8 +127,8 @@
 	return w
 }
 
-// At has fn run at the given time.
-func (w *World) At(at time.Duration, fn func()) {
+// Schedule has fn run at the given time.
+func (w *World) Schedule(at time.Duration, fn func()) {
 	w.seq++
 	heap.Push(&w.queue, event{max(at, w.now), w.seq, fn})
 }
@@ -150,7 +150,7 @@
 
 func (w *World) tick() {
 	w.decide()
-	w.At(w.now+tickPeriod, w.tick)
+	w.Schedule(w.now+tickPeriod, w.tick)
 }
 
 // poke has a decision follow soon.
@@ -159,13 +159,13 @@
 		return
 	}
 	w.pending = true
-	w.At(w.now+roundDelay, func() { w.pending = false; w.decide() })
+	w.Schedule(w.now+roundDelay, func() { w.pending = false; w.decide() })
 }
 
 // SetTable puts a table in force.
 func (w *World) SetTable(t table.Table) {
 	w.table = t
-	w.Check.table = t
+	w.Checker.table = t
 	w.Planner.SetTable(t)
 	w.poke()
 }
@@ -173,7 +173,7 @@
 // SetServer adds or changes a server.
 func (w *World) SetServer(s backend.Server) {
 	w.servers[s.ID] = s
-	w.Check.servers[s.ID] = s
+	w.Checker.servers[s.ID] = s
 	w.Planner.SetServer(s)
 	w.poke()
 }
@@ -183,7 +183,7 @@
 	w.nextJob++
 	id := w.nextJob
 	for i, d := range times {
-		r := &Attempt{
+		r := &Task{
 			id: task.ID{Job: id, Index: uint32(i)}, spec: spec, accepted: w.now, waits: w.now,
 			left: d, used: used, crashes: crashes, fresh: true,
 		}
@@ -191,12 +191,12 @@
 		w.jobs[id] = append(w.jobs[id], r)
 		w.enqueue(r)
 	}
-	w.Meter.submitted(id)
+	w.Metrics.submitted(id)
 	return id
 }
 
-func (w *World) enqueue(r *Attempt) {
-	w.Meter.notes++
+func (w *World) enqueue(r *Task) {
+	w.Metrics.notes++
 	w.Planner.AddWaiting(plan.WaitingTask{ID: r.id, Job: r.spec, AcceptedAt: r.accepted, ReadyAt: w.now, Attempts: r.attempts})
 	w.poke()
 }
@@ -214,7 +214,7 @@
 
 func (w *World) decide() {
 	for {
-		out := w.Meter.time(func() []plan.Decision { return w.Planner.Decide(w.now, batchOf) })
+		out := w.Metrics.time(func() []plan.Decision { return w.Planner.Decide(w.now, batchOf) })
 		for _, d := range out {
 			w.apply(d)
 		}
@@ -225,8 +225,8 @@
 }
 
 func (w *World) apply(d plan.Decision) {
-	w.Check.Decision(w, d)
-	w.Meter.decided(d)
+	w.Checker.CheckDecision(w, d)
+	w.Metrics.decided(d)
 	switch d.Action {
 	case plan.Place:
 		for _, l := range d.Placements {
@@ -246,8 +246,8 @@
 	}
 }
 
-func (w *World) place(r *Attempt, server string) {
-	w.Meter.placed(r)
+func (w *World) place(r *Task, server string) {
+	w.Metrics.placed(r)
 	r.held, r.fresh, r.server, r.since = true, false, server, w.now
 	r.attempts++
 	r.base = w.now + orderDelay
@@ -258,11 +258,11 @@
 	if failed {
 		length = min(length, 200*time.Millisecond)
 	}
-	w.At(r.base+length, func() { w.end(r, n, failed) })
+	w.Schedule(r.base+length, func() { w.end(r, n, failed) })
 }
 
 // end is a task ending by itself.
-func (w *World) end(r *Attempt, attempt uint32, failed bool) {
+func (w *World) end(r *Task, attempt uint32, failed bool) {
 	if _, dead := w.dead[r.server]; dead || !r.held || r.attempts != attempt {
 		return
 	}
@@ -270,14 +270,14 @@
 		w.release(r, plan.AttemptEnd{EndedAt: w.now, Started: true, Failed: true}, true)
 		return
 	}
-	w.Meter.finished(r)
+	w.Metrics.finished(r)
 	w.release(r, plan.AttemptEnd{EndedAt: w.now, Started: true}, false)
 }
 
-func (w *World) release(r *Attempt, how plan.AttemptEnd, retry bool) {
+func (w *World) release(r *Task, how plan.AttemptEnd, retry bool) {
 	r.held, r.stopping, r.over = false, false, false
 	w.Planner.EndAttempt(r.id, how)
-	w.Check.released(r)
+	w.Checker.released(r)
 	if !retry || w.given[r.id.Job] {
 		delete(w.runs, r.id)
 		w.poke()
@@ -290,14 +290,14 @@
 
 // stop ends an attempt with a checkpoint: what was done since the last one the
 // task made by itself is lost.
-func (w *World) stop(r *Attempt, why string) {
+func (w *World) stop(r *Task, why string) {
 	if r == nil || !r.held || r.stopping {
 		return
 	}
 	r.stopping, r.why = true, why
 	w.Planner.SetPlaced(plan.PlacedTask{ID: r.id, Job: r.spec, AcceptedAt: r.accepted, Server: r.server, PlacedAt: r.since, Stopping: true})
 	n := r.attempts
-	w.At(w.now+orderDelay+checkpointTime, func() {
+	w.Schedule(w.now+orderDelay+checkpointTime, func() {
 		if r.held && r.attempts == n {
 			w.save(r)
 			w.release(r, plan.AttemptEnd{EndedAt: w.now, Started: true}, true)
@@ -305,7 +305,7 @@
 	})
 }
 
-func (w *World) save(r *Attempt) {
+func (w *World) save(r *Task) {
 	until := w.now
 	if silent, dead := w.dead[r.server]; dead {
 		until = silent
@@ -313,10 +313,10 @@
 	ran := max(0, until-r.base)
 	kept := ran - ran%checkpointPeriod
 	r.left -= kept
-	w.Meter.lost(r, ran-kept)
+	w.Metrics.lost(r, ran-kept)
 }
 
-func (w *World) throttle(r *Attempt) {
+func (w *World) throttle(r *Task) {
 	if r != nil && r.used.Memory <= r.spec.Size.Memory {
 		r.used = r.spec.Size
 	}
@@ -325,18 +325,18 @@
 // report tells of the use of every task.
 func (w *World) report() {
 	for _, id := range w.order {
-		for _, r := range w.Check.on[id] {
+		for _, r := range w.Checker.on[id] {
 			if w.now-r.since > time.Second && r.used != r.spec.Size {
 				w.Planner.SetUsage(r.id, r.used, w.now)
 			}
 		}
 	}
-	w.At(w.now+reportPeriod, w.report)
+	w.Schedule(w.now+reportPeriod, w.report)
 }
 
-// Lose takes the servers away that match, and brings them back later. They are
+// FailServers takes the servers away that match, and brings them back later. They are
 // marked suspect at once, or, for comparison, only when their lease is over.
-func (w *World) Lose(match func(backend.Server) bool, back time.Duration, mark bool) {
+func (w *World) FailServers(match func(backend.Server) bool, back time.Duration, mark bool) {
 	for _, id := range w.order {
 		s := w.servers[id]
 		if !match(s) {
@@ -346,8 +346,8 @@
 		if mark {
 			w.SetServer(s.WithState(backend.Suspect, w.now))
 		}
-		w.At(w.now+leaseTime, func() { w.gone(id) })
-		w.At(w.now+back, func() {
+		w.Schedule(w.now+leaseTime, func() { w.gone(id) })
+		w.Schedule(w.now+back, func() {
 			n := w.servers[id].WithState(backend.Ready, w.now)
 			n.Incarnation++
 			w.SetServer(n)
@@ -357,7 +357,7 @@
 
 func (w *World) gone(id string) {
 	w.SetServer(w.servers[id].WithState(backend.Gone, w.now))
-	for _, r := range append([]*Attempt(nil), w.Check.on[id]...) {
+	for _, r := range append([]*Task(nil), w.Checker.on[id]...) {
 		r.why = "its server was lost"
 		w.save(r)
 		silent := max(w.dead[id], r.since)
--- a/internal/policy/cell/cell.go
+++ b/internal/policy/cell/cell.go
@@ -235,10 +235,10 @@
 		p.healthGuard.Release(srv.number)
 	}
 	if unreachable(s) && !unreachable(old) {
-		srv.silentSince = s.Since
+		srv.silentSince = s.StateSince
 	}
 	if s.State == backend.Quarantined {
-		p.markQuarantined(srv, s.Since)
+		p.markQuarantined(srv, s.StateSince)
 	}
 	if s.State != backend.Ready && srv.reserveBlockCount > 0 {
 		p.dropReserveBlocks(func(r *reserveBlock) bool { return r.server == srv })
@@ -287,7 +287,7 @@
 	}
 	p.removeTask(pt)
 	p.recordEnd(pt, end)
-	if pt.Job.Whole() {
+	if pt.Job.AllOrNothing() {
 		p.handleGangTaskEnd(pt, end)
 	}
 	p.listIfIdle(pt.jobState)
