--- a/internal/policy/cell/cell_test.go
+++ b/internal/policy/cell/cell_test.go
@@ -62,7 +62,7 @@
 func runUntil(t *testing.T, w *bench.World, until time.Duration) {
 	t.Helper()
 	w.Run(until)
-	if diff := cmp.Diff([]string(nil), w.Check.Broken); diff != "" {
+	if diff := cmp.Diff([]string(nil), w.Checker.Violations); diff != "" {
 		t.Fatal(diff)
 	}
 }
@@ -79,14 +79,14 @@
 // repeatable task is preempted for it, and tasks that may run only once are not.
 func TestUrgentTaskIsPlacedAheadOfBacklog(t *testing.T) {
 	w := newWorld(2)
-	onceJob := submit(w, job.Spec{Once: true, Name: "once"}, 6, time.Hour)
+	onceJob := submit(w, job.Spec{AtMostOnce: true, Name: "once"}, 6, time.Hour)
 	submit(w, job.Spec{Name: "batch"}, 5000, time.Hour)
 	runUntil(t, w, time.Minute)
 	urgent := submit(w, job.Spec{Kind: job.Urgent}, 1, time.Second)
 	runUntil(t, w, time.Minute+400*time.Millisecond)
-	assertEqual(t, "urgent task placed", 1, len(w.On(urgent)))
-	assertEqual(t, "running once tasks", 6, len(w.On(onceJob)))
-	assertEqual(t, "preemptions", 1, w.Count(plan.Preempt))
+	assertEqual(t, "urgent task placed", 1, len(w.ServersOf(urgent)))
+	assertEqual(t, "running once tasks", 6, len(w.ServersOf(onceJob)))
+	assertEqual(t, "preemptions", 1, w.DecisionCount(plan.Preempt))
 }
 
 // A team that declares all its work urgent must not get more than its share. Otherwise its
@@ -97,7 +97,7 @@
 	runUntil(t, w, 10*time.Second)
 	submit(w, job.Spec{Team: "a", Kind: job.Urgent}, 100, time.Hour)
 	runUntil(t, w, time.Minute)
-	if slots := w.Team("a").Slots; slots < 11 || slots > 13 {
+	if slots := w.TeamUsage("a").Slots; slots < 11 || slots > 13 {
 		t.Errorf("team a holds %d of 24 slots, want 11 to 13", slots)
 	}
 }
@@ -113,10 +113,10 @@
 	w.Cancel(cancelled)
 	urgent := submit(w, job.Spec{Kind: job.Urgent}, 1, time.Second)
 	runUntil(t, w, 2400*time.Millisecond)
-	assertEqual(t, "urgent task placed", 1, len(w.On(urgent)))
+	assertEqual(t, "urgent task placed", 1, len(w.ServersOf(urgent)))
 	w.Cancel(running)
 	runUntil(t, w, 10*time.Second)
-	assertEqual(t, "running cancelled tasks", 0, len(w.On(cancelled)))
+	assertEqual(t, "running cancelled tasks", 0, len(w.ServersOf(cancelled)))
 }
 
 // A team whose unused share is borrowed by another team must get it back within seconds, by
@@ -125,10 +125,10 @@
 	w := newWorld(6)
 	submit(w, job.Spec{Team: "b"}, 100, time.Hour)
 	runUntil(t, w, 10*time.Second)
-	assertEqual(t, "slots of team b with the borrowed share", int64(24), w.Team("b").Slots)
+	assertEqual(t, "slots of team b with the borrowed share", int64(24), w.TeamUsage("b").Slots)
 	submit(w, job.Spec{Team: "a"}, 100, time.Hour)
 	runUntil(t, w, 13*time.Second)
-	assertEqual(t, "slots of team a after preemption", int64(12), w.Team("a").Slots)
+	assertEqual(t, "slots of team a after preemption", int64(12), w.TeamUsage("a").Slots)
 }
 
 // After an operator triples a team's weight, the shares must move to the new targets and stay
@@ -138,73 +138,73 @@
 	submit(w, job.Spec{Team: "a"}, 100, time.Hour)
 	submit(w, job.Spec{Team: "b"}, 100, time.Hour)
 	runUntil(t, w, 10*time.Second)
-	preemptionsBefore := w.Count(plan.Preempt)
-	w.SetTable(w.Table().With([]team.Row{team.New("a").WithWeight(3)}, nil))
+	preemptionsBefore := w.DecisionCount(plan.Preempt)
+	w.SetTable(w.Table().Update([]team.Row{team.New("a").WithWeight(3)}, nil))
 	runUntil(t, w, 20*time.Second)
-	assertEqual(t, "slots of team a", int64(18), w.Team("a").Slots)
+	assertEqual(t, "slots of team a", int64(18), w.TeamUsage("a").Slots)
 	runUntil(t, w, 5*time.Minute)
-	assertEqual(t, "preemptions after the weight change", 6, w.Count(plan.Preempt)-preemptionsBefore)
+	assertEqual(t, "preemptions after the weight change", 6, w.DecisionCount(plan.Preempt)-preemptionsBefore)
 }
 
 // When a team's limit is lowered below its usage, its youngest repeatable tasks must be
 // preempted until it is within the limit. Tasks that may run only once continue to their end.
 func TestLoweredLimitPreemptsYoungestTasks(t *testing.T) {
 	w := newWorld(4)
-	onceJob := submit(w, job.Spec{Once: true, Name: "once"}, 2, time.Hour)
+	onceJob := submit(w, job.Spec{AtMostOnce: true, Name: "once"}, 2, time.Hour)
 	oldJob := submit(w, job.Spec{Name: "old"}, 4, time.Hour)
 	runUntil(t, w, time.Minute)
 	youngJob := submit(w, job.Spec{Name: "young"}, 4, time.Hour)
 	runUntil(t, w, 2*time.Minute)
-	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize.Times(6))}, nil))
+	w.SetTable(w.Table().Update([]team.Row{team.New("a").WithLimit(taskSize.Times(6))}, nil))
 	runUntil(t, w, 3*time.Minute)
-	assertEqual(t, "running tasks of the jobs once, old, young", []int{2, 4, 0}, []int{len(w.On(onceJob)), len(w.On(oldJob)), len(w.On(youngJob))})
+	assertEqual(t, "running tasks of the jobs once, old, young", []int{2, 4, 0}, []int{len(w.ServersOf(onceJob)), len(w.ServersOf(oldJob)), len(w.ServersOf(youngJob))})
 }
 
 // When a team's limit is lowered below the floor of its service, the service must be reduced
 // to its floor and no further, even though the team stays above its limit.
 func TestLoweredLimitKeepsServiceFloor(t *testing.T) {
 	w := newWorld(4)
-	service := submit(w, job.Spec{Kind: job.Service, Floor: 3}, 6, 1000*time.Hour)
+	service := submit(w, job.Spec{Kind: job.Service, MinRunningTasks: 3}, 6, 1000*time.Hour)
 	runUntil(t, w, time.Second)
-	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize)}, nil))
+	w.SetTable(w.Table().Update([]team.Row{team.New("a").WithLimit(taskSize)}, nil))
 	runUntil(t, w, time.Minute)
-	assertEqual(t, "running service tasks", 3, w.Running(service))
+	assertEqual(t, "running service tasks", 3, w.RunningTasks(service))
 }
 
 // An urgent task of a team at its limit must preempt batch of the same team. Otherwise it
 // would wait until a batch task ends.
 func TestUrgentTaskAtLimitPreemptsOwnBatch(t *testing.T) {
 	w := newWorld(4)
-	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize.Times(3))}, nil))
+	w.SetTable(w.Table().Update([]team.Row{team.New("a").WithLimit(taskSize.Times(3))}, nil))
 	submit(w, job.Spec{}, 10, time.Hour)
 	runUntil(t, w, time.Minute)
 	urgent := submit(w, job.Spec{Kind: job.Urgent}, 1, time.Second)
 	runUntil(t, w, time.Minute+400*time.Millisecond)
-	assertEqual(t, "urgent task placed", 1, len(w.On(urgent)))
+	assertEqual(t, "urgent task placed", 1, len(w.ServersOf(urgent)))
 }
 
 // A gang of a team at its limit must not starve. Without a reservation, each freed part of the
 // limit would go to the team's next small task.
 func TestGangAtLimitIsNotStarved(t *testing.T) {
 	w := newWorld(4)
-	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize.Times(6))}, nil))
+	w.SetTable(w.Table().Update([]team.Row{team.New("a").WithLimit(taskSize.Times(6))}, nil))
 	submit(w, job.Spec{Name: "small"}, 500, 5*time.Second)
 	runUntil(t, w, time.Minute)
 	gang := submit(w, job.Spec{Kind: job.Gang}, 5, time.Minute)
 	runUntil(t, w, time.Minute+15*time.Second)
-	assertEqual(t, "gang tasks running", 5, len(w.On(gang)))
+	assertEqual(t, "gang tasks running", 5, len(w.ServersOf(gang)))
 }
 
 // A job whose deadline passes before any of its tasks is placed must be dropped as not run. A
 // job of which a task has been placed must not be dropped, because it did run.
 func TestDeadlineDropsOnlyJobsThatNeverRan(t *testing.T) {
 	w := newWorld(1)
-	started := submit(w, job.Spec{Name: "started", Deadline: time.Minute}, 6, time.Hour)
+	started := submit(w, job.Spec{Name: "started", PlacementTimeout: time.Minute}, 6, time.Hour)
 	runUntil(t, w, time.Second)
-	expired := submit(w, job.Spec{Name: "late", Deadline: time.Minute}, 2, time.Hour)
+	expired := submit(w, job.Spec{Name: "late", PlacementTimeout: time.Minute}, 2, time.Hour)
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "drops", 1, w.Count(plan.Drop))
-	assertEqual(t, "tasks left of the started and the expired job", []int{6, 0}, []int{w.Left(started), w.Left(expired)})
+	assertEqual(t, "drops", 1, w.DecisionCount(plan.Drop))
+	assertEqual(t, "tasks left of the started and the expired job", []int{6, 0}, []int{w.UnfinishedTasks(started), w.UnfinishedTasks(expired)})
 }
 
 // If the leader's term ends before a placement is committed, the task must wait again. It must
@@ -230,9 +230,9 @@
 	gang := submit(w, job.Spec{Kind: job.Gang, Name: "gang"}, 6, 20*time.Second)
 	batch := submit(w, job.Spec{Team: "b"}, 30, 5*time.Second)
 	runUntil(t, w, 3*time.Second)
-	w.Lose(func(s backend.Server) bool { return s.ID == w.On(gang)[0] }, 20*time.Second, true)
+	w.FailServers(func(s backend.Server) bool { return s.ID == w.ServersOf(gang)[0] }, 20*time.Second, true)
 	runUntil(t, w, 3*time.Second+1100*time.Millisecond)
-	w.Replan(cell.New(cell.Config{}))
+	w.ReplacePlanner(cell.New(cell.Config{}))
 	runUntil(t, w, 5*time.Minute)
-	assertEqual(t, "tasks left of the gang and the batch job", []int{0, 0}, []int{w.Left(gang), w.Left(batch)})
+	assertEqual(t, "tasks left of the gang and the batch job", []int{0, 0}, []int{w.UnfinishedTasks(gang), w.UnfinishedTasks(batch)})
 }
--- a/internal/policy/cell/decide.go
+++ b/internal/policy/cell/decide.go
@@ -106,9 +106,9 @@
 	}
 	demand := clampToLimit(t.allocated.Add(t.waiting).Sub(t.unplaceable), t.row.Limit)
 	return share.Team{
-		Guarantee: float64(t.row.Share) / shareUnit,
+		Guarantee: float64(t.row.GuaranteedShare) / shareUnit,
 		Weight:    float64(max(1, t.row.Weight)),
-		Demand:    min(1, demand.Dominant(p.totalCapacity)),
+		Demand:    min(1, demand.DominantShare(p.totalCapacity)),
 	}
 }
 
@@ -143,7 +143,7 @@
 // usageRatio returns the team's allocated and reserved fraction of the cell, divided by its
 // fair share.
 func (p *Planner) usageRatio(t *teamState) float64 {
-	fraction := t.allocated.Add(t.reserved).Dominant(p.totalCapacity)
+	fraction := t.allocated.Add(t.reserved).DominantShare(p.totalCapacity)
 	if fraction <= 0 {
 		return 0
 	}
@@ -173,7 +173,7 @@
 // served. A gang needs room for only one more task within the team's limit. Otherwise the
 // team's smaller tasks would use up each part of the limit that becomes free.
 func (p *Planner) eligible(u *unit) bool {
-	if !u.jobState.spec.Whole() {
+	if !u.jobState.spec.AllOrNothing() {
 		return u.reservation == nil && p.limitAllows(u)
 	}
 	return u.totalSize().Within(u.jobState.team.row.Limit) && p.withinLimit(u.jobState.team, u.taskSize)
--- a/internal/policy/cell/fault_test.go
+++ b/internal/policy/cell/fault_test.go
@@ -21,11 +21,11 @@
 	w := newWorld(6)
 	gang := submit(w, job.Spec{Kind: job.Gang}, 8, time.Minute)
 	runUntil(t, w, time.Second)
-	lostServer := w.On(gang)[0]
-	w.Lose(func(s backend.Server) bool { return s.ID == lostServer }, time.Hour, true)
+	lostServer := w.ServersOf(gang)[0]
+	w.FailServers(func(s backend.Server) bool { return s.ID == lostServer }, time.Hour, true)
 	runUntil(t, w, 5*time.Second)
-	assertEqual(t, "running gang tasks", 8, len(w.On(gang)))
-	if slices.Contains(w.On(gang), lostServer) {
+	assertEqual(t, "running gang tasks", 8, len(w.ServersOf(gang)))
+	if slices.Contains(w.ServersOf(gang), lostServer) {
 		t.Errorf("a gang task is placed on the lost server %s", lostServer)
 	}
 	assertEqual(t, "attempts of the first and the last task", []uint32{2, 2}, []uint32{w.Attempts(task.ID{Job: gang}), w.Attempts(task.ID{Job: gang, Index: 7})})
@@ -40,7 +40,7 @@
 	runUntil(t, w, time.Minute)
 	gang := submit(w, job.Spec{Team: "a", Kind: job.Gang}, 8, time.Minute)
 	runUntil(t, w, time.Minute+15*time.Second)
-	assertEqual(t, "gang tasks running", 8, len(w.On(gang)))
+	assertEqual(t, "gang tasks running", 8, len(w.ServersOf(gang)))
 }
 
 // A gang that fits into one rack must be placed there, because its tasks communicate with each
@@ -50,7 +50,7 @@
 	gang := submit(w, job.Spec{Kind: job.Gang}, 8, time.Minute)
 	runUntil(t, w, time.Second)
 	racks := map[string]bool{}
-	for _, id := range w.On(gang) {
+	for _, id := range w.ServersOf(gang) {
 		racks[w.Server(id).Rack] = true
 	}
 	assertEqual(t, "racks used", 1, len(racks))
@@ -60,25 +60,25 @@
 // one. When servers drain, the tasks move one at a time and never fall below the floor.
 func TestServiceSpreadsAndDrainsOneTaskAtATime(t *testing.T) {
 	w := newWorld(12)
-	service := submit(w, job.Spec{Kind: job.Service, Floor: 5}, 6, 1000*time.Hour)
+	service := submit(w, job.Spec{Kind: job.Service, MinRunningTasks: 5}, 6, 1000*time.Hour)
 	runUntil(t, w, time.Second)
 	tasksByZone, tasksByRack := map[string]int{}, map[string]int{}
-	for _, id := range w.On(service) {
+	for _, id := range w.ServersOf(service) {
 		tasksByZone[w.Server(id).Zone]++
 		tasksByRack[w.Server(id).Rack]++
 	}
 	assertEqual(t, "tasks by zone", map[string]int{"z0": 2, "z1": 2, "z2": 2}, tasksByZone)
 	assertEqual(t, "racks used", 6, len(tasksByRack))
-	for _, id := range w.On(service)[:3] {
+	for _, id := range w.ServersOf(service)[:3] {
 		w.SetServer(w.Server(id).WithState(backend.Draining, time.Second))
 	}
 	fewestRunning := 6
 	for i := range 100 {
 		runUntil(t, w, time.Second+time.Duration(i)*20*time.Millisecond)
-		fewestRunning = min(fewestRunning, w.Running(service))
+		fewestRunning = min(fewestRunning, w.RunningTasks(service))
 	}
 	assertEqual(t, "fewest running service tasks", 5, fewestRunning)
-	for _, id := range w.On(service) {
+	for _, id := range w.ServersOf(service) {
 		assertEqual(t, "state of "+id, backend.Ready, w.Server(id).State)
 	}
 }
@@ -87,12 +87,12 @@
 // retried. Neither a lowered limit nor a draining server may stop them.
 func TestOnceServiceIsNeverStopped(t *testing.T) {
 	w := newWorld(2)
-	service := submit(w, job.Spec{Kind: job.Service, Once: true}, 4, time.Hour)
+	service := submit(w, job.Spec{Kind: job.Service, AtMostOnce: true}, 4, time.Hour)
 	runUntil(t, w, time.Second)
-	w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize)}, nil))
-	w.SetServer(w.Server(w.On(service)[0]).WithState(backend.Draining, time.Second))
+	w.SetTable(w.Table().Update([]team.Row{team.New("a").WithLimit(taskSize)}, nil))
+	w.SetServer(w.Server(w.ServersOf(service)[0]).WithState(backend.Draining, time.Second))
 	runUntil(t, w, time.Minute)
-	assertEqual(t, "running service tasks", 4, w.Running(service))
+	assertEqual(t, "running service tasks", 4, w.RunningTasks(service))
 }
 
 // After the loss of an availability zone with a third of the cell, urgent and service tasks
@@ -106,11 +106,11 @@
 		submit(w, job.Spec{Kind: job.Urgent}, 1, time.Minute)
 	}
 	runUntil(t, w, 12*time.Second)
-	w.Meter.From = 12 * time.Second
-	w.Lose(func(s backend.Server) bool { return s.Zone == "z0" }, time.Hour, true)
+	w.Metrics.MeasureFrom = 12 * time.Second
+	w.FailServers(func(s backend.Server) bool { return s.Zone == "z0" }, time.Hour, true)
 	runUntil(t, w, 15*time.Second)
-	assertEqual(t, "service tasks running", 6, len(w.On(service)))
-	if wait := max(w.Longest(job.Urgent), w.Longest(job.Service)); wait > 1300*time.Millisecond {
+	assertEqual(t, "service tasks running", 6, len(w.ServersOf(service)))
+	if wait := max(w.MaxWait(job.Urgent), w.MaxWait(job.Service)); wait > 1300*time.Millisecond {
 		t.Errorf("urgent or service task was placed %v after the loss, want at most 1.3 s including 1 s for the lease", wait)
 	}
 }
@@ -127,7 +127,7 @@
 	backlog := submit(w, job.Spec{}, 4000, time.Second)
 	runUntil(t, w, 5*time.Second)
 	tasksByServer := map[string]int{}
-	for _, id := range w.On(backlog) {
+	for _, id := range w.ServersOf(backlog) {
 		tasksByServer[id]++
 	}
 	for _, s := range servers(6) {
@@ -136,10 +136,10 @@
 		}
 	}
 	runUntil(t, w, 10*time.Second)
-	w.Meter.From = 10 * time.Second
+	w.Metrics.MeasureFrom = 10 * time.Second
 	submit(w, job.Spec{Team: "b", Kind: job.Urgent}, 1, time.Second)
 	runUntil(t, w, 11*time.Second)
-	if wait := w.Longest(job.Urgent); wait == 0 || wait > 10*time.Millisecond {
+	if wait := w.MaxWait(job.Urgent); wait == 0 || wait > 10*time.Millisecond {
 		t.Errorf("urgent task waited %v, want more than 0 and at most 10 ms", wait)
 	}
 }
@@ -150,12 +150,12 @@
 	w := newWorld(2)
 	first := submit(w, job.Spec{}, 1, time.Hour)
 	runUntil(t, w, time.Second)
-	suspect := w.On(first)[0]
+	suspect := w.ServersOf(first)[0]
 	w.SetServer(w.Server(suspect).WithState(backend.Suspect, time.Second))
 	second := submit(w, job.Spec{}, 7, time.Hour)
 	runUntil(t, w, 10*time.Second)
-	assertEqual(t, "tasks on the other server", 4, len(w.On(second)))
-	assertEqual(t, "tasks on the suspect server", 1, len(w.On(first)))
+	assertEqual(t, "tasks on the other server", 4, len(w.ServersOf(second)))
+	assertEqual(t, "tasks on the suspect server", 1, len(w.ServersOf(first)))
 }
 
 // A task that uses twice its declared memory must be stopped when its server is overcommitted,
@@ -168,25 +168,25 @@
 	runUntil(t, w, 12*time.Second)
 	others := submit(w, job.Spec{Team: "b"}, 3, time.Hour)
 	runUntil(t, w, 13*time.Second)
-	assertEqual(t, "other tasks on the server", 2, len(w.On(others)))
+	assertEqual(t, "other tasks on the server", 2, len(w.ServersOf(others)))
 	runUntil(t, w, 5*time.Minute)
-	assertEqual(t, "tasks left of the overuser", 0, w.Left(overuser))
-	assertEqual(t, "stop and park decisions", []int{3, 1}, []int{w.Count(plan.Stop), w.Count(plan.Park)})
+	assertEqual(t, "tasks left of the overuser", 0, w.UnfinishedTasks(overuser))
+	assertEqual(t, "stop and park decisions", []int{3, 1}, []int{w.DecisionCount(plan.Stop), w.DecisionCount(plan.Park)})
 }
 
 // A task that may run only once and exceeds its declared memory must be throttled once and not
 // stopped, because the ledger refuses to stop it. Its server gets no tasks until it has ended.
 func TestOveruseOfOnceTaskIsOnlyThrottled(t *testing.T) {
 	w := newWorld(1)
-	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize, Once: true}
+	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize, AtMostOnce: true}
 	overuser := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 1000, Memory: 4096, Slots: 1}, false)
 	runUntil(t, w, 12*time.Second)
 	others := submit(w, job.Spec{Team: "b"}, 3, time.Hour)
 	runUntil(t, w, 50*time.Second)
-	assertEqual(t, "running tasks of the overuser, other tasks on the server", []int{1, 0}, []int{w.Running(overuser), len(w.On(others))})
+	assertEqual(t, "running tasks of the overuser, other tasks on the server", []int{1, 0}, []int{w.RunningTasks(overuser), len(w.ServersOf(others))})
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "tasks left of the overuser, other tasks placed afterwards", []int{0, 3}, []int{w.Left(overuser), len(w.On(others))})
-	assertEqual(t, "throttle and stop decisions", []int{1, 0}, []int{w.Count(plan.Throttle), w.Count(plan.Stop)})
+	assertEqual(t, "tasks left of the overuser, other tasks placed afterwards", []int{0, 3}, []int{w.UnfinishedTasks(overuser), len(w.ServersOf(others))})
+	assertEqual(t, "throttle and stop decisions", []int{1, 0}, []int{w.DecisionCount(plan.Throttle), w.DecisionCount(plan.Stop)})
 }
 
 // A task that uses more CPU than declared must be throttled and then run to its end, because
@@ -196,8 +196,8 @@
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Count: 1, Size: taskSize}
 	overuser := w.Submit(spec, []time.Duration{time.Minute}, capacity.Size{CPU: 2500, Memory: 1024, Slots: 1}, false)
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "tasks left of the overuser", 0, w.Left(overuser))
-	assertEqual(t, "throttle and stop decisions", []int{1, 0}, []int{w.Count(plan.Throttle), w.Count(plan.Stop)})
+	assertEqual(t, "tasks left of the overuser", 0, w.UnfinishedTasks(overuser))
+	assertEqual(t, "throttle and stop decisions", []int{1, 0}, []int{w.DecisionCount(plan.Throttle), w.DecisionCount(plan.Stop)})
 }
 
 // A server that fails every task immediately always has free capacity and attracts more tasks. It
@@ -207,14 +207,14 @@
 	w := newWorld(12)
 	goodJob := submit(w, job.Spec{Name: "good"}, 300, 5*time.Second)
 	runUntil(t, w, 10*time.Second)
-	w.Fail("s03", true)
+	w.SetFailing("s03", true)
 	runUntil(t, w, 30*time.Second)
 	assertEqual(t, "state of the failing server", backend.Quarantined, w.Server("s03").State)
-	w.Fail("s03", false)
+	w.SetFailing("s03", false)
 	submit(w, job.Spec{Name: "good"}, 300, 5*time.Second)
 	runUntil(t, w, 2*time.Minute)
 	assertEqual(t, "state of the repaired server", backend.Ready, w.Server("s03").State)
-	assertEqual(t, "tasks left of the job, park decisions", []int{0, 0}, []int{w.Left(goodJob), w.Count(plan.Park)})
+	assertEqual(t, "tasks left of the job, park decisions", []int{0, 0}, []int{w.UnfinishedTasks(goodJob), w.DecisionCount(plan.Park)})
 }
 
 // A job whose hundred tasks crash on every server must be parked after a few failures and must
@@ -226,8 +226,8 @@
 	spec := &job.Spec{Team: "a", Kind: job.Batch, Name: "bad", Count: 100, Size: taskSize}
 	crashingJob := w.Submit(spec, make([]time.Duration, 100), taskSize, true)
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "quarantine and park decisions", []int{0, 1}, []int{w.Count(plan.Quarantine), w.Count(plan.Park)})
-	assertEqual(t, "tasks left of the crashing job", 0, w.Left(crashingJob))
+	assertEqual(t, "quarantine and park decisions", []int{0, 1}, []int{w.DecisionCount(plan.Quarantine), w.DecisionCount(plan.Park)})
+	assertEqual(t, "tasks left of the crashing job", 0, w.UnfinishedTasks(crashingJob))
 }
 
 // A healthy job that fails on four faulty servers, each before its quarantine, must not be
@@ -328,13 +328,13 @@
 	}
 	runUntil(t, w, 10*time.Second)
 	for _, s := range servers(20) {
-		w.Fail(s.ID, true)
+		w.SetFailing(s.ID, true)
 	}
 	for i := range 20 {
 		submit(w, job.Spec{Name: string(rune('a' + i))}, 4, time.Second)
 	}
 	runUntil(t, w, 2*time.Minute)
-	assertEqual(t, "quarantine decisions", 2, w.Count(plan.Quarantine))
+	assertEqual(t, "quarantine decisions", 2, w.DecisionCount(plan.Quarantine))
 }
 
 // A task larger than any server must wait without blocking other tasks or causing preemptions,
@@ -344,25 +344,25 @@
 	unplaceable := submit(w, job.Spec{Team: "a", Size: taskSize.Times(6)}, 50, time.Minute)
 	others := submit(w, job.Spec{Team: "b"}, 8, time.Hour)
 	runUntil(t, w, time.Minute)
-	assertEqual(t, "placed tasks of the other job", 8, len(w.On(others)))
-	assertEqual(t, "preemptions", 0, w.Count(plan.Preempt))
+	assertEqual(t, "placed tasks of the other job", 8, len(w.ServersOf(others)))
+	assertEqual(t, "preemptions", 0, w.DecisionCount(plan.Preempt))
 	largeServer := servers(1)[0]
 	largeServer.ID, largeServer.Capacity = "large", taskSize.Times(8)
 	w.SetServer(largeServer)
 	runUntil(t, w, time.Minute+time.Second)
-	assertEqual(t, "placed on the large server", []string{"large"}, w.On(unplaceable))
+	assertEqual(t, "placed on the large server", []string{"large"}, w.ServersOf(unplaceable))
 }
 
 // Tasks whose real run time is more than ten times the declared one must be ordered behind
 // tasks that are really short, because the planner uses the run times learned for their name.
 func TestLearnedRuntimeOrdersQueue(t *testing.T) {
 	w := newWorld(1)
-	submit(w, job.Spec{Name: "liar", Runtime: time.Second}, 8, 30*time.Second)
+	submit(w, job.Spec{Name: "liar", EstimatedRuntime: time.Second}, 8, 30*time.Second)
 	runUntil(t, w, 2*time.Minute)
-	blocker := submit(w, job.Spec{Name: "blocker", Runtime: time.Second}, 4, 10*time.Second)
+	blocker := submit(w, job.Spec{Name: "blocker", EstimatedRuntime: time.Second}, 4, 10*time.Second)
 	runUntil(t, w, 2*time.Minute+time.Second)
-	underdeclared := submit(w, job.Spec{Name: "liar", Runtime: time.Second}, 4, 30*time.Second)
-	short := submit(w, job.Spec{Name: "short", Runtime: 5 * time.Second}, 4, 5*time.Second)
+	underdeclared := submit(w, job.Spec{Name: "liar", EstimatedRuntime: time.Second}, 4, 30*time.Second)
+	short := submit(w, job.Spec{Name: "short", EstimatedRuntime: 5 * time.Second}, 4, 5*time.Second)
 	runUntil(t, w, 2*time.Minute+12*time.Second)
-	assertEqual(t, "blocker, liar, short running", []int{0, 0, 4}, []int{len(w.On(blocker)), len(w.On(underdeclared)), len(w.On(short))})
+	assertEqual(t, "blocker, liar, short running", []int{0, 0, 4}, []int{len(w.ServersOf(blocker)), len(w.ServersOf(underdeclared)), len(w.ServersOf(short))})
 }
--- a/internal/policy/cell/gang.go
+++ b/internal/policy/cell/gang.go
@@ -67,7 +67,7 @@
 func sortByAvailable(servers []*server) []*server {
 	sorted := slices.Clone(servers)
 	slices.SortStableFunc(sorted, func(a, b *server) int {
-		return cmp.Compare(a.available().Dominant(a.Capacity), b.available().Dominant(b.Capacity))
+		return cmp.Compare(a.available().DominantShare(a.Capacity), b.available().DominantShare(b.Capacity))
 	})
 	return sorted
 }
@@ -114,7 +114,7 @@
 	}
 	zones := slices.Clone(p.zones)
 	slices.SortStableFunc(zones, func(a, b *zone) int {
-		return cmp.Compare(b.free.Dominant(p.totalCapacity), a.free.Dominant(p.totalCapacity))
+		return cmp.Compare(b.free.DominantShare(p.totalCapacity), a.free.DominantShare(p.totalCapacity))
 	})
 	for _, z := range zones {
 		if !u.totalSize().Fits(z.free) {
@@ -202,7 +202,7 @@
 func (p *Planner) zoneWithMostFree() *zone {
 	var best *zone
 	for _, z := range p.zones {
-		if best == nil || z.free.Dominant(p.totalCapacity) > best.free.Dominant(p.totalCapacity) {
+		if best == nil || z.free.DominantShare(p.totalCapacity) > best.free.DominantShare(p.totalCapacity) {
 			best = z
 		}
 	}
@@ -249,7 +249,7 @@
 // startFirstGangReservation starts the reservation of the team's first eligible gang.
 func (p *Planner) startFirstGangReservation(t *teamState) {
 	for _, u := range t.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, nil) {
-		if !u.jobState.spec.Whole() || !p.eligible(u) {
+		if !u.jobState.spec.AllOrNothing() || !p.eligible(u) {
 			continue
 		}
 		if p.now >= u.queuedAt+p.cfg.GangPreemptDelay && p.mayReserveForGang(u) {
@@ -282,7 +282,7 @@
 // preemptInPart preempts tasks that still use the reserved capacity of the part. Tasks of
 // other gangs are not preempted.
 func (p *Planner) preemptInPart(part reservedPart) {
-	victims, _, _ := p.chooseVictims(part.server, part.size, part.server.uncommitted(), func(pt *placedTask) bool { return !pt.Job.Whole() })
+	victims, _, _ := p.chooseVictims(part.server, part.size, part.server.uncommitted(), func(pt *placedTask) bool { return !pt.Job.AllOrNothing() })
 	for _, pt := range victims {
 		p.preempt(pt, "capacity needed for a gang")
 	}
@@ -296,8 +296,10 @@
 	filter := p.aboveShareFilter(p.cfg.ShareSlack / 2)
 	if allowOwn {
 		aboveShare, t := filter, u.jobState.team
-		belowShare := p.withinLimit(t, u.taskSize) && t.allocated.Add(t.reserved).Sub(u.reservedSize()).Sub(t.stopping).Dominant(p.totalCapacity) <= t.fairShare+p.cfg.ShareSlack
-		filter = func(pt *placedTask) bool { return pt.team == t && !pt.Job.Whole() || belowShare && aboveShare(pt) }
+		belowShare := p.withinLimit(t, u.taskSize) && t.allocated.Add(t.reserved).Sub(u.reservedSize()).Sub(t.stopping).DominantShare(p.totalCapacity) <= t.fairShare+p.cfg.ShareSlack
+		filter = func(pt *placedTask) bool {
+			return pt.team == t && !pt.Job.AllOrNothing() || belowShare && aboveShare(pt)
+		}
 	}
 	srv, victims := p.findVictimsNear(u.reservedZone(), u, allowOwn, filter)
 	if srv == nil {
@@ -320,7 +322,7 @@
 		}
 		return
 	}
-	if (end.Failed || end.ServerLost || pt.Stopping) && !pt.Job.Once {
+	if (end.Failed || end.ServerLost || pt.Stopping) && !pt.Job.AtMostOnce {
 		p.brokenGangs = append(p.brokenGangs, js)
 	}
 }
--- a/internal/policy/cell/rapid_test.go
+++ b/internal/policy/cell/rapid_test.go
@@ -27,17 +27,17 @@
 			jobs = append(jobs, drawStep(t, w)...)
 			w.Run(w.Now() + time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms"))*time.Millisecond)
 		}
-		w.SetTable(w.Table().With([]team.Row{team.New("a"), team.New("b")}, nil))
+		w.SetTable(w.Table().Update([]team.Row{team.New("a"), team.New("b")}, nil))
 		for _, s := range servers(6) {
-			w.Fail(s.ID, false)
+			w.SetFailing(s.ID, false)
 			w.SetServer(w.Server(s.ID).WithState(backend.Ready, w.Now()))
 		}
 		w.Run(w.Now() + 20*time.Minute)
-		if diff := cmp.Diff([]string(nil), w.Check.Broken); diff != "" {
+		if diff := cmp.Diff([]string(nil), w.Checker.Violations); diff != "" {
 			t.Fatal(diff)
 		}
 		for _, id := range jobs {
-			if n := w.Left(id); n > 0 {
+			if n := w.UnfinishedTasks(id); n > 0 {
 				t.Fatalf("job %d has %d tasks left", id, n)
 			}
 		}
@@ -49,15 +49,15 @@
 	server := rapid.SampledFrom(servers(6)).Draw(t, "server").ID
 	switch rapid.IntRange(0, 9).Draw(t, "what") {
 	case 0:
-		w.Lose(func(s backend.Server) bool { return s.ID == server && s.State == backend.Ready }, 20*time.Second, true)
+		w.FailServers(func(s backend.Server) bool { return s.ID == server && s.State == backend.Ready }, 20*time.Second, true)
 	case 1:
-		w.SetTable(w.Table().With([]team.Row{team.New("a").WithLimit(taskSize.Times(rapid.Int64Range(8, 24).Draw(t, "limit")))}, nil))
+		w.SetTable(w.Table().Update([]team.Row{team.New("a").WithLimit(taskSize.Times(rapid.Int64Range(8, 24).Draw(t, "limit")))}, nil))
 	case 2:
-		w.Fail(server, rapid.Bool().Draw(t, "fails"))
+		w.SetFailing(server, rapid.Bool().Draw(t, "fails"))
 	case 3:
-		w.Replan(cell.New(cell.Config{Seed: 2}))
+		w.ReplacePlanner(cell.New(cell.Config{Seed: 2}))
 	case 4:
-		w.SetTable(w.Table().With([]team.Row{team.New("b").WithShare(rapid.Uint32Range(0, 1000).Draw(t, "share")).WithWeight(2)}, nil))
+		w.SetTable(w.Table().Update([]team.Row{team.New("b").WithGuaranteedShare(rapid.Uint32Range(0, 1000).Draw(t, "share")).WithWeight(2)}, nil))
 	default:
 		return []uint64{drawJob(t, w)}
 	}
@@ -67,11 +67,11 @@
 // drawJob submits a random job that fits the smallest limit that drawStep sets.
 func drawJob(t *rapid.T, w *bench.World) uint64 {
 	spec := job.Spec{
-		Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"),
-		Kind: rapid.SampledFrom([]job.Kind{job.Urgent, job.Batch, job.Gang, job.Service}).Draw(t, "kind"),
-		Name: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "name"),
-		Once: rapid.Bool().Draw(t, "once"),
-		Size: capacity.Size{CPU: rapid.Int64Range(100, 1000).Draw(t, "cpu"), Memory: rapid.Int64Range(100, 1024).Draw(t, "memory"), Slots: 1},
+		Team:       rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"),
+		Kind:       rapid.SampledFrom([]job.Kind{job.Urgent, job.Batch, job.Gang, job.Service}).Draw(t, "kind"),
+		Name:       rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "name"),
+		AtMostOnce: rapid.Bool().Draw(t, "once"),
+		Size:       capacity.Size{CPU: rapid.Int64Range(100, 1000).Draw(t, "cpu"), Memory: rapid.Int64Range(100, 1024).Draw(t, "memory"), Slots: 1},
 	}
 	return submit(w, spec, rapid.IntRange(1, 8).Draw(t, "count"), time.Duration(rapid.IntRange(100, 60_000).Draw(t, "runtime"))*time.Millisecond)
 }
--- a/internal/policy/cell/reclaim.go
+++ b/internal/policy/cell/reclaim.go
@@ -39,7 +39,7 @@
 // shareDeficit returns the fraction of the cell by which the team is below its target share.
 // Reserved capacity counts as allocated, capacity of stopping tasks does not.
 func (p *Planner) shareDeficit(t *teamState) float64 {
-	return t.targetShare - t.allocated.Add(t.reserved).Sub(t.stopping).Dominant(p.totalCapacity)
+	return t.targetShare - t.allocated.Add(t.reserved).Sub(t.stopping).DominantShare(p.totalCapacity)
 }
 
 // reclaimForTeam preempts for the team until its deficit is within ShareSlack or the
@@ -54,7 +54,7 @@
 		if !p.eligible(u) {
 			continue
 		}
-		if u.jobState.spec.Whole() {
+		if u.jobState.spec.AllOrNothing() {
 			for remaining > 0 && p.shareDeficit(t) > p.cfg.ShareSlack && p.mayReserveForGang(u) && !p.atDecisionLimit() {
 				remaining--
 				if !p.reserveByPreemption(u, false) {
--- a/internal/policy/cell/reservation.go
+++ b/internal/policy/cell/reservation.go
@@ -46,7 +46,7 @@
 	if u.reservation == nil {
 		u.reservation = &reservation{unit: u, createdAt: p.now}
 		p.reservations = append(p.reservations, u.reservation)
-		if u.jobState.spec.Whole() {
+		if u.jobState.spec.AllOrNothing() {
 			p.gangReservationCount++
 			u.jobState.team.reservingGang = u
 		}
@@ -95,7 +95,7 @@
 	for _, part := range r.parts {
 		p.releasePart(u, part)
 	}
-	if u.jobState.spec.Whole() {
+	if u.jobState.spec.AllOrNothing() {
 		p.gangReservationCount--
 		u.jobState.team.reservingGang = nil
 	}
@@ -134,7 +134,7 @@
 		return
 	}
 	switch {
-	case u.jobState.spec.Whole():
+	case u.jobState.spec.AllOrNothing():
 		p.preemptForReservation(r)
 	case p.now-r.createdAt > reservationTimeout:
 		p.dropReservation(u)
@@ -173,14 +173,14 @@
 func (p *Planner) aboveShareFilter(slack float64) victimFilter {
 	return func(pt *placedTask) bool {
 		size := pt.countedSize
-		if pt.Job.Whole() {
+		if pt.Job.AllOrNothing() {
 			if p.now < pt.PlacedAt+minGangRuntime {
 				return false
 			}
 			size = size.Times(int64(len(pt.jobState.placed)))
 		}
 		remaining := pt.team.allocated.Sub(pt.team.stopping).Sub(size)
-		return remaining.Dominant(p.totalCapacity) >= pt.team.fairShare-slack
+		return remaining.DominantShare(p.totalCapacity) >= pt.team.fairShare-slack
 	}
 }
 
@@ -265,8 +265,8 @@
 // lostWork returns the work lost by stopping the task, or its whole gang. Earlier attempts
 // of the task increase the result, so that the same young task is not preempted repeatedly.
 func (p *Planner) lostWork(pt *placedTask) float64 {
-	taskWork := preempt.LostWork(pt.countedSize.Dominant(p.totalCapacity), pt.PlacedAt, p.now)
-	if !pt.Job.Whole() {
+	taskWork := preempt.LostWork(pt.countedSize.DominantShare(p.totalCapacity), pt.PlacedAt, p.now)
+	if !pt.Job.AllOrNothing() {
 		return taskWork * float64(1+pt.priorAttempts)
 	}
 	return taskWork * float64(len(pt.jobState.placed)) * float64(1+pt.priorAttempts)
@@ -274,7 +274,7 @@
 
 // preempt stops the task, or all tasks of its gang if it belongs to one.
 func (p *Planner) preempt(pt *placedTask, reason string) {
-	if !pt.Job.Whole() {
+	if !pt.Job.AllOrNothing() {
 		p.preemptTask(pt, reason)
 		return
 	}
--- a/internal/policy/cell/service.go
+++ b/internal/policy/cell/service.go
@@ -106,7 +106,7 @@
 // below its floor. A floor equal to the number of tasks is reduced by one, because otherwise
 // the service could not move off a draining server.
 func (js *jobState) mayStopOne() bool {
-	floor := min(int(js.spec.Floor), int(js.spec.Count)-1)
+	floor := min(int(js.spec.MinRunningTasks), int(js.spec.Count)-1)
 	return js.runningCount()-1 >= floor
 }
 
@@ -114,7 +114,7 @@
 // that may run only once stay until they end.
 func (p *Planner) listServicesToMove(s *server) {
 	for _, pt := range s.tasks {
-		if pt.Job.Kind == job.Service && !pt.Job.Once {
+		if pt.Job.Kind == job.Service && !pt.Job.AtMostOnce {
 			p.servicesToMove = append(p.servicesToMove, pt)
 		}
 	}
--- a/internal/policy/cell/state.go
+++ b/internal/policy/cell/state.go
@@ -308,7 +308,7 @@
 	if pt.preemptible() {
 		pt.team.preemptibleTasks.Add(pt)
 	}
-	if pt.Job.Kind == job.Service && !pt.Stopping && !pt.Job.Once {
+	if pt.Job.Kind == job.Service && !pt.Stopping && !pt.Job.AtMostOnce {
 		pt.team.serviceTasks.Add(pt)
 	}
 }
@@ -322,7 +322,7 @@
 // preemptible reports whether the task may be preempted for other work. Only batch and gang
 // tasks are, and only if they may run more than once.
 func (pt *placedTask) preemptible() bool {
-	return !pt.Job.Once && !pt.Stopping && (pt.Job.Kind == job.Batch || pt.Job.Kind == job.Gang)
+	return !pt.Job.AtMostOnce && !pt.Stopping && (pt.Job.Kind == job.Batch || pt.Job.Kind == job.Gang)
 }
 
 // removeTask removes a placed task from its server, job and team.
--- a/internal/policy/cell/urgent.go
+++ b/internal/policy/cell/urgent.go
@@ -115,7 +115,7 @@
 		return
 	}
 	t := u.jobState.team
-	withinShare := t.allocated.Sub(t.stopping).Dominant(p.totalCapacity) <= t.fairShare+p.cfg.ShareSlack
+	withinShare := t.allocated.Sub(t.stopping).DominantShare(p.totalCapacity) <= t.fairShare+p.cfg.ShareSlack
 	filter := func(pt *placedTask) bool {
 		return pt.team == t || withinShare && p.aboveShareFilter(2*p.cfg.ShareSlack)(pt)
 	}
--- a/internal/policy/cell/waiting.go
+++ b/internal/policy/cell/waiting.go
@@ -90,7 +90,9 @@
 	return a.sequence < b.sequence
 }
 
-func (u *unit) deadline() time.Duration { return u.tasks[0].AcceptedAt + u.jobState.spec.Deadline }
+func (u *unit) deadline() time.Duration {
+	return u.tasks[0].AcceptedAt + u.jobState.spec.PlacementTimeout
+}
 
 // byDeadline orders units by their deadline.
 func byDeadline(a, b *unit) bool {
@@ -154,7 +156,7 @@
 	if u == nil {
 		p.lastSequence++
 		u = &unit{id: waiting.ID, jobState: js, sequence: p.lastSequence, taskSize: js.spec.Size}
-		if js.spec.Whole() {
+		if js.spec.AllOrNothing() {
 			u.id.Index = gangIndex
 			js.gangUnit = u
 		}
@@ -188,7 +190,7 @@
 		} else {
 			u.jobState.team.waitingSizes.remove(u.taskSize)
 		}
-		if u.jobState.spec.Whole() {
+		if u.jobState.spec.AllOrNothing() {
 			u.jobState.team.waitingGangCount--
 		}
 	case inUnplaceableUnits:
@@ -279,7 +281,7 @@
 	if u.jobState.givenUp {
 		return
 	}
-	if u.jobState.spec.Whole() && len(u.jobState.placed) > 0 {
+	if u.jobState.spec.AllOrNothing() && len(u.jobState.placed) > 0 {
 		return
 	}
 	if u.readyAt > p.now {
@@ -289,7 +291,7 @@
 	}
 	// Unplaceable units are included, so that a job that waits for a larger server is
 	// dropped at its deadline like any other.
-	if u.jobState.spec.Deadline > 0 && !u.jobState.everPlaced {
+	if u.jobState.spec.PlacementTimeout > 0 && !u.jobState.everPlaced {
 		p.unitsByDeadline.Add(u)
 	}
 	if !p.fitsAnyServer(u.jobState.spec.Size) {
@@ -319,7 +321,7 @@
 	if u.jobState.spec.Kind == job.Service && u.jobState.everPlaced {
 		p.displacedServices = append(p.displacedServices, u)
 	}
-	if u.jobState.spec.Whole() {
+	if u.jobState.spec.AllOrNothing() {
 		t.waitingGangCount++
 	}
 	t.blockedRevision = 0
--- a/internal/policy/cell/watch.go
+++ b/internal/policy/cell/watch.go
@@ -65,10 +65,10 @@
 func (p *Planner) enforceTaskUsage(pt *placedTask) bool {
 	serverOvercommitted := !pt.server.uncommitted().Valid()
 	stopAtOnce := serverOvercommitted && exceedsUnthrottleable(pt.countedSize, pt.Job.Size)
-	if pt.Job.Once && pt.throttledAt > 0 {
+	if pt.Job.AtMostOnce && pt.throttledAt > 0 {
 		return true
 	}
-	if pt.throttledAt == 0 && (!stopAtOnce || pt.Job.Once) {
+	if pt.throttledAt == 0 && (!stopAtOnce || pt.Job.AtMostOnce) {
 		pt.throttledAt = max(p.now, 1)
 		p.emit(plan.Decision{Action: plan.Throttle, Task: pt.ID, Reason: "usage above the declared size"})
 		return false
@@ -230,7 +230,7 @@
 	p.teamsByNeed.Each(func(t *teamState) bool {
 		for _, u := range t.queues[job.Batch].AppendFirst(p.cfg.ScanDepth, nil) {
 			spec := u.jobState.spec
-			if !spec.Once && !spec.Whole() && u.reservation == nil && u.jobState.failureBudget.Failures() == 0 && spec.Size.Fits(s.available()) && p.withinLimit(t, spec.Size) {
+			if !spec.AtMostOnce && !spec.AllOrNothing() && u.reservation == nil && u.jobState.failureBudget.Failures() == 0 && spec.Size.Fits(s.available()) && p.withinLimit(t, spec.Size) {
 				found = u
 				return false
 			}
--- a/internal/policy/fifo/fifo.go
+++ b/internal/policy/fifo/fifo.go
@@ -104,7 +104,7 @@
 	takenByTeam := map[string]capacity.Size{}
 	for start := 0; start < len(p.waiting) && len(decisions) < limit; {
 		end := start + 1
-		for end < len(p.waiting) && p.waiting[start].Job.Whole() && p.waiting[end].ID.Job == p.waiting[start].ID.Job {
+		for end < len(p.waiting) && p.waiting[start].Job.AllOrNothing() && p.waiting[end].ID.Job == p.waiting[start].ID.Job {
 			end++
 		}
 		if d, ok := p.decideUnit(now, p.waiting[start:end], takenByServer, takenByTeam); ok {
@@ -119,10 +119,10 @@
 // waiting tasks of a gang.
 func (p *Planner) decideUnit(now time.Duration, unit []plan.WaitingTask, takenByServer, takenByTeam map[string]capacity.Size) (plan.Decision, bool) {
 	spec := unit[0].Job
-	if spec.Deadline > 0 && unit[0].Attempts == 0 && now > unit[0].AcceptedAt+spec.Deadline {
+	if spec.PlacementTimeout > 0 && unit[0].Attempts == 0 && now > unit[0].AcceptedAt+spec.PlacementTimeout {
 		return plan.Decision{Action: plan.Drop, Job: unit[0].ID.Job, Reason: "deadline passed"}, true
 	}
-	if unit[0].ReadyAt > now || (spec.Whole() && len(unit) != int(spec.Count)) {
+	if unit[0].ReadyAt > now || (spec.AllOrNothing() && len(unit) != int(spec.Count)) {
 		return plan.Decision{}, false
 	}
 	total := spec.Size.Times(int64(len(unit)))
--- a/internal/policy/fit/fit.go
+++ b/internal/policy/fit/fit.go
@@ -209,7 +209,7 @@
 
 // score returns the largest fraction of maxSize that stays free in any field.
 func (x *Index[T]) score(need, free capacity.Size) float64 {
-	score := free.Sub(need).Dominant(x.maxSize)
+	score := free.Sub(need).DominantShare(x.maxSize)
 	if need.Accel == 0 && free.Accel > 0 {
 		score += accelWastePenalty
 	}
--- a/internal/policy/fit/fit_test.go
+++ b/internal/policy/fit/fit_test.go
@@ -24,7 +24,7 @@
 
 // remainder returns the score that a search minimizes, computed from the exact free capacity.
 func remainder(need, free capacity.Size) float64 {
-	score := free.Sub(need).Dominant(maxSize)
+	score := free.Sub(need).DominantShare(maxSize)
 	if need.Accel == 0 && free.Accel > 0 {
 		score++
 	}
--- a/internal/policy/health/estimate.go
+++ b/internal/policy/health/estimate.go
@@ -59,8 +59,8 @@
 
 // declaredRuntime returns the declared run time of a job, or the default.
 func declaredRuntime(spec *job.Spec) time.Duration {
-	if spec.Runtime > 0 {
-		return spec.Runtime
+	if spec.EstimatedRuntime > 0 {
+		return spec.EstimatedRuntime
 	}
 	return DefaultRuntime
 }
--- a/internal/policy/health/health_test.go
+++ b/internal/policy/health/health_test.go
@@ -13,7 +13,7 @@
 
 func TestEstimatesConvergeFromWrongDeclarations(t *testing.T) {
 	e := health.NewEstimates()
-	spec := &job.Spec{Team: "a", Name: "n", Runtime: time.Second}
+	spec := &job.Spec{Team: "a", Name: "n", EstimatedRuntime: time.Second}
 	before := e.ExpectedRuntime(spec)
 	for range 20 {
 		e.Observe(spec, 10*time.Second)
--- a/internal/policy/pace/pace.go
+++ b/internal/policy/pace/pace.go
@@ -19,8 +19,8 @@
 	minPace = 5
 )
 
-// ServiceTask is a service task as reported by its server.
-type ServiceTask struct {
+// ServingTask is a service task as reported by its server.
+type ServingTask struct {
 	// TailLatency and TargetLatency are in milliseconds.
 	TailLatency   float64
 	TargetLatency float64
@@ -28,7 +28,7 @@
 
 // Next returns the new pace of the batch tasks on a server, in percent, from their present
 // pace. The service task with the highest ratio of tail latency to target decides.
-func Next(percent int, services []ServiceTask) int {
+func Next(percent int, services []ServingTask) int {
 	worstRatio := 0.0
 	for _, s := range services {
 		if s.TargetLatency > 0 {
--- a/internal/policy/pace/pace_test.go
+++ b/internal/policy/pace/pace_test.go
@@ -19,7 +19,7 @@
 				t.Errorf("target missed in update %d with a pace of %d", round, percent)
 			}
 		}
-		percent = pace.Next(percent, []pace.ServiceTask{{TailLatency: latencyAt(percent), TargetLatency: 100}})
+		percent = pace.Next(percent, []pace.ServingTask{{TailLatency: latencyAt(percent), TargetLatency: 100}})
 	}
 	if missed > 4 || percent < 5 {
 		t.Errorf("target missed %d times, the final pace is %d", missed, percent)
@@ -32,12 +32,12 @@
 	}
 	percent := pace.Full
 	for range 5 {
-		percent = pace.Next(percent, []pace.ServiceTask{{TailLatency: 500, TargetLatency: 100}})
+		percent = pace.Next(percent, []pace.ServingTask{{TailLatency: 500, TargetLatency: 100}})
 	}
 	if percent != 0 {
 		t.Error(percent)
 	}
-	if got := pace.Next(0, []pace.ServiceTask{{TailLatency: 1, TargetLatency: 100}}); got == 0 {
+	if got := pace.Next(0, []pace.ServingTask{{TailLatency: 1, TargetLatency: 100}}); got == 0 {
 		t.Error("a stopped task is not resumed although the target is met")
 	}
 }
--- a/internal/policy/simulator/plan.go
+++ b/internal/policy/simulator/plan.go
@@ -107,7 +107,7 @@
 	var out []steps.Release
 	for _, r := range m.servers[id].runs {
 		runtime := time.Duration(float64(r.step.Spec.GetRuntime()) * m.runtimeRatio * float64(time.Millisecond))
-		out = append(out, steps.Release{After: max(r.startedAt+runtime-m.now, 0), Size: flow.SizeOf(r.step.Spec)})
+		out = append(out, steps.Release{After: max(r.startedAt+runtime-m.now, 0), Size: flow.TaskSize(r.step.Spec)})
 	}
 	slices.SortFunc(out, func(a, b steps.Release) int {
 		return cmp.Or(cmp.Compare(a.After, b.After), cmp.Compare(a.Size.CPU, b.Size.CPU))
@@ -127,7 +127,7 @@
 		return
 	}
 	for _, assignment := range start.GetPlaces() {
-		s, id := m.servers[assignment.GetServer()], flow.RunOf(assignment.GetRun())
+		s, id := m.servers[assignment.GetServer()], flow.RunIDFromMessage(assignment.GetRun())
 		m.scheduleAfter(commitTime+callTime, func() { m.startRun(s, id, p.Item.Step) })
 	}
 }
--- a/internal/policy/simulator/result.go
+++ b/internal/policy/simulator/result.go
@@ -18,17 +18,17 @@
 )
 
 // Share is the value earned out of the value that was possible.
-type Share struct{ Earned, Owed float64 }
+type Share struct{ Earned, Possible float64 }
 
 // Value returns the earned part of the possible value. It is 1 if no value was possible.
 func (s Share) Value() float64 {
-	if s.Owed == 0 {
+	if s.Possible == 0 {
 		return 1
 	}
-	return s.Earned / s.Owed
+	return s.Earned / s.Possible
 }
 
-func (s *Share) add(earned, owed float64) { s.Earned += earned; s.Owed += owed }
+func (s *Share) add(earned, owed float64) { s.Earned += earned; s.Possible += owed }
 
 // Result is the outcome of a simulation for the callers.
 type Result struct {
@@ -128,7 +128,7 @@
 func meanOfWorst(shares []Share, n int) float64 {
 	var values []float64
 	for _, s := range shares {
-		if s.Owed > 0 {
+		if s.Possible > 0 {
 			values = append(values, s.Value())
 		}
 	}
--- a/internal/policy/steps/ask.go
+++ b/internal/policy/steps/ask.go
@@ -65,7 +65,7 @@
 // availableAfter returns the time after which a server should have room for a task of the item.
 // It returns false if a permit requested now expires earlier.
 func (p *planner) availableAfter(it Item, r *serverState) (time.Duration, bool) {
-	size, free := flow.SizeOf(it.Spec), r.free.Sub(r.reserved)
+	size, free := flow.TaskSize(it.Spec), r.free.Sub(r.reserved)
 	for _, release := range p.releases(r) {
 		if release.After > questionLeadTime+permitValidity {
 			return 0, false
@@ -87,7 +87,7 @@
 		return false
 	}
 	p.knownServersFor(it)
-	size := flow.SizeOf(it.Spec)
+	size := flow.TaskSize(it.Spec)
 	allowedShare := 1.0
 	if p.view.AllowedShare != nil {
 		allowedShare = p.view.AllowedShare(it)
--- a/internal/policy/steps/candidate.go
+++ b/internal/policy/steps/candidate.go
@@ -45,7 +45,7 @@
 	if it.Urgent != r.ShortLease {
 		points += leasePenalty
 	}
-	if r.Cold {
+	if r.InSlowStart {
 		points += coldPenalty
 	}
 	if it.FailedOn[r.ID] {
@@ -58,7 +58,7 @@
 // the penalty, servers with less free CPU come first, so that large gaps stay free for large
 // tasks.
 func (p *planner) candidates(it Item) (out []candidate) {
-	size := flow.SizeOf(it.Spec)
+	size := flow.TaskSize(it.Spec)
 	if p.poolFull(it) {
 		return nil
 	}
--- a/internal/policy/steps/gang.go
+++ b/internal/policy/steps/gang.go
@@ -131,7 +131,7 @@
 	var servers []string
 	stale := false
 	for _, s := range slots {
-		s.reserved = s.reserved.Add(flow.SizeOf(it.Spec))
+		s.reserved = s.reserved.Add(flow.TaskSize(it.Spec))
 		s.reservedUntil = max(s.reservedUntil, startAfter)
 		if !slices.Contains(servers, s.ID) {
 			servers = append(servers, s.ID)
@@ -154,7 +154,7 @@
 
 // findSlots appends the slots for tasks of an item that a server has now and later.
 func (p *planner) findSlots(out []slot, it Item, r *serverState) []slot {
-	size, maxSlots := flow.SizeOf(it.Spec), int64(it.QueuedTasks)
+	size, maxSlots := flow.TaskSize(it.Spec), int64(it.QueuedTasks)
 	if apart := it.Spec.GetApart(); apart > 0 {
 		maxSlots = min(maxSlots, int64(apart))
 	}
--- a/internal/policy/steps/headroom.go
+++ b/internal/policy/steps/headroom.go
@@ -39,7 +39,7 @@
 	if headroom.Tasks == 0 {
 		return 0
 	}
-	return fittingTasks(headroom.Size, r.free) - fittingTasks(headroom.Size, r.free.Sub(flow.SizeOf(it.Spec).Times(n)))
+	return fittingTasks(headroom.Size, r.free) - fittingTasks(headroom.Size, r.free.Sub(flow.TaskSize(it.Spec).Times(n)))
 }
 
 // limitByHeadroom returns how many of n tasks of an item may start on a server without using
--- a/internal/policy/steps/select.go
+++ b/internal/policy/steps/select.go
@@ -21,7 +21,7 @@
 // can never start would block all others.
 func SelectItems(v View, planNumber int) []Item {
 	items := slices.DeleteFunc(slices.Clone(v.Items), func(it Item) bool {
-		return fittingTasks(flow.SizeOf(it.Spec), v.RemainingLimit(it.Flow.Customer)) == 0
+		return fittingTasks(flow.TaskSize(it.Spec), v.RemainingLimit(it.Flow.Customer)) == 0
 	})
 	slices.SortFunc(items, Compare)
 	if len(items) <= maxLeadingItems+maxRotatingItems {
--- a/internal/policy/steps/steps.go
+++ b/internal/policy/steps/steps.go
@@ -247,14 +247,14 @@
 
 // allowedByLimit returns the number of tasks of the item that the limit of its customer allows.
 func (p *planner) allowedByLimit(it Item) int64 {
-	size := flow.SizeOf(it.Spec)
+	size := flow.TaskSize(it.Spec)
 	remaining := p.view.RemainingLimit(it.Flow.Customer).Sub(p.customerUsage[it.Flow.Customer])
 	return fittingTasks(size, remaining)
 }
 
 // allocate takes the room of n tasks of an item on a server.
 func (p *planner) allocate(it Item, r *serverState, n int64) {
-	size := flow.SizeOf(it.Spec).Times(n)
+	size := flow.TaskSize(it.Spec).Times(n)
 	p.spareHeadroom[it.Pool] -= p.headroomCost(it, r, n)
 	r.free = r.free.Sub(size)
 	p.customerUsage[it.Flow.Customer] = p.customerUsage[it.Flow.Customer].Add(size)
--- a/internal/policy/steps/view.go
+++ b/internal/policy/steps/view.go
@@ -45,8 +45,8 @@
 	*flows.Server
 	// Speed is the speed relative to the other servers; 1 is the average.
 	Speed float64
-	// Cold is true while the server is slow because it has just started.
-	Cold bool
+	// InSlowStart is true while the server is slow because it has just started.
+	InSlowStart bool
 	// RecentlyStarted is true just after a start of the server, when it may crash again without
 	// a fault of its tasks.
 	RecentlyStarted bool
@@ -114,7 +114,7 @@
 
 // Size returns the total size of the tasks in the placement.
 func (p Placement) Size() capacity.Size {
-	return flow.SizeOf(p.Item.Spec).Times(int64(len(p.Assignments)))
+	return flow.TaskSize(p.Item.Spec).Times(int64(len(p.Assignments)))
 }
 
 // Question asks the adviser for permits of one step. The most useful servers come first.
--- a/internal/policy/urgent/urgent.go
+++ b/internal/policy/urgent/urgent.go
@@ -53,7 +53,7 @@
 // Target returns the number of blocks to keep free and the size of each block. Together
 // they take at most MaxReservedFraction of total.
 func (r *Reserve) Target(total capacity.Size) (int, capacity.Size) {
-	taskFraction := r.maxTaskSize.Dominant(total)
+	taskFraction := r.maxTaskSize.DominantShare(total)
 	if taskFraction <= 0 {
 		return 0, capacity.Size{}
 	}
--- a/internal/replica/group/bench_test.go
+++ b/internal/replica/group/bench_test.go
@@ -168,7 +168,7 @@
 // counts the bytes on the server side.
 func loopbackTransport(listeners []net.Listener) transportFactory {
 	return func(cluster *benchCluster, i int, m quorum.Member) (group.Transport, func()) {
-		pool := &peer.Pool{Cell: "bench", Self: m.ID, Deliver: cluster.groups[i].Receive}
+		pool := &peer.Transport{Cell: "bench", Self: m.ID, Deliver: cluster.groups[i].Receive}
 		server := &http.Server{Handler: pool.Handler(), ReadHeaderTimeout: time.Minute}
 		go func() { _ = server.Serve(countingListener{listeners[i], &cluster.transferredBytes[i]}) }()
 		return pool, func() {
--- a/internal/replica/peer/identity_test.go
+++ b/internal/replica/peer/identity_test.go
@@ -72,7 +72,7 @@
 }
 
 // startTLSServer starts a server for the handler of p with the given TLS configuration.
-func startTLSServer(p *peer.Pool, cfg *tls.Config) *httptest.Server {
+func startTLSServer(p *peer.Transport, cfg *tls.Config) *httptest.Server {
 	p.TLS = cfg
 	server := httptest.NewUnstartedServer(p.Handler())
 	server.EnableHTTP2 = true
--- a/internal/replica/peer/link.go
+++ b/internal/replica/peer/link.go
@@ -19,7 +19,7 @@
 
 // sender queues the messages for one peer and sends them over one connection.
 type sender struct {
-	pool    *Pool
+	pool    *Transport
 	peerID  string
 	address string
 	ctx     context.Context
@@ -35,7 +35,7 @@
 	queuedBytes int
 }
 
-func newSender(p *Pool, peerID, address string) *sender {
+func newSender(p *Transport, peerID, address string) *sender {
 	s := &sender{pool: p, peerID: peerID, address: address, wakeup: make(chan struct{}, 1)}
 	s.ctx, s.cancel = context.WithCancel(p.ctx)
 	return s
--- a/internal/replica/peer/order_test.go
+++ b/internal/replica/peer/order_test.go
@@ -22,7 +22,7 @@
 func TestCallsAreHandledInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var delivered []string
-		p := &peer.Pool{Cell: "cell", Self: "b/1", Deliver: func(_ string, data []byte) { delivered = append(delivered, string(data)) }}
+		p := &peer.Transport{Cell: "cell", Self: "b/1", Deliver: func(_ string, data []byte) { delivered = append(delivered, string(data)) }}
 		h := p.Handler()
 		call := func(connectionID, number uint64, text string) {
 			body, err := proto.Marshal(&inner.DeliverRequest{
--- a/internal/replica/peer/peer.go
+++ b/internal/replica/peer/peer.go
@@ -54,9 +54,9 @@
 	Err error
 }
 
-// Pool sends messages to all peers and receives messages from them. The exported
+// Transport sends messages to all peers and receives messages from them. The exported
 // fields must be set before use.
-type Pool struct {
+type Transport struct {
 	Cell string
 	// Self is the ID of this replica: NAME/NONCE or NAME.
 	Self string
@@ -86,7 +86,7 @@
 }
 
 // initialize sets up the unexported fields on first use.
-func (p *Pool) initialize() {
+func (p *Transport) initialize() {
 	p.initOnce.Do(func() {
 		p.ctx, p.cancel = context.WithCancel(context.Background())
 		p.done = make(chan struct{})
@@ -96,7 +96,7 @@
 
 // Send queues messages for a peer. If the queue is full, its oldest messages are
 // dropped. Send never blocks and does not report whether messages are delivered.
-func (p *Pool) Send(to, address string, data [][]byte) {
+func (p *Transport) Send(to, address string, data [][]byte) {
 	p.initialize()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +123,7 @@
 }
 
 // Close closes all connections and waits until all senders have stopped.
-func (p *Pool) Close() {
+func (p *Transport) Close() {
 	p.initialize()
 	p.mu.Lock()
 	firstCall := !p.closed
@@ -137,14 +137,14 @@
 }
 
 // Done returns a channel that is closed when Close has finished.
-func (p *Pool) Done() <-chan struct{} {
+func (p *Transport) Done() <-chan struct{} {
 	p.initialize()
 	return p.done
 }
 
 // removeIdle removes an idle sender. It returns false if a message has been queued in
 // the meantime.
-func (p *Pool) removeIdle(s *sender) bool {
+func (p *Transport) removeIdle(s *sender) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !s.isEmpty() {
@@ -156,20 +156,20 @@
 	return true
 }
 
-func (p *Pool) report(e Event) {
+func (p *Transport) report(e Event) {
 	if p.OnEvent != nil {
 		p.OnEvent(e)
 	}
 }
 
-func (p *Pool) callTimeout() time.Duration {
+func (p *Transport) callTimeout() time.Duration {
 	if p.CallTimeout == 0 {
 		return DefaultCallTimeout
 	}
 	return p.CallTimeout
 }
 
-func (p *Pool) maxQueueBytes() int {
+func (p *Transport) maxQueueBytes() int {
 	if p.MaxQueueBytes == 0 {
 		return DefaultMaxQueueBytes
 	}
--- a/internal/replica/peer/peer_test.go
+++ b/internal/replica/peer/peer_test.go
@@ -25,9 +25,9 @@
 type message struct{ From, Data string }
 
 // newTestPool returns a pool, and the channels that receive its messages and events.
-func newTestPool(self string) (*peer.Pool, chan message, chan peer.Event) {
+func newTestPool(self string) (*peer.Transport, chan message, chan peer.Event) {
 	messages, events := make(chan message, 1000), make(chan peer.Event, 1000)
-	return &peer.Pool{
+	return &peer.Transport{
 		Cell: "cell", Self: self, CallTimeout: 200 * time.Millisecond,
 		Deliver: func(from string, data []byte) { messages <- message{from, string(data)} },
 		OnEvent: func(e peer.Event) { events <- e },
@@ -191,11 +191,11 @@
 // the address of a replica now belongs to another cell, another replica or a replaced
 // replica. The messages must be refused, and both sides must report an event.
 func TestWrongPeerIsRefused(t *testing.T) {
-	for want, misconfigure := range map[string]func(a *peer.Pool) (to string){
-		"another cell":     func(a *peer.Pool) string { a.Cell = "other"; return "b/1" },
-		"another replica":  func(*peer.Pool) string { return "c/1" },
-		"for another repl": func(*peer.Pool) string { return "b/2" },
-		"as its sender":    func(a *peer.Pool) string { a.Self = "b/1"; return "b/1" },
+	for want, misconfigure := range map[string]func(a *peer.Transport) (to string){
+		"another cell":     func(a *peer.Transport) string { a.Cell = "other"; return "b/1" },
+		"another replica":  func(*peer.Transport) string { return "c/1" },
+		"for another repl": func(*peer.Transport) string { return "b/2" },
+		"as its sender":    func(a *peer.Transport) string { a.Self = "b/1"; return "b/1" },
 	} {
 		a, _, failures := newTestPool("a/1")
 		b, delivered, refusals := newTestPool("b/1")
--- a/internal/replica/peer/server.go
+++ b/internal/replica/peer/server.go
@@ -35,7 +35,7 @@
 
 // Handler returns the HTTP handler for messages from peers. If TLS is set, its
 // listener must request and verify client certificates.
-func (p *Pool) Handler() http.Handler {
+func (p *Transport) Handler() http.Handler {
 	p.initialize()
 	server := inner.NewReplicaServer(replicaService{p})
 	slots := make(chan struct{}, maxConcurrentRequests)
@@ -54,7 +54,7 @@
 }
 
 // replicaService implements the Replica service.
-type replicaService struct{ pool *Pool }
+type replicaService struct{ pool *Transport }
 
 // Deliver passes on the messages of an authenticated peer.
 func (s replicaService) Deliver(ctx context.Context, r *inner.DeliverRequest) (*inner.DeliverReply, error) {
