--- a/internal/demo/fault/fault_test.go
+++ b/internal/demo/fault/fault_test.go
@@ -9,28 +9,29 @@
 	v1 "gypsumreel/internal/api/v1"
 )
 
-func TestNoFault(t *testing.T) {
+// Without any fault, all jobs must complete within five seconds.
+func TestJobsCompleteWithoutFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newTestCell(t)
 		defer w.close()
-		begin := time.Now()
-		results := w.all(specs())
-		if faults := w.check(results); len(faults) > 0 {
-			t.Error(faults)
+		startedAt := time.Now()
+		results := w.runJobs(jobSpecs())
+		if violations := w.violations(results); len(violations) > 0 {
+			t.Error(violations)
 		}
 		for _, r := range results {
 			if r.outcome != v1.Outcome_OUTCOME_DONE || r.code != 0 {
-				t.Errorf("%s: %v, code %d", r.id, r.outcome, r.code)
+				t.Errorf("%s: outcome %v, code %d", r.id, r.outcome, r.code)
 			}
 		}
-		if d := time.Since(begin); d > 5*time.Second {
-			t.Errorf("it took %v", d)
+		if d := time.Since(startedAt); d > 5*time.Second {
+			t.Errorf("the jobs took %v, limit 5s", d)
 		}
 	})
 }
 
-// specs are one job of each kind, repeatable and not.
-func specs() []*v1.Spec {
+// jobSpecs returns urgent, batch and gang jobs; two of them must run at most once.
+func jobSpecs() []*v1.Spec {
 	size := &v1.Size{Cpu: taskCores, Memory: 1000, Slots: 1}
 	var out []*v1.Spec
 	for _, s := range []*v1.Spec{
@@ -46,12 +47,12 @@
 	return out
 }
 
-// all serves jobs side by side.
-func (w *world) all(jobs []*v1.Spec) []result {
+// runJobs runs jobs concurrently and returns their results in the same order.
+func (w *testCell) runJobs(jobs []*v1.Spec) []result {
 	out := make([]result, len(jobs))
 	var wg sync.WaitGroup
 	for i, s := range jobs {
-		wg.Go(func() { out[i] = w.serve(s) })
+		wg.Go(func() { out[i] = w.runJob(s) })
 	}
 	wg.Wait()
 	return out
--- a/internal/demo/fault/repair_test.go
+++ b/internal/demo/fault/repair_test.go
@@ -19,14 +19,14 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// id returns the identity of a replica's latest run.
-func (w *world) id(name string) string {
+// replicaID returns the identity that the named replica had at its last start.
+func (w *testCell) replicaID(name string) string {
 	d, _ := w.cell.Node(name).State().(node.Dump)
 	return d.Group.ID
 }
 
-// until waits for something to come true, and fails the test when it does not.
-func (w *world) until(what string, ok func() bool) {
+// waitUntil polls ok until it returns true. It fails the test after a minute.
+func (w *testCell) waitUntil(condition string, ok func() bool) {
 	w.t.Helper()
 	for range 600 {
 		if ok() {
@@ -34,24 +34,25 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	w.t.Fatalf("in vain: %s", what)
+	w.t.Fatalf("not reached within one minute: %s", condition)
 }
 
-// member makes one change of membership, asked for until it is in force.
-func (w *world) member(c *v1.MemberChange) {
+// changeMember requests one membership change and retries until it succeeds.
+func (w *testCell) changeMember(c *v1.MemberChange) {
 	w.t.Helper()
-	n := 0
-	w.until(fmt.Sprint("member ", c), func() bool {
-		n++
+	attempt := 0
+	w.waitUntil(fmt.Sprint("membership change ", c), func() bool {
+		attempt++
 		_, err := w.operator.Change(w.ctx, &v1.ChangeRequest{
-			Id: fmt.Sprintf("%s-%v-%d", c.GetReplica(), c.GetRemove(), n), Change: &v1.ChangeRequest_Member{Member: c},
+			Id: fmt.Sprintf("%s-%v-%d", c.GetReplica(), c.GetRemove(), attempt), Change: &v1.ChangeRequest_Member{Member: c},
 		})
 		return err == nil
 	})
 }
 
-// line returns a replica as the list of members shows it; nil for none.
-func (w *world) line(id string) *v1.MemberLine {
+// memberLine returns the line of a replica in the list of members, or nil if it is not
+// listed.
+func (w *testCell) memberLine(id string) *v1.MemberLine {
 	r, err := w.operator.Show(w.ctx, v1.Part_PART_MEMBERS)
 	if err != nil {
 		return nil
@@ -64,8 +65,9 @@
 	return nil
 }
 
-// join starts a replica on a blank disk and adds it as a member.
-func (w *world) join(name string) string {
+// joinWithBlankDisk starts a replica on an empty disk, adds it as a member and returns its
+// new identity.
+func (w *testCell) joinWithBlankDisk(name string) string {
 	w.t.Helper()
 	if err := os.RemoveAll(filepath.Join(w.cell.Dir, name)); err != nil {
 		w.t.Fatal(err)
@@ -73,43 +75,43 @@
 	if err := w.cell.Restart(name); err != nil {
 		w.t.Fatal(err)
 	}
-	w.until("a new identity", func() bool { return w.id(name) != "" })
-	fresh := w.id(name)
-	w.member(&v1.MemberChange{Replica: fresh, Address: w.net.Address(name)})
-	return fresh
+	w.waitUntil(name+" has an identity", func() bool { return w.replicaID(name) != "" })
+	newID := w.replicaID(name)
+	w.changeMember(&v1.MemberChange{Replica: newID, Address: w.net.Address(name)})
+	return newID
 }
 
-func (w *world) remove(id string) {
+func (w *testCell) removeMember(id string) {
 	w.t.Helper()
-	w.member(&v1.MemberChange{Replica: id, Remove: true})
-	if w.line(id) != nil {
+	w.changeMember(&v1.MemberChange{Replica: id, Remove: true})
+	if w.memberLine(id) != nil {
 		w.t.Errorf("%s is still listed", id)
 	}
 }
 
-func (w *world) votes(id string) {
+func (w *testCell) waitForVoter(id string) {
 	w.t.Helper()
-	w.until(id+" votes", func() bool { return w.line(id).GetState() == "voter" })
+	w.waitUntil(id+" is a voter", func() bool { return w.memberLine(id).GetState() == "voter" })
 }
 
-// edit makes one table change and returns the new revision.
-func (w *world) edit(base uint64, queue uint32) uint64 {
+// editTable changes the queue limit of the team and returns the new revision of the table.
+func (w *testCell) editTable(base uint64, queue uint32) uint64 {
 	w.t.Helper()
-	ctx, cancel := context.WithTimeout(w.ctx, deadline)
+	ctx, cancel := context.WithTimeout(w.ctx, requestTimeout)
 	defer cancel()
 	row := &v1.Row{Team: "rail", Weight: 1, Queue: queue, Limit: &v1.Size{Cpu: teamCores, Memory: -1, Accel: -1, Slots: -1}}
 	rev, err := w.operator.Change(ctx, &v1.ChangeRequest{
 		Id: fmt.Sprint("edit-", base), Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Base: base, Edits: []*v1.Edit{{Row: row}}}},
 	})
 	if err != nil {
-		w.t.Fatalf("edit from %d: %v", base, err)
+		w.t.Fatalf("table change on revision %d: %v", base, err)
 	}
 	return rev
 }
 
-// encodings returns the whole state of each replica.
-func (w *world) encodings() (out [][]byte) {
-	for _, name := range w.cell.Names("c", replicas) {
+// encodedStates returns the encoded ledger state of each replica.
+func (w *testCell) encodedStates() (out [][]byte) {
+	for _, name := range w.cell.ProcessNames("c", replicas) {
 		err := w.cell.Node(name).Control.Execute(w.ctx, func(st *state.State) {
 			b, err := st.Encode()
 			if err != nil {
@@ -124,48 +126,49 @@
 	return out
 }
 
-// A follower's disk dies. Whoever is on duty adds a new replica on a blank disk,
-// and right after the old one is removed another replica dies for good. What was accepted before and during the repair must
-// all be answered, and the table must not fall back: the blank disk counted for
-// a quorum only once it held everything.
-func TestARepairedReplicaCarriesTheCell(t *testing.T) {
+// A follower loses its disk, and an operator replaces it by a new replica with an empty
+// disk. Right after the old replica is removed, another replica fails permanently. All jobs
+// accepted before and during the repair must be answered, and the table must not revert to
+// an older revision. This fails if the new replica votes before it has the whole log.
+func TestCellSurvivesReplicaLossAfterRepair(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWith(t, func(_ string, l *leader.Leader) { l.SnapshotInterval = 50 })
+		w := newConfiguredTestCell(t, func(_ string, l *leader.Leader) { l.SnapshotInterval = 50 })
 		defer w.close()
 		revision := uint64(1)
 		for range 40 {
-			revision = w.edit(revision, 100+uint32(revision))
+			revision = w.editTable(revision, 100+uint32(revision))
 		}
-		lost := w.follower()
-		old := w.id(lost)
-		w.cell.Kill(lost)
-		answers := make(chan []result, 1)
-		go func() { answers <- w.all(specs()) }()
+		failedReplica := w.follower()
+		oldID := w.replicaID(failedReplica)
+		w.cell.Kill(failedReplica)
+		results := make(chan []result, 1)
+		go func() { results <- w.runJobs(jobSpecs()) }()
 		w.cell.Replicas++
-		fresh := w.join("c4")
-		w.votes(fresh)
-		w.remove(old)
-		revision = w.edit(revision, 500)
-		w.until("the new replica has the table", func() bool { return w.line(fresh).GetRevision() == revision })
-		leads, _ := w.cell.Leader()
-		w.cell.Kill(leads)
-		w.until("another replica leads", func() bool { next, ok := w.cell.Leader(); return ok && next != leads })
-		if faults := w.check(<-answers); len(faults) > 0 && !allDead(faults, leads) {
-			t.Error(faults)
+		newID := w.joinWithBlankDisk("c4")
+		w.waitForVoter(newID)
+		w.removeMember(oldID)
+		revision = w.editTable(revision, 500)
+		w.waitUntil("the new replica has the table", func() bool { return w.memberLine(newID).GetRevision() == revision })
+		leader, _ := w.cell.Leader()
+		w.cell.Kill(leader)
+		w.waitUntil("another replica leads", func() bool { next, ok := w.cell.Leader(); return ok && next != leader })
+		if violations := w.violations(<-results); len(violations) > 0 && !allFromReplica(violations, leader) {
+			t.Error(violations)
 		}
-		more := []*v1.Spec{{Id: "after", Name: "after", Kind: v1.Kind_KIND_URGENT, Count: 1, Input: []byte("after"), Size: &v1.Size{Cpu: taskCores, Slots: 1}}}
-		if r := w.all(more)[0]; r.outcome != v1.Outcome_OUTCOME_DONE || r.code != code.OK {
-			t.Errorf("after the second loss: %+v", r)
+		laterJobs := []*v1.Spec{{Id: "after", Name: "after", Kind: v1.Kind_KIND_URGENT, Count: 1, Input: []byte("after"), Size: &v1.Size{Cpu: taskCores, Slots: 1}}}
+		if r := w.runJobs(laterJobs)[0]; r.outcome != v1.Outcome_OUTCOME_DONE || r.code != code.OK {
+			t.Errorf("job after the second replica failure: %+v", r)
 		}
 		if r, err := w.operator.Show(w.ctx, v1.Part_PART_TABLE); err != nil || r.GetRevision() != revision || r.GetRows()[0].GetQueue() != 500 {
-			t.Errorf("the table is %v, %v; revision %d was confirmed", r, err, revision)
+			t.Errorf("table is %v (error: %v), want the confirmed revision %d with queue 500", r, err, revision)
 		}
 	})
 }
 
-// allDead tells whether the only faults are that a killed replica has no ledger.
-func allDead(faults []string, name string) bool {
-	for _, f := range faults {
+// allFromReplica reports whether all violations concern the named replica, which has no
+// ledger to check after it was killed.
+func allFromReplica(violations []string, name string) bool {
+	for _, f := range violations {
 		if len(f) < len(name) || f[:len(name)] != name {
 			return false
 		}
@@ -173,46 +176,46 @@
 	return true
 }
 
-// All instances lose power at once after a few hundred changes. Every replica
-// comes back from its snapshot and journal with the state that it had, byte for
-// byte: a difference would show later as a wrong answer or a broken promise.
-func TestARestartOfAllGivesTheSameState(t *testing.T) {
+// All instances lose power at the same time after a few hundred changes. Every replica must
+// restore exactly the same state, byte for byte, from its snapshot and journal. A
+// difference would later cause wrong answers or violated guarantees.
+func TestFullRestartRestoresSameState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWith(t, func(_ string, l *leader.Leader) { l.SnapshotInterval = 120 })
+		w := newConfiguredTestCell(t, func(_ string, l *leader.Leader) { l.SnapshotInterval = 120 })
 		defer w.close()
 		revision := uint64(1)
 		for range 300 {
-			revision = w.edit(revision, 100+uint32(revision))
+			revision = w.editTable(revision, 100+uint32(revision))
 		}
-		if faults := w.check(w.all(specs())); len(faults) > 0 {
-			t.Error(faults)
+		if violations := w.violations(w.runJobs(jobSpecs())); len(violations) > 0 {
+			t.Error(violations)
 		}
-		for _, sort := range []string{"b", "e"} {
-			for _, name := range w.cell.Names(sort, map[string]int{"b": servers, "e": entries}[sort]) {
+		for _, prefix := range []string{"b", "e"} {
+			for _, name := range w.cell.ProcessNames(prefix, map[string]int{"b": servers, "e": entries}[prefix]) {
 				w.cell.Kill(name)
 			}
 		}
-		time.Sleep(40 * time.Second) // their leases are over
+		time.Sleep(40 * time.Second) // longer than any lease of a backend server
 		var before [][]byte
-		w.until("the replicas agree", func() bool { before = w.encodings(); return equal(before) })
-		for _, name := range w.cell.Names("c", replicas) {
+		w.waitUntil("all replicas have the same state", func() bool { before = w.encodedStates(); return allEqual(before) })
+		for _, name := range w.cell.ProcessNames("c", replicas) {
 			w.cell.Kill(name)
 		}
-		for _, name := range w.cell.Names("c", replicas) {
+		for _, name := range w.cell.ProcessNames("c", replicas) {
 			if err := w.cell.Restart(name); err != nil {
 				t.Fatal(err)
 			}
 		}
-		w.until("a leader", func() bool { _, ok := w.cell.Leader(); return ok })
+		w.waitUntil("a leader is elected", func() bool { _, ok := w.cell.Leader(); return ok })
 		time.Sleep(time.Second)
-		after := w.encodings()
-		if !equal(append(after, before...)) {
-			t.Errorf("%d bytes before the restart; after it %d, %d and %d", len(before[0]), len(after[0]), len(after[1]), len(after[2]))
+		after := w.encodedStates()
+		if !allEqual(append(after, before...)) {
+			t.Errorf("states differ: %d bytes before the restart, %d, %d and %d bytes after it", len(before[0]), len(after[0]), len(after[1]), len(after[2]))
 		}
 	})
 }
 
-func equal(all [][]byte) bool {
+func allEqual(all [][]byte) bool {
 	for _, b := range all[1:] {
 		if !bytes.Equal(all[0], b) {
 			return false
@@ -221,39 +224,40 @@
 	return true
 }
 
-// A replica's memory or disk has changed a bit, and its state is no longer that
-// of the others. It would pass the damage on once it leads: at the next check
-// it ends with an error, and it comes back with fresh data as a new member.
-func TestAReplicaWhoseStateDiffersLeaves(t *testing.T) {
+// A bit error in memory or on disk makes the state of one replica differ from the others.
+// As leader it would spread the corrupt state. The replica must stop with an error at the
+// next consistency check, and it can join again as a new member with an empty disk.
+func TestDivergedReplicaStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newTestCell(t)
 		defer w.close()
-		bad := w.follower()
-		old := w.id(bad)
-		err := w.cell.Node(bad).Control.Execute(w.ctx, func(st *state.State) {
+		divergedReplica := w.follower()
+		oldID := w.replicaID(divergedReplica)
+		err := w.cell.Node(divergedReplica).Control.Execute(w.ctx, func(st *state.State) {
 			st.Apply(&record.Command{At: int64(st.Now()), What: &record.Command_Change{Change: &record.Change{By: "damage", Request: &v1.ChangeRequest{Id: "damage"}}}})
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		select {
-		case err := <-w.cell.Faults():
+		case err := <-w.cell.ProcessErrors():
 			if !errors.Is(err, leader.ErrDiverged) {
-				t.Fatalf("it ended with %v", err)
+				t.Fatalf("replica ended with error %v, want %v", err, leader.ErrDiverged)
 			}
 		case <-time.After(30 * time.Second):
-			t.Fatal("it goes on with a state of its own")
+			t.Fatal("replica with a diverged state still runs after 30 s")
 		}
-		if faults := w.check(w.all(specs())); len(faults) > 0 {
-			t.Error(faults)
+		if violations := w.violations(w.runJobs(jobSpecs())); len(violations) > 0 {
+			t.Error(violations)
 		}
-		fresh := w.join(bad)
-		if fresh == old {
-			t.Error("a blank disk has the old identity")
+		newID := w.joinWithBlankDisk(divergedReplica)
+		if newID == oldID {
+			t.Error("replica with an empty disk has its old identity")
 		}
-		// One machine never counts twice: it votes once its old identity is gone.
-		w.remove(old)
-		w.votes(fresh)
-		w.until("it holds what the others hold", func() bool { return equal(w.encodings()) })
+		// A machine must not vote twice, so the new identity becomes a voter only after the
+		// old one is removed.
+		w.removeMember(oldID)
+		w.waitForVoter(newID)
+		w.waitUntil("the new replica has the same state as the others", func() bool { return allEqual(w.encodedStates()) })
 	})
 }
--- a/internal/edge/entry/faults_test.go
+++ b/internal/edge/entry/faults_test.go
@@ -27,7 +27,7 @@
 // silenceDuration is the duration of faults in which connections lose or duplicate data.
 const silenceDuration = 10 * time.Second
 
-var bothDirections = []relay.Way{relay.Up, relay.Down}
+var bothDirections = []relay.Direction{relay.Upstream, relay.Downstream}
 
 // allFaults returns every fault of the matrix. Inner faults affect the connections
 // between the first entry and the control group, outer faults those between the first
@@ -47,14 +47,14 @@
 	}{{"inner", isInnerConnection}, {"outer", isOuterConnection}} {
 		faults = append(
 			faults,
-			fault{"requests lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.matches, relay.Lose, relay.Up), setRelayFate(side.matches, relay.Pass, relay.Up)},
-			fault{"replies lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.matches, relay.Lose, relay.Down), setRelayFate(side.matches, relay.Pass, relay.Down)},
-			fault{"both directions lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.matches, relay.Lose, bothDirections...), setRelayFate(side.matches, relay.Pass, bothDirections...)},
-			fault{"open connections silent for good, " + side.name, 0, applyToRelays(side.matches, func(r *relay.Relay) { r.Forget(bothDirections...) }), nil},
-			fault{"replies lost for 0.1 s, " + side.name, 100 * time.Millisecond, setRelayFate(side.matches, relay.Lose, relay.Down), setRelayFate(side.matches, relay.Pass, relay.Down)},
-			fault{"replies delayed by 3 s, " + side.name, 3 * time.Second, setRelayFate(side.matches, relay.Hold, relay.Down), setRelayFate(side.matches, relay.Pass, relay.Down)},
+			fault{"requests lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.matches, relay.Drop, relay.Upstream), setRelayFate(side.matches, relay.Pass, relay.Upstream)},
+			fault{"replies lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.matches, relay.Drop, relay.Downstream), setRelayFate(side.matches, relay.Pass, relay.Downstream)},
+			fault{"both directions lost for 10 s, " + side.name, silenceDuration, setRelayFate(side.matches, relay.Drop, bothDirections...), setRelayFate(side.matches, relay.Pass, bothDirections...)},
+			fault{"open connections silent for good, " + side.name, 0, applyToRelays(side.matches, func(r *relay.Relay) { r.BlackholeOpen(bothDirections...) }), nil},
+			fault{"replies lost for 0.1 s, " + side.name, 100 * time.Millisecond, setRelayFate(side.matches, relay.Drop, relay.Downstream), setRelayFate(side.matches, relay.Pass, relay.Downstream)},
+			fault{"replies delayed by 3 s, " + side.name, 3 * time.Second, setRelayFate(side.matches, relay.Hold, relay.Downstream), setRelayFate(side.matches, relay.Pass, relay.Downstream)},
 			fault{"requests duplicated, " + side.name, silenceDuration, applyToRelays(side.matches, setRequestDuplication(true)), applyToRelays(side.matches, setRequestDuplication(false))},
-			fault{"connections closed, " + side.name, 0, applyToRelays(side.matches, (*relay.Relay).Cut), nil},
+			fault{"connections closed, " + side.name, 0, applyToRelays(side.matches, (*relay.Relay).CloseConnections), nil},
 		)
 	}
 	return append(
@@ -83,10 +83,10 @@
 
 // setRelayFate returns a function that sets the fate of data in the given directions on
 // each relay with a matching name.
-func setRelayFate(matches func(string) bool, fate relay.Fate, directions ...relay.Way) func(*testCell) {
+func setRelayFate(matches func(string) bool, fate relay.Mode, directions ...relay.Direction) func(*testCell) {
 	return applyToRelays(matches, func(r *relay.Relay) {
 		for _, direction := range directions {
-			r.Set(direction, fate)
+			r.SetMode(direction, fate)
 		}
 	})
 }
@@ -95,8 +95,8 @@
 // connections, since the setting applies only to new ones.
 func setRequestDuplication(enabled bool) func(*relay.Relay) {
 	return func(r *relay.Relay) {
-		r.Duplicate(enabled)
-		r.Cut()
+		r.SetDuplicate(enabled)
+		r.CloseConnections()
 	}
 }
 
--- a/internal/edge/entry/stop_test.go
+++ b/internal/edge/entry/stop_test.go
@@ -30,11 +30,11 @@
 		time.Sleep(time.Second)
 		c := w.newClient(w.teamKey)
 		defer c.closeIdle()
-		c.submit(0, newSpec("held", false, server.Wish{Sleep: "1h"}.Input()))
+		c.submit(0, newSpec("held", false, server.TaskScript{Sleep: "1h"}.Input()))
 		for name, r := range w.relays {
 			if isInnerConnection(name) || isOuterConnection(name) {
-				r.Delay(relay.Up, 3*time.Millisecond)
-				r.Delay(relay.Down, 3*time.Millisecond)
+				r.SetDelay(relay.Upstream, 3*time.Millisecond)
+				r.SetDelay(relay.Downstream, 3*time.Millisecond)
 			}
 		}
 		var calls, failed, redirected atomic.Int32
@@ -99,7 +99,7 @@
 
 // isRefusedDial reports whether a call failed because the listener is closed.
 func isRefusedDial(err error) bool {
-	return err != nil && connect.CodeOf(err) == connect.CodeUnavailable && errors.Is(err, relay.ErrRefused)
+	return err != nil && connect.CodeOf(err) == connect.CodeUnavailable && errors.Is(err, relay.ErrConnectionRefused)
 }
 
 // An operator sends a second termination signal because the shutdown takes too long.
@@ -139,7 +139,7 @@
 		}
 		time.Sleep(time.Second)
 		atStart := probe()
-		setRelayFate(isInnerConnection, relay.Lose, bothDirections...)(w)
+		setRelayFate(isInnerConnection, relay.Drop, bothDirections...)(w)
 		time.Sleep(3 * time.Second)
 		withoutLeader := probe()
 		setRelayFate(isInnerConnection, relay.Pass, bothDirections...)(w)
@@ -162,13 +162,13 @@
 		defer w.close()
 		c := w.newClient(w.teamKey)
 		defer c.closeIdle()
-		if problem := c.runJob(0, "big", server.Wish{Size: 500_000}); problem != "" {
+		if problem := c.runJob(0, "big", server.TaskScript{AnswerSize: 500_000}); problem != "" {
 			t.Fatal(problem)
 		}
 		slowConn := w.openSlowReader()
 		defer func() { _ = slowConn.Close() }()
 		startedAt := time.Now()
-		if problem := c.runJob(0, "other", server.Wish{Size: 500_000}); problem != "" || time.Since(startedAt) > time.Second {
+		if problem := c.runJob(0, "other", server.TaskScript{AnswerSize: 500_000}); problem != "" || time.Since(startedAt) > time.Second {
 			t.Errorf("the other caller's job: problem %q, finished after %v, want at most 1s", problem, time.Since(startedAt))
 		}
 		time.Sleep(2 * time.Minute)
@@ -189,12 +189,12 @@
 		maxOpen := 0
 		for i := range 20 {
 			if i == 10 {
-				applyToRelays(isOuterConnection, func(r *relay.Relay) { r.Forget(bothDirections...) })(w)
+				applyToRelays(isOuterConnection, func(r *relay.Relay) { r.BlackholeOpen(bothDirections...) })(w)
 			}
-			if problem := c.runJob(i, fmt.Sprintf("job-%d", i), server.Wish{Sleep: "300ms"}); problem != "" {
+			if problem := c.runJob(i, fmt.Sprintf("job-%d", i), server.TaskScript{Sleep: "300ms"}); problem != "" {
 				t.Error(problem)
 			}
-			maxOpen = max(maxOpen, w.relays["s1>e1-backends"].Open()+w.relays["s1>e2-backends"].Open())
+			maxOpen = max(maxOpen, w.relays["s1>e1-backends"].OpenConnections()+w.relays["s1>e2-backends"].OpenConnections())
 		}
 		if maxOpen > 6 {
 			t.Errorf("the backend server had %d connections at once, want at most 6", maxOpen)
@@ -219,7 +219,7 @@
 			}
 			time.Sleep(time.Second)
 		}
-		callerConns, backendConns := w.network.Dialled("e1-callers"), w.relays["s1>e1-backends"].Opened()+w.relays["s1>e2-backends"].Opened()
+		callerConns, backendConns := w.network.DialCount("e1-callers"), w.relays["s1>e1-backends"].TotalConnections()+w.relays["s1>e2-backends"].TotalConnections()
 		if callerConns < 4 || callerConns > 6 || backendConns < 4 || backendConns > 6 {
 			t.Errorf("the caller opened %d and the backend server %d connections within four maximum ages, want 4 to 6", callerConns, backendConns)
 		}
--- a/internal/load/measure/load.go
+++ b/internal/load/measure/load.go
@@ -100,7 +100,7 @@
 	delayMeasurements.Wait()
 	summary := report.Summarize(report.RunInfo{}, startedAt, results, fleet.TaskRuns)
 	row.Violations, row.Counts, row.Refusals = summary.Violations, summary.Counts, summary.Refusals
-	row.Violations.ServerFaults = append(row.Violations.ServerFaults, fleet.ServerRecord.Faults()...)
+	row.Violations.ServerFaults = append(row.Violations.ServerFaults, fleet.ServerRecord.Violations()...)
 	row.Start, row.Lag = summary.Kinds[spec.kind.String()].Start, summary.Kinds[spec.kind.String()].Lag
 	networkDelay := clientCrossings*delays[m.DelaySet][1] + zoneCrossings*delays[m.DelaySet][0]
 	row.NetworkDelay = ms(networkDelay)
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -34,7 +34,7 @@
 	// TaskRuns records the attempts of each task. ServerRecord counts the starts and
 	// records the faults that the servers notice.
 	TaskRuns     *work.Record
-	ServerRecord *server.Record
+	ServerRecord *server.Recorder
 
 	servers []*server.Server
 	cancel  context.CancelFunc
@@ -43,12 +43,12 @@
 // StartFleet starts n backend servers and waits until the cell reports all of them as
 // ready.
 func (r *Rig) StartFleet(ctx context.Context, n int, capacity *v1.Size) (*Fleet, error) {
-	f := &Fleet{TaskRuns: &work.Record{}, ServerRecord: &server.Record{}}
+	f := &Fleet{TaskRuns: &work.Record{}, ServerRecord: &server.Recorder{}}
 	running, cancel := context.WithCancel(ctx)
 	f.cancel = cancel
 	for i := range n {
 		s := &server.Server{
-			Name: fmt.Sprintf("load-%03d", i), Secret: r.EnrolmentSecret, Work: f.TaskRuns.RunTask, Record: f.ServerRecord, Log: logr.Discard(),
+			Name: fmt.Sprintf("load-%03d", i), Secret: r.EnrolmentSecret, Work: f.TaskRuns.RunTask, Recorder: f.ServerRecord, Log: logr.Discard(),
 			Rack: fmt.Sprintf("rack-%d", i/serversPerRack), Zone: fmt.Sprintf("zone-%d", i%zoneCount), Capacity: capacity,
 		}
 		for _, address := range r.BackendAddresses() {
--- a/internal/load/rig/rig.go
+++ b/internal/load/rig/rig.go
@@ -220,8 +220,8 @@
 	proxy := &relay.Relay{Listener: l, Sleep: preciseSleep, Dial: func(ctx context.Context) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", target)
 	}}
-	proxy.Delay(relay.Up, delay)
-	proxy.Delay(relay.Down, delay)
+	proxy.SetDelay(relay.Upstream, delay)
+	proxy.SetDelay(relay.Downstream, delay)
 	r.relays[fmt.Sprintf("%s/%d", name, offset)] = proxy
 	go func() { _ = proxy.Run(r.ctx) }() // ends with the rig, which causes its only error
 	return nil
@@ -234,7 +234,7 @@
 	var sum int64
 	for _, offset := range []int{callersOffset, backendsOffset, operatorsOffset} {
 		if proxy := r.relays[fmt.Sprintf("%s/%d", name, offset)]; proxy != nil {
-			sum += proxy.Carried(relay.Up) + proxy.Carried(relay.Down)
+			sum += proxy.ForwardedBytes(relay.Upstream) + proxy.ForwardedBytes(relay.Downstream)
 		}
 	}
 	return sum
@@ -244,7 +244,7 @@
 // and backend servers.
 func (r *Rig) BackendBytes(name string) int64 {
 	proxy := r.relays[fmt.Sprintf("%s/%d", name, backendsOffset)]
-	return proxy.Carried(relay.Up) + proxy.Carried(relay.Down)
+	return proxy.ForwardedBytes(relay.Upstream) + proxy.ForwardedBytes(relay.Downstream)
 }
 
 // Close kills all processes and stops the relays.
--- a/internal/load/work/work.go
+++ b/internal/load/work/work.go
@@ -85,7 +85,7 @@
 		n.Started++
 	})
 	if !sleep(ctx, input.Runtime) {
-		return server.Result{Exit: 1}
+		return server.Result{ExitCode: 1}
 	}
 	r.update(key, func(n *TaskRuns) { n.Ended++ })
 	return server.Result{Answer: TaskAnswer(input.ID, key.index, input.AnswerBytes)}
