--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -100,13 +100,13 @@
 	if runInfo.TableRevisions[0], err = c.tableRevision(ctx); err != nil {
 		return err
 	}
-	workRecord, serverRecord := &work.Record{}, &server.Record{}
+	workRecord, serverRecord := &work.Recorder{}, &server.Record{}
 	stopServers, err := c.startServers(ctx, workRecord, serverRecord)
 	if err != nil {
 		return err
 	}
 	driver := &drive.Driver{
-		Client: &caller.Client{Transport: transportClient}, Jobs: plan.Jobs(), Tail: c.OutcomeTimeout, ForeignServers: c.Servers == 0, KeepOutcomes: c.KeepOutcomes,
+		Client: &caller.Client{Transport: transportClient}, Jobs: plan.Jobs(), OutcomeTimeout: c.OutcomeTimeout, ForeignServers: c.Servers == 0, KeepOutcomes: c.KeepOutcomes,
 		Progress: progressFunc(env, c.JSON),
 	}
 	runInfo.StartedAt = time.Now()
@@ -219,7 +219,7 @@
 }
 
 // startServers starts the fake backend servers and returns a function that stops them.
-func (c *command) startServers(ctx context.Context, workRecord *work.Record, serverRecord *server.Record) (stop func(), err error) {
+func (c *command) startServers(ctx context.Context, workRecord *work.Recorder, serverRecord *server.Record) (stop func(), err error) {
 	if c.Servers == 0 {
 		return func() {}, nil
 	}
@@ -247,7 +247,7 @@
 	return stop, nil
 }
 
-func (c *command) newServer(i int, workRecord *work.Record, serverRecord *server.Record) (*server.Server, error) {
+func (c *command) newServer(i int, workRecord *work.Recorder, serverRecord *server.Record) (*server.Server, error) {
 	flags := c.Flags
 	flags.Address = c.Backends
 	transportClient, err := flags.Transport()
--- a/internal/load/drive/drive.go
+++ b/internal/load/drive/drive.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	// DefaultTail is how long the driver waits for outcomes after the last arrival.
-	DefaultTail = 60 * time.Second
+	// DefaultOutcomeTimeout is how long the driver waits for outcomes after the last arrival.
+	DefaultOutcomeTimeout = 60 * time.Second
 	// Acknowledgements are sent in batches of at most ackBatch jobs, at least every
 	// ackInterval.
 	ackBatch    = 500
@@ -53,8 +53,8 @@
 type Driver struct {
 	Client *caller.Client
 	Jobs   []mix.Job
-	// Tail is how long the driver waits for outcomes after the last arrival.
-	Tail time.Duration
+	// OutcomeTimeout is how long the driver waits for outcomes after the last arrival.
+	OutcomeTimeout time.Duration
 	// ForeignServers is true if the backend servers do not belong to the load tool. The
 	// expected answers are then unknown and not compared.
 	ForeignServers bool
@@ -72,8 +72,8 @@
 
 // Run submits all jobs and returns their results in the order of the jobs.
 func (d *Driver) Run(ctx context.Context) []JobResult {
-	if d.Tail <= 0 {
-		d.Tail = DefaultTail
+	if d.OutcomeTimeout <= 0 {
+		d.OutcomeTimeout = DefaultOutcomeTimeout
 	}
 	results := make([]JobResult, len(d.Jobs))
 	d.pendingAcks = make(chan string, len(d.Jobs))
@@ -82,7 +82,7 @@
 	if len(d.Jobs) > 0 {
 		lastArrival = d.Jobs[len(d.Jobs)-1].ArrivesAt
 	}
-	ctx, cancel := context.WithDeadline(ctx, d.start.Add(lastArrival+d.Tail))
+	ctx, cancel := context.WithDeadline(ctx, d.start.Add(lastArrival+d.OutcomeTimeout))
 	defer cancel()
 	var acks, jobs sync.WaitGroup
 	acks.Go(d.acknowledge)
--- a/internal/load/drive/drive_test.go
+++ b/internal/load/drive/drive_test.go
@@ -78,7 +78,7 @@
 	mux.Handle(v1.NewCallerHandler(e))
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
-	driver := &drive.Driver{Client: &caller.Client{Transport: &transport.Client{Addresses: []string{server.URL}}}, Tail: 20 * time.Second}
+	driver := &drive.Driver{Client: &caller.Client{Transport: &transport.Client{Addresses: []string{server.URL}}}, OutcomeTimeout: 20 * time.Second}
 	want := map[string]int{}
 	for i := range n {
 		id := fmt.Sprintf("job-%d", i)
--- a/internal/load/history/history_test.go
+++ b/internal/load/history/history_test.go
@@ -18,29 +18,29 @@
 
 // Guards against a model that accepts wrong histories: each rejected history is one
 // that a cell with a certain fault would produce, such as a stale read.
-func TestTableHistories(t *testing.T) {
-	first := history.TableReadReply{Revision: 1, Weight: 1}
+func TestTableModelAcceptsOnlyLinearizableHistories(t *testing.T) {
+	initial := history.TableReadReply{Revision: 1, Weight: 1}
 	a, b := history.TableChange{ID: "a", BaseRevision: 1, Weight: 2}, history.TableChange{ID: "b", BaseRevision: 1, Weight: 3}
-	won, lost := history.TableChangeReply{Code: code.OK, Revision: 2}, history.TableChangeReply{Code: code.RevisionConflict, Revision: 2}
+	applied, conflict := history.TableChangeReply{Code: code.OK, Revision: 2}, history.TableChangeReply{Code: code.RevisionConflict, Revision: 2}
 	for name, c := range map[string]struct {
 		ops []porcupine.Operation
 		ok  bool
 	}{
-		"one of two changes is applied": {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(1, 0, 5, b, lost), operation(0, 6, 7, history.TableRead{}, history.TableReadReply{Revision: 2, Weight: 2})}, true},
-		"a resend":                      {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(0, 6, 9, a, won), operation(1, 10, 11, b, lost)}, true},
+		"one of two changes is applied": {[]porcupine.Operation{operation(0, 0, 5, a, applied), operation(1, 0, 5, b, conflict), operation(0, 6, 7, history.TableRead{}, history.TableReadReply{Revision: 2, Weight: 2})}, true},
+		"a resend":                      {[]porcupine.Operation{operation(0, 0, 5, a, applied), operation(0, 6, 9, a, applied), operation(1, 10, 11, b, conflict)}, true},
 		"an unanswered change":          {[]porcupine.Operation{operation(0, 0, 1<<40, a, nil), operation(1, 5, 6, history.TableRead{}, history.TableReadReply{Revision: 2, Weight: 2})}, true},
-		"both changes are applied":      {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(1, 0, 5, b, won)}, false},
-		"a resend is refused":           {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(0, 6, 9, a, lost)}, false},
-		"a stale read":                  {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(1, 6, 7, history.TableRead{}, first)}, false},
-		"a change that reverts":         {[]porcupine.Operation{operation(0, 0, 5, a, won), operation(1, 6, 7, history.TableRead{}, history.TableReadReply{Revision: 2, Weight: 2}), operation(1, 8, 9, history.TableRead{}, first)}, false},
+		"both changes are applied":      {[]porcupine.Operation{operation(0, 0, 5, a, applied), operation(1, 0, 5, b, applied)}, false},
+		"a resend is refused":           {[]porcupine.Operation{operation(0, 0, 5, a, applied), operation(0, 6, 9, a, conflict)}, false},
+		"a stale read":                  {[]porcupine.Operation{operation(0, 0, 5, a, applied), operation(1, 6, 7, history.TableRead{}, initial)}, false},
+		"a change that reverts":         {[]porcupine.Operation{operation(0, 0, 5, a, applied), operation(1, 6, 7, history.TableRead{}, history.TableReadReply{Revision: 2, Weight: 2}), operation(1, 8, 9, history.TableRead{}, initial)}, false},
 	} {
-		if got := history.Linearizable(history.TableModel(first), c.ops, checkTimeout); got != c.ok {
+		if got := history.Linearizable(history.TableModel(initial), c.ops, checkTimeout); got != c.ok {
 			t.Errorf("%s: Linearizable = %v, want %v", name, got, c.ok)
 		}
 	}
 }
 
-func TestRequestHistories(t *testing.T) {
+func TestRequestModelAcceptsOnlyLinearizableHistories(t *testing.T) {
 	x, y := history.Submit{ID: "i", Content: "x"}, history.Submit{ID: "i", Content: "y"}
 	wait := history.Wait{ID: "i"}
 	for name, c := range map[string]struct {
--- a/internal/load/measure/change.go
+++ b/internal/load/measure/change.go
@@ -39,17 +39,17 @@
 		for name, measureOne := range map[string]func(context.Context, *rig.Rig, int) (time.Duration, error){
 			"key-withdrawal": measureWithdrawal, "table-change": measureTableChange,
 		} {
-			var delays []time.Duration
+			var applyDelays []time.Duration
 			for i := range changesPerKind {
 				d, err := measureOne(ctx, r, i)
 				if err != nil {
 					return err
 				}
-				delays = append(delays, d)
+				applyDelays = append(applyDelays, d)
 			}
-			slices.Sort(delays)
-			quantile := func(q float64) float64 { return ms(delays[int(math.Ceil(q*float64(len(delays))))-1]) }
-			if err := printRow(delayRow{Part: name, Place: m.DelaySet, Count: len(delays), P50: quantile(0.5), P99: quantile(0.99), Max: quantile(1)}); err != nil {
+			slices.Sort(applyDelays)
+			quantile := func(q float64) float64 { return ms(applyDelays[int(math.Ceil(q*float64(len(applyDelays))))-1]) }
+			if err := printRow(delayRow{Part: name, Place: m.DelaySet, Count: len(applyDelays), P50: quantile(0.5), P99: quantile(0.99), Max: quantile(1)}); err != nil {
 				return err
 			}
 		}
--- a/internal/load/measure/fault.go
+++ b/internal/load/measure/fault.go
@@ -27,9 +27,9 @@
 type faultCase struct {
 	name     string
 	duration time.Duration
-	// planned is true if the fault is a graceful restart, which must cut off no call.
-	planned bool
-	inject  func(ctx context.Context, r *rig.Rig) error
+	// graceful is true if the fault is a graceful restart, which must cut off no call.
+	graceful bool
+	inject   func(ctx context.Context, r *rig.Rig) error
 }
 
 var faultCases = []faultCase{
@@ -96,16 +96,16 @@
 	if err := m.warmUp(ctx, r, fleet, token); err != nil {
 		return err
 	}
-	var w sync.WaitGroup
+	var wg sync.WaitGroup
 	var injectErr error
 	var calls rig.CallCounts
-	callCtx, stop := context.WithCancel(ctx)
-	defer stop()
-	if f.planned {
-		w.Go(func() { r.RunPinnedCallers(callCtx, token, &calls) })
+	callCtx, stopCalls := context.WithCancel(ctx)
+	defer stopCalls()
+	if f.graceful {
+		wg.Go(func() { r.RunPinnedCallers(callCtx, token, &calls) })
 	}
-	w.Go(func() {
-		defer stop()
+	wg.Go(func() {
+		defer stopCalls()
 		transport.Sleep(ctx, faultDelay)
 		injectErr = f.inject(ctx, r)
 	})
@@ -113,14 +113,14 @@
 	if err != nil {
 		return err
 	}
-	w.Wait()
+	wg.Wait()
 	if injectErr != nil {
 		return injectErr
 	}
 	row.Fault = f.name
-	if f.planned {
-		cut := calls.CutOff.Load()
-		row.CutOff, row.PinnedCalls = &cut, calls.Made.Load()
+	if f.graceful {
+		unanswered := calls.Unanswered.Load()
+		row.UnansweredPinnedCalls, row.PinnedCalls = &unanswered, calls.Total.Load()
 	}
 	return printRow(row)
 }
--- a/internal/load/measure/load.go
+++ b/internal/load/measure/load.go
@@ -55,10 +55,10 @@
 	Refusals   map[string]int    `json:"refusals"`
 	Usage      cellUsage         `json:"costs"`
 	Fault      string            `json:"fault,omitempty"`
-	// CutOff counts the calls without an answer among PinnedCalls, the calls of callers
+	// UnansweredPinnedCalls counts the calls without an answer among PinnedCalls, the calls of callers
 	// that use one entry each.
-	CutOff      *int64 `json:"cut_off,omitempty"`
-	PinnedCalls int64  `json:"pinned,omitempty"`
+	UnansweredPinnedCalls *int64 `json:"cut_off,omitempty"`
+	PinnedCalls           int64  `json:"pinned,omitempty"`
 }
 
 // loadSpec describes a load with jobs of one kind.
@@ -86,7 +86,7 @@
 		return loadRow{}, err
 	}
 	client := r.CallerClient(token)
-	driver := &drive.Driver{Client: client, Jobs: spec.drawJobs(prefix), Tail: outcomeTimeout}
+	driver := &drive.Driver{Client: client, Jobs: spec.drawJobs(prefix), OutcomeTimeout: outcomeTimeout}
 	row := loadRow{Part: prefix, Place: m.DelaySet, Rate: spec.rate, TasksPerJob: spec.tasksPerJob}
 	var delayMeasurements sync.WaitGroup
 	for i, delay := range delays[m.DelaySet] {
@@ -98,9 +98,9 @@
 	startedAt := time.Now()
 	results := driver.Run(ctx)
 	delayMeasurements.Wait()
-	summary := report.Summarize(report.RunInfo{}, startedAt, results, fleet.TaskRuns)
+	summary := report.Summarize(report.RunInfo{}, startedAt, results, fleet.TaskRecorder)
 	row.Violations, row.Counts, row.Refusals = summary.Violations, summary.Counts, summary.Refusals
-	row.Violations.ServerFaults = append(row.Violations.ServerFaults, fleet.ServerRecord.Faults()...)
+	row.Violations.ServerFaults = append(row.Violations.ServerFaults, fleet.ServerRecorder.Faults()...)
 	row.Start, row.Lag = summary.Kinds[spec.kind.String()].Start, summary.Kinds[spec.kind.String()].Lag
 	networkDelay := clientCrossings*delays[m.DelaySet][1] + zoneCrossings*delays[m.DelaySet][0]
 	row.NetworkDelay = ms(networkDelay)
@@ -121,8 +121,8 @@
 	const digits = 3
 	h := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), digits)
 	for i := range results {
-		if s := &results[i]; s.AnsweredAt > 0 && s.Outcome == v1.Outcome_OUTCOME_DONE {
-			d := s.AnsweredAt - s.Job.ArrivesAt - s.Job.Runtime - networkDelay
+		if result := &results[i]; result.AnsweredAt > 0 && result.Outcome == v1.Outcome_OUTCOME_DONE {
+			d := result.AnsweredAt - result.Job.ArrivesAt - result.Job.Runtime - networkDelay
 			_ = h.RecordValue(max(1, d.Microseconds())) // cannot fail: the value is below the maximum
 		}
 	}
@@ -158,9 +158,9 @@
 	var lastAnswer time.Duration
 	startedTasks := 0.0
 	for i := range results {
-		if s := &results[i]; s.Outcome == v1.Outcome_OUTCOME_DONE && caller.IsFinal(s.Outcome) {
-			startedTasks += float64(s.Job.Spec.GetCount())
-			lastAnswer = max(lastAnswer, s.AnsweredAt)
+		if result := &results[i]; result.Outcome == v1.Outcome_OUTCOME_DONE && caller.IsFinal(result.Outcome) {
+			startedTasks += float64(result.Job.Spec.GetCount())
+			lastAnswer = max(lastAnswer, result.AnsweredAt)
 		}
 	}
 	if lastAnswer == 0 {
--- a/internal/load/measure/main.go
+++ b/internal/load/measure/main.go
@@ -60,9 +60,9 @@
 // measurement is one run of this program.
 type measurement struct {
 	options
-	program string
-	dir     string
-	cells   int
+	program   string
+	dir       string
+	cellCount int
 }
 
 func main() {
@@ -112,10 +112,10 @@
 
 // withCell runs fn on a new cell.
 func (m *measurement) withCell(ctx context.Context, entries int, fn func(context.Context, *rig.Rig) error) error {
-	m.cells++
+	m.cellCount++
 	// Each cell needs an empty folder, because a replica would load the data of an
 	// earlier cell.
-	dir := filepath.Join(m.dir, fmt.Sprintf("run-%d", m.cells))
+	dir := filepath.Join(m.dir, fmt.Sprintf("run-%d", m.cellCount))
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return err
 	}
@@ -192,18 +192,18 @@
 	var usage cellUsage
 	seconds := after.takenAt.Sub(before.takenAt).Seconds()
 	leader, _ := r.Leader()
-	for name, u := range after.processUsage {
-		c := &usage.Follower
+	for name, processUsage := range after.processUsage {
+		role := &usage.Follower
 		switch {
 		case name == leader:
-			c = &usage.Leader
+			role = &usage.Leader
 		case strings.HasPrefix(name, "entry"):
-			c = &usage.Entry
+			role = &usage.Entry
 		}
-		c.CPU += (u.CPU - before.processUsage[name].CPU).Seconds() / seconds
-		c.RunnableWait += (u.RunnableWait - before.processUsage[name].RunnableWait).Seconds() / seconds
-		c.Bytes += float64(after.listenerBytes[name]-before.listenerBytes[name]) / seconds
-		c.RSS = max(c.RSS, float64(u.RSS)/(1<<20))
+		role.CPU += (processUsage.CPU - before.processUsage[name].CPU).Seconds() / seconds
+		role.RunnableWait += (processUsage.RunnableWait - before.processUsage[name].RunnableWait).Seconds() / seconds
+		role.Bytes += float64(after.listenerBytes[name]-before.listenerBytes[name]) / seconds
+		role.RSS = max(role.RSS, float64(processUsage.RSS)/(1<<20))
 	}
 	usage.BackendBytes = float64(after.backendBytes-before.backendBytes) / seconds
 	usage.ToolCPU = (after.toolUsage.CPU - before.toolUsage.CPU).Seconds() / seconds
--- a/internal/load/measure/slopes.go
+++ b/internal/load/measure/slopes.go
@@ -39,12 +39,12 @@
 
 // fitLine fits a line by least squares.
 func fitLine(name, unit string, points []point) slope {
-	var n, sx, sy, sxx, sxy float64
+	var n, sumX, sumY, sumXX, sumXY float64
 	for _, p := range points {
-		n, sx, sy, sxx, sxy = n+1, sx+p.Size, sy+p.Value, sxx+p.Size*p.Size, sxy+p.Size*p.Value
+		n, sumX, sumY, sumXX, sumXY = n+1, sumX+p.Size, sumY+p.Value, sumXX+p.Size*p.Size, sumXY+p.Size*p.Value
 	}
-	gradient := (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	return slope{Name: name, Unit: unit, Slope: gradient, Intercept: (sy - gradient*sx) / n, Points: points}
+	gradient := (n*sumXY - sumX*sumY) / (n*sumXX - sumX*sumX)
+	return slope{Name: name, Unit: unit, Slope: gradient, Intercept: (sumY - gradient*sumX) / n, Points: points}
 }
 
 // lineSet collects points by name and fits a line for each name, in the order of first
@@ -77,25 +77,25 @@
 
 // measureSlopes measures the cost of one more start, idle server and running task.
 func measureSlopes(ctx context.Context, m *measurement) error {
-	l := &lineSet{}
+	lines := &lineSet{}
 	for _, part := range strings.Split(m.Slopes, ",") {
-		fn, ok := map[string]func(context.Context, *measurement, *lineSet) error{"start": measurePerStart, "server": measurePerServer, "memory": measurePerTask}[part]
+		fn, ok := map[string]func(context.Context, *measurement, *lineSet) error{"start": measureStartCost, "server": measureIdleServerCost, "memory": measureMemory}[part]
 		if !ok {
 			return fmt.Errorf("unknown slope %q", part)
 		}
-		if err := fn(ctx, m, l); err != nil {
+		if err := fn(ctx, m, lines); err != nil {
 			return err
 		}
 	}
-	return l.print()
+	return lines.print()
 }
 
 // microsPerSecond converts cores, which are seconds per second, to microseconds per
 // second.
 const microsPerSecond = 1e6
 
-// measurePerStart measures the processor time and traffic per started task.
-func measurePerStart(ctx context.Context, m *measurement, l *lineSet) error {
+// measureStartCost measures the processor time and traffic per started task.
+func measureStartCost(ctx context.Context, m *measurement, lines *lineSet) error {
 	for _, rate := range slopeRates {
 		err := m.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
 			if err := m.warmUp(ctx, r, fleet, token); err != nil {
@@ -103,13 +103,13 @@
 			}
 			row, err := m.runLoad(ctx, r, fleet, token, loadSpec{rate: rate, duration: m.Duration, kind: job.Urgent, tasksPerJob: 1, runtime: 50 * time.Millisecond}, "slope-")
 			usage := row.Usage
-			l.add("cpu of the leader per start", "us", row.StartsPerSecond, usage.Leader.CPU*microsPerSecond)
-			l.add("cpu of a follower per start", "us", row.StartsPerSecond, usage.Follower.CPU*microsPerSecond/(replicas-1))
-			l.add("cpu of the entries per start, all together", "us", row.StartsPerSecond, usage.Entry.CPU*microsPerSecond)
-			l.add("bytes at the leader's listener per start", "B", row.StartsPerSecond, usage.Leader.Bytes)
-			l.add("bytes at a follower's listener per start", "B", row.StartsPerSecond, usage.Follower.Bytes/(replicas-1))
-			l.add("bytes at the entries' listeners per start, all together", "B", row.StartsPerSecond, usage.Entry.Bytes)
-			l.add("bytes between entries and servers per start", "B", row.StartsPerSecond, usage.BackendBytes)
+			lines.add("cpu of the leader per start", "us", row.StartsPerSecond, usage.Leader.CPU*microsPerSecond)
+			lines.add("cpu of a follower per start", "us", row.StartsPerSecond, usage.Follower.CPU*microsPerSecond/(replicas-1))
+			lines.add("cpu of the entries per start, all together", "us", row.StartsPerSecond, usage.Entry.CPU*microsPerSecond)
+			lines.add("bytes at the leader's listener per start", "B", row.StartsPerSecond, usage.Leader.Bytes)
+			lines.add("bytes at a follower's listener per start", "B", row.StartsPerSecond, usage.Follower.Bytes/(replicas-1))
+			lines.add("bytes at the entries' listeners per start, all together", "B", row.StartsPerSecond, usage.Entry.Bytes)
+			lines.add("bytes between entries and servers per start", "B", row.StartsPerSecond, usage.BackendBytes)
 			return err
 		})
 		if err != nil {
@@ -119,18 +119,18 @@
 	return nil
 }
 
-// measurePerServer measures the processor time and traffic per idle backend server.
-func measurePerServer(ctx context.Context, m *measurement, l *lineSet) error {
+// measureIdleServerCost measures the processor time and traffic per idle backend server.
+func measureIdleServerCost(ctx context.Context, m *measurement, lines *lineSet) error {
 	for _, n := range slopeServerCounts {
 		err := m.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
 			row, err := m.runIdle(ctx, r, n)
 			usage, servers := row.Usage, float64(n)
-			l.add("cpu of the leader per idle server and second", "us", servers, usage.Leader.CPU*microsPerSecond)
-			l.add("cpu of a follower per idle server and second", "us", servers, usage.Follower.CPU*microsPerSecond/(replicas-1))
-			l.add("cpu of the entries per idle server and second, all together", "us", servers, usage.Entry.CPU*microsPerSecond)
-			l.add("bytes between entry and idle server per second", "B", servers, usage.BackendBytes)
-			l.add("bytes at the leader's listener per idle server and second", "B", servers, usage.Leader.Bytes)
-			l.add("bytes at an idle follower's listener per second, by servers", "B", servers, usage.Follower.Bytes/(replicas-1))
+			lines.add("cpu of the leader per idle server and second", "us", servers, usage.Leader.CPU*microsPerSecond)
+			lines.add("cpu of a follower per idle server and second", "us", servers, usage.Follower.CPU*microsPerSecond/(replicas-1))
+			lines.add("cpu of the entries per idle server and second, all together", "us", servers, usage.Entry.CPU*microsPerSecond)
+			lines.add("bytes between entry and idle server per second", "B", servers, usage.BackendBytes)
+			lines.add("bytes at the leader's listener per idle server and second", "B", servers, usage.Leader.Bytes)
+			lines.add("bytes at an idle follower's listener per second, by servers", "B", servers, usage.Follower.Bytes/(replicas-1))
 			return err
 		})
 		if err != nil {
@@ -140,9 +140,9 @@
 	return nil
 }
 
-// measurePerTask measures resident memory. The garbage collector keeps some unused
+// measureMemory measures resident memory. The garbage collector keeps some unused
 // memory, so the slope is an upper bound of what a task or server needs.
-func measurePerTask(ctx context.Context, m *measurement, l *lineSet) error {
+func measureMemory(ctx context.Context, m *measurement, lines *lineSet) error {
 	for _, n := range slopeTaskCounts {
 		err := m.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
 			token, err := r.CreateTeam(ctx, "measured")
@@ -157,7 +157,7 @@
 			if err := startLongTasks(ctx, r, fleet, token, n); err != nil {
 				return err
 			}
-			return addMemoryPoints(ctx, r, l, "running tasks", float64(n)/1000)
+			return addMemoryPoints(ctx, r, lines, "running tasks", float64(n)/1000)
 		})
 		if err != nil {
 			return err
@@ -170,7 +170,7 @@
 				return err
 			}
 			defer fleet.Close()
-			return addMemoryPoints(ctx, r, l, "servers", float64(n)/1000)
+			return addMemoryPoints(ctx, r, lines, "servers", float64(n)/1000)
 		})
 		if err != nil {
 			return err
@@ -179,13 +179,13 @@
 	return nil
 }
 
-func addMemoryPoints(ctx context.Context, r *rig.Rig, l *lineSet, subject string, size float64) error {
+func addMemoryPoints(ctx context.Context, r *rig.Rig, lines *lineSet, subject string, size float64) error {
 	transport.Sleep(ctx, rig.SettleTime)
 	sample, err := takeSample(r)
 	usage := usageBetween(r, sample, sample)
-	l.add("resident memory of the leader per 1,000 "+subject, "MiB", size, usage.Leader.RSS)
-	l.add("resident memory of a follower per 1,000 "+subject, "MiB", size, usage.Follower.RSS)
-	l.add("resident memory of an entry per 1,000 "+subject, "MiB", size, usage.Entry.RSS)
+	lines.add("resident memory of the leader per 1,000 "+subject, "MiB", size, usage.Leader.RSS)
+	lines.add("resident memory of a follower per 1,000 "+subject, "MiB", size, usage.Follower.RSS)
+	lines.add("resident memory of an entry per 1,000 "+subject, "MiB", size, usage.Entry.RSS)
 	return err
 }
 
@@ -215,7 +215,7 @@
 	for _, id := range ids {
 		for running := 0; running < tasksPerJob; {
 			running = 0
-			for _, taskRuns := range fleet.TaskRuns.JobRuns(id, tasksPerJob) {
+			for _, taskRuns := range fleet.TaskRecorder.JobAttempts(id, tasksPerJob) {
 				running += taskRuns.Started
 			}
 			if running < tasksPerJob && !transport.Sleep(ctx, taskPollInterval) {
--- a/internal/load/mix/mix_test.go
+++ b/internal/load/mix/mix_test.go
@@ -13,11 +13,11 @@
 )
 
 func newPlan(t *testing.T, seed uint64) mix.Plan {
-	shares, err := mix.ParseKindWeights("urgent=70,batch=25,gang=5")
+	weights, err := mix.ParseKindWeights("urgent=70,batch=25,gang=5")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return mix.Plan{Rate: 1000, Duration: 10 * time.Second, Seed: seed, Weights: shares, Shapes: mix.DefaultShapes(), OnceFraction: 0.5, MeanAnswerBytes: 100, IDPrefix: "p-"}
+	return mix.Plan{Rate: 1000, Duration: 10 * time.Second, Seed: seed, Weights: weights, Shapes: mix.DefaultShapes(), OnceFraction: 0.5, MeanAnswerBytes: 100, IDPrefix: "p-"}
 }
 
 func TestSameSeedGeneratesSameJobs(t *testing.T) {
--- a/internal/load/report/chart.go
+++ b/internal/load/report/chart.go
@@ -16,7 +16,7 @@
 	barWidth = 40
 	// timelineWidth is the maximum number of columns of a timeline.
 	timelineWidth = 60
-	padding       = 2
+	columnPadding = 2
 )
 
 // timelineLevels are the characters of a timeline, from 0 to the maximum.
@@ -29,9 +29,9 @@
 	c := r.Counts
 	fmt.Fprintf(w, "sent %d  accepted %d  done %d  failed %d  stopped %d  refused %d  not run %d  unknown %d  unanswered %d  repeated tasks %d\n",
 		c.Sent, c.Accepted, c.Done, c.Failed, c.Stopped, c.Refused, c.NotRun, c.Unknown, c.Unanswered, c.RepeatedTasks)
-	p := r.Violations
-	fmt.Fprintf(w, "promises: lost %d  damaged %d  doubled %d  false %d  unran %d  faults %d\n", p.LostJobs, p.DamagedAnswers, p.RepeatedOnceJobs, p.FalseNotRun, p.UnfinishedDone, len(p.ServerFaults))
-	for _, f := range p.ServerFaults {
+	violations := r.Violations
+	fmt.Fprintf(w, "promises: lost %d  damaged %d  doubled %d  false %d  unran %d  faults %d\n", violations.LostJobs, violations.DamagedAnswers, violations.RepeatedOnceJobs, violations.FalseNotRun, violations.UnfinishedDone, len(violations.ServerFaults))
+	for _, f := range violations.ServerFaults {
 		fmt.Fprintln(w, "  "+f)
 	}
 	r.writeRefusals(w)
@@ -66,7 +66,7 @@
 }
 
 func (r Result) writeTable(w io.Writer) error {
-	t := tabwriter.NewWriter(w, 0, 0, padding, ' ', tabwriter.AlignRight)
+	t := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "kind\twait (ms)\tcount\tmean\tp50\tp90\tp99\tp99.9\tmax\t")
 	for _, kind := range mix.Kinds {
 		k, ok := r.Kinds[kind.String()]
@@ -74,8 +74,8 @@
 			continue
 		}
 		for _, s := range k.waitRows() {
-			x := s.waits
-			fmt.Fprintf(t, "%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", kind, s.name, x.Count, x.Mean, x.P50, x.P90, x.P99, x.P999, x.Max)
+			waits := s.waits
+			fmt.Fprintf(t, "%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", kind, s.name, waits.Count, waits.Mean, waits.P50, waits.P90, waits.P99, waits.P999, waits.Max)
 		}
 	}
 	return t.Flush()
--- a/internal/load/report/report.go
+++ b/internal/load/report/report.go
@@ -159,21 +159,21 @@
 type builder struct {
 	Result
 	start time.Time
-	// runs is nil if the backend servers do not belong to the load tool.
-	runs       *work.Record
+	// recorder is nil if the backend servers do not belong to the load tool.
+	recorder   *work.Recorder
 	histograms map[job.Kind]*kindHistograms
 }
 
 // Summarize builds the result of a run that began at start. If the backend servers do
 // not belong to the load tool, runs is nil.
-func Summarize(info RunInfo, start time.Time, results []drive.JobResult, runs *work.Record) Result {
-	s := &builder{start: start, runs: runs, histograms: map[job.Kind]*kindHistograms{}}
+func Summarize(info RunInfo, start time.Time, results []drive.JobResult, recorder *work.Recorder) Result {
+	s := &builder{start: start, recorder: recorder, histograms: map[job.Kind]*kindHistograms{}}
 	s.Info, s.Kinds, s.Refusals = info, map[string]KindReport{}, map[string]int{}
 	s.Violations.ServerFaults = []string{}
 	s.Counts.Planned = len(results)
 	for i := range results {
 		if results[i].SentAt > 0 {
-			s.add(&results[i])
+			s.addResult(&results[i])
 		}
 	}
 	for _, k := range mix.Kinds {
@@ -184,7 +184,7 @@
 	return s.Result
 }
 
-func (s *builder) add(result *drive.JobResult) {
+func (s *builder) addResult(result *drive.JobResult) {
 	histograms := s.histograms[result.Job.Kind]
 	if histograms == nil {
 		histograms = newHistograms()
@@ -192,23 +192,23 @@
 	}
 	histograms.jobs++
 	s.Counts.Sent++
-	s.secondAt(result.SentAt).Sent++
+	s.countsAt(result.SentAt).Sent++
 	recordWait(histograms.lag, result.SentAt-result.Job.ArrivesAt)
 	if result.AcceptedAt > 0 {
 		s.Counts.Accepted++
 		recordWait(histograms.accept, result.AcceptedAt-result.Job.ArrivesAt)
 	}
 	if result.AnsweredAt > 0 && result.Outcome == v1.Outcome_OUTCOME_DONE {
-		s.secondAt(result.AnsweredAt).Answered++
+		s.countsAt(result.AnsweredAt).Answered++
 		if result.Job.Kind != job.Service {
 			recordWait(histograms.answer, result.AnsweredAt-result.Job.ArrivesAt)
 		}
 	}
 	s.countOutcome(result)
-	s.checkRuns(result, histograms)
+	s.checkAttempts(result, histograms)
 }
 
-func (s *builder) secondAt(at time.Duration) *SecondCounts {
+func (s *builder) countsAt(at time.Duration) *SecondCounts {
 	n := int(at / time.Second)
 	for len(s.Seconds) <= n {
 		s.Seconds = append(s.Seconds, SecondCounts{})
@@ -223,7 +223,7 @@
 	switch {
 	case result.AcceptedAt == 0 && result.Outcome == v1.Outcome_OUTCOME_UNKNOWN:
 		s.Counts.Unknown++
-	case result.AcceptedAt == 0 && noAnswer(result.Code):
+	case result.AcceptedAt == 0 && isUnanswered(result.Code):
 		s.Counts.Unanswered++
 	case result.AcceptedAt == 0:
 		s.Counts.Refused++
@@ -244,21 +244,21 @@
 	}
 }
 
-// noAnswer reports whether the code means that the submission got no answer.
-func noAnswer(c code.Code) bool {
+// isUnanswered reports whether the code means that the submission got no answer.
+func isUnanswered(c code.Code) bool {
 	return c == code.LeaderTimeout || c == code.NoLeader || c == code.ShuttingDown
 }
 
-// checkRuns compares the outcome that the caller got with the attempts that really
+// checkAttempts compares the outcome that the caller got with the attempts that really
 // ran.
-func (s *builder) checkRuns(result *drive.JobResult, histograms *kindHistograms) {
-	if s.runs == nil {
+func (s *builder) checkAttempts(result *drive.JobResult, histograms *kindHistograms) {
+	if s.recorder == nil {
 		return
 	}
-	runs := s.runs.JobRuns(result.Job.Spec.GetId(), result.Job.Spec.GetCount())
+	attempts := s.recorder.JobAttempts(result.Job.Spec.GetId(), result.Job.Spec.GetCount())
 	started, ended, repeated := 0, 0, false
 	var lastStart time.Time
-	for _, r := range runs {
+	for _, r := range attempts {
 		if r.Started > 0 {
 			started++
 		}
@@ -279,10 +279,10 @@
 	if started > 0 && result.Outcome == v1.Outcome_OUTCOME_NOT_RUN {
 		s.Violations.FalseNotRun++
 	}
-	if ended < len(runs) && result.Outcome == v1.Outcome_OUTCOME_DONE && result.Code == code.OK {
+	if ended < len(attempts) && result.Outcome == v1.Outcome_OUTCOME_DONE && result.Code == code.OK {
 		s.Violations.UnfinishedDone++
 	}
-	if started == len(runs) {
+	if started == len(attempts) {
 		recordWait(histograms.start, lastStart.Sub(s.start)-result.Job.ArrivesAt)
 	}
 }
--- a/internal/load/report/report_test.go
+++ b/internal/load/report/report_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func recordRuns(t *testing.T, r *work.Record, id string, times int, complete bool) {
+func runAttempts(t *testing.T, r *work.Recorder, id string, times int, complete bool) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	if !complete {
@@ -59,11 +59,11 @@
 // compared with the attempts that the backend servers ran.
 func TestViolationsAreCounted(t *testing.T) {
 	const second = time.Second
-	r := &work.Record{}
-	recordRuns(t, r, "good", 1, true)
-	recordRuns(t, r, "doubled", 2, true)
-	recordRuns(t, r, "false", 1, false)
-	recordRuns(t, r, "unran", 1, false)
+	r := &work.Recorder{}
+	runAttempts(t, r, "good", 1, true)
+	runAttempts(t, r, "doubled", 2, true)
+	runAttempts(t, r, "false", 1, false)
+	runAttempts(t, r, "unran", 1, false)
 	damaged := jobResult("good", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK)
 	damaged.AnswerDamaged = true
 	for name, c := range map[string]struct {
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -31,10 +31,10 @@
 
 // Fleet is a group of fake backend servers that run in this process.
 type Fleet struct {
-	// TaskRuns records the attempts of each task. ServerRecord counts the starts and
+	// TaskRecorder records the attempts of each task. ServerRecord counts the starts and
 	// records the faults that the servers notice.
-	TaskRuns     *work.Record
-	ServerRecord *server.Record
+	TaskRecorder   *work.Recorder
+	ServerRecorder *server.Record
 
 	servers []*server.Server
 	cancel  context.CancelFunc
@@ -43,19 +43,19 @@
 // StartFleet starts n backend servers and waits until the cell reports all of them as
 // ready.
 func (r *Rig) StartFleet(ctx context.Context, n int, capacity *v1.Size) (*Fleet, error) {
-	f := &Fleet{TaskRuns: &work.Record{}, ServerRecord: &server.Record{}}
-	running, cancel := context.WithCancel(ctx)
+	f := &Fleet{TaskRecorder: &work.Recorder{}, ServerRecorder: &server.Record{}}
+	runCtx, cancel := context.WithCancel(ctx)
 	f.cancel = cancel
 	for i := range n {
 		s := &server.Server{
-			Name: fmt.Sprintf("load-%03d", i), Secret: r.EnrolmentSecret, Work: f.TaskRuns.RunTask, Record: f.ServerRecord, Log: logr.Discard(),
+			Name: fmt.Sprintf("load-%03d", i), Secret: r.EnrolmentSecret, Work: f.TaskRecorder.RunTask, Record: f.ServerRecorder, Log: logr.Discard(),
 			Rack: fmt.Sprintf("rack-%d", i/serversPerRack), Zone: fmt.Sprintf("zone-%d", i%zoneCount), Capacity: capacity,
 		}
 		for _, address := range r.BackendAddresses() {
 			s.Entries = append(s.Entries, server.NewEntry(address, nil, nil))
 		}
 		f.servers = append(f.servers, s)
-		go func() { _ = s.Run(running) }() // ends with the fleet, which causes its only error
+		go func() { _ = s.Run(runCtx) }() // ends with the fleet, which causes its only error
 	}
 	if err := r.waitServersReady(ctx, n); err != nil {
 		f.Close()
@@ -130,9 +130,9 @@
 // GrantKey grants a new key to a team and returns the token that callers present.
 func (r *Rig) GrantKey(ctx context.Context, team, id string) (string, error) {
 	secret := key.NewSecret()
-	d := key.Digest(secret)
+	digest := key.Digest(secret)
 	_, err := r.OperatorClient().Change(ctx, &v1.ChangeRequest{Id: "grant-" + id, Change: &v1.ChangeRequest_Grant{
-		Grant: &v1.KeyGrant{Id: id, Team: team, Digest: d[:]},
+		Grant: &v1.KeyGrant{Id: id, Team: team, Digest: digest[:]},
 	}})
 	return id + "." + secret, err
 }
--- a/internal/load/rig/pinned.go
+++ b/internal/load/rig/pinned.go
@@ -21,19 +21,19 @@
 
 // CallCounts counts the calls of pinned callers.
 type CallCounts struct {
-	Made atomic.Int64
-	// CutOff counts the calls that ended without an answer from the entry.
-	CutOff atomic.Int64
+	Total atomic.Int64
+	// Unanswered counts the calls that ended without an answer from the entry.
+	Unanswered atomic.Int64
 }
 
 // RunPinnedCallers calls each entry directly until ctx ends. The callers behave as if
 // behind a load balancer: they call an entry only while its readiness probe succeeds,
 // and they never retry.
 func (r *Rig) RunPinnedCallers(ctx context.Context, token string, counts *CallCounts) {
-	var w sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, name := range r.EntryNames() {
 		for range callersPerEntry {
-			w.Go(func() {
+			wg.Go(func() {
 				for ctx.Err() == nil {
 					if r.Ready(name) {
 						callEntry(ctx, r.directURL(name), token, counts)
@@ -43,18 +43,18 @@
 			})
 		}
 	}
-	w.Wait()
+	wg.Wait()
 }
 
 // callEntry makes one call over a new connection. The call ignores the cancellation of
 // ctx, so that the end of the measurement cuts off no call.
 func callEntry(ctx context.Context, address, token string, counts *CallCounts) {
-	l := &transport.Client{Addresses: []string{address}, Key: token}
-	defer l.Close()
-	_, err := transport.TryOnce(context.WithoutCancel(ctx), l, newListCall, &v1.ListRequest{})
-	counts.Made.Add(1)
+	client := &transport.Client{Addresses: []string{address}, Key: token}
+	defer client.Close()
+	_, err := transport.TryOnce(context.WithoutCancel(ctx), client, newListCall, &v1.ListRequest{})
+	counts.Total.Add(1)
 	if err != nil {
-		counts.CutOff.Add(1)
+		counts.Unanswered.Add(1)
 	}
 }
 
--- a/internal/load/rig/process.go
+++ b/internal/load/rig/process.go
@@ -85,9 +85,9 @@
 	}
 }
 
-func (r *Rig) signal(name string, s os.Signal) {
+func (r *Rig) signal(name string, sig os.Signal) {
 	if p := r.process(name); p != nil {
-		_ = p.cmd.Process.Signal(s) // fails only if the process has ended
+		_ = p.cmd.Process.Signal(sig) // fails only if the process has ended
 	}
 }
 
@@ -108,14 +108,14 @@
 func (r *Rig) Resume(name string) { r.signal(name, syscall.SIGCONT) }
 
 // Stop shuts a process down gracefully with SIGTERM and returns its exit error.
-func (r *Rig) Stop(name string, limit time.Duration) error {
+func (r *Rig) Stop(name string, timeout time.Duration) error {
 	r.signal(name, syscall.SIGTERM)
 	p := r.process(name)
 	select {
 	case <-p.done:
 		return p.err
-	case <-time.After(limit):
-		return errors.Newf("%s did not shut down within %s", name, limit)
+	case <-time.After(timeout):
+		return errors.Newf("%s did not shut down within %s", name, timeout)
 	}
 }
 
@@ -218,11 +218,11 @@
 	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is valid
 	var sum time.Duration
 	for _, path := range paths {
-		var ran, wait int64
+		var ranNanos, waitNanos int64
 		if text, err := os.ReadFile(path); err == nil {
-			_, _ = fmt.Sscan(string(text), &ran, &wait)
+			_, _ = fmt.Sscan(string(text), &ranNanos, &waitNanos)
 		}
-		sum += time.Duration(wait)
+		sum += time.Duration(waitNanos)
 	}
 	return sum
 }
--- a/internal/load/rig/process_test.go
+++ b/internal/load/rig/process_test.go
@@ -50,10 +50,10 @@
 	if testing.Short() {
 		t.Skip("starts real processes")
 	}
-	const first, last, step = 19300, 19900, 150
+	const firstPort, lastPort, portStep = 19300, 19900, 150
 	var r *rig.Rig
-	err := fmt.Errorf("no free ports from %d to %d", first, last)
-	for port := first; err != nil && port < last; port += step {
+	err := fmt.Errorf("no free ports from %d to %d", firstPort, lastPort)
+	for port := firstPort; err != nil && port < lastPort; port += portStep {
 		r = &rig.Rig{Program: program, Dir: t.TempDir(), FirstPort: port, Replicas: 3, Entries: 2}
 		if err = r.Start(t.Context()); err != nil {
 			t.Log(err)
@@ -90,9 +90,9 @@
 func waitStarted(t *testing.T, fleet *rig.Fleet, n int) {
 	t.Helper()
 	const timeout = 30 * time.Second
-	for end := time.Now().Add(timeout); fleet.ServerRecord.Total() < n; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(timeout); fleet.ServerRecorder.Total() < n; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d of %d tasks started within %s", fleet.ServerRecord.Total(), n, timeout)
+			t.Fatalf("%d of %d tasks started within %s", fleet.ServerRecorder.Total(), n, timeout)
 		}
 	}
 }
@@ -108,49 +108,49 @@
 		Rate: 80, Duration: 10 * time.Second, Seed: 1, Weights: mix.KindWeights{job.Urgent: 8, job.Batch: 1, job.Gang: 1},
 		Shapes: mix.DefaultShapes(), OnceFraction: 0.3, MeanAnswerBytes: 1000, IDPrefix: "smoke-",
 	}.Jobs()
-	driver := &drive.Driver{Client: r.CallerClient(token), Jobs: jobs, Tail: 60 * time.Second}
-	var w sync.WaitGroup
-	defer w.Wait()
+	driver := &drive.Driver{Client: r.CallerClient(token), Jobs: jobs, OutcomeTimeout: 60 * time.Second}
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	var results []drive.JobResult
 	startedAt := time.Now()
-	w.Go(func() { results = driver.Run(t.Context()) })
+	wg.Go(func() { results = driver.Run(t.Context()) })
 	var calls rig.CallCounts
 	callCtx, stopCalls := context.WithCancel(t.Context())
 	defer stopCalls()
 
-	eighth := len(jobs) / 8
-	waitStarted(t, fleet, eighth)
+	eighthOfJobs := len(jobs) / 8
+	waitStarted(t, fleet, eighthOfJobs)
 	firstLeader := waitLeader(t, r)
 	r.Kill(firstLeader)
-	waitStarted(t, fleet, 2*eighth)
+	waitStarted(t, fleet, 2*eighthOfJobs)
 	if err := r.Restart(firstLeader); err != nil {
 		t.Fatal(err)
 	}
 	secondLeader := waitLeader(t, r)
 	r.Pause(secondLeader)
-	waitStarted(t, fleet, 4*eighth)
+	waitStarted(t, fleet, 4*eighthOfJobs)
 	r.Resume(secondLeader)
-	w.Go(func() { r.RunPinnedCallers(callCtx, token, &calls) })
-	waitStarted(t, fleet, 5*eighth)
+	wg.Go(func() { r.RunPinnedCallers(callCtx, token, &calls) })
+	waitStarted(t, fleet, 5*eighthOfJobs)
 	if err := r.Stop("entry-1", 30*time.Second); err != nil {
 		t.Errorf("graceful stop of entry-1: %v", err)
 	}
 	if err := r.Restart("entry-1"); err != nil {
 		t.Fatal(err)
 	}
-	waitStarted(t, fleet, 7*eighth)
+	waitStarted(t, fleet, 7*eighthOfJobs)
 	stopCalls()
-	w.Wait()
+	wg.Wait()
 
-	summary := report.Summarize(report.RunInfo{}, startedAt, results, fleet.TaskRuns)
-	if faults := fleet.ServerRecord.Faults(); !summary.Violations.None() || len(faults) > 0 {
+	summary := report.Summarize(report.RunInfo{}, startedAt, results, fleet.TaskRecorder)
+	if faults := fleet.ServerRecorder.Faults(); !summary.Violations.None() || len(faults) > 0 {
 		t.Errorf("violated guarantees: %+v, faults noticed by servers: %v", summary.Violations, faults)
 	}
-	if summary.Counts.Accepted == 0 || calls.Made.Load() == 0 {
-		t.Errorf("no job was accepted or no call was made: %+v, %d calls", summary.Counts, calls.Made.Load())
+	if summary.Counts.Accepted == 0 || calls.Total.Load() == 0 {
+		t.Errorf("no job was accepted or no call was made: %+v, %d calls", summary.Counts, calls.Total.Load())
 	}
-	if calls.CutOff.Load() > 0 {
-		t.Errorf("%d of %d calls were cut off by a graceful stop", calls.CutOff.Load(), calls.Made.Load())
+	if calls.Unanswered.Load() > 0 {
+		t.Errorf("%d of %d calls were cut off by a graceful stop", calls.Unanswered.Load(), calls.Total.Load())
 	}
 }
 
@@ -186,29 +186,29 @@
 // restarted and its successor is paused and resumed.
 func runDuringFailures(t *testing.T, r *rig.Rig, operation func(client, i int)) {
 	t.Helper()
-	m := newMilestones(clients*operationsPerClient, 6)
-	var w sync.WaitGroup
+	progress := newMilestones(clients*operationsPerClient, 6)
+	var wg sync.WaitGroup
 	for c := range clients {
-		w.Go(func() {
+		wg.Go(func() {
 			for i := range operationsPerClient {
 				operation(c, i)
-				m.countOperation()
+				progress.countOperation()
 			}
 		})
 	}
-	<-m.reached[0]
+	<-progress.reached[0]
 	firstLeader := waitLeader(t, r)
 	r.Kill(firstLeader)
-	<-m.reached[1]
+	<-progress.reached[1]
 	if err := r.Restart(firstLeader); err != nil {
 		t.Fatal(err)
 	}
-	<-m.reached[2]
+	<-progress.reached[2]
 	secondLeader := waitLeader(t, r)
 	r.Pause(secondLeader)
-	<-m.reached[4]
+	<-progress.reached[4]
 	r.Resume(secondLeader)
-	w.Wait()
+	wg.Wait()
 }
 
 // Guards against a deposed leader that answers from its own state and against a resent
--- a/internal/load/trial/main.go
+++ b/internal/load/trial/main.go
@@ -88,12 +88,12 @@
 	}
 	bar := progressbar.NewOptions(len(names)*o.SeedCount, progressbar.OptionSetWriter(progress), progressbar.OptionSetDescription("runs"), progressbar.OptionThrottle(time.Second))
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, min(o.Parallel, runtime.NumCPU()))
+	semaphore := make(chan struct{}, min(o.Parallel, runtime.NumCPU()))
 	for i := range names {
 		for n := range o.SeedCount {
 			wg.Go(func() {
-				slots <- struct{}{}
-				defer func() { <-slots }()
+				semaphore <- struct{}{}
+				defer func() { <-semaphore }()
 				results[i][n] = simulator.New(simulator.GenerateScenario(o.FirstSeed+uint64(n), o.Servers), policies[i]).Run()
 				_ = bar.Add(1)
 			})
@@ -164,10 +164,10 @@
 }
 
 // meanAndDeviation returns the mean and the standard deviation of a figure.
-func meanAndDeviation(results []simulator.Result, figure func(simulator.Result) float64) (mean, deviation float64) {
+func meanAndDeviation(results []simulator.Result, value func(simulator.Result) float64) (mean, deviation float64) {
 	values := make([]float64, len(results))
 	for i, r := range results {
-		values[i] = figure(r)
+		values[i] = value(r)
 		mean += values[i] / float64(len(results))
 	}
 	for _, v := range values {
--- a/internal/load/work/work.go
+++ b/internal/load/work/work.go
@@ -51,8 +51,8 @@
 	return answer
 }
 
-// TaskRuns counts the attempts of one task.
-type TaskRuns struct {
+// AttemptCounts counts the attempts of one task.
+type AttemptCounts struct {
 	// Started counts the attempts that began, Ended those that ran to their end.
 	Started, Ended int
 	// FirstStart is when the first attempt began.
@@ -65,41 +65,41 @@
 	index uint32
 }
 
-// Record records the attempts of all tasks. The zero value is ready to use.
-type Record struct {
-	mu   sync.Mutex
-	runs map[taskKey]TaskRuns
+// Recorder records the attempts of all tasks. The zero value is ready to use.
+type Recorder struct {
+	mu       sync.Mutex
+	attempts map[taskKey]AttemptCounts
 }
 
 // RunTask runs a task as its input says. It has the signature of server.Server.Work.
-func (r *Record) RunTask(ctx context.Context, order *v1.Order) server.Result {
+func (r *Recorder) RunTask(ctx context.Context, order *v1.Order) server.Result {
 	var input Input
 	if json.Unmarshal(order.GetInput(), &input) != nil {
 		return server.Result{Answer: order.GetInput()}
 	}
 	key := taskKey{input.ID, order.GetAttempt().GetTask()}
-	r.update(key, func(n *TaskRuns) {
-		if n.Started == 0 {
-			n.FirstStart = time.Now()
+	r.update(key, func(counts *AttemptCounts) {
+		if counts.Started == 0 {
+			counts.FirstStart = time.Now()
 		}
-		n.Started++
+		counts.Started++
 	})
 	if !sleep(ctx, input.Runtime) {
 		return server.Result{Exit: 1}
 	}
-	r.update(key, func(n *TaskRuns) { n.Ended++ })
+	r.update(key, func(counts *AttemptCounts) { counts.Ended++ })
 	return server.Result{Answer: TaskAnswer(input.ID, key.index, input.AnswerBytes)}
 }
 
-func (r *Record) update(key taskKey, change func(*TaskRuns)) {
+func (r *Recorder) update(key taskKey, change func(*AttemptCounts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.runs == nil {
-		r.runs = make(map[taskKey]TaskRuns)
+	if r.attempts == nil {
+		r.attempts = make(map[taskKey]AttemptCounts)
 	}
-	n := r.runs[key]
-	change(&n)
-	r.runs[key] = n
+	counts := r.attempts[key]
+	change(&counts)
+	r.attempts[key] = counts
 }
 
 // sleep waits for d and reports whether ctx is still active. If d is negative, it
@@ -119,13 +119,13 @@
 	}
 }
 
-// JobRuns returns the recorded attempts of a job, one element per task.
-func (r *Record) JobRuns(id string, count uint32) []TaskRuns {
+// JobAttempts returns the recorded attempts of a job, one element per task.
+func (r *Recorder) JobAttempts(id string, count uint32) []AttemptCounts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make([]TaskRuns, count)
+	out := make([]AttemptCounts, count)
 	for i := range out {
-		out[i] = r.runs[taskKey{id, uint32(i)}]
+		out[i] = r.attempts[taskKey{id, uint32(i)}]
 	}
 	return out
 }
--- a/internal/policy/bench/bench.go
+++ b/internal/policy/bench/bench.go
@@ -118,7 +118,7 @@
 
 // Run simulates one run and returns its measurements.
 func Run(p plan.Planner, s Setup) Result {
-	w := NewWorld(p, s.Site.servers(), InitialTable())
+	w := NewSimulation(p, s.Site.servers(), InitialTable())
 	w.Metrics.MeasureFrom = s.Duration / 8
 	src := &jobSource{rng: rand.New(rand.NewPCG(s.Seed, 7)), site: s.Site}
 	rate := src.arrivalRate(s.Load)
@@ -138,10 +138,10 @@
 }
 
 // injectFault starts the fault of the setup.
-func (w *World) injectFault(s Setup) {
+func (w *Simulation) injectFault(s Setup) {
 	w.Metrics.FaultAt = w.now
-	small := capacity.Size{CPU: 1000, Memory: 1 << 10, Slots: 1}
-	flood := &job.Spec{Team: "dov", Kind: job.Batch, Name: "flood", Count: 10_000, Size: small, EstimatedRuntime: time.Minute}
+	taskSize := capacity.Size{CPU: 1000, Memory: 1 << 10, Slots: 1}
+	largeJob := &job.Spec{Team: "dov", Kind: job.Batch, Name: "flood", Count: 10_000, Size: taskSize, EstimatedRuntime: time.Minute}
 	switch s.Fault {
 	case ZoneLost:
 		w.FailServers(func(b backend.Server) bool { return b.Zone == "z00" }, s.Duration/4, true)
@@ -150,11 +150,11 @@
 	case FailingServer:
 		w.failingServers[w.serverIDs[len(w.serverIDs)/2]] = true
 	case CancelWave:
-		times := make([]time.Duration, flood.Count)
-		for i := range times {
-			times[i] = time.Minute
+		runtimes := make([]time.Duration, largeJob.Count)
+		for i := range runtimes {
+			runtimes[i] = time.Minute
 		}
-		id := w.Submit(flood, times, small, false)
+		id := w.Submit(largeJob, runtimes, taskSize, false)
 		w.Schedule(w.now+10*time.Second, func() { w.Cancel(id) })
 	case LimitLowered:
 		row, _ := w.table.Row("ada")
@@ -163,17 +163,17 @@
 		row, _ := w.table.Row("cem")
 		w.SetTable(w.table.Update(append(w.table.Rows()[:0:0], row.WithWeight(6)), nil))
 	case UnplaceableJob:
-		unplaceable := *flood
+		unplaceable := *largeJob
 		unplaceable.Size, unplaceable.Count = s.Site.ServerCapacity.Times(2), 200
 		w.Submit(&unplaceable, make([]time.Duration, unplaceable.Count), unplaceable.Size, false)
 	}
 }
 
 func (m *Metrics) result() Result {
-	for id := uint64(1); id <= m.world.lastJob; id++ {
-		for _, a := range m.world.jobs[id] {
+	for id := uint64(1); id <= m.simulation.lastJob; id++ {
+		for _, a := range m.simulation.jobs[id] {
 			if a.placed {
-				m.coreSecondsDone[a.spec.Kind] += coreSeconds(a, m.world.now-max(a.startedAt, m.MeasureFrom))
+				m.coreSecondsDone[a.spec.Kind] += coreSeconds(a, m.simulation.now-max(a.startedAt, m.MeasureFrom))
 			}
 		}
 	}
@@ -184,7 +184,7 @@
 		UrgentAfterFault: quantile(m.waitsAfterFault, 0.99), UrgentAfterLoss: quantile(m.waitsAfterLoss, 0.99),
 		InOneRack: mean(m.inOneRack), InOneZone: mean(m.inOneZone), BatchMeanWait: meanDuration(m.waits[job.Batch]),
 		DecisionRate: float64(m.decisionCount) / max(1e-9, m.decideTime.Seconds()), DecisionP99: quantile(m.decisionTimes, 0.99),
-		ActionCounts: m.actionCounts, LostByReason: m.lostByReason, Violations: m.world.Checker.Violations,
+		ActionCounts: m.actionCounts, LostByReason: m.lostByReason, Violations: m.simulation.Checker.Violations,
 	}
 	for k := range m.waits {
 		r.Placed[k] = len(m.waits[k])
@@ -229,7 +229,7 @@
 }
 
 // failRacks makes one rack silent for 15 s and schedules the next rack 20 s later.
-func (w *World) failRacks(n int, markSuspect bool) {
+func (w *Simulation) failRacks(n int, markSuspect bool) {
 	rack := w.servers[w.serverIDs[n*7%len(w.serverIDs)]].Rack
 	w.FailServers(func(b backend.Server) bool { return b.Rack == rack }, 15*time.Second, markSuspect)
 	w.Schedule(w.now+20*time.Second, func() { w.failRacks(n+1, markSuspect) })
--- a/internal/policy/bench/bench_test.go
+++ b/internal/policy/bench/bench_test.go
@@ -23,15 +23,15 @@
 	if selection == "" {
 		t.Skip("set GYPSUMREEL_MEASURE to measure")
 	}
-	chooseSeed()
+	setSeedFromEnv()
 	fmt.Println(bench.Header())
 	for _, site := range []bench.Site{bench.Balastas(), bench.Coralwave()} {
 		switch selection {
 		case "goals":
 			runGoals(site)
 		case "sweep":
-			for _, patience := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second, 15 * time.Second} {
-				runPlanner(cell.New(cell.Config{GangPreemptDelay: patience}), site, 1.2, bench.NoFault, fmt.Sprint("patience ", patience))
+			for _, delay := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second, 15 * time.Second} {
+				runPlanner(cell.New(cell.Config{GangPreemptDelay: delay}), site, 1.2, bench.NoFault, fmt.Sprint("patience ", delay))
 			}
 			for _, slack := range []float64{0.005, 0.01, 0.02, 0.03} {
 				runPlanner(cell.New(cell.Config{ShareSlack: slack}), site, 1.2, bench.NoFault, fmt.Sprint("slack ", slack))
@@ -56,7 +56,7 @@
 // seed and duration apply to every run. GYPSUMREEL_SEED overrides the seed.
 var seed, duration = uint64(1), time.Hour
 
-func chooseSeed() {
+func setSeedFromEnv() {
 	if n, err := strconv.ParseUint(os.Getenv("GYPSUMREEL_SEED"), 10, 64); err == nil {
 		seed = n
 	}
--- a/internal/policy/bench/check.go
+++ b/internal/policy/bench/check.go
@@ -16,12 +16,12 @@
 // place only.
 type Checker struct {
 	// Violations lists the first violations, at most maxViolations.
-	Violations []string
-	table      table.Table
-	servers    map[string]backend.Server
-	tasks      map[string][]*Task
-	used       map[string]capacity.Size
-	teamUsage  map[string]capacity.Size
+	Violations    []string
+	table         table.Table
+	servers       map[string]backend.Server
+	tasksByServer map[string][]*Task
+	usedCapacity  map[string]capacity.Size
+	teamUsage     map[string]capacity.Size
 }
 
 // maxViolations is the maximum length of the list of violations.
@@ -30,8 +30,8 @@
 // NewChecker returns a checker without servers and tasks.
 func NewChecker() *Checker {
 	return &Checker{
-		servers: map[string]backend.Server{}, tasks: map[string][]*Task{},
-		used: map[string]capacity.Size{}, teamUsage: map[string]capacity.Size{},
+		servers: map[string]backend.Server{}, tasksByServer: map[string][]*Task{},
+		usedCapacity: map[string]capacity.Size{}, teamUsage: map[string]capacity.Size{},
 	}
 }
 
@@ -42,7 +42,7 @@
 }
 
 // CheckDecision checks one decision before it is applied.
-func (c *Checker) CheckDecision(w *World, d plan.Decision) {
+func (c *Checker) CheckDecision(w *Simulation, d plan.Decision) {
 	switch d.Action {
 	case plan.Place:
 		c.checkPlacements(w, d)
@@ -53,7 +53,7 @@
 	}
 }
 
-func (c *Checker) checkPlacements(w *World, d plan.Decision) {
+func (c *Checker) checkPlacements(w *Simulation, d plan.Decision) {
 	for _, placement := range d.Placements {
 		t := w.unfinished[task.ID{Job: d.Job, Index: placement.Index}]
 		if t == nil || t.placed {
@@ -65,18 +65,18 @@
 	c.checkGang(w, d)
 }
 
-func (c *Checker) addTask(w *World, t *Task, server string) {
+func (c *Checker) addTask(w *Simulation, t *Task, server string) {
 	s := c.servers[server]
 	if s.State != backend.Ready && s.State != backend.Quarantined {
 		c.addViolation("%v: server %s in state %s gets a task", w.now, server, s.State)
 	}
-	if s.State == backend.Quarantined && len(c.tasks[server]) > 0 {
+	if s.State == backend.Quarantined && len(c.tasksByServer[server]) > 0 {
 		c.addViolation("%v: quarantined server %s gets a second task", w.now, server)
 	}
-	c.tasks[server] = append(c.tasks[server], t)
-	c.used[server] = c.used[server].Add(t.spec.Size)
-	if !c.used[server].Fits(s.Capacity) {
-		c.addViolation("%v: server %s is overcommitted: uses %v of %v", w.now, server, c.used[server], s.Capacity)
+	c.tasksByServer[server] = append(c.tasksByServer[server], t)
+	c.usedCapacity[server] = c.usedCapacity[server].Add(t.spec.Size)
+	if !c.usedCapacity[server].Fits(s.Capacity) {
+		c.addViolation("%v: server %s is overcommitted: uses %v of %v", w.now, server, c.usedCapacity[server], s.Capacity)
 	}
 	team := t.spec.Team
 	c.teamUsage[team] = c.teamUsage[team].Add(t.spec.Size)
@@ -86,7 +86,7 @@
 }
 
 // checkGang checks that one decision starts all unfinished tasks of a gang.
-func (c *Checker) checkGang(w *World, d plan.Decision) {
+func (c *Checker) checkGang(w *Simulation, d plan.Decision) {
 	if len(w.jobs[d.Job]) == 0 || !w.jobs[d.Job][0].spec.AllOrNothing() {
 		return
 	}
@@ -102,7 +102,7 @@
 }
 
 func (c *Checker) removeTask(t *Task) {
-	c.tasks[t.server] = slices.DeleteFunc(c.tasks[t.server], func(other *Task) bool { return other == t })
-	c.used[t.server] = c.used[t.server].Sub(t.spec.Size)
+	c.tasksByServer[t.server] = slices.DeleteFunc(c.tasksByServer[t.server], func(other *Task) bool { return other == t })
+	c.usedCapacity[t.server] = c.usedCapacity[t.server].Sub(t.spec.Size)
 	c.teamUsage[t.spec.Team] = c.teamUsage[t.spec.Team].Sub(t.spec.Size)
 }
--- a/internal/policy/bench/metrics.go
+++ b/internal/policy/bench/metrics.go
@@ -18,7 +18,7 @@
 	// FaultAt is the virtual time at which the fault is injected; 0 before it.
 	FaultAt time.Duration
 
-	world           *World
+	simulation      *Simulation
 	waits           [job.Service + 1][]time.Duration
 	coreSecondsDone [job.Service + 1]float64
 	coreSecondsLost float64
@@ -42,11 +42,11 @@
 	waitsAfterFault, waitsAfterLoss []time.Duration
 }
 
-func newMetrics(w *World) *Metrics {
-	return &Metrics{world: w, lastMinute: map[string][]float64{}, lostByReason: map[string]float64{}, idealWaits: map[uint64]time.Duration{}}
+func newMetrics(w *Simulation) *Metrics {
+	return &Metrics{simulation: w, lastMinute: map[string][]float64{}, lostByReason: map[string]float64{}, idealWaits: map[uint64]time.Duration{}}
 }
 
-func (m *Metrics) measuring() bool { return m.world.now >= m.MeasureFrom }
+func (m *Metrics) measuring() bool { return m.simulation.now >= m.MeasureFrom }
 
 func (m *Metrics) timeDecide(decide func() []plan.Decision) []plan.Decision {
 	start := time.Now()
@@ -62,10 +62,10 @@
 
 func (m *Metrics) recordDecision(d plan.Decision) {
 	m.actionCounts[d.Action]++
-	if d.Action == plan.Place && m.measuring() && m.world.jobs[d.Job][0].spec.AllOrNothing() {
+	if d.Action == plan.Place && m.measuring() && m.simulation.jobs[d.Job][0].spec.AllOrNothing() {
 		racks, zones := map[string]bool{}, map[string]bool{}
 		for _, placement := range d.Placements {
-			s := m.world.servers[placement.Server]
+			s := m.simulation.servers[placement.Server]
 			racks[s.Zone+s.Rack], zones[s.Zone] = true, true
 		}
 		m.inOneRack = append(m.inOneRack, oneIfSingle(len(racks)))
@@ -83,8 +83,8 @@
 
 // recordSubmission records how long a gang would wait if no other task waited.
 func (m *Metrics) recordSubmission(id uint64) {
-	if m.measuring() && m.world.jobs[id][0].spec.AllOrNothing() {
-		m.idealWaits[id] = m.world.idealWait(m.world.jobs[id])
+	if m.measuring() && m.simulation.jobs[id][0].spec.AllOrNothing() {
+		m.idealWaits[id] = m.simulation.idealWait(m.simulation.jobs[id])
 	}
 }
 
@@ -92,7 +92,7 @@
 	if !t.measureWait || !m.measuring() {
 		return
 	}
-	wait := m.world.now - t.waitingSince
+	wait := m.simulation.now - t.waitingSince
 	if m.FaultAt > 0 && t.spec.Kind == job.Urgent {
 		if t.attempts > 0 {
 			m.waitsAfterLoss = append(m.waitsAfterLoss, wait)
@@ -108,7 +108,7 @@
 
 func (m *Metrics) recordCompletion(t *Task) {
 	if m.measuring() {
-		m.coreSecondsDone[t.spec.Kind] += coreSeconds(t, m.world.now-max(t.startedAt, m.MeasureFrom))
+		m.coreSecondsDone[t.spec.Kind] += coreSeconds(t, m.simulation.now-max(t.startedAt, m.MeasureFrom))
 	}
 }
 
@@ -116,7 +116,7 @@
 	if m.measuring() {
 		m.coreSecondsLost += coreSeconds(t, d)
 		m.lostByReason[t.stopReason] += coreSeconds(t, d) / 3600
-		m.coreSecondsDone[t.spec.Kind] += coreSeconds(t, max(0, m.world.now-max(t.startedAt, m.MeasureFrom)-d))
+		m.coreSecondsDone[t.spec.Kind] += coreSeconds(t, max(0, m.simulation.now-max(t.startedAt, m.MeasureFrom)-d))
 	}
 }
 
@@ -130,16 +130,16 @@
 	if m.measuring() {
 		m.takeSample()
 	}
-	m.world.Schedule(m.world.now+time.Second, m.Sample)
+	m.simulation.Schedule(m.simulation.now+time.Second, m.Sample)
 }
 
 func (m *Metrics) takeSample() {
-	w := m.world
+	w := m.simulation
 	var readyCapacity, used, demand capacity.Size
 	for _, id := range w.serverIDs {
 		if w.servers[id].State == backend.Ready {
 			readyCapacity = readyCapacity.Add(w.servers[id].Capacity)
-			used = used.Add(w.Checker.used[id])
+			used = used.Add(w.Checker.usedCapacity[id])
 		}
 	}
 	waiting := map[string]capacity.Size{}
@@ -149,27 +149,27 @@
 			demand = demand.Add(t.spec.Size)
 		}
 	}
-	if bound := min(1, used.Add(demand).DominantShare(readyCapacity)); !demand.IsZero() && bound > 0.95 {
-		m.packing = append(m.packing, used.DominantShare(readyCapacity)/bound)
+	if maxUsedShare := min(1, used.Add(demand).DominantShare(readyCapacity)); !demand.IsZero() && maxUsedShare > 0.95 {
+		m.packing = append(m.packing, used.DominantShare(readyCapacity)/maxUsedShare)
 		m.recordShareDistance(waiting, readyCapacity)
 	}
 }
 
 func (m *Metrics) recordShareDistance(waiting map[string]capacity.Size, readyCapacity capacity.Size) {
-	var claims []share.Team
+	var shareTeams []share.Team
 	var usedShares []float64
-	rows := m.world.table.Rows()
+	rows := m.simulation.table.Rows()
 	for _, row := range rows {
-		used := m.world.Checker.teamUsage[row.Name]
+		used := m.simulation.Checker.teamUsage[row.Name]
 		usedShares = append(usedShares, used.DominantShare(readyCapacity))
 		demand := used.Add(waiting[row.Name]).DominantShare(readyCapacity)
-		if bound := row.Limit.DominantShare(readyCapacity); bound > 0 {
-			demand = min(demand, bound)
+		if limitShare := row.Limit.DominantShare(readyCapacity); limitShare > 0 {
+			demand = min(demand, limitShare)
 		}
-		claims = append(claims, share.Team{Guarantee: float64(row.GuaranteedShare) / 1000, Weight: float64(row.Weight), Demand: min(1, demand)})
+		shareTeams = append(shareTeams, share.Team{Guarantee: float64(row.GuaranteedShare) / 1000, Weight: float64(row.Weight), Demand: min(1, demand)})
 	}
 	sum := 0.0
-	for i, target := range share.Divide(claims) {
+	for i, target := range share.Divide(shareTeams) {
 		distance := max(target-usedShares[i], usedShares[i]-target)
 		sum += distance
 		m.recordTeamDistance(rows[i].Name, distance)
@@ -218,7 +218,7 @@
 // idealWait returns how long a gang would wait if no other task waited. It frees the
 // capacity of the running tasks in the order of their real end times until the gang
 // fits.
-func (w *World) idealWait(tasks []*Task) time.Duration {
+func (w *Simulation) idealWait(tasks []*Task) time.Duration {
 	type end struct {
 		at   time.Duration
 		task *Task
@@ -229,8 +229,8 @@
 		if w.servers[id].State != backend.Ready {
 			continue
 		}
-		free[id] = w.servers[id].Capacity.Sub(w.Checker.used[id])
-		for _, t := range w.Checker.tasks[id] {
+		free[id] = w.servers[id].Capacity.Sub(w.Checker.usedCapacity[id])
+		for _, t := range w.Checker.tasksByServer[id] {
 			ends = append(ends, end{t.startedAt + t.remaining, t})
 		}
 	}
@@ -238,9 +238,9 @@
 	size := tasks[0].spec.Size
 	fits := func() bool {
 		n := 0
-		for _, left := range free {
-			for size.Fits(left) {
-				left = left.Sub(size)
+		for _, freeSize := range free {
+			for size.Fits(freeSize) {
+				freeSize = freeSize.Sub(size)
 				n++
 			}
 		}
--- a/internal/policy/bench/scale.go
+++ b/internal/policy/bench/scale.go
@@ -21,14 +21,14 @@
 	// DecideTimes holds the duration of each call of Decide.
 	DecideTimes []time.Duration
 
-	site    Site
-	rng     *rand.Rand
-	teams   int
-	now     time.Duration
-	lastJob uint64
-	running []runningTask
-	index   map[task.ID]int
-	specs   map[uint64]*job.Spec
+	site         Site
+	rng          *rand.Rand
+	teams        int
+	now          time.Duration
+	lastJob      uint64
+	running      []runningTask
+	runningIndex map[task.ID]int
+	specs        map[uint64]*job.Spec
 }
 
 // runningTask is a task that is placed on a server.
@@ -45,7 +45,7 @@
 func NewFullCell(p plan.Planner, servers, teams, tasks int, seed uint64) *FullCell {
 	site := Coralwave()
 	site.Servers, site.Zones = servers, max(3, min(21, servers/100))
-	s := &FullCell{Planner: p, site: site, rng: rand.New(rand.NewPCG(seed, 3)), teams: teams, specs: map[uint64]*job.Spec{}, index: map[task.ID]int{}}
+	s := &FullCell{Planner: p, site: site, rng: rand.New(rand.NewPCG(seed, 3)), teams: teams, specs: map[uint64]*job.Spec{}, runningIndex: map[task.ID]int{}}
 	rows := make([]team.Row, 0, teams)
 	for i := range teams {
 		rows = append(rows, team.New(teamName(i)).WithGuaranteedShare(uint32(500/teams)).WithWeight(uint32(1+i%4)))
@@ -114,13 +114,13 @@
 	for _, placement := range d.Placements {
 		id := task.ID{Job: d.Job, Index: placement.Index}
 		s.Planner.SetPlaced(plan.PlacedTask{ID: id, Job: spec, Server: placement.Server, PlacedAt: s.now})
-		s.index[id] = len(s.running)
+		s.runningIndex[id] = len(s.running)
 		s.running = append(s.running, runningTask{id, spec, placement.Server, s.now})
 	}
 }
 
 func (s *FullCell) preempt(id task.ID) {
-	i := s.index[id]
+	i := s.runningIndex[id]
 	r := s.running[i]
 	s.release(i)
 	s.Planner.AddWaiting(plan.WaitingTask{ID: id, Job: r.spec, AcceptedAt: r.placedAt, ReadyAt: s.now, Attempts: 1})
@@ -130,8 +130,8 @@
 func (s *FullCell) release(i int) {
 	r, last := s.running[i], s.running[len(s.running)-1]
 	s.running[i] = last
-	s.index[last.id] = i
-	delete(s.index, r.id)
+	s.runningIndex[last.id] = i
+	delete(s.runningIndex, r.id)
 	s.running = s.running[:len(s.running)-1]
 	s.Planner.EndAttempt(r.id, plan.AttemptEnd{EndedAt: s.now, Started: true})
 }
--- a/internal/policy/bench/view.go
+++ b/internal/policy/bench/view.go
@@ -12,14 +12,14 @@
 )
 
 // Server returns a server in its current state.
-func (w *World) Server(id string) backend.Server { return w.servers[id] }
+func (w *Simulation) Server(id string) backend.Server { return w.servers[id] }
 
 // Table returns the current team table.
-func (w *World) Table() table.Table { return w.table }
+func (w *Simulation) Table() table.Table { return w.table }
 
 // ServersOf returns the servers on which tasks of the job are placed, in the order of
 // the tasks.
-func (w *World) ServersOf(id uint64) []string {
+func (w *Simulation) ServersOf(id uint64) []string {
 	var servers []string
 	for _, t := range w.jobs[id] {
 		if w.unfinished[t.id] == t && t.placed {
@@ -31,7 +31,7 @@
 
 // RunningTasks returns the number of the job's tasks that are placed and not being
 // stopped.
-func (w *World) RunningTasks(id uint64) int {
+func (w *Simulation) RunningTasks(id uint64) int {
 	n := 0
 	for _, t := range w.jobs[id] {
 		if t.placed && !t.stopping {
@@ -43,7 +43,7 @@
 
 // UnfinishedTasks returns the number of the job's tasks that are neither done nor
 // cancelled.
-func (w *World) UnfinishedTasks(id uint64) int {
+func (w *Simulation) UnfinishedTasks(id uint64) int {
 	n := 0
 	for _, t := range w.jobs[id] {
 		if w.unfinished[t.id] == t {
@@ -54,7 +54,7 @@
 }
 
 // Attempts returns how often a task was placed.
-func (w *World) Attempts(id task.ID) uint32 {
+func (w *Simulation) Attempts(id task.ID) uint32 {
 	for _, t := range w.jobs[id.Job] {
 		if t.id == id {
 			return t.attempts
@@ -64,20 +64,20 @@
 }
 
 // TeamUsage returns the capacity that the team's placed tasks use.
-func (w *World) TeamUsage(name string) capacity.Size { return w.Checker.teamUsage[name] }
+func (w *Simulation) TeamUsage(name string) capacity.Size { return w.Checker.teamUsage[name] }
 
 // DecisionCount returns the number of decisions of the action.
-func (w *World) DecisionCount(v plan.Action) int { return w.Metrics.actionCounts[v] }
+func (w *Simulation) DecisionCount(action plan.Action) int { return w.Metrics.actionCounts[action] }
 
 // MaxWait returns the longest measured wait of the kind.
-func (w *World) MaxWait(k job.Kind) time.Duration { return quantile(w.Metrics.waits[k], 1) }
+func (w *Simulation) MaxWait(k job.Kind) time.Duration { return quantile(w.Metrics.waits[k], 1) }
 
 // SetFailing sets whether every task that starts on the server fails.
-func (w *World) SetFailing(id string, fails bool) { w.failingServers[id] = fails }
+func (w *Simulation) SetFailing(id string, fails bool) { w.failingServers[id] = fails }
 
 // ReplacePlanner replaces the planner and passes the current state to the new one, as
 // a failover does.
-func (w *World) ReplacePlanner(p plan.Planner) {
+func (w *Simulation) ReplacePlanner(p plan.Planner) {
 	w.Planner = p
 	p.SetTable(w.table)
 	for _, id := range w.serverIDs {
@@ -89,7 +89,7 @@
 	w.scheduleDecision()
 }
 
-func (w *World) restoreJob(id uint64) {
+func (w *Simulation) restoreJob(id uint64) {
 	for _, t := range w.jobs[id] {
 		switch {
 		case w.unfinished[t.id] != t:
@@ -102,4 +102,4 @@
 }
 
 // Now returns the virtual time.
-func (w *World) Now() time.Duration { return w.now }
+func (w *Simulation) Now() time.Duration { return w.now }
--- a/internal/policy/bench/workload.go
+++ b/internal/policy/bench/workload.go
@@ -59,19 +59,19 @@
 
 // servers returns the backend servers of the site.
 func (s Site) servers() []backend.Server {
-	var list []backend.Server
+	var servers []backend.Server
 	for i := range s.Servers {
-		r := i / s.ServersPerRack
+		rackIndex := i / s.ServersPerRack
 		size := s.ServerCapacity
-		if r%2 == 1 {
+		if rackIndex%2 == 1 {
 			size.Accel = 0
 		}
-		list = append(list, backend.Server{
+		servers = append(servers, backend.Server{
 			ID: fmt.Sprintf("s%05d", i), Incarnation: 1, Capacity: size, State: backend.Ready,
-			Rack: fmt.Sprintf("r%04d", r), Zone: fmt.Sprintf("z%02d", r%s.Zones),
+			Rack: fmt.Sprintf("r%04d", rackIndex), Zone: fmt.Sprintf("z%02d", rackIndex%s.Zones),
 		})
 	}
-	return list
+	return servers
 }
 
 func (s Site) totalCapacity() capacity.Size {
@@ -147,10 +147,10 @@
 	case p < urgentFraction+gangFraction:
 		kind = job.Gang
 	}
-	name := s.rng.IntN(5)
-	size, n, mean := s.drawShape(kind, name)
+	nameIndex := s.rng.IntN(5)
+	size, n, mean := s.drawShape(kind, nameIndex)
 	d := drawnJob{spec: &job.Spec{
-		Team: s.drawTeam(), Kind: kind, Name: fmt.Sprintf("%s%d", kind, name), Count: uint32(n), Size: size,
+		Team: s.drawTeam(), Kind: kind, Name: fmt.Sprintf("%s%d", kind, nameIndex), Count: uint32(n), Size: size,
 		AtMostOnce: kind == job.Batch && s.rng.Float64() < 0.1,
 	}}
 	for range n {
@@ -168,28 +168,28 @@
 	return d
 }
 
-func (s *jobSource) drawShape(kind job.Kind, name int) (capacity.Size, int, time.Duration) {
+func (s *jobSource) drawShape(kind job.Kind, nameIndex int) (capacity.Size, int, time.Duration) {
 	switch kind {
 	case job.Urgent:
 		return s.site.MaxUrgentSize, 1, 1200 * time.Millisecond
 	case job.Gang:
 		size := s.site.MaxGangSize
 		n := 4 << s.rng.IntN(3)
-		if name%2 == 0 || size.Accel == 0 {
+		if nameIndex%2 == 0 || size.Accel == 0 {
 			size.Accel = 0
 		} else {
 			n = 4
 		}
-		return size, n, time.Duration(30+30*name) * time.Second
+		return size, n, time.Duration(30+30*nameIndex) * time.Second
 	}
 	size := s.site.MaxBatchSize
 	for range s.rng.IntN(3) {
 		size.CPU, size.Memory = size.CPU/2, size.Memory/2
 	}
-	if name == 4 {
+	if nameIndex == 4 {
 		size.Memory = min(size.Memory*2, s.site.MaxBatchSize.Memory)
 	}
-	return size, 1 + int(s.rng.ExpFloat64()*4), time.Duration(15<<name) * time.Second
+	return size, 1 + int(s.rng.ExpFloat64()*4), time.Duration(15<<nameIndex) * time.Second
 }
 
 // drawRuntime draws the run time of one task. Batch run times are heavy-tailed: a
@@ -216,55 +216,55 @@
 // arrivalRate returns the number of jobs per second that gives the wanted load. The
 // load is that of the most used resource, averaged over 20,000 drawn jobs.
 func (s *jobSource) arrivalRate(load float64) float64 {
-	const draws = 20_000
+	const drawCount = 20_000
 	var sum [capacity.Dimensions]float64
-	for range draws {
+	for range drawCount {
 		d := s.draw()
 		for _, t := range d.runtimes {
-			x := t.Seconds()
-			sum[0] += x * float64(d.spec.Size.CPU)
-			sum[1] += x * float64(d.spec.Size.Memory)
-			sum[2] += x * float64(d.spec.Size.Accel)
-			sum[3] += x * float64(d.spec.Size.Slots)
+			seconds := t.Seconds()
+			sum[0] += seconds * float64(d.spec.Size.CPU)
+			sum[1] += seconds * float64(d.spec.Size.Memory)
+			sum[2] += seconds * float64(d.spec.Size.Accel)
+			sum[3] += seconds * float64(d.spec.Size.Slots)
 		}
 	}
 	total := s.site.totalCapacity()
-	maxTaken := 0.0
+	maxLoad := 0.0
 	for i, t := range [...]int64{total.CPU, total.Memory, total.Accel, total.Slots} {
 		if t > 0 {
-			maxTaken = max(maxTaken, sum[i]/float64(t))
+			maxLoad = max(maxLoad, sum[i]/float64(t))
 		}
 	}
-	return (load - serviceFraction) * draws / maxTaken
+	return (load - serviceFraction) * drawCount / maxLoad
 }
 
 // submitArrivals submits jobs at the given mean rate with the diurnal swing until the
 // run ends.
-func (w *World) submitArrivals(s *jobSource, rate float64, period time.Duration) {
+func (w *Simulation) submitArrivals(s *jobSource, rate float64, period time.Duration) {
 	d := s.draw()
-	gap := s.rng.ExpFloat64() / (rate * (1 + diurnalSwing*math.Sin(2*math.Pi*w.now.Seconds()/period.Seconds())))
-	w.Schedule(w.now+time.Duration(gap*float64(time.Second)), func() {
+	intervalSeconds := s.rng.ExpFloat64() / (rate * (1 + diurnalSwing*math.Sin(2*math.Pi*w.now.Seconds()/period.Seconds())))
+	w.Schedule(w.now+time.Duration(intervalSeconds*float64(time.Second)), func() {
 		w.Submit(d.spec, d.runtimes, d.usage, d.crashes)
 		w.submitArrivals(s, rate, period)
 	})
 }
 
 // submitServices submits the services, which run for the whole simulation.
-func (w *World) submitServices(site Site, load float64) {
+func (w *Simulation) submitServices(site Site, load float64) {
 	size := site.MaxGangSize
 	size.Accel = 0
 	taskShare := size.DominantShare(site.totalCapacity())
 	n := int(load / taskShare)
 	for _, c := range customers {
-		k := int(float64(n) * c.loadFraction)
-		if k == 0 {
+		taskCount := int(float64(n) * c.loadFraction)
+		if taskCount == 0 {
 			continue
 		}
-		spec := &job.Spec{Team: c.row.Name, Kind: job.Service, Name: "service", Count: uint32(k), Size: size, MinRunningTasks: uint32(k - 1)}
-		times := make([]time.Duration, k)
-		for i := range times {
-			times[i] = 1000 * time.Hour
+		spec := &job.Spec{Team: c.row.Name, Kind: job.Service, Name: "service", Count: uint32(taskCount), Size: size, MinRunningTasks: uint32(taskCount - 1)}
+		runtimes := make([]time.Duration, taskCount)
+		for i := range runtimes {
+			runtimes[i] = 1000 * time.Hour
 		}
-		w.Submit(spec, times, size, false)
+		w.Submit(spec, runtimes, size, false)
 	}
 }
--- a/internal/policy/bench/world.go
+++ b/internal/policy/bench/world.go
@@ -84,8 +84,8 @@
 	return last
 }
 
-// World simulates the ledger and the backend servers on a virtual clock.
-type World struct {
+// Simulation simulates the ledger and the backend servers on a virtual clock.
+type Simulation struct {
 	// Planner is the planner under test.
 	Planner plan.Planner
 	// Checker checks every decision.
@@ -113,9 +113,9 @@
 	maxCapacity capacity.Size
 }
 
-// NewWorld returns a world with the given planner, servers and team table.
-func NewWorld(p plan.Planner, servers []backend.Server, t table.Table) *World {
-	w := &World{
+// NewSimulation returns a world with the given planner, servers and team table.
+func NewSimulation(p plan.Planner, servers []backend.Server, t table.Table) *Simulation {
+	w := &Simulation{
 		Planner: p, Checker: NewChecker(), servers: map[string]backend.Server{}, unfinished: map[task.ID]*Task{},
 		jobs: map[uint64][]*Task{}, failingServers: map[string]bool{}, silentSince: map[string]time.Duration{}, abandonedJobs: map[uint64]bool{},
 	}
@@ -130,13 +130,13 @@
 }
 
 // Schedule runs fn at the given virtual time, or now if that time has passed.
-func (w *World) Schedule(at time.Duration, fn func()) {
+func (w *Simulation) Schedule(at time.Duration, fn func()) {
 	w.seq++
 	heap.Push(&w.queue, event{max(at, w.now), w.seq, fn})
 }
 
 // Run simulates until the given virtual time.
-func (w *World) Run(until time.Duration) {
+func (w *Simulation) Run(until time.Duration) {
 	if !w.started {
 		w.started = true
 		w.tick()
@@ -150,14 +150,14 @@
 	w.now = until
 }
 
-func (w *World) tick() {
+func (w *Simulation) tick() {
 	w.decide()
 	w.Schedule(w.now+tickPeriod, w.tick)
 }
 
 // scheduleDecision schedules a call of the planner after decisionDelay unless one is
 // pending.
-func (w *World) scheduleDecision() {
+func (w *Simulation) scheduleDecision() {
 	if w.decisionScheduled {
 		return
 	}
@@ -166,7 +166,7 @@
 }
 
 // SetTable replaces the team table.
-func (w *World) SetTable(t table.Table) {
+func (w *Simulation) SetTable(t table.Table) {
 	w.table = t
 	w.Checker.table = t
 	w.Planner.SetTable(t)
@@ -174,7 +174,7 @@
 }
 
 // SetServer adds or changes a server.
-func (w *World) SetServer(s backend.Server) {
+func (w *Simulation) SetServer(s backend.Server) {
 	w.servers[s.ID] = s
 	w.Checker.servers[s.ID] = s
 	w.Planner.SetServer(s)
@@ -182,7 +182,7 @@
 }
 
 // Submit queues a job with the given run time for each task and returns its number.
-func (w *World) Submit(spec *job.Spec, runtimes []time.Duration, usage capacity.Size, crashes bool) uint64 {
+func (w *Simulation) Submit(spec *job.Spec, runtimes []time.Duration, usage capacity.Size, crashes bool) uint64 {
 	w.lastJob++
 	id := w.lastJob
 	for i, runtime := range runtimes {
@@ -198,14 +198,14 @@
 	return id
 }
 
-func (w *World) enqueue(t *Task) {
+func (w *Simulation) enqueue(t *Task) {
 	w.Metrics.queuedTasks++
 	w.Planner.AddWaiting(plan.WaitingTask{ID: t.id, Job: t.spec, AcceptedAt: t.acceptedAt, ReadyAt: w.now, Attempts: t.attempts})
 	w.scheduleDecision()
 }
 
 // Cancel removes the waiting tasks of the job from the queue.
-func (w *World) Cancel(id uint64) {
+func (w *Simulation) Cancel(id uint64) {
 	for _, t := range w.jobs[id] {
 		if w.unfinished[t.id] == t && !t.placed {
 			delete(w.unfinished, t.id)
@@ -215,7 +215,7 @@
 	w.scheduleDecision()
 }
 
-func (w *World) decide() {
+func (w *Simulation) decide() {
 	for {
 		decisions := w.Metrics.timeDecide(func() []plan.Decision { return w.Planner.Decide(w.now, decisionBatch) })
 		for _, d := range decisions {
@@ -227,7 +227,7 @@
 	}
 }
 
-func (w *World) apply(d plan.Decision) {
+func (w *Simulation) apply(d plan.Decision) {
 	w.Checker.CheckDecision(w, d)
 	w.Metrics.recordDecision(d)
 	switch d.Action {
@@ -249,7 +249,7 @@
 	}
 }
 
-func (w *World) place(t *Task, server string) {
+func (w *Simulation) place(t *Task, server string) {
 	w.Metrics.recordPlacement(t)
 	t.placed, t.measureWait, t.server, t.placedAt = true, false, server, w.now
 	t.attempts++
@@ -266,19 +266,19 @@
 
 // finish ends an attempt that ran to its end or failed. It does nothing if the attempt
 // already ended or its server is silent.
-func (w *World) finish(t *Task, attempt uint32, failed bool) {
+func (w *Simulation) finish(t *Task, attempt uint32, failed bool) {
 	if _, silent := w.silentSince[t.server]; silent || !t.placed || t.attempts != attempt {
 		return
 	}
 	if failed {
-		w.release(t, plan.AttemptEnd{EndedAt: w.now, Started: true, Failed: true}, true)
+		w.endAttempt(t, plan.AttemptEnd{EndedAt: w.now, Started: true, Failed: true}, true)
 		return
 	}
 	w.Metrics.recordCompletion(t)
-	w.release(t, plan.AttemptEnd{EndedAt: w.now, Started: true}, false)
+	w.endAttempt(t, plan.AttemptEnd{EndedAt: w.now, Started: true}, false)
 }
 
-func (w *World) release(t *Task, end plan.AttemptEnd, retry bool) {
+func (w *Simulation) endAttempt(t *Task, end plan.AttemptEnd, retry bool) {
 	t.placed, t.stopping, t.ended = false, false, false
 	w.Planner.EndAttempt(t.id, end)
 	w.Checker.removeTask(t)
@@ -294,7 +294,7 @@
 
 // stop ends an attempt after stopDuration. Only the work up to the task's last periodic
 // checkpoint is kept.
-func (w *World) stop(t *Task, reason string) {
+func (w *Simulation) stop(t *Task, reason string) {
 	if t == nil || !t.placed || t.stopping {
 		return
 	}
@@ -304,32 +304,32 @@
 	w.Schedule(w.now+orderDelay+stopDuration, func() {
 		if t.placed && t.attempts == attempt {
 			w.saveProgress(t)
-			w.release(t, plan.AttemptEnd{EndedAt: w.now, Started: true}, true)
+			w.endAttempt(t, plan.AttemptEnd{EndedAt: w.now, Started: true}, true)
 		}
 	})
 }
 
-func (w *World) saveProgress(t *Task) {
+func (w *Simulation) saveProgress(t *Task) {
 	until := w.now
 	if silentSince, silent := w.silentSince[t.server]; silent {
 		until = silentSince
 	}
-	ran := max(0, until-t.startedAt)
-	kept := ran - ran%checkpointPeriod
-	t.remaining -= kept
-	w.Metrics.recordLostWork(t, ran-kept)
+	runTime := max(0, until-t.startedAt)
+	savedWork := runTime - runTime%checkpointPeriod
+	t.remaining -= savedWork
+	w.Metrics.recordLostWork(t, runTime-savedWork)
 }
 
-func (w *World) throttle(t *Task) {
+func (w *Simulation) throttle(t *Task) {
 	if t != nil && t.usage.Memory <= t.spec.Size.Memory {
 		t.usage = t.spec.Size
 	}
 }
 
 // reportUsage reports the usage of each task that differs from its declared size.
-func (w *World) reportUsage() {
+func (w *Simulation) reportUsage() {
 	for _, id := range w.serverIDs {
-		for _, t := range w.Checker.tasks[id] {
+		for _, t := range w.Checker.tasksByServer[id] {
 			if w.now-t.placedAt > time.Second && t.usage != t.spec.Size {
 				w.Planner.SetUsage(t.id, t.usage, w.now)
 			}
@@ -341,7 +341,7 @@
 // FailServers makes the matching servers silent and restores them after the outage.
 // With markSuspect they are marked suspect at once. Without it they stay ready until
 // their lease expires.
-func (w *World) FailServers(match func(backend.Server) bool, outage time.Duration, markSuspect bool) {
+func (w *Simulation) FailServers(match func(backend.Server) bool, outage time.Duration, markSuspect bool) {
 	for _, id := range w.serverIDs {
 		s := w.servers[id]
 		if !match(s) {
@@ -360,13 +360,13 @@
 	}
 }
 
-func (w *World) expireLease(id string) {
+func (w *Simulation) expireLease(id string) {
 	w.SetServer(w.servers[id].WithState(backend.Gone, w.now))
-	for _, t := range append([]*Task(nil), w.Checker.tasks[id]...) {
+	for _, t := range append([]*Task(nil), w.Checker.tasksByServer[id]...) {
 		t.stopReason = "its server was lost"
 		w.saveProgress(t)
 		silentSince := max(w.silentSince[id], t.placedAt)
-		w.release(t, plan.AttemptEnd{EndedAt: w.now, Started: true, ServerLost: true}, true)
+		w.endAttempt(t, plan.AttemptEnd{EndedAt: w.now, Started: true, ServerLost: true}, true)
 		if silentSince == t.placedAt && t.attempts == 1 {
 			silentSince = t.acceptedAt
 		}
--- a/internal/policy/cell/cell_test.go
+++ b/internal/policy/cell/cell_test.go
@@ -34,12 +34,12 @@
 }
 
 // newWorld returns a simulated cell of n backend servers with two equal teams, a and b.
-func newWorld(n int) *bench.World {
-	return bench.NewWorld(cell.New(cell.Config{}), servers(n), table.Restore(1, []team.Row{team.New("a"), team.New("b")}))
+func newWorld(n int) *bench.Simulation {
+	return bench.NewSimulation(cell.New(cell.Config{}), servers(n), table.Restore(1, []team.Row{team.New("a"), team.New("b")}))
 }
 
 // submit submits a job with the given number of tasks. Each of them runs for runtime.
-func submit(w *bench.World, spec job.Spec, tasks int, runtime time.Duration) uint64 {
+func submit(w *bench.Simulation, spec job.Spec, tasks int, runtime time.Duration) uint64 {
 	spec.Count = uint32(tasks)
 	if spec.Team == "" {
 		spec.Team = "a"
@@ -59,7 +59,7 @@
 
 // runUntil runs the simulation until the given time and fails the test if an invariant was
 // violated.
-func runUntil(t *testing.T, w *bench.World, until time.Duration) {
+func runUntil(t *testing.T, w *bench.Simulation, until time.Duration) {
 	t.Helper()
 	w.Run(until)
 	if diff := cmp.Diff([]string(nil), w.Checker.Violations); diff != "" {
--- a/internal/policy/cell/rapid_test.go
+++ b/internal/policy/cell/rapid_test.go
@@ -45,7 +45,7 @@
 }
 
 // drawStep applies one random event to the simulated cell. It returns the submitted job, if any.
-func drawStep(t *rapid.T, w *bench.World) []uint64 {
+func drawStep(t *rapid.T, w *bench.Simulation) []uint64 {
 	server := rapid.SampledFrom(servers(6)).Draw(t, "server").ID
 	switch rapid.IntRange(0, 9).Draw(t, "what") {
 	case 0:
@@ -65,7 +65,7 @@
 }
 
 // drawJob submits a random job that fits the smallest limit that drawStep sets.
-func drawJob(t *rapid.T, w *bench.World) uint64 {
+func drawJob(t *rapid.T, w *bench.Simulation) uint64 {
 	spec := job.Spec{
 		Team:       rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"),
 		Kind:       rapid.SampledFrom([]job.Kind{job.Urgent, job.Batch, job.Gang, job.Service}).Draw(t, "kind"),
