--- a/internal/load/drive/drive.go
+++ b/internal/load/drive/drive.go
@@ -1,10 +1,9 @@
 // Package drive submits the jobs of a load run at their scheduled times and checks
 // every answer.
-//
-// The loop is open: a job is sent at its arrival time even if earlier jobs are
-// unanswered, and its waits are measured from the arrival time, not from the send
-// time. Measuring from the send time would hide the queueing delay when the cell or
-// the load tool falls behind (coordinated omission).
+// The load is open-loop: a job is sent at its arrival time even if earlier jobs are
+// unanswered. Its waits are measured from the arrival time. Measuring from the send time
+// would hide the queueing delay when the cell or the load tool is overloaded
+// (coordinated omission).
 package drive
 
 import (
@@ -170,7 +169,7 @@
 }
 
 // acknowledge acknowledges finished jobs in batches, so that the cell can delete their
-// outcomes. Without it the ledger would grow with the length of the run.
+// outcomes. Without acknowledgements the ledger would grow with the length of the run.
 func (d *Driver) acknowledge() {
 	ticker := time.NewTicker(ackInterval)
 	defer ticker.Stop()
--- a/internal/load/history/history_test.go
+++ b/internal/load/history/history_test.go
@@ -40,6 +40,8 @@
 	}
 }
 
+// Guards against a model that accepts wrong histories, such as one in which two different
+// contents are accepted under the same request id.
 func TestRequestModelAcceptsOnlyLinearizableHistories(t *testing.T) {
 	x, y := history.Submit{ID: "i", Content: "x"}, history.Submit{ID: "i", Content: "y"}
 	wait := history.Wait{ID: "i"}
--- a/internal/load/measure/fault.go
+++ b/internal/load/measure/fault.go
@@ -27,7 +27,8 @@
 type faultCase struct {
 	name     string
 	duration time.Duration
-	// graceful is true if the fault is a graceful restart, which must cut off no call.
+	// graceful is true if the fault is a graceful restart, during which every call must
+	// get an answer.
 	graceful bool
 	inject   func(ctx context.Context, r *rig.Rig) error
 }
--- a/internal/load/measure/load.go
+++ b/internal/load/measure/load.go
@@ -55,8 +55,8 @@
 	Refusals   map[string]int    `json:"refusals"`
 	Usage      cellUsage         `json:"costs"`
 	Fault      string            `json:"fault,omitempty"`
-	// UnansweredPinnedCalls counts the calls without an answer among PinnedCalls, the calls of callers
-	// that use one entry each.
+	// PinnedCalls counts the calls of callers that use one entry each, and
+	// UnansweredPinnedCalls counts those of them that got no answer.
 	UnansweredPinnedCalls *int64 `json:"cut_off,omitempty"`
 	PinnedCalls           int64  `json:"pinned,omitempty"`
 }
--- a/internal/load/measure/slopes.go
+++ b/internal/load/measure/slopes.go
@@ -140,8 +140,9 @@
 	return nil
 }
 
-// measureMemory measures resident memory. The garbage collector keeps some unused
-// memory, so the slope is an upper bound of what a task or server needs.
+// measureMemory measures the resident memory per running task and per backend server.
+// The garbage collector keeps some unused memory, so the slope is an upper bound of the
+// memory that a task or server needs.
 func measureMemory(ctx context.Context, m *measurement, lines *lineSet) error {
 	for _, n := range slopeTaskCounts {
 		err := m.withCell(ctx, entries, func(ctx context.Context, r *rig.Rig) error {
--- a/internal/load/mix/mix.go
+++ b/internal/load/mix/mix.go
@@ -75,8 +75,9 @@
 	Runtime time.Duration
 }
 
-// DefaultShapes models the work of an order service: urgent tasks are quotes, batch
-// tasks are stock runs, gangs plan whole sections, and services run for a while.
+// DefaultShapes models the jobs of an order service. Urgent tasks compute quotes, batch
+// tasks process the stock, gangs plan a section together, and services run for several
+// seconds.
 func DefaultShapes() map[job.Kind]Shape {
 	return map[job.Kind]Shape{
 		job.Urgent:  {Count: 1, CPU: 500, Memory: 256, Runtime: 50 * time.Millisecond},
--- a/internal/load/report/report.go
+++ b/internal/load/report/report.go
@@ -64,7 +64,7 @@
 	// UnfinishedDone counts jobs that were reported as done although a task did not run
 	// to its end.
 	UnfinishedDone int `json:"unran"`
-	// ServerFaults lists the faults that backend servers noticed, such as a task in two
+	// ServerFaults lists the faults that backend servers detected, such as a task in two
 	// places.
 	ServerFaults []string `json:"faults"`
 }
@@ -74,7 +74,7 @@
 	return v.LostJobs+v.DamagedAnswers+v.RepeatedOnceJobs+v.FalseNotRun+v.UnfinishedDone+len(v.ServerFaults) == 0
 }
 
-// Counts holds the numbers of jobs by what became of them.
+// Counts holds the numbers of jobs by outcome.
 type Counts struct {
 	Planned  int `json:"planned"`
 	Sent     int `json:"sent"`
@@ -94,9 +94,9 @@
 // KindReport holds the waits of the jobs of one kind, measured from their arrival.
 type KindReport struct {
 	Jobs int `json:"jobs"`
-	// Accept is the wait until the acceptance, Start until the last task began, and
-	// Answer until the complete answer. Lag is the delay with which the load tool sent
-	// the job.
+	// Accept is the wait until the job is accepted, Start the wait until its last task
+	// starts, and Answer the wait until the answer is complete. Lag is the time from the
+	// arrival until the load tool sends the job.
 	Accept WaitStats `json:"accept"`
 	Start  WaitStats `json:"start"`
 	Answer WaitStats `json:"answer"`
@@ -165,7 +165,7 @@
 }
 
 // Summarize builds the result of a run that began at start. If the backend servers do
-// not belong to the load tool, runs is nil.
+// not belong to the load tool, recorder is nil.
 func Summarize(info RunInfo, start time.Time, results []drive.JobResult, recorder *work.Recorder) Result {
 	s := &builder{start: start, recorder: recorder, histograms: map[job.Kind]*kindHistograms{}}
 	s.Info, s.Kinds, s.Refusals = info, map[string]KindReport{}, map[string]int{}
@@ -249,8 +249,7 @@
 	return c == code.LeaderTimeout || c == code.NoLeader || c == code.ShuttingDown
 }
 
-// checkAttempts compares the outcome that the caller got with the attempts that really
-// ran.
+// checkAttempts compares the outcome that the caller got with the recorded attempts.
 func (s *builder) checkAttempts(result *drive.JobResult, histograms *kindHistograms) {
 	if s.recorder == nil {
 		return
--- a/internal/load/rig/delay.go
+++ b/internal/load/rig/delay.go
@@ -35,7 +35,7 @@
 	}}
 	proxy.Delay(relay.Up, delay)
 	proxy.Delay(relay.Down, delay)
-	go func() { _ = proxy.Run(ctx) }() // ends with ctx, which causes its only error
+	go func() { _ = proxy.Run(ctx) }() // fails only when ctx ends
 	c, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		return 0, 0, err
@@ -58,5 +58,5 @@
 	return delays[len(delays)/2], delays[len(delays)*99/100], nil
 }
 
-// echoInterval is the pause between two bytes.
+// echoInterval is the pause between two measured round trips.
 const echoInterval = 20 * time.Millisecond
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -55,7 +55,7 @@
 			s.Entries = append(s.Entries, server.NewEntry(address, nil, nil))
 		}
 		f.servers = append(f.servers, s)
-		go func() { _ = s.Run(runCtx) }() // ends with the fleet, which causes its only error
+		go func() { _ = s.Run(runCtx) }() // fails only when the fleet is closed
 	}
 	if err := r.waitServersReady(ctx, n); err != nil {
 		f.Close()
@@ -137,6 +137,6 @@
 	return id + "." + secret, err
 }
 
-// SettleTime is the pause before an idle cell is measured, so that its start no longer
-// shows.
+// SettleTime is how long a new cell idles before it is measured, so that the resource
+// usage of its start is not included.
 const SettleTime = 2 * time.Second
--- a/internal/load/rig/pinned.go
+++ b/internal/load/rig/pinned.go
@@ -47,7 +47,7 @@
 }
 
 // callEntry makes one call over a new connection. The call ignores the cancellation of
-// ctx, so that the end of the measurement cuts off no call.
+// ctx, so that the end of the measurement interrupts no call.
 func callEntry(ctx context.Context, address, token string, counts *CallCounts) {
 	client := &transport.Client{Addresses: []string{address}, Key: token}
 	defer client.Close()
--- a/internal/load/rig/process.go
+++ b/internal/load/rig/process.go
@@ -50,7 +50,7 @@
 	defer func() { _ = log.Close() }()
 	p := &process{cmd: exec.Command(r.Program, args...), done: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	// Linux kills the child when this process dies, so that no process is left over.
+	// Linux kills the child when this process dies, so that none is left running.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		return err
--- a/internal/load/rig/process_test.go
+++ b/internal/load/rig/process_test.go
@@ -101,7 +101,7 @@
 // and restarted, its successor is paused beyond its lease, and an entry is restarted
 // gracefully, all under load. Every caller has to get its own complete answer, no
 // at-most-once task may run twice, and callers that follow an entry's readiness probe
-// may lose no call.
+// must get an answer to every call.
 func TestGuaranteesHoldDuringProcessFailures(t *testing.T) {
 	r, fleet, token := startCell(t, 6)
 	jobs := mix.Plan{
@@ -144,17 +144,18 @@
 
 	summary := report.Summarize(report.RunInfo{}, startedAt, results, fleet.TaskRecorder)
 	if faults := fleet.ServerRecorder.Faults(); !summary.Violations.None() || len(faults) > 0 {
-		t.Errorf("violated guarantees: %+v, faults noticed by servers: %v", summary.Violations, faults)
+		t.Errorf("violated guarantees: %+v, faults detected by servers: %v", summary.Violations, faults)
 	}
 	if summary.Counts.Accepted == 0 || calls.Total.Load() == 0 {
 		t.Errorf("no job was accepted or no call was made: %+v, %d calls", summary.Counts, calls.Total.Load())
 	}
 	if calls.Unanswered.Load() > 0 {
-		t.Errorf("%d of %d calls were cut off by a graceful stop", calls.Unanswered.Load(), calls.Total.Load())
+		t.Errorf("%d of %d calls got no answer during a graceful stop", calls.Unanswered.Load(), calls.Total.Load())
 	}
 }
 
-// milestones counts operations and closes one channel after each equal part of them.
+// milestones counts operations. It divides them into equal parts and closes one channel
+// at the end of each part.
 type milestones struct {
 	operations atomic.Int64
 	reached    []chan struct{}
@@ -305,7 +306,7 @@
 	answered := false
 	for i := range ops {
 		if _, ok := ops[i].Output.(history.WaitReply); ok {
-			ops[i].Output = history.WaitReply{Content: "nobody's"}
+			ops[i].Output = history.WaitReply{Content: "content of no submission"}
 			answered = true
 			break
 		}
--- a/internal/load/rig/rig.go
+++ b/internal/load/rig/rig.go
@@ -59,7 +59,7 @@
 	DrainTime time.Duration
 
 	// OperatorKey is the first operator's key. EnrolmentSecret is the secret with which
-	// backend servers enroll.
+	// backend servers enrol.
 	OperatorKey     string
 	EnrolmentSecret string
 
@@ -223,7 +223,7 @@
 	proxy.Delay(relay.Up, delay)
 	proxy.Delay(relay.Down, delay)
 	r.relays[fmt.Sprintf("%s/%d", name, offset)] = proxy
-	go func() { _ = proxy.Run(r.ctx) }() // ends with the rig, which causes its only error
+	go func() { _ = proxy.Run(r.ctx) }() // fails only when the rig is closed
 	return nil
 }
 
--- a/internal/load/trial/main.go
+++ b/internal/load/trial/main.go
@@ -104,8 +104,7 @@
 	return writeTable(out, names, results)
 }
 
-// columns are the columns of the table. Each value is the mean of a figure over all
-// runs.
+// columns are the columns of the table. Each value is a mean over all runs.
 var columns = []struct {
 	name  string
 	value func(simulator.Result) float64
@@ -163,7 +162,8 @@
 	return nil
 }
 
-// meanAndDeviation returns the mean and the standard deviation of a figure.
+// meanAndDeviation returns the mean and the standard deviation of a value over the
+// results.
 func meanAndDeviation(results []simulator.Result, value func(simulator.Result) float64) (mean, deviation float64) {
 	values := make([]float64, len(results))
 	for i, r := range results {
--- a/internal/load/work/work.go
+++ b/internal/load/work/work.go
@@ -1,5 +1,6 @@
 // Package work implements the tasks that the load tool's own backend servers run. Each
-// task has a distinct answer, and a record counts the attempts of each task.
+// task has a distinct answer, and a Recorder counts the attempts of
+// each task.
 package work
 
 import (
@@ -16,6 +17,7 @@
 
 // Input is the input that a job passes to its tasks.
 type Input struct {
+	// ID distinguishes the answers and attempts of different jobs.
 	ID string `json:"id"`
 	// Runtime is the run time of a task in nanoseconds. A task with a value below 0 runs
 	// until it is stopped.
@@ -34,6 +36,7 @@
 // task index, so that the answer of another job does not match.
 func TaskAnswer(id string, index uint32, length int) []byte {
 	answer := make([]byte, length)
+	// The constants are those of a 64-bit linear congruential generator.
 	state := xxhash.Sum64String(id) + uint64(index)
 	for i := range answer {
 		state = state*6364136223846793005 + 1442695040888963407
@@ -53,9 +56,10 @@
 
 // AttemptCounts counts the attempts of one task.
 type AttemptCounts struct {
-	// Started counts the attempts that began, Ended those that ran to their end.
+	// Started counts the attempts that started, and Ended counts the attempts that ran to
+	// their end.
 	Started, Ended int
-	// FirstStart is when the first attempt began.
+	// FirstStart is when the first attempt started.
 	FirstStart time.Time
 }
 
@@ -71,7 +75,8 @@
 	attempts map[taskKey]AttemptCounts
 }
 
-// RunTask runs a task as its input says. It has the signature of server.Server.Work.
+// RunTask runs a task as described by its input and counts the attempt. It can be used as
+// server.Server.Work.
 func (r *Recorder) RunTask(ctx context.Context, order *v1.Order) server.Result {
 	var input Input
 	if json.Unmarshal(order.GetInput(), &input) != nil {
--- a/internal/policy/bench/world.go
+++ b/internal/policy/bench/simulation.go
@@ -18,7 +18,7 @@
 const (
 	// orderDelay is the time until a decision takes effect on a server.
 	orderDelay = 5 * time.Millisecond
-	// decisionDelay is the time over which changes are gathered before the next
+	// decisionDelay is the time over which changes are collected before the next
 	// decision.
 	decisionDelay = 2 * time.Millisecond
 	// tickPeriod is the longest time between two calls of the planner.
@@ -113,7 +113,7 @@
 	maxCapacity capacity.Size
 }
 
-// NewSimulation returns a world with the given planner, servers and team table.
+// NewSimulation returns a simulation with the given planner, servers and team table.
 func NewSimulation(p plan.Planner, servers []backend.Server, t table.Table) *Simulation {
 	w := &Simulation{
 		Planner: p, Checker: NewChecker(), servers: map[string]backend.Server{}, unfinished: map[task.ID]*Task{},
@@ -278,6 +278,8 @@
 	w.endAttempt(t, plan.AttemptEnd{EndedAt: w.now, Started: true}, false)
 }
 
+// endAttempt ends an attempt and releases its capacity. With retry the task is queued
+// again unless its job was dropped or parked.
 func (w *Simulation) endAttempt(t *Task, end plan.AttemptEnd, retry bool) {
 	t.placed, t.stopping, t.ended = false, false, false
 	w.Planner.EndAttempt(t.id, end)
@@ -292,8 +294,8 @@
 	w.enqueue(t)
 }
 
-// stop ends an attempt after stopDuration. Only the work up to the task's last periodic
-// checkpoint is kept.
+// stop ends an attempt after stopDuration. The task keeps only the work up to its last
+// periodic checkpoint.
 func (w *Simulation) stop(t *Task, reason string) {
 	if t == nil || !t.placed || t.stopping {
 		return
--- a/internal/policy/bench/workload.go
+++ b/internal/policy/bench/workload.go
@@ -131,7 +131,7 @@
 	overuseFraction float64
 }
 
-// drawnJob is a job together with the real behavior of its tasks.
+// drawnJob is a job together with the actual behaviour of its tasks.
 type drawnJob struct {
 	spec     *job.Spec
 	runtimes []time.Duration
@@ -193,7 +193,7 @@
 }
 
 // drawRuntime draws the run time of one task. Batch run times are heavy-tailed: a
-// Pareto distribution cut off at 20 times the mean. Others vary by at most half the
+// Pareto distribution limited to 20 times the mean. Others vary by at most half the
 // mean.
 func (s *jobSource) drawRuntime(kind job.Kind, mean time.Duration) time.Duration {
 	factor := 0.5 + s.rng.Float64()
