--- a/internal/load/drive/drive.go
+++ b/internal/load/drive/drive.go
@@ -83,22 +83,22 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, d.start.Add(lastArrival+d.OutcomeTimeout))
 	defer cancel()
-	var acks, jobs sync.WaitGroup
-	acks.Go(d.acknowledge)
+	var ackGroup, jobGroup sync.WaitGroup
+	ackGroup.Go(d.acknowledge)
 	for i := range d.Jobs {
 		results[i].Job = d.Jobs[i]
 		if !transport.Sleep(ctx, time.Until(d.start.Add(d.Jobs[i].ArrivesAt))) {
 			break
 		}
 		d.reportProgress(i)
-		jobs.Go(func() {
+		jobGroup.Go(func() {
 			d.runJob(ctx, &results[i])
 			d.endedJobs.Add(1)
 		})
 	}
-	jobs.Wait()
+	jobGroup.Wait()
 	close(d.pendingAcks)
-	acks.Wait()
+	ackGroup.Wait()
 	d.reportProgress(len(d.Jobs))
 	return results
 }
@@ -174,7 +174,7 @@
 	ticker := time.NewTicker(ackInterval)
 	defer ticker.Stop()
 	var ids []string
-	send := func() {
+	sendBatch := func() {
 		if len(ids) == 0 {
 			return
 		}
@@ -187,14 +187,14 @@
 		select {
 		case id, ok := <-d.pendingAcks:
 			if !ok {
-				send()
+				sendBatch()
 				return
 			}
 			if ids = append(ids, id); len(ids) >= ackBatch {
-				send()
+				sendBatch()
 			}
 		case <-ticker.C:
-			send()
+			sendBatch()
 		}
 	}
 }
--- a/internal/load/drive/drive_test.go
+++ b/internal/load/drive/drive_test.go
@@ -26,17 +26,17 @@
 // arrived.
 type fakeEntry struct {
 	v1.UnimplementedCallerHandler
-	expected     int
-	allSubmitted chan struct{}
+	expectedSubmits int
+	allSubmitted    chan struct{}
 
-	mu        sync.Mutex
-	submitted int
-	acks      map[string]int
+	mu          sync.Mutex
+	submitCount int
+	ackCounts   map[string]int
 }
 
 func (e *fakeEntry) Submit(ctx context.Context, r *connect.Request[v1.SubmitRequest]) (*connect.Response[v1.SubmitReply], error) {
 	e.mu.Lock()
-	if e.submitted++; e.submitted == e.expected {
+	if e.submitCount++; e.submitCount == e.expectedSubmits {
 		close(e.allSubmitted)
 	}
 	e.mu.Unlock()
@@ -62,7 +62,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, id := range r.Msg.GetIds() {
-		e.acks[id]++
+		e.ackCounts[id]++
 	}
 	return connect.NewResponse(&v1.AcknowledgeReply{}), nil
 }
@@ -73,7 +73,7 @@
 // a valid checksum.
 func TestDriverSendsWithoutWaitingAndChecksAnswers(t *testing.T) {
 	const n = 40
-	e := &fakeEntry{expected: n, allSubmitted: make(chan struct{}), acks: map[string]int{}}
+	e := &fakeEntry{expectedSubmits: n, allSubmitted: make(chan struct{}), ackCounts: map[string]int{}}
 	mux := http.NewServeMux()
 	mux.Handle(v1.NewCallerHandler(e))
 	server := httptest.NewServer(mux)
@@ -90,7 +90,7 @@
 			t.Errorf("job %d: wrong times or answer check: %+v", i, result)
 		}
 	}
-	if diff := cmp.Diff(want, e.acks); diff != "" {
+	if diff := cmp.Diff(want, e.ackCounts); diff != "" {
 		t.Errorf("acknowledged jobs (-want +got):\n%s", diff)
 	}
 }
--- a/internal/load/measure/change.go
+++ b/internal/load/measure/change.go
@@ -17,12 +17,12 @@
 // delayRow is the output row of a change measurement. The delays run from the
 // operator's request until every process applies the change.
 type delayRow struct {
-	Part  string  `json:"part"`
-	Place string  `json:"place"`
-	Count int     `json:"count"`
-	P50   float64 `json:"p50_ms"`
-	P99   float64 `json:"p99_ms"`
-	Max   float64 `json:"max_ms"`
+	Measurement string  `json:"part"`
+	DelaySet    string  `json:"place"`
+	Count       int     `json:"count"`
+	P50         float64 `json:"p50_ms"`
+	P99         float64 `json:"p99_ms"`
+	Max         float64 `json:"max_ms"`
 }
 
 const (
@@ -36,20 +36,20 @@
 // process applies them.
 func measureChanges(ctx context.Context, m *measurement) error {
 	return m.withServers(ctx, func(ctx context.Context, r *rig.Rig, _ *rig.Fleet, _ string) error {
-		for name, measureOne := range map[string]func(context.Context, *rig.Rig, int) (time.Duration, error){
+		for name, measureChange := range map[string]func(context.Context, *rig.Rig, int) (time.Duration, error){
 			"key-withdrawal": measureWithdrawal, "table-change": measureTableChange,
 		} {
 			var applyDelays []time.Duration
 			for i := range changesPerKind {
-				d, err := measureOne(ctx, r, i)
+				d, err := measureChange(ctx, r, i)
 				if err != nil {
 					return err
 				}
 				applyDelays = append(applyDelays, d)
 			}
 			slices.Sort(applyDelays)
-			quantile := func(q float64) float64 { return ms(applyDelays[int(math.Ceil(q*float64(len(applyDelays))))-1]) }
-			if err := printRow(delayRow{Part: name, Place: m.DelaySet, Count: len(applyDelays), P50: quantile(0.5), P99: quantile(0.99), Max: quantile(1)}); err != nil {
+			quantile := func(q float64) float64 { return toMillis(applyDelays[int(math.Ceil(q*float64(len(applyDelays))))-1]) }
+			if err := printRow(delayRow{Measurement: name, DelaySet: m.DelaySet, Count: len(applyDelays), P50: quantile(0.5), P99: quantile(0.99), Max: quantile(1)}); err != nil {
 				return err
 			}
 		}
--- a/internal/load/measure/idle.go
+++ b/internal/load/measure/idle.go
@@ -10,16 +10,16 @@
 
 // idleRow is the output row of an idle cell.
 type idleRow struct {
-	Part    string `json:"part"`
-	Servers int    `json:"servers"`
+	Measurement string `json:"part"`
+	Servers     int    `json:"servers"`
 	// BytesPerServer is the traffic between an entry and one idle backend server, in
 	// bytes per second.
 	BytesPerServer float64   `json:"bytes_per_s_per_server"`
 	Usage          cellUsage `json:"costs"`
 }
 
-// idleTime is how long an idle cell is measured.
-const idleTime = 8 * time.Second
+// idleDuration is how long an idle cell is measured.
+const idleDuration = 8 * time.Second
 
 // measureIdle measures the resource usage of a cell without jobs.
 func measureIdle(ctx context.Context, m *measurement) error {
@@ -33,7 +33,7 @@
 }
 
 func (m *measurement) runIdle(ctx context.Context, r *rig.Rig, servers int) (idleRow, error) {
-	row := idleRow{Part: "idle", Servers: servers}
+	row := idleRow{Measurement: "idle", Servers: servers}
 	fleet, err := r.StartFleet(ctx, servers, serverCapacity(m.Slots))
 	if err != nil {
 		return row, err
@@ -44,7 +44,7 @@
 	if err != nil {
 		return row, err
 	}
-	transport.Sleep(ctx, idleTime)
+	transport.Sleep(ctx, idleDuration)
 	after, err := takeSample(r)
 	if err != nil {
 		return row, err
--- a/internal/load/measure/load.go
+++ b/internal/load/measure/load.go
@@ -33,8 +33,8 @@
 
 // loadRow is the output row of a cell under load.
 type loadRow struct {
-	Part            string  `json:"part"`
-	Place           string  `json:"place"`
+	Measurement     string  `json:"part"`
+	DelaySet        string  `json:"place"`
 	Rate            float64 `json:"rate"`
 	TasksPerJob     uint32  `json:"tasks_per_job"`
 	StartsPerSecond float64 `json:"starts_per_s"`
@@ -74,7 +74,7 @@
 func (s loadSpec) drawJobs(prefix string) []mix.Job {
 	return mix.Plan{
 		Rate: s.rate, Duration: s.duration, Seed: 1, Weights: mix.KindWeights{s.kind: 1},
-		Shapes:       map[job.Kind]mix.Shape{s.kind: {Count: s.tasksPerJob, CPU: 500, Memory: 256, Runtime: s.runtime}},
+		Shapes:       map[job.Kind]mix.TaskShape{s.kind: {Count: s.tasksPerJob, CPU: 500, Memory: 256, Runtime: s.runtime}},
 		OnceFraction: s.onceFraction, MeanAnswerBytes: answerBytes, IDPrefix: prefix,
 	}.Jobs()
 }
@@ -87,12 +87,12 @@
 	}
 	client := r.CallerClient(token)
 	driver := &drive.Driver{Client: client, Jobs: spec.drawJobs(prefix), OutcomeTimeout: outcomeTimeout}
-	row := loadRow{Part: prefix, Place: m.DelaySet, Rate: spec.rate, TasksPerJob: spec.tasksPerJob}
+	row := loadRow{Measurement: prefix, DelaySet: m.DelaySet, Rate: spec.rate, TasksPerJob: spec.tasksPerJob}
 	var delayMeasurements sync.WaitGroup
 	for i, delay := range delays[m.DelaySet] {
 		delayMeasurements.Go(func() {
 			median, p99, _ := r.MeasureDelay(ctx, delay, spec.duration) // a failed measurement shows as 0
-			row.MeasuredDelays[2*i], row.MeasuredDelays[2*i+1] = ms(median), ms(p99)
+			row.MeasuredDelays[2*i], row.MeasuredDelays[2*i+1] = toMillis(median), toMillis(p99)
 		})
 	}
 	startedAt := time.Now()
@@ -103,7 +103,7 @@
 	row.Violations.ServerFaults = append(row.Violations.ServerFaults, fleet.ServerRecorder.Faults()...)
 	row.Start, row.Lag = summary.Kinds[spec.kind.String()].Start, summary.Kinds[spec.kind.String()].Lag
 	networkDelay := clientCrossings*delays[m.DelaySet][1] + zoneCrossings*delays[m.DelaySet][0]
-	row.NetworkDelay = ms(networkDelay)
+	row.NetworkDelay = toMillis(networkDelay)
 	row.AddedLatency, row.LongestGap = addedLatency(results, networkDelay), longestGap(results, spec.duration)
 	row.StartsPerSecond = startsPerSecond(results)
 	if after, err := takeSample(r); err == nil {
@@ -113,7 +113,7 @@
 	return row, nil
 }
 
-func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func toMillis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 // addedLatency returns the statistics of the time that the cell adds to run time and
 // network delay.
@@ -126,10 +126,10 @@
 			_ = h.RecordValue(max(1, d.Microseconds())) // cannot fail: the value is below the maximum
 		}
 	}
-	quantile := func(q float64) float64 { return ms(time.Duration(h.ValueAtQuantile(q)) * time.Microsecond) }
+	quantile := func(q float64) float64 { return toMillis(time.Duration(h.ValueAtQuantile(q)) * time.Microsecond) }
 	return report.WaitStats{
 		Count: h.TotalCount(), Mean: h.Mean() / 1000, P50: quantile(50), P90: quantile(90), P99: quantile(99), P999: quantile(99.9),
-		Max: ms(time.Duration(h.Max()) * time.Microsecond),
+		Max: toMillis(time.Duration(h.Max()) * time.Microsecond),
 	}
 }
 
@@ -149,7 +149,7 @@
 		}
 		longest, previous = max(longest, t-previous), t
 	}
-	return ms(longest)
+	return toMillis(longest)
 }
 
 // startsPerSecond returns the number of tasks of finished jobs divided by the time
@@ -212,13 +212,13 @@
 	return nil
 }
 
-// jobSizes holds the numbers of tasks per job at which the start rate is measured.
-var jobSizes = []uint32{1, 10}
+// taskCountsPerJob holds the numbers of tasks per job at which the start rate is measured.
+var taskCountsPerJob = []uint32{1, 10}
 
 // measureStarts measures how many tasks a cell starts per second. The offered rates
 // count tasks, and the result is the reached rate.
 func measureStarts(ctx context.Context, m *measurement) error {
-	for _, count := range jobSizes {
+	for _, count := range taskCountsPerJob {
 		for _, rate := range m.Rates {
 			err := m.withServers(ctx, func(ctx context.Context, r *rig.Rig, fleet *rig.Fleet, token string) error {
 				if err := m.warmUp(ctx, r, fleet, token); err != nil {
--- a/internal/load/measure/slopes.go
+++ b/internal/load/measure/slopes.go
@@ -216,8 +216,8 @@
 	for _, id := range ids {
 		for running := 0; running < tasksPerJob; {
 			running = 0
-			for _, taskRuns := range fleet.TaskRecorder.JobAttempts(id, tasksPerJob) {
-				running += taskRuns.Started
+			for _, attempts := range fleet.TaskRecorder.JobAttempts(id, tasksPerJob) {
+				running += attempts.Started
 			}
 			if running < tasksPerJob && !transport.Sleep(ctx, taskPollInterval) {
 				return fmt.Errorf("job %s: %d of %d tasks started (limit %s)", id, running, tasksPerJob, outcomeTimeout)
--- a/internal/load/mix/mix.go
+++ b/internal/load/mix/mix.go
@@ -52,23 +52,23 @@
 }
 
 // selectKind maps x, from 0 to 1, to a kind in proportion to the weights.
-func (s KindWeights) selectKind(x float64) job.Kind {
+func (w KindWeights) selectKind(x float64) job.Kind {
 	sum := 0.0
 	for _, k := range Kinds {
-		sum += s[k]
+		sum += w[k]
 	}
 	x *= sum
 	for _, k := range Kinds {
-		if x -= s[k]; x < 0 {
+		if x -= w[k]; x < 0 {
 			return k
 		}
 	}
 	return Kinds[0]
 }
 
-// Shape holds the size and the mean run time of the tasks of a kind. CPU is in
+// TaskShape holds the size and the mean run time of the tasks of a kind. CPU is in
 // millicores and Memory in MiB.
-type Shape struct {
+type TaskShape struct {
 	Count   uint32
 	CPU     int64
 	Memory  int64
@@ -78,8 +78,8 @@
 // DefaultShapes models the jobs of an order service. Urgent tasks compute quotes, batch
 // tasks process the stock, gangs plan a section together, and services run for several
 // seconds.
-func DefaultShapes() map[job.Kind]Shape {
-	return map[job.Kind]Shape{
+func DefaultShapes() map[job.Kind]TaskShape {
+	return map[job.Kind]TaskShape{
 		job.Urgent:  {Count: 1, CPU: 500, Memory: 256, Runtime: 50 * time.Millisecond},
 		job.Batch:   {Count: 1, CPU: 1_000, Memory: 1_024, Runtime: 500 * time.Millisecond},
 		job.Gang:    {Count: 4, CPU: 1_000, Memory: 1_024, Runtime: 500 * time.Millisecond},
@@ -95,7 +95,7 @@
 	Duration time.Duration
 	Seed     uint64
 	Weights  KindWeights
-	Shapes   map[job.Kind]Shape
+	Shapes   map[job.Kind]TaskShape
 	// OnceFraction is the fraction of the jobs, from 0 to 1, that may run at most once.
 	OnceFraction float64
 	// MeanAnswerBytes is the mean length of a task's answer.
@@ -131,27 +131,27 @@
 
 // Jobs draws all jobs, ordered by arrival time.
 func (p Plan) Jobs() []Job {
-	r := rand.New(rand.NewPCG(p.Seed, rngStream))
+	rng := rand.New(rand.NewPCG(p.Seed, rngStream))
 	var jobs []Job
 	arrivesAt := time.Duration(0)
 	for {
-		arrivesAt += time.Duration(r.ExpFloat64() / p.Rate * float64(time.Second))
+		arrivesAt += time.Duration(rng.ExpFloat64() / p.Rate * float64(time.Second))
 		if arrivesAt >= p.Duration {
 			return jobs
 		}
-		jobs = append(jobs, p.drawJob(r, len(jobs), arrivesAt))
+		jobs = append(jobs, p.drawJob(rng, len(jobs), arrivesAt))
 	}
 }
 
-func (p Plan) drawJob(r *rand.Rand, number int, arrivesAt time.Duration) Job {
-	kind := p.Weights.selectKind(r.Float64())
+func (p Plan) drawJob(rng *rand.Rand, index int, arrivesAt time.Duration) Job {
+	kind := p.Weights.selectKind(rng.Float64())
 	shape := p.Shapes[kind]
-	j := Job{ArrivesAt: arrivesAt, Kind: kind, Runtime: drawExponential(r, shape.Runtime), AnswerBytes: int(drawExponential(r, time.Duration(p.MeanAnswerBytes)))}
+	j := Job{ArrivesAt: arrivesAt, Kind: kind, Runtime: drawExponential(rng, shape.Runtime), AnswerBytes: int(drawExponential(rng, time.Duration(p.MeanAnswerBytes)))}
 	// Declared run times are often wrong, and the cell has to tolerate it.
-	declared := float64(j.Runtime.Milliseconds()) * math.Exp(r.NormFloat64()*runtimeErrorSigma)
-	once := r.Float64() < p.OnceFraction && kind != job.Service
+	declared := float64(j.Runtime.Milliseconds()) * math.Exp(rng.NormFloat64()*runtimeErrorSigma)
+	once := rng.Float64() < p.OnceFraction && kind != job.Service
 	j.Spec = &v1.Spec{
-		Id: p.IDPrefix + strconv.Itoa(number), Kind: v1.Kind(kind), Name: "load-" + kind.String(), Count: shape.Count,
+		Id: p.IDPrefix + strconv.Itoa(index), Kind: v1.Kind(kind), Name: "load-" + kind.String(), Count: shape.Count,
 		Size:    &v1.Size{Cpu: shape.CPU, Memory: shape.Memory, Slots: 1},
 		Runtime: uint64(max(1, declared)), Once: once,
 	}
@@ -163,6 +163,6 @@
 
 // drawExponential draws a value from an exponential distribution with the given mean,
 // limited to maxMeanMultiple times the mean.
-func drawExponential(r *rand.Rand, mean time.Duration) time.Duration {
-	return time.Duration(min(r.ExpFloat64(), maxMeanMultiple) * float64(mean))
+func drawExponential(rng *rand.Rand, mean time.Duration) time.Duration {
+	return time.Duration(min(rng.ExpFloat64(), maxMeanMultiple) * float64(mean))
 }
--- a/internal/load/rig/process.go
+++ b/internal/load/rig/process.go
@@ -130,13 +130,13 @@
 
 func (r *Rig) probe(name, path string) ([]byte, bool) {
 	c := http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	res, err := c.Get("http://" + r.address(name, platformOffset) + path)
+	response, err := c.Get("http://" + r.address(name, platformOffset) + path)
 	if err != nil {
 		return nil, false
 	}
-	defer func() { _ = res.Body.Close() }()
-	b, err := io.ReadAll(res.Body)
-	return b, err == nil && res.StatusCode == http.StatusOK
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
+	return body, err == nil && response.StatusCode == http.StatusOK
 }
 
 // Leader returns the control replica that reports leadership in the highest term.
@@ -146,9 +146,9 @@
 		if !r.Running(name) {
 			continue
 		}
-		b, ok := r.probe(name, "/metrics")
-		if ok && metricValue(b, "control_leads") == 1 && metricValue(b, "control_term") > term {
-			leader, term = name, metricValue(b, "control_term")
+		metrics, ok := r.probe(name, "/metrics")
+		if ok && metricValue(metrics, "control_leads") == 1 && metricValue(metrics, "control_term") > term {
+			leader, term = name, metricValue(metrics, "control_term")
 		}
 	}
 	return leader, leader != ""
@@ -157,11 +157,11 @@
 // TableRevision returns the table revision that a process reports in its metrics; 0 if
 // it does not answer.
 func (r *Rig) TableRevision(name string) uint64 {
-	b, _ := r.probe(name, "/metrics")
+	metrics, _ := r.probe(name, "/metrics")
 	if strings.HasPrefix(name, "entry") {
-		return uint64(max(0, metricValue(b, "entry_table_revision")))
+		return uint64(max(0, metricValue(metrics, "entry_table_revision")))
 	}
-	return uint64(max(0, metricValue(b, "control_revision")))
+	return uint64(max(0, metricValue(metrics, "control_revision")))
 }
 
 // metricValue returns the value of the metric whose name ends in suffix; -1 if there
--- a/internal/load/rig/process_test.go
+++ b/internal/load/rig/process_test.go
@@ -24,7 +24,7 @@
 	"gypsumreel/internal/load/work"
 )
 
-var program string
+var programPath string
 
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
@@ -37,8 +37,8 @@
 		panic(err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	program = filepath.Join(dir, "gypsumreel")
-	if out, err := exec.Command("go", "build", "-o", program, "gypsumreel/cmd/gypsumreel").CombinedOutput(); err != nil {
+	programPath = filepath.Join(dir, "gypsumreel")
+	if out, err := exec.Command("go", "build", "-o", programPath, "gypsumreel/cmd/gypsumreel").CombinedOutput(); err != nil {
 		panic(fmt.Sprintf("%v: %s", err, out))
 	}
 	return m.Run()
@@ -54,7 +54,7 @@
 	var r *rig.Rig
 	err := fmt.Errorf("no free ports from %d to %d", firstPort, lastPort)
 	for port := firstPort; err != nil && port < lastPort; port += portStep {
-		r = &rig.Rig{Program: program, Dir: t.TempDir(), FirstPort: port, Replicas: 3, Entries: 2}
+		r = &rig.Rig{Program: programPath, Dir: t.TempDir(), FirstPort: port, Replicas: 3, Entries: 2}
 		if err = r.Start(t.Context()); err != nil {
 			t.Log(err)
 			r.Close()
@@ -177,7 +177,7 @@
 }
 
 const (
-	clients             = 6
+	clientCount         = 6
 	operationsPerClient = 20
 	clientTimeout       = 20 * time.Second
 	checkTimeout        = 60 * time.Second
@@ -187,9 +187,9 @@
 // restarted and its successor is paused and resumed.
 func runDuringFailures(t *testing.T, r *rig.Rig, operation func(client, i int)) {
 	t.Helper()
-	progress := newMilestones(clients*operationsPerClient, 6)
+	progress := newMilestones(clientCount*operationsPerClient, 6)
 	var wg sync.WaitGroup
-	for c := range clients {
+	for c := range clientCount {
 		wg.Go(func() {
 			for i := range operationsPerClient {
 				operation(c, i)
--- a/internal/load/trial/main.go
+++ b/internal/load/trial/main.go
@@ -24,12 +24,12 @@
 
 // options are the command-line options.
 type options struct {
-	SeedCount int           `long:"seeds" default:"40" description:"number of seeds that each policy runs"`
-	FirstSeed uint64        `long:"first" default:"1" description:"the first seed"`
-	Servers   int           `long:"servers" default:"48" description:"approximate number of backend servers"`
-	Lease     time.Duration `long:"lease" description:"how long a server runs without contact to the cell; drawn from the seed by default"`
-	Policies  []string      `long:"way" description:"product, fifo, strict, or without-MECHANISM; may be repeated; all by default"`
-	Parallel  int           `long:"jobs" default:"4" description:"number of parallel runs"`
+	SeedCount       int           `long:"seeds" default:"40" description:"number of seeds that each policy runs"`
+	FirstSeed       uint64        `long:"first" default:"1" description:"the first seed"`
+	Servers         int           `long:"servers" default:"48" description:"approximate number of backend servers"`
+	Lease           time.Duration `long:"lease" description:"how long a server runs without contact to the cell; drawn from the seed by default"`
+	Policies        []string      `long:"way" description:"product, fifo, strict, or without-MECHANISM; may be repeated; all by default"`
+	MaxParallelRuns int           `long:"jobs" default:"4" description:"number of parallel runs"`
 }
 
 func main() {
@@ -56,14 +56,14 @@
 // parsePolicy returns the policy with the given name.
 func parsePolicy(name string, lease time.Duration) (simulator.Policy, error) {
 	p := simulator.Policy{Lease: lease}
-	mechanism, without := strings.CutPrefix(name, "without-")
+	mechanism, hasPrefix := strings.CutPrefix(name, "without-")
 	switch {
 	case name == "product":
 	case name == "fifo":
 		p.FIFO, p.Disabled = true, simulator.LateLast|simulator.Headroom|simulator.GangReservation|simulator.QuestionSize|simulator.ParallelQuestions
 	case name == "strict":
 		p.StrictPriority, p.Disabled = true, simulator.LateLast|simulator.Headroom|simulator.GangReservation|simulator.QuestionSize|simulator.ParallelQuestions
-	case without && simulator.Mechanisms[mechanism] != 0:
+	case hasPrefix && simulator.Mechanisms[mechanism] != 0:
 		p.Disabled = simulator.Mechanisms[mechanism]
 	default:
 		return p, fmt.Errorf("unknown policy %q; known: %s", name, strings.Join(policyNames(), ", "))
@@ -88,7 +88,7 @@
 	}
 	bar := progressbar.NewOptions(len(names)*o.SeedCount, progressbar.OptionSetWriter(progress), progressbar.OptionSetDescription("runs"), progressbar.OptionThrottle(time.Second))
 	var wg sync.WaitGroup
-	semaphore := make(chan struct{}, min(o.Parallel, runtime.NumCPU()))
+	semaphore := make(chan struct{}, min(o.MaxParallelRuns, runtime.NumCPU()))
 	for i := range names {
 		for n := range o.SeedCount {
 			wg.Go(func() {
--- a/internal/policy/bench/bench.go
+++ b/internal/policy/bench/bench.go
@@ -62,8 +62,8 @@
 	// after the fault. UrgentAfterLoss is the p99 wait of urgent tasks that were lost
 	// with their server, counted from the time at which the server went silent.
 	UrgentAfterFault, UrgentAfterLoss time.Duration
-	// Placed counts the first placements of each kind.
-	Placed [job.Service + 1]int
+	// FirstPlacements counts the first placements of each kind.
+	FirstPlacements [job.Service + 1]int
 	// Packing is the used capacity divided by the capacity that placed and waiting tasks
 	// could use together, averaged over the samples in which tasks wait.
 	Packing float64
@@ -178,7 +178,7 @@
 		}
 	}
 	r := Result{
-		Packing: mean(m.packing), ShareDistance: mean(m.shareDistances), WorstDistance: m.worstDistance,
+		Packing: mean(m.packingSamples), ShareDistance: mean(m.shareDistances), WorstDistance: m.worstDistance,
 		CoreHoursDone: (m.coreSecondsDone[job.Batch] + m.coreSecondsDone[job.Gang]) / 3600, CoreHoursLost: m.coreSecondsLost / 3600,
 		SlowdownP99: quantile(m.slowdowns, 0.99), SlowdownMax: quantile(m.slowdowns, 1),
 		UrgentAfterFault: quantile(m.waitsAfterFault, 0.99), UrgentAfterLoss: quantile(m.waitsAfterLoss, 0.99),
@@ -187,7 +187,7 @@
 		ActionCounts: m.actionCounts, LostByReason: m.lostByReason, Violations: m.simulation.Checker.Violations,
 	}
 	for k := range m.waits {
-		r.Placed[k] = len(m.waits[k])
+		r.FirstPlacements[k] = len(m.waits[k])
 		for i, q := range [...]float64{0.5, 0.99, 0.999} {
 			r.Waits[k][i] = quantile(m.waits[k], q)
 		}
--- a/internal/policy/bench/bench_test.go
+++ b/internal/policy/bench/bench_test.go
@@ -39,8 +39,8 @@
 		case "racks":
 			runPlanner(bench.Product(0), site, 0.9, bench.RackOutages, "cell")
 			runPlanner(bench.Product(0), site, 0.9, bench.UnmarkedOutages, "cell")
-			runPlanner(bench.Product(0), bench.Heavy(), 1.2, bench.NoFault, "cell")
-			runPlanner(bench.Product(cell.BestFit), bench.Heavy(), 1.2, bench.NoFault, "without best fit")
+			runPlanner(bench.Product(0), bench.BalastasLargeBatch(), 1.2, bench.NoFault, "cell")
+			runPlanner(bench.Product(cell.BestFit), bench.BalastasLargeBatch(), 1.2, bench.NoFault, "without best fit")
 		case "parts":
 			runMechanisms(site)
 		case "one":
--- a/internal/policy/bench/metrics.go
+++ b/internal/policy/bench/metrics.go
@@ -18,19 +18,19 @@
 	// FaultAt is the virtual time at which the fault is injected; 0 before it.
 	FaultAt time.Duration
 
-	simulation      *Simulation
-	waits           [job.Service + 1][]time.Duration
-	coreSecondsDone [job.Service + 1]float64
-	coreSecondsLost float64
-	packing         []float64
-	shareDistances  []float64
-	lastMinute      map[string][]float64
-	worstDistance   float64
-	queuedTasks     int
-	decisionCount   int
-	decideTime      time.Duration
-	decisionTimes   []time.Duration
-	actionCounts    [plan.Restore + 1]int
+	simulation          *Simulation
+	waits               [job.Service + 1][]time.Duration
+	coreSecondsDone     [job.Service + 1]float64
+	coreSecondsLost     float64
+	packingSamples      []float64
+	shareDistances      []float64
+	lastMinuteDistances map[string][]float64
+	worstDistance       float64
+	queuedTasks         int
+	decisionCount       int
+	decideTime          time.Duration
+	decisionTimes       []time.Duration
+	actionCounts        [plan.Restore + 1]int
 	// lostByReason holds the lost core-hours by the reason for which the tasks were
 	// stopped.
 	lostByReason map[string]float64
@@ -43,7 +43,7 @@
 }
 
 func newMetrics(w *Simulation) *Metrics {
-	return &Metrics{simulation: w, lastMinute: map[string][]float64{}, lostByReason: map[string]float64{}, idealWaits: map[uint64]time.Duration{}}
+	return &Metrics{simulation: w, lastMinuteDistances: map[string][]float64{}, lostByReason: map[string]float64{}, idealWaits: map[uint64]time.Duration{}}
 }
 
 func (m *Metrics) measuring() bool { return m.simulation.now >= m.MeasureFrom }
@@ -150,7 +150,7 @@
 		}
 	}
 	if maxUsedShare := min(1, used.Add(demand).DominantShare(readyCapacity)); !demand.IsZero() && maxUsedShare > 0.95 {
-		m.packing = append(m.packing, used.DominantShare(readyCapacity)/maxUsedShare)
+		m.packingSamples = append(m.packingSamples, used.DominantShare(readyCapacity)/maxUsedShare)
 		m.recordShareDistance(waiting, readyCapacity)
 	}
 }
@@ -180,11 +180,11 @@
 // recordTeamDistance records a team's distance from its fair share and updates the
 // largest one-minute mean.
 func (m *Metrics) recordTeamDistance(team string, distance float64) {
-	lastMinute := append(m.lastMinute[team], distance)
+	lastMinute := append(m.lastMinuteDistances[team], distance)
 	if len(lastMinute) > 60 {
 		lastMinute = lastMinute[1:]
 	}
-	m.lastMinute[team] = lastMinute
+	m.lastMinuteDistances[team] = lastMinute
 	if len(lastMinute) == 60 {
 		m.worstDistance = max(m.worstDistance, mean(lastMinute))
 	}
--- a/internal/policy/bench/scale.go
+++ b/internal/policy/bench/scale.go
@@ -109,10 +109,10 @@
 	return placed
 }
 
-func (s *FullCell) place(d plan.Decision) {
-	spec := s.specs[d.Job]
-	for _, placement := range d.Placements {
-		id := task.ID{Job: d.Job, Index: placement.Index}
+func (s *FullCell) place(decision plan.Decision) {
+	spec := s.specs[decision.Job]
+	for _, placement := range decision.Placements {
+		id := task.ID{Job: decision.Job, Index: placement.Index}
 		s.Planner.SetPlaced(plan.PlacedTask{ID: id, Job: spec, Server: placement.Server, PlacedAt: s.now})
 		s.runningIndex[id] = len(s.running)
 		s.running = append(s.running, runningTask{id, spec, placement.Server, s.now})
--- a/internal/policy/bench/workload.go
+++ b/internal/policy/bench/workload.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Heavy is Balastas with batch tasks that take up to half a server.
-func Heavy() Site {
+// BalastasLargeBatch is Balastas with batch tasks that take up to half a server.
+func BalastasLargeBatch() Site {
 	s := Balastas()
 	s.Name, s.MaxBatchSize = "heavy", capacity.Size{CPU: 8000, Memory: 16 << 10, Slots: 4}
 	return s
@@ -82,9 +82,9 @@
 	return sum
 }
 
-// customers lists six teams with their table rows and their fractions of the load. The
+// simulatedTeams lists six teams with their table rows and their fractions of the load. The
 // first two are large.
-var customers = []struct {
+var simulatedTeams = []struct {
 	row          team.Row
 	loadFraction float64
 }{
@@ -99,7 +99,7 @@
 // InitialTable returns the team table at the start of a run.
 func InitialTable() table.Table {
 	var rows []team.Row
-	for _, c := range customers {
+	for _, c := range simulatedTeams {
 		rows = append(rows, c.row)
 	}
 	return table.Restore(1, rows)
@@ -139,7 +139,7 @@
 	crashes  bool
 }
 
-func (s *jobSource) draw() drawnJob {
+func (s *jobSource) drawJob() drawnJob {
 	kind, p := job.Batch, s.rng.Float64()
 	switch {
 	case p < urgentFraction:
@@ -205,12 +205,12 @@
 
 func (s *jobSource) drawTeam() string {
 	p := s.rng.Float64()
-	for _, c := range customers {
+	for _, c := range simulatedTeams {
 		if p -= c.loadFraction; p < 0 {
 			return c.row.Name
 		}
 	}
-	return customers[0].row.Name
+	return simulatedTeams[0].row.Name
 }
 
 // arrivalRate returns the number of jobs per second that gives the wanted load. The
@@ -219,7 +219,7 @@
 	const drawCount = 20_000
 	var sum [capacity.Dimensions]float64
 	for range drawCount {
-		d := s.draw()
+		d := s.drawJob()
 		for _, t := range d.runtimes {
 			seconds := t.Seconds()
 			sum[0] += seconds * float64(d.spec.Size.CPU)
@@ -241,7 +241,7 @@
 // submitArrivals submits jobs at the given mean rate with the diurnal swing until the
 // run ends.
 func (w *Simulation) submitArrivals(s *jobSource, rate float64, period time.Duration) {
-	d := s.draw()
+	d := s.drawJob()
 	intervalSeconds := s.rng.ExpFloat64() / (rate * (1 + diurnalSwing*math.Sin(2*math.Pi*w.now.Seconds()/period.Seconds())))
 	w.Schedule(w.now+time.Duration(intervalSeconds*float64(time.Second)), func() {
 		w.Submit(d.spec, d.runtimes, d.usage, d.crashes)
@@ -255,7 +255,7 @@
 	size.Accel = 0
 	taskShare := size.DominantShare(site.totalCapacity())
 	n := int(load / taskShare)
-	for _, c := range customers {
+	for _, c := range simulatedTeams {
 		taskCount := int(float64(n) * c.loadFraction)
 		if taskCount == 0 {
 			continue
