--- a/internal/load/mix/mix_test.go
+++ b/internal/load/mix/mix_test.go
@@ -20,6 +20,8 @@
 	return mix.Plan{Rate: 1000, Duration: 10 * time.Second, Seed: seed, Weights: weights, Shapes: mix.DefaultShapes(), OnceFraction: 0.5, MeanAnswerBytes: 100, IDPrefix: "p-"}
 }
 
+// Guards against jobs that depend on anything but the seed, which would make load runs
+// incomparable.
 func TestSameSeedGeneratesSameJobs(t *testing.T) {
 	const n = 200
 	a, b, c := newPlan(t, 1).Jobs()[:n], newPlan(t, 1).Jobs()[:n], newPlan(t, 2).Jobs()[:n]
@@ -31,6 +33,7 @@
 	}
 }
 
+// Guards against a wrong arrival rate, wrong fractions of kinds and duplicate job ids.
 func TestGeneratedJobsMatchPlan(t *testing.T) {
 	jobs := newPlan(t, 3).Jobs()
 	countByKind, once, ids := map[job.Kind]int{}, 0, map[string]bool{}
@@ -62,6 +65,7 @@
 	}
 }
 
+// Guards against a mistyped weight that silently changes the load.
 func TestInvalidWeightsAreRejected(t *testing.T) {
 	for _, text := range []string{"", "urgent", "urgent=-1", "urgent=NaN", "urgent=1,urgent=2", "fast=1", "batch=0"} {
 		if got, err := mix.ParseKindWeights(text); err == nil {
--- a/internal/load/report/report_test.go
+++ b/internal/load/report/report_test.go
@@ -67,8 +67,8 @@
 	damaged := jobResult("good", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK)
 	damaged.AnswerDamaged = true
 	for name, c := range map[string]struct {
-		one  drive.JobResult
-		want report.Violations
+		result drive.JobResult
+		want   report.Violations
 	}{
 		"good":      {jobResult("good", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Violations{}},
 		"refused":   {jobResult("none", second, 0, 0, v1.Outcome_OUTCOME_NOT_RUN, code.QueueFull), report.Violations{}},
@@ -80,7 +80,7 @@
 		"unran":     {jobResult("unran", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Violations{UnfinishedDone: 1}},
 		"unstarted": {jobResult("none", second, second, second, v1.Outcome_OUTCOME_DONE, code.OK), report.Violations{UnfinishedDone: 1}},
 	} {
-		got := report.Summarize(report.RunInfo{}, time.Now(), []drive.JobResult{c.one}, r)
+		got := report.Summarize(report.RunInfo{}, time.Now(), []drive.JobResult{c.result}, r)
 		c.want.ServerFaults = []string{}
 		if diff := cmp.Diff(c.want, got.Violations); diff != "" {
 			t.Errorf("%s: violations (-want +got):\n%s", name, diff)
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -31,8 +31,8 @@
 
 // Fleet is a group of fake backend servers that run in this process.
 type Fleet struct {
-	// TaskRecorder records the attempts of each task. ServerRecord counts the starts and
-	// records the faults that the servers notice.
+	// TaskRecorder counts the attempts of each task. ServerRecorder counts the starts and
+	// records the faults that the servers detect.
 	TaskRecorder   *work.Recorder
 	ServerRecorder *server.Record
 
