--- a/internal/cli/demo/demo.go
+++ b/internal/cli/demo/demo.go
@@ -35,7 +35,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	demo := &scenario.Scenario{Dir: dir, Log: logr.Discard(), Step: showProgress(env.Err)}
+	demo := &scenario.Scenario{Dir: dir, Log: logr.Discard(), OnStep: showProgress(env.Err)}
 	report, err := demo.Run(ctx)
 	if err != nil {
 		return err
@@ -43,8 +43,8 @@
 	if err := c.Print(env.Out, report, reportTable(report)); err != nil {
 		return err
 	}
-	if !report.Good() {
-		return &verb.Error{ExitCode: verb.ExitFailed, Message: fmt.Sprintf("%d promises did not hold", len(report.Broken))}
+	if !report.Passed() {
+		return &verb.Error{ExitCode: verb.ExitFailed, Message: fmt.Sprintf("%d promises did not hold", len(report.Violations))}
 	}
 	return nil
 }
@@ -79,7 +79,7 @@
 		row("submission to whole answer p50 / p99 / max", "%.1f / %.1f / %.1f ms", report.Wait.P50, report.Wait.P99, report.Wait.Max),
 		row("took", "%.1f s", report.Seconds),
 	}}
-	for _, promise := range report.Broken {
+	for _, promise := range report.Violations {
 		table.Rows = append(table.Rows, row("broken promise", "%s", promise))
 	}
 	return table
--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -100,7 +100,7 @@
 	if runInfo.TableRevisions[0], err = c.tableRevision(ctx); err != nil {
 		return err
 	}
-	workRecord, serverRecord := &work.Recorder{}, &server.Record{}
+	workRecord, serverRecord := &work.Recorder{}, &server.Recorder{}
 	stopServers, err := c.startServers(ctx, workRecord, serverRecord)
 	if err != nil {
 		return err
@@ -116,7 +116,7 @@
 		workRecord = nil
 	}
 	result := report.Summarize(runInfo, runInfo.StartedAt, outcome, workRecord)
-	result.Violations.ServerFaults = append(result.Violations.ServerFaults, serverRecord.Faults()...)
+	result.Violations.ServerFaults = append(result.Violations.ServerFaults, serverRecord.Violations()...)
 	// An error here is only printed: the result matters most when the cell failed during
 	// the run.
 	if result.Info.TableRevisions[1], err = c.tableRevision(ctx); err != nil {
@@ -219,7 +219,7 @@
 }
 
 // startServers starts the fake backend servers and returns a function that stops them.
-func (c *command) startServers(ctx context.Context, workRecord *work.Recorder, serverRecord *server.Record) (stop func(), err error) {
+func (c *command) startServers(ctx context.Context, workRecord *work.Recorder, serverRecord *server.Recorder) (stop func(), err error) {
 	if c.Servers == 0 {
 		return func() {}, nil
 	}
@@ -247,7 +247,7 @@
 	return stop, nil
 }
 
-func (c *command) newServer(i int, workRecord *work.Recorder, serverRecord *server.Record) (*server.Server, error) {
+func (c *command) newServer(i int, workRecord *work.Recorder, serverRecord *server.Recorder) (*server.Server, error) {
 	flags := c.Flags
 	flags.Address = c.Backends
 	transportClient, err := flags.Transport()
@@ -255,7 +255,7 @@
 		return nil, err
 	}
 	s := &server.Server{
-		Name: fmt.Sprintf("load-%03d", i), Secret: c.EnrolmentSecret, Work: workRecord.RunTask, Record: serverRecord, Log: logr.Discard(),
+		Name: fmt.Sprintf("load-%03d", i), Secret: c.EnrolmentSecret, Work: workRecord.RunTask, Recorder: serverRecord, Log: logr.Discard(),
 		Rack: fmt.Sprintf("rack-%d", i/serversPerRack), Zone: fmt.Sprintf("zone-%d", i%zoneCount),
 		Capacity: &v1.Size{Cpu: c.Cores * 1000, Memory: c.Memory, Slots: c.Slots},
 	}
--- a/internal/demo/fault/network_test.go
+++ b/internal/demo/fault/network_test.go
@@ -12,34 +12,37 @@
 	"gypsumreel/internal/fake/relay"
 )
 
-// network is a network in memory with a relay on each link, so that a test can
-// break any of them.
+// network is an in-memory network with a relay on each link, so that a test can inject
+// faults into any link.
 type network struct {
 	ctx    context.Context
-	memory relay.Memory
+	memory relay.MemoryNetwork
 	mu     sync.Mutex
 	links  map[[2]string]*relay.Relay
-	// fates are those of processes that were cut off: links made later share them.
-	fates map[string]bool
-	wires map[string]func(from string, data []byte)
-	// deaf and mute hold the replicas that hear, or are heard by, no other one.
-	deaf, mute map[string]bool
+	// isolated holds the processes whose traffic is dropped, also on links created later.
+	isolated map[string]bool
+	// receivers holds the function that receives consensus messages, by replica identity.
+	receivers map[string]func(from string, data []byte)
+	// inboundBlocked and outboundBlocked hold the replicas whose incoming or outgoing
+	// consensus messages are dropped.
+	inboundBlocked, outboundBlocked map[string]bool
 }
 
 func newNetwork(ctx context.Context) *network {
 	return &network{
-		ctx: ctx, links: map[[2]string]*relay.Relay{}, fates: map[string]bool{},
-		wires: map[string]func(string, []byte){}, deaf: map[string]bool{}, mute: map[string]bool{},
+		ctx: ctx, links: map[[2]string]*relay.Relay{}, isolated: map[string]bool{},
+		receivers: map[string]func(string, []byte){}, inboundBlocked: map[string]bool{}, outboundBlocked: map[string]bool{},
 	}
 }
 
-// Address names a listener with the port that HTTP clients want to see.
+// Address returns the name with a port, which HTTP clients require.
 func (n *network) Address(name string) string { return name + ":1" }
 
-// Listen returns the listener of an address.
+// Listen returns a listener on the address.
 func (n *network) Listen(address string) (net.Listener, error) { return n.memory.Listen(address), nil }
 
-// Dialer returns how a process opens connections: through its own relay to each address.
+// Dialer returns the dial function of a process, which connects through a separate relay
+// for each address.
 func (n *network) Dialer(name string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		n.link(name, address)
@@ -54,116 +57,118 @@
 	if r := n.links[key]; r != nil {
 		return r
 	}
-	r := &relay.Relay{Listener: n.memory.Listen(from + ">" + to), Dial: n.memory.To(to)}
+	r := &relay.Relay{Listener: n.memory.Listen(from + ">" + to), Dial: n.memory.DialerTo(to)}
 	n.links[key] = r
 	go func() { _ = r.Run(n.ctx) }()
-	if n.fates[from] || n.fates[owner(to)] {
-		r.Set(relay.Up, relay.Lose)
-		r.Set(relay.Down, relay.Lose)
+	if n.isolated[from] || n.isolated[listeningProcess(to)] {
+		r.SetMode(relay.Upstream, relay.Drop)
+		r.SetMode(relay.Downstream, relay.Drop)
 	}
 	return r
 }
 
-// owner returns the process that listens at an address.
-func owner(address string) string {
+// listeningProcess returns the name of the process that listens on an address.
+func listeningProcess(address string) string {
 	name, _, _ := strings.Cut(address, ":")
 	name, _, _ = strings.Cut(name, "-")
 	return name
 }
 
-// each calls fn for every link that a process has part in.
-func (n *network) each(name string, fn func(*relay.Relay)) {
+// eachLink calls fn for every link from or to a process.
+func (n *network) eachLink(name string, fn func(*relay.Relay)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for k, r := range n.links {
-		if k[0] == name || owner(k[1]) == name {
+		if k[0] == name || listeningProcess(k[1]) == name {
 			fn(r)
 		}
 	}
 }
 
-// cut makes every link of a process lose everything, silently.
-func (n *network) cut(name string) {
+// dropTraffic silently drops all traffic of a process.
+func (n *network) dropTraffic(name string) {
 	n.mu.Lock()
-	n.fates[name], n.deaf[name], n.mute[name] = true, true, true
+	n.isolated[name], n.inboundBlocked[name], n.outboundBlocked[name] = true, true, true
 	n.mu.Unlock()
-	n.each(name, func(r *relay.Relay) { r.Set(relay.Up, relay.Lose); r.Set(relay.Down, relay.Lose) })
+	n.eachLink(name, func(r *relay.Relay) { r.SetMode(relay.Upstream, relay.Drop); r.SetMode(relay.Downstream, relay.Drop) })
 }
 
-// hold keeps every byte of a process back, as when the process is paused.
-func (n *network) hold(name string) {
+// holdTraffic holds back all traffic of a process, as if the process were paused.
+// Consensus messages are dropped.
+func (n *network) holdTraffic(name string) {
 	n.mu.Lock()
-	n.deaf[name], n.mute[name] = true, true
+	n.inboundBlocked[name], n.outboundBlocked[name] = true, true
 	n.mu.Unlock()
-	n.each(name, func(r *relay.Relay) { r.Set(relay.Up, relay.Hold); r.Set(relay.Down, relay.Hold) })
+	n.eachLink(name, func(r *relay.Relay) { r.SetMode(relay.Upstream, relay.Hold); r.SetMode(relay.Downstream, relay.Hold) })
 }
 
-// silence lets a replica hear the others and be heard by none, or the other way round.
-func (n *network) silence(name string, heard bool) {
+// blockReplica drops the incoming or the outgoing consensus messages of a replica.
+func (n *network) blockReplica(name string, inbound bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if heard {
-		n.deaf[name] = true
+	if inbound {
+		n.inboundBlocked[name] = true
 		return
 	}
-	n.mute[name] = true
+	n.outboundBlocked[name] = true
 }
 
-// forget makes the open connections of a process silent for good; new ones work.
-func (n *network) forget(name string) {
-	n.each(name, func(r *relay.Relay) { r.Forget(relay.Up, relay.Down) })
+// blackholeOpen drops all further traffic on the open connections of a process. New
+// connections work.
+func (n *network) blackholeOpen(name string) {
+	n.eachLink(name, func(r *relay.Relay) { r.BlackholeOpen(relay.Upstream, relay.Downstream) })
 }
 
-// heal ends every fault of a process's links.
+// heal ends dropTraffic, holdTraffic and blockReplica for a process.
 func (n *network) heal(name string) {
 	n.mu.Lock()
-	delete(n.fates, name)
-	delete(n.deaf, name)
-	delete(n.mute, name)
+	delete(n.isolated, name)
+	delete(n.inboundBlocked, name)
+	delete(n.outboundBlocked, name)
 	n.mu.Unlock()
-	n.each(name, func(r *relay.Relay) {
-		r.Set(relay.Up, relay.Pass)
-		r.Set(relay.Down, relay.Pass)
+	n.eachLink(name, func(r *relay.Relay) {
+		r.SetMode(relay.Upstream, relay.Pass)
+		r.SetMode(relay.Downstream, relay.Pass)
 	})
 }
 
-// wire is a replica's way to the others.
-type wire struct {
-	n    *network
-	name string
-	id   string
+// replicaTransport sends the consensus messages of one replica over the network.
+type replicaTransport struct {
+	network *network
+	name    string
+	id      string
 }
 
-func (n *network) wire(name, id string, receive func(string, []byte)) node.Transport {
+func (n *network) newTransport(name, id string, receive func(string, []byte)) node.Transport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.wires[id] = receive
-	return &wire{n: n, name: name, id: id}
+	n.receivers[id] = receive
+	return &replicaTransport{network: n, name: name, id: id}
 }
 
-// latency is the time that a consensus message takes.
-const latency = time.Millisecond
+// messageDelay is the network delay of a consensus message.
+const messageDelay = time.Millisecond
 
-func (w *wire) Send(to, _ string, data [][]byte) {
+func (w *replicaTransport) Send(to, _ string, data [][]byte) {
 	peer, _, _ := strings.Cut(to, "/")
-	w.n.mu.Lock()
-	lost := w.n.mute[w.name] || w.n.deaf[peer]
-	receive := w.n.wires[to]
-	w.n.mu.Unlock()
-	if lost || receive == nil {
+	w.network.mu.Lock()
+	dropped := w.network.outboundBlocked[w.name] || w.network.inboundBlocked[peer]
+	receive := w.network.receivers[to]
+	w.network.mu.Unlock()
+	if dropped || receive == nil {
 		return
 	}
-	time.AfterFunc(latency, func() {
+	time.AfterFunc(messageDelay, func() {
 		for _, d := range data {
 			receive(w.id, d)
 		}
 	})
 }
 
-func (w *wire) Handler() http.Handler { return http.NotFoundHandler() }
+func (w *replicaTransport) Handler() http.Handler { return http.NotFoundHandler() }
 
-func (w *wire) Close() {
-	w.n.mu.Lock()
-	defer w.n.mu.Unlock()
-	delete(w.n.wires, w.id)
+func (w *replicaTransport) Close() {
+	w.network.mu.Lock()
+	defer w.network.mu.Unlock()
+	delete(w.network.receivers, w.id)
 }
--- a/internal/demo/scenario/scenario_test.go
+++ b/internal/demo/scenario/scenario_test.go
@@ -7,18 +7,19 @@
 	"gypsumreel/internal/demo/scenario"
 )
 
-// The demo kills the leader of a busy cell: nothing accepted is lost, nothing
-// runs twice, and every promise that it checks holds.
+// The demo kills the leader of a cell under load. No accepted job may be lost, no task may
+// run twice, and the demo must find no violation.
 func TestTheDemoHolds(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes ten seconds")
 	}
-	// The race detector makes every copied byte cost tens of times more.
-	r, err := (&scenario.Scenario{Dir: t.TempDir(), Interval: 100 * time.Millisecond}).Run(t.Context())
+	// The interval is longer than the default, because the race detector makes copying
+	// answers tens of times slower.
+	report, err := (&scenario.Scenario{Dir: t.TempDir(), Interval: 100 * time.Millisecond}).Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !r.Good() || r.Accepted == 0 || r.Done+r.Unknown != r.Accepted || r.Duplicates+r.Lost != 0 {
-		t.Errorf("%+v", *r)
+	if !report.Passed() || report.Accepted == 0 || report.Done+report.Unknown != report.Accepted || report.Duplicates+report.Lost != 0 {
+		t.Errorf("%+v", *report)
 	}
 }
--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -18,13 +18,13 @@
 		c := w.newClient(w.teamKey)
 		defer c.closeIdle()
 		startedAt := time.Now()
-		for i, wish := range []server.Wish{{}, {Sleep: "300ms"}, {Size: 200_000}} {
+		for i, wish := range []server.TaskScript{{}, {Sleep: "300ms"}, {AnswerSize: 200_000}} {
 			if problem := c.runJob(i, fmt.Sprintf("job-%d", i), wish); problem != "" {
 				t.Error(problem)
 			}
 			t.Log(time.Since(startedAt))
 		}
-		for _, violation := range w.taskRecord.Faults() {
+		for _, violation := range w.taskRecord.Violations() {
 			t.Error(violation)
 		}
 	})
--- a/internal/edge/entry/matrix_test.go
+++ b/internal/edge/entry/matrix_test.go
@@ -170,7 +170,7 @@
 // runRepeatableJobs submits jobs that may run more than once, one of them longer
 // than a lease, and checks that each returns the complete and correct answer.
 func (s *scenario) runRepeatableJobs() {
-	for i, wish := range []server.Wish{{}, {Size: 150_000}, {Sleep: "4s"}, {Sleep: "200ms", Size: 10}} {
+	for i, wish := range []server.TaskScript{{}, {AnswerSize: 150_000}, {Sleep: "4s"}, {Sleep: "200ms", AnswerSize: 10}} {
 		id := []string{"quick", "big", "long", "last"}[i]
 		problem := s.teamClient.runJob(0, id, wish)
 		s.check(problem == "", "%s", problem)
@@ -179,7 +179,7 @@
 
 // runOnceJob submits a job that may run at most once.
 func (s *scenario) runOnceJob() {
-	input := server.Wish{Sleep: "500ms"}.Input()
+	input := server.TaskScript{Sleep: "500ms"}.Input()
 	s.teamClient.submit(0, newSpec("once", true, input))
 	reply, data := s.teamClient.wait(0, "once")
 	s.check(reply.GetOutcome() >= v1.Outcome_OUTCOME_DONE, "job once has no outcome, status %v", reply.GetStatus())
@@ -192,7 +192,7 @@
 
 // cancelRunningJob submits a long job and cancels it.
 func (s *scenario) cancelRunningJob() {
-	s.teamClient.submit(0, newSpec("cancelled", false, server.Wish{Sleep: "1h"}.Input()))
+	s.teamClient.submit(0, newSpec("cancelled", false, server.TaskScript{Sleep: "1h"}.Input()))
 	time.Sleep(300 * time.Millisecond)
 	s.teamClient.cancel(0, "cancelled")
 	reply, _ := s.teamClient.wait(0, "cancelled")
@@ -290,17 +290,17 @@
 	for _, problem := range w.observed("late") {
 		s.t.Error(problem)
 	}
-	s.check(len(w.taskRecord.Faults()) == 0, "%v", w.taskRecord.Faults())
+	s.check(len(w.taskRecord.Violations()) == 0, "%v", w.taskRecord.Violations())
 	violations := w.refusedButAccepted()
 	s.check(len(violations) == 0, "%v", violations)
 	w.ledger.mu.Lock()
 	defer w.ledger.mu.Unlock()
 	s.check(w.ledger.tableRevision == 2, "the table has revision %d, want 2", w.ledger.tableRevision)
 	if j, ok := w.ledger.jobsByID["quarry/once"]; ok {
-		starts := w.taskRecord.Starts(server.Task{Job: j.number})
+		starts := w.taskRecord.StartCount(server.Task{Job: j.number})
 		s.check(starts <= 1, "job once started %d times, want at most 1", starts)
 		s.check(j.outcome != v1.Outcome_OUTCOME_NOT_RUN || starts == 0, "job once was refused as not run and started")
 	}
-	delay := w.taskRecord.Latest("s2").Sub(w.ledger.drainedAt["s2"])
+	delay := w.taskRecord.LastStart("s2").Sub(w.ledger.drainedAt["s2"])
 	s.check(delay <= maxEnforcementDelay, "the drained server still started work %v after the drain", delay)
 }
--- a/internal/edge/entry/service_test.go
+++ b/internal/edge/entry/service_test.go
@@ -232,11 +232,11 @@
 		c := w.newClient(w.teamKey)
 		defer c.closeIdle()
 		time.Sleep(500 * time.Millisecond) // both servers have announced; the first one gets the job
-		c.submit(0, newSpec("long", false, server.Wish{Sleep: "8s"}.Input()))
+		c.submit(0, newSpec("long", false, server.TaskScript{Sleep: "8s"}.Input()))
 		time.Sleep(500 * time.Millisecond)
 		applyToRelays(func(name string) bool { return strings.HasPrefix(name, "s1>") }, func(r *relay.Relay) {
-			r.Set(relay.Up, relay.Lose)
-			r.Set(relay.Down, relay.Lose)
+			r.SetMode(relay.Upstream, relay.Drop)
+			r.SetMode(relay.Downstream, relay.Drop)
 		})(w)
 		time.Sleep(w.ledger.leaseLength + time.Millisecond)
 		if n := w.backendServer("s1").Running(); n > 0 {
@@ -245,8 +245,8 @@
 		if reply, _ := c.wait(0, "long"); reply.GetOutcome() != v1.Outcome_OUTCOME_DONE {
 			t.Errorf("the job has outcome %v, want done", reply.GetOutcome())
 		}
-		if starts := w.taskRecord.Starts(server.Task{Job: 1}); starts != 2 || len(w.taskRecord.Faults()) > 0 {
-			t.Errorf("the task started %d times, want 2; violations: %v", starts, w.taskRecord.Faults())
+		if starts := w.taskRecord.StartCount(server.Task{Job: 1}); starts != 2 || len(w.taskRecord.Violations()) > 0 {
+			t.Errorf("the task started %d times, want 2; violations: %v", starts, w.taskRecord.Violations())
 		}
 	})
 }
--- a/internal/edge/entry/testcell_test.go
+++ b/internal/edge/entry/testcell_test.go
@@ -44,14 +44,14 @@
 	ctx        context.Context
 	cancel     context.CancelFunc
 	wg         sync.WaitGroup
-	network    *relay.Memory
+	network    *relay.MemoryNetwork
 	ledger     *fakeLedger
 	replicas   map[string]*fakeReplica
 	entries    map[string]*entryRun
 	servers    map[string]*server.Server
 	stopFuncs  map[string]context.CancelFunc
 	relays     map[string]*relay.Relay
-	taskRecord *server.Record
+	taskRecord *server.Recorder
 	// maxPending bounds the pending requests of each entry. Zero means the default.
 	maxPending  int
 	teamKey     string
@@ -123,9 +123,9 @@
 
 func newTestCell(maxPending int) *testCell {
 	w := &testCell{
-		network: &relay.Memory{}, ledger: newFakeLedger(), replicas: map[string]*fakeReplica{}, entries: map[string]*entryRun{},
+		network: &relay.MemoryNetwork{}, ledger: newFakeLedger(), replicas: map[string]*fakeReplica{}, entries: map[string]*entryRun{},
 		servers: map[string]*server.Server{}, stopFuncs: map[string]context.CancelFunc{}, relays: map[string]*relay.Relay{},
-		taskRecord: &server.Record{}, maxPending: maxPending, observations: map[string][]string{},
+		taskRecord: &server.Recorder{}, maxPending: maxPending, observations: map[string][]string{},
 	}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	w.teamKey = w.ledger.grantKey("team-key", "quarry", false)
@@ -164,7 +164,7 @@
 // addRelay starts a relay for the connections from one process to another.
 func (w *testCell) addRelay(from, to string) {
 	name := from + ">" + to
-	r := &relay.Relay{Listener: w.network.Listen(name), Dial: w.network.To(to)}
+	r := &relay.Relay{Listener: w.network.Listen(name), Dial: w.network.DialerTo(to)}
 	w.relays[name] = r
 	w.wg.Go(func() { _ = r.Run(w.ctx) })
 }
@@ -228,7 +228,7 @@
 
 func (w *testCell) startServer(name string) {
 	ctx, stop := context.WithCancel(w.ctx)
-	s := &server.Server{Name: name, Secret: enrolment, Record: w.taskRecord}
+	s := &server.Server{Name: name, Secret: enrolment, Recorder: w.taskRecord}
 	for _, e := range entryNames {
 		s.Entries = append(s.Entries, server.NewEntry(e+"-backends:1", nil, w.dialFrom(name)))
 	}
@@ -238,7 +238,7 @@
 	w.wg.Go(func() {
 		_ = s.Run(ctx)
 		for _, e := range s.Entries {
-			e.Reset()
+			e.CloseIdle()
 		}
 	})
 }
@@ -362,11 +362,11 @@
 
 // runJob submits one job and checks its answer. It returns a description of the
 // problem, or "" if the answer is correct.
-func (c *retryingClient) runJob(firstEntry int, id string, wish server.Wish) string {
+func (c *retryingClient) runJob(firstEntry int, id string, wish server.TaskScript) string {
 	input := wish.Input()
 	c.submit(firstEntry, newSpec(id, false, input))
 	reply, data := c.wait(firstEntry, id)
-	if reply.GetOutcome() != v1.Outcome_OUTCOME_DONE || !bytes.Equal(data, expectedAnswer(input, wish.Size)) {
+	if reply.GetOutcome() != v1.Outcome_OUTCOME_DONE || !bytes.Equal(data, expectedAnswer(input, wish.AnswerSize)) {
 		return fmt.Sprintf("%s: outcome %v, status %v, %d bytes", id, reply.GetOutcome(), reply.GetStatus(), len(data))
 	}
 	return ""
--- a/internal/load/rig/delay.go
+++ b/internal/load/rig/delay.go
@@ -33,8 +33,8 @@
 	proxy := &relay.Relay{Listener: listener, Sleep: preciseSleep, Dial: func(ctx context.Context) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", echo.Addr().String())
 	}}
-	proxy.Delay(relay.Up, delay)
-	proxy.Delay(relay.Down, delay)
+	proxy.SetDelay(relay.Upstream, delay)
+	proxy.SetDelay(relay.Downstream, delay)
 	go func() { _ = proxy.Run(ctx) }() // fails only when ctx ends
 	c, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
--- a/internal/load/rig/process_test.go
+++ b/internal/load/rig/process_test.go
@@ -90,9 +90,9 @@
 func waitStarted(t *testing.T, fleet *rig.Fleet, n int) {
 	t.Helper()
 	const timeout = 30 * time.Second
-	for end := time.Now().Add(timeout); fleet.ServerRecorder.Total() < n; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(timeout); fleet.ServerRecorder.TotalStarts() < n; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d of %d tasks started within %s", fleet.ServerRecorder.Total(), n, timeout)
+			t.Fatalf("%d of %d tasks started within %s", fleet.ServerRecorder.TotalStarts(), n, timeout)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 	wg.Wait()
 
 	summary := report.Summarize(report.RunInfo{}, startedAt, results, fleet.TaskRecorder)
-	if faults := fleet.ServerRecorder.Faults(); !summary.Violations.None() || len(faults) > 0 {
+	if faults := fleet.ServerRecorder.Violations(); !summary.Violations.None() || len(faults) > 0 {
 		t.Errorf("violated guarantees: %+v, faults detected by servers: %v", summary.Violations, faults)
 	}
 	if summary.Counts.Accepted == 0 || calls.Total.Load() == 0 {
--- a/internal/load/work/work.go
+++ b/internal/load/work/work.go
@@ -90,7 +90,7 @@
 		counts.Started++
 	})
 	if !sleep(ctx, input.Runtime) {
-		return server.Result{Exit: 1}
+		return server.Result{ExitCode: 1}
 	}
 	r.update(key, func(counts *AttemptCounts) { counts.Ended++ })
 	return server.Result{Answer: TaskAnswer(input.ID, key.index, input.AnswerBytes)}
