--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -255,7 +255,7 @@
 		return nil, err
 	}
 	s := &server.Server{
-		Name: fmt.Sprintf("load-%03d", i), Secret: c.EnrolmentSecret, Work: workRecord.RunTask, Recorder: serverRecord, Log: logr.Discard(),
+		Name: fmt.Sprintf("load-%03d", i), Secret: c.EnrolmentSecret, RunTask: workRecord.RunTask, Recorder: serverRecord, Log: logr.Discard(),
 		Rack: fmt.Sprintf("rack-%d", i/serversPerRack), Zone: fmt.Sprintf("zone-%d", i%zoneCount),
 		Capacity: &v1.Size{Cpu: c.Cores * 1000, Memory: c.Memory, Slots: c.Slots},
 	}
--- a/internal/control/dispatch/crash_test.go
+++ b/internal/control/dispatch/crash_test.go
@@ -79,7 +79,7 @@
 func TestHealthyWorkSurvivesServerCrashes(t *testing.T) {
 	runWithCluster(t, 12, func(_ *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
-			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) {
+			backend.RunOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) {
 				return 800 * time.Millisecond, inner.RunEnd_RUN_END_DONE
 			}
 		})
--- a/internal/control/dispatch/dispatch_test.go
+++ b/internal/control/dispatch/dispatch_test.go
@@ -100,7 +100,7 @@
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		var starts atomic.Int32
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
-			backend.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
+			backend.RunOutcome = func(r flow.RunID) (time.Duration, inner.RunEnd) {
 				if r.Flow == "a" {
 					return 3 * time.Second, inner.RunEnd_RUN_END_DONE
 				}
@@ -134,7 +134,7 @@
 	runWithCluster(t, 2, func(_ *testing.T, w *testCluster) {
 		var starts atomic.Int32
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
-			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return 8 * time.Second, inner.RunEnd_RUN_END_DONE }
+			backend.RunOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) { return 8 * time.Second, inner.RunEnd_RUN_END_DONE }
 			backend.Fault = func(c *inner.ServerCall) worker.Fault {
 				if c.GetStart() == nil || starts.Add(1) > 2 {
 					return worker.Fault{}
@@ -153,7 +153,7 @@
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
 			backend.ClockRate = 0.98
-			backend.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
+			backend.RunOutcome = func(r flow.RunID) (time.Duration, inner.RunEnd) {
 				if r.Number == 1 {
 					return time.Hour, inner.RunEnd_RUN_END_DONE
 				}
@@ -183,7 +183,7 @@
 		w.putUrgentQueue()
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
 			backend.ClockRate = 0.98
-			backend.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
+			backend.RunOutcome = func(r flow.RunID) (time.Duration, inner.RunEnd) {
 				if r.Flow == "b" {
 					return time.Minute, inner.RunEnd_RUN_END_DONE
 				}
@@ -225,7 +225,7 @@
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		var firstStartedAt atomic.Int64
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
-			backend.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
+			backend.RunOutcome = func(r flow.RunID) (time.Duration, inner.RunEnd) {
 				switch {
 				case r.Flow != "a":
 					return time.Hour, inner.RunEnd_RUN_END_DONE
@@ -294,7 +294,7 @@
 					backend.Crash()
 					nextIncarnation := w.startWorker(id, 2)
 					nextIncarnation.Update(func(nextIncarnation *worker.Worker) {
-						nextIncarnation.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return 5 * time.Second, inner.RunEnd_RUN_END_DONE }
+						nextIncarnation.RunOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) { return 5 * time.Second, inner.RunEnd_RUN_END_DONE }
 					})
 					nextIncarnation.Call(t.Context(), c)
 					w.reportUntilAccepted(id, 2)
@@ -313,7 +313,7 @@
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		var refused atomic.Bool
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
-			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return 2 * time.Second, inner.RunEnd_RUN_END_DONE }
+			backend.RunOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) { return 2 * time.Second, inner.RunEnd_RUN_END_DONE }
 			backend.Fault = func(c *inner.ServerCall) worker.Fault {
 				if c.GetStart() == nil || refused.Swap(true) {
 					return worker.Fault{}
@@ -339,7 +339,7 @@
 func TestGangDoesNotWaitForUnresponsiveServer(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(id string, backend *worker.Worker) {
-			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Minute, inner.RunEnd_RUN_END_DONE }
+			backend.RunOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Minute, inner.RunEnd_RUN_END_DONE }
 			isGone := false
 			backend.Fault = func(c *inner.ServerCall) worker.Fault {
 				if isGone = isGone || id == "s1" && c.GetStart() != nil; isGone {
@@ -392,7 +392,7 @@
 func TestCancelStopsRunningTasks(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
-			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Minute, inner.RunEnd_RUN_END_DONE }
+			backend.RunOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Minute, inner.RunEnd_RUN_END_DONE }
 		})
 		w.submit("a", newStep(12, 1000))
 		time.Sleep(200 * time.Millisecond)
@@ -415,7 +415,7 @@
 func TestFailedAttemptsAreCounted(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
-			backend.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
+			backend.RunOutcome = func(r flow.RunID) (time.Duration, inner.RunEnd) {
 				if r.Index == 0 {
 					return 100 * time.Millisecond, inner.RunEnd_RUN_END_FAILED
 				}
@@ -490,7 +490,7 @@
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		var firstStarted atomic.Bool
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
-			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) {
+			backend.RunOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) {
 				if !firstStarted.Swap(true) {
 					return 1000 * time.Hour, inner.RunEnd_RUN_END_DONE
 				}
@@ -513,7 +513,7 @@
 		var firstStarted atomic.Bool
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
 			backend.StopDuration = 900 * time.Millisecond
-			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) {
+			backend.RunOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) {
 				if !firstStarted.Swap(true) {
 					return 1000 * time.Hour, inner.RunEnd_RUN_END_DONE
 				}
@@ -533,7 +533,7 @@
 	runWithCluster(t, 2, func(_ *testing.T, w *testCluster) {
 		w.changeWorkers(func(id string, backend *worker.Worker) {
 			if id == "s1" {
-				backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) {
+				backend.RunOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) {
 					return 10 * time.Millisecond, inner.RunEnd_RUN_END_FAILED
 				}
 			}
@@ -553,7 +553,7 @@
 	runWithCluster(t, 1, func(t *testing.T, w *testCluster) {
 		var tailLatency atomic.Int64
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
-			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Hour, inner.RunEnd_RUN_END_DONE }
+			backend.RunOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Hour, inner.RunEnd_RUN_END_DONE }
 			backend.ReportedLoad = func(r flow.RunID, paces map[flow.TaskID]uint32) float64 {
 				if r.Flow == "fill" {
 					return 0
@@ -587,7 +587,7 @@
 func TestShuttingDownServerIsEvacuated(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
-			backend.Work = func(r flow.RunID) (time.Duration, inner.RunEnd) {
+			backend.RunOutcome = func(r flow.RunID) (time.Duration, inner.RunEnd) {
 				if r.Number == 1 {
 					return time.Hour, inner.RunEnd_RUN_END_DONE
 				}
@@ -612,7 +612,7 @@
 func TestLastingTaskIsRestartedAfterEachEnd(t *testing.T) {
 	runWithCluster(t, 2, func(t *testing.T, w *testCluster) {
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
-			backend.Work = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Second, inner.RunEnd_RUN_END_FAILED }
+			backend.RunOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) { return time.Second, inner.RunEnd_RUN_END_FAILED }
 		})
 		lasting := newStep(1, 1000)
 		lasting.Lasting = true
--- a/internal/control/dispatch/harness_test.go
+++ b/internal/control/dispatch/harness_test.go
@@ -322,7 +322,7 @@
 // startWorker starts an incarnation of a worker at its address.
 func (w *testCluster) startWorker(id string, incarnation int64) *worker.Worker {
 	backend := &worker.Worker{ID: id, Incarnation: incarnation, StopDuration: 50 * time.Millisecond}
-	backend.Work = w.runOutcome
+	backend.RunOutcome = w.runOutcome
 	backend.OnStart = func(r flow.RunID) { w.recordStart(id, r) }
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -349,7 +349,7 @@
 // later.
 func (w *testCluster) makeRunsLasting() {
 	w.runOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) { return 0, inner.RunEnd_RUN_END_UNSPECIFIED }
-	w.changeWorkers(func(_ string, backend *worker.Worker) { backend.Work = w.runOutcome })
+	w.changeWorkers(func(_ string, backend *worker.Worker) { backend.RunOutcome = w.runOutcome })
 }
 
 // changeWorkers applies fn to all workers.
--- a/internal/control/dispatch/takeover_test.go
+++ b/internal/control/dispatch/takeover_test.go
@@ -151,7 +151,7 @@
 		w.runOutcome = func(flow.RunID) (time.Duration, inner.RunEnd) { return 5 * time.Second, inner.RunEnd_RUN_END_DONE }
 		var starts atomic.Int32
 		w.changeWorkers(func(_ string, backend *worker.Worker) {
-			backend.Work = w.runOutcome
+			backend.RunOutcome = w.runOutcome
 			backend.Fault = func(c *inner.ServerCall) worker.Fault {
 				if c.GetStart() != nil && starts.Add(1) <= 2 {
 					return worker.Fault{Delay: 300 * time.Millisecond}
--- a/internal/demo/cell/cell.go
+++ b/internal/demo/cell/cell.go
@@ -53,11 +53,11 @@
 	ConfigureControl func(name string, l *leader.Leader)
 	// Recorder records each start and stop of a task; may be nil.
 	Recorder *server.Recorder
-	// Work runs tasks; nil for server.RunScript.
-	Work server.Work
-	Log  logr.Logger
-	// Linger is how long an entry continues to serve during a graceful shutdown.
-	Linger time.Duration
+	// RunTask runs tasks; nil for server.RunScript.
+	RunTask server.TaskFunc
+	Log     logr.Logger
+	// ShutdownDelay is how long an entry continues to serve during a graceful shutdown.
+	ShutdownDelay time.Duration
 
 	// OperatorKey is the full key of the first operator, ID and secret. Start sets it.
 	OperatorKey string
@@ -159,7 +159,7 @@
 // ProcessErrors returns a channel of the errors of processes that ended unexpectedly.
 func (c *Cell) ProcessErrors() <-chan error { return c.processErrors }
 
-func (c *Cell) startReplica(name string, foundGroup bool) error {
+func (c *Cell) startReplica(name string, initCell bool) error {
 	l, err := c.Network.Listen(c.Network.Address(name))
 	if err != nil {
 		return err
@@ -167,7 +167,7 @@
 	p := &process{abort: make(chan struct{}), connections: &connTracker{Listener: l}}
 	digest := key.Digest(c.operatorSecret)
 	n := &node.Node{
-		Cell: "demo", Name: name, DataDir: filepath.Join(c.Dir, name), InitCell: foundGroup,
+		Cell: "demo", Name: name, DataDir: filepath.Join(c.Dir, name), InitCell: initCell,
 		Listener: p.connections, Address: c.Network.Address(name), Replicas: c.members(),
 		RootKey: &v1.KeyGrant{Id: operatorKeyID, Operator: true, Digest: digest[:]},
 		Dial:    c.Network.Dialer(name), Abort: p.abort, Log: c.Log.WithValues("process", name), Control: leader.New(),
@@ -190,7 +190,7 @@
 	digest := key.Digest(c.enrolmentSecret)
 	e := &entry.Entry{
 		Cell: "demo", Name: name, EnrolmentDigests: []backend.Digest{digest}, Dial: c.Network.Dialer(name),
-		Abort: p.abort, ShutdownDelay: c.Linger, Log: c.Log.WithValues("process", name),
+		Abort: p.abort, ShutdownDelay: c.ShutdownDelay, Log: c.Log.WithValues("process", name),
 	}
 	for _, m := range c.members() {
 		e.ControlReplicas = append(e.ControlReplicas, control.Replica{Name: m.ID, Address: m.Address})
@@ -213,7 +213,7 @@
 func (c *Cell) startServer(name string, index int) {
 	s := &server.Server{
 		Name: name, Secret: c.enrolmentSecret, Capacity: c.Capacity, Rack: fmt.Sprintf("r%d", index/c.Zones/2), Zone: fmt.Sprintf("z%d", index%c.Zones),
-		Recorder: c.Recorder, Work: c.Work, Log: c.Log.WithValues("process", name),
+		Recorder: c.Recorder, RunTask: c.RunTask, Log: c.Log.WithValues("process", name),
 	}
 	for _, e := range c.ProcessNames("e", c.Entries) {
 		s.Entries = append(s.Entries, server.NewEntry(c.Network.Address(e+"-backends"), nil, c.Network.Dialer(name)))
@@ -273,9 +273,9 @@
 // Close kills all processes and waits until they have ended.
 func (c *Cell) Close() {
 	c.mu.Lock()
-	procs := c.processes
+	processes := c.processes
 	c.mu.Unlock()
-	for _, p := range procs {
+	for _, p := range processes {
 		select {
 		case <-p.abort:
 		default:
@@ -283,7 +283,7 @@
 		}
 	}
 	c.cancel()
-	for _, p := range procs {
+	for _, p := range processes {
 		if p.connections != nil {
 			p.connections.closeAll()
 		}
--- a/internal/demo/fault/cell_test.go
+++ b/internal/demo/fault/cell_test.go
@@ -56,7 +56,7 @@
 	longPollWait   = 1500 * time.Millisecond
 	requestTimeout = 90 * time.Second
 	callTimeout    = 3 * time.Second
-	httpLingerTime = 5 * time.Second
+	httpCloseDelay = 5 * time.Second
 )
 
 // newTestCell starts a cell and sets up a team with a key and a limit.
@@ -73,20 +73,20 @@
 	w.cell = &cell.Cell{
 		Network: w.net, Dir: t.TempDir(), Replicas: replicas, Entries: entries, Servers: servers, Zones: 3,
 		Capacity:  &v1.Size{Cpu: serverCores, Memory: 64_000, Accel: 4, Slots: 8},
-		Transport: w.net.newTransport, Recorder: w.recorder, Work: w.runTask, Log: logr.Discard(), Linger: time.Second,
+		Transport: w.net.newTransport, Recorder: w.recorder, RunTask: w.runTask, Log: logr.Discard(), ShutdownDelay: time.Second,
 		ConfigureControl: configureControl,
 	}
 	if err := w.cell.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	w.operator = &operator.Client{Transport: w.entryLink("operators", w.cell.OperatorKey)}
+	w.operator = &operator.Client{Transport: w.entryTransport("operators", w.cell.OperatorKey)}
 	limit := &v1.Size{Cpu: teamCores, Memory: -1, Accel: -1, Slots: -1}
 	w.applyChange(&v1.ChangeRequest{Id: "table", Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Edits: []*v1.Edit{
 		{Row: &v1.Row{Team: "rail", Weight: 1, Queue: 100, Limit: limit}},
 	}}}})
 	digest := key.Digest("secret")
 	w.applyChange(&v1.ChangeRequest{Id: "grant", Change: &v1.ChangeRequest_Grant{Grant: &v1.KeyGrant{Id: "k", Team: "rail", Digest: digest[:]}}})
-	w.caller = &caller.Client{Transport: w.entryLink("callers", "k.secret"), MaxPollWait: longPollWait}
+	w.caller = &caller.Client{Transport: w.entryTransport("callers", "k.secret"), MaxPollWait: longPollWait}
 	return w
 }
 
@@ -96,7 +96,7 @@
 	w.operator.Transport.Close()
 	w.cancel()
 	// net/http servers keep a connection open for a while before they close it.
-	time.Sleep(httpLingerTime)
+	time.Sleep(httpCloseDelay)
 }
 
 // runTask runs a task for 300 ms, counts the run, and returns an answer that is unique to
@@ -128,13 +128,13 @@
 	}
 }
 
-// entryLink returns a client link to one service of all entries, with the given API key.
-func (w *testCell) entryLink(service, apiKey string) *transport.Client {
-	l := &transport.Client{Key: apiKey, Timeout: callTimeout, Dial: w.net.Dialer("caller")}
+// entryTransport returns a client link to one service of all entries, with the given API key.
+func (w *testCell) entryTransport(service, apiKey string) *transport.Client {
+	client := &transport.Client{Key: apiKey, Timeout: callTimeout, Dial: w.net.Dialer("caller")}
 	for _, e := range w.cell.ProcessNames("e", entries) {
-		l.Addresses = append(l.Addresses, "http://"+w.net.Address(e+"-"+service))
+		client.Addresses = append(client.Addresses, "http://"+w.net.Address(e+"-"+service))
 	}
-	return l
+	return client
 }
 
 // result is the outcome of a job as its caller sees it.
@@ -242,8 +242,8 @@
 				continue
 			}
 			fmt.Fprintf(&b, "%s: job %d %v held %d waiting %d", j.Spec.ID, j.Number, j.Outcome, j.HeldTasks, j.WaitingTasks)
-			st.EachTask(j, func(k *state.Task) {
-				fmt.Fprintf(&b, "; task %d %v attempt %d on %s/%d since %v", k.ID.Index, k.Phase, k.Attempt, k.Server, k.Incarnation, st.Now()-k.PhaseSince)
+			st.EachTask(j, func(task *state.Task) {
+				fmt.Fprintf(&b, "; task %d %v attempt %d on %s/%d since %v", task.ID.Index, task.Phase, task.Attempt, task.Server, task.Incarnation, st.Now()-task.PhaseSince)
 			})
 			b.WriteString("\n")
 		}
--- a/internal/demo/fault/network_test.go
+++ b/internal/demo/fault/network_test.go
@@ -78,8 +78,8 @@
 func (n *network) eachLink(name string, fn func(*relay.Relay)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for k, r := range n.links {
-		if k[0] == name || listeningProcess(k[1]) == name {
+	for endpoints, r := range n.links {
+		if endpoints[0] == name || listeningProcess(endpoints[1]) == name {
 			fn(r)
 		}
 	}
--- a/internal/demo/fault/repair_test.go
+++ b/internal/demo/fault/repair_test.go
@@ -100,13 +100,13 @@
 	ctx, cancel := context.WithTimeout(w.ctx, requestTimeout)
 	defer cancel()
 	row := &v1.Row{Team: "rail", Weight: 1, Queue: queue, Limit: &v1.Size{Cpu: teamCores, Memory: -1, Accel: -1, Slots: -1}}
-	rev, err := w.operator.Change(ctx, &v1.ChangeRequest{
+	revision, err := w.operator.Change(ctx, &v1.ChangeRequest{
 		Id: fmt.Sprint("edit-", base), Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Base: base, Edits: []*v1.Edit{{Row: row}}}},
 	})
 	if err != nil {
 		w.t.Fatalf("table change on revision %d: %v", base, err)
 	}
-	return rev
+	return revision
 }
 
 // encodedStates returns the encoded ledger state of each replica.
@@ -168,8 +168,8 @@
 // allFromReplica reports whether all violations concern the named replica, which has no
 // ledger to check after it was killed.
 func allFromReplica(violations []string, name string) bool {
-	for _, f := range violations {
-		if len(f) < len(name) || f[:len(name)] != name {
+	for _, violation := range violations {
+		if len(violation) < len(name) || violation[:len(name)] != name {
 			return false
 		}
 	}
--- a/internal/demo/scenario/scenario.go
+++ b/internal/demo/scenario/scenario.go
@@ -109,7 +109,7 @@
 	t.callers = map[string]*caller.Client{}
 	t.cell = &cell.Cell{
 		Network: &cell.Loopback{}, Dir: t.Dir, Replicas: replicas, Entries: entries, Servers: servers, Zones: zones,
-		Capacity: &v1.Size{Cpu: 16_000, Memory: 32_000, Slots: 8}, Recorder: t.recorder, Log: t.Log, Linger: 100 * time.Millisecond,
+		Capacity: &v1.Size{Cpu: 16_000, Memory: 32_000, Slots: 8}, Recorder: t.recorder, Log: t.Log, ShutdownDelay: 100 * time.Millisecond,
 	}
 	t.OnStep("starting three control replicas, three entries and twelve backend servers in three zones", 0)
 	if err := t.cell.Start(ctx); err != nil {
@@ -127,13 +127,13 @@
 	return &t.report, nil
 }
 
-// entryLink returns a client link to one service of all entries, with the given API key.
-func (t *Scenario) entryLink(service, apiKey string) *transport.Client {
-	l := &transport.Client{Key: apiKey, Timeout: 4 * time.Second}
+// entryTransport returns a client link to one service of all entries, with the given API key.
+func (t *Scenario) entryTransport(service, apiKey string) *transport.Client {
+	client := &transport.Client{Key: apiKey, Timeout: 4 * time.Second}
 	for _, e := range t.cell.ProcessNames("e", entries) {
-		l.Addresses = append(l.Addresses, "http://"+t.cell.Network.Address(e+"-"+service))
+		client.Addresses = append(client.Addresses, "http://"+t.cell.Network.Address(e+"-"+service))
 	}
-	return l
+	return client
 }
 
 // createTeams creates the teams and an API key for each, and a spare key that is
@@ -141,7 +141,7 @@
 func (t *Scenario) createTeams(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	t.operator = &operator.Client{Transport: t.entryLink("operators", t.cell.OperatorKey)}
+	t.operator = &operator.Client{Transport: t.entryTransport("operators", t.cell.OperatorKey)}
 	change := &v1.TableChange{}
 	for _, name := range teams {
 		change.Edits = append(change.Edits, &v1.Edit{Row: &v1.Row{
@@ -156,11 +156,11 @@
 		if name == "spare" {
 			team = teams[0]
 		}
-		k, err := t.grantKey(ctx, name, team)
+		apiKey, err := t.grantKey(ctx, name, team)
 		if err != nil {
 			return err
 		}
-		t.callers[name] = &caller.Client{Transport: t.entryLink("callers", k), MaxPollWait: 2 * time.Second}
+		t.callers[name] = &caller.Client{Transport: t.entryTransport("callers", apiKey), MaxPollWait: 2 * time.Second}
 	}
 	return nil
 }
@@ -186,8 +186,8 @@
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	r.Wait = Wait{P50: ms(t.waitHistogram.ValueAtQuantile(50)), P99: ms(t.waitHistogram.ValueAtQuantile(99)), Max: ms(t.waitHistogram.Max())}
 	r.Duplicates += len(t.recorder.Violations())
-	for _, f := range t.recorder.Violations() {
-		t.recordViolation("%s", f)
+	for _, violation := range t.recorder.Violations() {
+		t.recordViolation("%s", violation)
 	}
 	if r.Lost > 0 {
 		t.recordViolation("%d accepted jobs have no outcome or an incomplete answer", r.Lost)
--- a/internal/demo/scenario/work.go
+++ b/internal/demo/scenario/work.go
@@ -77,7 +77,7 @@
 	case result.Outcome != v1.Outcome_OUTCOME_DONE || result.Code != code.OK:
 		t.increment(&t.report.Lost)
 		t.recordViolation("%s ended with outcome %v: %s", spec.GetId(), result.Outcome, result.Text)
-	case !bytes.Equal(result.Data, bytes.Repeat(server.Pattern(answerBytes), int(spec.GetCount()))):
+	case !bytes.Equal(result.Data, bytes.Repeat(server.AnswerPattern(answerBytes), int(spec.GetCount()))):
 		t.increment(&t.report.Lost)
 		t.recordViolation("%s: answer of %d bytes is incomplete or wrong", spec.GetId(), len(result.Data))
 	default:
--- a/internal/edge/entry/testcell_test.go
+++ b/internal/edge/entry/testcell_test.go
@@ -355,7 +355,7 @@
 // expectedAnswer returns the answer of a job with the given input and answer size.
 func expectedAnswer(input []byte, size int) []byte {
 	if size > 0 {
-		return server.Pattern(size)
+		return server.AnswerPattern(size)
 	}
 	return input
 }
--- a/internal/fake/relay/memory.go
+++ b/internal/fake/relay/memory.go
@@ -40,13 +40,13 @@
 	if l == nil {
 		return nil, refused
 	}
-	near, far := net.Pipe()
+	clientEnd, serverEnd := net.Pipe()
 	select {
-	case l.conns <- far:
+	case l.conns <- serverEnd:
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.dialCounts[address]++
-		return near, nil
+		return clientEnd, nil
 	case <-l.done:
 		return nil, refused
 	case <-ctx.Done():
--- a/internal/fake/server/run.go
+++ b/internal/fake/server/run.go
@@ -200,7 +200,7 @@
 	s.triggerSync()
 	go func() {
 		defer cancel()
-		result := s.Work(ctx, o)
+		result := s.RunTask(ctx, o)
 		s.finish(r, result)
 	}()
 }
--- a/internal/fake/server/server.go
+++ b/internal/fake/server/server.go
@@ -45,8 +45,8 @@
 	// Zone is the availability zone.
 	Zone   string
 	Labels map[string]string
-	// Work runs a task; nil for RunScript.
-	Work Work
+	// RunTask runs a task; nil for RunScript.
+	RunTask TaskFunc
 	// Recorder records each start and stop of a task; may be nil.
 	Recorder *Recorder
 	Log      logr.Logger
@@ -91,8 +91,8 @@
 		if s.Capacity == nil {
 			s.Capacity = &v1.Size{Cpu: 16_000, Memory: 32 << 10, Slots: 8}
 		}
-		if s.Work == nil {
-			s.Work = RunScript
+		if s.RunTask == nil {
+			s.RunTask = RunScript
 		}
 		s.resumed.L = &s.mu
 		s.leaseEnd.Store(&time.Time{})
@@ -208,8 +208,8 @@
 func (s *Server) switchEntry() {
 	s.lock()
 	defer s.mu.Unlock()
-	if reset := s.Entries[s.entryIndex].CloseIdle; reset != nil {
-		reset()
+	if closeIdle := s.Entries[s.entryIndex].CloseIdle; closeIdle != nil {
+		closeIdle()
 	}
 	s.entryIndex = (s.entryIndex + 1) % len(s.Entries)
 }
@@ -294,9 +294,9 @@
 
 	s.lock()
 	s.cancelSync = nil
-	canceled := s.reportPending
+	cancelled := s.reportPending
 	s.mu.Unlock()
-	if err != nil && canceled {
+	if err != nil && cancelled {
 		sleep(context.Background(), s.ReportDelay)
 		return nil
 	}
--- a/internal/fake/server/work.go
+++ b/internal/fake/server/work.go
@@ -18,8 +18,8 @@
 	Crash bool
 }
 
-// Work runs a task until it ends or ctx is canceled.
-type Work func(ctx context.Context, o *v1.Order) Result
+// TaskFunc runs a task until it ends or ctx is canceled.
+type TaskFunc func(ctx context.Context, o *v1.Order) Result
 
 // TaskScript is a job input that tells RunScript what to do, encoded as JSON.
 type TaskScript struct {
@@ -51,21 +51,21 @@
 	}
 	answer := o.GetInput()
 	if script.AnswerSize > 0 {
-		answer = Pattern(script.AnswerSize)
+		answer = AnswerPattern(script.AnswerSize)
 	}
 	return Result{ExitCode: script.ExitCode, Answer: answer, Crash: script.Crash}
 }
 
 // SleepAndEcho returns a Work function that sleeps for d and returns the input as the answer.
-func SleepAndEcho(d time.Duration) Work {
+func SleepAndEcho(d time.Duration) TaskFunc {
 	return func(ctx context.Context, o *v1.Order) Result {
 		sleep(ctx, d)
 		return Result{Answer: o.GetInput()}
 	}
 }
 
-// Pattern returns n bytes of increasing numbers, so that no two chunks of an answer are equal.
-func Pattern(n int) []byte {
+// AnswerPattern returns n bytes of increasing numbers, so that no two chunks of an answer are equal.
+func AnswerPattern(n int) []byte {
 	b := make([]byte, 0, n+20)
 	for i := 0; len(b) < n; i++ {
 		b = strconv.AppendInt(b, int64(i), 36)
--- a/internal/fake/worker/worker.go
+++ b/internal/fake/worker/worker.go
@@ -41,9 +41,9 @@
 	// MaxLease is the longest lease, and StopDuration the time that stopping a run takes.
 	MaxLease     time.Duration
 	StopDuration time.Duration
-	// Work returns the duration of a run and how it ends. A run whose end is unspecified
+	// RunOutcome returns the duration of a run and how it ends. A run whose end is unspecified
 	// never ends and reports 100 percent from its start.
-	Work func(r flow.RunID) (time.Duration, inner.RunEnd)
+	RunOutcome func(r flow.RunID) (time.Duration, inner.RunEnd)
 	// Fault returns the fault to inject into a call. It may be nil and must not call the
 	// worker.
 	Fault func(c *inner.ServerCall) Fault
@@ -55,11 +55,11 @@
 	// OnStart is called for each run that starts; may be nil.
 	OnStart func(r flow.RunID)
 
-	initOnce  sync.Once
-	mu        sync.Mutex
-	createdAt time.Time
-	crashed   bool
-	fence     uint64
+	initOnce     sync.Once
+	mu           sync.Mutex
+	createdAt    time.Time
+	crashed      bool
+	fencingToken uint64
 	// leaseUntil is the end of the lease on the worker's clock, in milliseconds.
 	leaseUntil int64
 	runs       map[flow.TaskID]*run
@@ -195,11 +195,11 @@
 		a.Verdict = inner.Verdict_VERDICT_ABSENT
 		return a
 	}
-	if c.GetFence() < w.fence {
+	if c.GetFence() < w.fencingToken {
 		a.Verdict = inner.Verdict_VERDICT_FENCED
 		return a
 	}
-	w.fence = c.GetFence()
+	w.fencingToken = c.GetFence()
 	w.leaseUntil = max(w.leaseUntil, min(c.GetUntil(), w.clock()+int64(float64(w.MaxLease.Milliseconds())*w.ClockRate)))
 	switch order := c.GetWhat().(type) {
 	case *inner.ServerCall_Start:
@@ -227,7 +227,7 @@
 	case w.PermitValid != nil && !w.PermitValid(id, s.GetPermit()):
 		return inner.Verdict_VERDICT_PERMIT
 	}
-	duration, reason := w.Work(id)
+	duration, reason := w.RunOutcome(id)
 	w.runs[id.TaskID] = &run{RunID: id, startedAt: time.Now(), duration: duration, endReason: reason, checkpoint: s.GetCheckpoint()}
 	if w.OnStart != nil {
 		w.OnStart(id)
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -48,7 +48,7 @@
 	f.cancel = cancel
 	for i := range n {
 		s := &server.Server{
-			Name: fmt.Sprintf("load-%03d", i), Secret: r.EnrolmentSecret, Work: f.TaskRecorder.RunTask, Recorder: f.ServerRecorder, Log: logr.Discard(),
+			Name: fmt.Sprintf("load-%03d", i), Secret: r.EnrolmentSecret, RunTask: f.TaskRecorder.RunTask, Recorder: f.ServerRecorder, Log: logr.Discard(),
 			Rack: fmt.Sprintf("rack-%d", i/serversPerRack), Zone: fmt.Sprintf("zone-%d", i%zoneCount), Capacity: capacity,
 		}
 		for _, address := range r.BackendAddresses() {
