--- a/internal/demo/cell/cell.go
+++ b/internal/demo/cell/cell.go
@@ -1,5 +1,5 @@
-// Package cell runs a whole cell in one Go process. Each control replica, entry and fake
-// backend server can be killed, stopped and restarted separately. The demo uses the
+// Package cell runs all processes of a cell in one Go process. Each control replica, entry
+// and fake backend server can be killed, stopped and restarted separately. The demo uses the
 // loopback network, and the fault tests use an in-memory network.
 package cell
 
--- a/internal/demo/fault/cell_test.go
+++ b/internal/demo/fault/cell_test.go
@@ -24,8 +24,8 @@
 	"gypsumreel/internal/ledger/state"
 )
 
-// testCell is a whole cell on an in-memory network, with clients and with a record of the
-// runs, against which the guarantees are checked.
+// testCell is a complete cell on an in-memory network, with clients. It records the runs
+// of tasks, so that the guarantees can be checked.
 type testCell struct {
 	t        *testing.T
 	ctx      context.Context
@@ -128,7 +128,7 @@
 	}
 }
 
-// entryTransport returns a client link to one service of all entries, with the given API key.
+// entryTransport returns a transport to one service of all entries, with the given API key.
 func (w *testCell) entryTransport(service, apiKey string) *transport.Client {
 	client := &transport.Client{Key: apiKey, Timeout: callTimeout, Dial: w.net.Dialer("caller")}
 	for _, e := range w.cell.ProcessNames("e", entries) {
--- a/internal/demo/fault/repair_test.go
+++ b/internal/demo/fault/repair_test.go
@@ -129,7 +129,7 @@
 // A follower loses its disk, and an operator replaces it by a new replica with an empty
 // disk. Right after the old replica is removed, another replica fails permanently. All jobs
 // accepted before and during the repair must be answered, and the table must not revert to
-// an older revision. This fails if the new replica votes before it has the whole log.
+// an older revision. This fails if the new replica votes before it has the complete log.
 func TestCellSurvivesReplicaLossAfterRepair(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newConfiguredTestCell(t, func(_ string, l *leader.Leader) { l.SnapshotInterval = 50 })
--- a/internal/demo/scenario/scenario.go
+++ b/internal/demo/scenario/scenario.go
@@ -1,4 +1,4 @@
-// Package scenario implements the demo. A whole cell on loopback runs urgent, batch, gang
+// Package scenario implements the demo. A complete cell on loopback runs urgent, batch, gang
 // and service jobs while the leader is killed and an API key is withdrawn. The demo checks
 // every guarantee that a client can observe.
 package scenario
@@ -55,7 +55,8 @@
 	Lost int `json:"lost"`
 	// Failover is the time from the kill of the leader to the next accepted job, in ms.
 	Failover int64 `json:"failover"`
-	// Withdrawal is the time until all entries refused the withdrawn key, in ms.
+	// Withdrawal is the time from the withdrawal of a key until all entries refuse it, in
+	// ms.
 	Withdrawal int64 `json:"withdrawal"`
 	Wait       Wait  `json:"wait"`
 	// Violations describes each violated guarantee.
@@ -127,7 +128,7 @@
 	return &t.report, nil
 }
 
-// entryTransport returns a client link to one service of all entries, with the given API key.
+// entryTransport returns a transport to one service of all entries, with the given API key.
 func (t *Scenario) entryTransport(service, apiKey string) *transport.Client {
 	client := &transport.Client{Key: apiKey, Timeout: 4 * time.Second}
 	for _, e := range t.cell.ProcessNames("e", entries) {
--- a/internal/fake/relay/relay.go
+++ b/internal/fake/relay/relay.go
@@ -21,7 +21,7 @@
 	Downstream
 )
 
-// Mode says how the relay treats bytes.
+// Mode selects whether the relay forwards, holds or drops bytes.
 type Mode uint8
 
 // The modes.
@@ -87,7 +87,7 @@
 // Done is closed when Run has returned.
 func (r *Relay) Done() <-chan struct{} { r.init(); return r.done }
 
-// Run forwards connections until ctx is canceled.
+// Run forwards connections until ctx is cancelled.
 func (r *Relay) Run(ctx context.Context) error {
 	r.init()
 	defer close(r.done)
@@ -138,15 +138,15 @@
 	r.delays[dir] = d
 }
 
-// SetRefuse makes the relay close new connections immediately, or accept them again.
+// SetRefuse sets whether the relay closes each new connection immediately.
 func (r *Relay) SetRefuse(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refuseNew = on
 }
 
-// SetDuplicate makes the relay send the upstream bytes of new connections to the target
-// a second time, over a separate connection whose replies are discarded.
+// SetDuplicate sets whether the relay sends the upstream bytes of new connections to the
+// target a second time, over a separate connection whose replies are discarded.
 func (r *Relay) SetDuplicate(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fake/server/server.go
+++ b/internal/fake/server/server.go
@@ -139,7 +139,8 @@
 	s.resumed.Broadcast()
 }
 
-// Leave starts a graceful shutdown. Run returns once no attempt is left to run or report.
+// Leave starts a graceful shutdown. Run returns when no attempt remains to run or to
+// report.
 func (s *Server) Leave() {
 	s.init()
 	s.lock()
@@ -162,7 +163,7 @@
 	return n
 }
 
-// Run serves until ctx is canceled or the server has left. Canceling ctx kills all tasks
+// Run serves until ctx is cancelled or the server has left. Cancelling ctx kills all tasks
 // like a crash.
 func (s *Server) Run(ctx context.Context) error {
 	s.init()
--- a/internal/fake/server/server_test.go
+++ b/internal/fake/server/server_test.go
@@ -97,7 +97,7 @@
 	})
 }
 
-// A reply to a canceled request arrives late. Its orders may have been withdrawn since
+// A reply to a cancelled request arrives late. Its orders may have been withdrawn since
 // and must be ignored.
 func TestReplyToOlderRequestIsIgnored(t *testing.T) {
 	c := &scriptedCell{sync: func(n uint64, _ *v1.SyncRequest) *v1.SyncReply {
--- a/internal/fake/server/work.go
+++ b/internal/fake/server/work.go
@@ -14,11 +14,11 @@
 	// ExitCode is 0 for success.
 	ExitCode int32
 	Answer   []byte
-	// Crash makes the whole server crash and return with a new incarnation.
+	// Crash makes the server crash and start again as a new incarnation.
 	Crash bool
 }
 
-// TaskFunc runs a task until it ends or ctx is canceled.
+// TaskFunc runs a task until it ends or ctx is cancelled.
 type TaskFunc func(ctx context.Context, o *v1.Order) Result
 
 // TaskScript is a job input that tells RunScript what to do, encoded as JSON.
@@ -56,7 +56,7 @@
 	return Result{ExitCode: script.ExitCode, Answer: answer, Crash: script.Crash}
 }
 
-// SleepAndEcho returns a Work function that sleeps for d and returns the input as the answer.
+// SleepAndEcho returns a TaskFunc that sleeps for d and returns the input as the answer.
 func SleepAndEcho(d time.Duration) TaskFunc {
 	return func(ctx context.Context, o *v1.Order) Result {
 		sleep(ctx, d)
--- a/internal/fake/worker/worker.go
+++ b/internal/fake/worker/worker.go
@@ -41,8 +41,8 @@
 	// MaxLease is the longest lease, and StopDuration the time that stopping a run takes.
 	MaxLease     time.Duration
 	StopDuration time.Duration
-	// RunOutcome returns the duration of a run and how it ends. A run whose end is unspecified
-	// never ends and reports 100 percent from its start.
+	// RunOutcome returns the duration of a run and the reason for which it ends. A run
+	// whose reason is unspecified never ends and reports 100 percent from its start.
 	RunOutcome func(r flow.RunID) (time.Duration, inner.RunEnd)
 	// Fault returns the fault to inject into a call. It may be nil and must not call the
 	// worker.
