--- a/internal/cli/load/load.go
+++ b/internal/cli/load/load.go
@@ -261,10 +261,10 @@
 	}
 	for _, address := range transportClient.Addresses {
 		if host, secure := strings.CutPrefix(address, "https://"); secure {
-			s.Entries = append(s.Entries, server.NewEntry(host, transportClient.TLS.Clone(), nil))
+			s.EntryClients = append(s.EntryClients, server.NewEntryClient(host, transportClient.TLS.Clone(), nil))
 			continue
 		}
-		s.Entries = append(s.Entries, server.NewEntry(strings.TrimPrefix(address, "http://"), nil, nil))
+		s.EntryClients = append(s.EntryClients, server.NewEntryClient(strings.TrimPrefix(address, "http://"), nil, nil))
 	}
 	return s, nil
 }
--- a/internal/control/node/node_test.go
+++ b/internal/control/node/node_test.go
@@ -48,7 +48,7 @@
 		EnrolmentDigests: []backend.Digest{backend.Digest(key.Digest("enrol"))}, ShutdownDelay: time.Millisecond,
 	}
 	s := &server.Server{
-		Name: "b1", Entries: []server.Entry{server.NewEntry(backends.Addr().String(), nil, nil)}, Secret: "enrol",
+		Name: "b1", EntryClients: []server.EntryClient{server.NewEntryClient(backends.Addr().String(), nil, nil)}, Secret: "enrol",
 		Capacity: &v1.Size{Cpu: 16_000, Memory: 32_000, Slots: 8}, Rack: "r1", Zone: "z1",
 	}
 	for _, run := range []func(context.Context) error{n.Run, e.Run, s.Run} {
--- a/internal/demo/cell/cell.go
+++ b/internal/demo/cell/cell.go
@@ -46,8 +46,8 @@
 	Zones int
 	// Capacity is the capacity of each backend server.
 	Capacity *v1.Size
-	// Transport creates a replica's transport for consensus messages; nil for the default.
-	Transport func(name, id string, receive func(from string, data []byte)) node.Transport
+	// NewTransport creates a replica's transport for consensus messages; nil for the default.
+	NewTransport func(name, id string, receive func(from string, data []byte)) node.Transport
 	// ConfigureControl changes the settings of a replica's control thread before it starts;
 	// may be nil.
 	ConfigureControl func(name string, l *leader.Leader)
@@ -172,9 +172,9 @@
 		RootKey: &v1.KeyGrant{Id: operatorKeyID, Operator: true, Digest: digest[:]},
 		Dial:    c.Network.Dialer(name), Abort: p.abort, Log: c.Log.WithValues("process", name), Control: leader.New(),
 	}
-	if c.Transport != nil {
+	if c.NewTransport != nil {
 		n.NewTransport = func(id string, receive func(from string, data []byte)) node.Transport {
-			return c.Transport(name, id, receive)
+			return c.NewTransport(name, id, receive)
 		}
 	}
 	if c.ConfigureControl != nil {
@@ -216,7 +216,7 @@
 		Recorder: c.Recorder, RunTask: c.RunTask, Log: c.Log.WithValues("process", name),
 	}
 	for _, e := range c.ProcessNames("e", c.Entries) {
-		s.Entries = append(s.Entries, server.NewEntry(c.Network.Address(e+"-backends"), nil, c.Network.Dialer(name)))
+		s.EntryClients = append(s.EntryClients, server.NewEntryClient(c.Network.Address(e+"-backends"), nil, c.Network.Dialer(name)))
 	}
 	p := &process{abort: make(chan struct{}), server: s, done: s.Done()}
 	c.runProcess(name, p, s.Run)
--- a/internal/demo/fault/cell_test.go
+++ b/internal/demo/fault/cell_test.go
@@ -72,8 +72,8 @@
 	}
 	w.cell = &cell.Cell{
 		Network: w.net, Dir: t.TempDir(), Replicas: replicas, Entries: entries, Servers: servers, Zones: 3,
-		Capacity:  &v1.Size{Cpu: serverCores, Memory: 64_000, Accel: 4, Slots: 8},
-		Transport: w.net.newTransport, Recorder: w.recorder, RunTask: w.runTask, Log: logr.Discard(), ShutdownDelay: time.Second,
+		Capacity:     &v1.Size{Cpu: serverCores, Memory: 64_000, Accel: 4, Slots: 8},
+		NewTransport: w.net.newReplicaTransport, Recorder: w.recorder, RunTask: w.runTask, Log: logr.Discard(), ShutdownDelay: time.Second,
 		ConfigureControl: configureControl,
 	}
 	if err := w.cell.Start(ctx); err != nil {
--- a/internal/demo/fault/network_test.go
+++ b/internal/demo/fault/network_test.go
@@ -139,7 +139,7 @@
 	id      string
 }
 
-func (n *network) newTransport(name, id string, receive func(string, []byte)) node.Transport {
+func (n *network) newReplicaTransport(name, id string, receive func(string, []byte)) node.Transport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.receivers[id] = receive
--- a/internal/edge/entry/measure_test.go
+++ b/internal/edge/entry/measure_test.go
@@ -224,7 +224,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
 		for i := range n {
-			s := &server.Server{Name: fmt.Sprintf("s%d-%d", n, i), Secret: enrolment, Entries: []server.Entry{server.NewEntry(m.entry.Backends, nil, outsideTraffic.dial)}}
+			s := &server.Server{Name: fmt.Sprintf("s%d-%d", n, i), Secret: enrolment, EntryClients: []server.EntryClient{server.NewEntryClient(m.entry.Backends, nil, outsideTraffic.dial)}}
 			wg.Go(func() { _ = s.Run(ctx) })
 		}
 		time.Sleep(3 * time.Second)
--- a/internal/edge/entry/testcell_test.go
+++ b/internal/edge/entry/testcell_test.go
@@ -230,14 +230,14 @@
 	ctx, stop := context.WithCancel(w.ctx)
 	s := &server.Server{Name: name, Secret: enrolment, Recorder: w.taskRecord}
 	for _, e := range entryNames {
-		s.Entries = append(s.Entries, server.NewEntry(e+"-backends:1", nil, w.dialFrom(name)))
+		s.EntryClients = append(s.EntryClients, server.NewEntryClient(e+"-backends:1", nil, w.dialFrom(name)))
 	}
 	w.mu.Lock()
 	w.servers[name], w.stopFuncs[name] = s, stop
 	w.mu.Unlock()
 	w.wg.Go(func() {
 		_ = s.Run(ctx)
-		for _, e := range s.Entries {
+		for _, e := range s.EntryClients {
 			e.CloseIdle()
 		}
 	})
--- a/internal/edge/entry/tls_test.go
+++ b/internal/edge/entry/tls_test.go
@@ -73,7 +73,7 @@
 		EnrolmentDigests: []backend.Digest{key.Digest(enrolment)}, ShutdownDelay: time.Millisecond,
 	}
 	go func() { _ = e.Run(ctx) }()
-	s := &server.Server{Name: "s1", Secret: enrolment, Entries: []server.Entry{server.NewEntry(backends.Addr().String(), clientTLS, nil)}}
+	s := &server.Server{Name: "s1", Secret: enrolment, EntryClients: []server.EntryClient{server.NewEntryClient(backends.Addr().String(), clientTLS, nil)}}
 	go func() { _ = s.Run(ctx) }()
 	defer func() {
 		cancel()
--- a/internal/fake/server/entry.go
+++ b/internal/fake/server/entry.go
@@ -17,17 +17,17 @@
 	pingTimeout  = time.Second
 )
 
-// Entry is a client of one entry of the cell.
-type Entry struct {
+// EntryClient is a client of one entry of the cell.
+type EntryClient struct {
 	Client v1.BackendClient
 	// CloseIdle closes idle connections to the entry; may be nil.
 	CloseIdle func()
 }
 
-// NewEntry returns a client of the entry at the address. It uses HTTP/2 with pings, so
+// NewEntryClient returns a client of the entry at the address. It uses HTTP/2 with pings, so
 // that one connection carries all calls and a dead connection is detected. A nil config
 // selects plain-text connections and a nil dial selects TCP.
-func NewEntry(address string, config *tls.Config, dial func(ctx context.Context, network, address string) (net.Conn, error)) Entry {
+func NewEntryClient(address string, config *tls.Config, dial func(ctx context.Context, network, address string) (net.Conn, error)) EntryClient {
 	protocols := new(http.Protocols)
 	scheme := "http://"
 	if config == nil {
@@ -40,5 +40,5 @@
 		DialContext: dial, TLSClientConfig: config.Clone(), Protocols: protocols,
 		HTTP2: &http.HTTP2Config{SendPingTimeout: pingIdleTime, PingTimeout: pingTimeout},
 	}
-	return Entry{Client: v1.NewBackendClient(&http.Client{Transport: transport}, scheme+address), CloseIdle: transport.CloseIdleConnections}
+	return EntryClient{Client: v1.NewBackendClient(&http.Client{Transport: transport}, scheme+address), CloseIdle: transport.CloseIdleConnections}
 }
--- a/internal/fake/server/server.go
+++ b/internal/fake/server/server.go
@@ -36,8 +36,8 @@
 // Server is one fake backend server. The exported fields are set before Run.
 type Server struct {
 	Name string
-	// Entries are tried in turn. The hash of the name selects the first one.
-	Entries []Entry
+	// EntryClients are tried in turn. The hash of the name selects the first one.
+	EntryClients []EntryClient
 	// Secret is the enrolment secret of the cell.
 	Secret   string
 	Capacity *v1.Size
@@ -98,7 +98,7 @@
 		s.leaseEnd.Store(&time.Time{})
 		s.runs = make(map[Attempt]*run)
 		s.seenAttempts = make(map[Attempt]struct{})
-		s.entryIndex = int(xxhash.Sum64String(s.Name) % uint64(max(1, len(s.Entries))))
+		s.entryIndex = int(xxhash.Sum64String(s.Name) % uint64(max(1, len(s.EntryClients))))
 		s.done = make(chan struct{})
 	})
 }
@@ -209,16 +209,16 @@
 func (s *Server) switchEntry() {
 	s.lock()
 	defer s.mu.Unlock()
-	if closeIdle := s.Entries[s.entryIndex].CloseIdle; closeIdle != nil {
+	if closeIdle := s.EntryClients[s.entryIndex].CloseIdle; closeIdle != nil {
 		closeIdle()
 	}
-	s.entryIndex = (s.entryIndex + 1) % len(s.Entries)
+	s.entryIndex = (s.entryIndex + 1) % len(s.EntryClients)
 }
 
 func (s *Server) client() v1.BackendClient {
 	s.lock()
 	defer s.mu.Unlock()
-	return s.Entries[s.entryIndex].Client
+	return s.EntryClients[s.entryIndex].Client
 }
 
 // announce opens a session. The nonce stays the same until a reply arrives, so that a
--- a/internal/fake/server/server_test.go
+++ b/internal/fake/server/server_test.go
@@ -47,7 +47,7 @@
 func runServer(t *testing.T, c *scriptedCell, test func(s *server.Server, r *server.Recorder)) {
 	synctest.Test(t, func(*testing.T) {
 		r := &server.Recorder{}
-		s := &server.Server{Name: "s1", Entries: []server.Entry{{Client: c}}, Recorder: r, Timeout: time.Minute}
+		s := &server.Server{Name: "s1", EntryClients: []server.EntryClient{{Client: c}}, Recorder: r, Timeout: time.Minute}
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { _ = s.Run(ctx) }()
 		test(s, r)
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -52,7 +52,7 @@
 			Rack: fmt.Sprintf("rack-%d", i/serversPerRack), Zone: fmt.Sprintf("zone-%d", i%zoneCount), Capacity: capacity,
 		}
 		for _, address := range r.BackendAddresses() {
-			s.Entries = append(s.Entries, server.NewEntry(address, nil, nil))
+			s.EntryClients = append(s.EntryClients, server.NewEntryClient(address, nil, nil))
 		}
 		f.servers = append(f.servers, s)
 		go func() { _ = s.Run(runCtx) }() // fails only when the fleet is closed
