--- a/internal/demo/cell/cell.go
+++ b/internal/demo/cell/cell.go
@@ -196,14 +196,14 @@
 		e.ControlReplicas = append(e.ControlReplicas, control.Replica{Name: m.ID, Address: m.Address})
 	}
 	for _, l := range []struct {
-		peer string
-		to   *net.Listener
+		clientKind string
+		listener   *net.Listener
 	}{{"callers", &e.CallerListener}, {"backends", &e.BackendListener}, {"operators", &e.OperatorListener}} {
-		listener, err := c.Network.Listen(c.Network.Address(name + "-" + l.peer))
+		listener, err := c.Network.Listen(c.Network.Address(name + "-" + l.clientKind))
 		if err != nil {
 			return err
 		}
-		*l.to = p.connections.track(listener)
+		*l.listener = p.connections.track(listener)
 	}
 	p.entry, p.done = e, e.Done()
 	c.runProcess(name, p, e.Run)
--- a/internal/demo/fault/cell_test.go
+++ b/internal/demo/fault/cell_test.go
@@ -43,7 +43,7 @@
 	onStep func(step string)
 }
 
-// The size of the test cell, its limits and its timeouts. Cores are in thousandths.
+// The size of the test cell, its limits and its timeouts. The cores are in millicores.
 const (
 	replicas       = 3
 	entries        = 2
--- a/internal/demo/fault/matrix_test.go
+++ b/internal/demo/fault/matrix_test.go
@@ -156,8 +156,8 @@
 }
 
 // targetsDiffer reports whether two faults affect different kinds of processes. Two faults
-// of one process interfere, because the restart of one fault ends the isolation of the
-// other.
+// of one process interfere, because the restart that repairs one fault also ends the
+// isolation that the other fault causes.
 func targetsDiffer(a, b fault) bool {
 	return targetProcess(a) != targetProcess(b)
 }
--- a/internal/fake/relay/memory.go
+++ b/internal/fake/relay/memory.go
@@ -31,7 +31,7 @@
 	return l
 }
 
-// Dial connects to an address. The network appears only in errors.
+// Dial connects to an address. The network name appears only in errors.
 func (m *MemoryNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	m.mu.Lock()
 	l := m.listeners[address]
--- a/internal/fake/relay/relay.go
+++ b/internal/fake/relay/relay.go
@@ -84,7 +84,7 @@
 	})
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (r *Relay) Done() <-chan struct{} { r.init(); return r.done }
 
 // Run forwards connections until ctx is cancelled.
--- a/internal/fake/server/server.go
+++ b/internal/fake/server/server.go
@@ -36,7 +36,8 @@
 // Server is one fake backend server. The exported fields are set before Run.
 type Server struct {
 	Name string
-	// EntryClients are tried in turn. The hash of the name selects the first one.
+	// EntryClients are the clients of the entries, which are tried in turn. The hash of the
+	// server's name selects the first one.
 	EntryClients []EntryClient
 	// Secret is the enrolment secret of the cell.
 	Secret   string
@@ -110,7 +111,7 @@
 	}
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (s *Server) Done() <-chan struct{} { s.init(); return s.done }
 
 // lock takes mu and then waits while the server is paused.
--- a/internal/policy/bench/metrics.go
+++ b/internal/policy/bench/metrics.go
@@ -48,6 +48,7 @@
 
 func (m *Metrics) measuring() bool { return m.simulation.now >= m.MeasureFrom }
 
+// timeDecide calls decide and records its duration.
 func (m *Metrics) timeDecide(decide func() []plan.Decision) []plan.Decision {
 	start := time.Now()
 	decisions := decide()
@@ -112,6 +113,8 @@
 	}
 }
 
+// recordLostWork records the last part of an attempt, of duration d, as lost and the rest
+// as done.
 func (m *Metrics) recordLostWork(t *Task, d time.Duration) {
 	if m.measuring() {
 		m.coreSecondsLost += coreSeconds(t, d)
