--- a/internal/demo/scenario/work.go
+++ b/internal/demo/scenario/work.go
@@ -223,14 +223,14 @@
 		t.recordViolation("not all %d tasks of the service run: %v (error: %v)", spec.GetCount(), jobs, err)
 	}
 	if _, err := c.Cancel(ctx, []string{spec.GetId()}, nil); err != nil {
-		t.recordViolation("cancelling the service failed: %v", err)
+		t.recordViolation("canceling the service failed: %v", err)
 		return
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	result, err := c.Wait(waitCtx, spec.GetId())
 	if err != nil || result.Code != code.Stopped {
-		t.recordViolation("cancelled service ended with outcome %v: %s (error: %v)", result.Outcome, result.Text, err)
+		t.recordViolation("canceled service ended with outcome %v: %s (error: %v)", result.Outcome, result.Text, err)
 		return
 	}
 	t.increment(&t.report.Done)
--- a/internal/load/rig/process_test.go
+++ b/internal/load/rig/process_test.go
@@ -306,7 +306,7 @@
 	answered := false
 	for i := range ops {
 		if _, ok := ops[i].Output.(history.WaitReply); ok {
-			ops[i].Output = history.WaitReply{Content: "content of no submission"}
+			ops[i].Output = history.WaitReply{Content: "nobody's"}
 			answered = true
 			break
 		}
