--- a/internal/demo/fault/repair_test.go
+++ b/internal/demo/fault/repair_test.go
@@ -100,13 +100,13 @@
 	ctx, cancel := context.WithTimeout(w.ctx, requestTimeout)
 	defer cancel()
 	row := &v1.Row{Team: "rail", Weight: 1, Queue: queue, Limit: &v1.Size{Cpu: teamCores, Memory: -1, Accel: -1, Slots: -1}}
-	rev, err := w.operator.Change(ctx, &v1.ChangeRequest{
+	revision, err := w.operator.Change(ctx, &v1.ChangeRequest{
 		Id: fmt.Sprint("edit-", base), Change: &v1.ChangeRequest_Table{Table: &v1.TableChange{Base: base, Edits: []*v1.Edit{{Row: row}}}},
 	})
 	if err != nil {
 		w.t.Fatalf("table change on revision %d: %v", base, err)
 	}
-	return rev
+	return revision
 }
 
 // encodedStates returns the encoded ledger state of each replica.
@@ -129,7 +129,7 @@
 // A follower loses its disk, and an operator replaces it by a new replica with an empty
 // disk. Right after the old replica is removed, another replica fails permanently. All jobs
 // accepted before and during the repair must be answered, and the table must not revert to
-// an older revision. This fails if the new replica votes before it has the whole log.
+// an older revision. This fails if the new replica votes before it has the complete log.
 func TestCellSurvivesReplicaLossAfterRepair(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newConfiguredTestCell(t, func(_ string, l *leader.Leader) { l.SnapshotInterval = 50 })
@@ -168,8 +168,8 @@
 // allFromReplica reports whether all violations concern the named replica, which has no
 // ledger to check after it was killed.
 func allFromReplica(violations []string, name string) bool {
-	for _, f := range violations {
-		if len(f) < len(name) || f[:len(name)] != name {
+	for _, violation := range violations {
+		if len(violation) < len(name) || violation[:len(name)] != name {
 			return false
 		}
 	}
--- a/internal/fake/server/server.go
+++ b/internal/fake/server/server.go
@@ -36,8 +36,9 @@
 // Server is one fake backend server. The exported fields are set before Run.
 type Server struct {
 	Name string
-	// Entries are tried in turn. The hash of the name selects the first one.
-	Entries []Entry
+	// EntryClients are the clients of the entries, which are tried in turn. The hash of the
+	// server's name selects the first one.
+	EntryClients []EntryClient
 	// Secret is the enrolment secret of the cell.
 	Secret   string
 	Capacity *v1.Size
@@ -45,8 +46,8 @@
 	// Zone is the availability zone.
 	Zone   string
 	Labels map[string]string
-	// Work runs a task; nil for RunScript.
-	Work Work
+	// RunTask runs a task; nil for RunScript.
+	RunTask TaskFunc
 	// Recorder records each start and stop of a task; may be nil.
 	Recorder *Recorder
 	Log      logr.Logger
@@ -91,14 +92,14 @@
 		if s.Capacity == nil {
 			s.Capacity = &v1.Size{Cpu: 16_000, Memory: 32 << 10, Slots: 8}
 		}
-		if s.Work == nil {
-			s.Work = RunScript
+		if s.RunTask == nil {
+			s.RunTask = RunScript
 		}
 		s.resumed.L = &s.mu
 		s.leaseEnd.Store(&time.Time{})
 		s.runs = make(map[Attempt]*run)
 		s.seenAttempts = make(map[Attempt]struct{})
-		s.entryIndex = int(xxhash.Sum64String(s.Name) % uint64(max(1, len(s.Entries))))
+		s.entryIndex = int(xxhash.Sum64String(s.Name) % uint64(max(1, len(s.EntryClients))))
 		s.done = make(chan struct{})
 	})
 }
@@ -110,7 +111,7 @@
 	}
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (s *Server) Done() <-chan struct{} { s.init(); return s.done }
 
 // lock takes mu and then waits while the server is paused.
@@ -139,7 +140,8 @@
 	s.resumed.Broadcast()
 }
 
-// Leave starts a graceful shutdown. Run returns once no attempt is left to run or report.
+// Leave starts a graceful shutdown. Run returns when no attempt remains to run or to
+// report.
 func (s *Server) Leave() {
 	s.init()
 	s.lock()
@@ -162,7 +164,7 @@
 	return n
 }
 
-// Run serves until ctx is canceled or the server has left. Canceling ctx kills all tasks
+// Run serves until ctx is cancelled or the server has left. Cancelling ctx kills all tasks
 // like a crash.
 func (s *Server) Run(ctx context.Context) error {
 	s.init()
@@ -208,16 +210,16 @@
 func (s *Server) switchEntry() {
 	s.lock()
 	defer s.mu.Unlock()
-	if reset := s.Entries[s.entryIndex].CloseIdle; reset != nil {
-		reset()
+	if closeIdle := s.EntryClients[s.entryIndex].CloseIdle; closeIdle != nil {
+		closeIdle()
 	}
-	s.entryIndex = (s.entryIndex + 1) % len(s.Entries)
+	s.entryIndex = (s.entryIndex + 1) % len(s.EntryClients)
 }
 
 func (s *Server) client() v1.BackendClient {
 	s.lock()
 	defer s.mu.Unlock()
-	return s.Entries[s.entryIndex].Client
+	return s.EntryClients[s.entryIndex].Client
 }
 
 // announce opens a session. The nonce stays the same until a reply arrives, so that a
@@ -294,9 +296,9 @@
 
 	s.lock()
 	s.cancelSync = nil
-	canceled := s.reportPending
+	cancelled := s.reportPending
 	s.mu.Unlock()
-	if err != nil && canceled {
+	if err != nil && cancelled {
 		sleep(context.Background(), s.ReportDelay)
 		return nil
 	}
--- a/internal/load/drive/drive.go
+++ b/internal/load/drive/drive.go
@@ -1,10 +1,9 @@
 // Package drive submits the jobs of a load run at their scheduled times and checks
 // every answer.
-//
-// The loop is open: a job is sent at its arrival time even if earlier jobs are
-// unanswered, and its waits are measured from the arrival time, not from the send
-// time. Measuring from the send time would hide the queueing delay when the cell or
-// the load tool falls behind (coordinated omission).
+// The load is open-loop: a job is sent at its arrival time even if earlier jobs are
+// unanswered. Its waits are measured from the arrival time. Measuring from the send time
+// would hide the queueing delay when the cell or the load tool is overloaded
+// (coordinated omission).
 package drive
 
 import (
@@ -24,8 +23,8 @@
 )
 
 const (
-	// DefaultTail is how long the driver waits for outcomes after the last arrival.
-	DefaultTail = 60 * time.Second
+	// DefaultOutcomeTimeout is how long the driver waits for outcomes after the last arrival.
+	DefaultOutcomeTimeout = 60 * time.Second
 	// Acknowledgements are sent in batches of at most ackBatch jobs, at least every
 	// ackInterval.
 	ackBatch    = 500
@@ -53,8 +52,8 @@
 type Driver struct {
 	Client *caller.Client
 	Jobs   []mix.Job
-	// Tail is how long the driver waits for outcomes after the last arrival.
-	Tail time.Duration
+	// OutcomeTimeout is how long the driver waits for outcomes after the last arrival.
+	OutcomeTimeout time.Duration
 	// ForeignServers is true if the backend servers do not belong to the load tool. The
 	// expected answers are then unknown and not compared.
 	ForeignServers bool
@@ -72,8 +71,8 @@
 
 // Run submits all jobs and returns their results in the order of the jobs.
 func (d *Driver) Run(ctx context.Context) []JobResult {
-	if d.Tail <= 0 {
-		d.Tail = DefaultTail
+	if d.OutcomeTimeout <= 0 {
+		d.OutcomeTimeout = DefaultOutcomeTimeout
 	}
 	results := make([]JobResult, len(d.Jobs))
 	d.pendingAcks = make(chan string, len(d.Jobs))
@@ -82,24 +81,24 @@
 	if len(d.Jobs) > 0 {
 		lastArrival = d.Jobs[len(d.Jobs)-1].ArrivesAt
 	}
-	ctx, cancel := context.WithDeadline(ctx, d.start.Add(lastArrival+d.Tail))
+	ctx, cancel := context.WithDeadline(ctx, d.start.Add(lastArrival+d.OutcomeTimeout))
 	defer cancel()
-	var acks, jobs sync.WaitGroup
-	acks.Go(d.acknowledge)
+	var ackGroup, jobGroup sync.WaitGroup
+	ackGroup.Go(d.acknowledge)
 	for i := range d.Jobs {
 		results[i].Job = d.Jobs[i]
 		if !transport.Sleep(ctx, time.Until(d.start.Add(d.Jobs[i].ArrivesAt))) {
 			break
 		}
 		d.reportProgress(i)
-		jobs.Go(func() {
+		jobGroup.Go(func() {
 			d.runJob(ctx, &results[i])
 			d.endedJobs.Add(1)
 		})
 	}
-	jobs.Wait()
+	jobGroup.Wait()
 	close(d.pendingAcks)
-	acks.Wait()
+	ackGroup.Wait()
 	d.reportProgress(len(d.Jobs))
 	return results
 }
@@ -170,12 +169,12 @@
 }
 
 // acknowledge acknowledges finished jobs in batches, so that the cell can delete their
-// outcomes. Without it the ledger would grow with the length of the run.
+// outcomes. Without acknowledgements the ledger would grow with the length of the run.
 func (d *Driver) acknowledge() {
 	ticker := time.NewTicker(ackInterval)
 	defer ticker.Stop()
 	var ids []string
-	send := func() {
+	sendBatch := func() {
 		if len(ids) == 0 {
 			return
 		}
@@ -188,14 +187,14 @@
 		select {
 		case id, ok := <-d.pendingAcks:
 			if !ok {
-				send()
+				sendBatch()
 				return
 			}
 			if ids = append(ids, id); len(ids) >= ackBatch {
-				send()
+				sendBatch()
 			}
 		case <-ticker.C:
-			send()
+			sendBatch()
 		}
 	}
 }
--- a/internal/load/rig/fleet.go
+++ b/internal/load/rig/fleet.go
@@ -31,10 +31,10 @@
 
 // Fleet is a group of fake backend servers that run in this process.
 type Fleet struct {
-	// TaskRuns records the attempts of each task. ServerRecord counts the starts and
-	// records the faults that the servers notice.
-	TaskRuns     *work.Record
-	ServerRecord *server.Recorder
+	// TaskRecorder counts the attempts of each task. ServerRecorder counts the starts and
+	// records the faults that the servers detect.
+	TaskRecorder   *work.Recorder
+	ServerRecorder *server.Recorder
 
 	servers []*server.Server
 	cancel  context.CancelFunc
@@ -43,19 +43,19 @@
 // StartFleet starts n backend servers and waits until the cell reports all of them as
 // ready.
 func (r *Rig) StartFleet(ctx context.Context, n int, capacity *v1.Size) (*Fleet, error) {
-	f := &Fleet{TaskRuns: &work.Record{}, ServerRecord: &server.Recorder{}}
-	running, cancel := context.WithCancel(ctx)
+	f := &Fleet{TaskRecorder: &work.Recorder{}, ServerRecorder: &server.Recorder{}}
+	runCtx, cancel := context.WithCancel(ctx)
 	f.cancel = cancel
 	for i := range n {
 		s := &server.Server{
-			Name: fmt.Sprintf("load-%03d", i), Secret: r.EnrolmentSecret, Work: f.TaskRuns.RunTask, Recorder: f.ServerRecord, Log: logr.Discard(),
+			Name: fmt.Sprintf("load-%03d", i), Secret: r.EnrolmentSecret, RunTask: f.TaskRecorder.RunTask, Recorder: f.ServerRecorder, Log: logr.Discard(),
 			Rack: fmt.Sprintf("rack-%d", i/serversPerRack), Zone: fmt.Sprintf("zone-%d", i%zoneCount), Capacity: capacity,
 		}
 		for _, address := range r.BackendAddresses() {
-			s.Entries = append(s.Entries, server.NewEntry(address, nil, nil))
+			s.EntryClients = append(s.EntryClients, server.NewEntryClient(address, nil, nil))
 		}
 		f.servers = append(f.servers, s)
-		go func() { _ = s.Run(running) }() // ends with the fleet, which causes its only error
+		go func() { _ = s.Run(runCtx) }() // fails only when the fleet is closed
 	}
 	if err := r.waitServersReady(ctx, n); err != nil {
 		f.Close()
@@ -130,13 +130,13 @@
 // GrantKey grants a new key to a team and returns the token that callers present.
 func (r *Rig) GrantKey(ctx context.Context, team, id string) (string, error) {
 	secret := key.NewSecret()
-	d := key.Digest(secret)
+	digest := key.Digest(secret)
 	_, err := r.OperatorClient().Change(ctx, &v1.ChangeRequest{Id: "grant-" + id, Change: &v1.ChangeRequest_Grant{
-		Grant: &v1.KeyGrant{Id: id, Team: team, Digest: d[:]},
+		Grant: &v1.KeyGrant{Id: id, Team: team, Digest: digest[:]},
 	}})
 	return id + "." + secret, err
 }
 
-// SettleTime is the pause before an idle cell is measured, so that its start no longer
-// shows.
+// SettleTime is how long a new cell idles before it is measured, so that the resource
+// usage of its start is not included.
 const SettleTime = 2 * time.Second
--- a/internal/load/rig/process.go
+++ b/internal/load/rig/process.go
@@ -50,7 +50,7 @@
 	defer func() { _ = log.Close() }()
 	p := &process{cmd: exec.Command(r.Program, args...), done: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	// Linux kills the child when this process dies, so that no process is left over.
+	// Linux kills the child when this process dies, so that none is left running.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		return err
@@ -85,9 +85,9 @@
 	}
 }
 
-func (r *Rig) signal(name string, s os.Signal) {
+func (r *Rig) signal(name string, sig os.Signal) {
 	if p := r.process(name); p != nil {
-		_ = p.cmd.Process.Signal(s) // fails only if the process has ended
+		_ = p.cmd.Process.Signal(sig) // fails only if the process has ended
 	}
 }
 
@@ -108,14 +108,14 @@
 func (r *Rig) Resume(name string) { r.signal(name, syscall.SIGCONT) }
 
 // Stop shuts a process down gracefully with SIGTERM and returns its exit error.
-func (r *Rig) Stop(name string, limit time.Duration) error {
+func (r *Rig) Stop(name string, timeout time.Duration) error {
 	r.signal(name, syscall.SIGTERM)
 	p := r.process(name)
 	select {
 	case <-p.done:
 		return p.err
-	case <-time.After(limit):
-		return errors.Newf("%s did not shut down within %s", name, limit)
+	case <-time.After(timeout):
+		return errors.Newf("%s did not shut down within %s", name, timeout)
 	}
 }
 
@@ -130,13 +130,13 @@
 
 func (r *Rig) probe(name, path string) ([]byte, bool) {
 	c := http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	res, err := c.Get("http://" + r.address(name, platformOffset) + path)
+	response, err := c.Get("http://" + r.address(name, platformOffset) + path)
 	if err != nil {
 		return nil, false
 	}
-	defer func() { _ = res.Body.Close() }()
-	b, err := io.ReadAll(res.Body)
-	return b, err == nil && res.StatusCode == http.StatusOK
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
+	return body, err == nil && response.StatusCode == http.StatusOK
 }
 
 // Leader returns the control replica that reports leadership in the highest term.
@@ -146,9 +146,9 @@
 		if !r.Running(name) {
 			continue
 		}
-		b, ok := r.probe(name, "/metrics")
-		if ok && metricValue(b, "control_leads") == 1 && metricValue(b, "control_term") > term {
-			leader, term = name, metricValue(b, "control_term")
+		metrics, ok := r.probe(name, "/metrics")
+		if ok && metricValue(metrics, "control_leads") == 1 && metricValue(metrics, "control_term") > term {
+			leader, term = name, metricValue(metrics, "control_term")
 		}
 	}
 	return leader, leader != ""
@@ -157,11 +157,11 @@
 // TableRevision returns the table revision that a process reports in its metrics; 0 if
 // it does not answer.
 func (r *Rig) TableRevision(name string) uint64 {
-	b, _ := r.probe(name, "/metrics")
+	metrics, _ := r.probe(name, "/metrics")
 	if strings.HasPrefix(name, "entry") {
-		return uint64(max(0, metricValue(b, "entry_table_revision")))
+		return uint64(max(0, metricValue(metrics, "entry_table_revision")))
 	}
-	return uint64(max(0, metricValue(b, "control_revision")))
+	return uint64(max(0, metricValue(metrics, "control_revision")))
 }
 
 // metricValue returns the value of the metric whose name ends in suffix; -1 if there
@@ -218,11 +218,11 @@
 	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is valid
 	var sum time.Duration
 	for _, path := range paths {
-		var ran, wait int64
+		var ranNanos, waitNanos int64
 		if text, err := os.ReadFile(path); err == nil {
-			_, _ = fmt.Sscan(string(text), &ran, &wait)
+			_, _ = fmt.Sscan(string(text), &ranNanos, &waitNanos)
 		}
-		sum += time.Duration(wait)
+		sum += time.Duration(waitNanos)
 	}
 	return sum
 }
--- a/internal/load/trial/main.go
+++ b/internal/load/trial/main.go
@@ -24,12 +24,12 @@
 
 // options are the command-line options.
 type options struct {
-	SeedCount int           `long:"seeds" default:"40" description:"number of seeds that each policy runs"`
-	FirstSeed uint64        `long:"first" default:"1" description:"the first seed"`
-	Servers   int           `long:"servers" default:"48" description:"approximate number of backend servers"`
-	Lease     time.Duration `long:"lease" description:"how long a server runs without contact to the cell; drawn from the seed by default"`
-	Policies  []string      `long:"way" description:"product, fifo, strict, or without-MECHANISM; may be repeated; all by default"`
-	Parallel  int           `long:"jobs" default:"4" description:"number of parallel runs"`
+	SeedCount       int           `long:"seeds" default:"40" description:"number of seeds that each policy runs"`
+	FirstSeed       uint64        `long:"first" default:"1" description:"the first seed"`
+	Servers         int           `long:"servers" default:"48" description:"approximate number of backend servers"`
+	Lease           time.Duration `long:"lease" description:"how long a server runs without contact to the cell; drawn from the seed by default"`
+	Policies        []string      `long:"way" description:"product, fifo, strict, or without-MECHANISM; may be repeated; all by default"`
+	MaxParallelRuns int           `long:"jobs" default:"4" description:"number of parallel runs"`
 }
 
 func main() {
@@ -56,14 +56,14 @@
 // parsePolicy returns the policy with the given name.
 func parsePolicy(name string, lease time.Duration) (simulator.Policy, error) {
 	p := simulator.Policy{Lease: lease}
-	mechanism, without := strings.CutPrefix(name, "without-")
+	mechanism, hasPrefix := strings.CutPrefix(name, "without-")
 	switch {
 	case name == "product":
 	case name == "fifo":
 		p.FIFO, p.Disabled = true, simulator.LateLast|simulator.Headroom|simulator.GangReservation|simulator.QuestionSize|simulator.ParallelQuestions
 	case name == "strict":
 		p.StrictPriority, p.Disabled = true, simulator.LateLast|simulator.Headroom|simulator.GangReservation|simulator.QuestionSize|simulator.ParallelQuestions
-	case without && simulator.Mechanisms[mechanism] != 0:
+	case hasPrefix && simulator.Mechanisms[mechanism] != 0:
 		p.Disabled = simulator.Mechanisms[mechanism]
 	default:
 		return p, fmt.Errorf("unknown policy %q; known: %s", name, strings.Join(policyNames(), ", "))
@@ -88,12 +88,12 @@
 	}
 	bar := progressbar.NewOptions(len(names)*o.SeedCount, progressbar.OptionSetWriter(progress), progressbar.OptionSetDescription("runs"), progressbar.OptionThrottle(time.Second))
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, min(o.Parallel, runtime.NumCPU()))
+	semaphore := make(chan struct{}, min(o.MaxParallelRuns, runtime.NumCPU()))
 	for i := range names {
 		for n := range o.SeedCount {
 			wg.Go(func() {
-				slots <- struct{}{}
-				defer func() { <-slots }()
+				semaphore <- struct{}{}
+				defer func() { <-semaphore }()
 				results[i][n] = simulator.New(simulator.GenerateScenario(o.FirstSeed+uint64(n), o.Servers), policies[i]).Run()
 				_ = bar.Add(1)
 			})
@@ -104,8 +104,7 @@
 	return writeTable(out, names, results)
 }
 
-// columns are the columns of the table. Each value is the mean of a figure over all
-// runs.
+// columns are the columns of the table. Each value is a mean over all runs.
 var columns = []struct {
 	name  string
 	value func(simulator.Result) float64
@@ -163,11 +162,12 @@
 	return nil
 }
 
-// meanAndDeviation returns the mean and the standard deviation of a figure.
-func meanAndDeviation(results []simulator.Result, figure func(simulator.Result) float64) (mean, deviation float64) {
+// meanAndDeviation returns the mean and the standard deviation of a value over the
+// results.
+func meanAndDeviation(results []simulator.Result, value func(simulator.Result) float64) (mean, deviation float64) {
 	values := make([]float64, len(results))
 	for i, r := range results {
-		values[i] = figure(r)
+		values[i] = value(r)
 		mean += values[i] / float64(len(results))
 	}
 	for _, v := range values {
