--- a/internal/cli/flow/flow_test.go
+++ b/internal/cli/flow/flow_test.go
@@ -101,7 +101,7 @@
 		`{"id": "f1", "steps": [`:                                    "JSON",
 		`{"id": "f1", "stepz": []}`:                                  "stepz",
 		`{"id": "f1", "steps": [{"count": 0}]}`:                      "step 0 has 0 tasks",
-		`{"id": "f1", "steps": [{"count": 1, "after": [0]}]}`:        "not before it",
+		`{"id": "f1", "steps": [{"count": 1, "after": [0]}]}`:        "not an earlier step",
 		`{"id": "f1", "steps": [{"count": 1}], "input": "not b64!"}`: "input",
 	} {
 		exit, _, errs := run(text, "check", "-")
